--- /dev/null
+++ b/internal/learned/version0_test.go
@@ -0,0 +1,46 @@
+package learned
+
+import (
+	"bytes"
+	"os"
+	"path/filepath"
+	"reflect"
+	"testing"
+	"time"
+
+	"fawnplank/internal/testutil"
+	"fawnplank/policy"
+)
+
+// TestLoad_ReadsVersion0File reads a file of the version before, and writes the same state as the same bytes.
+func TestLoad_ReadsVersion0File(t *testing.T) {
+	saved := time.Unix(1_800_000_000, 123_456_789)
+	want := policy.Learned{Usual: 12_500_000.25, Count: 30, Backends: []policy.LearnedBackend{
+		{Backend: 1, Started: 1_799_990_000_000_000_001, Usual: 11_000_000.5, Count: 29.75},
+		{Backend: 7, Started: 1_799_995_000_000_000_000, Usual: 99_000_000, Count: 0.125}}}
+	path := testutil.Fixture(t, "learned", func(path string) {
+		if err := Save(path, want, saved); err != nil {
+			t.Fatal(err)
+		}
+	})
+	got, age, err := Load(path, saved.Add(90*time.Second))
+	if err != nil || age != 90*time.Second || !reflect.DeepEqual(got, want) {
+		t.Fatalf("%+v, %v old, %v", got, age, err)
+	}
+	again := filepath.Join(t.TempDir(), "again")
+	if err := Save(again, got, saved); err != nil {
+		t.Fatal(err)
+	}
+	old, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if now, err := os.ReadFile(again); err != nil || !bytes.Equal(now, old) {
+		t.Errorf("written anew (%v):\n%s\nthe fixture:\n%s", err, now, old)
+	}
+}
+
+// TestStoredTypes_HaveTags holds that each stored field has its name from a tag, and not from Go.
+func TestStoredTypes_HaveTags(t *testing.T) {
+	testutil.CheckTags(t, body{})
+}
--- /dev/null
+++ b/internal/store/kv/version0_test.go
@@ -0,0 +1,95 @@
+package kv
+
+import (
+	"bytes"
+	"encoding/json"
+	"os"
+	"reflect"
+	"testing"
+
+	"fawnplank/internal/testutil"
+)
+
+// version0Commands are the commands behind the fixtures: together they use each field of an edit.
+var version0Commands = []struct {
+	fixture string
+	at      Index
+	edits   []Edit
+}{
+	{"command-put.json", 3, []Edit{{Key: "plans/basic", Value: json.RawMessage(`{"name":"basic","quota-rate":5}`)},
+		{Key: "x/old", Value: json.RawMessage(`"short-lived"`)}}},
+	{"command-check.json", 7, []Edit{{Key: "plans/basic", Value: json.RawMessage(`{"name":"basic","quota-rate":9}`), Check: true, If: 3},
+		{Key: "x/new", Value: json.RawMessage(`[1,2.5,"ñ"]`), Check: true}, {Key: "x/old"}}},
+}
+
+// TestCommand_Version0Bytes reads commands as they stand in the logs of replicas: what they hold, and that the same
+// edits are still written as the same bytes, which replicas of the version before read.
+func TestCommand_Version0Bytes(t *testing.T) {
+	for _, c := range version0Commands {
+		t.Run(c.fixture, func(t *testing.T) {
+			text, err := os.ReadFile(testutil.Fixture(t, c.fixture, func(path string) {
+				text, err := Encode(c.edits)
+				if err == nil {
+					err = os.WriteFile(path, text, 0o600)
+				}
+				if err != nil {
+					t.Fatal(err)
+				}
+			}))
+			if err != nil {
+				t.Fatal(err)
+			}
+			var got Command
+			if err := json.Unmarshal(text, &got); err != nil || !reflect.DeepEqual(got, Command{1, c.edits}) {
+				t.Errorf("%+v, %v", got, err)
+			}
+			if again, err := Encode(c.edits); err != nil || !bytes.Equal(again, text) {
+				t.Errorf("written anew (%v):\n%s\nthe fixture:\n%s", err, again, text)
+			}
+		})
+	}
+}
+
+// TestLoad_ReadsVersion0Snapshot reads a snapshot, compares it with what the commands come to today, and writes it anew.
+func TestLoad_ReadsVersion0Snapshot(t *testing.T) {
+	now := New()
+	for _, c := range version0Commands {
+		text, err := Encode(c.edits)
+		if err == nil {
+			_, err = now.Apply(c.at, text)
+		}
+		if err != nil {
+			t.Fatal(err)
+		}
+	}
+	text, err := os.ReadFile(testutil.Fixture(t, "snapshot", func(path string) {
+		text, err := now.Snapshot()
+		if err == nil {
+			err = os.WriteFile(path, text, 0o600)
+		}
+		if err != nil {
+			t.Fatal(err)
+		}
+	}))
+	if err != nil {
+		t.Fatal(err)
+	}
+	s, err := Load(text)
+	if err != nil {
+		t.Fatal(err)
+	}
+	want := map[string]Entry{"plans/basic": {json.RawMessage(`{"name":"basic","quota-rate":9}`), 7}, "x/new": {json.RawMessage(`[1,2.5,"ñ"]`), 7}}
+	if s.At() != 7 || !reflect.DeepEqual(s.keys, want) || s.Print() != now.Print() {
+		t.Errorf("at %d: %+v", s.At(), s.keys)
+	}
+	for name, state := range map[string]*State{"as read": s, "as applied": now} {
+		if again, err := state.Snapshot(); err != nil || !bytes.Equal(again, text) {
+			t.Errorf("%s, written anew (%v):\n%s\nthe fixture:\n%s", name, err, again, text)
+		}
+	}
+}
+
+// TestStoredTypes_HaveTags holds that each stored field has its name from a tag, and not from Go.
+func TestStoredTypes_HaveTags(t *testing.T) {
+	testutil.CheckTags(t, Command{}, snapshot{})
+}
