--- /dev/null
+++ b/internal/dnsd/version0_test.go
@@ -0,0 +1,237 @@
+package dnsd
+
+import (
+	"bytes"
+	"encoding/json"
+	"fmt"
+	"maps"
+	"os"
+	"path/filepath"
+	"reflect"
+	"slices"
+	"strings"
+	"testing"
+
+	"github.com/miekg/dns"
+
+	"fawnplank/internal/store/kv"
+	"fawnplank/internal/testutil"
+	"fawnplank/internal/zone"
+)
+
+// version0File is the zone file behind the fixtures. One of its backends states when it started.
+var version0File = text(7, 2) + "n2 TXT fawnplank zone=north group=3 since=1790000000000\n"
+
+// version0Updates are sent to a server by the version before: a backend comes, and one of the file's goes.
+func version0Updates(t *testing.T, r *rig) {
+	t.Helper()
+	for _, m := range []*dns.Msg{change(t, service+"m1.calc.example.", "m1.calc.example. 30 IN A 127.1.0.1"),
+		change(t, "-"+service+"n1.calc.example.")} {
+		if rcode, _ := r.ask(t, "tcp", signed(m, key), key); rcode != dns.RcodeSuccess {
+			t.Fatal(dns.RcodeToString[rcode])
+		}
+	}
+}
+
+// version0State checks what a journal or a store of the version before says.
+func version0State(t *testing.T, s *state) {
+	t.Helper()
+	if s.zone.Serial() != 9 || s.sum != "62ff89fddb841c2f" {
+		t.Errorf("serial %d of the file %s", s.zone.Serial(), s.sum)
+	}
+	list := map[string]zone.Backend{}
+	for _, b := range s.zone.Backends() {
+		list[b.Name] = b
+	}
+	if names := slices.Sorted(maps.Keys(list)); fmt.Sprint(names) != "[m1.calc.example:7000 n2.calc.example:7000]" {
+		t.Fatalf("backends %q", names)
+	}
+	old, fresh := list["n2.calc.example:7000"], list["m1.calc.example:7000"]
+	if want := (zone.Born{File: "calc.zone", Line: 8, Serial: 7}); old.Born != want || old.Stated != 1790000000000e6 || old.Zone != "north" || old.Group != 3 {
+		t.Errorf("of the file: %+v", old)
+	}
+	if len(s.changes) != 2 {
+		t.Fatalf("%d changes", len(s.changes))
+	}
+	come, gone := s.changes[0], s.changes[1]
+	if want := (zone.Born{Started: come.At, Key: "deploy.", Serial: 8}); fresh.Born != want {
+		t.Errorf("of the update: %+v", fresh)
+	}
+	if come.From != 7 || come.To != 8 || len(come.Add) != 3 || len(come.Del) != 1 || gone.From != 8 || gone.To != 9 || len(gone.Del) != 2 {
+		t.Errorf("changes %+v and %+v", come, gone)
+	}
+	if !slices.ContainsFunc(gone.Del, func(x string) bool { return strings.Contains(x, "n1.calc.example.") }) {
+		t.Errorf("what went: %q", gone.Del)
+	}
+	for _, c := range s.changes {
+		if c.By.Key != "deploy." || len(c.By.MAC) != 64 || c.By.Signed*1e9 > c.At || c.At-c.By.Signed*1e9 > 10e9 {
+			t.Errorf("by %+v at %d", c.By, c.At)
+		}
+	}
+}
+
+func version0Journal(t *testing.T) string {
+	t.Helper()
+	return testutil.Fixture(t, "calc.journal", func(path string) {
+		dir := t.TempDir()
+		t.Chdir(dir) // what the journal says of the file holds no path then
+		write(t, "calc.zone", version0File)
+		r := must(t, Options{File: "calc.zone", Journal: "calc.journal"})
+		version0Updates(t, r)
+		r.Close()
+		if err := os.Rename("calc.journal", path); err != nil {
+			t.Fatal(err)
+		}
+	})
+}
+
+// TestReadJournal_ReadsVersion0File reads a journal of the version before, and writes its lines anew as the same bytes.
+func TestReadJournal_ReadsVersion0File(t *testing.T) {
+	path := version0Journal(t)
+	s, err := readJournal(path, set)
+	if err != nil {
+		t.Fatal(err)
+	}
+	version0State(t, s)
+	old, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	first, _, _ := bytes.Cut(old, []byte{'\n'})
+	body, _ := unwrap(first)
+	var b base
+	if err := json.Unmarshal(body, &b); err != nil {
+		t.Fatal(err)
+	}
+	z, err := zone.Restore(b.Snapshot, set)
+	if err != nil {
+		t.Fatal(err)
+	}
+	again := &journal{path: filepath.Join(t.TempDir(), "again")}
+	if again.lock, err = os.Create(again.path + ".lock"); err != nil {
+		t.Fatal(err)
+	}
+	defer again.close()
+	if err := again.begin(z, s.sum); err != nil {
+		t.Fatal(err)
+	}
+	for _, c := range s.changes {
+		if err := again.add(c); err != nil {
+			t.Fatal(err)
+		}
+	}
+	if now, err := os.ReadFile(again.path); err != nil || !bytes.Equal(now, old) {
+		t.Errorf("written anew (%v):\n%s\nthe fixture:\n%s", err, now, old)
+	}
+}
+
+// TestStart_GoesOnWithVersion0Journal starts a server on a journal of the version before and the zone file that it came
+// from: the file, which was taken already, brings nothing back, and an update goes behind the others.
+func TestStart_GoesOnWithVersion0Journal(t *testing.T) {
+	path := version0Journal(t)
+	t.Chdir(filepath.Dir(path))
+	write(t, "calc.zone", version0File)
+	r := must(t, Options{File: "calc.zone", Journal: "calc.journal"})
+	if r.Serial() != 9 || r.ear.size() != 2 || r.ear.has("n1") || !r.ear.has("m1") {
+		t.Errorf("serial %d, %v", r.Serial(), r.ear.list)
+	}
+	if rcode, _ := r.ask(t, "tcp", signed(change(t, "-"+service+"m1.calc.example."), key), key); rcode != dns.RcodeSuccess || r.Serial() != 10 {
+		t.Errorf("an update: %s, serial %d", dns.RcodeToString[rcode], r.Serial())
+	}
+}
+
+// direct is a replica that hears of each edit as it lands.
+type direct struct {
+	kv *kv.State
+	at kv.Index
+}
+
+func (d *direct) Entry(key string) (kv.Entry, bool) { return d.kv.Get(key) }
+
+func (d *direct) Edit(edits []kv.Edit) error {
+	c, err := kv.Encode(edits)
+	if err == nil {
+		d.at++
+		_, err = d.kv.Apply(d.at, c)
+	}
+	return err
+}
+
+// TestShared_ReadsVersion0Store reads the zone from a store's snapshot of the version before, and writes the same zone
+// and changes into an empty store as the same bytes.
+func TestShared_ReadsVersion0Store(t *testing.T) {
+	path := testutil.Fixture(t, "store", func(path string) {
+		dir := t.TempDir()
+		t.Chdir(dir)
+		write(t, "calc.zone", version0File)
+		d := &direct{kv: kv.New()}
+		r := must(t, Options{File: "calc.zone", Shared: &Shared{d}})
+		version0Updates(t, r)
+		r.Close()
+		text, err := d.kv.Snapshot()
+		if err == nil {
+			err = os.WriteFile(path, text, 0o600)
+		}
+		if err != nil {
+			t.Fatal(err)
+		}
+	})
+	text, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	stored, err := kv.Load(text)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if keys := stored.Keys(""); fmt.Sprint(keys) != "[dns/base/00000007/0 dns/change/00000007 dns/change/00000008 dns/head]" {
+		t.Errorf("keys %q", keys)
+	}
+	shared := &Shared{&direct{kv: stored, at: stored.At()}}
+	if h, _, err := shared.head(); err != nil || h != (head{Serial: 9, Base: 7, Pieces: 1, Changes: 2, Sum: "62ff89fddb841c2f"}) {
+		t.Errorf("head %+v, %v", h, err)
+	}
+	s, err := shared.Load(set)
+	if err != nil {
+		t.Fatal(err)
+	}
+	version0State(t, s)
+
+	piece, _ := stored.Get(at(7, 0))
+	var inner string
+	var b base
+	if err := json.Unmarshal(piece.Value, &inner); err != nil {
+		t.Fatal(err)
+	}
+	if err := json.Unmarshal([]byte(inner), &b); err != nil {
+		t.Fatal(err)
+	}
+	z, err := zone.Restore(b.Snapshot, set)
+	if err != nil {
+		t.Fatal(err)
+	}
+	again := &direct{kv: kv.New()}
+	if err := (&Shared{again}).Begin(z, s.sum); err != nil {
+		t.Fatal(err)
+	}
+	for _, c := range s.changes {
+		if err := (&Shared{again}).Add(c); err != nil {
+			t.Fatal(err)
+		}
+	}
+	if !reflect.DeepEqual(again.kv.Keys(""), stored.Keys("")) {
+		t.Errorf("keys written anew: %q", again.kv.Keys(""))
+	}
+	for _, key := range stored.Keys("") {
+		is, _ := again.kv.Get(key)
+		was, _ := stored.Get(key)
+		if !bytes.Equal(is.Value, was.Value) {
+			t.Errorf("%s, written anew:\n%s\nthe fixture:\n%s", key, is.Value, was.Value)
+		}
+	}
+}
+
+// TestStoredTypes_HaveTags holds that each stored field has its name from a tag, and not from Go.
+func TestStoredTypes_HaveTags(t *testing.T) {
+	testutil.CheckTags(t, base{}, head{}, zone.Change{})
+}
