--- /dev/null
+++ b/internal/billd/version0_test.go
@@ -0,0 +1,221 @@
+package billd
+
+import (
+	"bytes"
+	"context"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"os"
+	"path/filepath"
+	"reflect"
+	"strings"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"fawnplank/internal/billing"
+	"fawnplank/internal/store/kv"
+	"fawnplank/internal/testutil"
+)
+
+// version0Start is when a synctest bubble begins, where the fixtures were written.
+var version0Start = time.Date(2000, 1, 1, 0, 0, 0, 0, time.UTC)
+
+// version0At is so long after that, in unix ns.
+func version0At(after time.Duration) int64 { return version0Start.Add(after).UnixNano() }
+
+// once is a receiver that takes its first batch, and then no more.
+type once struct {
+	Folder
+	sent bool
+}
+
+func (o *once) Send(ctx context.Context, batch []billing.Record) error {
+	if o.sent {
+		return errors.New("no more")
+	}
+	o.sent = true
+	return o.Folder.Send(ctx, batch)
+}
+
+const version0Export = "use-000000000001-000000000001.jsonl"
+
+// writeVersion0 lets a desk work for 2.3 s of a bubble's time, and copies what the store and the export's folder hold:
+// a window that is exported, one that is being sent, one that is open with a reservation in it, and a report that is not
+// folded yet.
+func writeVersion0(t *testing.T, store, export string) {
+	t.Helper()
+	folder := t.TempDir()
+	synctest.Test(t, func(t *testing.T) {
+		m := newMemory()
+		d := desk(m, "d", &once{Folder: Folder(folder)})
+		until := func(after time.Duration) {
+			time.Sleep(time.Until(version0Start.Add(after)))
+			synctest.Wait()
+		}
+		must := func(err error) {
+			if err != nil {
+				t.Fatal(err)
+			}
+		}
+		must(d.Change("g", billing.Change{ID: "c1", At: version0At(100 * time.Millisecond), Plan: "small"}))
+		must(d.Change("g", billing.Change{ID: "c2", At: version0At(time.Hour), Plan: "large"}))
+		d.Used("h", "large", time.Now(), 1.5)
+		until(1250 * time.Millisecond)
+		d.Used("g", "small", time.Now(), 2)
+		_, err := d.Reserve("g", "r0", "gone", "", 3e6, 300*time.Millisecond)
+		must(err)
+		until(1260 * time.Millisecond)
+		a, _, err := d.Show("g", "small")
+		must(err)
+		must(d.Release("g", "r0", a.Holds["r0"].Epoch))
+		until(2050 * time.Millisecond)
+		d.Used("g", "small", version0Start.Add(1300*time.Millisecond), 3)
+		h, err := d.Reserve("g", "r1", "holder-1", "", 20e6, 500*time.Millisecond)
+		must(err)
+		_, err = d.Commit("g", "r1", h.Epoch, 5e6)
+		must(err)
+		until(2255 * time.Millisecond)
+		d.Used("g", "small", time.Now(), 4)
+		until(2300 * time.Millisecond)
+		text, err := m.kv.Snapshot()
+		must(err)
+		must(os.WriteFile(store, text, 0o600))
+		d.Close()
+	})
+	text, err := os.ReadFile(filepath.Join(folder, version0Export))
+	if err == nil {
+		err = os.WriteFile(export, text, 0o600)
+	}
+	if err != nil {
+		t.Fatal(err)
+	}
+}
+
+func version0Store(t *testing.T) *memory {
+	t.Helper()
+	text, err := os.ReadFile(testutil.Fixture(t, "store", func(path string) { writeVersion0(t, path, path+".export") }))
+	if err != nil {
+		t.Fatal(err)
+	}
+	m := newMemory()
+	if m.kv, err = kv.Load(text); err != nil {
+		t.Fatal(err)
+	}
+	m.at = m.kv.At()
+	return m
+}
+
+// version0Desk is a desk without its loops at the moment at which the fixture was written.
+func version0Desk(m *memory, sink Sink) *Desk {
+	now := version0Start.Add(2300 * time.Millisecond)
+	return &Desk{o: Options{Replica: m, Door: "d", Terms: terms, Term: 300 * time.Millisecond, Sink: sink, Now: func() time.Time { return now }},
+		life: version0At(0), used: map[use]billing.Units{}, stop: make(chan struct{})}
+}
+
+// version0Values are what the store's fixture holds, as values of today's types.
+var version0Values = map[string]any{
+	accountKey + "g": billing.Account{Gestoria: "g",
+		Changes: []billing.Change{{ID: "c1", At: version0At(100 * time.Millisecond), Plan: "small"}, {ID: "c2", At: version0At(time.Hour), Plan: "large"}},
+		Windows: []billing.Window{{Start: version0At(1200 * time.Millisecond), Used: map[string]billing.Units{"small": 3e6}, Sent: 2e6},
+			{Start: version0At(2000 * time.Millisecond), Used: map[string]billing.Units{"small": 5e6}}},
+		Holds: map[string]billing.Hold{"r1": {ID: "r1", Plan: "small", Window: version0At(2 * time.Second), Left: 15e6,
+			Until: version0At(2550 * time.Millisecond), Epoch: 3, Holder: "holder-1"}},
+		Ended: map[string]int64{"r0": version0At(2260 * time.Millisecond)}, Epoch: 3},
+	recordKey + "0000000000000002":         billing.Record{Sequence: 2, Gestoria: "g", Plan: "small", Window: 946684801, Micro: 2e6},
+	exportKey:                              state{Next: 3, Acked: 1, First: 2, Last: 2},
+	clerkKey:                               clerkship{Who: "d-0d234ccf52430000", Until: version0At(2550 * time.Millisecond)},
+	marks + "d-0d234ccf52430000":           useKey + "d-0d234ccf52430000-00000003",
+	useKey + "d-0d234ccf52430000-00000003": []item{{Gestoria: "g", Plan: "small", Window: version0At(2 * time.Second), Units: 4e6}},
+}
+
+// TestVersion0Store_ValuesAndBytes reads each value of the store's fixture into its type, and writes it anew as the same
+// bytes under the same key.
+func TestVersion0Store_ValuesAndBytes(t *testing.T) {
+	m := version0Store(t)
+	for _, key := range m.kv.Keys("") {
+		if _, ok := version0Values[key]; !ok {
+			e, _ := m.Entry(key)
+			t.Errorf("key %s: %s", key, e.Value)
+		}
+	}
+	for key, want := range version0Values {
+		e, ok := m.Entry(key)
+		got := reflect.New(reflect.TypeOf(want))
+		if !ok || json.Unmarshal(e.Value, got.Interface()) != nil || !reflect.DeepEqual(got.Elem().Interface(), want) {
+			t.Errorf("%s: %s, and not %+v", key, e.Value, want)
+		}
+		if again, err := json.Marshal(want); err != nil || !bytes.Equal(again, e.Value) {
+			t.Errorf("%s, written anew (%v):\n%s\nthe fixture:\n%s", key, err, again, e.Value)
+		}
+	}
+}
+
+// TestDesk_GoesOnWithVersion0Store lets a desk go on with the store's fixture: it knows the plan and the reservation,
+// folds the report, and sends the batch that was fixed.
+func TestDesk_GoesOnWithVersion0Store(t *testing.T) {
+	m, folder := version0Store(t), Folder(t.TempDir())
+	d := version0Desk(m, folder)
+	d.plans.Store(&map[string]billing.Account{})
+	d.Changed([]string{accountKey + "g"})
+	if plan, ok := d.Plan("g"); plan != "small" || !ok {
+		t.Errorf("plan %q, %v", plan, ok)
+	}
+	if h, err := d.Commit("g", "r1", 3, 1e6); err != nil || h.Left != 14e6 || h.Epoch != 4 {
+		t.Errorf("a commit: %+v, %v", h, err)
+	}
+	if err := d.Release("g", "r0", 1); !errors.Is(err, billing.ErrOver) {
+		t.Errorf("a release of what had ended: %v", err)
+	}
+	if err := d.fold(); err != nil {
+		t.Fatal(err)
+	}
+	a, _, err := d.Show("g", "")
+	if err != nil || len(a.Windows) != 2 || a.Windows[1].Used["small"] != 10e6 || len(m.Rows(useKey)) != 0 {
+		t.Errorf("after the report: %+v, %v, %q", a, err, m.Rows(useKey))
+	}
+	if sent, err := d.exportOne(context.Background()); !sent || err != nil {
+		t.Fatal(sent, err)
+	}
+	text, err := os.ReadFile(filepath.Join(string(folder), "use-000000000002-000000000002.jsonl"))
+	if want := `{"sequence":2,"gestoria":"g","plan":"small","window_unix_s":946684801,"micro_units":2000000}` + "\n"; err != nil || string(text) != want {
+		t.Errorf("%s, %v", text, err)
+	}
+	if s, _, err := d.state(); err != nil || s != (state{Next: 3, Acked: 2}) || len(m.Rows(recordKey)) != 0 {
+		t.Errorf("the export: %+v, %v", s, err)
+	}
+}
+
+// TestFolder_ReadsVersion0Export takes a folder with a file of the version before: its last sequence is known, and the
+// same batch is written as the same bytes, of the same name.
+func TestFolder_ReadsVersion0Export(t *testing.T) {
+	path := testutil.Fixture(t, version0Export, func(path string) { writeVersion0(t, path+".store", path) })
+	folder := Folder(filepath.Dir(path))
+	if last, err := folder.Last(context.Background()); last != 1 || err != nil {
+		t.Error(last, err)
+	}
+	text, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	var got billing.Record
+	want := billing.Record{Sequence: 1, Gestoria: "h", Plan: "large", Window: 946684800, Micro: 1500000}
+	if err := json.Unmarshal([]byte(strings.TrimSpace(string(text))), &got); err != nil || got != want {
+		t.Errorf("%+v, %v", got, err)
+	}
+	if again := lines([]billing.Record{want}); !bytes.Equal(again, text) {
+		t.Errorf("written anew:\n%s\nthe fixture:\n%s", again, text)
+	}
+	if err := folder.Send(context.Background(), []billing.Record{want}); err != nil { // another text of this name is an error
+		t.Error(err)
+	}
+	if names, err := os.ReadDir(string(folder)); err != nil || len(names) != 1 {
+		t.Error(fmt.Sprint(names), err)
+	}
+}
+
+// TestStoredTypes_HaveTags holds that each stored field has its name from a tag, and not from Go.
+func TestStoredTypes_HaveTags(t *testing.T) {
+	testutil.CheckTags(t, billing.Account{}, billing.Record{}, item{}, state{}, clerkship{})
+}
