--- a/internal/lab/record/record.go
+++ b/internal/lab/record/record.go
@@ -46,7 +46,7 @@
 	DriftLess float64 `json:"drift_under"`   // units that others have had less
 }
 
-// Total is a run's sums.
+// Total is a run's sums. Row has no tag: its fields stand among the others in the file, and a name would nest them.
 type Total struct {
 	Row
 	Transactions int     `json:"transactions"` // tries but for clients' repeats
