--- a/internal/dnsd/version0_test.go
+++ b/internal/dnsd/version0_test.go
@@ -235,3 +235,49 @@
 func TestStoredTypes_HaveTags(t *testing.T) {
 	testutil.CheckTags(t, base{}, head{}, zone.Change{})
 }
+
+// version0Born is when the update of the compacted journal was taken, unix ns.
+const version0Born = 1796187964669258823
+
+// TestReadJournal_ReadsVersion0Compacted reads a journal whose changes the version before had written together: what it
+// says of a backend that came by an update then stands in the snapshot.
+func TestReadJournal_ReadsVersion0Compacted(t *testing.T) {
+	path := testutil.Fixture(t, "compacted.journal", func(path string) {
+		t.Chdir(t.TempDir())
+		write(t, "calc.zone", version0File)
+		r := must(t, Options{File: "calc.zone", Journal: "calc.journal"})
+		version0Updates(t, r)
+		r.mu.Lock()
+		err := r.journal.begin(r.zone, r.sum) // as after mostChanges updates
+		r.mu.Unlock()
+		r.Close()
+		if err == nil {
+			err = os.Rename("calc.journal", path)
+		}
+		if err != nil {
+			t.Fatal(err)
+		}
+	})
+	s, err := readJournal(path, set)
+	if err != nil {
+		t.Fatal(err)
+	}
+	born := map[string]zone.Born{}
+	for _, b := range s.zone.Backends() {
+		born[b.Name] = b.Born
+	}
+	if want := map[string]zone.Born{"m1.calc.example:7000": {Started: version0Born, Key: "deploy.", Serial: 8},
+		"n2.calc.example:7000": {File: "calc.zone", Line: 8, Serial: 7}}; !reflect.DeepEqual(born, want) {
+		t.Errorf("%+v", born)
+	}
+	if s.zone.Serial() != 9 || s.sum != "62ff89fddb841c2f" || len(s.changes) != 0 {
+		t.Errorf("serial %d of the file %s, %d changes", s.zone.Serial(), s.sum, len(s.changes))
+	}
+	old, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if again, err := line(base{journalFormat, s.zone.Origin, s.zone.Service, s.sum, s.zone.Snapshot()}); err != nil || !bytes.Equal(again, old) {
+		t.Errorf("written anew (%v):\n%s\nthe fixture:\n%s", err, again, old)
+	}
+}
