--- a/policy/golden_test.go
+++ b/policy/golden_test.go
@@ -63,6 +63,7 @@
 	terms                                   func(*policy.Terms)
 	faults                                  goldenFaults
 	zeroUnits                               bool  // some requests have no units
+	workByUnits                             bool  // small requests are much quicker
 	calm                                    int64 // mean time between two faults
 	minEffects                              int
 	want                                    string
@@ -253,6 +254,16 @@
 		calm:   goldenSecond,
 		want:   "cba5b2d456dddf1028a3c7c0c331017c734460b57e8ed6f01f5af47a79ab681b",
 	},
+	{
+		name: "work grows with the units", seed: 16, instances: 3, backends: 6, customers: 12, entries: 3, rate: 150, seconds: 30,
+		service: 60 * goldenMillisecond, leave: 0.02, minEffects: 5000, workByUnits: true,
+		terms: func(t *policy.Terms) {
+			t.Plans = []policy.PlanTerms{{}, {Rate: 20, Burst: 40, BeyondCosts: 1}}
+		},
+		faults: goldenFaults{backends: true},
+		calm:   goldenSecond,
+		want:   "53570b0dec1ffe3561bc5066694459b9bd5d273fa94fac49087ffc3092889230",
+	},
 	{
 		// A request of no units under a quota makes the learned share of the plan no number (0/0), and what is
 		// counted after it too. The day is apart so that the others are not blind from there on.
@@ -458,6 +469,9 @@
 		case 2:
 			plan = w.below(len(w.terms.Plans)) // the customer changed its plan
 		}
+		if w.day.workByUnits {
+			units *= units / 2
+		}
 		if w.day.zeroUnits && w.likely(0.3) {
 			units = -1 + float64(w.below(2)) // below none is taken for none
 		}
@@ -817,6 +831,9 @@
 	default:
 		took = w.day.service/2 + w.about(w.day.service/2)
 		took = int64(float64(took) * (0.5 + r.units/2) * (1 + float64(b.working)/4) / b.size)
+		if w.day.workByUnits {
+			took = int64(float64(w.day.service) * r.units * (0.95 + w.chance.Float64()/10))
+		}
 		if b.slow > 0 {
 			took *= 12
 		}
