--- a/cmd/drill/host.go
+++ b/cmd/drill/host.go
@@ -4,7 +4,7 @@
 	"fmt"
 
 	"fawnplank/internal/config"
-	"fawnplank/internal/wire"
+	"fawnplank/internal/simwire"
 	"fawnplank/policy"
 )
 
@@ -36,7 +36,7 @@
 // host holds the front doors of this process, which share nothing but the reply.
 type host struct {
 	doors map[uint32]*door
-	reply wire.Reply
+	reply simwire.Reply
 }
 
 // door is one instance: its decisions, and the handles of its transactions by their id.
@@ -47,7 +47,7 @@
 	open   map[uint64]*policy.Transaction
 }
 
-func (d *door) record(code uint8) *wire.Reply { return d.host.reply.Record(code).U32(d.number) }
+func (d *door) record(code uint8) *simwire.Reply { return d.host.reply.Record(code).U32(d.number) }
 
 func (d *door) Shoot(t policy.TransactionID, b policy.BackendID, expire, _ int64) { // the bench sends at once
 	d.record(actHandOff).U64(uint64(t)).U32(uint32(b)).F64(msec(expire))
@@ -81,7 +81,7 @@
 
 // batch answers one frame. A broken decision is reported on the wire; an error means that the frame is
 // malformed.
-func (h *host) batch(f *wire.Frame) error {
+func (h *host) batch(f *simwire.Frame) error {
 	now := ns(f.Clock)
 	for n := 0; n < f.Records; n++ {
 		at := f.At()
@@ -101,7 +101,7 @@
 }
 
 // guarded runs a decision; if it breaks, that is reported in the place of its instance's further actions.
-func (h *host) guarded(number uint32, f *wire.Frame, decide func()) {
+func (h *host) guarded(number uint32, f *simwire.Frame, decide func()) {
 	if f.Err() != nil {
 		return
 	}
@@ -119,7 +119,7 @@
 }
 
 // event reads one record and passes its fields on.
-func (h *host) event(now int64, code uint8, f *wire.Frame) (name string, err error) {
+func (h *host) event(now int64, code uint8, f *simwire.Frame) (name string, err error) {
 	i := f.U32()
 	d := h.doors[i]
 	switch code {
@@ -238,11 +238,11 @@
 	}
 	d := &door{number: number, host: h, open: map[uint64]*policy.Transaction{}}
 	h.doors[number] = d
-	h.guarded(number, &wire.Frame{}, func() { d.gate = policy.New(now, seed, terms, d) })
+	h.guarded(number, &simwire.Frame{}, func() { d.gate = policy.New(now, seed, terms, d) })
 }
 
 // listed reads the lines of a list of backends.
-func (h *host) listed(f *wire.Frame, d *door) []policy.Listed {
+func (h *host) listed(f *simwire.Frame, d *door) []policy.Listed {
 	const lineBytes = 22
 	list := make([]policy.Listed, f.Count(int(f.U32()), lineBytes))
 	stages := map[uint8]policy.Stage{0: policy.Draining, 1: policy.Ready, 3: policy.Gone}
@@ -280,6 +280,6 @@
 }
 
 // skipReport passes over a load report: the decisions go by what the backends answer.
-func skipReport(f *wire.Frame) {
+func skipReport(f *simwire.Frame) {
 	f.Bytes(4 * int(f.U8()))
 }
--- a/cmd/drill/main.go
+++ b/cmd/drill/main.go
@@ -8,7 +8,7 @@
 	"io"
 	"os"
 
-	"fawnplank/internal/wire"
+	"fawnplank/internal/simwire"
 )
 
 func main() {
@@ -22,9 +22,9 @@
 func run(in io.Reader, out io.Writer) error {
 	r, w := bufio.NewReaderSize(in, 1<<20), bufio.NewWriterSize(out, 1<<20)
 	h := &host{doors: map[uint32]*door{}}
-	var f wire.Frame
+	var f simwire.Frame
 	for n := 0; ; n++ {
-		err := wire.ReadFrame(r, &f)
+		err := simwire.ReadFrame(r, &f)
 		if err == io.EOF {
 			return nil
 		}
--- a/cmd/drill/main_test.go
+++ b/cmd/drill/main_test.go
@@ -6,7 +6,7 @@
 	"strings"
 	"testing"
 
-	"fawnplank/internal/wire"
+	"fawnplank/internal/simwire"
 )
 
 const settings = `{"me": 0, "replicas-of-me": 2, "new-key": 1,
@@ -16,7 +16,7 @@
 	"tariffs": [{"quota-rate": 0, "peak-units": 0}]}`
 
 // frame packs events as the wire frames them: a batch has a clock where a reply has none.
-func frame(count uint32, r *wire.Reply) []byte {
+func frame(count uint32, r *simwire.Reply) []byte {
 	var b bytes.Buffer
 	r.WriteTo(&b)
 	head := binary.LittleEndian.AppendUint32(nil, uint32(b.Len()-8))
@@ -25,8 +25,8 @@
 	return append(head, b.Bytes()[8:]...)
 }
 
-func create(text string) *wire.Reply {
-	r := &wire.Reply{}
+func create(text string) *simwire.Reply {
+	r := &simwire.Reply{}
 	r.Record(0).U32(3).U64(9).U32(uint32(len(text)))
 	for _, c := range []byte(text) {
 		r.U8(c)
@@ -38,12 +38,12 @@
 	list := create(settings)
 	list.Record(1).U32(3).U8(2).U64(1).U32(1 << 30)
 	for want, in := range map[string][]byte{
-		"":                                       frame(0, &wire.Reply{}),
+		"":                                       frame(0, &simwire.Reply{}),
 		"batch 0: frame header: 3 of 16":         {1, 2, 3},
 		"frame body: 3 of":                       frame(1, create(settings))[:19],
-		"record 0 (code 99 ) at byte 0: unknown": frame(1, (&wire.Reply{}).Record(99).U32(3)),
+		"record 0 (code 99 ) at byte 0: unknown": frame(1, (&simwire.Reply{}).Record(99).U32(3)),
 		"code 1 View":                            frame(2, list),
-		"impossible count of 7 records":          frame(7, (&wire.Reply{}).Record(9)),
+		"impossible count of 7 records":          frame(7, (&simwire.Reply{}).Record(9)),
 		"1 bytes after the last":                 frame(1, create(settings).U8(0)),
 	} {
 		var out bytes.Buffer
@@ -80,12 +80,12 @@
 	if err := run(bytes.NewReader(frame(5, in)), &out); err != nil {
 		t.Fatal(err)
 	}
-	(&wire.Reply{}).Record(actHandOff).U32(3).U64(123).U32(77).WriteTo(&want)
+	(&simwire.Reply{}).Record(actHandOff).U32(3).U64(123).U32(77).WriteTo(&want)
 	if !bytes.Contains(out.Bytes(), want.Bytes()[8:]) {
 		t.Error("no shot for the transaction")
 	}
 	want.Reset()
-	(&wire.Reply{}).Record(actError).U32(3).U64(124).WriteTo(&want)
+	(&simwire.Reply{}).Record(actError).U32(3).U64(124).WriteTo(&want)
 	if !bytes.Contains(out.Bytes(), want.Bytes()[8:]) {
 		t.Error("a transaction of an unknown profile was not broken off")
 	}
--- a/cmd/drill/recording_test.go
+++ b/cmd/drill/recording_test.go
@@ -11,9 +11,9 @@
 	"os"
 	"testing"
 
-	"fawnplank/internal/due"
 	"fawnplank/internal/pcg"
-	"fawnplank/internal/wire"
+	"fawnplank/internal/simwire"
+	"fawnplank/internal/timerqueue"
 )
 
 // This file made the recorded stream that TestGoldenStream plays: a small simulator at the other end of the wire.
@@ -64,8 +64,8 @@
 	t        *testing.T
 	chance   *pcg.Source
 	now      float64 // ms
-	events   due.Queue[func()]
-	batch    *wire.Reply
+	events   timerqueue.Queue[func()]
+	batch    *simwire.Reply
 	records  uint32
 	stream   bytes.Buffer
 	frames   int
@@ -105,12 +105,12 @@
 			t.Error(err)
 		}
 	})
-	return &recorder{t: t, chance: pcg.New(77), now: 58225, batch: &wire.Reply{}, in: inWrite, out: outRead,
+	return &recorder{t: t, chance: pcg.New(77), now: 58225, batch: &simwire.Reply{}, in: inWrite, out: outRead,
 		attempts: map[uint64][]*recordedAttempt{}, over: map[uint64]bool{}, limits: map[uint64]float64{},
 		totals: map[uint64]float64{}, nextID: 1 << 40}
 }
 
-func (r *recorder) record(code uint8, instance uint32) *wire.Reply {
+func (r *recorder) record(code uint8, instance uint32) *simwire.Reply {
 	r.records++
 	return r.batch.Record(code).U32(instance)
 }
--- a/cmd/fawnplank-lab/main.go
+++ b/cmd/fawnplank-lab/main.go
@@ -18,14 +18,14 @@
 	"golang.org/x/sync/errgroup"
 
 	"fawnplank/internal/lab/accounts"
-	"fawnplank/internal/lab/emu"
+	"fawnplank/internal/lab/dnsbench"
+	"fawnplank/internal/lab/emulator"
 	"fawnplank/internal/lab/load"
 	"fawnplank/internal/lab/model"
-	"fawnplank/internal/lab/names"
 	"fawnplank/internal/lab/plots"
-	"fawnplank/internal/lab/record"
-	"fawnplank/internal/lab/rig"
+	"fawnplank/internal/lab/results"
 	"fawnplank/internal/lab/scenario"
+	"fawnplank/internal/lab/testbed"
 )
 
 func main() {
@@ -83,11 +83,11 @@
 }
 
 // play plays a scenario where it says.
-func play(ctx context.Context, s *scenario.Scenario, o rig.Options) (*record.Run, error) {
+func play(ctx context.Context, s *scenario.Scenario, o testbed.Options) (*results.Run, error) {
 	if s.On == scenario.OnModel {
 		return model.Run(s)
 	}
-	return rig.Run(ctx, s, o)
+	return testbed.Run(ctx, s, o)
 }
 
 func runCommand() *cobra.Command {
@@ -103,7 +103,7 @@
 				return err
 			}
 			start := time.Now()
-			run, err := play(c.Context(), s, rig.Options{Door: []string{door}, Logs: logs})
+			run, err := play(c.Context(), s, testbed.Options{Door: []string{door}, Logs: logs})
 			if run == nil {
 				return err
 			}
@@ -177,12 +177,12 @@
 			if err != nil {
 				return err
 			}
-			log := record.NewLog(record.New(s, terms, 50e6))
+			log := results.NewLog(results.New(s, terms, 50e6))
 			log.Begin()
 			tool := load.New(s, log, to)
 			tool.Run(c.Context().Done())
 			run := log.Finish()
-			run.On = record.OnClients
+			run.On = results.OnClients
 			run.LagP50, run.LagP99 = tool.Lag()
 			if out != "" {
 				if err := run.Write(out); err != nil {
@@ -208,9 +208,9 @@
 	c := &cobra.Command{Use: "report RUN...", Short: "Tabulate and draw recorded runs, up to four side by side",
 		Args: cobra.RangeArgs(1, 4), Example: "  fawnplank lab report before.json after.json -o change.png",
 		RunE: func(c *cobra.Command, args []string) error {
-			var runs []*record.Run
+			var runs []*results.Run
 			for _, path := range args {
-				r, err := record.Read(path)
+				r, err := results.Read(path)
 				if err != nil {
 					return err
 				}
@@ -241,7 +241,7 @@
 					return fmt.Errorf("--sizes: %d is not from 1 to 50000", n)
 				}
 			}
-			all, err := names.Measure(c.Context(), sizes, updates, span)
+			all, err := dnsbench.Measure(c.Context(), sizes, updates, span)
 			if err != nil {
 				return err
 			}
@@ -293,7 +293,7 @@
 				return fmt.Errorf("%q is not of the form key=value,value", args[1])
 			}
 			values := strings.Split(list, ",")
-			runs := make([]*record.Run, len(values))
+			runs := make([]*results.Run, len(values))
 			var all errgroup.Group
 			all.SetLimit(side)
 			for n, value := range values {
@@ -357,15 +357,15 @@
 			if err := os.MkdirAll(folder, 0o755); err != nil {
 				return err
 			}
-			log := record.NewLog(record.New(s, terms, 50e6))
-			outside, err := emu.Start(s, log)
+			log := results.NewLog(results.New(s, terms, 50e6))
+			outside, err := emulator.Start(s, log)
 			if err != nil {
 				return err
 			}
 			defer outside.Close()
 			var to []string
 			for n := range s.Doors.Count {
-				at, err := rig.FreeAddress()
+				at, err := testbed.FreeAddress()
 				if err != nil {
 					return err
 				}
--- a/cmd/fawnplank/billing.go
+++ b/cmd/fawnplank/billing.go
@@ -18,18 +18,18 @@
 	"github.com/spf13/cobra"
 	"github.com/tidwall/redcon"
 
-	"fawnplank/internal/billd"
 	"fawnplank/internal/billing"
-	"fawnplank/internal/certs"
+	"fawnplank/internal/billingservice"
 	"fawnplank/internal/config"
 	"fawnplank/internal/metrics"
 	"fawnplank/internal/store/kv"
+	"fawnplank/internal/tlsconfig"
 )
 
 // accounts are gestorías' accounts in the store, where the operator file switches them on; without a desk they are off.
 type accounts struct {
 	mu    sync.Mutex
-	desk  *billd.Desk
+	desk  *billingservice.Desk
 	terms atomic.Pointer[billing.Terms]
 	news  chan struct{}
 	on    bool
@@ -50,13 +50,13 @@
 	a.mu.Lock()
 	a.on = true
 	a.mu.Unlock()
-	o := billd.Options{Replica: k.Store, Door: start.Name, Terms: func() billing.Terms { return *a.terms.Load() }, Every: time.Duration(set.Billing.Every)}
+	o := billingservice.Options{Replica: k.Store, Door: start.Name, Terms: func() billing.Terms { return *a.terms.Load() }, Every: time.Duration(set.Billing.Every)}
 	if set.Billing.Folder != "" {
-		o.Sink = billd.Folder(set.Billing.Folder)
+		o.Sink = billingservice.Folder(set.Billing.Folder)
 	} else if set.Billing.URL != "" {
-		o.Sink = billd.NewReceiver(set.Billing.URL)
+		o.Sink = billingservice.NewReceiver(set.Billing.URL)
 	}
-	d := billd.Start(o)
+	d := billingservice.Start(o)
 	a.mu.Lock()
 	a.desk = d
 	a.mu.Unlock()
@@ -69,15 +69,15 @@
 			d.Changed(keys)
 		}
 	}()
-	count := func(n func(*billd.Counts) *atomic.Uint64) func() float64 {
+	count := func(n func(*billingservice.Counts) *atomic.Uint64) func() float64 {
 		return func() float64 { c, _ := d.Figures(); return float64(n(c).Load()) }
 	}
 	figures.Watch(map[string]metrics.Watched{
-		"billing_steps":    {Help: "plan changes and steps of reservations that landed", Value: count(func(c *billd.Counts) *atomic.Uint64 { return &c.Steps })},
-		"billing_refused":  {Help: "those refused", Value: count(func(c *billd.Counts) *atomic.Uint64 { return &c.Refused })},
-		"billing_reports":  {Help: "reports of this door's use that landed", Value: count(func(c *billd.Counts) *atomic.Uint64 { return &c.Reports })},
-		"billing_exported": {Help: "records that this door had acknowledged", Value: count(func(c *billd.Counts) *atomic.Uint64 { return &c.Exported })},
-		"billing_failures": {Help: "tries that store or receiver did not take", Value: count(func(c *billd.Counts) *atomic.Uint64 { return &c.Failures })},
+		"billing_steps":    {Help: "plan changes and steps of reservations that landed", Value: count(func(c *billingservice.Counts) *atomic.Uint64 { return &c.Steps })},
+		"billing_refused":  {Help: "those refused", Value: count(func(c *billingservice.Counts) *atomic.Uint64 { return &c.Refused })},
+		"billing_reports":  {Help: "reports of this door's use that landed", Value: count(func(c *billingservice.Counts) *atomic.Uint64 { return &c.Reports })},
+		"billing_exported": {Help: "records that this door had acknowledged", Value: count(func(c *billingservice.Counts) *atomic.Uint64 { return &c.Exported })},
+		"billing_failures": {Help: "tries that store or receiver did not take", Value: count(func(c *billingservice.Counts) *atomic.Uint64 { return &c.Failures })},
 		"billing_waiting":  {Help: "records not exported yet", Value: func() float64 { _, n := d.Figures(); return float64(n) }},
 		"billing_halted": {Help: "1 while nothing is exported for a fault", Value: func() float64 {
 			if d.Halted() != "" {
@@ -102,7 +102,7 @@
 func (a *accounts) changed(keys []string) {
 	a.mu.Lock()
 	for _, k := range keys {
-		if a.on && strings.HasPrefix(k, billd.Keys) {
+		if a.on && strings.HasPrefix(k, billingservice.Keys) {
 			a.keys = append(a.keys, k)
 		}
 	}
@@ -150,7 +150,7 @@
 			if err != nil {
 				return fmt.Errorf("--drop-before: %w", err)
 			}
-			records, windows, err := billd.Resume(far{api}, after, moment)
+			records, windows, err := billingservice.Resume(far{api}, after, moment)
 			if err == nil {
 				fmt.Fprintf(c.OutOrStdout(), "%d records and %d windows dropped; the next sequence follows %d\n", records, windows, after)
 			}
@@ -164,14 +164,14 @@
 }
 
 // say gives one command to a limits' address, and writes its answer.
-func say(out io.Writer, at, name, file string, files certs.Files, words []string) error {
+func say(out io.Writer, at, name, file string, files tlsconfig.Files, words []string) error {
 	conn, err := net.DialTimeout("tcp", at, 5*time.Second)
 	if err != nil {
 		return err
 	}
 	defer conn.Close()
 	if files.On() {
-		source, err := certs.New(files)
+		source, err := tlsconfig.New(files)
 		if err != nil {
 			return err
 		}
--- a/cmd/fawnplank/commands.go
+++ b/cmd/fawnplank/commands.go
@@ -13,7 +13,7 @@
 	"github.com/spf13/cobra"
 
 	"fawnplank/internal/config"
-	"fawnplank/internal/logs"
+	"fawnplank/internal/logging"
 )
 
 // root is the command line. Each sub-command only reads its words; the work is in main.go and the packages.
@@ -22,7 +22,7 @@
 	c := &cobra.Command{Use: "fawnplank COMMAND", Short: "A quota-keeping gateway for a shared API",
 		SilenceUsage: true, SilenceErrors: true, Args: cobra.ArbitraryArgs,
 		PersistentPreRunE: func(*cobra.Command, []string) error {
-			if err := logs.Setup(os.Stderr, cmp.Or(level, "info"), cmp.Or(format, "text"), ""); err != nil {
+			if err := logging.Setup(os.Stderr, cmp.Or(level, "info"), cmp.Or(format, "text"), ""); err != nil {
 				return fmt.Errorf("--log-level, --log-format: %w", err)
 			}
 			return nil
--- a/cmd/fawnplank/dns.go
+++ b/cmd/fawnplank/dns.go
@@ -15,10 +15,10 @@
 
 	"fawnplank/internal/config"
 	"fawnplank/internal/discovery"
-	"fawnplank/internal/dnsd"
+	"fawnplank/internal/dnsserver"
+	"fawnplank/internal/dnszone"
 	"fawnplank/internal/metrics"
 	"fawnplank/internal/store/kv"
-	"fawnplank/internal/zone"
 	"fawnplank/policy"
 )
 
@@ -27,14 +27,14 @@
 	list   *discovery.Client
 	set    *config.Operator
 	mu     sync.Mutex
-	server *dnsd.Server
+	server *dnsserver.Server
 	news   chan struct{}
 	ended  sync.Once
 }
 
 func (n *names) on() bool { return n.set.DNS.Zone != "" }
 
-func (n *names) now() *dnsd.Server {
+func (n *names) now() *dnsserver.Server {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.server
@@ -48,9 +48,9 @@
 	o := options(n.set.DNS)
 	o.Tell = n.tell
 	if k != nil {
-		o.Shared = &dnsd.Shared{Replica: k.Store}
+		o.Shared = &dnsserver.Shared{Replica: k.Store}
 	}
-	s, err := dnsd.Start(o)
+	s, err := dnsserver.Start(o)
 	if err != nil {
 		return err
 	}
@@ -101,7 +101,7 @@
 func (n *names) close() { n.ended.Do(func() { n.now().Close() }) }
 
 // tell brings the zone's list into the form of discovery's.
-func (n *names) tell(come []zone.Backend, gone []string, whole bool) {
+func (n *names) tell(come []dnszone.Backend, gone []string, whole bool) {
 	var all []discovery.Entry
 	for _, b := range come {
 		e := discovery.Entry{Name: b.Name, Address: b.Addresses[0].String(), Zone: b.Zone, Group: b.Group, Status: "up", Weight: b.Size,
@@ -124,8 +124,8 @@
 	n.list.Tell(how, all)
 }
 
-func options(d config.DNS) dnsd.Options {
-	o := dnsd.Options{Settings: d.Settings(), File: d.Zone, Journal: d.Journal, Listen: d.Listen, Rate: d.Rate, Notify: d.Notify}
+func options(d config.DNS) dnsserver.Options {
+	o := dnsserver.Options{Settings: d.Settings(), File: d.Zone, Journal: d.Journal, Listen: d.Listen, Rate: d.Rate, Notify: d.Notify}
 	for _, k := range d.Keys {
 		o.Keys = append(o.Keys, k.Key)
 	}
@@ -137,7 +137,7 @@
 	if o.DNS.Zone == "" {
 		return nil
 	}
-	_, _, err := dnsd.ReadFile(o.DNS.Zone, o.DNS.Settings())
+	_, _, err := dnsserver.ReadFile(o.DNS.Zone, o.DNS.Settings())
 	return err
 }
 
@@ -159,9 +159,9 @@
 			}
 			of := options(o.DNS)
 			if api != "" {
-				of.Shared = &dnsd.Shared{Replica: far{api}}
+				of.Shared = &dnsserver.Shared{Replica: far{api}}
 			}
-			z, source, err := dnsd.InForce(of)
+			z, source, err := dnsserver.InForce(of)
 			if err != nil {
 				return err
 			}
@@ -175,7 +175,7 @@
     --delete '_calc._tcp.calc.example. SRV 0 100 7000 n1.calc.example.'
   fawnplank dns update ... --delete-name n1.calc.example. --add 'n1.calc.example. A 127.0.0.11'`,
 		RunE: func(c *cobra.Command, _ []string) error {
-			k, err := dnsd.ReadKey(name, algorithm, file)
+			k, err := dnsserver.ReadKey(name, algorithm, file)
 			if err != nil {
 				return err
 			}
@@ -196,7 +196,7 @@
 					part.do([]dns.RR{rr})
 				}
 			}
-			return dnsd.Send(m, at, k, 5*time.Second)
+			return dnsserver.Send(m, at, k, 5*time.Second)
 		}}
 	update.Flags().StringVar(&at, "at", "127.0.0.1:5353", "address of the front door's name server")
 	update.Flags().String("zone", "", "the zone's name")
@@ -230,7 +230,7 @@
 }
 
 // show writes the list, an entry a line.
-func show(out io.Writer, z *zone.Zone, source string) error {
+func show(out io.Writer, z *dnszone.Zone, source string) error {
 	fmt.Fprintf(out, "zone %s, serial %d, from %s; %d backends in the list\n", z.Origin, z.Serial(), source, len(z.Backends()))
 	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(w, "NAME\tADDRESSES\tSTATUS\tSIZE\tZONE\tGROUP\tSINCE\tFROM")
--- a/cmd/fawnplank/dns_test.go
+++ b/cmd/fawnplank/dns_test.go
@@ -18,8 +18,8 @@
 	"github.com/miekg/dns"
 
 	"fawnplank/internal/config"
-	"fawnplank/internal/dnsd"
-	"fawnplank/internal/zone"
+	"fawnplank/internal/dnsserver"
+	"fawnplank/internal/dnszone"
 )
 
 const zoneText = `$ORIGIN calc.example.
@@ -34,7 +34,7 @@
 // names is a door's operator file with a zone, and what it names.
 type nameFiles struct {
 	at, operator, config string
-	key                  dnsd.Key
+	key                  dnsserver.Key
 }
 
 func newNames(t *testing.T, journal bool) nameFiles {
@@ -54,7 +54,7 @@
 		}
 	}
 	var err error
-	if n.key, err = dnsd.ReadKey("deploy", "hmac-sha256", own("key")); err != nil {
+	if n.key, err = dnsserver.ReadKey("deploy", "hmac-sha256", own("key")); err != nil {
 		t.Fatal(err)
 	}
 	return n
@@ -73,16 +73,16 @@
 			m.Insert([]dns.RR{rr})
 		}
 	}
-	return dnsd.Send(m, n.at, n.key, 2*time.Second)
+	return dnsserver.Send(m, n.at, n.key, 2*time.Second)
 }
 
 // inForce is the zone as the journal has it.
-func (n nameFiles) inForce() (*zone.Zone, error) {
+func (n nameFiles) inForce() (*dnszone.Zone, error) {
 	o, err := config.ReadOperator(n.operator)
 	if err != nil {
 		return nil, err
 	}
-	z, _, err := dnsd.InForce(options(o.DNS))
+	z, _, err := dnsserver.InForce(options(o.DNS))
 	return z, err
 }
 
@@ -201,7 +201,7 @@
 	}
 	close(stop)
 	wg.Wait()
-	var zones [2]*zone.Zone
+	var zones [2]*dnszone.Zone
 	until(t, "the same list at both doors", func() bool {
 		for n, f := range files {
 			o, err := config.ReadOperator(f.operator)
@@ -209,8 +209,8 @@
 				t.Fatal(err)
 			}
 			of := options(o.DNS)
-			of.Shared = &dnsd.Shared{Replica: far{all[n].api}}
-			if zones[n], _, err = dnsd.InForce(of); err != nil || zones[n] == nil {
+			of.Shared = &dnsserver.Shared{Replica: far{all[n].api}}
+			if zones[n], _, err = dnsserver.InForce(of); err != nil || zones[n] == nil {
 				return false
 			}
 			a, _, err := new(dns.Client).Exchange(new(dns.Msg).SetQuestion("calc.example.", dns.TypeSOA), f.at)
--- a/cmd/fawnplank/limits.go
+++ b/cmd/fawnplank/limits.go
@@ -5,21 +5,21 @@
 	"net"
 	"time"
 
-	"fawnplank/internal/billd"
-	"fawnplank/internal/certs"
+	"fawnplank/internal/authz"
+	"fawnplank/internal/billingservice"
 	"fawnplank/internal/config"
-	"fawnplank/internal/facade"
-	"fawnplank/internal/limitd"
-	"fawnplank/internal/logs"
+	"fawnplank/internal/dispatch"
+	"fawnplank/internal/limitserver"
+	"fawnplank/internal/logging"
 	"fawnplank/internal/metrics"
-	"fawnplank/internal/rights"
+	"fawnplank/internal/tlsconfig"
 )
 
 // limits is the server of limit commands; a nil one is off.
-type limits struct{ *limitd.Server }
+type limits struct{ *limitserver.Server }
 
 // serveLimits starts it, where the operator file names an address.
-func serveLimits(f *facade.Facade, figures *metrics.Figures, start *config.Start, set *config.Operator, accounts *billd.Desk) (*limits, error) {
+func serveLimits(f *dispatch.Facade, figures *metrics.Figures, start *config.Start, set *config.Operator, accounts *billingservice.Desk) (*limits, error) {
 	if set.Limits.Listen == "" {
 		return nil, nil
 	}
@@ -28,7 +28,7 @@
 		return nil, err
 	}
 	if files := set.Limits.TLS(); files.On() {
-		source, err := certs.New(files)
+		source, err := tlsconfig.New(files)
 		if err != nil {
 			return nil, err
 		}
@@ -36,8 +36,8 @@
 		figures.Watch(map[string]metrics.Watched{"limits_certificate_seconds": {Help: "until the limits' certificate runs out",
 			Value: func() float64 { return source.Left().Seconds() }}})
 	}
-	s := limitd.New(f, limitNames(start, set), set.Limits.Connections)
-	s.Keys = map[string]rights.Key{}
+	s := limitserver.New(f, limitNames(start, set), set.Limits.Connections)
+	s.Keys = map[string]authz.Key{}
 	for _, k := range set.Limits.Keys {
 		s.Keys[k.Name] = k.Key
 	}
@@ -56,21 +56,21 @@
 		"limit_faults":         {Help: "limit commands answered with an error", Value: counts(2)}})
 	go func() {
 		if err := s.Serve(l); err != nil {
-			logs.For("limits").WithError(err).Error("stopped")
+			logging.For("limits").WithError(err).Error("stopped")
 		}
 	}()
-	logs.For("limits").WithField(logs.Address, l.Addr().String()).Info("listens")
+	logging.For("limits").WithField(logging.Address, l.Addr().String()).Info("listens")
 	return &limits{s}, nil
 }
 
-func limitNames(start *config.Start, set *config.Operator) limitd.Names {
+func limitNames(start *config.Start, set *config.Operator) limitserver.Names {
 	id, _ := start.LimitProfile()
-	return limitd.Names{Profile: id, Within: time.Duration(set.Limits.Within), Plans: start.Plans, Doors: start.Terms.Doors,
+	return limitserver.Names{Profile: id, Within: time.Duration(set.Limits.Within), Plans: start.Plans, Doors: start.Terms.Doors,
 		MostUnits: start.MostUnits}
 }
 
 // Retune takes the plans of a configuration read anew.
-func (l *limits) Retune(names limitd.Names) {
+func (l *limits) Retune(names limitserver.Names) {
 	if l != nil {
 		l.Server.Retune(names)
 	}
--- a/cmd/fawnplank/main.go
+++ b/cmd/fawnplank/main.go
@@ -26,12 +26,12 @@
 	"fawnplank/internal/config"
 	"fawnplank/internal/counter"
 	"fawnplank/internal/discovery"
-	"fawnplank/internal/facade"
-	"fawnplank/internal/front"
-	"fawnplank/internal/learned"
-	"fawnplank/internal/logs"
+	"fawnplank/internal/dispatch"
+	"fawnplank/internal/frontend"
+	"fawnplank/internal/logging"
+	"fawnplank/internal/membudget"
 	"fawnplank/internal/metrics"
-	"fawnplank/internal/room"
+	"fawnplank/internal/warmstart"
 	"fawnplank/policy"
 )
 
@@ -90,7 +90,7 @@
 	if err != nil {
 		return err
 	}
-	if err := logs.Setup(os.Stderr, cmp.Or(level, set.Log.Level), cmp.Or(format, set.Log.Format), start.Name); err != nil {
+	if err := logging.Setup(os.Stderr, cmp.Or(level, set.Log.Level), cmp.Or(format, set.Log.Format), start.Name); err != nil {
 		return err
 	}
 	// All runs on one core: more threads would only take turns. The collector keeps below the memory limit,
@@ -109,7 +109,7 @@
 	}
 	part := (start.Sockets - own - calls) / 2
 
-	f, figures := facade.New(), metrics.New(classes(start))
+	f, figures := dispatch.New(), metrics.New(classes(start))
 	pool := backend.New(part, time.Duration(start.ConnectTimeout), time.Duration(start.IdleConnection), f.Probed)
 	count := counter.New(f, start.Counter, time.Duration(start.ConnectTimeout))
 	if set.Counter.Protocol == "resp" {
@@ -122,7 +122,7 @@
 	// not read on meanwhile. Two rooms, not one: a large command holds its room until its answer is written,
 	// and that answer must not wait for the same room. With the collector's three quarters that leaves a third
 	// for the rest.
-	pool.Room = room.New(start.MemoryBytes / 6)
+	pool.Room = membudget.New(start.MemoryBytes / 6)
 	names := &names{list: list, set: set}
 	if names.on() {
 		list.From(names.whole)
@@ -143,8 +143,8 @@
 	if err != nil {
 		return fmt.Errorf("configuration: listen: %w", err)
 	}
-	server := front.New(f, pool, start, part)
-	server.Figures, server.Room = figures, room.New(start.MemoryBytes/6)
+	server := frontend.New(f, pool, start, part)
+	server.Figures, server.Room = figures, membudget.New(start.MemoryBytes/6)
 	billed := newAccounts()
 	kept, edited, err := openStore(replica, path, operator, names.changed, billed.changed)
 	if err != nil {
@@ -176,14 +176,14 @@
 		}
 		go func() {
 			if err := m.Serve(); err != nil {
-				logs.For("admin").WithError(err).Error("stopped")
+				logging.For("admin").WithError(err).Error("stopped")
 			}
 		}()
-		logs.For("admin").WithField(logs.Address, m.Address()).Info("listens")
+		logging.For("admin").WithField(logging.Address, m.Address()).Info("listens")
 	}
 	d.ready.Store(true)
-	logs.For("front").WithFields(logrus.Fields{"number": start.Terms.Me, "doors": start.Terms.Doors,
-		logs.Address: start.Listen}).Info("listens")
+	logging.For("front").WithFields(logrus.Fields{"number": start.Terms.Me, "doors": start.Terms.Doors,
+		logging.Address: start.Listen}).Info("listens")
 	for stopping := false; ; {
 		select {
 		case err := <-served:
@@ -246,7 +246,7 @@
 
 // door is what the management address acts on.
 type door struct {
-	server  *front.Server
+	server  *frontend.Server
 	figures *metrics.Figures
 	ready   atomic.Bool // listening, and not stopping
 }
@@ -256,7 +256,7 @@
 func (d *door) Resume()     { d.server.Resume() }
 func (d *door) Stats(w io.Writer) {
 	if err := d.figures.Write(w); err != nil {
-		logs.For("admin").WithError(err).Warn("figures")
+		logging.For("admin").WithError(err).Warn("figures")
 	}
 }
 
@@ -266,11 +266,11 @@
 func reload(path, operator string, over config.Overlay, start *config.Start, set *config.Operator, count *counter.Client, list *discovery.Client) *config.Start {
 	fresh, now, err := read(path, operator, over)
 	if err != nil {
-		logs.For("config").WithError(err).Error("not reloaded, the old configuration stays")
+		logging.For("config").WithError(err).Error("not reloaded, the old configuration stays")
 		return nil
 	}
 	if !reflect.DeepEqual(now, set) {
-		logs.For("config").Warn("changes of the operator file take effect at a restart")
+		logging.For("config").Warn("changes of the operator file take effect at a restart")
 		if _, on := start.LimitProfile(); on && now.Limits.Listen == "" {
 			fresh.AddLimits(set)
 		}
@@ -278,13 +278,13 @@
 	fresh.Follow(start)
 	count.Move(fresh.Counter)
 	list.Move(fresh.Discovery, fresh.Terms)
-	logs.For("config").WithFields(logrus.Fields{"discovery": fresh.Discovery, "counter": fresh.Counter,
+	logging.For("config").WithFields(logrus.Fields{"discovery": fresh.Discovery, "counter": fresh.Counter,
 		"classes": len(fresh.Profiles)}).Info("reloaded")
 	kept := *start // what takes effect at a restart only
 	kept.Discovery, kept.Counter, kept.Known, kept.Terms = fresh.Discovery, fresh.Counter, fresh.Known, fresh.Terms
 	kept.Profiles, kept.Plans, kept.Zones, kept.MostUnits = fresh.Profiles, fresh.Plans, fresh.Zones, fresh.MostUnits
 	if !reflect.DeepEqual(&kept, fresh) {
-		logs.For("config").Warn("changes of listen, mgmt, limits or seed take effect at a restart")
+		logging.For("config").Warn("changes of listen, mgmt, limits or seed take effect at a restart")
 	}
 	return &kept
 }
@@ -301,8 +301,8 @@
 
 // stop goes on serving while new connections may still come, up to 0.4 s after the signal; then it ends
 // connections between transactions, and returns once all that was taken is answered, or its time is up.
-func stop(server *front.Server, listener net.Listener, terms policy.Terms) {
-	logs.For("front").Info("stopping")
+func stop(server *frontend.Server, listener net.Listener, terms policy.Terms) {
+	logging.For("front").Info("stopping")
 	time.Sleep(450 * time.Millisecond)
 	// What is waiting to be accepted has been taken in by this machine: it is accepted first.
 	listener.(*net.TCPListener).SetDeadline(time.Now().Add(20 * time.Millisecond))
@@ -318,11 +318,11 @@
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	logs.For("front").Info("stopped")
+	logging.For("front").Info("stopped")
 }
 
 // outages are the figures on the counter: what it answered, and how far the door may be from one count.
-func outages(f *facade.Facade, count *counter.Client) map[string]metrics.Watched {
+func outages(f *dispatch.Facade, count *counter.Client) map[string]metrics.Watched {
 	of := func(value func(policy.Outages) float64) func() float64 {
 		return func() float64 { return value(f.Outages()) }
 	}
@@ -346,22 +346,22 @@
 
 // keepLearned takes over what an earlier life of the door learned, where the operator file names a file for it, and
 // writes it there from time to time. The function that it gives writes it a last time.
-func keepLearned(f *facade.Facade, set *config.Operator) func() {
+func keepLearned(f *dispatch.Facade, set *config.Operator) func() {
 	path := set.Learned.File
 	if path == "" {
 		return func() {}
 	}
-	if l, age, err := learned.Load(path, time.Now()); err == nil {
+	if l, age, err := warmstart.Load(path, time.Now()); err == nil {
 		f.Relearn(l, age)
-		logs.For("learned").WithFields(logrus.Fields{"age": age.String(), "backends": len(l.Backends)}).Info("taken over")
+		logging.For("learned").WithFields(logrus.Fields{"age": age.String(), "backends": len(l.Backends)}).Info("taken over")
 	} else if !errors.Is(err, os.ErrNotExist) {
-		logs.For("learned").WithError(err).Warn("refused; the door starts afresh")
+		logging.For("learned").WithError(err).Warn("refused; the door starts afresh")
 	}
 	failing := false
 	save := func() {
-		err := learned.Save(path, f.Learned(), time.Now())
+		err := warmstart.Save(path, f.Learned(), time.Now())
 		if err != nil && !failing { // once an outage
-			logs.For("learned").WithError(err).Error("not written")
+			logging.For("learned").WithError(err).Error("not written")
 		}
 		failing = err != nil
 	}
--- a/cmd/fawnplank/store.go
+++ b/cmd/fawnplank/store.go
@@ -16,17 +16,17 @@
 
 	"github.com/spf13/cobra"
 
-	"fawnplank/internal/certs"
 	"fawnplank/internal/config"
-	"fawnplank/internal/dnsd"
-	"fawnplank/internal/logs"
+	"fawnplank/internal/dnsserver"
+	"fawnplank/internal/logging"
 	"fawnplank/internal/metrics"
 	"fawnplank/internal/store"
+	"fawnplank/internal/tlsconfig"
 )
 
 // tlsFiles are the flags' certificate, key and authority: of a replica on both its addresses and towards the others, and
 // of commands towards replicas and limits' addresses.
-var tlsFiles certs.Files
+var tlsFiles tlsconfig.Files
 
 // storeFlags say where a replica of the store is, and which others there are.
 type storeFlags struct {
@@ -43,7 +43,7 @@
 func (f *storeFlags) options() (o store.Options, err error) {
 	o.Dir = f.dir
 	if tlsFiles.On() {
-		if o.TLS, err = certs.New(tlsFiles); err != nil {
+		if o.TLS, err = tlsconfig.New(tlsFiles); err != nil {
 			return o, err
 		}
 		if tlsFiles.Authority == "" {
@@ -71,7 +71,7 @@
 // kept is the front door's replica; a nil one is off.
 type kept struct {
 	*store.Store
-	tls *certs.Source // nil: none
+	tls *tlsconfig.Source // nil: none
 }
 
 // watch shows until when the replica's certificate holds.
@@ -99,7 +99,7 @@
 	fullDisks()
 	edited := make(chan struct{}, 1)
 	o.Changed = func(keys []string) {
-		if slices.ContainsFunc(keys, func(k string) bool { return strings.HasPrefix(k, dnsd.Keys) }) {
+		if slices.ContainsFunc(keys, func(k string) bool { return strings.HasPrefix(k, dnsserver.Keys) }) {
 			zone()
 		}
 		accounts(keys)
@@ -177,7 +177,7 @@
 			if err != nil {
 				return err
 			}
-			logs.For("store").WithField(logs.Address, o.Me.API).Info("listens")
+			logging.For("store").WithField(logging.Address, o.Me.API).Info("listens")
 			<-told
 			s.Close()
 			return nil
@@ -237,7 +237,7 @@
 func callStore(method, at, path string, body []byte) ([]byte, error) {
 	scheme, way := "http://", &http.Transport{DisableKeepAlives: true}
 	if tlsFiles.On() {
-		source, err := certs.New(tlsFiles)
+		source, err := tlsconfig.New(tlsFiles)
 		if err != nil {
 			return nil, err
 		}
--- a/cmd/fawnplank/tls_test.go
+++ b/cmd/fawnplank/tls_test.go
@@ -7,15 +7,15 @@
 	"testing"
 	"time"
 
-	"fawnplank/internal/certs"
-	"fawnplank/internal/lab/authority"
+	"fawnplank/internal/lab/testca"
+	"fawnplank/internal/tlsconfig"
 )
 
 // Replicas that speak TLS: commands with a certificate of the authority go through, by way of any replica; plain ones and
 // those of another authority do not; a certificate renewed under way is taken without a restart, a broken one is not.
 func TestReplicasSpeakTLS(t *testing.T) {
 	folder, elsewhere := t.TempDir(), t.TempDir()
-	sign := func(folder, name string, holds time.Duration, a *authority.Authority) certs.Files {
+	sign := func(folder, name string, holds time.Duration, a *testca.Authority) tlsconfig.Files {
 		t.Helper()
 		f, err := a.Write(folder, name, holds)
 		if err != nil {
@@ -23,15 +23,15 @@
 		}
 		return f
 	}
-	own, err := authority.New("own")
+	own, err := testca.New("own")
 	if err != nil {
 		t.Fatal(err)
 	}
-	other, err := authority.New("other")
+	other, err := testca.New("other")
 	if err != nil {
 		t.Fatal(err)
 	}
-	flags := func(f certs.Files) []string {
+	flags := func(f tlsconfig.Files) []string {
 		return []string{"--tls-certificate", f.Certificate, "--tls-key", f.Key, "--tls-authority", f.Authority}
 	}
 	files, strange := sign(folder, "replica", time.Hour, own), sign(elsewhere, "stranger", time.Hour, other)
@@ -40,7 +40,7 @@
 		r.words = append(flags(files), "store", "run")
 		r.start(t, all)
 	}
-	ask := func(f certs.Files, n int, words ...string) (string, error) {
+	ask := func(f tlsconfig.Files, n int, words ...string) (string, error) {
 		if f.On() {
 			words = append(flags(f), words...)
 		}
@@ -52,7 +52,7 @@
 		if out, err := ask(files, n, "store", "get", "k"); err != nil || !strings.Contains(out, `"value":1`) {
 			t.Errorf("%d: %v, %s", n, err, out)
 		}
-		if out, err := ask(certs.Files{}, n, "store", "get", "k"); err == nil {
+		if out, err := ask(tlsconfig.Files{}, n, "store", "get", "k"); err == nil {
 			t.Errorf("%d, plain: %s", n, out)
 		}
 		if out, err := ask(strange, n, "store", "get", "k"); err == nil {
@@ -92,7 +92,7 @@
 // The limits' address in TLS, with a certificate asked of clients.
 func TestLimitsSpeakTLS(t *testing.T) {
 	folder := t.TempDir()
-	a, err := authority.New("own")
+	a, err := testca.New("own")
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -13,7 +13,7 @@
 
 	"github.com/sirupsen/logrus"
 
-	"fawnplank/internal/logs"
+	"fawnplank/internal/logging"
 	"golang.org/x/net/netutil"
 )
 
@@ -69,7 +69,7 @@
 	mux.HandleFunc("POST /admin/resume", func(w http.ResponseWriter, _ *http.Request) { d.Resume(); yes(w, true) })
 	s := &http.Server{Handler: mux, ReadHeaderTimeout: headTime, ReadTimeout: bodyTime, WriteTimeout: writeTime,
 		IdleTimeout: headTime, MaxHeaderBytes: 8 << 10,
-		ErrorLog: log.New(logs.For("admin").WriterLevel(logrus.DebugLevel), "", 0)}
+		ErrorLog: log.New(logging.For("admin").WriterLevel(logrus.DebugLevel), "", 0)}
 	s.SetKeepAlivesEnabled(false)
 	// The wrapped connections hide net.TCPConn's ReadFrom, by which net/http could splice or send a file.
 	return &Server{http: s, l: netutil.LimitListener(l, calls)}, nil
--- a/internal/rights/rights.go
+++ b/internal/authz/authz.go
@@ -1,5 +1,5 @@
 // Package rights is what a key of the operator file may do at the limits' address. It decides nothing: it names.
-package rights
+package authz
 
 // Right is what a key may do; rights add up.
 type Right uint8
--- a/internal/backend/backend.go
+++ b/internal/backend/backend.go
@@ -18,12 +18,12 @@
 	"sync/atomic"
 	"time"
 
-	"fawnplank/internal/facade"
-	"fawnplank/internal/logs"
+	"fawnplank/internal/dialer"
+	"fawnplank/internal/dispatch"
+	"fawnplank/internal/logging"
+	"fawnplank/internal/membudget"
 	"fawnplank/internal/metrics"
-	"fawnplank/internal/reach"
 	"fawnplank/internal/resp"
-	"fawnplank/internal/room"
 	"fawnplank/internal/sock"
 	"fawnplank/policy"
 )
@@ -56,7 +56,7 @@
 	idle    time.Duration // after which a warm one is closed
 	most    int           // connections at once
 	probed  func(b policy.BackendID, err error)
-	Room    *room.Room       // for large answers, beside the clients' large commands
+	Room    *membudget.Room  // for large answers, beside the clients' large commands
 	Figures *metrics.Figures // counted here: shots written whole
 
 	mu    sync.Mutex // of all that follows, and of every connection's state
@@ -116,8 +116,8 @@
 	pool *Pool
 	peer *peer
 	nc   *sock.Conn
-	shot *facade.Shot // out on it
-	came facade.Stage // how far it has come
+	shot *dispatch.Shot // out on it
+	came dispatch.Stage // how far it has come
 	used time.Time
 	rest time.Duration // before the shot; below 0: there was none
 	down bool
@@ -149,7 +149,7 @@
 
 // PlaceAny says where a backend listens that has more than one address.
 func (p *Pool) PlaceAny(b policy.BackendID, all []netip.AddrPort) {
-	order := reach.Order(all, reach.Reachable)
+	order := dialer.Order(all, dialer.Reachable)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if name := fmt.Sprint(all); p.peers[b] == nil || p.peers[b].address != name {
@@ -224,11 +224,11 @@
 
 // Send sends a shot: the parts of a command, which must stay as they are until the shot is over. The shot is
 // told how it ended.
-func (p *Pool) Send(s *facade.Shot, command [][]byte) {
+func (p *Pool) Send(s *dispatch.Shot, command [][]byte) {
 	c, to, err := p.take(s.Backend)
 	switch {
 	case err != nil:
-		s.Report(nil, 0, &facade.Fault{Came: facade.Dialling, Err: err})
+		s.Report(nil, 0, &dispatch.Fault{Came: dispatch.Dialling, Err: err})
 	case c != nil:
 		c.write(s, command)
 	default:
@@ -236,7 +236,7 @@
 			defer stopPanic()
 			c, err := p.dial(to)
 			if err != nil {
-				s.Report(nil, 0, &facade.Fault{Came: facade.Dialling, Err: err})
+				s.Report(nil, 0, &dispatch.Fault{Came: dispatch.Dialling, Err: err})
 				return
 			}
 			c.write(s, command)
@@ -246,7 +246,7 @@
 
 func stopPanic() {
 	if x := recover(); x != nil {
-		logs.Panicked("backend", x, debug.Stack())
+		logging.Panicked("backend", x, debug.Stack())
 	}
 }
 
@@ -283,7 +283,7 @@
 
 // write writes a shot, unless it was called off. What ends first, the writing or the connection, is sorted out
 // here: before the last byte was written nothing ran.
-func (c *conn) write(s *facade.Shot, command [][]byte) {
+func (c *conn) write(s *dispatch.Shot, command [][]byte) {
 	p := c.pool
 	p.mu.Lock()
 	switch {
@@ -292,14 +292,14 @@
 		// another may be at the address by now.
 		c.close()
 		p.mu.Unlock()
-		s.Report(nil, 0, &facade.Fault{Came: facade.Dialling, Err: net.ErrClosed})
+		s.Report(nil, 0, &dispatch.Fault{Came: dispatch.Dialling, Err: net.ErrClosed})
 		return
 	case !s.Begin(c):
 		c.settle()
 		p.mu.Unlock()
 		return
 	}
-	c.shot, c.came, c.writing = s, facade.Writing, true
+	c.shot, c.came, c.writing = s, dispatch.Writing, true
 	p.mu.Unlock()
 	whole := int64(0)
 	for _, part := range command {
@@ -316,7 +316,7 @@
 		return
 	}
 	if n == whole {
-		c.came = facade.Written
+		c.came = dispatch.Written
 		p.Figures.Dispatched(s.Profile())
 	}
 	if err == nil && !c.down {
@@ -324,7 +324,7 @@
 		return
 	}
 	c.noteRest(true)
-	fault := &facade.Fault{Came: c.came, Err: cmp.Or(err, net.ErrClosed)}
+	fault := &dispatch.Fault{Came: c.came, Err: cmp.Or(err, net.ErrClosed)}
 	c.shot = nil
 	c.close()
 	p.mu.Unlock()
@@ -333,13 +333,13 @@
 
 // Drop gives up the shot, if it is still out here, by closing the connection. It tells whether the shot's end
 // is still to be reported: while it is being written, only its writer learns how far it came.
-func (c *conn) Drop(s *facade.Shot) (reports bool) {
+func (c *conn) Drop(s *dispatch.Shot) (reports bool) {
 	c.pool.mu.Lock()
 	defer c.pool.mu.Unlock()
 	if c.shot != s {
 		return false
 	}
-	if c.came != facade.Writing {
+	if c.came != dispatch.Writing {
 		// Guards against cutting off an answer that the backend is giving or about to give, which the operators
 		// count as a lost request where it is long: the reader takes what comes and drops it, then ends the
 		// connection; it waits roomWait at most for each piece. Hurts by keeping the connection and its room
@@ -353,7 +353,7 @@
 		return false
 	}
 	c.close()
-	if c.came == facade.Writing {
+	if c.came == dispatch.Writing {
 		return true
 	}
 	c.shot = nil
@@ -430,7 +430,7 @@
 			return
 		case size == 0 && held == len(buf):
 			if buf = c.grow(buf); held == len(buf) {
-				c.answered(nil, 0, facade.Answered, false)
+				c.answered(nil, 0, dispatch.Answered, false)
 				return
 			}
 		case size > 0:
@@ -482,19 +482,19 @@
 		word, _, _ := bytes.Cut(text, []byte(" "))
 		switch {
 		case !ok:
-			return 0, nil, 0, facade.Answered
+			return 0, nil, 0, dispatch.Answered
 		case n == 0:
 			return 0, nil, 0, nil
 		case string(word) == "BUSY":
-			return n, nil, 0, facade.TurnedAway
+			return n, nil, 0, dispatch.TurnedAway
 		case string(word) == "ERR":
-			return n, nil, 0, facade.Answered
+			return n, nil, 0, dispatch.Answered
 		}
-		return 0, nil, 0, facade.Answered
+		return 0, nil, 0, dispatch.Answered
 	}
 	count, at, ok := resp.Length(b, '*', mostParts)
 	if !ok || at > 0 && count < 1 {
-		return 0, nil, 0, facade.Answered
+		return 0, nil, 0, dispatch.Answered
 	}
 	if at == 0 {
 		return 0, nil, 0, nil
@@ -509,7 +509,7 @@
 			ok, n = ok && bytes.IndexByte([]byte("+-:"), b[at]) >= 0, -1
 		}
 		if !ok || part == 0 && start > 0 && n < 0 {
-			return 0, nil, 0, facade.Answered
+			return 0, nil, 0, dispatch.Answered
 		}
 		end := at + start + n + 2
 		if n < 0 {
@@ -519,7 +519,7 @@
 			return 0, nil, 0, nil
 		}
 		if n >= 0 && string(b[end-2:end]) != "\r\n" {
-			return 0, nil, 0, facade.Answered
+			return 0, nil, 0, dispatch.Answered
 		}
 		switch part {
 		case 0:
@@ -575,7 +575,7 @@
 	p.mu.Lock()
 	c.close()
 	s, came := c.shot, c.came
-	if s == nil || came == facade.Writing {
+	if s == nil || came == dispatch.Writing {
 		p.mu.Unlock()
 		return
 	}
@@ -583,9 +583,9 @@
 	c.noteRest(held == 0)
 	p.mu.Unlock()
 	if held > 0 {
-		came = facade.Answering
+		came = dispatch.Answering
 	}
-	s.Report(nil, 0, &facade.Fault{Came: came, Err: err})
+	s.Report(nil, 0, &dispatch.Fault{Came: came, Err: err})
 }
 
 // Probe asks a backend whether it answers, and tells the outcome. It waits as long as for a connection.
@@ -604,7 +604,7 @@
 	}
 	p.mu.Unlock()
 	if err != nil {
-		return &facade.Fault{Came: facade.Dialling, Err: err}
+		return &dispatch.Fault{Came: dispatch.Dialling, Err: err}
 	}
 	defer func() {
 		p.mu.Lock()
@@ -614,20 +614,20 @@
 	until := time.Now().Add(p.patient)
 	nc, err := net.DialTimeout("tcp4", to.address, p.patient)
 	if err != nil {
-		return &facade.Fault{Came: facade.Dialling, Err: err}
+		return &dispatch.Fault{Came: dispatch.Dialling, Err: err}
 	}
 	defer nc.Close()
 	nc.SetDeadline(until)
 	if _, err := nc.Write([]byte("*1\r\n$4\r\nPING\r\n")); err != nil {
-		return &facade.Fault{Came: facade.Writing, Err: err}
+		return &dispatch.Fault{Came: dispatch.Writing, Err: err}
 	}
 	var buf [64]byte
 	n, err := nc.Read(buf[:])
 	if err != nil {
-		return &facade.Fault{Came: facade.Written, Err: err}
+		return &dispatch.Fault{Came: dispatch.Written, Err: err}
 	}
 	if !bytes.HasPrefix(buf[:n], []byte("+")) {
-		return facade.Answered
+		return dispatch.Answered
 	}
 	return nil
 }
--- a/internal/backend/backend_test.go
+++ b/internal/backend/backend_test.go
@@ -13,9 +13,9 @@
 	"testing/quick"
 	"time"
 
-	"fawnplank/internal/facade"
+	"fawnplank/internal/dispatch"
+	"fawnplank/internal/membudget"
 	"fawnplank/internal/metrics"
-	"fawnplank/internal/room"
 	"fawnplank/policy"
 )
 
@@ -34,9 +34,9 @@
 		"*3\r\n$2\r\nok\r\n:5\r\n+x\r\n":                      {"$2\r\nok\r\n", 0, nil},
 		"*1\r\n$2\r\nok\r\n":                                  {"$2\r\nok\r\n", 0, nil},
 		"*1\r\n$" + most + "\r\n" + long + "\r\n":             {"$" + most + "\r\n" + long + "\r\n", 0, nil},
-		"-BUSY\r\n":                    {"", 0, facade.TurnedAway},
-		"-BUSY inflight=7,queue=2\r\n": {"", 0, facade.TurnedAway},
-		"-ERR failed inflight=7\r\n":   {"", 0, facade.Answered},
+		"-BUSY\r\n":                    {"", 0, dispatch.TurnedAway},
+		"-BUSY inflight=7,queue=2\r\n": {"", 0, dispatch.TurnedAway},
+		"-ERR failed inflight=7\r\n":   {"", 0, dispatch.Answered},
 	} {
 		size, value, units, err := parse([]byte(text))
 		if size != len(text) || string(value) != want.value || units != want.units || err != want.err {
@@ -59,7 +59,7 @@
 		"*3\r\n$2\r\nok\r\n$x\r\n", "*3\r\n$2\r\nok\r\nnoise\r\n", "*" + strings.Repeat("3", 50),
 		"-" + strings.Repeat("E", 2000), "-BUSYBODY\r\n", "-\r\n", "-SYNTAX\r\n", "$2\r\nok\r\n", "+OK\r\n", ":1\r\n",
 		"HTTP/1.1 200 OK\r\n", "\x00", "\r\n"} {
-		if size, _, _, err := parse([]byte(text)); size != 0 || err != facade.Answered {
+		if size, _, _, err := parse([]byte(text)); size != 0 || err != dispatch.Answered {
 			t.Errorf("%.40q: %d, %v", text, size, err)
 		}
 	}
@@ -230,19 +230,19 @@
 		p.Place(1, at)
 		warm(t, p, 1)
 		there := <-conns
-		f := facade.New()
+		f := dispatch.New()
 		f.Run(9, policy.Terms{Doors: 1, MostShots: 1, ColdShare: 1, FallMultiple: 2, FallSpan: 1e9, Plans: []policy.PlanTerms{{}},
 			Profiles: []policy.ProfileTerms{{Promised: 1e9, HardLimit: 1e9}}}, nil, nil, nil)
 		f.Backends(policy.Whole, []policy.Listed{{Backend: 1, Stage: policy.Ready}})
 		tx := f.Take(0, 0, 1, time.Second, 1, 1, 0)
 		step := tx.Pick()
 		c, _, err := p.take(1)
-		if step.Do != facade.Send || c == nil || err != nil {
+		if step.Do != dispatch.Send || c == nil || err != nil {
 			t.Fatalf("%s: %+v, %v, %v", name, step, c, err)
 		}
 		change(p)
 		c.write(step.Shot, [][]byte{[]byte("*1\r\n$4\r\nPING\r\n")})
-		if last := tx.Pick(); last.Do != facade.Dismiss { // never sent
+		if last := tx.Pick(); last.Do != dispatch.Dismiss { // never sent
 			t.Errorf("%s: %+v", name, last)
 		}
 		there.SetReadDeadline(time.Now().Add(time.Second))
@@ -260,9 +260,9 @@
 	at, conns := listen(t, "")
 	p.Place(1, at)
 	c := warm(t, p, 1)
-	s := &facade.Shot{}
+	s := &dispatch.Shot{}
 	p.mu.Lock()
-	c.shot, c.came = s, facade.Written
+	c.shot, c.came = s, dispatch.Written
 	p.mu.Unlock()
 	if c.Drop(s) {
 		t.Error("it is to be reported")
@@ -342,7 +342,7 @@
 	if got, _, _ := p.take(1); got != c {
 		t.Fatal("not warm")
 	}
-	s := &facade.Shot{}
+	s := &dispatch.Shot{}
 	p.mu.Lock()
 	c.shot, c.writing = s, true
 	p.mu.Unlock()
@@ -369,7 +369,7 @@
 func TestLargeAnswersAreBoundedTogether(t *testing.T) {
 	p := New(100, 200*time.Millisecond, 10*time.Second, nil)
 	const most = 8 << 20
-	p.Room = room.New(most)
+	p.Room = membudget.New(most)
 	head := append([]byte("*3\r\n$1000000\r\n"), make([]byte, 4096-15)...)
 	size := 4 + 11 + 1000000 + mostLine // the head of the answer, its value, and a line
 	var held []*conn
--- a/internal/billd/billd.go
+++ b/internal/billingservice/billingservice.go
@@ -2,7 +2,7 @@
 // report, and its export, once. It owns the keys, the loops and the receivers; what a step does to an account is
 // package billing's to say. Each step is written with the account as it was read, so that of two at once one follows the
 // other, at whatever door they are asked.
-package billd
+package billingservice
 
 import (
 	"encoding/json"
@@ -17,7 +17,7 @@
 	"time"
 
 	"fawnplank/internal/billing"
-	"fawnplank/internal/logs"
+	"fawnplank/internal/logging"
 	"fawnplank/internal/store/kv"
 )
 
@@ -145,9 +145,9 @@
 			err := do()
 			if (err != nil) != failing { // once an outage
 				if failing = err != nil; failing {
-					logs.For("billing").WithError(err).Warn("the store takes nothing; tried again")
+					logging.For("billing").WithError(err).Warn("the store takes nothing; tried again")
 				} else {
-					logs.For("billing").Info("the store takes again")
+					logging.For("billing").Info("the store takes again")
 				}
 			}
 			if err != nil {
@@ -172,7 +172,7 @@
 				return
 			}
 			if time.Now().After(end) {
-				logs.For("billing").WithError(err).Error("use of this door is lost")
+				logging.For("billing").WithError(err).Error("use of this door is lost")
 				return
 			}
 		}
@@ -274,7 +274,7 @@
 		d.pending = nil
 		if d.number++; d.number == 1 {
 			if err := d.forget(); err != nil {
-				logs.For("billing").WithError(err).Debug("marks of long ago")
+				logging.For("billing").WithError(err).Debug("marks of long ago")
 			}
 		}
 		d.counts.Reports.Add(1)
--- a/internal/billd/export.go
+++ b/internal/billingservice/export.go
@@ -1,4 +1,4 @@
-package billd
+package billingservice
 
 import (
 	"bytes"
@@ -17,7 +17,7 @@
 	"github.com/google/renameio/v2"
 
 	"fawnplank/internal/billing"
-	"fawnplank/internal/logs"
+	"fawnplank/internal/logging"
 	"fawnplank/internal/store/kv"
 )
 
@@ -167,9 +167,9 @@
 		d.halted.Store(&said)
 		if said != last && ctx.Err() == nil {
 			if last = said; said != "" {
-				logs.For("billing").WithError(err).Error("nothing is exported; tried again")
+				logging.For("billing").WithError(err).Error("nothing is exported; tried again")
 			} else {
-				logs.For("billing").Info("exported again")
+				logging.For("billing").Info("exported again")
 			}
 		}
 		select {
--- a/internal/billd/version0_test.go
+++ b/internal/billingservice/version0_test.go
@@ -1,4 +1,4 @@
-package billd
+package billingservice
 
 import (
 	"bytes"
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -9,12 +9,12 @@
 	"strings"
 	"time"
 
+	"fawnplank/internal/authz"
 	"fawnplank/internal/billing"
-	"fawnplank/internal/certs"
-	"fawnplank/internal/dnsd"
-	"fawnplank/internal/rights"
+	"fawnplank/internal/dnsserver"
+	"fawnplank/internal/dnszone"
+	"fawnplank/internal/tlsconfig"
 	"fawnplank/internal/tomlfile"
-	"fawnplank/internal/zone"
 	"fawnplank/policy"
 )
 
@@ -49,10 +49,10 @@
 
 // LimitKey is what a tool shows before it may do more than check.
 type LimitKey struct {
-	Name   string     `toml:"name"`
-	File   string     `toml:"secret_file"` // for its owner's eyes alone
-	Rights []string   `toml:"rights"`      // check, read, reserve, change
-	Key    rights.Key `toml:"-"`
+	Name   string    `toml:"name"`
+	File   string    `toml:"secret_file"` // for its owner's eyes alone
+	Rights []string  `toml:"rights"`      // check, read, reserve, change
+	Key    authz.Key `toml:"-"`
 }
 
 // DNS is a zone that the list of backends comes from, in place of discovery.
@@ -69,14 +69,16 @@
 
 // DNSKey is a TSIG key.
 type DNSKey struct {
-	Name      string   `toml:"name"`
-	Algorithm string   `toml:"algorithm"`
-	File      string   `toml:"secret_file"` // in base64, for its owner's eyes alone
-	Key       dnsd.Key `toml:"-"`
+	Name      string        `toml:"name"`
+	Algorithm string        `toml:"algorithm"`
+	File      string        `toml:"secret_file"` // in base64, for its owner's eyes alone
+	Key       dnsserver.Key `toml:"-"`
 }
 
 // Settings are the zone's.
-func (d DNS) Settings() zone.Settings { return zone.Settings{Origin: d.Origin, Service: d.Service} }
+func (d DNS) Settings() dnszone.Settings {
+	return dnszone.Settings{Origin: d.Origin, Service: d.Service}
+}
 
 // Learned is where a folder lasts: what the door learned of the backends is kept there over a restart.
 type Learned struct {
@@ -185,14 +187,14 @@
 }
 
 // TLS are the files of the limits' address.
-func (l Limits) TLS() certs.Files {
-	return certs.Files{Certificate: l.Certificate, Key: l.Key, Authority: l.Authority}
+func (l Limits) TLS() tlsconfig.Files {
+	return tlsconfig.Files{Certificate: l.Certificate, Key: l.Key, Authority: l.Authority}
 }
 
 // check reads keys and certificates.
 func (l *Limits) check(f *tomlfile.File) error {
 	if l.TLS().On() {
-		if _, err := certs.New(l.TLS()); err != nil {
+		if _, err := tlsconfig.New(l.TLS()); err != nil {
 			return f.Fault("limits.tls_certificate", "cannot be used: "+err.Error())
 		}
 	}
@@ -216,10 +218,10 @@
 			return f.Fault(at+".rights", "is missing")
 		}
 		for _, r := range k.Rights {
-			if rights.Names[r] == 0 {
+			if authz.Names[r] == 0 {
 				return f.Fault(at+".rights", fmt.Sprintf("has %q, not check, read, reserve or change", r))
 			}
-			k.Key.Rights |= rights.Names[r]
+			k.Key.Rights |= authz.Names[r]
 		}
 	}
 	return nil
@@ -260,7 +262,7 @@
 	set, err := d.Settings().Canonical()
 	if err != nil {
 		key := "dns.origin"
-		if _, origin := (zone.Settings{Origin: d.Origin, Service: d.Origin}).Canonical(); origin == nil {
+		if _, origin := (dnszone.Settings{Origin: d.Origin, Service: d.Origin}).Canonical(); origin == nil {
 			key = "dns.service"
 		}
 		return f.Fault(key, err.Error())
@@ -286,7 +288,7 @@
 		if k.File == "" {
 			return f.Fault(at+".secret_file", "is missing")
 		}
-		if k.Key, err = dnsd.ReadKey(k.Name, k.Algorithm, k.File); err != nil {
+		if k.Key, err = dnsserver.ReadKey(k.Name, k.Algorithm, k.File); err != nil {
 			return f.Fault(at, err.Error())
 		}
 		if names[k.Key.Name] {
--- a/internal/counter/counter.go
+++ b/internal/counter/counter.go
@@ -14,8 +14,8 @@
 	"sync"
 	"time"
 
-	"fawnplank/internal/facade"
-	"fawnplank/internal/logs"
+	"fawnplank/internal/dispatch"
+	"fawnplank/internal/logging"
 	"fawnplank/internal/sock"
 	"fawnplank/policy"
 )
@@ -211,7 +211,7 @@
 func (l *line) run() {
 	defer func() {
 		if x := recover(); x != nil {
-			logs.Panicked("counter", x, debug.Stack())
+			logging.Panicked("counter", x, debug.Stack())
 			l.end(errors.New("panic"))
 		}
 	}()
@@ -242,7 +242,7 @@
 		for {
 			size, done, spoilt, total, err := l.c.Format.next(rest, &l.half)
 			if spoilt { // what cannot become an answer is not waited for: behind it others wait
-				l.answer(0, &facade.Fault{Came: facade.Answering, Err: errNoTotal})
+				l.answer(0, &dispatch.Fault{Came: dispatch.Answering, Err: errNoTotal})
 				l.end(errors.New("spoilt answer"))
 				return
 			}
@@ -275,7 +275,7 @@
 	}
 	c.mu.Unlock()
 	c.tell(k, total, err)
-	return (err == nil || err == facade.TurnedAway) && !(old && idle)
+	return (err == nil || err == dispatch.TurnedAway) && !(old && idle)
 }
 
 var errNoTotal = errors.New("no total")
@@ -284,11 +284,11 @@
 func meaning(text []byte) (total float64, err error) {
 	switch string(text) {
 	case "busy", "error":
-		return 0, facade.TurnedAway
+		return 0, dispatch.TurnedAway
 	}
 	sum, ok := bytes.CutPrefix(text, []byte("ok "))
 	if total, err = strconv.ParseFloat(string(sum), 64); err != nil || !ok || math.IsNaN(total-total) {
-		return 0, &facade.Fault{Came: facade.Answering, Err: errNoTotal}
+		return 0, &dispatch.Fault{Came: dispatch.Answering, Err: errNoTotal}
 	}
 	return total, nil
 }
@@ -341,12 +341,12 @@
 	}
 	c.mu.Unlock()
 	if len(calls) > 0 {
-		logs.For("counter").WithError(why).WithField("calls", len(calls)).Debug("connection ended")
+		logging.For("counter").WithError(why).WithField("calls", len(calls)).Debug("connection ended")
 	}
 	for n, k := range calls {
-		err := error(facade.Unanswered)
+		err := error(dispatch.Unanswered)
 		if n >= written {
-			err = &facade.Fault{Came: facade.Writing, Err: why}
+			err = &dispatch.Fault{Came: dispatch.Writing, Err: why}
 		}
 		c.tell(k, 0, err)
 	}
--- a/internal/counter/counter_test.go
+++ b/internal/counter/counter_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"fawnplank/internal/facade"
+	"fawnplank/internal/dispatch"
 	"fawnplank/policy"
 )
 
@@ -89,7 +89,7 @@
 		t.Error("a name waits behind another though a connection could be had")
 	}
 	fmt.Fprint(other.conn, "busy\r\n")
-	if x := e.next(t); x.name != 0xcd || x.err != facade.TurnedAway {
+	if x := e.next(t); x.name != 0xcd || x.err != dispatch.TurnedAway {
 		t.Errorf("%+v", x)
 	}
 	fmt.Fprint(first.conn, "ok 2.5\r\nok ") // in pieces
@@ -104,7 +104,7 @@
 	c.Flush()
 	h := <-lines
 	fmt.Fprint(h.conn, "error\r\n")
-	if x := e.next(t); x.name != 0xef || x.err != facade.TurnedAway {
+	if x := e.next(t); x.name != 0xef || x.err != dispatch.TurnedAway {
 		t.Errorf("%+v", x)
 	}
 	if h.conn != first.conn && h.conn != other.conn {
@@ -118,14 +118,14 @@
 	c.Flush()
 	h := <-lines
 	h.conn.Close()
-	if x := e.next(t); x.err != facade.Unanswered {
+	if x := e.next(t); x.err != dispatch.Unanswered {
 		t.Errorf("written: %+v", x)
 	}
 	l.Close()
 	c.Bump(2, 1, 1e9)
 	c.Flush()
-	var fault *facade.Fault
-	if x := e.next(t); !errors.As(x.err, &fault) || fault.Came >= facade.Written {
+	var fault *dispatch.Fault
+	if x := e.next(t); !errors.As(x.err, &fault) || fault.Came >= dispatch.Written {
 		t.Errorf("refused: %+v", x)
 	}
 	c.Bump(3, 1, 1e9) // and it goes on trying
@@ -144,7 +144,7 @@
 	time.Sleep(longestSilence + 50*time.Millisecond)
 	c.Bump(1, 1, 1e9)
 	c.Flush()
-	if x := e.next(t); x.name != 1 || x.err != facade.Unanswered {
+	if x := e.next(t); x.name != 1 || x.err != dispatch.Unanswered {
 		t.Errorf("%+v", x)
 	}
 	c.Bump(1, 1, 1e9)
@@ -172,7 +172,7 @@
 			t.Errorf("%s: %+v", name, x)
 		}
 		// Its amount was added: what may be told otherwise of it is that no answer came.
-		if fault := (*facade.Fault)(nil); x.err != nil && (!errors.As(x.err, &fault) || fault.Came != facade.Answering) {
+		if fault := (*dispatch.Fault)(nil); x.err != nil && (!errors.As(x.err, &fault) || fault.Came != dispatch.Answering) {
 			t.Errorf("%s: %+v", name, x)
 		}
 		c.Bump(1, 1, 1e9)
--- a/internal/counter/format.go
+++ b/internal/counter/format.go
@@ -7,7 +7,7 @@
 
 	"github.com/tidwall/redcon"
 
-	"fawnplank/internal/facade"
+	"fawnplank/internal/dispatch"
 	"fawnplank/policy"
 )
 
@@ -87,11 +87,11 @@
 
 func sum(got redcon.RESP) (float64, error) {
 	if got.Type == redcon.Error { // not added: the command was turned down
-		return 0, facade.TurnedAway
+		return 0, dispatch.TurnedAway
 	}
 	total, err := strconv.ParseFloat(string(got.Data), 64)
 	if err != nil || got.Type != redcon.Bulk || math.IsNaN(total-total) {
-		return 0, &facade.Fault{Came: facade.Answering, Err: errNoTotal}
+		return 0, &dispatch.Fault{Came: dispatch.Answering, Err: errNoTotal}
 	}
 	return total, nil
 }
--- a/internal/reach/reach.go
+++ b/internal/dialer/dialer.go
@@ -1,4 +1,4 @@
-package reach
+package dialer
 
 import (
 	"context"
--- a/internal/reach/order.go
+++ b/internal/dialer/order.go
@@ -1,6 +1,6 @@
 // Package reach opens a connection to something that listens at several addresses, IPv4 and IPv6. Which is tried
 // first is decided in this file, by what the RFCs say and by nothing else; reach.go does it.
-package reach
+package dialer
 
 import (
 	"net/netip"
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -19,7 +19,7 @@
 	"time"
 
 	"fawnplank/internal/config"
-	"fawnplank/internal/logs"
+	"fawnplank/internal/logging"
 	"fawnplank/internal/metrics"
 	"fawnplank/policy"
 )
@@ -201,7 +201,7 @@
 	for n, e := range l.Endpoints {
 		stage, ok := stages[e.Status]
 		if !ok {
-			logs.For("discovery").WithField(logs.Backend, e.Name).WithField("status", e.Status).Warn("unknown status, taken for draining")
+			logging.For("discovery").WithField(logging.Backend, e.Name).WithField("status", e.Status).Warn("unknown status, taken for draining")
 		}
 		lines[n] = policy.Listed{Backend: c.id(e.Name), Zone: c.zones.id(e.Zone),
 			Group: policy.GroupID(e.Group), Size: e.Weight, Stage: stage,
@@ -314,7 +314,7 @@
 			}
 			if (err != nil) != failed { // once an outage
 				failed = err != nil
-				entry := logs.For("discovery").WithField("failing", failed)
+				entry := logging.For("discovery").WithField("failing", failed)
 				if err != nil {
 					entry = entry.WithError(err)
 				}
--- a/internal/discovery/start_test.go
+++ b/internal/discovery/start_test.go
@@ -15,7 +15,7 @@
 	"time"
 
 	"fawnplank/internal/config"
-	"fawnplank/internal/facade"
+	"fawnplank/internal/dispatch"
 	"fawnplank/policy"
 )
 
@@ -33,7 +33,7 @@
 // pipes, and its clock moves only while all wait, so that moments are exact, however busy the machine is.
 type door struct {
 	t      *testing.T
-	facade *facade.Facade
+	facade *dispatch.Facade
 	client *Client
 	began  time.Time
 	over   atomic.Bool
@@ -49,7 +49,7 @@
 func (d *door) Probe(policy.BackendID)                      {}
 func (d *door) Bump(policy.CountID, float64, int64)         {}
 func (d *door) Flush()                                      {}
-func (d *door) Drop(*facade.Shot) bool                      { return false }
+func (d *door) Drop(*dispatch.Shot) bool                    { return false }
 
 // Backends passes the lists on. After the test's end it ends the watch, which has no end of its own and may not outlive
 // the bubble.
@@ -119,7 +119,7 @@
 		fmt.Fprint(w, whole)
 	})}
 	go agent.Serve(l)
-	d := &door{t: t, facade: facade.New(), began: time.Now(), sent: map[policy.BackendID][]time.Duration{}}
+	d := &door{t: t, facade: dispatch.New(), began: time.Now(), sent: map[policy.BackendID][]time.Duration{}}
 	s := &config.Start{Discovery: "agent:1", Known: []byte(known), Zones: []string{"a"}, Terms: policy.Terms{Doors: 1, MostShots: 1,
 		DrainGrace: int64(grace), ColdShare: 1, FallMultiple: 2, FallSpan: 1e9, Plans: []policy.PlanTerms{{}},
 		Profiles: []policy.ProfileTerms{{Promised: 500e6, HardLimit: 500e6}}}}
@@ -158,8 +158,8 @@
 	tx := d.facade.Take(0, 0, 1, 500*time.Millisecond, 1, 1, 0)
 	for {
 		step := tx.Pick()
-		if step.Do != facade.Send {
-			if step.Do != facade.Fulfil {
+		if step.Do != dispatch.Send {
+			if step.Do != dispatch.Fulfil {
 				d.t.Errorf("a transaction ended as %+v", step)
 			}
 			return
--- a/internal/facade/facade.go
+++ b/internal/dispatch/dispatch.go
@@ -2,7 +2,7 @@
 // picked, the end of a shot reported. It owns the lock round the gate, the clock, the timers and the handles of
 // open transactions, and it alone sees the gate's events and actions. It must never decide anything itself, and
 // never wait for the network under its lock.
-package facade
+package dispatch
 
 import (
 	"maps"
@@ -12,8 +12,8 @@
 	"sync/atomic"
 	"time"
 
-	"fawnplank/internal/due"
-	"fawnplank/internal/logs"
+	"fawnplank/internal/logging"
+	"fawnplank/internal/timerqueue"
 	"fawnplank/policy"
 )
 
@@ -45,7 +45,7 @@
 	follower Follower
 	open     map[policy.TransactionID]*Transaction
 	last     policy.TransactionID
-	due      due.Queue[dueEntry]
+	due      timerqueue.Queue[dueEntry]
 	timer    *time.Timer
 	mark     uint64 // of the latest wake asked for; those before are needless
 	armed    int64  // when the timer goes off; 0: not set
@@ -155,7 +155,7 @@
 func (f *Facade) whatIsDue() {
 	defer func() {
 		if x := recover(); x != nil {
-			logs.Panicked("facade", x, debug.Stack())
+			logging.Panicked("facade", x, debug.Stack())
 		}
 	}()
 	f.do(func(now int64) {
@@ -280,7 +280,7 @@
 
 func (d door) Probe(b policy.BackendID) { d.probes = append(d.probes, b) }
 func (d door) Follow()                  { d.follower.Follow() }
-func (d door) Note(text string)         { logs.For("policy").Warn(text) }
+func (d door) Note(text string)         { logging.For("policy").Warn(text) }
 
 // Shot is one sending of a transaction to a backend.
 type Shot struct {
--- a/internal/facade/facade_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -1,4 +1,4 @@
-package facade
+package dispatch
 
 import (
 	"errors"
--- a/internal/dnsd/answers.go
+++ b/internal/dnsserver/answers.go
@@ -1,4 +1,4 @@
-package dnsd
+package dnsserver
 
 import (
 	"errors"
@@ -6,8 +6,8 @@
 
 	"github.com/miekg/dns"
 
-	"fawnplank/internal/logs"
-	"fawnplank/internal/zone"
+	"fawnplank/internal/dnszone"
+	"fawnplank/internal/logging"
 )
 
 // plainUDP is what an answer may take where the other side says nothing; ownUDP what is offered: it passes any
@@ -71,7 +71,7 @@
 	rrs := append(z.Records(), soa)
 	if q.Qtype == dns.TypeIXFR && len(m.Ns) == 1 {
 		if theirs, ok := m.Ns[0].(*dns.SOA); ok {
-			if !zone.Newer(z.Serial(), theirs.Serial) {
+			if !dnszone.Newer(z.Serial(), theirs.Serial) {
 				rrs = []dns.RR{soa}
 			} else if some := since(changes, theirs.Serial); some != nil {
 				rrs = append(append([]dns.RR{soa}, some...), soa)
@@ -98,7 +98,7 @@
 }
 
 // since is what has changed after a serial, in IXFR's order; nil where that is not known any more.
-func since(changes []*zone.Change, serial uint32) (rrs []dns.RR) {
+func since(changes []*dnszone.Change, serial uint32) (rrs []dns.RR) {
 	found := false
 	for _, c := range changes {
 		if found = found || c.From == serial; !found {
@@ -157,7 +157,7 @@
 			}
 		}
 		if err != nil {
-			logs.For("dns").WithField("secondary", at).WithError(err).Warn("not told of a change")
+			logging.For("dns").WithField("secondary", at).WithError(err).Warn("not told of a change")
 		}
 	}
 }
--- a/internal/dnsd/dnsd_test.go
+++ b/internal/dnsserver/dnsserver_test.go
@@ -1,4 +1,4 @@
-package dnsd
+package dnsserver
 
 import (
 	"encoding/binary"
@@ -14,11 +14,11 @@
 
 	"github.com/miekg/dns"
 
+	"fawnplank/internal/dnszone"
 	"fawnplank/internal/store/kv"
-	"fawnplank/internal/zone"
 )
 
-var set = zone.Settings{Origin: "calc.example.", Service: "_calc._tcp.calc.example."}
+var set = dnszone.Settings{Origin: "calc.example.", Service: "_calc._tcp.calc.example."}
 
 const top = `$ORIGIN calc.example.
 $TTL 30
@@ -41,15 +41,15 @@
 // ear keeps the list as it was told.
 type ear struct {
 	mu   sync.Mutex
-	list map[string]zone.Backend
+	list map[string]dnszone.Backend
 	last time.Time
 }
 
-func (e *ear) tell(come []zone.Backend, gone []string, whole bool) {
+func (e *ear) tell(come []dnszone.Backend, gone []string, whole bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if whole {
-		e.list = map[string]zone.Backend{}
+		e.list = map[string]dnszone.Backend{}
 	}
 	for _, b := range come {
 		e.list[b.Name] = b
@@ -96,7 +96,7 @@
 	if r.Server, err = Start(o); err != nil {
 		return nil, err
 	}
-	r.guard = zone.NewGuard(o.Rate, time.Now().Add(-time.Minute).UnixNano()) // tests sign in the second of the start
+	r.guard = dnszone.NewGuard(o.Rate, time.Now().Add(-time.Minute).UnixNano()) // tests sign in the second of the start
 	t.Cleanup(r.Close)
 	return r, nil
 }
@@ -295,7 +295,7 @@
 	}
 	r.Close()
 	r = must(t, o)
-	r.guard = zone.NewGuard(100, time.Now().UnixNano()) // as at a start
+	r.guard = dnszone.NewGuard(100, time.Now().UnixNano()) // as at a start
 	if send(dial()) != dns.RcodeNotAuth || !r.ear.has("n1") {
 		t.Error("a replay was not refused after a restart")
 	}
@@ -461,17 +461,17 @@
 	if lines != 10 || skipped != 9*99 {
 		t.Errorf("%d log lines on a flood, which tell of %d more", lines, skipped)
 	}
-	g := zone.NewGuard(10, 0)
+	g := dnszone.NewGuard(10, 0)
 	now := int64(1e12)
 	for n := range 50000 { // at one a tenth of a second: more than an hour
 		now += 1e8
-		by := zone.By{MAC: fmt.Sprint(n), Signed: now / 1e9}
-		if v, _ := g.Judge(by, "x", now); v != zone.Go {
+		by := dnszone.By{MAC: fmt.Sprint(n), Signed: now / 1e9}
+		if v, _ := g.Judge(by, "x", now); v != dnszone.Go {
 			t.Fatal(n, v)
 		}
-		g.Note(by, zone.Done{From: "x"}, now)
+		g.Note(by, dnszone.Done{From: "x"}, now)
 	}
-	if n := g.Remembers(); n > 10*zone.Window+11 {
+	if n := g.Remembers(); n > 10*dnszone.Window+11 {
 		t.Errorf("%d remembered", n)
 	}
 }
@@ -770,7 +770,7 @@
 
 func BenchmarkUpdatesBySocket(b *testing.B) {
 	r := must(b, folder(b, text(7, 1000)))
-	r.guard = zone.NewGuard(1e9, 0)
+	r.guard = dnszone.NewGuard(1e9, 0)
 	r.allowed.rate = 1e9
 	n := 0
 	for b.Loop() {
--- a/internal/dnsd/journal.go
+++ b/internal/dnsserver/journal.go
@@ -1,4 +1,4 @@
-package dnsd
+package dnsserver
 
 import (
 	"bytes"
@@ -14,7 +14,7 @@
 	"github.com/google/renameio/v2"
 	"golang.org/x/sys/unix"
 
-	"fawnplank/internal/zone"
+	"fawnplank/internal/dnszone"
 )
 
 // journalFormat is of the form of the journal; another one is refused.
@@ -26,11 +26,11 @@
 
 // base is the journal's first line: a zone, and which text of the zone file it came from.
 type base struct {
-	Format   int           `json:"format"`
-	Origin   string        `json:"origin"`
-	Service  string        `json:"service"`
-	FileSum  string        `json:"file_sum"`
-	Snapshot zone.Snapshot `json:"snapshot"`
+	Format   int              `json:"format"`
+	Origin   string           `json:"origin"`
+	Service  string           `json:"service"`
+	FileSum  string           `json:"file_sum"`
+	Snapshot dnszone.Snapshot `json:"snapshot"`
 }
 
 // journal keeps the zone in force over a restart: a line with a snapshot, and one for each change after it. A line is
@@ -47,9 +47,9 @@
 
 // state is what a journal holds.
 type state struct {
-	zone    *zone.Zone
+	zone    *dnszone.Zone
 	sum     string // of the zone file's text that was taken last
-	changes []*zone.Change
+	changes []*dnszone.Change
 	size    int64
 	torn    int64 // bytes of a last line that is not whole
 }
@@ -67,7 +67,7 @@
 // readJournal reads a journal, which another process may be writing. One that is not there is os.ErrNotExist.
 // Damage anywhere but in the last line is an error with the file and line: to go on without what stood there would
 // bring withdrawn backends back.
-func readJournal(path string, set zone.Settings) (*state, error) {
+func readJournal(path string, set dnszone.Settings) (*state, error) {
 	f, err := os.Open(path)
 	if err != nil {
 		return nil, err
@@ -99,15 +99,15 @@
 			if b.Format != journalFormat {
 				return fail(fmt.Errorf("is of format %d, not %d", b.Format, journalFormat))
 			}
-			if got := (zone.Settings{Origin: b.Origin, Service: b.Service}); got != set {
+			if got := (dnszone.Settings{Origin: b.Origin, Service: b.Service}); got != set {
 				return fail(fmt.Errorf("is of zone %s and service %s, not %s and %s", got.Origin, got.Service, set.Origin, set.Service))
 			}
-			if s.zone, err = zone.Restore(b.Snapshot, set); err != nil {
+			if s.zone, err = dnszone.Restore(b.Snapshot, set); err != nil {
 				return fail(err)
 			}
 			s.sum = b.FileSum
 		} else {
-			c := &zone.Change{}
+			c := &dnszone.Change{}
 			if err := json.Unmarshal(body, c); err != nil {
 				return fail(err)
 			}
@@ -168,7 +168,7 @@
 }
 
 // begin writes the journal anew, with a zone alone. On an error the old one stays.
-func (j *journal) begin(z *zone.Zone, sum string) error {
+func (j *journal) begin(z *dnszone.Zone, sum string) error {
 	text, err := line(base{journalFormat, z.Origin, z.Service, sum, z.Snapshot()})
 	if err != nil {
 		return err
@@ -196,7 +196,7 @@
 }
 
 // add writes a change, and returns once it lasts. After an error the journal is as before, or takes nothing more.
-func (j *journal) add(c *zone.Change) error {
+func (j *journal) add(c *dnszone.Change) error {
 	if j.broken != nil {
 		return j.broken
 	}
--- a/internal/dnsd/keys.go
+++ b/internal/dnsserver/keys.go
@@ -1,4 +1,4 @@
-package dnsd
+package dnsserver
 
 import (
 	"crypto/hmac"
--- a/internal/dnsd/server.go
+++ b/internal/dnsserver/server.go
@@ -2,7 +2,7 @@
 // takes dynamic updates (RFC 2136, TSIG of RFC 8945), keeps what is in force in a journal, answers queries and gives
 // the zone to secondaries. It owns the file, the journal and the sockets. What a message means for the zone is
 // package zone's to say.
-package dnsd
+package dnsserver
 
 import (
 	"errors"
@@ -19,13 +19,13 @@
 	"github.com/sirupsen/logrus"
 	"golang.org/x/net/netutil"
 
-	"fawnplank/internal/logs"
-	"fawnplank/internal/zone"
+	"fawnplank/internal/dnszone"
+	"fawnplank/internal/logging"
 )
 
 // Options are what a server is started with.
 type Options struct {
-	Settings zone.Settings
+	Settings dnszone.Settings
 	File     string  // the zone file
 	Journal  string  // where what is in force is kept; empty: nowhere, and there are no updates
 	Listen   string  // UDP and TCP; empty: nowhere
@@ -35,7 +35,7 @@
 	Shared   *Shared // where set, updates land in all replicas or in none
 	// Tell is told of every change to the list, before its update is answered, one at a time: entries new and changed, and
 	// the names of those gone; whole: the list is these alone.
-	Tell func(come []zone.Backend, gone []string, whole bool)
+	Tell func(come []dnszone.Backend, gone []string, whole bool)
 }
 
 const (
@@ -54,14 +54,14 @@
 	o       Options
 	keys    keyring
 	mu      sync.Mutex // of all that follows
-	zone    *zone.Zone
+	zone    *dnszone.Zone
 	sum     string
-	changes []*zone.Change // since the journal's snapshot, for IXFR
+	changes []*dnszone.Change // since the journal's snapshot, for IXFR
 	journal *journal
-	guard   *zone.Guard
+	guard   *dnszone.Guard
 	news    []chan struct{} // for each secondary: the serial has changed
 
-	asked   atomic.Pointer[zone.Zone] // the zone in force, for queries: they do not wait for what an update waits for
+	asked   atomic.Pointer[dnszone.Zone] // the zone in force, for queries: they do not wait for what an update waits for
 	servers []*dns.Server
 	at      string
 	busy    chan struct{}
@@ -109,7 +109,7 @@
 		s.keys[k.Name] = k
 	}
 	now := time.Now().UnixNano()
-	s.guard = zone.NewGuard(o.Rate, now)
+	s.guard = dnszone.NewGuard(o.Rate, now)
 	if o.Journal != "" && o.Shared == nil {
 		s.journal, err = lockJournal(o.Journal)
 	}
@@ -129,7 +129,7 @@
 		return nil, err
 	}
 	if waits {
-		logs.For("dns").WithError(errBusy).Info("its list holds until that one ends")
+		logging.For("dns").WithError(errBusy).Info("its list holds until that one ends")
 		go s.wait()
 		return s, nil
 	}
@@ -154,14 +154,14 @@
 			s.journal = j
 		}
 		if bad := s.load(time.Now().UnixNano()); bad != nil {
-			logs.For("dns").WithError(bad).Error("the journal cannot be followed; the last good list stands")
+			logging.For("dns").WithError(bad).Error("the journal cannot be followed; the last good list stands")
 		}
 		s.mu.Unlock()
 		if err != nil {
 			continue
 		}
 		if err := s.listen(); err != nil {
-			logs.For("dns").WithError(err).Error("cannot listen")
+			logging.For("dns").WithError(err).Error("cannot listen")
 		}
 		return
 	}
@@ -185,7 +185,7 @@
 			return err
 		}
 		if kept != nil && kept.torn > 0 && s.journal != nil {
-			logs.For("dns").WithField("bytes", kept.torn).Warn("the journal's last line is not whole, and was never answered: it is cut off")
+			logging.For("dns").WithField("bytes", kept.torn).Warn("the journal's last line is not whole, and was never answered: it is cut off")
 		}
 	}
 	if kept == nil { // the first start
@@ -213,7 +213,7 @@
 	}
 	s.install(kept, s.zone == nil)
 	if ferr != nil {
-		logs.For("dns").WithError(ferr).Error("the zone file is not taken, the last good list stands")
+		logging.For("dns").WithError(ferr).Error("the zone file is not taken, the last good list stands")
 		return nil
 	}
 	s.adopt(file, sum, now)
@@ -229,23 +229,23 @@
 	s.zone, s.sum, s.changes = now.zone, now.sum, now.changes
 	s.asked.Store(s.zone)
 	for _, c := range now.changes {
-		s.guard.Note(c.By, zone.Done{}, c.At)
+		s.guard.Note(c.By, dnszone.Done{}, c.At)
 	}
 	if whole || old == nil {
 		s.o.Tell(s.zone.Backends(), nil, true)
-	} else if come, gone := zone.Diff(old, s.zone); len(come)+len(gone) > 0 {
+	} else if come, gone := dnszone.Diff(old, s.zone); len(come)+len(gone) > 0 {
 		s.o.Tell(come, gone, false)
 	}
 	s.announce()
 }
 
 // adopt takes a file just read in the place of the zone in force, if its serial is newer. The lock is held.
-func (s *Server) adopt(file *zone.Zone, sum string, now int64) {
-	log := logs.For("dns").WithField("file", s.o.File).WithField("serial", file.Serial()).WithField("in_force", s.zone.Serial())
+func (s *Server) adopt(file *dnszone.Zone, sum string, now int64) {
+	log := logging.For("dns").WithField("file", s.o.File).WithField("serial", file.Serial()).WithField("in_force", s.zone.Serial())
 	if sum == s.sum {
 		return
 	}
-	if !zone.Newer(file.Serial(), s.zone.Serial()) {
+	if !dnszone.Newer(file.Serial(), s.zone.Serial()) {
 		log.Error("the zone file was changed, and its serial is not newer than that in force: it is not taken")
 		return
 	}
@@ -266,13 +266,13 @@
 	s.install(&state{zone: next, sum: sum}, false)
 }
 
-func (s *Server) readFile() (*zone.Zone, string, error) {
+func (s *Server) readFile() (*dnszone.Zone, string, error) {
 	z, text, err := ReadFile(s.o.File, s.o.Settings)
 	return z, fmt.Sprintf("%016x", xxhash.Sum64(text)), err
 }
 
 // ReadFile reads a zone file; errors name file and line.
-func ReadFile(path string, set zone.Settings) (*zone.Zone, []byte, error) {
+func ReadFile(path string, set dnszone.Settings) (*dnszone.Zone, []byte, error) {
 	info, err := os.Stat(path)
 	if err != nil {
 		return nil, nil, err
@@ -284,12 +284,12 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	z, err := zone.Parse(path, text, set)
+	z, err := dnszone.Parse(path, text, set)
 	return z, text, err
 }
 
 // InForce reads what is in force, beside a server that may run: the store's, the journal's or the file's.
-func InForce(o Options) (z *zone.Zone, source string, err error) {
+func InForce(o Options) (z *dnszone.Zone, source string, err error) {
 	if o.Settings, err = o.Settings.Canonical(); err != nil {
 		return nil, "", err
 	}
@@ -333,7 +333,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if err != nil {
-		logs.For("dns").WithError(err).Error("the zone file is not taken, the last good list stands")
+		logging.For("dns").WithError(err).Error("the zone file is not taken, the last good list stands")
 		return
 	}
 	if s.zone == nil { // the store has no leader yet, and begin reads the file again
@@ -394,13 +394,13 @@
 				select {
 				case <-s.stop:
 				default:
-					logs.For("dns").WithError(err).Error("stopped")
+					logging.For("dns").WithError(err).Error("stopped")
 				}
 			}
 		}()
 	}
 	s.at = packets.LocalAddr().String()
-	logs.For("dns").WithField(logs.Address, s.at).WithField("zone", s.o.Settings.Origin).Info("listens")
+	logging.For("dns").WithField(logging.Address, s.at).WithField("zone", s.o.Settings.Origin).Info("listens")
 	for _, at := range s.o.Notify {
 		news := make(chan struct{}, 1)
 		s.news = append(s.news, news)
@@ -473,7 +473,7 @@
 func (s *Server) ServeDNS(w dns.ResponseWriter, m *dns.Msg) {
 	defer func() {
 		if x := recover(); x != nil {
-			logs.Panicked("dns", x, debug.Stack())
+			logging.Panicked("dns", x, debug.Stack())
 		}
 	}()
 	select {
@@ -507,7 +507,7 @@
 }
 
 func (s *Server) log(w dns.ResponseWriter, t *dns.TSIG) *logrus.Entry {
-	entry := logs.For("dns").WithField("from", w.RemoteAddr().String())
+	entry := logging.For("dns").WithField("from", w.RemoteAddr().String())
 	if t != nil {
 		entry = entry.WithField("key", t.Hdr.Name)
 	}
@@ -531,12 +531,12 @@
 		r.SetTsig(t.Hdr.Name, t.Algorithm, Fudge, time.Now().Unix())
 	}
 	if err := w.WriteMsg(r); err != nil {
-		logs.For("dns").WithError(err).Debug("answer")
+		logging.For("dns").WithError(err).Debug("answer")
 	}
 }
 
 // Fudge is by how many seconds the other side's clock may differ for an answer of ours.
-const Fudge = zone.Window
+const Fudge = dnszone.Window
 
 // unsigned answers what is not signed as it should be (RFC 8945, 5.2): NOTAUTH with the error's own number.
 func (s *Server) unsigned(w dns.ResponseWriter, m *dns.Msg, t *dns.TSIG, err error) {
@@ -554,29 +554,29 @@
 		x.Error = dns.RcodeBadKey
 	}
 	if err := w.WriteMsg(r); err != nil {
-		logs.For("dns").WithError(err).Debug("answer")
+		logging.For("dns").WithError(err).Debug("answer")
 	}
 }
 
 // update does an update: judged, written to last, told to the decisions, and answered then.
 func (s *Server) update(w dns.ResponseWriter, m *dns.Msg, t *dns.TSIG) {
-	by := zone.By{Key: dns.CanonicalName(t.Hdr.Name), Signed: int64(t.TimeSigned), MAC: t.MAC}
+	by := dnszone.By{Key: dns.CanonicalName(t.Hdr.Name), Signed: int64(t.TimeSigned), MAC: t.MAC}
 	from := w.RemoteAddr().String()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now().UnixNano()
 	verdict, done := s.guard.Judge(by, from, now)
 	switch verdict {
-	case zone.Replay:
+	case dnszone.Replay:
 		s.unsigned(w, m, t, dns.ErrTime)
 		return
-	case zone.Flood:
+	case dnszone.Flood:
 		s.figures.flooded.Add(1)
 		s.refuse(w, t, fmt.Errorf("more than %g updates a second", s.o.Rate), "updates are refused for their number")
 		answer(w, new(dns.Msg).SetRcode(m, dns.RcodeRefused), t)
 		return
-	case zone.Go:
-		done = zone.Done{From: from, Rcode: s.perform(w, m, t, by, now)}
+	case dnszone.Go:
+		done = dnszone.Done{From: from, Rcode: s.perform(w, m, t, by, now)}
 		if done.Rcode != dns.RcodeServerFailure { // which may be asked again as it is
 			s.guard.Note(by, done, now)
 		}
@@ -585,22 +585,22 @@
 }
 
 // perform gives the RCODE. The lock is held.
-func (s *Server) perform(w dns.ResponseWriter, m *dns.Msg, t *dns.TSIG, by zone.By, now int64) int {
+func (s *Server) perform(w dns.ResponseWriter, m *dns.Msg, t *dns.TSIG, by dnszone.By, now int64) int {
 	if m.Truncated {
 		return dns.RcodeFormatError
 	}
 	if s.journal == nil && s.o.Shared == nil {
 		return dns.RcodeRefused
 	}
-	judge := func() (*zone.Step, error) { return s.zone.Update(m, now, by) }
-	var step *zone.Step
+	judge := func() (*dnszone.Step, error) { return s.zone.Update(m, now, by) }
+	var step *dnszone.Step
 	var err error
 	if s.o.Shared != nil {
 		step, err = s.share(judge)
 	} else if step, err = judge(); err == nil && step.Change != nil {
 		err = s.journal.add(step.Change)
 	}
-	var refusal *zone.Refusal
+	var refusal *dnszone.Refusal
 	if errors.As(err, &refusal) {
 		s.figures.refused.Add(1)
 		s.refuse(w, t, err, "update refused")
@@ -621,14 +621,14 @@
 }
 
 // step goes one change on. The lock is held.
-func (s *Server) step(step *zone.Step) {
+func (s *Server) step(step *dnszone.Step) {
 	s.zone, s.changes = step.Zone, append(s.changes, step.Change)
 	s.asked.Store(s.zone)
 	if len(step.Come)+len(step.Gone) > 0 {
 		s.o.Tell(step.Come, step.Gone, false)
 	}
 	if len(step.Gone) > 0 && s.zone.Size() == 0 {
-		logs.For("dns").Error("the last backend is withdrawn: transactions are dismissed until an update or a zone file brings one")
+		logging.For("dns").Error("the last backend is withdrawn: transactions are dismissed until an update or a zone file brings one")
 	}
 	var err error
 	switch {
@@ -640,10 +640,10 @@
 		}
 	}
 	if err != nil {
-		logs.For("dns").WithError(err).Error("the changes cannot be written together")
+		logging.For("dns").WithError(err).Error("the changes cannot be written together")
 	}
 	if len(s.changes) >= mostChanges {
-		s.changes = append([]*zone.Change(nil), s.changes[mostChanges/2:]...) // secondaries that lag by more get all
+		s.changes = append([]*dnszone.Change(nil), s.changes[mostChanges/2:]...) // secondaries that lag by more get all
 	}
 	s.announce()
 }
--- a/internal/dnsd/shared.go
+++ b/internal/dnsserver/shared.go
@@ -1,4 +1,4 @@
-package dnsd
+package dnsserver
 
 import (
 	"encoding/json"
@@ -7,9 +7,9 @@
 	"strings"
 	"time"
 
-	"fawnplank/internal/logs"
+	"fawnplank/internal/dnszone"
+	"fawnplank/internal/logging"
 	"fawnplank/internal/store/kv"
-	"fawnplank/internal/zone"
 )
 
 // Replica is the part of a replica of the store that the zone is kept by.
@@ -64,7 +64,7 @@
 func changeAt(serial uint32) string { return fmt.Sprintf("%s%08x", changeKey, serial) }
 
 // Load reads what this replica has; nil where that is nothing.
-func (s *Shared) Load(set zone.Settings) (*state, error) {
+func (s *Shared) Load(set dnszone.Settings) (*state, error) {
 	h, index, err := s.head()
 	if err != nil || index == 0 {
 		return nil, err
@@ -85,11 +85,11 @@
 	if err := json.Unmarshal([]byte(text.String()), &b); err != nil {
 		return nil, fmt.Errorf("store: the zone: %w", err)
 	}
-	if got := (zone.Settings{Origin: b.Origin, Service: b.Service}); b.Format != journalFormat || got != set {
+	if got := (dnszone.Settings{Origin: b.Origin, Service: b.Service}); b.Format != journalFormat || got != set {
 		return nil, fmt.Errorf("store: the zone is %s with service %s in format %d", got.Origin, got.Service, b.Format)
 	}
 	x := &state{sum: b.FileSum}
-	if x.zone, err = zone.Restore(b.Snapshot, set); err != nil {
+	if x.zone, err = dnszone.Restore(b.Snapshot, set); err != nil {
 		return nil, fmt.Errorf("store: the zone: %w", err)
 	}
 	for x.zone.Serial() != h.Serial {
@@ -106,12 +106,12 @@
 }
 
 // next does the change that follows a zone, where there is one.
-func (s *Shared) next(z *zone.Zone) (*zone.Step, *zone.Change, error) {
+func (s *Shared) next(z *dnszone.Zone) (*dnszone.Step, *dnszone.Change, error) {
 	e, ok := s.Entry(changeAt(z.Serial()))
 	if !ok {
 		return nil, nil, nil
 	}
-	c := &zone.Change{}
+	c := &dnszone.Change{}
 	if err := json.Unmarshal(e.Value, c); err != nil {
 		return nil, nil, fmt.Errorf("store: %s: %w", changeAt(z.Serial()), err)
 	}
@@ -123,10 +123,10 @@
 }
 
 // Begin writes a zone where there is none yet.
-func (s *Shared) Begin(z *zone.Zone, sum string) error { return s.base(z, sum, head{}, 0) }
+func (s *Shared) Begin(z *dnszone.Zone, sum string) error { return s.base(z, sum, head{}, 0) }
 
 // Adopt writes a zone whole in the place of one.
-func (s *Shared) Adopt(old, z *zone.Zone, sum string) error {
+func (s *Shared) Adopt(old, z *dnszone.Zone, sum string) error {
 	h, index, err := s.head()
 	if err == nil && h.Serial != old.Serial() {
 		err = errBehind
@@ -137,7 +137,7 @@
 	return s.base(z, sum, h, index)
 }
 
-func (s *Shared) base(z *zone.Zone, sum string, old head, index kv.Index) error {
+func (s *Shared) base(z *dnszone.Zone, sum string, old head, index kv.Index) error {
 	text, err := json.Marshal(base{journalFormat, z.Origin, z.Service, sum, z.Snapshot()})
 	if err != nil {
 		return err
@@ -149,7 +149,7 @@
 	}
 	for serial, n := old.Base, 0; n < old.Changes; n++ {
 		e, ok := s.Entry(changeAt(serial))
-		var c zone.Change
+		var c dnszone.Change
 		if !ok || json.Unmarshal(e.Value, &c) != nil {
 			return errBehind
 		}
@@ -190,7 +190,7 @@
 }
 
 // Add lands a change that follows the head.
-func (s *Shared) Add(c *zone.Change) error {
+func (s *Shared) Add(c *dnszone.Change) error {
 	h, index, err := s.head()
 	if err == nil && h.Serial != c.From {
 		err = errBehind
@@ -220,7 +220,7 @@
 		return
 	}
 	if err := s.catchUp(); err != nil && !errors.Is(err, errBehind) {
-		logs.For("dns").WithError(err).Error("the store's zone cannot be followed; the last good list stands")
+		logging.For("dns").WithError(err).Error("the store's zone cannot be followed; the last good list stands")
 	}
 }
 
@@ -235,11 +235,11 @@
 		if step == nil {
 			break
 		}
-		s.guard.Note(step.Change.By, zone.Done{}, step.Change.At)
+		s.guard.Note(step.Change.By, dnszone.Done{}, step.Change.At)
 		s.step(step)
 	}
 	h, index, err := shared.head()
-	if err != nil || index == 0 || h.Serial == s.zone.Serial() || !zone.Newer(h.Serial, s.zone.Serial()) {
+	if err != nil || index == 0 || h.Serial == s.zone.Serial() || !dnszone.Newer(h.Serial, s.zone.Serial()) {
 		return err // also where this server is ahead: its own change is on the way to this replica
 	}
 	now, err := shared.Load(s.o.Settings)
@@ -251,7 +251,7 @@
 
 // share lands an update in all replicas or in none: judged on the zone in force, and again where another one was
 // quicker. The lock is held.
-func (s *Server) share(judge func() (*zone.Step, error)) (*zone.Step, error) {
+func (s *Server) share(judge func() (*dnszone.Step, error)) (*dnszone.Step, error) {
 	for end := time.Now().Add(shareWithin); ; time.Sleep(5 * time.Millisecond) {
 		step, err := judge()
 		if err != nil || step.Change == nil {
@@ -282,7 +282,7 @@
 		}
 		if err.Error() != last {
 			last = err.Error()
-			logs.For("dns").WithError(err).Warn("no list yet; tried again")
+			logging.For("dns").WithError(err).Warn("no list yet; tried again")
 		}
 		select {
 		case <-s.stop:
--- a/internal/dnsd/version0_test.go
+++ b/internal/dnsserver/version0_test.go
@@ -1,4 +1,4 @@
-package dnsd
+package dnsserver
 
 import (
 	"bytes"
@@ -14,9 +14,9 @@
 
 	"github.com/miekg/dns"
 
+	"fawnplank/internal/dnszone"
 	"fawnplank/internal/store/kv"
 	"fawnplank/internal/testutil"
-	"fawnplank/internal/zone"
 )
 
 // version0File is the zone file behind the fixtures. One of its backends states when it started.
@@ -39,7 +39,7 @@
 	if s.zone.Serial() != 9 || s.sum != "62ff89fddb841c2f" {
 		t.Errorf("serial %d of the file %s", s.zone.Serial(), s.sum)
 	}
-	list := map[string]zone.Backend{}
+	list := map[string]dnszone.Backend{}
 	for _, b := range s.zone.Backends() {
 		list[b.Name] = b
 	}
@@ -47,14 +47,14 @@
 		t.Fatalf("backends %q", names)
 	}
 	old, fresh := list["n2.calc.example:7000"], list["m1.calc.example:7000"]
-	if want := (zone.Born{File: "calc.zone", Line: 8, Serial: 7}); old.Born != want || old.Stated != 1790000000000e6 || old.Zone != "north" || old.Group != 3 {
+	if want := (dnszone.Born{File: "calc.zone", Line: 8, Serial: 7}); old.Born != want || old.Stated != 1790000000000e6 || old.Zone != "north" || old.Group != 3 {
 		t.Errorf("of the file: %+v", old)
 	}
 	if len(s.changes) != 2 {
 		t.Fatalf("%d changes", len(s.changes))
 	}
 	come, gone := s.changes[0], s.changes[1]
-	if want := (zone.Born{Started: come.At, Key: "deploy.", Serial: 8}); fresh.Born != want {
+	if want := (dnszone.Born{Started: come.At, Key: "deploy.", Serial: 8}); fresh.Born != want {
 		t.Errorf("of the update: %+v", fresh)
 	}
 	if come.From != 7 || come.To != 8 || len(come.Add) != 3 || len(come.Del) != 1 || gone.From != 8 || gone.To != 9 || len(gone.Del) != 2 {
@@ -103,7 +103,7 @@
 	if err := json.Unmarshal(body, &b); err != nil {
 		t.Fatal(err)
 	}
-	z, err := zone.Restore(b.Snapshot, set)
+	z, err := dnszone.Restore(b.Snapshot, set)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -206,7 +206,7 @@
 	if err := json.Unmarshal([]byte(inner), &b); err != nil {
 		t.Fatal(err)
 	}
-	z, err := zone.Restore(b.Snapshot, set)
+	z, err := dnszone.Restore(b.Snapshot, set)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -233,7 +233,7 @@
 
 // TestStoredTypes_HaveTags holds that each stored field has its name from a tag, and not from Go.
 func TestStoredTypes_HaveTags(t *testing.T) {
-	testutil.CheckTags(t, base{}, head{}, zone.Change{})
+	testutil.CheckTags(t, base{}, head{}, dnszone.Change{})
 }
 
 // version0Born is when the update of the compacted journal was taken, unix ns.
@@ -262,11 +262,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	born := map[string]zone.Born{}
+	born := map[string]dnszone.Born{}
 	for _, b := range s.zone.Backends() {
 		born[b.Name] = b.Born
 	}
-	if want := map[string]zone.Born{"m1.calc.example:7000": {Started: version0Born, Key: "deploy.", Serial: 8},
+	if want := map[string]dnszone.Born{"m1.calc.example:7000": {Started: version0Born, Key: "deploy.", Serial: 8},
 		"n2.calc.example:7000": {File: "calc.zone", Line: 8, Serial: 7}}; !reflect.DeepEqual(born, want) {
 		t.Errorf("%+v", born)
 	}
--- a/internal/zone/zone.go
+++ b/internal/dnszone/dnszone.go
@@ -2,7 +2,7 @@
 // list of backends comes out, and dynamic updates (RFC 2136) make a new zone of an old one, whole or not at all. It
 // reads no clock, no file and no socket, and what it gives depends on its arguments alone: the same changes give the
 // same zone on every replica. docs/dns.md is the operators' page.
-package zone
+package dnszone
 
 import (
 	"bytes"
--- a/internal/zone/guard.go
+++ b/internal/dnszone/guard.go
@@ -1,4 +1,4 @@
-package zone
+package dnszone
 
 // Window is how far the clock of an updater may be from the door's, in seconds: what RFC 8945, 10 recommends.
 const Window = 300
--- a/internal/zone/update.go
+++ b/internal/dnszone/update.go
@@ -1,4 +1,4 @@
-package zone
+package dnszone
 
 import (
 	"errors"
--- a/internal/front/benchmark_test.go
+++ b/internal/frontend/benchmark_test.go
@@ -1,4 +1,4 @@
-package front
+package frontend
 
 import (
 	"bufio"
@@ -11,14 +11,14 @@
 
 	"fawnplank/internal/backend"
 	"fawnplank/internal/config"
-	"fawnplank/internal/facade"
+	"fawnplank/internal/dispatch"
 	"fawnplank/policy"
 )
 
 // BenchmarkFront_Request measures one request from a client's connection through the decisions to a backend on loopback
 // in the same process, and its answer's way back. The allocations are the whole process's; the stand-in makes none.
 func BenchmarkFront_Request(b *testing.B) {
-	f := facade.New()
+	f := dispatch.New()
 	pool := backend.New(50, 200*time.Millisecond, 10*time.Second, f.Probed)
 	f.Run(9, terms, nil, pool, nil)
 	b.Cleanup(f.Stop)
--- a/internal/front/crossings_test.go
+++ b/internal/frontend/crossings_test.go
@@ -1,4 +1,4 @@
-package front
+package frontend
 
 import (
 	"bufio"
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"fawnplank/internal/room"
+	"fawnplank/internal/membudget"
 	"fawnplank/policy"
 )
 
@@ -190,7 +190,7 @@
 		"error": {"*x\r\n" + words("PING"), func(c *client) bool { return len(c.line) == 2 }},
 	} {
 		t.Run(name, func(t *testing.T) {
-			h := open(t, 10, nil, func(s *Server) { s.Room = room.New(1) }) // none for a large command
+			h := open(t, 10, nil, func(s *Server) { s.Room = membudget.New(1) }) // none for a large command
 			conn, _ := h.dial()
 			io.WriteString(conn, query("1", lookup))
 			shot := h.next()
--- a/internal/front/front.go
+++ b/internal/frontend/frontend.go
@@ -2,7 +2,7 @@
 // each; it parses commands in place, takes transactions at the facade and carries out the steps picked there.
 // It must never decide what becomes of a transaction, never leave a taken one without its one answer, and take
 // none whose head is not in order.
-package front
+package frontend
 
 import (
 	"bytes"
@@ -21,11 +21,11 @@
 
 	"fawnplank/internal/backend"
 	"fawnplank/internal/config"
-	"fawnplank/internal/facade"
-	"fawnplank/internal/logs"
+	"fawnplank/internal/dispatch"
+	"fawnplank/internal/logging"
+	"fawnplank/internal/membudget"
 	"fawnplank/internal/metrics"
 	"fawnplank/internal/resp"
-	"fawnplank/internal/room"
 	"fawnplank/internal/sock"
 	"fawnplank/policy"
 )
@@ -58,7 +58,7 @@
 
 // Server serves clients.
 type Server struct {
-	facade  *facade.Facade
+	facade  *dispatch.Facade
 	pool    *backend.Pool
 	start   atomic.Pointer[config.Start] // its names of profiles and plans change at a reload
 	most    int                          // connections at once
@@ -71,7 +71,7 @@
 	serving atomic.Bool
 	ids     map[string]struct{} // of the open transactions
 	Figures *metrics.Figures    // counted here: transactions taken, open and answered
-	Room    *room.Room          // for large commands, beside the backends' large answers
+	Room    *membudget.Room     // for large commands, beside the backends' large answers
 	Ledger  Ledger              // nil: nobody asks what was used
 	// drained is when the drain began, in Unix ns; 0: there is none. closing: Close was called.
 	drained atomic.Int64
@@ -117,7 +117,7 @@
 func (s *Server) Draining() bool { return s.drained.Load() != 0 }
 
 // New makes a server of at most so many connections.
-func New(f *facade.Facade, pool *backend.Pool, start *config.Start, most int) *Server {
+func New(f *dispatch.Facade, pool *backend.Pool, start *config.Start, most int) *Server {
 	s := &Server{facade: f, pool: pool, most: most, slowest: time.Second,
 		clients: map[*client]struct{}{}, ids: map[string]struct{}{}}
 	// Usual clients hold at most a third of the descriptors. Where they leave their connections open and open a
@@ -149,7 +149,7 @@
 			return nil
 		}
 		if err != nil {
-			logs.For("front").WithError(err).Warn("accept failed")
+			logging.For("front").WithError(err).Warn("accept failed")
 			time.Sleep(10 * time.Millisecond) // out of descriptors: some are freed soon
 			continue
 		}
@@ -327,7 +327,7 @@
 // command is one command, with its answer once there is one.
 type command struct {
 	client  *client
-	t       *facade.Transaction // nil: answered at once
+	t       *dispatch.Transaction // nil: answered at once
 	profile policy.ProfileID
 	id      string
 	raw     []byte
@@ -522,7 +522,7 @@
 	defer c.leave()
 	defer func() {
 		if x := recover(); x != nil {
-			logs.Panicked("front", x, debug.Stack())
+			logging.Panicked("front", x, debug.Stack())
 		}
 	}()
 	buf, held := make([]byte, 4096), 0
@@ -824,7 +824,7 @@
 func (k *command) serve() {
 	defer func() {
 		if x := recover(); x != nil {
-			logs.Panicked("front", fmt.Sprintf("transaction %s: %v", k.id, x), debug.Stack())
+			logging.Panicked("front", fmt.Sprintf("transaction %s: %v", k.id, x), debug.Stack())
 			k.t.Leave()
 			k.client.server.Figures.Ended(k.profile, metrics.Error)
 			k.client.finish(k, []byte("-ERR internal fault\r\n"))
@@ -832,16 +832,16 @@
 	}()
 	for {
 		switch step := k.t.Pick(); step.Do {
-		case facade.Send:
+		case dispatch.Send:
 			k.client.server.pool.Send(step.Shot, k.parts(step.Shot.Left()))
-		case facade.Fulfil:
+		case dispatch.Fulfil:
 			k.client.server.Figures.Ended(k.profile, metrics.Success)
 			if k.bill != nil {
 				k.client.server.Ledger.Used(k.bill.customer, k.bill.plan, k.bill.taken, k.bill.units)
 			}
 			k.client.finish(k, step.Answer)
 			return
-		case facade.Dismiss:
+		case dispatch.Dismiss:
 			k.client.server.Figures.Ended(k.profile, metrics.Overload)
 			answer := []byte("-BUSY")
 			if step.ComeBack > 0 {
@@ -849,7 +849,7 @@
 			}
 			k.client.finish(k, append(answer, "\r\n"...))
 			return
-		case facade.BreakOff:
+		case dispatch.BreakOff:
 			k.client.server.Figures.Ended(k.profile, metrics.Error)
 			k.client.finish(k, []byte("-ERR failed\r\n"))
 			return
--- a/internal/front/front_test.go
+++ b/internal/frontend/frontend_test.go
@@ -1,4 +1,4 @@
-package front
+package frontend
 
 import (
 	"bufio"
@@ -16,10 +16,10 @@
 
 	"fawnplank/internal/backend"
 	"fawnplank/internal/config"
-	"fawnplank/internal/facade"
+	"fawnplank/internal/dispatch"
+	"fawnplank/internal/membudget"
 	"fawnplank/internal/metrics"
 	"fawnplank/internal/resp"
-	"fawnplank/internal/room"
 	"fawnplank/policy"
 )
 
@@ -35,7 +35,7 @@
 type house struct {
 	t      *testing.T
 	server *Server
-	facade *facade.Facade
+	facade *dispatch.Facade
 	pool   *backend.Pool
 	at     net.Listener
 	heard  chan heard
@@ -53,7 +53,7 @@
 // open builds a house; for each command that a backend hears, it sends on heard, or calls hear where given. set changes
 // the server before it serves.
 func open(t *testing.T, most int, hear func(heard), set ...func(*Server)) *house {
-	h := &house{t: t, facade: facade.New(), heard: make(chan heard, 100), ended: map[net.Conn]bool{}}
+	h := &house{t: t, facade: dispatch.New(), heard: make(chan heard, 100), ended: map[net.Conn]bool{}}
 	if hear == nil {
 		hear = func(c heard) { h.heard <- c }
 	}
@@ -724,7 +724,7 @@
 	const most = 10 << 20 // two large commands at a time
 	h := open(t, 10, func(c heard) {
 		c.answer("*3\r\n$" + strconv.Itoa(4<<20) + "\r\n" + strings.Repeat("v", 4<<20) + "\r\n$-1\r\n$-1\r\n")
-	}, func(s *Server) { s.Room = room.New(most) })
+	}, func(s *Server) { s.Room = membudget.New(most) })
 	clients := 2
 	body := strings.Repeat("b", 4<<20)
 	list := "c=lookup,t=team,d=1900"
--- a/internal/lab/accounts/accounts.go
+++ b/internal/lab/accounts/accounts.go
@@ -19,13 +19,13 @@
 	"text/tabwriter"
 	"time"
 
-	"fawnplank/internal/billd"
+	"fawnplank/internal/authz"
 	"fawnplank/internal/billing"
-	"fawnplank/internal/certs"
-	"fawnplank/internal/lab/authority"
-	"fawnplank/internal/limitd"
-	"fawnplank/internal/rights"
+	"fawnplank/internal/billingservice"
+	"fawnplank/internal/lab/testca"
+	"fawnplank/internal/limitserver"
 	"fawnplank/internal/store"
+	"fawnplank/internal/tlsconfig"
 )
 
 // Cost is what was measured. Times are milliseconds, but for the last.
@@ -62,9 +62,9 @@
 		return c, err
 	}
 	defer os.RemoveAll(folder)
-	var source *certs.Source
+	var source *tlsconfig.Source
 	if secure {
-		a, err := authority.New("laboratory")
+		a, err := testca.New("laboratory")
 		if err != nil {
 			return c, err
 		}
@@ -72,7 +72,7 @@
 		if err != nil {
 			return c, err
 		}
-		if source, err = certs.New(files); err != nil {
+		if source, err = tlsconfig.New(files); err != nil {
 			return c, err
 		}
 	}
@@ -88,14 +88,14 @@
 		}
 		peers = append(peers, store.Peer{ID: id, Raft: at, API: api})
 	}
-	var desks []*billd.Desk
+	var desks []*billingservice.Desk
 	for _, p := range peers {
 		s, err := store.Open(store.Options{Dir: filepath.Join(folder, p.ID), Me: p, Peers: peers, TLS: source})
 		if err != nil {
 			return c, err
 		}
 		defer s.Close()
-		d := billd.Start(billd.Options{Replica: s, Door: p.ID, Terms: terms, Every: time.Second})
+		d := billingservice.Start(billingservice.Options{Replica: s, Door: p.ID, Terms: terms, Every: time.Second})
 		defer d.Close()
 		desks = append(desks, d)
 	}
@@ -106,8 +106,8 @@
 	if secure {
 		l = tls.NewListener(l, source.Server())
 	}
-	server := limitd.New(nil, limitd.Names{}, clients+8)
-	server.Accounts, server.Keys = desks[0], map[string]rights.Key{"lab": {Secret: []byte("laboratory"), Rights: rights.Read | rights.Reserve | rights.Change}}
+	server := limitserver.New(nil, limitserver.Names{}, clients+8)
+	server.Accounts, server.Keys = desks[0], map[string]authz.Key{"lab": {Secret: []byte("laboratory"), Rights: authz.Read | authz.Reserve | authz.Change}}
 	go server.Serve(l)
 	defer server.Close()
 	if err := c.commands(ctx, l.Addr().String(), source, span); err != nil {
@@ -130,7 +130,7 @@
 func gestoria(n int) string { return fmt.Sprintf("%016x", n) }
 
 // commands has clients reserve and commit, each for gestorías of its own.
-func (c *Cost) commands(ctx context.Context, at string, source *certs.Source, span time.Duration) error {
+func (c *Cost) commands(ctx context.Context, at string, source *tlsconfig.Source, span time.Duration) error {
 	var mu sync.Mutex
 	var all []time.Duration
 	var failed error
@@ -156,7 +156,7 @@
 
 func ms(d time.Duration) float64 { return float64(d) / 1e6 }
 
-func client(ctx context.Context, n int, at string, source *certs.Source, ready time.Time, span time.Duration) (all []time.Duration, err error) {
+func client(ctx context.Context, n int, at string, source *tlsconfig.Source, ready time.Time, span time.Duration) (all []time.Duration, err error) {
 	conn, err := net.Dial("tcp", at)
 	if err != nil {
 		return nil, err
@@ -221,8 +221,8 @@
 }
 
 // returns leaves reservations alone, and times their return.
-func (c *Cost) returns(ctx context.Context, d *billd.Desk) error {
-	c.Bound = ms(skew + billd.Sweep)
+func (c *Cost) returns(ctx context.Context, d *billingservice.Desk) error {
+	c.Bound = ms(skew + billingservice.Sweep)
 	for n := range 5 {
 		g := gestoria(0xf000 + n)
 		h, err := d.Reserve(g, "left", "lab", "team", 1e6, 200*time.Millisecond)
--- a/internal/lab/names/names.go
+++ b/internal/lab/dnsbench/dnsbench.go
@@ -1,7 +1,7 @@
 // Package names measures a front door's name server alone, in this process and on loopback: how long a zone takes to
 // load, how long an update takes from its sending until the list is told and until it is answered, and how many
 // are done a second. The zone's journal is on whatever disk holds the folder for temporary files.
-package names
+package dnsbench
 
 import (
 	"context"
@@ -17,8 +17,8 @@
 
 	"github.com/miekg/dns"
 
-	"fawnplank/internal/dnsd"
-	"fawnplank/internal/zone"
+	"fawnplank/internal/dnsserver"
+	"fawnplank/internal/dnszone"
 )
 
 // Cost is what a zone of one size costs. Times are milliseconds.
@@ -59,7 +59,7 @@
 	if err := os.WriteFile(secret, []byte(base64.StdEncoding.EncodeToString([]byte("secret of the laboratory"))), 0o600); err != nil {
 		return nil, err
 	}
-	key, err := dnsd.ReadKey("lab.", "hmac-sha256", secret)
+	key, err := dnsserver.ReadKey("lab.", "hmac-sha256", secret)
 	if err != nil {
 		return nil, err
 	}
@@ -73,21 +73,21 @@
 	return all, nil
 }
 
-func measure(ctx context.Context, folder string, key dnsd.Key, n, updates int, span time.Duration) (c Cost, err error) {
+func measure(ctx context.Context, folder string, key dnsserver.Key, n, updates int, span time.Duration) (c Cost, err error) {
 	c.Backends = n
-	o := dnsd.Options{Settings: zone.Settings{Origin: origin, Service: service}, Listen: "127.0.0.1:0", Keys: []dnsd.Key{key}, Rate: 1e6,
+	o := dnsserver.Options{Settings: dnszone.Settings{Origin: origin, Service: service}, Listen: "127.0.0.1:0", Keys: []dnsserver.Key{key}, Rate: 1e6,
 		File: filepath.Join(folder, fmt.Sprint(n, ".zone")), Journal: filepath.Join(folder, fmt.Sprint(n, ".journal"))}
 	if err := os.WriteFile(o.File, []byte(text(n)), 0o600); err != nil {
 		return c, err
 	}
 	began := time.Now()
-	if _, _, err := dnsd.ReadFile(o.File, o.Settings); err != nil {
+	if _, _, err := dnsserver.ReadFile(o.File, o.Settings); err != nil {
 		return c, err
 	}
 	c.Load = ms(time.Since(began))
 	var told atomic.Int64
-	o.Tell = func([]zone.Backend, []string, bool) { told.Store(time.Now().UnixNano()) }
-	s, err := dnsd.Start(o)
+	o.Tell = func([]dnszone.Backend, []string, bool) { told.Store(time.Now().UnixNano()) }
+	s, err := dnsserver.Start(o)
 	if err != nil {
 		return c, err
 	}
@@ -134,7 +134,7 @@
 	c.PerSecond = float64(done.Load()) / time.Since(began).Seconds()
 	s.Close()
 	began = time.Now()
-	if s, err = dnsd.Start(o); err != nil {
+	if s, err = dnsserver.Start(o); err != nil {
 		return c, err
 	}
 	c.Start = ms(time.Since(began))
@@ -143,7 +143,7 @@
 
 // send withdraws backend i, or brings it. The number is the message's: two that are the same in all bytes in the same
 // second have one signature, and the second is taken for a replay, as chance would have it among thousands.
-func send(at string, key dnsd.Key, number uint16, i int, withdraw bool) error {
+func send(at string, key dnsserver.Key, number uint16, i int, withdraw bool) error {
 	m := new(dns.Msg).SetUpdate(origin)
 	m.Id = number
 	for _, x := range []string{fmt.Sprintf("%s 30 SRV 0 100 7000 n%d.lab.", service, i), fmt.Sprintf("n%d.lab. 30 A 127.%d.%d.%d", i, 1+i/62500, i/250%250, 1+i%250)} {
@@ -157,7 +157,7 @@
 			m.Insert([]dns.RR{rr})
 		}
 	}
-	return dnsd.Send(m, at, key, 5*time.Second)
+	return dnsserver.Send(m, at, key, 5*time.Second)
 }
 
 func ms(d time.Duration) float64 { return float64(d) / 1e6 }
--- a/internal/lab/emu/backend.go
+++ b/internal/lab/emulator/backend.go
@@ -1,4 +1,4 @@
-package emu
+package emulator
 
 import (
 	"fmt"
@@ -11,7 +11,7 @@
 
 	"github.com/tidwall/redcon"
 
-	"fawnplank/internal/lab/rules"
+	"fawnplank/internal/lab/invariants"
 	"fawnplank/internal/lab/scenario"
 	"fawnplank/policy"
 )
@@ -37,7 +37,7 @@
 // job is a shot that has come whole.
 type job struct {
 	conn  *peer
-	try   rules.TryID
+	try   invariants.TryID
 	work  time.Duration
 	begin chan struct{} // closed when a core is free
 }
@@ -129,10 +129,10 @@
 			}
 		}
 	}
-	e, j := b.e, &job{conn: p, try: rules.TryID(id), begin: make(chan struct{})}
+	e, j := b.e, &job{conn: p, try: invariants.TryID(id), begin: make(chan struct{})}
 	b.mu.Lock()
 	work := b.e.people.Work(b.chance, units)
-	e.log.See(rules.Event{Kind: rules.Arrived, Try: j.try, Backend: b.n, Started: b.started, Work: work / 1e9})
+	e.log.See(invariants.Event{Kind: invariants.Arrived, Try: j.try, Backend: b.n, Started: b.started, Work: work / 1e9})
 	j.work = time.Duration(work * b.factor / b.share())
 	life := b.life
 	switch {
@@ -141,7 +141,7 @@
 		return "", false
 	case b.drain > 0, b.busy >= e.s.Backends.Cores && len(b.line) >= e.s.Backends.Queue:
 		b.mu.Unlock()
-		e.log.See(rules.Event{Kind: rules.TurnedAway, Try: j.try, Backend: b.n})
+		e.log.See(invariants.Event{Kind: invariants.TurnedAway, Try: j.try, Backend: b.n})
 		return "-BUSY\r\n", false
 	case b.busy < e.s.Backends.Cores:
 		b.busy++
--- a/internal/lab/emu/counter.go
+++ b/internal/lab/emulator/counter.go
@@ -1,4 +1,4 @@
-package emu
+package emulator
 
 import (
 	"bufio"
--- a/internal/lab/emu/discovery.go
+++ b/internal/lab/emulator/discovery.go
@@ -1,4 +1,4 @@
-package emu
+package emulator
 
 import (
 	"encoding/json"
@@ -8,7 +8,7 @@
 	"sync"
 	"time"
 
-	"fawnplank/internal/lab/rules"
+	"fawnplank/internal/lab/invariants"
 	"fawnplank/internal/lab/scenario"
 	"fawnplank/policy"
 )
@@ -163,7 +163,7 @@
 // told notes that a door is told of a backend, before it is: what follows counts as known.
 func (d *discovery) told(door, n int) {
 	if door >= 0 {
-		d.e.log.See(rules.Event{Kind: rules.Told, Door: door, Backend: n, Stage: d.lines[n].stage, Started: d.lines[n].since})
+		d.e.log.See(invariants.Event{Kind: invariants.Told, Door: door, Backend: n, Stage: d.lines[n].stage, Started: d.lines[n].since})
 	}
 }
 
--- a/internal/lab/emu/emu.go
+++ b/internal/lab/emulator/emulator.go
@@ -1,7 +1,7 @@
 // Package emu is the laboratory's stand-ins on loopback: backends, the counter and discovery, in the platform's
 // protocol (RESP2; lines of text; HTTP), each with the faults that a scenario asks for. They note what they see.
 // Every wait in them is bounded or ends with Close, and they listen on 127.0.0.1 alone.
-package emu
+package emulator
 
 import (
 	"encoding/json"
@@ -10,16 +10,16 @@
 	"sync"
 	"time"
 
-	"fawnplank/internal/lab/people"
-	"fawnplank/internal/lab/record"
+	"fawnplank/internal/lab/results"
 	"fawnplank/internal/lab/scenario"
+	"fawnplank/internal/lab/workload"
 )
 
 // Emu is the outside of the front doors.
 type Emu struct {
 	s         *scenario.Scenario
-	log       *record.Log
-	people    *people.People
+	log       *results.Log
+	people    *workload.People
 	backends  []*backend
 	counter   *counter
 	discovery *discovery
@@ -30,8 +30,8 @@
 }
 
 // Start starts the stand-ins. Faults begin with Play.
-func Start(s *scenario.Scenario, log *record.Log) (*Emu, error) {
-	e := &Emu{s: s, log: log, people: people.New(s), closed: make(chan struct{})}
+func Start(s *scenario.Scenario, log *results.Log) (*Emu, error) {
+	e := &Emu{s: s, log: log, people: workload.New(s), closed: make(chan struct{})}
 	for n := range s.Backends.Count {
 		b, err := newBackend(e, n)
 		if err != nil {
--- a/internal/lab/emu/emu_test.go
+++ b/internal/lab/emulator/emulator_test.go
@@ -1,4 +1,4 @@
-package emu
+package emulator
 
 import (
 	"bufio"
@@ -11,7 +11,7 @@
 	"testing"
 	"time"
 
-	"fawnplank/internal/lab/record"
+	"fawnplank/internal/lab/results"
 	"fawnplank/internal/lab/scenario"
 	"fawnplank/policy"
 )
@@ -40,7 +40,7 @@
 		t.Fatal(err)
 	}
 	terms, _ := s.Terms(0)
-	log := record.NewLog(record.New(s, terms, 0))
+	log := results.NewLog(results.New(s, terms, 0))
 	e, err := Start(s, log)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/lab/emu/names.go
+++ b/internal/lab/emulator/names.go
@@ -1,4 +1,4 @@
-package emu
+package emulator
 
 import (
 	"fmt"
@@ -8,8 +8,8 @@
 
 	"github.com/miekg/dns"
 
-	"fawnplank/internal/dnsd"
-	"fawnplank/internal/lab/rules"
+	"fawnplank/internal/dnsserver"
+	"fawnplank/internal/lab/invariants"
 	"fawnplank/policy"
 )
 
@@ -57,7 +57,7 @@
 }
 
 // Update tells front door n, at its name server's address, of changes from now on.
-func (e *Emu) Update(n int, at string, key dnsd.Key) {
+func (e *Emu) Update(n int, at string, key dnsserver.Key) {
 	go func() {
 		for {
 			select {
@@ -71,8 +71,8 @@
 }
 
 // send sends one change until it is answered. The door counts as told from the first try on: it may have done it.
-func (e *Emu) send(n int, l line, at string, key dnsd.Key) {
-	e.log.See(rules.Event{Kind: rules.Told, Door: n, Backend: l.n, Stage: l.stage, Started: l.since})
+func (e *Emu) send(n int, l line, at string, key dnsserver.Key) {
+	e.log.See(invariants.Event{Kind: invariants.Told, Door: n, Backend: l.n, Stage: l.stage, Started: l.since})
 	for {
 		select {
 		case <-e.closed:
@@ -87,7 +87,7 @@
 		} else {
 			m.Insert(records)
 		}
-		if dnsd.Send(m, at, key, time.Second) == nil {
+		if dnsserver.Send(m, at, key, time.Second) == nil {
 			e.log.Updated()
 			return
 		}
--- a/internal/lab/rules/rules.go
+++ b/internal/lab/invariants/invariants.go
@@ -1,7 +1,7 @@
 // Package rules checks the five rules of a front door from outside, from what clients, backends and discovery
 // saw, whoever produced it: the model or front doors on sockets. It is pure: events go in, in order of time,
 // and findings come out. It knows nothing of the decisions it judges.
-package rules
+package invariants
 
 import (
 	"cmp"
--- a/internal/lab/rules/rules_test.go
+++ b/internal/lab/invariants/invariants_test.go
@@ -1,4 +1,4 @@
-package rules
+package invariants
 
 import (
 	"testing"
--- a/internal/lab/load/load.go
+++ b/internal/lab/load/load.go
@@ -17,29 +17,29 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"fawnplank/internal/lab/people"
-	"fawnplank/internal/lab/record"
-	"fawnplank/internal/lab/rules"
+	"fawnplank/internal/lab/invariants"
+	"fawnplank/internal/lab/results"
 	"fawnplank/internal/lab/scenario"
+	"fawnplank/internal/lab/workload"
 )
 
 // Tool is the clients of a scenario.
 type Tool struct {
 	s      *scenario.Scenario
-	log    *record.Log
-	people *people.People
+	log    *results.Log
+	people *workload.People
 	mu     sync.Mutex // guards people's chance, idle, conns, last and lag
 	doors  []string
 	idle   [][]*conn
 	conns  int
-	last   rules.TryID
+	last   invariants.TryID
 	lag    *hdrhistogram.Histogram
 	out    sync.WaitGroup
 }
 
 // New makes the clients; doors are the front doors' addresses.
-func New(s *scenario.Scenario, log *record.Log, doors []string) *Tool {
-	return &Tool{s: s, log: log, people: people.New(s), doors: doors, idle: make([][]*conn, len(doors)),
+func New(s *scenario.Scenario, log *results.Log, doors []string) *Tool {
+	return &Tool{s: s, log: log, people: workload.New(s), doors: doors, idle: make([][]*conn, len(doors)),
 		lag: hdrhistogram.New(1, 60e6, 3)}
 }
 
@@ -128,7 +128,7 @@
 }
 
 // transaction tries until it is answered for good, as clients do: after a dismissal, and where its door died.
-func (t *Tool) transaction(a people.Ask, due time.Time) {
+func (t *Tool) transaction(a workload.Ask, due time.Time) {
 	limit := due.Add(time.Duration(a.Limit - a.At))
 	for again := 0; ; again++ {
 		t.mu.Lock()
@@ -144,13 +144,13 @@
 			t.log.Unsent()
 			return
 		}
-		if kind != rules.Dismissed && kind != rules.Left || again >= t.s.Load.Retries {
+		if kind != invariants.Dismissed && kind != invariants.Left || again >= t.s.Load.Retries {
 			return
 		}
 		t.mu.Lock()
 		wait := time.Duration(t.people.Wait(again, back))
 		t.mu.Unlock()
-		if kind == rules.Left && t.s.Profiles[a.Profile].Effect != "reissuable" || time.Until(limit) <= wait {
+		if kind == invariants.Left && t.s.Profiles[a.Profile].Effect != "reissuable" || time.Until(limit) <= wait {
 			return
 		}
 		time.Sleep(wait)
@@ -159,7 +159,7 @@
 }
 
 // try asks once. taken is false where no connection came up: then nobody has heard of it.
-func (t *Tool) try(a people.Ask, id rules.TryID, door int, due, limit time.Time, again int) (kind rules.Kind, back int64, taken bool) {
+func (t *Tool) try(a workload.Ask, id invariants.TryID, door int, due, limit time.Time, again int) (kind invariants.Kind, back int64, taken bool) {
 	asked := false
 	for fresh := false; ; fresh = true {
 		c, used, err := t.take(door, fresh)
@@ -177,7 +177,7 @@
 			t.mu.Lock()
 			t.lag.RecordValue(max(lag.Microseconds(), 1))
 			t.mu.Unlock()
-			t.log.See(rules.Event{Kind: rules.Asked, Try: id, Door: door, Customer: a.Customer, Profile: a.Profile, Plan: a.Plan,
+			t.log.See(invariants.Event{Kind: invariants.Asked, Try: id, Door: door, Customer: a.Customer, Profile: a.Profile, Plan: a.Plan,
 				Units: a.Units, Limit: int64(left), Due: int64(due.Sub(t.log.Start())), Again: again > 0})
 		}
 		c.SetDeadline(limit.Add(time.Duration(t.s.Rules.Grace) + 100*time.Millisecond))
@@ -189,14 +189,14 @@
 		if err == nil {
 			t.rest(door, c)
 			kind, back = meaning(answer)
-			t.log.See(rules.Event{Kind: kind, Try: id, Door: door})
+			t.log.See(invariants.Event{Kind: kind, Try: id, Door: door})
 			return kind, back, true
 		}
 		t.drop(c)
 		var late net.Error
 		switch {
 		case errors.As(err, &late) && late.Timeout():
-			return rules.BrokenOff, 0, true // no answer: the rules will say so
+			return invariants.BrokenOff, 0, true // no answer: the rules will say so
 		case t.log.Life(door) != life:
 			return t.lost(id, door), 0, true
 		case used && !fresh: // a door may close a connection between transactions
@@ -205,18 +205,18 @@
 			if t.log.Life(door) != life {
 				return t.lost(id, door), 0, true
 			}
-			return rules.BrokenOff, 0, true // its connection was ended under it: the rules will say so
+			return invariants.BrokenOff, 0, true // its connection was ended under it: the rules will say so
 		}
 	}
 }
 
-func (t *Tool) lost(id rules.TryID, door int) rules.Kind {
-	t.log.See(rules.Event{Kind: rules.Left, Try: id, Door: door})
-	return rules.Left
+func (t *Tool) lost(id invariants.TryID, door int) invariants.Kind {
+	t.log.See(invariants.Event{Kind: invariants.Left, Try: id, Door: door})
+	return invariants.Left
 }
 
 // command is a try in the protocol's form.
-func (t *Tool) command(a people.Ask, id rules.TryID, left time.Duration) string {
+func (t *Tool) command(a workload.Ask, id invariants.TryID, left time.Duration) string {
 	verb := "SVC.SUBMIT"
 	if t.s.Profiles[a.Profile].Effect == "reissuable" {
 		verb = "SVC.QUERY"
@@ -247,17 +247,17 @@
 	return "$" + string(value[:n]), nil
 }
 
-func meaning(answer string) (kind rules.Kind, back int64) {
+func meaning(answer string) (kind invariants.Kind, back int64) {
 	words := strings.Fields(answer)
 	switch {
 	case strings.HasPrefix(answer, "$") && answer != "$-1":
-		return rules.Fulfilled, 0
+		return invariants.Fulfilled, 0
 	case len(words) > 0 && words[0] == "-BUSY":
 		if len(words) > 1 {
 			ms, _ := strconv.ParseInt(words[1], 10, 64)
 			back = ms * 1e6
 		}
-		return rules.Dismissed, back
+		return invariants.Dismissed, back
 	}
-	return rules.BrokenOff, 0
+	return invariants.BrokenOff, 0
 }
--- a/internal/lab/model/model.go
+++ b/internal/lab/model/model.go
@@ -9,11 +9,11 @@
 	"math/rand/v2"
 	"slices"
 
-	"fawnplank/internal/due"
-	"fawnplank/internal/lab/people"
-	"fawnplank/internal/lab/record"
-	"fawnplank/internal/lab/rules"
+	"fawnplank/internal/lab/invariants"
+	"fawnplank/internal/lab/results"
 	"fawnplank/internal/lab/scenario"
+	"fawnplank/internal/lab/workload"
+	"fawnplank/internal/timerqueue"
 	"fawnplank/policy"
 )
 
@@ -24,21 +24,21 @@
 type world struct {
 	s        *scenario.Scenario
 	now      int64
-	due      due.Queue[func()]
+	due      timerqueue.Queue[func()]
 	events   uint64
-	rec      *record.Recorder
-	people   *people.People
+	rec      *results.Recorder
+	people   *workload.People
 	net      *rand.Rand
 	work     *rand.Rand
 	doors    []*door
 	backends []*backend
 	counter  counter
 	news     news
-	lastTry  rules.TryID
+	lastTry  invariants.TryID
 }
 
 // Run plays a scenario to its end, and gives its results.
-func Run(s *scenario.Scenario) (*record.Run, error) {
+func Run(s *scenario.Scenario) (*results.Run, error) {
 	w, err := newWorld(s)
 	if err != nil {
 		return nil, err
@@ -51,7 +51,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", s.Name, err)
 	}
-	w := &world{s: s, rec: record.New(s, terms, 2*int64(s.Net.Delay)), people: people.New(s),
+	w := &world{s: s, rec: results.New(s, terms, 2*int64(s.Net.Delay)), people: workload.New(s),
 		net: rand.New(rand.NewPCG(s.Seed, 2)), work: rand.New(rand.NewPCG(s.Seed, 3))}
 	w.counter = counter{w: w, numbers: map[policy.CountID]*number{}, cut: map[int]int{}}
 	for n := range s.Backends.Count {
@@ -74,7 +74,7 @@
 }
 
 // play does all that happens, in order.
-func (w *world) play() *record.Run {
+func (w *world) play() *results.Run {
 	s := w.s
 	var longest scenario.Span
 	for _, p := range s.Profiles {
@@ -131,8 +131,8 @@
 
 // try is one try of a transaction at a door.
 type try struct {
-	rules.Event
-	ask    people.Ask
+	invariants.Event
+	ask    workload.Ask
 	again  int // tries before it
 	door   *door
 	life   int
@@ -142,10 +142,10 @@
 }
 
 // ask lets a client try a transaction that it wants answered by its limit.
-func (w *world) ask(a people.Ask, due int64, again int) {
+func (w *world) ask(a workload.Ask, due int64, again int) {
 	d := w.doors[w.people.Door(a)]
 	w.lastTry++
-	t := &try{ask: a, again: again, door: d, Event: rules.Event{At: w.now, Kind: rules.Asked, Try: w.lastTry, Door: d.n,
+	t := &try{ask: a, again: again, door: d, Event: invariants.Event{At: w.now, Kind: invariants.Asked, Try: w.lastTry, Door: d.n,
 		Customer: a.Customer, Profile: a.Profile, Plan: a.Plan, Units: a.Units, Limit: a.Limit, Due: due, Again: again > 0}}
 	if d.gate == nil { // refused; another door may take it
 		w.at(w.now+2*w.hop(), func() {
@@ -169,7 +169,7 @@
 }
 
 // answer brings a final answer to the client, which may come again where it was dismissed.
-func (t *try) answer(kind rules.Kind, comeBack int64) {
+func (t *try) answer(kind invariants.Kind, comeBack int64) {
 	w := t.door.w
 	t.ended = true
 	w.at(w.now, func() { // once the gate has returned: it may have ended with no shot out
@@ -178,8 +178,8 @@
 		}
 	})
 	w.at(w.now+w.hop(), func() {
-		w.rec.See(rules.Event{At: w.now, Kind: kind, Try: t.Try, Door: t.door.n})
-		if kind != rules.Dismissed || t.again >= w.s.Load.Retries {
+		w.rec.See(invariants.Event{At: w.now, Kind: kind, Try: t.Try, Door: t.door.n})
+		if kind != invariants.Dismissed || t.again >= w.s.Load.Retries {
 			return
 		}
 		if wait := w.people.Wait(t.again, comeBack); w.now+wait < t.Limit {
@@ -195,7 +195,7 @@
 		return
 	}
 	t.ended = true
-	w.rec.See(rules.Event{At: w.now, Kind: rules.Left, Try: t.Try})
+	w.rec.See(invariants.Event{At: w.now, Kind: invariants.Left, Try: t.Try})
 	if t.again < w.s.Load.Retries && w.s.Profiles[t.Profile].Effect == "reissuable" && w.now < t.Limit {
 		w.at(w.now+2*w.hop(), func() { w.ask(t.ask, w.now, t.again+1) })
 	}
@@ -229,7 +229,7 @@
 
 // told notes that the door is told of a backend, and gives the list's line.
 func (d *door) told(b *backend) policy.Listed {
-	d.w.rec.See(rules.Event{At: d.w.now, Kind: rules.Told, Door: d.n, Backend: b.n, Stage: b.stage, Started: b.started})
+	d.w.rec.See(invariants.Event{At: d.w.now, Kind: invariants.Told, Door: d.n, Backend: b.n, Stage: b.stage, Started: b.started})
 	l := policy.Listed{Backend: policy.BackendID(b.n + 1), Zone: policy.ZoneID(b.n % d.w.s.Backends.Zones),
 		Group: policy.GroupID(b.n % d.w.s.Backends.Groups), Size: 1, Stage: b.stage}
 	if b.started > 0 {
@@ -241,7 +241,7 @@
 func (d *door) die() {
 	d.life++
 	d.gate = nil
-	d.w.rec.See(rules.Event{At: d.w.now, Kind: rules.DoorDied, Door: d.n})
+	d.w.rec.See(invariants.Event{At: d.w.now, Kind: invariants.DoorDied, Door: d.n})
 	ids := make([]policy.TransactionID, 0, len(d.open))
 	for id := range d.open {
 		ids = append(ids, id)
@@ -280,7 +280,7 @@
 	}
 	s := &shot{t: t, n: policy.ShotID(len(t.shots)), to: w.backends[b-1], sent: w.now}
 	t.shots = append(t.shots, s)
-	w.rec.See(rules.Event{At: w.now, Kind: rules.Sent, Try: t.Try, Door: d.n, Backend: s.to.n})
+	w.rec.See(invariants.Event{At: w.now, Kind: invariants.Sent, Try: t.Try, Door: d.n, Backend: s.to.n})
 	w.at(until, func() { s.settle(policy.TimedOut) })
 	w.at(w.now+w.hop(), func() { s.to.arrive(s) })
 }
@@ -296,11 +296,11 @@
 
 // Dismiss gives a final answer.
 func (d *door) Dismiss(id policy.TransactionID, comeBack int64) {
-	d.open[id].answer(rules.Dismissed, comeBack)
+	d.open[id].answer(invariants.Dismissed, comeBack)
 }
 
 // BreakOff gives a final answer.
-func (d *door) BreakOff(id policy.TransactionID) { d.open[id].answer(rules.BrokenOff, 0) }
+func (d *door) BreakOff(id policy.TransactionID) { d.open[id].answer(invariants.BrokenOff, 0) }
 
 // Grant is never called: scenarios have no profile that only counts.
 func (d *door) Grant(policy.TransactionID) {}
@@ -362,7 +362,7 @@
 	}
 	s.settled, s.dropped = true, true
 	if o == policy.Fulfilled && !t.ended {
-		t.answer(rules.Fulfilled, 0)
+		t.answer(invariants.Fulfilled, 0)
 	}
 	t.handle.Settled(base+w.now, s.n, o, w.now-s.sent, t.ended, 0)
 	t.door.keep(t)
@@ -404,12 +404,12 @@
 		return
 	}
 	s.work = w.people.Work(w.work, s.t.Units)
-	w.rec.See(rules.Event{At: w.now, Kind: rules.Arrived, Try: s.t.Try, Door: s.t.door.n, Backend: b.n, Started: b.started,
+	w.rec.See(invariants.Event{At: w.now, Kind: invariants.Arrived, Try: s.t.Try, Door: s.t.door.n, Backend: b.n, Started: b.started,
 		Work: s.work / 1e9})
 	switch {
 	case b.hang > 0:
 	case b.drain > 0, len(b.running) >= w.s.Backends.Cores && len(b.line) >= w.s.Backends.Queue:
-		w.rec.See(rules.Event{At: w.now, Kind: rules.TurnedAway, Try: s.t.Try, Backend: b.n})
+		w.rec.See(invariants.Event{At: w.now, Kind: invariants.TurnedAway, Try: s.t.Try, Backend: b.n})
 		w.at(w.now+w.hop(), func() { s.settle(policy.Rejected) })
 	case len(b.running) < w.s.Backends.Cores:
 		b.begin(s)
--- a/internal/lab/model/model_test.go
+++ b/internal/lab/model/model_test.go
@@ -5,8 +5,8 @@
 	"fmt"
 	"testing"
 
-	"fawnplank/internal/lab/record"
-	"fawnplank/internal/lab/rules"
+	"fawnplank/internal/lab/invariants"
+	"fawnplank/internal/lab/results"
 	"fawnplank/internal/lab/scenario"
 	"fawnplank/policy"
 )
@@ -59,7 +59,7 @@
 	return s
 }
 
-func play(t testing.TB, add string, over ...string) *record.Run {
+func play(t testing.TB, add string, over ...string) *results.Run {
 	t.Helper()
 	run, err := Run(parse(t, add, over...))
 	if err != nil {
@@ -89,21 +89,21 @@
 	if calm.Broken() > 0 || calm.Total.Fulfilled < 9*calm.Total.Transactions/10 || calm.Total.Failed > 0 {
 		t.Fatalf("calm: %+v %v", calm.Total, calm.Findings)
 	}
-	grown := func(of func(record.Total) float64, by float64) func(r *record.Run) bool {
-		return func(r *record.Run) bool { return of(r.Total) >= of(calm.Total)+by }
+	grown := func(of func(results.Total) float64, by float64) func(r *results.Run) bool {
+		return func(r *results.Run) bool { return of(r.Total) >= of(calm.Total)+by }
 	}
-	shots := func(t record.Total) float64 { return float64(t.Shots) }
-	unfulfilled := func(t record.Total) float64 { return float64(t.Transactions - t.Fulfilled) }
-	failed := func(t record.Total) float64 { return float64(t.Failed) }
-	same := func(r *record.Run) bool { return r.Total.Fulfilled >= calm.Total.Fulfilled*95/100 }
+	shots := func(t results.Total) float64 { return float64(t.Shots) }
+	unfulfilled := func(t results.Total) float64 { return float64(t.Transactions - t.Fulfilled) }
+	failed := func(t results.Total) float64 { return float64(t.Failed) }
+	same := func(r *results.Run) bool { return r.Total.Fulfilled >= calm.Total.Fulfilled*95/100 }
 	for _, x := range []struct {
 		kind scenario.Kind
 		more string
-		show func(r *record.Run) bool
+		show func(r *results.Run) bool
 	}{
 		{scenario.BackendRefuse, "share = 1", grown(unfulfilled, 200)},
 		{scenario.BackendHang, "share = 1", grown(unfulfilled, 200)},
-		{scenario.BackendSlow, "share = 1\nfactor = 20", grown(func(t record.Total) float64 { return t.P99 }, 100)},
+		{scenario.BackendSlow, "share = 1\nfactor = 20", grown(func(t results.Total) float64 { return t.P99 }, 100)},
 		{scenario.BackendReset, "share = 1", grown(unfulfilled, 200)},
 		{scenario.BackendGarble, "share = 1", grown(unfulfilled, 200)},
 		{scenario.BackendError, "share = 1", grown(unfulfilled, 200)},
@@ -118,7 +118,7 @@
 		{scenario.DiscoveryStale, "", same},
 		{scenario.DiscoveryRefuse, "", same},
 		{scenario.DiscoveryLate, "delay = \"1s\"", same},
-		{scenario.DoorRestart, "share = 1", grown(func(t record.Total) float64 { return float64(t.Left + t.Unsent) }, 100)},
+		{scenario.DoorRestart, "share = 1", grown(func(t results.Total) float64 { return float64(t.Left + t.Unsent) }, 100)},
 	} {
 		run := play(t, fmt.Sprintf("[[fault]]\nkind = %q\nat = \"4s\"\nfor = \"3s\"\n%s\n", x.kind, x.more))
 		if !x.show(run) {
@@ -167,7 +167,7 @@
 			}
 		},
 		"3": func(w *world, d *door) { // sends go to a backend that drains
-			w.rec.See(rules.Event{At: w.now, Kind: rules.Told, Door: d.n, Backend: 0, Stage: policy.Draining})
+			w.rec.See(invariants.Event{At: w.now, Kind: invariants.Told, Door: d.n, Backend: 0, Stage: policy.Draining})
 		},
 	} {
 		s := parse(t, "")
@@ -191,7 +191,7 @@
 }
 
 // hooked plays a scenario in which something is done at a time.
-func hooked(s *scenario.Scenario, at int64, do func(w *world)) *record.Run {
+func hooked(s *scenario.Scenario, at int64, do func(w *world)) *results.Run {
 	w, err := newWorld(s)
 	if err != nil {
 		panic(err)
--- a/internal/lab/plots/costs.go
+++ b/internal/lab/plots/costs.go
@@ -11,32 +11,32 @@
 	"gonum.org/v1/plot/vg"
 	"gonum.org/v1/plot/vg/draw"
 
-	"fawnplank/internal/lab/names"
+	"fawnplank/internal/lab/dnsbench"
 )
 
 // Costs draws what zones of several sizes cost, into a PNG or SVG file.
-func Costs(path string, all []names.Cost) error {
+func Costs(path string, all []dnsbench.Cost) error {
 	grid := make([][]*plot.Plot, 3)
 	for i, p := range []struct {
 		title, unit string
 		curves      []struct {
 			name  string
-			value func(names.Cost) float64
+			value func(dnsbench.Cost) float64
 		}
 	}{
 		{"a start", "ms", []struct {
 			name  string
-			value func(names.Cost) float64
-		}{{"zone file", func(c names.Cost) float64 { return c.Load }}, {"journal", func(c names.Cost) float64 { return c.Start }}}},
+			value func(dnsbench.Cost) float64
+		}{{"zone file", func(c dnsbench.Cost) float64 { return c.Load }}, {"journal", func(c dnsbench.Cost) float64 { return c.Start }}}},
 		{"an update, from its sending", "ms", []struct {
 			name  string
-			value func(names.Cost) float64
-		}{{"list told, p50", func(c names.Cost) float64 { return c.ToldP50 }}, {"list told, p99", func(c names.Cost) float64 { return c.ToldP99 }},
-			{"answered, p50", func(c names.Cost) float64 { return c.DoneP50 }}, {"answered, p99", func(c names.Cost) float64 { return c.DoneP99 }}}},
+			value func(dnsbench.Cost) float64
+		}{{"list told, p50", func(c dnsbench.Cost) float64 { return c.ToldP50 }}, {"list told, p99", func(c dnsbench.Cost) float64 { return c.ToldP99 }},
+			{"answered, p50", func(c dnsbench.Cost) float64 { return c.DoneP50 }}, {"answered, p99", func(c dnsbench.Cost) float64 { return c.DoneP99 }}}},
 		{"updates a second, eight updaters", "a second", []struct {
 			name  string
-			value func(names.Cost) float64
-		}{{"done", func(c names.Cost) float64 { return c.PerSecond }}}},
+			value func(dnsbench.Cost) float64
+		}{{"done", func(c dnsbench.Cost) float64 { return c.PerSecond }}}},
 	} {
 		plt := plot.New()
 		plt.Title.Text, plt.X.Label.Text, plt.Y.Label.Text = p.title, "backends", p.unit
@@ -74,7 +74,7 @@
 }
 
 // CostTable writes them as a table.
-func CostTable(w io.Writer, all []names.Cost) error {
+func CostTable(w io.Writer, all []dnsbench.Cost) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "backends\tfile, ms\tjournal, ms\ttold p50, ms\ttold p99, ms\tanswered p50, ms\tanswered p99, ms\tupdates a second")
 	for _, c := range all {
--- a/internal/lab/plots/plots.go
+++ b/internal/lab/plots/plots.go
@@ -21,7 +21,7 @@
 	"gonum.org/v1/plot/vg/vgimg"
 	"gonum.org/v1/plot/vg/vgsvg"
 
-	"fawnplank/internal/lab/record"
+	"fawnplank/internal/lab/results"
 )
 
 // Okabe and Ito's colours, told apart by most eyes.
@@ -38,7 +38,7 @@
 type curve struct {
 	name  string
 	paint color.Color
-	value func(r record.Row) float64
+	value func(r results.Row) float64
 	sum   bool // add up over time
 }
 
@@ -50,24 +50,24 @@
 
 var panels = []panel{
 	{"answers a second", "tries", []curve{
-		{"fulfilled", green, func(r record.Row) float64 { return float64(r.Fulfilled) }, false},
-		{"dismissed", orange, func(r record.Row) float64 { return float64(r.Dismissed) }, false},
-		{"broken off", red, func(r record.Row) float64 { return float64(r.BrokenOff) }, false},
-		{"left, unsent", purple, func(r record.Row) float64 { return float64(r.Left + r.Unsent) }, false}}},
+		{"fulfilled", green, func(r results.Row) float64 { return float64(r.Fulfilled) }, false},
+		{"dismissed", orange, func(r results.Row) float64 { return float64(r.Dismissed) }, false},
+		{"broken off", red, func(r results.Row) float64 { return float64(r.BrokenOff) }, false},
+		{"left, unsent", purple, func(r results.Row) float64 { return float64(r.Left + r.Unsent) }, false}}},
 	{"latency", "ms", []curve{
-		{"p50", green, func(r record.Row) float64 { return r.P50 }, false},
-		{"p99", red, func(r record.Row) float64 { return r.P99 }, false}}},
+		{"p50", green, func(r results.Row) float64 { return r.P50 }, false},
+		{"p99", red, func(r results.Row) float64 { return r.P99 }, false}}},
 	{"the counter", "calls, doors", []curve{
-		{"calls a second", blue, func(r record.Row) float64 { return float64(r.Calls) }, false},
-		{"failed", red, func(r record.Row) float64 { return float64(r.Failed) }, false},
-		{"doors not calling", purple, func(r record.Row) float64 { return float64(r.Open) }, false}}},
+		{"calls a second", blue, func(r results.Row) float64 { return float64(r.Calls) }, false},
+		{"failed", red, func(r results.Row) float64 { return float64(r.Failed) }, false},
+		{"doors not calling", purple, func(r results.Row) float64 { return float64(r.Open) }, false}}},
 	{"drift of customers' counts from an honest counter's", "units", []curve{
-		{"had more", red, func(r record.Row) float64 { return r.DriftOver }, false},
-		{"had less", orange, func(r record.Row) float64 { return r.DriftLess }, false}}},
+		{"had more", red, func(r results.Row) float64 { return r.DriftOver }, false},
+		{"had less", orange, func(r results.Row) float64 { return r.DriftLess }, false}}},
 }
 
 // points are a curve's values over time.
-func (c curve) points(run *record.Run) plotter.XYs {
+func (c curve) points(run *results.Run) plotter.XYs {
 	var all plotter.XYs
 	sum := 0.0
 	for _, r := range run.Rows {
@@ -82,7 +82,7 @@
 }
 
 // title names a run.
-func title(r *record.Run) string {
+func title(r *results.Run) string {
 	if r.Label != "" {
 		return r.Scenario + ", " + r.Label
 	}
@@ -90,7 +90,7 @@
 }
 
 // build makes the columns of plots, a row a panel and the percentiles last.
-func build(runs []*record.Run) ([][]*plot.Plot, error) {
+func build(runs []*results.Run) ([][]*plot.Plot, error) {
 	grid := make([][]*plot.Plot, len(panels)+1)
 	for i, p := range panels {
 		top, end := 0.0, 0.0
@@ -183,7 +183,7 @@
 }
 
 // Draw draws one run, or several side by side, into a PNG or SVG file.
-func Draw(path string, runs ...*record.Run) error {
+func Draw(path string, runs ...*results.Run) error {
 	if len(runs) == 0 || len(runs) > 4 {
 		return fmt.Errorf("%d runs: one to four stand side by side", len(runs))
 	}
@@ -215,18 +215,18 @@
 }
 
 // Table writes the runs' totals side by side, and what rules were found broken.
-func Table(w io.Writer, runs ...*record.Run) error {
+func Table(w io.Writer, runs ...*results.Run) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
-	row := func(name string, value func(*record.Run) string) {
+	row := func(name string, value func(*results.Run) string) {
 		fmt.Fprint(t, name)
 		for _, r := range runs {
 			fmt.Fprint(t, "\t", value(r))
 		}
 		fmt.Fprintln(t)
 	}
-	seen := func(value func(*record.Run) string) func(*record.Run) string {
-		return func(r *record.Run) string {
-			if r.On == record.OnClients {
+	seen := func(value func(*results.Run) string) func(*results.Run) string {
+		return func(r *results.Run) string {
+			if r.On == results.OnClients {
 				return "not seen by clients"
 			}
 			return value(r)
@@ -234,38 +234,38 @@
 	}
 	percent := func(part, all float64) string { return fmt.Sprintf("%.1f%%", 100*part/math.Max(all, 1)) }
 	row("run", title)
-	row("played on", func(r *record.Run) string {
+	row("played on", func(r *results.Run) string {
 		return fmt.Sprintf("%s, %d doors, %d backends, seed %d", r.On, r.Doors, r.Backends, r.Seed)
 	})
-	row("transactions, tries", func(r *record.Run) string { return fmt.Sprint(r.Total.Transactions, ", ", r.Total.Asked) })
-	row("fulfilled, of transactions", func(r *record.Run) string {
+	row("transactions, tries", func(r *results.Run) string { return fmt.Sprint(r.Total.Transactions, ", ", r.Total.Asked) })
+	row("fulfilled, of transactions", func(r *results.Run) string {
 		return percent(float64(r.Total.Fulfilled), float64(r.Total.Transactions+r.Total.Unsent))
 	})
-	row("late, of fulfilled", func(r *record.Run) string { return percent(float64(r.Total.Late), float64(r.Total.Fulfilled)) })
-	row("dismissed, broken off, left, unsent", func(r *record.Run) string {
+	row("late, of fulfilled", func(r *results.Run) string { return percent(float64(r.Total.Late), float64(r.Total.Fulfilled)) })
+	row("dismissed, broken off, left, unsent", func(r *results.Run) string {
 		return fmt.Sprint(r.Total.Dismissed, ", ", r.Total.BrokenOff, ", ", r.Total.Left, ", ", r.Total.Unsent)
 	})
-	row("p50, p90, p99, p99.9, most, ms", func(r *record.Run) string {
+	row("p50, p90, p99, p99.9, most, ms", func(r *results.Run) string {
 		return fmt.Sprintf("%.1f, %.1f, %.1f, %.1f, %.1f", r.Total.P50, r.Total.P90, r.Total.P99, r.Total.P999, r.Total.Most)
 	})
-	row("shots a fulfilled try", seen(func(r *record.Run) string {
+	row("shots a fulfilled try", seen(func(r *results.Run) string {
 		return fmt.Sprintf("%.3f", float64(r.Total.Shots)/math.Max(float64(r.Total.Fulfilled), 1))
 	}))
-	row("counter calls, failed", seen(func(r *record.Run) string { return fmt.Sprint(r.Total.Calls, ", ", r.Total.Failed) }))
-	row("withdrawn, with a shot after, p50, p99, most, ms", seen(func(r *record.Run) string {
+	row("counter calls, failed", seen(func(r *results.Run) string { return fmt.Sprint(r.Total.Calls, ", ", r.Total.Failed) }))
+	row("withdrawn, with a shot after, p50, p99, most, ms", seen(func(r *results.Run) string {
 		if r.Withdraw == nil {
 			return "none"
 		}
 		w := r.Withdraw
 		return fmt.Sprintf("%d, %d, %.1f, %.1f, %.1f", w.Count, w.WithShot, w.P50, w.P99, w.Most)
 	}))
-	row("dns updates answered", seen(func(r *record.Run) string { return fmt.Sprint(r.Updates) }))
-	row("drift: had more, had less", seen(func(r *record.Run) string {
+	row("dns updates answered", seen(func(r *results.Run) string { return fmt.Sprint(r.Updates) }))
+	row("drift: had more, had less", seen(func(r *results.Run) string {
 		over, under := r.Drift()
 		return fmt.Sprintf("%.1f%%, %.1f%%", 100*over, 100*under)
 	}))
-	row("load tool's lag p50, p99, ms", func(r *record.Run) string { return fmt.Sprintf("%.2f, %.2f", r.LagP50, r.LagP99) })
-	row("rules 1 to 5 broken", func(r *record.Run) string {
+	row("load tool's lag p50, p99, ms", func(r *results.Run) string { return fmt.Sprintf("%.2f, %.2f", r.LagP50, r.LagP99) })
+	row("rules 1 to 5 broken", func(r *results.Run) string {
 		return fmt.Sprint(r.Rules["1"], ", ", r.Rules["2"], ", ", r.Rules["3"], ", ", r.Rules["4"], ", ", r.Rules["5"])
 	})
 	if err := t.Flush(); err != nil {
@@ -280,26 +280,26 @@
 }
 
 // Sweep draws what came of a scenario as one of its figures took several values; labels are the values.
-func Sweep(path, key string, labels []string, runs []*record.Run) error {
+func Sweep(path, key string, labels []string, runs []*results.Run) error {
 	c, err := newCanvas(path, 7*vg.Inch, 7*vg.Inch)
 	if err != nil {
 		return err
 	}
 	measures := []struct {
 		title  string
-		curves map[string]func(*record.Run) float64
+		curves map[string]func(*results.Run) float64
 		order  []string
 	}{
-		{"shares, %", map[string]func(*record.Run) float64{
-			"fulfilled of transactions": func(r *record.Run) float64 {
+		{"shares, %", map[string]func(*results.Run) float64{
+			"fulfilled of transactions": func(r *results.Run) float64 {
 				return 100 * float64(r.Total.Fulfilled) / math.Max(float64(r.Total.Transactions+r.Total.Unsent), 1)
 			},
-			"had more": func(r *record.Run) float64 { over, _ := r.Drift(); return 100 * over },
-			"had less": func(r *record.Run) float64 { _, under := r.Drift(); return 100 * under },
+			"had more": func(r *results.Run) float64 { over, _ := r.Drift(); return 100 * over },
+			"had less": func(r *results.Run) float64 { _, under := r.Drift(); return 100 * under },
 		}, []string{"fulfilled of transactions", "had more", "had less"}},
-		{"latency, ms", map[string]func(*record.Run) float64{
-			"p50": func(r *record.Run) float64 { return r.Total.P50 },
-			"p99": func(r *record.Run) float64 { return r.Total.P99 },
+		{"latency, ms", map[string]func(*results.Run) float64{
+			"p50": func(r *results.Run) float64 { return r.Total.P50 },
+			"p99": func(r *results.Run) float64 { return r.Total.P99 },
 		}, []string{"p50", "p99"}},
 	}
 	paints := []color.Color{green, red, orange}
--- a/internal/lab/plots/plots_test.go
+++ b/internal/lab/plots/plots_test.go
@@ -9,12 +9,12 @@
 	"testing"
 
 	"fawnplank/internal/lab/model"
-	"fawnplank/internal/lab/record"
+	"fawnplank/internal/lab/results"
 	"fawnplank/internal/lab/scenario"
 )
 
-func runs(t *testing.T) []*record.Run {
-	var all []*record.Run
+func runs(t *testing.T) []*results.Run {
+	var all []*results.Run
 	for _, over := range []string{"load.rate=50", "load.rate=100"} {
 		s, err := scenario.Load("../../../lab/scenarios/counter-lost.toml", "on=model", over)
 		if err != nil {
@@ -47,7 +47,7 @@
 		return config.Width, config.Height
 	}
 	one, two := filepath.Join(folder, "one.png"), filepath.Join(folder, "two.png")
-	for path, these := range map[string][]*record.Run{one: all[:1], two: all, filepath.Join(folder, "two.svg"): all} {
+	for path, these := range map[string][]*results.Run{one: all[:1], two: all, filepath.Join(folder, "two.svg"): all} {
 		if err := Draw(path, these...); err != nil {
 			t.Fatal(err)
 		}
@@ -64,7 +64,7 @@
 		t.Error("no run was drawn")
 	}
 	empty := *all[0]
-	empty.Latency, empty.Rows = nil, []record.Row{{}, {Second: 1}}
+	empty.Latency, empty.Rows = nil, []results.Row{{}, {Second: 1}}
 	if err := Draw(one, &empty); err != nil { // a run in which nothing was answered
 		t.Error(err)
 	}
@@ -93,7 +93,7 @@
 	if err := all[0].Write(path); err != nil {
 		t.Fatal(err)
 	}
-	back, err := record.Read(path)
+	back, err := results.Read(path)
 	if err != nil || back.Total != all[0].Total || len(back.Rows) != len(all[0].Rows) {
 		t.Fatal(err)
 	}
@@ -101,7 +101,7 @@
 	for bad, want := range map[string]string{"": "no run", string(text[:len(text)/2]): "no run",
 		strings.Replace(string(text), `"version": 1`, `"version": 9`, 1): "form 9", `{"version":1}`: "without rows"} {
 		os.WriteFile(path, []byte(bad), 0o600)
-		if _, err := record.Read(path); err == nil || !strings.Contains(err.Error(), want) {
+		if _, err := results.Read(path); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%.30q: %v, want %q", bad, err, want)
 		}
 	}
--- a/internal/lab/record/log.go
+++ b/internal/lab/results/log.go
@@ -1,11 +1,11 @@
-package record
+package results
 
 import (
 	"sync"
 	"sync/atomic"
 	"time"
 
-	"fawnplank/internal/lab/rules"
+	"fawnplank/internal/lab/invariants"
 )
 
 // Log is a recorder on the wall clock, for many goroutines: it stamps each event as it comes in, so that all of
@@ -14,7 +14,7 @@
 	mu    sync.Mutex
 	start atomic.Pointer[time.Time] // nil: the run has not begun, and all that is seen counts as at its start
 	rec   *Recorder
-	doors map[rules.TryID]int
+	doors map[invariants.TryID]int
 	calls uint64
 	lives map[int]int
 	done  bool
@@ -22,7 +22,7 @@
 
 // NewLog makes a log.
 func NewLog(rec *Recorder) *Log {
-	return &Log{rec: rec, doors: map[rules.TryID]int{}, lives: map[int]int{}}
+	return &Log{rec: rec, doors: map[invariants.TryID]int{}, lives: map[int]int{}}
 }
 
 // Begin lets the run's time begin now.
@@ -43,7 +43,7 @@
 func (l *Log) Start() time.Time { return *l.start.Load() }
 
 // See stamps an event and takes it in. The time that it gives is the event's.
-func (l *Log) See(e rules.Event) int64 {
+func (l *Log) See(e invariants.Event) int64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	e.At = l.Now()
@@ -52,12 +52,12 @@
 	}
 	l.calls++
 	switch e.Kind {
-	case rules.Asked:
+	case invariants.Asked:
 		l.doors[e.Try] = e.Door
 		e.Limit += e.At // told as the time left
-	case rules.Arrived, rules.TurnedAway:
+	case invariants.Arrived, invariants.TurnedAway:
 		e.Door = l.doors[e.Try]
-	case rules.DoorDied:
+	case invariants.DoorDied:
 		l.lives[e.Door]++
 	}
 	l.rec.See(e)
--- a/internal/lab/record/record.go
+++ b/internal/lab/results/results.go
@@ -1,7 +1,7 @@
 // Package record turns what was seen in a run into its results: rows a second, latencies in an HDR histogram
 // (Tene's), quotas against the stores as one honest counter would keep them, and the findings of the rules. A run
 // is written as JSON and read back for reports. The package runs nothing and holds no clock.
-package record
+package results
 
 import (
 	"encoding/json"
@@ -11,7 +11,7 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"fawnplank/internal/lab/rules"
+	"fawnplank/internal/lab/invariants"
 	"fawnplank/internal/lab/scenario"
 	"fawnplank/policy"
 )
@@ -63,27 +63,27 @@
 
 // Run is the results of one run. The same scenario on the model gives the same bytes.
 type Run struct {
-	Version  int             `json:"version"`
-	Scenario string          `json:"scenario"`
-	About    string          `json:"about"`
-	On       string          `json:"on"`
-	Label    string          `json:"label,omitempty"`
-	Seed     uint64          `json:"seed"`
-	Doors    int             `json:"doors"`
-	Backends int             `json:"backends"`
-	Rate     float64         `json:"rate"`
-	Promised float64         `json:"promised_ms"` // of the first profile
-	Events   uint64          `json:"events"`
-	LagP50   float64         `json:"tool_lag_p50_ms"` // the load tool's own part of the latencies; 0 on the model
-	LagP99   float64         `json:"tool_lag_p99_ms"`
-	Total    Total           `json:"total"`
-	Latency  []Point         `json:"latency"`
-	Rules    map[string]int  `json:"rules_broken"`
-	Findings []rules.Finding `json:"findings"`
-	Withdraw *Withdrawals    `json:"withdrawals,omitempty"` // nil: nothing was withdrawn
-	Updates  int             `json:"dns_updates,omitempty"` // answered by front doors
-	Faults   []Mark          `json:"faults"`
-	Rows     []Row           `json:"rows"`
+	Version  int                  `json:"version"`
+	Scenario string               `json:"scenario"`
+	About    string               `json:"about"`
+	On       string               `json:"on"`
+	Label    string               `json:"label,omitempty"`
+	Seed     uint64               `json:"seed"`
+	Doors    int                  `json:"doors"`
+	Backends int                  `json:"backends"`
+	Rate     float64              `json:"rate"`
+	Promised float64              `json:"promised_ms"` // of the first profile
+	Events   uint64               `json:"events"`
+	LagP50   float64              `json:"tool_lag_p50_ms"` // the load tool's own part of the latencies; 0 on the model
+	LagP99   float64              `json:"tool_lag_p99_ms"`
+	Total    Total                `json:"total"`
+	Latency  []Point              `json:"latency"`
+	Rules    map[string]int       `json:"rules_broken"`
+	Findings []invariants.Finding `json:"findings"`
+	Withdraw *Withdrawals         `json:"withdrawals,omitempty"` // nil: nothing was withdrawn
+	Updates  int                  `json:"dns_updates,omitempty"` // answered by front doors
+	Faults   []Mark               `json:"faults"`
+	Rows     []Row                `json:"rows"`
 }
 
 // Withdrawals are how long after a door began to be told that a backend is gone its last new shot came there: 0
@@ -104,7 +104,7 @@
 }
 
 type open struct {
-	rules.Event
+	invariants.Event
 	arrived bool
 }
 
@@ -119,12 +119,12 @@
 // Recorder takes events in order of time, in nanoseconds since the run's start.
 type Recorder struct {
 	s       *scenario.Scenario
-	checker *rules.Checker
+	checker *invariants.Checker
 	run     *Run
 	row     Row
 	second  *hdrhistogram.Histogram
 	all     *hdrhistogram.Histogram
-	tries   map[rules.TryID]*open
+	tries   map[invariants.TryID]*open
 	stores  map[int]*store
 	gone    map[way]*last // withdrawn backends, as a door knows them
 	lasts   *hdrhistogram.Histogram
@@ -142,14 +142,14 @@
 // New makes a recorder for a scenario. slack is what the ways between the parties may take where only ends are
 // seen; ceilings and profiles are read from the terms, which front doors go by too.
 func New(s *scenario.Scenario, terms policy.Terms, slack int64) *Recorder {
-	t := rules.Terms{Profiles: terms.Profiles, Plans: terms.Plans, Grace: int64(s.Rules.Grace), Drain: int64(s.Rules.Drain),
+	t := invariants.Terms{Profiles: terms.Profiles, Plans: terms.Plans, Grace: int64(s.Rules.Grace), Drain: int64(s.Rules.Drain),
 		Slack: slack, Cores: float64(s.Backends.Cores), ColdShare: s.Rules.ColdShare, WarmUp: int64(s.Rules.WarmUp),
 		FallMultiple: s.Rules.FallMultiple, FallSpan: int64(s.Rules.FallSpan),
 		Zone: func(b int) int { return b % s.Backends.Zones }, Group: func(b int) int { return b % s.Backends.Groups }}
 	for _, p := range s.Plans {
 		t.CeilingSlack = append(t.CeilingSlack, p.CeilingSlack)
 	}
-	r := &Recorder{s: s, checker: rules.New(t), tries: map[rules.TryID]*open{}, stores: map[int]*store{},
+	r := &Recorder{s: s, checker: invariants.New(t), tries: map[invariants.TryID]*open{}, stores: map[int]*store{},
 		second: histogram(), all: histogram(), lasts: histogram(), gone: map[way]*last{},
 		run: &Run{Version: Version, Scenario: s.Name, About: s.About, On: s.On, Seed: s.Seed, Doors: s.Doors.Count,
 			Backends: s.Backends.Count, Rate: s.Load.Rate, Promised: float64(s.Profiles[0].Promised) / 1e6}}
@@ -186,29 +186,29 @@
 }
 
 // See takes the next event.
-func (r *Recorder) See(e rules.Event) {
+func (r *Recorder) See(e invariants.Event) {
 	r.turn(e.At)
 	r.checker.See(e)
 	t := r.tries[e.Try]
 	switch e.Kind {
-	case rules.Told:
+	case invariants.Told:
 		k := way{e.Door, e.Backend}
 		r.settle(k)
 		if e.Stage == policy.Gone {
 			r.gone[k] = &last{told: e.At}
 		}
 		return
-	case rules.Asked:
+	case invariants.Asked:
 		r.tries[e.Try] = &open{Event: e}
 		r.ask(e)
 		if r.row.Asked++; !e.Again {
 			r.run.Total.Transactions++
 		}
 		return
-	case rules.TurnedAway:
+	case invariants.TurnedAway:
 		r.row.Away++
 		return
-	case rules.Arrived:
+	case invariants.Arrived:
 		r.row.Shots++
 		if x := r.gone[way{e.Door, e.Backend}]; x != nil {
 			x.after = max(e.At-x.told, 1e3)
@@ -218,13 +218,13 @@
 		return
 	}
 	switch e.Kind {
-	case rules.Arrived:
+	case invariants.Arrived:
 		if !t.arrived {
 			t.arrived = true
 			r.draw(e.At, t)
 		}
 		return
-	case rules.Fulfilled:
+	case invariants.Fulfilled:
 		took := max(e.At-t.Due, 0)
 		r.second.RecordValue(max(min(took/1e3, 120e6), 1))
 		r.all.RecordValue(max(min(took/1e3, 120e6), 1))
@@ -232,11 +232,11 @@
 		if took > int64(r.s.Profiles[t.Profile].Promised) {
 			r.row.Late++
 		}
-	case rules.Dismissed:
+	case invariants.Dismissed:
 		r.row.Dismissed++
-	case rules.BrokenOff:
+	case invariants.BrokenOff:
 		r.row.BrokenOff++
-	case rules.Left:
+	case invariants.Left:
 		r.row.Left++
 	default:
 		return
@@ -265,7 +265,7 @@
 func (r *Recorder) Updated() { r.run.Updates++ }
 
 // fill reckons the customer's store as one honest counter would keep it: it starts full, and refills at the rate.
-func (r *Recorder) fill(at int64, e rules.Event) *store {
+func (r *Recorder) fill(at int64, e invariants.Event) *store {
 	plan := r.s.Plans[e.Plan]
 	if plan.Rate <= 0 {
 		return nil
@@ -281,7 +281,7 @@
 }
 
 // ask lets the honest counter decide a try.
-func (r *Recorder) ask(e rules.Event) {
+func (r *Recorder) ask(e invariants.Event) {
 	if s := r.fill(e.At, e); s != nil && s.ideal >= e.Units {
 		s.ideal -= e.Units
 		s.honest += e.Units
--- a/internal/lab/record/version0_test.go
+++ b/internal/lab/results/version0_test.go
@@ -1,13 +1,13 @@
-package record_test
+package results_test
 
 import (
 	"bytes"
 	"os"
 	"testing"
 
+	"fawnplank/internal/lab/invariants"
 	"fawnplank/internal/lab/model"
-	"fawnplank/internal/lab/record"
-	"fawnplank/internal/lab/rules"
+	"fawnplank/internal/lab/results"
 	"fawnplank/internal/lab/scenario"
 	"fawnplank/internal/testutil"
 )
@@ -73,15 +73,15 @@
 			t.Fatal(err)
 		}
 		r.Label, r.Updates, r.LagP50, r.LagP99 = "before", 4, 0.25, 1.5
-		r.Findings = append(r.Findings, rules.Finding{Rule: 3, At: 2_500_000_000, What: "an example"})
+		r.Findings = append(r.Findings, invariants.Finding{Rule: 3, At: 2_500_000_000, What: "an example"})
 		r.Rules["3"]++
 		r.Total.BrokenOff, r.Total.Open, r.Total.Over, r.Total.DriftOver = 2, 3, 6.5, 8.25
-		r.Withdraw = &record.Withdrawals{Count: 2, WithShot: 1, P50: 3.5, P99: 4.5, Most: 5}
+		r.Withdraw = &results.Withdrawals{Count: 2, WithShot: 1, P50: 3.5, P99: 4.5, Most: 5}
 		if err := r.Write(path); err != nil {
 			t.Fatal(err)
 		}
 	})
-	r, err := record.Read(path)
+	r, err := results.Read(path)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -96,32 +96,32 @@
 	if again, err := r.Bytes(); err != nil || !bytes.Equal(again, text) {
 		t.Errorf("written anew (%v): %d bytes, not the fixture's %d", err, len(again), len(text))
 	}
-	total := record.Total{Row: record.Row{Second: 8, Asked: 2181, Fulfilled: 170, Late: 5, Dismissed: 2007, BrokenOff: 2, Left: 4,
+	total := results.Total{Row: results.Row{Second: 8, Asked: 2181, Fulfilled: 170, Late: 5, Dismissed: 2007, BrokenOff: 2, Left: 4,
 		Unsent: 15, P50: 64.479, P99: 230.271, Shots: 181, Away: 1, Calls: 236, Failed: 10, Open: 3, Over: 6.5, Inside: 179, Honest: 904,
 		DriftOver: 8.25, DriftLess: 725}, Transactions: 1085, P90: 138.879, P999: 376.063, Most: 376.063}
 	if r.Total != total {
 		t.Errorf("total %+v, not %+v", r.Total, total)
 	}
-	row := record.Row{Second: 3, Asked: 312, Fulfilled: 1, Dismissed: 312, Left: 4, Unsent: 15, P50: 62.879, P99: 62.879, Shots: 1, Open: 1,
+	row := results.Row{Second: 3, Asked: 312, Fulfilled: 1, Dismissed: 312, Left: 4, Unsent: 15, P50: 62.879, P99: 62.879, Shots: 1, Open: 1,
 		Inside: 1, Honest: 123, DriftLess: 541}
 	if len(r.Rows) != 8 || r.Rows[3] != row {
 		t.Errorf("row 3 of %d: %+v", len(r.Rows), r.Rows[3])
 	}
-	if want := (record.Withdrawals{Count: 2, WithShot: 1, P50: 3.5, P99: 4.5, Most: 5}); r.Withdraw == nil || *r.Withdraw != want {
+	if want := (results.Withdrawals{Count: 2, WithShot: 1, P50: 3.5, P99: 4.5, Most: 5}); r.Withdraw == nil || *r.Withdraw != want {
 		t.Errorf("withdrawals %+v", r.Withdraw)
 	}
-	if want := (rules.Finding{Rule: 3, At: 2_500_000_000, What: "an example"}); len(r.Findings) != 1 || r.Findings[0] != want || r.Broken() != 1 {
+	if want := (invariants.Finding{Rule: 3, At: 2_500_000_000, What: "an example"}); len(r.Findings) != 1 || r.Findings[0] != want || r.Broken() != 1 {
 		t.Errorf("findings %+v, broken %v", r.Findings, r.Rules)
 	}
-	if want := (record.Point{Percent: 50, Ms: 64.479}); len(r.Latency) < 2 || r.Latency[1] != want {
+	if want := (results.Point{Percent: 50, Ms: 64.479}); len(r.Latency) < 2 || r.Latency[1] != want {
 		t.Errorf("latency %+v", r.Latency)
 	}
-	if want := (record.Mark{Kind: "backend-withdraw", From: 1, Until: 4}); len(r.Faults) != 4 || r.Faults[1] != want {
+	if want := (results.Mark{Kind: "backend-withdraw", From: 1, Until: 4}); len(r.Faults) != 4 || r.Faults[1] != want {
 		t.Errorf("faults %+v", r.Faults)
 	}
 }
 
 // TestStoredTypes_HaveTags holds that each stored field has its name from a tag, and not from Go.
 func TestStoredTypes_HaveTags(t *testing.T) {
-	testutil.CheckTags(t, record.Run{})
+	testutil.CheckTags(t, results.Run{})
 }
--- a/internal/lab/rig/null_test.go
+++ b/internal/lab/testbed/null_test.go
@@ -1,4 +1,4 @@
-package rig
+package testbed
 
 import (
 	"net"
@@ -7,7 +7,7 @@
 	"github.com/tidwall/redcon"
 
 	"fawnplank/internal/lab/load"
-	"fawnplank/internal/lab/record"
+	"fawnplank/internal/lab/results"
 	"fawnplank/internal/lab/scenario"
 )
 
@@ -52,7 +52,7 @@
 			var p50, p99, shown, shown99 float64
 			n := 0.0
 			for b.Loop() {
-				log := record.NewLog(record.New(s, terms, 0))
+				log := results.NewLog(results.New(s, terms, 0))
 				log.Begin()
 				tool := load.New(s, log, []string{address})
 				tool.Run(nil)
--- a/internal/lab/rig/rig.go
+++ b/internal/lab/testbed/testbed.go
@@ -1,7 +1,7 @@
 // Package rig plays a scenario on sockets: it starts the stand-ins and the real front doors as processes, lets the
 // load tool ask, kills and starts doors where the scenario says so, and gives the results. All addresses are on
 // loopback; every process that it started has ended when it returns.
-package rig
+package testbed
 
 import (
 	"bytes"
@@ -18,11 +18,11 @@
 	"syscall"
 	"time"
 
-	"fawnplank/internal/dnsd"
-	"fawnplank/internal/lab/emu"
+	"fawnplank/internal/dnsserver"
+	"fawnplank/internal/lab/emulator"
+	"fawnplank/internal/lab/invariants"
 	"fawnplank/internal/lab/load"
-	"fawnplank/internal/lab/record"
-	"fawnplank/internal/lab/rules"
+	"fawnplank/internal/lab/results"
 	"fawnplank/internal/lab/scenario"
 )
 
@@ -53,7 +53,7 @@
 }
 
 // Run plays a scenario on sockets. It ends early, with an error, when ctx does or a door ends by itself.
-func Run(ctx context.Context, s *scenario.Scenario, o Options) (*record.Run, error) {
+func Run(ctx context.Context, s *scenario.Scenario, o Options) (*results.Run, error) {
 	terms, err := s.Terms(0)
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", s.Name, err)
@@ -69,8 +69,8 @@
 			return nil, fmt.Errorf("%s: cannot be made", logs)
 		}
 	}
-	log := record.NewLog(record.New(s, terms, slack))
-	outside, err := emu.Start(s, log)
+	log := results.NewLog(results.New(s, terms, slack))
+	outside, err := emulator.Start(s, log)
 	if err != nil {
 		return nil, err
 	}
@@ -156,7 +156,7 @@
 
 // operate writes the operator file of front door n, where the scenario asks for what only such a file sets; a door
 // that takes its backends from DNS gets its zone file, and updates from then on.
-func operate(folder string, n int, s *scenario.Scenario, outside *emu.Emu) (string, error) {
+func operate(folder string, n int, s *scenario.Scenario, outside *emulator.Emu) (string, error) {
 	text := ""
 	if s.Counter.Protocol == "resp" {
 		text += "[counter]\nprotocol = \"resp\"\n"
@@ -169,13 +169,13 @@
 		}
 		secret := []byte(fmt.Sprintf("secret of the laboratory, door %4d", n))
 		text += fmt.Sprintf("[dns]\nzone_file = %q\norigin = %q\nservice = %q\njournal = %q\nlisten = %q\n[[dns.key]]\nname = \"lab.\"\nsecret_file = %q\n",
-			own("zone"), emu.Zone.Origin, emu.Zone.Service, own("journal"), at, own("key"))
+			own("zone"), emulator.Zone.Origin, emulator.Zone.Service, own("journal"), at, own("key"))
 		for name, x := range map[string]string{"zone": outside.Names(), "key": base64.StdEncoding.EncodeToString(secret)} {
 			if err := os.WriteFile(own(name), []byte(x), 0o600); err != nil {
 				return "", err
 			}
 		}
-		key, err := dnsd.ReadKey("lab.", "hmac-sha256", own("key"))
+		key, err := dnsserver.ReadKey("lab.", "hmac-sha256", own("key"))
 		if err != nil {
 			return "", err
 		}
@@ -285,7 +285,7 @@
 }
 
 // restart kills the door outright, and starts it anew after a time.
-func (d *door) restart(log *record.Log, stop <-chan struct{}, at, down time.Duration) {
+func (d *door) restart(log *results.Log, stop <-chan struct{}, at, down time.Duration) {
 	select {
 	case <-stop:
 		return
@@ -295,7 +295,7 @@
 	d.wanted = false
 	cmd, exited := d.cmd, d.exited
 	d.mu.Unlock()
-	log.See(rules.Event{Kind: rules.DoorDied, Door: d.n})
+	log.See(invariants.Event{Kind: invariants.DoorDied, Door: d.n})
 	cmd.Process.Kill()
 	<-exited
 	select {
--- a/internal/lab/rig/rig_test.go
+++ b/internal/lab/testbed/testbed_test.go
@@ -1,4 +1,4 @@
-package rig
+package testbed
 
 import (
 	"context"
@@ -11,7 +11,7 @@
 	"time"
 
 	"fawnplank/internal/lab/load"
-	"fawnplank/internal/lab/record"
+	"fawnplank/internal/lab/results"
 	"fawnplank/internal/lab/scenario"
 )
 
@@ -69,7 +69,7 @@
 delay = "20ms"
 `
 
-func play(t *testing.T, add string, over ...string) *record.Run {
+func play(t *testing.T, add string, over ...string) *results.Run {
 	t.Helper()
 	s, err := scenario.Parse("small", []byte(small+add), over...)
 	if err != nil {
@@ -90,11 +90,11 @@
 // Each fault of the stand-ins meets real front doors: what their clients get is what the fault leaves, and the
 // five rules hold, as seen from clients and backends.
 func TestFrontDoorsThroughEveryFault(t *testing.T) {
-	served := func(least float64) func(r record.Total) bool {
-		return func(r record.Total) bool { return float64(r.Fulfilled) >= least*float64(r.Transactions) }
+	served := func(least float64) func(r results.Total) bool {
+		return func(r results.Total) bool { return float64(r.Fulfilled) >= least*float64(r.Transactions) }
 	}
-	between := func(least, most float64) func(r record.Total) bool {
-		return func(r record.Total) bool {
+	between := func(least, most float64) func(r results.Total) bool {
+		return func(r results.Total) bool {
 			share := float64(r.Fulfilled) / float64(r.Transactions)
 			return share >= least && share <= most
 		}
@@ -102,7 +102,7 @@
 	for _, x := range []struct {
 		kind scenario.Kind
 		more string
-		want func(r record.Total) bool
+		want func(r results.Total) bool
 	}{
 		{"", "", served(0.99)},
 		{scenario.BackendRefuse, "who = [0]", served(0.97)},
@@ -123,7 +123,7 @@
 		{scenario.CounterCut, "who = [0]", served(0.95)},
 		{scenario.DiscoveryStale, "", served(0.99)},
 		{scenario.DiscoveryRefuse, "", served(0.99)},
-		{scenario.DoorRestart, "who = [1]", func(r record.Total) bool { return served(0.7)(r) && r.Left+r.Unsent+r.Asked-r.Transactions > 0 }},
+		{scenario.DoorRestart, "who = [1]", func(r results.Total) bool { return served(0.7)(r) && r.Left+r.Unsent+r.Asked-r.Transactions > 0 }},
 	} {
 		t.Run(string(x.kind)+x.more, func(t *testing.T) {
 			t.Parallel()
@@ -219,7 +219,7 @@
 	}
 	terms, _ := s.Terms(0)
 	for address, fulfilled := range map[string]bool{nullDoor(t): true, "127.0.0.1:1": false} {
-		log := record.NewLog(record.New(s, terms, 0))
+		log := results.NewLog(results.New(s, terms, 0))
 		log.Begin()
 		tool := load.New(s, log, []string{address})
 		tool.Run(nil)
--- a/internal/lab/authority/authority.go
+++ b/internal/lab/testca/testca.go
@@ -1,6 +1,6 @@
 // Package authority is a stand-in for an installation's certificate authority: it signs certificates for the
 // laboratory and for tests. Its key is in memory alone.
-package authority
+package testca
 
 import (
 	"crypto/ecdsa"
@@ -15,7 +15,7 @@
 	"path/filepath"
 	"time"
 
-	"fawnplank/internal/certs"
+	"fawnplank/internal/tlsconfig"
 )
 
 // Authority signs.
@@ -44,8 +44,8 @@
 
 // Write writes a certificate for loopback addresses that holds for a time, its key, and the authority's own
 // certificate into a folder, over those of before.
-func (a *Authority) Write(folder, name string, holds time.Duration) (certs.Files, error) {
-	f := certs.Files{Certificate: filepath.Join(folder, name+".pem"), Key: filepath.Join(folder, name+".key"), Authority: filepath.Join(folder, "authority.pem")}
+func (a *Authority) Write(folder, name string, holds time.Duration) (tlsconfig.Files, error) {
+	f := tlsconfig.Files{Certificate: filepath.Join(folder, name+".pem"), Key: filepath.Join(folder, name+".key"), Authority: filepath.Join(folder, "authority.pem")}
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
 		return f, err
--- a/internal/lab/people/people.go
+++ b/internal/lab/workload/workload.go
@@ -1,6 +1,6 @@
 // Package people is who asks for what and when in a scenario: customers, their plans and doors, arrivals, and how
 // clients come again. The model and the load tool draw the same people from the same seed. It sends nothing.
-package people
+package workload
 
 import (
 	"math"
--- a/internal/limitd/accounts.go
+++ b/internal/limitserver/accounts.go
@@ -1,4 +1,4 @@
-package limitd
+package limitserver
 
 import (
 	"crypto/sha256"
@@ -11,8 +11,8 @@
 
 	"github.com/tidwall/redcon"
 
+	"fawnplank/internal/authz"
 	"fawnplank/internal/billing"
-	"fawnplank/internal/rights"
 )
 
 // Accounts are where plans are changed and allowance is reserved.
@@ -41,7 +41,7 @@
 }
 
 // auth gives the rights of a key.
-func (s *Server) auth(args [][]byte) (rights.Right, error) {
+func (s *Server) auth(args [][]byte) (authz.Right, error) {
 	if len(args) != 2 {
 		return 0, errArity
 	}
@@ -54,16 +54,16 @@
 }
 
 // needs is the right that a command asks for; 0: none.
-func needs(word string) rights.Right {
+func needs(word string) authz.Right {
 	switch {
 	case word == "LIMIT.CHECK" || word == "LIMIT.PEEK" || word == "CL.THROTTLE":
-		return rights.Check
+		return authz.Check
 	case strings.HasSuffix(word, ".LIST") || word == "RESERVE.ROOM":
-		return rights.Read
+		return authz.Read
 	case strings.HasPrefix(word, "RESERVE."):
-		return rights.Reserve
+		return authz.Reserve
 	case strings.HasPrefix(word, "PLAN."):
-		return rights.Change
+		return authz.Change
 	}
 	return 0
 }
--- a/internal/limitd/accounts_test.go
+++ b/internal/limitserver/accounts_test.go
@@ -1,4 +1,4 @@
-package limitd
+package limitserver
 
 import (
 	"strings"
@@ -7,8 +7,8 @@
 
 	"github.com/tidwall/redcon"
 
+	"fawnplank/internal/authz"
 	"fawnplank/internal/billing"
-	"fawnplank/internal/rights"
 )
 
 // book is one gestoría's account, on a clock that stands.
@@ -53,8 +53,8 @@
 func TestAccountCommands(t *testing.T) {
 	s := New(nil, Names{}, 1)
 	s.Accounts = &book{}
-	s.Keys = map[string]rights.Key{"ops": {Secret: []byte("open sesame, please"), Rights: rights.Read | rights.Reserve}, "all": {Secret: []byte("another secret"), Rights: 255}}
-	var may rights.Right
+	s.Keys = map[string]authz.Key{"ops": {Secret: []byte("open sesame, please"), Rights: authz.Read | authz.Reserve}, "all": {Secret: []byte("another secret"), Rights: 255}}
+	var may authz.Right
 	const g = "0000000000000005 "
 	for _, x := range []struct{ words, want string }{
 		{"RESERVE.ROOM " + g + "team", "-NOPERM"}, {"LIMIT.PEEK " + g + "team", "-NOPERM"}, {"AUTH ops nonsense", "-ERR key or secret is wrong"}, {"AUTH nobody x", "-ERR key or secret is wrong"},
--- a/internal/limitd/limitd.go
+++ b/internal/limitserver/limitserver.go
@@ -11,7 +11,7 @@
 // integers in the form that redis-cell made common: 0 where there was room and 1 where not; the units that the
 // store holds; the units left; how long until there is room again (-1: there is), and how long until the store is
 // full, both in milliseconds.
-package limitd
+package limitserver
 
 import (
 	"bytes"
@@ -27,14 +27,14 @@
 
 	"github.com/tidwall/redcon"
 
-	"fawnplank/internal/facade"
-	"fawnplank/internal/rights"
+	"fawnplank/internal/authz"
+	"fawnplank/internal/dispatch"
 	"fawnplank/policy"
 )
 
 // Desk is where checks are decided: the facade.
 type Desk interface {
-	Take(pr policy.ProfileID, pl policy.PlanID, c policy.CustomerID, left time.Duration, units float64, entries, first int) *facade.Transaction
+	Take(pr policy.ProfileID, pl policy.PlanID, c policy.CustomerID, left time.Duration, units float64, entries, first int) *dispatch.Transaction
 	Quota(c policy.CustomerID, pl policy.PlanID, entries int) (policy.Quota, bool)
 }
 
@@ -64,8 +64,8 @@
 	counts [3]atomic.Uint64 // checks granted, checks refused, commands in error
 	once   sync.Once
 
-	Accounts Accounts              // nil: no commands on accounts. To be set before Serve, as the keys are
-	Keys     map[string]rights.Key // by name; empty: no AUTH
+	Accounts Accounts             // nil: no commands on accounts. To be set before Serve, as the keys are
+	Keys     map[string]authz.Key // by name; empty: no AUTH
 }
 
 // New makes a server for at most so many connections.
@@ -118,9 +118,9 @@
 		b.read = 0
 	}
 	batch := append([]redcon.Command{first}, c.ReadPipeline()...)
-	may, known := c.Context().(rights.Right)
+	may, known := c.Context().(authz.Right)
 	if !known && len(s.Keys) == 0 {
-		may = rights.Check
+		may = authz.Check
 	}
 	answers, last := s.run(batch, &may)
 	c.SetContext(may)
@@ -132,7 +132,7 @@
 
 // check is one LIMIT.CHECK under way.
 type check struct {
-	t       *facade.Transaction
+	t       *dispatch.Transaction
 	c       policy.CustomerID
 	pl      policy.PlanID
 	spread  int
@@ -141,7 +141,7 @@
 
 // run gives the answers to a batch of commands, in their order; last says that the connection is to end. Checks that
 // stand one behind another wait for the counter together; any other command sees what those before it did.
-func (s *Server) run(batch []redcon.Command, may *rights.Right) (out []byte, last bool) {
+func (s *Server) run(batch []redcon.Command, may *authz.Right) (out []byte, last bool) {
 	names := s.names.Load()
 	var waiting []check
 	settle := func() {
@@ -274,10 +274,10 @@
 	step := k.t.Pick()
 	q, _ := s.desk.Quota(k.c, k.pl, k.spread)
 	switch step.Do {
-	case facade.Grant:
+	case dispatch.Grant:
 		s.counts[0].Add(1)
 		return reply(out, q, -1, k.seconds)
-	case facade.Dismiss:
+	case dispatch.Dismiss:
 		s.counts[1].Add(1)
 		wait := step.ComeBack
 		if wait <= 0 && q.Rate > 0 { // the settings allow no advice to clients; to those who ask, the refill is told
--- a/internal/limitd/limitd_test.go
+++ b/internal/limitserver/limitserver_test.go
@@ -1,4 +1,4 @@
-package limitd
+package limitserver
 
 import (
 	"bufio"
@@ -16,19 +16,19 @@
 
 	"github.com/tidwall/redcon"
 
+	"fawnplank/internal/authz"
 	"fawnplank/internal/counter"
-	"fawnplank/internal/facade"
-	"fawnplank/internal/lab/emu"
-	"fawnplank/internal/lab/record"
+	"fawnplank/internal/dispatch"
+	"fawnplank/internal/lab/emulator"
+	"fawnplank/internal/lab/results"
 	"fawnplank/internal/lab/scenario"
-	"fawnplank/internal/rights"
 	"fawnplank/policy"
 )
 
 // house is a facade with a counter stand-in, and the limit commands before it.
 type house struct {
-	emu     *emu.Emu
-	facade  *facade.Facade
+	emu     *emulator.Emu
+	facade  *dispatch.Facade
 	counter *counter.Client
 	server  *Server
 	address string
@@ -61,7 +61,7 @@
 
 func open(t testing.TB, format counter.Format) *house {
 	t.Helper()
-	h := &house{facade: facade.New()}
+	h := &house{facade: dispatch.New()}
 	terms := h.emulate(t)
 	h.counter = counter.New(h.facade, h.emu.CounterAddress(0), time.Second)
 	h.counter.Format = format
@@ -86,8 +86,8 @@
 		t.Fatal(err)
 	}
 	terms.Profiles = append(terms.Profiles, policy.ProfileTerms{Promised: 750e6, HardLimit: 750e6, CountsOnly: true})
-	log := record.NewLog(record.New(s, terms, 0))
-	if h.emu, err = emu.Start(s, log); err != nil {
+	log := results.NewLog(results.New(s, terms, 0))
+	if h.emu, err = emulator.Start(s, log); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(h.emu.Close)
@@ -96,7 +96,7 @@
 }
 
 // run starts the decisions and the limit commands.
-func (h *house) run(t testing.TB, terms policy.Terms, c facade.Counter, l net.Listener) {
+func (h *house) run(t testing.TB, terms policy.Terms, c dispatch.Counter, l net.Listener) {
 	h.facade.Run(7, terms, c, nil, nil)
 	t.Cleanup(h.facade.Stop)
 	h.facade.Backends(policy.Whole, []policy.Listed{{Backend: 1, Stage: policy.Ready}})
@@ -280,7 +280,7 @@
 
 // enter starts the rest in a bubble, and gives a connection to the limit commands.
 func (o *outside) enter(t *testing.T) *talk {
-	o.facade = facade.New()
+	o.facade = dispatch.New()
 	l := &pipes{make(chan net.Conn, 1), make(chan struct{})}
 	o.run(t, o.terms, o, l)
 	c, far := net.Pipe()
@@ -338,7 +338,7 @@
 					tx := a.facade.Take(0, 0, policy.CustomerID(id), 750*time.Millisecond, float64(units), 2, 0)
 					answer := c.ask(t, "LIMIT.CHECK", fmt.Sprintf("%016x", id), "despacho", fmt.Sprint(units))
 					step := tx.Pick()
-					sent, granted := step.Do == facade.Send, strings.HasPrefix(answer, "0")
+					sent, granted := step.Do == dispatch.Send, strings.HasPrefix(answer, "0")
 					if sent != granted {
 						t.Errorf("try %d: sent on: %t, granted: %t (%s)", n, sent, granted, answer)
 					}
@@ -347,7 +347,7 @@
 						step.Shot.Begin(nil)
 						time.Sleep(2 * time.Millisecond)
 						step.Shot.Report([]byte("ok"), 0, nil)
-						if last := tx.Pick(); last.Do != facade.Fulfil {
+						if last := tx.Pick(); last.Do != dispatch.Fulfil {
 							t.Errorf("try %d ended as %+v", n, last)
 						}
 					}
@@ -499,7 +499,7 @@
 		if quits >= 0 {
 			want = quits + 1
 		}
-		may := rights.Check
+		may := authz.Check
 		out, last := h.server.run(batch, &may)
 		count := 0
 		for len(out) > 0 {
@@ -553,7 +553,7 @@
 	batch := []redcon.Command{cmd}
 	b.ReportAllocs()
 	for b.Loop() {
-		may := rights.Check
+		may := authz.Check
 		h.server.run(batch, &may)
 	}
 }
--- a/internal/logs/logs.go
+++ b/internal/logging/logging.go
@@ -1,7 +1,7 @@
 // Package logs sets up the program's one log: logrus, an entry a line on standard error, as text or as JSON, with
 // fields in place of sentences. Every entry names its component; what it is about stands in fields of fixed names
 // (docs/oncall.md lists them). Nothing is logged at info or above for each transaction.
-package logs
+package logging
 
 import (
 	"fmt"
--- a/internal/logs/logs_test.go
+++ b/internal/logging/logging_test.go
@@ -1,4 +1,4 @@
-package logs
+package logging
 
 import (
 	"bytes"
--- a/internal/room/room.go
+++ b/internal/membudget/membudget.go
@@ -1,7 +1,7 @@
 // Package room bounds the memory that all connections of a process hold for large values together, clients'
 // and backends' alike. A reader that would pass the bound waits until another gives room back. It owns nothing
 // but the count, and must never decide anything.
-package room
+package membudget
 
 import (
 	"context"
--- a/internal/wire/wire.go
+++ b/internal/simwire/simwire.go
@@ -1,5 +1,5 @@
 // Package wire frames and packs the simulator's binary records: little-endian, no padding.
-package wire
+package simwire
 
 import (
 	"encoding/binary"
--- a/internal/sock/sock.go
+++ b/internal/sock/sock.go
@@ -20,7 +20,7 @@
 
 	"golang.org/x/sys/unix"
 
-	"fawnplank/internal/reach"
+	"fawnplank/internal/dialer"
 )
 
 // Conn is a TCP connection. One goroutine may read while another writes.
@@ -68,7 +68,7 @@
 
 // DialAny opens a connection to one of several addresses, tried in their order, and gives the number of that one.
 func DialAny(order []netip.AddrPort, patient time.Duration) (*Conn, int, error) {
-	nc, n, err := reach.Dial(order, patient)
+	nc, n, err := dialer.Dial(order, patient)
 	if err != nil {
 		return nil, 0, err
 	}
--- a/internal/store/patient.go
+++ b/internal/store/patient.go
@@ -6,7 +6,7 @@
 
 	"github.com/hashicorp/raft"
 
-	"fawnplank/internal/logs"
+	"fawnplank/internal/logging"
 )
 
 // patient is Raft's store of its term and vote. Raft ends the process where they cannot be written, since it may not
@@ -25,12 +25,12 @@
 		err := write()
 		if err == nil {
 			if failing {
-				logs.For("store").Warn("term and vote can be written again")
+				logging.For("store").Warn("term and vote can be written again")
 			}
 			return nil
 		}
 		if !failing {
-			logs.For("store").WithError(err).Error("term and vote cannot be written; the replica stands still until they can")
+			logging.For("store").WithError(err).Error("term and vote cannot be written; the replica stands still until they can")
 		}
 		select {
 		case <-p.closed:
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -26,9 +26,9 @@
 	raftboltdb "github.com/hashicorp/raft-boltdb/v2"
 	"go.etcd.io/bbolt"
 
-	"fawnplank/internal/certs"
-	"fawnplank/internal/logs"
+	"fawnplank/internal/logging"
 	"fawnplank/internal/store/kv"
+	"fawnplank/internal/tlsconfig"
 )
 
 // Peer is a replica: its name, where the others' Raft reaches it, and where its API is.
@@ -63,7 +63,7 @@
 	Changed func(keys []string)
 	// TLS, where set, stands on both addresses and towards the other replicas' ones: each side shows a certificate of
 	// the authority that it names.
-	TLS *certs.Source
+	TLS *tlsconfig.Source
 	// Beat is Raft's heartbeat; elections take a few. 0: 200 ms, many times a loopback's or a rack's delay.
 	Beat time.Duration
 }
@@ -193,7 +193,7 @@
 type stream struct {
 	net.Listener
 	advertised net.Addr
-	source     *certs.Source
+	source     *tlsconfig.Source
 }
 
 // Addr is where the others reach it.
@@ -208,7 +208,7 @@
 type lines struct{}
 
 func (lines) Write(p []byte) (int, error) {
-	logs.For("store").WithField("raft", strings.TrimSpace(string(p))).Debug("raft")
+	logging.For("store").WithField("raft", strings.TrimSpace(string(p))).Debug("raft")
 	return len(p), nil
 }
 
@@ -268,7 +268,7 @@
 		}
 	}
 	if highest.Last > last {
-		logs.For("store").WithField("behind", highest.Last-last).Warn("catching up before voting")
+		logging.For("store").WithField("behind", highest.Last-last).Warn("catching up before voting")
 		return highest.Last, nil
 	}
 	return 0, nil
@@ -304,7 +304,7 @@
 		}
 		if len(edits) > 0 {
 			if _, err := s.apply(edits); err != nil {
-				logs.For("store").WithError(err).Warn("replicas' addresses not written")
+				logging.For("store").WithError(err).Warn("replicas' addresses not written")
 			}
 		}
 	}
--- a/internal/due/due.go
+++ b/internal/timerqueue/timerqueue.go
@@ -1,5 +1,5 @@
 // Package due keeps things in the order of the times they fall due; equal times keep their order of arrival.
-package due
+package timerqueue
 
 import "container/heap"
 
--- a/internal/certs/certs.go
+++ b/internal/tlsconfig/tlsconfig.go
@@ -1,7 +1,7 @@
 // Package certs gives listeners and clients their TLS certificates from files, which are read again when they change,
 // without a restart: a new pair is taken if it fits and the old one goes on if it does not. It tells when the
 // certificate runs out. Where an authority for the other side is named, both sides must show a certificate of its.
-package certs
+package tlsconfig
 
 import (
 	"crypto/tls"
@@ -12,7 +12,7 @@
 	"sync"
 	"time"
 
-	"fawnplank/internal/logs"
+	"fawnplank/internal/logging"
 )
 
 // Files are where a certificate, its key and the authority of the other side's are, in PEM.
@@ -104,10 +104,10 @@
 	if err := s.read(); err != nil {
 		said = err.Error()
 	} else {
-		logs.For("tls").WithField("until", s.pair.Leaf.NotAfter.UTC().Format(time.RFC3339)).Info("a new certificate is taken")
+		logging.For("tls").WithField("until", s.pair.Leaf.NotAfter.UTC().Format(time.RFC3339)).Info("a new certificate is taken")
 	}
 	if said != s.bad && said != "" {
-		logs.For("tls").WithField(logs.Fault, said).Error("the new certificate is not taken, the old one goes on")
+		logging.For("tls").WithField(logging.Fault, said).Error("the new certificate is not taken, the old one goes on")
 	}
 	s.bad = said
 	return s.pair, s.pool
--- a/internal/learned/version0_test.go
+++ b/internal/warmstart/version0_test.go
@@ -1,4 +1,4 @@
-package learned
+package warmstart
 
 import (
 	"bytes"
--- a/internal/learned/learned.go
+++ b/internal/warmstart/warmstart.go
@@ -1,7 +1,7 @@
 // Package learned keeps what a front door learned of the backends in a file over a restart, where a folder lasts. The
 // file is versioned and checksummed, written beside its place and put there whole, and read whole or not at all.
 // What it is worth after a time is for the decisions to say.
-package learned
+package warmstart
 
 import (
 	"encoding/binary"
--- a/policy/cold_test.go
+++ b/policy/cold_test.go
@@ -9,7 +9,7 @@
 	"strconv"
 	"testing"
 
-	"fawnplank/internal/due"
+	"fawnplank/internal/timerqueue"
 )
 
 // This file plays whole fleets of front doors on one moved clock against simulated backends, and checks rule 4 for
@@ -39,7 +39,7 @@
 	t       testing.TB
 	r       *rand.Rand
 	now     int64
-	due     due.Queue[func()]
+	due     timerqueue.Queue[func()]
 	terms   Terms
 	lives   [][]*coldLife // by door, those that get traffic
 	weight  []float64     // of a door in the traffic, added up
--- a/policy/golden_test.go
+++ b/policy/golden_test.go
@@ -8,8 +8,8 @@
 	"math"
 	"testing"
 
-	"fawnplank/internal/due"
 	"fawnplank/internal/pcg"
+	"fawnplank/internal/timerqueue"
 	"fawnplank/policy"
 )
 
@@ -311,7 +311,7 @@
 type goldenWorld struct {
 	day       goldenDay
 	now       int64
-	events    due.Queue[func()]
+	events    timerqueue.Queue[func()]
 	chance    *pcg.Source
 	hash      hash.Hash
 	buffer    []byte
--- a/policy/state.go
+++ b/policy/state.go
@@ -4,8 +4,8 @@
 	"math"
 	"slices"
 
-	"fawnplank/internal/due"
 	"fawnplank/internal/pcg"
+	"fawnplank/internal/timerqueue"
 )
 
 // This file lays out what the decisions remember, and keeps the timers. It decides nothing.
@@ -68,7 +68,7 @@
 	plans         []plan
 	chance        *pcg.Source
 	born          int64
-	due           due.Queue[task]
+	due           timerqueue.Queue[task]
 	woken         int64  // the time of the earliest wake asked for; 0: none
 	wakes         uint64 // its number
 	backends      map[BackendID]*backend
