--- a/cmd/drill/host.go
+++ b/cmd/drill/host.go
@@ -26,8 +26,8 @@
 )
 
 // outcomes by their status on the wire.
-var outcomes = map[uint16]policy.Outcome{100: policy.Fulfilled, 301: policy.Errored, 302: policy.Rejected,
-	303: policy.TimedOut, 304: policy.Unreached, 305: policy.CutOff, 306: policy.Recalled, 307: policy.Moot}
+var outcomes = map[uint16]policy.Outcome{100: policy.Succeeded, 301: policy.Failed, 302: policy.Rejected,
+	303: policy.TimedOut, 304: policy.ConnectFailed, 305: policy.ConnectionLost, 306: policy.Canceled, 307: policy.NotSent}
 
 // ns and msec turn the wire's milliseconds into nanoseconds and back.
 func ns(ms float64) int64   { return config.Nanoseconds(ms) }
@@ -43,39 +43,39 @@
 type door struct {
 	number uint32
 	host   *host
-	gate   *policy.Gate
-	open   map[uint64]*policy.Transaction
+	gate   *policy.Engine
+	open   map[uint64]*policy.Request
 }
 
 func (d *door) record(code uint8) *simwire.Reply { return d.host.reply.Record(code).U32(d.number) }
 
-func (d *door) Shoot(t policy.TransactionID, b policy.BackendID, expire, _ int64) { // the bench sends at once
+func (d *door) Send(t policy.RequestID, b policy.BackendID, expire, _ int64) { // the bench sends at once
 	d.record(actHandOff).U64(uint64(t)).U32(uint32(b)).F64(msec(expire))
 }
-func (d *door) Recall(t policy.TransactionID, s policy.ShotID) {
+func (d *door) Cancel(t policy.RequestID, s policy.AttemptID) {
 	d.record(actRevoke).U64(uint64(t)).U8(uint8(s))
 }
-func (d *door) Dismiss(t policy.TransactionID, comeBack int64) {
+func (d *door) Reject(t policy.RequestID, comeBack int64) {
 	d.record(actDeny).U64(uint64(t)).F64(msec(comeBack))
 	d.ended(t)
 }
-func (d *door) BreakOff(t policy.TransactionID) {
+func (d *door) Abort(t policy.RequestID) {
 	d.record(actError).U64(uint64(t))
 	d.ended(t)
 }
-func (d *door) Grant(policy.TransactionID) {} // the wire has no profile that only counts
+func (d *door) Admit(policy.RequestID) {} // the wire has no profile that only counts
 
 // ended lets go of a handle that ended with no shot out, by the counter's answer or a timer.
-func (d *door) ended(t policy.TransactionID) {
+func (d *door) ended(t policy.RequestID) {
 	if h := d.open[uint64(t)]; h != nil && h.Done() {
 		delete(d.open, uint64(t))
 	}
 }
-func (d *door) Wake(at int64, mark uint64) { d.record(actSetTimer).F64(msec(at)).U64(mark) }
-func (d *door) Probe(b policy.BackendID)   { d.record(actSample).U32(uint32(b)) }
-func (d *door) Follow()                    { d.record(actObserve).U8(1) }
-func (d *door) Note(text string)           { d.record(actNoteDown).Text(text) }
-func (d *door) Count(c policy.CountID, units float64, lifetime int64) {
+func (d *door) WakeAt(at int64, mark uint64)   { d.record(actSetTimer).F64(msec(at)).U64(mark) }
+func (d *door) CheckHealth(b policy.BackendID) { d.record(actSample).U32(uint32(b)) }
+func (d *door) WatchEndpoints()                { d.record(actObserve).U8(1) }
+func (d *door) Log(text string)                { d.record(actNoteDown).Text(text) }
+func (d *door) AddToCounter(c policy.CounterKey, units float64, lifetime int64) {
 	d.record(actEnter).U64(uint64(c)).F32(units).F64(msec(lifetime))
 }
 
@@ -133,11 +133,11 @@
 		how := f.U8()
 		f.U64() // the list's version: the wire gives no list twice
 		list := h.listed(f, d)
-		if how > uint8(policy.ListFailed) {
+		if how > uint8(policy.UpdateFailed) {
 			return "View", fmt.Errorf("unknown kind of list %d", how)
 		}
 		if d != nil {
-			h.guarded(i, f, func() { d.gate.Backends(now, policy.Listing(how), list) })
+			h.guarded(i, f, func() { d.gate.UpdateEndpoints(now, policy.UpdateKind(how), list) })
 		}
 		return "View", nil
 	case 2:
@@ -146,8 +146,8 @@
 		f.U8() // flags: the decisions read none
 		if d != nil {
 			h.guarded(i, f, func() {
-				d.keep(id, d.gate.Take(now, policy.TransactionID(id), policy.ProfileID(profile),
-					policy.PlanID(plan), policy.CustomerID(customer), ns(left), units, whole(entries), whole(first)))
+				d.keep(id, d.gate.Submit(now, policy.RequestID(id), policy.ClassID(profile),
+					policy.PlanID(plan), policy.TenantID(customer), ns(left), units, whole(entries), whole(first)))
 			})
 		}
 		return "Call", nil
@@ -156,7 +156,7 @@
 		f.U32()
 		f.F64()
 		if t := d.find(id); t != nil {
-			h.guarded(i, f, func() { t.Started(now, policy.ShotID(n)) })
+			h.guarded(i, f, func() { t.HandleResponseStarted(now, policy.AttemptID(n)) })
 		}
 		return "Accepted", nil
 	case 4:
@@ -172,7 +172,7 @@
 		}
 		if t := d.find(id); t != nil {
 			h.guarded(i, f, func() {
-				t.Settled(now, policy.ShotID(n), o, ns(elapsed), over != 0, units)
+				t.HandleAttemptResult(now, policy.AttemptID(n), o, ns(elapsed), over != 0, units)
 				d.keep(id, t)
 			})
 		}
@@ -181,7 +181,7 @@
 		id := f.U64()
 		if t := d.find(id); t != nil {
 			h.guarded(i, f, func() {
-				t.Left(now)
+				t.HandleClientGone(now)
 				d.keep(id, t)
 			})
 		}
@@ -189,7 +189,7 @@
 	case 6:
 		mark := f.U64()
 		if d != nil {
-			h.guarded(i, f, func() { d.gate.Wake(now, mark) })
+			h.guarded(i, f, func() { d.gate.HandleTimer(now, mark) })
 		}
 		return "Timer", nil
 	case 7:
@@ -200,7 +200,7 @@
 			return "ProbeDone", fmt.Errorf("unknown status %d", status)
 		}
 		if d != nil {
-			h.guarded(i, f, func() { d.gate.Probed(now, policy.BackendID(b), o) })
+			h.guarded(i, f, func() { d.gate.HandleHealthCheck(now, policy.BackendID(b), o) })
 		}
 		return "ProbeDone", nil
 	case 8:
@@ -217,7 +217,7 @@
 			return "TallyBack", fmt.Errorf("unknown status %d", status)
 		}
 		if d != nil {
-			h.guarded(i, f, func() { d.gate.Counted(now, o, policy.CountID(counter), total) })
+			h.guarded(i, f, func() { d.gate.HandleCounterResult(now, o, policy.CounterKey(counter), total) })
 		}
 		return "TallyBack", nil
 	}
@@ -231,40 +231,40 @@
 func whole(x float64) int { return int(min(max(x, 0), 1e9)) }
 
 func (h *host) create(now int64, number uint32, seed uint64, text []byte) {
-	terms, err := config.Terms(text)
+	terms, err := config.ParseSettings(text)
 	if err != nil {
 		h.broken(number, err.Error())
 		return
 	}
-	d := &door{number: number, host: h, open: map[uint64]*policy.Transaction{}}
+	d := &door{number: number, host: h, open: map[uint64]*policy.Request{}}
 	h.doors[number] = d
 	h.guarded(number, &simwire.Frame{}, func() { d.gate = policy.New(now, seed, terms, d) })
 }
 
 // listed reads the lines of a list of backends.
-func (h *host) listed(f *simwire.Frame, d *door) []policy.Listed {
+func (h *host) listed(f *simwire.Frame, d *door) []policy.Endpoint {
 	const lineBytes = 22
-	list := make([]policy.Listed, f.Count(int(f.U32()), lineBytes))
-	stages := map[uint8]policy.Stage{0: policy.Draining, 1: policy.Ready, 3: policy.Gone}
+	list := make([]policy.Endpoint, f.Count(int(f.U32()), lineBytes))
+	stages := map[uint8]policy.EndpointState{0: policy.EndpointDraining, 1: policy.EndpointReady, 3: policy.EndpointGone}
 	for n := range list {
 		l := &list[n]
 		l.Backend, l.Zone = policy.BackendID(f.U32()), policy.ZoneID(f.U16())
 		f.U8() // the kind of machine: answer times tell
 		l.Group = policy.GroupID(f.U16())
 		state := f.U8()
-		l.Size = f.F32()
-		l.Started = ns(f.F64())
+		l.Capacity = f.F32()
+		l.StartedAt = ns(f.F64())
 		stage, ok := stages[state]
 		if !ok && d != nil {
-			d.Note(fmt.Sprintf("backend %d has unknown state %d: taken for draining", l.Backend, state))
+			d.Log(fmt.Sprintf("backend %d has unknown state %d: taken for draining", l.Backend, state))
 		}
-		l.Stage = stage
+		l.State = stage
 	}
 	return list
 }
 
 // keep holds on to a handle until nothing more will come for it.
-func (d *door) keep(id uint64, t *policy.Transaction) {
+func (d *door) keep(id uint64, t *policy.Request) {
 	if t.Done() {
 		delete(d.open, id)
 	} else {
@@ -272,7 +272,7 @@
 	}
 }
 
-func (d *door) find(id uint64) *policy.Transaction {
+func (d *door) find(id uint64) *policy.Request {
 	if d == nil {
 		return nil
 	}
--- a/cmd/drill/recording_test.go
+++ b/cmd/drill/recording_test.go
@@ -116,7 +116,7 @@
 }
 
 func (r *recorder) after(ms float64, what func()) {
-	r.events.Add(int64((r.now+max(ms, 0))*1000), what)
+	r.events.Push(int64((r.now+max(ms, 0))*1000), what)
 }
 
 // later does something to an instance unless it was killed by then.
@@ -148,12 +148,12 @@
 	end := r.now + recorderEndMs
 	for r.now < end {
 		r.flush()
-		at, ok := r.events.Next(func(func()) bool { return false })
+		at, ok := r.events.NextDue(func(func()) bool { return false })
 		if !ok {
 			break
 		}
 		r.now = max(math.Ceil(float64(at)/4000)*4, r.now+4) // batches are 4 ms apart at least
-		for what, ok := r.events.Take(int64(r.now * 1000)); ok; what, ok = r.events.Take(int64(r.now * 1000)) {
+		for what, ok := r.events.PopDue(int64(r.now * 1000)); ok; what, ok = r.events.PopDue(int64(r.now * 1000)) {
 			what()
 		}
 	}
--- a/cmd/fawnplank/billing.go
+++ b/cmd/fawnplank/billing.go
@@ -29,8 +29,8 @@
 // accounts are gestorías' accounts in the store, where the operator file switches them on; without a desk they are off.
 type accounts struct {
 	mu    sync.Mutex
-	desk  *billingservice.Desk
-	terms atomic.Pointer[billing.Terms]
+	desk  *billingservice.Service
+	terms atomic.Pointer[billing.Settings]
 	news  chan struct{}
 	on    bool
 	keys  []string // that changed, and the desk was not told of
@@ -39,7 +39,7 @@
 func newAccounts() *accounts { return &accounts{news: make(chan struct{}, 1)} }
 
 // start starts them on the replica.
-func (a *accounts) start(k *kept, start *config.Start, set *config.Operator, figures *metrics.Figures) error {
+func (a *accounts) start(k *kept, start *config.Config, set *config.Operator, figures *metrics.Registry) error {
 	if !set.Billing.On {
 		return nil
 	}
@@ -50,7 +50,7 @@
 	a.mu.Lock()
 	a.on = true
 	a.mu.Unlock()
-	o := billingservice.Options{Replica: k.Store, Door: start.Name, Terms: func() billing.Terms { return *a.terms.Load() }, Every: time.Duration(set.Billing.Every)}
+	o := billingservice.Options{Replica: k.Store, Instance: start.Name, Settings: func() billing.Settings { return *a.terms.Load() }, ReportInterval: time.Duration(set.Billing.Every)}
 	if set.Billing.Folder != "" {
 		o.Sink = billingservice.Folder(set.Billing.Folder)
 	} else if set.Billing.URL != "" {
@@ -69,16 +69,16 @@
 			d.Changed(keys)
 		}
 	}()
-	count := func(n func(*billingservice.Counts) *atomic.Uint64) func() float64 {
-		return func() float64 { c, _ := d.Figures(); return float64(n(c).Load()) }
+	count := func(n func(*billingservice.Stats) *atomic.Uint64) func() float64 {
+		return func() float64 { c, _ := d.Stats(); return float64(n(c).Load()) }
 	}
-	figures.Watch(map[string]metrics.Watched{
-		"billing_steps":    {Help: "plan changes and steps of reservations that landed", Value: count(func(c *billingservice.Counts) *atomic.Uint64 { return &c.Steps })},
-		"billing_refused":  {Help: "those refused", Value: count(func(c *billingservice.Counts) *atomic.Uint64 { return &c.Refused })},
-		"billing_reports":  {Help: "reports of this door's use that landed", Value: count(func(c *billingservice.Counts) *atomic.Uint64 { return &c.Reports })},
-		"billing_exported": {Help: "records that this door had acknowledged", Value: count(func(c *billingservice.Counts) *atomic.Uint64 { return &c.Exported })},
-		"billing_failures": {Help: "tries that store or receiver did not take", Value: count(func(c *billingservice.Counts) *atomic.Uint64 { return &c.Failures })},
-		"billing_waiting":  {Help: "records not exported yet", Value: func() float64 { _, n := d.Figures(); return float64(n) }},
+	figures.AddGauges(map[string]metrics.Gauge{
+		"billing_steps":    {Help: "plan changes and steps of reservations that landed", Value: count(func(c *billingservice.Stats) *atomic.Uint64 { return &c.Operations })},
+		"billing_refused":  {Help: "those refused", Value: count(func(c *billingservice.Stats) *atomic.Uint64 { return &c.Rejected })},
+		"billing_reports":  {Help: "reports of this door's use that landed", Value: count(func(c *billingservice.Stats) *atomic.Uint64 { return &c.Reports })},
+		"billing_exported": {Help: "records that this door had acknowledged", Value: count(func(c *billingservice.Stats) *atomic.Uint64 { return &c.Exported })},
+		"billing_failures": {Help: "tries that store or receiver did not take", Value: count(func(c *billingservice.Stats) *atomic.Uint64 { return &c.Failures })},
+		"billing_waiting":  {Help: "records not exported yet", Value: func() float64 { _, n := d.Stats(); return float64(n) }},
 		"billing_halted": {Help: "1 while nothing is exported for a fault", Value: func() float64 {
 			if d.Halted() != "" {
 				return 1
@@ -89,11 +89,11 @@
 }
 
 // retune takes the plans of a configuration read anew.
-func (a *accounts) retune(start *config.Start, set *config.Operator) {
+func (a *accounts) retune(start *config.Config, set *config.Operator) {
 	t := set.Billing.Terms()
 	t.Plans = map[string]billing.Quota{}
 	for name, id := range start.Plans {
-		t.Plans[name] = billing.Quota{Rate: start.Terms.Plans[id].Rate, Peak: start.Terms.Plans[id].Burst}
+		t.Plans[name] = billing.Quota{Rate: start.Settings.Plans[id].Rate, Peak: start.Settings.Plans[id].Burst}
 	}
 	a.terms.Store(&t)
 }
@@ -102,7 +102,7 @@
 func (a *accounts) changed(keys []string) {
 	a.mu.Lock()
 	for _, k := range keys {
-		if a.on && strings.HasPrefix(k, billingservice.Keys) {
+		if a.on && strings.HasPrefix(k, billingservice.KeyPrefix) {
 			a.keys = append(a.keys, k)
 		}
 	}
@@ -170,12 +170,12 @@
 		return err
 	}
 	defer conn.Close()
-	if files.On() {
+	if files.Enabled() {
 		source, err := tlsconfig.New(files)
 		if err != nil {
 			return err
 		}
-		conn = tls.Client(conn, source.Client())
+		conn = tls.Client(conn, source.ClientConfig())
 	}
 	conn.SetDeadline(time.Now().Add(15 * time.Second))
 	r := bufio.NewReader(conn)
@@ -247,8 +247,8 @@
 	return line[1:], nil
 }
 
-// Rows and Fresh make a replica's API one that accounts can be mended by.
-func (f far) Rows(prefix string) map[string]json.RawMessage {
+// ReadPrefix and Fresh make a replica's API one that accounts can be mended by.
+func (f far) ReadPrefix(prefix string) map[string]json.RawMessage {
 	text, err := callStore("GET", f.api, "/v1/kv?prefix="+prefix, nil)
 	var keys []string
 	all := map[string]json.RawMessage{}
@@ -256,15 +256,15 @@
 		return all
 	}
 	for _, k := range keys {
-		if e, ok := f.Entry(k); ok {
+		if e, ok := f.ReadLocal(k); ok {
 			all[strings.TrimPrefix(k, prefix)] = e.Value
 		}
 	}
 	return all
 }
 
-// Fresh reads by way of the leader.
-func (f far) Fresh(key string) (e kv.Entry, ok bool, err error) {
+// ReadFromLeader reads by way of the leader.
+func (f far) ReadFromLeader(key string) (e kv.Entry, ok bool, err error) {
 	text, err := callStore("GET", f.api, "/v1/kv/"+key, nil)
 	if err != nil && strings.HasPrefix(err.Error(), "404") {
 		return e, false, nil
--- a/cmd/fawnplank/commands.go
+++ b/cmd/fawnplank/commands.go
@@ -79,7 +79,7 @@
 				return err
 			}
 			fmt.Printf("%s: in order; %d profiles, %d plans, front door %d of %d\n", start.Name,
-				len(start.Profiles), len(start.Plans), start.Terms.Me, start.Terms.Doors)
+				len(start.Classes), len(start.Plans), start.Settings.InstanceIndex, start.Settings.Instances)
 			return nil
 		}})
 	c.AddCommand(migrateCommand(&path))
--- a/cmd/fawnplank/dns.go
+++ b/cmd/fawnplank/dns.go
@@ -41,7 +41,7 @@
 }
 
 // start starts the name server, on the replica where there is one.
-func (n *names) start(k *kept, figures *metrics.Figures) error {
+func (n *names) start(k *kept, figures *metrics.Registry) error {
 	if !n.on() {
 		return nil
 	}
@@ -58,7 +58,7 @@
 	n.server, n.news = s, make(chan struct{}, 1)
 	n.mu.Unlock()
 	count := func(i int) func() float64 { return func() float64 { return float64(s.Counts()[i]) } }
-	figures.Watch(map[string]metrics.Watched{
+	figures.AddGauges(map[string]metrics.Gauge{
 		"dns_updates_done":     {Help: "dynamic updates that changed the zone", Value: count(0)},
 		"dns_updates_refused":  {Help: "dynamic updates refused for what they ask", Value: count(1)},
 		"dns_messages_refused": {Help: "messages refused for their signature, its time, or a replay", Value: count(2)},
@@ -110,18 +110,18 @@
 			e.Status = "draining"
 		}
 		if len(b.Addresses) > 1 || !b.Addresses[0].Addr().Is4() {
-			e.Several = b.Addresses
+			e.Addresses = b.Addresses
 		}
 		all = append(all, e)
 	}
 	for _, name := range gone {
 		all = append(all, discovery.Entry{Name: name, Status: "removed"})
 	}
-	how := policy.Changes
+	how := policy.Delta
 	if whole {
-		how = policy.Whole
+		how = policy.FullSnapshot
 	}
-	n.list.Tell(how, all)
+	n.list.Publish(how, all)
 }
 
 func options(d config.DNS) dnsserver.Options {
@@ -213,7 +213,7 @@
 // far is a replica's API.
 type far struct{ api string }
 
-func (f far) Entry(key string) (e kv.Entry, ok bool) {
+func (f far) ReadLocal(key string) (e kv.Entry, ok bool) {
 	text, err := callStore("GET", f.api, "/v1/kv/"+key+"?stale=1", nil)
 	return e, err == nil && json.Unmarshal(text, &e) == nil
 }
--- a/cmd/fawnplank/limits.go
+++ b/cmd/fawnplank/limits.go
@@ -19,7 +19,7 @@
 type limits struct{ *limitserver.Server }
 
 // serveLimits starts it, where the operator file names an address.
-func serveLimits(f *dispatch.Facade, figures *metrics.Figures, start *config.Start, set *config.Operator, accounts *billingservice.Desk) (*limits, error) {
+func serveLimits(f *dispatch.Dispatcher, figures *metrics.Registry, start *config.Config, set *config.Operator, accounts *billingservice.Service) (*limits, error) {
 	if set.Limits.Listen == "" {
 		return nil, nil
 	}
@@ -27,14 +27,14 @@
 	if err != nil {
 		return nil, err
 	}
-	if files := set.Limits.TLS(); files.On() {
+	if files := set.Limits.TLS(); files.Enabled() {
 		source, err := tlsconfig.New(files)
 		if err != nil {
 			return nil, err
 		}
-		l = tls.NewListener(l, source.Server())
-		figures.Watch(map[string]metrics.Watched{"limits_certificate_seconds": {Help: "until the limits' certificate runs out",
-			Value: func() float64 { return source.Left().Seconds() }}})
+		l = tls.NewListener(l, source.ServerConfig())
+		figures.AddGauges(map[string]metrics.Gauge{"limits_certificate_seconds": {Help: "until the limits' certificate runs out",
+			Value: func() float64 { return source.ExpiresIn().Seconds() }}})
 	}
 	s := limitserver.New(f, limitNames(start, set), set.Limits.Connections)
 	s.Keys = map[string]authz.Key{}
@@ -46,11 +46,11 @@
 	}
 	counts := func(n int) func() float64 {
 		return func() float64 {
-			granted, refused, faulty := s.Counts()
+			granted, refused, faulty := s.Stats()
 			return float64([]uint64{granted, refused, faulty}[n])
 		}
 	}
-	figures.Watch(map[string]metrics.Watched{
+	figures.AddGauges(map[string]metrics.Gauge{
 		"limit_checks_granted": {Help: "limit checks that found room", Value: counts(0)},
 		"limit_checks_refused": {Help: "limit checks that found none", Value: counts(1)},
 		"limit_faults":         {Help: "limit commands answered with an error", Value: counts(2)}})
@@ -63,16 +63,16 @@
 	return &limits{s}, nil
 }
 
-func limitNames(start *config.Start, set *config.Operator) limitserver.Names {
+func limitNames(start *config.Config, set *config.Operator) limitserver.Settings {
 	id, _ := start.LimitProfile()
-	return limitserver.Names{Profile: id, Within: time.Duration(set.Limits.Within), Plans: start.Plans, Doors: start.Terms.Doors,
-		MostUnits: start.MostUnits}
+	return limitserver.Settings{Class: id, Timeout: time.Duration(set.Limits.Within), Plans: start.Plans, Instances: start.Settings.Instances,
+		MaxUnits: start.MaxUnits}
 }
 
 // Retune takes the plans of a configuration read anew.
-func (l *limits) Retune(names limitserver.Names) {
+func (l *limits) Retune(names limitserver.Settings) {
 	if l != nil {
-		l.Server.Retune(names)
+		l.Server.UpdateSettings(names)
 	}
 }
 
--- a/cmd/fawnplank/main.go
+++ b/cmd/fawnplank/main.go
@@ -66,10 +66,10 @@
 }
 
 // read reads the configuration and the operator file, and checks them whole.
-func read(path, operator string, over config.Overlay) (*config.Start, *config.Operator, error) {
+func read(path, operator string, over config.Overlay) (*config.Config, *config.Operator, error) {
 	start, err := config.Read(path, over)
 	if err == nil {
-		err = discovery.Check(start.Known)
+		err = discovery.Check(start.KnownEndpoints)
 	}
 	if err != nil {
 		return nil, nil, err
@@ -104,36 +104,36 @@
 	// Descriptors: some for the program itself, the listener, discovery and the counter's connections, old and new,
 	// and for calls at the management address; the rest in halves, so that neither clients nor backends starve the other.
 	own, calls := 48, 0
-	if start.Mgmt != "" {
-		calls = admin.Calls(start.Sockets)
+	if start.ManagementAddress != "" {
+		calls = admin.ConnectionLimit(start.MaxSockets)
 	}
-	part := (start.Sockets - own - calls) / 2
+	part := (start.MaxSockets - own - calls) / 2
 
 	f, figures := dispatch.New(), metrics.New(classes(start))
-	pool := backend.New(part, time.Duration(start.ConnectTimeout), time.Duration(start.IdleConnection), f.Probed)
+	pool := backend.New(part, time.Duration(start.ConnectTimeout), time.Duration(start.IdleConnection), f.HandleHealthCheck)
 	count := counter.New(f, start.Counter, time.Duration(start.ConnectTimeout))
 	if set.Counter.Protocol == "resp" {
 		count.Format = counter.RESP
 	}
-	figures.Watch(outages(f, count))
+	figures.AddGauges(outages(f, count))
 	list := discovery.New(f, pool, start)
-	pool.Figures, list.Figures = figures, figures
+	pool.Metrics, list.Metrics = figures, figures
 	// Large values of clients and of backends each hold at most a sixth of the memory; what waits for room is
 	// not read on meanwhile. Two rooms, not one: a large command holds its room until its answer is written,
 	// and that answer must not wait for the same room. With the collector's three quarters that leaves a third
 	// for the rest.
-	pool.Room = membudget.New(start.MemoryBytes / 6)
+	pool.Budget = membudget.New(start.MemoryBytes / 6)
 	names := &names{list: list, set: set}
 	if names.on() {
-		list.From(names.whole)
+		list.WatchSource(names.whole)
 	}
-	f.Run(start.Seed, start.Terms, count, pool, list)
+	f.Run(start.Seed, start.Settings, count, pool, list)
 	if !names.on() { // a list of long ago must not stand beside the zone's
-		if err := list.Known(start.Known); err != nil {
+		if err := list.LoadSnapshot(start.KnownEndpoints); err != nil {
 			return fmt.Errorf("configuration: %w", err)
 		}
-		if !start.Terms.ListOnRequest {
-			list.Follow()
+		if !start.Settings.PollEndpoints {
+			list.WatchEndpoints()
 		}
 	}
 
@@ -144,7 +144,7 @@
 		return fmt.Errorf("configuration: listen: %w", err)
 	}
 	server := frontend.New(f, pool, start, part)
-	server.Figures, server.Room = figures, membudget.New(start.MemoryBytes/6)
+	server.Metrics, server.Budget = figures, membudget.New(start.MemoryBytes/6)
 	billed := newAccounts()
 	kept, edited, err := openStore(replica, path, operator, names.changed, billed.changed)
 	if err != nil {
@@ -169,8 +169,8 @@
 	served, stopped := make(chan error, 1), make(chan struct{})
 	go func() { served <- server.Serve(listener) }()
 	d := &door{server: server, figures: figures}
-	if start.Mgmt != "" {
-		m, err := admin.New(start.Mgmt, d, calls)
+	if start.ManagementAddress != "" {
+		m, err := admin.New(start.ManagementAddress, d, calls)
 		if err != nil {
 			return fmt.Errorf("configuration: mgmt: %w", err)
 		}
@@ -182,7 +182,7 @@
 		logging.For("admin").WithField(logging.Address, m.Address()).Info("listens")
 	}
 	d.ready.Store(true)
-	logging.For("front").WithFields(logrus.Fields{"number": start.Terms.Me, "doors": start.Terms.Doors,
+	logging.For("front").WithFields(logrus.Fields{"number": start.Settings.InstanceIndex, "doors": start.Settings.Instances,
 		logging.Address: start.Listen}).Info("listens")
 	for stopping := false; ; {
 		select {
@@ -201,20 +201,20 @@
 		case s := <-told: // one at a time: a further one waits
 			if s == syscall.SIGHUP {
 				fresh := reload(path, operator, kept.overlay(), start, set, count, list)
-				if figures.Reloaded(fresh != nil); fresh != nil {
-					f.Retune(fresh.Terms)
-					server.Retune(fresh)
+				if figures.ConfigReloaded(fresh != nil); fresh != nil {
+					f.UpdateSettings(fresh.Settings)
+					server.UpdateSettings(fresh)
 					limits.Retune(limitNames(fresh, set))
 					names.reload()
 					billed.retune(fresh, set)
-					figures.Classes(classes(fresh))
+					figures.SetClasses(classes(fresh))
 					start = fresh
 				}
 			} else if !stopping {
 				stopping = true
 				d.ready.Store(false)
-				go names.close()     // a process that takes over has the journal from here on
-				terms := start.Terms // as they are now: a SIGHUP behind the SIGTERM puts others in start's place
+				go names.close()        // a process that takes over has the journal from here on
+				terms := start.Settings // as they are now: a SIGHUP behind the SIGTERM puts others in start's place
 				go func() {
 					stop(server, listener, terms)
 					limits.Close()
@@ -228,7 +228,7 @@
 
 // listen takes the listener that the process was handed, or opens one that a process started after it may share:
 // during an upgrade both serve the clients' address, and the kernel spreads new connections over the two.
-func listen(start *config.Start) (net.Listener, error) {
+func listen(start *config.Config) (net.Listener, error) {
 	if start.ListenerFD >= 0 {
 		f := os.NewFile(uintptr(start.ListenerFD), "listener")
 		defer f.Close()
@@ -247,14 +247,14 @@
 // door is what the management address acts on.
 type door struct {
 	server  *frontend.Server
-	figures *metrics.Figures
+	figures *metrics.Registry
 	ready   atomic.Bool // listening, and not stopping
 }
 
 func (d *door) Ready() bool { return d.ready.Load() && !d.server.Draining() }
-func (d *door) Quiesce()    { d.server.Quiesce() }
+func (d *door) Drain()      { d.server.Drain() }
 func (d *door) Resume()     { d.server.Resume() }
-func (d *door) Stats(w io.Writer) {
+func (d *door) WriteStats(w io.Writer) {
 	if err := d.figures.Write(w); err != nil {
 		logging.For("admin").WithError(err).Warn("figures")
 	}
@@ -263,7 +263,7 @@
 // reload reads the configuration anew and goes on to the addresses that it names, and to its settings: the
 // configuration to go on with, with the ids of profiles and plans that follow start's. Where the new one is
 // faulty nothing changes, and it gives nil; listen, mgmt, limits and seed wait for a restart.
-func reload(path, operator string, over config.Overlay, start *config.Start, set *config.Operator, count *counter.Client, list *discovery.Client) *config.Start {
+func reload(path, operator string, over config.Overlay, start *config.Config, set *config.Operator, count *counter.Client, list *discovery.Client) *config.Config {
 	fresh, now, err := read(path, operator, over)
 	if err != nil {
 		logging.For("config").WithError(err).Error("not reloaded, the old configuration stays")
@@ -276,13 +276,13 @@
 		}
 	}
 	fresh.Follow(start)
-	count.Move(fresh.Counter)
-	list.Move(fresh.Discovery, fresh.Terms)
+	count.SetAddress(fresh.Counter)
+	list.SetAddress(fresh.Discovery, fresh.Settings)
 	logging.For("config").WithFields(logrus.Fields{"discovery": fresh.Discovery, "counter": fresh.Counter,
-		"classes": len(fresh.Profiles)}).Info("reloaded")
+		"classes": len(fresh.Classes)}).Info("reloaded")
 	kept := *start // what takes effect at a restart only
-	kept.Discovery, kept.Counter, kept.Known, kept.Terms = fresh.Discovery, fresh.Counter, fresh.Known, fresh.Terms
-	kept.Profiles, kept.Plans, kept.Zones, kept.MostUnits = fresh.Profiles, fresh.Plans, fresh.Zones, fresh.MostUnits
+	kept.Discovery, kept.Counter, kept.KnownEndpoints, kept.Settings = fresh.Discovery, fresh.Counter, fresh.KnownEndpoints, fresh.Settings
+	kept.Classes, kept.Plans, kept.Zones, kept.MaxUnits = fresh.Classes, fresh.Plans, fresh.Zones, fresh.MaxUnits
 	if !reflect.DeepEqual(&kept, fresh) {
 		logging.For("config").Warn("changes of listen, mgmt, limits or seed take effect at a restart")
 	}
@@ -291,9 +291,9 @@
 
 // classes are the names of the profiles, by id; those of rows that no name takes any more are empty. Sized by
 // the rows, not the names: after a reload ids reach past the number of names.
-func classes(start *config.Start) []string {
-	names := make([]string, len(start.Terms.Profiles))
-	for name, id := range start.Profiles {
+func classes(start *config.Config) []string {
+	names := make([]string, len(start.Settings.Classes))
+	for name, id := range start.Classes {
 		names[id] = name
 	}
 	return names
@@ -301,7 +301,7 @@
 
 // stop goes on serving while new connections may still come, up to 0.4 s after the signal; then it ends
 // connections between transactions, and returns once all that was taken is answered, or its time is up.
-func stop(server *frontend.Server, listener net.Listener, terms policy.Terms) {
+func stop(server *frontend.Server, listener net.Listener, terms policy.Settings) {
 	logging.For("front").Info("stopping")
 	time.Sleep(450 * time.Millisecond)
 	// What is waiting to be accepted has been taken in by this machine: it is accepted first.
@@ -309,8 +309,8 @@
 	time.Sleep(30 * time.Millisecond)
 	listener.Close()
 	var longest int64
-	for _, p := range terms.Profiles {
-		longest = max(longest, p.HardLimit)
+	for _, p := range terms.Classes {
+		longest = max(longest, p.Deadline)
 	}
 	for until := time.Now().Add(time.Duration(longest)); time.Now().Before(until); {
 		if server.Close(); !server.Serving() && server.Connections() == 0 {
@@ -322,44 +322,44 @@
 }
 
 // outages are the figures on the counter: what it answered, and how far the door may be from one count.
-func outages(f *dispatch.Facade, count *counter.Client) map[string]metrics.Watched {
-	of := func(value func(policy.Outages) float64) func() float64 {
-		return func() float64 { return value(f.Outages()) }
-	}
-	return map[string]metrics.Watched{
-		"counter_calls":          {Help: "calls that the counter answered with a total", Value: func() float64 { n, _, _ := count.Figures(); return float64(n) }},
-		"counter_failures":       {Help: "calls without a total", Value: func() float64 { _, n, _ := count.Figures(); return float64(n) }},
-		"counter_outage_seconds": {Help: "since the first failure after the last total; 0: none", Value: func() float64 { _, _, d := count.Figures(); return d.Seconds() }},
-		"counter_breaker_open": {Help: "1 while calls to the counter are stopped", Value: of(func(o policy.Outages) float64 {
-			if o.Open {
+func outages(f *dispatch.Dispatcher, count *counter.Client) map[string]metrics.Gauge {
+	of := func(value func(policy.CounterStats) float64) func() float64 {
+		return func() float64 { return value(f.CounterStats()) }
+	}
+	return map[string]metrics.Gauge{
+		"counter_calls":          {Help: "calls that the counter answered with a total", Value: func() float64 { n, _, _ := count.Stats(); return float64(n) }},
+		"counter_failures":       {Help: "calls without a total", Value: func() float64 { _, n, _ := count.Stats(); return float64(n) }},
+		"counter_outage_seconds": {Help: "since the first failure after the last total; 0: none", Value: func() float64 { _, _, d := count.Stats(); return d.Seconds() }},
+		"counter_breaker_open": {Help: "1 while calls to the counter are stopped", Value: of(func(o policy.CounterStats) float64 {
+			if o.BreakerOpen {
 				return 1
 			}
 			return 0
 		})},
-		"counter_calling_share":  {Help: "part of the transactions that call the counter", Value: of(func(o policy.Outages) float64 { return o.Calling })},
-		"quota_owed_units":       {Help: "units let in and not told to the counter yet", Value: of(func(o policy.Outages) float64 { return o.Owed })},
-		"quota_reconciled_units": {Help: "units put right on the counter's numbers, of customers remembered", Value: of(func(o policy.Outages) float64 { return o.Righted })},
-		"quota_drift_units":      {Help: "units that this door may be apart from one count", Value: of(func(o policy.Outages) float64 { return o.Drift })},
-		"customers":              {Help: "customers remembered", Value: of(func(o policy.Outages) float64 { return float64(o.Customers) })},
+		"counter_calling_share":  {Help: "part of the transactions that call the counter", Value: of(func(o policy.CounterStats) float64 { return o.CallShare })},
+		"quota_owed_units":       {Help: "units let in and not told to the counter yet", Value: of(func(o policy.CounterStats) float64 { return o.UnreportedUnits })},
+		"quota_reconciled_units": {Help: "units put right on the counter's numbers, of customers remembered", Value: of(func(o policy.CounterStats) float64 { return o.ReconciledUnits })},
+		"quota_drift_units":      {Help: "units that this door may be apart from one count", Value: of(func(o policy.CounterStats) float64 { return o.DriftUnits })},
+		"customers":              {Help: "customers remembered", Value: of(func(o policy.CounterStats) float64 { return float64(o.Tenants) })},
 	}
 }
 
 // keepLearned takes over what an earlier life of the door learned, where the operator file names a file for it, and
 // writes it there from time to time. The function that it gives writes it a last time.
-func keepLearned(f *dispatch.Facade, set *config.Operator) func() {
-	path := set.Learned.File
+func keepLearned(f *dispatch.Dispatcher, set *config.Operator) func() {
+	path := set.WarmStart.File
 	if path == "" {
 		return func() {}
 	}
 	if l, age, err := warmstart.Load(path, time.Now()); err == nil {
-		f.Relearn(l, age)
+		f.ImportState(l, age)
 		logging.For("learned").WithFields(logrus.Fields{"age": age.String(), "backends": len(l.Backends)}).Info("taken over")
 	} else if !errors.Is(err, os.ErrNotExist) {
 		logging.For("learned").WithError(err).Warn("refused; the door starts afresh")
 	}
 	failing := false
 	save := func() {
-		err := warmstart.Save(path, f.Learned(), time.Now())
+		err := warmstart.Save(path, f.ExportState(), time.Now())
 		if err != nil && !failing { // once an outage
 			logging.For("learned").WithError(err).Error("not written")
 		}
@@ -373,7 +373,7 @@
 			case <-stop:
 				save()
 				return
-			case <-time.After(time.Duration(set.Learned.Every)):
+			case <-time.After(time.Duration(set.WarmStart.SaveInterval)):
 				save()
 			}
 		}
--- a/cmd/fawnplank/main_test.go
+++ b/cmd/fawnplank/main_test.go
@@ -346,7 +346,7 @@
 // A new process listens on the clients' address while the old one still does; once the old one has closed its
 // listener, the new one takes every connection.
 func TestTwoProcessesShareTheClientsAddress(t *testing.T) {
-	start := &config.Start{Listen: "127.0.0.1:0", ListenerFD: -1}
+	start := &config.Config{Listen: "127.0.0.1:0", ListenerFD: -1}
 	old, err := listen(start)
 	if err != nil {
 		t.Fatal(err)
@@ -377,8 +377,8 @@
 
 // After a reload, ids of classes reach past the number of names; each is named, a retired row by nothing.
 func TestClassesAfterAReload(t *testing.T) {
-	s := &config.Start{Profiles: map[string]policy.ProfileID{"lookup": 0, "pay": 2}}
-	s.Terms.Profiles = make([]policy.ProfileTerms, 3)
+	s := &config.Config{Classes: map[string]policy.ClassID{"lookup": 0, "pay": 2}}
+	s.Settings.Classes = make([]policy.ClassSettings, 3)
 	if got := classes(s); len(got) != 3 || got[0] != "lookup" || got[1] != "" || got[2] != "pay" {
 		t.Errorf("%q", got)
 	}
--- a/cmd/fawnplank/store.go
+++ b/cmd/fawnplank/store.go
@@ -42,7 +42,7 @@
 
 func (f *storeFlags) options() (o store.Options, err error) {
 	o.Dir = f.dir
-	if tlsFiles.On() {
+	if tlsFiles.Enabled() {
 		if o.TLS, err = tlsconfig.New(tlsFiles); err != nil {
 			return o, err
 		}
@@ -75,10 +75,10 @@
 }
 
 // watch shows until when the replica's certificate holds.
-func (k *kept) watch(figures *metrics.Figures) {
+func (k *kept) watch(figures *metrics.Registry) {
 	if k != nil && k.tls != nil {
-		figures.Watch(map[string]metrics.Watched{"store_certificate_seconds": {Help: "until the replica's certificate runs out",
-			Value: func() float64 { return k.tls.Left().Seconds() }}})
+		figures.AddGauges(map[string]metrics.Gauge{"store_certificate_seconds": {Help: "until the replica's certificate runs out",
+			Value: func() float64 { return k.tls.ExpiresIn().Seconds() }}})
 	}
 }
 
@@ -117,12 +117,12 @@
 		var over config.Overlay
 		if name, ok := strings.CutPrefix(key, config.PlanKey); ok {
 			over.Plans = map[string]json.RawMessage{name: value}
-			if err := config.Row(name, value); err != nil {
+			if err := config.CheckRow(name, value); err != nil {
 				return err
 			}
 		} else if name, ok := strings.CutPrefix(key, config.ClassKey); ok {
 			over.Classes = map[string]json.RawMessage{name: value}
-			if err := config.Row(name, value); err != nil {
+			if err := config.CheckRow(name, value); err != nil {
 				return err
 			}
 		} else {
@@ -150,7 +150,7 @@
 	if k == nil {
 		return o
 	}
-	o.Plans, o.Classes = k.Rows(config.PlanKey), k.Rows(config.ClassKey)
+	o.Plans, o.Classes = k.ReadPrefix(config.PlanKey), k.ReadPrefix(config.ClassKey)
 	return o
 }
 
@@ -236,12 +236,12 @@
 // callStore makes one call to a replica's API.
 func callStore(method, at, path string, body []byte) ([]byte, error) {
 	scheme, way := "http://", &http.Transport{DisableKeepAlives: true}
-	if tlsFiles.On() {
+	if tlsFiles.Enabled() {
 		source, err := tlsconfig.New(tlsFiles)
 		if err != nil {
 			return nil, err
 		}
-		scheme, way.TLSClientConfig = "https://", source.Client()
+		scheme, way.TLSClientConfig = "https://", source.ClientConfig()
 	}
 	request, err := http.NewRequest(method, scheme+at+path, bytes.NewReader(body))
 	if err != nil {
--- a/cmd/fawnplank/tls_test.go
+++ b/cmd/fawnplank/tls_test.go
@@ -41,7 +41,7 @@
 		r.start(t, all)
 	}
 	ask := func(f tlsconfig.Files, n int, words ...string) (string, error) {
-		if f.On() {
+		if f.Enabled() {
 			words = append(flags(f), words...)
 		}
 		out, err := program(append(words, "--at", all[n].api)...).CombinedOutput()
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -17,12 +17,12 @@
 	"golang.org/x/net/netutil"
 )
 
-// Door is what the calls act on.
-type Door interface {
+// Gateway is what the calls act on.
+type Gateway interface {
 	Ready() bool // can serve
-	Quiesce()    // drain: again does nothing more
+	Drain()      // drain: again does nothing more
 	Resume()     // back to work: without a drain does nothing
-	Stats(w io.Writer)
+	WriteStats(w io.Writer)
 }
 
 const (
@@ -37,8 +37,8 @@
 	mostOpen = 32
 )
 
-// Calls is how many calls are open at once under a limit of descriptors: the owner sets so many aside.
-func Calls(sockets int) int { return min(mostOpen, sockets/8) }
+// ConnectionLimit is how many calls are open at once under a limit of descriptors: the owner sets so many aside.
+func ConnectionLimit(sockets int) int { return min(mostOpen, sockets/8) }
 
 // Server serves the management address.
 type Server struct {
@@ -47,7 +47,7 @@
 }
 
 // New listens on the address for so many calls at once; Serve serves it.
-func New(address string, d Door, calls int) (*Server, error) {
+func New(address string, d Gateway, calls int) (*Server, error) {
 	l, err := net.Listen("tcp4", address)
 	if err != nil {
 		return nil, err
@@ -63,9 +63,9 @@
 	mux.HandleFunc("GET /admin/health", func(w http.ResponseWriter, _ *http.Request) { yes(w, d.Ready()) })
 	mux.HandleFunc("GET /admin/stats", func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "text/plain; version=0.0.4")
-		d.Stats(w)
+		d.WriteStats(w)
 	})
-	mux.HandleFunc("POST /admin/quiesce", func(w http.ResponseWriter, _ *http.Request) { d.Quiesce(); yes(w, true) })
+	mux.HandleFunc("POST /admin/quiesce", func(w http.ResponseWriter, _ *http.Request) { d.Drain(); yes(w, true) })
 	mux.HandleFunc("POST /admin/resume", func(w http.ResponseWriter, _ *http.Request) { d.Resume(); yes(w, true) })
 	s := &http.Server{Handler: mux, ReadHeaderTimeout: headTime, ReadTimeout: bodyTime, WriteTimeout: writeTime,
 		IdleTimeout: headTime, MaxHeaderBytes: 8 << 10,
--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -13,10 +13,10 @@
 
 type door struct{ drained atomic.Bool }
 
-func (d *door) Ready() bool       { return !d.drained.Load() }
-func (d *door) Quiesce()          { d.drained.Store(true) }
-func (d *door) Resume()           { d.drained.Store(false) }
-func (d *door) Stats(w io.Writer) { io.WriteString(w, "gw_concurrent 0\n") }
+func (d *door) Ready() bool            { return !d.drained.Load() }
+func (d *door) Drain()                 { d.drained.Store(true) }
+func (d *door) Resume()                { d.drained.Store(false) }
+func (d *door) WriteStats(w io.Writer) { io.WriteString(w, "gw_concurrent 0\n") }
 
 func serve(t *testing.T) (*Server, *door) {
 	d := &door{}
--- a/internal/backend/backend.go
+++ b/internal/backend/backend.go
@@ -32,7 +32,7 @@
 	mostLine  = 1 << 10 // of an error with its load report: several times what the settings' fields take
 	mostParts = 8       // of an answer: value, figures, report, and room
 	// mostValue is the largest value of an answer; what is said to be larger is no value.
-	mostValue  = resp.MostValue
+	mostValue  = resp.MaxValue
 	mostAnswer = mostValue + 4<<10 // a value with its figures and report
 	// plainAnswer is what a connection holds without room of the process's own for large values.
 	plainAnswer = 68 << 10
@@ -56,8 +56,8 @@
 	idle    time.Duration // after which a warm one is closed
 	most    int           // connections at once
 	probed  func(b policy.BackendID, err error)
-	Room    *membudget.Room  // for large answers, beside the clients' large commands
-	Figures *metrics.Figures // counted here: shots written whole
+	Budget  *membudget.Budget // for large answers, beside the clients' large commands
+	Metrics *metrics.Registry // counted here: shots written whole
 
 	mu    sync.Mutex // of all that follows, and of every connection's state
 	peers map[policy.BackendID]*peer
@@ -116,8 +116,8 @@
 	pool *Pool
 	peer *peer
 	nc   *sock.Conn
-	shot *dispatch.Shot // out on it
-	came dispatch.Stage // how far it has come
+	shot *dispatch.Attempt // out on it
+	came dispatch.Progress // how far it has come
 	used time.Time
 	rest time.Duration // before the shot; below 0: there was none
 	down bool
@@ -137,8 +137,8 @@
 		peers: map[policy.BackendID]*peer{}}
 }
 
-// Place says where a backend listens.
-func (p *Pool) Place(b policy.BackendID, address string) {
+// SetAddress says where a backend listens.
+func (p *Pool) SetAddress(b policy.BackendID, address string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if old := p.peers[b]; old == nil || old.address != address {
@@ -147,8 +147,8 @@
 	}
 }
 
-// PlaceAny says where a backend listens that has more than one address.
-func (p *Pool) PlaceAny(b policy.BackendID, all []netip.AddrPort) {
+// SetAddresses says where a backend listens that has more than one address.
+func (p *Pool) SetAddresses(b policy.BackendID, all []netip.AddrPort) {
 	order := dialer.Order(all, dialer.Reachable)
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -224,11 +224,11 @@
 
 // Send sends a shot: the parts of a command, which must stay as they are until the shot is over. The shot is
 // told how it ended.
-func (p *Pool) Send(s *dispatch.Shot, command [][]byte) {
+func (p *Pool) Send(s *dispatch.Attempt, command [][]byte) {
 	c, to, err := p.take(s.Backend)
 	switch {
 	case err != nil:
-		s.Report(nil, 0, &dispatch.Fault{Came: dispatch.Dialling, Err: err})
+		s.Report(nil, 0, &dispatch.NetworkError{Progress: dispatch.Dialling, Err: err})
 	case c != nil:
 		c.write(s, command)
 	default:
@@ -236,7 +236,7 @@
 			defer stopPanic()
 			c, err := p.dial(to)
 			if err != nil {
-				s.Report(nil, 0, &dispatch.Fault{Came: dispatch.Dialling, Err: err})
+				s.Report(nil, 0, &dispatch.NetworkError{Progress: dispatch.Dialling, Err: err})
 				return
 			}
 			c.write(s, command)
@@ -283,7 +283,7 @@
 
 // write writes a shot, unless it was called off. What ends first, the writing or the connection, is sorted out
 // here: before the last byte was written nothing ran.
-func (c *conn) write(s *dispatch.Shot, command [][]byte) {
+func (c *conn) write(s *dispatch.Attempt, command [][]byte) {
 	p := c.pool
 	p.mu.Lock()
 	switch {
@@ -292,7 +292,7 @@
 		// another may be at the address by now.
 		c.close()
 		p.mu.Unlock()
-		s.Report(nil, 0, &dispatch.Fault{Came: dispatch.Dialling, Err: net.ErrClosed})
+		s.Report(nil, 0, &dispatch.NetworkError{Progress: dispatch.Dialling, Err: net.ErrClosed})
 		return
 	case !s.Begin(c):
 		c.settle()
@@ -317,23 +317,23 @@
 	}
 	if n == whole {
 		c.came = dispatch.Written
-		p.Figures.Dispatched(s.Profile())
+		p.Metrics.AttemptSent(s.Class())
 	}
 	if err == nil && !c.down {
 		p.mu.Unlock()
 		return
 	}
 	c.noteRest(true)
-	fault := &dispatch.Fault{Came: c.came, Err: cmp.Or(err, net.ErrClosed)}
+	fault := &dispatch.NetworkError{Progress: c.came, Err: cmp.Or(err, net.ErrClosed)}
 	c.shot = nil
 	c.close()
 	p.mu.Unlock()
 	s.Report(nil, 0, fault)
 }
 
-// Drop gives up the shot, if it is still out here, by closing the connection. It tells whether the shot's end
+// Abandon gives up the shot, if it is still out here, by closing the connection. It tells whether the shot's end
 // is still to be reported: while it is being written, only its writer learns how far it came.
-func (c *conn) Drop(s *dispatch.Shot) (reports bool) {
+func (c *conn) Abandon(s *dispatch.Attempt) (reports bool) {
 	c.pool.mu.Lock()
 	defer c.pool.mu.Unlock()
 	if c.shot != s {
@@ -430,7 +430,7 @@
 			return
 		case size == 0 && held == len(buf):
 			if buf = c.grow(buf); held == len(buf) {
-				c.answered(nil, 0, dispatch.Answered, false)
+				c.answered(nil, 0, dispatch.ErrBackendFailed, false)
 				return
 			}
 		case size > 0:
@@ -461,13 +461,13 @@
 		return buf
 	}
 	if extra := int64(max(size-plainAnswer, 0)) - c.large; extra > 0 {
-		got, ok := c.pool.Room.Take(extra, time.Now().Add(roomWait))
+		got, ok := c.pool.Budget.Acquire(extra, time.Now().Add(roomWait))
 		if !ok {
 			return buf
 		}
 		c.large += got
 	} else if size == 0 {
-		c.pool.Room.Give(c.large)
+		c.pool.Budget.Release(c.large)
 		c.large = 0
 	}
 	return append(make([]byte, 0, size), buf...)[:size]
@@ -482,19 +482,19 @@
 		word, _, _ := bytes.Cut(text, []byte(" "))
 		switch {
 		case !ok:
-			return 0, nil, 0, dispatch.Answered
+			return 0, nil, 0, dispatch.ErrBackendFailed
 		case n == 0:
 			return 0, nil, 0, nil
 		case string(word) == "BUSY":
-			return n, nil, 0, dispatch.TurnedAway
+			return n, nil, 0, dispatch.ErrRejected
 		case string(word) == "ERR":
-			return n, nil, 0, dispatch.Answered
+			return n, nil, 0, dispatch.ErrBackendFailed
 		}
-		return 0, nil, 0, dispatch.Answered
+		return 0, nil, 0, dispatch.ErrBackendFailed
 	}
 	count, at, ok := resp.Length(b, '*', mostParts)
 	if !ok || at > 0 && count < 1 {
-		return 0, nil, 0, dispatch.Answered
+		return 0, nil, 0, dispatch.ErrBackendFailed
 	}
 	if at == 0 {
 		return 0, nil, 0, nil
@@ -509,7 +509,7 @@
 			ok, n = ok && bytes.IndexByte([]byte("+-:"), b[at]) >= 0, -1
 		}
 		if !ok || part == 0 && start > 0 && n < 0 {
-			return 0, nil, 0, dispatch.Answered
+			return 0, nil, 0, dispatch.ErrBackendFailed
 		}
 		end := at + start + n + 2
 		if n < 0 {
@@ -519,7 +519,7 @@
 			return 0, nil, 0, nil
 		}
 		if n >= 0 && string(b[end-2:end]) != "\r\n" {
-			return 0, nil, 0, dispatch.Answered
+			return 0, nil, 0, dispatch.ErrBackendFailed
 		}
 		switch part {
 		case 0:
@@ -585,11 +585,11 @@
 	if held > 0 {
 		came = dispatch.Answering
 	}
-	s.Report(nil, 0, &dispatch.Fault{Came: came, Err: err})
+	s.Report(nil, 0, &dispatch.NetworkError{Progress: came, Err: err})
 }
 
-// Probe asks a backend whether it answers, and tells the outcome. It waits as long as for a connection.
-func (p *Pool) Probe(b policy.BackendID) {
+// CheckHealth asks a backend whether it answers, and tells the outcome. It waits as long as for a connection.
+func (p *Pool) CheckHealth(b policy.BackendID) {
 	go func() {
 		defer stopPanic()
 		p.probed(b, p.probe(b))
@@ -604,7 +604,7 @@
 	}
 	p.mu.Unlock()
 	if err != nil {
-		return &dispatch.Fault{Came: dispatch.Dialling, Err: err}
+		return &dispatch.NetworkError{Progress: dispatch.Dialling, Err: err}
 	}
 	defer func() {
 		p.mu.Lock()
@@ -614,20 +614,20 @@
 	until := time.Now().Add(p.patient)
 	nc, err := net.DialTimeout("tcp4", to.address, p.patient)
 	if err != nil {
-		return &dispatch.Fault{Came: dispatch.Dialling, Err: err}
+		return &dispatch.NetworkError{Progress: dispatch.Dialling, Err: err}
 	}
 	defer nc.Close()
 	nc.SetDeadline(until)
 	if _, err := nc.Write([]byte("*1\r\n$4\r\nPING\r\n")); err != nil {
-		return &dispatch.Fault{Came: dispatch.Writing, Err: err}
+		return &dispatch.NetworkError{Progress: dispatch.Writing, Err: err}
 	}
 	var buf [64]byte
 	n, err := nc.Read(buf[:])
 	if err != nil {
-		return &dispatch.Fault{Came: dispatch.Written, Err: err}
+		return &dispatch.NetworkError{Progress: dispatch.Written, Err: err}
 	}
 	if !bytes.HasPrefix(buf[:n], []byte("+")) {
-		return dispatch.Answered
+		return dispatch.ErrBackendFailed
 	}
 	return nil
 }
--- a/internal/backend/backend_test.go
+++ b/internal/backend/backend_test.go
@@ -34,9 +34,9 @@
 		"*3\r\n$2\r\nok\r\n:5\r\n+x\r\n":                      {"$2\r\nok\r\n", 0, nil},
 		"*1\r\n$2\r\nok\r\n":                                  {"$2\r\nok\r\n", 0, nil},
 		"*1\r\n$" + most + "\r\n" + long + "\r\n":             {"$" + most + "\r\n" + long + "\r\n", 0, nil},
-		"-BUSY\r\n":                    {"", 0, dispatch.TurnedAway},
-		"-BUSY inflight=7,queue=2\r\n": {"", 0, dispatch.TurnedAway},
-		"-ERR failed inflight=7\r\n":   {"", 0, dispatch.Answered},
+		"-BUSY\r\n":                    {"", 0, dispatch.ErrRejected},
+		"-BUSY inflight=7,queue=2\r\n": {"", 0, dispatch.ErrRejected},
+		"-ERR failed inflight=7\r\n":   {"", 0, dispatch.ErrBackendFailed},
 	} {
 		size, value, units, err := parse([]byte(text))
 		if size != len(text) || string(value) != want.value || units != want.units || err != want.err {
@@ -59,7 +59,7 @@
 		"*3\r\n$2\r\nok\r\n$x\r\n", "*3\r\n$2\r\nok\r\nnoise\r\n", "*" + strings.Repeat("3", 50),
 		"-" + strings.Repeat("E", 2000), "-BUSYBODY\r\n", "-\r\n", "-SYNTAX\r\n", "$2\r\nok\r\n", "+OK\r\n", ":1\r\n",
 		"HTTP/1.1 200 OK\r\n", "\x00", "\r\n"} {
-		if size, _, _, err := parse([]byte(text)); size != 0 || err != dispatch.Answered {
+		if size, _, _, err := parse([]byte(text)); size != 0 || err != dispatch.ErrBackendFailed {
 			t.Errorf("%.40q: %d, %v", text, size, err)
 		}
 	}
@@ -105,14 +105,14 @@
 	p := New(10, 200*time.Millisecond, time.Second, func(b policy.BackendID, err error) { told <- err })
 	for answer, good := range map[string]bool{"+PONG\r\n": true, "-ERR busy\r\n": false, "": false} {
 		at, _ := listen(t, answer)
-		p.Place(1, at)
-		p.Probe(1)
+		p.SetAddress(1, at)
+		p.CheckHealth(1)
 		if err := <-told; (err == nil) != good {
 			t.Errorf("%q: %v", answer, err)
 		}
 	}
 	p.Forget(1)
-	p.Probe(1)
+	p.CheckHealth(1)
 	if err := <-told; err == nil {
 		t.Error("a probe without an address")
 	}
@@ -140,7 +140,7 @@
 func TestConnectionRestsForALateSecondAnswer(t *testing.T) {
 	p := New(10, 200*time.Millisecond, 10*time.Second, nil)
 	at, conns := listen(t, "")
-	p.Place(1, at)
+	p.SetAddress(1, at)
 	c := warm(t, p, 1)
 	p.mu.Lock()
 	c.used = time.Now()
@@ -172,13 +172,13 @@
 	p := New(2, 300*time.Millisecond, time.Second, func(b policy.BackendID, err error) { told <- err })
 	at, conns := listen(t, "")
 	for b := policy.BackendID(1); b <= 3; b++ {
-		p.Place(b, at)
+		p.SetAddress(b, at)
 	}
 	for b := policy.BackendID(1); b <= 2; b++ {
-		p.Probe(b)
+		p.CheckHealth(b)
 		<-conns
 	}
-	p.Probe(3)
+	p.CheckHealth(3)
 	if err := <-told; !errors.Is(err, errCrowded) {
 		t.Errorf("a third probe of two: %v", err)
 	}
@@ -198,7 +198,7 @@
 func TestAnAnswerWithoutEndIsLeft(t *testing.T) {
 	p := New(10, 200*time.Millisecond, 10*time.Second, nil)
 	at, conns := listen(t, "")
-	p.Place(1, at)
+	p.SetAddress(1, at)
 	c := warm(t, p, 1)
 	there := <-conns
 	p.mu.Lock()
@@ -221,28 +221,28 @@
 // the old one, where another backend may listen by now.
 func TestAShotDoesNotGoWhereItsBackendWas(t *testing.T) {
 	for name, change := range map[string]func(p *Pool){
-		"moved": func(p *Pool) { p.Place(1, "127.0.0.1:1") },
+		"moved": func(p *Pool) { p.SetAddress(1, "127.0.0.1:1") },
 		"gone":  func(p *Pool) { p.Forget(1) },
 	} {
 		p := New(10, 200*time.Millisecond, 10*time.Second, nil)
-		p.Figures = metrics.New([]string{"lookup"})
+		p.Metrics = metrics.New([]string{"lookup"})
 		at, conns := listen(t, "")
-		p.Place(1, at)
+		p.SetAddress(1, at)
 		warm(t, p, 1)
 		there := <-conns
 		f := dispatch.New()
-		f.Run(9, policy.Terms{Doors: 1, MostShots: 1, ColdShare: 1, FallMultiple: 2, FallSpan: 1e9, Plans: []policy.PlanTerms{{}},
-			Profiles: []policy.ProfileTerms{{Promised: 1e9, HardLimit: 1e9}}}, nil, nil, nil)
-		f.Backends(policy.Whole, []policy.Listed{{Backend: 1, Stage: policy.Ready}})
-		tx := f.Take(0, 0, 1, time.Second, 1, 1, 0)
-		step := tx.Pick()
+		f.Run(9, policy.Settings{Instances: 1, MaxAttempts: 1, SlowStartShare: 1, OverloadMultiple: 2, OverloadWindow: 1e9, Plans: []policy.PlanSettings{{}},
+			Classes: []policy.ClassSettings{{LatencyObjective: 1e9, Deadline: 1e9}}}, nil, nil, nil)
+		f.UpdateEndpoints(policy.FullSnapshot, []policy.Endpoint{{Backend: 1, State: policy.EndpointReady}})
+		tx := f.Submit(0, 0, 1, time.Second, 1, 1, 0)
+		step := tx.NextStep()
 		c, _, err := p.take(1)
-		if step.Do != dispatch.Send || c == nil || err != nil {
+		if step.Action != dispatch.Send || c == nil || err != nil {
 			t.Fatalf("%s: %+v, %v, %v", name, step, c, err)
 		}
 		change(p)
-		c.write(step.Shot, [][]byte{[]byte("*1\r\n$4\r\nPING\r\n")})
-		if last := tx.Pick(); last.Do != dispatch.Dismiss { // never sent
+		c.write(step.Attempt, [][]byte{[]byte("*1\r\n$4\r\nPING\r\n")})
+		if last := tx.NextStep(); last.Action != dispatch.Reject { // never sent
 			t.Errorf("%s: %+v", name, last)
 		}
 		there.SetReadDeadline(time.Now().Add(time.Second))
@@ -258,13 +258,13 @@
 func TestAShotGivenUpEndsTheSending(t *testing.T) {
 	p := New(10, 200*time.Millisecond, 10*time.Second, nil)
 	at, conns := listen(t, "")
-	p.Place(1, at)
+	p.SetAddress(1, at)
 	c := warm(t, p, 1)
-	s := &dispatch.Shot{}
+	s := &dispatch.Attempt{}
 	p.mu.Lock()
 	c.shot, c.came = s, dispatch.Written
 	p.mu.Unlock()
-	if c.Drop(s) {
+	if c.Abandon(s) {
 		t.Error("it is to be reported")
 	}
 	there := <-conns
@@ -278,8 +278,8 @@
 	p := New(2, 200*time.Millisecond, 200*time.Millisecond, nil)
 	one, conns := listen(t, "")
 	two, _ := listen(t, "")
-	p.Place(1, one)
-	p.Place(2, two)
+	p.SetAddress(1, one)
+	p.SetAddress(2, two)
 	first := warm(t, p, 1)
 	if warm(t, p, 1) != first {
 		t.Error("a warm connection is not used again")
@@ -288,7 +288,7 @@
 	p.mu.Lock()
 	second.used = second.used.Add(time.Millisecond)
 	p.mu.Unlock()
-	p.Place(3, two)
+	p.SetAddress(3, two)
 	third := warm(t, p, 3) // the oldest makes room
 	if !first.down || second.down || third.down || p.conns != 2 {
 		t.Errorf("closed: %t %t %t, %d open", first.down, second.down, third.down, p.conns)
@@ -297,7 +297,7 @@
 	if again := warm(t, p, 2); again == second || !second.down {
 		t.Error("a connection that has been idle for too long is used")
 	}
-	p.Place(2, one) // at another address now
+	p.SetAddress(2, one) // at another address now
 	p.Forget(3)
 	if !third.down || len(p.peers[2].warm) != 0 {
 		t.Error("connections to a backend that moved or is gone are kept")
@@ -318,7 +318,7 @@
 func TestBytesBehindAnAnswerEndTheConnection(t *testing.T) {
 	p := New(10, 200*time.Millisecond, 10*time.Second, nil)
 	at, conns := listen(t, "")
-	p.Place(1, at)
+	p.SetAddress(1, at)
 	c := warm(t, p, 1)
 	(<-conns).Write([]byte("*1\r\n$3\r\nold\r\n"))
 	p.mu.Lock() // its reader cannot get at the pool's state meanwhile
@@ -337,12 +337,12 @@
 func TestConnectionRestsOnceItsWriterIsDone(t *testing.T) {
 	p := New(10, 200*time.Millisecond, 10*time.Second, nil)
 	at, _ := listen(t, "")
-	p.Place(1, at)
+	p.SetAddress(1, at)
 	c := warm(t, p, 1)
 	if got, _, _ := p.take(1); got != c {
 		t.Fatal("not warm")
 	}
-	s := &dispatch.Shot{}
+	s := &dispatch.Attempt{}
 	p.mu.Lock()
 	c.shot, c.writing = s, true
 	p.mu.Unlock()
@@ -369,7 +369,7 @@
 func TestLargeAnswersAreBoundedTogether(t *testing.T) {
 	p := New(100, 200*time.Millisecond, 10*time.Second, nil)
 	const most = 8 << 20
-	p.Room = membudget.New(most)
+	p.Budget = membudget.New(most)
 	head := append([]byte("*3\r\n$1000000\r\n"), make([]byte, 4096-15)...)
 	size := 4 + 11 + 1000000 + mostLine // the head of the answer, its value, and a line
 	var held []*conn
@@ -400,7 +400,7 @@
 	for _, c := range held {
 		c.grow(nil)
 	}
-	if _, ok := p.Room.Take(int64(most-(size-plainAnswer)), time.Now()); !ok {
+	if _, ok := p.Budget.Acquire(int64(most-(size-plainAnswer)), time.Now()); !ok {
 		t.Error("room is still held")
 	}
 }
@@ -417,7 +417,7 @@
 	refuses.Close()
 	p := New(4, 500*time.Millisecond, time.Second, nil)
 	all := []netip.AddrPort{netip.MustParseAddrPort(bad), netip.MustParseAddrPort(good)}
-	p.PlaceAny(1, all)
+	p.SetAddresses(1, all)
 	c := warm(t, p, 1)
 	if got := c.nc.RemoteAddr().String(); got != good {
 		t.Fatal(got)
@@ -426,7 +426,7 @@
 	if first := p.peers[1].several[0]; first != all[1] || len(p.peers[1].several) != 2 {
 		t.Errorf("%v is first next time, in %v", first, p.peers[1].several)
 	}
-	p.PlaceAny(1, all) // told again: its warm connection stays
+	p.SetAddresses(1, all) // told again: its warm connection stays
 	if again, _, err := p.take(1); err != nil || again != c {
 		t.Error("another connection: ", err)
 	}
@@ -435,7 +435,7 @@
 		t.Error("a second connection to one backend")
 	case <-time.After(50 * time.Millisecond):
 	}
-	p.PlaceAny(1, all[:1]) // elsewhere now
+	p.SetAddresses(1, all[:1]) // elsewhere now
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.conns != 1 || p.peers[1].several[0] != all[0] {
--- a/internal/billing/account.go
+++ b/internal/billing/account.go
@@ -33,8 +33,8 @@
 // Quota is what a plan allows: units a second, and how many at once.
 type Quota struct{ Rate, Peak float64 }
 
-// Terms are the same at all doors.
-type Terms struct {
+// Settings are the same at all doors.
+type Settings struct {
 	Window int64            // ns: use is billed by windows of this length, since 1970
 	Lead   int64            // ns that a plan change is made known ahead: all doors have heard by its moment
 	Skew   int64            // ns that two doors' clocks may differ
@@ -45,12 +45,12 @@
 
 // Account is a gestoría's. It is not changed: each step gives a new one.
 type Account struct {
-	Gestoria string           `json:"gestoria"`
-	Changes  []Change         `json:"changes,omitempty"` // in order of their moments
-	Windows  []Window         `json:"windows,omitempty"` // not exported yet, or open, in order
-	Holds    map[string]Hold  `json:"holds,omitempty"`   // reservations, by id
-	Ended    map[string]int64 `json:"ended,omitempty"`   // ids of reservations that ended, until when they are remembered, unix ns
-	Epoch    uint64           `json:"epoch,omitempty"`   // of the last hold: no two have one in common
+	Gestoria string                 `json:"gestoria"`
+	Changes  []Change               `json:"changes,omitempty"` // in order of their moments
+	Windows  []Window               `json:"windows,omitempty"` // not exported yet, or open, in order
+	Holds    map[string]Reservation `json:"holds,omitempty"`   // reservations, by id
+	Ended    map[string]int64       `json:"ended,omitempty"`   // ids of reservations that ended, until when they are remembered, unix ns
+	Epoch    uint64                 `json:"epoch,omitempty"`   // of the last hold: no two have one in common
 }
 
 // Change is a plan from a moment on.
@@ -67,8 +67,8 @@
 	Sent  Units            `json:"sent"`  // of all plans, exported
 }
 
-// Hold is a reservation.
-type Hold struct {
+// Reservation is a reservation.
+type Reservation struct {
 	ID     string `json:"id"`
 	Plan   string `json:"plan"`
 	Window int64  `json:"window"` // whose allowance it takes, unix ns
@@ -116,7 +116,7 @@
 	}
 	a.Holds, a.Ended = maps.Clone(a.Holds), maps.Clone(a.Ended)
 	if a.Holds == nil {
-		a.Holds = map[string]Hold{}
+		a.Holds = map[string]Reservation{}
 	}
 	if a.Ended == nil {
 		a.Ended = map[string]int64{}
@@ -143,7 +143,7 @@
 }
 
 // Change sets the gestoría's plan from a moment on. The same change again is no error: it was made.
-func (a Account) Change(t Terms, now int64, c Change) (Account, error) {
+func (a Account) Change(t Settings, now int64, c Change) (Account, error) {
 	if err := checkID(c.ID); err != nil {
 		return a, err
 	}
@@ -176,7 +176,7 @@
 }
 
 // TakeBack takes a change back that no door goes by yet.
-func (a Account) TakeBack(t Terms, now int64, id string) (Account, error) {
+func (a Account) TakeBack(t Settings, now int64, id string) (Account, error) {
 	for n, c := range a.Changes {
 		if c.ID != id {
 			continue
@@ -192,7 +192,7 @@
 }
 
 // start is that of the window of a moment.
-func (t Terms) start(at int64) int64 { return at - ((at%t.Window)+t.Window)%t.Window }
+func (t Settings) start(at int64) int64 { return at - ((at%t.Window)+t.Window)%t.Window }
 
 func (a *Account) window(start int64) *Window {
 	n, ok := slices.BinarySearchFunc(a.Windows, start, func(w Window, s int64) int { return cmp.Compare(w.Start, s) })
@@ -203,7 +203,7 @@
 }
 
 // Use adds units that were used under a plan, the one their transactions were taken under.
-func (a Account) Use(t Terms, start int64, plan string, units Units) (Account, error) {
+func (a Account) Use(t Settings, start int64, plan string, units Units) (Account, error) {
 	if units <= 0 || units > mostUnits*1e6*1000 {
 		return a, fault(ErrRange, "use of %d", units)
 	}
@@ -217,7 +217,7 @@
 
 // Allowance is what a window allows: each plan's rate for the time it holds in it, and what the plan now in force
 // allows at once.
-func (a Account) Allowance(t Terms, start, now int64, asked string) Units {
+func (a Account) Allowance(t Settings, start, now int64, asked string) Units {
 	sum, from, plan := 0.0, start, a.Plan(start)
 	end := start + t.Window
 	for _, c := range a.Changes {
@@ -232,7 +232,7 @@
 }
 
 // Room is what may still be reserved of a window: below 0 where a change left less than is used or held already.
-func (a Account) Room(t Terms, start, now int64, asked string) Units {
+func (a Account) Room(t Settings, start, now int64, asked string) Units {
 	room := a.Allowance(t, start, now, asked)
 	for _, w := range a.Windows {
 		if w.Start == start {
@@ -250,7 +250,7 @@
 	return room
 }
 
-func (t Terms) lease(now, lease int64) (int64, error) {
+func (t Settings) lease(now, lease int64) (int64, error) {
 	if lease <= 0 || lease > t.Lease {
 		return 0, fault(ErrRange, "lease of %d ms, of 1 to %d,", lease/1e6, t.Lease/1e6)
 	}
@@ -259,47 +259,47 @@
 
 // Reserve holds units of the window that now lies in. The same id again is no error while it is held by the same
 // holder: it was made, and what is told is what it holds.
-func (a Account) Reserve(t Terms, now int64, id, holder, plan string, units Units, lease int64) (Account, Hold, error) {
+func (a Account) Reserve(t Settings, now int64, id, holder, plan string, units Units, lease int64) (Account, Reservation, error) {
 	plan = cmp.Or(a.Plan(now), plan)
 	if err := checkID(id); err != nil {
-		return a, Hold{}, err
+		return a, Reservation{}, err
 	}
 	if _, ok := t.Plans[plan]; !ok {
-		return a, Hold{}, fault(ErrUnknown, "plan %.80q", plan)
+		return a, Reservation{}, fault(ErrUnknown, "plan %.80q", plan)
 	}
 	until, err := t.lease(now, lease)
 	if err != nil {
-		return a, Hold{}, err
+		return a, Reservation{}, err
 	}
 	if units <= 0 || units > mostUnits*1e6 {
-		return a, Hold{}, fault(ErrRange, "a reservation of %g units", units.Float())
+		return a, Reservation{}, fault(ErrRange, "a reservation of %g units", units.Float())
 	}
 	a = a.Lapse(t, now)
 	if h, ok := a.Holds[id]; ok {
 		if h.Holder == holder {
 			return a, h, nil
 		}
-		return a, Hold{}, fault(ErrTaken, "reservation %q", id)
+		return a, Reservation{}, fault(ErrTaken, "reservation %q", id)
 	}
 	if _, ok := a.Ended[id]; ok {
-		return a, Hold{}, fault(ErrOver, "reservation %q", id)
+		return a, Reservation{}, fault(ErrOver, "reservation %q", id)
 	}
 	start := t.start(now)
 	if room := a.Room(t, start, now, plan); units > room {
-		return a, Hold{}, fault(ErrNoRoom, "the window, for %g units of %g,", units.Float(), max(room, 0).Float())
+		return a, Reservation{}, fault(ErrNoRoom, "the window, for %g units of %g,", units.Float(), max(room, 0).Float())
 	}
 	if len(a.Holds) >= mostHolds {
-		return a, Hold{}, fault(ErrNoRoom, "the list of reservations, of %d,", mostHolds)
+		return a, Reservation{}, fault(ErrNoRoom, "the list of reservations, of %d,", mostHolds)
 	}
 	a = a.clone()
 	a.Epoch++
-	h := Hold{ID: id, Plan: plan, Window: start, Left: units, Until: until, Epoch: a.Epoch, Holder: holder}
+	h := Reservation{ID: id, Plan: plan, Window: start, Left: units, Until: until, Epoch: a.Epoch, Holder: holder}
 	a.Holds[id] = h
 	return a, h, nil
 }
 
 // held gives a reservation that its holder may still use.
-func (a Account) held(now int64, id string, epoch uint64) (Hold, error) {
+func (a Account) held(now int64, id string, epoch uint64) (Reservation, error) {
 	h, ok := a.Holds[id]
 	switch {
 	case !ok && a.Ended[id] != 0:
@@ -316,7 +316,7 @@
 
 // Commit turns reserved units into use. Each raises the epoch, which the answer tells and the next one must name: one
 // that is sent twice is done once, and the second is told that its epoch is gone by.
-func (a Account) Commit(t Terms, now int64, id string, epoch uint64, units Units) (Account, Hold, error) {
+func (a Account) Commit(t Settings, now int64, id string, epoch uint64, units Units) (Account, Reservation, error) {
 	h, err := a.held(now, id, epoch)
 	if err != nil {
 		return a, h, err
@@ -335,7 +335,7 @@
 }
 
 // Renew holds it for longer.
-func (a Account) Renew(t Terms, now int64, id string, epoch uint64, lease int64) (Account, Hold, error) {
+func (a Account) Renew(t Settings, now int64, id string, epoch uint64, lease int64) (Account, Reservation, error) {
 	h, err := a.held(now, id, epoch)
 	if err != nil {
 		return a, h, err
@@ -349,7 +349,7 @@
 }
 
 // Take makes it another holder's: what the old one sends from then on is of an epoch gone by.
-func (a Account) Take(t Terms, now int64, id, holder string, lease int64) (Account, Hold, error) {
+func (a Account) Take(t Settings, now int64, id, holder string, lease int64) (Account, Reservation, error) {
 	h, err := a.held(now, id, a.Holds[id].Epoch)
 	if err != nil {
 		return a, h, err
@@ -365,7 +365,7 @@
 }
 
 // Release gives what is left back.
-func (a Account) Release(t Terms, now int64, id string, epoch uint64) (Account, error) {
+func (a Account) Release(t Settings, now int64, id string, epoch uint64) (Account, error) {
 	if _, err := a.held(now, id, epoch); err != nil {
 		return a, err
 	}
@@ -375,13 +375,13 @@
 }
 
 // end ends a reservation; its id is remembered for as long as somebody may send for it.
-func (a *Account) end(t Terms, now int64, id string) {
+func (a *Account) end(t Settings, now int64, id string) {
 	delete(a.Holds, id)
 	a.Ended[id] = now + 2*t.Lease
 }
 
 // Lapse returns what is left of reservations whose holders have let them go: once a lease is over on every door's clock.
-func (a Account) Lapse(t Terms, now int64) Account {
+func (a Account) Lapse(t Settings, now int64) Account {
 	var over, old []string
 	for id, h := range a.Holds {
 		if now >= h.Until+t.Skew {
@@ -408,7 +408,7 @@
 
 // Close gives the records of windows whose time is over, numbered from a sequence on, and the account without them. A
 // window that a reservation may still add to waits for nothing: what it adds makes a further record.
-func (a Account) Close(t Terms, now int64, next uint64) (Account, []Record) {
+func (a Account) Close(t Settings, now int64, next uint64) (Account, []Record) {
 	var records []Record
 	b := a.clone()
 	b.Windows = nil
--- a/internal/billing/account_test.go
+++ b/internal/billing/account_test.go
@@ -9,8 +9,8 @@
 
 const second = int64(1e9)
 
-func terms() Terms {
-	return Terms{Window: 60 * second, Lead: 5 * second, Skew: second, Lease: 30 * second, Late: 10 * second,
+func terms() Settings {
+	return Settings{Window: 60 * second, Lead: 5 * second, Skew: second, Lease: 30 * second, Late: 10 * second,
 		Plans: map[string]Quota{"small": {1, 10}, "large": {5, 100}}}
 }
 
@@ -150,7 +150,7 @@
 					used += units
 				}
 			case 3, 4:
-				var h Hold
+				var h Reservation
 				lapsed := a.Lapse(T, clock)
 				room := lapsed.Room(T, T.start(clock), clock, "small")
 				if a, h, err = a.Reserve(T, clock, id, "me", "small", units, int64(1+r.IntN(20))*second); err == nil {
@@ -162,7 +162,7 @@
 					epochs[id] = h.Epoch
 				}
 			case 5:
-				var h Hold
+				var h Reservation
 				if a, h, err = a.Commit(T, clock, id, epochs[id]-uint64(r.IntN(5)/4), units); err == nil {
 					spent[id] += units
 					used += units
--- a/internal/billingservice/billingservice.go
+++ b/internal/billingservice/billingservice.go
@@ -23,36 +23,36 @@
 
 // Replica is the part of a replica of the store that accounts are kept by.
 type Replica interface {
-	Entry(key string) (kv.Entry, bool)             // as this replica has it
-	Fresh(key string) (kv.Entry, bool, error)      // as the leader has it, with all that landed
-	Rows(prefix string) map[string]json.RawMessage // as this replica has them, by what follows the prefix
-	Edit(edits []kv.Edit) error                    // together or not at all; kv.Conflict where a key is not as asked
+	ReadLocal(key string) (kv.Entry, bool)               // as this replica has it
+	ReadFromLeader(key string) (kv.Entry, bool, error)   // as the leader has it, with all that landed
+	ReadPrefix(prefix string) map[string]json.RawMessage // as this replica has them, by what follows the prefix
+	Edit(edits []kv.Edit) error                          // together or not at all; kv.Conflict where a key is not as asked
 }
 
-// Keys of the store.
+// KeyPrefix of the store.
 const (
-	Keys       = "billing/"
-	accountKey = Keys + "account/"
-	useKey     = Keys + "use/"
-	recordKey  = Keys + "record/"
-	exportKey  = Keys + "export"
-	clerkKey   = Keys + "clerk"
+	KeyPrefix  = "billing/"
+	accountKey = KeyPrefix + "account/"
+	useKey     = KeyPrefix + "use/"
+	recordKey  = KeyPrefix + "record/"
+	exportKey  = KeyPrefix + "export"
+	clerkKey   = KeyPrefix + "clerk"
 )
 
 // Options are what the accounts are kept with.
 type Options struct {
-	Replica Replica
-	Door    string               // this door's name, one of its own in the installation
-	Terms   func() billing.Terms // as the settings have them now
-	Every   time.Duration        // between two reports of this door's use
-	Again   time.Duration        // after an export that failed, doubled up to thirty times that; 0: a second
-	Term    time.Duration        // for which a clerk is one without renewing it; 0: three seconds
-	Sink    Sink                 // nil: this door exports nothing
-	Now     func() time.Time     // nil: the clock
-}
-
-// Desk keeps the accounts at one door.
-type Desk struct {
+	Replica        Replica
+	Instance       string                  // this door's name, one of its own in the installation
+	Settings       func() billing.Settings // as the settings have them now
+	ReportInterval time.Duration           // between two reports of this door's use
+	RetryDelay     time.Duration           // after an export that failed, doubled up to thirty times that; 0: a second
+	LeaseDuration  time.Duration           // for which a clerk is one without renewing it; 0: three seconds
+	Sink           Sink                    // nil: this door exports nothing
+	Now            func() time.Time        // nil: the clock
+}
+
+// Service keeps the accounts at one door.
+type Service struct {
 	o    Options
 	life int64 // this process among the door's, unix ns
 	mu   sync.Mutex
@@ -66,12 +66,12 @@
 	clerks  sync.Mutex
 	until   int64 // this desk is the clerk, unix ns
 	once    sync.Once
-	counts  Counts
+	counts  Stats
 	halted  atomic.Pointer[string] // why nothing is exported
 }
 
-// Counts are figures.
-type Counts struct{ Steps, Refused, Reports, Exported, Failures atomic.Uint64 }
+// Stats are figures.
+type Stats struct{ Operations, Rejected, Reports, Exported, Failures atomic.Uint64 }
 
 // use is what reports are summed by.
 type use struct {
@@ -97,33 +97,33 @@
 	mostTries = 100
 	// mostBatch bounds what is sent at once.
 	mostBatch = 200
-	// Sweep is how often leases and windows that are over are looked for.
-	Sweep = time.Second
+	// CompactionInterval is how often leases and windows that are over are looked for.
+	CompactionInterval = time.Second
 	// clerk is how often reports are folded into accounts.
 	clerk = 250 * time.Millisecond
 )
 
 // Start starts a desk.
-func Start(o Options) *Desk {
+func Start(o Options) *Service {
 	if o.Now == nil {
 		o.Now = time.Now
 	}
-	if o.Term == 0 {
-		o.Term = 3 * time.Second
+	if o.LeaseDuration == 0 {
+		o.LeaseDuration = 3 * time.Second
 	}
-	if o.Again == 0 {
-		o.Again = time.Second
+	if o.RetryDelay == 0 {
+		o.RetryDelay = time.Second
 	}
-	d := &Desk{o: o, life: o.Now().UnixNano(), used: map[use]billing.Units{}, stop: make(chan struct{})}
+	d := &Service{o: o, life: o.Now().UnixNano(), used: map[use]billing.Units{}, stop: make(chan struct{})}
 	d.plans.Store(&map[string]billing.Account{})
 	var keys []string
-	for g := range o.Replica.Rows(accountKey) {
+	for g := range o.Replica.ReadPrefix(accountKey) {
 		keys = append(keys, accountKey+g)
 	}
 	d.Changed(keys)
-	d.loop(o.Every, d.report)
+	d.loop(o.ReportInterval, d.report)
 	d.loop(clerk, d.fold)
-	d.loop(Sweep, d.sweep)
+	d.loop(CompactionInterval, d.sweep)
 	if o.Sink != nil {
 		d.done.Add(1)
 		go d.export()
@@ -131,7 +131,7 @@
 	return d
 }
 
-func (d *Desk) loop(every time.Duration, do func() error) {
+func (d *Service) loop(every time.Duration, do func() error) {
 	d.done.Add(1)
 	go func() {
 		defer d.done.Done()
@@ -158,7 +158,7 @@
 }
 
 // Close reports what was used, and ends the loops.
-func (d *Desk) Close() {
+func (d *Service) Close() {
 	if d == nil {
 		return
 	}
@@ -179,22 +179,22 @@
 	})
 }
 
-// Figures are the counts; waiting is how many records are not exported yet.
-func (d *Desk) Figures() (c *Counts, waiting int) {
-	return &d.counts, len(d.o.Replica.Rows(recordKey))
+// Stats are the counts; waiting is how many records are not exported yet.
+func (d *Service) Stats() (c *Stats, waiting int) {
+	return &d.counts, len(d.o.Replica.ReadPrefix(recordKey))
 }
 
 // Halted is why nothing is exported; empty: nothing is wrong.
-func (d *Desk) Halted() string {
+func (d *Service) Halted() string {
 	if x := d.halted.Load(); x != nil {
 		return *x
 	}
 	return ""
 }
 
-// Plan is the plan that a gestoría's transactions are taken under now, where a change has set one. It is asked for each
+// TenantPlan is the plan that a gestoría's transactions are taken under now, where a change has set one. It is asked for each
 // transaction: a look into a map.
-func (d *Desk) Plan(gestoria string) (string, bool) {
+func (d *Service) TenantPlan(gestoria string) (string, bool) {
 	a, ok := (*d.plans.Load())[gestoria]
 	if !ok {
 		return "", false
@@ -203,13 +203,13 @@
 	return plan, plan != ""
 }
 
-// Used notes units of a transaction that was taken at a moment under a plan, and has been fulfilled.
-func (d *Desk) Used(gestoria, plan string, taken time.Time, units float64) {
+// RecordUsage notes units of a transaction that was taken at a moment under a plan, and has been fulfilled.
+func (d *Service) RecordUsage(gestoria, plan string, taken time.Time, units float64) {
 	n, err := billing.Of(units)
 	if err != nil {
 		return
 	}
-	w := d.o.Terms().Window
+	w := d.o.Settings().Window
 	at := taken.UnixNano()
 	k := use{gestoria, plan, at - at%w}
 	d.mu.Lock()
@@ -219,7 +219,7 @@
 
 // Changed is to be called with keys that have changed in the store: changes of plans are taken over. Its cost is that of
 // the accounts named, not of all: each report that is folded changes some.
-func (d *Desk) Changed(keys []string) {
+func (d *Service) Changed(keys []string) {
 	plans, copied := *d.plans.Load(), false
 	for _, key := range keys {
 		g, ok := strings.CutPrefix(key, accountKey)
@@ -227,7 +227,7 @@
 			continue
 		}
 		var a billing.Account
-		if e, ok := d.o.Replica.Entry(key); ok && json.Unmarshal(e.Value, &a) != nil {
+		if e, ok := d.o.Replica.ReadLocal(key); ok && json.Unmarshal(e.Value, &a) != nil {
 			continue
 		}
 		if slices.Equal(a.Changes, plans[g].Changes) {
@@ -248,7 +248,7 @@
 // What a report says is fixed before it is first written, and stays so until it is known to have landed. Otherwise a
 // write that landed though it gave an error, followed by a newer report of the same number, would let the newer one
 // pass for landed: units were lost so in 8 of 13 runs of the test with a store that fails.
-func (d *Desk) report() error {
+func (d *Service) report() error {
 	for {
 		if d.pending == nil {
 			d.mu.Lock()
@@ -282,16 +282,16 @@
 }
 
 // marks is the prefix of the keys that tell which report of a door's life landed last.
-const marks = Keys + "door/"
+const marks = KeyPrefix + "door/"
 
 // own is the part of keys that is this process's own: during an upgrade two of one name run.
-func (d *Desk) own() string { return fmt.Sprintf("%s-%016x", d.o.Door, d.life) }
+func (d *Service) own() string { return fmt.Sprintf("%s-%016x", d.o.Instance, d.life) }
 
 // forget deletes the marks of this door's lives of long ago, which report nothing any more.
-func (d *Desk) forget() error {
+func (d *Service) forget() error {
 	var edits []kv.Edit
-	for name := range d.o.Replica.Rows(marks) {
-		life, ok := strings.CutPrefix(name, d.o.Door+"-")
+	for name := range d.o.Replica.ReadPrefix(marks) {
+		life, ok := strings.CutPrefix(name, d.o.Instance+"-")
 		if began, err := strconv.ParseInt(life, 16, 64); ok && err == nil && began < d.life-int64(24*time.Hour) && len(edits) < mostItems {
 			edits = append(edits, kv.Edit{Key: marks + name})
 		}
@@ -305,14 +305,14 @@
 // land writes a report until it is known to have landed. It may have landed though its writing gave an error, and
 // may have been folded into accounts since: so what was written is tried again as it is, and a mark in the door's own
 // key tells.
-func (d *Desk) land(key string, text []byte) error {
+func (d *Service) land(key string, text []byte) error {
 	mark := marks + d.own()
 	number, err := json.Marshal(key)
 	if err != nil {
 		return err
 	}
 	for end := time.Now().Add(within); ; {
-		old, ok, err := d.o.Replica.Fresh(mark)
+		old, ok, err := d.o.Replica.ReadFromLeader(mark)
 		if err == nil && ok && string(old.Value) == string(number) {
 			return nil // it has landed
 		}
@@ -335,10 +335,10 @@
 
 // account reads an account: as this replica has it, or with all that has landed. What is written with the index it
 // gives lands only if that was the last word.
-func (d *Desk) account(gestoria string, fresh bool) (a billing.Account, index kv.Index, err error) {
-	e, ok := d.o.Replica.Entry(accountKey + gestoria)
+func (d *Service) account(gestoria string, fresh bool) (a billing.Account, index kv.Index, err error) {
+	e, ok := d.o.Replica.ReadLocal(accountKey + gestoria)
 	if fresh {
-		if e, ok, err = d.o.Replica.Fresh(accountKey + gestoria); err != nil {
+		if e, ok, err = d.o.Replica.ReadFromLeader(accountKey + gestoria); err != nil {
 			return a, 0, err
 		}
 	}
@@ -356,18 +356,18 @@
 var ErrStore = errors.New("the store gives no answer; ask again with the same words")
 
 // step does one step of an account. do may be called more than once.
-func (d *Desk) step(gestoria string, do func(t billing.Terms, now int64, a billing.Account) (billing.Account, error)) error {
+func (d *Service) step(gestoria string, do func(t billing.Settings, now int64, a billing.Account) (billing.Account, error)) error {
 	fresh := false // a step that goes through on what is here costs one write; a refusal, or a conflict, looks further
 	for end := time.Now().Add(within); ; {
 		a, index, err := d.account(gestoria, fresh)
 		if err == nil {
-			b, refused := do(d.o.Terms(), d.o.Now().UnixNano(), a)
+			b, refused := do(d.o.Settings(), d.o.Now().UnixNano(), a)
 			if refused != nil && !fresh {
 				fresh = true
 				continue
 			}
 			if refused != nil {
-				d.counts.Refused.Add(1)
+				d.counts.Rejected.Add(1)
 				return refused
 			}
 			var e kv.Edit
@@ -375,7 +375,7 @@
 				err = d.o.Replica.Edit([]kv.Edit{e})
 			}
 			if err == nil {
-				d.counts.Steps.Add(1)
+				d.counts.Operations.Add(1)
 				return nil
 			}
 		}
@@ -402,22 +402,22 @@
 }
 
 // Change sets a gestoría's plan from a moment on.
-func (d *Desk) Change(gestoria string, c billing.Change) error {
-	return d.step(gestoria, func(t billing.Terms, now int64, a billing.Account) (billing.Account, error) {
+func (d *Service) Change(gestoria string, c billing.Change) error {
+	return d.step(gestoria, func(t billing.Settings, now int64, a billing.Account) (billing.Account, error) {
 		return a.Change(t, now, c)
 	})
 }
 
-// TakeBack takes a change back.
-func (d *Desk) TakeBack(gestoria, id string) error {
-	return d.step(gestoria, func(t billing.Terms, now int64, a billing.Account) (billing.Account, error) {
+// CancelChange takes a change back.
+func (d *Service) CancelChange(gestoria, id string) error {
+	return d.step(gestoria, func(t billing.Settings, now int64, a billing.Account) (billing.Account, error) {
 		return a.TakeBack(t, now, id)
 	})
 }
 
 // Reserve holds units.
-func (d *Desk) Reserve(gestoria, id, holder, plan string, units billing.Units, lease time.Duration) (h billing.Hold, err error) {
-	err = d.step(gestoria, func(t billing.Terms, now int64, a billing.Account) (_ billing.Account, err error) {
+func (d *Service) Reserve(gestoria, id, holder, plan string, units billing.Units, lease time.Duration) (h billing.Reservation, err error) {
+	err = d.step(gestoria, func(t billing.Settings, now int64, a billing.Account) (_ billing.Account, err error) {
 		a, h, err = a.Reserve(t, now, id, holder, plan, units, int64(lease))
 		return a, err
 	})
@@ -425,8 +425,8 @@
 }
 
 // Commit turns reserved units into use.
-func (d *Desk) Commit(gestoria, id string, epoch uint64, units billing.Units) (h billing.Hold, err error) {
-	err = d.step(gestoria, func(t billing.Terms, now int64, a billing.Account) (_ billing.Account, err error) {
+func (d *Service) Commit(gestoria, id string, epoch uint64, units billing.Units) (h billing.Reservation, err error) {
+	err = d.step(gestoria, func(t billing.Settings, now int64, a billing.Account) (_ billing.Account, err error) {
 		a, h, err = a.Commit(t, now, id, epoch, units)
 		return a, err
 	})
@@ -434,17 +434,17 @@
 }
 
 // Renew holds a reservation for longer.
-func (d *Desk) Renew(gestoria, id string, epoch uint64, lease time.Duration) (h billing.Hold, err error) {
-	err = d.step(gestoria, func(t billing.Terms, now int64, a billing.Account) (_ billing.Account, err error) {
+func (d *Service) Renew(gestoria, id string, epoch uint64, lease time.Duration) (h billing.Reservation, err error) {
+	err = d.step(gestoria, func(t billing.Settings, now int64, a billing.Account) (_ billing.Account, err error) {
 		a, h, err = a.Renew(t, now, id, epoch, int64(lease))
 		return a, err
 	})
 	return h, err
 }
 
-// Take makes a reservation another holder's.
-func (d *Desk) Take(gestoria, id, holder string, lease time.Duration) (h billing.Hold, err error) {
-	err = d.step(gestoria, func(t billing.Terms, now int64, a billing.Account) (_ billing.Account, err error) {
+// AdoptReservation makes a reservation another holder's.
+func (d *Service) AdoptReservation(gestoria, id, holder string, lease time.Duration) (h billing.Reservation, err error) {
+	err = d.step(gestoria, func(t billing.Settings, now int64, a billing.Account) (_ billing.Account, err error) {
 		a, h, err = a.Take(t, now, id, holder, int64(lease))
 		return a, err
 	})
@@ -452,18 +452,18 @@
 }
 
 // Release gives what is left of a reservation back.
-func (d *Desk) Release(gestoria, id string, epoch uint64) error {
-	return d.step(gestoria, func(t billing.Terms, now int64, a billing.Account) (billing.Account, error) {
+func (d *Service) Release(gestoria, id string, epoch uint64) error {
+	return d.step(gestoria, func(t billing.Settings, now int64, a billing.Account) (billing.Account, error) {
 		return a.Release(t, now, id, epoch)
 	})
 }
 
-// Show is an account as the leader has it, and its room in the window that is open.
-func (d *Desk) Show(gestoria, plan string) (a billing.Account, room billing.Units, err error) {
+// Account is an account as the leader has it, and its room in the window that is open.
+func (d *Service) Account(gestoria, plan string) (a billing.Account, room billing.Units, err error) {
 	if a, _, err = d.account(gestoria, true); err != nil {
 		return a, 0, fmt.Errorf("%w (%v)", ErrStore, err)
 	}
-	t, now := d.o.Terms(), d.o.Now().UnixNano()
+	t, now := d.o.Settings(), d.o.Now().UnixNano()
 	return a, a.Room(t, now-now%t.Window, now, plan), nil
 }
 
@@ -476,26 +476,26 @@
 // isClerk says whether this desk is the clerk: the one that folds reports and looks for what is over, so that not every
 // door reads all accounts each second. Two at once would do no harm, since each write names what it read. It is not the
 // store's leader, which may be a replica without a front door: nothing was folded then, for as long as that one led.
-func (d *Desk) isClerk() bool {
+func (d *Service) isClerk() bool {
 	d.clerks.Lock()
 	defer d.clerks.Unlock()
 	now := d.o.Now().UnixNano()
-	if now < d.until-int64(d.o.Term)/2 {
+	if now < d.until-int64(d.o.LeaseDuration)/2 {
 		return true
 	}
-	e, ok := d.o.Replica.Entry(clerkKey)
+	e, ok := d.o.Replica.ReadLocal(clerkKey)
 	var c clerkship
-	if ok && json.Unmarshal(e.Value, &c) == nil && c.Who != d.own() && now < c.Until+d.o.Terms().Skew {
+	if ok && json.Unmarshal(e.Value, &c) == nil && c.Who != d.own() && now < c.Until+d.o.Settings().Skew {
 		return false
 	}
-	if err := d.appoint(clerkship{d.own(), now + int64(d.o.Term)}, e.Index); err != nil {
+	if err := d.appoint(clerkship{d.own(), now + int64(d.o.LeaseDuration)}, e.Index); err != nil {
 		return now < d.until
 	}
-	d.until = now + int64(d.o.Term)
+	d.until = now + int64(d.o.LeaseDuration)
 	return true
 }
 
-func (d *Desk) appoint(c clerkship, index kv.Index) error {
+func (d *Service) appoint(c clerkship, index kv.Index) error {
 	text, err := json.Marshal(c)
 	if err != nil {
 		return err
@@ -504,13 +504,13 @@
 }
 
 // resign lets another desk be the clerk at once.
-func (d *Desk) resign() {
+func (d *Service) resign() {
 	d.clerks.Lock()
 	defer d.clerks.Unlock()
 	if d.until == 0 {
 		return
 	}
-	if e, ok := d.o.Replica.Entry(clerkKey); ok {
+	if e, ok := d.o.Replica.ReadLocal(clerkKey); ok {
 		var c clerkship
 		if json.Unmarshal(e.Value, &c) == nil && c.Who == d.own() {
 			d.appoint(clerkship{c.Who, 0}, e.Index) // it runs out by itself otherwise
@@ -521,16 +521,16 @@
 // fold adds reported use to accounts: reports go and their units come in one write, as many as it takes. A second write
 // at once would meet accounts that this replica has not heard of yet: report by report, a clerk that is not the store's
 // leader folded four a second and fell behind two doors.
-func (d *Desk) fold() error {
+func (d *Service) fold() error {
 	if !d.isClerk() {
 		return nil
 	}
 	accounts, indices := map[string]billing.Account{}, map[string]kv.Index{}
 	var edits []kv.Edit
 	var bad error
-	names := slices.Sorted(maps.Keys(d.o.Replica.Rows(useKey)))
+	names := slices.Sorted(maps.Keys(d.o.Replica.ReadPrefix(useKey)))
 	for _, name := range names {
-		e, ok := d.o.Replica.Entry(useKey + name)
+		e, ok := d.o.Replica.ReadLocal(useKey + name)
 		if !ok {
 			continue
 		}
@@ -550,7 +550,7 @@
 				a, at[x.Gestoria], err = d.account(x.Gestoria, false)
 			}
 			if err == nil {
-				now[x.Gestoria], err = a.Use(d.o.Terms(), x.Window, x.Plan, x.Units)
+				now[x.Gestoria], err = a.Use(d.o.Settings(), x.Window, x.Plan, x.Units)
 			}
 			if err != nil {
 				break
@@ -589,8 +589,8 @@
 	Last  uint64 `json:"last,omitempty"`
 }
 
-func (d *Desk) state() (s state, index kv.Index, err error) {
-	e, ok, err := d.o.Replica.Fresh(exportKey)
+func (d *Service) state() (s state, index kv.Index, err error) {
+	e, ok, err := d.o.Replica.ReadFromLeader(exportKey)
 	if err != nil || !ok {
 		return state{Next: 1}, 0, err
 	}
@@ -601,17 +601,17 @@
 
 // sweep returns reservations whose leases are over, and makes records of windows that are: as many accounts in a write
 // as it takes, since windows of all gestorías end together.
-func (d *Desk) sweep() error {
+func (d *Service) sweep() error {
 	if !d.isClerk() {
 		return nil
 	}
-	names := slices.Sorted(maps.Keys(d.o.Replica.Rows(accountKey)))
+	names := slices.Sorted(maps.Keys(d.o.Replica.ReadPrefix(accountKey)))
 	for tries := 0; len(names) > 0 && tries < mostTries; tries++ {
 		s, at, err := d.state()
 		if err != nil {
 			return err
 		}
-		if e, _ := d.o.Replica.Entry(exportKey); e.Index < at { // this replica has yet to hear of the last write
+		if e, _ := d.o.Replica.ReadLocal(exportKey); e.Index < at { // this replica has yet to hear of the last write
 			select {
 			case <-d.stop:
 				return nil
@@ -641,8 +641,8 @@
 
 // settle gives the edits of the first accounts named whose time has come, with their records numbered on, and the names
 // that are left.
-func (d *Desk) settle(names []string, s *state) (edits []kv.Edit, left []string, err error) {
-	t := d.o.Terms()
+func (d *Service) settle(names []string, s *state) (edits []kv.Edit, left []string, err error) {
+	t := d.o.Settings()
 	for n, g := range names {
 		a, index, err := d.account(g, false)
 		if err != nil || index == 0 {
--- a/internal/billingservice/billingservice_test.go
+++ b/internal/billingservice/billingservice_test.go
@@ -32,17 +32,17 @@
 
 func newMemory() *memory { return &memory{kv: kv.New(), chance: rand.New(rand.NewPCG(1, 1))} }
 
-func (m *memory) Entry(key string) (kv.Entry, bool) {
+func (m *memory) ReadLocal(key string) (kv.Entry, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.kv.Get(key)
 }
 
-func (m *memory) Fresh(key string) (kv.Entry, bool, error) {
+func (m *memory) ReadFromLeader(key string) (kv.Entry, bool, error) {
 	if m.fails() {
 		return kv.Entry{}, false, errors.New("no leader")
 	}
-	e, ok := m.Entry(key)
+	e, ok := m.ReadLocal(key)
 	return e, ok, nil
 }
 
@@ -52,7 +52,7 @@
 	return m.chance.Float64() < m.faulty
 }
 
-func (m *memory) Rows(prefix string) map[string]json.RawMessage {
+func (m *memory) ReadPrefix(prefix string) map[string]json.RawMessage {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	all := map[string]json.RawMessage{}
@@ -150,12 +150,12 @@
 	return sum, r.bad
 }
 
-func terms() billing.Terms {
-	return billing.Terms{Window: 400e6, Lead: 50e6, Skew: 20e6, Lease: 500e6, Late: 50e6, Plans: map[string]billing.Quota{"small": {Rate: 100, Peak: 50}, "large": {Rate: 1000, Peak: 500}}}
+func terms() billing.Settings {
+	return billing.Settings{Window: 400e6, Lead: 50e6, Skew: 20e6, Lease: 500e6, Late: 50e6, Plans: map[string]billing.Quota{"small": {Rate: 100, Peak: 50}, "large": {Rate: 1000, Peak: 500}}}
 }
 
-func desk(m *memory, door string, sink Sink) *Desk {
-	return Start(Options{Replica: m, Door: door, Terms: terms, Every: 20 * time.Millisecond, Again: 10 * time.Millisecond, Term: 300 * time.Millisecond, Sink: sink})
+func desk(m *memory, door string, sink Sink) *Service {
+	return Start(Options{Replica: m, Instance: door, Settings: terms, ReportInterval: 20 * time.Millisecond, RetryDelay: 10 * time.Millisecond, LeaseDuration: 300 * time.Millisecond, Sink: sink})
 }
 
 func wait(t *testing.T, what string, is func() bool) {
@@ -191,7 +191,7 @@
 				taken := billing.Units(0)
 				for i := range 30 {
 					g := fmt.Sprintf("g%d", chance.IntN(4))
-					d.Used(g, "small", time.Now().Add(-time.Duration(chance.IntN(500))*time.Millisecond), 1.5)
+					d.RecordUsage(g, "small", time.Now().Add(-time.Duration(chance.IntN(500))*time.Millisecond), 1.5)
 					taken += 1500000
 					if i%5 != 0 {
 						time.Sleep(5 * time.Millisecond)
@@ -206,8 +206,8 @@
 					case err == nil:
 						add(&sure, 2e6)
 					case errors.Is(err, ErrStore): // asked again, it is done once
-						a, _, err := d.Show(g, "large")
-						for ; err != nil; a, _, err = d.Show(g, "large") {
+						a, _, err := d.Account(g, "large")
+						for ; err != nil; a, _, err = d.Account(g, "large") {
 						}
 						if h, ok := a.Holds[id]; !ok { // it is over by now
 							add(&perhaps, 2e6)
@@ -245,8 +245,8 @@
 	d := desk(m, "clerk", NewReceiver(url))
 	defer d.Close()
 	wait(t, "all to be exported", func() bool {
-		_, left := d.Figures()
-		accounts := m.Rows(accountKey)
+		_, left := d.Stats()
+		accounts := m.ReadPrefix(accountKey)
 		open := 0
 		for _, text := range accounts {
 			var a billing.Account
@@ -256,7 +256,7 @@
 			}
 			open += len(a.Holds)
 		}
-		return left == 0 && open == 0 && len(m.Rows(useKey)) == 0
+		return left == 0 && open == 0 && len(m.ReadPrefix(useKey)) == 0
 	})
 	got, err := r.total()
 	if err != nil || got < sure || got > sure+perhaps || r.twice == 0 {
@@ -271,22 +271,22 @@
 func TestReservationsReturnInTheirTime(t *testing.T) {
 	const lease = 300 * time.Millisecond
 	due := lease + time.Duration(terms().Skew)
-	last := Sweep - due // reserved so long after the start of the door that is left, it is over just at its first sweep
+	last := CompactionInterval - due // reserved so long after the start of the door that is left, it is over just at its first sweep
 	for name, c := range map[string]struct {
 		after, want time.Duration // from the other door's start to the reservation; from that to its return
 	}{
-		"as the other starts":     {0, Sweep},
+		"as the other starts":     {0, CompactionInterval},
 		"just before a sweep":     {last - 1, due + 1},
 		"at a sweep":              {last, due},
-		"just after a sweep":      {last + 1, due + Sweep - 1},
-		"in the middle":           {last + Sweep/2, due + Sweep/2},
-		"after many sweeps":       {20*Sweep + last + 1, due + Sweep - 1},
-		"before the other starts": {-20 * time.Millisecond, Sweep + 20*time.Millisecond},
+		"just after a sweep":      {last + 1, due + CompactionInterval - 1},
+		"in the middle":           {last + CompactionInterval/2, due + CompactionInterval/2},
+		"after many sweeps":       {20*CompactionInterval + last + 1, due + CompactionInterval - 1},
+		"before the other starts": {-20 * time.Millisecond, CompactionInterval + 20*time.Millisecond},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				m := newMemory()
-				var other *Desk
+				var other *Service
 				if c.after >= 0 {
 					other = desk(m, "e", nil)
 					time.Sleep(c.after)
@@ -298,11 +298,11 @@
 				}
 				old := marks + "d-0000000000000001" // of a life of long ago: goes with the first report
 				m.Edit([]kv.Edit{{Key: old, Value: []byte(`"x"`)}})
-				d.Used("g", "small", time.Now(), 1)
+				d.RecordUsage("g", "small", time.Now(), 1)
 				time.Sleep(20 * time.Millisecond) // until its first report
 				synctest.Wait()
-				if _, there := m.Entry(old); there || len(m.Rows(marks)) != 1 {
-					t.Errorf("marks after the first report: %v", m.Rows(marks))
+				if _, there := m.ReadLocal(old); there || len(m.ReadPrefix(marks)) != 1 {
+					t.Errorf("marks after the first report: %v", m.ReadPrefix(marks))
 				}
 				d.Close()
 				if other == nil {
@@ -310,7 +310,7 @@
 				}
 				defer other.Close()
 				held := func() bool {
-					a, _, err := other.Show("g", "small")
+					a, _, err := other.Account("g", "small")
 					if err != nil {
 						t.Error(err)
 					}
@@ -337,12 +337,12 @@
 	m := newMemory()
 	r, url := newReceiver(t)
 	d := desk(m, "d", NewReceiver(url))
-	use := func(d *Desk, n float64) { d.Used("g", "small", time.Now(), n) }
+	use := func(d *Service, n float64) { d.RecordUsage("g", "small", time.Now(), n) }
 	use(d, 5)
 	wait(t, "a first export", func() bool { sum, _ := r.total(); return sum == 5e6 })
 	use(d, 6)
 	time.Sleep(100 * time.Millisecond) // reported and folded, and its window is open
-	wait(t, "the report to be folded", func() bool { return len(m.Rows(useKey)) == 0 && len(m.Rows(accountKey)) == 1 })
+	wait(t, "the report to be folded", func() bool { return len(m.ReadPrefix(useKey)) == 0 && len(m.ReadPrefix(accountKey)) == 1 })
 	m.mu.Lock()
 	old, err := m.kv.Snapshot()
 	m.mu.Unlock()
@@ -383,7 +383,7 @@
 	defer d.Close()
 	began := m.at
 	for n := range 2000 {
-		d.Used(fmt.Sprintf("g%04d", n), "small", time.Now(), 1)
+		d.RecordUsage(fmt.Sprintf("g%04d", n), "small", time.Now(), 1)
 	}
 	wait(t, "all to be exported", func() bool { sum, _ := r.total(); return sum == 2000e6 })
 	m.mu.Lock()
--- a/internal/billingservice/export.go
+++ b/internal/billingservice/export.go
@@ -142,7 +142,7 @@
 var errAhead = errors.New("the receiver has records that the store has not numbered: it was put back to an old copy. Nothing is exported until `fawnplank billing resume`")
 
 // export sends records on, in their order, until Close.
-func (d *Desk) export() {
+func (d *Service) export() {
 	defer d.done.Done()
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -160,8 +160,8 @@
 		if err != nil {
 			said = err.Error()
 			d.counts.Failures.Add(1)
-			pause = min(max(2*pause, d.o.Again), 30*d.o.Again)
-		} else if pause = d.o.Every; sent {
+			pause = min(max(2*pause, d.o.RetryDelay), 30*d.o.RetryDelay)
+		} else if pause = d.o.ReportInterval; sent {
 			pause = 0
 		}
 		d.halted.Store(&said)
@@ -184,7 +184,7 @@
 //
 // The batch is fixed in the store before anything is sent, so that whoever sends it again, after a crash at any
 // moment, sends the same; and the receiver is asked first what it has.
-func (d *Desk) exportOne(ctx context.Context) (sent bool, err error) {
+func (d *Service) exportOne(ctx context.Context) (sent bool, err error) {
 	s, index, err := d.state()
 	if err != nil {
 		return false, err
@@ -208,12 +208,12 @@
 		}
 		return false, errAhead
 	}
-	if e, _ := d.o.Replica.Entry(exportKey); e.Index < index { // this replica has yet to hear of the batch, and of its records
+	if e, _ := d.o.Replica.ReadLocal(exportKey); e.Index < index { // this replica has yet to hear of the batch, and of its records
 		return false, nil
 	}
 	var batch []billing.Record
 	for n := s.First; n <= s.Last; n++ {
-		e, ok := d.o.Replica.Entry(recordAt(n))
+		e, ok := d.o.Replica.ReadLocal(recordAt(n))
 		var r billing.Record
 		if !ok || json.Unmarshal(e.Value, &r) != nil || r.Sequence != n {
 			return false, fmt.Errorf("record %d is missing in the store", n)
@@ -238,7 +238,7 @@
 }
 
 // write writes the export's state, if it still is as it was read.
-func (d *Desk) write(s state, index kv.Index, edits []kv.Edit) (kv.Index, error) {
+func (d *Service) write(s state, index kv.Index, edits []kv.Edit) (kv.Index, error) {
 	text, err := json.Marshal(s)
 	if err != nil {
 		return 0, err
@@ -246,7 +246,7 @@
 	if err := d.o.Replica.Edit(append(edits, kv.Edit{Key: exportKey, Value: text, Check: true, If: index})); err != nil {
 		return 0, err
 	}
-	e, ok, err := d.o.Replica.Fresh(exportKey)
+	e, ok, err := d.o.Replica.ReadFromLeader(exportKey)
 	if err == nil && (!ok || string(e.Value) != string(text)) {
 		err = kv.Conflict{Key: exportKey}
 	}
@@ -257,7 +257,7 @@
 // of windows that began before a moment, which may have been exported by the lost state, is dropped, never billed
 // again. It tells how many records and windows that were.
 func Resume(r Replica, after uint64, before time.Time) (records, windows int, err error) {
-	d := &Desk{o: Options{Replica: r, Now: time.Now, Terms: func() billing.Terms { return billing.Terms{} }}}
+	d := &Service{o: Options{Replica: r, Now: time.Now, Settings: func() billing.Settings { return billing.Settings{} }}}
 	s, index, err := d.state()
 	if err != nil {
 		return 0, 0, err
@@ -271,8 +271,8 @@
 		}
 		records++
 	}
-	for name := range r.Rows(accountKey) {
-		if err := d.step(name, func(_ billing.Terms, _ int64, a billing.Account) (billing.Account, error) {
+	for name := range r.ReadPrefix(accountKey) {
+		if err := d.step(name, func(_ billing.Settings, _ int64, a billing.Account) (billing.Account, error) {
 			a, n := a.Drop(before.UnixNano())
 			windows += n
 			return a, nil
--- a/internal/billingservice/version0_test.go
+++ b/internal/billingservice/version0_test.go
@@ -61,23 +61,23 @@
 		}
 		must(d.Change("g", billing.Change{ID: "c1", At: version0At(100 * time.Millisecond), Plan: "small"}))
 		must(d.Change("g", billing.Change{ID: "c2", At: version0At(time.Hour), Plan: "large"}))
-		d.Used("h", "large", time.Now(), 1.5)
+		d.RecordUsage("h", "large", time.Now(), 1.5)
 		until(1250 * time.Millisecond)
-		d.Used("g", "small", time.Now(), 2)
+		d.RecordUsage("g", "small", time.Now(), 2)
 		_, err := d.Reserve("g", "r0", "gone", "", 3e6, 300*time.Millisecond)
 		must(err)
 		until(1260 * time.Millisecond)
-		a, _, err := d.Show("g", "small")
+		a, _, err := d.Account("g", "small")
 		must(err)
 		must(d.Release("g", "r0", a.Holds["r0"].Epoch))
 		until(2050 * time.Millisecond)
-		d.Used("g", "small", version0Start.Add(1300*time.Millisecond), 3)
+		d.RecordUsage("g", "small", version0Start.Add(1300*time.Millisecond), 3)
 		h, err := d.Reserve("g", "r1", "holder-1", "", 20e6, 500*time.Millisecond)
 		must(err)
 		_, err = d.Commit("g", "r1", h.Epoch, 5e6)
 		must(err)
 		until(2255 * time.Millisecond)
-		d.Used("g", "small", time.Now(), 4)
+		d.RecordUsage("g", "small", time.Now(), 4)
 		until(2300 * time.Millisecond)
 		text, err := m.kv.Snapshot()
 		must(err)
@@ -108,9 +108,9 @@
 }
 
 // version0Desk is a desk without its loops at the moment at which the fixture was written.
-func version0Desk(m *memory, sink Sink) *Desk {
+func version0Desk(m *memory, sink Sink) *Service {
 	now := version0Start.Add(2300 * time.Millisecond)
-	return &Desk{o: Options{Replica: m, Door: "d", Terms: terms, Term: 300 * time.Millisecond, Sink: sink, Now: func() time.Time { return now }},
+	return &Service{o: Options{Replica: m, Instance: "d", Settings: terms, LeaseDuration: 300 * time.Millisecond, Sink: sink, Now: func() time.Time { return now }},
 		life: version0At(0), used: map[use]billing.Units{}, stop: make(chan struct{})}
 }
 
@@ -120,7 +120,7 @@
 		Changes: []billing.Change{{ID: "c1", At: version0At(100 * time.Millisecond), Plan: "small"}, {ID: "c2", At: version0At(time.Hour), Plan: "large"}},
 		Windows: []billing.Window{{Start: version0At(1200 * time.Millisecond), Used: map[string]billing.Units{"small": 3e6}, Sent: 2e6},
 			{Start: version0At(2000 * time.Millisecond), Used: map[string]billing.Units{"small": 5e6}}},
-		Holds: map[string]billing.Hold{"r1": {ID: "r1", Plan: "small", Window: version0At(2 * time.Second), Left: 15e6,
+		Holds: map[string]billing.Reservation{"r1": {ID: "r1", Plan: "small", Window: version0At(2 * time.Second), Left: 15e6,
 			Until: version0At(2550 * time.Millisecond), Epoch: 3, Holder: "holder-1"}},
 		Ended: map[string]int64{"r0": version0At(2260 * time.Millisecond)}, Epoch: 3},
 	recordKey + "0000000000000002":         billing.Record{Sequence: 2, Gestoria: "g", Plan: "small", Window: 946684801, Micro: 2e6},
@@ -136,12 +136,12 @@
 	m := version0Store(t)
 	for _, key := range m.kv.Keys("") {
 		if _, ok := version0Values[key]; !ok {
-			e, _ := m.Entry(key)
+			e, _ := m.ReadLocal(key)
 			t.Errorf("key %s: %s", key, e.Value)
 		}
 	}
 	for key, want := range version0Values {
-		e, ok := m.Entry(key)
+		e, ok := m.ReadLocal(key)
 		got := reflect.New(reflect.TypeOf(want))
 		if !ok || json.Unmarshal(e.Value, got.Interface()) != nil || !reflect.DeepEqual(got.Elem().Interface(), want) {
 			t.Errorf("%s: %s, and not %+v", key, e.Value, want)
@@ -159,7 +159,7 @@
 	d := version0Desk(m, folder)
 	d.plans.Store(&map[string]billing.Account{})
 	d.Changed([]string{accountKey + "g"})
-	if plan, ok := d.Plan("g"); plan != "small" || !ok {
+	if plan, ok := d.TenantPlan("g"); plan != "small" || !ok {
 		t.Errorf("plan %q, %v", plan, ok)
 	}
 	if h, err := d.Commit("g", "r1", 3, 1e6); err != nil || h.Left != 14e6 || h.Epoch != 4 {
@@ -171,9 +171,9 @@
 	if err := d.fold(); err != nil {
 		t.Fatal(err)
 	}
-	a, _, err := d.Show("g", "")
-	if err != nil || len(a.Windows) != 2 || a.Windows[1].Used["small"] != 10e6 || len(m.Rows(useKey)) != 0 {
-		t.Errorf("after the report: %+v, %v, %q", a, err, m.Rows(useKey))
+	a, _, err := d.Account("g", "")
+	if err != nil || len(a.Windows) != 2 || a.Windows[1].Used["small"] != 10e6 || len(m.ReadPrefix(useKey)) != 0 {
+		t.Errorf("after the report: %+v, %v, %q", a, err, m.ReadPrefix(useKey))
 	}
 	if sent, err := d.exportOne(context.Background()); !sent || err != nil {
 		t.Fatal(sent, err)
@@ -182,7 +182,7 @@
 	if want := `{"sequence":2,"gestoria":"g","plan":"small","window_unix_s":946684801,"micro_units":2000000}` + "\n"; err != nil || string(text) != want {
 		t.Errorf("%s, %v", text, err)
 	}
-	if s, _, err := d.state(); err != nil || s != (state{Next: 3, Acked: 2}) || len(m.Rows(recordKey)) != 0 {
+	if s, _, err := d.state(); err != nil || s != (state{Next: 3, Acked: 2}) || len(m.ReadPrefix(recordKey)) != 0 {
 		t.Errorf("the export: %+v, %v", s, err)
 	}
 }
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -16,22 +16,22 @@
 	"fawnplank/policy"
 )
 
-// Start is what a front door is told at its start.
-type Start struct {
+// Config is what a front door is told at its start.
+type Config struct {
 	Name, Listen, Discovery, Counter string
-	Mgmt                             string // the management address; empty: none
+	ManagementAddress                string // the management address; empty: none
 	ListenerFD                       int    // a listener handed down by whoever started the process; -1: none
 	Seed                             uint64
 	MemoryBytes                      int64
-	Sockets                          int
-	Known                            json.RawMessage // the list of backends in discovery's form, as last had
-	Terms                            policy.Terms
-	Profiles                         map[string]policy.ProfileID
+	MaxSockets                       int
+	KnownEndpoints                   json.RawMessage // the list of backends in discovery's form, as last had
+	Settings                         policy.Settings
+	Classes                          map[string]policy.ClassID
 	Plans                            map[string]policy.PlanID
 	Zones                            []string
 	IdleConnection                   int64 // after which a backend closes a connection
 	ConnectTimeout                   int64
-	MostUnits                        float64 // that one transaction counts
+	MaxUnits                         float64 // that one transaction counts
 }
 
 // Defaults of what the settings may leave out: the example figures of the deployment page, and of the
@@ -95,8 +95,8 @@
 	return json.Marshal(top)
 }
 
-// Row checks that a value of the store is a row of the name that its key says.
-func Row(name string, value json.RawMessage) error {
+// CheckRow checks that a value of the store is a row of the name that its key says.
+func CheckRow(name string, value json.RawMessage) error {
 	var x struct {
 		Name string `json:"name"`
 	}
@@ -112,7 +112,7 @@
 // Read reads the configuration from the file path, or from the file that GW_CONFIG names where path is
 // empty. GW_NAME, GW_LISTEN, GW_DISCOVERY and GW_MGMT stand in for keys that the file leaves out; GW_SOCKET_FD
 // or SOCKET_FD names a listener that the process is handed.
-func Read(path string, over Overlay) (*Start, error) {
+func Read(path string, over Overlay) (*Config, error) {
 	if path == "" {
 		path = os.Getenv("GW_CONFIG")
 	}
@@ -144,7 +144,7 @@
 	return s, nil
 }
 
-func parse(text []byte, env func(string) string) (*Start, error) {
+func parse(text []byte, env func(string) string) (*Config, error) {
 	var raw map[string]json.RawMessage
 	if err := json.Unmarshal(text, &raw); err != nil {
 		return nil, fmt.Errorf("no JSON object: %w", err)
@@ -160,30 +160,30 @@
 		}
 	}
 	limits, settings := top.in("limits", false), top.in("settings", true)
-	s := &Start{Name: get[string](top, "name", true), Listen: top.address("listen", true),
-		Discovery: top.address("discovery", true), Mgmt: top.address("mgmt", false), Known: raw["known"], Terms: readTerms(settings),
+	s := &Config{Name: get[string](top, "name", true), Listen: top.address("listen", true),
+		Discovery: top.address("discovery", true), ManagementAddress: top.address("mgmt", false), KnownEndpoints: raw["known"], Settings: readTerms(settings),
 		MemoryBytes: int64(count(limits.or("memory_mb", defaultMemoryMB))) << 20,
-		Sockets:     count(limits.or("sockets", defaultSockets)),
-		Profiles:    map[string]policy.ProfileID{}, Plans: map[string]policy.PlanID{},
+		MaxSockets:  count(limits.or("sockets", defaultSockets)),
+		Classes:     map[string]policy.ClassID{}, Plans: map[string]policy.PlanID{},
 		Zones: settings.texts("zones")}
 	if seed, err := strconv.ParseUint(get[string](top, "seed", true), 16, 64); err == nil {
 		s.Seed = seed
 	} else {
 		top.fault("seed", "is no hexadecimal number of 64 bits")
 	}
-	s.Counter = top.address("counter", s.Terms.Counter)
+	s.Counter = top.address("counter", s.Settings.CounterEnabled)
 	allowed := settings.in("permissions", true)
 	s.IdleConnection = Nanoseconds(allowed.or("conn-idle-ms", defaultIdleMs))
 	s.ConnectTimeout = Nanoseconds(allowed.or("connect-timeout-ms", defaultConnectMs))
-	s.MostUnits = settings.in("family-info", false).or("max-units", defaultMostUnits)
+	s.MaxUnits = settings.in("family-info", false).or("max-units", defaultMostUnits)
 	for n, l := range settings.rows("lanes") {
-		s.Profiles[get[string](l, "name", true)] = policy.ProfileID(n)
+		s.Classes[get[string](l, "name", true)] = policy.ClassID(n)
 	}
 	for n, p := range settings.rows("tariffs") {
 		s.Plans[get[string](p, "name", true)] = policy.PlanID(n)
 	}
 	const fewest = 64 // the program's own, and a few for either side
-	if s.Sockets < fewest {
+	if s.MaxSockets < fewest {
 		limits.fault("sockets", fmt.Sprintf("is below %d", fewest))
 	}
 	return s, fault
@@ -225,9 +225,9 @@
 // Follow renumbers the profiles and plans of a configuration read anew, so that ids mean what they meant in
 // old: a name whose terms are unchanged keeps its id; a new one, or one whose terms changed, gets an id after
 // all of old's. Old rows stay, for what is open under them; names that are gone are no longer taken.
-func (s *Start) Follow(old *Start) {
-	s.Terms.Profiles, s.Profiles = follow(old.Terms.Profiles, old.Profiles, s.Terms.Profiles, s.Profiles)
-	s.Terms.Plans, s.Plans = follow(old.Terms.Plans, old.Plans, s.Terms.Plans, s.Plans)
+func (s *Config) Follow(old *Config) {
+	s.Settings.Classes, s.Classes = follow(old.Settings.Classes, old.Classes, s.Settings.Classes, s.Classes)
+	s.Settings.Plans, s.Plans = follow(old.Settings.Plans, old.Plans, s.Settings.Plans, s.Plans)
 }
 
 func follow[T comparable, ID ~uint16 | ~uint32](oldRows []T, oldIDs map[string]ID, rows []T, ids map[string]ID) ([]T,
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -28,11 +28,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	p, plan := s.Terms.Profiles[s.Profiles["lookup"]], s.Terms.Plans[s.Plans["team"]]
-	if s.Seed != 0x8c1f30d27a5be964 || s.MemoryBytes != 192<<20 || s.Sockets != 1024 || s.IdleConnection != 9e9 ||
-		s.ConnectTimeout != 1e8 || s.Terms.Me != 1 || s.Terms.Doors != 3 || !s.Terms.PostPaid ||
-		!s.Terms.ListOnRequest || s.Terms.DrainGrace != 25e7 || p.Effect != policy.Numbered || p.Reach != policy.ReachGroup ||
-		p.HardLimit != 2e9 || plan.Parallel != 4 || plan.CeilingRate != 9 || s.Zones[0] != "a" {
+	p, plan := s.Settings.Classes[s.Classes["lookup"]], s.Settings.Plans[s.Plans["team"]]
+	if s.Seed != 0x8c1f30d27a5be964 || s.MemoryBytes != 192<<20 || s.MaxSockets != 1024 || s.IdleConnection != 9e9 ||
+		s.ConnectTimeout != 1e8 || s.Settings.InstanceIndex != 1 || s.Settings.Instances != 3 || !s.Settings.PostPaid ||
+		!s.Settings.PollEndpoints || s.Settings.DrainGrace != 25e7 || p.Idempotency != policy.IdempotentWithKey || p.DedupScope != policy.DedupByGroup ||
+		p.Deadline != 2e9 || plan.ConcurrencyLimit != 4 || plan.HardQuotaRate != 9 || s.Zones[0] != "a" {
 		t.Errorf("%+v", s)
 	}
 }
@@ -76,7 +76,7 @@
 	t.Setenv("GW_LISTEN", "127.0.0.9:1")
 	t.Setenv("GW_NAME", "other") // the file's own word goes first
 	s, err := Read("", Overlay{})
-	if err != nil || s.Listen != "127.0.0.9:1" || s.Name != "n3" || s.Sockets != defaultSockets ||
+	if err != nil || s.Listen != "127.0.0.9:1" || s.Name != "n3" || s.MaxSockets != defaultSockets ||
 		s.MemoryBytes != defaultMemoryMB<<20 {
 		t.Errorf("%+v, %v", s, err)
 	}
@@ -101,7 +101,7 @@
 		"attempts a word":  strings.Replace(good, `"send-cap": 3`, `"send-cap": "3"`, 1),
 	} {
 		if s, err := parse([]byte(text), none); err == nil {
-			t.Errorf("%s: taken: %+v", name, s.Terms)
+			t.Errorf("%s: taken: %+v", name, s.Settings)
 		}
 	}
 }
@@ -123,19 +123,19 @@
 		t.Fatal(err)
 	}
 	fresh.Follow(old)
-	if fresh.Profiles["lookup"] != 0 || fresh.Profiles["pay"] != 1 || len(fresh.Terms.Profiles) != 2 ||
-		fresh.Terms.Profiles[1].Effect != policy.AtMostOnce {
-		t.Errorf("profiles %v: %+v", fresh.Profiles, fresh.Terms.Profiles)
+	if fresh.Classes["lookup"] != 0 || fresh.Classes["pay"] != 1 || len(fresh.Settings.Classes) != 2 ||
+		fresh.Settings.Classes[1].Idempotency != policy.NonIdempotent {
+		t.Errorf("profiles %v: %+v", fresh.Classes, fresh.Settings.Classes)
 	}
-	if fresh.Plans["team"] != 1 || len(fresh.Terms.Plans) != 2 || fresh.Terms.Plans[0].Rate != 2 ||
-		fresh.Terms.Plans[1].Rate != 3 {
-		t.Errorf("plans %v: %+v", fresh.Plans, fresh.Terms.Plans)
+	if fresh.Plans["team"] != 1 || len(fresh.Settings.Plans) != 2 || fresh.Settings.Plans[0].Rate != 2 ||
+		fresh.Settings.Plans[1].Rate != 3 {
+		t.Errorf("plans %v: %+v", fresh.Plans, fresh.Settings.Plans)
 	}
 	again, _ := parse([]byte(good), none) // back: lookup keeps 0, pay is no longer taken, its row stays
 	again.Follow(fresh)
-	if len(again.Profiles) != 1 || again.Profiles["lookup"] != 0 || len(again.Terms.Profiles) != 2 ||
-		again.Plans["team"] != 2 || len(again.Terms.Plans) != 3 {
-		t.Errorf("back: %v %v, %d and %d rows", again.Profiles, again.Plans, len(again.Terms.Profiles),
-			len(again.Terms.Plans))
+	if len(again.Classes) != 1 || again.Classes["lookup"] != 0 || len(again.Settings.Classes) != 2 ||
+		again.Plans["team"] != 2 || len(again.Settings.Plans) != 3 {
+		t.Errorf("back: %v %v, %d and %d rows", again.Classes, again.Plans, len(again.Settings.Classes),
+			len(again.Settings.Plans))
 	}
 }
--- a/internal/config/migrate_test.go
+++ b/internal/config/migrate_test.go
@@ -59,10 +59,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	x := s.Terms
-	if x.Probes || x.Advice || x.Doors != 90 || x.Me != 1 || x.Plans[s.Plans["pro"]].Parallel != 3 ||
-		x.Profiles[s.Profiles["lookup"]].Silence != 2 || x.Profiles[0].Promised != 15e8 || s.MemoryBytes != 96<<20 ||
-		s.Name != "n3" || s.Seed != 0x8c1f30d27a5be964 || len(s.Known) > 0 || x.LongestAdvice != 1e9 {
+	x := s.Settings
+	if x.HealthChecks || x.RetryAfter || x.Instances != 90 || x.InstanceIndex != 1 || x.Plans[s.Plans["pro"]].ConcurrencyLimit != 3 ||
+		x.Classes[s.Classes["lookup"]].FallbackMode != 2 || x.Classes[0].LatencyObjective != 15e8 || s.MemoryBytes != 96<<20 ||
+		s.Name != "n3" || s.Seed != 0x8c1f30d27a5be964 || len(s.KnownEndpoints) > 0 || x.MaxRetryAfter != 1e9 {
 		t.Errorf("%+v", s)
 	}
 	if again, err := os.ReadFile(from[0]); err != nil || string(again) != old {
@@ -172,7 +172,7 @@
 	for text, want := range map[string]int{`"effect"`: 0, `"silence": "share", "effect"`: 0,
 		`"silence": "open", "effect"`: 1, `"silence": "closed", "effect"`: 2} {
 		s, err := parse([]byte(strings.Replace(good, `"effect"`, text, 1)), none)
-		if err != nil || int(s.Terms.Profiles[0].Silence) != want {
+		if err != nil || int(s.Settings.Classes[0].FallbackMode) != want {
 			t.Errorf("%s: %v", text, err)
 		}
 	}
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -21,12 +21,12 @@
 // Operator is what the operators of one installation set beside the platform's configuration, in a TOML file of
 // their own (deploy/fawnplank.toml). Everything in it is off unless it is set. The zero value sets nothing.
 type Operator struct {
-	Limits  Limits        `toml:"limits"`
-	Counter CounterFormat `toml:"counter"`
-	Log     Log           `toml:"log"`
-	Learned Learned       `toml:"learned"`
-	DNS     DNS           `toml:"dns"`
-	Billing Billing       `toml:"billing"`
+	Limits    Limits        `toml:"limits"`
+	Counter   CounterFormat `toml:"counter"`
+	Log       Log           `toml:"log"`
+	WarmStart WarmStart     `toml:"learned"`
+	DNS       DNS           `toml:"dns"`
+	Billing   Billing       `toml:"billing"`
 }
 
 // Billing are plan changes, reservations and exported use, on the replicated store.
@@ -43,8 +43,8 @@
 }
 
 // Terms are the accounts' terms, but for the plans.
-func (b Billing) Terms() billing.Terms {
-	return billing.Terms{Window: int64(b.Window), Lead: int64(b.Lead), Skew: int64(b.Skew), Lease: int64(b.Lease), Late: int64(b.Late)}
+func (b Billing) Terms() billing.Settings {
+	return billing.Settings{Window: int64(b.Window), Lead: int64(b.Lead), Skew: int64(b.Skew), Lease: int64(b.Lease), Late: int64(b.Late)}
 }
 
 // LimitKey is what a tool shows before it may do more than check.
@@ -80,10 +80,10 @@
 	return dnszone.Settings{Origin: d.Origin, Service: d.Service}
 }
 
-// Learned is where a folder lasts: what the door learned of the backends is kept there over a restart.
-type Learned struct {
-	File  string   `toml:"file"`  // empty: off
-	Every Duration `toml:"every"` // between two writes
+// WarmStart is where a folder lasts: what the door learned of the backends is kept there over a restart.
+type WarmStart struct {
+	File         string   `toml:"file"`  // empty: off
+	SaveInterval Duration `toml:"every"` // between two writes
 }
 
 // Log is how the log is written.
@@ -140,7 +140,7 @@
 // ReadOperator reads an operator file whole and checks it; an empty path sets nothing. Errors name file, line and
 // key.
 func ReadOperator(path string) (*Operator, error) {
-	o := &Operator{Limits: Limits{Within: defaultWithin, Connections: defaultConnections}, Counter: CounterFormat{"text"}, Log: Log{"text", "info"}, Learned: Learned{Every: defaultEvery}, DNS: DNS{Rate: defaultUpdates},
+	o := &Operator{Limits: Limits{Within: defaultWithin, Connections: defaultConnections}, Counter: CounterFormat{"text"}, Log: Log{"text", "info"}, WarmStart: WarmStart{SaveInterval: defaultEvery}, DNS: DNS{Rate: defaultUpdates},
 		Billing: Billing{Window: defaultWindow, Lead: defaultLead, Skew: defaultSkew, Lease: defaultLease, Late: defaultLate, Every: defaultReport}}
 	if path == "" {
 		return o, nil
@@ -165,7 +165,7 @@
 	if o.Log.Format != "text" && o.Log.Format != "json" {
 		return nil, f.Fault("log.format", fmt.Sprintf("is %q, not text or json", o.Log.Format))
 	}
-	if o.Learned.Every < 1e8 || o.Learned.Every > 3600e9 {
+	if o.WarmStart.SaveInterval < 1e8 || o.WarmStart.SaveInterval > 3600e9 {
 		return nil, f.Fault("learned.every", "is not from 100ms to 1h")
 	}
 	if !slices.Contains([]string{"error", "warning", "info", "debug"}, o.Log.Level) {
@@ -193,7 +193,7 @@
 
 // check reads keys and certificates.
 func (l *Limits) check(f *tomlfile.File) error {
-	if l.TLS().On() {
+	if l.TLS().Enabled() {
 		if _, err := tlsconfig.New(l.TLS()); err != nil {
 			return f.Fault("limits.tls_certificate", "cannot be used: "+err.Error())
 		}
@@ -307,17 +307,17 @@
 const limitProfile = "limit.check"
 
 // AddLimits adds the profile that only counts, for the limit commands, to a configuration just read.
-func (s *Start) AddLimits(o *Operator) {
+func (s *Config) AddLimits(o *Operator) {
 	if o.Limits.Listen == "" {
 		return
 	}
-	s.Profiles[limitProfile] = policy.ProfileID(len(s.Terms.Profiles))
+	s.Classes[limitProfile] = policy.ClassID(len(s.Settings.Classes))
 	within := int64(o.Limits.Within)
-	s.Terms.Profiles = append(s.Terms.Profiles, policy.ProfileTerms{Promised: within, HardLimit: within, CountsOnly: true})
+	s.Settings.Classes = append(s.Settings.Classes, policy.ClassSettings{LatencyObjective: within, Deadline: within, CheckOnly: true})
 }
 
 // LimitProfile is the profile that only counts; ok is false where limit commands are off.
-func (s *Start) LimitProfile() (id policy.ProfileID, ok bool) {
-	id, ok = s.Profiles[limitProfile]
+func (s *Config) LimitProfile() (id policy.ClassID, ok bool) {
+	id, ok = s.Classes[limitProfile]
 	return id, ok
 }
--- a/internal/config/operator_test.go
+++ b/internal/config/operator_test.go
@@ -67,7 +67,7 @@
 		t.Fatal(err)
 	}
 	o, _ := ReadOperator("")
-	if s.AddLimits(o); len(s.Profiles) != 1 {
+	if s.AddLimits(o); len(s.Classes) != 1 {
 		t.Error("limit commands are on without an address")
 	}
 	if _, ok := s.LimitProfile(); ok {
@@ -76,13 +76,13 @@
 	o.Limits.Listen = "127.0.0.1:1"
 	s.AddLimits(o)
 	id, ok := s.LimitProfile()
-	if !ok || id != 1 || !s.Terms.Profiles[1].CountsOnly || s.Terms.Profiles[1].HardLimit != 750e6 {
-		t.Errorf("%v %+v", id, s.Terms.Profiles)
+	if !ok || id != 1 || !s.Settings.Classes[1].CheckOnly || s.Settings.Classes[1].Deadline != 750e6 {
+		t.Errorf("%v %+v", id, s.Settings.Classes)
 	}
 	fresh, _ := parse([]byte(strings.Replace(good, `"deadline-ms": 2000`, `"deadline-ms": 3000`, 1)), none)
 	fresh.AddLimits(o)
 	fresh.Follow(s)
-	if again, ok := fresh.LimitProfile(); !ok || again != id || !fresh.Terms.Profiles[again].CountsOnly {
+	if again, ok := fresh.LimitProfile(); !ok || again != id || !fresh.Settings.Classes[again].CheckOnly {
 		t.Errorf("after a reload %v", again)
 	}
 }
--- a/internal/config/terms.go
+++ b/internal/config/terms.go
@@ -72,59 +72,59 @@
 // count gives a whole number that fits.
 func count(x float64) int { return int(math.Round(min(max(x, 0), 1e9))) }
 
-// Terms turns the settings into the terms of a front door.
-func Terms(text []byte) (policy.Terms, error) {
+// ParseSettings turns the settings into the terms of a front door.
+func ParseSettings(text []byte) (policy.Settings, error) {
 	var fault error
 	top := object{"", nil, &fault}
 	if err := json.Unmarshal(text, &top.m); err != nil {
-		return policy.Terms{}, fmt.Errorf("settings: no JSON object: %w", err)
+		return policy.Settings{}, fmt.Errorf("settings: no JSON object: %w", err)
 	}
 	terms := readTerms(top)
 	return terms, fault
 }
 
-func readTerms(top object) policy.Terms {
+func readTerms(top object) policy.Settings {
 	family, allowed := top.in("family-info", false), top.in("permissions", true)
 	rules := top.in("invariants", true)
-	terms := policy.Terms{
-		Me: count(top.need("me")), Doors: count(top.need("replicas-of-me")),
-		Zone:      policy.ZoneID(count(top.num("my-zone"))),
-		MostShots: count(allowed.need("send-cap")), SecondCopies: allowed.yes("second-copies"),
-		Recalls: allowed.yes("cancelling"), Probes: allowed.yes("probes"), Advice: allowed.yes("retry-after"),
-		LongestAdvice: Nanoseconds(allowed.num("max-retry-after-ms")),
-		Counter:       family.yes("may-count"), CounterTimeout: Nanoseconds(family.num("counter-timeout-ms")),
-		PostPaid: family.yes("post-paid"), ListOnRequest: top.text("discovery") == "on_request",
-		AskWithin: Nanoseconds(rules.num("ask-within-ms")), DrainGrace: 1e9, // where none is named
-		ColdShare: rules.need("cold-share"), WarmUp: Nanoseconds(rules.need("warm-up-ms")),
-		FallMultiple: rules.need("tip-multiple"), FallSpan: Nanoseconds(rules.need("fall-ms")),
-		CrossZonePrice: top.in("prices", false).num("cross-zone"),
+	terms := policy.Settings{
+		InstanceIndex: count(top.need("me")), Instances: count(top.need("replicas-of-me")),
+		Zone:        policy.ZoneID(count(top.num("my-zone"))),
+		MaxAttempts: count(allowed.need("send-cap")), Hedging: allowed.yes("second-copies"),
+		Cancellation: allowed.yes("cancelling"), HealthChecks: allowed.yes("probes"), RetryAfter: allowed.yes("retry-after"),
+		MaxRetryAfter:  Nanoseconds(allowed.num("max-retry-after-ms")),
+		CounterEnabled: family.yes("may-count"), CounterTimeout: Nanoseconds(family.num("counter-timeout-ms")),
+		PostPaid: family.yes("post-paid"), PollEndpoints: top.text("discovery") == "on_request",
+		PollTimeout: Nanoseconds(rules.num("ask-within-ms")), DrainGrace: 1e9, // where none is named
+		SlowStartShare: rules.need("cold-share"), SlowStartDuration: Nanoseconds(rules.need("warm-up-ms")),
+		OverloadMultiple: rules.need("tip-multiple"), OverloadWindow: Nanoseconds(rules.need("fall-ms")),
+		CrossZoneCost: top.in("prices", false).num("cross-zone"),
 	}
 	if _, there := rules.m["stop-sending-within-ms"]; there {
 		if terms.DrainGrace = Nanoseconds(rules.num("stop-sending-within-ms")); terms.DrainGrace <= 0 {
 			rules.fault("stop-sending-within-ms", "is not above 0")
 		}
 	}
-	if terms.MostShots < 1 {
+	if terms.MaxAttempts < 1 {
 		allowed.fault("send-cap", "is not above 0")
 	}
 	for _, l := range top.rows("lanes") {
-		p := policy.ProfileTerms{Promised: Nanoseconds(l.need("goal-time-ms")),
-			HardLimit:   Nanoseconds(l.need("deadline-ms")),
-			LateUtility: l.num("late-worth"), Memory: Nanoseconds(l.num("window-ms"))}
-		p.Effect = word(l, "effect", map[string]policy.Effect{"read_like": policy.Reissuable,
-			"idempotency_key": policy.Numbered, "non_idempotent": policy.AtMostOnce})
-		if p.Effect == policy.Numbered {
-			p.Reach = word(l, "group", map[string]policy.Reach{"all": policy.ReachAll, "zone": policy.ReachZone,
-				"cell": policy.ReachGroup})
+		p := policy.ClassSettings{LatencyObjective: Nanoseconds(l.need("goal-time-ms")),
+			Deadline:  Nanoseconds(l.need("deadline-ms")),
+			LateValue: l.num("late-worth"), DedupWindow: Nanoseconds(l.num("window-ms"))}
+		p.Idempotency = word(l, "effect", map[string]policy.Idempotency{"read_like": policy.Idempotent,
+			"idempotency_key": policy.IdempotentWithKey, "non_idempotent": policy.NonIdempotent})
+		if p.Idempotency == policy.IdempotentWithKey {
+			p.DedupScope = word(l, "group", map[string]policy.DedupScope{"all": policy.DedupByAll, "zone": policy.DedupByZone,
+				"cell": policy.DedupByGroup})
 		}
 		if _, there := l.m["silence"]; there { // left out, the door keeps its share
-			p.Silence = word(l, "silence", map[string]policy.Silence{"share": policy.KeepShare,
-				"open": policy.LetAll, "closed": policy.DismissAll})
+			p.FallbackMode = word(l, "silence", map[string]policy.FallbackMode{"share": policy.LocalShare,
+				"open": policy.FailOpen, "closed": policy.FailClosed})
 		}
-		if p.HardLimit <= 0 {
+		if p.Deadline <= 0 {
 			l.fault("deadline-ms", "is not above 0")
 		}
-		terms.Profiles = append(terms.Profiles, p)
+		terms.Classes = append(terms.Classes, p)
 	}
 	for _, p := range top.rows("tariffs") {
 		for _, key := range []string{"quota-rate", "peak-units", "parallel", "cap-rate", "ceiling-burst",
@@ -136,9 +136,9 @@
 		if n := p.num("parallel"); n != math.Trunc(n) {
 			p.fault("parallel", "is no whole number")
 		}
-		terms.Plans = append(terms.Plans, policy.PlanTerms{Rate: p.need("quota-rate"), Burst: p.need("peak-units"),
-			Parallel: count(p.num("parallel")), CeilingRate: p.num("cap-rate"), CeilingBurst: p.num("ceiling-burst"),
-			BeyondEarns: p.num("beyond-earns"), BeyondCosts: p.num("beyond-costs")})
+		terms.Plans = append(terms.Plans, policy.PlanSettings{Rate: p.need("quota-rate"), Burst: p.need("peak-units"),
+			ConcurrencyLimit: count(p.num("parallel")), HardQuotaRate: p.num("cap-rate"), HardQuotaBurst: p.num("ceiling-burst"),
+			OverQuotaValue: p.num("beyond-earns"), OverQuotaCost: p.num("beyond-costs")})
 	}
 	return terms
 }
--- a/internal/counter/counter.go
+++ b/internal/counter/counter.go
@@ -31,30 +31,30 @@
 	longestAnswer = 128
 )
 
-// Told is told the answers.
-type Told interface {
-	Counted(name policy.CountID, total float64, err error)
+// ResultHandler is told the answers.
+type ResultHandler interface {
+	HandleCounterResult(name policy.CounterKey, total float64, err error)
 }
 
 // Client calls the counter.
 type Client struct {
 	Format  Format // set before the first call
-	told    Told
+	told    ResultHandler
 	patient time.Duration // for a connection to come up
 	mu      sync.Mutex
 	address string
 	lines   []*line // to the address
 	old     []*line // to earlier addresses, with calls out
-	names   map[policy.CountID]*queue
+	names   map[policy.CounterKey]*queue
 	unsent  []*line   // bumped since the last flush
 	good    uint64    // calls answered with a total
 	bad     uint64    // and those not
 	failed  time.Time // the first failure since the last total; zero: none
 }
 
-// Figures tell how many calls were answered with a total and how many not, and for how long there has been no total
+// Stats tell how many calls were answered with a total and how many not, and for how long there has been no total
 // while calls failed: the outage, 0 when there is none.
-func (c *Client) Figures() (good, bad uint64, outage time.Duration) {
+func (c *Client) Stats() (good, bad uint64, outage time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if !c.failed.IsZero() {
@@ -64,12 +64,12 @@
 }
 
 // New makes a client; a connection is opened when it is first needed.
-func New(told Told, address string, connectTimeout time.Duration) *Client {
-	return &Client{told: told, address: address, patient: connectTimeout, names: map[policy.CountID]*queue{}}
+func New(told ResultHandler, address string, connectTimeout time.Duration) *Client {
+	return &Client{told: told, address: address, patient: connectTimeout, names: map[policy.CounterKey]*queue{}}
 }
 
-// Move goes on to another address. Calls out may still be answered at the old one until it closes.
-func (c *Client) Move(address string) {
+// SetAddress goes on to another address. Calls out may still be answered at the old one until it closes.
+func (c *Client) SetAddress(address string) {
 	c.mu.Lock()
 	if address == c.address {
 		c.mu.Unlock()
@@ -108,7 +108,7 @@
 }
 
 type call struct {
-	name  policy.CountID
+	name  policy.CounterKey
 	at    time.Time
 	ended bool
 	total float64
@@ -122,8 +122,8 @@
 	telling bool // somebody is at it
 }
 
-// Bump adds to a number. It blocks nobody: Flush sends.
-func (c *Client) Bump(name policy.CountID, units float64, lifetime int64) {
+// Add adds to a number. It blocks nobody: Flush sends.
+func (c *Client) Add(name policy.CounterKey, units float64, lifetime int64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := time.Now()
@@ -242,7 +242,7 @@
 		for {
 			size, done, spoilt, total, err := l.c.Format.next(rest, &l.half)
 			if spoilt { // what cannot become an answer is not waited for: behind it others wait
-				l.answer(0, &dispatch.Fault{Came: dispatch.Answering, Err: errNoTotal})
+				l.answer(0, &dispatch.NetworkError{Progress: dispatch.Answering, Err: errNoTotal})
 				l.end(errors.New("spoilt answer"))
 				return
 			}
@@ -275,7 +275,7 @@
 	}
 	c.mu.Unlock()
 	c.tell(k, total, err)
-	return (err == nil || err == dispatch.TurnedAway) && !(old && idle)
+	return (err == nil || err == dispatch.ErrRejected) && !(old && idle)
 }
 
 var errNoTotal = errors.New("no total")
@@ -284,11 +284,11 @@
 func meaning(text []byte) (total float64, err error) {
 	switch string(text) {
 	case "busy", "error":
-		return 0, dispatch.TurnedAway
+		return 0, dispatch.ErrRejected
 	}
 	sum, ok := bytes.CutPrefix(text, []byte("ok "))
 	if total, err = strconv.ParseFloat(string(sum), 64); err != nil || !ok || math.IsNaN(total-total) {
-		return 0, &dispatch.Fault{Came: dispatch.Answering, Err: errNoTotal}
+		return 0, &dispatch.NetworkError{Progress: dispatch.Answering, Err: errNoTotal}
 	}
 	return total, nil
 }
@@ -311,7 +311,7 @@
 		func() {
 			c.mu.Unlock()
 			defer func() { c.mu.Lock(); q.telling = false }() // after a panic too
-			c.told.Counted(first.name, first.total, first.err)
+			c.told.HandleCounterResult(first.name, first.total, first.err)
 		}()
 	}
 	if len(q.calls) == 0 && !q.telling && c.names[k.name] == q {
@@ -344,9 +344,9 @@
 		logging.For("counter").WithError(why).WithField("calls", len(calls)).Debug("connection ended")
 	}
 	for n, k := range calls {
-		err := error(dispatch.Unanswered)
+		err := error(dispatch.ErrTimeout)
 		if n >= written {
-			err = &dispatch.Fault{Came: dispatch.Writing, Err: why}
+			err = &dispatch.NetworkError{Progress: dispatch.Writing, Err: why}
 		}
 		c.tell(k, 0, err)
 	}
--- a/internal/counter/counter_test.go
+++ b/internal/counter/counter_test.go
@@ -15,14 +15,16 @@
 
 // told is one answer as the facade hears it.
 type told struct {
-	name  policy.CountID
+	name  policy.CounterKey
 	total float64
 	err   error
 }
 
 type ear chan told
 
-func (e ear) Counted(name policy.CountID, total float64, err error) { e <- told{name, total, err} }
+func (e ear) HandleCounterResult(name policy.CounterKey, total float64, err error) {
+	e <- told{name, total, err}
+}
 
 func (e ear) next(t *testing.T) told {
 	t.Helper()
@@ -72,9 +74,9 @@
 
 func TestAnswersReachTheirCallsInOrder(t *testing.T) {
 	c, e, lines, _ := listen(t)
-	c.Bump(0xab, 2.5, 4_000_000_001)
-	c.Bump(0xab, -1, 1)
-	c.Bump(0xcd, 1, 1e9)
+	c.Add(0xab, 2.5, 4_000_000_001)
+	c.Add(0xab, -1, 1)
+	c.Add(0xcd, 1, 1e9)
 	c.Flush()
 	by := map[string]heard{}
 	for range 3 {
@@ -89,7 +91,7 @@
 		t.Error("a name waits behind another though a connection could be had")
 	}
 	fmt.Fprint(other.conn, "busy\r\n")
-	if x := e.next(t); x.name != 0xcd || x.err != dispatch.TurnedAway {
+	if x := e.next(t); x.name != 0xcd || x.err != dispatch.ErrRejected {
 		t.Errorf("%+v", x)
 	}
 	fmt.Fprint(first.conn, "ok 2.5\r\nok ") // in pieces
@@ -100,11 +102,11 @@
 	if x := e.next(t); x != (told{0xab, 1.5, nil}) {
 		t.Errorf("%+v", x)
 	}
-	c.Bump(0xef, 1, 1e9)
+	c.Add(0xef, 1, 1e9)
 	c.Flush()
 	h := <-lines
 	fmt.Fprint(h.conn, "error\r\n")
-	if x := e.next(t); x.name != 0xef || x.err != dispatch.TurnedAway {
+	if x := e.next(t); x.name != 0xef || x.err != dispatch.ErrRejected {
 		t.Errorf("%+v", x)
 	}
 	if h.conn != first.conn && h.conn != other.conn {
@@ -114,21 +116,21 @@
 
 func TestBrokenConnectionsSayWhatMayHaveBeenAdded(t *testing.T) {
 	c, e, lines, l := listen(t)
-	c.Bump(1, 1, 1e9)
+	c.Add(1, 1, 1e9)
 	c.Flush()
 	h := <-lines
 	h.conn.Close()
-	if x := e.next(t); x.err != dispatch.Unanswered {
+	if x := e.next(t); x.err != dispatch.ErrTimeout {
 		t.Errorf("written: %+v", x)
 	}
 	l.Close()
-	c.Bump(2, 1, 1e9)
+	c.Add(2, 1, 1e9)
 	c.Flush()
-	var fault *dispatch.Fault
-	if x := e.next(t); !errors.As(x.err, &fault) || fault.Came >= dispatch.Written {
+	var fault *dispatch.NetworkError
+	if x := e.next(t); !errors.As(x.err, &fault) || fault.Progress >= dispatch.Written {
 		t.Errorf("refused: %+v", x)
 	}
-	c.Bump(3, 1, 1e9) // and it goes on trying
+	c.Add(3, 1, 1e9) // and it goes on trying
 	c.Flush()
 	if x := e.next(t); x.name != 3 {
 		t.Errorf("%+v", x)
@@ -138,16 +140,16 @@
 // A counter that has moved never answers on the old connections: they are given up, and new ones opened.
 func TestSilentConnectionsAreGivenUp(t *testing.T) {
 	c, e, lines, _ := listen(t)
-	c.Bump(1, 1, 1e9)
+	c.Add(1, 1, 1e9)
 	c.Flush()
 	old := <-lines
 	time.Sleep(longestSilence + 50*time.Millisecond)
-	c.Bump(1, 1, 1e9)
+	c.Add(1, 1, 1e9)
 	c.Flush()
-	if x := e.next(t); x.name != 1 || x.err != dispatch.Unanswered {
+	if x := e.next(t); x.name != 1 || x.err != dispatch.ErrTimeout {
 		t.Errorf("%+v", x)
 	}
-	c.Bump(1, 1, 1e9)
+	c.Add(1, 1, 1e9)
 	c.Flush()
 	h := <-lines
 	for h.conn == old.conn { // what was still written there
@@ -163,7 +165,7 @@
 		"an endless answer": strings.Repeat("o", 5000), "no number": "ok much\r\n", "no total": "ok\r\n",
 		"infinite": "ok Inf\r\n", "noise": "\x00\x07"} {
 		c, e, lines, _ := listen(t)
-		c.Bump(1, 1, 1e9)
+		c.Add(1, 1, 1e9)
 		c.Flush()
 		h := <-lines
 		fmt.Fprint(h.conn, text)
@@ -172,10 +174,10 @@
 			t.Errorf("%s: %+v", name, x)
 		}
 		// Its amount was added: what may be told otherwise of it is that no answer came.
-		if fault := (*dispatch.Fault)(nil); x.err != nil && (!errors.As(x.err, &fault) || fault.Came != dispatch.Answering) {
+		if fault := (*dispatch.NetworkError)(nil); x.err != nil && (!errors.As(x.err, &fault) || fault.Progress != dispatch.Answering) {
 			t.Errorf("%s: %+v", name, x)
 		}
-		c.Bump(1, 1, 1e9)
+		c.Add(1, 1, 1e9)
 		c.Flush()
 		if h = <-lines; h.text != "bump 1 1 1000" {
 			t.Errorf("%s: then %q", name, h.text)
@@ -188,22 +190,22 @@
 func TestMoveKeepsTheOrderOfANamesAnswers(t *testing.T) {
 	c, e, lines, l := listen(t)
 	_, _, others, there := listen(t)
-	c.Bump(1, 1, 1e9)
+	c.Add(1, 1, 1e9)
 	c.Flush()
 	old := <-lines
-	c.Bump(2, 1, 1e9)
+	c.Add(2, 1, 1e9)
 	c.Flush()
 	idle := <-lines
 	fmt.Fprint(idle.conn, "ok 1\r\n")
 	e.next(t)
 	l.Close()
-	c.Move(there.Addr().String())
-	c.Move(there.Addr().String())
+	c.SetAddress(there.Addr().String())
+	c.SetAddress(there.Addr().String())
 	if _, err := idle.conn.Read(make([]byte, 1)); err == nil {
 		t.Error("a connection without calls stays at the old address")
 	}
-	c.Bump(1, 2, 1e9)
-	c.Bump(3, 3, 1e9)
+	c.Add(1, 2, 1e9)
+	c.Add(3, 3, 1e9)
 	c.Flush()
 	for range 2 {
 		h := <-others
--- a/internal/counter/format.go
+++ b/internal/counter/format.go
@@ -24,7 +24,7 @@
 )
 
 // write appends one call.
-func (f Format) write(buf []byte, name policy.CountID, units float64, lifetime int64) []byte {
+func (f Format) write(buf []byte, name policy.CounterKey, units float64, lifetime int64) []byte {
 	ms := max((lifetime+999_999)/1_000_000, 1)
 	if f == Text {
 		buf = append(buf, "bump "...)
@@ -87,11 +87,11 @@
 
 func sum(got redcon.RESP) (float64, error) {
 	if got.Type == redcon.Error { // not added: the command was turned down
-		return 0, dispatch.TurnedAway
+		return 0, dispatch.ErrRejected
 	}
 	total, err := strconv.ParseFloat(string(got.Data), 64)
 	if err != nil || got.Type != redcon.Bulk || math.IsNaN(total-total) {
-		return 0, &dispatch.Fault{Came: dispatch.Answering, Err: errNoTotal}
+		return 0, &dispatch.NetworkError{Progress: dispatch.Answering, Err: errNoTotal}
 	}
 	return total, nil
 }
--- a/internal/counter/format_test.go
+++ b/internal/counter/format_test.go
@@ -38,7 +38,7 @@
 			}
 			rest = rest[size:]
 		}
-		if cut == len(good) && (len(totals) != 3 || totals[0] != 12.5 || totals[1] != -3 || errs[0] != nil || errs[2] != dispatch.TurnedAway) {
+		if cut == len(good) && (len(totals) != 3 || totals[0] != 12.5 || totals[1] != -3 || errs[0] != nil || errs[2] != dispatch.ErrRejected) {
 			t.Errorf("%v %v", totals, errs)
 		}
 	}
@@ -47,7 +47,7 @@
 		rest := []byte(text)
 		for {
 			size, done, spoilt, _, err := RESP.next(rest, &half)
-			var fault *dispatch.Fault
+			var fault *dispatch.NetworkError
 			if spoilt || done && errors.As(err, &fault) {
 				break
 			}
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -27,29 +27,29 @@
 // mostBytes bounds a list: some ten thousand lines.
 const mostBytes = 4 << 20
 
-// Told is told the list.
-type Told interface {
-	Backends(how policy.Listing, list []policy.Listed)
+// Subscriber is told the list.
+type Subscriber interface {
+	UpdateEndpoints(how policy.UpdateKind, list []policy.Endpoint)
 }
 
-// Addresses is told where a backend listens.
-type Addresses interface {
-	Place(b policy.BackendID, address string)
-	PlaceAny(b policy.BackendID, all []netip.AddrPort)
+// AddressBook is told where a backend listens.
+type AddressBook interface {
+	SetAddress(b policy.BackendID, address string)
+	SetAddresses(b policy.BackendID, all []netip.AddrPort)
 	Forget(b policy.BackendID)
 }
 
 // Client follows the list.
 type Client struct {
-	told      Told
-	addresses Addresses
+	told      Subscriber
+	addresses AddressBook
 	http      http.Client // of its own: the usual one asks the environment for proxies
 	zones     words[policy.ZoneID]
 	ids       map[string]policy.BackendID
 	names     map[policy.BackendID]string
 	listed    map[policy.BackendID]bool
 	draining  map[policy.BackendID]bool // of the listed: sent nothing new
-	Figures   *metrics.Figures          // counted here: backends listed, and draining
+	Metrics   *metrics.Registry         // counted here: backends listed, and draining
 	begin     sync.Once
 	wanted    chan struct{}
 	index     int64
@@ -101,7 +101,7 @@
 type dialWithin struct{}
 
 // New makes a client.
-func New(told Told, addresses Addresses, s *config.Start) *Client {
+func New(told Subscriber, addresses AddressBook, s *config.Config) *Client {
 	c := &Client{told: told, addresses: addresses, base: baseOf(s.Discovery),
 		wanted: make(chan struct{}, 1),
 		http: http.Client{Transport: &http.Transport{IdleConnTimeout: time.Minute, DisableCompression: true,
@@ -109,28 +109,28 @@
 		zones: words[policy.ZoneID]{},
 		ids:   map[string]policy.BackendID{}, names: map[policy.BackendID]string{},
 		listed: map[policy.BackendID]bool{}, draining: map[policy.BackendID]bool{}}
-	c.retune(s.Terms)
+	c.retune(s.Settings)
 	for _, z := range s.Zones {
 		c.zones.id(z)
 	}
 	return c
 }
 
-func (c *Client) retune(terms policy.Terms) {
-	wait, late, whole, _ := terms.Asking()
+func (c *Client) retune(terms policy.Settings) {
+	wait, late, whole, _ := terms.DiscoveryTimeouts()
 	c.wait, c.late, c.whole = time.Duration(wait), time.Duration(late), time.Duration(whole)
 }
 
 // Entry is a backend as a list has it.
 type Entry struct {
-	Name    string           `json:"name"`
-	Address string           `json:"address"`
-	Several []netip.AddrPort `json:"-"` // another source's: all addresses, where it is not one of IPv4 alone
-	Zone    string           `json:"zone"`
-	Group   uint16           `json:"group"`
-	Status  string           `json:"status"` // up, draining or removed
-	Weight  float64          `json:"weight"`
-	SinceMs float64          `json:"since_ms"`
+	Name      string           `json:"name"`
+	Address   string           `json:"address"`
+	Addresses []netip.AddrPort `json:"-"` // another source's: all addresses, where it is not one of IPv4 alone
+	Zone      string           `json:"zone"`
+	Group     uint16           `json:"group"`
+	Status    string           `json:"status"` // up, draining or removed
+	Weight    float64          `json:"weight"`
+	SinceMs   float64          `json:"since_ms"`
 }
 
 // list is discovery's form of a list.
@@ -140,12 +140,12 @@
 	Endpoints []Entry `json:"endpoints"`
 }
 
-// From makes another source tell the lists, by Tell, in place of the watch; again has it tell the whole list. To be
+// WatchSource makes another source tell the lists, by Tell, in place of the watch; again has it tell the whole list. To be
 // called before Follow.
-func (c *Client) From(again func()) { c.other = again }
+func (c *Client) WatchSource(again func()) { c.other = again }
 
-// Tell tells what another source has: in the same form and by the same way as the watch's.
-func (c *Client) Tell(how policy.Listing, entries []Entry) {
+// Publish tells what another source has: in the same form and by the same way as the watch's.
+func (c *Client) Publish(how policy.UpdateKind, entries []Entry) {
 	c.turn.Lock()
 	defer c.turn.Unlock()
 	c.tell(how, &list{Endpoints: entries})
@@ -162,14 +162,14 @@
 	return nil
 }
 
-// Known tells the list that the front door last had.
-func (c *Client) Known(text []byte) error {
+// LoadSnapshot tells the list that the front door last had.
+func (c *Client) LoadSnapshot(text []byte) error {
 	if err := Check(text); err != nil || len(text) == 0 {
 		return err
 	}
 	l, err := parse(text)
 	if err == nil {
-		c.tell(policy.Cached, l)
+		c.tell(policy.CachedSnapshot, l)
 	}
 	return err
 }
@@ -194,30 +194,30 @@
 	return &l, nil
 }
 
-var stages = map[string]policy.Stage{"up": policy.Ready, "draining": policy.Draining, "removed": policy.Gone}
+var stages = map[string]policy.EndpointState{"up": policy.EndpointReady, "draining": policy.EndpointDraining, "removed": policy.EndpointGone}
 
-func (c *Client) tell(how policy.Listing, l *list) {
-	lines, listed := make([]policy.Listed, len(l.Endpoints)), map[policy.BackendID]bool{}
+func (c *Client) tell(how policy.UpdateKind, l *list) {
+	lines, listed := make([]policy.Endpoint, len(l.Endpoints)), map[policy.BackendID]bool{}
 	for n, e := range l.Endpoints {
 		stage, ok := stages[e.Status]
 		if !ok {
 			logging.For("discovery").WithField(logging.Backend, e.Name).WithField("status", e.Status).Warn("unknown status, taken for draining")
 		}
-		lines[n] = policy.Listed{Backend: c.id(e.Name), Zone: c.zones.id(e.Zone),
-			Group: policy.GroupID(e.Group), Size: e.Weight, Stage: stage,
-			Started: int64(math.Round(e.SinceMs*1e3)) * 1e3}
-		if stage == policy.Gone {
+		lines[n] = policy.Endpoint{Backend: c.id(e.Name), Zone: c.zones.id(e.Zone),
+			Group: policy.GroupID(e.Group), Capacity: e.Weight, State: stage,
+			StartedAt: int64(math.Round(e.SinceMs*1e3)) * 1e3}
+		if stage == policy.EndpointGone {
 			c.forget(lines[n].Backend)
 		} else {
-			if len(e.Several) > 0 {
-				c.addresses.PlaceAny(lines[n].Backend, e.Several)
+			if len(e.Addresses) > 0 {
+				c.addresses.SetAddresses(lines[n].Backend, e.Addresses)
 			} else {
-				c.addresses.Place(lines[n].Backend, e.Address)
+				c.addresses.SetAddress(lines[n].Backend, e.Address)
 			}
 			listed[lines[n].Backend] = true
 		}
 	}
-	if how != policy.Changes {
+	if how != policy.Delta {
 		for b := range c.listed {
 			if !listed[b] {
 				c.forget(b)
@@ -226,10 +226,10 @@
 	}
 	maps.Copy(c.listed, listed)
 	for _, e := range lines {
-		if e.Stage == policy.Gone || !c.listed[e.Backend] {
+		if e.State == policy.EndpointGone || !c.listed[e.Backend] {
 			delete(c.draining, e.Backend)
 		} else {
-			c.draining[e.Backend] = e.Stage != policy.Ready
+			c.draining[e.Backend] = e.State != policy.EndpointReady
 		}
 	}
 	disabled := 0
@@ -238,9 +238,9 @@
 			disabled++
 		}
 	}
-	c.Figures.Listed(len(c.listed), disabled)
+	c.Metrics.SetEndpoints(len(c.listed), disabled)
 	c.index = l.Index
-	c.told.Backends(how, lines)
+	c.told.UpdateEndpoints(how, lines)
 }
 
 // forget drops all that is kept of a backend that is gone: new ones come under new names without end.
@@ -268,8 +268,8 @@
 	return id
 }
 
-// Move goes on to another address, where a new watch starts with the whole list, and to other terms.
-func (c *Client) Move(address string, terms policy.Terms) {
+// SetAddress goes on to another address, where a new watch starts with the whole list, and to other terms.
+func (c *Client) SetAddress(address string, terms policy.Settings) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.retune(terms)
@@ -278,16 +278,16 @@
 		c.moves++
 		if c.give != nil {
 			c.give()
-			c.Follow() // it may be waiting for the decisions to ask again, after a failure at the old address
+			c.WatchEndpoints() // it may be waiting for the decisions to ask again, after a failure at the old address
 		}
 	}
 }
 
 func baseOf(address string) string { return "http://" + address + "/v1/endpoints" }
 
-// Follow asks for the list and its changes from now on. A failure is told, and the decisions say when to ask
+// WatchEndpoints asks for the list and its changes from now on. A failure is told, and the decisions say when to ask
 // again: many doors that fail together must not ask together.
-func (c *Client) Follow() {
+func (c *Client) WatchEndpoints() {
 	if c.other != nil {
 		go c.other() // not within the caller's locks
 		return
@@ -326,7 +326,7 @@
 			// The watch is broken, and what the lost answer told with it. A refusal tells that the call was not
 			// taken up: the version that the door has stands, and what is new since is less than the whole list.
 			whole = whole || !errors.Is(err, errRefused)
-			c.told.Backends(policy.ListFailed, nil)
+			c.told.UpdateEndpoints(policy.UpdateFailed, nil)
 			break
 		}
 	}
@@ -375,9 +375,9 @@
 		return err
 	}
 	*whole = false
-	how := policy.Changes
+	how := policy.Delta
 	if l.Snapshot {
-		how = policy.Whole
+		how = policy.FullSnapshot
 	}
 	c.tell(how, l)
 	return nil
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -20,8 +20,8 @@
 
 // told is one listing as the facade hears it, with the addresses known by then.
 type told struct {
-	how   policy.Listing
-	list  []policy.Listed
+	how   policy.UpdateKind
+	list  []policy.Endpoint
 	known map[policy.BackendID]string
 }
 
@@ -30,10 +30,10 @@
 	known map[policy.BackendID]string
 }
 
-func (e *ear) Place(b policy.BackendID, address string)          { e.known[b] = address }
-func (e *ear) PlaceAny(b policy.BackendID, all []netip.AddrPort) { e.known[b] = fmt.Sprint(all) }
-func (e *ear) Forget(b policy.BackendID)                         { delete(e.known, b) }
-func (e *ear) Backends(how policy.Listing, list []policy.Listed) {
+func (e *ear) SetAddress(b policy.BackendID, address string)         { e.known[b] = address }
+func (e *ear) SetAddresses(b policy.BackendID, all []netip.AddrPort) { e.known[b] = fmt.Sprint(all) }
+func (e *ear) Forget(b policy.BackendID)                             { delete(e.known, b) }
+func (e *ear) UpdateEndpoints(how policy.UpdateKind, list []policy.Endpoint) {
 	known := map[policy.BackendID]string{}
 	for b, a := range e.known {
 		known[b] = a
@@ -71,8 +71,8 @@
 	}))
 	t.Cleanup(s.CloseClientConnections)
 	e := &ear{told: make(chan told, 100), known: map[policy.BackendID]string{}}
-	start := &config.Start{Discovery: strings.TrimPrefix(s.URL, "http://"), Zones: []string{"b", "a"},
-		Terms: policy.Terms{DrainGrace: 6e9}}
+	start := &config.Config{Discovery: strings.TrimPrefix(s.URL, "http://"), Zones: []string{"b", "a"},
+		Settings: policy.Settings{DrainGrace: 6e9}}
 	return New(e, e, start), e, calls
 }
 
@@ -89,26 +89,26 @@
 	c, e, calls := serve(t, lines(4, true, entry("x", "up"), entry("y", "up")), lines(5, false),
 		lines(6, false, entry("x", "draining")), lines(7, false, entry("x", "removed")),
 		lines(9, true, entry("z", "odd")))
-	c.Follow()
-	c.Follow() // while it follows already: no more than one watch
+	c.WatchEndpoints()
+	c.WatchEndpoints() // while it follows already: no more than one watch
 	whole := e.next(t)
 	x := whole.list[0]
-	if whole.how != policy.Whole || len(whole.known) != 2 || x.Zone != 1 || x.Group != 3 ||
-		x.Stage != policy.Ready || x.Size != 1.5 || x.Started != 1700000000123e6 ||
+	if whole.how != policy.FullSnapshot || len(whole.known) != 2 || x.Zone != 1 || x.Group != 3 ||
+		x.State != policy.EndpointReady || x.Capacity != 1.5 || x.StartedAt != 1700000000123e6 ||
 		x.Backend == whole.list[1].Backend {
 		t.Errorf("%+v", whole)
 	}
-	if none := e.next(t); none.how != policy.Changes || len(none.list) != 0 {
+	if none := e.next(t); none.how != policy.Delta || len(none.list) != 0 {
 		t.Errorf("%+v", none)
 	}
-	if drains := e.next(t); drains.list[0].Stage != policy.Draining || len(drains.known) != 2 {
+	if drains := e.next(t); drains.list[0].State != policy.EndpointDraining || len(drains.known) != 2 {
 		t.Errorf("%+v", drains)
 	}
-	if gone := e.next(t); gone.list[0].Stage != policy.Gone || len(gone.known) != 1 {
+	if gone := e.next(t); gone.list[0].State != policy.EndpointGone || len(gone.known) != 1 {
 		t.Errorf("%+v", gone)
 	}
 	again := e.next(t)
-	if again.how != policy.Whole || again.list[0].Stage != policy.Draining || len(again.known) != 1 {
+	if again.how != policy.FullSnapshot || again.list[0].State != policy.EndpointDraining || len(again.known) != 1 {
 		t.Errorf("%+v", again)
 	}
 	for n, want := range []string{"/v1/endpoints", "/v1/endpoints?index=4&wait=2000",
@@ -124,13 +124,13 @@
 	c, e, calls := serve(t, "fail", "{", lines(4, true, `{"name":"x","address":"nowhere"}`),
 		lines(4, true, entry("x", "up")))
 	for range 3 {
-		c.Follow()
-		if got := e.next(t); got.how != policy.ListFailed {
+		c.WatchEndpoints()
+		if got := e.next(t); got.how != policy.UpdateFailed {
 			t.Errorf("%+v", got)
 		}
 	}
-	c.Follow()
-	if got := e.next(t); got.how != policy.Whole || len(got.list) != 1 {
+	c.WatchEndpoints()
+	if got := e.next(t); got.how != policy.FullSnapshot || len(got.list) != 1 {
 		t.Errorf("%+v", got)
 	}
 	for range 4 {
@@ -144,19 +144,19 @@
 // ever got it. The client asks only when the decisions do, and then for what is new since the list it has.
 func TestRefusedWatchWaitsForTheDecisions(t *testing.T) {
 	c, e, calls := serve(t, lines(4, true, entry("x", "up")), "refuse", "refuse", lines(5, false))
-	c.Follow()
+	c.WatchEndpoints()
 	e.next(t)
-	if got := e.next(t); got.how != policy.ListFailed {
+	if got := e.next(t); got.how != policy.UpdateFailed {
 		t.Errorf("%+v", got)
 	}
 	time.Sleep(300 * time.Millisecond)
 	if len(calls) != 2 {
 		t.Errorf("%d calls", len(calls))
 	}
-	c.Follow()
+	c.WatchEndpoints()
 	e.next(t)
-	c.Follow()
-	if got := e.next(t); got.how != policy.Changes {
+	c.WatchEndpoints()
+	if got := e.next(t); got.how != policy.Delta {
 		t.Errorf("%+v", got)
 	}
 	for _, want := range []string{"/v1/endpoints", "/v1/endpoints?index=4&wait=2000",
@@ -169,13 +169,13 @@
 
 func TestKnownListServesFirst(t *testing.T) {
 	c, e, calls := serve(t)
-	if err := c.Known([]byte(lines(4, true, entry("x", "up")))); err != nil {
+	if err := c.LoadSnapshot([]byte(lines(4, true, entry("x", "up")))); err != nil {
 		t.Fatal(err)
 	}
-	if got := e.next(t); got.how != policy.Cached || len(got.known) != 1 {
+	if got := e.next(t); got.how != policy.CachedSnapshot || len(got.known) != 1 {
 		t.Errorf("%+v", got)
 	}
-	c.Follow()
+	c.WatchEndpoints()
 	if got := <-calls; got != "/v1/endpoints?index=4&wait=2000" {
 		t.Errorf("a door with a list asks for %s", got)
 	}
@@ -206,12 +206,12 @@
 		fmt.Fprint(w, lines(4, true, entry("y", "up")))
 	}))
 	t.Cleanup(there.CloseClientConnections)
-	c.Follow()
+	c.WatchEndpoints()
 	e.next(t)
 	<-calls
 	<-calls // waits for news
-	c.Move(strings.TrimPrefix(there.URL, "http://"), policy.Terms{DrainGrace: 6e9})
-	if got := e.next(t); got.how != policy.Whole || len(got.list) != 1 || len(got.known) != 1 {
+	c.SetAddress(strings.TrimPrefix(there.URL, "http://"), policy.Settings{DrainGrace: 6e9})
+	if got := e.next(t); got.how != policy.FullSnapshot || len(got.list) != 1 || len(got.known) != 1 {
 		t.Errorf("%+v", got)
 	}
 	for _, want := range []string{"/v1/endpoints", "/v1/endpoints?index=4&wait=2000"} {
@@ -231,9 +231,9 @@
 	for n := range 5000 {
 		status := []string{"up", "removed"}[n%2]
 		l, _ := parse([]byte(lines(n, n%4 == 0, entry(fmt.Sprint("s-", n/2), status))))
-		how := policy.Changes
+		how := policy.Delta
 		if l.Snapshot {
-			how = policy.Whole
+			how = policy.FullSnapshot
 		}
 		c.tell(how, l)
 	}
@@ -250,13 +250,13 @@
 		t.Errorf("%v", err)
 	}
 	c, e, _ := serve(t, lines(3, true, entry("s-1", "up")), lines(4, true, twice...), lines(5, false, twice...))
-	c.Follow()
+	c.WatchEndpoints()
 	e.next(t)
-	if got := e.next(t); got.how != policy.ListFailed || len(got.known) != 1 {
+	if got := e.next(t); got.how != policy.UpdateFailed || len(got.known) != 1 {
 		t.Errorf("%+v", got)
 	}
-	c.Follow()
-	if got := e.next(t); got.how != policy.Changes || len(got.list) != 3 {
+	c.WatchEndpoints()
+	if got := e.next(t); got.how != policy.Delta || len(got.list) != 3 {
 		t.Errorf("%+v", got)
 	}
 }
@@ -264,8 +264,8 @@
 // Failure: where each asking is work for discovery, the watches of two seconds of many doors were more than it answers;
 // those of ten seconds, fallen silent, were opened anew when what they missed had counted as told for five.
 func TestWatchIsLongWhereListsAreAskedFor(t *testing.T) {
-	start := &config.Start{Discovery: "127.0.0.1:1"}
-	start.Terms.ListOnRequest, start.Terms.AskWithin = true, 10e9
+	start := &config.Config{Discovery: "127.0.0.1:1"}
+	start.Settings.PollEndpoints, start.Settings.PollTimeout = true, 10e9
 	if c := New(nil, nil, start); c.wait < 4*time.Second || c.wait+c.late > 5*time.Second {
 		t.Errorf("a watch waits %v, and is given up %v later", c.wait, c.late)
 	}
@@ -274,14 +274,14 @@
 // Failure: a watch whose answer never came left the list old for twenty seconds.
 func TestSilentWatchIsMadeAnewSoon(t *testing.T) {
 	c, e, calls := serve(t, lines(4, true, entry("s-1", "up")))
-	c.Follow()
+	c.WatchEndpoints()
 	e.next(t)
 	<-calls
 	<-calls // the watch, never answered
-	if got := e.next(t); got.how != policy.ListFailed {
+	if got := e.next(t); got.how != policy.UpdateFailed {
 		t.Errorf("%+v", got)
 	}
-	c.Follow()
+	c.WatchEndpoints()
 	select {
 	case url := <-calls:
 		if url != "/v1/endpoints" {
@@ -322,11 +322,11 @@
 func TestAnOutageLeavesNoDialsBehind(t *testing.T) {
 	port := hanging(t)
 	e := &ear{told: make(chan told, 100), known: map[policy.BackendID]string{}}
-	start := &config.Start{Discovery: fmt.Sprintf("127.0.0.1:%d", port), Terms: policy.Terms{DrainGrace: 2e8}} // 0.1 s a call
+	start := &config.Config{Discovery: fmt.Sprintf("127.0.0.1:%d", port), Settings: policy.Settings{DrainGrace: 2e8}} // 0.1 s a call
 	c := New(e, e, start)
 	for range 12 {
-		c.Follow()
-		if got := e.next(t); got.how != policy.ListFailed {
+		c.WatchEndpoints()
+		if got := e.next(t); got.how != policy.UpdateFailed {
 			t.Fatalf("%+v", got)
 		}
 	}
--- a/internal/discovery/start_test.go
+++ b/internal/discovery/start_test.go
@@ -33,7 +33,7 @@
 // pipes, and its clock moves only while all wait, so that moments are exact, however busy the machine is.
 type door struct {
 	t      *testing.T
-	facade *dispatch.Facade
+	facade *dispatch.Dispatcher
 	client *Client
 	began  time.Time
 	over   atomic.Bool
@@ -43,21 +43,21 @@
 	sent   map[policy.BackendID][]time.Duration // after the start
 }
 
-func (d *door) Place(policy.BackendID, string)              {}
-func (d *door) PlaceAny(policy.BackendID, []netip.AddrPort) {}
-func (d *door) Forget(policy.BackendID)                     {}
-func (d *door) Probe(policy.BackendID)                      {}
-func (d *door) Bump(policy.CountID, float64, int64)         {}
-func (d *door) Flush()                                      {}
-func (d *door) Drop(*dispatch.Shot) bool                    { return false }
+func (d *door) SetAddress(policy.BackendID, string)             {}
+func (d *door) SetAddresses(policy.BackendID, []netip.AddrPort) {}
+func (d *door) Forget(policy.BackendID)                         {}
+func (d *door) CheckHealth(policy.BackendID)                    {}
+func (d *door) Add(policy.CounterKey, float64, int64)           {}
+func (d *door) Flush()                                          {}
+func (d *door) Abandon(*dispatch.Attempt) bool                  { return false }
 
-// Backends passes the lists on. After the test's end it ends the watch, which has no end of its own and may not outlive
+// UpdateEndpoints passes the lists on. After the test's end it ends the watch, which has no end of its own and may not outlive
 // the bubble.
-func (d *door) Backends(how policy.Listing, list []policy.Listed) {
+func (d *door) UpdateEndpoints(how policy.UpdateKind, list []policy.Endpoint) {
 	if d.over.Load() {
 		runtime.Goexit()
 	}
-	d.facade.Backends(how, list)
+	d.facade.UpdateEndpoints(how, list)
 }
 
 // pipes is a listener for connections within the bubble.
@@ -120,9 +120,9 @@
 	})}
 	go agent.Serve(l)
 	d := &door{t: t, facade: dispatch.New(), began: time.Now(), sent: map[policy.BackendID][]time.Duration{}}
-	s := &config.Start{Discovery: "agent:1", Known: []byte(known), Zones: []string{"a"}, Terms: policy.Terms{Doors: 1, MostShots: 1,
-		DrainGrace: int64(grace), ColdShare: 1, FallMultiple: 2, FallSpan: 1e9, Plans: []policy.PlanTerms{{}},
-		Profiles: []policy.ProfileTerms{{Promised: 500e6, HardLimit: 500e6}}}}
+	s := &config.Config{Discovery: "agent:1", KnownEndpoints: []byte(known), Zones: []string{"a"}, Settings: policy.Settings{Instances: 1, MaxAttempts: 1,
+		DrainGrace: int64(grace), SlowStartShare: 1, OverloadMultiple: 2, OverloadWindow: 1e9, Plans: []policy.PlanSettings{{}},
+		Classes: []policy.ClassSettings{{LatencyObjective: 500e6, Deadline: 500e6}}}}
 	d.client = New(d, d, s)
 	var dials atomic.Int64
 	d.client.http.Transport.(*http.Transport).DialContext = func(context.Context, string, string) (net.Conn, error) {
@@ -138,16 +138,16 @@
 			return nil, net.ErrClosed
 		}
 	}
-	d.facade.Run(seed, s.Terms, d, d, d.client)
-	if err := d.client.Known(s.Known); err != nil {
+	d.facade.Run(seed, s.Settings, d, d, d.client)
+	if err := d.client.LoadSnapshot(s.KnownEndpoints); err != nil {
 		t.Fatal(err)
 	}
 	d.old, d.stays = d.client.ids["s-1"], d.client.ids["s-2"]
-	d.client.Follow()
+	d.client.WatchEndpoints()
 	t.Cleanup(func() {
 		d.over.Store(true)
 		agent.Close()
-		d.client.Follow() // if it waits for the decisions to ask
+		d.client.WatchEndpoints() // if it waits for the decisions to ask
 		d.facade.Stop()
 	})
 	return d
@@ -155,21 +155,21 @@
 
 // send sends a transaction, and notes when and where to.
 func (d *door) send() {
-	tx := d.facade.Take(0, 0, 1, 500*time.Millisecond, 1, 1, 0)
+	tx := d.facade.Submit(0, 0, 1, 500*time.Millisecond, 1, 1, 0)
 	for {
-		step := tx.Pick()
-		if step.Do != dispatch.Send {
-			if step.Do != dispatch.Fulfil {
+		step := tx.NextStep()
+		if step.Action != dispatch.Send {
+			if step.Action != dispatch.Respond {
 				d.t.Errorf("a transaction ended as %+v", step)
 			}
 			return
 		}
-		if step.Shot.Begin(d) {
+		if step.Attempt.Begin(d) {
 			d.mu.Lock()
-			d.sent[step.Shot.Backend] = append(d.sent[step.Shot.Backend], time.Since(d.began))
+			d.sent[step.Attempt.Backend] = append(d.sent[step.Attempt.Backend], time.Since(d.began))
 			d.mu.Unlock()
 			time.Sleep(time.Millisecond)
-			step.Shot.Report([]byte("ok"), 0, nil)
+			step.Attempt.Report([]byte("ok"), 0, nil)
 		}
 	}
 }
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -19,32 +19,34 @@
 
 // Counter is what the facade needs of the counter. Bump must not block; Flush sends what was bumped.
 type Counter interface {
-	Bump(name policy.CountID, units float64, lifetime int64)
+	Add(name policy.CounterKey, units float64, lifetime int64)
 	Flush()
 }
 
-// Prober tests a backend and brings the outcome to Facade.Probed. It must not block.
-type Prober interface{ Probe(b policy.BackendID) }
+// HealthChecker tests a backend and brings the outcome to Facade.Probed. It must not block.
+type HealthChecker interface{ CheckHealth(b policy.BackendID) }
 
-// Follower starts to follow the list of backends. It must not block.
-type Follower interface{ Follow() }
+// EndpointWatcher starts to follow the list of backends. It must not block.
+type EndpointWatcher interface{ WatchEndpoints() }
 
-// Line is the connection that a shot is out on. Drop gives the shot up; it does nothing once the line has gone
+// AttemptConn is the connection that a shot is out on. Drop gives the shot up; it does nothing once the line has gone
 // on to another. It tells whether the shot's end will be reported all the same, at once, since it is just being
 // written and may not get out whole.
-type Line interface{ Drop(s *Shot) (reports bool) }
+type AttemptConn interface {
+	Abandon(s *Attempt) (reports bool)
+}
 
-// Facade is one front door's gate with its clock and timers.
-type Facade struct {
+// Dispatcher is one front door's gate with its clock and timers.
+type Dispatcher struct {
 	mu       sync.Mutex
-	gate     *policy.Gate
+	gate     *policy.Engine
 	epoch    int64     // Unix time at the start
 	start    time.Time // the same moment on the monotonic clock
 	counter  Counter
-	prober   Prober
-	follower Follower
-	open     map[policy.TransactionID]*Transaction
-	last     policy.TransactionID
+	prober   HealthChecker
+	follower EndpointWatcher
+	open     map[policy.RequestID]*Request
+	last     policy.RequestID
 	due      timerqueue.Queue[dueEntry]
 	timer    *time.Timer
 	mark     uint64 // of the latest wake asked for; those before are needless
@@ -58,43 +60,45 @@
 // dueEntry is a wake that the gate asked for, or the end of a shot's time.
 type dueEntry struct {
 	mark  uint64
-	shot  *Shot
+	shot  *Attempt
 	begin bool // the time by which the shot has to have begun
 }
 
 // ending is the end of a shot that was called off, told to the gate once it has returned.
 type ending struct {
-	shot    *Shot
+	shot    *Attempt
 	outcome policy.Outcome
 }
 
 // New makes a facade; Run starts it.
-func New() *Facade {
-	f := &Facade{start: time.Now(), open: map[policy.TransactionID]*Transaction{}, stopped: make(chan struct{})}
+func New() *Dispatcher {
+	f := &Dispatcher{start: time.Now(), open: map[policy.RequestID]*Request{}, stopped: make(chan struct{})}
 	f.epoch = f.start.UnixNano()
 	f.timer = time.NewTimer(time.Hour)
 	return f
 }
 
 // Run starts the decisions and the timers.
-func (f *Facade) Run(seed uint64, terms policy.Terms, c Counter, p Prober, l Follower) {
+func (f *Dispatcher) Run(seed uint64, terms policy.Settings, c Counter, p HealthChecker, l EndpointWatcher) {
 	f.counter, f.prober, f.follower = c, p, l
 	f.do(func(now int64) { f.gate = policy.New(now, seed, terms, door{f}) })
 	go f.tick()
 }
 
-// Retune gives the decisions new terms, whose rows of profiles and plans extend the old ones.
-func (f *Facade) Retune(terms policy.Terms) { f.do(func(int64) { f.gate.Retune(terms) }) }
+// UpdateSettings gives the decisions new terms, whose rows of profiles and plans extend the old ones.
+func (f *Dispatcher) UpdateSettings(terms policy.Settings) {
+	f.do(func(int64) { f.gate.UpdateSettings(terms) })
+}
 
 // Stop ends the timers.
-func (f *Facade) Stop() { close(f.stopped) }
+func (f *Dispatcher) Stop() { close(f.stopped) }
 
 // now is Unix time at the start plus the monotonic time since: all front doors name the same windows, and no
 // step of the system's clock can turn time back.
-func (f *Facade) now() int64 { return f.epoch + int64(time.Since(f.start)) }
+func (f *Dispatcher) now() int64 { return f.epoch + int64(time.Since(f.start)) }
 
-// Open tells how many transactions are open.
-func (f *Facade) Open() int {
+// OpenRequests tells how many transactions are open.
+func (f *Dispatcher) OpenRequests() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return len(f.open)
@@ -102,17 +106,17 @@
 
 // do runs one call into the gate under the lock, and then, without it, what the gate asked of the network. A
 // panic passes on to the connection that brought the call, and leaves the lock free.
-func (f *Facade) do(what func(now int64)) {
+func (f *Dispatcher) do(what func(now int64)) {
 	bumped, probes := f.locked(what)
 	if bumped {
 		f.counter.Flush()
 	}
 	for _, b := range probes {
-		f.prober.Probe(b)
+		f.prober.CheckHealth(b)
 	}
 }
 
-func (f *Facade) locked(what func(now int64)) (bumped bool, probes []policy.BackendID) {
+func (f *Dispatcher) locked(what func(now int64)) (bumped bool, probes []policy.BackendID) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	defer f.arm() // after a panic too: else what is due would wait for the next call
@@ -128,20 +132,20 @@
 }
 
 // arm sets the timer for the earliest due time that still matters.
-func (f *Facade) arm() {
-	if next, ok := f.due.Next(f.needless); ok && next != f.armed {
+func (f *Dispatcher) arm() {
+	if next, ok := f.due.NextDue(f.needless); ok && next != f.armed {
 		f.armed = next
 		f.timer.Reset(time.Duration(next - f.now()))
 	}
 }
 
-func (f *Facade) needless(e dueEntry) bool {
+func (f *Dispatcher) needless(e dueEntry) bool {
 	return e.shot != nil && (e.shot.settled || e.begin && e.shot.state.Load() != waiting) ||
 		e.shot == nil && e.mark != 0 && e.mark != f.mark
 }
 
 // tick waits for the timer and does what is due.
-func (f *Facade) tick() {
+func (f *Dispatcher) tick() {
 	for {
 		select {
 		case <-f.timer.C:
@@ -152,7 +156,7 @@
 	}
 }
 
-func (f *Facade) whatIsDue() {
+func (f *Dispatcher) whatIsDue() {
 	defer func() {
 		if x := recover(); x != nil {
 			logging.Panicked("facade", x, debug.Stack())
@@ -160,14 +164,14 @@
 	}()
 	f.do(func(now int64) {
 		f.armed = 0
-		for e, ok := f.due.Take(now); ok; e, ok = f.due.Take(f.now()) {
+		for e, ok := f.due.PopDue(now); ok; e, ok = f.due.PopDue(f.now()) {
 			switch {
 			case f.needless(e):
 			case e.shot == nil:
-				f.gate.Wake(f.now(), e.mark)
+				f.gate.HandleTimer(f.now(), e.mark)
 			case e.begin:
 				if e.shot.state.Load() == waiting {
-					e.shot.stop(policy.Unreached)
+					e.shot.stop(policy.ConnectFailed)
 				}
 			default:
 				e.shot.stop(policy.TimedOut)
@@ -176,117 +180,117 @@
 	})
 }
 
-// Backends brings the list of backends, or changes to it. Shots decided on before that are still waiting for a
+// UpdateEndpoints brings the list of backends, or changes to it. Shots decided on before that are still waiting for a
 // connection do not go out to a backend that is now known to drain or to be gone.
-func (f *Facade) Backends(how policy.Listing, list []policy.Listed) {
+func (f *Dispatcher) UpdateEndpoints(how policy.UpdateKind, list []policy.Endpoint) {
 	f.do(func(now int64) {
-		f.gate.Backends(now, how, list)
-		stages := make(map[policy.BackendID]policy.Stage, len(list))
+		f.gate.UpdateEndpoints(now, how, list)
+		stages := make(map[policy.BackendID]policy.EndpointState, len(list))
 		for _, l := range list {
-			stages[l.Backend] = l.Stage
+			stages[l.Backend] = l.State
 		}
 		for _, id := range slices.Sorted(maps.Keys(f.open)) {
 			for _, s := range f.open[id].shots {
-				if stage, listed := stages[s.Backend]; (listed && stage != policy.Ready || !listed &&
-					(how == policy.Whole || how == policy.Cached)) && s.state.Load() == waiting {
-					s.stop(policy.Moot)
+				if stage, listed := stages[s.Backend]; (listed && stage != policy.EndpointReady || !listed &&
+					(how == policy.FullSnapshot || how == policy.CachedSnapshot)) && s.state.Load() == waiting {
+					s.stop(policy.NotSent)
 				}
 			}
 		}
 	})
 }
 
-// Counted brings the answer to the oldest unanswered call for the count.
-func (f *Facade) Counted(name policy.CountID, total float64, err error) {
-	f.do(func(now int64) { f.gate.Counted(now, outcome(err), name, total) })
+// HandleCounterResult brings the answer to the oldest unanswered call for the count.
+func (f *Dispatcher) HandleCounterResult(name policy.CounterKey, total float64, err error) {
+	f.do(func(now int64) { f.gate.HandleCounterResult(now, outcome(err), name, total) })
 }
 
-// Quota tells what is known of a customer's quota, and counts nothing.
-func (f *Facade) Quota(c policy.CustomerID, pl policy.PlanID, entries int) (q policy.Quota, ok bool) {
-	f.do(func(now int64) { q, ok = f.gate.Quota(now, c, pl, entries) })
+// QuotaStatus tells what is known of a customer's quota, and counts nothing.
+func (f *Dispatcher) QuotaStatus(c policy.TenantID, pl policy.PlanID, entries int) (q policy.QuotaStatus, ok bool) {
+	f.do(func(now int64) { q, ok = f.gate.QuotaStatus(now, c, pl, entries) })
 	return q, ok
 }
 
-// Outages tells figures on the counter's failures.
-func (f *Facade) Outages() (o policy.Outages) {
-	f.do(func(int64) { o = f.gate.Outages() })
+// CounterStats tells figures on the counter's failures.
+func (f *Dispatcher) CounterStats() (o policy.CounterStats) {
+	f.do(func(int64) { o = f.gate.CounterStats() })
 	return o
 }
 
-// Learned tells what is known of the backends' answer times.
-func (f *Facade) Learned() (l policy.Learned) {
-	f.do(func(int64) { l = f.gate.Learned() })
+// ExportState tells what is known of the backends' answer times.
+func (f *Dispatcher) ExportState() (l policy.WarmStartState) {
+	f.do(func(int64) { l = f.gate.ExportState() })
 	return l
 }
 
-// Relearn takes over what an earlier life knew, so long ago.
-func (f *Facade) Relearn(l policy.Learned, age time.Duration) {
-	f.do(func(now int64) { f.gate.Relearn(now, l, int64(age)) })
+// ImportState takes over what an earlier life knew, so long ago.
+func (f *Dispatcher) ImportState(l policy.WarmStartState, age time.Duration) {
+	f.do(func(now int64) { f.gate.ImportState(now, l, int64(age)) })
 }
 
-// Probed brings the answer to a probe.
-func (f *Facade) Probed(b policy.BackendID, err error) {
-	f.do(func(now int64) { f.gate.Probed(now, b, outcome(err)) })
+// HandleHealthCheck brings the answer to a probe.
+func (f *Dispatcher) HandleHealthCheck(b policy.BackendID, err error) {
+	f.do(func(now int64) { f.gate.HandleHealthCheck(now, b, outcome(err)) })
 }
 
 // door is the facade as the gate sees it; the lock is held in all its calls.
-type door struct{ *Facade }
+type door struct{ *Dispatcher }
 
-func (d door) Shoot(id policy.TransactionID, b policy.BackendID, expire, begin int64) {
+func (d door) Send(id policy.RequestID, b policy.BackendID, expire, begin int64) {
 	t := d.open[id]
 	until := t.limit
 	if expire > 0 {
 		until = min(until, expire)
 	}
-	s := &Shot{Backend: b, t: t, number: policy.ShotID(len(t.shots)), sent: d.now(), until: until, begin: begin}
+	s := &Attempt{Backend: b, t: t, number: policy.AttemptID(len(t.shots)), sent: d.now(), until: until, begin: begin}
 	t.shots = append(t.shots, s)
 	if len(t.steps) == mostWaiting { // never sent
 		s.state.Store(calledOff)
-		d.ended = append(d.ended, ending{s, policy.Moot})
+		d.ended = append(d.ended, ending{s, policy.NotSent})
 		return
 	}
-	d.due.Add(until, dueEntry{shot: s})
+	d.due.Push(until, dueEntry{shot: s})
 	if begin < until {
-		d.due.Add(begin, dueEntry{shot: s, begin: true})
+		d.due.Push(begin, dueEntry{shot: s, begin: true})
 	}
 	t.steps <- s
 }
 
-func (d door) Recall(id policy.TransactionID, n policy.ShotID) {
+func (d door) Cancel(id policy.RequestID, n policy.AttemptID) {
 	if t := d.open[id]; t != nil && int(n) < len(t.shots) && !t.shots[n].settled {
-		t.shots[n].stop(policy.Recalled)
+		t.shots[n].stop(policy.Canceled)
 	}
 }
 
-func (d door) Dismiss(id policy.TransactionID, comeBack int64) {
-	d.open[id].end(Step{Do: Dismiss, ComeBack: comeBack})
+func (d door) Reject(id policy.RequestID, comeBack int64) {
+	d.open[id].end(Step{Action: Reject, RetryAfter: comeBack})
 }
 
-func (d door) BreakOff(id policy.TransactionID) { d.open[id].end(Step{Do: BreakOff}) }
+func (d door) Abort(id policy.RequestID) { d.open[id].end(Step{Action: Abort}) }
 
-func (d door) Grant(id policy.TransactionID) { d.open[id].end(Step{Do: Grant}) }
+func (d door) Admit(id policy.RequestID) { d.open[id].end(Step{Action: Admit}) }
 
-func (d door) Wake(at int64, mark uint64) {
+func (d door) WakeAt(at int64, mark uint64) {
 	if mark != 0 {
 		d.mark = mark
 	}
-	d.due.Add(at, dueEntry{mark: mark})
+	d.due.Push(at, dueEntry{mark: mark})
 }
 
-func (d door) Count(c policy.CountID, units float64, lifetime int64) {
-	d.counter.Bump(c, units, lifetime)
+func (d door) AddToCounter(c policy.CounterKey, units float64, lifetime int64) {
+	d.counter.Add(c, units, lifetime)
 	d.bumped = true
 }
 
-func (d door) Probe(b policy.BackendID) { d.probes = append(d.probes, b) }
-func (d door) Follow()                  { d.follower.Follow() }
-func (d door) Note(text string)         { logging.For("policy").Warn(text) }
+func (d door) CheckHealth(b policy.BackendID) { d.probes = append(d.probes, b) }
+func (d door) WatchEndpoints()                { d.follower.WatchEndpoints() }
+func (d door) Log(text string)                { logging.For("policy").Warn(text) }
 
-// Shot is one sending of a transaction to a backend.
-type Shot struct {
+// Attempt is one sending of a transaction to a backend.
+type Attempt struct {
 	Backend policy.BackendID
-	t       *Transaction
-	number  policy.ShotID
+	t       *Request
+	number  policy.AttemptID
 	sent    int64
 	until   int64
 	begin   int64          // not begun then or later
@@ -294,7 +298,7 @@
 	halted  bool           // given up while it was being written: its writer reports
 	as      policy.Outcome // how a halted shot ends, if it got out whole
 	state   atomic.Uint32
-	line    Line
+	line    AttemptConn
 }
 
 // A shot's states. Only one of Begin and stop gets it out of waiting.
@@ -306,7 +310,7 @@
 
 // Begin says that the shot's first byte is about to be written. Where it gives false the shot has been called
 // off, or its time to begin is over, and nothing may be written.
-func (s *Shot) Begin(l Line) bool {
+func (s *Attempt) Begin(l AttemptConn) bool {
 	if s.t.f.now() >= s.begin { // the timer that calls it off may come late
 		return false
 	}
@@ -314,20 +318,20 @@
 	return s.state.CompareAndSwap(waiting, begun)
 }
 
-// Profile is the profile of the shot's transaction.
-func (s *Shot) Profile() policy.ProfileID { return s.t.profile }
+// Class is the profile of the shot's transaction.
+func (s *Attempt) Class() policy.ClassID { return s.t.profile }
 
-// Left is how long the shot's answer will be waited for.
-func (s *Shot) Left() time.Duration { return time.Duration(s.until - s.t.f.now()) }
+// Remaining is how long the shot's answer will be waited for.
+func (s *Attempt) Remaining() time.Duration { return time.Duration(s.until - s.t.f.now()) }
 
 // stop calls the shot off. It ends as o, unless its last byte was never written. The gate hears of it once it
 // has returned.
-func (s *Shot) stop(o policy.Outcome) {
+func (s *Attempt) stop(o policy.Outcome) {
 	switch f := s.t.f; {
 	case s.settled || s.halted || s.state.Load() == calledOff:
 	case s.state.CompareAndSwap(waiting, calledOff):
-		f.ended = append(f.ended, ending{s, policy.Unreached})
-	case s.line.Drop(s):
+		f.ended = append(f.ended, ending{s, policy.ConnectFailed})
+	case s.line.Abandon(s):
 		s.halted, s.as = true, o
 	default:
 		f.ended = append(f.ended, ending{s, o})
@@ -336,31 +340,31 @@
 
 // Report tells how the shot ended: with an answer, which the facade keeps, or an error. trueUnits is what the
 // transaction really counted, where the backend says so.
-func (s *Shot) Report(answer []byte, trueUnits float64, err error) {
+func (s *Attempt) Report(answer []byte, trueUnits float64, err error) {
 	f := s.t.f
 	f.do(func(int64) {
 		if s.settled {
 			return
 		}
 		o := outcome(err)
-		if s.halted && o == policy.CutOff {
+		if s.halted && o == policy.ConnectionLost {
 			o = s.as
 		}
-		if o == policy.Fulfilled {
-			s.t.end(Step{Do: Fulfil, Answer: answer})
+		if o == policy.Succeeded {
+			s.t.end(Step{Action: Respond, Response: answer})
 		}
 		f.settle(s, o, trueUnits)
 	})
 }
 
 // settle tells the gate how a shot ended.
-func (f *Facade) settle(s *Shot, o policy.Outcome, trueUnits float64) {
+func (f *Dispatcher) settle(s *Attempt, o policy.Outcome, trueUnits float64) {
 	if s.settled {
 		return
 	}
 	s.settled = true
 	now := f.now()
-	s.t.handle.Settled(now, s.number, o, now-s.sent, s.t.ended, trueUnits)
+	s.t.handle.HandleAttemptResult(now, s.number, o, now-s.sent, s.t.ended, trueUnits)
 	s.t.keep()
 }
 
@@ -368,83 +372,83 @@
 type Action uint8
 
 const (
-	Send     Action = iota // the shot, to its backend
-	Fulfil                 // with the answer
-	Dismiss                // with the advice to come back
-	BreakOff               // with no promise
-	Leave                  // the client is gone: nothing is owed
-	Grant                  // counted, and nothing is sent: the profile only counts
+	Send    Action = iota // the shot, to its backend
+	Respond               // with the answer
+	Reject                // with the advice to come back
+	Abort                 // with no promise
+	Discard               // the client is gone: nothing is owed
+	Admit                 // counted, and nothing is sent: the profile only counts
 )
 
 // Step is what is to be done next for a transaction. All but Send are final.
 type Step struct {
-	Do       Action
-	Shot     *Shot
-	Answer   []byte
-	ComeBack int64
+	Action     Action
+	Attempt    *Attempt
+	Response   []byte
+	RetryAfter int64
 }
 
 // mostWaiting is how many shots of a transaction may wait to be picked. They are picked at once, so that even
 // two are rare, whatever the settings allow.
 const mostWaiting = 8
 
-// Transaction is one that was taken.
-type Transaction struct {
-	f       *Facade
-	id      policy.TransactionID
-	profile policy.ProfileID
-	handle  *policy.Transaction
+// Request is one that was taken.
+type Request struct {
+	f       *Dispatcher
+	id      policy.RequestID
+	profile policy.ClassID
+	handle  *policy.Request
 	limit   int64
-	shots   []*Shot
+	shots   []*Attempt
 	// steps brings the shots to be sent, and nil once last stands. It has room for mostWaiting shots and that:
 	// nothing blocks under the lock.
-	steps chan *Shot
+	steps chan *Attempt
 	last  Step
 	ended bool
 }
 
-// Take takes a transaction.
-func (f *Facade) Take(pr policy.ProfileID, pl policy.PlanID, c policy.CustomerID, left time.Duration,
-	units float64, entries, first int) *Transaction {
-	t := &Transaction{f: f, profile: pr, steps: make(chan *Shot, mostWaiting+1)}
+// Submit takes a transaction.
+func (f *Dispatcher) Submit(pr policy.ClassID, pl policy.PlanID, c policy.TenantID, left time.Duration,
+	units float64, entries, first int) *Request {
+	t := &Request{f: f, profile: pr, steps: make(chan *Attempt, mostWaiting+1)}
 	f.do(func(now int64) {
 		f.last++
 		t.id, t.limit = f.last, now+int64(left)
 		f.open[t.id] = t
-		t.handle = f.gate.Take(now, t.id, pr, pl, c, int64(left), units, entries, first)
+		t.handle = f.gate.Submit(now, t.id, pr, pl, c, int64(left), units, entries, first)
 		t.keep()
 	})
 	return t
 }
 
-// Pick waits for the next step.
-func (t *Transaction) Pick() Step {
+// NextStep waits for the next step.
+func (t *Request) NextStep() Step {
 	if s := <-t.steps; s != nil {
-		return Step{Do: Send, Shot: s}
+		return Step{Action: Send, Attempt: s}
 	}
 	return t.last
 }
 
-// Leave tells that the client is gone.
-func (t *Transaction) Leave() {
+// HandleClientGone tells that the client is gone.
+func (t *Request) HandleClientGone() {
 	t.f.do(func(now int64) {
 		if !t.ended {
-			t.end(Step{Do: Leave})
-			t.handle.Left(now)
+			t.end(Step{Action: Discard})
+			t.handle.HandleClientGone(now)
 			t.keep()
 		}
 	})
 }
 
 // end passes the final step on; only the first counts.
-func (t *Transaction) end(s Step) {
+func (t *Request) end(s Step) {
 	if !t.ended {
 		t.ended, t.last = true, s
 		// Guards against a shot that waits for its connection and goes out after the final answer, or after the client
 		// has gone, where the settings allow no recalls. It says nothing against its backend.
 		for _, s := range t.shots {
 			if !s.settled && s.state.CompareAndSwap(waiting, calledOff) {
-				t.f.ended = append(t.f.ended, ending{s, policy.Moot})
+				t.f.ended = append(t.f.ended, ending{s, policy.NotSent})
 			}
 		}
 		t.steps <- nil
@@ -454,7 +458,7 @@
 
 // keep forgets the transaction once nothing more can come for it. Before the gate has given its handle it is
 // kept.
-func (t *Transaction) keep() {
+func (t *Request) keep() {
 	if t.handle != nil && t.handle.Done() {
 		delete(t.f.open, t.id)
 	}
--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -18,11 +18,11 @@
 // time given by chance. Its clock is that of a synctest bubble.
 type world struct {
 	t       *testing.T
-	f       *Facade
+	f       *Dispatcher
 	chance  *rand.Rand // of the play
 	network *rand.Rand
 	mu      sync.Mutex
-	stages  map[policy.BackendID]policy.Stage // as told, once it was told
+	stages  map[policy.BackendID]policy.EndpointState // as told, once it was told
 	follows atomic.Int32
 }
 
@@ -33,7 +33,7 @@
 	dropped chan struct{}
 }
 
-func (l *wire) Drop(*Shot) bool {
+func (l *wire) Abandon(*Attempt) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	close(l.dropped)
@@ -53,77 +53,77 @@
 	}
 }
 
-func (w *world) Bump(name policy.CountID, units float64, lifetime int64) {
+func (w *world) Add(name policy.CounterKey, units float64, lifetime int64) {
 	w.mu.Lock()
 	wait, kind := time.Duration(w.network.Intn(90))*time.Millisecond, w.network.Intn(8)
 	w.mu.Unlock()
 	time.AfterFunc(wait, func() {
 		switch kind {
 		case 0:
-			w.f.Counted(name, 0, TurnedAway)
+			w.f.HandleCounterResult(name, 0, ErrRejected)
 		case 1:
-			w.f.Counted(name, 0, Unanswered)
+			w.f.HandleCounterResult(name, 0, ErrTimeout)
 		default:
-			w.f.Counted(name, units, nil)
+			w.f.HandleCounterResult(name, units, nil)
 		}
 	})
 }
-func (w *world) Flush()  {}
-func (w *world) Follow() { w.follows.Add(1) }
-func (w *world) Probe(b policy.BackendID) {
-	time.AfterFunc(10*time.Millisecond, func() { w.f.Probed(b, nil) })
+func (w *world) Flush()          {}
+func (w *world) WatchEndpoints() { w.follows.Add(1) }
+func (w *world) CheckHealth(b policy.BackendID) {
+	time.AfterFunc(10*time.Millisecond, func() { w.f.HandleHealthCheck(b, nil) })
 }
 
-var terms = policy.Terms{Doors: 1, MostShots: 3, SecondCopies: true, Recalls: true, Probes: true, Advice: true,
-	LongestAdvice: 1e9, Counter: true, CounterTimeout: 80e6, ColdShare: 0.2, WarmUp: 5e9, FallMultiple: 2,
-	FallSpan: 1e9, Profiles: []policy.ProfileTerms{{Promised: 500e6, HardLimit: 1500e6},
-		{Promised: 500e6, HardLimit: 1500e6, Effect: policy.AtMostOnce}},
-	Plans: []policy.PlanTerms{{}, {Rate: 50, Burst: 20}}}
+var terms = policy.Settings{Instances: 1, MaxAttempts: 3, Hedging: true, Cancellation: true, HealthChecks: true, RetryAfter: true,
+	MaxRetryAfter: 1e9, CounterEnabled: true, CounterTimeout: 80e6, SlowStartShare: 0.2, SlowStartDuration: 5e9, OverloadMultiple: 2,
+	OverloadWindow: 1e9, Classes: []policy.ClassSettings{{LatencyObjective: 500e6, Deadline: 1500e6},
+		{LatencyObjective: 500e6, Deadline: 1500e6, Idempotency: policy.NonIdempotent}},
+	Plans: []policy.PlanSettings{{}, {Rate: 50, Burst: 20}}}
 
 // run plays a world in a bubble of its own.
-func run(t *testing.T, seed int64, terms policy.Terms, play func(w *world)) {
+func run(t *testing.T, seed int64, terms policy.Settings, play func(w *world)) {
 	synctest.Test(t, func(t *testing.T) {
 		w := &world{t: t, f: New(), chance: rand.New(rand.NewSource(seed)),
-			network: rand.New(rand.NewSource(seed)), stages: map[policy.BackendID]policy.Stage{}}
+			network: rand.New(rand.NewSource(seed)), stages: map[policy.BackendID]policy.EndpointState{}}
 		w.f.Run(9, terms, w, w, w)
-		w.list(policy.Cached, policy.Listed{Backend: 1, Stage: policy.Ready},
-			policy.Listed{Backend: 2, Stage: policy.Ready})
+		w.list(policy.CachedSnapshot, policy.Endpoint{Backend: 1, State: policy.EndpointReady},
+			policy.Endpoint{Backend: 2, State: policy.EndpointReady})
 		play(w)
 		w.f.Stop()
 		synctest.Wait()
 	})
 }
 
-func (w *world) list(how policy.Listing, list ...policy.Listed) {
-	w.f.Backends(how, list)
+func (w *world) list(how policy.UpdateKind, list ...policy.Endpoint) {
+	w.f.UpdateEndpoints(how, list)
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, l := range list {
-		w.stages[l.Backend] = l.Stage
+		w.stages[l.Backend] = l.State
 	}
 }
 
 // carry does what a front would for a transaction: it picks steps up to the last, which it gives.
-func (w *world) carry(t *Transaction, shoot func(*Shot)) Step {
+func (w *world) carry(t *Request, shoot func(*Attempt)) Step {
 	for {
-		s := t.Pick()
-		if s.Do != Send {
+		s := t.NextStep()
+		if s.Action != Send {
 			return s
 		}
-		go shoot(s.Shot)
+		go shoot(s.Attempt)
 	}
 }
 
 // by chance: dials, perhaps never begins, writes, perhaps not whole, and ends in any way.
-func (w *world) byChance(harmed *atomic.Int32) func(*Shot) {
+func (w *world) byChance(harmed *atomic.Int32) func(*Attempt) {
 	seed := w.chance.Int63()
-	return func(s *Shot) {
+	return func(s *Attempt) {
 		chance := rand.New(rand.NewSource(seed + int64(s.number)))
 		time.Sleep(time.Duration(chance.Intn(100)) * time.Millisecond)
 		l := &wire{slow: chance.Intn(4) == 0, dropped: make(chan struct{})}
 		slow := l.slow
 		w.mu.Lock()
-		ready := w.stages[s.Backend] == policy.Ready
+		ready := w.stages[s.Backend] == policy.EndpointReady
 		w.mu.Unlock()
 		if !s.Begin(l) {
 			return
@@ -131,7 +131,7 @@
 		if !ready {
 			w.t.Errorf("shot begun at backend %d, known not to be ready", s.Backend)
 		}
-		if s.Left() < 0 {
+		if s.Remaining() < 0 {
 			w.t.Error("shot begun after its time")
 		}
 		if slow {
@@ -140,7 +140,7 @@
 			case <-time.After(time.Duration(chance.Intn(2000)) * time.Millisecond):
 			}
 			if l.written() { // broke off, on its own or since it was dropped
-				s.Report(nil, 0, &Fault{Writing, io.ErrShortWrite})
+				s.Report(nil, 0, &NetworkError{Writing, io.ErrShortWrite})
 				return
 			}
 		}
@@ -150,9 +150,9 @@
 			return
 		case <-time.After(time.Duration(chance.Intn(700)) * time.Millisecond):
 		}
-		ends := []error{nil, nil, Answered, TurnedAway, &Fault{Written, io.EOF}, &Fault{Answering, io.EOF}}
+		ends := []error{nil, nil, ErrBackendFailed, ErrRejected, &NetworkError{Written, io.EOF}, &NetworkError{Answering, io.EOF}}
 		err := ends[chance.Intn(len(ends))]
-		if err == TurnedAway {
+		if err == ErrRejected {
 			harmed.Add(-1)
 		}
 		s.Report([]byte("value"), 0, err)
@@ -164,7 +164,7 @@
 		run(t, seed, terms, func(w *world) {
 			for n := 0; n < 60; n++ {
 				left, profile := time.Duration(1+w.chance.Intn(1500))*time.Millisecond, w.chance.Intn(2)
-				h := w.f.Take(policy.ProfileID(profile), policy.PlanID(w.chance.Intn(2)), policy.CustomerID(n%3),
+				h := w.f.Submit(policy.ClassID(profile), policy.PlanID(w.chance.Intn(2)), policy.TenantID(n%3),
 					left, 1, 1, 0)
 				taken, leaves, harmed := time.Now(), w.chance.Intn(10) == 0, new(atomic.Int32)
 				shoot := w.byChance(harmed)
@@ -173,10 +173,10 @@
 					if took := time.Since(taken); took > left+time.Millisecond {
 						t.Errorf("answered after %v of %v", took, left)
 					}
-					if profile == 1 && s.Do == Dismiss && harmed.Load() > 0 {
+					if profile == 1 && s.Action == Reject && harmed.Load() > 0 {
 						t.Error("dismissed an at-most-once transaction that may have run")
 					}
-					if s.Do == Fulfil && string(s.Answer) != "value" || s.Do == Leave && !leaves {
+					if s.Action == Respond && string(s.Response) != "value" || s.Action == Discard && !leaves {
 						t.Errorf("ended as %+v", s)
 					}
 					select {
@@ -186,16 +186,16 @@
 					}
 				}()
 				if leaves {
-					time.AfterFunc(left/2, h.Leave)
+					time.AfterFunc(left/2, h.HandleClientGone)
 				}
 				time.Sleep(time.Duration(w.chance.Intn(30)) * time.Millisecond)
 				if w.chance.Intn(15) == 0 {
-					stage := policy.Stage(w.chance.Intn(2))
-					w.list(policy.Changes, policy.Listed{Backend: policy.BackendID(1 + w.chance.Intn(2)), Stage: stage})
+					stage := policy.EndpointState(w.chance.Intn(2))
+					w.list(policy.Delta, policy.Endpoint{Backend: policy.BackendID(1 + w.chance.Intn(2)), State: stage})
 				}
 			}
 			time.Sleep(5 * time.Second)
-			if n := w.f.Open(); n > 0 {
+			if n := w.f.OpenRequests(); n > 0 {
 				t.Errorf("%d transactions are still held", n)
 			}
 		})
@@ -211,27 +211,27 @@
 func TestDrainStopsAShotThatWaitsForItsConnection(t *testing.T) {
 	for name, tell := range map[string]func(w *world, b policy.BackendID){
 		"draining": func(w *world, b policy.BackendID) {
-			w.list(policy.Changes, policy.Listed{Backend: b, Stage: policy.Draining})
+			w.list(policy.Delta, policy.Endpoint{Backend: b, State: policy.EndpointDraining})
 		},
 		"gone": func(w *world, b policy.BackendID) {
-			w.list(policy.Changes, policy.Listed{Backend: b, Stage: policy.Gone})
+			w.list(policy.Delta, policy.Endpoint{Backend: b, State: policy.EndpointGone})
 		},
 		"not listed": func(w *world, b policy.BackendID) {
-			w.list(policy.Whole, policy.Listed{Backend: 3 - b, Stage: policy.Ready})
+			w.list(policy.FullSnapshot, policy.Endpoint{Backend: 3 - b, State: policy.EndpointReady})
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			run(t, 1, terms, func(w *world) {
-				h := w.f.Take(0, 0, 1, time.Second, 1, 1, 0)
-				first := h.Pick().Shot
+				h := w.f.Submit(0, 0, 1, time.Second, 1, 1, 0)
+				first := h.NextStep().Attempt
 				tell(w, first.Backend)
 				if first.Begin(&wire{}) {
 					t.Error("the shot went out")
 				}
-				if s := h.Pick(); s.Do != Send || s.Shot.Backend == first.Backend {
+				if s := h.NextStep(); s.Action != Send || s.Attempt.Backend == first.Backend {
 					t.Errorf("not sent elsewhere: %+v", s)
 				}
-				h.Leave()
+				h.HandleClientGone()
 			})
 		})
 	}
@@ -242,21 +242,21 @@
 func TestNothingBeginsForAClientWhoHasLeft(t *testing.T) {
 	for _, recalls := range []bool{false, true} {
 		terms := terms
-		terms.Recalls = recalls
+		terms.Cancellation = recalls
 		run(t, 1, terms, func(w *world) {
-			w.list(policy.Whole, policy.Listed{Backend: 1, Stage: policy.Ready})
-			h := w.f.Take(0, 0, 1, time.Second, 1, 1, 0)
-			s := h.Pick().Shot
-			h.Leave()
+			w.list(policy.FullSnapshot, policy.Endpoint{Backend: 1, State: policy.EndpointReady})
+			h := w.f.Submit(0, 0, 1, time.Second, 1, 1, 0)
+			s := h.NextStep().Attempt
+			h.HandleClientGone()
 			if s.Begin(&wire{}) {
 				t.Error("begun for a client who has left")
 			}
-			next := w.f.Take(0, 0, 1, time.Second, 1, 1, 0)
-			if step := next.Pick(); step.Do != Send {
+			next := w.f.Submit(0, 0, 1, time.Second, 1, 1, 0)
+			if step := next.NextStep(); step.Action != Send {
 				t.Errorf("the only backend is not sent to: %+v", step)
 			}
-			next.Leave()
-			if n := w.f.Open(); n > 0 {
+			next.HandleClientGone()
+			if n := w.f.OpenRequests(); n > 0 {
 				t.Errorf("%d are kept", n)
 			}
 		})
@@ -268,31 +268,31 @@
 func TestARepeatBeginsWithinTheMemory(t *testing.T) {
 	const memory = 300 * time.Millisecond
 	terms := terms
-	terms.Profiles = []policy.ProfileTerms{{Promised: 500e6, HardLimit: 1500e6, Effect: policy.Numbered,
-		Memory: int64(memory)}}
+	terms.Classes = []policy.ClassSettings{{LatencyObjective: 500e6, Deadline: 1500e6, Idempotency: policy.IdempotentWithKey,
+		DedupWindow: int64(memory)}}
 	for wait, want := range map[time.Duration]bool{50 * time.Millisecond: true, 199 * time.Millisecond: true,
 		200 * time.Millisecond: false, 250 * time.Millisecond: false} {
 		run(t, 1, terms, func(w *world) {
-			h := w.f.Take(0, 0, 1, time.Second, 1, 1, 0)
-			first := h.Pick().Shot
+			h := w.f.Submit(0, 0, 1, time.Second, 1, 1, 0)
+			first := h.NextStep().Attempt
 			first.Begin(&wire{dropped: make(chan struct{})})
 			time.Sleep(100 * time.Millisecond)
-			first.Report(nil, 0, Answered) // it may have run
-			second := h.Pick()
-			if second.Do != Send {
+			first.Report(nil, 0, ErrBackendFailed) // it may have run
+			second := h.NextStep()
+			if second.Action != Send {
 				t.Errorf("%+v", second)
 				return
 			}
 			time.Sleep(wait)
-			if got := second.Shot.Begin(&wire{dropped: make(chan struct{})}); got != want {
+			if got := second.Attempt.Begin(&wire{dropped: make(chan struct{})}); got != want {
 				t.Errorf("begun %v after the first: %t", 100*time.Millisecond+wait, got)
 			}
 			if !want {
-				if last := h.Pick(); last.Do != Dismiss { // all backends know its number, and the client's memory is no other
+				if last := h.NextStep(); last.Action != Reject { // all backends know its number, and the client's memory is no other
 					t.Errorf("%+v", last)
 				}
 			}
-			h.Leave()
+			h.HandleClientGone()
 		})
 	}
 }
@@ -303,17 +303,17 @@
 		err  error
 		want Action
 	}{
-		"not whole": {&Fault{Writing, io.ErrShortWrite}, Dismiss},
-		"whole":     {&Fault{Written, io.EOF}, BreakOff},
+		"not whole": {&NetworkError{Writing, io.ErrShortWrite}, Reject},
+		"whole":     {&NetworkError{Written, io.EOF}, Abort},
 	} {
 		t.Run(name, func(t *testing.T) {
 			run(t, 1, terms, func(w *world) {
-				h := w.f.Take(1, 0, 1, 400*time.Millisecond, 1, 1, 0)
-				s, l := h.Pick().Shot, &wire{slow: true, dropped: make(chan struct{})}
+				h := w.f.Submit(1, 0, 1, 400*time.Millisecond, 1, 1, 0)
+				s, l := h.NextStep().Attempt, &wire{slow: true, dropped: make(chan struct{})}
 				s.Begin(l)
 				<-l.dropped
 				s.Report(nil, 0, c.err)
-				if got := h.Pick(); got.Do != c.want {
+				if got := h.NextStep(); got.Action != c.want {
 					t.Errorf("%+v, wanted %v", got, c.want)
 				}
 			})
@@ -323,12 +323,12 @@
 
 func TestOutcomesOfErrors(t *testing.T) {
 	for want, errs := range map[policy.Outcome][]error{
-		policy.Fulfilled: {nil},
-		policy.Errored:   {Answered},
-		policy.Rejected:  {TurnedAway, errors.Join(TurnedAway)},
-		policy.TimedOut:  {Unanswered},
-		policy.Unreached: {&Fault{Dialling, io.EOF}, &Fault{Writing, io.EOF}},
-		policy.CutOff:    {&Fault{Written, io.EOF}, &Fault{Answering, io.EOF}, io.EOF},
+		policy.Succeeded:      {nil},
+		policy.Failed:         {ErrBackendFailed},
+		policy.Rejected:       {ErrRejected, errors.Join(ErrRejected)},
+		policy.TimedOut:       {ErrTimeout},
+		policy.ConnectFailed:  {&NetworkError{Dialling, io.EOF}, &NetworkError{Writing, io.EOF}},
+		policy.ConnectionLost: {&NetworkError{Written, io.EOF}, &NetworkError{Answering, io.EOF}, io.EOF},
 	} {
 		for _, err := range errs {
 			if got := outcome(err); got != want {
@@ -349,24 +349,24 @@
 			}()
 			w.f.do(func(int64) { panic("broken") })
 		}()
-		h := w.f.Take(0, 0, 1, time.Second, 1, 1, 0)
-		if s := h.Pick(); s.Do != Send {
+		h := w.f.Submit(0, 0, 1, time.Second, 1, 1, 0)
+		if s := h.NextStep(); s.Action != Send {
 			t.Errorf("%+v", s)
 		}
-		h.Leave()
+		h.HandleClientGone()
 	})
 }
 
 // Lists on request are asked for at the start, and again after a failure.
 func TestFollowsOnRequest(t *testing.T) {
 	asking := terms
-	asking.ListOnRequest, asking.AskWithin = true, 10e9
+	asking.PollEndpoints, asking.PollTimeout = true, 10e9
 	run(t, 1, asking, func(w *world) {
 		time.Sleep(500 * time.Millisecond) // far more than a few doors take to ask one after another
 		if n := w.follows.Load(); n != 1 {
 			t.Errorf("followed %d times", n)
 		}
-		w.f.Backends(policy.ListFailed, nil)
+		w.f.UpdateEndpoints(policy.UpdateFailed, nil)
 		time.Sleep(2 * time.Second)
 		if n := w.follows.Load(); n != 2 {
 			t.Errorf("followed %d times", n)
--- a/internal/dnsserver/dnsserver_test.go
+++ b/internal/dnsserver/dnsserver_test.go
@@ -595,7 +595,7 @@
 	news func()
 }
 
-func (r *replica) Entry(key string) (kv.Entry, bool) {
+func (r *replica) ReadLocal(key string) (kv.Entry, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.kv.Get(key)
