--- a/internal/dnsserver/shared.go
+++ b/internal/dnsserver/shared.go
@@ -14,8 +14,8 @@
 
 // Replica is the part of a replica of the store that the zone is kept by.
 type Replica interface {
-	// Entry is a key as this replica has it.
-	Entry(key string) (kv.Entry, bool)
+	// ReadLocal is a key as this replica has it.
+	ReadLocal(key string) (kv.Entry, bool)
 	// Edit lands edits together or not at all; kv.Conflict where a key is not as asked.
 	Edit(edits []kv.Edit) error
 }
@@ -43,7 +43,7 @@
 
 const (
 	// piece is what of a snapshot goes into one value, JSON within JSON: half of what the store takes.
-	piece = kv.MostValue / 2
+	piece = kv.MaxValue / 2
 	// mostShared is how many changes stand in the store beside a snapshot: their deletion must fit one command.
 	mostShared = 500
 )
@@ -52,7 +52,7 @@
 var errBehind = errors.New("a change landed that is not heard of here yet")
 
 func (s *Shared) head() (h head, index kv.Index, err error) {
-	e, ok := s.Entry(headKey)
+	e, ok := s.ReadLocal(headKey)
 	if !ok {
 		return h, 0, nil
 	}
@@ -71,7 +71,7 @@
 	}
 	var text strings.Builder
 	for n := range h.Pieces {
-		e, ok := s.Entry(at(h.Base, n))
+		e, ok := s.ReadLocal(at(h.Base, n))
 		if !ok {
 			return nil, fmt.Errorf("store: %s is missing: %w", at(h.Base, n), errBehind)
 		}
@@ -107,7 +107,7 @@
 
 // next does the change that follows a zone, where there is one.
 func (s *Shared) next(z *dnszone.Zone) (*dnszone.Step, *dnszone.Change, error) {
-	e, ok := s.Entry(changeAt(z.Serial()))
+	e, ok := s.ReadLocal(changeAt(z.Serial()))
 	if !ok {
 		return nil, nil, nil
 	}
@@ -148,7 +148,7 @@
 		edits = append(edits, kv.Edit{Key: at(old.Base, n)})
 	}
 	for serial, n := old.Base, 0; n < old.Changes; n++ {
-		e, ok := s.Entry(changeAt(serial))
+		e, ok := s.ReadLocal(changeAt(serial))
 		var c dnszone.Change
 		if !ok || json.Unmarshal(e.Value, &c) != nil {
 			return errBehind
--- a/internal/dnsserver/version0_test.go
+++ b/internal/dnsserver/version0_test.go
@@ -146,7 +146,7 @@
 	at kv.Index
 }
 
-func (d *direct) Entry(key string) (kv.Entry, bool) { return d.kv.Get(key) }
+func (d *direct) ReadLocal(key string) (kv.Entry, bool) { return d.kv.Get(key) }
 
 func (d *direct) Edit(edits []kv.Edit) error {
 	c, err := kv.Encode(edits)
--- a/internal/frontend/benchmark_test.go
+++ b/internal/frontend/benchmark_test.go
@@ -19,7 +19,7 @@
 // in the same process, and its answer's way back. The allocations are the whole process's; the stand-in makes none.
 func BenchmarkFront_Request(b *testing.B) {
 	f := dispatch.New()
-	pool := backend.New(50, 200*time.Millisecond, 10*time.Second, f.Probed)
+	pool := backend.New(50, 200*time.Millisecond, 10*time.Second, f.HandleHealthCheck)
 	f.Run(9, terms, nil, pool, nil)
 	b.Cleanup(f.Stop)
 	listen := func() net.Listener {
@@ -51,11 +51,11 @@
 			}()
 		}
 	}()
-	server := New(f, pool, &config.Start{Terms: terms, Profiles: map[string]policy.ProfileID{"lookup": 0},
-		Plans: map[string]policy.PlanID{"team": 0}, MostUnits: 8}, 10)
+	server := New(f, pool, &config.Config{Settings: terms, Classes: map[string]policy.ClassID{"lookup": 0},
+		Plans: map[string]policy.PlanID{"team": 0}, MaxUnits: 8}, 10)
 	go server.Serve(clients)
-	pool.Place(1, behind.Addr().String())
-	f.Backends(policy.Whole, []policy.Listed{{Backend: 1, Stage: policy.Ready}})
+	pool.SetAddress(1, behind.Addr().String())
+	f.UpdateEndpoints(policy.FullSnapshot, []policy.Endpoint{{Backend: 1, State: policy.EndpointReady}})
 
 	c, err := net.Dial("tcp4", clients.Addr().String())
 	if err != nil {
--- a/internal/frontend/crossings_test.go
+++ b/internal/frontend/crossings_test.go
@@ -120,7 +120,7 @@
 	if took := time.Since(closed); took > time.Second {
 		t.Errorf("it ended after %v", took)
 	}
-	if n := h.facade.Open(); n > 0 {
+	if n := h.facade.OpenRequests(); n > 0 {
 		t.Errorf("%d are open", n)
 	}
 	conn.Close()
@@ -190,7 +190,7 @@
 		"error": {"*x\r\n" + words("PING"), func(c *client) bool { return len(c.line) == 2 }},
 	} {
 		t.Run(name, func(t *testing.T) {
-			h := open(t, 10, nil, func(s *Server) { s.Room = membudget.New(1) }) // none for a large command
+			h := open(t, 10, nil, func(s *Server) { s.Budget = membudget.New(1) }) // none for a large command
 			conn, _ := h.dial()
 			io.WriteString(conn, query("1", lookup))
 			shot := h.next()
@@ -207,7 +207,7 @@
 			}
 			left := time.Now()
 			conn.Close()
-			h.until("it has gone", func() bool { return h.facade.Open() == 0 || time.Since(left) > 100*time.Millisecond })
+			h.until("it has gone", func() bool { return h.facade.OpenRequests() == 0 || time.Since(left) > 100*time.Millisecond })
 			shot.answer("-BUSY\r\n") // never run: it could go elsewhere
 			select {
 			case <-h.heard:
@@ -244,11 +244,11 @@
 // takenBook notes the customer of each transaction that is taken.
 type takenBook struct{ customers chan string }
 
-func (b takenBook) Plan(customer string) (string, bool) {
+func (b takenBook) TenantPlan(customer string) (string, bool) {
 	b.customers <- customer
 	return "", false
 }
-func (takenBook) Used(string, string, time.Time, float64) {}
+func (takenBook) RecordUsage(string, string, time.Time, float64) {}
 
 // Failure: where all connections had something open when one more came, it waited until one of them ended, also once all
 // had come to rest: clients who keep theirs locked all others out for good.
@@ -276,7 +276,7 @@
 // Failure: a second answer that came some milliseconds after the first was taken for the next request's.
 func TestALateSecondAnswerIsNobodys(t *testing.T) {
 	h := open(t, 10, nil)
-	h.facade.Backends(policy.Whole, []policy.Listed{{Backend: 1, Stage: policy.Ready}})
+	h.facade.UpdateEndpoints(policy.FullSnapshot, []policy.Endpoint{{Backend: 1, State: policy.EndpointReady}})
 	conn, r := h.dial()
 	io.WriteString(conn, query("1", lookup))
 	first := h.next()
--- a/internal/frontend/frontend.go
+++ b/internal/frontend/frontend.go
@@ -31,7 +31,7 @@
 )
 
 const (
-	mostCommand = resp.MostValue + 64<<10 // a value with its head, and room for the rest of its fields
+	mostCommand = resp.MaxValue + 64<<10 // a value with its head, and room for the rest of its fields
 	// plainCommand is what a connection's buffer may hold without room of the process's own for large values:
 	// a value of the protocol's 64 KiB with its head.
 	plainCommand = 68 << 10
@@ -58,32 +58,32 @@
 
 // Server serves clients.
 type Server struct {
-	facade  *dispatch.Facade
+	facade  *dispatch.Dispatcher
 	pool    *backend.Pool
-	start   atomic.Pointer[config.Start] // its names of profiles and plans change at a reload
-	most    int                          // connections at once
-	roomy   int                          // connections of usual clients from which on quiet ones make room
-	slowest time.Duration                // that a client may take to take in an answer: longer than it may wait for one
+	start   atomic.Pointer[config.Config] // its names of profiles and plans change at a reload
+	most    int                           // connections at once
+	roomy   int                           // connections of usual clients from which on quiet ones make room
+	slowest time.Duration                 // that a client may take to take in an answer: longer than it may wait for one
 	mu      sync.Mutex
 	clients map[*client]struct{}
 	freed   *sync.Cond  // a connection has ended, or may have come to rest
 	wanted  atomic.Bool // somebody waits for that
 	serving atomic.Bool
 	ids     map[string]struct{} // of the open transactions
-	Figures *metrics.Figures    // counted here: transactions taken, open and answered
-	Room    *membudget.Room     // for large commands, beside the backends' large answers
-	Ledger  Ledger              // nil: nobody asks what was used
+	Metrics *metrics.Registry   // counted here: transactions taken, open and answered
+	Budget  *membudget.Budget   // for large commands, beside the backends' large answers
+	Ledger  UsageRecorder       // nil: nobody asks what was used
 	// drained is when the drain began, in Unix ns; 0: there is none. closing: Close was called.
 	drained atomic.Int64
 	closing atomic.Bool
 }
 
-// Ledger knows the plans that customers have gone over to, and is told what is used.
-type Ledger interface {
-	// Plan is the plan that the customer's transactions are taken under now; false: the one that they name.
-	Plan(customer string) (plan string, ok bool)
-	// Used is told of a transaction that was taken at a moment under a plan, and fulfilled.
-	Used(customer, plan string, taken time.Time, units float64)
+// UsageRecorder knows the plans that customers have gone over to, and is told what is used.
+type UsageRecorder interface {
+	// TenantPlan is the plan that the customer's transactions are taken under now; false: the one that they name.
+	TenantPlan(customer string) (plan string, ok bool)
+	// RecordUsage is told of a transaction that was taken at a moment under a plan, and fulfilled.
+	RecordUsage(customer, plan string, taken time.Time, units float64)
 }
 
 // bill is what a transaction is billed by: as it was when it was taken, whatever changes until it is answered.
@@ -98,8 +98,8 @@
 // closed before 4 s, when the front takes one still open for a lost one.
 const settle = time.Second
 
-// Quiesce drains the door: PING says no, and after settle its connections are closed between transactions.
-func (s *Server) Quiesce() { s.drained.CompareAndSwap(0, time.Now().UnixNano()) }
+// Drain drains the door: PING says no, and after settle its connections are closed between transactions.
+func (s *Server) Drain() { s.drained.CompareAndSwap(0, time.Now().UnixNano()) }
 
 // Resume ends a drain: PING says yes, and connections that have not been closed yet stay.
 func (s *Server) Resume() {
@@ -117,24 +117,24 @@
 func (s *Server) Draining() bool { return s.drained.Load() != 0 }
 
 // New makes a server of at most so many connections.
-func New(f *dispatch.Facade, pool *backend.Pool, start *config.Start, most int) *Server {
+func New(f *dispatch.Dispatcher, pool *backend.Pool, start *config.Config, most int) *Server {
 	s := &Server{facade: f, pool: pool, most: most, slowest: time.Second,
 		clients: map[*client]struct{}{}, ids: map[string]struct{}{}}
 	// Usual clients hold at most a third of the descriptors. Where they leave their connections open and open a
 	// new one for each request, none can come once they are that many: half of the third stays free for those.
 	// Hurts where more are kept that would each have been used again: they are opened anew.
-	s.roomy = min(max(start.Sockets/6, 1), most)
-	for _, p := range start.Terms.Profiles {
-		s.slowest = max(s.slowest, time.Duration(p.HardLimit)+time.Second)
+	s.roomy = min(max(start.MaxSockets/6, 1), most)
+	for _, p := range start.Settings.Classes {
+		s.slowest = max(s.slowest, time.Duration(p.Deadline)+time.Second)
 	}
 	s.freed = sync.NewCond(&s.mu)
 	s.start.Store(start)
 	return s
 }
 
-// Retune takes the names of profiles and plans of a configuration read anew: transactions from now on are
+// UpdateSettings takes the names of profiles and plans of a configuration read anew: transactions from now on are
 // taken under them, open ones keep what they were taken under.
-func (s *Server) Retune(start *config.Start) { s.start.Store(start) }
+func (s *Server) UpdateSettings(start *config.Config) { s.start.Store(start) }
 
 // Serve takes in connections until the listener is closed.
 func (s *Server) Serve(l net.Listener) error {
@@ -327,8 +327,8 @@
 // command is one command, with its answer once there is one.
 type command struct {
 	client  *client
-	t       *dispatch.Transaction // nil: answered at once
-	profile policy.ProfileID
+	t       *dispatch.Request // nil: answered at once
+	profile policy.ClassID
 	id      string
 	raw     []byte
 	list    [2]int // where in raw the list of names and values stands, its length line too
@@ -603,7 +603,7 @@
 			buf = append(buf, make([]byte, grown-len(buf))...)
 		} else if held == 0 && len(buf) > 4096 {
 			buf = make([]byte, 4096)
-			c.server.Room.Give(c.large)
+			c.server.Budget.Release(c.large)
 			c.large = 0
 		}
 	}
@@ -637,7 +637,7 @@
 func (c *client) roomFor(bytes int) bool {
 	var got int64
 	var ok bool
-	c.watched(func() { got, ok = c.server.Room.Take(int64(bytes), time.Now().Add(patience)) })
+	c.watched(func() { got, ok = c.server.Budget.Acquire(int64(bytes), time.Now().Add(patience)) })
 	if !ok {
 		c.turnAway("busy: no room for a large value")
 		return false
@@ -674,7 +674,7 @@
 	case "SVC.QUERY", "SVC.SUBMIT":
 		if profile, err := c.transaction(raw, args); err != nil {
 			if profile >= 0 {
-				c.server.Figures.Ended(policy.ProfileID(profile), metrics.Error)
+				c.server.Metrics.RequestEnded(policy.ClassID(profile), metrics.Error)
 			}
 			c.fault(err.Error())
 		}
@@ -712,7 +712,7 @@
 		return profile, errors.New("id is missing or cannot be read")
 	}
 	s := c.server.start.Load()
-	class, plan, doors := -1, -1, max(s.Terms.Doors, 1)
+	class, plan, doors := -1, -1, max(s.Settings.Instances, 1)
 	left, units, entries, first := int64(-1), 1.0, 1, 0
 	var wait, named []byte
 	for seen, rest, more := "", args[3], true; more; {
@@ -725,8 +725,8 @@
 		bad := false
 		switch string(name) {
 		case "c":
-			id, ok := s.Profiles[string(value)]
-			ok = ok && !s.Terms.Profiles[id].CountsOnly // that one is for the limit commands: nothing would be sent
+			id, ok := s.Classes[string(value)]
+			ok = ok && !s.Settings.Classes[id].CheckOnly // that one is for the limit commands: nothing would be sent
 			class, bad = int(id), !ok
 			if ok {
 				profile = int(id)
@@ -739,7 +739,7 @@
 			left, wait, bad = config.Nanoseconds(ms), value, !ok
 		case "units":
 			units, ok = number(value)
-			bad = !ok || units <= 0 || units > s.MostUnits
+			bad = !ok || units <= 0 || units > s.MaxUnits
 		case "spread":
 			x, ok := number(value)
 			entries, bad = int(x), !ok || x < 1 || x > float64(doors) || x != math.Trunc(x)
@@ -762,7 +762,7 @@
 	case left < 0:
 		return profile, errors.New("d is missing")
 	}
-	pr := policy.ProfileID(class)
+	pr := policy.ClassID(class)
 	// Held on its own: the buffer goes on to the next command.
 	k := &command{client: c, id: string(args[2]), raw: raw}
 	at := func(part []byte) int { return cap(raw) - cap(part) }
@@ -783,14 +783,14 @@
 	k.profile = pr
 	if l := c.server.Ledger; l != nil {
 		k.bill = &bill{strings.ToLower(string(args[1])), string(named), time.Now(), units}
-		if now, ok := l.Plan(k.bill.customer); ok {
+		if now, ok := l.TenantPlan(k.bill.customer); ok {
 			if id, known := s.Plans[now]; known { // one that this door's settings lack: it goes by the one named
 				plan, k.bill.plan = int(id), now
 			}
 		}
 	}
-	c.server.Figures.Taken()
-	k.t = c.server.facade.Take(pr, policy.PlanID(plan), policy.CustomerID(customer),
+	c.server.Metrics.RequestReceived()
+	k.t = c.server.facade.Submit(pr, policy.PlanID(plan), policy.TenantID(customer),
 		time.Duration(left), units, entries, first)
 	go k.serve()
 	return profile, nil
@@ -825,32 +825,32 @@
 	defer func() {
 		if x := recover(); x != nil {
 			logging.Panicked("front", fmt.Sprintf("transaction %s: %v", k.id, x), debug.Stack())
-			k.t.Leave()
-			k.client.server.Figures.Ended(k.profile, metrics.Error)
+			k.t.HandleClientGone()
+			k.client.server.Metrics.RequestEnded(k.profile, metrics.Error)
 			k.client.finish(k, []byte("-ERR internal fault\r\n"))
 		}
 	}()
 	for {
-		switch step := k.t.Pick(); step.Do {
+		switch step := k.t.NextStep(); step.Action {
 		case dispatch.Send:
-			k.client.server.pool.Send(step.Shot, k.parts(step.Shot.Left()))
-		case dispatch.Fulfil:
-			k.client.server.Figures.Ended(k.profile, metrics.Success)
+			k.client.server.pool.Send(step.Attempt, k.parts(step.Attempt.Remaining()))
+		case dispatch.Respond:
+			k.client.server.Metrics.RequestEnded(k.profile, metrics.Success)
 			if k.bill != nil {
-				k.client.server.Ledger.Used(k.bill.customer, k.bill.plan, k.bill.taken, k.bill.units)
+				k.client.server.Ledger.RecordUsage(k.bill.customer, k.bill.plan, k.bill.taken, k.bill.units)
 			}
-			k.client.finish(k, step.Answer)
+			k.client.finish(k, step.Response)
 			return
-		case dispatch.Dismiss:
-			k.client.server.Figures.Ended(k.profile, metrics.Overload)
+		case dispatch.Reject:
+			k.client.server.Metrics.RequestEnded(k.profile, metrics.Overload)
 			answer := []byte("-BUSY")
-			if step.ComeBack > 0 {
-				answer = strconv.AppendInt(append(answer, ' '), (step.ComeBack+999_999)/1_000_000, 10)
+			if step.RetryAfter > 0 {
+				answer = strconv.AppendInt(append(answer, ' '), (step.RetryAfter+999_999)/1_000_000, 10)
 			}
 			k.client.finish(k, append(answer, "\r\n"...))
 			return
-		case dispatch.BreakOff:
-			k.client.server.Figures.Ended(k.profile, metrics.Error)
+		case dispatch.Abort:
+			k.client.server.Metrics.RequestEnded(k.profile, metrics.Error)
 			k.client.finish(k, []byte("-ERR failed\r\n"))
 			return
 		default: // the client is gone
@@ -882,8 +882,8 @@
 func (c *client) finish(k *command, answer []byte) {
 	if k.t != nil {
 		c.server.free(k.id)
-		c.server.Figures.Over()
-		c.server.Room.Give(k.large)
+		c.server.Metrics.RequestClosed()
+		c.server.Budget.Release(k.large)
 	}
 	defer c.server.spare()
 	c.mu.Lock()
@@ -938,7 +938,7 @@
 	c.mu.Unlock()
 	for _, k := range open {
 		if k.t != nil {
-			k.t.Leave()
+			k.t.HandleClientGone()
 		}
 	}
 }
@@ -946,7 +946,7 @@
 // leave ends the connection: what is open on it is told that the client is gone.
 func (c *client) leave() {
 	c.nc.Close()
-	c.server.Room.Give(c.large)
+	c.server.Budget.Release(c.large)
 	c.large = 0
 	c.left()
 	s := c.server
--- a/internal/frontend/frontend_test.go
+++ b/internal/frontend/frontend_test.go
@@ -35,7 +35,7 @@
 type house struct {
 	t      *testing.T
 	server *Server
-	facade *dispatch.Facade
+	facade *dispatch.Dispatcher
 	pool   *backend.Pool
 	at     net.Listener
 	heard  chan heard
@@ -43,12 +43,12 @@
 	ended  map[net.Conn]bool // connections that the front door has closed
 }
 
-var terms = policy.Terms{Doors: 2, MostShots: 3, SecondCopies: true, Recalls: true, Advice: true,
-	LongestAdvice: 1e9,
-	ColdShare:     0.2, WarmUp: 5e9, FallMultiple: 2, FallSpan: 1e9,
-	Profiles: []policy.ProfileTerms{{Promised: 1e9, HardLimit: 2e9}, {Promised: 1e9, HardLimit: 2e9,
-		Effect: policy.AtMostOnce}},
-	Plans: []policy.PlanTerms{{}, {Parallel: 1}}}
+var terms = policy.Settings{Instances: 2, MaxAttempts: 3, Hedging: true, Cancellation: true, RetryAfter: true,
+	MaxRetryAfter:  1e9,
+	SlowStartShare: 0.2, SlowStartDuration: 5e9, OverloadMultiple: 2, OverloadWindow: 1e9,
+	Classes: []policy.ClassSettings{{LatencyObjective: 1e9, Deadline: 2e9}, {LatencyObjective: 1e9, Deadline: 2e9,
+		Idempotency: policy.NonIdempotent}},
+	Plans: []policy.PlanSettings{{}, {ConcurrencyLimit: 1}}}
 
 // open builds a house; for each command that a backend hears, it sends on heard, or calls hear where given. set changes
 // the server before it serves.
@@ -57,10 +57,10 @@
 	if hear == nil {
 		hear = func(c heard) { h.heard <- c }
 	}
-	h.pool = backend.New(50, 200*time.Millisecond, 10*time.Second, h.facade.Probed)
+	h.pool = backend.New(50, 200*time.Millisecond, 10*time.Second, h.facade.HandleHealthCheck)
 	h.facade.Run(9, terms, nil, h.pool, nil)
-	start := &config.Start{Terms: terms, Profiles: map[string]policy.ProfileID{"lookup": 0, "pay": 1},
-		Plans: map[string]policy.PlanID{"team": 0, "one": 1}, MostUnits: 8}
+	start := &config.Config{Settings: terms, Classes: map[string]policy.ClassID{"lookup": 0, "pay": 1},
+		Plans: map[string]policy.PlanID{"team": 0, "one": 1}, MaxUnits: 8}
 	h.server = New(h.facade, h.pool, start, most)
 	h.server.roomy = most
 	for _, change := range set {
@@ -79,10 +79,10 @@
 				go h.backend(c, hear)
 			}
 		}()
-		h.pool.Place(b, l.Addr().String())
+		h.pool.SetAddress(b, l.Addr().String())
 	}
-	h.facade.Backends(policy.Whole, []policy.Listed{{Backend: 1, Stage: policy.Ready},
-		{Backend: 2, Stage: policy.Ready}})
+	h.facade.UpdateEndpoints(policy.FullSnapshot, []policy.Endpoint{{Backend: 1, State: policy.EndpointReady},
+		{Backend: 2, State: policy.EndpointReady}})
 	t.Cleanup(h.facade.Stop)
 	return h
 }
@@ -277,7 +277,7 @@
 	if _, err := r.ReadByte(); err != io.EOF {
 		t.Errorf("%v", err)
 	}
-	if n := h.facade.Open(); n > 0 {
+	if n := h.facade.OpenRequests(); n > 0 {
 		t.Errorf("%d transactions taken", n)
 	}
 }
@@ -294,11 +294,11 @@
 		h.mu.Lock()
 		ended := h.ended[shot.conn]
 		h.mu.Unlock()
-		if ended && h.facade.Open() == 0 && h.server.Connections() == 0 {
+		if ended && h.facade.OpenRequests() == 0 && h.server.Connections() == 0 {
 			return
 		}
 		if time.Now().After(until) {
-			t.Fatalf("shot closed: %t, %d open, %d connections", ended, h.facade.Open(), h.server.Connections())
+			t.Fatalf("shot closed: %t, %d open, %d connections", ended, h.facade.OpenRequests(), h.server.Connections())
 		}
 	}
 }
@@ -531,7 +531,7 @@
 func TestQuietConnectionsLeaveClientsRoomForNewOnes(t *testing.T) {
 	h := open(t, 20, nil)
 	h.server.mu.Lock()
-	h.server.roomy = New(nil, nil, &config.Start{Sockets: 12}, 20).roomy
+	h.server.roomy = New(nil, nil, &config.Config{MaxSockets: 12}, 20).roomy
 	h.server.mu.Unlock()
 	busy, r := h.dial()
 	io.WriteString(busy, query("1", lookup))
@@ -640,8 +640,8 @@
 	h := open(t, 10, nil)
 	l := h.listen()
 	l.Close()
-	h.pool.Place(1, l.Addr().String())
-	h.pool.Place(2, l.Addr().String())
+	h.pool.SetAddress(1, l.Addr().String())
+	h.pool.SetAddress(2, l.Addr().String())
 	c, r := h.dial()
 	io.WriteString(c, query("1", strings.Replace(lookup, "lookup", "pay", 1)))
 	h.line(r, "-BUSY( [0-9]+)?")
@@ -653,8 +653,8 @@
 	h := open(t, 10, nil)
 	busy, r := h.dial()
 	idle, ir := h.dial()
-	h.server.Quiesce()
-	h.server.Quiesce() // again: the drain goes on from its first call
+	h.server.Drain()
+	h.server.Drain() // again: the drain goes on from its first call
 	began := time.Now()
 	io.WriteString(idle, words("PING"))
 	h.line(ir, `-ERR draining`)
@@ -682,7 +682,7 @@
 
 // Each answer is counted for its class where it is given, and what is open returns to nought.
 func TestFiguresOfAnswers(t *testing.T) {
-	h := open(t, 10, nil, func(s *Server) { s.Figures = metrics.New([]string{"lookup", "pay"}) })
+	h := open(t, 10, nil, func(s *Server) { s.Metrics = metrics.New([]string{"lookup", "pay"}) })
 	c, r := h.dial()
 	io.WriteString(c, query("1", lookup))
 	h.next().answer("*3\r\n$2\r\nok\r\n$-1\r\n$-1\r\n")
@@ -690,7 +690,7 @@
 	io.WriteString(c, query("2", "c=pay,t=team,d=-1"))
 	h.line(r, `-ERR .*`)
 	var b strings.Builder
-	h.server.Figures.Write(&b)
+	h.server.Metrics.Write(&b)
 	for _, want := range []string{`gw_success{type="lookup"} 1`, `gw_error{type="pay"} 1`, "gw_concurrent 0"} {
 		if !strings.Contains(b.String(), want+"\n") {
 			t.Errorf("no %q in\n%s", want, b.String())
@@ -706,11 +706,11 @@
 	io.WriteString(c, query("1", report))
 	h.line(r, `-ERR .*`)
 	fresh := *h.server.start.Load()
-	fresh.Terms.Profiles = append(append([]policy.ProfileTerms(nil), terms.Profiles...),
-		policy.ProfileTerms{Promised: 1e9, HardLimit: 2e9})
-	fresh.Profiles = map[string]policy.ProfileID{"lookup": 0, "report": 2}
-	h.facade.Retune(fresh.Terms)
-	h.server.Retune(&fresh)
+	fresh.Settings.Classes = append(append([]policy.ClassSettings(nil), terms.Classes...),
+		policy.ClassSettings{LatencyObjective: 1e9, Deadline: 2e9})
+	fresh.Classes = map[string]policy.ClassID{"lookup": 0, "report": 2}
+	h.facade.UpdateSettings(fresh.Settings)
+	h.server.UpdateSettings(&fresh)
 	io.WriteString(c, query("2", report))
 	h.next().answer("*3\r\n$2\r\nok\r\n$-1\r\n$-1\r\n")
 	h.expect(r, "$2\r\nok\r\n")
@@ -724,7 +724,7 @@
 	const most = 10 << 20 // two large commands at a time
 	h := open(t, 10, func(c heard) {
 		c.answer("*3\r\n$" + strconv.Itoa(4<<20) + "\r\n" + strings.Repeat("v", 4<<20) + "\r\n$-1\r\n$-1\r\n")
-	}, func(s *Server) { s.Room = membudget.New(most) })
+	}, func(s *Server) { s.Budget = membudget.New(most) })
 	clients := 2
 	body := strings.Repeat("b", 4<<20)
 	list := "c=lookup,t=team,d=1900"
@@ -756,7 +756,7 @@
 			t.Error(err)
 		}
 	}
-	if _, ok := h.server.Room.Take(most, time.Now().Add(time.Second)); !ok {
+	if _, ok := h.server.Budget.Acquire(most, time.Now().Add(time.Second)); !ok {
 		t.Error("room is still held")
 	}
 }
--- a/internal/lab/accounts/accounts.go
+++ b/internal/lab/accounts/accounts.go
@@ -50,8 +50,8 @@
 
 const skew = 50 * time.Millisecond
 
-func terms() billing.Terms {
-	return billing.Terms{Window: 3600e9, Lead: 2e9, Skew: int64(skew), Lease: 60e9, Late: 1e9, Plans: map[string]billing.Quota{"team": {Rate: 1e5, Peak: 1e5}}}
+func terms() billing.Settings {
+	return billing.Settings{Window: 3600e9, Lead: 2e9, Skew: int64(skew), Lease: 60e9, Late: 1e9, Plans: map[string]billing.Quota{"team": {Rate: 1e5, Peak: 1e5}}}
 }
 
 // Measure measures one form.
@@ -88,14 +88,14 @@
 		}
 		peers = append(peers, store.Peer{ID: id, Raft: at, API: api})
 	}
-	var desks []*billingservice.Desk
+	var desks []*billingservice.Service
 	for _, p := range peers {
 		s, err := store.Open(store.Options{Dir: filepath.Join(folder, p.ID), Me: p, Peers: peers, TLS: source})
 		if err != nil {
 			return c, err
 		}
 		defer s.Close()
-		d := billingservice.Start(billingservice.Options{Replica: s, Door: p.ID, Terms: terms, Every: time.Second})
+		d := billingservice.Start(billingservice.Options{Replica: s, Instance: p.ID, Settings: terms, ReportInterval: time.Second})
 		defer d.Close()
 		desks = append(desks, d)
 	}
@@ -104,9 +104,9 @@
 		return c, err
 	}
 	if secure {
-		l = tls.NewListener(l, source.Server())
+		l = tls.NewListener(l, source.ServerConfig())
 	}
-	server := limitserver.New(nil, limitserver.Names{}, clients+8)
+	server := limitserver.New(nil, limitserver.Settings{}, clients+8)
 	server.Accounts, server.Keys = desks[0], map[string]authz.Key{"lab": {Secret: []byte("laboratory"), Rights: authz.Read | authz.Reserve | authz.Change}}
 	go server.Serve(l)
 	defer server.Close()
@@ -120,8 +120,8 @@
 	const times = 1_000_000
 	for n := range times {
 		g := gestoria(n % 100)
-		desks[2].Plan(g)
-		desks[2].Used(g, "team", began, 1)
+		desks[2].TenantPlan(g)
+		desks[2].RecordUsage(g, "team", began, 1)
 	}
 	c.Path = float64(time.Since(began)) / times
 	return c, nil
@@ -163,7 +163,7 @@
 	}
 	defer conn.Close()
 	if source != nil {
-		conn = tls.Client(conn, source.Client())
+		conn = tls.Client(conn, source.ClientConfig())
 	}
 	in := bufio.NewReader(conn)
 	ask := func(text string) (string, error) {
@@ -221,8 +221,8 @@
 }
 
 // returns leaves reservations alone, and times their return.
-func (c *Cost) returns(ctx context.Context, d *billingservice.Desk) error {
-	c.Bound = ms(skew + billingservice.Sweep)
+func (c *Cost) returns(ctx context.Context, d *billingservice.Service) error {
+	c.Bound = ms(skew + billingservice.CompactionInterval)
 	for n := range 5 {
 		g := gestoria(0xf000 + n)
 		h, err := d.Reserve(g, "left", "lab", "team", 1e6, 200*time.Millisecond)
@@ -230,7 +230,7 @@
 			return err
 		}
 		for ctx.Err() == nil {
-			a, _, err := d.Show(g, "team")
+			a, _, err := d.Account(g, "team")
 			if err == nil && len(a.Holds) == 0 {
 				break
 			}
--- a/internal/lab/emulator/backend.go
+++ b/internal/lab/emulator/backend.go
@@ -26,7 +26,7 @@
 	busy                                     int
 	line                                     []*job
 	started                                  int64 // since the run's start; 0: long ago
-	stage                                    policy.Stage
+	stage                                    policy.EndpointState
 	life                                     int
 	factor                                   float64
 	refuse, hang, reset, garble, fail, drain int
@@ -56,7 +56,7 @@
 }
 
 func newBackend(e *Emu, n int) (*backend, error) {
-	b := &backend{e: e, n: n, stage: policy.Ready, factor: 1, chance: rand.New(rand.NewPCG(e.s.Seed, 100+uint64(n)))}
+	b := &backend{e: e, n: n, stage: policy.EndpointReady, factor: 1, chance: rand.New(rand.NewPCG(e.s.Seed, 100+uint64(n)))}
 	var err error
 	b.gate, err = newGate(b.serve)
 	return b, err
@@ -213,7 +213,7 @@
 
 func (b *backend) rise() {
 	b.mu.Lock()
-	b.started, b.stage = b.e.log.Now(), policy.Ready
+	b.started, b.stage = b.e.log.Now(), policy.EndpointReady
 	b.mu.Unlock()
 	if err := b.gate.open(); err == nil {
 		b.e.discovery.publish(b)
@@ -265,9 +265,9 @@
 		first, last := count(&b.drain)
 		b.mu.Lock()
 		if first {
-			b.stage = policy.Draining
+			b.stage = policy.EndpointDraining
 		} else if last {
-			b.stage = policy.Ready
+			b.stage = policy.EndpointReady
 		}
 		b.mu.Unlock()
 		b.e.discovery.publish(b)
@@ -276,7 +276,7 @@
 			b.die()
 			b.mu.Lock()
 			b.hang++
-			b.stage = policy.Gone
+			b.stage = policy.EndpointGone
 			b.mu.Unlock()
 			b.gate.silence(true)
 			b.e.discovery.publish(b)
@@ -293,8 +293,8 @@
 			return
 		}
 		b.mu.Lock()
-		if b.stage = policy.Gone; last {
-			b.stage, b.started = policy.Ready, b.e.log.Now()
+		if b.stage = policy.EndpointGone; last {
+			b.stage, b.started = policy.EndpointReady, b.e.log.Now()
 		}
 		b.mu.Unlock()
 		b.e.discovery.publish(b)
--- a/internal/lab/emulator/discovery.go
+++ b/internal/lab/emulator/discovery.go
@@ -42,7 +42,7 @@
 	SinceMs float64 `json:"since_ms"`
 	n       int
 	since   int64
-	stage   policy.Stage
+	stage   policy.EndpointState
 	version int64
 }
 
@@ -57,7 +57,7 @@
 	for n, b := range e.backends {
 		d.lines = append(d.lines, line{n: n, Name: scenario.BackendName(n), Address: b.gate.address, Type: "m1",
 			Zone: scenario.ZoneName(n % e.s.Backends.Zones), Group: n % e.s.Backends.Groups, Status: "up", Weight: 1,
-			stage: policy.Ready, version: 1})
+			stage: policy.EndpointReady, version: 1})
 	}
 	if e.s.Discovery.Source == "dns" {
 		d.names = newUpdater(e)
@@ -83,7 +83,7 @@
 	}
 }
 
-var words = map[policy.Stage]string{policy.Ready: "up", policy.Draining: "draining", policy.Gone: "removed"}
+var words = map[policy.EndpointState]string{policy.EndpointReady: "up", policy.EndpointDraining: "draining", policy.EndpointGone: "removed"}
 
 // publish tells of a backend's state now, after the usual delay.
 func (d *discovery) publish(b *backend) {
@@ -152,7 +152,7 @@
 	defer d.mu.Unlock()
 	l := list{Index: d.index, Snapshot: true, Endpoints: []line{}}
 	for n, x := range d.lines {
-		if x.stage != policy.Gone {
+		if x.stage != policy.EndpointGone {
 			l.Endpoints = append(l.Endpoints, x)
 		}
 		d.told(door, n)
--- a/internal/lab/emulator/emulator_test.go
+++ b/internal/lab/emulator/emulator_test.go
@@ -249,7 +249,7 @@
 		t.Error("a late one told at once")
 	}
 	time.Sleep(300 * time.Millisecond)
-	if late, _ := get(""); late.Endpoints[0].Status != "draining" || e.discovery.lines[0].stage != policy.Draining {
+	if late, _ := get(""); late.Endpoints[0].Status != "draining" || e.discovery.lines[0].stage != policy.EndpointDraining {
 		t.Error("a late one told never")
 	}
 }
--- a/internal/lab/emulator/names.go
+++ b/internal/lab/emulator/names.go
@@ -82,7 +82,7 @@
 		m := new(dns.Msg).SetUpdate(Zone.Origin)
 		records := l.records()
 		m.RemoveName(records[1:2])
-		if l.stage == policy.Gone {
+		if l.stage == policy.EndpointGone {
 			m.Remove(records[:1])
 		} else {
 			m.Insert(records)
@@ -100,7 +100,7 @@
 	host, port, _ := net.SplitHostPort(l.Address)
 	target := l.Name + "." + Zone.Origin
 	text := fmt.Sprintf(`"fawnplank" "zone=%s" "group=%d" "size=%g"`, l.Zone, l.Group, l.Weight)
-	if l.stage == policy.Draining {
+	if l.stage == policy.EndpointDraining {
 		text += ` "status=draining"`
 	}
 	if l.SinceMs > 0 {
--- a/internal/lab/invariants/invariants.go
+++ b/internal/lab/invariants/invariants.go
@@ -42,18 +42,18 @@
 	Profile  int
 	Plan     int
 	Units    float64
-	Due      int64        // Asked: when it was to be asked by the plan of arrivals; latencies count from here
-	Again    bool         // Asked: a client's repeat
-	Limit    int64        // Asked: until when the client waits
-	Stage    policy.Stage // Told
-	Started  int64        // Told, Arrived: the backend's last start; 0: long ago
-	Work     float64      // Arrived: seconds of one core that the shot takes, or would have taken
+	Due      int64                // Asked: when it was to be asked by the plan of arrivals; latencies count from here
+	Again    bool                 // Asked: a client's repeat
+	Limit    int64                // Asked: until when the client waits
+	Stage    policy.EndpointState // Told
+	Started  int64                // Told, Arrived: the backend's last start; 0: long ago
+	Work     float64              // Arrived: seconds of one core that the shot takes, or would have taken
 }
 
 // Terms are the figures that the rules go by.
 type Terms struct {
-	Profiles     []policy.ProfileTerms
-	Plans        []policy.PlanTerms
+	Profiles     []policy.ClassSettings
+	Plans        []policy.PlanSettings
 	CeilingSlack []float64 // by plan
 	Grace        int64     // of an answer after the client's time
 	Drain        int64     // of a send after the door heard
@@ -133,7 +133,7 @@
 	switch e.Kind {
 	case Told:
 		key := [2]int{e.Door, e.Backend}
-		if old, there := c.told[key]; there && old.Stage != policy.Ready && e.Stage != policy.Ready {
+		if old, there := c.told[key]; there && old.Stage != policy.EndpointReady && e.Stage != policy.EndpointReady {
 			e.At = old.At // it has been told to stop before
 		}
 		c.told[key] = e
@@ -200,7 +200,7 @@
 		c.retire(e)
 	}
 	p := c.terms.Profiles[t.Profile]
-	if e.Kind == Dismissed && !(p.Effect == policy.Reissuable || p.Effect == policy.Numbered && p.Reach == policy.ReachAll) {
+	if e.Kind == Dismissed && !(p.Idempotency == policy.Idempotent || p.Idempotency == policy.IdempotentWithKey && p.DedupScope == policy.DedupByAll) {
 		for _, s := range t.shots {
 			if !s.away {
 				c.find(2, e.At, "try %d: dismissed though its shot at backend %d may have run", e.Try, s.backend)
@@ -228,25 +228,25 @@
 			continue
 		}
 		switch {
-		case p.Effect == policy.AtMostOnce:
+		case p.Idempotency == policy.NonIdempotent:
 			c.find(2, e.At, "try %d: came to backend %d though its shot at %d may have run", e.Try, e.Backend, s.backend)
-		case p.Effect == policy.Numbered && (p.Reach == policy.ReachZone && c.terms.Zone(s.backend) != c.terms.Zone(e.Backend) ||
-			p.Reach == policy.ReachGroup && c.terms.Group(s.backend) != c.terms.Group(e.Backend)):
+		case p.Idempotency == policy.IdempotentWithKey && (p.DedupScope == policy.DedupByZone && c.terms.Zone(s.backend) != c.terms.Zone(e.Backend) ||
+			p.DedupScope == policy.DedupByGroup && c.terms.Group(s.backend) != c.terms.Group(e.Backend)):
 			c.find(2, e.At, "try %d: came to backend %d, outside the group of %d where it may have run", e.Try, e.Backend, s.backend)
-		case p.Effect == policy.Numbered && e.At-s.at > p.Memory+c.terms.Slack:
+		case p.Idempotency == policy.IdempotentWithKey && e.At-s.at > p.DedupWindow+c.terms.Slack:
 			c.find(2, e.At, "try %d: came to backend %d %s after its first shot, beyond the memory", e.Try, e.Backend, inMs(e.At-s.at))
 		}
 	}
 	t.shots = append(t.shots, arrival{backend: e.Backend, at: e.At})
 	told := c.told[[2]int{t.Door, e.Backend}]
-	if told.Kind == Told && told.Stage != policy.Ready {
+	if told.Kind == Told && told.Stage != policy.EndpointReady {
 		if over := e.At - told.At - c.terms.Drain - c.terms.Slack; over > 0 {
 			c.find(3, e.At, "try %d: door %d sent to backend %d %s after the grace of hearing that it drains or is gone",
 				e.Try, t.Door, e.Backend, inMs(over))
 		}
 	}
 	c.push(t, e, told)
-	if plan := c.terms.Plans[t.Plan]; plan.CeilingRate > 0 && !t.drawn {
+	if plan := c.terms.Plans[t.Plan]; plan.HardQuotaRate > 0 && !t.drawn {
 		t.drawn = true
 		c.draw(t, e, plan)
 	}
@@ -280,13 +280,13 @@
 	}
 }
 
-func (c *Checker) draw(t *try, e Event, plan policy.PlanTerms) {
+func (c *Checker) draw(t *try, e Event, plan policy.PlanSettings) {
 	store := c.ceilings[t.Customer]
 	if store == nil {
-		store = &ceiling{left: plan.CeilingBurst, at: e.At}
+		store = &ceiling{left: plan.HardQuotaBurst, at: e.At}
 		c.ceilings[t.Customer] = store
 	}
-	store.left = min(store.left+float64(e.At-store.at)/1e9*plan.CeilingRate, plan.CeilingBurst)
+	store.left = min(store.left+float64(e.At-store.at)/1e9*plan.HardQuotaRate, plan.HardQuotaBurst)
 	store.at = e.At
 	if store.left -= t.Units; store.left < -c.terms.CeilingSlack[t.Plan]-1e-6 {
 		c.find(5, e.At, "customer %d: %.2f units beyond its ceiling, with a slack of %.2f", t.Customer, -store.left,
--- a/internal/lab/invariants/invariants_test.go
+++ b/internal/lab/invariants/invariants_test.go
@@ -9,9 +9,9 @@
 const ms = int64(1e6)
 
 var terms = Terms{
-	Profiles: []policy.ProfileTerms{{Promised: 750 * ms}, {Effect: policy.AtMostOnce},
-		{Effect: policy.Numbered, Reach: policy.ReachGroup, Memory: 1000 * ms}, {Effect: policy.Numbered, Reach: policy.ReachAll, Memory: 1000 * ms}},
-	Plans: []policy.PlanTerms{{}, {CeilingRate: 1, CeilingBurst: 2}}, CeilingSlack: []float64{0, 1},
+	Profiles: []policy.ClassSettings{{LatencyObjective: 750 * ms}, {Idempotency: policy.NonIdempotent},
+		{Idempotency: policy.IdempotentWithKey, DedupScope: policy.DedupByGroup, DedupWindow: 1000 * ms}, {Idempotency: policy.IdempotentWithKey, DedupScope: policy.DedupByAll, DedupWindow: 1000 * ms}},
+	Plans: []policy.PlanSettings{{}, {HardQuotaRate: 1, HardQuotaBurst: 2}}, CeilingSlack: []float64{0, 1},
 	Grace: 100 * ms, Drain: 500 * ms, Cores: 1, ColdShare: 0.5, WarmUp: 10_000 * ms, FallMultiple: 2, FallSpan: 1000 * ms,
 	Zone: func(b int) int { return 0 }, Group: func(b int) int { return b % 2 },
 }
@@ -42,7 +42,7 @@
 func TestPlantedViolationsAreFound(t *testing.T) {
 	answer := func(at int64, k Kind) Event { return Event{At: at * ms, Kind: k} }
 	away := func(at int64, b int) Event { return Event{At: at * ms, Kind: TurnedAway, Backend: b} }
-	told := func(at int64, s policy.Stage, started int64) Event {
+	told := func(at int64, s policy.EndpointState, started int64) Event {
 		return Event{At: at * ms, Kind: Told, Stage: s, Started: started * ms}
 	}
 	ceiling := func(id TryID, at int64) []Event {
@@ -57,7 +57,7 @@
 	}
 	cold := func(work float64, count int, tell bool) (all []Event) {
 		if tell {
-			all = append(all, told(100, policy.Ready, 100))
+			all = append(all, told(100, policy.EndpointReady, 100))
 		}
 		for n := range count {
 			id := TryID(n + 1)
@@ -92,11 +92,11 @@
 		{"numbered, beyond the memory", "2", []Event{{Kind: Asked, Profile: 2, Limit: 3000 * ms}, arrived(10, 1), arrived(1020, 3), answer(1030, Fulfilled)}},
 		{"numbered of a group, dismissed", "2", []Event{asked(2), arrived(10, 1), answer(30, Dismissed)}},
 		{"numbered of all, dismissed", "", []Event{asked(3), arrived(10, 1), answer(30, Dismissed)}},
-		{"within the grace of a drain", "", []Event{told(0, policy.Draining, 0), asked(0), arrived(499, 0), answer(600, Fulfilled)}},
-		{"after the grace of a drain", "3", []Event{told(0, policy.Draining, 0), asked(0), arrived(501, 0), answer(600, Fulfilled)}},
-		{"told twice, the first counts", "3", []Event{told(0, policy.Draining, 0), asked(0), told(400, policy.Gone, 0), arrived(600, 0), answer(700, Fulfilled)}},
-		{"ready again", "", []Event{told(0, policy.Draining, 0), asked(0), told(400, policy.Ready, 0), arrived(600, 0), answer(700, Fulfilled)}},
-		{"another door was told", "", []Event{{Kind: Told, Door: 4, Stage: policy.Draining}, asked(0), arrived(900, 0), answer(950, Fulfilled)}},
+		{"within the grace of a drain", "", []Event{told(0, policy.EndpointDraining, 0), asked(0), arrived(499, 0), answer(600, Fulfilled)}},
+		{"after the grace of a drain", "3", []Event{told(0, policy.EndpointDraining, 0), asked(0), arrived(501, 0), answer(600, Fulfilled)}},
+		{"told twice, the first counts", "3", []Event{told(0, policy.EndpointDraining, 0), asked(0), told(400, policy.EndpointGone, 0), arrived(600, 0), answer(700, Fulfilled)}},
+		{"ready again", "", []Event{told(0, policy.EndpointDraining, 0), asked(0), told(400, policy.EndpointReady, 0), arrived(600, 0), answer(700, Fulfilled)}},
+		{"another door was told", "", []Event{{Kind: Told, Door: 4, Stage: policy.EndpointDraining}, asked(0), arrived(900, 0), answer(950, Fulfilled)}},
 		{"a cold backend within its budget", "", cold(0.1, 10, true)},
 		{"a cold backend over its budget", "4", cold(0.1, 40, true)},
 		{"a cold backend nobody was told of", "", cold(0.1, 40, false)},
--- a/internal/lab/model/model.go
+++ b/internal/lab/model/model.go
@@ -53,9 +53,9 @@
 	}
 	w := &world{s: s, rec: results.New(s, terms, 2*int64(s.Net.Delay)), people: workload.New(s),
 		net: rand.New(rand.NewPCG(s.Seed, 2)), work: rand.New(rand.NewPCG(s.Seed, 3))}
-	w.counter = counter{w: w, numbers: map[policy.CountID]*number{}, cut: map[int]int{}}
+	w.counter = counter{w: w, numbers: map[policy.CounterKey]*number{}, cut: map[int]int{}}
 	for n := range s.Backends.Count {
-		w.backends = append(w.backends, &backend{w: w, n: n, up: true, stage: policy.Ready, factor: 1})
+		w.backends = append(w.backends, &backend{w: w, n: n, up: true, stage: policy.EndpointReady, factor: 1})
 	}
 	for n := range s.Doors.Count {
 		d := &door{w: w, n: n}
@@ -82,11 +82,11 @@
 	}
 	end := int64(s.Duration + longest + s.Rules.Grace + 1e9)
 	for {
-		at, ok := w.due.Next(func(func()) bool { return false })
+		at, ok := w.due.NextDue(func(func()) bool { return false })
 		if !ok || at > end {
 			break
 		}
-		what, _ := w.due.Take(at)
+		what, _ := w.due.PopDue(at)
 		w.now = at
 		w.events++
 		what()
@@ -95,7 +95,7 @@
 }
 
 // at does what at a time, or at once after what is being done.
-func (w *world) at(when int64, what func()) { w.due.Add(max(when, w.now), what) }
+func (w *world) at(when int64, what func()) { w.due.Push(max(when, w.now), what) }
 
 // hop is one way through the network: half its usual delay, and as much again on the mean.
 func (w *world) hop() int64 {
@@ -108,7 +108,7 @@
 	open := 0
 	for _, d := range w.doors {
 		if d.gate != nil {
-			if o, _ := d.gate.Breaker(); o {
+			if o, _ := d.gate.BreakerStatus(); o {
 				open++
 			}
 		}
@@ -136,7 +136,7 @@
 	again  int // tries before it
 	door   *door
 	life   int
-	handle *policy.Transaction
+	handle *policy.Request
 	shots  []*shot
 	ended  bool
 }
@@ -206,34 +206,34 @@
 	w     *world
 	n     int
 	life  int // how often it was started; what belongs to an earlier life is void
-	terms policy.Terms
-	gate  *policy.Gate
-	open  map[policy.TransactionID]*try
-	calls map[policy.CountID][]*call
+	terms policy.Settings
+	gate  *policy.Engine
+	open  map[policy.RequestID]*try
+	calls map[policy.CounterKey][]*call
 	mark  uint64
 }
 
 func (d *door) start() {
 	d.life++
-	d.open, d.calls = map[policy.TransactionID]*try{}, map[policy.CountID][]*call{}
+	d.open, d.calls = map[policy.RequestID]*try{}, map[policy.CounterKey][]*call{}
 	seed := rand.New(rand.NewPCG(d.w.s.Seed, uint64(d.n)<<20|uint64(d.life)|1<<60)).Uint64()
 	d.gate = policy.New(base+d.w.now, seed, d.terms, d)
-	list := make([]policy.Listed, 0, len(d.w.backends))
+	list := make([]policy.Endpoint, 0, len(d.w.backends))
 	for _, b := range d.w.backends {
-		if b.stage != policy.Gone {
+		if b.stage != policy.EndpointGone {
 			list = append(list, d.told(b))
 		}
 	}
-	d.gate.Backends(base+d.w.now, policy.Whole, list)
+	d.gate.UpdateEndpoints(base+d.w.now, policy.FullSnapshot, list)
 }
 
 // told notes that the door is told of a backend, and gives the list's line.
-func (d *door) told(b *backend) policy.Listed {
+func (d *door) told(b *backend) policy.Endpoint {
 	d.w.rec.See(invariants.Event{At: d.w.now, Kind: invariants.Told, Door: d.n, Backend: b.n, Stage: b.stage, Started: b.started})
-	l := policy.Listed{Backend: policy.BackendID(b.n + 1), Zone: policy.ZoneID(b.n % d.w.s.Backends.Zones),
-		Group: policy.GroupID(b.n % d.w.s.Backends.Groups), Size: 1, Stage: b.stage}
+	l := policy.Endpoint{Backend: policy.BackendID(b.n + 1), Zone: policy.ZoneID(b.n % d.w.s.Backends.Zones),
+		Group: policy.GroupID(b.n % d.w.s.Backends.Groups), Capacity: 1, State: b.stage}
 	if b.started > 0 {
-		l.Started = base + b.started
+		l.StartedAt = base + b.started
 	}
 	return l
 }
@@ -242,7 +242,7 @@
 	d.life++
 	d.gate = nil
 	d.w.rec.See(invariants.Event{At: d.w.now, Kind: invariants.DoorDied, Door: d.n})
-	ids := make([]policy.TransactionID, 0, len(d.open))
+	ids := make([]policy.RequestID, 0, len(d.open))
 	for id := range d.open {
 		ids = append(ids, id)
 	}
@@ -255,11 +255,11 @@
 }
 
 func (d *door) take(t *try) {
-	id := policy.TransactionID(t.Try)
+	id := policy.RequestID(t.Try)
 	t.life = d.life
 	d.open[id] = t
 	c := d.w.people.Customers[t.Customer]
-	t.handle = d.gate.Take(base+d.w.now, id, policy.ProfileID(t.Profile), policy.PlanID(t.Plan), policy.CustomerID(t.Customer+1),
+	t.handle = d.gate.Submit(base+d.w.now, id, policy.ClassID(t.Profile), policy.PlanID(t.Plan), policy.TenantID(t.Customer+1),
 		max(t.Limit-d.w.now, 0), t.Units, d.w.s.Load.Spread, c.First)
 	d.keep(t)
 }
@@ -267,86 +267,86 @@
 // keep lets go of a try once nothing more can come for it.
 func (d *door) keep(t *try) {
 	if t.handle != nil && t.handle.Done() {
-		delete(d.open, policy.TransactionID(t.Try))
+		delete(d.open, policy.RequestID(t.Try))
 	}
 }
 
-// Shoot sends a shot.
-func (d *door) Shoot(id policy.TransactionID, b policy.BackendID, expire, _ int64) { // the model sends at once
+// Send sends a shot.
+func (d *door) Send(id policy.RequestID, b policy.BackendID, expire, _ int64) { // the model sends at once
 	w, t := d.w, d.open[id]
 	until := t.Limit
 	if expire > 0 {
 		until = min(until, expire-base)
 	}
-	s := &shot{t: t, n: policy.ShotID(len(t.shots)), to: w.backends[b-1], sent: w.now}
+	s := &shot{t: t, n: policy.AttemptID(len(t.shots)), to: w.backends[b-1], sent: w.now}
 	t.shots = append(t.shots, s)
 	w.rec.See(invariants.Event{At: w.now, Kind: invariants.Sent, Try: t.Try, Door: d.n, Backend: s.to.n})
 	w.at(until, func() { s.settle(policy.TimedOut) })
 	w.at(w.now+w.hop(), func() { s.to.arrive(s) })
 }
 
-// Recall gives a shot up.
-func (d *door) Recall(id policy.TransactionID, n policy.ShotID) {
+// Cancel gives a shot up.
+func (d *door) Cancel(id policy.RequestID, n policy.AttemptID) {
 	if t := d.open[id]; t != nil && int(n) < len(t.shots) {
 		s := t.shots[n]
 		s.dropped = true
-		d.w.at(d.w.now, func() { s.settle(policy.Recalled) })
+		d.w.at(d.w.now, func() { s.settle(policy.Canceled) })
 	}
 }
 
-// Dismiss gives a final answer.
-func (d *door) Dismiss(id policy.TransactionID, comeBack int64) {
+// Reject gives a final answer.
+func (d *door) Reject(id policy.RequestID, comeBack int64) {
 	d.open[id].answer(invariants.Dismissed, comeBack)
 }
 
-// BreakOff gives a final answer.
-func (d *door) BreakOff(id policy.TransactionID) { d.open[id].answer(invariants.BrokenOff, 0) }
+// Abort gives a final answer.
+func (d *door) Abort(id policy.RequestID) { d.open[id].answer(invariants.BrokenOff, 0) }
 
-// Grant is never called: scenarios have no profile that only counts.
-func (d *door) Grant(policy.TransactionID) {}
+// Admit is never called: scenarios have no profile that only counts.
+func (d *door) Admit(policy.RequestID) {}
 
-// Wake asks for a call at a time.
-func (d *door) Wake(at int64, mark uint64) {
+// WakeAt asks for a call at a time.
+func (d *door) WakeAt(at int64, mark uint64) {
 	if mark != 0 {
 		d.mark = mark
 	}
 	life := d.life
 	d.w.at(at-base, func() {
 		if d.life == life && (mark == 0 || mark == d.mark) {
-			d.gate.Wake(base+d.w.now, mark)
+			d.gate.HandleTimer(base+d.w.now, mark)
 		}
 	})
 }
 
-// Count calls the counter.
-func (d *door) Count(c policy.CountID, units float64, lifetime int64) {
+// AddToCounter calls the counter.
+func (d *door) AddToCounter(c policy.CounterKey, units float64, lifetime int64) {
 	d.w.counter.call(d, c, units, lifetime)
 }
 
-// Probe tests a backend.
-func (d *door) Probe(b policy.BackendID) {
+// CheckHealth tests a backend.
+func (d *door) CheckHealth(b policy.BackendID) {
 	w, life, x := d.w, d.life, d.w.backends[b-1]
 	w.at(w.now+2*w.hop(), func() {
-		o := policy.Fulfilled
+		o := policy.Succeeded
 		if !x.up || x.refuse > 0 || x.hang > 0 {
-			o = policy.Unreached
+			o = policy.ConnectFailed
 		}
 		if d.life == life {
-			d.gate.Probed(base+w.now, b, o)
+			d.gate.HandleHealthCheck(base+w.now, b, o)
 		}
 	})
 }
 
-// Follow does nothing: discovery tells its news unasked.
-func (d *door) Follow() {}
+// WatchEndpoints does nothing: discovery tells its news unasked.
+func (d *door) WatchEndpoints() {}
 
-// Note does nothing: notes are for people.
-func (d *door) Note(string) {}
+// Log does nothing: notes are for people.
+func (d *door) Log(string) {}
 
 // shot is one sending of a try to a backend.
 type shot struct {
 	t       *try
-	n       policy.ShotID
+	n       policy.AttemptID
 	to      *backend
 	sent    int64
 	settled bool
@@ -361,10 +361,10 @@
 		return
 	}
 	s.settled, s.dropped = true, true
-	if o == policy.Fulfilled && !t.ended {
+	if o == policy.Succeeded && !t.ended {
 		t.answer(invariants.Fulfilled, 0)
 	}
-	t.handle.Settled(base+w.now, s.n, o, w.now-s.sent, t.ended, 0)
+	t.handle.HandleAttemptResult(base+w.now, s.n, o, w.now-s.sent, t.ended, 0)
 	t.door.keep(t)
 }
 
@@ -374,7 +374,7 @@
 	n                                        int
 	up                                       bool
 	silent                                   bool // down, and says nothing: a machine that vanished
-	stage                                    policy.Stage
+	stage                                    policy.EndpointState
 	started                                  int64
 	life                                     int
 	running                                  []*shot
@@ -400,7 +400,7 @@
 		return // the shot's time runs out
 	}
 	if !b.up || b.refuse > 0 {
-		w.at(w.now+w.hop(), func() { s.settle(policy.Unreached) })
+		w.at(w.now+w.hop(), func() { s.settle(policy.ConnectFailed) })
 		return
 	}
 	s.work = w.people.Work(w.work, s.t.Units)
@@ -438,14 +438,14 @@
 			b.begin(next)
 		}
 	}
-	o := policy.Fulfilled
+	o := policy.Succeeded
 	switch {
 	case b.hang > 0:
 		return
 	case b.reset > 0:
-		o = policy.CutOff
+		o = policy.ConnectionLost
 	case b.garble > 0, b.fail > 0:
-		o = policy.Errored
+		o = policy.Failed
 	}
 	w.at(w.now+w.hop(), func() { s.settle(o) })
 }
@@ -458,7 +458,7 @@
 	b.life++
 	for _, s := range all {
 		if !silent {
-			w.at(w.now+w.hop(), func() { s.settle(policy.CutOff) })
+			w.at(w.now+w.hop(), func() { s.settle(policy.ConnectionLost) })
 		}
 	}
 }
@@ -466,7 +466,7 @@
 // rise starts the backend anew, cold.
 func (b *backend) rise() {
 	b.up, b.silent, b.started = true, false, b.w.now
-	b.stage = policy.Ready
+	b.stage = policy.EndpointReady
 	b.w.news.tell(b)
 }
 
@@ -479,7 +479,7 @@
 // counter adds up numbers, one call at a time.
 type counter struct {
 	w            *world
-	numbers      map[policy.CountID]*number
+	numbers      map[policy.CounterKey]*number
 	free         int64 // when it has time for the next call
 	refuse, hang int
 	slow         int64
@@ -491,7 +491,7 @@
 type call struct {
 	door  *door
 	life  int
-	name  policy.CountID
+	name  policy.CounterKey
 	done  bool
 	o     policy.Outcome
 	total float64
@@ -508,15 +508,15 @@
 		if d.calls[k.name] = d.calls[k.name][1:]; len(d.calls[k.name]) == 0 {
 			delete(d.calls, k.name)
 		}
-		d.w.rec.Call(d.w.now, first.o != policy.Fulfilled)
-		d.gate.Counted(base+d.w.now, first.o, k.name, first.total)
+		d.w.rec.Call(d.w.now, first.o != policy.Succeeded)
+		d.gate.HandleCounterResult(base+d.w.now, first.o, k.name, first.total)
 		if d.life != k.life {
 			return
 		}
 	}
 }
 
-func (c *counter) call(d *door, name policy.CountID, units float64, lifetime int64) {
+func (c *counter) call(d *door, name policy.CounterKey, units float64, lifetime int64) {
 	w := c.w
 	k := &call{door: d, life: d.life, name: name}
 	d.calls[name] = append(d.calls[name], k)
@@ -530,12 +530,12 @@
 			}
 			n.total = float64(float32(n.total + units)) // totals have seven digits
 			total := n.total
-			w.at(w.now+w.hop(), func() { k.resolve(policy.Fulfilled, total) })
+			w.at(w.now+w.hop(), func() { k.resolve(policy.Succeeded, total) })
 		}
 		switch {
 		case c.cut[d.n] > 0: // lost on the way
 		case c.refuse > 0:
-			w.at(w.now+w.hop(), func() { k.resolve(policy.Unreached, 0) })
+			w.at(w.now+w.hop(), func() { k.resolve(policy.ConnectFailed, 0) })
 		case c.hang > 0:
 			c.held = append(c.held, add)
 		default:
@@ -577,7 +577,7 @@
 func (w *world) spread(b *backend) {
 	for _, d := range w.doors {
 		if d.gate != nil {
-			d.gate.Backends(base+w.now, policy.Changes, []policy.Listed{d.told(b)})
+			d.gate.UpdateEndpoints(base+w.now, policy.Delta, []policy.Endpoint{d.told(b)})
 		}
 	}
 }
@@ -637,22 +637,22 @@
 		b.factor *= f.Factor
 		w.at(until, func() { b.factor /= f.Factor })
 	case scenario.BackendDrain:
-		b.stage = policy.Draining
+		b.stage = policy.EndpointDraining
 		w.news.tell(b)
 		w.during(&b.drain, until, func() {
-			b.stage = policy.Ready
+			b.stage = policy.EndpointReady
 			w.news.tell(b)
 		})
 	case scenario.BackendVanish:
 		b.die(true)
-		b.stage = policy.Gone
+		b.stage = policy.EndpointGone
 		w.news.tell(b)
 		w.at(until, b.rise)
 	case scenario.BackendWithdraw:
-		b.stage = policy.Gone
+		b.stage = policy.EndpointGone
 		w.news.tell(b)
 		w.during(&b.away, until, func() {
-			b.stage, b.started = policy.Ready, w.now
+			b.stage, b.started = policy.EndpointReady, w.now
 			w.news.tell(b)
 		})
 	case scenario.BackendRestart:
--- a/internal/lab/model/model_test.go
+++ b/internal/lab/model/model_test.go
@@ -161,13 +161,13 @@
 		"2": func(w *world, d *door) { // a shot that must not be sent
 			for _, id := range keys(d.open) {
 				if t := d.open[id]; w.s.Profiles[t.Profile].Effect == "at-most-once" && len(t.shots) > 0 && !t.ended {
-					d.Shoot(id, 1, 0, 1<<62)
+					d.Send(id, 1, 0, 1<<62)
 					return
 				}
 			}
 		},
 		"3": func(w *world, d *door) { // sends go to a backend that drains
-			w.rec.See(invariants.Event{At: w.now, Kind: invariants.Told, Door: d.n, Backend: 0, Stage: policy.Draining})
+			w.rec.See(invariants.Event{At: w.now, Kind: invariants.Told, Door: d.n, Backend: 0, Stage: policy.EndpointDraining})
 		},
 	} {
 		s := parse(t, "")
@@ -182,8 +182,8 @@
 	}
 }
 
-func keys(m map[policy.TransactionID]*try) []policy.TransactionID {
-	var all []policy.TransactionID
+func keys(m map[policy.RequestID]*try) []policy.RequestID {
+	var all []policy.RequestID
 	for id := range m {
 		all = append(all, id)
 	}
--- a/internal/lab/results/results.go
+++ b/internal/lab/results/results.go
@@ -141,8 +141,8 @@
 
 // New makes a recorder for a scenario. slack is what the ways between the parties may take where only ends are
 // seen; ceilings and profiles are read from the terms, which front doors go by too.
-func New(s *scenario.Scenario, terms policy.Terms, slack int64) *Recorder {
-	t := invariants.Terms{Profiles: terms.Profiles, Plans: terms.Plans, Grace: int64(s.Rules.Grace), Drain: int64(s.Rules.Drain),
+func New(s *scenario.Scenario, terms policy.Settings, slack int64) *Recorder {
+	t := invariants.Terms{Profiles: terms.Classes, Plans: terms.Plans, Grace: int64(s.Rules.Grace), Drain: int64(s.Rules.Drain),
 		Slack: slack, Cores: float64(s.Backends.Cores), ColdShare: s.Rules.ColdShare, WarmUp: int64(s.Rules.WarmUp),
 		FallMultiple: s.Rules.FallMultiple, FallSpan: int64(s.Rules.FallSpan),
 		Zone: func(b int) int { return b % s.Backends.Zones }, Group: func(b int) int { return b % s.Backends.Groups }}
@@ -194,7 +194,7 @@
 	case invariants.Told:
 		k := way{e.Door, e.Backend}
 		r.settle(k)
-		if e.Stage == policy.Gone {
+		if e.Stage == policy.EndpointGone {
 			r.gone[k] = &last{told: e.At}
 		}
 		return
--- a/internal/lab/scenario/scenario.go
+++ b/internal/lab/scenario/scenario.go
@@ -416,12 +416,12 @@
 }
 
 // Terms are the terms that front door me reads from its settings.
-func (s *Scenario) Terms(me int) (policy.Terms, error) {
+func (s *Scenario) Terms(me int) (policy.Settings, error) {
 	text, err := json.Marshal(s.Settings(me))
 	if err != nil {
-		return policy.Terms{}, err
+		return policy.Settings{}, err
 	}
-	return config.Terms(text)
+	return config.ParseSettings(text)
 }
 
 // ZoneName is the name of a zone.
--- a/internal/lab/scenario/scenario_test.go
+++ b/internal/lab/scenario/scenario_test.go
@@ -88,9 +88,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := policy.ProfileTerms{Effect: policy.Numbered, Reach: policy.ReachGroup, Memory: 5e9, Promised: 750e6, HardLimit: 1500e6}
-	if terms.Me != 1 || terms.Doors != 3 || terms.Zone != 1 || terms.Profiles[0] != p || !terms.Counter ||
-		terms.Plans[0] != (policy.PlanTerms{Rate: 8, Burst: 24}) || terms.WarmUp != 9e9 {
+	p := policy.ClassSettings{Idempotency: policy.IdempotentWithKey, DedupScope: policy.DedupByGroup, DedupWindow: 5e9, LatencyObjective: 750e6, Deadline: 1500e6}
+	if terms.InstanceIndex != 1 || terms.Instances != 3 || terms.Zone != 1 || terms.Classes[0] != p || !terms.CounterEnabled ||
+		terms.Plans[0] != (policy.PlanSettings{Rate: 8, Burst: 24}) || terms.SlowStartDuration != 9e9 {
 		t.Errorf("%+v", terms)
 	}
 }
--- a/internal/limitserver/accounts.go
+++ b/internal/limitserver/accounts.go
@@ -31,13 +31,13 @@
 // NEW, COMMIT, RENEW and TAKE tell the epoch to name next, the units left, and until when it holds.
 type Accounts interface {
 	Change(gestoria string, c billing.Change) error
-	TakeBack(gestoria, id string) error
-	Reserve(gestoria, id, holder, plan string, units billing.Units, lease time.Duration) (billing.Hold, error)
-	Commit(gestoria, id string, epoch uint64, units billing.Units) (billing.Hold, error)
-	Renew(gestoria, id string, epoch uint64, lease time.Duration) (billing.Hold, error)
-	Take(gestoria, id, holder string, lease time.Duration) (billing.Hold, error)
+	CancelChange(gestoria, id string) error
+	Reserve(gestoria, id, holder, plan string, units billing.Units, lease time.Duration) (billing.Reservation, error)
+	Commit(gestoria, id string, epoch uint64, units billing.Units) (billing.Reservation, error)
+	Renew(gestoria, id string, epoch uint64, lease time.Duration) (billing.Reservation, error)
+	AdoptReservation(gestoria, id, holder string, lease time.Duration) (billing.Reservation, error)
 	Release(gestoria, id string, epoch uint64) error
-	Show(gestoria, plan string) (billing.Account, billing.Units, error)
+	Account(gestoria, plan string) (billing.Account, billing.Units, error)
 }
 
 // auth gives the rights of a key.
@@ -112,7 +112,7 @@
 		return u
 	}
 	lease := func(n int) time.Duration { return time.Duration(min(number(n), 1<<40)) * time.Millisecond }
-	var h billing.Hold
+	var h billing.Reservation
 	switch word {
 	case "PLAN.CHANGE":
 		at, after := strings.CutPrefix(text(3), "+")
@@ -131,7 +131,7 @@
 		}
 		return out, err
 	case "PLAN.TAKEBACK":
-		err = s.Accounts.TakeBack(g, text(1))
+		err = s.Accounts.CancelChange(g, text(1))
 	case "RESERVE.RELEASE":
 		if epoch := number(2); err == nil {
 			err = s.Accounts.Release(g, text(1), uint64(epoch))
@@ -150,13 +150,13 @@
 		}
 	case "RESERVE.TAKE":
 		if l := lease(3); err == nil {
-			h, err = s.Accounts.Take(g, text(1), text(2), l)
+			h, err = s.Accounts.AdoptReservation(g, text(1), text(2), l)
 		}
 	default:
 		if word == "RESERVE.ROOM" {
 			word0 = text(1)
 		}
-		a, room, err := s.Accounts.Show(g, word0)
+		a, room, err := s.Accounts.Account(g, word0)
 		if err != nil {
 			return out, err
 		}
--- a/internal/limitserver/accounts_test.go
+++ b/internal/limitserver/accounts_test.go
@@ -16,7 +16,7 @@
 
 const now = 6000e9
 
-var bookTerms = billing.Terms{Window: 60e9, Lead: 5e9, Skew: 1e9, Lease: 30e9, Late: 1e9, Plans: map[string]billing.Quota{"team": {Rate: 1, Peak: 10}}}
+var bookTerms = billing.Settings{Window: 60e9, Lead: 5e9, Skew: 1e9, Lease: 30e9, Late: 1e9, Plans: map[string]billing.Quota{"team": {Rate: 1, Peak: 10}}}
 
 func (b *book) keep(a billing.Account, err error) error {
 	if err == nil {
@@ -24,34 +24,34 @@
 	}
 	return err
 }
-func (b *book) hold(a billing.Account, h billing.Hold, err error) (billing.Hold, error) {
+func (b *book) hold(a billing.Account, h billing.Reservation, err error) (billing.Reservation, error) {
 	return h, b.keep(a, err)
 }
 
 func (b *book) Change(_ string, c billing.Change) error { return b.keep(b.a.Change(bookTerms, now, c)) }
-func (b *book) TakeBack(_, id string) error             { return b.keep(b.a.TakeBack(bookTerms, now, id)) }
+func (b *book) CancelChange(_, id string) error         { return b.keep(b.a.TakeBack(bookTerms, now, id)) }
 func (b *book) Release(_, id string, epoch uint64) error {
 	return b.keep(b.a.Release(bookTerms, now, id, epoch))
 }
-func (b *book) Reserve(_, id, holder, plan string, u billing.Units, l time.Duration) (billing.Hold, error) {
+func (b *book) Reserve(_, id, holder, plan string, u billing.Units, l time.Duration) (billing.Reservation, error) {
 	return b.hold(b.a.Reserve(bookTerms, now, id, holder, plan, u, int64(l)))
 }
-func (b *book) Commit(_, id string, epoch uint64, u billing.Units) (billing.Hold, error) {
+func (b *book) Commit(_, id string, epoch uint64, u billing.Units) (billing.Reservation, error) {
 	return b.hold(b.a.Commit(bookTerms, now, id, epoch, u))
 }
-func (b *book) Renew(_, id string, epoch uint64, l time.Duration) (billing.Hold, error) {
+func (b *book) Renew(_, id string, epoch uint64, l time.Duration) (billing.Reservation, error) {
 	return b.hold(b.a.Renew(bookTerms, now, id, epoch, int64(l)))
 }
-func (b *book) Take(_, id, holder string, l time.Duration) (billing.Hold, error) {
+func (b *book) AdoptReservation(_, id, holder string, l time.Duration) (billing.Reservation, error) {
 	return b.hold(b.a.Take(bookTerms, now, id, holder, int64(l)))
 }
-func (b *book) Show(_, plan string) (billing.Account, billing.Units, error) {
+func (b *book) Account(_, plan string) (billing.Account, billing.Units, error) {
 	return b.a, b.a.Room(bookTerms, now, now, plan), nil
 }
 
 // One session of each command: what is right is answered in its form, what is wrong by an error that names it.
 func TestAccountCommands(t *testing.T) {
-	s := New(nil, Names{}, 1)
+	s := New(nil, Settings{}, 1)
 	s.Accounts = &book{}
 	s.Keys = map[string]authz.Key{"ops": {Secret: []byte("open sesame, please"), Rights: authz.Read | authz.Reserve}, "all": {Secret: []byte("another secret"), Rights: 255}}
 	var may authz.Right
--- a/internal/limitserver/limitserver.go
+++ b/internal/limitserver/limitserver.go
@@ -32,19 +32,19 @@
 	"fawnplank/policy"
 )
 
-// Desk is where checks are decided: the facade.
-type Desk interface {
-	Take(pr policy.ProfileID, pl policy.PlanID, c policy.CustomerID, left time.Duration, units float64, entries, first int) *dispatch.Transaction
-	Quota(c policy.CustomerID, pl policy.PlanID, entries int) (policy.Quota, bool)
+// Dispatcher is where checks are decided: the facade.
+type Dispatcher interface {
+	Submit(pr policy.ClassID, pl policy.PlanID, c policy.TenantID, left time.Duration, units float64, entries, first int) *dispatch.Request
+	QuotaStatus(c policy.TenantID, pl policy.PlanID, entries int) (policy.QuotaStatus, bool)
 }
 
-// Names are the words that commands may use; a reload brings new ones.
-type Names struct {
-	Profile   policy.ProfileID // the one that only counts
-	Within    time.Duration    // for an answer
+// Settings are the words that commands may use; a reload brings new ones.
+type Settings struct {
+	Class     policy.ClassID // the one that only counts
+	Timeout   time.Duration  // for an answer
 	Plans     map[string]policy.PlanID
-	Doors     int
-	MostUnits float64
+	Instances int
+	MaxUnits  float64
 }
 
 const (
@@ -56,8 +56,8 @@
 
 // Server answers limit commands.
 type Server struct {
-	desk   Desk
-	names  atomic.Pointer[Names]
+	desk   Dispatcher
+	names  atomic.Pointer[Settings]
 	server *redcon.Server
 	most   int
 	open   atomic.Int64
@@ -69,7 +69,7 @@
 }
 
 // New makes a server for at most so many connections.
-func New(desk Desk, names Names, most int) *Server {
+func New(desk Dispatcher, names Settings, most int) *Server {
 	s := &Server{desk: desk, most: most}
 	s.names.Store(&names)
 	s.server = redcon.NewServer("", s.handle, s.accept, func(redcon.Conn, error) { s.open.Add(-1) })
@@ -77,8 +77,8 @@
 	return s
 }
 
-// Retune takes new names.
-func (s *Server) Retune(names Names) { s.names.Store(&names) }
+// UpdateSettings takes new names.
+func (s *Server) UpdateSettings(names Settings) { s.names.Store(&names) }
 
 // Serve takes connections until Close.
 func (s *Server) Serve(l net.Listener) error {
@@ -96,8 +96,8 @@
 	return err
 }
 
-// Counts tells how many checks were granted and refused, and how many commands were in error.
-func (s *Server) Counts() (granted, refused, faulty uint64) {
+// Stats tells how many checks were granted and refused, and how many commands were in error.
+func (s *Server) Stats() (granted, refused, faulty uint64) {
 	return s.counts[0].Load(), s.counts[1].Load(), s.counts[2].Load()
 }
 
@@ -132,8 +132,8 @@
 
 // check is one LIMIT.CHECK under way.
 type check struct {
-	t       *dispatch.Transaction
-	c       policy.CustomerID
+	t       *dispatch.Request
+	c       policy.TenantID
 	pl      policy.PlanID
 	spread  int
 	seconds bool // times in seconds
@@ -221,7 +221,7 @@
 }
 
 // who reads a customer and a plan.
-func (s *Server) who(names *Names, args [][]byte) (c policy.CustomerID, pl policy.PlanID, err error) {
+func (s *Server) who(names *Settings, args [][]byte) (c policy.TenantID, pl policy.PlanID, err error) {
 	id, err := strconv.ParseUint(string(args[0]), 16, 64)
 	if err != nil || len(args[0]) != 16 || id >= 1<<33 {
 		return 0, 0, fmt.Errorf("customer '%.20s' is no number of 16 hexadecimal digits below 2^33", printable(string(args[0])))
@@ -230,7 +230,7 @@
 	if !ok {
 		return 0, 0, fmt.Errorf("no plan '%.40s'", printable(string(args[1])))
 	}
-	return policy.CustomerID(id), pl, nil
+	return policy.TenantID(id), pl, nil
 }
 
 // whole reads a whole number from least to most.
@@ -243,7 +243,7 @@
 }
 
 // begin reads a check, and lets it be counted.
-func (s *Server) begin(names *Names, args [][]byte) (check, error) {
+func (s *Server) begin(names *Settings, args [][]byte) (check, error) {
 	if len(args) != 2 && len(args) != 3 && len(args) != 5 {
 		return check{}, errArity
 	}
@@ -251,35 +251,35 @@
 	if err != nil {
 		return check{}, err
 	}
-	units, spread, first := 1.0, max(names.Doors, 1), 0
+	units, spread, first := 1.0, max(names.Instances, 1), 0
 	if len(args) > 2 {
 		units, err = strconv.ParseFloat(string(args[2]), 64)
-		if err != nil || !(units > 0 && units <= names.MostUnits) || bytes.ContainsAny(args[2], "xXpP_") {
-			return check{}, fmt.Errorf("units '%.20s' are not above 0 and at most %g", printable(string(args[2])), names.MostUnits)
+		if err != nil || !(units > 0 && units <= names.MaxUnits) || bytes.ContainsAny(args[2], "xXpP_") {
+			return check{}, fmt.Errorf("units '%.20s' are not above 0 and at most %g", printable(string(args[2])), names.MaxUnits)
 		}
 	}
 	if len(args) > 3 {
-		if spread, err = whole("spread", args[3], 1, max(names.Doors, 1)); err != nil {
+		if spread, err = whole("spread", args[3], 1, max(names.Instances, 1)); err != nil {
 			return check{}, err
 		}
-		if first, err = whole("first", args[4], 0, max(names.Doors, 1)-1); err != nil {
+		if first, err = whole("first", args[4], 0, max(names.Instances, 1)-1); err != nil {
 			return check{}, err
 		}
 	}
-	return check{t: s.desk.Take(names.Profile, pl, c, names.Within, units, spread, first), c: c, pl: pl, spread: spread}, nil
+	return check{t: s.desk.Submit(names.Class, pl, c, names.Timeout, units, spread, first), c: c, pl: pl, spread: spread}, nil
 }
 
 // settle waits for a check's answer: the module's own wait for the counter bounds it.
 func (s *Server) settle(out []byte, k check) []byte {
-	step := k.t.Pick()
-	q, _ := s.desk.Quota(k.c, k.pl, k.spread)
-	switch step.Do {
-	case dispatch.Grant:
+	step := k.t.NextStep()
+	q, _ := s.desk.QuotaStatus(k.c, k.pl, k.spread)
+	switch step.Action {
+	case dispatch.Admit:
 		s.counts[0].Add(1)
 		return reply(out, q, -1, k.seconds)
-	case dispatch.Dismiss:
+	case dispatch.Reject:
 		s.counts[1].Add(1)
-		wait := step.ComeBack
+		wait := step.RetryAfter
 		if wait <= 0 && q.Rate > 0 { // the settings allow no advice to clients; to those who ask, the refill is told
 			wait = int64(max(q.Used+1-q.Limit, 1) / q.Rate * 1e9)
 		}
@@ -290,7 +290,7 @@
 }
 
 // reply is the array of five.
-func reply(out []byte, q policy.Quota, wait int64, seconds bool) []byte {
+func reply(out []byte, q policy.QuotaStatus, wait int64, seconds bool) []byte {
 	unit := 1e6
 	if seconds {
 		unit = 1e9
@@ -300,8 +300,8 @@
 		limited, back = 1, int64(math.Ceil(float64(wait)/unit))
 	}
 	left := max(q.Limit-q.Used, 0)
-	if q.Ceiling >= 0 {
-		left = min(left, max(q.Ceiling, 0))
+	if q.HardQuotaLeft >= 0 {
+		left = min(left, max(q.HardQuotaLeft, 0))
 	}
 	if q.Rate > 0 {
 		full = int64(math.Ceil(min(q.Used/q.Rate, 1e8) * 1e9 / unit))
@@ -314,19 +314,19 @@
 }
 
 // peek tells what is known.
-func (s *Server) peek(out []byte, names *Names, args [][]byte) []byte {
+func (s *Server) peek(out []byte, names *Settings, args [][]byte) []byte {
 	if len(args) != 2 && len(args) != 3 {
 		return s.fault(out, "LIMIT.PEEK", errArity)
 	}
 	c, pl, err := s.who(names, args)
-	spread := max(names.Doors, 1)
+	spread := max(names.Instances, 1)
 	if err == nil && len(args) == 3 {
 		spread, err = whole("spread", args[2], 1, spread)
 	}
 	if err != nil {
 		return s.fault(out, "", err)
 	}
-	q, _ := s.desk.Quota(c, pl, spread)
+	q, _ := s.desk.QuotaStatus(c, pl, spread)
 	wait := int64(-1)
 	if q.Rate > 0 && q.Limit-q.Used < 1 {
 		wait = int64((q.Used + 1 - q.Limit) / q.Rate * 1e9)
--- a/internal/limitserver/limitserver_test.go
+++ b/internal/limitserver/limitserver_test.go
@@ -28,7 +28,7 @@
 // house is a facade with a counter stand-in, and the limit commands before it.
 type house struct {
 	emu     *emulator.Emu
-	facade  *dispatch.Facade
+	facade  *dispatch.Dispatcher
 	counter *counter.Client
 	server  *Server
 	address string
@@ -57,7 +57,7 @@
 ceiling_burst = 10
 `
 
-const checks policy.ProfileID = 1
+const checks policy.ClassID = 1
 
 func open(t testing.TB, format counter.Format) *house {
 	t.Helper()
@@ -75,7 +75,7 @@
 }
 
 // emulate starts the counter's stand-in, and gives the terms for a facade beside it.
-func (h *house) emulate(t testing.TB) policy.Terms {
+func (h *house) emulate(t testing.TB) policy.Settings {
 	t.Helper()
 	s, err := scenario.Parse("scene", []byte(scene))
 	if err != nil {
@@ -85,7 +85,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	terms.Profiles = append(terms.Profiles, policy.ProfileTerms{Promised: 750e6, HardLimit: 750e6, CountsOnly: true})
+	terms.Classes = append(terms.Classes, policy.ClassSettings{LatencyObjective: 750e6, Deadline: 750e6, CheckOnly: true})
 	log := results.NewLog(results.New(s, terms, 0))
 	if h.emu, err = emulator.Start(s, log); err != nil {
 		t.Fatal(err)
@@ -96,11 +96,11 @@
 }
 
 // run starts the decisions and the limit commands.
-func (h *house) run(t testing.TB, terms policy.Terms, c dispatch.Counter, l net.Listener) {
+func (h *house) run(t testing.TB, terms policy.Settings, c dispatch.Counter, l net.Listener) {
 	h.facade.Run(7, terms, c, nil, nil)
 	t.Cleanup(h.facade.Stop)
-	h.facade.Backends(policy.Whole, []policy.Listed{{Backend: 1, Stage: policy.Ready}})
-	h.server = New(h.facade, Names{Profile: checks, Within: 750 * time.Millisecond, Doors: 2, MostUnits: 100,
+	h.facade.UpdateEndpoints(policy.FullSnapshot, []policy.Endpoint{{Backend: 1, State: policy.EndpointReady}})
+	h.server = New(h.facade, Settings{Class: checks, Timeout: 750 * time.Millisecond, Instances: 2, MaxUnits: 100,
 		Plans: map[string]policy.PlanID{"despacho": 0, "open": 1, "roof": 2}}, 4)
 	go h.server.Serve(l)
 	t.Cleanup(func() { h.server.Close() })
@@ -197,8 +197,8 @@
 	if _, err := c.r.ReadByte(); err != io.EOF {
 		t.Errorf("after QUIT: %v", err)
 	}
-	if h.facade.Open() != 0 {
-		t.Errorf("%d checks are still open", h.facade.Open())
+	if h.facade.OpenRequests() != 0 {
+		t.Errorf("%d checks are still open", h.facade.OpenRequests())
 	}
 }
 
@@ -222,7 +222,7 @@
 // waited for: to the decisions each is answered at the moment of the call, however busy the machine is.
 type outside struct {
 	house
-	terms   policy.Terms
+	terms   policy.Settings
 	calls   chan bump
 	answers chan told
 	turn    sync.Mutex // answers are told in their order
@@ -231,13 +231,13 @@
 }
 
 type bump struct {
-	name     policy.CountID
+	name     policy.CounterKey
 	units    float64
 	lifetime int64
 }
 
 type told struct {
-	name  policy.CountID
+	name  policy.CounterKey
 	total float64
 	err   error
 }
@@ -249,7 +249,7 @@
 	o.counter.Format = format
 	go func() {
 		for b := range o.calls {
-			o.counter.Bump(b.name, b.units, b.lifetime)
+			o.counter.Add(b.name, b.units, b.lifetime)
 			o.counter.Flush()
 		}
 	}()
@@ -257,13 +257,13 @@
 	return o
 }
 
-// Counted is told the client's answers, outside.
-func (o *outside) Counted(name policy.CountID, total float64, err error) {
+// HandleCounterResult is told the client's answers, outside.
+func (o *outside) HandleCounterResult(name policy.CounterKey, total float64, err error) {
 	o.answers <- told{name, total, err}
 }
 
-// Bump and Flush are the facade's counter, in the bubble.
-func (o *outside) Bump(name policy.CountID, units float64, lifetime int64) {
+// Add and Flush are the facade's counter, in the bubble.
+func (o *outside) Add(name policy.CounterKey, units float64, lifetime int64) {
 	b := bump{name, units, lifetime}
 	o.bumps = append(o.bumps, b)
 	o.calls <- b
@@ -272,7 +272,7 @@
 		defer o.turn.Unlock()
 		a := <-o.answers
 		o.told = append(o.told, a)
-		o.facade.Counted(a.name, a.total, a.err)
+		o.facade.HandleCounterResult(a.name, a.total, a.err)
 	}()
 }
 
@@ -335,19 +335,19 @@
 				let := 0
 				for n := range 1000 {
 					id, units := n%x.customers, 1+n%3
-					tx := a.facade.Take(0, 0, policy.CustomerID(id), 750*time.Millisecond, float64(units), 2, 0)
+					tx := a.facade.Submit(0, 0, policy.TenantID(id), 750*time.Millisecond, float64(units), 2, 0)
 					answer := c.ask(t, "LIMIT.CHECK", fmt.Sprintf("%016x", id), "despacho", fmt.Sprint(units))
-					step := tx.Pick()
-					sent, granted := step.Do == dispatch.Send, strings.HasPrefix(answer, "0")
+					step := tx.NextStep()
+					sent, granted := step.Action == dispatch.Send, strings.HasPrefix(answer, "0")
 					if sent != granted {
 						t.Errorf("try %d: sent on: %t, granted: %t (%s)", n, sent, granted, answer)
 					}
 					if sent {
 						let++
-						step.Shot.Begin(nil)
+						step.Attempt.Begin(nil)
 						time.Sleep(2 * time.Millisecond)
-						step.Shot.Report([]byte("ok"), 0, nil)
-						if last := tx.Pick(); last.Do != dispatch.Fulfil {
+						step.Attempt.Report([]byte("ok"), 0, nil)
+						if last := tx.NextStep(); last.Action != dispatch.Respond {
 							t.Errorf("try %d ended as %+v", n, last)
 						}
 					}
@@ -359,7 +359,7 @@
 					t.Errorf("the counter was called otherwise: %d calls by the front door, %d by limit commands", len(a.bumps), len(b.bumps))
 				}
 				for _, o := range []*outside{a, b} {
-					if good, bad, _ := o.counter.Figures(); bad > 0 || int(good) != len(o.bumps) {
+					if good, bad, _ := o.counter.Stats(); bad > 0 || int(good) != len(o.bumps) {
 						t.Errorf("of %d calls the counter answered %d and failed %d", len(o.bumps), good, bad)
 					}
 				}
--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -13,14 +13,14 @@
 
 // The names of fields, the same everywhere.
 const (
-	Component   = "component"
-	Door        = "door"
-	Backend     = "backend"
-	Transaction = "transaction"
-	Outcome     = "outcome"
-	Address     = "address"
-	Fault       = "error" // logrus' own name for WithError
-	Stack       = "stack"
+	Component = "component"
+	Instance  = "door"
+	Backend   = "backend"
+	Request   = "transaction"
+	Outcome   = "outcome"
+	Address   = "address"
+	Error     = "error" // logrus' own name for WithError
+	Stack     = "stack"
 )
 
 // Setup sets the least level (error, warning, info, debug) and the format (text, json) of the log, where it goes,
@@ -58,7 +58,7 @@
 		for k, v := range e.Data {
 			data[k] = v
 		}
-		data[Door] = n.door
+		data[Instance] = n.door
 		c := *e
 		c.Data = data
 		e = &c
@@ -71,5 +71,5 @@
 
 // Panicked logs a panic that was stopped, with where it came from.
 func Panicked(component string, what any, stack []byte) {
-	For(component).WithFields(logrus.Fields{Fault: fmt.Sprint(what), Stack: string(stack)}).Error("panic")
+	For(component).WithFields(logrus.Fields{Error: fmt.Sprint(what), Stack: string(stack)}).Error("panic")
 }
--- a/internal/membudget/membudget.go
+++ b/internal/membudget/membudget.go
@@ -10,20 +10,20 @@
 	"golang.org/x/sync/semaphore"
 )
 
-// Room is the bound.
-type Room struct {
+// Budget is the bound.
+type Budget struct {
 	most int64
 	free *semaphore.Weighted
 }
 
 // New makes a room of so many bytes.
-func New(bytes int64) *Room {
-	return &Room{most: max(bytes, 1), free: semaphore.NewWeighted(max(bytes, 1))}
+func New(bytes int64) *Budget {
+	return &Budget{most: max(bytes, 1), free: semaphore.NewWeighted(max(bytes, 1))}
 }
 
-// Take waits for n bytes until the time given; false says that they could not be had by then. More than all of
+// Acquire waits for n bytes until the time given; false says that they could not be had by then. More than all of
 // it waits for all of it.
-func (r *Room) Take(n int64, until time.Time) (taken int64, ok bool) {
+func (r *Budget) Acquire(n int64, until time.Time) (taken int64, ok bool) {
 	if r == nil || n <= 0 {
 		return 0, true
 	}
@@ -39,8 +39,8 @@
 	return n, true
 }
 
-// Give gives back what Take gave.
-func (r *Room) Give(n int64) {
+// Release gives back what Take gave.
+func (r *Budget) Release(n int64) {
 	if r != nil && n > 0 {
 		r.free.Release(n)
 	}
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -23,8 +23,8 @@
 	Error               // broken off, or refused for its head
 )
 
-// Figures are one process's figures. A nil one counts nothing, for parts that are tried alone.
-type Figures struct {
+// Registry are one process's figures. A nil one counts nothing, for parts that are tried alone.
+type Registry struct {
 	reg                        *prometheus.Registry
 	ends                       [3]*prometheus.CounterVec
 	dispatches                 *prometheus.CounterVec
@@ -35,7 +35,7 @@
 }
 
 // New makes figures for the classes named, by profile id.
-func New(classes []string) *Figures {
+func New(classes []string) *Registry {
 	counter := func(name, help string) *prometheus.CounterVec {
 		return prometheus.NewCounterVec(prometheus.CounterOpts{Namespace: "gw", Name: name, Help: help},
 			[]string{"type"})
@@ -43,7 +43,7 @@
 	gauge := func(name, help string) prometheus.Gauge {
 		return prometheus.NewGauge(prometheus.GaugeOpts{Namespace: "gw", Name: name, Help: help})
 	}
-	f := &Figures{reg: prometheus.NewRegistry(),
+	f := &Registry{reg: prometheus.NewRegistry(),
 		ends: [3]*prometheus.CounterVec{counter("success", "transactions fulfilled"),
 			counter("overload", "transactions dismissed"), counter("error", "transactions broken off or refused")},
 		dispatches: counter("dispatches", "shots written whole to backends"),
@@ -56,12 +56,12 @@
 			Help: "configurations turned down at SIGHUP"})}
 	f.reg.MustRegister(f.ends[0], f.ends[1], f.ends[2], f.dispatches, f.concurrent, f.targets, f.disabled,
 		f.reloadSuccess, f.reloadFault)
-	f.Classes(classes)
+	f.SetClasses(classes)
 	return f
 }
 
-// Watch adds figures that are asked for whenever they are shown. Each name has its help and its value.
-func (f *Figures) Watch(all map[string]Watched) {
+// AddGauges adds figures that are asked for whenever they are shown. Each name has its help and its value.
+func (f *Registry) AddGauges(all map[string]Gauge) {
 	if f == nil {
 		return
 	}
@@ -70,15 +70,15 @@
 	}
 }
 
-// Watched is a figure that is asked for.
-type Watched struct {
+// Gauge is a figure that is asked for.
+type Gauge struct {
 	Help  string
 	Value func() float64
 }
 
-// Classes names the profiles anew, after a reload; what was counted for classes dropped stays readable. An
+// SetClasses names the profiles anew, after a reload; what was counted for classes dropped stays readable. An
 // empty name keeps the one it had: open transactions of a dropped class count under it.
-func (f *Figures) Classes(names []string) {
+func (f *Registry) SetClasses(names []string) {
 	if f == nil {
 		return
 	}
@@ -96,58 +96,58 @@
 	f.classes.Store(&names)
 }
 
-func (f *Figures) class(p policy.ProfileID) string {
+func (f *Registry) class(p policy.ClassID) string {
 	if names := *f.classes.Load(); int(p) >= 0 && int(p) < len(names) {
 		return names[p]
 	}
 	return "unknown"
 }
 
-// Taken counts a transaction taken, and Ended its answer, of the class it was taken under.
-func (f *Figures) Taken() {
+// RequestReceived counts a transaction taken, and Ended its answer, of the class it was taken under.
+func (f *Registry) RequestReceived() {
 	if f != nil {
 		f.concurrent.Inc()
 	}
 }
 
-// Ended counts a transaction's answer; client gone: none.
-func (f *Figures) Ended(p policy.ProfileID, how End) {
+// RequestEnded counts a transaction's answer; client gone: none.
+func (f *Registry) RequestEnded(p policy.ClassID, how End) {
 	if f != nil {
 		f.ends[how].WithLabelValues(f.class(p)).Inc()
 	}
 }
 
-// Over counts a transaction that has ended, answered or not.
-func (f *Figures) Over() {
+// RequestClosed counts a transaction that has ended, answered or not.
+func (f *Registry) RequestClosed() {
 	if f != nil {
 		f.concurrent.Dec()
 	}
 }
 
-// Refused counts a transaction refused for its head, where its class could be read.
-func (f *Figures) Refused(class string) {
+// RequestRefused counts a transaction refused for its head, where its class could be read.
+func (f *Registry) RequestRefused(class string) {
 	if f != nil {
 		f.ends[Error].WithLabelValues(class).Inc()
 	}
 }
 
-// Dispatched counts a shot whose last byte was written.
-func (f *Figures) Dispatched(p policy.ProfileID) {
+// AttemptSent counts a shot whose last byte was written.
+func (f *Registry) AttemptSent(p policy.ClassID) {
 	if f != nil {
 		f.dispatches.WithLabelValues(f.class(p)).Inc()
 	}
 }
 
-// Listed tells how many backends the list holds, and how many of them are sent nothing new.
-func (f *Figures) Listed(all, disabled int) {
+// SetEndpoints tells how many backends the list holds, and how many of them are sent nothing new.
+func (f *Registry) SetEndpoints(all, disabled int) {
 	if f != nil {
 		f.targets.Set(float64(all))
 		f.disabled.Set(float64(disabled))
 	}
 }
 
-// Reloaded counts a configuration taken or turned down at SIGHUP.
-func (f *Figures) Reloaded(taken bool) {
+// ConfigReloaded counts a configuration taken or turned down at SIGHUP.
+func (f *Registry) ConfigReloaded(taken bool) {
 	if f == nil {
 	} else if taken {
 		f.reloadSuccess.Inc()
@@ -157,7 +157,7 @@
 }
 
 // Write writes all figures in Prometheus' text form.
-func (f *Figures) Write(w io.Writer) error {
+func (f *Registry) Write(w io.Writer) error {
 	families, err := f.reg.Gather()
 	if err != nil {
 		return err
--- a/internal/resp/resp.go
+++ b/internal/resp/resp.go
@@ -9,9 +9,9 @@
 	"strconv"
 )
 
-// MostValue is the largest value: the protocol says 64 KiB, the operators' page that values of up to 4 MiB
+// MaxValue is the largest value: the protocol says 64 KiB, the operators' page that values of up to 4 MiB
 // occur.
-const MostValue = 4 << 20
+const MaxValue = 4 << 20
 
 // Line gives the text of a line behind its first byte, and the whole line's size, 0 where its end has not come;
 // false says that it is none, or longer than most.
@@ -51,7 +51,7 @@
 		if at == len(b) {
 			return 0, words, nil
 		}
-		n, start, ok := Length(b[at:], '$', MostValue)
+		n, start, ok := Length(b[at:], '$', MaxValue)
 		if !ok || n < 0 {
 			return 0, nil, errors.New("Protocol error: invalid length of a word")
 		}
--- a/internal/resp/resp_test.go
+++ b/internal/resp/resp_test.go
@@ -35,7 +35,7 @@
 
 // Failure: a value of 60 MB was waited for up to the size of the largest command, an endless line likewise.
 func TestLengthsAreJudgedBeforeWhatTheyCount(t *testing.T) {
-	for _, text := range []string{"*1\r\n$60000000\r\n", fmt.Sprintf("*1\r\n$%d\r\n", MostValue+1), "*1\r\n$-1\r\n", "*1\r\n$-5\r\n", "*0\r\n",
+	for _, text := range []string{"*1\r\n$60000000\r\n", fmt.Sprintf("*1\r\n$%d\r\n", MaxValue+1), "*1\r\n$-1\r\n", "*1\r\n$-5\r\n", "*0\r\n",
 		"*-1\r\n", "*17\r\n", "*9223372036854775807\r\n", "*x\r\n", "*\r\n", "*1\n", "*1\r\n$\r\n", "*1\r\n:4\r\n",
 		"*1\r\n$9223372036854775807\r\nx", "*1\r\n$2\r\nabc\r\n", "*" + strings.Repeat("1", 20), "PING\r\n", "\x00", "\r\n",
 		"*1\r\n$+4\r\nPING\r\n", "*1\r\n$" + strings.Repeat("0", 20), "$5 hello\r\n"} {
@@ -43,7 +43,7 @@
 			t.Errorf("%.30q: %d, %v", text, size, err)
 		}
 	}
-	if size, _, err := Command(fmt.Appendf(nil, "*1\r\n$%d\r\n%s\r\n", MostValue, make([]byte, MostValue)), nil); size == 0 {
+	if size, _, err := Command(fmt.Appendf(nil, "*1\r\n$%d\r\n%s\r\n", MaxValue, make([]byte, MaxValue)), nil); size == 0 {
 		t.Errorf("the largest value: %v", err)
 	}
 	safe := func(b []byte) bool {
--- a/internal/simwire/simwire.go
+++ b/internal/simwire/simwire.go
@@ -10,8 +10,8 @@
 
 const (
 	headBytes = 16
-	// MostBytes bounds a frame, so that a damaged length is an error and not a huge allocation.
-	MostBytes = 1 << 30
+	// MaxBytes bounds a frame, so that a damaged length is an error and not a huge allocation.
+	MaxBytes = 1 << 30
 )
 
 // Frame is one batch of events, read field by field. The first fault sticks: all later reads give zero.
@@ -35,7 +35,7 @@
 	size := binary.LittleEndian.Uint32(head[0:])
 	count := binary.LittleEndian.Uint32(head[4:])
 	clock := math.Float64frombits(binary.LittleEndian.Uint64(head[8:]))
-	if size > MostBytes {
+	if size > MaxBytes {
 		return fmt.Errorf("frame header: impossible length %d", size)
 	}
 	if count > size { // a record has one byte at the least
--- a/internal/store/api.go
+++ b/internal/store/api.go
@@ -189,8 +189,8 @@
 	return err
 }
 
-// Fresh is a key with all that has landed, read by way of the leader.
-func (s *Store) Fresh(key string) (e kv.Entry, ok bool, err error) {
+// ReadFromLeader is a key with all that has landed, read by way of the leader.
+func (s *Store) ReadFromLeader(key string) (e kv.Entry, ok bool, err error) {
 	if e, ok, err = s.get(key, true); !errors.Is(err, errElsewhere) {
 		return e, ok, err
 	}
--- a/internal/store/kv/kv.go
+++ b/internal/store/kv/kv.go
@@ -43,9 +43,9 @@
 
 // What a command may hold; beyond that the log would hold up elections.
 const (
-	MostEdits = 1000
-	MostKey   = 256
-	MostValue = 1 << 20
+	MaxEdits = 1000
+	MaxKey   = 256
+	MaxValue = 1 << 20
 )
 
 // Conflict says that a key has another index than the edit asked for.
@@ -70,20 +70,20 @@
 }
 
 func check(edits []Edit) error {
-	if len(edits) == 0 || len(edits) > MostEdits {
-		return fmt.Errorf("%d edits, not 1 to %d: %w", len(edits), MostEdits, ErrForm)
+	if len(edits) == 0 || len(edits) > MaxEdits {
+		return fmt.Errorf("%d edits, not 1 to %d: %w", len(edits), MaxEdits, ErrForm)
 	}
 	seen := map[string]bool{}
 	for _, e := range edits {
-		if e.Key == "" || len(e.Key) > MostKey || strings.ContainsFunc(e.Key, func(r rune) bool { return r <= ' ' || r > '~' }) {
-			return fmt.Errorf("key %.40q is not 1 to %d printable characters: %w", e.Key, MostKey, ErrForm)
+		if e.Key == "" || len(e.Key) > MaxKey || strings.ContainsFunc(e.Key, func(r rune) bool { return r <= ' ' || r > '~' }) {
+			return fmt.Errorf("key %.40q is not 1 to %d printable characters: %w", e.Key, MaxKey, ErrForm)
 		}
 		if seen[e.Key] {
 			return fmt.Errorf("key %s stands twice: %w", e.Key, ErrForm)
 		}
 		seen[e.Key] = true
-		if len(e.Value) > MostValue {
-			return fmt.Errorf("key %s: %d bytes, above %d: %w", e.Key, len(e.Value), MostValue, ErrForm)
+		if len(e.Value) > MaxValue {
+			return fmt.Errorf("key %s: %d bytes, above %d: %w", e.Key, len(e.Value), MaxValue, ErrForm)
 		}
 		if len(e.Value) > 0 && !json.Valid(e.Value) {
 			return fmt.Errorf("key %s: its value is no JSON: %w", e.Key, ErrForm)
--- a/internal/store/kv/kv_test.go
+++ b/internal/store/kv/kv_test.go
@@ -49,7 +49,7 @@
 
 func TestWhatIsNotInFormIsNotWritten(t *testing.T) {
 	for _, edits := range [][]Edit{nil, {put("", "1")}, {put("a b", "1")}, {put("a", "{")}, {put("a", "1"), put("a", "2")},
-		{put(strings.Repeat("k", MostKey+1), "1")}, {put("a", `"`+strings.Repeat("x", MostValue)+`"`)}, make([]Edit, MostEdits+1)} {
+		{put(strings.Repeat("k", MaxKey+1), "1")}, {put("a", `"`+strings.Repeat("x", MaxValue)+`"`)}, make([]Edit, MaxEdits+1)} {
 		if _, err := Encode(edits); !errors.Is(err, ErrForm) {
 			t.Errorf("%.60v: %v", edits, err)
 		}
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -106,7 +106,7 @@
 	s := &Store{o: o, state: kv.New(), closed: make(chan struct{})}
 	way := &http.Transport{MaxIdleConnsPerHost: 8}
 	if s.scheme = "http://"; o.TLS != nil {
-		s.scheme, way.TLSClientConfig = "https://", o.TLS.Client()
+		s.scheme, way.TLSClientConfig = "https://", o.TLS.ClientConfig()
 	}
 	s.client = &http.Client{Timeout: writeWait + time.Second, Transport: way}
 	err := s.open()
@@ -123,7 +123,7 @@
 		return err
 	}
 	if o.TLS != nil {
-		s.listener = tls.NewListener(s.listener, o.TLS.Server())
+		s.listener = tls.NewListener(s.listener, o.TLS.ServerConfig())
 	}
 	// A second process in the same folder is refused rather than waited for.
 	path := filepath.Join(o.Dir, "raft.db")
@@ -156,7 +156,7 @@
 		if err != nil {
 			return err
 		}
-		s.net = raft.NewNetworkTransportWithLogger(&stream{tls.NewListener(l, o.TLS.Server()), advertised, o.TLS}, 3, 2*time.Second, logger)
+		s.net = raft.NewNetworkTransportWithLogger(&stream{tls.NewListener(l, o.TLS.ServerConfig()), advertised, o.TLS}, 3, 2*time.Second, logger)
 	} else if s.net, err = raft.NewTCPTransportWithLogger(o.Me.Raft, advertised, 3, 2*time.Second, logger); err != nil {
 		return err
 	}
@@ -201,7 +201,7 @@
 
 // Dial connects to another replica.
 func (s *stream) Dial(to raft.ServerAddress, within time.Duration) (net.Conn, error) {
-	return tls.DialWithDialer(&net.Dialer{Timeout: within}, "tcp", string(to), s.source.Client())
+	return tls.DialWithDialer(&net.Dialer{Timeout: within}, "tcp", string(to), s.source.ClientConfig())
 }
 
 // lines passes Raft's own warnings on to the log.
@@ -490,15 +490,15 @@
 	return ""
 }
 
-// Entry is a key as this replica has it.
-func (s *Store) Entry(key string) (kv.Entry, bool) {
+// ReadLocal is a key as this replica has it.
+func (s *Store) ReadLocal(key string) (kv.Entry, bool) {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	return s.state.Get(key)
 }
 
-// Rows are the values of the keys with a prefix, by what follows it, as this replica has them.
-func (s *Store) Rows(prefix string) map[string]json.RawMessage {
+// ReadPrefix are the values of the keys with a prefix, by what follows it, as this replica has them.
+func (s *Store) ReadPrefix(prefix string) map[string]json.RawMessage {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	all := map[string]json.RawMessage{}
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -352,7 +352,7 @@
 		t.Fatal(status, text)
 	}
 	c.alike()
-	rows := c.up["a"].Rows("plans/")
+	rows := c.up["a"].ReadPrefix("plans/")
 	if len(rows) != 2 || string(rows["x"]) != "1" || string(rows["y"]) != "2" {
 		t.Errorf("%s", rows)
 	}
--- a/internal/store/version0_test.go
+++ b/internal/store/version0_test.go
@@ -42,7 +42,7 @@
 		if err := s.raft.Snapshot().Error(); err != nil {
 			t.Fatal(err)
 		}
-		e, _ := s.Entry("plans/basic")
+		e, _ := s.ReadLocal("plans/basic")
 		land(kv.Edit{Key: "plans/basic", Value: json.RawMessage(`{"name":"basic","quota-rate":9}`), Check: true, If: e.Index},
 			kv.Edit{Key: "x/gone"})
 		land(kv.Edit{Key: "x/after", Value: json.RawMessage(`["behind the snapshot"]`)})
@@ -66,11 +66,11 @@
 		"x/before":    {Value: json.RawMessage(`{"n":1}`), Index: 5},
 		"x/after":     {Value: json.RawMessage(`["behind the snapshot"]`), Index: 7},
 	}
-	if rows := s.Rows(""); len(rows) != len(want)+1 || rows[peerKey+"a"] == nil {
+	if rows := s.ReadPrefix(""); len(rows) != len(want)+1 || rows[peerKey+"a"] == nil {
 		t.Errorf("keys %q", slices.Sorted(maps.Keys(rows)))
 	}
 	for key, x := range want {
-		if e, ok := s.Entry(key); !ok || e.Index != x.Index || !bytes.Equal(e.Value, x.Value) {
+		if e, ok := s.ReadLocal(key); !ok || e.Index != x.Index || !bytes.Equal(e.Value, x.Value) {
 			t.Errorf("%s: %s at %d, not %s at %d", key, e.Value, e.Index, x.Value, x.Index)
 		}
 	}
--- a/internal/timerqueue/timerqueue.go
+++ b/internal/timerqueue/timerqueue.go
@@ -31,14 +31,14 @@
 	turn  uint64
 }
 
-// Add puts what in the queue for the time at.
-func (q *Queue[T]) Add(at int64, what T) {
+// Push puts what in the queue for the time at.
+func (q *Queue[T]) Push(at int64, what T) {
 	q.turn++
 	heap.Push(&q.items, item[T]{at, q.turn, what})
 }
 
-// Next tells the earliest time in the queue; what is needless by now is dropped on the way.
-func (q *Queue[T]) Next(needless func(T) bool) (at int64, ok bool) {
+// NextDue tells the earliest time in the queue; what is needless by now is dropped on the way.
+func (q *Queue[T]) NextDue(needless func(T) bool) (at int64, ok bool) {
 	for len(q.items) > 0 && needless(q.items[0].what) {
 		heap.Pop(&q.items)
 	}
@@ -48,8 +48,8 @@
 	return q.items[0].at, true
 }
 
-// Take removes the earliest thing that is due by now.
-func (q *Queue[T]) Take(now int64) (what T, ok bool) {
+// PopDue removes the earliest thing that is due by now.
+func (q *Queue[T]) PopDue(now int64) (what T, ok bool) {
 	if len(q.items) == 0 || q.items[0].at > now {
 		return what, false
 	}
--- a/internal/tlsconfig/tlsconfig.go
+++ b/internal/tlsconfig/tlsconfig.go
@@ -22,8 +22,8 @@
 	Authority   string `toml:"tls_authority"` // of the other side; empty: a server asks for none
 }
 
-// On says whether any is named.
-func (f Files) On() bool { return f != Files{} }
+// Enabled says whether any is named.
+func (f Files) Enabled() bool { return f != Files{} }
 
 // Source keeps what the files held last.
 type Source struct {
@@ -107,20 +107,20 @@
 		logging.For("tls").WithField("until", s.pair.Leaf.NotAfter.UTC().Format(time.RFC3339)).Info("a new certificate is taken")
 	}
 	if said != s.bad && said != "" {
-		logging.For("tls").WithField(logging.Fault, said).Error("the new certificate is not taken, the old one goes on")
+		logging.For("tls").WithField(logging.Error, said).Error("the new certificate is not taken, the old one goes on")
 	}
 	s.bad = said
 	return s.pair, s.pool
 }
 
-// Left is how long the certificate holds; below 0: it has run out.
-func (s *Source) Left() time.Duration {
+// ExpiresIn is how long the certificate holds; below 0: it has run out.
+func (s *Source) ExpiresIn() time.Duration {
 	pair, _ := s.now()
 	return time.Until(pair.Leaf.NotAfter)
 }
 
-// Server is for listeners.
-func (s *Source) Server() *tls.Config {
+// ServerConfig is for listeners.
+func (s *Source) ServerConfig() *tls.Config {
 	return &tls.Config{MinVersion: tls.VersionTLS12, GetConfigForClient: func(*tls.ClientHelloInfo) (*tls.Config, error) {
 		pair, pool := s.now()
 		c := &tls.Config{MinVersion: tls.VersionTLS12, Certificates: []tls.Certificate{*pair}}
@@ -131,9 +131,9 @@
 	}}
 }
 
-// Client is for connections to a server whose certificate the authority has signed. Its name need not be the address's:
+// ClientConfig is for connections to a server whose certificate the authority has signed. Its name need not be the address's:
 // replicas are named by addresses that certificates seldom hold, and the authority is the installation's own.
-func (s *Source) Client() *tls.Config {
+func (s *Source) ClientConfig() *tls.Config {
 	return &tls.Config{MinVersion: tls.VersionTLS12, InsecureSkipVerify: true, // checked below, against the authority
 		GetClientCertificate: func(*tls.CertificateRequestInfo) (*tls.Certificate, error) {
 			pair, _ := s.now()
--- a/internal/warmstart/warmstart.go
+++ b/internal/warmstart/warmstart.go
@@ -25,14 +25,14 @@
 
 // body is the file behind the line that says what it is and the checksum (xxhash, big-endian) of the rest.
 type body struct {
-	Version int            `json:"v"`
-	Saved   int64          `json:"saved_unix_ns"`
-	Learned policy.Learned `json:"learned"`
+	Version int                   `json:"v"`
+	Saved   int64                 `json:"saved_unix_ns"`
+	Learned policy.WarmStartState `json:"learned"`
 }
 
 // Save writes the file: to another name in its folder, synced, and renamed over the old one, and the folder is synced
 // then. On an error, a full disk's say, the old file stays as it was.
-func Save(path string, l policy.Learned, now time.Time) error {
+func Save(path string, l policy.WarmStartState, now time.Time) error {
 	text, err := json.Marshal(body{Version, now.UnixNano(), l})
 	if err != nil {
 		return fmt.Errorf("learned: %w", err)
@@ -57,7 +57,7 @@
 
 // Load reads the file, and tells how old it is. A file that is not there is os.ErrNotExist; one cut short, damaged, of
 // another version, or from the future, is refused by an error that says so.
-func Load(path string, now time.Time) (l policy.Learned, age time.Duration, err error) {
+func Load(path string, now time.Time) (l policy.WarmStartState, age time.Duration, err error) {
 	info, err := os.Stat(path)
 	if err != nil {
 		return l, 0, fmt.Errorf("learned: %w", err)
--- a/internal/warmstart/warmstart_test.go
+++ b/internal/warmstart/warmstart_test.go
@@ -21,10 +21,10 @@
 )
 
 // some is a state in which every part says the same number, so that a mixture of two shows.
-func some(n int) (l policy.Learned) {
-	l.Usual, l.Count = float64(n), float64(n)
+func some(n int) (l policy.WarmStartState) {
+	l.BaselineLatency, l.Samples = float64(n), float64(n)
 	for b := range 400 {
-		l.Backends = append(l.Backends, policy.LearnedBackend{Backend: policy.BackendID(b), Started: int64(n), Usual: float64(n), Count: 1})
+		l.Backends = append(l.Backends, policy.BackendWarmStart{Backend: policy.BackendID(b), StartedAt: int64(n), BaselineLatency: float64(n), Samples: 1})
 	}
 	return l
 }
@@ -80,11 +80,11 @@
 			t.Fatalf("kill %d: %v", n, err)
 		}
 		for _, b := range l.Backends {
-			if b.Usual != l.Usual || len(l.Backends) != 400 {
-				t.Fatalf("kill %d: a mixture of %v and %v", n, l.Usual, b.Usual)
+			if b.BaselineLatency != l.BaselineLatency || len(l.Backends) != 400 {
+				t.Fatalf("kill %d: a mixture of %v and %v", n, l.BaselineLatency, b.BaselineLatency)
 			}
 		}
-		seen[l.Usual] = true
+		seen[l.BaselineLatency] = true
 	}
 	if len(seen) < 5 {
 		t.Errorf("only %d states were seen: the kills hit nothing", len(seen))
@@ -100,8 +100,8 @@
 	if err != nil || !strings.Contains(string(out), "file too large") {
 		t.Errorf("%v, %q", err, out)
 	}
-	if l, _, err := Load(path, time.Now()); err != nil || l.Usual != 3 {
-		t.Error(l.Usual, err)
+	if l, _, err := Load(path, time.Now()); err != nil || l.BaselineLatency != 3 {
+		t.Error(l.BaselineLatency, err)
 	}
 	if err := Save(filepath.Join(path, "below-a-file"), some(1), time.Now()); err == nil {
 		t.Error("an error of the folder was not told")
--- a/policy/bench_test.go
+++ b/policy/bench_test.go
@@ -5,39 +5,39 @@
 )
 
 // idleEffects counts nothing and does nothing.
-type idleEffects struct{ name CountID }
+type idleEffects struct{ name CounterKey }
 
-func (*idleEffects) Shoot(TransactionID, BackendID, int64, int64) {}
-func (*idleEffects) Recall(TransactionID, ShotID)                 {}
-func (*idleEffects) Dismiss(TransactionID, int64)                 {}
-func (*idleEffects) BreakOff(TransactionID)                       {}
-func (*idleEffects) Grant(TransactionID)                          {}
-func (*idleEffects) Wake(int64, uint64)                           {}
-func (e *idleEffects) Count(name CountID, _ float64, _ int64)     { e.name = name }
-func (*idleEffects) Probe(BackendID)                              {}
-func (*idleEffects) Follow()                                      {}
-func (*idleEffects) Note(string)                                  {}
+func (*idleEffects) Send(RequestID, BackendID, int64, int64)            {}
+func (*idleEffects) Cancel(RequestID, AttemptID)                        {}
+func (*idleEffects) Reject(RequestID, int64)                            {}
+func (*idleEffects) Abort(RequestID)                                    {}
+func (*idleEffects) Admit(RequestID)                                    {}
+func (*idleEffects) WakeAt(int64, uint64)                               {}
+func (e *idleEffects) AddToCounter(name CounterKey, _ float64, _ int64) { e.name = name }
+func (*idleEffects) CheckHealth(BackendID)                              {}
+func (*idleEffects) WatchEndpoints()                                    {}
+func (*idleEffects) Log(string)                                         {}
 
 // BenchmarkPolicy_Request is one request's whole way: taken, counted, sent and settled.
 func BenchmarkPolicy_Request(b *testing.B) {
 	terms := plainTerms()
-	terms.Plans = []PlanTerms{{Rate: 1e6, Burst: 1e6}}
+	terms.Plans = []PlanSettings{{Rate: 1e6, Burst: 1e6}}
 	effects := &idleEffects{}
 	now := 1000 * sec
 	g := New(now, 1, terms, effects)
-	g.Backends(now, Whole, ready(1, 2, 3, 4, 5, 6, 7, 8))
+	g.UpdateEndpoints(now, FullSnapshot, ready(1, 2, 3, 4, 5, 6, 7, 8))
 	step := func(id int) {
-		request := g.Take(now, TransactionID(id), 0, 0, CustomerID(id%100), 2*sec, 1, 2, 0)
+		request := g.Submit(now, RequestID(id), 0, 0, TenantID(id%100), 2*sec, 1, 2, 0)
 		now += ms
-		g.Counted(now, Fulfilled, effects.name, 1)
+		g.HandleCounterResult(now, Succeeded, effects.name, 1)
 		now += 9 * ms
-		request.Settled(now, 0, Fulfilled, 9*ms, false, 0)
+		request.HandleAttemptResult(now, 0, Succeeded, 9*ms, false, 0)
 		if !request.Done() || len(request.shots) != 1 {
 			b.Fatalf("request %d: done %v, %d attempts", id, request.Done(), len(request.shots))
 		}
 		if id%10 == 0 {
-			g.Wake(now, markTick)
-			g.Wake(now, g.wakes)
+			g.HandleTimer(now, markTick)
+			g.HandleTimer(now, g.wakes)
 		}
 	}
 	for id := range 1000 { // until what is measured and remembered is steady
--- a/policy/cold_test.go
+++ b/policy/cold_test.go
@@ -40,7 +40,7 @@
 	r       *rand.Rand
 	now     int64
 	due     timerqueue.Queue[func()]
-	terms   Terms
+	terms   Settings
 	lives   [][]*coldLife // by door, those that get traffic
 	weight  []float64     // of a door in the traffic, added up
 	far     []int64       // what a door's answers take beyond the work
@@ -84,14 +84,14 @@
 type coldLife struct {
 	site *coldSite
 	me   int
-	gate *Gate
+	gate *Engine
 	dead bool
-	open map[TransactionID]*coldTaken
+	open map[RequestID]*coldTaken
 }
 
 type coldTaken struct {
-	id    TransactionID
-	h     *Transaction
+	id    RequestID
+	h     *Request
 	shots []*coldShot
 	ended bool
 }
@@ -107,7 +107,7 @@
 	done    bool
 }
 
-func (l *coldLife) Shoot(id TransactionID, b BackendID, expire, _ int64) { // none is numbered
+func (l *coldLife) Send(id RequestID, b BackendID, expire, _ int64) { // none is numbered
 	s, x := l.site, l.open[id]
 	shot := &coldShot{life: l, x: x, n: len(x.shots), to: s.servers[b], started: l.gate.backends[b].started, sent: s.now,
 		work: float64(s.work) * (0.5 + s.r.Float64())}
@@ -125,45 +125,45 @@
 	}
 }
 
-func (l *coldLife) Recall(id TransactionID, n ShotID) {
+func (l *coldLife) Cancel(id RequestID, n AttemptID) {
 	shot := l.open[id].shots[n]
-	l.site.at(l.site.now, func() { l.site.end(shot, Recalled) })
+	l.site.at(l.site.now, func() { l.site.end(shot, Canceled) })
 }
 
-func (l *coldLife) Wake(at int64, mark uint64) {
+func (l *coldLife) WakeAt(at int64, mark uint64) {
 	l.site.at(at, func() {
 		if !l.dead {
-			l.gate.Wake(l.site.now, mark)
+			l.gate.HandleTimer(l.site.now, mark)
 		}
 	})
 }
 
-func (l *coldLife) Probe(b BackendID) {
+func (l *coldLife) CheckHealth(b BackendID) {
 	s := l.site
 	s.at(s.now+5*ms, func() {
-		if o := Unreached; !l.dead {
+		if o := ConnectFailed; !l.dead {
 			if s.servers[b].up {
-				o = Fulfilled
+				o = Succeeded
 			}
-			l.gate.Probed(s.now, b, o)
+			l.gate.HandleHealthCheck(s.now, b, o)
 		}
 	})
 }
 
-func (l *coldLife) Dismiss(id TransactionID, comeBack int64)   { l.open[id].ended = true }
-func (l *coldLife) BreakOff(id TransactionID)                  { l.open[id].ended = true }
-func (l *coldLife) Grant(id TransactionID)                     {}
-func (l *coldLife) Count(c CountID, units float64, live int64) {}
-func (l *coldLife) Follow()                                    {}
-func (l *coldLife) Note(text string)                           { l.site.t.Error(text) }
+func (l *coldLife) Reject(id RequestID, comeBack int64)                  { l.open[id].ended = true }
+func (l *coldLife) Abort(id RequestID)                                   { l.open[id].ended = true }
+func (l *coldLife) Admit(id RequestID)                                   {}
+func (l *coldLife) AddToCounter(c CounterKey, units float64, live int64) {}
+func (l *coldLife) WatchEndpoints()                                      {}
+func (l *coldLife) Log(text string)                                      { l.site.t.Error(text) }
 
 func newColdSite(t testing.TB, c coldSetting, seed uint64) *coldSite {
 	s := &coldSite{coldSetting: c, t: t, r: rand.New(rand.NewPCG(seed, 4)), now: 1000 * sec,
 		servers: map[BackendID]*coldServer{}, late: seed%2 == 0}
 	s.terms = plainTerms()
-	s.terms.Counter, s.terms.Doors, s.terms.Plans = false, c.doors, []PlanTerms{{}}
-	s.terms.Profiles[0].Promised = max(750*ms, 5*c.work)
-	s.terms.ColdShare, s.terms.WarmUp, s.terms.FallMultiple, s.terms.FallSpan = c.share, c.warmUp, c.multiple, c.span
+	s.terms.CounterEnabled, s.terms.Instances, s.terms.Plans = false, c.doors, []PlanSettings{{}}
+	s.terms.Classes[0].LatencyObjective = max(750*ms, 5*c.work)
+	s.terms.SlowStartShare, s.terms.SlowStartDuration, s.terms.OverloadMultiple, s.terms.OverloadWindow = c.share, c.warmUp, c.multiple, c.span
 	s.bears = []coldBears{{0, c.multiple, 1}}
 	s.lives, s.weight, s.far = make([][]*coldLife, c.doors), make([]float64, c.doors), make([]int64, c.doors)
 	s.traffic(func(int) float64 { return 1 })
@@ -187,7 +187,7 @@
 	s.ids = append(s.ids, id)
 }
 
-func (s *coldSite) at(when int64, what func()) { s.due.Add(when, what) }
+func (s *coldSite) at(when int64, what func()) { s.due.Push(when, what) }
 
 // in calls what so long from the play's beginning on.
 func (s *coldSite) in(span int64, what func()) { s.at(1000*sec+span, what) }
@@ -196,12 +196,12 @@
 	s.latest = 1000*sec + until
 	never := func(func()) bool { return false }
 	for {
-		next, ok := s.due.Next(never)
+		next, ok := s.due.NextDue(never)
 		if !ok || next > s.latest {
 			break
 		}
 		s.now = max(s.now, next)
-		what, _ := s.due.Take(s.now)
+		what, _ := s.due.PopDue(s.now)
 		what()
 	}
 	for _, id := range s.ids {
@@ -218,28 +218,28 @@
 	}
 }
 
-func (s *coldSite) listed() (list []Listed) {
+func (s *coldSite) listed() (list []Endpoint) {
 	for _, id := range s.ids {
 		list = append(list, s.servers[id].listed())
 	}
 	return list
 }
 
-func (v *coldServer) listed() Listed {
-	l := Listed{Backend: v.id, Size: v.size, Started: v.started + v.ahead, Stage: Gone}
+func (v *coldServer) listed() Endpoint {
+	l := Endpoint{Backend: v.id, Capacity: v.size, StartedAt: v.started + v.ahead, State: EndpointGone}
 	if v.up {
-		l.Stage = Ready
+		l.State = EndpointReady
 	}
 	return l
 }
 
 // live begins a life of the door beside those that it has.
 func (s *coldSite) live(me int) *coldLife {
-	l := &coldLife{site: s, me: me, open: map[TransactionID]*coldTaken{}}
+	l := &coldLife{site: s, me: me, open: map[RequestID]*coldTaken{}}
 	terms := s.terms
-	terms.Me = me
+	terms.InstanceIndex = me
 	l.gate = New(s.now, s.r.Uint64(), terms, l)
-	l.gate.Backends(s.now, Cached, s.listed())
+	l.gate.UpdateEndpoints(s.now, CachedSnapshot, s.listed())
 	s.lives[me] = append(s.lives[me], l)
 	return l
 }
@@ -258,7 +258,7 @@
 func (s *coldSite) tell(v *coldServer) {
 	for _, lives := range s.lives {
 		for _, l := range lives {
-			s.at(s.now+s.r.Int64N(100*ms), func() { l.gate.Backends(s.now, Changes, []Listed{v.listed()}) })
+			s.at(s.now+s.r.Int64N(100*ms), func() { l.gate.UpdateEndpoints(s.now, Delta, []Endpoint{v.listed()}) })
 		}
 	}
 }
@@ -268,7 +268,7 @@
 	s.check(v)
 	v.up, v.busy = false, 0
 	for _, shot := range v.line {
-		s.at(s.now, func() { s.end(shot, CutOff) })
+		s.at(s.now, func() { s.end(shot, ConnectionLost) })
 	}
 	v.line = nil
 	s.tell(v)
@@ -308,9 +308,9 @@
 }
 
 func (s *coldSite) take(l *coldLife) {
-	x := &coldTaken{id: TransactionID(s.r.Uint64())}
+	x := &coldTaken{id: RequestID(s.r.Uint64())}
 	l.open[x.id] = x
-	x.h = l.gate.Take(s.now, x.id, 0, 0, CustomerID(s.r.IntN(8)), 2*sec, 1, 1, 0)
+	x.h = l.gate.Submit(s.now, x.id, 0, 0, TenantID(s.r.IntN(8)), 2*sec, 1, 1, 0)
 	if len(x.shots) == 0 {
 		delete(l.open, x.id)
 		return
@@ -318,7 +318,7 @@
 	s.at(s.now+2*sec, func() {
 		if !x.ended {
 			x.ended = true
-			x.h.Left(s.now)
+			x.h.HandleClientGone(s.now)
 		}
 		s.at(s.now+sec, func() { delete(l.open, x.id) })
 	})
@@ -337,7 +337,7 @@
 	switch v := shot.to; {
 	case shot.done:
 	case !v.up || v.started+v.ahead != shot.started:
-		s.end(shot, Unreached)
+		s.end(shot, ConnectFailed)
 	default:
 		v.begun = append(v.begun, s.now)
 		if len(v.line) > int(10*s.cores) {
@@ -356,7 +356,7 @@
 			if v.started == started && v.up {
 				v.line = slices.DeleteFunc(v.line, func(x *coldShot) bool { return x == shot })
 				v.busy--
-				s.at(s.now+s.far[shot.life.me], func() { s.end(shot, Fulfilled) })
+				s.at(s.now+s.far[shot.life.me], func() { s.end(shot, Succeeded) })
 				s.serve(v)
 			}
 		})
@@ -369,7 +369,7 @@
 		return
 	}
 	shot.done = true
-	if o == Recalled { // one that is worked on is worked on to its end
+	if o == Canceled { // one that is worked on is worked on to its end
 		v := shot.to
 		if n := slices.Index(v.line, shot); n >= v.busy {
 			v.line = slices.Delete(v.line, n, n+1)
@@ -378,9 +378,9 @@
 	if shot.life.dead {
 		return
 	}
-	over := shot.x.ended || o == Fulfilled
+	over := shot.x.ended || o == Succeeded
 	shot.x.ended = over
-	shot.x.h.Settled(s.now, ShotID(shot.n), o, s.now-shot.sent, over, 0)
+	shot.x.h.HandleAttemptResult(s.now, AttemptID(shot.n), o, s.now-shot.sent, over, 0)
 }
 
 // check holds what was sent to a backend in its life against the rule, in every window of the span.
@@ -464,13 +464,13 @@
 		s.in(coldAt, s.third)
 		tell := func(multiple float64) func() {
 			return func() {
-				s.terms.FallMultiple = multiple
+				s.terms.OverloadMultiple = multiple
 				s.bears = append(s.bears, coldBears{s.now, multiple, 1})
 				for me, lives := range s.lives {
 					for _, l := range lives {
 						terms := s.terms
-						terms.Me = me
-						l.gate.Retune(terms)
+						terms.InstanceIndex = me
+						l.gate.UpdateSettings(terms)
 					}
 				}
 			}
--- a/policy/golden_test.go
+++ b/policy/golden_test.go
@@ -60,7 +60,7 @@
 	seconds                                 int64
 	service                                 int64   // usual service time of a backend
 	leave, stream                           float64 // shares of the requests
-	terms                                   func(*policy.Terms)
+	terms                                   func(*policy.Settings)
 	faults                                  goldenFaults
 	zeroUnits                               bool  // some requests have no units
 	workByUnits                             bool  // small requests are much quicker
@@ -69,48 +69,48 @@
 	want                                    string
 }
 
-func goldenTerms() policy.Terms {
-	return policy.Terms{
-		Profiles: []policy.ProfileTerms{
-			{Promised: 750 * goldenMillisecond, HardLimit: 2 * goldenSecond, LateUtility: 0.4},
-			{Promised: 500 * goldenMillisecond, HardLimit: 1500 * goldenMillisecond},
+func goldenTerms() policy.Settings {
+	return policy.Settings{
+		Classes: []policy.ClassSettings{
+			{LatencyObjective: 750 * goldenMillisecond, Deadline: 2 * goldenSecond, LateValue: 0.4},
+			{LatencyObjective: 500 * goldenMillisecond, Deadline: 1500 * goldenMillisecond},
 		},
-		Plans: []policy.PlanTerms{
-			{Rate: 6, Burst: 12, BeyondCosts: 1},
-			{Rate: 15, Burst: 20, BeyondCosts: 0.5},
-			{Rate: 2, Burst: 3, BeyondEarns: 0.2, BeyondCosts: 1.2},
+		Plans: []policy.PlanSettings{
+			{Rate: 6, Burst: 12, OverQuotaCost: 1},
+			{Rate: 15, Burst: 20, OverQuotaCost: 0.5},
+			{Rate: 2, Burst: 3, OverQuotaValue: 0.2, OverQuotaCost: 1.2},
 		},
-		MostShots: 3, Recalls: true, Probes: true, Advice: true, LongestAdvice: goldenSecond,
-		Counter: true, CounterTimeout: 50 * goldenMillisecond, DrainGrace: goldenSecond,
-		ColdShare: 0.2, WarmUp: 6 * goldenSecond, FallMultiple: 2, FallSpan: goldenSecond,
+		MaxAttempts: 3, Cancellation: true, HealthChecks: true, RetryAfter: true, MaxRetryAfter: goldenSecond,
+		CounterEnabled: true, CounterTimeout: 50 * goldenMillisecond, DrainGrace: goldenSecond,
+		SlowStartShare: 0.2, SlowStartDuration: 6 * goldenSecond, OverloadMultiple: 2, OverloadWindow: goldenSecond,
 	}
 }
 
 // everyEffect is a class for each idempotency and each scope of it.
-func everyEffect() []policy.ProfileTerms {
-	classes := []policy.ProfileTerms{
-		{Effect: policy.Reissuable},
-		{Effect: policy.Numbered, Reach: policy.ReachAll, Memory: 800 * goldenMillisecond},
-		{Effect: policy.Numbered, Reach: policy.ReachZone, Memory: goldenSecond},
-		{Effect: policy.Numbered, Reach: policy.ReachGroup, Memory: 600 * goldenMillisecond},
-		{Effect: policy.AtMostOnce},
-		{Effect: policy.Numbered, Reach: policy.ReachAll, Memory: 200 * goldenMillisecond}, // gone before a retry is
-		{Effect: policy.Numbered, Reach: policy.ReachGroup, Memory: 120 * goldenMillisecond},
+func everyEffect() []policy.ClassSettings {
+	classes := []policy.ClassSettings{
+		{Idempotency: policy.Idempotent},
+		{Idempotency: policy.IdempotentWithKey, DedupScope: policy.DedupByAll, DedupWindow: 800 * goldenMillisecond},
+		{Idempotency: policy.IdempotentWithKey, DedupScope: policy.DedupByZone, DedupWindow: goldenSecond},
+		{Idempotency: policy.IdempotentWithKey, DedupScope: policy.DedupByGroup, DedupWindow: 600 * goldenMillisecond},
+		{Idempotency: policy.NonIdempotent},
+		{Idempotency: policy.IdempotentWithKey, DedupScope: policy.DedupByAll, DedupWindow: 200 * goldenMillisecond}, // gone before a retry is
+		{Idempotency: policy.IdempotentWithKey, DedupScope: policy.DedupByGroup, DedupWindow: 120 * goldenMillisecond},
 	}
 	for i := range classes {
-		classes[i].Promised, classes[i].HardLimit = 600*goldenMillisecond, 2*goldenSecond
-		classes[i].LateUtility = float64(i%2) / 2
+		classes[i].LatencyObjective, classes[i].Deadline = 600*goldenMillisecond, 2*goldenSecond
+		classes[i].LateValue = float64(i%2) / 2
 	}
 	// Long enough for several attempts one after another, up to the last that is worth sending.
-	return append(classes, policy.ProfileTerms{Promised: 1500 * goldenMillisecond, HardLimit: 2 * goldenSecond})
+	return append(classes, policy.ClassSettings{LatencyObjective: 1500 * goldenMillisecond, Deadline: 2 * goldenSecond})
 }
 
 // everySilence is a class for each way to decide while the counter gives no answer.
-func everySilence() []policy.ProfileTerms {
-	var classes []policy.ProfileTerms
-	for _, silence := range []policy.Silence{policy.KeepShare, policy.LetAll, policy.DismissAll} {
-		classes = append(classes, policy.ProfileTerms{Promised: 750 * goldenMillisecond,
-			HardLimit: 2 * goldenSecond, Silence: silence, LateUtility: 0.3})
+func everySilence() []policy.ClassSettings {
+	var classes []policy.ClassSettings
+	for _, silence := range []policy.FallbackMode{policy.LocalShare, policy.FailOpen, policy.FailClosed} {
+		classes = append(classes, policy.ClassSettings{LatencyObjective: 750 * goldenMillisecond,
+			Deadline: 2 * goldenSecond, FallbackMode: silence, LateValue: 0.3})
 	}
 	return classes
 }
@@ -119,20 +119,20 @@
 	{
 		name: "quota", seed: 1, instances: 4, backends: 6, customers: 12, entries: 3, rate: 300, seconds: 20,
 		service: 30 * goldenMillisecond, leave: 0.02, minEffects: 5000,
-		terms: func(t *policy.Terms) {},
+		terms: func(t *policy.Settings) {},
 		want:  "9110e0724060f40faa119561907447f28b254c0c4e03692e47013edadfa5390c",
 	},
 	{
 		name: "ceiling and concurrency", seed: 2, instances: 4, backends: 6, customers: 16, entries: 4, rate: 300, seconds: 20,
 		service: 60 * goldenMillisecond, leave: 0.02, stream: 0.2, minEffects: 5000,
-		terms: func(t *policy.Terms) {
+		terms: func(t *policy.Settings) {
 			t.PostPaid = true
-			t.Plans = []policy.PlanTerms{
-				{Rate: 10, Burst: 20, Parallel: 3, BeyondCosts: 1},
-				{Rate: 8, Burst: 10, CeilingRate: 10, CeilingBurst: 15, BeyondEarns: 1, BeyondCosts: 0.3},
-				{Parallel: 4},
-				{CeilingRate: 6, CeilingBurst: 9},
-				{Rate: 20, Burst: 10, Parallel: 6, CeilingRate: 15, CeilingBurst: 30, BeyondCosts: 0.8},
+			t.Plans = []policy.PlanSettings{
+				{Rate: 10, Burst: 20, ConcurrencyLimit: 3, OverQuotaCost: 1},
+				{Rate: 8, Burst: 10, HardQuotaRate: 10, HardQuotaBurst: 15, OverQuotaValue: 1, OverQuotaCost: 0.3},
+				{ConcurrencyLimit: 4},
+				{HardQuotaRate: 6, HardQuotaBurst: 9},
+				{Rate: 20, Burst: 10, ConcurrencyLimit: 6, HardQuotaRate: 15, HardQuotaBurst: 30, OverQuotaCost: 0.8},
 			}
 		},
 		want: "452a1a542da134ab658b6d55480942c69df5c90c9fbc213e2063cc23a4acfa41",
@@ -140,10 +140,10 @@
 	{
 		name: "counter outage", seed: 3, instances: 5, backends: 6, customers: 12, entries: 4, rate: 350, seconds: 60,
 		service: 30 * goldenMillisecond, leave: 0.02, minEffects: 5000,
-		terms: func(t *policy.Terms) {
-			t.Profiles = everySilence()
-			t.Plans = append(t.Plans, policy.PlanTerms{Rate: 10, Burst: 15, Parallel: 3, BeyondCosts: 0.9},
-				policy.PlanTerms{Rate: 8, Burst: 40, CeilingRate: 12, CeilingBurst: 30})
+		terms: func(t *policy.Settings) {
+			t.Classes = everySilence()
+			t.Plans = append(t.Plans, policy.PlanSettings{Rate: 10, Burst: 15, ConcurrencyLimit: 3, OverQuotaCost: 0.9},
+				policy.PlanSettings{Rate: 8, Burst: 40, HardQuotaRate: 12, HardQuotaBurst: 30})
 		},
 		faults: goldenFaults{counter: true},
 		calm:   2500 * goldenMillisecond,
@@ -152,8 +152,8 @@
 	{
 		name: "drains and zones", seed: 4, instances: 6, backends: 9, customers: 20, entries: 3, rate: 300, seconds: 40,
 		service: 40 * goldenMillisecond, leave: 0.03, minEffects: 5000,
-		terms: func(t *policy.Terms) {
-			t.ListOnRequest, t.AskWithin, t.CrossZonePrice = true, 8*goldenSecond, 0.1
+		terms: func(t *policy.Settings) {
+			t.PollEndpoints, t.PollTimeout, t.CrossZoneCost = true, 8*goldenSecond, 0.1
 		},
 		faults: goldenFaults{drains: true, list: true, backends: true},
 		calm:   700 * goldenMillisecond,
@@ -162,7 +162,7 @@
 	{
 		name: "cold starts", seed: 5, instances: 20, backends: 12, customers: 40, entries: 8, rate: 400, seconds: 40,
 		service: 50 * goldenMillisecond, leave: 0.02, minEffects: 5000,
-		terms:  func(t *policy.Terms) { t.DrainGrace = 0 },
+		terms:  func(t *policy.Settings) { t.DrainGrace = 0 },
 		faults: goldenFaults{coldStarts: true, restarts: true},
 		calm:   goldenSecond,
 		want:   "e64bba705e97aab0f2613153777d3e77f9fa71dffbcf4e24a1c5fafc44cdfdab",
@@ -170,8 +170,8 @@
 	{
 		name: "hedged attempts", seed: 6, instances: 3, backends: 6, customers: 12, entries: 3, rate: 150, seconds: 40,
 		service: 30 * goldenMillisecond, leave: 0.05, stream: 0.1, minEffects: 5000,
-		terms: func(t *policy.Terms) {
-			t.SecondCopies, t.MostShots, t.Profiles = true, 4, everyEffect()
+		terms: func(t *policy.Settings) {
+			t.Hedging, t.MaxAttempts, t.Classes = true, 4, everyEffect()
 		},
 		faults: goldenFaults{backends: true},
 		calm:   goldenSecond / 2,
@@ -180,8 +180,8 @@
 	{
 		name: "hedged and never canceled", seed: 7, instances: 2, backends: 5, customers: 8, entries: 2, rate: 150, seconds: 40,
 		service: 30 * goldenMillisecond, leave: 0.7, minEffects: 5000,
-		terms: func(t *policy.Terms) {
-			t.SecondCopies, t.Recalls, t.Probes, t.Advice, t.Profiles = true, false, false, false, everyEffect()
+		terms: func(t *policy.Settings) {
+			t.Hedging, t.Cancellation, t.HealthChecks, t.RetryAfter, t.Classes = true, false, false, false, everyEffect()
 		},
 		faults: goldenFaults{backends: true, drains: true},
 		calm:   goldenSecond / 2,
@@ -190,7 +190,7 @@
 	{
 		name: "keyed and unsafe with cancels", seed: 8, instances: 3, backends: 6, customers: 12, entries: 2, rate: 150, seconds: 40,
 		service: 30 * goldenMillisecond, leave: 0.05, stream: 0.1, minEffects: 5000,
-		terms:  func(t *policy.Terms) { t.Profiles = everyEffect() },
+		terms:  func(t *policy.Settings) { t.Classes = everyEffect() },
 		faults: goldenFaults{backends: true, coldStarts: true},
 		calm:   goldenSecond / 2,
 		want:   "b4468a0ef15e9028eba9e12af47f6e95852c780798bef3d526dafe7c886b9618",
@@ -198,7 +198,7 @@
 	{
 		name: "keyed and unsafe with expiry", seed: 9, instances: 3, backends: 6, customers: 12, entries: 2, rate: 150, seconds: 40,
 		service: 30 * goldenMillisecond, leave: 0.05, stream: 0.05, minEffects: 5000,
-		terms:  func(t *policy.Terms) { t.Profiles, t.Recalls, t.MostShots = everyEffect(), false, 5 },
+		terms:  func(t *policy.Settings) { t.Classes, t.Cancellation, t.MaxAttempts = everyEffect(), false, 5 },
 		faults: goldenFaults{backends: true, coldStarts: true, drains: true},
 		calm:   goldenSecond / 2,
 		want:   "246c2a7a5ca95694adddec843ec747987f6fce835983f4bdd9f20d8a3a2530c6",
@@ -206,11 +206,11 @@
 	{
 		name: "alone without a counter", seed: 10, instances: 1, backends: 4, customers: 6, entries: 1, rate: 120, seconds: 60,
 		service: 40 * goldenMillisecond, leave: 0.02, minEffects: 3000,
-		terms: func(t *policy.Terms) {
-			t.Counter, t.PostPaid = false, true
-			t.Plans = append(t.Plans, policy.PlanTerms{CeilingRate: 8, CeilingBurst: 9})
-			t.Profiles = append(t.Profiles, policy.ProfileTerms{Promised: 400 * goldenMillisecond,
-				HardLimit: goldenSecond, CountsOnly: true})
+		terms: func(t *policy.Settings) {
+			t.CounterEnabled, t.PostPaid = false, true
+			t.Plans = append(t.Plans, policy.PlanSettings{HardQuotaRate: 8, HardQuotaBurst: 9})
+			t.Classes = append(t.Classes, policy.ClassSettings{LatencyObjective: 400 * goldenMillisecond,
+				Deadline: goldenSecond, CheckOnly: true})
 		},
 		faults: goldenFaults{restarts: true},
 		calm:   4 * goldenSecond,
@@ -219,12 +219,12 @@
 	{
 		name: "counts only and tiny windows", seed: 11, instances: 3, backends: 4, customers: 14, entries: 3, rate: 250, seconds: 30,
 		service: 20 * goldenMillisecond, leave: 0.02, minEffects: 5000,
-		terms: func(t *policy.Terms) {
-			t.Plans = []policy.PlanTerms{{Rate: 100, Burst: 1}, {Rate: 50, Burst: 10, CeilingRate: 40, CeilingBurst: 5},
-				{Rate: 1e9}, {Rate: 1e-9, Burst: 1e9}, {Rate: 4, Burst: 2, Parallel: 2}, {Rate: 1000, Burst: 20, Parallel: 1e7}}
-			t.Profiles = append(t.Profiles, policy.ProfileTerms{Promised: 400 * goldenMillisecond,
-				HardLimit: goldenSecond, CountsOnly: true}, policy.ProfileTerms{Promised: 400 * goldenMillisecond,
-				HardLimit: goldenSecond, CountsOnly: true, Silence: policy.LetAll})
+		terms: func(t *policy.Settings) {
+			t.Plans = []policy.PlanSettings{{Rate: 100, Burst: 1}, {Rate: 50, Burst: 10, HardQuotaRate: 40, HardQuotaBurst: 5},
+				{Rate: 1e9}, {Rate: 1e-9, Burst: 1e9}, {Rate: 4, Burst: 2, ConcurrencyLimit: 2}, {Rate: 1000, Burst: 20, ConcurrencyLimit: 1e7}}
+			t.Classes = append(t.Classes, policy.ClassSettings{LatencyObjective: 400 * goldenMillisecond,
+				Deadline: goldenSecond, CheckOnly: true}, policy.ClassSettings{LatencyObjective: 400 * goldenMillisecond,
+				Deadline: goldenSecond, CheckOnly: true, FallbackMode: policy.FailOpen})
 		},
 		faults: goldenFaults{counter: true},
 		calm:   goldenSecond,
@@ -233,11 +233,11 @@
 	{
 		name: "concurrency near its limit", seed: 14, instances: 4, backends: 10, customers: 6, entries: 4, rate: 250, seconds: 40,
 		service: 100 * goldenMillisecond, leave: 0.02, stream: 0.1, minEffects: 5000,
-		terms: func(t *policy.Terms) {
+		terms: func(t *policy.Settings) {
 			t.CounterTimeout = 20 * goldenMillisecond
-			t.Profiles = append(t.Profiles, everySilence()...)
-			t.Plans = []policy.PlanTerms{{Parallel: 7}, {Rate: 30, Burst: 40, Parallel: 8, BeyondCosts: 0.7}, {Parallel: 9},
-				{Rate: 12, Burst: 30, Parallel: 5, BeyondCosts: 1}}
+			t.Classes = append(t.Classes, everySilence()...)
+			t.Plans = []policy.PlanSettings{{ConcurrencyLimit: 7}, {Rate: 30, Burst: 40, ConcurrencyLimit: 8, OverQuotaCost: 0.7}, {ConcurrencyLimit: 9},
+				{Rate: 12, Burst: 30, ConcurrencyLimit: 5, OverQuotaCost: 1}}
 		},
 		faults: goldenFaults{counter: true, restarts: true},
 		calm:   goldenSecond,
@@ -246,9 +246,9 @@
 	{
 		name: "jams", seed: 15, instances: 3, backends: 5, customers: 12, entries: 3, rate: 120, seconds: 60,
 		service: 160 * goldenMillisecond, leave: 0.1, minEffects: 5000,
-		terms: func(t *policy.Terms) {
-			t.Profiles = everyEffect()
-			t.Plans = []policy.PlanTerms{{}, {Rate: 20, Burst: 40, BeyondCosts: 1}}
+		terms: func(t *policy.Settings) {
+			t.Classes = everyEffect()
+			t.Plans = []policy.PlanSettings{{}, {Rate: 20, Burst: 40, OverQuotaCost: 1}}
 		},
 		faults: goldenFaults{jams: true, backends: true, counter: true},
 		calm:   goldenSecond,
@@ -257,8 +257,8 @@
 	{
 		name: "work grows with the units", seed: 16, instances: 3, backends: 6, customers: 12, entries: 3, rate: 150, seconds: 30,
 		service: 60 * goldenMillisecond, leave: 0.02, minEffects: 5000, workByUnits: true,
-		terms: func(t *policy.Terms) {
-			t.Plans = []policy.PlanTerms{{}, {Rate: 20, Burst: 40, BeyondCosts: 1}}
+		terms: func(t *policy.Settings) {
+			t.Plans = []policy.PlanSettings{{}, {Rate: 20, Burst: 40, OverQuotaCost: 1}}
 		},
 		faults: goldenFaults{backends: true},
 		calm:   goldenSecond,
@@ -269,7 +269,7 @@
 		// counted after it too. The day is apart so that the others are not blind from there on.
 		name: "requests without units", seed: 13, instances: 3, backends: 4, customers: 9, entries: 3, rate: 300, seconds: 20,
 		service: 20 * goldenMillisecond, leave: 0.02, minEffects: 2000, zeroUnits: true,
-		terms:  func(t *policy.Terms) {},
+		terms:  func(t *policy.Settings) {},
 		faults: goldenFaults{counter: true},
 		calm:   goldenSecond,
 		want:   "89f817ddb8b5f28b0315bbbb03de0c3c75c2aac358b959ce9066167c1149d418",
@@ -277,14 +277,14 @@
 	{
 		name: "everything at once", seed: 12, instances: 8, backends: 10, customers: 30, entries: 5, rate: 350, seconds: 90,
 		service: 40 * goldenMillisecond, leave: 0.05, stream: 0.05, minEffects: 20000,
-		terms: func(t *policy.Terms) {
-			t.SecondCopies, t.PostPaid, t.CrossZonePrice = true, true, 0.05
-			t.Profiles = append(everyEffect(), everySilence()...)
-			t.Profiles = append(t.Profiles, policy.ProfileTerms{Promised: 400 * goldenMillisecond,
-				HardLimit: goldenSecond, CountsOnly: true})
-			t.Plans = append(t.Plans, policy.PlanTerms{Rate: 12, Burst: 24, Parallel: 4, BeyondCosts: 0.7},
-				policy.PlanTerms{Rate: 8, Burst: 12, CeilingRate: 10, CeilingBurst: 12, BeyondEarns: 0.6, BeyondCosts: 0.5},
-				policy.PlanTerms{})
+		terms: func(t *policy.Settings) {
+			t.Hedging, t.PostPaid, t.CrossZoneCost = true, true, 0.05
+			t.Classes = append(everyEffect(), everySilence()...)
+			t.Classes = append(t.Classes, policy.ClassSettings{LatencyObjective: 400 * goldenMillisecond,
+				Deadline: goldenSecond, CheckOnly: true})
+			t.Plans = append(t.Plans, policy.PlanSettings{Rate: 12, Burst: 24, ConcurrencyLimit: 4, OverQuotaCost: 0.7},
+				policy.PlanSettings{Rate: 8, Burst: 12, HardQuotaRate: 10, HardQuotaBurst: 12, OverQuotaValue: 0.6, OverQuotaCost: 0.5},
+				policy.PlanSettings{})
 		},
 		faults: goldenFaults{counter: true, backends: true, drains: true, coldStarts: true, list: true, restarts: true, updates: true},
 		calm:   700 * goldenMillisecond,
@@ -316,7 +316,7 @@
 	hash      hash.Hash
 	buffer    []byte
 	effects   int
-	terms     policy.Terms
+	terms     policy.Settings
 	instances []*goldenInstance
 	backends  []*goldenBackend
 	nextID    uint64
@@ -327,8 +327,8 @@
 }
 
 type goldenCounter struct {
-	totals                                map[policy.CountID]float64
-	until                                 map[policy.CountID]int64
+	totals                                map[policy.CounterKey]float64
+	until                                 map[policy.CounterKey]int64
 	refuses, hangs, rejects, breaks, slow int
 }
 
@@ -336,7 +336,7 @@
 	id                                                  uint32
 	zone, group                                         uint16
 	size                                                float64
-	stage                                               policy.Stage
+	stage                                               policy.EndpointState
 	started                                             int64
 	working                                             int
 	refuses, hangs, resets, errs, slow, unstarted, full int
@@ -345,9 +345,9 @@
 func playGoldenDay(t *testing.T, day goldenDay) (sum string, effects int) {
 	t.Helper()
 	w := &goldenWorld{day: day, now: goldenStart, chance: pcg.New(day.seed), hash: sha256.New(), terms: goldenTerms()}
-	w.counter.totals, w.counter.until = map[policy.CountID]float64{}, map[policy.CountID]int64{}
+	w.counter.totals, w.counter.until = map[policy.CounterKey]float64{}, map[policy.CounterKey]int64{}
 	day.terms(&w.terms)
-	w.terms.Doors = day.instances
+	w.terms.Instances = day.instances
 	for range day.backends {
 		w.addBackend(0)
 	}
@@ -361,11 +361,11 @@
 	w.breakSomething()
 	end := goldenStart + day.seconds*goldenSecond
 	for {
-		at, ok := w.events.Next(func(func()) bool { return false })
+		at, ok := w.events.NextDue(func(func()) bool { return false })
 		if !ok || at > end {
 			break
 		}
-		what, _ := w.events.Take(at)
+		what, _ := w.events.PopDue(at)
 		w.now = at
 		what()
 	}
@@ -406,7 +406,7 @@
 	return 0
 }
 
-func (w *goldenWorld) at(when int64, what func()) { w.events.Add(max(when, w.now), what) }
+func (w *goldenWorld) at(when int64, what func()) { w.events.Push(max(when, w.now), what) }
 
 func (w *goldenWorld) after(wait int64, what func()) { w.at(w.now+wait, what) }
 
@@ -422,14 +422,14 @@
 func (w *goldenWorld) addBackend(started int64) *goldenBackend {
 	w.nextBack++
 	b := &goldenBackend{id: w.nextBack, zone: uint16(w.nextBack % 2), group: uint16(w.nextBack % 3),
-		size: 1 + float64(w.nextBack%3)/2, stage: policy.Ready, started: started}
+		size: 1 + float64(w.nextBack%3)/2, stage: policy.EndpointReady, started: started}
 	w.backends = append(w.backends, b)
 	return b
 }
 
-func (b *goldenBackend) line() policy.Listed {
-	return policy.Listed{Backend: policy.BackendID(b.id), Zone: policy.ZoneID(b.zone), Group: policy.GroupID(b.group),
-		Size: b.size, Stage: b.stage, Started: b.started}
+func (b *goldenBackend) line() policy.Endpoint {
+	return policy.Endpoint{Backend: policy.BackendID(b.id), Zone: policy.ZoneID(b.zone), Group: policy.GroupID(b.group),
+		Capacity: b.size, State: b.stage, StartedAt: b.started}
 }
 
 // tell brings a change of the list to every instance, each a little later than the one before.
@@ -439,7 +439,7 @@
 		life := in.life
 		w.after(w.about(10*goldenMillisecond), func() {
 			if in.gate != nil && in.life == life {
-				in.gate.Backends(w.now, policy.Changes, []policy.Listed{line})
+				in.gate.UpdateEndpoints(w.now, policy.Delta, []policy.Endpoint{line})
 			}
 		})
 	}
@@ -455,8 +455,8 @@
 		customer := min(w.below(w.day.customers), w.below(w.day.customers)) // some are busier
 		first := customer % w.day.instances
 		in := w.instances[(first+w.below(w.day.entries))%w.day.instances]
-		class, plan := w.below(len(w.terms.Profiles)), customer%len(w.terms.Plans)
-		remaining := w.terms.Profiles[class].HardLimit
+		class, plan := w.below(len(w.terms.Classes)), customer%len(w.terms.Plans)
+		remaining := w.terms.Classes[class].Deadline
 		if w.likely(0.05) {
 			remaining = int64(float64(remaining) * (w.chance.Float64() - 0.05))
 		}
@@ -591,11 +591,11 @@
 
 func (w *goldenWorld) drainBackend() {
 	b := w.backends[w.below(len(w.backends))]
-	b.stage = policy.Draining
+	b.stage = policy.EndpointDraining
 	w.tell(b)
 	w.after(goldenSecond+w.about(goldenSecond), func() {
 		if w.likely(0.5) {
-			b.stage = policy.Ready
+			b.stage = policy.EndpointReady
 			w.tell(b)
 			return
 		}
@@ -605,7 +605,7 @@
 
 // replace takes a backend off the list for ever; another comes cold under a new id.
 func (w *goldenWorld) replace(b *goldenBackend) {
-	b.stage = policy.Gone
+	b.stage = policy.EndpointGone
 	w.tell(b)
 	for i := range w.backends {
 		if w.backends[i] == b {
@@ -621,7 +621,7 @@
 	b := w.backends[w.below(len(w.backends))]
 	w.during(&b.refuses, goldenSecond/2)
 	w.after(goldenSecond/2, func() {
-		b.stage, b.started = policy.Ready, w.now
+		b.stage, b.started = policy.EndpointReady, w.now
 		w.tell(b)
 	})
 }
@@ -633,7 +633,7 @@
 	if in.gate == nil {
 		return
 	}
-	learned, since := in.gate.Learned(), w.now
+	learned, since := in.gate.ExportState(), w.now
 	in.stop()
 	w.after(w.about(goldenSecond), func() { in.start(&learned, w.now-since) })
 }
@@ -644,13 +644,13 @@
 		return
 	}
 	w.terms.Plans = append(w.terms.Plans[:len(w.terms.Plans):len(w.terms.Plans)],
-		policy.PlanTerms{Rate: 5 + float64(w.below(10)), Burst: 10, Parallel: w.below(3), BeyondCosts: 0.6})
-	w.terms.Profiles = append(w.terms.Profiles[:len(w.terms.Profiles):len(w.terms.Profiles)],
-		policy.ProfileTerms{Promised: 300 * goldenMillisecond, HardLimit: goldenSecond})
-	w.terms.LongestAdvice += 100 * goldenMillisecond
+		policy.PlanSettings{Rate: 5 + float64(w.below(10)), Burst: 10, ConcurrencyLimit: w.below(3), OverQuotaCost: 0.6})
+	w.terms.Classes = append(w.terms.Classes[:len(w.terms.Classes):len(w.terms.Classes)],
+		policy.ClassSettings{LatencyObjective: 300 * goldenMillisecond, Deadline: goldenSecond})
+	w.terms.MaxRetryAfter += 100 * goldenMillisecond
 	for _, in := range w.instances {
 		if in.gate != nil {
-			in.gate.Retune(in.terms())
+			in.gate.UpdateSettings(in.terms())
 		}
 	}
 }
@@ -660,15 +660,15 @@
 	world  *goldenWorld
 	number int
 	life   int
-	gate   *policy.Gate
-	open   map[policy.TransactionID]*goldenRequest
-	calls  map[policy.CountID][]*goldenCall
+	gate   *policy.Engine
+	open   map[policy.RequestID]*goldenRequest
+	calls  map[policy.CounterKey][]*goldenCall
 }
 
 type goldenRequest struct {
 	in      *goldenInstance
-	id      policy.TransactionID
-	handle  *policy.Transaction
+	id      policy.RequestID
+	handle  *policy.Request
 	life    int
 	limit   int64
 	class   int
@@ -692,23 +692,23 @@
 	done    bool
 }
 
-func (in *goldenInstance) terms() policy.Terms {
+func (in *goldenInstance) terms() policy.Settings {
 	terms := in.world.terms
-	terms.Me, terms.Zone = in.number, policy.ZoneID(in.number%2)
+	terms.InstanceIndex, terms.Zone = in.number, policy.ZoneID(in.number%2)
 	return terms
 }
 
-func (in *goldenInstance) start(learned *policy.Learned, age int64) {
+func (in *goldenInstance) start(learned *policy.WarmStartState, age int64) {
 	w := in.world
 	in.life++
-	in.open, in.calls = map[policy.TransactionID]*goldenRequest{}, map[policy.CountID][]*goldenCall{}
+	in.open, in.calls = map[policy.RequestID]*goldenRequest{}, map[policy.CounterKey][]*goldenCall{}
 	w.write(codeRestart, in.number, uint64(in.life))
 	in.gate = policy.New(w.now, w.chance.Uint64(), in.terms(), in)
-	if !w.terms.ListOnRequest {
-		in.list(policy.Whole)
+	if !w.terms.PollEndpoints {
+		in.list(policy.FullSnapshot)
 	}
 	if learned != nil {
-		in.gate.Relearn(w.now, *learned, age)
+		in.gate.ImportState(w.now, *learned, age)
 	}
 }
 
@@ -727,21 +727,21 @@
 	})
 }
 
-func (in *goldenInstance) list(how policy.Listing) {
-	var lines []policy.Listed
+func (in *goldenInstance) list(how policy.UpdateKind) {
+	var lines []policy.Endpoint
 	for _, b := range in.world.backends {
 		lines = append(lines, b.line())
 	}
-	in.gate.Backends(in.world.now, how, lines)
+	in.gate.UpdateEndpoints(in.world.now, how, lines)
 }
 
 func (in *goldenInstance) take(class, plan, customer int, remaining int64, units float64, first int) {
 	w := in.world
 	w.nextID++
-	r := &goldenRequest{in: in, id: policy.TransactionID(w.nextID), life: in.life, limit: w.now + remaining,
+	r := &goldenRequest{in: in, id: policy.RequestID(w.nextID), life: in.life, limit: w.now + remaining,
 		class: class, units: units, streams: w.likely(w.day.stream)}
 	in.open[r.id] = r
-	r.handle = in.gate.Take(w.now, r.id, policy.ProfileID(class), policy.PlanID(plan), policy.CustomerID(customer),
+	r.handle = in.gate.Submit(w.now, r.id, policy.ClassID(class), policy.PlanID(plan), policy.TenantID(customer),
 		remaining, units, w.day.entries, first)
 	if w.likely(w.day.leave) {
 		stays := w.about(200 * goldenMillisecond)
@@ -751,7 +751,7 @@
 		in.later(stays, func() {
 			if !r.ended {
 				r.ended = true
-				r.handle.Left(w.now)
+				r.handle.HandleClientGone(w.now)
 				r.finished()
 			}
 		})
@@ -765,34 +765,34 @@
 
 func (in *goldenInstance) observe() {
 	w, g := in.world, in.gate
-	open, part := g.Breaker()
+	open, part := g.BreakerStatus()
 	w.write(codeBreaker, in.number, bit(open), float(part))
-	o := g.Outages()
+	o := g.CounterStats()
 	// The sums run over a map, so that their last bits differ from run to run. The offset keeps the sums of
 	// round numbers away from the bounds between two steps.
 	round := func(x float64) uint64 { return uint64(int64(math.Floor(x*1000 + 0.31731))) }
-	w.write(codeOutages, in.number, bit(o.Open), float(o.Calling), round(o.Owed), round(o.Lacking),
-		round(o.Righted), round(o.Drift), uint64(o.Customers))
+	w.write(codeOutages, in.number, bit(o.BreakerOpen), float(o.CallShare), round(o.UnreportedUnits), round(o.LostUnits),
+		round(o.ReconciledUnits), round(o.DriftUnits), uint64(o.Tenants))
 	for customer := range w.day.customers {
 		plan := customer % (len(w.terms.Plans) + 1)
 		if customer%3 > 0 {
 			plan = customer % len(w.terms.Plans)
 		}
-		q, ok := g.Quota(w.now, policy.CustomerID(customer), policy.PlanID(plan), w.day.entries)
+		q, ok := g.QuotaStatus(w.now, policy.TenantID(customer), policy.PlanID(plan), w.day.entries)
 		w.write(codeQuota, in.number, bit(ok), float(q.Limit), float(q.Rate),
-			float(q.Used), bit(q.Heard), float(q.Ceiling))
+			float(q.Used), bit(q.FromCounter), float(q.HardQuotaLeft))
 	}
-	l := g.Learned()
-	fields := []uint64{float(l.Usual), float(l.Count)}
+	l := g.ExportState()
+	fields := []uint64{float(l.BaselineLatency), float(l.Samples)}
 	for _, b := range l.Backends {
-		fields = append(fields, uint64(b.Backend), uint64(b.Started), float(b.Usual), float(b.Count))
+		fields = append(fields, uint64(b.Backend), uint64(b.StartedAt), float(b.BaselineLatency), float(b.Samples))
 	}
 	w.write(codeLearned, in.number, fields...)
-	watch, late, whole, again := in.terms().Asking()
+	watch, late, whole, again := in.terms().DiscoveryTimeouts()
 	w.write(codeIntervals, in.number, uint64(watch), uint64(late), uint64(whole), uint64(again))
 }
 
-func (in *goldenInstance) Shoot(id policy.TransactionID, b policy.BackendID, expire, begin int64) {
+func (in *goldenInstance) Send(id policy.RequestID, b policy.BackendID, expire, begin int64) {
 	w := in.world
 	w.effect(codeSend, in.number, uint64(id), uint64(b), uint64(expire), uint64(begin))
 	r := in.open[id]
@@ -818,12 +818,12 @@
 // run decides how the backend deals with an attempt, and when.
 func (a *goldenAttempt) run() {
 	r, b, w := a.request, a.to, a.request.in.world
-	outcome, took := policy.Fulfilled, int64(0)
+	outcome, took := policy.Succeeded, int64(0)
 	switch {
 	case b.unstarted > 0 && w.likely(0.3):
-		outcome = policy.Moot
+		outcome = policy.NotSent
 	case b.refuses > 0:
-		outcome = policy.Unreached
+		outcome = policy.ConnectFailed
 	case b.full > 0 || b.working >= 8:
 		outcome = policy.Rejected
 	case b.hangs > 0:
@@ -837,22 +837,22 @@
 		if b.slow > 0 {
 			took *= 12
 		}
-		if warm := w.terms.WarmUp; b.started > 0 && w.now-b.started < warm {
+		if warm := w.terms.SlowStartDuration; b.started > 0 && w.now-b.started < warm {
 			took += 3 * took * (warm - (w.now - b.started)) / warm
 		}
 		if b.resets > 0 || w.likely(0.003) {
-			outcome, took = policy.CutOff, took/3
+			outcome, took = policy.ConnectionLost, took/3
 		} else if b.errs > 0 || w.likely(0.005) {
-			outcome = policy.Errored
+			outcome = policy.Failed
 		}
 		b.working++
 		w.after(took, func() { b.working-- })
 	}
-	if r.streams && outcome == policy.Fulfilled {
+	if r.streams && outcome == policy.Succeeded {
 		r.in.later(took/2, func() {
 			if !a.settled && !r.ended {
 				a.started = true
-				r.handle.Started(w.now, policy.ShotID(a.number))
+				r.handle.HandleResponseStarted(w.now, policy.AttemptID(a.number))
 			}
 		})
 	}
@@ -867,84 +867,84 @@
 		return
 	}
 	a.settled = true
-	if o == policy.Fulfilled || a.started {
+	if o == policy.Succeeded || a.started {
 		r.ended = true
 	}
-	r.handle.Settled(w.now, policy.ShotID(a.number), o, w.now-a.sent, r.ended, units)
+	r.handle.HandleAttemptResult(w.now, policy.AttemptID(a.number), o, w.now-a.sent, r.ended, units)
 	r.finished()
 	if w.likely(0.01) { // twice, and one that was never sent
-		r.handle.Settled(w.now, policy.ShotID(a.number), o, w.now-a.sent, r.ended, units)
-		r.handle.Settled(w.now, 200, o, w.now-a.sent, r.ended, units)
+		r.handle.HandleAttemptResult(w.now, policy.AttemptID(a.number), o, w.now-a.sent, r.ended, units)
+		r.handle.HandleAttemptResult(w.now, 200, o, w.now-a.sent, r.ended, units)
 	}
 }
 
-func (in *goldenInstance) Recall(id policy.TransactionID, n policy.ShotID) {
+func (in *goldenInstance) Cancel(id policy.RequestID, n policy.AttemptID) {
 	in.world.effect(codeCancel, in.number, uint64(id), uint64(n))
 	a := in.open[id].shots[n]
-	in.later(goldenMillisecond/4, func() { a.settle(policy.Recalled, 0) })
+	in.later(goldenMillisecond/4, func() { a.settle(policy.Canceled, 0) })
 }
 
-func (in *goldenInstance) Dismiss(id policy.TransactionID, comeBack int64) {
+func (in *goldenInstance) Reject(id policy.RequestID, comeBack int64) {
 	in.world.effect(codeReject, in.number, uint64(id), uint64(comeBack))
 	in.open[id].ended = true
 }
 
-func (in *goldenInstance) BreakOff(id policy.TransactionID) {
+func (in *goldenInstance) Abort(id policy.RequestID) {
 	in.world.effect(codeBreakOff, in.number, uint64(id))
 	in.open[id].ended = true
 }
 
-func (in *goldenInstance) Grant(id policy.TransactionID) {
+func (in *goldenInstance) Admit(id policy.RequestID) {
 	in.world.effect(codeGrant, in.number, uint64(id))
 	in.open[id].ended = true
 }
 
-func (in *goldenInstance) Wake(at int64, mark uint64) {
+func (in *goldenInstance) WakeAt(at int64, mark uint64) {
 	w := in.world
 	w.effect(codeTimer, in.number, uint64(at), mark)
 	early := int64(0)
 	if mark > 0 && w.likely(0.02) { // a coarse clock wakes a little early
 		early = goldenMillisecond / 10
 	}
-	in.later(at-w.now-early, func() { in.gate.Wake(w.now, mark) })
+	in.later(at-w.now-early, func() { in.gate.HandleTimer(w.now, mark) })
 }
 
-func (in *goldenInstance) Probe(b policy.BackendID) {
+func (in *goldenInstance) CheckHealth(b policy.BackendID) {
 	w := in.world
 	w.effect(codeProbe, in.number, uint64(b))
 	if w.likely(0.2) {
 		return // its answer is lost
 	}
 	in.later(2*goldenMillisecond+w.about(goldenMillisecond), func() {
-		outcome := policy.Unreached
+		outcome := policy.ConnectFailed
 		for _, x := range w.backends {
 			if x.id == uint32(b) && x.refuses == 0 && x.hangs == 0 {
-				outcome = policy.Fulfilled
+				outcome = policy.Succeeded
 			}
 		}
-		in.gate.Probed(w.now, b, outcome)
+		in.gate.HandleHealthCheck(w.now, b, outcome)
 	})
 }
 
-func (in *goldenInstance) Follow() {
+func (in *goldenInstance) WatchEndpoints() {
 	w := in.world
 	w.effect(codeFollow, in.number)
 	in.later(5*goldenMillisecond+w.about(10*goldenMillisecond), func() {
 		switch {
 		case w.listDown > 0 && w.likely(0.1):
-			in.list(policy.Cached)
+			in.list(policy.CachedSnapshot)
 		case w.listDown > 0:
-			in.gate.Backends(w.now, policy.ListFailed, nil)
+			in.gate.UpdateEndpoints(w.now, policy.UpdateFailed, nil)
 		default:
-			in.list(policy.Whole)
+			in.list(policy.FullSnapshot)
 			if w.day.faults.list { // the watch breaks at times
-				in.later(w.about(4*goldenSecond), func() { in.gate.Backends(w.now, policy.ListFailed, nil) })
+				in.later(w.about(4*goldenSecond), func() { in.gate.UpdateEndpoints(w.now, policy.UpdateFailed, nil) })
 			}
 		}
 	})
 }
 
-func (in *goldenInstance) Note(text string) {
+func (in *goldenInstance) Log(text string) {
 	fields := []uint64{uint64(len(text))}
 	for _, b := range []byte(text) {
 		fields = append(fields, uint64(b))
@@ -952,7 +952,7 @@
 	in.world.effect(codeNote, in.number, fields...)
 }
 
-func (in *goldenInstance) Count(name policy.CountID, units float64, lifetime int64) {
+func (in *goldenInstance) AddToCounter(name policy.CounterKey, units float64, lifetime int64) {
 	w, c := in.world, &in.world.counter
 	w.effect(codeCount, in.number, uint64(name), float(units), uint64(lifetime))
 	call := &goldenCall{}
@@ -968,7 +968,7 @@
 	in.later(w.terms.CounterTimeout, func() { in.answer(name, call, policy.TimedOut, 0) })
 	switch {
 	case c.refuses > 0:
-		in.later(way, func() { in.answer(name, call, policy.Unreached, 0) })
+		in.later(way, func() { in.answer(name, call, policy.ConnectFailed, 0) })
 	case c.hangs > 0 && w.likely(0.5):
 	case c.hangs > 0:
 		w.after(2*w.terms.CounterTimeout, func() { add() }) // added too late
@@ -976,20 +976,20 @@
 		in.later(way, func() { in.answer(name, call, policy.Rejected, 0) })
 	case c.breaks > 0 && w.likely(0.5):
 		w.after(way, func() { add() })
-		in.later(2*way, func() { in.answer(name, call, policy.CutOff, 0) })
+		in.later(2*way, func() { in.answer(name, call, policy.ConnectionLost, 0) })
 	default:
 		if c.slow > 0 {
 			way += w.about(40 * goldenMillisecond)
 		}
 		w.after(way, func() {
 			total := add()
-			in.later(way, func() { in.answer(name, call, policy.Fulfilled, total) })
+			in.later(way, func() { in.answer(name, call, policy.Succeeded, total) })
 		})
 	}
 }
 
 // answer brings the answers for a name in the order of the calls.
-func (in *goldenInstance) answer(name policy.CountID, call *goldenCall, o policy.Outcome, total float64) {
+func (in *goldenInstance) answer(name policy.CounterKey, call *goldenCall, o policy.Outcome, total float64) {
 	if call.done || in.gate == nil {
 		return
 	}
@@ -999,9 +999,9 @@
 		if in.calls[name] = in.calls[name][1:]; len(in.calls[name]) == 0 {
 			delete(in.calls, name)
 		}
-		in.gate.Counted(in.world.now, first.outcome, name, first.total)
+		in.gate.HandleCounterResult(in.world.now, first.outcome, name, first.total)
 	}
 	if in.world.likely(0.002) { // an answer to no call
-		in.gate.Counted(in.world.now, o, name+1, total)
+		in.gate.HandleCounterResult(in.world.now, o, name+1, total)
 	}
 }
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -14,37 +14,37 @@
 const slop = 0.01 // forgives rounding: the counter tells totals to seven digits
 
 // New starts the decisions of a front door.
-func New(now int64, seed uint64, terms Terms, door Door) *Gate {
-	g := &Gate{door: door, terms: terms, chance: pcg.New(seed), born: now, backends: map[BackendID]*backend{},
-		calls: map[CountID][]*call{}, customers: map[CustomerID]*customer{}, part: 1}
-	g.Retune(terms)
-	if terms.ListOnRequest { // many doors that start together ask one after another, within what asking may take
-		apart := min(int64(terms.Doors-1)*50*ms, terms.AskWithin/2, 3500*ms) // and its list by six seconds
-		g.at(now+int64(g.chance.Float64()*float64(apart)), nil, func(int64) { door.Follow() })
+func New(now int64, seed uint64, terms Settings, door Effects) *Engine {
+	g := &Engine{door: door, terms: terms, chance: pcg.New(seed), born: now, backends: map[BackendID]*backend{},
+		calls: map[CounterKey][]*call{}, customers: map[TenantID]*customer{}, part: 1}
+	g.UpdateSettings(terms)
+	if terms.PollEndpoints { // many doors that start together ask one after another, within what asking may take
+		apart := min(int64(terms.Instances-1)*50*ms, terms.PollTimeout/2, 3500*ms) // and its list by six seconds
+		g.at(now+int64(g.chance.Float64()*float64(apart)), nil, func(int64) { door.WatchEndpoints() })
 	}
 	g.tick(now)
 	return g
 }
 
-// Retune takes new terms. Rows of profiles and plans are only added: open transactions keep theirs.
-func (g *Gate) Retune(terms Terms) {
+// UpdateSettings takes new terms. Rows of profiles and plans are only added: open transactions keep theirs.
+func (g *Engine) UpdateSettings(terms Settings) {
 	g.terms = terms
-	_, _, _, g.askAgain = terms.Asking()
-	for _, p := range terms.Profiles[len(g.profiles):] {
+	_, _, _, g.askAgain = terms.DiscoveryTimeouts()
+	for _, p := range terms.Classes[len(g.profiles):] {
 		// The post's 45 of 300 ms is dear where calls wait in line. Four fifths: below the counter's own limit.
-		wait := max(min(p.Promised/20, terms.CounterTimeout*4/5), ms)
+		wait := max(min(p.LatencyObjective/20, terms.CounterTimeout*4/5), ms)
 		g.profiles = append(g.profiles, profile{p, wait})
-		g.least = min(cmp.Or(g.least, math.Inf(1)), float64(p.Promised)/5)
+		g.least = min(cmp.Or(g.least, math.Inf(1)), float64(p.LatencyObjective)/5)
 	}
 	for _, p := range terms.Plans[len(g.plans):] {
-		row := plan{PlanTerms: p}
+		row := plan{PlanSettings: p}
 		if p.Rate > 0 {
 			// The counter drops numbers after a minute; the lower bound keeps absurd plans from spinning.
 			row.window = span(min(max(p.Burst/p.Rate, 0.01), 50))
 			row.quota = p.Rate * float64(row.window) / float64(sec)
 			// Far above any units of a window, and still told exactly beside them; the counter takes 1e9 at most.
-			if mark := math.Exp2(math.Ceil(math.Log2(64 * max(row.quota, 1)))); mark*float64(p.Parallel) <= 1e8 {
-				row.mark = mark * min(float64(p.Parallel), 1)
+			if mark := math.Exp2(math.Ceil(math.Log2(64 * max(row.quota, 1)))); mark*float64(p.ConcurrencyLimit) <= 1e8 {
+				row.mark = mark * min(float64(p.ConcurrencyLimit), 1)
 			}
 		}
 		g.plans = append(g.plans, row)
@@ -52,10 +52,10 @@
 }
 
 // tick is the periodic work, every tenth of a second: rarer would let one order stand for too many shots.
-func (g *Gate) tick(now int64) {
+func (g *Engine) tick(now int64) {
 	g.pace, g.answers = g.pace+0.1*(g.answers*10-g.pace), 0 // over about a second
 	// What a backend is seen to answer, over ten seconds, and the most: a jam takes none away. So with its size.
-	g.seen += 0.01 * (g.pace*float64(max(g.terms.Doors, 1))/max(g.whole, 1) - g.seen)
+	g.seen += 0.01 * (g.pace*float64(max(g.terms.Instances, 1))/max(g.whole, 1) - g.seen)
 	g.can, g.size = max(g.can*0.999, g.seen), max(g.size*0.999, g.sized/max(g.whole, slop))
 	if g.firsts >= early/2 {
 		// Falls with a quicker fleet in a second, and rises with a slower one in about a minute; in two seconds
@@ -82,38 +82,38 @@
 	}
 	g.dropGone()
 	g.rank(now)
-	g.door.Wake(now+100*ms, markTick)
+	g.door.WakeAt(now+100*ms, markTick)
 }
 
-// Take takes a transaction. left is the time until its client gives up; the customer's come in through
+// Submit takes a transaction. left is the time until its client gives up; the customer's come in through
 // entries front doors in a row from first on.
-func (g *Gate) Take(now int64, id TransactionID, pr ProfileID, pl PlanID, c CustomerID, left int64,
-	units float64, entries, first int) *Transaction {
-	t := &Transaction{gate: g, id: id, taken: now, units: max(units, 0), entries: float64(max(entries, 1))}
+func (g *Engine) Submit(now int64, id RequestID, pr ClassID, pl PlanID, c TenantID, left int64,
+	units float64, entries, first int) *Request {
+	t := &Request{gate: g, id: id, taken: now, units: max(units, 0), entries: float64(max(entries, 1))}
 	if int(pr) >= len(g.profiles) || int(pl) >= len(g.plans) {
-		g.door.Note(fmt.Sprintf("transaction of unknown profile %d or plan %d broken off", pr, pl))
+		g.door.Log(fmt.Sprintf("transaction of unknown profile %d or plan %d broken off", pr, pl))
 		t.over = true
-		g.door.BreakOff(id)
+		g.door.Abort(id)
 		return t
 	}
 	t.profile, t.plan = &g.profiles[pr], &g.plans[pl]
 	t.customer = g.customer(now, c, t)
 	t.limit = now + max(left, 0)
-	t.promised = min(now+t.profile.Promised, t.limit)
+	t.promised = min(now+t.profile.LatencyObjective, t.limit)
 	if t.plan.leaves.value > 0.3 { // what can't be answered before the client leaves is not worth sending
 		t.promised = min(t.promised, now+int64(t.plan.stay.value))
 	}
-	doors := max(g.terms.Doors, 1)
-	t.place = ((g.terms.Me-first)%doors + doors) % doors
-	if t.plan.CeilingRate > 0 {
+	doors := max(g.terms.Instances, 1)
+	t.place = ((g.terms.InstanceIndex-first)%doors + doors) % doors
+	if t.plan.HardQuotaRate > 0 {
 		if lacks := t.units - t.fillCeiling(now); lacks > 0 {
-			t.end(now, span(lacks*t.entries/t.plan.CeilingRate))
+			t.end(now, span(lacks*t.entries/t.plan.HardQuotaRate))
 			return t
 		}
 		t.customer.ceiling, t.drawn = t.customer.ceiling-t.units, t.units
 	}
 	switch {
-	case t.plan.Parallel > 0 && (t.customer.out >= t.plan.Parallel || t.plan.Rate <= 0 && t.capped()):
+	case t.plan.ConcurrencyLimit > 0 && (t.customer.out >= t.plan.ConcurrencyLimit || t.plan.Rate <= 0 && t.capped()):
 		t.beyond(now)
 	case t.plan.Rate <= 0:
 		t.letIn(now, true)
@@ -125,21 +125,21 @@
 
 // others is how many shots of the customer the other doors likely have out: what its rate keeps out, twice,
 // since those who near the cap are the busy ones; without a rate, half the cap is a guess.
-func (t *Transaction) others() float64 {
+func (t *Request) others() float64 {
 	elsewhere := 1 - t.customer.part(t.entries)
 	if t.plan.Rate <= 0 {
-		return elsewhere * float64(t.plan.Parallel) / 2
+		return elsewhere * float64(t.plan.ConcurrencyLimit) / 2
 	}
 	return 2 * elsewhere * t.plan.Rate / t.units * t.gate.all.value / float64(sec)
 }
 
 // capped says, without the counter, whether the customer has as many shots out as it may.
-func (t *Transaction) capped() bool {
+func (t *Request) capped() bool {
 	out := float64(t.customer.out)
-	return t.plan.Parallel > 0 && out > 0 && out+t.others() >= float64(t.plan.Parallel)
+	return t.plan.ConcurrencyLimit > 0 && out > 0 && out+t.others() >= float64(t.plan.ConcurrencyLimit)
 }
 
-func (g *Gate) customer(now int64, id CustomerID, t *Transaction) *customer {
+func (g *Engine) customer(now int64, id TenantID, t *Request) *customer {
 	c, p := g.customers[id], t.plan
 	if c == nil {
 		c = &customer{id: id, plan: p, filled: g.born, at: now}
@@ -157,10 +157,10 @@
 
 // forget drops a customer's entry, unused for two windows and the minute that the counter keeps numbers for,
 // once nothing of it is out and its ceiling's store would be full anyway.
-func (g *Gate) forget(now int64, c *customer) {
+func (g *Engine) forget(now int64, c *customer) {
 	rest := max(2*c.plan.window, 60*sec) // ten seconds: seldom enough for plans of tiny windows
-	if c.plan.CeilingRate > 0 {
-		rest = max(rest, span(c.plan.CeilingBurst/c.plan.CeilingRate))
+	if c.plan.HardQuotaRate > 0 {
+		rest = max(rest, span(c.plan.HardQuotaBurst/c.plan.HardQuotaRate))
 	}
 	g.at(now+rest, nil, func(now int64) {
 		delete(g.customers, c.id)
@@ -173,10 +173,10 @@
 
 // fillCeiling reckons this door's part of the customer's ceiling. It fills from empty at the door's start,
 // which can't tell what its earlier life sent on: rule 5 holds through restarts and counter failures alike.
-func (t *Transaction) fillCeiling(now int64) float64 {
-	c, part := t.customer, t.plan.CeilingRate/t.entries
+func (t *Request) fillCeiling(now int64) float64 {
+	c, part := t.customer, t.plan.HardQuotaRate/t.entries
 	c.ceiling += float64(now-c.filled) / float64(sec) * part
-	c.ceiling, c.filled = min(c.ceiling, t.plan.CeilingBurst/t.entries), now
+	c.ceiling, c.filled = min(c.ceiling, t.plan.HardQuotaBurst/t.entries), now
 	return c.ceiling
 }
 
@@ -199,7 +199,7 @@
 	c.owed = 0 // what a long silence left owing has been refilled since, but for what is carried
 	c.missing, c.heard, c.righted, c.lacks, c.answers = c.known, 0, 0, 0, 0
 	// A count that holds shots too has a name of its own: doors that do not tell them could not read it.
-	c.start, c.name, c.told = start, CountID(mix(own+uint64(shifted/w)+uint64(c.plan.mark))), 0
+	c.start, c.name, c.told = start, CounterKey(mix(own+uint64(shifted/w)+uint64(c.plan.mark))), 0
 }
 
 // refilled is what the rate has given since the window's start. Where few of a customer's doors see much of
@@ -212,11 +212,11 @@
 }
 
 // ask counts the transaction, if the breaker lets it call, and goes by the door's share if not.
-func (t *Transaction) ask(now int64) {
+func (t *Request) ask(now int64) {
 	g, c := t.gate, t.customer
 	switch {
-	case !t.profile.CountsOnly && g.pick(now, t, 1) == nil:
-		t.end(now, t.profile.Promised/8) // no backend has room: counted, it would shut others of the customer out
+	case !t.profile.CheckOnly && g.pick(now, t, 1) == nil:
+		t.end(now, t.profile.LatencyObjective/8) // no backend has room: counted, it would shut others of the customer out
 	case c.known+t.units > c.plan.quota+c.refilled(now, c.start)+slop:
 		c.learn(0)
 		t.beyond(now) // spent as far as is known: no call can say otherwise
@@ -234,7 +234,7 @@
 	}
 }
 
-func (k *call) answered(g *Gate, now int64, ok, in bool) {
+func (k *call) answered(g *Engine, now int64, ok, in bool) {
 	k.waits = false
 	g.called(now, ok)
 	if k.t.asking { // its client has not left meanwhile
@@ -243,21 +243,21 @@
 	}
 }
 
-func (g *Gate) count(now int64, c *customer, t *Transaction, units, more float64) *call {
+func (g *Engine) count(now int64, c *customer, t *Request, units, more float64) *call {
 	k := &call{c: c, t: t, start: c.start, amount: units + more, units: units, righted: c.righted,
 		waits: t != nil}
 	g.calls[c.name] = append(g.calls[c.name], k)
 	k.shots = c.out + c.asks - c.told
 	c.told += k.shots
-	g.door.Count(c.name, k.amount+float64(k.shots)*c.plan.mark, min(c.start+2*c.plan.window-now+sec, 60*sec))
+	g.door.AddToCounter(c.name, k.amount+float64(k.shots)*c.plan.mark, min(c.start+2*c.plan.window-now+sec, 60*sec))
 	return k
 }
 
 const breakAt = 5 // the post's threshold: five failures in a row are no chance
 
-func (g *Gate) mayCall(now int64) bool {
+func (g *Engine) mayCall(now int64) bool {
 	if g.fails < breakAt {
-		return g.terms.Counter && (g.part >= 1 || g.chance.Float64() < g.part)
+		return g.terms.CounterEnabled && (g.part >= 1 || g.chance.Float64() < g.part)
 	}
 	tries := !g.trial && now >= g.resume
 	g.trial = g.trial || tries
@@ -266,7 +266,7 @@
 
 // called keeps the breaker, and the part of the transactions that call. Exception: a crowded counter seldom
 // trips the breaker: each failure takes a fifth off the part, each answer gives a fiftieth back.
-func (g *Gate) called(now int64, ok bool) {
+func (g *Engine) called(now int64, ok bool) {
 	switch {
 	case ok && g.fails >= breakAt:
 		g.part = 0.5
@@ -282,8 +282,8 @@
 	g.resume = now + sec + int64(g.chance.Float64()*float64(sec)/4)
 }
 
-// Counted brings the answer to the oldest unanswered call for the count.
-func (g *Gate) Counted(now int64, o Outcome, name CountID, total float64) {
+// HandleCounterResult brings the answer to the oldest unanswered call for the count.
+func (g *Engine) HandleCounterResult(now int64, o Outcome, name CounterKey, total float64) {
 	line := g.calls[name]
 	if len(line) == 0 {
 		return
@@ -292,15 +292,15 @@
 	if g.calls[name] = line[1:]; len(line) == 1 {
 		delete(g.calls, name)
 	}
-	if o != Fulfilled {
+	if o != Succeeded {
 		if k.waits {
 			k.answered(g, now, false, t.share(now))
 		}
-		if (o == Rejected || o == Unreached) && k.start == c.start {
+		if (o == Rejected || o == ConnectFailed) && k.start == c.start {
 			c.told -= k.shots
 		}
 		// Else it was added, by a slow counter likely, or by one whose answer was spoilt (CutOff) for certain.
-		if o != CutOff && (o != TimedOut || g.fails >= breakAt) {
+		if o != ConnectionLost && (o != TimedOut || g.fails >= breakAt) {
 			c.owed += k.amount
 		}
 		if !k.in && c.close {
@@ -329,7 +329,7 @@
 			// Over about ten answers. Between a window's first and last lie n-1 of n for (n-1)/(n+1) of its time: a
 			// door of few takes its part for a half larger. That is kept where a unit beyond costs half of one
 			// inside or less, since what is let in too little costs all.
-			n, dear := float64(c.answers), min(max(2*c.plan.BeyondCosts-1, 0), 1)
+			n, dear := float64(c.answers), min(max(2*c.plan.OverQuotaCost-1, 0), 1)
 			c.mine = 0.9*c.mine + k.amount*(1-dear*2/(n*(n+1)))
 			c.others = 0.9*c.others + max(before-c.heard, 0)
 		}
@@ -350,7 +350,7 @@
 	}
 	if k.waits {
 		room := c.plan.quota + refilled - total + k.units - t.units
-		over := c.plan.mark > 0 && out > float64(c.plan.Parallel) // what is let in without a call goes unseen
+		over := c.plan.mark > 0 && out > float64(c.plan.ConcurrencyLimit) // what is let in without a call goes unseen
 		k.answered(g, now, true, room+slop >= 0 && !over)
 		c.learn(min(max(room+t.units, 0)/t.units, 1))
 	}
@@ -376,10 +376,10 @@
 }
 
 // share decides without the counter: by the profile's preset, or by the door's share of the quota.
-func (t *Transaction) share(now int64) bool {
+func (t *Request) share(now int64) bool {
 	g, c := t.gate, t.customer
-	if preset := t.profile.Silence; t.capped() || preset != KeepShare {
-		return preset == LetAll && !t.capped()
+	if preset := t.profile.FallbackMode; t.capped() || preset != LocalShare {
+		return preset == FailOpen && !t.capped()
 	}
 	if share := t.allowance(now); c.spent+t.units > share+slop {
 		return false
@@ -387,7 +387,7 @@
 	// Where backends are pressed, what was counted goes first: what is not may be beyond the quota, and costs
 	// its utility even where nobody answers it. Six tenths: at a half big days lose, above a jam comes. Behind
 	// an open breaker nothing is counted: there is nobody to go first.
-	if g.terms.Counter && g.fails < breakAt && !t.profile.CountsOnly && g.pick(now, t, 0.6) == nil {
+	if g.terms.CounterEnabled && g.fails < breakAt && !t.profile.CheckOnly && g.pick(now, t, 0.6) == nil {
 		return false
 	}
 	chance := t.chance()
@@ -397,9 +397,9 @@
 // chance is how likely the door's share lets a transaction in that it has room for. The floor of one a door
 // adds up past small quotas: a share of a fraction of one is given as often as the counter let the customer
 // in, or half way up from what it let in of the plan: it dismisses mostly few customers far beyond theirs.
-func (t *Transaction) chance() float64 {
+func (t *Request) chance() float64 {
 	part := t.plan.quota * t.customer.part(t.entries) / t.units
-	if part+slop >= 1 || !t.gate.terms.Counter {
+	if part+slop >= 1 || !t.gate.terms.CounterEnabled {
 		return min(part+slop, 1)
 	}
 	return t.customer.granted.blend((1+t.plan.granted.blend(part, 1))/2, 1)
@@ -408,12 +408,12 @@
 // allowance is the door's share of a window, at least the transaction's units, and reckons what of it has
 // been refilled. Few transactions spread unevenly over many doors: a share of a fraction of one refills the
 // quicker the less a unit beyond costs, two and a half times at the full utility.
-func (t *Transaction) allowance(now int64) float64 {
+func (t *Request) allowance(now int64) float64 {
 	c := t.customer
 	part := c.part(t.entries)
 	pace := t.plan.Rate * part
 	if t.plan.quota*part+slop < t.units {
-		pace *= max(2.5/max(t.plan.BeyondCosts, 0.1), 1)
+		pace *= max(2.5/max(t.plan.OverQuotaCost, 0.1), 1)
 	}
 	c.spent, c.at = max(c.spent-pace*float64(now-c.at)/float64(sec), 0), now
 	return max(t.plan.quota*part, t.units)
@@ -426,7 +426,7 @@
 }
 
 // decide ends the wait for the counter; k is the call that was made, if any.
-func (t *Transaction) decide(now int64, in bool, k *call) {
+func (t *Request) decide(now int64, in bool, k *call) {
 	g := t.gate
 	t.asking = false
 	switch {
@@ -435,7 +435,7 @@
 		return
 	case k != nil:
 		k.in = true
-	case g.fails >= breakAt || !g.terms.Counter: // else the calls that are made stand for it
+	case g.fails >= breakAt || !g.terms.CounterEnabled: // else the calls that are made stand for it
 		t.customer.owed += t.units
 	}
 	t.letIn(now, true)
@@ -443,15 +443,15 @@
 
 // beyond dismisses what is beyond the quota, until it has refilled enough. The exception: where a plan's
 // transactions earn more beyond the quota than they cost, and a backend has room for one, it is let in.
-func (t *Transaction) beyond(now int64) {
+func (t *Request) beyond(now int64) {
 	c := t.customer
-	if t.plan.BeyondEarns > t.plan.BeyondCosts && !t.profile.CountsOnly {
+	if t.plan.OverQuotaValue > t.plan.OverQuotaCost && !t.profile.CheckOnly {
 		if b := t.gate.pick(now, t, 1); b != nil && b.load() <= 1 {
 			t.letIn(now, false)
 			return
 		}
 	}
-	again := t.profile.Promised
+	again := t.profile.LatencyObjective
 	if t.plan.Rate > 0 {
 		lacks := c.known + t.units - t.plan.quota - c.refilled(now, c.start)
 		again = span(max(lacks, t.units/8) / t.plan.Rate)
@@ -459,7 +459,7 @@
 	t.end(now, again)
 }
 
-func (t *Transaction) letIn(now int64, inside bool) {
+func (t *Request) letIn(now int64, inside bool) {
 	t.inside = inside
 	if inside && t.plan.Rate > 0 {
 		t.allowance(now)
@@ -469,36 +469,36 @@
 }
 
 // send sends a shot to the best backend, or gives the transaction up: the client may find room elsewhere.
-func (t *Transaction) send(now int64) {
-	if t.profile.CountsOnly {
+func (t *Request) send(now int64) {
+	if t.profile.CheckOnly {
 		t.inside, t.drawn = false, 0 // nothing is sent, and what was counted stays
 		t.finish()
-		t.gate.door.Grant(t.id)
+		t.gate.door.Admit(t.id)
 	} else if b := t.gate.pick(now, t, 1); b == nil || !t.shoot(now, b) {
-		t.end(now, t.profile.Promised/8) // early enough for another try within the promised time
+		t.end(now, t.profile.LatencyObjective/8) // early enough for another try within the promised time
 	}
 }
 
 // lastCall is the latest time at which a shot is still worth sending.
-func (t *Transaction) lastCall() int64 {
-	if t.profile.LateUtility > 0 {
+func (t *Request) lastCall() int64 {
+	if t.profile.LateValue > 0 {
 		return t.limit - ms
 	}
-	return t.promised - t.profile.Promised/10 // the quickest answers take about that
+	return t.promised - t.profile.LatencyObjective/10 // the quickest answers take about that
 }
 
 // allowed says whether a shot may go to b: the one gate of rules 1 to 4.
-func (t *Transaction) allowed(now int64, b *backend) bool {
+func (t *Request) allowed(now int64, b *backend) bool {
 	g := t.gate
-	if t.over || t.started || now >= t.limit || len(t.shots) >= g.terms.MostShots || !b.ready ||
-		t.out > 0 && !g.terms.SecondCopies {
+	if t.over || t.started || now >= t.limit || len(t.shots) >= g.terms.MaxAttempts || !b.ready ||
+		t.out > 0 && !g.terms.Hedging {
 		return false
 	}
 	for _, s := range t.shots {
 		p := t.profile
-		known := now < s.sent+p.Memory && (p.Reach != ReachZone || s.zone == b.zone) &&
-			(p.Reach != ReachGroup || s.group == b.group) // b knows a repeat of this shot by its number
-		if s.harmed && (p.Effect == AtMostOnce || p.Effect == Numbered && !known) {
+		known := now < s.sent+p.DedupWindow && (p.DedupScope != DedupByZone || s.zone == b.zone) &&
+			(p.DedupScope != DedupByGroup || s.group == b.group) // b knows a repeat of this shot by its number
+		if s.harmed && (p.Idempotency == NonIdempotent || p.Idempotency == IdempotentWithKey && !known) {
 			return false
 		}
 	}
@@ -506,16 +506,16 @@
 }
 
 // harmless says whether dismissal may promise that trying again does no harm.
-func (t *Transaction) harmless() bool {
+func (t *Request) harmless() bool {
 	p := t.profile
-	return p.Effect == Reissuable || p.Effect == Numbered && p.Reach == ReachAll ||
+	return p.Idempotency == Idempotent || p.Idempotency == IdempotentWithKey && p.DedupScope == DedupByAll ||
 		!slices.ContainsFunc(t.shots, func(s *shot) bool { return s.harmed })
 }
 
 const early = 30 // first shots of a door that tell the answer time of quiet moments: enough to average
 
 // shoot is the only place that sends.
-func (t *Transaction) shoot(now int64, b *backend) bool {
+func (t *Request) shoot(now int64, b *backend) bool {
 	if !t.allowed(now, b) {
 		return false
 	}
@@ -529,27 +529,27 @@
 		b.turn = now
 	}
 	// Few take five times the usual for their units; a jam must show by seven tenths of the promised time.
-	patience := max(int64(5*g.all.value*g.stretch(t.units)), t.profile.Promised*4/10)
-	patience = min(patience, t.profile.Promised*7/10)
+	patience := max(int64(5*g.all.value*g.stretch(t.units)), t.profile.LatencyObjective*4/10)
+	patience = min(patience, t.profile.LatencyObjective*7/10)
 	var expire int64
-	if !g.terms.SecondCopies && !g.terms.Recalls && t.profile.Effect != AtMostOnce &&
-		len(t.shots) < g.terms.MostShots {
+	if !g.terms.Hedging && !g.terms.Cancellation && t.profile.Idempotency != NonIdempotent &&
+		len(t.shots) < g.terms.MaxAttempts {
 		// Nothing else makes room for another shot; beyond seven tenths too little time is left for one.
 		expire = now + patience
 	}
 	begin := t.limit // a connection may come up late: b may have forgotten an earlier shot's number by then
 	for _, s := range t.shots[:n] {
-		if s.harmed && t.profile.Effect == Numbered {
-			begin = min(begin, s.sent+t.profile.Memory)
+		if s.harmed && t.profile.Idempotency == IdempotentWithKey {
+			begin = min(begin, s.sent+t.profile.DedupWindow)
 		}
 	}
-	g.door.Shoot(t.id, b.id, expire, begin)
+	g.door.Send(t.id, b.id, expire, begin)
 	g.at(now+patience, &t.shots[n].out, func(now int64) { t.look(now, n) })
 	return true
 }
 
 // look asks whether a shot that takes long is stalled: its backend has answered nothing since.
-func (t *Transaction) look(now int64, n int) {
+func (t *Request) look(now int64, n int) {
 	s, g := t.shots[n], t.gate
 	s.overdue = true
 	usual := g.all.value * g.stretch(t.units)
@@ -563,35 +563,35 @@
 	s.to.strike(g, now)
 	switch b := g.pick(now, t, 1); {
 	case t.out > 1 || now >= t.lastCall() || !t.harmless():
-	case g.terms.SecondCopies && b != nil && b != s.to:
+	case g.terms.Hedging && b != nil && b != s.to:
 		t.shoot(now, b)
-	case !g.terms.SecondCopies && g.terms.Recalls && len(t.shots) < g.terms.MostShots:
-		g.door.Recall(t.id, ShotID(n))
+	case !g.terms.Hedging && g.terms.Cancellation && len(t.shots) < g.terms.MaxAttempts:
+		g.door.Cancel(t.id, AttemptID(n))
 	}
 }
 
-// Settled tells how a shot ended. over says that the transaction is finished; trueUnits is what it really
+// HandleAttemptResult tells how a shot ended. over says that the transaction is finished; trueUnits is what it really
 // counted, if that is told afterwards.
-func (t *Transaction) Settled(now int64, n ShotID, o Outcome, elapsed int64, over bool, trueUnits float64) {
+func (t *Request) HandleAttemptResult(now int64, n AttemptID, o Outcome, elapsed int64, over bool, trueUnits float64) {
 	if int(n) >= len(t.shots) || !t.shots[n].out {
 		return
 	}
 	s, g := t.shots[n], t.gate
-	s.out, s.harmed = false, o != Rejected && o != Unreached && o != Moot
+	s.out, s.harmed = false, o != Rejected && o != ConnectFailed && o != NotSent
 	t.out, t.customer.out = t.out-1, t.customer.out-1
 	s.to.settled(g, now, s, o, elapsed, t.units)
-	if o == Fulfilled && g.terms.PostPaid && trueUnits > 0 && t.inside {
+	if o == Succeeded && g.terms.PostPaid && trueUnits > 0 && t.inside {
 		t.customer.owed += trueUnits - t.units // goes along with the next call
 		t.customer.spent += trueUnits - t.units
 	}
 	switch {
 	case t.over:
-	case over || o == Fulfilled:
+	case over || o == Succeeded:
 		t.plan.leaves.add(0, 20)
 		t.finish()
 	case t.out > 0:
-	case o == Moot || t.started || now >= t.lastCall():
-		t.end(now, t.profile.Promised/8)
+	case o == NotSent || t.started || now >= t.lastCall():
+		t.end(now, t.profile.LatencyObjective/8)
 	default:
 		t.send(now)
 	}
@@ -600,8 +600,8 @@
 	}
 }
 
-// Left tells that the client is gone: no answer is owed any more.
-func (t *Transaction) Left(now int64) {
+// HandleClientGone tells that the client is gone: no answer is owed any more.
+func (t *Request) HandleClientGone(now int64) {
 	if !t.over {
 		if now < t.limit-10*ms {
 			t.plan.leaves.add(1, 20)
@@ -613,25 +613,25 @@
 
 // end is the only place that gives the final answer: a dismissal where that may promise no harm, with advice
 // to come back after the time again, or else a break-off.
-func (t *Transaction) end(now, again int64) {
+func (t *Request) end(now, again int64) {
 	if t.over {
 		return
 	}
 	t.finish()
 	g := t.gate
 	if !t.harmless() {
-		g.door.BreakOff(t.id)
+		g.door.Abort(t.id)
 		return
 	}
 	var advice int64
-	if g.terms.Advice {
+	if g.terms.RetryAfter {
 		// Spread over a quarter more, so that those dismissed together do not come back together.
-		advice = min(again+int64(float64(again)*g.chance.Float64()/4), g.terms.LongestAdvice)
+		advice = min(again+int64(float64(again)*g.chance.Float64()/4), g.terms.MaxRetryAfter)
 	}
-	g.door.Dismiss(t.id, max(advice, 0))
+	g.door.Reject(t.id, max(advice, 0))
 }
 
-func (t *Transaction) finish() {
+func (t *Request) finish() {
 	if t.asking {
 		t.customer.asks--
 	}
@@ -644,38 +644,38 @@
 		}
 	}
 	for i := range t.shots {
-		if t.shots[i].out && t.gate.terms.Recalls && !t.started {
-			t.gate.door.Recall(t.id, ShotID(i))
+		if t.shots[i].out && t.gate.terms.Cancellation && !t.started {
+			t.gate.door.Cancel(t.id, AttemptID(i))
 		}
 	}
 }
 
-// Asking is how long a watch waits for news, how late its answer may be, how long a whole list may take, and
+// DiscoveryTimeouts is how long a watch waits for news, how late its answer may be, how long a whole list may take, and
 // how long after a failure one is asked for anew. Where lists are pushed, what the agent has counts at once,
 // a call that an outage silenced is never answered, and asking costs nobody anything: a third, a quarter and
 // a tenth of the drain's grace leave a third to the door. Elsewhere asking is work, but a change is due six
 // seconds after it could be had: a silent watch is opened anew by 5.2; a whole list keeps its place in line.
-func (t Terms) Asking() (watch, late, whole, again int64) {
-	if t.ListOnRequest {
-		return min(max(2*sec, t.AskWithin), 4500*ms), 500 * ms, 3 * sec, 200 * ms
+func (t Settings) DiscoveryTimeouts() (watch, late, whole, again int64) {
+	if t.PollEndpoints {
+		return min(max(2*sec, t.PollTimeout), 4500*ms), 500 * ms, 3 * sec, 200 * ms
 	}
 	grace := max(t.DrainGrace, 200*ms) // shorter, a door would do little but ask
 	return grace / 3, grace / 4, grace / 2, grace / 10
 }
 
-// Backends brings the list of backends, or changes to it.
-func (g *Gate) Backends(now int64, how Listing, list []Listed) {
-	if how == ListFailed {
+// UpdateEndpoints brings the list of backends, or changes to it.
+func (g *Engine) UpdateEndpoints(now int64, how UpdateKind, list []Endpoint) {
+	if how == UpdateFailed {
 		// Spread by chance and, where asking is work, ever later: else the doors fill a crowded discovery's line
 		// with calls that it answers too late, and none ever hears. Four: its news is due in six, whatever failed.
-		g.at(now+int64((1+g.chance.Float64())/2*float64(g.askAgain)), nil, func(int64) { g.door.Follow() })
-		if g.terms.ListOnRequest {
-			g.askAgain = min(g.askAgain*3, max(g.terms.AskWithin, 500*ms), 4*sec)
+		g.at(now+int64((1+g.chance.Float64())/2*float64(g.askAgain)), nil, func(int64) { g.door.WatchEndpoints() })
+		if g.terms.PollEndpoints {
+			g.askAgain = min(g.askAgain*3, max(g.terms.PollTimeout, 500*ms), 4*sec)
 		}
 		return
 	}
-	_, _, _, g.askAgain = g.terms.Asking()
-	if how != Changes {
+	_, _, _, g.askAgain = g.terms.DiscoveryTimeouts()
+	if how != Delta {
 		for _, b := range g.listed {
 			b.ready, b.gone = false, true
 		}
@@ -687,11 +687,11 @@
 			g.backends[l.Backend] = b
 			g.listed = append(g.listed, b)
 		}
-		if l.Started != b.started && l.Stage == Ready {
+		if l.StartedAt != b.started && l.State == EndpointReady {
 			b.pace, b.strikes, b.errors, b.rest, b.turn = mean{}, 0, 0, 0, 0
 		}
-		b.zone, b.group, b.started = l.Zone, l.Group, l.Started
-		b.ready, b.gone, b.size = l.Stage == Ready, l.Stage == Gone, cmp.Or(max(l.Size, 0), 1) // none: alike
+		b.zone, b.group, b.started = l.Zone, l.Group, l.StartedAt
+		b.ready, b.gone, b.size = l.State == EndpointReady, l.State == EndpointGone, cmp.Or(max(l.Capacity, 0), 1) // none: alike
 	}
 	g.parts()
 	g.rank(now)
@@ -699,7 +699,7 @@
 
 // parts lays the ready backends out in a ring, in an order that all doors share, and reckons how many doors'
 // parts each lies away from this door's own.
-func (g *Gate) parts() {
+func (g *Engine) parts() {
 	ring, total := []*backend{}, 0.0
 	for _, b := range g.listed {
 		if b.ready {
@@ -707,8 +707,8 @@
 		}
 	}
 	slices.SortFunc(ring, func(a, b *backend) int { return cmp.Compare(mix(uint64(a.id)), mix(uint64(b.id))) })
-	part := total / float64(max(g.terms.Doors, 1))
-	at := -part * float64(g.terms.Me)
+	part := total / float64(max(g.terms.Instances, 1))
+	at := -part * float64(g.terms.InstanceIndex)
 	for _, b := range ring {
 		away := at
 		if away < 0 {
@@ -723,7 +723,7 @@
 // some 40% (finer is chance); then those of the own zone where crossing has a price; then by the doors'
 // parts, the own first; then those not sent to for the longest, by size. Limits follow the answer time. A
 // cold one has its budget alone, and goes first: its turns are few, and work may be what warms it.
-func (g *Gate) rank(now int64) {
+func (g *Engine) rank(now int64) {
 	g.ranked, g.whole, g.sized = g.ranked[:0], 0, 0
 	for _, b := range g.listed {
 		if !b.ready {
@@ -738,7 +738,7 @@
 		}
 		b.key = math.Round(2 * math.Log2(max(b.late, 1)/max(usual, 1)))
 		b.limit = min(max(math.Exp2(-b.key/2), 0.25), 2) // in steps too, or chance alone would lift one over it
-		if g.terms.CrossZonePrice > 0 && b.zone != g.terms.Zone {
+		if g.terms.CrossZoneCost > 0 && b.zone != g.terms.Zone {
 			b.key += 0.5
 		}
 		if g.cold(now, b) {
@@ -753,7 +753,7 @@
 }
 
 // each is a door's part of one shot at each backend.
-func (g *Gate) each() float64 { return g.whole / float64(max(g.terms.Doors, 1)) }
+func (g *Engine) each() float64 { return g.whole / float64(max(g.terms.Instances, 1)) }
 
 // load is how full one more shot would make the backend, as a share of its limit.
 func (b *backend) load() float64 { return float64(b.out+1) / b.limit }
@@ -762,7 +762,7 @@
 // last; of those only that likely answer within two fifths of the promised time left (few take 2.5 times the
 // likely) and 2.5 quiet times; haste shortens both. A door has no more out than one or two, its part of one
 // for each backend, and what its pace of answers ends in that time and a third.
-func (g *Gate) pick(now int64, t *Transaction, haste float64) *backend {
+func (g *Engine) pick(now int64, t *Request, haste float64) *backend {
 	var best *backend
 	// What its units take beyond the mean leaves less of the time.
 	least, most := math.Inf(1), (float64(t.promised-now)-(g.stretch(t.units)-1)*g.all.value)/2.5
@@ -798,13 +798,13 @@
 }
 
 // settled learns from how a shot ended.
-func (b *backend) settled(g *Gate, now int64, s *shot, o Outcome, elapsed int64, units float64) {
+func (b *backend) settled(g *Engine, now int64, s *shot, o Outcome, elapsed int64, units float64) {
 	b.out, g.flying = b.out-1, g.flying-1
 	if !s.overdue {
 		g.out--
 	}
 	switch o {
-	case Fulfilled:
+	case Succeeded:
 		g.answers++
 		b.heard, g.heard, b.strikes, b.errors = now, now, 0, 0
 		took := float64(elapsed) / g.stretch(units)
@@ -817,14 +817,14 @@
 	case Rejected: // who gets into a full line is late, and a fleet of them is jammed
 		b.heard, g.heard, g.full, b.rest = now, now, now, max(b.rest, now+50*ms) // a full line moves by then
 		b.measure(g, 2*b.late, s.level)
-	case Errored, CutOff:
+	case Failed, ConnectionLost:
 		b.heard = now
 		if b.errors++; b.errors >= 3 { // rare single ones are normal; one that died refuses the next shot
 			b.strike(g, now)
 		}
-	case Unreached:
+	case ConnectFailed:
 		b.strike(g, now)
-	case Recalled: // clients who leave early would hide a jam: what took long by then would have taken longer
+	case Canceled: // clients who leave early would hide a jam: what took long by then would have taken longer
 		if took := float64(elapsed) / g.stretch(units); took > b.late && !s.overdue {
 			b.measure(g, took, s.level)
 		}
@@ -832,7 +832,7 @@
 }
 
 // measure smooths the answer time, over about ten of the backend and two seconds (8 to 30) of the fleet.
-func (b *backend) measure(g *Gate, took, level float64) {
+func (b *backend) measure(g *Engine, took, level float64) {
 	b.pace.add(took, 10)
 	b.level += (level - b.level) / b.pace.count
 	if b.late > 0 {
@@ -842,43 +842,43 @@
 }
 
 // strike eases a backend out for a while that doubles with each symptom, and has it probed before its return.
-func (b *backend) strike(g *Gate, now int64) {
+func (b *backend) strike(g *Engine, now int64) {
 	if now < b.rest {
 		return
 	}
 	b.strikes++
 	b.rest = now + 100*ms<<min(b.strikes, 5) // 0.2 to 3.2 s: a short stall costs little, a dead one few tries
-	if g.terms.Probes {
+	if g.terms.HealthChecks {
 		g.at(b.rest, nil, func(now int64) {
 			if b.ready && b.strikes > 0 && now >= b.rest {
 				b.rest = now + sec // until the probe tells; a lost one ends by itself
-				g.door.Probe(b.id)
+				g.door.CheckHealth(b.id)
 			}
 		})
 	}
 }
 
-// Probed brings a probe's answer: a good one lets a single shot try the backend.
-func (g *Gate) Probed(now int64, id BackendID, o Outcome) {
+// HandleHealthCheck brings a probe's answer: a good one lets a single shot try the backend.
+func (g *Engine) HandleHealthCheck(now int64, id BackendID, o Outcome) {
 	if b := g.backends[id]; b != nil && b.strikes > 0 {
-		if b.rest = now; o != Fulfilled {
+		if b.rest = now; o != Succeeded {
 			b.strike(g, now)
 		}
 	}
 }
 
 // cold says whether a backend may not be warm yet.
-func (g *Gate) cold(now int64, b *backend) bool {
-	return b.started > 0 && now-b.started < g.terms.WarmUp
+func (g *Engine) cold(now int64, b *backend) bool {
+	return b.started > 0 && now-b.started < g.terms.SlowStartDuration
 }
 
 // warmth is the part of its capacity that a backend has by now, reckoned from its start: an even warm-up.
-func (g *Gate) warmth(now int64, b *backend) float64 {
+func (g *Engine) warmth(now int64, b *backend) float64 {
 	if !g.cold(now, b) {
 		return 1
 	}
-	risen := float64(max(now-b.started-g.terms.FallSpan, 0))
-	return g.terms.ColdShare + (1-g.terms.ColdShare)*risen/float64(g.terms.WarmUp)
+	risen := float64(max(now-b.started-g.terms.OverloadWindow, 0))
+	return g.terms.SlowStartShare + (1-g.terms.SlowStartShare)*risen/float64(g.terms.SlowStartDuration)
 }
 
 // coldRoom keeps the doors together within half the multiple of what a cold backend bears, since transactions
@@ -887,28 +887,28 @@
 // are numbered from its start and go to the doors in turn, one each, for half a span: the rest of the half is
 // for that, since a door of many seldom has something to send just then. So the sum holds for any number of
 // doors without a word between them. A door just started waits a span: its earlier life may have sent much.
-func (t *Transaction) coldRoom(now int64, b *backend) bool {
+func (t *Request) coldRoom(now int64, b *backend) bool {
 	g := t.gate
 	if !g.cold(now, b) {
 		return true
 	}
-	work := float64(t.profile.Promised) / 2 // nothing measured yet: few promises are tighter
+	work := float64(t.profile.LatencyObjective) / 2 // nothing measured yet: few promises are tighter
 	if g.firsts >= early/2 {
 		work = g.quick * 1.5
 	}
-	share, warm, risen := g.terms.ColdShare, g.warmth(now, b), float64(max(now-b.started-g.terms.FallSpan, 0))
-	rate, doors := g.terms.FallMultiple/3*max(1/max(work, 1), g.can/float64(sec)), float64(max(g.terms.Doors, 1))
+	share, warm, risen := g.terms.SlowStartShare, g.warmth(now, b), float64(max(now-b.started-g.terms.OverloadWindow, 0))
+	rate, doors := g.terms.OverloadMultiple/3*max(1/max(work, 1), g.can/float64(sec)), float64(max(g.terms.Instances, 1))
 	rate *= min(b.size/g.size, 1)
 	number, pace := rate*(share*float64(max(now-b.started, 0))+(warm-share)*risen/2), rate*warm
-	since := float64((mix(uint64(b.id)) + uint64(doors) - uint64(g.terms.Me) + uint64(number)) % uint64(doors))
+	since := float64((mix(uint64(b.id)) + uint64(doors) - uint64(g.terms.InstanceIndex) + uint64(number)) % uint64(doors))
 	// Three quarters of the time between a door's turns: a change in what is measured shifts the numbers.
-	return now-g.born >= g.terms.FallSpan && since < max(1, pace*float64(g.terms.FallSpan)/2) &&
+	return now-g.born >= g.terms.OverloadWindow && since < max(1, pace*float64(g.terms.OverloadWindow)/2) &&
 		(b.turn == 0 || float64(now-b.turn)*pace >= 0.75*doors)
 }
 
 // stretch is how much longer than the mean one a transaction of so many units takes, as far as was seen: a
 // unit may stand for work. Without it a large one passes for a slow backend, and a small one for a quick one.
-func (g *Gate) stretch(units float64) float64 {
+func (g *Engine) stretch(units float64) float64 {
 	m := &g.sizes
 	rise := max(m.across/(m.spread+1e-9), 0) * m.count / (m.count + 20)
 	return max(1+rise*(units-m.units)/max(m.took, 1), 0.25)
