--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -12,23 +12,23 @@
 	"fawnplank/internal/pcg"
 )
 
-func plainTerms() Terms {
-	return Terms{Me: 0, Doors: 2, Profiles: []ProfileTerms{{Promised: 750 * ms, HardLimit: 2 * sec}},
-		Plans:     []PlanTerms{{Rate: 5, Burst: 10}},
-		MostShots: 3, Recalls: true, Probes: true, Advice: true, LongestAdvice: sec, Counter: true,
-		CounterTimeout: 50 * ms, ColdShare: 0.2, WarmUp: 10 * sec, FallMultiple: 2, FallSpan: sec}
+func plainTerms() Settings {
+	return Settings{InstanceIndex: 0, Instances: 2, Classes: []ClassSettings{{LatencyObjective: 750 * ms, Deadline: 2 * sec}},
+		Plans:       []PlanSettings{{Rate: 5, Burst: 10}},
+		MaxAttempts: 3, Cancellation: true, HealthChecks: true, RetryAfter: true, MaxRetryAfter: sec, CounterEnabled: true,
+		CounterTimeout: 50 * ms, SlowStartShare: 0.2, SlowStartDuration: 10 * sec, OverloadMultiple: 2, OverloadWindow: sec}
 }
 
 // quiet is a desk without a counter.
-func quiet(t testing.TB, backends ...Listed) *desk {
+func quiet(t testing.TB, backends ...Endpoint) *desk {
 	terms := plainTerms()
-	terms.Counter = false
+	terms.CounterEnabled = false
 	return newDesk(t, terms, backends...)
 }
 
-func ready(ids ...BackendID) (list []Listed) {
+func ready(ids ...BackendID) (list []Endpoint) {
 	for _, id := range ids {
-		list = append(list, Listed{Backend: id, Stage: Ready, Size: 1, Group: GroupID(id % 2),
+		list = append(list, Endpoint{Backend: id, State: EndpointReady, Capacity: 1, Group: GroupID(id % 2),
 			Zone: ZoneID(id % 2)})
 	}
 	return list
@@ -39,27 +39,27 @@
 	r := rand.New(rand.NewPCG(seed, 1))
 	yes := func() bool { return r.IntN(2) == 0 }
 	terms := plainTerms()
-	terms.SecondCopies, terms.Recalls, terms.Probes, terms.Counter = yes(), yes(), yes(), r.IntN(4) > 0
-	terms.PostPaid, terms.ListOnRequest, terms.AskWithin = yes(), yes(), 10*sec
-	terms.MostShots = 1 + r.IntN(5)
-	terms.Profiles = nil
+	terms.Hedging, terms.Cancellation, terms.HealthChecks, terms.CounterEnabled = yes(), yes(), yes(), r.IntN(4) > 0
+	terms.PostPaid, terms.PollEndpoints, terms.PollTimeout = yes(), yes(), 10*sec
+	terms.MaxAttempts = 1 + r.IntN(5)
+	terms.Classes = nil
 	for range 6 {
-		terms.Profiles = append(terms.Profiles, ProfileTerms{Effect: Effect(r.IntN(3)), Reach: Reach(r.IntN(3)),
-			Memory: int64(r.IntN(1000)) * ms, Promised: int64(400+r.IntN(1000)) * ms, HardLimit: 2 * sec,
-			LateUtility: float64(r.IntN(2)), Silence: Silence(r.IntN(3))})
+		terms.Classes = append(terms.Classes, ClassSettings{Idempotency: Idempotency(r.IntN(3)), DedupScope: DedupScope(r.IntN(3)),
+			DedupWindow: int64(r.IntN(1000)) * ms, LatencyObjective: int64(400+r.IntN(1000)) * ms, Deadline: 2 * sec,
+			LateValue: float64(r.IntN(2)), FallbackMode: FallbackMode(r.IntN(3))})
 	}
-	terms.Plans = []PlanTerms{{Rate: 5, Burst: 10}, {Rate: 1, Burst: 2, CeilingRate: 2, CeilingBurst: 8},
-		{Parallel: 3}, {}, {Rate: 1e-9, Burst: 1e9}, {Rate: 1e9, Burst: 0, CeilingRate: 1e-9, CeilingBurst: 1e300},
-		{Rate: 3, Burst: 3, Parallel: 2, BeyondEarns: 0.3}}
+	terms.Plans = []PlanSettings{{Rate: 5, Burst: 10}, {Rate: 1, Burst: 2, HardQuotaRate: 2, HardQuotaBurst: 8},
+		{ConcurrencyLimit: 3}, {}, {Rate: 1e-9, Burst: 1e9}, {Rate: 1e9, Burst: 0, HardQuotaRate: 1e-9, HardQuotaBurst: 1e300},
+		{Rate: 3, Burst: 3, ConcurrencyLimit: 2, OverQuotaValue: 0.3}}
 	d := newDesk(t, terms, ready(1, 2, 3, 4)...)
-	outcomes := []Outcome{Fulfilled, Fulfilled, Fulfilled, Errored, Rejected, TimedOut, Unreached, CutOff,
-		Recalled, Moot}
+	outcomes := []Outcome{Succeeded, Succeeded, Succeeded, Failed, Rejected, TimedOut, ConnectFailed, ConnectionLost,
+		Canceled, NotSent}
 	for n := range 500 {
 		switch r.IntN(12) {
 		case 0, 1, 2, 3:
 			pl := r.IntN(len(terms.Plans) + 1)
-			d.take(TransactionID(n), ProfileID(r.IntN(len(terms.Profiles)+1)), PlanID(pl),
-				CustomerID(r.IntN(3)+3*pl), int64(r.IntN(2000))*ms, float64(r.IntN(4)))
+			d.take(RequestID(n), ClassID(r.IntN(len(terms.Classes)+1)), PlanID(pl),
+				TenantID(r.IntN(3)+3*pl), int64(r.IntN(2000))*ms, float64(r.IntN(4)))
 		case 4, 5, 6:
 			if len(d.order) > 0 {
 				x := d.taken[d.order[r.IntN(len(d.order))]]
@@ -69,15 +69,15 @@
 			}
 		case 7, 8:
 			if len(d.asked) > 0 {
-				d.answer([]Outcome{Fulfilled, Fulfilled, Rejected, Unreached, TimedOut}[r.IntN(5)])
+				d.answer([]Outcome{Succeeded, Succeeded, Rejected, ConnectFailed, TimedOut}[r.IntN(5)])
 			}
 		case 9:
-			b := Listed{Backend: BackendID(1 + r.IntN(6)), Size: r.Float64(), Stage: Stage(r.IntN(3)),
+			b := Endpoint{Backend: BackendID(1 + r.IntN(6)), Capacity: r.Float64(), State: EndpointState(r.IntN(3)),
 				Zone: ZoneID(r.IntN(2)), Group: GroupID(r.IntN(2))}
 			if yes() {
-				b.Started = d.now - int64(r.IntN(9000))*ms
+				b.StartedAt = d.now - int64(r.IntN(9000))*ms
 			}
-			if how := []Listing{Changes, Changes, Changes, Whole, ListFailed}[r.IntN(5)]; how == ListFailed {
+			if how := []UpdateKind{Delta, Delta, Delta, FullSnapshot, UpdateFailed}[r.IntN(5)]; how == UpdateFailed {
 				d.list(how)
 			} else {
 				d.list(how, b)
@@ -85,16 +85,16 @@
 			d.check()
 		case 10:
 			if len(d.probes) > 0 {
-				d.g.Probed(d.now, d.probes[0], outcomes[r.IntN(len(outcomes))])
+				d.g.HandleHealthCheck(d.now, d.probes[0], outcomes[r.IntN(len(outcomes))])
 				d.probes = d.probes[1:]
 			} else if len(d.order) > 0 {
 				x := d.taken[d.order[r.IntN(len(d.order))]]
 				if yes() && x.ended == "" && len(x.shots) > 0 && x.shots[len(x.shots)-1].out {
 					x.streamed = true
-					x.h.Started(d.now, ShotID(len(x.shots)-1))
+					x.h.HandleResponseStarted(d.now, AttemptID(len(x.shots)-1))
 				} else if r.IntN(9) == 0 && x.ended == "" {
 					x.ended = "left"
-					x.h.Left(d.now)
+					x.h.HandleClientGone(d.now)
 				}
 			}
 		default:
@@ -126,13 +126,13 @@
 
 func TestCeilingHoldsWithoutCounterAndThroughRestarts(t *testing.T) {
 	terms := plainTerms()
-	terms.Plans[0] = PlanTerms{CeilingRate: 4, CeilingBurst: 8}
+	terms.Plans[0] = PlanSettings{HardQuotaRate: 4, HardQuotaBurst: 8}
 	d := newDesk(t, terms, ready(1, 2, 3)...)
 	sent := 0
 	for n := range 400 {
-		if x := d.take(TransactionID(n), 0, 0, 1, 2*sec, 1); len(x.shots) > 0 {
+		if x := d.take(RequestID(n), 0, 0, 1, 2*sec, 1); len(x.shots) > 0 {
 			sent++
-			d.settle(x, 0, Fulfilled)
+			d.settle(x, 0, Succeeded)
 		}
 		d.pass(20 * ms)
 		// This door's half of four units a second, and nothing to begin with.
@@ -147,15 +147,15 @@
 
 // admit takes transactions of one unit one after another, has the counter answer each, and counts those let
 // in.
-func admit(d *desk, from, n int, c CustomerID, o Outcome) (in int) {
+func admit(d *desk, from, n int, c TenantID, o Outcome) (in int) {
 	for i := range n {
-		x := d.take(TransactionID(from+i), 0, 0, c, 2*sec, 1)
+		x := d.take(RequestID(from+i), 0, 0, c, 2*sec, 1)
 		for len(d.asked) > 0 {
 			d.answer(o)
 		}
 		if len(x.shots) > 0 {
 			in++
-			d.settle(x, 0, Fulfilled)
+			d.settle(x, 0, Succeeded)
 		}
 	}
 	return in
@@ -163,14 +163,14 @@
 
 func TestQuotaByTheCounter(t *testing.T) {
 	d := newDesk(t, plainTerms(), ready(1, 2, 3)...)
-	if in := admit(d, 0, 30, 1, Fulfilled); in != 10 {
+	if in := admit(d, 0, 30, 1, Succeeded); in != 10 {
 		t.Errorf("%d let in of a burst of 10", in)
 	}
 	if x := d.taken[29]; x.ended != "dismissed" || x.advice == 0 {
 		t.Errorf("beyond the quota: %q, come back in %d", x.ended, x.advice)
 	}
 	d.pass(sec)
-	if in := admit(d, 100, 30, 1, Fulfilled); in != 5 {
+	if in := admit(d, 100, 30, 1, Succeeded); in != 5 {
 		t.Errorf("%d let in after a second at 5 a second", in)
 	}
 }
@@ -178,7 +178,7 @@
 func TestWindowTurnGrantsNoFreshBurst(t *testing.T) {
 	d, in := newDesk(t, plainTerms(), ready(1, 2, 3)...), 0
 	for n := range 50 { // through five windows of two seconds
-		in += admit(d, 100*n, 20, 1, Fulfilled)
+		in += admit(d, 100*n, 20, 1, Succeeded)
 		d.pass(200 * ms)
 	}
 	if in < 55 || in > 10+50 {
@@ -192,17 +192,17 @@
 	for _, entries := range []int{2, 40} {
 		d, in := newDesk(t, plainTerms(), ready(1, 2, 3)...), 0
 		for c := range 20 { // windows start at times of each customer's own
-			id := TransactionID(c)
+			id := RequestID(c)
 			x := &taken{limit: d.now + sec}
 			d.taken[id] = x
-			x.h = d.g.Take(d.now, id, 0, 0, CustomerID(c), sec, 1, entries, 0)
+			x.h = d.g.Submit(d.now, id, 0, 0, TenantID(c), sec, 1, entries, 0)
 			d.counter[d.asked[0].name] = 10 // other doors let in the whole quota in this window
 			for len(d.asked) > 0 {
-				d.answer(Fulfilled)
+				d.answer(Succeeded)
 			}
 			if len(x.shots) > 0 {
 				in++
-				d.settle(x, 0, Fulfilled)
+				d.settle(x, 0, Succeeded)
 			}
 		}
 		if (in > 0) != (entries == 2) { // few doors know what is to be carried, and reckon with the refill
@@ -212,9 +212,9 @@
 }
 
 func TestRefusingCounterLeavesTheShareOrThePreset(t *testing.T) {
-	for silence, want := range []int{KeepShare: 5, LetAll: 30, DismissAll: 0} { // share: half of a burst of 10
+	for silence, want := range []int{LocalShare: 5, FailOpen: 30, FailClosed: 0} { // share: half of a burst of 10
 		terms := plainTerms()
-		terms.Profiles[0].Silence = Silence(silence)
+		terms.Classes[0].FallbackMode = FallbackMode(silence)
 		if in := admit(newDesk(t, terms, ready(1, 2, 3)...), 0, 30, 1, Rejected); in != want {
 			t.Errorf("preset %d: %d let in, not %d", silence, in, want)
 		}
@@ -229,7 +229,7 @@
 		t.Fatalf("not sent after the wait for the counter: %v", d.log)
 	}
 	d.counter[d.asked[0].name] = 30 // others used it up
-	d.answer(Fulfilled)
+	d.answer(Succeeded)
 	if y := d.take(2, 0, 0, 1, 2*sec, 1); len(y.shots) > 0 || y.ended != "dismissed" {
 		t.Error("the late total did not inform")
 	}
@@ -237,7 +237,7 @@
 
 // Failure: an answer without a total, which stands for an amount added, had the amount told once more.
 func TestSpoiltAnswerOfTheCounterWasAdded(t *testing.T) {
-	for o, want := range map[Outcome]float64{CutOff: 0, Unreached: 1} {
+	for o, want := range map[Outcome]float64{ConnectionLost: 0, ConnectFailed: 1} {
 		d := newDesk(t, plainTerms(), ready(1, 2, 3)...)
 		d.take(1, 0, 0, 1, 2*sec, 1)
 		d.answer(o)
@@ -250,9 +250,9 @@
 func TestSilentCounterTripsTheBreakerAndOneTrialCloses(t *testing.T) {
 	d := newDesk(t, plainTerms(), ready(1, 2, 3, 4, 5, 6)...)
 	for n := range 20 {
-		x := d.take(TransactionID(n), 0, 0, CustomerID(n), 2*sec, 1)
+		x := d.take(RequestID(n), 0, 0, TenantID(n), 2*sec, 1)
 		if d.pass(40 * ms); len(x.shots) > 0 {
-			d.settle(x, 0, Fulfilled)
+			d.settle(x, 0, Succeeded)
 		}
 	}
 	if len(d.asked) != breakAt {
@@ -265,7 +265,7 @@
 	if len(d.asked) != 1 {
 		t.Fatalf("%d trial calls", len(d.asked))
 	}
-	d.g.Counted(d.now, Fulfilled, d.asked[0].name, 1)
+	d.g.HandleCounterResult(d.now, Succeeded, d.asked[0].name, 1)
 	if d.take(102, 0, 0, 102, 2*sec, 1); len(d.asked) < 2 {
 		t.Error("the breaker did not close")
 	}
@@ -279,7 +279,7 @@
 	d.pass(2 * sec)
 	x := d.take(100, 0, 0, 2, 2*sec, 1)
 	x.ended = "left"
-	x.h.Left(d.now)
+	x.h.HandleClientGone(d.now)
 	d.pass(2 * sec)
 	if n := len(d.asked); d.take(101, 0, 0, 3, 2*sec, 1) == nil || len(d.asked) != n+1 {
 		t.Error("no further trial call")
@@ -288,11 +288,11 @@
 
 func TestEmptiedCounterIsPutRight(t *testing.T) {
 	terms := plainTerms()
-	terms.Plans[0] = PlanTerms{Rate: 0.5, Burst: 10}
+	terms.Plans[0] = PlanSettings{Rate: 0.5, Burst: 10}
 	d := newDesk(t, terms, ready(1, 2, 3)...)
-	first := admit(d, 0, 8, 1, Fulfilled)
+	first := admit(d, 0, 8, 1, Succeeded)
 	clear(d.counter)
-	if in := first + admit(d, 100, 20, 1, Fulfilled); in < 9 || in > 11 {
+	if in := first + admit(d, 100, 20, 1, Succeeded); in < 9 || in > 11 {
 		t.Errorf("%d let in of a burst of 10 through a counter that came back empty", in)
 	}
 }
@@ -301,14 +301,14 @@
 func TestSilenceLeavesNoDebtOfOldWindows(t *testing.T) {
 	d := newDesk(t, plainTerms(), ready(1, 2, 3)...)
 	for n := range 40 {
-		admit(d, 10*n, 1, 1, Unreached)
+		admit(d, 10*n, 1, 1, ConnectFailed)
 		d.pass(400 * ms)
 	}
 	d.pass(4 * sec)
 	for n := range 60 { // the trial closes the breaker, and the calls come back
-		admit(d, 1000+n, 1, CustomerID(10+n), Fulfilled)
+		admit(d, 1000+n, 1, TenantID(10+n), Succeeded)
 	}
-	if in := admit(d, 2000, 8, 1, Fulfilled); in < 7 {
+	if in := admit(d, 2000, 8, 1, Succeeded); in < 7 {
 		t.Errorf("%d of 8 let in after a silence", in)
 	}
 }
@@ -318,14 +318,14 @@
 	righted := 0
 	for me := range 2 {
 		terms := plainTerms()
-		terms.Me = me
+		terms.InstanceIndex = me
 		d := newDesk(t, terms, ready(1, 2, 3)...)
-		admit(d, 0, 12, 1, Fulfilled)
+		admit(d, 0, 12, 1, Succeeded)
 		d.pass(2100 * ms)
 		clear(d.counter)
 		n := len(d.log)
 		d.take(100, 0, 0, 1, 2*sec, 1)
-		d.answer(Fulfilled)
+		d.answer(Succeeded)
 		for _, l := range d.log[n:] {
 			if strings.Contains(l, "count") && !strings.Contains(l, "by 1.000") {
 				righted++
@@ -344,19 +344,19 @@
 		in := 0
 		for me := range 20 {
 			terms := plainTerms()
-			terms.Me, terms.Doors, terms.Counter = me, 20, told > 0
-			terms.Plans[0] = PlanTerms{Rate: 0.1, Burst: 2}
+			terms.InstanceIndex, terms.Instances, terms.CounterEnabled = me, 20, told > 0
+			terms.Plans[0] = PlanSettings{Rate: 0.1, Burst: 2}
 			d := newDesk(t, terms, ready(1, 2, 3)...)
 			d.g.chance = pcg.New(uint64(me))
 			d.g.plans[0].granted = mean{told, told * 20}
 			d.g.fails, d.g.resume = breakAt, d.now+sec
 			for c := range 10 {
-				id := TransactionID(c)
+				id := RequestID(c)
 				d.taken[id] = &taken{limit: d.now + sec}
-				d.taken[id].h = d.g.Take(d.now, id, 0, 0, CustomerID(c), sec, 1, 20, 0)
+				d.taken[id].h = d.g.Submit(d.now, id, 0, 0, TenantID(c), sec, 1, 20, 0)
 				if x := d.taken[id]; len(x.shots) > 0 {
 					in++
-					d.settle(x, 0, Fulfilled)
+					d.settle(x, 0, Succeeded)
 				}
 			}
 		}
@@ -373,7 +373,7 @@
 	w := d.wakes[len(d.wakes)-1]
 	d.wakes = nil
 	d.now = w.at - 1
-	d.g.Wake(d.now, w.mark)
+	d.g.HandleTimer(d.now, w.mark)
 	if len(d.wakes) != 1 {
 		t.Fatal("no wake asked for again")
 	}
@@ -387,13 +387,13 @@
 func TestLongTransactionIsNotAStall(t *testing.T) {
 	d := quiet(t, ready(1, 2)...)
 	for n := range 20 {
-		x := d.take(TransactionID(n), 0, 0, CustomerID(n), 2*sec, 1)
+		x := d.take(RequestID(n), 0, 0, TenantID(n), 2*sec, 1)
 		d.pass(52 * ms)
-		d.settle(x, 0, Fulfilled)
+		d.settle(x, 0, Succeeded)
 	}
 	x := d.take(100, 0, 0, 100, 2*sec, 1)
 	d.pass(200 * ms)
-	if d.settle(x, 0, Fulfilled); strings.Contains(strings.Join(d.log, "\n"), "recall") {
+	if d.settle(x, 0, Succeeded); strings.Contains(strings.Join(d.log, "\n"), "recall") {
 		t.Error("called off after four usual answer times")
 	}
 	y := d.take(101, 0, 0, 101, 2*sec, 1)
@@ -401,7 +401,7 @@
 	if !strings.Contains(strings.Join(d.log, "\n"), "recall 0 of 101") {
 		t.Error("a stalled shot was not called off")
 	}
-	if d.settle(y, 0, Recalled); len(y.shots) != 2 || y.shots[1].to.Backend == y.shots[0].to.Backend {
+	if d.settle(y, 0, Canceled); len(y.shots) != 2 || y.shots[1].to.Backend == y.shots[0].to.Backend {
 		t.Error("no shot elsewhere after a stall")
 	}
 }
@@ -409,14 +409,14 @@
 // Failure: transactions that may have run were held for room that could not help them.
 func TestAtMostOnceEndsAtOnceAfterAnError(t *testing.T) {
 	terms := plainTerms()
-	terms.Profiles[0].Effect, terms.Counter = AtMostOnce, false
+	terms.Classes[0].Idempotency, terms.CounterEnabled = NonIdempotent, false
 	d := newDesk(t, terms, ready(1, 2)...)
 	x := d.take(1, 0, 0, 1, 2*sec, 1)
-	if d.settle(x, 0, Errored); x.ended != "broken off" {
+	if d.settle(x, 0, Failed); x.ended != "broken off" {
 		t.Errorf("after an error: %q", x.ended)
 	}
 	y := d.take(2, 0, 0, 2, 2*sec, 1)
-	if d.settle(y, 0, Unreached); len(y.shots) != 2 {
+	if d.settle(y, 0, ConnectFailed); len(y.shots) != 2 {
 		t.Error("no second shot though the first did not run")
 	}
 }
@@ -426,17 +426,17 @@
 func TestABrokenConnectionIsNoDeadBackend(t *testing.T) {
 	d := quiet(t, ready(1)...)
 	x := d.take(1, 0, 0, 1, 2*sec, 1)
-	d.settle(x, 0, CutOff)
+	d.settle(x, 0, ConnectionLost)
 	if len(x.shots) != 2 {
 		t.Fatalf("%d shots, the first cut off: %q", len(x.shots), x.ended)
 	}
-	d.settle(x, 1, Fulfilled)
+	d.settle(x, 1, Succeeded)
 	y := d.take(2, 0, 0, 1, 2*sec, 1)
 	for n := range 3 {
 		if len(y.shots) <= n {
 			t.Fatalf("left out after %d cut off", n)
 		}
-		d.settle(y, n, CutOff)
+		d.settle(y, n, ConnectionLost)
 	}
 	if z := d.take(3, 0, 0, 1, 2*sec, 1); len(z.shots) > 0 {
 		t.Error("still sent to after three in a row")
@@ -446,7 +446,7 @@
 func TestNoRoomIsSaidAtOnceWithEarlyAdvice(t *testing.T) {
 	d := quiet(t)
 	for n := range 20 {
-		d.take(TransactionID(n), 0, 0, CustomerID(n), 2*sec, 1)
+		d.take(RequestID(n), 0, 0, TenantID(n), 2*sec, 1)
 	}
 	if x := d.taken[19]; x.ended != "dismissed" || x.advice <= 0 || x.advice >= 750*ms/4 {
 		t.Errorf("with a full door: %q, back in %d", x.ended, x.advice)
@@ -458,11 +458,11 @@
 	sent := 0
 	for me := range 8 {
 		terms := plainTerms()
-		terms.Me, terms.Doors, terms.Counter, terms.Profiles[0].Promised = me, 8, false, 400*ms
-		d := newDesk(t, terms, Listed{Backend: 1, Stage: Ready, Size: 1, Started: 992 * sec})
+		terms.InstanceIndex, terms.Instances, terms.CounterEnabled, terms.Classes[0].LatencyObjective = me, 8, false, 400*ms
+		d := newDesk(t, terms, Endpoint{Backend: 1, State: EndpointReady, Capacity: 1, StartedAt: 992 * sec})
 		d.pass(1100 * ms)
 		for n := range 15 {
-			d.take(TransactionID(n), 0, 0, CustomerID(n), 2*sec, 1)
+			d.take(RequestID(n), 0, 0, TenantID(n), 2*sec, 1)
 			d.pass(48 * ms)
 		}
 		sent += len(d.sends[1])
@@ -478,12 +478,12 @@
 	for _, quick := range []int{40, 0} {
 		d := quiet(t, ready(1)...)
 		for n := range quick + 10 {
-			x := d.take(TransactionID(n), 0, 0, CustomerID(n), 2*sec, 1)
+			x := d.take(RequestID(n), 0, 0, TenantID(n), 2*sec, 1)
 			if d.pass(50 * ms); n >= quick {
 				d.pass(650 * ms)
 			}
 			for i := range x.shots {
-				d.settle(x, i, Fulfilled)
+				d.settle(x, i, Succeeded)
 			}
 		}
 		d.pass(12 * sec)
@@ -500,13 +500,13 @@
 func TestSlowFleetIsNoJam(t *testing.T) {
 	d, sent := quiet(t, ready(1, 2, 3, 4)...), 0
 	for n := range 100 {
-		x := d.take(TransactionID(n), 0, 0, CustomerID(n), 2*sec, 1)
+		x := d.take(RequestID(n), 0, 0, TenantID(n), 2*sec, 1)
 		d.pass(40 * ms)
 		if n >= 40 {
 			d.pass(170 * ms)
 		}
 		for i := range x.shots {
-			d.settle(x, i, Fulfilled)
+			d.settle(x, i, Succeeded)
 		}
 		if n >= 80 {
 			sent += len(x.shots)
@@ -515,16 +515,16 @@
 	if sent < 18 {
 		t.Errorf("%d of 20 sent, one after another, to a fleet that answers in time", sent)
 	}
-	d.list(Whole, ready(11, 12)...)
+	d.list(FullSnapshot, ready(11, 12)...)
 	if x := d.take(200, 0, 0, 200, 2*sec, 1); len(x.shots) != 1 {
 		t.Error("nothing sent to a new backend of that kind")
 	}
 }
 
 func TestJamShowsBeforeItsAnswers(t *testing.T) {
-	for _, o := range []Outcome{Rejected, Fulfilled} {
+	for _, o := range []Outcome{Rejected, Succeeded} {
 		terms := plainTerms()
-		terms.Counter, terms.Recalls, terms.MostShots = false, false, 1
+		terms.CounterEnabled, terms.Cancellation, terms.MaxAttempts = false, false, 1
 		var list []BackendID
 		for n := range 140 {
 			list = append(list, BackendID(n))
@@ -532,9 +532,9 @@
 		d := newDesk(t, terms, ready(list...)...)
 		sent := 0
 		for n := range 140 {
-			x := d.take(TransactionID(n), 0, 0, CustomerID(n), 2*sec, 1)
+			x := d.take(RequestID(n), 0, 0, TenantID(n), 2*sec, 1)
 			if d.pass(20 * ms); n < 40 {
-				d.settle(x, 0, Fulfilled)
+				d.settle(x, 0, Succeeded)
 			} else if sent += len(x.shots); len(x.shots) > 0 && o == Rejected { // else it stays out
 				d.settle(x, 0, o)
 			}
@@ -548,10 +548,10 @@
 // Failure: at their start many doors sent all they got before the first late answer told of a jam.
 func TestYoungDoorOfManyKeepsFewShotsOut(t *testing.T) {
 	terms := plainTerms()
-	terms.Counter, terms.Doors = false, 100
+	terms.CounterEnabled, terms.Instances = false, 100
 	d, sent := newDesk(t, terms, ready(1, 2, 3, 4, 5, 6, 7, 8, 9, 10)...), 0
 	for n := range 40 {
-		sent += len(d.take(TransactionID(n), 0, 0, CustomerID(n), 2*sec, 1).shots)
+		sent += len(d.take(RequestID(n), 0, 0, TenantID(n), 2*sec, 1).shots)
 	}
 	if sent < 1 || sent > 4 {
 		t.Errorf("%d shots out of one of 100 doors before any answer", sent)
@@ -572,9 +572,9 @@
 	held := d.take(1, 0, 0, 1, 2*sec, 1)
 	for n := BackendID(2); n < 3000; n++ {
 		if n%2 == 0 {
-			d.list(Changes, Listed{Backend: n, Stage: Ready, Started: d.now}, Listed{Backend: n - 1, Stage: Gone})
+			d.list(Delta, Endpoint{Backend: n, State: EndpointReady, StartedAt: d.now}, Endpoint{Backend: n - 1, State: EndpointGone})
 		} else {
-			d.list(Whole, Listed{Backend: n, Stage: Ready, Started: d.now})
+			d.list(FullSnapshot, Endpoint{Backend: n, State: EndpointReady, StartedAt: d.now})
 		}
 		if n%200 == 0 {
 			d.pass(100 * ms)
@@ -583,7 +583,7 @@
 	if len(d.g.listed) > 210 || len(d.g.backends) != len(d.g.listed) || d.g.backends[1] == nil {
 		t.Errorf("%d backends are kept, %d of them listed", len(d.g.backends), len(d.g.listed))
 	}
-	d.settle(held, 0, Fulfilled)
+	d.settle(held, 0, Succeeded)
 	if d.pass(100 * ms); d.g.backends[1] != nil {
 		t.Error("one that is gone and has nothing out is kept")
 	}
@@ -591,13 +591,13 @@
 
 func TestUnfollowedListIsAskedForAgain(t *testing.T) {
 	terms := plainTerms()
-	terms.ListOnRequest, terms.AskWithin = true, 10*sec
+	terms.PollEndpoints, terms.PollTimeout = true, 10*sec
 	d := newDesk(t, terms, ready(1)...)
 	for d.pass(8 * ms); d.follows == 0; d.pass(8 * ms) { // the first asking
 	}
 	for range 5 {
 		n := d.follows
-		d.list(ListFailed)
+		d.list(UpdateFailed)
 		if d.pass(10100 * ms); d.follows != n+1 {
 			t.Fatalf("asked %d times after a failure", d.follows-n)
 		}
@@ -608,7 +608,7 @@
 // later, whatever the grace: 23 backends that drained were sent to 335 times. A third of the grace is the door's own.
 func TestSilentListIsAskedAnewWithinTheGrace(t *testing.T) {
 	for _, grace := range []int64{200 * ms, 250 * ms, 500 * ms, sec, 10 * sec} {
-		watch, late, whole, again := Terms{DrainGrace: grace}.Asking()
+		watch, late, whole, again := Settings{DrainGrace: grace}.DiscoveryTimeouts()
 		if max(watch+late, whole)+again > grace*7/10 || watch < 50*ms {
 			t.Errorf("of a grace of %d: a watch of %d and %d, a list of %d, again after %d", grace, watch, late, whole, again)
 		}
@@ -617,7 +617,7 @@
 		d := newDesk(t, terms, ready(1)...)
 		for range 20 { // however long the outage
 			n := d.follows
-			d.list(ListFailed)
+			d.list(UpdateFailed)
 			if d.pass(grace/10 + 8*ms); d.follows != n+1 {
 				t.Fatalf("asked %d times within a tenth of %d", d.follows-n, grace)
 			}
@@ -628,8 +628,8 @@
 	// anew, or to the one after a refusal.
 	for _, within := range []int64{sec, 4 * sec, 10 * sec, 30 * sec} {
 		terms := plainTerms()
-		terms.ListOnRequest, terms.AskWithin = true, within
-		watch, late, whole, again := terms.Asking()
+		terms.PollEndpoints, terms.PollTimeout = true, within
+		watch, late, whole, again := terms.DiscoveryTimeouts()
 		if watch+late+again > 5200*ms || whole+again > 5200*ms {
 			t.Errorf("asked for within %d: %d, %d, %d, %d", within, watch, late, whole, again)
 		}
@@ -638,7 +638,7 @@
 		}
 		for range 20 {
 			n := d.follows
-			d.list(ListFailed)
+			d.list(UpdateFailed)
 			if d.pass(4*sec + 8*ms); d.follows != n+1 {
 				t.Fatalf("asked %d times in the four seconds after a failure", d.follows-n)
 			}
@@ -652,8 +652,8 @@
 func TestOverbookedDiscoveryIsHeardByAll(t *testing.T) {
 	const doors, each, late, room = 80, sec / 20, 2 * sec, 50
 	terms := plainTerms()
-	terms.Doors, terms.ListOnRequest, terms.AskWithin = doors, true, 10*sec
-	watch, _, _, _ := terms.Asking()
+	terms.Instances, terms.PollEndpoints, terms.PollTimeout = doors, true, 10*sec
+	watch, _, _, _ := terms.DiscoveryTimeouts()
 	desks, last, next, told := make([]*desk, doors), make([]int64, doors), make([]int64, doors), make([]int64, doors)
 	gap := int64(0)
 	for n := range desks {
@@ -669,7 +669,7 @@
 			}
 			if told[n] != 0 && now >= told[n] {
 				told[n] = 0
-				d.g.Backends(d.now, ListFailed, nil)
+				d.g.UpdateEndpoints(d.now, UpdateFailed, nil)
 			}
 			if next[n] == 0 || now < next[n] {
 				continue
@@ -684,7 +684,7 @@
 				told[n] = now + late
 				continue
 			}
-			d.g.Backends(d.now, Changes, nil)
+			d.g.UpdateEndpoints(d.now, Delta, nil)
 			if now > 1020*sec { // from then on the six seconds hold for every door
 				gap = max(gap, now-last[n])
 			}
@@ -710,8 +710,8 @@
 		first, last := int64(math.MaxInt64), int64(0)
 		for me := range x.doors {
 			terms := plainTerms()
-			terms.Me, terms.Doors, terms.ListOnRequest, terms.AskWithin = me, x.doors, true, 10*sec
-			d := &desk{t: t, terms: terms, now: 1000 * sec, state: map[BackendID]Listed{}, taken: map[TransactionID]*taken{}}
+			terms.InstanceIndex, terms.Instances, terms.PollEndpoints, terms.PollTimeout = me, x.doors, true, 10*sec
+			d := &desk{t: t, terms: terms, now: 1000 * sec, state: map[BackendID]Endpoint{}, taken: map[RequestID]*taken{}}
 			for d.g = New(d.now, uint64(me), terms, d); d.follows == 0 && d.now < 1010*sec; {
 				d.pass(4 * ms)
 			}
@@ -727,10 +727,10 @@
 func TestShareFollowsTheDoorsPartOfTheTraffic(t *testing.T) {
 	d := newDesk(t, plainTerms(), ready(1, 2, 3)...)
 	for n := range 60 { // all of this customer's traffic comes here
-		admit(d, n, 1, 1, Fulfilled)
+		admit(d, n, 1, 1, Succeeded)
 		d.pass(400 * ms)
 	}
-	if in := admit(d, 100, 30, 1, Unreached); in < 6 || in > 10 {
+	if in := admit(d, 100, 30, 1, ConnectFailed); in < 6 || in > 10 {
 		t.Errorf("%d let in of a burst of 10 that all comes through this door", in)
 	}
 }
@@ -739,13 +739,13 @@
 func TestPartlyAnsweringCounterIsCalledLess(t *testing.T) {
 	d, calls := newDesk(t, plainTerms(), ready(1, 2, 3)...), 0
 	for n := range 200 {
-		x := d.take(TransactionID(n), 0, 0, CustomerID(n), 2*sec, 1)
+		x := d.take(RequestID(n), 0, 0, TenantID(n), 2*sec, 1)
 		if len(d.asked) > 0 {
 			calls++
-			d.answer([]Outcome{Fulfilled, Rejected}[calls%2])
+			d.answer([]Outcome{Succeeded, Rejected}[calls%2])
 		}
 		if len(x.shots) > 0 {
-			d.settle(x, 0, Fulfilled)
+			d.settle(x, 0, Succeeded)
 		}
 	}
 	if calls < 10 || calls > 80 {
@@ -757,13 +757,13 @@
 // or by an even part of it, so that one shot out at a door had the next one there dismissed.
 func TestCapOnShotsOutIsHeldTogether(t *testing.T) {
 	terms := plainTerms()
-	terms.Plans[0].Parallel = 2
+	terms.Plans[0].ConcurrencyLimit = 2
 	here, there := newDesk(t, terms, ready(1, 2, 3, 4)...), newDesk(t, terms, ready(1, 2, 3, 4)...)
 	there.counter = here.counter
-	step := func(d *desk, id TransactionID) *taken {
+	step := func(d *desk, id RequestID) *taken {
 		x := d.take(id, 0, 0, 7, 2*sec, 1)
 		for len(d.asked) > 0 {
-			d.answer(Fulfilled)
+			d.answer(Succeeded)
 		}
 		return x
 	}
@@ -774,9 +774,9 @@
 	if c := step(here, 3); c.ended != "dismissed" {
 		t.Error("let in past the cap, with one out here and one there")
 	}
-	there.settle(b, 0, Fulfilled)
+	there.settle(b, 0, Succeeded)
 	for len(there.asked) > 0 {
-		there.answer(Fulfilled)
+		there.answer(Succeeded)
 	}
 	if c := step(here, 4); len(c.shots) != 1 {
 		t.Error("the end of a shot at the other door was not told")
@@ -799,16 +799,16 @@
 func TestCapOnShotsOutWithoutTheCounter(t *testing.T) {
 	for rate, want := range map[float64]int{1: 3, 50: 1} {
 		terms := plainTerms()
-		terms.Plans[0] = PlanTerms{Rate: rate, Burst: 100, Parallel: 3}
-		terms.Doors = 1
+		terms.Plans[0] = PlanSettings{Rate: rate, Burst: 100, ConcurrencyLimit: 3}
+		terms.Instances = 1
 		d := newDesk(t, terms, ready(1, 2, 3, 4)...)
 		x := d.take(1, 0, 0, 2, 2*sec, 1)
 		d.answer(Rejected)
 		d.pass(100 * ms)
-		d.settle(x, 0, Fulfilled) // the answer time is known from here on
+		d.settle(x, 0, Succeeded) // the answer time is known from here on
 		in := 0
 		for n := range 5 {
-			y := d.take(TransactionID(10+n), 0, 0, 1, 2*sec, 1)
+			y := d.take(RequestID(10+n), 0, 0, 1, 2*sec, 1)
 			for len(d.asked) > 0 {
 				d.answer(Rejected)
 			}
@@ -825,15 +825,15 @@
 // Failure: where units stand for work, large transactions had passed for slow backends, and found no room.
 func TestUnitsStandForWork(t *testing.T) {
 	terms := plainTerms()
-	terms.Counter, terms.Plans[0].Burst = false, 100
+	terms.CounterEnabled, terms.Plans[0].Burst = false, 100
 	d := newDesk(t, terms, ready(1, 2, 3)...)
 	for n := range 120 {
 		units := float64(1 + n%2*7) // one, or eight
-		x := d.take(TransactionID(n), 0, 0, CustomerID(n), 2*sec, units)
+		x := d.take(RequestID(n), 0, 0, TenantID(n), 2*sec, units)
 		if d.pass(int64(units) * 24 * ms); len(x.shots) == 0 {
 			t.Fatalf("no room for the %dth, of %.0f units", n, units)
 		}
-		d.settle(x, 0, Fulfilled)
+		d.settle(x, 0, Succeeded)
 	}
 	for _, b := range d.g.listed {
 		if off := b.late / d.g.all.value; off < 0.8 || off > 1.25 {
@@ -853,13 +853,13 @@
 	first := map[BackendID]int{}
 	for me := range 4 {
 		terms := plainTerms()
-		terms.Me, terms.Doors, terms.Counter = me, 4, false
+		terms.InstanceIndex, terms.Instances, terms.CounterEnabled = me, 4, false
 		d := newDesk(t, terms, ready(1, 2, 3, 4, 5, 6, 7, 8)...)
 		for n := range 10 {
-			x := d.take(TransactionID(n), 0, 0, CustomerID(n), 2*sec, 1)
+			x := d.take(RequestID(n), 0, 0, TenantID(n), 2*sec, 1)
 			first[x.shots[0].to.Backend] = me
 			d.pass(100 * ms)
-			d.settle(x, 0, Fulfilled)
+			d.settle(x, 0, Succeeded)
 		}
 		if len(first) != 2*(me+1) {
 			t.Fatalf("%d backends in use by %d doors of two each", len(first), me+1)
@@ -872,9 +872,9 @@
 func TestSlowAnswersAreNoStall(t *testing.T) {
 	d := quiet(t, ready(1, 2)...)
 	for n := range 20 {
-		x := d.take(TransactionID(n), 0, 0, CustomerID(n), 2*sec, 1)
+		x := d.take(RequestID(n), 0, 0, TenantID(n), 2*sec, 1)
 		d.pass(160 * ms)
-		d.settle(x, 0, Fulfilled)
+		d.settle(x, 0, Succeeded)
 	}
 	x := d.take(100, 0, 0, 100, 2*sec, 1)
 	d.pass(700 * ms)
@@ -888,20 +888,20 @@
 
 // Failure: what the counter had not seen took the room of what it had let in, and cost its utility unserved.
 func TestCountedTransactionsFindRoomFirst(t *testing.T) {
-	for _, answer := range []Outcome{Fulfilled, Rejected} {
+	for _, answer := range []Outcome{Succeeded, Rejected} {
 		d := newDesk(t, plainTerms(), ready(1)...)
 		for n := range 40 {
-			x := d.take(TransactionID(n), 0, 0, CustomerID(n), 2*sec, 1)
+			x := d.take(RequestID(n), 0, 0, TenantID(n), 2*sec, 1)
 			for len(d.asked) > 0 {
-				d.answer(Fulfilled)
+				d.answer(Succeeded)
 			}
 			if d.pass(230 * ms); len(x.shots) == 0 {
 				t.Fatalf("the %dth %s", n, x.ended)
 			}
-			d.settle(x, 0, Fulfilled)
+			d.settle(x, 0, Succeeded)
 		}
 		x := d.take(100, 0, 0, 100, 2*sec, 1) // likely to take 230 ms of at most 300, and of 180 where not counted
-		if d.answer(answer); (len(x.shots) == 1) != (answer == Fulfilled) {
+		if d.answer(answer); (len(x.shots) == 1) != (answer == Succeeded) {
 			t.Errorf("after an answer of kind %d: %d shots", answer, len(x.shots))
 		}
 	}
@@ -912,17 +912,17 @@
 	sent := map[int64]int{}
 	for _, gap := range []int64{100 * ms, 5 * ms} { // answers take 200 ms in both: many cores, or few used
 		terms := plainTerms()
-		terms.Doors, terms.Counter, terms.FallMultiple = 1, false, 4
+		terms.Instances, terms.CounterEnabled, terms.OverloadMultiple = 1, false, 4
 		d := newDesk(t, terms, ready(1, 2, 3, 4, 5, 6, 7, 8)...)
 		for n := 0; d.now < 1020*sec; n++ {
 			if d.now >= 1012*sec && len(d.state) == 8 {
-				d.list(Changes, Listed{Backend: 9, Stage: Ready, Size: 1, Started: 1011 * sec})
+				d.list(Delta, Endpoint{Backend: 9, State: EndpointReady, Capacity: 1, StartedAt: 1011 * sec})
 			}
-			d.take(TransactionID(n), 0, 0, CustomerID(n), 2*sec, 1)
+			d.take(RequestID(n), 0, 0, TenantID(n), 2*sec, 1)
 			d.pass(gap)
 			for _, id := range d.order[max(n-60, 0):] {
 				if x := d.taken[id]; len(x.shots) > 0 && d.now-x.shots[0].sent >= 200*ms {
-					d.settle(x, 0, Fulfilled)
+					d.settle(x, 0, Succeeded)
 				}
 			}
 		}
@@ -937,16 +937,16 @@
 // went on filling the warm backends while 90 of 151 were replaced (join+mass, seed 11: 29% answered in time).
 func TestThinDoorsHearOfAJamWithinSeconds(t *testing.T) {
 	terms := plainTerms()
-	terms.Doors, terms.Counter = 1, false
+	terms.Instances, terms.CounterEnabled = 1, false
 	d := newDesk(t, terms, ready(1, 2, 3, 4, 5, 6, 7, 8)...)
 	for n := 0; d.now < 1022500*ms; n++ {
-		x := d.take(TransactionID(n), 0, 0, CustomerID(n), 2*sec, 1)
+		x := d.take(RequestID(n), 0, 0, TenantID(n), 2*sec, 1)
 		took := 100 * ms
 		if d.now > 1020*sec {
 			took = 240 * ms
 		}
 		if d.pass(took); len(x.shots) > 0 && x.shots[0].out {
-			d.settle(x, 0, Fulfilled)
+			d.settle(x, 0, Succeeded)
 		}
 		d.pass(250*ms - took)
 	}
@@ -960,9 +960,9 @@
 func TestForgettingEndsAtTheQuietTime(t *testing.T) {
 	d := quiet(t, ready(1, 2)...)
 	for n := range 20 {
-		x := d.take(TransactionID(n), 0, 0, CustomerID(n), 2*sec, 1)
+		x := d.take(RequestID(n), 0, 0, TenantID(n), 2*sec, 1)
 		d.pass(100 * ms)
-		d.settle(x, 0, Fulfilled)
+		d.settle(x, 0, Succeeded)
 	}
 	x := d.take(100, 0, 0, 100, 2*sec, 1)
 	d.pass(1800 * ms)
@@ -979,25 +979,25 @@
 func TestClientsWhoLeaveEarly(t *testing.T) {
 	d := quiet(t, ready(1, 2, 3)...)
 	for n := range 20 {
-		x := d.take(TransactionID(n), 0, 0, CustomerID(n), 2*sec, 1)
+		x := d.take(RequestID(n), 0, 0, TenantID(n), 2*sec, 1)
 		d.pass(100 * ms)
-		d.settle(x, 0, Fulfilled)
+		d.settle(x, 0, Succeeded)
 	}
 	before := d.g.all.value
-	leave := func(id TransactionID) bool {
-		x := d.take(id, 0, 0, CustomerID(id), 2*sec, 1)
+	leave := func(id RequestID) bool {
+		x := d.take(id, 0, 0, TenantID(id), 2*sec, 1)
 		d.pass(240 * ms)
 		if len(x.shots) == 0 {
 			return false
 		}
 		x.ended = "left"
-		x.h.Left(d.now)
-		d.settle(x, 0, Recalled)
+		x.h.HandleClientGone(d.now)
+		d.settle(x, 0, Canceled)
 		return true
 	}
 	sent := 0
 	for n := range 40 {
-		if leave(TransactionID(100 + n)) {
+		if leave(RequestID(100 + n)) {
 			sent++
 		}
 	}
@@ -1017,29 +1017,29 @@
 func TestABurstOfLeaversIsForgotten(t *testing.T) {
 	d := quiet(t, ready(1, 2, 3)...)
 	for n := range 20 {
-		x := d.take(TransactionID(n), 0, 0, CustomerID(n), 2*sec, 1)
+		x := d.take(RequestID(n), 0, 0, TenantID(n), 2*sec, 1)
 		d.pass(100 * ms)
-		d.settle(x, 0, Fulfilled)
+		d.settle(x, 0, Succeeded)
 	}
 	for n := range 20 {
-		x := d.take(TransactionID(100+n), 0, 0, CustomerID(n), 2*sec, 1)
+		x := d.take(RequestID(100+n), 0, 0, TenantID(n), 2*sec, 1)
 		if len(x.shots) == 0 {
 			continue
 		}
 		x.ended = "left"
-		x.h.Left(d.now + 10*ms)
+		x.h.HandleClientGone(d.now + 10*ms)
 		d.pass(10 * ms)
-		d.settle(x, 0, Recalled)
+		d.settle(x, 0, Canceled)
 	}
 	if d.g.plans[0].leaves.value < 0.3 {
 		t.Fatalf("%.2f left", d.g.plans[0].leaves.value)
 	}
 	served, last := 0, 0
 	for n := range 200 { // twenty seconds, and none leaves
-		x := d.take(TransactionID(200+n), 0, 0, CustomerID(n), 2*sec, 1)
+		x := d.take(RequestID(200+n), 0, 0, TenantID(n), 2*sec, 1)
 		d.pass(100 * ms)
 		if len(x.shots) > 0 {
-			d.settle(x, 0, Fulfilled)
+			d.settle(x, 0, Succeeded)
 			if served++; n >= 120 {
 				last++
 			}
@@ -1056,21 +1056,21 @@
 	sent, second := 0, map[int64]float64{}
 	for me := range 60 {
 		terms := plainTerms()
-		terms.Me, terms.Doors, terms.Counter, terms.FallMultiple = me, 60, false, 4
+		terms.InstanceIndex, terms.Instances, terms.CounterEnabled, terms.OverloadMultiple = me, 60, false, 4
 		var warm []BackendID
 		for b := range 20 {
 			warm = append(warm, BackendID(10+b))
 		}
 		d := newDesk(t, terms, ready(warm...)...)
 		for n := 0; d.now < 1025*sec; n++ {
-			x := d.take(TransactionID(n), 0, 0, CustomerID(n), 2*sec, 1)
+			x := d.take(RequestID(n), 0, 0, TenantID(n), 2*sec, 1)
 			d.pass(100 * ms)
 			if len(x.shots) > 0 && d.now < 1020*sec { // from then on nobody answers
-				d.settle(x, 0, Fulfilled)
+				d.settle(x, 0, Succeeded)
 			}
 			d.pass(100 * ms)
 			if d.now >= 1020*sec && len(d.state) == 20 {
-				d.list(Changes, Listed{Backend: 3, Stage: Ready, Size: 1, Started: 1019 * sec})
+				d.list(Delta, Endpoint{Backend: 3, State: EndpointReady, Capacity: 1, StartedAt: 1019 * sec})
 			}
 		}
 		sent += len(d.sends[3])
@@ -1095,18 +1095,18 @@
 	sent, second := 0, map[int64]float64{}
 	for me := range 80 {
 		terms := plainTerms()
-		terms.Me, terms.Doors, terms.Counter, terms.FallMultiple = me, 80, false, 4
-		terms.FallSpan, terms.WarmUp = 2*sec, 20*sec
+		terms.InstanceIndex, terms.Instances, terms.CounterEnabled, terms.OverloadMultiple = me, 80, false, 4
+		terms.OverloadWindow, terms.SlowStartDuration = 2*sec, 20*sec
 		d := newDesk(t, terms, ready(10, 11, 12, 13, 14, 15, 16, 17)...)
 		d.pass(int64(me) * 5 * ms)
 		for n := 0; d.now < 1035*sec; n++ {
-			x := d.take(TransactionID(n), 0, 0, CustomerID(n), 2*sec, 1)
+			x := d.take(RequestID(n), 0, 0, TenantID(n), 2*sec, 1)
 			if d.pass(200 * ms); len(x.shots) > 0 {
-				d.settle(x, 0, Fulfilled)
+				d.settle(x, 0, Succeeded)
 			}
 			d.pass(200 * ms)
 			if len(d.state) == 8 && d.now >= 1019*sec {
-				d.list(Changes, Listed{Backend: 3, Stage: Ready, Size: 1, Started: 1019 * sec})
+				d.list(Delta, Endpoint{Backend: 3, State: EndpointReady, Capacity: 1, StartedAt: 1019 * sec})
 			}
 			if d.now >= 1025*sec { // a jam: as if all had answered late
 				d.g.all.value = 0.45 * float64(sec)
@@ -1131,14 +1131,14 @@
 // A profile that only counts: granted while there is room, dismissed beyond it, and nothing is ever sent. What was
 // granted stays counted, with the counter and without; what was not leaves nothing behind.
 func TestAQuestionIsCountedAndNothingIsSent(t *testing.T) {
-	for _, o := range []Outcome{Fulfilled, Unreached} {
+	for _, o := range []Outcome{Succeeded, ConnectFailed} {
 		terms := plainTerms()
-		terms.Profiles = append(terms.Profiles, ProfileTerms{Promised: sec, HardLimit: 2 * sec, CountsOnly: true})
-		question := ProfileID(len(terms.Profiles) - 1)
+		terms.Classes = append(terms.Classes, ClassSettings{LatencyObjective: sec, Deadline: 2 * sec, CheckOnly: true})
+		question := ClassID(len(terms.Classes) - 1)
 		d := newDesk(t, terms) // no backend is ready, which is nothing to a question
 		ends := map[string]int{}
 		for n := range 40 {
-			x := d.take(TransactionID(n), question, 0, 1, 2*sec, 1)
+			x := d.take(RequestID(n), question, 0, 1, 2*sec, 1)
 			for len(d.asked) > 0 {
 				d.answer(o)
 			}
@@ -1148,7 +1148,7 @@
 			}
 		}
 		want := 10 // the burst
-		if o != Fulfilled {
+		if o != Succeeded {
 			want = 5 // this door's share of it
 		}
 		if ends["granted"] < want-1 || ends["granted"] > want+1 || ends["granted"]+ends["dismissed"] != 40 {
@@ -1158,10 +1158,10 @@
 		for _, total := range d.counter {
 			sum += total
 		}
-		if o == Fulfilled && math.Abs(sum-float64(ends["granted"])) > 1 {
+		if o == Succeeded && math.Abs(sum-float64(ends["granted"])) > 1 {
 			t.Errorf("%d granted and %.1f counted", ends["granted"], sum)
 		}
-		if q, ok := d.g.Quota(d.now, 1, 0, 2); !ok || q.Limit != 10 || q.Used < 9 {
+		if q, ok := d.g.QuotaStatus(d.now, 1, 0, 2); !ok || q.Limit != 10 || q.Used < 9 {
 			t.Errorf("counter %d: %+v", o, q)
 		}
 	}
@@ -1171,18 +1171,18 @@
 // through the doors' shares had a fresh burst from the counter.
 func TestStoreIsCarriedOverAnOutage(t *testing.T) {
 	terms := plainTerms()
-	terms.Plans[0] = PlanTerms{Rate: 5, Burst: 50, BeyondCosts: 1} // windows of ten seconds
+	terms.Plans[0] = PlanSettings{Rate: 5, Burst: 50, OverQuotaCost: 1} // windows of ten seconds
 	d := newDesk(t, terms, ready(1, 2, 3)...)
 	for n := range 200 { // forty seconds, always beyond the share of half
-		admit(d, 10*n, 2, 1, Unreached)
+		admit(d, 10*n, 2, 1, ConnectFailed)
 		d.pass(200 * ms)
 	}
 	clear(d.counter)
 	for n := range 60 { // the trial closes the breaker
-		admit(d, 10000+10*n, 1, CustomerID(10+n), Fulfilled)
+		admit(d, 10000+10*n, 1, TenantID(10+n), Succeeded)
 		d.pass(40 * ms)
 	}
-	if in := admit(d, 20000, 60, 1, Fulfilled); in > 25 {
+	if in := admit(d, 20000, 60, 1, Succeeded); in > 25 {
 		t.Errorf("%d let in at once after an outage through which the customer used all it could", in)
 	}
 }
@@ -1191,26 +1191,26 @@
 func TestShareAloneDecidesInAnOutage(t *testing.T) {
 	d := newDesk(t, plainTerms(), ready(1, 2, 3)...)
 	in := 0
-	alone := func(id TransactionID, o Outcome) {
-		x := &taken{customer: 1, units: 1, entries: 1, limit: d.now + 2*sec, profile: d.terms.Profiles[0], plan: d.terms.Plans[0]}
+	alone := func(id RequestID, o Outcome) {
+		x := &taken{customer: 1, units: 1, entries: 1, limit: d.now + 2*sec, profile: d.terms.Classes[0], plan: d.terms.Plans[0]}
 		d.taken[id] = x
 		d.order = append(d.order, id)
-		x.h = d.g.Take(d.now, id, 0, 0, 1, 2*sec, 1, 1, 0)
+		x.h = d.g.Submit(d.now, id, 0, 0, 1, 2*sec, 1, 1, 0)
 		for len(d.asked) > 0 {
 			d.answer(o)
 		}
 		if len(x.shots) > 0 {
 			in++
-			d.settle(x, 0, Fulfilled)
+			d.settle(x, 0, Succeeded)
 		}
 	}
 	for n := range 200 { // twenty seconds with the counter
-		alone(TransactionID(n), Fulfilled)
+		alone(RequestID(n), Succeeded)
 		d.pass(100 * ms)
 	}
 	in = 0
 	for n := range 600 { // a minute, ten tries a second for five
-		alone(TransactionID(1000+n), Unreached)
+		alone(RequestID(1000+n), ConnectFailed)
 		d.pass(100 * ms)
 	}
 	if in < 295 || in > 312 {
@@ -1222,20 +1222,20 @@
 // answers came a window. Two doors that see the same traffic have parts that add up to one.
 func TestPartsOfDoorsAddUp(t *testing.T) {
 	terms := plainTerms()
-	terms.Plans[0] = PlanTerms{Rate: 10, Burst: 10, BeyondCosts: 1} // windows of a second
+	terms.Plans[0] = PlanSettings{Rate: 10, Burst: 10, OverQuotaCost: 1} // windows of a second
 	d := newDesk(t, terms, ready(1, 2, 3)...)
 	chance, sum, n := rand.New(rand.NewPCG(5, 5)), 0.0, 0
 	for id := range 800 {
-		x := d.take(TransactionID(id), 0, 0, 1, 2*sec, 1)
+		x := d.take(RequestID(id), 0, 0, 1, 2*sec, 1)
 		for len(d.asked) > 0 {
 			k := d.asked[0] // the other door's, as many on the mean, came before it
 			for chance.Float64() < 0.5 {
 				d.counter[k.name]++
 			}
-			d.answer(Fulfilled)
+			d.answer(Succeeded)
 		}
 		if len(x.shots) > 0 {
-			d.settle(x, 0, Fulfilled)
+			d.settle(x, 0, Succeeded)
 		}
 		d.pass(int64(chance.ExpFloat64() * float64(400*ms)))
 		if id > 100 {
@@ -1252,24 +1252,24 @@
 func TestLearnedStateIsAged(t *testing.T) {
 	old := newDesk(t, plainTerms(), ready(1, 2, 3)...)
 	for n := range 60 {
-		x := old.take(TransactionID(n), 0, 0, CustomerID(n), 2*sec, 1)
+		x := old.take(RequestID(n), 0, 0, TenantID(n), 2*sec, 1)
 		for len(old.asked) > 0 {
-			old.answer(Fulfilled)
+			old.answer(Succeeded)
 		}
 		old.pass(20 * ms)
 		if len(x.shots) > 0 {
-			old.settle(x, 0, Fulfilled)
+			old.settle(x, 0, Succeeded)
 		}
 	}
-	l := old.g.Learned()
-	if len(l.Backends) < 2 || l.Usual < 15e6 || l.Usual > 30e6 {
+	l := old.g.ExportState()
+	if len(l.Backends) < 2 || l.BaselineLatency < 15e6 || l.BaselineLatency > 30e6 {
 		t.Fatalf("%+v", l)
 	}
 	for age, want := range map[int64]float64{0: 1, 600 * sec: 0.5, 6 * 3600 * sec: 1e-9} {
 		d := newDesk(t, plainTerms(), ready(1, 2)...)
-		d.list(Changes, Listed{Backend: 3, Size: 1, Stage: Ready, Started: d.now - 60*sec})
-		d.g.Relearn(d.now, l, age)
-		if got := d.g.all.count / l.Count; math.Abs(got-want) > 0.01 {
+		d.list(Delta, Endpoint{Backend: 3, Capacity: 1, State: EndpointReady, StartedAt: d.now - 60*sec})
+		d.g.ImportState(d.now, l, age)
+		if got := d.g.all.count / l.Samples; math.Abs(got-want) > 0.01 {
 			t.Errorf("after %d s all together count for %.4f, want %.4f", age/sec, got, want)
 		}
 		if one := d.g.backends[1].pace.count; (age == 0) != (one > 0.5) {
@@ -1283,7 +1283,7 @@
 		}
 	}
 	d := newDesk(t, plainTerms(), ready(1, 2, 3)...)
-	d.g.Relearn(d.now, Learned{Usual: math.NaN(), Count: 1e9, Backends: []LearnedBackend{{Backend: 1, Usual: -4, Count: 9}, {Backend: 99}}}, -5)
+	d.g.ImportState(d.now, WarmStartState{BaselineLatency: math.NaN(), Samples: 1e9, Backends: []BackendWarmStart{{Backend: 1, BaselineLatency: -4, Samples: 9}, {Backend: 99}}}, -5)
 	if d.g.all.count != 0 || d.g.backends[1].pace.count != 0 {
 		t.Error("figures out of range were taken")
 	}
--- a/policy/state.go
+++ b/policy/state.go
@@ -19,13 +19,13 @@
 
 // profile is a row of the table of profiles.
 type profile struct {
-	ProfileTerms
+	ClassSettings
 	wait int64 // longest wait for the counter
 }
 
 // plan is a row of the table of plans.
 type plan struct {
-	PlanTerms
+	PlanSettings
 	window  int64   // the time in which the rate fills one burst
 	quota   float64 // units a window
 	mark    float64 // what a shot out counts beside the units, under a cap on shots out; 0: there is none
@@ -60,10 +60,10 @@
 	m.across += (du*(took-m.took) - m.across) / m.count
 }
 
-// Gate is one front door's decisions and all that they remember.
-type Gate struct {
-	door          Door
-	terms         Terms
+// Engine is one front door's decisions and all that they remember.
+type Engine struct {
+	door          Effects
+	terms         Settings
 	profiles      []profile
 	plans         []plan
 	chance        *pcg.Source
@@ -72,10 +72,10 @@
 	woken         int64  // the time of the earliest wake asked for; 0: none
 	wakes         uint64 // its number
 	backends      map[BackendID]*backend
-	listed        []*backend          // in the order they were first heard of
-	ranked        []*backend          // those that are ready, the best first
-	calls         map[CountID][]*call // unanswered, in the order they were made
-	customers     map[CustomerID]*customer
+	listed        []*backend             // in the order they were first heard of
+	ranked        []*backend             // those that are ready, the best first
+	calls         map[CounterKey][]*call // unanswered, in the order they were made
+	customers     map[TenantID]*customer
 	all           mean // answer time of the backends together
 	sizes         sizes
 	heard         int64   // when any last answered
@@ -100,10 +100,10 @@
 // itself. The count of a window is reckoned against what the rate has refilled since the window's start: the
 // customer has used total - refilled of its burst.
 type customer struct {
-	id      CustomerID
+	id      TenantID
 	plan    *plan
 	start   int64 // of the window
-	name    CountID
+	name    CounterKey
 	known   float64 // the window's total as last heard, and what it lacked
 	heard   float64 // the window's total alone
 	missing float64 // what it lacked: as long as nobody puts it right, what the last window left used, at least
@@ -127,8 +127,8 @@
 // call is one unanswered call to the counter.
 type call struct {
 	c             *customer
-	t             *Transaction // nil: puts the count right
-	start         int64        // of the window that the count belongs to
+	t             *Request // nil: puts the count right
+	start         int64    // of the window that the count belongs to
 	amount, units float64
 	righted       float64 // the customer's, when the call was made
 	shots         int     // told along
@@ -146,10 +146,10 @@
 	early       bool    // one of the first of the door's life
 }
 
-// Transaction is the handle of a transaction that was taken.
-type Transaction struct {
-	gate                  *Gate
-	id                    TransactionID
+// Request is the handle of a transaction that was taken.
+type Request struct {
+	gate                  *Engine
+	id                    RequestID
 	profile               *profile
 	plan                  *plan
 	customer              *customer
@@ -188,119 +188,119 @@
 	away     float64 // doors' parts between this door's own and the one it lies in
 }
 
-// Breaker tells, for figures, whether calls to the counter are stopped, and else which part of the transactions calls.
-func (g *Gate) Breaker() (open bool, part float64) { return g.fails >= breakAt, g.part }
+// BreakerStatus tells, for figures, whether calls to the counter are stopped, and else which part of the transactions calls.
+func (g *Engine) BreakerStatus() (open bool, part float64) { return g.fails >= breakAt, g.part }
 
-// Quota is what the door knows of a customer's quota, for those who ask without counting.
-type Quota struct {
-	Limit   float64 // units that the store holds when it is full; 0: the plan has no such quota
-	Rate    float64 // units a second that come back
-	Used    float64 // units used and not refilled yet
-	Heard   bool    // the counter told of this window; else the figures are the door's own share's
-	Ceiling float64 // units left of this door's part of the ceiling; -1: the plan has none
+// QuotaStatus is what the door knows of a customer's quota, for those who ask without counting.
+type QuotaStatus struct {
+	Limit         float64 // units that the store holds when it is full; 0: the plan has no such quota
+	Rate          float64 // units a second that come back
+	Used          float64 // units used and not refilled yet
+	FromCounter   bool    // the counter told of this window; else the figures are the door's own share's
+	HardQuotaLeft float64 // units left of this door's part of the ceiling; -1: the plan has none
 }
 
-// Quota tells what is known of a customer's quota now, and counts nothing. ok is false for a plan out of range.
-func (g *Gate) Quota(now int64, id CustomerID, pl PlanID, entries int) (q Quota, ok bool) {
+// QuotaStatus tells what is known of a customer's quota now, and counts nothing. ok is false for a plan out of range.
+func (g *Engine) QuotaStatus(now int64, id TenantID, pl PlanID, entries int) (q QuotaStatus, ok bool) {
 	if int(pl) >= len(g.plans) {
 		return q, false
 	}
 	p := &g.plans[pl]
-	q = Quota{Limit: p.quota, Rate: p.Rate, Ceiling: -1}
-	if p.CeilingRate > 0 {
-		q.Ceiling = p.CeilingBurst / float64(max(entries, 1))
+	q = QuotaStatus{Limit: p.quota, Rate: p.Rate, HardQuotaLeft: -1}
+	if p.HardQuotaRate > 0 {
+		q.HardQuotaLeft = p.HardQuotaBurst / float64(max(entries, 1))
 	}
 	c := g.customers[id]
 	if c == nil || c.plan != p {
 		return q, true
 	}
-	if p.CeilingRate > 0 {
-		part := float64(now-c.filled) / float64(sec) * p.CeilingRate / float64(max(entries, 1))
-		q.Ceiling = min(c.ceiling+part, q.Ceiling)
+	if p.HardQuotaRate > 0 {
+		part := float64(now-c.filled) / float64(sec) * p.HardQuotaRate / float64(max(entries, 1))
+		q.HardQuotaLeft = min(c.ceiling+part, q.HardQuotaLeft)
 	}
-	if open, _ := g.Breaker(); open || c.heard == 0 && c.known == 0 {
+	if open, _ := g.BreakerStatus(); open || c.heard == 0 && c.known == 0 {
 		part := c.part(float64(max(entries, 1)))
 		q.Used = max(c.spent/part-p.Rate*float64(now-c.at)/float64(sec), 0)
 	} else {
 		q.Used = max(c.known+c.owed-p.Rate*float64(now-c.start)/float64(sec), 0)
-		q.Heard = c.heard > 0
+		q.FromCounter = c.heard > 0
 	}
 	return q, true
 }
 
-// Outages are figures on the counter's failures, as this door met them.
-type Outages struct {
-	Open      bool    // calls are stopped
-	Calling   float64 // part of the transactions that call otherwise
-	Owed      float64 // units let in and not told yet, of all customers
-	Lacking   float64 // units that the counter's numbers are known to lack, of all customers
-	Righted   float64 // units put right on the counter's numbers, of all customers remembered
-	Drift     float64 // units that the doors may be apart from one count: owed and lacking, together
-	Customers int     // remembered
+// CounterStats are figures on the counter's failures, as this door met them.
+type CounterStats struct {
+	BreakerOpen     bool    // calls are stopped
+	CallShare       float64 // part of the transactions that call otherwise
+	UnreportedUnits float64 // units let in and not told yet, of all customers
+	LostUnits       float64 // units that the counter's numbers are known to lack, of all customers
+	ReconciledUnits float64 // units put right on the counter's numbers, of all customers remembered
+	DriftUnits      float64 // units that the doors may be apart from one count: owed and lacking, together
+	Tenants         int     // remembered
 }
 
-// Outages tells them.
-func (g *Gate) Outages() Outages {
-	o := Outages{Customers: len(g.customers)}
-	o.Open, o.Calling = g.Breaker()
+// CounterStats tells them.
+func (g *Engine) CounterStats() CounterStats {
+	o := CounterStats{Tenants: len(g.customers)}
+	o.BreakerOpen, o.CallShare = g.BreakerStatus()
 	for _, c := range g.customers {
-		o.Owed += max(c.owed, 0)
-		o.Lacking += max(c.missing, 0)
-		o.Righted += max(c.righted, 0)
+		o.UnreportedUnits += max(c.owed, 0)
+		o.LostUnits += max(c.missing, 0)
+		o.ReconciledUnits += max(c.righted, 0)
 	}
-	o.Drift = o.Owed + o.Lacking
+	o.DriftUnits = o.UnreportedUnits + o.LostUnits
 	return o
 }
 
-// Learned is what a door knows of the backends' answer times, for one that is started after it.
-type Learned struct {
-	Usual    float64          `json:"usual_ns"` // of all together
-	Count    float64          `json:"count"`    // of answers that stand behind it
-	Backends []LearnedBackend `json:"backends"`
+// WarmStartState is what a door knows of the backends' answer times, for one that is started after it.
+type WarmStartState struct {
+	BaselineLatency float64            `json:"usual_ns"` // of all together
+	Samples         float64            `json:"count"`    // of answers that stand behind it
+	Backends        []BackendWarmStart `json:"backends"`
 }
 
-// LearnedBackend is one backend's part.
-type LearnedBackend struct {
-	Backend BackendID `json:"backend"`
-	Started int64     `json:"started"` // of the life that it was learned of
-	Usual   float64   `json:"usual_ns"`
-	Count   float64   `json:"count"`
+// BackendWarmStart is one backend's part.
+type BackendWarmStart struct {
+	Backend         BackendID `json:"backend"`
+	StartedAt       int64     `json:"started"` // of the life that it was learned of
+	BaselineLatency float64   `json:"usual_ns"`
+	Samples         float64   `json:"count"`
 }
 
-// Learned tells what is known, of the backends listed.
-func (g *Gate) Learned() Learned {
-	l := Learned{Usual: g.all.value, Count: g.all.count}
+// ExportState tells what is known, of the backends listed.
+func (g *Engine) ExportState() WarmStartState {
+	l := WarmStartState{BaselineLatency: g.all.value, Samples: g.all.count}
 	for _, b := range g.listed {
 		if b.pace.count > 0 {
-			l.Backends = append(l.Backends, LearnedBackend{b.id, b.started, b.pace.value, b.pace.count})
+			l.Backends = append(l.Backends, BackendWarmStart{b.id, b.started, b.pace.value, b.pace.count})
 		}
 	}
 	return l
 }
 
-// Relearn takes over what an earlier life of the door knew, aged: it counts for as much less as it would have faded in
+// ImportState takes over what an earlier life of the door knew, aged: it counts for as much less as it would have faded in
 // the meantime, the backends' own times by half in 3.4 s (tick's fade), that of all together by half in ten minutes,
 // for a fleet changes in the course of a day. What is known already stays, and so do the figures that rule 4
 // rests on: those are learned anew.
-func (g *Gate) Relearn(now int64, l Learned, age int64) {
+func (g *Engine) ImportState(now int64, l WarmStartState, age int64) {
 	const half = 600 * sec
 	keep := func(count float64, halves float64) float64 { return min(max(count, 0), 30) * math.Exp2(-halves) }
 	fine := func(usual float64) bool { return usual > 0 && usual < 1e12 }
-	if n := keep(l.Count, float64(max(age, 0))/float64(half)); n > g.all.count && fine(l.Usual) {
-		g.all = mean{l.Usual, n}
+	if n := keep(l.Samples, float64(max(age, 0))/float64(half)); n > g.all.count && fine(l.BaselineLatency) {
+		g.all = mean{l.BaselineLatency, n}
 	}
 	for _, x := range l.Backends {
 		b := g.backends[x.Backend]
-		n := keep(x.Count, float64(max(age, 0))/(3.4*float64(sec)))
-		if b != nil && b.started == x.Started && n > b.pace.count && fine(x.Usual) {
-			b.pace = mean{x.Usual, n}
+		n := keep(x.Samples, float64(max(age, 0))/(3.4*float64(sec)))
+		if b != nil && b.started == x.StartedAt && n > b.pace.count && fine(x.BaselineLatency) {
+			b.pace = mean{x.BaselineLatency, n}
 		}
 	}
 	g.rank(now)
 }
 
 // dropGone forgets the backends that are gone once nothing is out there: others come under new ids for ever.
-func (g *Gate) dropGone() {
+func (g *Engine) dropGone() {
 	g.listed = slices.DeleteFunc(g.listed, func(b *backend) bool {
 		if b.gone && b.out == 0 {
 			delete(g.backends, b.id)
@@ -310,8 +310,8 @@
 	})
 }
 
-// Started tells that a stream's answer has begun: the client owns that shot now.
-func (t *Transaction) Started(now int64, n ShotID) {
+// HandleResponseStarted tells that a stream's answer has begun: the client owns that shot now.
+func (t *Request) HandleResponseStarted(now int64, n AttemptID) {
 	t.started = true
 	if int(n) < len(t.shots) {
 		t.shots[n].to.heard = now
@@ -319,7 +319,7 @@
 }
 
 // Done says that nothing more will come for this handle.
-func (t *Transaction) Done() bool { return t.over && t.out == 0 }
+func (t *Request) Done() bool { return t.over && t.out == 0 }
 
 // learn notes what part of a transaction the count let in.
 func (c *customer) learn(in float64) {
@@ -337,21 +337,21 @@
 
 // at calls what at the time when, or soon after, if while still holds. Most of what is set for a transaction
 // is needless by then, and nothing wakes for it.
-func (g *Gate) at(when int64, while *bool, what func(now int64)) {
-	g.due.Add(when, task{while, what})
+func (g *Engine) at(when int64, while *bool, what func(now int64)) {
+	g.due.Push(when, task{while, what})
 	if g.woken == 0 || when < g.woken {
 		g.wakeAt(when)
 	}
 }
 
-func (g *Gate) wakeAt(when int64) {
+func (g *Engine) wakeAt(when int64) {
 	g.woken = when
 	g.wakes++
-	g.door.Wake(when, g.wakes)
+	g.door.WakeAt(when, g.wakes)
 }
 
-// Wake does what has fallen due.
-func (g *Gate) Wake(now int64, mark uint64) {
+// HandleTimer does what has fallen due.
+func (g *Engine) HandleTimer(now int64, mark uint64) {
 	if mark == markTick {
 		g.tick(now)
 		return
@@ -359,14 +359,14 @@
 	if mark != g.wakes {
 		return // an earlier one has been asked for since
 	}
-	for t, ok := g.due.Take(now); ok; t, ok = g.due.Take(now) {
+	for t, ok := g.due.PopDue(now); ok; t, ok = g.due.PopDue(now) {
 		if !t.needless() {
 			t.what(now)
 		}
 	}
 	g.woken = 0
 	// A clock coarser than ours may wake a little early: then this asks again for the same time.
-	if next, ok := g.due.Next(task.needless); ok {
+	if next, ok := g.due.NextDue(task.needless); ok {
 		g.wakeAt(max(next, now+1))
 	}
 }
