--- a/internal/testutil/fixture.go
+++ b/internal/testutil/fixture.go
@@ -22,37 +22,37 @@
 //
 // With -update-fixtures a fixture that is not there is written first, by write. One that is there stays: it proves
 // what the version before wrote, and this version's bytes prove nothing about that one.
-func Fixture(t testing.TB, name string, write func(path string)) string {
-	t.Helper()
+func Fixture(tb testing.TB, name string, write func(path string)) string {
+	tb.Helper()
 	fixture, err := filepath.Abs(filepath.Join("testdata", "v0", name)) // write may change the directory
 	if err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
-	scratch := t.TempDir()
+	scratch := tb.TempDir()
 	plain := filepath.Join(scratch, strings.TrimSuffix(name, ".tar.gz"))
 	if _, err := os.Stat(fixture); errors.Is(err, fs.ErrNotExist) && *updateFixtures {
-		made := filepath.Join(t.TempDir(), filepath.Base(plain))
+		made := filepath.Join(tb.TempDir(), filepath.Base(plain))
 		write(made)
-		store(t, made, fixture)
+		store(tb, made, fixture)
 	}
 	packed, err := os.ReadFile(fixture)
 	if err != nil {
-		t.Fatalf("%v; -update-fixtures writes fixtures that are missing", err)
+		tb.Fatalf("%v; -update-fixtures writes fixtures that are missing", err)
 	}
 	if strings.HasSuffix(name, ".tar.gz") {
-		unpack(t, packed, plain)
+		unpack(tb, packed, plain)
 		return plain
 	}
 	if err := os.WriteFile(plain, packed, 0o600); err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
 	return plain
 }
 
-func store(t testing.TB, made, fixture string) {
-	t.Helper()
+func store(tb testing.TB, made, fixture string) {
+	tb.Helper()
 	if err := os.MkdirAll(filepath.Dir(fixture), 0o755); err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
 	var packed []byte
 	var err error
@@ -62,10 +62,10 @@
 		packed, err = os.ReadFile(made)
 	}
 	if err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
 	if err := os.WriteFile(fixture, packed, 0o644); err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
 }
 
@@ -85,11 +85,11 @@
 	return out.Bytes(), nil
 }
 
-func unpack(t testing.TB, packed []byte, folder string) {
-	t.Helper()
+func unpack(tb testing.TB, packed []byte, folder string) {
+	tb.Helper()
 	z, err := gzip.NewReader(bytes.NewReader(packed))
 	if err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
 	for r := tar.NewReader(z); ; {
 		h, err := r.Next()
@@ -97,10 +97,10 @@
 			return
 		}
 		if err != nil {
-			t.Fatal(err)
+			tb.Fatal(err)
 		}
 		if !filepath.IsLocal(h.Name) {
-			t.Fatalf("%s lies outside the folder", h.Name)
+			tb.Fatalf("%s lies outside the folder", h.Name)
 		}
 		path := filepath.Join(folder, h.Name)
 		if h.FileInfo().IsDir() {
@@ -114,7 +114,7 @@
 			err = os.WriteFile(path, content, 0o600)
 		}
 		if err != nil {
-			t.Fatal(err)
+			tb.Fatal(err)
 		}
 	}
 }
