--- a/cmd/fawnplank/limits.go
+++ b/cmd/fawnplank/limits.go
@@ -36,14 +36,19 @@
 		figures.AddGauges(map[string]metrics.Gauge{"limits_certificate_seconds": {Help: "until the limits' certificate runs out",
 			Value: func() float64 { return source.ExpiresIn().Seconds() }}})
 	}
-	s := limitserver.New(f, limitNames(start, set), set.Limits.Connections)
-	s.Keys = map[string]authz.Key{}
+	options := limitserver.Options{
+		Dispatcher:     f,
+		Settings:       limitNames(start, set),
+		MaxConnections: set.Limits.Connections,
+		Keys:           map[string]authz.Key{},
+	}
 	for _, k := range set.Limits.Keys {
-		s.Keys[k.Name] = k.Key
+		options.Keys[k.Name] = k.Key
 	}
-	if accounts != nil {
-		s.Accounts = accounts
+	if accounts != nil { // a nil service in the interface would not compare as nil
+		options.Accounts = accounts
 	}
+	s := limitserver.New(options)
 	counts := func(n int) func() float64 {
 		return func() float64 {
 			granted, refused, faulty := s.Stats()
--- a/cmd/fawnplank/main.go
+++ b/cmd/fawnplank/main.go
@@ -110,19 +110,25 @@
 	part := (start.MaxSockets - own - calls) / 2
 
 	f, figures := dispatch.New(), metrics.New(classes(start))
-	pool := backend.New(part, time.Duration(start.ConnectTimeout), time.Duration(start.IdleConnection), f.HandleHealthCheck)
+	// Large values of clients and of backends each hold at most a sixth of the memory; what waits for room is
+	// not read on meanwhile. Two rooms, not one: a large command holds its room until its answer is written,
+	// and that answer must not wait for the same room. With the collector's three quarters that leaves a third
+	// for the rest.
+	pool := backend.New(backend.Options{
+		MaxConnections:    part,
+		ConnectTimeout:    time.Duration(start.ConnectTimeout),
+		IdleTimeout:       time.Duration(start.IdleConnection),
+		Budget:            membudget.New(start.MemoryBytes / 6),
+		Metrics:           figures,
+		HandleHealthCheck: f.HandleHealthCheck,
+	})
 	count := counter.New(f, start.Counter, time.Duration(start.ConnectTimeout))
 	if set.Counter.Protocol == "resp" {
 		count.Format = counter.RESP
 	}
 	figures.AddGauges(outages(f, count))
 	list := discovery.New(f, pool, start)
-	pool.Metrics, list.Metrics = figures, figures
-	// Large values of clients and of backends each hold at most a sixth of the memory; what waits for room is
-	// not read on meanwhile. Two rooms, not one: a large command holds its room until its answer is written,
-	// and that answer must not wait for the same room. With the collector's three quarters that leaves a third
-	// for the rest.
-	pool.Budget = membudget.New(start.MemoryBytes / 6)
+	list.Metrics = figures
 	names := &names{list: list, set: set}
 	if names.on() {
 		list.WatchSource(names.whole)
--- a/internal/backend/backend.go
+++ b/internal/backend/backend.go
@@ -56,8 +56,8 @@
 	idle    time.Duration // after which a warm one is closed
 	most    int           // connections at once
 	probed  func(b policy.BackendID, err error)
-	Budget  *membudget.Budget // for large answers, beside the clients' large commands
-	Metrics *metrics.Registry // counted here: shots written whole
+	budget  *membudget.Budget // for large answers, beside the clients' large commands
+	metrics *metrics.Registry // counted here: shots written whole
 
 	mu    sync.Mutex // of all that follows, and of every connection's state
 	peers map[policy.BackendID]*peer
@@ -130,11 +130,36 @@
 	until  time.Time   // then, by when all of it has to have come; set before orphan
 }
 
-// New makes a pool of at most so many connections. idle is the time after which backends close a connection;
-// it is left at half of that, so that no shot meets a connection that is being closed.
-func New(most int, connectTimeout, idle time.Duration, probed func(policy.BackendID, error)) *Pool {
-	return &Pool{patient: connectTimeout, idle: idle / 2, most: most, probed: probed,
-		peers: map[policy.BackendID]*peer{}}
+// Options are what a Pool is made of.
+type Options struct {
+	// MaxConnections bounds the connections to all backends together, health checks among them. At 0 none comes up.
+	MaxConnections int
+	// ConnectTimeout bounds how long a connection takes to come up, and a whole health check. 0 is no bound on the
+	// connection, and fails every health check.
+	ConnectTimeout time.Duration
+	// IdleTimeout is the time after which backends close an idle connection. The pool closes it at half of that, so
+	// that no attempt meets a connection that is being closed. At 0 no connection is used again.
+	IdleTimeout time.Duration
+	// Budget bounds the memory of large answers over all connections; nil is no bound.
+	Budget *membudget.Budget
+	// Metrics counts the attempts that were written whole; nil counts none.
+	Metrics *metrics.Registry
+	// HandleHealthCheck gets the outcome of each health check, on a goroutine of its own; nil only where CheckHealth
+	// is never called.
+	HandleHealthCheck func(backend policy.BackendID, err error)
+}
+
+// New makes a pool without connections.
+func New(options Options) *Pool {
+	return &Pool{
+		patient: options.ConnectTimeout,
+		idle:    options.IdleTimeout / 2,
+		most:    options.MaxConnections,
+		probed:  options.HandleHealthCheck,
+		budget:  options.Budget,
+		metrics: options.Metrics,
+		peers:   map[policy.BackendID]*peer{},
+	}
 }
 
 // SetAddress says where a backend listens.
@@ -317,7 +342,7 @@
 	}
 	if n == whole {
 		c.came = dispatch.Written
-		p.Metrics.AttemptSent(s.Class())
+		p.metrics.AttemptSent(s.Class())
 	}
 	if err == nil && !c.down {
 		p.mu.Unlock()
@@ -461,13 +486,13 @@
 		return buf
 	}
 	if extra := int64(max(size-plainAnswer, 0)) - c.large; extra > 0 {
-		got, ok := c.pool.Budget.Acquire(extra, time.Now().Add(roomWait))
+		got, ok := c.pool.budget.Acquire(extra, time.Now().Add(roomWait))
 		if !ok {
 			return buf
 		}
 		c.large += got
 	} else if size == 0 {
-		c.pool.Budget.Release(c.large)
+		c.pool.budget.Release(c.large)
 		c.large = 0
 	}
 	return append(make([]byte, 0, size), buf...)[:size]
--- a/internal/backend/backend_test.go
+++ b/internal/backend/backend_test.go
@@ -102,7 +102,7 @@
 
 func TestProbes(t *testing.T) {
 	told := make(chan error, 1)
-	p := New(10, 200*time.Millisecond, time.Second, func(b policy.BackendID, err error) { told <- err })
+	p := New(Options{MaxConnections: 10, ConnectTimeout: 200 * time.Millisecond, IdleTimeout: time.Second, HandleHealthCheck: func(b policy.BackendID, err error) { told <- err }})
 	for answer, good := range map[string]bool{"+PONG\r\n": true, "-ERR busy\r\n": false, "": false} {
 		at, _ := listen(t, answer)
 		p.SetAddress(1, at)
@@ -138,7 +138,7 @@
 // Failure: a connection was used again at once after an answer, and a second answer that came some milliseconds after
 // the first was taken for the next shot's.
 func TestConnectionRestsForALateSecondAnswer(t *testing.T) {
-	p := New(10, 200*time.Millisecond, 10*time.Second, nil)
+	p := New(Options{MaxConnections: 10, ConnectTimeout: 200 * time.Millisecond, IdleTimeout: 10 * time.Second})
 	at, conns := listen(t, "")
 	p.SetAddress(1, at)
 	c := warm(t, p, 1)
@@ -169,7 +169,7 @@
 // Probes hold descriptors of the pool, not of its owner's few: as many as there are backends may be under way.
 func TestProbesAreCountedAmongTheConnections(t *testing.T) {
 	told := make(chan error, 10)
-	p := New(2, 300*time.Millisecond, time.Second, func(b policy.BackendID, err error) { told <- err })
+	p := New(Options{MaxConnections: 2, ConnectTimeout: 300 * time.Millisecond, IdleTimeout: time.Second, HandleHealthCheck: func(b policy.BackendID, err error) { told <- err }})
 	at, conns := listen(t, "")
 	for b := policy.BackendID(1); b <= 3; b++ {
 		p.SetAddress(b, at)
@@ -196,7 +196,7 @@
 
 // Failure: an answer that never ends, a few bytes at a time, kept its connection for good once its shot was given up.
 func TestAnAnswerWithoutEndIsLeft(t *testing.T) {
-	p := New(10, 200*time.Millisecond, 10*time.Second, nil)
+	p := New(Options{MaxConnections: 10, ConnectTimeout: 200 * time.Millisecond, IdleTimeout: 10 * time.Second})
 	at, conns := listen(t, "")
 	p.SetAddress(1, at)
 	c := warm(t, p, 1)
@@ -224,8 +224,8 @@
 		"moved": func(p *Pool) { p.SetAddress(1, "127.0.0.1:1") },
 		"gone":  func(p *Pool) { p.Forget(1) },
 	} {
-		p := New(10, 200*time.Millisecond, 10*time.Second, nil)
-		p.Metrics = metrics.New([]string{"lookup"})
+		p := New(Options{MaxConnections: 10, ConnectTimeout: 200 * time.Millisecond, IdleTimeout: 10 * time.Second,
+			Metrics: metrics.New([]string{"lookup"})})
 		at, conns := listen(t, "")
 		p.SetAddress(1, at)
 		warm(t, p, 1)
@@ -256,7 +256,7 @@
 // A shot that is given up ends the sending on its connection at once: until then it counts as out, and where no second
 // copies are allowed the next one would be a second.
 func TestAShotGivenUpEndsTheSending(t *testing.T) {
-	p := New(10, 200*time.Millisecond, 10*time.Second, nil)
+	p := New(Options{MaxConnections: 10, ConnectTimeout: 200 * time.Millisecond, IdleTimeout: 10 * time.Second})
 	at, conns := listen(t, "")
 	p.SetAddress(1, at)
 	c := warm(t, p, 1)
@@ -275,7 +275,7 @@
 }
 
 func TestWarmConnectionsAreBounded(t *testing.T) {
-	p := New(2, 200*time.Millisecond, 200*time.Millisecond, nil)
+	p := New(Options{MaxConnections: 2, ConnectTimeout: 200 * time.Millisecond, IdleTimeout: 200 * time.Millisecond})
 	one, conns := listen(t, "")
 	two, _ := listen(t, "")
 	p.SetAddress(1, one)
@@ -316,7 +316,7 @@
 // Failure: noise behind a good answer was taken for the answer to the next shot on the connection; its reader
 // may have read it already.
 func TestBytesBehindAnAnswerEndTheConnection(t *testing.T) {
-	p := New(10, 200*time.Millisecond, 10*time.Second, nil)
+	p := New(Options{MaxConnections: 10, ConnectTimeout: 200 * time.Millisecond, IdleTimeout: 10 * time.Second})
 	at, conns := listen(t, "")
 	p.SetAddress(1, at)
 	c := warm(t, p, 1)
@@ -335,7 +335,7 @@
 // Failure: an answer that came before its shot's writer was done had the next shot written among the first one's
 // last steps.
 func TestConnectionRestsOnceItsWriterIsDone(t *testing.T) {
-	p := New(10, 200*time.Millisecond, 10*time.Second, nil)
+	p := New(Options{MaxConnections: 10, ConnectTimeout: 200 * time.Millisecond, IdleTimeout: 10 * time.Second})
 	at, _ := listen(t, "")
 	p.SetAddress(1, at)
 	c := warm(t, p, 1)
@@ -367,9 +367,9 @@
 // What large answers hold is bounded over all connections, and given back; a reader that finds no room waits
 // for it, and gets it once another gives it back.
 func TestLargeAnswersAreBoundedTogether(t *testing.T) {
-	p := New(100, 200*time.Millisecond, 10*time.Second, nil)
 	const most = 8 << 20
-	p.Budget = membudget.New(most)
+	p := New(Options{MaxConnections: 100, ConnectTimeout: 200 * time.Millisecond, IdleTimeout: 10 * time.Second,
+		Budget: membudget.New(most)})
 	head := append([]byte("*3\r\n$1000000\r\n"), make([]byte, 4096-15)...)
 	size := 4 + 11 + 1000000 + mostLine // the head of the answer, its value, and a line
 	var held []*conn
@@ -400,7 +400,7 @@
 	for _, c := range held {
 		c.grow(nil)
 	}
-	if _, ok := p.Budget.Acquire(int64(most-(size-plainAnswer)), time.Now()); !ok {
+	if _, ok := p.budget.Acquire(int64(most-(size-plainAnswer)), time.Now()); !ok {
 		t.Error("room is still held")
 	}
 }
@@ -415,7 +415,7 @@
 	}
 	bad := refuses.Addr().String()
 	refuses.Close()
-	p := New(4, 500*time.Millisecond, time.Second, nil)
+	p := New(Options{MaxConnections: 4, ConnectTimeout: 500 * time.Millisecond, IdleTimeout: time.Second})
 	all := []netip.AddrPort{netip.MustParseAddrPort(bad), netip.MustParseAddrPort(good)}
 	p.SetAddresses(1, all)
 	c := warm(t, p, 1)
--- a/internal/frontend/benchmark_test.go
+++ b/internal/frontend/benchmark_test.go
@@ -19,7 +19,8 @@
 // in the same process, and its answer's way back. The allocations are the whole process's; the stand-in makes none.
 func BenchmarkFront_Request(b *testing.B) {
 	f := dispatch.New()
-	pool := backend.New(50, 200*time.Millisecond, 10*time.Second, f.HandleHealthCheck)
+	pool := backend.New(backend.Options{MaxConnections: 50, ConnectTimeout: 200 * time.Millisecond, IdleTimeout: 10 * time.Second,
+		HandleHealthCheck: f.HandleHealthCheck})
 	f.Run(9, terms, nil, pool, nil)
 	b.Cleanup(f.Stop)
 	listen := func() net.Listener {
--- a/internal/frontend/frontend_test.go
+++ b/internal/frontend/frontend_test.go
@@ -57,7 +57,8 @@
 	if hear == nil {
 		hear = func(c heard) { h.heard <- c }
 	}
-	h.pool = backend.New(50, 200*time.Millisecond, 10*time.Second, h.facade.HandleHealthCheck)
+	h.pool = backend.New(backend.Options{MaxConnections: 50, ConnectTimeout: 200 * time.Millisecond, IdleTimeout: 10 * time.Second,
+		HandleHealthCheck: h.facade.HandleHealthCheck})
 	h.facade.Run(9, terms, nil, h.pool, nil)
 	start := &config.Config{Settings: terms, Classes: map[string]policy.ClassID{"lookup": 0, "pay": 1},
 		Plans: map[string]policy.PlanID{"team": 0, "one": 1}, MaxUnits: 8}
--- a/internal/lab/accounts/accounts.go
+++ b/internal/lab/accounts/accounts.go
@@ -106,8 +106,12 @@
 	if secure {
 		l = tls.NewListener(l, source.ServerConfig())
 	}
-	server := limitserver.New(nil, limitserver.Settings{}, clients+8)
-	server.Accounts, server.Keys = desks[0], map[string]authz.Key{"lab": {Secret: []byte("laboratory"), Rights: authz.Read | authz.Reserve | authz.Change}}
+	server := limitserver.New(limitserver.Options{
+		MaxConnections: clients + 8,
+		Accounts:       desks[0],
+		Keys: map[string]authz.Key{"lab": {Secret: []byte("laboratory"),
+			Rights: authz.Read | authz.Reserve | authz.Change}},
+	})
 	go server.Serve(l)
 	defer server.Close()
 	if err := c.commands(ctx, l.Addr().String(), source, span); err != nil {
--- a/internal/limitserver/accounts.go
+++ b/internal/limitserver/accounts.go
@@ -45,7 +45,7 @@
 	if len(args) != 2 {
 		return 0, errArity
 	}
-	k, ok := s.Keys[string(args[0])]
+	k, ok := s.keys[string(args[0])]
 	shown, own := sha256.Sum256(args[1]), sha256.Sum256(k.Secret) // of one length, whatever is shown
 	if subtle.ConstantTimeCompare(shown[:], own[:]) != 1 || !ok {
 		return 0, errors.New("key or secret is wrong")
@@ -75,7 +75,7 @@
 // account answers a command on accounts; known is false where it is none.
 func (s *Server) account(out []byte, word string, args [][]byte) (_ []byte, known bool) {
 	n, known := arity[word]
-	if !known || s.Accounts == nil {
+	if !known || s.accounts == nil {
 		return out, false
 	}
 	if len(args) != n {
@@ -124,39 +124,39 @@
 			err = fmt.Errorf("moment %s is out of range", at)
 		}
 		if err == nil {
-			err = s.Accounts.Change(g, billing.Change{ID: text(1), Plan: text(2), At: moment})
+			err = s.accounts.Change(g, billing.Change{ID: text(1), Plan: text(2), At: moment})
 		}
 		if err == nil {
 			out = redcon.AppendInt(out, moment/1e6)
 		}
 		return out, err
 	case "PLAN.TAKEBACK":
-		err = s.Accounts.CancelChange(g, text(1))
+		err = s.accounts.CancelChange(g, text(1))
 	case "RESERVE.RELEASE":
 		if epoch := number(2); err == nil {
-			err = s.Accounts.Release(g, text(1), uint64(epoch))
+			err = s.accounts.Release(g, text(1), uint64(epoch))
 		}
 	case "RESERVE.NEW":
 		if u, l := units(4), lease(5); err == nil {
-			h, err = s.Accounts.Reserve(g, text(1), text(2), text(3), u, l)
+			h, err = s.accounts.Reserve(g, text(1), text(2), text(3), u, l)
 		}
 	case "RESERVE.COMMIT":
 		if epoch, u := number(2), units(3); err == nil {
-			h, err = s.Accounts.Commit(g, text(1), uint64(epoch), u)
+			h, err = s.accounts.Commit(g, text(1), uint64(epoch), u)
 		}
 	case "RESERVE.RENEW":
 		if epoch, l := number(2), lease(3); err == nil {
-			h, err = s.Accounts.Renew(g, text(1), uint64(epoch), l)
+			h, err = s.accounts.Renew(g, text(1), uint64(epoch), l)
 		}
 	case "RESERVE.TAKE":
 		if l := lease(3); err == nil {
-			h, err = s.Accounts.AdoptReservation(g, text(1), text(2), l)
+			h, err = s.accounts.AdoptReservation(g, text(1), text(2), l)
 		}
 	default:
 		if word == "RESERVE.ROOM" {
 			word0 = text(1)
 		}
-		a, room, err := s.Accounts.Account(g, word0)
+		a, room, err := s.accounts.Account(g, word0)
 		if err != nil {
 			return out, err
 		}
--- a/internal/limitserver/accounts_test.go
+++ b/internal/limitserver/accounts_test.go
@@ -51,9 +51,10 @@
 
 // One session of each command: what is right is answered in its form, what is wrong by an error that names it.
 func TestAccountCommands(t *testing.T) {
-	s := New(nil, Settings{}, 1)
-	s.Accounts = &book{}
-	s.Keys = map[string]authz.Key{"ops": {Secret: []byte("open sesame, please"), Rights: authz.Read | authz.Reserve}, "all": {Secret: []byte("another secret"), Rights: 255}}
+	s := New(Options{MaxConnections: 1, Accounts: &book{}, Keys: map[string]authz.Key{
+		"ops": {Secret: []byte("open sesame, please"), Rights: authz.Read | authz.Reserve},
+		"all": {Secret: []byte("another secret"), Rights: 255},
+	}})
 	var may authz.Right
 	const g = "0000000000000005 "
 	for _, x := range []struct{ words, want string }{
--- a/internal/limitserver/limitserver.go
+++ b/internal/limitserver/limitserver.go
@@ -64,14 +64,33 @@
 	counts [3]atomic.Uint64 // checks granted, checks refused, commands in error
 	once   sync.Once
 
-	Accounts Accounts             // nil: no commands on accounts. To be set before Serve, as the keys are
-	Keys     map[string]authz.Key // by name; empty: no AUTH
+	accounts Accounts
+	keys     map[string]authz.Key
 }
 
-// New makes a server for at most so many connections.
-func New(desk Dispatcher, names Settings, most int) *Server {
-	s := &Server{desk: desk, most: most}
-	s.names.Store(&names)
+// Options are what a Server is made of.
+type Options struct {
+	// Dispatcher decides the checks; nil only where no client sends one.
+	Dispatcher Dispatcher
+	// Settings are the names that commands may use; UpdateSettings replaces them.
+	Settings Settings
+	// MaxConnections bounds the clients' connections. At 0 every one is refused.
+	MaxConnections int
+	// Accounts answers the commands on accounts; nil is no such commands.
+	Accounts Accounts
+	// Keys are the keys of AUTH, by name. Without any, every client may check and nothing more.
+	Keys map[string]authz.Key
+}
+
+// New makes a server; Serve starts it.
+func New(options Options) *Server {
+	s := &Server{
+		desk:     options.Dispatcher,
+		most:     options.MaxConnections,
+		accounts: options.Accounts,
+		keys:     options.Keys,
+	}
+	s.names.Store(&options.Settings)
 	s.server = redcon.NewServer("", s.handle, s.accept, func(redcon.Conn, error) { s.open.Add(-1) })
 	s.server.SetIdleClose(idle)
 	return s
@@ -119,7 +138,7 @@
 	}
 	batch := append([]redcon.Command{first}, c.ReadPipeline()...)
 	may, known := c.Context().(authz.Right)
-	if !known && len(s.Keys) == 0 {
+	if !known && len(s.keys) == 0 {
 		may = authz.Check
 	}
 	answers, last := s.run(batch, &may)
@@ -155,7 +174,7 @@
 		if len(cmd.Args) > 0 {
 			word = strings.ToUpper(string(cmd.Args[0][:min(len(cmd.Args[0]), 32)]))
 		}
-		if needs(word)&^*may != 0 && (arity[word] == 0 || s.Accounts != nil) {
+		if needs(word)&^*may != 0 && (arity[word] == 0 || s.accounts != nil) {
 			settle()
 			s.counts[2].Add(1)
 			out = redcon.AppendError(out, "NOPERM this connection has no key (AUTH name secret) that may "+strings.ToLower(word))
--- a/internal/limitserver/limitserver_test.go
+++ b/internal/limitserver/limitserver_test.go
@@ -100,8 +100,12 @@
 	h.facade.Run(7, terms, c, nil, nil)
 	t.Cleanup(h.facade.Stop)
 	h.facade.UpdateEndpoints(policy.FullSnapshot, []policy.Endpoint{{Backend: 1, State: policy.EndpointReady}})
-	h.server = New(h.facade, Settings{Class: checks, Timeout: 750 * time.Millisecond, Instances: 2, MaxUnits: 100,
-		Plans: map[string]policy.PlanID{"despacho": 0, "open": 1, "roof": 2}}, 4)
+	h.server = New(Options{
+		Dispatcher: h.facade,
+		Settings: Settings{Class: checks, Timeout: 750 * time.Millisecond, Instances: 2, MaxUnits: 100,
+			Plans: map[string]policy.PlanID{"despacho": 0, "open": 1, "roof": 2}},
+		MaxConnections: 4,
+	})
 	go h.server.Serve(l)
 	t.Cleanup(func() { h.server.Close() })
 }
