--- /dev/null
+++ b/internal/backend/health_check_test.go
@@ -0,0 +1,69 @@
+package backend
+
+import (
+	"errors"
+	"testing"
+	"time"
+
+	"fawnplank/policy"
+)
+
+func TestPool_CheckHealth(t *testing.T) {
+	outcome := make(chan error, 1)
+	p := New(Options{
+		MaxConnections:    10,
+		ConnectTimeout:    200 * time.Millisecond,
+		IdleTimeout:       time.Second,
+		HandleHealthCheck: func(_ policy.BackendID, err error) { outcome <- err },
+	})
+	for answer, isHealthy := range map[string]bool{"+PONG\r\n": true, "-ERR busy\r\n": false, "": false} {
+		address, _ := listen(t, answer)
+		p.SetAddress(1, address)
+		p.CheckHealth(1)
+		if err := <-outcome; (err == nil) != isHealthy {
+			t.Errorf("%q: %v", answer, err)
+		}
+	}
+	p.Forget(1)
+	p.CheckHealth(1)
+	if err := <-outcome; err == nil {
+		t.Error("a health check without an address")
+	}
+}
+
+// Health checks use descriptors of the pool, not of the few that the process has set aside: as many as there
+// are backends may be under way.
+func TestPool_HealthChecksCountAmongConnections(t *testing.T) {
+	outcome := make(chan error, 10)
+	p := New(Options{
+		MaxConnections:    2,
+		ConnectTimeout:    300 * time.Millisecond,
+		IdleTimeout:       time.Second,
+		HandleHealthCheck: func(_ policy.BackendID, err error) { outcome <- err },
+	})
+	address, conns := listen(t, "")
+	for b := policy.BackendID(1); b <= 3; b++ {
+		p.SetAddress(b, address)
+	}
+	for b := policy.BackendID(1); b <= 2; b++ {
+		p.CheckHealth(b)
+		<-conns
+	}
+	p.CheckHealth(3)
+	if err := <-outcome; !errors.Is(err, errNoDescriptor) {
+		t.Errorf("a third health check of two: %v", err)
+	}
+	if _, _, err := p.acquire(1); !errors.Is(err, errNoDescriptor) {
+		t.Errorf("a connection beside them: %v", err)
+	}
+	for range 2 {
+		if err := <-outcome; err == nil {
+			t.Error("a backend that does not answer is healthy")
+		}
+	}
+	for range 2 {
+		if _, _, err := p.acquire(1); err != nil {
+			t.Errorf("after them: %v", err)
+		}
+	}
+}
