--- a/cmd/drill/host.go
+++ b/cmd/drill/host.go
@@ -146,8 +146,16 @@
 		f.U8() // flags: the decisions read none
 		if d != nil {
 			h.guarded(i, f, func() {
-				d.keep(id, d.gate.Submit(now, policy.RequestID(id), policy.ClassID(profile),
-					policy.PlanID(plan), policy.TenantID(customer), ns(left), units, whole(entries), whole(first)))
+				d.keep(id, d.gate.Submit(now, policy.RequestSpec{
+					ID:            policy.RequestID(id),
+					Class:         policy.ClassID(profile),
+					Plan:          policy.PlanID(plan),
+					Tenant:        policy.TenantID(customer),
+					Remaining:     ns(left),
+					Units:         units,
+					EntryPoints:   whole(entries),
+					FirstInstance: whole(first),
+				}))
 			})
 		}
 		return "Call", nil
@@ -172,7 +180,13 @@
 		}
 		if t := d.find(id); t != nil {
 			h.guarded(i, f, func() {
-				t.HandleAttemptResult(now, policy.AttemptID(n), o, ns(elapsed), over != 0, units)
+				t.HandleAttemptResult(now, policy.AttemptResult{
+					Attempt:     policy.AttemptID(n),
+					Outcome:     o,
+					Elapsed:     ns(elapsed),
+					RequestDone: over != 0,
+					TrueUnits:   units,
+				})
 				d.keep(id, t)
 			})
 		}
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -117,8 +117,10 @@
 }
 
 func (c *Client) retune(terms policy.Settings) {
-	wait, late, whole, _ := terms.DiscoveryTimeouts()
-	c.wait, c.late, c.whole = time.Duration(wait), time.Duration(late), time.Duration(whole)
+	timeouts := terms.DiscoveryTimeouts()
+	c.wait = time.Duration(timeouts.Watch)
+	c.late = time.Duration(timeouts.Lateness)
+	c.whole = time.Duration(timeouts.Snapshot)
 }
 
 // Entry is a backend as a list has it.
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -364,7 +364,13 @@
 	}
 	s.settled = true
 	now := f.now()
-	s.t.handle.HandleAttemptResult(now, s.number, o, now-s.sent, s.t.ended, trueUnits)
+	s.t.handle.HandleAttemptResult(now, policy.AttemptResult{
+		Attempt:     s.number,
+		Outcome:     o,
+		Elapsed:     now - s.sent,
+		RequestDone: s.t.ended,
+		TrueUnits:   trueUnits,
+	})
 	s.t.keep()
 }
 
@@ -415,7 +421,16 @@
 		f.last++
 		t.id, t.limit = f.last, now+int64(left)
 		f.open[t.id] = t
-		t.handle = f.gate.Submit(now, t.id, pr, pl, c, int64(left), units, entries, first)
+		t.handle = f.gate.Submit(now, policy.RequestSpec{
+			ID:            t.id,
+			Class:         pr,
+			Plan:          pl,
+			Tenant:        c,
+			Remaining:     int64(left),
+			Units:         units,
+			EntryPoints:   entries,
+			FirstInstance: first,
+		})
 		t.keep()
 	})
 	return t
--- a/internal/lab/model/model.go
+++ b/internal/lab/model/model.go
@@ -259,8 +259,16 @@
 	t.life = d.life
 	d.open[id] = t
 	c := d.w.people.Customers[t.Customer]
-	t.handle = d.gate.Submit(base+d.w.now, id, policy.ClassID(t.Profile), policy.PlanID(t.Plan), policy.TenantID(t.Customer+1),
-		max(t.Limit-d.w.now, 0), t.Units, d.w.s.Load.Spread, c.First)
+	t.handle = d.gate.Submit(base+d.w.now, policy.RequestSpec{
+		ID:            id,
+		Class:         policy.ClassID(t.Profile),
+		Plan:          policy.PlanID(t.Plan),
+		Tenant:        policy.TenantID(t.Customer + 1),
+		Remaining:     max(t.Limit-d.w.now, 0),
+		Units:         t.Units,
+		EntryPoints:   d.w.s.Load.Spread,
+		FirstInstance: c.First,
+	})
 	d.keep(t)
 }
 
@@ -364,7 +372,12 @@
 	if o == policy.Succeeded && !t.ended {
 		t.answer(invariants.Fulfilled, 0)
 	}
-	t.handle.HandleAttemptResult(base+w.now, s.n, o, w.now-s.sent, t.ended, 0)
+	t.handle.HandleAttemptResult(base+w.now, policy.AttemptResult{
+		Attempt:     s.n,
+		Outcome:     o,
+		Elapsed:     w.now - s.sent,
+		RequestDone: t.ended,
+	})
 	t.door.keep(t)
 }
 
--- a/policy/api.go
+++ b/policy/api.go
@@ -137,6 +137,40 @@
 	CrossZoneCost            float64
 }
 
+// DiscoveryTimeouts bound the calls to discovery. All are nanoseconds.
+type DiscoveryTimeouts struct {
+	Watch      int64 // how long a watch waits for an event
+	Lateness   int64 // how much later than that its answer may come
+	Snapshot   int64 // how long a full snapshot may take
+	RetryDelay int64 // how long after a failure the next call is made
+}
+
+// RequestSpec is one request as it arrives.
+type RequestSpec struct {
+	ID     RequestID
+	Class  ClassID
+	Plan   PlanID
+	Tenant TenantID
+	// Remaining is the time until the client gives up, in nanoseconds.
+	Remaining int64
+	Units     float64
+	// The tenant's requests come in through EntryPoints instances in a row, from FirstInstance on.
+	EntryPoints   int
+	FirstInstance int
+}
+
+// AttemptResult is how an attempt ended.
+type AttemptResult struct {
+	Attempt AttemptID
+	Outcome Outcome
+	// Elapsed is the time since the attempt was sent, in nanoseconds.
+	Elapsed int64
+	// RequestDone says that the client has its answer: no other attempt can follow.
+	RequestDone bool
+	// TrueUnits is what the request really counted, where that is known only afterwards; else 0.
+	TrueUnits float64
+}
+
 // Effects is what the decisions can do. Every call takes effect at once; none calls back.
 type Effects interface {
 	// Send sends a shot; it ends as TimedOut at the time expire (0: when the client gives up). One that waits for
--- a/policy/bench_test.go
+++ b/policy/bench_test.go
@@ -27,11 +27,12 @@
 	g := New(now, 1, terms, effects)
 	g.UpdateEndpoints(now, FullSnapshot, ready(1, 2, 3, 4, 5, 6, 7, 8))
 	step := func(id int) {
-		request := g.Submit(now, RequestID(id), 0, 0, TenantID(id%100), 2*sec, 1, 2, 0)
+		request := g.Submit(now, RequestSpec{ID: RequestID(id), Tenant: TenantID(id % 100), Remaining: 2 * sec,
+			Units: 1, EntryPoints: 2})
 		now += ms
 		g.HandleCounterResult(now, Succeeded, effects.name, 1)
 		now += 9 * ms
-		request.HandleAttemptResult(now, 0, Succeeded, 9*ms, false, 0)
+		request.HandleAttemptResult(now, AttemptResult{Outcome: Succeeded, Elapsed: 9 * ms})
 		if !request.Done() || len(request.shots) != 1 {
 			b.Fatalf("request %d: done %v, %d attempts", id, request.Done(), len(request.shots))
 		}
--- a/policy/cold_test.go
+++ b/policy/cold_test.go
@@ -310,7 +310,8 @@
 func (s *coldSite) take(l *coldLife) {
 	x := &coldTaken{id: RequestID(s.r.Uint64())}
 	l.open[x.id] = x
-	x.h = l.gate.Submit(s.now, x.id, 0, 0, TenantID(s.r.IntN(8)), 2*sec, 1, 1, 0)
+	x.h = l.gate.Submit(s.now, RequestSpec{ID: x.id, Tenant: TenantID(s.r.IntN(8)), Remaining: 2 * sec,
+		Units: 1, EntryPoints: 1})
 	if len(x.shots) == 0 {
 		delete(l.open, x.id)
 		return
@@ -380,7 +381,8 @@
 	}
 	over := shot.x.ended || o == Succeeded
 	shot.x.ended = over
-	shot.x.h.HandleAttemptResult(s.now, AttemptID(shot.n), o, s.now-shot.sent, over, 0)
+	shot.x.h.HandleAttemptResult(s.now, AttemptResult{Attempt: AttemptID(shot.n), Outcome: o,
+		Elapsed: s.now - shot.sent, RequestDone: over})
 }
 
 // check holds what was sent to a backend in its life against the rule, in every window of the span.
--- a/policy/desk_test.go
+++ b/policy/desk_test.go
@@ -198,7 +198,8 @@
 	}
 	d.taken[id] = x
 	d.order = append(d.order, id)
-	x.h = d.g.Submit(d.now, id, pr, pl, c, left, units, 2, 0)
+	x.h = d.g.Submit(d.now, RequestSpec{ID: id, Class: pr, Plan: pl, Tenant: c, Remaining: left, Units: units,
+		EntryPoints: 2})
 	return x
 }
 
@@ -230,7 +231,8 @@
 		}
 		d.peak = max(d.peak, len(d.done))
 	}
-	x.h.HandleAttemptResult(d.now, AttemptID(n), o, d.now-s.sent, over, 0)
+	x.h.HandleAttemptResult(d.now, AttemptResult{Attempt: AttemptID(n), Outcome: o, Elapsed: d.now - s.sent,
+		RequestDone: over})
 	d.check()
 }
 
--- a/policy/golden_test.go
+++ b/policy/golden_test.go
@@ -741,8 +741,10 @@
 	r := &goldenRequest{in: in, id: policy.RequestID(w.nextID), life: in.life, limit: w.now + remaining,
 		class: class, units: units, streams: w.likely(w.day.stream)}
 	in.open[r.id] = r
-	r.handle = in.gate.Submit(w.now, r.id, policy.ClassID(class), policy.PlanID(plan), policy.TenantID(customer),
-		remaining, units, w.day.entries, first)
+	r.handle = in.gate.Submit(w.now, policy.RequestSpec{
+		ID: r.id, Class: policy.ClassID(class), Plan: policy.PlanID(plan), Tenant: policy.TenantID(customer),
+		Remaining: remaining, Units: units, EntryPoints: w.day.entries, FirstInstance: first,
+	})
 	if w.likely(w.day.leave) {
 		stays := w.about(200 * goldenMillisecond)
 		if w.likely(0.3) { // nearly to the end
@@ -788,8 +790,8 @@
 		fields = append(fields, uint64(b.Backend), uint64(b.StartedAt), float(b.BaselineLatency), float(b.Samples))
 	}
 	w.write(codeLearned, in.number, fields...)
-	watch, late, whole, again := in.terms().DiscoveryTimeouts()
-	w.write(codeIntervals, in.number, uint64(watch), uint64(late), uint64(whole), uint64(again))
+	d := in.terms().DiscoveryTimeouts()
+	w.write(codeIntervals, in.number, uint64(d.Watch), uint64(d.Lateness), uint64(d.Snapshot), uint64(d.RetryDelay))
 }
 
 func (in *goldenInstance) Send(id policy.RequestID, b policy.BackendID, expire, begin int64) {
@@ -870,11 +872,14 @@
 	if o == policy.Succeeded || a.started {
 		r.ended = true
 	}
-	r.handle.HandleAttemptResult(w.now, policy.AttemptID(a.number), o, w.now-a.sent, r.ended, units)
+	result := policy.AttemptResult{Attempt: policy.AttemptID(a.number), Outcome: o, Elapsed: w.now - a.sent,
+		RequestDone: r.ended, TrueUnits: units}
+	r.handle.HandleAttemptResult(w.now, result)
 	r.finished()
 	if w.likely(0.01) { // twice, and one that was never sent
-		r.handle.HandleAttemptResult(w.now, policy.AttemptID(a.number), o, w.now-a.sent, r.ended, units)
-		r.handle.HandleAttemptResult(w.now, 200, o, w.now-a.sent, r.ended, units)
+		r.handle.HandleAttemptResult(w.now, result)
+		result.Attempt = 200
+		r.handle.HandleAttemptResult(w.now, result)
 	}
 }
 
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -29,7 +29,7 @@
 // UpdateSettings takes new terms. Rows of profiles and plans are only added: open transactions keep theirs.
 func (g *Engine) UpdateSettings(terms Settings) {
 	g.terms = terms
-	_, _, _, g.askAgain = terms.DiscoveryTimeouts()
+	g.askAgain = terms.DiscoveryTimeouts().RetryDelay
 	for _, p := range terms.Classes[len(g.profiles):] {
 		// The post's 45 of 300 ms is dear where calls wait in line. Four fifths: below the counter's own limit.
 		wait := max(min(p.LatencyObjective/20, terms.CounterTimeout*4/5), ms)
@@ -87,24 +87,24 @@
 
 // Submit takes a transaction. left is the time until its client gives up; the customer's come in through
 // entries front doors in a row from first on.
-func (g *Engine) Submit(now int64, id RequestID, pr ClassID, pl PlanID, c TenantID, left int64,
-	units float64, entries, first int) *Request {
-	t := &Request{gate: g, id: id, taken: now, units: max(units, 0), entries: float64(max(entries, 1))}
+func (g *Engine) Submit(now int64, spec RequestSpec) *Request {
+	t := &Request{gate: g, id: spec.ID, taken: now, units: max(spec.Units, 0), entries: float64(max(spec.EntryPoints, 1))}
+	pr, pl := spec.Class, spec.Plan
 	if int(pr) >= len(g.profiles) || int(pl) >= len(g.plans) {
 		g.door.Log(fmt.Sprintf("transaction of unknown profile %d or plan %d broken off", pr, pl))
 		t.over = true
-		g.door.Abort(id)
+		g.door.Abort(spec.ID)
 		return t
 	}
 	t.profile, t.plan = &g.profiles[pr], &g.plans[pl]
-	t.customer = g.customer(now, c, t)
-	t.limit = now + max(left, 0)
+	t.customer = g.customer(now, spec.Tenant, t)
+	t.limit = now + max(spec.Remaining, 0)
 	t.promised = min(now+t.profile.LatencyObjective, t.limit)
 	if t.plan.leaves.value > 0.3 { // what can't be answered before the client leaves is not worth sending
 		t.promised = min(t.promised, now+int64(t.plan.stay.value))
 	}
 	doors := max(g.terms.Instances, 1)
-	t.place = ((g.terms.InstanceIndex-first)%doors + doors) % doors
+	t.place = ((g.terms.InstanceIndex-spec.FirstInstance)%doors + doors) % doors
 	if t.plan.HardQuotaRate > 0 {
 		if lacks := t.units - t.fillCeiling(now); lacks > 0 {
 			t.end(now, span(lacks*t.entries/t.plan.HardQuotaRate))
@@ -572,7 +572,8 @@
 
 // HandleAttemptResult tells how a shot ended. over says that the transaction is finished; trueUnits is what it really
 // counted, if that is told afterwards.
-func (t *Request) HandleAttemptResult(now int64, n AttemptID, o Outcome, elapsed int64, over bool, trueUnits float64) {
+func (t *Request) HandleAttemptResult(now int64, result AttemptResult) {
+	n, o, elapsed, over, trueUnits := result.Attempt, result.Outcome, result.Elapsed, result.RequestDone, result.TrueUnits
 	if int(n) >= len(t.shots) || !t.shots[n].out {
 		return
 	}
@@ -655,12 +656,17 @@
 // a call that an outage silenced is never answered, and asking costs nobody anything: a third, a quarter and
 // a tenth of the drain's grace leave a third to the door. Elsewhere asking is work, but a change is due six
 // seconds after it could be had: a silent watch is opened anew by 5.2; a whole list keeps its place in line.
-func (t Settings) DiscoveryTimeouts() (watch, late, whole, again int64) {
+func (t Settings) DiscoveryTimeouts() DiscoveryTimeouts {
 	if t.PollEndpoints {
-		return min(max(2*sec, t.PollTimeout), 4500*ms), 500 * ms, 3 * sec, 200 * ms
+		return DiscoveryTimeouts{
+			Watch:      min(max(2*sec, t.PollTimeout), 4500*ms),
+			Lateness:   500 * ms,
+			Snapshot:   3 * sec,
+			RetryDelay: 200 * ms,
+		}
 	}
 	grace := max(t.DrainGrace, 200*ms) // shorter, a door would do little but ask
-	return grace / 3, grace / 4, grace / 2, grace / 10
+	return DiscoveryTimeouts{Watch: grace / 3, Lateness: grace / 4, Snapshot: grace / 2, RetryDelay: grace / 10}
 }
 
 // UpdateEndpoints brings the list of backends, or changes to it.
@@ -674,7 +680,7 @@
 		}
 		return
 	}
-	_, _, _, g.askAgain = g.terms.DiscoveryTimeouts()
+	g.askAgain = g.terms.DiscoveryTimeouts().RetryDelay
 	if how != Delta {
 		for _, b := range g.listed {
 			b.ready, b.gone = false, true
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -195,7 +195,7 @@
 			id := RequestID(c)
 			x := &taken{limit: d.now + sec}
 			d.taken[id] = x
-			x.h = d.g.Submit(d.now, id, 0, 0, TenantID(c), sec, 1, entries, 0)
+			x.h = d.g.Submit(d.now, RequestSpec{ID: id, Tenant: TenantID(c), Remaining: sec, Units: 1, EntryPoints: entries})
 			d.counter[d.asked[0].name] = 10 // other doors let in the whole quota in this window
 			for len(d.asked) > 0 {
 				d.answer(Succeeded)
@@ -353,7 +353,7 @@
 			for c := range 10 {
 				id := RequestID(c)
 				d.taken[id] = &taken{limit: d.now + sec}
-				d.taken[id].h = d.g.Submit(d.now, id, 0, 0, TenantID(c), sec, 1, 20, 0)
+				d.taken[id].h = d.g.Submit(d.now, RequestSpec{ID: id, Tenant: TenantID(c), Remaining: sec, Units: 1, EntryPoints: 20})
 				if x := d.taken[id]; len(x.shots) > 0 {
 					in++
 					d.settle(x, 0, Succeeded)
@@ -608,7 +608,8 @@
 // later, whatever the grace: 23 backends that drained were sent to 335 times. A third of the grace is the door's own.
 func TestSilentListIsAskedAnewWithinTheGrace(t *testing.T) {
 	for _, grace := range []int64{200 * ms, 250 * ms, 500 * ms, sec, 10 * sec} {
-		watch, late, whole, again := Settings{DrainGrace: grace}.DiscoveryTimeouts()
+		timeouts := Settings{DrainGrace: grace}.DiscoveryTimeouts()
+		watch, late, whole, again := timeouts.Watch, timeouts.Lateness, timeouts.Snapshot, timeouts.RetryDelay
 		if max(watch+late, whole)+again > grace*7/10 || watch < 50*ms {
 			t.Errorf("of a grace of %d: a watch of %d and %d, a list of %d, again after %d", grace, watch, late, whole, again)
 		}
@@ -629,7 +630,8 @@
 	for _, within := range []int64{sec, 4 * sec, 10 * sec, 30 * sec} {
 		terms := plainTerms()
 		terms.PollEndpoints, terms.PollTimeout = true, within
-		watch, late, whole, again := terms.DiscoveryTimeouts()
+		timeouts := terms.DiscoveryTimeouts()
+		watch, late, whole, again := timeouts.Watch, timeouts.Lateness, timeouts.Snapshot, timeouts.RetryDelay
 		if watch+late+again > 5200*ms || whole+again > 5200*ms {
 			t.Errorf("asked for within %d: %d, %d, %d, %d", within, watch, late, whole, again)
 		}
@@ -653,7 +655,7 @@
 	const doors, each, late, room = 80, sec / 20, 2 * sec, 50
 	terms := plainTerms()
 	terms.Instances, terms.PollEndpoints, terms.PollTimeout = doors, true, 10*sec
-	watch, _, _, _ := terms.DiscoveryTimeouts()
+	watch := terms.DiscoveryTimeouts().Watch
 	desks, last, next, told := make([]*desk, doors), make([]int64, doors), make([]int64, doors), make([]int64, doors)
 	gap := int64(0)
 	for n := range desks {
@@ -1195,7 +1197,7 @@
 		x := &taken{customer: 1, units: 1, entries: 1, limit: d.now + 2*sec, profile: d.terms.Classes[0], plan: d.terms.Plans[0]}
 		d.taken[id] = x
 		d.order = append(d.order, id)
-		x.h = d.g.Submit(d.now, id, 0, 0, 1, 2*sec, 1, 1, 0)
+		x.h = d.g.Submit(d.now, RequestSpec{ID: id, Tenant: 1, Remaining: 2 * sec, Units: 1, EntryPoints: 1})
 		for len(d.asked) > 0 {
 			d.answer(o)
 		}
