--- a/cmd/fawnplank/main.go
+++ b/cmd/fawnplank/main.go
@@ -111,23 +111,27 @@
 
 	f, figures := dispatch.New(), metrics.New(classes(start))
 	pool := backend.New(part, time.Duration(start.ConnectTimeout), time.Duration(start.IdleConnection), f.HandleHealthCheck)
-	count := counter.New(f, start.Counter, time.Duration(start.ConnectTimeout))
+	spoken := counter.Text
 	if set.Counter.Protocol == "resp" {
-		count.Format = counter.RESP
+		spoken = counter.RESP
 	}
+	count := counter.New(counter.Options{Address: start.Counter, ConnectTimeout: time.Duration(start.ConnectTimeout),
+		Format: spoken}, f)
 	figures.AddGauges(outages(f, count))
-	list := discovery.New(f, pool, start)
-	pool.Metrics, list.Metrics = figures, figures
+	names := &names{set: set}
+	var refresh func()
+	if names.on() {
+		refresh = names.whole
+	}
+	list := discovery.New(discovery.Options{Subscriber: f, AddressBook: pool, Config: start, Metrics: figures, Refresh: refresh})
+	names.list = list
+	pool.Metrics = figures
 	// Large values of clients and of backends each hold at most a sixth of the memory; what waits for room is
 	// not read on meanwhile. Two rooms, not one: a large command holds its room until its answer is written,
 	// and that answer must not wait for the same room. With the collector's three quarters that leaves a third
 	// for the rest.
 	pool.Budget = membudget.New(start.MemoryBytes / 6)
-	names := &names{list: list, set: set}
-	if names.on() {
-		list.WatchSource(names.whole)
-	}
-	f.Run(start.Seed, start.Settings, count, pool, list)
+	f.Start(dispatch.Config{Seed: start.Seed, Settings: start.Settings, Counter: count, HealthChecker: pool, EndpointWatcher: list})
 	if !names.on() { // a list of long ago must not stand beside the zone's
 		if err := list.LoadSnapshot(start.KnownEndpoints); err != nil {
 			return fmt.Errorf("configuration: %w", err)
@@ -327,9 +331,9 @@
 		return func() float64 { return value(f.CounterStats()) }
 	}
 	return map[string]metrics.Gauge{
-		"counter_calls":          {Help: "calls that the counter answered with a total", Value: func() float64 { n, _, _ := count.Stats(); return float64(n) }},
-		"counter_failures":       {Help: "calls without a total", Value: func() float64 { _, n, _ := count.Stats(); return float64(n) }},
-		"counter_outage_seconds": {Help: "since the first failure after the last total; 0: none", Value: func() float64 { _, _, d := count.Stats(); return d.Seconds() }},
+		"counter_calls":          {Help: "calls that the counter answered with a total", Value: func() float64 { return float64(count.Stats().Answered) }},
+		"counter_failures":       {Help: "calls without a total", Value: func() float64 { return float64(count.Stats().Failed) }},
+		"counter_outage_seconds": {Help: "since the first failure after the last total; 0: none", Value: func() float64 { return count.Stats().Outage.Seconds() }},
 		"counter_breaker_open": {Help: "1 while calls to the counter are stopped", Value: of(func(o policy.CounterStats) float64 {
 			if o.BreakerOpen {
 				return 1
--- a/internal/backend/backend.go
+++ b/internal/backend/backend.go
@@ -228,7 +228,7 @@
 	c, to, err := p.take(s.Backend)
 	switch {
 	case err != nil:
-		s.Report(nil, 0, &dispatch.NetworkError{Progress: dispatch.Dialling, Err: err})
+		s.Report(nil, 0, &dispatch.NetworkError{Progress: dispatch.Dialing, Err: err})
 	case c != nil:
 		c.write(s, command)
 	default:
@@ -236,7 +236,7 @@
 			defer stopPanic()
 			c, err := p.dial(to)
 			if err != nil {
-				s.Report(nil, 0, &dispatch.NetworkError{Progress: dispatch.Dialling, Err: err})
+				s.Report(nil, 0, &dispatch.NetworkError{Progress: dispatch.Dialing, Err: err})
 				return
 			}
 			c.write(s, command)
@@ -292,7 +292,7 @@
 		// another may be at the address by now.
 		c.close()
 		p.mu.Unlock()
-		s.Report(nil, 0, &dispatch.NetworkError{Progress: dispatch.Dialling, Err: net.ErrClosed})
+		s.Report(nil, 0, &dispatch.NetworkError{Progress: dispatch.Dialing, Err: net.ErrClosed})
 		return
 	case !s.Begin(c):
 		c.settle()
@@ -604,7 +604,7 @@
 	}
 	p.mu.Unlock()
 	if err != nil {
-		return &dispatch.NetworkError{Progress: dispatch.Dialling, Err: err}
+		return &dispatch.NetworkError{Progress: dispatch.Dialing, Err: err}
 	}
 	defer func() {
 		p.mu.Lock()
@@ -614,7 +614,7 @@
 	until := time.Now().Add(p.patient)
 	nc, err := net.DialTimeout("tcp4", to.address, p.patient)
 	if err != nil {
-		return &dispatch.NetworkError{Progress: dispatch.Dialling, Err: err}
+		return &dispatch.NetworkError{Progress: dispatch.Dialing, Err: err}
 	}
 	defer nc.Close()
 	nc.SetDeadline(until)
--- a/internal/backend/backend_test.go
+++ b/internal/backend/backend_test.go
@@ -231,10 +231,10 @@
 		warm(t, p, 1)
 		there := <-conns
 		f := dispatch.New()
-		f.Run(9, policy.Settings{Instances: 1, MaxAttempts: 1, SlowStartShare: 1, OverloadMultiple: 2, OverloadWindow: 1e9, Plans: []policy.PlanSettings{{}},
-			Classes: []policy.ClassSettings{{LatencyObjective: 1e9, Deadline: 1e9}}}, nil, nil, nil)
+		f.Start(dispatch.Config{Seed: 9, Settings: policy.Settings{Instances: 1, MaxAttempts: 1, SlowStartShare: 1, OverloadMultiple: 2, OverloadWindow: 1e9, Plans: []policy.PlanSettings{{}},
+			Classes: []policy.ClassSettings{{LatencyObjective: 1e9, Deadline: 1e9}}}})
 		f.UpdateEndpoints(policy.FullSnapshot, []policy.Endpoint{{Backend: 1, State: policy.EndpointReady}})
-		tx := f.Submit(0, 0, 1, time.Second, 1, 1, 0)
+		tx := f.Submit(dispatch.RequestSpec{Tenant: 1, Timeout: time.Second, Units: 1, Entries: 1})
 		step := tx.NextStep()
 		c, _, err := p.take(1)
 		if step.Action != dispatch.Send || c == nil || err != nil {
--- a/internal/counter/counter.go
+++ b/internal/counter/counter.go
@@ -36,9 +36,17 @@
 	HandleCounterResult(name policy.CounterKey, total float64, err error)
 }
 
+// Options say which counter a client calls, and how. Address is needed; the zero values of the others hold where
+// they do.
+type Options struct {
+	Address        string        // host and port
+	ConnectTimeout time.Duration // for a connection to come up; 0: no bound but the system's
+	Format         Format        // the zero value is Text
+}
+
 // Client calls the counter.
 type Client struct {
-	Format  Format // set before the first call
+	format  Format
 	told    ResultHandler
 	patient time.Duration // for a connection to come up
 	mu      sync.Mutex
@@ -52,20 +60,28 @@
 	failed  time.Time // the first failure since the last total; zero: none
 }
 
-// Stats tell how many calls were answered with a total and how many not, and for how long there has been no total
-// while calls failed: the outage, 0 when there is none.
-func (c *Client) Stats() (good, bad uint64, outage time.Duration) {
+// Stats is what became of the calls so far.
+type Stats struct {
+	Answered uint64        // with a total
+	Failed   uint64        // without one
+	Outage   time.Duration // since the first failure after the last total; 0: none
+}
+
+// Stats returns what became of the calls so far.
+func (c *Client) Stats() Stats {
 	c.mu.Lock()
 	defer c.mu.Unlock()
+	stats := Stats{Answered: c.good, Failed: c.bad}
 	if !c.failed.IsZero() {
-		outage = time.Since(c.failed)
+		stats.Outage = time.Since(c.failed)
 	}
-	return c.good, c.bad, outage
+	return stats
 }
 
-// New makes a client; a connection is opened when it is first needed.
-func New(told ResultHandler, address string, connectTimeout time.Duration) *Client {
-	return &Client{told: told, address: address, patient: connectTimeout, names: map[policy.CounterKey]*queue{}}
+// New makes a client that reports to handler; a connection is opened when it is first needed.
+func New(options Options, handler ResultHandler) *Client {
+	return &Client{told: handler, format: options.Format, address: options.Address, patient: options.ConnectTimeout,
+		names: map[policy.CounterKey]*queue{}}
 }
 
 // SetAddress goes on to another address. Calls out may still be answered at the old one until it closes.
@@ -123,7 +139,7 @@
 }
 
 // Add adds to a number. It blocks nobody: Flush sends.
-func (c *Client) Add(name policy.CounterKey, units float64, lifetime int64) {
+func (c *Client) Add(name policy.CounterKey, units float64, lifetime time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := time.Now()
@@ -136,7 +152,7 @@
 		q.line = c.pick()
 	}
 	l, k := q.line, &call{name: name, at: now}
-	l.buf = c.Format.write(l.buf, name, units, lifetime)
+	l.buf = c.format.write(l.buf, name, units, lifetime)
 	l.calls, q.calls = append(l.calls, k), append(q.calls, k)
 	l.unsent++
 	c.unsent = append(c.unsent, l)
@@ -240,7 +256,7 @@
 		held += n
 		rest := buf[:held]
 		for {
-			size, done, spoilt, total, err := l.c.Format.next(rest, &l.half)
+			size, done, spoilt, total, err := l.c.format.next(rest, &l.half)
 			if spoilt { // what cannot become an answer is not waited for: behind it others wait
 				l.answer(0, &dispatch.NetworkError{Progress: dispatch.Answering, Err: errNoTotal})
 				l.end(errors.New("spoilt answer"))
--- a/internal/counter/counter_test.go
+++ b/internal/counter/counter_test.go
@@ -69,7 +69,7 @@
 			}()
 		}
 	}()
-	return New(e, l.Addr().String(), 200*time.Millisecond), e, lines, l
+	return New(Options{Address: l.Addr().String(), ConnectTimeout: 200 * time.Millisecond}, e), e, lines, l
 }
 
 func TestAnswersReachTheirCallsInOrder(t *testing.T) {
--- a/internal/counter/format.go
+++ b/internal/counter/format.go
@@ -4,6 +4,7 @@
 	"bytes"
 	"math"
 	"strconv"
+	"time"
 
 	"github.com/tidwall/redcon"
 
@@ -24,8 +25,8 @@
 )
 
 // write appends one call.
-func (f Format) write(buf []byte, name policy.CounterKey, units float64, lifetime int64) []byte {
-	ms := max((lifetime+999_999)/1_000_000, 1)
+func (f Format) write(buf []byte, name policy.CounterKey, units float64, lifetime time.Duration) []byte {
+	ms := max(int64((lifetime+999_999)/1_000_000), 1)
 	if f == Text {
 		buf = append(buf, "bump "...)
 		buf = strconv.AppendUint(buf, uint64(name), 16)
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -49,7 +49,7 @@
 	names     map[policy.BackendID]string
 	listed    map[policy.BackendID]bool
 	draining  map[policy.BackendID]bool // of the listed: sent nothing new
-	Metrics   *metrics.Registry         // counted here: backends listed, and draining
+	metrics   *metrics.Registry
 	begin     sync.Once
 	wanted    chan struct{}
 	index     int64
@@ -100,9 +100,23 @@
 // says the transport passes on its values alone.
 type dialWithin struct{}
 
-// New makes a client.
-func New(told Subscriber, addresses AddressBook, s *config.Config) *Client {
-	c := &Client{told: told, addresses: addresses, base: baseOf(s.Discovery),
+// Options are the parts that a client works between. Subscriber, AddressBook and Config are needed.
+type Options struct {
+	Subscriber  Subscriber
+	AddressBook AddressBook
+	Config      *config.Config
+	// Metrics counts the backends listed and those draining; nil: they are not counted.
+	Metrics *metrics.Registry
+	// Refresh makes another source, which hands its lists to Publish, publish its full snapshot. It is called in a
+	// goroutine of its own. nil: the client watches the discovery service.
+	Refresh func()
+}
+
+// New makes a client. It does nothing before LoadSnapshot, Publish or WatchEndpoints.
+func New(options Options) *Client {
+	s := options.Config
+	c := &Client{told: options.Subscriber, addresses: options.AddressBook, metrics: options.Metrics,
+		other: options.Refresh, base: baseOf(s.Discovery),
 		wanted: make(chan struct{}, 1),
 		http: http.Client{Transport: &http.Transport{IdleConnTimeout: time.Minute, DisableCompression: true,
 			DialContext: ipv4.DialContext}},
@@ -140,10 +154,6 @@
 	Endpoints []Entry `json:"endpoints"`
 }
 
-// WatchSource makes another source tell the lists, by Tell, in place of the watch; again has it tell the whole list. To be
-// called before Follow.
-func (c *Client) WatchSource(again func()) { c.other = again }
-
 // Publish tells what another source has: in the same form and by the same way as the watch's.
 func (c *Client) Publish(how policy.UpdateKind, entries []Entry) {
 	c.turn.Lock()
@@ -238,7 +248,7 @@
 			disabled++
 		}
 	}
-	c.Metrics.SetEndpoints(len(c.listed), disabled)
+	c.metrics.SetEndpoints(len(c.listed), disabled)
 	c.index = l.Index
 	c.told.UpdateEndpoints(how, lines)
 }
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -73,7 +73,7 @@
 	e := &ear{told: make(chan told, 100), known: map[policy.BackendID]string{}}
 	start := &config.Config{Discovery: strings.TrimPrefix(s.URL, "http://"), Zones: []string{"b", "a"},
 		Settings: policy.Settings{DrainGrace: 6e9}}
-	return New(e, e, start), e, calls
+	return New(Options{Subscriber: e, AddressBook: e, Config: start}), e, calls
 }
 
 func lines(index int, snapshot bool, entries ...string) string {
@@ -266,7 +266,7 @@
 func TestWatchIsLongWhereListsAreAskedFor(t *testing.T) {
 	start := &config.Config{Discovery: "127.0.0.1:1"}
 	start.Settings.PollEndpoints, start.Settings.PollTimeout = true, 10e9
-	if c := New(nil, nil, start); c.wait < 4*time.Second || c.wait+c.late > 5*time.Second {
+	if c := New(Options{Config: start}); c.wait < 4*time.Second || c.wait+c.late > 5*time.Second {
 		t.Errorf("a watch waits %v, and is given up %v later", c.wait, c.late)
 	}
 }
@@ -323,7 +323,7 @@
 	port := hanging(t)
 	e := &ear{told: make(chan told, 100), known: map[policy.BackendID]string{}}
 	start := &config.Config{Discovery: fmt.Sprintf("127.0.0.1:%d", port), Settings: policy.Settings{DrainGrace: 2e8}} // 0.1 s a call
-	c := New(e, e, start)
+	c := New(Options{Subscriber: e, AddressBook: e, Config: start})
 	for range 12 {
 		c.WatchEndpoints()
 		if got := e.next(t); got.how != policy.UpdateFailed {
--- a/internal/discovery/start_test.go
+++ b/internal/discovery/start_test.go
@@ -47,7 +47,7 @@
 func (d *door) SetAddresses(policy.BackendID, []netip.AddrPort) {}
 func (d *door) Forget(policy.BackendID)                         {}
 func (d *door) CheckHealth(policy.BackendID)                    {}
-func (d *door) Add(policy.CounterKey, float64, int64)           {}
+func (d *door) Add(policy.CounterKey, float64, time.Duration)   {}
 func (d *door) Flush()                                          {}
 func (d *door) Abandon(*dispatch.Attempt) bool                  { return false }
 
@@ -123,7 +123,7 @@
 	s := &config.Config{Discovery: "agent:1", KnownEndpoints: []byte(known), Zones: []string{"a"}, Settings: policy.Settings{Instances: 1, MaxAttempts: 1,
 		DrainGrace: int64(grace), SlowStartShare: 1, OverloadMultiple: 2, OverloadWindow: 1e9, Plans: []policy.PlanSettings{{}},
 		Classes: []policy.ClassSettings{{LatencyObjective: 500e6, Deadline: 500e6}}}}
-	d.client = New(d, d, s)
+	d.client = New(Options{Subscriber: d, AddressBook: d, Config: s})
 	var dials atomic.Int64
 	d.client.http.Transport.(*http.Transport).DialContext = func(context.Context, string, string) (net.Conn, error) {
 		if dials.Add(1) == 1 && first == unreached {
@@ -138,7 +138,8 @@
 			return nil, net.ErrClosed
 		}
 	}
-	d.facade.Run(seed, s.Settings, d, d, d.client)
+	d.facade.Start(dispatch.Config{Seed: seed, Settings: s.Settings, Counter: d, HealthChecker: d,
+		EndpointWatcher: d.client})
 	if err := d.client.LoadSnapshot(s.KnownEndpoints); err != nil {
 		t.Fatal(err)
 	}
@@ -155,7 +156,7 @@
 
 // send sends a transaction, and notes when and where to.
 func (d *door) send() {
-	tx := d.facade.Submit(0, 0, 1, 500*time.Millisecond, 1, 1, 0)
+	tx := d.facade.Submit(dispatch.RequestSpec{Tenant: 1, Timeout: 500 * time.Millisecond, Units: 1, Entries: 1})
 	for {
 		step := tx.NextStep()
 		if step.Action != dispatch.Send {
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -19,7 +19,7 @@
 
 // Counter is what the facade needs of the counter. Bump must not block; Flush sends what was bumped.
 type Counter interface {
-	Add(name policy.CounterKey, units float64, lifetime int64)
+	Add(key policy.CounterKey, units float64, lifetime time.Duration)
 	Flush()
 }
 
@@ -70,7 +70,7 @@
 	outcome policy.Outcome
 }
 
-// New makes a facade; Run starts it.
+// New makes a dispatcher. Start starts it: the parts that a Config names are made in between, since they report to it.
 func New() *Dispatcher {
 	f := &Dispatcher{start: time.Now(), open: map[policy.RequestID]*Request{}, stopped: make(chan struct{})}
 	f.epoch = f.start.UnixNano()
@@ -78,10 +78,23 @@
 	return f
 }
 
-// Run starts the decisions and the timers.
-func (f *Dispatcher) Run(seed uint64, terms policy.Settings, c Counter, p HealthChecker, l EndpointWatcher) {
-	f.counter, f.prober, f.follower = c, p, l
-	f.do(func(now int64) { f.gate = policy.New(now, seed, terms, door{f}) })
+// Config is what a dispatcher works with from Start on.
+type Config struct {
+	Seed     uint64
+	Settings policy.Settings
+	// Each part may be nil where the settings never ask for it: the counter without a plan with a rate, the health
+	// checker without health checks, the endpoint watcher where nobody reports failed updates.
+	Counter         Counter
+	HealthChecker   HealthChecker
+	EndpointWatcher EndpointWatcher
+}
+
+// Start makes the engine and starts the timers. Before it, nothing but Stop may be called.
+func (f *Dispatcher) Start(c Config) {
+	f.counter = c.Counter
+	f.prober = c.HealthChecker
+	f.follower = c.EndpointWatcher
+	f.do(func(now int64) { f.gate = policy.New(now, c.Seed, c.Settings, door{f}) })
 	go f.tick()
 }
 
@@ -263,7 +276,7 @@
 }
 
 func (d door) Reject(id policy.RequestID, comeBack int64) {
-	d.open[id].end(Step{Action: Reject, RetryAfter: comeBack})
+	d.open[id].end(Step{Action: Reject, RetryAfter: time.Duration(comeBack)})
 }
 
 func (d door) Abort(id policy.RequestID) { d.open[id].end(Step{Action: Abort}) }
@@ -278,7 +291,7 @@
 }
 
 func (d door) AddToCounter(c policy.CounterKey, units float64, lifetime int64) {
-	d.counter.Add(c, units, lifetime)
+	d.counter.Add(c, units, time.Duration(lifetime))
 	d.bumped = true
 }
 
@@ -385,7 +398,7 @@
 	Action     Action
 	Attempt    *Attempt
 	Response   []byte
-	RetryAfter int64
+	RetryAfter time.Duration // 0: no advice
 }
 
 // mostWaiting is how many shots of a transaction may wait to be picked. They are picked at once, so that even
@@ -407,15 +420,28 @@
 	ended bool
 }
 
-// Submit takes a transaction.
-func (f *Dispatcher) Submit(pr policy.ClassID, pl policy.PlanID, c policy.TenantID, left time.Duration,
-	units float64, entries, first int) *Request {
-	t := &Request{f: f, profile: pr, steps: make(chan *Attempt, mostWaiting+1)}
+// RequestSpec says what a request is.
+type RequestSpec struct {
+	Class  policy.ClassID
+	Plan   policy.PlanID
+	Tenant policy.TenantID
+	// Timeout is the time until the client gives up.
+	Timeout time.Duration
+	Units   float64
+	// The tenant's requests come in through Entries instances in a row, from FirstEntry on.
+	Entries    int
+	FirstEntry int
+}
+
+// Submit hands a request to the engine.
+func (f *Dispatcher) Submit(spec RequestSpec) *Request {
+	t := &Request{f: f, profile: spec.Class, steps: make(chan *Attempt, mostWaiting+1)}
 	f.do(func(now int64) {
 		f.last++
-		t.id, t.limit = f.last, now+int64(left)
+		t.id, t.limit = f.last, now+int64(spec.Timeout)
 		f.open[t.id] = t
-		t.handle = f.gate.Submit(now, t.id, pr, pl, c, int64(left), units, entries, first)
+		t.handle = f.gate.Submit(now, t.id, spec.Class, spec.Plan, spec.Tenant, int64(spec.Timeout), spec.Units,
+			spec.Entries, spec.FirstEntry)
 		t.keep()
 	})
 	return t
--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -53,7 +53,7 @@
 	}
 }
 
-func (w *world) Add(name policy.CounterKey, units float64, lifetime int64) {
+func (w *world) Add(name policy.CounterKey, units float64, lifetime time.Duration) {
 	w.mu.Lock()
 	wait, kind := time.Duration(w.network.Intn(90))*time.Millisecond, w.network.Intn(8)
 	w.mu.Unlock()
@@ -85,7 +85,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		w := &world{t: t, f: New(), chance: rand.New(rand.NewSource(seed)),
 			network: rand.New(rand.NewSource(seed)), stages: map[policy.BackendID]policy.EndpointState{}}
-		w.f.Run(9, terms, w, w, w)
+		w.f.Start(Config{Seed: 9, Settings: terms, Counter: w, HealthChecker: w, EndpointWatcher: w})
 		w.list(policy.CachedSnapshot, policy.Endpoint{Backend: 1, State: policy.EndpointReady},
 			policy.Endpoint{Backend: 2, State: policy.EndpointReady})
 		play(w)
@@ -164,8 +164,8 @@
 		run(t, seed, terms, func(w *world) {
 			for n := 0; n < 60; n++ {
 				left, profile := time.Duration(1+w.chance.Intn(1500))*time.Millisecond, w.chance.Intn(2)
-				h := w.f.Submit(policy.ClassID(profile), policy.PlanID(w.chance.Intn(2)), policy.TenantID(n%3),
-					left, 1, 1, 0)
+				h := w.f.Submit(RequestSpec{Class: policy.ClassID(profile), Plan: policy.PlanID(w.chance.Intn(2)),
+					Tenant: policy.TenantID(n % 3), Timeout: left, Units: 1, Entries: 1})
 				taken, leaves, harmed := time.Now(), w.chance.Intn(10) == 0, new(atomic.Int32)
 				shoot := w.byChance(harmed)
 				go func() {
@@ -222,7 +222,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			run(t, 1, terms, func(w *world) {
-				h := w.f.Submit(0, 0, 1, time.Second, 1, 1, 0)
+				h := w.f.Submit(RequestSpec{Tenant: 1, Timeout: time.Second, Units: 1, Entries: 1})
 				first := h.NextStep().Attempt
 				tell(w, first.Backend)
 				if first.Begin(&wire{}) {
@@ -245,13 +245,13 @@
 		terms.Cancellation = recalls
 		run(t, 1, terms, func(w *world) {
 			w.list(policy.FullSnapshot, policy.Endpoint{Backend: 1, State: policy.EndpointReady})
-			h := w.f.Submit(0, 0, 1, time.Second, 1, 1, 0)
+			h := w.f.Submit(RequestSpec{Tenant: 1, Timeout: time.Second, Units: 1, Entries: 1})
 			s := h.NextStep().Attempt
 			h.HandleClientGone()
 			if s.Begin(&wire{}) {
 				t.Error("begun for a client who has left")
 			}
-			next := w.f.Submit(0, 0, 1, time.Second, 1, 1, 0)
+			next := w.f.Submit(RequestSpec{Tenant: 1, Timeout: time.Second, Units: 1, Entries: 1})
 			if step := next.NextStep(); step.Action != Send {
 				t.Errorf("the only backend is not sent to: %+v", step)
 			}
@@ -273,7 +273,7 @@
 	for wait, want := range map[time.Duration]bool{50 * time.Millisecond: true, 199 * time.Millisecond: true,
 		200 * time.Millisecond: false, 250 * time.Millisecond: false} {
 		run(t, 1, terms, func(w *world) {
-			h := w.f.Submit(0, 0, 1, time.Second, 1, 1, 0)
+			h := w.f.Submit(RequestSpec{Tenant: 1, Timeout: time.Second, Units: 1, Entries: 1})
 			first := h.NextStep().Attempt
 			first.Begin(&wire{dropped: make(chan struct{})})
 			time.Sleep(100 * time.Millisecond)
@@ -308,7 +308,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			run(t, 1, terms, func(w *world) {
-				h := w.f.Submit(1, 0, 1, 400*time.Millisecond, 1, 1, 0)
+				h := w.f.Submit(RequestSpec{Class: 1, Tenant: 1, Timeout: 400 * time.Millisecond, Units: 1, Entries: 1})
 				s, l := h.NextStep().Attempt, &wire{slow: true, dropped: make(chan struct{})}
 				s.Begin(l)
 				<-l.dropped
@@ -327,7 +327,7 @@
 		policy.Failed:         {ErrBackendFailed},
 		policy.Rejected:       {ErrRejected, errors.Join(ErrRejected)},
 		policy.TimedOut:       {ErrTimeout},
-		policy.ConnectFailed:  {&NetworkError{Dialling, io.EOF}, &NetworkError{Writing, io.EOF}},
+		policy.ConnectFailed:  {&NetworkError{Dialing, io.EOF}, &NetworkError{Writing, io.EOF}},
 		policy.ConnectionLost: {&NetworkError{Written, io.EOF}, &NetworkError{Answering, io.EOF}, io.EOF},
 	} {
 		for _, err := range errs {
@@ -349,7 +349,7 @@
 			}()
 			w.f.do(func(int64) { panic("broken") })
 		}()
-		h := w.f.Submit(0, 0, 1, time.Second, 1, 1, 0)
+		h := w.f.Submit(RequestSpec{Tenant: 1, Timeout: time.Second, Units: 1, Entries: 1})
 		if s := h.NextStep(); s.Action != Send {
 			t.Errorf("%+v", s)
 		}
--- a/internal/dispatch/fault.go
+++ b/internal/dispatch/fault.go
@@ -13,14 +13,14 @@
 type Progress uint8
 
 const (
-	Dialling  Progress = iota
+	Dialing   Progress = iota
 	Writing            // some of it, perhaps
 	Written            // its last byte
 	Answering          // some of the answer had come
 )
 
 func (s Progress) String() string {
-	return [...]string{"dialling", "writing", "written", "answering"}[s]
+	return [...]string{"dialing", "writing", "written", "answering"}[s]
 }
 
 // NetworkError is a failure of the network, with how far the shot had come.
--- a/internal/frontend/benchmark_test.go
+++ b/internal/frontend/benchmark_test.go
@@ -20,7 +20,7 @@
 func BenchmarkFront_Request(b *testing.B) {
 	f := dispatch.New()
 	pool := backend.New(50, 200*time.Millisecond, 10*time.Second, f.HandleHealthCheck)
-	f.Run(9, terms, nil, pool, nil)
+	f.Start(dispatch.Config{Seed: 9, Settings: terms, HealthChecker: pool})
 	b.Cleanup(f.Stop)
 	listen := func() net.Listener {
 		l, err := net.Listen("tcp4", "127.0.0.1:0")
--- a/internal/frontend/frontend.go
+++ b/internal/frontend/frontend.go
@@ -790,8 +790,8 @@
 		}
 	}
 	c.server.Metrics.RequestReceived()
-	k.t = c.server.facade.Submit(pr, policy.PlanID(plan), policy.TenantID(customer),
-		time.Duration(left), units, entries, first)
+	k.t = c.server.facade.Submit(dispatch.RequestSpec{Class: pr, Plan: policy.PlanID(plan), Tenant: policy.TenantID(customer),
+		Timeout: time.Duration(left), Units: units, Entries: entries, FirstEntry: first})
 	go k.serve()
 	return profile, nil
 }
@@ -845,7 +845,7 @@
 			k.client.server.Metrics.RequestEnded(k.profile, metrics.Overload)
 			answer := []byte("-BUSY")
 			if step.RetryAfter > 0 {
-				answer = strconv.AppendInt(append(answer, ' '), (step.RetryAfter+999_999)/1_000_000, 10)
+				answer = strconv.AppendInt(append(answer, ' '), int64((step.RetryAfter+999_999)/1_000_000), 10)
 			}
 			k.client.finish(k, append(answer, "\r\n"...))
 			return
--- a/internal/frontend/frontend_test.go
+++ b/internal/frontend/frontend_test.go
@@ -58,7 +58,7 @@
 		hear = func(c heard) { h.heard <- c }
 	}
 	h.pool = backend.New(50, 200*time.Millisecond, 10*time.Second, h.facade.HandleHealthCheck)
-	h.facade.Run(9, terms, nil, h.pool, nil)
+	h.facade.Start(dispatch.Config{Seed: 9, Settings: terms, HealthChecker: h.pool})
 	start := &config.Config{Settings: terms, Classes: map[string]policy.ClassID{"lookup": 0, "pay": 1},
 		Plans: map[string]policy.PlanID{"team": 0, "one": 1}, MaxUnits: 8}
 	h.server = New(h.facade, h.pool, start, most)
--- a/internal/limitserver/limitserver.go
+++ b/internal/limitserver/limitserver.go
@@ -34,7 +34,7 @@
 
 // Dispatcher is where checks are decided: the facade.
 type Dispatcher interface {
-	Submit(pr policy.ClassID, pl policy.PlanID, c policy.TenantID, left time.Duration, units float64, entries, first int) *dispatch.Request
+	Submit(spec dispatch.RequestSpec) *dispatch.Request
 	QuotaStatus(c policy.TenantID, pl policy.PlanID, entries int) (policy.QuotaStatus, bool)
 }
 
@@ -266,7 +266,8 @@
 			return check{}, err
 		}
 	}
-	return check{t: s.desk.Submit(names.Class, pl, c, names.Timeout, units, spread, first), c: c, pl: pl, spread: spread}, nil
+	spec := dispatch.RequestSpec{Class: names.Class, Plan: pl, Tenant: c, Timeout: names.Timeout, Units: units, Entries: spread, FirstEntry: first}
+	return check{t: s.desk.Submit(spec), c: c, pl: pl, spread: spread}, nil
 }
 
 // settle waits for a check's answer: the module's own wait for the counter bounds it.
@@ -279,7 +280,7 @@
 		return reply(out, q, -1, k.seconds)
 	case dispatch.Reject:
 		s.counts[1].Add(1)
-		wait := step.RetryAfter
+		wait := int64(step.RetryAfter)
 		if wait <= 0 && q.Rate > 0 { // the settings allow no advice to clients; to those who ask, the refill is told
 			wait = int64(max(q.Used+1-q.Limit, 1) / q.Rate * 1e9)
 		}
--- a/internal/limitserver/limitserver_test.go
+++ b/internal/limitserver/limitserver_test.go
@@ -63,8 +63,7 @@
 	t.Helper()
 	h := &house{facade: dispatch.New()}
 	terms := h.emulate(t)
-	h.counter = counter.New(h.facade, h.emu.CounterAddress(0), time.Second)
-	h.counter.Format = format
+	h.counter = counter.New(counter.Options{Address: h.emu.CounterAddress(0), ConnectTimeout: time.Second, Format: format}, h.facade)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -97,7 +96,7 @@
 
 // run starts the decisions and the limit commands.
 func (h *house) run(t testing.TB, terms policy.Settings, c dispatch.Counter, l net.Listener) {
-	h.facade.Run(7, terms, c, nil, nil)
+	h.facade.Start(dispatch.Config{Seed: 7, Settings: terms, Counter: c})
 	t.Cleanup(h.facade.Stop)
 	h.facade.UpdateEndpoints(policy.FullSnapshot, []policy.Endpoint{{Backend: 1, State: policy.EndpointReady}})
 	h.server = New(h.facade, Settings{Class: checks, Timeout: 750 * time.Millisecond, Instances: 2, MaxUnits: 100,
@@ -233,7 +232,7 @@
 type bump struct {
 	name     policy.CounterKey
 	units    float64
-	lifetime int64
+	lifetime time.Duration
 }
 
 type told struct {
@@ -245,8 +244,7 @@
 func newOutside(t *testing.T, format counter.Format) *outside {
 	o := &outside{calls: make(chan bump, 100), answers: make(chan told, 100)}
 	o.terms = o.emulate(t)
-	o.counter = counter.New(o, o.emu.CounterAddress(0), time.Minute)
-	o.counter.Format = format
+	o.counter = counter.New(counter.Options{Address: o.emu.CounterAddress(0), ConnectTimeout: time.Minute, Format: format}, o)
 	go func() {
 		for b := range o.calls {
 			o.counter.Add(b.name, b.units, b.lifetime)
@@ -263,7 +261,7 @@
 }
 
 // Add and Flush are the facade's counter, in the bubble.
-func (o *outside) Add(name policy.CounterKey, units float64, lifetime int64) {
+func (o *outside) Add(name policy.CounterKey, units float64, lifetime time.Duration) {
 	b := bump{name, units, lifetime}
 	o.bumps = append(o.bumps, b)
 	o.calls <- b
@@ -335,7 +333,7 @@
 				let := 0
 				for n := range 1000 {
 					id, units := n%x.customers, 1+n%3
-					tx := a.facade.Submit(0, 0, policy.TenantID(id), 750*time.Millisecond, float64(units), 2, 0)
+					tx := a.facade.Submit(dispatch.RequestSpec{Tenant: policy.TenantID(id), Timeout: 750 * time.Millisecond, Units: float64(units), Entries: 2})
 					answer := c.ask(t, "LIMIT.CHECK", fmt.Sprintf("%016x", id), "despacho", fmt.Sprint(units))
 					step := tx.NextStep()
 					sent, granted := step.Action == dispatch.Send, strings.HasPrefix(answer, "0")
@@ -359,8 +357,8 @@
 					t.Errorf("the counter was called otherwise: %d calls by the front door, %d by limit commands", len(a.bumps), len(b.bumps))
 				}
 				for _, o := range []*outside{a, b} {
-					if good, bad, _ := o.counter.Stats(); bad > 0 || int(good) != len(o.bumps) {
-						t.Errorf("of %d calls the counter answered %d and failed %d", len(o.bumps), good, bad)
+					if stats := o.counter.Stats(); stats.Failed > 0 || int(stats.Answered) != len(o.bumps) {
+						t.Errorf("of %d calls the counter answered %d and failed %d", len(o.bumps), stats.Answered, stats.Failed)
 					}
 				}
 				// A millionth: the sum over the numbers is taken in any order.
