--- a/cmd/fawnplank/main.go
+++ b/cmd/fawnplank/main.go
@@ -122,18 +122,21 @@
 		Metrics:           figures,
 		HandleHealthCheck: f.HandleHealthCheck,
 	})
-	count := counter.New(f, start.Counter, time.Duration(start.ConnectTimeout))
+	spoken := counter.Text
 	if set.Counter.Protocol == "resp" {
-		count.Format = counter.RESP
+		spoken = counter.RESP
 	}
+	count := counter.New(counter.Options{Address: start.Counter, ConnectTimeout: time.Duration(start.ConnectTimeout),
+		Format: spoken}, f)
 	figures.AddGauges(outages(f, count))
-	list := discovery.New(f, pool, start)
-	list.Metrics = figures
-	names := &names{list: list, set: set}
+	names := &names{set: set}
+	var refresh func()
 	if names.on() {
-		list.WatchSource(names.whole)
+		refresh = names.whole
 	}
-	f.Run(start.Seed, start.Settings, count, pool, list)
+	list := discovery.New(discovery.Options{Subscriber: f, AddressBook: pool, Config: start, Metrics: figures, Refresh: refresh})
+	names.list = list
+	f.Start(dispatch.Config{Seed: start.Seed, Settings: start.Settings, Counter: count, HealthChecker: pool, EndpointWatcher: list})
 	if !names.on() { // a list of long ago must not stand beside the zone's
 		if err := list.LoadSnapshot(start.KnownEndpoints); err != nil {
 			return fmt.Errorf("configuration: %w", err)
@@ -333,9 +336,9 @@
 		return func() float64 { return value(f.CounterStats()) }
 	}
 	return map[string]metrics.Gauge{
-		"counter_calls":          {Help: "calls that the counter answered with a total", Value: func() float64 { n, _, _ := count.Stats(); return float64(n) }},
-		"counter_failures":       {Help: "calls without a total", Value: func() float64 { _, n, _ := count.Stats(); return float64(n) }},
-		"counter_outage_seconds": {Help: "since the first failure after the last total; 0: none", Value: func() float64 { _, _, d := count.Stats(); return d.Seconds() }},
+		"counter_calls":          {Help: "calls that the counter answered with a total", Value: func() float64 { return float64(count.Stats().Answered) }},
+		"counter_failures":       {Help: "calls without a total", Value: func() float64 { return float64(count.Stats().Failed) }},
+		"counter_outage_seconds": {Help: "since the first failure after the last total; 0: none", Value: func() float64 { return count.Stats().Outage.Seconds() }},
 		"counter_breaker_open": {Help: "1 while calls to the counter are stopped", Value: of(func(o policy.CounterStats) float64 {
 			if o.BreakerOpen {
 				return 1
--- a/internal/backend/connection_test.go
+++ b/internal/backend/connection_test.go
@@ -79,7 +79,7 @@
 func submit(t *testing.T) *dispatch.Request {
 	t.Helper()
 	d := dispatch.New()
-	d.Run(9, policy.Settings{
+	d.Start(dispatch.Config{Seed: 9, Settings: policy.Settings{
 		Instances:        1,
 		MaxAttempts:      1,
 		SlowStartShare:   1,
@@ -87,10 +87,10 @@
 		OverloadWindow:   1e9,
 		Plans:            []policy.PlanSettings{{}},
 		Classes:          []policy.ClassSettings{{LatencyObjective: 1e9, Deadline: 1e9}},
-	}, nil, nil, nil)
+	}})
 	t.Cleanup(d.Stop)
 	d.UpdateEndpoints(policy.FullSnapshot, []policy.Endpoint{{Backend: 1, State: policy.EndpointReady}})
-	return d.Submit(0, 0, 1, time.Second, 1, 1, 0)
+	return d.Submit(dispatch.RequestSpec{Tenant: 1, Timeout: time.Second, Units: 1, Entries: 1})
 }
 
 // An attempt that is given up ends the sending on its connection at once: until then it counts as out, and
--- a/internal/backend/health_check.go
+++ b/internal/backend/health_check.go
@@ -27,14 +27,14 @@
 func (p *Pool) checkHealth(backend policy.BackendID) error {
 	address, err := p.reserveForCheck(backend)
 	if err != nil {
-		return &dispatch.NetworkError{Progress: dispatch.Dialling, Err: err}
+		return &dispatch.NetworkError{Progress: dispatch.Dialing, Err: err}
 	}
 	defer p.releaseReservation()
 	deadline := time.Now().Add(p.connectTimeout)
 	dialer := net.Dialer{Timeout: p.connectTimeout}
 	conn, err := dialer.DialContext(context.Background(), "tcp4", address)
 	if err != nil {
-		return &dispatch.NetworkError{Progress: dispatch.Dialling, Err: err}
+		return &dispatch.NetworkError{Progress: dispatch.Dialing, Err: err}
 	}
 	defer func() {
 		_ = conn.Close() // the outcome stands already
--- a/internal/backend/pool.go
+++ b/internal/backend/pool.go
@@ -234,7 +234,7 @@
 
 // reportNotConnected ends an attempt of which no byte was written.
 func reportNotConnected(attempt *dispatch.Attempt, err error) {
-	attempt.Report(nil, 0, &dispatch.NetworkError{Progress: dispatch.Dialling, Err: err})
+	attempt.Report(nil, 0, &dispatch.NetworkError{Progress: dispatch.Dialing, Err: err})
 }
 
 // dial opens the connection that acquire reserved and starts its reader.
--- a/internal/frontend/frontend_test.go
+++ b/internal/frontend/frontend_test.go
@@ -59,7 +59,7 @@
 	}
 	h.pool = backend.New(backend.Options{MaxConnections: 50, ConnectTimeout: 200 * time.Millisecond, IdleTimeout: 10 * time.Second,
 		HandleHealthCheck: h.facade.HandleHealthCheck})
-	h.facade.Run(9, terms, nil, h.pool, nil)
+	h.facade.Start(dispatch.Config{Seed: 9, Settings: terms, HealthChecker: h.pool})
 	start := &config.Config{Settings: terms, Classes: map[string]policy.ClassID{"lookup": 0, "pay": 1},
 		Plans: map[string]policy.PlanID{"team": 0, "one": 1}, MaxUnits: 8}
 	h.server = New(h.facade, h.pool, start, most)
