--- a/internal/backend/connection.go
+++ b/internal/backend/connection.go
@@ -345,7 +345,7 @@
 	if !reusable {
 		return attempt
 	}
-	c.nc.Settle()
+	c.nc.MarkConsumed()
 	if wasWriting {
 		c.state = stateAnsweredEarly
 	} else {
--- a/internal/backend/connection_test.go
+++ b/internal/backend/connection_test.go
@@ -129,7 +129,7 @@
 		t.Fatal(err)
 	}
 	p.mu.Lock() // its reader cannot get at the pool's state meanwhile
-	for c.nc.Settled() {
+	for c.nc.IsConsumed() {
 		time.Sleep(time.Millisecond)
 	}
 	time.Sleep(20 * time.Millisecond) // now it has them in hand
--- a/internal/backend/pool.go
+++ b/internal/backend/pool.go
@@ -162,7 +162,7 @@
 		}
 		// What the reader has not dealt with yet, stray bytes or the connection's end, must not meet the next
 		// attempt.
-		if c.nc.Settled() && !p.idleStats.isStale(now, idle) {
+		if c.nc.IsConsumed() && !p.idleStats.isStale(now, idle) {
 			e.idle = slices.Delete(e.idle, n, n+1)
 			c.state = stateReserved
 			c.idleBefore = idle
--- a/internal/frontend/crossings_test.go
+++ b/internal/frontend/crossings_test.go
@@ -83,7 +83,7 @@
 		return len(c.line) == 2 && !c.busy
 	})
 	io.WriteString(conn, query("2", lookup))
-	h.until("it is there", func() bool { return c.nc.Waiting() > 0 })
+	h.until("it is there", func() bool { return c.nc.HasPendingBytes() })
 	shot.answer(served)
 	h.expect(r, "$2\r\nok\r\n+PONG\r\n")
 	if _, err := r.ReadByte(); err != io.EOF {
@@ -203,7 +203,7 @@
 					return x.waits(c)
 				})
 			} else {
-				h.until("the reader waits", func() bool { return c.nc.Waiting() > 0 })
+				h.until("the reader waits", func() bool { return c.nc.HasPendingBytes() })
 			}
 			left := time.Now()
 			conn.Close()
--- a/internal/frontend/frontend.go
+++ b/internal/frontend/frontend.go
@@ -182,14 +182,14 @@
 
 // add takes a connection in; where there are too many, the one that is missed the least goes.
 func (s *Server) add(raw net.Conn) {
-	nc, err := sock.New(raw.(*net.TCPConn))
+	now := time.Now()
+	c := &client{server: s, born: now, quiet: now}
+	nc, err := sock.New(raw.(*net.TCPConn), sock.Options{ReadGuard: c})
 	if err != nil { // it has ended already
 		raw.Close()
 		return
 	}
-	now := time.Now()
-	c := &client{server: s, nc: nc, born: now, quiet: now}
-	nc.Reading = c
+	c.nc = nc
 	c.since.Store(1)
 	c.room = sync.NewCond(&c.mu)
 	s.mu.Lock()
@@ -254,7 +254,7 @@
 		if found.c == nil || len(passed) == 8 { // all looked at have bytes waiting: the first, then
 			break
 		}
-		if found.c.nc.Waiting() <= 0 {
+		if !found.c.nc.HasPendingBytes() {
 			best = found
 			break
 		}
@@ -282,7 +282,7 @@
 		// What has come, or is about to on a new connection, is taken in and answered first.
 		if c.young(now) {
 			c.nc.SetReadDeadline(c.born.Add(fresh))
-		} else if c.nc.Waiting() <= 0 {
+		} else if !c.nc.HasPendingBytes() {
 			c.endResting()
 		}
 	}
@@ -550,7 +550,7 @@
 			c.turnAway("Protocol error: no whole command in time")
 			return
 		}
-		if err != nil || !c.nc.Waited() && c.nc.HungUp() {
+		if err != nil || !c.nc.LastReadWaited() && c.nc.HungUp() {
 			return // what waited to be read may be of a client who went long ago
 		}
 		held += n
