--- a/cmd/fawnplank/main.go
+++ b/cmd/fawnplank/main.go
@@ -143,8 +143,6 @@
 	if err != nil {
 		return fmt.Errorf("configuration: listen: %w", err)
 	}
-	server := frontend.New(f, pool, start, part)
-	server.Metrics, server.Budget = figures, membudget.New(start.MemoryBytes/6)
 	billed := newAccounts()
 	kept, edited, err := openStore(replica, path, operator, names.changed, billed.changed)
 	if err != nil {
@@ -163,9 +161,12 @@
 	if err != nil {
 		return fmt.Errorf("operator file: limits.listen: %w", err)
 	}
+	options := frontend.Options{Dispatcher: f, Pool: pool, Config: start, MaxConnections: part, Metrics: figures,
+		Budget: membudget.New(start.MemoryBytes / 6)}
 	if billed.desk != nil { // before the first transaction is taken: each is billed, or none
-		server.Ledger = billed.desk
+		options.Usage = billed.desk
 	}
+	server := frontend.New(options)
 	served, stopped := make(chan error, 1), make(chan struct{})
 	go func() { served <- server.Serve(listener) }()
 	d := &door{server: server, figures: figures}
--- a/internal/frontend/benchmark_test.go
+++ b/internal/frontend/benchmark_test.go
@@ -51,8 +51,8 @@
 			}()
 		}
 	}()
-	server := New(f, pool, &config.Config{Settings: terms, Classes: map[string]policy.ClassID{"lookup": 0},
-		Plans: map[string]policy.PlanID{"team": 0}, MaxUnits: 8}, 10)
+	server := New(Options{Dispatcher: f, Pool: pool, MaxConnections: 10, Config: &config.Config{Settings: terms,
+		Classes: map[string]policy.ClassID{"lookup": 0}, Plans: map[string]policy.PlanID{"team": 0}, MaxUnits: 8}})
 	go server.Serve(clients)
 	pool.SetAddress(1, behind.Addr().String())
 	f.UpdateEndpoints(policy.FullSnapshot, []policy.Endpoint{{Backend: 1, State: policy.EndpointReady}})
--- a/internal/frontend/crossings_test.go
+++ b/internal/frontend/crossings_test.go
@@ -190,7 +190,7 @@
 		"error": {"*x\r\n" + words("PING"), func(c *client) bool { return len(c.line) == 2 }},
 	} {
 		t.Run(name, func(t *testing.T) {
-			h := open(t, 10, nil, func(s *Server) { s.Budget = membudget.New(1) }) // none for a large command
+			h := open(t, 10, nil, func(s *Server) { s.budget = membudget.New(1) }) // none for a large command
 			conn, _ := h.dial()
 			io.WriteString(conn, query("1", lookup))
 			shot := h.next()
@@ -222,7 +222,7 @@
 // Failure: a request that had waited to be taken in while its client gave up and left was sent on.
 func TestARequestOfAClientWhoLeftLongAgoIsNotSent(t *testing.T) {
 	taken := takenBook{make(chan string, 10)}
-	h := open(t, 1, nil, func(s *Server) { s.Ledger = taken })
+	h := open(t, 1, nil, func(s *Server) { s.usage = taken })
 	busy, r := h.dial()
 	io.WriteString(busy, query("1", lookup))
 	shot := h.next()
--- a/internal/frontend/frontend.go
+++ b/internal/frontend/frontend.go
@@ -70,9 +70,9 @@
 	wanted  atomic.Bool // somebody waits for that
 	serving atomic.Bool
 	ids     map[string]struct{} // of the open transactions
-	Metrics *metrics.Registry   // counted here: transactions taken, open and answered
-	Budget  *membudget.Budget   // for large commands, beside the backends' large answers
-	Ledger  UsageRecorder       // nil: nobody asks what was used
+	metrics *metrics.Registry   // counted here: requests received, open and answered; nil counts nothing
+	budget  *membudget.Budget   // for large commands, beside the backends' large answers; nil bounds nothing
+	usage   UsageRecorder       // nil: usage is not recorded
 	// drained is when the drain began, in Unix ns; 0: there is none. closing: Close was called.
 	drained atomic.Int64
 	closing atomic.Bool
@@ -116,10 +116,28 @@
 // Draining tells whether the door is drained.
 func (s *Server) Draining() bool { return s.drained.Load() != 0 }
 
-// New makes a server of at most so many connections.
-func New(f *dispatch.Dispatcher, pool *backend.Pool, start *config.Config, most int) *Server {
-	s := &Server{facade: f, pool: pool, most: most, slowest: time.Second,
-		clients: map[*client]struct{}{}, ids: map[string]struct{}{}}
+// Options configures a Server. Dispatcher, Pool, Config and MaxConnections are required.
+type Options struct {
+	Dispatcher *dispatch.Dispatcher
+	Pool       *backend.Pool
+	Config     *config.Config
+	// MaxConnections bounds the client connections that are open at once.
+	MaxConnections int
+	// Metrics counts requests received, open and answered. Nil counts nothing.
+	Metrics *metrics.Registry
+	// Budget bounds the memory of large commands, beside the budget for large responses. Nil bounds nothing.
+	Budget *membudget.Budget
+	// Usage supplies plans of tenants and records usage. Nil: the plan is the one that the request names, and
+	// no usage is recorded.
+	Usage UsageRecorder
+}
+
+// New returns a server that is not serving yet. It starts nothing and holds nothing that would have to be freed.
+func New(options Options) *Server {
+	start, most := options.Config, options.MaxConnections
+	s := &Server{facade: options.Dispatcher, pool: options.Pool, most: most, slowest: time.Second,
+		clients: map[*client]struct{}{}, ids: map[string]struct{}{},
+		metrics: options.Metrics, budget: options.Budget, usage: options.Usage}
 	// Usual clients hold at most a third of the descriptors. Where they leave their connections open and open a
 	// new one for each request, none can come once they are that many: half of the third stays free for those.
 	// Hurts where more are kept that would each have been used again: they are opened anew.
@@ -603,7 +621,7 @@
 			buf = append(buf, make([]byte, grown-len(buf))...)
 		} else if held == 0 && len(buf) > 4096 {
 			buf = make([]byte, 4096)
-			c.server.Budget.Release(c.large)
+			c.server.budget.Release(c.large)
 			c.large = 0
 		}
 	}
@@ -637,7 +655,7 @@
 func (c *client) roomFor(bytes int) bool {
 	var got int64
 	var ok bool
-	c.watched(func() { got, ok = c.server.Budget.Acquire(int64(bytes), time.Now().Add(patience)) })
+	c.watched(func() { got, ok = c.server.budget.Acquire(int64(bytes), time.Now().Add(patience)) })
 	if !ok {
 		c.turnAway("busy: no room for a large value")
 		return false
@@ -674,7 +692,7 @@
 	case "SVC.QUERY", "SVC.SUBMIT":
 		if profile, err := c.transaction(raw, args); err != nil {
 			if profile >= 0 {
-				c.server.Metrics.RequestEnded(policy.ClassID(profile), metrics.Error)
+				c.server.metrics.RequestEnded(policy.ClassID(profile), metrics.Error)
 			}
 			c.fault(err.Error())
 		}
@@ -781,7 +799,7 @@
 		k.raw = bytes.Clone(raw)
 	}
 	k.profile = pr
-	if l := c.server.Ledger; l != nil {
+	if l := c.server.usage; l != nil {
 		k.bill = &bill{strings.ToLower(string(args[1])), string(named), time.Now(), units}
 		if now, ok := l.TenantPlan(k.bill.customer); ok {
 			if id, known := s.Plans[now]; known { // one that this door's settings lack: it goes by the one named
@@ -789,7 +807,7 @@
 			}
 		}
 	}
-	c.server.Metrics.RequestReceived()
+	c.server.metrics.RequestReceived()
 	k.t = c.server.facade.Submit(pr, policy.PlanID(plan), policy.TenantID(customer),
 		time.Duration(left), units, entries, first)
 	go k.serve()
@@ -826,7 +844,7 @@
 		if x := recover(); x != nil {
 			logging.Panicked("front", fmt.Sprintf("transaction %s: %v", k.id, x), debug.Stack())
 			k.t.HandleClientGone()
-			k.client.server.Metrics.RequestEnded(k.profile, metrics.Error)
+			k.client.server.metrics.RequestEnded(k.profile, metrics.Error)
 			k.client.finish(k, []byte("-ERR internal fault\r\n"))
 		}
 	}()
@@ -835,14 +853,14 @@
 		case dispatch.Send:
 			k.client.server.pool.Send(step.Attempt, k.parts(step.Attempt.Remaining()))
 		case dispatch.Respond:
-			k.client.server.Metrics.RequestEnded(k.profile, metrics.Success)
+			k.client.server.metrics.RequestEnded(k.profile, metrics.Success)
 			if k.bill != nil {
-				k.client.server.Ledger.RecordUsage(k.bill.customer, k.bill.plan, k.bill.taken, k.bill.units)
+				k.client.server.usage.RecordUsage(k.bill.customer, k.bill.plan, k.bill.taken, k.bill.units)
 			}
 			k.client.finish(k, step.Response)
 			return
 		case dispatch.Reject:
-			k.client.server.Metrics.RequestEnded(k.profile, metrics.Overload)
+			k.client.server.metrics.RequestEnded(k.profile, metrics.Overload)
 			answer := []byte("-BUSY")
 			if step.RetryAfter > 0 {
 				answer = strconv.AppendInt(append(answer, ' '), (step.RetryAfter+999_999)/1_000_000, 10)
@@ -850,7 +868,7 @@
 			k.client.finish(k, append(answer, "\r\n"...))
 			return
 		case dispatch.Abort:
-			k.client.server.Metrics.RequestEnded(k.profile, metrics.Error)
+			k.client.server.metrics.RequestEnded(k.profile, metrics.Error)
 			k.client.finish(k, []byte("-ERR failed\r\n"))
 			return
 		default: // the client is gone
@@ -882,8 +900,8 @@
 func (c *client) finish(k *command, answer []byte) {
 	if k.t != nil {
 		c.server.free(k.id)
-		c.server.Metrics.RequestClosed()
-		c.server.Budget.Release(k.large)
+		c.server.metrics.RequestClosed()
+		c.server.budget.Release(k.large)
 	}
 	defer c.server.spare()
 	c.mu.Lock()
@@ -946,7 +964,7 @@
 // leave ends the connection: what is open on it is told that the client is gone.
 func (c *client) leave() {
 	c.nc.Close()
-	c.server.Budget.Release(c.large)
+	c.server.budget.Release(c.large)
 	c.large = 0
 	c.left()
 	s := c.server
--- a/internal/frontend/frontend_test.go
+++ b/internal/frontend/frontend_test.go
@@ -61,7 +61,7 @@
 	h.facade.Run(9, terms, nil, h.pool, nil)
 	start := &config.Config{Settings: terms, Classes: map[string]policy.ClassID{"lookup": 0, "pay": 1},
 		Plans: map[string]policy.PlanID{"team": 0, "one": 1}, MaxUnits: 8}
-	h.server = New(h.facade, h.pool, start, most)
+	h.server = New(Options{Dispatcher: h.facade, Pool: h.pool, Config: start, MaxConnections: most})
 	h.server.roomy = most
 	for _, change := range set {
 		change(h.server)
@@ -531,7 +531,7 @@
 func TestQuietConnectionsLeaveClientsRoomForNewOnes(t *testing.T) {
 	h := open(t, 20, nil)
 	h.server.mu.Lock()
-	h.server.roomy = New(nil, nil, &config.Config{MaxSockets: 12}, 20).roomy
+	h.server.roomy = New(Options{Config: &config.Config{MaxSockets: 12}, MaxConnections: 20}).roomy
 	h.server.mu.Unlock()
 	busy, r := h.dial()
 	io.WriteString(busy, query("1", lookup))
@@ -682,7 +682,7 @@
 
 // Each answer is counted for its class where it is given, and what is open returns to nought.
 func TestFiguresOfAnswers(t *testing.T) {
-	h := open(t, 10, nil, func(s *Server) { s.Metrics = metrics.New([]string{"lookup", "pay"}) })
+	h := open(t, 10, nil, func(s *Server) { s.metrics = metrics.New([]string{"lookup", "pay"}) })
 	c, r := h.dial()
 	io.WriteString(c, query("1", lookup))
 	h.next().answer("*3\r\n$2\r\nok\r\n$-1\r\n$-1\r\n")
@@ -690,7 +690,7 @@
 	io.WriteString(c, query("2", "c=pay,t=team,d=-1"))
 	h.line(r, `-ERR .*`)
 	var b strings.Builder
-	h.server.Metrics.Write(&b)
+	h.server.metrics.Write(&b)
 	for _, want := range []string{`gw_success{type="lookup"} 1`, `gw_error{type="pay"} 1`, "gw_concurrent 0"} {
 		if !strings.Contains(b.String(), want+"\n") {
 			t.Errorf("no %q in\n%s", want, b.String())
@@ -724,7 +724,7 @@
 	const most = 10 << 20 // two large commands at a time
 	h := open(t, 10, func(c heard) {
 		c.answer("*3\r\n$" + strconv.Itoa(4<<20) + "\r\n" + strings.Repeat("v", 4<<20) + "\r\n$-1\r\n$-1\r\n")
-	}, func(s *Server) { s.Budget = membudget.New(most) })
+	}, func(s *Server) { s.budget = membudget.New(most) })
 	clients := 2
 	body := strings.Repeat("b", 4<<20)
 	list := "c=lookup,t=team,d=1900"
@@ -756,7 +756,7 @@
 			t.Error(err)
 		}
 	}
-	if _, ok := h.server.Budget.Acquire(most, time.Now().Add(time.Second)); !ok {
+	if _, ok := h.server.budget.Acquire(most, time.Now().Add(time.Second)); !ok {
 		t.Error("room is still held")
 	}
 }
