--- a/cmd/fawnplank/billing.go
+++ b/cmd/fawnplank/billing.go
@@ -40,7 +40,7 @@
 
 // start starts them on the replica.
 func (a *accounts) start(k *kept, start *config.Config, set *config.Operator, figures *metrics.Registry) error {
-	if !set.Billing.On {
+	if !set.Billing.Enabled {
 		return nil
 	}
 	if k == nil {
@@ -50,11 +50,11 @@
 	a.mu.Lock()
 	a.on = true
 	a.mu.Unlock()
-	o := billingservice.Options{Replica: k.Store, Instance: start.Name, Settings: func() billing.Settings { return *a.terms.Load() }, ReportInterval: time.Duration(set.Billing.Every)}
-	if set.Billing.Folder != "" {
-		o.Sink = billingservice.Folder(set.Billing.Folder)
-	} else if set.Billing.URL != "" {
-		o.Sink = billingservice.NewReceiver(set.Billing.URL)
+	o := billingservice.Options{Replica: k.Store, Instance: start.Name, Settings: func() billing.Settings { return *a.terms.Load() }, ReportInterval: time.Duration(set.Billing.ReportInterval)}
+	if set.Billing.ExportFolder != "" {
+		o.Sink = billingservice.Folder(set.Billing.ExportFolder)
+	} else if set.Billing.ExportURL != "" {
+		o.Sink = billingservice.NewReceiver(set.Billing.ExportURL)
 	}
 	d := billingservice.Start(o)
 	a.mu.Lock()
@@ -90,7 +90,7 @@
 
 // retune takes the plans of a configuration read anew.
 func (a *accounts) retune(start *config.Config, set *config.Operator) {
-	t := set.Billing.Terms()
+	t := set.Billing.Settings()
 	t.Plans = map[string]billing.Quota{}
 	for name, id := range start.Plans {
 		t.Plans[name] = billing.Quota{Rate: start.Settings.Plans[id].Rate, Peak: start.Settings.Plans[id].Burst}
--- a/cmd/fawnplank/commands.go
+++ b/cmd/fawnplank/commands.go
@@ -22,7 +22,7 @@
 	c := &cobra.Command{Use: "fawnplank COMMAND", Short: "A quota-keeping gateway for a shared API",
 		SilenceUsage: true, SilenceErrors: true, Args: cobra.ArbitraryArgs,
 		PersistentPreRunE: func(*cobra.Command, []string) error {
-			if err := logging.Setup(os.Stderr, cmp.Or(level, "info"), cmp.Or(format, "text"), ""); err != nil {
+			if err := logging.Setup(logging.Options{Output: os.Stderr, Level: cmp.Or(level, "info"), Format: cmp.Or(format, "text")}); err != nil {
 				return fmt.Errorf("--log-level, --log-format: %w", err)
 			}
 			return nil
--- a/cmd/fawnplank/dns.go
+++ b/cmd/fawnplank/dns.go
@@ -32,7 +32,7 @@
 	ended  sync.Once
 }
 
-func (n *names) on() bool { return n.set.DNS.Zone != "" }
+func (n *names) on() bool { return n.set.DNS.ZoneFile != "" }
 
 func (n *names) now() *dnsserver.Server {
 	n.mu.Lock()
@@ -125,7 +125,7 @@
 }
 
 func options(d config.DNS) dnsserver.Options {
-	o := dnsserver.Options{Settings: d.Settings(), File: d.Zone, Journal: d.Journal, Listen: d.Listen, Rate: d.Rate, Notify: d.Notify}
+	o := dnsserver.Options{Settings: d.Settings(), File: d.ZoneFile, Journal: d.Journal, Listen: d.Listen, Rate: d.MaxUpdatesPerSecond, Notify: d.Notify}
 	for _, k := range d.Keys {
 		o.Keys = append(o.Keys, k.Key)
 	}
@@ -134,10 +134,10 @@
 
 // checkZone says what is wrong with the zone file of an operator file.
 func checkZone(o *config.Operator) error {
-	if o.DNS.Zone == "" {
+	if o.DNS.ZoneFile == "" {
 		return nil
 	}
-	_, _, err := dnsserver.ReadFile(o.DNS.Zone, o.DNS.Settings())
+	_, _, err := dnsserver.ReadFile(o.DNS.ZoneFile, o.DNS.Settings())
 	return err
 }
 
@@ -154,7 +154,7 @@
 			if err != nil {
 				return err
 			}
-			if o.DNS.Zone == "" {
+			if o.DNS.ZoneFile == "" {
 				return errors.New("the operator file names no zone (dns.zone_file)")
 			}
 			of := options(o.DNS)
--- a/cmd/fawnplank/limits.go
+++ b/cmd/fawnplank/limits.go
@@ -36,7 +36,7 @@
 		figures.AddGauges(map[string]metrics.Gauge{"limits_certificate_seconds": {Help: "until the limits' certificate runs out",
 			Value: func() float64 { return source.ExpiresIn().Seconds() }}})
 	}
-	s := limitserver.New(f, limitNames(start, set), set.Limits.Connections)
+	s := limitserver.New(f, limitNames(start, set), set.Limits.MaxConnections)
 	s.Keys = map[string]authz.Key{}
 	for _, k := range set.Limits.Keys {
 		s.Keys[k.Name] = k.Key
@@ -64,8 +64,8 @@
 }
 
 func limitNames(start *config.Config, set *config.Operator) limitserver.Settings {
-	id, _ := start.LimitProfile()
-	return limitserver.Settings{Class: id, Timeout: time.Duration(set.Limits.Within), Plans: start.Plans, Instances: start.Settings.Instances,
+	id, _ := start.LimitClass()
+	return limitserver.Settings{Class: id, Timeout: time.Duration(set.Limits.AnswerTimeout), Plans: start.Plans, Instances: start.Settings.Instances,
 		MaxUnits: start.MaxUnits}
 }
 
--- a/cmd/fawnplank/main.go
+++ b/cmd/fawnplank/main.go
@@ -78,7 +78,7 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	start.AddLimits(o)
+	start.AddLimitClass(o)
 	return start, o, nil
 }
 
@@ -90,7 +90,7 @@
 	if err != nil {
 		return err
 	}
-	if err := logging.Setup(os.Stderr, cmp.Or(level, set.Log.Level), cmp.Or(format, set.Log.Format), start.Name); err != nil {
+	if err := logging.Setup(logging.Options{Output: os.Stderr, Level: cmp.Or(level, set.Log.Level), Format: cmp.Or(format, set.Log.Format), Instance: start.Name}); err != nil {
 		return err
 	}
 	// All runs on one core: more threads would only take turns. The collector keeps below the memory limit,
@@ -110,8 +110,8 @@
 	part := (start.MaxSockets - own - calls) / 2
 
 	f, figures := dispatch.New(), metrics.New(classes(start))
-	pool := backend.New(part, time.Duration(start.ConnectTimeout), time.Duration(start.IdleConnection), f.HandleHealthCheck)
-	count := counter.New(f, start.Counter, time.Duration(start.ConnectTimeout))
+	pool := backend.New(part, start.ConnectTimeout, start.IdleTimeout, f.HandleHealthCheck)
+	count := counter.New(f, start.Counter, start.ConnectTimeout)
 	if set.Counter.Protocol == "resp" {
 		count.Format = counter.RESP
 	}
@@ -170,7 +170,7 @@
 	go func() { served <- server.Serve(listener) }()
 	d := &door{server: server, figures: figures}
 	if start.ManagementAddress != "" {
-		m, err := admin.New(start.ManagementAddress, d, calls)
+		m, err := admin.New(context.Background(), admin.Options{Address: start.ManagementAddress, Gateway: d, MaxCalls: calls})
 		if err != nil {
 			return fmt.Errorf("configuration: mgmt: %w", err)
 		}
@@ -201,7 +201,10 @@
 		case s := <-told: // one at a time: a further one waits
 			if s == syscall.SIGHUP {
 				fresh := reload(path, operator, kept.overlay(), start, set, count, list)
-				if figures.ConfigReloaded(fresh != nil); fresh != nil {
+				if fresh == nil {
+					figures.ConfigRejected()
+				} else {
+					figures.ConfigReloaded()
 					f.UpdateSettings(fresh.Settings)
 					server.UpdateSettings(fresh)
 					limits.Retune(limitNames(fresh, set))
@@ -271,11 +274,11 @@
 	}
 	if !reflect.DeepEqual(now, set) {
 		logging.For("config").Warn("changes of the operator file take effect at a restart")
-		if _, on := start.LimitProfile(); on && now.Limits.Listen == "" {
-			fresh.AddLimits(set)
+		if _, on := start.LimitClass(); on && now.Limits.Listen == "" {
+			fresh.AddLimitClass(set)
 		}
 	}
-	fresh.Follow(start)
+	fresh.KeepIDs(start)
 	count.SetAddress(fresh.Counter)
 	list.SetAddress(fresh.Discovery, fresh.Settings)
 	logging.For("config").WithFields(logrus.Fields{"discovery": fresh.Discovery, "counter": fresh.Counter,
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -1,9 +1,12 @@
-// Package admin serves the management address: HTTP/1.1, one call a connection, each answered well within a
-// second. It owns the listener and the timeouts that keep slow callers from holding anything; what a call does
-// is the door's. It must never decide anything about transactions.
+// Package admin serves the management address: HTTP/1.1, one call a connection, each answered well within a second.
+// It owns the listener and the timeouts that keep slow callers from holding anything; what a call does is the
+// Gateway's. It decides nothing about requests.
+//
+// The Gateway is called from many goroutines at once. The methods of Server are safe for concurrent use.
 package admin
 
 import (
+	"context"
 	"errors"
 	"io"
 	"log"
@@ -12,79 +15,117 @@
 	"time"
 
 	"github.com/sirupsen/logrus"
+	"golang.org/x/net/netutil"
 
 	"fawnplank/internal/logging"
-	"golang.org/x/net/netutil"
 )
 
 // Gateway is what the calls act on.
 type Gateway interface {
-	Ready() bool // can serve
-	Drain()      // drain: again does nothing more
-	Resume()     // back to work: without a drain does nothing
+	// Ready reports whether the gateway serves clients.
+	Ready() bool
+	// Drain starts draining. A further call does nothing.
+	Drain()
+	// Resume ends draining. Without a Drain it does nothing.
+	Resume()
+	// WriteStats writes the metrics in Prometheus' text form.
 	WriteStats(w io.Writer)
 }
 
 const (
-	// headTime is how long a caller may take for its head, and bodyTime for all of its call: the answer is due
-	// within 1 s, and those that send nothing or half a call must be cut before they stay long.
-	headTime = 300 * time.Millisecond
-	bodyTime = 500 * time.Millisecond
-	// writeTime bounds writing an answer: what is left of the second.
-	writeTime = 400 * time.Millisecond
-	// mostOpen is how many calls are open at once; a further one waits at most a head's time for a place. Far
-	// more than the operators' callers, and an eighth of the descriptors at most.
-	mostOpen = 32
+	// readHeaderTimeout bounds how long a caller takes for its head, and readTimeout all of its call: the answer is
+	// due within 1 s, and callers that send nothing or half a call are cut off long before they add up.
+	readHeaderTimeout = 300 * time.Millisecond
+	readTimeout       = 500 * time.Millisecond
+	// writeTimeout bounds writing an answer: what is left of the second.
+	writeTimeout = 400 * time.Millisecond
+	// maxCalls is how many calls are open at once; a further one waits at most readHeaderTimeout for a place. It is
+	// far more than the operators' callers.
+	maxCalls = 32
+	// callShare is the part of the descriptors that calls use at most: one in so many.
+	callShare = 8
+	// maxHeaderBytes is ample for the calls' heads, which carry nothing that is read.
+	maxHeaderBytes = 8 << 10
 )
 
-// ConnectionLimit is how many calls are open at once under a limit of descriptors: the owner sets so many aside.
-func ConnectionLimit(sockets int) int { return min(mostOpen, sockets/8) }
+// ConnectionLimit returns how many calls may be open at once under a limit of descriptors. The owner of the
+// descriptors sets so many aside.
+func ConnectionLimit(maxSockets int) int { return min(maxCalls, maxSockets/callShare) }
+
+// Options are what a Server needs; all of them are required.
+type Options struct {
+	Address  string // host and port to listen on
+	Gateway  Gateway
+	MaxCalls int // open at once, see ConnectionLimit
+}
 
 // Server serves the management address.
 type Server struct {
-	http *http.Server
-	l    net.Listener
+	server   *http.Server
+	listener net.Listener
 }
 
-// New listens on the address for so many calls at once; Serve serves it.
-func New(address string, d Gateway, calls int) (*Server, error) {
-	l, err := net.Listen("tcp4", address)
+// New listens on the address; Serve answers the calls. The context bounds the start alone.
+func New(ctx context.Context, o Options) (*Server, error) {
+	var config net.ListenConfig
+	listener, err := config.Listen(ctx, "tcp4", o.Address)
 	if err != nil {
 		return nil, err
 	}
+	server := &http.Server{
+		Handler:           newHandler(o.Gateway),
+		ReadHeaderTimeout: readHeaderTimeout,
+		ReadTimeout:       readTimeout,
+		WriteTimeout:      writeTimeout,
+		IdleTimeout:       readHeaderTimeout,
+		MaxHeaderBytes:    maxHeaderBytes,
+		ErrorLog:          log.New(logging.For("admin").WriterLevel(logrus.DebugLevel), "", 0),
+	}
+	server.SetKeepAlivesEnabled(false)
+	// The wrapped connections hide net.TCPConn's ReadFrom, by which net/http could splice or send a file.
+	return &Server{server: server, listener: netutil.LimitListener(listener, o.MaxCalls)}, nil
+}
+
+func newHandler(gateway Gateway) http.Handler {
 	mux := http.NewServeMux()
-	yes := func(w http.ResponseWriter, ok bool) {
-		if ok {
-			io.WriteString(w, "ok\n")
-		} else {
+	mux.HandleFunc("GET /admin/health", func(w http.ResponseWriter, _ *http.Request) {
+		if !gateway.Ready() {
 			http.Error(w, "not ready", http.StatusServiceUnavailable)
+			return
 		}
-	}
-	mux.HandleFunc("GET /admin/health", func(w http.ResponseWriter, _ *http.Request) { yes(w, d.Ready()) })
+		writeOK(w)
+	})
 	mux.HandleFunc("GET /admin/stats", func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "text/plain; version=0.0.4")
-		d.WriteStats(w)
+		gateway.WriteStats(w)
 	})
-	mux.HandleFunc("POST /admin/quiesce", func(w http.ResponseWriter, _ *http.Request) { d.Drain(); yes(w, true) })
-	mux.HandleFunc("POST /admin/resume", func(w http.ResponseWriter, _ *http.Request) { d.Resume(); yes(w, true) })
-	s := &http.Server{Handler: mux, ReadHeaderTimeout: headTime, ReadTimeout: bodyTime, WriteTimeout: writeTime,
-		IdleTimeout: headTime, MaxHeaderBytes: 8 << 10,
-		ErrorLog: log.New(logging.For("admin").WriterLevel(logrus.DebugLevel), "", 0)}
-	s.SetKeepAlivesEnabled(false)
-	// The wrapped connections hide net.TCPConn's ReadFrom, by which net/http could splice or send a file.
-	return &Server{http: s, l: netutil.LimitListener(l, calls)}, nil
+	mux.HandleFunc("POST /admin/quiesce", func(w http.ResponseWriter, _ *http.Request) {
+		gateway.Drain()
+		writeOK(w)
+	})
+	mux.HandleFunc("POST /admin/resume", func(w http.ResponseWriter, _ *http.Request) {
+		gateway.Resume()
+		writeOK(w)
+	})
+	return mux
+}
+
+func writeOK(w io.Writer) {
+	_, _ = io.WriteString(w, "ok\n") // a caller that has gone needs no answer
 }
 
-// Address tells where it listens.
-func (s *Server) Address() string { return s.l.Addr().String() }
+// Address returns the host and port that the server listens on.
+func (s *Server) Address() string { return s.listener.Addr().String() }
 
-// Serve serves until Close.
+// Serve answers calls until Close, after which it returns nil. It is called once.
 func (s *Server) Serve() error {
-	if err := s.http.Serve(s.l); !errors.Is(err, http.ErrServerClosed) {
+	if err := s.server.Serve(s.listener); !errors.Is(err, http.ErrServerClosed) {
 		return err
 	}
 	return nil
 }
 
-// Close stops serving at once.
-func (s *Server) Close() { s.http.Close() }
+// Close closes the listener and all connections at once.
+func (s *Server) Close() {
+	_ = s.server.Close() // nothing is left to do for a listener that does not close
+}
--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -11,53 +11,78 @@
 	"time"
 )
 
-type door struct{ drained atomic.Bool }
+// fakeGateway is ready unless it is draining.
+type fakeGateway struct{ draining atomic.Bool }
 
-func (d *door) Ready() bool            { return !d.drained.Load() }
-func (d *door) Drain()                 { d.drained.Store(true) }
-func (d *door) Resume()                { d.drained.Store(false) }
-func (d *door) WriteStats(w io.Writer) { io.WriteString(w, "gw_concurrent 0\n") }
+func (g *fakeGateway) Ready() bool { return !g.draining.Load() }
+func (g *fakeGateway) Drain()      { g.draining.Store(true) }
+func (g *fakeGateway) Resume()     { g.draining.Store(false) }
+func (g *fakeGateway) WriteStats(w io.Writer) {
+	_, _ = io.WriteString(w, "gw_concurrent 0\n") // the caller's test reads it
+}
 
-func serve(t *testing.T) (*Server, *door) {
-	d := &door{}
-	s, err := New("127.0.0.1:0", d, mostOpen)
+// serve starts a server that is closed, and has ended, when the test ends.
+func serve(t *testing.T) *Server {
+	t.Helper()
+	s, err := New(t.Context(), Options{Address: "127.0.0.1:0", Gateway: &fakeGateway{}, MaxCalls: maxCalls})
 	if err != nil {
 		t.Fatal(err)
 	}
-	go s.Serve()
-	t.Cleanup(s.Close)
-	return s, d
+	served := make(chan error, 1)
+	go func() { served <- s.Serve() }()
+	t.Cleanup(func() {
+		s.Close()
+		if err := <-served; err != nil {
+			t.Errorf("serve: %v", err)
+		}
+	})
+	return s
 }
 
-func call(t *testing.T, s *Server, method, path string) (int, string) {
+// call makes one call and checks that its answer comes within the second that is promised.
+func call(t *testing.T, s *Server, method, path string) (code int, body string) {
 	t.Helper()
-	req, _ := http.NewRequest(method, "http://"+s.Address()+path, nil)
-	began := time.Now()
-	res, err := (&http.Client{Timeout: 2 * time.Second}).Do(req)
+	request, err := http.NewRequestWithContext(t.Context(), method, "http://"+s.Address()+path, nil)
+	if err != nil {
+		t.Fatal(err)
+	}
+	start := time.Now()
+	response, err := (&http.Client{Timeout: 2 * time.Second}).Do(request)
 	if err != nil {
 		t.Fatalf("%s %s: %v", method, path, err)
 	}
-	defer res.Body.Close()
-	body, _ := io.ReadAll(res.Body)
-	if took := time.Since(began); took > time.Second {
-		t.Errorf("%s %s answered after %v", method, path, took)
+	defer func() { _ = response.Body.Close() }() // it was read
+	text, err := io.ReadAll(response.Body)
+	if err != nil {
+		t.Errorf("%s %s: %v", method, path, err)
+	}
+	if elapsed := time.Since(start); elapsed > time.Second {
+		t.Errorf("%s %s answered after %v", method, path, elapsed)
 	}
-	return res.StatusCode, string(body)
+	return response.StatusCode, string(text)
 }
 
-func TestCalls(t *testing.T) {
-	s, _ := serve(t)
+// TestServer_AnswersCalls makes calls in an order that goes through draining and back.
+func TestServer_AnswersCalls(t *testing.T) {
+	s := serve(t)
 	for _, c := range []struct {
 		method, path string
-		code         int
+		wantCode     int
 	}{
-		{"GET", "/admin/health", 200}, {"GET", "/admin/stats", 200}, {"POST", "/admin/quiesce", 200},
-		{"GET", "/admin/health", 503}, {"POST", "/admin/quiesce", 200}, {"POST", "/admin/resume", 200},
-		{"GET", "/admin/health", 200}, {"POST", "/admin/resume", 200}, {"GET", "/admin/nothing", 404},
-		{"POST", "/admin/health", 405}, {"GET", "/admin/quiesce", 405},
+		{"GET", "/admin/health", 200},
+		{"GET", "/admin/stats", 200},
+		{"POST", "/admin/quiesce", 200},
+		{"GET", "/admin/health", 503},
+		{"POST", "/admin/quiesce", 200},
+		{"POST", "/admin/resume", 200},
+		{"GET", "/admin/health", 200},
+		{"POST", "/admin/resume", 200},
+		{"GET", "/admin/nothing", 404},
+		{"POST", "/admin/health", 405},
+		{"GET", "/admin/quiesce", 405},
 	} {
-		if code, body := call(t, s, c.method, c.path); code != c.code {
-			t.Errorf("%s %s: %d %q, wanted %d", c.method, c.path, code, body, c.code)
+		if code, body := call(t, s, c.method, c.path); code != c.wantCode {
+			t.Errorf("%s %s: %d %q, want %d", c.method, c.path, code, body, c.wantCode)
 		}
 	}
 	if _, body := call(t, s, "GET", "/admin/stats"); !strings.Contains(body, "gw_concurrent 0") {
@@ -65,32 +90,37 @@
 	}
 }
 
-// Callers that send nothing, or half a call, and stay are cut off; meanwhile every call is answered in time,
-// even with more of them than there are places for calls.
-func TestSlowCallersHoldNothing(t *testing.T) {
-	s, _ := serve(t)
+// TestServer_CutsOffSlowCallers opens more connections than there are places for calls, which send nothing, or half a
+// call, and stay. They are cut off; meanwhile every call is answered in time.
+func TestServer_CutsOffSlowCallers(t *testing.T) {
+	s := serve(t)
 	var slow []net.Conn
-	for n := range 2 * mostOpen {
-		c, err := net.Dial("tcp", s.Address())
+	for n := range 2 * maxCalls {
+		var dialer net.Dialer
+		conn, err := dialer.DialContext(t.Context(), "tcp", s.Address())
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer c.Close()
+		t.Cleanup(func() { _ = conn.Close() }) // the server has closed it
 		if n%2 == 1 {
-			fmt.Fprintf(c, "GET /admin/health HTTP/1.1\r\nHost: x\r\n") // and the rest never comes
+			if _, err := fmt.Fprintf(conn, "GET /admin/health HTTP/1.1\r\nHost: x\r\n"); err != nil { // the rest never comes
+				t.Fatal(err)
+			}
 		}
-		slow = append(slow, c)
+		slow = append(slow, conn)
 	}
 	for range 5 {
 		if code, _ := call(t, s, "GET", "/admin/health"); code != 200 {
 			t.Errorf("health: %d", code)
 		}
 	}
-	time.Sleep(4 * (headTime + bodyTime))
-	for n, c := range slow {
-		c.SetReadDeadline(time.Now().Add(time.Second))
-		if _, err := io.ReadAll(c); err != nil {
-			t.Errorf("slow caller %d is still held: %v", n, err)
+	time.Sleep(4 * (readHeaderTimeout + readTimeout))
+	for n, conn := range slow {
+		if err := conn.SetReadDeadline(time.Now().Add(time.Second)); err != nil {
+			t.Fatal(err)
+		}
+		if _, err := io.ReadAll(conn); err != nil {
+			t.Errorf("slow caller %d still has its connection: %v", n, err)
 		}
 	}
 }
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -12,6 +12,7 @@
 	"os"
 	"slices"
 	"strconv"
+	"time"
 
 	"fawnplank/policy"
 )
@@ -29,8 +30,8 @@
 	Classes                          map[string]policy.ClassID
 	Plans                            map[string]policy.PlanID
 	Zones                            []string
-	IdleConnection                   int64 // after which a backend closes a connection
-	ConnectTimeout                   int64
+	IdleTimeout                      time.Duration // after which a backend closes an idle connection
+	ConnectTimeout                   time.Duration
 	MaxUnits                         float64 // that one transaction counts
 }
 
@@ -173,8 +174,8 @@
 	}
 	s.Counter = top.address("counter", s.Settings.CounterEnabled)
 	allowed := settings.in("permissions", true)
-	s.IdleConnection = Nanoseconds(allowed.or("conn-idle-ms", defaultIdleMs))
-	s.ConnectTimeout = Nanoseconds(allowed.or("connect-timeout-ms", defaultConnectMs))
+	s.IdleTimeout = time.Duration(Nanoseconds(allowed.or("conn-idle-ms", defaultIdleMs)))
+	s.ConnectTimeout = time.Duration(Nanoseconds(allowed.or("connect-timeout-ms", defaultConnectMs)))
 	s.MaxUnits = settings.in("family-info", false).or("max-units", defaultMostUnits)
 	for n, l := range settings.rows("lanes") {
 		s.Classes[get[string](l, "name", true)] = policy.ClassID(n)
@@ -222,10 +223,10 @@
 	return at
 }
 
-// Follow renumbers the profiles and plans of a configuration read anew, so that ids mean what they meant in
+// KeepIDs renumbers the profiles and plans of a configuration read anew, so that ids mean what they meant in
 // old: a name whose terms are unchanged keeps its id; a new one, or one whose terms changed, gets an id after
 // all of old's. Old rows stay, for what is open under them; names that are gone are no longer taken.
-func (s *Config) Follow(old *Config) {
+func (s *Config) KeepIDs(old *Config) {
 	s.Settings.Classes, s.Classes = follow(old.Settings.Classes, old.Classes, s.Settings.Classes, s.Classes)
 	s.Settings.Plans, s.Plans = follow(old.Settings.Plans, old.Plans, s.Settings.Plans, s.Plans)
 }
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -29,7 +29,7 @@
 		t.Fatal(err)
 	}
 	p, plan := s.Settings.Classes[s.Classes["lookup"]], s.Settings.Plans[s.Plans["team"]]
-	if s.Seed != 0x8c1f30d27a5be964 || s.MemoryBytes != 192<<20 || s.MaxSockets != 1024 || s.IdleConnection != 9e9 ||
+	if s.Seed != 0x8c1f30d27a5be964 || s.MemoryBytes != 192<<20 || s.MaxSockets != 1024 || s.IdleTimeout != 9e9 ||
 		s.ConnectTimeout != 1e8 || s.Settings.InstanceIndex != 1 || s.Settings.Instances != 3 || !s.Settings.PostPaid ||
 		!s.Settings.PollEndpoints || s.Settings.DrainGrace != 25e7 || p.Idempotency != policy.IdempotentWithKey || p.DedupScope != policy.DedupByGroup ||
 		p.Deadline != 2e9 || plan.ConcurrencyLimit != 4 || plan.HardQuotaRate != 9 || s.Zones[0] != "a" {
@@ -122,7 +122,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	fresh.Follow(old)
+	fresh.KeepIDs(old)
 	if fresh.Classes["lookup"] != 0 || fresh.Classes["pay"] != 1 || len(fresh.Settings.Classes) != 2 ||
 		fresh.Settings.Classes[1].Idempotency != policy.NonIdempotent {
 		t.Errorf("profiles %v: %+v", fresh.Classes, fresh.Settings.Classes)
@@ -132,7 +132,7 @@
 		t.Errorf("plans %v: %+v", fresh.Plans, fresh.Settings.Plans)
 	}
 	again, _ := parse([]byte(good), none) // back: lookup keeps 0, pay is no longer taken, its row stays
-	again.Follow(fresh)
+	again.KeepIDs(fresh)
 	if len(again.Classes) != 1 || again.Classes["lookup"] != 0 || len(again.Settings.Classes) != 2 ||
 		again.Plans["team"] != 2 || len(again.Settings.Plans) != 3 {
 		t.Errorf("back: %v %v, %d and %d rows", again.Classes, again.Plans, len(again.Settings.Classes),
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -31,20 +31,20 @@
 
 // Billing are plan changes, reservations and exported use, on the replicated store.
 type Billing struct {
-	On     bool     `toml:"on"`
-	Window Duration `toml:"window"`       // use is billed by
-	Lead   Duration `toml:"lead"`         // that a plan change is made known ahead
-	Skew   Duration `toml:"clock_skew"`   // between two doors at most
-	Lease  Duration `toml:"lease"`        // of a reservation at most
-	Late   Duration `toml:"late"`         // after a window until it is exported
-	Every  Duration `toml:"report_every"` // between two reports of a door's use
-	Folder string   `toml:"export_folder"`
-	URL    string   `toml:"export_url"`
+	Enabled          bool     `toml:"on"`
+	Window           Duration `toml:"window"`       // use is billed by
+	PlanLead         Duration `toml:"lead"`         // that a plan change is made known ahead
+	ClockSkew        Duration `toml:"clock_skew"`   // between two doors at most
+	ReservationLease Duration `toml:"lease"`        // of a reservation at most
+	ExportDelay      Duration `toml:"late"`         // after a window until it is exported
+	ReportInterval   Duration `toml:"report_every"` // between two reports of a door's use
+	ExportFolder     string   `toml:"export_folder"`
+	ExportURL        string   `toml:"export_url"`
 }
 
-// Terms are the accounts' terms, but for the plans.
-func (b Billing) Terms() billing.Settings {
-	return billing.Settings{Window: int64(b.Window), Lead: int64(b.Lead), Skew: int64(b.Skew), Lease: int64(b.Lease), Late: int64(b.Late)}
+// Settings are the accounts' terms, but for the plans.
+func (b Billing) Settings() billing.Settings {
+	return billing.Settings{Window: int64(b.Window), Lead: int64(b.PlanLead), Skew: int64(b.ClockSkew), Lease: int64(b.ReservationLease), Late: int64(b.ExportDelay)}
 }
 
 // LimitKey is what a tool shows before it may do more than check.
@@ -57,14 +57,14 @@
 
 // DNS is a zone that the list of backends comes from, in place of discovery.
 type DNS struct {
-	Zone    string   `toml:"zone_file"`          // master file; empty: off
-	Origin  string   `toml:"origin"`             // of the zone
-	Service string   `toml:"service"`            // the name of the SRV records
-	Journal string   `toml:"journal"`            // what updates have made of it, kept over a restart
-	Listen  string   `toml:"listen"`             // UDP and TCP, for updates, queries and transfers; empty: none
-	Rate    float64  `toml:"updates_per_second"` // at most
-	Notify  []string `toml:"notify"`             // secondaries to be told of changes
-	Keys    []DNSKey `toml:"key"`
+	ZoneFile            string   `toml:"zone_file"`          // master file; empty: off
+	Origin              string   `toml:"origin"`             // of the zone
+	Service             string   `toml:"service"`            // the name of the SRV records
+	Journal             string   `toml:"journal"`            // what updates have made of it, kept over a restart
+	Listen              string   `toml:"listen"`             // UDP and TCP, for updates, queries and transfers; empty: none
+	MaxUpdatesPerSecond float64  `toml:"updates_per_second"` // at most
+	Notify              []string `toml:"notify"`             // secondaries to be told of changes
+	Keys                []DNSKey `toml:"key"`
 }
 
 // DNSKey is a TSIG key.
@@ -94,9 +94,9 @@
 
 // Limits are the limit commands in RESP.
 type Limits struct {
-	Listen      string   `toml:"listen"`        // where tools connect; empty: off
-	Within      Duration `toml:"answer_within"` // for an answer
-	Connections int      `toml:"connections"`   // at most
+	Listen         string   `toml:"listen"`        // where tools connect; empty: off
+	AnswerTimeout  Duration `toml:"answer_within"` // for an answer
+	MaxConnections int      `toml:"connections"`   // at most
 
 	Certificate string     `toml:"tls_certificate"`
 	Key         string     `toml:"tls_key"`
@@ -110,7 +110,7 @@
 }
 
 // Duration is a time in nanoseconds, written as Go writes them.
-type Duration int64
+type Duration time.Duration
 
 // UnmarshalText reads a time.
 func (d *Duration) UnmarshalText(text []byte) error {
@@ -124,24 +124,24 @@
 
 // Defaults of the operator file.
 const (
-	defaultWithin      = Duration(750e6) // the promised time that users know
-	defaultEvery       = Duration(5e9)   // what is known of a backend fades by two thirds meanwhile
-	defaultConnections = 64              // tools, not customers
-	defaultWindow      = Duration(3600e9)
-	defaultLead        = Duration(10e9) // twice what a write may take while a leader is elected
-	defaultSkew        = Duration(1e9)  // clocks kept by NTP differ by far less
-	defaultLease       = Duration(600e9)
-	defaultLate        = Duration(60e9)
-	defaultReport      = Duration(1e9) // what a door that is killed has not told
-	defaultUpdates     = 100           // a second: a fleet of thousands that is replaced within a minute
-	defaultAlgorithm   = "hmac-sha256" // the one that every updater must know (RFC 8945, 6)
+	defaultAnswerTimeout  = Duration(750e6) // the promised time that users know
+	defaultEvery          = Duration(5e9)   // what is known of a backend fades by two thirds meanwhile
+	defaultMaxConnections = 64              // tools, not customers
+	defaultWindow         = Duration(3600e9)
+	defaultLead           = Duration(10e9) // twice what a write may take while a leader is elected
+	defaultSkew           = Duration(1e9)  // clocks kept by NTP differ by far less
+	defaultLease          = Duration(600e9)
+	defaultLate           = Duration(60e9)
+	defaultReport         = Duration(1e9) // what a door that is killed has not told
+	defaultUpdates        = 100           // a second: a fleet of thousands that is replaced within a minute
+	defaultAlgorithm      = "hmac-sha256" // the one that every updater must know (RFC 8945, 6)
 )
 
 // ReadOperator reads an operator file whole and checks it; an empty path sets nothing. Errors name file, line and
 // key.
 func ReadOperator(path string) (*Operator, error) {
-	o := &Operator{Limits: Limits{Within: defaultWithin, Connections: defaultConnections}, Counter: CounterFormat{"text"}, Log: Log{"text", "info"}, WarmStart: WarmStart{SaveInterval: defaultEvery}, DNS: DNS{Rate: defaultUpdates},
-		Billing: Billing{Window: defaultWindow, Lead: defaultLead, Skew: defaultSkew, Lease: defaultLease, Late: defaultLate, Every: defaultReport}}
+	o := &Operator{Limits: Limits{AnswerTimeout: defaultAnswerTimeout, MaxConnections: defaultMaxConnections}, Counter: CounterFormat{"text"}, Log: Log{"text", "info"}, WarmStart: WarmStart{SaveInterval: defaultEvery}, DNS: DNS{MaxUpdatesPerSecond: defaultUpdates},
+		Billing: Billing{Window: defaultWindow, PlanLead: defaultLead, ClockSkew: defaultSkew, ReservationLease: defaultLease, ExportDelay: defaultLate, ReportInterval: defaultReport}}
 	if path == "" {
 		return o, nil
 	}
@@ -156,10 +156,10 @@
 	if _, port, err := net.SplitHostPort(o.Limits.Listen); o.Limits.Listen != "" && (err != nil || port == "") {
 		return nil, f.Fault("limits.listen", fmt.Sprintf("is %q, which is no host and port", o.Limits.Listen))
 	}
-	if o.Limits.Within < 1e6 || o.Limits.Within > 60e9 {
+	if o.Limits.AnswerTimeout < 1e6 || o.Limits.AnswerTimeout > 60e9 {
 		return nil, f.Fault("limits.answer_within", "is not from 1ms to 60s")
 	}
-	if o.Limits.Connections < 1 || o.Limits.Connections > 10000 {
+	if o.Limits.MaxConnections < 1 || o.Limits.MaxConnections > 10000 {
 		return nil, f.Fault("limits.connections", "is not from 1 to 10000")
 	}
 	if o.Log.Format != "text" && o.Log.Format != "json" {
@@ -233,27 +233,27 @@
 		key         string
 		is          Duration
 		least, most Duration
-	}{{"window", b.Window, 1e9, 31 * 86400e9}, {"lead", b.Lead, 1e8, 86400e9}, {"clock_skew", b.Skew, 1e6, 60e9}, {"lease", b.Lease, 1e8, 86400e9},
-		{"late", b.Late, 1e8, 86400e9}, {"report_every", b.Every, 1e7, 60e9}} {
+	}{{"window", b.Window, 1e9, 31 * 86400e9}, {"lead", b.PlanLead, 1e8, 86400e9}, {"clock_skew", b.ClockSkew, 1e6, 60e9}, {"lease", b.ReservationLease, 1e8, 86400e9},
+		{"late", b.ExportDelay, 1e8, 86400e9}, {"report_every", b.ReportInterval, 1e7, 60e9}} {
 		if x.is < x.least || x.is > x.most {
 			return f.Fault("billing."+x.key, fmt.Sprintf("is not from %v to %v", time.Duration(x.least), time.Duration(x.most)))
 		}
 	}
-	if b.Folder != "" && b.URL != "" {
+	if b.ExportFolder != "" && b.ExportURL != "" {
 		return f.Fault("billing.export_url", "stands beside export_folder; one of them receives")
 	}
-	if u, err := url.Parse(b.URL); b.URL != "" && (err != nil || u.Host == "" || u.Scheme != "http" && u.Scheme != "https") {
-		return f.Fault("billing.export_url", fmt.Sprintf("is %q, which is no http or https address", b.URL))
+	if u, err := url.Parse(b.ExportURL); b.ExportURL != "" && (err != nil || u.Host == "" || u.Scheme != "http" && u.Scheme != "https") {
+		return f.Fault("billing.export_url", fmt.Sprintf("is %q, which is no http or https address", b.ExportURL))
 	}
-	if info, err := os.Stat(b.Folder); b.Folder != "" && (err != nil || !info.IsDir()) {
-		return f.Fault("billing.export_folder", fmt.Sprintf("is %q, which is no folder", b.Folder))
+	if info, err := os.Stat(b.ExportFolder); b.ExportFolder != "" && (err != nil || !info.IsDir()) {
+		return f.Fault("billing.export_folder", fmt.Sprintf("is %q, which is no folder", b.ExportFolder))
 	}
 	return nil
 }
 
 // check goes through the settings of the zone, and reads the keys' secrets.
 func (d *DNS) check(f *tomlfile.File) (err error) {
-	if d.Zone == "" {
+	if d.ZoneFile == "" {
 		if f.Has("dns.listen") || f.Has("dns.journal") || f.Has("dns.origin") || f.Has("dns.service") || len(d.Keys) > 0 {
 			return f.Fault("dns.zone_file", "is missing")
 		}
@@ -271,7 +271,7 @@
 	if _, port, err := net.SplitHostPort(d.Listen); d.Listen != "" && (err != nil || port == "") {
 		return f.Fault("dns.listen", fmt.Sprintf("is %q, which is no host and port", d.Listen))
 	}
-	if !(d.Rate >= 0.1 && d.Rate <= 10000) {
+	if !(d.MaxUpdatesPerSecond >= 0.1 && d.MaxUpdatesPerSecond <= 10000) {
 		return f.Fault("dns.updates_per_second", "is not from 0.1 to 10000")
 	}
 	for _, at := range d.Notify {
@@ -302,22 +302,22 @@
 	return nil
 }
 
-// limitProfile is the name of the profile that only counts. No class of the platform's settings can take it: theirs
+// limitClassName is the name of the profile that only counts. No class of the platform's settings can take it: theirs
 // have no point in their names.
-const limitProfile = "limit.check"
+const limitClassName = "limit.check"
 
-// AddLimits adds the profile that only counts, for the limit commands, to a configuration just read.
-func (s *Config) AddLimits(o *Operator) {
+// AddLimitClass adds the profile that only counts, for the limit commands, to a configuration just read.
+func (s *Config) AddLimitClass(o *Operator) {
 	if o.Limits.Listen == "" {
 		return
 	}
-	s.Classes[limitProfile] = policy.ClassID(len(s.Settings.Classes))
-	within := int64(o.Limits.Within)
+	s.Classes[limitClassName] = policy.ClassID(len(s.Settings.Classes))
+	within := int64(o.Limits.AnswerTimeout)
 	s.Settings.Classes = append(s.Settings.Classes, policy.ClassSettings{LatencyObjective: within, Deadline: within, CheckOnly: true})
 }
 
-// LimitProfile is the profile that only counts; ok is false where limit commands are off.
-func (s *Config) LimitProfile() (id policy.ClassID, ok bool) {
-	id, ok = s.Classes[limitProfile]
+// LimitClass is the profile that only counts; ok is false where limit commands are off.
+func (s *Config) LimitClass() (id policy.ClassID, ok bool) {
+	id, ok = s.Classes[limitClassName]
 	return id, ok
 }
--- a/internal/config/operator_test.go
+++ b/internal/config/operator_test.go
@@ -45,7 +45,7 @@
 		if want == "" && err != nil || want != "" && (err == nil || !strings.Contains(err.Error(), want) || !strings.Contains(err.Error(), path)) {
 			t.Errorf("%q: %v, want %q", text, err, want)
 		}
-		if err == nil && (o.Limits.Connections != 64 || o.Counter.Protocol != "text") {
+		if err == nil && (o.Limits.MaxConnections != 64 || o.Counter.Protocol != "text") {
 			t.Errorf("%q: %+v", text, o)
 		}
 	}
@@ -67,22 +67,22 @@
 		t.Fatal(err)
 	}
 	o, _ := ReadOperator("")
-	if s.AddLimits(o); len(s.Classes) != 1 {
+	if s.AddLimitClass(o); len(s.Classes) != 1 {
 		t.Error("limit commands are on without an address")
 	}
-	if _, ok := s.LimitProfile(); ok {
+	if _, ok := s.LimitClass(); ok {
 		t.Error("a profile for limit commands that are off")
 	}
 	o.Limits.Listen = "127.0.0.1:1"
-	s.AddLimits(o)
-	id, ok := s.LimitProfile()
+	s.AddLimitClass(o)
+	id, ok := s.LimitClass()
 	if !ok || id != 1 || !s.Settings.Classes[1].CheckOnly || s.Settings.Classes[1].Deadline != 750e6 {
 		t.Errorf("%v %+v", id, s.Settings.Classes)
 	}
 	fresh, _ := parse([]byte(strings.Replace(good, `"deadline-ms": 2000`, `"deadline-ms": 3000`, 1)), none)
-	fresh.AddLimits(o)
-	fresh.Follow(s)
-	if again, ok := fresh.LimitProfile(); !ok || again != id || !fresh.Settings.Classes[again].CheckOnly {
+	fresh.AddLimitClass(o)
+	fresh.KeepIDs(s)
+	if again, ok := fresh.LimitClass(); !ok || again != id || !fresh.Settings.Classes[again].CheckOnly {
 		t.Errorf("after a reload %v", again)
 	}
 }
--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -1,75 +1,112 @@
-// Package logs sets up the program's one log: logrus, an entry a line on standard error, as text or as JSON, with
-// fields in place of sentences. Every entry names its component; what it is about stands in fields of fixed names
-// (docs/oncall.md lists them). Nothing is logged at info or above for each transaction.
+// Package logging sets up the program's one log: logrus, an entry a line on standard error, as text or as JSON. A
+// message is a short constant phrase; what it is about stands in fields of fixed names, which docs/runbook.md lists.
+// Every entry names its component. Nothing is logged at info or above for each request.
+//
+// Setup changes the process-wide log and is called before the goroutines that log are started. All else is safe for
+// concurrent use.
 package logging
 
 import (
 	"fmt"
 	"io"
+	"maps"
+	"os"
 	"time"
 
 	"github.com/sirupsen/logrus"
 )
 
-// The names of fields, the same everywhere.
+// Keys of the fields of an entry, the same in every package. Operators filter by them, so the texts stay.
 const (
-	Component = "component"
-	Instance  = "door"
+	Component = "component" // the part of the program that writes the entry
+	Instance  = "door"      // the name of the instance
 	Backend   = "backend"
-	Request   = "transaction"
+	Request   = "transaction" // the id of a request
 	Outcome   = "outcome"
 	Address   = "address"
-	Error     = "error" // logrus' own name for WithError
-	Stack     = "stack"
+	Error     = "error" // logrus' own key for WithError
+	Stack     = "stack" // of the goroutine that panicked
 )
 
-// Setup sets the least level (error, warning, info, debug) and the format (text, json) of the log, where it goes,
-// and the door's name, which every entry carries once it is known.
-func Setup(out io.Writer, level, format, door string) error {
-	least, err := logrus.ParseLevel(level)
+// Keys that the JSON form gives to an entry's time and message.
+const (
+	timeKey    = "time"
+	messageKey = "event"
+)
+
+// The forms of an entry.
+const (
+	formatText = "text"
+	formatJSON = "json"
+)
+
+// Options say how the log is written.
+type Options struct {
+	Output   io.Writer // nil: standard error
+	Level    string    // the least level that is written: error, warning, info or debug; required
+	Format   string    // text or json; required
+	Instance string    // the name that every entry carries; empty: none
+}
+
+// Setup sets the process-wide log. On an error the log stays as it was.
+func Setup(o Options) error {
+	level, err := logrus.ParseLevel(o.Level)
 	if err != nil {
 		return fmt.Errorf("log level: %w", err)
 	}
-	var form logrus.Formatter
+	formatter, err := newFormatter(o.Format)
+	if err != nil {
+		return err
+	}
+	if o.Output == nil {
+		o.Output = os.Stderr
+	}
+	logrus.SetOutput(o.Output)
+	logrus.SetLevel(level)
+	logrus.SetFormatter(instanceFormatter{Formatter: formatter, instance: o.Instance})
+	return nil
+}
+
+func newFormatter(format string) (logrus.Formatter, error) {
 	switch format {
-	case "json":
-		form = &logrus.JSONFormatter{TimestampFormat: time.RFC3339Nano,
-			FieldMap: logrus.FieldMap{logrus.FieldKeyTime: "time", logrus.FieldKeyMsg: "event"}}
-	case "text":
-		form = &logrus.TextFormatter{DisableColors: true, FullTimestamp: true, TimestampFormat: time.RFC3339Nano}
+	case formatJSON:
+		return &logrus.JSONFormatter{
+			TimestampFormat: time.RFC3339Nano,
+			FieldMap:        logrus.FieldMap{logrus.FieldKeyTime: timeKey, logrus.FieldKeyMsg: messageKey},
+		}, nil
+	case formatText:
+		return &logrus.TextFormatter{
+			DisableColors:   true,
+			FullTimestamp:   true,
+			TimestampFormat: time.RFC3339Nano,
+		}, nil
 	default:
-		return fmt.Errorf("log format %q is not text or json", format)
+		return nil, fmt.Errorf("log format %q is not text or json", format)
 	}
-	logrus.SetOutput(out)
-	logrus.SetLevel(least)
-	logrus.SetFormatter(named{form, door})
-	return nil
 }
 
-// named adds the door's name to every entry.
-type named struct {
+// instanceFormatter adds the name of the instance to every entry.
+type instanceFormatter struct {
 	logrus.Formatter
-	door string
+	instance string
 }
 
-func (n named) Format(e *logrus.Entry) ([]byte, error) {
-	if n.door != "" {
-		data := make(logrus.Fields, len(e.Data)+1)
-		for k, v := range e.Data {
-			data[k] = v
-		}
-		data[Instance] = n.door
-		c := *e
-		c.Data = data
-		e = &c
+// Format formats a copy of the entry: the entry itself may be shared between goroutines.
+func (f instanceFormatter) Format(entry *logrus.Entry) ([]byte, error) {
+	if f.instance == "" {
+		return f.Formatter.Format(entry)
 	}
-	return n.Formatter.Format(e)
+	named := *entry
+	named.Data = make(logrus.Fields, len(entry.Data)+1)
+	maps.Copy(named.Data, entry.Data)
+	named.Data[Instance] = f.instance
+	return f.Formatter.Format(&named)
 }
 
-// For is the log of a component.
+// For returns the log of a component.
 func For(component string) *logrus.Entry { return logrus.WithField(Component, component) }
 
-// Panicked logs a panic that was stopped, with where it came from.
-func Panicked(component string, what any, stack []byte) {
-	For(component).WithFields(logrus.Fields{Error: fmt.Sprint(what), Stack: string(stack)}).Error("panic")
+// Panicked logs a panic that was recovered, with the stack of its goroutine.
+func Panicked(component string, reason any, stack []byte) {
+	For(component).WithFields(logrus.Fields{Error: fmt.Sprint(reason), Stack: string(stack)}).Error("panic")
 }
--- a/internal/logging/logging_test.go
+++ b/internal/logging/logging_test.go
@@ -10,41 +10,79 @@
 	"github.com/sirupsen/logrus"
 )
 
-func TestEntriesAreFields(t *testing.T) {
-	defer Setup(logrus.StandardLogger().Out, "info", "text", "")
+// restore sets the log back to how tests of other packages expect it.
+func restore(t *testing.T) {
+	t.Helper()
+	output := logrus.StandardLogger().Out
+	t.Cleanup(func() {
+		if err := Setup(Options{Output: output, Level: "info", Format: "text"}); err != nil {
+			t.Error(err)
+		}
+	})
+}
+
+func TestSetup_JSONEntryHasFields(t *testing.T) {
+	restore(t)
 	var out bytes.Buffer
-	if err := Setup(&out, "info", "json", "n3"); err != nil {
+	if err := Setup(Options{Output: &out, Level: "info", Format: "json", Instance: "n3"}); err != nil {
 		t.Fatal(err)
 	}
 	For("counter").Debug("unseen")
 	For("counter").WithError(errors.New("line 1\nline 2")).WithField(Backend, "s-1").Warn("silent")
 	Panicked("front", "index out of range", []byte("goroutine 1\n"))
+
 	lines := strings.Split(strings.TrimSpace(out.String()), "\n")
 	if len(lines) != 2 {
 		t.Fatalf("%d lines for two entries: %q", len(lines), lines)
 	}
-	var e map[string]any
-	if err := json.Unmarshal([]byte(lines[0]), &e); err != nil {
+	var entry map[string]any
+	if err := json.Unmarshal([]byte(lines[0]), &entry); err != nil {
 		t.Fatal(err)
 	}
-	for key, want := range map[string]any{"component": "counter", "door": "n3", "backend": "s-1", "event": "silent", "level": "warning", "error": "line 1\nline 2"} {
-		if e[key] != want {
-			t.Errorf("%s is %v, want %v", key, e[key], want)
+	for key, want := range map[string]any{
+		"component": "counter",
+		"door":      "n3",
+		"backend":   "s-1",
+		"event":     "silent",
+		"level":     "warning",
+		"error":     "line 1\nline 2",
+	} {
+		if entry[key] != want {
+			t.Errorf("%s is %v, want %v", key, entry[key], want)
 		}
 	}
-	if json.Unmarshal([]byte(lines[1]), &e); e["event"] != "panic" || e["stack"] != "goroutine 1\n" {
-		t.Error(e)
+	if err := json.Unmarshal([]byte(lines[1]), &entry); err != nil {
+		t.Fatal(err)
+	}
+	if entry["event"] != "panic" || entry["stack"] != "goroutine 1\n" {
+		t.Error(entry)
+	}
+}
+
+func TestSetup_TextEntryNamesTheInstance(t *testing.T) {
+	restore(t)
+	var out bytes.Buffer
+	if err := Setup(Options{Output: &out, Level: "warning", Format: "text", Instance: "n3"}); err != nil {
+		t.Fatal(err)
 	}
-	out.Reset()
-	Setup(&out, "warning", "text", "n3")
 	For("front").Info("unseen")
 	For("front").Warn("seen")
-	if text := out.String(); strings.Count(text, "\n") != 1 || !strings.Contains(text, "component=front") || !strings.Contains(text, "door=n3") {
+	text := out.String()
+	if strings.Count(text, "\n") != 1 || !strings.Contains(text, "component=front") || !strings.Contains(text, "door=n3") {
 		t.Errorf("%q", text)
 	}
-	for _, bad := range [][2]string{{"loud", "text"}, {"info", "xml"}, {"", "text"}} {
-		if err := Setup(&out, bad[0], bad[1], ""); err == nil {
-			t.Errorf("%v was taken", bad)
+}
+
+func TestSetup_RefusesUnknownOptions(t *testing.T) {
+	restore(t)
+	for _, o := range []Options{
+		{Level: "loud", Format: "text"},
+		{Level: "info", Format: "xml"},
+		{Level: "", Format: "text"},
+	} {
+		o.Output = &bytes.Buffer{}
+		if err := Setup(o); err == nil {
+			t.Errorf("no error for %+v", o)
 		}
 	}
 }
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -14,13 +14,13 @@
 	"fawnplank/policy"
 )
 
-// End is how a transaction was answered.
-type End uint8
+// Outcome is how a transaction was answered.
+type Outcome uint8
 
 const (
-	Success  End = iota // fulfilled
-	Overload            // dismissed
-	Error               // broken off, or refused for its head
+	Success  Outcome = iota // fulfilled
+	Overload                // dismissed
+	Error                   // broken off, or refused for its head
 )
 
 // Registry are one process's figures. A nil one counts nothing, for parts that are tried alone.
@@ -111,7 +111,7 @@
 }
 
 // RequestEnded counts a transaction's answer; client gone: none.
-func (f *Registry) RequestEnded(p policy.ClassID, how End) {
+func (f *Registry) RequestEnded(p policy.ClassID, how Outcome) {
 	if f != nil {
 		f.ends[how].WithLabelValues(f.class(p)).Inc()
 	}
@@ -146,12 +146,16 @@
 	}
 }
 
-// ConfigReloaded counts a configuration taken or turned down at SIGHUP.
-func (f *Registry) ConfigReloaded(taken bool) {
-	if f == nil {
-	} else if taken {
+// ConfigReloaded counts a configuration that took effect at a SIGHUP.
+func (f *Registry) ConfigReloaded() {
+	if f != nil {
 		f.reloadSuccess.Inc()
-	} else {
+	}
+}
+
+// ConfigRejected counts a configuration that was found faulty at a SIGHUP, and changed nothing.
+func (f *Registry) ConfigRejected() {
+	if f != nil {
 		f.reloadFault.Inc()
 	}
 }
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -27,7 +27,7 @@
 	f.RequestEnded(1, Success)
 	f.RequestClosed()
 	f.SetEndpoints(5, 2)
-	f.ConfigReloaded(false)
+	f.ConfigRejected()
 	f.SetClasses([]string{"", "pay", "report"}) // lookup dropped, its row stays; pay is a new row
 	f.RequestEnded(0, Error)                    // open under lookup
 	f.SetClasses([]string{"", "pay", "report"})
