--- /dev/null
+++ b/internal/hash64/hash64_test.go
@@ -0,0 +1,26 @@
+package hash64
+
+import (
+	"math/bits"
+	"testing"
+)
+
+// The values lie on the wire to the counter: a changed one would split a tenant's count while instances differ.
+func TestMix_IsThatOfSplitMix64(t *testing.T) {
+	const golden = 0x9e3779b97f4a7c15
+	for x, want := range map[uint64]uint64{golden: 0xe220a8397b1dcdaf, 0x3c6ef372fe94f82a: 0x6e789e6aa1b965f4} {
+		if got := Mix(x); got != want {
+			t.Errorf("Mix(%#x) = %#x, want %#x", x, got, want)
+		}
+	}
+}
+
+func TestMix_SpreadsNeighbors(t *testing.T) {
+	flipped := 0
+	for x := range uint64(1000) {
+		flipped += bits.OnesCount64(Mix(x) ^ Mix(x+1))
+	}
+	if flipped < 30_000 || flipped > 34_000 {
+		t.Errorf("%d bits differ between a thousand neighbors, want about 32000", flipped)
+	}
+}
--- a/internal/timerqueue/timerqueue.go
+++ b/internal/timerqueue/timerqueue.go
@@ -1,45 +1,48 @@
-// Package due keeps things in the order of the times they fall due; equal times keep their order of arrival.
+// Package timerqueue keeps values in the order of the times they fall due. Values of equal times keep the order in
+// which they were pushed, so that a state machine driven by the queue is deterministic. A Queue is not safe for
+// concurrent use.
 package timerqueue
 
 import "container/heap"
 
 type item[T any] struct {
-	at   int64
-	turn uint64
-	what T
+	at       int64
+	sequence uint64 // of the push
+	value    T
 }
 
-type line[T any] []item[T]
+// items implements heap.Interface.
+type items[T any] []item[T]
 
-func (l line[T]) Len() int      { return len(l) }
-func (l line[T]) Swap(i, j int) { l[i], l[j] = l[j], l[i] }
-func (l *line[T]) Push(x any)   { *l = append(*l, x.(item[T])) }
-func (l line[T]) Less(i, j int) bool {
-	return l[i].at < l[j].at || l[i].at == l[j].at && l[i].turn < l[j].turn
+func (s items[T]) Len() int      { return len(s) }
+func (s items[T]) Swap(i, j int) { s[i], s[j] = s[j], s[i] }
+func (s items[T]) Less(i, j int) bool {
+	return s[i].at < s[j].at || s[i].at == s[j].at && s[i].sequence < s[j].sequence
 }
-func (l *line[T]) Pop() any {
-	last := len(*l) - 1
-	x := (*l)[last]
-	(*l)[last] = item[T]{}
-	*l = (*l)[:last]
-	return x
+func (s *items[T]) Push(x any) { *s = append(*s, x.(item[T])) }
+func (s *items[T]) Pop() any {
+	last := len(*s) - 1
+	popped := (*s)[last]
+	(*s)[last] = item[T]{} // lets go of what the value holds
+	*s = (*s)[:last]
+	return popped
 }
 
-// Queue holds things and their times. Its zero value is empty and ready.
+// Queue holds values and their times. Its zero value is empty and ready to use.
 type Queue[T any] struct {
-	items line[T]
-	turn  uint64
+	items    items[T]
+	sequence uint64
 }
 
-// Push puts what in the queue for the time at.
-func (q *Queue[T]) Push(at int64, what T) {
-	q.turn++
-	heap.Push(&q.items, item[T]{at, q.turn, what})
+// Push puts a value into the queue, due at the given time.
+func (q *Queue[T]) Push(at int64, value T) {
+	q.sequence++
+	heap.Push(&q.items, item[T]{at: at, sequence: q.sequence, value: value})
 }
 
-// NextDue tells the earliest time in the queue; what is needless by now is dropped on the way.
+// NextDue returns the earliest time in the queue. Values that are needless by now are dropped on the way.
 func (q *Queue[T]) NextDue(needless func(T) bool) (at int64, ok bool) {
-	for len(q.items) > 0 && needless(q.items[0].what) {
+	for len(q.items) > 0 && needless(q.items[0].value) {
 		heap.Pop(&q.items)
 	}
 	if len(q.items) == 0 {
@@ -48,10 +51,10 @@
 	return q.items[0].at, true
 }
 
-// PopDue removes the earliest thing that is due by now.
-func (q *Queue[T]) PopDue(now int64) (what T, ok bool) {
+// PopDue removes and returns the earliest value that is due by now.
+func (q *Queue[T]) PopDue(now int64) (value T, ok bool) {
 	if len(q.items) == 0 || q.items[0].at > now {
-		return what, false
+		return value, false
 	}
-	return heap.Pop(&q.items).(item[T]).what, true
+	return heap.Pop(&q.items).(item[T]).value, true
 }
