--- a/internal/estimate/estimate.go
+++ b/internal/estimate/estimate.go
@@ -1,6 +1,6 @@
-// Package estimate holds running estimates of what was measured lately: a mean, and a regression line. Each takes
-// how many measurements it reaches back over from its caller, and holds no tuned value of its own. The zero values
-// are ready to use. Nothing here is safe for concurrent use.
+// Package estimate holds running estimates of what was measured lately: a mean, and a regression line. Each
+// takes how many measurements it reaches back over from its caller, and holds no tuned value of its own. The
+// zero values are ready to use. Nothing here is safe for concurrent use.
 package estimate
 
 // Mean is the mean of what was measured lately.
--- a/internal/hash64/hash64_test.go
+++ b/internal/hash64/hash64_test.go
@@ -5,7 +5,8 @@
 	"testing"
 )
 
-// The values lie on the wire to the counter: a changed one would split a tenant's count while instances differ.
+// The values lie on the wire to the counter: a changed one would split a tenant's count while instances
+// differ.
 func TestMix_IsThatOfSplitMix64(t *testing.T) {
 	const golden = 0x9e3779b97f4a7c15
 	for x, want := range map[uint64]uint64{golden: 0xe220a8397b1dcdaf, 0x3c6ef372fe94f82a: 0x6e789e6aa1b965f4} {
--- a/internal/nanos/nanos.go
+++ b/internal/nanos/nanos.go
@@ -11,8 +11,8 @@
 // maxSeconds bounds what FromSeconds returns: some three years, which later sums cannot overflow.
 const maxSeconds = 1e8
 
-// FromSeconds converts seconds to nanoseconds. It saturates at 0 and at 1e8 seconds, so that sums of the result
-// cannot overflow, whatever the rates are that it was divided from.
+// FromSeconds converts seconds to nanoseconds. It saturates at 0 and at 1e8 seconds, so that sums of the
+// result cannot overflow, whatever the rates are that it was divided from.
 func FromSeconds(seconds float64) int64 {
 	return int64(min(max(seconds, 0), maxSeconds) * float64(Second))
 }
@@ -20,8 +20,8 @@
 // Seconds converts nanoseconds to seconds.
 func Seconds(duration int64) float64 { return float64(duration) / float64(Second) }
 
-// Accrued returns what a rate per second comes to in a duration. It multiplies first: the result may differ in
-// its last bit from that of Seconds(duration) * rate.
+// Accrued returns what a rate per second comes to in a duration. It multiplies first: the result may differ
+// in its last bit from that of Seconds(duration) * rate.
 func Accrued(ratePerSecond float64, duration int64) float64 {
 	return ratePerSecond * float64(duration) / float64(Second)
 }
--- a/internal/pcg/pcg.go
+++ b/internal/pcg/pcg.go
@@ -1,6 +1,6 @@
 // Package pcg is a permuted congruential generator (PCG-XSH-RR 64/32). It is kept here, and not taken from
-// math/rand, since recorded runs depend on its stream: equal seeds give equal streams for ever. A Source is not safe
-// for concurrent use.
+// math/rand, since recorded runs depend on its stream: equal seeds give equal streams for ever. A Source is
+// not safe for concurrent use.
 package pcg
 
 import "math/bits"
--- a/internal/quotawindow/quotawindow.go
+++ b/internal/quotawindow/quotawindow.go
@@ -7,8 +7,8 @@
 	Index uint64 // the number of the window; those of one length and offset differ
 }
 
-// At returns the window of the given length, above 0, that holds an instant. Windows of different offsets start at
-// different times, so that not all of them roll over at once.
+// At returns the window of the given length, above 0, that holds an instant. Windows of different offsets
+// start at different times, so that not all of them roll over at once.
 func At(now, length int64, offset uint64) Window {
 	shifted := now + int64(offset%uint64(length))
 	return Window{Start: now - shifted%length, Index: uint64(shifted / length)}
--- a/internal/timerqueue/timerqueue.go
+++ b/internal/timerqueue/timerqueue.go
@@ -1,6 +1,6 @@
-// Package timerqueue keeps values in the order of the times they fall due. Values of equal times keep the order in
-// which they were pushed, so that a state machine driven by the queue is deterministic. A Queue is not safe for
-// concurrent use.
+// Package timerqueue keeps values in the order of the times they fall due. Values of equal times keep the
+// order in which they were pushed, so that a state machine driven by the queue is deterministic. A Queue is
+// not safe for concurrent use.
 package timerqueue
 
 import "container/heap"
--- /dev/null
+++ b/policy/admission.go
@@ -0,0 +1,117 @@
+package policy
+
+import (
+	"fmt"
+
+	"fawnplank/internal/nanos"
+)
+
+// Submit takes a request and decides on its admission. Its first effects come before Submit returns.
+func (e *Engine) Submit(now int64, spec RequestSpec) *Request {
+	r := newRequest(e, now, spec)
+	if int(spec.Class) >= len(e.classes) || int(spec.Plan) >= len(e.plans) {
+		e.effects.Log(fmt.Sprintf("transaction of unknown profile %d or plan %d broken off", spec.Class, spec.Plan))
+		r.finished = true
+		e.effects.Abort(r.id)
+		return r
+	}
+	r.class, r.plan = &e.classes[spec.Class], &e.plans[spec.Plan]
+	r.tenant = e.findTenant(now, spec.Tenant, r)
+	r.objectiveAt = min(now+r.class.LatencyObjective, r.deadline)
+	if r.plan.leaverShare.Value > 0.3 { // what can't be answered before the client leaves is not worth sending
+		r.objectiveAt = min(r.objectiveAt, now+int64(r.plan.leaverPatience.Value))
+	}
+	if r.drawHardQuota(now) {
+		r.checkQuota(now)
+	}
+	return r
+}
+
+// drawHardQuota takes the request's units from this instance's part of the hard quota, or rejects it. The
+// part fills from empty at the start of the instance, which can't know what its earlier incarnation sent on:
+// rule 5 holds through restarts and counter failures alike.
+func (r *Request) drawHardQuota(now int64) bool {
+	rate, bucket := r.plan.HardQuotaRate, &r.tenant.hardQuota
+	if rate > 0 {
+		missing := r.units - bucket.Refill(now, rate/r.entryPoints, r.plan.HardQuotaBurst/r.entryPoints)
+		if missing > 0 {
+			r.giveUp(now, nanos.FromSeconds(missing*r.entryPoints/rate))
+			return false
+		}
+		bucket.Units -= r.units
+		r.hardQuotaUnits = r.units
+	}
+	return true
+}
+
+func (r *Request) checkQuota(now int64) {
+	limit := r.plan.ConcurrencyLimit
+	switch {
+	case limit > 0 && (r.tenant.inFlight >= limit || r.plan.Rate <= 0 && r.concurrencyReached()):
+		r.handleOverQuota(now)
+	case r.plan.Rate <= 0:
+		r.admit(now, true)
+	default:
+		r.askCounter(now)
+	}
+}
+
+// concurrencyReached reports, without the counter, whether the tenant has as many attempts in flight as it
+// may.
+func (r *Request) concurrencyReached() bool {
+	inFlight, limit := float64(r.tenant.inFlight), r.plan.ConcurrencyLimit
+	return limit > 0 && inFlight > 0 && inFlight+r.inFlightElsewhere() >= float64(limit)
+}
+
+// inFlightElsewhere is how many attempts of the tenant the other instances likely have in flight: what its
+// rate keeps in flight, twice, since those who near the limit are the busy ones; without a rate, half the
+// limit is a guess.
+func (r *Request) inFlightElsewhere() float64 {
+	elsewhere := 1 - r.tenant.trafficShare(r.entryPoints)
+	if r.plan.Rate <= 0 {
+		return elsewhere * float64(r.plan.ConcurrencyLimit) / 2
+	}
+	return 2 * elsewhere * r.plan.Rate / r.units * r.engine.latency.Value / float64(second)
+}
+
+// decideAdmission ends the wait for the counter; call is the one that was made, nil if there was none.
+func (r *Request) decideAdmission(now int64, admitted bool, call *counterCall) {
+	r.waitingForCounter = false
+	switch {
+	case !admitted:
+		r.handleOverQuota(now)
+		return
+	case call != nil:
+		call.admitted = true
+	case r.engine.breaker.state != breakerClosed || !r.engine.settings.CounterEnabled:
+		r.tenant.unreported += r.units // otherwise the calls that are made stand for it
+	}
+	r.admit(now, true)
+}
+
+// handleOverQuota rejects what is beyond the quota until it has refilled enough. The exception: where a
+// plan's requests earn more beyond the quota than they cost, and a backend has room for one, it is admitted.
+func (r *Request) handleOverQuota(now int64) {
+	t := r.tenant
+	if r.plan.OverQuotaValue > r.plan.OverQuotaCost && !r.class.CheckOnly {
+		if b := r.engine.pickBackend(now, r, 1); b != nil && b.load() <= 1 {
+			r.admit(now, false)
+			return
+		}
+	}
+	retryAfter := r.class.LatencyObjective
+	if r.plan.Rate > 0 {
+		missing := t.window.total + r.units - r.plan.quota - t.refilled(now, t.window.start)
+		retryAfter = nanos.FromSeconds(max(missing, r.units/8) / r.plan.Rate)
+	}
+	r.giveUp(now, retryAfter)
+}
+
+func (r *Request) admit(now int64, withinQuota bool) {
+	r.withinQuota = withinQuota
+	if withinQuota && r.plan.Rate > 0 {
+		r.localQuota(now)
+		r.tenant.localUsage.Units += r.units
+	}
+	r.dispatch(now)
+}
--- a/policy/bench_test.go
+++ b/policy/bench_test.go
@@ -23,22 +23,22 @@
 	terms := plainTerms()
 	terms.Plans = []PlanSettings{{Rate: 1e6, Burst: 1e6}}
 	effects := &idleEffects{}
-	now := 1000 * sec
+	now := 1000 * second
 	g := New(now, 1, terms, effects)
 	g.UpdateEndpoints(now, FullSnapshot, ready(1, 2, 3, 4, 5, 6, 7, 8))
 	step := func(id int) {
-		request := g.Submit(now, RequestSpec{ID: RequestID(id), Tenant: TenantID(id % 100), Remaining: 2 * sec,
+		request := g.Submit(now, RequestSpec{ID: RequestID(id), Tenant: TenantID(id % 100), Remaining: 2 * second,
 			Units: 1, EntryPoints: 2})
-		now += ms
+		now += millisecond
 		g.HandleCounterResult(now, Succeeded, effects.name, 1)
-		now += 9 * ms
-		request.HandleAttemptResult(now, AttemptResult{Outcome: Succeeded, Elapsed: 9 * ms})
-		if !request.Done() || len(request.shots) != 1 {
-			b.Fatalf("request %d: done %v, %d attempts", id, request.Done(), len(request.shots))
+		now += 9 * millisecond
+		request.HandleAttemptResult(now, AttemptResult{Outcome: Succeeded, Elapsed: 9 * millisecond})
+		if !request.Done() || len(request.attempts) != 1 {
+			b.Fatalf("request %d: done %v, %d attempts", id, request.Done(), len(request.attempts))
 		}
 		if id%10 == 0 {
-			g.HandleTimer(now, markTick)
-			g.HandleTimer(now, g.wakes)
+			g.HandleTimer(now, tickTimer)
+			g.HandleTimer(now, g.wakeups)
 		}
 	}
 	for id := range 1000 { // until what is measured and remembered is steady
--- a/policy/cold_test.go
+++ b/policy/cold_test.go
@@ -27,11 +27,11 @@
 
 func (c coldSetting) String() string {
 	return fmt.Sprintf("%d doors, %d backends of %.0f/s, x%.1f, %.2f, %d s, warm in %d s", c.doors, c.backends,
-		c.capacity(), c.multiple, c.share, c.span/sec, c.warmUp/sec)
+		c.capacity(), c.multiple, c.share, c.span/second, c.warmUp/second)
 }
 
 // capacity is what a warm backend of size 1 answers a second.
-func (c coldSetting) capacity() float64 { return c.cores * float64(sec) / float64(c.work) }
+func (c coldSetting) capacity() float64 { return c.cores * float64(second) / float64(c.work) }
 
 // coldSite is all around the doors: their clients, the backends, the list, and the clock.
 type coldSite struct {
@@ -109,15 +109,15 @@
 
 func (l *coldLife) Send(id RequestID, b BackendID, expire, _ int64) { // none is numbered
 	s, x := l.site, l.open[id]
-	shot := &coldShot{life: l, x: x, n: len(x.shots), to: s.servers[b], started: l.gate.backends[b].started, sent: s.now,
+	shot := &coldShot{life: l, x: x, n: len(x.shots), to: s.servers[b], started: l.gate.backends[b].startedAt, sent: s.now,
 		work: float64(s.work) * (0.5 + s.r.Float64())}
 	x.shots = append(x.shots, shot)
 	// Every other connection is open already; the others take up to a quarter of a second to come up.
 	begins := s.now
 	if s.late {
-		begins += 250*ms - s.now%(250*ms)
+		begins += 250*millisecond - s.now%(250*millisecond)
 	} else if s.r.IntN(2) == 0 {
-		begins += s.r.Int64N(250 * ms)
+		begins += s.r.Int64N(250 * millisecond)
 	}
 	s.at(begins, func() { s.begin(shot) })
 	if expire > 0 {
@@ -140,7 +140,7 @@
 
 func (l *coldLife) CheckHealth(b BackendID) {
 	s := l.site
-	s.at(s.now+5*ms, func() {
+	s.at(s.now+5*millisecond, func() {
 		if o := ConnectFailed; !l.dead {
 			if s.servers[b].up {
 				o = Succeeded
@@ -158,11 +158,11 @@
 func (l *coldLife) Log(text string)                                      { l.site.t.Error(text) }
 
 func newColdSite(t testing.TB, c coldSetting, seed uint64) *coldSite {
-	s := &coldSite{coldSetting: c, t: t, r: rand.New(rand.NewPCG(seed, 4)), now: 1000 * sec,
+	s := &coldSite{coldSetting: c, t: t, r: rand.New(rand.NewPCG(seed, 4)), now: 1000 * second,
 		servers: map[BackendID]*coldServer{}, late: seed%2 == 0}
 	s.terms = plainTerms()
 	s.terms.CounterEnabled, s.terms.Instances, s.terms.Plans = false, c.doors, []PlanSettings{{}}
-	s.terms.Classes[0].LatencyObjective = max(750*ms, 5*c.work)
+	s.terms.Classes[0].LatencyObjective = max(750*millisecond, 5*c.work)
 	s.terms.SlowStartShare, s.terms.SlowStartDuration, s.terms.OverloadMultiple, s.terms.OverloadWindow = c.share, c.warmUp, c.multiple, c.span
 	s.bears = []coldBears{{0, c.multiple, 1}}
 	s.lives, s.weight, s.far = make([][]*coldLife, c.doors), make([]float64, c.doors), make([]int64, c.doors)
@@ -177,7 +177,7 @@
 // start starts all doors within a second, and the traffic.
 func (s *coldSite) start() {
 	for me := range s.doors {
-		s.at(s.now+s.r.Int64N(sec), func() { s.live(me) })
+		s.at(s.now+s.r.Int64N(second), func() { s.live(me) })
 	}
 	s.arrive()
 }
@@ -190,10 +190,10 @@
 func (s *coldSite) at(when int64, what func()) { s.due.Push(when, what) }
 
 // in calls what so long from the play's beginning on.
-func (s *coldSite) in(span int64, what func()) { s.at(1000*sec+span, what) }
+func (s *coldSite) in(span int64, what func()) { s.at(1000*second+span, what) }
 
 func (s *coldSite) pass(until int64) {
-	s.latest = 1000*sec + until
+	s.latest = 1000*second + until
 	never := func(func()) bool { return false }
 	for {
 		next, ok := s.due.NextDue(never)
@@ -251,14 +251,14 @@
 	s.at(s.now+overlap, func() {
 		s.lives[me] = slices.DeleteFunc(s.lives[me], func(l *coldLife) bool { return l == old })
 	})
-	s.at(s.now+overlap+3*sec, func() { old.dead = true })
+	s.at(s.now+overlap+3*second, func() { old.dead = true })
 }
 
 // tell tells all doors of a backend, each a little later than the list.
 func (s *coldSite) tell(v *coldServer) {
 	for _, lives := range s.lives {
 		for _, l := range lives {
-			s.at(s.now+s.r.Int64N(100*ms), func() { l.gate.UpdateEndpoints(s.now, Delta, []Endpoint{v.listed()}) })
+			s.at(s.now+s.r.Int64N(100*millisecond), func() { l.gate.UpdateEndpoints(s.now, Delta, []Endpoint{v.listed()}) })
 		}
 	}
 }
@@ -284,7 +284,7 @@
 func (s *coldSite) restart(id BackendID) {
 	v := s.servers[id]
 	s.fall(v)
-	s.at(s.now+400*ms, func() { s.rise(v) })
+	s.at(s.now+400*millisecond, func() { s.rise(v) })
 }
 
 // replace starts one under a new id, and ends the old one.
@@ -297,7 +297,7 @@
 }
 
 func (s *coldSite) arrive() {
-	s.at(s.now+int64(s.r.ExpFloat64()/s.demand*float64(sec)), func() {
+	s.at(s.now+int64(s.r.ExpFloat64()/s.demand*float64(second)), func() {
 		x := s.r.Float64() * s.weight[s.doors-1]
 		me, _ := slices.BinarySearch(s.weight, x)
 		if lives := s.lives[me]; len(lives) > 0 {
@@ -310,18 +310,18 @@
 func (s *coldSite) take(l *coldLife) {
 	x := &coldTaken{id: RequestID(s.r.Uint64())}
 	l.open[x.id] = x
-	x.h = l.gate.Submit(s.now, RequestSpec{ID: x.id, Tenant: TenantID(s.r.IntN(8)), Remaining: 2 * sec,
+	x.h = l.gate.Submit(s.now, RequestSpec{ID: x.id, Tenant: TenantID(s.r.IntN(8)), Remaining: 2 * second,
 		Units: 1, EntryPoints: 1})
 	if len(x.shots) == 0 {
 		delete(l.open, x.id)
 		return
 	}
-	s.at(s.now+2*sec, func() {
+	s.at(s.now+2*second, func() {
 		if !x.ended {
 			x.ended = true
 			x.h.HandleClientGone(s.now)
 		}
-		s.at(s.now+sec, func() { delete(l.open, x.id) })
+		s.at(s.now+second, func() { delete(l.open, x.id) })
 	})
 }
 
@@ -408,7 +408,7 @@
 			}
 		}
 		capacity := (s.share + (1-s.share)*float64(age)/float64(s.warmUp)) * v.size * s.capacity()
-		bears := multiple * capacity * float64(s.span) / float64(sec)
+		bears := multiple * capacity * float64(s.span) / float64(second)
 		bound := bears + 2*math.Sqrt(bears) + 2
 		if sent := n + 1 - first; float64(sent)/bound > s.worst.part {
 			s.worst.part, s.worst.sent, s.worst.n, s.worst.bound, s.worst.age = float64(sent)/bound, sent, bears, bound, age
@@ -417,15 +417,15 @@
 }
 
 var coldSettings = []coldSetting{
-	{20, 12, 1, 100 * ms, 2, 0.2, sec, 10 * sec},
-	{30, 12, 4, 150 * ms, 2.5, 0.3, 2 * sec, 12 * sec},
-	{30, 10, 8, 200 * ms, 4, 0.45, sec, 6 * sec},
-	{20, 12, 2, 100 * ms, 2, 0.18, 2 * sec, 18 * sec},
-	{300, 12, 1, 150 * ms, 4, 0.25, 2 * sec, 15 * sec},
-	{300, 6, 4, 100 * ms, 2.5, 0.35, sec, 12 * sec},
+	{20, 12, 1, 100 * millisecond, 2, 0.2, second, 10 * second},
+	{30, 12, 4, 150 * millisecond, 2.5, 0.3, 2 * second, 12 * second},
+	{30, 10, 8, 200 * millisecond, 4, 0.45, second, 6 * second},
+	{20, 12, 2, 100 * millisecond, 2, 0.18, 2 * second, 18 * second},
+	{300, 12, 1, 150 * millisecond, 4, 0.25, 2 * second, 15 * second},
+	{300, 6, 4, 100 * millisecond, 2.5, 0.35, second, 12 * second},
 }
 
-const coldAt = 12 * sec // from the play's beginning, when the doors know their fleet
+const coldAt = 12 * second // from the play's beginning, when the doors know their fleet
 
 // third restarts a third of the backends at once.
 func (s *coldSite) third() {
@@ -441,13 +441,13 @@
 	{"a third restarts", func(s *coldSite) { s.in(coldAt, s.third) }},
 	{"six in ten replaced in 7 s", func(s *coldSite) {
 		for n := range s.backends * 6 / 10 {
-			s.in(coldAt+int64(n)*7*sec/int64(s.backends*6/10), func() { s.replace(BackendID(n+1), 1) })
+			s.in(coldAt+int64(n)*7*second/int64(s.backends*6/10), func() { s.replace(BackendID(n+1), 1) })
 		}
 	}},
 	{"doors upgraded by tenths", func(s *coldSite) {
 		s.in(coldAt, s.third)
 		for me := range s.doors {
-			s.in(coldAt-2*sec+int64(me*10/s.doors)*sec, func() { s.upgrade(me, 3*sec) })
+			s.in(coldAt-2*second+int64(me*10/s.doors)*second, func() { s.upgrade(me, 3*second) })
 		}
 	}},
 	{"one hot door, others thin", func(s *coldSite) {
@@ -458,7 +458,7 @@
 			return 0.5 + float64(me%4)/4
 		})
 		for me := range s.far {
-			s.far[me] = int64(me%5) * 30 * ms
+			s.far[me] = int64(me%5) * 30 * millisecond
 		}
 		s.in(coldAt, s.third)
 	}},
@@ -483,8 +483,8 @@
 	}},
 	{"cold twice", func(s *coldSite) {
 		s.in(coldAt, s.third)
-		s.in(coldAt+2500*ms, s.third)
-		s.in(coldAt+3*sec+s.warmUp/2, s.third)
+		s.in(coldAt+2500*millisecond, s.third)
+		s.in(coldAt+3*second+s.warmUp/2, s.third)
 	}},
 	{"traffic at a third of the doors", func(s *coldSite) {
 		s.traffic(func(me int) float64 { return float64(1 - min(me%3, 1)) })
@@ -496,7 +496,7 @@
 	}},
 	{"the doors with traffic change", func(s *coldSite) {
 		for n := range 3 {
-			s.in(int64(n)*4*sec, func() { s.traffic(func(me int) float64 { return max(0.02, float64(1-min((me+n)%3, 1))) }) })
+			s.in(int64(n)*4*second, func() { s.traffic(func(me int) float64 { return max(0.02, float64(1-min((me+n)%3, 1))) }) })
 		}
 		s.in(coldAt, func() { s.traffic(func(int) float64 { return 1 }) })
 		s.in(coldAt, s.third)
@@ -515,7 +515,7 @@
 	{"starts stated 30 s ahead", func(s *coldSite) {
 		s.in(coldAt, func() {
 			for n := range s.backends / 3 {
-				s.servers[BackendID(n+1)].ahead = 30 * sec
+				s.servers[BackendID(n+1)].ahead = 30 * second
 			}
 			s.third()
 		})
@@ -558,13 +558,13 @@
 					s := newColdSite(t, c, uint64(k*7+i)+n)
 					kind.play(s)
 					s.start()
-					s.pass(coldAt + 2*sec + c.warmUp)
+					s.pass(coldAt + 2*second + c.warmUp)
 					if sum += s.worst.sum; s.worst.part > worst.part {
 						worst = s.worst
 					}
 				}
 				line := fmt.Sprintf("%s | %d of N %.1f, bound %.1f (%.2f) at %.1f s; %d in all", c, worst.sent,
-					worst.n, worst.bound, worst.part, float64(worst.age)/float64(sec), sum)
+					worst.n, worst.bound, worst.part, float64(worst.age)/float64(second), sum)
 				if t.Log(line); worst.part > 1 {
 					t.Errorf("rule 4: %s", line)
 				}
--- a/policy/desk_test.go
+++ b/policy/desk_test.go
@@ -62,7 +62,7 @@
 }
 
 func newDesk(t testing.TB, terms Settings, backends ...Endpoint) *desk {
-	d := &desk{t: t, terms: terms, now: 1000 * sec, state: map[BackendID]Endpoint{},
+	d := &desk{t: t, terms: terms, now: 1000 * second, state: map[BackendID]Endpoint{},
 		taken: map[RequestID]*taken{}, counter: map[CounterKey]float64{}, drawn: map[TenantID]float64{},
 		sends: map[BackendID][]int64{}}
 	d.g = New(d.now, 7, terms, d)
@@ -118,7 +118,7 @@
 			}
 		}
 		rate := max(5, float64(d.peak*d.terms.Instances)/float64(ready))
-		can := d.terms.OverloadMultiple * part * float64(d.terms.OverloadWindow) / float64(sec) * rate
+		can := d.terms.OverloadMultiple * part * float64(d.terms.OverloadWindow) / float64(second) * rate
 		if n > 1 && float64(n*d.terms.Instances) > can { // a single shot does not tell a door's pace
 			d.t.Errorf("rule 4: %d shots of %d doors at cold %d, which bears %.1f", n, d.terms.Instances, b, can)
 		}
@@ -149,8 +149,8 @@
 	if last == 0 && x.plan.HardQuotaRate > 0 {
 		d.drawn[x.customer] += x.units
 		n := float64(x.entries)
-		if d.drawn[x.customer] > x.plan.HardQuotaRate/n*float64(d.now-1000*sec)/float64(sec)+slop {
-			d.t.Errorf("rule 5: %.1f units drawn by %d ns", d.drawn[x.customer], d.now-1000*sec)
+		if d.drawn[x.customer] > x.plan.HardQuotaRate/n*float64(d.now-1000*second)/float64(second)+roundingTolerance {
+			d.t.Errorf("rule 5: %.1f units drawn by %d ns", d.drawn[x.customer], d.now-1000*second)
 		}
 	}
 }
@@ -161,7 +161,7 @@
 func (d *desk) WatchEndpoints()                  { d.follows++ }
 func (d *desk) Log(text string)                  { d.note("%s", text) }
 func (d *desk) AddToCounter(c CounterKey, units float64, lifetime int64) {
-	if lifetime <= 0 || lifetime > 60*sec {
+	if lifetime <= 0 || lifetime > 60*second {
 		d.t.Errorf("count for %d ns", lifetime)
 	}
 	d.note("count %d by %.3f", c, units)
@@ -206,7 +206,7 @@
 // check looks for transactions whose answer is overdue.
 func (d *desk) check() {
 	for _, id := range d.order {
-		if x := d.taken[id]; x.ended == "" && d.now > x.limit+16*ms && !x.streamed {
+		if x := d.taken[id]; x.ended == "" && d.now > x.limit+16*millisecond && !x.streamed {
 			d.t.Errorf("rule 1: %d has no answer %d ns after its time", id, d.now-x.limit)
 			x.ended = "lost"
 		}
@@ -226,7 +226,7 @@
 	}
 	if o == Succeeded {
 		d.done = append(d.done, d.now)
-		for d.done[0] <= d.now-sec {
+		for d.done[0] <= d.now-second {
 			d.done = d.done[1:]
 		}
 		d.peak = max(d.peak, len(d.done))
@@ -251,7 +251,7 @@
 // patience.
 func (d *desk) pass(span int64) {
 	for end := d.now + span; d.now < end; {
-		d.now = min(d.now+4*ms, end)
+		d.now = min(d.now+4*millisecond, end)
 		due := d.wakes
 		d.wakes = nil
 		slices.SortStableFunc(due, func(a, b wake) int { return int(min(max(a.at-b.at, -1), 1)) })
--- /dev/null
+++ b/policy/endpoints.go
@@ -0,0 +1,98 @@
+package policy
+
+import (
+	"cmp"
+	"math"
+	"slices"
+
+	"fawnplank/internal/estimate"
+	"fawnplank/internal/hash64"
+)
+
+// DiscoveryTimeouts returns the bounds of the calls to discovery. Where lists are pushed, what the agent has
+// counts at once, a call that an outage silenced is never answered, and asking costs nobody anything: a
+// third, a quarter and a tenth of the drain's grace leave a third to the instance. Elsewhere asking is work,
+// but a change is due six seconds after it could be fetched: a silent watch is opened anew by 5.2 s; a full
+// snapshot keeps its place in the queue.
+func (s Settings) DiscoveryTimeouts() DiscoveryTimeouts {
+	if s.PollEndpoints {
+		return DiscoveryTimeouts{
+			Watch:      min(max(2*second, s.PollTimeout), 4500*millisecond),
+			Lateness:   500 * millisecond,
+			Snapshot:   3 * second,
+			RetryDelay: 200 * millisecond,
+		}
+	}
+	grace := max(s.DrainGrace, 200*millisecond) // with less an instance would do little but ask
+	return DiscoveryTimeouts{Watch: grace / 3, Lateness: grace / 4, Snapshot: grace / 2, RetryDelay: grace / 10}
+}
+
+// UpdateEndpoints brings the list of backends, or changes to it.
+func (e *Engine) UpdateEndpoints(now int64, kind UpdateKind, list []Endpoint) {
+	if kind == UpdateFailed {
+		e.retryWatch(now)
+		return
+	}
+	e.retryDelay = e.settings.DiscoveryTimeouts().RetryDelay
+	if kind != Delta {
+		for _, b := range e.endpoints {
+			b.ready, b.gone = false, true
+		}
+	}
+	for _, endpoint := range list {
+		e.updateEndpoint(now, endpoint)
+	}
+	e.assignShares()
+	e.rankBackends(now)
+}
+
+// retryWatch spreads the calls after failures by chance and, where asking is work, makes them ever rarer:
+// else the instances fill the queue of a crowded discovery with calls that it answers too late, and none ever
+// gets an answer. Four seconds at most: its changes are due in six, whatever failed.
+func (e *Engine) retryWatch(now int64) {
+	delay := int64((1 + e.random.Float64()) / 2 * float64(e.retryDelay))
+	e.schedule(now+delay, nil, func(int64) { e.effects.WatchEndpoints() })
+	if e.settings.PollEndpoints {
+		e.retryDelay = min(e.retryDelay*3, max(e.settings.PollTimeout, 500*millisecond), 4*second)
+	}
+}
+
+func (e *Engine) updateEndpoint(now int64, endpoint Endpoint) {
+	b := e.backends[endpoint.Backend]
+	if b == nil {
+		// Due by chance, so that instances do not all begin with the same new backend.
+		b = &backend{id: endpoint.Backend, lastSentAt: now - int64(e.random.Float64()*10*float64(second))}
+		e.backends[b.id] = b
+		e.endpoints = append(e.endpoints, b)
+	}
+	if endpoint.StartedAt != b.startedAt && endpoint.State == EndpointReady {
+		b.latency, b.health, b.lastSlowStartAt = estimate.Mean{}, health{}, 0 // another incarnation
+	}
+	b.update(endpoint)
+}
+
+// assignShares lays the ready backends out in a ring, in an order that all instances share, and computes how
+// many fair shares each lies away from this instance's own.
+func (e *Engine) assignShares() {
+	var ring []*backend
+	capacity := 0.0
+	for _, b := range e.endpoints {
+		if b.ready {
+			ring = append(ring, b)
+			capacity += b.capacity
+		}
+	}
+	slices.SortFunc(ring, func(a, b *backend) int {
+		return cmp.Compare(hash64.Mix(uint64(a.id)), hash64.Mix(uint64(b.id)))
+	})
+	share := capacity / float64(max(e.settings.Instances, 1))
+	position := -share * float64(e.settings.InstanceIndex)
+	for _, b := range ring {
+		away := position
+		if away < 0 {
+			away += capacity
+		}
+		b.distance = math.Floor(away/max(share, capacity/float64(len(ring))) + roundingTolerance)
+		position += b.capacity
+	}
+}
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -9,14 +9,15 @@
 	"testing"
 	"testing/quick"
 
+	"fawnplank/internal/estimate"
 	"fawnplank/internal/pcg"
 )
 
 func plainTerms() Settings {
-	return Settings{InstanceIndex: 0, Instances: 2, Classes: []ClassSettings{{LatencyObjective: 750 * ms, Deadline: 2 * sec}},
+	return Settings{InstanceIndex: 0, Instances: 2, Classes: []ClassSettings{{LatencyObjective: 750 * millisecond, Deadline: 2 * second}},
 		Plans:       []PlanSettings{{Rate: 5, Burst: 10}},
-		MaxAttempts: 3, Cancellation: true, HealthChecks: true, RetryAfter: true, MaxRetryAfter: sec, CounterEnabled: true,
-		CounterTimeout: 50 * ms, SlowStartShare: 0.2, SlowStartDuration: 10 * sec, OverloadMultiple: 2, OverloadWindow: sec}
+		MaxAttempts: 3, Cancellation: true, HealthChecks: true, RetryAfter: true, MaxRetryAfter: second, CounterEnabled: true,
+		CounterTimeout: 50 * millisecond, SlowStartShare: 0.2, SlowStartDuration: 10 * second, OverloadMultiple: 2, OverloadWindow: second}
 }
 
 // quiet is a desk without a counter.
@@ -40,12 +41,12 @@
 	yes := func() bool { return r.IntN(2) == 0 }
 	terms := plainTerms()
 	terms.Hedging, terms.Cancellation, terms.HealthChecks, terms.CounterEnabled = yes(), yes(), yes(), r.IntN(4) > 0
-	terms.PostPaid, terms.PollEndpoints, terms.PollTimeout = yes(), yes(), 10*sec
+	terms.PostPaid, terms.PollEndpoints, terms.PollTimeout = yes(), yes(), 10*second
 	terms.MaxAttempts = 1 + r.IntN(5)
 	terms.Classes = nil
 	for range 6 {
 		terms.Classes = append(terms.Classes, ClassSettings{Idempotency: Idempotency(r.IntN(3)), DedupScope: DedupScope(r.IntN(3)),
-			DedupWindow: int64(r.IntN(1000)) * ms, LatencyObjective: int64(400+r.IntN(1000)) * ms, Deadline: 2 * sec,
+			DedupWindow: int64(r.IntN(1000)) * millisecond, LatencyObjective: int64(400+r.IntN(1000)) * millisecond, Deadline: 2 * second,
 			LateValue: float64(r.IntN(2)), FallbackMode: FallbackMode(r.IntN(3))})
 	}
 	terms.Plans = []PlanSettings{{Rate: 5, Burst: 10}, {Rate: 1, Burst: 2, HardQuotaRate: 2, HardQuotaBurst: 8},
@@ -59,11 +60,11 @@
 		case 0, 1, 2, 3:
 			pl := r.IntN(len(terms.Plans) + 1)
 			d.take(RequestID(n), ClassID(r.IntN(len(terms.Classes)+1)), PlanID(pl),
-				TenantID(r.IntN(3)+3*pl), int64(r.IntN(2000))*ms, float64(r.IntN(4)))
+				TenantID(r.IntN(3)+3*pl), int64(r.IntN(2000))*millisecond, float64(r.IntN(4)))
 		case 4, 5, 6:
 			if len(d.order) > 0 {
 				x := d.taken[d.order[r.IntN(len(d.order))]]
-				if n := len(x.shots) - 1; n >= 0 && d.now-x.shots[n].sent >= 200*ms { // as rule 4's check has it
+				if n := len(x.shots) - 1; n >= 0 && d.now-x.shots[n].sent >= 200*millisecond { // as rule 4's check has it
 					d.settle(x, r.IntN(n+1), outcomes[r.IntN(len(outcomes))])
 				}
 			}
@@ -75,7 +76,7 @@
 			b := Endpoint{Backend: BackendID(1 + r.IntN(6)), Capacity: r.Float64(), State: EndpointState(r.IntN(3)),
 				Zone: ZoneID(r.IntN(2)), Group: GroupID(r.IntN(2))}
 			if yes() {
-				b.StartedAt = d.now - int64(r.IntN(9000))*ms
+				b.StartedAt = d.now - int64(r.IntN(9000))*millisecond
 			}
 			if how := []UpdateKind{Delta, Delta, Delta, FullSnapshot, UpdateFailed}[r.IntN(5)]; how == UpdateFailed {
 				d.list(how)
@@ -98,10 +99,10 @@
 				}
 			}
 		default:
-			d.pass(int64(r.IntN(200)) * ms)
+			d.pass(int64(r.IntN(200)) * millisecond)
 		}
 	}
-	d.pass(4 * sec)
+	d.pass(4 * second)
 	for _, id := range d.order {
 		if x := d.taken[id]; x.ended == "" && !x.streamed {
 			t.Errorf("rule 1: %d was never answered", id)
@@ -130,13 +131,13 @@
 	d := newDesk(t, terms, ready(1, 2, 3)...)
 	sent := 0
 	for n := range 400 {
-		if x := d.take(RequestID(n), 0, 0, 1, 2*sec, 1); len(x.shots) > 0 {
+		if x := d.take(RequestID(n), 0, 0, 1, 2*second, 1); len(x.shots) > 0 {
 			sent++
 			d.settle(x, 0, Succeeded)
 		}
-		d.pass(20 * ms)
+		d.pass(20 * millisecond)
 		// This door's half of four units a second, and nothing to begin with.
-		if most := 2 * float64(d.now-1000*sec) / float64(sec); float64(sent) > most+slop {
+		if most := 2 * float64(d.now-1000*second) / float64(second); float64(sent) > most+roundingTolerance {
 			t.Fatalf("%d units of at most %.1f", sent, most)
 		}
 	}
@@ -149,7 +150,7 @@
 // in.
 func admit(d *desk, from, n int, c TenantID, o Outcome) (in int) {
 	for i := range n {
-		x := d.take(RequestID(from+i), 0, 0, c, 2*sec, 1)
+		x := d.take(RequestID(from+i), 0, 0, c, 2*second, 1)
 		for len(d.asked) > 0 {
 			d.answer(o)
 		}
@@ -169,7 +170,7 @@
 	if x := d.taken[29]; x.ended != "dismissed" || x.advice == 0 {
 		t.Errorf("beyond the quota: %q, come back in %d", x.ended, x.advice)
 	}
-	d.pass(sec)
+	d.pass(second)
 	if in := admit(d, 100, 30, 1, Succeeded); in != 5 {
 		t.Errorf("%d let in after a second at 5 a second", in)
 	}
@@ -179,7 +180,7 @@
 	d, in := newDesk(t, plainTerms(), ready(1, 2, 3)...), 0
 	for n := range 50 { // through five windows of two seconds
 		in += admit(d, 100*n, 20, 1, Succeeded)
-		d.pass(200 * ms)
+		d.pass(200 * millisecond)
 	}
 	if in < 55 || in > 10+50 {
 		t.Errorf("%d let in over ten seconds of a burst of 10 and 5 a second", in)
@@ -193,9 +194,9 @@
 		d, in := newDesk(t, plainTerms(), ready(1, 2, 3)...), 0
 		for c := range 20 { // windows start at times of each customer's own
 			id := RequestID(c)
-			x := &taken{limit: d.now + sec}
+			x := &taken{limit: d.now + second}
 			d.taken[id] = x
-			x.h = d.g.Submit(d.now, RequestSpec{ID: id, Tenant: TenantID(c), Remaining: sec, Units: 1, EntryPoints: entries})
+			x.h = d.g.Submit(d.now, RequestSpec{ID: id, Tenant: TenantID(c), Remaining: second, Units: 1, EntryPoints: entries})
 			d.counter[d.asked[0].name] = 10 // other doors let in the whole quota in this window
 			for len(d.asked) > 0 {
 				d.answer(Succeeded)
@@ -223,14 +224,14 @@
 
 func TestSlowCounterCostsOneShortWaitAndStillInforms(t *testing.T) {
 	d := newDesk(t, plainTerms(), ready(1, 2, 3)...)
-	x := d.take(1, 0, 0, 1, 2*sec, 1)
-	d.pass(40 * ms)
-	if len(x.shots) != 1 || x.shots[0].sent > 1000*sec+40*ms {
+	x := d.take(1, 0, 0, 1, 2*second, 1)
+	d.pass(40 * millisecond)
+	if len(x.shots) != 1 || x.shots[0].sent > 1000*second+40*millisecond {
 		t.Fatalf("not sent after the wait for the counter: %v", d.log)
 	}
 	d.counter[d.asked[0].name] = 30 // others used it up
 	d.answer(Succeeded)
-	if y := d.take(2, 0, 0, 1, 2*sec, 1); len(y.shots) > 0 || y.ended != "dismissed" {
+	if y := d.take(2, 0, 0, 1, 2*second, 1); len(y.shots) > 0 || y.ended != "dismissed" {
 		t.Error("the late total did not inform")
 	}
 }
@@ -239,9 +240,9 @@
 func TestSpoiltAnswerOfTheCounterWasAdded(t *testing.T) {
 	for o, want := range map[Outcome]float64{ConnectionLost: 0, ConnectFailed: 1} {
 		d := newDesk(t, plainTerms(), ready(1, 2, 3)...)
-		d.take(1, 0, 0, 1, 2*sec, 1)
+		d.take(1, 0, 0, 1, 2*second, 1)
 		d.answer(o)
-		if got := d.g.customers[1].owed; got != want {
+		if got := d.g.tenants[1].unreported; got != want {
 			t.Errorf("outcome %d: then %v is owed, wanted %v", o, got, want)
 		}
 	}
@@ -250,23 +251,23 @@
 func TestSilentCounterTripsTheBreakerAndOneTrialCloses(t *testing.T) {
 	d := newDesk(t, plainTerms(), ready(1, 2, 3, 4, 5, 6)...)
 	for n := range 20 {
-		x := d.take(RequestID(n), 0, 0, TenantID(n), 2*sec, 1)
-		if d.pass(40 * ms); len(x.shots) > 0 {
+		x := d.take(RequestID(n), 0, 0, TenantID(n), 2*second, 1)
+		if d.pass(40 * millisecond); len(x.shots) > 0 {
 			d.settle(x, 0, Succeeded)
 		}
 	}
-	if len(d.asked) != breakAt {
+	if len(d.asked) != failureThreshold {
 		t.Errorf("%d calls to a silent counter", len(d.asked))
 	}
 	d.asked = nil
-	d.pass(2 * sec)
-	d.take(100, 0, 0, 100, 2*sec, 1)
-	d.take(101, 0, 0, 101, 2*sec, 1)
+	d.pass(2 * second)
+	d.take(100, 0, 0, 100, 2*second, 1)
+	d.take(101, 0, 0, 101, 2*second, 1)
 	if len(d.asked) != 1 {
 		t.Fatalf("%d trial calls", len(d.asked))
 	}
 	d.g.HandleCounterResult(d.now, Succeeded, d.asked[0].name, 1)
-	if d.take(102, 0, 0, 102, 2*sec, 1); len(d.asked) < 2 {
+	if d.take(102, 0, 0, 102, 2*second, 1); len(d.asked) < 2 {
 		t.Error("the breaker did not close")
 	}
 }
@@ -275,13 +276,13 @@
 // open.
 func TestTrialCallOutlivesItsClient(t *testing.T) {
 	d := newDesk(t, plainTerms(), ready(1, 2, 3)...)
-	admit(d, 0, breakAt, 1, Rejected)
-	d.pass(2 * sec)
-	x := d.take(100, 0, 0, 2, 2*sec, 1)
+	admit(d, 0, failureThreshold, 1, Rejected)
+	d.pass(2 * second)
+	x := d.take(100, 0, 0, 2, 2*second, 1)
 	x.ended = "left"
 	x.h.HandleClientGone(d.now)
-	d.pass(2 * sec)
-	if n := len(d.asked); d.take(101, 0, 0, 3, 2*sec, 1) == nil || len(d.asked) != n+1 {
+	d.pass(2 * second)
+	if n := len(d.asked); d.take(101, 0, 0, 3, 2*second, 1) == nil || len(d.asked) != n+1 {
 		t.Error("no further trial call")
 	}
 }
@@ -302,9 +303,9 @@
 	d := newDesk(t, plainTerms(), ready(1, 2, 3)...)
 	for n := range 40 {
 		admit(d, 10*n, 1, 1, ConnectFailed)
-		d.pass(400 * ms)
+		d.pass(400 * millisecond)
 	}
-	d.pass(4 * sec)
+	d.pass(4 * second)
 	for n := range 60 { // the trial closes the breaker, and the calls come back
 		admit(d, 1000+n, 1, TenantID(10+n), Succeeded)
 	}
@@ -321,10 +322,10 @@
 		terms.InstanceIndex = me
 		d := newDesk(t, terms, ready(1, 2, 3)...)
 		admit(d, 0, 12, 1, Succeeded)
-		d.pass(2100 * ms)
+		d.pass(2100 * millisecond)
 		clear(d.counter)
 		n := len(d.log)
-		d.take(100, 0, 0, 1, 2*sec, 1)
+		d.take(100, 0, 0, 1, 2*second, 1)
 		d.answer(Succeeded)
 		for _, l := range d.log[n:] {
 			if strings.Contains(l, "count") && !strings.Contains(l, "by 1.000") {
@@ -347,13 +348,13 @@
 			terms.InstanceIndex, terms.Instances, terms.CounterEnabled = me, 20, told > 0
 			terms.Plans[0] = PlanSettings{Rate: 0.1, Burst: 2}
 			d := newDesk(t, terms, ready(1, 2, 3)...)
-			d.g.chance = pcg.New(uint64(me))
-			d.g.plans[0].granted = mean{told, told * 20}
-			d.g.fails, d.g.resume = breakAt, d.now+sec
+			d.g.random = pcg.New(uint64(me))
+			d.g.plans[0].admittedShare = estimate.Mean{Value: told, Count: told * 20}
+			d.g.breaker = breaker{state: breakerOpen, consecutiveFailures: failureThreshold, retryAt: d.now + second, callShare: 1}
 			for c := range 10 {
 				id := RequestID(c)
-				d.taken[id] = &taken{limit: d.now + sec}
-				d.taken[id].h = d.g.Submit(d.now, RequestSpec{ID: id, Tenant: TenantID(c), Remaining: sec, Units: 1, EntryPoints: 20})
+				d.taken[id] = &taken{limit: d.now + second}
+				d.taken[id].h = d.g.Submit(d.now, RequestSpec{ID: id, Tenant: TenantID(c), Remaining: second, Units: 1, EntryPoints: 20})
 				if x := d.taken[id]; len(x.shots) > 0 {
 					in++
 					d.settle(x, 0, Succeeded)
@@ -369,7 +370,7 @@
 // Failure: a wake came a little before its time on a coarser clock, and none was asked for again.
 func TestEarlyWakeAsksAgain(t *testing.T) {
 	d := newDesk(t, plainTerms(), ready(1)...)
-	d.take(1, 0, 0, 1, 2*sec, 1)
+	d.take(1, 0, 0, 1, 2*second, 1)
 	w := d.wakes[len(d.wakes)-1]
 	d.wakes = nil
 	d.now = w.at - 1
@@ -377,7 +378,7 @@
 	if len(d.wakes) != 1 {
 		t.Fatal("no wake asked for again")
 	}
-	d.pass(10 * ms)
+	d.pass(10 * millisecond)
 	if len(d.sends[1]) != 1 {
 		t.Error("the transaction was forgotten")
 	}
@@ -387,17 +388,17 @@
 func TestLongTransactionIsNotAStall(t *testing.T) {
 	d := quiet(t, ready(1, 2)...)
 	for n := range 20 {
-		x := d.take(RequestID(n), 0, 0, TenantID(n), 2*sec, 1)
-		d.pass(52 * ms)
+		x := d.take(RequestID(n), 0, 0, TenantID(n), 2*second, 1)
+		d.pass(52 * millisecond)
 		d.settle(x, 0, Succeeded)
 	}
-	x := d.take(100, 0, 0, 100, 2*sec, 1)
-	d.pass(200 * ms)
+	x := d.take(100, 0, 0, 100, 2*second, 1)
+	d.pass(200 * millisecond)
 	if d.settle(x, 0, Succeeded); strings.Contains(strings.Join(d.log, "\n"), "recall") {
 		t.Error("called off after four usual answer times")
 	}
-	y := d.take(101, 0, 0, 101, 2*sec, 1)
-	d.pass(400 * ms)
+	y := d.take(101, 0, 0, 101, 2*second, 1)
+	d.pass(400 * millisecond)
 	if !strings.Contains(strings.Join(d.log, "\n"), "recall 0 of 101") {
 		t.Error("a stalled shot was not called off")
 	}
@@ -411,11 +412,11 @@
 	terms := plainTerms()
 	terms.Classes[0].Idempotency, terms.CounterEnabled = NonIdempotent, false
 	d := newDesk(t, terms, ready(1, 2)...)
-	x := d.take(1, 0, 0, 1, 2*sec, 1)
+	x := d.take(1, 0, 0, 1, 2*second, 1)
 	if d.settle(x, 0, Failed); x.ended != "broken off" {
 		t.Errorf("after an error: %q", x.ended)
 	}
-	y := d.take(2, 0, 0, 2, 2*sec, 1)
+	y := d.take(2, 0, 0, 2, 2*second, 1)
 	if d.settle(y, 0, ConnectFailed); len(y.shots) != 2 {
 		t.Error("no second shot though the first did not run")
 	}
@@ -425,20 +426,20 @@
 // Failure: every connection reset under a shot had its backend left out for a while, until most were.
 func TestABrokenConnectionIsNoDeadBackend(t *testing.T) {
 	d := quiet(t, ready(1)...)
-	x := d.take(1, 0, 0, 1, 2*sec, 1)
+	x := d.take(1, 0, 0, 1, 2*second, 1)
 	d.settle(x, 0, ConnectionLost)
 	if len(x.shots) != 2 {
 		t.Fatalf("%d shots, the first cut off: %q", len(x.shots), x.ended)
 	}
 	d.settle(x, 1, Succeeded)
-	y := d.take(2, 0, 0, 1, 2*sec, 1)
+	y := d.take(2, 0, 0, 1, 2*second, 1)
 	for n := range 3 {
 		if len(y.shots) <= n {
 			t.Fatalf("left out after %d cut off", n)
 		}
 		d.settle(y, n, ConnectionLost)
 	}
-	if z := d.take(3, 0, 0, 1, 2*sec, 1); len(z.shots) > 0 {
+	if z := d.take(3, 0, 0, 1, 2*second, 1); len(z.shots) > 0 {
 		t.Error("still sent to after three in a row")
 	}
 }
@@ -446,9 +447,9 @@
 func TestNoRoomIsSaidAtOnceWithEarlyAdvice(t *testing.T) {
 	d := quiet(t)
 	for n := range 20 {
-		d.take(RequestID(n), 0, 0, TenantID(n), 2*sec, 1)
+		d.take(RequestID(n), 0, 0, TenantID(n), 2*second, 1)
 	}
-	if x := d.taken[19]; x.ended != "dismissed" || x.advice <= 0 || x.advice >= 750*ms/4 {
+	if x := d.taken[19]; x.ended != "dismissed" || x.advice <= 0 || x.advice >= 750*millisecond/4 {
 		t.Errorf("with a full door: %q, back in %d", x.ended, x.advice)
 	}
 }
@@ -458,12 +459,12 @@
 	sent := 0
 	for me := range 8 {
 		terms := plainTerms()
-		terms.InstanceIndex, terms.Instances, terms.CounterEnabled, terms.Classes[0].LatencyObjective = me, 8, false, 400*ms
-		d := newDesk(t, terms, Endpoint{Backend: 1, State: EndpointReady, Capacity: 1, StartedAt: 992 * sec})
-		d.pass(1100 * ms)
+		terms.InstanceIndex, terms.Instances, terms.CounterEnabled, terms.Classes[0].LatencyObjective = me, 8, false, 400*millisecond
+		d := newDesk(t, terms, Endpoint{Backend: 1, State: EndpointReady, Capacity: 1, StartedAt: 992 * second})
+		d.pass(1100 * millisecond)
 		for n := range 15 {
-			d.take(RequestID(n), 0, 0, TenantID(n), 2*sec, 1)
-			d.pass(48 * ms)
+			d.take(RequestID(n), 0, 0, TenantID(n), 2*second, 1)
+			d.pass(48 * millisecond)
 		}
 		sent += len(d.sends[1])
 	}
@@ -478,16 +479,16 @@
 	for _, quick := range []int{40, 0} {
 		d := quiet(t, ready(1)...)
 		for n := range quick + 10 {
-			x := d.take(RequestID(n), 0, 0, TenantID(n), 2*sec, 1)
-			if d.pass(50 * ms); n >= quick {
-				d.pass(650 * ms)
+			x := d.take(RequestID(n), 0, 0, TenantID(n), 2*second, 1)
+			if d.pass(50 * millisecond); n >= quick {
+				d.pass(650 * millisecond)
 			}
 			for i := range x.shots {
 				d.settle(x, i, Succeeded)
 			}
 		}
-		d.pass(12 * sec)
-		if x := d.take(100, 0, 0, 100, 2*sec, 1); len(x.shots) != 1 {
+		d.pass(12 * second)
+		if x := d.take(100, 0, 0, 100, 2*second, 1); len(x.shots) != 1 {
 			t.Errorf("nothing sent long after a jam that came after %d quick answers", quick)
 		}
 	}
@@ -500,10 +501,10 @@
 func TestSlowFleetIsNoJam(t *testing.T) {
 	d, sent := quiet(t, ready(1, 2, 3, 4)...), 0
 	for n := range 100 {
-		x := d.take(RequestID(n), 0, 0, TenantID(n), 2*sec, 1)
-		d.pass(40 * ms)
+		x := d.take(RequestID(n), 0, 0, TenantID(n), 2*second, 1)
+		d.pass(40 * millisecond)
 		if n >= 40 {
-			d.pass(170 * ms)
+			d.pass(170 * millisecond)
 		}
 		for i := range x.shots {
 			d.settle(x, i, Succeeded)
@@ -516,7 +517,7 @@
 		t.Errorf("%d of 20 sent, one after another, to a fleet that answers in time", sent)
 	}
 	d.list(FullSnapshot, ready(11, 12)...)
-	if x := d.take(200, 0, 0, 200, 2*sec, 1); len(x.shots) != 1 {
+	if x := d.take(200, 0, 0, 200, 2*second, 1); len(x.shots) != 1 {
 		t.Error("nothing sent to a new backend of that kind")
 	}
 }
@@ -532,8 +533,8 @@
 		d := newDesk(t, terms, ready(list...)...)
 		sent := 0
 		for n := range 140 {
-			x := d.take(RequestID(n), 0, 0, TenantID(n), 2*sec, 1)
-			if d.pass(20 * ms); n < 40 {
+			x := d.take(RequestID(n), 0, 0, TenantID(n), 2*second, 1)
+			if d.pass(20 * millisecond); n < 40 {
 				d.settle(x, 0, Succeeded)
 			} else if sent += len(x.shots); len(x.shots) > 0 && o == Rejected { // else it stays out
 				d.settle(x, 0, o)
@@ -551,7 +552,7 @@
 	terms.CounterEnabled, terms.Instances = false, 100
 	d, sent := newDesk(t, terms, ready(1, 2, 3, 4, 5, 6, 7, 8, 9, 10)...), 0
 	for n := range 40 {
-		sent += len(d.take(RequestID(n), 0, 0, TenantID(n), 2*sec, 1).shots)
+		sent += len(d.take(RequestID(n), 0, 0, TenantID(n), 2*second, 1).shots)
 	}
 	if sent < 1 || sent > 4 {
 		t.Errorf("%d shots out of one of 100 doors before any answer", sent)
@@ -561,7 +562,7 @@
 // Failure: tries that no backend had room for were counted, and shut the customer's later ones out.
 func TestWithoutRoomNothingIsCounted(t *testing.T) {
 	d := newDesk(t, plainTerms())
-	if x := d.take(1, 0, 0, 1, 2*sec, 1); len(d.asked) > 0 || x.ended != "dismissed" {
+	if x := d.take(1, 0, 0, 1, 2*second, 1); len(d.asked) > 0 || x.ended != "dismissed" {
 		t.Errorf("%d calls, %q", len(d.asked), x.ended)
 	}
 }
@@ -569,7 +570,7 @@
 // Failure: what was kept of backends that are gone grew for as long as new ones came.
 func TestGoneBackendsAreForgotten(t *testing.T) {
 	d := quiet(t, ready(1)...)
-	held := d.take(1, 0, 0, 1, 2*sec, 1)
+	held := d.take(1, 0, 0, 1, 2*second, 1)
 	for n := BackendID(2); n < 3000; n++ {
 		if n%2 == 0 {
 			d.list(Delta, Endpoint{Backend: n, State: EndpointReady, StartedAt: d.now}, Endpoint{Backend: n - 1, State: EndpointGone})
@@ -577,28 +578,28 @@
 			d.list(FullSnapshot, Endpoint{Backend: n, State: EndpointReady, StartedAt: d.now})
 		}
 		if n%200 == 0 {
-			d.pass(100 * ms)
+			d.pass(100 * millisecond)
 		}
 	}
-	if len(d.g.listed) > 210 || len(d.g.backends) != len(d.g.listed) || d.g.backends[1] == nil {
-		t.Errorf("%d backends are kept, %d of them listed", len(d.g.backends), len(d.g.listed))
+	if len(d.g.endpoints) > 210 || len(d.g.backends) != len(d.g.endpoints) || d.g.backends[1] == nil {
+		t.Errorf("%d backends are kept, %d of them listed", len(d.g.backends), len(d.g.endpoints))
 	}
 	d.settle(held, 0, Succeeded)
-	if d.pass(100 * ms); d.g.backends[1] != nil {
+	if d.pass(100 * millisecond); d.g.backends[1] != nil {
 		t.Error("one that is gone and has nothing out is kept")
 	}
 }
 
 func TestUnfollowedListIsAskedForAgain(t *testing.T) {
 	terms := plainTerms()
-	terms.PollEndpoints, terms.PollTimeout = true, 10*sec
+	terms.PollEndpoints, terms.PollTimeout = true, 10*second
 	d := newDesk(t, terms, ready(1)...)
-	for d.pass(8 * ms); d.follows == 0; d.pass(8 * ms) { // the first asking
+	for d.pass(8 * millisecond); d.follows == 0; d.pass(8 * millisecond) { // the first asking
 	}
 	for range 5 {
 		n := d.follows
 		d.list(UpdateFailed)
-		if d.pass(10100 * ms); d.follows != n+1 {
+		if d.pass(10100 * millisecond); d.follows != n+1 {
 			t.Fatalf("asked %d times after a failure", d.follows-n)
 		}
 	}
@@ -607,10 +608,10 @@
 // Failure: a call to a pushed list that an outage had silenced was given up after 3 s and asked anew up to 0.2 s
 // later, whatever the grace: 23 backends that drained were sent to 335 times. A third of the grace is the door's own.
 func TestSilentListIsAskedAnewWithinTheGrace(t *testing.T) {
-	for _, grace := range []int64{200 * ms, 250 * ms, 500 * ms, sec, 10 * sec} {
+	for _, grace := range []int64{200 * millisecond, 250 * millisecond, 500 * millisecond, second, 10 * second} {
 		timeouts := Settings{DrainGrace: grace}.DiscoveryTimeouts()
 		watch, late, whole, again := timeouts.Watch, timeouts.Lateness, timeouts.Snapshot, timeouts.RetryDelay
-		if max(watch+late, whole)+again > grace*7/10 || watch < 50*ms {
+		if max(watch+late, whole)+again > grace*7/10 || watch < 50*millisecond {
 			t.Errorf("of a grace of %d: a watch of %d and %d, a list of %d, again after %d", grace, watch, late, whole, again)
 		}
 		terms := plainTerms()
@@ -619,7 +620,7 @@
 		for range 20 { // however long the outage
 			n := d.follows
 			d.list(UpdateFailed)
-			if d.pass(grace/10 + 8*ms); d.follows != n+1 {
+			if d.pass(grace/10 + 8*millisecond); d.follows != n+1 {
 				t.Fatalf("asked %d times within a tenth of %d", d.follows-n, grace)
 			}
 		}
@@ -627,21 +628,21 @@
 	// Asked for: what a watch missed that fell silent counts as told six seconds after discovery had it, whatever the
 	// wait that it was given and whatever failed before. Eight tenths are left for the answer to the call that opens it
 	// anew, or to the one after a refusal.
-	for _, within := range []int64{sec, 4 * sec, 10 * sec, 30 * sec} {
+	for _, within := range []int64{second, 4 * second, 10 * second, 30 * second} {
 		terms := plainTerms()
 		terms.PollEndpoints, terms.PollTimeout = true, within
 		timeouts := terms.DiscoveryTimeouts()
 		watch, late, whole, again := timeouts.Watch, timeouts.Lateness, timeouts.Snapshot, timeouts.RetryDelay
-		if watch+late+again > 5200*ms || whole+again > 5200*ms {
+		if watch+late+again > 5200*millisecond || whole+again > 5200*millisecond {
 			t.Errorf("asked for within %d: %d, %d, %d, %d", within, watch, late, whole, again)
 		}
 		d := newDesk(t, terms, ready(1)...)
-		for d.pass(8 * ms); d.follows == 0; d.pass(8 * ms) { // the first asking
+		for d.pass(8 * millisecond); d.follows == 0; d.pass(8 * millisecond) { // the first asking
 		}
 		for range 20 {
 			n := d.follows
 			d.list(UpdateFailed)
-			if d.pass(4*sec + 8*ms); d.follows != n+1 {
+			if d.pass(4*second + 8*millisecond); d.follows != n+1 {
 				t.Fatalf("asked %d times in the four seconds after a failure", d.follows-n)
 			}
 		}
@@ -652,21 +653,21 @@
 // of calls that it answered too late, and no door ever heard. Here it takes 20 calls a second, in turn, works
 // at those too that have waited for more than two seconds, and then refuses them.
 func TestOverbookedDiscoveryIsHeardByAll(t *testing.T) {
-	const doors, each, late, room = 80, sec / 20, 2 * sec, 50
+	const doors, each, late, room = 80, second / 20, 2 * second, 50
 	terms := plainTerms()
-	terms.Instances, terms.PollEndpoints, terms.PollTimeout = doors, true, 10*sec
+	terms.Instances, terms.PollEndpoints, terms.PollTimeout = doors, true, 10*second
 	watch := terms.DiscoveryTimeouts().Watch
 	desks, last, next, told := make([]*desk, doors), make([]int64, doors), make([]int64, doors), make([]int64, doors)
 	gap := int64(0)
 	for n := range desks {
 		desks[n] = newDesk(t, terms, ready(1)...)
-		desks[n].g.chance = pcg.New(uint64(n))
+		desks[n].g.random = pcg.New(uint64(n))
 		desks[n].follows, next[n] = 0, desks[n].now // all ask at once
 	}
 	free := int64(0)
-	for now := 1000 * sec; now < 1060*sec; now += 4 * ms {
+	for now := 1000 * second; now < 1060*second; now += 4 * millisecond {
 		for n, d := range desks {
-			if d.pass(4 * ms); d.follows > 0 {
+			if d.pass(4 * millisecond); d.follows > 0 {
 				d.follows, next[n] = 0, now
 			}
 			if told[n] != 0 && now >= told[n] {
@@ -687,7 +688,7 @@
 				continue
 			}
 			d.g.UpdateEndpoints(d.now, Delta, nil)
-			if now > 1020*sec { // from then on the six seconds hold for every door
+			if now > 1020*second { // from then on the six seconds hold for every door
 				gap = max(gap, now-last[n])
 			}
 			last[n] = now
@@ -695,10 +696,10 @@
 		}
 	}
 	for n := range desks {
-		gap = max(gap, 1060*sec-last[n])
+		gap = max(gap, 1060*second-last[n])
 	}
-	if gap > 6*sec {
-		t.Errorf("a door heard nothing for %d ms", gap/ms)
+	if gap > 6*second {
+		t.Errorf("a door heard nothing for %d ms", gap/millisecond)
 	}
 }
 
@@ -708,16 +709,16 @@
 	for _, x := range []struct {
 		doors     int
 		from, end int64 // of their askings
-	}{{80, 2 * sec, 5 * sec}, {3, 0, 150 * ms}} {
+	}{{80, 2 * second, 5 * second}, {3, 0, 150 * millisecond}} {
 		first, last := int64(math.MaxInt64), int64(0)
 		for me := range x.doors {
 			terms := plainTerms()
-			terms.InstanceIndex, terms.Instances, terms.PollEndpoints, terms.PollTimeout = me, x.doors, true, 10*sec
-			d := &desk{t: t, terms: terms, now: 1000 * sec, state: map[BackendID]Endpoint{}, taken: map[RequestID]*taken{}}
-			for d.g = New(d.now, uint64(me), terms, d); d.follows == 0 && d.now < 1010*sec; {
-				d.pass(4 * ms)
+			terms.InstanceIndex, terms.Instances, terms.PollEndpoints, terms.PollTimeout = me, x.doors, true, 10*second
+			d := &desk{t: t, terms: terms, now: 1000 * second, state: map[BackendID]Endpoint{}, taken: map[RequestID]*taken{}}
+			for d.g = New(d.now, uint64(me), terms, d); d.follows == 0 && d.now < 1010*second; {
+				d.pass(4 * millisecond)
 			}
-			first, last = min(first, d.now-1000*sec), max(last, d.now-1000*sec)
+			first, last = min(first, d.now-1000*second), max(last, d.now-1000*second)
 		}
 		if last-first < x.from || last > x.end {
 			t.Errorf("%d doors ask from %d to %d ns after their start", x.doors, first, last)
@@ -730,7 +731,7 @@
 	d := newDesk(t, plainTerms(), ready(1, 2, 3)...)
 	for n := range 60 { // all of this customer's traffic comes here
 		admit(d, n, 1, 1, Succeeded)
-		d.pass(400 * ms)
+		d.pass(400 * millisecond)
 	}
 	if in := admit(d, 100, 30, 1, ConnectFailed); in < 6 || in > 10 {
 		t.Errorf("%d let in of a burst of 10 that all comes through this door", in)
@@ -741,7 +742,7 @@
 func TestPartlyAnsweringCounterIsCalledLess(t *testing.T) {
 	d, calls := newDesk(t, plainTerms(), ready(1, 2, 3)...), 0
 	for n := range 200 {
-		x := d.take(RequestID(n), 0, 0, TenantID(n), 2*sec, 1)
+		x := d.take(RequestID(n), 0, 0, TenantID(n), 2*second, 1)
 		if len(d.asked) > 0 {
 			calls++
 			d.answer([]Outcome{Succeeded, Rejected}[calls%2])
@@ -763,7 +764,7 @@
 	here, there := newDesk(t, terms, ready(1, 2, 3, 4)...), newDesk(t, terms, ready(1, 2, 3, 4)...)
 	there.counter = here.counter
 	step := func(d *desk, id RequestID) *taken {
-		x := d.take(id, 0, 0, 7, 2*sec, 1)
+		x := d.take(id, 0, 0, 7, 2*second, 1)
 		for len(d.asked) > 0 {
 			d.answer(Succeeded)
 		}
@@ -788,10 +789,10 @@
 	}
 	plain := newDesk(t, plainTerms(), ready(1)...)
 	plain.now = here.now
-	if plain.take(1, 0, 0, 7, 2*sec, 1); plain.asked[0].name == here.g.customers[7].name {
+	if plain.take(1, 0, 0, 7, 2*second, 1); plain.asked[0].name == here.g.tenants[7].window.key {
 		t.Error("a door that knows of no cap reads the same count")
 	}
-	mark, total := here.g.plans[0].mark, here.counter[here.g.customers[7].name]
+	mark, total := here.g.plans[0].concurrencyUnit, here.counter[here.g.tenants[7].window.key]
 	if units := total - 2*mark; units < 0 || units > 10 { // told exactly beside the units, the end of b's too
 		t.Errorf("the count stands at %f, of two shots of %f each and at most ten units", total, mark)
 	}
@@ -804,13 +805,13 @@
 		terms.Plans[0] = PlanSettings{Rate: rate, Burst: 100, ConcurrencyLimit: 3}
 		terms.Instances = 1
 		d := newDesk(t, terms, ready(1, 2, 3, 4)...)
-		x := d.take(1, 0, 0, 2, 2*sec, 1)
+		x := d.take(1, 0, 0, 2, 2*second, 1)
 		d.answer(Rejected)
-		d.pass(100 * ms)
+		d.pass(100 * millisecond)
 		d.settle(x, 0, Succeeded) // the answer time is known from here on
 		in := 0
 		for n := range 5 {
-			y := d.take(RequestID(10+n), 0, 0, 1, 2*sec, 1)
+			y := d.take(RequestID(10+n), 0, 0, 1, 2*second, 1)
 			for len(d.asked) > 0 {
 				d.answer(Rejected)
 			}
@@ -831,21 +832,21 @@
 	d := newDesk(t, terms, ready(1, 2, 3)...)
 	for n := range 120 {
 		units := float64(1 + n%2*7) // one, or eight
-		x := d.take(RequestID(n), 0, 0, TenantID(n), 2*sec, units)
-		if d.pass(int64(units) * 24 * ms); len(x.shots) == 0 {
+		x := d.take(RequestID(n), 0, 0, TenantID(n), 2*second, units)
+		if d.pass(int64(units) * 24 * millisecond); len(x.shots) == 0 {
 			t.Fatalf("no room for the %dth, of %.0f units", n, units)
 		}
 		d.settle(x, 0, Succeeded)
 	}
-	for _, b := range d.g.listed {
-		if off := b.late / d.g.all.value; off < 0.8 || off > 1.25 {
+	for _, b := range d.g.endpoints {
+		if off := b.estimatedLatency / d.g.latency.Value; off < 0.8 || off > 1.25 {
 			t.Errorf("backend %d is reckoned %.2f of the fleet's answer time", b.id, off)
 		}
 	}
-	if s, l := d.g.stretch(1), d.g.stretch(8); s > 0.5 || l < 1.5 {
+	if s, l := d.g.relativeCost(1), d.g.relativeCost(8); s > 0.5 || l < 1.5 {
 		t.Errorf("one unit is taken for %.2f of the mean, eight for %.2f", s, l)
 	}
-	if x := d.take(200, 0, 0, 200, 2*sec, 8); len(x.shots) != 1 {
+	if x := d.take(200, 0, 0, 200, 2*second, 8); len(x.shots) != 1 {
 		t.Error("no room for a large one in a quiet fleet")
 	}
 }
@@ -858,9 +859,9 @@
 		terms.InstanceIndex, terms.Instances, terms.CounterEnabled = me, 4, false
 		d := newDesk(t, terms, ready(1, 2, 3, 4, 5, 6, 7, 8)...)
 		for n := range 10 {
-			x := d.take(RequestID(n), 0, 0, TenantID(n), 2*sec, 1)
+			x := d.take(RequestID(n), 0, 0, TenantID(n), 2*second, 1)
 			first[x.shots[0].to.Backend] = me
-			d.pass(100 * ms)
+			d.pass(100 * millisecond)
 			d.settle(x, 0, Succeeded)
 		}
 		if len(first) != 2*(me+1) {
@@ -874,16 +875,16 @@
 func TestSlowAnswersAreNoStall(t *testing.T) {
 	d := quiet(t, ready(1, 2)...)
 	for n := range 20 {
-		x := d.take(RequestID(n), 0, 0, TenantID(n), 2*sec, 1)
-		d.pass(160 * ms)
+		x := d.take(RequestID(n), 0, 0, TenantID(n), 2*second, 1)
+		d.pass(160 * millisecond)
 		d.settle(x, 0, Succeeded)
 	}
-	x := d.take(100, 0, 0, 100, 2*sec, 1)
-	d.pass(700 * ms)
+	x := d.take(100, 0, 0, 100, 2*second, 1)
+	d.pass(700 * millisecond)
 	if len(x.shots) != 1 || strings.Contains(strings.Join(d.log, "\n"), "recall") {
 		t.Error("called off before five usual answer times")
 	}
-	if d.g.out != 0 {
+	if d.g.promptInFlight != 0 {
 		t.Error("overdue, and still held for one that is likely to end soon")
 	}
 }
@@ -893,16 +894,16 @@
 	for _, answer := range []Outcome{Succeeded, Rejected} {
 		d := newDesk(t, plainTerms(), ready(1)...)
 		for n := range 40 {
-			x := d.take(RequestID(n), 0, 0, TenantID(n), 2*sec, 1)
+			x := d.take(RequestID(n), 0, 0, TenantID(n), 2*second, 1)
 			for len(d.asked) > 0 {
 				d.answer(Succeeded)
 			}
-			if d.pass(230 * ms); len(x.shots) == 0 {
+			if d.pass(230 * millisecond); len(x.shots) == 0 {
 				t.Fatalf("the %dth %s", n, x.ended)
 			}
 			d.settle(x, 0, Succeeded)
 		}
-		x := d.take(100, 0, 0, 100, 2*sec, 1) // likely to take 230 ms of at most 300, and of 180 where not counted
+		x := d.take(100, 0, 0, 100, 2*second, 1) // likely to take 230 ms of at most 300, and of 180 where not counted
 		if d.answer(answer); (len(x.shots) == 1) != (answer == Succeeded) {
 			t.Errorf("after an answer of kind %d: %d shots", answer, len(x.shots))
 		}
@@ -912,25 +913,25 @@
 // Failure: cold backends were kept to the pace of one core while warm ones answered many times that.
 func TestColdBackendsFollowWhatWarmOnesTake(t *testing.T) {
 	sent := map[int64]int{}
-	for _, gap := range []int64{100 * ms, 5 * ms} { // answers take 200 ms in both: many cores, or few used
+	for _, gap := range []int64{100 * millisecond, 5 * millisecond} { // answers take 200 ms in both: many cores, or few used
 		terms := plainTerms()
 		terms.Instances, terms.CounterEnabled, terms.OverloadMultiple = 1, false, 4
 		d := newDesk(t, terms, ready(1, 2, 3, 4, 5, 6, 7, 8)...)
-		for n := 0; d.now < 1020*sec; n++ {
-			if d.now >= 1012*sec && len(d.state) == 8 {
-				d.list(Delta, Endpoint{Backend: 9, State: EndpointReady, Capacity: 1, StartedAt: 1011 * sec})
+		for n := 0; d.now < 1020*second; n++ {
+			if d.now >= 1012*second && len(d.state) == 8 {
+				d.list(Delta, Endpoint{Backend: 9, State: EndpointReady, Capacity: 1, StartedAt: 1011 * second})
 			}
-			d.take(RequestID(n), 0, 0, TenantID(n), 2*sec, 1)
+			d.take(RequestID(n), 0, 0, TenantID(n), 2*second, 1)
 			d.pass(gap)
 			for _, id := range d.order[max(n-60, 0):] {
-				if x := d.taken[id]; len(x.shots) > 0 && d.now-x.shots[0].sent >= 200*ms {
+				if x := d.taken[id]; len(x.shots) > 0 && d.now-x.shots[0].sent >= 200*millisecond {
 					d.settle(x, 0, Succeeded)
 				}
 			}
 		}
 		sent[gap] = len(d.sends[9])
 	}
-	if sent[5*ms] < 2*sent[100*ms] || sent[100*ms] == 0 {
+	if sent[5*millisecond] < 2*sent[100*millisecond] || sent[100*millisecond] == 0 {
 		t.Errorf("shots at a cold backend by the gap between transactions: %v", sent)
 	}
 }
@@ -941,19 +942,19 @@
 	terms := plainTerms()
 	terms.Instances, terms.CounterEnabled = 1, false
 	d := newDesk(t, terms, ready(1, 2, 3, 4, 5, 6, 7, 8)...)
-	for n := 0; d.now < 1022500*ms; n++ {
-		x := d.take(RequestID(n), 0, 0, TenantID(n), 2*sec, 1)
-		took := 100 * ms
-		if d.now > 1020*sec {
-			took = 240 * ms
+	for n := 0; d.now < 1022500*millisecond; n++ {
+		x := d.take(RequestID(n), 0, 0, TenantID(n), 2*second, 1)
+		took := 100 * millisecond
+		if d.now > 1020*second {
+			took = 240 * millisecond
 		}
 		if d.pass(took); len(x.shots) > 0 && x.shots[0].out {
 			d.settle(x, 0, Succeeded)
 		}
-		d.pass(250*ms - took)
+		d.pass(250*millisecond - took)
 	}
-	if d.g.all.value < float64(190*ms) {
-		t.Errorf("after 2.5 s of answers in 240 ms the fleet is taken to answer in %.0f", d.g.all.value/1e6)
+	if d.g.latency.Value < float64(190*millisecond) {
+		t.Errorf("after 2.5 s of answers in 240 ms the fleet is taken to answer in %.0f", d.g.latency.Value/1e6)
 	}
 }
 
@@ -962,18 +963,18 @@
 func TestForgettingEndsAtTheQuietTime(t *testing.T) {
 	d := quiet(t, ready(1, 2)...)
 	for n := range 20 {
-		x := d.take(RequestID(n), 0, 0, TenantID(n), 2*sec, 1)
-		d.pass(100 * ms)
+		x := d.take(RequestID(n), 0, 0, TenantID(n), 2*second, 1)
+		d.pass(100 * millisecond)
 		d.settle(x, 0, Succeeded)
 	}
-	x := d.take(100, 0, 0, 100, 2*sec, 1)
-	d.pass(1800 * ms)
-	if x.ended != "" || d.g.all.value < float64(100*ms) {
-		t.Errorf("%q; with a shot out, silence took the answer time to %.0f ms", x.ended, d.g.all.value/1e6)
+	x := d.take(100, 0, 0, 100, 2*second, 1)
+	d.pass(1800 * millisecond)
+	if x.ended != "" || d.g.latency.Value < float64(100*millisecond) {
+		t.Errorf("%q; with a shot out, silence took the answer time to %.0f ms", x.ended, d.g.latency.Value/1e6)
 	}
-	d.pass(20 * sec)
-	if d.g.all.value < float64(90*ms) {
-		t.Errorf("long after, the answer time is taken for %.0f ms", d.g.all.value/1e6)
+	d.pass(20 * second)
+	if d.g.latency.Value < float64(90*millisecond) {
+		t.Errorf("long after, the answer time is taken for %.0f ms", d.g.latency.Value/1e6)
 	}
 }
 
@@ -981,14 +982,14 @@
 func TestClientsWhoLeaveEarly(t *testing.T) {
 	d := quiet(t, ready(1, 2, 3)...)
 	for n := range 20 {
-		x := d.take(RequestID(n), 0, 0, TenantID(n), 2*sec, 1)
-		d.pass(100 * ms)
+		x := d.take(RequestID(n), 0, 0, TenantID(n), 2*second, 1)
+		d.pass(100 * millisecond)
 		d.settle(x, 0, Succeeded)
 	}
-	before := d.g.all.value
+	before := d.g.latency.Value
 	leave := func(id RequestID) bool {
-		x := d.take(id, 0, 0, TenantID(id), 2*sec, 1)
-		d.pass(240 * ms)
+		x := d.take(id, 0, 0, TenantID(id), 2*second, 1)
+		d.pass(240 * millisecond)
 		if len(x.shots) == 0 {
 			return false
 		}
@@ -1003,14 +1004,14 @@
 			sent++
 		}
 	}
-	if d.g.all.value < 1.1*before {
-		t.Errorf("answer time %.0f ms after shots that took 240 and more", d.g.all.value/1e6)
+	if d.g.latency.Value < 1.1*before {
+		t.Errorf("answer time %.0f ms after shots that took 240 and more", d.g.latency.Value/1e6)
 	}
 	if sent > 30 { // a client who stays for 240 ms is not worth a shot where answers take longer
 		t.Errorf("%d of 40 sent to backends that do not answer before their clients leave", sent)
 	}
-	if d.g.plans[0].leaves.value < 0.3 || int64(d.g.plans[0].stay.value) > 250*ms {
-		t.Errorf("%.2f leave, after %.0f ms", d.g.plans[0].leaves.value, d.g.plans[0].stay.value/1e6)
+	if d.g.plans[0].leaverShare.Value < 0.3 || int64(d.g.plans[0].leaverPatience.Value) > 250*millisecond {
+		t.Errorf("%.2f leave, after %.0f ms", d.g.plans[0].leaverShare.Value, d.g.plans[0].leaverPatience.Value/1e6)
 	}
 }
 
@@ -1019,27 +1020,27 @@
 func TestABurstOfLeaversIsForgotten(t *testing.T) {
 	d := quiet(t, ready(1, 2, 3)...)
 	for n := range 20 {
-		x := d.take(RequestID(n), 0, 0, TenantID(n), 2*sec, 1)
-		d.pass(100 * ms)
+		x := d.take(RequestID(n), 0, 0, TenantID(n), 2*second, 1)
+		d.pass(100 * millisecond)
 		d.settle(x, 0, Succeeded)
 	}
 	for n := range 20 {
-		x := d.take(RequestID(100+n), 0, 0, TenantID(n), 2*sec, 1)
+		x := d.take(RequestID(100+n), 0, 0, TenantID(n), 2*second, 1)
 		if len(x.shots) == 0 {
 			continue
 		}
 		x.ended = "left"
-		x.h.HandleClientGone(d.now + 10*ms)
-		d.pass(10 * ms)
+		x.h.HandleClientGone(d.now + 10*millisecond)
+		d.pass(10 * millisecond)
 		d.settle(x, 0, Canceled)
 	}
-	if d.g.plans[0].leaves.value < 0.3 {
-		t.Fatalf("%.2f left", d.g.plans[0].leaves.value)
+	if d.g.plans[0].leaverShare.Value < 0.3 {
+		t.Fatalf("%.2f left", d.g.plans[0].leaverShare.Value)
 	}
 	served, last := 0, 0
 	for n := range 200 { // twenty seconds, and none leaves
-		x := d.take(RequestID(200+n), 0, 0, TenantID(n), 2*sec, 1)
-		d.pass(100 * ms)
+		x := d.take(RequestID(200+n), 0, 0, TenantID(n), 2*second, 1)
+		d.pass(100 * millisecond)
 		if len(x.shots) > 0 {
 			d.settle(x, 0, Succeeded)
 			if served++; n >= 120 {
@@ -1055,7 +1056,7 @@
 // Failure: with many doors a cold backend got nothing for as long as all their turns together take, since a
 // new one counted as sent to; and a jam of the others took its budget away when it was needed.
 func TestColdBackendsAreUsedByManyDoorsInAJam(t *testing.T) {
-	sent, second := 0, map[int64]float64{}
+	sent, sentIn := 0, map[int64]float64{}
 	for me := range 60 {
 		terms := plainTerms()
 		terms.InstanceIndex, terms.Instances, terms.CounterEnabled, terms.OverloadMultiple = me, 60, false, 4
@@ -1064,27 +1065,27 @@
 			warm = append(warm, BackendID(10+b))
 		}
 		d := newDesk(t, terms, ready(warm...)...)
-		for n := 0; d.now < 1025*sec; n++ {
-			x := d.take(RequestID(n), 0, 0, TenantID(n), 2*sec, 1)
-			d.pass(100 * ms)
-			if len(x.shots) > 0 && d.now < 1020*sec { // from then on nobody answers
+		for n := 0; d.now < 1025*second; n++ {
+			x := d.take(RequestID(n), 0, 0, TenantID(n), 2*second, 1)
+			d.pass(100 * millisecond)
+			if len(x.shots) > 0 && d.now < 1020*second { // from then on nobody answers
 				d.settle(x, 0, Succeeded)
 			}
-			d.pass(100 * ms)
-			if d.now >= 1020*sec && len(d.state) == 20 {
-				d.list(Delta, Endpoint{Backend: 3, State: EndpointReady, Capacity: 1, StartedAt: 1019 * sec})
+			d.pass(100 * millisecond)
+			if d.now >= 1020*second && len(d.state) == 20 {
+				d.list(Delta, Endpoint{Backend: 3, State: EndpointReady, Capacity: 1, StartedAt: 1019 * second})
 			}
 		}
 		sent += len(d.sends[3])
 		for _, at := range d.sends[3] {
-			second[at/sec]++
+			sentIn[at/second]++
 		}
 	}
 	// It bears four times a share, from 0.2 to 0.7, of the 15 a second that a warm one was seen to answer.
 	if sent < 15 || sent > 60 { // nine with a budget that a jam takes away, eleven if first turns wait
 		t.Errorf("sixty doors sent a cold backend %d shots", sent)
 	}
-	for at, n := range second {
+	for at, n := range sentIn {
 		if can := 4 * (0.2 + 0.08*float64(at-1019)) * 15; n > can {
 			t.Errorf("rule 4: %.0f shots in second %d, of %.0f", n, at, can)
 		}
@@ -1094,37 +1095,37 @@
 // Failure: of the turns that doors of a large fleet have at a cold backend most were lost, since few had something to
 // send in the moment of their turn; and where the warm ones were full, so that all seemed slow, none was used.
 func TestMostTurnsAtAColdBackendAreUsed(t *testing.T) {
-	sent, second := 0, map[int64]float64{}
+	sent, sentIn := 0, map[int64]float64{}
 	for me := range 80 {
 		terms := plainTerms()
 		terms.InstanceIndex, terms.Instances, terms.CounterEnabled, terms.OverloadMultiple = me, 80, false, 4
-		terms.OverloadWindow, terms.SlowStartDuration = 2*sec, 20*sec
+		terms.OverloadWindow, terms.SlowStartDuration = 2*second, 20*second
 		d := newDesk(t, terms, ready(10, 11, 12, 13, 14, 15, 16, 17)...)
-		d.pass(int64(me) * 5 * ms)
-		for n := 0; d.now < 1035*sec; n++ {
-			x := d.take(RequestID(n), 0, 0, TenantID(n), 2*sec, 1)
-			if d.pass(200 * ms); len(x.shots) > 0 {
+		d.pass(int64(me) * 5 * millisecond)
+		for n := 0; d.now < 1035*second; n++ {
+			x := d.take(RequestID(n), 0, 0, TenantID(n), 2*second, 1)
+			if d.pass(200 * millisecond); len(x.shots) > 0 {
 				d.settle(x, 0, Succeeded)
 			}
-			d.pass(200 * ms)
-			if len(d.state) == 8 && d.now >= 1019*sec {
-				d.list(Delta, Endpoint{Backend: 3, State: EndpointReady, Capacity: 1, StartedAt: 1019 * sec})
+			d.pass(200 * millisecond)
+			if len(d.state) == 8 && d.now >= 1019*second {
+				d.list(Delta, Endpoint{Backend: 3, State: EndpointReady, Capacity: 1, StartedAt: 1019 * second})
 			}
-			if d.now >= 1025*sec { // a jam: as if all had answered late
-				d.g.all.value = 0.45 * float64(sec)
+			if d.now >= 1025*second { // a jam: as if all had answered late
+				d.g.latency.Value = 0.45 * float64(second)
 			}
 		}
 		for _, at := range d.sends[3] {
-			second[at/sec]++
+			sentIn[at/second]++
 			sent++
 		}
 	}
 	if sent < 150 { // fifteen as it was
 		t.Errorf("eighty doors sent a cold backend %d shots", sent)
 	}
-	for at, n := range second {
+	for at, n := range sentIn {
 		// Half of four times the share, from 0.2 to 0.76, of the 25 a second that a warm one answers, in two seconds.
-		if n += second[at+1]; n > 4*(0.2+0.04*float64(max(at-1021, 0)))*25 {
+		if n += sentIn[at+1]; n > 4*(0.2+0.04*float64(max(at-1021, 0)))*25 {
 			t.Errorf("rule 4: %.0f shots in the two seconds from %d on", n, at)
 		}
 	}
@@ -1135,12 +1136,12 @@
 func TestAQuestionIsCountedAndNothingIsSent(t *testing.T) {
 	for _, o := range []Outcome{Succeeded, ConnectFailed} {
 		terms := plainTerms()
-		terms.Classes = append(terms.Classes, ClassSettings{LatencyObjective: sec, Deadline: 2 * sec, CheckOnly: true})
+		terms.Classes = append(terms.Classes, ClassSettings{LatencyObjective: second, Deadline: 2 * second, CheckOnly: true})
 		question := ClassID(len(terms.Classes) - 1)
 		d := newDesk(t, terms) // no backend is ready, which is nothing to a question
 		ends := map[string]int{}
 		for n := range 40 {
-			x := d.take(RequestID(n), question, 0, 1, 2*sec, 1)
+			x := d.take(RequestID(n), question, 0, 1, 2*second, 1)
 			for len(d.asked) > 0 {
 				d.answer(o)
 			}
@@ -1177,12 +1178,12 @@
 	d := newDesk(t, terms, ready(1, 2, 3)...)
 	for n := range 200 { // forty seconds, always beyond the share of half
 		admit(d, 10*n, 2, 1, ConnectFailed)
-		d.pass(200 * ms)
+		d.pass(200 * millisecond)
 	}
 	clear(d.counter)
 	for n := range 60 { // the trial closes the breaker
 		admit(d, 10000+10*n, 1, TenantID(10+n), Succeeded)
-		d.pass(40 * ms)
+		d.pass(40 * millisecond)
 	}
 	if in := admit(d, 20000, 60, 1, Succeeded); in > 25 {
 		t.Errorf("%d let in at once after an outage through which the customer used all it could", in)
@@ -1194,10 +1195,10 @@
 	d := newDesk(t, plainTerms(), ready(1, 2, 3)...)
 	in := 0
 	alone := func(id RequestID, o Outcome) {
-		x := &taken{customer: 1, units: 1, entries: 1, limit: d.now + 2*sec, profile: d.terms.Classes[0], plan: d.terms.Plans[0]}
+		x := &taken{customer: 1, units: 1, entries: 1, limit: d.now + 2*second, profile: d.terms.Classes[0], plan: d.terms.Plans[0]}
 		d.taken[id] = x
 		d.order = append(d.order, id)
-		x.h = d.g.Submit(d.now, RequestSpec{ID: id, Tenant: 1, Remaining: 2 * sec, Units: 1, EntryPoints: 1})
+		x.h = d.g.Submit(d.now, RequestSpec{ID: id, Tenant: 1, Remaining: 2 * second, Units: 1, EntryPoints: 1})
 		for len(d.asked) > 0 {
 			d.answer(o)
 		}
@@ -1208,12 +1209,12 @@
 	}
 	for n := range 200 { // twenty seconds with the counter
 		alone(RequestID(n), Succeeded)
-		d.pass(100 * ms)
+		d.pass(100 * millisecond)
 	}
 	in = 0
 	for n := range 600 { // a minute, ten tries a second for five
 		alone(RequestID(1000+n), ConnectFailed)
-		d.pass(100 * ms)
+		d.pass(100 * millisecond)
 	}
 	if in < 295 || in > 312 {
 		t.Errorf("%d let in through a minute of a rate of 5 a second and a burst of 10", in)
@@ -1228,7 +1229,7 @@
 	d := newDesk(t, terms, ready(1, 2, 3)...)
 	chance, sum, n := rand.New(rand.NewPCG(5, 5)), 0.0, 0
 	for id := range 800 {
-		x := d.take(RequestID(id), 0, 0, 1, 2*sec, 1)
+		x := d.take(RequestID(id), 0, 0, 1, 2*second, 1)
 		for len(d.asked) > 0 {
 			k := d.asked[0] // the other door's, as many on the mean, came before it
 			for chance.Float64() < 0.5 {
@@ -1239,9 +1240,9 @@
 		if len(x.shots) > 0 {
 			d.settle(x, 0, Succeeded)
 		}
-		d.pass(int64(chance.ExpFloat64() * float64(400*ms)))
+		d.pass(int64(chance.ExpFloat64() * float64(400*millisecond)))
 		if id > 100 {
-			sum, n = sum+d.g.customers[1].part(2), n+1
+			sum, n = sum+d.g.tenants[1].trafficShare(2), n+1
 		}
 	}
 	if part := sum / float64(n); part < 0.48 || part > 0.515 {
@@ -1254,11 +1255,11 @@
 func TestLearnedStateIsAged(t *testing.T) {
 	old := newDesk(t, plainTerms(), ready(1, 2, 3)...)
 	for n := range 60 {
-		x := old.take(RequestID(n), 0, 0, TenantID(n), 2*sec, 1)
+		x := old.take(RequestID(n), 0, 0, TenantID(n), 2*second, 1)
 		for len(old.asked) > 0 {
 			old.answer(Succeeded)
 		}
-		old.pass(20 * ms)
+		old.pass(20 * millisecond)
 		if len(x.shots) > 0 {
 			old.settle(x, 0, Succeeded)
 		}
@@ -1267,26 +1268,26 @@
 	if len(l.Backends) < 2 || l.BaselineLatency < 15e6 || l.BaselineLatency > 30e6 {
 		t.Fatalf("%+v", l)
 	}
-	for age, want := range map[int64]float64{0: 1, 600 * sec: 0.5, 6 * 3600 * sec: 1e-9} {
+	for age, want := range map[int64]float64{0: 1, 600 * second: 0.5, 6 * 3600 * second: 1e-9} {
 		d := newDesk(t, plainTerms(), ready(1, 2)...)
-		d.list(Delta, Endpoint{Backend: 3, Capacity: 1, State: EndpointReady, StartedAt: d.now - 60*sec})
+		d.list(Delta, Endpoint{Backend: 3, Capacity: 1, State: EndpointReady, StartedAt: d.now - 60*second})
 		d.g.ImportState(d.now, l, age)
-		if got := d.g.all.count / l.Samples; math.Abs(got-want) > 0.01 {
-			t.Errorf("after %d s all together count for %.4f, want %.4f", age/sec, got, want)
+		if got := d.g.latency.Count / l.Samples; math.Abs(got-want) > 0.01 {
+			t.Errorf("after %d s all together count for %.4f, want %.4f", age/second, got, want)
 		}
-		if one := d.g.backends[1].pace.count; (age == 0) != (one > 0.5) {
-			t.Errorf("after %d s a backend's own time counts for %.4f answers", age/sec, one)
+		if one := d.g.backends[1].latency.Count; (age == 0) != (one > 0.5) {
+			t.Errorf("after %d s a backend's own time counts for %.4f answers", age/second, one)
 		}
-		if d.g.backends[3].pace.count != 0 {
+		if d.g.backends[3].latency.Count != 0 {
 			t.Error("a backend that was started anew is taken for known")
 		}
-		if d.g.quick != 0 || d.g.firsts != 0 || d.g.can != 0 {
+		if d.g.baselineLatency.Value != 0 || d.g.baselineLatency.Count != 0 || d.g.peakBackendThroughput != 0 {
 			t.Error("the budget of cold backends rests on an earlier life")
 		}
 	}
 	d := newDesk(t, plainTerms(), ready(1, 2, 3)...)
 	d.g.ImportState(d.now, WarmStartState{BaselineLatency: math.NaN(), Samples: 1e9, Backends: []BackendWarmStart{{Backend: 1, BaselineLatency: -4, Samples: 9}, {Backend: 99}}}, -5)
-	if d.g.all.count != 0 || d.g.backends[1].pace.count != 0 {
+	if d.g.latency.Count != 0 || d.g.backends[1].latency.Count != 0 {
 		t.Error("figures out of range were taken")
 	}
 }
--- /dev/null
+++ b/policy/retry.go
@@ -0,0 +1,200 @@
+package policy
+
+import "slices"
+
+// dispatch sends an attempt to the best backend, or gives the request up: the client may find room elsewhere.
+func (r *Request) dispatch(now int64) {
+	if r.class.CheckOnly {
+		r.withinQuota, r.hardQuotaUnits = false, 0 // nothing is sent, and what was counted stays
+		r.finish()
+		r.engine.effects.Admit(r.id)
+	} else if b := r.engine.pickBackend(now, r, 1); b == nil || !r.sendAttempt(now, b) {
+		r.giveUp(now, r.class.LatencyObjective/8) // early enough for another try within the objective
+	}
+}
+
+// lastUsefulSend is the latest time at which an attempt is still worth sending.
+func (r *Request) lastUsefulSend() int64 {
+	if r.class.LateValue > 0 {
+		return r.deadline - millisecond
+	}
+	return r.objectiveAt - r.class.LatencyObjective/10 // the quickest answers take about that
+}
+
+// mayAttempt reports whether an attempt may go to a backend: rules 1 to 4 are checked here and nowhere else.
+func (r *Request) mayAttempt(now int64, b *backend) bool {
+	s := &r.engine.settings
+	if r.finished || r.responseStarted || now >= r.deadline || len(r.attempts) >= s.MaxAttempts || !b.ready ||
+		r.inFlight > 0 && !s.Hedging {
+		return false
+	}
+	for _, a := range r.attempts {
+		if a.mayHaveRun && !r.class.mayRepeat(now, a, b) {
+			return false
+		}
+	}
+	return r.slowStartAllows(now, b)
+}
+
+// mayRepeat reports whether a backend may get a request whose earlier attempt may have run.
+func (c *class) mayRepeat(now int64, earlier *attempt, b *backend) bool {
+	known := now < earlier.sentAt+c.DedupWindow && // by the backend, as a repeat
+		(c.DedupScope != DedupByZone || earlier.zone == b.zone) &&
+		(c.DedupScope != DedupByGroup || earlier.group == b.group)
+	return c.Idempotency != NonIdempotent && (c.Idempotency != IdempotentWithKey || known)
+}
+
+// rejectionIsSafe reports whether a rejection may promise that trying again does no harm.
+func (r *Request) rejectionIsSafe() bool {
+	c := r.class
+	return c.Idempotency == Idempotent || c.Idempotency == IdempotentWithKey && c.DedupScope == DedupByAll ||
+		!slices.ContainsFunc(r.attempts, func(a *attempt) bool { return a.mayHaveRun })
+}
+
+// attemptTimeout is when an attempt is overdue: few take five times the usual for their units; a jam must
+// show by seven tenths of the latency objective.
+func (r *Request) attemptTimeout() int64 {
+	e, objective := r.engine, r.class.LatencyObjective
+	timeout := max(int64(5*e.latency.Value*e.relativeCost(r.units)), objective*4/10)
+	return min(timeout, objective*7/10)
+}
+
+// sendAttempt is the only place that sends.
+func (r *Request) sendAttempt(now int64, b *backend) bool {
+	if !r.mayAttempt(now, b) {
+		return false
+	}
+	e, s, id := r.engine, &r.engine.settings, len(r.attempts)
+	// A connection may come up late: the backend may have forgotten an earlier attempt's key by then.
+	beginBefore := r.deadline
+	for _, a := range r.attempts {
+		if a.mayHaveRun && r.class.Idempotency == IdempotentWithKey {
+			beginBefore = min(beginBefore, a.sentAt+r.class.DedupWindow)
+		}
+	}
+	a := r.addAttempt(now, b)
+	a.baselineSample = e.attemptsSent < baselineSamples
+	e.attemptsSent++
+	b.lastSentAt = now
+	if e.warmingUp(now, b) {
+		b.lastSlowStartAt = now
+	}
+	timeout, expireAt := r.attemptTimeout(), int64(0)
+	if !s.Hedging && !s.Cancellation && r.class.Idempotency != NonIdempotent && len(r.attempts) < s.MaxAttempts {
+		// Nothing else makes room for another attempt; beyond seven tenths too little time is left for one.
+		expireAt = now + timeout
+	}
+	e.effects.Send(r.id, b.id, expireAt, beginBefore)
+	e.schedule(now+timeout, &a.inFlight, func(now int64) { r.handleOverdue(now, id) })
+	return true
+}
+
+// handleOverdue asks whether an attempt that takes long is stalled: its backend has answered nothing since.
+func (r *Request) handleOverdue(now int64, id int) {
+	e, a := r.engine, r.attempts[id]
+	a.overdue = true
+	usual := e.latency.Value * e.relativeCost(r.units)
+	e.promptInFlight--
+	if r.finished || r.responseStarted {
+		return
+	}
+	elapsed := float64(now - a.sentAt)
+	e.measure(a.backend, elapsed/e.relativeCost(r.units), a.concurrency) // a jam shows here before its answers come
+	if a.backend.lastAnswerAt > a.sentAt || elapsed < 5*usual {
+		return
+	}
+	e.eject(now, a.backend)
+	switch b := e.pickBackend(now, r, 1); {
+	case r.inFlight > 1 || now >= r.lastUsefulSend() || !r.rejectionIsSafe():
+	case e.settings.Hedging && b != nil && b != a.backend:
+		r.sendAttempt(now, b)
+	case !e.settings.Hedging && e.settings.Cancellation && len(r.attempts) < e.settings.MaxAttempts:
+		e.effects.Cancel(r.id, AttemptID(id))
+	}
+}
+
+// HandleAttemptResult brings how an attempt ended.
+func (r *Request) HandleAttemptResult(now int64, result AttemptResult) {
+	if int(result.Attempt) >= len(r.attempts) || !r.attempts[result.Attempt].inFlight {
+		return
+	}
+	e, t, a := r.engine, r.tenant, r.attempts[result.Attempt]
+	r.removeAttempt(a, result.Outcome)
+	r.learnFromResult(now, a, &result)
+	if result.Outcome == Succeeded && e.settings.PostPaid && result.TrueUnits > 0 && r.withinQuota {
+		t.unreported += result.TrueUnits - r.units // goes along with the next call
+		t.localUsage.Units += result.TrueUnits - r.units
+	}
+	r.proceed(now, &result)
+	if t.hasStaleInFlight(now) && e.breaker.state == breakerClosed && e.mayCallCounter(now) {
+		e.count(now, t, nil, 0, 0)
+	}
+}
+
+// proceed decides what follows on an attempt's end.
+func (r *Request) proceed(now int64, result *AttemptResult) {
+	switch {
+	case r.finished:
+	case result.RequestDone || result.Outcome == Succeeded:
+		r.plan.leaverShare.Add(0, 20)
+		r.finish()
+	case r.inFlight > 0:
+	case result.Outcome == NotSent || r.responseStarted || now >= r.lastUsefulSend():
+		r.giveUp(now, r.class.LatencyObjective/8)
+	default:
+		r.dispatch(now)
+	}
+}
+
+// HandleClientGone says that the client is gone: no answer is due any more.
+func (r *Request) HandleClientGone(now int64) {
+	if r.finished {
+		return
+	}
+	if now < r.deadline-10*millisecond { // else its time was over
+		r.plan.leaverShare.Add(1, 20)
+		r.plan.leaverPatience.Add(float64(now-r.submittedAt), 20)
+	}
+	r.finish()
+}
+
+// giveUp is the only place that gives a final answer without a success: a rejection where that may promise no
+// harm, with the time to come back after, or else an abort.
+func (r *Request) giveUp(now, retryAfter int64) {
+	if r.finished {
+		return
+	}
+	r.finish()
+	e := r.engine
+	if !r.rejectionIsSafe() {
+		e.effects.Abort(r.id)
+		return
+	}
+	var advised int64
+	if e.settings.RetryAfter {
+		// Spread over a quarter more, so that those rejected together do not come back together.
+		spread := int64(float64(retryAfter) * e.random.Float64() / 4)
+		advised = min(retryAfter+spread, e.settings.MaxRetryAfter)
+	}
+	e.effects.Reject(r.id, max(advised, 0))
+}
+
+// finish gives back what the request holds, and cancels the attempts that no client waits for.
+func (r *Request) finish() {
+	if r.waitingForCounter {
+		r.tenant.waiting--
+	}
+	r.finished, r.waitingForCounter = true, false
+	if len(r.attempts) == 0 {
+		r.tenant.hardQuota.Units += r.hardQuotaUnits
+		if r.withinQuota {
+			r.tenant.unreported -= r.units
+			r.tenant.localUsage.Units -= r.units
+		}
+	}
+	for id, a := range r.attempts {
+		if a.inFlight && r.engine.settings.Cancellation && !r.responseStarted {
+			r.engine.effects.Cancel(r.id, AttemptID(id))
+		}
+	}
+}
--- /dev/null
+++ b/policy/status.go
@@ -0,0 +1,103 @@
+package policy
+
+import "fawnplank/internal/nanos"
+
+// QuotaStatus is what this instance knows of a tenant's quota, for those who ask without counting.
+type QuotaStatus struct {
+	Limit         float64 // units that the quota holds when it is full; 0: the plan has none
+	Rate          float64 // units a second that it refills by
+	Used          float64 // units used and not refilled yet
+	FromCounter   bool    // the counter reported this window; else the numbers are those of the local share
+	HardQuotaLeft float64 // units left of this instance's part of the hard quota; -1: the plan has none
+}
+
+// QuotaStatus returns what is known of a tenant's quota now, and counts nothing. ok is false for a plan out
+// of range.
+func (e *Engine) QuotaStatus(now int64, id TenantID, planID PlanID, entryPoints int) (status QuotaStatus, ok bool) {
+	if int(planID) >= len(e.plans) {
+		return QuotaStatus{}, false
+	}
+	p := &e.plans[planID]
+	parts := float64(max(entryPoints, 1))
+	status = QuotaStatus{Limit: p.quota, Rate: p.Rate, HardQuotaLeft: -1}
+	if p.HardQuotaRate > 0 {
+		status.HardQuotaLeft = p.HardQuotaBurst / parts
+	}
+	t := e.tenants[id]
+	if t == nil || t.plan != p {
+		return status, true
+	}
+	if p.HardQuotaRate > 0 {
+		refill := nanos.Seconds(now-t.hardQuota.UpdatedAt) * p.HardQuotaRate / parts
+		status.HardQuotaLeft = min(t.hardQuota.Units+refill, status.HardQuotaLeft)
+	}
+	if e.breaker.state != breakerClosed || t.window.counterTotal == 0 && t.window.total == 0 {
+		status.Used = t.localUsage.UnrefilledAt(now, t.trafficShare(parts), p.Rate)
+	} else {
+		status.Used = max(t.window.total+t.unreported-nanos.Accrued(p.Rate, now-t.window.start), 0)
+		status.FromCounter = t.window.counterTotal > 0
+	}
+	return status, true
+}
+
+// BreakerStatus reports whether calls to the counter are stopped, and else which share of the requests makes
+// one.
+func (e *Engine) BreakerStatus() (open bool, callShare float64) {
+	return e.breaker.state != breakerClosed, e.breaker.callShare
+}
+
+// CounterStats are statistics on the counter's failures, as this instance met them.
+type CounterStats struct {
+	BreakerOpen     bool    // calls are stopped
+	CallShare       float64 // share of the requests that make a call otherwise
+	UnreportedUnits float64 // units admitted and not reported yet, of all tenants
+	LostUnits       float64 // units that the counts are known to lack, of all tenants
+	ReconciledUnits float64 // units that were added to the counts for lost ones, of all tenants remembered
+	DriftUnits      float64 // units by which the instances may differ from one count: unreported and lost together
+	Tenants         int     // remembered
+}
+
+// CounterStats returns the statistics of now.
+func (e *Engine) CounterStats() CounterStats {
+	stats := CounterStats{Tenants: len(e.tenants)}
+	stats.BreakerOpen, stats.CallShare = e.BreakerStatus()
+	for _, t := range e.tenants {
+		stats.UnreportedUnits += max(t.unreported, 0)
+		stats.LostUnits += max(t.window.lostUnits, 0)
+		stats.ReconciledUnits += max(t.window.reconciled, 0)
+	}
+	stats.DriftUnits = stats.UnreportedUnits + stats.LostUnits
+	return stats
+}
+
+// WarmStartState is what an instance knows of the backends' answer times, for the one that is started after
+// it.
+type WarmStartState struct {
+	BaselineLatency float64            `json:"usual_ns"` // of all together
+	Samples         float64            `json:"count"`    // of answers that stand behind it
+	Backends        []BackendWarmStart `json:"backends"`
+}
+
+// BackendWarmStart is one backend's part.
+type BackendWarmStart struct {
+	Backend         BackendID `json:"backend"`
+	StartedAt       int64     `json:"started"` // of the incarnation that was measured
+	BaselineLatency float64   `json:"usual_ns"`
+	Samples         float64   `json:"count"`
+}
+
+// ExportState returns what is known of the listed backends.
+func (e *Engine) ExportState() WarmStartState {
+	state := WarmStartState{BaselineLatency: e.latency.Value, Samples: e.latency.Count}
+	for _, b := range e.endpoints {
+		if b.latency.Count > 0 {
+			state.Backends = append(state.Backends, BackendWarmStart{
+				Backend:         b.id,
+				StartedAt:       b.startedAt,
+				BaselineLatency: b.latency.Value,
+				Samples:         b.latency.Count,
+			})
+		}
+	}
+	return state
+}
--- /dev/null
+++ b/policy/types.go
@@ -0,0 +1,159 @@
+package policy
+
+import "strconv"
+
+// Each kind of id is a type of its own. Ids say nothing beyond being equal or not.
+type (
+	// RequestID names a request.
+	RequestID uint64
+	// BackendID names a backend.
+	BackendID uint32
+	// TenantID names a tenant.
+	TenantID uint64
+	// CounterKey names a count on the counter.
+	CounterKey uint64
+	// ClassID is an index into Settings.Classes.
+	ClassID uint16
+	// PlanID is an index into Settings.Plans.
+	PlanID uint32
+	// ZoneID names a zone.
+	ZoneID uint16
+	// GroupID names a group of backends that know each other's idempotency keys.
+	GroupID uint16
+	// AttemptID numbers a request's attempts from 0 in the order in which they were sent.
+	AttemptID uint8
+)
+
+// Outcome is how an attempt, a health check or a call to the counter ended.
+type Outcome uint8
+
+// The outcomes.
+const (
+	Succeeded      Outcome = iota
+	Failed                 // answered with an error; may have run
+	Rejected               // turned away unseen; did not run
+	TimedOut               // no answer in time; may have run
+	ConnectFailed          // no connection; did not run
+	ConnectionLost         // the connection broke; may have run
+	Canceled               // canceled by an effect; may have run
+	NotSent                // never sent
+)
+
+func (o Outcome) String() string {
+	return enumName(int(o), "succeeded", "failed", "rejected", "timed out", "connect failed", "connection lost",
+		"canceled", "not sent")
+}
+
+// mayHaveRun reports whether a backend may have run an attempt that ended like this.
+func (o Outcome) mayHaveRun() bool { return o != Rejected && o != ConnectFailed && o != NotSent }
+
+// Idempotency is what running a request twice does.
+type Idempotency uint8
+
+// The kinds of idempotency.
+const (
+	Idempotent        Idempotency = iota // may run again
+	IdempotentWithKey                    // repeats are known by their key, within the dedup scope and window
+	NonIdempotent                        // must never run twice
+)
+
+func (i Idempotency) String() string {
+	return enumName(int(i), "idempotent", "idempotent with key", "non-idempotent")
+}
+
+// DedupScope is which backends know the repeats of a request with an idempotency key.
+type DedupScope uint8
+
+// The dedup scopes.
+const (
+	DedupByAll DedupScope = iota
+	DedupByZone
+	DedupByGroup
+)
+
+func (s DedupScope) String() string { return enumName(int(s), "all", "zone", "group") }
+
+// EndpointState is where a backend is in its life.
+type EndpointState uint8
+
+// The states of an endpoint.
+const (
+	EndpointDraining EndpointState = iota
+	EndpointReady
+	EndpointGone
+)
+
+func (s EndpointState) String() string { return enumName(int(s), "draining", "ready", "gone") }
+
+// UpdateKind is how endpoints came.
+type UpdateKind uint8
+
+// The kinds of update.
+const (
+	Delta UpdateKind = iota
+	FullSnapshot
+	CachedSnapshot
+	UpdateFailed
+)
+
+func (k UpdateKind) String() string {
+	return enumName(int(k), "delta", "full snapshot", "cached snapshot", "update failed")
+}
+
+// FallbackMode is how a class decides while the counter gives no answer.
+type FallbackMode uint8
+
+// The fallback modes.
+const (
+	LocalShare FallbackMode = iota // by the instance's own share of the quota
+	FailOpen                       // admits everything
+	FailClosed                     // rejects everything
+)
+
+func (m FallbackMode) String() string {
+	return enumName(int(m), "local share", "fail open", "fail closed")
+}
+
+// enumName returns the name of a value, or its number where there is no such value.
+func enumName(value int, names ...string) string {
+	if value < len(names) {
+		return names[value]
+	}
+	return strconv.Itoa(value)
+}
+
+// Endpoint is one line of the list of backends.
+type Endpoint struct {
+	Backend   BackendID
+	Zone      ZoneID
+	Group     GroupID
+	Capacity  float64 // what it is stated to bear, relative to the others
+	State     EndpointState
+	StartedAt int64 // 0: long ago
+}
+
+// RequestSpec is one request as it arrives.
+type RequestSpec struct {
+	ID     RequestID
+	Class  ClassID
+	Plan   PlanID
+	Tenant TenantID
+	// Remaining is the time until the client gives up, in nanoseconds.
+	Remaining int64
+	Units     float64
+	// The tenant's requests come in through EntryPoints instances in a row, from FirstInstance on.
+	EntryPoints   int
+	FirstInstance int
+}
+
+// AttemptResult is how an attempt ended.
+type AttemptResult struct {
+	Attempt AttemptID
+	Outcome Outcome
+	// Elapsed is the time since the attempt was sent, in nanoseconds.
+	Elapsed int64
+	// RequestDone says that the client has its answer: no other attempt can follow.
+	RequestDone bool
+	// TrueUnits is what the request really counted, where that is known only afterwards; else 0.
+	TrueUnits float64
+}
