--- /dev/null
+++ b/internal/dispatch/dispatcher_test.go
@@ -0,0 +1,78 @@
+package dispatch
+
+import (
+	"testing"
+	"time"
+
+	"fawnplank/policy"
+)
+
+// TestDispatcher_UpdateEndpointsCancelsWaitingAttempts: an attempt that waits for its connection when its
+// backend begins to drain must not be written, since connecting may take longer than the drain's grace.
+func TestDispatcher_UpdateEndpointsCancelsWaitingAttempts(t *testing.T) {
+	for name, update := range map[string]func(n *fakeNetwork, backend policy.BackendID){
+		"draining": func(n *fakeNetwork, backend policy.BackendID) {
+			n.updateEndpoints(policy.Delta, policy.Endpoint{Backend: backend, State: policy.EndpointDraining})
+		},
+		"gone": func(n *fakeNetwork, backend policy.BackendID) {
+			n.updateEndpoints(policy.Delta, policy.Endpoint{Backend: backend, State: policy.EndpointGone})
+		},
+		"not listed": func(n *fakeNetwork, backend policy.BackendID) {
+			other := policy.Endpoint{Backend: 3 - backend, State: policy.EndpointReady}
+			n.updateEndpoints(policy.FullSnapshot, other)
+		},
+	} {
+		t.Run(name, func(t *testing.T) {
+			withNetwork(t, 1, testSettings, func(n *fakeNetwork) {
+				request := n.submit(0, time.Second)
+				first := request.NextStep().Attempt
+				update(n, first.Backend)
+				if first.Begin(&fakeConn{}) {
+					t.Error("the attempt was started")
+				}
+				if step := request.NextStep(); step.Action != Send || step.Attempt.Backend == first.Backend {
+					t.Errorf("not sent elsewhere: %+v", step)
+				}
+				request.HandleClientGone()
+			})
+		})
+	}
+}
+
+// TestDispatcher_PanicReleasesLock: after a panic of the engine other connections go on.
+func TestDispatcher_PanicReleasesLock(t *testing.T) {
+	withNetwork(t, 1, testSettings, func(n *fakeNetwork) {
+		func() {
+			defer func() {
+				if recover() == nil {
+					t.Error("no panic")
+				}
+			}()
+			n.dispatcher.do(func(int64) { panic("broken") })
+		}()
+		request := n.submit(0, time.Second)
+		if step := request.NextStep(); step.Action != Send {
+			t.Errorf("%+v", step)
+		}
+		request.HandleClientGone()
+	})
+}
+
+// TestDispatcher_PollsEndpoints: where endpoints are polled for, they are at the start, and again after a
+// failure.
+func TestDispatcher_PollsEndpoints(t *testing.T) {
+	settings := testSettings
+	settings.PollEndpoints = true
+	settings.PollTimeout = 10e9
+	withNetwork(t, 1, settings, func(n *fakeNetwork) {
+		time.Sleep(500 * time.Millisecond) // far more than a few instances take to ask one after another
+		if got := n.watches.Load(); got != 1 {
+			t.Errorf("asked %d times", got)
+		}
+		n.dispatcher.UpdateEndpoints(policy.UpdateFailed, nil)
+		time.Sleep(2 * time.Second)
+		if got := n.watches.Load(); got != 2 {
+			t.Errorf("asked %d times", got)
+		}
+	})
+}
--- /dev/null
+++ b/internal/dispatch/effects.go
@@ -0,0 +1,96 @@
+package dispatch
+
+import (
+	"time"
+
+	"fawnplank/internal/logging"
+	"fawnplank/policy"
+)
+
+// effects is the dispatcher as the engine sees it. The engine calls it within its own calls, so the
+// dispatcher's lock is held, and nothing here may block or call back. Times are Unix time in nanoseconds, as
+// in all of policy.
+type effects struct {
+	dispatcher *Dispatcher
+}
+
+var _ policy.Effects = effects{}
+
+// Send makes an attempt and hands it to the request's owner. One too many is not sent, which the engine hears
+// of once its call has returned.
+func (e effects) Send(id policy.RequestID, backend policy.BackendID, expiresAt, startBefore int64) {
+	d := e.dispatcher
+	request := d.requests[id]
+	if expiresAt <= 0 {
+		expiresAt = request.deadlineNanos
+	}
+	attempt := &Attempt{
+		Backend:          backend,
+		request:          request,
+		id:               policy.AttemptID(len(request.attempts)),
+		createdNanos:     d.now(),
+		deadlineNanos:    min(request.deadlineNanos, expiresAt),
+		startBeforeNanos: startBefore,
+	}
+	request.attempts = append(request.attempts, attempt)
+	if len(request.steps) == maxPendingAttempts {
+		attempt.state.store(attemptCanceled)
+		d.noteEnded(attempt, policy.NotSent)
+		return
+	}
+	d.timers.Push(attempt.deadlineNanos, timer{kind: resultDeadline, attempt: attempt})
+	if startBefore < attempt.deadlineNanos {
+		d.timers.Push(startBefore, timer{kind: startDeadline, attempt: attempt})
+	}
+	request.steps <- attempt
+}
+
+// Cancel cancels an attempt, if it is still out.
+func (e effects) Cancel(id policy.RequestID, number policy.AttemptID) {
+	request := e.dispatcher.requests[id]
+	if request == nil || int(number) >= len(request.attempts) {
+		return
+	}
+	request.attempts[number].cancel(policy.Canceled)
+}
+
+// Reject ends a request with a promise that nothing ran.
+func (e effects) Reject(id policy.RequestID, retryAfterNanos int64) {
+	e.dispatcher.requests[id].finish(Step{Action: Reject, RetryAfter: time.Duration(retryAfterNanos)})
+}
+
+// Abort ends a request with no promise.
+func (e effects) Abort(id policy.RequestID) {
+	e.dispatcher.requests[id].finish(Step{Action: Abort})
+}
+
+// Admit ends a request of a class that only counts.
+func (e effects) Admit(id policy.RequestID) {
+	e.dispatcher.requests[id].finish(Step{Action: Admit})
+}
+
+// WakeAt sets a timer for a call of Engine.HandleTimer. A mark other than 0 makes the earlier wake-ups with a
+// mark obsolete.
+func (e effects) WakeAt(at int64, mark uint64) {
+	if mark != 0 {
+		e.dispatcher.wakeMark = mark
+	}
+	e.dispatcher.timers.Push(at, timer{kind: wakeUp, mark: mark})
+}
+
+// AddToCounter hands a call to the counter, which is flushed when the engine's call has returned.
+func (e effects) AddToCounter(key policy.CounterKey, units float64, lifetimeNanos int64) {
+	e.dispatcher.counter.Add(key, units, time.Duration(lifetimeNanos))
+	e.dispatcher.counterCalled = true
+}
+
+// CheckHealth notes a health check, which is made when the engine's call has returned.
+func (e effects) CheckHealth(backend policy.BackendID) {
+	e.dispatcher.healthChecksOf = append(e.dispatcher.healthChecksOf, backend)
+}
+
+// WatchEndpoints asks for the list of backends.
+func (e effects) WatchEndpoints() { e.dispatcher.endpointWatcher.WatchEndpoints() }
+
+// Log writes a warning of the engine's.
+func (e effects) Log(text string) { logging.For("policy").Warn(text) }
--- /dev/null
+++ b/internal/dispatch/errors_test.go
@@ -0,0 +1,26 @@
+package dispatch
+
+import (
+	"errors"
+	"io"
+	"testing"
+
+	"fawnplank/policy"
+)
+
+func TestOutcomeOf(t *testing.T) {
+	for want, errs := range map[policy.Outcome][]error{
+		policy.Succeeded:      {nil},
+		policy.Failed:         {ErrBackendFailed},
+		policy.Rejected:       {ErrRejected, errors.Join(ErrRejected)},
+		policy.TimedOut:       {ErrTimeout},
+		policy.ConnectFailed:  {&NetworkError{Dialing, io.EOF}, &NetworkError{Writing, io.EOF}},
+		policy.ConnectionLost: {&NetworkError{Written, io.EOF}, &NetworkError{Answering, io.EOF}, io.EOF},
+	} {
+		for _, err := range errs {
+			if got := outcomeOf(err); got != want {
+				t.Errorf("%v: %d, wanted %d", err, got, want)
+			}
+		}
+	}
+}
--- /dev/null
+++ b/internal/dispatch/timers.go
@@ -0,0 +1,89 @@
+package dispatch
+
+import (
+	"runtime/debug"
+	"time"
+
+	"fawnplank/internal/logging"
+	"fawnplank/policy"
+)
+
+// timerKind is what is due when a timer expires.
+type timerKind uint8
+
+const (
+	wakeUp         timerKind = iota // the engine asked for a call
+	startDeadline                   // the attempt must have started
+	resultDeadline                  // the attempt's result is not waited for any longer
+)
+
+// timer is an entry of the queue of timers.
+type timer struct {
+	kind    timerKind
+	mark    uint64   // of a wakeUp
+	attempt *Attempt // of the others
+}
+
+// isObsolete reports whether nothing is left to do when the timer expires.
+func (d *Dispatcher) isObsolete(t timer) bool {
+	switch t.kind {
+	case wakeUp:
+		return t.mark != 0 && t.mark != d.wakeMark
+	case startDeadline:
+		return t.attempt.state.load() != attemptWaiting
+	default:
+		return t.attempt.state.load() == attemptSettled
+	}
+}
+
+// setAlarm sets the alarm for the earliest timer that is not obsolete.
+func (d *Dispatcher) setAlarm() {
+	next, ok := d.timers.NextDue(d.isObsolete)
+	if !ok || next == d.alarmAt {
+		return
+	}
+	d.alarmAt = next
+	d.alarm.Reset(time.Duration(next - d.now()))
+}
+
+// runTimers waits for the alarm and does what is due, until Stop.
+func (d *Dispatcher) runTimers() {
+	for {
+		select {
+		case <-d.alarm.C:
+		case <-d.stopped:
+			return
+		}
+		d.expireTimers()
+	}
+}
+
+// expireTimers does what is due. A panic of the engine is logged, and the timers go on.
+func (d *Dispatcher) expireTimers() {
+	defer func() {
+		if reason := recover(); reason != nil {
+			logging.Panicked("dispatch", reason, debug.Stack())
+		}
+	}()
+	d.do(func(now int64) {
+		d.alarmAt = 0
+		for t, ok := d.timers.PopDue(now); ok; t, ok = d.timers.PopDue(d.now()) {
+			d.expire(t)
+		}
+	})
+}
+
+// expire does what one timer is for.
+func (d *Dispatcher) expire(t timer) {
+	if d.isObsolete(t) {
+		return
+	}
+	switch t.kind {
+	case wakeUp:
+		d.engine.HandleTimer(d.now(), t.mark)
+	case startDeadline:
+		t.attempt.cancel(policy.ConnectFailed)
+	default:
+		t.attempt.cancel(policy.TimedOut)
+	}
+}
