--- a/internal/dispatch/attempt.go
+++ b/internal/dispatch/attempt.go
@@ -145,6 +145,12 @@
 	a.state.store(attemptSettled)
 	r := a.request
 	now := r.dispatcher.now()
-	r.engineRequest.HandleAttemptResult(now, a.id, outcome, now-a.createdNanos, r.finished, actualUnits)
+	r.engineRequest.HandleAttemptResult(now, policy.AttemptResult{
+		Attempt:     a.id,
+		Outcome:     outcome,
+		Elapsed:     now - a.createdNanos,
+		RequestDone: r.finished,
+		TrueUnits:   actualUnits,
+	})
 	r.release()
 }
--- a/internal/dispatch/request.go
+++ b/internal/dispatch/request.go
@@ -57,9 +57,9 @@
 	// Timeout is the time until the client gives up.
 	Timeout time.Duration
 	Units   float64
-	// The tenant's requests come in through Entries instances in a row, from FirstEntry on.
-	Entries    int
-	FirstEntry int
+	// The tenant's requests come in through EntryPoints instances in a row, from FirstInstance on.
+	EntryPoints   int
+	FirstInstance int
 }
 
 // Request is a request in flight. The dispatcher's lock guards its fields, but for those that Submit sets,
@@ -86,8 +86,16 @@
 		r.id = d.lastRequest
 		r.deadlineNanos = now + int64(spec.Timeout)
 		d.requests[r.id] = r
-		r.engineRequest = d.engine.Submit(now, r.id, spec.Class, spec.Plan, spec.Tenant,
-			int64(spec.Timeout), spec.Units, spec.Entries, spec.FirstEntry)
+		r.engineRequest = d.engine.Submit(now, policy.RequestSpec{
+			ID:            r.id,
+			Class:         spec.Class,
+			Plan:          spec.Plan,
+			Tenant:        spec.Tenant,
+			Remaining:     int64(spec.Timeout),
+			Units:         spec.Units,
+			EntryPoints:   spec.EntryPoints,
+			FirstInstance: spec.FirstInstance,
+		})
 		r.release()
 	})
 	return r
--- a/internal/limitserver/limitserver_test.go
+++ b/internal/limitserver/limitserver_test.go
@@ -333,7 +333,7 @@
 				let := 0
 				for n := range 1000 {
 					id, units := n%x.customers, 1+n%3
-					tx := a.facade.Submit(dispatch.RequestSpec{Tenant: policy.TenantID(id), Timeout: 750 * time.Millisecond, Units: float64(units), Entries: 2})
+					tx := a.facade.Submit(dispatch.RequestSpec{Tenant: policy.TenantID(id), Timeout: 750 * time.Millisecond, Units: float64(units), EntryPoints: 2})
 					answer := c.ask(t, "LIMIT.CHECK", fmt.Sprintf("%016x", id), "despacho", fmt.Sprint(units))
 					step := tx.NextStep()
 					sent, granted := step.Action == dispatch.Send, strings.HasPrefix(answer, "0")
