--- a/internal/frontend/frontend.go
+++ b/internal/frontend/frontend.go
@@ -809,7 +809,7 @@
 	}
 	c.server.metrics.RequestReceived()
 	k.t = c.server.facade.Submit(dispatch.RequestSpec{Class: pr, Plan: policy.PlanID(plan), Tenant: policy.TenantID(customer),
-		Timeout: time.Duration(left), Units: units, Entries: entries, FirstEntry: first})
+		Timeout: time.Duration(left), Units: units, EntryPoints: entries, FirstInstance: first})
 	go k.serve()
 	return profile, nil
 }
