--- a/cmd/fawnplank/main.go
+++ b/cmd/fawnplank/main.go
@@ -50,7 +50,7 @@
 	if path == "" || to == "" && !dry {
 		return errors.New("migrate: needs --config for the old file, and --output for the new one or --dry-run")
 	}
-	lines, err := config.Migrate(path, shape, to, dry)
+	lines, err := config.Migrate(config.MigrateOptions{From: path, Shape: shape, To: to, DryRun: dry})
 	if err != nil {
 		return err
 	}
--- /dev/null
+++ b/internal/config/billing.go
@@ -0,0 +1,104 @@
+package config
+
+import (
+	"fmt"
+	"net/url"
+	"os"
+	"time"
+
+	"fawnplank/internal/billing"
+	"fawnplank/internal/tomlfile"
+)
+
+// Billing is the section of plan changes, reservations and exported use, on the replicated store.
+type Billing struct {
+	Enabled          bool     `toml:"on"`
+	Window           Duration `toml:"window"`       // of time, whose use is billed together
+	PlanLead         Duration `toml:"lead"`         // from when a plan change is known until it holds
+	ClockSkew        Duration `toml:"clock_skew"`   // between two instances at most
+	ReservationLease Duration `toml:"lease"`        // that a reservation may have at most
+	ExportDelay      Duration `toml:"late"`         // from a window's end until it is exported
+	ReportInterval   Duration `toml:"report_every"` // between two reports of an instance's use
+	ExportFolder     string   `toml:"export_folder"`
+	ExportURL        string   `toml:"export_url"`
+}
+
+const (
+	defaultWindow = Duration(time.Hour)
+	// defaultPlanLead is twice what a write may take while a leader is elected.
+	defaultPlanLead = Duration(10 * time.Second)
+	// defaultClockSkew: clocks kept by NTP differ by far less.
+	defaultClockSkew        = Duration(time.Second)
+	defaultReservationLease = Duration(10 * time.Minute)
+	defaultExportDelay      = Duration(time.Minute)
+	// defaultReportInterval is what an instance that is killed has not reported.
+	defaultReportInterval = Duration(time.Second)
+)
+
+func defaultBilling() Billing {
+	return Billing{
+		Window:           defaultWindow,
+		PlanLead:         defaultPlanLead,
+		ClockSkew:        defaultClockSkew,
+		ReservationLease: defaultReservationLease,
+		ExportDelay:      defaultExportDelay,
+		ReportInterval:   defaultReportInterval,
+	}
+}
+
+// Settings are the accounts' settings, but for the plans.
+func (b Billing) Settings() billing.Settings {
+	return billing.Settings{
+		Window: int64(b.Window),
+		Lead:   int64(b.PlanLead),
+		Skew:   int64(b.ClockSkew),
+		Lease:  int64(b.ReservationLease),
+		Late:   int64(b.ExportDelay),
+	}
+}
+
+// check checks the section.
+func (b *Billing) check(file *tomlfile.File) error {
+	const day = 24 * time.Hour
+	for _, d := range []struct {
+		key      string
+		value    Duration
+		min, max time.Duration
+	}{
+		{key: "window", value: b.Window, min: time.Second, max: 31 * day},
+		{key: "lead", value: b.PlanLead, min: 100 * time.Millisecond, max: day},
+		{key: "clock_skew", value: b.ClockSkew, min: time.Millisecond, max: time.Minute},
+		{key: "lease", value: b.ReservationLease, min: 100 * time.Millisecond, max: day},
+		{key: "late", value: b.ExportDelay, min: 100 * time.Millisecond, max: day},
+		{key: "report_every", value: b.ReportInterval, min: 10 * time.Millisecond, max: time.Minute},
+	} {
+		if value := time.Duration(d.value); value < d.min || value > d.max {
+			return file.KeyError("billing."+d.key, fmt.Sprintf("is not from %v to %v", d.min, d.max))
+		}
+	}
+	return b.checkExport(file)
+}
+
+// checkExport checks that at most one place receives the records, and that it may be one.
+func (b *Billing) checkExport(file *tomlfile.File) error {
+	if b.ExportFolder != "" && b.ExportURL != "" {
+		return file.KeyError("billing.export_url", "stands beside export_folder; one of them receives")
+	}
+	if b.ExportURL != "" && !isHTTPAddress(b.ExportURL) {
+		return file.KeyError("billing.export_url", fmt.Sprintf("is %q, which is no http or https address", b.ExportURL))
+	}
+	if b.ExportFolder != "" && !isFolder(b.ExportFolder) {
+		return file.KeyError("billing.export_folder", fmt.Sprintf("is %q, which is no folder", b.ExportFolder))
+	}
+	return nil
+}
+
+func isHTTPAddress(text string) bool {
+	u, err := url.Parse(text)
+	return err == nil && u.Host != "" && (u.Scheme == "http" || u.Scheme == "https")
+}
+
+func isFolder(path string) bool {
+	info, err := os.Stat(path)
+	return err == nil && info.IsDir()
+}
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,250 +1,214 @@
-// Package config is the one place where configuration is read, checked and given its defaults: what a front
-// door is told at its start (this file) and the terms of its service (terms.go, for the adapter too). Every
-// fault names the key. It must never decide anything, and nothing else may read the environment or a file.
+// Package config is the one place where configuration is read, checked and given its defaults. It reads three things:
+//
+//   - the platform's configuration of an instance, a JSON file (Read, Config), with rows of the replicated store laid
+//     over it (Overlay);
+//   - the platform's settings in it, as the decisions want them (ParseSettings, policy.Settings);
+//   - the operators' own file, in TOML (ReadOperator, Operator).
+//
+// Migrate turns a configuration of the old deployment into one for the new. Every error names the file and the key. The
+// package decides nothing, and no other package reads the environment or a configuration file.
+//
+// All functions are safe for concurrent use. A Config and an Operator are values without locks: whoever read one may
+// change it until it is shared.
 package config
 
 import (
 	"encoding/json"
 	"errors"
 	"fmt"
-	"maps"
-	"net"
 	"os"
-	"slices"
 	"strconv"
 	"time"
 
 	"fawnplank/policy"
 )
 
-// Config is what a front door is told at its start.
+// Config is what an instance of the gateway gets from the platform at its start.
 type Config struct {
-	Name, Listen, Discovery, Counter string
-	ManagementAddress                string // the management address; empty: none
-	ListenerFD                       int    // a listener handed down by whoever started the process; -1: none
-	Seed                             uint64
-	MemoryBytes                      int64
-	MaxSockets                       int
-	KnownEndpoints                   json.RawMessage // the list of backends in discovery's form, as last had
-	Settings                         policy.Settings
-	Classes                          map[string]policy.ClassID
-	Plans                            map[string]policy.PlanID
-	Zones                            []string
-	IdleTimeout                      time.Duration // after which a backend closes an idle connection
-	ConnectTimeout                   time.Duration
-	MaxUnits                         float64 // that one transaction counts
-}
+	Name              string // of the instance
+	Listen            string // host and port where clients connect
+	Discovery         string // host and port of the discovery service
+	Counter           string // host and port of the shared counter; empty: none
+	ManagementAddress string // host and port of the management calls; empty: none
+	ListenerFD        int    // a listener handed down by the parent process; -1: none
 
-// Defaults of what the settings may leave out: the example figures of the deployment page, and of the
-// settings for connections.
-const (
-	defaultMemoryMB  = 192
-	defaultSockets   = 1024
-	defaultIdleMs    = 15000
-	defaultConnectMs = 250
-	defaultMostUnits = 1e6
-)
+	Seed        uint64 // of the random choices
+	MemoryBytes int64  // that the process may use
+	MaxSockets  int    // that the process may have open
 
-// Overlay are rows of the settings that stand in the replicated store: a plan or class of the file's is replaced by
-// the one of its name here, and one of a new name is added behind the file's.
-type Overlay struct{ Plans, Classes map[string]json.RawMessage }
+	// KnownEndpoints is the endpoint list as last known, in discovery's form; empty: none.
+	KnownEndpoints json.RawMessage
+	// Settings are what the decisions go by. Classes and Plans give the ids of their rows by name.
+	Settings policy.Settings
+	Classes  map[string]policy.ClassID
+	Plans    map[string]policy.PlanID
+	Zones    []string // the names of zones, by id
+
+	IdleTimeout    time.Duration // after which a backend closes an idle connection
+	ConnectTimeout time.Duration // for a connection to a backend or the counter
+	MaxUnits       float64       // that one request may count
+}
 
-// The prefixes of the store's keys that hold them.
+// Defaults of what the configuration may leave out. The limits are the example figures of the deployment page; the
+// others are the platform's.
 const (
-	PlanKey  = "plans/"
-	ClassKey = "classes/"
+	defaultMemoryMB         = 192
+	defaultMaxSockets       = 1024
+	defaultIdleTimeoutMs    = 15000
+	defaultConnectTimeoutMs = 250
+	defaultMaxUnits         = 1e6
 )
 
-// lay lays the overlay over a configuration's text.
-func (o Overlay) lay(text []byte) ([]byte, error) {
-	if len(o.Plans) == 0 && len(o.Classes) == 0 {
-		return text, nil
-	}
-	var top, settings map[string]json.RawMessage
-	if err := json.Unmarshal(text, &top); err != nil {
-		return nil, fmt.Errorf("no JSON object: %w", err)
-	}
-	if err := json.Unmarshal(top["settings"], &settings); err != nil {
-		return nil, fmt.Errorf("settings: no JSON object: %w", err)
-	}
-	for key, rows := range map[string]map[string]json.RawMessage{"tariffs": o.Plans, "lanes": o.Classes} {
-		var all []json.RawMessage
-		if err := json.Unmarshal(settings[key], &all); err != nil {
-			return nil, fmt.Errorf("settings: %s is no list: %w", key, err)
-		}
-		seen := map[string]bool{}
-		for n, row := range all {
-			var x struct {
-				Name string `json:"name"`
-			}
-			if err := json.Unmarshal(row, &x); err != nil {
-				return nil, fmt.Errorf("settings: %s[%d]: %w", key, n, err)
-			}
-			if fresh, ok := rows[x.Name]; ok {
-				all[n] = fresh
-			}
-			seen[x.Name] = true
-		}
-		for _, name := range slices.Sorted(maps.Keys(rows)) {
-			if !seen[name] {
-				all = append(all, rows[name])
-			}
-		}
-		settings[key], _ = json.Marshal(all)
-	}
-	top["settings"], _ = json.Marshal(settings)
-	return json.Marshal(top)
-}
+// minSockets are the program's own descriptors and a few for clients and backends each.
+const minSockets = 64
 
-// CheckRow checks that a value of the store is a row of the name that its key says.
-func CheckRow(name string, value json.RawMessage) error {
-	var x struct {
-		Name string `json:"name"`
-	}
-	if err := json.Unmarshal(value, &x); err != nil {
-		return err
-	}
-	if x.Name != name {
-		return fmt.Errorf("its name is %q, and the key's is %q", x.Name, name)
-	}
-	return nil
+// environmentNames are the environment variables that stand in for keys that a configuration leaves out.
+var environmentNames = map[string]string{
+	"name":      "GW_NAME",
+	"listen":    "GW_LISTEN",
+	"discovery": "GW_DISCOVERY",
+	"mgmt":      "GW_MGMT",
 }
 
-// Read reads the configuration from the file path, or from the file that GW_CONFIG names where path is
-// empty. GW_NAME, GW_LISTEN, GW_DISCOVERY and GW_MGMT stand in for keys that the file leaves out; GW_SOCKET_FD
-// or SOCKET_FD names a listener that the process is handed.
-func Read(path string, over Overlay) (*Config, error) {
+// listenerNames are the environment variables that may name the listener handed down, the first that is set wins.
+var listenerNames = []string{"GW_SOCKET_FD", "SOCKET_FD"}
+
+// ErrNoFile is the error of Read where nothing names a configuration file.
+var ErrNoFile = errors.New("configuration: no file: neither a flag nor GW_CONFIG names one")
+
+// Read reads the configuration from the file path, or from the file that GW_CONFIG names where path is empty, with the
+// overlay's rows in it. GW_NAME, GW_LISTEN, GW_DISCOVERY and GW_MGMT stand in for keys that the file leaves out;
+// GW_SOCKET_FD or SOCKET_FD names a listener that the process is handed. An error about a key is a *SettingError.
+func Read(path string, overlay Overlay) (*Config, error) {
 	if path == "" {
 		path = os.Getenv("GW_CONFIG")
 	}
 	if path == "" {
-		return nil, errors.New("configuration: no file: neither a flag nor GW_CONFIG names one")
+		return nil, ErrNoFile
 	}
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return nil, fmt.Errorf("configuration: %w", err)
 	}
-	if text, err = over.lay(text); err != nil {
+	text, err = overlay.apply(text)
+	if err != nil {
 		return nil, fmt.Errorf("configuration %s with the store's rows: %w", path, err)
 	}
-	s, err := parse(text, os.Getenv)
+	c, err := parse(text, os.Getenv)
 	if err != nil {
 		return nil, fmt.Errorf("configuration %s: %w", path, err)
 	}
-	s.ListenerFD = -1
-	for _, name := range []string{"GW_SOCKET_FD", "SOCKET_FD"} {
-		if text := os.Getenv(name); text != "" {
-			fd, err := strconv.Atoi(text)
-			if err != nil || fd < 0 {
-				return nil, fmt.Errorf("configuration: %s is %q, which is no descriptor", name, text)
-			}
-			s.ListenerFD = fd
-			break
+	c.ListenerFD, err = listenerFD(os.Getenv)
+	if err != nil {
+		return nil, fmt.Errorf("configuration: %w", err)
+	}
+	return c, nil
+}
+
+// listenerFD returns the descriptor of the listener that the process was handed, -1 if none.
+func listenerFD(getenv func(string) string) (int, error) {
+	for _, name := range listenerNames {
+		text := getenv(name)
+		if text == "" {
+			continue
 		}
+		fd, err := strconv.Atoi(text)
+		if err != nil || fd < 0 {
+			return 0, fmt.Errorf("%s is %q, which is no descriptor", name, text)
+		}
+		return fd, nil
 	}
-	return s, nil
+	return -1, nil
 }
 
-func parse(text []byte, env func(string) string) (*Config, error) {
+// parse reads a configuration's text. Where several keys are faulty the first one read is named, so the order of the
+// reads below is that of the messages.
+func parse(text []byte, getenv func(string) string) (*Config, error) {
 	var raw map[string]json.RawMessage
 	if err := json.Unmarshal(text, &raw); err != nil {
 		return nil, fmt.Errorf("no JSON object: %w", err)
 	}
-	var fault error
-	top := object{"", nil, &fault}
-	if err := json.Unmarshal(text, &top.m); err != nil {
+	top, err := decodeObject(text)
+	if err != nil {
 		return nil, fmt.Errorf("no JSON object: %w", err)
 	}
-	for key, name := range environment {
-		if _, there := top.m[key]; !there && env(name) != "" {
-			top.m[key] = env(name)
+	for key, name := range environmentNames {
+		if !top.has(key) && getenv(name) != "" {
+			top.fields[key] = getenv(name)
 		}
 	}
-	limits, settings := top.in("limits", false), top.in("settings", true)
-	s := &Config{Name: get[string](top, "name", true), Listen: top.address("listen", true),
-		Discovery: top.address("discovery", true), ManagementAddress: top.address("mgmt", false), KnownEndpoints: raw["known"], Settings: readTerms(settings),
-		MemoryBytes: int64(count(limits.or("memory_mb", defaultMemoryMB))) << 20,
-		MaxSockets:  count(limits.or("sockets", defaultSockets)),
-		Classes:     map[string]policy.ClassID{}, Plans: map[string]policy.PlanID{},
-		Zones: settings.texts("zones")}
-	if seed, err := strconv.ParseUint(get[string](top, "seed", true), 16, 64); err == nil {
-		s.Seed = seed
-	} else {
-		top.fault("seed", "is no hexadecimal number of 64 bits")
-	}
-	s.Counter = top.address("counter", s.Settings.CounterEnabled)
-	allowed := settings.in("permissions", true)
-	s.IdleTimeout = time.Duration(Nanoseconds(allowed.or("conn-idle-ms", defaultIdleMs)))
-	s.ConnectTimeout = time.Duration(Nanoseconds(allowed.or("connect-timeout-ms", defaultConnectMs)))
-	s.MaxUnits = settings.in("family-info", false).or("max-units", defaultMostUnits)
-	for n, l := range settings.rows("lanes") {
-		s.Classes[get[string](l, "name", true)] = policy.ClassID(n)
-	}
-	for n, p := range settings.rows("tariffs") {
-		s.Plans[get[string](p, "name", true)] = policy.PlanID(n)
-	}
-	const fewest = 64 // the program's own, and a few for either side
-	if s.MaxSockets < fewest {
-		limits.fault("sockets", fmt.Sprintf("is below %d", fewest))
-	}
-	return s, fault
+	c := readConfig(top)
+	c.KnownEndpoints = raw["known"]
+	return c, top.err()
 }
 
-// or is a number with a default; one that is there must be above zero.
-func (o object) or(key string, usual float64) float64 {
-	if _, there := o.m[key]; !there {
-		return usual
-	}
-	x := o.need(key)
-	if x <= 0 {
-		o.fault(key, "is not above 0")
-	}
-	return x
-}
-
-func (o object) texts(key string) []string {
-	var all []string
-	for n, x := range get[[]any](o, key, false) {
-		t, ok := x.(string)
-		if !ok {
-			o.fault(fmt.Sprintf("%s[%d]", key, n), "is no text")
-		}
-		all = append(all, t)
-	}
-	return all
+// readConfig reads the fields of a configuration, but for the endpoint list.
+func readConfig(top object) *Config {
+	limits := top.optionalObject("limits")
+	settings := top.requiredObject("settings")
+	c := &Config{
+		Name:              required[string](top, "name"),
+		Listen:            top.requiredAddress("listen"),
+		Discovery:         top.requiredAddress("discovery"),
+		ManagementAddress: top.optionalAddress("mgmt"),
+		ListenerFD:        -1,
+		Settings:          readSettings(settings),
+		MemoryBytes:       int64(clampToCount(limits.positiveOr("memory_mb", defaultMemoryMB))) << 20,
+		MaxSockets:        clampToCount(limits.positiveOr("sockets", defaultMaxSockets)),
+		Zones:             settings.optionalStrings("zones"),
+	}
+	c.Seed = top.hexadecimal("seed")
+	if c.Settings.CounterEnabled {
+		c.Counter = top.requiredAddress("counter")
+	} else {
+		c.Counter = top.optionalAddress("counter")
+	}
+	permissions := settings.requiredObject("permissions")
+	c.IdleTimeout = milliseconds(permissions.positiveOr("conn-idle-ms", defaultIdleTimeoutMs))
+	c.ConnectTimeout = milliseconds(permissions.positiveOr("connect-timeout-ms", defaultConnectTimeoutMs))
+	c.MaxUnits = settings.optionalObject("family-info").positiveOr("max-units", defaultMaxUnits)
+	c.Classes = idsByName[policy.ClassID](settings.requiredRows("lanes"))
+	c.Plans = idsByName[policy.PlanID](settings.requiredRows("tariffs"))
+	if c.MaxSockets < minSockets {
+		limits.failf("sockets", "is below %d", minSockets)
+	}
+	return c
 }
 
-// address is a host and port to listen on or to connect to.
-func (o object) address(key string, must bool) string {
-	at := get[string](o, key, must)
-	if _, port, err := net.SplitHostPort(at); at != "" && (err != nil || port == "") {
-		o.fault(key, fmt.Sprintf("is %q, which is no host and port", at))
+// idsByName numbers rows in their order.
+func idsByName[ID ~uint16 | ~uint32](rows []object) map[string]ID {
+	ids := map[string]ID{}
+	for n, row := range rows {
+		ids[required[string](row, "name")] = ID(n)
 	}
-	return at
+	return ids
 }
 
-// KeepIDs renumbers the profiles and plans of a configuration read anew, so that ids mean what they meant in
-// old: a name whose terms are unchanged keeps its id; a new one, or one whose terms changed, gets an id after
-// all of old's. Old rows stay, for what is open under them; names that are gone are no longer taken.
-func (s *Config) KeepIDs(old *Config) {
-	s.Settings.Classes, s.Classes = follow(old.Settings.Classes, old.Classes, s.Settings.Classes, s.Classes)
-	s.Settings.Plans, s.Plans = follow(old.Settings.Plans, old.Plans, s.Settings.Plans, s.Plans)
+// KeepIDs renumbers the classes and plans of a configuration read anew, so that ids mean what they meant in old: a name
+// whose row is unchanged keeps its id; a new one, or one whose row changed, gets an id after all of old's. Old rows stay
+// for the requests in flight under them; names that are gone admit no request.
+func (c *Config) KeepIDs(old *Config) {
+	c.Settings.Classes, c.Classes = keepIDs(old.Settings.Classes, old.Classes, c.Settings.Classes, c.Classes)
+	c.Settings.Plans, c.Plans = keepIDs(old.Settings.Plans, old.Plans, c.Settings.Plans, c.Plans)
 }
 
-func follow[T comparable, ID ~uint16 | ~uint32](oldRows []T, oldIDs map[string]ID, rows []T, ids map[string]ID) ([]T,
-	map[string]ID) {
+// keepIDs merges the rows of a list, by id, with its old ones.
+func keepIDs[T comparable, ID ~uint16 | ~uint32](
+	oldRows []T, oldIDs map[string]ID, rows []T, ids map[string]ID,
+) (mergedRows []T, mergedIDs map[string]ID) {
 	names := make([]string, len(rows))
 	for name, id := range ids {
 		names[id] = name
 	}
-	all, now := append([]T(nil), oldRows...), map[string]ID{}
+	mergedRows = append([]T(nil), oldRows...)
+	mergedIDs = map[string]ID{}
 	for id, name := range names { // in the file's order, so that the same file gives the same ids
-		if was, ok := oldIDs[name]; ok && all[was] == rows[id] {
-			now[name] = was
-		} else {
-			now[name] = ID(len(all))
-			all = append(all, rows[id])
+		if oldID, ok := oldIDs[name]; ok && mergedRows[oldID] == rows[id] {
+			mergedIDs[name] = oldID
+			continue
 		}
+		mergedIDs[name] = ID(len(mergedRows))
+		mergedRows = append(mergedRows, rows[id])
 	}
-	return all, now
+	return mergedRows, mergedIDs
 }
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -14,7 +14,7 @@
 	"known":{"index":41,"snapshot":true,"endpoints":[]},
 	"settings":{"me": 1, "replicas-of-me": 3, "zones": ["a"], "shapes": ["m2"], "discovery": "on_request",
 	"family-info": {"may-count": true, "counter-timeout-ms": 80, "post-paid": true},
-	"permissions": {"send-cap": 3, "cancelling": true, "conn-idle-ms": 9000, "connect-timeout-ms": 100},
+	"permissions": {"send-cap": 3, "` + cancellationKey + `": true, "conn-idle-ms": 9000, "connect-timeout-ms": 100},
 	"invariants": {"cold-share": 0.2, "warm-up-ms": 9000, "tip-multiple": 2, "fall-ms": 1000, "ask-within-ms": 5,
 	"stop-sending-within-ms": 250},
 	"lanes": [{"name": "lookup", "goal-time-ms": 750, "deadline-ms": 2000, "effect": "idempotency_key",
@@ -23,7 +23,7 @@
 
 func none(string) string { return "" }
 
-func TestConfigurationIsReadWhole(t *testing.T) {
+func TestParse_ReadsEveryField(t *testing.T) {
 	s, err := parse([]byte(good), none)
 	if err != nil {
 		t.Fatal(err)
@@ -37,7 +37,7 @@
 	}
 }
 
-func TestFaultsNameTheKey(t *testing.T) {
+func TestParse_FaultNamesTheKey(t *testing.T) {
 	for want, change := range map[string][2]string{
 		"no JSON object":                 {`{"name"`, `["name"`},
 		"name is missing":                {`"name":"n3",`, ``},
@@ -65,7 +65,7 @@
 	}
 }
 
-func TestDefaultsAndEnvironment(t *testing.T) {
+func TestRead_DefaultsAndEnvironment(t *testing.T) {
 	text := strings.Replace(good, `"limits":{"cores":1.0,"memory_mb":192,"sockets":1024},`, "", 1)
 	text = strings.Replace(text, `"listen":"127.0.0.1:6379",`, "", 1)
 	path := filepath.Join(t.TempDir(), "config.json")
@@ -76,7 +76,7 @@
 	t.Setenv("GW_LISTEN", "127.0.0.9:1")
 	t.Setenv("GW_NAME", "other") // the file's own word goes first
 	s, err := Read("", Overlay{})
-	if err != nil || s.Listen != "127.0.0.9:1" || s.Name != "n3" || s.MaxSockets != defaultSockets ||
+	if err != nil || s.Listen != "127.0.0.9:1" || s.Name != "n3" || s.MaxSockets != defaultMaxSockets ||
 		s.MemoryBytes != defaultMemoryMB<<20 {
 		t.Errorf("%+v, %v", s, err)
 	}
@@ -90,7 +90,7 @@
 }
 
 // Each kind of broken file is turned down whole, with the key named where there is one.
-func TestBrokenFilesAreTurnedDown(t *testing.T) {
+func TestParse_RefusesBrokenFiles(t *testing.T) {
 	for name, text := range map[string]string{
 		"empty":            "",
 		"cut short":        good[:len(good)/2],
@@ -108,7 +108,7 @@
 
 // A configuration read anew keeps the ids of what is unchanged; a changed or new class gets an id after all
 // the old ones, whose rows stay for the transactions open under them.
-func TestIdsFollowAReload(t *testing.T) {
+func TestConfig_KeepIDs(t *testing.T) {
 	old, err := parse([]byte(good), none)
 	if err != nil {
 		t.Fatal(err)
--- /dev/null
+++ b/internal/config/decode.go
@@ -0,0 +1,184 @@
+package config
+
+import (
+	"encoding/json"
+	"fmt"
+	"math"
+	"net"
+	"strconv"
+	"time"
+)
+
+// SettingError is a fault of one key of the platform's configuration or settings. The problem says what the key may
+// hold, so that it is also what to do.
+type SettingError struct {
+	Key     string // with its path: settings.lanes[0].deadline-ms
+	Problem string // completes a sentence that begins with the key: "is not above 0"
+}
+
+// Error returns the message that operators get.
+func (e *SettingError) Error() string { return "settings: " + e.Key + " " + e.Problem }
+
+// object gives typed access to a JSON object. A read of a faulty key gives the zero value and notes the fault; the
+// first fault noted, in any object of the same document, is the document's error. Callers read all that they need and
+// check err once.
+type object struct {
+	path   string // before a key in messages: empty, or with its point
+	fields map[string]any
+	fault  *error // the first one of the document
+}
+
+// decodeObject reads a JSON object, the top of a document. The error is that of the text alone.
+func decodeObject(text []byte) (object, error) {
+	o := object{fault: new(error)}
+	err := json.Unmarshal(text, &o.fields)
+	return o, err
+}
+
+// err returns the first fault of the document.
+func (o object) err() error { return *o.fault }
+
+func (o object) has(key string) bool {
+	_, ok := o.fields[key]
+	return ok
+}
+
+// failf notes a fault of a key, unless one is noted.
+func (o object) failf(key, format string, args ...any) {
+	if *o.fault == nil {
+		*o.fault = &SettingError{Key: o.path + key, Problem: fmt.Sprintf(format, args...)}
+	}
+}
+
+// required returns the value of a key that has to be there.
+func required[T any](o object, key string) T {
+	value, present := o.fields[key]
+	typed, ok := value.(T)
+	switch {
+	case ok:
+	case present:
+		o.failf(key, "is of the wrong type")
+	default:
+		o.failf(key, "is missing")
+	}
+	return typed
+}
+
+// optional returns the value of a key, the zero value where the key is absent or null.
+func optional[T any](o object, key string) T {
+	value := o.fields[key]
+	typed, ok := value.(T)
+	if !ok && value != nil {
+		o.failf(key, "is of the wrong type")
+	}
+	return typed
+}
+
+func (o object) requiredNumber(key string) float64 { return required[float64](o, key) }
+func (o object) optionalNumber(key string) float64 { return optional[float64](o, key) }
+func (o object) optionalBool(key string) bool      { return optional[bool](o, key) }
+func (o object) optionalString(key string) string  { return optional[string](o, key) }
+
+func (o object) requiredObject(key string) object {
+	return object{path: o.path + key + ".", fields: required[map[string]any](o, key), fault: o.fault}
+}
+
+func (o object) optionalObject(key string) object {
+	return object{path: o.path + key + ".", fields: optional[map[string]any](o, key), fault: o.fault}
+}
+
+// requiredRows returns the objects of a list that has to be there.
+func (o object) requiredRows(key string) []object {
+	var rows []object
+	for n, value := range required[[]any](o, key) {
+		place := fmt.Sprintf("%s[%d]", key, n)
+		fields, ok := value.(map[string]any)
+		if !ok {
+			o.failf(place, "is no object")
+		}
+		rows = append(rows, object{path: o.path + place + ".", fields: fields, fault: o.fault})
+	}
+	return rows
+}
+
+func (o object) optionalStrings(key string) []string {
+	var all []string
+	for n, value := range optional[[]any](o, key) {
+		text, ok := value.(string)
+		if !ok {
+			o.failf(fmt.Sprintf("%s[%d]", key, n), "is no text")
+		}
+		all = append(all, text)
+	}
+	return all
+}
+
+// positiveOr returns a number with a default; one that is there has to be above 0.
+func (o object) positiveOr(key string, fallback float64) float64 {
+	if !o.has(key) {
+		return fallback
+	}
+	number := o.requiredNumber(key)
+	if number <= 0 {
+		o.failf(key, "is not above 0")
+	}
+	return number
+}
+
+// hexadecimal returns a number of 64 bits that has to be there, as hexadecimal digits.
+func (o object) hexadecimal(key string) uint64 {
+	number, err := strconv.ParseUint(required[string](o, key), 16, 64)
+	if err != nil {
+		o.failf(key, "is no hexadecimal number of 64 bits")
+		return 0
+	}
+	return number
+}
+
+func (o object) requiredAddress(key string) string {
+	return o.checkedAddress(key, required[string](o, key))
+}
+
+func (o object) optionalAddress(key string) string {
+	return o.checkedAddress(key, optional[string](o, key))
+}
+
+// checkedAddress checks that a text that is there is a host and port to listen on or to connect to.
+func (o object) checkedAddress(key, address string) string {
+	if address != "" && !isHostPort(address) {
+		o.failf(key, "is %q, which is no host and port", address)
+	}
+	return address
+}
+
+// isHostPort reports whether an address has a port; the host may be left out.
+func isHostPort(address string) bool {
+	_, port, err := net.SplitHostPort(address)
+	return err == nil && port != ""
+}
+
+// oneOf translates one of a set of words; a key that is absent counts as the empty word.
+func oneOf[T any](o object, key string, words map[string]T) T {
+	word := o.optionalString(key)
+	value, ok := words[word]
+	if !ok {
+		o.failf(key, "is %q, which has no meaning", word)
+	}
+	return value
+}
+
+// maxMilliseconds, a thousand hours, is exceeded by absurd figures alone, which must not overflow.
+const maxMilliseconds = 3.6e9
+
+// Nanoseconds turns milliseconds, as the platform writes times, into the decisions' unit.
+func Nanoseconds(ms float64) int64 {
+	return int64(math.Round(min(max(ms, -maxMilliseconds), maxMilliseconds) * 1e6))
+}
+
+func milliseconds(ms float64) time.Duration { return time.Duration(Nanoseconds(ms)) }
+
+// maxCount bounds counts so that sums and products of a few of them do not overflow.
+const maxCount = 1e9
+
+// clampToCount rounds a number to a whole one that fits.
+func clampToCount(number float64) int { return int(math.Round(min(max(number, 0), maxCount))) }
--- /dev/null
+++ b/internal/config/dns.go
@@ -0,0 +1,120 @@
+package config
+
+import (
+	"fmt"
+
+	"fawnplank/internal/dnsserver"
+	"fawnplank/internal/dnszone"
+	"fawnplank/internal/tomlfile"
+)
+
+// DNS is the section of a zone that the endpoint list comes from, in place of discovery.
+type DNS struct {
+	ZoneFile            string   `toml:"zone_file"` // master file; empty: off
+	Origin              string   `toml:"origin"`    // of the zone
+	Service             string   `toml:"service"`   // the name of the SRV records
+	Journal             string   `toml:"journal"`   // of the updates to the zone file, kept over a restart
+	Listen              string   `toml:"listen"`    // UDP and TCP, for updates, queries and transfers; empty: none
+	MaxUpdatesPerSecond float64  `toml:"updates_per_second"`
+	Notify              []string `toml:"notify"` // secondaries that get a NOTIFY of changes
+	Keys                []DNSKey `toml:"key"`
+}
+
+// DNSKey is a TSIG key.
+type DNSKey struct {
+	Name       string        `toml:"name"`
+	Algorithm  string        `toml:"algorithm"`
+	SecretFile string        `toml:"secret_file"` // in base64, for its owner's eyes alone
+	Key        dnsserver.Key `toml:"-"`           // once it is read
+}
+
+const (
+	// defaultMaxUpdatesPerSecond is a fleet of thousands that is replaced within a minute.
+	defaultMaxUpdatesPerSecond = 100
+	minMaxUpdatesPerSecond     = 0.1
+	maxMaxUpdatesPerSecond     = 10000
+	// defaultAlgorithm is the one that every updater must know (RFC 8945, 6).
+	defaultAlgorithm = "hmac-sha256"
+)
+
+// Settings returns those of the zone.
+func (d DNS) Settings() dnszone.Settings {
+	return dnszone.Settings{Origin: d.Origin, Service: d.Service}
+}
+
+// check checks the section, puts its names in their canonical form and reads the keys' secrets.
+func (d *DNS) check(file *tomlfile.File) error {
+	if d.ZoneFile == "" {
+		return d.checkOff(file)
+	}
+	if err := d.canonicalize(file); err != nil {
+		return err
+	}
+	if d.Listen != "" && !isHostPort(d.Listen) {
+		return file.KeyError("dns.listen", fmt.Sprintf("is %q, which is no host and port", d.Listen))
+	}
+	if !(d.MaxUpdatesPerSecond >= minMaxUpdatesPerSecond && d.MaxUpdatesPerSecond <= maxMaxUpdatesPerSecond) { // nor NaN
+		return file.KeyError("dns.updates_per_second", "is not from 0.1 to 10000")
+	}
+	for _, address := range d.Notify {
+		if !isHostPort(address) {
+			return file.KeyError("dns.notify", fmt.Sprintf("has %q, which is no host and port", address))
+		}
+	}
+	if err := d.readKeys(file); err != nil {
+		return err
+	}
+	if len(d.Keys) > 0 && d.Listen == "" {
+		return file.KeyError("dns.listen", "is missing, and keys are of no use without it")
+	}
+	return nil
+}
+
+// checkOff checks that nothing is set that needs the zone file, which is not set.
+func (d *DNS) checkOff(file *tomlfile.File) error {
+	needsZoneFile := len(d.Keys) > 0
+	for _, key := range []string{"dns.listen", "dns.journal", "dns.origin", "dns.service"} {
+		needsZoneFile = needsZoneFile || file.Has(key)
+	}
+	if needsZoneFile {
+		return file.KeyError("dns.zone_file", "is missing")
+	}
+	return nil
+}
+
+func (d *DNS) canonicalize(file *tomlfile.File) error {
+	canonical, err := d.Settings().Canonical()
+	if err != nil {
+		key := "dns.origin"
+		if _, err := (dnszone.Settings{Origin: d.Origin, Service: d.Origin}).Canonical(); err == nil {
+			key = "dns.service" // the origin alone is in order
+		}
+		return file.KeyError(key, err.Error())
+	}
+	d.Origin = canonical.Origin
+	d.Service = canonical.Service
+	return nil
+}
+
+func (d *DNS) readKeys(file *tomlfile.File) error {
+	names := map[string]bool{}
+	for n := range d.Keys {
+		key := &d.Keys[n]
+		path := fmt.Sprintf("dns.key[%d]", n)
+		if key.Algorithm == "" {
+			key.Algorithm = defaultAlgorithm
+		}
+		if key.SecretFile == "" {
+			return file.KeyError(path+".secret_file", "is missing")
+		}
+		var err error
+		if key.Key, err = dnsserver.ReadKey(key.Name, key.Algorithm, key.SecretFile); err != nil {
+			return file.KeyError(path, err.Error())
+		}
+		if names[key.Key.Name] {
+			return file.KeyError(path+".name", fmt.Sprintf("is %q, which another key has", key.Name))
+		}
+		names[key.Key.Name] = true
+	}
+	return nil
+}
--- /dev/null
+++ b/internal/config/limits.go
@@ -0,0 +1,152 @@
+package config
+
+import (
+	"errors"
+	"fmt"
+	"os"
+	"strings"
+	"time"
+
+	"fawnplank/internal/authz"
+	"fawnplank/internal/tlsconfig"
+	"fawnplank/internal/tomlfile"
+	"fawnplank/policy"
+)
+
+// Limits is the section of the limit commands in RESP.
+type Limits struct {
+	Listen         string   `toml:"listen"`        // where tools connect; empty: off
+	AnswerTimeout  Duration `toml:"answer_within"` // for an answer
+	MaxConnections int      `toml:"connections"`
+
+	TLSCertificate string     `toml:"tls_certificate"`
+	TLSKey         string     `toml:"tls_key"`
+	TLSAuthority   string     `toml:"tls_authority"` // of clients' certificates; empty: none is asked for
+	Keys           []LimitKey `toml:"key"`
+}
+
+// LimitKey is what a tool presents before it may do more than check.
+type LimitKey struct {
+	Name       string    `toml:"name"`
+	SecretFile string    `toml:"secret_file"` // for its owner's eyes alone
+	Rights     []string  `toml:"rights"`      // check, read, reserve, change
+	Key        authz.Key `toml:"-"`           // the secret and the rights, once they are checked
+}
+
+const (
+	// defaultAnswerTimeout is the latency objective that users know.
+	defaultAnswerTimeout = Duration(750 * time.Millisecond)
+	minAnswerTimeout     = Duration(time.Millisecond)
+	maxAnswerTimeout     = Duration(time.Minute)
+	// defaultMaxConnections is meant for tools, not for tenants.
+	defaultMaxConnections = 64
+	maxMaxConnections     = 10000
+	// minSecretBytes is the length below which a secret may be guessed.
+	minSecretBytes = 16
+	// othersPermissions are the bits of a file's mode that let others than its owner at it.
+	othersPermissions = 0o077
+)
+
+// limitClassName is the name of the class that only checks. No class of the platform's settings can have it: theirs
+// have no point in their names.
+const limitClassName = "limit.check"
+
+func defaultLimits() Limits {
+	return Limits{AnswerTimeout: defaultAnswerTimeout, MaxConnections: defaultMaxConnections}
+}
+
+// TLS returns the files of the section's address.
+func (l Limits) TLS() tlsconfig.Files {
+	return tlsconfig.Files{Certificate: l.TLSCertificate, Key: l.TLSKey, Authority: l.TLSAuthority}
+}
+
+// checkAddress checks the address and what bounds its connections.
+func (l *Limits) checkAddress(file *tomlfile.File) error {
+	if l.Listen != "" && !isHostPort(l.Listen) {
+		return file.KeyError("limits.listen", fmt.Sprintf("is %q, which is no host and port", l.Listen))
+	}
+	if l.AnswerTimeout < minAnswerTimeout || l.AnswerTimeout > maxAnswerTimeout {
+		return file.KeyError("limits.answer_within", "is not from 1ms to 60s")
+	}
+	if l.MaxConnections < 1 || l.MaxConnections > maxMaxConnections {
+		return file.KeyError("limits.connections", "is not from 1 to 10000")
+	}
+	return nil
+}
+
+// checkAccess checks the certificates, and reads the keys' secrets and rights.
+func (l *Limits) checkAccess(file *tomlfile.File) error {
+	if l.TLS().Enabled() {
+		if _, err := tlsconfig.New(l.TLS()); err != nil {
+			return file.KeyError("limits.tls_certificate", "cannot be used: "+err.Error())
+		}
+	}
+	names := map[string]bool{}
+	for n := range l.Keys {
+		key := &l.Keys[n]
+		path := fmt.Sprintf("limits.key[%d]", n)
+		if key.Name == "" || names[key.Name] {
+			return file.KeyError(path+".name", fmt.Sprintf("is %q: missing, or another key's", key.Name))
+		}
+		names[key.Name] = true
+		if err := key.readSecret(); err != nil {
+			return file.KeyError(path+".secret_file", err.Error())
+		}
+		if err := key.parseRights(); err != nil {
+			return file.KeyError(path+".rights", err.Error())
+		}
+	}
+	return nil
+}
+
+// readSecret reads the key's secret. The error completes a sentence that begins with the file's key.
+func (k *LimitKey) readSecret() error {
+	info, err := os.Stat(k.SecretFile)
+	if err != nil {
+		return fmt.Errorf("cannot be read: %w", err)
+	}
+	text, err := os.ReadFile(k.SecretFile)
+	secret := strings.TrimSpace(string(text))
+	if err != nil || info.Mode().Perm()&othersPermissions != 0 || len(secret) < minSecretBytes {
+		return fmt.Errorf("%q cannot be read, may be read by others than its owner, or holds less than %d bytes",
+			k.SecretFile, minSecretBytes)
+	}
+	k.Key.Secret = []byte(secret)
+	return nil
+}
+
+// parseRights reads the key's rights. The error completes a sentence that begins with the rights' key.
+func (k *LimitKey) parseRights() error {
+	if len(k.Rights) == 0 {
+		return errors.New("is missing")
+	}
+	for _, name := range k.Rights {
+		right := authz.Names[name]
+		if right == 0 {
+			return fmt.Errorf("has %q, not check, read, reserve or change", name)
+		}
+		k.Key.Rights |= right
+	}
+	return nil
+}
+
+// AddLimitClass adds the class that only checks, for the limit commands, to a configuration just read. Where the commands
+// are off it does nothing.
+func (c *Config) AddLimitClass(o *Operator) {
+	if o.Limits.Listen == "" {
+		return
+	}
+	c.Classes[limitClassName] = policy.ClassID(len(c.Settings.Classes))
+	timeoutNanos := int64(o.Limits.AnswerTimeout)
+	c.Settings.Classes = append(c.Settings.Classes, policy.ClassSettings{
+		LatencyObjective: timeoutNanos,
+		Deadline:         timeoutNanos,
+		CheckOnly:        true,
+	})
+}
+
+// LimitClass returns the class that only checks; ok is false where limit commands are off.
+func (c *Config) LimitClass() (id policy.ClassID, ok bool) {
+	id, ok = c.Classes[limitClassName]
+	return id, ok
+}
--- a/internal/config/migrate.go
+++ b/internal/config/migrate.go
@@ -1,341 +1,270 @@
 package config
 
 import (
-	"bytes"
 	"encoding/json"
 	"errors"
 	"fmt"
-	"io"
 	"os"
 	"path/filepath"
 	"slices"
 	"strings"
 )
 
-// This file turns a configuration of the old shape into its counterpart for the new one. It goes by the keys and
-// words that configurations may hold, so that nothing is dropped without a word; what a front door makes of them
-// is read in config.go and terms.go.
-
-// known are the keys of a configuration by the path of their object; rows of a list go by the list's.
-var known = map[string]string{
-	"":       "name listen discovery counter seed limits known settings",
-	"limits": "cores memory_mb sockets",
-	"settings": "replicas-of-me lanes clients discovery domain-type family-info blend shapes permissions me prices " +
-		"telemetry invariants tariffs step-ms stage tiers weights my-zone zones",
-	"settings.lanes": "aim-stretch goal-time-ms deadline-ms effect group late-worth name silence stream window-ms " +
-		"value",
-	"settings.clients": "marks-retry",
-	"settings.family-info": "may-count call-price counter-timeout-ms metering-ms max-units inbox-per-s " +
-		"post-paid",
-	"settings.blend": "whole worst-class worst-tenant worst-window",
-	"settings.permissions": "cancelling conn-idle-ms connect-timeout-ms cpu-us-per-request cpu-us-per-s send-cap " +
-		"max-open max-retry-after-ms peer-messages probes retry-after second-copies max-streams",
-	"settings.prices":    "connection cross-zone discovery handshake late-fail moves origin peer probe waste",
-	"settings.telemetry": "columns how",
-	"settings.invariants": "grace-to-answer-ms ask-within-ms cold-share warm-up-ms stop-sending-within-ms " +
-		"tip-multiple fall-ms",
-	"settings.tariffs": "peak-units ceiling-burst cap-rate tolerance name parallel beyond-costs beyond-earns " +
-		"value-factor quota-rate",
-}
-
-// words are the values that a word of the settings may have.
-var words = map[string]string{
-	"settings.discovery": "pushed on_request", "settings.weights": "off nominal rough live",
-	"settings.telemetry.how": "inline on_probe off",
+// MigrateOptions say what Migrate reads and writes.
+type MigrateOptions struct {
+	From   string // the configuration file of the old deployment; it is never changed
+	Shape  string // a file of settings that replace the old ones key by key; empty: none
+	To     string // the file that is written; it must not exist
+	DryRun bool   // write nothing
 }
 
-// Migrate reads the configuration file from, of the old shape, and writes its counterpart for the new shape to the
-// file to: one without probes, and with the settings of the file shape, if one is named, over the old ones. It
-// gives a line for each thing that it could not carry over. With dry it writes nothing. The file from is never
-// changed, and to is written whole or not at all, and only if it is in order and was not there before.
-func Migrate(from, shape, to string, dry bool) (lines []string, err error) {
-	old, err := load(from)
+// Migrate turns a configuration of the old deployment into its counterpart for the new one: without health checks, and
+// with the shape's settings over the old ones. It goes by the keys and words that configurations may hold, so that
+// nothing is dropped silently: it returns a note for each thing that it could not carry over. The file is written whole
+// or not at all, and only if it is in order.
+func Migrate(o MigrateOptions) (notes []string, err error) {
+	old, err := readStrict(o.From)
 	if err != nil {
 		return nil, err
 	}
-	absent, stand := standIns(old)
-	text, _ := json.Marshal(old)
-	if _, err := parse(text, stand); err != nil {
-		return nil, fmt.Errorf("configuration %s: %w", from, err)
+	absent, getenv := standIns(old)
+	if err := checkParses(old, getenv); err != nil {
+		return nil, fmt.Errorf("configuration %s: %w", o.From, err)
 	}
-	m := migration{}
+	m := &migration{}
 	for _, key := range absent {
-		m.line(key, "left out: "+environment[key]+" has to stand in for it, as before")
+		m.note(key, "left out: "+environmentNames[key]+" has to stand in for it, as before")
 	}
-	m.prune("", old)
-	fresh, err := load(from) // a second copy, to compare with
+	m.prune("", "", old)
+	migrated, err := readStrict(o.From) // a second copy: the old one is compared with below
 	if err != nil {
 		return nil, err
 	}
-	(&migration{}).prune("", fresh)
-	settings := fresh["settings"].(map[string]any)
-	allowed := settings["permissions"].(map[string]any)
-	if allowed["probes"] == true {
-		allowed["probes"] = false
-		m.line("settings.permissions.probes",
-			"true: the new shape allows none; backends are judged by their answers alone")
-	}
-	if t, ok := settings["telemetry"].(map[string]any); ok && t["how"] == "on_probe" {
-		t["how"], t["columns"] = "off", []any{}
-		m.line("settings.telemetry", "reports that come with probes: there are none without probes")
-	}
-	if list, ok := fresh["known"].(map[string]any); ok {
-		if ends, _ := list["endpoints"].([]any); len(ends) > 0 {
-			delete(fresh, "known")
-			m.line("known", fmt.Sprintf("%d backends of the old deployment: the new list comes from discovery", len(ends)))
-		}
-	}
-	both := from
-	if shape != "" {
-		both += " with " + shape
-		over, err := load(shape)
-		if err != nil {
-			return nil, err
-		}
-		if err := m.overlay(shape, "settings", settings, over); err != nil {
+	(&migration{}).prune("", "", migrated)
+	settings := migrated["settings"].(map[string]any) // it is there, or the text would not parse
+	m.dropHealthChecks(settings)
+	m.dropKnownEndpoints(migrated)
+	sources := o.From
+	if o.Shape != "" {
+		sources += " with " + o.Shape
+		if err := m.applyShape(o.Shape, old, settings); err != nil {
 			return nil, err
 		}
-		m.named("lanes", old, settings)
-		m.named("tariffs", old, settings)
 	}
-	text, err = json.MarshalIndent(fresh, "", "  ")
+	text, err := json.MarshalIndent(migrated, "", "  ")
 	if err != nil {
 		return nil, err
 	}
-	text = append(text, '\n')
-	if _, err := parse(text, stand); err != nil {
-		return nil, fmt.Errorf("configuration %s: its counterpart is not in order: %w", both, err)
+	if err := checkMigrated(migrated, getenv); err != nil {
+		return nil, fmt.Errorf("configuration %s: its counterpart is not in order: %w", sources, err)
 	}
-	if err := fits(fresh); err != nil {
-		return nil, fmt.Errorf("configuration %s: its counterpart is not in order: %w", both, err)
+	if o.DryRun {
+		return m.notes, nil
 	}
-	if dry {
-		return m.lines, nil
-	}
-	return m.lines, write(to, text)
+	return m.notes, writeNew(o.To, append(text, '\n'))
 }
 
-// environment is what may stand in for keys that a file leaves out.
-var environment = map[string]string{"name": "GW_NAME", "listen": "GW_LISTEN", "discovery": "GW_DISCOVERY",
-	"mgmt": "GW_MGMT"}
-
 // standIns lists the keys that a file leaves to the environment, and gives an environment to check the rest by.
-func standIns(old map[string]any) (absent []string, env func(string) string) {
+func standIns(old map[string]any) (absent []string, getenv func(string) string) {
 	for _, key := range []string{"name", "listen", "discovery"} {
-		if _, there := old[key]; !there {
+		if _, ok := old[key]; !ok {
 			absent = append(absent, key)
 		}
 	}
-	return absent, func(name string) string {
-		return map[string]string{"GW_NAME": "n", "GW_LISTEN": "127.0.0.1:1", "GW_DISCOVERY": "127.0.0.1:1"}[name]
-	}
+	values := map[string]string{"GW_NAME": "n", "GW_LISTEN": "127.0.0.1:1", "GW_DISCOVERY": "127.0.0.1:1"}
+	return absent, func(name string) string { return values[name] }
 }
 
-// load reads a JSON object, numbers as they are written. A key that comes twice is a fault: one would be lost.
-func load(path string) (map[string]any, error) {
-	text, err := os.ReadFile(path)
+// checkParses checks that an instance of the gateway would start with a configuration.
+func checkParses(fields map[string]any, getenv func(string) string) error {
+	text, err := json.Marshal(fields)
 	if err != nil {
-		return nil, fmt.Errorf("configuration: %w", err)
+		return err
 	}
-	d := json.NewDecoder(bytes.NewReader(text))
-	d.UseNumber()
-	x, err := value(d, "")
-	if err == nil {
-		if _, more := d.Token(); more != io.EOF {
-			err = errors.New("something follows the object")
-		}
-	}
-	m, ok := x.(map[string]any)
-	if err == nil && !ok {
-		err = errors.New("is no JSON object")
-	}
-	if err != nil {
-		return nil, fmt.Errorf("configuration %s: %w", path, err)
-	}
-	return m, nil
+	_, err = parse(text, getenv)
+	return err
 }
 
-func value(d *json.Decoder, path string) (any, error) {
-	t, err := d.Token()
-	if err != nil {
-		return nil, fmt.Errorf("%s: no JSON: %w", place(path), err)
-	}
-	switch t {
-	case json.Delim('{'):
-		m := map[string]any{}
-		for d.More() {
-			k, err := d.Token()
-			if err != nil {
-				return nil, fmt.Errorf("%s: no JSON: %w", place(path), err)
-			}
-			key := k.(string)
-			if _, twice := m[key]; twice {
-				return nil, fmt.Errorf("%s comes twice", join(path, key))
-			}
-			if m[key], err = value(d, join(path, key)); err != nil {
-				return nil, err
-			}
+// migration gathers notes of what could not be carried over.
+type migration struct{ notes []string }
+
+func (m *migration) note(key, what string) { m.notes = append(m.notes, key+": "+what) }
+
+// prune deletes keys that are not known, with a note for each, in order. The path is that in knownKeys, shown the one
+// in notes, which has the numbers of rows.
+func (m *migration) prune(path, shown string, fields map[string]any) {
+	if _, ok := knownKeys[path]; !ok {
+		return // an object whose keys are free
+	}
+	for _, key := range sortedKeys(fields) {
+		keyPath, keyShown := joinPath(path, key), joinPath(shown, key)
+		if !isKnownKey(path, key) {
+			delete(fields, key)
+			m.note(keyShown, "not known here")
+			continue
 		}
-		_, err = d.Token()
-		return m, err
-	case json.Delim('['):
-		list := []any{}
-		for d.More() {
-			x, err := value(d, fmt.Sprintf("%s[%d]", path, len(list)))
-			if err != nil {
-				return nil, err
-			}
-			list = append(list, x)
+		switch value := fields[key].(type) {
+		case map[string]any:
+			m.prune(keyPath, keyShown, value)
+		case []any:
+			m.pruneRows(keyPath, keyShown, value)
 		}
-		_, err = d.Token()
-		return list, err
 	}
-	return t, nil
 }
 
-func join(path, key string) string { return strings.TrimPrefix(path+"."+key, ".") }
-func place(path string) string {
-	if path == "" {
-		return "the file"
+func (m *migration) pruneRows(path, shown string, list []any) {
+	for n, value := range list {
+		if row, ok := value.(map[string]any); ok {
+			m.prune(path, fmt.Sprintf("%s[%d]", shown, n), row)
+		}
 	}
-	return path
 }
 
-// migration gathers what could not be carried over.
-type migration struct{ lines []string }
-
-func (m *migration) line(key, what string) { m.lines = append(m.lines, key+": "+what) }
-
-// prune takes out keys that are not known, with a line for each, in order. Rows of lists go by their list.
-func (m *migration) prune(path string, x map[string]any) {
-	keys, listed := known[path]
-	if !listed {
-		return
+// dropHealthChecks forbids health checks and the reports that come with them: the new deployment has none.
+func (m *migration) dropHealthChecks(settings map[string]any) {
+	permissions := settings["permissions"].(map[string]any) // it is there, or the text would not parse
+	if permissions["probes"] == true {
+		permissions["probes"] = false
+		m.note("settings.permissions.probes",
+			"true: the new shape allows none; backends are judged by their answers alone")
 	}
-	for _, key := range sorted(x) {
-		at := join(path, key)
-		if !slices.Contains(strings.Fields(keys), key) {
-			delete(x, key)
-			m.line(at, "not known here")
-			continue
-		}
-		switch v := x[key].(type) {
-		case map[string]any:
-			m.prune(at, v)
-		case []any:
-			for n, row := range v {
-				if r, ok := row.(map[string]any); ok {
-					before := len(m.lines)
-					m.prune(at, r)
-					for i := range m.lines[before:] {
-						m.lines[before+i] = strings.Replace(m.lines[before+i], at, fmt.Sprintf("%s[%d]", at, n), 1)
-					}
-				}
-			}
-		}
+	if telemetry, ok := settings["telemetry"].(map[string]any); ok && telemetry["how"] == "on_probe" {
+		telemetry["how"] = "off"
+		telemetry["columns"] = []any{}
+		m.note("settings.telemetry", "reports that come with probes: there are none without probes")
 	}
 }
 
-func sorted(x map[string]any) []string {
-	var keys []string
-	for key := range x {
-		keys = append(keys, key)
+// dropKnownEndpoints drops a list that names backends: they are those of the old deployment.
+func (m *migration) dropKnownEndpoints(fields map[string]any) {
+	known, _ := fields["known"].(map[string]any)
+	if endpoints, _ := known["endpoints"].([]any); len(endpoints) > 0 {
+		delete(fields, "known")
+		m.note("known", fmt.Sprintf("%d backends of the old deployment: the new list comes from discovery", len(endpoints)))
 	}
-	slices.Sort(keys)
-	return keys
 }
 
-// overlay lays the new shape's settings over the old ones: objects key by key, anything else whole. A key that is
-// not known is a fault here, since the file is written for this.
-func (m *migration) overlay(file, path string, x, over map[string]any) error {
-	for _, key := range sorted(over) {
-		at := join(path, key)
-		if !slices.Contains(strings.Fields(known[path]), key) {
-			return fmt.Errorf("configuration %s: %s is not known here", file, strings.TrimPrefix(at, "settings."))
+// applyShape lays the settings of a file over those that are migrated.
+func (m *migration) applyShape(file string, old, settings map[string]any) error {
+	shape, err := readStrict(file)
+	if err != nil {
+		return err
+	}
+	if err := m.overlay(file, "settings", settings, shape); err != nil {
+		return err
+	}
+	oldSettings := old["settings"].(map[string]any) // it is there, or the text would not parse
+	m.matchRows("lanes", oldSettings, settings)
+	m.matchRows("tariffs", oldSettings, settings)
+	return nil
+}
+
+// overlay lays the shape's settings over the old ones: objects key by key, anything else whole. A key that is not known
+// is an error here, since the file was written for this.
+func (m *migration) overlay(file, path string, settings, shape map[string]any) error {
+	for _, key := range sortedKeys(shape) {
+		keyPath := joinPath(path, key)
+		if !isKnownKey(path, key) {
+			return fmt.Errorf("configuration %s: %s is not known here", file, strings.TrimPrefix(keyPath, "settings."))
 		}
-		inner, ok := over[key].(map[string]any)
-		if was, there := x[key].(map[string]any); ok && there {
-			if err := m.overlay(file, at, was, inner); err != nil {
+		oldFields, oldIsObject := settings[key].(map[string]any)
+		newFields, newIsObject := shape[key].(map[string]any)
+		if oldIsObject && newIsObject {
+			if err := m.overlay(file, keyPath, oldFields, newFields); err != nil {
 				return err
 			}
 			continue
 		}
-		if x[key] == true && over[key] == false {
-			m.line(at, "true: the new shape does not allow it")
+		if settings[key] == true && shape[key] == false {
+			m.note(keyPath, "true: the new shape does not allow it")
 		}
-		x[key] = over[key]
+		settings[key] = shape[key]
 	}
 	return nil
 }
 
-// named says which rows of the old list have no counterpart of their name, and keeps the presets of those that do.
-func (m *migration) named(list string, old, settings map[string]any) {
+// matchRows notes which rows of the old list have no counterpart of their name, and keeps the fallback modes of those
+// that have one: operators preset them, and a shape knows none.
+func (m *migration) matchRows(list string, oldSettings, settings map[string]any) {
 	rows, _ := settings[list].([]any)
-	for n, x := range old["settings"].(map[string]any)[list].([]any) {
-		was, found := x.(map[string]any), false
-		for _, y := range rows {
-			row, ok := y.(map[string]any)
-			if !ok || row["name"] != was["name"] {
+	for n, value := range oldSettings[list].([]any) { // a list of objects, or the text would not parse
+		oldRow := value.(map[string]any)
+		found := false
+		for _, value := range rows {
+			row, ok := value.(map[string]any)
+			if !ok || row["name"] != oldRow["name"] {
 				continue
 			}
 			found = true
-			if _, set := row["silence"]; !set && was["silence"] != nil {
-				row["silence"] = was["silence"]
+			if _, ok := row["silence"]; !ok && oldRow["silence"] != nil {
+				row["silence"] = oldRow["silence"]
 			}
 		}
 		if !found {
-			m.line(fmt.Sprintf("settings.%s[%d]", list, n),
-				fmt.Sprintf("%q has no counterpart in the new shape", was["name"]))
+			m.note(fmt.Sprintf("settings.%s[%d]", list, n),
+				fmt.Sprintf("%q has no counterpart in the new shape", oldRow["name"]))
 		}
 	}
 }
 
-// fits checks what a front door would not trip over but an operator would: words with no meaning, and numbers
-// that point outside their lists.
-func fits(x map[string]any) error {
-	settings := x["settings"].(map[string]any)
-	for _, path := range []string{"settings.discovery", "settings.telemetry.how", "settings.weights"} {
-		var v any = x
-		for _, key := range strings.Split(path, ".") {
-			m, _ := v.(map[string]any)
-			v = m[key]
+// checkMigrated checks that the gateway would start with the configuration, and what it would not trip over but an
+// operator would: words with no meaning, and numbers that point outside their lists.
+func checkMigrated(fields map[string]any, getenv func(string) string) error {
+	if err := checkParses(fields, getenv); err != nil {
+		return err
+	}
+	for _, setting := range wordSettings {
+		value := valueAt(fields, setting.path)
+		if value != nil && (value == "" || !slices.Contains(setting.words, fmt.Sprint(value))) {
+			return fmt.Errorf("%s is %v, which has no meaning", setting.path, value)
 		}
-		if v != nil && (v == "" || !slices.Contains(strings.Fields(words[path]), fmt.Sprint(v))) {
-			return fmt.Errorf("%s is %v, which has no meaning", path, v)
-		}
-	}
-	number := func(key string) float64 {
-		n, _ := settings[key].(json.Number)
-		f, _ := n.Float64()
-		return f
 	}
-	if me := number("me"); me >= number("replicas-of-me") {
-		return fmt.Errorf("settings.me is %v, of %v front doors", me, number("replicas-of-me"))
+	settings := fields["settings"].(map[string]any) // it is there, or the text would not parse
+	index, instances := numberAt(settings, "me"), numberAt(settings, "replicas-of-me")
+	if index >= instances {
+		return fmt.Errorf("settings.me is %v, of %v front doors", index, instances)
 	}
 	zones, _ := settings["zones"].([]any)
-	if zone := number("my-zone"); zone > 0 && int(zone) >= len(zones) {
+	if zone := numberAt(settings, "my-zone"); zone > 0 && int(zone) >= len(zones) {
 		return fmt.Errorf("settings.my-zone is %v, of %d zones", zone, len(zones))
 	}
 	return nil
 }
 
-// write puts the text in a file of its own beside the place, and only then there: never over a file, and never
-// half of it.
-func write(path string, text []byte) error {
-	f, err := os.CreateTemp(filepath.Dir(path), ".fawnplank-*")
+// valueAt returns the value at a dotted path, nil if there is none.
+func valueAt(fields map[string]any, path string) any {
+	var value any = fields
+	for _, key := range strings.Split(path, ".") {
+		inner, _ := value.(map[string]any)
+		value = inner[key]
+	}
+	return value
+}
+
+// numberAt returns the number of a key, 0 if there is none.
+func numberAt(fields map[string]any, key string) float64 {
+	number, _ := fields[key].(json.Number)
+	value, _ := number.Float64() // it was decoded as a number
+	return value
+}
+
+// writeNew writes a file beside its place and links it there only when it is whole: never over a file, and never half
+// of it.
+func writeNew(path string, text []byte) error {
+	file, err := os.CreateTemp(filepath.Dir(path), ".fawnplank-*")
 	if err != nil {
 		return fmt.Errorf("configuration %s: %w", path, err)
 	}
-	defer os.Remove(f.Name())
-	_, err = f.Write(text)
+	defer func() { _ = os.Remove(file.Name()) }() // it stays under a hidden name at the worst
+	_, err = file.Write(text)
 	if err == nil {
-		err = f.Sync()
+		err = file.Sync()
 	}
-	if e := f.Close(); err == nil {
-		err = e
+	if closeErr := file.Close(); err == nil {
+		err = closeErr
 	}
 	if err == nil {
-		err = os.Link(f.Name(), path) // fails where a file is: the source too
+		err = os.Link(file.Name(), path) // fails where a file is: the source too
 	}
 	if errors.Is(err, os.ErrExist) {
 		err = errors.New("is there already")
--- a/internal/config/migrate_test.go
+++ b/internal/config/migrate_test.go
@@ -39,7 +39,7 @@
 
 func TestMigrationToTheNewShape(t *testing.T) {
 	from, to := files(t, old, newShape)
-	lines, err := Migrate(from[0], from[1], to, false)
+	lines, err := Migrate(MigrateOptions{From: from[0], Shape: from[1], To: to})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -69,7 +69,7 @@
 		t.Error("the source has changed")
 	}
 	// Its own output has nothing left to say, but for what the shape took out.
-	if lines, err := Migrate(to, "", "", true); err != nil || len(lines) != 0 {
+	if lines, err := Migrate(MigrateOptions{From: to, Shape: "", To: "", DryRun: true}); err != nil || len(lines) != 0 {
 		t.Errorf("once more: %q, %v", lines, err)
 	}
 }
@@ -77,7 +77,7 @@
 // Without a shape only what the new deployments lack goes, and numbers stay as they are written.
 func TestMigrationWithoutAShape(t *testing.T) {
 	from, to := files(t, strings.Replace(old, `"name":"n3","listen":"127.0.0.1:6379",`, "", 1))
-	lines, err := Migrate(from[0], "", to, false)
+	lines, err := Migrate(MigrateOptions{From: from[0], Shape: "", To: to})
 	if err != nil || !slices.ContainsFunc(lines, func(l string) bool { return strings.HasPrefix(l, "listen: left out: GW_LISTEN") }) {
 		t.Fatalf("%q, %v", lines, err)
 	}
@@ -90,11 +90,11 @@
 
 func TestDryRunWritesNothing(t *testing.T) {
 	from, to := files(t, old, newShape)
-	dry, err := Migrate(from[0], from[1], to, true)
+	dry, err := Migrate(MigrateOptions{From: from[0], Shape: from[1], To: to, DryRun: true})
 	if _, e := os.Stat(to); err != nil || e == nil {
 		t.Errorf("written: %v, %v", err, e)
 	}
-	if real, _ := Migrate(from[0], from[1], to, false); !slices.Equal(dry, real) {
+	if real, _ := Migrate(MigrateOptions{From: from[0], Shape: from[1], To: to}); !slices.Equal(dry, real) {
 		t.Errorf("said %q, did %q", dry, real)
 	}
 }
@@ -138,7 +138,7 @@
 		if b == "" {
 			shape = ""
 		}
-		if _, err := Migrate(from[0], shape, to, false); err == nil || !strings.Contains(err.Error(), want) ||
+		if _, err := Migrate(MigrateOptions{From: from[0], Shape: shape, To: to}); err == nil || !strings.Contains(err.Error(), want) ||
 			!strings.Contains(err.Error(), ".json") {
 			t.Errorf("%q: %v", want, err)
 		}
@@ -157,7 +157,7 @@
 		t.Fatal(err)
 	}
 	for _, place := range []string{from[0], from[1], link, filepath.Join(to, "x")} {
-		if _, err := Migrate(from[0], "", place, false); err == nil || !strings.Contains(err.Error(), place) {
+		if _, err := Migrate(MigrateOptions{From: from[0], Shape: "", To: place}); err == nil || !strings.Contains(err.Error(), place) {
 			t.Errorf("%s: %v", place, err)
 		}
 	}
--- /dev/null
+++ b/internal/config/overlay.go
@@ -0,0 +1,83 @@
+package config
+
+import (
+	"encoding/json"
+	"fmt"
+	"maps"
+	"slices"
+)
+
+// Prefixes of the replicated store's keys that hold an overlay's rows; the name of the plan or class follows.
+const (
+	PlanKey  = "plans/"
+	ClassKey = "classes/"
+)
+
+// Overlay holds rows of the settings that stand in the replicated store, by name: a plan or class of the file is replaced
+// by the one of its name here, and one of a new name is added behind the file's. The zero value changes nothing.
+type Overlay struct{ Plans, Classes map[string]json.RawMessage }
+
+// namedRow is what the rows of plans and classes have in common.
+type namedRow struct {
+	Name string `json:"name"`
+}
+
+// CheckRow checks that a value of the store is a row of the name that its key says.
+func CheckRow(name string, value json.RawMessage) error {
+	var row namedRow
+	if err := json.Unmarshal(value, &row); err != nil {
+		return err
+	}
+	if row.Name != name {
+		return fmt.Errorf("its name is %q, and the key's is %q", row.Name, name)
+	}
+	return nil
+}
+
+// apply lays the overlay over a configuration's text.
+func (o Overlay) apply(text []byte) ([]byte, error) {
+	if len(o.Plans) == 0 && len(o.Classes) == 0 {
+		return text, nil
+	}
+	var top, settings map[string]json.RawMessage
+	if err := json.Unmarshal(text, &top); err != nil {
+		return nil, fmt.Errorf("no JSON object: %w", err)
+	}
+	if err := json.Unmarshal(top["settings"], &settings); err != nil {
+		return nil, fmt.Errorf("settings: no JSON object: %w", err)
+	}
+	for key, rows := range map[string]map[string]json.RawMessage{"tariffs": o.Plans, "lanes": o.Classes} {
+		if err := replaceRows(settings, key, rows); err != nil {
+			return nil, err
+		}
+	}
+	top["settings"], _ = json.Marshal(settings) // each value came from a text that was read or marshaled
+	return json.Marshal(top)
+}
+
+// replaceRows puts rows into the list that the settings hold under key: in the place of the row of their name, or behind
+// all others.
+func replaceRows(settings map[string]json.RawMessage, key string, rows map[string]json.RawMessage) error {
+	var list []json.RawMessage
+	if err := json.Unmarshal(settings[key], &list); err != nil {
+		return fmt.Errorf("settings: %s is no list: %w", key, err)
+	}
+	replaced := map[string]bool{}
+	for n, text := range list {
+		var row namedRow
+		if err := json.Unmarshal(text, &row); err != nil {
+			return fmt.Errorf("settings: %s[%d]: %w", key, n, err)
+		}
+		if replacement, ok := rows[row.Name]; ok {
+			list[n] = replacement
+		}
+		replaced[row.Name] = true
+	}
+	for _, name := range slices.Sorted(maps.Keys(rows)) { // the same store gives the same ids
+		if !replaced[name] {
+			list = append(list, rows[name])
+		}
+	}
+	settings[key], _ = json.Marshal(list) // a row that is no JSON leaves null, which is refused by its key
+	return nil
+}
--- /dev/null
+++ b/internal/config/settings.go
@@ -0,0 +1,137 @@
+package config
+
+import (
+	"fmt"
+	"math"
+	"time"
+
+	"fawnplank/policy"
+)
+
+// defaultDrainGrace is how long attempts may still go to a backend that was taken off the list, where the settings
+// name no time.
+const defaultDrainGrace = int64(time.Second)
+
+// cancellationKey is the platform's word, in British spelling.
+const cancellationKey = "cancelling" //nolint:misspell // a key of the platform's settings
+
+// The words of the settings.
+var (
+	idempotencyWords = map[string]policy.Idempotency{
+		"read_like":       policy.Idempotent,
+		"idempotency_key": policy.IdempotentWithKey,
+		"non_idempotent":  policy.NonIdempotent,
+	}
+	dedupScopeWords = map[string]policy.DedupScope{
+		"all":  policy.DedupByAll,
+		"zone": policy.DedupByZone,
+		"cell": policy.DedupByGroup,
+	}
+	fallbackModeWords = map[string]policy.FallbackMode{
+		"share":  policy.LocalShare,
+		"open":   policy.FailOpen,
+		"closed": policy.FailClosed,
+	}
+)
+
+// nonNegativePlanKeys are the numbers of a plan that have a meaning from 0 on.
+var nonNegativePlanKeys = []string{"quota-rate", "peak-units", "parallel", "cap-rate", "ceiling-burst",
+	"beyond-earns", "beyond-costs"}
+
+// ParseSettings turns the platform's settings, a JSON object, into those of the decisions. An error about a key is a
+// *SettingError.
+func ParseSettings(text []byte) (policy.Settings, error) {
+	top, err := decodeObject(text)
+	if err != nil {
+		return policy.Settings{}, fmt.Errorf("settings: no JSON object: %w", err)
+	}
+	settings := readSettings(top)
+	return settings, top.err()
+}
+
+// readSettings reads the platform's settings.
+func readSettings(top object) policy.Settings {
+	family := top.optionalObject("family-info")
+	permissions := top.requiredObject("permissions")
+	invariants := top.requiredObject("invariants")
+	settings := policy.Settings{
+		InstanceIndex:     clampToCount(top.requiredNumber("me")),
+		Instances:         clampToCount(top.requiredNumber("replicas-of-me")),
+		Zone:              policy.ZoneID(clampToCount(top.optionalNumber("my-zone"))),
+		MaxAttempts:       clampToCount(permissions.requiredNumber("send-cap")),
+		Hedging:           permissions.optionalBool("second-copies"),
+		Cancellation:      permissions.optionalBool(cancellationKey),
+		HealthChecks:      permissions.optionalBool("probes"),
+		RetryAfter:        permissions.optionalBool("retry-after"),
+		MaxRetryAfter:     Nanoseconds(permissions.optionalNumber("max-retry-after-ms")),
+		CounterEnabled:    family.optionalBool("may-count"),
+		CounterTimeout:    Nanoseconds(family.optionalNumber("counter-timeout-ms")),
+		PostPaid:          family.optionalBool("post-paid"),
+		PollEndpoints:     top.optionalString("discovery") == "on_request",
+		PollTimeout:       Nanoseconds(invariants.optionalNumber("ask-within-ms")),
+		DrainGrace:        defaultDrainGrace,
+		SlowStartShare:    invariants.requiredNumber("cold-share"),
+		SlowStartDuration: Nanoseconds(invariants.requiredNumber("warm-up-ms")),
+		OverloadMultiple:  invariants.requiredNumber("tip-multiple"),
+		OverloadWindow:    Nanoseconds(invariants.requiredNumber("fall-ms")),
+		CrossZoneCost:     top.optionalObject("prices").optionalNumber("cross-zone"),
+	}
+	if invariants.has("stop-sending-within-ms") {
+		settings.DrainGrace = Nanoseconds(invariants.optionalNumber("stop-sending-within-ms"))
+		if settings.DrainGrace <= 0 {
+			invariants.failf("stop-sending-within-ms", "is not above 0")
+		}
+	}
+	if settings.MaxAttempts < 1 {
+		permissions.failf("send-cap", "is not above 0")
+	}
+	for _, row := range top.requiredRows("lanes") {
+		settings.Classes = append(settings.Classes, readClass(row))
+	}
+	for _, row := range top.requiredRows("tariffs") {
+		settings.Plans = append(settings.Plans, readPlan(row))
+	}
+	return settings
+}
+
+// readClass reads a row of the list of classes.
+func readClass(row object) policy.ClassSettings {
+	class := policy.ClassSettings{
+		LatencyObjective: Nanoseconds(row.requiredNumber("goal-time-ms")),
+		Deadline:         Nanoseconds(row.requiredNumber("deadline-ms")),
+		LateValue:        row.optionalNumber("late-worth"),
+		DedupWindow:      Nanoseconds(row.optionalNumber("window-ms")),
+	}
+	class.Idempotency = oneOf(row, "effect", idempotencyWords)
+	if class.Idempotency == policy.IdempotentWithKey {
+		class.DedupScope = oneOf(row, "group", dedupScopeWords)
+	}
+	if row.has("silence") { // left out, the instance falls back to its local share
+		class.FallbackMode = oneOf(row, "silence", fallbackModeWords)
+	}
+	if class.Deadline <= 0 {
+		row.failf("deadline-ms", "is not above 0")
+	}
+	return class
+}
+
+// readPlan reads a row of the list of plans.
+func readPlan(row object) policy.PlanSettings {
+	for _, key := range nonNegativePlanKeys {
+		if row.optionalNumber(key) < 0 {
+			row.failf(key, "is below 0")
+		}
+	}
+	if limit := row.optionalNumber("parallel"); limit != math.Trunc(limit) {
+		row.failf("parallel", "is no whole number")
+	}
+	return policy.PlanSettings{
+		Rate:             row.requiredNumber("quota-rate"),
+		Burst:            row.requiredNumber("peak-units"),
+		ConcurrencyLimit: clampToCount(row.optionalNumber("parallel")),
+		HardQuotaRate:    row.optionalNumber("cap-rate"),
+		HardQuotaBurst:   row.optionalNumber("ceiling-burst"),
+		OverQuotaValue:   row.optionalNumber("beyond-earns"),
+		OverQuotaCost:    row.optionalNumber("beyond-costs"),
+	}
+}
--- a/internal/lab/scenario/scenario.go
+++ b/internal/lab/scenario/scenario.go
@@ -259,7 +259,7 @@
 	var fault error
 	must := func(ok bool, key, what string) {
 		if !ok && fault == nil {
-			fault = f.Fault(key, what)
+			fault = f.KeyError(key, what)
 		}
 	}
 	must(s.Name != "", "name", "is missing")
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -1,10 +1,14 @@
-// Package metrics keeps the figures that the management address shows, in Prometheus' text form. Each is
-// counted where its event happens, from 0 in each process; the package owns nothing but the counts, and must
-// never decide anything.
+// Package metrics keeps the metrics that the management address shows, in Prometheus' text form. Each is counted where
+// its event happens, from 0 in each process; the package owns nothing but the counts and decides nothing.
+//
+// All methods are safe for concurrent use, and those of a nil Registry, Write apart, do nothing: parts that run without
+// metrics, in tests above all, need no registry. Names and help texts are what operators' dashboards go by: they stay as
+// they are.
 package metrics
 
 import (
 	"cmp"
+	"fmt"
 	"io"
 	"sync/atomic"
 
@@ -14,160 +18,199 @@
 	"fawnplank/policy"
 )
 
-// Outcome is how a transaction was answered.
+// Outcome is how a request was answered.
 type Outcome uint8
 
+// The outcomes of a request.
 const (
-	Success  Outcome = iota // fulfilled
-	Overload                // dismissed
-	Error                   // broken off, or refused for its head
+	Success  Outcome = iota // answered by a backend
+	Overload                // rejected
+	Error                   // failed, or refused for its head
+	outcomes                // how many there are
 )
 
-// Registry are one process's figures. A nil one counts nothing, for parts that are tried alone.
+// String returns the outcome's name, that of its metric.
+func (o Outcome) String() string {
+	switch o {
+	case Success:
+		return "success"
+	case Overload:
+		return "overload"
+	case Error:
+		return "error"
+	default:
+		return fmt.Sprintf("Outcome(%d)", uint8(o))
+	}
+}
+
+const (
+	namespace    = "gw"
+	classLabel   = "type"
+	unknownClass = "unknown" // the label of a class whose id has no name
+)
+
+// Registry holds the metrics of one process.
 type Registry struct {
-	reg                        *prometheus.Registry
-	ends                       [3]*prometheus.CounterVec
-	dispatches                 *prometheus.CounterVec
-	concurrent                 prometheus.Gauge
-	targets, disabled          prometheus.Gauge
-	reloadSuccess, reloadFault prometheus.Counter
-	classes                    atomic.Pointer[[]string] // the names of the profiles, by id
+	registry          *prometheus.Registry
+	requests          [outcomes]*prometheus.CounterVec // answered, by outcome and class
+	attempts          *prometheus.CounterVec           // sent, by class
+	requestsInFlight  prometheus.Gauge
+	endpoints         prometheus.Gauge
+	disabledEndpoints prometheus.Gauge
+	configsReloaded   prometheus.Counter
+	configsRejected   prometheus.Counter
+	classes           atomic.Pointer[[]string] // their names, by id
 }
 
-// New makes figures for the classes named, by profile id.
+// New returns a registry for the classes named, by id.
 func New(classes []string) *Registry {
-	counter := func(name, help string) *prometheus.CounterVec {
-		return prometheus.NewCounterVec(prometheus.CounterOpts{Namespace: "gw", Name: name, Help: help},
-			[]string{"type"})
-	}
-	gauge := func(name, help string) prometheus.Gauge {
-		return prometheus.NewGauge(prometheus.GaugeOpts{Namespace: "gw", Name: name, Help: help})
-	}
-	f := &Registry{reg: prometheus.NewRegistry(),
-		ends: [3]*prometheus.CounterVec{counter("success", "transactions fulfilled"),
-			counter("overload", "transactions dismissed"), counter("error", "transactions broken off or refused")},
-		dispatches: counter("dispatches", "shots written whole to backends"),
-		concurrent: gauge("concurrent", "transactions taken and not answered"),
-		targets:    gauge("targets", "backends in the list"),
-		disabled:   gauge("targets_disabled", "listed backends that are sent nothing new"),
-		reloadSuccess: prometheus.NewCounter(prometheus.CounterOpts{Namespace: "gw", Name: "reload_success",
-			Help: "configurations taken at SIGHUP"}),
-		reloadFault: prometheus.NewCounter(prometheus.CounterOpts{Namespace: "gw", Name: "reload_failure",
-			Help: "configurations turned down at SIGHUP"})}
-	f.reg.MustRegister(f.ends[0], f.ends[1], f.ends[2], f.dispatches, f.concurrent, f.targets, f.disabled,
-		f.reloadSuccess, f.reloadFault)
-	f.SetClasses(classes)
-	return f
-}
-
-// AddGauges adds figures that are asked for whenever they are shown. Each name has its help and its value.
-func (f *Registry) AddGauges(all map[string]Gauge) {
-	if f == nil {
-		return
-	}
-	for name, w := range all {
-		f.reg.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Namespace: "gw", Name: name, Help: w.Help}, w.Value))
-	}
+	r := &Registry{
+		registry: prometheus.NewRegistry(),
+		requests: [outcomes]*prometheus.CounterVec{
+			Success:  newClassCounter(Success.String(), "transactions fulfilled"),
+			Overload: newClassCounter(Overload.String(), "transactions dismissed"),
+			Error:    newClassCounter(Error.String(), "transactions broken off or refused"),
+		},
+		attempts:          newClassCounter("dispatches", "shots written whole to backends"),
+		requestsInFlight:  newGauge("concurrent", "transactions taken and not answered"),
+		endpoints:         newGauge("targets", "backends in the list"),
+		disabledEndpoints: newGauge("targets_disabled", "listed backends that are sent nothing new"),
+		configsReloaded:   newCounter("reload_success", "configurations taken at SIGHUP"),
+		configsRejected:   newCounter("reload_failure", "configurations turned down at SIGHUP"),
+	}
+	for _, counter := range r.classCounters() {
+		r.registry.MustRegister(counter)
+	}
+	r.registry.MustRegister(r.requestsInFlight, r.endpoints, r.disabledEndpoints, r.configsReloaded, r.configsRejected)
+	r.SetClasses(classes)
+	return r
+}
+
+func newClassCounter(name, help string) *prometheus.CounterVec {
+	return prometheus.NewCounterVec(
+		prometheus.CounterOpts{Namespace: namespace, Name: name, Help: help}, []string{classLabel})
 }
 
-// Gauge is a figure that is asked for.
+func newCounter(name, help string) prometheus.Counter {
+	return prometheus.NewCounter(prometheus.CounterOpts{Namespace: namespace, Name: name, Help: help})
+}
+
+func newGauge(name, help string) prometheus.Gauge {
+	return prometheus.NewGauge(prometheus.GaugeOpts{Namespace: namespace, Name: name, Help: help})
+}
+
+// classCounters returns the counters that have a row for each class.
+func (r *Registry) classCounters() []*prometheus.CounterVec { return append(r.requests[:], r.attempts) }
+
+// Gauge is a metric whose value is read whenever it is shown. Value is called from many goroutines at once.
 type Gauge struct {
 	Help  string
 	Value func() float64
 }
 
-// SetClasses names the profiles anew, after a reload; what was counted for classes dropped stays readable. An
-// empty name keeps the one it had: open transactions of a dropped class count under it.
-func (f *Registry) SetClasses(names []string) {
-	if f == nil {
+// AddGauges adds gauges by name. A name that is there already is a fault of the program, which panics.
+func (r *Registry) AddGauges(gauges map[string]Gauge) {
+	if r == nil {
+		return
+	}
+	for name, gauge := range gauges {
+		options := prometheus.GaugeOpts{Namespace: namespace, Name: name, Help: gauge.Help}
+		r.registry.MustRegister(prometheus.NewGaugeFunc(options, gauge.Value))
+	}
+}
+
+// SetClasses names the classes anew, by id, after a reload; what was counted for classes dropped stays readable. An empty
+// name keeps the one it had: requests in flight of a dropped class count under it.
+func (r *Registry) SetClasses(names []string) {
+	if r == nil {
 		return
 	}
 	names = append([]string(nil), names...)
-	if old := f.classes.Load(); old != nil {
+	if old := r.classes.Load(); old != nil {
 		for id := range min(len(*old), len(names)) {
 			names[id] = cmp.Or(names[id], (*old)[id])
 		}
 	}
-	for _, n := range names { // each is shown from 0 on
-		for _, v := range append(f.ends[:], f.dispatches) {
-			v.WithLabelValues(n)
+	for _, name := range names { // each is shown from 0 on
+		for _, counter := range r.classCounters() {
+			counter.WithLabelValues(name)
 		}
 	}
-	f.classes.Store(&names)
+	r.classes.Store(&names)
 }
 
-func (f *Registry) class(p policy.ClassID) string {
-	if names := *f.classes.Load(); int(p) >= 0 && int(p) < len(names) {
-		return names[p]
+func (r *Registry) className(id policy.ClassID) string {
+	if names := *r.classes.Load(); int(id) < len(names) {
+		return names[id]
 	}
-	return "unknown"
+	return unknownClass
 }
 
-// RequestReceived counts a transaction taken, and Ended its answer, of the class it was taken under.
-func (f *Registry) RequestReceived() {
-	if f != nil {
-		f.concurrent.Inc()
+// RequestReceived counts a request that was read whole, as one in flight.
+func (r *Registry) RequestReceived() {
+	if r != nil {
+		r.requestsInFlight.Inc()
 	}
 }
 
-// RequestEnded counts a transaction's answer; client gone: none.
-func (f *Registry) RequestEnded(p policy.ClassID, how Outcome) {
-	if f != nil {
-		f.ends[how].WithLabelValues(f.class(p)).Inc()
+// RequestEnded counts a request's answer under the class that it came with. A request whose client has gone has none.
+func (r *Registry) RequestEnded(class policy.ClassID, outcome Outcome) {
+	if r != nil {
+		r.requests[outcome].WithLabelValues(r.className(class)).Inc()
 	}
 }
 
-// RequestClosed counts a transaction that has ended, answered or not.
-func (f *Registry) RequestClosed() {
-	if f != nil {
-		f.concurrent.Dec()
+// RequestClosed counts a request that is no longer in flight, answered or not.
+func (r *Registry) RequestClosed() {
+	if r != nil {
+		r.requestsInFlight.Dec()
 	}
 }
 
-// RequestRefused counts a transaction refused for its head, where its class could be read.
-func (f *Registry) RequestRefused(class string) {
-	if f != nil {
-		f.ends[Error].WithLabelValues(class).Inc()
+// RequestRefused counts a request refused for its head, where its class could be read.
+func (r *Registry) RequestRefused(class string) {
+	if r != nil {
+		r.requests[Error].WithLabelValues(class).Inc()
 	}
 }
 
-// AttemptSent counts a shot whose last byte was written.
-func (f *Registry) AttemptSent(p policy.ClassID) {
-	if f != nil {
-		f.dispatches.WithLabelValues(f.class(p)).Inc()
+// AttemptSent counts an attempt whose last byte was written.
+func (r *Registry) AttemptSent(class policy.ClassID) {
+	if r != nil {
+		r.attempts.WithLabelValues(r.className(class)).Inc()
 	}
 }
 
-// SetEndpoints tells how many backends the list holds, and how many of them are sent nothing new.
-func (f *Registry) SetEndpoints(all, disabled int) {
-	if f != nil {
-		f.targets.Set(float64(all))
-		f.disabled.Set(float64(disabled))
+// SetEndpoints sets how many backends the endpoint list holds, and how many of them get no new attempts.
+func (r *Registry) SetEndpoints(listed, disabled int) {
+	if r != nil {
+		r.endpoints.Set(float64(listed))
+		r.disabledEndpoints.Set(float64(disabled))
 	}
 }
 
 // ConfigReloaded counts a configuration that took effect at a SIGHUP.
-func (f *Registry) ConfigReloaded() {
-	if f != nil {
-		f.reloadSuccess.Inc()
+func (r *Registry) ConfigReloaded() {
+	if r != nil {
+		r.configsReloaded.Inc()
 	}
 }
 
 // ConfigRejected counts a configuration that was found faulty at a SIGHUP, and changed nothing.
-func (f *Registry) ConfigRejected() {
-	if f != nil {
-		f.reloadFault.Inc()
+func (r *Registry) ConfigRejected() {
+	if r != nil {
+		r.configsRejected.Inc()
 	}
 }
 
-// Write writes all figures in Prometheus' text form.
-func (f *Registry) Write(w io.Writer) error {
-	families, err := f.reg.Gather()
+// Write writes all metrics in Prometheus' text form.
+func (r *Registry) Write(w io.Writer) error {
+	families, err := r.registry.Gather()
 	if err != nil {
 		return err
 	}
-	for _, mf := range families {
-		if _, err := expfmt.MetricFamilyToText(w, mf); err != nil {
+	for _, family := range families {
+		if _, err := expfmt.MetricFamilyToText(w, family); err != nil {
 			return err
 		}
 	}
--- a/internal/tomlfile/tomlfile.go
+++ b/internal/tomlfile/tomlfile.go
@@ -1,8 +1,11 @@
-// Package tomlfile reads TOML texts (toml.io, version 1.0) strictly into Go values and keeps the line of each
-// key, so that every fault names the file, the line and the key. It owns no settings and gives no defaults.
+// Package tomlfile reads TOML texts (toml.io, version 1.0) strictly into Go values and keeps the line of each key, so
+// that every error names the file, the line and the key. It owns no settings and gives no defaults.
+//
+// Read is safe for concurrent use, and a File never changes once it is read.
 package tomlfile
 
 import (
+	"bytes"
 	"errors"
 	"fmt"
 	"strings"
@@ -11,97 +14,144 @@
 	"github.com/pelletier/go-toml/v2/unstable"
 )
 
+// PositionError is an error at a place of a text: one of its form, or a KeyError.
+type PositionError struct {
+	File string
+	Line int // from 1 on; 0: none is known
+	Err  error
+}
+
+// Error returns "file:line: what", or "file: what" where no line is known.
+func (e *PositionError) Error() string {
+	if e.Line == 0 {
+		return fmt.Sprintf("%s: %v", e.File, e.Err)
+	}
+	return fmt.Sprintf("%s:%d: %v", e.File, e.Line, e.Err)
+}
+
+// Unwrap returns the error without its place.
+func (e *PositionError) Unwrap() error { return e.Err }
+
+// KeyError is a fault of a key's value.
+type KeyError struct {
+	Key     string // with its path: limits.key[0].name
+	Problem string // completes a sentence that begins with the key: "is not from 1 to 10"
+}
+
+// Error returns the key and its problem.
+func (e *KeyError) Error() string { return e.Key + " " + e.Problem }
+
 // File is a text that was read whole, with the lines of its keys.
 type File struct {
 	name  string
-	lines map[string]int
+	lines map[string]int // from 1 on, by full path: "load.rate", "profile[1].effect"
 }
 
-// Read reads the text strictly into the value that into points to: an unknown key, one that stands twice, a
-// value of the wrong type and a text cut short are errors. name stands for the text in messages. Each error
-// has the form "name:line: what".
+// Read reads the text strictly into the value that into points to: an unknown key, one that stands twice, a value of
+// the wrong type and a text cut short are errors. The name stands for the text in messages. Errors are of type
+// *PositionError.
 func Read(name string, text []byte, into any) (*File, error) {
 	f := &File{name: name, lines: map[string]int{}}
 	if err := f.index(text); err != nil {
 		return nil, err
 	}
-	decoder := toml.NewDecoder(strings.NewReader(string(text)))
-	err := decoder.DisallowUnknownFields().Decode(into)
+	decoder := toml.NewDecoder(bytes.NewReader(text))
+	if err := decoder.DisallowUnknownFields().Decode(into); err != nil {
+		return nil, f.decodeError(err)
+	}
+	return f, nil
+}
+
+// decodeError puts the decoder's error into the form of this package.
+func (f *File) decodeError(err error) error {
 	var missing *toml.StrictMissingError
+	if errors.As(err, &missing) && len(missing.Errors) > 0 {
+		unknown := missing.Errors[0]
+		line, _ := unknown.Position()
+		return f.errorAt(line, fmt.Errorf("unknown key %s", strings.Join(unknown.Key(), ".")))
+	}
 	var fault *toml.DecodeError
-	switch {
-	case errors.As(err, &missing) && len(missing.Errors) > 0:
-		line, _ := missing.Errors[0].Position()
-		return nil, fmt.Errorf("%s:%d: unknown key %s", name, line, strings.Join(missing.Errors[0].Key(), "."))
-	case errors.As(err, &fault):
+	if errors.As(err, &fault) {
 		line, _ := fault.Position()
 		what := strings.TrimPrefix(fault.Error(), "toml: ")
 		if key := strings.Join(fault.Key(), "."); key != "" && !strings.Contains(what, key) {
 			what = key + ": " + what
 		}
-		return nil, fmt.Errorf("%s:%d: %s", name, line, what)
-	case err != nil:
-		return nil, fmt.Errorf("%s: %w", name, err)
+		return f.errorAt(line, errors.New(what))
 	}
-	return f, nil
+	return f.errorAt(0, err)
+}
+
+func (f *File) errorAt(line int, err error) error {
+	return &PositionError{File: f.name, Line: line, Err: err}
 }
 
-// index notes the line of each key, under its full path: "load.rate", "profile[1].effect". It refuses what the
-// decoder lets pass: a key that stands twice within a table of an array.
+// index notes the line of each key. It refuses what the decoder lets pass: a key that stands twice within a table of an
+// array.
 func (f *File) index(text []byte) error {
-	var p unstable.Parser
-	p.Reset(text)
-	prefix, rows := "", map[string]int{}
-	for p.NextExpression() {
-		e := p.Expression()
-		var names []string
-		line := 0
-		for it := e.Key(); it.Next(); {
-			names = append(names, string(it.Node().Data))
-			line = p.Shape(it.Node().Raw).Start.Line
-		}
-		path := strings.Join(names, ".")
-		switch e.Kind {
+	var parser unstable.Parser
+	parser.Reset(text)
+	prefix := "" // of the table that the next keys stand in
+	rows := map[string]int{}
+	for parser.NextExpression() {
+		expression := parser.Expression()
+		path, line := keyOf(&parser, expression)
+		switch expression.Kind {
 		case unstable.Table:
 			prefix = path + "."
 			f.lines[path] = line
 		case unstable.ArrayTable:
-			n := rows[path]
+			row := fmt.Sprintf("%s[%d]", path, rows[path])
 			rows[path]++
-			path = fmt.Sprintf("%s[%d]", path, n)
-			prefix = path + "."
-			f.lines[path] = line
+			prefix = row + "."
+			f.lines[row] = line
 		case unstable.KeyValue:
 			path = prefix + path
-			if first, twice := f.lines[path]; twice {
-				return fmt.Errorf("%s:%d: %s stands twice, first in line %d", f.name, line, path, first)
+			if first, ok := f.lines[path]; ok {
+				return f.errorAt(line, fmt.Errorf("%s stands twice, first in line %d", path, first))
 			}
 			f.lines[path] = line
 		}
 	}
-	if err := p.Error(); err != nil {
-		line := strings.Count(string(text), "\n") + 1
-		var at *unstable.ParserError
-		if errors.As(err, &at) && len(at.Highlight) > 0 {
-			line = p.Shape(p.Range(at.Highlight)).Start.Line
-		}
-		return fmt.Errorf("%s:%d: %s", f.name, line, strings.TrimPrefix(err.Error(), "toml: "))
+	if err := parser.Error(); err != nil {
+		return f.parseError(&parser, text, err)
 	}
 	return nil
 }
 
-// Has says whether the key stands in the text.
+// keyOf returns the dotted key of an expression, and the line of the key's last part.
+func keyOf(parser *unstable.Parser, expression *unstable.Node) (key string, line int) {
+	var names []string
+	for it := expression.Key(); it.Next(); {
+		names = append(names, string(it.Node().Data))
+		line = parser.Shape(it.Node().Raw).Start.Line
+	}
+	return strings.Join(names, "."), line
+}
+
+// parseError puts the parser's error into the form of this package. One without a place is that of a text cut short.
+func (f *File) parseError(parser *unstable.Parser, text []byte, err error) error {
+	line := bytes.Count(text, []byte("\n")) + 1
+	var at *unstable.ParserError
+	if errors.As(err, &at) && len(at.Highlight) > 0 {
+		line = parser.Shape(parser.Range(at.Highlight)).Start.Line
+	}
+	return f.errorAt(line, errors.New(strings.TrimPrefix(err.Error(), "toml: ")))
+}
+
+// Has reports whether the key stands in the text.
 func (f *File) Has(key string) bool { return f.lines[key] > 0 }
 
-// Fault is an error about a key: with its line, or that of the nearest table around it.
-func (f *File) Fault(key, what string) error {
+// KeyError returns an error about a key, a *KeyError within a *PositionError: with the key's line, or that of the
+// nearest table around it.
+func (f *File) KeyError(key, problem string) error {
 	at := key
 	for f.lines[at] == 0 {
 		dot := strings.LastIndexByte(at, '.')
 		if dot < 0 {
-			return fmt.Errorf("%s: %s %s", f.name, key, what)
+			break
 		}
 		at = at[:dot]
 	}
-	return fmt.Errorf("%s:%d: %s %s", f.name, f.lines[at], key, what)
+	return f.errorAt(f.lines[at], &KeyError{Key: key, Problem: problem})
 }
--- a/internal/tomlfile/tomlfile_test.go
+++ b/internal/tomlfile/tomlfile_test.go
@@ -42,7 +42,7 @@
 	}
 	for key, want := range map[string]string{"name": "f:2: name is bad", "row[1].n": "f:7: row[1].n is bad",
 		"row[0].other": "f:4: row[0].other is bad", "rate": "f: rate is bad"} {
-		if got := f.Fault(key, "is bad").Error(); got != want {
+		if got := f.KeyError(key, "is bad").Error(); got != want {
 			t.Errorf("%q, want %q", got, want)
 		}
 	}
--- a/internal/warmstart/warmstart.go
+++ b/internal/warmstart/warmstart.go
@@ -1,6 +1,8 @@
-// Package learned keeps what a front door learned of the backends in a file over a restart, where a folder lasts. The
-// file is versioned and checksummed, written beside its place and put there whole, and read whole or not at all.
-// What it is worth after a time is for the decisions to say.
+// Package warmstart keeps what an instance measured of the backends in a file over a restart, where a folder lasts. The
+// file is versioned and checksummed, written beside its place and renamed there whole, and read whole or not at all.
+// What the state is worth after a time is for the decisions to say.
+//
+// Save and Load may be called by several processes at once: a reader gets one whole state, that of the last writer.
 package warmstart
 
 import (
@@ -18,78 +20,103 @@
 	"fawnplank/policy"
 )
 
-// Version is of the form of the file; another one is refused.
+// Version is that of the file's form; a file of another one is refused.
 const Version = 1
 
-const magic = "fawnplank learned\n"
+const (
+	// magic is the first line of the file. It is stored, so its text stays.
+	magic         = "fawnplank learned\n"
+	checksumBytes = 8
+	// fileMode: the file is for the gateway alone.
+	fileMode = 0o600
+	// maxBytes bounds the file: some hundred thousand backends.
+	maxBytes = 16 << 20
+	// maxClockSkew is more than clocks of one machine differ by: a file of a later time than that is not trusted.
+	maxClockSkew = time.Minute
+)
+
+// Reasons for which Load refuses a file; it wraps them with the file's path.
+var (
+	ErrCutShort = errors.New("no file of this kind, or one cut short")
+	ErrDamaged  = errors.New("damaged: its checksum does not fit")
+)
 
-// body is the file behind the line that says what it is and the checksum (xxhash, big-endian) of the rest.
+// body is the file behind the magic line and the checksum (xxhash, big-endian) of the rest.
 type body struct {
-	Version int                   `json:"v"`
-	Saved   int64                 `json:"saved_unix_ns"`
-	Learned policy.WarmStartState `json:"learned"`
+	Version       int                   `json:"v"`
+	SavedUnixNano int64                 `json:"saved_unix_ns"`
+	State         policy.WarmStartState `json:"learned"`
 }
 
-// Save writes the file: to another name in its folder, synced, and renamed over the old one, and the folder is synced
-// then. On an error, a full disk's say, the old file stays as it was.
-func Save(path string, l policy.WarmStartState, now time.Time) error {
-	text, err := json.Marshal(body{Version, now.UnixNano(), l})
+// Save writes the file: under another name in its folder, synced and renamed over the old one; then the folder is
+// synced. On an error, say of a full disk, the old file stays as it was.
+func Save(path string, state policy.WarmStartState, now time.Time) error {
+	text, err := json.Marshal(body{Version: Version, SavedUnixNano: now.UnixNano(), State: state})
 	if err != nil {
 		return fmt.Errorf("learned: %w", err)
 	}
-	out := binary.BigEndian.AppendUint64([]byte(magic), xxhash.Sum64(text))
-	if err := renameio.WriteFile(path, append(out, text...), 0o600); err != nil {
-		return fmt.Errorf("learned: %w", err)
-	}
-	folder, err := os.Open(filepath.Dir(path))
-	if err != nil {
+	content := binary.BigEndian.AppendUint64([]byte(magic), xxhash.Sum64(text))
+	content = append(content, text...)
+	if err := renameio.WriteFile(path, content, fileMode); err != nil {
 		return fmt.Errorf("learned: %w", err)
 	}
-	defer folder.Close()
-	if err := folder.Sync(); err != nil {
+	if err := syncFolder(filepath.Dir(path)); err != nil {
 		return fmt.Errorf("learned: %w", err)
 	}
 	return nil
 }
 
-// mostBytes bounds the file: some hundred thousand backends.
-const mostBytes = 16 << 20
+// syncFolder makes a rename in the folder outlast a crash of the machine.
+func syncFolder(path string) error {
+	folder, err := os.Open(path)
+	if err != nil {
+		return err
+	}
+	defer func() { _ = folder.Close() }() // it was only read
+	return folder.Sync()
+}
 
-// Load reads the file, and tells how old it is. A file that is not there is os.ErrNotExist; one cut short, damaged, of
-// another version, or from the future, is refused by an error that says so.
-func Load(path string, now time.Time) (l policy.WarmStartState, age time.Duration, err error) {
+// Load reads the file and returns how old it is. A file that is absent is os.ErrNotExist; one cut short, damaged, of
+// another version or from the future is refused by an error that says so.
+func Load(path string, now time.Time) (state policy.WarmStartState, age time.Duration, err error) {
 	info, err := os.Stat(path)
 	if err != nil {
-		return l, 0, fmt.Errorf("learned: %w", err)
+		return state, 0, fmt.Errorf("learned: %w", err)
 	}
-	if info.Size() > mostBytes {
-		return l, 0, fmt.Errorf("learned: %s has %d bytes, above %d", path, info.Size(), mostBytes)
+	if info.Size() > maxBytes {
+		return state, 0, fmt.Errorf("learned: %s has %d bytes, above %d", path, info.Size(), maxBytes)
 	}
-	text, err := os.ReadFile(path)
+	content, err := os.ReadFile(path)
 	if err != nil {
-		return l, 0, fmt.Errorf("learned: %w", err)
+		return state, 0, fmt.Errorf("learned: %w", err)
 	}
-	x, err := parse(text)
+	saved, err := parse(content)
 	if err != nil {
-		return l, 0, fmt.Errorf("learned: %s: %w", path, err)
+		return state, 0, fmt.Errorf("learned: %s: %w", path, err)
 	}
-	if age = now.Sub(time.Unix(0, x.Saved)); age < -time.Minute { // clocks of one machine differ by less
-		return l, 0, fmt.Errorf("learned: %s was written %v from now", path, -age)
+	age = now.Sub(time.Unix(0, saved.SavedUnixNano))
+	if age < -maxClockSkew {
+		return state, 0, fmt.Errorf("learned: %s was written %v from now", path, -age)
 	}
-	return x.Learned, max(age, 0), nil
+	return saved.State, max(age, 0), nil
 }
 
-func parse(text []byte) (x body, err error) {
-	if len(text) < len(magic)+8 || string(text[:len(magic)]) != magic {
-		return x, errors.New("no file of this kind, or one cut short")
+// parse checks a file's content from its outside in: magic line, checksum, form, version.
+func parse(content []byte) (body, error) {
+	const headBytes = len(magic) + checksumBytes
+	if len(content) < headBytes || string(content[:len(magic)]) != magic {
+		return body{}, ErrCutShort
+	}
+	text := content[headBytes:]
+	if xxhash.Sum64(text) != binary.BigEndian.Uint64(content[len(magic):]) {
+		return body{}, ErrDamaged
 	}
-	if rest := text[len(magic)+8:]; xxhash.Sum64(rest) != binary.BigEndian.Uint64(text[len(magic):]) {
-		return x, errors.New("damaged: its checksum does not fit")
-	} else if err := json.Unmarshal(rest, &x); err != nil {
-		return x, err
+	var saved body
+	if err := json.Unmarshal(text, &saved); err != nil {
+		return body{}, err
 	}
-	if x.Version != Version {
-		return x, fmt.Errorf("of version %d, and %d is read", x.Version, Version)
+	if saved.Version != Version {
+		return body{}, fmt.Errorf("of version %d, and %d is read", saved.Version, Version)
 	}
-	return x, nil
+	return saved, nil
 }
