--- /dev/null
+++ b/cmd/drill/instance.go
@@ -0,0 +1,151 @@
+package main
+
+import (
+	"fmt"
+
+	"fawnplank/internal/simwire"
+	"fawnplank/policy"
+)
+
+// Codes of the actions on the wire.
+const (
+	actionSend uint8 = 64 + iota
+	actionReject
+	actionAbort
+	actionCancel
+	actionWakeAt
+	actionCheckHealth
+	_ // drop connections: idle ones are left to close by themselves
+	_ // message to another instance: instances share the counter alone
+	actionLog
+	actionBroken
+	actionWatch
+	_ // refresh: a watch brings what was missed
+	actionAddToCounter
+)
+
+// instance is one instance of the gateway: its decisions, and its requests in flight by their id. It is the decisions'
+// policy.Effects: each effect is an action in the reply.
+type instance struct {
+	number   uint32
+	reply    *simwire.Reply // the host's, which all instances share
+	engine   *policy.Engine
+	requests map[uint64]*policy.Request
+}
+
+var _ policy.Effects = (*instance)(nil)
+
+// action starts an action's record.
+func (in *instance) action(code uint8) *simwire.Reply {
+	return in.reply.Record(code).Uint32(in.number)
+}
+
+// Send sends an attempt. The simulator sends at once, so that the time by which it has to begin says nothing.
+func (in *instance) Send(id policy.RequestID, backend policy.BackendID, expiresAt, _ int64) {
+	in.action(actionSend).Uint64(uint64(id)).Uint32(uint32(backend)).Float64(milliseconds(expiresAt))
+}
+
+// Cancel cancels an attempt.
+func (in *instance) Cancel(id policy.RequestID, attempt policy.AttemptID) {
+	in.action(actionCancel).Uint64(uint64(id)).Uint8(uint8(attempt))
+}
+
+// Reject answers a request with a rejection.
+func (in *instance) Reject(id policy.RequestID, retryAfter int64) {
+	in.action(actionReject).Uint64(uint64(id)).Float64(milliseconds(retryAfter))
+	in.dropDone(id)
+}
+
+// Abort answers a request with an error.
+func (in *instance) Abort(id policy.RequestID) {
+	in.action(actionAbort).Uint64(uint64(id))
+	in.dropDone(id)
+}
+
+// Admit does nothing: the wire has no class that only checks.
+func (in *instance) Admit(policy.RequestID) {}
+
+// WakeAt asks for a timer event.
+func (in *instance) WakeAt(at int64, mark uint64) {
+	in.action(actionWakeAt).Float64(milliseconds(at)).Uint64(mark)
+}
+
+// AddToCounter adds units to the shared counter.
+func (in *instance) AddToCounter(key policy.CounterKey, units float64, lifetime int64) {
+	in.action(actionAddToCounter).Uint64(uint64(key)).Float32(units).Float64(milliseconds(lifetime))
+}
+
+// CheckHealth makes a health check.
+func (in *instance) CheckHealth(backend policy.BackendID) {
+	in.action(actionCheckHealth).Uint32(uint32(backend))
+}
+
+// WatchEndpoints asks for the endpoint list and its changes.
+func (in *instance) WatchEndpoints() { in.action(actionWatch).Uint8(1) }
+
+// Log notes a text in the simulator's log.
+func (in *instance) Log(text string) { in.action(actionLog).Text(text) }
+
+// dropDone forgets a request that ended with no attempt in flight, by the counter's answer or a timer.
+func (in *instance) dropDone(id policy.RequestID) {
+	if request := in.requests[uint64(id)]; request != nil && request.Done() {
+		delete(in.requests, uint64(id))
+	}
+}
+
+// keep remembers a request until no further event can come for it.
+func (in *instance) keep(id uint64, request *policy.Request) {
+	if request.Done() {
+		delete(in.requests, id)
+		return
+	}
+	in.requests[id] = request
+}
+
+// The handlers of events. Those of requests that are not in flight, or no longer, are ignored: the simulator's events
+// and the instance's answers may cross on the way.
+
+func (in *instance) handleEndpoints(now int64, m endpointsMessage) {
+	for _, unknown := range m.unknownStates {
+		in.Log(fmt.Sprintf("backend %d has unknown state %d: taken for draining", unknown.backend, unknown.state))
+	}
+	in.engine.UpdateEndpoints(now, m.kind, m.endpoints)
+}
+
+func (in *instance) handleSubmit(now int64, m submitMessage) {
+	in.keep(uint64(m.spec.ID), in.engine.Submit(now, m.spec))
+}
+
+func (in *instance) handleResponseStarted(now int64, m responseStartedMessage) {
+	if request := in.requests[m.id]; request != nil {
+		request.HandleResponseStarted(now, m.attempt)
+	}
+}
+
+func (in *instance) handleAttemptResult(now int64, m attemptResultMessage) {
+	request := in.requests[m.id]
+	if request == nil {
+		return
+	}
+	request.HandleAttemptResult(now, m.result)
+	in.keep(m.id, request)
+}
+
+func (in *instance) handleClientGone(now int64, m clientGoneMessage) {
+	request := in.requests[m.id]
+	if request == nil {
+		return
+	}
+	request.HandleClientGone(now)
+	in.keep(m.id, request)
+}
+
+func (in *instance) handleTimer(now int64, m timerMessage) { in.engine.HandleTimer(now, m.mark) }
+
+func (in *instance) handleHealthCheck(now int64, m healthCheckMessage) {
+	in.engine.HandleHealthCheck(now, m.backend, m.outcome)
+}
+
+func (in *instance) handleCounterResult(now int64, m counterResultMessage) {
+	in.engine.HandleCounterResult(now, m.outcome, m.key, m.total)
+}
--- a/cmd/drill/main.go
+++ b/cmd/drill/main.go
@@ -1,9 +1,10 @@
-// Command drill puts the decisions on the simulator's wire: it reads batches of events from standard input
-// and writes one reply a batch to standard output. It translates and decides nothing.
+// Command drill puts the decisions on the simulator's wire: it reads batches of events from standard input and writes
+// one reply a batch to standard output. It translates and decides nothing.
 package main
 
 import (
 	"bufio"
+	"errors"
 	"fmt"
 	"io"
 	"os"
@@ -11,6 +12,9 @@
 	"fawnplank/internal/simwire"
 )
 
+// bufferBytes holds a busy batch whole, so that it is read and answered by one system call each.
+const bufferBytes = 1 << 20
+
 func main() {
 	if err := run(os.Stdin, os.Stdout); err != nil {
 		fmt.Fprintln(os.Stderr, "drill:", err)
@@ -18,26 +22,27 @@
 	}
 }
 
-// run answers frames until the input ends between two of them.
+// run answers frames until the input ends between two of them. The simulator waits for each reply before it sends on.
 func run(in io.Reader, out io.Writer) error {
-	r, w := bufio.NewReaderSize(in, 1<<20), bufio.NewWriterSize(out, 1<<20)
-	h := &host{doors: map[uint32]*door{}}
-	var f simwire.Frame
+	reader := bufio.NewReaderSize(in, bufferBytes)
+	writer := bufio.NewWriterSize(out, bufferBytes)
+	h := newHost()
+	var frame simwire.Frame
 	for n := 0; ; n++ {
-		err := simwire.ReadFrame(r, &f)
-		if err == io.EOF {
+		err := simwire.ReadFrame(reader, &frame)
+		if errors.Is(err, simwire.ErrEnd) {
 			return nil
 		}
 		if err == nil {
-			err = h.batch(&f)
+			err = h.handleFrame(&frame)
 		}
 		if err != nil {
 			return fmt.Errorf("batch %d: %w", n, err)
 		}
-		if _, err := h.reply.WriteTo(w); err != nil {
+		if _, err := h.reply.WriteTo(writer); err != nil {
 			return err
 		}
-		if err := w.Flush(); err != nil {
+		if err := writer.Flush(); err != nil {
 			return err
 		}
 	}
--- a/cmd/drill/main_test.go
+++ b/cmd/drill/main_test.go
@@ -27,24 +27,24 @@
 
 func create(text string) *simwire.Reply {
 	r := &simwire.Reply{}
-	r.Record(0).U32(3).U64(9).U32(uint32(len(text)))
+	r.Record(0).Uint32(3).Uint64(9).Uint32(uint32(len(text)))
 	for _, c := range []byte(text) {
-		r.U8(c)
+		r.Uint8(c)
 	}
 	return r
 }
 
 func TestBadInputIsNamedAndEndsTheRun(t *testing.T) {
 	list := create(settings)
-	list.Record(1).U32(3).U8(2).U64(1).U32(1 << 30)
+	list.Record(1).Uint32(3).Uint8(2).Uint64(1).Uint32(1 << 30)
 	for want, in := range map[string][]byte{
 		"":                                       frame(0, &simwire.Reply{}),
 		"batch 0: frame header: 3 of 16":         {1, 2, 3},
 		"frame body: 3 of":                       frame(1, create(settings))[:19],
-		"record 0 (code 99 ) at byte 0: unknown": frame(1, (&simwire.Reply{}).Record(99).U32(3)),
+		"record 0 (code 99 ) at byte 0: unknown": frame(1, (&simwire.Reply{}).Record(99).Uint32(3)),
 		"code 1 View":                            frame(2, list),
 		"impossible count of 7 records":          frame(7, (&simwire.Reply{}).Record(9)),
-		"1 bytes after the last":                 frame(1, create(settings).U8(0)),
+		"1 bytes after the last":                 frame(1, create(settings).Uint8(0)),
 	} {
 		var out bytes.Buffer
 		err := run(bytes.NewReader(in), &out)
@@ -72,20 +72,20 @@
 
 func TestTransactionGoesThrough(t *testing.T) {
 	in := create(settings)
-	in.Record(1).U32(3).U8(2).U64(1).U32(1).U32(77).U16(0).U8(0).U16(0).U8(1).F32(1).F64(0)
-	in.Record(2).U32(3).U64(123).U16(0).U32(0).U64(5).F64(2000).F32(1).F32(2).F32(0).U8(0)
-	in.Record(2).U32(3).U64(124).U16(9).U32(0).U64(5).F64(2000).F32(1).F32(2).F32(0).U8(0)
-	in.Record(4).U32(3).U64(999).U8(0).U32(77).U16(100).F64(1).U8(1).U16(0).U16(0).U8(0)
+	in.Record(1).Uint32(3).Uint8(2).Uint64(1).Uint32(1).Uint32(77).Uint16(0).Uint8(0).Uint16(0).Uint8(1).Float32(1).Float64(0)
+	in.Record(2).Uint32(3).Uint64(123).Uint16(0).Uint32(0).Uint64(5).Float64(2000).Float32(1).Float32(2).Float32(0).Uint8(0)
+	in.Record(2).Uint32(3).Uint64(124).Uint16(9).Uint32(0).Uint64(5).Float64(2000).Float32(1).Float32(2).Float32(0).Uint8(0)
+	in.Record(4).Uint32(3).Uint64(999).Uint8(0).Uint32(77).Uint16(100).Float64(1).Uint8(1).Uint16(0).Uint16(0).Uint8(0)
 	var out, want bytes.Buffer
 	if err := run(bytes.NewReader(frame(5, in)), &out); err != nil {
 		t.Fatal(err)
 	}
-	(&simwire.Reply{}).Record(actHandOff).U32(3).U64(123).U32(77).WriteTo(&want)
+	(&simwire.Reply{}).Record(actionSend).Uint32(3).Uint64(123).Uint32(77).WriteTo(&want)
 	if !bytes.Contains(out.Bytes(), want.Bytes()[8:]) {
 		t.Error("no shot for the transaction")
 	}
 	want.Reset()
-	(&simwire.Reply{}).Record(actError).U32(3).U64(124).WriteTo(&want)
+	(&simwire.Reply{}).Record(actionAbort).Uint32(3).Uint64(124).WriteTo(&want)
 	if !bytes.Contains(out.Bytes(), want.Bytes()[8:]) {
 		t.Error("a transaction of an unknown profile was not broken off")
 	}
--- /dev/null
+++ b/cmd/drill/messages.go
@@ -0,0 +1,222 @@
+package main
+
+import (
+	"fmt"
+
+	"fawnplank/internal/config"
+	"fawnplank/internal/simwire"
+	"fawnplank/policy"
+)
+
+// This file reads the bodies of events. Readers leave it to their caller to check the frame's error, which comes before
+// all use of a message; the errors that they return are of values that the wire does not define.
+
+// nanoseconds and milliseconds turn the wire's times into the decisions' and back.
+func nanoseconds(ms float64) int64     { return config.Nanoseconds(ms) }
+func milliseconds(nanos int64) float64 { return float64(nanos) / 1e6 }
+
+// maxCount bounds counts that the wire sends as real numbers.
+const maxCount = 1e9
+
+func countOf(number float64) int { return int(min(max(number, 0), maxCount)) }
+
+// outcomes are those of attempts, health checks and calls to the counter by their status on the wire.
+var outcomes = map[uint16]policy.Outcome{
+	100: policy.Succeeded,
+	301: policy.Failed,
+	302: policy.Rejected,
+	303: policy.TimedOut,
+	304: policy.ConnectFailed,
+	305: policy.ConnectionLost,
+	306: policy.Canceled,
+	307: policy.NotSent,
+}
+
+// outcomeOf translates a status. After a fault in the frame the status is none, and the fault is what counts.
+func outcomeOf(f *simwire.Frame, status uint16) (policy.Outcome, error) {
+	outcome, ok := outcomes[status]
+	if f.Err() == nil && !ok {
+		return 0, fmt.Errorf("unknown status %d", status)
+	}
+	return outcome, nil
+}
+
+// createMessage starts an instance.
+type createMessage struct {
+	seed     uint64
+	settings []byte // JSON; the frame's own
+}
+
+func readCreate(f *simwire.Frame) (createMessage, error) {
+	seed := f.Uint64()
+	return createMessage{seed: seed, settings: f.Bytes(int(f.Uint32()))}, nil
+}
+
+// endpointsMessage brings the endpoint list or its changes.
+type endpointsMessage struct {
+	kind          policy.UpdateKind
+	endpoints     []policy.Endpoint
+	unknownStates []unknownState
+}
+
+// unknownState is a state on the wire that is not defined: its backend counts as draining.
+type unknownState struct {
+	backend policy.BackendID
+	state   uint8
+}
+
+func readEndpoints(f *simwire.Frame) (endpointsMessage, error) {
+	const entryBytes = 22
+	kind := f.Uint8()
+	f.Uint64() // the list's version: the wire gives no list twice
+	m := endpointsMessage{kind: policy.UpdateKind(kind)}
+	m.endpoints = make([]policy.Endpoint, f.Count(int(f.Uint32()), entryBytes))
+	for n := range m.endpoints {
+		state, known := readEndpoint(f, &m.endpoints[n])
+		if !known {
+			m.unknownStates = append(m.unknownStates, unknownState{backend: m.endpoints[n].Backend, state: state})
+		}
+	}
+	if kind > uint8(policy.UpdateFailed) {
+		return m, fmt.Errorf("unknown kind of list %d", kind)
+	}
+	return m, nil
+}
+
+// readEndpoint reads an entry of a list, and returns its state on the wire and whether that is defined.
+func readEndpoint(f *simwire.Frame, endpoint *policy.Endpoint) (state uint8, known bool) {
+	endpoint.Backend = policy.BackendID(f.Uint32())
+	endpoint.Zone = policy.ZoneID(f.Uint16())
+	f.Uint8() // the kind of machine: answer times say it
+	endpoint.Group = policy.GroupID(f.Uint16())
+	state = f.Uint8()
+	endpoint.Capacity = f.Float32()
+	endpoint.StartedAt = nanoseconds(f.Float64())
+	switch state {
+	case 0:
+		endpoint.State = policy.EndpointDraining
+	case 1:
+		endpoint.State = policy.EndpointReady
+	case 3:
+		endpoint.State = policy.EndpointGone
+	default:
+		endpoint.State = policy.EndpointDraining
+		return state, false
+	}
+	return state, true
+}
+
+// submitMessage is a request that arrives.
+type submitMessage struct{ spec policy.RequestSpec }
+
+func readSubmit(f *simwire.Frame) (submitMessage, error) {
+	var m submitMessage
+	m.spec.ID = policy.RequestID(f.Uint64())
+	m.spec.Class = policy.ClassID(f.Uint16())
+	m.spec.Plan = policy.PlanID(f.Uint32())
+	m.spec.Tenant = policy.TenantID(f.Uint64())
+	m.spec.Remaining = nanoseconds(f.Float64())
+	m.spec.Units = f.Float32()
+	m.spec.EntryPoints = countOf(f.Float32())
+	m.spec.FirstInstance = countOf(f.Float32())
+	f.Uint8() // flags: the decisions read none
+	return m, nil
+}
+
+// responseStartedMessage is the first byte of an attempt's answer.
+type responseStartedMessage struct {
+	id      uint64
+	attempt policy.AttemptID
+}
+
+func readResponseStarted(f *simwire.Frame) (responseStartedMessage, error) {
+	m := responseStartedMessage{id: f.Uint64()}
+	m.attempt = policy.AttemptID(f.Uint8())
+	f.Uint32()  // the backend: known from the attempt
+	f.Float64() // the time since it was sent: known too
+	return m, nil
+}
+
+// attemptResultMessage is the end of an attempt.
+type attemptResultMessage struct {
+	id     uint64
+	result policy.AttemptResult
+}
+
+func readAttemptResult(f *simwire.Frame) (attemptResultMessage, error) {
+	m := attemptResultMessage{id: f.Uint64()}
+	m.result.Attempt = policy.AttemptID(f.Uint8())
+	f.Uint32() // the backend: known from the attempt
+	status := f.Uint16()
+	m.result.Elapsed = nanoseconds(f.Float64())
+	m.result.RequestDone = f.Uint8() != 0
+	f.Uint16() // the meter: the decisions go by the counter
+	m.result.TrueUnits = float64(f.Uint16())
+	skipLoadReport(f)
+	var err error
+	m.result.Outcome, err = outcomeOf(f, status)
+	return m, err
+}
+
+// clientGoneMessage is a request whose client has left.
+type clientGoneMessage struct{ id uint64 }
+
+func readClientGone(f *simwire.Frame) (clientGoneMessage, error) {
+	return clientGoneMessage{id: f.Uint64()}, nil
+}
+
+// timerMessage is a timer that the decisions asked for.
+type timerMessage struct{ mark uint64 }
+
+func readTimer(f *simwire.Frame) (timerMessage, error) { return timerMessage{mark: f.Uint64()}, nil }
+
+// healthCheckMessage is the end of a health check.
+type healthCheckMessage struct {
+	backend policy.BackendID
+	outcome policy.Outcome
+}
+
+func readHealthCheck(f *simwire.Frame) (healthCheckMessage, error) {
+	m := healthCheckMessage{backend: policy.BackendID(f.Uint32())}
+	status := f.Uint16()
+	f.Float64() // how long it took: the decisions go by what requests take
+	skipLoadReport(f)
+	var err error
+	m.outcome, err = outcomeOf(f, status)
+	return m, err
+}
+
+// counterResultMessage is the answer of the shared counter.
+type counterResultMessage struct {
+	key     policy.CounterKey
+	outcome policy.Outcome
+	total   float64
+}
+
+func readCounterResult(f *simwire.Frame) (counterResultMessage, error) {
+	status := f.Uint16()
+	m := counterResultMessage{key: policy.CounterKey(f.Uint64())}
+	f.Float64() // how long the call took
+	m.total = f.Float32()
+	var err error
+	m.outcome, err = outcomeOf(f, status)
+	return m, err
+}
+
+// emptyMessage is one whose fields, if any, the decisions do not use.
+type emptyMessage struct{}
+
+func readNothing(*simwire.Frame) (emptyMessage, error) { return emptyMessage{}, nil }
+
+// readPeerMessage passes over a message of another instance.
+func readPeerMessage(f *simwire.Frame) (emptyMessage, error) {
+	f.Uint32() // the sender
+	f.Bytes(int(f.Uint16()))
+	return emptyMessage{}, nil
+}
+
+// skipLoadReport passes over a load report: the decisions go by what the backends answer.
+func skipLoadReport(f *simwire.Frame) {
+	const numberBytes = 4
+	f.Bytes(numberBytes * int(f.Uint8()))
+}
--- a/cmd/drill/recording_test.go
+++ b/cmd/drill/recording_test.go
@@ -112,7 +112,7 @@
 
 func (r *recorder) record(code uint8, instance uint32) *simwire.Reply {
 	r.records++
-	return r.batch.Record(code).U32(instance)
+	return r.batch.Record(code).Uint32(instance)
 }
 
 func (r *recorder) after(ms float64, what func()) {
@@ -142,7 +142,7 @@
 	for i := range uint32(recorderInstances) {
 		r.create(i)
 	}
-	r.record(0, 90).U64(1).U32(2).U8('{').U8('}') // settings that lack all
+	r.record(0, 90).Uint64(1).Uint32(2).Uint8('{').Uint8('}') // settings that lack all
 	r.arrive()
 	r.disturb()
 	end := r.now + recorderEndMs
@@ -211,12 +211,12 @@
 		return b[14:]
 	case 68:
 		mark := u64(13)
-		r.later(i, f64(5)-r.now, func() { r.record(6, i).U64(mark) })
+		r.later(i, f64(5)-r.now, func() { r.record(6, i).Uint64(mark) })
 		return b[21:]
 	case 69:
 		backend := u32(5)
 		status := []uint16{100, 100, 304}[r.below(3)]
-		r.later(i, 3, func() { r.record(7, i).U32(backend).U16(status).F64(3).U8(1).F32(4.5) })
+		r.later(i, 3, func() { r.record(7, i).Uint32(backend).Uint16(status).Float64(3).Uint8(1).Float32(4.5) })
 		return b[9:]
 	case 72, 73:
 		return b[7+u16(5):]
@@ -249,9 +249,9 @@
 "tariffs": [{"quota-rate": 6, "peak-units": 9, "beyond-costs": 1}, {"quota-rate": 4, "peak-units": 8, "parallel": 3, "cap-rate": 6, "ceiling-burst": 8},
 {"quota-rate": 0, "peak-units": 0, "parallel": 4}, {"quota-rate": 2, "peak-units": 3, "beyond-earns": 0.6, "beyond-costs": 0.4}]}`,
 		i, recorderInstances, i%2, method, i != 2, i < 2, i == 3)
-	c := r.record(0, i).U64(uint64(i)*7919 + uint64(r.lives[i])).U32(uint32(len(text)))
+	c := r.record(0, i).Uint64(uint64(i)*7919 + uint64(r.lives[i])).Uint32(uint32(len(text)))
 	for _, b := range []byte(text) {
-		c.U8(b)
+		c.Uint8(b)
 	}
 	r.view(i, 2)
 }
@@ -259,7 +259,7 @@
 // view tells an instance all backends, or those named.
 func (r *recorder) view(i uint32, how uint8, only ...uint32) {
 	if how == 3 {
-		r.record(1, i).U8(how).U64(r.version).U32(0)
+		r.record(1, i).Uint8(how).Uint64(r.version).Uint32(0)
 		return
 	}
 	if len(only) == 0 {
@@ -269,9 +269,9 @@
 			}
 		}
 	}
-	v := r.record(1, i).U8(how).U64(r.version).U32(uint32(len(only)))
+	v := r.record(1, i).Uint8(how).Uint64(r.version).Uint32(uint32(len(only)))
 	for _, b := range only {
-		v.U32(b * 1000).U16(uint16(b % 2)).U8(uint8(b % 3)).U16(uint16(b % 3)).U8(r.states[b]).F32(1 + float64(b%2)).F64(r.started[b])
+		v.Uint32(b * 1000).Uint16(uint16(b % 2)).Uint8(uint8(b % 3)).Uint16(uint16(b % 3)).Uint8(r.states[b]).Float32(1 + float64(b%2)).Float64(r.started[b])
 	}
 }
 
@@ -294,15 +294,15 @@
 				r.create(i)
 			}
 		case 4:
-			r.record(8, i).U32(1).U16(3).U8(1).U8(2).U8(3)
+			r.record(8, i).Uint32(1).Uint16(3).Uint8(1).Uint8(2).Uint8(3)
 		case 5: // of requests, backends and numbers that nobody knows, and for an instance that is none
-			r.record(4, i).U64(5).U8(0).U32(b).U16(100).F64(1).U8(1).U16(0).U16(0).U8(0)
-			r.record(5, i).U64(5)
-			r.record(3, i).U64(5).U8(0).U32(b).F64(1)
-			r.record(10, i).U16(100).U64(5).F64(1).F32(2)
-			r.record(7, i).U32(5).U16(304).F64(1).U8(0)
-			r.record(6, 70).U64(1)
-			r.record(2, 70).U64(6).U16(0).U32(0).U64(1).F64(1000).F32(1).F32(1).F32(0).U8(0)
+			r.record(4, i).Uint64(5).Uint8(0).Uint32(b).Uint16(100).Float64(1).Uint8(1).Uint16(0).Uint16(0).Uint8(0)
+			r.record(5, i).Uint64(5)
+			r.record(3, i).Uint64(5).Uint8(0).Uint32(b).Float64(1)
+			r.record(10, i).Uint16(100).Uint64(5).Float64(1).Float32(2)
+			r.record(7, i).Uint32(5).Uint16(304).Float64(1).Uint8(0)
+			r.record(6, 70).Uint64(1)
+			r.record(2, 70).Uint64(6).Uint16(0).Uint32(0).Uint64(1).Float64(1000).Float32(1).Float32(1).Float32(0).Uint8(0)
 			r.record(9, 70)
 		case 6:
 			r.view(i, 1)
@@ -334,13 +334,13 @@
 		r.nextID++
 		id, life := r.nextID, r.lives[i]
 		r.limits[id] = r.now + left
-		r.record(2, i).U64(id).U16(class).U32(uint32(plan)).U64(customer*4 + uint64(plan)).F64(left).
-			F32([]float64{0.5, 1, 1, 1, 2}[r.below(5)]).F32(recorderInstances).F32(float64(customer)).U8(2)
+		r.record(2, i).Uint64(id).Uint16(class).Uint32(uint32(plan)).Uint64(customer*4 + uint64(plan)).Float64(left).
+			Float32([]float64{0.5, 1, 1, 1, 2}[r.below(5)]).Float32(recorderInstances).Float32(float64(customer)).Uint8(2)
 		if r.likely(0.05) {
 			r.after(float64(r.below(300)), func() {
 				if r.lives[i] == life && !r.over[id] {
 					r.over[id] = true
-					r.record(5, i).U64(id)
+					r.record(5, i).Uint64(id)
 				}
 			})
 		}
@@ -373,7 +373,7 @@
 		r.later(i, took/2, func() {
 			if !a.settled && !r.over[id] {
 				a.streams = true
-				r.record(3, i).U64(id).U8(a.number).U32(backend).F64(r.rounded(r.now - a.sent))
+				r.record(3, i).Uint64(id).Uint8(a.number).Uint32(backend).Float64(r.rounded(r.now - a.sent))
 			}
 		})
 	}
@@ -395,8 +395,8 @@
 	if status == 100 && a.instance == 3 {
 		units = uint16(1 + r.below(3))
 	}
-	r.record(4, a.instance).U64(a.id).U8(a.number).U32(a.backend).U16(status).F64(r.rounded(r.now - a.sent)).
-		U8(over).U16(0).U16(units).U8(2).F32(0.5).F32(3)
+	r.record(4, a.instance).Uint64(a.id).Uint8(a.number).Uint32(a.backend).Uint16(status).Float64(r.rounded(r.now - a.sent)).
+		Uint8(over).Uint16(0).Uint16(units).Uint8(2).Float32(0.5).Float32(3)
 }
 
 // count answers a call to the counter, which fails for three seconds of the day.
@@ -411,5 +411,5 @@
 		r.totals[name] += units
 	}
 	total := r.totals[name]
-	r.later(i, took, func() { r.record(10, i).U16(status).U64(name).F64(took).F32(total) })
+	r.later(i, took, func() { r.record(10, i).Uint16(status).Uint64(name).Float64(took).Float32(total) })
 }
--- /dev/null
+++ b/internal/simwire/reply.go
@@ -0,0 +1,83 @@
+package simwire
+
+import (
+	"encoding/binary"
+	"io"
+	"math"
+)
+
+const replyHeaderBytes = 8
+
+// Reply gathers the records that answer one frame. Its methods return it, so that a record is written in one statement:
+//
+//	reply.Record(code).Uint32(instance).Uint64(id)
+//
+// The zero value is an empty reply.
+type Reply struct {
+	buffer  []byte // with the header's bytes in front, once it is begun
+	records uint32
+}
+
+// begin leaves the header's place free in front of the body.
+func (r *Reply) begin() {
+	if len(r.buffer) == 0 {
+		r.buffer = append(r.buffer, make([]byte, replyHeaderBytes)...)
+	}
+}
+
+// Record starts a record; its fields follow.
+func (r *Reply) Record(code uint8) *Reply {
+	r.begin()
+	r.records++
+	return r.Uint8(code)
+}
+
+// Uint8 adds a number of one byte.
+func (r *Reply) Uint8(v uint8) *Reply {
+	r.buffer = append(r.buffer, v)
+	return r
+}
+
+// Uint16 adds a number of two bytes.
+func (r *Reply) Uint16(v uint16) *Reply {
+	r.buffer = binary.LittleEndian.AppendUint16(r.buffer, v)
+	return r
+}
+
+// Uint32 adds a number of four bytes.
+func (r *Reply) Uint32(v uint32) *Reply {
+	r.buffer = binary.LittleEndian.AppendUint32(r.buffer, v)
+	return r
+}
+
+// Uint64 adds a number of eight bytes.
+func (r *Reply) Uint64(v uint64) *Reply {
+	r.buffer = binary.LittleEndian.AppendUint64(r.buffer, v)
+	return r
+}
+
+// Float32 adds a real number of four bytes.
+func (r *Reply) Float32(v float64) *Reply { return r.Uint32(math.Float32bits(float32(v))) }
+
+// Float64 adds a real number of eight bytes.
+func (r *Reply) Float64(v float64) *Reply { return r.Uint64(math.Float64bits(v)) }
+
+// Text adds a text with its length, cut to what the length's two bytes can say.
+func (r *Reply) Text(s string) *Reply {
+	if len(s) > math.MaxUint16 {
+		s = s[:math.MaxUint16]
+	}
+	r.Uint16(uint16(len(s)))
+	r.buffer = append(r.buffer, s...)
+	return r
+}
+
+// WriteTo writes the reply with its header and empties it, whether or not the write succeeds.
+func (r *Reply) WriteTo(w io.Writer) (int64, error) {
+	r.begin()
+	binary.LittleEndian.PutUint32(r.buffer[0:], r.records)
+	binary.LittleEndian.PutUint32(r.buffer[4:], uint32(len(r.buffer)-replyHeaderBytes))
+	n, err := w.Write(r.buffer)
+	r.buffer, r.records = r.buffer[:0], 0
+	return int64(n), err
+}
