--- a/cmd/fawnplank/limits.go
+++ b/cmd/fawnplank/limits.go
@@ -39,7 +39,7 @@
 	options := limitserver.Options{
 		Dispatcher:     f,
 		Settings:       limitNames(start, set),
-		MaxConnections: set.Limits.Connections,
+		MaxConnections: set.Limits.MaxConnections,
 		Keys:           map[string]authz.Key{},
 	}
 	for _, k := range set.Limits.Keys {
@@ -69,8 +69,8 @@
 }
 
 func limitNames(start *config.Config, set *config.Operator) limitserver.Settings {
-	id, _ := start.LimitProfile()
-	return limitserver.Settings{Class: id, Timeout: time.Duration(set.Limits.Within), Plans: start.Plans, Instances: start.Settings.Instances,
+	id, _ := start.LimitClass()
+	return limitserver.Settings{Class: id, Timeout: time.Duration(set.Limits.AnswerTimeout), Plans: start.Plans, Instances: start.Settings.Instances,
 		MaxUnits: start.MaxUnits}
 }
 
--- a/cmd/fawnplank/main.go
+++ b/cmd/fawnplank/main.go
@@ -50,7 +50,7 @@
 	if path == "" || to == "" && !dry {
 		return errors.New("migrate: needs --config for the old file, and --output for the new one or --dry-run")
 	}
-	lines, err := config.Migrate(path, shape, to, dry)
+	lines, err := config.Migrate(config.MigrateOptions{From: path, Shape: shape, To: to, DryRun: dry})
 	if err != nil {
 		return err
 	}
@@ -78,7 +78,7 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	start.AddLimits(o)
+	start.AddLimitClass(o)
 	return start, o, nil
 }
 
@@ -90,7 +90,7 @@
 	if err != nil {
 		return err
 	}
-	if err := logging.Setup(os.Stderr, cmp.Or(level, set.Log.Level), cmp.Or(format, set.Log.Format), start.Name); err != nil {
+	if err := logging.Setup(logging.Options{Output: os.Stderr, Level: cmp.Or(level, set.Log.Level), Format: cmp.Or(format, set.Log.Format), Instance: start.Name}); err != nil {
 		return err
 	}
 	// All runs on one core: more threads would only take turns. The collector keeps below the memory limit,
@@ -116,8 +116,8 @@
 	// for the rest.
 	pool := backend.New(backend.Options{
 		MaxConnections:    part,
-		ConnectTimeout:    time.Duration(start.ConnectTimeout),
-		IdleTimeout:       time.Duration(start.IdleConnection),
+		ConnectTimeout:    start.ConnectTimeout,
+		IdleTimeout:       start.IdleTimeout,
 		Budget:            membudget.New(start.MemoryBytes / 6),
 		Metrics:           figures,
 		HandleHealthCheck: f.HandleHealthCheck,
@@ -126,7 +126,7 @@
 	if set.Counter.Protocol == "resp" {
 		spoken = counter.RESP
 	}
-	count := counter.New(counter.Options{Address: start.Counter, ConnectTimeout: time.Duration(start.ConnectTimeout),
+	count := counter.New(counter.Options{Address: start.Counter, ConnectTimeout: start.ConnectTimeout,
 		Format: spoken}, f)
 	figures.AddGauges(outages(f, count))
 	names := &names{set: set}
@@ -152,8 +152,6 @@
 	if err != nil {
 		return fmt.Errorf("configuration: listen: %w", err)
 	}
-	server := frontend.New(f, pool, start, part)
-	server.Metrics, server.Budget = figures, membudget.New(start.MemoryBytes/6)
 	billed := newAccounts()
 	kept, edited, err := openStore(replica, path, operator, names.changed, billed.changed)
 	if err != nil {
@@ -172,14 +170,17 @@
 	if err != nil {
 		return fmt.Errorf("operator file: limits.listen: %w", err)
 	}
+	options := frontend.Options{Dispatcher: f, Pool: pool, Config: start, MaxConnections: part, Metrics: figures,
+		Budget: membudget.New(start.MemoryBytes / 6)}
 	if billed.desk != nil { // before the first transaction is taken: each is billed, or none
-		server.Ledger = billed.desk
+		options.Usage = billed.desk
 	}
+	server := frontend.New(options)
 	served, stopped := make(chan error, 1), make(chan struct{})
 	go func() { served <- server.Serve(listener) }()
 	d := &door{server: server, figures: figures}
 	if start.ManagementAddress != "" {
-		m, err := admin.New(start.ManagementAddress, d, calls)
+		m, err := admin.New(context.Background(), admin.Options{Address: start.ManagementAddress, Gateway: d, MaxCalls: calls})
 		if err != nil {
 			return fmt.Errorf("configuration: mgmt: %w", err)
 		}
@@ -210,7 +211,10 @@
 		case s := <-told: // one at a time: a further one waits
 			if s == syscall.SIGHUP {
 				fresh := reload(path, operator, kept.overlay(), start, set, count, list)
-				if figures.ConfigReloaded(fresh != nil); fresh != nil {
+				if fresh == nil {
+					figures.ConfigRejected()
+				} else {
+					figures.ConfigReloaded()
 					f.UpdateSettings(fresh.Settings)
 					server.UpdateSettings(fresh)
 					limits.Retune(limitNames(fresh, set))
@@ -280,11 +284,11 @@
 	}
 	if !reflect.DeepEqual(now, set) {
 		logging.For("config").Warn("changes of the operator file take effect at a restart")
-		if _, on := start.LimitProfile(); on && now.Limits.Listen == "" {
-			fresh.AddLimits(set)
+		if _, on := start.LimitClass(); on && now.Limits.Listen == "" {
+			fresh.AddLimitClass(set)
 		}
 	}
-	fresh.Follow(start)
+	fresh.KeepIDs(start)
 	count.SetAddress(fresh.Counter)
 	list.SetAddress(fresh.Discovery, fresh.Settings)
 	logging.For("config").WithFields(logrus.Fields{"discovery": fresh.Discovery, "counter": fresh.Counter,
--- a/internal/discovery/start_test.go
+++ b/internal/discovery/start_test.go
@@ -156,7 +156,7 @@
 
 // send sends a transaction, and notes when and where to.
 func (d *door) send() {
-	tx := d.facade.Submit(dispatch.RequestSpec{Tenant: 1, Timeout: 500 * time.Millisecond, Units: 1, Entries: 1})
+	tx := d.facade.Submit(dispatch.RequestSpec{Tenant: 1, Timeout: 500 * time.Millisecond, Units: 1, EntryPoints: 1})
 	for {
 		step := tx.NextStep()
 		if step.Action != dispatch.Send {
