--- a/cmd/fawnplank/limits.go
+++ b/cmd/fawnplank/limits.go
@@ -49,16 +49,14 @@
 		options.Accounts = accounts
 	}
 	s := limitserver.New(options)
-	counts := func(n int) func() float64 {
-		return func() float64 {
-			granted, refused, faulty := s.Stats()
-			return float64([]uint64{granted, refused, faulty}[n])
-		}
-	}
 	figures.AddGauges(map[string]metrics.Gauge{
-		"limit_checks_granted": {Help: "limit checks that found room", Value: counts(0)},
-		"limit_checks_refused": {Help: "limit checks that found none", Value: counts(1)},
-		"limit_faults":         {Help: "limit commands answered with an error", Value: counts(2)}})
+		"limit_checks_granted": {Help: "limit checks that found room",
+			Value: func() float64 { return float64(s.Stats().Admitted) }},
+		"limit_checks_refused": {Help: "limit checks that found none",
+			Value: func() float64 { return float64(s.Stats().Rejected) }},
+		"limit_faults": {Help: "limit commands answered with an error",
+			Value: func() float64 { return float64(s.Stats().Failed) }},
+	})
 	go func() {
 		if err := s.Serve(l); err != nil {
 			logging.For("limits").WithError(err).Error("stopped")
--- /dev/null
+++ b/internal/limitserver/account_commands.go
@@ -0,0 +1,189 @@
+package limitserver
+
+import (
+	"strconv"
+	"time"
+
+	"github.com/tidwall/redcon"
+
+	"fawnplank/internal/billing"
+)
+
+// Accounts are where plans are changed and allowance is reserved.
+//
+//	PLAN.CHANGE gestoria id plan at       from at on, in ms since 1970, or +ms from now; answers it in ms
+//	PLAN.TAKEBACK gestoria id
+//	PLAN.LIST gestoria                    arrays of id, plan, ms since 1970
+//	RESERVE.NEW gestoria id holder plan units lease-ms
+//	RESERVE.COMMIT gestoria id epoch units
+//	RESERVE.RENEW gestoria id epoch lease-ms
+//	RESERVE.TAKE gestoria id holder lease-ms
+//	RESERVE.RELEASE gestoria id epoch
+//	RESERVE.LIST gestoria                 arrays of id, epoch, units left, end in ms since 1970, holder
+//	RESERVE.ROOM gestoria plan            units that may still be reserved now
+//
+// NEW, COMMIT, RENEW and TAKE answer with the epoch to name next, the units left, and until when the
+// reservation lasts.
+type Accounts interface {
+	Change(gestoria string, change billing.Change) error
+	CancelChange(gestoria, id string) error
+	Reserve(gestoria, id, holder, plan string, units billing.Units, lease time.Duration) (
+		billing.Reservation, error)
+	Commit(gestoria, id string, epoch uint64, units billing.Units) (billing.Reservation, error)
+	Renew(gestoria, id string, epoch uint64, lease time.Duration) (billing.Reservation, error)
+	AdoptReservation(gestoria, id, holder string, lease time.Duration) (billing.Reservation, error)
+	Release(gestoria, id string, epoch uint64) error
+	Account(gestoria, plan string) (billing.Account, billing.Units, error)
+}
+
+// accountCommand is a command on accounts.
+type accountCommand struct {
+	arguments int // how many there have to be, the gestoría first
+	answer    func(accounts Accounts, out []byte, args *arguments) ([]byte, error)
+}
+
+// accountCommands are the commands on accounts, by their words.
+var accountCommands = map[string]accountCommand{
+	"PLAN.CHANGE":     {4, changePlan},
+	"PLAN.TAKEBACK":   {2, cancelChange},
+	"PLAN.LIST":       {1, listChanges},
+	"RESERVE.NEW":     {6, reserve},
+	"RESERVE.COMMIT":  {4, commitReservation},
+	"RESERVE.RENEW":   {4, renewReservation},
+	"RESERVE.TAKE":    {4, adoptReservation},
+	"RESERVE.RELEASE": {3, releaseReservation},
+	"RESERVE.LIST":    {1, listReservations},
+	"RESERVE.ROOM":    {2, unreservedUnits},
+}
+
+// run returns out with the command's answer behind it.
+func (c accountCommand) run(accounts Accounts, out []byte, words [][]byte) ([]byte, error) {
+	args, err := parseArguments(words)
+	if err != nil {
+		return nil, err
+	}
+	return c.answer(accounts, out, args)
+}
+
+func changePlan(accounts Accounts, out []byte, args *arguments) ([]byte, error) {
+	moment := args.moment(3)
+	if args.err != nil {
+		return nil, args.err
+	}
+	change := billing.Change{ID: args.text(1), Plan: args.text(2), At: moment}
+	if err := accounts.Change(args.gestoria, change); err != nil {
+		return nil, err
+	}
+	return redcon.AppendInt(out, moment/1e6), nil
+}
+
+func cancelChange(accounts Accounts, out []byte, args *arguments) ([]byte, error) {
+	if err := accounts.CancelChange(args.gestoria, args.text(1)); err != nil {
+		return nil, err
+	}
+	return redcon.AppendOK(out), nil
+}
+
+func reserve(accounts Accounts, out []byte, args *arguments) ([]byte, error) {
+	units, lease := args.units(4), args.lease(5)
+	if args.err != nil {
+		return nil, args.err
+	}
+	r, err := accounts.Reserve(args.gestoria, args.text(1), args.text(2), args.text(3), units, lease)
+	return appendReservation(out, r, err)
+}
+
+func commitReservation(accounts Accounts, out []byte, args *arguments) ([]byte, error) {
+	epoch, units := args.epoch(2), args.units(3)
+	if args.err != nil {
+		return nil, args.err
+	}
+	r, err := accounts.Commit(args.gestoria, args.text(1), epoch, units)
+	return appendReservation(out, r, err)
+}
+
+func renewReservation(accounts Accounts, out []byte, args *arguments) ([]byte, error) {
+	epoch, lease := args.epoch(2), args.lease(3)
+	if args.err != nil {
+		return nil, args.err
+	}
+	r, err := accounts.Renew(args.gestoria, args.text(1), epoch, lease)
+	return appendReservation(out, r, err)
+}
+
+func adoptReservation(accounts Accounts, out []byte, args *arguments) ([]byte, error) {
+	lease := args.lease(3)
+	if args.err != nil {
+		return nil, args.err
+	}
+	r, err := accounts.AdoptReservation(args.gestoria, args.text(1), args.text(2), lease)
+	return appendReservation(out, r, err)
+}
+
+func releaseReservation(accounts Accounts, out []byte, args *arguments) ([]byte, error) {
+	epoch := args.epoch(2)
+	if args.err != nil {
+		return nil, args.err
+	}
+	if err := accounts.Release(args.gestoria, args.text(1), epoch); err != nil {
+		return nil, err
+	}
+	return redcon.AppendOK(out), nil
+}
+
+// appendReservation appends what is left of a reservation; OK where nothing is.
+func appendReservation(out []byte, r billing.Reservation, err error) ([]byte, error) {
+	if err != nil {
+		return nil, err
+	}
+	if r.ID == "" {
+		return redcon.AppendOK(out), nil
+	}
+	out = redcon.AppendArray(out, 3)
+	out = redcon.AppendInt(out, int64(r.Epoch))
+	out = redcon.AppendBulkString(out, formatUnits(r.Left))
+	return redcon.AppendInt(out, r.Until/1e6), nil
+}
+
+func unreservedUnits(accounts Accounts, out []byte, args *arguments) ([]byte, error) {
+	_, units, err := accounts.Account(args.gestoria, args.text(1))
+	if err != nil {
+		return nil, err
+	}
+	return redcon.AppendBulkString(out, formatUnits(max(units, 0))), nil
+}
+
+func listChanges(accounts Accounts, out []byte, args *arguments) ([]byte, error) {
+	account, _, err := accounts.Account(args.gestoria, "")
+	if err != nil {
+		return nil, err
+	}
+	out = redcon.AppendArray(out, len(account.Changes))
+	for _, change := range account.Changes {
+		out = redcon.AppendArray(out, 3)
+		out = redcon.AppendBulkString(out, change.ID)
+		out = redcon.AppendBulkString(out, change.Plan)
+		out = redcon.AppendInt(out, change.At/1e6)
+	}
+	return out, nil
+}
+
+func listReservations(accounts Accounts, out []byte, args *arguments) ([]byte, error) {
+	account, _, err := accounts.Account(args.gestoria, "")
+	if err != nil {
+		return nil, err
+	}
+	out = redcon.AppendArray(out, len(account.Holds))
+	for _, r := range account.Holds {
+		out = redcon.AppendArray(out, 5)
+		out = redcon.AppendBulkString(out, r.ID)
+		out = redcon.AppendInt(out, int64(r.Epoch))
+		out = redcon.AppendBulkString(out, formatUnits(r.Left))
+		out = redcon.AppendInt(out, r.Until/1e6)
+		out = redcon.AppendBulkString(out, r.Holder)
+	}
+	return out, nil
+}
+
+// formatUnits writes units as decimal digits, without an exponent.
+func formatUnits(u billing.Units) string { return strconv.FormatFloat(u.Float(), 'f', -1, 64) }
--- /dev/null
+++ b/internal/limitserver/account_commands_test.go
@@ -0,0 +1,149 @@
+package limitserver
+
+import (
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/tidwall/redcon"
+
+	"fawnplank/internal/authz"
+	"fawnplank/internal/billing"
+)
+
+// ledger is one gestoría's account, on a clock that stands.
+type ledger struct{ account billing.Account }
+
+const now = 6000e9
+
+var ledgerSettings = billing.Settings{
+	Window: 60e9,
+	Lead:   5e9,
+	Skew:   1e9,
+	Lease:  30e9,
+	Late:   1e9,
+	Plans:  map[string]billing.Quota{"team": {Rate: 1, Peak: 10}},
+}
+
+// store keeps the account as an operation left it.
+func (l *ledger) store(account billing.Account, err error) error {
+	if err == nil {
+		l.account = account
+	}
+	return err
+}
+
+// storeReservation is store for an operation on a reservation.
+func (l *ledger) storeReservation(
+	account billing.Account, r billing.Reservation, err error,
+) (billing.Reservation, error) {
+	return r, l.store(account, err)
+}
+
+func (l *ledger) Change(_ string, change billing.Change) error {
+	return l.store(l.account.Change(ledgerSettings, now, change))
+}
+
+func (l *ledger) CancelChange(_, id string) error {
+	return l.store(l.account.TakeBack(ledgerSettings, now, id))
+}
+
+func (l *ledger) Release(_, id string, epoch uint64) error {
+	return l.store(l.account.Release(ledgerSettings, now, id, epoch))
+}
+
+func (l *ledger) Reserve(
+	_, id, holder, plan string, units billing.Units, lease time.Duration,
+) (billing.Reservation, error) {
+	return l.storeReservation(l.account.Reserve(ledgerSettings, now, id, holder, plan, units, int64(lease)))
+}
+
+func (l *ledger) Commit(_, id string, epoch uint64, units billing.Units) (billing.Reservation, error) {
+	return l.storeReservation(l.account.Commit(ledgerSettings, now, id, epoch, units))
+}
+
+func (l *ledger) Renew(_, id string, epoch uint64, lease time.Duration) (billing.Reservation, error) {
+	return l.storeReservation(l.account.Renew(ledgerSettings, now, id, epoch, int64(lease)))
+}
+
+func (l *ledger) AdoptReservation(_, id, holder string, lease time.Duration) (billing.Reservation, error) {
+	return l.storeReservation(l.account.Take(ledgerSettings, now, id, holder, int64(lease)))
+}
+
+func (l *ledger) Account(_, plan string) (billing.Account, billing.Units, error) {
+	return l.account, l.account.Room(ledgerSettings, now, now, plan), nil
+}
+
+// One session of each command: what is right is answered in its form, what is wrong by an error that names
+// it.
+func TestServer_AccountCommands(t *testing.T) {
+	s := New(Options{MaxConnections: 1, Accounts: &ledger{}, Keys: map[string]authz.Key{
+		"ops": {Secret: []byte("open sesame, please"), Rights: authz.Read | authz.Reserve},
+		"all": {Secret: []byte("another secret"), Rights: 255},
+	}})
+	var rights authz.Right
+	const gestoria = "0000000000000005 "
+	for _, step := range []struct{ command, want string }{
+		{"RESERVE.ROOM " + gestoria + "team", "-NOPERM"},
+		{"LIMIT.PEEK " + gestoria + "team", "-NOPERM"},
+		{"AUTH ops nonsense", "-ERR key or secret is wrong"},
+		{"AUTH nobody x", "-ERR key or secret is wrong"},
+		{"AUTH ops", "-ERR wrong number of arguments for 'auth'"},
+		{"AUTH ops open_sesame,_please", "+OK"},
+		{"PLAN.CHANGE " + gestoria + "c team 6010000", "-NOPERM"},
+		{"RESERVE.ROOM " + gestoria + "team", "$2|70"},
+		{"RESERVE.ROOM 5 team", "-ERR gestoria '5'"},
+		{"RESERVE.ROOM 000000000000000A team", "-ERR gestoria"},
+		{"RESERVE.ROOM ffffffffffffffff team", "-ERR gestoria"},
+		{"RESERVE.NEW " + gestoria + "r me gold 5 1000", "-ERR plan \"gold\" is not known"},
+		{"RESERVE.NEW " + gestoria + "r me team -5 1000", "-ERR units -5 are not above 0"},
+		{"RESERVE.NEW " + gestoria + "r me team NaN 1000", "-ERR units"},
+		{"RESERVE.NEW " + gestoria + "r me team 1e99 1000", "-ERR units"},
+		{"RESERVE.NEW " + gestoria + "r me team x 1000", "-ERR units 'x' are no number"},
+		{"RESERVE.NEW " + gestoria + "r me team 5 0", "-ERR lease"},
+		{"RESERVE.NEW " + gestoria + "r me team 5 99999999999", "-ERR lease"},
+		{"RESERVE.NEW " + gestoria + "r me team 5 -1", "-ERR '-1' is no whole number"},
+		{"RESERVE.NEW " + gestoria + "r me team 71 1000",
+			"-ERR the window, for 71 units of 70, has no room"},
+		{"RESERVE.NEW " + gestoria + "r me team 5",
+			"-ERR wrong number of arguments for 'reserve.new'"},
+		{"RESERVE.NEW " + gestoria + "r me team 50.5 1000", "*3|:1|$4|50.5|:6001000"},
+		{"RESERVE.COMMIT " + gestoria + "r 2 5",
+			"-ERR epoch 2 of reservation \"r\", which is at 1, is gone by"},
+		{"RESERVE.COMMIT " + gestoria + "r 1 51", "-ERR a commit of 51 units of the 50.5"},
+		{"RESERVE.COMMIT " + gestoria + "r 1 5", "*3|:2|$4|45.5"},
+		{"RESERVE.RENEW " + gestoria + "r 2 30000", "*3|:2|$4|45.5|:6030000"},
+		{"RESERVE.TAKE " + gestoria + "r you 2000", "*3|:3|$4|45.5|:6002000"},
+		{"RESERVE.LIST " + gestoria, "*1|*5|$1|r|:3|$4|45.5|:6002000|$3|you"},
+		{"RESERVE.RELEASE " + gestoria + "r 3", "+OK"},
+		{"RESERVE.RELEASE " + gestoria + "r 3", "-ERR reservation \"r\" is over"},
+		{"RESERVE.RELEASE " + gestoria + "q 3", "-ERR reservation \"q\" is not known"},
+		{"AUTH all another_secret", "+OK"},
+		{"PLAN.CHANGE " + gestoria + "c team 6001000",
+			"-ERR the moment, 1000 ms from now where 5000 are needed, is too soon"},
+		{"PLAN.CHANGE " + gestoria + "c team soon", "-ERR 'soon' is no whole number"},
+		{"PLAN.CHANGE " + gestoria + "c team 6010000", ":6010000"},
+		{"PLAN.LIST " + gestoria, "*1|*3|$1|c|$4|team|:6010000"},
+		{"PLAN.TAKEBACK " + gestoria + "d", "-ERR change \"d\" is not known"},
+		{"PLAN.TAKEBACK " + gestoria + "c", "+OK"},
+		{"PLAN.ERASE " + gestoria, "-ERR unknown command"},
+		{"AUTH ops nonsense", "-ERR"}, // a wrong key leaves no rights
+		{"PLAN.LIST " + gestoria, "-NOPERM"},
+	} {
+		answers, _ := s.run([]redcon.Command{parseWords(step.command)}, &rights)
+		if got := strings.ReplaceAll(string(answers), "\r\n", "|"); !strings.HasPrefix(got, step.want) {
+			t.Errorf("%s: %s, not %s", step.command, got, step.want)
+		}
+	}
+}
+
+// parseWords makes a command of words, in which, for AUTH, an underscore stands for a space.
+func parseWords(text string) (c redcon.Command) {
+	for _, word := range strings.Fields(text) {
+		if strings.HasPrefix(text, "AUTH") {
+			word = strings.ReplaceAll(word, "_", " ")
+		}
+		c.Args = append(c.Args, []byte(word))
+	}
+	return c
+}
--- /dev/null
+++ b/internal/limitserver/check.go
@@ -0,0 +1,202 @@
+package limitserver
+
+import (
+	"bytes"
+	"fmt"
+	"math"
+	"strconv"
+	"time"
+
+	"github.com/tidwall/redcon"
+
+	"fawnplank/internal/dispatch"
+	"fawnplank/policy"
+)
+
+const (
+	// noRetry stands for a check that was admitted: there is nothing to wait for.
+	noRetry time.Duration = -1
+	// maxRefillSeconds bounds the time until a quota is full, so that its nanoseconds fit an int64: three
+	// years.
+	maxRefillSeconds = 1e8
+)
+
+// check is one LIMIT.CHECK or CL.THROTTLE under way.
+type check struct {
+	request     *dispatch.Request
+	tenant      policy.TenantID
+	plan        policy.PlanID
+	entryPoints int
+	timeUnit    time.Duration // of the times in its answer
+}
+
+// startCheck has a check counted; finishChecks answers it.
+func (b *batch) startCheck(word string, args [][]byte) {
+	spec, err := b.settings.parseCheck(args)
+	if err != nil {
+		b.finishChecks()
+		b.fail(word, err)
+		return
+	}
+	timeUnit := time.Millisecond
+	if word == "CL.THROTTLE" {
+		timeUnit = time.Second
+	}
+	b.checks = append(b.checks, check{
+		request:     b.server.dispatcher.Submit(spec),
+		tenant:      spec.Tenant,
+		plan:        spec.Plan,
+		entryPoints: spec.EntryPoints,
+		timeUnit:    timeUnit,
+	})
+}
+
+// finishChecks answers the checks that are under way.
+func (b *batch) finishChecks() {
+	for _, k := range b.checks {
+		b.finishCheck(k)
+	}
+	b.checks = b.checks[:0]
+}
+
+// finishCheck waits for a check's answer; the dispatcher's own wait for the counter bounds it.
+func (b *batch) finishCheck(k check) {
+	step := k.request.NextStep()
+	quota, _ := b.server.dispatcher.QuotaStatus(k.tenant, k.plan, k.entryPoints)
+	switch step.Action {
+	case dispatch.Admit:
+		b.server.admitted.Add(1)
+		b.answers = appendQuota(b.answers, quota, noRetry, k.timeUnit)
+	case dispatch.Reject:
+		b.server.rejected.Add(1)
+		retryAfter := step.RetryAfter
+		// The settings may allow no Retry-After; who asks here gets the time of the refill all the same.
+		if retryAfter <= 0 && quota.Rate > 0 {
+			retryAfter = refillTime(max(quota.Used+1-quota.Limit, 1), quota.Rate)
+		}
+		b.answers = appendQuota(b.answers, quota, max(retryAfter, 0), k.timeUnit)
+	default:
+		b.server.failed.Add(1)
+		b.answers = redcon.AppendError(b.answers, "ERR failed")
+	}
+}
+
+// peek answers with what is known, and counts nothing.
+func (b *batch) peek(args [][]byte) {
+	if len(args) != 2 && len(args) != 3 {
+		b.fail("LIMIT.PEEK", errArity)
+		return
+	}
+	tenant, plan, err := b.settings.parseTenantPlan(args)
+	entryPoints := max(b.settings.Instances, 1)
+	if err == nil && len(args) == 3 {
+		entryPoints, err = parseInteger("spread", args[2], 1, entryPoints)
+	}
+	if err != nil {
+		b.fail("", err)
+		return
+	}
+	quota, _ := b.server.dispatcher.QuotaStatus(tenant, plan, entryPoints)
+	retryAfter := noRetry
+	if quota.Rate > 0 && quota.Limit-quota.Used < 1 {
+		retryAfter = refillTime(quota.Used+1-quota.Limit, quota.Rate)
+	}
+	b.answers = appendQuota(b.answers, quota, retryAfter, time.Millisecond)
+}
+
+// refillTime is how long units take to refill at a rate a second.
+func refillTime(units, rate float64) time.Duration {
+	return time.Duration(units / rate * 1e9)
+}
+
+// parseCheck reads a check.
+func (s *Settings) parseCheck(args [][]byte) (dispatch.RequestSpec, error) {
+	if len(args) != 2 && len(args) != 3 && len(args) != 5 {
+		return dispatch.RequestSpec{}, errArity
+	}
+	tenant, plan, err := s.parseTenantPlan(args)
+	if err != nil {
+		return dispatch.RequestSpec{}, err
+	}
+	instances := max(s.Instances, 1)
+	spec := dispatch.RequestSpec{
+		Class:       s.Class,
+		Plan:        plan,
+		Tenant:      tenant,
+		Timeout:     s.Timeout,
+		Units:       1,
+		EntryPoints: instances,
+	}
+	if len(args) > 2 {
+		if spec.Units, err = s.parseUnits(args[2]); err != nil {
+			return dispatch.RequestSpec{}, err
+		}
+	}
+	if len(args) > 3 {
+		if spec.EntryPoints, err = parseInteger("spread", args[3], 1, instances); err != nil {
+			return dispatch.RequestSpec{}, err
+		}
+		if spec.FirstInstance, err = parseInteger("first", args[4], 0, instances-1); err != nil {
+			return dispatch.RequestSpec{}, err
+		}
+	}
+	return spec, nil
+}
+
+// parseTenantPlan reads the tenant and the plan, the first two arguments. The errors' "customer" is the
+// wire's word.
+func (s *Settings) parseTenantPlan(args [][]byte) (policy.TenantID, policy.PlanID, error) {
+	id, err := strconv.ParseUint(string(args[0]), 16, 64)
+	if err != nil || len(args[0]) != 16 || id >= 1<<33 {
+		return 0, 0, fmt.Errorf("customer '%.20s' is no number of 16 hexadecimal digits below 2^33",
+			printable(string(args[0])))
+	}
+	plan, ok := s.Plans[string(args[1])]
+	if !ok {
+		return 0, 0, fmt.Errorf("no plan '%.40s'", printable(string(args[1])))
+	}
+	return policy.TenantID(id), plan, nil
+}
+
+// parseUnits reads the units of a check: a decimal number, not one of the other forms that ParseFloat knows.
+func (s *Settings) parseUnits(text []byte) (float64, error) {
+	units, err := strconv.ParseFloat(string(text), 64)
+	if err != nil || !(units > 0 && units <= s.MaxUnits) || bytes.ContainsAny(text, "xXpP_") {
+		return 0, fmt.Errorf("units '%.20s' are not above 0 and at most %g",
+			printable(string(text)), s.MaxUnits)
+	}
+	return units, nil
+}
+
+// parseInteger reads the argument of a name, an integer from lowest to highest.
+func parseInteger(name string, text []byte, lowest, highest int) (int, error) {
+	n, err := strconv.Atoi(string(text))
+	if err != nil || n < lowest || n > highest {
+		return 0, fmt.Errorf("%s '%.20s' is no whole number from %d to %d",
+			name, printable(string(text)), lowest, highest)
+	}
+	return n, nil
+}
+
+// appendQuota appends the array of five. A retryAfter below 0 says that the check was admitted.
+func appendQuota(out []byte, quota policy.QuotaStatus, retryAfter, timeUnit time.Duration) []byte {
+	limited, wait := int64(0), int64(-1)
+	if retryAfter >= 0 {
+		limited = 1
+		wait = int64(math.Ceil(float64(retryAfter) / float64(timeUnit)))
+	}
+	left := max(quota.Limit-quota.Used, 0)
+	if quota.HardQuotaLeft >= 0 {
+		left = min(left, max(quota.HardQuotaLeft, 0))
+	}
+	untilFull := int64(0)
+	if quota.Rate > 0 {
+		nanos := min(quota.Used/quota.Rate, maxRefillSeconds) * 1e9
+		untilFull = int64(math.Ceil(nanos / float64(timeUnit)))
+	}
+	out = redcon.AppendArray(out, 5)
+	for _, n := range [...]int64{limited, int64(quota.Limit), int64(left), wait, untilFull} {
+		out = redcon.AppendInt(out, n)
+	}
+	return out
+}
--- /dev/null
+++ b/internal/limitserver/equivalence_test.go
@@ -0,0 +1,211 @@
+package limitserver
+
+import (
+	"bufio"
+	"fmt"
+	"math"
+	"net"
+	"slices"
+	"strings"
+	"sync"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"fawnplank/internal/counter"
+	"fawnplank/internal/dispatch"
+	"fawnplank/policy"
+)
+
+// bubbledGateway is a gateway in a bubble of synctest whose counter's client and stand-in stay outside: who
+// waits for the network never counts as blocked in a bubble, and its clock would stand for good. So it does
+// just while a call's answer is waited for: to the decisions each is answered at the moment of the call,
+// however busy the machine is.
+type bubbledGateway struct {
+	gateway
+	settings policy.Settings
+	outgoing chan counterCall
+	incoming chan counterResult
+	delivery sync.Mutex      // results are delivered in their order
+	calls    []counterCall   // the dispatcher's lock guards it
+	results  []counterResult // delivery guards it
+}
+
+type counterCall struct {
+	key      policy.CounterKey
+	units    float64
+	lifetime time.Duration
+}
+
+type counterResult struct {
+	key   policy.CounterKey
+	total float64
+	err   error
+}
+
+// newBubbledGateway starts what stays outside the bubble.
+func newBubbledGateway(t *testing.T, format counter.Format) *bubbledGateway {
+	t.Helper()
+	g := &bubbledGateway{outgoing: make(chan counterCall, 100), incoming: make(chan counterResult, 100)}
+	g.settings = g.startEmulator(t)
+	g.counter = counter.New(counter.Options{
+		Address:        g.emulator.CounterAddress(0),
+		ConnectTimeout: time.Minute,
+		Format:         format,
+	}, g)
+	go func() {
+		for call := range g.outgoing {
+			g.counter.Add(call.key, call.units, call.lifetime)
+			g.counter.Flush()
+		}
+	}()
+	t.Cleanup(func() { close(g.outgoing) })
+	return g
+}
+
+// HandleCounterResult gets the client's results, outside.
+func (g *bubbledGateway) HandleCounterResult(key policy.CounterKey, total float64, err error) {
+	g.incoming <- counterResult{key, total, err}
+}
+
+// Add and Flush are the dispatcher's counter, in the bubble.
+func (g *bubbledGateway) Add(key policy.CounterKey, units float64, lifetime time.Duration) {
+	call := counterCall{key, units, lifetime}
+	g.calls = append(g.calls, call)
+	g.outgoing <- call
+	go func() {
+		g.delivery.Lock()
+		defer g.delivery.Unlock()
+		r := <-g.incoming
+		g.results = append(g.results, r)
+		g.dispatcher.HandleCounterResult(r.key, r.total, r.err)
+	}()
+}
+
+func (g *bubbledGateway) Flush() {}
+
+// enter starts the rest in a bubble, and returns a connection to the limit commands.
+func (g *bubbledGateway) enter(t *testing.T) *client {
+	t.Helper()
+	g.dispatcher = dispatch.New()
+	l := &pipeListener{make(chan net.Conn, 1), make(chan struct{})}
+	g.serve(t, g.settings, g, l)
+	near, far := net.Pipe()
+	t.Cleanup(func() {
+		_ = near.Close() // the end of the test; nobody writes any more
+	})
+	l.conns <- far
+	return &client{near, bufio.NewReader(near)}
+}
+
+// pipeListener is a listener for connections within a bubble.
+type pipeListener struct {
+	conns  chan net.Conn
+	closed chan struct{}
+}
+
+func (p *pipeListener) Accept() (net.Conn, error) {
+	select {
+	case c := <-p.conns:
+		return c, nil
+	case <-p.closed:
+		return nil, net.ErrClosed
+	}
+}
+
+func (p *pipeListener) Close() error {
+	select {
+	case <-p.closed:
+	default:
+		close(p.closed)
+	}
+	return nil
+}
+
+func (p *pipeListener) Addr() net.Addr { return &net.UnixAddr{Name: "pipe", Net: "pipe"} }
+
+// The same thousand requests sent on and checked by limit commands count the same, to the last call of the
+// counter. Two gateways, each with a counter of its own, get each request at the same moment of one clock,
+// which stands meanwhile: on the machine's clock they got it a little apart, and what refilled between parted
+// some.
+func TestCheck_CountsAsRequestsDo(t *testing.T) {
+	for _, test := range []struct {
+		format   counter.Format
+		tenants  int
+		interval time.Duration // from one request to the next
+	}{
+		{counter.Text, 17, 2 * time.Millisecond},
+		{counter.RESP, 17, 2 * time.Millisecond},
+		{counter.Text, 5, 20 * time.Millisecond}, // through two windows, as the next one
+		{counter.RESP, 5, 20 * time.Millisecond},
+	} {
+		t.Run(fmt.Sprintf("format %d, %d tenants", test.format, test.tenants), func(t *testing.T) {
+			forwarding, checking := newBubbledGateway(t, test.format), newBubbledGateway(t, test.format)
+			synctest.Test(t, func(t *testing.T) {
+				forwarding.enter(t)
+				c := checking.enter(t)
+				admitted := 0
+				for n := range 1000 {
+					if forwardAndCheck(t, forwarding, c, n, test.tenants) {
+						admitted++
+					}
+					time.Sleep(test.interval)
+				}
+				time.Sleep(100 * time.Millisecond) // what was counted and rejected is reconciled
+				synctest.Wait()
+				compareCounters(t, forwarding, checking, admitted)
+			})
+		})
+	}
+}
+
+// forwardAndCheck has one gateway send request n on and the other check it, and returns whether it was
+// admitted.
+func forwardAndCheck(t *testing.T, forwarding *bubbledGateway, checking *client, n, tenants int) bool {
+	t.Helper()
+	id, units := n%tenants, 1+n%3
+	request := forwarding.dispatcher.Submit(dispatch.RequestSpec{
+		Tenant:      policy.TenantID(id),
+		Timeout:     750 * time.Millisecond,
+		Units:       float64(units),
+		EntryPoints: 2,
+	})
+	answer := checking.call(t, "LIMIT.CHECK", fmt.Sprintf("%016x", id), "despacho", fmt.Sprint(units))
+	step := request.NextStep()
+	isSent, isAdmitted := step.Action == dispatch.Send, strings.HasPrefix(answer, "0")
+	if isSent != isAdmitted {
+		t.Errorf("request %d: sent on: %t, admitted: %t (%s)", n, isSent, isAdmitted, answer)
+	}
+	if !isSent {
+		return false
+	}
+	step.Attempt.Begin(nil)
+	time.Sleep(2 * time.Millisecond)
+	step.Attempt.Report([]byte("ok"), 0, nil)
+	if last := request.NextStep(); last.Action != dispatch.Respond {
+		t.Errorf("request %d ended as %+v", n, last)
+	}
+	return true
+}
+
+// compareCounters compares what the two gateways had counted.
+func compareCounters(t *testing.T, forwarding, checking *bubbledGateway, admitted int) {
+	t.Helper()
+	sameCalls := slices.Equal(forwarding.calls, checking.calls)
+	if !sameCalls || !slices.Equal(forwarding.results, checking.results) {
+		t.Errorf("the counter was called otherwise: %d calls for requests, %d for checks",
+			len(forwarding.calls), len(checking.calls))
+	}
+	for _, g := range []*bubbledGateway{forwarding, checking} {
+		if stats := g.counter.Stats(); stats.Failed > 0 || int(stats.Answered) != len(g.calls) {
+			t.Errorf("of %d calls the counter answered %d and failed %d",
+				len(g.calls), stats.Answered, stats.Failed)
+		}
+	}
+	// A millionth: the sum over the numbers is taken in any order.
+	sums := [2]float64{forwarding.emulator.Sum(), checking.emulator.Sum()}
+	if admitted < 300 || admitted > 700 || math.Abs(sums[0]-sums[1]) > 1e-6 {
+		t.Errorf("%d admitted; counted %v", admitted, sums)
+	}
+	t.Logf("%d admitted, %d calls, %.1f counted", admitted, len(forwarding.calls), sums[0])
+}
--- /dev/null
+++ b/internal/limitserver/fuzz_test.go
@@ -0,0 +1,61 @@
+package limitserver
+
+import (
+	"bytes"
+	"slices"
+	"strings"
+	"testing"
+
+	"github.com/tidwall/redcon"
+
+	"fawnplank/internal/authz"
+	"fawnplank/internal/counter"
+)
+
+// FuzzCommands: whatever the words are, each command gets one whole answer, in RESP.
+func FuzzCommands(f *testing.F) {
+	g := startGateway(f, counter.Text)
+	f.Add([]byte("*1\r\n$4\r\nPING\r\n"))
+	f.Add(command("LIMIT.CHECK", tenant, "despacho", "1"))
+	f.Add(append(command("LIMIT.PEEK", tenant, "despacho"), command("CL.THROTTLE", tenant, "open")...))
+	f.Add([]byte("PING\r\nLIMIT.CHECK a b c\r\n"))
+	f.Add([]byte("*0\r\n*-1\r\n$5\r\n"))
+	f.Add(command("LIMIT.CHECK", tenant, "despacho", "0x1p-3"))
+	f.Fuzz(func(t *testing.T, text []byte) {
+		commands := readCommands(text, 20)
+		quits := slices.IndexFunc(commands, func(c redcon.Command) bool {
+			return len(c.Args) > 0 && strings.EqualFold(string(c.Args[0]), "QUIT")
+		})
+		want := len(commands)
+		if quits >= 0 {
+			want = quits + 1
+		}
+		rights := authz.Check
+		answers, quit := g.server.run(commands, &rights)
+		count := 0
+		for len(answers) > 0 {
+			n, _ := redcon.ReadNextRESP(answers)
+			if n == 0 {
+				t.Fatalf("%q: no answer in %q", text, answers)
+			}
+			answers = answers[n:]
+			count++
+		}
+		if count != want || quit != (quits >= 0) {
+			t.Fatalf("%q: %d answers to %d commands", text, count, want)
+		}
+	})
+}
+
+// readCommands reads commands up to the first that cannot be read.
+func readCommands(text []byte, most int) (commands []redcon.Command) {
+	reader := redcon.NewReader(bytes.NewReader(text))
+	for len(commands) < most {
+		c, err := reader.ReadCommand()
+		if err != nil {
+			break
+		}
+		commands = append(commands, c)
+	}
+	return commands
+}
--- /dev/null
+++ b/internal/limitserver/server.go
@@ -0,0 +1,139 @@
+package limitserver
+
+import (
+	"errors"
+	"net"
+	"sync"
+	"sync/atomic"
+	"time"
+
+	"github.com/tidwall/redcon"
+
+	"fawnplank/internal/authz"
+	"fawnplank/internal/dispatch"
+	"fawnplank/policy"
+)
+
+// idleTimeout is after how long a silent connection is closed: well beyond the pauses of tools that keep
+// theirs open.
+const idleTimeout = 5 * time.Minute
+
+// Dispatcher is where checks are decided.
+type Dispatcher interface {
+	Submit(spec dispatch.RequestSpec) *dispatch.Request
+	QuotaStatus(tenant policy.TenantID, plan policy.PlanID, entryPoints int) (policy.QuotaStatus, bool)
+}
+
+// Settings are what commands may name; a reload brings new ones.
+type Settings struct {
+	Class     policy.ClassID           // the one that only counts
+	Timeout   time.Duration            // of a check
+	Plans     map[string]policy.PlanID // by name
+	Instances int                      // of the fleet; 0 is one
+	MaxUnits  float64                  // of a check
+}
+
+// Stats are counts since the start.
+type Stats struct {
+	Admitted uint64 // checks that found quota
+	Rejected uint64 // checks that found none
+	Failed   uint64 // commands answered with an error
+}
+
+// Options are what a Server is made of.
+type Options struct {
+	// Dispatcher decides the checks; nil only where no client sends one.
+	Dispatcher Dispatcher
+	// Settings are what commands may name; UpdateSettings replaces them.
+	Settings Settings
+	// MaxConnections bounds the clients' connections. At 0 every one is refused.
+	MaxConnections int
+	// Accounts answers the commands on accounts; nil is no such commands.
+	Accounts Accounts
+	// Keys are the keys of AUTH, by name. Without any, every client may check and nothing more.
+	Keys map[string]authz.Key
+}
+
+// Server answers limit commands.
+type Server struct {
+	dispatcher     Dispatcher
+	accounts       Accounts
+	keys           map[string]authz.Key
+	maxConnections int
+
+	settings    atomic.Pointer[Settings]
+	connections atomic.Int64
+	admitted    atomic.Uint64
+	rejected    atomic.Uint64
+	failed      atomic.Uint64
+
+	server    *redcon.Server
+	closeOnce sync.Once
+}
+
+// New makes a server; Serve starts it.
+func New(options Options) *Server {
+	s := &Server{
+		dispatcher:     options.Dispatcher,
+		accounts:       options.Accounts,
+		keys:           options.Keys,
+		maxConnections: options.MaxConnections,
+	}
+	s.settings.Store(&options.Settings)
+	closed := func(redcon.Conn, error) { s.connections.Add(-1) }
+	s.server = redcon.NewServer("", s.handle, s.accept, closed)
+	s.server.SetIdleClose(idleTimeout)
+	return s
+}
+
+// UpdateSettings replaces the settings, from the next batch of commands of each connection on.
+func (s *Server) UpdateSettings(settings Settings) { s.settings.Store(&settings) }
+
+// Serve accepts connections until Close, and closes the listener then.
+func (s *Server) Serve(l net.Listener) error {
+	err := s.server.Serve(&boundingListener{l})
+	if errors.Is(err, net.ErrClosed) {
+		err = nil
+	}
+	return err
+}
+
+// Close ends the listener and all connections. Only the first call does anything.
+func (s *Server) Close() error {
+	var err error
+	s.closeOnce.Do(func() { err = s.server.Close() })
+	return err
+}
+
+// Stats returns the counts since the start.
+func (s *Server) Stats() Stats {
+	return Stats{Admitted: s.admitted.Load(), Rejected: s.rejected.Load(), Failed: s.failed.Load()}
+}
+
+// accept refuses connections beyond the maximum, with an error, since a close without one looks like a crash.
+func (s *Server) accept(c redcon.Conn) bool {
+	if s.connections.Add(1) <= int64(s.maxConnections) {
+		return true
+	}
+	s.connections.Add(-1)
+	writeLastError(c.NetConn(), "too many connections")
+	return false
+}
+
+// handle answers a command and all that came along with it, in their order.
+func (s *Server) handle(c redcon.Conn, first redcon.Command) {
+	if b, ok := c.NetConn().(*boundedConn); ok {
+		b.pendingBytes = 0
+	}
+	commands := append([]redcon.Command{first}, c.ReadPipeline()...)
+	rights, known := c.Context().(authz.Right)
+	if !known && len(s.keys) == 0 {
+		rights = authz.Check
+	}
+	answers, quit := s.run(commands, &rights)
+	c.SetContext(rights)
+	c.WriteRaw(answers)
+	if quit {
+		_ = c.Close() // redcon keeps the error of the write for itself, too
+	}
+}
--- /dev/null
+++ b/internal/limitserver/server_test.go
@@ -0,0 +1,309 @@
+package limitserver
+
+import (
+	"bufio"
+	"bytes"
+	"errors"
+	"fmt"
+	"io"
+	"net"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/tidwall/redcon"
+
+	"fawnplank/internal/counter"
+	"fawnplank/internal/dispatch"
+	"fawnplank/internal/lab/emulator"
+	"fawnplank/internal/lab/results"
+	"fawnplank/internal/lab/scenario"
+	"fawnplank/internal/testutil"
+	"fawnplank/policy"
+)
+
+// scene is the fleet that the tests' checks are for: two instances, and the plans that commands name.
+const scene = `name = "limits"
+[backends]
+count = 1
+[doors]
+count = 2
+[[profile]]
+name = "calc"
+effect = "reissuable"
+promised = "750ms"
+[[plan]]
+name = "despacho"
+rate = 5
+burst = 50
+beyond_costs = 1.0
+[[plan]]
+name = "open"
+[[plan]]
+name = "roof"
+ceiling_rate = 1
+ceiling_burst = 10
+`
+
+// checkClass is the class that only counts: the one behind the scene's.
+const checkClass policy.ClassID = 1
+
+// tenant is one that most tests check.
+const tenant = "0000000000000005"
+
+// gateway is a dispatcher with a stand-in for its counter, and the server of limit commands before it.
+type gateway struct {
+	emulator   *emulator.Emu
+	dispatcher *dispatch.Dispatcher
+	counter    *counter.Client
+	server     *Server
+	address    string
+}
+
+// startGateway starts a gateway that talks to its counter in a format.
+func startGateway(tb testing.TB, format counter.Format) *gateway {
+	tb.Helper()
+	g := &gateway{dispatcher: dispatch.New()}
+	settings := g.startEmulator(tb)
+	g.counter = counter.New(counter.Options{
+		Address:        g.emulator.CounterAddress(0),
+		ConnectTimeout: time.Second,
+		Format:         format,
+	}, g.dispatcher)
+	listener := testutil.Listen(tb)
+	g.address = listener.Addr().String()
+	g.serve(tb, settings, g.counter, listener)
+	return g
+}
+
+// startEmulator starts the counter's stand-in, and returns the settings for a dispatcher beside it.
+func (g *gateway) startEmulator(tb testing.TB) policy.Settings {
+	tb.Helper()
+	parsed, err := scenario.Parse("scene", []byte(scene))
+	if err != nil {
+		tb.Fatal(err)
+	}
+	settings, err := parsed.Terms(0)
+	if err != nil {
+		tb.Fatal(err)
+	}
+	settings.Classes = append(settings.Classes,
+		policy.ClassSettings{LatencyObjective: 750e6, Deadline: 750e6, CheckOnly: true})
+	log := results.NewLog(results.New(parsed, settings, 0))
+	if g.emulator, err = emulator.Start(parsed, log); err != nil {
+		tb.Fatal(err)
+	}
+	tb.Cleanup(g.emulator.Close)
+	log.Begin()
+	return settings
+}
+
+// serve starts the decisions and the limit commands.
+func (g *gateway) serve(tb testing.TB, settings policy.Settings, c dispatch.Counter, l net.Listener) {
+	tb.Helper()
+	g.dispatcher.Start(dispatch.Config{Seed: 7, Settings: settings, Counter: c})
+	tb.Cleanup(g.dispatcher.Stop)
+	g.dispatcher.UpdateEndpoints(policy.FullSnapshot,
+		[]policy.Endpoint{{Backend: 1, State: policy.EndpointReady}})
+	g.server = New(Options{
+		Dispatcher: g.dispatcher,
+		Settings: Settings{
+			Class:     checkClass,
+			Timeout:   750 * time.Millisecond,
+			Instances: 2,
+			MaxUnits:  100,
+			Plans:     map[string]policy.PlanID{"despacho": 0, "open": 1, "roof": 2},
+		},
+		MaxConnections: 4,
+	})
+	served := make(chan error, 1)
+	go func() { served <- g.server.Serve(l) }()
+	tb.Cleanup(func() {
+		_ = g.server.Close() // the listener may be closed already
+		if err := <-served; err != nil {
+			tb.Errorf("serve: %v", err)
+		}
+	})
+}
+
+// client is a connection to the limit commands.
+type client struct {
+	net.Conn
+	reader *bufio.Reader
+}
+
+// dial opens a connection, on which a test may spend 20 seconds.
+func (g *gateway) dial(tb testing.TB) *client {
+	tb.Helper()
+	var dialer net.Dialer
+	c, err := dialer.DialContext(tb.Context(), "tcp", g.address)
+	if err != nil {
+		tb.Fatal(err)
+	}
+	tb.Cleanup(func() {
+		_ = c.Close() // the test may have closed it already
+	})
+	setDeadline(tb, c, time.Now().Add(20*time.Second))
+	return &client{c, bufio.NewReader(c)}
+}
+
+func setDeadline(tb testing.TB, c net.Conn, deadline time.Time) {
+	tb.Helper()
+	if err := c.SetDeadline(deadline); err != nil {
+		tb.Fatal(err)
+	}
+}
+
+// command is a command as it stands on the wire.
+func command(words ...string) []byte {
+	b := redcon.AppendArray(nil, len(words))
+	for _, w := range words {
+		b = redcon.AppendBulkString(b, w)
+	}
+	return b
+}
+
+// send writes commands.
+func (c *client) send(tb testing.TB, commands []byte) {
+	tb.Helper()
+	if _, err := c.Write(commands); err != nil {
+		tb.Fatal(err)
+	}
+}
+
+// receive reads one answer: an error or status line, or the five integers of an array, as text.
+func (c *client) receive(tb testing.TB) string {
+	tb.Helper()
+	line := c.readLine(tb)
+	if line != "*5" {
+		return line
+	}
+	var integers []string
+	for range 5 {
+		integers = append(integers, strings.TrimPrefix(c.readLine(tb), ":"))
+	}
+	return strings.Join(integers, " ")
+}
+
+func (c *client) readLine(tb testing.TB) string {
+	tb.Helper()
+	line, err := c.reader.ReadString('\n')
+	if err != nil {
+		tb.Fatal(err)
+	}
+	return strings.TrimSpace(line)
+}
+
+// call sends a command and reads its answer.
+func (c *client) call(tb testing.TB, words ...string) string {
+	tb.Helper()
+	c.send(tb, command(words...))
+	return c.receive(tb)
+}
+
+func TestServer_Commands(t *testing.T) {
+	g := startGateway(t, counter.Text)
+	c := g.dial(t)
+	for _, step := range []struct{ command, want string }{
+		{"PING", "+PONG"}, {"command docs", "*0"},
+		{"LIMIT.PEEK " + tenant + " despacho", "0 50 50 -1 0"},
+		{"limit.check " + tenant + " despacho 10", "0 50 40 -1 "},
+		{"LIMIT.CHECK " + tenant + " despacho 0.5 2 1", "0 50 39 -1 "},
+		{"LIMIT.PEEK " + tenant + " despacho", "0 50 39 -1 "},
+		{"LIMIT.CHECK " + tenant + " despacho 39", "0 50 0 -1 "},
+		{"LIMIT.CHECK " + tenant + " despacho 39", "1 50 "},
+		{"CL.THROTTLE " + tenant + " despacho 39", "1 50 "},
+		{"LIMIT.CHECK " + tenant + " open", "0 0 0 -1 0"},
+		{"LIMIT.CHECK", "-ERR wrong number of arguments for 'limit.check'"},
+		{"LIMIT.CHECK " + tenant, "-ERR wrong number of arguments for 'limit.check'"},
+		{"LIMIT.PEEK", "-ERR wrong number of arguments for 'limit.peek'"},
+		{"LIMIT.CHECK " + tenant + " despacho 1 1", "-ERR wrong number of arguments for 'limit.check'"},
+		{"LIMIT.CHECK 5 despacho", "-ERR customer '5' is no number of 16 hexadecimal digits"},
+		{"LIMIT.CHECK 0000000200000000 despacho", "-ERR customer"},
+		{"LIMIT.CHECK " + tenant + " gold", "-ERR no plan 'gold'"},
+		{"LIMIT.CHECK " + tenant + " despacho many", "-ERR units 'many'"},
+		{"LIMIT.CHECK " + tenant + " despacho NaN", "-ERR units"},
+		{"LIMIT.CHECK " + tenant + " despacho -1", "-ERR units"},
+		{"LIMIT.CHECK " + tenant + " despacho 0", "-ERR units"},
+		{"LIMIT.CHECK " + tenant + " despacho 1e9", "-ERR units"},
+		{"LIMIT.CHECK " + tenant + " despacho 1 3 0", "-ERR spread '3'"},
+		{"LIMIT.CHECK " + tenant + " despacho 1 2 2", "-ERR first '2'"},
+		{"LIMIT.PEEK " + tenant + " despacho x", "-ERR spread 'x'"},
+		{"FLUSHALL", "-ERR unknown command 'FLUSHALL'"}, {"\x01\xff", "-ERR unknown command"},
+		{"QUIT", "+OK"},
+	} {
+		if got := c.call(t, strings.Split(step.command, " ")...); !strings.HasPrefix(got, step.want) {
+			t.Errorf("%s: %q, want %q", step.command, got, step.want)
+		}
+	}
+	if _, err := c.reader.ReadByte(); !errors.Is(err, io.EOF) {
+		t.Errorf("after QUIT: %v", err)
+	}
+	if g.dispatcher.OpenRequests() != 0 {
+		t.Errorf("%d checks are still open", g.dispatcher.OpenRequests())
+	}
+}
+
+// Answers to a pipeline come in its order, whatever waits for the counter in between.
+func TestServer_PipelineKeepsItsOrder(t *testing.T) {
+	g := startGateway(t, counter.Text)
+	c := g.dial(t)
+	var pipeline []byte
+	var answers []string
+	for n := range 300 {
+		switch n % 4 {
+		case 0, 1:
+			pipeline = append(pipeline, command("LIMIT.CHECK", fmt.Sprintf("%016x", 100+n%7), "despacho")...)
+			answers = append(answers, "")
+		case 2:
+			pipeline = append(pipeline, command("LIMIT.CHECK", tenant, fmt.Sprintf("none%d", n))...)
+			answers = append(answers, fmt.Sprintf("-ERR no plan 'none%d'", n))
+		default:
+			pipeline = append(pipeline, command("PING")...)
+			answers = append(answers, "+PONG")
+		}
+	}
+	go func() { // in pieces that end anywhere
+		for len(pipeline) > 0 {
+			n := min(len(pipeline), 777)
+			_, _ = c.Write(pipeline[:n]) // where it fails answers are missing
+			pipeline = pipeline[n:]
+		}
+	}()
+	for n, want := range answers {
+		got := c.receive(t)
+		if want != "" && got != want || want == "" && strings.ContainsAny(got[:1], "-+") {
+			t.Fatalf("answer %d: %q, want %q", n, got, want)
+		}
+	}
+}
+
+func TestServer_BadClientsGetAnErrorBeforeTheClose(t *testing.T) {
+	g := startGateway(t, counter.Text)
+	for _, text := range []string{"*1\r\n$x\r\n", "*-5\r\n$1\r\n", "*2000000000\r\n", "*1\r\n:5\r\n"} {
+		c := g.dial(t)
+		c.send(t, []byte(text))
+		setDeadline(t, c, time.Now().Add(300*time.Millisecond))
+		// The server may leave the connection open, which ends the read with an error.
+		if got, _ := io.ReadAll(c.reader); len(got) > 0 && got[0] != '-' {
+			t.Errorf("%q: %q", text, got)
+		}
+		_ = c.Close()
+	}
+	time.Sleep(50 * time.Millisecond)
+	huge := g.dial(t)
+	go func() {
+		_, _ = huge.Write(bytes.Repeat([]byte("x"), 4<<20)) // it fails once the server closes
+	}()
+	if got, err := huge.reader.ReadString('\n'); got != "-ERR command too large\r\n" {
+		t.Errorf("%q, %v", got, err)
+	}
+	_ = huge.Close()
+	time.Sleep(50 * time.Millisecond)
+	for range 4 {
+		g.dial(t).call(t, "PING")
+	}
+	if got := g.dial(t).receive(t); got != "-ERR too many connections" {
+		t.Errorf("the fifth of four: %q", got)
+	}
+}
