--- /dev/null
+++ b/internal/circuitbreaker/circuitbreaker_test.go
@@ -0,0 +1,43 @@
+package circuitbreaker
+
+import "testing"
+
+func TestBreaker_States(t *testing.T) {
+	var b Breaker
+	const threshold = 3
+	for n := range threshold {
+		if !b.IsClosed() || b.TryHalfOpen(100) {
+			t.Fatalf("%s after %d failures", b.State, n)
+		}
+		b.Record(false, threshold, 50)
+	}
+	if b.IsClosed() || b.State != Open {
+		t.Fatalf("%s after %d failures", b.State, threshold)
+	}
+	if b.TryHalfOpen(49) {
+		t.Error("a call passes before the time to retry")
+	}
+	if !b.TryHalfOpen(50) || b.State != HalfOpen {
+		t.Errorf("no call passes at the time to retry: %s", b.State)
+	}
+	if b.TryHalfOpen(60) {
+		t.Error("a second call passes while the first is out")
+	}
+	if b.Record(false, threshold, 90); b.State != Open || b.TryHalfOpen(60) {
+		t.Errorf("%s after the call failed", b.State)
+	}
+	if !b.TryHalfOpen(90) {
+		t.Error("no further call passes")
+	}
+	if b.Record(true, threshold, 100); !b.IsClosed() || b.ConsecutiveFailures != 0 {
+		t.Errorf("%s after a success, with %d failures", b.State, b.ConsecutiveFailures)
+	}
+}
+
+func TestState_String(t *testing.T) {
+	for state, want := range map[State]string{Closed: "closed", Open: "open", HalfOpen: "half-open", 7: "7"} {
+		if got := state.String(); got != want {
+			t.Errorf("%q, want %q", got, want)
+		}
+	}
+}
--- a/policy/admission.go
+++ b/policy/admission.go
@@ -1,18 +1,12 @@
 package policy
 
-import (
-	"fmt"
-
-	"fawnplank/internal/nanos"
-)
+import "fawnplank/internal/nanos"
 
 // Submit takes a request and decides on its admission. Its first effects come before Submit returns.
 func (e *Engine) Submit(now int64, spec RequestSpec) *Request {
 	r := newRequest(e, now, spec)
 	if int(spec.Class) >= len(e.classes) || int(spec.Plan) >= len(e.plans) {
-		e.effects.Log(fmt.Sprintf("transaction of unknown profile %d or plan %d broken off", spec.Class, spec.Plan))
-		r.finished = true
-		e.effects.Abort(r.id)
+		r.abortUnknown(spec)
 		return r
 	}
 	r.class, r.plan = &e.classes[spec.Class], &e.plans[spec.Plan]
@@ -27,9 +21,8 @@
 	return r
 }
 
-// drawHardQuota takes the request's units from this instance's part of the hard quota, or rejects it. The
-// part fills from empty at the start of the instance, which can't know what its earlier incarnation sent on:
-// rule 5 holds through restarts and counter failures alike.
+// drawHardQuota draws on this instance's part of the hard quota, or rejects the request. The part fills from
+// empty at the instance's start, which can't know what an earlier incarnation sent: rule 5 holds through all.
 func (r *Request) drawHardQuota(now int64) bool {
 	rate, bucket := r.plan.HardQuotaRate, &r.tenant.hardQuota
 	if rate > 0 {
@@ -56,16 +49,14 @@
 	}
 }
 
-// concurrencyReached reports, without the counter, whether the tenant has as many attempts in flight as it
-// may.
+// concurrencyReached reports, without the counter, whether the tenant has its limit of attempts in flight.
 func (r *Request) concurrencyReached() bool {
 	inFlight, limit := float64(r.tenant.inFlight), r.plan.ConcurrencyLimit
 	return limit > 0 && inFlight > 0 && inFlight+r.inFlightElsewhere() >= float64(limit)
 }
 
-// inFlightElsewhere is how many attempts of the tenant the other instances likely have in flight: what its
-// rate keeps in flight, twice, since those who near the limit are the busy ones; without a rate, half the
-// limit is a guess.
+// inFlightElsewhere is how many attempts the other instances likely have in flight: what the rate keeps there,
+// twice, since those who near the limit are the busy ones; without a rate, half the limit is a guess.
 func (r *Request) inFlightElsewhere() float64 {
 	elsewhere := 1 - r.tenant.trafficShare(r.entryPoints)
 	if r.plan.Rate <= 0 {
@@ -83,7 +74,7 @@
 		return
 	case call != nil:
 		call.admitted = true
-	case r.engine.breaker.state != breakerClosed || !r.engine.settings.CounterEnabled:
+	case !r.engine.breaker.IsClosed() || !r.engine.settings.CounterEnabled:
 		r.tenant.unreported += r.units // otherwise the calls that are made stand for it
 	}
 	r.admit(now, true)
--- a/policy/backend.go
+++ b/policy/backend.go
@@ -5,6 +5,7 @@
 	"slices"
 
 	"fawnplank/internal/estimate"
+	"fawnplank/internal/hash64"
 )
 
 // backend is what this instance knows of a backend.
@@ -45,11 +46,6 @@
 	due  float64
 }
 
-func (b *backend) compareRank(other *backend) int {
-	return cmp.Or(cmp.Compare(b.rank.cost, other.rank.cost), cmp.Compare(b.distance, other.distance),
-		cmp.Compare(other.rank.due, b.rank.due), cmp.Compare(b.id, other.id))
-}
-
 // load returns how full one more attempt would make the backend, as a share of its concurrency limit.
 func (b *backend) load() float64 { return float64(b.inFlight+1) / b.concurrencyLimit }
 
@@ -62,6 +58,31 @@
 	b.capacity = cmp.Or(max(endpoint.Capacity, 0), 1) // none stated: all are alike
 }
 
+// findBackend returns a backend, which it adds where it is not known yet.
+func (e *Engine) findBackend(id BackendID) (b *backend, found bool) {
+	b, found = e.backends[id]
+	if !found {
+		b = &backend{id: id}
+		e.backends[id] = b
+		e.endpoints = append(e.endpoints, b)
+	}
+	return b, found
+}
+
+// ring returns the ready backends in an order that all instances share, and their capacity together.
+func (e *Engine) ring() (ring []*backend, capacity float64) {
+	for _, b := range e.endpoints {
+		if b.ready {
+			ring = append(ring, b)
+			capacity += b.capacity
+		}
+	}
+	slices.SortFunc(ring, func(a, b *backend) int {
+		return cmp.Compare(hash64.Mix(uint64(a.id)), hash64.Mix(uint64(b.id)))
+	})
+	return ring, capacity
+}
+
 // dropGone forgets the backends that are gone once nothing is in flight there: others come under new ids for
 // ever.
 func (e *Engine) dropGone() {
@@ -73,3 +94,28 @@
 		return false
 	})
 }
+
+// rankBackends orders the backends that are ready.
+func (e *Engine) rankBackends(now int64) {
+	e.ranked = e.ranked[:0]
+	e.effectiveBackends, e.effectiveCapacity = 0, 0
+	for _, b := range e.endpoints {
+		if b.ready {
+			e.ranked = append(e.ranked, b)
+			e.rankBackend(now, b)
+		}
+	}
+	slices.SortFunc(e.ranked, (*backend).compareRank)
+}
+
+// markAllGone precedes a snapshot: what it does not list is gone.
+func (e *Engine) markAllGone() {
+	for _, b := range e.endpoints {
+		b.ready, b.gone = false, true
+	}
+}
+
+// warmingUp reports whether a backend may not have its whole capacity yet.
+func (e *Engine) warmingUp(now int64, b *backend) bool {
+	return b.startedAt > 0 && now-b.startedAt < e.settings.SlowStartDuration
+}
--- a/policy/endpoints.go
+++ b/policy/endpoints.go
@@ -1,12 +1,9 @@
 package policy
 
 import (
-	"cmp"
 	"math"
-	"slices"
 
 	"fawnplank/internal/estimate"
-	"fawnplank/internal/hash64"
 )
 
 // DiscoveryTimeouts returns the bounds of the calls to discovery. Where lists are pushed, what the agent has
@@ -16,12 +13,9 @@
 // snapshot keeps its place in the queue.
 func (s Settings) DiscoveryTimeouts() DiscoveryTimeouts {
 	if s.PollEndpoints {
-		return DiscoveryTimeouts{
-			Watch:      min(max(2*second, s.PollTimeout), 4500*millisecond),
-			Lateness:   500 * millisecond,
-			Snapshot:   3 * second,
-			RetryDelay: 200 * millisecond,
-		}
+		watch := min(max(2*second, s.PollTimeout), 4500*millisecond)
+		return DiscoveryTimeouts{Watch: watch, Lateness: 500 * millisecond, Snapshot: 3 * second,
+			RetryDelay: 200 * millisecond}
 	}
 	grace := max(s.DrainGrace, 200*millisecond) // with less an instance would do little but ask
 	return DiscoveryTimeouts{Watch: grace / 3, Lateness: grace / 4, Snapshot: grace / 2, RetryDelay: grace / 10}
@@ -35,12 +29,17 @@
 	}
 	e.retryDelay = e.settings.DiscoveryTimeouts().RetryDelay
 	if kind != Delta {
-		for _, b := range e.endpoints {
-			b.ready, b.gone = false, true
-		}
+		e.markAllGone()
 	}
 	for _, endpoint := range list {
-		e.updateEndpoint(now, endpoint)
+		b, found := e.findBackend(endpoint.Backend)
+		if !found { // due by chance, so that instances do not all begin with the same new backend
+			b.lastSentAt = now - int64(e.random.Float64()*10*float64(second))
+		}
+		if endpoint.StartedAt != b.startedAt && endpoint.State == EndpointReady {
+			b.latency, b.health, b.lastSlowStartAt = estimate.Mean{}, health{}, 0 // another incarnation
+		}
+		b.update(endpoint)
 	}
 	e.assignShares()
 	e.rankBackends(now)
@@ -57,34 +56,10 @@
 	}
 }
 
-func (e *Engine) updateEndpoint(now int64, endpoint Endpoint) {
-	b := e.backends[endpoint.Backend]
-	if b == nil {
-		// Due by chance, so that instances do not all begin with the same new backend.
-		b = &backend{id: endpoint.Backend, lastSentAt: now - int64(e.random.Float64()*10*float64(second))}
-		e.backends[b.id] = b
-		e.endpoints = append(e.endpoints, b)
-	}
-	if endpoint.StartedAt != b.startedAt && endpoint.State == EndpointReady {
-		b.latency, b.health, b.lastSlowStartAt = estimate.Mean{}, health{}, 0 // another incarnation
-	}
-	b.update(endpoint)
-}
-
 // assignShares lays the ready backends out in a ring, in an order that all instances share, and computes how
 // many fair shares each lies away from this instance's own.
 func (e *Engine) assignShares() {
-	var ring []*backend
-	capacity := 0.0
-	for _, b := range e.endpoints {
-		if b.ready {
-			ring = append(ring, b)
-			capacity += b.capacity
-		}
-	}
-	slices.SortFunc(ring, func(a, b *backend) int {
-		return cmp.Compare(hash64.Mix(uint64(a.id)), hash64.Mix(uint64(b.id)))
-	})
+	ring, capacity := e.ring()
 	share := capacity / float64(max(e.settings.Instances, 1))
 	position := -share * float64(e.settings.InstanceIndex)
 	for _, b := range ring {
--- a/policy/engine.go
+++ b/policy/engine.go
@@ -68,33 +68,9 @@
 	e.effects.WakeAt(now+tickInterval, tickTimer)
 }
 
-// ImportState takes over what an earlier incarnation of the instance measured, aged: it counts for as much
-// less as it would have faded meanwhile. A backend's own latency halves in 3.4 s (the fade of
-// fadeMeasurements), that of all together in ten minutes, for a fleet changes in the course of a day. What
-// was measured since stays, and so does what rule 4 (overload while warming up) rests on: that is measured
-// anew.
-func (e *Engine) ImportState(now int64, state WarmStartState, age int64) {
-	const (
-		fleetHalfLife   = 600 * second
-		backendHalfLife = 3.4 * float64(second)
-		maxSamples      = 30
-		maxLatency      = 1e12
-	)
-	faded := func(samples, halfLives float64) float64 {
-		return min(max(samples, 0), maxSamples) * math.Exp2(-halfLives)
-	}
-	valid := func(latency float64) bool { return latency > 0 && latency < maxLatency }
-	aged := float64(max(age, 0))
-	samples := faded(state.Samples, aged/float64(fleetHalfLife))
-	if samples > e.latency.Count && valid(state.BaselineLatency) {
-		e.latency.Value, e.latency.Count = state.BaselineLatency, samples
-	}
-	for _, known := range state.Backends {
-		b := e.backends[known.Backend]
-		samples := faded(known.Samples, aged/backendHalfLife)
-		if b != nil && b.startedAt == known.StartedAt && samples > b.latency.Count && valid(known.BaselineLatency) {
-			b.latency.Value, b.latency.Count = known.BaselineLatency, samples
-		}
-	}
-	e.rankBackends(now)
-}
+// warmStartAging makes what an earlier incarnation of the instance measured count for as much less as it
+// would have faded meanwhile: a backend's own latency halves in 3.4 s (the fade of fadeMeasurements), that of
+// all together in ten minutes, for a fleet changes in the course of a day. What rule 4 (overload while
+// warming up) rests on is not taken over: that is measured anew.
+var warmStartAging = aging{fleetHalfLife: 600 * second, backendHalfLife: 3400 * millisecond, maxSamples: 30,
+	maxLatency: 1e12}
--- a/policy/latency.go
+++ b/policy/latency.go
@@ -1,17 +1,10 @@
 package policy
 
-import "math"
-
-const baselineSamples = 30 // first attempts that show the latency of moments without a queue: enough to average
+const baselineSamples = 30 // first attempts that show the latency without a queue: enough to average
 
 // baselineKnown reports whether enough of the first attempts were answered.
 func (e *Engine) baselineKnown() bool { return e.baselineLatency.Count >= baselineSamples/2 }
 
-// fairSharePerBackend is an instance's part of one attempt at each backend.
-func (e *Engine) fairSharePerBackend() float64 {
-	return e.effectiveBackends / float64(max(e.settings.Instances, 1))
-}
-
 func (e *Engine) updateThroughput() {
 	e.throughput += 0.1 * (e.answersSinceTick*10 - e.throughput) // over about a second
 	e.answersSinceTick = 0
@@ -71,14 +64,6 @@
 	e.latency.Add(latency, min(max(2*e.throughput, 8), 30))
 }
 
-// measureBaseline takes in one of the first attempts: they meet the queues before this instance has filled
-// them.
-func (e *Engine) measureBaseline(a *attempt, latency float64) {
-	if a.baselineSample {
-		e.baselineLatency.Add(latency, math.Inf(1))
-	}
-}
-
 // relativeCost is how much longer than the mean one a request of so many units takes, as far as was measured:
 // a unit may stand for work. Without it a large request passes for a slow backend, and a small one for a
 // quick one.
--- a/policy/local_share.go
+++ b/policy/local_share.go
@@ -18,7 +18,7 @@
 	// Where backends are pressed, what was counted goes first: what is not may be beyond the quota, and costs
 	// its value even where nobody answers it. Six tenths: at a half big days lose, above a jam comes. Behind an
 	// open breaker nothing is counted: there is nobody to go first.
-	counted := e.settings.CounterEnabled && e.breaker.state == breakerClosed
+	counted := e.settings.CounterEnabled && e.breaker.IsClosed()
 	if counted && !r.class.CheckOnly && e.pickBackend(now, r, 0.6) == nil {
 		return false
 	}
@@ -28,8 +28,7 @@
 
 // admitChance is how likely the local share admits a request that it has room for. A floor of one an instance
 // adds up past small quotas: a share of a fraction of one is granted as often as the counter admitted the
-// tenant, or half way up from what it admitted of the plan: it rejects mostly few tenants far beyond their
-// quotas.
+// tenant, or half way up from what it admitted of the plan: it rejects mostly few tenants far beyond theirs.
 func (r *Request) admitChance() float64 {
 	share := r.plan.quota * r.tenant.trafficShare(r.entryPoints) / r.units
 	if share+roundingTolerance >= 1 || !r.engine.settings.CounterEnabled {
@@ -51,12 +50,8 @@
 	return max(quota, r.units)
 }
 
-// evenUnits weighs an even split of the traffic: twice what ten answers of one unit show, so that chance does
-// not pass for a share.
-const evenUnits = 20
-
-// trafficShare is this instance's part of the tenant's traffic: an even one, or as uneven as the counter
-// showed it.
+// trafficShare is this instance's part of the tenant's traffic: an even one, or as the counter showed it.
 func (t *tenant) trafficShare(entryPoints float64) float64 {
+	const evenUnits = 20 // twice what ten answers of one unit show, so that chance does not pass for a share
 	return (t.ownUnits + evenUnits/entryPoints) / (t.ownUnits + t.otherUnits + evenUnits)
 }
--- a/policy/outlier.go
+++ b/policy/outlier.go
@@ -1,15 +1,19 @@
 package policy
 
-// ejectAfterErrors is how many errors in a row are a symptom: rare single ones are normal, and a backend that
-// died refuses the next attempt.
-const ejectAfterErrors = 3
-
 // learnFromResult takes in how an attempt ended.
 func (r *Request) learnFromResult(now int64, a *attempt, result *AttemptResult) {
 	e, b := r.engine, a.backend
 	switch result.Outcome {
 	case Succeeded:
-		r.learnFromAnswer(now, a, result.Elapsed)
+		e.answersSinceTick++
+		b.lastAnswerAt, e.lastAnswerAt = now, now
+		b.health.symptoms, b.health.consecutiveErrors = 0, 0
+		latency := float64(result.Elapsed) / e.relativeCost(r.units)
+		if a.baselineSample { // the first attempts meet the queues before this instance has filled them
+			e.baselineLatency.Add(latency, baselineSamples)
+		}
+		e.measure(b, latency, a.concurrency)
+		e.latencyByUnits.Add(r.units, float64(result.Elapsed), 200)
 	case Rejected: // who gets into a full queue is late, and a fleet of full queues is jammed
 		b.lastAnswerAt, e.lastAnswerAt, e.lastRejectionAt = now, now, now
 		b.health.ejectedUntil = max(b.health.ejectedUntil, now+50*millisecond) // a full queue moves by then
@@ -17,7 +21,7 @@
 	case Failed, ConnectionLost:
 		b.lastAnswerAt = now
 		b.health.consecutiveErrors++
-		if b.health.consecutiveErrors >= ejectAfterErrors {
+		if b.health.consecutiveErrors >= 3 { // single ones are normal; who died refuses the next attempt
 			e.eject(now, b)
 		}
 	case ConnectFailed:
@@ -30,17 +34,6 @@
 	}
 }
 
-func (r *Request) learnFromAnswer(now int64, a *attempt, elapsed int64) {
-	e, b := r.engine, a.backend
-	e.answersSinceTick++
-	b.lastAnswerAt, e.lastAnswerAt = now, now
-	b.health.symptoms, b.health.consecutiveErrors = 0, 0
-	latency := float64(elapsed) / e.relativeCost(r.units)
-	e.measureBaseline(a, latency)
-	e.measure(b, latency, a.concurrency)
-	e.latencyByUnits.Add(r.units, float64(elapsed), 200)
-}
-
 // eject keeps attempts from a backend for a while that doubles with each symptom, and has it checked before
 // its return.
 func (e *Engine) eject(now int64, b *backend) {
@@ -49,7 +42,8 @@
 		return
 	}
 	h.symptoms++
-	h.ejectedUntil = now + 100*millisecond<<min(h.symptoms, 5) // 0.2 to 3.2 s: a short stall costs little, a dead one few tries
+	// 0.2 to 3.2 s: a short stall costs little, a dead one few tries.
+	h.ejectedUntil = now + 100*millisecond<<min(h.symptoms, 5)
 	if !e.settings.HealthChecks {
 		return
 	}
--- a/policy/pending_calls.go
+++ b/policy/pending_calls.go
@@ -33,6 +33,27 @@
 	return calls[0]
 }
 
+// count adds units to the tenant's count, and the attempts in flight that it does not hold yet. The request
+// is nil where the call only corrects the count, by more.
+func (e *Engine) count(now int64, t *tenant, r *Request, units, more float64) *counterCall {
+	w := &t.window
+	call := &counterCall{
+		tenant:      t,
+		request:     r,
+		windowStart: w.start,
+		amount:      units + more,
+		units:       units,
+		reconciled:  w.reconciled,
+		attempts:    t.inFlight + t.waiting - w.reportedInFlight,
+		waiting:     r != nil,
+	}
+	e.pendingCalls.push(w.key, call)
+	w.reportedInFlight += call.attempts
+	amount := call.amount + float64(call.attempts)*t.plan.concurrencyUnit
+	e.effects.AddToCounter(w.key, amount, t.countLifetime(now))
+	return call
+}
+
 // splitTotal separates a count's total into its units and the attempts in flight that are counted beside
 // them.
 func (p *plan) splitTotal(total float64) (units, inFlight float64) {
@@ -42,3 +63,25 @@
 	inFlight = math.Round(total / p.concurrencyUnit)
 	return total - inFlight*p.concurrencyUnit, inFlight
 }
+
+// decide ends the wait of the call's request, by the counter's answer (ok) or without it.
+func (c *counterCall) decide(now int64, ok, admitted bool) {
+	c.waiting = false
+	c.request.engine.recordCounterCall(now, ok)
+	if c.request.waitingForCounter { // else its client has left meanwhile
+		c.tenant.waiting--
+		c.request.decideAdmission(now, admitted, c)
+	}
+}
+
+// HandleCounterResult brings the answer to the oldest unanswered call for a count.
+func (e *Engine) HandleCounterResult(now int64, outcome Outcome, key CounterKey, total float64) {
+	call := e.pendingCalls.pop(key)
+	switch {
+	case call == nil:
+	case outcome == Succeeded:
+		e.handleTotal(now, call, total)
+	default:
+		e.handleCounterFailure(now, call, outcome)
+	}
+}
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -9,6 +9,7 @@
 	"testing"
 	"testing/quick"
 
+	"fawnplank/internal/circuitbreaker"
 	"fawnplank/internal/estimate"
 	"fawnplank/internal/pcg"
 )
@@ -350,7 +351,7 @@
 			d := newDesk(t, terms, ready(1, 2, 3)...)
 			d.g.random = pcg.New(uint64(me))
 			d.g.plans[0].admittedShare = estimate.Mean{Value: told, Count: told * 20}
-			d.g.breaker = breaker{state: breakerOpen, consecutiveFailures: failureThreshold, retryAt: d.now + second, callShare: 1}
+			d.g.breaker = circuitbreaker.Breaker{State: circuitbreaker.Open, ConsecutiveFailures: failureThreshold, RetryAt: d.now + second}
 			for c := range 10 {
 				id := RequestID(c)
 				d.taken[id] = &taken{limit: d.now + second}
--- a/policy/request.go
+++ b/policy/request.go
@@ -1,5 +1,7 @@
 package policy
 
+import "fmt"
+
 // Request is the handle of a request that was submitted.
 type Request struct {
 	engine      *Engine
@@ -51,6 +53,14 @@
 	}
 }
 
+// abortUnknown is the final answer to a request whose class or plan is in no table.
+func (r *Request) abortUnknown(spec RequestSpec) {
+	text := fmt.Sprintf("transaction of unknown profile %d or plan %d broken off", spec.Class, spec.Plan)
+	r.engine.effects.Log(text)
+	r.finished = true
+	r.engine.effects.Abort(r.id)
+}
+
 // addAttempt notes that another attempt is in flight at a backend.
 func (r *Request) addAttempt(now int64, b *backend) *attempt {
 	r.inFlight++
@@ -84,6 +94,44 @@
 	}
 }
 
+// release marks the request as finished and gives back what it holds, where no attempt was sent.
+func (r *Request) release() {
+	t := r.tenant
+	if r.waitingForCounter {
+		t.waiting--
+	}
+	r.finished = true
+	r.waitingForCounter = false
+	if len(r.attempts) > 0 {
+		return
+	}
+	t.hardQuota.Units += r.hardQuotaUnits
+	if r.withinQuota {
+		t.unreported -= r.units
+		t.localUsage.Units -= r.units
+	}
+}
+
+// cancelInFlight cancels the attempts that are in flight.
+func (r *Request) cancelInFlight() {
+	for id, a := range r.attempts {
+		if a.inFlight {
+			r.engine.effects.Cancel(r.id, AttemptID(id))
+		}
+	}
+}
+
+// loadAt is the backend's load; each earlier attempt there adds so many loads.
+func (r *Request) loadAt(b *backend, triedLoad float64) float64 {
+	load := b.load()
+	for _, a := range r.attempts {
+		if a.backend == b {
+			load += triedLoad
+		}
+	}
+	return load
+}
+
 // HandleResponseStarted says that the response of an attempt has begun to stream: the client owns it from now
 // on.
 func (r *Request) HandleResponseStarted(now int64, id AttemptID) {
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -99,7 +99,8 @@
 		return
 	}
 	elapsed := float64(now - a.sentAt)
-	e.measure(a.backend, elapsed/e.relativeCost(r.units), a.concurrency) // a jam shows here before its answers come
+	// A jam shows here before its answers come.
+	e.measure(a.backend, elapsed/e.relativeCost(r.units), a.concurrency)
 	if a.backend.lastAnswerAt > a.sentAt || elapsed < 5*usual {
 		return
 	}
@@ -125,14 +126,6 @@
 		t.unreported += result.TrueUnits - r.units // goes along with the next call
 		t.localUsage.Units += result.TrueUnits - r.units
 	}
-	r.proceed(now, &result)
-	if t.hasStaleInFlight(now) && e.breaker.state == breakerClosed && e.mayCallCounter(now) {
-		e.count(now, t, nil, 0, 0)
-	}
-}
-
-// proceed decides what follows on an attempt's end.
-func (r *Request) proceed(now int64, result *AttemptResult) {
 	switch {
 	case r.finished:
 	case result.RequestDone || result.Outcome == Succeeded:
@@ -144,6 +137,9 @@
 	default:
 		r.dispatch(now)
 	}
+	if t.hasStaleInFlight(now) && e.breaker.IsClosed() && e.mayCallCounter(now) {
+		e.count(now, t, nil, 0, 0)
+	}
 }
 
 // HandleClientGone says that the client is gone: no answer is due any more.
@@ -179,22 +175,10 @@
 	e.effects.Reject(r.id, max(advised, 0))
 }
 
-// finish gives back what the request holds, and cancels the attempts that no client waits for.
+// finish ends the request, and cancels the attempts that no client waits for.
 func (r *Request) finish() {
-	if r.waitingForCounter {
-		r.tenant.waiting--
-	}
-	r.finished, r.waitingForCounter = true, false
-	if len(r.attempts) == 0 {
-		r.tenant.hardQuota.Units += r.hardQuotaUnits
-		if r.withinQuota {
-			r.tenant.unreported -= r.units
-			r.tenant.localUsage.Units -= r.units
-		}
-	}
-	for id, a := range r.attempts {
-		if a.inFlight && r.engine.settings.Cancellation && !r.responseStarted {
-			r.engine.effects.Cancel(r.id, AttemptID(id))
-		}
+	r.release()
+	if r.engine.settings.Cancellation && !r.responseStarted {
+		r.cancelInFlight()
 	}
 }
--- a/policy/selection.go
+++ b/policy/selection.go
@@ -1,26 +1,14 @@
 package policy
 
 import (
+	"cmp"
 	"math"
-	"slices"
 )
 
-// rankBackends orders the backends by the latency against the fleet's, as far as it was measured, in steps of
-// some 40% (finer is chance); then those of the own zone where crossing has a price; then by the fair shares,
-// the own first; then those not sent to for the longest, by capacity. One that warms up goes first: its turns
-// are few, and work may be what warms it.
-func (e *Engine) rankBackends(now int64) {
-	e.ranked = e.ranked[:0]
-	e.effectiveBackends, e.effectiveCapacity = 0, 0
-	for _, b := range e.endpoints {
-		if b.ready {
-			e.ranked = append(e.ranked, b)
-			e.rankBackend(now, b)
-		}
-	}
-	slices.SortFunc(e.ranked, (*backend).compareRank)
-}
-
+// rankBackend rates a backend. They are ordered by the latency against the fleet's, as far as it was
+// measured, in steps of some 40% (finer is chance); then those of the own zone where crossing has a price;
+// then by the fair shares, the own first; then those not sent to for the longest, by capacity. One that warms
+// up goes first: its turns are few, and work may be what warms it.
 func (e *Engine) rankBackend(now int64, b *backend) {
 	warmth := e.warmth(now, b)
 	e.effectiveBackends += warmth
@@ -45,6 +33,11 @@
 	b.rank = rank{cost: cost, due: float64(now-b.lastSentAt) * b.capacity}
 }
 
+func (b *backend) compareRank(other *backend) int {
+	return cmp.Or(cmp.Compare(b.rank.cost, other.rank.cost), cmp.Compare(b.distance, other.distance),
+		cmp.Compare(other.rank.due, b.rank.due), cmp.Compare(b.id, other.id))
+}
+
 // latencyBudget is the latency that a backend for the request may likely have: two fifths of the time left
 // until the latency objective (few take 2.5 times the likely), less what its units take beyond the mean, and
 // 2.5 baselines. Urgency shortens both.
@@ -58,9 +51,9 @@
 }
 
 // pickBackend returns the first backend in the order that is below its concurrency limit, with none the least
-// loaded, tried ones last; of those only that likely answer within the latency budget; nil: none. An instance
-// has no more in flight than one or two, its part of one for each backend, and what it answers within that
-// budget and a third.
+// loaded; of those only that likely answer within the latency budget; nil: none. An instance has no more in
+// flight than one or two, its part of one for each backend, and what it answers within that budget and a
+// third.
 func (e *Engine) pickBackend(now int64, r *Request, urgency float64) *backend {
 	budget, fairShare := e.latencyBudget(now, r, urgency), e.fairSharePerBackend()
 	if float64(e.promptInFlight) >= min(2, 1+fairShare)+fairShare+1.3*e.throughput*budget/float64(second) {
@@ -73,7 +66,7 @@
 		if ejected || !r.mayAttempt(now, b) || b.likelyLatency() > budget {
 			continue
 		}
-		load := r.loadAt(b)
+		load := r.loadAt(b, 2) // tried ones last
 		if load <= 1 {
 			return b
 		}
@@ -89,15 +82,3 @@
 func (b *backend) likelyLatency() float64 {
 	return b.estimatedLatency * float64(b.inFlight+3) / (max(b.latencyConcurrency, 1) + 2)
 }
-
-// loadAt is the backend's load, where a backend that the request was sent to passes for one with two more in
-// flight.
-func (r *Request) loadAt(b *backend) float64 {
-	load := b.load()
-	for _, a := range r.attempts {
-		if a.backend == b {
-			load += 2
-		}
-	}
-	return load
-}
--- a/policy/slow_start.go
+++ b/policy/slow_start.go
@@ -2,13 +2,7 @@
 
 import "fawnplank/internal/hash64"
 
-// warmingUp reports whether a backend may not have its whole capacity yet.
-func (e *Engine) warmingUp(now int64, b *backend) bool {
-	return b.startedAt > 0 && now-b.startedAt < e.settings.SlowStartDuration
-}
-
-// risenFor is for how long a backend's capacity has risen: a window less than its age, to be on the safe
-// side.
+// risenFor is for how long a backend's capacity has risen: a window less than its age, to be safe.
 func (e *Engine) risenFor(now int64, b *backend) float64 {
 	return float64(max(now-b.startedAt-e.settings.OverloadWindow, 0))
 }
@@ -22,8 +16,7 @@
 	return s.SlowStartShare + (1-s.SlowStartShare)*e.risenFor(now, b)/float64(s.SlowStartDuration)
 }
 
-// slowStartRate is how many attempts a nanosecond all instances together may send to a backend that would be
-// warm.
+// slowStartRate is how many attempts a nanosecond all instances may send to a backend that would be warm.
 func (r *Request) slowStartRate(b *backend) float64 {
 	e := r.engine
 	work := float64(r.class.LatencyObjective) / 2 // nothing measured yet: few objectives are tighter
@@ -34,13 +27,12 @@
 	return rate * min(b.capacity/e.meanCapacity, 1)
 }
 
-// slowStartAllows keeps the instances together within half the multiple of what a backend that warms up
-// bears, since requests differ in work: a third for each window, of what a warm one of its capacity does (the
-// mean at most): one core's work, of half as much again as the baseline latency, or more as far as warm ones
-// are seen to. Its attempts are numbered from its start and go to the instances in turn, one each, for half a
-// window: the rest of the half is for that, since an instance of many seldom has something to send just then.
-// So the sum holds for any number of instances without a word between them. One that was just started waits a
-// window: its earlier incarnation may have sent much.
+// slowStartAllows keeps all instances within half the multiple of what a backend that warms up bears, since
+// requests differ in work: a third of what a warm one of its capacity (the mean at most) does, which is one
+// core's work of 1.5 baseline latencies, or more as far as warm ones are seen to. Its attempts are numbered from
+// its start and go to the instances in turn, one each, for half a window: the rest of the half is for that,
+// since one of many seldom has something to send just then. So the sum holds for any number of instances
+// without a word between them. One just started waits a window: its earlier incarnation may have sent much.
 func (r *Request) slowStartAllows(now int64, b *backend) bool {
 	e := r.engine
 	if !e.warmingUp(now, b) {
--- a/policy/state.go
+++ b/policy/state.go
@@ -1,6 +1,7 @@
 package policy
 
 import (
+	"fawnplank/internal/circuitbreaker"
 	"fawnplank/internal/estimate"
 	"fawnplank/internal/nanos"
 	"fawnplank/internal/pcg"
@@ -47,8 +48,9 @@
 	ranked       []*backend // those that are ready, the best first
 	tenants      map[TenantID]*tenant
 	pendingCalls pendingCalls
-	breaker      breaker
-	retryDelay   int64 // longest wait before the endpoint list is asked for again after a failure
+	breaker      circuitbreaker.Breaker // of the calls to the counter
+	callShare    float64                // of the requests that make a call, while a crowded counter answers only some
+	retryDelay   int64                  // longest wait before the endpoint list is asked for again after a failure
 
 	latency         estimate.Mean       // of the backends together
 	latencyByUnits  estimate.Regression // how it grows with the units
@@ -78,6 +80,11 @@
 		backends:     map[BackendID]*backend{},
 		tenants:      map[TenantID]*tenant{},
 		pendingCalls: pendingCalls{},
-		breaker:      breaker{callShare: 1},
+		callShare:    1,
 	}
 }
+
+// fairSharePerBackend is an instance's part of one attempt at each backend.
+func (e *Engine) fairSharePerBackend() float64 {
+	return e.effectiveBackends / float64(max(e.settings.Instances, 1))
+}
--- a/policy/status.go
+++ b/policy/status.go
@@ -31,7 +31,7 @@
 		refill := nanos.Seconds(now-t.hardQuota.UpdatedAt) * p.HardQuotaRate / parts
 		status.HardQuotaLeft = min(t.hardQuota.Units+refill, status.HardQuotaLeft)
 	}
-	if e.breaker.state != breakerClosed || t.window.counterTotal == 0 && t.window.total == 0 {
+	if !e.breaker.IsClosed() || t.window.counterTotal == 0 && t.window.total == 0 {
 		status.Used = t.localUsage.UnrefilledAt(now, t.trafficShare(parts), p.Rate)
 	} else {
 		status.Used = max(t.window.total+t.unreported-nanos.Accrued(p.Rate, now-t.window.start), 0)
@@ -43,7 +43,7 @@
 // BreakerStatus reports whether calls to the counter are stopped, and else which share of the requests makes
 // one.
 func (e *Engine) BreakerStatus() (open bool, callShare float64) {
-	return e.breaker.state != breakerClosed, e.breaker.callShare
+	return !e.breaker.IsClosed(), e.callShare
 }
 
 // CounterStats are statistics on the counter's failures, as this instance met them.
@@ -69,35 +69,3 @@
 	stats.DriftUnits = stats.UnreportedUnits + stats.LostUnits
 	return stats
 }
-
-// WarmStartState is what an instance knows of the backends' answer times, for the one that is started after
-// it.
-type WarmStartState struct {
-	BaselineLatency float64            `json:"usual_ns"` // of all together
-	Samples         float64            `json:"count"`    // of answers that stand behind it
-	Backends        []BackendWarmStart `json:"backends"`
-}
-
-// BackendWarmStart is one backend's part.
-type BackendWarmStart struct {
-	Backend         BackendID `json:"backend"`
-	StartedAt       int64     `json:"started"` // of the incarnation that was measured
-	BaselineLatency float64   `json:"usual_ns"`
-	Samples         float64   `json:"count"`
-}
-
-// ExportState returns what is known of the listed backends.
-func (e *Engine) ExportState() WarmStartState {
-	state := WarmStartState{BaselineLatency: e.latency.Value, Samples: e.latency.Count}
-	for _, b := range e.endpoints {
-		if b.latency.Count > 0 {
-			state.Backends = append(state.Backends, BackendWarmStart{
-				Backend:         b.id,
-				StartedAt:       b.startedAt,
-				BaselineLatency: b.latency.Value,
-				Samples:         b.latency.Count,
-			})
-		}
-	}
-	return state
-}
--- a/policy/tenant.go
+++ b/policy/tenant.go
@@ -2,7 +2,9 @@
 
 import (
 	"fawnplank/internal/estimate"
+	"fawnplank/internal/hash64"
 	"fawnplank/internal/nanos"
+	"fawnplank/internal/quotawindow"
 	"fawnplank/internal/tokenbucket"
 )
 
@@ -25,6 +27,40 @@
 	hardQuota     tokenbucket.Bucket // this instance's part of the hard quota
 }
 
+// findTenant returns the request's tenant, in its window of now.
+func (e *Engine) findTenant(now int64, id TenantID, r *Request) *tenant {
+	t := e.tenants[id]
+	if t == nil {
+		t = &tenant{id: id, plan: r.plan}
+		t.localUsage.UpdatedAt = now
+		t.hardQuota.UpdatedAt = e.startedAt
+		e.tenants[id] = t
+		e.scheduleForgetting(now, t)
+	}
+	if t.plan != r.plan {
+		t.plan = r.plan
+		t.unreported = 0
+		t.window.key = 0
+		t.window.total = 0
+	}
+	t.tracksRefill = r.tracksRefill()
+	t.rollOver(now, !e.breaker.IsClosed(), r.entryPoints)
+	return t
+}
+
+// scheduleForgetting drops the tenant once it was unused for its time and nothing of it is in flight.
+func (e *Engine) scheduleForgetting(now int64, t *tenant) {
+	keep := t.keepFor()
+	e.schedule(now+keep, nil, func(now int64) {
+		unused := now - max(t.localUsage.UpdatedAt, t.hardQuota.UpdatedAt)
+		if t.inFlight > 0 || unused < keep {
+			e.scheduleForgetting(now, t)
+			return
+		}
+		delete(e.tenants, t.id)
+	})
+}
+
 // quotaWindow is what is known of the count of a tenant's current window. The count is compared with what the
 // rate has refilled since the window's start: the tenant has used total - refilled of its burst.
 type quotaWindow struct {
@@ -42,6 +78,19 @@
 // windowEnd returns when the tenant's current window ends.
 func (t *tenant) windowEnd() int64 { return t.window.start + t.plan.window }
 
+// tenantOffset keeps the offsets of tenants apart from other hashes of their ids.
+const tenantOffset = 0x9e3779b97f4a7c15
+
+// windowAt returns an empty window that holds now. Windows start at a time of the tenant's own: clients that
+// were rejected together come apart. A count that holds attempts too has a key of its own: instances that do
+// not report them could not read it.
+func (t *tenant) windowAt(now int64) quotaWindow {
+	own := hash64.Mix(uint64(t.id) + tenantOffset)
+	window := quotawindow.At(now, t.plan.window, own)
+	key := hash64.Mix(own + window.Index + uint64(t.plan.concurrencyUnit))
+	return quotaWindow{start: window.Start, key: CounterKey(key)}
+}
+
 // refilled returns what the rate has given since a window's start.
 func (t *tenant) refilled(now, windowStart int64) float64 {
 	if !t.tracksRefill {
