--- a/policy/admission.go
+++ b/policy/admission.go
@@ -21,14 +21,14 @@
 	return r
 }
 
-// drawHardQuota draws on this instance's part of the hard quota, or rejects the request. The part fills from
-// empty at the instance's start, which can't know what an earlier incarnation sent: rule 5 holds through all.
+// drawHardQuota draws on this instance's part of the hard quota, or rejects. It fills from empty at the
+// start, as an earlier incarnation may have sent much: rule 5 holds through restarts and counter failures.
 func (r *Request) drawHardQuota(now int64) bool {
 	rate, bucket := r.plan.HardQuotaRate, &r.tenant.hardQuota
 	if rate > 0 {
 		missing := r.units - bucket.Refill(now, rate/r.entryPoints, r.plan.HardQuotaBurst/r.entryPoints)
 		if missing > 0 {
-			r.giveUp(now, nanos.FromSeconds(missing*r.entryPoints/rate))
+			r.giveUp(nanos.FromSeconds(missing*r.entryPoints/rate))
 			return false
 		}
 		bucket.Units -= r.units
@@ -55,8 +55,8 @@
 	return limit > 0 && inFlight > 0 && inFlight+r.inFlightElsewhere() >= float64(limit)
 }
 
-// inFlightElsewhere is how many attempts the other instances likely have in flight: what the rate keeps there,
-// twice, since those who near the limit are the busy ones; without a rate, half the limit is a guess.
+// inFlightElsewhere is how many attempts the others likely have in flight: what the rate keeps there, twice,
+// since those who near the limit are the busy ones; without a rate, half the limit is a guess.
 func (r *Request) inFlightElsewhere() float64 {
 	elsewhere := 1 - r.tenant.trafficShare(r.entryPoints)
 	if r.plan.Rate <= 0 {
@@ -95,7 +95,7 @@
 		missing := t.window.total + r.units - r.plan.quota - t.refilled(now, t.window.start)
 		retryAfter = nanos.FromSeconds(max(missing, r.units/8) / r.plan.Rate)
 	}
-	r.giveUp(now, retryAfter)
+	r.giveUp(retryAfter)
 }
 
 func (r *Request) admit(now int64, withinQuota bool) {
--- a/policy/backend.go
+++ b/policy/backend.go
@@ -17,7 +17,7 @@
 	ready     bool
 	gone      bool
 	capacity  float64 // relative to the others
-	distance  float64 // fair shares of instances between this instance's own and the one that the backend lies in
+	distance  float64 // fair shares of instances between this instance's own and the backend's
 
 	inFlight        int
 	lastSentAt      int64
@@ -58,6 +58,13 @@
 	b.capacity = cmp.Or(max(endpoint.Capacity, 0), 1) // none stated: all are alike
 }
 
+// reset forgets what is known of the backend's incarnation.
+func (b *backend) reset() {
+	b.latency = estimate.Mean{}
+	b.health = health{}
+	b.lastSlowStartAt = 0
+}
+
 // findBackend returns a backend, which it adds where it is not known yet.
 func (e *Engine) findBackend(id BackendID) (b *backend, found bool) {
 	b, found = e.backends[id]
@@ -119,3 +126,8 @@
 func (e *Engine) warmingUp(now int64, b *backend) bool {
 	return b.startedAt > 0 && now-b.startedAt < e.settings.SlowStartDuration
 }
+
+// ageBeyond is for how long a backend's age has been above a duration.
+func (b *backend) ageBeyond(now, duration int64) float64 {
+	return float64(max(now-b.startedAt-duration, 0))
+}
--- a/policy/doc.go
+++ b/policy/doc.go
@@ -8,9 +8,10 @@
 //   - [New] makes an [Engine] from the [Settings], and [Engine.UpdateSettings] replaces them.
 //   - [Engine.UpdateEndpoints] feeds it the list of backends.
 //   - [Engine.Submit] takes a request and returns its handle. [Request.HandleAttemptResult],
-//     [Request.HandleResponseStarted] and [Request.HandleClientGone] are called on that handle until [Request.Done].
-//   - [Engine.HandleCounterResult], [Engine.HandleHealthCheck] and [Engine.HandleTimer] bring the answers of the
-//     counter, of the health checks and of the clock.
+//     [Request.HandleResponseStarted] and [Request.HandleClientGone] are called on that handle until
+//     [Request.Done].
+//   - [Engine.HandleCounterResult], [Engine.HandleHealthCheck] and [Engine.HandleTimer] bring the answers of
+//     the counter, of the health checks and of the clock.
 //
 // Calls of one Engine and of its requests come one at a time, in order of time: nothing here is safe for
 // concurrent use. Times and durations are int64 nanoseconds.
--- a/policy/endpoints.go
+++ b/policy/endpoints.go
@@ -1,16 +1,11 @@
 package policy
 
-import (
-	"math"
+import "math"
 
-	"fawnplank/internal/estimate"
-)
-
-// DiscoveryTimeouts returns the bounds of the calls to discovery. Where lists are pushed, what the agent has
-// counts at once, a call that an outage silenced is never answered, and asking costs nobody anything: a
-// third, a quarter and a tenth of the drain's grace leave a third to the instance. Elsewhere asking is work,
-// but a change is due six seconds after it could be fetched: a silent watch is opened anew by 5.2 s; a full
-// snapshot keeps its place in the queue.
+// DiscoveryTimeouts bounds the calls to discovery. Where lists are pushed, what the agent has counts at once,
+// a call that an outage silenced is never answered, and asking costs nothing: a third, a quarter and a tenth
+// of the drain's grace leave a third to the instance. Elsewhere asking is work, but a change is due six
+// seconds after it could be fetched: a silent watch is opened anew by 5.2 s; a snapshot stays in its queue.
 func (s Settings) DiscoveryTimeouts() DiscoveryTimeouts {
 	if s.PollEndpoints {
 		watch := min(max(2*second, s.PollTimeout), 4500*millisecond)
@@ -37,7 +32,7 @@
 			b.lastSentAt = now - int64(e.random.Float64()*10*float64(second))
 		}
 		if endpoint.StartedAt != b.startedAt && endpoint.State == EndpointReady {
-			b.latency, b.health, b.lastSlowStartAt = estimate.Mean{}, health{}, 0 // another incarnation
+			b.reset() // another incarnation
 		}
 		b.update(endpoint)
 	}
--- a/policy/engine.go
+++ b/policy/engine.go
@@ -7,19 +7,15 @@
 	"fawnplank/internal/nanos"
 )
 
-const (
-	tickInterval = 100 * millisecond // at rarer ticks one ranking would stand for too many attempts
-	// roundingTolerance forgives rounding: the counter reports totals to seven digits.
-	roundingTolerance = 0.01
-)
+const tickInterval = 100 * millisecond // at rarer ticks one ranking would stand for too many attempts
+const roundingTolerance = 0.01         // forgives rounding: the counter reports totals to seven digits
 
 // New returns the decisions of one instance.
 func New(now int64, seed uint64, settings Settings, effects Effects) *Engine {
 	e := newEngine(now, seed, effects)
 	e.UpdateSettings(settings)
 	if settings.PollEndpoints {
-		// Instances that start together poll one after another: within what a poll may take, and by 3.5 s, so that
-		// each has its list by six seconds.
+		// Those that start together poll in turn, within what a poll may take: each has its list in six seconds.
 		spread := min(int64(settings.Instances-1)*50*millisecond, settings.PollTimeout/2, 3500*millisecond)
 		delay := int64(e.random.Float64() * float64(spread))
 		e.schedule(now+delay, nil, func(int64) { effects.WatchEndpoints() })
--- a/policy/latency.go
+++ b/policy/latency.go
@@ -8,13 +8,11 @@
 func (e *Engine) updateThroughput() {
 	e.throughput += 0.1 * (e.answersSinceTick*10 - e.throughput) // over about a second
 	e.answersSinceTick = 0
-	// What a backend is seen to answer, over ten seconds, and the most of it: a jam takes none away. So its
-	// capacity.
+	// What a backend is seen to answer, over ten seconds, and the most: a jam takes none away. So its capacity.
 	perBackend := e.throughput * float64(max(e.settings.Instances, 1)) / max(e.effectiveBackends, 1)
 	e.backendThroughput += 0.01 * (perBackend - e.backendThroughput)
 	e.peakBackendThroughput = max(e.peakBackendThroughput*0.999, e.backendThroughput)
-	meanCapacity := e.effectiveCapacity / max(e.effectiveBackends, roundingTolerance)
-	e.meanCapacity = max(e.meanCapacity*0.999, meanCapacity)
+	e.meanCapacity = max(e.meanCapacity*0.999, e.effectiveCapacity/max(e.effectiveBackends, roundingTolerance))
 }
 
 // updateBaselineLatency lets the baseline follow the fleet. It falls with a quicker fleet in a second, and
@@ -33,11 +31,10 @@
 	e.baselineLatency.Value += rise*change + 0.1*min(change, 0)
 }
 
-// fadeMeasurements forgets: what is known of a single backend in five seconds, of who leaves in ten. An
-// instance that took a jam for granted would send nothing more and measure nothing. While attempts are in
-// flight it does measure: silence is the jam then. What is forgotten ends at the baseline (where the jam came
-// first, at a fifth of the latency objective, which always has room): else all would look quick at last, and
-// late answers stalled.
+// fadeMeasurements forgets a single backend in five seconds, and who leaves in ten. An instance that took a
+// jam for granted would send and measure nothing more. While attempts are in flight it does measure: silence
+// is the jam then. Forgetting ends at the baseline (where the jam came first, at a fifth of the latency
+// objective, which always has room): else all would look quick at last, and late answers stalled.
 func (e *Engine) fadeMeasurements(now int64) {
 	fade := 0.98
 	if now-e.lastAnswerAt > second && e.inFlight == 0 {
@@ -53,8 +50,7 @@
 	}
 }
 
-// measure smooths the latency, over about ten answers of the backend and two seconds (8 to 30 answers) of the
-// fleet.
+// measure smooths the latency, over some ten answers of the backend and two seconds (8 to 30) of the fleet.
 func (e *Engine) measure(b *backend, latency, concurrency float64) {
 	b.latency.Add(latency, 10)
 	b.latencyConcurrency += (concurrency - b.latencyConcurrency) / b.latency.Count
@@ -64,9 +60,8 @@
 	e.latency.Add(latency, min(max(2*e.throughput, 8), 30))
 }
 
-// relativeCost is how much longer than the mean one a request of so many units takes, as far as was measured:
-// a unit may stand for work. Without it a large request passes for a slow backend, and a small one for a
-// quick one.
+// relativeCost is how much longer than the mean a request of so many units takes, as far as measured: a unit
+// may stand for work. Without it a large request passes for a slow backend, and a small one for a quick one.
 func (e *Engine) relativeCost(units float64) float64 {
 	line := &e.latencyByUnits
 	slope := line.Slope() * line.Count / (line.Count + 20)
--- a/policy/outlier.go
+++ b/policy/outlier.go
@@ -34,8 +34,7 @@
 	}
 }
 
-// eject keeps attempts from a backend for a while that doubles with each symptom, and has it checked before
-// its return.
+// eject keeps attempts from a backend for a while that doubles with each symptom, and has it checked then.
 func (e *Engine) eject(now int64, b *backend) {
 	h := &b.health
 	if now < h.ejectedUntil {
@@ -44,15 +43,14 @@
 	h.symptoms++
 	// 0.2 to 3.2 s: a short stall costs little, a dead one few tries.
 	h.ejectedUntil = now + 100*millisecond<<min(h.symptoms, 5)
-	if !e.settings.HealthChecks {
-		return
+	if e.settings.HealthChecks {
+		e.schedule(h.ejectedUntil, nil, func(now int64) {
+			if b.ready && h.symptoms > 0 && now >= h.ejectedUntil {
+				h.ejectedUntil = now + second // until the check is answered; a lost one ends by itself
+				e.effects.CheckHealth(b.id)
+			}
+		})
 	}
-	e.schedule(h.ejectedUntil, nil, func(now int64) {
-		if b.ready && h.symptoms > 0 && now >= h.ejectedUntil {
-			h.ejectedUntil = now + second // until the check is answered; a lost one ends by itself
-			e.effects.CheckHealth(b.id)
-		}
-	})
 }
 
 // HandleHealthCheck brings a health check's answer: a good one lets a single attempt try the backend.
--- a/policy/quota.go
+++ b/policy/quota.go
@@ -6,6 +6,8 @@
 	"fawnplank/internal/nanos"
 )
 
+const maxCountLifetime = 60 * second // the counter drops counts after a minute
+
 // tracksRefill reports whether the tenant's instances see enough of its count to reckon its refill together.
 func (r *Request) tracksRefill() bool {
 	p := r.plan
@@ -16,21 +18,16 @@
 // keepFor is how long a tenant is remembered unused: for two windows and the minute that the counter keeps
 // counts for, and until its hard quota would be full anyway.
 func (t *tenant) keepFor() int64 {
-	keep := max(2*t.plan.window, 60*second) // a minute: seldom enough for plans of tiny windows
+	keep := max(2*t.plan.window, maxCountLifetime) // a minute: seldom enough for plans of tiny windows
 	if t.plan.HardQuotaRate > 0 {
 		keep = max(keep, nanos.FromSeconds(t.plan.HardQuotaBurst/t.plan.HardQuotaRate))
 	}
 	return keep
 }
 
-// countLifetime is how long the counter is to keep the window's count: a minute at most.
-func (t *tenant) countLifetime(now int64) int64 {
-	return min(t.window.start+2*t.plan.window-now+second, 60*second)
-}
-
-// rollOver goes on to the window of now. What the last one used beyond its refill is carried over: a rollover
-// grants no fresh burst, and what is left unreported besides was refilled since. Where few of the instances see
-// much of a count none knows in time what to carry, and the plain count holds: all requests, window by window.
+// rollOver goes on to the window of now. What the last one used beyond its refill is carried: a rollover
+// grants no fresh burst, and what else was unreported has been refilled. Where few of the instances see much
+// of a count none knows in time what to carry, and the plain count holds: all requests, each window afresh.
 func (t *tenant) rollOver(now int64, breakerOpen bool, entryPoints float64) {
 	if t.plan.window == 0 || t.window.key != 0 && now < t.windowEnd() {
 		return
@@ -54,7 +51,7 @@
 	switch {
 	case !r.class.CheckOnly && e.pickBackend(now, r, 1) == nil:
 		// No backend has room: counted, it would shut others of the tenant out.
-		r.giveUp(now, r.class.LatencyObjective/8)
+		r.giveUp(r.class.LatencyObjective/8)
 	case t.window.total+r.units > t.plan.quota+t.refilled(now, t.window.start)+roundingTolerance:
 		t.recordAdmittedShare(0)
 		r.handleOverQuota(now) // used up as far as is known: no call can say otherwise
@@ -106,7 +103,12 @@
 		correction = call.request.claimLostUnits(now)
 	}
 	if call.waiting {
-		call.decideByTotal(now, total, refilled, inFlight)
+		units := call.request.units
+		room := t.plan.quota + refilled - total + call.units - units
+		// What is admitted without a call goes unseen here.
+		overLimit := t.plan.concurrencyUnit > 0 && inFlight > float64(t.plan.ConcurrencyLimit)
+		call.decide(now, true, room+roundingTolerance >= 0 && !overLimit)
+		t.recordAdmittedShare(min(max(room+units, 0)/units, 1))
 	}
 	if !call.admitted && t.tracksRefill { // it was counted and not sent
 		correction -= call.units
@@ -133,9 +135,9 @@
 	case w.lostUnits > 0 && before-w.counterTotal >= w.lostUnits/2: // reconciled, as far as another knew
 		w.lostUnits = max(w.total-before, 0)
 	case w.counterTotal > 0:
-		// This instance's part of the traffic, over about ten answers. Between a window's first and last lie n-1
-		// of n for (n-1)/(n+1) of its time: an instance of few takes its part for a half larger. That is kept where
-		// a unit beyond the quota costs half of one inside or less: what is admitted too little costs all.
+		// This instance's part of the traffic, over about ten answers. Between a window's first and last lie n-1 of
+		// n for (n-1)/(n+1) of its time: an instance of few takes its part for a half larger. That is kept where a
+		// unit beyond the quota costs half of one inside or less: what is admitted too little costs all.
 		n, penalty := float64(w.answers), min(max(2*t.plan.OverQuotaCost-1, 0), 1)
 		t.ownUnits = 0.9*t.ownUnits + amount*(1-penalty*2/(n*(n+1)))
 		t.otherUnits = 0.9*t.otherUnits + max(before-w.counterTotal, 0)
@@ -160,12 +162,3 @@
 	w.lostUnits, w.lostSince = 0, 0
 	return claimed
 }
-
-func (c *counterCall) decideByTotal(now int64, total, refilled, inFlight float64) {
-	t, units := c.tenant, c.request.units
-	room := t.plan.quota + refilled - total + c.units - units
-	// What is admitted without a call goes unseen here.
-	overLimit := t.plan.concurrencyUnit > 0 && inFlight > float64(t.plan.ConcurrencyLimit)
-	c.decide(now, true, room+roundingTolerance >= 0 && !overLimit)
-	t.recordAdmittedShare(min(max(room+units, 0)/units, 1))
-}
--- a/policy/request.go
+++ b/policy/request.go
@@ -1,6 +1,9 @@
 package policy
 
-import "fmt"
+import (
+	"fmt"
+	"math"
+)
 
 // Request is the handle of a request that was submitted.
 type Request struct {
@@ -63,21 +66,28 @@
 
 // addAttempt notes that another attempt is in flight at a backend.
 func (r *Request) addAttempt(now int64, b *backend) *attempt {
+	e := r.engine
 	r.inFlight++
 	r.tenant.inFlight++
 	b.inFlight++
-	r.engine.inFlight++
-	r.engine.promptInFlight++
+	e.inFlight++
+	e.promptInFlight++
 	a := &attempt{
-		backend:     b,
-		zone:        b.zone,
-		group:       b.group,
-		sentAt:      now,
-		concurrency: float64(b.inFlight),
-		inFlight:    true,
-		mayHaveRun:  true,
+		backend:        b,
+		zone:           b.zone,
+		group:          b.group,
+		sentAt:         now,
+		concurrency:    float64(b.inFlight),
+		inFlight:       true,
+		mayHaveRun:     true,
+		baselineSample: e.attemptsSent < baselineSamples,
 	}
 	r.attempts = append(r.attempts, a)
+	e.attemptsSent++
+	b.lastSentAt = now
+	if e.warmingUp(now, b) {
+		b.lastSlowStartAt = now
+	}
 	return a
 }
 
@@ -112,6 +122,26 @@
 	}
 }
 
+// correctUnits charges what a request within the quota really counted, where that is known only after it.
+func (r *Request) correctUnits(result *AttemptResult) {
+	known := r.engine.settings.PostPaid && result.TrueUnits > 0
+	if known && result.Outcome == Succeeded && r.withinQuota {
+		r.tenant.unreported += result.TrueUnits - r.units // goes along with the next call
+		r.tenant.localUsage.Units += result.TrueUnits - r.units
+	}
+}
+
+// keyKnownUntil is how long backends know the request's idempotency key from its earlier attempts.
+func (r *Request) keyKnownUntil() int64 {
+	until := int64(math.MaxInt64)
+	for _, a := range r.attempts {
+		if a.mayHaveRun && r.class.Idempotency == IdempotentWithKey {
+			until = min(until, a.sentAt+r.class.DedupWindow)
+		}
+	}
+	return until
+}
+
 // cancelInFlight cancels the attempts that are in flight.
 func (r *Request) cancelInFlight() {
 	for id, a := range r.attempts {
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -9,7 +9,7 @@
 		r.finish()
 		r.engine.effects.Admit(r.id)
 	} else if b := r.engine.pickBackend(now, r, 1); b == nil || !r.sendAttempt(now, b) {
-		r.giveUp(now, r.class.LatencyObjective/8) // early enough for another try within the objective
+		r.giveUp(r.class.LatencyObjective/8) // early enough for another try within the objective
 	}
 }
 
@@ -66,19 +66,8 @@
 	}
 	e, s, id := r.engine, &r.engine.settings, len(r.attempts)
 	// A connection may come up late: the backend may have forgotten an earlier attempt's key by then.
-	beginBefore := r.deadline
-	for _, a := range r.attempts {
-		if a.mayHaveRun && r.class.Idempotency == IdempotentWithKey {
-			beginBefore = min(beginBefore, a.sentAt+r.class.DedupWindow)
-		}
-	}
+	beginBefore := min(r.deadline, r.keyKnownUntil())
 	a := r.addAttempt(now, b)
-	a.baselineSample = e.attemptsSent < baselineSamples
-	e.attemptsSent++
-	b.lastSentAt = now
-	if e.warmingUp(now, b) {
-		b.lastSlowStartAt = now
-	}
 	timeout, expireAt := r.attemptTimeout(), int64(0)
 	if !s.Hedging && !s.Cancellation && r.class.Idempotency != NonIdempotent && len(r.attempts) < s.MaxAttempts {
 		// Nothing else makes room for another attempt; beyond seven tenths too little time is left for one.
@@ -122,10 +111,7 @@
 	e, t, a := r.engine, r.tenant, r.attempts[result.Attempt]
 	r.removeAttempt(a, result.Outcome)
 	r.learnFromResult(now, a, &result)
-	if result.Outcome == Succeeded && e.settings.PostPaid && result.TrueUnits > 0 && r.withinQuota {
-		t.unreported += result.TrueUnits - r.units // goes along with the next call
-		t.localUsage.Units += result.TrueUnits - r.units
-	}
+	r.correctUnits(&result)
 	switch {
 	case r.finished:
 	case result.RequestDone || result.Outcome == Succeeded:
@@ -133,7 +119,7 @@
 		r.finish()
 	case r.inFlight > 0:
 	case result.Outcome == NotSent || r.responseStarted || now >= r.lastUsefulSend():
-		r.giveUp(now, r.class.LatencyObjective/8)
+		r.giveUp(r.class.LatencyObjective/8)
 	default:
 		r.dispatch(now)
 	}
@@ -156,7 +142,7 @@
 
 // giveUp is the only place that gives a final answer without a success: a rejection where that may promise no
 // harm, with the time to come back after, or else an abort.
-func (r *Request) giveUp(now, retryAfter int64) {
+func (r *Request) giveUp(retryAfter int64) {
 	if r.finished {
 		return
 	}
--- a/policy/selection.go
+++ b/policy/selection.go
@@ -52,8 +52,7 @@
 
 // pickBackend returns the first backend in the order that is below its concurrency limit, with none the least
 // loaded; of those only that likely answer within the latency budget; nil: none. An instance has no more in
-// flight than one or two, its part of one for each backend, and what it answers within that budget and a
-// third.
+// flight than one or two, its part of one for each backend, and 1.3 times what it answers in the budget.
 func (e *Engine) pickBackend(now int64, r *Request, urgency float64) *backend {
 	budget, fairShare := e.latencyBudget(now, r, urgency), e.fairSharePerBackend()
 	if float64(e.promptInFlight) >= min(2, 1+fairShare)+fairShare+1.3*e.throughput*budget/float64(second) {
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -39,7 +39,7 @@
 	Deadline         int64
 	LateValue        float64      // share of the value that an answer after the latency objective keeps
 	FallbackMode     FallbackMode // the simulator's wire names none, so its instances use their local share
-	CheckOnly        bool         // a question about the quota: counted like a request, then admitted and not sent
+	CheckOnly        bool         // a question about the quota: counted, then admitted and not sent
 }
 
 // PlanSettings are a plan's quotas, each for one tenant over all instances.
--- a/policy/slow_start.go
+++ b/policy/slow_start.go
@@ -2,21 +2,17 @@
 
 import "fawnplank/internal/hash64"
 
-// risenFor is for how long a backend's capacity has risen: a window less than its age, to be safe.
-func (e *Engine) risenFor(now int64, b *backend) float64 {
-	return float64(max(now-b.startedAt-e.settings.OverloadWindow, 0))
-}
-
-// warmth is the part of its capacity that a backend has by now, from its start on: it warms up evenly.
+// warmth is the part of its capacity that a backend has: it warms up evenly. A window less, to be safe.
 func (e *Engine) warmth(now int64, b *backend) float64 {
 	if !e.warmingUp(now, b) {
 		return 1
 	}
 	s := &e.settings
-	return s.SlowStartShare + (1-s.SlowStartShare)*e.risenFor(now, b)/float64(s.SlowStartDuration)
+	risen := b.ageBeyond(now, s.OverloadWindow)
+	return s.SlowStartShare + (1-s.SlowStartShare)*risen/float64(s.SlowStartDuration)
 }
 
-// slowStartRate is how many attempts a nanosecond all instances may send to a backend that would be warm.
+// slowStartRate is how many attempts a nanosecond all instances may send to a backend once it is warm.
 func (r *Request) slowStartRate(b *backend) float64 {
 	e := r.engine
 	work := float64(r.class.LatencyObjective) / 2 // nothing measured yet: few objectives are tighter
@@ -29,10 +25,10 @@
 
 // slowStartAllows keeps all instances within half the multiple of what a backend that warms up bears, since
 // requests differ in work: a third of what a warm one of its capacity (the mean at most) does, which is one
-// core's work of 1.5 baseline latencies, or more as far as warm ones are seen to. Its attempts are numbered from
+// core's work of 1.5 baseline latencies, or more as far as warm ones are seen to. Attempts are numbered from
 // its start and go to the instances in turn, one each, for half a window: the rest of the half is for that,
-// since one of many seldom has something to send just then. So the sum holds for any number of instances
-// without a word between them. One just started waits a window: its earlier incarnation may have sent much.
+// since one of many seldom has something to send just then. So the sum holds for any number of them without a
+// word between them. One just started waits a window: its earlier incarnation may have sent much.
 func (r *Request) slowStartAllows(now int64, b *backend) bool {
 	e := r.engine
 	if !e.warmingUp(now, b) {
@@ -42,7 +38,7 @@
 	instances := float64(max(s.Instances, 1))
 	rate := r.slowStartRate(b)
 	atShare := s.SlowStartShare * float64(max(now-b.startedAt, 0))
-	number := rate * (atShare + (warmth-s.SlowStartShare)*e.risenFor(now, b)/2)
+	number := rate * (atShare + (warmth-s.SlowStartShare)*b.ageBeyond(now, s.OverloadWindow)/2)
 	offset := hash64.Mix(uint64(b.id)) + uint64(instances) - uint64(s.InstanceIndex)
 	turnsPassed := float64((offset + uint64(number)) % uint64(instances))
 	rate *= warmth
--- a/policy/state.go
+++ b/policy/state.go
@@ -24,7 +24,7 @@
 	PlanSettings
 	window          int64         // the time in which the rate fills one burst; 0: the plan has no rate
 	quota           float64       // units a window
-	concurrencyUnit float64       // what an attempt in flight counts beside the units; 0: there is no limit on them
+	concurrencyUnit float64       // what an attempt in flight counts beside the units; 0: no limit
 	admittedShare   estimate.Mean // part of a request that the counter lately admitted
 	leaverShare     estimate.Mean // part of the clients that leave before their time
 	leaverPatience  estimate.Mean // after how long they leave
@@ -49,8 +49,8 @@
 	tenants      map[TenantID]*tenant
 	pendingCalls pendingCalls
 	breaker      circuitbreaker.Breaker // of the calls to the counter
-	callShare    float64                // of the requests that make a call, while a crowded counter answers only some
-	retryDelay   int64                  // longest wait before the endpoint list is asked for again after a failure
+	callShare    float64                // of the requests that call, while a crowded counter answers some
+	retryDelay   int64                  // longest wait before the list is asked for after a failure
 
 	latency         estimate.Mean       // of the backends together
 	latencyByUnits  estimate.Regression // how it grows with the units
--- a/policy/status.go
+++ b/policy/status.go
@@ -13,13 +13,13 @@
 
 // QuotaStatus returns what is known of a tenant's quota now, and counts nothing. ok is false for a plan out
 // of range.
-func (e *Engine) QuotaStatus(now int64, id TenantID, planID PlanID, entryPoints int) (status QuotaStatus, ok bool) {
-	if int(planID) >= len(e.plans) {
+func (e *Engine) QuotaStatus(now int64, id TenantID, plan PlanID, entryPoints int) (_ QuotaStatus, ok bool) {
+	if int(plan) >= len(e.plans) {
 		return QuotaStatus{}, false
 	}
-	p := &e.plans[planID]
+	p := &e.plans[plan]
 	parts := float64(max(entryPoints, 1))
-	status = QuotaStatus{Limit: p.quota, Rate: p.Rate, HardQuotaLeft: -1}
+	status := QuotaStatus{Limit: p.quota, Rate: p.Rate, HardQuotaLeft: -1}
 	if p.HardQuotaRate > 0 {
 		status.HardQuotaLeft = p.HardQuotaBurst / parts
 	}
@@ -53,7 +53,7 @@
 	UnreportedUnits float64 // units admitted and not reported yet, of all tenants
 	LostUnits       float64 // units that the counts are known to lack, of all tenants
 	ReconciledUnits float64 // units that were added to the counts for lost ones, of all tenants remembered
-	DriftUnits      float64 // units by which the instances may differ from one count: unreported and lost together
+	DriftUnits      float64 // by which the instances may differ from one count: unreported and lost
 	Tenants         int     // remembered
 }
 
--- a/policy/tenant.go
+++ b/policy/tenant.go
@@ -17,7 +17,7 @@
 	inFlight int // attempts
 	waiting  int // requests that wait for the counter
 
-	unreported   float64 // units to be added by the next call: admitted without the counter, or counted and not sent
+	unreported   float64 // units for the next call: admitted without the counter, or counted and not sent
 	ownUnits     float64 // units that this instance lately counted
 	otherUnits   float64 // units that the others did
 	tracksRefill bool    // its instances see enough of the count to reckon its refill together
@@ -62,13 +62,14 @@
 }
 
 // quotaWindow is what is known of the count of a tenant's current window. The count is compared with what the
-// rate has refilled since the window's start: the tenant has used total - refilled of its burst.
+// rate has refilled since the window's start: the tenant has used total - refilled of its burst. The lost
+// units are at least what the last window left used, until an instance reconciles the count.
 type quotaWindow struct {
 	start            int64
 	key              CounterKey
 	total            float64 // as last reported, with the lost units
 	counterTotal     float64 // as last reported
-	lostUnits        float64 // that the count lacks: at least what the last window left used, until it is reconciled
+	lostUnits        float64 // that the count lacks: at first what the last window left used
 	lostSince        int64   // since when the count lacks much; 0: it does not
 	reconciled       float64 // units that were added to make up for lost ones, in all
 	answers          int     // of the counter
