--- a/cmd/fawnplank/main.go
+++ b/cmd/fawnplank/main.go
@@ -50,7 +50,7 @@
 	if path == "" || to == "" && !dry {
 		return errors.New("migrate: needs --config for the old file, and --output for the new one or --dry-run")
 	}
-	lines, err := config.Migrate(path, shape, to, dry)
+	lines, err := config.Migrate(config.MigrateOptions{From: path, Shape: shape, To: to, DryRun: dry})
 	if err != nil {
 		return err
 	}
@@ -78,7 +78,7 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	start.AddLimits(o)
+	start.AddLimitClass(o)
 	return start, o, nil
 }
 
@@ -90,7 +90,7 @@
 	if err != nil {
 		return err
 	}
-	if err := logging.Setup(os.Stderr, cmp.Or(level, set.Log.Level), cmp.Or(format, set.Log.Format), start.Name); err != nil {
+	if err := logging.Setup(logging.Options{Output: os.Stderr, Level: cmp.Or(level, set.Log.Level), Format: cmp.Or(format, set.Log.Format), Instance: start.Name}); err != nil {
 		return err
 	}
 	// All runs on one core: more threads would only take turns. The collector keeps below the memory limit,
@@ -110,24 +110,28 @@
 	part := (start.MaxSockets - own - calls) / 2
 
 	f, figures := dispatch.New(), metrics.New(classes(start))
-	pool := backend.New(part, time.Duration(start.ConnectTimeout), time.Duration(start.IdleConnection), f.HandleHealthCheck)
-	count := counter.New(f, start.Counter, time.Duration(start.ConnectTimeout))
+	pool := backend.New(part, start.ConnectTimeout, start.IdleTimeout, f.HandleHealthCheck)
+	spoken := counter.Text
 	if set.Counter.Protocol == "resp" {
-		count.Format = counter.RESP
+		spoken = counter.RESP
 	}
+	count := counter.New(counter.Options{Address: start.Counter, ConnectTimeout: start.ConnectTimeout,
+		Format: spoken}, f)
 	figures.AddGauges(outages(f, count))
-	list := discovery.New(f, pool, start)
-	pool.Metrics, list.Metrics = figures, figures
+	names := &names{set: set}
+	var refresh func()
+	if names.on() {
+		refresh = names.whole
+	}
+	list := discovery.New(discovery.Options{Subscriber: f, AddressBook: pool, Config: start, Metrics: figures, Refresh: refresh})
+	names.list = list
+	pool.Metrics = figures
 	// Large values of clients and of backends each hold at most a sixth of the memory; what waits for room is
 	// not read on meanwhile. Two rooms, not one: a large command holds its room until its answer is written,
 	// and that answer must not wait for the same room. With the collector's three quarters that leaves a third
 	// for the rest.
 	pool.Budget = membudget.New(start.MemoryBytes / 6)
-	names := &names{list: list, set: set}
-	if names.on() {
-		list.WatchSource(names.whole)
-	}
-	f.Run(start.Seed, start.Settings, count, pool, list)
+	f.Start(dispatch.Config{Seed: start.Seed, Settings: start.Settings, Counter: count, HealthChecker: pool, EndpointWatcher: list})
 	if !names.on() { // a list of long ago must not stand beside the zone's
 		if err := list.LoadSnapshot(start.KnownEndpoints); err != nil {
 			return fmt.Errorf("configuration: %w", err)
@@ -143,8 +147,6 @@
 	if err != nil {
 		return fmt.Errorf("configuration: listen: %w", err)
 	}
-	server := frontend.New(f, pool, start, part)
-	server.Metrics, server.Budget = figures, membudget.New(start.MemoryBytes/6)
 	billed := newAccounts()
 	kept, edited, err := openStore(replica, path, operator, names.changed, billed.changed)
 	if err != nil {
@@ -163,14 +165,17 @@
 	if err != nil {
 		return fmt.Errorf("operator file: limits.listen: %w", err)
 	}
+	options := frontend.Options{Dispatcher: f, Pool: pool, Config: start, MaxConnections: part, Metrics: figures,
+		Budget: membudget.New(start.MemoryBytes / 6)}
 	if billed.desk != nil { // before the first transaction is taken: each is billed, or none
-		server.Ledger = billed.desk
+		options.Usage = billed.desk
 	}
+	server := frontend.New(options)
 	served, stopped := make(chan error, 1), make(chan struct{})
 	go func() { served <- server.Serve(listener) }()
 	d := &door{server: server, figures: figures}
 	if start.ManagementAddress != "" {
-		m, err := admin.New(start.ManagementAddress, d, calls)
+		m, err := admin.New(context.Background(), admin.Options{Address: start.ManagementAddress, Gateway: d, MaxCalls: calls})
 		if err != nil {
 			return fmt.Errorf("configuration: mgmt: %w", err)
 		}
@@ -201,7 +206,10 @@
 		case s := <-told: // one at a time: a further one waits
 			if s == syscall.SIGHUP {
 				fresh := reload(path, operator, kept.overlay(), start, set, count, list)
-				if figures.ConfigReloaded(fresh != nil); fresh != nil {
+				if fresh == nil {
+					figures.ConfigRejected()
+				} else {
+					figures.ConfigReloaded()
 					f.UpdateSettings(fresh.Settings)
 					server.UpdateSettings(fresh)
 					limits.Retune(limitNames(fresh, set))
@@ -271,11 +279,11 @@
 	}
 	if !reflect.DeepEqual(now, set) {
 		logging.For("config").Warn("changes of the operator file take effect at a restart")
-		if _, on := start.LimitProfile(); on && now.Limits.Listen == "" {
-			fresh.AddLimits(set)
+		if _, on := start.LimitClass(); on && now.Limits.Listen == "" {
+			fresh.AddLimitClass(set)
 		}
 	}
-	fresh.Follow(start)
+	fresh.KeepIDs(start)
 	count.SetAddress(fresh.Counter)
 	list.SetAddress(fresh.Discovery, fresh.Settings)
 	logging.For("config").WithFields(logrus.Fields{"discovery": fresh.Discovery, "counter": fresh.Counter,
@@ -327,9 +335,9 @@
 		return func() float64 { return value(f.CounterStats()) }
 	}
 	return map[string]metrics.Gauge{
-		"counter_calls":          {Help: "calls that the counter answered with a total", Value: func() float64 { n, _, _ := count.Stats(); return float64(n) }},
-		"counter_failures":       {Help: "calls without a total", Value: func() float64 { _, n, _ := count.Stats(); return float64(n) }},
-		"counter_outage_seconds": {Help: "since the first failure after the last total; 0: none", Value: func() float64 { _, _, d := count.Stats(); return d.Seconds() }},
+		"counter_calls":          {Help: "calls that the counter answered with a total", Value: func() float64 { return float64(count.Stats().Answered) }},
+		"counter_failures":       {Help: "calls without a total", Value: func() float64 { return float64(count.Stats().Failed) }},
+		"counter_outage_seconds": {Help: "since the first failure after the last total; 0: none", Value: func() float64 { return count.Stats().Outage.Seconds() }},
 		"counter_breaker_open": {Help: "1 while calls to the counter are stopped", Value: of(func(o policy.CounterStats) float64 {
 			if o.BreakerOpen {
 				return 1
