--- a/policy/admission.go
+++ b/policy/admission.go
@@ -28,7 +28,7 @@
 	if rate > 0 {
 		missing := r.units - bucket.Refill(now, rate/r.entryPoints, r.plan.HardQuotaBurst/r.entryPoints)
 		if missing > 0 {
-			r.giveUp(nanos.FromSeconds(missing*r.entryPoints/rate))
+			r.giveUp(nanos.FromSeconds(missing * r.entryPoints / rate))
 			return false
 		}
 		bucket.Units -= r.units
--- /dev/null
+++ b/policy/concurrency_limit_test.go
@@ -0,0 +1,71 @@
+package policy
+
+import (
+	"testing"
+)
+
+// Fault: a limit of two attempts in flight was enforced by each of many instances for itself, and passed many
+// times over, or by an even part of it, so that one attempt at an instance had the next one there rejected.
+func TestConcurrencyLimit_IsEnforcedTogether(t *testing.T) {
+	settings := defaultSettings()
+	settings.Plans[0].ConcurrencyLimit = 2
+	here, there := newHarness(t, settings, readyEndpoints(1, 2, 3, 4)...), newHarness(t, settings, readyEndpoints(1, 2, 3, 4)...)
+	there.counter = here.counter
+	step := func(h *harness, id RequestID) *clientRequest {
+		request := h.submit(id, 0, 0, 7, 2*second, 1)
+		h.answerCounterCalls(Succeeded)
+		return request
+	}
+	a, b := step(here, 1), step(there, 2)
+	if len(a.attempts) != 1 || len(b.attempts) != 1 {
+		t.Fatal("not admitted up to the cap")
+	}
+	if c := step(here, 3); c.ended != "rejected" {
+		t.Error("admitted past the cap, with one out here and one there")
+	}
+	there.endAttempt(b, 0, Succeeded)
+	for len(there.pendingAdds) > 0 {
+		there.answerCounter(Succeeded)
+	}
+	if c := step(here, 4); len(c.attempts) != 1 {
+		t.Error("the end of an attempt at the other instance was not told")
+	}
+	if c := step(here, 5); c.ended != "rejected" {
+		t.Error("admitted past the cap, with two out here")
+	}
+	plain := newHarness(t, defaultSettings(), readyEndpoints(1)...)
+	plain.now = here.now
+	if plain.submit(1, 0, 0, 7, 2*second, 1); plain.pendingAdds[0].key == here.engine.tenants[7].window.key {
+		t.Error("an instance that knows of no cap reads the same count")
+	}
+	timer, total := here.engine.plans[0].concurrencyUnit, here.counter[here.engine.tenants[7].window.key]
+	if units := total - 2*timer; units < 0 || units > 10 { // told exactly beside the units, the end of b's too
+		t.Errorf("the count stands at %f, of two attempts of %f each and at most ten units", total, timer)
+	}
+}
+
+// Fault: without the counter a limit was an even part of an attempt, at least one, whatever the tenant's
+// rate.
+func TestConcurrencyLimit_WithoutTheCounter(t *testing.T) {
+	for rate, want := range map[float64]int{1: 3, 50: 1} {
+		settings := defaultSettings()
+		settings.Plans[0] = PlanSettings{Rate: rate, Burst: 100, ConcurrencyLimit: 3}
+		settings.Instances = 1
+		h := newHarness(t, settings, readyEndpoints(1, 2, 3, 4)...)
+		request := h.submit(1, 0, 0, 2, 2*second, 1)
+		h.answerCounter(Rejected)
+		h.advance(100 * millisecond)
+		h.endAttempt(request, 0, Succeeded) // the answer time is known from here on
+		admitted := 0
+		for n := range 5 {
+			next := h.submit(RequestID(10+n), 0, 0, 1, 2*second, 1)
+			h.answerCounterCalls(Rejected)
+			if len(next.attempts) > 0 {
+				admitted++
+			}
+		}
+		if admitted != want {
+			t.Errorf("%d out at once at a rate of %.0f", admitted, rate)
+		}
+	}
+}
--- /dev/null
+++ b/policy/latency_test.go
@@ -0,0 +1,145 @@
+package policy
+
+import (
+	"testing"
+)
+
+// Fault: backends that a jam had made slow got nothing, and so were never found quick again; likewise by an
+// instance that had met the jam before it knew a baseline.
+func TestLatency_JamIsForgotten(t *testing.T) {
+	for _, quick := range []int{40, 0} {
+		h := newHarnessWithoutCounter(t, readyEndpoints(1)...)
+		for n := range quick + 10 {
+			request := h.submit(RequestID(n), 0, 0, TenantID(n), 2*second, 1)
+			if h.advance(50 * millisecond); n >= quick {
+				h.advance(650 * millisecond)
+			}
+			for i := range request.attempts {
+				h.endAttempt(request, i, Succeeded)
+			}
+		}
+		h.advance(12 * second)
+		if request := h.submit(100, 0, 0, 100, 2*second, 1); len(request.attempts) != 1 {
+			t.Errorf("nothing sent long after a jam that came after %d quick answers", quick)
+		}
+	}
+}
+
+// Fault: where backends became slow of themselves, as those that warm up are, instances that had seen quick
+// ones sent next to nothing, and nothing at all to new ones, which were never measured.
+func TestLatency_SlowFleetIsNoJam(t *testing.T) {
+	h, sent := newHarnessWithoutCounter(t, readyEndpoints(1, 2, 3, 4)...), 0
+	for n := range 100 {
+		request := h.submit(RequestID(n), 0, 0, TenantID(n), 2*second, 1)
+		h.advance(40 * millisecond)
+		if n >= 40 {
+			h.advance(170 * millisecond)
+		}
+		for i := range request.attempts {
+			h.endAttempt(request, i, Succeeded)
+		}
+		if n >= 80 {
+			sent += len(request.attempts)
+		}
+	}
+	if sent < 18 {
+		t.Errorf("%d of 20 sent, one after another, to a fleet that answers in time", sent)
+	}
+	h.update(FullSnapshot, readyEndpoints(11, 12)...)
+	if request := h.submit(200, 0, 0, 200, 2*second, 1); len(request.attempts) != 1 {
+		t.Error("nothing sent to a new backend of that kind")
+	}
+}
+
+// Fault: after a mass restart many instances of few attempts each kept the rest of the fleet jammed: full
+// queues turned attempts away at once and showed nothing, and late answers showed it too late.
+func TestLatency_JamShowsBeforeItsAnswers(t *testing.T) {
+	for _, o := range []Outcome{Rejected, Succeeded} {
+		settings := defaultSettings()
+		settings.CounterEnabled = false
+		settings.Cancellation = false
+		settings.MaxAttempts = 1
+		var list []BackendID
+		for n := range 140 {
+			list = append(list, BackendID(n))
+		}
+		h := newHarness(t, settings, readyEndpoints(list...)...)
+		sent := 0
+		for n := range 140 {
+			request := h.submit(RequestID(n), 0, 0, TenantID(n), 2*second, 1)
+			if h.advance(20 * millisecond); n < 40 {
+				h.endAttempt(request, 0, Succeeded)
+			} else if sent += len(request.attempts); len(request.attempts) > 0 && o == Rejected { // else it stays out
+				h.endAttempt(request, 0, o)
+			}
+		}
+		if sent > 80 {
+			t.Errorf("%d of 100 attempts sent into a jam with outcomes %d", sent, o)
+		}
+	}
+}
+
+// Fault: where units stand for work, large requests passed for slow backends, and found no capacity.
+func TestLatency_UnitsStandForWork(t *testing.T) {
+	settings := defaultSettings()
+	settings.CounterEnabled, settings.Plans[0].Burst = false, 100
+	h := newHarness(t, settings, readyEndpoints(1, 2, 3)...)
+	for n := range 120 {
+		units := float64(1 + n%2*7) // one, or eight
+		request := h.submit(RequestID(n), 0, 0, TenantID(n), 2*second, units)
+		if h.advance(int64(units) * 24 * millisecond); len(request.attempts) == 0 {
+			t.Fatalf("no room for the %dth, of %.0f units", n, units)
+		}
+		h.endAttempt(request, 0, Succeeded)
+	}
+	for _, b := range h.engine.endpoints {
+		if off := b.estimatedLatency / h.engine.latency.Value; off < 0.8 || off > 1.25 {
+			t.Errorf("backend %d is reckoned %.2f of the fleet's answer time", b.id, off)
+		}
+	}
+	if s, l := h.engine.relativeCost(1), h.engine.relativeCost(8); s > 0.5 || l < 1.5 {
+		t.Errorf("one unit is taken for %.2f of the mean, eight for %.2f", s, l)
+	}
+	if request := h.submit(200, 0, 0, 200, 2*second, 8); len(request.attempts) != 1 {
+		t.Error("no room for a large one in a quiet fleet")
+	}
+}
+
+// Fault: an instance of a few answers a second went by the last thirty, and saw a jam after seven seconds:
+// 281 such instances went on filling the warm backends while 90 of 151 were replaced (join+mass, seed 11: 29%
+// answered in time).
+func TestLatency_InstanceOfFewAnswersSeesAJamWithinSeconds(t *testing.T) {
+	settings := defaultSettings()
+	settings.Instances, settings.CounterEnabled = 1, false
+	h := newHarness(t, settings, readyEndpoints(1, 2, 3, 4, 5, 6, 7, 8)...)
+	for n := 0; h.now < 1022500*millisecond; n++ {
+		request := h.submit(RequestID(n), 0, 0, TenantID(n), 2*second, 1)
+		took := 100 * millisecond
+		if h.now > 1020*second {
+			took = 240 * millisecond
+		}
+		if h.advance(took); len(request.attempts) > 0 && request.attempts[0].inFlight {
+			h.endAttempt(request, 0, Succeeded)
+		}
+		h.advance(250*millisecond - took)
+	}
+	if h.engine.latency.Value < float64(190*millisecond) {
+		t.Errorf("after 2.5 s of answers in 240 ms the fleet is taken to answer in %.0f", h.engine.latency.Value/1e6)
+	}
+}
+
+// Fault: an instance that got no answer for ten seconds of jam took 12 ms for the fleet's latency: all looked
+// quick, and what was only late was canceled and sent again.
+func TestLatency_ForgettingEndsAtTheBaseline(t *testing.T) {
+	h := newHarnessWithoutCounter(t, readyEndpoints(1, 2)...)
+	h.serve(20, 100*millisecond)
+	request := h.submit(100, 0, 0, 100, 2*second, 1)
+	h.advance(1800 * millisecond)
+	if request.ended != "" || h.engine.latency.Value < float64(100*millisecond) {
+		t.Errorf("%q; with an attempt out, silence took the answer time to %.0f ms", request.ended, h.engine.latency.Value/1e6)
+	}
+	h.advance(20 * second)
+	if h.engine.latency.Value < float64(90*millisecond) {
+		t.Errorf("long after, the answer time is taken for %.0f ms", h.engine.latency.Value/1e6)
+	}
+}
--- /dev/null
+++ b/policy/leavers_test.go
@@ -0,0 +1,72 @@
+package policy
+
+import (
+	"testing"
+)
+
+// Fault: clients who left before a jam's answers hid it, and what they would not wait for was sent on.
+func TestLeavers_ShowAJamAndAreNotSentFor(t *testing.T) {
+	h := newHarnessWithoutCounter(t, readyEndpoints(1, 2, 3)...)
+	h.serve(20, 100*millisecond)
+	before := h.engine.latency.Value
+	leave := func(id RequestID) bool {
+		request := h.submit(id, 0, 0, TenantID(id), 2*second, 1)
+		h.advance(240 * millisecond)
+		if len(request.attempts) == 0 {
+			return false
+		}
+		h.clientGone(request)
+		h.endAttempt(request, 0, Canceled)
+		return true
+	}
+	sent := 0
+	for n := range 40 {
+		if leave(RequestID(100 + n)) {
+			sent++
+		}
+	}
+	if h.engine.latency.Value < 1.1*before {
+		t.Errorf("answer time %.0f ms after attempts that took 240 and more", h.engine.latency.Value/1e6)
+	}
+	if sent > 30 { // a client who stays for 240 ms is not worth an attempt where answers take longer
+		t.Errorf("%d of 40 sent to backends that do not answer before their clients leave", sent)
+	}
+	if h.engine.plans[0].leaverShare.Value < 0.3 || int64(h.engine.plans[0].leaverPatience.Value) > 250*millisecond {
+		t.Errorf("%.2f leave, after %.0f ms", h.engine.plans[0].leaverShare.Value, h.engine.plans[0].leaverPatience.Value/1e6)
+	}
+}
+
+// Fault: after a burst of clients who left at once, all others of their plan were rejected for good, with
+// backends idle: who is rejected at once shows nothing of how long it would have stayed (zone+brink, seed 32:
+// 680 of one instance's in 22 s).
+func TestLeavers_BurstIsForgotten(t *testing.T) {
+	h := newHarnessWithoutCounter(t, readyEndpoints(1, 2, 3)...)
+	h.serve(20, 100*millisecond)
+	for n := range 20 {
+		request := h.submit(RequestID(100+n), 0, 0, TenantID(n), 2*second, 1)
+		if len(request.attempts) == 0 {
+			continue
+		}
+		request.ended = "client gone"
+		request.handle.HandleClientGone(h.now + 10*millisecond)
+		h.advance(10 * millisecond)
+		h.endAttempt(request, 0, Canceled)
+	}
+	if h.engine.plans[0].leaverShare.Value < 0.3 {
+		t.Fatalf("%.2f left", h.engine.plans[0].leaverShare.Value)
+	}
+	served, last := 0, 0
+	for n := range 200 { // twenty seconds, and none leaves
+		request := h.submit(RequestID(200+n), 0, 0, TenantID(n), 2*second, 1)
+		h.advance(100 * millisecond)
+		if len(request.attempts) > 0 {
+			h.endAttempt(request, 0, Succeeded)
+			if served++; n >= 120 {
+				last++
+			}
+		}
+	}
+	if last < 80 {
+		t.Errorf("%d of 200 served after it, %d of the last 80", served, last)
+	}
+}
--- /dev/null
+++ b/policy/local_share_test.go
@@ -0,0 +1,142 @@
+package policy
+
+import (
+	"math/rand/v2"
+	"testing"
+
+	"fawnplank/internal/circuitbreaker"
+	"fawnplank/internal/estimate"
+	"fawnplank/internal/pcg"
+)
+
+func TestFallback_RefusingCounterLeavesTheFallbackMode(t *testing.T) {
+	for mode, want := range []int{LocalShare: 5, FailOpen: 30, FailClosed: 0} { // share: half of a burst of 10
+		settings := defaultSettings()
+		settings.Classes[0].FallbackMode = FallbackMode(mode)
+		if admitted := newHarness(t, settings, readyEndpoints(1, 2, 3)...).countAdmitted(0, 30, 1, Rejected); admitted != want {
+			t.Errorf("fallback mode %d: %d admitted, not %d", mode, admitted, want)
+		}
+	}
+}
+
+// Fault: a floor of one request an instance added up past small quotas, and a share under one request shut
+// small tenants out where instances are many.
+func TestLocalShare_SmallQuotaOverManyInstances(t *testing.T) {
+	for _, reported := range []float64{0, 1} { // without a counter; while one is silent that let all in
+		admitted := 0
+		for index := range 20 {
+			settings := defaultSettings()
+			settings.InstanceIndex = index
+			settings.Instances = 20
+			settings.CounterEnabled = reported > 0
+			settings.Plans[0] = PlanSettings{Rate: 0.1, Burst: 2}
+			h := newHarness(t, settings, readyEndpoints(1, 2, 3)...)
+			h.engine.random = pcg.New(uint64(index))
+			h.engine.plans[0].admittedShare = estimate.Mean{Value: reported, Count: reported * 20}
+			h.engine.breaker = circuitbreaker.Breaker{
+				State:               circuitbreaker.Open,
+				ConsecutiveFailures: failureThreshold,
+				RetryAt:             h.now + second,
+			}
+			for c := range 10 {
+				request := h.submitSpec(RequestSpec{ID: RequestID(c), Tenant: TenantID(c), Remaining: second, Units: 1,
+					EntryPoints: 20})
+				if len(request.attempts) > 0 {
+					admitted++
+					h.endAttempt(request, 0, Succeeded)
+				}
+			}
+		}
+		if lower, upper := 10+170*int(reported), 30+170*int(reported); admitted < lower || admitted > upper {
+			t.Errorf("%d of 200 requests admitted for 10 tenants with quotas of 2 each", admitted)
+		}
+	}
+}
+
+// Fault: an even share met tenants whose traffic gathers at one instance early in an outage.
+func TestLocalShare_FollowsTheTraffic(t *testing.T) {
+	h := newHarness(t, defaultSettings(), readyEndpoints(1, 2, 3)...)
+	for n := range 60 { // all of this tenant's traffic comes here
+		h.countAdmitted(n, 1, 1, Succeeded)
+		h.advance(400 * millisecond)
+	}
+	if admitted := h.countAdmitted(100, 30, 1, ConnectFailed); admitted < 6 || admitted > 10 {
+		t.Errorf("%d admitted of a burst of 10 that all comes through this instance", admitted)
+	}
+}
+
+// Fault: what the counter had not seen took the capacity of what it had admitted, and cost its value
+// unserved.
+func TestLocalShare_CountedRequestsFindCapacityFirst(t *testing.T) {
+	for _, answer := range []Outcome{Succeeded, Rejected} {
+		h := newHarness(t, defaultSettings(), readyEndpoints(1)...)
+		for n := range 40 {
+			request := h.submit(RequestID(n), 0, 0, TenantID(n), 2*second, 1)
+			h.answerCounterCalls(Succeeded)
+			if h.advance(230 * millisecond); len(request.attempts) == 0 {
+				t.Fatalf("the %dth %s", n, request.ended)
+			}
+			h.endAttempt(request, 0, Succeeded)
+		}
+		request := h.submit(100, 0, 0, 100, 2*second, 1) // likely to take 230 ms of at most 300, and of 180 where not counted
+		if h.answerCounter(answer); (len(request.attempts) == 1) != (answer == Succeeded) {
+			t.Errorf("after an answer of kind %d: %d attempts", answer, len(request.attempts))
+		}
+	}
+}
+
+// A tenant of one instance has its whole quota without the counter, and no more: the share is the whole quota
+// then.
+func TestLocalShare_AloneDecidesInAnOutage(t *testing.T) {
+	h := newHarness(t, defaultSettings(), readyEndpoints(1, 2, 3)...)
+	admitted := 0
+	alone := func(id RequestID, o Outcome) {
+		request := h.submitSpec(RequestSpec{ID: id, Tenant: 1, Remaining: 2 * second, Units: 1, EntryPoints: 1})
+		h.answerCounterCalls(o)
+		if len(request.attempts) > 0 {
+			admitted++
+			h.endAttempt(request, 0, Succeeded)
+		}
+	}
+	for n := range 200 { // twenty seconds with the counter
+		alone(RequestID(n), Succeeded)
+		h.advance(100 * millisecond)
+	}
+	admitted = 0
+	for n := range 600 { // a minute, ten tries a second for five
+		alone(RequestID(1000+n), ConnectFailed)
+		h.advance(100 * millisecond)
+	}
+	if admitted < 295 || admitted > 312 {
+		t.Errorf("%d admitted through a minute of a rate of 5 a second and a burst of 10", admitted)
+	}
+}
+
+// Fault: an instance took its share from between a window's first and last answer, for a half too large where
+// two answers came a window. Two instances that see the same traffic have shares that add up to one.
+func TestLocalShare_SharesAddUp(t *testing.T) {
+	settings := defaultSettings()
+	settings.Plans[0] = PlanSettings{Rate: 10, Burst: 10, OverQuotaCost: 1} // windows of a second
+	h := newHarness(t, settings, readyEndpoints(1, 2, 3)...)
+	chance, sum, n := rand.New(rand.NewPCG(5, 5)), 0.0, 0
+	for id := range 800 {
+		request := h.submit(RequestID(id), 0, 0, 1, 2*second, 1)
+		for len(h.pendingAdds) > 0 {
+			add := h.pendingAdds[0] // the other instance's, as many on the mean, came before it
+			for chance.Float64() < 0.5 {
+				h.counter[add.key]++
+			}
+			h.answerCounter(Succeeded)
+		}
+		if len(request.attempts) > 0 {
+			h.endAttempt(request, 0, Succeeded)
+		}
+		h.advance(int64(chance.ExpFloat64() * float64(400*millisecond)))
+		if id > 100 {
+			sum, n = sum+h.engine.tenants[1].trafficShare(2), n+1
+		}
+	}
+	if part := sum / float64(n); part < 0.48 || part > 0.515 {
+		t.Errorf("an instance of two with half of the traffic takes its part for %.2f", part)
+	}
+}
--- a/policy/quota.go
+++ b/policy/quota.go
@@ -51,7 +51,7 @@
 	switch {
 	case !r.class.CheckOnly && e.pickBackend(now, r, 1) == nil:
 		// No backend has room: counted, it would shut others of the tenant out.
-		r.giveUp(r.class.LatencyObjective/8)
+		r.giveUp(r.class.LatencyObjective / 8)
 	case t.window.total+r.units > t.plan.quota+t.refilled(now, t.window.start)+roundingTolerance:
 		t.recordAdmittedShare(0)
 		r.handleOverQuota(now) // used up as far as is known: no call can say otherwise
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -9,7 +9,7 @@
 		r.finish()
 		r.engine.effects.Admit(r.id)
 	} else if b := r.engine.pickBackend(now, r, 1); b == nil || !r.sendAttempt(now, b) {
-		r.giveUp(r.class.LatencyObjective/8) // early enough for another try within the objective
+		r.giveUp(r.class.LatencyObjective / 8) // early enough for another try within the objective
 	}
 }
 
@@ -119,7 +119,7 @@
 		r.finish()
 	case r.inFlight > 0:
 	case result.Outcome == NotSent || r.responseStarted || now >= r.lastUsefulSend():
-		r.giveUp(r.class.LatencyObjective/8)
+		r.giveUp(r.class.LatencyObjective / 8)
 	default:
 		r.dispatch(now)
 	}
--- /dev/null
+++ b/policy/slow_start_test.go
@@ -0,0 +1,320 @@
+package policy
+
+import (
+	"fmt"
+	"os"
+	"strconv"
+	"testing"
+)
+
+// Fault: with many instances none could send anything to a backend that warmed up, and an enlarged fleet
+// stood idle.
+func TestSlowStart_ManyInstancesShareABackend(t *testing.T) {
+	sent := 0
+	for index := range 8 {
+		settings := defaultSettings()
+		settings.InstanceIndex = index
+		settings.Instances = 8
+		settings.CounterEnabled = false
+		settings.Classes[0].LatencyObjective = 400 * millisecond
+		h := newHarness(t, settings, Endpoint{Backend: 1, State: EndpointReady, Capacity: 1, StartedAt: 992 * second})
+		h.advance(1100 * millisecond)
+		for n := range 15 {
+			h.submit(RequestID(n), 0, 0, TenantID(n), 2*second, 1)
+			h.advance(48 * millisecond)
+		}
+		sent += len(h.sentTimes[1])
+	}
+	if sent < 2 || sent > 8 { // it bears 2 x 0.84 s of work a second, a request is taken for 0.2 s
+		t.Errorf("eight instances sent a backend that warms up %d attempts", sent)
+	}
+}
+
+// Fault: backends that warm up were kept to the pace of one core while warm ones answered many times that.
+func TestSlowStart_BudgetFollowsWhatWarmBackendsTake(t *testing.T) {
+	sent := map[int64]int{}
+	for _, gap := range []int64{100 * millisecond, 5 * millisecond} { // answers take 200 ms in both: many cores, or few used
+		settings := defaultSettings()
+		settings.Instances = 1
+		settings.CounterEnabled = false
+		settings.OverloadMultiple = 4
+		h := newHarness(t, settings, readyEndpoints(1, 2, 3, 4, 5, 6, 7, 8)...)
+		for n := 0; h.now < 1020*second; n++ {
+			if h.now >= 1012*second && len(h.endpoints) == 8 {
+				h.update(Delta, Endpoint{Backend: 9, State: EndpointReady, Capacity: 1, StartedAt: 1011 * second})
+			}
+			h.submit(RequestID(n), 0, 0, TenantID(n), 2*second, 1)
+			h.advance(gap)
+			for _, id := range h.order[max(n-60, 0):] {
+				if request := h.requests[id]; len(request.attempts) > 0 && h.now-request.attempts[0].sentAt >= 200*millisecond {
+					h.endAttempt(request, 0, Succeeded)
+				}
+			}
+		}
+		sent[gap] = len(h.sentTimes[9])
+	}
+	if sent[5*millisecond] < 2*sent[100*millisecond] || sent[100*millisecond] == 0 {
+		t.Errorf("attempts at a backend that warms up by the gap between requests: %v", sent)
+	}
+}
+
+// Fault: with many instances a backend that warms up got nothing for as long as all their turns together
+// take, since a new one counted as sent to; and a jam of the others took its budget away when it was needed.
+func TestSlowStart_ManyInstancesUseTheBudgetInAJam(t *testing.T) {
+	sent, sentIn := 0, map[int64]float64{}
+	for index := range 60 {
+		settings := defaultSettings()
+		settings.InstanceIndex = index
+		settings.Instances = 60
+		settings.CounterEnabled = false
+		settings.OverloadMultiple = 4
+		var warm []BackendID
+		for b := range 20 {
+			warm = append(warm, BackendID(10+b))
+		}
+		h := newHarness(t, settings, readyEndpoints(warm...)...)
+		for n := 0; h.now < 1025*second; n++ {
+			request := h.submit(RequestID(n), 0, 0, TenantID(n), 2*second, 1)
+			h.advance(100 * millisecond)
+			if len(request.attempts) > 0 && h.now < 1020*second { // from then on nobody answers
+				h.endAttempt(request, 0, Succeeded)
+			}
+			h.advance(100 * millisecond)
+			if h.now >= 1020*second && len(h.endpoints) == 20 {
+				h.update(Delta, Endpoint{Backend: 3, State: EndpointReady, Capacity: 1, StartedAt: 1019 * second})
+			}
+		}
+		sent += len(h.sentTimes[3])
+		for _, at := range h.sentTimes[3] {
+			sentIn[at/second]++
+		}
+	}
+	// It bears four times a share, from 0.2 to 0.7, of the 15 a second that a warm one was seen to answer.
+	if sent < 15 || sent > 60 { // nine with a budget that a jam takes away, eleven if first turns wait
+		t.Errorf("sixty instances sent a backend that warms up %d attempts", sent)
+	}
+	for at, n := range sentIn {
+		if can := 4 * (0.2 + 0.08*float64(at-1019)) * 15; n > can {
+			t.Errorf("rule 4: %.0f attempts in second %d, of %.0f", n, at, can)
+		}
+	}
+}
+
+// Fault: of the turns that instances of a large fleet have at a backend that warms up most were lost, since
+// few had something to send in the moment of their turn; and where the warm ones were full, so that all
+// seemed slow, none was used.
+func TestSlowStart_MostTurnsAreUsed(t *testing.T) {
+	sent, sentIn := 0, map[int64]float64{}
+	for index := range 80 {
+		settings := defaultSettings()
+		settings.InstanceIndex = index
+		settings.Instances = 80
+		settings.CounterEnabled = false
+		settings.OverloadMultiple = 4
+		settings.OverloadWindow, settings.SlowStartDuration = 2*second, 20*second
+		h := newHarness(t, settings, readyEndpoints(10, 11, 12, 13, 14, 15, 16, 17)...)
+		h.advance(int64(index) * 5 * millisecond)
+		for n := 0; h.now < 1035*second; n++ {
+			request := h.submit(RequestID(n), 0, 0, TenantID(n), 2*second, 1)
+			if h.advance(200 * millisecond); len(request.attempts) > 0 {
+				h.endAttempt(request, 0, Succeeded)
+			}
+			h.advance(200 * millisecond)
+			if len(h.endpoints) == 8 && h.now >= 1019*second {
+				h.update(Delta, Endpoint{Backend: 3, State: EndpointReady, Capacity: 1, StartedAt: 1019 * second})
+			}
+			if h.now >= 1025*second { // a jam: as if all had answered late
+				h.engine.latency.Value = 0.45 * float64(second)
+			}
+		}
+		for _, at := range h.sentTimes[3] {
+			sentIn[at/second]++
+			sent++
+		}
+	}
+	if sent < 150 { // fifteen as it was
+		t.Errorf("eighty instances sent a backend that warms up %d attempts", sent)
+	}
+	for at, n := range sentIn {
+		// Half of four times the share, from 0.2 to 0.76, of the 25 a second that a warm one answers, in two seconds.
+		if n += sentIn[at+1]; n > 4*(0.2+0.04*float64(max(at-1021, 0)))*25 {
+			t.Errorf("rule 4: %.0f attempts in the two seconds from %d on", n, at)
+		}
+	}
+}
+
+// Fault: a backend that warmed up and whose clock was ahead got a burst, and one that is stated to be small as much as a
+// usual one. The rule is for the sum of all instances: beyond the budget N only 2 x root N + 2 are chance. COLD_SEEDS=n
+// plays each scenario with n seeds. Connections come up together with the even ones, so both ways are played with every
+// scenario.
+func TestSlowStart_BudgetHoldsForTheSumOfAllInstances(t *testing.T) {
+	seeds := uint64(1)
+	if n, err := strconv.ParseUint(os.Getenv("COLD_SEEDS"), 10, 8); err == nil {
+		seeds = n
+	}
+	for k, scenario := range fleetScenarios {
+		t.Run(scenario.name, func(t *testing.T) {
+			for i, c := range fleets {
+				if c.instances == 300 && i%2 != k%2 { // these take the longest: each is played in every other scenario
+					continue
+				}
+				worst := worstOf(t, scenario.prepare, c, uint64(k*7+i), seeds)
+				line := fmt.Sprintf("%s | %d of N %.1f, bound %.1f (%.2f) at %.1f s; %d in all", c, worst.sent,
+					worst.budget, worst.bound, worst.part, float64(worst.age)/float64(second), worst.attempts)
+				if t.Log(line); worst.part > 1 {
+					t.Errorf("rule 4: %s", line)
+				}
+				if worst.attempts == 0 {
+					t.Errorf("nothing was sent to backends that warm up: %s", line)
+				}
+			}
+		})
+	}
+}
+
+// worstOf plays a scenario with some seeds, and returns the worst window with the attempts of all plays.
+func worstOf(t *testing.T, prepare func(*fleet), c fleetSettings, firstSeed, seeds uint64) worstWindow {
+	t.Helper()
+	var worst worstWindow
+	attempts := 0
+	for n := range seeds {
+		f := newFleet(t, c, firstSeed+n)
+		prepare(f)
+		f.startAll()
+		f.play(scenarioAt + 2*second + c.warmUp)
+		attempts += f.worst.attempts
+		if f.worst.part > worst.part {
+			worst = f.worst
+		}
+	}
+	worst.attempts = attempts
+	return worst
+}
+
+var fleets = []fleetSettings{
+	{instances: 20, backends: 12, cores: 1, work: 100 * millisecond,
+		multiple: 2, share: 0.2, window: second, warmUp: 10 * second},
+	{instances: 30, backends: 12, cores: 4, work: 150 * millisecond,
+		multiple: 2.5, share: 0.3, window: 2 * second, warmUp: 12 * second},
+	{instances: 30, backends: 10, cores: 8, work: 200 * millisecond,
+		multiple: 4, share: 0.45, window: second, warmUp: 6 * second},
+	{instances: 20, backends: 12, cores: 2, work: 100 * millisecond,
+		multiple: 2, share: 0.18, window: 2 * second, warmUp: 18 * second},
+	{instances: 300, backends: 12, cores: 1, work: 150 * millisecond,
+		multiple: 4, share: 0.25, window: 2 * second, warmUp: 15 * second},
+	{instances: 300, backends: 6, cores: 4, work: 100 * millisecond,
+		multiple: 2.5, share: 0.35, window: second, warmUp: 12 * second},
+}
+
+const scenarioAt = 12 * second // from the play's beginning, when the instances know their fleet
+
+// restartThird restarts a third of the backends at once.
+func (f *fleet) restartThird() {
+	for n := range max(f.backends/3, 1) {
+		f.restart(BackendID(n + 1))
+	}
+}
+
+var fleetScenarios = []struct {
+	name    string
+	prepare func(f *fleet)
+}{
+	{"a third restarts", func(f *fleet) { f.after(scenarioAt, f.restartThird) }},
+	{"six in ten replaced in 7 s", func(f *fleet) {
+		for n := range f.backends * 6 / 10 {
+			f.after(scenarioAt+int64(n)*7*second/int64(f.backends*6/10), func() { f.replace(BackendID(n+1), 1) })
+		}
+	}},
+	{"instances upgraded by tenths", func(f *fleet) {
+		f.after(scenarioAt, f.restartThird)
+		for index := range f.instances {
+			f.after(scenarioAt-2*second+int64(index*10/f.instances)*second, func() { f.upgrade(index, 3*second) })
+		}
+	}},
+	{"one hot instance, others thin", func(f *fleet) {
+		f.traffic(func(index int) float64 {
+			if index == 3 {
+				return float64(f.instances) / 2
+			}
+			return 0.5 + float64(index%4)/4
+		})
+		for index := range f.latency {
+			f.latency[index] = int64(index%5) * 30 * millisecond
+		}
+		f.after(scenarioAt, f.restartThird)
+	}},
+	{"settings updated", func(f *fleet) {
+		f.after(scenarioAt, f.restartThird)
+		update := func(multiple float64) func() {
+			return func() {
+				f.settings.OverloadMultiple = multiple
+				f.bearings = append(f.bearings, bearing{f.now, multiple, 1})
+				for index, incarnations := range f.incarnations {
+					for _, i := range incarnations {
+						settings := f.settings
+						settings.InstanceIndex = index
+						i.engine.UpdateSettings(settings)
+					}
+				}
+			}
+		}
+		f.after(scenarioAt+f.warmUp/4, update(f.multiple))
+		f.after(scenarioAt+f.warmUp/2, update(f.multiple*1.5))
+		f.after(scenarioAt+f.warmUp*3/4, update(f.multiple))
+	}},
+	{"warming up twice", func(f *fleet) {
+		f.after(scenarioAt, f.restartThird)
+		f.after(scenarioAt+2500*millisecond, f.restartThird)
+		f.after(scenarioAt+3*second+f.warmUp/2, f.restartThird)
+	}},
+	{"traffic at a third of the instances", func(f *fleet) {
+		f.traffic(func(index int) float64 { return float64(1 - min(index%3, 1)) })
+		f.after(scenarioAt, f.restartThird)
+	}},
+	{"all get four times as slow", func(f *fleet) {
+		f.after(scenarioAt, f.restartThird)
+		f.after(scenarioAt+f.warmUp/2, func() { f.bearings = append(f.bearings, bearing{f.now, f.multiple, 4}) })
+	}},
+	{"the instances with traffic change", func(f *fleet) {
+		for n := range 3 {
+			weight := func(index int) float64 { return max(0.02, float64(1-min((index+n)%3, 1))) }
+			f.after(int64(n)*4*second, func() { f.traffic(weight) })
+		}
+		f.after(scenarioAt, func() { f.traffic(func(int) float64 { return 1 }) })
+		f.after(scenarioAt, f.restartThird)
+	}},
+	{"all start at once", func(f *fleet) {
+		for _, id := range f.ids {
+			f.backendByID[id].started = f.now + 1
+		}
+	}},
+	{"little traffic, then much", func(f *fleet) {
+		much := f.demand
+		f.demand = much / 30
+		f.after(scenarioAt, f.restartThird)
+		f.after(scenarioAt+f.warmUp/2, func() { f.demand = much })
+	}},
+	{"starts stated 30 s ahead", func(f *fleet) {
+		f.after(scenarioAt, func() {
+			for n := range f.backends / 3 {
+				f.backendByID[BackendID(n+1)].ahead = 30 * second
+			}
+			f.restartThird()
+		})
+	}},
+	{"sizes of 1/4, 1 and 4", func(f *fleet) {
+		for n, id := range f.ids {
+			f.backendByID[id].size = []float64{0.25, 1, 4}[n%3]
+		}
+		f.after(scenarioAt, f.restartThird)
+	}},
+	{"sizes of 4, then 1/2", func(f *fleet) {
+		for n, id := range f.ids {
+			f.backendByID[id].size = 4
+			if n%2 == 0 {
+				f.after(scenarioAt, func() { f.replace(id, 0.5) })
+			}
+		}
+		f.demand *= 4
+	}},
+}
