--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -22,7 +22,7 @@
 		}
 	}
 	if sent < 14 {
-		t.Errorf("%d units sent of 16 that the ceiling allows in 8 s", sent)
+		t.Errorf("%d units sent of 16 that the hard quota allows in 8 s", sent)
 	}
 }
 
@@ -33,8 +33,9 @@
 	for n := range 20 {
 		h.submit(RequestID(n), 0, 0, TenantID(n), 2*second, 1)
 	}
-	if request := h.requests[19]; request.ended != "rejected" || request.retryAfter <= 0 || request.retryAfter >= 750*millisecond/4 {
-		t.Errorf("with a full instance: %q, back in %d", request.ended, request.retryAfter)
+	request := h.requests[19]
+	if request.ended != "rejected" || request.retryAfter <= 0 || request.retryAfter >= 750*millisecond/4 {
+		t.Errorf("with a full instance: %q, retry after %d", request.ended, request.retryAfter)
 	}
 }
 
@@ -49,36 +50,37 @@
 // A class that only counts: admitted while there is quota, rejected beyond it, and nothing is ever sent. What
 // was admitted stays counted, with the counter and without; what was not leaves nothing behind.
 func TestCheckOnly_IsCountedAndNothingIsSent(t *testing.T) {
-	for _, o := range []Outcome{Succeeded, ConnectFailed} {
+	for _, outcome := range []Outcome{Succeeded, ConnectFailed} {
 		settings := defaultSettings()
-		settings.Classes = append(settings.Classes, ClassSettings{LatencyObjective: second, Deadline: 2 * second, CheckOnly: true})
-		question := ClassID(len(settings.Classes) - 1)
+		question := ClassID(len(settings.Classes))
+		settings.Classes = append(settings.Classes,
+			ClassSettings{LatencyObjective: second, Deadline: 2 * second, CheckOnly: true})
 		h := newHarness(t, settings) // no backend is ready, which is nothing to a question
 		ends := map[string]int{}
 		for n := range 40 {
 			request := h.submit(RequestID(n), question, 0, 1, 2*second, 1)
-			h.answerCounterCalls(o)
+			h.answerCounterCalls(outcome)
 			ends[request.ended]++
 			if len(request.attempts) > 0 || !request.handle.Done() {
 				t.Fatalf("%d attempts were sent for a question, which ended as %q", len(request.attempts), request.ended)
 			}
 		}
 		want := 10 // the burst
-		if o != Succeeded {
+		if outcome != Succeeded {
 			want = 5 // this instance's share of it
 		}
 		if ends["admitted"] < want-1 || ends["admitted"] > want+1 || ends["admitted"]+ends["rejected"] != 40 {
-			t.Errorf("counter %d: %v", o, ends)
+			t.Errorf("counter %s: %v", outcome, ends)
 		}
 		sum := 0.0
 		for _, total := range h.counter {
 			sum += total
 		}
-		if o == Succeeded && math.Abs(sum-float64(ends["admitted"])) > 1 {
+		if outcome == Succeeded && math.Abs(sum-float64(ends["admitted"])) > 1 {
 			t.Errorf("%d admitted and %.1f counted", ends["admitted"], sum)
 		}
 		if q, ok := h.engine.QuotaStatus(h.now, 1, 0, 2); !ok || q.Limit != 10 || q.Used < 9 {
-			t.Errorf("counter %d: %+v", o, q)
+			t.Errorf("counter %s: %+v", outcome, q)
 		}
 	}
 }
--- a/policy/breaker_test.go
+++ b/policy/breaker_test.go
@@ -1,8 +1,6 @@
 package policy
 
-import (
-	"testing"
-)
+import "testing"
 
 func TestBreaker_SilentCounterOpensItAndOneCallClosesIt(t *testing.T) {
 	h := newHarness(t, defaultSettings(), readyEndpoints(1, 2, 3, 4, 5, 6)...)
--- a/policy/concurrency_limit_test.go
+++ b/policy/concurrency_limit_test.go
@@ -1,15 +1,14 @@
 package policy
 
-import (
-	"testing"
-)
+import "testing"
 
 // Fault: a limit of two attempts in flight was enforced by each of many instances for itself, and passed many
 // times over, or by an even part of it, so that one attempt at an instance had the next one there rejected.
 func TestConcurrencyLimit_IsEnforcedTogether(t *testing.T) {
 	settings := defaultSettings()
 	settings.Plans[0].ConcurrencyLimit = 2
-	here, there := newHarness(t, settings, readyEndpoints(1, 2, 3, 4)...), newHarness(t, settings, readyEndpoints(1, 2, 3, 4)...)
+	here := newHarness(t, settings, readyEndpoints(1, 2, 3, 4)...)
+	there := newHarness(t, settings, readyEndpoints(1, 2, 3, 4)...)
 	there.counter = here.counter
 	step := func(h *harness, id RequestID) *clientRequest {
 		request := h.submit(id, 0, 0, 7, 2*second, 1)
@@ -18,29 +17,28 @@
 	}
 	a, b := step(here, 1), step(there, 2)
 	if len(a.attempts) != 1 || len(b.attempts) != 1 {
-		t.Fatal("not admitted up to the cap")
+		t.Fatal("not admitted up to the limit")
 	}
 	if c := step(here, 3); c.ended != "rejected" {
-		t.Error("admitted past the cap, with one out here and one there")
+		t.Error("admitted past the limit, with one in flight here and one there")
 	}
 	there.endAttempt(b, 0, Succeeded)
-	for len(there.pendingAdds) > 0 {
-		there.answerCounter(Succeeded)
-	}
+	there.answerCounterCalls(Succeeded)
 	if c := step(here, 4); len(c.attempts) != 1 {
-		t.Error("the end of an attempt at the other instance was not told")
+		t.Error("the end of an attempt at the other instance was not reported")
 	}
 	if c := step(here, 5); c.ended != "rejected" {
-		t.Error("admitted past the cap, with two out here")
+		t.Error("admitted past the limit, with two in flight here")
 	}
 	plain := newHarness(t, defaultSettings(), readyEndpoints(1)...)
 	plain.now = here.now
 	if plain.submit(1, 0, 0, 7, 2*second, 1); plain.pendingAdds[0].key == here.engine.tenants[7].window.key {
-		t.Error("an instance that knows of no cap reads the same count")
+		t.Error("an instance that knows of no limit reads the same count")
 	}
-	timer, total := here.engine.plans[0].concurrencyUnit, here.counter[here.engine.tenants[7].window.key]
-	if units := total - 2*timer; units < 0 || units > 10 { // told exactly beside the units, the end of b's too
-		t.Errorf("the count stands at %f, of two attempts of %f each and at most ten units", total, timer)
+	unit, total := here.engine.plans[0].concurrencyUnit, here.counter[here.engine.tenants[7].window.key]
+	units := total - 2*unit // reported exactly beside the units, the end of b's too
+	if units < 0 || units > 10 {
+		t.Errorf("the count stands at %f, of two attempts of %f each and at most ten units", total, unit)
 	}
 }
 
@@ -55,7 +53,7 @@
 		request := h.submit(1, 0, 0, 2, 2*second, 1)
 		h.answerCounter(Rejected)
 		h.advance(100 * millisecond)
-		h.endAttempt(request, 0, Succeeded) // the answer time is known from here on
+		h.endAttempt(request, 0, Succeeded) // the latency is known from here on
 		admitted := 0
 		for n := range 5 {
 			next := h.submit(RequestID(10+n), 0, 0, 1, 2*second, 1)
@@ -65,7 +63,7 @@
 			}
 		}
 		if admitted != want {
-			t.Errorf("%d out at once at a rate of %.0f", admitted, rate)
+			t.Errorf("%d in flight at once at a rate of %.0f", admitted, rate)
 		}
 	}
 }
--- a/policy/endpoints_test.go
+++ b/policy/endpoints_test.go
@@ -13,7 +13,8 @@
 	held := h.submit(1, 0, 0, 1, 2*second, 1)
 	for n := BackendID(2); n < 3000; n++ {
 		if n%2 == 0 {
-			h.update(Delta, Endpoint{Backend: n, State: EndpointReady, StartedAt: h.now}, Endpoint{Backend: n - 1, State: EndpointGone})
+			h.update(Delta, Endpoint{Backend: n, State: EndpointReady, StartedAt: h.now},
+				Endpoint{Backend: n - 1, State: EndpointGone})
 		} else {
 			h.update(FullSnapshot, Endpoint{Backend: n, State: EndpointReady, StartedAt: h.now})
 		}
@@ -21,12 +22,13 @@
 			h.advance(100 * millisecond)
 		}
 	}
-	if len(h.engine.endpoints) > 210 || len(h.engine.backends) != len(h.engine.endpoints) || h.engine.backends[1] == nil {
-		t.Errorf("%d backends are kept, %d of them listed", len(h.engine.backends), len(h.engine.endpoints))
+	known, listed := len(h.engine.backends), len(h.engine.endpoints)
+	if listed > 210 || known != listed || h.engine.backends[1] == nil {
+		t.Errorf("%d backends are kept, %d of them listed", known, listed)
 	}
 	h.endAttempt(held, 0, Succeeded)
 	if h.advance(100 * millisecond); h.engine.backends[1] != nil {
-		t.Error("one that is gone and has nothing out is kept")
+		t.Error("one that is gone and has nothing in flight is kept")
 	}
 }
 
@@ -53,7 +55,8 @@
 		timeouts := Settings{DrainGrace: grace}.DiscoveryTimeouts()
 		watch, late, whole, again := timeouts.Watch, timeouts.Lateness, timeouts.Snapshot, timeouts.RetryDelay
 		if max(watch+late, whole)+again > grace*7/10 || watch < 50*millisecond {
-			t.Errorf("of a grace of %d: a watch of %d and %d, a list of %d, again after %d", grace, watch, late, whole, again)
+			t.Errorf("of a grace of %d: a watch of %d and %d, a list of %d, again after %d",
+				grace, watch, late, whole, again)
 		}
 		settings := defaultSettings()
 		settings.DrainGrace = grace
@@ -66,9 +69,9 @@
 			}
 		}
 	}
-	// Asked for: what a watch missed that fell silent counts as told six seconds after discovery had it, whatever the
-	// wait that it was given and whatever failed before. Eight tenths are left for the answer to the call that opens it
-	// anew, or to the one after a refusal.
+	// Asked for: what a watch missed that fell silent counts as reported six seconds after discovery had it,
+	// whatever the wait that it was given and whatever failed before. Eight tenths are left for the answer to
+	// the call that opens it anew, or to the one after a refusal.
 	for _, within := range []int64{second, 4 * second, 10 * second, 30 * second} {
 		settings := defaultSettings()
 		settings.PollEndpoints, settings.PollTimeout = true, within
@@ -90,84 +93,113 @@
 	}
 }
 
+// overbookedDiscovery answers 20 calls a second, in turn, works at those too that have waited for more than
+// two seconds, and refuses those that find a full queue.
+type overbookedDiscovery struct{ freeAt int64 }
+
+// call returns when a call made now is answered, and whether well.
+func (d *overbookedDiscovery) call(now int64) (answerAt int64, ok bool) {
+	const work, patience, queueLength = second / 20, 2 * second, 50
+	d.freeAt = max(d.freeAt, now)
+	wait := d.freeAt - now
+	if wait > queueLength*work {
+		return now, false
+	}
+	d.freeAt += work
+	if wait+work > patience { // answered too late
+		return now + patience, false
+	}
+	return now, true
+}
+
+// discoveryClient is an instance that polls.
+type discoveryClient struct {
+	*harness
+	callAt   int64 // when its watch ends; 0: it has none
+	failsAt  int64 // when its call fails; 0: it does not
+	lastList int64
+}
+
+// step moves the instance to now, and returns whether it got an answer.
+func (c *discoveryClient) step(now, watch int64, discovery *overbookedDiscovery) bool {
+	if c.advance(4 * millisecond); c.watches > 0 {
+		c.watches, c.callAt = 0, now
+	}
+	if c.failsAt != 0 && now >= c.failsAt {
+		c.failsAt = 0
+		c.engine.UpdateEndpoints(c.now, UpdateFailed, nil)
+	}
+	if c.callAt == 0 || now < c.callAt {
+		return false
+	}
+	c.callAt = 0
+	answerAt, ok := discovery.call(now)
+	if !ok {
+		c.failsAt = answerAt
+		return false
+	}
+	c.engine.UpdateEndpoints(c.now, Delta, nil)
+	c.callAt = now + watch // without an event
+	return true
+}
+
 // Fault: instances refused by an overbooked discovery retried all at once, and as often: its queue was always
-// full of calls that it answered too late, and no instance ever got an answer. Here it takes 20 calls a
-// second, in turn, works at those too that have waited for more than two seconds, and then refuses them.
+// full of calls that it answered too late, and no instance ever got an answer.
 func TestEndpoints_OverbookedDiscoveryAnswersAll(t *testing.T) {
-	const instances, each, late, room = 80, second / 20, 2 * second, 50
+	const instances, end = 80, startOfTest + 60*second
 	settings := defaultSettings()
 	settings.Instances = instances
-	settings.PollEndpoints = true
-	settings.PollTimeout = 10 * second
+	settings.PollEndpoints, settings.PollTimeout = true, 10*second
 	watch := settings.DiscoveryTimeouts().Watch
-	harnesses, last, next, reported := make([]*harness, instances), make([]int64, instances), make([]int64, instances), make([]int64, instances)
-	gap := int64(0)
-	for n := range harnesses {
-		harnesses[n] = newHarness(t, settings, readyEndpoints(1)...)
-		harnesses[n].engine.random = pcg.New(uint64(n))
-		harnesses[n].watches, next[n] = 0, harnesses[n].now // all ask at once
-	}
-	free := int64(0)
-	for now := 1000 * second; now < 1060*second; now += 4 * millisecond {
-		for n, h := range harnesses {
-			if h.advance(4 * millisecond); h.watches > 0 {
-				h.watches, next[n] = 0, now
-			}
-			if reported[n] != 0 && now >= reported[n] {
-				reported[n] = 0
-				h.engine.UpdateEndpoints(h.now, UpdateFailed, nil)
-			}
-			if next[n] == 0 || now < next[n] {
-				continue
-			}
-			free = max(free, now)
-			wait := free - now
-			if next[n] = 0; wait > room*each { // no room in the line
-				reported[n] = now
-				continue
-			}
-			if free += each; wait+each > late { // answered too late
-				reported[n] = now + late
+	var clients []*discoveryClient
+	for n := range instances {
+		client := &discoveryClient{harness: newHarness(t, settings, readyEndpoints(1)...)}
+		client.engine.random = pcg.New(uint64(n))
+		client.watches, client.callAt = 0, client.now // all poll at once
+		clients = append(clients, client)
+	}
+	discovery, gap := &overbookedDiscovery{}, int64(0)
+	for now := startOfTest; now < end; now += 4 * millisecond {
+		for _, client := range clients {
+			if !client.step(now, watch, discovery) {
 				continue
 			}
-			h.engine.UpdateEndpoints(h.now, Delta, nil)
-			if now > 1020*second { // from then on the six seconds hold for every instance
-				gap = max(gap, now-last[n])
+			if now > startOfTest+20*second { // from then on the six seconds hold for every instance
+				gap = max(gap, now-client.lastList)
 			}
-			last[n] = now
-			next[n] = now + watch // without news
+			client.lastList = now
 		}
 	}
-	for n := range harnesses {
-		gap = max(gap, 1060*second-last[n])
+	for _, client := range clients {
+		gap = max(gap, end-client.lastList)
 	}
 	if gap > 6*second {
-		t.Errorf("an instance heard nothing for %d ms", gap/millisecond)
+		t.Errorf("an instance got no list for %d ms", gap/millisecond)
 	}
 }
 
 // Fault: 56 instances killed at once polled in the instant of their start, and the 34 that discovery did not
 // answer within two seconds got no list for the next sixteen. A few instances still poll at once.
 func TestEndpoints_InstancesThatStartTogetherPollApart(t *testing.T) {
-	for _, request := range []struct {
+	for _, test := range []struct {
 		instances int
 		from, end int64 // of their askings
 	}{{80, 2 * second, 5 * second}, {3, 0, 150 * millisecond}} {
 		first, last := int64(math.MaxInt64), int64(0)
-		for index := range request.instances {
+		for index := range test.instances {
 			settings := defaultSettings()
 			settings.InstanceIndex = index
-			settings.Instances = request.instances
+			settings.Instances = test.instances
 			settings.PollEndpoints = true
 			settings.PollTimeout = 10 * second
-			h := &harness{t: t, settings: settings, now: 1000 * second, endpoints: map[BackendID]Endpoint{}, requests: map[RequestID]*clientRequest{}}
-			for h.engine = New(h.now, uint64(index), settings, h); h.watches == 0 && h.now < 1010*second; {
+			h := &harness{t: t, settings: settings, now: startOfTest}
+			for h.engine = New(h.now, uint64(index), settings, h); h.watches == 0 && h.now < startOfTest+10*second; {
 				h.advance(4 * millisecond)
 			}
 			first, last = min(first, h.now-startOfTest), max(last, h.now-startOfTest)
 		}
-		if last-first < request.from || last > request.end {
-			t.Errorf("%d instances ask from %d to %d ns after their start", request.instances, first, last)
+		if last-first < test.from || last > test.end {
+			t.Errorf("%d instances ask from %d to %d ns after their start", test.instances, first, last)
 		}
 	}
 }
--- a/policy/engine_test.go
+++ b/policy/engine_test.go
@@ -8,84 +8,142 @@
 	"testing/quick"
 )
 
-// playRandomDay plays a day of random events on random settings and returns the log of the effects.
-func playRandomDay(t testing.TB, seed uint64) []string {
-	r := rand.New(rand.NewPCG(seed, 1))
-	yes := func() bool { return r.IntN(2) == 0 }
+// randomDay is a day of random events on random settings.
+type randomDay struct {
+	*harness
+	random *rand.Rand
+}
+
+var randomOutcomes = []Outcome{Succeeded, Succeeded, Succeeded, Failed, Rejected, TimedOut, ConnectFailed,
+	ConnectionLost, Canceled, NotSent}
+
+func (d *randomDay) likely() bool { return d.random.IntN(2) == 0 }
+
+func (d *randomDay) outcome() Outcome { return randomOutcomes[d.random.IntN(len(randomOutcomes))] }
+
+// request returns one of the requests so far, of which there must be any.
+func (d *randomDay) request() *clientRequest { return d.requests[d.order[d.random.IntN(len(d.order))]] }
+
+func (d *randomDay) drawSettings() Settings {
 	settings := defaultSettings()
-	settings.Hedging = yes()
-	settings.Cancellation = yes()
-	settings.HealthChecks = yes()
-	settings.CounterEnabled = r.IntN(4) > 0
-	settings.PostPaid = yes()
-	settings.PollEndpoints = yes()
+	settings.Hedging = d.likely()
+	settings.Cancellation = d.likely()
+	settings.HealthChecks = d.likely()
+	settings.CounterEnabled = d.random.IntN(4) > 0
+	settings.PostPaid = d.likely()
+	settings.PollEndpoints = d.likely()
 	settings.PollTimeout = 10 * second
-	settings.MaxAttempts = 1 + r.IntN(5)
+	settings.MaxAttempts = 1 + d.random.IntN(5)
 	settings.Classes = nil
 	for range 6 {
-		settings.Classes = append(settings.Classes, ClassSettings{Idempotency: Idempotency(r.IntN(3)), DedupScope: DedupScope(r.IntN(3)),
-			DedupWindow: int64(r.IntN(1000)) * millisecond, LatencyObjective: int64(400+r.IntN(1000)) * millisecond, Deadline: 2 * second,
-			LateValue: float64(r.IntN(2)), FallbackMode: FallbackMode(r.IntN(3))})
+		settings.Classes = append(settings.Classes, ClassSettings{
+			Idempotency:      Idempotency(d.random.IntN(3)),
+			DedupScope:       DedupScope(d.random.IntN(3)),
+			DedupWindow:      int64(d.random.IntN(1000)) * millisecond,
+			LatencyObjective: int64(400+d.random.IntN(1000)) * millisecond,
+			Deadline:         2 * second,
+			LateValue:        float64(d.random.IntN(2)),
+			FallbackMode:     FallbackMode(d.random.IntN(3)),
+		})
+	}
+	settings.Plans = []PlanSettings{
+		{Rate: 5, Burst: 10},
+		{Rate: 1, Burst: 2, HardQuotaRate: 2, HardQuotaBurst: 8},
+		{ConcurrencyLimit: 3},
+		{},
+		{Rate: 1e-9, Burst: 1e9},
+		{Rate: 1e9, Burst: 0, HardQuotaRate: 1e-9, HardQuotaBurst: 1e300},
+		{Rate: 3, Burst: 3, ConcurrencyLimit: 2, OverQuotaValue: 0.3},
 	}
-	settings.Plans = []PlanSettings{{Rate: 5, Burst: 10}, {Rate: 1, Burst: 2, HardQuotaRate: 2, HardQuotaBurst: 8},
-		{ConcurrencyLimit: 3}, {}, {Rate: 1e-9, Burst: 1e9}, {Rate: 1e9, Burst: 0, HardQuotaRate: 1e-9, HardQuotaBurst: 1e300},
-		{Rate: 3, Burst: 3, ConcurrencyLimit: 2, OverQuotaValue: 0.3}}
-	h := newHarness(t, settings, readyEndpoints(1, 2, 3, 4)...)
-	outcomes := []Outcome{Succeeded, Succeeded, Succeeded, Failed, Rejected, TimedOut, ConnectFailed, ConnectionLost,
-		Canceled, NotSent}
+	return settings
+}
+
+// playRandomDay plays a day and returns the log of its effects.
+func playRandomDay(tb testing.TB, seed uint64) []string {
+	tb.Helper()
+	d := &randomDay{random: rand.New(rand.NewPCG(seed, 1))}
+	d.harness = newHarness(tb, d.drawSettings(), readyEndpoints(1, 2, 3, 4)...)
 	for n := range 500 {
-		switch r.IntN(12) {
-		case 0, 1, 2, 3:
-			plan := r.IntN(len(settings.Plans) + 1)
-			h.submit(RequestID(n), ClassID(r.IntN(len(settings.Classes)+1)), PlanID(plan),
-				TenantID(r.IntN(3)+3*plan), int64(r.IntN(2000))*millisecond, float64(r.IntN(4)))
-		case 4, 5, 6:
-			if len(h.order) > 0 {
-				request := h.requests[h.order[r.IntN(len(h.order))]]
-				if n := len(request.attempts) - 1; n >= 0 && h.now-request.attempts[n].sentAt >= 200*millisecond { // as rule 4's check has it
-					h.endAttempt(request, r.IntN(n+1), outcomes[r.IntN(len(outcomes))])
-				}
-			}
-		case 7, 8:
-			if len(h.pendingAdds) > 0 {
-				h.answerCounter([]Outcome{Succeeded, Succeeded, Rejected, ConnectFailed, TimedOut}[r.IntN(5)])
-			}
-		case 9:
-			b := Endpoint{Backend: BackendID(1 + r.IntN(6)), Capacity: r.Float64(), State: EndpointState(r.IntN(3)),
-				Zone: ZoneID(r.IntN(2)), Group: GroupID(r.IntN(2))}
-			if yes() {
-				b.StartedAt = h.now - int64(r.IntN(9000))*millisecond
-			}
-			if how := []UpdateKind{Delta, Delta, Delta, FullSnapshot, UpdateFailed}[r.IntN(5)]; how == UpdateFailed {
-				h.update(how)
-			} else {
-				h.update(how, b)
-			}
-			h.checkAnswered()
-		case 10:
-			if len(h.healthChecks) > 0 {
-				h.engine.HandleHealthCheck(h.now, h.healthChecks[0], outcomes[r.IntN(len(outcomes))])
-				h.healthChecks = h.healthChecks[1:]
-			} else if len(h.order) > 0 {
-				request := h.requests[h.order[r.IntN(len(h.order))]]
-				if yes() && request.ended == "" && len(request.attempts) > 0 && request.attempts[len(request.attempts)-1].inFlight {
-					request.streamed = true
-					request.handle.HandleResponseStarted(h.now, AttemptID(len(request.attempts)-1))
-				} else if r.IntN(9) == 0 && request.ended == "" {
-					h.clientGone(request)
-				}
-			}
-		default:
-			h.advance(int64(r.IntN(200)) * millisecond)
+		d.step(RequestID(n))
+	}
+	d.advance(4 * second)
+	for _, id := range d.order {
+		if request := d.requests[id]; request.ended == "" && !request.streamed {
+			d.t.Errorf("rule 1: %d was never answered", id)
 		}
 	}
-	h.advance(4 * second)
-	for _, id := range h.order {
-		if request := h.requests[id]; request.ended == "" && !request.streamed {
-			t.Errorf("rule 1: %d was never answered", id)
+	return d.log
+}
+
+// step plays one event.
+func (d *randomDay) step(id RequestID) {
+	switch d.random.IntN(12) {
+	case 0, 1, 2, 3:
+		plan := d.random.IntN(len(d.settings.Plans) + 1) // one more than there are, as with the classes
+		d.submit(id, ClassID(d.random.IntN(len(d.settings.Classes)+1)), PlanID(plan),
+			TenantID(d.random.IntN(3)+3*plan), int64(d.random.IntN(2000))*millisecond, float64(d.random.IntN(4)))
+	case 4, 5, 6:
+		d.endSomeAttempt()
+	case 7, 8:
+		if len(d.pendingAdds) > 0 {
+			outcomes := []Outcome{Succeeded, Succeeded, Rejected, ConnectFailed, TimedOut}
+			d.answerCounter(outcomes[d.random.IntN(len(outcomes))])
+		}
+	case 9:
+		d.updateSomeEndpoint()
+	case 10:
+		if len(d.healthChecks) > 0 {
+			d.engine.HandleHealthCheck(d.now, d.healthChecks[0], d.outcome())
+			d.healthChecks = d.healthChecks[1:]
+		} else if len(d.order) > 0 {
+			d.streamOrLeave(d.request())
 		}
+	default:
+		d.advance(int64(d.random.IntN(200)) * millisecond)
+	}
+}
+
+func (d *randomDay) endSomeAttempt() {
+	if len(d.order) == 0 {
+		return
+	}
+	request := d.request()
+	last := len(request.attempts) - 1
+	if last >= 0 && d.now-request.attempts[last].sentAt >= 200*millisecond { // as the check of rule 4 has it
+		attempt := d.random.IntN(last + 1)
+		d.endAttempt(request, attempt, d.outcome())
+	}
+}
+
+func (d *randomDay) updateSomeEndpoint() {
+	endpoint := Endpoint{
+		Backend:  BackendID(1 + d.random.IntN(6)),
+		Capacity: d.random.Float64(),
+		State:    EndpointState(d.random.IntN(3)),
+		Zone:     ZoneID(d.random.IntN(2)),
+		Group:    GroupID(d.random.IntN(2)),
+	}
+	if d.likely() {
+		endpoint.StartedAt = d.now - int64(d.random.IntN(9000))*millisecond
+	}
+	kinds := []UpdateKind{Delta, Delta, Delta, FullSnapshot, UpdateFailed}
+	if kind := kinds[d.random.IntN(len(kinds))]; kind == UpdateFailed {
+		d.update(kind)
+	} else {
+		d.update(kind, endpoint)
+	}
+	d.checkAnswered()
+}
+
+// streamOrLeave begins the response of a request, or has its client leave.
+func (d *randomDay) streamOrLeave(request *clientRequest) {
+	last := len(request.attempts) - 1
+	if d.likely() && request.ended == "" && last >= 0 && request.attempts[last].inFlight {
+		request.streamed = true
+		request.handle.HandleResponseStarted(d.now, AttemptID(last))
+	} else if d.random.IntN(9) == 0 && request.ended == "" {
+		d.clientGone(request)
 	}
-	return h.log
 }
 
 func TestEngine_KeepsTheRulesOnRandomDays(t *testing.T) {
--- a/policy/fleet_test.go
+++ b/policy/fleet_test.go
@@ -10,11 +10,11 @@
 	"fawnplank/internal/timerqueue"
 )
 
-// This file plays whole fleets of instances on one simulated clock against simulated backends, and checks rule 4 for
-// the sum of all of them: what is sent to a backend that warms up in any of the settings' windows.
+// This file plays whole fleets of instances on one simulated clock against simulated backends, and checks
+// rule 4 for the sum of all of them: what is sent to a backend that warms up in any of the settings' windows.
 
-// fleetSettings are a fleet and the settings of rule 4. A warm backend of capacity 1 has so many cores, each of which
-// takes so long for a request on average.
+// fleetSettings are a fleet and the settings of rule 4. A warm backend of capacity 1 has so many cores, each
+// of which takes so long for a request on average.
 type fleetSettings struct {
 	instances, backends int
 	cores               float64
@@ -24,8 +24,8 @@
 }
 
 func (c fleetSettings) String() string {
-	return fmt.Sprintf("%d instances, %d backends of %.0f/s, x%.1f, %.2f, %d s, warm in %d s", c.instances, c.backends,
-		c.capacity(), c.multiple, c.share, c.window/second, c.warmUp/second)
+	return fmt.Sprintf("%d instances, %d backends of %.0f/s, x%.1f, %.2f, %d s, warm in %d s",
+		c.instances, c.backends, c.capacity(), c.multiple, c.share, c.window/second, c.warmUp/second)
 }
 
 // capacity is what a warm backend of capacity 1 answers a second.
@@ -265,7 +265,8 @@
 	f.incarnations[index] = append(f.incarnations[index], i)
 }
 
-// upgrade starts a new incarnation of the instance; the old one keeps a part of its traffic while both overlap.
+// upgrade starts a new incarnation of the instance; the old one keeps a part of its traffic while both
+// overlap.
 func (f *fleet) upgrade(index int, overlap int64) {
 	old := f.incarnations[index][0]
 	f.startInstance(index)
--- a/policy/harness_test.go
+++ b/policy/harness_test.go
@@ -8,8 +8,8 @@
 
 const startOfTest = 1000 * second
 
-// harness stands in for everything round one engine: it carries out the effects, checks the rules at each of them, and
-// keeps a log.
+// harness stands in for everything round one engine: it carries out the effects, checks the rules at each of
+// them, and keeps a log.
 type harness struct {
 	t              testing.TB
 	engine         *Engine
@@ -215,7 +215,8 @@
 		return
 	}
 	h.hardQuotaUnits[request.tenant] += request.units
-	rate, elapsed := request.plan.HardQuotaRate/float64(request.entryPoints), float64(h.now-startOfTest)/float64(second)
+	rate := request.plan.HardQuotaRate / float64(request.entryPoints)
+	elapsed := float64(h.now-startOfTest) / float64(second)
 	if h.hardQuotaUnits[request.tenant] > rate*elapsed+roundingTolerance {
 		h.t.Errorf("rule 5: %.1f units sent by %d ns", h.hardQuotaUnits[request.tenant], h.now-startOfTest)
 	}
@@ -278,9 +279,9 @@
 	return request
 }
 
-// serve submits requests of a tenant each, and answers each after a time.
-func (h *harness) serve(requests int, latency int64) {
-	for n := range requests {
+// serveTwenty submits twenty requests, of a tenant each, one after another, and answers each after a time.
+func (h *harness) serveTwenty(latency int64) {
+	for n := range 20 {
 		request := h.submit(RequestID(n), 0, 0, TenantID(n), 2*second, 1)
 		h.advance(latency)
 		h.endAttempt(request, 0, Succeeded)
@@ -346,7 +347,8 @@
 	}
 }
 
-// countAdmitted submits requests of one unit one after another, has the counter answer each, and counts those admitted.
+// countAdmitted submits requests of one unit one after another, has the counter answer each, and counts those
+// admitted.
 func (h *harness) countAdmitted(from, n int, tenant TenantID, outcome Outcome) (admitted int) {
 	for i := range n {
 		request := h.submit(RequestID(from+i), 0, 0, tenant, 2*second, 1)
@@ -359,8 +361,8 @@
 	return admitted
 }
 
-// advance lets time go on, a step of the simulator's wire at a time: wakes come due, and attempts end with the patience
-// of their clients.
+// advance lets time go on, a step of the simulator's wire at a time: wakes come due, and attempts end with
+// the patience of their clients.
 func (h *harness) advance(duration int64) {
 	for end := h.now + duration; h.now < end; {
 		h.now = min(h.now+4*millisecond, end)
--- a/policy/latency_test.go
+++ b/policy/latency_test.go
@@ -1,8 +1,6 @@
 package policy
 
-import (
-	"testing"
-)
+import "testing"
 
 // Fault: backends that a jam had made slow got nothing, and so were never found quick again; likewise by an
 // instance that had met the jam before it knew a baseline.
@@ -54,7 +52,7 @@
 // Fault: after a mass restart many instances of few attempts each kept the rest of the fleet jammed: full
 // queues turned attempts away at once and showed nothing, and late answers showed it too late.
 func TestLatency_JamShowsBeforeItsAnswers(t *testing.T) {
-	for _, o := range []Outcome{Rejected, Succeeded} {
+	for _, outcome := range []Outcome{Rejected, Succeeded} {
 		settings := defaultSettings()
 		settings.CounterEnabled = false
 		settings.Cancellation = false
@@ -69,12 +67,15 @@
 			request := h.submit(RequestID(n), 0, 0, TenantID(n), 2*second, 1)
 			if h.advance(20 * millisecond); n < 40 {
 				h.endAttempt(request, 0, Succeeded)
-			} else if sent += len(request.attempts); len(request.attempts) > 0 && o == Rejected { // else it stays out
-				h.endAttempt(request, 0, o)
+				continue
+			}
+			sent += len(request.attempts)
+			if len(request.attempts) > 0 && outcome == Rejected { // else it stays in flight
+				h.endAttempt(request, 0, outcome)
 			}
 		}
 		if sent > 80 {
-			t.Errorf("%d of 100 attempts sent into a jam with outcomes %d", sent, o)
+			t.Errorf("%d of 100 attempts sent into a jam with outcomes %s", sent, outcome)
 		}
 	}
 }
@@ -88,20 +89,20 @@
 		units := float64(1 + n%2*7) // one, or eight
 		request := h.submit(RequestID(n), 0, 0, TenantID(n), 2*second, units)
 		if h.advance(int64(units) * 24 * millisecond); len(request.attempts) == 0 {
-			t.Fatalf("no room for the %dth, of %.0f units", n, units)
+			t.Fatalf("no capacity for the %dth, of %.0f units", n, units)
 		}
 		h.endAttempt(request, 0, Succeeded)
 	}
 	for _, b := range h.engine.endpoints {
 		if off := b.estimatedLatency / h.engine.latency.Value; off < 0.8 || off > 1.25 {
-			t.Errorf("backend %d is reckoned %.2f of the fleet's answer time", b.id, off)
+			t.Errorf("backend %d is estimated at %.2f of the fleet's latency", b.id, off)
 		}
 	}
-	if s, l := h.engine.relativeCost(1), h.engine.relativeCost(8); s > 0.5 || l < 1.5 {
-		t.Errorf("one unit is taken for %.2f of the mean, eight for %.2f", s, l)
+	if one, eight := h.engine.relativeCost(1), h.engine.relativeCost(8); one > 0.5 || eight < 1.5 {
+		t.Errorf("one unit is taken for %.2f of the mean, eight for %.2f", one, eight)
 	}
 	if request := h.submit(200, 0, 0, 200, 2*second, 8); len(request.attempts) != 1 {
-		t.Error("no room for a large one in a quiet fleet")
+		t.Error("no capacity for a large one in a quiet fleet")
 	}
 }
 
@@ -124,7 +125,7 @@
 		h.advance(250*millisecond - took)
 	}
 	if h.engine.latency.Value < float64(190*millisecond) {
-		t.Errorf("after 2.5 s of answers in 240 ms the fleet is taken to answer in %.0f", h.engine.latency.Value/1e6)
+		t.Errorf("after 2.5 s of answers in 240 ms the latency is %.0f ms", h.engine.latency.Value/1e6)
 	}
 }
 
@@ -132,14 +133,15 @@
 // quick, and what was only late was canceled and sent again.
 func TestLatency_ForgettingEndsAtTheBaseline(t *testing.T) {
 	h := newHarnessWithoutCounter(t, readyEndpoints(1, 2)...)
-	h.serve(20, 100*millisecond)
+	h.serveTwenty(100 * millisecond)
 	request := h.submit(100, 0, 0, 100, 2*second, 1)
 	h.advance(1800 * millisecond)
 	if request.ended != "" || h.engine.latency.Value < float64(100*millisecond) {
-		t.Errorf("%q; with an attempt out, silence took the answer time to %.0f ms", request.ended, h.engine.latency.Value/1e6)
+		t.Errorf("%q; with an attempt in flight, silence took the latency to %.0f ms",
+			request.ended, h.engine.latency.Value/1e6)
 	}
 	h.advance(20 * second)
 	if h.engine.latency.Value < float64(90*millisecond) {
-		t.Errorf("long after, the answer time is taken for %.0f ms", h.engine.latency.Value/1e6)
+		t.Errorf("long after, the latency is taken for %.0f ms", h.engine.latency.Value/1e6)
 	}
 }
--- a/policy/leavers_test.go
+++ b/policy/leavers_test.go
@@ -1,13 +1,11 @@
 package policy
 
-import (
-	"testing"
-)
+import "testing"
 
 // Fault: clients who left before a jam's answers hid it, and what they would not wait for was sent on.
 func TestLeavers_ShowAJamAndAreNotSentFor(t *testing.T) {
 	h := newHarnessWithoutCounter(t, readyEndpoints(1, 2, 3)...)
-	h.serve(20, 100*millisecond)
+	h.serveTwenty(100 * millisecond)
 	before := h.engine.latency.Value
 	leave := func(id RequestID) bool {
 		request := h.submit(id, 0, 0, TenantID(id), 2*second, 1)
@@ -26,13 +24,14 @@
 		}
 	}
 	if h.engine.latency.Value < 1.1*before {
-		t.Errorf("answer time %.0f ms after attempts that took 240 and more", h.engine.latency.Value/1e6)
+		t.Errorf("latency %.0f ms after attempts that took 240 and more", h.engine.latency.Value/1e6)
 	}
 	if sent > 30 { // a client who stays for 240 ms is not worth an attempt where answers take longer
 		t.Errorf("%d of 40 sent to backends that do not answer before their clients leave", sent)
 	}
-	if h.engine.plans[0].leaverShare.Value < 0.3 || int64(h.engine.plans[0].leaverPatience.Value) > 250*millisecond {
-		t.Errorf("%.2f leave, after %.0f ms", h.engine.plans[0].leaverShare.Value, h.engine.plans[0].leaverPatience.Value/1e6)
+	share, patience := h.engine.plans[0].leaverShare.Value, h.engine.plans[0].leaverPatience.Value
+	if share < 0.3 || int64(patience) > 250*millisecond {
+		t.Errorf("%.2f leave, after %.0f ms", share, patience/1e6)
 	}
 }
 
@@ -41,7 +40,7 @@
 // 680 of one instance's in 22 s).
 func TestLeavers_BurstIsForgotten(t *testing.T) {
 	h := newHarnessWithoutCounter(t, readyEndpoints(1, 2, 3)...)
-	h.serve(20, 100*millisecond)
+	h.serveTwenty(100 * millisecond)
 	for n := range 20 {
 		request := h.submit(RequestID(100+n), 0, 0, TenantID(n), 2*second, 1)
 		if len(request.attempts) == 0 {
--- a/policy/local_share_test.go
+++ b/policy/local_share_test.go
@@ -13,7 +13,8 @@
 	for mode, want := range []int{LocalShare: 5, FailOpen: 30, FailClosed: 0} { // share: half of a burst of 10
 		settings := defaultSettings()
 		settings.Classes[0].FallbackMode = FallbackMode(mode)
-		if admitted := newHarness(t, settings, readyEndpoints(1, 2, 3)...).countAdmitted(0, 30, 1, Rejected); admitted != want {
+		h := newHarness(t, settings, readyEndpoints(1, 2, 3)...)
+		if admitted := h.countAdmitted(0, 30, 1, Rejected); admitted != want {
 			t.Errorf("fallback mode %d: %d admitted, not %d", mode, admitted, want)
 		}
 	}
@@ -78,9 +79,10 @@
 			}
 			h.endAttempt(request, 0, Succeeded)
 		}
-		request := h.submit(100, 0, 0, 100, 2*second, 1) // likely to take 230 ms of at most 300, and of 180 where not counted
+		// Likely to take 230 ms of at most 300, and of 180 where it is not counted.
+		request := h.submit(100, 0, 0, 100, 2*second, 1)
 		if h.answerCounter(answer); (len(request.attempts) == 1) != (answer == Succeeded) {
-			t.Errorf("after an answer of kind %d: %d attempts", answer, len(request.attempts))
+			t.Errorf("after an answer of kind %s: %d attempts", answer, len(request.attempts))
 		}
 	}
 }
@@ -90,9 +92,9 @@
 func TestLocalShare_AloneDecidesInAnOutage(t *testing.T) {
 	h := newHarness(t, defaultSettings(), readyEndpoints(1, 2, 3)...)
 	admitted := 0
-	alone := func(id RequestID, o Outcome) {
+	alone := func(id RequestID, outcome Outcome) {
 		request := h.submitSpec(RequestSpec{ID: id, Tenant: 1, Remaining: 2 * second, Units: 1, EntryPoints: 1})
-		h.answerCounterCalls(o)
+		h.answerCounterCalls(outcome)
 		if len(request.attempts) > 0 {
 			admitted++
 			h.endAttempt(request, 0, Succeeded)
@@ -103,7 +105,7 @@
 		h.advance(100 * millisecond)
 	}
 	admitted = 0
-	for n := range 600 { // a minute, ten tries a second for five
+	for n := range 600 { // a minute, ten requests a second for five
 		alone(RequestID(1000+n), ConnectFailed)
 		h.advance(100 * millisecond)
 	}
--- a/policy/outlier_test.go
+++ b/policy/outlier_test.go
@@ -1,8 +1,6 @@
 package policy
 
-import (
-	"testing"
-)
+import "testing"
 
 // Fault: every connection reset under an attempt had its backend ejected, until most were.
 func TestEjection_BrokenConnectionIsNoDeadBackend(t *testing.T) {
@@ -16,7 +14,7 @@
 	next := h.submit(2, 0, 0, 1, 2*second, 1)
 	for n := range 3 {
 		if len(next.attempts) <= n {
-			t.Fatalf("left out after %d cut off", n)
+			t.Fatalf("ejected after %d cut off", n)
 		}
 		h.endAttempt(next, n, ConnectionLost)
 	}
--- a/policy/quota_test.go
+++ b/policy/quota_test.go
@@ -11,7 +11,7 @@
 		t.Errorf("%d admitted of a burst of 10", admitted)
 	}
 	if request := h.requests[29]; request.ended != "rejected" || request.retryAfter == 0 {
-		t.Errorf("beyond the quota: %q, come back in %d", request.ended, request.retryAfter)
+		t.Errorf("beyond the quota: %q, retry after %d", request.ended, request.retryAfter)
 	}
 	h.advance(second)
 	if admitted := h.countAdmitted(100, 30, 1, Succeeded); admitted != 5 {
@@ -45,7 +45,7 @@
 				h.endAttempt(request, 0, Succeeded)
 			}
 		}
-		if (admitted > 0) != (entries == 2) { // few instances know what is to be carried, and reckon with the refill
+		if (admitted > 0) != (entries == 2) { // few instances know what is to be carried, and rely on the refill
 			t.Errorf("%d of 20 admitted beyond a window's count that comes through %d instances", admitted, entries)
 		}
 	}
@@ -61,19 +61,19 @@
 	h.counter[h.pendingAdds[0].key] = 30 // others used it up
 	h.answerCounter(Succeeded)
 	if next := h.submit(2, 0, 0, 1, 2*second, 1); len(next.attempts) > 0 || next.ended != "rejected" {
-		t.Error("the late total did not inform")
+		t.Error("the late total was not taken in")
 	}
 }
 
 // Fault: an answer without a total, which stands for an amount that was added, had the amount reported once
 // more.
 func TestQuota_SpoiltAnswerOfTheCounterWasAdded(t *testing.T) {
-	for o, want := range map[Outcome]float64{ConnectionLost: 0, ConnectFailed: 1} {
+	for outcome, want := range map[Outcome]float64{ConnectionLost: 0, ConnectFailed: 1} {
 		h := newHarness(t, defaultSettings(), readyEndpoints(1, 2, 3)...)
 		h.submit(1, 0, 0, 1, 2*second, 1)
-		h.answerCounter(o)
+		h.answerCounter(outcome)
 		if got := h.engine.tenants[1].unreported; got != want {
-			t.Errorf("outcome %d: then %v is owed, wanted %v", o, got, want)
+			t.Errorf("outcome %s: then %v is unreported, wanted %v", outcome, got, want)
 		}
 	}
 }
@@ -101,7 +101,7 @@
 		h.countAdmitted(1000+n, 1, TenantID(10+n), Succeeded)
 	}
 	if admitted := h.countAdmitted(2000, 8, 1, Succeeded); admitted < 7 {
-		t.Errorf("%d of 8 admitted after a silence", admitted)
+		t.Errorf("%d of 8 admitted after an outage", admitted)
 	}
 }
 
@@ -125,7 +125,7 @@
 		}
 	}
 	if reconciled > 1 {
-		t.Errorf("%d of 2 instances put the same count right at first sight", reconciled)
+		t.Errorf("%d of 2 instances reconciled the same count at first sight", reconciled)
 	}
 }
 
--- a/policy/retry_test.go
+++ b/policy/retry_test.go
@@ -8,18 +8,19 @@
 // Fault: where few attempts are in flight, a merely long request was taken for a stalled one and sent again.
 func TestRetry_LongRequestIsNotStalled(t *testing.T) {
 	h := newHarnessWithoutCounter(t, readyEndpoints(1, 2)...)
-	h.serve(20, 52*millisecond)
+	h.serveTwenty(52 * millisecond)
 	request := h.submit(100, 0, 0, 100, 2*second, 1)
 	h.advance(200 * millisecond)
 	if h.endAttempt(request, 0, Succeeded); strings.Contains(strings.Join(h.log, "\n"), "cancel") {
-		t.Error("canceled after four usual answer times")
+		t.Error("canceled after four usual latency")
 	}
 	next := h.submit(101, 0, 0, 101, 2*second, 1)
 	h.advance(400 * millisecond)
 	if !strings.Contains(strings.Join(h.log, "\n"), "cancel 0 of 101") {
 		t.Error("a stalled attempt was not canceled")
 	}
-	if h.endAttempt(next, 0, Canceled); len(next.attempts) != 2 || next.attempts[1].endpoint.Backend == next.attempts[0].endpoint.Backend {
+	h.endAttempt(next, 0, Canceled)
+	if len(next.attempts) != 2 || next.attempts[1].endpoint.Backend == next.attempts[0].endpoint.Backend {
 		t.Error("no attempt elsewhere after a stall")
 	}
 }
@@ -43,11 +44,11 @@
 // were canceled there, and the work done twice, while the whole fleet was slow.
 func TestRetry_SlowAnswersAreNotStalled(t *testing.T) {
 	h := newHarnessWithoutCounter(t, readyEndpoints(1, 2)...)
-	h.serve(20, 160*millisecond)
+	h.serveTwenty(160 * millisecond)
 	request := h.submit(100, 0, 0, 100, 2*second, 1)
 	h.advance(700 * millisecond)
 	if len(request.attempts) != 1 || strings.Contains(strings.Join(h.log, "\n"), "cancel") {
-		t.Error("canceled before five usual answer times")
+		t.Error("canceled before five usual latency")
 	}
 	if h.engine.promptInFlight != 0 {
 		t.Error("overdue, and still held for one that is likely to end soon")
--- a/policy/selection_test.go
+++ b/policy/selection_test.go
@@ -1,8 +1,6 @@
 package policy
 
-import (
-	"testing"
-)
+import "testing"
 
 // Fault: at their start many instances sent all they got before the first late answer showed a jam.
 func TestSelection_YoungInstanceOfManyHasFewInFlight(t *testing.T) {
@@ -13,7 +11,7 @@
 		sent += len(h.submit(RequestID(n), 0, 0, TenantID(n), 2*second, 1).attempts)
 	}
 	if sent < 1 || sent > 4 {
-		t.Errorf("%d attempts out of one of 100 instances before any answer", sent)
+		t.Errorf("%d attempts in flight from one of 100 instances before any answer", sent)
 	}
 }
 
--- a/policy/slow_start_test.go
+++ b/policy/slow_start_test.go
@@ -17,7 +17,8 @@
 		settings.Instances = 8
 		settings.CounterEnabled = false
 		settings.Classes[0].LatencyObjective = 400 * millisecond
-		h := newHarness(t, settings, Endpoint{Backend: 1, State: EndpointReady, Capacity: 1, StartedAt: 992 * second})
+		started := startOfTest - 8*second
+		h := newHarness(t, settings, Endpoint{Backend: 1, State: EndpointReady, Capacity: 1, StartedAt: started})
 		h.advance(1100 * millisecond)
 		for n := range 15 {
 			h.submit(RequestID(n), 0, 0, TenantID(n), 2*second, 1)
@@ -33,7 +34,8 @@
 // Fault: backends that warm up were kept to the pace of one core while warm ones answered many times that.
 func TestSlowStart_BudgetFollowsWhatWarmBackendsTake(t *testing.T) {
 	sent := map[int64]int{}
-	for _, gap := range []int64{100 * millisecond, 5 * millisecond} { // answers take 200 ms in both: many cores, or few used
+	// Answers take 200 ms in both: many cores, or few used.
+	for _, gap := range []int64{100 * millisecond, 5 * millisecond} {
 		settings := defaultSettings()
 		settings.Instances = 1
 		settings.CounterEnabled = false
@@ -46,7 +48,8 @@
 			h.submit(RequestID(n), 0, 0, TenantID(n), 2*second, 1)
 			h.advance(gap)
 			for _, id := range h.order[max(n-60, 0):] {
-				if request := h.requests[id]; len(request.attempts) > 0 && h.now-request.attempts[0].sentAt >= 200*millisecond {
+				request := h.requests[id]
+				if len(request.attempts) > 0 && h.now-request.attempts[0].sentAt >= 200*millisecond {
 					h.endAttempt(request, 0, Succeeded)
 				}
 			}
@@ -136,17 +139,18 @@
 		t.Errorf("eighty instances sent a backend that warms up %d attempts", sent)
 	}
 	for at, n := range sentIn {
-		// Half of four times the share, from 0.2 to 0.76, of the 25 a second that a warm one answers, in two seconds.
+		// Half of four times the share, from 0.2 to 0.76, of the 25 a second that a warm one answers, in two
+		// seconds.
 		if n += sentIn[at+1]; n > 4*(0.2+0.04*float64(max(at-1021, 0)))*25 {
 			t.Errorf("rule 4: %.0f attempts in the two seconds from %d on", n, at)
 		}
 	}
 }
 
-// Fault: a backend that warmed up and whose clock was ahead got a burst, and one that is stated to be small as much as a
-// usual one. The rule is for the sum of all instances: beyond the budget N only 2 x root N + 2 are chance. COLD_SEEDS=n
-// plays each scenario with n seeds. Connections come up together with the even ones, so both ways are played with every
-// scenario.
+// Fault: a backend that warmed up and whose clock was ahead got a burst, and one that is stated to be small
+// as much as a usual one. The rule is for the sum of all instances: beyond the budget N only 2 x root N + 2
+// are chance. COLD_SEEDS=n plays each scenario with n seeds. Connections come up together with the even ones,
+// so both ways are played with every scenario.
 func TestSlowStart_BudgetHoldsForTheSumOfAllInstances(t *testing.T) {
 	seeds := uint64(1)
 	if n, err := strconv.ParseUint(os.Getenv("COLD_SEEDS"), 10, 8); err == nil {
--- a/policy/timers_test.go
+++ b/policy/timers_test.go
@@ -1,8 +1,6 @@
 package policy
 
-import (
-	"testing"
-)
+import "testing"
 
 // Fault: a wake came a little before its time on a coarser clock, and none was asked for again.
 func TestTimers_EarlyWakeAsksAgain(t *testing.T) {
--- a/policy/warm_start_test.go
+++ b/policy/warm_start_test.go
@@ -11,23 +11,21 @@
 	old := newHarness(t, defaultSettings(), readyEndpoints(1, 2, 3)...)
 	for n := range 60 {
 		request := old.submit(RequestID(n), 0, 0, TenantID(n), 2*second, 1)
-		for len(old.pendingAdds) > 0 {
-			old.answerCounter(Succeeded)
-		}
+		old.answerCounterCalls(Succeeded)
 		old.advance(20 * millisecond)
 		if len(request.attempts) > 0 {
 			old.endAttempt(request, 0, Succeeded)
 		}
 	}
-	l := old.engine.ExportState()
-	if len(l.Backends) < 2 || l.BaselineLatency < 15e6 || l.BaselineLatency > 30e6 {
-		t.Fatalf("%+v", l)
+	state := old.engine.ExportState()
+	if len(state.Backends) < 2 || state.BaselineLatency < 15e6 || state.BaselineLatency > 30e6 {
+		t.Fatalf("%+v", state)
 	}
 	for age, want := range map[int64]float64{0: 1, 600 * second: 0.5, 6 * 3600 * second: 1e-9} {
 		h := newHarness(t, defaultSettings(), readyEndpoints(1, 2)...)
 		h.update(Delta, Endpoint{Backend: 3, Capacity: 1, State: EndpointReady, StartedAt: h.now - 60*second})
-		h.engine.ImportState(h.now, l, age)
-		if got := h.engine.latency.Count / l.Samples; math.Abs(got-want) > 0.01 {
+		h.engine.ImportState(h.now, state, age)
+		if got := h.engine.latency.Count / state.Samples; math.Abs(got-want) > 0.01 {
 			t.Errorf("after %d s all together count for %.4f, want %.4f", age/second, got, want)
 		}
 		if one := h.engine.backends[1].latency.Count; (age == 0) != (one > 0.5) {
@@ -36,13 +34,18 @@
 		if h.engine.backends[3].latency.Count != 0 {
 			t.Error("a backend that was started anew is taken for known")
 		}
-		if h.engine.baselineLatency.Value != 0 || h.engine.baselineLatency.Count != 0 || h.engine.peakBackendThroughput != 0 {
-			t.Error("the budget of backends that warm up rests on an earlier life")
+		baseline := h.engine.baselineLatency
+		if baseline.Value != 0 || baseline.Count != 0 || h.engine.peakBackendThroughput != 0 {
+			t.Error("the budget of backends that warm up rests on an earlier incarnation")
 		}
 	}
 	h := newHarness(t, defaultSettings(), readyEndpoints(1, 2, 3)...)
-	h.engine.ImportState(h.now, WarmStartState{BaselineLatency: math.NaN(), Samples: 1e9, Backends: []BackendWarmStart{{Backend: 1, BaselineLatency: -4, Samples: 9}, {Backend: 99}}}, -5)
+	h.engine.ImportState(h.now, WarmStartState{
+		BaselineLatency: math.NaN(),
+		Samples:         1e9,
+		Backends:        []BackendWarmStart{{Backend: 1, BaselineLatency: -4, Samples: 9}, {Backend: 99}},
+	}, -5)
 	if h.engine.latency.Count != 0 || h.engine.backends[1].latency.Count != 0 {
-		t.Error("figures out of range were taken")
+		t.Error("values out of range were taken over")
 	}
 }
