--- a/policy/admission.go
+++ b/policy/admission.go
@@ -81,7 +81,7 @@
 }
 
 // handleOverQuota rejects what is beyond the quota until it has refilled enough. The exception: where a
-// plan's requests earn more beyond the quota than they cost, and a backend has room for one, it is admitted.
+// plan's requests earn more beyond the quota than they cost, and a backend has capacity, it is admitted.
 func (r *Request) handleOverQuota(now int64) {
 	t := r.tenant
 	if r.plan.OverQuotaValue > r.plan.OverQuotaCost && !r.class.CheckOnly {
--- a/policy/effects.go
+++ b/policy/effects.go
@@ -11,8 +11,7 @@
 	Reject(id RequestID, retryAfter int64)
 	// Abort is the final answer that the request failed and may have run.
 	Abort(id RequestID)
-	// Admit is the final answer to a request of a class that only counts: the quota had room, and it was
-	// counted.
+	// Admit is the final answer to a request of a class that only counts: the quota held it, and it was counted.
 	Admit(id RequestID)
 	// WakeAt asks for a call of Engine.HandleTimer with the same timer at the time at or soon after. A timer
 	// above 0 replaces all of those before it; a call for one that was replaced does nothing.
--- a/policy/engine.go
+++ b/policy/engine.go
@@ -17,8 +17,7 @@
 	if settings.PollEndpoints {
 		// Those that start together poll in turn, within what a poll may take: each has its list in six seconds.
 		spread := min(int64(settings.Instances-1)*50*millisecond, settings.PollTimeout/2, 3500*millisecond)
-		delay := int64(e.random.Float64() * float64(spread))
-		e.schedule(now+delay, nil, func(int64) { effects.WatchEndpoints() })
+		e.schedule(now+int64(e.random.Float64()*float64(spread)), nil, func(int64) { effects.WatchEndpoints() })
 	}
 	e.tick(now)
 	return e
--- a/policy/latency.go
+++ b/policy/latency.go
@@ -23,8 +23,7 @@
 		return
 	}
 	rise := 0.002
-	inFlight := e.throughput * e.latency.Value
-	if now-e.lastRejectionAt > second && inFlight < e.fairSharePerBackend()*float64(second) {
+	if now-e.lastRejectionAt > second && e.throughput*e.latency.Value < e.fairSharePerBackend()*float64(second) {
 		rise = 0.05
 	}
 	change := e.latency.Value - e.baselineLatency.Value
@@ -34,7 +33,7 @@
 // fadeMeasurements forgets a single backend in five seconds, and who leaves in ten. An instance that took a
 // jam for granted would send and measure nothing more. While attempts are in flight it does measure: silence
 // is the jam then. Forgetting ends at the baseline (where the jam came first, at a fifth of the latency
-// objective, which always has room): else all would look quick at last, and late answers stalled.
+// objective, which always finds capacity): else all would look quick at last, and late answers stalled.
 func (e *Engine) fadeMeasurements(now int64) {
 	fade := 0.98
 	if now-e.lastAnswerAt > second && e.inFlight == 0 {
--- a/policy/local_share.go
+++ b/policy/local_share.go
@@ -26,9 +26,9 @@
 	return chance >= 1 || e.random.Float64() < chance
 }
 
-// admitChance is how likely the local share admits a request that it has room for. One at least an instance
-// adds up past small quotas: a share of a fraction of one is granted as often as the counter admitted the
-// tenant, or half way up from what it admitted of the plan: it rejects mostly few tenants far beyond it.
+// admitChance is how likely the local share admits a request that fits it. One at least an instance adds up
+// past small quotas: a share of a fraction of one is granted as often as the counter admitted the tenant, or
+// half way up from what it admitted of the plan: it rejects mostly few tenants far beyond it.
 func (r *Request) admitChance() float64 {
 	share := r.plan.quota * r.tenant.trafficShare(r.entryPoints) / r.units
 	if share+roundingTolerance >= 1 || !r.engine.settings.CounterEnabled {
--- a/policy/pending_calls.go
+++ b/policy/pending_calls.go
@@ -50,7 +50,7 @@
 	e.pendingCalls.push(w.key, call)
 	w.reportedInFlight += call.attempts
 	amount := call.amount + float64(call.attempts)*t.plan.concurrencyUnit
-	e.effects.AddToCounter(w.key, amount, min(t.windowEnd()+t.plan.window-now+second, maxCountLifetime))
+	e.effects.AddToCounter(w.key, amount, t.countLifetime(now))
 	return call
 }
 
--- a/policy/quota.go
+++ b/policy/quota.go
@@ -8,7 +8,12 @@
 
 const maxCountLifetime = 60 * second // the counter drops counts after a minute
 
-// tracksRefill reports whether the tenant's instances see enough of its count to reckon its refill together.
+// countLifetime is how long the counter is to keep the window's count: through the next window and a second.
+func (t *tenant) countLifetime(now int64) int64 {
+	return min(t.windowEnd()+t.plan.window+second-now, maxCountLifetime)
+}
+
+// tracksRefill reports whether the tenant's instances see enough of its count to compute its refill together.
 func (r *Request) tracksRefill() bool {
 	p := r.plan
 	return 2*p.quota >= r.entryPoints*max(r.engine.latencyByUnits.MeanX, 1) &&
@@ -50,8 +55,7 @@
 	e, t := r.engine, r.tenant
 	switch {
 	case !r.class.CheckOnly && e.pickBackend(now, r, 1) == nil:
-		// No backend has room: counted, it would shut others of the tenant out.
-		r.giveUp(r.class.LatencyObjective / 8)
+		r.giveUp(r.class.LatencyObjective / 8) // no capacity: counted, it would shut others of the tenant out
 	case t.window.total+r.units > t.plan.quota+t.refilled(now, t.window.start)+roundingTolerance:
 		t.recordAdmittedShare(0)
 		r.handleOverQuota(now) // used up as far as is known: no call can say otherwise
@@ -104,11 +108,11 @@
 	}
 	if call.waiting {
 		units := call.request.units
-		room := t.plan.quota + refilled - total + call.units - units
+		unitsLeft := t.plan.quota + refilled - total + call.units - units
 		// What is admitted without a call goes unseen here.
 		overLimit := t.plan.concurrencyUnit > 0 && inFlight > float64(t.plan.ConcurrencyLimit)
-		call.decide(now, true, room+roundingTolerance >= 0 && !overLimit)
-		t.recordAdmittedShare(min(max(room+units, 0)/units, 1))
+		call.decide(now, true, unitsLeft+roundingTolerance >= 0 && !overLimit)
+		t.recordAdmittedShare(min(max(unitsLeft+units, 0)/units, 1))
 	}
 	if !call.admitted && t.tracksRefill { // it was counted and not sent
 		correction -= call.units
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -2,7 +2,8 @@
 
 import "slices"
 
-// dispatch sends an attempt to the best backend, or gives the request up: the client may find room elsewhere.
+// dispatch sends an attempt to the best backend, or gives the request up: the client may find capacity
+// elsewhere.
 func (r *Request) dispatch(now int64) {
 	if r.class.CheckOnly {
 		r.withinQuota, r.hardQuotaUnits = false, 0 // nothing is sent, and what was counted stays
@@ -70,7 +71,7 @@
 	a := r.addAttempt(now, b)
 	timeout, expireAt := r.attemptTimeout(), int64(0)
 	if !s.Hedging && !s.Cancellation && r.class.Idempotency != NonIdempotent && len(r.attempts) < s.MaxAttempts {
-		// Nothing else makes room for another attempt; beyond seven tenths too little time is left for one.
+		// Nothing else lets another attempt follow; beyond seven tenths too little time is left for one.
 		expireAt = now + timeout
 	}
 	e.effects.Send(r.id, b.id, expireAt, beginBefore)
--- a/policy/selection.go
+++ b/policy/selection.go
@@ -38,9 +38,8 @@
 		cmp.Compare(other.rank.due, b.rank.due), cmp.Compare(b.id, other.id))
 }
 
-// latencyBudget is the latency that a backend for the request may likely have: two fifths of the time left
-// until the latency objective (few take 2.5 times the likely), less what its units take beyond the mean, and
-// 2.5 baselines. Urgency shortens both.
+// latencyBudget is the latency that a backend may likely have: two fifths of the time left to the objective
+// (few take 2.5 times the likely), less what its units take more, and 2.5 baselines. Urgency shortens both.
 func (e *Engine) latencyBudget(now int64, r *Request, urgency float64) float64 {
 	extra := (e.relativeCost(r.units) - 1) * e.latency.Value
 	budget := (float64(r.objectiveAt-now) - extra) / 2.5
--- a/policy/tenant.go
+++ b/policy/tenant.go
@@ -20,7 +20,7 @@
 	unreported   float64 // units for the next call: admitted without the counter, or counted and not sent
 	ownUnits     float64 // units that this instance lately counted
 	otherUnits   float64 // units that the others did
-	tracksRefill bool    // its instances see enough of the count to reckon its refill together
+	tracksRefill bool    // its instances see enough of the count to compute its refill together
 
 	admittedShare estimate.Mean
 	localUsage    tokenbucket.Usage  // units admitted here, less what the local share has refilled
