--- /dev/null
+++ b/internal/counter/client_test.go
@@ -0,0 +1,241 @@
+package counter
+
+import (
+	"bufio"
+	"errors"
+	"fmt"
+	"net"
+	"strings"
+	"testing"
+	"time"
+
+	"fawnplank/internal/dispatch"
+	"fawnplank/internal/testutil"
+	"fawnplank/policy"
+)
+
+// result is a call's result as the dispatcher is given it.
+type result struct {
+	key   policy.CounterKey
+	total float64
+	err   error
+}
+
+// results is a ResultHandler that passes results on.
+type results chan result
+
+func (r results) HandleCounterResult(key policy.CounterKey, total float64, err error) {
+	r <- result{key, total, err}
+}
+
+func (r results) next(t *testing.T) result {
+	t.Helper()
+	select {
+	case next := <-r:
+		return next
+	case <-time.After(3 * time.Second):
+		t.Fatal("no result delivered")
+		panic("not reached")
+	}
+}
+
+// receivedCall is a line that the service received, and the connection that it came on.
+type receivedCall struct {
+	line string
+	conn net.Conn
+}
+
+// answer writes text on the connection that the call came on.
+func (r receivedCall) answer(t *testing.T, text string) {
+	t.Helper()
+	if _, err := fmt.Fprint(r.conn, text); err != nil {
+		t.Error(err)
+	}
+}
+
+// isClosed waits until the client has closed the connection.
+func (r receivedCall) isClosed() bool {
+	_, err := r.conn.Read(make([]byte, 1))
+	return err != nil
+}
+
+// fakeService is a stand-in for the service. It answers nothing of itself.
+type fakeService struct {
+	listener net.Listener
+	calls    chan receivedCall
+}
+
+func startService(t *testing.T) *fakeService {
+	t.Helper()
+	s := &fakeService{listener: testutil.Listen(t), calls: make(chan receivedCall, 100)}
+	go func() {
+		for {
+			conn, err := s.listener.Accept()
+			if err != nil {
+				return
+			}
+			go s.receive(conn)
+		}
+	}()
+	return s
+}
+
+func (s *fakeService) receive(conn net.Conn) {
+	reader := bufio.NewReader(conn)
+	for {
+		line, err := reader.ReadString('\n')
+		if err != nil {
+			return
+		}
+		s.calls <- receivedCall{strings.TrimSuffix(line, "\r\n"), conn}
+	}
+}
+
+func (s *fakeService) address() string { return s.listener.Addr().String() }
+
+// stopListening has further connections refused.
+func (s *fakeService) stopListening(t *testing.T) {
+	t.Helper()
+	if err := s.listener.Close(); err != nil {
+		t.Error(err)
+	}
+}
+
+// startClient makes a client of a service of its own.
+func startClient(t *testing.T) (*Client, results, *fakeService) {
+	t.Helper()
+	service := startService(t)
+	received := make(results, 100)
+	options := Options{Address: service.address(), ConnectTimeout: 200 * time.Millisecond}
+	return New(options, received), received, service
+}
+
+// add makes a call of one unit and sends it.
+func (c *Client) add(key policy.CounterKey) {
+	c.Add(key, 1, time.Second)
+	c.Flush()
+}
+
+func TestClient_AnswersReachTheirCallsInOrder(t *testing.T) {
+	client, received, service := startClient(t)
+	client.Add(0xab, 2.5, 4_000_000_001)
+	client.Add(0xab, -1, 1)
+	client.Add(0xcd, 1, 1e9)
+	client.Flush()
+	calls := map[string]receivedCall{}
+	for range 3 {
+		call := <-service.calls
+		calls[call.line] = call
+	}
+	first, second, other := calls["bump ab 2.5 4001"], calls["bump ab -1 1"], calls["bump cd 1 1000"]
+	if first.conn == nil || first.conn != second.conn {
+		t.Fatalf("received %v", calls)
+	}
+	if other.conn == first.conn {
+		t.Error("a key waits behind another though there may be a further connection")
+	}
+	other.answer(t, "busy\r\n")
+	if got := received.next(t); got.key != 0xcd || !errors.Is(got.err, dispatch.ErrRejected) {
+		t.Errorf("%+v", got)
+	}
+	first.answer(t, "ok 2.5\r\nok ") // in pieces
+	if got := received.next(t); got != (result{0xab, 2.5, nil}) {
+		t.Errorf("%+v", got)
+	}
+	first.answer(t, "1.5\r\n")
+	if got := received.next(t); got != (result{0xab, 1.5, nil}) {
+		t.Errorf("%+v", got)
+	}
+	client.add(0xef)
+	last := <-service.calls
+	last.answer(t, "error\r\n")
+	if got := received.next(t); got.key != 0xef || !errors.Is(got.err, dispatch.ErrRejected) {
+		t.Errorf("%+v", got)
+	}
+	if last.conn != first.conn && last.conn != other.conn {
+		t.Error("a new connection though two were idle")
+	}
+}
+
+// TestClient_SetAddressKeepsOrderOfResults: after a change of the address new calls go to the new one at
+// once. Those outstanding may still be answered at the old one, and each key's results are delivered in the
+// order of its calls.
+func TestClient_SetAddressKeepsOrderOfResults(t *testing.T) {
+	client, received, service := startClient(t)
+	newService := startService(t)
+	client.add(1)
+	outstanding := <-service.calls
+	client.add(2)
+	idle := <-service.calls
+	idle.answer(t, "ok 1\r\n")
+	received.next(t)
+	service.stopListening(t)
+	client.SetAddress(newService.address())
+	client.SetAddress(newService.address())
+	if !idle.isClosed() {
+		t.Error("a connection without calls stays at the old address")
+	}
+	client.Add(1, 2, 1e9)
+	client.Add(3, 3, 1e9)
+	client.Flush()
+	for range 2 {
+		call := <-newService.calls
+		units := strings.Fields(call.line)[2]
+		call.answer(t, fmt.Sprintf("ok %s\r\n", units))
+	}
+	if got := received.next(t); got != (result{3, 3, nil}) {
+		t.Errorf("%+v", got)
+	}
+	outstanding.answer(t, "ok 7\r\n")
+	for _, total := range []float64{7, 2} {
+		if got := received.next(t); got != (result{1, total, nil}) {
+			t.Errorf("%+v, wanted %v", got, total)
+		}
+	}
+	if !outstanding.isClosed() {
+		t.Error("the old connection stays after its last answer")
+	}
+	checkForgotten(t, client)
+}
+
+// checkForgotten checks that no queue and no old connection is left once the last result's delivery has
+// returned.
+func checkForgotten(t *testing.T, client *Client) {
+	t.Helper()
+	for deadline := time.Now().Add(2 * time.Second); ; time.Sleep(time.Millisecond) {
+		client.mu.Lock()
+		queues, connections := len(client.queues), len(client.oldConnections)
+		client.mu.Unlock()
+		if queues+connections == 0 {
+			return
+		}
+		if time.Now().After(deadline) {
+			t.Fatalf("left: %d queues, %d connections", queues, connections)
+		}
+	}
+}
+
+func TestClient_StatsCountResults(t *testing.T) {
+	client, received, service := startClient(t)
+	if got := client.Stats(); got != (Stats{}) {
+		t.Errorf("before the first call: %+v", got)
+	}
+	for _, test := range []struct {
+		answer           string
+		answered, failed uint64
+		outage           bool
+	}{
+		{"busy\r\n", 0, 1, true},
+		{"error\r\n", 0, 2, true},
+		{"ok 3\r\n", 1, 2, false},
+	} {
+		client.add(1)
+		call := <-service.calls
+		call.answer(t, test.answer)
+		received.next(t)
+		got := client.Stats()
+		if got.Answered != test.answered || got.Failed != test.failed || got.Outage > 0 != test.outage {
+			t.Errorf("after %q: %+v", test.answer, got)
+		}
+	}
+}
--- a/internal/counter/format_test.go
+++ b/internal/counter/format_test.go
@@ -7,81 +7,99 @@
 	"fawnplank/internal/dispatch"
 )
 
-func TestCallsInRESP(t *testing.T) {
-	want := "*3\r\n$11\r\nINCRBYFLOAT\r\n$2\r\n1f\r\n$4\r\n-2.5\r\n*4\r\n$7\r\nPEXPIRE\r\n$2\r\n1f\r\n$4\r\n4001\r\n$2\r\nNX\r\n"
-	if got := string(RESP.write(nil, 0x1f, -2.5, 4_000_000_001)); got != want {
+func TestFormat_AppendCall(t *testing.T) {
+	want := "*3\r\n$11\r\nINCRBYFLOAT\r\n$2\r\n1f\r\n$4\r\n-2.5\r\n" +
+		"*4\r\n$7\r\nPEXPIRE\r\n$2\r\n1f\r\n$4\r\n4001\r\n$2\r\nNX\r\n"
+	if got := string(RESP.appendCall(nil, 0x1f, -2.5, 4_000_000_001)); got != want {
 		t.Errorf("%q", got)
 	}
-	if got := string(Text.write(nil, 0x1f, -2.5, 4_000_000_000)); got != "bump 1f -2.5 4000\r\n" {
+	if got := string(Text.appendCall(nil, 0x1f, -2.5, 4_000_000_000)); got != "bump 1f -2.5 4000\r\n" {
 		t.Errorf("%q", got)
 	}
 }
 
-// Answers cut anywhere are waited for; two replies make one answer; what can never become one is seen at once.
-func TestAnswersInRESP(t *testing.T) {
-	const good = "$4\r\n12.5\r\n:1\r\n$2\r\n-3\r\n:0\r\n-BUSY full\r\n-ERR no such key\r\n"
-	for cut := range len(good) + 1 {
-		var half reply
-		var totals []float64
-		var errs []error
-		rest := []byte(good[:cut])
-		for {
-			size, done, spoilt, total, err := RESP.next(rest, &half)
-			if spoilt {
-				t.Fatalf("cut at %d: %q is taken for spoilt", cut, rest)
-			}
-			if size == 0 {
-				break
-			}
-			if done {
-				totals, errs = append(totals, total), append(errs, err)
-			}
-			rest = rest[size:]
+// parseAll parses answers in RESP up to what is incomplete or malformed, and returns the complete ones and
+// the last status.
+func parseAll(data []byte) (complete []answer, last answerStatus) {
+	var pending respReply
+	for {
+		got := RESP.parseAnswer(data, &pending)
+		switch got.status {
+		case answerIncomplete, answerMalformed:
+			return complete, got.status
+		case answerComplete:
+			complete = append(complete, got)
+		}
+		data = data[got.size:]
+	}
+}
+
+// TestParseRESPAnswer_CutAnywhere: an answer that is cut is waited for, and two replies make one answer.
+func TestParseRESPAnswer_CutAnywhere(t *testing.T) {
+	const data = "$4\r\n12.5\r\n:1\r\n$2\r\n-3\r\n:0\r\n-BUSY full\r\n-ERR no such key\r\n"
+	for cut := range len(data) + 1 {
+		answers, last := parseAll([]byte(data[:cut]))
+		if last == answerMalformed {
+			t.Fatalf("cut at %d: taken for malformed", cut)
+		}
+		if cut < len(data) {
+			continue
 		}
-		if cut == len(good) && (len(totals) != 3 || totals[0] != 12.5 || totals[1] != -3 || errs[0] != nil || errs[2] != dispatch.ErrRejected) {
-			t.Errorf("%v %v", totals, errs)
+		if len(answers) != 3 || answers[0].total != 12.5 || answers[1].total != -3 || answers[0].err != nil ||
+			!errors.Is(answers[2].err, dispatch.ErrRejected) {
+			t.Errorf("%+v", answers)
 		}
 	}
-	for _, text := range []string{"HTTP/1.1 400", "*2\r\n", "$-1\r\n:0\r\n", "$99999999999999999999\r\n", "$3\r\nabc\r\n:1\r\n", "+OK\r\n:1\r\n", "$3\r\nNaN\r\n:0\r\n"} {
-		var half reply
-		rest := []byte(text)
-		for {
-			size, done, spoilt, _, err := RESP.next(rest, &half)
-			var fault *dispatch.NetworkError
-			if spoilt || done && errors.As(err, &fault) {
-				break
-			}
-			if size == 0 {
-				t.Errorf("%q is waited for", text)
-				break
-			}
-			rest = rest[size:]
+}
+
+// TestParseRESPAnswer_Malformed: what can never become an answer is seen at once, and not waited for.
+func TestParseRESPAnswer_Malformed(t *testing.T) {
+	for _, data := range []string{
+		"HTTP/1.1 400", "*2\r\n", "$-1\r\n:0\r\n", "$99999999999999999999\r\n", "$3\r\nabc\r\n:1\r\n",
+		"+OK\r\n:1\r\n", "$3\r\nNaN\r\n:0\r\n",
+	} {
+		answers, last := parseAll([]byte(data))
+		var networkError *dispatch.NetworkError
+		if last != answerMalformed && (len(answers) == 0 || !errors.As(answers[0].err, &networkError)) {
+			t.Errorf("%q is waited for", data)
 		}
 	}
 }
 
-// FuzzAnswers: no answer of a counter, in either form, makes the reader panic, stand still with room, or run past
-// what there is.
-func FuzzAnswers(f *testing.F) {
-	for _, text := range []string{"ok 3\r\n", "busy\r\nerror\r\n", "$1\r\n3\r\n:1\r\n", "$9223372036854775807\r\n", "-ERR\r\n:1\r\n", "*9\r\n"} {
-		f.Add([]byte(text))
+// FuzzParseAnswer: no answer, in either format, makes the parser panic, wait though the buffer holds more
+// than an answer may, or run past the data.
+func FuzzParseAnswer(f *testing.F) {
+	for _, data := range []string{
+		"ok 3\r\n", "busy\r\nerror\r\n",
+		"$1\r\n3\r\n:1\r\n", "$9223372036854775807\r\n", "-ERR\r\n:1\r\n", "*9\r\n",
+	} {
+		f.Add([]byte(data))
 	}
-	f.Fuzz(func(t *testing.T, text []byte) {
-		for _, form := range []Format{Text, RESP} {
-			var half reply
-			for rest := text; ; {
-				size, _, spoilt, _, _ := form.next(rest, &half)
-				if size < 0 || size > len(rest) {
-					t.Fatalf("%q: %d", rest, size)
-				}
-				if spoilt || size == 0 {
-					if !spoilt && len(rest) > 2*longestAnswer {
-						t.Fatalf("%d bytes are waited behind", len(rest))
-					}
-					break
-				}
-				rest = rest[size:]
-			}
+	f.Fuzz(func(t *testing.T, data []byte) {
+		for _, format := range []Format{Text, RESP} {
+			checkParse(t, format, data)
 		}
 	})
 }
+
+// checkParse parses data up to what is incomplete or malformed.
+func checkParse(t *testing.T, format Format, data []byte) {
+	t.Helper()
+	var pending respReply
+	for {
+		got := format.parseAnswer(data, &pending)
+		if got.size < 0 || got.size > len(data) {
+			t.Fatalf("%q: %d", data, got.size)
+		}
+		if got.status == answerMalformed {
+			return
+		}
+		if got.size == 0 {
+			if len(data) > 2*maxAnswerBytes {
+				t.Fatalf("%d bytes are waited behind", len(data))
+			}
+			return
+		}
+		data = data[got.size:]
+	}
+}
--- /dev/null
+++ b/internal/counter/text_format.go
@@ -0,0 +1,52 @@
+package counter
+
+import (
+	"bytes"
+	"math"
+	"strconv"
+
+	"fawnplank/internal/dispatch"
+	"fawnplank/policy"
+)
+
+// textAnswerStarts are the first bytes of the answers there are: ok, busy and error.
+const textAnswerStarts = "obe"
+
+func appendTextCall(buf []byte, key policy.CounterKey, units float64, lifetimeMillis int64) []byte {
+	buf = append(buf, "bump "...)
+	buf = strconv.AppendUint(buf, uint64(key), 16)
+	buf = append(buf, ' ')
+	buf = strconv.AppendFloat(buf, units, 'f', -1, 64)
+	buf = append(buf, ' ')
+	buf = strconv.AppendInt(buf, lifetimeMillis, 10)
+	return append(buf, "\r\n"...)
+}
+
+func parseTextAnswer(data []byte) answer {
+	end := bytes.IndexByte(data, '\n')
+	if end >= 0 {
+		total, err := parseTextTotal(bytes.TrimSuffix(data[:end], []byte("\r")))
+		return answer{status: answerComplete, size: end + 1, total: total, err: err}
+	}
+	if len(data) > maxAnswerBytes || bytes.IndexByte([]byte(textAnswerStarts), data[0]) < 0 {
+		return answer{status: answerMalformed}
+	}
+	return answer{status: answerIncomplete}
+}
+
+// parseTextTotal returns the total of a line, or why there is none. Where the line has no meaning, the units
+// have been added.
+func parseTextTotal(line []byte) (float64, error) {
+	switch string(line) {
+	case "busy", "error":
+		return 0, dispatch.ErrRejected
+	}
+	digits, ok := bytes.CutPrefix(line, []byte("ok "))
+	total, err := strconv.ParseFloat(string(digits), 64)
+	if err != nil || !ok || !isFinite(total) {
+		return 0, &dispatch.NetworkError{Progress: dispatch.Answering, Err: errNoTotal}
+	}
+	return total, nil
+}
+
+func isFinite(x float64) bool { return !math.IsNaN(x) && !math.IsInf(x, 0) }
