--- a/cmd/fawnplank/dns.go
+++ b/cmd/fawnplank/dns.go
@@ -102,10 +102,10 @@
 
 // tell brings the zone's list into the form of discovery's.
 func (n *names) tell(come []dnszone.Backend, gone []string, whole bool) {
-	var all []discovery.Entry
+	var all []discovery.Endpoint
 	for _, b := range come {
-		e := discovery.Entry{Name: b.Name, Address: b.Addresses[0].String(), Zone: b.Zone, Group: b.Group, Status: "up", Weight: b.Size,
-			SinceMs: float64(b.Started()) / 1e6}
+		e := discovery.Endpoint{Name: b.Name, Address: b.Addresses[0].String(), Zone: b.Zone, Group: b.Group, Status: "up", Weight: b.Size,
+			StartedAtMillis: float64(b.Started()) / 1e6}
 		if b.Draining {
 			e.Status = "draining"
 		}
@@ -115,7 +115,7 @@
 		all = append(all, e)
 	}
 	for _, name := range gone {
-		all = append(all, discovery.Entry{Name: name, Status: "removed"})
+		all = append(all, discovery.Endpoint{Name: name, Status: "removed"})
 	}
 	how := policy.Delta
 	if whole {
--- /dev/null
+++ b/internal/discovery/harness_test.go
@@ -0,0 +1,131 @@
+package discovery
+
+import (
+	"fmt"
+	"io"
+	"maps"
+	"net/http"
+	"net/http/httptest"
+	"net/netip"
+	"strings"
+	"sync/atomic"
+	"testing"
+	"time"
+
+	"fawnplank/internal/config"
+	"fawnplank/policy"
+)
+
+// update is one that the subscriber was notified of, with the addresses that were known by then.
+type update struct {
+	kind      policy.UpdateKind
+	endpoints []policy.Endpoint
+	addresses map[policy.BackendID]string
+}
+
+// recorder is a Subscriber and an AddressBook.
+type recorder struct {
+	updates   chan update
+	addresses map[policy.BackendID]string
+}
+
+func newRecorder() *recorder {
+	return &recorder{updates: make(chan update, 100), addresses: map[policy.BackendID]string{}}
+}
+
+func (r *recorder) SetAddress(backend policy.BackendID, address string) {
+	r.addresses[backend] = address
+}
+
+func (r *recorder) SetAddresses(backend policy.BackendID, addresses []netip.AddrPort) {
+	r.addresses[backend] = fmt.Sprint(addresses)
+}
+
+func (r *recorder) Forget(backend policy.BackendID) { delete(r.addresses, backend) }
+
+func (r *recorder) UpdateEndpoints(kind policy.UpdateKind, endpoints []policy.Endpoint) {
+	r.updates <- update{kind, endpoints, maps.Clone(r.addresses)}
+}
+
+// next waits for the next update, for two seconds less than it takes until what the service publishes counts
+// as delivered.
+func (r *recorder) next(t *testing.T) update {
+	t.Helper()
+	select {
+	case next := <-r.updates:
+		return next
+	case <-time.After(4 * time.Second):
+		t.Fatal("no update")
+		panic("not reached")
+	}
+}
+
+// Answers of the fake service that are no lists.
+const (
+	answerFailure = "fail"
+	answerRefusal = "refuse"
+)
+
+// startService starts a fake discovery service, which answers each call with the next of the answers, and
+// after the last not at all. It passes on the calls' URLs.
+func startService(t *testing.T, answers ...string) (address string, calls chan string) {
+	t.Helper()
+	calls = make(chan string, 100)
+	var count atomic.Int64 // a call that is given up may still be here when the next comes
+	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		calls <- r.URL.String()
+		number := int(count.Add(1))
+		if number > len(answers) {
+			<-r.Context().Done()
+			return
+		}
+		switch answer := answers[number-1]; answer {
+		case answerFailure:
+			w.WriteHeader(http.StatusInternalServerError)
+		case answerRefusal:
+			w.WriteHeader(http.StatusServiceUnavailable)
+		default:
+			respond(w, answer)
+		}
+	}))
+	t.Cleanup(server.CloseClientConnections)
+	return strings.TrimPrefix(server.URL, "http://"), calls
+}
+
+// startClient makes a client of a fake service. A watch that has nothing new lasts two seconds.
+func startClient(t *testing.T, answers ...string) (*Client, *recorder, chan string) {
+	t.Helper()
+	address, calls := startService(t, answers...)
+	r := newRecorder()
+	configuration := &config.Config{
+		Discovery: address,
+		Zones:     []string{"b", "a"},
+		Settings:  policy.Settings{DrainGrace: 6e9},
+	}
+	return New(Options{Subscriber: r, AddressBook: r, Config: configuration}), r, calls
+}
+
+// respond writes an answer. Its client may be gone.
+func respond(w io.Writer, text string) { _, _ = io.WriteString(w, text) }
+
+// checkCalls checks the URLs of the next calls.
+func checkCalls(t *testing.T, calls chan string, want ...string) {
+	t.Helper()
+	for number, url := range want {
+		if got := <-calls; got != url {
+			t.Errorf("call %d is %s, wanted %s", number, got, url)
+		}
+	}
+}
+
+// list is a list in the service's form.
+func list(index int, snapshot bool, entries ...string) string {
+	return fmt.Sprintf(`{"index":%d,"snapshot":%t,"endpoints":[%s]}`,
+		index, snapshot, strings.Join(entries, ","))
+}
+
+// entry is an endpoint in a list.
+func entry(name, status string) string {
+	return fmt.Sprintf(`{"name":%q,"address":"10.1.0.18:6379","zone":"a","type":"m2","group":3,"status":%q,
+		"weight":1.5,"since_ms":1700000000123}`, name, status)
+}
--- /dev/null
+++ b/internal/discovery/publisher.go
@@ -0,0 +1,168 @@
+package discovery
+
+import (
+	"hash/fnv"
+	"io"
+	"maps"
+	"math"
+
+	"fawnplank/internal/logging"
+	"fawnplank/internal/metrics"
+	"fawnplank/policy"
+)
+
+// endpointStates are the engine's states for the statuses of a list.
+var endpointStates = map[string]policy.EndpointState{
+	StatusUp:       policy.EndpointReady,
+	StatusDraining: policy.EndpointDraining,
+	StatusRemoved:  policy.EndpointGone,
+}
+
+// publisher turns lists into updates for the engine. It keeps the ids of the names listed, and is used by one
+// goroutine at a time.
+type publisher struct {
+	subscriber  Subscriber
+	addressBook AddressBook
+	metrics     *metrics.Registry
+	zones       zoneIDs
+	ids         map[string]policy.BackendID
+	names       map[policy.BackendID]string
+	listed      map[policy.BackendID]bool
+	draining    map[policy.BackendID]bool // whether one of those listed is sent nothing new
+}
+
+// zoneIDs numbers zones: those of the configuration first, others as they come.
+type zoneIDs map[string]policy.ZoneID
+
+func (z zoneIDs) of(name string) policy.ZoneID {
+	id, ok := z[name]
+	if !ok {
+		id = policy.ZoneID(len(z))
+		z[name] = id
+	}
+	return id
+}
+
+func newPublisher(options Options) *publisher {
+	p := &publisher{
+		subscriber:  options.Subscriber,
+		addressBook: options.AddressBook,
+		metrics:     options.Metrics,
+		zones:       zoneIDs{},
+		ids:         map[string]policy.BackendID{},
+		names:       map[policy.BackendID]string{},
+		listed:      map[policy.BackendID]bool{},
+		draining:    map[policy.BackendID]bool{},
+	}
+	for _, zone := range options.Config.Zones {
+		p.zones.of(zone)
+	}
+	return p
+}
+
+func (p *publisher) hasEndpoints() bool { return len(p.listed) > 0 }
+
+// publish notifies the address book, then the subscriber.
+func (p *publisher) publish(kind policy.UpdateKind, endpoints []Endpoint) {
+	updates := make([]policy.Endpoint, len(endpoints))
+	listed := map[policy.BackendID]bool{}
+	for n, endpoint := range endpoints {
+		updates[n] = p.convert(endpoint)
+		backend := updates[n].Backend
+		if updates[n].State == policy.EndpointGone {
+			p.forget(backend)
+			continue
+		}
+		p.setAddress(backend, endpoint)
+		listed[backend] = true
+	}
+	if kind != policy.Delta {
+		p.forgetAllBut(listed)
+	}
+	maps.Copy(p.listed, listed)
+	p.noteDraining(updates)
+	p.metrics.SetEndpoints(len(p.listed), p.countDraining())
+	p.subscriber.UpdateEndpoints(kind, updates)
+}
+
+// convert gives an endpoint its ids. One of an unknown status counts as draining, which is the zero state.
+func (p *publisher) convert(endpoint Endpoint) policy.Endpoint {
+	state, ok := endpointStates[endpoint.Status]
+	if !ok {
+		logging.For("discovery").WithField(logging.Backend, endpoint.Name).
+			WithField("status", endpoint.Status).Warn("unknown endpoint status, treated as draining")
+	}
+	return policy.Endpoint{
+		Backend:   p.backendID(endpoint.Name),
+		Zone:      p.zones.of(endpoint.Zone),
+		Group:     policy.GroupID(endpoint.Group),
+		Capacity:  endpoint.Weight,
+		State:     state,
+		StartedAt: int64(math.Round(endpoint.StartedAtMillis*1e3)) * 1e3, // to the microsecond
+	}
+}
+
+func (p *publisher) setAddress(backend policy.BackendID, endpoint Endpoint) {
+	if len(endpoint.Addresses) > 0 {
+		p.addressBook.SetAddresses(backend, endpoint.Addresses)
+		return
+	}
+	p.addressBook.SetAddress(backend, endpoint.Address)
+}
+
+// forgetAllBut forgets the backends that a full snapshot does not list.
+func (p *publisher) forgetAllBut(listed map[policy.BackendID]bool) {
+	for backend := range p.listed {
+		if !listed[backend] {
+			p.forget(backend)
+		}
+	}
+}
+
+// forget drops all that is known of a backend that is gone: new ones come under new names without end.
+func (p *publisher) forget(backend policy.BackendID) {
+	p.addressBook.Forget(backend)
+	delete(p.listed, backend)
+	delete(p.draining, backend)
+	delete(p.ids, p.names[backend])
+	delete(p.names, backend)
+}
+
+// noteDraining notes which of the backends updated are sent nothing new.
+func (p *publisher) noteDraining(updates []policy.Endpoint) {
+	for _, update := range updates {
+		if update.State == policy.EndpointGone || !p.listed[update.Backend] {
+			delete(p.draining, update.Backend)
+			continue
+		}
+		p.draining[update.Backend] = update.State != policy.EndpointReady
+	}
+}
+
+func (p *publisher) countDraining() int {
+	count := 0
+	for backend := range p.listed {
+		if p.draining[backend] {
+			count++
+		}
+	}
+	return count
+}
+
+// backendID returns the id of a name, which the engine needs to be the same at every instance: a hash of the
+// name. Where two names meet, the later one gets the next free id: instances may then differ, which costs
+// evenness alone.
+func (p *publisher) backendID(name string) policy.BackendID {
+	if id, ok := p.ids[name]; ok {
+		return id
+	}
+	hash := fnv.New32a()
+	_, _ = io.WriteString(hash, name) // a hash's Write never fails
+	id := policy.BackendID(hash.Sum32())
+	for p.names[id] != "" {
+		id++
+	}
+	p.ids[name] = id
+	p.names[id] = name
+	return id
+}
--- /dev/null
+++ b/internal/discovery/watch.go
@@ -0,0 +1,155 @@
+package discovery
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"io"
+	"net/http"
+
+	"fawnplank/internal/logging"
+	"fawnplank/policy"
+)
+
+// maxListBytes bounds a list: it holds some ten thousand endpoints.
+const maxListBytes = 4 << 20
+
+// errRefused is the discovery service's answer that it has no capacity for the call.
+var errRefused = errors.New("refused")
+
+// watchState is what the watch goes by from one poll to the next.
+type watchState struct {
+	needsSnapshot  bool // else what is new since the last list is enough
+	failing        bool // the last poll failed; logged once an outage
+	addressVersion int  // of the last poll
+}
+
+// watch polls the discovery service whenever it is asked to, until a failure.
+func (c *Client) watch() {
+	// With a list, however old, what is new since is enough.
+	state := watchState{needsSnapshot: !c.publisher.hasEndpoints()}
+	for {
+		<-c.requested
+		c.watchUntilFailure(&state)
+	}
+}
+
+// watchUntilFailure polls again and again. At a failure it notifies the subscriber and returns.
+func (c *Client) watchUntilFailure(state *watchState) {
+	for {
+		err := c.poll(state)
+		if c.addressChangedSince(state) { // what the poll ended with is the old address's
+			c.http.CloseIdleConnections()
+			continue
+		}
+		c.logOutage(state, err)
+		if err == nil {
+			continue
+		}
+		// The watch is broken, and with it what the lost answer said. A refusal says that the call was not
+		// taken up: the index stands, and asking for what is new since costs the service less than a full
+		// snapshot.
+		state.needsSnapshot = state.needsSnapshot || !errors.Is(err, errRefused)
+		c.publisher.subscriber.UpdateEndpoints(policy.UpdateFailed, nil)
+		return
+	}
+}
+
+func (c *Client) addressChangedSince(state *watchState) bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.addressVersion != state.addressVersion
+}
+
+// logOutage logs the beginning and the end of an outage.
+func (c *Client) logOutage(state *watchState, err error) {
+	failing := err != nil
+	if failing == state.failing {
+		return
+	}
+	state.failing = failing
+	entry := logging.For("discovery").WithField("failing", failing)
+	if failing {
+		entry.WithError(err).Warn("endpoint watch failed")
+		return
+	}
+	entry.Warn("endpoint watch resumed")
+}
+
+// poll makes one call, for a full snapshot or for what is new since the last list, and publishes the answer.
+func (c *Client) poll(state *watchState) (err error) {
+	defer func() {
+		if reason := recover(); reason != nil {
+			err = fmt.Errorf("panic: %v", reason)
+		}
+	}()
+	call := c.nextCall(state)
+	defer call.cancel()
+	list, err := c.fetch(call)
+	if err != nil {
+		return err
+	}
+	state.needsSnapshot = false
+	kind := policy.Delta
+	if list.Snapshot {
+		kind = policy.FullSnapshot
+	}
+	c.index = list.Index
+	c.publisher.publish(kind, list.Endpoints)
+	return nil
+}
+
+// pollCall is one call to the discovery service.
+type pollCall struct {
+	ctx    context.Context
+	cancel context.CancelFunc
+	url    string
+}
+
+// nextCall makes the next call, which SetAddress cancels when the address changes. At a new address the old
+// one's index means nothing.
+func (c *Client) nextCall(state *watchState) pollCall {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if state.addressVersion != c.addressVersion {
+		state.addressVersion = c.addressVersion
+		state.needsSnapshot = true
+	}
+	url := c.url
+	timeout := c.timeouts.snapshot
+	if !state.needsSnapshot {
+		url = fmt.Sprintf("%s?index=%d&wait=%d", c.url, c.index, c.timeouts.watch.Milliseconds())
+		timeout = c.timeouts.watch + c.timeouts.lateness
+	}
+	ctx := withDialTimeout(context.Background(), min(timeout, c.timeouts.snapshot))
+	ctx, cancel := context.WithTimeout(ctx, timeout)
+	c.cancelPoll = cancel
+	return pollCall{ctx: ctx, cancel: cancel, url: url}
+}
+
+// fetch makes a call and returns the list that it was answered with.
+func (c *Client) fetch(call pollCall) (*endpointList, error) {
+	request, err := http.NewRequestWithContext(call.ctx, http.MethodGet, call.url, nil)
+	if err != nil {
+		return nil, err
+	}
+	response, err := c.http.Do(request)
+	if err != nil {
+		return nil, err
+	}
+	defer func() {
+		_ = response.Body.Close() // the list was read, or is not needed
+	}()
+	text, err := io.ReadAll(io.LimitReader(response.Body, maxListBytes))
+	if err != nil {
+		return nil, err
+	}
+	switch response.StatusCode {
+	case http.StatusOK:
+		return decodeList(text)
+	case http.StatusServiceUnavailable, http.StatusTooManyRequests:
+		return nil, fmt.Errorf("%w: %s", errRefused, response.Status)
+	default:
+		return nil, errors.New(response.Status)
+	}
+}
