--- /dev/null
+++ b/internal/dialer/address_order_test.go
@@ -0,0 +1,57 @@
+package dialer
+
+import (
+	"net/netip"
+	"slices"
+	"strings"
+	"testing"
+	"time"
+)
+
+// parse parses addresses between spaces, and gives each a port.
+func parse(text string) []netip.AddrPort {
+	var addresses []netip.AddrPort
+	for _, address := range strings.Fields(text) {
+		addresses = append(addresses, netip.AddrPortFrom(netip.MustParseAddr(address), 80))
+	}
+	return addresses
+}
+
+func TestOrder(t *testing.T) {
+	for _, test := range []struct{ name, addresses, unreachable, want string }{
+		{"IPv6 first", "192.0.2.1 2001:db8::1", "", "2001:db8::1 192.0.2.1"},
+		{"unreachable last", "192.0.2.1 2001:db8::1", "2001:db8::1", "192.0.2.1 2001:db8::1"},
+		{"families interleaved", "192.0.2.1 192.0.2.2 2001:db8::1 2001:db8::2", "",
+			"2001:db8::1 192.0.2.1 2001:db8::2 192.0.2.2"},
+		{"unreachable family", "192.0.2.1 192.0.2.2 2001:db8::1 2001:db8::2", "2001:db8::1 2001:db8::2",
+			"192.0.2.1 192.0.2.2 2001:db8::1 2001:db8::2"},
+		{"unique local after IPv4", "192.0.2.1 fc00::1", "", "192.0.2.1 fc00::1"},
+		{"by precedence", "fc00::1 2001:db8::1 ::1", "", "::1 2001:db8::1 fc00::1"},
+		{"stable", "192.0.2.2 192.0.2.1", "", "192.0.2.2 192.0.2.1"},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			unreachable := strings.Fields(test.unreachable)
+			got := Order(parse(test.addresses), func(address netip.Addr) bool {
+				return !slices.Contains(unreachable, address.String())
+			})
+			if !slices.Equal(got, parse(test.want)) {
+				t.Errorf("%s without %q: %v", test.addresses, test.unreachable, got)
+			}
+		})
+	}
+}
+
+func TestAttemptDelay(t *testing.T) {
+	for _, test := range []struct {
+		addresses     int
+		timeout, want time.Duration
+	}{
+		{2, time.Second, 250 * time.Millisecond},
+		{2, 90 * time.Millisecond, 30 * time.Millisecond},
+		{5, 0, 10 * time.Millisecond},
+	} {
+		if got := attemptDelay(test.addresses, test.timeout); got != test.want {
+			t.Errorf("%d addresses in %v: %v, wanted %v", test.addresses, test.timeout, got, test.want)
+		}
+	}
+}
--- /dev/null
+++ b/internal/dialer/dial_test.go
@@ -0,0 +1,45 @@
+package dialer
+
+import (
+	"errors"
+	"net"
+	"net/netip"
+	"syscall"
+	"testing"
+	"time"
+
+	"fawnplank/internal/testutil"
+)
+
+func TestReachable(t *testing.T) {
+	if !Reachable(netip.MustParseAddr("127.0.0.1")) {
+		t.Error("the host does not reach itself")
+	}
+}
+
+// TestDial_HangingAddressTakesPartOfTimeout: an address that hangs, one that refuses, and one that answers
+// are one backend. The one that answers is reached well within the timeout.
+func TestDial_HangingAddressTakesPartOfTimeout(t *testing.T) {
+	answers := testutil.Listen(t).Addr().(*net.TCPAddr).AddrPort()
+	refuses := netip.MustParseAddrPort(testutil.FreeAddress(t))
+	addresses := []netip.AddrPort{hangingAddress(t), refuses, answers}
+	start := time.Now()
+	conn, index, err := Dial(t.Context(), addresses, 2*time.Second)
+	if err != nil || index != 2 {
+		t.Fatalf("%d, %v", index, err)
+	}
+	t.Cleanup(func() {
+		_ = conn.Close() // nothing was written on it
+	})
+	if elapsed := time.Since(start); elapsed > time.Second {
+		t.Errorf("took %v of two seconds", elapsed)
+	}
+	start = time.Now()
+	_, _, err = Dial(t.Context(), addresses[:2], 300*time.Millisecond)
+	if err == nil || time.Since(start) > time.Second {
+		t.Errorf("%v after %v", err, time.Since(start))
+	}
+	if !errors.Is(err, syscall.ECONNREFUSED) {
+		t.Errorf("%v does not say that an address refuses", err)
+	}
+}
--- a/internal/sock/sock.go
+++ b/internal/sock/sock.go
@@ -8,6 +8,7 @@
 package sock
 
 import (
+	"context"
 	"errors"
 	"io"
 	"net"
@@ -68,7 +69,7 @@
 
 // DialAny opens a connection to one of several addresses, tried in their order, and gives the number of that one.
 func DialAny(order []netip.AddrPort, patient time.Duration) (*Conn, int, error) {
-	nc, n, err := dialer.Dial(order, patient)
+	nc, n, err := dialer.Dial(context.Background(), order, patient)
 	if err != nil {
 		return nil, 0, err
 	}
