--- /dev/null
+++ b/internal/membudget/budget_test.go
@@ -0,0 +1,63 @@
+package membudget
+
+import (
+	"testing"
+	"testing/synctest"
+	"time"
+)
+
+func TestBudget_Acquire(t *testing.T) {
+	for _, test := range []struct {
+		name         string
+		budget       *Budget
+		bytes        int64
+		wantAcquired int64
+	}{
+		{"a part", New(10), 4, 4},
+		{"all", New(10), 10, 10},
+		{"more than all", New(10), 11, 10},
+		{"nothing", New(10), 0, 0},
+		{"of a budget of nothing", New(0), 5, 1},
+		{"of no budget", nil, 5, 0},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			acquired, ok := test.budget.Acquire(test.bytes, time.Now())
+			if acquired != test.wantAcquired || !ok {
+				t.Errorf("%d, %t, wanted %d", acquired, ok, test.wantAcquired)
+			}
+			test.budget.Release(acquired)
+		})
+	}
+}
+
+func TestBudget_AcquireGivesUpAtDeadline(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		budget := New(10)
+		budget.Acquire(7, time.Now())
+		start := time.Now()
+		if acquired, ok := budget.Acquire(4, start.Add(time.Second)); ok || acquired != 0 {
+			t.Errorf("%d bytes of three that are free", acquired)
+		}
+		if elapsed := time.Since(start); elapsed != time.Second {
+			t.Errorf("gave up after %v", elapsed)
+		}
+		if acquired, ok := budget.Acquire(3, time.Now()); !ok || acquired != 3 {
+			t.Errorf("%d, %t: one that gave up holds a part", acquired, ok)
+		}
+	})
+}
+
+func TestBudget_AcquireWaitsForRelease(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		budget := New(10)
+		acquired, _ := budget.Acquire(20, time.Now())
+		time.AfterFunc(300*time.Millisecond, func() { budget.Release(acquired) })
+		start := time.Now()
+		if acquired, ok := budget.Acquire(4, start.Add(time.Second)); !ok || acquired != 4 {
+			t.Errorf("%d, %t", acquired, ok)
+		}
+		if elapsed := time.Since(start); elapsed != 300*time.Millisecond {
+			t.Errorf("waited for %v", elapsed)
+		}
+	})
+}
