--- /dev/null
+++ b/internal/frontend/backpressure.go
@@ -0,0 +1,131 @@
+package frontend
+
+import (
+	"sync/atomic"
+	"time"
+)
+
+const (
+	// maxPendingCommands is how many commands of one connection are pending at once; beyond it the reader
+	// waits. Usual clients keep one pending on each, so that one that sends hundreds at once waits for
+	// itself.
+	maxPendingCommands = 32
+	// maxPendingBytes is how much of one connection's pending commands is held; beyond it the reader waits.
+	maxPendingBytes = 2 * maxCommandBytes
+)
+
+// enqueue appends a command to the pending ones, once there is capacity for it; false says that the client
+// has gone, or that the input is closed.
+func (c *connection) enqueue(p *pendingCommand) bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.isFull() {
+		c.mu.Unlock()
+		c.awaitWatched(c.isFull)
+		c.mu.Lock()
+	}
+	if c.peer.gone() || c.isInputClosed() {
+		return false
+	}
+	c.pending = append(c.pending, p)
+	c.pendingBytes += len(p.raw)
+	return true
+}
+
+// isFull reports whether no further command may become pending. The caller holds mu.
+func (c *connection) isFull() bool {
+	return len(c.pending) >= maxPendingCommands || c.pendingBytes > maxPendingBytes
+}
+
+// hasPending reports whether commands are pending. The caller holds mu.
+func (c *connection) hasPending() bool { return len(c.pending) > 0 }
+
+// awaitResponses waits until nothing is pending on the connection, or the client has gone. The caller does
+// not hold mu.
+func (c *connection) awaitResponses() {
+	c.mu.Lock()
+	pending := c.hasPending()
+	c.mu.Unlock()
+	if pending {
+		c.awaitWatched(c.hasPending)
+	}
+}
+
+// awaitWatched waits while condition, which is called with mu held, and until the client has gone.
+func (c *connection) awaitWatched(condition func() bool) {
+	c.waitWatched(func() {
+		c.mu.Lock()
+		defer c.mu.Unlock()
+		for !c.peer.gone() && condition() {
+			c.pendingFewer.Wait()
+		}
+	})
+}
+
+// waitWatched calls wait, which waits in the reader's place, while another goroutine watches for the client's
+// hang-up: behind bytes that nobody reads it would go unseen, and what is open here would be sent on for
+// nobody. Guards against attempts begun for clients that had sent more than is read at once, and left.
+func (c *connection) waitWatched(wait func()) {
+	var over atomic.Bool
+	watchEnded := make(chan struct{})
+	go func() {
+		defer close(watchEnded)
+		c.watchHangUp(&over)
+	}()
+	wait()
+	over.Store(true)
+	c.setReadDeadline(time.Now())
+	<-watchEnded
+	c.setReadDeadline(time.Time{})
+}
+
+// watchHangUp waits for the client's hang-up until over, which is looked at after a deadline for reading has
+// passed.
+func (c *connection) watchHangUp(over *atomic.Bool) {
+	for !over.Load() {
+		if c.conn.AwaitHangUp() {
+			c.clientGone()
+			return
+		}
+		c.setReadDeadline(time.Time{}) // the sweep's; over is looked at after it, and set before its own
+	}
+}
+
+// sleep waits for so long, or until the client has gone.
+func (c *connection) sleep(duration time.Duration) {
+	over := false
+	timer := time.AfterFunc(duration, func() {
+		c.mu.Lock()
+		over = true
+		c.mu.Unlock()
+		c.pendingFewer.Broadcast()
+	})
+	defer timer.Stop()
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for !c.peer.gone() && !over {
+		c.pendingFewer.Wait()
+	}
+}
+
+// reserve waits for so many bytes of the budget for a larger buffer, as long as a command may take to come
+// whole; false says that the client has been rejected.
+func (c *connection) reserve(bytes int) bool {
+	var reserved int64
+	var ok bool
+	c.waitWatched(func() {
+		reserved, ok = c.server.budget.Acquire(int64(bytes), time.Now().Add(commandTimeout))
+	})
+	if !ok {
+		c.rejectClient("busy: no room for a large value")
+		return false
+	}
+	c.reader.reservedBytes += reserved
+	return true
+}
+
+// releaseReservation returns the reservation of the reader's buffer to the budget.
+func (c *connection) releaseReservation() {
+	c.server.budget.Release(c.reader.reservedBytes)
+	c.reader.reservedBytes = 0
+}
--- a/internal/frontend/benchmark_test.go
+++ b/internal/frontend/benchmark_test.go
@@ -15,8 +15,9 @@
 	"fawnplank/policy"
 )
 
-// BenchmarkFront_Request measures one request from a client's connection through the decisions to a backend on loopback
-// in the same process, and its answer's way back. The allocations are the whole process's; the stand-in makes none.
+// BenchmarkFront_Request measures one request from a client's connection through the decisions to a backend
+// on loopback in the same process, and its answer's way back. The allocations are the whole process's; the
+// stand-in makes none.
 func BenchmarkFront_Request(b *testing.B) {
 	f := dispatch.New()
 	pool := backend.New(50, 200*time.Millisecond, 10*time.Second, f.HandleHealthCheck)
--- a/internal/frontend/crossings_test.go
+++ b/internal/frontend/crossings_test.go
@@ -13,19 +13,19 @@
 	"fawnplank/policy"
 )
 
-// Tests of what may come between two lines: each holds one side still by a lock, a full line or a backend that does not
-// answer, until the other has done what must cross it.
+// Tests of what may come between two lines: each holds one side still by a lock, a full line or a backend
+// that does not answer, until the other has done what must cross it.
 
 const served = "*3\r\n$2\r\nok\r\n$-1\r\n$-1\r\n"
 
 // only is the one client that the server has.
-func (h *house) only() (c *client) {
+func (h *house) only() (c *connection) {
 	h.until("one connection", func() bool {
 		h.server.mu.Lock()
 		defer h.server.mu.Unlock()
-		for c = range h.server.clients {
+		for c = range h.server.connections {
 		}
-		return len(h.server.clients) == 1
+		return len(h.server.connections) == 1
 	})
 	return c
 }
@@ -39,12 +39,12 @@
 	}
 }
 
-// Failure: a request that had been read when the door closed its connection was neither taken nor answered: the client
-// could not know that it had never been sent on. Whatever has been read is answered first.
+// Failure: a request that had been read when the door closed its connection was neither taken nor answered:
+// the client could not know that it had never been sent on. Whatever has been read is answered first.
 func TestARequestReadBeforeTheCloseIsAnswered(t *testing.T) {
-	for name, end := range map[string]func(h *house, c *client){
-		"room":     func(_ *house, c *client) { c.closeResting() },
-		"shutdown": func(_ *house, c *client) { c.last.Store(true); c.endResting() },
+	for name, end := range map[string]func(h *house, c *connection){
+		"room":     func(_ *house, c *connection) { c.closeIfIdle() },
+		"shutdown": func(_ *house, c *connection) { c.draining.Store(true); c.shutDownIfIdle() },
 	} {
 		t.Run(name, func(t *testing.T) {
 			h := open(t, 10, nil)
@@ -53,9 +53,9 @@
 			h.server.mu.Lock() // its reader reads the request, and comes no further
 			io.WriteString(conn, query("1", lookup))
 			h.until("the request is read", func() bool {
-				c.reading.Lock()
-				defer c.reading.Unlock()
-				return c.busy
+				c.inputMu.Lock()
+				defer c.inputMu.Unlock()
+				return c.input == inputUnhandled
 			})
 			end(h, c)
 			h.server.mu.Unlock()
@@ -65,8 +65,8 @@
 	}
 }
 
-// A request that comes once the connection is to end is not read, and not sent on. Failure: the close over it reset the
-// connection, and an answer still on its way is lost to that; the client has time to take it.
+// A request that comes once the connection is to end is not read, and not sent on. Failure: the close over it
+// reset the connection, and an answer still on its way is lost to that; the client has time to take it.
 func TestARequestAfterTheShutdownIsNotRead(t *testing.T) {
 	h := open(t, 10, nil)
 	conn, r := h.dial()
@@ -78,12 +78,12 @@
 	h.until("the PING is read", func() bool {
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		c.reading.Lock()
-		defer c.reading.Unlock()
-		return len(c.line) == 2 && !c.busy
+		c.inputMu.Lock()
+		defer c.inputMu.Unlock()
+		return len(c.pending) == 2 && c.input != inputUnhandled
 	})
 	io.WriteString(conn, query("2", lookup))
-	h.until("it is there", func() bool { return c.nc.Waiting() > 0 })
+	h.until("it is there", func() bool { return c.conn.Waiting() > 0 })
 	shot.answer(served)
 	h.expect(r, "$2\r\nok\r\n+PONG\r\n")
 	if _, err := r.ReadByte(); err != io.EOF {
@@ -95,8 +95,8 @@
 	}
 }
 
-// Failure: a client that sent on and on had its requests taken up to the process's end, where some were lost. Once the
-// connection is to end no more is read, and it ends when what was taken is answered.
+// Failure: a client that sent on and on had its requests taken up to the process's end, where some were lost.
+// Once the connection is to end no more is read, and it ends when what was taken is answered.
 func TestAClientWhoSendsOnIsEnded(t *testing.T) {
 	h := open(t, 10, func(c heard) {
 		time.Sleep(30 * time.Millisecond) // longer than the pause between two requests: one is always open
@@ -174,20 +174,21 @@
 	h.until("it ends", func() bool { return h.server.Connections() == 0 })
 }
 
-// Failure: a client that had gone was not noticed while its connection's reader waited: for room in its line, for the
-// pause after faults, for memory, or for the answers before an error. What it had open was sent on, again and again. Now it has
-// gone at once, whatever bytes nobody has read, and the next attempt is not begun.
+// Failure: a client that had gone was not noticed while its connection's reader waited: for room in its line,
+// for the pause after faults, for memory, or for the answers before an error. What it had open was sent on,
+// again and again. Now it has gone at once, whatever bytes nobody has read, and the next attempt is not
+// begun.
 func TestAClientWhoGoesWhileTheReaderWaits(t *testing.T) {
 	for name, x := range map[string]struct {
 		behind string // the first request
-		waits  func(c *client) bool
+		waits  func(c *connection) bool
 	}{
-		"line": {strings.Repeat(words("PING"), 3*mostUnanswered), func(c *client) bool { return len(c.line) == mostUnanswered }},
+		"line": {strings.Repeat(words("PING"), 3*maxPendingCommands), func(c *connection) bool { return len(c.pending) == maxPendingCommands }},
 		"faults": {strings.Repeat("*1\r\n$4\r\nNONE\r\n", 30) + words("PING"),
-			func(c *client) bool { return len(c.line) > 8 }},
+			func(c *connection) bool { return len(c.pending) > 8 }},
 		"memory": {"*5\r\n$9\r\nSVC.QUERY\r\n$16\r\n00000000b4d65521\r\n$1\r\n2\r\n$3\r\nd=1\r\n$200000\r\n" + strings.Repeat("x", 150000),
 			nil},
-		"error": {"*x\r\n" + words("PING"), func(c *client) bool { return len(c.line) == 2 }},
+		"error": {"*x\r\n" + words("PING"), func(c *connection) bool { return len(c.pending) == 2 }},
 	} {
 		t.Run(name, func(t *testing.T) {
 			h := open(t, 10, nil, func(s *Server) { s.budget = membudget.New(1) }) // none for a large command
@@ -203,7 +204,7 @@
 					return x.waits(c)
 				})
 			} else {
-				h.until("the reader waits", func() bool { return c.nc.Waiting() > 0 })
+				h.until("the reader waits", func() bool { return c.conn.Waiting() > 0 })
 			}
 			left := time.Now()
 			conn.Close()
@@ -250,8 +251,8 @@
 }
 func (takenBook) RecordUsage(string, string, time.Time, float64) {}
 
-// Failure: where all connections had something open when one more came, it waited until one of them ended, also once all
-// had come to rest: clients who keep theirs locked all others out for good.
+// Failure: where all connections had something open when one more came, it waited until one of them ended,
+// also once all had come to rest: clients who keep theirs locked all others out for good.
 func TestConnectionsThatComeToRestMakeRoom(t *testing.T) {
 	h := open(t, 2, nil)
 	var kept [2]*bufio.Reader
@@ -264,7 +265,7 @@
 	}
 	third, r := h.dial()
 	io.WriteString(third, words("PING"))
-	h.until("it is waited for room", func() bool { return h.server.wanted.Load() })
+	h.until("it is waited for room", func() bool { return h.server.capacityWanted.Load() })
 	time.Sleep(20 * time.Millisecond) // and looked for in vain
 	for n := range kept {
 		shots[n].answer(served)
--- a/internal/frontend/frontend_test.go
+++ b/internal/frontend/frontend_test.go
@@ -50,8 +50,8 @@
 		Idempotency: policy.NonIdempotent}},
 	Plans: []policy.PlanSettings{{}, {ConcurrencyLimit: 1}}}
 
-// open builds a house; for each command that a backend hears, it sends on heard, or calls hear where given. set changes
-// the server before it serves.
+// open builds a house; for each command that a backend hears, it sends on heard, or calls hear where given.
+// set changes the server before it serves.
 func open(t *testing.T, most int, hear func(heard), set ...func(*Server)) *house {
 	h := &house{t: t, facade: dispatch.New(), heard: make(chan heard, 100), ended: map[net.Conn]bool{}}
 	if hear == nil {
@@ -62,7 +62,7 @@
 	start := &config.Config{Settings: terms, Classes: map[string]policy.ClassID{"lookup": 0, "pay": 1},
 		Plans: map[string]policy.PlanID{"team": 0, "one": 1}, MaxUnits: 8}
 	h.server = New(Options{Dispatcher: h.facade, Pool: h.pool, Config: start, MaxConnections: most})
-	h.server.roomy = most
+	h.server.evictionThreshold = most
 	for _, change := range set {
 		change(h.server)
 	}
@@ -228,21 +228,21 @@
 	c, r := h.dial()
 	io.WriteString(c, query("1", lookup))
 	shot := h.next()
-	const many = 3 * mostUnanswered
+	const many = 3 * maxPendingCommands
 	go io.WriteString(c, strings.Repeat(words("PING"), many))
 	for until := time.Now().Add(2 * time.Second); ; time.Sleep(time.Millisecond) {
 		h.server.mu.Lock()
 		held := 0
-		for c := range h.server.clients {
+		for c := range h.server.connections {
 			c.mu.Lock()
-			held = len(c.line)
+			held = len(c.pending)
 			c.mu.Unlock()
 		}
 		h.server.mu.Unlock()
-		if held > mostUnanswered {
+		if held > maxPendingCommands {
 			t.Fatalf("%d commands are held", held)
 		}
-		if held == mostUnanswered {
+		if held == maxPendingCommands {
 			break
 		}
 		if time.Now().After(until) {
@@ -260,12 +260,12 @@
 	for h.server.Connections() == 0 {
 		time.Sleep(time.Millisecond)
 	}
-	var c *client
+	var c *connection
 	h.server.mu.Lock()
-	for c = range h.server.clients {
+	for c = range h.server.connections {
 	}
 	h.server.mu.Unlock()
-	if !c.closeResting() {
+	if !c.closeIfIdle() {
 		t.Error("not closed")
 	}
 	raw := []byte(query("1", lookup))
@@ -273,7 +273,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c.command(raw, args)
+	c.handleCommand(raw, args)
 	if _, err := r.ReadByte(); err != io.EOF {
 		t.Errorf("%v", err)
 	}
@@ -379,8 +379,8 @@
 	h.expect(s, "$2\r\nok\r\n")
 	h.server.mu.Lock()
 	defer h.server.mu.Unlock()
-	if len(h.server.ids) > 0 {
-		t.Errorf("%d ids are kept", len(h.server.ids))
+	if len(h.server.requestIDs) > 0 {
+		t.Errorf("%d ids are kept", len(h.server.requestIDs))
 	}
 }
 
@@ -397,10 +397,10 @@
 	start := time.Now()
 	h.line(silent, "-ERR .+")
 	h.line(s, "-ERR .+")
-	if took := time.Since(start); took < patience-100*time.Millisecond || took > patience+700*time.Millisecond {
+	if took := time.Since(start); took < commandTimeout-100*time.Millisecond || took > commandTimeout+700*time.Millisecond {
 		t.Errorf("turned away after %v", took)
 	}
-	time.Sleep(2 * sweep)
+	time.Sleep(2 * sweepInterval)
 	io.WriteString(usual, words("PING"))
 	h.line(r, `\+PONG`)
 }
@@ -492,14 +492,14 @@
 	h.line(r, `\+PONG`)
 	for range 12 {
 		h.dial()
-		time.Sleep(fresh / 4)
+		time.Sleep(newConnectionGrace / 4)
 	}
 	io.WriteString(usual, words("PING"))
 	h.line(r, `\+PONG`)
 }
 
-// Failure: backends that forget a connection at rest, without a word before the next shot, had shot upon shot on
-// such connections.
+// Failure: backends that forget a connection at rest, without a word before the next shot, had shot upon shot
+// on such connections.
 func TestForgottenConnectionsAreNotUsedForLong(t *testing.T) {
 	var mu sync.Mutex
 	answered, forgotten := map[net.Conn]bool{}, 0
@@ -531,7 +531,7 @@
 func TestQuietConnectionsLeaveClientsRoomForNewOnes(t *testing.T) {
 	h := open(t, 20, nil)
 	h.server.mu.Lock()
-	h.server.roomy = New(Options{Config: &config.Config{MaxSockets: 12}, MaxConnections: 20}).roomy
+	h.server.evictionThreshold = New(Options{Config: &config.Config{MaxSockets: 12}, MaxConnections: 20}).evictionThreshold
 	h.server.mu.Unlock()
 	busy, r := h.dial()
 	io.WriteString(busy, query("1", lookup))
@@ -548,7 +548,7 @@
 	for range 5 { // those that say nothing do not count
 		h.dial()
 	}
-	time.Sleep(fresh / 2)
+	time.Sleep(newConnectionGrace / 2)
 	for n := range 2 { // those in use are not bounded by that
 		c, _ := h.dial()
 		io.WriteString(c, query(strconv.Itoa(2+n), lookup))
@@ -664,7 +664,7 @@
 	if _, err := ir.ReadByte(); err != io.EOF {
 		t.Errorf("an idle connection of a drained door: %v", err)
 	}
-	if took := time.Since(began); took < settle || took > settle+time.Second {
+	if took := time.Since(began); took < drainDelay || took > drainDelay+time.Second {
 		t.Errorf("the idle connection was closed after %v", took)
 	}
 	if _, err := r.ReadByte(); err != io.EOF {
@@ -675,7 +675,7 @@
 	fresh, fr := h.dial()
 	io.WriteString(fresh, words("PING"))
 	h.line(fr, `\+PONG`)
-	time.Sleep(settle + 2*sweep)
+	time.Sleep(drainDelay + 2*sweepInterval)
 	io.WriteString(fresh, words("PING"))
 	h.line(fr, `\+PONG`)
 }
@@ -705,7 +705,7 @@
 	report := "c=report,t=team,d=900"
 	io.WriteString(c, query("1", report))
 	h.line(r, `-ERR .*`)
-	fresh := *h.server.start.Load()
+	fresh := *h.server.config.Load()
 	fresh.Settings.Classes = append(append([]policy.ClassSettings(nil), terms.Classes...),
 		policy.ClassSettings{LatencyObjective: 1e9, Deadline: 2e9})
 	fresh.Classes = map[string]policy.ClassID{"lookup": 0, "report": 2}
@@ -718,8 +718,8 @@
 	h.line(r, `-ERR .*`)
 }
 
-// A 4 MiB value that comes in pieces cut anywhere, over longer than a command may take at one go, passes whole
-// both ways, two at once within their room, and all room is given back.
+// A 4 MiB value that comes in pieces cut anywhere, over longer than a command may take at one go, passes
+// whole both ways, two at once within their room, and all room is given back.
 func TestLargeValuesInPieces(t *testing.T) {
 	const most = 10 << 20 // two large commands at a time
 	h := open(t, 10, func(c heard) {
@@ -762,8 +762,8 @@
 }
 
 // Failure: a shot given up while its long answer was still coming closed the connection under the backend,
-// which the operators count as a lost request. The rest is read, and the connection ends after it; that the door ends its
-// own sending there, as the protocol asks of who gives up, cuts nothing off.
+// which the operators count as a lost request. The rest is read, and the connection ends after it; that the
+// door ends its own sending there, as the protocol asks of who gives up, cuts nothing off.
 func TestLongAnswerIsNotCutOff(t *testing.T) {
 	var h *house
 	cut, kept := make(chan error, 1), make(chan bool, 1)
@@ -805,13 +805,13 @@
 	}
 }
 
-// A client that reads a 4 MiB answer slowly gets it whole. (The failure it stands for, one deadline for all of a
-// 3.4 MB answer, does not show here: loopback's send buffer takes all but a few hundred KB at once.)
+// A client that reads a 4 MiB answer slowly gets it whole. (The failure it stands for, one deadline for all
+// of a 3.4 MB answer, does not show here: loopback's send buffer takes all but a few hundred KB at once.)
 func TestSlowReaderGetsALargeAnswerWhole(t *testing.T) {
 	value := strings.Repeat("v", 4<<20)
 	h := open(t, 10, func(c heard) {
 		c.answer("*3\r\n$" + strconv.Itoa(len(value)) + "\r\n" + value + "\r\n$-1\r\n$-1\r\n")
-	}, func(s *Server) { s.slowest = 2500 * time.Millisecond }) // less than the answer takes, more than the kernel waits a piece
+	}, func(s *Server) { s.writeTimeout = 2500 * time.Millisecond }) // less than the answer takes, more than the kernel waits a piece
 	c, r := h.dial()
 	c.(*net.TCPConn).SetReadBuffer(16 << 10) // so that the kernel's buffers do not take all of it at once
 	c.SetDeadline(time.Now().Add(20 * time.Second))
--- /dev/null
+++ b/internal/frontend/parser.go
@@ -0,0 +1,207 @@
+package frontend
+
+import (
+	"bytes"
+	"errors"
+	"fmt"
+	"math"
+	"strconv"
+	"strings"
+	"time"
+
+	"fawnplank/internal/config"
+	"fawnplank/policy"
+)
+
+// Bounds of the head of a request.
+const (
+	minRequestWords = 4 // command, tenant, id, fields
+	maxRequestWords = 5 // and a body
+	tenantDigits    = 16
+	tenantBits      = 33 // the protocol's tenants are below 2^33
+	maxIDBytes      = 64
+	maxNumberBytes  = 20 // as many digits as 64 bits have
+)
+
+// The errors of a head, as they leave on the wire.
+var (
+	errWordCount       = errors.New("wrong number of arguments")
+	errTenant          = errors.New("customer is no number of 16 hexadecimal digits below 2^33")
+	errRequestID       = errors.New("id is missing or cannot be read")
+	errClassMissing    = errors.New("class is missing")
+	errPlanMissing     = errors.New("plan is missing")
+	errDeadlineMissing = errors.New("d is missing")
+)
+
+// requestHead is the head of a request. Its slices are parts of the command that it was parsed from.
+type requestHead struct {
+	config     *config.Config // by which it was parsed
+	tenantText []byte
+	tenant     policy.TenantID
+	id         []byte
+	fields     []byte // the list of names and values
+	class      policy.ClassID
+	hasClass   bool
+	plan       policy.PlanID
+	planName   []byte // nil: no plan was named
+	remaining  time.Duration
+	// remainingText is the text of remaining among the fields; nil: none was given.
+	remainingText []byte
+	units         float64
+	spread        int // number of instances that the tenant's requests are spread over
+	firstInstance int // index of the first of them
+}
+
+// parse parses the words of a request. Where it fails the class is set if it was read before.
+func (h *requestHead) parse(words [][]byte) error {
+	if len(words) < minRequestWords || len(words) > maxRequestWords {
+		return errWordCount
+	}
+	if err := h.parseTenant(words[1]); err != nil {
+		return err
+	}
+	h.id = words[2]
+	if len(h.id) == 0 || len(h.id) > maxIDBytes || bytes.ContainsFunc(h.id, isUnprintable) {
+		return errRequestID
+	}
+	h.fields = words[3]
+	if err := h.parseFields(); err != nil {
+		return err
+	}
+	switch {
+	case !h.hasClass:
+		return errClassMissing
+	case h.planName == nil:
+		return errPlanMissing
+	case h.remainingText == nil:
+		return errDeadlineMissing
+	}
+	return nil
+}
+
+func isUnprintable(r rune) bool { return r <= ' ' || r > '~' }
+
+func (h *requestHead) parseTenant(text []byte) error {
+	tenant, err := strconv.ParseUint(string(text), 16, 64)
+	if err != nil || len(text) != tenantDigits || tenant >= 1<<tenantBits {
+		return errTenant
+	}
+	h.tenantText = text
+	h.tenant = policy.TenantID(tenant)
+	return nil
+}
+
+// fieldResult is what became of one field.
+type fieldResult uint8
+
+const (
+	fieldSet     fieldResult = iota
+	fieldInvalid             // its value has no meaning
+	fieldUnknown             // it is passed on with the rest
+)
+
+func (f fieldResult) String() string {
+	names := [...]string{fieldSet: "set", fieldInvalid: "invalid", fieldUnknown: "unknown"}
+	if int(f) < len(names) {
+		return names[f]
+	}
+	return fmt.Sprintf("fieldResult(%d)", uint8(f))
+}
+
+// parseFields parses the names and values, each name once. A name counts as repeated where one before it ends
+// in it, so t behind first and d behind spread are refused too.
+func (h *requestHead) parseFields() error {
+	h.units = 1
+	h.spread = 1
+	seen := ""
+	for rest, more := h.fields, true; more; {
+		var field []byte
+		field, rest, more = bytes.Cut(rest, []byte(","))
+		name, value, found := bytes.Cut(field, []byte("="))
+		if !found {
+			return fmt.Errorf("%.40q has no value", field)
+		}
+		result := h.setField(name, value)
+		if result == fieldUnknown {
+			continue
+		}
+		if result == fieldInvalid || strings.Contains(seen, string(name)+",") {
+			return fmt.Errorf("%s has no meaning as %.40q", name, value)
+		}
+		seen += string(name) + ","
+	}
+	return nil
+}
+
+// setField sets what a field names.
+func (h *requestHead) setField(name, value []byte) fieldResult {
+	valid := false
+	switch string(name) {
+	case "c":
+		valid = h.setClass(value)
+	case "t":
+		valid = h.setPlan(value)
+	case "d":
+		valid = h.setRemaining(value)
+	case "units":
+		h.units, valid = parseNumber(value)
+		valid = valid && h.units > 0 && h.units <= h.config.MaxUnits
+	case "spread":
+		h.spread, valid = parseInteger(value, 1, h.instances())
+	case "first":
+		h.firstInstance, valid = parseInteger(value, 0, h.instances()-1)
+	default:
+		return fieldUnknown
+	}
+	if !valid {
+		return fieldInvalid
+	}
+	return fieldSet
+}
+
+func (h *requestHead) instances() int { return max(h.config.Settings.Instances, 1) }
+
+// setClass leaves the class alone where the name is unknown, or that of a class that is only checked: that
+// one is for the limit commands, and nothing would be sent.
+func (h *requestHead) setClass(name []byte) bool {
+	class, known := h.config.Classes[string(name)]
+	if !known || h.config.Settings.Classes[class].CheckOnly {
+		return false
+	}
+	h.class = class
+	h.hasClass = true
+	return true
+}
+
+func (h *requestHead) setPlan(name []byte) bool {
+	plan, known := h.config.Plans[string(name)]
+	h.plan = plan
+	h.planName = name
+	return known
+}
+
+func (h *requestHead) setRemaining(milliseconds []byte) bool {
+	number, valid := parseNumber(milliseconds)
+	h.remaining = time.Duration(config.Nanoseconds(number))
+	h.remainingText = milliseconds
+	return valid
+}
+
+// parseInteger parses an integer from least to most.
+func parseInteger(text []byte, least, most int) (int, bool) {
+	number, valid := parseNumber(text)
+	valid = valid && number >= float64(least) && number <= float64(most) && number == math.Trunc(number)
+	if !valid {
+		return 0, false
+	}
+	return int(number), true
+}
+
+// parseNumber parses digits with a point or none: no sign, exponent, or word for what is no number.
+func parseNumber(text []byte) (float64, bool) {
+	if len(text) == 0 || len(text) > maxNumberBytes || len(bytes.Trim(text, "0123456789.")) > 0 {
+		return 0, false
+	}
+	number, err := strconv.ParseFloat(string(text), 64)
+	return number, err == nil
+}
--- /dev/null
+++ b/internal/frontend/request.go
@@ -0,0 +1,209 @@
+package frontend
+
+import (
+	"bytes"
+	"errors"
+	"fmt"
+	"runtime/debug"
+	"strconv"
+	"strings"
+	"time"
+	"unicode"
+
+	"fawnplank/internal/dispatch"
+	"fawnplank/internal/logging"
+	"fawnplank/internal/metrics"
+	"fawnplank/policy"
+)
+
+// errRequestIDInUse leaves on the wire.
+var errRequestIDInUse = errors.New("id is that of an open transaction")
+
+// span is a part of a command, from its first byte to behind its last.
+type span struct{ begin, end int }
+
+func (s span) size() int { return s.end - s.begin }
+
+// spanOf finds part, which is a slice of raw with the same end of capacity.
+func spanOf(raw, part []byte) span {
+	begin := cap(raw) - cap(part)
+	return span{begin: begin, end: begin + len(part)}
+}
+
+// pendingCommand is a command without a response yet. Those that need no request are answered at once.
+type pendingCommand struct {
+	connection    *connection
+	request       *dispatch.Request // nil: answered at once
+	class         policy.ClassID
+	id            string
+	raw           []byte
+	fields        span // of raw: the list of names and values
+	remaining     span // of raw: the value of d
+	response      []byte
+	reservedBytes int64           // of the budget, for raw
+	usage         *usageOfRequest // nil: usage is not recorded
+}
+
+// usageOfRequest is what the usage of a request is recorded by: as it was when the request was received,
+// whatever changes until it is answered.
+type usageOfRequest struct {
+	tenant     string
+	plan       string
+	receivedAt time.Time
+	units      float64
+}
+
+// handleCommand starts a command.
+func (c *connection) handleCommand(raw []byte, words [][]byte) {
+	if bytes.ContainsFunc(words[0], unicode.IsLower) { // rare, and it allocates
+		words[0] = bytes.ToUpper(words[0])
+	}
+	switch string(words[0]) {
+	case "SVC.QUERY", "SVC.SUBMIT":
+		c.handleRequest(raw, words)
+	case "PING":
+		if c.server.Draining() {
+			c.respondLine("-ERR draining")
+		} else {
+			c.respondLine("+PONG")
+		}
+	case "CLIENT", "SELECT":
+		c.respondLine("+OK")
+	default:
+		c.respondInvalid(fmt.Sprintf("unknown command %.40q", words[0]))
+	}
+}
+
+// handleRequest parses and submits a request, or answers it with an error.
+func (c *connection) handleRequest(raw []byte, words [][]byte) {
+	head := requestHead{config: c.server.config.Load()}
+	err := head.parse(words)
+	if err == nil {
+		err = c.submit(&head, raw)
+	}
+	if err == nil {
+		return
+	}
+	if head.hasClass {
+		c.server.metrics.RequestEnded(head.class, metrics.Error)
+	}
+	c.respondInvalid(err.Error())
+}
+
+// submit makes a request pending and submits it to the dispatcher. Where the connection ends meanwhile it is
+// neither, which is no error: nobody waits for a response.
+func (c *connection) submit(head *requestHead, raw []byte) error {
+	p := &pendingCommand{
+		connection: c, class: head.class, id: string(head.id), raw: raw,
+		fields: spanOf(raw, head.fields), remaining: spanOf(raw, head.remainingText),
+	}
+	if !c.server.claimRequestID(p.id) {
+		return errRequestIDInUse
+	}
+	if !c.enqueue(p) {
+		c.server.releaseRequestID(p.id)
+		return nil
+	}
+	c.handOver(p)
+	plan := p.noteUsage(head)
+	c.server.metrics.RequestReceived()
+	p.request = c.server.dispatcher.Submit(head.class, plan, head.tenant,
+		head.remaining, head.units, head.spread, head.firstInstance)
+	go p.run()
+	return nil
+}
+
+// handOver gives the command bytes of its own, since the buffer goes on to the next command. With a large one
+// goes the buffer itself, and the reader starts a new one.
+func (c *connection) handOver(p *pendingCommand) {
+	if len(p.raw) <= maxUnreservedBytes {
+		p.raw = bytes.Clone(p.raw)
+		return
+	}
+	p.reservedBytes = c.reader.reservedBytes
+	c.reader.reservedBytes = 0
+	c.reader.bufferHandedOver = true
+}
+
+// noteUsage notes what the usage of the request is recorded by, where usage is recorded, and returns the plan
+// that the request is submitted under.
+func (p *pendingCommand) noteUsage(head *requestHead) policy.PlanID {
+	recorder := p.connection.server.usage
+	if recorder == nil {
+		return head.plan
+	}
+	p.usage = &usageOfRequest{
+		tenant: strings.ToLower(string(head.tenantText)), plan: string(head.planName),
+		receivedAt: time.Now(), units: head.units,
+	}
+	current, moved := recorder.TenantPlan(p.usage.tenant)
+	if !moved {
+		return head.plan
+	}
+	plan, known := head.config.Plans[current]
+	if !known { // this instance's settings lack it: the one that the request names holds
+		return head.plan
+	}
+	p.usage.plan = current
+	return plan
+}
+
+// run carries out the steps of a request up to its response.
+func (p *pendingCommand) run() {
+	defer p.recoverPanic()
+	for {
+		step := p.request.NextStep()
+		if step.Action != dispatch.Send {
+			p.conclude(step)
+			return
+		}
+		p.connection.server.pool.Send(step.Attempt, p.rewritten(step.Attempt.Remaining()))
+	}
+}
+
+// recoverPanic answers a request whose goroutine panicked with an error, so that the process and the order of
+// responses go on.
+func (p *pendingCommand) recoverPanic() {
+	x := recover()
+	if x == nil {
+		return
+	}
+	logging.Panicked(logComponent, fmt.Sprintf("request %s: %v", p.id, x), debug.Stack())
+	p.request.HandleClientGone()
+	p.connection.server.metrics.RequestEnded(p.class, metrics.Error)
+	p.connection.complete(p, []byte("-ERR internal fault\r\n"))
+}
+
+// conclude answers a request as its last step says, and counts it.
+func (p *pendingCommand) conclude(step dispatch.Step) {
+	c, s := p.connection, p.connection.server
+	switch step.Action {
+	case dispatch.Respond:
+		s.metrics.RequestEnded(p.class, metrics.Success)
+		if p.usage != nil {
+			s.usage.RecordUsage(p.usage.tenant, p.usage.plan, p.usage.receivedAt, p.usage.units)
+		}
+		c.complete(p, step.Response)
+	case dispatch.Reject:
+		s.metrics.RequestEnded(p.class, metrics.Overload)
+		c.complete(p, busyResponse(step.RetryAfter))
+	case dispatch.Abort:
+		s.metrics.RequestEnded(p.class, metrics.Error)
+		c.complete(p, []byte("-ERR failed\r\n"))
+	default: // the client has gone
+		c.complete(p, nil)
+	}
+}
+
+// rewritten is the command with remaining as the value of d, as long as the attempt will be waited for, in
+// pieces that are written one behind another.
+func (p *pendingCommand) rewritten(remaining time.Duration) [][]byte {
+	milliseconds := max(int64(remaining/time.Millisecond), 1)
+	value := strconv.AppendInt(make([]byte, 0, 24), milliseconds, 10)
+	fieldsSize := p.fields.size() + len(value) - p.remaining.size()
+	sizeLine := append(strconv.AppendInt(make([]byte, 0, 24), int64(fieldsSize), 10), "\r\n"...)
+	// The line with the size of the fields ends two bytes before them, and begins at its dollar.
+	dollar := bytes.LastIndexByte(p.raw[:p.fields.begin], '$')
+	before, after := p.raw[p.fields.begin:p.remaining.begin], p.raw[p.remaining.end:]
+	return [][]byte{p.raw[:dollar+1], sizeLine, before, value, after}
+}
--- /dev/null
+++ b/internal/frontend/responses.go
@@ -0,0 +1,102 @@
+package frontend
+
+import (
+	"strconv"
+	"time"
+)
+
+const (
+	// writePiece is how much of a response is written with one deadline. A large one goes in pieces, each
+	// with the deadline renewed: a client that takes a 4 MiB response slowly but steadily is not cut off, one
+	// that takes nothing is, after writeTimeout.
+	writePiece = 256 << 10
+	// writeDeadlineRenewals is how often within writeTimeout the deadline is renewed: one a write is
+	// expensive.
+	writeDeadlineRenewals = 5
+)
+
+// respondLine answers a command that needs no more than a line.
+func (c *connection) respondLine(text string) {
+	p := &pendingCommand{connection: c}
+	if c.enqueue(p) {
+		c.complete(p, []byte(text+"\r\n"))
+	}
+}
+
+// respondInvalid answers a command that is not in order.
+func (c *connection) respondInvalid(text string) {
+	c.reader.invalidCommands++
+	c.respondLine("-ERR " + text)
+}
+
+// busyResponse is the response of a request that is rejected, with the time after which a retry makes sense,
+// if one is known.
+func busyResponse(retryAfterNanos int64) []byte {
+	response := []byte("-BUSY")
+	if retryAfterNanos > 0 {
+		roundedUp := (retryAfterNanos + int64(time.Millisecond) - 1) / int64(time.Millisecond)
+		response = strconv.AppendInt(append(response, ' '), roundedUp, 10)
+	}
+	return append(response, "\r\n"...)
+}
+
+// complete sets the response of a command, nil for none, and writes all responses that may go out in their
+// order.
+func (c *connection) complete(p *pendingCommand, response []byte) {
+	if p.request != nil {
+		c.server.releaseRequestID(p.id)
+		c.server.metrics.RequestClosed()
+		c.server.budget.Release(p.reservedBytes)
+	}
+	defer c.server.signalCapacity() // with mu released
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if response == nil {
+		response = []byte{} // completed, unlike nil
+	}
+	p.response = response
+	c.writeCompleted()
+	if len(c.pending) == 0 {
+		c.pending = nil
+		c.idleSince = time.Now()
+		if c.draining.Load() {
+			c.shutDown()
+		}
+	}
+	c.pendingFewer.Broadcast()
+}
+
+// writeCompleted writes the responses up to the first command that has none yet. The caller holds mu.
+func (c *connection) writeCompleted() {
+	for len(c.pending) > 0 && c.pending[0].response != nil {
+		first := c.pending[0]
+		c.pending = c.pending[1:]
+		c.pendingBytes -= len(first.raw)
+		if !c.peer.gone() {
+			c.write(first.response)
+		}
+	}
+}
+
+// write writes a response, or closes the connection where that fails. The caller holds mu.
+func (c *connection) write(response []byte) {
+	for len(response) > 0 {
+		c.renewWriteDeadline()
+		piece := response[:min(len(response), writePiece)]
+		if _, err := c.conn.Write(piece); err != nil {
+			c.close()
+			return
+		}
+		response = response[len(piece):]
+	}
+}
+
+func (c *connection) renewWriteDeadline() {
+	now := time.Now()
+	if now.Sub(c.writeDeadlineRenewedAt) <= c.server.writeTimeout/writeDeadlineRenewals {
+		return
+	}
+	c.writeDeadlineRenewedAt = now
+	// It fails only on a closed connection, on which the write fails too.
+	_ = c.conn.SetWriteDeadline(now.Add(c.server.writeTimeout))
+}
--- /dev/null
+++ b/internal/frontend/shutdown.go
@@ -0,0 +1,50 @@
+package frontend
+
+import "time"
+
+// drainDelay is how long a draining server goes on serving its connections before it closes them as they
+// become idle: the load balancer asks ten times a second and stops new connections 0.2 s after a no, which it
+// has received by then. All are closed before 4 s, when the load balancer takes one that is still open for a
+// lost one.
+const drainDelay = time.Second
+
+// Drain begins a drain: PING is answered with an error at once, and after drainDelay connections are closed
+// between requests. A further call changes nothing: the drain goes on from its first.
+func (s *Server) Drain() { s.drainingSinceNanos.CompareAndSwap(0, time.Now().UnixNano()) }
+
+// Resume ends a drain: PING is answered with PONG, and connections that are not closed yet stay open.
+func (s *Server) Resume() {
+	if s.drainingSinceNanos.Swap(0) == 0 || s.closing.Load() {
+		return
+	}
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for c := range s.connections {
+		c.draining.Store(false)
+	}
+}
+
+// Draining reports whether a drain is under way.
+func (s *Server) Draining() bool { return s.drainingSinceNanos.Load() != 0 }
+
+// Close ends the connections that have nothing pending; the others end after their responses. It does not
+// wait, and may be called again for connections that were accepted meanwhile.
+func (s *Server) Close() {
+	s.closing.Store(true)
+	s.closeConnections()
+}
+
+func (s *Server) closeConnections() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	now := time.Now()
+	for c := range s.connections {
+		c.draining.Store(true)
+		// What has come, or is about to on a new connection, is accepted and answered first.
+		if c.isNew(now) {
+			c.setReadDeadline(c.acceptedAt.Add(newConnectionGrace))
+		} else if c.conn.Waiting() <= 0 {
+			c.shutDownIfIdle()
+		}
+	}
+}
--- a/internal/resp/resp_test.go
+++ b/internal/resp/resp_test.go
@@ -14,7 +14,7 @@
 // Whole commands are read as redcon reads them, and cut short they ask for more.
 func TestCommandsAreReadAsByRedcon(t *testing.T) {
 	same := func(words [][]byte) bool {
-		words = append(words, []byte("x"))[:min(len(words)+1, mostWords)]
+		words = append(words, []byte("x"))[:min(len(words)+1, maxWords)]
 		text := redcon.AppendArray(nil, len(words))
 		for _, w := range words {
 			text = redcon.AppendBulk(text, w)
