--- a/internal/frontend/request.go
+++ b/internal/frontend/request.go
@@ -107,8 +107,10 @@
 	c.handOver(p)
 	plan := p.noteUsage(head)
 	c.server.metrics.RequestReceived()
-	p.request = c.server.dispatcher.Submit(head.class, plan, head.tenant,
-		head.remaining, head.units, head.spread, head.firstInstance)
+	p.request = c.server.dispatcher.Submit(dispatch.RequestSpec{
+		Class: head.class, Plan: plan, Tenant: head.tenant, Timeout: head.remaining,
+		Units: head.units, Entries: head.entries, FirstEntry: head.firstEntry,
+	})
 	go p.run()
 	return nil
 }
--- a/internal/frontend/responses.go
+++ b/internal/frontend/responses.go
@@ -31,11 +31,11 @@
 
 // busyResponse is the response of a request that is rejected, with the time after which a retry makes sense,
 // if one is known.
-func busyResponse(retryAfterNanos int64) []byte {
+func busyResponse(retryAfter time.Duration) []byte {
 	response := []byte("-BUSY")
-	if retryAfterNanos > 0 {
-		roundedUp := (retryAfterNanos + int64(time.Millisecond) - 1) / int64(time.Millisecond)
-		response = strconv.AppendInt(append(response, ' '), roundedUp, 10)
+	if retryAfter > 0 {
+		roundedUp := retryAfter + time.Millisecond - 1
+		response = strconv.AppendInt(append(response, ' '), roundedUp.Milliseconds(), 10)
 	}
 	return append(response, "\r\n"...)
 }
--- a/internal/frontend/server.go
+++ b/internal/frontend/server.go
@@ -64,7 +64,7 @@
 
 	config            atomic.Pointer[config.Config] // the names of classes and plans change at a reload
 	maxConnections    int
-	evictionThreshold int           // of validated connections: from so many on, idle ones are evicted for new ones
+	evictionThreshold int           // so many validated connections: idle ones are evicted for new ones
 	writeTimeout      time.Duration // of one piece of a response
 
 	serving            atomic.Bool
