--- /dev/null
+++ b/internal/frontend/backpressure_test.go
@@ -0,0 +1,123 @@
+package frontend
+
+import (
+	"io"
+	"net"
+	"regexp"
+	"strconv"
+	"strings"
+	"testing"
+	"time"
+)
+
+// Each pipelined command is started at once, and answered by itself in its turn.
+func TestPipeline_ResponsesInOrder(t *testing.T) {
+	h := newHarness(t, harnessOptions{})
+	c := h.dial()
+	c.send(query("1", lookupFields) + query("2", lookupFields) + words("PING") + query("3", lookupFields))
+	attempts := map[string]receivedAttempt{}
+	for range 3 {
+		attempt := h.nextAttempt()
+		attempts[regexp.MustCompile(`\$1\r\n(\d)`).FindStringSubmatch(attempt.raw)[1]] = attempt
+	}
+	attempts["2"].respond(bulkReply("2"))
+	attempts["1"].respond(bulkReply("1"))
+	c.expect("$1\r\n1\r\n$1\r\n2\r\n+PONG\r\n") // not held back for the last
+	attempts["3"].respond(bulkReply("3"))
+	c.expect("$1\r\n3\r\n")
+}
+
+// What is pending behind a request is bounded: then the connection is read no further, and nothing is lost.
+func TestPipeline_PendingCommandsBounded(t *testing.T) {
+	h := newHarness(t, harnessOptions{})
+	c, attempt := h.openRequest("1")
+	const sent = 3 * maxPendingCommands
+	c.sendInBackground(strings.Repeat(words("PING"), sent))
+	only := h.onlyConnection()
+	for until := time.Now().Add(2 * time.Second); ; time.Sleep(time.Millisecond) {
+		only.mu.Lock()
+		pending := len(only.pending)
+		only.mu.Unlock()
+		if pending > maxPendingCommands {
+			t.Fatalf("%d commands are pending", pending)
+		}
+		if pending == maxPendingCommands {
+			break
+		}
+		if time.Now().After(until) {
+			t.Fatalf("only %d commands are pending", pending)
+		}
+	}
+	attempt.respond(okReply)
+	c.expect(okResponse + strings.Repeat("+PONG\r\n", sent))
+}
+
+// A client that sends invalid commands without end is read the more slowly, while others are served.
+func TestBackpressure_InvalidCommandsReadSlowly(t *testing.T) {
+	h := newHarness(t, harnessOptions{})
+	invalid := h.dial()
+	invalid.sendInBackground(strings.Repeat(words("NONSENSE"), 3000))
+	invalid.expectLine("-ERR .+")
+	time.Sleep(300 * time.Millisecond)
+	h.dial().ping()
+	if err := invalid.conn.SetReadDeadline(time.Now()); err != nil {
+		t.Error(err)
+	}
+	rest, _ := io.ReadAll(invalid.reader) // it ends with the deadline
+	if n := strings.Count(string(rest), "\n"); n > 20 {
+		t.Errorf("%d invalid commands answered in a third of a second", n)
+	}
+}
+
+// A client that takes in nothing holds up neither new connections nor the others.
+func TestBackpressure_ClientThatDoesNotReadDelaysNobody(t *testing.T) {
+	long := bulkReply(strings.Repeat("v", 64<<10))
+	h := newHarness(t, harnessOptions{
+		server:    Options{MaxConnections: 2},
+		onAttempt: func(a receivedAttempt) { a.respond(long) },
+	})
+	stalled := h.dial()
+	go func() {
+		for n := range 400 {
+			if stalled.trySend(query(strconv.Itoa(n), lookupFields)) != nil {
+				return
+			}
+		}
+	}()
+	time.Sleep(300 * time.Millisecond)
+	for range 3 {
+		h.dial().ping()
+	}
+}
+
+// A client that reads a 4 MiB response slowly gets it whole. (The failure it stands for, one deadline for all
+// of a 3.4 MB response, does not show here: loopback's send buffer takes all but a few hundred KB at once.)
+func TestBackpressure_SlowReaderGetsLargeResponseWhole(t *testing.T) {
+	value := strings.Repeat("v", 4<<20)
+	h := newHarness(t, harnessOptions{
+		onAttempt: func(a receivedAttempt) { a.respond(bulkReply(value)) },
+		// Less than the response takes, more than the kernel waits a piece.
+		writeTimeout: 2500 * time.Millisecond,
+	})
+	c := h.dial()
+	// So that the kernel's buffers do not take all of it at once.
+	if err := c.conn.(*net.TCPConn).SetReadBuffer(16 << 10); err != nil {
+		t.Error(err)
+	}
+	c.setDeadline(20 * time.Second)
+	c.send(query("1", lookupFields))
+	want := bulkResponse(value)
+	var got []byte
+	buffer := make([]byte, 64<<10)
+	for len(got) < len(want) { // 4 MiB at about 900 KB/s
+		n, err := c.reader.Read(buffer)
+		if err != nil {
+			t.Fatalf("after %d bytes: %v", len(got), err)
+		}
+		got = append(got, buffer[:n]...)
+		time.Sleep(35 * time.Millisecond)
+	}
+	if string(got) != want {
+		t.Errorf("%d bytes, not the %d sent", len(got), len(want))
+	}
+}
--- a/internal/frontend/benchmark_test.go
+++ b/internal/frontend/benchmark_test.go
@@ -12,87 +12,135 @@
 	"fawnplank/internal/backend"
 	"fawnplank/internal/config"
 	"fawnplank/internal/dispatch"
+	"fawnplank/internal/testutil"
 	"fawnplank/policy"
 )
 
 // BenchmarkFront_Request measures one request from a client's connection through the decisions to a backend
-// on loopback in the same process, and its answer's way back. The allocations are the whole process's; the
+// on loopback in the same process, and its response's way back. The allocations are the whole process's; the
 // stand-in makes none.
 func BenchmarkFront_Request(b *testing.B) {
-	f := dispatch.New()
-	pool := backend.New(50, 200*time.Millisecond, 10*time.Second, f.HandleHealthCheck)
-	f.Start(dispatch.Config{Seed: 9, Settings: terms, HealthChecker: pool})
-	b.Cleanup(f.Stop)
-	listen := func() net.Listener {
-		l, err := net.Listen("tcp4", "127.0.0.1:0")
-		if err != nil {
-			b.Fatal(err)
+	client := newBenchmarkClient(b, startBenchmarkServer(b))
+	b.ReportAllocs()
+	rejected := 0
+	for b.Loop() {
+		for client.send() {
+			rejected++
 		}
-		b.Cleanup(func() { l.Close() })
-		return l
+		client.expectOK()
 	}
-	behind, clients := listen(), listen()
+	b.ReportMetric(float64(rejected), "rejected")
+}
+
+// startBenchmarkServer starts a server with one backend, and returns its address.
+func startBenchmarkServer(b *testing.B) string {
+	b.Helper()
+	dispatcher := dispatch.New()
+	pool := backend.New(50, 200*time.Millisecond, 10*time.Second, dispatcher.HandleHealthCheck)
+	dispatcher.Start(dispatch.Config{Seed: 9, Settings: testSettings, HealthChecker: pool})
+	b.Cleanup(dispatcher.Stop)
+	server := New(Options{
+		Dispatcher: dispatcher, Pool: pool, MaxConnections: 10,
+		Config: &config.Config{
+			Settings: testSettings, MaxUnits: 8,
+			Classes: map[string]policy.ClassID{"lookup": 0}, Plans: map[string]policy.PlanID{"team": 0},
+		},
+	})
+	listener := testutil.Listen(b)
+	go func() {
+		_ = server.Serve(listener) // it returns nil, once the listener is closed
+	}()
+	pool.SetAddress(1, startBenchmarkBackend(b))
+	ready := policy.Endpoint{Backend: 1, State: policy.EndpointReady}
+	dispatcher.UpdateEndpoints(policy.FullSnapshot, []policy.Endpoint{ready})
+	return listener.Addr().String()
+}
+
+// startBenchmarkBackend returns the address of a backend that answers each read: the one client has one
+// request out, so that what comes is one, whole.
+func startBenchmarkBackend(b *testing.B) string {
+	b.Helper()
+	listener := testutil.Listen(b)
 	go func() {
 		for {
-			c, err := behind.Accept()
+			conn, err := listener.Accept()
 			if err != nil {
 				return
 			}
-			go func() {
-				defer c.Close()
-				buf, answer := make([]byte, 4096), []byte(served)
-				for { // the one client has one request out: what comes is one, whole
-					if _, err := c.Read(buf); err != nil {
-						return
-					}
-					if _, err := c.Write(answer); err != nil {
-						return
-					}
-				}
-			}()
+			go answerReads(conn)
 		}
 	}()
-	server := New(Options{Dispatcher: f, Pool: pool, MaxConnections: 10, Config: &config.Config{Settings: terms,
-		Classes: map[string]policy.ClassID{"lookup": 0}, Plans: map[string]policy.PlanID{"team": 0}, MaxUnits: 8}})
-	go server.Serve(clients)
-	pool.SetAddress(1, behind.Addr().String())
-	f.UpdateEndpoints(policy.FullSnapshot, []policy.Endpoint{{Backend: 1, State: policy.EndpointReady}})
+	return listener.Addr().String()
+}
+
+func answerReads(conn net.Conn) {
+	defer func() {
+		_ = conn.Close() // the gateway may have closed it
+	}()
+	buffer, reply := make([]byte, 4096), []byte(okReply)
+	for {
+		if _, err := conn.Read(buffer); err != nil {
+			return
+		}
+		if _, err := conn.Write(reply); err != nil {
+			return
+		}
+	}
+}
+
+// benchmarkClient sends requests that were written before, an id not twice in a row.
+type benchmarkClient struct {
+	b        *testing.B
+	conn     net.Conn
+	reader   *bufio.Reader
+	requests [64][]byte
+	sent     int
+	response []byte
+}
 
-	c, err := net.Dial("tcp4", clients.Addr().String())
+func newBenchmarkClient(b *testing.B, address string) *benchmarkClient {
+	b.Helper()
+	var dialer net.Dialer
+	conn, err := dialer.DialContext(b.Context(), "tcp4", address)
 	if err != nil {
 		b.Fatal(err)
 	}
-	b.Cleanup(func() { c.Close() })
-	r, got := bufio.NewReader(c), make([]byte, len("$2\r\nok\r\n"))
-	var requests [64][]byte // an id is not used twice in a row
-	for n := range requests {
-		requests[n] = []byte(query(strconv.Itoa(n), lookup))
+	b.Cleanup(func() {
+		_ = conn.Close() // the server may have closed it
+	})
+	client := &benchmarkClient{
+		b: b, conn: conn, reader: bufio.NewReader(conn), response: make([]byte, len(okResponse)),
 	}
-	b.ReportAllocs()
-	n, rejected := 0, 0
-	for b.Loop() {
-		for {
-			if _, err := c.Write(requests[n%len(requests)]); err != nil {
-				b.Fatal(err)
-			}
-			n++
-			if first, err := r.Peek(1); err == nil && first[0] == '-' { // a busy machine looks like a jam: told, not timed
-				b.StopTimer()
-				line, _ := r.ReadString('\n')
-				after, err := strconv.Atoi(strings.TrimSpace(strings.TrimPrefix(line, "-BUSY")))
-				if err != nil {
-					b.Fatalf("%q", line)
-				}
-				time.Sleep(time.Duration(after) * time.Millisecond)
-				rejected++
-				b.StartTimer()
-				continue
-			}
-			break
-		}
-		if _, err := io.ReadFull(r, got); err != nil || string(got) != "$2\r\nok\r\n" {
-			b.Fatalf("%q, %v", got, err)
-		}
+	for n := range client.requests {
+		client.requests[n] = []byte(query(strconv.Itoa(n), lookupFields))
+	}
+	return client
+}
+
+// send sends a request and reports whether it was rejected: a busy machine looks like an overload. The wait
+// after it is not timed.
+func (c *benchmarkClient) send() (rejected bool) {
+	if _, err := c.conn.Write(c.requests[c.sent%len(c.requests)]); err != nil {
+		c.b.Fatal(err)
+	}
+	c.sent++
+	first, err := c.reader.Peek(1)
+	if err != nil || first[0] != '-' {
+		return false
+	}
+	c.b.StopTimer()
+	defer c.b.StartTimer()
+	line, _ := c.reader.ReadString('\n') // what is not whole is no number
+	retryAfter, err := strconv.Atoi(strings.TrimSpace(strings.TrimPrefix(line, "-BUSY")))
+	if err != nil {
+		c.b.Fatalf("%q", line)
+	}
+	time.Sleep(time.Duration(retryAfter) * time.Millisecond)
+	return true
+}
+
+func (c *benchmarkClient) expectOK() {
+	if _, err := io.ReadFull(c.reader, c.response); err != nil || string(c.response) != okResponse {
+		c.b.Fatalf("%q, %v", c.response, err)
 	}
-	b.ReportMetric(float64(rejected), "rejected")
 }
--- a/internal/frontend/connection.go
+++ b/internal/frontend/connection.go
@@ -82,7 +82,7 @@
 //	input  idle       After: bytes were read                   unhandled       the reader handles them
 //	input  unhandled  inputHandled: all whole commands are     idle            a waiting accept looks again
 //	input  idle       closeInput, with nothing pending         closed          the reader lingers and ends
-//	input  unhandled  closeInput                               unhandled       what was read is handled first
+//	input  unhandled  closeInput                               unhandled       what was read is handled
 //	peer   served     rejectClient: the error is written       rejected        evicted before all others
 //	peer   gone       rejectClient                             rejected, gone
 //	peer   served     clientGone: hung up, or the reader ends  gone            open requests are canceled
--- /dev/null
+++ b/internal/frontend/harness_test.go
@@ -0,0 +1,330 @@
+package frontend
+
+import (
+	"bufio"
+	"fmt"
+	"io"
+	"net"
+	"regexp"
+	"strings"
+	"sync"
+	"testing"
+	"time"
+
+	"github.com/tidwall/redcon"
+
+	"fawnplank/internal/backend"
+	"fawnplank/internal/config"
+	"fawnplank/internal/dispatch"
+	"fawnplank/internal/testutil"
+	"fawnplank/policy"
+)
+
+const (
+	lookupFields = "c=lookup,t=team,d=900,units=2,spread=2,first=1"
+	testTenant   = "00000000b4d65521"
+	// okReply is a backend's response, and okResponse what the client gets of it.
+	okReply    = "*3\r\n$2\r\nok\r\n$-1\r\n$-1\r\n"
+	okResponse = "$2\r\nok\r\n"
+)
+
+var testSettings = policy.Settings{
+	Instances: 2, MaxAttempts: 3, Hedging: true, Cancellation: true, RetryAfter: true, MaxRetryAfter: 1e9,
+	SlowStartShare: 0.2, SlowStartDuration: 5e9, OverloadMultiple: 2, OverloadWindow: 1e9,
+	Classes: []policy.ClassSettings{
+		{LatencyObjective: 1e9, Deadline: 2e9},
+		{LatencyObjective: 1e9, Deadline: 2e9, Idempotency: policy.NonIdempotent},
+	},
+	Plans: []policy.PlanSettings{{}, {ConcurrencyLimit: 1}},
+}
+
+// receivedAttempt is a command that has reached a backend whole, on the connection conn.
+type receivedAttempt struct {
+	raw  string
+	conn net.Conn
+}
+
+// respond sends a backend's response. The gateway may have closed the connection: what the client gets is
+// looked at.
+func (a receivedAttempt) respond(text string) { _, _ = io.WriteString(a.conn, text) }
+
+// deadline is the value of d in the command.
+func (a receivedAttempt) deadline() string {
+	return regexp.MustCompile(`d=(\d+)`).FindStringSubmatch(a.raw)[1]
+}
+
+// harness is a whole gateway on loopback, with backends that do what a test says.
+type harness struct {
+	t          *testing.T
+	server     *Server
+	dispatcher *dispatch.Dispatcher
+	pool       *backend.Pool
+	listener   net.Listener
+	attempts   chan receivedAttempt
+	mu         sync.Mutex
+	ended      map[net.Conn]bool // connections to backends that the gateway has closed
+}
+
+// harnessOptions configures a harness.
+type harnessOptions struct {
+	// server is completed with dispatcher, pool and configuration. MaxConnections 0 stands for 10.
+	server Options
+	// onAttempt is called for each command that reaches a backend. Nil sends it to the harness's attempts.
+	onAttempt func(receivedAttempt)
+	// writeTimeout replaces the server's. 0 leaves it.
+	writeTimeout time.Duration
+	// evictionThreshold replaces the server's. 0 stands for MaxConnections: idle connections are not evicted
+	// early.
+	evictionThreshold int
+}
+
+func newHarness(t *testing.T, options harnessOptions) *harness {
+	t.Helper()
+	h := &harness{
+		t: t, dispatcher: dispatch.New(),
+		attempts: make(chan receivedAttempt, 100), ended: map[net.Conn]bool{},
+	}
+	onAttempt := options.onAttempt
+	if onAttempt == nil {
+		onAttempt = func(a receivedAttempt) { h.attempts <- a }
+	}
+	h.pool = backend.New(50, 200*time.Millisecond, 10*time.Second, h.dispatcher.HandleHealthCheck)
+	h.dispatcher.Start(dispatch.Config{Seed: 9, Settings: testSettings, HealthChecker: h.pool})
+	h.server = newTestServer(h, options)
+	h.listener = testutil.Listen(t)
+	go func() {
+		_ = h.server.Serve(h.listener) // it returns nil, once the listener is closed
+	}()
+	for b := policy.BackendID(1); b <= 2; b++ {
+		h.pool.SetAddress(b, h.startBackend(onAttempt))
+	}
+	h.dispatcher.UpdateEndpoints(policy.FullSnapshot, []policy.Endpoint{
+		{Backend: 1, State: policy.EndpointReady}, {Backend: 2, State: policy.EndpointReady},
+	})
+	t.Cleanup(h.dispatcher.Stop)
+	return h
+}
+
+func newTestServer(h *harness, options harnessOptions) *Server {
+	complete := options.server
+	complete.Dispatcher = h.dispatcher
+	complete.Pool = h.pool
+	complete.Config = &config.Config{
+		Settings: testSettings, MaxUnits: 8,
+		Classes: map[string]policy.ClassID{"lookup": 0, "pay": 1},
+		Plans:   map[string]policy.PlanID{"team": 0, "one": 1},
+	}
+	if complete.MaxConnections == 0 {
+		complete.MaxConnections = 10
+	}
+	server := New(complete)
+	server.evictionThreshold = complete.MaxConnections
+	if options.evictionThreshold > 0 {
+		server.evictionThreshold = options.evictionThreshold
+	}
+	if options.writeTimeout > 0 {
+		server.writeTimeout = options.writeTimeout
+	}
+	return server
+}
+
+// startBackend returns the address of a backend that calls onAttempt, in a goroutine, for each command.
+func (h *harness) startBackend(onAttempt func(receivedAttempt)) string {
+	listener := testutil.Listen(h.t)
+	go func() {
+		for {
+			conn, err := listener.Accept()
+			if err != nil {
+				return
+			}
+			go h.readAttempts(conn, onAttempt)
+		}
+	}()
+	return listener.Addr().String()
+}
+
+func (h *harness) readAttempts(conn net.Conn, onAttempt func(receivedAttempt)) {
+	var unread []byte
+	buffer := make([]byte, 1<<17)
+	for {
+		count, err := conn.Read(buffer)
+		if err != nil {
+			h.mu.Lock()
+			h.ended[conn] = true
+			h.mu.Unlock()
+			return
+		}
+		unread = append(unread, buffer[:count]...)
+		whole, _, _, rest, err := redcon.ReadNextCommand(unread, nil)
+		if err != nil {
+			h.t.Errorf("a backend received %q: %v", unread, err)
+		}
+		if whole {
+			raw := string(unread[:len(unread)-len(rest)])
+			unread = append([]byte(nil), rest...)
+			go onAttempt(receivedAttempt{raw, conn})
+		}
+	}
+}
+
+// hasEnded reports whether the gateway has closed a connection to a backend, or ended its sending.
+func (h *harness) hasEnded(conn net.Conn) bool {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	return h.ended[conn]
+}
+
+// nextAttempt returns the next command that reaches a backend.
+func (h *harness) nextAttempt() receivedAttempt {
+	h.t.Helper()
+	select {
+	case attempt := <-h.attempts:
+		return attempt
+	case <-time.After(3 * time.Second):
+		h.t.Fatal("no backend receives anything")
+		panic("not reached")
+	}
+}
+
+// openRequest returns a new client with one request open, and the attempt that has reached a backend.
+func (h *harness) openRequest(id string) (*testClient, receivedAttempt) {
+	h.t.Helper()
+	client := h.dial()
+	client.send(query(id, lookupFields))
+	return client, h.nextAttempt()
+}
+
+// onlyConnection waits until the server has one connection, and returns it.
+func (h *harness) onlyConnection() (only *connection) {
+	h.t.Helper()
+	h.until("one connection", func() bool {
+		h.server.mu.Lock()
+		defer h.server.mu.Unlock()
+		for only = range h.server.connections {
+		}
+		return len(h.server.connections) == 1
+	})
+	return only
+}
+
+// until waits until the condition holds. It polls finely, since what it waits for may be over soon.
+func (h *harness) until(what string, condition func() bool) {
+	h.t.Helper()
+	for end := time.Now().Add(5 * time.Second); !condition(); time.Sleep(time.Millisecond) {
+		if time.Now().After(end) {
+			h.t.Fatalf("never: %s", what)
+		}
+	}
+}
+
+// testClient is a client's end of a connection.
+type testClient struct {
+	t      *testing.T
+	conn   net.Conn
+	reader *bufio.Reader
+}
+
+func (h *harness) dial() *testClient {
+	h.t.Helper()
+	var dialer net.Dialer
+	conn, err := dialer.DialContext(h.t.Context(), "tcp", h.listener.Addr().String())
+	if err != nil {
+		h.t.Fatal(err)
+	}
+	client := &testClient{t: h.t, conn: conn, reader: bufio.NewReader(conn)}
+	h.t.Cleanup(client.close)
+	client.setDeadline(8 * time.Second)
+	return client
+}
+
+func (c *testClient) close() {
+	_ = c.conn.Close() // the test may have closed it already
+}
+
+func (c *testClient) setDeadline(after time.Duration) {
+	c.t.Helper()
+	if err := c.conn.SetDeadline(time.Now().Add(after)); err != nil {
+		c.t.Error(err)
+	}
+}
+
+func (c *testClient) send(text string) {
+	c.t.Helper()
+	if _, err := io.WriteString(c.conn, text); err != nil {
+		c.t.Fatalf("%.40q not sent: %v", text, err)
+	}
+}
+
+// trySend sends what the server may not take any more; it is for other goroutines than the test's, too.
+func (c *testClient) trySend(text string) error {
+	_, err := io.WriteString(c.conn, text)
+	return err
+}
+
+// sendInBackground sends what may be more than the server takes before the test goes on.
+func (c *testClient) sendInBackground(text string) {
+	go func() {
+		_ = c.trySend(text) // the test may end the connection first
+	}()
+}
+
+func (c *testClient) expect(want string) {
+	c.t.Helper()
+	got := make([]byte, len(want))
+	if n, err := io.ReadFull(c.reader, got); err != nil || string(got) != want {
+		c.t.Fatalf("%q (%v), wanted %q", got[:n], err, want)
+	}
+}
+
+// expectLine reads a line that matches a pattern and returns it without its end.
+func (c *testClient) expectLine(pattern string) string {
+	c.t.Helper()
+	got, err := c.reader.ReadString('\n')
+	if ok, _ := regexp.MatchString("^"+pattern+"\r\n$", got); err != nil || !ok {
+		c.t.Fatalf("%q (%v), wanted %s", got, err, pattern)
+	}
+	return strings.TrimSpace(got)
+}
+
+func (c *testClient) ping() {
+	c.t.Helper()
+	c.send(words("PING"))
+	c.expectLine(`\+PONG`)
+}
+
+// skipResponses reads so many responses.
+func (c *testClient) skipResponses(count int) {
+	c.t.Helper()
+	for range count {
+		line, err := c.reader.ReadString('\n')
+		if err == nil && strings.HasPrefix(line, "$") {
+			_, err = c.reader.ReadString('\n')
+		}
+		if err != nil {
+			c.t.Fatal(err)
+		}
+	}
+}
+
+// query is a request as a client writes it.
+func query(id, fields string) string { return words("SVC.QUERY", testTenant, id, fields) }
+
+func words(all ...string) string {
+	text := fmt.Sprintf("*%d\r\n", len(all))
+	for _, w := range all {
+		text += fmt.Sprintf("$%d\r\n%s\r\n", len(w), w)
+	}
+	return text
+}
+
+// bulkReply is a backend's response with a value.
+func bulkReply(value string) string {
+	return fmt.Sprintf("*3\r\n$%d\r\n%s\r\n$-1\r\n$-1\r\n", len(value), value)
+}
+
+// bulkResponse is what the client gets of bulkReply.
+func bulkResponse(value string) string { return fmt.Sprintf("$%d\r\n%s\r\n", len(value), value) }
+
+// ofClass and ofPlan are the fields of another class or plan.
+func ofClass(class string) string { return strings.Replace(lookupFields, "lookup", class, 1) }
+func ofPlan(plan string) string   { return strings.Replace(lookupFields, "team", plan, 1) }
--- a/internal/frontend/idle_eviction.go
+++ b/internal/frontend/idle_eviction.go
@@ -26,7 +26,8 @@
 
 func (r evictionRank) String() string {
 	names := [...]string{
-		rankRejected: "rejected", rankSilent: "silent", rankIdle: "idle", rankNew: "new", rankActive: "active",
+		rankRejected: "rejected", rankSilent: "silent", rankIdle: "idle",
+		rankNew: "new", rankActive: "active",
 	}
 	if int(r) < len(names) {
 		return names[r]
--- /dev/null
+++ b/internal/frontend/idle_eviction_test.go
@@ -0,0 +1,79 @@
+package frontend
+
+import (
+	"strconv"
+	"testing"
+	"time"
+
+	"fawnplank/internal/config"
+)
+
+// Failure: connections that said nothing, or half a command, stayed open for good.
+func TestEviction_SilentAndIncompleteClientsRejected(t *testing.T) {
+	h := newHarness(t, harnessOptions{})
+	silent, incomplete := h.dial(), h.dial()
+	incomplete.send(words("PING") + "*4\r\n$9\r\nSVC.QU")
+	incomplete.expectLine(`\+PONG`)
+	usual := h.dial()
+	usual.ping()
+	start := time.Now()
+	silent.expectLine("-ERR .+")
+	incomplete.expectLine("-ERR .+")
+	took := time.Since(start)
+	if took < commandTimeout-100*time.Millisecond || took > commandTimeout+700*time.Millisecond {
+		t.Errorf("rejected after %v", took)
+	}
+	time.Sleep(2 * sweepInterval)
+	usual.ping()
+}
+
+// Failure: connections opened by the hundreds pushed out those of usual clients, idle for a moment longer.
+func TestEviction_SilentConnectionsEvictedFirst(t *testing.T) {
+	h := newHarness(t, harnessOptions{server: Options{MaxConnections: 4}})
+	usual := h.dial()
+	usual.ping()
+	for range 12 {
+		h.dial()
+		time.Sleep(newConnectionGrace / 4)
+	}
+	usual.ping()
+}
+
+// Failure: clients that left their connections open held all that clients may, and could not open further
+// ones.
+func TestEviction_IdleConnectionsLeaveCapacity(t *testing.T) {
+	threshold := New(Options{Config: &config.Config{MaxSockets: 12}, MaxConnections: 20}).evictionThreshold
+	h := newHarness(t, harnessOptions{server: Options{MaxConnections: 20}, evictionThreshold: threshold})
+	busy, attempt := h.openRequest("1")
+	for range 30 {
+		h.dial().ping()
+	}
+	// Two; or three, where the last but one had its response but was not idle yet when the last was accepted.
+	if n := h.server.Connections(); n > 3 {
+		t.Errorf("%d connections are open of 4 that clients may hold", n)
+	}
+	for range 5 { // those that say nothing do not count
+		h.dial()
+	}
+	time.Sleep(newConnectionGrace / 2)
+	for n := range 2 { // those in use are not bounded by that
+		h.openRequest(strconv.Itoa(2 + n))
+	}
+	if n := h.server.Connections(); n != 8 && n != 9 {
+		t.Errorf("%d connections for 3 open requests and 5 silent ones", n)
+	}
+	attempt.respond(okReply)
+	busy.expect(okResponse)
+}
+
+func TestEviction_LongestIdleEvicted(t *testing.T) {
+	h := newHarness(t, harnessOptions{server: Options{MaxConnections: 2}})
+	busy, attempt := h.openRequest("1")
+	idle := h.dial()
+	h.dial().ping()
+	if _, err := idle.reader.ReadByte(); err == nil {
+		t.Error("the idle connection is still open")
+	}
+	attempt.respond(okReply)
+	busy.expect(okResponse)
+}
--- /dev/null
+++ b/internal/frontend/parser_test.go
@@ -0,0 +1,177 @@
+package frontend
+
+import (
+	"strings"
+	"testing"
+	"time"
+
+	"fawnplank/internal/config"
+	"fawnplank/policy"
+)
+
+func okHarness(t *testing.T) *harness {
+	t.Helper()
+	return newHarness(t, harnessOptions{
+		server:    Options{MaxConnections: 20},
+		onAttempt: func(a receivedAttempt) { a.respond(okReply) },
+	})
+}
+
+// invalidCommands are commands that can be read, and are not in order.
+func invalidCommands() []string {
+	all := []string{
+		words("GET", "x"), words("SVC.QUERY", "1"), words("SVC.QUERY", "customer", "1", lookupFields),
+		words("SVC.QUERY", "00000002b4d65521", "1", lookupFields),
+		words("SVC.QUERY", "b4d65521", "1", lookupFields),
+		query("", lookupFields), query("a b", lookupFields), query("1\x00", lookupFields),
+		query("1", lookupFields+","), query("1", ","),
+	}
+	for _, fields := range []string{
+		"c=none,t=team,d=9", "c=lookup,t=none,d=9", "c=lookup,t=team", "c=lookup,d=9", "t=team,d=9",
+		"c=lookup,t=team,d=x", "c=lookup,t=team,d=NaN", "c=lookup,t=team,d=-4", "c=lookup,t=team,d=1e3",
+		"c=lookup,t=team,d=", "lookup", "", lookupFields + ",c=lookup", lookupFields + ",d=9",
+	} {
+		all = append(all, query("1", fields))
+	}
+	for _, field := range []string{
+		"units=0", "units=-2", "units=NaN", "units=Inf", "units=1e300", "units=0x2", "units=", "units=9",
+		"spread=0", "spread=3", "spread=-1", "spread=x", "spread=1.5",
+		"first=2", "first=-1", "first=99999999999999999999",
+	} {
+		all = append(all, query("1", "c=lookup,t=team,d=900,"+field))
+	}
+	return all
+}
+
+func TestParser_InvalidCommandAnsweredWithError(t *testing.T) {
+	h := okHarness(t)
+	for _, text := range invalidCommands() {
+		c := h.dial()
+		c.send(text + words("PING"))
+		if got, err := c.reader.ReadString('\n'); err != nil || !strings.HasPrefix(got, "-ERR ") {
+			t.Fatalf("%q: %q, %v", text, got, err)
+		}
+		c.expectLine(`\+PONG`) // the connection goes on
+		c.close()
+	}
+	expectServed(h)
+}
+
+func TestParser_MalformedInputEndsConnection(t *testing.T) {
+	h := okHarness(t)
+	for _, text := range []string{
+		"*1\r\n$-5\r\n", "*1\r\n$9223372036854775807\r\nx", "*x\r\n", "*1\r\n:4\r\n", "*-3\r\n",
+		"$5 hello\r\n", "*2\r\n$3\r\nabcdef", "GET / HTTP/1.1\r\n", "*0\r\n",
+		"SVC.QUERY 00000000b4d65521 1 " + lookupFields + "\r\n",
+		"*4\r\n$70000\r\n" + strings.Repeat("x", 70000),
+	} {
+		c := h.dial()
+		c.send(text)
+		c.expectLine("-ERR .+")
+		if _, err := c.reader.ReadByte(); err == nil {
+			t.Errorf("%.20q: the connection goes on", text)
+		}
+	}
+	expectServed(h)
+}
+
+// expectServed fails the test unless another client is served, also one that sends byte by byte.
+func expectServed(h *harness) {
+	h.t.Helper()
+	c := h.dial()
+	c.send(words("pInG"))
+	c.expectLine(`\+PONG`)
+	for _, b := range []byte(query("1", lookupFields)) {
+		c.send(string([]byte{b}))
+	}
+	c.expect(okResponse)
+}
+
+// An error reaches a client that is still sending what it announced, and is not lost to a reset.
+func TestParser_ErrorReachesClientThatKeepsSending(t *testing.T) {
+	h := newHarness(t, harnessOptions{})
+	c := h.dial()
+	go func() {
+		// The server may close the connection at any time.
+		_ = c.trySend("*4\r\n$9\r\nSVC.QUERY\r\n$60000000\r\n")
+		for range 20 {
+			_ = c.trySend(string(make([]byte, 8<<10)))
+			time.Sleep(time.Millisecond)
+		}
+	}()
+	time.Sleep(60 * time.Millisecond)
+	c.expectLine("-ERR .+length.*")
+}
+
+// headConfig is the configuration that heads are parsed by.
+func headConfig() *config.Config {
+	return &config.Config{
+		Settings: policy.Settings{Instances: 4, Classes: []policy.ClassSettings{{}, {}, {CheckOnly: true}}},
+		Classes:  map[string]policy.ClassID{"lookup": 0, "pay": 1, "check": 2},
+		Plans:    map[string]policy.PlanID{"team": 0, "one": 1},
+		MaxUnits: 8,
+	}
+}
+
+func headWords(tenant, id, fields string) [][]byte {
+	return [][]byte{[]byte("SVC.QUERY"), []byte(tenant), []byte(id), []byte(fields)}
+}
+
+func TestRequestHead_ParsesFields(t *testing.T) {
+	head := requestHead{config: headConfig()}
+	fields := "c=pay,t=one,d=12.5,units=2.5,spread=3,first=2,k=other"
+	if err := head.parse(headWords("00000000B4d65521", "7", fields)); err != nil {
+		t.Fatal(err)
+	}
+	if head.tenant != 0xb4d65521 || string(head.tenantText) != "00000000B4d65521" || string(head.id) != "7" {
+		t.Errorf("tenant %x (%s), id %s", head.tenant, head.tenantText, head.id)
+	}
+	if head.class != 1 || head.plan != 1 || string(head.planName) != "one" {
+		t.Errorf("class %d, plan %d (%s)", head.class, head.plan, head.planName)
+	}
+	if head.remaining != 12500*time.Microsecond || string(head.remainingText) != "12.5" {
+		t.Errorf("remaining %v (%s)", head.remaining, head.remainingText)
+	}
+	if head.units != 2.5 || head.entries != 3 || head.firstEntry != 2 {
+		t.Errorf("units %v, entries %d from %d", head.units, head.entries, head.firstEntry)
+	}
+	if string(head.fields) != fields {
+		t.Errorf("fields %s", head.fields)
+	}
+}
+
+func TestRequestHead_Defaults(t *testing.T) {
+	head := requestHead{config: headConfig()}
+	if err := head.parse(headWords(testTenant, "7", "c=lookup,t=team,d=9")); err != nil {
+		t.Fatal(err)
+	}
+	if head.units != 1 || head.entries != 1 || head.firstEntry != 0 {
+		t.Errorf("units %v, entries %d from %d", head.units, head.entries, head.firstEntry)
+	}
+}
+
+// The class is set where it was read before the fault, so that the error is counted for it, and only then.
+func TestRequestHead_Errors(t *testing.T) {
+	for name, x := range map[string]struct {
+		words    [][]byte
+		want     string
+		hasClass bool
+	}{
+		"tenant":           {headWords("b4d65521", "7", "c=lookup"), errTenant.Error(), false},
+		"id":               {headWords(testTenant, "a b", "c=lookup"), errRequestID.Error(), false},
+		"class missing":    {headWords(testTenant, "7", "t=team,d=9"), errClassMissing.Error(), false},
+		"plan missing":     {headWords(testTenant, "7", "c=lookup,d=9"), errPlanMissing.Error(), true},
+		"deadline missing": {headWords(testTenant, "7", "c=lookup,t=team"), errDeadlineMissing.Error(), true},
+		"check-only class": {headWords(testTenant, "7", "c=check"), `c has no meaning as "check"`, false},
+		"class twice":      {headWords(testTenant, "7", "c=lookup,c=pay"), `c has no meaning as "pay"`, true},
+		"no value":         {headWords(testTenant, "7", "c=lookup,t"), `"t" has no value`, true},
+	} {
+		t.Run(name, func(t *testing.T) {
+			head := requestHead{config: headConfig()}
+			err := head.parse(x.words)
+			if err == nil || err.Error() != x.want || head.hasClass != x.hasClass {
+				t.Errorf("%v, class read: %t; wanted %s, %t", err, head.hasClass, x.want, x.hasClass)
+			}
+		})
+	}
+}
--- /dev/null
+++ b/internal/frontend/race_conditions_test.go
@@ -0,0 +1,284 @@
+package frontend
+
+import (
+	"errors"
+	"io"
+	"strconv"
+	"strings"
+	"testing"
+	"time"
+
+	"fawnplank/internal/membudget"
+	"fawnplank/internal/resp"
+	"fawnplank/policy"
+)
+
+// Tests of what may come between two steps: each holds one side still by a lock, a full pipeline or a backend
+// that does not answer, until the other has done what must come between.
+
+// Failure: a request that had been read when the server closed its connection was neither submitted nor
+// answered: the client could not know that it had never been sent on. Whatever has been read is answered
+// first.
+func TestRace_RequestReadBeforeCloseAnswered(t *testing.T) {
+	for name, end := range map[string]func(c *connection){
+		"eviction": func(c *connection) { c.closeIfIdle() },
+		"shutdown": func(c *connection) {
+			c.draining.Store(true)
+			c.shutDownIfIdle()
+		},
+	} {
+		t.Run(name, func(t *testing.T) {
+			h := newHarness(t, harnessOptions{})
+			client := h.dial()
+			c := h.onlyConnection()
+			h.server.mu.Lock() // its reader reads the request, and comes no further
+			client.send(query("1", lookupFields))
+			h.until("the request is read", func() bool {
+				c.inputMu.Lock()
+				defer c.inputMu.Unlock()
+				return c.input == inputUnhandled
+			})
+			end(c)
+			h.server.mu.Unlock()
+			h.nextAttempt().respond(okReply)
+			client.expect(okResponse)
+		})
+	}
+}
+
+// A command read in the moment in which its connection was closed is not handled: the client sends it again.
+func TestRace_NothingHandledOnClosedConnection(t *testing.T) {
+	h := newHarness(t, harnessOptions{})
+	client := h.dial()
+	c := h.onlyConnection()
+	if !c.closeIfIdle() {
+		t.Error("not closed")
+	}
+	raw := []byte(query("1", lookupFields))
+	_, parsed, err := resp.Command(raw, nil)
+	if err != nil {
+		t.Fatal(err)
+	}
+	c.handleCommand(raw, parsed)
+	if _, err := client.reader.ReadByte(); !errors.Is(err, io.EOF) {
+		t.Errorf("%v", err)
+	}
+	if n := h.dispatcher.OpenRequests(); n > 0 {
+		t.Errorf("%d requests submitted", n)
+	}
+}
+
+// A request that comes once the connection is to end is not read, and not sent on. Failure: the close over it
+// reset the connection, and a response still on its way is lost to that; the client has time to take it.
+func TestRace_RequestAfterShutdownNotRead(t *testing.T) {
+	h := newHarness(t, harnessOptions{})
+	client, attempt := h.openRequest("1")
+	c := h.onlyConnection()
+	h.server.Close()
+	client.send(words("PING")) // read while the first is still open; then its reader waits for that
+	h.until("the PING is read", func() bool {
+		c.mu.Lock()
+		defer c.mu.Unlock()
+		c.inputMu.Lock()
+		defer c.inputMu.Unlock()
+		return len(c.pending) == 2 && c.input != inputUnhandled
+	})
+	client.send(query("2", lookupFields))
+	h.until("the request waits to be read", func() bool { return c.conn.Waiting() > 0 })
+	attempt.respond(okReply)
+	client.expect(okResponse + "+PONG\r\n")
+	if _, err := client.reader.ReadByte(); !errors.Is(err, io.EOF) {
+		t.Errorf("behind the responses: %v", err)
+	}
+	h.until("the connection ends", func() bool { return h.server.Connections() == 0 })
+	if n := len(h.attempts); n > 0 {
+		t.Errorf("%d requests sent on after the shutdown", n)
+	}
+}
+
+// Failure: a client that sent on and on had its requests submitted up to the process's end, where some were
+// lost. Once the connection is to end no more is read, and it ends when what was submitted is answered.
+func TestRace_ClientThatKeepsSendingEnded(t *testing.T) {
+	h := newHarness(t, harnessOptions{onAttempt: func(a receivedAttempt) {
+		time.Sleep(30 * time.Millisecond) // longer than the pause between two requests: one is always open
+		a.respond(okReply)
+	}})
+	client := h.dial()
+	sendingEnded := make(chan struct{})
+	go func() {
+		defer close(sendingEnded)
+		for n := 0; client.trySend(query(strconv.Itoa(n), lookupFields)) == nil; n++ {
+			time.Sleep(2 * time.Millisecond)
+		}
+	}()
+	client.skipResponses(5)
+	h.server.Close()
+	closedAt := time.Now()
+	h.until("the connection ends", func() bool { return h.server.Connections() == 0 })
+	if took := time.Since(closedAt); took > time.Second {
+		t.Errorf("it ended after %v", took)
+	}
+	if n := h.dispatcher.OpenRequests(); n > 0 {
+		t.Errorf("%d are open", n)
+	}
+	client.close()
+	<-sendingEnded
+}
+
+// A connection that was accepted just before the shutdown still gets its request answered, then ends.
+func TestRace_RequestOnItsWayAtShutdownAnswered(t *testing.T) {
+	h := newHarness(t, harnessOptions{})
+	stop, stopped := make(chan struct{}), make(chan struct{})
+	go func() { // as the program does at its end: it meets a connection before its reader has begun, too
+		defer close(stopped)
+		for {
+			select {
+			case <-stop:
+				return
+			default:
+				h.server.Close()
+			}
+		}
+	}()
+	accepted := func() bool { return h.server.Connections() > 0 }
+	for n := range 20 {
+		client := h.dial()
+		h.until("it is accepted", accepted)
+		time.Sleep(5 * time.Millisecond) // several calls of Close, and far less than newConnectionGrace
+		client.send(query(strconv.Itoa(n), lookupFields))
+		h.nextAttempt().respond(okReply)
+		client.expect(okResponse)
+		if _, err := client.reader.ReadByte(); !errors.Is(err, io.EOF) {
+			t.Errorf("behind the response: %v", err)
+		}
+	}
+	h.dial() // one that says nothing ends by itself
+	close(stop)
+	<-stopped
+	h.until("it is accepted", accepted)
+	h.server.Close() // once will do
+	h.until("it ends", func() bool { return h.server.Connections() == 0 })
+}
+
+// Failure: a client that had gone was not noticed while its connection's reader waited: for capacity among
+// the pending commands, for the pause after invalid commands, for memory, or for the responses before an
+// error. What it had open was sent on, again and again. Now it counts as gone at once, whatever bytes nobody
+// has read, and the next attempt is not begun.
+func TestRace_ClientGoneWhileReaderWaits(t *testing.T) {
+	largeHead := "*5\r\n$9\r\nSVC.QUERY\r\n$16\r\n" + testTenant + "\r\n$1\r\n2\r\n$3\r\nd=1\r\n$200000\r\n"
+	for name, x := range map[string]struct {
+		behind string // the first request
+		waits  func(c *connection) bool
+	}{
+		"pending": {
+			strings.Repeat(words("PING"), 3*maxPendingCommands),
+			pendingCount(func(n int) bool { return n == maxPendingCommands }),
+		},
+		"invalid commands": {
+			strings.Repeat("*1\r\n$4\r\nNONE\r\n", 30) + words("PING"),
+			pendingCount(func(n int) bool { return n > 8 }),
+		},
+		"memory": {
+			largeHead + strings.Repeat("x", 150000),
+			func(c *connection) bool { return c.conn.Waiting() > 0 },
+		},
+		"error": {
+			"*x\r\n" + words("PING"),
+			pendingCount(func(n int) bool { return n == 2 }),
+		},
+	} {
+		t.Run(name, func(t *testing.T) { testClientGoneWhileReaderWaits(t, x.behind, x.waits) })
+	}
+}
+
+// pendingCount looks at the number of pending commands.
+func pendingCount(condition func(n int) bool) func(c *connection) bool {
+	return func(c *connection) bool {
+		c.mu.Lock()
+		defer c.mu.Unlock()
+		return condition(len(c.pending))
+	}
+}
+
+func testClientGoneWhileReaderWaits(t *testing.T, behind string, waits func(c *connection) bool) {
+	t.Helper()
+	noBudget := membudget.New(1) // none for a large command
+	h := newHarness(t, harnessOptions{server: Options{Budget: noBudget}})
+	client, attempt := h.openRequest("1")
+	c := h.onlyConnection()
+	client.sendInBackground(behind)
+	h.until("the reader waits", func() bool { return waits(c) })
+	closedAt := time.Now()
+	client.close()
+	h.until("it has gone", func() bool {
+		return h.dispatcher.OpenRequests() == 0 || time.Since(closedAt) > 100*time.Millisecond
+	})
+	attempt.respond("-BUSY\r\n") // never run: it could be retried elsewhere
+	select {
+	case <-h.attempts:
+		t.Error("another attempt for a client that has gone")
+	case <-time.After(100 * time.Millisecond):
+	}
+	h.until("the connection ends", func() bool { return h.server.Connections() == 0 })
+}
+
+// Failure: a request that had waited for its connection to be accepted while its client gave up and left was
+// sent on.
+func TestRace_RequestOfClientLongGoneNotSent(t *testing.T) {
+	recorder := tenantRecorder{make(chan string, 10)}
+	h := newHarness(t, harnessOptions{server: Options{MaxConnections: 1, Usage: recorder}})
+	busy, attempt := h.openRequest("1")
+	<-recorder.tenants
+	late := h.dial() // accepted once the first has ended
+	late.send(query("2", lookupFields))
+	late.close()
+	attempt.respond(okReply)
+	busy.expect(okResponse)
+	busy.close()
+	h.dial().ping()
+	if n := len(recorder.tenants); n > 0 {
+		t.Errorf("%d requests submitted", n)
+	}
+}
+
+// tenantRecorder notes the tenant of each request that is submitted.
+type tenantRecorder struct{ tenants chan string }
+
+func (r tenantRecorder) TenantPlan(tenant string) (string, bool) {
+	r.tenants <- tenant
+	return "", false
+}
+
+func (tenantRecorder) RecordUsage(string, string, time.Time, float64) {}
+
+// Failure: where all connections had something open when one more came, it waited until one of them ended,
+// also once all had become idle: clients that keep theirs open locked all others out for good.
+func TestRace_ConnectionsBecomingIdleFreeCapacity(t *testing.T) {
+	h := newHarness(t, harnessOptions{server: Options{MaxConnections: 2}})
+	first, firstAttempt := h.openRequest("0")
+	second, secondAttempt := h.openRequest("1")
+	third := h.dial()
+	third.send(words("PING"))
+	h.until("capacity is waited for", func() bool { return h.server.capacityWanted.Load() })
+	time.Sleep(20 * time.Millisecond) // and looked for in vain
+	firstAttempt.respond(okReply)
+	first.expect(okResponse)
+	secondAttempt.respond(okReply)
+	second.expect(okResponse)
+	third.expectLine(`\+PONG`)
+}
+
+// Failure: a second response that came some milliseconds after the first was taken for the next request's.
+func TestRace_LateSecondResponseDiscarded(t *testing.T) {
+	h := newHarness(t, harnessOptions{})
+	ready := policy.Endpoint{Backend: 1, State: policy.EndpointReady}
+	h.dispatcher.UpdateEndpoints(policy.FullSnapshot, []policy.Endpoint{ready})
+	client, first := h.openRequest("1")
+	first.respond("*1\r\n$3\r\none\r\n")
+	client.expect("$3\r\none\r\n")
+	client.send(query("2", lookupFields))
+	second := h.nextAttempt() // out before the late one comes
+	first.respond("*1\r\n$3\r\none\r\n")
+	second.respond("*1\r\n$3\r\ntwo\r\n")
+	client.expect("$3\r\ntwo\r\n")
+}
--- /dev/null
+++ b/internal/frontend/request_test.go
@@ -0,0 +1,193 @@
+package frontend
+
+import (
+	"errors"
+	"fmt"
+	"io"
+	"strconv"
+	"strings"
+	"testing"
+	"time"
+
+	"fawnplank/internal/membudget"
+	"fawnplank/internal/metrics"
+	"fawnplank/policy"
+)
+
+func TestRequest_ForwardedWithOnlyDeadlineRewritten(t *testing.T) {
+	h := newHarness(t, harnessOptions{})
+	c := h.dial()
+	c.send(query("9b1f03aa5c7e2d41", lookupFields+",r=1"))
+	attempt := h.nextAttempt()
+	deadline, _ := strconv.Atoi(attempt.deadline())
+	if deadline < 500 || deadline > 900 {
+		t.Errorf("the backend is given %d ms", deadline)
+	}
+	want := query("9b1f03aa5c7e2d41", strings.Replace(lookupFields, "900", strconv.Itoa(deadline), 1)+",r=1")
+	if attempt.raw != want {
+		t.Errorf("%q, wanted %q", attempt.raw, want)
+	}
+	attempt.respond("*3\r\n$5\r\nvalue\r\n$7\r\nused=12\r\n$-1\r\n")
+	c.expect("$5\r\nvalue\r\n")
+}
+
+// A body is any bytes, and is forwarded with its key as it came.
+func TestRequest_BodyForwardedUnchanged(t *testing.T) {
+	h := newHarness(t, harnessOptions{})
+	c := h.dial()
+	body := "\x00\r\n*1\r\n$4\r\nPING\r\n" + strings.Repeat("\xff", 60000)
+	fields := "c=pay,t=team,d=900,k=d72e33dc49655fc9,units=1"
+	c.send(words("SVC.SUBMIT", testTenant, "9b1f03aa5c7e2d41", fields, body))
+	attempt := h.nextAttempt()
+	fields = strings.Replace(fields, "900", attempt.deadline(), 1)
+	if attempt.raw != words("SVC.SUBMIT", testTenant, "9b1f03aa5c7e2d41", fields, body) {
+		t.Errorf("%.150q", attempt.raw)
+	}
+	attempt.respond("*3\r\n$2\r\n\r\n\r\n$6\r\ncost=1\r\n$-1\r\n")
+	c.expect("$2\r\n\r\n\r\n")
+}
+
+// The id of an open request is refused, whoever sends it; once that one has its response, the id is free.
+func TestRequest_IDOfOpenRequestRefused(t *testing.T) {
+	h := newHarness(t, harnessOptions{})
+	c, attempt := h.openRequest("7")
+	other := h.dial()
+	other.send(query("7", lookupFields))
+	other.expectLine("-ERR id .+")
+	attempt.respond(okReply)
+	c.expect(okResponse)
+	other.send(query("7", lookupFields))
+	h.nextAttempt().respond(okReply)
+	other.expect(okResponse)
+	h.server.mu.Lock()
+	defer h.server.mu.Unlock()
+	if len(h.server.requestIDs) > 0 {
+		t.Errorf("%d ids are still claimed", len(h.server.requestIDs))
+	}
+}
+
+func TestRequest_RejectionCarriesRetryAfter(t *testing.T) {
+	h := newHarness(t, harnessOptions{})
+	c := h.dial()
+	c.send(query("1", ofPlan("one")))
+	attempt := h.nextAttempt()
+	other := h.dial()
+	other.send(query("2", ofPlan("one")))
+	other.expectLine("-BUSY [0-9]+")
+	attempt.respond(okReply)
+	c.expect(okResponse)
+}
+
+// A silent backend costs its attempt only: the response comes by the request's deadline.
+func TestRequest_SilentBackendAnsweredByDeadline(t *testing.T) {
+	for class, want := range map[string]string{"lookup": "-BUSY( [0-9]+)?", "pay": "-ERR .+"} {
+		h := newHarness(t, harnessOptions{})
+		c := h.dial()
+		start := time.Now()
+		c.send(query("1", strings.Replace(ofClass(class), "900", "600", 1)))
+		c.expectLine(want)
+		if took := time.Since(start); took > 900*time.Millisecond { // 600, and a margin for a busy machine
+			t.Errorf("answered after %v", took)
+		}
+	}
+}
+
+// A 4 MiB value that comes in pieces cut anywhere, over longer than a command may take without progress, is
+// passed on whole both ways, two at once within their budget, and all of the budget is released.
+func TestRequest_LargeValuesInPieces(t *testing.T) {
+	const budget = 10 << 20 // two large commands at a time
+	const clients = 2
+	value := strings.Repeat("v", 4<<20)
+	h := newHarness(t, harnessOptions{
+		server:    Options{Budget: membudget.New(budget)},
+		onAttempt: func(a receivedAttempt) { a.respond(bulkReply(value)) },
+	})
+	body := strings.Repeat("b", 4<<20)
+	results := make(chan error, clients)
+	for n := range clients {
+		c := h.dial()
+		id := "9b1f03aa5c7e2d4" + strconv.Itoa(n)
+		command := words("SVC.SUBMIT", testTenant, id, "c=lookup,t=team,d=1900", body)
+		go func() {
+			results <- errors.Join(sendInPieces(c, command, 1+n*7), readResponse(c, bulkResponse(value)))
+		}()
+	}
+	for range clients {
+		if err := <-results; err != nil {
+			t.Error(err)
+		}
+	}
+	if _, ok := h.server.budget.Acquire(budget, time.Now().Add(time.Second)); !ok {
+		t.Error("a part of the budget is still reserved")
+	}
+}
+
+// sendInPieces sends a command in pieces of many sizes, with a pause after each MiB: 2.4 s in all.
+func sendInPieces(c *testClient, command string, piece int) error {
+	for at, pauseAt := 0, 1<<20; at < len(command); {
+		end := min(at+piece, len(command))
+		if err := c.trySend(command[at:end]); err != nil {
+			return err
+		}
+		if at+piece >= pauseAt {
+			time.Sleep(600 * time.Millisecond)
+			pauseAt += 1 << 20
+		}
+		at += piece
+		piece = piece*3%200_003 + 1
+	}
+	return nil
+}
+
+func readResponse(c *testClient, want string) error {
+	got := make([]byte, len(want))
+	if _, err := io.ReadFull(c.reader, got); err != nil {
+		return err
+	}
+	if string(got) != want {
+		return fmt.Errorf("received %.40q", got)
+	}
+	return nil
+}
+
+// Each response is counted for its class when it is given, and the number of open requests returns to 0.
+func TestServer_CountsResponses(t *testing.T) {
+	registry := metrics.New([]string{"lookup", "pay"})
+	h := newHarness(t, harnessOptions{server: Options{Metrics: registry}})
+	c, attempt := h.openRequest("1")
+	attempt.respond(okReply)
+	c.expect(okResponse)
+	c.send(query("2", "c=pay,t=team,d=-1"))
+	c.expectLine(`-ERR .*`)
+	var text strings.Builder
+	if err := registry.Write(&text); err != nil {
+		t.Error(err)
+	}
+	for _, want := range []string{
+		`gw_success{type="lookup"} 1`, `gw_error{type="pay"} 1`, "gw_concurrent 0",
+	} {
+		if !strings.Contains(text.String(), want+"\n") {
+			t.Errorf("no %q in\n%s", want, text.String())
+		}
+	}
+}
+
+// A class added at a reload is accepted at once, under its own settings; before it, it is refused.
+func TestServer_UpdateSettingsAddsClass(t *testing.T) {
+	h := newHarness(t, harnessOptions{})
+	c := h.dial()
+	report := "c=report,t=team,d=900"
+	c.send(query("1", report))
+	c.expectLine(`-ERR .*`)
+	updated := *h.server.config.Load()
+	updated.Settings.Classes = append(append([]policy.ClassSettings(nil), testSettings.Classes...),
+		policy.ClassSettings{LatencyObjective: 1e9, Deadline: 2e9})
+	updated.Classes = map[string]policy.ClassID{"lookup": 0, "report": 2}
+	h.dispatcher.UpdateSettings(updated.Settings)
+	h.server.UpdateSettings(&updated)
+	c.send(query("2", report))
+	h.nextAttempt().respond(okReply)
+	c.expect(okResponse)
+	c.send(query("3", "c=pay,t=team,d=900")) // a class that the reload removed
+	c.expectLine(`-ERR .*`)
+}
--- /dev/null
+++ b/internal/frontend/shutdown_test.go
@@ -0,0 +1,74 @@
+package frontend
+
+import (
+	"errors"
+	"io"
+	"testing"
+	"time"
+)
+
+// The attempt's connection is not cut under the backend, which may be giving a long response, but ends once
+// it has been silent for 3 s.
+func TestConnection_ClientHangUpSeenWhileBackendWorks(t *testing.T) {
+	h := newHarness(t, harnessOptions{})
+	c, attempt := h.openRequest("1")
+	c.close()
+	for until := time.Now().Add(4 * time.Second); ; time.Sleep(5 * time.Millisecond) {
+		ended := h.hasEnded(attempt.conn)
+		if ended && h.dispatcher.OpenRequests() == 0 && h.server.Connections() == 0 {
+			return
+		}
+		if time.Now().After(until) {
+			t.Fatalf("attempt's connection ended: %t, %d requests open, %d connections",
+				ended, h.dispatcher.OpenRequests(), h.server.Connections())
+		}
+	}
+}
+
+// At the end connections close between requests, and what was submitted is answered.
+func TestServer_CloseAnswersPendingRequests(t *testing.T) {
+	h := newHarness(t, harnessOptions{})
+	c, attempt := h.openRequest("1")
+	idle := h.dial()
+	h.until("both connections are open", func() bool { return h.server.Connections() >= 2 })
+	h.server.Close()
+	if _, err := idle.reader.ReadByte(); !errors.Is(err, io.EOF) {
+		t.Errorf("an idle connection: %v", err)
+	}
+	attempt.respond(okReply)
+	c.expect(okResponse)
+	if _, err := c.reader.ReadByte(); !errors.Is(err, io.EOF) {
+		t.Errorf("after the last response: %v", err)
+	}
+	h.until("all connections have ended", func() bool { return h.server.Connections() == 0 })
+}
+
+// A draining server answers PING with an error at once, serves open connections for a while, then closes them
+// as they become idle, the one with a request after its response; Resume brings PONG back.
+func TestServer_DrainClosesConnectionsBetweenRequests(t *testing.T) {
+	h := newHarness(t, harnessOptions{})
+	busy, idle := h.dial(), h.dial()
+	h.server.Drain()
+	h.server.Drain() // again: the drain goes on from its first call
+	began := time.Now()
+	idle.send(words("PING"))
+	idle.expectLine(`-ERR draining`)
+	busy.send(query("1", lookupFields))
+	h.nextAttempt().respond(okReply)
+	busy.expect(okResponse) // open connections are still served
+	if _, err := idle.reader.ReadByte(); !errors.Is(err, io.EOF) {
+		t.Errorf("an idle connection of a draining server: %v", err)
+	}
+	if took := time.Since(began); took < drainDelay || took > drainDelay+time.Second {
+		t.Errorf("the idle connection was closed after %v", took)
+	}
+	if _, err := busy.reader.ReadByte(); !errors.Is(err, io.EOF) {
+		t.Errorf("the other connection: %v", err)
+	}
+	h.server.Resume()
+	h.server.Resume() // without a drain: nothing
+	resumed := h.dial()
+	resumed.ping()
+	time.Sleep(drainDelay + 2*sweepInterval)
+	resumed.ping()
+}
--- a/internal/resp/resp_test.go
+++ b/internal/resp/resp_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bytes"
+	"errors"
 	"fmt"
 	"math/rand"
 	"strings"
@@ -12,12 +13,12 @@
 )
 
 // Whole commands are read as redcon reads them, and cut short they ask for more.
-func TestCommandsAreReadAsByRedcon(t *testing.T) {
+func TestCommand_ReadsAsRedcon(t *testing.T) {
 	same := func(words [][]byte) bool {
 		words = append(words, []byte("x"))[:min(len(words)+1, maxWords)]
 		text := redcon.AppendArray(nil, len(words))
-		for _, w := range words {
-			text = redcon.AppendBulk(text, w)
+		for _, word := range words {
+			text = redcon.AppendBulk(text, word)
 		}
 		size, got, err := Command(append(text, "*1"...), nil)
 		_, want, _, _, _ := redcon.ReadNextCommand(text, nil)
@@ -26,7 +27,9 @@
 				return false
 			}
 		}
-		return err == nil && size == len(text) && bytes.Equal(bytes.Join(got, []byte{0}), bytes.Join(want, []byte{0}))
+		separator := []byte{0}
+		sameWords := bytes.Equal(bytes.Join(got, separator), bytes.Join(want, separator))
+		return err == nil && size == len(text) && sameWords
 	}
 	if err := quick.Check(same, &quick.Config{Rand: rand.New(rand.NewSource(2))}); err != nil {
 		t.Error(err)
@@ -34,23 +37,40 @@
 }
 
 // Failure: a value of 60 MB was waited for up to the size of the largest command, an endless line likewise.
-func TestLengthsAreJudgedBeforeWhatTheyCount(t *testing.T) {
-	for _, text := range []string{"*1\r\n$60000000\r\n", fmt.Sprintf("*1\r\n$%d\r\n", MaxValue+1), "*1\r\n$-1\r\n", "*1\r\n$-5\r\n", "*0\r\n",
-		"*-1\r\n", "*17\r\n", "*9223372036854775807\r\n", "*x\r\n", "*\r\n", "*1\n", "*1\r\n$\r\n", "*1\r\n:4\r\n",
-		"*1\r\n$9223372036854775807\r\nx", "*1\r\n$2\r\nabc\r\n", "*" + strings.Repeat("1", 20), "PING\r\n", "\x00", "\r\n",
-		"*1\r\n$+4\r\nPING\r\n", "*1\r\n$" + strings.Repeat("0", 20), "$5 hello\r\n"} {
-		if size, _, err := Command([]byte(text), nil); size != 0 || err == nil {
+func TestCommand_JudgesLengthsBeforeWhatTheyCount(t *testing.T) {
+	for _, text := range []string{
+		"*1\r\n$60000000\r\n", fmt.Sprintf("*1\r\n$%d\r\n", MaxValue+1), "*1\r\n$-1\r\n", "*1\r\n$-5\r\n",
+		"*0\r\n", "*-1\r\n", "*17\r\n", "*9223372036854775807\r\n", "*x\r\n", "*\r\n", "*1\n",
+		"*1\r\n$\r\n", "*1\r\n:4\r\n", "*1\r\n$9223372036854775807\r\nx", "*1\r\n$2\r\nabc\r\n",
+		"*" + strings.Repeat("1", 20), "PING\r\n", "\x00", "\r\n", "*1\r\n$+4\r\nPING\r\n",
+		"*1\r\n$" + strings.Repeat("0", 20), "$5 hello\r\n",
+	} {
+		size, _, err := Command([]byte(text), nil)
+		if size != 0 || err == nil {
 			t.Errorf("%.30q: %d, %v", text, size, err)
 		}
+		var malformed *ProtocolError
+		if !errors.As(err, &malformed) {
+			t.Errorf("%.30q: %v is no ProtocolError", text, err)
+		}
 	}
-	if size, _, err := Command(fmt.Appendf(nil, "*1\r\n$%d\r\n%s\r\n", MaxValue, make([]byte, MaxValue)), nil); size == 0 {
+}
+
+func TestCommand_ReadsLargestValue(t *testing.T) {
+	largest := fmt.Appendf(nil, "*1\r\n$%d\r\n%s\r\n", MaxValue, make([]byte, MaxValue))
+	if size, _, err := Command(largest, nil); size == 0 {
 		t.Errorf("the largest value: %v", err)
 	}
+}
+
+// No bytes make it panic.
+func TestCommand_AnyBytes(t *testing.T) {
 	safe := func(b []byte) bool {
 		_, _, err := Command(append([]byte("*2\r\n$"), b...), nil)
 		return err == nil || err != nil
 	}
-	if err := quick.Check(safe, &quick.Config{MaxCount: 5000, Rand: rand.New(rand.NewSource(3))}); err != nil {
+	config := &quick.Config{MaxCount: 5000, Rand: rand.New(rand.NewSource(3))}
+	if err := quick.Check(safe, config); err != nil {
 		t.Error(err)
 	}
 }
