--- a/internal/backend/backend_test.go
+++ b/internal/backend/backend_test.go
@@ -234,7 +234,7 @@
 		f.Start(dispatch.Config{Seed: 9, Settings: policy.Settings{Instances: 1, MaxAttempts: 1, SlowStartShare: 1, OverloadMultiple: 2, OverloadWindow: 1e9, Plans: []policy.PlanSettings{{}},
 			Classes: []policy.ClassSettings{{LatencyObjective: 1e9, Deadline: 1e9}}}})
 		f.UpdateEndpoints(policy.FullSnapshot, []policy.Endpoint{{Backend: 1, State: policy.EndpointReady}})
-		tx := f.Submit(dispatch.RequestSpec{Tenant: 1, Timeout: time.Second, Units: 1, Entries: 1})
+		tx := f.Submit(dispatch.RequestSpec{Tenant: 1, Timeout: time.Second, Units: 1, EntryPoints: 1})
 		step := tx.NextStep()
 		c, _, err := p.take(1)
 		if step.Action != dispatch.Send || c == nil || err != nil {
--- a/internal/frontend/parser.go
+++ b/internal/frontend/parser.go
@@ -48,8 +48,8 @@
 	// remainingText is the text of remaining among the fields; nil: none was given.
 	remainingText []byte
 	units         float64
-	entries       int // number of instances in a row that the tenant's requests come in through
-	firstEntry    int // index of the first of them
+	entryPoints   int // number of instances in a row that the tenant's requests come in through
+	firstInstance int // index of the first of them
 }
 
 // parse parses the words of a request. Where it fails the class is set if it was read before.
@@ -112,7 +112,7 @@
 // in it, so t behind first and d behind spread are refused too.
 func (h *requestHead) parseFields() error {
 	h.units = 1
-	h.entries = 1
+	h.entryPoints = 1
 	seen := ""
 	for rest, more := h.fields, true; more; {
 		var field []byte
@@ -147,9 +147,9 @@
 		h.units, valid = parseNumber(value)
 		valid = valid && h.units > 0 && h.units <= h.config.MaxUnits
 	case "spread":
-		h.entries, valid = parseInteger(value, 1, h.instances())
+		h.entryPoints, valid = parseInteger(value, 1, h.instances())
 	case "first":
-		h.firstEntry, valid = parseInteger(value, 0, h.instances()-1)
+		h.firstInstance, valid = parseInteger(value, 0, h.instances()-1)
 	default:
 		return fieldUnknown
 	}
--- a/internal/frontend/parser_test.go
+++ b/internal/frontend/parser_test.go
@@ -132,8 +132,8 @@
 	if head.remaining != 12500*time.Microsecond || string(head.remainingText) != "12.5" {
 		t.Errorf("remaining %v (%s)", head.remaining, head.remainingText)
 	}
-	if head.units != 2.5 || head.entries != 3 || head.firstEntry != 2 {
-		t.Errorf("units %v, entries %d from %d", head.units, head.entries, head.firstEntry)
+	if head.units != 2.5 || head.entryPoints != 3 || head.firstInstance != 2 {
+		t.Errorf("units %v, entry points %d from %d", head.units, head.entryPoints, head.firstInstance)
 	}
 	if string(head.fields) != fields {
 		t.Errorf("fields %s", head.fields)
@@ -145,8 +145,8 @@
 	if err := head.parse(headWords(testTenant, "7", "c=lookup,t=team,d=9")); err != nil {
 		t.Fatal(err)
 	}
-	if head.units != 1 || head.entries != 1 || head.firstEntry != 0 {
-		t.Errorf("units %v, entries %d from %d", head.units, head.entries, head.firstEntry)
+	if head.units != 1 || head.entryPoints != 1 || head.firstInstance != 0 {
+		t.Errorf("units %v, entry points %d from %d", head.units, head.entryPoints, head.firstInstance)
 	}
 }
 
--- a/internal/frontend/request.go
+++ b/internal/frontend/request.go
@@ -109,7 +109,7 @@
 	c.server.metrics.RequestReceived()
 	p.request = c.server.dispatcher.Submit(dispatch.RequestSpec{
 		Class: head.class, Plan: plan, Tenant: head.tenant, Timeout: head.remaining,
-		Units: head.units, Entries: head.entries, FirstEntry: head.firstEntry,
+		Units: head.units, EntryPoints: head.entryPoints, FirstInstance: head.firstInstance,
 	})
 	go p.run()
 	return nil
--- a/internal/limitserver/limitserver.go
+++ b/internal/limitserver/limitserver.go
@@ -266,7 +266,7 @@
 			return check{}, err
 		}
 	}
-	spec := dispatch.RequestSpec{Class: names.Class, Plan: pl, Tenant: c, Timeout: names.Timeout, Units: units, Entries: spread, FirstEntry: first}
+	spec := dispatch.RequestSpec{Class: names.Class, Plan: pl, Tenant: c, Timeout: names.Timeout, Units: units, EntryPoints: spread, FirstInstance: first}
 	return check{t: s.desk.Submit(spec), c: c, pl: pl, spread: spread}, nil
 }
 
