--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -1,15 +1,18 @@
 package config
 
 import (
+	"errors"
 	"os"
 	"path/filepath"
 	"strings"
 	"testing"
+	"time"
 
 	"fawnplank/policy"
 )
 
-const good = `{"name":"n3","listen":"127.0.0.1:6379","discovery":"127.0.0.1:8500","seed":"8c1f30d27a5be964",
+// validConfig sets every kind of field; tests replace parts of it.
+const validConfig = `{"name":"n3","listen":"127.0.0.1:6379","discovery":"127.0.0.1:8500","seed":"8c1f30d27a5be964",
 	"limits":{"cores":1.0,"memory_mb":192,"sockets":1024},"counter":"127.0.0.1:6400",
 	"known":{"index":41,"snapshot":true,"endpoints":[]},
 	"settings":{"me": 1, "replicas-of-me": 3, "zones": ["a"], "shapes": ["m2"], "discovery": "on_request",
@@ -21,19 +24,47 @@
 		"group": "cell", "window-ms": 5000}],
 	"tariffs": [{"name": "team", "quota-rate": 2, "peak-units": 5, "parallel": 4, "cap-rate": 9}]}}`
 
-func none(string) string { return "" }
+// emptyEnvironment has no variables.
+func emptyEnvironment(string) string { return "" }
 
-func TestParse_ReadsEveryField(t *testing.T) {
-	s, err := parse([]byte(good), none)
+// mustParse parses a configuration that has to be in order.
+func mustParse(t *testing.T, text string) *Config {
+	t.Helper()
+	c, err := parse([]byte(text), emptyEnvironment)
 	if err != nil {
 		t.Fatal(err)
 	}
-	p, plan := s.Settings.Classes[s.Classes["lookup"]], s.Settings.Plans[s.Plans["team"]]
-	if s.Seed != 0x8c1f30d27a5be964 || s.MemoryBytes != 192<<20 || s.MaxSockets != 1024 || s.IdleTimeout != 9e9 ||
-		s.ConnectTimeout != 1e8 || s.Settings.InstanceIndex != 1 || s.Settings.Instances != 3 || !s.Settings.PostPaid ||
-		!s.Settings.PollEndpoints || s.Settings.DrainGrace != 25e7 || p.Idempotency != policy.IdempotentWithKey || p.DedupScope != policy.DedupByGroup ||
-		p.Deadline != 2e9 || plan.ConcurrencyLimit != 4 || plan.HardQuotaRate != 9 || s.Zones[0] != "a" {
-		t.Errorf("%+v", s)
+	return c
+}
+
+func TestParse_ReadsEveryField(t *testing.T) {
+	c := mustParse(t, validConfig)
+	class := c.Settings.Classes[c.Classes["lookup"]]
+	plan := c.Settings.Plans[c.Plans["team"]]
+	for _, field := range []struct {
+		name      string
+		got, want any
+	}{
+		{"seed", c.Seed, uint64(0x8c1f30d27a5be964)},
+		{"memory", c.MemoryBytes, int64(192 << 20)},
+		{"sockets", c.MaxSockets, 1024},
+		{"zone", c.Zones[0], "a"},
+		{"idle timeout", c.IdleTimeout, 9 * time.Second},
+		{"connect timeout", c.ConnectTimeout, 100 * time.Millisecond},
+		{"instance", c.Settings.InstanceIndex, 1},
+		{"instances", c.Settings.Instances, 3},
+		{"post-paid", c.Settings.PostPaid, true},
+		{"poll", c.Settings.PollEndpoints, true},
+		{"drain grace", c.Settings.DrainGrace, int64(250 * time.Millisecond)},
+		{"class's idempotency", class.Idempotency, policy.IdempotentWithKey},
+		{"class's dedup scope", class.DedupScope, policy.DedupByGroup},
+		{"class's deadline", class.Deadline, int64(2 * time.Second)},
+		{"plan's concurrency", plan.ConcurrencyLimit, 4},
+		{"plan's hard quota", plan.HardQuotaRate, 9.0},
+	} {
+		if field.got != field.want {
+			t.Errorf("%s is %v, want %v", field.name, field.got, field.want)
+		}
 	}
 }
 
@@ -58,15 +89,19 @@
 		"within-ms is not above 0":       {`within-ms": 250`, `within-ms": 0`},
 		"settings.permissions.conn-idle": {`"conn-idle-ms": 9000`, `"conn-idle-ms": -1`},
 	} {
-		text := strings.Replace(good, change[0], change[1], 1)
-		if _, err := parse([]byte(text), none); err == nil || !strings.Contains(err.Error(), want) {
+		text := strings.Replace(validConfig, change[0], change[1], 1)
+		_, err := parse([]byte(text), emptyEnvironment)
+		if err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%q: %v", want, err)
 		}
+		if key, ok := errors.AsType[*SettingError](err); want != "no JSON object" && (!ok || key.Key == "" || key.Problem == "") {
+			t.Errorf("%q: %v is no error of a key", want, err)
+		}
 	}
 }
 
 func TestRead_DefaultsAndEnvironment(t *testing.T) {
-	text := strings.Replace(good, `"limits":{"cores":1.0,"memory_mb":192,"sockets":1024},`, "", 1)
+	text := strings.Replace(validConfig, `"limits":{"cores":1.0,"memory_mb":192,"sockets":1024},`, "", 1)
 	text = strings.Replace(text, `"listen":"127.0.0.1:6379",`, "", 1)
 	path := filepath.Join(t.TempDir(), "config.json")
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
@@ -75,67 +110,66 @@
 	t.Setenv("GW_CONFIG", path)
 	t.Setenv("GW_LISTEN", "127.0.0.9:1")
 	t.Setenv("GW_NAME", "other") // the file's own word goes first
-	s, err := Read("", Overlay{})
-	if err != nil || s.Listen != "127.0.0.9:1" || s.Name != "n3" || s.MaxSockets != defaultMaxSockets ||
-		s.MemoryBytes != defaultMemoryMB<<20 {
-		t.Errorf("%+v, %v", s, err)
+	c, err := Read("", Overlay{})
+	if err != nil || c.Listen != "127.0.0.9:1" || c.Name != "n3" || c.MaxSockets != defaultMaxSockets ||
+		c.MemoryBytes != defaultMemoryMB<<20 {
+		t.Errorf("%+v, %v", c, err)
 	}
 	t.Setenv("GW_CONFIG", "")
-	if _, err := Read("", Overlay{}); err == nil {
-		t.Error("no file, no fault")
+	if _, err := Read("", Overlay{}); !errors.Is(err, ErrNoFile) {
+		t.Errorf("no file: %v", err)
 	}
-	if _, err := Read(path+"x", Overlay{}); err == nil {
-		t.Error("a missing file, no fault")
+	if _, err := Read(path+"x", Overlay{}); !errors.Is(err, os.ErrNotExist) {
+		t.Errorf("a missing file: %v", err)
 	}
 }
 
-// Each kind of broken file is turned down whole, with the key named where there is one.
+// TestParse_RefusesBrokenFiles: of a broken file nothing is used.
 func TestParse_RefusesBrokenFiles(t *testing.T) {
 	for name, text := range map[string]string{
 		"empty":            "",
-		"cut short":        good[:len(good)/2],
-		"a key missing":    strings.Replace(good, `"deadline-ms": 2000, `, "", 1),
-		"deadline of 0":    strings.Replace(good, `"deadline-ms": 2000`, `"deadline-ms": 0`, 1),
-		"deadline below 0": strings.Replace(good, `"deadline-ms": 2000`, `"deadline-ms": -5`, 1),
-		"no attempts":      strings.Replace(good, `"send-cap": 3`, `"send-cap": 0`, 1),
-		"attempts a word":  strings.Replace(good, `"send-cap": 3`, `"send-cap": "3"`, 1),
+		"cut short":        validConfig[:len(validConfig)/2],
+		"a key missing":    strings.Replace(validConfig, `"deadline-ms": 2000, `, "", 1),
+		"deadline of 0":    strings.Replace(validConfig, `"deadline-ms": 2000`, `"deadline-ms": 0`, 1),
+		"deadline below 0": strings.Replace(validConfig, `"deadline-ms": 2000`, `"deadline-ms": -5`, 1),
+		"no attempts":      strings.Replace(validConfig, `"send-cap": 3`, `"send-cap": 0`, 1),
+		"attempts a word":  strings.Replace(validConfig, `"send-cap": 3`, `"send-cap": "3"`, 1),
 	} {
-		if s, err := parse([]byte(text), none); err == nil {
-			t.Errorf("%s: taken: %+v", name, s.Settings)
-		}
+		t.Run(name, func(t *testing.T) {
+			if c, err := parse([]byte(text), emptyEnvironment); err == nil {
+				t.Errorf("no error: %+v", c.Settings)
+			}
+		})
 	}
 }
 
-// A configuration read anew keeps the ids of what is unchanged; a changed or new class gets an id after all
-// the old ones, whose rows stay for the transactions open under them.
+// TestConfig_KeepIDs: a configuration read anew keeps the ids of what is unchanged; a changed or new class gets an id
+// after all the old ones, whose rows stay for the requests in flight under them.
 func TestConfig_KeepIDs(t *testing.T) {
-	old, err := parse([]byte(good), none)
-	if err != nil {
-		t.Fatal(err)
-	}
-	lanes := `"lanes": [{"name": "pay", "goal-time-ms": 500, "deadline-ms": 1000, "effect": "non_idempotent"},
+	old := mustParse(t, validConfig)
+	classes := `"lanes": [{"name": "pay", "goal-time-ms": 500, "deadline-ms": 1000, "effect": "non_idempotent"},
 		{"name": "lookup", "goal-time-ms": 750, "deadline-ms": 2000, "effect": "idempotency_key",
 		"group": "cell", "window-ms": 5000}]`
-	text := good[:strings.Index(good, `"lanes"`)] + lanes + good[strings.Index(good, `,
+	beforeClasses := validConfig[:strings.Index(validConfig, `"lanes"`)]
+	behindClasses := validConfig[strings.Index(validConfig, `,
 	"tariffs"`):]
-	fresh, err := parse([]byte(strings.Replace(text, `"quota-rate": 2`, `"quota-rate": 3`, 1)), none)
-	if err != nil {
-		t.Fatal(err)
-	}
-	fresh.KeepIDs(old)
-	if fresh.Classes["lookup"] != 0 || fresh.Classes["pay"] != 1 || len(fresh.Settings.Classes) != 2 ||
-		fresh.Settings.Classes[1].Idempotency != policy.NonIdempotent {
-		t.Errorf("profiles %v: %+v", fresh.Classes, fresh.Settings.Classes)
+	text := beforeClasses + classes + behindClasses
+	reloaded := mustParse(t, strings.Replace(text, `"quota-rate": 2`, `"quota-rate": 3`, 1))
+	reloaded.KeepIDs(old)
+	if reloaded.Classes["lookup"] != 0 || reloaded.Classes["pay"] != 1 || len(reloaded.Settings.Classes) != 2 ||
+		reloaded.Settings.Classes[1].Idempotency != policy.NonIdempotent {
+		t.Errorf("classes %v: %+v", reloaded.Classes, reloaded.Settings.Classes)
 	}
-	if fresh.Plans["team"] != 1 || len(fresh.Settings.Plans) != 2 || fresh.Settings.Plans[0].Rate != 2 ||
-		fresh.Settings.Plans[1].Rate != 3 {
-		t.Errorf("plans %v: %+v", fresh.Plans, fresh.Settings.Plans)
+	if reloaded.Plans["team"] != 1 || len(reloaded.Settings.Plans) != 2 || reloaded.Settings.Plans[0].Rate != 2 ||
+		reloaded.Settings.Plans[1].Rate != 3 {
+		t.Errorf("plans %v: %+v", reloaded.Plans, reloaded.Settings.Plans)
 	}
-	again, _ := parse([]byte(good), none) // back: lookup keeps 0, pay is no longer taken, its row stays
-	again.KeepIDs(fresh)
-	if len(again.Classes) != 1 || again.Classes["lookup"] != 0 || len(again.Settings.Classes) != 2 ||
-		again.Plans["team"] != 2 || len(again.Settings.Plans) != 3 {
-		t.Errorf("back: %v %v, %d and %d rows", again.Classes, again.Plans, len(again.Settings.Classes),
-			len(again.Settings.Plans))
+
+	back := mustParse(t, validConfig) // lookup keeps 0, pay has no name any more, its row stays
+	back.KeepIDs(reloaded)
+	if len(back.Classes) != 1 || back.Classes["lookup"] != 0 || len(back.Settings.Classes) != 2 ||
+		back.Plans["team"] != 2 || len(back.Settings.Plans) != 3 {
+		t.Errorf("back: %v %v, %d and %d rows", back.Classes, back.Plans, len(back.Settings.Classes),
+			len(back.Settings.Plans))
 	}
 }
--- a/internal/config/migrate_test.go
+++ b/internal/config/migrate_test.go
@@ -6,10 +6,13 @@
 	"slices"
 	"strings"
 	"testing"
+
+	"fawnplank/policy"
 )
 
-const old = `{"name":"n3","listen":"127.0.0.1:6379","discovery":"127.0.0.1:8500","seed":"8c1f30d27a5be964",
-	"counter":"127.0.0.1:6400","colour":"red","limits":{"memory_mb":96},
+// oldConfig is one of the old deployment, with something of each kind that is not carried over.
+const oldConfig = `{"name":"n3","listen":"127.0.0.1:6379","discovery":"127.0.0.1:8500","seed":"8c1f30d27a5be964",
+	"counter":"127.0.0.1:6400","paint":"red","limits":{"memory_mb":96},
 	"known":{"index":41,"snapshot":true,"endpoints":[{"name":"s-1"}]},
 	"settings":{"me": 1, "replicas-of-me": 3, "zones": ["a"], "shapes": ["m2"], "discovery": "pushed",
 	"weights": "nominal", "telemetry": {"how": "on_probe", "columns": ["qps"]},
@@ -20,6 +23,7 @@
 		"silence": "closed"}, {"name": "draft", "goal-time-ms": 1, "deadline-ms": 2, "effect": "read_like", "mood": 1}],
 	"tariffs": [{"name": "team", "quota-rate": 2, "peak-units": 5}]}}`
 
+// newShape are the settings of the new deployment.
 const newShape = `{"permissions": {"retry-after": false, "second-copies": false}, "weights": "rough",
 	"telemetry": {"how": "inline", "columns": ["util", "latency_ms"]}, "replicas-of-me": 90,
 	"lanes": [{"name": "lookup", "goal-time-ms": 1500, "deadline-ms": 3000, "effect": "read_like"}],
@@ -27,6 +31,7 @@
 
 // files puts texts into files of a folder of their own and gives their paths, and that of one not there yet.
 func files(t *testing.T, texts ...string) (paths []string, to string) {
+	t.Helper()
 	dir := t.TempDir()
 	for n, text := range texts {
 		paths = append(paths, filepath.Join(dir, string(rune('a'+n))+".json"))
@@ -37,13 +42,13 @@
 	return paths, filepath.Join(dir, "new.json")
 }
 
-func TestMigrationToTheNewShape(t *testing.T) {
-	from, to := files(t, old, newShape)
+func TestMigrate_ToTheNewShape(t *testing.T) {
+	from, to := files(t, oldConfig, newShape)
 	lines, err := Migrate(MigrateOptions{From: from[0], Shape: from[1], To: to})
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := []string{"colour: not known here", "settings.lanes[1].mood: not known here",
+	want := []string{"paint: not known here", "settings.lanes[1].mood: not known here",
 		"settings.permissions.turbo: not known here", "settings.permissions.probes: true",
 		"settings.telemetry: reports", "known: 1 backends", "settings.permissions.retry-after: true",
 		`settings.lanes[1]: "draft" has no counterpart`, `settings.tariffs[0]: "team" has no counterpart`}
@@ -55,41 +60,48 @@
 			t.Errorf("line %d is %q, not %q", n, lines[n], want[n])
 		}
 	}
-	s, err := Read(to, Overlay{})
+	c, err := Read(to, Overlay{})
 	if err != nil {
 		t.Fatal(err)
 	}
-	x := s.Settings
-	if x.HealthChecks || x.RetryAfter || x.Instances != 90 || x.InstanceIndex != 1 || x.Plans[s.Plans["pro"]].ConcurrencyLimit != 3 ||
-		x.Classes[s.Classes["lookup"]].FallbackMode != 2 || x.Classes[0].LatencyObjective != 15e8 || s.MemoryBytes != 96<<20 ||
-		s.Name != "n3" || s.Seed != 0x8c1f30d27a5be964 || len(s.KnownEndpoints) > 0 || x.MaxRetryAfter != 1e9 {
-		t.Errorf("%+v", s)
+	settings := c.Settings
+	if settings.HealthChecks || settings.RetryAfter || settings.Instances != 90 || settings.InstanceIndex != 1 ||
+		settings.Plans[c.Plans["pro"]].ConcurrencyLimit != 3 || settings.MaxRetryAfter != 1e9 ||
+		settings.Classes[c.Classes["lookup"]].FallbackMode != policy.FailClosed ||
+		settings.Classes[0].LatencyObjective != 15e8 {
+		t.Errorf("%+v", settings)
+	}
+	if c.MemoryBytes != 96<<20 || c.Name != "n3" || c.Seed != 0x8c1f30d27a5be964 || len(c.KnownEndpoints) > 0 {
+		t.Errorf("%+v", c)
 	}
-	if again, err := os.ReadFile(from[0]); err != nil || string(again) != old {
+	if again, err := os.ReadFile(from[0]); err != nil || string(again) != oldConfig {
 		t.Error("the source has changed")
 	}
 	// Its own output has nothing left to say, but for what the shape took out.
-	if lines, err := Migrate(MigrateOptions{From: to, Shape: "", To: "", DryRun: true}); err != nil || len(lines) != 0 {
+	if lines, err := Migrate(MigrateOptions{From: to, DryRun: true}); err != nil || len(lines) != 0 {
 		t.Errorf("once more: %q, %v", lines, err)
 	}
 }
 
-// Without a shape only what the new deployments lack goes, and numbers stay as they are written.
-func TestMigrationWithoutAShape(t *testing.T) {
-	from, to := files(t, strings.Replace(old, `"name":"n3","listen":"127.0.0.1:6379",`, "", 1))
-	lines, err := Migrate(MigrateOptions{From: from[0], Shape: "", To: to})
+// TestMigrate_WithoutAShape: without a shape only what the new deployments lack goes, and numbers stay as they are written.
+func TestMigrate_WithoutAShape(t *testing.T) {
+	from, to := files(t, strings.Replace(oldConfig, `"name":"n3","listen":"127.0.0.1:6379",`, "", 1))
+	lines, err := Migrate(MigrateOptions{From: from[0], To: to})
 	if err != nil || !slices.ContainsFunc(lines, func(l string) bool { return strings.HasPrefix(l, "listen: left out: GW_LISTEN") }) {
 		t.Fatalf("%q, %v", lines, err)
 	}
-	text, _ := os.ReadFile(to)
+	text, err := os.ReadFile(to)
+	if err != nil {
+		t.Fatal(err)
+	}
 	if !strings.Contains(string(text), "750.125") || !strings.Contains(string(text), `"team"`) ||
 		!strings.Contains(string(text), `"probes": false`) || strings.Contains(string(text), "turbo") {
 		t.Errorf("%s", text)
 	}
 }
 
-func TestDryRunWritesNothing(t *testing.T) {
-	from, to := files(t, old, newShape)
+func TestMigrate_DryRunWritesNothing(t *testing.T) {
+	from, to := files(t, oldConfig, newShape)
 	dry, err := Migrate(MigrateOptions{From: from[0], Shape: from[1], To: to, DryRun: true})
 	if _, e := os.Stat(to); err != nil || e == nil {
 		t.Errorf("written: %v, %v", err, e)
@@ -99,15 +111,15 @@
 	}
 }
 
-// Whatever is wrong, the message names the file and the key, and nothing is written or changed.
-func TestFaultyFilesAreNotMigrated(t *testing.T) {
+// TestMigrate_RefusesFaultyFiles: whatever is wrong, the message names the file and the key, and nothing is written or changed.
+func TestMigrate_RefusesFaultyFiles(t *testing.T) {
 	for want, x := range map[string]struct{ of, was, is string }{
 		"a.json: settings: seed is no hexadecimal":                         {"old", `8c1f30d27a5be964`, `seed`},
 		"a.json: settings.me comes twice":                                  {"old", `"me": 1`, `"me": 1, "me": 2`},
 		"a.json: settings.zones[0]: no JSON":                               {"old", `["a"]`, `[a]`},
 		"a.json: something follows":                                        {"old", `"peak-units": 5}]}}`, `"peak-units": 5}]}} {}`},
-		"a.json: the file: no JSON":                                        {"old", old, ``},
-		"a.json: is no JSON object":                                        {"old", old, `[]`},
+		"a.json: the file: no JSON":                                        {"old", oldConfig, ``},
+		"a.json: is no JSON object":                                        {"old", oldConfig, `[]`},
 		"a.json: settings: settings.tariffs[0].parallel":                   {"old", `"peak-units": 5`, `"parallel": 1.5`},
 		"a.json: settings: settings.tariffs[0].quota-rate":                 {"old", `"quota-rate": 2`, `"quota-rate": -2`},
 		"a.json: settings: settings.lanes[0].silence":                      {"old", `"closed"`, `"shut"`},
@@ -120,60 +132,63 @@
 		"b.json: its counterpart is not in order: settings: settings.lan":  {"new", `1500`, `"soon"`},
 		"b.json: its counterpart is not in order: settings: settings.tari": {"new", `"parallel": 3`, `"parallel": -3`},
 	} {
-		a, b := old, newShape
+		config, shape := oldConfig, newShape
 		if x.of == "old" {
-			a = strings.Replace(a, x.was, x.is, 1)
+			config = strings.Replace(config, x.was, x.is, 1)
 		} else {
-			b = strings.Replace(b, x.was, x.is, 1)
+			shape = strings.Replace(shape, x.was, x.is, 1)
 		}
-		if a == old && b == newShape {
+		if config == oldConfig && shape == newShape {
 			t.Fatalf("%q changes nothing", want)
 		}
-		from, to := files(t, a, b)
+		from, to := files(t, config, shape)
+		options := MigrateOptions{From: from[0], Shape: from[1], To: to}
 		if x.of == "old" && strings.HasPrefix(want, "settings.") { // seen in the counterpart, which then is to be named
 			want = "its counterpart is not in order: " + want
-			b = ""
-		}
-		shape := from[1]
-		if b == "" {
-			shape = ""
+			options.Shape = ""
 		}
-		if _, err := Migrate(MigrateOptions{From: from[0], Shape: shape, To: to}); err == nil || !strings.Contains(err.Error(), want) ||
-			!strings.Contains(err.Error(), ".json") {
+		_, err := Migrate(options)
+		if err == nil || !strings.Contains(err.Error(), want) || !strings.Contains(err.Error(), ".json") {
 			t.Errorf("%q: %v", want, err)
 		}
-		left, _ := filepath.Glob(filepath.Join(filepath.Dir(to), "*"))
+		left, _ := filepath.Glob(filepath.Join(filepath.Dir(to), "*")) // the pattern is in order
 		hidden, _ := filepath.Glob(filepath.Join(filepath.Dir(to), ".*"))
-		if again, _ := os.ReadFile(from[0]); len(left) != 2 || len(hidden) != 0 || string(again) != a {
-			t.Errorf("%q: left %q %q", want, left, hidden)
+		again, err := os.ReadFile(from[0])
+		if err != nil || len(left) != 2 || len(hidden) != 0 || string(again) != config {
+			t.Errorf("%q: left %q %q, %v", want, left, hidden, err)
 		}
 	}
 }
 
-func TestMigrationNeverOverwrites(t *testing.T) {
-	from, to := files(t, old, "mine")
+func TestMigrate_NeverOverwrites(t *testing.T) {
+	from, to := files(t, oldConfig, "mine")
 	link := filepath.Join(filepath.Dir(to), "link.json")
 	if err := os.Symlink(from[0], link); err != nil {
 		t.Fatal(err)
 	}
 	for _, place := range []string{from[0], from[1], link, filepath.Join(to, "x")} {
-		if _, err := Migrate(MigrateOptions{From: from[0], Shape: "", To: place}); err == nil || !strings.Contains(err.Error(), place) {
+		if _, err := Migrate(MigrateOptions{From: from[0], To: place}); err == nil || !strings.Contains(err.Error(), place) {
 			t.Errorf("%s: %v", place, err)
 		}
 	}
-	a, _ := os.ReadFile(from[0])
-	b, _ := os.ReadFile(from[1])
-	if string(a) != old || string(b) != "mine" {
-		t.Error("a file was written over")
+	for n, want := range []string{oldConfig, "mine"} {
+		if text, err := os.ReadFile(from[n]); err != nil || string(text) != want {
+			t.Errorf("%s was written over, or cannot be read: %v", from[n], err)
+		}
 	}
 }
 
-func TestPresetsOfProfiles(t *testing.T) {
-	for text, want := range map[string]int{`"effect"`: 0, `"silence": "share", "effect"`: 0,
-		`"silence": "open", "effect"`: 1, `"silence": "closed", "effect"`: 2} {
-		s, err := parse([]byte(strings.Replace(good, `"effect"`, text, 1)), none)
-		if err != nil || int(s.Settings.Classes[0].FallbackMode) != want {
-			t.Errorf("%s: %v", text, err)
+func TestParse_FallbackModes(t *testing.T) {
+	for setting, want := range map[string]policy.FallbackMode{
+		``:                      policy.LocalShare,
+		`"silence": "share", `:  policy.LocalShare,
+		`"silence": "open", `:   policy.FailOpen,
+		`"silence": "closed", `: policy.FailClosed,
+	} {
+		text := strings.Replace(validConfig, `"effect"`, setting+`"effect"`, 1)
+		c, err := parse([]byte(text), emptyEnvironment)
+		if err != nil || c.Settings.Classes[0].FallbackMode != want {
+			t.Errorf("%q: %v, want %v", setting, err, want)
 		}
 	}
 }
--- a/internal/config/operator_test.go
+++ b/internal/config/operator_test.go
@@ -7,9 +7,10 @@
 	"testing"
 )
 
-func TestOperatorFile(t *testing.T) {
+func TestReadOperator(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "op.toml")
-	read := func(text string) (*Operator, error) {
+	read := func(t *testing.T, text string) (*Operator, error) {
+		t.Helper()
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
@@ -41,8 +42,11 @@
 		"[log]\nformat = \"json\"\nlevel = \"debug\"\n[counter]\n":       "",
 		"[limits]\nanswer_within = \"100ms\"\nlisten = \"[::1]:99\"\n":   "",
 	} {
-		o, err := read(text)
-		if want == "" && err != nil || want != "" && (err == nil || !strings.Contains(err.Error(), want) || !strings.Contains(err.Error(), path)) {
+		o, err := read(t, text)
+		if want == "" && err != nil {
+			t.Errorf("%q: %v", text, err)
+		}
+		if want != "" && (err == nil || !strings.Contains(err.Error(), want) || !strings.Contains(err.Error(), path)) {
 			t.Errorf("%q: %v, want %q", text, err, want)
 		}
 		if err == nil && (o.Limits.MaxConnections != 64 || o.Counter.Protocol != "text") {
@@ -60,29 +64,31 @@
 	}
 }
 
-// The profile that only counts gets an id after the platform's, and keeps it through a reload.
-func TestLimitProfile(t *testing.T) {
-	s, err := parse([]byte(good), none)
+// TestConfig_LimitClass: the class that only checks gets an id after the platform's, and keeps it through a reload.
+func TestConfig_LimitClass(t *testing.T) {
+	c := mustParse(t, validConfig)
+	o, err := ReadOperator("")
 	if err != nil {
 		t.Fatal(err)
 	}
-	o, _ := ReadOperator("")
-	if s.AddLimitClass(o); len(s.Classes) != 1 {
+	if c.AddLimitClass(o); len(c.Classes) != 1 {
 		t.Error("limit commands are on without an address")
 	}
-	if _, ok := s.LimitClass(); ok {
-		t.Error("a profile for limit commands that are off")
+	if _, ok := c.LimitClass(); ok {
+		t.Error("a class for limit commands that are off")
 	}
+
 	o.Limits.Listen = "127.0.0.1:1"
-	s.AddLimitClass(o)
-	id, ok := s.LimitClass()
-	if !ok || id != 1 || !s.Settings.Classes[1].CheckOnly || s.Settings.Classes[1].Deadline != 750e6 {
-		t.Errorf("%v %+v", id, s.Settings.Classes)
+	c.AddLimitClass(o)
+	id, ok := c.LimitClass()
+	if !ok || id != 1 || !c.Settings.Classes[1].CheckOnly || c.Settings.Classes[1].Deadline != 750e6 {
+		t.Errorf("%v %+v", id, c.Settings.Classes)
 	}
-	fresh, _ := parse([]byte(strings.Replace(good, `"deadline-ms": 2000`, `"deadline-ms": 3000`, 1)), none)
-	fresh.AddLimitClass(o)
-	fresh.KeepIDs(s)
-	if again, ok := fresh.LimitClass(); !ok || again != id || !fresh.Settings.Classes[again].CheckOnly {
+
+	reloaded := mustParse(t, strings.Replace(validConfig, `"deadline-ms": 2000`, `"deadline-ms": 3000`, 1))
+	reloaded.AddLimitClass(o)
+	reloaded.KeepIDs(c)
+	if again, ok := reloaded.LimitClass(); !ok || again != id || !reloaded.Settings.Classes[again].CheckOnly {
 		t.Errorf("after a reload %v", again)
 	}
 }
--- a/internal/config/overlay.go
+++ b/internal/config/overlay.go
@@ -46,10 +46,11 @@
 	if err := json.Unmarshal(top["settings"], &settings); err != nil {
 		return nil, fmt.Errorf("settings: no JSON object: %w", err)
 	}
-	for key, rows := range map[string]map[string]json.RawMessage{"tariffs": o.Plans, "lanes": o.Classes} {
-		if err := replaceRows(settings, key, rows); err != nil {
-			return nil, err
-		}
+	if err := replaceRows(settings, "tariffs", o.Plans); err != nil {
+		return nil, err
+	}
+	if err := replaceRows(settings, "lanes", o.Classes); err != nil {
+		return nil, err
 	}
 	top["settings"], _ = json.Marshal(settings) // each value came from a text that was read or marshaled
 	return json.Marshal(top)
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -26,7 +26,8 @@
 	Success  Outcome = iota // answered by a backend
 	Overload                // rejected
 	Error                   // failed, or refused for its head
-	outcomes                // how many there are
+
+	outcomes // how many there are
 )
 
 // String returns the outcome's name, that of its metric.
--- a/internal/tomlfile/tomlfile_test.go
+++ b/internal/tomlfile/tomlfile_test.go
@@ -1,10 +1,12 @@
 package tomlfile
 
 import (
+	"errors"
 	"strings"
 	"testing"
 )
 
+// shape is what the texts below are read into.
 type shape struct {
 	Name string  `toml:"name"`
 	Rate float64 `toml:"rate"`
@@ -13,7 +15,7 @@
 	} `toml:"row"`
 }
 
-func TestEveryFaultNamesItsLine(t *testing.T) {
+func TestRead_ErrorNamesItsLine(t *testing.T) {
 	for text, want := range map[string]string{
 		"name = \"a\"\nrate = \"fast\"":        "f:2: ",
 		"name = \"a\"\n\nspeed = 3":            "f:3: unknown key speed",
@@ -28,22 +30,34 @@
 		"name = \"\xff\"":                      "f:1: ",
 	} {
 		var s shape
-		if _, err := Read("f", []byte(text), &s); err == nil || !strings.HasPrefix(err.Error(), want) {
+		_, err := Read("f", []byte(text), &s)
+		if err == nil || !strings.HasPrefix(err.Error(), want) {
 			t.Errorf("%q: %v, want %q", text, err, want)
 		}
+		if at, ok := errors.AsType[*PositionError](err); !ok || at.File != "f" || at.Line == 0 {
+			t.Errorf("%q: %v has no place", text, err)
+		}
 	}
 }
 
-func TestLinesOfKeys(t *testing.T) {
+func TestFile_KeyErrorNamesItsLine(t *testing.T) {
 	var s shape
 	f, err := Read("f", []byte("# a file\nname = \"a\"\n\n[[row]]\nn = 1\n[[row]]\nn = 2\n"), &s)
 	if err != nil || s.Rows[1].N != 2 || !f.Has("name") || f.Has("rate") {
 		t.Fatal(err, s)
 	}
-	for key, want := range map[string]string{"name": "f:2: name is bad", "row[1].n": "f:7: row[1].n is bad",
-		"row[0].other": "f:4: row[0].other is bad", "rate": "f: rate is bad"} {
-		if got := f.KeyError(key, "is bad").Error(); got != want {
-			t.Errorf("%q, want %q", got, want)
+	for key, want := range map[string]string{
+		"name":         "f:2: name is bad",
+		"row[1].n":     "f:7: row[1].n is bad",
+		"row[0].other": "f:4: row[0].other is bad",
+		"rate":         "f: rate is bad",
+	} {
+		err := f.KeyError(key, "is bad")
+		if err.Error() != want {
+			t.Errorf("%q, want %q", err, want)
+		}
+		if fault, ok := errors.AsType[*KeyError](err); !ok || fault.Key != key {
+			t.Errorf("%q is no error of the key %s", err, key)
 		}
 	}
 	if _, err := Read("f", nil, &s); err != nil {
--- a/internal/warmstart/warmstart_test.go
+++ b/internal/warmstart/warmstart_test.go
@@ -1,6 +1,7 @@
 package warmstart
 
 import (
+	"bytes"
 	"encoding/binary"
 	"errors"
 	"fmt"
@@ -20,123 +21,189 @@
 	"fawnplank/policy"
 )
 
-// some is a state in which every part says the same number, so that a mixture of two shows.
-func some(n int) (l policy.WarmStartState) {
-	l.BaselineLatency, l.Samples = float64(n), float64(n)
-	for b := range 400 {
-		l.Backends = append(l.Backends, policy.BackendWarmStart{Backend: policy.BackendID(b), StartedAt: int64(n), BaselineLatency: float64(n), Samples: 1})
-	}
-	return l
+// The environment that makes the test's own binary a writer: the file to write, and whether the disk is full.
+const (
+	writerPath = "WARMSTART_WRITER_PATH"
+	writerFull = "WARMSTART_WRITER_FULL"
+)
+
+const stateBackends = 400
+
+// stateOf returns a state in which every part has the same number, so that a mixture of two shows.
+func stateOf(number int) policy.WarmStartState {
+	state := policy.WarmStartState{BaselineLatency: float64(number), Samples: float64(number)}
+	for b := range stateBackends {
+		state.Backends = append(state.Backends, policy.BackendWarmStart{
+			Backend:         policy.BackendID(b),
+			StartedAt:       int64(number),
+			BaselineLatency: float64(number),
+			Samples:         1,
+		})
+	}
+	return state
 }
 
-// TestMain lets the test's own binary be one that writes until it is killed, or one whose disk is full.
 func TestMain(m *testing.M) {
-	path := os.Getenv("LEARNED_WRITE")
+	path := os.Getenv(writerPath)
 	if path == "" {
 		os.Exit(m.Run())
 	}
-	if os.Getenv("LEARNED_FULL") != "" {
-		signal.Ignore(syscall.SIGXFSZ)
-		unix.Setrlimit(unix.RLIMIT_FSIZE, &unix.Rlimit{Cur: 100, Max: 100})
-		if err := Save(path, some(7), time.Now()); err != nil {
-			fmt.Println(err)
-		}
+	if os.Getenv(writerFull) != "" {
+		writeToFullDisk(path)
+		return
+	}
+	writeUntilKilled(path)
+}
+
+// writeToFullDisk stands for a full disk by a limit on the size of files, and prints the error of a write.
+func writeToFullDisk(path string) {
+	signal.Ignore(syscall.SIGXFSZ)
+	if err := unix.Setrlimit(unix.RLIMIT_FSIZE, &unix.Rlimit{Cur: 100, Max: 100}); err != nil {
+		fmt.Println(err)
 		return
 	}
+	if err := Save(path, stateOf(7), time.Now()); err != nil {
+		fmt.Println(err)
+	}
+}
+
+func writeUntilKilled(path string) {
 	for n := 1; ; n++ {
-		if err := Save(path, some(n), time.Now()); err != nil {
+		if err := Save(path, stateOf(n), time.Now()); err != nil {
 			fmt.Println(err)
 			os.Exit(1)
 		}
 	}
 }
 
-func child(path string, more ...string) *exec.Cmd {
-	c := exec.Command(os.Args[0])
-	c.Env = append(append(os.Environ(), "LEARNED_WRITE="+path), more...)
-	return c
+// writer returns the command of a process that writes the file.
+func writer(t *testing.T, path string, environment ...string) *exec.Cmd {
+	t.Helper()
+	command := exec.CommandContext(t.Context(), os.Args[0])
+	command.Env = append(append(os.Environ(), writerPath+"="+path), environment...)
+	return command
+}
+
+// killWriter starts a writer, waits for its file if there is none, and kills it at a chance moment.
+func killWriter(t *testing.T, path string, chance *rand.Rand) {
+	t.Helper()
+	command := writer(t, path)
+	if err := command.Start(); err != nil {
+		t.Fatal(err)
+	}
+	for start := time.Now(); time.Since(start) < 5*time.Second; time.Sleep(time.Millisecond) {
+		if _, err := os.Stat(path); err == nil {
+			break
+		}
+	}
+	time.Sleep(time.Duration(5+chance.IntN(15)) * time.Millisecond)
+	if err := command.Process.Kill(); err != nil {
+		t.Errorf("the writer had ended by itself: %v", err)
+	}
+	_ = command.Wait() // it was killed, which is an error
 }
 
-// Failure to bear: the process is killed in the middle of a write, some two hundred times. What is read is always one
-// whole state, and the file is there from the first on.
-func TestKilledInTheMiddleOfWriting(t *testing.T) {
-	path, chance := filepath.Join(t.TempDir(), "learned"), rand.New(rand.NewPCG(3, 3))
+// TestSave_KilledWhileWriting kills the process in the middle of a write, some two hundred times. What is read is always
+// one whole state, and the file is there from the first on.
+func TestSave_KilledWhileWriting(t *testing.T) {
+	path := filepath.Join(t.TempDir(), "learned")
+	chance := rand.New(rand.NewPCG(3, 3))
 	seen := map[float64]bool{}
 	for n := range 200 {
-		c := child(path)
-		if err := c.Start(); err != nil {
-			t.Fatal(err)
-		}
-		for wait := time.Now(); n == 0 && time.Since(wait) < 5*time.Second; time.Sleep(time.Millisecond) {
-			if _, err := os.Stat(path); err == nil {
-				break
-			}
-		}
-		time.Sleep(time.Duration(5+chance.IntN(15)) * time.Millisecond)
-		c.Process.Kill()
-		c.Wait()
-		l, _, err := Load(path, time.Now())
+		killWriter(t, path, chance)
+		state, _, err := Load(path, time.Now())
 		if err != nil {
 			t.Fatalf("kill %d: %v", n, err)
 		}
-		for _, b := range l.Backends {
-			if b.BaselineLatency != l.BaselineLatency || len(l.Backends) != 400 {
-				t.Fatalf("kill %d: a mixture of %v and %v", n, l.BaselineLatency, b.BaselineLatency)
+		for _, backend := range state.Backends {
+			if backend.BaselineLatency != state.BaselineLatency || len(state.Backends) != stateBackends {
+				t.Fatalf("kill %d: a mixture of %v and %v", n, state.BaselineLatency, backend.BaselineLatency)
 			}
 		}
-		seen[l.BaselineLatency] = true
+		seen[state.BaselineLatency] = true
 	}
 	if len(seen) < 5 {
 		t.Errorf("only %d states were seen: the kills hit nothing", len(seen))
 	}
 }
 
-func TestAFullDiskLeavesTheOldFile(t *testing.T) {
+func TestSave_FullDiskLeavesTheOldFile(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "learned")
-	if err := Save(path, some(3), time.Now()); err != nil {
+	if err := Save(path, stateOf(3), time.Now()); err != nil {
 		t.Fatal(err)
 	}
-	out, err := child(path, "LEARNED_FULL=1").Output()
+	out, err := writer(t, path, writerFull+"=1").Output()
 	if err != nil || !strings.Contains(string(out), "file too large") {
 		t.Errorf("%v, %q", err, out)
 	}
-	if l, _, err := Load(path, time.Now()); err != nil || l.BaselineLatency != 3 {
-		t.Error(l.BaselineLatency, err)
+	if state, _, err := Load(path, time.Now()); err != nil || state.BaselineLatency != 3 {
+		t.Error(state.BaselineLatency, err)
+	}
+	if err := Save(filepath.Join(path, "below-a-file"), stateOf(1), time.Now()); err == nil {
+		t.Error("no error in a folder that is none")
 	}
-	if err := Save(filepath.Join(path, "below-a-file"), some(1), time.Now()); err == nil {
-		t.Error("an error of the folder was not told")
+}
+
+func writeFile(t *testing.T, path string, content []byte) {
+	t.Helper()
+	if err := os.WriteFile(path, content, 0o600); err != nil {
+		t.Fatal(err)
 	}
 }
 
-func TestFilesThatAreRefused(t *testing.T) {
-	path, now := filepath.Join(t.TempDir(), "learned"), time.Unix(1_800_000_000, 0)
+// TestLoad_RefusesDamagedFiles cuts a file at every byte, and changes every byte.
+func TestLoad_RefusesDamagedFiles(t *testing.T) {
+	path := filepath.Join(t.TempDir(), "learned")
+	now := time.Unix(1_800_000_000, 0)
 	if _, _, err := Load(path, now); !errors.Is(err, os.ErrNotExist) {
 		t.Error(err)
 	}
-	l := some(2)
-	l.Backends = l.Backends[:3]
-	if err := Save(path, l, now); err != nil {
+	state := stateOf(2)
+	state.Backends = state.Backends[:3]
+	if err := Save(path, state, now); err != nil {
+		t.Fatal(err)
+	}
+	content, err := os.ReadFile(path)
+	if err != nil {
 		t.Fatal(err)
 	}
-	text, _ := os.ReadFile(path)
-	for n := range text {
-		for _, bad := range [][]byte{text[:n], append(append(append([]byte(nil), text[:n]...), text[n]^1), text[n+1:]...)} {
-			os.WriteFile(path, bad, 0o600)
-			if _, _, err := Load(path, now); err == nil {
-				t.Fatalf("taken though cut or changed at byte %d", n)
+	for n := range content {
+		changed := bytes.Clone(content)
+		changed[n] ^= 1
+		for _, damaged := range [][]byte{content[:n], changed} {
+			writeFile(t, path, damaged)
+			_, _, err := Load(path, now)
+			if err == nil {
+				t.Fatalf("no error though cut or changed at byte %d", n)
+			}
+			if !errors.Is(err, ErrCutShort) && !errors.Is(err, ErrDamaged) {
+				t.Errorf("cut or changed at byte %d: %v", n, err)
 			}
 		}
 	}
-	other := []byte(`{"v":0,"saved_unix_ns":1,"learned":{}}`)
-	os.WriteFile(path, append(binary.BigEndian.AppendUint64([]byte(magic), xxhash.Sum64(other)), other...), 0o600)
-	if _, _, err := Load(path, now); err == nil || !strings.Contains(err.Error(), "of version 0, and 1 is read") {
+}
+
+func TestLoad_RefusesOtherVersions(t *testing.T) {
+	path := filepath.Join(t.TempDir(), "learned")
+	text := []byte(`{"v":0,"saved_unix_ns":1,"learned":{}}`)
+	content := binary.BigEndian.AppendUint64([]byte(magic), xxhash.Sum64(text))
+	writeFile(t, path, append(content, text...))
+	_, _, err := Load(path, time.Unix(1_800_000_000, 0))
+	if err == nil || !strings.Contains(err.Error(), "of version 0, and 1 is read") {
 		t.Error(err)
 	}
-	os.WriteFile(path, text, 0o600)
-	if _, age, err := Load(path, now.Add(3*time.Hour)); err != nil || age != 3*time.Hour {
+}
+
+func TestLoad_Age(t *testing.T) {
+	path := filepath.Join(t.TempDir(), "learned")
+	saved := time.Unix(1_800_000_000, 0)
+	if err := Save(path, stateOf(2), saved); err != nil {
+		t.Fatal(err)
+	}
+	if _, age, err := Load(path, saved.Add(3*time.Hour)); err != nil || age != 3*time.Hour {
 		t.Error(age, err)
 	}
-	if _, _, err := Load(path, now.Add(-time.Hour)); err == nil || !strings.Contains(err.Error(), "from now") {
+	if _, _, err := Load(path, saved.Add(-time.Hour)); err == nil || !strings.Contains(err.Error(), "from now") {
 		t.Errorf("a file of the future: %v", err)
 	}
 }
