--- a/cmd/drill/golden_test.go
+++ b/cmd/drill/golden_test.go
@@ -13,13 +13,13 @@
 
 // recordedStream is the simulator's side of a day on the wire: five instances, every kind of event, and some events
 // that make no sense.
-func recordedStream(t testing.TB) []byte {
+func recordedStream(t *testing.T) []byte {
 	t.Helper()
 	f, err := os.Open("testdata/stream.bin.gz")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer f.Close()
+	defer func() { _ = f.Close() }() // it was only read
 	z, err := gzip.NewReader(f)
 	if err != nil {
 		t.Fatal(err)
@@ -34,7 +34,10 @@
 // TestGoldenStream pins the bytes that answer a recorded stream. A hash that changes means that a decision or the
 // wire changed.
 func TestGoldenStream(t *testing.T) {
-	const wantIn, wantOut = "a4ffec7482804808dd351b4832ce457d1d93f1d0f116ad7f0d7434b449bc1c6c", "8885b942c903ed6342b5cca175e09d0e8db8102f86a771267d3df5cf4c8eb148"
+	const (
+		wantIn  = "a4ffec7482804808dd351b4832ce457d1d93f1d0f116ad7f0d7434b449bc1c6c"
+		wantOut = "8885b942c903ed6342b5cca175e09d0e8db8102f86a771267d3df5cf4c8eb148"
+	)
 	stream := recordedStream(t)
 	if got := hash(stream); got != wantIn {
 		t.Fatalf("the recorded stream of %d bytes has the hash\n%s, want\n%s: it must stay as it was recorded", len(stream), got, wantIn)
--- a/cmd/drill/host.go
+++ b/cmd/drill/host.go
@@ -26,19 +26,19 @@
 	handle func(h *host, now int64, number uint32, f *simwire.Frame) error
 }
 
-// events are the kinds of events by their code.
+// events are the kinds of events by their code, with the names that errors have always given them.
 var events = [...]event{
-	0:  hostEvent("Create", readCreate, (*host).create),
-	1:  instanceEvent("View", readEndpoints, (*instance).handleEndpoints),
-	2:  instanceEvent("Call", readSubmit, (*instance).handleSubmit),
-	3:  instanceEvent("Accepted", readResponseStarted, (*instance).handleResponseStarted),
-	4:  instanceEvent("Settled", readAttemptResult, (*instance).handleAttemptResult),
-	5:  instanceEvent("ClientLeft", readClientGone, (*instance).handleClientGone),
-	6:  instanceEvent("Timer", readTimer, (*instance).handleTimer),
-	7:  instanceEvent("ProbeDone", readHealthCheck, (*instance).handleHealthCheck),
-	8:  hostEvent("Inbox", readPeerMessage, (*host).ignore), // the decisions send no messages and expect none
-	9:  hostEvent("Killed", readNothing, (*host).kill),
-	10: instanceEvent("TallyBack", readCounterResult, (*instance).handleCounterResult),
+	eventCreate:          hostEvent("Create", readCreate, (*host).create),
+	eventEndpoints:       instanceEvent("View", readEndpoints, (*instance).handleEndpoints),
+	eventSubmit:          instanceEvent("Call", readSubmit, (*instance).handleSubmit),
+	eventResponseStarted: instanceEvent("Accepted", readResponseStarted, (*instance).handleResponseStarted),
+	eventAttemptResult:   instanceEvent("Settled", readAttemptResult, (*instance).handleAttemptResult),
+	eventClientGone:      instanceEvent("ClientLeft", readClientGone, (*instance).handleClientGone),
+	eventTimer:           instanceEvent("Timer", readTimer, (*instance).handleTimer),
+	eventHealthCheck:     instanceEvent("ProbeDone", readHealthCheck, (*instance).handleHealthCheck),
+	eventPeerMessage:     hostEvent("Inbox", readPeerMessage, (*host).ignore), // the decisions send no messages and expect none
+	eventKill:            hostEvent("Killed", readNothing, (*host).kill),
+	eventCounterResult:   instanceEvent("TallyBack", readCounterResult, (*instance).handleCounterResult),
 }
 
 // hostEvent makes a kind of event that the host handles, be there such an instance or not.
--- a/cmd/drill/messages.go
+++ b/cmd/drill/messages.go
@@ -11,6 +11,28 @@
 // This file reads the bodies of events. Readers leave it to their caller to check the frame's error, which comes before
 // all use of a message; the errors that they return are of values that the wire does not define.
 
+// Codes of the events on the wire.
+const (
+	eventCreate uint8 = iota
+	eventEndpoints
+	eventSubmit
+	eventResponseStarted
+	eventAttemptResult
+	eventClientGone
+	eventTimer
+	eventHealthCheck
+	eventPeerMessage
+	eventKill
+	eventCounterResult
+)
+
+// States of a backend on the wire. State 2 is not defined.
+const (
+	stateDraining = 0
+	stateReady    = 1
+	stateGone     = 3
+)
+
 // nanoseconds and milliseconds turn the wire's times into the decisions' and back.
 func nanoseconds(ms float64) int64     { return config.Nanoseconds(ms) }
 func milliseconds(nanos int64) float64 { return float64(nanos) / 1e6 }
@@ -20,16 +42,28 @@
 
 func countOf(number float64) int { return int(min(max(number, 0), maxCount)) }
 
+// Statuses of attempts, health checks and calls to the counter on the wire.
+const (
+	statusSucceeded      = 100
+	statusFailed         = 301
+	statusRejected       = 302
+	statusTimedOut       = 303
+	statusConnectFailed  = 304
+	statusConnectionLost = 305
+	statusCanceled       = 306
+	statusNotSent        = 307
+)
+
 // outcomes are those of attempts, health checks and calls to the counter by their status on the wire.
 var outcomes = map[uint16]policy.Outcome{
-	100: policy.Succeeded,
-	301: policy.Failed,
-	302: policy.Rejected,
-	303: policy.TimedOut,
-	304: policy.ConnectFailed,
-	305: policy.ConnectionLost,
-	306: policy.Canceled,
-	307: policy.NotSent,
+	statusSucceeded:      policy.Succeeded,
+	statusFailed:         policy.Failed,
+	statusRejected:       policy.Rejected,
+	statusTimedOut:       policy.TimedOut,
+	statusConnectFailed:  policy.ConnectFailed,
+	statusConnectionLost: policy.ConnectionLost,
+	statusCanceled:       policy.Canceled,
+	statusNotSent:        policy.NotSent,
 }
 
 // outcomeOf translates a status. After a fault in the frame the status is none, and the fault is what counts.
@@ -93,11 +127,11 @@
 	endpoint.Capacity = f.Float32()
 	endpoint.StartedAt = nanoseconds(f.Float64())
 	switch state {
-	case 0:
+	case stateDraining:
 		endpoint.State = policy.EndpointDraining
-	case 1:
+	case stateReady:
 		endpoint.State = policy.EndpointReady
-	case 3:
+	case stateGone:
 		endpoint.State = policy.EndpointGone
 	default:
 		endpoint.State = policy.EndpointDraining
