--- a/cmd/drill/golden_test.go
+++ b/cmd/drill/golden_test.go
@@ -11,8 +11,8 @@
 	"testing"
 )
 
-// recordedStream is the simulator's side of a day on the wire: five instances, every kind of event, and some events
-// that make no sense.
+// recordedStream is the simulator's side of a day on the wire: five instances, every kind of event, and some
+// events that make no sense.
 func recordedStream(t *testing.T) []byte {
 	t.Helper()
 	f, err := os.Open("testdata/stream.bin.gz")
@@ -31,8 +31,8 @@
 	return stream
 }
 
-// TestGoldenStream pins the bytes that answer a recorded stream. A hash that changes means that a decision or the
-// wire changed.
+// TestGoldenStream pins the bytes that answer a recorded stream. A hash that changes means that a decision or
+// the wire changed.
 func TestGoldenStream(t *testing.T) {
 	const (
 		wantIn  = "a4ffec7482804808dd351b4832ce457d1d93f1d0f116ad7f0d7434b449bc1c6c"
--- a/cmd/drill/host.go
+++ b/cmd/drill/host.go
@@ -36,14 +36,16 @@
 	eventClientGone:      instanceEvent("ClientLeft", readClientGone, (*instance).handleClientGone),
 	eventTimer:           instanceEvent("Timer", readTimer, (*instance).handleTimer),
 	eventHealthCheck:     instanceEvent("ProbeDone", readHealthCheck, (*instance).handleHealthCheck),
-	eventPeerMessage:     hostEvent("Inbox", readPeerMessage, (*host).ignore), // the decisions send no messages and expect none
+	eventPeerMessage:     hostEvent("Inbox", readPeerMessage, (*host).ignore),
 	eventKill:            hostEvent("Killed", readNothing, (*host).kill),
 	eventCounterResult:   instanceEvent("TallyBack", readCounterResult, (*instance).handleCounterResult),
 }
 
 // hostEvent makes a kind of event that the host handles, be there such an instance or not.
 func hostEvent[M any](
-	name string, read func(*simwire.Frame) (M, error), handle func(h *host, now int64, number uint32, message M),
+	name string,
+	read func(*simwire.Frame) (M, error),
+	handle func(h *host, now int64, number uint32, message M),
 ) event {
 	return event{name: name, handle: func(h *host, now int64, number uint32, f *simwire.Frame) error {
 		message, err := readWhole(f, read)
@@ -55,9 +57,12 @@
 	}}
 }
 
-// instanceEvent makes a kind of event that an instance handles; one of an instance that is not there is ignored.
+// instanceEvent makes a kind of event that an instance handles; one of an instance that is not there is
+// ignored.
 func instanceEvent[M any](
-	name string, read func(*simwire.Frame) (M, error), handle func(in *instance, now int64, message M),
+	name string,
+	read func(*simwire.Frame) (M, error),
+	handle func(in *instance, now int64, message M),
 ) event {
 	return event{name: name, handle: func(h *host, now int64, number uint32, f *simwire.Frame) error {
 		message, err := readWhole(f, read)
@@ -80,8 +85,8 @@
 	return message, err
 }
 
-// handleFrame answers one frame. Decisions that panic are reported on the wire; an error means that the frame is
-// malformed.
+// handleFrame answers one frame. Decisions that panic are reported on the wire; an error means that the frame
+// is malformed.
 func (h *host) handleFrame(f *simwire.Frame) error {
 	now := nanoseconds(f.Clock)
 	for n := range f.Records {
@@ -139,6 +144,8 @@
 	h.guard(number, func() { in.engine = policy.New(now, m.seed, settings, in) })
 }
 
+// kill ends an instance without a word.
 func (h *host) kill(_ int64, number uint32, _ emptyMessage) { delete(h.instances, number) }
 
+// ignore handles messages of other instances: the decisions send none and expect none.
 func (h *host) ignore(int64, uint32, emptyMessage) {}
--- a/cmd/drill/instance.go
+++ b/cmd/drill/instance.go
@@ -24,8 +24,8 @@
 	actionAddToCounter
 )
 
-// instance is one instance of the gateway: its decisions, and its requests in flight by their id. It is the decisions'
-// policy.Effects: each effect is an action in the reply.
+// instance is one instance of the gateway: its decisions, and its requests in flight by their id. It is the
+// decisions' policy.Effects: each effect is an action in the reply.
 type instance struct {
 	number   uint32
 	reply    *simwire.Reply // the host's, which all instances share
@@ -102,12 +102,12 @@
 	in.requests[id] = request
 }
 
-// The handlers of events. Those of requests that are not in flight, or no longer, are ignored: the simulator's events
-// and the instance's answers may cross on the way.
+// The handlers of events. Those of requests that are not in flight, or no longer, are ignored: the
+// simulator's events and the instance's answers may cross on the way.
 
 func (in *instance) handleEndpoints(now int64, m endpointsMessage) {
-	for _, unknown := range m.unknownStates {
-		in.Log(fmt.Sprintf("backend %d has unknown state %d: taken for draining", unknown.backend, unknown.state))
+	for _, u := range m.unknownStates {
+		in.Log(fmt.Sprintf("backend %d has unknown state %d: taken for draining", u.backend, u.state))
 	}
 	in.engine.UpdateEndpoints(now, m.kind, m.endpoints)
 }
--- a/cmd/drill/main.go
+++ b/cmd/drill/main.go
@@ -1,5 +1,5 @@
-// Command drill puts the decisions on the simulator's wire: it reads batches of events from standard input and writes
-// one reply a batch to standard output. It translates and decides nothing.
+// Command drill puts the decisions on the simulator's wire: it reads batches of events from standard input
+// and writes one reply a batch to standard output. It translates and decides nothing.
 package main
 
 import (
@@ -22,7 +22,8 @@
 	}
 }
 
-// run answers frames until the input ends between two of them. The simulator waits for each reply before it sends on.
+// run answers frames until the input ends between two of them. The simulator waits for each reply before it
+// sends on.
 func run(in io.Reader, out io.Writer) error {
 	reader := bufio.NewReaderSize(in, bufferBytes)
 	writer := bufio.NewWriterSize(out, bufferBytes)
--- a/cmd/drill/messages.go
+++ b/cmd/drill/messages.go
@@ -8,8 +8,8 @@
 	"fawnplank/policy"
 )
 
-// This file reads the bodies of events. Readers leave it to their caller to check the frame's error, which comes before
-// all use of a message; the errors that they return are of values that the wire does not define.
+// This file reads the bodies of events. Readers leave it to their caller to check the frame's error, which
+// comes before all use of a message; the errors that they return are of values that the wire does not define.
 
 // Codes of the events on the wire.
 const (
@@ -106,9 +106,9 @@
 	m := endpointsMessage{kind: policy.UpdateKind(kind)}
 	m.endpoints = make([]policy.Endpoint, f.Count(int(f.Uint32()), entryBytes))
 	for n := range m.endpoints {
-		state, known := readEndpoint(f, &m.endpoints[n])
-		if !known {
-			m.unknownStates = append(m.unknownStates, unknownState{backend: m.endpoints[n].Backend, state: state})
+		endpoint := &m.endpoints[n]
+		if state, known := readEndpoint(f, endpoint); !known {
+			m.unknownStates = append(m.unknownStates, unknownState{backend: endpoint.Backend, state: state})
 		}
 	}
 	if kind > uint8(policy.UpdateFailed) {
--- a/cmd/drill/recorder_test.go
+++ b/cmd/drill/recorder_test.go
@@ -16,14 +16,14 @@
 	"fawnplank/policy"
 )
 
-// This file made the recorded stream that TestGoldenStream plays: a small simulator at the other end of the wire.
-// The stream is kept, so that the test's input depends on nothing that changes in the program. It is made with
-// go test ./cmd/drill -run Recorder -record testdata/stream.bin.gz
+// This file made the recorded stream that TestGoldenStream plays: a small simulator at the other end of the
+// wire. The stream is kept, so that the test's input depends on nothing that changes in the program. It is
+// made with go test ./cmd/drill -run Recorder -record testdata/stream.bin.gz
 
 var recordTo = flag.String("record", "", "write the simulator's frames, packed, to this file")
 
-// TestRecorder_MakesTheRecordedStream plays the simulator against the host: as its events follow the host's actions,
-// the frames are those of the recorded stream only if every action is.
+// TestRecorder_MakesTheRecordedStream plays the simulator against the host: as its events follow the host's
+// actions, the frames are those of the recorded stream only if every action is.
 func TestRecorder_MakesTheRecordedStream(t *testing.T) {
 	r := newRecorder(t)
 	r.play()
--- a/cmd/drill/recorder_world_test.go
+++ b/cmd/drill/recorder_world_test.go
@@ -7,8 +7,9 @@
 	"fawnplank/policy"
 )
 
-// This file holds what the recorder's simulator does by itself: instances that start, backends that change, requests
-// that arrive, and attempts and calls to the counter that end. The order of its random draws is that of the recording.
+// This file holds what the recorder's simulator does by itself: instances that start, backends that change,
+// requests that arrive, and attempts and calls to the counter that end. The order of its random draws is that
+// of the recording.
 
 func (r *recorder) create(i uint32) {
 	discovery := []string{"pushed", "on_request"}[i%2]
@@ -80,7 +81,8 @@
 	})
 }
 
-// restart puts a backend into some state, one of which the wire does not define, and makes it ready after a second.
+// restart puts a backend into some state, one of which the wire does not define, and makes it ready after a
+// second.
 func (r *recorder) restart(b uint32) {
 	r.states[b] = []uint8{stateDraining, stateReady, stateGone, 7}[r.below(4)]
 	r.announce(b)
@@ -91,7 +93,8 @@
 	})
 }
 
-// sendNonsense sends events of requests, backends and numbers that are not known, and for an instance that is none.
+// sendNonsense sends events of requests, backends and numbers that are not known, and for an instance that is
+// none.
 func (r *recorder) sendNonsense(i, b uint32) {
 	const noInstance = 70
 	r.attemptResult(i, 5, 0, b).Uint16(statusSucceeded).Float64(1).Uint8(1).Uint16(0).Uint16(0).Uint8(0)
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -1,6 +1,6 @@
-// Package admin serves the management address: HTTP/1.1, one call a connection, each answered well within a second.
-// It owns the listener and the timeouts that keep slow callers from holding anything; what a call does is the
-// Gateway's. It decides nothing about requests.
+// Package admin serves the management address: HTTP/1.1, one call a connection, each answered well within a
+// second. It owns the listener and the timeouts that keep slow callers from holding anything; what a call
+// does is the Gateway's. It decides nothing about requests.
 //
 // The Gateway is called from many goroutines at once. The methods of Server are safe for concurrent use.
 package admin
@@ -33,14 +33,15 @@
 }
 
 const (
-	// readHeaderTimeout bounds how long a caller takes for its head, and readTimeout all of its call: the answer is
-	// due within 1 s, and callers that send nothing or half a call are cut off long before they add up.
+	// readHeaderTimeout bounds how long a caller takes for its head, and readTimeout all of its call: the
+	// answer is due within 1 s, and callers that send nothing or half a call are cut off long before they add
+	// up.
 	readHeaderTimeout = 300 * time.Millisecond
 	readTimeout       = 500 * time.Millisecond
 	// writeTimeout bounds writing an answer: what is left of the second.
 	writeTimeout = 400 * time.Millisecond
-	// maxCalls is how many calls are open at once; a further one waits at most readHeaderTimeout for a place. It is
-	// far more than the operators' callers.
+	// maxCalls is how many calls are open at once; a further one waits at most readHeaderTimeout for a place.
+	// It is far more than the operators' callers.
 	maxCalls = 32
 	// callShare is the part of the descriptors that calls use at most: one in so many.
 	callShare = 8
--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -1,7 +1,6 @@
 package admin
 
 import (
-	"fmt"
 	"io"
 	"net"
 	"net/http"
@@ -90,8 +89,8 @@
 	}
 }
 
-// TestServer_CutsOffSlowCallers opens more connections than there are places for calls, which send nothing, or half a
-// call, and stay. They are cut off; meanwhile every call is answered in time.
+// TestServer_CutsOffSlowCallers opens more connections than there are places for calls, which send nothing,
+// or half a call, and stay. They are cut off; meanwhile every call is answered in time.
 func TestServer_CutsOffSlowCallers(t *testing.T) {
 	s := serve(t)
 	var slow []net.Conn
@@ -103,7 +102,8 @@
 		}
 		t.Cleanup(func() { _ = conn.Close() }) // the server has closed it
 		if n%2 == 1 {
-			if _, err := fmt.Fprintf(conn, "GET /admin/health HTTP/1.1\r\nHost: x\r\n"); err != nil { // the rest never comes
+			const half = "GET /admin/health HTTP/1.1\r\nHost: x\r\n" // the rest never comes
+			if _, err := io.WriteString(conn, half); err != nil {
 				t.Fatal(err)
 			}
 		}
--- a/internal/config/billing.go
+++ b/internal/config/billing.go
@@ -1,7 +1,6 @@
 package config
 
 import (
-	"fmt"
 	"net/url"
 	"os"
 	"time"
@@ -73,7 +72,7 @@
 		{key: "report_every", value: b.ReportInterval, min: 10 * time.Millisecond, max: time.Minute},
 	} {
 		if value := time.Duration(d.value); value < d.min || value > d.max {
-			return file.KeyError("billing."+d.key, fmt.Sprintf("is not from %v to %v", d.min, d.max))
+			return file.KeyErrorf("billing."+d.key, "is not from %v to %v", d.min, d.max)
 		}
 	}
 	return b.checkExport(file)
@@ -82,13 +81,13 @@
 // checkExport checks that at most one place receives the records, and that it may be one.
 func (b *Billing) checkExport(file *tomlfile.File) error {
 	if b.ExportFolder != "" && b.ExportURL != "" {
-		return file.KeyError("billing.export_url", "stands beside export_folder; one of them receives")
+		return file.KeyErrorf("billing.export_url", "stands beside export_folder; one of them receives")
 	}
 	if b.ExportURL != "" && !isHTTPAddress(b.ExportURL) {
-		return file.KeyError("billing.export_url", fmt.Sprintf("is %q, which is no http or https address", b.ExportURL))
+		return file.KeyErrorf("billing.export_url", "is %q, which is no http or https address", b.ExportURL)
 	}
 	if b.ExportFolder != "" && !isFolder(b.ExportFolder) {
-		return file.KeyError("billing.export_folder", fmt.Sprintf("is %q, which is no folder", b.ExportFolder))
+		return file.KeyErrorf("billing.export_folder", "is %q, which is no folder", b.ExportFolder)
 	}
 	return nil
 }
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,15 +1,17 @@
-// Package config is the one place where configuration is read, checked and given its defaults. It reads three things:
+// Package config is the one place where configuration is read, checked and given its defaults. It reads three
+// things:
 //
-//   - the platform's configuration of an instance, a JSON file (Read, Config), with rows of the replicated store laid
-//     over it (Overlay);
+//   - the platform's configuration of an instance, a JSON file (Read, Config), with rows of the replicated
+//     store laid over it (Overlay);
 //   - the platform's settings in it, as the decisions want them (ParseSettings, policy.Settings);
 //   - the operators' own file, in TOML (ReadOperator, Operator).
 //
-// Migrate turns a configuration of the old deployment into one for the new. Every error names the file and the key. The
-// package decides nothing, and no other package reads the environment or a configuration file.
+// Migrate turns a configuration of the old deployment into one for the new. Every error names the file and
+// the key. The package decides nothing, and no other package reads configuration, be it from a file or the
+// environment.
 //
-// All functions are safe for concurrent use. A Config and an Operator are values without locks: whoever read one may
-// change it until it is shared.
+// All functions are safe for concurrent use. A Config and an Operator are values without locks: whoever read
+// one may change it until it is shared.
 package config
 
 import (
@@ -49,8 +51,8 @@
 	MaxUnits       float64       // that one request may count
 }
 
-// Defaults of what the configuration may leave out. The limits are the example figures of the deployment page; the
-// others are the platform's.
+// Defaults of what the configuration may leave out. The limits are the example figures of the deployment
+// page; the others are the platform's.
 const (
 	defaultMemoryMB         = 192
 	defaultMaxSockets       = 1024
@@ -70,15 +72,17 @@
 	"mgmt":      "GW_MGMT",
 }
 
-// listenerNames are the environment variables that may name the listener handed down, the first that is set wins.
+// listenerNames are the environment variables that may name the listener handed down, the first that is set
+// wins.
 var listenerNames = []string{"GW_SOCKET_FD", "SOCKET_FD"}
 
 // ErrNoFile is the error of Read where nothing names a configuration file.
 var ErrNoFile = errors.New("configuration: no file: neither a flag nor GW_CONFIG names one")
 
-// Read reads the configuration from the file path, or from the file that GW_CONFIG names where path is empty, with the
-// overlay's rows in it. GW_NAME, GW_LISTEN, GW_DISCOVERY and GW_MGMT stand in for keys that the file leaves out;
-// GW_SOCKET_FD or SOCKET_FD names a listener that the process is handed. An error about a key is a *SettingError.
+// Read reads the configuration from the file path, or from the file that GW_CONFIG names where path is empty,
+// with the overlay's rows in it. GW_NAME, GW_LISTEN, GW_DISCOVERY and GW_MGMT stand in for keys that the file
+// leaves out; GW_SOCKET_FD or SOCKET_FD names a listener that the process is handed. An error about a key is
+// a *SettingError.
 func Read(path string, overlay Overlay) (*Config, error) {
 	if path == "" {
 		path = os.Getenv("GW_CONFIG")
@@ -121,8 +125,8 @@
 	return -1, nil
 }
 
-// parse reads a configuration's text. Where several keys are faulty the first one read is named, so the order of the
-// reads below is that of the messages.
+// parse reads a configuration's text. Where several keys are faulty the first one read is named, so the order
+// of the reads below is that of the messages.
 func parse(text []byte, getenv func(string) string) (*Config, error) {
 	var raw map[string]json.RawMessage
 	if err := json.Unmarshal(text, &raw); err != nil {
@@ -184,9 +188,9 @@
 	return ids
 }
 
-// KeepIDs renumbers the classes and plans of a configuration read anew, so that ids mean what they meant in old: a name
-// whose row is unchanged keeps its id; a new one, or one whose row changed, gets an id after all of old's. Old rows stay
-// for the requests in flight under them; names that are gone admit no request.
+// KeepIDs renumbers the classes and plans of a configuration read anew, so that ids mean what they meant in
+// old: a name whose row is unchanged keeps its id; a new one, or one whose row changed, gets an id after all
+// of old's. Old rows stay for the requests in flight under them; names that are gone admit no request.
 func (c *Config) KeepIDs(old *Config) {
 	c.Settings.Classes, c.Classes = keepIDs(old.Settings.Classes, old.Classes, c.Settings.Classes, c.Classes)
 	c.Settings.Plans, c.Plans = keepIDs(old.Settings.Plans, old.Plans, c.Settings.Plans, c.Plans)
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -94,7 +94,10 @@
 		if err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%q: %v", want, err)
 		}
-		if key, ok := errors.AsType[*SettingError](err); want != "no JSON object" && (!ok || key.Key == "" || key.Problem == "") {
+		if want == "no JSON object" {
+			continue
+		}
+		if fault, ok := errors.AsType[*SettingError](err); !ok || fault.Key == "" || fault.Problem == "" {
 			t.Errorf("%q: %v is no error of a key", want, err)
 		}
 	}
@@ -143,8 +146,8 @@
 	}
 }
 
-// TestConfig_KeepIDs: a configuration read anew keeps the ids of what is unchanged; a changed or new class gets an id
-// after all the old ones, whose rows stay for the requests in flight under them.
+// TestConfig_KeepIDs: a configuration read anew keeps the ids of what is unchanged; a changed or new class
+// gets an id after all the old ones, whose rows stay for the requests in flight under them.
 func TestConfig_KeepIDs(t *testing.T) {
 	old := mustParse(t, validConfig)
 	classes := `"lanes": [{"name": "pay", "goal-time-ms": 500, "deadline-ms": 1000, "effect": "non_idempotent"},
--- a/internal/config/decode.go
+++ b/internal/config/decode.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// SettingError is a fault of one key of the platform's configuration or settings. The problem says what the key may
-// hold, so that it is also what to do.
+// SettingError is a fault of one key of the platform's configuration or settings. The problem says what the
+// key may hold, so that it is also what to do.
 type SettingError struct {
 	Key     string // with its path: settings.lanes[0].deadline-ms
 	Problem string // completes a sentence that begins with the key: "is not above 0"
@@ -19,9 +19,9 @@
 // Error returns the message that operators get.
 func (e *SettingError) Error() string { return "settings: " + e.Key + " " + e.Problem }
 
-// object gives typed access to a JSON object. A read of a faulty key gives the zero value and notes the fault; the
-// first fault noted, in any object of the same document, is the document's error. Callers read all that they need and
-// check err once.
+// object gives typed access to a JSON object. A read of a faulty key gives the zero value and notes the
+// fault; the first fault noted, in any object of the same document, is the document's error. Callers read all
+// that they need and check err once.
 type object struct {
 	path   string // before a key in messages: empty, or with its point
 	fields map[string]any
--- a/internal/config/dns.go
+++ b/internal/config/dns.go
@@ -14,7 +14,7 @@
 	Origin              string   `toml:"origin"`    // of the zone
 	Service             string   `toml:"service"`   // the name of the SRV records
 	Journal             string   `toml:"journal"`   // of the updates to the zone file, kept over a restart
-	Listen              string   `toml:"listen"`    // UDP and TCP, for updates, queries and transfers; empty: none
+	Listen              string   `toml:"listen"`    // UDP and TCP: updates, queries, transfers; empty: none
 	MaxUpdatesPerSecond float64  `toml:"updates_per_second"`
 	Notify              []string `toml:"notify"` // secondaries that get a NOTIFY of changes
 	Keys                []DNSKey `toml:"key"`
@@ -51,21 +51,22 @@
 		return err
 	}
 	if d.Listen != "" && !isHostPort(d.Listen) {
-		return file.KeyError("dns.listen", fmt.Sprintf("is %q, which is no host and port", d.Listen))
+		return file.KeyErrorf("dns.listen", "is %q, which is no host and port", d.Listen)
 	}
-	if !(d.MaxUpdatesPerSecond >= minMaxUpdatesPerSecond && d.MaxUpdatesPerSecond <= maxMaxUpdatesPerSecond) { // nor NaN
-		return file.KeyError("dns.updates_per_second", "is not from 0.1 to 10000")
+	isRate := d.MaxUpdatesPerSecond >= minMaxUpdatesPerSecond && d.MaxUpdatesPerSecond <= maxMaxUpdatesPerSecond
+	if !isRate { // nor is NaN
+		return file.KeyErrorf("dns.updates_per_second", "is not from 0.1 to 10000")
 	}
 	for _, address := range d.Notify {
 		if !isHostPort(address) {
-			return file.KeyError("dns.notify", fmt.Sprintf("has %q, which is no host and port", address))
+			return file.KeyErrorf("dns.notify", "has %q, which is no host and port", address)
 		}
 	}
 	if err := d.readKeys(file); err != nil {
 		return err
 	}
 	if len(d.Keys) > 0 && d.Listen == "" {
-		return file.KeyError("dns.listen", "is missing, and keys are of no use without it")
+		return file.KeyErrorf("dns.listen", "is missing, and keys are of no use without it")
 	}
 	return nil
 }
@@ -77,7 +78,7 @@
 		needsZoneFile = needsZoneFile || file.Has(key)
 	}
 	if needsZoneFile {
-		return file.KeyError("dns.zone_file", "is missing")
+		return file.KeyErrorf("dns.zone_file", "is missing")
 	}
 	return nil
 }
@@ -89,7 +90,7 @@
 		if _, err := (dnszone.Settings{Origin: d.Origin, Service: d.Origin}).Canonical(); err == nil {
 			key = "dns.service" // the origin alone is in order
 		}
-		return file.KeyError(key, err.Error())
+		return file.KeyErrorf(key, "%v", err)
 	}
 	d.Origin = canonical.Origin
 	d.Service = canonical.Service
@@ -105,14 +106,14 @@
 			key.Algorithm = defaultAlgorithm
 		}
 		if key.SecretFile == "" {
-			return file.KeyError(path+".secret_file", "is missing")
+			return file.KeyErrorf(path+".secret_file", "is missing")
 		}
 		var err error
 		if key.Key, err = dnsserver.ReadKey(key.Name, key.Algorithm, key.SecretFile); err != nil {
-			return file.KeyError(path, err.Error())
+			return file.KeyErrorf(path, "%v", err)
 		}
 		if names[key.Key.Name] {
-			return file.KeyError(path+".name", fmt.Sprintf("is %q, which another key has", key.Name))
+			return file.KeyErrorf(path+".name", "is %q, which another key has", key.Name)
 		}
 		names[key.Key.Name] = true
 	}
--- a/internal/config/limits.go
+++ b/internal/config/limits.go
@@ -47,8 +47,8 @@
 	othersPermissions = 0o077
 )
 
-// limitClassName is the name of the class that only checks. No class of the platform's settings can have it: theirs
-// have no point in their names.
+// limitClassName is the name of the class that only checks. No class of the platform's settings can have it:
+// theirs have no point in their names.
 const limitClassName = "limit.check"
 
 func defaultLimits() Limits {
@@ -63,13 +63,13 @@
 // checkAddress checks the address and what bounds its connections.
 func (l *Limits) checkAddress(file *tomlfile.File) error {
 	if l.Listen != "" && !isHostPort(l.Listen) {
-		return file.KeyError("limits.listen", fmt.Sprintf("is %q, which is no host and port", l.Listen))
+		return file.KeyErrorf("limits.listen", "is %q, which is no host and port", l.Listen)
 	}
 	if l.AnswerTimeout < minAnswerTimeout || l.AnswerTimeout > maxAnswerTimeout {
-		return file.KeyError("limits.answer_within", "is not from 1ms to 60s")
+		return file.KeyErrorf("limits.answer_within", "is not from 1ms to 60s")
 	}
 	if l.MaxConnections < 1 || l.MaxConnections > maxMaxConnections {
-		return file.KeyError("limits.connections", "is not from 1 to 10000")
+		return file.KeyErrorf("limits.connections", "is not from 1 to 10000")
 	}
 	return nil
 }
@@ -78,7 +78,7 @@
 func (l *Limits) checkAccess(file *tomlfile.File) error {
 	if l.TLS().Enabled() {
 		if _, err := tlsconfig.New(l.TLS()); err != nil {
-			return file.KeyError("limits.tls_certificate", "cannot be used: "+err.Error())
+			return file.KeyErrorf("limits.tls_certificate", "cannot be used: %v", err)
 		}
 	}
 	names := map[string]bool{}
@@ -86,14 +86,14 @@
 		key := &l.Keys[n]
 		path := fmt.Sprintf("limits.key[%d]", n)
 		if key.Name == "" || names[key.Name] {
-			return file.KeyError(path+".name", fmt.Sprintf("is %q: missing, or another key's", key.Name))
+			return file.KeyErrorf(path+".name", "is %q: missing, or another key's", key.Name)
 		}
 		names[key.Name] = true
 		if err := key.readSecret(); err != nil {
-			return file.KeyError(path+".secret_file", err.Error())
+			return file.KeyErrorf(path+".secret_file", "%v", err)
 		}
 		if err := key.parseRights(); err != nil {
-			return file.KeyError(path+".rights", err.Error())
+			return file.KeyErrorf(path+".rights", "%v", err)
 		}
 	}
 	return nil
@@ -108,8 +108,8 @@
 	text, err := os.ReadFile(k.SecretFile)
 	secret := strings.TrimSpace(string(text))
 	if err != nil || info.Mode().Perm()&othersPermissions != 0 || len(secret) < minSecretBytes {
-		return fmt.Errorf("%q cannot be read, may be read by others than its owner, or holds less than %d bytes",
-			k.SecretFile, minSecretBytes)
+		const problem = "%q cannot be read, may be read by others than its owner, or holds less than %d bytes"
+		return fmt.Errorf(problem, k.SecretFile, minSecretBytes)
 	}
 	k.Key.Secret = []byte(secret)
 	return nil
@@ -130,8 +130,8 @@
 	return nil
 }
 
-// AddLimitClass adds the class that only checks, for the limit commands, to a configuration just read. Where the commands
-// are off it does nothing.
+// AddLimitClass adds the class that only checks, for the limit commands, to a configuration just read. Where
+// the commands are off it does nothing.
 func (c *Config) AddLimitClass(o *Operator) {
 	if o.Limits.Listen == "" {
 		return
--- a/internal/config/migrate.go
+++ b/internal/config/migrate.go
@@ -18,10 +18,10 @@
 	DryRun bool   // write nothing
 }
 
-// Migrate turns a configuration of the old deployment into its counterpart for the new one: without health checks, and
-// with the shape's settings over the old ones. It goes by the keys and words that configurations may hold, so that
-// nothing is dropped silently: it returns a note for each thing that it could not carry over. The file is written whole
-// or not at all, and only if it is in order.
+// Migrate turns a configuration of the old deployment into its counterpart for the new one: without health
+// checks, and with the shape's settings over the old ones. It goes by the keys and words that configurations
+// may hold, so that nothing is dropped silently: it returns a note for each thing that it could not carry
+// over. The file is written whole or not at all, and only if it is in order.
 func Migrate(o MigrateOptions) (notes []string, err error) {
 	old, err := readStrict(o.From)
 	if err != nil {
@@ -64,7 +64,8 @@
 	return m.notes, writeNew(o.To, append(text, '\n'))
 }
 
-// standIns lists the keys that a file leaves to the environment, and gives an environment to check the rest by.
+// standIns lists the keys that a file leaves to the environment, and gives an environment to check the rest
+// by.
 func standIns(old map[string]any) (absent []string, getenv func(string) string) {
 	for _, key := range []string{"name", "listen", "discovery"} {
 		if _, ok := old[key]; !ok {
@@ -90,8 +91,8 @@
 
 func (m *migration) note(key, what string) { m.notes = append(m.notes, key+": "+what) }
 
-// prune deletes keys that are not known, with a note for each, in order. The path is that in knownKeys, shown the one
-// in notes, which has the numbers of rows.
+// prune deletes keys that are not known, with a note for each, in order. The path is that in knownKeys, shown
+// the one in notes, which has the numbers of rows.
 func (m *migration) prune(path, shown string, fields map[string]any) {
 	if _, ok := knownKeys[path]; !ok {
 		return // an object whose keys are free
@@ -140,7 +141,8 @@
 	known, _ := fields["known"].(map[string]any)
 	if endpoints, _ := known["endpoints"].([]any); len(endpoints) > 0 {
 		delete(fields, "known")
-		m.note("known", fmt.Sprintf("%d backends of the old deployment: the new list comes from discovery", len(endpoints)))
+		m.note("known", fmt.Sprintf("%d backends of the old deployment: the new list comes from discovery",
+			len(endpoints)))
 	}
 }
 
@@ -159,13 +161,14 @@
 	return nil
 }
 
-// overlay lays the shape's settings over the old ones: objects key by key, anything else whole. A key that is not known
-// is an error here, since the file was written for this.
+// overlay lays the shape's settings over the old ones: objects key by key, anything else whole. A key that is
+// not known is an error here, since the file was written for this.
 func (m *migration) overlay(file, path string, settings, shape map[string]any) error {
 	for _, key := range sortedKeys(shape) {
 		keyPath := joinPath(path, key)
 		if !isKnownKey(path, key) {
-			return fmt.Errorf("configuration %s: %s is not known here", file, strings.TrimPrefix(keyPath, "settings."))
+			shown := strings.TrimPrefix(keyPath, "settings.")
+			return fmt.Errorf("configuration %s: %s is not known here", file, shown)
 		}
 		oldFields, oldIsObject := settings[key].(map[string]any)
 		newFields, newIsObject := shape[key].(map[string]any)
@@ -183,8 +186,8 @@
 	return nil
 }
 
-// matchRows notes which rows of the old list have no counterpart of their name, and keeps the fallback modes of those
-// that have one: operators preset them, and a shape knows none.
+// matchRows notes which rows of the old list have no counterpart of their name, and keeps the fallback modes
+// of those that have one: operators preset them, and a shape knows none.
 func (m *migration) matchRows(list string, oldSettings, settings map[string]any) {
 	rows, _ := settings[list].([]any)
 	for n, value := range oldSettings[list].([]any) { // a list of objects, or the text would not parse
@@ -207,8 +210,8 @@
 	}
 }
 
-// checkMigrated checks that the gateway would start with the configuration, and what it would not trip over but an
-// operator would: words with no meaning, and numbers that point outside their lists.
+// checkMigrated checks that the gateway would start with the configuration, and what it would not trip over
+// but an operator would: words with no meaning, and numbers that point outside their lists.
 func checkMigrated(fields map[string]any, getenv func(string) string) error {
 	if err := checkParses(fields, getenv); err != nil {
 		return err
@@ -248,8 +251,8 @@
 	return value
 }
 
-// writeNew writes a file beside its place and links it there only when it is whole: never over a file, and never half
-// of it.
+// writeNew writes a file beside its place and links it there only when it is whole: never over a file, and
+// never half of it.
 func writeNew(path string, text []byte) error {
 	file, err := os.CreateTemp(filepath.Dir(path), ".fawnplank-*")
 	if err != nil {
--- a/internal/config/migrate_decode.go
+++ b/internal/config/migrate_decode.go
@@ -9,8 +9,8 @@
 	"os"
 )
 
-// readStrict reads a file that holds a JSON object, numbers as they are written. Unlike json.Unmarshal it refuses a key
-// that comes twice: one of its values would be lost.
+// readStrict reads a file that holds a JSON object, numbers as they are written. Unlike json.Unmarshal it
+// refuses a key that comes twice: one of its values would be lost.
 func readStrict(path string) (map[string]any, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
--- a/internal/config/migrate_keys.go
+++ b/internal/config/migrate_keys.go
@@ -6,29 +6,35 @@
 	"strings"
 )
 
-// knownKeys are the keys that a configuration may hold, by the path of their object; rows of a list go by the list's.
-// What the gateway makes of them is read in config.go and settings.go: a key that those do not read may stand here, since
-// other programs of the platform read it.
+// knownKeys are the keys that a configuration may hold, by the path of their object; rows of a list go by the
+// list's. What the gateway makes of them is read in config.go and settings.go: a key that those do not read
+// may stand here, since other programs of the platform read it.
 var knownKeys = map[string][]string{
 	"":       strings.Fields("name listen discovery counter seed limits known settings"),
 	"limits": strings.Fields("cores memory_mb sockets"),
-	"settings": strings.Fields("replicas-of-me lanes clients discovery domain-type family-info blend shapes " +
-		"permissions me prices telemetry invariants tariffs step-ms stage tiers weights my-zone zones"),
-	"settings.lanes": strings.Fields("aim-stretch goal-time-ms deadline-ms effect group late-worth name silence " +
-		"stream window-ms value"),
+	"settings": strings.Fields(
+		"replicas-of-me lanes clients discovery domain-type family-info blend shapes " +
+			"permissions me prices telemetry invariants tariffs step-ms stage tiers weights " +
+			"my-zone zones"),
+	"settings.lanes": strings.Fields(
+		"aim-stretch goal-time-ms deadline-ms effect group late-worth name silence stream " +
+			"window-ms value"),
 	"settings.clients": strings.Fields("marks-retry"),
-	"settings.family-info": strings.Fields("may-count call-price counter-timeout-ms metering-ms max-units " +
-		"inbox-per-s post-paid"),
+	"settings.family-info": strings.Fields(
+		"may-count call-price counter-timeout-ms metering-ms max-units inbox-per-s post-paid"),
 	"settings.blend": strings.Fields("whole worst-class worst-tenant worst-window"),
-	"settings.permissions": strings.Fields(cancellationKey + " conn-idle-ms connect-timeout-ms cpu-us-per-request " +
-		"cpu-us-per-s send-cap max-open max-retry-after-ms peer-messages probes retry-after second-copies max-streams"),
-	"settings.prices": strings.Fields("connection cross-zone discovery handshake late-fail moves origin peer probe " +
-		"waste"),
+	"settings.permissions": strings.Fields(
+		cancellationKey + " conn-idle-ms connect-timeout-ms cpu-us-per-request cpu-us-per-s send-cap max-open " +
+			"max-retry-after-ms peer-messages probes retry-after second-copies max-streams"),
+	"settings.prices": strings.Fields(
+		"connection cross-zone discovery handshake late-fail moves origin peer probe waste"),
 	"settings.telemetry": strings.Fields("columns how"),
-	"settings.invariants": strings.Fields("grace-to-answer-ms ask-within-ms cold-share warm-up-ms " +
-		"stop-sending-within-ms tip-multiple fall-ms"),
-	"settings.tariffs": strings.Fields("peak-units ceiling-burst cap-rate tolerance name parallel beyond-costs " +
-		"beyond-earns value-factor quota-rate"),
+	"settings.invariants": strings.Fields(
+		"grace-to-answer-ms ask-within-ms cold-share warm-up-ms stop-sending-within-ms " +
+			"tip-multiple fall-ms"),
+	"settings.tariffs": strings.Fields(
+		"peak-units ceiling-burst cap-rate tolerance name parallel beyond-costs beyond-earns " +
+			"value-factor quota-rate"),
 }
 
 // isKnownKey reports whether an object at a path may hold a key.
--- a/internal/config/migrate_test.go
+++ b/internal/config/migrate_test.go
@@ -83,11 +83,13 @@
 	}
 }
 
-// TestMigrate_WithoutAShape: without a shape only what the new deployments lack goes, and numbers stay as they are written.
+// TestMigrate_WithoutAShape: without a shape only what the new deployments lack goes, and numbers stay as
+// they are written.
 func TestMigrate_WithoutAShape(t *testing.T) {
 	from, to := files(t, strings.Replace(oldConfig, `"name":"n3","listen":"127.0.0.1:6379",`, "", 1))
 	lines, err := Migrate(MigrateOptions{From: from[0], To: to})
-	if err != nil || !slices.ContainsFunc(lines, func(l string) bool { return strings.HasPrefix(l, "listen: left out: GW_LISTEN") }) {
+	saysListen := func(note string) bool { return strings.HasPrefix(note, "listen: left out: GW_LISTEN") }
+	if err != nil || !slices.ContainsFunc(lines, saysListen) {
 		t.Fatalf("%q, %v", lines, err)
 	}
 	text, err := os.ReadFile(to)
@@ -111,7 +113,8 @@
 	}
 }
 
-// TestMigrate_RefusesFaultyFiles: whatever is wrong, the message names the file and the key, and nothing is written or changed.
+// TestMigrate_RefusesFaultyFiles: whatever is wrong, the message names the file and the key, and nothing is
+// written or changed.
 func TestMigrate_RefusesFaultyFiles(t *testing.T) {
 	for want, x := range map[string]struct{ of, was, is string }{
 		"a.json: settings: seed is no hexadecimal":                         {"old", `8c1f30d27a5be964`, `seed`},
@@ -143,7 +146,8 @@
 		}
 		from, to := files(t, config, shape)
 		options := MigrateOptions{From: from[0], Shape: from[1], To: to}
-		if x.of == "old" && strings.HasPrefix(want, "settings.") { // seen in the counterpart, which then is to be named
+		if x.of == "old" && strings.HasPrefix(want, "settings.") {
+			// The fault is seen in the counterpart, which then is to be named.
 			want = "its counterpart is not in order: " + want
 			options.Shape = ""
 		}
@@ -167,7 +171,8 @@
 		t.Fatal(err)
 	}
 	for _, place := range []string{from[0], from[1], link, filepath.Join(to, "x")} {
-		if _, err := Migrate(MigrateOptions{From: from[0], To: place}); err == nil || !strings.Contains(err.Error(), place) {
+		_, err := Migrate(MigrateOptions{From: from[0], To: place})
+		if err == nil || !strings.Contains(err.Error(), place) {
 			t.Errorf("%s: %v", place, err)
 		}
 	}
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -9,8 +9,9 @@
 	"fawnplank/internal/tomlfile"
 )
 
-// Operator is what the operators of one installation set beside the platform's configuration, in a TOML file of their
-// own (deploy/fawnplank.toml). Everything in it is off unless it is set. The zero value sets nothing.
+// Operator is what the operators of one installation set beside the platform's configuration, in a TOML file
+// of their own (deploy/fawnplank.toml). Everything in it is off unless it is set. The zero value sets
+// nothing.
 type Operator struct {
 	Limits    Limits        `toml:"limits"`
 	Counter   CounterFormat `toml:"counter"`
@@ -69,8 +70,8 @@
 	maxSaveInterval     = Duration(time.Hour)
 )
 
-// ReadOperator reads an operator file whole and checks it; an empty path sets nothing. Errors name file, line and key,
-// as a *tomlfile.PositionError.
+// ReadOperator reads an operator file whole and checks it; an empty path sets nothing. Errors name file, line
+// and key, as a *tomlfile.PositionError.
 func ReadOperator(path string) (*Operator, error) {
 	o := defaultOperator()
 	if path == "" {
@@ -112,16 +113,16 @@
 // checkProcess checks the log, the warm start and the counter's protocol.
 func (o *Operator) checkProcess(file *tomlfile.File) error {
 	if !slices.Contains(logFormats, o.Log.Format) {
-		return file.KeyError("log.format", fmt.Sprintf("is %q, not text or json", o.Log.Format))
+		return file.KeyErrorf("log.format", "is %q, not text or json", o.Log.Format)
 	}
 	if o.WarmStart.SaveInterval < minSaveInterval || o.WarmStart.SaveInterval > maxSaveInterval {
-		return file.KeyError("learned.every", "is not from 100ms to 1h")
+		return file.KeyErrorf("learned.every", "is not from 100ms to 1h")
 	}
 	if !slices.Contains(logLevels, o.Log.Level) {
-		return file.KeyError("log.level", fmt.Sprintf("is %q, not error, warning, info or debug", o.Log.Level))
+		return file.KeyErrorf("log.level", "is %q, not error, warning, info or debug", o.Log.Level)
 	}
 	if !slices.Contains(counterProtocols, o.Counter.Protocol) {
-		return file.KeyError("counter.protocol", fmt.Sprintf("is %q, not text or resp", o.Counter.Protocol))
+		return file.KeyErrorf("counter.protocol", "is %q, not text or resp", o.Counter.Protocol)
 	}
 	return nil
 }
--- a/internal/config/operator_test.go
+++ b/internal/config/operator_test.go
@@ -64,7 +64,8 @@
 	}
 }
 
-// TestConfig_LimitClass: the class that only checks gets an id after the platform's, and keeps it through a reload.
+// TestConfig_LimitClass: the class that only checks gets an id after the platform's, and keeps it through a
+// reload.
 func TestConfig_LimitClass(t *testing.T) {
 	c := mustParse(t, validConfig)
 	o, err := ReadOperator("")
--- a/internal/config/overlay.go
+++ b/internal/config/overlay.go
@@ -13,8 +13,9 @@
 	ClassKey = "classes/"
 )
 
-// Overlay holds rows of the settings that stand in the replicated store, by name: a plan or class of the file is replaced
-// by the one of its name here, and one of a new name is added behind the file's. The zero value changes nothing.
+// Overlay holds rows of the settings that stand in the replicated store, by name: a plan or class of the file
+// is replaced by the one of its name here, and one of a new name is added behind the file's. The zero value
+// changes nothing.
 type Overlay struct{ Plans, Classes map[string]json.RawMessage }
 
 // namedRow is what the rows of plans and classes have in common.
@@ -56,8 +57,8 @@
 	return json.Marshal(top)
 }
 
-// replaceRows puts rows into the list that the settings hold under key: in the place of the row of their name, or behind
-// all others.
+// replaceRows puts rows into the list that the settings hold under key: in the place of the row of their
+// name, or behind all others.
 func replaceRows(settings map[string]json.RawMessage, key string, rows map[string]json.RawMessage) error {
 	var list []json.RawMessage
 	if err := json.Unmarshal(settings[key], &list); err != nil {
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -8,8 +8,8 @@
 	"fawnplank/policy"
 )
 
-// defaultDrainGrace is how long attempts may still go to a backend that was taken off the list, where the settings
-// name no time.
+// defaultDrainGrace is how long attempts may still go to a backend that was taken off the list, where the
+// settings name no time.
 const defaultDrainGrace = int64(time.Second)
 
 // cancellationKey is the platform's word, in British spelling.
@@ -38,8 +38,8 @@
 var nonNegativePlanKeys = []string{"quota-rate", "peak-units", "parallel", "cap-rate", "ceiling-burst",
 	"beyond-earns", "beyond-costs"}
 
-// ParseSettings turns the platform's settings, a JSON object, into those of the decisions. An error about a key is a
-// *SettingError.
+// ParseSettings turns the platform's settings, a JSON object, into those of the decisions. An error about a
+// key is a *SettingError.
 func ParseSettings(text []byte) (policy.Settings, error) {
 	top, err := decodeObject(text)
 	if err != nil {
--- a/internal/lab/scenario/scenario.go
+++ b/internal/lab/scenario/scenario.go
@@ -259,7 +259,7 @@
 	var fault error
 	must := func(ok bool, key, what string) {
 		if !ok && fault == nil {
-			fault = f.KeyError(key, what)
+			fault = f.KeyErrorf(key, "%s", what)
 		}
 	}
 	must(s.Name != "", "name", "is missing")
--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -1,9 +1,10 @@
-// Package logging sets up the program's one log: logrus, an entry a line on standard error, as text or as JSON. A
-// message is a short constant phrase; what it is about stands in fields of fixed names, which docs/runbook.md lists.
-// Every entry names its component. Nothing is logged at info or above for each request.
+// Package logging sets up the program's one log: logrus, an entry a line on standard error, as text or as
+// JSON. A message is a short constant phrase; what it is about stands in fields of fixed names, which
+// docs/runbook.md lists. Every entry names its component. Nothing is logged at info or above for each
+// request.
 //
-// Setup changes the process-wide log and is called before the goroutines that log are started. All else is safe for
-// concurrent use.
+// Setup changes the process-wide log and is called before the goroutines that log are started. All else is
+// safe for concurrent use.
 package logging
 
 import (
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -1,9 +1,10 @@
-// Package metrics keeps the metrics that the management address shows, in Prometheus' text form. Each is counted where
-// its event happens, from 0 in each process; the package owns nothing but the counts and decides nothing.
+// Package metrics keeps the metrics that the management address shows, in Prometheus' text form. Each is
+// counted where its event happens, from 0 in each process; the package owns nothing but the counts and
+// decides nothing.
 //
-// All methods are safe for concurrent use, and those of a nil Registry, Write apart, do nothing: parts that run without
-// metrics, in tests above all, need no registry. Names and help texts are what operators' dashboards go by: they stay as
-// they are.
+// All methods are safe for concurrent use, and those of a nil Registry, Write apart, do nothing: parts that
+// run without metrics, in tests above all, need no registry. Names and help texts are what operators'
+// dashboards go by: they stay as they are.
 package metrics
 
 import (
@@ -82,7 +83,8 @@
 	for _, counter := range r.classCounters() {
 		r.registry.MustRegister(counter)
 	}
-	r.registry.MustRegister(r.requestsInFlight, r.endpoints, r.disabledEndpoints, r.configsReloaded, r.configsRejected)
+	r.registry.MustRegister(r.requestsInFlight, r.endpoints, r.disabledEndpoints)
+	r.registry.MustRegister(r.configsReloaded, r.configsRejected)
 	r.SetClasses(classes)
 	return r
 }
@@ -120,8 +122,8 @@
 	}
 }
 
-// SetClasses names the classes anew, by id, after a reload; what was counted for classes dropped stays readable. An empty
-// name keeps the one it had: requests in flight of a dropped class count under it.
+// SetClasses names the classes anew, by id, after a reload; what was counted for classes dropped stays
+// readable. An empty name keeps the one it had: requests in flight of a dropped class count under it.
 func (r *Registry) SetClasses(names []string) {
 	if r == nil {
 		return
@@ -154,7 +156,8 @@
 	}
 }
 
-// RequestEnded counts a request's answer under the class that it came with. A request whose client has gone has none.
+// RequestEnded counts a request's answer under the class that it came with. A request whose client has gone
+// has none.
 func (r *Registry) RequestEnded(class policy.ClassID, outcome Outcome) {
 	if r != nil {
 		r.requests[outcome].WithLabelValues(r.className(class)).Inc()
--- a/internal/simwire/frame.go
+++ b/internal/simwire/frame.go
@@ -1,11 +1,11 @@
-// Package simwire frames and packs the simulator's binary records: little-endian, no padding. The simulator sends frames
-// of events, which Frame reads; each is answered by one Reply of actions.
+// Package simwire frames and packs the simulator's binary records: little-endian, no padding. The simulator
+// sends frames of events, which Frame reads; each is answered by one Reply of actions.
 //
 //	frame: uint32 length of the body, uint32 records, float64 clock in ms; then the body
 //	reply: uint32 records, uint32 length of the body; then the body
 //
-// A record begins with a byte that says its kind; which fields follow is for the caller to know. A Frame and a Reply
-// belong to one goroutine, which uses each again and again: their memory is kept.
+// A record begins with a byte that says its kind; which fields follow is for the caller to know. A Frame and
+// a Reply belong to one goroutine, which uses each again and again: their memory is kept.
 package simwire
 
 import (
@@ -24,12 +24,12 @@
 	MaxBytes = 1 << 30
 )
 
-// ErrEnd is the error of ReadFrame where the input ends between two frames. It is not io.EOF, which an input that ends
-// behind a header gives too.
+// ErrEnd is the error of ReadFrame where the input ends between two frames. It is not io.EOF, which an input
+// that ends behind a header gives too.
 var ErrEnd = errors.New("simwire: end of input")
 
-// Frame is one batch of events, read field by field. The first fault sticks: all later reads return zero, and Err
-// returns it. Callers read a record whole and check once.
+// Frame is one batch of events, read field by field. The first fault sticks: all later reads return zero, and
+// Err returns it. Callers read a record whole and check once.
 type Frame struct {
 	Clock   float64 // the simulator's time, in ms
 	Records int     // how many the body holds
@@ -38,8 +38,8 @@
 	err     error
 }
 
-// ReadFrame reads the next frame into f, whose memory is used again: what Bytes returned before is overwritten. At the
-// end of input between two frames it returns io.EOF.
+// ReadFrame reads the next frame into f, whose memory is used again: what Bytes returned before is
+// overwritten. At the end of input between two frames it returns io.EOF.
 func ReadFrame(r io.Reader, f *Frame) error {
 	var header [frameHeaderBytes]byte
 	n, err := io.ReadFull(r, header[:])
--- a/internal/simwire/reply.go
+++ b/internal/simwire/reply.go
@@ -8,7 +8,8 @@
 
 const replyHeaderBytes = 8
 
-// Reply gathers the records that answer one frame. Its methods return it, so that a record is written in one statement:
+// Reply gathers the records that answer one frame. Its methods return it, so that a record is written in one
+// statement:
 //
 //	reply.Record(code).Uint32(instance).Uint64(id)
 //
--- a/internal/simwire/simwire_test.go
+++ b/internal/simwire/simwire_test.go
@@ -33,7 +33,8 @@
 	if f.Clock != 12.5 || f.Records != 1 || f.Offset() != 0 {
 		t.Errorf("clock %v, %d records, at byte %d", f.Clock, f.Records, f.Offset())
 	}
-	if code, a, b, c := f.Uint8(), f.Uint16(), f.Uint32(), f.Uint64(); code != 7 || a != 300 || b != 70000 || c != 1<<40 {
+	code, a, b, c := f.Uint8(), f.Uint16(), f.Uint32(), f.Uint64()
+	if code != 7 || a != 300 || b != 70000 || c != 1<<40 {
 		t.Errorf("whole numbers %d %d %d %d", code, a, b, c)
 	}
 	if a, b := f.Float32(), f.Float64(); a != 0.5 || b != -2.25 {
@@ -65,7 +66,8 @@
 	if err := ReadFrame(strings.NewReader(""), &f); !errors.Is(err, ErrEnd) {
 		t.Errorf("between two frames: %v", err)
 	}
-	if err := ReadFrame(strings.NewReader("abc"), &f); !errors.Is(err, io.ErrUnexpectedEOF) || errors.Is(err, ErrEnd) {
+	err := ReadFrame(strings.NewReader("abc"), &f)
+	if !errors.Is(err, io.ErrUnexpectedEOF) || errors.Is(err, ErrEnd) {
 		t.Errorf("within a header: %v", err)
 	}
 	frame := frameOf(t, 0, 1, (&Reply{}).Record(1))
--- a/internal/tomlfile/tomlfile.go
+++ b/internal/tomlfile/tomlfile.go
@@ -1,5 +1,5 @@
-// Package tomlfile reads TOML texts (toml.io, version 1.0) strictly into Go values and keeps the line of each key, so
-// that every error names the file, the line and the key. It owns no settings and gives no defaults.
+// Package tomlfile reads TOML texts (toml.io, version 1.0) strictly into Go values and keeps the line of each
+// key, so that every error names the file, the line and the key. It owns no settings and gives no defaults.
 //
 // Read is safe for concurrent use, and a File never changes once it is read.
 package tomlfile
@@ -47,9 +47,9 @@
 	lines map[string]int // from 1 on, by full path: "load.rate", "profile[1].effect"
 }
 
-// Read reads the text strictly into the value that into points to: an unknown key, one that stands twice, a value of
-// the wrong type and a text cut short are errors. The name stands for the text in messages. Errors are of type
-// *PositionError.
+// Read reads the text strictly into the value that into points to: an unknown key, one that stands twice, a
+// value of the wrong type and a text cut short are errors. The name stands for the text in messages. Errors
+// are of type *PositionError.
 func Read(name string, text []byte, into any) (*File, error) {
 	f := &File{name: name, lines: map[string]int{}}
 	if err := f.index(text); err != nil {
@@ -86,8 +86,8 @@
 	return &PositionError{File: f.name, Line: line, Err: err}
 }
 
-// index notes the line of each key. It refuses what the decoder lets pass: a key that stands twice within a table of an
-// array.
+// index notes the line of each key. It refuses what the decoder lets pass: a key that stands twice within a
+// table of an array.
 func (f *File) index(text []byte) error {
 	var parser unstable.Parser
 	parser.Reset(text)
@@ -129,7 +129,8 @@
 	return strings.Join(names, "."), line
 }
 
-// parseError puts the parser's error into the form of this package. One without a place is that of a text cut short.
+// parseError puts the parser's error into the form of this package. One without a place is that of a text cut
+// short.
 func (f *File) parseError(parser *unstable.Parser, text []byte, err error) error {
 	line := bytes.Count(text, []byte("\n")) + 1
 	var at *unstable.ParserError
@@ -142,9 +143,9 @@
 // Has reports whether the key stands in the text.
 func (f *File) Has(key string) bool { return f.lines[key] > 0 }
 
-// KeyError returns an error about a key, a *KeyError within a *PositionError: with the key's line, or that of the
-// nearest table around it.
-func (f *File) KeyError(key, problem string) error {
+// KeyErrorf returns an error about a key, a *KeyError within a *PositionError: with the key's line, or that of
+// the nearest table around it. The format says the problem.
+func (f *File) KeyErrorf(key, format string, args ...any) error {
 	at := key
 	for f.lines[at] == 0 {
 		dot := strings.LastIndexByte(at, '.')
@@ -153,5 +154,5 @@
 		}
 		at = at[:dot]
 	}
-	return f.errorAt(f.lines[at], &KeyError{Key: key, Problem: problem})
+	return f.errorAt(f.lines[at], &KeyError{Key: key, Problem: fmt.Sprintf(format, args...)})
 }
--- a/internal/tomlfile/tomlfile_test.go
+++ b/internal/tomlfile/tomlfile_test.go
@@ -40,7 +40,7 @@
 	}
 }
 
-func TestFile_KeyErrorNamesItsLine(t *testing.T) {
+func TestFile_KeyErrorfNamesItsLine(t *testing.T) {
 	var s shape
 	f, err := Read("f", []byte("# a file\nname = \"a\"\n\n[[row]]\nn = 1\n[[row]]\nn = 2\n"), &s)
 	if err != nil || s.Rows[1].N != 2 || !f.Has("name") || f.Has("rate") {
@@ -52,7 +52,7 @@
 		"row[0].other": "f:4: row[0].other is bad",
 		"rate":         "f: rate is bad",
 	} {
-		err := f.KeyError(key, "is bad")
+		err := f.KeyErrorf(key, "is %s", "bad")
 		if err.Error() != want {
 			t.Errorf("%q, want %q", err, want)
 		}
--- a/internal/warmstart/warmstart.go
+++ b/internal/warmstart/warmstart.go
@@ -1,8 +1,9 @@
-// Package warmstart keeps what an instance measured of the backends in a file over a restart, where a folder lasts. The
-// file is versioned and checksummed, written beside its place and renamed there whole, and read whole or not at all.
-// What the state is worth after a time is for the decisions to say.
+// Package warmstart keeps what an instance measured of the backends in a file over a restart, where a folder
+// lasts. The file is versioned and checksummed, written beside its place and renamed there whole, and read
+// whole or not at all. What the state is worth after a time is for the decisions to say.
 //
-// Save and Load may be called by several processes at once: a reader gets one whole state, that of the last writer.
+// Save and Load may be called by several processes at once: a reader gets one whole state, that of the last
+// writer.
 package warmstart
 
 import (
@@ -31,7 +32,8 @@
 	fileMode = 0o600
 	// maxBytes bounds the file: some hundred thousand backends.
 	maxBytes = 16 << 20
-	// maxClockSkew is more than clocks of one machine differ by: a file of a later time than that is not trusted.
+	// maxClockSkew is more than clocks of one machine differ by: a file of a later time than that is not
+	// trusted.
 	maxClockSkew = time.Minute
 )
 
@@ -48,8 +50,8 @@
 	State         policy.WarmStartState `json:"learned"`
 }
 
-// Save writes the file: under another name in its folder, synced and renamed over the old one; then the folder is
-// synced. On an error, say of a full disk, the old file stays as it was.
+// Save writes the file: under another name in its folder, synced and renamed over the old one; then the
+// folder is synced. On an error, say of a full disk, the old file stays as it was.
 func Save(path string, state policy.WarmStartState, now time.Time) error {
 	text, err := json.Marshal(body{Version: Version, SavedUnixNano: now.UnixNano(), State: state})
 	if err != nil {
@@ -76,8 +78,8 @@
 	return folder.Sync()
 }
 
-// Load reads the file and returns how old it is. A file that is absent is os.ErrNotExist; one cut short, damaged, of
-// another version or from the future is refused by an error that says so.
+// Load reads the file and returns how old it is. A file that is absent is os.ErrNotExist; one cut short,
+// damaged, of another version or from the future is refused by an error that says so.
 func Load(path string, now time.Time) (state policy.WarmStartState, age time.Duration, err error) {
 	info, err := os.Stat(path)
 	if err != nil {
--- a/internal/warmstart/warmstart_test.go
+++ b/internal/warmstart/warmstart_test.go
@@ -103,8 +103,8 @@
 	_ = command.Wait() // it was killed, which is an error
 }
 
-// TestSave_KilledWhileWriting kills the process in the middle of a write, some two hundred times. What is read is always
-// one whole state, and the file is there from the first on.
+// TestSave_KilledWhileWriting kills the process in the middle of a write, some two hundred times. What is
+// read is always one whole state, and the file is there from the first on.
 func TestSave_KilledWhileWriting(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "learned")
 	chance := rand.New(rand.NewPCG(3, 3))
