--- a/cmd/drill/main_test.go
+++ b/cmd/drill/main_test.go
@@ -66,7 +66,11 @@
 func TestRun_FaultyInputEndsIt(t *testing.T) {
 	list := createInstance(validSettings)
 	list.Record(eventEndpoints).Uint32(3).Uint8(2).Uint64(1).Uint32(1 << 30)
-	frame := func(records uint32, events *simwire.Reply) []byte { return frameOf(t, records, testClock, events) }
+	frame := func(records uint32, events *simwire.Reply) []byte {
+		return frameOf(t, records, testClock, events)
+	}
+	unknownKind := (&simwire.Reply{}).Record(eventEndpoints).Uint32(3).Uint8(4).Uint64(1).Uint32(0)
+	unknownStatus := (&simwire.Reply{}).Record(eventCounterResult).Uint32(3).Uint16(99).Uint64(1).Float64(1).Float32(1)
 	for want, in := range map[string][]byte{
 		"":                                       frame(0, &simwire.Reply{}),
 		"batch 0: frame header: 3 of 16":         {1, 2, 3},
@@ -74,8 +78,10 @@
 		"frame body: 3 of":                       frame(1, createInstance(validSettings))[:frameHeaderBytes+3],
 		"record 0 (code 99 ) at byte 0: unknown": frame(1, (&simwire.Reply{}).Record(99).Uint32(3)),
 		"code 1 View":                            frame(2, list),
-		"impossible count of 7 records":          frame(7, (&simwire.Reply{}).Record(eventKill)),
-		"1 bytes after the last":                 frame(1, createInstance(validSettings).Uint8(0)),
+		"unknown kind of list 4":                 frame(1, unknownKind),
+		"(code 10 TallyBack) at byte 0: unknown status 99": frame(1, unknownStatus),
+		"impossible count of 7 records":                    frame(7, (&simwire.Reply{}).Record(eventKill)),
+		"1 bytes after the last":                           frame(1, createInstance(validSettings).Uint8(0)),
 	} {
 		var out bytes.Buffer
 		err := run(bytes.NewReader(in), &out)
