--- a/internal/config/overlay.go
+++ b/internal/config/overlay.go
@@ -13,8 +13,9 @@
 	ClassKey = "classes/"
 )
 
-// Overlay holds rows of the settings that stand in the replicated store, by name: a plan or class of the file is replaced
-// by the one of its name here, and one of a new name is added behind the file's. The zero value changes nothing.
+// Overlay holds rows of the settings that stand in the replicated store, by name: a plan or class of the file
+// is replaced by the one of its name here, and one of a new name is added behind the file's. The zero value
+// changes nothing.
 type Overlay struct{ Plans, Classes map[string]json.RawMessage }
 
 // namedRow is what the rows of plans and classes have in common.
@@ -46,17 +47,18 @@
 	if err := json.Unmarshal(top["settings"], &settings); err != nil {
 		return nil, fmt.Errorf("settings: no JSON object: %w", err)
 	}
-	for key, rows := range map[string]map[string]json.RawMessage{"tariffs": o.Plans, "lanes": o.Classes} {
-		if err := replaceRows(settings, key, rows); err != nil {
-			return nil, err
-		}
+	if err := replaceRows(settings, "tariffs", o.Plans); err != nil {
+		return nil, err
+	}
+	if err := replaceRows(settings, "lanes", o.Classes); err != nil {
+		return nil, err
 	}
 	top["settings"], _ = json.Marshal(settings) // each value came from a text that was read or marshaled
 	return json.Marshal(top)
 }
 
-// replaceRows puts rows into the list that the settings hold under key: in the place of the row of their name, or behind
-// all others.
+// replaceRows puts rows into the list that the settings hold under key: in the place of the row of their
+// name, or behind all others.
 func replaceRows(settings map[string]json.RawMessage, key string, rows map[string]json.RawMessage) error {
 	var list []json.RawMessage
 	if err := json.Unmarshal(settings[key], &list); err != nil {
