--- a/cmd/fawnplank/billing.go
+++ b/cmd/fawnplank/billing.go
@@ -66,11 +66,11 @@
 			keys := a.keys
 			a.keys = nil
 			a.mu.Unlock()
-			d.Changed(keys)
+			d.KeysChanged(keys)
 		}
 	}()
 	count := func(n func(*billingservice.Stats) *atomic.Uint64) func() float64 {
-		return func() float64 { c, _ := d.Stats(); return float64(n(c).Load()) }
+		return func() float64 { return float64(n(d.Stats()).Load()) }
 	}
 	figures.AddGauges(map[string]metrics.Gauge{
 		"billing_steps":    {Help: "plan changes and steps of reservations that landed", Value: count(func(c *billingservice.Stats) *atomic.Uint64 { return &c.Operations })},
@@ -78,9 +78,9 @@
 		"billing_reports":  {Help: "reports of this door's use that landed", Value: count(func(c *billingservice.Stats) *atomic.Uint64 { return &c.Reports })},
 		"billing_exported": {Help: "records that this door had acknowledged", Value: count(func(c *billingservice.Stats) *atomic.Uint64 { return &c.Exported })},
 		"billing_failures": {Help: "tries that store or receiver did not take", Value: count(func(c *billingservice.Stats) *atomic.Uint64 { return &c.Failures })},
-		"billing_waiting":  {Help: "records not exported yet", Value: func() float64 { _, n := d.Stats(); return float64(n) }},
+		"billing_waiting":  {Help: "records not exported yet", Value: func() float64 { return float64(d.PendingRecords()) }},
 		"billing_halted": {Help: "1 while nothing is exported for a fault", Value: func() float64 {
-			if d.Halted() != "" {
+			if d.HaltReason() != "" {
 				return 1
 			}
 			return 0
--- a/cmd/fawnplank/dns.go
+++ b/cmd/fawnplank/dns.go
@@ -224,7 +224,7 @@
 		_, err = callStore("POST", f.api, "/v1/edits", body)
 	}
 	if err != nil && strings.HasPrefix(err.Error(), "409") {
-		return kv.Conflict{}
+		return kv.ConflictError{}
 	}
 	return err
 }
--- a/cmd/fawnplank/store.go
+++ b/cmd/fawnplank/store.go
@@ -50,7 +50,7 @@
 			return o, errors.New("--tls-authority is missing: replicas check each other by it")
 		}
 	}
-	if o.Me, err = store.ParsePeer(f.me); err != nil {
+	if o.Self, err = store.ParsePeer(f.me); err != nil {
 		return o, fmt.Errorf("--me: %w", err)
 	}
 	found := len(f.peers) == 0
@@ -59,7 +59,7 @@
 		if err != nil {
 			return o, fmt.Errorf("--peers: %w", err)
 		}
-		found = found || p == o.Me
+		found = found || p == o.Self
 		o.Peers = append(o.Peers, p)
 	}
 	if !found {
@@ -98,7 +98,7 @@
 	}
 	fullDisks()
 	edited := make(chan struct{}, 1)
-	o.Changed = func(keys []string) {
+	o.OnChange = func(keys []string) {
 		if slices.ContainsFunc(keys, func(k string) bool { return strings.HasPrefix(k, dnsserver.Keys) }) {
 			zone()
 		}
@@ -113,7 +113,7 @@
 		}
 	}
 	// What a replica's own files make of a row is judged before it is written; another's are judged there again.
-	o.Check = func(key string, value json.RawMessage) error {
+	o.Validate = func(key string, value json.RawMessage) error {
 		var over config.Overlay
 		if name, ok := strings.CutPrefix(key, config.PlanKey); ok {
 			over.Plans = map[string]json.RawMessage{name: value}
@@ -177,7 +177,7 @@
 			if err != nil {
 				return err
 			}
-			logging.For("store").WithField(logging.Address, o.Me.API).Info("listens")
+			logging.For("store").WithField(logging.Address, o.Self.API).Info("listens")
 			<-told
 			s.Close()
 			return nil
--- a/internal/billing/account_test.go
+++ b/internal/billing/account_test.go
@@ -10,16 +10,16 @@
 const second = int64(1e9)
 
 func terms() Settings {
-	return Settings{Window: 60 * second, Lead: 5 * second, Skew: second, Lease: 30 * second, Late: 10 * second,
+	return Settings{WindowNanos: 60 * second, ChangeNoticeNanos: 5 * second, ClockSkewNanos: second, MaxLeaseNanos: 30 * second, ExportDelayNanos: 10 * second,
 		Plans: map[string]Quota{"small": {1, 10}, "large": {5, 100}}}
 }
 
 func TestChanges(t *testing.T) {
 	T, now := terms(), 1000*second
-	a := Account{Gestoria: "g"}
-	do := func(c Change, want error) {
+	a := Account{Tenant: "g"}
+	do := func(c PlanChange, want error) {
 		t.Helper()
-		b, err := a.Change(T, now, c)
+		b, err := a.SchedulePlanChange(T, now, c)
 		if !errors.Is(err, want) || want == nil && err != nil {
 			t.Fatalf("%+v: %v", c, err)
 		}
@@ -27,24 +27,24 @@
 			a = b
 		}
 	}
-	do(Change{"1", now + 10*second, "large"}, nil)
-	do(Change{"1", now + 10*second, "large"}, nil) // sent twice
-	do(Change{"1", now + 20*second, "large"}, ErrTaken)
-	do(Change{"2", now + 10*second, "small"}, ErrTaken) // two at once
-	do(Change{"3", now + 4*second, "small"}, ErrTooSoon)
-	do(Change{"3", now + 20*second, "gold"}, ErrUnknown)
-	do(Change{"", now + 20*second, "small"}, ErrRange)
-	do(Change{"4", now + 8*second, "small"}, nil) // before the first
-	if a.Plan(now) != "" || a.Plan(now+9*second) != "small" || a.Plan(now+10*second) != "large" || len(a.Changes) != 2 {
+	do(PlanChange{"1", now + 10*second, "large"}, nil)
+	do(PlanChange{"1", now + 10*second, "large"}, nil) // sent twice
+	do(PlanChange{"1", now + 20*second, "large"}, ErrConflict)
+	do(PlanChange{"2", now + 10*second, "small"}, ErrConflict) // two at once
+	do(PlanChange{"3", now + 4*second, "small"}, ErrTooSoon)
+	do(PlanChange{"3", now + 20*second, "gold"}, ErrUnknown)
+	do(PlanChange{"", now + 20*second, "small"}, ErrOutOfRange)
+	do(PlanChange{"4", now + 8*second, "small"}, nil) // before the first
+	if a.PlanAt(now) != "" || a.PlanAt(now+9*second) != "small" || a.PlanAt(now+10*second) != "large" || len(a.Changes) != 2 {
 		t.Errorf("%+v", a.Changes)
 	}
-	if _, err := a.TakeBack(T, now+4*second, "4"); !errors.Is(err, ErrOver) {
+	if _, err := a.CancelChange(T, now+4*second, "4"); !errors.Is(err, ErrExpired) {
 		t.Error(err)
 	}
-	if b, err := a.TakeBack(T, now+2*second, "4"); err != nil || b.Plan(now+9*second) != "" || len(a.Changes) != 2 {
+	if b, err := a.CancelChange(T, now+2*second, "4"); err != nil || b.PlanAt(now+9*second) != "" || len(a.Changes) != 2 {
 		t.Error(err, b)
 	}
-	if _, err := a.TakeBack(T, now, "9"); !errors.Is(err, ErrUnknown) {
+	if _, err := a.CancelChange(T, now, "9"); !errors.Is(err, ErrUnknown) {
 		t.Error(err)
 	}
 	// A window in which the plan changes allows each plan's rate for its time: 980 to 1008 none set (small is asked for), to
@@ -57,9 +57,9 @@
 
 func TestReservations(t *testing.T) {
 	T, now := terms(), 6000*second // the start of a window: small allows 70 units
-	a := Account{Gestoria: "g"}
+	a := Account{Tenant: "g"}
 	a, h, err := a.Reserve(T, now, "r", "me", "small", 50e6, 10*second)
-	if err != nil || h.Left != 50e6 {
+	if err != nil || h.Remaining != 50e6 {
 		t.Fatal(err)
 	}
 	for _, x := range []struct {
@@ -67,8 +67,8 @@
 		units            Units
 		lease            int64
 		want             error
-	}{{"r", "other", "small", 1e6, second, ErrTaken}, {"s", "me", "small", 21e6, second, ErrNoRoom}, {"s", "me", "gold", 1e6, second, ErrUnknown}, {"s", "me", "small", -1, second, ErrRange},
-		{"s", "me", "small", 1 << 60, second, ErrRange}, {"s", "me", "small", 1e6, 0, ErrRange}, {"s", "me", "small", 1e6, 31 * second, ErrRange}, {"", "me", "small", 1e6, second, ErrRange}} {
+	}{{"r", "other", "small", 1e6, second, ErrConflict}, {"s", "me", "small", 21e6, second, ErrNoCapacity}, {"s", "me", "gold", 1e6, second, ErrUnknown}, {"s", "me", "small", -1, second, ErrOutOfRange},
+		{"s", "me", "small", 1 << 60, second, ErrOutOfRange}, {"s", "me", "small", 1e6, 0, ErrOutOfRange}, {"s", "me", "small", 1e6, 31 * second, ErrOutOfRange}, {"", "me", "small", 1e6, second, ErrOutOfRange}} {
 		if b, _, err := a.Reserve(T, now, x.id, x.holder, x.plan, x.units, x.lease); !errors.Is(err, x.want) || fmt.Sprint(b) != fmt.Sprint(a) {
 			t.Errorf("%+v: %v", x, err)
 		}
@@ -77,44 +77,44 @@
 		t.Error("sent twice: ", err, again)
 	}
 	first := h.Epoch
-	if a, h, err = a.Commit(T, now, "r", first, 20e6); err != nil || h.Left != 30e6 {
+	if a, h, err = a.Commit(T, now, "r", first, 20e6); err != nil || h.Remaining != 30e6 {
 		t.Fatal(err)
 	}
-	if _, _, err := a.Commit(T, now, "r", first, 20e6); !errors.Is(err, ErrEpoch) {
+	if _, _, err := a.Commit(T, now, "r", first, 20e6); !errors.Is(err, ErrStaleEpoch) {
 		t.Error("a commit sent twice was done twice: ", err)
 	}
-	if _, _, err := a.Commit(T, now, "r", h.Epoch, 31e6); !errors.Is(err, ErrRange) {
+	if _, _, err := a.Commit(T, now, "r", h.Epoch, 31e6); !errors.Is(err, ErrOutOfRange) {
 		t.Error(err)
 	}
 	old := h
-	if a, h, err = a.Take(T, now, "r", "other", 10*second); err != nil {
+	if a, h, err = a.AdoptReservation(T, now, "r", "other", 10*second); err != nil {
 		t.Fatal(err)
 	}
-	if _, _, err := a.Commit(T, now, "r", old.Epoch, 1e6); !errors.Is(err, ErrEpoch) {
+	if _, _, err := a.Commit(T, now, "r", old.Epoch, 1e6); !errors.Is(err, ErrStaleEpoch) {
 		t.Error("the old holder spent what another took: ", err)
 	}
-	if _, _, err := a.Commit(T, h.Until, "r", h.Epoch, 1e6); !errors.Is(err, ErrOver) {
+	if _, _, err := a.Commit(T, h.ExpiresNanos, "r", h.Epoch, 1e6); !errors.Is(err, ErrExpired) {
 		t.Error("spent after its lease: ", err)
 	}
-	if b := a.Lapse(T, h.Until+T.Skew-1); len(b.Holds) != 1 {
+	if b := a.ExpireReservations(T, h.ExpiresNanos+T.ClockSkewNanos-1); len(b.Reservations) != 1 {
 		t.Error("returned while it may be spent on another clock")
 	}
-	b := a.Lapse(T, h.Until+T.Skew)
-	if len(b.Holds) != 0 || b.Room(T, now, now, "small") != 50e6 {
+	b := a.ExpireReservations(T, h.ExpiresNanos+T.ClockSkewNanos)
+	if len(b.Reservations) != 0 || b.Available(T, now, now, "small") != 50e6 {
 		t.Error("not returned")
 	}
-	if _, _, err := b.Commit(T, now, "r", h.Epoch, 1e6); !errors.Is(err, ErrOver) {
+	if _, _, err := b.Commit(T, now, "r", h.Epoch, 1e6); !errors.Is(err, ErrExpired) {
 		t.Error("spent and returned: ", err)
 	}
-	if _, _, err := b.Reserve(T, now, "r", "me", "small", 1e6, second); !errors.Is(err, ErrOver) {
+	if _, _, err := b.Reserve(T, now, "r", "me", "small", 1e6, second); !errors.Is(err, ErrExpired) {
 		t.Error("an id that ended holds again: ", err)
 	}
 	// A plan that allows less than is used: nothing is taken away, and nothing more is granted.
-	c, err := a.Use(T, now, "small", 60e6)
-	if err != nil || c.Room(T, now, now, "small") >= 0 {
+	c, err := a.RecordUsage(T, now, "small", 60e6)
+	if err != nil || c.Available(T, now, now, "small") >= 0 {
 		t.Error(err)
 	}
-	if _, _, err := c.Reserve(T, now, "s", "me", "small", 1, second); !errors.Is(err, ErrNoRoom) {
+	if _, _, err := c.Reserve(T, now, "s", "me", "small", 1, second); !errors.Is(err, ErrNoCapacity) {
 		t.Error(err)
 	}
 	if _, _, err := c.Commit(T, now, "r", h.Epoch, 30e6); err != nil {
@@ -128,7 +128,7 @@
 func TestUnitsAreConserved(t *testing.T) {
 	for seed := range uint64(60) {
 		r := rand.New(rand.NewPCG(seed, 7))
-		T, a, now := terms(), Account{Gestoria: "g"}, 6000*second
+		T, a, now := terms(), Account{Tenant: "g"}, 6000*second
 		used, exported := Units(0), map[string]Units{}
 		granted, spent := map[string]Units{}, map[string]Units{}
 		epochs := map[string]uint64{}
@@ -143,20 +143,20 @@
 			var err error
 			switch r.IntN(9) {
 			case 0:
-				a, err = a.Change(T, clock, Change{fmt.Sprint(step), clock + int64(r.IntN(20))*second, []string{"small", "large", "gold"}[r.IntN(3)]})
+				a, err = a.SchedulePlanChange(T, clock, PlanChange{fmt.Sprint(step), clock + int64(r.IntN(20))*second, []string{"small", "large", "gold"}[r.IntN(3)]})
 			case 1, 2:
 				start, plan := T.start(clock-int64(r.IntN(90))*second), []string{"small", "large"}[r.IntN(2)]
-				if a, err = a.Use(T, start, plan, units); err == nil {
+				if a, err = a.RecordUsage(T, start, plan, units); err == nil {
 					used += units
 				}
 			case 3, 4:
 				var h Reservation
-				lapsed := a.Lapse(T, clock)
-				room := lapsed.Room(T, T.start(clock), clock, "small")
+				lapsed := a.ExpireReservations(T, clock)
+				room := lapsed.Available(T, T.start(clock), clock, "small")
 				if a, h, err = a.Reserve(T, clock, id, "me", "small", units, int64(1+r.IntN(20))*second); err == nil {
 					if _, ok := granted[id]; !ok {
-						if granted[id] = h.Left; h.Left > room {
-							t.Fatalf("seed %d: %v granted of %v", seed, h.Left, room)
+						if granted[id] = h.Remaining; h.Remaining > room {
+							t.Fatalf("seed %d: %v granted of %v", seed, h.Remaining, room)
 						}
 					}
 					epochs[id] = h.Epoch
@@ -171,16 +171,16 @@
 			case 6:
 				a, err = a.Release(T, clock, id, epochs[id])
 			case 7:
-				a = a.Lapse(T, clock)
+				a = a.ExpireReservations(T, clock)
 			case 8:
 				var records []Record
-				a, records = a.Close(T, clock, next)
+				a, records = a.CloseWindows(T, clock, next)
 				for _, x := range records {
-					if x.Sequence != next || x.Micro <= 0 {
+					if x.Sequence != next || x.Units <= 0 {
 						t.Fatalf("seed %d: %+v after %d", seed, x, next)
 					}
 					next++
-					exported[x.Plan] += x.Micro
+					exported[x.Plan] += x.Units
 				}
 			}
 			if fmt.Sprint(keep) != before || err != nil && fmt.Sprint(a.Windows, a.Changes) != fmt.Sprint(keep.Windows, keep.Changes) {
@@ -199,7 +199,7 @@
 				t.Fatalf("seed %d, step %d: %v used, %v in records and windows", seed, step, used, sum)
 			}
 			for id, g := range granted {
-				if left := a.Holds[id].Left; left+spent[id] > g {
+				if left := a.Reservations[id].Remaining; left+spent[id] > g {
 					t.Fatalf("seed %d, step %d: %v granted to %s, %v spent and %v held", seed, step, g, id, spent[id], left)
 				}
 			}
--- a/internal/billingservice/billingservice.go
+++ b/internal/billingservice/billingservice.go
@@ -31,12 +31,12 @@
 
 // KeyPrefix of the store.
 const (
-	KeyPrefix  = "billing/"
-	accountKey = KeyPrefix + "account/"
-	useKey     = KeyPrefix + "use/"
-	recordKey  = KeyPrefix + "record/"
-	exportKey  = KeyPrefix + "export"
-	clerkKey   = KeyPrefix + "clerk"
+	KeyPrefix     = "billing/"
+	accountPrefix = KeyPrefix + "account/"
+	reportPrefix  = KeyPrefix + "use/"
+	recordPrefix  = KeyPrefix + "record/"
+	exportKey     = KeyPrefix + "export"
+	leaseKey      = KeyPrefix + "clerk"
 )
 
 // Options are what the accounts are kept with.
@@ -53,16 +53,16 @@
 
 // Service keeps the accounts at one door.
 type Service struct {
-	o    Options
-	life int64 // this process among the door's, unix ns
-	mu   sync.Mutex
-	used map[use]billing.Units // not reported yet
+	options     Options
+	incarnation int64 // this process among the door's, unix ns
+	mu          sync.Mutex
+	usage       map[usageKey]billing.Units // not reported yet
 	// Of the loop that reports, and of Close after it has ended:
-	pending []item // the report that is to land, as it was fixed
-	number  uint64 // its number
+	pending []usageItem // the report that is to land, as it was fixed
+	number  uint64      // its number
 	plans   atomic.Pointer[map[string]billing.Account]
 	stop    chan struct{}
-	done    sync.WaitGroup
+	loops   sync.WaitGroup
 	clerks  sync.Mutex
 	until   int64 // this desk is the clerk, unix ns
 	once    sync.Once
@@ -74,17 +74,17 @@
 type Stats struct{ Operations, Rejected, Reports, Exported, Failures atomic.Uint64 }
 
 // use is what reports are summed by.
-type use struct {
-	gestoria, plan string
-	window         int64
+type usageKey struct {
+	tenant, plan string
+	windowNanos  int64
 }
 
 // item is a line of a report.
-type item struct {
-	Gestoria string        `json:"g"`
-	Plan     string        `json:"p"`
-	Window   int64         `json:"w"`
-	Units    billing.Units `json:"u"`
+type usageItem struct {
+	Tenant      string        `json:"g"`
+	Plan        string        `json:"p"`
+	WindowNanos int64         `json:"w"`
+	Units       billing.Units `json:"u"`
 }
 
 const (
@@ -114,27 +114,27 @@
 	if o.RetryDelay == 0 {
 		o.RetryDelay = time.Second
 	}
-	d := &Service{o: o, life: o.Now().UnixNano(), used: map[use]billing.Units{}, stop: make(chan struct{})}
+	d := &Service{options: o, incarnation: o.Now().UnixNano(), usage: map[usageKey]billing.Units{}, stop: make(chan struct{})}
 	d.plans.Store(&map[string]billing.Account{})
 	var keys []string
-	for g := range o.Replica.ReadPrefix(accountKey) {
-		keys = append(keys, accountKey+g)
+	for g := range o.Replica.ReadPrefix(accountPrefix) {
+		keys = append(keys, accountPrefix+g)
 	}
-	d.Changed(keys)
+	d.KeysChanged(keys)
 	d.loop(o.ReportInterval, d.report)
-	d.loop(clerk, d.fold)
-	d.loop(CompactionInterval, d.sweep)
+	d.loop(clerk, d.commitReports)
+	d.loop(CompactionInterval, d.compact)
 	if o.Sink != nil {
-		d.done.Add(1)
-		go d.export()
+		d.loops.Add(1)
+		go d.runExport()
 	}
 	return d
 }
 
 func (d *Service) loop(every time.Duration, do func() error) {
-	d.done.Add(1)
+	d.loops.Add(1)
 	go func() {
-		defer d.done.Done()
+		defer d.loops.Done()
 		failing := false
 		for {
 			select {
@@ -164,7 +164,7 @@
 	}
 	d.once.Do(func() {
 		close(d.stop)
-		d.done.Wait()
+		d.loops.Wait()
 		d.resign()
 		for end := time.Now().Add(within); ; time.Sleep(100 * time.Millisecond) {
 			err := d.report()
@@ -179,13 +179,16 @@
 	})
 }
 
-// Stats are the counts; waiting is how many records are not exported yet.
-func (d *Service) Stats() (c *Stats, waiting int) {
-	return &d.counts, len(d.o.Replica.ReadPrefix(recordKey))
+// Stats gives the counts since Start, which go on changing.
+func (d *Service) Stats() *Stats { return &d.counts }
+
+// PendingRecords is how many records are not exported yet.
+func (d *Service) PendingRecords() int {
+	return len(d.options.Replica.ReadPrefix(recordPrefix))
 }
 
 // Halted is why nothing is exported; empty: nothing is wrong.
-func (d *Service) Halted() string {
+func (d *Service) HaltReason() string {
 	if x := d.halted.Load(); x != nil {
 		return *x
 	}
@@ -199,35 +202,35 @@
 	if !ok {
 		return "", false
 	}
-	plan := a.Plan(d.o.Now().UnixNano())
+	plan := a.PlanAt(d.options.Now().UnixNano())
 	return plan, plan != ""
 }
 
 // RecordUsage notes units of a transaction that was taken at a moment under a plan, and has been fulfilled.
 func (d *Service) RecordUsage(gestoria, plan string, taken time.Time, units float64) {
-	n, err := billing.Of(units)
+	n, err := billing.ParseUnits(units)
 	if err != nil {
 		return
 	}
-	w := d.o.Settings().Window
+	w := d.options.Settings().WindowNanos
 	at := taken.UnixNano()
-	k := use{gestoria, plan, at - at%w}
+	k := usageKey{gestoria, plan, at - at%w}
 	d.mu.Lock()
-	d.used[k] += n
+	d.usage[k] += n
 	d.mu.Unlock()
 }
 
 // Changed is to be called with keys that have changed in the store: changes of plans are taken over. Its cost is that of
 // the accounts named, not of all: each report that is folded changes some.
-func (d *Service) Changed(keys []string) {
+func (d *Service) KeysChanged(keys []string) {
 	plans, copied := *d.plans.Load(), false
 	for _, key := range keys {
-		g, ok := strings.CutPrefix(key, accountKey)
+		g, ok := strings.CutPrefix(key, accountPrefix)
 		if !ok {
 			continue
 		}
 		var a billing.Account
-		if e, ok := d.o.Replica.ReadLocal(key); ok && json.Unmarshal(e.Value, &a) != nil {
+		if e, ok := d.options.Replica.ReadLocal(key); ok && json.Unmarshal(e.Value, &a) != nil {
 			continue
 		}
 		if slices.Equal(a.Changes, plans[g].Changes) {
@@ -252,9 +255,9 @@
 	for {
 		if d.pending == nil {
 			d.mu.Lock()
-			for k, u := range d.used {
-				d.pending = append(d.pending, item{k.gestoria, k.plan, k.window, u})
-				delete(d.used, k)
+			for k, u := range d.usage {
+				d.pending = append(d.pending, usageItem{k.tenant, k.plan, k.windowNanos, u})
+				delete(d.usage, k)
 				if len(d.pending) == mostItems {
 					break
 				}
@@ -268,7 +271,7 @@
 		if err != nil {
 			return err
 		}
-		if err := d.land(fmt.Sprintf("%s%s-%08x", useKey, d.own(), d.number), text); err != nil {
+		if err := d.land(fmt.Sprintf("%s%s-%08x", reportPrefix, d.incarnationName(), d.number), text); err != nil {
 			return err
 		}
 		d.pending = nil
@@ -282,42 +285,44 @@
 }
 
 // marks is the prefix of the keys that tell which report of a door's life landed last.
-const marks = KeyPrefix + "door/"
+const markPrefix = KeyPrefix + "door/"
 
 // own is the part of keys that is this process's own: during an upgrade two of one name run.
-func (d *Service) own() string { return fmt.Sprintf("%s-%016x", d.o.Instance, d.life) }
+func (d *Service) incarnationName() string {
+	return fmt.Sprintf("%s-%016x", d.options.Instance, d.incarnation)
+}
 
 // forget deletes the marks of this door's lives of long ago, which report nothing any more.
 func (d *Service) forget() error {
 	var edits []kv.Edit
-	for name := range d.o.Replica.ReadPrefix(marks) {
-		life, ok := strings.CutPrefix(name, d.o.Instance+"-")
-		if began, err := strconv.ParseInt(life, 16, 64); ok && err == nil && began < d.life-int64(24*time.Hour) && len(edits) < mostItems {
-			edits = append(edits, kv.Edit{Key: marks + name})
+	for name := range d.options.Replica.ReadPrefix(markPrefix) {
+		life, ok := strings.CutPrefix(name, d.options.Instance+"-")
+		if began, err := strconv.ParseInt(life, 16, 64); ok && err == nil && began < d.incarnation-int64(24*time.Hour) && len(edits) < mostItems {
+			edits = append(edits, kv.Edit{Key: markPrefix + name})
 		}
 	}
 	if len(edits) == 0 {
 		return nil
 	}
-	return d.o.Replica.Edit(edits)
+	return d.options.Replica.Edit(edits)
 }
 
 // land writes a report until it is known to have landed. It may have landed though its writing gave an error, and
 // may have been folded into accounts since: so what was written is tried again as it is, and a mark in the door's own
 // key tells.
 func (d *Service) land(key string, text []byte) error {
-	mark := marks + d.own()
+	mark := markPrefix + d.incarnationName()
 	number, err := json.Marshal(key)
 	if err != nil {
 		return err
 	}
 	for end := time.Now().Add(within); ; {
-		old, ok, err := d.o.Replica.ReadFromLeader(mark)
+		old, ok, err := d.options.Replica.ReadFromLeader(mark)
 		if err == nil && ok && string(old.Value) == string(number) {
 			return nil // it has landed
 		}
 		if err == nil {
-			err = d.o.Replica.Edit([]kv.Edit{{Key: key, Value: text}, {Key: mark, Value: number, Check: true, If: old.Index}})
+			err = d.options.Replica.Edit([]kv.Edit{{Key: key, Value: text}, {Key: mark, Value: number, Check: true, If: old.Index}})
 		}
 		if err == nil {
 			return nil
@@ -336,14 +341,14 @@
 // account reads an account: as this replica has it, or with all that has landed. What is written with the index it
 // gives lands only if that was the last word.
 func (d *Service) account(gestoria string, fresh bool) (a billing.Account, index kv.Index, err error) {
-	e, ok := d.o.Replica.ReadLocal(accountKey + gestoria)
+	e, ok := d.options.Replica.ReadLocal(accountPrefix + gestoria)
 	if fresh {
-		if e, ok, err = d.o.Replica.ReadFromLeader(accountKey + gestoria); err != nil {
+		if e, ok, err = d.options.Replica.ReadFromLeader(accountPrefix + gestoria); err != nil {
 			return a, 0, err
 		}
 	}
 	if !ok {
-		return billing.Account{Gestoria: gestoria}, 0, nil
+		return billing.Account{Tenant: gestoria}, 0, nil
 	}
 	if err := json.Unmarshal(e.Value, &a); err != nil {
 		return a, 0, fmt.Errorf("account of %s: %w", gestoria, err)
@@ -361,7 +366,7 @@
 	for end := time.Now().Add(within); ; {
 		a, index, err := d.account(gestoria, fresh)
 		if err == nil {
-			b, refused := do(d.o.Settings(), d.o.Now().UnixNano(), a)
+			b, refused := do(d.options.Settings(), d.options.Now().UnixNano(), a)
 			if refused != nil && !fresh {
 				fresh = true
 				continue
@@ -372,14 +377,14 @@
 			}
 			var e kv.Edit
 			if e, err = edit(b, index); err == nil {
-				err = d.o.Replica.Edit([]kv.Edit{e})
+				err = d.options.Replica.Edit([]kv.Edit{e})
 			}
 			if err == nil {
 				d.counts.Operations.Add(1)
 				return nil
 			}
 		}
-		var conflict kv.Conflict
+		var conflict kv.ConflictError
 		if !errors.As(err, &conflict) {
 			return fmt.Errorf("%w (%v)", ErrStore, err)
 		}
@@ -392,8 +397,8 @@
 
 // edit writes an account, or deletes one with nothing in it.
 func edit(a billing.Account, index kv.Index) (kv.Edit, error) {
-	e := kv.Edit{Key: accountKey + a.Gestoria, Check: true, If: index}
-	if a.Empty() {
+	e := kv.Edit{Key: accountPrefix + a.Tenant, Check: true, If: index}
+	if a.IsEmpty() {
 		return e, nil
 	}
 	text, err := json.Marshal(a)
@@ -402,16 +407,16 @@
 }
 
 // Change sets a gestoría's plan from a moment on.
-func (d *Service) Change(gestoria string, c billing.Change) error {
+func (d *Service) Change(gestoria string, c billing.PlanChange) error {
 	return d.step(gestoria, func(t billing.Settings, now int64, a billing.Account) (billing.Account, error) {
-		return a.Change(t, now, c)
+		return a.SchedulePlanChange(t, now, c)
 	})
 }
 
 // CancelChange takes a change back.
 func (d *Service) CancelChange(gestoria, id string) error {
 	return d.step(gestoria, func(t billing.Settings, now int64, a billing.Account) (billing.Account, error) {
-		return a.TakeBack(t, now, id)
+		return a.CancelChange(t, now, id)
 	})
 }
 
@@ -445,7 +450,7 @@
 // AdoptReservation makes a reservation another holder's.
 func (d *Service) AdoptReservation(gestoria, id, holder string, lease time.Duration) (h billing.Reservation, err error) {
 	err = d.step(gestoria, func(t billing.Settings, now int64, a billing.Account) (_ billing.Account, err error) {
-		a, h, err = a.Take(t, now, id, holder, int64(lease))
+		a, h, err = a.AdoptReservation(t, now, id, holder, int64(lease))
 		return a, err
 	})
 	return h, err
@@ -463,14 +468,14 @@
 	if a, _, err = d.account(gestoria, true); err != nil {
 		return a, 0, fmt.Errorf("%w (%v)", ErrStore, err)
 	}
-	t, now := d.o.Settings(), d.o.Now().UnixNano()
-	return a, a.Room(t, now-now%t.Window, now, plan), nil
+	t, now := d.options.Settings(), d.options.Now().UnixNano()
+	return a, a.Available(t, now-now%t.WindowNanos, now, plan), nil
 }
 
 // clerkship is who folds reports and closes windows.
-type clerkship struct {
-	Who   string `json:"who"`
-	Until int64  `json:"until"` // unix ns
+type exportLease struct {
+	Holder       string `json:"who"`
+	ExpiresNanos int64  `json:"until"` // unix ns
 }
 
 // isClerk says whether this desk is the clerk: the one that folds reports and looks for what is over, so that not every
@@ -479,28 +484,28 @@
 func (d *Service) isClerk() bool {
 	d.clerks.Lock()
 	defer d.clerks.Unlock()
-	now := d.o.Now().UnixNano()
-	if now < d.until-int64(d.o.LeaseDuration)/2 {
+	now := d.options.Now().UnixNano()
+	if now < d.until-int64(d.options.LeaseDuration)/2 {
 		return true
 	}
-	e, ok := d.o.Replica.ReadLocal(clerkKey)
-	var c clerkship
-	if ok && json.Unmarshal(e.Value, &c) == nil && c.Who != d.own() && now < c.Until+d.o.Settings().Skew {
+	e, ok := d.options.Replica.ReadLocal(leaseKey)
+	var c exportLease
+	if ok && json.Unmarshal(e.Value, &c) == nil && c.Holder != d.incarnationName() && now < c.ExpiresNanos+d.options.Settings().ClockSkewNanos {
 		return false
 	}
-	if err := d.appoint(clerkship{d.own(), now + int64(d.o.LeaseDuration)}, e.Index); err != nil {
+	if err := d.appoint(exportLease{d.incarnationName(), now + int64(d.options.LeaseDuration)}, e.Index); err != nil {
 		return now < d.until
 	}
-	d.until = now + int64(d.o.LeaseDuration)
+	d.until = now + int64(d.options.LeaseDuration)
 	return true
 }
 
-func (d *Service) appoint(c clerkship, index kv.Index) error {
+func (d *Service) appoint(c exportLease, index kv.Index) error {
 	text, err := json.Marshal(c)
 	if err != nil {
 		return err
 	}
-	return d.o.Replica.Edit([]kv.Edit{{Key: clerkKey, Value: text, Check: true, If: index}})
+	return d.options.Replica.Edit([]kv.Edit{{Key: leaseKey, Value: text, Check: true, If: index}})
 }
 
 // resign lets another desk be the clerk at once.
@@ -510,10 +515,10 @@
 	if d.until == 0 {
 		return
 	}
-	if e, ok := d.o.Replica.ReadLocal(clerkKey); ok {
-		var c clerkship
-		if json.Unmarshal(e.Value, &c) == nil && c.Who == d.own() {
-			d.appoint(clerkship{c.Who, 0}, e.Index) // it runs out by itself otherwise
+	if e, ok := d.options.Replica.ReadLocal(leaseKey); ok {
+		var c exportLease
+		if json.Unmarshal(e.Value, &c) == nil && c.Holder == d.incarnationName() {
+			d.appoint(exportLease{c.Holder, 0}, e.Index) // it runs out by itself otherwise
 		}
 	}
 }
@@ -521,20 +526,20 @@
 // fold adds reported use to accounts: reports go and their units come in one write, as many as it takes. A second write
 // at once would meet accounts that this replica has not heard of yet: report by report, a clerk that is not the store's
 // leader folded four a second and fell behind two doors.
-func (d *Service) fold() error {
+func (d *Service) commitReports() error {
 	if !d.isClerk() {
 		return nil
 	}
 	accounts, indices := map[string]billing.Account{}, map[string]kv.Index{}
 	var edits []kv.Edit
 	var bad error
-	names := slices.Sorted(maps.Keys(d.o.Replica.ReadPrefix(useKey)))
+	names := slices.Sorted(maps.Keys(d.options.Replica.ReadPrefix(reportPrefix)))
 	for _, name := range names {
-		e, ok := d.o.Replica.ReadLocal(useKey + name)
+		e, ok := d.options.Replica.ReadLocal(reportPrefix + name)
 		if !ok {
 			continue
 		}
-		var items []item
+		var items []usageItem
 		if err := json.Unmarshal(e.Value, &items); err != nil {
 			bad = fmt.Errorf("report %s: %w", name, err)
 			continue
@@ -545,12 +550,12 @@
 		now, at := maps.Clone(accounts), maps.Clone(indices)
 		var err error
 		for _, x := range items {
-			a, ok := now[x.Gestoria]
+			a, ok := now[x.Tenant]
 			if !ok {
-				a, at[x.Gestoria], err = d.account(x.Gestoria, false)
+				a, at[x.Tenant], err = d.account(x.Tenant, false)
 			}
 			if err == nil {
-				now[x.Gestoria], err = a.Use(d.o.Settings(), x.Window, x.Plan, x.Units)
+				now[x.Tenant], err = a.RecordUsage(d.options.Settings(), x.WindowNanos, x.Plan, x.Units)
 			}
 			if err != nil {
 				break
@@ -561,7 +566,7 @@
 			continue
 		}
 		accounts, indices = now, at
-		edits = append(edits, kv.Edit{Key: useKey + name, Check: true, If: e.Index})
+		edits = append(edits, kv.Edit{Key: reportPrefix + name, Check: true, If: e.Index})
 	}
 	if len(edits) == 0 {
 		return bad
@@ -573,8 +578,8 @@
 		}
 		edits = append(edits, x)
 	}
-	err := d.o.Replica.Edit(edits)
-	var conflict kv.Conflict
+	err := d.options.Replica.Edit(edits)
+	var conflict kv.ConflictError
 	if errors.As(err, &conflict) {
 		return bad // an account was changed meanwhile: in the next round
 	}
@@ -582,36 +587,36 @@
 }
 
 // state is how far the export is.
-type state struct {
+type exportState struct {
 	Next  uint64 `json:"next"`            // sequence of the next record
 	Acked uint64 `json:"acked"`           // the last one that the receiver has
 	First uint64 `json:"first,omitempty"` // of the batch that is being sent: one is sent until it is taken, as it is
 	Last  uint64 `json:"last,omitempty"`
 }
 
-func (d *Service) state() (s state, index kv.Index, err error) {
-	e, ok, err := d.o.Replica.ReadFromLeader(exportKey)
+func (d *Service) readExportState() (s exportState, index kv.Index, err error) {
+	e, ok, err := d.options.Replica.ReadFromLeader(exportKey)
 	if err != nil || !ok {
-		return state{Next: 1}, 0, err
+		return exportState{Next: 1}, 0, err
 	}
 	return s, e.Index, json.Unmarshal(e.Value, &s)
 }
 
-func recordAt(n uint64) string { return fmt.Sprintf("%s%016x", recordKey, n) }
+func recordKeyAt(n uint64) string { return fmt.Sprintf("%s%016x", recordPrefix, n) }
 
 // sweep returns reservations whose leases are over, and makes records of windows that are: as many accounts in a write
 // as it takes, since windows of all gestorías end together.
-func (d *Service) sweep() error {
+func (d *Service) compact() error {
 	if !d.isClerk() {
 		return nil
 	}
-	names := slices.Sorted(maps.Keys(d.o.Replica.ReadPrefix(accountKey)))
+	names := slices.Sorted(maps.Keys(d.options.Replica.ReadPrefix(accountPrefix)))
 	for tries := 0; len(names) > 0 && tries < mostTries; tries++ {
-		s, at, err := d.state()
+		s, at, err := d.readExportState()
 		if err != nil {
 			return err
 		}
-		if e, _ := d.o.Replica.ReadLocal(exportKey); e.Index < at { // this replica has yet to hear of the last write
+		if e, _ := d.options.Replica.ReadLocal(exportKey); e.Index < at { // this replica has yet to hear of the last write
 			select {
 			case <-d.stop:
 				return nil
@@ -627,8 +632,8 @@
 		if err != nil {
 			return err
 		}
-		err = d.o.Replica.Edit(append(edits, kv.Edit{Key: exportKey, Value: text, Check: true, If: at}))
-		var conflict kv.Conflict
+		err = d.options.Replica.Edit(append(edits, kv.Edit{Key: exportKey, Value: text, Check: true, If: at}))
+		var conflict kv.ConflictError
 		if errors.As(err, &conflict) {
 			return nil // in the next round
 		}
@@ -641,15 +646,15 @@
 
 // settle gives the edits of the first accounts named whose time has come, with their records numbered on, and the names
 // that are left.
-func (d *Service) settle(names []string, s *state) (edits []kv.Edit, left []string, err error) {
-	t := d.o.Settings()
+func (d *Service) settle(names []string, s *exportState) (edits []kv.Edit, left []string, err error) {
+	t := d.options.Settings()
 	for n, g := range names {
 		a, index, err := d.account(g, false)
 		if err != nil || index == 0 {
 			continue // it is gone, or cannot be read, which a step on it tells
 		}
-		now := d.o.Now().UnixNano()
-		b, records := a.Lapse(t, now).Close(t, now, s.Next)
+		now := d.options.Now().UnixNano()
+		b, records := a.ExpireReservations(t, now).CloseWindows(t, now, s.Next)
 		was, _ := json.Marshal(a)
 		is, _ := json.Marshal(b)
 		if string(was) == string(is) {
@@ -668,7 +673,7 @@
 			if err != nil {
 				return nil, nil, err
 			}
-			edits = append(edits, kv.Edit{Key: recordAt(r.Sequence), Value: text, Check: true})
+			edits = append(edits, kv.Edit{Key: recordKeyAt(r.Sequence), Value: text, Check: true})
 		}
 		s.Next += uint64(len(records))
 	}
--- a/internal/billingservice/billingservice_test.go
+++ b/internal/billingservice/billingservice_test.go
@@ -22,49 +22,51 @@
 )
 
 // memory is a store of one replica. Some writes land and give an error all the same, others do not land.
-type memory struct {
-	mu     sync.Mutex
-	kv     *kv.State
-	at     kv.Index
-	chance *rand.Rand
-	faulty float64
+type memoryReplica struct {
+	mu          sync.Mutex
+	state       *kv.State
+	index       kv.Index
+	random      *rand.Rand
+	failureRate float64
 }
 
-func newMemory() *memory { return &memory{kv: kv.New(), chance: rand.New(rand.NewPCG(1, 1))} }
+func newMemoryReplica() *memoryReplica {
+	return &memoryReplica{state: kv.New(), random: rand.New(rand.NewPCG(1, 1))}
+}
 
-func (m *memory) ReadLocal(key string) (kv.Entry, bool) {
+func (m *memoryReplica) ReadLocal(key string) (kv.Entry, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.kv.Get(key)
+	return m.state.Get(key)
 }
 
-func (m *memory) ReadFromLeader(key string) (kv.Entry, bool, error) {
-	if m.fails() {
+func (m *memoryReplica) ReadFromLeader(key string) (kv.Entry, bool, error) {
+	if m.shouldFail() {
 		return kv.Entry{}, false, errors.New("no leader")
 	}
 	e, ok := m.ReadLocal(key)
 	return e, ok, nil
 }
 
-func (m *memory) fails() bool {
+func (m *memoryReplica) shouldFail() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.chance.Float64() < m.faulty
+	return m.random.Float64() < m.failureRate
 }
 
-func (m *memory) ReadPrefix(prefix string) map[string]json.RawMessage {
+func (m *memoryReplica) ReadPrefix(prefix string) map[string]json.RawMessage {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	all := map[string]json.RawMessage{}
-	for _, k := range m.kv.Keys(prefix) {
-		e, _ := m.kv.Get(k)
+	for _, k := range m.state.Keys(prefix) {
+		e, _ := m.state.Get(k)
 		all[strings.TrimPrefix(k, prefix)] = e.Value
 	}
 	return all
 }
 
-func (m *memory) Edit(edits []kv.Edit) error {
-	if m.fails() {
+func (m *memoryReplica) Edit(edits []kv.Edit) error {
+	if m.shouldFail() {
 		return errors.New("no leader")
 	}
 	c, err := kv.Encode(edits)
@@ -72,10 +74,10 @@
 		return err
 	}
 	m.mu.Lock()
-	m.at++
-	_, err = m.kv.Apply(m.at, c)
+	m.index++
+	_, err = m.state.Apply(m.index, c)
 	m.mu.Unlock()
-	if err == nil && m.fails() {
+	if err == nil && m.shouldFail() {
 		return errors.New("the answer is lost")
 	}
 	return err
@@ -83,28 +85,28 @@
 
 // receiver is a stand-in for billing's: it takes a batch by its key once, and is down, slow, or answers an error after
 // having taken one.
-type receiver struct {
-	mu     sync.Mutex
-	last   uint64
-	keys   map[string]string
-	sums   map[string]billing.Units // by gestoría
-	faulty float64
-	chance *rand.Rand
-	twice  int // batches that came again
-	bad    error
+type stubReceiver struct {
+	mu          sync.Mutex
+	last        uint64
+	keys        map[string]string
+	sums        map[string]billing.Units // by gestoría
+	failureRate float64
+	random      *rand.Rand
+	repeated    int // batches that came again
+	err         error
 }
 
-func newReceiver(t testing.TB) (*receiver, string) {
-	r := &receiver{keys: map[string]string{}, sums: map[string]billing.Units{}, chance: rand.New(rand.NewPCG(2, 2))}
+func newStubReceiver(t testing.TB) (*stubReceiver, string) {
+	r := &stubReceiver{keys: map[string]string{}, sums: map[string]billing.Units{}, random: rand.New(rand.NewPCG(2, 2))}
 	s := httptest.NewServer(r)
 	t.Cleanup(s.Close)
 	return r, s.URL
 }
 
-func (r *receiver) ServeHTTP(w http.ResponseWriter, q *http.Request) {
+func (r *stubReceiver) ServeHTTP(w http.ResponseWriter, q *http.Request) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.chance.Float64() < r.faulty {
+	if r.random.Float64() < r.failureRate {
 		w.WriteHeader(503)
 		return
 	}
@@ -117,12 +119,12 @@
 	for in := bufio.NewScanner(q.Body); in.Scan(); {
 		var x billing.Record
 		if err := json.Unmarshal(in.Bytes(), &x); err != nil {
-			r.bad = err
+			r.err = err
 		}
 		batch, text = append(batch, x), text+in.Text()
 	}
 	if old, ok := r.keys[key]; ok {
-		if r.twice++; old != text {
+		if r.repeated++; old != text {
 			w.WriteHeader(409)
 			return
 		}
@@ -130,32 +132,32 @@
 		r.keys[key] = text
 		for _, x := range batch {
 			if x.Sequence != r.last+1 {
-				r.bad = fmt.Errorf("record %d after %d", x.Sequence, r.last)
+				r.err = fmt.Errorf("record %d after %d", x.Sequence, r.last)
 			}
 			r.last = x.Sequence
-			r.sums[x.Gestoria] += x.Micro
+			r.sums[x.Tenant] += x.Units
 		}
 	}
-	if r.chance.Float64() < r.faulty {
+	if r.random.Float64() < r.failureRate {
 		w.WriteHeader(500) // it has taken it
 	}
 }
 
-func (r *receiver) total() (sum billing.Units, err error) {
+func (r *stubReceiver) total() (sum billing.Units, err error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, u := range r.sums {
 		sum += u
 	}
-	return sum, r.bad
+	return sum, r.err
 }
 
-func terms() billing.Settings {
-	return billing.Settings{Window: 400e6, Lead: 50e6, Skew: 20e6, Lease: 500e6, Late: 50e6, Plans: map[string]billing.Quota{"small": {Rate: 100, Peak: 50}, "large": {Rate: 1000, Peak: 500}}}
+func testSettings() billing.Settings {
+	return billing.Settings{WindowNanos: 400e6, ChangeNoticeNanos: 50e6, ClockSkewNanos: 20e6, MaxLeaseNanos: 500e6, ExportDelayNanos: 50e6, Plans: map[string]billing.Quota{"small": {Rate: 100, Peak: 50}, "large": {Rate: 1000, Peak: 500}}}
 }
 
-func desk(m *memory, door string, sink Sink) *Service {
-	return Start(Options{Replica: m, Instance: door, Settings: terms, ReportInterval: 20 * time.Millisecond, RetryDelay: 10 * time.Millisecond, LeaseDuration: 300 * time.Millisecond, Sink: sink})
+func startService(m *memoryReplica, door string, sink Sink) *Service {
+	return Start(Options{Replica: m, Instance: door, Settings: testSettings, ReportInterval: 20 * time.Millisecond, RetryDelay: 10 * time.Millisecond, LeaseDuration: 300 * time.Millisecond, Sink: sink})
 }
 
 func wait(t *testing.T, what string, is func() bool) {
@@ -171,10 +173,10 @@
 // after it has taken a batch, and desks end without a word and start anew. What the receiver has in the end is what
 // was reported and committed, to the millionth, each record once and in order.
 func TestTotalsThroughFailures(t *testing.T) {
-	m := newMemory()
-	m.faulty = 0.1
-	r, url := newReceiver(t)
-	r.faulty = 0.3
+	m := newMemoryReplica()
+	m.failureRate = 0.1
+	r, url := newStubReceiver(t)
+	r.failureRate = 0.3
 	sure, perhaps := billing.Units(0), billing.Units(0)
 	var mu sync.Mutex
 	add := func(to *billing.Units, n billing.Units) {
@@ -187,7 +189,7 @@
 		wg.Go(func() {
 			chance := rand.New(rand.NewPCG(uint64(n), 9))
 			for life := range 3 {
-				d := desk(m, fmt.Sprint("d", n), NewReceiver(url))
+				d := startService(m, fmt.Sprint("d", n), NewReceiver(url))
 				taken := billing.Units(0)
 				for i := range 30 {
 					g := fmt.Sprintf("g%d", chance.IntN(4))
@@ -209,23 +211,23 @@
 						a, _, err := d.Account(g, "large")
 						for ; err != nil; a, _, err = d.Account(g, "large") {
 						}
-						if h, ok := a.Holds[id]; !ok { // it is over by now
+						if h, ok := a.Reservations[id]; !ok { // it is over by now
 							add(&perhaps, 2e6)
-						} else if h.Left == 1e6 {
+						} else if h.Remaining == 1e6 {
 							add(&sure, 2e6)
 						}
-					case errors.Is(err, billing.ErrEpoch): // it landed, and its answer was lost
+					case errors.Is(err, billing.ErrStaleEpoch): // it landed, and its answer was lost
 						add(&sure, 2e6)
-					case !errors.Is(err, billing.ErrOver):
+					case !errors.Is(err, billing.ErrExpired):
 						t.Error(err)
 					}
 				}
 				if life == 1 { // ends without a word: what it had not reported is lost, and no more
 					close(d.stop)
-					d.done.Wait()
+					d.loops.Wait()
 					d.mu.Lock()
 					left := billing.Units(0)
-					for _, u := range d.used {
+					for _, u := range d.usage {
 						left += u
 					}
 					for _, x := range d.pending { // it may have landed
@@ -242,11 +244,11 @@
 		})
 	}
 	wg.Wait()
-	d := desk(m, "clerk", NewReceiver(url))
+	d := startService(m, "clerk", NewReceiver(url))
 	defer d.Close()
 	wait(t, "all to be exported", func() bool {
-		_, left := d.Stats()
-		accounts := m.ReadPrefix(accountKey)
+		left := d.PendingRecords()
+		accounts := m.ReadPrefix(accountPrefix)
 		open := 0
 		for _, text := range accounts {
 			var a billing.Account
@@ -254,15 +256,15 @@
 			for _, w := range a.Windows {
 				open += len(w.Used)
 			}
-			open += len(a.Holds)
+			open += len(a.Reservations)
 		}
-		return left == 0 && open == 0 && len(m.ReadPrefix(useKey)) == 0
+		return left == 0 && open == 0 && len(m.ReadPrefix(reportPrefix)) == 0
 	})
 	got, err := r.total()
-	if err != nil || got < sure || got > sure+perhaps || r.twice == 0 {
-		t.Errorf("%v: the receiver has %v; sure %v, and perhaps %v; %d batches came again", err, got, sure, perhaps, r.twice)
+	if err != nil || got < sure || got > sure+perhaps || r.repeated == 0 {
+		t.Errorf("%v: the receiver has %v; sure %v, and perhaps %v; %d batches came again", err, got, sure, perhaps, r.repeated)
 	}
-	t.Logf("%.1f units in %d records, %d batches came again", got.Float(), r.last, r.twice)
+	t.Logf("%.1f units in %d records, %d batches came again", got.Float(), r.last, r.repeated)
 }
 
 // A reservation whose holder is gone returns within its lease, the clocks' difference and a sweep, and not before: at the
@@ -270,7 +272,7 @@
 // however busy the machine is.
 func TestReservationsReturnInTheirTime(t *testing.T) {
 	const lease = 300 * time.Millisecond
-	due := lease + time.Duration(terms().Skew)
+	due := lease + time.Duration(testSettings().ClockSkewNanos)
 	last := CompactionInterval - due // reserved so long after the start of the door that is left, it is over just at its first sweep
 	for name, c := range map[string]struct {
 		after, want time.Duration // from the other door's start to the reservation; from that to its return
@@ -285,28 +287,28 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				m := newMemory()
+				m := newMemoryReplica()
 				var other *Service
 				if c.after >= 0 {
-					other = desk(m, "e", nil)
+					other = startService(m, "e", nil)
 					time.Sleep(c.after)
 				}
 				began := time.Now()
-				d := desk(m, "d", nil)
+				d := startService(m, "d", nil)
 				if _, err := d.Reserve("g", "r", "gone", "small", 10e6, lease); err != nil {
 					t.Fatal(err)
 				}
-				old := marks + "d-0000000000000001" // of a life of long ago: goes with the first report
+				old := markPrefix + "d-0000000000000001" // of a life of long ago: goes with the first report
 				m.Edit([]kv.Edit{{Key: old, Value: []byte(`"x"`)}})
 				d.RecordUsage("g", "small", time.Now(), 1)
 				time.Sleep(20 * time.Millisecond) // until its first report
 				synctest.Wait()
-				if _, there := m.ReadLocal(old); there || len(m.ReadPrefix(marks)) != 1 {
-					t.Errorf("marks after the first report: %v", m.ReadPrefix(marks))
+				if _, there := m.ReadLocal(old); there || len(m.ReadPrefix(markPrefix)) != 1 {
+					t.Errorf("marks after the first report: %v", m.ReadPrefix(markPrefix))
 				}
 				d.Close()
 				if other == nil {
-					other = desk(m, "e", nil)
+					other = startService(m, "e", nil)
 				}
 				defer other.Close()
 				held := func() bool {
@@ -314,7 +316,7 @@
 					if err != nil {
 						t.Error(err)
 					}
-					return len(a.Holds) > 0
+					return len(a.Reservations) > 0
 				}
 				time.Sleep(time.Until(began.Add(c.want - 1)))
 				synctest.Wait()
@@ -334,17 +336,17 @@
 // The store put back to an old copy: nothing is exported anew until somebody says from where, and what may have been
 // exported is not exported again then.
 func TestAnOldCopyExportsNothingAnew(t *testing.T) {
-	m := newMemory()
-	r, url := newReceiver(t)
-	d := desk(m, "d", NewReceiver(url))
+	m := newMemoryReplica()
+	r, url := newStubReceiver(t)
+	d := startService(m, "d", NewReceiver(url))
 	use := func(d *Service, n float64) { d.RecordUsage("g", "small", time.Now(), n) }
 	use(d, 5)
 	wait(t, "a first export", func() bool { sum, _ := r.total(); return sum == 5e6 })
 	use(d, 6)
 	time.Sleep(100 * time.Millisecond) // reported and folded, and its window is open
-	wait(t, "the report to be folded", func() bool { return len(m.ReadPrefix(useKey)) == 0 && len(m.ReadPrefix(accountKey)) == 1 })
+	wait(t, "the report to be folded", func() bool { return len(m.ReadPrefix(reportPrefix)) == 0 && len(m.ReadPrefix(accountPrefix)) == 1 })
 	m.mu.Lock()
-	old, err := m.kv.Snapshot()
+	old, err := m.state.Snapshot()
 	m.mu.Unlock()
 	if err != nil {
 		t.Fatal(err)
@@ -353,12 +355,14 @@
 	wait(t, "a second export", func() bool { sum, _ := r.total(); return sum == 13e6 })
 	d.Close()
 	m.mu.Lock()
-	m.kv, _ = kv.Load(old)
-	m.at += 10
+	m.state, _ = kv.Load(old)
+	m.index += 10
 	m.mu.Unlock()
-	d = desk(m, "d", NewReceiver(url))
+	d = startService(m, "d", NewReceiver(url))
 	defer d.Close()
-	wait(t, "a halt", func() bool { return strings.Contains(d.Halted(), "old copy") || strings.Contains(d.Halted(), "409") })
+	wait(t, "a halt", func() bool {
+		return strings.Contains(d.HaltReason(), "old copy") || strings.Contains(d.HaltReason(), "409")
+	})
 	if sum, bad := r.total(); sum != 13e6 || bad != nil {
 		t.Errorf("%v exported anew, %v", sum, bad)
 	}
@@ -377,17 +381,17 @@
 
 // Windows of all gestorías end together: thousands of records are numbered in a few writes and exported in order.
 func TestManyWindowsEndTogether(t *testing.T) {
-	m := newMemory()
-	r, url := newReceiver(t)
-	d := desk(m, "d", NewReceiver(url))
+	m := newMemoryReplica()
+	r, url := newStubReceiver(t)
+	d := startService(m, "d", NewReceiver(url))
 	defer d.Close()
-	began := m.at
+	began := m.index
 	for n := range 2000 {
 		d.RecordUsage(fmt.Sprintf("g%04d", n), "small", time.Now(), 1)
 	}
 	wait(t, "all to be exported", func() bool { sum, _ := r.total(); return sum == 2000e6 })
 	m.mu.Lock()
-	writes := m.at - began
+	writes := m.index - began
 	m.mu.Unlock()
 	if _, bad := r.total(); bad != nil || r.last != 2000 || writes > 200 {
 		t.Errorf("%v; %d records, %d writes", bad, r.last, writes)
@@ -396,7 +400,7 @@
 
 func TestFolderTakesABatchOnce(t *testing.T) {
 	f := Folder(t.TempDir())
-	batch := []billing.Record{{Sequence: 3, Gestoria: "g", Plan: "p", Window: 60, Micro: 5}, {Sequence: 4, Gestoria: "h", Plan: "p", Window: 60, Micro: 6}}
+	batch := []billing.Record{{Sequence: 3, Tenant: "g", Plan: "p", WindowSeconds: 60, Units: 5}, {Sequence: 4, Tenant: "h", Plan: "p", WindowSeconds: 60, Units: 6}}
 	for range 2 {
 		if err := f.Send(context.Background(), batch); err != nil {
 			t.Fatal(err)
@@ -409,7 +413,7 @@
 	if err != nil || string(text) != `{"sequence":3,"gestoria":"g","plan":"p","window_unix_s":60,"micro_units":5}`+"\n"+`{"sequence":4,"gestoria":"h","plan":"p","window_unix_s":60,"micro_units":6}`+"\n" {
 		t.Errorf("%v: %s", err, text)
 	}
-	batch[0].Micro++
+	batch[0].Units++
 	if err := f.Send(context.Background(), batch); err == nil {
 		t.Error("another text under the same name")
 	}
--- a/internal/billingservice/export.go
+++ b/internal/billingservice/export.go
@@ -31,7 +31,7 @@
 }
 
 // lines is a batch as it is sent: a JSON object a line.
-func lines(batch []billing.Record) []byte {
+func encodeBatch(batch []billing.Record) []byte {
 	var b bytes.Buffer
 	for _, r := range batch {
 		text, _ := json.Marshal(r) // of numbers and strings: it has no errors
@@ -64,7 +64,7 @@
 // Send writes a file. One of the name with other text is an error.
 func (f Folder) Send(_ context.Context, batch []billing.Record) error {
 	path := filepath.Join(string(f), fmt.Sprintf("use-%012d-%012d.jsonl", batch[0].Sequence, batch[len(batch)-1].Sequence))
-	text := lines(batch)
+	text := encodeBatch(batch)
 	if old, err := os.ReadFile(path); err == nil {
 		if !bytes.Equal(old, text) {
 			return fmt.Errorf("%s is there with another text", path)
@@ -134,7 +134,7 @@
 
 // Send sends a batch.
 func (r *Receiver) Send(ctx context.Context, batch []billing.Record) error {
-	_, err := r.call(ctx, http.MethodPost, fmt.Sprintf("fawnplank-%d-%d", batch[0].Sequence, batch[len(batch)-1].Sequence), lines(batch))
+	_, err := r.call(ctx, http.MethodPost, fmt.Sprintf("fawnplank-%d-%d", batch[0].Sequence, batch[len(batch)-1].Sequence), encodeBatch(batch))
 	return err
 }
 
@@ -142,8 +142,8 @@
 var errAhead = errors.New("the receiver has records that the store has not numbered: it was put back to an old copy. Nothing is exported until `fawnplank billing resume`")
 
 // export sends records on, in their order, until Close.
-func (d *Service) export() {
-	defer d.done.Done()
+func (d *Service) runExport() {
+	defer d.loops.Done()
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	go func() {
@@ -155,13 +155,13 @@
 	}()
 	pause, last := time.Duration(0), ""
 	for {
-		sent, err := d.exportOne(ctx)
+		sent, err := d.exportBatch(ctx)
 		said := ""
 		if err != nil {
 			said = err.Error()
 			d.counts.Failures.Add(1)
-			pause = min(max(2*pause, d.o.RetryDelay), 30*d.o.RetryDelay)
-		} else if pause = d.o.ReportInterval; sent {
+			pause = min(max(2*pause, d.options.RetryDelay), 30*d.options.RetryDelay)
+		} else if pause = d.options.ReportInterval; sent {
 			pause = 0
 		}
 		d.halted.Store(&said)
@@ -184,8 +184,8 @@
 //
 // The batch is fixed in the store before anything is sent, so that whoever sends it again, after a crash at any
 // moment, sends the same; and the receiver is asked first what it has.
-func (d *Service) exportOne(ctx context.Context) (sent bool, err error) {
-	s, index, err := d.state()
+func (d *Service) exportBatch(ctx context.Context) (sent bool, err error) {
+	s, index, err := d.readExportState()
 	if err != nil {
 		return false, err
 	}
@@ -198,22 +198,22 @@
 			return false, err
 		}
 	}
-	has, err := d.o.Sink.Last(ctx)
+	has, err := d.options.Sink.Last(ctx)
 	if err != nil {
 		return false, err
 	}
 	if has > s.Last {
-		if _, now, err := d.state(); err != nil || now != index { // another exporter was quicker
+		if _, now, err := d.readExportState(); err != nil || now != index { // another exporter was quicker
 			return err == nil, err
 		}
 		return false, errAhead
 	}
-	if e, _ := d.o.Replica.ReadLocal(exportKey); e.Index < index { // this replica has yet to hear of the batch, and of its records
+	if e, _ := d.options.Replica.ReadLocal(exportKey); e.Index < index { // this replica has yet to hear of the batch, and of its records
 		return false, nil
 	}
 	var batch []billing.Record
 	for n := s.First; n <= s.Last; n++ {
-		e, ok := d.o.Replica.ReadLocal(recordAt(n))
+		e, ok := d.options.Replica.ReadLocal(recordKeyAt(n))
 		var r billing.Record
 		if !ok || json.Unmarshal(e.Value, &r) != nil || r.Sequence != n {
 			return false, fmt.Errorf("record %d is missing in the store", n)
@@ -221,12 +221,12 @@
 		batch = append(batch, r)
 	}
 	// Also where the receiver has them all: that they are the same is for it to say.
-	if err := d.o.Sink.Send(ctx, batch); err != nil {
+	if err := d.options.Sink.Send(ctx, batch); err != nil {
 		return false, err
 	}
 	var edits []kv.Edit
 	for n := s.First; n <= s.Last; n++ {
-		edits = append(edits, kv.Edit{Key: recordAt(n)})
+		edits = append(edits, kv.Edit{Key: recordKeyAt(n)})
 	}
 	count := s.Last - s.First + 1
 	s.Acked, s.First, s.Last = s.Last, 0, 0
@@ -238,17 +238,17 @@
 }
 
 // write writes the export's state, if it still is as it was read.
-func (d *Service) write(s state, index kv.Index, edits []kv.Edit) (kv.Index, error) {
+func (d *Service) write(s exportState, index kv.Index, edits []kv.Edit) (kv.Index, error) {
 	text, err := json.Marshal(s)
 	if err != nil {
 		return 0, err
 	}
-	if err := d.o.Replica.Edit(append(edits, kv.Edit{Key: exportKey, Value: text, Check: true, If: index})); err != nil {
+	if err := d.options.Replica.Edit(append(edits, kv.Edit{Key: exportKey, Value: text, Check: true, If: index})); err != nil {
 		return 0, err
 	}
-	e, ok, err := d.o.Replica.ReadFromLeader(exportKey)
+	e, ok, err := d.options.Replica.ReadFromLeader(exportKey)
 	if err == nil && (!ok || string(e.Value) != string(text)) {
-		err = kv.Conflict{Key: exportKey}
+		err = kv.ConflictError{Key: exportKey}
 	}
 	return e.Index, err
 }
@@ -257,8 +257,8 @@
 // of windows that began before a moment, which may have been exported by the lost state, is dropped, never billed
 // again. It tells how many records and windows that were.
 func Resume(r Replica, after uint64, before time.Time) (records, windows int, err error) {
-	d := &Service{o: Options{Replica: r, Now: time.Now, Settings: func() billing.Settings { return billing.Settings{} }}}
-	s, index, err := d.state()
+	d := &Service{options: Options{Replica: r, Now: time.Now, Settings: func() billing.Settings { return billing.Settings{} }}}
+	s, index, err := d.readExportState()
 	if err != nil {
 		return 0, 0, err
 	}
@@ -266,14 +266,14 @@
 		return 0, 0, fmt.Errorf("record %d is exported already: the receiver has %d at least", s.Acked, s.Acked)
 	}
 	for n := s.Acked + 1; n < s.Next; n++ { // numbered by the old copy: what they count is in its accounts no more
-		if err := r.Edit([]kv.Edit{{Key: recordAt(n)}}); err != nil {
+		if err := r.Edit([]kv.Edit{{Key: recordKeyAt(n)}}); err != nil {
 			return records, 0, err
 		}
 		records++
 	}
-	for name := range r.ReadPrefix(accountKey) {
+	for name := range r.ReadPrefix(accountPrefix) {
 		if err := d.step(name, func(_ billing.Settings, _ int64, a billing.Account) (billing.Account, error) {
-			a, n := a.Drop(before.UnixNano())
+			a, n := a.DropWindows(before.UnixNano())
 			windows += n
 			return a, nil
 		}); err != nil {
@@ -281,6 +281,6 @@
 		}
 	}
 	next := max(after+1, s.Next)
-	_, err = d.write(state{Next: next, Acked: next - 1}, index, nil)
+	_, err = d.write(exportState{Next: next, Acked: next - 1}, index, nil)
 	return records, windows, err
 }
--- a/internal/billingservice/version0_test.go
+++ b/internal/billingservice/version0_test.go
@@ -26,12 +26,12 @@
 func version0At(after time.Duration) int64 { return version0Start.Add(after).UnixNano() }
 
 // once is a receiver that takes its first batch, and then no more.
-type once struct {
+type firstBatchFolder struct {
 	Folder
 	sent bool
 }
 
-func (o *once) Send(ctx context.Context, batch []billing.Record) error {
+func (o *firstBatchFolder) Send(ctx context.Context, batch []billing.Record) error {
 	if o.sent {
 		return errors.New("no more")
 	}
@@ -48,8 +48,8 @@
 	t.Helper()
 	folder := t.TempDir()
 	synctest.Test(t, func(t *testing.T) {
-		m := newMemory()
-		d := desk(m, "d", &once{Folder: Folder(folder)})
+		m := newMemoryReplica()
+		d := startService(m, "d", &firstBatchFolder{Folder: Folder(folder)})
 		until := func(after time.Duration) {
 			time.Sleep(time.Until(version0Start.Add(after)))
 			synctest.Wait()
@@ -59,8 +59,8 @@
 				t.Fatal(err)
 			}
 		}
-		must(d.Change("g", billing.Change{ID: "c1", At: version0At(100 * time.Millisecond), Plan: "small"}))
-		must(d.Change("g", billing.Change{ID: "c2", At: version0At(time.Hour), Plan: "large"}))
+		must(d.Change("g", billing.PlanChange{ID: "c1", EffectiveNanos: version0At(100 * time.Millisecond), Plan: "small"}))
+		must(d.Change("g", billing.PlanChange{ID: "c2", EffectiveNanos: version0At(time.Hour), Plan: "large"}))
 		d.RecordUsage("h", "large", time.Now(), 1.5)
 		until(1250 * time.Millisecond)
 		d.RecordUsage("g", "small", time.Now(), 2)
@@ -69,7 +69,7 @@
 		until(1260 * time.Millisecond)
 		a, _, err := d.Account("g", "small")
 		must(err)
-		must(d.Release("g", "r0", a.Holds["r0"].Epoch))
+		must(d.Release("g", "r0", a.Reservations["r0"].Epoch))
 		until(2050 * time.Millisecond)
 		d.RecordUsage("g", "small", version0Start.Add(1300*time.Millisecond), 3)
 		h, err := d.Reserve("g", "r1", "holder-1", "", 20e6, 500*time.Millisecond)
@@ -79,7 +79,7 @@
 		until(2255 * time.Millisecond)
 		d.RecordUsage("g", "small", time.Now(), 4)
 		until(2300 * time.Millisecond)
-		text, err := m.kv.Snapshot()
+		text, err := m.state.Snapshot()
 		must(err)
 		must(os.WriteFile(store, text, 0o600))
 		d.Close()
@@ -93,48 +93,48 @@
 	}
 }
 
-func version0Store(t *testing.T) *memory {
+func version0Store(t *testing.T) *memoryReplica {
 	t.Helper()
 	text, err := os.ReadFile(testutil.Fixture(t, "store", func(path string) { writeVersion0(t, path, path+".export") }))
 	if err != nil {
 		t.Fatal(err)
 	}
-	m := newMemory()
-	if m.kv, err = kv.Load(text); err != nil {
+	m := newMemoryReplica()
+	if m.state, err = kv.Load(text); err != nil {
 		t.Fatal(err)
 	}
-	m.at = m.kv.At()
+	m.index = m.state.AppliedIndex()
 	return m
 }
 
 // version0Desk is a desk without its loops at the moment at which the fixture was written.
-func version0Desk(m *memory, sink Sink) *Service {
+func newVersion0Service(m *memoryReplica, sink Sink) *Service {
 	now := version0Start.Add(2300 * time.Millisecond)
-	return &Service{o: Options{Replica: m, Instance: "d", Settings: terms, LeaseDuration: 300 * time.Millisecond, Sink: sink, Now: func() time.Time { return now }},
-		life: version0At(0), used: map[use]billing.Units{}, stop: make(chan struct{})}
+	return &Service{options: Options{Replica: m, Instance: "d", Settings: testSettings, LeaseDuration: 300 * time.Millisecond, Sink: sink, Now: func() time.Time { return now }},
+		incarnation: version0At(0), usage: map[usageKey]billing.Units{}, stop: make(chan struct{})}
 }
 
 // version0Values are what the store's fixture holds, as values of today's types.
 var version0Values = map[string]any{
-	accountKey + "g": billing.Account{Gestoria: "g",
-		Changes: []billing.Change{{ID: "c1", At: version0At(100 * time.Millisecond), Plan: "small"}, {ID: "c2", At: version0At(time.Hour), Plan: "large"}},
-		Windows: []billing.Window{{Start: version0At(1200 * time.Millisecond), Used: map[string]billing.Units{"small": 3e6}, Sent: 2e6},
-			{Start: version0At(2000 * time.Millisecond), Used: map[string]billing.Units{"small": 5e6}}},
-		Holds: map[string]billing.Reservation{"r1": {ID: "r1", Plan: "small", Window: version0At(2 * time.Second), Left: 15e6,
-			Until: version0At(2550 * time.Millisecond), Epoch: 3, Holder: "holder-1"}},
+	accountPrefix + "g": billing.Account{Tenant: "g",
+		Changes: []billing.PlanChange{{ID: "c1", EffectiveNanos: version0At(100 * time.Millisecond), Plan: "small"}, {ID: "c2", EffectiveNanos: version0At(time.Hour), Plan: "large"}},
+		Windows: []billing.Window{{StartNanos: version0At(1200 * time.Millisecond), Used: map[string]billing.Units{"small": 3e6}, Exported: 2e6},
+			{StartNanos: version0At(2000 * time.Millisecond), Used: map[string]billing.Units{"small": 5e6}}},
+		Reservations: map[string]billing.Reservation{"r1": {ID: "r1", Plan: "small", WindowNanos: version0At(2 * time.Second), Remaining: 15e6,
+			ExpiresNanos: version0At(2550 * time.Millisecond), Epoch: 3, Holder: "holder-1"}},
 		Ended: map[string]int64{"r0": version0At(2260 * time.Millisecond)}, Epoch: 3},
-	recordKey + "0000000000000002":         billing.Record{Sequence: 2, Gestoria: "g", Plan: "small", Window: 946684801, Micro: 2e6},
-	exportKey:                              state{Next: 3, Acked: 1, First: 2, Last: 2},
-	clerkKey:                               clerkship{Who: "d-0d234ccf52430000", Until: version0At(2550 * time.Millisecond)},
-	marks + "d-0d234ccf52430000":           useKey + "d-0d234ccf52430000-00000003",
-	useKey + "d-0d234ccf52430000-00000003": []item{{Gestoria: "g", Plan: "small", Window: version0At(2 * time.Second), Units: 4e6}},
+	recordPrefix + "0000000000000002": billing.Record{Sequence: 2, Tenant: "g", Plan: "small", WindowSeconds: 946684801, Units: 2e6},
+	exportKey:                         exportState{Next: 3, Acked: 1, First: 2, Last: 2},
+	leaseKey:                          exportLease{Holder: "d-0d234ccf52430000", ExpiresNanos: version0At(2550 * time.Millisecond)},
+	markPrefix + "d-0d234ccf52430000": reportPrefix + "d-0d234ccf52430000-00000003",
+	reportPrefix + "d-0d234ccf52430000-00000003": []usageItem{{Tenant: "g", Plan: "small", WindowNanos: version0At(2 * time.Second), Units: 4e6}},
 }
 
 // TestVersion0Store_ValuesAndBytes reads each value of the store's fixture into its type, and writes it anew as the same
 // bytes under the same key.
 func TestVersion0Store_ValuesAndBytes(t *testing.T) {
 	m := version0Store(t)
-	for _, key := range m.kv.Keys("") {
+	for _, key := range m.state.Keys("") {
 		if _, ok := version0Values[key]; !ok {
 			e, _ := m.ReadLocal(key)
 			t.Errorf("key %s: %s", key, e.Value)
@@ -156,33 +156,33 @@
 // folds the report, and sends the batch that was fixed.
 func TestDesk_GoesOnWithVersion0Store(t *testing.T) {
 	m, folder := version0Store(t), Folder(t.TempDir())
-	d := version0Desk(m, folder)
+	d := newVersion0Service(m, folder)
 	d.plans.Store(&map[string]billing.Account{})
-	d.Changed([]string{accountKey + "g"})
+	d.KeysChanged([]string{accountPrefix + "g"})
 	if plan, ok := d.TenantPlan("g"); plan != "small" || !ok {
 		t.Errorf("plan %q, %v", plan, ok)
 	}
-	if h, err := d.Commit("g", "r1", 3, 1e6); err != nil || h.Left != 14e6 || h.Epoch != 4 {
+	if h, err := d.Commit("g", "r1", 3, 1e6); err != nil || h.Remaining != 14e6 || h.Epoch != 4 {
 		t.Errorf("a commit: %+v, %v", h, err)
 	}
-	if err := d.Release("g", "r0", 1); !errors.Is(err, billing.ErrOver) {
+	if err := d.Release("g", "r0", 1); !errors.Is(err, billing.ErrExpired) {
 		t.Errorf("a release of what had ended: %v", err)
 	}
-	if err := d.fold(); err != nil {
+	if err := d.commitReports(); err != nil {
 		t.Fatal(err)
 	}
 	a, _, err := d.Account("g", "")
-	if err != nil || len(a.Windows) != 2 || a.Windows[1].Used["small"] != 10e6 || len(m.ReadPrefix(useKey)) != 0 {
-		t.Errorf("after the report: %+v, %v, %q", a, err, m.ReadPrefix(useKey))
+	if err != nil || len(a.Windows) != 2 || a.Windows[1].Used["small"] != 10e6 || len(m.ReadPrefix(reportPrefix)) != 0 {
+		t.Errorf("after the report: %+v, %v, %q", a, err, m.ReadPrefix(reportPrefix))
 	}
-	if sent, err := d.exportOne(context.Background()); !sent || err != nil {
+	if sent, err := d.exportBatch(context.Background()); !sent || err != nil {
 		t.Fatal(sent, err)
 	}
 	text, err := os.ReadFile(filepath.Join(string(folder), "use-000000000002-000000000002.jsonl"))
 	if want := `{"sequence":2,"gestoria":"g","plan":"small","window_unix_s":946684801,"micro_units":2000000}` + "\n"; err != nil || string(text) != want {
 		t.Errorf("%s, %v", text, err)
 	}
-	if s, _, err := d.state(); err != nil || s != (state{Next: 3, Acked: 2}) || len(m.ReadPrefix(recordKey)) != 0 {
+	if s, _, err := d.readExportState(); err != nil || s != (exportState{Next: 3, Acked: 2}) || len(m.ReadPrefix(recordPrefix)) != 0 {
 		t.Errorf("the export: %+v, %v", s, err)
 	}
 }
@@ -200,11 +200,11 @@
 		t.Fatal(err)
 	}
 	var got billing.Record
-	want := billing.Record{Sequence: 1, Gestoria: "h", Plan: "large", Window: 946684800, Micro: 1500000}
+	want := billing.Record{Sequence: 1, Tenant: "h", Plan: "large", WindowSeconds: 946684800, Units: 1500000}
 	if err := json.Unmarshal([]byte(strings.TrimSpace(string(text))), &got); err != nil || got != want {
 		t.Errorf("%+v, %v", got, err)
 	}
-	if again := lines([]billing.Record{want}); !bytes.Equal(again, text) {
+	if again := encodeBatch([]billing.Record{want}); !bytes.Equal(again, text) {
 		t.Errorf("written anew:\n%s\nthe fixture:\n%s", again, text)
 	}
 	if err := folder.Send(context.Background(), []billing.Record{want}); err != nil { // another text of this name is an error
@@ -217,5 +217,5 @@
 
 // TestStoredTypes_HaveTags holds that each stored field has its name from a tag, and not from Go.
 func TestStoredTypes_HaveTags(t *testing.T) {
-	testutil.CheckTags(t, billing.Account{}, billing.Record{}, item{}, state{}, clerkship{})
+	testutil.CheckTags(t, billing.Account{}, billing.Record{}, usageItem{}, exportState{}, exportLease{})
 }
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -44,7 +44,7 @@
 
 // Terms are the accounts' terms, but for the plans.
 func (b Billing) Terms() billing.Settings {
-	return billing.Settings{Window: int64(b.Window), Lead: int64(b.Lead), Skew: int64(b.Skew), Lease: int64(b.Lease), Late: int64(b.Late)}
+	return billing.Settings{WindowNanos: int64(b.Window), ChangeNoticeNanos: int64(b.Lead), ClockSkewNanos: int64(b.Skew), MaxLeaseNanos: int64(b.Lease), ExportDelayNanos: int64(b.Late)}
 }
 
 // LimitKey is what a tool shows before it may do more than check.
--- a/internal/dnsserver/shared.go
+++ b/internal/dnsserver/shared.go
@@ -182,7 +182,7 @@
 		return err
 	}
 	err = s.Edit(append(edits, kv.Edit{Key: headKey, Value: value, Check: true, If: index}))
-	var conflict kv.Conflict
+	var conflict kv.ConflictError
 	if errors.As(err, &conflict) {
 		return errBehind
 	}
--- a/internal/dnsserver/version0_test.go
+++ b/internal/dnsserver/version0_test.go
@@ -187,7 +187,7 @@
 	if keys := stored.Keys(""); fmt.Sprint(keys) != "[dns/base/00000007/0 dns/change/00000007 dns/change/00000008 dns/head]" {
 		t.Errorf("keys %q", keys)
 	}
-	shared := &Shared{&direct{kv: stored, at: stored.At()}}
+	shared := &Shared{&direct{kv: stored, at: stored.AppliedIndex()}}
 	if h, _, err := shared.head(); err != nil || h != (head{Serial: 9, Base: 7, Pieces: 1, Changes: 2, Sum: "62ff89fddb841c2f"}) {
 		t.Errorf("head %+v, %v", h, err)
 	}
--- a/internal/lab/accounts/accounts.go
+++ b/internal/lab/accounts/accounts.go
@@ -51,7 +51,7 @@
 const skew = 50 * time.Millisecond
 
 func terms() billing.Settings {
-	return billing.Settings{Window: 3600e9, Lead: 2e9, Skew: int64(skew), Lease: 60e9, Late: 1e9, Plans: map[string]billing.Quota{"team": {Rate: 1e5, Peak: 1e5}}}
+	return billing.Settings{WindowNanos: 3600e9, ChangeNoticeNanos: 2e9, ClockSkewNanos: int64(skew), MaxLeaseNanos: 60e9, ExportDelayNanos: 1e9, Plans: map[string]billing.Quota{"team": {Rate: 1e5, Peak: 1e5}}}
 }
 
 // Measure measures one form.
@@ -90,7 +90,7 @@
 	}
 	var desks []*billingservice.Service
 	for _, p := range peers {
-		s, err := store.Open(store.Options{Dir: filepath.Join(folder, p.ID), Me: p, Peers: peers, TLS: source})
+		s, err := store.Open(store.Options{Dir: filepath.Join(folder, p.ID), Self: p, Peers: peers, TLS: source})
 		if err != nil {
 			return c, err
 		}
@@ -231,12 +231,12 @@
 		}
 		for ctx.Err() == nil {
 			a, _, err := d.Account(g, "team")
-			if err == nil && len(a.Holds) == 0 {
+			if err == nil && len(a.Reservations) == 0 {
 				break
 			}
 			time.Sleep(10 * time.Millisecond)
 		}
-		c.Return = max(c.Return, ms(time.Duration(time.Now().UnixNano()-h.Until)))
+		c.Return = max(c.Return, ms(time.Duration(time.Now().UnixNano()-h.ExpiresNanos)))
 	}
 	return ctx.Err()
 }
--- a/internal/limitserver/accounts.go
+++ b/internal/limitserver/accounts.go
@@ -30,7 +30,7 @@
 //
 // NEW, COMMIT, RENEW and TAKE tell the epoch to name next, the units left, and until when it holds.
 type Accounts interface {
-	Change(gestoria string, c billing.Change) error
+	Change(gestoria string, c billing.PlanChange) error
 	CancelChange(gestoria, id string) error
 	Reserve(gestoria, id, holder, plan string, units billing.Units, lease time.Duration) (billing.Reservation, error)
 	Commit(gestoria, id string, epoch uint64, units billing.Units) (billing.Reservation, error)
@@ -107,7 +107,7 @@
 		if bad != nil && err == nil {
 			err = fmt.Errorf("units '%.20s' are no number", text(n))
 		} else if err == nil {
-			u, err = billing.Of(x)
+			u, err = billing.ParseUnits(x)
 		}
 		return u
 	}
@@ -124,7 +124,7 @@
 			err = fmt.Errorf("moment %s is out of range", at)
 		}
 		if err == nil {
-			err = s.Accounts.Change(g, billing.Change{ID: text(1), Plan: text(2), At: moment})
+			err = s.Accounts.Change(g, billing.PlanChange{ID: text(1), Plan: text(2), EffectiveNanos: moment})
 		}
 		if err == nil {
 			out = redcon.AppendInt(out, moment/1e6)
@@ -170,8 +170,8 @@
 	}
 	out = redcon.AppendArray(out, 3)
 	out = redcon.AppendInt(out, int64(h.Epoch))
-	out = redcon.AppendBulkString(out, strconv.FormatFloat(h.Left.Float(), 'f', -1, 64))
-	return redcon.AppendInt(out, h.Until/1e6), nil
+	out = redcon.AppendBulkString(out, strconv.FormatFloat(h.Remaining.Float(), 'f', -1, 64))
+	return redcon.AppendInt(out, h.ExpiresNanos/1e6), nil
 }
 
 // show tells what an account has.
@@ -185,15 +185,15 @@
 		for _, c := range a.Changes {
 			out = redcon.AppendArray(out, 3)
 			out = redcon.AppendBulkString(redcon.AppendBulkString(out, c.ID), c.Plan)
-			out = redcon.AppendInt(out, c.At/1e6)
+			out = redcon.AppendInt(out, c.EffectiveNanos/1e6)
 		}
 		return out
 	}
-	out = redcon.AppendArray(out, len(a.Holds))
-	for _, h := range a.Holds {
+	out = redcon.AppendArray(out, len(a.Reservations))
+	for _, h := range a.Reservations {
 		out = redcon.AppendArray(out, 5)
 		out = redcon.AppendInt(redcon.AppendBulkString(out, h.ID), int64(h.Epoch))
-		out = redcon.AppendInt(redcon.AppendBulkString(out, number(h.Left)), h.Until/1e6)
+		out = redcon.AppendInt(redcon.AppendBulkString(out, number(h.Remaining)), h.ExpiresNanos/1e6)
 		out = redcon.AppendBulkString(out, h.Holder)
 	}
 	return out
--- a/internal/limitserver/accounts_test.go
+++ b/internal/limitserver/accounts_test.go
@@ -16,7 +16,7 @@
 
 const now = 6000e9
 
-var bookTerms = billing.Settings{Window: 60e9, Lead: 5e9, Skew: 1e9, Lease: 30e9, Late: 1e9, Plans: map[string]billing.Quota{"team": {Rate: 1, Peak: 10}}}
+var bookTerms = billing.Settings{WindowNanos: 60e9, ChangeNoticeNanos: 5e9, ClockSkewNanos: 1e9, MaxLeaseNanos: 30e9, ExportDelayNanos: 1e9, Plans: map[string]billing.Quota{"team": {Rate: 1, Peak: 10}}}
 
 func (b *book) keep(a billing.Account, err error) error {
 	if err == nil {
@@ -28,8 +28,10 @@
 	return h, b.keep(a, err)
 }
 
-func (b *book) Change(_ string, c billing.Change) error { return b.keep(b.a.Change(bookTerms, now, c)) }
-func (b *book) CancelChange(_, id string) error         { return b.keep(b.a.TakeBack(bookTerms, now, id)) }
+func (b *book) Change(_ string, c billing.PlanChange) error {
+	return b.keep(b.a.SchedulePlanChange(bookTerms, now, c))
+}
+func (b *book) CancelChange(_, id string) error { return b.keep(b.a.CancelChange(bookTerms, now, id)) }
 func (b *book) Release(_, id string, epoch uint64) error {
 	return b.keep(b.a.Release(bookTerms, now, id, epoch))
 }
@@ -43,10 +45,10 @@
 	return b.hold(b.a.Renew(bookTerms, now, id, epoch, int64(l)))
 }
 func (b *book) AdoptReservation(_, id, holder string, l time.Duration) (billing.Reservation, error) {
-	return b.hold(b.a.Take(bookTerms, now, id, holder, int64(l)))
+	return b.hold(b.a.AdoptReservation(bookTerms, now, id, holder, int64(l)))
 }
 func (b *book) Account(_, plan string) (billing.Account, billing.Units, error) {
-	return b.a, b.a.Room(bookTerms, now, now, plan), nil
+	return b.a, b.a.Available(bookTerms, now, now, plan), nil
 }
 
 // One session of each command: what is right is answered in its form, what is wrong by an error that names it.
--- a/internal/store/api.go
+++ b/internal/store/api.go
@@ -50,12 +50,12 @@
 			if errors.Is(err, errElsewhere) {
 				err = s.pass(w, r, body)
 			}
-			var conflict kv.Conflict
+			var conflict kv.ConflictError
 			switch {
 			case err == nil:
 			case errors.As(err, &conflict):
 				fail(w, http.StatusConflict, err)
-			case errors.Is(err, kv.ErrForm):
+			case errors.Is(err, kv.ErrInvalid):
 				fail(w, http.StatusBadRequest, err)
 			case errors.Is(err, errRefused):
 				fail(w, http.StatusUnprocessableEntity, err)
@@ -80,13 +80,13 @@
 		e := kv.Edit{Key: r.PathValue("key")}
 		if r.Method == "PUT" {
 			if e.Value = body; len(body) == 0 {
-				return fmt.Errorf("key %s: no value: %w", e.Key, kv.ErrForm)
+				return fmt.Errorf("key %s: no value: %w", e.Key, kv.ErrInvalid)
 			}
 		}
 		if text := r.FormValue("if"); text != "" {
 			n, err := strconv.ParseUint(text, 10, 64)
 			if err != nil {
-				return fmt.Errorf("if=%.20q is no index: %w", text, kv.ErrForm)
+				return fmt.Errorf("if=%.20q is no index: %w", text, kv.ErrInvalid)
 			}
 			e.Check, e.If = true, kv.Index(n)
 		}
@@ -97,7 +97,7 @@
 	handle("POST /v1/edits", func(w http.ResponseWriter, r *http.Request, body []byte) error {
 		var edits []kv.Edit
 		if err := json.Unmarshal(body, &edits); err != nil {
-			return fmt.Errorf("edits: %v: %w", err, kv.ErrForm)
+			return fmt.Errorf("edits: %v: %w", err, kv.ErrInvalid)
 		}
 		return s.write(w, edits)
 	})
@@ -114,22 +114,22 @@
 	handle("POST /v1/peers", func(w http.ResponseWriter, _ *http.Request, body []byte) error {
 		var p Peer
 		if err := json.Unmarshal(body, &p); err != nil {
-			return fmt.Errorf("peer: %v: %w", err, kv.ErrForm)
+			return fmt.Errorf("peer: %v: %w", err, kv.ErrInvalid)
 		}
 		if _, err := ParsePeer(p.ID + "@" + p.Raft + "@" + p.API); err != nil {
-			return fmt.Errorf("%v: %w", err, kv.ErrForm)
+			return fmt.Errorf("%v: %w", err, kv.ErrInvalid)
 		}
 		if err := s.led(s.raft.AddVoter(raft.ServerID(p.ID), raft.ServerAddress(p.Raft), 0, writeWait)); err != nil {
 			return err
 		}
 		text, _ := json.Marshal(p)
-		return s.write(w, []kv.Edit{{Key: peerKey + p.ID, Value: text}})
+		return s.write(w, []kv.Edit{{Key: peerPrefix + p.ID, Value: text}})
 	})
 	handle("DELETE /v1/peers/{id}", func(w http.ResponseWriter, r *http.Request, _ []byte) error {
 		if err := s.led(s.raft.RemoveServer(raft.ServerID(r.PathValue("id")), 0, writeWait)); err != nil {
 			return err
 		}
-		return s.write(w, []kv.Edit{{Key: peerKey + r.PathValue("id")}})
+		return s.write(w, []kv.Edit{{Key: peerPrefix + r.PathValue("id")}})
 	})
 	handle("GET /v1/backup", func(w http.ResponseWriter, _ *http.Request, _ []byte) error {
 		if _, _, err := s.get("", true); err != nil {
@@ -147,18 +147,18 @@
 	handle("POST /v1/restore", func(w http.ResponseWriter, _ *http.Request, body []byte) error {
 		old, err := kv.Load(body)
 		if err != nil {
-			return fmt.Errorf("%v: %w", err, kv.ErrForm)
+			return fmt.Errorf("%v: %w", err, kv.ErrInvalid)
 		}
 		var edits []kv.Edit
 		s.mu.RLock()
 		for _, k := range s.state.Keys("") {
-			if _, there := old.Get(k); !there && !strings.HasPrefix(k, peerKey) {
+			if _, there := old.Get(k); !there && !strings.HasPrefix(k, peerPrefix) {
 				edits = append(edits, kv.Edit{Key: k})
 			}
 		}
 		s.mu.RUnlock()
 		for _, k := range old.Keys("") { // replicas are as they are now, not as they were then
-			if e, _ := old.Get(k); !strings.HasPrefix(k, peerKey) {
+			if e, _ := old.Get(k); !strings.HasPrefix(k, peerPrefix) {
 				edits = append(edits, kv.Edit{Key: k, Value: e.Value})
 			}
 		}
@@ -173,8 +173,8 @@
 func (s *Store) write(w http.ResponseWriter, edits []kv.Edit) error {
 	// Judged by the replica that was asked, and by the leader again: the leader may run without a front door.
 	for _, e := range edits {
-		if s.o.Check != nil && len(e.Value) > 0 {
-			if err := s.o.Check(e.Key, e.Value); err != nil {
+		if s.options.Validate != nil && len(e.Value) > 0 {
+			if err := s.options.Validate(e.Key, e.Value); err != nil {
 				return fmt.Errorf("%w: %s: %v", errRefused, e.Key, err)
 			}
 		}
@@ -196,7 +196,7 @@
 	}
 	_, leader := s.raft.LeaderWithID()
 	at := s.apiOf(string(leader))
-	if leader == "" || at == "" || string(leader) == s.o.Me.ID {
+	if leader == "" || at == "" || string(leader) == s.options.Self.ID {
 		return e, false, ErrNoLeader
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), writeWait)
@@ -222,7 +222,7 @@
 	if err != nil {
 		return nil, err
 	}
-	request.Header.Set(passedOn, s.o.Me.ID)
+	request.Header.Set(passedOn, s.options.Self.ID)
 	return s.client.Do(request)
 }
 
@@ -254,7 +254,7 @@
 	case err != nil:
 		return err
 	case answer.StatusCode == http.StatusConflict:
-		return kv.Conflict{}
+		return kv.ConflictError{}
 	case answer.StatusCode != http.StatusOK:
 		return fmt.Errorf("%s: %s", answer.Status, text)
 	}
@@ -275,7 +275,7 @@
 func (s *Store) pass(w http.ResponseWriter, r *http.Request, body []byte) error {
 	_, leader := s.raft.LeaderWithID()
 	at := s.apiOf(string(leader))
-	if leader == "" || at == "" || r.Header.Get(passedOn) != "" || string(leader) == s.o.Me.ID {
+	if leader == "" || at == "" || r.Header.Get(passedOn) != "" || string(leader) == s.options.Self.ID {
 		return ErrNoLeader
 	}
 	ctx, cancel := context.WithTimeout(r.Context(), writeWait+time.Second)
@@ -292,7 +292,7 @@
 }
 
 // call makes a call to another replica's API.
-func (s *Store) call(ctx context.Context, method, at, path string, body []byte, into any) error {
+func (s *Store) getJSON(ctx context.Context, method, at, path string, body []byte, into any) error {
 	request, err := http.NewRequestWithContext(ctx, method, s.scheme+at+path, bytes.NewReader(body))
 	if err != nil {
 		return err
--- a/internal/store/kv/kv.go
+++ b/internal/store/kv/kv.go
@@ -49,17 +49,17 @@
 )
 
 // Conflict says that a key has another index than the edit asked for.
-type Conflict struct {
-	Key       string
-	Is, Asked Index
+type ConflictError struct {
+	Key              string
+	Actual, Expected Index
 }
 
-func (c Conflict) Error() string {
-	return fmt.Sprintf("key %s is of index %d, not %d: it was changed meanwhile", c.Key, c.Is, c.Asked)
+func (c ConflictError) Error() string {
+	return fmt.Sprintf("key %s is of index %d, not %d: it was changed meanwhile", c.Key, c.Actual, c.Expected)
 }
 
 // ErrForm says that a command is not in form.
-var ErrForm = errors.New("not in form")
+var ErrInvalid = errors.New("not in form")
 
 // Encode checks a command and gives its bytes for the log.
 func Encode(edits []Edit) ([]byte, error) {
@@ -71,22 +71,22 @@
 
 func check(edits []Edit) error {
 	if len(edits) == 0 || len(edits) > MaxEdits {
-		return fmt.Errorf("%d edits, not 1 to %d: %w", len(edits), MaxEdits, ErrForm)
+		return fmt.Errorf("%d edits, not 1 to %d: %w", len(edits), MaxEdits, ErrInvalid)
 	}
 	seen := map[string]bool{}
 	for _, e := range edits {
 		if e.Key == "" || len(e.Key) > MaxKey || strings.ContainsFunc(e.Key, func(r rune) bool { return r <= ' ' || r > '~' }) {
-			return fmt.Errorf("key %.40q is not 1 to %d printable characters: %w", e.Key, MaxKey, ErrForm)
+			return fmt.Errorf("key %.40q is not 1 to %d printable characters: %w", e.Key, MaxKey, ErrInvalid)
 		}
 		if seen[e.Key] {
-			return fmt.Errorf("key %s stands twice: %w", e.Key, ErrForm)
+			return fmt.Errorf("key %s stands twice: %w", e.Key, ErrInvalid)
 		}
 		seen[e.Key] = true
 		if len(e.Value) > MaxValue {
-			return fmt.Errorf("key %s: %d bytes, above %d: %w", e.Key, len(e.Value), MaxValue, ErrForm)
+			return fmt.Errorf("key %s: %d bytes, above %d: %w", e.Key, len(e.Value), MaxValue, ErrInvalid)
 		}
 		if len(e.Value) > 0 && !json.Valid(e.Value) {
-			return fmt.Errorf("key %s: its value is no JSON: %w", e.Key, ErrForm)
+			return fmt.Errorf("key %s: its value is no JSON: %w", e.Key, ErrInvalid)
 		}
 	}
 	return nil
@@ -94,17 +94,17 @@
 
 // State is the store's content.
 type State struct {
-	keys map[string]Entry
-	at   Index // of the last command
+	entries      map[string]Entry
+	appliedIndex Index // of the last command
 }
 
 // New is an empty state.
-func New() *State { return &State{keys: map[string]Entry{}} }
+func New() *State { return &State{entries: map[string]Entry{}} }
 
 // Apply carries a command out at its place in the log. The keys changed are told; an error means that nothing was
 // changed. A command of another version is an error on every replica alike.
 func (s *State) Apply(at Index, text []byte) (changed []string, err error) {
-	s.at = max(s.at, at)
+	s.appliedIndex = max(s.appliedIndex, at)
 	var c Command
 	if err := json.Unmarshal(text, &c); err != nil {
 		return nil, fmt.Errorf("command at %d: %w", at, err)
@@ -116,15 +116,15 @@
 		return nil, err
 	}
 	for _, e := range c.Edits {
-		if is := s.keys[e.Key].Index; e.Check && is != e.If {
-			return nil, Conflict{e.Key, is, e.If}
+		if is := s.entries[e.Key].Index; e.Check && is != e.If {
+			return nil, ConflictError{e.Key, is, e.If}
 		}
 	}
 	for _, e := range c.Edits {
 		if len(e.Value) == 0 || string(e.Value) == "null" {
-			delete(s.keys, e.Key)
+			delete(s.entries, e.Key)
 		} else {
-			s.keys[e.Key] = Entry{slices.Clone(e.Value), at}
+			s.entries[e.Key] = Entry{slices.Clone(e.Value), at}
 		}
 		changed = append(changed, e.Key)
 	}
@@ -133,14 +133,14 @@
 
 // Get gives a key's entry.
 func (s *State) Get(key string) (Entry, bool) {
-	e, ok := s.keys[key]
+	e, ok := s.entries[key]
 	return e, ok
 }
 
 // Keys gives the keys with a prefix, in order.
 func (s *State) Keys(prefix string) []string {
 	var all []string
-	for k := range s.keys {
+	for k := range s.entries {
 		if strings.HasPrefix(k, prefix) {
 			all = append(all, k)
 		}
@@ -150,13 +150,13 @@
 }
 
 // At is the place of the last command.
-func (s *State) At() Index { return s.at }
+func (s *State) AppliedIndex() Index { return s.appliedIndex }
 
 // Print is a fingerprint of the content, the same for the same content on any replica, however it got there.
-func (s *State) Print() string {
+func (s *State) Fingerprint() string {
 	h := xxhash.New()
 	for _, k := range s.Keys("") {
-		e := s.keys[k]
+		e := s.entries[k]
 		fmt.Fprintf(h, "%d %s %d %d ", len(k), k, e.Index, len(e.Value))
 		h.Write(e.Value)
 	}
@@ -165,9 +165,9 @@
 
 // snapshot is a state's written form, behind its checksum.
 type snapshot struct {
-	Version int              `json:"v"`
-	At      Index            `json:"at"`
-	Keys    map[string]Entry `json:"keys"`
+	Version      int              `json:"v"`
+	AppliedIndex Index            `json:"at"`
+	Entries      map[string]Entry `json:"keys"`
 }
 
 const magic = "fawnplank store\n"
@@ -175,7 +175,7 @@
 // Snapshot is the state in bytes: a line that says what it is, the checksum (xxhash, big-endian) of what follows, and
 // JSON. The state may go on while the bytes are written elsewhere.
 func (s *State) Snapshot() ([]byte, error) {
-	body, err := json.Marshal(snapshot{Version, s.at, s.keys})
+	body, err := json.Marshal(snapshot{Version, s.appliedIndex, s.entries})
 	if err != nil {
 		return nil, err
 	}
@@ -199,8 +199,8 @@
 	if x.Version != Version {
 		return nil, fmt.Errorf("a snapshot of version %d, and %d is read", x.Version, Version)
 	}
-	if x.Keys == nil {
-		x.Keys = map[string]Entry{}
+	if x.Entries == nil {
+		x.Entries = map[string]Entry{}
 	}
-	return &State{keys: x.Keys, at: x.At}, nil
+	return &State{entries: x.Entries, appliedIndex: x.AppliedIndex}, nil
 }
--- a/internal/store/kv/kv_test.go
+++ b/internal/store/kv/kv_test.go
@@ -27,11 +27,11 @@
 	if err := apply(t, s, 1, put("a", "1"), put("b", "2")); err != nil {
 		t.Fatal(err)
 	}
-	before := s.Print()
-	var c Conflict
+	before := s.Fingerprint()
+	var c ConflictError
 	err := apply(t, s, 2, put("a", "9"), Edit{Key: "b", Value: json.RawMessage("9"), Check: true, If: 7})
-	if !errors.As(err, &c) || c.Key != "b" || c.Is != 1 || s.Print() != before || s.At() != 2 {
-		t.Errorf("%v, %s at %d", err, s.Print(), s.At())
+	if !errors.As(err, &c) || c.Key != "b" || c.Actual != 1 || s.Fingerprint() != before || s.AppliedIndex() != 2 {
+		t.Errorf("%v, %s at %d", err, s.Fingerprint(), s.AppliedIndex())
 	}
 	if err := apply(t, s, 3, Edit{Key: "b", Check: true, If: 1}, Edit{Key: "c", Value: json.RawMessage("3"), Check: true}); err != nil {
 		t.Error(err)
@@ -40,8 +40,8 @@
 		t.Error(s.Keys(""))
 	}
 	for _, text := range []string{"", "{", `{"v":2,"edits":[{"key":"a","value":1}]}`, `{"v":1,"edits":[]}`} {
-		before := s.Print()
-		if _, err := s.Apply(4, []byte(text)); err == nil || s.Print() != before {
+		before := s.Fingerprint()
+		if _, err := s.Apply(4, []byte(text)); err == nil || s.Fingerprint() != before {
 			t.Errorf("%q: %v", text, err)
 		}
 	}
@@ -50,7 +50,7 @@
 func TestWhatIsNotInFormIsNotWritten(t *testing.T) {
 	for _, edits := range [][]Edit{nil, {put("", "1")}, {put("a b", "1")}, {put("a", "{")}, {put("a", "1"), put("a", "2")},
 		{put(strings.Repeat("k", MaxKey+1), "1")}, {put("a", `"`+strings.Repeat("x", MaxValue)+`"`)}, make([]Edit, MaxEdits+1)} {
-		if _, err := Encode(edits); !errors.Is(err, ErrForm) {
+		if _, err := Encode(edits); !errors.Is(err, ErrInvalid) {
 			t.Errorf("%.60v: %v", edits, err)
 		}
 	}
@@ -77,13 +77,13 @@
 			text, _ := Encode(edits)
 			_, err1 := a.Apply(n+1, text)
 			_, err2 := b.Apply(n+1, text)
-			if (err1 == nil) != (err2 == nil) || a.Print() != b.Print() {
+			if (err1 == nil) != (err2 == nil) || a.Fingerprint() != b.Fingerprint() {
 				return false
 			}
 			if chance.Intn(20) == 0 {
 				snap, _ := b.Snapshot()
 				var err error
-				if b, err = Load(snap); err != nil || b.At() != a.At() {
+				if b, err = Load(snap); err != nil || b.AppliedIndex() != a.AppliedIndex() {
 					return false
 				}
 			}
@@ -110,7 +110,7 @@
 			t.Fatalf("byte %d changed: taken", n)
 		}
 	}
-	if back, err := Load(snap); err != nil || back.Print() != s.Print() {
+	if back, err := Load(snap); err != nil || back.Fingerprint() != s.Fingerprint() {
 		t.Error(err)
 	}
 }
--- a/internal/store/kv/version0_test.go
+++ b/internal/store/kv/version0_test.go
@@ -79,8 +79,8 @@
 		t.Fatal(err)
 	}
 	want := map[string]Entry{"plans/basic": {json.RawMessage(`{"name":"basic","quota-rate":9}`), 7}, "x/new": {json.RawMessage(`[1,2.5,"ñ"]`), 7}}
-	if s.At() != 7 || !reflect.DeepEqual(s.keys, want) || s.Print() != now.Print() {
-		t.Errorf("at %d: %+v", s.At(), s.keys)
+	if s.AppliedIndex() != 7 || !reflect.DeepEqual(s.entries, want) || s.Fingerprint() != now.Fingerprint() {
+		t.Errorf("at %d: %+v", s.AppliedIndex(), s.entries)
 	}
 	for name, state := range map[string]*State{"as read": s, "as applied": now} {
 		if again, err := state.Snapshot(); err != nil || !bytes.Equal(again, text) {
--- a/internal/store/patient.go
+++ b/internal/store/patient.go
@@ -12,15 +12,15 @@
 // patient is Raft's store of its term and vote. Raft ends the process where they cannot be written, since it may not
 // vote without; in a front door that would take a full disk for a reason to stop serving. This one says so, and
 // tries until it can: the replica stands still meanwhile, votes for nobody, and the others go on without it.
-type patient struct {
+type retryingStableStore struct {
 	raft.StableStore
 	closed <-chan struct{}
 }
 
 // again is the pause between tries: an operator who makes room does not see it.
-const again = 100 * time.Millisecond
+const retryInterval = 100 * time.Millisecond
 
-func (p patient) try(write func() error) error {
+func (p retryingStableStore) retry(write func() error) error {
 	for failing := false; ; failing = true {
 		err := write()
 		if err == nil {
@@ -35,17 +35,17 @@
 		select {
 		case <-p.closed:
 			runtime.Goexit() // not an error, which would end the process, and not success, which would be a lie
-		case <-time.After(again):
+		case <-time.After(retryInterval):
 		}
 	}
 }
 
 // Set writes a value.
-func (p patient) Set(key, value []byte) error {
-	return p.try(func() error { return p.StableStore.Set(key, value) })
+func (p retryingStableStore) Set(key, value []byte) error {
+	return p.retry(func() error { return p.StableStore.Set(key, value) })
 }
 
 // SetUint64 writes a number.
-func (p patient) SetUint64(key []byte, value uint64) error {
-	return p.try(func() error { return p.StableStore.SetUint64(key, value) })
+func (p retryingStableStore) SetUint64(key []byte, value uint64) error {
+	return p.retry(func() error { return p.StableStore.SetUint64(key, value) })
 }
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -55,17 +55,17 @@
 // Options are what a replica is started with.
 type Options struct {
 	Dir   string
-	Me    Peer
+	Self  Peer
 	Peers []Peer // all replicas of the first start, this one too; an existing folder knows them itself
 	// Check, where set, judges a value before it is written: an error keeps it out of the log.
-	Check func(key string, value json.RawMessage) error
+	Validate func(key string, value json.RawMessage) error
 	// Changed, where set, is told of keys that changed, in order of the log, on every replica. It must not block.
-	Changed func(keys []string)
+	OnChange func(keys []string)
 	// TLS, where set, stands on both addresses and towards the other replicas' ones: each side shows a certificate of
 	// the authority that it names.
 	TLS *tlsconfig.Source
 	// Beat is Raft's heartbeat; elections take a few. 0: 200 ms, many times a loopback's or a rack's delay.
-	Beat time.Duration
+	HeartbeatInterval time.Duration
 }
 
 const (
@@ -74,36 +74,36 @@
 	// snapshotEvery is how many log entries lie between snapshots: a restart replays no more, and settings are
 	// small and change by hand.
 	snapshotEvery = 1024
-	peerKey       = "_peer/" // keys of the store's own: where replicas' APIs are
+	peerPrefix    = "_peer/" // keys of the store's own: where replicas' APIs are
 )
 
 // Store is one replica.
 type Store struct {
-	o        Options
-	raft     *raft.Raft
-	bolt     *raftboltdb.BoltStore
-	net      *raft.NetworkTransport
-	gate     *gatedTransport
-	mu       sync.RWMutex
-	state    *kv.State
-	server   *http.Server
-	listener net.Listener
-	closed   chan struct{}
-	once     sync.Once
-	client   *http.Client
-	scheme   string // of the replicas' APIs
+	options   Options
+	raft      *raft.Raft
+	logStore  *raftboltdb.BoltStore
+	transport *raft.NetworkTransport
+	votes     *voteRestriction
+	mu        sync.RWMutex
+	state     *kv.State
+	server    *http.Server
+	listener  net.Listener
+	closed    chan struct{}
+	once      sync.Once
+	client    *http.Client
+	scheme    string // of the replicas' APIs
 }
 
 // Open starts a replica in its folder, and its API. A folder that was in use before is compared with the other
 // replicas first: see rejoin.
 func Open(o Options) (*Store, error) {
-	if o.Beat == 0 {
-		o.Beat = 200 * time.Millisecond
+	if o.HeartbeatInterval == 0 {
+		o.HeartbeatInterval = 200 * time.Millisecond
 	}
 	if err := os.MkdirAll(o.Dir, 0o700); err != nil {
 		return nil, fmt.Errorf("store: %w", err)
 	}
-	s := &Store{o: o, state: kv.New(), closed: make(chan struct{})}
+	s := &Store{options: o, state: kv.New(), closed: make(chan struct{})}
 	way := &http.Transport{MaxIdleConnsPerHost: 8}
 	if s.scheme = "http://"; o.TLS != nil {
 		s.scheme, way.TLSClientConfig = "https://", o.TLS.ClientConfig()
@@ -118,8 +118,8 @@
 }
 
 func (s *Store) open() (err error) {
-	o := s.o
-	if s.listener, err = net.Listen("tcp", o.Me.API); err != nil {
+	o := s.options
+	if s.listener, err = net.Listen("tcp", o.Self.API); err != nil {
 		return err
 	}
 	if o.TLS != nil {
@@ -127,7 +127,7 @@
 	}
 	// A second process in the same folder is refused rather than waited for.
 	path := filepath.Join(o.Dir, "raft.db")
-	if s.bolt, err = raftboltdb.New(raftboltdb.Options{Path: path, BoltOptions: &bbolt.Options{Timeout: time.Second}}); err != nil {
+	if s.logStore, err = raftboltdb.New(raftboltdb.Options{Path: path, BoltOptions: &bbolt.Options{Timeout: time.Second}}); err != nil {
 		return fmt.Errorf("%s: %w", path, err)
 	}
 	logger := hclog.New(&hclog.LoggerOptions{Name: "raft", Level: hclog.Warn, Output: lines{}, DisableTime: true})
@@ -135,7 +135,7 @@
 	if err != nil {
 		return err
 	}
-	used, err := raft.HasExistingState(s.bolt, s.bolt, snaps)
+	used, err := raft.HasExistingState(s.logStore, s.logStore, snaps)
 	if err != nil {
 		return err
 	}
@@ -147,23 +147,23 @@
 			return err
 		}
 	}
-	advertised, err := net.ResolveTCPAddr("tcp", o.Me.Raft)
+	advertised, err := net.ResolveTCPAddr("tcp", o.Self.Raft)
 	if err != nil {
 		return err
 	}
 	if o.TLS != nil {
-		l, err := net.Listen("tcp", o.Me.Raft)
+		l, err := net.Listen("tcp", o.Self.Raft)
 		if err != nil {
 			return err
 		}
-		s.net = raft.NewNetworkTransportWithLogger(&stream{tls.NewListener(l, o.TLS.ServerConfig()), advertised, o.TLS}, 3, 2*time.Second, logger)
-	} else if s.net, err = raft.NewTCPTransportWithLogger(o.Me.Raft, advertised, 3, 2*time.Second, logger); err != nil {
+		s.transport = raft.NewNetworkTransportWithLogger(&stream{tls.NewListener(l, o.TLS.ServerConfig()), advertised, o.TLS}, 3, 2*time.Second, logger)
+	} else if s.transport, err = raft.NewTCPTransportWithLogger(o.Self.Raft, advertised, 3, 2*time.Second, logger); err != nil {
 		return err
 	}
-	s.gate = newGatedTransport(s.net, target)
+	s.votes = newVoteRestriction(s.transport, target)
 	c := raft.DefaultConfig()
-	c.LocalID, c.Logger = raft.ServerID(o.Me.ID), logger
-	c.HeartbeatTimeout, c.ElectionTimeout, c.LeaderLeaseTimeout = 3*o.Beat, 3*o.Beat, 2*o.Beat
+	c.LocalID, c.Logger = raft.ServerID(o.Self.ID), logger
+	c.HeartbeatTimeout, c.ElectionTimeout, c.LeaderLeaseTimeout = 3*o.HeartbeatInterval, 3*o.HeartbeatInterval, 2*o.HeartbeatInterval
 	c.CommitTimeout = 5 * time.Millisecond
 	c.SnapshotThreshold, c.SnapshotInterval, c.TrailingLogs = snapshotEvery, 10*time.Second, snapshotEvery
 	if !used {
@@ -172,19 +172,19 @@
 			all = append(all, raft.Server{ID: raft.ServerID(p.ID), Address: raft.ServerAddress(p.Raft)})
 		}
 		if len(all) > 0 { // without peers it waits to be added
-			if err := raft.BootstrapCluster(c, s.bolt, s.bolt, snaps, s.gate, raft.Configuration{Servers: all}); err != nil {
+			if err := raft.BootstrapCluster(c, s.logStore, s.logStore, snaps, s.votes, raft.Configuration{Servers: all}); err != nil {
 				return err
 			}
 		}
 	}
-	r, err := raft.NewRaft(c, (*machine)(s), s.bolt, patient{s.bolt, s.closed}, snaps, s.gate)
+	r, err := raft.NewRaft(c, (*machine)(s), s.logStore, retryingStableStore{s.logStore, s.closed}, snaps, s.votes)
 	if err != nil {
 		return err
 	}
 	s.mu.Lock()
 	s.raft = r
 	s.mu.Unlock()
-	go s.gate.watch(r, s.closed)
+	go s.votes.watch(r, s.closed)
 	go s.announce()
 	return nil
 }
@@ -213,9 +213,9 @@
 }
 
 // witness is what a replica says of itself to one that starts.
-type witness struct {
-	Term uint64 `json:"term"`
-	Last uint64 `json:"last"` // index of the last log entry
+type logPosition struct {
+	Term      uint64 `json:"term"`
+	LastIndex uint64 `json:"last"` // index of the last log entry
 }
 
 // rejoin compares an existing folder with the other replicas before Raft starts. Raft takes its folder for durable: one
@@ -225,11 +225,11 @@
 // has caught up with it, and votes for nobody who has not (gatedTransport). With one replica's folder out of date the others are up, or more
 // has failed than three replicas bear. It waits up to a second for their answers.
 func (s *Store) rejoin() (target uint64, err error) {
-	term, err := s.bolt.GetUint64([]byte("CurrentTerm"))
+	term, err := s.logStore.GetUint64([]byte("CurrentTerm"))
 	if err != nil && !errors.Is(err, raftboltdb.ErrKeyNotFound) {
 		return 0, err
 	}
-	last, err := s.bolt.LastIndex()
+	last, err := s.logStore.LastIndex()
 	if err != nil {
 		return 0, err
 	}
@@ -237,19 +237,19 @@
 	defer cancel()
 	var mu sync.Mutex
 	var all sync.WaitGroup
-	highest, answered := witness{}, 0
-	for _, p := range s.o.Peers {
-		if p.ID == s.o.Me.ID {
+	highest, answered := logPosition{}, 0
+	for _, p := range s.options.Peers {
+		if p.ID == s.options.Self.ID {
 			continue
 		}
 		all.Add(1)
 		go func() {
 			defer all.Done()
 			for ctx.Err() == nil {
-				var w witness
-				if err := s.call(ctx, "GET", p.API, "/v1/witness", nil, &w); err == nil {
+				var w logPosition
+				if err := s.getJSON(ctx, "GET", p.API, "/v1/witness", nil, &w); err == nil {
 					mu.Lock()
-					highest.Term, highest.Last = max(highest.Term, w.Term), max(highest.Last, w.Last)
+					highest.Term, highest.LastIndex = max(highest.Term, w.Term), max(highest.LastIndex, w.LastIndex)
 					answered++
 					mu.Unlock()
 					return
@@ -262,27 +262,27 @@
 	if highest.Term > term {
 		for key, value := range map[string][]byte{"CurrentTerm": binary.BigEndian.AppendUint64(nil, highest.Term),
 			"LastVoteTerm": binary.BigEndian.AppendUint64(nil, highest.Term), "LastVoteCand": []byte("spent at a restart")} {
-			if err := s.bolt.Set([]byte(key), value); err != nil {
+			if err := s.logStore.Set([]byte(key), value); err != nil {
 				return 0, err
 			}
 		}
 	}
-	if highest.Last > last {
-		logging.For("store").WithField("behind", highest.Last-last).Warn("catching up before voting")
-		return highest.Last, nil
+	if highest.LastIndex > last {
+		logging.For("store").WithField("behind", highest.LastIndex-last).Warn("catching up before voting")
+		return highest.LastIndex, nil
 	}
 	return 0, nil
 }
 
-func (s *Store) witness() (w witness) {
+func (s *Store) witness() (w logPosition) {
 	s.mu.RLock()
 	r := s.raft
 	s.mu.RUnlock()
 	if r != nil {
-		return witness{r.CurrentTerm(), r.LastIndex()}
+		return logPosition{r.CurrentTerm(), r.LastIndex()}
 	}
-	w.Term, _ = s.bolt.GetUint64([]byte("CurrentTerm"))
-	w.Last, _ = s.bolt.LastIndex()
+	w.Term, _ = s.logStore.GetUint64([]byte("CurrentTerm"))
+	w.LastIndex, _ = s.logStore.LastIndex()
 	return w
 }
 
@@ -293,13 +293,13 @@
 			continue
 		}
 		var edits []kv.Edit
-		for _, p := range s.o.Peers {
+		for _, p := range s.options.Peers {
 			text, _ := json.Marshal(p)
 			s.mu.RLock()
-			old, there := s.state.Get(peerKey + p.ID)
+			old, there := s.state.Get(peerPrefix + p.ID)
 			s.mu.RUnlock()
-			if p.ID == s.o.Me.ID && string(old.Value) != string(text) || !there && s.member(p.ID) {
-				edits = append(edits, kv.Edit{Key: peerKey + p.ID, Value: text})
+			if p.ID == s.options.Self.ID && string(old.Value) != string(text) || !there && s.member(p.ID) {
+				edits = append(edits, kv.Edit{Key: peerPrefix + p.ID, Value: text})
 			}
 		}
 		if len(edits) > 0 {
@@ -322,8 +322,8 @@
 		if s.raft != nil {
 			s.raft.Shutdown().Error()
 		}
-		if s.net != nil {
-			s.net.Close()
+		if s.transport != nil {
+			s.transport.Close()
 		}
 		if s.server != nil {
 			s.server.Close()
@@ -331,8 +331,8 @@
 		if s.listener != nil {
 			s.listener.Close()
 		}
-		if s.bolt != nil {
-			s.bolt.Close()
+		if s.logStore != nil {
+			s.logStore.Close()
 		}
 	})
 }
@@ -351,8 +351,8 @@
 	m.mu.Lock()
 	changed, err := m.state.Apply(kv.Index(l.Index), l.Data)
 	m.mu.Unlock()
-	if len(changed) > 0 && m.o.Changed != nil {
-		m.o.Changed(changed)
+	if len(changed) > 0 && m.options.OnChange != nil {
+		m.options.OnChange(changed)
 	}
 	return outcome{kv.Index(l.Index), err}
 }
@@ -379,8 +379,8 @@
 	m.mu.Lock()
 	m.state = state
 	m.mu.Unlock()
-	if m.o.Changed != nil {
-		m.o.Changed(state.Keys(""))
+	if m.options.OnChange != nil {
+		m.options.OnChange(state.Keys(""))
 	}
 	return nil
 }
@@ -439,30 +439,30 @@
 }
 
 // Local reads what this replica has of a key: never what was not committed, but perhaps not the latest.
-func (s *Store) Local(key string) (json.RawMessage, bool) {
+func (s *Store) ReadLocalValue(key string) (json.RawMessage, bool) {
 	e, ok, _ := s.get(key, false)
 	return e.Value, ok
 }
 
 // Status tells of the replica.
 type Status struct {
-	ID     string   `json:"id"`
-	State  string   `json:"state"`
-	Leader string   `json:"leader"`
-	Term   uint64   `json:"term"`
-	Last   uint64   `json:"last"`
-	Commit uint64   `json:"commit"`
-	At     kv.Index `json:"at"`
-	Print  string   `json:"print"`
-	Votes  bool     `json:"votes"` // not catching up after a restart
-	Peers  []Peer   `json:"peers"`
+	ID           string   `json:"id"`
+	State        string   `json:"state"`
+	Leader       string   `json:"leader"`
+	Term         uint64   `json:"term"`
+	LastIndex    uint64   `json:"last"`
+	CommitIndex  uint64   `json:"commit"`
+	AppliedIndex kv.Index `json:"at"`
+	Fingerprint  string   `json:"print"`
+	CanVote      bool     `json:"votes"` // not catching up after a restart
+	Peers        []Peer   `json:"peers"`
 }
 
 // Status tells of the replica as it is.
 func (s *Store) Status() Status {
 	_, leader := s.raft.LeaderWithID()
-	x := Status{ID: s.o.Me.ID, State: s.raft.State().String(), Leader: string(leader), Term: s.raft.CurrentTerm(),
-		Last: s.raft.LastIndex(), Commit: s.raft.CommitIndex(), Votes: s.gate.open.Load()}
+	x := Status{ID: s.options.Self.ID, State: s.raft.State().String(), Leader: string(leader), Term: s.raft.CurrentTerm(),
+		LastIndex: s.raft.LastIndex(), CommitIndex: s.raft.CommitIndex(), CanVote: s.votes.lifted.Load()}
 	if f := s.raft.GetConfiguration(); f.Error() == nil {
 		for _, m := range f.Configuration().Servers {
 			x.Peers = append(x.Peers, Peer{ID: string(m.ID), Raft: string(m.Address), API: s.apiOf(string(m.ID))})
@@ -470,19 +470,19 @@
 	}
 	s.mu.RLock()
 	defer s.mu.RUnlock()
-	x.At, x.Print = s.state.At(), s.state.Print()
+	x.AppliedIndex, x.Fingerprint = s.state.AppliedIndex(), s.state.Fingerprint()
 	return x
 }
 
 // apiOf is where a replica's API is: as the leader wrote it, or as the first start told.
 func (s *Store) apiOf(id string) string {
-	if text, ok := s.Local(peerKey + id); ok {
+	if text, ok := s.ReadLocalValue(peerPrefix + id); ok {
 		var p Peer
 		if json.Unmarshal(text, &p) == nil {
 			return p.API
 		}
 	}
-	for _, p := range s.o.Peers {
+	for _, p := range s.options.Peers {
 		if p.ID == id {
 			return p.API
 		}
--- a/internal/store/version0_test.go
+++ b/internal/store/version0_test.go
@@ -25,12 +25,12 @@
 	t.Helper()
 	return testutil.Fixture(t, "replica.tar.gz", func(path string) {
 		me := Peer{"a", "127.0.0.1:7001", "127.0.0.1:7101"}
-		s, err := Open(Options{Dir: path, Me: me, Peers: []Peer{me}, Beat: 50 * time.Millisecond})
+		s, err := Open(Options{Dir: path, Self: me, Peers: []Peer{me}, HeartbeatInterval: 50 * time.Millisecond})
 		if err != nil {
 			t.Fatal(err)
 		}
-		c := &cluster{t: t, up: map[string]*Store{"a": s}}
-		c.until("its own address to be written", func() bool { _, ok := s.Local(peerKey + "a"); return ok })
+		c := &cluster{t: t, running: map[string]*Store{"a": s}}
+		c.eventually("its own address to be written", func() bool { _, ok := s.ReadLocalValue(peerPrefix + "a"); return ok })
 		land := func(edits ...kv.Edit) {
 			if err := s.Edit(edits); err != nil {
 				t.Fatal(err)
@@ -53,20 +53,20 @@
 // TestOpen_ReadsVersion0Folder starts a replica on a folder of the version before: it has what that one had, at the
 // indices it had it, and takes writes.
 func TestOpen_ReadsVersion0Folder(t *testing.T) {
-	me := Peer{"a", address(t), address(t)}
-	s, err := Open(Options{Dir: version0Folder(t), Me: me, Beat: 50 * time.Millisecond})
+	me := Peer{"a", freeAddress(t), freeAddress(t)}
+	s, err := Open(Options{Dir: version0Folder(t), Self: me, HeartbeatInterval: 50 * time.Millisecond})
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(s.Close)
-	c := &cluster{t: t, up: map[string]*Store{"a": s}}
-	c.until("a leader with the whole log", func() bool { _, ok := s.Local("x/after"); return ok && s.raft.State() == raft.Leader })
+	c := &cluster{t: t, running: map[string]*Store{"a": s}}
+	c.eventually("a leader with the whole log", func() bool { _, ok := s.ReadLocalValue("x/after"); return ok && s.raft.State() == raft.Leader })
 	want := map[string]kv.Entry{
 		"plans/basic": {Value: json.RawMessage(`{"name":"basic","quota-rate":9}`), Index: 6},
 		"x/before":    {Value: json.RawMessage(`{"n":1}`), Index: 5},
 		"x/after":     {Value: json.RawMessage(`["behind the snapshot"]`), Index: 7},
 	}
-	if rows := s.ReadPrefix(""); len(rows) != len(want)+1 || rows[peerKey+"a"] == nil {
+	if rows := s.ReadPrefix(""); len(rows) != len(want)+1 || rows[peerPrefix+"a"] == nil {
 		t.Errorf("keys %q", slices.Sorted(maps.Keys(rows)))
 	}
 	for key, x := range want {
@@ -112,7 +112,7 @@
 	if again, err := snapshot.Snapshot(); err != nil || !bytes.Equal(again, text) {
 		t.Errorf("the snapshot, written anew (%v):\n%s\nthe fixture:\n%s", err, again, text)
 	}
-	if e, ok := snapshot.Get(peerKey + "a"); !ok || string(e.Value) != `{"id":"a","raft":"127.0.0.1:7001","api":"127.0.0.1:7101"}` {
+	if e, ok := snapshot.Get(peerPrefix + "a"); !ok || string(e.Value) != `{"id":"a","raft":"127.0.0.1:7001","api":"127.0.0.1:7101"}` {
 		t.Errorf("its address: %s", e.Value)
 	}
 	replayed, commands := kv.New(), 0
@@ -137,7 +137,7 @@
 		if _, err := replayed.Apply(kv.Index(n), l.Data); err != nil {
 			t.Error(err)
 		}
-		if kv.Index(n) == snapshot.At() && replayed.Print() != snapshot.Print() {
+		if kv.Index(n) == snapshot.AppliedIndex() && replayed.Fingerprint() != snapshot.Fingerprint() {
 			t.Errorf("the log up to %d comes to something else than the snapshot", n)
 		}
 	}
@@ -156,8 +156,8 @@
 		"edit":    {kv.Edit{Key: "k", Value: json.RawMessage(`1`), Check: true, If: 2}, `{"key":"k","value":1,"check":true,"if":2}`},
 		"deletes": {kv.Edit{Key: "k"}, `{"key":"k"}`},
 		"peer":    {Peer{"a", "r:1", "p:2"}, `{"id":"a","raft":"r:1","api":"p:2"}`},
-		"witness": {witness{3, 9}, `{"term":3,"last":9}`},
-		"status": {Status{ID: "a", State: "Leader", Leader: "b", Term: 1, Last: 2, Commit: 3, At: 4, Print: "p", Votes: true,
+		"witness": {logPosition{3, 9}, `{"term":3,"last":9}`},
+		"status": {Status{ID: "a", State: "Leader", Leader: "b", Term: 1, LastIndex: 2, CommitIndex: 3, AppliedIndex: 4, Fingerprint: "p", CanVote: true,
 			Peers: []Peer{{"a", "r:1", "p:2"}}}, `{"id":"a","state":"Leader","leader":"b","term":1,"last":2,"commit":3,"at":4,` +
 			`"print":"p","votes":true,"peers":[{"id":"a","raft":"r:1","api":"p:2"}]}`},
 	} {
@@ -171,5 +171,5 @@
 
 // TestStoredTypes_HaveTags holds that each field of the API and of what replicas keep has its name from a tag.
 func TestStoredTypes_HaveTags(t *testing.T) {
-	testutil.CheckTags(t, kv.Entry{}, kv.Edit{}, Peer{}, witness{}, Status{})
+	testutil.CheckTags(t, kv.Entry{}, kv.Edit{}, Peer{}, logPosition{}, Status{})
 }
