--- a/internal/store/api.go
+++ b/internal/store/api.go
@@ -1,320 +1,211 @@
 package store
 
 import (
-	"bytes"
-	"context"
 	"encoding/json"
 	"errors"
 	"fmt"
 	"io"
 	"net/http"
 	"strconv"
-	"strings"
-	"time"
-
-	"github.com/hashicorp/raft"
 
 	"fawnplank/internal/store/kv"
 )
 
-// The API, HTTP with JSON, on every replica. What needs the leader is passed on to it, once.
+// maxBodyBytes bounds a request's body. It holds a backup of a store of settings many times over.
+const maxBodyBytes = 64 << 20
+
+var (
+	// errStarting answers requests until Raft runs.
+	errStarting = errors.New("starting")
+	// errRejected says that Options.Validate keeps a value out of the log.
+	errRejected = errors.New("refused")
+)
+
+// handler answers a request whose body is read already. An error is answered by errorStatus; errNotLeader makes the
+// request go to the leader. After an error nothing has been written to w.
+type handler func(w http.ResponseWriter, r *http.Request, body []byte) error
+
+// routes is the API, HTTP with JSON, on every replica. What needs the leader is forwarded to it, once.
 //
 //	GET    /v1/kv/KEY            the entry; ?stale=1: as this replica has it
 //	PUT    /v1/kv/KEY            the value; ?if=INDEX: only if it is of that index (0: not there)
 //	DELETE /v1/kv/KEY            likewise
 //	GET    /v1/kv?prefix=P       the keys, as this replica has them
-//	POST   /v1/edits             several edits, which land together or not at all
+//	POST   /v1/edits             several edits, which are committed together or not at all
 //	GET    /v1/status            the replica
 //	POST   /v1/peers             adds a replica (a Peer)
 //	DELETE /v1/peers/ID          removes one
 //	GET    /v1/backup            a snapshot of the leader's state
 //	POST   /v1/restore           edits that make the state what a snapshot held
-func (s *Store) api() http.Handler {
-	m := http.NewServeMux()
-	m.HandleFunc("GET /v1/witness", func(w http.ResponseWriter, _ *http.Request) { tell(w, s.witness()) })
-	handle := func(pattern string, what func(w http.ResponseWriter, r *http.Request, body []byte) error) {
-		m.HandleFunc(pattern, func(w http.ResponseWriter, r *http.Request) {
-			s.mu.RLock()
-			starting := s.raft == nil
-			s.mu.RUnlock()
-			if starting {
-				fail(w, http.StatusServiceUnavailable, errors.New("starting"))
-				return
-			}
-			body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, 64<<20))
-			if err != nil {
-				fail(w, http.StatusRequestEntityTooLarge, err)
-				return
-			}
-			err = what(w, r, body)
-			if errors.Is(err, errElsewhere) {
-				err = s.pass(w, r, body)
-			}
-			var conflict kv.ConflictError
-			switch {
-			case err == nil:
-			case errors.As(err, &conflict):
-				fail(w, http.StatusConflict, err)
-			case errors.Is(err, kv.ErrInvalid):
-				fail(w, http.StatusBadRequest, err)
-			case errors.Is(err, errRefused):
-				fail(w, http.StatusUnprocessableEntity, err)
-			default: // it may land yet
-				fail(w, http.StatusServiceUnavailable, err)
-			}
-		})
-	}
-	handle("GET /v1/kv/{key...}", func(w http.ResponseWriter, r *http.Request, _ []byte) error {
-		e, ok, err := s.get(r.PathValue("key"), r.FormValue("stale") == "")
-		if err != nil {
-			return err
-		}
-		if !ok {
-			fail(w, http.StatusNotFound, fmt.Errorf("no key %s", r.PathValue("key")))
-			return nil
-		}
-		tell(w, e)
-		return nil
-	})
-	edit := func(w http.ResponseWriter, r *http.Request, body []byte) error {
-		e := kv.Edit{Key: r.PathValue("key")}
-		if r.Method == "PUT" {
-			if e.Value = body; len(body) == 0 {
-				return fmt.Errorf("key %s: no value: %w", e.Key, kv.ErrInvalid)
-			}
-		}
-		if text := r.FormValue("if"); text != "" {
-			n, err := strconv.ParseUint(text, 10, 64)
-			if err != nil {
-				return fmt.Errorf("if=%.20q is no index: %w", text, kv.ErrInvalid)
-			}
-			e.Check, e.If = true, kv.Index(n)
-		}
-		return s.write(w, []kv.Edit{e})
-	}
-	handle("PUT /v1/kv/{key...}", edit)
-	handle("DELETE /v1/kv/{key...}", edit)
-	handle("POST /v1/edits", func(w http.ResponseWriter, r *http.Request, body []byte) error {
-		var edits []kv.Edit
-		if err := json.Unmarshal(body, &edits); err != nil {
-			return fmt.Errorf("edits: %v: %w", err, kv.ErrInvalid)
-		}
-		return s.write(w, edits)
-	})
-	handle("GET /v1/kv", func(w http.ResponseWriter, r *http.Request, _ []byte) error {
-		s.mu.RLock()
-		defer s.mu.RUnlock()
-		tell(w, append([]string{}, s.state.Keys(r.FormValue("prefix"))...))
-		return nil
-	})
-	handle("GET /v1/status", func(w http.ResponseWriter, _ *http.Request, _ []byte) error {
-		tell(w, s.Status())
-		return nil
-	})
-	handle("POST /v1/peers", func(w http.ResponseWriter, _ *http.Request, body []byte) error {
-		var p Peer
-		if err := json.Unmarshal(body, &p); err != nil {
-			return fmt.Errorf("peer: %v: %w", err, kv.ErrInvalid)
-		}
-		if _, err := ParsePeer(p.ID + "@" + p.Raft + "@" + p.API); err != nil {
-			return fmt.Errorf("%v: %w", err, kv.ErrInvalid)
-		}
-		if err := s.led(s.raft.AddVoter(raft.ServerID(p.ID), raft.ServerAddress(p.Raft), 0, writeWait)); err != nil {
-			return err
-		}
-		text, _ := json.Marshal(p)
-		return s.write(w, []kv.Edit{{Key: peerPrefix + p.ID, Value: text}})
-	})
-	handle("DELETE /v1/peers/{id}", func(w http.ResponseWriter, r *http.Request, _ []byte) error {
-		if err := s.led(s.raft.RemoveServer(raft.ServerID(r.PathValue("id")), 0, writeWait)); err != nil {
-			return err
-		}
-		return s.write(w, []kv.Edit{{Key: peerPrefix + r.PathValue("id")}})
-	})
-	handle("GET /v1/backup", func(w http.ResponseWriter, _ *http.Request, _ []byte) error {
-		if _, _, err := s.get("", true); err != nil {
-			return err
-		}
-		s.mu.RLock()
-		text, err := s.state.Snapshot()
-		s.mu.RUnlock()
-		if err == nil {
-			w.Header().Set("Content-Type", "application/octet-stream")
-			w.Write(text)
+//
+// GET /v1/witness is for replicas that start: how far this one's log is, also before its Raft runs (see rejoin).
+func (s *Store) routes() http.Handler {
+	mux := http.NewServeMux()
+	mux.HandleFunc("GET /v1/witness", func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, s.position()) })
+	for pattern, handle := range map[string]handler{
+		"GET /v1/kv/{key...}":    s.handleGet,
+		"PUT /v1/kv/{key...}":    s.handleEdit,
+		"DELETE /v1/kv/{key...}": s.handleEdit,
+		"GET /v1/kv":             s.handleKeys,
+		"POST /v1/edits":         s.handleEdits,
+		"GET /v1/status":         s.handleStatus,
+		"POST /v1/peers":         s.handleAddPeer,
+		"DELETE /v1/peers/{id}":  s.handleRemovePeer,
+		"GET /v1/backup":         s.handleBackup,
+		"POST /v1/restore":       s.handleRestore,
+	} {
+		mux.Handle(pattern, s.withBody(handle))
+	}
+	return mux
+}
+
+// withBody reads the request's body, calls handle, forwards what only the leader can answer, and answers errors.
+func (s *Store) withBody(handle handler) http.Handler {
+	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		if !s.isStarted() {
+			writeError(w, http.StatusServiceUnavailable, errStarting)
+			return
 		}
-		return err
-	})
-	handle("POST /v1/restore", func(w http.ResponseWriter, _ *http.Request, body []byte) error {
-		old, err := kv.Load(body)
+		body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBodyBytes))
 		if err != nil {
-			return fmt.Errorf("%v: %w", err, kv.ErrInvalid)
+			writeError(w, http.StatusRequestEntityTooLarge, err)
+			return
 		}
-		var edits []kv.Edit
-		s.mu.RLock()
-		for _, k := range s.state.Keys("") {
-			if _, there := old.Get(k); !there && !strings.HasPrefix(k, peerPrefix) {
-				edits = append(edits, kv.Edit{Key: k})
-			}
+		err = handle(w, r, body)
+		if errors.Is(err, errNotLeader) {
+			err = s.forward(w, r, body)
 		}
-		s.mu.RUnlock()
-		for _, k := range old.Keys("") { // replicas are as they are now, not as they were then
-			if e, _ := old.Get(k); !strings.HasPrefix(k, peerPrefix) {
-				edits = append(edits, kv.Edit{Key: k, Value: e.Value})
-			}
+		if err != nil {
+			writeError(w, errorStatus(err), err)
 		}
-		return s.write(w, edits)
 	})
-	return m
 }
 
-var errRefused = errors.New("refused")
+func (s *Store) isStarted() bool {
+	s.mu.RLock()
+	defer s.mu.RUnlock()
+	return s.raft != nil
+}
 
-// write checks edits, and lands them.
-func (s *Store) write(w http.ResponseWriter, edits []kv.Edit) error {
-	// Judged by the replica that was asked, and by the leader again: the leader may run without a front door.
-	for _, e := range edits {
-		if s.options.Validate != nil && len(e.Value) > 0 {
-			if err := s.options.Validate(e.Key, e.Value); err != nil {
-				return fmt.Errorf("%w: %s: %v", errRefused, e.Key, err)
-			}
-		}
-	}
-	if s.raft.State() != raft.Leader {
-		return errElsewhere
-	}
-	index, err := s.apply(edits)
-	if err == nil {
-		tell(w, map[string]kv.Index{"index": index})
+// errorStatus is the HTTP status that answers an error. Of one that it does not know, the edits may be committed yet.
+func errorStatus(err error) int {
+	var conflict kv.ConflictError
+	switch {
+	case errors.As(err, &conflict):
+		return http.StatusConflict
+	case errors.Is(err, kv.ErrInvalid):
+		return http.StatusBadRequest
+	case errors.Is(err, errRejected):
+		return http.StatusUnprocessableEntity
+	default:
+		return http.StatusServiceUnavailable
 	}
-	return err
 }
 
-// ReadFromLeader is a key with all that has landed, read by way of the leader.
-func (s *Store) ReadFromLeader(key string) (e kv.Entry, ok bool, err error) {
-	if e, ok, err = s.get(key, true); !errors.Is(err, errElsewhere) {
-		return e, ok, err
+func (s *Store) handleGet(w http.ResponseWriter, r *http.Request, _ []byte) error {
+	key := r.PathValue("key")
+	var entry kv.Entry
+	var found bool
+	if r.FormValue("stale") != "" {
+		entry, found = s.ReadLocal(key)
+	} else {
+		var err error
+		if entry, found, err = s.read(key); err != nil {
+			return err
+		}
 	}
-	_, leader := s.raft.LeaderWithID()
-	at := s.apiOf(string(leader))
-	if leader == "" || at == "" || string(leader) == s.options.Self.ID {
-		return e, false, ErrNoLeader
+	if !found {
+		writeError(w, http.StatusNotFound, fmt.Errorf("no key %s", key))
+		return nil
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), writeWait)
-	defer cancel()
-	answer, err := s.leader(ctx, "GET", at, "/v1/kv/"+key, nil)
-	if err != nil {
-		return e, false, err
+	writeJSON(w, entry)
+	return nil
+}
+
+// handleEdit writes or deletes one key.
+func (s *Store) handleEdit(w http.ResponseWriter, r *http.Request, body []byte) error {
+	edit := kv.Edit{Key: r.PathValue("key")}
+	if r.Method == http.MethodPut {
+		if len(body) == 0 {
+			return fmt.Errorf("key %s: no value: %w", edit.Key, kv.ErrInvalid)
+		}
+		edit.Value = body
 	}
-	defer answer.Body.Close()
-	switch answer.StatusCode {
-	case http.StatusNotFound:
-		return e, false, nil
-	case http.StatusOK:
-		err = json.NewDecoder(answer.Body).Decode(&e)
-		return e, err == nil, err
+	if text := r.FormValue("if"); text != "" {
+		index, err := strconv.ParseUint(text, 10, 64)
+		if err != nil {
+			return fmt.Errorf("if=%.20q is no index: %w", text, kv.ErrInvalid)
+		}
+		edit.Check = true
+		edit.If = kv.Index(index)
 	}
-	return e, false, errors.New(answer.Status)
+	return s.write(w, []kv.Edit{edit})
 }
 
-// leader makes a request of the leader's API, which must not pass it on again. The answer's body is the caller's to close.
-func (s *Store) leader(ctx context.Context, method, at, path string, body []byte) (*http.Response, error) {
-	request, err := http.NewRequestWithContext(ctx, method, s.scheme+at+path, bytes.NewReader(body))
-	if err != nil {
-		return nil, err
+func (s *Store) handleEdits(w http.ResponseWriter, _ *http.Request, body []byte) error {
+	var edits []kv.Edit
+	if err := json.Unmarshal(body, &edits); err != nil {
+		return fmt.Errorf("edits: %w: %w", err, kv.ErrInvalid)
 	}
-	request.Header.Set(passedOn, s.options.Self.ID)
-	return s.client.Do(request)
+	return s.write(w, edits)
 }
 
-// Edit lands edits, together or not at all, at the leader if that is another. A key that is not as asked for is
-// kv.Conflict; after any other error they may land yet.
-func (s *Store) Edit(edits []kv.Edit) error {
-	if s.raft.State() == raft.Leader {
-		_, err := s.apply(edits)
-		return err
-	}
-	_, leader := s.raft.LeaderWithID()
-	at := s.apiOf(string(leader))
-	if leader == "" || at == "" {
-		return ErrNoLeader
-	}
-	body, err := json.Marshal(edits)
-	if err != nil {
-		return err
-	}
-	ctx, cancel := context.WithTimeout(context.Background(), writeWait+time.Second)
-	defer cancel()
-	answer, err := s.leader(ctx, "POST", at, "/v1/edits", body)
-	if err != nil {
-		return err
-	}
-	defer answer.Body.Close()
-	text, err := io.ReadAll(io.LimitReader(answer.Body, 64<<10))
-	switch {
-	case err != nil:
-		return err
-	case answer.StatusCode == http.StatusConflict:
-		return kv.ConflictError{}
-	case answer.StatusCode != http.StatusOK:
-		return fmt.Errorf("%s: %s", answer.Status, text)
-	}
+func (s *Store) handleKeys(w http.ResponseWriter, r *http.Request, _ []byte) error {
+	s.mu.RLock()
+	defer s.mu.RUnlock()
+	keys := append([]string{}, s.state.Keys(r.FormValue("prefix"))...) // [] and not null where there are none
+	writeJSON(w, keys)
 	return nil
 }
 
-func (s *Store) led(f raft.IndexFuture) error {
-	if err := f.Error(); errors.Is(err, raft.ErrNotLeader) {
-		return errElsewhere
-	} else {
-		return err
-	}
+func (s *Store) handleStatus(w http.ResponseWriter, _ *http.Request, _ []byte) error {
+	writeJSON(w, s.Status())
+	return nil
 }
 
-const passedOn = "Fawnplank-Passed-On"
-
-// pass hands a request on to the leader, once: two replicas that take each other for it must not play ball.
-func (s *Store) pass(w http.ResponseWriter, r *http.Request, body []byte) error {
-	_, leader := s.raft.LeaderWithID()
-	at := s.apiOf(string(leader))
-	if leader == "" || at == "" || r.Header.Get(passedOn) != "" || string(leader) == s.options.Self.ID {
-		return ErrNoLeader
+// write validates edits, commits them on the leader and answers with their index.
+//
+// The replica that was asked validates them, and the leader does so again: the leader may run without a gateway.
+func (s *Store) write(w http.ResponseWriter, edits []kv.Edit) error {
+	if err := s.validate(edits); err != nil {
+		return err
+	}
+	if !s.isLeader() {
+		return errNotLeader
 	}
-	ctx, cancel := context.WithTimeout(r.Context(), writeWait+time.Second)
-	defer cancel()
-	answer, err := s.leader(ctx, r.Method, at, r.URL.RequestURI(), body)
+	index, err := s.apply(edits)
 	if err != nil {
 		return err
 	}
-	defer answer.Body.Close()
-	w.Header().Set("Content-Type", answer.Header.Get("Content-Type"))
-	w.WriteHeader(answer.StatusCode)
-	io.Copy(w, answer.Body)
+	writeJSON(w, map[string]kv.Index{"index": index})
 	return nil
 }
 
-// call makes a call to another replica's API.
-func (s *Store) getJSON(ctx context.Context, method, at, path string, body []byte, into any) error {
-	request, err := http.NewRequestWithContext(ctx, method, s.scheme+at+path, bytes.NewReader(body))
-	if err != nil {
-		return err
-	}
-	answer, err := s.client.Do(request)
-	if err != nil {
-		return err
+// validate asks Options.Validate about each value; a deletion has none.
+func (s *Store) validate(edits []kv.Edit) error {
+	if s.options.Validate == nil {
+		return nil
 	}
-	defer answer.Body.Close()
-	if answer.StatusCode != http.StatusOK {
-		return errors.New(answer.Status)
+	for _, edit := range edits {
+		if len(edit.Value) == 0 {
+			continue
+		}
+		if err := s.options.Validate(edit.Key, edit.Value); err != nil {
+			return fmt.Errorf("%w: %s: %w", errRejected, edit.Key, err)
+		}
 	}
-	return json.NewDecoder(answer.Body).Decode(into)
+	return nil
 }
 
-func tell(w http.ResponseWriter, x any) {
+// writeJSON answers with a value. A client that is gone is not waited for: there is nobody to report an error to.
+func writeJSON(w http.ResponseWriter, value any) {
 	w.Header().Set("Content-Type", "application/json")
-	json.NewEncoder(w).Encode(x)
+	_ = json.NewEncoder(w).Encode(value)
 }
 
-func fail(w http.ResponseWriter, status int, err error) {
+// writeError answers with an error; see writeJSON.
+func writeError(w http.ResponseWriter, status int, err error) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	json.NewEncoder(w).Encode(map[string]string{"error": err.Error()})
+	_ = json.NewEncoder(w).Encode(map[string]string{"error": err.Error()})
 }
--- /dev/null
+++ b/internal/store/forward.go
@@ -0,0 +1,152 @@
+package store
+
+import (
+	"bytes"
+	"context"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"io"
+	"net/http"
+	"time"
+
+	"github.com/hashicorp/raft"
+
+	"fawnplank/internal/store/kv"
+)
+
+const (
+	// forwardedHeader stands on what was forwarded once, with the name of the replica that did so: two replicas that
+	// take each other for the leader must not forward a request to and fro.
+	forwardedHeader = "Fawnplank-Passed-On"
+	// forwardTimeout is longer than what it forwards may take at the leader, so that the leader's own answer arrives.
+	forwardTimeout = writeTimeout + time.Second
+	// maxErrorBytes bounds how much of the leader's answer stands in an error.
+	maxErrorBytes = 64 << 10
+)
+
+func (s *Store) isLeader() bool { return s.raft.State() == raft.Leader }
+
+// leaderAPI is where the leader's API is, or ErrNoLeader. The leader may be this replica.
+func (s *Store) leaderAPI() (id, address string, err error) {
+	_, leader := s.raft.LeaderWithID()
+	id = string(leader)
+	address = s.apiAddress(id)
+	if id == "" || address == "" {
+		return "", "", ErrNoLeader
+	}
+	return id, address, nil
+}
+
+// ReadFromLeader reads a key with all that is committed, by way of the leader.
+func (s *Store) ReadFromLeader(key string) (kv.Entry, bool, error) {
+	entry, ok, err := s.read(key)
+	if !errors.Is(err, errNotLeader) {
+		return entry, ok, err
+	}
+	leader, address, err := s.leaderAPI()
+	if err != nil || leader == s.options.Self.ID {
+		return kv.Entry{}, false, ErrNoLeader
+	}
+	ctx, cancel := context.WithTimeout(context.Background(), writeTimeout)
+	defer cancel()
+	response, err := s.requestLeader(ctx, http.MethodGet, address, "/v1/kv/"+key, nil)
+	if err != nil {
+		return kv.Entry{}, false, err
+	}
+	defer closeBody(response)
+	switch response.StatusCode {
+	case http.StatusNotFound:
+		return kv.Entry{}, false, nil
+	case http.StatusOK:
+		err = json.NewDecoder(response.Body).Decode(&entry)
+		return entry, err == nil, err
+	default:
+		return kv.Entry{}, false, errors.New(response.Status)
+	}
+}
+
+// Edit commits edits, together or not at all, at the leader if that is another replica. A key that is not as expected
+// is a kv.ConflictError; after any other error they may be committed yet.
+func (s *Store) Edit(edits []kv.Edit) error {
+	if s.isLeader() {
+		_, err := s.apply(edits)
+		return err
+	}
+	_, address, err := s.leaderAPI()
+	if err != nil {
+		return err
+	}
+	body, err := json.Marshal(edits)
+	if err != nil {
+		return err
+	}
+	ctx, cancel := context.WithTimeout(context.Background(), forwardTimeout)
+	defer cancel()
+	response, err := s.requestLeader(ctx, http.MethodPost, address, "/v1/edits", body)
+	if err != nil {
+		return err
+	}
+	defer closeBody(response)
+	text, err := io.ReadAll(io.LimitReader(response.Body, maxErrorBytes))
+	switch {
+	case err != nil:
+		return err
+	case response.StatusCode == http.StatusConflict:
+		return kv.ConflictError{}
+	case response.StatusCode != http.StatusOK:
+		return fmt.Errorf("%s: %s", response.Status, text)
+	}
+	return nil
+}
+
+// forward hands a request on to the leader and its answer back. A request that was forwarded already ends here.
+func (s *Store) forward(w http.ResponseWriter, r *http.Request, body []byte) error {
+	leader, address, err := s.leaderAPI()
+	if err != nil || r.Header.Get(forwardedHeader) != "" || leader == s.options.Self.ID {
+		return ErrNoLeader
+	}
+	ctx, cancel := context.WithTimeout(r.Context(), forwardTimeout)
+	defer cancel()
+	response, err := s.requestLeader(ctx, r.Method, address, r.URL.RequestURI(), body)
+	if err != nil {
+		return err
+	}
+	defer closeBody(response)
+	w.Header().Set("Content-Type", response.Header.Get("Content-Type"))
+	w.WriteHeader(response.StatusCode)
+	_, _ = io.Copy(w, response.Body) // the status is out: a client or leader that is gone leaves a body cut short
+	return nil
+}
+
+// requestLeader makes a request of the leader's API, which must not forward it again. The caller closes the body.
+func (s *Store) requestLeader(
+	ctx context.Context, method, address, path string, body []byte,
+) (*http.Response, error) {
+	request, err := http.NewRequestWithContext(ctx, method, s.scheme+address+path, bytes.NewReader(body))
+	if err != nil {
+		return nil, err
+	}
+	request.Header.Set(forwardedHeader, s.options.Self.ID)
+	return s.client.Do(request)
+}
+
+// getJSON reads an answer of another replica's API into a value.
+func (s *Store) getJSON(ctx context.Context, address, path string, into any) error {
+	request, err := http.NewRequestWithContext(ctx, http.MethodGet, s.scheme+address+path, http.NoBody)
+	if err != nil {
+		return err
+	}
+	response, err := s.client.Do(request)
+	if err != nil {
+		return err
+	}
+	defer closeBody(response)
+	if response.StatusCode != http.StatusOK {
+		return errors.New(response.Status)
+	}
+	return json.NewDecoder(response.Body).Decode(into)
+}
+
+// closeBody closes an answer's body, which was only read.
+func closeBody(response *http.Response) { _ = response.Body.Close() }
--- /dev/null
+++ b/internal/store/peer.go
@@ -0,0 +1,103 @@
+package store
+
+import (
+	"encoding/json"
+	"fmt"
+	"net"
+	"slices"
+	"strings"
+
+	"github.com/hashicorp/raft"
+
+	"fawnplank/internal/logging"
+	"fawnplank/internal/store/kv"
+)
+
+// peerPrefix is that of the store's own keys, which hold each replica as a Peer.
+const peerPrefix = "_peer/"
+
+// Peer is a replica: its name, where the others' Raft reaches it, and where its API is.
+type Peer struct {
+	ID   string `json:"id"`
+	Raft string `json:"raft"`
+	API  string `json:"api"`
+}
+
+// ParsePeer reads "id@raft-address@api-address".
+func ParsePeer(text string) (Peer, error) {
+	parts := strings.Split(text, "@")
+	if len(parts) != 3 || parts[0] == "" {
+		return Peer{}, fmt.Errorf("peer %q is not of the form id@raft-address@api-address", text)
+	}
+	for _, address := range parts[1:] {
+		if _, port, err := net.SplitHostPort(address); err != nil || port == "" || port == "0" {
+			return Peer{}, fmt.Errorf("peer %q: %q is no host and port", text, address)
+		}
+	}
+	return Peer{ID: parts[0], Raft: parts[1], API: parts[2]}, nil
+}
+
+// apiAddress is where a replica's API is: as the leader wrote it, or else as Options.Peers has it. It is empty for a
+// replica that neither names.
+func (s *Store) apiAddress(id string) string {
+	if value, ok := s.ReadLocalValue(peerPrefix + id); ok {
+		var peer Peer
+		if json.Unmarshal(value, &peer) == nil {
+			return peer.API
+		}
+	}
+	for _, peer := range s.options.Peers {
+		if peer.ID == id {
+			return peer.API
+		}
+	}
+	return ""
+}
+
+// announcePeers writes where the replicas' APIs are whenever this replica becomes the leader, so that any replica can
+// forward requests. Raft never closes the channel of leaderships: the loop ends with Close.
+func (s *Store) announcePeers() {
+	for {
+		select {
+		case <-s.closed:
+			return
+		case leads := <-s.raft.LeaderCh():
+			if leads {
+				s.writePeers()
+			}
+		}
+	}
+}
+
+// writePeers writes the replicas whose addresses the state lacks, and this one where the state has another address.
+func (s *Store) writePeers() {
+	var edits []kv.Edit
+	for _, peer := range s.options.Peers {
+		value, err := json.Marshal(peer)
+		if err != nil {
+			continue // a struct of strings: it always marshals
+		}
+		written, found := s.ReadLocalValue(peerPrefix + peer.ID)
+		moved := peer.ID == s.options.Self.ID && string(written) != string(value)
+		if moved || !found && s.isMember(peer.ID) {
+			edits = append(edits, kv.Edit{Key: peerPrefix + peer.ID, Value: value})
+		}
+	}
+	if len(edits) == 0 {
+		return
+	}
+	if _, err := s.apply(edits); err != nil {
+		logging.For("store").WithError(err).Warn("peer addresses not written")
+	}
+}
+
+// isMember reports whether Raft counts a replica among those of the cluster.
+func (s *Store) isMember(id string) bool {
+	future := s.raft.GetConfiguration()
+	if future.Error() != nil {
+		return false
+	}
+	return slices.ContainsFunc(future.Configuration().Servers, func(server raft.Server) bool {
+		return string(server.ID) == id
+	})
+}
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -405,7 +405,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
 	var w logPosition
-	if err := leader.getJSON(ctx, "GET", c.peer(away).API, "/v1/witness", nil, &w); err != nil || w.LastIndex < 50 {
+	if err := leader.getJSON(ctx, c.peer(away).API, "/v1/witness", &w); err != nil || w.LastIndex < 50 {
 		t.Error(w, err)
 	}
 }
--- a/internal/store/vote_restriction.go
+++ b/internal/store/vote_restriction.go
@@ -8,8 +8,17 @@
 	"github.com/hashicorp/raft"
 )
 
-// gatedTransport keeps a replica that catches up after a restart out of elections: it asks for no votes until its
-// log has reached target, and gives none to a replica whose log has not. All else passes.
+// catchUpInterval lies between two looks whether the log has caught up: far below an election.
+const catchUpInterval = 20 * time.Millisecond
+
+// errCatchingUp answers a request for a vote that is withheld.
+var errCatchingUp = errors.New("catching up after a restart: no votes")
+
+// voteRestriction is Raft's transport with votes withheld while a replica catches up after a restart: it asks for none
+// until its log has reached targetIndex, and gives none to a replica whose log has not. All else passes; a replica that is
+// asked to stand for election at once while it catches up fails to win, since it asks for no votes.
+//
+// run is the owner of what passes between the transport and Raft. lifted may be read at any time.
 type voteRestriction struct {
 	*raft.NetworkTransport
 	targetIndex uint64
@@ -17,36 +26,32 @@
 	requests    chan raft.RPC
 }
 
-var errCatchingUp = errors.New("catching up after a restart: no votes")
-
-func newVoteRestriction(t *raft.NetworkTransport, target uint64) *voteRestriction {
-	g := &voteRestriction{NetworkTransport: t, targetIndex: target, requests: make(chan raft.RPC)}
-	g.lifted.Store(target == 0)
-	return g
+func newVoteRestriction(transport *raft.NetworkTransport, targetIndex uint64) *voteRestriction {
+	v := &voteRestriction{NetworkTransport: transport, targetIndex: targetIndex, requests: make(chan raft.RPC)}
+	v.lifted.Store(targetIndex == 0)
+	return v
 }
 
-// Consumer gives what others ask of this replica, but for votes while it catches up.
-func (g *voteRestriction) Consumer() <-chan raft.RPC { return g.requests }
+// Consumer gives what other replicas ask of this one, except for votes that are withheld.
+func (v *voteRestriction) Consumer() <-chan raft.RPC { return v.requests }
 
-// watch passes requests on, and opens the gate once the log has caught up.
-func (g *voteRestriction) watch(r *raft.Raft, closed <-chan struct{}) {
-	tick := time.NewTicker(20 * time.Millisecond)
-	defer tick.Stop()
+// run passes requests on until closed, and lifts the restriction once the log has caught up.
+func (v *voteRestriction) run(node *raft.Raft, closed <-chan struct{}) {
+	ticker := time.NewTicker(catchUpInterval)
+	defer ticker.Stop()
 	for {
 		select {
 		case <-closed:
 			return
-		case <-tick.C:
-			if !g.lifted.Load() && r.LastIndex() >= g.targetIndex && r.CommitIndex() >= g.targetIndex {
-				g.lifted.Store(true)
-			}
-		case rpc := <-g.NetworkTransport.Consumer():
-			if !g.lifted.Load() && g.withheld(rpc.Command) {
-				rpc.Respond(nil, errCatchingUp)
+		case <-ticker.C:
+			v.liftIfCaughtUp(node)
+		case request := <-v.NetworkTransport.Consumer():
+			if !v.lifted.Load() && v.withholds(request.Command) {
+				request.Respond(nil, errCatchingUp)
 				continue
 			}
 			select {
-			case g.requests <- rpc:
+			case v.requests <- request:
 			case <-closed:
 				return
 			}
@@ -54,35 +59,45 @@
 	}
 }
 
-// withheld says whether what is asked for is a vote for one whose log lacks what this replica is to catch up with. One
-// that has it all may be voted for: else a single up-to-date replica among such could never lead.
-func (g *voteRestriction) withheld(command any) bool {
-	switch x := command.(type) {
+// liftIfCaughtUp lifts the restriction once the log up to targetIndex is here and committed.
+func (v *voteRestriction) liftIfCaughtUp(node *raft.Raft) {
+	if v.lifted.Load() {
+		return
+	}
+	if node.LastIndex() >= v.targetIndex && node.CommitIndex() >= v.targetIndex {
+		v.lifted.Store(true)
+	}
+}
+
+// withholds reports whether a command asks for a vote for a candidate whose log lacks what this replica is to catch up
+// with. One that has it all may be voted for: else a single up-to-date replica among such could never lead.
+func (v *voteRestriction) withholds(command any) bool {
+	switch request := command.(type) {
 	case *raft.RequestVoteRequest:
-		return x.LastLogIndex < g.targetIndex
+		return request.LastLogIndex < v.targetIndex
 	case *raft.RequestPreVoteRequest:
-		return x.LastLogIndex < g.targetIndex
+		return request.LastLogIndex < v.targetIndex
 	}
 	return false
 }
 
-// RequestVote asks for a vote.
-func (g *voteRestriction) RequestVote(id raft.ServerID, at raft.ServerAddress, args *raft.RequestVoteRequest, resp *raft.RequestVoteResponse) error {
-	if !g.lifted.Load() {
+// RequestVote asks another replica for its vote.
+func (v *voteRestriction) RequestVote(
+	id raft.ServerID, address raft.ServerAddress, request *raft.RequestVoteRequest, response *raft.RequestVoteResponse,
+) error {
+	if !v.lifted.Load() {
 		return errCatchingUp
 	}
-	return g.NetworkTransport.RequestVote(id, at, args, resp)
+	return v.NetworkTransport.RequestVote(id, address, request, response)
 }
 
-// RequestPreVote asks whether a vote would be given.
-func (g *voteRestriction) RequestPreVote(id raft.ServerID, at raft.ServerAddress, args *raft.RequestPreVoteRequest, resp *raft.RequestPreVoteResponse) error {
-	if !g.lifted.Load() {
+// RequestPreVote asks another replica whether it would give its vote.
+func (v *voteRestriction) RequestPreVote(
+	id raft.ServerID, address raft.ServerAddress,
+	request *raft.RequestPreVoteRequest, response *raft.RequestPreVoteResponse,
+) error {
+	if !v.lifted.Load() {
 		return errCatchingUp
 	}
-	return g.NetworkTransport.RequestPreVote(id, at, args, resp)
-}
-
-// TimeoutNow tells another to stand at once; a replica that is told so while it catches up fails to win.
-func (g *voteRestriction) TimeoutNow(id raft.ServerID, at raft.ServerAddress, args *raft.TimeoutNowRequest, resp *raft.TimeoutNowResponse) error {
-	return g.NetworkTransport.TimeoutNow(id, at, args, resp)
+	return v.NetworkTransport.RequestPreVote(id, address, request, response)
 }
