--- /dev/null
+++ b/internal/store/kv/command.go
@@ -0,0 +1,100 @@
+package kv
+
+import (
+	"encoding/json"
+	"errors"
+	"fmt"
+	"strings"
+)
+
+// Index is a place in the replicated log; a key's is that of the command that last changed it.
+type Index uint64
+
+// Edit changes one key.
+type Edit struct {
+	Key string `json:"key"`
+	// Value is the key's new value, in JSON; nil deletes the key.
+	Value json.RawMessage `json:"value,omitempty"`
+	// Check makes the edit conditional on If.
+	Check bool `json:"check,omitempty"`
+	// If is the index that the key must have; 0: it must not be there.
+	If Index `json:"if,omitempty"`
+}
+
+// Command is a log entry: all its edits are made, or none is.
+type Command struct {
+	Version int    `json:"v"`
+	Edits   []Edit `json:"edits"`
+}
+
+// Version is that of the form of commands and snapshots; another one is refused.
+const Version = 1
+
+// What a command may hold; beyond that the log would hold up elections.
+const (
+	MaxEdits = 1000
+	MaxKey   = 256     // bytes
+	MaxValue = 1 << 20 // bytes
+)
+
+// ErrInvalid says that a command does not have the form of one: it is never written, and sending it again is
+// no use.
+var ErrInvalid = errors.New("not in form")
+
+// ConflictError says that a key has another index than an edit expected: somebody else has changed it.
+type ConflictError struct {
+	Key              string
+	Actual, Expected Index
+}
+
+// Error names the key and both indices.
+func (e ConflictError) Error() string {
+	return fmt.Sprintf("key %s is of index %d, not %d: it was changed meanwhile", e.Key, e.Actual, e.Expected)
+}
+
+// Encode checks edits and gives the bytes of their command for the log. An error wraps ErrInvalid.
+func Encode(edits []Edit) ([]byte, error) {
+	if err := validate(edits); err != nil {
+		return nil, err
+	}
+	return json.Marshal(Command{Version: Version, Edits: edits})
+}
+
+// validate checks the form of a command's edits.
+func validate(edits []Edit) error {
+	if len(edits) == 0 || len(edits) > MaxEdits {
+		return fmt.Errorf("%d edits, not 1 to %d: %w", len(edits), MaxEdits, ErrInvalid)
+	}
+	seen := map[string]bool{}
+	for _, edit := range edits {
+		if err := validateKey(edit.Key); err != nil {
+			return err
+		}
+		if seen[edit.Key] {
+			return fmt.Errorf("key %s stands twice: %w", edit.Key, ErrInvalid)
+		}
+		seen[edit.Key] = true
+		if err := validateValue(edit); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+func validateKey(key string) error {
+	isUnprintable := func(r rune) bool { return r <= ' ' || r > '~' }
+	if key == "" || len(key) > MaxKey || strings.ContainsFunc(key, isUnprintable) {
+		return fmt.Errorf("key %.40q is not 1 to %d printable characters: %w", key, MaxKey, ErrInvalid)
+	}
+	return nil
+}
+
+func validateValue(edit Edit) error {
+	if len(edit.Value) > MaxValue {
+		return fmt.Errorf("key %s: %d bytes, above %d: %w", edit.Key, len(edit.Value), MaxValue, ErrInvalid)
+	}
+	if len(edit.Value) > 0 && !json.Valid(edit.Value) {
+		return fmt.Errorf("key %s: its value is no JSON: %w", edit.Key, ErrInvalid)
+	}
+	return nil
+}
--- a/internal/store/kv/kv_test.go
+++ b/internal/store/kv/kv_test.go
@@ -22,21 +22,23 @@
 
 func put(key, value string) Edit { return Edit{Key: key, Value: json.RawMessage(value)} }
 
-func TestEditsLandTogetherOrNotAtAll(t *testing.T) {
+func TestState_AppliesAllEditsOrNone(t *testing.T) {
 	s := New()
 	if err := apply(t, s, 1, put("a", "1"), put("b", "2")); err != nil {
 		t.Fatal(err)
 	}
 	before := s.Fingerprint()
-	var c ConflictError
+	var conflict ConflictError
 	err := apply(t, s, 2, put("a", "9"), Edit{Key: "b", Value: json.RawMessage("9"), Check: true, If: 7})
-	if !errors.As(err, &c) || c.Key != "b" || c.Actual != 1 || s.Fingerprint() != before || s.AppliedIndex() != 2 {
+	if !errors.As(err, &conflict) || conflict.Key != "b" || conflict.Actual != 1 ||
+		s.Fingerprint() != before || s.AppliedIndex() != 2 {
 		t.Errorf("%v, %s at %d", err, s.Fingerprint(), s.AppliedIndex())
 	}
-	if err := apply(t, s, 3, Edit{Key: "b", Check: true, If: 1}, Edit{Key: "c", Value: json.RawMessage("3"), Check: true}); err != nil {
+	absent := Edit{Key: "c", Value: json.RawMessage("3"), Check: true}
+	if err := apply(t, s, 3, Edit{Key: "b", Check: true, If: 1}, absent); err != nil {
 		t.Error(err)
 	}
-	if _, there := s.Get("b"); there || strings.Join(s.Keys(""), ",") != "a,c" {
+	if _, found := s.Get("b"); found || strings.Join(s.Keys(""), ",") != "a,c" {
 		t.Error(s.Keys(""))
 	}
 	for _, text := range []string{"", "{", `{"v":2,"edits":[{"key":"a","value":1}]}`, `{"v":1,"edits":[]}`} {
@@ -47,70 +49,100 @@
 	}
 }
 
-func TestWhatIsNotInFormIsNotWritten(t *testing.T) {
-	for _, edits := range [][]Edit{nil, {put("", "1")}, {put("a b", "1")}, {put("a", "{")}, {put("a", "1"), put("a", "2")},
-		{put(strings.Repeat("k", MaxKey+1), "1")}, {put("a", `"`+strings.Repeat("x", MaxValue)+`"`)}, make([]Edit, MaxEdits+1)} {
-		if _, err := Encode(edits); !errors.Is(err, ErrInvalid) {
-			t.Errorf("%.60v: %v", edits, err)
+func TestEncode_RefusesInvalidEdits(t *testing.T) {
+	for name, edits := range map[string][]Edit{
+		"none":           nil,
+		"no key":         {put("", "1")},
+		"space in a key": {put("a b", "1")},
+		"no JSON":        {put("a", "{")},
+		"a key twice":    {put("a", "1"), put("a", "2")},
+		"key too long":   {put(strings.Repeat("k", MaxKey+1), "1")},
+		"value too long": {put("a", `"`+strings.Repeat("x", MaxValue)+`"`)},
+		"too many":       make([]Edit, MaxEdits+1),
+	} {
+		t.Run(name, func(t *testing.T) {
+			if _, err := Encode(edits); !errors.Is(err, ErrInvalid) {
+				t.Errorf("%.60v: %v", edits, err)
+			}
+		})
+	}
+}
+
+// randomEdits are some edits of which many are conditional, on the right index or on one beside it.
+func randomEdits(random *rand.Rand, s *State) []Edit {
+	var edits []Edit
+	for k := range 1 + random.Intn(3) {
+		edit := put(fmt.Sprintf("k%d-%d", k, random.Intn(5)), fmt.Sprint(random.Intn(100)))
+		if random.Intn(4) == 0 {
+			edit.Value = nil
+		}
+		if random.Intn(3) == 0 {
+			entry, _ := s.Get(edit.Key)
+			edit.Check = true
+			edit.If = entry.Index + Index(random.Intn(2))
 		}
+		edits = append(edits, edit)
 	}
+	return edits
 }
 
-// The same commands give the same state, also over a snapshot taken anywhere between.
-func TestReplicasAgree(t *testing.T) {
-	agree := func(seed int64) bool {
-		chance := rand.New(rand.NewSource(seed))
-		a, b := New(), New()
-		for n := range Index(200) {
-			var edits []Edit
-			for k := range 1 + chance.Intn(3) {
-				e := put(fmt.Sprintf("k%d-%d", k, chance.Intn(5)), fmt.Sprint(chance.Intn(100)))
-				if chance.Intn(4) == 0 {
-					e.Value = nil
-				}
-				if chance.Intn(3) == 0 {
-					old, _ := a.Get(e.Key)
-					e.Check, e.If = true, old.Index+Index(chance.Intn(2))
-				}
-				edits = append(edits, e)
-			}
-			text, _ := Encode(edits)
-			_, err1 := a.Apply(n+1, text)
-			_, err2 := b.Apply(n+1, text)
-			if (err1 == nil) != (err2 == nil) || a.Fingerprint() != b.Fingerprint() {
-				return false
-			}
-			if chance.Intn(20) == 0 {
-				snap, _ := b.Snapshot()
-				var err error
-				if b, err = Load(snap); err != nil || b.AppliedIndex() != a.AppliedIndex() {
-					return false
-				}
-			}
+// replicasAgree applies the same commands to two states, of which one goes through snapshots, and reports
+// whether they agree after each.
+func replicasAgree(seed int64) bool {
+	random := rand.New(rand.NewSource(seed))
+	a, b := New(), New()
+	for n := range Index(200) {
+		command, err := Encode(randomEdits(random, a))
+		if err != nil {
+			return false
+		}
+		_, errA := a.Apply(n+1, command)
+		_, errB := b.Apply(n+1, command)
+		if (errA == nil) != (errB == nil) || a.Fingerprint() != b.Fingerprint() {
+			return false
+		}
+		if random.Intn(20) != 0 {
+			continue
+		}
+		content, err := b.Snapshot()
+		if err != nil {
+			return false
+		}
+		if b, err = Load(content); err != nil || b.AppliedIndex() != a.AppliedIndex() {
+			return false
 		}
-		return true
 	}
-	if err := quick.Check(agree, &quick.Config{MaxCount: 100, Rand: rand.New(rand.NewSource(4))}); err != nil {
+	return true
+}
+
+// The same commands give the same state, also over a snapshot made anywhere between.
+func TestState_ReplicasAgree(t *testing.T) {
+	if err := quick.Check(replicasAgree, &quick.Config{MaxCount: 100, Rand: rand.New(rand.NewSource(4))}); err != nil {
 		t.Error(err)
 	}
 }
 
 // A snapshot with any byte changed, or cut anywhere, is refused.
-func TestDamagedSnapshotsAreRefused(t *testing.T) {
+func TestLoad_RefusesDamagedSnapshots(t *testing.T) {
 	s := New()
-	apply(t, s, 1, put("plans/team", `{"name":"team"}`), put("b", "2"))
-	snap, _ := s.Snapshot()
-	for n := range snap {
-		if _, err := Load(snap[:n]); err == nil {
-			t.Fatalf("cut at %d of %d: taken", n, len(snap))
+	if err := apply(t, s, 1, put("plans/team", `{"name":"team"}`), put("b", "2")); err != nil {
+		t.Fatal(err)
+	}
+	content, err := s.Snapshot()
+	if err != nil {
+		t.Fatal(err)
+	}
+	for n := range content {
+		if _, err := Load(content[:n]); err == nil {
+			t.Fatalf("cut at %d of %d: accepted", n, len(content))
 		}
-		bad := append([]byte(nil), snap...)
-		bad[n] ^= 1 << (n % 8)
-		if _, err := Load(bad); err == nil {
-			t.Fatalf("byte %d changed: taken", n)
+		damaged := append([]byte(nil), content...)
+		damaged[n] ^= 1 << (n % 8)
+		if _, err := Load(damaged); err == nil {
+			t.Fatalf("byte %d changed: accepted", n)
 		}
 	}
-	if back, err := Load(snap); err != nil || back.Fingerprint() != s.Fingerprint() {
+	if loaded, err := Load(content); err != nil || loaded.Fingerprint() != s.Fingerprint() {
 		t.Error(err)
 	}
 }
--- /dev/null
+++ b/internal/store/kv/snapshot.go
@@ -0,0 +1,58 @@
+package kv
+
+import (
+	"encoding/binary"
+	"encoding/json"
+	"errors"
+	"fmt"
+
+	"github.com/cespare/xxhash/v2"
+)
+
+// snapshot is a state's written form, behind its checksum.
+type snapshot struct {
+	Version      int              `json:"v"`
+	AppliedIndex Index            `json:"at"`
+	Entries      map[string]Entry `json:"keys"`
+}
+
+const (
+	// magic is the first line of a snapshot and says what it is.
+	magic = "fawnplank store\n"
+	// checksumBytes is the length of the checksum behind it.
+	checksumBytes = 8
+)
+
+// Snapshot is the state in bytes: a line that says what it is, the checksum (xxhash, big-endian) of what
+// follows, and JSON. The state may go on while the bytes are written elsewhere.
+func (s *State) Snapshot() ([]byte, error) {
+	body, err := json.Marshal(snapshot{Version: Version, AppliedIndex: s.appliedIndex, Entries: s.entries})
+	if err != nil {
+		return nil, err
+	}
+	content := binary.BigEndian.AppendUint64([]byte(magic), xxhash.Sum64(body))
+	return append(content, body...), nil
+}
+
+// Load reads a snapshot whole or not at all: one cut short, damaged, or of another version is refused.
+func Load(content []byte) (*State, error) {
+	if len(content) < len(magic)+checksumBytes || string(content[:len(magic)]) != magic {
+		return nil, errors.New("no snapshot of this store, or one cut short")
+	}
+	checksum := binary.BigEndian.Uint64(content[len(magic):])
+	body := content[len(magic)+checksumBytes:]
+	if xxhash.Sum64(body) != checksum {
+		return nil, errors.New("a damaged snapshot: its checksum does not fit")
+	}
+	var stored snapshot
+	if err := json.Unmarshal(body, &stored); err != nil {
+		return nil, fmt.Errorf("snapshot: %w", err)
+	}
+	if stored.Version != Version {
+		return nil, fmt.Errorf("a snapshot of version %d, and %d is read", stored.Version, Version)
+	}
+	if stored.Entries == nil {
+		stored.Entries = map[string]Entry{}
+	}
+	return &State{entries: stored.Entries, appliedIndex: stored.AppliedIndex}, nil
+}
--- /dev/null
+++ b/internal/store/kv/state.go
@@ -0,0 +1,105 @@
+package kv
+
+import (
+	"encoding/json"
+	"fmt"
+	"slices"
+	"sort"
+	"strings"
+
+	"github.com/cespare/xxhash/v2"
+)
+
+// Entry is a key's value. It is JSON, so that people can read what they edit.
+type Entry struct {
+	Value json.RawMessage `json:"value"`
+	Index Index           `json:"index"`
+}
+
+// State is the store's content.
+type State struct {
+	entries      map[string]Entry
+	appliedIndex Index // of the last command
+}
+
+// New is an empty state.
+func New() *State { return &State{entries: map[string]Entry{}} }
+
+// Apply carries a command out at its place in the log and returns the keys it changed. An error means that
+// nothing was changed. A command of another version is an error on every replica alike.
+func (s *State) Apply(index Index, encoded []byte) ([]string, error) {
+	s.appliedIndex = max(s.appliedIndex, index)
+	command, err := decode(index, encoded)
+	if err != nil {
+		return nil, err
+	}
+	if err := s.checkIndices(command.Edits); err != nil {
+		return nil, err
+	}
+	var changed []string
+	for _, edit := range command.Edits {
+		if len(edit.Value) == 0 || string(edit.Value) == "null" {
+			delete(s.entries, edit.Key)
+		} else {
+			s.entries[edit.Key] = Entry{Value: slices.Clone(edit.Value), Index: index}
+		}
+		changed = append(changed, edit.Key)
+	}
+	return changed, nil
+}
+
+// decode reads a command of this version. What another replica wrote is checked again.
+func decode(index Index, encoded []byte) (Command, error) {
+	var command Command
+	if err := json.Unmarshal(encoded, &command); err != nil {
+		return command, fmt.Errorf("command at %d: %w", index, err)
+	}
+	if command.Version != Version {
+		return command, fmt.Errorf("command at %d is of version %d, and %d is read", index, command.Version, Version)
+	}
+	return command, validate(command.Edits)
+}
+
+// checkIndices returns a ConflictError for the first key that does not have the index that its edit expects.
+func (s *State) checkIndices(edits []Edit) error {
+	for _, edit := range edits {
+		actual := s.entries[edit.Key].Index
+		if edit.Check && actual != edit.If {
+			return ConflictError{Key: edit.Key, Actual: actual, Expected: edit.If}
+		}
+	}
+	return nil
+}
+
+// Get gives a key's entry.
+func (s *State) Get(key string) (Entry, bool) {
+	entry, ok := s.entries[key]
+	return entry, ok
+}
+
+// Keys gives the keys with a prefix, in order.
+func (s *State) Keys(prefix string) []string {
+	var keys []string
+	for key := range s.entries {
+		if strings.HasPrefix(key, prefix) {
+			keys = append(keys, key)
+		}
+	}
+	sort.Strings(keys)
+	return keys
+}
+
+// AppliedIndex is the place of the last command.
+func (s *State) AppliedIndex() Index { return s.appliedIndex }
+
+// Fingerprint is a hash of the content, the same for the same content on any replica, however it got there.
+func (s *State) Fingerprint() string {
+	hash := xxhash.New()
+	for _, key := range s.Keys("") {
+		entry := s.entries[key]
+		// Writes to a hash have no errors.
+		_, _ = fmt.Fprintf(hash, "%d %s %d %d ", len(key), key, entry.Index, len(entry.Value))
+		_, _ = hash.Write(entry.Value)
+	}
+	return fmt.Sprintf("%016x", hash.Sum64())
+}
--- a/internal/store/kv/version0_test.go
+++ b/internal/store/kv/version0_test.go
@@ -22,8 +22,8 @@
 		{Key: "x/new", Value: json.RawMessage(`[1,2.5,"ñ"]`), Check: true}, {Key: "x/old"}}},
 }
 
-// TestCommand_Version0Bytes reads commands as they stand in the logs of replicas: what they hold, and that the same
-// edits are still written as the same bytes, which replicas of the version before read.
+// TestCommand_Version0Bytes reads commands as they stand in the logs of replicas: what they hold, and that
+// the same edits are still written as the same bytes, which replicas of the version before read.
 func TestCommand_Version0Bytes(t *testing.T) {
 	for _, c := range version0Commands {
 		t.Run(c.fixture, func(t *testing.T) {
@@ -50,7 +50,8 @@
 	}
 }
 
-// TestLoad_ReadsVersion0Snapshot reads a snapshot, compares it with what the commands come to today, and writes it anew.
+// TestLoad_ReadsVersion0Snapshot reads a snapshot, compares it with what the commands come to today, and
+// writes it anew.
 func TestLoad_ReadsVersion0Snapshot(t *testing.T) {
 	now := New()
 	for _, c := range version0Commands {
