--- /dev/null
+++ b/internal/billing/conservation_test.go
@@ -0,0 +1,202 @@
+package billing
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"testing"
+)
+
+// conservation does random operations on an account, and counts on its own what they must come to.
+type conservation struct {
+	t            *testing.T
+	seed         uint64
+	random       *rand.Rand
+	settings     Settings
+	account      Account
+	nextSequence uint64
+	used         Units            // recorded and committed
+	exported     map[string]Units // by plan
+	granted      map[string]Units // by reservation
+	spent        map[string]Units // by reservation
+	epochs       map[string]uint64
+}
+
+// operation is one step's moment on the clock of the instance that is asked, and what is asked.
+type operation struct {
+	step  int
+	clock int64
+	id    string // of a reservation
+	units Units
+}
+
+// do does one operation of a random kind.
+func (c *conservation) do(op operation) error {
+	c.t.Helper()
+	switch c.random.IntN(9) {
+	case 0:
+		return c.changePlan(op)
+	case 1, 2:
+		return c.recordUsage(op)
+	case 3, 4:
+		return c.reserve(op)
+	case 5:
+		return c.commit(op)
+	case 6:
+		var err error
+		c.account, err = c.account.Release(c.settings, op.clock, op.id, c.epochs[op.id])
+		return err
+	case 7:
+		c.account = c.account.ExpireReservations(c.settings, op.clock)
+	case 8:
+		c.closeWindows(op)
+	}
+	return nil
+}
+
+func (c *conservation) changePlan(op operation) (err error) {
+	change := PlanChange{
+		ID:             fmt.Sprint(op.step),
+		EffectiveNanos: op.clock + int64(c.random.IntN(20))*second,
+		Plan:           []string{"small", "large", "gold"}[c.random.IntN(3)],
+	}
+	c.account, err = c.account.SchedulePlanChange(c.settings, op.clock, change)
+	return err
+}
+
+func (c *conservation) recordUsage(op operation) (err error) {
+	start := c.settings.windowStart(op.clock - int64(c.random.IntN(90))*second)
+	plan := []string{"small", "large"}[c.random.IntN(2)]
+	c.account, err = c.account.RecordUsage(c.settings, start, plan, op.units)
+	if err == nil {
+		c.used += op.units
+	}
+	return err
+}
+
+func (c *conservation) reserve(op operation) error {
+	c.t.Helper()
+	start := c.settings.windowStart(op.clock)
+	expired := c.account.ExpireReservations(c.settings, op.clock)
+	available := expired.Available(c.settings, start, op.clock, "small")
+	request := ReservationRequest{
+		ID:         op.id,
+		Holder:     "me",
+		Plan:       "small",
+		Units:      op.units,
+		LeaseNanos: int64(1+c.random.IntN(20)) * second,
+	}
+	account, reservation, err := c.account.Reserve(c.settings, op.clock, request)
+	c.account = account
+	if err != nil {
+		return err
+	}
+	c.epochs[op.id] = reservation.Epoch
+	if _, ok := c.granted[op.id]; ok {
+		return nil
+	}
+	c.granted[op.id] = reservation.Remaining
+	if reservation.Remaining > available {
+		c.t.Fatalf("seed %d: %v granted of %v", c.seed, reservation.Remaining, available)
+	}
+	return nil
+}
+
+// commit names a stale epoch one time in five.
+func (c *conservation) commit(op operation) error {
+	epoch := c.epochs[op.id] - uint64(c.random.IntN(5)/4)
+	account, reservation, err := c.account.Commit(c.settings, op.clock, op.id, epoch, op.units)
+	c.account = account
+	if err != nil {
+		return err
+	}
+	c.spent[op.id] += op.units
+	c.used += op.units
+	c.epochs[op.id] = reservation.Epoch
+	return nil
+}
+
+func (c *conservation) closeWindows(op operation) {
+	c.t.Helper()
+	var records []Record
+	c.account, records = c.account.CloseWindows(c.settings, op.clock, c.nextSequence)
+	for _, record := range records {
+		if record.Sequence != c.nextSequence || record.Units <= 0 {
+			c.t.Fatalf("seed %d: %+v after %d", c.seed, record, c.nextSequence)
+		}
+		c.nextSequence++
+		c.exported[record.Plan] += record.Units
+	}
+}
+
+// check compares the account with what the operations so far must come to.
+func (c *conservation) check(step int) {
+	c.t.Helper()
+	sum := Units(0)
+	for _, window := range c.account.Windows {
+		for _, units := range window.Used {
+			sum += units
+		}
+	}
+	for _, units := range c.exported {
+		sum += units
+	}
+	if sum != c.used {
+		c.t.Fatalf("seed %d, step %d: %v used, %v in records and windows", c.seed, step, c.used, sum)
+	}
+	for id, granted := range c.granted {
+		remaining := c.account.Reservations[id].Remaining
+		if remaining+c.spent[id] > granted {
+			c.t.Fatalf("seed %d, step %d: %v granted to %s, %v spent and %v reserved",
+				c.seed, step, granted, id, c.spent[id], remaining)
+		}
+	}
+}
+
+// run does 600 operations, whose moments advance while the instances' clocks differ by up to the skew.
+func (c *conservation) run() {
+	c.t.Helper()
+	now := 6000 * second
+	for step := range 600 {
+		now += int64(c.random.IntN(4)) * second / 2
+		op := operation{
+			step:  step,
+			clock: now + int64(c.random.IntN(1000))*second/1000,
+			id:    fmt.Sprint("r", step/10-c.random.IntN(3)),
+			units: Units(1+c.random.IntN(40)) * 1e5,
+		}
+		before := c.account
+		text := fmt.Sprint(before)
+		err := c.do(op)
+		isMutated := fmt.Sprint(before) != text
+		after := fmt.Sprint(c.account.Windows, c.account.Changes)
+		isChanged := after != fmt.Sprint(before.Windows, before.Changes)
+		if isMutated || err != nil && isChanged {
+			c.t.Fatalf("seed %d, step %d: an account was changed by what did not happen: %v", c.seed, step, err)
+		}
+		c.check(step)
+	}
+}
+
+// Whatever is asked in whatever order, at clocks that differ: units are neither lost nor made. What was used
+// and committed is in records and open windows, each once; what was granted is spent, returned or reserved;
+// no grant passes the allowance; sequences have no gap.
+func TestAccount_ConservesUnits(t *testing.T) {
+	for seed := range uint64(60) {
+		c := &conservation{
+			t:            t,
+			seed:         seed,
+			random:       rand.New(rand.NewPCG(seed, 7)),
+			settings:     testSettings(),
+			account:      Account{Tenant: "g"},
+			nextSequence: 1,
+			exported:     map[string]Units{},
+			granted:      map[string]Units{},
+			spent:        map[string]Units{},
+			epochs:       map[string]uint64{},
+		}
+		c.run()
+		if c.used == 0 || c.nextSequence < 5 || len(c.granted) < 5 {
+			t.Fatalf("seed %d shows little: %v, %d, %d", seed, c.used, c.nextSequence, len(c.granted))
+		}
+	}
+}
--- /dev/null
+++ b/internal/billing/plan.go
@@ -0,0 +1,130 @@
+package billing
+
+import (
+	"cmp"
+	"math"
+	"slices"
+)
+
+// maxChangeAheadNanos is how far ahead a plan change may lie: a year, of which one is a leap year.
+const maxChangeAheadNanos = 366 * 24 * 3600e9
+
+// PlanChange is a plan from a moment on.
+type PlanChange struct {
+	ID             string `json:"id"`
+	EffectiveNanos int64  `json:"at"` // unix ns
+	Plan           string `json:"plan"`
+}
+
+// PlanAt is the plan in force at a moment; empty where no change has set one: the one that is asked for
+// holds.
+func (a Account) PlanAt(at int64) string {
+	plan := ""
+	for _, change := range a.Changes {
+		if change.EffectiveNanos <= at {
+			plan = change.Plan
+		}
+	}
+	return plan
+}
+
+// SchedulePlanChange sets the tenant's plan from a moment on. The same change again is no error: it was made.
+func (a Account) SchedulePlanChange(settings Settings, now int64, change PlanChange) (Account, error) {
+	if err := checkID(change.ID); err != nil {
+		return a, err
+	}
+	if _, ok := settings.Plans[change.Plan]; !ok {
+		return a, annotate(ErrUnknown, "plan %.80q", change.Plan)
+	}
+	if slices.Contains(a.Changes, change) {
+		return a, nil
+	}
+	if err := a.checkChange(settings, now, change); err != nil {
+		return a, err
+	}
+	a = a.clone()
+	a.Changes = append(a.Changes, change)
+	slices.SortFunc(a.Changes, func(x, y PlanChange) int {
+		return cmp.Compare(x.EffectiveNanos, y.EffectiveNanos)
+	})
+	return a, nil
+}
+
+// checkChange checks a new change against those that are there, and its moment.
+func (a Account) checkChange(settings Settings, now int64, change PlanChange) error {
+	for _, other := range a.Changes {
+		if other.ID == change.ID {
+			return annotate(ErrConflict, "id %q", change.ID)
+		}
+		if other.EffectiveNanos == change.EffectiveNanos {
+			return annotate(ErrConflict, "the moment, by change %q to %s,", other.ID, other.Plan)
+		}
+	}
+	ahead := change.EffectiveNanos - now
+	if change.EffectiveNanos < now+settings.ChangeNoticeNanos {
+		return annotate(ErrTooSoon, "the moment, %d ms from now where %d are needed,",
+			ahead/1e6, settings.ChangeNoticeNanos/1e6)
+	}
+	if change.EffectiveNanos > now+maxChangeAheadNanos {
+		return annotate(ErrOutOfRange, "the moment, more than a year ahead,")
+	}
+	if len(a.Changes) >= maxChanges {
+		return annotate(ErrNoCapacity, "the list of changes, of %d,", maxChanges)
+	}
+	return nil
+}
+
+// CancelPlanChange cancels a change that no instance goes by yet.
+func (a Account) CancelPlanChange(settings Settings, now int64, id string) (Account, error) {
+	position := slices.IndexFunc(a.Changes, func(change PlanChange) bool { return change.ID == id })
+	if position < 0 {
+		return a, annotate(ErrUnknown, "change %.80q", id)
+	}
+	if a.Changes[position].EffectiveNanos < now+settings.ChangeNoticeNanos {
+		return a, annotate(ErrExpired, "the time to take change %q back", id)
+	}
+	a = a.clone()
+	a.Changes = slices.Delete(a.Changes, position, position+1)
+	return a, nil
+}
+
+// Allowance is what a window allows: each plan's rate for the time it is in force in it, and what the plan
+// now in force allows at once. Where no change has set a plan it is defaultPlan.
+func (a Account) Allowance(settings Settings, windowStart, now int64, defaultPlan string) Units {
+	quota := func(plan string) Quota { return settings.Plans[cmp.Or(plan, defaultPlan)] }
+	end := windowStart + settings.WindowNanos
+	sum := 0.0
+	from := windowStart
+	plan := a.PlanAt(windowStart)
+	for _, change := range a.Changes {
+		if change.EffectiveNanos > windowStart && change.EffectiveNanos < end {
+			sum += quota(plan).Rate * float64(change.EffectiveNanos-from) / 1e9
+			from = change.EffectiveNanos
+			plan = change.Plan
+		}
+	}
+	sum += quota(plan).Rate * float64(end-from) / 1e9
+	sum += quota(a.PlanAt(now)).Peak
+	return Units(math.Round(sum * microsPerUnit))
+}
+
+// Available is what may still be reserved of a window: below 0 where a change left less than is used or
+// reserved already.
+func (a Account) Available(settings Settings, windowStart, now int64, defaultPlan string) Units {
+	available := a.Allowance(settings, windowStart, now, defaultPlan)
+	for _, window := range a.Windows {
+		if window.StartNanos != windowStart {
+			continue
+		}
+		available -= window.Exported
+		for _, used := range window.Used {
+			available -= used
+		}
+	}
+	for _, reservation := range a.Reservations {
+		if reservation.WindowStartNanos == windowStart {
+			available -= reservation.Remaining
+		}
+	}
+	return available
+}
--- /dev/null
+++ b/internal/billing/plan_test.go
@@ -0,0 +1,69 @@
+package billing
+
+import (
+	"errors"
+	"testing"
+)
+
+const second = int64(1e9)
+
+func testSettings() Settings {
+	return Settings{
+		WindowNanos:       60 * second,
+		ChangeNoticeNanos: 5 * second,
+		ClockSkewNanos:    second,
+		MaxLeaseNanos:     30 * second,
+		ExportDelayNanos:  10 * second,
+		Plans:             map[string]Quota{"small": {Rate: 1, Peak: 10}, "large": {Rate: 5, Peak: 100}},
+	}
+}
+
+func TestAccount_PlanChanges(t *testing.T) {
+	settings := testSettings()
+	now := 1000 * second
+	account := Account{Tenant: "g"}
+	for _, step := range []struct {
+		name   string
+		change PlanChange
+		want   error
+	}{
+		{"first", PlanChange{"1", now + 10*second, "large"}, nil},
+		{"sent twice", PlanChange{"1", now + 10*second, "large"}, nil},
+		{"same id, another moment", PlanChange{"1", now + 20*second, "large"}, ErrConflict},
+		{"two at once", PlanChange{"2", now + 10*second, "small"}, ErrConflict},
+		{"too soon", PlanChange{"3", now + 4*second, "small"}, ErrTooSoon},
+		{"unknown plan", PlanChange{"3", now + 20*second, "gold"}, ErrUnknown},
+		{"no id", PlanChange{"", now + 20*second, "small"}, ErrOutOfRange},
+		{"before the first", PlanChange{"4", now + 8*second, "small"}, nil},
+	} {
+		changed, err := account.SchedulePlanChange(settings, now, step.change)
+		if !errors.Is(err, step.want) || step.want == nil && err != nil {
+			t.Fatalf("%s: %+v: %v", step.name, step.change, err)
+		}
+		if err == nil {
+			account = changed
+		}
+	}
+	if account.PlanAt(now) != "" || account.PlanAt(now+9*second) != "small" ||
+		account.PlanAt(now+10*second) != "large" || len(account.Changes) != 2 {
+		t.Errorf("%+v", account.Changes)
+	}
+	if _, err := account.CancelPlanChange(settings, now+4*second, "4"); !errors.Is(err, ErrExpired) {
+		t.Error(err)
+	}
+	canceled, err := account.CancelPlanChange(settings, now+2*second, "4")
+	if err != nil || canceled.PlanAt(now+9*second) != "" || len(account.Changes) != 2 {
+		t.Error(err, canceled)
+	}
+	if _, err := account.CancelPlanChange(settings, now, "9"); !errors.Is(err, ErrUnknown) {
+		t.Error(err)
+	}
+	// A window in which the plan changes allows each plan's rate for its time: 980 to 1008 none set (small is
+	// asked for), to 1010 small, to 1020 large; and at once what the plan now in force does.
+	start := settings.windowStart(now)
+	small := float64((1010 - start/second) * 1)
+	large := float64(start/second+60-1010) * 5
+	if got := account.Allowance(settings, start, now, "small").Float(); got != small+large+10 {
+		t.Error(got)
+	}
+}
--- /dev/null
+++ b/internal/billing/reservation.go
@@ -0,0 +1,207 @@
+package billing
+
+import "cmp"
+
+// Reservation is a part of a window's allowance that a holder alone may use, for as long as its lease lasts.
+type Reservation struct {
+	ID               string `json:"id"`
+	Plan             string `json:"plan"`
+	WindowStartNanos int64  `json:"window"` // of the window whose allowance it uses, unix ns
+	Remaining        Units  `json:"left"`
+	ExpiresNanos     int64  `json:"until"` // unix ns
+	Epoch            uint64 `json:"epoch"`
+	Holder           string `json:"holder"`
+}
+
+// ReservationRequest is what is asked of Reserve.
+type ReservationRequest struct {
+	ID         string
+	Holder     string
+	Plan       string // where no change has set the tenant's
+	Units      Units
+	LeaseNanos int64
+}
+
+// Reserve reserves units of the window that now lies in. The same id again is no error while the same holder
+// has it: it was made, and what is returned is what it holds.
+func (a Account) Reserve(
+	settings Settings, now int64, request ReservationRequest,
+) (Account, Reservation, error) {
+	plan := cmp.Or(a.PlanAt(now), request.Plan)
+	if err := checkID(request.ID); err != nil {
+		return a, Reservation{}, err
+	}
+	if _, ok := settings.Plans[plan]; !ok {
+		return a, Reservation{}, annotate(ErrUnknown, "plan %.80q", plan)
+	}
+	expires, err := settings.leaseEnd(now, request.LeaseNanos)
+	if err != nil {
+		return a, Reservation{}, err
+	}
+	if request.Units <= 0 || request.Units > maxUnits*microsPerUnit {
+		return a, Reservation{}, annotate(ErrOutOfRange, "a reservation of %g units", request.Units.Float())
+	}
+	a = a.ExpireReservations(settings, now)
+	if existing, ok := a.Reservations[request.ID]; ok && existing.Holder == request.Holder {
+		return a, existing, nil
+	}
+	reservation := Reservation{
+		ID:               request.ID,
+		Plan:             plan,
+		WindowStartNanos: settings.windowStart(now),
+		Remaining:        request.Units,
+		ExpiresNanos:     expires,
+		Epoch:            a.Epoch + 1,
+		Holder:           request.Holder,
+	}
+	if err := a.checkReservation(settings, now, reservation); err != nil {
+		return a, Reservation{}, err
+	}
+	a = a.clone()
+	a.Epoch = reservation.Epoch
+	a.Reservations[reservation.ID] = reservation
+	return a, reservation, nil
+}
+
+// checkReservation checks that a new reservation's id is free and that its window and the account can hold
+// it.
+func (a Account) checkReservation(settings Settings, now int64, reservation Reservation) error {
+	if _, ok := a.Reservations[reservation.ID]; ok {
+		return annotate(ErrConflict, "reservation %q", reservation.ID)
+	}
+	if _, ok := a.EndedReservations[reservation.ID]; ok {
+		return annotate(ErrExpired, "reservation %q", reservation.ID)
+	}
+	available := a.Available(settings, reservation.WindowStartNanos, now, reservation.Plan)
+	if reservation.Remaining > available {
+		return annotate(ErrNoCapacity, "the window, for %g units of %g,",
+			reservation.Remaining.Float(), max(available, 0).Float())
+	}
+	if len(a.Reservations) >= maxReservations {
+		return annotate(ErrNoCapacity, "the list of reservations, of %d,", maxReservations)
+	}
+	return nil
+}
+
+// active gives a reservation that its holder may still use.
+func (a Account) active(now int64, id string, epoch uint64) (Reservation, error) {
+	reservation, ok := a.Reservations[id]
+	switch {
+	case !ok && a.EndedReservations[id] != 0:
+		return reservation, annotate(ErrExpired, "reservation %q", id)
+	case !ok:
+		return reservation, annotate(ErrUnknown, "reservation %.80q", id)
+	case reservation.Epoch != epoch:
+		return reservation, annotate(ErrStaleEpoch,
+			"epoch %d of reservation %q, which is at %d,", epoch, id, reservation.Epoch)
+	case now >= reservation.ExpiresNanos:
+		return reservation, annotate(ErrExpired, "the lease of reservation %q", id)
+	}
+	return reservation, nil
+}
+
+// Commit turns reserved units into use. Each raises the epoch, which is returned and which the next one must
+// name: one that is sent twice is done once, and the second fails with ErrStaleEpoch.
+func (a Account) Commit(
+	settings Settings, now int64, id string, epoch uint64, units Units,
+) (Account, Reservation, error) {
+	reservation, err := a.active(now, id, epoch)
+	if err != nil {
+		return a, reservation, err
+	}
+	if units <= 0 || units > reservation.Remaining {
+		return a, reservation, annotate(ErrOutOfRange,
+			"a commit of %g units of the %g that reservation %q holds",
+			units.Float(), reservation.Remaining.Float(), id)
+	}
+	a = a.clone()
+	a.window(reservation.WindowStartNanos).Used[reservation.Plan] += units
+	a.Epoch++
+	reservation.Remaining -= units
+	reservation.Epoch = a.Epoch
+	a.Reservations[id] = reservation
+	if reservation.Remaining == 0 {
+		a.end(settings, now, id)
+	}
+	return a, reservation, nil
+}
+
+// Renew extends a reservation's lease.
+func (a Account) Renew(
+	settings Settings, now int64, id string, epoch uint64, leaseNanos int64,
+) (Account, Reservation, error) {
+	reservation, err := a.active(now, id, epoch)
+	if err != nil {
+		return a, reservation, err
+	}
+	if reservation.ExpiresNanos, err = settings.leaseEnd(now, leaseNanos); err != nil {
+		return a, reservation, err
+	}
+	a = a.clone()
+	a.Reservations[id] = reservation
+	return a, reservation, nil
+}
+
+// AdoptReservation makes a reservation another holder's: what the old one sends from then on is of a stale
+// epoch.
+func (a Account) AdoptReservation(
+	settings Settings, now int64, id, holder string, leaseNanos int64,
+) (Account, Reservation, error) {
+	reservation, err := a.active(now, id, a.Reservations[id].Epoch)
+	if err != nil {
+		return a, reservation, err
+	}
+	if reservation.ExpiresNanos, err = settings.leaseEnd(now, leaseNanos); err != nil {
+		return a, reservation, err
+	}
+	a = a.clone()
+	a.Epoch++
+	reservation.Epoch = a.Epoch
+	reservation.Holder = holder
+	a.Reservations[id] = reservation
+	return a, reservation, nil
+}
+
+// Release gives back what remains of a reservation.
+func (a Account) Release(settings Settings, now int64, id string, epoch uint64) (Account, error) {
+	if _, err := a.active(now, id, epoch); err != nil {
+		return a, err
+	}
+	a = a.clone()
+	a.end(settings, now, id)
+	return a, nil
+}
+
+// end ends a reservation; its id is remembered for as long as somebody may send for it. The account must be a
+// clone.
+func (a *Account) end(settings Settings, now int64, id string) {
+	delete(a.Reservations, id)
+	a.EndedReservations[id] = now + 2*settings.MaxLeaseNanos
+}
+
+// ExpireReservations returns what remains of reservations whose holders have not renewed them: once a lease
+// is over on every instance's clock.
+func (a Account) ExpireReservations(settings Settings, now int64) Account {
+	var expired, forgotten []string
+	for id, reservation := range a.Reservations {
+		if now >= reservation.ExpiresNanos+settings.ClockSkewNanos {
+			expired = append(expired, id)
+		}
+	}
+	for id, until := range a.EndedReservations {
+		if now >= until {
+			forgotten = append(forgotten, id)
+		}
+	}
+	if len(expired)+len(forgotten) == 0 {
+		return a
+	}
+	a = a.clone()
+	for _, id := range forgotten {
+		delete(a.EndedReservations, id)
+	}
+	for _, id := range expired {
+		a.end(settings, now, id)
+	}
+	return a
+}
--- /dev/null
+++ b/internal/billing/reservation_test.go
@@ -0,0 +1,115 @@
+package billing
+
+import (
+	"errors"
+	"fmt"
+	"testing"
+)
+
+// reservationStart is the start of a window, in which small allows 70 units.
+const reservationStart = 6000 * second
+
+// reserved gives an account with a reservation "r" of 50 units that "me" holds.
+func reserved(t *testing.T) (Account, Reservation) {
+	t.Helper()
+	request := ReservationRequest{ID: "r", Holder: "me", Plan: "small", Units: 50e6, LeaseNanos: 10 * second}
+	account, reservation, err := Account{Tenant: "g"}.Reserve(testSettings(), reservationStart, request)
+	if err != nil || reservation.Remaining != 50e6 {
+		t.Fatal(err)
+	}
+	return account, reservation
+}
+
+func TestAccount_ReserveRefuses(t *testing.T) {
+	settings := testSettings()
+	now := reservationStart
+	account, reservation := reserved(t)
+	for name, test := range map[string]struct {
+		request ReservationRequest
+		want    error
+	}{
+		"another's id":       {ReservationRequest{"r", "other", "small", 1e6, second}, ErrConflict},
+		"more than there is": {ReservationRequest{"s", "me", "small", 21e6, second}, ErrNoCapacity},
+		"unknown plan":       {ReservationRequest{"s", "me", "gold", 1e6, second}, ErrUnknown},
+		"below 0":            {ReservationRequest{"s", "me", "small", -1, second}, ErrOutOfRange},
+		"far too much":       {ReservationRequest{"s", "me", "small", 1 << 60, second}, ErrOutOfRange},
+		"no lease":           {ReservationRequest{"s", "me", "small", 1e6, 0}, ErrOutOfRange},
+		"lease too long":     {ReservationRequest{"s", "me", "small", 1e6, 31 * second}, ErrOutOfRange},
+		"no id":              {ReservationRequest{"", "me", "small", 1e6, second}, ErrOutOfRange},
+	} {
+		t.Run(name, func(t *testing.T) {
+			after, _, err := account.Reserve(settings, now, test.request)
+			if !errors.Is(err, test.want) || fmt.Sprint(after) != fmt.Sprint(account) {
+				t.Errorf("%+v: %v", test.request, err)
+			}
+		})
+	}
+	again := ReservationRequest{ID: "r", Holder: "me", Plan: "small", Units: 50e6, LeaseNanos: second}
+	if _, same, err := account.Reserve(settings, now, again); err != nil || same != reservation {
+		t.Error("sent twice: ", err, same)
+	}
+}
+
+func TestAccount_Reservations(t *testing.T) {
+	settings := testSettings()
+	now := reservationStart
+	account, reservation := reserved(t)
+	first := reservation.Epoch
+	account, reservation, err := account.Commit(settings, now, "r", first, 20e6)
+	if err != nil || reservation.Remaining != 30e6 {
+		t.Fatal(err)
+	}
+	if _, _, err := account.Commit(settings, now, "r", first, 20e6); !errors.Is(err, ErrStaleEpoch) {
+		t.Error("a commit sent twice was done twice: ", err)
+	}
+	if _, _, err := account.Commit(settings, now, "r", reservation.Epoch, 31e6); !errors.Is(err, ErrOutOfRange) {
+		t.Error(err)
+	}
+	beforeAdoption := reservation.Epoch
+	if account, reservation, err = account.AdoptReservation(settings, now, "r", "other", 10*second); err != nil {
+		t.Fatal(err)
+	}
+	if _, _, err := account.Commit(settings, now, "r", beforeAdoption, 1e6); !errors.Is(err, ErrStaleEpoch) {
+		t.Error("the old holder spent what another adopted: ", err)
+	}
+	expires := reservation.ExpiresNanos
+	if _, _, err := account.Commit(settings, expires, "r", reservation.Epoch, 1e6); !errors.Is(err, ErrExpired) {
+		t.Error("spent after its lease: ", err)
+	}
+	if kept := account.ExpireReservations(settings, expires+settings.ClockSkewNanos-1); len(kept.Reservations) != 1 {
+		t.Error("returned while it may be spent on another clock")
+	}
+	expired := account.ExpireReservations(settings, expires+settings.ClockSkewNanos)
+	if len(expired.Reservations) != 0 || expired.Available(settings, now, now, "small") != 50e6 {
+		t.Error("not returned")
+	}
+	if _, _, err := expired.Commit(settings, now, "r", reservation.Epoch, 1e6); !errors.Is(err, ErrExpired) {
+		t.Error("spent and returned: ", err)
+	}
+	again := ReservationRequest{ID: "r", Holder: "me", Plan: "small", Units: 1e6, LeaseNanos: second}
+	if _, _, err := expired.Reserve(settings, now, again); !errors.Is(err, ErrExpired) {
+		t.Error("an id that ended holds again: ", err)
+	}
+}
+
+// A plan that allows less than is used: nothing is taken away, and nothing more is granted.
+func TestAccount_OverusedWindowKeepsReservations(t *testing.T) {
+	settings := testSettings()
+	now := reservationStart
+	account, reservation := reserved(t)
+	account, reservation, err := account.Commit(settings, now, "r", reservation.Epoch, 20e6)
+	if err != nil {
+		t.Fatal(err)
+	}
+	overused, err := account.RecordUsage(settings, now, "small", 60e6)
+	if err != nil || overused.Available(settings, now, now, "small") >= 0 {
+		t.Error(err)
+	}
+	request := ReservationRequest{ID: "s", Holder: "me", Plan: "small", Units: 1, LeaseNanos: second}
+	if _, _, err := overused.Reserve(settings, now, request); !errors.Is(err, ErrNoCapacity) {
+		t.Error(err)
+	}
+	if _, _, err := overused.Commit(settings, now, "r", reservation.Epoch, 30e6); err != nil {
+		t.Error("what was granted does not hold: ", err)
+	}
+}
--- a/internal/billingservice/billingservice.go
+++ b/internal/billingservice/billingservice.go
@@ -75,16 +75,16 @@
 
 // use is what reports are summed by.
 type usageKey struct {
-	tenant, plan string
-	windowNanos  int64
+	tenant, plan     string
+	windowStartNanos int64
 }
 
 // item is a line of a report.
 type usageItem struct {
-	Tenant      string        `json:"g"`
-	Plan        string        `json:"p"`
-	WindowNanos int64         `json:"w"`
-	Units       billing.Units `json:"u"`
+	Tenant           string        `json:"g"`
+	Plan             string        `json:"p"`
+	WindowStartNanos int64         `json:"w"`
+	Units            billing.Units `json:"u"`
 }
 
 const (
@@ -256,7 +256,7 @@
 		if d.pending == nil {
 			d.mu.Lock()
 			for k, u := range d.usage {
-				d.pending = append(d.pending, usageItem{k.tenant, k.plan, k.windowNanos, u})
+				d.pending = append(d.pending, usageItem{k.tenant, k.plan, k.windowStartNanos, u})
 				delete(d.usage, k)
 				if len(d.pending) == mostItems {
 					break
@@ -416,14 +416,14 @@
 // CancelChange takes a change back.
 func (d *Service) CancelChange(gestoria, id string) error {
 	return d.step(gestoria, func(t billing.Settings, now int64, a billing.Account) (billing.Account, error) {
-		return a.CancelChange(t, now, id)
+		return a.CancelPlanChange(t, now, id)
 	})
 }
 
 // Reserve holds units.
 func (d *Service) Reserve(gestoria, id, holder, plan string, units billing.Units, lease time.Duration) (h billing.Reservation, err error) {
 	err = d.step(gestoria, func(t billing.Settings, now int64, a billing.Account) (_ billing.Account, err error) {
-		a, h, err = a.Reserve(t, now, id, holder, plan, units, int64(lease))
+		a, h, err = a.Reserve(t, now, billing.ReservationRequest{ID: id, Holder: holder, Plan: plan, Units: units, LeaseNanos: int64(lease)})
 		return a, err
 	})
 	return h, err
@@ -555,7 +555,7 @@
 				a, at[x.Tenant], err = d.account(x.Tenant, false)
 			}
 			if err == nil {
-				now[x.Tenant], err = a.RecordUsage(d.options.Settings(), x.WindowNanos, x.Plan, x.Units)
+				now[x.Tenant], err = a.RecordUsage(d.options.Settings(), x.WindowStartNanos, x.Plan, x.Units)
 			}
 			if err != nil {
 				break
--- a/internal/billingservice/billingservice_test.go
+++ b/internal/billingservice/billingservice_test.go
@@ -400,7 +400,7 @@
 
 func TestFolderTakesABatchOnce(t *testing.T) {
 	f := Folder(t.TempDir())
-	batch := []billing.Record{{Sequence: 3, Tenant: "g", Plan: "p", WindowSeconds: 60, Units: 5}, {Sequence: 4, Tenant: "h", Plan: "p", WindowSeconds: 60, Units: 6}}
+	batch := []billing.Record{{Sequence: 3, Tenant: "g", Plan: "p", WindowStartSeconds: 60, Units: 5}, {Sequence: 4, Tenant: "h", Plan: "p", WindowStartSeconds: 60, Units: 6}}
 	for range 2 {
 		if err := f.Send(context.Background(), batch); err != nil {
 			t.Fatal(err)
--- a/internal/billingservice/version0_test.go
+++ b/internal/billingservice/version0_test.go
@@ -120,14 +120,14 @@
 		Changes: []billing.PlanChange{{ID: "c1", EffectiveNanos: version0At(100 * time.Millisecond), Plan: "small"}, {ID: "c2", EffectiveNanos: version0At(time.Hour), Plan: "large"}},
 		Windows: []billing.Window{{StartNanos: version0At(1200 * time.Millisecond), Used: map[string]billing.Units{"small": 3e6}, Exported: 2e6},
 			{StartNanos: version0At(2000 * time.Millisecond), Used: map[string]billing.Units{"small": 5e6}}},
-		Reservations: map[string]billing.Reservation{"r1": {ID: "r1", Plan: "small", WindowNanos: version0At(2 * time.Second), Remaining: 15e6,
+		Reservations: map[string]billing.Reservation{"r1": {ID: "r1", Plan: "small", WindowStartNanos: version0At(2 * time.Second), Remaining: 15e6,
 			ExpiresNanos: version0At(2550 * time.Millisecond), Epoch: 3, Holder: "holder-1"}},
-		Ended: map[string]int64{"r0": version0At(2260 * time.Millisecond)}, Epoch: 3},
-	recordPrefix + "0000000000000002": billing.Record{Sequence: 2, Tenant: "g", Plan: "small", WindowSeconds: 946684801, Units: 2e6},
+		EndedReservations: map[string]int64{"r0": version0At(2260 * time.Millisecond)}, Epoch: 3},
+	recordPrefix + "0000000000000002": billing.Record{Sequence: 2, Tenant: "g", Plan: "small", WindowStartSeconds: 946684801, Units: 2e6},
 	exportKey:                         exportState{Next: 3, Acked: 1, First: 2, Last: 2},
 	leaseKey:                          exportLease{Holder: "d-0d234ccf52430000", ExpiresNanos: version0At(2550 * time.Millisecond)},
 	markPrefix + "d-0d234ccf52430000": reportPrefix + "d-0d234ccf52430000-00000003",
-	reportPrefix + "d-0d234ccf52430000-00000003": []usageItem{{Tenant: "g", Plan: "small", WindowNanos: version0At(2 * time.Second), Units: 4e6}},
+	reportPrefix + "d-0d234ccf52430000-00000003": []usageItem{{Tenant: "g", Plan: "small", WindowStartNanos: version0At(2 * time.Second), Units: 4e6}},
 }
 
 // TestVersion0Store_ValuesAndBytes reads each value of the store's fixture into its type, and writes it anew as the same
@@ -200,7 +200,7 @@
 		t.Fatal(err)
 	}
 	var got billing.Record
-	want := billing.Record{Sequence: 1, Tenant: "h", Plan: "large", WindowSeconds: 946684800, Units: 1500000}
+	want := billing.Record{Sequence: 1, Tenant: "h", Plan: "large", WindowStartSeconds: 946684800, Units: 1500000}
 	if err := json.Unmarshal([]byte(strings.TrimSpace(string(text))), &got); err != nil || got != want {
 		t.Errorf("%+v, %v", got, err)
 	}
--- a/internal/limitserver/accounts_test.go
+++ b/internal/limitserver/accounts_test.go
@@ -31,12 +31,13 @@
 func (b *book) Change(_ string, c billing.PlanChange) error {
 	return b.keep(b.a.SchedulePlanChange(bookTerms, now, c))
 }
-func (b *book) CancelChange(_, id string) error { return b.keep(b.a.CancelChange(bookTerms, now, id)) }
+func (b *book) CancelChange(_, id string) error { return b.keep(b.a.CancelPlanChange(bookTerms, now, id)) }
 func (b *book) Release(_, id string, epoch uint64) error {
 	return b.keep(b.a.Release(bookTerms, now, id, epoch))
 }
 func (b *book) Reserve(_, id, holder, plan string, u billing.Units, l time.Duration) (billing.Reservation, error) {
-	return b.hold(b.a.Reserve(bookTerms, now, id, holder, plan, u, int64(l)))
+	return b.hold(b.a.Reserve(bookTerms, now,
+		billing.ReservationRequest{ID: id, Holder: holder, Plan: plan, Units: u, LeaseNanos: int64(l)}))
 }
 func (b *book) Commit(_, id string, epoch uint64, u billing.Units) (billing.Reservation, error) {
 	return b.hold(b.a.Commit(bookTerms, now, id, epoch, u))
