--- a/internal/billingservice/version0_test.go
+++ b/internal/billingservice/version0_test.go
@@ -41,9 +41,9 @@
 
 const version0Export = "use-000000000001-000000000001.jsonl"
 
-// writeVersion0 lets a desk work for 2.3 s of a bubble's time, and copies what the store and the export's
+// writeVersion0 lets a service work for 2.3 s of a bubble's time, and copies what the store and the export's
 // folder hold: a window that is exported, one that is being sent, one that is open with a reservation in it,
-// and a report that is not folded yet.
+// and a report that is not committed yet.
 func writeVersion0(t *testing.T, store, export string) {
 	t.Helper()
 	folder := t.TempDir()
@@ -107,7 +107,7 @@
 	return m
 }
 
-// version0Desk is a desk without its loops at the moment at which the fixture was written.
+// newVersion0Service is a service without its loops at the moment at which the fixture was written.
 func newVersion0Service(m *memoryReplica, sink Sink) *Service {
 	now := version0Start.Add(2300 * time.Millisecond)
 	return &Service{options: Options{Replica: m, Instance: "d", Settings: testSettings, LeaseDuration: 300 * time.Millisecond, Sink: sink, Now: func() time.Time { return now }},
@@ -152,9 +152,9 @@
 	}
 }
 
-// TestDesk_GoesOnWithVersion0Store lets a desk go on with the store's fixture: it knows the plan and the
-// reservation, folds the report, and sends the batch that was fixed.
-func TestDesk_GoesOnWithVersion0Store(t *testing.T) {
+// TestService_GoesOnWithVersion0Store lets a service go on with the store's fixture: it knows the plan and
+// the reservation, commits the report, and sends the batch that was fixed.
+func TestService_GoesOnWithVersion0Store(t *testing.T) {
 	m, folder := version0Store(t), Folder(t.TempDir())
 	d := newVersion0Service(m, folder)
 	d.plans.Store(&map[string]billing.Account{})
@@ -187,7 +187,7 @@
 	}
 }
 
-// TestFolder_ReadsVersion0Export takes a folder with a file of the version before: its last sequence is
+// TestFolder_ReadsVersion0Export has a folder with a file of the version before: its last sequence is
 // known, and the same batch is written as the same bytes, of the same name.
 func TestFolder_ReadsVersion0Export(t *testing.T) {
 	path := testutil.Fixture(t, version0Export, func(path string) { writeVersion0(t, path+".store", path) })
