--- a/internal/billing/reservation_test.go
+++ b/internal/billing/reservation_test.go
@@ -24,23 +24,29 @@
 	settings := testSettings()
 	now := reservationStart
 	account, reservation := reserved(t)
+	valid := ReservationRequest{ID: "s", Holder: "me", Plan: "small", Units: 1e6, LeaseNanos: second}
 	for name, test := range map[string]struct {
-		request ReservationRequest
-		want    error
+		change func(request *ReservationRequest)
+		want   error
 	}{
-		"another's id":       {ReservationRequest{"r", "other", "small", 1e6, second}, ErrConflict},
-		"more than there is": {ReservationRequest{"s", "me", "small", 21e6, second}, ErrNoCapacity},
-		"unknown plan":       {ReservationRequest{"s", "me", "gold", 1e6, second}, ErrUnknown},
-		"below 0":            {ReservationRequest{"s", "me", "small", -1, second}, ErrOutOfRange},
-		"far too much":       {ReservationRequest{"s", "me", "small", 1 << 60, second}, ErrOutOfRange},
-		"no lease":           {ReservationRequest{"s", "me", "small", 1e6, 0}, ErrOutOfRange},
-		"lease too long":     {ReservationRequest{"s", "me", "small", 1e6, 31 * second}, ErrOutOfRange},
-		"no id":              {ReservationRequest{"", "me", "small", 1e6, second}, ErrOutOfRange},
+		"another's id": {func(r *ReservationRequest) {
+			r.ID = "r"
+			r.Holder = "other"
+		}, ErrConflict},
+		"more than there is": {func(r *ReservationRequest) { r.Units = 21e6 }, ErrNoCapacity},
+		"unknown plan":       {func(r *ReservationRequest) { r.Plan = "gold" }, ErrUnknown},
+		"below 0":            {func(r *ReservationRequest) { r.Units = -1 }, ErrOutOfRange},
+		"far too much":       {func(r *ReservationRequest) { r.Units = 1 << 60 }, ErrOutOfRange},
+		"no lease":           {func(r *ReservationRequest) { r.LeaseNanos = 0 }, ErrOutOfRange},
+		"lease too long":     {func(r *ReservationRequest) { r.LeaseNanos = 31 * second }, ErrOutOfRange},
+		"no id":              {func(r *ReservationRequest) { r.ID = "" }, ErrOutOfRange},
 	} {
 		t.Run(name, func(t *testing.T) {
-			after, _, err := account.Reserve(settings, now, test.request)
+			request := valid
+			test.change(&request)
+			after, _, err := account.Reserve(settings, now, request)
 			if !errors.Is(err, test.want) || fmt.Sprint(after) != fmt.Sprint(account) {
-				t.Errorf("%+v: %v", test.request, err)
+				t.Errorf("%+v: %v", request, err)
 			}
 		})
 	}
@@ -76,7 +82,7 @@
 	if _, _, err := account.Commit(settings, expires, "r", reservation.Epoch, 1e6); !errors.Is(err, ErrExpired) {
 		t.Error("spent after its lease: ", err)
 	}
-	if kept := account.ExpireReservations(settings, expires+settings.ClockSkewNanos-1); len(kept.Reservations) != 1 {
+	if active := account.ExpireReservations(settings, expires+settings.ClockSkewNanos-1); len(active.Reservations) != 1 {
 		t.Error("returned while it may be spent on another clock")
 	}
 	expired := account.ExpireReservations(settings, expires+settings.ClockSkewNanos)
@@ -92,7 +98,7 @@
 	}
 }
 
-// A plan that allows less than is used: nothing is taken away, and nothing more is granted.
+// A plan that allows less than is used: nothing is revoked, and nothing more is granted.
 func TestAccount_OverusedWindowKeepsReservations(t *testing.T) {
 	settings := testSettings()
 	now := reservationStart
--- a/internal/billingservice/export.go
+++ b/internal/billingservice/export.go
@@ -27,7 +27,8 @@
 type exportState struct {
 	Next  uint64 `json:"next"`  // sequence of the next record
 	Acked uint64 `json:"acked"` // the last one that the receiver has acknowledged
-	// First and Last are the sequences of the batch in flight, which is sent until it is acknowledged, as it is.
+	// First and Last are the sequences of the batch in flight, which is sent until it is acknowledged, as it
+	// is.
 	First uint64 `json:"first,omitempty"`
 	Last  uint64 `json:"last,omitempty"` // 0: no batch is in flight
 }
--- a/internal/billingservice/service.go
+++ b/internal/billingservice/service.go
@@ -25,7 +25,7 @@
 	Edit(edits []kv.Edit) error
 }
 
-// Options are what the accounts are kept with.
+// Options configure a Service.
 type Options struct {
 	// Replica is this instance's replica of the store.
 	Replica Replica
@@ -60,7 +60,7 @@
 	maxEdits = 900
 )
 
-// Service keeps the accounts at one instance.
+// Service serves the accounts at one instance.
 type Service struct {
 	options     Options
 	incarnation int64 // when this process of the instance began, unix ns
--- a/internal/billingservice/version0_test.go
+++ b/internal/billingservice/version0_test.go
@@ -25,7 +25,7 @@
 // version0At is so long after that, in unix ns.
 func version0At(after time.Duration) int64 { return version0Start.Add(after).UnixNano() }
 
-// once is a receiver that takes its first batch, and then no more.
+// firstBatchFolder is a sink that accepts its first batch, and then no more.
 type firstBatchFolder struct {
 	Folder
 	sent bool
@@ -59,8 +59,9 @@
 				t.Fatal(err)
 			}
 		}
-		must(d.Change("g", billing.PlanChange{ID: "c1", EffectiveNanos: version0At(100 * time.Millisecond), Plan: "small"}))
-		must(d.Change("g", billing.PlanChange{ID: "c2", EffectiveNanos: version0At(time.Hour), Plan: "large"}))
+		for _, change := range version0Account.Changes {
+			must(d.Change("g", change))
+		}
 		d.RecordUsage("h", "large", time.Now(), 1.5)
 		until(1250 * time.Millisecond)
 		d.RecordUsage("g", "small", time.Now(), 2)
@@ -95,7 +96,8 @@
 
 func version0Store(t *testing.T) *memoryReplica {
 	t.Helper()
-	text, err := os.ReadFile(testutil.Fixture(t, "store", func(path string) { writeVersion0(t, path, path+".export") }))
+	path := testutil.Fixture(t, "store", func(path string) { writeVersion0(t, path, path+".export") })
+	text, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -110,24 +112,71 @@
 // newVersion0Service is a service without its loops at the moment at which the fixture was written.
 func newVersion0Service(m *memoryReplica, sink Sink) *Service {
 	now := version0Start.Add(2300 * time.Millisecond)
-	return &Service{options: Options{Replica: m, Instance: "d", Settings: testSettings, LeaseDuration: 300 * time.Millisecond, Sink: sink, Now: func() time.Time { return now }},
-		incarnation: version0At(0), usage: map[usageKey]billing.Units{}, stop: make(chan struct{})}
+	return &Service{
+		options: Options{
+			Replica:       m,
+			Instance:      "d",
+			Settings:      testSettings,
+			LeaseDuration: 300 * time.Millisecond,
+			Sink:          sink,
+			Now:           func() time.Time { return now },
+		},
+		incarnation: version0At(0),
+		usage:       map[usageKey]billing.Units{},
+		stop:        make(chan struct{}),
+	}
+}
+
+// version0Incarnation is the name of the fixture's one incarnation.
+const version0Incarnation = "d-0d234ccf52430000"
+
+// version0Account is the account in the store's fixture.
+var version0Account = billing.Account{
+	Tenant: "g",
+	Changes: []billing.PlanChange{
+		{ID: "c1", EffectiveNanos: version0At(100 * time.Millisecond), Plan: "small"},
+		{ID: "c2", EffectiveNanos: version0At(time.Hour), Plan: "large"},
+	},
+	Windows: []billing.Window{
+		{
+			StartNanos: version0At(1200 * time.Millisecond),
+			Used:       map[string]billing.Units{"small": 3e6},
+			Exported:   2e6,
+		},
+		{StartNanos: version0At(2000 * time.Millisecond), Used: map[string]billing.Units{"small": 5e6}},
+	},
+	Reservations: map[string]billing.Reservation{"r1": {
+		ID:               "r1",
+		Plan:             "small",
+		WindowStartNanos: version0At(2 * time.Second),
+		Remaining:        15e6,
+		ExpiresNanos:     version0At(2550 * time.Millisecond),
+		Epoch:            3,
+		Holder:           "holder-1",
+	}},
+	EndedReservations: map[string]int64{"r0": version0At(2260 * time.Millisecond)},
+	Epoch:             3,
 }
 
 // version0Values are what the store's fixture holds, as values of today's types.
 var version0Values = map[string]any{
-	accountPrefix + "g": billing.Account{Tenant: "g",
-		Changes: []billing.PlanChange{{ID: "c1", EffectiveNanos: version0At(100 * time.Millisecond), Plan: "small"}, {ID: "c2", EffectiveNanos: version0At(time.Hour), Plan: "large"}},
-		Windows: []billing.Window{{StartNanos: version0At(1200 * time.Millisecond), Used: map[string]billing.Units{"small": 3e6}, Exported: 2e6},
-			{StartNanos: version0At(2000 * time.Millisecond), Used: map[string]billing.Units{"small": 5e6}}},
-		Reservations: map[string]billing.Reservation{"r1": {ID: "r1", Plan: "small", WindowStartNanos: version0At(2 * time.Second), Remaining: 15e6,
-			ExpiresNanos: version0At(2550 * time.Millisecond), Epoch: 3, Holder: "holder-1"}},
-		EndedReservations: map[string]int64{"r0": version0At(2260 * time.Millisecond)}, Epoch: 3},
-	recordPrefix + "0000000000000002": billing.Record{Sequence: 2, Tenant: "g", Plan: "small", WindowStartSeconds: 946684801, Units: 2e6},
-	exportKey:                         exportState{Next: 3, Acked: 1, First: 2, Last: 2},
-	leaseKey:                          exportLease{Holder: "d-0d234ccf52430000", ExpiresNanos: version0At(2550 * time.Millisecond)},
-	markPrefix + "d-0d234ccf52430000": reportPrefix + "d-0d234ccf52430000-00000003",
-	reportPrefix + "d-0d234ccf52430000-00000003": []usageItem{{Tenant: "g", Plan: "small", WindowStartNanos: version0At(2 * time.Second), Units: 4e6}},
+	accountPrefix + "g": version0Account,
+	recordPrefix + "0000000000000002": billing.Record{
+		Sequence:           2,
+		Tenant:             "g",
+		Plan:               "small",
+		WindowStartSeconds: 946684801,
+		Units:              2e6,
+	},
+	exportKey: exportState{Next: 3, Acked: 1, First: 2, Last: 2},
+	leaseKey: exportLease{
+		Holder:       version0Incarnation,
+		ExpiresNanos: version0At(2550 * time.Millisecond),
+	},
+	markPrefix + version0Incarnation: reportPrefix + version0Incarnation + "-00000003",
+	reportPrefix + version0Incarnation + "-00000003": []usageItem{
+		{Tenant: "g", Plan: "small", WindowStartNanos: version0At(2 * time.Second), Units: 4e6},
+	},
 }
 
 // TestVersion0Store_ValuesAndBytes reads each value of the store's fixture into its type, and writes it anew
@@ -179,7 +228,8 @@
 		t.Fatal(sent, err)
 	}
 	text, err := os.ReadFile(filepath.Join(string(folder), "use-000000000002-000000000002.jsonl"))
-	if want := `{"sequence":2,"gestoria":"g","plan":"small","window_unix_s":946684801,"micro_units":2000000}` + "\n"; err != nil || string(text) != want {
+	want := `{"sequence":2,"gestoria":"g","plan":"small","window_unix_s":946684801,"micro_units":2000000}` + "\n"
+	if err != nil || string(text) != want {
 		t.Errorf("%s, %v", text, err)
 	}
 	if s, _, err := d.readExportState(); err != nil || s != (exportState{Next: 3, Acked: 2}) || len(m.ReadPrefix(recordPrefix)) != 0 {
--- a/internal/limitserver/accounts_test.go
+++ b/internal/limitserver/accounts_test.go
@@ -31,7 +31,9 @@
 func (b *book) Change(_ string, c billing.PlanChange) error {
 	return b.keep(b.a.SchedulePlanChange(bookTerms, now, c))
 }
-func (b *book) CancelChange(_, id string) error { return b.keep(b.a.CancelPlanChange(bookTerms, now, id)) }
+func (b *book) CancelChange(_, id string) error {
+	return b.keep(b.a.CancelPlanChange(bookTerms, now, id))
+}
 func (b *book) Release(_, id string, epoch uint64) error {
 	return b.keep(b.a.Release(bookTerms, now, id, epoch))
 }
--- a/internal/store/api_test.go
+++ b/internal/store/api_test.go
@@ -33,16 +33,20 @@
 		status             int
 		want               string
 	}{
-		{"GET", "/v1/kv/none", "", 404, "no key none"},
-		{"PUT", "/v1/kv/k", "{", 400, "no JSON"},
-		{"PUT", "/v1/kv/k", "", 400, "no value"},
-		{"PUT", "/v1/kv/plans/x", `{"burst":1}`, 422, "a plan without a rate"},
-		{"PUT", "/v1/kv/k?if=x", "1", 400, "no index"},
-		{"PUT", "/v1/kv/ka?if=0", "1", 409, "changed meanwhile"},
-		{"POST", "/v1/edits", "[", 400, "edits"},
-		{"POST", "/v1/edits", `[{"key":"x","value":1},{"key":"plans/x","value":{}}]`, 422, "refused"},
-		{"POST", "/v1/peers", `{"id":"d"}`, 400, "no host and port"},
-		{"POST", "/v1/restore", "junk", 400, "no snapshot"},
+		{method: "GET", path: "/v1/kv/none", status: 404, want: "no key none"},
+		{method: "PUT", path: "/v1/kv/k", body: "{", status: 400, want: "no JSON"},
+		{method: "PUT", path: "/v1/kv/k", status: 400, want: "no value"},
+		{method: "PUT", path: "/v1/kv/plans/x", body: `{"burst":1}`, status: 422, want: "a plan without a rate"},
+		{method: "PUT", path: "/v1/kv/k?if=x", body: "1", status: 400, want: "no index"},
+		{method: "PUT", path: "/v1/kv/ka?if=0", body: "1", status: 409, want: "changed meanwhile"},
+		{method: "POST", path: "/v1/edits", body: "[", status: 400, want: "edits"},
+		{
+			method: "POST", path: "/v1/edits",
+			body:   `[{"key":"x","value":1},{"key":"plans/x","value":{}}]`,
+			status: 422, want: "refused",
+		},
+		{method: "POST", path: "/v1/peers", body: `{"id":"d"}`, status: 400, want: "no host and port"},
+		{method: "POST", path: "/v1/restore", body: "junk", status: 400, want: "no snapshot"},
 	} {
 		for _, peer := range c.peers {
 			status, text := c.call(peer.ID, test.method, test.path, test.body)
--- a/internal/store/kv/doc.go
+++ b/internal/store/kv/doc.go
@@ -3,5 +3,5 @@
 // no clock.
 //
 // A State belongs to one owner (package store keeps it under a lock): it is not safe for concurrent use. What
-// Get and Snapshot return may be kept, but not written to.
+// Get and Snapshot return may be retained, but not written to.
 package kv
--- a/internal/store/kv/state.go
+++ b/internal/store/kv/state.go
@@ -10,7 +10,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Entry is a key's value. It is JSON, so that people can read what they edit.
+// Entry is a key's value. It is JSON, so that operators can read what they edit.
 type Entry struct {
 	Value json.RawMessage `json:"value"`
 	Index Index           `json:"index"`
--- a/internal/store/kv/version0_test.go
+++ b/internal/store/kv/version0_test.go
@@ -16,10 +16,28 @@
 	at      Index
 	edits   []Edit
 }{
-	{"command-put.json", 3, []Edit{{Key: "plans/basic", Value: json.RawMessage(`{"name":"basic","quota-rate":5}`)},
-		{Key: "x/old", Value: json.RawMessage(`"short-lived"`)}}},
-	{"command-check.json", 7, []Edit{{Key: "plans/basic", Value: json.RawMessage(`{"name":"basic","quota-rate":9}`), Check: true, If: 3},
-		{Key: "x/new", Value: json.RawMessage(`[1,2.5,"ñ"]`), Check: true}, {Key: "x/old"}}},
+	{
+		fixture: "command-put.json",
+		at:      3,
+		edits: []Edit{
+			{Key: "plans/basic", Value: json.RawMessage(`{"name":"basic","quota-rate":5}`)},
+			{Key: "x/old", Value: json.RawMessage(`"short-lived"`)},
+		},
+	},
+	{
+		fixture: "command-check.json",
+		at:      7,
+		edits: []Edit{
+			{
+				Key:   "plans/basic",
+				Value: json.RawMessage(`{"name":"basic","quota-rate":9}`),
+				Check: true,
+				If:    3,
+			},
+			{Key: "x/new", Value: json.RawMessage(`[1,2.5,"ñ"]`), Check: true},
+			{Key: "x/old"},
+		},
+	},
 }
 
 // TestCommand_Version0Bytes reads commands as they stand in the logs of replicas: what they hold, and that
@@ -79,7 +97,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := map[string]Entry{"plans/basic": {json.RawMessage(`{"name":"basic","quota-rate":9}`), 7}, "x/new": {json.RawMessage(`[1,2.5,"ñ"]`), 7}}
+	want := map[string]Entry{
+		"plans/basic": {Value: json.RawMessage(`{"name":"basic","quota-rate":9}`), Index: 7},
+		"x/new":       {Value: json.RawMessage(`[1,2.5,"ñ"]`), Index: 7},
+	}
 	if s.AppliedIndex() != 7 || !reflect.DeepEqual(s.entries, want) || s.Fingerprint() != now.Fingerprint() {
 		t.Errorf("at %d: %+v", s.AppliedIndex(), s.entries)
 	}
--- a/internal/store/version0_test.go
+++ b/internal/store/version0_test.go
@@ -101,7 +101,8 @@
 	if again, err := snapshot.Snapshot(); err != nil || !bytes.Equal(again, content) {
 		t.Errorf("the snapshot, written anew (%v):\n%s\nthe fixture:\n%s", err, again, content)
 	}
-	if e, ok := snapshot.Get(peerPrefix + "a"); !ok || string(e.Value) != `{"id":"a","raft":"127.0.0.1:7001","api":"127.0.0.1:7101"}` {
+	want := `{"id":"a","raft":"127.0.0.1:7001","api":"127.0.0.1:7101"}`
+	if e, ok := snapshot.Get(peerPrefix + "a"); !ok || string(e.Value) != want {
 		t.Errorf("its address: %s", e.Value)
 	}
 	replayed, commands := kv.New(), 0
@@ -179,14 +180,30 @@
 		value any
 		want  string
 	}{
-		"entry":   {kv.Entry{Value: json.RawMessage(`{"n":1}`), Index: 4}, `{"value":{"n":1},"index":4}`},
-		"edit":    {kv.Edit{Key: "k", Value: json.RawMessage(`1`), Check: true, If: 2}, `{"key":"k","value":1,"check":true,"if":2}`},
+		"entry": {kv.Entry{Value: json.RawMessage(`{"n":1}`), Index: 4}, `{"value":{"n":1},"index":4}`},
+		"edit": {
+			kv.Edit{Key: "k", Value: json.RawMessage(`1`), Check: true, If: 2},
+			`{"key":"k","value":1,"check":true,"if":2}`,
+		},
 		"deletes": {kv.Edit{Key: "k"}, `{"key":"k"}`},
 		"peer":    {Peer{"a", "r:1", "p:2"}, `{"id":"a","raft":"r:1","api":"p:2"}`},
 		"witness": {logPosition{3, 9}, `{"term":3,"last":9}`},
-		"status": {Status{ID: "a", State: "Leader", Leader: "b", Term: 1, LastIndex: 2, CommitIndex: 3, AppliedIndex: 4, Fingerprint: "p", CanVote: true,
-			Peers: []Peer{{"a", "r:1", "p:2"}}}, `{"id":"a","state":"Leader","leader":"b","term":1,"last":2,"commit":3,"at":4,` +
-			`"print":"p","votes":true,"peers":[{"id":"a","raft":"r:1","api":"p:2"}]}`},
+		"status": {
+			Status{
+				ID:           "a",
+				State:        "Leader",
+				Leader:       "b",
+				Term:         1,
+				LastIndex:    2,
+				CommitIndex:  3,
+				AppliedIndex: 4,
+				Fingerprint:  "p",
+				CanVote:      true,
+				Peers:        []Peer{{"a", "r:1", "p:2"}},
+			},
+			`{"id":"a","state":"Leader","leader":"b","term":1,"last":2,"commit":3,"at":4,` +
+				`"print":"p","votes":true,"peers":[{"id":"a","raft":"r:1","api":"p:2"}]}`,
+		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			if text, err := json.Marshal(test.value); err != nil || string(text) != test.want {
