--- /dev/null
+++ b/internal/store/api_test.go
@@ -0,0 +1,80 @@
+package store
+
+import (
+	"bytes"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"strings"
+	"testing"
+)
+
+// requireRate keeps plans without a rate out of the log.
+func requireRate(key string, value json.RawMessage) error {
+	if strings.HasPrefix(key, "plans/") && !bytes.Contains(value, []byte("rate")) {
+		return errors.New("a plan without a rate")
+	}
+	return nil
+}
+
+func TestAPI_AnyReplicaServesWritesAndReads(t *testing.T) {
+	c := newCluster(t, requireRate)
+	for n, writer := range c.peers {
+		c.write(writer.ID, "k"+writer.ID, fmt.Sprint(n))
+		for _, reader := range c.peers { // what was written is seen everywhere at once
+			status, text := c.call(reader.ID, "GET", "/v1/kv/k"+writer.ID, "")
+			if status != 200 || !strings.Contains(text, fmt.Sprintf(`"value":%d`, n)) {
+				t.Errorf("written at %s, read at %s: %d %s", writer.ID, reader.ID, status, text)
+			}
+		}
+	}
+	for _, test := range []struct {
+		method, path, body string
+		status             int
+		want               string
+	}{
+		{method: "GET", path: "/v1/kv/none", status: 404, want: "no key none"},
+		{method: "PUT", path: "/v1/kv/k", body: "{", status: 400, want: "no JSON"},
+		{method: "PUT", path: "/v1/kv/k", status: 400, want: "no value"},
+		{method: "PUT", path: "/v1/kv/plans/x", body: `{"burst":1}`, status: 422, want: "a plan without a rate"},
+		{method: "PUT", path: "/v1/kv/k?if=x", body: "1", status: 400, want: "no index"},
+		{method: "PUT", path: "/v1/kv/ka?if=0", body: "1", status: 409, want: "changed meanwhile"},
+		{method: "POST", path: "/v1/edits", body: "[", status: 400, want: "edits"},
+		{
+			method: "POST", path: "/v1/edits",
+			body:   `[{"key":"x","value":1},{"key":"plans/x","value":{}}]`,
+			status: 422, want: "refused",
+		},
+		{method: "POST", path: "/v1/peers", body: `{"id":"d"}`, status: 400, want: "no host and port"},
+		{method: "POST", path: "/v1/restore", body: "junk", status: 400, want: "no snapshot"},
+	} {
+		for _, peer := range c.peers {
+			status, text := c.call(peer.ID, test.method, test.path, test.body)
+			if status != test.status || !strings.Contains(text, test.want) {
+				t.Errorf("%s %s at %s: %d %s, want %d %s",
+					test.method, test.path, peer.ID, status, text, test.status, test.want)
+			}
+		}
+	}
+	c.converge()
+}
+
+func TestAPI_BackupAndRestore(t *testing.T) {
+	c := newCluster(t, nil)
+	c.write("a", "plans/x", "1")
+	c.write("b", "plans/y", "2")
+	_, backup := c.call("c", "GET", "/v1/backup", "")
+	c.write("c", "plans/x", "9")
+	c.write("c", "plans/z", "3")
+	if status, text := c.call("b", "POST", "/v1/restore", backup); status != 200 {
+		t.Fatal(status, text)
+	}
+	c.converge()
+	values := c.running["a"].ReadPrefix("plans/")
+	if len(values) != 2 || string(values["x"]) != "1" || string(values["y"]) != "2" {
+		t.Errorf("%s", values)
+	}
+	if status, _ := c.call("b", "POST", "/v1/restore", backup[:len(backup)-3]); status != 400 {
+		t.Errorf("a backup cut short: %d", status)
+	}
+}
