--- a/policy/retry.go
+++ b/policy/retry.go
@@ -2,8 +2,7 @@
 
 import "slices"
 
-// dispatch sends an attempt to the best backend, or gives the request up: the client may find capacity
-// elsewhere.
+// dispatch sends an attempt to the best backend, or gives up: the client may find capacity elsewhere.
 func (r *Request) dispatch(now int64) {
 	if r.class.CheckOnly {
 		r.withinQuota, r.hardQuotaUnits = false, 0 // nothing is sent, and what was counted stays
