--- a/cmd/fawnplank/dns.go
+++ b/cmd/fawnplank/dns.go
@@ -46,9 +46,9 @@
 		return nil
 	}
 	o := options(n.set.DNS)
-	o.Tell = n.tell
+	o.Publish = n.tell
 	if k != nil {
-		o.Shared = &dnsserver.Shared{Replica: k.Store}
+		o.Replicated = &dnsserver.ReplicatedZone{Replica: k.Store}
 	}
 	s, err := dnsserver.Start(o)
 	if err != nil {
@@ -68,7 +68,7 @@
 	if k != nil {
 		go func() {
 			for range n.news {
-				s.Changed()
+				s.StoreChanged()
 			}
 		}()
 		n.changed() // of what changed before there was somebody to tell
@@ -88,7 +88,7 @@
 
 func (n *names) whole() {
 	if s := n.now(); s != nil {
-		s.Whole()
+		s.PublishAll()
 	}
 }
 
@@ -104,8 +104,8 @@
 func (n *names) tell(come []dnszone.Backend, gone []string, whole bool) {
 	var all []discovery.Entry
 	for _, b := range come {
-		e := discovery.Entry{Name: b.Name, Address: b.Addresses[0].String(), Zone: b.Zone, Group: b.Group, Status: "up", Weight: b.Size,
-			SinceMs: float64(b.Started()) / 1e6}
+		e := discovery.Entry{Name: b.Name, Address: b.Addresses[0].String(), Zone: b.Zone, Group: b.Group, Status: "up", Weight: b.Weight,
+			SinceMs: float64(b.StartNanos()) / 1e6}
 		if b.Draining {
 			e.Status = "draining"
 		}
@@ -125,7 +125,7 @@
 }
 
 func options(d config.DNS) dnsserver.Options {
-	o := dnsserver.Options{Settings: d.Settings(), File: d.Zone, Journal: d.Journal, Listen: d.Listen, Rate: d.Rate, Notify: d.Notify}
+	o := dnsserver.Options{Settings: d.Settings(), ZoneFile: d.Zone, JournalFile: d.Journal, ListenAddress: d.Listen, MaxUpdatesPerSecond: d.Rate, Secondaries: d.Notify}
 	for _, k := range d.Keys {
 		o.Keys = append(o.Keys, k.Key)
 	}
@@ -137,7 +137,7 @@
 	if o.DNS.Zone == "" {
 		return nil
 	}
-	_, _, err := dnsserver.ReadFile(o.DNS.Zone, o.DNS.Settings())
+	_, _, err := dnsserver.ReadZoneFile(o.DNS.Zone, o.DNS.Settings())
 	return err
 }
 
@@ -159,9 +159,9 @@
 			}
 			of := options(o.DNS)
 			if api != "" {
-				of.Shared = &dnsserver.Shared{Replica: far{api}}
+				of.Replicated = &dnsserver.ReplicatedZone{Replica: far{api}}
 			}
-			z, source, err := dnsserver.InForce(of)
+			z, source, err := dnsserver.ReadInForce(of)
 			if err != nil {
 				return err
 			}
@@ -196,7 +196,7 @@
 					part.do([]dns.RR{rr})
 				}
 			}
-			return dnsserver.Send(m, at, k, 5*time.Second)
+			return dnsserver.SendUpdate(m, at, k, 5*time.Second)
 		}}
 	update.Flags().StringVar(&at, "at", "127.0.0.1:5353", "address of the front door's name server")
 	update.Flags().String("zone", "", "the zone's name")
@@ -235,21 +235,21 @@
 	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(w, "NAME\tADDRESSES\tSTATUS\tSIZE\tZONE\tGROUP\tSINCE\tFROM")
 	for _, b := range z.Backends() {
-		status, since, from := "up", "-", fmt.Sprintf("%s:%d", b.Born.File, b.Born.Line)
+		status, since, from := "up", "-", fmt.Sprintf("%s:%d", b.Provenance.File, b.Provenance.Line)
 		if b.Draining {
 			status = "draining"
 		}
-		if t := b.Started(); t > 0 {
+		if t := b.StartNanos(); t > 0 {
 			since = time.Unix(0, t).UTC().Format(time.RFC3339)
 		}
-		if b.Born.Key != "" {
-			from = "update by " + b.Born.Key
+		if b.Provenance.Key != "" {
+			from = "update by " + b.Provenance.Key
 		}
 		var at []string
 		for _, a := range b.Addresses {
 			at = append(at, a.String())
 		}
-		fmt.Fprintf(w, "%s\t%s\t%s\t%g\t%s\t%d\t%s\t%s, serial %d\n", b.Name, strings.Join(at, ","), status, b.Size, b.Zone, b.Group, since, from, b.Born.Serial)
+		fmt.Fprintf(w, "%s\t%s\t%s\t%g\t%s\t%d\t%s\t%s, serial %d\n", b.Name, strings.Join(at, ","), status, b.Weight, b.Zone, b.Group, since, from, b.Provenance.Serial)
 	}
 	return w.Flush()
 }
--- a/cmd/fawnplank/dns_test.go
+++ b/cmd/fawnplank/dns_test.go
@@ -73,7 +73,7 @@
 			m.Insert([]dns.RR{rr})
 		}
 	}
-	return dnsserver.Send(m, n.at, n.key, 2*time.Second)
+	return dnsserver.SendUpdate(m, n.at, n.key, 2*time.Second)
 }
 
 // inForce is the zone as the journal has it.
@@ -82,7 +82,7 @@
 	if err != nil {
 		return nil, err
 	}
-	z, _, err := dnsserver.InForce(options(o.DNS))
+	z, _, err := dnsserver.ReadInForce(options(o.DNS))
 	return z, err
 }
 
@@ -209,8 +209,8 @@
 				t.Fatal(err)
 			}
 			of := options(o.DNS)
-			of.Shared = &dnsserver.Shared{Replica: far{all[n].api}}
-			if zones[n], _, err = dnsserver.InForce(of); err != nil || zones[n] == nil {
+			of.Replicated = &dnsserver.ReplicatedZone{Replica: far{all[n].api}}
+			if zones[n], _, err = dnsserver.ReadInForce(of); err != nil || zones[n] == nil {
 				return false
 			}
 			a, _, err := new(dns.Client).Exchange(new(dns.Msg).SetQuestion("calc.example.", dns.TypeSOA), f.at)
--- a/cmd/fawnplank/store.go
+++ b/cmd/fawnplank/store.go
@@ -99,7 +99,7 @@
 	fullDisks()
 	edited := make(chan struct{}, 1)
 	o.Changed = func(keys []string) {
-		if slices.ContainsFunc(keys, func(k string) bool { return strings.HasPrefix(k, dnsserver.Keys) }) {
+		if slices.ContainsFunc(keys, func(k string) bool { return strings.HasPrefix(k, dnsserver.KeyPrefix) }) {
 			zone()
 		}
 		accounts(keys)
--- a/internal/dnsserver/answers.go
+++ b/internal/dnsserver/answers.go
@@ -28,8 +28,8 @@
 	}
 	r.Authoritative, r.Compress = true, true
 	for range 8 { // aliases: a loop ends here
-		r.Answer = append(r.Answer, z.Get(name, q.Qtype)...)
-		alias := z.Get(name, dns.TypeCNAME)
+		r.Answer = append(r.Answer, z.RRset(name, q.Qtype)...)
+		alias := z.RRset(name, dns.TypeCNAME)
 		if len(alias) == 0 || q.Qtype == dns.TypeCNAME || q.Qtype == dns.TypeANY {
 			break
 		}
@@ -37,10 +37,10 @@
 		name = alias[0].(*dns.CNAME).Target
 	}
 	if len(r.Answer) == 0 {
-		if len(z.Get(name, dns.TypeANY)) == 0 && !z.Holds(name) {
+		if len(z.RRset(name, dns.TypeANY)) == 0 && !z.HasDescendants(name) {
 			r.Rcode = dns.RcodeNameError
 		}
-		r.Ns = z.Get(z.Origin, dns.TypeSOA)
+		r.Ns = z.RRset(z.Origin, dns.TypeSOA)
 	}
 	size := plainUDP
 	if opt := m.IsEdns0(); opt != nil {
@@ -67,11 +67,11 @@
 		answer(w, new(dns.Msg).SetRcode(m, dns.RcodeRefused), t)
 		return
 	}
-	soa := z.Get(z.Origin, dns.TypeSOA)[0]
+	soa := z.RRset(z.Origin, dns.TypeSOA)[0]
 	rrs := append(z.Records(), soa)
 	if q.Qtype == dns.TypeIXFR && len(m.Ns) == 1 {
 		if theirs, ok := m.Ns[0].(*dns.SOA); ok {
-			if !dnszone.Newer(z.Serial(), theirs.Serial) {
+			if !dnszone.SerialNewer(z.Serial(), theirs.Serial) {
 				rrs = []dns.RR{soa}
 			} else if some := since(changes, theirs.Serial); some != nil {
 				rrs = append(append([]dns.RR{soa}, some...), soa)
@@ -101,10 +101,10 @@
 func since(changes []*dnszone.Change, serial uint32) (rrs []dns.RR) {
 	found := false
 	for _, c := range changes {
-		if found = found || c.From == serial; !found {
+		if found = found || c.FromSerial == serial; !found {
 			continue
 		}
-		for _, texts := range [][]string{c.Del, c.Add} {
+		for _, texts := range [][]string{c.Deleted, c.Added} {
 			var rest []dns.RR
 			for _, text := range texts {
 				rr, err := dns.NewRR(text)
@@ -144,7 +144,7 @@
 		}
 		var err error
 		for range 3 {
-			soa := s.asked.Load().Get(s.o.Settings.Origin, dns.TypeSOA)
+			soa := s.asked.Load().RRset(s.o.Settings.Origin, dns.TypeSOA)
 			m := new(dns.Msg).SetNotify(s.o.Settings.Origin)
 			m.Answer = soa
 			if _, _, err = c.Exchange(m, at); err == nil {
--- a/internal/dnsserver/dnsserver_test.go
+++ b/internal/dnsserver/dnsserver_test.go
@@ -85,18 +85,18 @@
 func start(t testing.TB, o Options) (*rig, error) {
 	t.Helper()
 	r := &rig{ear: &ear{}, o: o}
-	o.Settings, o.Listen, o.Tell = set, "127.0.0.1:0", r.ear.tell
+	o.Settings, o.ListenAddress, o.Publish = set, "127.0.0.1:0", r.ear.tell
 	if o.Keys == nil {
 		o.Keys = []Key{key, {"other.", dns.HmacSHA512, []byte("fedcba9876543210")}}
 	}
-	if o.Rate == 0 {
-		o.Rate = 10000
+	if o.MaxUpdatesPerSecond == 0 {
+		o.MaxUpdatesPerSecond = 10000
 	}
 	var err error
 	if r.Server, err = Start(o); err != nil {
 		return nil, err
 	}
-	r.guard = dnszone.NewGuard(o.Rate, time.Now().Add(-time.Minute).UnixNano()) // tests sign in the second of the start
+	r.guard = dnszone.NewReplayGuard(o.MaxUpdatesPerSecond, time.Now().Add(-time.Minute).UnixNano()) // tests sign in the second of the start
 	t.Cleanup(r.Close)
 	return r, nil
 }
@@ -104,8 +104,8 @@
 func folder(t testing.TB, file string) Options {
 	t.Helper()
 	dir := t.TempDir()
-	o := Options{File: filepath.Join(dir, "calc.zone"), Journal: filepath.Join(dir, "calc.journal")}
-	write(t, o.File, file)
+	o := Options{ZoneFile: filepath.Join(dir, "calc.zone"), JournalFile: filepath.Join(dir, "calc.journal")}
+	write(t, o.ZoneFile, file)
 	return o
 }
 
@@ -165,7 +165,7 @@
 }
 
 func signed(m *dns.Msg, k Key) *dns.Msg {
-	return m.SetTsig(k.Name, k.Algorithm, Fudge, time.Now().Unix())
+	return m.SetTsig(k.Name, k.Algorithm, FudgeSeconds, time.Now().Unix())
 }
 
 // Each message that is not to be followed is refused by its RCODE, and the list stands.
@@ -184,7 +184,7 @@
 		"unknown key":       {signed(withdraw(), stranger), stranger, dns.RcodeNotAuth, dns.RcodeBadKey},
 		"wrong secret":      {signed(withdraw(), wrong), wrong, dns.RcodeNotAuth, dns.RcodeBadSig},
 		"another algorithm": {signed(withdraw(), weak), weak, dns.RcodeNotAuth, dns.RcodeBadKey},
-		"long ago":          {withdraw().SetTsig(key.Name, key.Algorithm, Fudge, time.Now().Unix()-1000), key, dns.RcodeNotAuth, dns.RcodeBadTime},
+		"long ago":          {withdraw().SetTsig(key.Name, key.Algorithm, FudgeSeconds, time.Now().Unix()-1000), key, dns.RcodeNotAuth, dns.RcodeBadTime},
 		"long ago, said to be fresh": {withdraw().SetTsig(key.Name, key.Algorithm, 60000, time.Now().Unix()-1000), key, dns.RcodeNotAuth,
 			dns.RcodeBadTime},
 		"from the future":              {withdraw().SetTsig(key.Name, key.Algorithm, 60000, time.Now().Unix()+1000), key, dns.RcodeNotAuth, dns.RcodeBadTime},
@@ -295,7 +295,7 @@
 	}
 	r.Close()
 	r = must(t, o)
-	r.guard = dnszone.NewGuard(100, time.Now().UnixNano()) // as at a start
+	r.guard = dnszone.NewReplayGuard(100, time.Now().UnixNano()) // as at a start
 	if send(dial()) != dns.RcodeNotAuth || !r.ear.has("n1") {
 		t.Error("a replay was not refused after a restart")
 	}
@@ -320,10 +320,10 @@
 	do("-" + service + "n1.calc.example.")
 	do("-" + service + "n2.calc.example.")
 	is("two updates", 4294967292, 1)
-	write(t, o.File, text(4294967291, 3))
+	write(t, o.ZoneFile, text(4294967291, 3))
 	r.Reload()
 	is("a file that contradicts, with a lower serial", 4294967292, 1)
-	write(t, o.File, text(4294967295, 3)+"x MX 1 ns\n")
+	write(t, o.ZoneFile, text(4294967295, 3)+"x MX 1 ns\n")
 	r.Reload()
 	is("a faulty file", 4294967292, 1)
 	r.Close()
@@ -333,13 +333,13 @@
 		do(fmt.Sprintf("x%d.calc.example. A 127.9.9.%d", i, i+1))
 	}
 	is("the serial's wrap, which leaves 0 out", 1, 1)
-	write(t, o.File, text(4294967295, 3))
+	write(t, o.ZoneFile, text(4294967295, 3))
 	r.Reload()
 	is("a file from before the wrap", 1, 1)
-	write(t, o.File, text(2, 3))
+	write(t, o.ZoneFile, text(2, 3))
 	r.Reload()
 	is("a newer file", 2, 3)
-	if b := r.ear.list["n1.calc.example:7000"]; b.Started() == 0 || r.ear.list["n3.calc.example:7000"].Started() != 0 {
+	if b := r.ear.list["n1.calc.example:7000"]; b.StartNanos() == 0 || r.ear.list["n3.calc.example:7000"].StartNanos() != 0 {
 		t.Errorf("one that returned with the file is not new, or one that stayed is: %+v", r.ear.list)
 	}
 	r.Close()
@@ -359,14 +359,14 @@
 	r := must(t, o)
 	var sizes []int64
 	for n := 1; n <= 3; n++ {
-		info, _ := os.Stat(o.Journal)
+		info, _ := os.Stat(o.JournalFile)
 		sizes = append(sizes, info.Size())
 		if rcode, _ := r.ask(t, "udp", signed(change(t, fmt.Sprintf("-%sn%d.calc.example.", service, n)), key), key); rcode != 0 {
 			t.Fatal(rcode)
 		}
 	}
 	r.Close()
-	whole, err := os.ReadFile(o.Journal)
+	whole, err := os.ReadFile(o.JournalFile)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -381,31 +381,31 @@
 			if done == 3 && tail == "0000" {
 				continue
 			}
-			write(t, o.Journal, string(whole[:n])+tail)
-			s, err := readJournal(o.Journal, set)
+			write(t, o.JournalFile, string(whole[:n])+tail)
+			s, err := readJournal(o.JournalFile, set)
 			if err != nil || s.zone.Serial() != 7+uint32(done) || len(s.zone.Backends()) != 3-done {
 				t.Fatalf("cut at %d of %d: %v, %+v", n, len(whole), err, s)
 			}
 		}
 	}
-	write(t, o.Journal, string(whole[:sizes[2]+20])) // a torn line is cut off, and the next one stands whole behind
+	write(t, o.JournalFile, string(whole[:sizes[2]+20])) // a torn line is cut off, and the next one stands whole behind
 	r = must(t, o)
 	if rcode, _ := r.ask(t, "udp", signed(change(t, "-"+service+"n3.calc.example."), key), key); rcode != 0 {
 		t.Fatal(rcode)
 	}
 	r.Close()
-	if s, err := readJournal(o.Journal, set); err != nil || s.torn != 0 || len(s.changes) != 3 {
+	if s, err := readJournal(o.JournalFile, set); err != nil || s.torn != 0 || len(s.changes) != 3 {
 		t.Fatal(err, s)
 	}
 	for at, want := range map[int64]string{20: ".journal:1: the checksum", sizes[0] + 30: ".journal:2: the checksum", sizes[1] + 9: ".journal:3: "} {
 		bad := []byte(string(whole))
 		bad[at] ^= 4
-		write(t, o.Journal, string(bad))
+		write(t, o.JournalFile, string(bad))
 		if _, err := start(t, o); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("damage at %d: %v", at, err)
 		}
 	}
-	write(t, o.Journal, "")
+	write(t, o.JournalFile, "")
 	if _, err := start(t, o); err == nil {
 		t.Error("an empty journal was taken for none")
 	}
@@ -418,7 +418,7 @@
 	r := must(t, o)
 	good := r.journal.f
 	r.mu.Lock()
-	r.journal.f, _ = os.Open(o.Journal) // not for writing
+	r.journal.f, _ = os.Open(o.JournalFile) // not for writing
 	r.mu.Unlock()
 	m := signed(change(t, "-"+service+"n1.calc.example."), key)
 	if rcode, _ := r.ask(t, "udp", m.Copy(), key); rcode != dns.RcodeServerFailure || !r.ear.has("n1") || r.Serial() != 7 {
@@ -435,7 +435,7 @@
 // Floods: no more updates are done than are allowed, unsigned ones cost none of those, and memory is bounded.
 func TestFloods(t *testing.T) {
 	o := folder(t, text(7, 3))
-	o.Rate = 5
+	o.MaxUpdatesPerSecond = 5
 	r := must(t, o)
 	done, refused := 0, 0
 	began := time.Now()
@@ -461,17 +461,17 @@
 	if lines != 10 || skipped != 9*99 {
 		t.Errorf("%d log lines on a flood, which tell of %d more", lines, skipped)
 	}
-	g := dnszone.NewGuard(10, 0)
+	g := dnszone.NewReplayGuard(10, 0)
 	now := int64(1e12)
 	for n := range 50000 { // at one a tenth of a second: more than an hour
 		now += 1e8
-		by := dnszone.By{MAC: fmt.Sprint(n), Signed: now / 1e9}
-		if v, _ := g.Judge(by, "x", now); v != dnszone.Go {
+		by := dnszone.Signature{MAC: fmt.Sprint(n), SignedSeconds: now / 1e9}
+		if v, _ := g.Check(by, "x", now); v != dnszone.VerdictAccept {
 			t.Fatal(n, v)
 		}
-		g.Note(by, dnszone.Done{From: "x"}, now)
+		g.Record(by, dnszone.Outcome{Sender: "x"}, now)
 	}
-	if n := g.Remembers(); n > 10*dnszone.Window+11 {
+	if n := g.Len(); n > 10*dnszone.FudgeSeconds+11 {
 		t.Errorf("%d remembered", n)
 	}
 }
@@ -518,7 +518,7 @@
 	go ns.ActivateAndServe()
 	defer ns.Shutdown()
 	o := folder(t, text(7, 400)+"alias CNAME n1\n")
-	o.Notify = []string{secondary.LocalAddr().String()}
+	o.Secondaries = []string{secondary.LocalAddr().String()}
 	r := must(t, o)
 	for _, x := range []struct {
 		name    string
@@ -656,16 +656,16 @@
 			}
 		}()
 		o := folder(t, text(7, 2))
-		o.Shared = &Shared{x}
+		o.Replicated = &ReplicatedZone{x}
 		r := must(t, o)
 		x.mu.Lock()
-		x.news = func() { go r.Changed() } // it waits for updates that wait for this replica
+		x.news = func() { go r.StoreChanged() } // it waits for updates that wait for this replica
 		x.mu.Unlock()
 		rigs = append(rigs, r)
 	}
 	if none := must(t, func() Options {
 		o := folder(t, text(7, 2))
-		o.Shared = &Shared{&replica{of: &replicas{cut: true}, kv: kv.New()}}
+		o.Replicated = &ReplicatedZone{&replica{of: &replicas{cut: true}, kv: kv.New()}}
 		return o
 	}()); none.Serial() != 0 || none.ear.size() != 0 { // its figures are asked for before there is a leader
 		t.Error("a list without the store: ", none.ear.list)
@@ -709,7 +709,7 @@
 	if !same(52, 47)() {
 		t.Error("done without a leader")
 	}
-	write(t, rigs[1].o.File, text(90, 4)) // a newer file at one replica is every replica's
+	write(t, rigs[1].o.ZoneFile, text(90, 4)) // a newer file at one replica is every replica's
 	rigs[1].Reload()
 	wait(t, "the file at all three", same(90, 4))
 	for n := range mostShared + 20 { // the changes are written together on the way
@@ -718,11 +718,11 @@
 		}
 	}
 	wait(t, "many changes at all three", same(90+mostShared+20, 4))
-	h, _, _ := rigs[0].o.Shared.head()
+	h, _, _ := rigs[0].o.Replicated.head()
 	if h.Changes > mostShared || h.Base == 90 {
 		t.Errorf("%+v: the changes were never written together", h)
 	}
-	if s, err := rigs[2].o.Shared.Load(set); err != nil || s.zone.Serial() != 90+mostShared+20 {
+	if s, err := rigs[2].o.Replicated.Load(set); err != nil || s.zone.Serial() != 90+mostShared+20 {
 		t.Error(err)
 	}
 }
@@ -770,7 +770,7 @@
 
 func BenchmarkUpdatesBySocket(b *testing.B) {
 	r := must(b, folder(b, text(7, 1000)))
-	r.guard = dnszone.NewGuard(1e9, 0)
+	r.guard = dnszone.NewReplayGuard(1e9, 0)
 	r.allowed.rate = 1e9
 	n := 0
 	for b.Loop() {
--- a/internal/dnsserver/journal.go
+++ b/internal/dnsserver/journal.go
@@ -111,7 +111,7 @@
 			if err := json.Unmarshal(body, c); err != nil {
 				return fail(err)
 			}
-			step, err := s.zone.Again(c)
+			step, err := s.zone.Apply(c)
 			if err != nil {
 				return fail(err)
 			}
--- a/internal/dnsserver/server.go
+++ b/internal/dnsserver/server.go
@@ -26,16 +26,16 @@
 // Options are what a server is started with.
 type Options struct {
 	Settings dnszone.Settings
-	File     string  // the zone file
-	Journal  string  // where what is in force is kept; empty: nowhere, and there are no updates
-	Listen   string  // UDP and TCP; empty: nowhere
+	ZoneFile     string  // the zone file
+	JournalFile  string  // where what is in force is kept; empty: nowhere, and there are no updates
+	ListenAddress   string  // UDP and TCP; empty: nowhere
 	Keys     []Key   // that may update and transfer
-	Rate     float64 // updates a second at most
-	Notify   []string
-	Shared   *Shared // where set, updates land in all replicas or in none
-	// Tell is told of every change to the list, before its update is answered, one at a time: entries new and changed, and
+	MaxUpdatesPerSecond     float64 // updates a second at most
+	Secondaries   []string
+	Replicated   *ReplicatedZone // where set, updates land in all replicas or in none
+	// Publish is told of every change to the list, before its update is answered, one at a time: entries new and changed, and
 	// the names of those gone; whole: the list is these alone.
-	Tell func(come []dnszone.Backend, gone []string, whole bool)
+	Publish func(come []dnszone.Backend, gone []string, whole bool)
 }
 
 const (
@@ -58,7 +58,7 @@
 	sum     string
 	changes []*dnszone.Change // since the journal's snapshot, for IXFR
 	journal *journal
-	guard   *dnszone.Guard
+	guard   *dnszone.ReplayGuard
 	news    []chan struct{} // for each secondary: the serial has changed
 
 	asked   atomic.Pointer[dnszone.Zone] // the zone in force, for queries: they do not wait for what an update waits for
@@ -104,14 +104,14 @@
 		return nil, err
 	}
 	s = &Server{o: o, keys: keyring{}, busy: make(chan struct{}, mostOpen), stop: make(chan struct{}),
-		allowed: &allowance{rate: mostMessages * max(o.Rate, 1)}}
+		allowed: &allowance{rate: mostMessages * max(o.MaxUpdatesPerSecond, 1)}}
 	for _, k := range o.Keys {
 		s.keys[k.Name] = k
 	}
 	now := time.Now().UnixNano()
-	s.guard = dnszone.NewGuard(o.Rate, now)
-	if o.Journal != "" && o.Shared == nil {
-		s.journal, err = lockJournal(o.Journal)
+	s.guard = dnszone.NewReplayGuard(o.MaxUpdatesPerSecond, now)
+	if o.JournalFile != "" && o.Replicated == nil {
+		s.journal, err = lockJournal(o.JournalFile)
 	}
 	waits := errors.Is(err, errBusy)
 	if err != nil && !waits {
@@ -120,7 +120,7 @@
 	s.mu.Lock()
 	err = s.load(now)
 	s.mu.Unlock()
-	if o.Shared != nil && (errors.Is(err, errBehind) || errors.Is(err, errNoStore)) {
+	if o.Replicated != nil && (errors.Is(err, errBehind) || errors.Is(err, errNoStore)) {
 		go s.begin()
 		return s, nil
 	}
@@ -148,7 +148,7 @@
 			return
 		case <-time.After(takeOver):
 		}
-		j, err := lockJournal(s.o.Journal)
+		j, err := lockJournal(s.o.JournalFile)
 		s.mu.Lock()
 		if err == nil {
 			s.journal = j
@@ -176,12 +176,12 @@
 	var kept *state
 	var err error
 	switch {
-	case s.o.Shared != nil:
-		if kept, err = s.o.Shared.Load(s.o.Settings); err != nil {
+	case s.o.Replicated != nil:
+		if kept, err = s.o.Replicated.Load(s.o.Settings); err != nil {
 			return err
 		}
-	case s.o.Journal != "":
-		if kept, err = readJournal(s.o.Journal, s.o.Settings); err != nil && !errors.Is(err, os.ErrNotExist) {
+	case s.o.JournalFile != "":
+		if kept, err = readJournal(s.o.JournalFile, s.o.Settings); err != nil && !errors.Is(err, os.ErrNotExist) {
 			return err
 		}
 		if kept != nil && kept.torn > 0 && s.journal != nil {
@@ -192,8 +192,8 @@
 		if ferr != nil {
 			return ferr
 		}
-		if s.o.Shared != nil {
-			if err := s.o.Shared.Begin(file, sum); err != nil && !errors.Is(err, errBehind) {
+		if s.o.Replicated != nil {
+			if err := s.o.Replicated.Begin(file, sum); err != nil && !errors.Is(err, errBehind) {
 				return fmt.Errorf("%w: %w", errNoStore, err)
 			} else if err != nil {
 				return err
@@ -229,33 +229,33 @@
 	s.zone, s.sum, s.changes = now.zone, now.sum, now.changes
 	s.asked.Store(s.zone)
 	for _, c := range now.changes {
-		s.guard.Note(c.By, dnszone.Done{}, c.At)
+		s.guard.Record(c.Signature, dnszone.Outcome{}, c.AtNanos)
 	}
 	if whole || old == nil {
-		s.o.Tell(s.zone.Backends(), nil, true)
+		s.o.Publish(s.zone.Backends(), nil, true)
 	} else if come, gone := dnszone.Diff(old, s.zone); len(come)+len(gone) > 0 {
-		s.o.Tell(come, gone, false)
+		s.o.Publish(come, gone, false)
 	}
 	s.announce()
 }
 
 // adopt takes a file just read in the place of the zone in force, if its serial is newer. The lock is held.
 func (s *Server) adopt(file *dnszone.Zone, sum string, now int64) {
-	log := logging.For("dns").WithField("file", s.o.File).WithField("serial", file.Serial()).WithField("in_force", s.zone.Serial())
+	log := logging.For("dns").WithField("file", s.o.ZoneFile).WithField("serial", file.Serial()).WithField("in_force", s.zone.Serial())
 	if sum == s.sum {
 		return
 	}
-	if !dnszone.Newer(file.Serial(), s.zone.Serial()) {
+	if !dnszone.SerialNewer(file.Serial(), s.zone.Serial()) {
 		log.Error("the zone file was changed, and its serial is not newer than that in force: it is not taken")
 		return
 	}
-	next := file.Follow(s.zone, now)
+	next := file.Replacing(s.zone, now)
 	var err error
-	if s.o.Shared != nil {
-		err = s.o.Shared.Adopt(s.zone, next, sum)
+	if s.o.Replicated != nil {
+		err = s.o.Replicated.Adopt(s.zone, next, sum)
 	} else if s.journal != nil {
 		err = s.journal.begin(next, sum)
-	} else if s.o.Journal != "" {
+	} else if s.o.JournalFile != "" {
 		err = errBusy
 	}
 	if err != nil {
@@ -267,12 +267,12 @@
 }
 
 func (s *Server) readFile() (*dnszone.Zone, string, error) {
-	z, text, err := ReadFile(s.o.File, s.o.Settings)
+	z, text, err := ReadZoneFile(s.o.ZoneFile, s.o.Settings)
 	return z, fmt.Sprintf("%016x", xxhash.Sum64(text)), err
 }
 
-// ReadFile reads a zone file; errors name file and line.
-func ReadFile(path string, set dnszone.Settings) (*dnszone.Zone, []byte, error) {
+// ReadZoneFile reads a zone file; errors name file and line.
+func ReadZoneFile(path string, set dnszone.Settings) (*dnszone.Zone, []byte, error) {
 	info, err := os.Stat(path)
 	if err != nil {
 		return nil, nil, err
@@ -288,18 +288,18 @@
 	return z, text, err
 }
 
-// InForce reads what is in force, beside a server that may run: the store's, the journal's or the file's.
-func InForce(o Options) (z *dnszone.Zone, source string, err error) {
+// ReadInForce reads what is in force, beside a server that may run: the store's, the journal's or the file's.
+func ReadInForce(o Options) (z *dnszone.Zone, source string, err error) {
 	if o.Settings, err = o.Settings.Canonical(); err != nil {
 		return nil, "", err
 	}
 	var kept *state
-	if o.Shared != nil {
+	if o.Replicated != nil {
 		source = "the store"
-		kept, err = o.Shared.Load(o.Settings)
-	} else if o.Journal != "" {
-		source = o.Journal
-		if kept, err = readJournal(o.Journal, o.Settings); errors.Is(err, os.ErrNotExist) {
+		kept, err = o.Replicated.Load(o.Settings)
+	} else if o.JournalFile != "" {
+		source = o.JournalFile
+		if kept, err = readJournal(o.JournalFile, o.Settings); errors.Is(err, os.ErrNotExist) {
 			err = nil
 		}
 	}
@@ -309,13 +309,13 @@
 		}
 		return kept.zone, source, err
 	}
-	z, _, err = ReadFile(o.File, o.Settings)
-	return z, o.File, err
+	z, _, err = ReadZoneFile(o.ZoneFile, o.Settings)
+	return z, o.ZoneFile, err
 }
 
-// Send sends one update, signed, by TCP, and gives an error unless it was done.
-func Send(m *dns.Msg, at string, k Key, within time.Duration) error {
-	m.SetTsig(k.Name, k.Algorithm, Fudge, time.Now().Unix())
+// SendUpdate sends one update, signed, by TCP, and gives an error unless it was done.
+func SendUpdate(m *dns.Msg, at string, k Key, within time.Duration) error {
+	m.SetTsig(k.Name, k.Algorithm, FudgeSeconds, time.Now().Unix())
 	c := dns.Client{Net: "tcp", Timeout: within, TsigProvider: keyring{k.Name: k}}
 	r, _, err := c.Exchange(m, at)
 	if r != nil && r.Rcode != dns.RcodeSuccess {
@@ -342,14 +342,14 @@
 	s.adopt(file, sum, time.Now().UnixNano())
 }
 
-// Whole tells the whole list again.
-func (s *Server) Whole() {
+// PublishAll tells the whole list again.
+func (s *Server) PublishAll() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.zone == nil {
 		return
 	}
-	s.o.Tell(s.zone.Backends(), nil, true)
+	s.o.Publish(s.zone.Backends(), nil, true)
 }
 
 // Serial is that in force; 0: the store has not taken the zone yet. It does not wait for an update under way.
@@ -368,17 +368,17 @@
 }
 
 func (s *Server) listen() error {
-	if s.o.Listen == "" {
+	if s.o.ListenAddress == "" {
 		return nil
 	}
 	var packets net.PacketConn
-	l, err := net.Listen("tcp", s.o.Listen)
+	l, err := net.Listen("tcp", s.o.ListenAddress)
 	if err != nil {
 		return err
 	}
 	if packets, err = net.ListenPacket("udp", l.Addr().String()); err != nil {
 		l.Close()
-		if _, port, _ := net.SplitHostPort(s.o.Listen); port == "0" { // taken by somebody's socket: another one will do
+		if _, port, _ := net.SplitHostPort(s.o.ListenAddress); port == "0" { // taken by somebody's socket: another one will do
 			return s.listen()
 		}
 		return err
@@ -401,7 +401,7 @@
 	}
 	s.at = packets.LocalAddr().String()
 	logging.For("dns").WithField(logging.Address, s.at).WithField("zone", s.o.Settings.Origin).Info("listens")
-	for _, at := range s.o.Notify {
+	for _, at := range s.o.Secondaries {
 		news := make(chan struct{}, 1)
 		s.news = append(s.news, news)
 		go s.notify(at, news)
@@ -528,22 +528,22 @@
 // answer sends an answer, signed where the question was.
 func answer(w dns.ResponseWriter, r *dns.Msg, t *dns.TSIG) {
 	if t != nil {
-		r.SetTsig(t.Hdr.Name, t.Algorithm, Fudge, time.Now().Unix())
+		r.SetTsig(t.Hdr.Name, t.Algorithm, FudgeSeconds, time.Now().Unix())
 	}
 	if err := w.WriteMsg(r); err != nil {
 		logging.For("dns").WithError(err).Debug("answer")
 	}
 }
 
-// Fudge is by how many seconds the other side's clock may differ for an answer of ours.
-const Fudge = dnszone.Window
+// FudgeSeconds is by how many seconds the other side's clock may differ for an answer of ours.
+const FudgeSeconds = dnszone.FudgeSeconds
 
 // unsigned answers what is not signed as it should be (RFC 8945, 5.2): NOTAUTH with the error's own number.
 func (s *Server) unsigned(w dns.ResponseWriter, m *dns.Msg, t *dns.TSIG, err error) {
 	s.figures.unsigned.Add(1)
 	s.refuse(w, t, err, "a message that is not signed as it should be is refused")
 	r := new(dns.Msg).SetRcode(m, dns.RcodeNotAuth)
-	r.SetTsig(t.Hdr.Name, t.Algorithm, Fudge, int64(t.TimeSigned))
+	r.SetTsig(t.Hdr.Name, t.Algorithm, FudgeSeconds, int64(t.TimeSigned))
 	x := r.IsTsig()
 	switch {
 	case errors.Is(err, dns.ErrTime):
@@ -560,47 +560,47 @@
 
 // update does an update: judged, written to last, told to the decisions, and answered then.
 func (s *Server) update(w dns.ResponseWriter, m *dns.Msg, t *dns.TSIG) {
-	by := dnszone.By{Key: dns.CanonicalName(t.Hdr.Name), Signed: int64(t.TimeSigned), MAC: t.MAC}
+	by := dnszone.Signature{KeyName: dns.CanonicalName(t.Hdr.Name), SignedSeconds: int64(t.TimeSigned), MAC: t.MAC}
 	from := w.RemoteAddr().String()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now().UnixNano()
-	verdict, done := s.guard.Judge(by, from, now)
+	verdict, done := s.guard.Check(by, from, now)
 	switch verdict {
-	case dnszone.Replay:
+	case dnszone.VerdictReplay:
 		s.unsigned(w, m, t, dns.ErrTime)
 		return
-	case dnszone.Flood:
+	case dnszone.VerdictRateLimited:
 		s.figures.flooded.Add(1)
-		s.refuse(w, t, fmt.Errorf("more than %g updates a second", s.o.Rate), "updates are refused for their number")
+		s.refuse(w, t, fmt.Errorf("more than %g updates a second", s.o.MaxUpdatesPerSecond), "updates are refused for their number")
 		answer(w, new(dns.Msg).SetRcode(m, dns.RcodeRefused), t)
 		return
-	case dnszone.Go:
-		done = dnszone.Done{From: from, Rcode: s.perform(w, m, t, by, now)}
+	case dnszone.VerdictAccept:
+		done = dnszone.Outcome{Sender: from, Rcode: s.perform(w, m, t, by, now)}
 		if done.Rcode != dns.RcodeServerFailure { // which may be asked again as it is
-			s.guard.Note(by, done, now)
+			s.guard.Record(by, done, now)
 		}
 	}
 	answer(w, new(dns.Msg).SetRcode(m, done.Rcode), t)
 }
 
 // perform gives the RCODE. The lock is held.
-func (s *Server) perform(w dns.ResponseWriter, m *dns.Msg, t *dns.TSIG, by dnszone.By, now int64) int {
+func (s *Server) perform(w dns.ResponseWriter, m *dns.Msg, t *dns.TSIG, by dnszone.Signature, now int64) int {
 	if m.Truncated {
 		return dns.RcodeFormatError
 	}
-	if s.journal == nil && s.o.Shared == nil {
+	if s.journal == nil && s.o.Replicated == nil {
 		return dns.RcodeRefused
 	}
 	judge := func() (*dnszone.Step, error) { return s.zone.Update(m, now, by) }
 	var step *dnszone.Step
 	var err error
-	if s.o.Shared != nil {
+	if s.o.Replicated != nil {
 		step, err = s.share(judge)
 	} else if step, err = judge(); err == nil && step.Change != nil {
 		err = s.journal.add(step.Change)
 	}
-	var refusal *dnszone.Refusal
+	var refusal *dnszone.UpdateError
 	if errors.As(err, &refusal) {
 		s.figures.refused.Add(1)
 		s.refuse(w, t, err, "update refused")
@@ -616,7 +616,7 @@
 	}
 	s.figures.done.Add(1)
 	s.step(step)
-	s.log(w, t).WithField("serial", step.Zone.Serial()).WithField("come", len(step.Come)).WithField("gone", len(step.Gone)).Info("update")
+	s.log(w, t).WithField("serial", step.Zone.Serial()).WithField("come", len(step.Updated)).WithField("gone", len(step.Removed)).Info("update")
 	return dns.RcodeSuccess
 }
 
@@ -624,18 +624,18 @@
 func (s *Server) step(step *dnszone.Step) {
 	s.zone, s.changes = step.Zone, append(s.changes, step.Change)
 	s.asked.Store(s.zone)
-	if len(step.Come)+len(step.Gone) > 0 {
-		s.o.Tell(step.Come, step.Gone, false)
+	if len(step.Updated)+len(step.Removed) > 0 {
+		s.o.Publish(step.Updated, step.Removed, false)
 	}
-	if len(step.Gone) > 0 && s.zone.Size() == 0 {
+	if len(step.Removed) > 0 && s.zone.BackendCount() == 0 {
 		logging.For("dns").Error("the last backend is withdrawn: transactions are dismissed until an update or a zone file brings one")
 	}
 	var err error
 	switch {
 	case s.journal != nil && s.journal.lines >= mostChanges:
 		err = s.journal.begin(s.zone, s.sum)
-	case s.o.Shared != nil && s.o.Shared.Full():
-		if err = s.o.Shared.Adopt(s.zone, s.zone, s.sum); errors.Is(err, errBehind) {
+	case s.o.Replicated != nil && s.o.Replicated.Full():
+		if err = s.o.Replicated.Adopt(s.zone, s.zone, s.sum); errors.Is(err, errBehind) {
 			err = nil // another replica was quicker, or the next change finds it full
 		}
 	}
--- a/internal/dnsserver/shared.go
+++ b/internal/dnsserver/shared.go
@@ -20,17 +20,17 @@
 	Edit(edits []kv.Edit) error
 }
 
-// Shared keeps the zone in the replicated store, in place of a journal: a head, the snapshot that it names in pieces,
+// ReplicatedZone keeps the zone in the replicated store, in place of a journal: a head, the snapshot that it names in pieces,
 // and a change a key, by the serial before it. Each write asks for the head as it was seen: an update that another
 // one was quicker than is judged anew, and lands everywhere or nowhere.
-type Shared struct{ Replica }
+type ReplicatedZone struct{ Replica }
 
-// Keys of the store.
+// KeyPrefix of the store.
 const (
-	Keys      = "dns/" // all of the zone's begin so
-	headKey   = Keys + "head"
-	baseKey   = Keys + "base/"
-	changeKey = Keys + "change/"
+	KeyPrefix      = "dns/" // all of the zone's begin so
+	headKey   = KeyPrefix + "head"
+	baseKey   = KeyPrefix + "base/"
+	changeKey = KeyPrefix + "change/"
 )
 
 type head struct {
@@ -51,7 +51,7 @@
 // errBehind says that this replica, or this server, has yet to hear of a change that landed.
 var errBehind = errors.New("a change landed that is not heard of here yet")
 
-func (s *Shared) head() (h head, index kv.Index, err error) {
+func (s *ReplicatedZone) head() (h head, index kv.Index, err error) {
 	e, ok := s.ReadLocal(headKey)
 	if !ok {
 		return h, 0, nil
@@ -64,7 +64,7 @@
 func changeAt(serial uint32) string { return fmt.Sprintf("%s%08x", changeKey, serial) }
 
 // Load reads what this replica has; nil where that is nothing.
-func (s *Shared) Load(set dnszone.Settings) (*state, error) {
+func (s *ReplicatedZone) Load(set dnszone.Settings) (*state, error) {
 	h, index, err := s.head()
 	if err != nil || index == 0 {
 		return nil, err
@@ -106,7 +106,7 @@
 }
 
 // next does the change that follows a zone, where there is one.
-func (s *Shared) next(z *dnszone.Zone) (*dnszone.Step, *dnszone.Change, error) {
+func (s *ReplicatedZone) next(z *dnszone.Zone) (*dnszone.Step, *dnszone.Change, error) {
 	e, ok := s.ReadLocal(changeAt(z.Serial()))
 	if !ok {
 		return nil, nil, nil
@@ -115,7 +115,7 @@
 	if err := json.Unmarshal(e.Value, c); err != nil {
 		return nil, nil, fmt.Errorf("store: %s: %w", changeAt(z.Serial()), err)
 	}
-	step, err := z.Again(c)
+	step, err := z.Apply(c)
 	if err != nil {
 		return nil, nil, fmt.Errorf("store: %w", err)
 	}
@@ -123,10 +123,10 @@
 }
 
 // Begin writes a zone where there is none yet.
-func (s *Shared) Begin(z *dnszone.Zone, sum string) error { return s.base(z, sum, head{}, 0) }
+func (s *ReplicatedZone) Begin(z *dnszone.Zone, sum string) error { return s.base(z, sum, head{}, 0) }
 
 // Adopt writes a zone whole in the place of one.
-func (s *Shared) Adopt(old, z *dnszone.Zone, sum string) error {
+func (s *ReplicatedZone) Adopt(old, z *dnszone.Zone, sum string) error {
 	h, index, err := s.head()
 	if err == nil && h.Serial != old.Serial() {
 		err = errBehind
@@ -137,7 +137,7 @@
 	return s.base(z, sum, h, index)
 }
 
-func (s *Shared) base(z *dnszone.Zone, sum string, old head, index kv.Index) error {
+func (s *ReplicatedZone) base(z *dnszone.Zone, sum string, old head, index kv.Index) error {
 	text, err := json.Marshal(base{journalFormat, z.Origin, z.Service, sum, z.Snapshot()})
 	if err != nil {
 		return err
@@ -154,7 +154,7 @@
 			return errBehind
 		}
 		edits = append(edits, kv.Edit{Key: changeAt(serial)})
-		serial = c.To
+		serial = c.ToSerial
 	}
 	for ; len(text) > 0; now.Pieces++ {
 		n := min(len(text), piece)
@@ -176,7 +176,7 @@
 }
 
 // write lands edits with a new head, if the head is still of the index given.
-func (s *Shared) write(h head, index kv.Index, edits []kv.Edit) error {
+func (s *ReplicatedZone) write(h head, index kv.Index, edits []kv.Edit) error {
 	value, err := json.Marshal(h)
 	if err != nil {
 		return err
@@ -190,9 +190,9 @@
 }
 
 // Add lands a change that follows the head.
-func (s *Shared) Add(c *dnszone.Change) error {
+func (s *ReplicatedZone) Add(c *dnszone.Change) error {
 	h, index, err := s.head()
-	if err == nil && h.Serial != c.From {
+	if err == nil && h.Serial != c.FromSerial {
 		err = errBehind
 	}
 	if err != nil {
@@ -202,18 +202,18 @@
 	if err != nil {
 		return err
 	}
-	h.Serial, h.Changes = c.To, h.Changes+1
-	return s.write(h, index, []kv.Edit{{Key: changeAt(c.From), Value: value}})
+	h.Serial, h.Changes = c.ToSerial, h.Changes+1
+	return s.write(h, index, []kv.Edit{{Key: changeAt(c.FromSerial), Value: value}})
 }
 
 // Full says that the changes are to be written together.
-func (s *Shared) Full() bool {
+func (s *ReplicatedZone) Full() bool {
 	h, _, err := s.head()
 	return err == nil && h.Changes >= mostShared
 }
 
-// Changed is to be called when a key of the zone's has changed in the store: it goes on to what the store has.
-func (s *Server) Changed() {
+// StoreChanged is to be called when a key of the zone's has changed in the store: it goes on to what the store has.
+func (s *Server) StoreChanged() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.zone == nil { // it has not begun: begin tries again
@@ -226,7 +226,7 @@
 
 // catchUp goes on to what this replica has. The lock is held.
 func (s *Server) catchUp() error {
-	shared := s.o.Shared
+	shared := s.o.Replicated
 	for {
 		step, _, err := shared.next(s.zone)
 		if err != nil {
@@ -235,11 +235,11 @@
 		if step == nil {
 			break
 		}
-		s.guard.Note(step.Change.By, dnszone.Done{}, step.Change.At)
+		s.guard.Record(step.Change.Signature, dnszone.Outcome{}, step.Change.AtNanos)
 		s.step(step)
 	}
 	h, index, err := shared.head()
-	if err != nil || index == 0 || h.Serial == s.zone.Serial() || !dnszone.Newer(h.Serial, s.zone.Serial()) {
+	if err != nil || index == 0 || h.Serial == s.zone.Serial() || !dnszone.SerialNewer(h.Serial, s.zone.Serial()) {
 		return err // also where this server is ahead: its own change is on the way to this replica
 	}
 	now, err := shared.Load(s.o.Settings)
@@ -257,7 +257,7 @@
 		if err != nil || step.Change == nil {
 			return step, err
 		}
-		if err = s.o.Shared.Add(step.Change); !errors.Is(err, errBehind) || time.Now().After(end) {
+		if err = s.o.Replicated.Add(step.Change); !errors.Is(err, errBehind) || time.Now().After(end) {
 			return step, err
 		}
 		if err := s.catchUp(); err != nil && !errors.Is(err, errBehind) {
--- a/internal/dnsserver/version0_test.go
+++ b/internal/dnsserver/version0_test.go
@@ -47,25 +47,25 @@
 		t.Fatalf("backends %q", names)
 	}
 	old, fresh := list["n2.calc.example:7000"], list["m1.calc.example:7000"]
-	if want := (dnszone.Born{File: "calc.zone", Line: 8, Serial: 7}); old.Born != want || old.Stated != 1790000000000e6 || old.Zone != "north" || old.Group != 3 {
+	if want := (dnszone.Provenance{File: "calc.zone", Line: 8, Serial: 7}); old.Provenance != want || old.StatedStartNanos != 1790000000000e6 || old.Zone != "north" || old.Group != 3 {
 		t.Errorf("of the file: %+v", old)
 	}
 	if len(s.changes) != 2 {
 		t.Fatalf("%d changes", len(s.changes))
 	}
 	come, gone := s.changes[0], s.changes[1]
-	if want := (dnszone.Born{Started: come.At, Key: "deploy.", Serial: 8}); fresh.Born != want {
+	if want := (dnszone.Provenance{StartNanos: come.AtNanos, Key: "deploy.", Serial: 8}); fresh.Provenance != want {
 		t.Errorf("of the update: %+v", fresh)
 	}
-	if come.From != 7 || come.To != 8 || len(come.Add) != 3 || len(come.Del) != 1 || gone.From != 8 || gone.To != 9 || len(gone.Del) != 2 {
+	if come.FromSerial != 7 || come.ToSerial != 8 || len(come.Added) != 3 || len(come.Deleted) != 1 || gone.FromSerial != 8 || gone.ToSerial != 9 || len(gone.Deleted) != 2 {
 		t.Errorf("changes %+v and %+v", come, gone)
 	}
-	if !slices.ContainsFunc(gone.Del, func(x string) bool { return strings.Contains(x, "n1.calc.example.") }) {
-		t.Errorf("what went: %q", gone.Del)
+	if !slices.ContainsFunc(gone.Deleted, func(x string) bool { return strings.Contains(x, "n1.calc.example.") }) {
+		t.Errorf("what went: %q", gone.Deleted)
 	}
 	for _, c := range s.changes {
-		if c.By.Key != "deploy." || len(c.By.MAC) != 64 || c.By.Signed*1e9 > c.At || c.At-c.By.Signed*1e9 > 10e9 {
-			t.Errorf("by %+v at %d", c.By, c.At)
+		if c.Signature.KeyName != "deploy." || len(c.Signature.MAC) != 64 || c.Signature.SignedSeconds*1e9 > c.AtNanos || c.AtNanos-c.Signature.SignedSeconds*1e9 > 10e9 {
+			t.Errorf("by %+v at %d", c.Signature, c.AtNanos)
 		}
 	}
 }
@@ -76,7 +76,7 @@
 		dir := t.TempDir()
 		t.Chdir(dir) // what the journal says of the file holds no path then
 		write(t, "calc.zone", version0File)
-		r := must(t, Options{File: "calc.zone", Journal: "calc.journal"})
+		r := must(t, Options{ZoneFile: "calc.zone", JournalFile: "calc.journal"})
 		version0Updates(t, r)
 		r.Close()
 		if err := os.Rename("calc.journal", path); err != nil {
@@ -131,7 +131,7 @@
 	path := version0Journal(t)
 	t.Chdir(filepath.Dir(path))
 	write(t, "calc.zone", version0File)
-	r := must(t, Options{File: "calc.zone", Journal: "calc.journal"})
+	r := must(t, Options{ZoneFile: "calc.zone", JournalFile: "calc.journal"})
 	if r.Serial() != 9 || r.ear.size() != 2 || r.ear.has("n1") || !r.ear.has("m1") {
 		t.Errorf("serial %d, %v", r.Serial(), r.ear.list)
 	}
@@ -165,7 +165,7 @@
 		t.Chdir(dir)
 		write(t, "calc.zone", version0File)
 		d := &direct{kv: kv.New()}
-		r := must(t, Options{File: "calc.zone", Shared: &Shared{d}})
+		r := must(t, Options{ZoneFile: "calc.zone", Replicated: &ReplicatedZone{d}})
 		version0Updates(t, r)
 		r.Close()
 		text, err := d.kv.Snapshot()
@@ -187,7 +187,7 @@
 	if keys := stored.Keys(""); fmt.Sprint(keys) != "[dns/base/00000007/0 dns/change/00000007 dns/change/00000008 dns/head]" {
 		t.Errorf("keys %q", keys)
 	}
-	shared := &Shared{&direct{kv: stored, at: stored.At()}}
+	shared := &ReplicatedZone{&direct{kv: stored, at: stored.At()}}
 	if h, _, err := shared.head(); err != nil || h != (head{Serial: 9, Base: 7, Pieces: 1, Changes: 2, Sum: "62ff89fddb841c2f"}) {
 		t.Errorf("head %+v, %v", h, err)
 	}
@@ -211,11 +211,11 @@
 		t.Fatal(err)
 	}
 	again := &direct{kv: kv.New()}
-	if err := (&Shared{again}).Begin(z, s.sum); err != nil {
+	if err := (&ReplicatedZone{again}).Begin(z, s.sum); err != nil {
 		t.Fatal(err)
 	}
 	for _, c := range s.changes {
-		if err := (&Shared{again}).Add(c); err != nil {
+		if err := (&ReplicatedZone{again}).Add(c); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -245,7 +245,7 @@
 	path := testutil.Fixture(t, "compacted.journal", func(path string) {
 		t.Chdir(t.TempDir())
 		write(t, "calc.zone", version0File)
-		r := must(t, Options{File: "calc.zone", Journal: "calc.journal"})
+		r := must(t, Options{ZoneFile: "calc.zone", JournalFile: "calc.journal"})
 		version0Updates(t, r)
 		r.mu.Lock()
 		err := r.journal.begin(r.zone, r.sum) // as after mostChanges updates
@@ -262,11 +262,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	born := map[string]dnszone.Born{}
+	born := map[string]dnszone.Provenance{}
 	for _, b := range s.zone.Backends() {
-		born[b.Name] = b.Born
+		born[b.Name] = b.Provenance
 	}
-	if want := map[string]dnszone.Born{"m1.calc.example:7000": {Started: version0Born, Key: "deploy.", Serial: 8},
+	if want := map[string]dnszone.Provenance{"m1.calc.example:7000": {StartNanos: version0Born, Key: "deploy.", Serial: 8},
 		"n2.calc.example:7000": {File: "calc.zone", Line: 8, Serial: 7}}; !reflect.DeepEqual(born, want) {
 		t.Errorf("%+v", born)
 	}
--- a/internal/dnszone/dnszone.go
+++ b/internal/dnszone/dnszone.go
@@ -39,9 +39,9 @@
 	return s, nil
 }
 
-// Born tells where a backend in the list came from.
-type Born struct {
-	Started int64  `json:"started,omitempty"` // unix ns; 0: long ago. Until a start is stated, that it was listed
+// Provenance tells where a backend in the list came from.
+type Provenance struct {
+	StartNanos int64  `json:"started,omitempty"` // unix ns; 0: long ago. Until a start is stated, that it was listed
 	File    string `json:"file,omitempty"`
 	Line    int    `json:"line,omitempty"`
 	Key     string `json:"key,omitempty"` // that signed the update
@@ -55,34 +55,34 @@
 	Zone      string
 	Group     uint16
 	Draining  bool
-	Size      float64 // 1: an ordinary one
+	Weight      float64 // 1: an ordinary one
 	Priority  uint16
-	Stated    int64 // its start, where the zone states one, unix ns; 0: not
-	Born      Born
+	StatedStartNanos    int64 // its start, where the zone states one, unix ns; 0: not
+	Provenance      Provenance
 }
 
-// Started is when it started, unix ns; 0: long ago.
-func (b Backend) Started() int64 { return cmp.Or(b.Stated, b.Born.Started) }
+// StartNanos is when it started, unix ns; 0: long ago.
+func (b Backend) StartNanos() int64 { return cmp.Or(b.StatedStartNanos, b.Provenance.StartNanos) }
 
 func (b Backend) equal(o Backend) bool {
-	return b.Name == o.Name && b.Zone == o.Zone && b.Group == o.Group && b.Draining == o.Draining && b.Size == o.Size &&
-		b.Started() == o.Started() && slices.Equal(b.Addresses, o.Addresses)
+	return b.Name == o.Name && b.Zone == o.Zone && b.Group == o.Group && b.Draining == o.Draining && b.Weight == o.Weight &&
+		b.StartNanos() == o.StartNanos() && slices.Equal(b.Addresses, o.Addresses)
 }
 
 // Change is what an update did, to be kept and done again elsewhere: records gone and come, in master form.
 type Change struct {
-	From uint32   `json:"from"` // serial before
-	To   uint32   `json:"to"`   // and after
-	Del  []string `json:"del,omitempty"`
-	Add  []string `json:"add,omitempty"`
-	At   int64    `json:"at"` // unix ns, of the door that took it
-	By   By       `json:"by"`
-}
-
-// By is the signature of an update: with it a replay is known again.
-type By struct {
-	Key    string `json:"key"`
-	Signed int64  `json:"signed"` // unix seconds
+	FromSerial uint32   `json:"from"` // serial before
+	ToSerial   uint32   `json:"to"`   // and after
+	Deleted  []string `json:"del,omitempty"`
+	Added  []string `json:"add,omitempty"`
+	AtNanos   int64    `json:"at"` // unix ns, of the door that took it
+	Signature   Signature       `json:"by"`
+}
+
+// Signature is the signature of an update: with it a replay is known again.
+type Signature struct {
+	KeyName    string `json:"key"`
+	SignedSeconds int64  `json:"signed"` // unix seconds
 	MAC    string `json:"mac"`
 }
 
@@ -180,7 +180,7 @@
 			return nil, z.fault(rr, err)
 		}
 		_, twice := z.records.Set(place(rr), rr)
-		if twice || rr.Header().Rrtype == dns.TypeSOA && len(z.Get(s.Origin, dns.TypeSOA)) > 1 {
+		if twice || rr.Header().Rrtype == dns.TypeSOA && len(z.RRset(s.Origin, dns.TypeSOA)) > 1 {
 			return nil, z.fault(rr, fmt.Errorf("%s %s stands twice", rr.Header().Name, dns.Type(rr.Header().Rrtype)))
 		}
 		if z.records.Len() > mostRecords {
@@ -196,16 +196,16 @@
 	if z.soa() == nil {
 		return nil, fmt.Errorf("%s:1: no SOA record of %s", name, s.Origin)
 	}
-	if len(z.Get(s.Service, dns.TypeSRV)) == 0 {
+	if len(z.RRset(s.Service, dns.TypeSRV)) == 0 {
 		return nil, fmt.Errorf("%s:%d: %s has no SRV record: a service without any backend is taken for a mistake", name, z.lines[z.soa()], s.Service)
 	}
-	return z.listed(func(_ string, rr dns.RR) Born { return Born{File: name, Line: z.lines[rr], Serial: z.Serial()} })
+	return z.listed(func(_ string, rr dns.RR) Provenance { return Provenance{File: name, Line: z.lines[rr], Serial: z.Serial()} })
 }
 
 // listed is the zone with its list, made anew of all its records.
-func (z *Zone) listed(newborn func(name string, rr dns.RR) Born) (*Zone, error) {
+func (z *Zone) listed(newborn func(name string, rr dns.RR) Provenance) (*Zone, error) {
 	o := z.overlay()
-	for _, rr := range z.Get(z.Service, dns.TypeSRV) {
+	for _, rr := range z.RRset(z.Service, dns.TypeSRV) {
 		o.touched[rr.(*dns.SRV).Target] = true
 	}
 	if err := o.list(newborn); err != nil {
@@ -241,7 +241,7 @@
 }
 
 func (z *Zone) soa() *dns.SOA {
-	if x := z.Get(z.Origin, dns.TypeSOA); len(x) == 1 {
+	if x := z.RRset(z.Origin, dns.TypeSOA); len(x) == 1 {
 		return x[0].(*dns.SOA)
 	}
 	return nil
@@ -250,8 +250,8 @@
 // Serial is the zone's.
 func (z *Zone) Serial() uint32 { return z.soa().Serial }
 
-// Newer says whether serial a comes after b (RFC 1982, 3.2). Of two that are half the circle apart neither does.
-func Newer(a, b uint32) bool { return a != b && a-b < 1<<31 }
+// SerialNewer says whether serial a comes after b (RFC 1982, 3.2). Of two that are half the circle apart neither does.
+func SerialNewer(a, b uint32) bool { return a != b && a-b < 1<<31 }
 
 // after is the serial that follows. 0 is left out: secondaries take it for a zone not loaded yet.
 func after(s uint32) uint32 { return max(s+1, 1) }
@@ -267,15 +267,15 @@
 	return list
 }
 
-// Size is how many backends the list has; Backends takes a time that grows with them.
-func (z *Zone) Size() int { return z.counts[z.first].all }
+// BackendCount is how many backends the list has; Backends takes a time that grows with them.
+func (z *Zone) BackendCount() int { return z.counts[z.first].all }
 
 // serves says whether an entry is in the list. The records of the lowest priority that has one which is not draining
 // are (RFC 2782); those behind them wait until none is left.
 func (z *Zone) serves(b Backend) bool { return b.Priority == z.first }
 
-// Get gives the records of a name and type; with the type ANY all of the name's. They are not to be changed.
-func (z *Zone) Get(name string, t uint16) (rrs []dns.RR) {
+// RRset gives the records of a name and type; with the type ANY all of the name's. They are not to be changed.
+func (z *Zone) RRset(name string, t uint16) (rrs []dns.RR) {
 	from := prefix(dns.CanonicalName(name), t)
 	if t == dns.TypeANY {
 		from = dns.CanonicalName(name) + "\x00"
@@ -305,7 +305,7 @@
 // Snapshot is a zone in a form to be kept.
 type Snapshot struct {
 	Records []string        `json:"records"`
-	Born    map[string]Born `json:"born"`
+	Provenance    map[string]Provenance `json:"born"`
 }
 
 // Snapshot gives it.
@@ -313,9 +313,9 @@
 	for _, rr := range z.Records() {
 		s.Records = append(s.Records, rr.String())
 	}
-	s.Born = map[string]Born{}
+	s.Provenance = map[string]Provenance{}
 	z.entries.Scan(func(name string, b Backend) bool {
-		s.Born[name] = b.Born
+		s.Provenance[name] = b.Provenance
 		return true
 	})
 	return s
@@ -342,7 +342,7 @@
 	if z.soa() == nil {
 		return nil, fmt.Errorf("not one SOA record of %s", s.Origin)
 	}
-	return z.listed(func(name string, _ dns.RR) Born { return snap.Born[name] })
+	return z.listed(func(name string, _ dns.RR) Provenance { return snap.Provenance[name] })
 }
 
 func record(text string) (dns.RR, error) {
@@ -356,14 +356,14 @@
 	return canonical(rr), nil
 }
 
-// Follow is a zone of a file just read that takes the place of the one in force. Its backends that were in force
+// Replacing is a zone of a file just read that takes the place of the one in force. Its backends that were in force
 // already go on as they are; the others are new, and cold, since then.
-func (z *Zone) Follow(old *Zone, at int64) *Zone {
+func (z *Zone) Replacing(old *Zone, at int64) *Zone {
 	next := z.copy()
 	z.entries.Scan(func(name string, b Backend) bool {
-		b.Born.Started = at
+		b.Provenance.StartNanos = at
 		if was, ok := old.entries.Get(name); ok {
-			b.Born.Started = was.Born.Started
+			b.Provenance.StartNanos = was.Provenance.StartNanos
 		}
 		next.entries.Set(name, b)
 		return true
@@ -415,7 +415,7 @@
 func (o *overlay) host(target string) (*host, error) {
 	h, at := &host{}, target
 	for n := 0; ; n++ {
-		alias := o.next.Get(at, dns.TypeCNAME)
+		alias := o.next.RRset(at, dns.TypeCNAME)
 		if len(alias) == 0 {
 			break
 		}
@@ -424,12 +424,12 @@
 		}
 		at = dns.CanonicalName(alias[0].(*dns.CNAME).Target)
 	}
-	for _, rr := range o.next.Get(at, dns.TypeAAAA) {
+	for _, rr := range o.next.RRset(at, dns.TypeAAAA) {
 		if a, ok := netip.AddrFromSlice(rr.(*dns.AAAA).AAAA); ok {
 			h.addresses = append(h.addresses, a.Unmap())
 		}
 	}
-	for _, rr := range o.next.Get(at, dns.TypeA) {
+	for _, rr := range o.next.RRset(at, dns.TypeA) {
 		if a, ok := netip.AddrFromSlice(rr.(*dns.A).A.To4()); ok {
 			h.addresses = append(h.addresses, a)
 		}
@@ -444,7 +444,7 @@
 	}
 	slices.SortFunc(h.addresses, netip.Addr.Compare) // the same at every door
 	found := false
-	for _, rr := range o.next.Get(target, dns.TypeTXT) {
+	for _, rr := range o.next.RRset(target, dns.TypeTXT) {
 		words := rr.(*dns.TXT).Txt
 		if len(words) == 0 || words[0] != mark {
 			continue
@@ -510,7 +510,7 @@
 }
 
 // list makes the entries of the targets touched anew. newborn says where one that the zone has not had comes from.
-func (o *overlay) list(newborn func(name string, rr dns.RR) Born) error {
+func (o *overlay) list(newborn func(name string, rr dns.RR) Provenance) error {
 	next := o.next
 	maps.Copy(o.touched, next.aliased)
 	targets := slices.Sorted(maps.Keys(o.touched))
@@ -566,7 +566,7 @@
 }
 
 // enter enters the SRV records of one target.
-func (o *overlay) enter(target string, newborn func(name string, rr dns.RR) Born) error {
+func (o *overlay) enter(target string, newborn func(name string, rr dns.RR) Provenance) error {
 	z, next := o.z, o.next
 	var rrs []dns.RR
 	from := prefix(z.Service, dns.TypeSRV) + target + "\x00"
@@ -602,9 +602,9 @@
 		if _, twice := next.entries.Get(name); twice {
 			return z.fault(rr, fmt.Errorf("%s stands twice", name))
 		}
-		b := Backend{Name: name, Zone: h.zone, Group: h.group, Draining: h.draining, Size: h.size, Priority: srv.Priority, Stated: h.started}
-		if b.Size == 0 { // a weight of 100 is an ordinary backend's, and 0, by RFC 2782, is none stated
-			b.Size = float64(cmp.Or(srv.Weight, 100)) / 100
+		b := Backend{Name: name, Zone: h.zone, Group: h.group, Draining: h.draining, Weight: h.size, Priority: srv.Priority, StatedStartNanos: h.started}
+		if b.Weight == 0 { // a weight of 100 is an ordinary backend's, and 0, by RFC 2782, is none stated
+			b.Weight = float64(cmp.Or(srv.Weight, 100)) / 100
 		}
 		for _, a := range h.addresses {
 			ap := netip.AddrPortFrom(a, srv.Port)
@@ -614,9 +614,9 @@
 			b.Addresses = append(b.Addresses, ap)
 		}
 		if was, ok := z.entries.Get(name); ok {
-			b.Born = was.Born
+			b.Provenance = was.Provenance
 		} else {
-			b.Born = newborn(name, rr)
+			b.Provenance = newborn(name, rr)
 		}
 		o.names[name] = true
 		next.entries.Set(name, b)
@@ -625,8 +625,8 @@
 	return nil
 }
 
-// Holds says whether anything stands below a name: it exists then, without records of its own.
-func (z *Zone) Holds(name string) bool {
+// HasDescendants says whether anything stands below a name: it exists then, without records of its own.
+func (z *Zone) HasDescendants(name string) bool {
 	found := false
 	z.records.Scan(func(at string, _ dns.RR) bool {
 		owner, _, _ := strings.Cut(at, "\x00")
--- a/internal/dnszone/dnszone_test.go
+++ b/internal/dnszone/dnszone_test.go
@@ -61,13 +61,13 @@
 		t.Fatalf("%s, serial %d", names(z), z.Serial())
 	}
 	n1, n2 := list[0], list[1]
-	if n1.Name != "n1.calc.example:7000" || n1.Zone != "a" || n1.Group != 3 || n1.Size != 1 || n1.Born.Started != 0 || n1.Born.File != "calc.zone" || n1.Born.Line != 6 {
+	if n1.Name != "n1.calc.example:7000" || n1.Zone != "a" || n1.Group != 3 || n1.Weight != 1 || n1.Provenance.StartNanos != 0 || n1.Provenance.File != "calc.zone" || n1.Provenance.Line != 6 {
 		t.Errorf("%+v", n1)
 	}
 	if got := fmt.Sprint(n1.Addresses); got != "[127.0.0.11:7000 [::1]:7000]" {
 		t.Error(got)
 	}
-	if n2.Size != 2.5 || fmt.Sprint(n2.Addresses) != "[127.0.0.12:7000]" || n2.Born.Line != 7 {
+	if n2.Weight != 2.5 || fmt.Sprint(n2.Addresses) != "[127.0.0.12:7000]" || n2.Provenance.Line != 7 {
 		t.Errorf("%+v", n2)
 	}
 	again, err := Restore(z.Snapshot(), here)
@@ -123,7 +123,7 @@
 		a, b uint32
 		want bool
 	}{{1, 0, true}, {0, 1, false}, {0, 0, false}, {44, 0, true}, {1<<31 - 1, 0, true}, {1 << 31, 0, false}, {0, 1 << 31, false}, {0, 1<<32 - 1, true}, {5, 1<<32 - 5, true}, {1<<32 - 5, 5, false}} {
-		if Newer(x.a, x.b) != x.want {
+		if SerialNewer(x.a, x.b) != x.want {
 			t.Errorf("%d after %d: %v", x.a, x.b, !x.want)
 		}
 	}
@@ -131,8 +131,8 @@
 	m := update()
 	m.RemoveName([]dns.RR{rr(t, "n3.calc.example. A 127.0.0.3")})
 	m.Insert([]dns.RR{rr(t, "n3.calc.example. A 127.0.0.3")})
-	step, err := z.Update(wire(t, m), 1, By{})
-	if err != nil || step.Zone.Serial() != 1 || step.Change.To != 1 {
+	step, err := z.Update(wire(t, m), 1, Signature{})
+	if err != nil || step.Zone.Serial() != 1 || step.Change.ToSerial != 1 {
 		t.Errorf("after the last serial comes %v, %v; 0 stands for none", step, err)
 	}
 }
@@ -231,10 +231,10 @@
 		for _, do := range x.do {
 			do(m)
 		}
-		step, err := z.Update(wire(t, m), 5e9, By{Key: "k."})
+		step, err := z.Update(wire(t, m), 5e9, Signature{KeyName: "k."})
 		rcode := 0
 		if err != nil {
-			rcode, step = err.(*Refusal).Rcode, &Step{Zone: z}
+			rcode, step = err.(*UpdateError).Rcode, &Step{Zone: z}
 		}
 		next, c := step.Zone, step.Change
 		if rcode != x.rcode || names(next) != x.want {
@@ -261,16 +261,16 @@
 				m.Insert([]dns.RR{rr(t, x)})
 			}
 		}
-		step, err := z.Update(wire(t, m), at, By{Key: "k."})
+		step, err := z.Update(wire(t, m), at, Signature{KeyName: "k."})
 		if err != nil {
 			t.Fatal(err)
 		}
 		z = step.Zone
 	}
-	started := func(n int) int64 { return z.Backends()[n].Started() }
+	started := func(n int) int64 { return z.Backends()[n].StartNanos() }
 	do(5e9, "-"+srv+"n1.calc.example.")
 	do(9e9, srv+"n1.calc.example.")
-	if started(0) != 9e9 || started(1) != 0 || z.Backends()[0].Born.Key != "k." {
+	if started(0) != 9e9 || started(1) != 0 || z.Backends()[0].Provenance.Key != "k." {
 		t.Errorf("%+v", z.Backends())
 	}
 	do(11e9, "-"+srv+"n1.calc.example.", srv+"n1.calc.example.") // withdrawn and added in one update: it never left
@@ -282,9 +282,9 @@
 		t.Error("a start that is stated does not hold")
 	}
 	fresh := parse(t, strings.Replace(file, " 7 3600", " 90 3600", 1)+"_calc._tcp SRV 0 100 7000 n4\nn4 A 127.0.0.14\n")
-	fresh = fresh.Follow(z, 20e9)
+	fresh = fresh.Replacing(z, 20e9)
 	b := fresh.Backends()
-	if names(fresh) != "n1 n2 n4" || b[0].Started() != 9e9 || b[1].Born.Started != 0 || b[2].Born.Started != 20e9 || b[2].Born.Line != 16 {
+	if names(fresh) != "n1 n2 n4" || b[0].StartNanos() != 9e9 || b[1].Provenance.StartNanos != 0 || b[2].Provenance.StartNanos != 20e9 || b[2].Provenance.Line != 16 {
 		t.Errorf("%+v", b)
 	}
 }
@@ -324,14 +324,14 @@
 					m.Insert([]dns.RR{x})
 				}
 			}
-			s, err := z.Update(wire(t, m), int64(step+1)*1e9, By{Key: "k."})
+			s, err := z.Update(wire(t, m), int64(step+1)*1e9, Signature{KeyName: "k."})
 			if err != nil || s.Change == nil {
 				continue
 			}
 			come, gone := Diff(z, s.Zone)
 			slices.SortFunc(come, func(a, b Backend) int { return strings.Compare(a.Name, b.Name) })
-			if fmt.Sprint(come) != fmt.Sprint(s.Come) || !slices.Equal(gone, s.Gone) {
-				t.Fatalf("seed %d, step %d: told %v, %v; it is %v, %v", seed, step, s.Come, s.Gone, come, gone)
+			if fmt.Sprint(come) != fmt.Sprint(s.Updated) || !slices.Equal(gone, s.Removed) {
+				t.Fatalf("seed %d, step %d: told %v, %v; it is %v, %v", seed, step, s.Updated, s.Removed, come, gone)
 			}
 			for _, b := range come {
 				held[b.Name] = b
@@ -339,10 +339,10 @@
 			for _, n := range gone {
 				delete(held, n)
 			}
-			if z = s.Zone; len(held) != z.Size() || len(held) != len(z.Backends()) || slices.ContainsFunc(z.Backends(), func(b Backend) bool { return !held[b.Name].equal(b) }) {
+			if z = s.Zone; len(held) != z.BackendCount() || len(held) != len(z.Backends()) || slices.ContainsFunc(z.Backends(), func(b Backend) bool { return !held[b.Name].equal(b) }) {
 				t.Fatalf("seed %d, step %d: told %v, is %v", seed, step, held, z.Backends())
 			}
-			if s, err = other.Again(s.Change); err != nil {
+			if s, err = other.Apply(s.Change); err != nil {
 				t.Fatal(err)
 			}
 			other = s.Zone
@@ -355,7 +355,7 @@
 				t.Fatalf("seed %d, step %d: %+v, not %+v", seed, step, other.Backends(), z.Backends())
 			}
 		}
-		if _, err := z.Again(&Change{From: z.Serial() + 1, To: z.Serial() + 2}); err == nil {
+		if _, err := z.Apply(&Change{FromSerial: z.Serial() + 1, ToSerial: z.Serial() + 2}); err == nil {
 			t.Error("a change that does not follow was done")
 		}
 	}
@@ -381,12 +381,12 @@
 		if m.Unpack(text) != nil {
 			return
 		}
-		s, err := z.Update(m, 1e9, By{})
+		s, err := z.Update(m, 1e9, Signature{})
 		if fmt.Sprint(z.Records()) != before {
 			t.Fatal("the zone before was changed")
 		}
 		if err != nil {
-			if err.(*Refusal).Rcode == 0 {
+			if err.(*UpdateError).Rcode == 0 {
 				t.Fatal("a refusal without RCODE")
 			}
 			return
@@ -394,7 +394,7 @@
 		if s.Change == nil {
 			return
 		}
-		again, err := z.Again(s.Change)
+		again, err := z.Apply(s.Change)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -431,7 +431,7 @@
 	m.Remove([]dns.RR{rr(b, srv+"n77.calc.example.")})
 	m = wire(b, m)
 	for b.Loop() {
-		if _, err := z.Update(m, 1, By{}); err != nil {
+		if _, err := z.Update(m, 1, Signature{}); err != nil {
 			b.Fatal(err)
 		}
 	}
--- a/internal/dnszone/update.go
+++ b/internal/dnszone/update.go
@@ -22,7 +22,7 @@
 	return &overlay{z: z, next: z.copy(), touched: map[string]bool{}, names: map[string]bool{}, del: map[string]bool{}, add: map[string]bool{}}
 }
 
-func (o *overlay) get(name string, t uint16) []dns.RR { return o.next.Get(name, t) }
+func (o *overlay) get(name string, t uint16) []dns.RR { return o.next.RRset(name, t) }
 
 func (o *overlay) touch(rr dns.RR) {
 	if srv, ok := rr.(*dns.SRV); ok {
@@ -60,16 +60,16 @@
 
 func (o *overlay) named(name string) bool { return len(o.get(name, dns.TypeANY)) > 0 }
 
-// Refusal is why an update is not done, with the RCODE that says so.
-type Refusal struct {
+// UpdateError is why an update is not done, with the RCODE that says so.
+type UpdateError struct {
 	Rcode int
-	Why   string
+	Reason   string
 }
 
-func (r *Refusal) Error() string { return dns.RcodeToString[r.Rcode] + ": " + r.Why }
+func (r *UpdateError) Error() string { return dns.RcodeToString[r.Rcode] + ": " + r.Reason }
 
 func refuse(rcode int, form string, args ...any) error {
-	return &Refusal{rcode, fmt.Sprintf(form, args...)}
+	return &UpdateError{rcode, fmt.Sprintf(form, args...)}
 }
 
 // meta are types that no record has.
@@ -82,14 +82,14 @@
 type Step struct {
 	Zone   *Zone
 	Change *Change   // nil: the update changed nothing
-	Come   []Backend // new, or changed
-	Gone   []string
+	Updated   []Backend // new, or changed
+	Removed   []string
 }
 
 // Update does an update message as it came off the wire (RFC 2136, 3.1 to 3.4), whose signature is the caller's
 // concern: it gives the step to a new zone, or an error, a *Refusal. The serial goes up by one where the update does
 // not set it.
-func (z *Zone) Update(m *dns.Msg, at int64, by By) (*Step, error) {
+func (z *Zone) Update(m *dns.Msg, at int64, by Signature) (*Step, error) {
 	if len(m.Question) != 1 || m.Question[0].Qtype != dns.TypeSOA || m.Question[0].Qclass != dns.ClassINET {
 		return nil, refuse(dns.RcodeFormatError, "the zone section is not one SOA of class IN")
 	}
@@ -127,43 +127,43 @@
 	return step, nil
 }
 
-// Again does a change that was done before, or at another replica. It gives an error, and no zone, where the change
+// Apply does a change that was done before, or at another replica. It gives an error, and no zone, where the change
 // does not follow from this one.
-func (z *Zone) Again(c *Change) (*Step, error) {
-	if c.From != z.Serial() || !Newer(c.To, c.From) {
-		return nil, fmt.Errorf("change from serial %d to %d does not follow %d", c.From, c.To, z.Serial())
+func (z *Zone) Apply(c *Change) (*Step, error) {
+	if c.FromSerial != z.Serial() || !SerialNewer(c.ToSerial, c.FromSerial) {
+		return nil, fmt.Errorf("change from serial %d to %d does not follow %d", c.FromSerial, c.ToSerial, z.Serial())
 	}
 	o := z.overlay()
-	for _, text := range c.Del {
+	for _, text := range c.Deleted {
 		rr, err := record(text)
 		if err != nil {
-			return nil, fmt.Errorf("change to serial %d: %.80q: %w", c.To, text, err)
+			return nil, fmt.Errorf("change to serial %d: %.80q: %w", c.ToSerial, text, err)
 		}
 		there := o.find(rr)
 		if there == nil {
-			return nil, fmt.Errorf("change to serial %d: %.80q is not there", c.To, text)
+			return nil, fmt.Errorf("change to serial %d: %.80q is not there", c.ToSerial, text)
 		}
 		o.drop(there)
 	}
-	for _, text := range c.Add {
+	for _, text := range c.Added {
 		rr, err := record(text)
 		if err == nil {
 			err = z.allowed(rr)
 		}
 		if err != nil {
-			return nil, fmt.Errorf("change to serial %d: %.80q: %w", c.To, text, err)
+			return nil, fmt.Errorf("change to serial %d: %.80q: %w", c.ToSerial, text, err)
 		}
 		o.put(rr)
 	}
-	step, err := o.finish(c.At, c.By)
-	if err == nil && step.Zone.Serial() != c.To {
-		err = fmt.Errorf("change to serial %d gives %d", c.To, step.Zone.Serial())
+	step, err := o.finish(c.AtNanos, c.Signature)
+	if err == nil && step.Zone.Serial() != c.ToSerial {
+		err = fmt.Errorf("change to serial %d gives %d", c.ToSerial, step.Zone.Serial())
 	}
 	return step, err
 }
 
 // finish makes a step of the overlay, if what it says of the backends is in order.
-func (o *overlay) finish(at int64, by By) (*Step, error) {
+func (o *overlay) finish(at int64, by Signature) (*Step, error) {
 	soa := o.next.soa()
 	if soa == nil {
 		return nil, errors.New("not one SOA record")
@@ -171,17 +171,17 @@
 	if o.next.records.Len() > mostRecords {
 		return nil, fmt.Errorf("more than %d records", mostRecords)
 	}
-	if err := o.list(func(string, dns.RR) Born { return Born{Started: at, Key: by.Key, Serial: soa.Serial} }); err != nil {
+	if err := o.list(func(string, dns.RR) Provenance { return Provenance{StartNanos: at, Key: by.KeyName, Serial: soa.Serial} }); err != nil {
 		return nil, err
 	}
-	s := &Step{Zone: o.next, Change: &Change{From: o.z.Serial(), To: soa.Serial, At: at, By: by,
-		Del: slices.Sorted(maps.Keys(o.del)), Add: slices.Sorted(maps.Keys(o.add))}}
+	s := &Step{Zone: o.next, Change: &Change{FromSerial: o.z.Serial(), ToSerial: soa.Serial, AtNanos: at, Signature: by,
+		Deleted: slices.Sorted(maps.Keys(o.del)), Added: slices.Sorted(maps.Keys(o.add))}}
 	if o.z.first != o.next.first {
-		s.Come, s.Gone = Diff(o.z, o.next)
+		s.Updated, s.Removed = Diff(o.z, o.next)
 		return s, nil
 	}
 	for _, name := range slices.Sorted(maps.Keys(o.names)) {
-		s.Come, s.Gone = differs(o.z, o.next, name, s.Come, s.Gone)
+		s.Updated, s.Removed = differs(o.z, o.next, name, s.Updated, s.Removed)
 	}
 	return s, nil
 }
@@ -292,7 +292,7 @@
 	}
 	if h.Rrtype == dns.TypeSOA { // 3.4.2.2: one that is not newer is passed over
 		old := o.get(h.Name, dns.TypeSOA)[0]
-		if Newer(rr.(*dns.SOA).Serial, old.(*dns.SOA).Serial) {
+		if SerialNewer(rr.(*dns.SOA).Serial, old.(*dns.SOA).Serial) {
 			o.drop(old)
 			o.put(rr)
 		}
--- a/internal/lab/dnsbench/dnsbench.go
+++ b/internal/lab/dnsbench/dnsbench.go
@@ -75,18 +75,18 @@
 
 func measure(ctx context.Context, folder string, key dnsserver.Key, n, updates int, span time.Duration) (c Cost, err error) {
 	c.Backends = n
-	o := dnsserver.Options{Settings: dnszone.Settings{Origin: origin, Service: service}, Listen: "127.0.0.1:0", Keys: []dnsserver.Key{key}, Rate: 1e6,
-		File: filepath.Join(folder, fmt.Sprint(n, ".zone")), Journal: filepath.Join(folder, fmt.Sprint(n, ".journal"))}
-	if err := os.WriteFile(o.File, []byte(text(n)), 0o600); err != nil {
+	o := dnsserver.Options{Settings: dnszone.Settings{Origin: origin, Service: service}, ListenAddress: "127.0.0.1:0", Keys: []dnsserver.Key{key}, MaxUpdatesPerSecond: 1e6,
+		ZoneFile: filepath.Join(folder, fmt.Sprint(n, ".zone")), JournalFile: filepath.Join(folder, fmt.Sprint(n, ".journal"))}
+	if err := os.WriteFile(o.ZoneFile, []byte(text(n)), 0o600); err != nil {
 		return c, err
 	}
 	began := time.Now()
-	if _, _, err := dnsserver.ReadFile(o.File, o.Settings); err != nil {
+	if _, _, err := dnsserver.ReadZoneFile(o.ZoneFile, o.Settings); err != nil {
 		return c, err
 	}
 	c.Load = ms(time.Since(began))
 	var told atomic.Int64
-	o.Tell = func([]dnszone.Backend, []string, bool) { told.Store(time.Now().UnixNano()) }
+	o.Publish = func([]dnszone.Backend, []string, bool) { told.Store(time.Now().UnixNano()) }
 	s, err := dnsserver.Start(o)
 	if err != nil {
 		return c, err
@@ -157,7 +157,7 @@
 			m.Insert([]dns.RR{rr})
 		}
 	}
-	return dnsserver.Send(m, at, key, 5*time.Second)
+	return dnsserver.SendUpdate(m, at, key, 5*time.Second)
 }
 
 func ms(d time.Duration) float64 { return float64(d) / 1e6 }
--- a/internal/lab/emulator/names.go
+++ b/internal/lab/emulator/names.go
@@ -87,7 +87,7 @@
 		} else {
 			m.Insert(records)
 		}
-		if dnsserver.Send(m, at, key, time.Second) == nil {
+		if dnsserver.SendUpdate(m, at, key, time.Second) == nil {
 			e.log.Updated()
 			return
 		}
