--- a/cmd/fawnplank/dns.go
+++ b/cmd/fawnplank/dns.go
@@ -57,13 +57,15 @@
 	n.mu.Lock()
 	n.server, n.news = s, make(chan struct{}, 1)
 	n.mu.Unlock()
-	count := func(i int) func() float64 { return func() float64 { return float64(s.Counts()[i]) } }
+	count := func(of func(dnsserver.Stats) uint64) func() float64 {
+		return func() float64 { return float64(of(s.Stats())) }
+	}
 	figures.AddGauges(map[string]metrics.Gauge{
-		"dns_updates_done":     {Help: "dynamic updates that changed the zone", Value: count(0)},
-		"dns_updates_refused":  {Help: "dynamic updates refused for what they ask", Value: count(1)},
-		"dns_messages_refused": {Help: "messages refused for their signature, its time, or a replay", Value: count(2)},
-		"dns_flooded":          {Help: "messages beyond what is looked at", Value: count(3)},
-		"dns_updates_lost":     {Help: "updates that journal or store could not keep", Value: count(4)},
+		"dns_updates_done":     {Help: "dynamic updates that changed the zone", Value: count(func(s dnsserver.Stats) uint64 { return s.UpdatesDone })},
+		"dns_updates_refused":  {Help: "dynamic updates refused for what they ask", Value: count(func(s dnsserver.Stats) uint64 { return s.UpdatesRefused })},
+		"dns_messages_refused": {Help: "messages refused for their signature, its time, or a replay", Value: count(func(s dnsserver.Stats) uint64 { return s.SignaturesRefused })},
+		"dns_flooded":          {Help: "messages beyond what is looked at", Value: count(func(s dnsserver.Stats) uint64 { return s.RateLimited })},
+		"dns_updates_lost":     {Help: "updates that journal or store could not keep", Value: count(func(s dnsserver.Stats) uint64 { return s.UpdatesLost })},
 		"dns_serial":           {Help: "serial of the zone in force", Value: func() float64 { return float64(s.Serial()) }}})
 	if k != nil {
 		go func() {
@@ -101,9 +103,9 @@
 func (n *names) close() { n.ended.Do(func() { n.now().Close() }) }
 
 // tell brings the zone's list into the form of discovery's.
-func (n *names) tell(come []dnszone.Backend, gone []string, whole bool) {
+func (n *names) tell(update dnsserver.ListUpdate) {
 	var all []discovery.Entry
-	for _, b := range come {
+	for _, b := range update.Updated {
 		e := discovery.Entry{Name: b.Name, Address: b.Addresses[0].String(), Zone: b.Zone, Group: b.Group, Status: "up", Weight: b.Weight,
 			SinceMs: float64(b.StartNanos()) / 1e6}
 		if b.Draining {
@@ -114,11 +116,11 @@
 		}
 		all = append(all, e)
 	}
-	for _, name := range gone {
+	for _, name := range update.Removed {
 		all = append(all, discovery.Entry{Name: name, Status: "removed"})
 	}
 	how := policy.Delta
-	if whole {
+	if update.Full {
 		how = policy.FullSnapshot
 	}
 	n.list.Publish(how, all)
--- a/internal/dnsserver/dnsserver_test.go
+++ b/internal/dnsserver/dnsserver_test.go
@@ -45,7 +45,8 @@
 	last time.Time
 }
 
-func (e *ear) tell(come []dnszone.Backend, gone []string, whole bool) {
+func (e *ear) tell(u ListUpdate) {
+	come, gone, whole := u.Updated, u.Removed, u.Full
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if whole {
@@ -394,7 +395,7 @@
 		t.Fatal(rcode)
 	}
 	r.Close()
-	if s, err := readJournal(o.JournalFile, set); err != nil || s.torn != 0 || len(s.changes) != 3 {
+	if s, err := readJournal(o.JournalFile, set); err != nil || s.tornBytes != 0 || len(s.changes) != 3 {
 		t.Fatal(err, s)
 	}
 	for at, want := range map[int64]string{20: ".journal:1: the checksum", sizes[0] + 30: ".journal:2: the checksum", sizes[1] + 9: ".journal:3: "} {
@@ -416,16 +417,16 @@
 func TestUpdatesThatCannotBeKept(t *testing.T) {
 	o := folder(t, text(7, 3))
 	r := must(t, o)
-	good := r.journal.f
+	good := r.journal.file
 	r.mu.Lock()
-	r.journal.f, _ = os.Open(o.JournalFile) // not for writing
+	r.journal.file, _ = os.Open(o.JournalFile) // not for writing
 	r.mu.Unlock()
 	m := signed(change(t, "-"+service+"n1.calc.example."), key)
 	if rcode, _ := r.ask(t, "udp", m.Copy(), key); rcode != dns.RcodeServerFailure || !r.ear.has("n1") || r.Serial() != 7 {
 		t.Errorf("%d, serial %d", rcode, r.Serial())
 	}
 	r.mu.Lock()
-	r.journal.f, r.journal.broken = good, nil
+	r.journal.file, r.journal.failed = good, nil
 	r.mu.Unlock()
 	if rcode, _ := r.ask(t, "udp", m, key); rcode != 0 || r.ear.has("n1") {
 		t.Error(rcode)
@@ -450,10 +451,10 @@
 	if most := 5 + int(5*time.Since(began).Seconds()) + 1; done > most || done < 5 || done+refused != 40 {
 		t.Errorf("%d done, %d refused; %d allowed", done, refused, most)
 	}
-	var q quiet
+	var q logLimiter
 	lines, skipped := 0, uint64(0)
 	for n := range int64(1000) { // a hundred a second
-		if more, ok := q.line(1 + n/100); ok {
+		if more, ok := q.allow(1 + n/100); ok {
 			lines++
 			skipped += more
 		}
@@ -712,17 +713,17 @@
 	write(t, rigs[1].o.ZoneFile, text(90, 4)) // a newer file at one replica is every replica's
 	rigs[1].Reload()
 	wait(t, "the file at all three", same(90, 4))
-	for n := range mostShared + 20 { // the changes are written together on the way
+	for n := range maxStoredChanges + 20 { // the changes are written together on the way
 		if rcode, _ := rigs[n%3].ask(t, "tcp", signed(change(t, fmt.Sprintf("x%d.calc.example. A 127.7.7.7", n)), key), key); rcode != 0 {
 			t.Fatal(n, dns.RcodeToString[rcode])
 		}
 	}
-	wait(t, "many changes at all three", same(90+mostShared+20, 4))
-	h, _, _ := rigs[0].o.Replicated.head()
-	if h.Changes > mostShared || h.Base == 90 {
+	wait(t, "many changes at all three", same(90+maxStoredChanges+20, 4))
+	h, _, _ := rigs[0].o.Replicated.readHead()
+	if h.Changes > maxStoredChanges || h.Base == 90 {
 		t.Errorf("%+v: the changes were never written together", h)
 	}
-	if s, err := rigs[2].o.Replicated.Load(set); err != nil || s.zone.Serial() != 90+mostShared+20 {
+	if s, err := rigs[2].o.Replicated.load(set); err != nil || s.zone.Serial() != 90+maxStoredChanges+20 {
 		t.Error(err)
 	}
 }
@@ -771,7 +772,7 @@
 func BenchmarkUpdatesBySocket(b *testing.B) {
 	r := must(b, folder(b, text(7, 1000)))
 	r.guard = dnszone.NewReplayGuard(1e9, 0)
-	r.allowed.rate = 1e9
+	r.messages.ratePerSecond = 1e9
 	n := 0
 	for b.Loop() {
 		n++
--- a/internal/dnsserver/journal.go
+++ b/internal/dnsserver/journal.go
@@ -17,214 +17,265 @@
 	"fawnplank/internal/dnszone"
 )
 
-// journalFormat is of the form of the journal; another one is refused.
-const journalFormat = 1
-
-// mostChanges is how many changes stand in a journal before it is written anew as one snapshot: a start reads them
-// in some tens of milliseconds, and secondaries that lag by no more get changes alone.
-const mostChanges = 4096
+const (
+	// storedFormat is the version of the stored form; another one is refused.
+	storedFormat = 1
+	// maxJournalChanges is how many changes stand in a journal before it is compacted into one snapshot: a start reads
+	// them in some tens of milliseconds, and secondaries that lag by no more get changes alone.
+	maxJournalChanges = 4096
+	// journalMode is that of the journal and its lock.
+	journalMode = 0o600
+	// checksumDigits is the length of a line's checksum, in hexadecimal, which a space follows.
+	checksumDigits = 8
+)
 
-// base is the journal's first line: a zone, and which text of the zone file it came from.
-type base struct {
+// zoneRecord is the stored form of a zone with its settings: a journal's first line, and the store's snapshot.
+type zoneRecord struct {
 	Format   int              `json:"format"`
 	Origin   string           `json:"origin"`
 	Service  string           `json:"service"`
-	FileSum  string           `json:"file_sum"`
+	FileSum  string           `json:"file_sum"` // of the zone file's text that was adopted last
 	Snapshot dnszone.Snapshot `json:"snapshot"`
 }
 
-// journal keeps the zone in force over a restart: a line with a snapshot, and one for each change after it. A line is
-// the CRC-32C of its JSON, a space, and the JSON. An update is answered once its line is synced; a last line that is
-// not whole belongs to an update that nobody was told was done.
-type journal struct {
-	path   string
-	f      *os.File
-	lock   *os.File
-	size   int64
-	lines  int   // of changes
-	broken error // why nothing more may be written
+func newZoneRecord(zone *dnszone.Zone, fileSum string) zoneRecord {
+	return zoneRecord{
+		Format:   storedFormat,
+		Origin:   zone.Origin,
+		Service:  zone.Service,
+		FileSum:  fileSum,
+		Snapshot: zone.Snapshot(),
+	}
+}
+
+func (r *zoneRecord) settings() dnszone.Settings {
+	return dnszone.Settings{Origin: r.Origin, Service: r.Service}
 }
 
-// state is what a journal holds.
-type state struct {
-	zone    *dnszone.Zone
-	sum     string // of the zone file's text that was taken last
-	changes []*dnszone.Change
-	size    int64
-	torn    int64 // bytes of a last line that is not whole
+// journal keeps the zone in force over a restart: a line with a snapshot, and one for each change after it. A line is
+// the CRC-32C of its JSON, a space, and the JSON. An update is answered once its line is synced; a torn last line
+// belongs to an update that was never answered as done.
+//
+// The server's lock guards it. Between processes the lock file does.
+type journal struct {
+	path     string
+	file     *os.File
+	lockFile *os.File
+	size     int64
+	changes  int   // lines after the first
+	failed   error // why nothing more may be written
 }
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-func line(x any) ([]byte, error) {
-	text, err := json.Marshal(x)
+func encodeLine(value any) ([]byte, error) {
+	text, err := json.Marshal(value)
 	if err != nil {
 		return nil, err
 	}
 	return fmt.Appendf(nil, "%08x %s\n", crc32.Checksum(text, castagnoli), text), nil
 }
 
-// readJournal reads a journal, which another process may be writing. One that is not there is os.ErrNotExist.
-// Damage anywhere but in the last line is an error with the file and line: to go on without what stood there would
-// bring withdrawn backends back.
-func readJournal(path string, set dnszone.Settings) (*state, error) {
-	f, err := os.Open(path)
-	if err != nil {
-		return nil, err
+// decodeLine returns a line's JSON, and whether its checksum matches.
+func decodeLine(line []byte) ([]byte, bool) {
+	if len(line) < checksumDigits+2 || line[checksumDigits] != ' ' {
+		return nil, false
 	}
-	defer f.Close()
-	text, err := io.ReadAll(f)
+	sum, err := strconv.ParseUint(string(line[:checksumDigits]), 16, 32)
+	text := line[checksumDigits+1:]
+	return text, err == nil && crc32.Checksum(text, castagnoli) == uint32(sum)
+}
+
+// readJournal reads a journal, which another process may be writing. A missing one is os.ErrNotExist. Damage anywhere
+// but in the last line is an error with file and line: to go on without what stood there would bring removed backends
+// back.
+func readJournal(path string, settings dnszone.Settings) (*storedZone, error) {
+	text, err := readAll(path)
 	if err != nil {
 		return nil, err
 	}
-	s := &state{}
-	for n := 1; len(text) > 0; n++ {
-		l, rest, whole := bytes.Cut(text, []byte{'\n'})
-		body, ok := unwrap(l)
-		if (!whole || !ok) && n > 1 && len(rest) == 0 {
-			s.torn = int64(len(text))
+	stored := &storedZone{}
+	for number := 1; len(text) > 0; number++ {
+		line, rest, isWhole := bytes.Cut(text, []byte{'\n'})
+		body, isValid := decodeLine(line)
+		isIntact := isWhole && isValid
+		if !isIntact && number > 1 && len(rest) == 0 {
+			stored.tornBytes = int64(len(text))
 			break
 		}
-		fail := func(err error) (*state, error) {
-			return nil, fmt.Errorf("%s:%d: %w; where it cannot be had from a copy, move it away: the zone file then holds alone", path, n, err)
-		}
-		if !whole || !ok {
-			return fail(errors.New("the checksum does not fit"))
-		}
-		if n == 1 {
-			var b base
-			if err := json.Unmarshal(body, &b); err != nil {
-				return fail(err)
-			}
-			if b.Format != journalFormat {
-				return fail(fmt.Errorf("is of format %d, not %d", b.Format, journalFormat))
-			}
-			if got := (dnszone.Settings{Origin: b.Origin, Service: b.Service}); got != set {
-				return fail(fmt.Errorf("is of zone %s and service %s, not %s and %s", got.Origin, got.Service, set.Origin, set.Service))
-			}
-			if s.zone, err = dnszone.Restore(b.Snapshot, set); err != nil {
-				return fail(err)
-			}
-			s.sum = b.FileSum
+		if !isIntact {
+			err = errors.New("the checksum does not fit")
+		} else if number == 1 {
+			err = stored.decodeSnapshot(body, settings)
 		} else {
-			c := &dnszone.Change{}
-			if err := json.Unmarshal(body, c); err != nil {
-				return fail(err)
-			}
-			step, err := s.zone.Apply(c)
-			if err != nil {
-				return fail(err)
-			}
-			s.zone, s.changes = step.Zone, append(s.changes, c)
+			err = stored.decodeChange(body)
+		}
+		if err != nil {
+			return nil, fmt.Errorf("%s:%d: %w; where it cannot be had from a copy, move it away: the zone file then holds alone",
+				path, number, err)
 		}
-		s.size += int64(len(l)) + 1
+		stored.size += int64(len(line)) + 1
 		text = rest
 	}
-	if s.zone == nil {
+	if stored.zone == nil {
 		return nil, fmt.Errorf("%s:1: is empty", path)
 	}
-	return s, nil
+	return stored, nil
 }
 
-func unwrap(l []byte) ([]byte, bool) {
-	if len(l) < 10 || l[8] != ' ' {
-		return nil, false
+func readAll(path string) ([]byte, error) {
+	file, err := os.Open(path)
+	if err != nil {
+		return nil, err
 	}
-	sum, err := strconv.ParseUint(string(l[:8]), 16, 32)
-	return l[9:], err == nil && crc32.Checksum(l[9:], castagnoli) == uint32(sum)
+	defer func() { _ = file.Close() }() // only read
+	return io.ReadAll(file)
 }
 
-// errBusy says that another process has the journal.
-var errBusy = errors.New("another process has the journal")
+// decodeSnapshot reads a journal's first line.
+func (z *storedZone) decodeSnapshot(body []byte, settings dnszone.Settings) error {
+	var record zoneRecord
+	if err := json.Unmarshal(body, &record); err != nil {
+		return err
+	}
+	if record.Format != storedFormat {
+		return fmt.Errorf("is of format %d, not %d", record.Format, storedFormat)
+	}
+	if got := record.settings(); got != settings {
+		return fmt.Errorf("is of zone %s and service %s, not %s and %s",
+			got.Origin, got.Service, settings.Origin, settings.Service)
+	}
+	zone, err := dnszone.Restore(record.Snapshot, settings)
+	if err != nil {
+		return err
+	}
+	z.zone = zone
+	z.fileSum = record.FileSum
+	return nil
+}
 
-// lockJournal makes the journal this process's own, or gives errBusy.
+// decodeChange reads a later line.
+func (z *storedZone) decodeChange(body []byte) error {
+	change := &dnszone.Change{}
+	if err := json.Unmarshal(body, change); err != nil {
+		return err
+	}
+	step, err := z.zone.Apply(change)
+	if err != nil {
+		return err
+	}
+	z.zone = step.Zone
+	z.changes = append(z.changes, change)
+	return nil
+}
+
+// errJournalLocked is that another process has the journal.
+var errJournalLocked = errors.New("another process has the journal")
+
+// lockJournal makes the journal this process's own, or returns errJournalLocked.
 func lockJournal(path string) (*journal, error) {
-	lock, err := os.OpenFile(path+".lock", os.O_CREATE|os.O_RDWR, 0o600)
+	lockFile, err := os.OpenFile(path+".lock", os.O_CREATE|os.O_RDWR, journalMode)
 	if err != nil {
 		return nil, err
 	}
-	if err := unix.Flock(int(lock.Fd()), unix.LOCK_EX|unix.LOCK_NB); err != nil {
-		lock.Close()
-		if errors.Is(err, unix.EWOULDBLOCK) {
-			return nil, errBusy
-		}
-		return nil, fmt.Errorf("%s.lock: %w", path, err)
+	err = unix.Flock(int(lockFile.Fd()), unix.LOCK_EX|unix.LOCK_NB)
+	if err == nil {
+		return &journal{path: path, lockFile: lockFile}, nil
 	}
-	return &journal{path: path, lock: lock}, nil
+	_ = lockFile.Close() // nothing was written, or locked
+	if errors.Is(err, unix.EWOULDBLOCK) {
+		return nil, errJournalLocked
+	}
+	return nil, fmt.Errorf("%s.lock: %w", path, err)
 }
 
-// follow goes on behind what was read; a torn line is cut off.
-func (j *journal) follow(s *state) (err error) {
-	if j.f, err = os.OpenFile(j.path, os.O_RDWR, 0o600); err != nil {
+// resume goes on behind what was read; a torn line is cut off.
+func (j *journal) resume(stored *storedZone) error {
+	file, err := os.OpenFile(j.path, os.O_RDWR, journalMode)
+	if err != nil {
 		return err
 	}
-	j.size, j.lines = s.size, len(s.changes)
-	if s.torn > 0 {
-		if err = j.f.Truncate(j.size); err == nil {
-			err = j.f.Sync()
-		}
+	j.file = file
+	j.size = stored.size
+	j.changes = len(stored.changes)
+	if stored.tornBytes == 0 {
+		return nil
 	}
-	return err
+	if err := j.file.Truncate(j.size); err != nil {
+		return err
+	}
+	return j.file.Sync()
 }
 
-// begin writes the journal anew, with a zone alone. On an error the old one stays.
-func (j *journal) begin(z *dnszone.Zone, sum string) error {
-	text, err := line(base{journalFormat, z.Origin, z.Service, sum, z.Snapshot()})
+// rewrite replaces the journal by one with a snapshot alone. On an error the old one stays.
+func (j *journal) rewrite(zone *dnszone.Zone, fileSum string) error {
+	text, err := encodeLine(newZoneRecord(zone, fileSum))
 	if err != nil {
 		return err
 	}
-	if err := renameio.WriteFile(j.path, text, 0o600); err != nil {
+	if err := renameio.WriteFile(j.path, text, journalMode); err != nil {
 		return err
 	}
-	if folder, err := os.Open(filepath.Dir(j.path)); err == nil {
-		err = folder.Sync()
-		folder.Close()
-		if err != nil {
-			return err
-		}
+	if err := syncFolder(filepath.Dir(j.path)); err != nil {
+		return err
 	}
-	f, err := os.OpenFile(j.path, os.O_RDWR, 0o600)
+	file, err := os.OpenFile(j.path, os.O_RDWR, journalMode)
 	if err != nil {
-		j.broken = err // what is written from here on would go to a file that is no longer there
+		j.failed = err // the open file is no longer the one at the path
 		return err
 	}
-	if j.f != nil {
-		j.f.Close()
+	if j.file != nil {
+		_ = j.file.Close() // replaced: what it holds is no longer read
 	}
-	j.f, j.size, j.lines, j.broken = f, int64(len(text)), 0, nil
+	j.file = file
+	j.size = int64(len(text))
+	j.changes = 0
+	j.failed = nil
 	return nil
 }
 
-// add writes a change, and returns once it lasts. After an error the journal is as before, or takes nothing more.
-func (j *journal) add(c *dnszone.Change) error {
-	if j.broken != nil {
-		return j.broken
+// syncFolder makes a rename in a folder durable. A folder that cannot be opened is left as it is.
+func syncFolder(path string) error {
+	folder, err := os.Open(path)
+	if err != nil {
+		return nil // a process may write to a folder that it may not read
+	}
+	defer func() { _ = folder.Close() }() // only read
+	return folder.Sync()
+}
+
+// append writes a change and returns once it is durable. After an error the journal is as before, or accepts nothing
+// more until it is rewritten.
+func (j *journal) append(change *dnszone.Change) error {
+	if j.failed != nil {
+		return j.failed
 	}
-	text, err := line(c)
+	text, err := encodeLine(change)
 	if err != nil {
 		return err
 	}
-	if _, err = j.f.WriteAt(text, j.size); err == nil {
-		if err = j.f.Sync(); err == nil {
+	if _, err = j.file.WriteAt(text, j.size); err == nil {
+		err = j.file.Sync()
+		if err == nil {
 			j.size += int64(len(text))
-			j.lines++
+			j.changes++
 			return nil
 		}
-		// After a failed sync nobody knows what lasts: nothing more is taken until the journal is written anew.
-		j.broken = fmt.Errorf("%s: %w", j.path, err)
+		j.failed = fmt.Errorf("%s: %w", j.path, err) // after a failed sync nobody knows what is durable
 	}
-	if cut := j.f.Truncate(j.size); cut != nil {
-		j.broken = fmt.Errorf("%s: %w", j.path, cut)
+	if cut := j.file.Truncate(j.size); cut != nil {
+		j.failed = fmt.Errorf("%s: %w", j.path, cut)
 	}
 	return err
 }
 
+// close releases the journal. It may be called on a nil journal.
 func (j *journal) close() {
 	if j == nil {
 		return
 	}
-	if j.f != nil {
-		j.f.Close()
+	if j.file != nil {
+		_ = j.file.Close() // every line was synced when it was written
 	}
-	j.lock.Close()
+	_ = j.lockFile.Close() // releases the lock
 }
--- /dev/null
+++ b/internal/dnsserver/query.go
@@ -0,0 +1,68 @@
+package dnsserver
+
+import (
+	"github.com/miekg/dns"
+
+	"fawnplank/internal/dnszone"
+)
+
+const (
+	// plainUDPBytes is the size of a UDP answer where the client states none (RFC 1035, 4.2.1).
+	plainUDPBytes = 512
+	// ednsUDPBytes is the size that the server offers: it passes any link without fragments.
+	ednsUDPBytes = 1232
+	// maxAliases is how many CNAMEs an answer follows; a loop ends there.
+	maxAliases = 8
+)
+
+// query answers a question about the zone, with authority. Others are refused: the server does no recursion.
+func (s *Server) query(x *exchange) *dns.Msg {
+	zone := s.published.Load()
+	answer := new(dns.Msg).SetReply(x.request)
+	question := x.request.Question[0]
+	name := dns.CanonicalName(question.Name)
+	if question.Qclass != dns.ClassINET || !dns.IsSubDomain(zone.Origin, name) {
+		return answer.SetRcode(x.request, dns.RcodeRefused)
+	}
+	answer.Authoritative = true
+	answer.Compress = true
+	answer.Answer, name = resolve(zone, name, question.Qtype)
+	if len(answer.Answer) == 0 {
+		if len(zone.RRset(name, dns.TypeANY)) == 0 && !zone.HasDescendants(name) {
+			answer.Rcode = dns.RcodeNameError
+		}
+		answer.Ns = zone.RRset(zone.Origin, dns.TypeSOA)
+	}
+	if x.request.IsEdns0() != nil {
+		answer.SetEdns0(ednsUDPBytes, false)
+	}
+	answer.Truncate(x.maxAnswerBytes())
+	return answer
+}
+
+// resolve returns the records of a name and type, and the aliases on the way to them, with the last name.
+func resolve(zone *dnszone.Zone, name string, rrtype uint16) (rrs []dns.RR, last string) {
+	for range maxAliases {
+		rrs = append(rrs, zone.RRset(name, rrtype)...)
+		alias := zone.RRset(name, dns.TypeCNAME)
+		if len(alias) == 0 || rrtype == dns.TypeCNAME || rrtype == dns.TypeANY {
+			break
+		}
+		rrs = append(rrs, alias...)
+		name = alias[0].(*dns.CNAME).Target
+	}
+	return rrs, name
+}
+
+// maxAnswerBytes returns the size that an answer must fit.
+func (x *exchange) maxAnswerBytes() int {
+	if x.isTCP() {
+		return dns.MaxMsgSize
+	}
+	if opt := x.request.IsEdns0(); opt != nil {
+		return min(max(int(opt.UDPSize()), plainUDPBytes), ednsUDPBytes)
+	}
+	return plainUDPBytes
+}
+
+func (x *exchange) isTCP() bool { return x.writer.RemoteAddr().Network() == "tcp" }
--- /dev/null
+++ b/internal/dnsserver/transfer.go
@@ -0,0 +1,109 @@
+package dnsserver
+
+import (
+	"errors"
+	"time"
+
+	"github.com/miekg/dns"
+
+	"fawnplank/internal/dnszone"
+)
+
+const (
+	// recordsPerEnvelope keeps a message of a transfer below 64 KB: a record has some hundred bytes.
+	recordsPerEnvelope = 200
+	// transferStallTimeout is how long a secondary that has gone holds the records of its transfer.
+	transferStallTimeout = 10 * time.Second
+)
+
+var errTransferNotAllowed = errors.New("not signed, not of this zone, or not over TCP")
+
+// transfer gives a secondary that signs the whole zone (RFC 5936), or the changes since a serial (RFC 1995).
+func (s *Server) transfer(x *exchange) {
+	s.mu.Lock()
+	zone := s.zone
+	changes := s.changes
+	s.mu.Unlock()
+	question := x.request.Question[0]
+	if x.tsig == nil || dns.CanonicalName(question.Name) != zone.Origin || !x.isTCP() {
+		s.logRefusal(x, errTransferNotAllowed, "transfer refused")
+		x.replyCode(dns.RcodeRefused)
+		return
+	}
+	rrs := transferRecords(x.request, zone, changes)
+	if err := new(dns.Transfer).Out(x.writer, x.request, envelopes(rrs)); err != nil {
+		x.logger().WithError(err).Warn("transfer failed")
+	}
+	_ = x.writer.Close() // the secondary has all, or is gone
+}
+
+// transferRecords returns the records of an answer to AXFR or IXFR: the SOA alone where the secondary is up to date, the
+// changes where they are known, and else the zone.
+func transferRecords(request *dns.Msg, zone *dnszone.Zone, changes []*dnszone.Change) []dns.RR {
+	soa := zone.RRset(zone.Origin, dns.TypeSOA)[0]
+	if request.Question[0].Qtype == dns.TypeIXFR && len(request.Ns) == 1 {
+		if theirs, ok := request.Ns[0].(*dns.SOA); ok {
+			if !dnszone.SerialNewer(zone.Serial(), theirs.Serial) {
+				return []dns.RR{soa}
+			}
+			if delta := deltaSince(changes, theirs.Serial); delta != nil {
+				return append(append([]dns.RR{soa}, delta...), soa)
+			}
+		}
+	}
+	return append(zone.Records(), soa)
+}
+
+// envelopes sends records in parts. Its goroutine ends when all are received, or none is for transferStallTimeout.
+func envelopes(rrs []dns.RR) chan *dns.Envelope {
+	parts := make(chan *dns.Envelope)
+	go func() {
+		defer close(parts)
+		for len(rrs) > 0 {
+			n := min(len(rrs), recordsPerEnvelope)
+			select {
+			case parts <- &dns.Envelope{RR: rrs[:n]}:
+			case <-time.After(transferStallTimeout):
+				return
+			}
+			rrs = rrs[n:]
+		}
+	}()
+	return parts
+}
+
+// deltaSince returns the changes after a serial in the order of IXFR, or nil where they are no longer known.
+func deltaSince(changes []*dnszone.Change, serial uint32) (rrs []dns.RR) {
+	found := false
+	for _, change := range changes {
+		found = found || change.FromSerial == serial
+		if !found {
+			continue
+		}
+		for _, texts := range [][]string{change.Deleted, change.Added} {
+			sequence, err := ixfrSequence(texts)
+			if err != nil {
+				return nil
+			}
+			rrs = append(rrs, sequence...)
+		}
+	}
+	return rrs
+}
+
+// ixfrSequence parses records and puts the SOA, which leads each sequence of IXFR, first.
+func ixfrSequence(texts []string) ([]dns.RR, error) {
+	var soa, rest []dns.RR
+	for _, text := range texts {
+		rr, err := dns.NewRR(text)
+		if err != nil {
+			return nil, err
+		}
+		if rr.Header().Rrtype == dns.TypeSOA {
+			soa = append(soa, rr)
+		} else {
+			rest = append(rest, rr)
+		}
+	}
+	return append(soa, rest...), nil
+}
--- /dev/null
+++ b/internal/dnsserver/update.go
@@ -0,0 +1,137 @@
+package dnsserver
+
+import (
+	"errors"
+	"fmt"
+	"time"
+
+	"github.com/miekg/dns"
+
+	"fawnplank/internal/dnszone"
+	"fawnplank/internal/logging"
+)
+
+// update handles a signed update: it is judged, stored durably, published, and answered then.
+func (s *Server) update(x *exchange) {
+	signature := dnszone.Signature{
+		KeyName:       dns.CanonicalName(x.tsig.Hdr.Name),
+		SignedSeconds: int64(x.tsig.TimeSigned),
+		MAC:           x.tsig.MAC,
+	}
+	sender := x.writer.RemoteAddr().String()
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	nowNanos := time.Now().UnixNano()
+	verdict, outcome := s.guard.Check(signature, sender, nowNanos)
+	switch verdict {
+	case dnszone.VerdictReplay:
+		s.refuseSignature(x, dns.ErrTime)
+		return
+	case dnszone.VerdictRateLimited:
+		s.counters.rateLimited.Add(1)
+		err := fmt.Errorf("more than %g updates a second", s.options.MaxUpdatesPerSecond)
+		s.logRefusal(x, err, "update rate limited")
+		x.replyCode(dns.RcodeRefused)
+		return
+	case dnszone.VerdictAccept:
+		outcome = dnszone.Outcome{Sender: sender, Rcode: s.apply(x, signature, nowNanos)}
+		if outcome.Rcode != dns.RcodeServerFailure { // after which the same message may be sent again
+			s.guard.Record(signature, outcome, nowNanos)
+		}
+	case dnszone.VerdictRepeat: // it gets the outcome that was recorded
+	}
+	x.replyCode(outcome.Rcode)
+}
+
+// apply applies an update and returns the RCODE of its answer. The lock is held.
+func (s *Server) apply(x *exchange, signature dnszone.Signature, nowNanos int64) int {
+	if x.request.Truncated {
+		return dns.RcodeFormatError
+	}
+	if s.journal == nil && s.options.Replicated == nil {
+		return dns.RcodeRefused
+	}
+	step, err := s.store(func() (*dnszone.Step, error) { return s.zone.Update(x.request, nowNanos, signature) })
+	if refused, ok := errors.AsType[*dnszone.UpdateError](err); ok {
+		s.counters.updatesRefused.Add(1)
+		s.logRefusal(x, err, "update refused")
+		return refused.Rcode
+	}
+	if err != nil { // with the replicated store it may land yet, at all replicas
+		s.counters.updatesLost.Add(1)
+		x.logger().WithError(err).Error("update not stored")
+		return dns.RcodeServerFailure
+	}
+	if step.Change == nil {
+		return dns.RcodeSuccess
+	}
+	s.counters.updatesDone.Add(1)
+	s.advance(step)
+	x.logger().
+		WithField("serial", step.Zone.Serial()).
+		WithField("come", len(step.Updated)).
+		WithField("gone", len(step.Removed)).
+		Info("update applied")
+	return dns.RcodeSuccess
+}
+
+// store judges an update on the zone in force and makes it durable. The lock is held.
+func (s *Server) store(judge func() (*dnszone.Step, error)) (*dnszone.Step, error) {
+	if s.options.Replicated != nil {
+		return s.replicate(judge)
+	}
+	step, err := judge()
+	if err == nil && step.Change != nil {
+		err = s.journal.append(step.Change)
+	}
+	return step, err
+}
+
+// advance puts the zone of one stored change in force. The lock is held.
+func (s *Server) advance(step *dnszone.Step) {
+	s.zone = step.Zone
+	s.changes = append(s.changes, step.Change)
+	s.published.Store(s.zone)
+	s.publish(step.Updated, step.Removed)
+	if len(step.Removed) > 0 && s.zone.BackendCount() == 0 {
+		logging.For(component).Error("last backend removed, requests are rejected until an update or a zone file adds one")
+	}
+	if err := s.compact(); err != nil {
+		logging.For(component).WithError(err).Error("changes not compacted")
+	}
+	if len(s.changes) >= maxJournalChanges { // secondaries that lag by more get the whole zone
+		s.changes = append([]*dnszone.Change(nil), s.changes[maxJournalChanges/2:]...)
+	}
+	s.signalSecondaries()
+}
+
+// compact stores the zone as one snapshot where enough changes stand behind the last one. The lock is held.
+func (s *Server) compact() error {
+	switch {
+	case s.journal != nil && s.journal.changes >= maxJournalChanges:
+		return s.journal.rewrite(s.zone, s.fileSum)
+	case s.options.Replicated != nil && s.options.Replicated.isFull():
+		err := s.options.Replicated.replace(s.zone, s.zone, s.fileSum)
+		if errors.Is(err, errBehind) {
+			return nil // another replica was quicker, or the next change finds it full
+		}
+		return err
+	}
+	return nil
+}
+
+// SendUpdate signs an update, sends it by TCP, and returns an error unless it was applied.
+func SendUpdate(message *dns.Msg, address string, key Key, timeout time.Duration) error {
+	message.SetTsig(key.Name, key.Algorithm, FudgeSeconds, time.Now().Unix())
+	client := dns.Client{Net: "tcp", Timeout: timeout, TsigProvider: newKeyring([]Key{key})}
+	answer, _, err := client.Exchange(message, address)
+	if answer == nil || answer.Rcode == dns.RcodeSuccess {
+		return err
+	}
+	// The library's own error, if any, only says that it could not verify a refusal.
+	err = errors.New(dns.RcodeToString[answer.Rcode])
+	if tsig := answer.IsTsig(); tsig != nil && tsig.Error != 0 {
+		err = fmt.Errorf("%w (%s)", err, dns.RcodeToString[int(tsig.Error)])
+	}
+	return err
+}
--- a/internal/dnsserver/version0_test.go
+++ b/internal/dnsserver/version0_test.go
@@ -34,10 +34,10 @@
 }
 
 // version0State checks what a journal or a store of the version before says.
-func version0State(t *testing.T, s *state) {
+func version0State(t *testing.T, s *storedZone) {
 	t.Helper()
-	if s.zone.Serial() != 9 || s.sum != "62ff89fddb841c2f" {
-		t.Errorf("serial %d of the file %s", s.zone.Serial(), s.sum)
+	if s.zone.Serial() != 9 || s.fileSum != "62ff89fddb841c2f" {
+		t.Errorf("serial %d of the file %s", s.zone.Serial(), s.fileSum)
 	}
 	list := map[string]dnszone.Backend{}
 	for _, b := range s.zone.Backends() {
@@ -98,8 +98,8 @@
 		t.Fatal(err)
 	}
 	first, _, _ := bytes.Cut(old, []byte{'\n'})
-	body, _ := unwrap(first)
-	var b base
+	body, _ := decodeLine(first)
+	var b zoneRecord
 	if err := json.Unmarshal(body, &b); err != nil {
 		t.Fatal(err)
 	}
@@ -108,15 +108,15 @@
 		t.Fatal(err)
 	}
 	again := &journal{path: filepath.Join(t.TempDir(), "again")}
-	if again.lock, err = os.Create(again.path + ".lock"); err != nil {
+	if again.lockFile, err = os.Create(again.path + ".lock"); err != nil {
 		t.Fatal(err)
 	}
 	defer again.close()
-	if err := again.begin(z, s.sum); err != nil {
+	if err := again.rewrite(z, s.fileSum); err != nil {
 		t.Fatal(err)
 	}
 	for _, c := range s.changes {
-		if err := again.add(c); err != nil {
+		if err := again.append(c); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -188,18 +188,18 @@
 		t.Errorf("keys %q", keys)
 	}
 	shared := &ReplicatedZone{&direct{kv: stored, at: stored.At()}}
-	if h, _, err := shared.head(); err != nil || h != (head{Serial: 9, Base: 7, Pieces: 1, Changes: 2, Sum: "62ff89fddb841c2f"}) {
+	if h, _, err := shared.readHead(); err != nil || h != (storeHead{Serial: 9, Base: 7, Pieces: 1, Changes: 2, Sum: "62ff89fddb841c2f"}) {
 		t.Errorf("head %+v, %v", h, err)
 	}
-	s, err := shared.Load(set)
+	s, err := shared.load(set)
 	if err != nil {
 		t.Fatal(err)
 	}
 	version0State(t, s)
 
-	piece, _ := stored.Get(at(7, 0))
+	piece, _ := stored.Get(pieceKey(7, 0))
 	var inner string
-	var b base
+	var b zoneRecord
 	if err := json.Unmarshal(piece.Value, &inner); err != nil {
 		t.Fatal(err)
 	}
@@ -211,11 +211,11 @@
 		t.Fatal(err)
 	}
 	again := &direct{kv: kv.New()}
-	if err := (&ReplicatedZone{again}).Begin(z, s.sum); err != nil {
+	if err := (&ReplicatedZone{again}).initialize(z, s.fileSum); err != nil {
 		t.Fatal(err)
 	}
 	for _, c := range s.changes {
-		if err := (&ReplicatedZone{again}).Add(c); err != nil {
+		if err := (&ReplicatedZone{again}).append(c); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -233,7 +233,7 @@
 
 // TestStoredTypes_HaveTags holds that each stored field has its name from a tag, and not from Go.
 func TestStoredTypes_HaveTags(t *testing.T) {
-	testutil.CheckTags(t, base{}, head{}, dnszone.Change{})
+	testutil.CheckTags(t, zoneRecord{}, storeHead{}, dnszone.Change{})
 }
 
 // version0Born is when the update of the compacted journal was taken, unix ns.
@@ -248,7 +248,7 @@
 		r := must(t, Options{ZoneFile: "calc.zone", JournalFile: "calc.journal"})
 		version0Updates(t, r)
 		r.mu.Lock()
-		err := r.journal.begin(r.zone, r.sum) // as after mostChanges updates
+		err := r.journal.rewrite(r.zone, r.fileSum) // as after maxJournalChanges updates
 		r.mu.Unlock()
 		r.Close()
 		if err == nil {
@@ -270,14 +270,14 @@
 		"n2.calc.example:7000": {File: "calc.zone", Line: 8, Serial: 7}}; !reflect.DeepEqual(born, want) {
 		t.Errorf("%+v", born)
 	}
-	if s.zone.Serial() != 9 || s.sum != "62ff89fddb841c2f" || len(s.changes) != 0 {
-		t.Errorf("serial %d of the file %s, %d changes", s.zone.Serial(), s.sum, len(s.changes))
+	if s.zone.Serial() != 9 || s.fileSum != "62ff89fddb841c2f" || len(s.changes) != 0 {
+		t.Errorf("serial %d of the file %s, %d changes", s.zone.Serial(), s.fileSum, len(s.changes))
 	}
 	old, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if again, err := line(base{journalFormat, s.zone.Origin, s.zone.Service, s.sum, s.zone.Snapshot()}); err != nil || !bytes.Equal(again, old) {
+	if again, err := encodeLine(zoneRecord{storedFormat, s.zone.Origin, s.zone.Service, s.fileSum, s.zone.Snapshot()}); err != nil || !bytes.Equal(again, old) {
 		t.Errorf("written anew (%v):\n%s\nthe fixture:\n%s", err, again, old)
 	}
 }
--- /dev/null
+++ b/internal/dnszone/parse.go
@@ -0,0 +1,120 @@
+package dnszone
+
+import (
+	"bytes"
+	"cmp"
+	"errors"
+	"fmt"
+	"slices"
+	"strconv"
+	"strings"
+
+	"github.com/miekg/dns"
+)
+
+// defaultTTLSeconds holds for records of a master file without $TTL.
+const defaultTTLSeconds = 60
+
+// PositionError is an error in a master file, with the place of the record at fault.
+type PositionError struct {
+	File string
+	Line int
+	Err  error
+}
+
+func (e *PositionError) Error() string { return fmt.Sprintf("%s:%d: %v", e.File, e.Line, e.Err) }
+
+// Unwrap returns the error without its place.
+func (e *PositionError) Unwrap() error { return e.Err }
+
+// positioned adds the file and line of a record to an error, as far as they are known.
+func (z *Zone) positioned(rr dns.RR, err error) error {
+	if line := z.lines[rr]; line > 0 {
+		return &PositionError{File: z.file, Line: line, Err: err}
+	}
+	return err
+}
+
+// lineCounter counts the lines that the parser, which reads single bytes, has consumed.
+type lineCounter struct {
+	*bytes.Reader
+	line int
+}
+
+// ReadByte implements io.ByteReader.
+func (c *lineCounter) ReadByte() (byte, error) {
+	b, err := c.Reader.ReadByte()
+	if err == nil && b == '\n' {
+		c.line++
+	}
+	return b, err
+}
+
+// Parse reads a master file. Errors have the form "name:line: what". The backends count as started long ago, unless
+// their records state a start.
+func Parse(name string, text []byte, settings Settings) (*Zone, error) {
+	settings, err := settings.Canonical()
+	if err != nil {
+		return nil, err
+	}
+	if n := len(text); n > 0 && text[n-1] != '\n' {
+		text = append(slices.Clone(text), '\n')
+	}
+	z := &Zone{Settings: settings, lines: map[dns.RR]int{}, file: name}
+	if err := z.parseRecords(text); err != nil {
+		return nil, err
+	}
+	soa := z.soa()
+	if soa == nil {
+		return nil, fmt.Errorf("%s:1: no SOA record of %s", name, settings.Origin)
+	}
+	if len(z.RRset(settings.Service, dns.TypeSRV)) == 0 {
+		return nil, fmt.Errorf("%s:%d: %s has no SRV record: a service without any backend is taken for a mistake",
+			name, z.lines[soa], settings.Service)
+	}
+	return z.withBackends(func(_ string, rr dns.RR) Provenance {
+		return Provenance{File: name, Line: z.lines[rr], Serial: soa.Serial}
+	})
+}
+
+// parseRecords fills an empty zone with the records of a master file.
+func (z *Zone) parseRecords(text []byte) error {
+	input := &lineCounter{Reader: bytes.NewReader(text)}
+	parser := dns.NewZoneParser(input, z.Origin, z.file)
+	parser.SetDefaultTTL(defaultTTLSeconds)
+	for rr, ok := parser.Next(); ok; rr, ok = parser.Next() {
+		canonicalize(rr)
+		z.lines[rr] = input.line
+		if err := z.addParsed(rr); err != nil {
+			return z.positioned(rr, err)
+		}
+	}
+	if err := parser.Err(); err != nil {
+		return syntaxError(z.file, input.line, err)
+	}
+	return nil
+}
+
+func (z *Zone) addParsed(rr dns.RR) error {
+	if err := z.checkRecord(rr); err != nil {
+		return err
+	}
+	header := rr.Header()
+	_, duplicate := z.records.Set(recordKey(rr), rr)
+	if duplicate || header.Rrtype == dns.TypeSOA && len(z.RRset(z.Origin, dns.TypeSOA)) > 1 {
+		return fmt.Errorf("%s %s stands twice", header.Name, dns.Type(header.Rrtype))
+	}
+	if z.records.Len() > maxRecords {
+		return fmt.Errorf("more than %d records", maxRecords)
+	}
+	return nil
+}
+
+// syntaxError brings an error of the library's parser, "NAME: dns: WHAT at line: LINE:COLUMN", to this package's form.
+// lastLine stands in where the library names no line.
+func syntaxError(name string, lastLine int, err error) error {
+	text := strings.TrimPrefix(strings.TrimPrefix(err.Error(), name+": "), "dns: ")
+	what, position, _ := strings.Cut(text, " at line: ")
+	line, _, _ := strings.Cut(position, ":")
+	return errors.New(name + ":" + cmp.Or(line, strconv.Itoa(lastLine)) + ": " + what)
+}
--- /dev/null
+++ b/internal/dnszone/replay_guard.go
@@ -0,0 +1,119 @@
+package dnszone
+
+import "fmt"
+
+// FudgeSeconds is how far an updater's clock may be from this host's: what RFC 8945, 10 recommends.
+const FudgeSeconds = 300
+
+const nanosPerSecond = 1e9
+
+// ReplayGuard keeps updates from being applied twice and from coming faster than is allowed. The caller passes the
+// time. What it remembers is bounded by its rate times the time for which a signature is valid.
+type ReplayGuard struct {
+	ratePerSecond   float64
+	tokens          float64 // how many updates may come at once: at most a second's worth
+	refilledAtNanos int64
+	startedSeconds  int64 // what was signed before may have been applied by an earlier incarnation
+	outcomes        map[string]Outcome
+	expiries        []expiry // in order of recording
+}
+
+// expiry is when the signature with a MAC is no longer valid by its time alone.
+type expiry struct {
+	mac          string
+	untilSeconds int64
+}
+
+// Outcome is the result of an update.
+type Outcome struct {
+	Sender string // address and port
+	Rcode  int
+}
+
+// NewReplayGuard returns a guard that accepts ratePerSecond updates, signed after its start.
+func NewReplayGuard(ratePerSecond float64, nowNanos int64) *ReplayGuard {
+	return &ReplayGuard{
+		ratePerSecond:   ratePerSecond,
+		tokens:          max(ratePerSecond, 1),
+		refilledAtNanos: nowNanos,
+		startedSeconds:  nowNanos / nanosPerSecond,
+		outcomes:        map[string]Outcome{},
+	}
+}
+
+// Verdict is what Check decides about a message.
+type Verdict uint8
+
+// The verdicts.
+const (
+	VerdictAccept      Verdict = iota // a new update
+	VerdictRepeat                     // the same sender asks again, without an answer so far: it gets the recorded one
+	VerdictReplay                     // seen before, or signed too long ago or ahead
+	VerdictRateLimited                // more than the rate allows
+)
+
+// String returns the verdict's name.
+func (v Verdict) String() string {
+	switch v {
+	case VerdictAccept:
+		return "accept"
+	case VerdictRepeat:
+		return "repeat"
+	case VerdictReplay:
+		return "replay"
+	case VerdictRateLimited:
+		return "rate limited"
+	}
+	return fmt.Sprintf("Verdict(%d)", uint8(v))
+}
+
+// Check decides about a message whose signature is valid. The outcome is that of the message recorded before, if any.
+func (g *ReplayGuard) Check(signature Signature, sender string, nowNanos int64) (Verdict, Outcome) {
+	nowSeconds := nowNanos / nanosPerSecond
+	g.forgetExpired(nowSeconds)
+	if outcome, ok := g.outcomes[signature.MAC]; ok {
+		if outcome.Sender == sender {
+			return VerdictRepeat, outcome
+		}
+		return VerdictReplay, outcome
+	}
+	signed := signature.SignedSeconds
+	if signed <= g.startedSeconds || signed < nowSeconds-FudgeSeconds || signed > nowSeconds+FudgeSeconds {
+		return VerdictReplay, Outcome{}
+	}
+	g.refill(nowNanos)
+	if g.tokens < 1 {
+		return VerdictRateLimited, Outcome{}
+	}
+	g.tokens--
+	return VerdictAccept, Outcome{}
+}
+
+// refill adds the tokens of the time since the last refill.
+func (g *ReplayGuard) refill(nowNanos int64) {
+	elapsedSeconds := float64(max(nowNanos-g.refilledAtNanos, 0)) / nanosPerSecond
+	g.tokens = min(g.tokens+elapsedSeconds*g.ratePerSecond, max(g.ratePerSecond, 1))
+	g.refilledAtNanos = nowNanos
+}
+
+// Record remembers the outcome of an update, applied here or at another replica.
+func (g *ReplayGuard) Record(signature Signature, outcome Outcome, nowNanos int64) {
+	if _, ok := g.outcomes[signature.MAC]; !ok && signature.MAC != "" {
+		validFrom := max(signature.SignedSeconds, nowNanos/nanosPerSecond)
+		g.expiries = append(g.expiries, expiry{mac: signature.MAC, untilSeconds: validFrom + FudgeSeconds})
+	}
+	g.outcomes[signature.MAC] = outcome
+}
+
+// forgetExpired drops what is refused by its time alone.
+func (g *ReplayGuard) forgetExpired(nowSeconds int64) {
+	n := 0
+	for n < len(g.expiries) && g.expiries[n].untilSeconds < nowSeconds {
+		delete(g.outcomes, g.expiries[n].mac)
+		n++
+	}
+	g.expiries = g.expiries[n:]
+}
+
+// Len returns how many signatures are remembered.
+func (g *ReplayGuard) Len() int { return len(g.outcomes) }
--- /dev/null
+++ b/internal/dnszone/snapshot.go
@@ -0,0 +1,47 @@
+package dnszone
+
+import (
+	"fmt"
+
+	"github.com/miekg/dns"
+)
+
+// Snapshot is the stored form of a zone.
+type Snapshot struct {
+	Records    []string              `json:"records"` // in master form, the SOA first
+	Provenance map[string]Provenance `json:"born"`    // of the backends, by name
+}
+
+// Snapshot returns the zone in its stored form.
+func (z *Zone) Snapshot() Snapshot {
+	snapshot := Snapshot{Provenance: map[string]Provenance{}}
+	for _, rr := range z.Records() {
+		snapshot.Records = append(snapshot.Records, rr.String())
+	}
+	z.backends.Scan(func(name string, backend Backend) bool {
+		snapshot.Provenance[name] = backend.Provenance
+		return true
+	})
+	return snapshot
+}
+
+// Restore makes a zone of a snapshot, which it checks as Parse checks a file. A service without backends is no error
+// here: updates may have removed the last one.
+func Restore(snapshot Snapshot, settings Settings) (*Zone, error) {
+	settings, err := settings.Canonical()
+	if err != nil {
+		return nil, err
+	}
+	z := &Zone{Settings: settings}
+	for _, text := range snapshot.Records {
+		rr, err := z.parseAllowedRecord(text)
+		if err != nil {
+			return nil, fmt.Errorf("record %.80q: %w", text, err)
+		}
+		z.records.Set(recordKey(rr), rr)
+	}
+	if z.soa() == nil {
+		return nil, fmt.Errorf("not one SOA record of %s", settings.Origin)
+	}
+	return z.withBackends(func(name string, _ dns.RR) Provenance { return snapshot.Provenance[name] })
+}
--- /dev/null
+++ b/internal/dnszone/target.go
@@ -0,0 +1,182 @@
+package dnszone
+
+import (
+	"errors"
+	"fmt"
+	"net/netip"
+	"slices"
+	"strconv"
+	"strings"
+
+	"github.com/miekg/dns"
+)
+
+const (
+	// maxAliases is how many CNAMEs are followed from a target to its addresses. A loop is longer than any number.
+	maxAliases = 8
+	// attributeMark begins the TXT records that describe a backend; others at its name are left alone.
+	attributeMark = "fawnplank"
+	// maxZoneNameBytes is the longest label of a DNS name, and of a zone attribute.
+	maxZoneNameBytes = 63
+	// maxStartMillis bounds a stated start: some year 2109.
+	maxStartMillis = 1 << 42
+	// minSize and maxSize bound a size attribute, relative to an ordinary backend.
+	minSize, maxSize = 0.01, 100
+)
+
+// target is what the records say at an SRV record's target.
+type target struct {
+	addresses  []netip.Addr
+	zone       string
+	group      uint16
+	draining   bool
+	size       float64 // 0: not stated
+	startNanos int64   // 0: not stated
+}
+
+// readTarget reads what stands at a target. Attributes stand at the target's own name; addresses may stand behind
+// aliases.
+func (d *draft) readTarget(name string) (*target, error) {
+	owner, err := d.resolveAliases(name)
+	if err != nil {
+		return nil, err
+	}
+	host := &target{}
+	if host.addresses, err = d.readAddresses(name, owner); err != nil {
+		return nil, err
+	}
+	if err := d.readAttributes(name, host); err != nil {
+		return nil, err
+	}
+	if owner != name { // a change behind the alias does not touch the target: it is read again at every update
+		if d.next.aliasedTargets == nil {
+			d.next.aliasedTargets = map[string]bool{}
+		}
+		d.next.aliasedTargets[name] = true
+	}
+	return host, nil
+}
+
+// resolveAliases follows CNAME records from a name to the last one.
+func (d *draft) resolveAliases(name string) (string, error) {
+	owner := name
+	for n := 0; ; n++ {
+		alias := d.next.RRset(owner, dns.TypeCNAME)
+		if len(alias) == 0 {
+			return owner, nil
+		}
+		if n == maxAliases {
+			return "", d.base.positioned(alias[0],
+				fmt.Errorf("the names behind %s make a loop, or more than %d steps", name, maxAliases))
+		}
+		owner = dns.CanonicalName(alias[0].(*dns.CNAME).Target)
+	}
+}
+
+// readAddresses returns the addresses of a target, which stand at owner, in an order that is the same at every gateway.
+func (d *draft) readAddresses(name, owner string) (addresses []netip.Addr, err error) {
+	for _, rr := range d.next.RRset(owner, dns.TypeAAAA) {
+		if address, ok := netip.AddrFromSlice(rr.(*dns.AAAA).AAAA); ok {
+			addresses = append(addresses, address.Unmap())
+		}
+	}
+	for _, rr := range d.next.RRset(owner, dns.TypeA) {
+		if address, ok := netip.AddrFromSlice(rr.(*dns.A).A.To4()); ok {
+			addresses = append(addresses, address)
+		}
+	}
+	for _, address := range addresses {
+		if address.IsUnspecified() || address.IsMulticast() {
+			return nil, fmt.Errorf("%s has the address %s, which no backend can have", owner, address)
+		}
+	}
+	if len(addresses) == 0 {
+		return nil, fmt.Errorf("%s has no address in the zone (looked for at %s)", name, owner)
+	}
+	slices.SortFunc(addresses, netip.Addr.Compare)
+	return addresses, nil
+}
+
+// readAttributes reads the TXT record at a target that bears the mark.
+func (d *draft) readAttributes(name string, host *target) error {
+	found := false
+	for _, rr := range d.next.RRset(name, dns.TypeTXT) {
+		words := rr.(*dns.TXT).Txt
+		if len(words) == 0 || words[0] != attributeMark {
+			continue
+		}
+		if found {
+			return d.base.positioned(rr, fmt.Errorf("%s has two texts that begin with %s", name, attributeMark))
+		}
+		found = true
+		if err := host.parseAttributes(words[1:]); err != nil {
+			return d.base.positioned(rr, fmt.Errorf("%s: %w", name, err))
+		}
+	}
+	return nil
+}
+
+// parseAttributes reads words of the form key=value, each key once.
+func (t *target) parseAttributes(words []string) error {
+	seen := map[string]bool{}
+	for _, word := range words {
+		key, value, ok := strings.Cut(word, "=")
+		if !ok || seen[key] {
+			return fmt.Errorf("%.40q is not of the form key=value, or stands twice", word)
+		}
+		seen[key] = true
+		if err := t.setAttribute(key, value); err != nil {
+			return fmt.Errorf("%.40q: %w", word, err)
+		}
+	}
+	return nil
+}
+
+// setAttribute sets one of zone=NAME, group=0..65535, status=up|draining, size=0.01..100, since=UNIX-MILLISECONDS.
+func (t *target) setAttribute(key, value string) (err error) {
+	switch key {
+	case "zone":
+		if len(value) > maxZoneNameBytes {
+			return errors.New("longer than 63 bytes")
+		}
+		t.zone = value
+	case "group":
+		group, err := strconv.ParseUint(value, 10, 16)
+		t.group = uint16(group)
+		return err
+	case "status":
+		if value != "up" && value != "draining" {
+			return errors.New("neither up nor draining")
+		}
+		t.draining = value == "draining"
+	case "size":
+		t.size, err = parseSize(value)
+	case "since":
+		t.startNanos, err = parseStart(value)
+	default:
+		return errors.New("unknown; zone, group, status, size and since are known")
+	}
+	return err
+}
+
+func parseSize(value string) (float64, error) {
+	size, err := strconv.ParseFloat(value, 64)
+	if err != nil {
+		return 0, err
+	}
+	if !(size >= minSize && size <= maxSize) { // NaN is neither
+		return 0, errors.New("not from 0.01 to 100")
+	}
+	return size, nil
+}
+
+func parseStart(value string) (nanos int64, err error) {
+	millis, err := strconv.ParseInt(value, 10, 64)
+	if err != nil {
+		return 0, err
+	}
+	if millis < 0 || millis > maxStartMillis {
+		return 0, errors.New("no time in milliseconds since 1970")
+	}
+	return millis * 1e6, nil
+}
--- a/internal/lab/dnsbench/dnsbench.go
+++ b/internal/lab/dnsbench/dnsbench.go
@@ -86,7 +86,7 @@
 	}
 	c.Load = ms(time.Since(began))
 	var told atomic.Int64
-	o.Publish = func([]dnszone.Backend, []string, bool) { told.Store(time.Now().UnixNano()) }
+	o.Publish = func(dnsserver.ListUpdate) { told.Store(time.Now().UnixNano()) }
 	s, err := dnsserver.Start(o)
 	if err != nil {
 		return c, err
