--- a/internal/dnsserver/handler.go
+++ b/internal/dnsserver/handler.go
@@ -126,7 +126,8 @@
 	}
 }
 
-// refuseSignature answers a message whose signature is not valid (RFC 8945, 5.2): NOTAUTH, with the TSIG's own error.
+// refuseSignature answers a message whose signature is not valid (RFC 8945, 5.2): NOTAUTH, with the TSIG's
+// own error.
 func (s *Server) refuseSignature(x *exchange, err error) {
 	s.counters.signaturesRefused.Add(1)
 	s.logRefusal(x, err, "invalid signature refused")
--- /dev/null
+++ b/internal/dnsserver/helpers_test.go
@@ -0,0 +1,198 @@
+package dnsserver
+
+import (
+	"fmt"
+	"os"
+	"path/filepath"
+	"strings"
+	"sync"
+	"testing"
+	"time"
+
+	"github.com/miekg/dns"
+
+	"fawnplank/internal/dnszone"
+)
+
+var testSettings = dnszone.Settings{Origin: "calc.example.", Service: "_calc._tcp.calc.example."}
+
+const zoneFileHead = `$ORIGIN calc.example.
+$TTL 30
+@ IN SOA ns admin %d 3600 600 86400 30
+@ IN NS ns
+ns IN A 127.0.0.1
+`
+
+// srvTo is an SRV record of the service without its target.
+const srvTo = "_calc._tcp.calc.example. 30 IN SRV 0 100 7000 "
+
+var testKey = Key{
+	Name:      "deploy.",
+	Algorithm: dns.HmacSHA256,
+	Secret:    []byte("0123456789abcdef0123456789abcdef"),
+}
+
+// otherKey has another algorithm.
+var otherKey = Key{Name: "other.", Algorithm: dns.HmacSHA512, Secret: []byte("fedcba9876543210")}
+
+// zoneFileText is a zone file with the backends n1 to nCOUNT.
+func zoneFileText(serial uint32, count int) string {
+	var text strings.Builder
+	fmt.Fprintf(&text, zoneFileHead, serial)
+	for i := 1; i <= count; i++ {
+		fmt.Fprintf(&text, "_calc._tcp SRV 0 100 7000 n%d\nn%d A 127.0.%d.%d\n", i, i, 1+i/250, i%250)
+	}
+	return text.String()
+}
+
+// subscriber keeps the list as it was published.
+type subscriber struct {
+	mu   sync.Mutex
+	list map[string]dnszone.Backend
+}
+
+func (s *subscriber) publish(update ListUpdate) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if update.Full {
+		s.list = map[string]dnszone.Backend{}
+	}
+	for _, backend := range update.Updated {
+		s.list[backend.Name] = backend
+	}
+	for _, name := range update.Removed {
+		delete(s.list, name)
+	}
+}
+
+func (s *subscriber) backend(name string) (dnszone.Backend, bool) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	backend, ok := s.list[name+".calc.example:7000"]
+	return backend, ok
+}
+
+func (s *subscriber) has(name string) bool {
+	_, ok := s.backend(name)
+	return ok
+}
+
+func (s *subscriber) size() int {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return len(s.list)
+}
+
+// testServer is a server with files of its own, and the list that it publishes.
+type testServer struct {
+	*Server
+	published *subscriber
+	files     Options // as they were passed
+}
+
+// startServer starts a server with the test's settings and keys, at a free port.
+func startServer(tb testing.TB, options Options) (*testServer, error) {
+	tb.Helper()
+	s := &testServer{published: &subscriber{}, files: options}
+	options.Settings = testSettings
+	options.ListenAddress = "127.0.0.1:0"
+	options.Publish = s.published.publish
+	if options.Keys == nil {
+		options.Keys = []Key{testKey, otherKey}
+	}
+	if options.MaxUpdatesPerSecond == 0 {
+		options.MaxUpdatesPerSecond = 10000
+	}
+	server, err := Start(options)
+	if err != nil {
+		return nil, err
+	}
+	// Tests sign in the second of the start, which a guard refuses.
+	minuteAgo := time.Now().Add(-time.Minute).UnixNano()
+	server.guard = dnszone.NewReplayGuard(options.MaxUpdatesPerSecond, minuteAgo)
+	tb.Cleanup(server.Close)
+	s.Server = server
+	return s, nil
+}
+
+func mustStart(tb testing.TB, options Options) *testServer {
+	tb.Helper()
+	s, err := startServer(tb, options)
+	if err != nil {
+		tb.Fatal(err)
+	}
+	return s
+}
+
+// newFiles writes a zone file, beside the place of a journal, in a folder of the test's own.
+func newFiles(tb testing.TB, zoneFile string) Options {
+	tb.Helper()
+	folder := tb.TempDir()
+	options := Options{
+		ZoneFile:    filepath.Join(folder, "calc.zone"),
+		JournalFile: filepath.Join(folder, "calc.journal"),
+	}
+	writeFile(tb, options.ZoneFile, zoneFile)
+	return options
+}
+
+func writeFile(tb testing.TB, path, text string) {
+	tb.Helper()
+	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
+		tb.Fatal(err)
+	}
+}
+
+func parseRecord(tb testing.TB, text string) []dns.RR {
+	tb.Helper()
+	rr, err := dns.NewRR(text)
+	if err != nil {
+		tb.Fatal(err)
+	}
+	return []dns.RR{rr}
+}
+
+// newUpdate is an update with records to add, and to delete where a minus precedes them.
+func newUpdate(tb testing.TB, records ...string) *dns.Msg {
+	tb.Helper()
+	message := new(dns.Msg).SetUpdate(testSettings.Origin)
+	for _, text := range records {
+		if deleted, ok := strings.CutPrefix(text, "-"); ok {
+			message.Remove(parseRecord(tb, deleted))
+		} else {
+			message.Insert(parseRecord(tb, text))
+		}
+	}
+	return message
+}
+
+func signed(message *dns.Msg, key Key) *dns.Msg {
+	return message.SetTsig(key.Name, key.Algorithm, FudgeSeconds, time.Now().Unix())
+}
+
+// exchange sends a message and returns the answer's RCODE, and the TSIG's own.
+func (s *testServer) exchange(
+	tb testing.TB, network string, message *dns.Msg, key Key,
+) (rcode, tsigError int) {
+	tb.Helper()
+	client := dns.Client{Net: network, Timeout: 3 * time.Second, TsigProvider: newKeyring([]Key{key})}
+	answer, _, err := client.Exchange(message, s.Address())
+	if answer == nil {
+		tb.Fatal(err)
+	}
+	if tsig := answer.IsTsig(); tsig != nil {
+		tsigError = int(tsig.Error)
+		isNotAuth := answer.Rcode == dns.RcodeNotAuth // at which the library does not look further
+		if tsigError == 0 && err != nil && !isNotAuth {
+			tb.Fatalf("the answer's signature: %v, %s", err, answer)
+		}
+	}
+	return answer.Rcode, tsigError
+}
+
+// sendUpdate signs and sends an update, and returns the RCODE of its answer.
+func (s *testServer) sendUpdate(tb testing.TB, network string, records ...string) int {
+	tb.Helper()
+	rcode, _ := s.exchange(tb, network, signed(newUpdate(tb, records...), testKey), testKey)
+	return rcode
+}
--- a/internal/dnsserver/journal.go
+++ b/internal/dnsserver/journal.go
@@ -20,8 +20,8 @@
 const (
 	// storedFormat is the version of the stored form; another one is refused.
 	storedFormat = 1
-	// maxJournalChanges is how many changes stand in a journal before it is compacted into one snapshot: a start reads
-	// them in some tens of milliseconds, and secondaries that lag by no more get changes alone.
+	// maxJournalChanges is how many changes stand in a journal before it is compacted into one snapshot: a
+	// start reads them in some tens of milliseconds, and secondaries that lag by no more get changes alone.
 	maxJournalChanges = 4096
 	// journalMode is that of the journal and its lock.
 	journalMode = 0o600
@@ -29,7 +29,8 @@
 	checksumDigits = 8
 )
 
-// zoneRecord is the stored form of a zone with its settings: a journal's first line, and the store's snapshot.
+// zoneRecord is the stored form of a zone with its settings: a journal's first line, and the store's
+// snapshot.
 type zoneRecord struct {
 	Format   int              `json:"format"`
 	Origin   string           `json:"origin"`
@@ -52,9 +53,9 @@
 	return dnszone.Settings{Origin: r.Origin, Service: r.Service}
 }
 
-// journal keeps the zone in force over a restart: a line with a snapshot, and one for each change after it. A line is
-// the CRC-32C of its JSON, a space, and the JSON. An update is answered once its line is synced; a torn last line
-// belongs to an update that was never answered as done.
+// journal keeps the zone in force over a restart: a line with a snapshot, and one for each change after it. A
+// line is the CRC-32C of its JSON, a space, and the JSON. An update is answered once its line is synced; a
+// torn last line belongs to an update that was never answered as done.
 //
 // The server's lock guards it. Between processes the lock file does.
 type journal struct {
@@ -86,9 +87,9 @@
 	return text, err == nil && crc32.Checksum(text, castagnoli) == uint32(sum)
 }
 
-// readJournal reads a journal, which another process may be writing. A missing one is os.ErrNotExist. Damage anywhere
-// but in the last line is an error with file and line: to go on without what stood there would bring removed backends
-// back.
+// readJournal reads a journal, which another process may be writing. A missing one is os.ErrNotExist. Damage
+// anywhere but in the last line is an error with file and line: to go on without what stood there would bring
+// removed backends back.
 func readJournal(path string, settings dnszone.Settings) (*storedZone, error) {
 	text, err := readAll(path)
 	if err != nil {
@@ -111,8 +112,8 @@
 			err = stored.decodeChange(body)
 		}
 		if err != nil {
-			return nil, fmt.Errorf("%s:%d: %w; where it cannot be had from a copy, move it away: the zone file then holds alone",
-				path, number, err)
+			const advice = "where it cannot be had from a copy, move it away: the zone file then holds alone"
+			return nil, fmt.Errorf("%s:%d: %w; %s", path, number, err, advice)
 		}
 		stored.size += int64(len(line)) + 1
 		text = rest
@@ -244,8 +245,8 @@
 	return folder.Sync()
 }
 
-// append writes a change and returns once it is durable. After an error the journal is as before, or accepts nothing
-// more until it is rewritten.
+// append writes a change and returns once it is durable. After an error the journal is as before, or accepts
+// nothing more until it is rewritten.
 func (j *journal) append(change *dnszone.Change) error {
 	if j.failed != nil {
 		return j.failed
--- a/internal/dnsserver/limits.go
+++ b/internal/dnsserver/limits.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// messagesPerUpdate is how many messages are parsed for each update that is allowed: checking a signature costs some
-// ten microseconds, which a flood of unsigned messages must not take from the requests.
+// messagesPerUpdate is how many messages are parsed for each update that is allowed: checking a signature
+// costs some ten microseconds, which a flood of unsigned messages must not take from the requests.
 const messagesPerUpdate = 20
 
 // messageLimiter is a token bucket that holds a second's worth of messages.
@@ -35,8 +35,8 @@
 	return true
 }
 
-// logLimiter keeps a flood of refused messages from becoming a flood of log lines: it allows one line a second, with
-// the number of those skipped before it.
+// logLimiter keeps a flood of refused messages from becoming a flood of log lines: it allows one line a
+// second, with the number of those skipped before it.
 type logLimiter struct {
 	second  atomic.Int64
 	skipped atomic.Uint64
--- a/internal/dnsserver/load.go
+++ b/internal/dnsserver/load.go
@@ -29,8 +29,8 @@
 
 // load finds the zone in force and publishes it. The lock is held.
 //
-// Between the zone file and the updates the higher serial wins. A file whose serial is newer than that in force replaces
-// the zone, and the updates before it are void; any other file changes nothing.
+// Between the zone file and the updates the higher serial wins. A file whose serial is newer than that in
+// force replaces the zone, and the updates before it are void; any other file changes nothing.
 func (s *Server) load(nowNanos int64) error {
 	file, fileSum, fileErr := s.readZoneFile()
 	stored, err := s.readStored()
@@ -70,7 +70,8 @@
 		return nil, err
 	}
 	if stored != nil && stored.tornBytes > 0 && s.journal != nil {
-		logging.For(component).WithField("bytes", stored.tornBytes).Warn("torn last line of the journal cut off, its update was never answered")
+		// Its update was never answered as done.
+		logging.For(component).WithField("bytes", stored.tornBytes).Warn("torn journal line cut off")
 	}
 	return stored, nil
 }
@@ -203,8 +204,8 @@
 	return zone, text, err
 }
 
-// ReadInForce reads the zone in force, beside a server that may run, from the store, the journal or the zone file, and
-// names the source.
+// ReadInForce reads the zone in force, beside a server that may run, from the store, the journal or the zone
+// file, and names the source.
 func ReadInForce(options Options) (zone *dnszone.Zone, source string, err error) {
 	settings, err := options.Settings.Canonical()
 	if err != nil {
--- a/internal/dnsserver/notify.go
+++ b/internal/dnsserver/notify.go
@@ -27,8 +27,8 @@
 	}
 }
 
-// notify notifies one secondary (RFC 1996) until the server closes. Changes that come during an exchange are notified
-// as one.
+// notify notifies one secondary (RFC 1996) until the server closes. Changes that come during an exchange are
+// notified as one.
 func (s *Server) notify(secondary string, moved <-chan struct{}) {
 	client := dns.Client{Timeout: notifyTimeout}
 	for {
@@ -51,7 +51,8 @@
 			}
 		}
 		if err != nil {
-			logging.For(component).WithField("secondary", secondary).WithError(err).Warn("secondary not notified")
+			log := logging.For(component).WithField("secondary", secondary)
+			log.WithError(err).Warn("secondary not notified")
 		}
 	}
 }
--- a/internal/dnsserver/replicated_zone.go
+++ b/internal/dnsserver/replicated_zone.go
@@ -19,9 +19,9 @@
 	Edit(edits []kv.Edit) error
 }
 
-// ReplicatedZone keeps the zone in the replicated store, in place of a journal: a head, the snapshot that it names in
-// pieces, and a key for each change, by the serial before it. Each write requires the head as it was read: an update
-// that loses to a concurrent one is judged anew, and lands at every replica or at none.
+// ReplicatedZone keeps the zone in the replicated store, in place of a journal: a head, the snapshot that it
+// names in pieces, and a key for each change, by the serial before it. Each write requires the head as it was
+// read: an update that loses to a concurrent one is judged anew, and lands at every replica or at none.
 type ReplicatedZone struct{ Replica }
 
 // Keys of the store.
@@ -33,9 +33,11 @@
 )
 
 const (
-	// pieceBytes is how much of a snapshot goes into one value, which is JSON within JSON: half of a value's maximum.
+	// pieceBytes is how much of a snapshot goes into one value, which is JSON within JSON: half of a value's
+	// maximum.
 	pieceBytes = kv.MaxValue / 2
-	// maxStoredChanges is how many changes stand in the store beside a snapshot: their deletion must fit one command.
+	// maxStoredChanges is how many changes stand in the store beside a snapshot: their deletion must fit one
+	// command.
 	maxStoredChanges = 500
 )
 
@@ -48,7 +50,7 @@
 	Sum     string `json:"file_sum"`
 }
 
-// errBehind is that this replica, or this server, has yet to learn of a change that landed.
+// errBehind is that this replica, or this server, has yet to apply a change that landed.
 var errBehind = errors.New("a change landed that this replica has yet to apply")
 
 // readHead returns the head with its index; index 0: there is none.
@@ -109,7 +111,8 @@
 		return nil, fmt.Errorf("store: the zone: %w", err)
 	}
 	if got := record.settings(); record.Format != storedFormat || got != settings {
-		return nil, fmt.Errorf("store: the zone is %s with service %s in format %d", got.Origin, got.Service, record.Format)
+		return nil, fmt.Errorf("store: the zone is %s with service %s in format %d",
+			got.Origin, got.Service, record.Format)
 	}
 	zone, err := dnszone.Restore(record.Snapshot, settings)
 	if err != nil {
@@ -135,7 +138,8 @@
 	return text.String(), nil
 }
 
-// applyNext applies the change that follows a zone and returns it as it is stored. Where there is none, both are nil.
+// applyNext applies the change that follows a zone and returns it as it is stored. Where there is none, both
+// are nil.
 func (r *ReplicatedZone) applyNext(zone *dnszone.Zone) (*dnszone.Step, *dnszone.Change, error) {
 	key := changeKey(zone.Serial())
 	entry, ok := r.ReadLocal(key)
@@ -168,7 +172,9 @@
 }
 
 // writeSnapshot writes a snapshot and deletes what the old head stands for.
-func (r *ReplicatedZone) writeSnapshot(zone *dnszone.Zone, fileSum string, old storeHead, index kv.Index) error {
+func (r *ReplicatedZone) writeSnapshot(
+	zone *dnszone.Zone, fileSum string, old storeHead, index kv.Index,
+) error {
 	text, err := json.Marshal(newZoneRecord(zone, fileSum))
 	if err != nil {
 		return err
--- /dev/null
+++ b/internal/dnsserver/replicated_zone_test.go
@@ -0,0 +1,209 @@
+package dnsserver
+
+import (
+	"errors"
+	"fmt"
+	"sync"
+	"testing"
+	"time"
+
+	"github.com/miekg/dns"
+
+	"fawnplank/internal/store/kv"
+	"fawnplank/internal/testutil"
+)
+
+// fakeStore is a store as its replicas see it: one log of commands, which each applies late.
+type fakeStore struct {
+	mu         sync.Mutex
+	log        [][]byte
+	leaderless bool
+}
+
+func (f *fakeStore) setLeaderless(leaderless bool) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.leaderless = leaderless
+}
+
+// fakeReplica implements Replica.
+type fakeReplica struct {
+	store     *fakeStore
+	mu        sync.Mutex
+	state     *kv.State
+	applied   int
+	onApplied func()
+}
+
+func newFakeReplica(store *fakeStore) *fakeReplica {
+	return &fakeReplica{store: store, state: kv.New()}
+}
+
+func (r *fakeReplica) ReadLocal(key string) (kv.Entry, bool) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.state.Get(key)
+}
+
+func (r *fakeReplica) Edit(edits []kv.Edit) error {
+	command, err := kv.Encode(edits)
+	if err != nil {
+		return err
+	}
+	r.store.mu.Lock()
+	defer r.store.mu.Unlock()
+	if r.store.leaderless {
+		return errors.New("no leader")
+	}
+	leader := kv.New()
+	for n, logged := range append(r.store.log, command) {
+		_, err = leader.Apply(kv.Index(n+1), logged)
+	}
+	r.store.log = append(r.store.log, command)
+	return err
+}
+
+// setOnApplied sets what is called after commands were applied.
+func (r *fakeReplica) setOnApplied(onApplied func()) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.onApplied = onApplied
+}
+
+// catchUp applies what the log has.
+func (r *fakeReplica) catchUp() {
+	r.store.mu.Lock()
+	log := r.store.log
+	r.store.mu.Unlock()
+	r.mu.Lock()
+	isBehind := r.applied < len(log)
+	for ; r.applied < len(log); r.applied++ {
+		// A conflict was its sender's, who had it from Edit.
+		_, _ = r.state.Apply(kv.Index(r.applied+1), log[r.applied])
+	}
+	onApplied := r.onApplied
+	r.mu.Unlock()
+	if isBehind && onApplied != nil {
+		onApplied()
+	}
+}
+
+// run applies the log every two milliseconds until the test ends.
+func (r *fakeReplica) run(t *testing.T) {
+	t.Helper()
+	var running sync.WaitGroup
+	running.Go(func() {
+		for {
+			select {
+			case <-t.Context().Done():
+				return
+			case <-time.After(2 * time.Millisecond):
+				r.catchUp()
+			}
+		}
+	})
+	t.Cleanup(running.Wait)
+}
+
+// startReplicas starts three servers on three replicas of a store.
+func startReplicas(t *testing.T, store *fakeStore) []*testServer {
+	t.Helper()
+	var servers []*testServer
+	for range 3 {
+		replica := newFakeReplica(store)
+		replica.run(t)
+		files := newFiles(t, zoneFileText(7, 2))
+		files.Replicated = &ReplicatedZone{replica}
+		s := mustStart(t, files)
+		// StoreChanged waits for updates that wait for this replica: it must not hold the replica up.
+		replica.setOnApplied(func() { go s.StoreChanged() })
+		servers = append(servers, s)
+	}
+	for _, s := range servers {
+		isReady := func() bool { return s.Address() != "" && s.published.size() == 2 }
+		testutil.Eventually(t, "the first list", isReady)
+	}
+	return servers
+}
+
+// allHave reports whether all servers have a serial and a number of backends.
+func allHave(servers []*testServer, serial uint32, size int) bool {
+	for _, s := range servers {
+		if s.Serial() != serial || s.published.size() != size {
+			return false
+		}
+	}
+	return true
+}
+
+func eventuallyAllHave(t *testing.T, what string, servers []*testServer, serial uint32, size int) {
+	t.Helper()
+	testutil.Eventually(t, what, func() bool { return allHave(servers, serial, size) })
+}
+
+// TestServer_WaitsForStoreWithoutLeader starts a server whose store accepts nothing: it has no zone, and its
+// serial may be asked for.
+func TestServer_WaitsForStoreWithoutLeader(t *testing.T) {
+	files := newFiles(t, zoneFileText(7, 2))
+	files.Replicated = &ReplicatedZone{newFakeReplica(&fakeStore{leaderless: true})}
+	if s := mustStart(t, files); s.Serial() != 0 || s.published.size() != 0 {
+		t.Error("a list without the store: ", s.published.list)
+	}
+}
+
+// TestServer_ReplicatesUpdates sends updates to three replicas at once: they land in all, each once, in one
+// order; and without a leader an update lands nowhere and is not answered as applied.
+func TestServer_ReplicatesUpdates(t *testing.T) {
+	store := &fakeStore{}
+	servers := startReplicas(t, store)
+	var senders sync.WaitGroup
+	for n, s := range servers {
+		senders.Go(func() {
+			for i := range 15 {
+				name := fmt.Sprintf("m%d-%d.calc.example.", n, i)
+				rcode := s.sendUpdate(t, "tcp", srvTo+name, fmt.Sprintf("%s A 127.1.%d.%d", name, n, i+1))
+				if rcode != dns.RcodeSuccess {
+					t.Errorf("%s: %s", name, dns.RcodeToString[rcode])
+				}
+			}
+		})
+	}
+	senders.Wait()
+	eventuallyAllHave(t, "45 updates at all three", servers, 52, 47)
+	store.setLeaderless(true)
+	rcode := servers[0].sendUpdate(t, "tcp", "-"+srvTo+"n1.calc.example.")
+	if rcode != dns.RcodeServerFailure {
+		t.Error("answered as applied without a leader: ", rcode)
+	}
+	store.setLeaderless(false)
+	if !allHave(servers, 52, 47) {
+		t.Error("applied without a leader")
+	}
+}
+
+// TestServer_ReplicatesZoneFileAndCompaction adopts a newer file at one replica, and sends enough changes for
+// them to be compacted into a snapshot: every replica has the file and all changes.
+func TestServer_ReplicatesZoneFileAndCompaction(t *testing.T) {
+	servers := startReplicas(t, &fakeStore{})
+	writeFile(t, servers[1].files.ZoneFile, zoneFileText(90, 4))
+	servers[1].Reload()
+	eventuallyAllHave(t, "the file at all three", servers, 90, 4)
+	for n := range maxStoredChanges + 20 {
+		rcode := servers[n%3].sendUpdate(t, "tcp", fmt.Sprintf("x%d.calc.example. A 127.7.7.7", n))
+		if rcode != dns.RcodeSuccess {
+			t.Fatal(n, dns.RcodeToString[rcode])
+		}
+	}
+	eventuallyAllHave(t, "many changes at all three", servers, 90+maxStoredChanges+20, 4)
+	head, _, err := servers[0].options.Replicated.readHead()
+	if err != nil {
+		t.Error(err)
+	}
+	if head.Changes > maxStoredChanges || head.Base == 90 {
+		t.Errorf("%+v: the changes were never compacted", head)
+	}
+	stored, err := servers[2].options.Replicated.load(testSettings)
+	if err != nil || stored.zone.Serial() != 90+maxStoredChanges+20 {
+		t.Error(err)
+	}
+}
--- a/internal/dnsserver/replication.go
+++ b/internal/dnsserver/replication.go
@@ -9,14 +9,15 @@
 )
 
 const (
-	// replicateTimeout bounds the attempts of one update: an updater waits for some seconds, and meanwhile no other
-	// update is looked at.
+	// replicateTimeout bounds the attempts of one update: an updater waits for some seconds, and meanwhile no
+	// other update is looked at.
 	replicateTimeout = 3 * time.Second
 	// replicateRetryInterval lets this replica apply the change that was quicker.
 	replicateRetryInterval = 5 * time.Millisecond
 )
 
-// StoreChanged is to be called when a key of the zone has changed in the store: it goes on to what the store has.
+// StoreChanged is to be called when a key of the zone has changed in the store: it goes on to what the store
+// has.
 func (s *Server) StoreChanged() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -57,8 +58,8 @@
 	return nil
 }
 
-// replicate lands an update at every replica or at none: judged on the zone in force, and again where a concurrent one
-// was quicker. The lock is held.
+// replicate lands an update at every replica or at none: judged on the zone in force, and again where a
+// concurrent one was quicker. The lock is held.
 func (s *Server) replicate(judge func() (*dnszone.Step, error)) (*dnszone.Step, error) {
 	for deadline := time.Now().Add(replicateTimeout); ; time.Sleep(replicateRetryInterval) {
 		step, err := judge()
--- a/internal/dnsserver/server.go
+++ b/internal/dnsserver/server.go
@@ -1,9 +1,10 @@
-// Package dnsserver is the gateway's own name server for the zone that its backends stand in. It reads the zone file,
-// accepts dynamic updates (RFC 2136) signed with TSIG (RFC 8945), keeps the zone in force in a journal or in the
-// replicated store, answers queries, notifies secondaries (RFC 1996) and transfers the zone to them (RFC 5936, 1995).
+// Package dnsserver is the gateway's own name server for the zone that its backends stand in. It reads the
+// zone file, accepts dynamic updates (RFC 2136) signed with TSIG (RFC 8945), keeps the zone in force in a
+// journal or in the replicated store, answers queries, notifies secondaries (RFC 1996) and transfers the zone
+// to them (RFC 5936, 1995).
 //
-// It owns the zone file, the journal and the sockets. What a message means for the zone is package dnszone's part. The
-// methods of Server are safe for concurrent use.
+// It owns the zone file, the journal and the sockets. What a message means for the zone is package dnszone's
+// part. The methods of Server are safe for concurrent use.
 package dnsserver
 
 import (
@@ -29,8 +30,9 @@
 	ListenAddress       string // UDP and TCP; empty: nowhere
 	Keys                []Key  // that may update and transfer the zone
 	MaxUpdatesPerSecond float64
-	Secondaries         []string        // addresses that are notified of changes
-	Replicated          *ReplicatedZone // where set, it stands in the journal's place: updates land in all replicas or in none
+	Secondaries         []string // addresses that are notified of changes
+	// Replicated, where set, stands in the journal's place: updates land in all replicas or in none.
+	Replicated *ReplicatedZone
 	// Publish receives every change to the list of backends, one at a time and before its update is answered.
 	Publish func(update ListUpdate)
 }
@@ -49,7 +51,8 @@
 	maxUDPMessageBytes = 4096
 	// maxQueriesPerConnection closes a TCP connection that asks for more.
 	maxQueriesPerConnection = 1024
-	// retryInterval is between two attempts to take over the journal of a process that ends, or to reach the store.
+	// retryInterval is between two attempts to take over the journal of a process that ends, or to reach the
+	// store.
 	retryInterval = 200 * time.Millisecond
 	// component is the log entries' field of that name.
 	component = "dns"
@@ -70,8 +73,9 @@
 	listeners   []*dns.Server
 	address     string
 
-	published atomic.Pointer[dnszone.Zone] // the zone in force, for queries: they do not wait for an update under way
-	inFlight  chan struct{}                // a token for each message being handled
+	// published is the zone in force, for queries: they do not wait for an update under way.
+	published atomic.Pointer[dnszone.Zone]
+	inFlight  chan struct{} // a token for each message being handled
 	messages  *messageLimiter
 	refusals  logLimiter
 	counters  counters
@@ -82,9 +86,9 @@
 	background sync.WaitGroup // of those that serve
 }
 
-// Start reads the zone, publishes the list, and listens. A faulty zone file is an error only where neither journal nor
-// store has a zone to go on with. Where another process has the journal, or the store has no leader yet, Start returns
-// a server that goes on trying.
+// Start reads the zone, publishes the list, and listens. A faulty zone file is an error only where neither
+// journal nor store has a zone to go on with. Where another process has the journal, or the store has no
+// leader yet, Start returns a server that goes on trying.
 func Start(options Options) (*Server, error) {
 	settings, err := options.Settings.Canonical()
 	if err != nil {
@@ -119,7 +123,7 @@
 		return nil, err
 	}
 	if journalLocked {
-		logging.For(component).WithError(errJournalLocked).Info("journal of another process followed until it ends")
+		logging.For(component).WithError(errJournalLocked).Info("journal of another process followed")
 		s.startup.Go(s.awaitJournal)
 		return s, nil
 	}
@@ -130,7 +134,8 @@
 	return s, nil
 }
 
-// awaitJournal follows another process's journal and takes it over when that process ends: during an upgrade both run.
+// awaitJournal follows another process's journal and takes it over when that process ends: during an upgrade
+// both run.
 func (s *Server) awaitJournal() {
 	for {
 		select {
@@ -228,7 +233,8 @@
 	for _, secondary := range s.options.Secondaries {
 		moved := make(chan struct{}, 1)
 		s.serialMoved = append(s.serialMoved, moved)
-		go s.notify(secondary, moved) // ends within an exchange's timeout after Close, which does not wait for it
+		// It ends within an exchange's timeout after Close, which does not wait for it.
+		go s.notify(secondary, moved)
 	}
 	s.signalSecondaries()
 	return nil
@@ -289,7 +295,8 @@
 	_ = listener.PacketConn.Close()
 }
 
-// Serial returns the serial in force, or 0 where there is no zone yet. It does not wait for an update under way.
+// Serial returns the serial in force, or 0 where there is no zone yet. It does not wait for an update under
+// way.
 func (s *Server) Serial() uint32 {
 	if zone := s.published.Load(); zone != nil {
 		return zone.Serial()
--- /dev/null
+++ b/internal/dnsserver/server_test.go
@@ -0,0 +1,253 @@
+package dnsserver
+
+import (
+	"encoding/binary"
+	"fmt"
+	"net"
+	"testing"
+	"time"
+
+	"github.com/miekg/dns"
+
+	"fawnplank/internal/dnszone"
+	"fawnplank/internal/testutil"
+)
+
+type refusedMessage struct {
+	name             string
+	message          *dns.Msg
+	key              Key
+	rcode, tsigError int
+}
+
+// refusedMessages are messages that a server with the backends n1 and n2 must not follow.
+func refusedMessages(t *testing.T) []refusedMessage {
+	t.Helper()
+	remove := func() *dns.Msg { return newUpdate(t, "-"+srvTo+"n1.calc.example.") }
+	signedAt := func(fudgeSeconds uint16, offsetSeconds int64) *dns.Msg {
+		signedSeconds := time.Now().Unix() + offsetSeconds
+		return remove().SetTsig(testKey.Name, testKey.Algorithm, fudgeSeconds, signedSeconds)
+	}
+	unknown := Key{Name: "stranger.", Algorithm: dns.HmacSHA256, Secret: testKey.Secret}
+	wrongSecret := testKey
+	wrongSecret.Secret = []byte("another secret of the same name")
+	wrongAlgorithm := testKey
+	wrongAlgorithm.Algorithm = dns.HmacSHA512
+	otherZone := new(dns.Msg).SetUpdate("other.example.")
+	otherName := new(dns.Msg).SetQuestion("example.com.", dns.TypeA)
+	halfValid := newUpdate(t, "-"+srvTo+"n1.calc.example.", srvTo+"n9.calc.example.")
+	truncated := remove()
+	truncated.Truncated = true
+	return []refusedMessage{
+		{name: "not signed", message: remove(), key: testKey, rcode: dns.RcodeRefused},
+		{name: "unknown key", message: signed(remove(), unknown), key: unknown,
+			rcode: dns.RcodeNotAuth, tsigError: dns.RcodeBadKey},
+		{name: "wrong secret", message: signed(remove(), wrongSecret), key: wrongSecret,
+			rcode: dns.RcodeNotAuth, tsigError: dns.RcodeBadSig},
+		{name: "another algorithm", message: signed(remove(), wrongAlgorithm), key: wrongAlgorithm,
+			rcode: dns.RcodeNotAuth, tsigError: dns.RcodeBadKey},
+		{name: "signed long ago", message: signedAt(FudgeSeconds, -1000), key: testKey,
+			rcode: dns.RcodeNotAuth, tsigError: dns.RcodeBadTime},
+		{name: "signed long ago, with a large fudge", message: signedAt(60000, -1000), key: testKey,
+			rcode: dns.RcodeNotAuth, tsigError: dns.RcodeBadTime},
+		{name: "signed in the future", message: signedAt(60000, 1000), key: testKey,
+			rcode: dns.RcodeNotAuth, tsigError: dns.RcodeBadTime},
+		{name: "half valid", message: signed(halfValid, testKey), key: testKey, rcode: dns.RcodeRefused},
+		{name: "truncated", message: signed(truncated, testKey), key: testKey, rcode: dns.RcodeFormatError},
+		{name: "another zone", message: signed(otherZone, testKey), key: testKey,
+			rcode: dns.RcodeNotAuth},
+		{name: "unsigned transfer", message: new(dns.Msg).SetAxfr(testSettings.Origin), key: testKey,
+			rcode: dns.RcodeRefused},
+		{name: "notify", message: new(dns.Msg).SetNotify(testSettings.Origin), key: testKey,
+			rcode: dns.RcodeNotImplemented},
+		{name: "question of another zone", message: otherName, key: testKey, rcode: dns.RcodeRefused},
+	}
+}
+
+// TestServer_RefusesMessages sends messages that are not to be followed: each is refused by its RCODE, and
+// the list stays.
+func TestServer_RefusesMessages(t *testing.T) {
+	s := mustStart(t, newFiles(t, zoneFileText(7, 2)))
+	for _, test := range refusedMessages(t) {
+		for _, network := range []string{"udp", "tcp"} {
+			t.Run(test.name+" by "+network, func(t *testing.T) {
+				message := test.message.Copy()
+				message.Id = dns.Id() // so that the second is not a replay
+				if tsig := message.IsTsig(); tsig != nil {
+					tsig.OrigId = message.Id
+				}
+				rcode, tsigError := s.exchange(t, network, message, test.key)
+				if rcode != test.rcode || tsigError != test.tsigError {
+					t.Errorf("%s and %s, not %s and %s",
+						dns.RcodeToString[rcode], dns.RcodeToString[tsigError],
+						dns.RcodeToString[test.rcode], dns.RcodeToString[test.tsigError])
+				}
+			})
+		}
+	}
+	if s.published.size() != 2 || s.Serial() != 7 {
+		t.Errorf("%v, serial %d", s.published.list, s.Serial())
+	}
+	rcode := s.sendUpdate(t, "udp", "-"+srvTo+"n1.calc.example.")
+	if rcode != dns.RcodeSuccess || s.published.has("n1") || s.Serial() != 8 {
+		t.Errorf("%d: after all that a valid update is not applied", rcode)
+	}
+}
+
+// TestServer_SurvivesMalformedMessages sends messages that are cut off, and noise: they get FORMERR, REFUSED
+// or nothing, and the server goes on.
+func TestServer_SurvivesMalformedMessages(t *testing.T) {
+	s := mustStart(t, newFiles(t, zoneFileText(7, 2)))
+	whole, err := newUpdate(t, "-"+srvTo+"n1.calc.example.").Pack()
+	if err != nil {
+		t.Fatal(err)
+	}
+	packets := dialServer(t, s, "udp")
+	buffer := make([]byte, 4096)
+	for size := 12; size < len(whole); size += 3 {
+		send(t, packets, whole[:size])
+		n, err := packets.Read(buffer)
+		var answer dns.Msg
+		// Cut off between two records it may pass for a shorter one, without its signature, which is last.
+		isAnswer := err == nil && answer.Unpack(buffer[:n]) == nil
+		if !isAnswer || answer.Rcode != dns.RcodeFormatError && answer.Rcode != dns.RcodeRefused {
+			t.Fatalf("cut off at %d: %v, %s", size, err, &answer)
+		}
+	}
+	send(t, packets, []byte{1, 2, 3})
+	send(t, dialServer(t, s, "tcp"), binary.BigEndian.AppendUint16(nil, 500)) // a length, and no message
+	if s.published.size() != 2 {
+		t.Error(s.published.list)
+	}
+	if rcode := s.sendUpdate(t, "tcp", "-"+srvTo+"n1.calc.example."); rcode != 0 || s.published.size() != 1 {
+		t.Error("it does not go on")
+	}
+}
+
+func dialServer(t *testing.T, s *testServer, network string) net.Conn {
+	t.Helper()
+	var dialer net.Dialer
+	conn, err := dialer.DialContext(t.Context(), network, s.Address())
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { _ = conn.Close() }) // the server may have closed it already
+	return conn
+}
+
+// send writes to a connection and bounds the wait for an answer.
+func send(t *testing.T, conn net.Conn, message []byte) {
+	t.Helper()
+	if _, err := conn.Write(message); err != nil {
+		t.Fatal(err)
+	}
+	if err := conn.SetReadDeadline(time.Now().Add(3 * time.Second)); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// TestServer_TakesJournalOver starts a second process's server on the same journal: it follows the first, and
+// takes the journal over when that one closes, as in an upgrade.
+func TestServer_TakesJournalOver(t *testing.T) {
+	files := newFiles(t, zoneFileText(7, 3))
+	old := mustStart(t, files)
+	next := mustStart(t, files)
+	if next.Address() != "" || next.published.size() != 3 {
+		t.Fatal("it listens beside the other, or has no list")
+	}
+	if rcode := old.sendUpdate(t, "udp", "-"+srvTo+"n1.calc.example."); rcode != dns.RcodeSuccess {
+		t.Error(dns.RcodeToString[rcode])
+	}
+	testutil.Eventually(t, "the other's update", func() bool { return !next.published.has("n1") })
+	old.Close()
+	testutil.Eventually(t, "the journal", func() bool { return next.Address() != "" })
+	rcode := next.sendUpdate(t, "udp", "-"+srvTo+"n2.calc.example.")
+	if rcode != dns.RcodeSuccess || next.published.size() != 1 {
+		t.Error(rcode, next.published.list)
+	}
+}
+
+// TestLogLimiter_AllowsOneLinePerSecond floods the limiter: one line a second is allowed, with the number of
+// the others.
+func TestLogLimiter_AllowsOneLinePerSecond(t *testing.T) {
+	var limiter logLimiter
+	lines := 0
+	var skipped uint64
+	for n := range int64(1000) { // a hundred a second
+		if more, ok := limiter.allow(1 + n/100); ok {
+			lines++
+			skipped += more
+		}
+	}
+	if lines != 10 || skipped != 9*99 {
+		t.Errorf("%d log lines on a flood, which count %d more", lines, skipped)
+	}
+}
+
+// nullWriter is a client whose signature has the status given; it keeps the answer.
+type nullWriter struct {
+	dns.ResponseWriter
+	status error
+	answer *dns.Msg
+}
+
+func (w *nullWriter) RemoteAddr() net.Addr { return &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)} }
+func (w *nullWriter) TsigStatus() error    { return w.status }
+func (w *nullWriter) TsigTimersOnly(bool)  {}
+func (w *nullWriter) Close() error         { return nil }
+func (w *nullWriter) WriteMsg(m *dns.Msg) error {
+	w.answer = m
+	_, err := m.Pack()
+	return err
+}
+
+// FuzzServer_ServeDNS passes messages of any form, none with a valid signature: each gets an answer, and none
+// changes the list.
+func FuzzServer_ServeDNS(f *testing.F) {
+	s := mustStart(f, newFiles(f, zoneFileText(7, 2)))
+	for _, message := range []*dns.Msg{
+		signed(newUpdate(f, "-"+srvTo+"n1.calc.example."), testKey),
+		new(dns.Msg).SetQuestion(testSettings.Service, dns.TypeSRV),
+		new(dns.Msg).SetAxfr(testSettings.Origin),
+	} {
+		text, err := message.Pack()
+		if err != nil {
+			f.Fatal(err)
+		}
+		f.Add(text)
+	}
+	f.Fuzz(func(t *testing.T, text []byte) {
+		message := new(dns.Msg)
+		// The library passes on no others.
+		if message.Unpack(text) != nil || len(message.Question) != 1 {
+			return
+		}
+		writer := &nullWriter{}
+		if message.IsTsig() != nil {
+			writer.status = dns.ErrSig
+		}
+		s.ServeDNS(writer, message)
+		if s.published.size() != 2 || writer.answer == nil {
+			t.Fatal("an update without a valid signature was applied, or a panic")
+		}
+	})
+}
+
+func BenchmarkServer_Update(b *testing.B) {
+	s := mustStart(b, newFiles(b, zoneFileText(7, 1000)))
+	s.guard = dnszone.NewReplayGuard(1e9, 0)
+	s.messages.ratePerSecond = 1e9
+	n := 0
+	for b.Loop() {
+		n++
+		message := newUpdate(b, srvTo+"n1.calc.example.")
+		if n%2 == 1 {
+			message = newUpdate(b, "-"+srvTo+"n1.calc.example.")
+		}
+		message.Insert(parseRecord(b, fmt.Sprintf("t.calc.example. TXT %d", n)))
+		message.Remove(parseRecord(b, fmt.Sprintf("t.calc.example. TXT %d", n-1)))
+		if rcode, _ := s.exchange(b, "udp", signed(message, testKey), testKey); rcode != dns.RcodeSuccess {
+			b.Fatal(rcode)
+		}
+	}
+}
--- a/internal/dnsserver/transfer.go
+++ b/internal/dnsserver/transfer.go
@@ -37,8 +37,8 @@
 	_ = x.writer.Close() // the secondary has all, or is gone
 }
 
-// transferRecords returns the records of an answer to AXFR or IXFR: the SOA alone where the secondary is up to date, the
-// changes where they are known, and else the zone.
+// transferRecords returns the records of an answer to AXFR or IXFR: the SOA alone where the secondary is up
+// to date, the changes where they are known, and else the zone.
 func transferRecords(request *dns.Msg, zone *dnszone.Zone, changes []*dnszone.Change) []dns.RR {
 	soa := zone.RRset(zone.Origin, dns.TypeSOA)[0]
 	if request.Question[0].Qtype == dns.TypeIXFR && len(request.Ns) == 1 {
@@ -54,7 +54,8 @@
 	return append(zone.Records(), soa)
 }
 
-// envelopes sends records in parts. Its goroutine ends when all are received, or none is for transferStallTimeout.
+// envelopes sends records in parts. Its goroutine ends when all are received, or none is for
+// transferStallTimeout.
 func envelopes(rrs []dns.RR) chan *dns.Envelope {
 	parts := make(chan *dns.Envelope)
 	go func() {
--- a/internal/dnsserver/tsig.go
+++ b/internal/dnsserver/tsig.go
@@ -38,7 +38,8 @@
 	dns.HmacSHA512: sha512.New,
 }
 
-// ReadKey reads a key whose secret stands in a file, in base64. Nobody but its owner may have access to the file.
+// ReadKey reads a key whose secret stands in a file, in base64. Nobody but its owner may have access to the
+// file.
 func ReadKey(name, algorithm, file string) (Key, error) {
 	key := Key{Name: dns.CanonicalName(name), Algorithm: dns.CanonicalName(algorithm)}
 	if _, ok := dns.IsDomainName(name); !ok || key.Name == "." {
@@ -77,8 +78,8 @@
 	return secret, nil
 }
 
-// keyring implements dns.TsigProvider: it signs and verifies with the configured keys alone, each with its own
-// algorithm alone.
+// keyring implements dns.TsigProvider: it signs and verifies with the configured keys alone, each with its
+// own algorithm alone.
 type keyring map[string]Key
 
 func newKeyring(keys []Key) keyring {
--- a/internal/dnsserver/update.go
+++ b/internal/dnsserver/update.go
@@ -51,7 +51,9 @@
 	if s.journal == nil && s.options.Replicated == nil {
 		return dns.RcodeRefused
 	}
-	step, err := s.store(func() (*dnszone.Step, error) { return s.zone.Update(x.request, nowNanos, signature) })
+	step, err := s.store(func() (*dnszone.Step, error) {
+		return s.zone.Update(x.request, nowNanos, signature)
+	})
 	if refused, ok := errors.AsType[*dnszone.UpdateError](err); ok {
 		s.counters.updatesRefused.Add(1)
 		s.logRefusal(x, err, "update refused")
@@ -94,7 +96,8 @@
 	s.published.Store(s.zone)
 	s.publish(step.Updated, step.Removed)
 	if len(step.Removed) > 0 && s.zone.BackendCount() == 0 {
-		logging.For(component).Error("last backend removed, requests are rejected until an update or a zone file adds one")
+		// Requests are rejected until an update or a zone file adds a backend.
+		logging.For(component).Error("last backend removed")
 	}
 	if err := s.compact(); err != nil {
 		logging.For(component).WithError(err).Error("changes not compacted")
--- a/internal/dnsserver/version0_test.go
+++ b/internal/dnsserver/version0_test.go
@@ -20,14 +20,14 @@
 )
 
 // version0File is the zone file behind the fixtures. One of its backends states when it started.
-var version0File = text(7, 2) + "n2 TXT fawnplank zone=north group=3 since=1790000000000\n"
+var version0File = zoneFileText(7, 2) + "n2 TXT fawnplank zone=north group=3 since=1790000000000\n"
 
 // version0Updates are sent to a server by the version before: a backend comes, and one of the file's goes.
-func version0Updates(t *testing.T, r *rig) {
+func version0Updates(t *testing.T, r *testServer) {
 	t.Helper()
-	for _, m := range []*dns.Msg{change(t, service+"m1.calc.example.", "m1.calc.example. 30 IN A 127.1.0.1"),
-		change(t, "-"+service+"n1.calc.example.")} {
-		if rcode, _ := r.ask(t, "tcp", signed(m, key), key); rcode != dns.RcodeSuccess {
+	for _, m := range []*dns.Msg{newUpdate(t, srvTo+"m1.calc.example.", "m1.calc.example. 30 IN A 127.1.0.1"),
+		newUpdate(t, "-"+srvTo+"n1.calc.example.")} {
+		if rcode, _ := r.exchange(t, "tcp", signed(m, testKey), testKey); rcode != dns.RcodeSuccess {
 			t.Fatal(dns.RcodeToString[rcode])
 		}
 	}
@@ -75,8 +75,8 @@
 	return testutil.Fixture(t, "calc.journal", func(path string) {
 		dir := t.TempDir()
 		t.Chdir(dir) // what the journal says of the file holds no path then
-		write(t, "calc.zone", version0File)
-		r := must(t, Options{ZoneFile: "calc.zone", JournalFile: "calc.journal"})
+		writeFile(t, "calc.zone", version0File)
+		r := mustStart(t, Options{ZoneFile: "calc.zone", JournalFile: "calc.journal"})
 		version0Updates(t, r)
 		r.Close()
 		if err := os.Rename("calc.journal", path); err != nil {
@@ -85,10 +85,11 @@
 	})
 }
 
-// TestReadJournal_ReadsVersion0File reads a journal of the version before, and writes its lines anew as the same bytes.
+// TestReadJournal_ReadsVersion0File reads a journal of the version before, and writes its lines anew as the
+// same bytes.
 func TestReadJournal_ReadsVersion0File(t *testing.T) {
 	path := version0Journal(t)
-	s, err := readJournal(path, set)
+	s, err := readJournal(path, testSettings)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -103,7 +104,7 @@
 	if err := json.Unmarshal(body, &b); err != nil {
 		t.Fatal(err)
 	}
-	z, err := dnszone.Restore(b.Snapshot, set)
+	z, err := dnszone.Restore(b.Snapshot, testSettings)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -125,22 +126,23 @@
 	}
 }
 
-// TestStart_GoesOnWithVersion0Journal starts a server on a journal of the version before and the zone file that it came
-// from: the file, which was taken already, brings nothing back, and an update goes behind the others.
+// TestStart_GoesOnWithVersion0Journal starts a server on a journal of the version before and the zone file
+// that it came from: the file, which was taken already, brings nothing back, and an update goes behind the
+// others.
 func TestStart_GoesOnWithVersion0Journal(t *testing.T) {
 	path := version0Journal(t)
 	t.Chdir(filepath.Dir(path))
-	write(t, "calc.zone", version0File)
-	r := must(t, Options{ZoneFile: "calc.zone", JournalFile: "calc.journal"})
-	if r.Serial() != 9 || r.ear.size() != 2 || r.ear.has("n1") || !r.ear.has("m1") {
-		t.Errorf("serial %d, %v", r.Serial(), r.ear.list)
+	writeFile(t, "calc.zone", version0File)
+	r := mustStart(t, Options{ZoneFile: "calc.zone", JournalFile: "calc.journal"})
+	if r.Serial() != 9 || r.published.size() != 2 || r.published.has("n1") || !r.published.has("m1") {
+		t.Errorf("serial %d, %v", r.Serial(), r.published.list)
 	}
-	if rcode, _ := r.ask(t, "tcp", signed(change(t, "-"+service+"m1.calc.example."), key), key); rcode != dns.RcodeSuccess || r.Serial() != 10 {
+	if rcode, _ := r.exchange(t, "tcp", signed(newUpdate(t, "-"+srvTo+"m1.calc.example."), testKey), testKey); rcode != dns.RcodeSuccess || r.Serial() != 10 {
 		t.Errorf("an update: %s, serial %d", dns.RcodeToString[rcode], r.Serial())
 	}
 }
 
-// direct is a replica that hears of each edit as it lands.
+// direct is a replica that applies each edit as it lands.
 type direct struct {
 	kv *kv.State
 	at kv.Index
@@ -157,15 +159,15 @@
 	return err
 }
 
-// TestShared_ReadsVersion0Store reads the zone from a store's snapshot of the version before, and writes the same zone
-// and changes into an empty store as the same bytes.
-func TestShared_ReadsVersion0Store(t *testing.T) {
-	path := testutil.Fixture(t, "store", func(path string) {
+// version0Store is a store's snapshot of the version before.
+func version0Store(t *testing.T) string {
+	t.Helper()
+	return testutil.Fixture(t, "store", func(path string) {
 		dir := t.TempDir()
 		t.Chdir(dir)
-		write(t, "calc.zone", version0File)
+		writeFile(t, "calc.zone", version0File)
 		d := &direct{kv: kv.New()}
-		r := must(t, Options{ZoneFile: "calc.zone", Replicated: &ReplicatedZone{d}})
+		r := mustStart(t, Options{ZoneFile: "calc.zone", Replicated: &ReplicatedZone{d}})
 		version0Updates(t, r)
 		r.Close()
 		text, err := d.kv.Snapshot()
@@ -176,6 +178,12 @@
 			t.Fatal(err)
 		}
 	})
+}
+
+// TestReplicatedZone_ReadsVersion0Store reads the zone from a store's snapshot of the version before, and
+// writes the same zone and changes into an empty store as the same bytes.
+func TestReplicatedZone_ReadsVersion0Store(t *testing.T) {
+	path := version0Store(t)
 	text, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
@@ -191,7 +199,7 @@
 	if h, _, err := shared.readHead(); err != nil || h != (storeHead{Serial: 9, Base: 7, Pieces: 1, Changes: 2, Sum: "62ff89fddb841c2f"}) {
 		t.Errorf("head %+v, %v", h, err)
 	}
-	s, err := shared.load(set)
+	s, err := shared.load(testSettings)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -206,7 +214,7 @@
 	if err := json.Unmarshal([]byte(inner), &b); err != nil {
 		t.Fatal(err)
 	}
-	z, err := dnszone.Restore(b.Snapshot, set)
+	z, err := dnszone.Restore(b.Snapshot, testSettings)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -239,13 +247,13 @@
 // version0Born is when the update of the compacted journal was taken, unix ns.
 const version0Born = 1796187964669258823
 
-// TestReadJournal_ReadsVersion0Compacted reads a journal whose changes the version before had written together: what it
-// says of a backend that came by an update then stands in the snapshot.
+// TestReadJournal_ReadsVersion0Compacted reads a journal whose changes the version before had written
+// together: what it says of a backend that came by an update then stands in the snapshot.
 func TestReadJournal_ReadsVersion0Compacted(t *testing.T) {
 	path := testutil.Fixture(t, "compacted.journal", func(path string) {
 		t.Chdir(t.TempDir())
-		write(t, "calc.zone", version0File)
-		r := must(t, Options{ZoneFile: "calc.zone", JournalFile: "calc.journal"})
+		writeFile(t, "calc.zone", version0File)
+		r := mustStart(t, Options{ZoneFile: "calc.zone", JournalFile: "calc.journal"})
 		version0Updates(t, r)
 		r.mu.Lock()
 		err := r.journal.rewrite(r.zone, r.fileSum) // as after maxJournalChanges updates
@@ -258,7 +266,7 @@
 			t.Fatal(err)
 		}
 	})
-	s, err := readJournal(path, set)
+	s, err := readJournal(path, testSettings)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/dnszone/backends.go
+++ b/internal/dnszone/backends.go
@@ -8,7 +8,8 @@
 
 // Provenance says where a backend in the list came from.
 type Provenance struct {
-	StartNanos int64  `json:"started,omitempty"` // unix; 0: long ago. Until a start is stated, when it was listed
+	// StartNanos is when the backend was listed, unix; 0: long ago.
+	StartNanos int64  `json:"started,omitempty"`
 	File       string `json:"file,omitempty"`
 	Line       int    `json:"line,omitempty"`
 	Key        string `json:"key,omitempty"` // TSIG key of the update
@@ -56,8 +57,8 @@
 // BackendCount returns the length of the list without walking it, as Backends does.
 func (z *Zone) BackendCount() int { return z.priorities[z.servedPriority].total }
 
-// serves reports whether a backend is in the list. Those of the served priority are (RFC 2782); those of the priorities
-// behind it wait until none of it is left.
+// serves reports whether a backend is in the list. Those of the served priority are (RFC 2782); those of the
+// priorities behind it wait until none of it is left.
 func (z *Zone) serves(backend Backend) bool { return backend.Priority == z.servedPriority }
 
 // priorityCount counts the backends of one SRV priority.
@@ -80,8 +81,8 @@
 	z.priorities[backend.Priority] = counted
 }
 
-// electPriority picks the priority to serve: the lowest with a backend that is not draining, or the lowest of all where
-// every backend is draining.
+// electPriority picks the priority to serve: the lowest with a backend that is not draining, or the lowest of
+// all where every backend is draining.
 func (z *Zone) electPriority() {
 	elected := false
 	for priority := range z.priorities {
--- a/internal/dnszone/change.go
+++ b/internal/dnszone/change.go
@@ -9,7 +9,8 @@
 	"github.com/miekg/dns"
 )
 
-// Change is the effect of an update in a form to be stored and applied again elsewhere. Records are in master form.
+// Change is the effect of an update in a form to be stored and applied again elsewhere. Records are in master
+// form.
 type Change struct {
 	FromSerial uint32    `json:"from"`
 	ToSerial   uint32    `json:"to"`
@@ -34,8 +35,8 @@
 	Removed []string
 }
 
-// Apply applies a change that was made before, or at another replica. It returns an error, and no zone, where the change
-// does not follow from this one.
+// Apply applies a change that was made before, or at another replica. It returns an error, and no zone, where
+// the change does not follow from this one.
 func (z *Zone) Apply(change *Change) (*Step, error) {
 	if change.FromSerial != z.Serial() || !SerialNewer(change.ToSerial, change.FromSerial) {
 		return nil, fmt.Errorf("change from serial %d to %d does not follow %d",
--- a/internal/dnszone/draft.go
+++ b/internal/dnszone/draft.go
@@ -13,7 +13,8 @@
 	"github.com/miekg/dns"
 )
 
-// defaultSRVWeight is the weight of an ordinary backend. It also stands in for 0, which by RFC 2782 is no weight.
+// defaultSRVWeight is the weight of an ordinary backend. It also stands in for 0, which by RFC 2782 is no
+// weight.
 const defaultSRVWeight = 100
 
 // draft is a zone with changes laid over it, until they are known to be in order.
--- a/internal/dnszone/parse.go
+++ b/internal/dnszone/parse.go
@@ -50,8 +50,8 @@
 	return b, err
 }
 
-// Parse reads a master file. Errors have the form "name:line: what". The backends count as started long ago, unless
-// their records state a start.
+// Parse reads a master file. Errors have the form "name:line: what". The backends count as started long ago,
+// unless their records state a start.
 func Parse(name string, text []byte, settings Settings) (*Zone, error) {
 	settings, err := settings.Canonical()
 	if err != nil {
@@ -69,8 +69,9 @@
 		return nil, fmt.Errorf("%s:1: no SOA record of %s", name, settings.Origin)
 	}
 	if len(z.RRset(settings.Service, dns.TypeSRV)) == 0 {
-		return nil, fmt.Errorf("%s:%d: %s has no SRV record: a service without any backend is taken for a mistake",
-			name, z.lines[soa], settings.Service)
+		err := fmt.Errorf("%s has no SRV record: a service without any backend is taken for a mistake",
+			settings.Service)
+		return nil, z.positioned(soa, err)
 	}
 	return z.withBackends(func(_ string, rr dns.RR) Provenance {
 		return Provenance{File: name, Line: z.lines[rr], Serial: soa.Serial}
@@ -110,8 +111,8 @@
 	return nil
 }
 
-// syntaxError brings an error of the library's parser, "NAME: dns: WHAT at line: LINE:COLUMN", to this package's form.
-// lastLine stands in where the library names no line.
+// syntaxError brings an error of the library's parser, "NAME: dns: WHAT at line: LINE:COLUMN", to this
+// package's form. lastLine stands in where the library names no line.
 func syntaxError(name string, lastLine int, err error) error {
 	text := strings.TrimPrefix(strings.TrimPrefix(err.Error(), name+": "), "dns: ")
 	what, position, _ := strings.Cut(text, " at line: ")
--- a/internal/dnszone/prerequisites.go
+++ b/internal/dnszone/prerequisites.go
@@ -38,7 +38,8 @@
 	return nil
 }
 
-// checkPrerequisite checks one record of the section: its form and, where it does not depend on data, its condition.
+// checkPrerequisite checks one record of the section: its form and, where it does not depend on data, its
+// condition.
 func (d *draft) checkPrerequisite(rr dns.RR) error {
 	header := rr.Header()
 	name := dns.CanonicalName(header.Name)
--- a/internal/dnszone/records.go
+++ b/internal/dnszone/records.go
@@ -17,8 +17,8 @@
 	dns.TypeSOA, dns.TypeNS, dns.TypeSRV, dns.TypeA, dns.TypeAAAA, dns.TypeTXT, dns.TypeCNAME,
 }
 
-// recordKey orders and identifies a record: owner name, type and data, with the target first in SRV data. Of records
-// that differ in their TTL alone a zone holds one.
+// recordKey orders and identifies a record: owner name, type and data, with the target first in SRV data. Of
+// records that differ in their TTL alone a zone holds one.
 func recordKey(rr dns.RR) string {
 	header := rr.Header()
 	data := strings.TrimPrefix(rr.String(), header.String())
--- a/internal/dnszone/replay_guard.go
+++ b/internal/dnszone/replay_guard.go
@@ -7,8 +7,8 @@
 
 const nanosPerSecond = 1e9
 
-// ReplayGuard keeps updates from being applied twice and from coming faster than is allowed. The caller passes the
-// time. What it remembers is bounded by its rate times the time for which a signature is valid.
+// ReplayGuard keeps updates from being applied twice and from coming faster than is allowed. The caller
+// passes the time. What it remembers is bounded by its rate times the time for which a signature is valid.
 type ReplayGuard struct {
 	ratePerSecond   float64
 	tokens          float64 // how many updates may come at once: at most a second's worth
@@ -47,7 +47,7 @@
 // The verdicts.
 const (
 	VerdictAccept      Verdict = iota // a new update
-	VerdictRepeat                     // the same sender asks again, without an answer so far: it gets the recorded one
+	VerdictRepeat                     // the same sender asks again, and gets the recorded outcome
 	VerdictReplay                     // seen before, or signed too long ago or ahead
 	VerdictRateLimited                // more than the rate allows
 )
@@ -67,7 +67,8 @@
 	return fmt.Sprintf("Verdict(%d)", uint8(v))
 }
 
-// Check decides about a message whose signature is valid. The outcome is that of the message recorded before, if any.
+// Check decides about a message whose signature is valid. The outcome is that of the message recorded before,
+// if any.
 func (g *ReplayGuard) Check(signature Signature, sender string, nowNanos int64) (Verdict, Outcome) {
 	nowSeconds := nowNanos / nanosPerSecond
 	g.forgetExpired(nowSeconds)
--- a/internal/dnszone/snapshot.go
+++ b/internal/dnszone/snapshot.go
@@ -25,8 +25,8 @@
 	return snapshot
 }
 
-// Restore makes a zone of a snapshot, which it checks as Parse checks a file. A service without backends is no error
-// here: updates may have removed the last one.
+// Restore makes a zone of a snapshot, which it checks as Parse checks a file. A service without backends is
+// no error here: updates may have removed the last one.
 func Restore(snapshot Snapshot, settings Settings) (*Zone, error) {
 	settings, err := settings.Canonical()
 	if err != nil {
--- a/internal/dnszone/target.go
+++ b/internal/dnszone/target.go
@@ -12,7 +12,8 @@
 )
 
 const (
-	// maxAliases is how many CNAMEs are followed from a target to its addresses. A loop is longer than any number.
+	// maxAliases is how many CNAMEs are followed from a target to its addresses. A loop is longer than any
+	// number.
 	maxAliases = 8
 	// attributeMark begins the TXT records that describe a backend; others at its name are left alone.
 	attributeMark = "fawnplank"
@@ -34,8 +35,8 @@
 	startNanos int64   // 0: not stated
 }
 
-// readTarget reads what stands at a target. Attributes stand at the target's own name; addresses may stand behind
-// aliases.
+// readTarget reads what stands at a target. Attributes stand at the target's own name; addresses may stand
+// behind aliases.
 func (d *draft) readTarget(name string) (*target, error) {
 	owner, err := d.resolveAliases(name)
 	if err != nil {
@@ -48,7 +49,7 @@
 	if err := d.readAttributes(name, host); err != nil {
 		return nil, err
 	}
-	if owner != name { // a change behind the alias does not touch the target: it is read again at every update
+	if owner != name { // a change there does not touch the target, which every update therefore reads again
 		if d.next.aliasedTargets == nil {
 			d.next.aliasedTargets = map[string]bool{}
 		}
@@ -73,7 +74,8 @@
 	}
 }
 
-// readAddresses returns the addresses of a target, which stand at owner, in an order that is the same at every gateway.
+// readAddresses returns the addresses of a target, which stand at owner, in an order that is the same at
+// every gateway.
 func (d *draft) readAddresses(name, owner string) (addresses []netip.Addr, err error) {
 	for _, rr := range d.next.RRset(owner, dns.TypeAAAA) {
 		if address, ok := netip.AddrFromSlice(rr.(*dns.AAAA).AAAA); ok {
@@ -106,7 +108,8 @@
 			continue
 		}
 		if found {
-			return d.base.positioned(rr, fmt.Errorf("%s has two texts that begin with %s", name, attributeMark))
+			return d.base.positioned(rr,
+				fmt.Errorf("%s has two texts that begin with %s", name, attributeMark))
 		}
 		found = true
 		if err := host.parseAttributes(words[1:]); err != nil {
@@ -132,7 +135,8 @@
 	return nil
 }
 
-// setAttribute sets one of zone=NAME, group=0..65535, status=up|draining, size=0.01..100, since=UNIX-MILLISECONDS.
+// setAttribute sets one of zone=NAME, group=0..65535, status=up|draining, size=0.01..100,
+// since=UNIX-MILLISECONDS.
 func (t *target) setAttribute(key, value string) (err error) {
 	switch key {
 	case "zone":
--- a/internal/dnszone/update.go
+++ b/internal/dnszone/update.go
@@ -20,9 +20,9 @@
 	return &UpdateError{Rcode: rcode, Reason: fmt.Sprintf(format, args...)}
 }
 
-// Update applies an update message as it came off the wire (RFC 2136, 3.1 to 3.4); checking its signature is the
-// caller's part. It returns the step to a new zone, or an *UpdateError. The serial rises by one where the update does
-// not set it.
+// Update applies an update message as it came off the wire (RFC 2136, 3.1 to 3.4); checking its signature is
+// the caller's part. It returns the step to a new zone, or an *UpdateError. The serial rises by one where the
+// update does not set it.
 func (z *Zone) Update(message *dns.Msg, atNanos int64, signature Signature) (*Step, error) {
 	if err := z.checkZoneSection(message.Question); err != nil {
 		return nil, err
@@ -84,7 +84,8 @@
 	return false
 }
 
-// prescan is RFC 2136, 3.4.1.3: it refuses what is no update at all and, beyond it, what has no place in this zone.
+// prescan is RFC 2136, 3.4.1.3: it refuses what is no update at all and, beyond it, what has no place in this
+// zone.
 func (d *draft) prescan(rr dns.RR) error {
 	header := rr.Header()
 	name := dns.CanonicalName(header.Name)
@@ -103,7 +104,8 @@
 		}
 	case dns.ClassANY:
 		if header.Ttl != 0 || header.Rdlength != 0 || isMeta {
-			return refuse(dns.RcodeFormatError, "%.100q: a deletion with a TTL, data, or type %s", name, rrtype)
+			return refuse(dns.RcodeFormatError,
+				"%.100q: a deletion with a TTL, data, or type %s", name, rrtype)
 		}
 	case dns.ClassNONE:
 		if header.Ttl != 0 || header.Rrtype == dns.TypeANY || isMeta {
@@ -168,7 +170,8 @@
 	d.remove(existing)
 }
 
-// replaceSOA puts a newer SOA in the place of the present one. One that is not newer is passed over (3.4.2.2).
+// replaceSOA puts a newer SOA in the place of the present one. One that is not newer is passed over
+// (3.4.2.2).
 func (d *draft) replaceSOA(soa *dns.SOA) {
 	old := d.rrset(soa.Hdr.Name, dns.TypeSOA)[0].(*dns.SOA)
 	if SerialNewer(soa.Serial, old.Serial) {
@@ -177,8 +180,8 @@
 	}
 }
 
-// addRecord adds a record, or replaces the one that differs in its TTL alone. An alias stands alone at its name, and
-// nothing is added beside one: such a record is passed over (3.4.2.2).
+// addRecord adds a record, or replaces the one that differs in its TTL alone. An alias stands alone at its
+// name, and nothing is added beside one: such a record is passed over (3.4.2.2).
 func (d *draft) addRecord(rr dns.RR) {
 	header := rr.Header()
 	aliases := d.rrset(header.Name, dns.TypeCNAME)
--- a/internal/dnszone/zone.go
+++ b/internal/dnszone/zone.go
@@ -1,11 +1,12 @@
-// Package dnszone holds a DNS zone and what its records say of the backends: master files (RFC 1035) or records go in,
-// a list of backends comes out, and a dynamic update (RFC 2136) makes a new zone of an old one, whole or not at all.
+// Package dnszone holds a DNS zone and what its records say of the backends: master files (RFC 1035) or
+// records go in, a list of backends comes out, and a dynamic update (RFC 2136) makes a new zone of an old
+// one, whole or not at all.
 //
-// The package is pure: it reads no clock, no file and no socket, and its results depend on the arguments alone, so that
-// the same changes give the same zone on every replica. docs/dns.md is the operators' page.
+// The package is pure: it reads no clock, no file and no socket, and its results depend on the arguments
+// alone, so that the same changes give the same zone on every replica. docs/dns.md is the operators' page.
 //
-// A Zone is immutable once a function of this package has returned it, and safe for concurrent use. A ReplayGuard is
-// not: its owner serializes the calls.
+// A Zone is immutable once a function of this package has returned it, and safe for concurrent use. A
+// ReplayGuard is not: its owner serializes the calls.
 package dnszone
 
 import (
@@ -38,8 +39,8 @@
 	return s, nil
 }
 
-// Zone is one version of a zone. It is never changed: an update makes a new one, which shares with it all that stayed
-// the same, so that an update costs what it touches and not what the zone holds.
+// Zone is one version of a zone. It is never changed: an update makes a new one, which shares with it all
+// that stayed the same, so that an update costs what it touches and not what the zone holds.
 type Zone struct {
 	Settings
 	records          btree.Map[string, dns.RR]  // by recordKey
@@ -63,7 +64,8 @@
 // Serial returns the zone's serial.
 func (z *Zone) Serial() uint32 { return z.soa().Serial }
 
-// RRset returns the records of a name and type; with type ANY, all of the name's. The caller must not change them.
+// RRset returns the records of a name and type; with type ANY, all of the name's. The caller must not change
+// them.
 func (z *Zone) RRset(name string, rrtype uint16) (rrs []dns.RR) {
 	prefix := keyPrefix(dns.CanonicalName(name), rrtype)
 	if rrtype == dns.TypeANY {
@@ -95,7 +97,8 @@
 	return all
 }
 
-// HasDescendants reports whether any record stands below a name: the name exists then, without records of its own.
+// HasDescendants reports whether any record stands below a name: the name exists then, without records of its
+// own.
 func (z *Zone) HasDescendants(name string) bool {
 	found := false
 	z.records.Scan(func(key string, _ dns.RR) bool {
@@ -106,8 +109,8 @@
 	return found
 }
 
-// Replacing returns a zone just parsed as the one that takes the place of old, at atNanos. Backends that old has keep
-// their start; the others are new, and warm up, since then.
+// Replacing returns a zone just parsed as the one that takes the place of old, at atNanos. Backends that old
+// has keep their start; the others are new, and warm up, since then.
 func (z *Zone) Replacing(old *Zone, atNanos int64) *Zone {
 	next := z.clone()
 	z.backends.Scan(func(name string, backend Backend) bool {
@@ -121,7 +124,8 @@
 	return next
 }
 
-// clone copies a zone to make the next one of. The trees are copied on write, so it costs little whatever they hold.
+// clone copies a zone to make the next one of. The trees are copied on write, so it costs little whatever
+// they hold.
 func (z *Zone) clone() *Zone {
 	return &Zone{
 		Settings:         z.Settings,
