--- a/internal/dnszone/backends.go
+++ b/internal/dnszone/backends.go
@@ -128,7 +128,7 @@
 	was, listedBefore := old.listed(name)
 	is, listedNow := next.listed(name)
 	switch {
-	case listedNow && !(listedBefore && was.equal(is)):
+	case listedNow && (!listedBefore || !was.equal(is)):
 		d.updated = append(d.updated, is)
 	case listedBefore && !listedNow:
 		d.removed = append(d.removed, name)
--- /dev/null
+++ b/internal/dnszone/parse_test.go
@@ -0,0 +1,101 @@
+package dnszone
+
+import (
+	"fmt"
+	"reflect"
+	"strings"
+	"testing"
+)
+
+// TestParse_ReturnsBackends parses a file with all that records may say of a backend, and restores its
+// snapshot.
+func TestParse_ReturnsBackends(t *testing.T) {
+	zone := mustParse(t, testZoneFile)
+	list := zone.Backends()
+	if listedNames(zone) != "n1 n2" || zone.Serial() != 7 {
+		t.Fatalf("%s, serial %d", listedNames(zone), zone.Serial())
+	}
+	n1, n2 := list[0], list[1]
+	if n1.Name != "n1.calc.example:7000" || n1.Zone != "a" || n1.Group != 3 || n1.Weight != 1 {
+		t.Errorf("%+v", n1)
+	}
+	if origin := n1.Provenance; origin.StartNanos != 0 || origin.File != "calc.zone" || origin.Line != 6 {
+		t.Errorf("%+v", n1)
+	}
+	if got := fmt.Sprint(n1.Addresses); got != "[127.0.0.11:7000 [::1]:7000]" {
+		t.Error(got)
+	}
+	if n2.Weight != 2.5 || fmt.Sprint(n2.Addresses) != "[127.0.0.12:7000]" || n2.Provenance.Line != 7 {
+		t.Errorf("%+v", n2)
+	}
+	restored, err := Restore(zone.Snapshot(), testSettings)
+	if err != nil || !reflect.DeepEqual(restored.Backends(), list) {
+		t.Errorf("after a restore: %v, %+v", err, restored.Backends())
+	}
+}
+
+// TestParse_NamesFileAndLine parses faulty files: nothing of one is accepted, and the error names its line.
+func TestParse_NamesFileAndLine(t *testing.T) {
+	const toNS = "_calc._tcp SRV 0 1 7000 ns\n" // line 6
+	for _, test := range []struct{ text, want string }{
+		{"", "calc.zone:1: no SOA"},
+		{"n1 A 127.0.0.1\n", "SOA"},
+		{testZoneHead, "calc.zone:3: _calc._tcp.calc.example. has no SRV record"},
+		{testZoneHead + "x MX 10 mail\n", "calc.zone:6: x.calc.example.: records of type MX have no place"},
+		{testZoneHead + "x TYPE999 \\# 1 00\n", "calc.zone:6: "},
+		{testZoneHead + "x NONSENSE 1\n", "calc.zone:6: "},
+		{testZoneHead + "x A 300.1.1.1\n", "calc.zone:6: "},
+		{testZoneHead + "x A", "calc.zone:"},
+		{testZoneHead + "x CH A 127.0.0.1\n", "calc.zone:6: "},
+		{testZoneHead + "elsewhere. A 127.0.0.1\n", "calc.zone:6: elsewhere. does not lie in the zone"},
+		{testZoneHead + "_calc._tcp SRV 0 1 7000 n1\n", "calc.zone:6: n1.calc.example. has no address"},
+		{testZoneHead + "_calc._tcp SRV 0 1 7000 n.elsewhere.\n",
+			"calc.zone:6: target n.elsewhere. does not lie in the zone"},
+		{testZoneHead + "_calc._tcp SRV 0 1 0 ns\n", "calc.zone:6: target ns.calc.example. with port 0"},
+		{testZoneHead + "_calc._tcp SRV 0 1 7000 .\n", "calc.zone:6: "},
+		{testZoneHead + "_other._tcp SRV 0 1 7000 ns\n", "calc.zone:6: SRV record at _other"},
+		{testZoneHead + "_calc._tcp SRV 0 1 7000 l1\nl1 CNAME l2\nl2 CNAME l1\n", "make a loop"},
+		{testZoneHead + toNS + "_calc._tcp SRV 1 1 7000 ns\n",
+			"calc.zone:7: ns.calc.example:7000 stands twice"},
+		{testZoneHead + toNS + "_calc._tcp SRV 0 1 7000 ns\n",
+			"calc.zone:7: _calc._tcp.calc.example. SRV stands twice"},
+		{testZoneHead + toNS + "_calc._tcp SRV 0 1 7000 n2\nn2 A 127.0.0.1\n",
+			"calc.zone:6: n2.calc.example:7000 and ns.calc.example:7000 both have the address"},
+		{testZoneHead + toNS + "ns TXT fawnplank shade=red\n",
+			`calc.zone:7: ns.calc.example.: "shade=red": unknown`},
+		{testZoneHead + toNS + "ns TXT fawnplank status=ill\n", "calc.zone:7: "},
+		{testZoneHead + toNS + "ns TXT fawnplank group=-1\n", "calc.zone:7: "},
+		{testZoneHead + toNS + "ns TXT fawnplank size=1 size=2\n", "calc.zone:7: "},
+		{testZoneHead + toNS + "ns TXT fawnplank since=99999999999999\n", "calc.zone:7: "},
+		{testZoneHead + toNS + "ns A 0.0.0.0\n", "0.0.0.0"},
+		{testZoneHead + "@ IN SOA ns admin 8 3600 600 86400 30\n",
+			"calc.zone:6: calc.example. SOA stands twice"},
+		{testZoneHead + "$INCLUDE other.zone\n", "calc.zone:6: "},
+	} {
+		_, err := Parse("calc.zone", []byte(test.text), testSettings)
+		if err == nil || !strings.Contains(err.Error(), test.want) {
+			t.Errorf("%q: %v, not %q", strings.TrimPrefix(test.text, testZoneHead), err, test.want)
+		}
+	}
+}
+
+func TestSettings_CanonicalRefusesUnusableNames(t *testing.T) {
+	for _, settings := range []Settings{
+		{},
+		{Origin: "calc.example.", Service: "_calc._tcp.other."},
+		{Origin: "a..b.", Service: "a..b."},
+	} {
+		if _, err := settings.Canonical(); err == nil {
+			t.Errorf("%v accepted", settings)
+		}
+	}
+}
+
+func BenchmarkParse_10000Backends(b *testing.B) {
+	text := []byte(largeZoneFile(10000))
+	for b.Loop() {
+		if _, err := Parse("x", text, testSettings); err != nil {
+			b.Fatal(err)
+		}
+	}
+}
--- /dev/null
+++ b/internal/dnszone/serial_test.go
@@ -0,0 +1,42 @@
+package dnszone
+
+import (
+	"strings"
+	"testing"
+
+	"github.com/miekg/dns"
+)
+
+func TestSerialNewer(t *testing.T) {
+	for _, test := range []struct {
+		a, b uint32
+		want bool
+	}{
+		{a: 1, b: 0, want: true},
+		{a: 0, b: 1},
+		{a: 0, b: 0},
+		{a: 44, b: 0, want: true},
+		{a: 1<<31 - 1, b: 0, want: true},
+		{a: 1 << 31, b: 0},
+		{a: 0, b: 1 << 31},
+		{a: 0, b: 1<<32 - 1, want: true},
+		{a: 5, b: 1<<32 - 5, want: true},
+		{a: 1<<32 - 5, b: 5},
+	} {
+		if SerialNewer(test.a, test.b) != test.want {
+			t.Errorf("%d after %d: %v", test.a, test.b, !test.want)
+		}
+	}
+}
+
+// TestZone_UpdateLeavesSerialZeroOut updates a zone with the last serial.
+func TestZone_UpdateLeavesSerialZeroOut(t *testing.T) {
+	zone := mustParse(t, strings.Replace(testZoneFile, " 7 3600", " 4294967295 3600", 1))
+	message := newUpdate()
+	message.RemoveName([]dns.RR{mustRecord(t, "n3.calc.example. A 127.0.0.3")})
+	message.Insert([]dns.RR{mustRecord(t, "n3.calc.example. A 127.0.0.3")})
+	step, err := zone.Update(viaWire(t, message), 1, Signature{})
+	if err != nil || step.Zone.Serial() != 1 || step.Change.ToSerial != 1 {
+		t.Errorf("after the last serial comes %v, %v; 0 stands for none", step, err)
+	}
+}
