--- a/cmd/fawnplank/dns.go
+++ b/cmd/fawnplank/dns.go
@@ -32,7 +32,7 @@
 	ended  sync.Once
 }
 
-func (n *names) on() bool { return n.set.DNS.Zone != "" }
+func (n *names) on() bool { return n.set.DNS.ZoneFile != "" }
 
 func (n *names) now() *dnsserver.Server {
 	n.mu.Lock()
@@ -127,7 +127,14 @@
 }
 
 func options(d config.DNS) dnsserver.Options {
-	o := dnsserver.Options{Settings: d.Settings(), ZoneFile: d.Zone, JournalFile: d.Journal, ListenAddress: d.Listen, MaxUpdatesPerSecond: d.Rate, Secondaries: d.Notify}
+	o := dnsserver.Options{
+		Settings:            d.Settings(),
+		ZoneFile:            d.ZoneFile,
+		JournalFile:         d.Journal,
+		ListenAddress:       d.Listen,
+		MaxUpdatesPerSecond: d.MaxUpdatesPerSecond,
+		Secondaries:         d.Notify,
+	}
 	for _, k := range d.Keys {
 		o.Keys = append(o.Keys, k.Key)
 	}
@@ -136,10 +143,10 @@
 
 // checkZone says what is wrong with the zone file of an operator file.
 func checkZone(o *config.Operator) error {
-	if o.DNS.Zone == "" {
+	if o.DNS.ZoneFile == "" {
 		return nil
 	}
-	_, _, err := dnsserver.ReadZoneFile(o.DNS.Zone, o.DNS.Settings())
+	_, _, err := dnsserver.ReadZoneFile(o.DNS.ZoneFile, o.DNS.Settings())
 	return err
 }
 
@@ -156,7 +163,7 @@
 			if err != nil {
 				return err
 			}
-			if o.DNS.Zone == "" {
+			if o.DNS.ZoneFile == "" {
 				return errors.New("the operator file names no zone (dns.zone_file)")
 			}
 			of := options(o.DNS)
--- a/internal/frontend/benchmark_test.go
+++ b/internal/frontend/benchmark_test.go
@@ -20,7 +20,7 @@
 func BenchmarkFront_Request(b *testing.B) {
 	f := dispatch.New()
 	pool := backend.New(50, 200*time.Millisecond, 10*time.Second, f.HandleHealthCheck)
-	f.Run(9, terms, nil, pool, nil)
+	f.Start(dispatch.Config{Seed: 9, Settings: terms, HealthChecker: pool})
 	b.Cleanup(f.Stop)
 	listen := func() net.Listener {
 		l, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -51,8 +51,8 @@
 			}()
 		}
 	}()
-	server := New(f, pool, &config.Config{Settings: terms, Classes: map[string]policy.ClassID{"lookup": 0},
-		Plans: map[string]policy.PlanID{"team": 0}, MaxUnits: 8}, 10)
+	server := New(Options{Dispatcher: f, Pool: pool, MaxConnections: 10, Config: &config.Config{Settings: terms,
+		Classes: map[string]policy.ClassID{"lookup": 0}, Plans: map[string]policy.PlanID{"team": 0}, MaxUnits: 8}})
 	go server.Serve(clients)
 	pool.SetAddress(1, behind.Addr().String())
 	f.UpdateEndpoints(policy.FullSnapshot, []policy.Endpoint{{Backend: 1, State: policy.EndpointReady}})
