--- a/cmd/fawnplank-lab/main.go
+++ b/cmd/fawnplank-lab/main.go
@@ -124,7 +124,7 @@
 					return err
 				}
 			}
-			if n := run.Broken(); n > 0 {
+			if n := run.Violations(); n > 0 {
 				return fmt.Errorf("%s: rules broken %d times", s.Name, n)
 			}
 			return nil
@@ -148,7 +148,7 @@
 					return err
 				}
 				fmt.Fprintf(c.OutOrStdout(), "%s: in order; %s, %d front doors, %d backends, %.0f transactions a second for %v, %d faults\n",
-					s.Name, s.On, s.Doors.Count, s.Backends.Count, s.Load.Rate, time.Duration(s.Duration), len(s.Faults))
+					s.Name, s.On, s.Instances.Count, s.Backends.Count, s.Load.Rate, time.Duration(s.Duration), len(s.Faults))
 			}
 			return nil
 		}}
@@ -173,7 +173,7 @@
 					return fmt.Errorf("--to %s: not on loopback (127.0.0.0/8 or [::1])", at)
 				}
 			}
-			terms, err := s.Terms(0)
+			terms, err := s.EngineSettings(0)
 			if err != nil {
 				return err
 			}
@@ -322,8 +322,8 @@
 				return err
 			}
 			for _, r := range runs {
-				if r.Broken() > 0 {
-					return fmt.Errorf("%s: rules broken %d times", r.Label, r.Broken())
+				if r.Violations() > 0 {
+					return fmt.Errorf("%s: rules broken %d times", r.Label, r.Violations())
 				}
 			}
 			return nil
@@ -347,7 +347,7 @@
 			if err != nil {
 				return err
 			}
-			terms, err := s.Terms(0)
+			terms, err := s.EngineSettings(0)
 			if err != nil {
 				return err
 			}
@@ -364,7 +364,7 @@
 			}
 			defer outside.Close()
 			var to []string
-			for n := range s.Doors.Count {
+			for n := range s.Instances.Count {
 				at, err := testbed.FreeAddress()
 				if err != nil {
 					return err
--- a/internal/lab/emulator/backend.go
+++ b/internal/lab/emulator/backend.go
@@ -37,7 +37,7 @@
 // job is a shot that has come whole.
 type job struct {
 	conn  *peer
-	try   invariants.TryID
+	try   invariants.SubmissionID
 	work  time.Duration
 	begin chan struct{} // closed when a core is free
 }
@@ -129,10 +129,10 @@
 			}
 		}
 	}
-	e, j := b.e, &job{conn: p, try: invariants.TryID(id), begin: make(chan struct{})}
+	e, j := b.e, &job{conn: p, try: invariants.SubmissionID(id), begin: make(chan struct{})}
 	b.mu.Lock()
-	work := b.e.people.Work(b.chance, units)
-	e.log.See(invariants.Event{Kind: invariants.Arrived, Try: j.try, Backend: b.n, Started: b.started, Work: work / 1e9})
+	work := b.e.people.WorkNanos(b.chance, units)
+	e.log.Observe(invariants.Event{Kind: invariants.AttemptArrived, Submission: j.try, Backend: b.n, StartedNanos: b.started, WorkSeconds: work / 1e9})
 	j.work = time.Duration(work * b.factor / b.share())
 	life := b.life
 	switch {
@@ -141,7 +141,7 @@
 		return "", false
 	case b.drain > 0, b.busy >= e.s.Backends.Cores && len(b.line) >= e.s.Backends.Queue:
 		b.mu.Unlock()
-		e.log.See(invariants.Event{Kind: invariants.TurnedAway, Try: j.try, Backend: b.n})
+		e.log.Observe(invariants.Event{Kind: invariants.AttemptRefused, Submission: j.try, Backend: b.n})
 		return "-BUSY\r\n", false
 	case b.busy < e.s.Backends.Cores:
 		b.busy++
@@ -197,10 +197,10 @@
 func (b *backend) share() float64 {
 	r := b.e.s.Rules
 	age := b.e.log.Now() - b.started
-	if b.started == 0 || age >= int64(r.WarmUp) {
+	if b.started == 0 || age >= int64(r.SlowStart) {
 		return 1
 	}
-	return r.ColdShare + (1-r.ColdShare)*float64(max(age, 0))/float64(r.WarmUp)
+	return r.InitialCapacity + (1-r.InitialCapacity)*float64(max(age, 0))/float64(r.SlowStart)
 }
 
 // die ends the work and the connections of a life.
--- a/internal/lab/emulator/counter.go
+++ b/internal/lab/emulator/counter.go
@@ -35,9 +35,9 @@
 }
 
 func newCounter(e *Emu) (*counter, error) {
-	c := &counter{e: e, numbers: map[string]*number{}, cut: map[int]int{}, calls: make([]int, e.s.Doors.Count),
+	c := &counter{e: e, numbers: map[string]*number{}, cut: map[int]int{}, calls: make([]int, e.s.Instances.Count),
 		resume: make(chan struct{})}
-	for n := range e.s.Doors.Count {
+	for n := range e.s.Instances.Count {
 		g, err := newGate(func(conn net.Conn) { c.serve(conn, n) })
 		if err != nil {
 			return nil, err
@@ -70,7 +70,7 @@
 			c.calls[n] = 0
 		}
 		c.mu.Unlock()
-		c.e.log.Open(quiet)
+		c.e.log.SetOpenBreakers(quiet)
 		c.watch()
 	})
 }
@@ -185,11 +185,11 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.cut[door] > 0 { // lost on the way
-		c.e.log.Call(true)
+		c.e.log.CountCounterCall(true)
 		return func() string { return "" }
 	}
 	c.calls[door]++
-	c.e.log.Call(c.hang > 0)
+	c.e.log.CountCounterCall(c.hang > 0)
 	now := time.Now()
 	when := now
 	if c.free.After(now) {
--- a/internal/lab/emulator/discovery.go
+++ b/internal/lab/emulator/discovery.go
@@ -62,7 +62,7 @@
 	if e.s.Discovery.Source == "dns" {
 		d.names = newUpdater(e)
 	}
-	for n := range e.s.Doors.Count {
+	for n := range e.s.Instances.Count {
 		l, err := net.Listen("tcp4", "127.0.0.1:0")
 		if err != nil {
 			return nil, err
@@ -163,7 +163,7 @@
 // told notes that a door is told of a backend, before it is: what follows counts as known.
 func (d *discovery) told(door, n int) {
 	if door >= 0 {
-		d.e.log.See(invariants.Event{Kind: invariants.Told, Door: door, Backend: n, Stage: d.lines[n].stage, Started: d.lines[n].since})
+		d.e.log.Observe(invariants.Event{Kind: invariants.EndpointDelivered, Instance: door, Backend: n, State: d.lines[n].stage, StartedNanos: d.lines[n].since})
 	}
 }
 
--- a/internal/lab/emulator/emulator.go
+++ b/internal/lab/emulator/emulator.go
@@ -19,7 +19,7 @@
 type Emu struct {
 	s         *scenario.Scenario
 	log       *results.Log
-	people    *workload.People
+	people    *workload.Generator
 	backends  []*backend
 	counter   *counter
 	discovery *discovery
@@ -89,8 +89,8 @@
 func (e *Emu) Config(n int, listen string) ([]byte, error) {
 	c := map[string]any{"name": fmt.Sprintf("d%d", n), "listen": listen, "discovery": e.discovery.address(n),
 		"seed":   fmt.Sprintf("%016x", e.s.Seed<<8+uint64(n)),
-		"limits": map[string]any{"memory_mb": e.s.Doors.MemoryMB, "sockets": e.s.Doors.Sockets},
-		"known":  e.discovery.whole(-1), "settings": e.s.Settings(n)}
+		"limits": map[string]any{"memory_mb": e.s.Instances.MemoryMB, "sockets": e.s.Instances.Sockets},
+		"known":  e.discovery.whole(-1), "settings": e.s.GatewaySettings(n)}
 	if !e.s.Counter.Off {
 		c["counter"] = e.counter.address(n)
 	}
@@ -106,10 +106,10 @@
 			targets = []int{0}
 		}
 		for i, n := range targets {
-			at := time.Duration(f.At + scenario.Span(i)*f.Each)
+			at := time.Duration(f.At + scenario.Span(i)*f.Stagger)
 			e.after(at, func() { e.set(f, n, true) })
-			if f.For > 0 {
-				e.after(at+time.Duration(f.For), func() { e.set(f, n, false) })
+			if f.Duration > 0 {
+				e.after(at+time.Duration(f.Duration), func() { e.set(f, n, false) })
 			}
 		}
 	}
--- a/internal/lab/emulator/emulator_test.go
+++ b/internal/lab/emulator/emulator_test.go
@@ -39,7 +39,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	terms, _ := s.Terms(0)
+	terms, _ := s.EngineSettings(0)
 	log := results.NewLog(results.New(s, terms, 0))
 	e, err := Start(s, log)
 	if err != nil {
@@ -80,7 +80,7 @@
 
 func TestBackendFaultsReallyHappen(t *testing.T) {
 	timeout := func(err error) bool { n, ok := err.(net.Error); return ok && n.Timeout() }
-	for kind, seen := range map[scenario.Kind]func(answer string, err error) bool{
+	for kind, seen := range map[scenario.FaultKind]func(answer string, err error) bool{
 		"":                       func(a string, err error) bool { return strings.HasPrefix(a, "*3\r\n$") && err == nil },
 		scenario.BackendRefuse:   func(a string, err error) bool { return err != nil && strings.Contains(err.Error(), "refused") },
 		scenario.BackendHang:     func(a string, err error) bool { return timeout(err) },
@@ -163,7 +163,7 @@
 			t.Errorf("%s: %q, want %q", what, got, wanted)
 		}
 	}
-	fault := func(kind scenario.Kind, door int, on bool) {
+	fault := func(kind scenario.FaultKind, door int, on bool) {
 		e.set(scenario.Fault{Kind: kind, Delay: 300e6}, door, on)
 	}
 	want("calm", bump(0, 2), "ok 2")
--- a/internal/lab/emulator/names.go
+++ b/internal/lab/emulator/names.go
@@ -28,7 +28,7 @@
 
 func newUpdater(e *Emu) *updater {
 	u := &updater{e: e}
-	for range e.s.Doors.Count {
+	for range e.s.Instances.Count {
 		u.queue = append(u.queue, make(chan line, mostQueued))
 	}
 	return u
@@ -72,7 +72,7 @@
 
 // send sends one change until it is answered. The door counts as told from the first try on: it may have done it.
 func (e *Emu) send(n int, l line, at string, key dnsserver.Key) {
-	e.log.See(invariants.Event{Kind: invariants.Told, Door: n, Backend: l.n, Stage: l.stage, Started: l.since})
+	e.log.Observe(invariants.Event{Kind: invariants.EndpointDelivered, Instance: n, Backend: l.n, State: l.stage, StartedNanos: l.since})
 	for {
 		select {
 		case <-e.closed:
@@ -88,7 +88,7 @@
 			m.Insert(records)
 		}
 		if dnsserver.SendUpdate(m, at, key, time.Second) == nil {
-			e.log.Updated()
+			e.log.CountDNSUpdate()
 			return
 		}
 		time.Sleep(50 * time.Millisecond)
--- a/internal/lab/invariants/invariants_test.go
+++ b/internal/lab/invariants/invariants_test.go
@@ -8,11 +8,11 @@
 
 const ms = int64(1e6)
 
-var terms = Terms{
-	Profiles: []policy.ClassSettings{{LatencyObjective: 750 * ms}, {Idempotency: policy.NonIdempotent},
+var terms = Settings{
+	Classes: []policy.ClassSettings{{LatencyObjective: 750 * ms}, {Idempotency: policy.NonIdempotent},
 		{Idempotency: policy.IdempotentWithKey, DedupScope: policy.DedupByGroup, DedupWindow: 1000 * ms}, {Idempotency: policy.IdempotentWithKey, DedupScope: policy.DedupByAll, DedupWindow: 1000 * ms}},
-	Plans: []policy.PlanSettings{{}, {HardQuotaRate: 1, HardQuotaBurst: 2}}, CeilingSlack: []float64{0, 1},
-	Grace: 100 * ms, Drain: 500 * ms, Cores: 1, ColdShare: 0.5, WarmUp: 10_000 * ms, FallMultiple: 2, FallSpan: 1000 * ms,
+	Plans: []policy.PlanSettings{{}, {HardQuotaRate: 1, HardQuotaBurst: 2}}, HardQuotaSlack: []float64{0, 1},
+	GraceNanos: 100 * ms, DrainNanos: 500 * ms, Cores: 1, InitialCapacity: 0.5, SlowStartNanos: 10_000 * ms, CollapseMultiple: 2, CollapseWindowNanos: 1000 * ms,
 	Zone: func(b int) int { return 0 }, Group: func(b int) int { return b % 2 },
 }
 
@@ -21,37 +21,37 @@
 	c := New(terms)
 	last := int64(0)
 	for _, e := range events {
-		if e.Try == 0 {
-			e.Try = 1
+		if e.Submission == 0 {
+			e.Submission = 1
 		}
-		c.See(e)
-		last = max(last, e.At)
+		c.Observe(e)
+		last = max(last, e.AtNanos)
 	}
 	_, counts := c.End(last + 5000*ms)
 	return counts
 }
 
 func asked(profile int) Event {
-	return Event{Kind: Asked, Profile: profile, Limit: 1000 * ms, Units: 1}
+	return Event{Kind: Submitted, Class: profile, DeadlineNanos: 1000 * ms, Units: 1}
 }
 
 func arrived(at int64, backend int) Event {
-	return Event{At: at * ms, Kind: Arrived, Backend: backend}
+	return Event{AtNanos: at * ms, Kind: AttemptArrived, Backend: backend}
 }
 
 func TestPlantedViolationsAreFound(t *testing.T) {
-	answer := func(at int64, k Kind) Event { return Event{At: at * ms, Kind: k} }
-	away := func(at int64, b int) Event { return Event{At: at * ms, Kind: TurnedAway, Backend: b} }
+	answer := func(at int64, k Kind) Event { return Event{AtNanos: at * ms, Kind: k} }
+	away := func(at int64, b int) Event { return Event{AtNanos: at * ms, Kind: AttemptRefused, Backend: b} }
 	told := func(at int64, s policy.EndpointState, started int64) Event {
-		return Event{At: at * ms, Kind: Told, Stage: s, Started: started * ms}
+		return Event{AtNanos: at * ms, Kind: EndpointDelivered, State: s, StartedNanos: started * ms}
 	}
-	ceiling := func(id TryID, at int64) []Event {
-		return []Event{{Try: id, At: at * ms, Kind: Asked, Plan: 1, Units: 1, Limit: (at + 1000) * ms, Customer: 7},
-			{Try: id, At: at * ms, Kind: Arrived}, {Try: id, At: at * ms, Kind: Fulfilled}}
+	ceiling := func(id SubmissionID, at int64) []Event {
+		return []Event{{Submission: id, AtNanos: at * ms, Kind: Submitted, Plan: 1, Units: 1, DeadlineNanos: (at + 1000) * ms, Tenant: 7},
+			{Submission: id, AtNanos: at * ms, Kind: AttemptArrived}, {Submission: id, AtNanos: at * ms, Kind: Succeeded}}
 	}
 	ceilings := func(times ...int64) (all []Event) {
 		for n, at := range times {
-			all = append(all, ceiling(TryID(n+1), at)...)
+			all = append(all, ceiling(SubmissionID(n+1), at)...)
 		}
 		return all
 	}
@@ -60,9 +60,9 @@
 			all = append(all, told(100, policy.EndpointReady, 100))
 		}
 		for n := range count {
-			id := TryID(n + 1)
-			all = append(all, Event{Try: id, At: 200 * ms, Kind: Asked, Limit: 1200 * ms},
-				Event{Try: id, At: 210 * ms, Kind: Arrived, Started: 100 * ms, Work: work}, Event{Try: id, At: 300 * ms, Kind: Fulfilled})
+			id := SubmissionID(n + 1)
+			all = append(all, Event{Submission: id, AtNanos: 200 * ms, Kind: Submitted, DeadlineNanos: 1200 * ms},
+				Event{Submission: id, AtNanos: 210 * ms, Kind: AttemptArrived, StartedNanos: 100 * ms, WorkSeconds: work}, Event{Submission: id, AtNanos: 300 * ms, Kind: Succeeded})
 		}
 		return all
 	}
@@ -71,32 +71,32 @@
 		rule   string // the one broken; empty: none
 		events []Event
 	}{
-		{"in order", "", []Event{asked(0), arrived(10, 1), answer(20, Fulfilled)}},
+		{"in order", "", []Event{asked(0), arrived(10, 1), answer(20, Succeeded)}},
 		{"no answer", "1", []Event{asked(0), arrived(10, 1)}},
-		{"the client left", "", []Event{asked(0), arrived(10, 1), answer(500, Left)}},
-		{"two answers", "1", []Event{asked(0), answer(10, Dismissed), answer(20, Fulfilled)}},
-		{"an answer after the time", "1", []Event{asked(0), answer(1101, BrokenOff)}},
-		{"an answer within the grace", "", []Event{asked(0), answer(1099, BrokenOff)}},
-		{"sent after the answer", "1", []Event{asked(0), answer(10, Dismissed), {At: 20 * ms, Kind: Sent}}},
-		{"came after the answer", "1", []Event{asked(0), answer(10, Dismissed), arrived(20, 1)}},
-		{"an id twice", "1", []Event{asked(0), asked(0), answer(10, Dismissed)}},
+		{"the client left", "", []Event{asked(0), arrived(10, 1), answer(500, Abandoned)}},
+		{"two answers", "1", []Event{asked(0), answer(10, Rejected), answer(20, Succeeded)}},
+		{"an answer after the time", "1", []Event{asked(0), answer(1101, Aborted)}},
+		{"an answer within the grace", "", []Event{asked(0), answer(1099, Aborted)}},
+		{"sent after the answer", "1", []Event{asked(0), answer(10, Rejected), {AtNanos: 20 * ms, Kind: AttemptSent}}},
+		{"came after the answer", "1", []Event{asked(0), answer(10, Rejected), arrived(20, 1)}},
+		{"an id twice", "1", []Event{asked(0), asked(0), answer(10, Rejected)}},
 		{"nobody asked", "1", []Event{arrived(10, 1)}},
-		{"reissuable twice", "", []Event{asked(0), arrived(10, 1), arrived(20, 2), answer(30, Dismissed)}},
-		{"at most once, twice", "2", []Event{asked(1), arrived(10, 1), arrived(20, 2), answer(30, Fulfilled)}},
-		{"at most once, first turned away", "", []Event{asked(1), arrived(10, 1), away(15, 1), arrived(20, 2), answer(30, Fulfilled)}},
-		{"at most once, dismissed after it may have run", "2", []Event{asked(1), arrived(10, 1), answer(30, Dismissed)}},
-		{"at most once, broken off", "", []Event{asked(1), arrived(10, 1), answer(30, BrokenOff)}},
-		{"at most once, dismissed after being turned away", "", []Event{asked(1), arrived(10, 1), away(11, 1), answer(30, Dismissed)}},
-		{"numbered, within the group", "", []Event{asked(2), arrived(10, 1), arrived(20, 3), answer(30, Fulfilled)}},
-		{"numbered, outside the group", "2", []Event{asked(2), arrived(10, 1), arrived(20, 2), answer(30, Fulfilled)}},
-		{"numbered, beyond the memory", "2", []Event{{Kind: Asked, Profile: 2, Limit: 3000 * ms}, arrived(10, 1), arrived(1020, 3), answer(1030, Fulfilled)}},
-		{"numbered of a group, dismissed", "2", []Event{asked(2), arrived(10, 1), answer(30, Dismissed)}},
-		{"numbered of all, dismissed", "", []Event{asked(3), arrived(10, 1), answer(30, Dismissed)}},
-		{"within the grace of a drain", "", []Event{told(0, policy.EndpointDraining, 0), asked(0), arrived(499, 0), answer(600, Fulfilled)}},
-		{"after the grace of a drain", "3", []Event{told(0, policy.EndpointDraining, 0), asked(0), arrived(501, 0), answer(600, Fulfilled)}},
-		{"told twice, the first counts", "3", []Event{told(0, policy.EndpointDraining, 0), asked(0), told(400, policy.EndpointGone, 0), arrived(600, 0), answer(700, Fulfilled)}},
-		{"ready again", "", []Event{told(0, policy.EndpointDraining, 0), asked(0), told(400, policy.EndpointReady, 0), arrived(600, 0), answer(700, Fulfilled)}},
-		{"another door was told", "", []Event{{Kind: Told, Door: 4, Stage: policy.EndpointDraining}, asked(0), arrived(900, 0), answer(950, Fulfilled)}},
+		{"reissuable twice", "", []Event{asked(0), arrived(10, 1), arrived(20, 2), answer(30, Rejected)}},
+		{"at most once, twice", "2", []Event{asked(1), arrived(10, 1), arrived(20, 2), answer(30, Succeeded)}},
+		{"at most once, first turned away", "", []Event{asked(1), arrived(10, 1), away(15, 1), arrived(20, 2), answer(30, Succeeded)}},
+		{"at most once, dismissed after it may have run", "2", []Event{asked(1), arrived(10, 1), answer(30, Rejected)}},
+		{"at most once, broken off", "", []Event{asked(1), arrived(10, 1), answer(30, Aborted)}},
+		{"at most once, dismissed after being turned away", "", []Event{asked(1), arrived(10, 1), away(11, 1), answer(30, Rejected)}},
+		{"numbered, within the group", "", []Event{asked(2), arrived(10, 1), arrived(20, 3), answer(30, Succeeded)}},
+		{"numbered, outside the group", "2", []Event{asked(2), arrived(10, 1), arrived(20, 2), answer(30, Succeeded)}},
+		{"numbered, beyond the memory", "2", []Event{{Kind: Submitted, Class: 2, DeadlineNanos: 3000 * ms}, arrived(10, 1), arrived(1020, 3), answer(1030, Succeeded)}},
+		{"numbered of a group, dismissed", "2", []Event{asked(2), arrived(10, 1), answer(30, Rejected)}},
+		{"numbered of all, dismissed", "", []Event{asked(3), arrived(10, 1), answer(30, Rejected)}},
+		{"within the grace of a drain", "", []Event{told(0, policy.EndpointDraining, 0), asked(0), arrived(499, 0), answer(600, Succeeded)}},
+		{"after the grace of a drain", "3", []Event{told(0, policy.EndpointDraining, 0), asked(0), arrived(501, 0), answer(600, Succeeded)}},
+		{"told twice, the first counts", "3", []Event{told(0, policy.EndpointDraining, 0), asked(0), told(400, policy.EndpointGone, 0), arrived(600, 0), answer(700, Succeeded)}},
+		{"ready again", "", []Event{told(0, policy.EndpointDraining, 0), asked(0), told(400, policy.EndpointReady, 0), arrived(600, 0), answer(700, Succeeded)}},
+		{"another door was told", "", []Event{{Kind: EndpointDelivered, Instance: 4, State: policy.EndpointDraining}, asked(0), arrived(900, 0), answer(950, Succeeded)}},
 		{"a cold backend within its budget", "", cold(0.1, 10, true)},
 		{"a cold backend over its budget", "4", cold(0.1, 40, true)},
 		{"a cold backend nobody was told of", "", cold(0.1, 40, false)},
@@ -116,13 +116,13 @@
 	c := New(terms)
 	for n := range 10000 {
 		at := int64(n) * 100 * ms
-		id := TryID(n + 1)
-		c.See(Event{At: at, Kind: Asked, Try: id, Limit: at + 1000*ms})
-		c.See(Event{At: at + ms, Kind: Arrived, Try: id})
+		id := SubmissionID(n + 1)
+		c.Observe(Event{AtNanos: at, Kind: Submitted, Submission: id, DeadlineNanos: at + 1000*ms})
+		c.Observe(Event{AtNanos: at + ms, Kind: AttemptArrived, Submission: id})
 		if n%2 == 0 {
-			c.See(Event{At: at + 2*ms, Kind: Left, Try: id})
+			c.Observe(Event{AtNanos: at + 2*ms, Kind: Abandoned, Submission: id})
 		}
-		c.See(Event{At: at + 2*ms, Kind: Fulfilled, Try: id})
+		c.Observe(Event{AtNanos: at + 2*ms, Kind: Succeeded, Submission: id})
 	}
 	if len(c.tries) > 400 {
 		t.Errorf("%d tries are kept of what ended in the last half minute", len(c.tries))
@@ -135,7 +135,7 @@
 func TestFindingsAreBoundedAndCounted(t *testing.T) {
 	c := New(terms)
 	for n := range 1000 {
-		c.See(Event{Kind: Asked, Try: TryID(n + 1), Limit: ms})
+		c.Observe(Event{Kind: Submitted, Submission: SubmissionID(n + 1), DeadlineNanos: ms})
 	}
 	found, counts := c.End(1e12)
 	if counts["1"] != 1000 || len(found) != mostFindings {
--- a/internal/lab/load/load.go
+++ b/internal/lab/load/load.go
@@ -27,12 +27,12 @@
 type Tool struct {
 	s      *scenario.Scenario
 	log    *results.Log
-	people *workload.People
+	people *workload.Generator
 	mu     sync.Mutex // guards people's chance, idle, conns, last and lag
 	doors  []string
 	idle   [][]*conn
 	conns  int
-	last   invariants.TryID
+	last   invariants.SubmissionID
 	lag    *hdrhistogram.Histogram
 	out    sync.WaitGroup
 }
@@ -51,7 +51,7 @@
 		if !ok {
 			break
 		}
-		if wait := time.Until(start.Add(time.Duration(a.At))); wait > 0 {
+		if wait := time.Until(start.Add(time.Duration(a.AtNanos))); wait > 0 {
 			select {
 			case <-time.After(wait):
 			case <-stop:
@@ -62,7 +62,7 @@
 		t.out.Add(1)
 		go func() {
 			defer t.out.Done()
-			t.transaction(a, start.Add(time.Duration(a.At)))
+			t.transaction(a, start.Add(time.Duration(a.AtNanos)))
 		}()
 	}
 	t.out.Wait()
@@ -128,12 +128,12 @@
 }
 
 // transaction tries until it is answered for good, as clients do: after a dismissal, and where its door died.
-func (t *Tool) transaction(a workload.Ask, due time.Time) {
-	limit := due.Add(time.Duration(a.Limit - a.At))
+func (t *Tool) transaction(a workload.Request, due time.Time) {
+	limit := due.Add(time.Duration(a.DeadlineNanos - a.AtNanos))
 	for again := 0; ; again++ {
 		t.mu.Lock()
 		t.last++
-		id, door := t.last, t.people.Door(a)
+		id, door := t.last, t.people.Instance(a)
 		t.mu.Unlock()
 		kind, back, taken := t.try(a, id, door, due, limit, again)
 		if !taken {
@@ -141,16 +141,16 @@
 				time.Sleep(5 * time.Millisecond) // refused; another door may take it
 				continue
 			}
-			t.log.Unsent()
+			t.log.CountNotSent()
 			return
 		}
-		if kind != invariants.Dismissed && kind != invariants.Left || again >= t.s.Load.Retries {
+		if kind != invariants.Rejected && kind != invariants.Abandoned || again >= t.s.Load.Retries {
 			return
 		}
 		t.mu.Lock()
-		wait := time.Duration(t.people.Wait(again, back))
+		wait := time.Duration(t.people.RetryDelay(again, back))
 		t.mu.Unlock()
-		if kind == invariants.Left && t.s.Profiles[a.Profile].Effect != "reissuable" || time.Until(limit) <= wait {
+		if kind == invariants.Abandoned && t.s.Classes[a.Class].Idempotency != "reissuable" || time.Until(limit) <= wait {
 			return
 		}
 		time.Sleep(wait)
@@ -159,7 +159,7 @@
 }
 
 // try asks once. taken is false where no connection came up: then nobody has heard of it.
-func (t *Tool) try(a workload.Ask, id invariants.TryID, door int, due, limit time.Time, again int) (kind invariants.Kind, back int64, taken bool) {
+func (t *Tool) try(a workload.Request, id invariants.SubmissionID, door int, due, limit time.Time, again int) (kind invariants.Kind, back int64, taken bool) {
 	asked := false
 	for fresh := false; ; fresh = true {
 		c, used, err := t.take(door, fresh)
@@ -170,15 +170,15 @@
 			return 0, 0, false
 		}
 		left := time.Until(limit)
-		life := t.log.Life(door)
+		life := t.log.Incarnation(door)
 		if !asked {
 			asked = true
 			lag := time.Since(due)
 			t.mu.Lock()
 			t.lag.RecordValue(max(lag.Microseconds(), 1))
 			t.mu.Unlock()
-			t.log.See(invariants.Event{Kind: invariants.Asked, Try: id, Door: door, Customer: a.Customer, Profile: a.Profile, Plan: a.Plan,
-				Units: a.Units, Limit: int64(left), Due: int64(due.Sub(t.log.Start())), Again: again > 0})
+			t.log.Observe(invariants.Event{Kind: invariants.Submitted, Submission: id, Instance: door, Tenant: a.Tenant, Class: a.Class, Plan: a.Plan,
+				Units: a.Units, DeadlineNanos: int64(left), DueNanos: int64(due.Sub(t.log.Start())), IsRetry: again > 0})
 		}
 		c.SetDeadline(limit.Add(time.Duration(t.s.Rules.Grace) + 100*time.Millisecond))
 		_, err = io.WriteString(c, t.command(a, id, left))
@@ -189,42 +189,42 @@
 		if err == nil {
 			t.rest(door, c)
 			kind, back = meaning(answer)
-			t.log.See(invariants.Event{Kind: kind, Try: id, Door: door})
+			t.log.Observe(invariants.Event{Kind: kind, Submission: id, Instance: door})
 			return kind, back, true
 		}
 		t.drop(c)
 		var late net.Error
 		switch {
 		case errors.As(err, &late) && late.Timeout():
-			return invariants.BrokenOff, 0, true // no answer: the rules will say so
-		case t.log.Life(door) != life:
+			return invariants.Aborted, 0, true // no answer: the rules will say so
+		case t.log.Incarnation(door) != life:
 			return t.lost(id, door), 0, true
 		case used && !fresh: // a door may close a connection between transactions
 		default:
 			time.Sleep(20 * time.Millisecond) // a door that is just being killed is noted as dead
-			if t.log.Life(door) != life {
+			if t.log.Incarnation(door) != life {
 				return t.lost(id, door), 0, true
 			}
-			return invariants.BrokenOff, 0, true // its connection was ended under it: the rules will say so
+			return invariants.Aborted, 0, true // its connection was ended under it: the rules will say so
 		}
 	}
 }
 
-func (t *Tool) lost(id invariants.TryID, door int) invariants.Kind {
-	t.log.See(invariants.Event{Kind: invariants.Left, Try: id, Door: door})
-	return invariants.Left
+func (t *Tool) lost(id invariants.SubmissionID, door int) invariants.Kind {
+	t.log.Observe(invariants.Event{Kind: invariants.Abandoned, Submission: id, Instance: door})
+	return invariants.Abandoned
 }
 
 // command is a try in the protocol's form.
-func (t *Tool) command(a workload.Ask, id invariants.TryID, left time.Duration) string {
+func (t *Tool) command(a workload.Request, id invariants.SubmissionID, left time.Duration) string {
 	verb := "SVC.SUBMIT"
-	if t.s.Profiles[a.Profile].Effect == "reissuable" {
+	if t.s.Classes[a.Class].Idempotency == "reissuable" {
 		verb = "SVC.QUERY"
 	}
-	head := fmt.Sprintf("c=%s,t=%s,d=%d,units=%s,spread=%d,first=%d", t.s.Profiles[a.Profile].Name, t.s.Plans[a.Plan].Name,
-		max(left.Milliseconds(), 1), strconv.FormatFloat(a.Units, 'f', -1, 64), t.s.Load.Spread, t.people.Customers[a.Customer].First)
+	head := fmt.Sprintf("c=%s,t=%s,d=%d,units=%s,spread=%d,first=%d", t.s.Classes[a.Class].Name, t.s.Plans[a.Plan].Name,
+		max(left.Milliseconds(), 1), strconv.FormatFloat(a.Units, 'f', -1, 64), t.s.Load.EntryPoints, t.people.Tenants[a.Tenant].FirstInstance)
 	key := fmt.Sprintf("%016x", uint64(id))
-	return fmt.Sprintf("*4\r\n$%d\r\n%s\r\n$16\r\n%016x\r\n$16\r\n%s\r\n$%d\r\n%s\r\n", len(verb), verb, a.Customer+1, key, len(head), head)
+	return fmt.Sprintf("*4\r\n$%d\r\n%s\r\n$16\r\n%016x\r\n$16\r\n%s\r\n$%d\r\n%s\r\n", len(verb), verb, a.Tenant+1, key, len(head), head)
 }
 
 // read reads one whole answer of RESP2: the line of a simple one, or a bulk string with its length.
@@ -251,13 +251,13 @@
 	words := strings.Fields(answer)
 	switch {
 	case strings.HasPrefix(answer, "$") && answer != "$-1":
-		return invariants.Fulfilled, 0
+		return invariants.Succeeded, 0
 	case len(words) > 0 && words[0] == "-BUSY":
 		if len(words) > 1 {
 			ms, _ := strconv.ParseInt(words[1], 10, 64)
 			back = ms * 1e6
 		}
-		return invariants.Dismissed, back
+		return invariants.Rejected, back
 	}
-	return invariants.BrokenOff, 0
+	return invariants.Aborted, 0
 }
--- a/internal/lab/model/golden_test.go
+++ b/internal/lab/model/golden_test.go
@@ -42,7 +42,7 @@
 			}
 			sum := sha256.Sum256(text)
 			if got := hex.EncodeToString(sum[:]); got != run.want {
-				t.Errorf("%d events, %d tries: hash\n%s, want\n%s", result.Events, result.Total.Asked, got, run.want)
+				t.Errorf("%d events, %d tries: hash\n%s, want\n%s", result.Events, result.Total.Submitted, got, run.want)
 			}
 		})
 	}
--- a/internal/lab/model/model.go
+++ b/internal/lab/model/model.go
@@ -27,14 +27,14 @@
 	due      timerqueue.Queue[func()]
 	events   uint64
 	rec      *results.Recorder
-	people   *workload.People
+	people   *workload.Generator
 	net      *rand.Rand
 	work     *rand.Rand
 	doors    []*door
 	backends []*backend
 	counter  counter
 	news     news
-	lastTry  invariants.TryID
+	lastTry  invariants.SubmissionID
 }
 
 // Run plays a scenario to its end, and gives its results.
@@ -47,7 +47,7 @@
 }
 
 func newWorld(s *scenario.Scenario) (*world, error) {
-	terms, err := s.Terms(0)
+	terms, err := s.EngineSettings(0)
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", s.Name, err)
 	}
@@ -57,9 +57,9 @@
 	for n := range s.Backends.Count {
 		w.backends = append(w.backends, &backend{w: w, n: n, up: true, stage: policy.EndpointReady, factor: 1})
 	}
-	for n := range s.Doors.Count {
+	for n := range s.Instances.Count {
 		d := &door{w: w, n: n}
-		if d.terms, err = s.Terms(n); err != nil {
+		if d.terms, err = s.EngineSettings(n); err != nil {
 			return nil, err
 		}
 		w.doors = append(w.doors, d)
@@ -77,8 +77,8 @@
 func (w *world) play() *results.Run {
 	s := w.s
 	var longest scenario.Span
-	for _, p := range s.Profiles {
-		longest = max(longest, p.HardLimit)
+	for _, p := range s.Classes {
+		longest = max(longest, p.Deadline)
 	}
 	end := int64(s.Duration + longest + s.Rules.Grace + 1e9)
 	for {
@@ -113,7 +113,7 @@
 			}
 		}
 	}
-	w.rec.Open(w.now, open)
+	w.rec.SetOpenBreakers(w.now, open)
 	w.at(w.now+1e9, w.sample)
 }
 
@@ -123,8 +123,8 @@
 	if !ok {
 		return
 	}
-	w.at(next.At, func() {
-		w.ask(next, next.At, 0)
+	w.at(next.AtNanos, func() {
+		w.ask(next, next.AtNanos, 0)
 		w.arrivals()
 	})
 }
@@ -132,7 +132,7 @@
 // try is one try of a transaction at a door.
 type try struct {
 	invariants.Event
-	ask    workload.Ask
+	ask    workload.Request
 	again  int // tries before it
 	door   *door
 	life   int
@@ -142,22 +142,22 @@
 }
 
 // ask lets a client try a transaction that it wants answered by its limit.
-func (w *world) ask(a workload.Ask, due int64, again int) {
-	d := w.doors[w.people.Door(a)]
+func (w *world) ask(a workload.Request, due int64, again int) {
+	d := w.doors[w.people.Instance(a)]
 	w.lastTry++
-	t := &try{ask: a, again: again, door: d, Event: invariants.Event{At: w.now, Kind: invariants.Asked, Try: w.lastTry, Door: d.n,
-		Customer: a.Customer, Profile: a.Profile, Plan: a.Plan, Units: a.Units, Limit: a.Limit, Due: due, Again: again > 0}}
+	t := &try{ask: a, again: again, door: d, Event: invariants.Event{AtNanos: w.now, Kind: invariants.Submitted, Submission: w.lastTry, Instance: d.n,
+		Tenant: a.Tenant, Class: a.Class, Plan: a.Plan, Units: a.Units, DeadlineNanos: a.DeadlineNanos, DueNanos: due, IsRetry: again > 0}}
 	if d.gate == nil { // refused; another door may take it
 		w.at(w.now+2*w.hop(), func() {
-			if again < w.s.Load.Retries+3 && w.now < a.Limit {
+			if again < w.s.Load.Retries+3 && w.now < a.DeadlineNanos {
 				w.ask(a, due, again+1)
 			} else {
-				w.rec.Unsent(w.now)
+				w.rec.CountNotSent(w.now)
 			}
 		})
 		return
 	}
-	w.rec.See(t.Event)
+	w.rec.Observe(t.Event)
 	life := d.life
 	w.at(w.now+w.hop(), func() {
 		if d.life == life {
@@ -178,11 +178,11 @@
 		}
 	})
 	w.at(w.now+w.hop(), func() {
-		w.rec.See(invariants.Event{At: w.now, Kind: kind, Try: t.Try, Door: t.door.n})
-		if kind != invariants.Dismissed || t.again >= w.s.Load.Retries {
+		w.rec.Observe(invariants.Event{AtNanos: w.now, Kind: kind, Submission: t.Submission, Instance: t.door.n})
+		if kind != invariants.Rejected || t.again >= w.s.Load.Retries {
 			return
 		}
-		if wait := w.people.Wait(t.again, comeBack); w.now+wait < t.Limit {
+		if wait := w.people.RetryDelay(t.again, comeBack); w.now+wait < t.DeadlineNanos {
 			w.at(w.now+wait, func() { w.ask(t.ask, w.now, t.again+1) })
 		}
 	})
@@ -195,8 +195,8 @@
 		return
 	}
 	t.ended = true
-	w.rec.See(invariants.Event{At: w.now, Kind: invariants.Left, Try: t.Try})
-	if t.again < w.s.Load.Retries && w.s.Profiles[t.Profile].Effect == "reissuable" && w.now < t.Limit {
+	w.rec.Observe(invariants.Event{AtNanos: w.now, Kind: invariants.Abandoned, Submission: t.Submission})
+	if t.again < w.s.Load.Retries && w.s.Classes[t.Class].Idempotency == "reissuable" && w.now < t.DeadlineNanos {
 		w.at(w.now+2*w.hop(), func() { w.ask(t.ask, w.now, t.again+1) })
 	}
 }
@@ -229,7 +229,7 @@
 
 // told notes that the door is told of a backend, and gives the list's line.
 func (d *door) told(b *backend) policy.Endpoint {
-	d.w.rec.See(invariants.Event{At: d.w.now, Kind: invariants.Told, Door: d.n, Backend: b.n, Stage: b.stage, Started: b.started})
+	d.w.rec.Observe(invariants.Event{AtNanos: d.w.now, Kind: invariants.EndpointDelivered, Instance: d.n, Backend: b.n, State: b.stage, StartedNanos: b.started})
 	l := policy.Endpoint{Backend: policy.BackendID(b.n + 1), Zone: policy.ZoneID(b.n % d.w.s.Backends.Zones),
 		Group: policy.GroupID(b.n % d.w.s.Backends.Groups), Capacity: 1, State: b.stage}
 	if b.started > 0 {
@@ -241,7 +241,7 @@
 func (d *door) die() {
 	d.life++
 	d.gate = nil
-	d.w.rec.See(invariants.Event{At: d.w.now, Kind: invariants.DoorDied, Door: d.n})
+	d.w.rec.Observe(invariants.Event{AtNanos: d.w.now, Kind: invariants.InstanceDied, Instance: d.n})
 	ids := make([]policy.RequestID, 0, len(d.open))
 	for id := range d.open {
 		ids = append(ids, id)
@@ -255,19 +255,19 @@
 }
 
 func (d *door) take(t *try) {
-	id := policy.RequestID(t.Try)
+	id := policy.RequestID(t.Submission)
 	t.life = d.life
 	d.open[id] = t
-	c := d.w.people.Customers[t.Customer]
+	c := d.w.people.Tenants[t.Tenant]
 	t.handle = d.gate.Submit(base+d.w.now, policy.RequestSpec{
 		ID:            id,
-		Class:         policy.ClassID(t.Profile),
+		Class:         policy.ClassID(t.Class),
 		Plan:          policy.PlanID(t.Plan),
-		Tenant:        policy.TenantID(t.Customer + 1),
-		Remaining:     max(t.Limit-d.w.now, 0),
+		Tenant:        policy.TenantID(t.Tenant + 1),
+		Remaining:     max(t.DeadlineNanos-d.w.now, 0),
 		Units:         t.Units,
-		EntryPoints:   d.w.s.Load.Spread,
-		FirstInstance: c.First,
+		EntryPoints:   d.w.s.Load.EntryPoints,
+		FirstInstance: c.FirstInstance,
 	})
 	d.keep(t)
 }
@@ -275,20 +275,20 @@
 // keep lets go of a try once nothing more can come for it.
 func (d *door) keep(t *try) {
 	if t.handle != nil && t.handle.Done() {
-		delete(d.open, policy.RequestID(t.Try))
+		delete(d.open, policy.RequestID(t.Submission))
 	}
 }
 
 // Send sends a shot.
 func (d *door) Send(id policy.RequestID, b policy.BackendID, expire, _ int64) { // the model sends at once
 	w, t := d.w, d.open[id]
-	until := t.Limit
+	until := t.DeadlineNanos
 	if expire > 0 {
 		until = min(until, expire-base)
 	}
 	s := &shot{t: t, n: policy.AttemptID(len(t.shots)), to: w.backends[b-1], sent: w.now}
 	t.shots = append(t.shots, s)
-	w.rec.See(invariants.Event{At: w.now, Kind: invariants.Sent, Try: t.Try, Door: d.n, Backend: s.to.n})
+	w.rec.Observe(invariants.Event{AtNanos: w.now, Kind: invariants.AttemptSent, Submission: t.Submission, Instance: d.n, Backend: s.to.n})
 	w.at(until, func() { s.settle(policy.TimedOut) })
 	w.at(w.now+w.hop(), func() { s.to.arrive(s) })
 }
@@ -304,11 +304,11 @@
 
 // Reject gives a final answer.
 func (d *door) Reject(id policy.RequestID, comeBack int64) {
-	d.open[id].answer(invariants.Dismissed, comeBack)
+	d.open[id].answer(invariants.Rejected, comeBack)
 }
 
 // Abort gives a final answer.
-func (d *door) Abort(id policy.RequestID) { d.open[id].answer(invariants.BrokenOff, 0) }
+func (d *door) Abort(id policy.RequestID) { d.open[id].answer(invariants.Aborted, 0) }
 
 // Admit is never called: scenarios have no profile that only counts.
 func (d *door) Admit(policy.RequestID) {}
@@ -370,7 +370,7 @@
 	}
 	s.settled, s.dropped = true, true
 	if o == policy.Succeeded && !t.ended {
-		t.answer(invariants.Fulfilled, 0)
+		t.answer(invariants.Succeeded, 0)
 	}
 	t.handle.HandleAttemptResult(base+w.now, policy.AttemptResult{
 		Attempt:     s.n,
@@ -401,10 +401,10 @@
 func (b *backend) share() float64 {
 	r := b.w.s.Rules
 	age := b.w.now - b.started
-	if b.started == 0 || age >= int64(r.WarmUp) {
+	if b.started == 0 || age >= int64(r.SlowStart) {
 		return 1
 	}
-	return r.ColdShare + (1-r.ColdShare)*float64(age)/float64(r.WarmUp)
+	return r.InitialCapacity + (1-r.InitialCapacity)*float64(age)/float64(r.SlowStart)
 }
 
 func (b *backend) arrive(s *shot) {
@@ -416,13 +416,13 @@
 		w.at(w.now+w.hop(), func() { s.settle(policy.ConnectFailed) })
 		return
 	}
-	s.work = w.people.Work(w.work, s.t.Units)
-	w.rec.See(invariants.Event{At: w.now, Kind: invariants.Arrived, Try: s.t.Try, Door: s.t.door.n, Backend: b.n, Started: b.started,
-		Work: s.work / 1e9})
+	s.work = w.people.WorkNanos(w.work, s.t.Units)
+	w.rec.Observe(invariants.Event{AtNanos: w.now, Kind: invariants.AttemptArrived, Submission: s.t.Submission, Instance: s.t.door.n, Backend: b.n, StartedNanos: b.started,
+		WorkSeconds: s.work / 1e9})
 	switch {
 	case b.hang > 0:
 	case b.drain > 0, len(b.running) >= w.s.Backends.Cores && len(b.line) >= w.s.Backends.Queue:
-		w.rec.See(invariants.Event{At: w.now, Kind: invariants.TurnedAway, Try: s.t.Try, Backend: b.n})
+		w.rec.Observe(invariants.Event{AtNanos: w.now, Kind: invariants.AttemptRefused, Submission: s.t.Submission, Backend: b.n})
 		w.at(w.now+w.hop(), func() { s.settle(policy.Rejected) })
 	case len(b.running) < w.s.Backends.Cores:
 		b.begin(s)
@@ -521,7 +521,7 @@
 		if d.calls[k.name] = d.calls[k.name][1:]; len(d.calls[k.name]) == 0 {
 			delete(d.calls, k.name)
 		}
-		d.w.rec.Call(d.w.now, first.o != policy.Succeeded)
+		d.w.rec.CountCounterCall(d.w.now, first.o != policy.Succeeded)
 		d.gate.HandleCounterResult(base+d.w.now, first.o, k.name, first.total)
 		if d.life != k.life {
 			return
@@ -599,11 +599,11 @@
 func (w *world) plan(f scenario.Fault) {
 	from := int64(f.At)
 	for i, n := range w.s.Targets(f) {
-		at := from + int64(i)*int64(f.Each)
-		w.at(at, func() { w.begin(f, n, at+int64(f.For)) })
+		at := from + int64(i)*int64(f.Stagger)
+		w.at(at, func() { w.begin(f, n, at+int64(f.Duration)) })
 	}
-	if len(f.Who) == 0 && f.Share == 0 {
-		w.at(from, func() { w.begin(f, 0, from+int64(f.For)) })
+	if len(f.Targets) == 0 && f.Share == 0 {
+		w.at(from, func() { w.begin(f, 0, from+int64(f.Duration)) })
 	}
 }
 
@@ -688,7 +688,7 @@
 	case scenario.DiscoveryLate:
 		w.news.late += int64(f.Delay)
 		w.at(until, func() { w.news.late -= int64(f.Delay) })
-	case scenario.DoorRestart:
+	case scenario.InstanceRestart:
 		if d.gate == nil {
 			return // down already
 		}
--- a/internal/lab/model/model_test.go
+++ b/internal/lab/model/model_test.go
@@ -86,18 +86,18 @@
 // Each kind of fault shows in what is recorded, and the real decisions keep the rules through it.
 func TestEveryFaultHappensAndRulesAreKept(t *testing.T) {
 	calm := play(t, "")
-	if calm.Broken() > 0 || calm.Total.Fulfilled < 9*calm.Total.Transactions/10 || calm.Total.Failed > 0 {
+	if calm.Violations() > 0 || calm.Total.Succeeded < 9*calm.Total.Requests/10 || calm.Total.CounterFailures > 0 {
 		t.Fatalf("calm: %+v %v", calm.Total, calm.Findings)
 	}
 	grown := func(of func(results.Total) float64, by float64) func(r *results.Run) bool {
 		return func(r *results.Run) bool { return of(r.Total) >= of(calm.Total)+by }
 	}
-	shots := func(t results.Total) float64 { return float64(t.Shots) }
-	unfulfilled := func(t results.Total) float64 { return float64(t.Transactions - t.Fulfilled) }
-	failed := func(t results.Total) float64 { return float64(t.Failed) }
-	same := func(r *results.Run) bool { return r.Total.Fulfilled >= calm.Total.Fulfilled*95/100 }
+	shots := func(t results.Total) float64 { return float64(t.Attempts) }
+	unfulfilled := func(t results.Total) float64 { return float64(t.Requests - t.Succeeded) }
+	failed := func(t results.Total) float64 { return float64(t.CounterFailures) }
+	same := func(r *results.Run) bool { return r.Total.Succeeded >= calm.Total.Succeeded*95/100 }
 	for _, x := range []struct {
-		kind scenario.Kind
+		kind scenario.FaultKind
 		more string
 		show func(r *results.Run) bool
 	}{
@@ -118,7 +118,7 @@
 		{scenario.DiscoveryStale, "", same},
 		{scenario.DiscoveryRefuse, "", same},
 		{scenario.DiscoveryLate, "delay = \"1s\"", same},
-		{scenario.DoorRestart, "share = 1", grown(func(t results.Total) float64 { return float64(t.Left + t.Unsent) }, 100)},
+		{scenario.InstanceRestart, "share = 1", grown(func(t results.Total) float64 { return float64(t.Abandoned + t.NotSent) }, 100)},
 	} {
 		run := play(t, fmt.Sprintf("[[fault]]\nkind = %q\nat = \"4s\"\nfor = \"3s\"\n%s\n", x.kind, x.more))
 		if !x.show(run) {
@@ -130,8 +130,8 @@
 	}
 	// What a counter forgets, customers far beyond their quotas have again, until the doors put it right.
 	const empty = "[[fault]]\nkind = \"counter-empty\"\nat = \"6s\"\n"
-	if with, without := play(t, empty, "load.rate=2000"), play(t, "", "load.rate=2000"); with.Total.Over <= without.Total.Over {
-		t.Errorf("an emptied counter does not show: %.0f units beyond, %.0f without", with.Total.Over, without.Total.Over)
+	if with, without := play(t, empty, "load.rate=2000"), play(t, "", "load.rate=2000"); with.Total.UnitsOver <= without.Total.UnitsOver {
+		t.Errorf("an emptied counter does not show: %.0f units beyond, %.0f without", with.Total.UnitsOver, without.Total.UnitsOver)
 	}
 }
 
@@ -139,10 +139,10 @@
 func TestDiscoveryTellsLate(t *testing.T) {
 	told := func(add string) int {
 		run := play(t, "[[fault]]\nkind = \"backend-vanish\"\nat = \"4s\"\nfor = \"6s\"\nshare = 0.5\n"+add)
-		if run.Broken() > 0 {
+		if run.Violations() > 0 {
 			t.Error(run.Findings[0])
 		}
-		return run.Total.Fulfilled
+		return run.Total.Succeeded
 	}
 	if soon, late := told(""), told("[[fault]]\nkind = \"discovery-stale\"\nat = \"3s\"\nfor = \"7s\"\n"); late > soon {
 		t.Errorf("fulfilled %d with the list in time, %d with a stale one", soon, late)
@@ -160,14 +160,14 @@
 		},
 		"2": func(w *world, d *door) { // a shot that must not be sent
 			for _, id := range keys(d.open) {
-				if t := d.open[id]; w.s.Profiles[t.Profile].Effect == "at-most-once" && len(t.shots) > 0 && !t.ended {
+				if t := d.open[id]; w.s.Classes[t.Class].Idempotency == "at-most-once" && len(t.shots) > 0 && !t.ended {
 					d.Send(id, 1, 0, 1<<62)
 					return
 				}
 			}
 		},
 		"3": func(w *world, d *door) { // sends go to a backend that drains
-			w.rec.See(invariants.Event{At: w.now, Kind: invariants.Told, Door: d.n, Backend: 0, Stage: policy.EndpointDraining})
+			w.rec.Observe(invariants.Event{AtNanos: w.now, Kind: invariants.EndpointDelivered, Instance: d.n, Backend: 0, State: policy.EndpointDraining})
 		},
 	} {
 		s := parse(t, "")
@@ -176,7 +176,7 @@
 				w.at(w.now+int64(n)*7e6, func() { plant(w, w.doors[0]) })
 			}
 		})
-		if planted.Rules[rule] == 0 {
+		if planted.RulesBroken[rule] == 0 {
 			t.Errorf("rule %s: a planted violation was not found", rule)
 		}
 	}
@@ -227,13 +227,13 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if over, under := run.Drift(); over > 0.05 || under > 0.05 || run.Total.Honest < 50000 || run.Broken() > 0 {
-			t.Errorf("seed %s: %.1f%% more, %.1f%% less, of %.0f units; %v", seed, 100*over, 100*under, run.Total.Honest, run.Findings)
+		if over, under := run.Drift(); over > 0.05 || under > 0.05 || run.Total.UnitsExact < 50000 || run.Violations() > 0 {
+			t.Errorf("seed %s: %.1f%% more, %.1f%% less, of %.0f units; %v", seed, 100*over, 100*under, run.Total.UnitsExact, run.Findings)
 		}
 		from, to := run.Rows[9], run.Rows[69] // the minute itself
 		honest := 0.0
 		for _, r := range run.Rows[10:70] {
-			honest += r.Honest
+			honest += r.UnitsExact
 		}
 		if over := (to.DriftOver - from.DriftOver) / honest; over > 0.05 {
 			t.Errorf("seed %s: %.1f%% more within the minute", seed, 100*over)
@@ -250,7 +250,7 @@
 		run := play(t, "beyond_costs = 1.0\n[[fault]]\nat = \"10s\"\nfor = \"20s\"\n"+fault+"\n", "duration=40s", "load.rate=600", "load.skew=0", "load.spread=3")
 		over, under := run.Drift()
 		t.Logf("%s: %.1f%% more, %.1f%% less", fault, 100*over, 100*under)
-		if over > most || under > 0.05 || run.Total.Failed == 0 {
+		if over > most || under > 0.05 || run.Total.CounterFailures == 0 {
 			t.Errorf("%s: %.1f%% more, %.1f%% less", fault, 100*over, 100*under)
 		}
 	}
--- a/internal/lab/plots/plots.go
+++ b/internal/lab/plots/plots.go
@@ -50,20 +50,20 @@
 
 var panels = []panel{
 	{"answers a second", "tries", []curve{
-		{"fulfilled", green, func(r results.Row) float64 { return float64(r.Fulfilled) }, false},
-		{"dismissed", orange, func(r results.Row) float64 { return float64(r.Dismissed) }, false},
-		{"broken off", red, func(r results.Row) float64 { return float64(r.BrokenOff) }, false},
-		{"left, unsent", purple, func(r results.Row) float64 { return float64(r.Left + r.Unsent) }, false}}},
+		{"fulfilled", green, func(r results.Row) float64 { return float64(r.Succeeded) }, false},
+		{"dismissed", orange, func(r results.Row) float64 { return float64(r.Rejected) }, false},
+		{"broken off", red, func(r results.Row) float64 { return float64(r.Aborted) }, false},
+		{"left, unsent", purple, func(r results.Row) float64 { return float64(r.Abandoned + r.NotSent) }, false}}},
 	{"latency", "ms", []curve{
 		{"p50", green, func(r results.Row) float64 { return r.P50 }, false},
 		{"p99", red, func(r results.Row) float64 { return r.P99 }, false}}},
 	{"the counter", "calls, doors", []curve{
-		{"calls a second", blue, func(r results.Row) float64 { return float64(r.Calls) }, false},
-		{"failed", red, func(r results.Row) float64 { return float64(r.Failed) }, false},
-		{"doors not calling", purple, func(r results.Row) float64 { return float64(r.Open) }, false}}},
+		{"calls a second", blue, func(r results.Row) float64 { return float64(r.CounterCalls) }, false},
+		{"failed", red, func(r results.Row) float64 { return float64(r.CounterFailures) }, false},
+		{"doors not calling", purple, func(r results.Row) float64 { return float64(r.OpenBreakers) }, false}}},
 	{"drift of customers' counts from an honest counter's", "units", []curve{
 		{"had more", red, func(r results.Row) float64 { return r.DriftOver }, false},
-		{"had less", orange, func(r results.Row) float64 { return r.DriftLess }, false}}},
+		{"had less", orange, func(r results.Row) float64 { return r.DriftUnder }, false}}},
 }
 
 // points are a curve's values over time.
@@ -125,12 +125,12 @@
 				plt.Legend.Add(c.name, line)
 			}
 			if p.title == "latency" {
-				promised := plotter.NewFunction(func(float64) float64 { return run.Promised })
+				promised := plotter.NewFunction(func(float64) float64 { return run.LatencyObjective })
 				promised.Color, promised.Dashes = blue, []vg.Length{vg.Points(3), vg.Points(3)}
-				if run.Promised <= 1.5*top {
+				if run.LatencyObjective <= 1.5*top {
 					plt.Add(promised)
 					plt.Legend.Add("promised", promised)
-					top = math.Max(top, run.Promised*1.05)
+					top = math.Max(top, run.LatencyObjective*1.05)
 				}
 			}
 			plt.Legend.Top = true
@@ -235,45 +235,45 @@
 	percent := func(part, all float64) string { return fmt.Sprintf("%.1f%%", 100*part/math.Max(all, 1)) }
 	row("run", title)
 	row("played on", func(r *results.Run) string {
-		return fmt.Sprintf("%s, %d doors, %d backends, seed %d", r.On, r.Doors, r.Backends, r.Seed)
+		return fmt.Sprintf("%s, %d doors, %d backends, seed %d", r.On, r.Instances, r.Backends, r.Seed)
 	})
-	row("transactions, tries", func(r *results.Run) string { return fmt.Sprint(r.Total.Transactions, ", ", r.Total.Asked) })
+	row("transactions, tries", func(r *results.Run) string { return fmt.Sprint(r.Total.Requests, ", ", r.Total.Submitted) })
 	row("fulfilled, of transactions", func(r *results.Run) string {
-		return percent(float64(r.Total.Fulfilled), float64(r.Total.Transactions+r.Total.Unsent))
+		return percent(float64(r.Total.Succeeded), float64(r.Total.Requests+r.Total.NotSent))
 	})
-	row("late, of fulfilled", func(r *results.Run) string { return percent(float64(r.Total.Late), float64(r.Total.Fulfilled)) })
+	row("late, of fulfilled", func(r *results.Run) string { return percent(float64(r.Total.Late), float64(r.Total.Succeeded)) })
 	row("dismissed, broken off, left, unsent", func(r *results.Run) string {
-		return fmt.Sprint(r.Total.Dismissed, ", ", r.Total.BrokenOff, ", ", r.Total.Left, ", ", r.Total.Unsent)
+		return fmt.Sprint(r.Total.Rejected, ", ", r.Total.Aborted, ", ", r.Total.Abandoned, ", ", r.Total.NotSent)
 	})
 	row("p50, p90, p99, p99.9, most, ms", func(r *results.Run) string {
-		return fmt.Sprintf("%.1f, %.1f, %.1f, %.1f, %.1f", r.Total.P50, r.Total.P90, r.Total.P99, r.Total.P999, r.Total.Most)
+		return fmt.Sprintf("%.1f, %.1f, %.1f, %.1f, %.1f", r.Total.P50, r.Total.P90, r.Total.P99, r.Total.P999, r.Total.Max)
 	})
 	row("shots a fulfilled try", seen(func(r *results.Run) string {
-		return fmt.Sprintf("%.3f", float64(r.Total.Shots)/math.Max(float64(r.Total.Fulfilled), 1))
+		return fmt.Sprintf("%.3f", float64(r.Total.Attempts)/math.Max(float64(r.Total.Succeeded), 1))
 	}))
-	row("counter calls, failed", seen(func(r *results.Run) string { return fmt.Sprint(r.Total.Calls, ", ", r.Total.Failed) }))
+	row("counter calls, failed", seen(func(r *results.Run) string { return fmt.Sprint(r.Total.CounterCalls, ", ", r.Total.CounterFailures) }))
 	row("withdrawn, with a shot after, p50, p99, most, ms", seen(func(r *results.Run) string {
-		if r.Withdraw == nil {
+		if r.Withdrawals == nil {
 			return "none"
 		}
-		w := r.Withdraw
-		return fmt.Sprintf("%d, %d, %.1f, %.1f, %.1f", w.Count, w.WithShot, w.P50, w.P99, w.Most)
+		w := r.Withdrawals
+		return fmt.Sprintf("%d, %d, %.1f, %.1f, %.1f", w.Count, w.WithAttempt, w.P50, w.P99, w.Max)
 	}))
-	row("dns updates answered", seen(func(r *results.Run) string { return fmt.Sprint(r.Updates) }))
+	row("dns updates answered", seen(func(r *results.Run) string { return fmt.Sprint(r.DNSUpdates) }))
 	row("drift: had more, had less", seen(func(r *results.Run) string {
 		over, under := r.Drift()
 		return fmt.Sprintf("%.1f%%, %.1f%%", 100*over, 100*under)
 	}))
 	row("load tool's lag p50, p99, ms", func(r *results.Run) string { return fmt.Sprintf("%.2f, %.2f", r.LagP50, r.LagP99) })
 	row("rules 1 to 5 broken", func(r *results.Run) string {
-		return fmt.Sprint(r.Rules["1"], ", ", r.Rules["2"], ", ", r.Rules["3"], ", ", r.Rules["4"], ", ", r.Rules["5"])
+		return fmt.Sprint(r.RulesBroken["1"], ", ", r.RulesBroken["2"], ", ", r.RulesBroken["3"], ", ", r.RulesBroken["4"], ", ", r.RulesBroken["5"])
 	})
 	if err := t.Flush(); err != nil {
 		return err
 	}
 	for _, r := range runs {
 		for _, f := range r.Findings {
-			fmt.Fprintf(w, "%s: rule %d at %.3f s: %s\n", title(r), f.Rule, float64(f.At)/1e9, f.What)
+			fmt.Fprintf(w, "%s: rule %d at %.3f s: %s\n", title(r), f.Rule, float64(f.AtNanos)/1e9, f.What)
 		}
 	}
 	return nil
@@ -292,7 +292,7 @@
 	}{
 		{"shares, %", map[string]func(*results.Run) float64{
 			"fulfilled of transactions": func(r *results.Run) float64 {
-				return 100 * float64(r.Total.Fulfilled) / math.Max(float64(r.Total.Transactions+r.Total.Unsent), 1)
+				return 100 * float64(r.Total.Succeeded) / math.Max(float64(r.Total.Requests+r.Total.NotSent), 1)
 			},
 			"had more": func(r *results.Run) float64 { over, _ := r.Drift(); return 100 * over },
 			"had less": func(r *results.Run) float64 { _, under := r.Drift(); return 100 * under },
--- a/internal/lab/plots/plots_test.go
+++ b/internal/lab/plots/plots_test.go
@@ -75,7 +75,7 @@
 
 func TestTableTellsFindings(t *testing.T) {
 	all := runs(t)
-	all[1].Rules["2"], all[1].Findings = 1, append(all[1].Findings, all[1].Findings...)
+	all[1].RulesBroken["2"], all[1].Findings = 1, append(all[1].Findings, all[1].Findings...)
 	var text strings.Builder
 	if err := Table(&text, all...); err != nil {
 		t.Fatal(err)
--- a/internal/lab/results/log.go
+++ b/internal/lab/results/log.go
@@ -14,7 +14,7 @@
 	mu    sync.Mutex
 	start atomic.Pointer[time.Time] // nil: the run has not begun, and all that is seen counts as at its start
 	rec   *Recorder
-	doors map[invariants.TryID]int
+	doors map[invariants.SubmissionID]int
 	calls uint64
 	lives map[int]int
 	done  bool
@@ -22,7 +22,7 @@
 
 // NewLog makes a log.
 func NewLog(rec *Recorder) *Log {
-	return &Log{rec: rec, doors: map[invariants.TryID]int{}, lives: map[int]int{}}
+	return &Log{rec: rec, doors: map[invariants.SubmissionID]int{}, lives: map[int]int{}}
 }
 
 // Begin lets the run's time begin now.
@@ -42,61 +42,61 @@
 // Start is when the run began.
 func (l *Log) Start() time.Time { return *l.start.Load() }
 
-// See stamps an event and takes it in. The time that it gives is the event's.
-func (l *Log) See(e invariants.Event) int64 {
+// Observe stamps an event and takes it in. The time that it gives is the event's.
+func (l *Log) Observe(e invariants.Event) int64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	e.At = l.Now()
+	e.AtNanos = l.Now()
 	if l.done {
-		return e.At
+		return e.AtNanos
 	}
 	l.calls++
 	switch e.Kind {
-	case invariants.Asked:
-		l.doors[e.Try] = e.Door
-		e.Limit += e.At // told as the time left
-	case invariants.Arrived, invariants.TurnedAway:
-		e.Door = l.doors[e.Try]
-	case invariants.DoorDied:
-		l.lives[e.Door]++
+	case invariants.Submitted:
+		l.doors[e.Submission] = e.Instance
+		e.DeadlineNanos += e.AtNanos // told as the time left
+	case invariants.AttemptArrived, invariants.AttemptRefused:
+		e.Instance = l.doors[e.Submission]
+	case invariants.InstanceDied:
+		l.lives[e.Instance]++
 	}
-	l.rec.See(e)
-	return e.At
+	l.rec.Observe(e)
+	return e.AtNanos
 }
 
-// Life is how often the door died.
-func (l *Log) Life(door int) int {
+// Incarnation is how often the door died.
+func (l *Log) Incarnation(door int) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.lives[door]
 }
 
-// Unsent counts a transaction that no door took.
-func (l *Log) Unsent() {
+// CountNotSent counts a transaction that no door took.
+func (l *Log) CountNotSent() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.rec.Unsent(l.Now())
+	l.rec.CountNotSent(l.Now())
 }
 
-// Call counts a call of the counter.
-func (l *Log) Call(failed bool) {
+// CountCounterCall counts a call of the counter.
+func (l *Log) CountCounterCall(failed bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.rec.Call(l.Now(), failed)
+	l.rec.CountCounterCall(l.Now(), failed)
 }
 
-// Updated counts an update that a front door answered.
-func (l *Log) Updated() {
+// CountDNSUpdate counts an update that a front door answered.
+func (l *Log) CountDNSUpdate() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.rec.Updated()
+	l.rec.CountDNSUpdate()
 }
 
-// Open notes how many doors call nothing.
-func (l *Log) Open(doors int) {
+// SetOpenBreakers notes how many doors call nothing.
+func (l *Log) SetOpenBreakers(doors int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.rec.Open(l.Now(), doors)
+	l.rec.SetOpenBreakers(l.Now(), doors)
 }
 
 // Finish ends the run; later events are dropped.
--- a/internal/lab/results/results.go
+++ b/internal/lab/results/results.go
@@ -24,35 +24,35 @@
 
 // Row is one second of a run. Latencies are milliseconds, from when a try was due to its answer's last byte.
 type Row struct {
-	Second    int     `json:"second"`
-	Asked     int     `json:"asked"`
-	Fulfilled int     `json:"fulfilled"`
-	Late      int     `json:"late"` // of the fulfilled, after the promised time
-	Dismissed int     `json:"dismissed"`
-	BrokenOff int     `json:"broken_off"`
-	Left      int     `json:"left"`
-	Unsent    int     `json:"unsent"` // no door took it
-	P50       float64 `json:"p50_ms"`
-	P99       float64 `json:"p99_ms"`
-	Shots     int     `json:"shots"`
-	Away      int     `json:"turned_away"`
-	Calls     int     `json:"counter_calls"`
-	Failed    int     `json:"counter_failed"`
-	Open      int     `json:"breakers_open"` // doors whose breaker is open, or that called nothing
-	Over      float64 `json:"units_over"`    // units sent on that an honest counter would have turned away
-	Inside    float64 `json:"units_inside"`  // units sent on within the quota
-	Honest    float64 `json:"units_honest"`  // units that an honest counter would have let in of the same tries
-	DriftOver float64 `json:"drift_over"`    // units that customers have had beyond those since the start, by now
-	DriftLess float64 `json:"drift_under"`   // units that others have had less
+	Second          int     `json:"second"`
+	Submitted       int     `json:"asked"`
+	Succeeded       int     `json:"fulfilled"`
+	Late            int     `json:"late"` // of the fulfilled, after the promised time
+	Rejected        int     `json:"dismissed"`
+	Aborted         int     `json:"broken_off"`
+	Abandoned       int     `json:"left"`
+	NotSent         int     `json:"unsent"` // no door took it
+	P50             float64 `json:"p50_ms"`
+	P99             float64 `json:"p99_ms"`
+	Attempts        int     `json:"shots"`
+	AttemptsRefused int     `json:"turned_away"`
+	CounterCalls    int     `json:"counter_calls"`
+	CounterFailures int     `json:"counter_failed"`
+	OpenBreakers    int     `json:"breakers_open"` // doors whose breaker is open, or that called nothing
+	UnitsOver       float64 `json:"units_over"`    // units sent on that an honest counter would have turned away
+	UnitsInside     float64 `json:"units_inside"`  // units sent on within the quota
+	UnitsExact      float64 `json:"units_honest"`  // units that an honest counter would have let in of the same tries
+	DriftOver       float64 `json:"drift_over"`    // units that customers have had beyond those since the start, by now
+	DriftUnder      float64 `json:"drift_under"`   // units that others have had less
 }
 
 // Total is a run's sums. Row has no tag: its fields stand among the others in the file, and a name would nest them.
 type Total struct {
 	Row
-	Transactions int     `json:"transactions"` // tries but for clients' repeats
-	P90          float64 `json:"p90_ms"`
-	P999         float64 `json:"p999_ms"`
-	Most         float64 `json:"max_ms"`
+	Requests int     `json:"transactions"` // tries but for clients' repeats
+	P90      float64 `json:"p90_ms"`
+	P999     float64 `json:"p999_ms"`
+	Max      float64 `json:"max_ms"`
 }
 
 // Point is a percentile of the answers' latencies.
@@ -63,41 +63,41 @@
 
 // Run is the results of one run. The same scenario on the model gives the same bytes.
 type Run struct {
-	Version  int                  `json:"version"`
-	Scenario string               `json:"scenario"`
-	About    string               `json:"about"`
-	On       string               `json:"on"`
-	Label    string               `json:"label,omitempty"`
-	Seed     uint64               `json:"seed"`
-	Doors    int                  `json:"doors"`
-	Backends int                  `json:"backends"`
-	Rate     float64              `json:"rate"`
-	Promised float64              `json:"promised_ms"` // of the first profile
-	Events   uint64               `json:"events"`
-	LagP50   float64              `json:"tool_lag_p50_ms"` // the load tool's own part of the latencies; 0 on the model
-	LagP99   float64              `json:"tool_lag_p99_ms"`
-	Total    Total                `json:"total"`
-	Latency  []Point              `json:"latency"`
-	Rules    map[string]int       `json:"rules_broken"`
-	Findings []invariants.Finding `json:"findings"`
-	Withdraw *Withdrawals         `json:"withdrawals,omitempty"` // nil: nothing was withdrawn
-	Updates  int                  `json:"dns_updates,omitempty"` // answered by front doors
-	Faults   []Mark               `json:"faults"`
-	Rows     []Row                `json:"rows"`
+	Version          int                  `json:"version"`
+	Scenario         string               `json:"scenario"`
+	About            string               `json:"about"`
+	On               string               `json:"on"`
+	Label            string               `json:"label,omitempty"`
+	Seed             uint64               `json:"seed"`
+	Instances        int                  `json:"doors"`
+	Backends         int                  `json:"backends"`
+	Rate             float64              `json:"rate"`
+	LatencyObjective float64              `json:"promised_ms"` // of the first profile
+	Events           uint64               `json:"events"`
+	LagP50           float64              `json:"tool_lag_p50_ms"` // the load tool's own part of the latencies; 0 on the model
+	LagP99           float64              `json:"tool_lag_p99_ms"`
+	Total            Total                `json:"total"`
+	Latency          []Point              `json:"latency"`
+	RulesBroken      map[string]int       `json:"rules_broken"`
+	Findings         []invariants.Finding `json:"findings"`
+	Withdrawals      *Withdrawals         `json:"withdrawals,omitempty"` // nil: nothing was withdrawn
+	DNSUpdates       int                  `json:"dns_updates,omitempty"` // answered by front doors
+	Faults           []FaultSpan          `json:"faults"`
+	Rows             []Row                `json:"rows"`
 }
 
 // Withdrawals are how long after a door began to be told that a backend is gone its last new shot came there: 0
 // where none did.
 type Withdrawals struct {
-	Count    int     `json:"count"` // a door each
-	WithShot int     `json:"with_shot"`
-	P50      float64 `json:"p50_ms"`
-	P99      float64 `json:"p99_ms"`
-	Most     float64 `json:"max_ms"`
+	Count       int     `json:"count"` // a door each
+	WithAttempt int     `json:"with_shot"`
+	P50         float64 `json:"p50_ms"`
+	P99         float64 `json:"p99_ms"`
+	Max         float64 `json:"max_ms"`
 }
 
-// Mark is when a fault held, in seconds, for plots.
-type Mark struct {
+// FaultSpan is when a fault held, in seconds, for plots.
+type FaultSpan struct {
 	Kind  string  `json:"kind"`
 	From  float64 `json:"from_s"`
 	Until float64 `json:"until_s"`
@@ -124,7 +124,7 @@
 	row     Row
 	second  *hdrhistogram.Histogram
 	all     *hdrhistogram.Histogram
-	tries   map[invariants.TryID]*open
+	tries   map[invariants.SubmissionID]*open
 	stores  map[int]*store
 	gone    map[way]*last // withdrawn backends, as a door knows them
 	lasts   *hdrhistogram.Histogram
@@ -142,21 +142,21 @@
 // New makes a recorder for a scenario. slack is what the ways between the parties may take where only ends are
 // seen; ceilings and profiles are read from the terms, which front doors go by too.
 func New(s *scenario.Scenario, terms policy.Settings, slack int64) *Recorder {
-	t := invariants.Terms{Profiles: terms.Classes, Plans: terms.Plans, Grace: int64(s.Rules.Grace), Drain: int64(s.Rules.Drain),
-		Slack: slack, Cores: float64(s.Backends.Cores), ColdShare: s.Rules.ColdShare, WarmUp: int64(s.Rules.WarmUp),
-		FallMultiple: s.Rules.FallMultiple, FallSpan: int64(s.Rules.FallSpan),
+	t := invariants.Settings{Classes: terms.Classes, Plans: terms.Plans, GraceNanos: int64(s.Rules.Grace), DrainNanos: int64(s.Rules.Drain),
+		SlackNanos: slack, Cores: float64(s.Backends.Cores), InitialCapacity: s.Rules.InitialCapacity, SlowStartNanos: int64(s.Rules.SlowStart),
+		CollapseMultiple: s.Rules.CollapseMultiple, CollapseWindowNanos: int64(s.Rules.CollapseWindow),
 		Zone: func(b int) int { return b % s.Backends.Zones }, Group: func(b int) int { return b % s.Backends.Groups }}
 	for _, p := range s.Plans {
-		t.CeilingSlack = append(t.CeilingSlack, p.CeilingSlack)
+		t.HardQuotaSlack = append(t.HardQuotaSlack, p.HardQuotaSlack)
 	}
-	r := &Recorder{s: s, checker: invariants.New(t), tries: map[invariants.TryID]*open{}, stores: map[int]*store{},
+	r := &Recorder{s: s, checker: invariants.New(t), tries: map[invariants.SubmissionID]*open{}, stores: map[int]*store{},
 		second: histogram(), all: histogram(), lasts: histogram(), gone: map[way]*last{},
-		run: &Run{Version: Version, Scenario: s.Name, About: s.About, On: s.On, Seed: s.Seed, Doors: s.Doors.Count,
-			Backends: s.Backends.Count, Rate: s.Load.Rate, Promised: float64(s.Profiles[0].Promised) / 1e6}}
+		run: &Run{Version: Version, Scenario: s.Name, About: s.About, On: s.On, Seed: s.Seed, Instances: s.Instances.Count,
+			Backends: s.Backends.Count, Rate: s.Load.Rate, LatencyObjective: float64(s.Classes[0].LatencyObjective) / 1e6}}
 	for _, f := range s.Faults {
 		// Staggered faults last until the last one's end.
-		last := f.At + f.For + f.Each*scenario.Span(max(len(s.Targets(f))-1, 0))
-		r.run.Faults = append(r.run.Faults, Mark{string(f.Kind), float64(f.At) / 1e9, float64(last) / 1e9})
+		last := f.At + f.Duration + f.Stagger*scenario.Span(max(len(s.Targets(f))-1, 0))
+		r.run.Faults = append(r.run.Faults, FaultSpan{string(f.Kind), float64(f.At) / 1e9, float64(last) / 1e9})
 	}
 	return r
 }
@@ -179,69 +179,69 @@
 	}
 	for _, s := range r.stores {
 		r.row.DriftOver += math.Max(math.Round(s.sent-s.honest), 0)
-		r.row.DriftLess += math.Max(math.Round(s.honest-s.sent), 0)
+		r.row.DriftUnder += math.Max(math.Round(s.honest-s.sent), 0)
 	}
 	r.run.Rows = append(r.run.Rows, r.row)
 	r.row = Row{Second: r.row.Second + 1}
 }
 
-// See takes the next event.
-func (r *Recorder) See(e invariants.Event) {
-	r.turn(e.At)
-	r.checker.See(e)
-	t := r.tries[e.Try]
+// Observe takes the next event.
+func (r *Recorder) Observe(e invariants.Event) {
+	r.turn(e.AtNanos)
+	r.checker.Observe(e)
+	t := r.tries[e.Submission]
 	switch e.Kind {
-	case invariants.Told:
-		k := way{e.Door, e.Backend}
+	case invariants.EndpointDelivered:
+		k := way{e.Instance, e.Backend}
 		r.settle(k)
-		if e.Stage == policy.EndpointGone {
-			r.gone[k] = &last{told: e.At}
+		if e.State == policy.EndpointGone {
+			r.gone[k] = &last{told: e.AtNanos}
 		}
 		return
-	case invariants.Asked:
-		r.tries[e.Try] = &open{Event: e}
+	case invariants.Submitted:
+		r.tries[e.Submission] = &open{Event: e}
 		r.ask(e)
-		if r.row.Asked++; !e.Again {
-			r.run.Total.Transactions++
+		if r.row.Submitted++; !e.IsRetry {
+			r.run.Total.Requests++
 		}
 		return
-	case invariants.TurnedAway:
-		r.row.Away++
+	case invariants.AttemptRefused:
+		r.row.AttemptsRefused++
 		return
-	case invariants.Arrived:
-		r.row.Shots++
-		if x := r.gone[way{e.Door, e.Backend}]; x != nil {
-			x.after = max(e.At-x.told, 1e3)
+	case invariants.AttemptArrived:
+		r.row.Attempts++
+		if x := r.gone[way{e.Instance, e.Backend}]; x != nil {
+			x.after = max(e.AtNanos-x.told, 1e3)
 		}
 	}
 	if t == nil {
 		return
 	}
 	switch e.Kind {
-	case invariants.Arrived:
+	case invariants.AttemptArrived:
 		if !t.arrived {
 			t.arrived = true
-			r.draw(e.At, t)
+			r.draw(e.AtNanos, t)
 		}
 		return
-	case invariants.Fulfilled:
-		took := max(e.At-t.Due, 0)
+	case invariants.Succeeded:
+		took := max(e.AtNanos-t.DueNanos, 0)
 		r.second.RecordValue(max(min(took/1e3, 120e6), 1))
 		r.all.RecordValue(max(min(took/1e3, 120e6), 1))
-		r.row.Fulfilled++
-		if took > int64(r.s.Profiles[t.Profile].Promised) {
+		r.row.Succeeded++
+		if took > int64(r.s.Classes[t.Class].LatencyObjective) {
 			r.row.Late++
 		}
-	case invariants.Dismissed:
-		r.row.Dismissed++
-	case invariants.BrokenOff:
-		r.row.BrokenOff++
-	case invariants.Left:
-		r.row.Left++
+	case invariants.Rejected:
+		r.row.Rejected++
+	case invariants.Aborted:
+		r.row.Aborted++
+	case invariants.Abandoned:
+		r.row.Abandoned++
 	default:
 		return
 	}
-	delete(r.tries, e.Try)
+	delete(r.tries, e.Submission)
 }
 
 // settle notes how a withdrawal ended, once the backend is back or the run over.
@@ -251,18 +251,18 @@
 		return
 	}
 	delete(r.gone, k)
-	if r.run.Withdraw == nil {
-		r.run.Withdraw = &Withdrawals{}
+	if r.run.Withdrawals == nil {
+		r.run.Withdrawals = &Withdrawals{}
 	}
-	r.run.Withdraw.Count++
+	r.run.Withdrawals.Count++
 	if x.after > 0 {
-		r.run.Withdraw.WithShot++
+		r.run.Withdrawals.WithAttempt++
 	}
 	r.lasts.RecordValue(min(x.after/1e3, 120e6))
 }
 
-// Updated counts an update that a front door answered.
-func (r *Recorder) Updated() { r.run.Updates++ }
+// CountDNSUpdate counts an update that a front door answered.
+func (r *Recorder) CountDNSUpdate() { r.run.DNSUpdates++ }
 
 // fill reckons the customer's store as one honest counter would keep it: it starts full, and refills at the rate.
 func (r *Recorder) fill(at int64, e invariants.Event) *store {
@@ -270,10 +270,10 @@
 	if plan.Rate <= 0 {
 		return nil
 	}
-	s := r.stores[e.Customer]
+	s := r.stores[e.Tenant]
 	if s == nil {
 		s = &store{left: plan.Burst, ideal: plan.Burst, at: at}
-		r.stores[e.Customer] = s
+		r.stores[e.Tenant] = s
 	}
 	refilled := float64(at-s.at) / 1e9 * plan.Rate
 	s.left, s.ideal, s.at = min(s.left+refilled, plan.Burst), min(s.ideal+refilled, plan.Burst), at
@@ -282,10 +282,10 @@
 
 // ask lets the honest counter decide a try.
 func (r *Recorder) ask(e invariants.Event) {
-	if s := r.fill(e.At, e); s != nil && s.ideal >= e.Units {
+	if s := r.fill(e.AtNanos, e); s != nil && s.ideal >= e.Units {
 		s.ideal -= e.Units
 		s.honest += e.Units
-		r.row.Honest += e.Units
+		r.row.UnitsExact += e.Units
 	}
 }
 
@@ -298,25 +298,25 @@
 	s.sent += t.Units
 	if s.left >= t.Units {
 		s.left -= t.Units
-		r.row.Inside += t.Units
+		r.row.UnitsInside += t.Units
 	} else {
-		r.row.Over += t.Units
+		r.row.UnitsOver += t.Units
 	}
 }
 
-// Unsent counts a transaction that no door took.
-func (r *Recorder) Unsent(at int64) { r.turn(at); r.row.Unsent++ }
+// CountNotSent counts a transaction that no door took.
+func (r *Recorder) CountNotSent(at int64) { r.turn(at); r.row.NotSent++ }
 
-// Call counts a call that came to the counter, or failed to.
-func (r *Recorder) Call(at int64, failed bool) {
+// CountCounterCall counts a call that came to the counter, or failed to.
+func (r *Recorder) CountCounterCall(at int64, failed bool) {
 	r.turn(at)
-	if r.row.Calls++; failed {
-		r.row.Failed++
+	if r.row.CounterCalls++; failed {
+		r.row.CounterFailures++
 	}
 }
 
-// Open notes how many doors have their breaker open.
-func (r *Recorder) Open(at int64, doors int) { r.turn(at); r.row.Open = doors }
+// SetOpenBreakers notes how many doors have their breaker open.
+func (r *Recorder) SetOpenBreakers(at int64, doors int) { r.turn(at); r.row.OpenBreakers = doors }
 
 // Finish ends the run at the time at, and gives its results.
 func (r *Recorder) Finish(at int64, events uint64) *Run {
@@ -324,37 +324,37 @@
 	r.close()
 	run := r.run
 	run.Events = events
-	run.Findings, run.Rules = r.checker.End(at)
+	run.Findings, run.RulesBroken = r.checker.End(at)
 	for k := range r.gone {
 		r.settle(k)
 	}
-	if w := run.Withdraw; w != nil {
+	if w := run.Withdrawals; w != nil {
 		ms := func(q float64) float64 { return float64(r.lasts.ValueAtQuantile(q)) / 1e3 }
-		w.P50, w.P99, w.Most = ms(50), ms(99), ms(100)
+		w.P50, w.P99, w.Max = ms(50), ms(99), ms(100)
 	}
 	total := &run.Total
 	for _, x := range run.Rows {
-		total.Asked += x.Asked
-		total.Fulfilled += x.Fulfilled
+		total.Submitted += x.Submitted
+		total.Succeeded += x.Succeeded
 		total.Late += x.Late
-		total.Dismissed += x.Dismissed
-		total.BrokenOff += x.BrokenOff
-		total.Left += x.Left
-		total.Unsent += x.Unsent
-		total.Shots += x.Shots
-		total.Away += x.Away
-		total.Calls += x.Calls
-		total.Failed += x.Failed
-		total.Over += x.Over
-		total.Inside += x.Inside
-		total.Honest += x.Honest
-		total.DriftOver, total.DriftLess = x.DriftOver, x.DriftLess // as they stand at the end
-		total.Open = max(total.Open, x.Open)
+		total.Rejected += x.Rejected
+		total.Aborted += x.Aborted
+		total.Abandoned += x.Abandoned
+		total.NotSent += x.NotSent
+		total.Attempts += x.Attempts
+		total.AttemptsRefused += x.AttemptsRefused
+		total.CounterCalls += x.CounterCalls
+		total.CounterFailures += x.CounterFailures
+		total.UnitsOver += x.UnitsOver
+		total.UnitsInside += x.UnitsInside
+		total.UnitsExact += x.UnitsExact
+		total.DriftOver, total.DriftUnder = x.DriftOver, x.DriftUnder // as they stand at the end
+		total.OpenBreakers = max(total.OpenBreakers, x.OpenBreakers)
 	}
 	total.Second = len(run.Rows)
 	at99 := func(q float64) float64 { return float64(r.all.ValueAtQuantile(q)) / 1e3 }
 	if r.all.TotalCount() > 0 {
-		total.P50, total.P90, total.P99, total.P999, total.Most = at99(50), at99(90), at99(99), at99(99.9), float64(r.all.Max())/1e3
+		total.P50, total.P90, total.P99, total.P999, total.Max = at99(50), at99(90), at99(99), at99(99.9), float64(r.all.Max())/1e3
 		for _, b := range r.all.CumulativeDistribution() {
 			if b.Count > 0 && (len(run.Latency) == 0 || b.Quantile > run.Latency[len(run.Latency)-1].Percent) {
 				run.Latency = append(run.Latency, Point{b.Quantile, float64(b.ValueAt) / 1e3})
@@ -364,10 +364,10 @@
 	return run
 }
 
-// Broken is how often rules were broken, all told.
-func (r *Run) Broken() int {
+// Violations is how often rules were broken, all told.
+func (r *Run) Violations() int {
 	n := 0
-	for _, x := range r.Rules {
+	for _, x := range r.RulesBroken {
 		n += x
 	}
 	return n
@@ -376,8 +376,8 @@
 // Drift is how many units customers had beyond those that an honest counter would have let in, and how many others
 // had less, both as shares of what it would have let in by the end.
 func (r *Run) Drift() (over, under float64) {
-	all := math.Max(r.Total.Honest, 1)
-	return r.Total.DriftOver / all, r.Total.DriftLess / all
+	all := math.Max(r.Total.UnitsExact, 1)
+	return r.Total.DriftOver / all, r.Total.DriftUnder / all
 }
 
 // Bytes is the run's file.
--- a/internal/lab/results/version0_test.go
+++ b/internal/lab/results/version0_test.go
@@ -72,11 +72,11 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		r.Label, r.Updates, r.LagP50, r.LagP99 = "before", 4, 0.25, 1.5
-		r.Findings = append(r.Findings, invariants.Finding{Rule: 3, At: 2_500_000_000, What: "an example"})
-		r.Rules["3"]++
-		r.Total.BrokenOff, r.Total.Open, r.Total.Over, r.Total.DriftOver = 2, 3, 6.5, 8.25
-		r.Withdraw = &results.Withdrawals{Count: 2, WithShot: 1, P50: 3.5, P99: 4.5, Most: 5}
+		r.Label, r.DNSUpdates, r.LagP50, r.LagP99 = "before", 4, 0.25, 1.5
+		r.Findings = append(r.Findings, invariants.Finding{Rule: 3, AtNanos: 2_500_000_000, What: "an example"})
+		r.RulesBroken["3"]++
+		r.Total.Aborted, r.Total.OpenBreakers, r.Total.UnitsOver, r.Total.DriftOver = 2, 3, 6.5, 8.25
+		r.Withdrawals = &results.Withdrawals{Count: 2, WithAttempt: 1, P50: 3.5, P99: 4.5, Max: 5}
 		if err := r.Write(path); err != nil {
 			t.Fatal(err)
 		}
@@ -86,7 +86,7 @@
 		t.Fatal(err)
 	}
 	if r.Scenario != "version-0" || r.About != "a backend is withdrawn while the counter is away" || r.On != "model" || r.Label != "before" ||
-		r.Seed != 7 || r.Doors != 2 || r.Backends != 3 || r.Rate != 200 || r.Promised != 200 || r.Events != 11159 || r.Updates != 4 || r.LagP50 != 0.25 || r.LagP99 != 1.5 {
+		r.Seed != 7 || r.Instances != 2 || r.Backends != 3 || r.Rate != 200 || r.LatencyObjective != 200 || r.Events != 11159 || r.DNSUpdates != 4 || r.LagP50 != 0.25 || r.LagP99 != 1.5 {
 		t.Errorf("head: %+v", r)
 	}
 	text, err := os.ReadFile(path)
@@ -96,27 +96,27 @@
 	if again, err := r.Bytes(); err != nil || !bytes.Equal(again, text) {
 		t.Errorf("written anew (%v): %d bytes, not the fixture's %d", err, len(again), len(text))
 	}
-	total := results.Total{Row: results.Row{Second: 8, Asked: 2181, Fulfilled: 170, Late: 5, Dismissed: 2007, BrokenOff: 2, Left: 4,
-		Unsent: 15, P50: 64.479, P99: 230.271, Shots: 181, Away: 1, Calls: 236, Failed: 10, Open: 3, Over: 6.5, Inside: 179, Honest: 904,
-		DriftOver: 8.25, DriftLess: 725}, Transactions: 1085, P90: 138.879, P999: 376.063, Most: 376.063}
+	total := results.Total{Row: results.Row{Second: 8, Submitted: 2181, Succeeded: 170, Late: 5, Rejected: 2007, Aborted: 2, Abandoned: 4,
+		NotSent: 15, P50: 64.479, P99: 230.271, Attempts: 181, AttemptsRefused: 1, CounterCalls: 236, CounterFailures: 10, OpenBreakers: 3, UnitsOver: 6.5, UnitsInside: 179, UnitsExact: 904,
+		DriftOver: 8.25, DriftUnder: 725}, Requests: 1085, P90: 138.879, P999: 376.063, Max: 376.063}
 	if r.Total != total {
 		t.Errorf("total %+v, not %+v", r.Total, total)
 	}
-	row := results.Row{Second: 3, Asked: 312, Fulfilled: 1, Dismissed: 312, Left: 4, Unsent: 15, P50: 62.879, P99: 62.879, Shots: 1, Open: 1,
-		Inside: 1, Honest: 123, DriftLess: 541}
+	row := results.Row{Second: 3, Submitted: 312, Succeeded: 1, Rejected: 312, Abandoned: 4, NotSent: 15, P50: 62.879, P99: 62.879, Attempts: 1, OpenBreakers: 1,
+		UnitsInside: 1, UnitsExact: 123, DriftUnder: 541}
 	if len(r.Rows) != 8 || r.Rows[3] != row {
 		t.Errorf("row 3 of %d: %+v", len(r.Rows), r.Rows[3])
 	}
-	if want := (results.Withdrawals{Count: 2, WithShot: 1, P50: 3.5, P99: 4.5, Most: 5}); r.Withdraw == nil || *r.Withdraw != want {
-		t.Errorf("withdrawals %+v", r.Withdraw)
+	if want := (results.Withdrawals{Count: 2, WithAttempt: 1, P50: 3.5, P99: 4.5, Max: 5}); r.Withdrawals == nil || *r.Withdrawals != want {
+		t.Errorf("withdrawals %+v", r.Withdrawals)
 	}
-	if want := (invariants.Finding{Rule: 3, At: 2_500_000_000, What: "an example"}); len(r.Findings) != 1 || r.Findings[0] != want || r.Broken() != 1 {
-		t.Errorf("findings %+v, broken %v", r.Findings, r.Rules)
+	if want := (invariants.Finding{Rule: 3, AtNanos: 2_500_000_000, What: "an example"}); len(r.Findings) != 1 || r.Findings[0] != want || r.Violations() != 1 {
+		t.Errorf("findings %+v, broken %v", r.Findings, r.RulesBroken)
 	}
 	if want := (results.Point{Percent: 50, Ms: 64.479}); len(r.Latency) < 2 || r.Latency[1] != want {
 		t.Errorf("latency %+v", r.Latency)
 	}
-	if want := (results.Mark{Kind: "backend-withdraw", From: 1, Until: 4}); len(r.Faults) != 4 || r.Faults[1] != want {
+	if want := (results.FaultSpan{Kind: "backend-withdraw", From: 1, Until: 4}); len(r.Faults) != 4 || r.Faults[1] != want {
 		t.Errorf("faults %+v", r.Faults)
 	}
 }
--- a/internal/lab/scenario/scenario.go
+++ b/internal/lab/scenario/scenario.go
@@ -34,7 +34,7 @@
 	Seed     uint64 `toml:"seed"`
 	Duration Span   `toml:"duration"` // clients ask for so long; what is open is waited for after that
 
-	Doors struct {
+	Instances struct {
 		Count    int `toml:"count"`
 		MemoryMB int `toml:"memory_mb"` // sockets only
 		Sockets  int `toml:"sockets"`   // sockets only
@@ -65,90 +65,90 @@
 	Load struct {
 		Rate        float64 `toml:"rate"`     // transactions a second, all doors together
 		Arrivals    string  `toml:"arrivals"` // "poisson" or "fixed"
-		Most        int     `toml:"most"`     // transactions at most
-		Customers   int     `toml:"customers"`
+		MaxRequests int     `toml:"most"`     // transactions at most
+		Tenants     int     `toml:"customers"`
 		Skew        float64 `toml:"skew"`  // exponent of Zipf's law over the customers; 0: all alike
 		Units       float64 `toml:"units"` // mean; 1 or more each
-		Spread      int     `toml:"spread"`
+		EntryPoints int     `toml:"spread"`
 		Retries     int     `toml:"retries"` // after a dismissal, at most
 		Connections int     `toml:"connections"`
 	} `toml:"load"`
 	Rules struct {
-		Grace        Span    `toml:"grace"` // of the final answer after the client's time
-		Drain        Span    `toml:"drain"` // of sends to a backend that is told to drain or to be gone
-		ColdShare    float64 `toml:"cold_share"`
-		WarmUp       Span    `toml:"warm_up"`
-		FallMultiple float64 `toml:"fall_multiple"`
-		FallSpan     Span    `toml:"fall_span"`
+		Grace            Span    `toml:"grace"` // of the final answer after the client's time
+		Drain            Span    `toml:"drain"` // of sends to a backend that is told to drain or to be gone
+		InitialCapacity  float64 `toml:"cold_share"`
+		SlowStart        Span    `toml:"warm_up"`
+		CollapseMultiple float64 `toml:"fall_multiple"`
+		CollapseWindow   Span    `toml:"fall_span"`
 	} `toml:"rules"`
 	Allow struct {
-		Shots         int  `toml:"shots"`
-		SecondCopies  bool `toml:"second_copies"`
-		Recalls       bool `toml:"recalls"`
-		Probes        bool `toml:"probes"`
-		Advice        bool `toml:"advice"`
-		LongestAdvice Span `toml:"longest_advice"`
+		MaxAttempts    int  `toml:"shots"`
+		HedgedAttempts bool `toml:"second_copies"`
+		Cancellation   bool `toml:"recalls"`
+		HealthChecks   bool `toml:"probes"`
+		RetryAfter     bool `toml:"advice"`
+		MaxRetryAfter  Span `toml:"longest_advice"`
 	} `toml:"allow"`
-	Profiles []Profile `toml:"profile"`
-	Plans    []Plan    `toml:"plan"`
-	Faults   []Fault   `toml:"fault"`
+	Classes []Class `toml:"profile"`
+	Plans   []Plan  `toml:"plan"`
+	Faults  []Fault `toml:"fault"`
 }
 
-// Profile is a kind of transaction.
-type Profile struct {
-	Name        string  `toml:"name"`
-	Effect      string  `toml:"effect"` // reissuable, numbered or at-most-once
-	Reach       string  `toml:"reach"`  // numbered: all, zone or group
-	Memory      Span    `toml:"memory"` // numbered
-	Promised    Span    `toml:"promised"`
-	HardLimit   Span    `toml:"hard_limit"`
-	LateUtility float64 `toml:"late_utility"`
-	Silence     string  `toml:"silence"` // share, open or closed
-	Share       float64 `toml:"share"`   // of the transactions
+// Class is a kind of transaction.
+type Class struct {
+	Name             string  `toml:"name"`
+	Idempotency      string  `toml:"effect"` // reissuable, numbered or at-most-once
+	DedupScope       string  `toml:"reach"`  // numbered: all, zone or group
+	DedupWindow      Span    `toml:"memory"` // numbered
+	LatencyObjective Span    `toml:"promised"`
+	Deadline         Span    `toml:"hard_limit"`
+	LateValue        float64 `toml:"late_utility"`
+	Fallback         string  `toml:"silence"` // share, open or closed
+	Share            float64 `toml:"share"`   // of the transactions
 }
 
 // Plan is a customer's quotas.
 type Plan struct {
-	Name         string  `toml:"name"`
-	Rate         float64 `toml:"rate"`
-	Burst        float64 `toml:"burst"`
-	Parallel     int     `toml:"parallel"`
-	CeilingRate  float64 `toml:"ceiling_rate"`
-	CeilingBurst float64 `toml:"ceiling_burst"`
-	CeilingSlack float64 `toml:"ceiling_slack"`
-	BeyondEarns  float64 `toml:"beyond_earns"`
-	BeyondCosts  float64 `toml:"beyond_costs"`
-	Share        float64 `toml:"share"` // of the customers
+	Name           string  `toml:"name"`
+	Rate           float64 `toml:"rate"`
+	Burst          float64 `toml:"burst"`
+	MaxConcurrent  int     `toml:"parallel"`
+	HardQuotaRate  float64 `toml:"ceiling_rate"`
+	HardQuotaBurst float64 `toml:"ceiling_burst"`
+	HardQuotaSlack float64 `toml:"ceiling_slack"`
+	OverQuotaValue float64 `toml:"beyond_earns"`
+	OverQuotaCost  float64 `toml:"beyond_costs"`
+	Share          float64 `toml:"share"` // of the customers
 }
 
-// Kind is what goes wrong.
-type Kind string
+// FaultKind is what goes wrong.
+type FaultKind string
 
 // The kinds of fault.
 const (
-	BackendRefuse   Kind = "backend-refuse"   // connections are refused
-	BackendHang     Kind = "backend-hang"     // takes shots and says nothing
-	BackendSlow     Kind = "backend-slow"     // work takes factor times as long
-	BackendReset    Kind = "backend-reset"    // the connection breaks in the middle of an answer
-	BackendGarble   Kind = "backend-garble"   // answers are noise
-	BackendError    Kind = "backend-error"    // answers are errors
-	BackendDrain    Kind = "backend-drain"    // listed as draining; turns new work away
-	BackendVanish   Kind = "backend-vanish"   // dies, is taken off the list, and comes back cold
-	BackendWithdraw Kind = "backend-withdraw" // taken off the list while it runs on, and back at the same address as a new one
-	BackendRestart  Kind = "backend-restart"  // dies and comes back cold, listed with its new start
-	CounterRefuse   Kind = "counter-refuse"   // refuses connections
-	CounterHang     Kind = "counter-hang"     // takes calls and answers none until the end
-	CounterSlow     Kind = "counter-slow"     // answers late by delay
-	CounterEmpty    Kind = "counter-empty"    // forgets all numbers, at once
-	CounterCut      Kind = "counter-cut"      // silent towards the doors named
-	DiscoveryStale  Kind = "discovery-stale"  // tells nothing until the end
-	DiscoveryLate   Kind = "discovery-late"   // tells changes late by delay
-	DiscoveryRefuse Kind = "discovery-refuse" // refuses connections; model: as stale
-	DoorRestart     Kind = "door-restart"     // killed, and started anew at the end
+	BackendRefuse   FaultKind = "backend-refuse"   // connections are refused
+	BackendHang     FaultKind = "backend-hang"     // takes shots and says nothing
+	BackendSlow     FaultKind = "backend-slow"     // work takes factor times as long
+	BackendReset    FaultKind = "backend-reset"    // the connection breaks in the middle of an answer
+	BackendGarble   FaultKind = "backend-garble"   // answers are noise
+	BackendError    FaultKind = "backend-error"    // answers are errors
+	BackendDrain    FaultKind = "backend-drain"    // listed as draining; turns new work away
+	BackendVanish   FaultKind = "backend-vanish"   // dies, is taken off the list, and comes back cold
+	BackendWithdraw FaultKind = "backend-withdraw" // taken off the list while it runs on, and back at the same address as a new one
+	BackendRestart  FaultKind = "backend-restart"  // dies and comes back cold, listed with its new start
+	CounterRefuse   FaultKind = "counter-refuse"   // refuses connections
+	CounterHang     FaultKind = "counter-hang"     // takes calls and answers none until the end
+	CounterSlow     FaultKind = "counter-slow"     // answers late by delay
+	CounterEmpty    FaultKind = "counter-empty"    // forgets all numbers, at once
+	CounterCut      FaultKind = "counter-cut"      // silent towards the doors named
+	DiscoveryStale  FaultKind = "discovery-stale"  // tells nothing until the end
+	DiscoveryLate   FaultKind = "discovery-late"   // tells changes late by delay
+	DiscoveryRefuse FaultKind = "discovery-refuse" // refuses connections; model: as stale
+	InstanceRestart FaultKind = "door-restart"     // killed, and started anew at the end
 )
 
 // bearing is which parties a kind is about, and whether it needs a factor or a delay.
-var bearing = map[Kind]struct {
+var bearing = map[FaultKind]struct {
 	who, needs string
 	lasts      bool
 }{
@@ -159,37 +159,37 @@
 	CounterRefuse:   {"", "", true}, CounterHang: {"", "", true}, CounterSlow: {"", "delay", true},
 	CounterEmpty: {"", "", false}, CounterCut: {"doors", "", true},
 	DiscoveryStale: {"", "", true}, DiscoveryLate: {"", "delay", true}, DiscoveryRefuse: {"", "", true},
-	DoorRestart: {"doors", "", true},
+	InstanceRestart: {"doors", "", true},
 }
 
 // Fault is something that goes wrong from At on, For a time.
 type Fault struct {
-	Kind   Kind    `toml:"kind"`
-	At     Span    `toml:"at"`
-	For    Span    `toml:"for"`
-	Who    []int   `toml:"who"`   // numbers of backends or doors, from 0
-	Share  float64 `toml:"share"` // in place of who: of them all, the first ones
-	Factor float64 `toml:"factor"`
-	Delay  Span    `toml:"delay"`
-	Each   Span    `toml:"each"`  // between one of them and the next
-	Times  int     `toml:"times"` // that it comes, and Every so long; 0: once
-	Every  Span    `toml:"every"`
+	Kind           FaultKind `toml:"kind"`
+	At             Span      `toml:"at"`
+	Duration       Span      `toml:"for"`
+	Targets        []int     `toml:"who"`   // numbers of backends or doors, from 0
+	Share          float64   `toml:"share"` // in place of who: of them all, the first ones
+	Factor         float64   `toml:"factor"`
+	Delay          Span      `toml:"delay"`
+	Stagger        Span      `toml:"each"`  // between one of them and the next
+	Repeats        int       `toml:"times"` // that it comes, and Every so long; 0: once
+	RepeatInterval Span      `toml:"every"`
 }
 
 // usual is a scenario before its file is read: every default stands here.
 func usual() *Scenario {
 	s := &Scenario{On: OnModel, Seed: 1, Duration: 10e9}
-	s.Doors.Count, s.Doors.MemoryMB, s.Doors.Sockets = 2, 64, 512
+	s.Instances.Count, s.Instances.MemoryMB, s.Instances.Sockets = 2, 64, 512
 	s.Backends.Count, s.Backends.Cores, s.Backends.Work, s.Backends.Queue = 4, 2, 20e6, 64
 	s.Backends.Spread, s.Backends.Zones, s.Backends.Groups = 0.5, 1, 1
 	s.Counter.Delay, s.Counter.Timeout, s.Counter.Protocol = 500e3, 50e6, "text"
 	s.Discovery.Delay, s.Discovery.Source, s.Net.Delay = 100e6, "http", 200e3
-	s.Load.Rate, s.Load.Arrivals, s.Load.Most, s.Load.Customers = 100, "poisson", 1e7, 20
+	s.Load.Rate, s.Load.Arrivals, s.Load.MaxRequests, s.Load.Tenants = 100, "poisson", 1e7, 20
 	s.Load.Units, s.Load.Connections = 1, 256
-	s.Rules.Grace, s.Rules.Drain, s.Rules.ColdShare = 100e6, 1e9, 0.2
-	s.Rules.WarmUp, s.Rules.FallMultiple, s.Rules.FallSpan = 9e9, 2, 1e9
-	s.Allow.Shots, s.Allow.SecondCopies, s.Allow.Recalls, s.Allow.Advice = 3, true, true, true
-	s.Allow.LongestAdvice = 1e9
+	s.Rules.Grace, s.Rules.Drain, s.Rules.InitialCapacity = 100e6, 1e9, 0.2
+	s.Rules.SlowStart, s.Rules.CollapseMultiple, s.Rules.CollapseWindow = 9e9, 2, 1e9
+	s.Allow.MaxAttempts, s.Allow.HedgedAttempts, s.Allow.Cancellation, s.Allow.RetryAfter = 3, true, true, true
+	s.Allow.MaxRetryAfter = 1e9
 	return s
 }
 
@@ -221,24 +221,24 @@
 			return nil, err
 		}
 	}
-	for n := range s.Profiles {
-		p := &s.Profiles[n]
-		p.Share, p.HardLimit = orElse(p.Share, 1), orElse(p.HardLimit, 2*p.Promised)
+	for n := range s.Classes {
+		p := &s.Classes[n]
+		p.Share, p.Deadline = orElse(p.Share, 1), orElse(p.Deadline, 2*p.LatencyObjective)
 	}
 	for n := range s.Plans {
 		s.Plans[n].Share = orElse(s.Plans[n].Share, 1)
 	}
-	if s.Load.Spread == 0 {
-		s.Load.Spread = s.Doors.Count
+	if s.Load.EntryPoints == 0 {
+		s.Load.EntryPoints = s.Instances.Count
 	}
 	if err := s.check(f); err != nil {
 		return nil, err
 	}
 	var all []Fault
 	for _, x := range s.Faults { // one that comes again is as many
-		for n := range max(x.Times, 1) {
+		for n := range max(x.Repeats, 1) {
 			y := x
-			y.Times, y.At = 0, x.At+Span(n)*x.Every
+			y.Repeats, y.At = 0, x.At+Span(n)*x.RepeatInterval
 			all = append(all, y)
 		}
 	}
@@ -268,23 +268,23 @@
 	for _, x := range []struct {
 		key string
 		n   int
-	}{{"doors.count", s.Doors.Count}, {"backends.count", s.Backends.Count}, {"backends.cores", s.Backends.Cores},
-		{"backends.zones", s.Backends.Zones}, {"backends.groups", s.Backends.Groups}, {"load.customers", s.Load.Customers},
-		{"load.most", s.Load.Most}, {"allow.shots", s.Allow.Shots}, {"load.spread", s.Load.Spread},
+	}{{"doors.count", s.Instances.Count}, {"backends.count", s.Backends.Count}, {"backends.cores", s.Backends.Cores},
+		{"backends.zones", s.Backends.Zones}, {"backends.groups", s.Backends.Groups}, {"load.customers", s.Load.Tenants},
+		{"load.most", s.Load.MaxRequests}, {"allow.shots", s.Allow.MaxAttempts}, {"load.spread", s.Load.EntryPoints},
 		{"load.connections", s.Load.Connections}} {
 		must(x.n >= 1 && x.n <= 1e8, x.key, "is not at least 1")
 	}
-	must(s.Doors.Count <= 5000, "doors.count", "is above 5000")
+	must(s.Instances.Count <= 5000, "doors.count", "is above 5000")
 	must(s.Backends.Count <= 50000, "backends.count", "is above 50000")
 	if s.On == OnSockets { // each is a process, or a listener with threads of its own
-		must(s.Doors.Count <= 16, "doors.count", "is above 16, which is most on sockets")
+		must(s.Instances.Count <= 16, "doors.count", "is above 16, which is most on sockets")
 		must(s.Backends.Count <= 64, "backends.count", "is above 64, which is most on sockets")
-		must(s.Doors.MemoryMB >= 16, "doors.memory_mb", "is below 16")
-		must(s.Doors.Sockets >= 64, "doors.sockets", "is below 64")
+		must(s.Instances.MemoryMB >= 16, "doors.memory_mb", "is below 16")
+		must(s.Instances.Sockets >= 64, "doors.sockets", "is below 64")
 	}
 	must(s.Discovery.Source == "http" || s.Discovery.Source == "dns", "discovery.source", "is not http or dns")
 	must(s.Discovery.Source != "dns" || s.On == OnSockets, "discovery.source", "is dns, which the model does not have")
-	must(s.Load.Spread <= s.Doors.Count, "load.spread", "is above doors.count")
+	must(s.Load.EntryPoints <= s.Instances.Count, "load.spread", "is above doors.count")
 	must(s.Backends.Work > 0, "backends.work", "is not above 0")
 	must(s.Backends.Spread >= 0 && s.Backends.Spread <= 3, "backends.spread", "is not from 0 to 3")
 	must(s.Backends.Queue >= 0, "backends.queue", "is below 0")
@@ -296,21 +296,21 @@
 	must(s.Load.Units >= 1 && s.Load.Units <= 1000, "load.units", "is not from 1 to 1000")
 	must(s.Load.Skew >= 0 && s.Load.Skew <= 5, "load.skew", "is not from 0 to 5")
 	must(s.Load.Retries >= 0 && s.Load.Retries <= 20, "load.retries", "is not from 0 to 20")
-	must(s.Rules.ColdShare > 0 && s.Rules.ColdShare <= 1, "rules.cold_share", "is not above 0 and at most 1")
-	must(s.Rules.FallMultiple >= 1, "rules.fall_multiple", "is below 1")
-	must(s.Rules.WarmUp >= 0 && s.Rules.FallSpan > 0, "rules.fall_span", "is not above 0")
-	must(len(s.Profiles) > 0, "profile", "is missing: one at least")
+	must(s.Rules.InitialCapacity > 0 && s.Rules.InitialCapacity <= 1, "rules.cold_share", "is not above 0 and at most 1")
+	must(s.Rules.CollapseMultiple >= 1, "rules.fall_multiple", "is below 1")
+	must(s.Rules.SlowStart >= 0 && s.Rules.CollapseWindow > 0, "rules.fall_span", "is not above 0")
+	must(len(s.Classes) > 0, "profile", "is missing: one at least")
 	must(len(s.Plans) > 0, "plan", "is missing: one at least")
 	names := map[string]bool{}
-	for n, p := range s.Profiles {
+	for n, p := range s.Classes {
 		at := fmt.Sprintf("profile[%d].", n)
 		must(word(p.Name) && !names[p.Name], at+"name", fmt.Sprintf("is %q: not a word of letters, digits and -, or taken", p.Name))
 		names[p.Name] = true
-		must(effects[p.Effect] != "", at+"effect", fmt.Sprintf("is %q, not reissuable, numbered or at-most-once", p.Effect))
-		must(p.Effect != "numbered" || reaches[p.Reach] != "", at+"reach", fmt.Sprintf("is %q, not all, zone or group", p.Reach))
-		must(p.Effect != "numbered" || p.Memory > 0, at+"memory", "is not above 0")
-		must(p.Promised > 0 && p.HardLimit >= p.Promised, at+"promised", "is not above 0 and at most hard_limit")
-		must(slices.Contains([]string{"", "share", "open", "closed"}, p.Silence), at+"silence", fmt.Sprintf("is %q, not share, open or closed", p.Silence))
+		must(effects[p.Idempotency] != "", at+"effect", fmt.Sprintf("is %q, not reissuable, numbered or at-most-once", p.Idempotency))
+		must(p.Idempotency != "numbered" || reaches[p.DedupScope] != "", at+"reach", fmt.Sprintf("is %q, not all, zone or group", p.DedupScope))
+		must(p.Idempotency != "numbered" || p.DedupWindow > 0, at+"memory", "is not above 0")
+		must(p.LatencyObjective > 0 && p.Deadline >= p.LatencyObjective, at+"promised", "is not above 0 and at most hard_limit")
+		must(slices.Contains([]string{"", "share", "open", "closed"}, p.Fallback), at+"silence", fmt.Sprintf("is %q, not share, open or closed", p.Fallback))
 		must(p.Share > 0, at+"share", "is not above 0")
 	}
 	names = map[string]bool{}
@@ -318,7 +318,7 @@
 		at := fmt.Sprintf("plan[%d].", n)
 		must(word(p.Name) && !names[p.Name], at+"name", fmt.Sprintf("is %q: not a word of letters, digits and -, or taken", p.Name))
 		names[p.Name] = true
-		must(p.Rate >= 0 && p.Burst >= 0 && p.Parallel >= 0 && p.CeilingRate >= 0 && p.CeilingBurst >= 0, at+"rate", "or another figure is below 0")
+		must(p.Rate >= 0 && p.Burst >= 0 && p.MaxConcurrent >= 0 && p.HardQuotaRate >= 0 && p.HardQuotaBurst >= 0, at+"rate", "or another figure is below 0")
 		must(p.Rate == 0 || p.Burst > 0, at+"burst", "is not above 0")
 		must(p.Share > 0, at+"share", "is not above 0")
 	}
@@ -327,23 +327,23 @@
 		b, known := bearing[x.Kind]
 		must(known, at+"kind", fmt.Sprintf("is %q, which is no kind of fault", x.Kind))
 		must(x.At >= 0 && x.At < s.Duration, at+"at", "is not within the duration")
-		must(!known || !b.lasts || x.For > 0, at+"for", "is not above 0")
+		must(!known || !b.lasts || x.Duration > 0, at+"for", "is not above 0")
 		must(b.needs != "factor" || x.Factor > 0, at+"factor", "is not above 0")
 		must(b.needs != "delay" || x.Delay > 0, at+"delay", "is not above 0")
 		must(x.Share >= 0 && x.Share <= 1, at+"share", "is not from 0 to 1")
-		must(x.Each >= 0, at+"each", "is below 0")
-		must(x.Times >= 0 && x.Times <= 10000, at+"times", "is not from 0 to 10000")
-		must(x.Times <= 1 || x.Every > 0, at+"every", "is not above 0")
+		must(x.Stagger >= 0, at+"each", "is below 0")
+		must(x.Repeats >= 0 && x.Repeats <= 10000, at+"times", "is not from 0 to 10000")
+		must(x.Repeats <= 1 || x.RepeatInterval > 0, at+"every", "is not above 0")
 		count := 0
 		switch b.who {
 		case "backends":
 			count = s.Backends.Count
 		case "doors":
-			count = s.Doors.Count
+			count = s.Instances.Count
 		}
-		must(!known || b.who == "" || len(x.Who) > 0 || x.Share > 0, at+"who", "is missing, and so is share")
-		must(!known || b.who != "" || len(x.Who) == 0 && x.Share == 0, at+"who", "means nothing for this kind")
-		for _, w := range x.Who {
+		must(!known || b.who == "" || len(x.Targets) > 0 || x.Share > 0, at+"who", "is missing, and so is share")
+		must(!known || b.who != "" || len(x.Targets) == 0 && x.Share == 0, at+"who", "means nothing for this kind")
+		for _, w := range x.Targets {
 			must(w >= 0 && w < count, at+"who", fmt.Sprintf("names %d of %d %s", w, count, b.who))
 		}
 	}
@@ -361,12 +361,12 @@
 
 // Targets are the backends or doors that a fault is about.
 func (s *Scenario) Targets(x Fault) []int {
-	if len(x.Who) > 0 {
-		return x.Who
+	if len(x.Targets) > 0 {
+		return x.Targets
 	}
 	count := s.Backends.Count
 	if bearing[x.Kind].who == "doors" {
-		count = s.Doors.Count
+		count = s.Instances.Count
 	}
 	all := make([]int, int(math.Ceil(x.Share*float64(count))))
 	for n := range all {
@@ -381,43 +381,43 @@
 	reaches = map[string]string{"all": "all", "zone": "zone", "group": "cell"}
 )
 
-// Settings are the settings of front door me, in the form that internal/config reads.
-func (s *Scenario) Settings(me int) map[string]any {
+// GatewaySettings are the settings of front door me, in the form that internal/config reads.
+func (s *Scenario) GatewaySettings(me int) map[string]any {
 	ms := func(x Span) float64 { return float64(x) / 1e6 }
 	zones := make([]string, s.Backends.Zones)
 	for n := range zones {
 		zones[n] = ZoneName(n)
 	}
 	var lanes, tariffs []map[string]any
-	for _, p := range s.Profiles {
-		l := map[string]any{"name": p.Name, "effect": effects[p.Effect], "goal-time-ms": ms(p.Promised),
-			"deadline-ms": ms(p.HardLimit), "late-worth": p.LateUtility}
-		if p.Effect == "numbered" {
-			l["group"], l["window-ms"] = reaches[p.Reach], ms(p.Memory)
+	for _, p := range s.Classes {
+		l := map[string]any{"name": p.Name, "effect": effects[p.Idempotency], "goal-time-ms": ms(p.LatencyObjective),
+			"deadline-ms": ms(p.Deadline), "late-worth": p.LateValue}
+		if p.Idempotency == "numbered" {
+			l["group"], l["window-ms"] = reaches[p.DedupScope], ms(p.DedupWindow)
 		}
-		if p.Silence != "" {
-			l["silence"] = p.Silence
+		if p.Fallback != "" {
+			l["silence"] = p.Fallback
 		}
 		lanes = append(lanes, l)
 	}
 	for _, p := range s.Plans {
 		tariffs = append(tariffs, map[string]any{"name": p.Name, "quota-rate": p.Rate, "peak-units": p.Burst,
-			"parallel": p.Parallel, "cap-rate": p.CeilingRate, "ceiling-burst": p.CeilingBurst,
-			"beyond-earns": p.BeyondEarns, "beyond-costs": p.BeyondCosts})
+			"parallel": p.MaxConcurrent, "cap-rate": p.HardQuotaRate, "ceiling-burst": p.HardQuotaBurst,
+			"beyond-earns": p.OverQuotaValue, "beyond-costs": p.OverQuotaCost})
 	}
-	return map[string]any{"me": me, "replicas-of-me": s.Doors.Count, "zones": zones, "my-zone": me % s.Backends.Zones,
+	return map[string]any{"me": me, "replicas-of-me": s.Instances.Count, "zones": zones, "my-zone": me % s.Backends.Zones,
 		"discovery": "pushed", "lanes": lanes, "tariffs": tariffs,
 		"family-info": map[string]any{"may-count": !s.Counter.Off, "counter-timeout-ms": ms(s.Counter.Timeout)},
-		"permissions": map[string]any{"send-cap": s.Allow.Shots, "second-copies": s.Allow.SecondCopies,
-			"cancelling": s.Allow.Recalls, "probes": s.Allow.Probes, "retry-after": s.Allow.Advice,
-			"max-retry-after-ms": ms(s.Allow.LongestAdvice)},
-		"invariants": map[string]any{"cold-share": s.Rules.ColdShare, "warm-up-ms": ms(s.Rules.WarmUp),
-			"tip-multiple": s.Rules.FallMultiple, "fall-ms": ms(s.Rules.FallSpan)}}
+		"permissions": map[string]any{"send-cap": s.Allow.MaxAttempts, "second-copies": s.Allow.HedgedAttempts,
+			"cancelling": s.Allow.Cancellation, "probes": s.Allow.HealthChecks, "retry-after": s.Allow.RetryAfter,
+			"max-retry-after-ms": ms(s.Allow.MaxRetryAfter)},
+		"invariants": map[string]any{"cold-share": s.Rules.InitialCapacity, "warm-up-ms": ms(s.Rules.SlowStart),
+			"tip-multiple": s.Rules.CollapseMultiple, "fall-ms": ms(s.Rules.CollapseWindow)}}
 }
 
-// Terms are the terms that front door me reads from its settings.
-func (s *Scenario) Terms(me int) (policy.Settings, error) {
-	text, err := json.Marshal(s.Settings(me))
+// EngineSettings are the terms that front door me reads from its settings.
+func (s *Scenario) EngineSettings(me int) (policy.Settings, error) {
+	text, err := json.Marshal(s.GatewaySettings(me))
 	if err != nil {
 		return policy.Settings{}, err
 	}
--- a/internal/lab/scenario/scenario_test.go
+++ b/internal/lab/scenario/scenario_test.go
@@ -84,7 +84,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	terms, err := s.Terms(1)
+	terms, err := s.EngineSettings(1)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/lab/testbed/null_test.go
+++ b/internal/lab/testbed/null_test.go
@@ -47,7 +47,7 @@
 			if err != nil {
 				b.Fatal(err)
 			}
-			terms, _ := s.Terms(0)
+			terms, _ := s.EngineSettings(0)
 			address := nullDoor(b)
 			var p50, p99, shown, shown99 float64
 			n := 0.0
--- a/internal/lab/testbed/testbed.go
+++ b/internal/lab/testbed/testbed.go
@@ -54,7 +54,7 @@
 
 // Run plays a scenario on sockets. It ends early, with an error, when ctx does or a door ends by itself.
 func Run(ctx context.Context, s *scenario.Scenario, o Options) (*results.Run, error) {
-	terms, err := s.Terms(0)
+	terms, err := s.EngineSettings(0)
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", s.Name, err)
 	}
@@ -82,7 +82,7 @@
 		}
 	}()
 	var addresses []string
-	for n := range s.Doors.Count {
+	for n := range s.Instances.Count {
 		address, err := FreeAddress()
 		if err != nil {
 			return nil, err
@@ -129,14 +129,14 @@
 	}
 	var restarts sync.WaitGroup
 	for _, f := range s.Faults {
-		if f.Kind != scenario.DoorRestart {
+		if f.Kind != scenario.InstanceRestart {
 			continue
 		}
 		for i, n := range s.Targets(f) {
 			restarts.Add(1)
 			go func() {
 				defer restarts.Done()
-				doors[n].restart(log, stop, time.Duration(f.At+scenario.Span(i)*f.Each), time.Duration(f.For))
+				doors[n].restart(log, stop, time.Duration(f.At+scenario.Span(i)*f.Stagger), time.Duration(f.Duration))
 			}()
 		}
 	}
@@ -295,7 +295,7 @@
 	d.wanted = false
 	cmd, exited := d.cmd, d.exited
 	d.mu.Unlock()
-	log.See(invariants.Event{Kind: invariants.DoorDied, Door: d.n})
+	log.Observe(invariants.Event{Kind: invariants.InstanceDied, Instance: d.n})
 	cmd.Process.Kill()
 	<-exited
 	select {
--- a/internal/lab/testbed/testbed_test.go
+++ b/internal/lab/testbed/testbed_test.go
@@ -91,16 +91,16 @@
 // five rules hold, as seen from clients and backends.
 func TestFrontDoorsThroughEveryFault(t *testing.T) {
 	served := func(least float64) func(r results.Total) bool {
-		return func(r results.Total) bool { return float64(r.Fulfilled) >= least*float64(r.Transactions) }
+		return func(r results.Total) bool { return float64(r.Succeeded) >= least*float64(r.Requests) }
 	}
 	between := func(least, most float64) func(r results.Total) bool {
 		return func(r results.Total) bool {
-			share := float64(r.Fulfilled) / float64(r.Transactions)
+			share := float64(r.Succeeded) / float64(r.Requests)
 			return share >= least && share <= most
 		}
 	}
 	for _, x := range []struct {
-		kind scenario.Kind
+		kind scenario.FaultKind
 		more string
 		want func(r results.Total) bool
 	}{
@@ -123,7 +123,7 @@
 		{scenario.CounterCut, "who = [0]", served(0.95)},
 		{scenario.DiscoveryStale, "", served(0.99)},
 		{scenario.DiscoveryRefuse, "", served(0.99)},
-		{scenario.DoorRestart, "who = [1]", func(r results.Total) bool { return served(0.7)(r) && r.Left+r.Unsent+r.Asked-r.Transactions > 0 }},
+		{scenario.InstanceRestart, "who = [1]", func(r results.Total) bool { return served(0.7)(r) && r.Abandoned+r.NotSent+r.Submitted-r.Requests > 0 }},
 	} {
 		t.Run(string(x.kind)+x.more, func(t *testing.T) {
 			t.Parallel()
@@ -149,15 +149,15 @@
 				t.Fatal(err)
 			}
 			run, err := Run(context.Background(), s, Options{Door: []string{program}})
-			if err != nil || run.Broken() > 0 {
+			if err != nil || run.Violations() > 0 {
 				t.Fatal(err, run.Findings)
 			}
 			over, under := run.Drift()
-			t.Logf("%.1f%% over, %.1f%% under, of %.0f units", 100*over, 100*under, run.Total.Honest)
-			if over > 0.05 || under > 0.05 || run.Total.Honest < 3000 {
+			t.Logf("%.1f%% over, %.1f%% under, of %.0f units", 100*over, 100*under, run.Total.UnitsExact)
+			if over > 0.05 || under > 0.05 || run.Total.UnitsExact < 3000 {
 				t.Errorf("%.1f%% over and %.1f%% under: more than the stated 5%%", 100*over, 100*under)
 			}
-			if calls := run.Rows[15].Calls + run.Rows[20].Calls; calls > 0 {
+			if calls := run.Rows[15].CounterCalls + run.Rows[20].CounterCalls; calls > 0 {
 				t.Errorf("%d calls came through while the counter refused", calls)
 			}
 		})
@@ -179,13 +179,13 @@
 			least := 0.9
 			if name == "drained" {
 				least = 0.97
-			} else if w := run.Withdraw; w == nil || w.Most > 1000 {
+			} else if w := run.Withdrawals; w == nil || w.Max > 1000 {
 				t.Errorf("%+v: a shot more than a second after", w)
 			}
-			if r := run.Total; float64(r.Fulfilled) < least*float64(r.Transactions) || run.Updates == 0 {
-				t.Errorf("%+v, %d updates", r, run.Updates)
+			if r := run.Total; float64(r.Succeeded) < least*float64(r.Requests) || run.DNSUpdates == 0 {
+				t.Errorf("%+v, %d updates", r, run.DNSUpdates)
 			}
-			t.Logf("%d updates, %+v, %d of %d fulfilled", run.Updates, run.Withdraw, run.Total.Fulfilled, run.Total.Transactions)
+			t.Logf("%d updates, %+v, %d of %d fulfilled", run.DNSUpdates, run.Withdrawals, run.Total.Succeeded, run.Total.Requests)
 		})
 	}
 }
@@ -217,17 +217,17 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	terms, _ := s.Terms(0)
+	terms, _ := s.EngineSettings(0)
 	for address, fulfilled := range map[string]bool{nullDoor(t): true, "127.0.0.1:1": false} {
 		log := results.NewLog(results.New(s, terms, 0))
 		log.Begin()
 		tool := load.New(s, log, []string{address})
 		tool.Run(nil)
 		run := log.Finish()
-		if n := run.Total.Transactions + run.Total.Unsent; n < 300 || n > 500 {
+		if n := run.Total.Requests + run.Total.NotSent; n < 300 || n > 500 {
 			t.Errorf("%d transactions", n)
 		}
-		if (run.Total.Fulfilled == run.Total.Transactions && run.Total.Unsent == 0) != fulfilled || run.Broken() > 0 {
+		if (run.Total.Succeeded == run.Total.Requests && run.Total.NotSent == 0) != fulfilled || run.Violations() > 0 {
 			t.Errorf("%s: %+v", address, run.Total)
 		}
 	}
--- a/internal/lab/workload/workload.go
+++ b/internal/lab/workload/workload.go
@@ -10,20 +10,20 @@
 	"fawnplank/internal/lab/scenario"
 )
 
-// Customer is one customer: its plan, and the first of the doors that it comes in through.
-type Customer struct{ Plan, First int }
+// Tenant is one customer: its plan, and the first of the doors that it comes in through.
+type Tenant struct{ Plan, FirstInstance int }
 
-// Ask is a transaction that a client wants. Times are nanoseconds since the run's start.
-type Ask struct {
-	At, Limit         int64
-	Customer, Profile int
-	Plan              int
-	Units             float64
+// Request is a transaction that a client wants. Times are nanoseconds since the run's start.
+type Request struct {
+	AtNanos, DeadlineNanos int64
+	Tenant, Class          int
+	Plan                   int
+	Units                  float64
 }
 
-// People draws transactions. Its calls come one at a time.
-type People struct {
-	Customers []Customer
+// Generator draws transactions. Its calls come one at a time.
+type Generator struct {
+	Tenants   []Tenant
 	s         *scenario.Scenario
 	customers []float64 // cumulative weights
 	profiles  []float64
@@ -34,19 +34,19 @@
 }
 
 // New makes the people of a scenario.
-func New(s *scenario.Scenario) *People {
-	p := &People{s: s, arrivals: rand.New(rand.NewPCG(s.Seed, 0)), chance: rand.New(rand.NewPCG(s.Seed, 1))}
+func New(s *scenario.Scenario) *Generator {
+	p := &Generator{s: s, arrivals: rand.New(rand.NewPCG(s.Seed, 0)), chance: rand.New(rand.NewPCG(s.Seed, 1))}
 	var plans []float64
 	for _, x := range s.Plans {
 		plans = grow(plans, x.Share)
 	}
-	for _, x := range s.Profiles {
+	for _, x := range s.Classes {
 		p.profiles = grow(p.profiles, x.Share)
 	}
-	for n := range s.Load.Customers {
+	for n := range s.Load.Tenants {
 		// Plans go round by their shares: the busiest customers are not all of one plan by chance.
 		plan := pick(plans, math.Mod(float64(n)*math.Phi, 1))
-		p.Customers = append(p.Customers, Customer{Plan: plan, First: p.chance.IntN(s.Doors.Count)})
+		p.Tenants = append(p.Tenants, Tenant{Plan: plan, FirstInstance: p.chance.IntN(s.Instances.Count)})
 		p.customers = grow(p.customers, math.Pow(float64(n+1), -s.Load.Skew))
 	}
 	return p
@@ -65,40 +65,40 @@
 }
 
 // Next draws the next transaction; there is none once the duration or the number asked for is over.
-func (p *People) Next() (Ask, bool) {
+func (p *Generator) Next() (Request, bool) {
 	gap := 1e9 / p.s.Load.Rate
 	if p.s.Load.Arrivals == "poisson" {
 		gap *= p.arrivals.ExpFloat64()
 	}
 	p.at += gap
-	if p.at >= float64(p.s.Duration) || p.asked >= p.s.Load.Most {
-		return Ask{}, false
+	if p.at >= float64(p.s.Duration) || p.asked >= p.s.Load.MaxRequests {
+		return Request{}, false
 	}
 	p.asked++
 	c := pick(p.customers, p.arrivals.Float64())
-	a := Ask{At: int64(p.at), Customer: c, Plan: p.Customers[c].Plan, Profile: pick(p.profiles, p.arrivals.Float64()), Units: 1}
+	a := Request{AtNanos: int64(p.at), Tenant: c, Plan: p.Tenants[c].Plan, Class: pick(p.profiles, p.arrivals.Float64()), Units: 1}
 	if p.s.Load.Units > 1 {
 		a.Units += math.Floor(p.arrivals.ExpFloat64() / math.Log(p.s.Load.Units/(p.s.Load.Units-1))) // geometric
 	}
-	a.Limit = a.At + int64(p.s.Profiles[a.Profile].HardLimit)
+	a.DeadlineNanos = a.AtNanos + int64(p.s.Classes[a.Class].Deadline)
 	return a, true
 }
 
-// Door draws one of the customer's doors.
-func (p *People) Door(a Ask) int {
-	return (p.Customers[a.Customer].First + p.chance.IntN(p.s.Load.Spread)) % p.s.Doors.Count
+// Instance draws one of the customer's doors.
+func (p *Generator) Instance(a Request) int {
+	return (p.Tenants[a.Tenant].FirstInstance + p.chance.IntN(p.s.Load.EntryPoints)) % p.s.Instances.Count
 }
 
-// Wait is how long a client that was dismissed waits: as long as it was told, or else from 50 ms on and doubling,
+// RetryDelay is how long a client that was dismissed waits: as long as it was told, or else from 50 ms on and doubling,
 // as clients commonly do; and up to a quarter more.
-func (p *People) Wait(again int, comeBack int64) int64 {
+func (p *Generator) RetryDelay(again int, comeBack int64) int64 {
 	if comeBack <= 0 {
 		comeBack = 50e6 << min(again, 5)
 	}
 	return comeBack + int64(float64(comeBack)*p.chance.Float64()/4)
 }
 
-// Work draws how many nanoseconds of a core a transaction of so many units takes at a warm backend.
-func (p *People) Work(chance *rand.Rand, units float64) float64 {
+// WorkNanos draws how many nanoseconds of a core a transaction of so many units takes at a warm backend.
+func (p *Generator) WorkNanos(chance *rand.Rand, units float64) float64 {
 	return float64(p.s.Backends.Work) * units * math.Exp(p.s.Backends.Spread*chance.NormFloat64())
 }
--- a/internal/limitserver/limitserver_test.go
+++ b/internal/limitserver/limitserver_test.go
@@ -80,7 +80,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	terms, err := s.Terms(0)
+	terms, err := s.EngineSettings(0)
 	if err != nil {
 		t.Fatal(err)
 	}
