--- /dev/null
+++ b/internal/lab/invariants/attempts.go
@@ -0,0 +1,147 @@
+package invariants
+
+import (
+	"slices"
+
+	"fawnplank/policy"
+)
+
+// attemptArrived checks an attempt that came whole to a backend against every rule.
+func (c *Checker) attemptArrived(s *submission, event Event) {
+	if s.answeredNanos > 0 && event.AtNanos > s.answeredNanos+c.settings.SlackNanos {
+		c.report(RuleOneAnswer, event.AtNanos, "submission %d: came to backend %d %s after its final answer",
+			event.Submission, event.Backend, inMillis(event.AtNanos-s.answeredNanos))
+	}
+	for _, earlier := range s.attempts {
+		if !earlier.refused {
+			c.checkRerun(s, earlier, event)
+		}
+	}
+	s.attempts = append(s.attempts, attempt{backend: event.Backend, atNanos: event.AtNanos})
+	delivered, ok := c.delivered[view{instance: s.Instance, backend: event.Backend}]
+	if ok && delivered.State != policy.EndpointReady {
+		c.checkDrain(s, delivered, event)
+	}
+	c.checkSlowStart(event, delivered)
+	if plan := c.settings.Plans[s.Plan]; plan.HardQuotaRate > 0 && !s.drawn {
+		s.drawn = true
+		c.drawHardQuota(s, event, plan)
+	}
+}
+
+// checkRerun checks an attempt against an earlier one that may have run.
+func (c *Checker) checkRerun(s *submission, earlier attempt, event Event) {
+	class := c.settings.Classes[s.Class]
+	switch {
+	case class.Idempotency == policy.NonIdempotent:
+		c.report(RuleNoRerun, event.AtNanos, "submission %d: came to backend %d though its attempt at %d may have run",
+			event.Submission, event.Backend, earlier.backend)
+	case class.Idempotency != policy.IdempotentWithKey:
+		return
+	case !c.isInDedupScope(class.DedupScope, earlier.backend, event.Backend):
+		c.report(RuleNoRerun, event.AtNanos,
+			"submission %d: came to backend %d, outside the dedup scope of %d where it may have run",
+			event.Submission, event.Backend, earlier.backend)
+	case event.AtNanos-earlier.atNanos > class.DedupWindow+c.settings.SlackNanos:
+		c.report(RuleNoRerun, event.AtNanos,
+			"submission %d: came to backend %d %s after an attempt that may have run, beyond the dedup window",
+			event.Submission, event.Backend, inMillis(event.AtNanos-earlier.atNanos))
+	}
+}
+
+// isInDedupScope reports whether two backends share what they remember of keys.
+func (c *Checker) isInDedupScope(scope policy.DedupScope, a, b int) bool {
+	switch scope {
+	case policy.DedupByZone:
+		return c.settings.Zone(a) == c.settings.Zone(b)
+	case policy.DedupByGroup:
+		return c.settings.Group(a) == c.settings.Group(b)
+	}
+	return true
+}
+
+// checkDrain checks an attempt at a backend that was delivered as draining or gone.
+func (c *Checker) checkDrain(s *submission, delivered, event Event) {
+	lateNanos := event.AtNanos - delivered.AtNanos - c.settings.DrainNanos - c.settings.SlackNanos
+	if lateNanos > 0 {
+		c.report(RuleDrain, event.AtNanos,
+			"submission %d: instance %d sent to backend %d %s after the grace of its draining or being gone",
+			event.Submission, s.Instance, event.Backend, inMillis(lateNanos))
+	}
+}
+
+// arrival is work that came to a backend while it warmed up.
+type arrival struct {
+	atNanos     int64
+	workSeconds float64
+}
+
+// checkSlowStart adds to what a backend that warms up was sent within the collapse window. Nobody is given
+// its capacity at an age; the gateway knows the share that it starts with and when it has all of it at the
+// latest, and a straight line lies between.
+func (c *Checker) checkSlowStart(event, delivered Event) {
+	settings := &c.settings
+	hasWarmedUp := event.StartedNanos == 0 || event.AtNanos-event.StartedNanos > settings.SlowStartNanos
+	if hasWarmedUp || delivered.StartedNanos != event.StartedNanos { // the start may not have been delivered yet
+		return
+	}
+	workSeconds, largest := c.addArrival(event)
+	from := max(event.AtNanos-settings.CollapseWindowNanos, event.StartedNanos)
+	capacityAt := func(nanos int64) float64 {
+		age, end := float64(nanos-event.StartedNanos), float64(max(settings.SlowStartNanos, 1))
+		return settings.InitialCapacity + (1-settings.InitialCapacity)*age/end
+	}
+	// The whole window counts from the start on: a burst at the start is borne as far as a window bears it.
+	// Beside the budget stand the largest attempts, which nobody can send in part: chance in their size
+	// breaks no rule.
+	windowSeconds := float64(settings.CollapseWindowNanos)
+	capacity := (capacityAt(from) + capacityAt(event.AtNanos)) / 2
+	bearsSeconds := settings.CollapseMultiple * settings.Cores * capacity * windowSeconds / 1e9
+	if workSeconds > bearsSeconds+3*largest && c.overloaded[event.Backend] != event.StartedNanos {
+		c.overloaded[event.Backend] = event.StartedNanos
+		c.report(RuleSlowStart, event.AtNanos,
+			"backend %d, started %s ago, was sent %.3f s of work in %s and bears %.3f s",
+			event.Backend, inMillis(event.AtNanos-event.StartedNanos), workSeconds,
+			inMillis(settings.CollapseWindowNanos), bearsSeconds)
+	}
+}
+
+// addArrival adds to a backend's arrivals within the window, and returns their work and the largest of them.
+func (c *Checker) addArrival(event Event) (workSeconds, largestSeconds float64) {
+	all := append(c.arrivals[event.Backend], arrival{atNanos: event.AtNanos, workSeconds: event.WorkSeconds})
+	all = slices.DeleteFunc(all, func(a arrival) bool {
+		return event.AtNanos-a.atNanos > c.settings.CollapseWindowNanos || a.atNanos < event.StartedNanos
+	})
+	c.arrivals[event.Backend] = all
+	for _, a := range all {
+		workSeconds += a.workSeconds
+		largestSeconds = max(largestSeconds, a.workSeconds)
+	}
+	return workSeconds, largestSeconds
+}
+
+// roundingTolerance is what sums of units may be off by.
+const roundingTolerance = 1e-6
+
+// hardQuota is a tenant's token bucket as the rule has it: it may be overdrawn.
+type hardQuota struct {
+	tokens          float64
+	refilledAtNanos int64
+}
+
+// drawHardQuota draws a submission's units from its tenant's hard quota.
+func (c *Checker) drawHardQuota(s *submission, event Event, plan policy.PlanSettings) {
+	quota := c.quotas[s.Tenant]
+	if quota == nil {
+		quota = &hardQuota{tokens: plan.HardQuotaBurst, refilledAtNanos: event.AtNanos}
+		c.quotas[s.Tenant] = quota
+	}
+	refilled := float64(event.AtNanos-quota.refilledAtNanos) / 1e9 * plan.HardQuotaRate
+	quota.tokens = min(quota.tokens+refilled, plan.HardQuotaBurst)
+	quota.refilledAtNanos = event.AtNanos
+	quota.tokens -= s.Units
+	if slack := c.settings.HardQuotaSlack[s.Plan]; quota.tokens < -slack-roundingTolerance {
+		c.report(RuleHardQuota, event.AtNanos, "tenant %d: %.2f units beyond its hard quota, with a slack of %.2f",
+			s.Tenant, -quota.tokens, slack)
+	}
+}
--- /dev/null
+++ b/internal/lab/invariants/checker.go
@@ -0,0 +1,262 @@
+// Package invariants checks the five rules of the gateway from outside, by what clients, backends and
+// discovery saw, whether the model produced it or instances on sockets. Events go in, in order of time, and
+// findings come out. The package is pure, and knows nothing of the decisions that it judges.
+//
+// A Checker is not safe for concurrent use: its caller serializes the calls.
+package invariants
+
+import (
+	"cmp"
+	"fmt"
+	"slices"
+
+	"fawnplank/policy"
+)
+
+// Rule numbers an invariant, as in docs/lab.md.
+type Rule int
+
+// The rules.
+const (
+	RuleOneAnswer Rule = iota + 1 // one final answer in time, and no attempt sent after it
+	RuleNoRerun                   // no attempt that may run a request twice, and no rejection of one that may have run
+	RuleDrain                     // no attempt to a backend after the grace of its leaving
+	RuleSlowStart                 // no overload of a backend that warms up
+	RuleHardQuota                 // no admission beyond a hard quota
+	ruleEnd
+)
+
+// Settings are the figures that the rules go by.
+type Settings struct {
+	Classes             []policy.ClassSettings
+	Plans               []policy.PlanSettings
+	HardQuotaSlack      []float64 // by plan, in units
+	GraceNanos          int64     // of an answer after the client's deadline
+	DrainNanos          int64     // of an attempt after the instance had the backend's new state
+	SlackNanos          int64     // of the way from an instance to a backend or client, where only arrivals are seen
+	Cores               float64   // of a backend that has warmed up
+	InitialCapacity     float64   // of a backend that starts, as a share
+	SlowStartNanos      int64
+	CollapseMultiple    float64 // of its capacity that a backend bears over the window
+	CollapseWindowNanos int64
+	Zone, Group         func(backend int) int
+}
+
+// Finding is one violation of a rule.
+type Finding struct {
+	Rule    Rule   `json:"rule"`
+	AtNanos int64  `json:"at_ns"`
+	What    string `json:"what"`
+}
+
+const (
+	// maxFindings bounds what is reported of each rule; the count goes on.
+	maxFindings = 20
+	// retentionNanos is for how long a submission is remembered after its end: no attempt of it is left
+	// anywhere then.
+	retentionNanos = 30e9
+)
+
+// attempt is one that came to a backend.
+type attempt struct {
+	backend int
+	atNanos int64
+	refused bool // proved not run
+}
+
+// submission is what has been seen of one.
+type submission struct {
+	Event
+	answeredNanos int64 // when the client had its answer; 0: not yet
+	answerDue     bool
+	attempts      []attempt
+	drawn         bool  // from the hard quota
+	endedNanos    int64 // when it was answered or abandoned; 0: not yet
+}
+
+// view leads from an instance to the backend whose state it was delivered.
+type view struct{ instance, backend int }
+
+// Checker finds violations in events that come in order of time.
+type Checker struct {
+	settings    Settings
+	submissions map[SubmissionID]*submission
+	ended       []SubmissionID // in order of their end
+	delivered   map[view]Event // the last EndpointDelivered
+	arrivals    map[int][]arrival
+	overloaded  map[int]int64 // by backend, the start after which it was found to be
+	quotas      map[int]*hardQuota
+	findings    []Finding
+	counts      [ruleEnd]int
+}
+
+// New returns a checker.
+func New(settings Settings) *Checker {
+	return &Checker{
+		settings:    settings,
+		submissions: map[SubmissionID]*submission{},
+		delivered:   map[view]Event{},
+		arrivals:    map[int][]arrival{},
+		overloaded:  map[int]int64{},
+		quotas:      map[int]*hardQuota{},
+	}
+}
+
+func (c *Checker) report(rule Rule, atNanos int64, format string, args ...any) {
+	c.counts[rule]++
+	if c.counts[rule] <= maxFindings {
+		c.findings = append(c.findings, Finding{Rule: rule, AtNanos: atNanos, What: fmt.Sprintf(format, args...)})
+	}
+}
+
+// Observe checks the next event.
+func (c *Checker) Observe(event Event) {
+	switch event.Kind {
+	case EndpointDelivered:
+		c.endpointDelivered(event)
+	case InstanceDied:
+		c.instanceDied(event.Instance)
+	case Submitted:
+		c.submitted(event)
+	default:
+		c.observeSubmission(event)
+	}
+}
+
+func (c *Checker) endpointDelivered(event Event) {
+	key := view{instance: event.Instance, backend: event.Backend}
+	old, ok := c.delivered[key]
+	if ok && old.State != policy.EndpointReady && event.State != policy.EndpointReady {
+		event.AtNanos = old.AtNanos // the grace counts from the first state that forbids new attempts
+	}
+	c.delivered[key] = event
+}
+
+func (c *Checker) instanceDied(instance int) {
+	for key := range c.delivered {
+		if key.instance == instance {
+			delete(c.delivered, key)
+		}
+	}
+}
+
+func (c *Checker) submitted(event Event) {
+	if c.submissions[event.Submission] != nil {
+		c.report(RuleOneAnswer, event.AtNanos, "submission %d: its id was used before", event.Submission)
+		return
+	}
+	c.submissions[event.Submission] = &submission{Event: event, answerDue: true}
+}
+
+// observeSubmission checks an event of a submission that is known.
+func (c *Checker) observeSubmission(event Event) {
+	s := c.submissions[event.Submission]
+	if s == nil {
+		if event.Kind != Abandoned && event.Kind != AttemptRefused {
+			c.report(RuleOneAnswer, event.AtNanos, "submission %d: no client sent it, or it ended long ago", event.Submission)
+		}
+		return
+	}
+	switch event.Kind {
+	case Succeeded, Rejected, Aborted:
+		c.answered(s, event)
+	case Abandoned:
+		s.answerDue = false
+		c.end(s, event.AtNanos)
+	case AttemptSent:
+		if s.answeredNanos > 0 && event.AtNanos > s.answeredNanos {
+			c.report(RuleOneAnswer, event.AtNanos, "submission %d: sent to backend %d %s after its final answer",
+				event.Submission, event.Backend, inMillis(event.AtNanos-s.answeredNanos))
+		}
+	case AttemptArrived:
+		c.attemptArrived(s, event)
+	case AttemptRefused:
+		s.refuseLast(event.Backend)
+	}
+}
+
+// refuseLast marks the last attempt at a backend as proved not run.
+func (s *submission) refuseLast(backend int) {
+	for n := len(s.attempts) - 1; n >= 0; n-- {
+		if s.attempts[n].backend == backend && !s.attempts[n].refused {
+			s.attempts[n].refused = true
+			return
+		}
+	}
+}
+
+func inMillis(nanos int64) string { return fmt.Sprintf("%.1f ms", float64(nanos)/1e6) }
+
+func (c *Checker) answered(s *submission, event Event) {
+	if s.answeredNanos > 0 {
+		c.report(RuleOneAnswer, event.AtNanos, "submission %d: a second final answer", event.Submission)
+		return
+	}
+	lateNanos := event.AtNanos - s.DeadlineNanos - c.settings.GraceNanos
+	if s.answerDue && lateNanos > 0 {
+		c.report(RuleOneAnswer, event.AtNanos, "submission %d: answered %s after its deadline and grace",
+			event.Submission, inMillis(lateNanos))
+	}
+	s.answeredNanos = event.AtNanos
+	s.answerDue = false
+	c.end(s, event.AtNanos)
+	if event.Kind == Rejected && !isSafeToRetry(c.settings.Classes[s.Class]) {
+		c.checkRejection(s, event)
+	}
+}
+
+// isSafeToRetry reports whether a request of a class may be run again anywhere at any time that the client
+// retries.
+func isSafeToRetry(class policy.ClassSettings) bool {
+	switch class.Idempotency {
+	case policy.Idempotent:
+		return true
+	case policy.IdempotentWithKey:
+		return class.DedupScope == policy.DedupByAll
+	}
+	return false
+}
+
+// checkRejection reports attempts that may have run, of a request that the client may now retry.
+func (c *Checker) checkRejection(s *submission, event Event) {
+	for _, attempt := range s.attempts {
+		if !attempt.refused {
+			c.report(RuleNoRerun, event.AtNanos, "submission %d: rejected though its attempt at backend %d may have run",
+				event.Submission, attempt.backend)
+		}
+	}
+}
+
+// end notes that a submission has ended, once, and forgets those that ended long ago.
+func (c *Checker) end(s *submission, atNanos int64) {
+	if s.endedNanos != 0 { // its client had left before the answer: it stands in the order already
+		return
+	}
+	s.endedNanos = atNanos
+	c.ended = append(c.ended, s.Submission)
+	for len(c.ended) > 0 && atNanos-c.submissions[c.ended[0]].endedNanos > retentionNanos {
+		delete(c.submissions, c.ended[0])
+		c.ended = c.ended[1:]
+	}
+}
+
+// End ends the run, and returns the findings in order of time and the number of violations by rule.
+// Submissions that are past their deadline without an answer are lost.
+func (c *Checker) End(atNanos int64) (findings []Finding, counts map[string]int) {
+	var lost []SubmissionID
+	for id, s := range c.submissions {
+		if s.answerDue && atNanos > s.DeadlineNanos+c.settings.GraceNanos {
+			lost = append(lost, id)
+		}
+	}
+	slices.Sort(lost)
+	for _, id := range lost {
+		c.report(RuleOneAnswer, atNanos, "submission %d at instance %d: no final answer", id, c.submissions[id].Instance)
+	}
+	counts = map[string]int{}
+	for rule := RuleOneAnswer; rule < ruleEnd; rule++ {
+		counts[fmt.Sprint(int(rule))] = c.counts[rule]
+	}
+	slices.SortStableFunc(c.findings, func(a, b Finding) int { return cmp.Compare(a.AtNanos, b.AtNanos) })
+	return c.findings, counts
+}
--- /dev/null
+++ b/internal/lab/invariants/checker_test.go
@@ -0,0 +1,225 @@
+package invariants
+
+import (
+	"testing"
+
+	"fawnplank/policy"
+)
+
+const millis = int64(1e6)
+
+var testSettings = Settings{
+	Classes: []policy.ClassSettings{
+		idempotent:    {LatencyObjective: 750 * millis},
+		nonIdempotent: {Idempotency: policy.NonIdempotent},
+		keyOfGroup: {
+			Idempotency: policy.IdempotentWithKey,
+			DedupScope:  policy.DedupByGroup,
+			DedupWindow: 1000 * millis,
+		},
+		keyOfAll: {
+			Idempotency: policy.IdempotentWithKey,
+			DedupScope:  policy.DedupByAll,
+			DedupWindow: 1000 * millis,
+		},
+	},
+	Plans:               []policy.PlanSettings{{}, {HardQuotaRate: 1, HardQuotaBurst: 2}},
+	HardQuotaSlack:      []float64{0, 1},
+	GraceNanos:          100 * millis,
+	DrainNanos:          500 * millis,
+	Cores:               1,
+	InitialCapacity:     0.5,
+	SlowStartNanos:      10_000 * millis,
+	CollapseMultiple:    2,
+	CollapseWindowNanos: 1000 * millis,
+	Zone:                func(int) int { return 0 },
+	Group:               func(backend int) int { return backend % 2 },
+}
+
+// The classes of testSettings.
+const (
+	idempotent = iota
+	nonIdempotent
+	keyOfGroup
+	keyOfAll
+)
+
+// violations returns how often events break each rule.
+func violations(events ...Event) map[string]int {
+	checker := New(testSettings)
+	lastNanos := int64(0)
+	for _, event := range events {
+		if event.Submission == 0 {
+			event.Submission = 1
+		}
+		checker.Observe(event)
+		lastNanos = max(lastNanos, event.AtNanos)
+	}
+	_, counts := checker.End(lastNanos + 5000*millis)
+	return counts
+}
+
+func submitted(class int) Event {
+	return Event{Kind: Submitted, Class: class, DeadlineNanos: 1000 * millis, Units: 1}
+}
+
+func arrived(atMillis int64, backend int) Event {
+	return Event{AtNanos: atMillis * millis, Kind: AttemptArrived, Backend: backend}
+}
+
+func refused(atMillis int64, backend int) Event {
+	return Event{AtNanos: atMillis * millis, Kind: AttemptRefused, Backend: backend}
+}
+
+func ended(atMillis int64, kind Kind) Event { return Event{AtNanos: atMillis * millis, Kind: kind} }
+
+func delivered(atMillis int64, state policy.EndpointState) Event {
+	return Event{AtNanos: atMillis * millis, Kind: EndpointDelivered, State: state}
+}
+
+// quotaUse are requests of one tenant with a hard quota, at these times.
+func quotaUse(timesMillis ...int64) (events []Event) {
+	for n, atMillis := range timesMillis {
+		id := SubmissionID(n + 1)
+		atNanos := atMillis * millis
+		deadlineNanos := atNanos + 1000*millis
+		events = append(events,
+			Event{Submission: id, AtNanos: atNanos, Kind: Submitted, Plan: 1, Units: 1, DeadlineNanos: deadlineNanos, Tenant: 7},
+			Event{Submission: id, AtNanos: atNanos, Kind: AttemptArrived},
+			Event{Submission: id, AtNanos: atNanos, Kind: Succeeded})
+	}
+	return events
+}
+
+// warmingUp are requests to a backend that has just started, of 0.1 s of work each.
+func warmingUp(count int, isDelivered bool) (events []Event) {
+	const startedNanos = 100 * millis
+	if isDelivered {
+		start := delivered(100, policy.EndpointReady)
+		start.StartedNanos = startedNanos
+		events = append(events, start)
+	}
+	for n := range count {
+		id := SubmissionID(n + 1)
+		events = append(events,
+			Event{Submission: id, AtNanos: 200 * millis, Kind: Submitted, DeadlineNanos: 1200 * millis},
+			Event{Submission: id, AtNanos: 210 * millis, Kind: AttemptArrived, StartedNanos: startedNanos, WorkSeconds: 0.1},
+			Event{Submission: id, AtNanos: 300 * millis, Kind: Succeeded})
+	}
+	return events
+}
+
+type checkerTest struct {
+	name   string
+	rule   string // the one broken; empty: none
+	events []Event
+}
+
+var answerTests = []checkerTest{
+	{"in order", "", []Event{submitted(idempotent), arrived(10, 1), ended(20, Succeeded)}},
+	{"no answer", "1", []Event{submitted(idempotent), arrived(10, 1)}},
+	{"abandoned", "", []Event{submitted(idempotent), arrived(10, 1), ended(500, Abandoned)}},
+	{"two answers", "1", []Event{submitted(idempotent), ended(10, Rejected), ended(20, Succeeded)}},
+	{"answered after the grace", "1", []Event{submitted(idempotent), ended(1101, Aborted)}},
+	{"answered within the grace", "", []Event{submitted(idempotent), ended(1099, Aborted)}},
+	{"sent after the answer", "1", []Event{submitted(idempotent), ended(10, Rejected), ended(20, AttemptSent)}},
+	{"arrived after the answer", "1", []Event{submitted(idempotent), ended(10, Rejected), arrived(20, 1)}},
+	{"an id twice", "1", []Event{submitted(idempotent), submitted(idempotent), ended(10, Rejected)}},
+	{"never submitted", "1", []Event{arrived(10, 1)}},
+}
+
+var rerunTests = []checkerTest{
+	{"idempotent, twice", "",
+		[]Event{submitted(idempotent), arrived(10, 1), arrived(20, 2), ended(30, Rejected)}},
+	{"non-idempotent, twice", "2",
+		[]Event{submitted(nonIdempotent), arrived(10, 1), arrived(20, 2), ended(30, Succeeded)}},
+	{"non-idempotent, first refused", "",
+		[]Event{submitted(nonIdempotent), arrived(10, 1), refused(15, 1), arrived(20, 2), ended(30, Succeeded)}},
+	{"non-idempotent, rejected after it may have run", "2",
+		[]Event{submitted(nonIdempotent), arrived(10, 1), ended(30, Rejected)}},
+	{"non-idempotent, aborted", "", []Event{submitted(nonIdempotent), arrived(10, 1), ended(30, Aborted)}},
+	{"non-idempotent, rejected after it was refused", "",
+		[]Event{submitted(nonIdempotent), arrived(10, 1), refused(11, 1), ended(30, Rejected)}},
+	{"with a key, within the scope", "",
+		[]Event{submitted(keyOfGroup), arrived(10, 1), arrived(20, 3), ended(30, Succeeded)}},
+	{"with a key, outside the scope", "2",
+		[]Event{submitted(keyOfGroup), arrived(10, 1), arrived(20, 2), ended(30, Succeeded)}},
+	{"with a key, beyond the window", "2",
+		[]Event{{Kind: Submitted, Class: keyOfGroup, DeadlineNanos: 3000 * millis},
+			arrived(10, 1), arrived(1020, 3), ended(1030, Succeeded)}},
+	{"with a key of a group, rejected", "2", []Event{submitted(keyOfGroup), arrived(10, 1), ended(30, Rejected)}},
+	{"with a key of all, rejected", "", []Event{submitted(keyOfAll), arrived(10, 1), ended(30, Rejected)}},
+}
+
+var drainTests = []checkerTest{
+	{"within the grace of draining", "",
+		[]Event{delivered(0, policy.EndpointDraining), submitted(idempotent), arrived(499, 0), ended(600, Succeeded)}},
+	{"after the grace of draining", "3",
+		[]Event{delivered(0, policy.EndpointDraining), submitted(idempotent), arrived(501, 0), ended(600, Succeeded)}},
+	{"delivered twice, the first counts", "3",
+		[]Event{delivered(0, policy.EndpointDraining), submitted(idempotent), delivered(400, policy.EndpointGone),
+			arrived(600, 0), ended(700, Succeeded)}},
+	{"ready again", "",
+		[]Event{delivered(0, policy.EndpointDraining), submitted(idempotent), delivered(400, policy.EndpointReady),
+			arrived(600, 0), ended(700, Succeeded)}},
+	{"delivered to another instance", "",
+		[]Event{{Kind: EndpointDelivered, Instance: 4, State: policy.EndpointDraining},
+			submitted(idempotent), arrived(900, 0), ended(950, Succeeded)}},
+}
+
+var quotaTests = []checkerTest{
+	{"warming up, within the budget", "", warmingUp(10, true)},
+	{"warming up, over the budget", "4", warmingUp(40, true)},
+	{"warming up, before the start was delivered", "", warmingUp(40, false)},
+	{"within the hard quota and its slack", "", quotaUse(0, 0, 0)},
+	{"beyond the hard quota and its slack", "5", quotaUse(0, 0, 0, 0)},
+	{"the hard quota refills", "", quotaUse(0, 0, 0, 1000, 2000)},
+}
+
+// TestChecker_FindsPlantedViolations observes runs that break one rule or none: just that one is found.
+func TestChecker_FindsPlantedViolations(t *testing.T) {
+	for _, tests := range [][]checkerTest{answerTests, rerunTests, drainTests, quotaTests} {
+		for _, test := range tests {
+			t.Run(test.name, func(t *testing.T) {
+				for rule, count := range violations(test.events...) {
+					if (count > 0) != (rule == test.rule) {
+						t.Errorf("rule %s broken %d times", rule, count)
+					}
+				}
+			})
+		}
+	}
+}
+
+// TestChecker_ForgetsWhatEnded observes requests for 1000 s: those that ended long ago are forgotten.
+func TestChecker_ForgetsWhatEnded(t *testing.T) {
+	checker := New(testSettings)
+	for n := range 10000 {
+		atNanos := int64(n) * 100 * millis
+		id := SubmissionID(n + 1)
+		checker.Observe(Event{AtNanos: atNanos, Kind: Submitted, Submission: id, DeadlineNanos: atNanos + 1000*millis})
+		checker.Observe(Event{AtNanos: atNanos + millis, Kind: AttemptArrived, Submission: id})
+		if n%2 == 0 {
+			checker.Observe(Event{AtNanos: atNanos + 2*millis, Kind: Abandoned, Submission: id})
+		}
+		checker.Observe(Event{AtNanos: atNanos + 2*millis, Kind: Succeeded, Submission: id})
+	}
+	if len(checker.submissions) > 400 {
+		t.Errorf("%d submissions are remembered of the last half minute", len(checker.submissions))
+	}
+	if findings, _ := checker.End(1e15); len(findings) > 0 {
+		t.Error(findings[0])
+	}
+}
+
+// TestChecker_BoundsFindings breaks a rule often: all violations are counted, and some reported.
+func TestChecker_BoundsFindings(t *testing.T) {
+	checker := New(testSettings)
+	for n := range 1000 {
+		checker.Observe(Event{Kind: Submitted, Submission: SubmissionID(n + 1), DeadlineNanos: millis})
+	}
+	findings, counts := checker.End(1e12)
+	if counts["1"] != 1000 || len(findings) != maxFindings {
+		t.Error(counts, len(findings))
+	}
+}
--- /dev/null
+++ b/internal/lab/model/backend.go
@@ -0,0 +1,185 @@
+package model
+
+import (
+	"slices"
+
+	"fawnplank/internal/lab/invariants"
+	"fawnplank/policy"
+)
+
+// attempt is one sending of a request to a backend.
+type attempt struct {
+	submission *submission
+	id         policy.AttemptID
+	to         *backend
+	sentNanos  int64
+	workNanos  float64
+	hasEnded   bool
+	isCanceled bool // a backend that has not begun it leaves it
+}
+
+// end brings the attempt's outcome to the instance, once.
+func (a *attempt) end(outcome policy.Outcome) {
+	s := a.submission
+	w := s.instance.world
+	if a.hasEnded || s.instance.incarnation != s.incarnation {
+		return
+	}
+	a.hasEnded = true
+	a.isCanceled = true
+	if outcome == policy.Succeeded && !s.isAnswered {
+		s.answer(invariants.Succeeded, 0)
+	}
+	s.handle.HandleAttemptResult(w.engineNow(), policy.AttemptResult{
+		Attempt:     a.id,
+		Outcome:     outcome,
+		Elapsed:     w.nowNanos - a.sentNanos,
+		RequestDone: s.isAnswered,
+	})
+	s.instance.forgetIfDone(s)
+}
+
+// backend works on attempts on so many cores, and queues some.
+type backend struct {
+	world        *world
+	index        int
+	isUp         bool
+	isSilent     bool // down, and answers nothing: a machine that vanished
+	state        policy.EndpointState
+	startedNanos int64
+	incarnation  int
+	running      []*attempt
+	queue        []*attempt
+
+	// The faults in force.
+	slowdown                                                  float64
+	refusing, hanging, resetting, garbling, failing, draining int
+	withdrawn                                                 int
+}
+
+func newBackend(w *world, index int) *backend {
+	return &backend{world: w, index: index, isUp: true, state: policy.EndpointReady, slowdown: 1}
+}
+
+// capacity returns the share of its capacity that the backend has: it rises from the initial one while it
+// warms up.
+func (b *backend) capacity() float64 {
+	rules := &b.world.scenario.Rules
+	ageNanos := b.world.nowNanos - b.startedNanos
+	if b.startedNanos == 0 || ageNanos >= int64(rules.SlowStart) {
+		return 1
+	}
+	return rules.InitialCapacity + (1-rules.InitialCapacity)*float64(ageNanos)/float64(rules.SlowStart)
+}
+
+// arrive accepts an attempt, or refuses it.
+func (b *backend) arrive(a *attempt) {
+	w := b.world
+	if !b.isUp && b.isSilent {
+		return // the attempt times out
+	}
+	if !b.isUp || b.refusing > 0 {
+		w.after(w.hopNanos(), func() { a.end(policy.ConnectFailed) })
+		return
+	}
+	a.workNanos = w.workload.WorkNanos(w.workRandom, a.submission.Units)
+	w.recorder.Observe(invariants.Event{
+		AtNanos:      w.nowNanos,
+		Kind:         invariants.AttemptArrived,
+		Submission:   a.submission.Submission,
+		Instance:     a.submission.instance.index,
+		Backend:      b.index,
+		StartedNanos: b.startedNanos,
+		WorkSeconds:  a.workNanos / 1e9,
+	})
+	hasFreeCore := len(b.running) < w.scenario.Backends.Cores
+	switch {
+	case b.hanging > 0:
+	case b.draining > 0, !hasFreeCore && len(b.queue) >= w.scenario.Backends.Queue:
+		b.refuse(a)
+	case hasFreeCore:
+		b.begin(a)
+	default:
+		b.queue = append(b.queue, a)
+	}
+}
+
+// refuse answers that the backend has not run an attempt.
+func (b *backend) refuse(a *attempt) {
+	w := b.world
+	w.recorder.Observe(invariants.Event{
+		AtNanos:    w.nowNanos,
+		Kind:       invariants.AttemptRefused,
+		Submission: a.submission.Submission,
+		Backend:    b.index,
+	})
+	w.after(w.hopNanos(), func() { a.end(policy.Rejected) })
+}
+
+func (b *backend) begin(a *attempt) {
+	incarnation := b.incarnation
+	b.running = append(b.running, a)
+	b.world.after(int64(a.workNanos*b.slowdown/b.capacity()), func() {
+		if b.incarnation == incarnation {
+			b.finish(a)
+		}
+	})
+}
+
+// finish ends the work on an attempt, begins the next ones, and answers.
+func (b *backend) finish(a *attempt) {
+	w := b.world
+	b.running = slices.DeleteFunc(b.running, func(other *attempt) bool { return other == a })
+	for len(b.queue) > 0 && len(b.running) < w.scenario.Backends.Cores {
+		next := b.queue[0]
+		b.queue = b.queue[1:]
+		if !next.isCanceled { // or else its connection is closed: nobody waits for it
+			b.begin(next)
+		}
+	}
+	outcome := policy.Succeeded
+	switch {
+	case b.hanging > 0:
+		return
+	case b.resetting > 0:
+		outcome = policy.ConnectionLost
+	case b.garbling > 0, b.failing > 0:
+		outcome = policy.Failed
+	}
+	w.after(w.hopNanos(), func() { a.end(outcome) })
+}
+
+// die ends all work: connections break or, where the machine vanishes, fall silent.
+func (b *backend) die(silent bool) {
+	w := b.world
+	lost := append(b.running, b.queue...)
+	b.isUp = false
+	b.isSilent = silent
+	b.running = nil
+	b.queue = nil
+	b.incarnation++
+	if silent {
+		return
+	}
+	for _, a := range lost {
+		w.after(w.hopNanos(), func() { a.end(policy.ConnectionLost) })
+	}
+}
+
+// rise starts the backend anew.
+func (b *backend) rise() {
+	b.isUp = true
+	b.isSilent = false
+	b.startAnew()
+}
+
+// startAnew lists the backend with a start at present.
+func (b *backend) startAnew() {
+	b.startedNanos = b.world.nowNanos
+	b.setState(policy.EndpointReady)
+}
+
+func (b *backend) setState(state policy.EndpointState) {
+	b.state = state
+	b.world.discovery.publish(b)
+}
--- /dev/null
+++ b/internal/lab/model/client.go
@@ -0,0 +1,113 @@
+package model
+
+import (
+	"fawnplank/internal/lab/invariants"
+	"fawnplank/internal/lab/scenario"
+	"fawnplank/internal/lab/workload"
+	"fawnplank/policy"
+)
+
+// maxRefusedRetries is how many retries a client whose connections are refused has beside its usual ones.
+const maxRefusedRetries = 3
+
+// submission is one submission of a request to an instance.
+type submission struct {
+	invariants.Event
+	request     workload.Request
+	retries     int // before it
+	instance    *instance
+	incarnation int // of the instance, that received it
+	handle      *policy.Request
+	attempts    []*attempt
+	isAnswered  bool
+}
+
+// submit lets a client submit a request that was due at dueNanos.
+func (w *world) submit(request workload.Request, dueNanos int64, retries int) {
+	to := w.instances[w.workload.Instance(request)]
+	w.lastSubmission++
+	s := &submission{request: request, retries: retries, instance: to, Event: invariants.Event{
+		AtNanos:       w.nowNanos,
+		Kind:          invariants.Submitted,
+		Submission:    w.lastSubmission,
+		Instance:      to.index,
+		Tenant:        request.Tenant,
+		Class:         request.Class,
+		Plan:          request.Plan,
+		Units:         request.Units,
+		DeadlineNanos: request.DeadlineNanos,
+		DueNanos:      dueNanos,
+		IsRetry:       retries > 0,
+	}}
+	if to.engine == nil {
+		w.connectionRefused(request, dueNanos, retries)
+		return
+	}
+	w.recorder.Observe(s.Event)
+	incarnation := to.incarnation
+	w.after(w.hopNanos(), func() {
+		if to.incarnation == incarnation {
+			to.receive(s)
+		} else {
+			s.lose()
+		}
+	})
+}
+
+// connectionRefused lets a client try another instance, in vain at last.
+func (w *world) connectionRefused(request workload.Request, dueNanos int64, retries int) {
+	w.after(2*w.hopNanos(), func() {
+		if retries < w.scenario.Load.Retries+maxRefusedRetries && w.nowNanos < request.DeadlineNanos {
+			w.submit(request, dueNanos, retries+1)
+		} else {
+			w.recorder.CountNotSent(w.nowNanos)
+		}
+	})
+}
+
+// answer sends a final answer to the client, which may retry a request that was rejected.
+func (s *submission) answer(kind invariants.Kind, retryAfterNanos int64) {
+	w := s.instance.world
+	s.isAnswered = true
+	w.after(0, func() { // once the engine has returned: it may have ended without an attempt in flight
+		if s.instance.incarnation == s.incarnation {
+			s.instance.forgetIfDone(s)
+		}
+	})
+	w.after(w.hopNanos(), func() { s.answerArrived(kind, retryAfterNanos) })
+}
+
+func (s *submission) answerArrived(kind invariants.Kind, retryAfterNanos int64) {
+	w := s.instance.world
+	w.recorder.Observe(invariants.Event{
+		AtNanos:    w.nowNanos,
+		Kind:       kind,
+		Submission: s.Submission,
+		Instance:   s.instance.index,
+	})
+	if kind != invariants.Rejected || s.retries >= w.scenario.Load.Retries {
+		return
+	}
+	delayNanos := w.workload.RetryDelay(s.retries, retryAfterNanos)
+	if w.nowNanos+delayNanos < s.DeadlineNanos {
+		w.after(delayNanos, func() { w.submit(s.request, w.nowNanos, s.retries+1) })
+	}
+}
+
+// lose ends a submission whose instance died. Its client retries what is idempotent.
+func (s *submission) lose() {
+	w := s.instance.world
+	if s.isAnswered {
+		return
+	}
+	s.isAnswered = true
+	w.recorder.Observe(invariants.Event{
+		AtNanos:    w.nowNanos,
+		Kind:       invariants.Abandoned,
+		Submission: s.Submission,
+	})
+	isIdempotent := w.scenario.Classes[s.Class].Idempotency == scenario.Idempotent
+	if s.retries < w.scenario.Load.Retries && isIdempotent && w.nowNanos < s.DeadlineNanos {
+		w.after(2*w.hopNanos(), func() { w.submit(s.request, w.nowNanos, s.retries+1) })
+	}
+}
--- a/internal/lab/model/golden_test.go
+++ b/internal/lab/model/golden_test.go
@@ -8,8 +8,9 @@
 	"fawnplank/internal/lab/scenario"
 )
 
-// TestGoldenRuns pins whole runs of the model at several sizes: the results' file is of a fixed form, and the same
-// decisions, faults and chance give the same bytes. A hash that changes means that a decision or the model changed.
+// TestGoldenRuns pins whole runs of the model at several sizes: the results' file is of a fixed form, and the
+// same decisions, faults and chance give the same bytes. A hash that changes means that a decision or the
+// model changed.
 func TestGoldenRuns(t *testing.T) {
 	for _, run := range []struct {
 		name, file string
--- /dev/null
+++ b/internal/lab/model/world.go
@@ -0,0 +1,161 @@
+// Package model plays a scenario in simulated time: the decisions of hundreds of gateway instances, each a
+// policy.Engine, between models of clients, backends, counter and discovery with the scenario's faults.
+//
+// All that happens stands in one queue ordered by time, and all chance comes from the seed, so that a run
+// gives the same events each time. The package never decides anything that a gateway decides, and reads no
+// clock. Run is safe for concurrent use: runs share nothing.
+package model
+
+import (
+	"fmt"
+	"math/rand/v2"
+
+	"fawnplank/internal/lab/invariants"
+	"fawnplank/internal/lab/results"
+	"fawnplank/internal/lab/scenario"
+	"fawnplank/internal/lab/workload"
+	"fawnplank/internal/timerqueue"
+	"fawnplank/policy"
+)
+
+// epochNanos is what instances have for the time of the run's start: some day, as their windows go by Unix
+// time.
+const epochNanos int64 = 1_700_000_000e9
+
+// The streams of the seed. The workload has those before.
+const (
+	networkStream = 2
+	workStream    = 3
+	// engineStream marks the streams that give each incarnation of an instance its seed.
+	engineStream = 1 << 60
+	// incarnationBits is how many bits of such a stream number the incarnations.
+	incarnationBits = 20
+)
+
+const (
+	// sampleIntervalNanos is between two samples of the breakers.
+	sampleIntervalNanos = 1e9
+	// settleNanos is how long a run goes on after the last request has ended.
+	settleNanos = 1e9
+)
+
+// world is all that takes part in a run. Times are nanoseconds since its start.
+type world struct {
+	scenario       *scenario.Scenario
+	nowNanos       int64
+	queue          timerqueue.Queue[func()]
+	events         uint64
+	recorder       *results.Recorder
+	workload       *workload.Generator
+	networkRandom  *rand.Rand
+	workRandom     *rand.Rand
+	instances      []*instance
+	backends       []*backend
+	counter        counter
+	discovery      discovery
+	lastSubmission invariants.SubmissionID
+}
+
+// Run plays a scenario to its end, and returns its results.
+func Run(s *scenario.Scenario) (*results.Run, error) {
+	w, err := newWorld(s)
+	if err != nil {
+		return nil, err
+	}
+	return w.play(), nil
+}
+
+func newWorld(s *scenario.Scenario) (*world, error) {
+	settings, err := s.EngineSettings(0)
+	if err != nil {
+		return nil, fmt.Errorf("%s: %w", s.Name, err)
+	}
+	w := &world{
+		scenario:      s,
+		recorder:      results.New(s, settings, 2*int64(s.Net.Delay)),
+		workload:      workload.New(s),
+		networkRandom: rand.New(rand.NewPCG(s.Seed, networkStream)),
+		workRandom:    rand.New(rand.NewPCG(s.Seed, workStream)),
+	}
+	w.counter = counter{world: w, numbers: map[policy.CounterKey]*number{}, cutOff: map[int]int{}}
+	w.discovery.world = w
+	for n := range s.Backends.Count {
+		w.backends = append(w.backends, newBackend(w, n))
+	}
+	for n := range s.Instances.Count {
+		i := &instance{world: w, index: n}
+		if i.settings, err = s.EngineSettings(n); err != nil {
+			return nil, err
+		}
+		w.instances = append(w.instances, i)
+		i.start()
+	}
+	for _, fault := range s.Faults {
+		w.planFault(fault)
+	}
+	w.planArrival()
+	w.sampleBreakers()
+	return w, nil
+}
+
+// play runs the queue to the end of the run.
+func (w *world) play() *results.Run {
+	var longest scenario.Span
+	for _, class := range w.scenario.Classes {
+		longest = max(longest, class.Deadline)
+	}
+	endNanos := int64(w.scenario.Duration + longest + w.scenario.Rules.Grace + settleNanos)
+	for {
+		dueNanos, ok := w.queue.NextDue(func(func()) bool { return false })
+		if !ok || dueNanos > endNanos {
+			break
+		}
+		do, _ := w.queue.PopDue(dueNanos)
+		w.nowNanos = dueNanos
+		w.events++
+		do()
+	}
+	return w.recorder.Finish(endNanos, w.events)
+}
+
+// at does something at a time, or at once after what is being done.
+func (w *world) at(dueNanos int64, do func()) { w.queue.Push(max(dueNanos, w.nowNanos), do) }
+
+// after does something so long from now.
+func (w *world) after(delayNanos int64, do func()) { w.at(w.nowNanos+delayNanos, do) }
+
+// hopNanos draws one way through the network: half its usual delay, and as much again on the mean.
+func (w *world) hopNanos() int64 {
+	delay := float64(w.scenario.Net.Delay)
+	return int64(delay/2 + delay/2*w.networkRandom.ExpFloat64())
+}
+
+// engineNow is the present as engines have it.
+func (w *world) engineNow() int64 { return epochNanos + w.nowNanos }
+
+// sampleBreakers records each second how many instances have their breaker open.
+func (w *world) sampleBreakers() {
+	open := 0
+	for _, i := range w.instances {
+		if i.engine == nil {
+			continue
+		}
+		if isOpen, _ := i.engine.BreakerStatus(); isOpen {
+			open++
+		}
+	}
+	w.recorder.SetOpenBreakers(w.nowNanos, open)
+	w.after(sampleIntervalNanos, w.sampleBreakers)
+}
+
+// planArrival plans the next request, which plans the one after it.
+func (w *world) planArrival() {
+	request, ok := w.workload.Next()
+	if !ok {
+		return
+	}
+	w.at(request.AtNanos, func() {
+		w.submit(request, request.AtNanos, 0)
+		w.planArrival()
+	})
+}
--- a/internal/lab/results/log.go
+++ b/internal/lab/results/log.go
@@ -8,30 +8,31 @@
 	"fawnplank/internal/lab/invariants"
 )
 
-// Log is a recorder on the wall clock, for many goroutines: it stamps each event as it comes in, so that all of
-// them stand in one order. It notes which door a try went to, since a backend does not see that.
+// Log puts a recorder on the wall clock, for many goroutines: it stamps each event as it comes in, so that
+// all of them stand in one order. It notes which instance a submission went to, which a backend does not see.
 type Log struct {
-	mu    sync.Mutex
 	start atomic.Pointer[time.Time] // nil: the run has not begun, and all that is seen counts as at its start
-	rec   *Recorder
-	doors map[invariants.SubmissionID]int
-	calls uint64
-	lives map[int]int
-	done  bool
+
+	mu           sync.Mutex // of the fields below
+	recorder     *Recorder
+	instances    map[invariants.SubmissionID]int
+	incarnations map[int]int // by instance
+	events       uint64
+	finished     bool
 }
 
-// NewLog makes a log.
-func NewLog(rec *Recorder) *Log {
-	return &Log{rec: rec, doors: map[invariants.SubmissionID]int{}, lives: map[int]int{}}
+// NewLog returns a log that writes to a recorder.
+func NewLog(recorder *Recorder) *Log {
+	return &Log{recorder: recorder, instances: map[invariants.SubmissionID]int{}, incarnations: map[int]int{}}
 }
 
-// Begin lets the run's time begin now.
+// Begin starts the run's time.
 func (l *Log) Begin() {
 	now := time.Now()
 	l.start.Store(&now)
 }
 
-// Now is the time since the run's start, in nanoseconds.
+// Now returns the time since the run's start, in nanoseconds.
 func (l *Log) Now() int64 {
 	if start := l.start.Load(); start != nil {
 		return int64(time.Since(*start))
@@ -39,70 +40,71 @@
 	return 0
 }
 
-// Start is when the run began.
+// Start returns when the run began.
 func (l *Log) Start() time.Time { return *l.start.Load() }
 
-// Observe stamps an event and takes it in. The time that it gives is the event's.
-func (l *Log) Observe(e invariants.Event) int64 {
+// Observe stamps an event, records it, and returns its time. Submitted events come with the remaining time in
+// place of the deadline.
+func (l *Log) Observe(event invariants.Event) int64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	e.AtNanos = l.Now()
-	if l.done {
-		return e.AtNanos
+	event.AtNanos = l.Now()
+	if l.finished {
+		return event.AtNanos
 	}
-	l.calls++
-	switch e.Kind {
+	l.events++
+	switch event.Kind {
 	case invariants.Submitted:
-		l.doors[e.Submission] = e.Instance
-		e.DeadlineNanos += e.AtNanos // told as the time left
+		l.instances[event.Submission] = event.Instance
+		event.DeadlineNanos += event.AtNanos
 	case invariants.AttemptArrived, invariants.AttemptRefused:
-		e.Instance = l.doors[e.Submission]
+		event.Instance = l.instances[event.Submission]
 	case invariants.InstanceDied:
-		l.lives[e.Instance]++
+		l.incarnations[event.Instance]++
 	}
-	l.rec.Observe(e)
-	return e.AtNanos
+	l.recorder.Observe(event)
+	return event.AtNanos
 }
 
-// Incarnation is how often the door died.
-func (l *Log) Incarnation(door int) int {
+// Incarnation returns how often an instance died.
+func (l *Log) Incarnation(instance int) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.lives[door]
+	return l.incarnations[instance]
 }
 
-// CountNotSent counts a transaction that no door took.
+// CountNotSent counts a request that no instance accepted.
 func (l *Log) CountNotSent() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.rec.CountNotSent(l.Now())
+	l.recorder.CountNotSent(l.Now())
 }
 
 // CountCounterCall counts a call of the counter.
 func (l *Log) CountCounterCall(failed bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.rec.CountCounterCall(l.Now(), failed)
+	l.recorder.CountCounterCall(l.Now(), failed)
 }
 
-// CountDNSUpdate counts an update that a front door answered.
+// CountDNSUpdate counts an update that a gateway answered.
 func (l *Log) CountDNSUpdate() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.rec.CountDNSUpdate()
+	l.recorder.CountDNSUpdate()
 }
 
-// SetOpenBreakers notes how many doors call nothing.
-func (l *Log) SetOpenBreakers(doors int) {
+// SetOpenBreakers notes how many instances call nothing.
+func (l *Log) SetOpenBreakers(instances int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.rec.SetOpenBreakers(l.Now(), doors)
+	l.recorder.SetOpenBreakers(l.Now(), instances)
 }
 
-// Finish ends the run; later events are dropped.
+// Finish ends the run and returns its results; later events are dropped.
 func (l *Log) Finish() *Run {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.done = true
-	return l.rec.Finish(l.Now(), l.calls)
+	l.finished = true
+	return l.recorder.Finish(l.Now(), l.events)
 }
--- /dev/null
+++ b/internal/lab/results/recorder.go
@@ -0,0 +1,307 @@
+package results
+
+import (
+	"github.com/HdrHistogram/hdrhistogram-go"
+
+	"fawnplank/internal/lab/invariants"
+	"fawnplank/internal/lab/scenario"
+	"fawnplank/policy"
+)
+
+const (
+	nanosPerSecond = 1e9
+	// maxLatencyMicros and latencyDigits are the range of the histograms: up to two minutes, to three digits.
+	maxLatencyMicros = 120e6
+	latencyDigits    = 3
+	// minWithdrawalNanos tells a last attempt that came with the news from none at all, which is 0.
+	minWithdrawalNanos = 1e3
+)
+
+// histogram counts latencies in microseconds.
+type histogram struct{ *hdrhistogram.Histogram }
+
+func newHistogram() histogram {
+	return histogram{hdrhistogram.New(1, maxLatencyMicros, latencyDigits)}
+}
+
+func (h histogram) record(micros int64) {
+	// It returns an error for values above the range alone.
+	_ = h.RecordValue(min(micros, maxLatencyMicros))
+}
+
+// millisAt returns a percentile in milliseconds.
+func (h histogram) millisAt(percent float64) float64 {
+	return float64(h.ValueAtQuantile(percent)) / 1e3
+}
+
+// pending is a submission without an answer so far.
+type pending struct {
+	invariants.Event
+	hasArrived bool
+}
+
+// path leads from an instance to a backend.
+type path struct{ instance, backend int }
+
+// withdrawal is when a backend was delivered as gone, and how long after that the last attempt came.
+type withdrawal struct {
+	deliveredNanos   int64
+	lastAttemptNanos int64
+}
+
+// Recorder makes the results of the events that it observes, in order of time. Times are nanoseconds since
+// the run's start.
+type Recorder struct {
+	scenario        *scenario.Scenario
+	checker         *invariants.Checker
+	run             *Run
+	row             Row
+	rowLatency      histogram
+	latency         histogram
+	pending         map[invariants.SubmissionID]*pending
+	quotas          map[int]*exactQuota // by tenant
+	withdrawals     map[path]*withdrawal
+	withdrawalTimes histogram
+}
+
+// New returns a recorder for a scenario. slackNanos is what the ways between the parties may take where only
+// their ends are seen; classes and plans are those of the settings, which the gateways have too.
+func New(s *scenario.Scenario, settings policy.Settings, slackNanos int64) *Recorder {
+	r := &Recorder{
+		scenario:        s,
+		checker:         invariants.New(checkerSettings(s, settings, slackNanos)),
+		run:             newRun(s),
+		rowLatency:      newHistogram(),
+		latency:         newHistogram(),
+		pending:         map[invariants.SubmissionID]*pending{},
+		quotas:          map[int]*exactQuota{},
+		withdrawals:     map[path]*withdrawal{},
+		withdrawalTimes: newHistogram(),
+	}
+	return r
+}
+
+func checkerSettings(s *scenario.Scenario, settings policy.Settings, slackNanos int64) invariants.Settings {
+	checked := invariants.Settings{
+		Classes:             settings.Classes,
+		Plans:               settings.Plans,
+		GraceNanos:          int64(s.Rules.Grace),
+		DrainNanos:          int64(s.Rules.Drain),
+		SlackNanos:          slackNanos,
+		Cores:               float64(s.Backends.Cores),
+		InitialCapacity:     s.Rules.InitialCapacity,
+		SlowStartNanos:      int64(s.Rules.SlowStart),
+		CollapseMultiple:    s.Rules.CollapseMultiple,
+		CollapseWindowNanos: int64(s.Rules.CollapseWindow),
+		Zone:                func(backend int) int { return backend % s.Backends.Zones },
+		Group:               func(backend int) int { return backend % s.Backends.Groups },
+	}
+	for _, plan := range s.Plans {
+		checked.HardQuotaSlack = append(checked.HardQuotaSlack, plan.HardQuotaSlack)
+	}
+	return checked
+}
+
+func newRun(s *scenario.Scenario) *Run {
+	run := &Run{
+		Version:          Version,
+		Scenario:         s.Name,
+		About:            s.About,
+		On:               s.On,
+		Seed:             s.Seed,
+		Instances:        s.Instances.Count,
+		Backends:         s.Backends.Count,
+		Rate:             s.Load.Rate,
+		LatencyObjective: float64(s.Classes[0].LatencyObjective) / 1e6,
+	}
+	for _, fault := range s.Faults {
+		// Staggered faults are in force until the last one's end.
+		staggered := fault.Stagger * scenario.Span(max(len(s.Targets(fault))-1, 0))
+		run.Faults = append(run.Faults, FaultSpan{
+			Kind:  string(fault.Kind),
+			From:  float64(fault.At) / 1e9,
+			Until: float64(fault.At+fault.Duration+staggered) / 1e9,
+		})
+	}
+	return run
+}
+
+// advance goes on to the second of a time.
+func (r *Recorder) advance(atNanos int64) {
+	for int64(r.row.Second+1)*nanosPerSecond <= atNanos {
+		r.closeRow()
+	}
+}
+
+func (r *Recorder) closeRow() {
+	if r.rowLatency.TotalCount() > 0 {
+		r.row.P50 = r.rowLatency.millisAt(50)
+		r.row.P99 = r.rowLatency.millisAt(99)
+		r.rowLatency.Reset()
+	}
+	for _, quota := range r.quotas {
+		over, under := quota.drift()
+		r.row.DriftOver += over
+		r.row.DriftUnder += under
+	}
+	r.run.Rows = append(r.run.Rows, r.row)
+	r.row = Row{Second: r.row.Second + 1}
+}
+
+// Observe records the next event.
+func (r *Recorder) Observe(event invariants.Event) {
+	r.advance(event.AtNanos)
+	r.checker.Observe(event)
+	switch event.Kind {
+	case invariants.EndpointDelivered:
+		r.endpointDelivered(event)
+	case invariants.Submitted:
+		r.submitted(event)
+	case invariants.AttemptRefused:
+		r.row.AttemptsRefused++
+	case invariants.AttemptArrived:
+		r.attemptArrived(event)
+	case invariants.Succeeded, invariants.Rejected, invariants.Aborted, invariants.Abandoned:
+		r.ended(event)
+	}
+}
+
+func (r *Recorder) endpointDelivered(event invariants.Event) {
+	key := path{instance: event.Instance, backend: event.Backend}
+	r.settleWithdrawal(key)
+	if event.State == policy.EndpointGone {
+		r.withdrawals[key] = &withdrawal{deliveredNanos: event.AtNanos}
+	}
+}
+
+func (r *Recorder) submitted(event invariants.Event) {
+	r.pending[event.Submission] = &pending{Event: event}
+	r.admitExact(event)
+	r.row.Submitted++
+	if !event.IsRetry {
+		r.run.Total.Requests++
+	}
+}
+
+func (r *Recorder) attemptArrived(event invariants.Event) {
+	r.row.Attempts++
+	if w := r.withdrawals[path{instance: event.Instance, backend: event.Backend}]; w != nil {
+		w.lastAttemptNanos = max(event.AtNanos-w.deliveredNanos, minWithdrawalNanos)
+	}
+	if submission := r.pending[event.Submission]; submission != nil && !submission.hasArrived {
+		submission.hasArrived = true
+		r.drawExact(event.AtNanos, submission.Event)
+	}
+}
+
+// ended records how a submission ended.
+func (r *Recorder) ended(event invariants.Event) {
+	submission := r.pending[event.Submission]
+	if submission == nil {
+		return
+	}
+	delete(r.pending, event.Submission)
+	switch event.Kind {
+	case invariants.Succeeded:
+		r.succeeded(submission, event)
+	case invariants.Rejected:
+		r.row.Rejected++
+	case invariants.Aborted:
+		r.row.Aborted++
+	default:
+		r.row.Abandoned++
+	}
+}
+
+func (r *Recorder) succeeded(submission *pending, event invariants.Event) {
+	latencyNanos := max(event.AtNanos-submission.DueNanos, 0)
+	micros := max(latencyNanos/1e3, 1)
+	r.rowLatency.record(micros)
+	r.latency.record(micros)
+	r.row.Succeeded++
+	if latencyNanos > int64(r.scenario.Classes[submission.Class].LatencyObjective) {
+		r.row.Late++
+	}
+}
+
+// settleWithdrawal records how a withdrawal ended, once the backend is back or the run over.
+func (r *Recorder) settleWithdrawal(key path) {
+	w := r.withdrawals[key]
+	if w == nil {
+		return
+	}
+	delete(r.withdrawals, key)
+	if r.run.Withdrawals == nil {
+		r.run.Withdrawals = &Withdrawals{}
+	}
+	r.run.Withdrawals.Count++
+	if w.lastAttemptNanos > 0 {
+		r.run.Withdrawals.WithAttempt++
+	}
+	r.withdrawalTimes.record(w.lastAttemptNanos / 1e3)
+}
+
+// CountDNSUpdate counts an update that a gateway answered.
+func (r *Recorder) CountDNSUpdate() { r.run.DNSUpdates++ }
+
+// CountNotSent counts a request that no instance accepted.
+func (r *Recorder) CountNotSent(atNanos int64) {
+	r.advance(atNanos)
+	r.row.NotSent++
+}
+
+// CountCounterCall counts a call that came to the counter, or failed to.
+func (r *Recorder) CountCounterCall(atNanos int64, failed bool) {
+	r.advance(atNanos)
+	r.row.CounterCalls++
+	if failed {
+		r.row.CounterFailures++
+	}
+}
+
+// SetOpenBreakers notes how many instances have their breaker open.
+func (r *Recorder) SetOpenBreakers(atNanos int64, instances int) {
+	r.advance(atNanos)
+	r.row.OpenBreakers = instances
+}
+
+// Finish ends the run, and returns its results.
+func (r *Recorder) Finish(atNanos int64, events uint64) *Run {
+	r.advance(atNanos)
+	r.closeRow()
+	r.run.Events = events
+	r.run.Findings, r.run.RulesBroken = r.checker.End(atNanos)
+	for key := range r.withdrawals {
+		r.settleWithdrawal(key)
+	}
+	if w := r.run.Withdrawals; w != nil {
+		w.P50 = r.withdrawalTimes.millisAt(50)
+		w.P99 = r.withdrawalTimes.millisAt(99)
+		w.Max = r.withdrawalTimes.millisAt(100)
+	}
+	for _, row := range r.run.Rows {
+		r.run.Total.add(row)
+	}
+	r.run.Total.Second = len(r.run.Rows)
+	if r.latency.TotalCount() > 0 {
+		r.finishLatency()
+	}
+	return r.run
+}
+
+// finishLatency reads the percentiles of the whole run.
+func (r *Recorder) finishLatency() {
+	total := &r.run.Total
+	total.P50 = r.latency.millisAt(50)
+	total.P90 = r.latency.millisAt(90)
+	total.P99 = r.latency.millisAt(99)
+	total.P999 = r.latency.millisAt(99.9)
+	total.Max = float64(r.latency.Max()) / 1e3
+	points := &r.run.Latency
+	for _, bracket := range r.latency.CumulativeDistribution() {
+		isNext := len(*points) == 0 || bracket.Quantile > (*points)[len(*points)-1].Percent
+		if bracket.Count > 0 && isNext {
+			*points = append(*points, Point{Percent: bracket.Quantile, Ms: float64(bracket.ValueAt) / 1e3})
+		}
+	}
+}
--- /dev/null
+++ b/internal/lab/results/run.go
@@ -0,0 +1,177 @@
+// Package results turns what was seen in a run into its results: rows a second, latencies in an HDR
+// histogram, quotas against those of an exact counter, and the findings of the invariants. A run is written
+// as JSON and read back for reports. The package runs nothing.
+//
+// A Recorder is not safe for concurrent use; a Log, which puts one on the wall clock, is.
+package results
+
+import (
+	"encoding/json"
+	"fmt"
+	"math"
+	"os"
+
+	"fawnplank/internal/lab/invariants"
+)
+
+// OnClients is where a run was played of which only the clients' side was seen: no attempts, counter calls or
+// quotas.
+const OnClients = "clients"
+
+// Version is of the form of a run's file; another one is refused.
+const Version = 1
+
+// Row is one second of a run. Latencies are milliseconds, from when a submission was due to its answer's last
+// byte. Units are compared with those of an exact counter, which decides the same submissions with the quota
+// alone.
+type Row struct {
+	Second          int     `json:"second"`
+	Submitted       int     `json:"asked"`
+	Succeeded       int     `json:"fulfilled"`
+	Late            int     `json:"late"` // of those succeeded, after the latency objective
+	Rejected        int     `json:"dismissed"`
+	Aborted         int     `json:"broken_off"`
+	Abandoned       int     `json:"left"`
+	NotSent         int     `json:"unsent"` // no instance accepted the connection
+	P50             float64 `json:"p50_ms"`
+	P99             float64 `json:"p99_ms"`
+	Attempts        int     `json:"shots"`
+	AttemptsRefused int     `json:"turned_away"`
+	CounterCalls    int     `json:"counter_calls"`
+	CounterFailures int     `json:"counter_failed"`
+	OpenBreakers    int     `json:"breakers_open"` // instances whose breaker is open, or that called nothing
+	UnitsOver       float64 `json:"units_over"`    // sent on, that an exact counter would have rejected
+	UnitsInside     float64 `json:"units_inside"`  // sent on within the quota
+	UnitsExact      float64 `json:"units_honest"`  // that an exact counter would have admitted
+	DriftOver       float64 `json:"drift_over"`    // units that tenants had beyond the exact ones, since the start
+	DriftUnder      float64 `json:"drift_under"`   // units that other tenants had less, since the start
+}
+
+// Total is a run's sums. Row has no tag: its fields stand among the others in the file, and a name would nest
+// them.
+type Total struct {
+	Row
+	Requests int     `json:"transactions"` // submissions but for clients' retries
+	P90      float64 `json:"p90_ms"`
+	P999     float64 `json:"p999_ms"`
+	Max      float64 `json:"max_ms"`
+}
+
+// Point is a percentile of the answers' latencies.
+type Point struct {
+	Percent float64 `json:"percent"`
+	Ms      float64 `json:"ms"`
+}
+
+// Run is the results of one run. The same scenario on the model gives the same bytes.
+type Run struct {
+	Version          int                  `json:"version"`
+	Scenario         string               `json:"scenario"`
+	About            string               `json:"about"`
+	On               string               `json:"on"`
+	Label            string               `json:"label,omitempty"`
+	Seed             uint64               `json:"seed"`
+	Instances        int                  `json:"doors"`
+	Backends         int                  `json:"backends"`
+	Rate             float64              `json:"rate"`
+	LatencyObjective float64              `json:"promised_ms"` // of the first class
+	Events           uint64               `json:"events"`
+	LagP50           float64              `json:"tool_lag_p50_ms"` // the load tool's part of the latencies; 0 on the model
+	LagP99           float64              `json:"tool_lag_p99_ms"`
+	Total            Total                `json:"total"`
+	Latency          []Point              `json:"latency"`
+	RulesBroken      map[string]int       `json:"rules_broken"`
+	Findings         []invariants.Finding `json:"findings"`
+	Withdrawals      *Withdrawals         `json:"withdrawals,omitempty"` // nil: no backend was removed
+	DNSUpdates       int                  `json:"dns_updates,omitempty"` // answered by gateways
+	Faults           []FaultSpan          `json:"faults"`
+	Rows             []Row                `json:"rows"`
+}
+
+// Withdrawals are how long after a backend was delivered as gone to an instance the last attempt came from
+// there: 0 where none did.
+type Withdrawals struct {
+	Count       int     `json:"count"` // one for each instance
+	WithAttempt int     `json:"with_shot"`
+	P50         float64 `json:"p50_ms"`
+	P99         float64 `json:"p99_ms"`
+	Max         float64 `json:"max_ms"`
+}
+
+// FaultSpan is when a fault was in force, in seconds, for plots.
+type FaultSpan struct {
+	Kind  string  `json:"kind"`
+	From  float64 `json:"from_s"`
+	Until float64 `json:"until_s"`
+}
+
+// add adds a second to the sums. What counts from the run's start stands as it did last.
+func (t *Total) add(row Row) {
+	t.Submitted += row.Submitted
+	t.Succeeded += row.Succeeded
+	t.Late += row.Late
+	t.Rejected += row.Rejected
+	t.Aborted += row.Aborted
+	t.Abandoned += row.Abandoned
+	t.NotSent += row.NotSent
+	t.Attempts += row.Attempts
+	t.AttemptsRefused += row.AttemptsRefused
+	t.CounterCalls += row.CounterCalls
+	t.CounterFailures += row.CounterFailures
+	t.UnitsOver += row.UnitsOver
+	t.UnitsInside += row.UnitsInside
+	t.UnitsExact += row.UnitsExact
+	t.DriftOver = row.DriftOver
+	t.DriftUnder = row.DriftUnder
+	t.OpenBreakers = max(t.OpenBreakers, row.OpenBreakers)
+}
+
+// Violations returns how often rules were broken, all together.
+func (r *Run) Violations() int {
+	total := 0
+	for _, count := range r.RulesBroken {
+		total += count
+	}
+	return total
+}
+
+// Drift returns how many units tenants had beyond those that an exact counter would have admitted, and how
+// many other tenants had less, both as shares of what it would have admitted by the end.
+func (r *Run) Drift() (over, under float64) {
+	exact := math.Max(r.Total.UnitsExact, 1)
+	return r.Total.DriftOver / exact, r.Total.DriftUnder / exact
+}
+
+// Bytes returns the text of the run's file.
+func (r *Run) Bytes() ([]byte, error) {
+	text, err := json.MarshalIndent(r, "", " ")
+	return append(text, '\n'), err
+}
+
+// Write writes the run to a file.
+func (r *Run) Write(path string) error {
+	text, err := r.Bytes()
+	if err != nil {
+		return err
+	}
+	return os.WriteFile(path, text, 0o644)
+}
+
+// Read reads a run from its file.
+func Read(path string) (*Run, error) {
+	text, err := os.ReadFile(path)
+	if err != nil {
+		return nil, err
+	}
+	var run Run
+	if err := json.Unmarshal(text, &run); err != nil {
+		return nil, fmt.Errorf("%s: no run: %w", path, err)
+	}
+	if run.Version != Version {
+		return nil, fmt.Errorf("%s: a run of form %d, where %d is read", path, run.Version, Version)
+	}
+	if len(run.Rows) == 0 {
+		return nil, fmt.Errorf("%s: a run without rows", path)
+	}
+	return &run, nil
+}
--- a/internal/lab/results/version0_test.go
+++ b/internal/lab/results/version0_test.go
@@ -60,8 +60,9 @@
 factor = 10
 `
 
-// TestRead_ReadsVersion0Run reads a run of the version before, and writes it anew as the same bytes. The model made
-// its rows; label, updates, lag and a finding, which the model has none of, were put in so that each field is there.
+// TestRead_ReadsVersion0Run reads a run of the version before, and writes it anew as the same bytes. The
+// model made its rows; label, updates, lag and a finding, which the model has none of, were put in so that
+// each field is there.
 func TestRead_ReadsVersion0Run(t *testing.T) {
 	path := testutil.Fixture(t, "run.json", func(path string) {
 		s, err := scenario.Parse("version-0", []byte(version0Scenario))
--- /dev/null
+++ b/internal/lab/scenario/fault.go
@@ -0,0 +1,125 @@
+package scenario
+
+import "math"
+
+// FaultKind is what goes wrong.
+type FaultKind string
+
+// The kinds of fault.
+const (
+	BackendRefuse   FaultKind = "backend-refuse"   // connections are refused
+	BackendHang     FaultKind = "backend-hang"     // accepts attempts and answers none
+	BackendSlow     FaultKind = "backend-slow"     // work takes factor times as long
+	BackendReset    FaultKind = "backend-reset"    // the connection breaks in the middle of an answer
+	BackendGarble   FaultKind = "backend-garble"   // answers are noise
+	BackendError    FaultKind = "backend-error"    // answers are errors
+	BackendDrain    FaultKind = "backend-drain"    // listed as draining; refuses new work
+	BackendVanish   FaultKind = "backend-vanish"   // dies, leaves the list, and comes back to warm up
+	BackendWithdraw FaultKind = "backend-withdraw" // leaves the list, runs on, and is back at its address as a new one
+	BackendRestart  FaultKind = "backend-restart"  // dies and comes back to warm up, listed with its new start
+	CounterRefuse   FaultKind = "counter-refuse"   // refuses connections
+	CounterHang     FaultKind = "counter-hang"     // accepts calls and answers none until the end
+	CounterSlow     FaultKind = "counter-slow"     // answers late by delay
+	CounterEmpty    FaultKind = "counter-empty"    // loses all numbers, at once
+	CounterCut      FaultKind = "counter-cut"      // silent towards the instances named
+	DiscoveryStale  FaultKind = "discovery-stale"  // delivers nothing until the end
+	DiscoveryLate   FaultKind = "discovery-late"   // delivers changes late by delay
+	DiscoveryRefuse FaultKind = "discovery-refuse" // refuses connections; model: as stale
+	InstanceRestart FaultKind = "door-restart"     // killed, and started anew at the end
+)
+
+// party is who a fault befalls, in the words of errors.
+type party string
+
+const (
+	noParty       party = ""
+	backendsParty party = "backends"
+	gatewaysParty party = "doors"
+)
+
+// parameter is a key that a kind of fault needs.
+type parameter string
+
+const (
+	factorParameter parameter = "factor"
+	delayParameter  parameter = "delay"
+)
+
+// faultTraits say what keys a kind of fault has.
+type faultTraits struct {
+	party     party
+	needs     parameter
+	isInstant bool // it has no duration
+}
+
+var traitsOf = map[FaultKind]faultTraits{
+	BackendRefuse:   {party: backendsParty},
+	BackendHang:     {party: backendsParty},
+	BackendSlow:     {party: backendsParty, needs: factorParameter},
+	BackendReset:    {party: backendsParty},
+	BackendGarble:   {party: backendsParty},
+	BackendError:    {party: backendsParty},
+	BackendDrain:    {party: backendsParty},
+	BackendVanish:   {party: backendsParty},
+	BackendRestart:  {party: backendsParty},
+	BackendWithdraw: {party: backendsParty},
+	CounterRefuse:   {},
+	CounterHang:     {},
+	CounterSlow:     {needs: delayParameter},
+	CounterEmpty:    {isInstant: true},
+	CounterCut:      {party: gatewaysParty},
+	DiscoveryStale:  {},
+	DiscoveryLate:   {needs: delayParameter},
+	DiscoveryRefuse: {},
+	InstanceRestart: {party: gatewaysParty},
+}
+
+// Fault is something that goes wrong from At on, for a duration.
+type Fault struct {
+	Kind           FaultKind `toml:"kind"`
+	At             Span      `toml:"at"`
+	Duration       Span      `toml:"for"`
+	Targets        []int     `toml:"who"`   // numbers of backends or instances, from 0
+	Share          float64   `toml:"share"` // in place of targets: of them all, the first ones
+	Factor         float64   `toml:"factor"`
+	Delay          Span      `toml:"delay"`
+	Stagger        Span      `toml:"each"`  // between one target and the next
+	Repeats        int       `toml:"times"` // how often the fault comes; 0: once
+	RepeatInterval Span      `toml:"every"`
+}
+
+// expandRepeats returns a fault that comes again as so many faults.
+func expandRepeats(faults []Fault) (expanded []Fault) {
+	for _, fault := range faults {
+		for n := range max(fault.Repeats, 1) {
+			single := fault
+			single.Repeats = 0
+			single.At += Span(n) * fault.RepeatInterval
+			expanded = append(expanded, single)
+		}
+	}
+	return expanded
+}
+
+// Targets returns the numbers of the backends or instances that a fault befalls.
+func (s *Scenario) Targets(fault Fault) []int {
+	if len(fault.Targets) > 0 {
+		return fault.Targets
+	}
+	targets := make([]int, int(math.Ceil(fault.Share*float64(s.countOf(traitsOf[fault.Kind].party)))))
+	for n := range targets {
+		targets[n] = n
+	}
+	return targets
+}
+
+// countOf returns how many there are of a party that faults befall.
+func (s *Scenario) countOf(p party) int {
+	switch p {
+	case backendsParty:
+		return s.Backends.Count
+	case gatewaysParty:
+		return s.Instances.Count
+	}
+	return 0
+}
--- a/internal/lab/scenario/scenario_test.go
+++ b/internal/lab/scenario/scenario_test.go
@@ -9,7 +9,7 @@
 	"fawnplank/policy"
 )
 
-const small = `name = "x"
+const smallScenario = `name = "x"
 [[profile]]
 name = "calc"
 effect = "numbered"
@@ -22,23 +22,34 @@
 burst = 24
 `
 
-func TestShippedScenariosAreInOrder(t *testing.T) {
-	files, _ := filepath.Glob("../../../lab/scenarios/*.toml")
+func TestLoad_ShippedScenarios(t *testing.T) {
+	files, err := filepath.Glob("../../../lab/scenarios/*.toml")
+	if err != nil {
+		t.Fatal(err)
+	}
 	if len(files) < 5 {
 		t.Fatalf("%d scenarios", len(files))
 	}
-	for _, f := range files {
-		s, err := Load(f)
+	for _, file := range files {
+		s, err := Load(file)
 		if err != nil {
 			t.Error(err)
-		} else if s.Name+".toml" != filepath.Base(f) {
-			t.Errorf("%s is called %s", f, s.Name)
+		} else if s.Name+".toml" != filepath.Base(file) {
+			t.Errorf("%s is called %s", file, s.Name)
 		}
 	}
 }
 
-func TestFaultsNameLineAndKey(t *testing.T) {
-	for _, x := range []struct{ add, over, want string }{
+func TestLoad_MissingFile(t *testing.T) {
+	if _, err := Load(filepath.Join(t.TempDir(), "none")); !os.IsNotExist(err) {
+		t.Error(err)
+	}
+}
+
+// TestParse_NamesLineAndKey parses texts with a fault behind the small scenario, which has 12 lines.
+func TestParse_NamesLineAndKey(t *testing.T) {
+	const hang = "[[fault]]\nkind = \"backend-hang\"\nat = \"1s\"\n"
+	for _, test := range []struct{ text, override, want string }{
 		{"", "load.rate=0", "load.rate is not above 0"},
 		{"[load]\nrate = 0\n", "", "f:13: load.rate is not above 0"},
 		{"[load]\nspeed = 1\n", "", "f:13: unknown key load.speed"},
@@ -46,51 +57,69 @@
 		{"[doors]\ncount = 2\ncount = 3\n", "", "f:14: doors.count stands twice"},
 		{"[net]\ndelay = \"soon\"\n", "", "f:13: "},
 		{"[[fault]]\nkind = \"backend-melts\"\nat = \"1s\"\n", "", "f:13: fault[0].kind is \"backend-melts\""},
-		{"[[fault]]\nkind = \"backend-hang\"\nat = \"1s\"\nwho = [0]\n", "", "fault[0].for is not above 0"},
-		{"[[fault]]\nkind = \"backend-hang\"\nat = \"1s\"\nfor = \"1s\"\n", "", "fault[0].who is missing"},
-		{"[[fault]]\nkind = \"backend-hang\"\nat = \"1s\"\nfor = \"1s\"\nwho = [4]\n", "", "f:16: fault[0].who names 4 of 4 backends"},
-		{"[[fault]]\nkind = \"backend-slow\"\nat = \"1s\"\nfor = \"1s\"\nwho = [0]\n", "", "fault[0].factor is not above 0"},
+		{hang + "who = [0]\n", "", "fault[0].for is not above 0"},
+		{hang + "for = \"1s\"\n", "", "fault[0].who is missing"},
+		{hang + "for = \"1s\"\nwho = [4]\n", "", "f:16: fault[0].who names 4 of 4 backends"},
+		{"[[fault]]\nkind = \"backend-slow\"\nat = \"1s\"\nfor = \"1s\"\nwho = [0]\n", "",
+			"fault[0].factor is not above 0"},
 		{"[[fault]]\nkind = \"counter-slow\"\nat = \"1s\"\nfor = \"1s\"\n", "", "fault[0].delay is not above 0"},
 		{"[[fault]]\nkind = \"counter-empty\"\nat = \"99s\"\n", "", "fault[0].at is not within"},
-		{"[[profile]]\nname = \"calc\"\neffect = \"reissuable\"\npromised = \"1s\"\n", "", "profile[1].name is \"calc\""},
-		{"[[profile]]\nname = \"other\"\neffect = \"odd\"\npromised = \"1s\"\n", "", "f:14: profile[1].effect is \"odd\""},
+		{"[[profile]]\nname = \"calc\"\neffect = \"reissuable\"\npromised = \"1s\"\n", "",
+			"profile[1].name is \"calc\""},
+		{"[[profile]]\nname = \"other\"\neffect = \"odd\"\npromised = \"1s\"\n", "",
+			"f:14: profile[1].effect is \"odd\""},
 		{"[[plan]]\nname = \"other\"\nrate = 3\n", "", "plan[1].burst is not above 0"},
-		{"", "on=sky", "on is \"sky\""}, {"", "rate", "key=value"}, {"", "load.speed=3", "unknown key load.speed"},
-		{"", "doors.count=17", ""}, {"on = \"sockets\"\n", "doors.count=17", "doors.count is above 16"},
+		{"", "on=sky", "on is \"sky\""},
+		{"", "rate", "key=value"},
+		{"", "load.speed=3", "unknown key load.speed"},
 	} {
-		text := small + x.add
-		if strings.HasPrefix(x.add, "on") {
-			text = x.add + small
+		var overrides []string
+		if test.override != "" {
+			overrides = []string{test.override}
 		}
-		var over []string
-		if x.over != "" {
-			over = []string{x.over}
-		}
-		if _, err := Parse("f", []byte(text), over...); (err != nil) != (x.want != "") || err != nil && !strings.Contains(err.Error(), x.want) {
-			t.Errorf("%q %q: %v, want %q", x.add, x.over, err, x.want)
+		_, err := Parse("f", []byte(smallScenario+test.text), overrides...)
+		if err == nil || !strings.Contains(err.Error(), test.want) {
+			t.Errorf("%q %q: %v, want %q", test.text, test.override, err, test.want)
 		}
 	}
-	if _, err := Parse("f", []byte(small[:40])); err == nil {
-		t.Error("a text cut short was taken")
+	if _, err := Parse("f", []byte(smallScenario[:40])); err == nil {
+		t.Error("a text cut short was accepted")
 	}
-	if _, err := Load(filepath.Join(t.TempDir(), "none")); !os.IsNotExist(err) {
+}
+
+// TestParse_BoundsInstancesOnSockets parses a number of instances that the model has, and sockets do not.
+func TestParse_BoundsInstancesOnSockets(t *testing.T) {
+	if _, err := Parse("f", []byte(smallScenario), "doors.count=17"); err != nil {
+		t.Error(err)
+	}
+	_, err := Parse("f", []byte("on = \"sockets\"\n"+smallScenario), "doors.count=17")
+	if err == nil || !strings.Contains(err.Error(), "doors.count is above 16") {
 		t.Error(err)
 	}
 }
 
-// The doors' own reader of settings gives what the scenario says.
-func TestTermsComeThroughTheDoorsOwnReader(t *testing.T) {
-	s, err := Parse("f", []byte(small), "doors.count=3", "backends.zones=2")
+// TestScenario_EngineSettings passes a scenario's settings through the gateway's own reader.
+func TestScenario_EngineSettings(t *testing.T) {
+	s, err := Parse("f", []byte(smallScenario), "doors.count=3", "backends.zones=2")
 	if err != nil {
 		t.Fatal(err)
 	}
-	terms, err := s.EngineSettings(1)
+	settings, err := s.EngineSettings(1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := policy.ClassSettings{Idempotency: policy.IdempotentWithKey, DedupScope: policy.DedupByGroup, DedupWindow: 5e9, LatencyObjective: 750e6, Deadline: 1500e6}
-	if terms.InstanceIndex != 1 || terms.Instances != 3 || terms.Zone != 1 || terms.Classes[0] != p || !terms.CounterEnabled ||
-		terms.Plans[0] != (policy.PlanSettings{Rate: 8, Burst: 24}) || terms.SlowStartDuration != 9e9 {
-		t.Errorf("%+v", terms)
+	class := policy.ClassSettings{
+		Idempotency:      policy.IdempotentWithKey,
+		DedupScope:       policy.DedupByGroup,
+		DedupWindow:      5e9,
+		LatencyObjective: 750e6,
+		Deadline:         1500e6,
+	}
+	if settings.InstanceIndex != 1 || settings.Instances != 3 || settings.Zone != 1 || !settings.CounterEnabled {
+		t.Errorf("%+v", settings)
+	}
+	plan := policy.PlanSettings{Rate: 8, Burst: 24}
+	if settings.Classes[0] != class || settings.Plans[0] != plan || settings.SlowStartDuration != 9e9 {
+		t.Errorf("%+v", settings)
 	}
 }
--- /dev/null
+++ b/internal/lab/scenario/settings.go
@@ -0,0 +1,102 @@
+package scenario
+
+import (
+	"encoding/json"
+
+	"fawnplank/internal/config"
+	"fawnplank/policy"
+)
+
+// The gateway's words for those of a scenario.
+var (
+	effectSettings = map[string]string{
+		Idempotent:        "read_like",
+		IdempotentWithKey: "idempotency_key",
+		NonIdempotent:     "non_idempotent",
+	}
+	scopeSettings = map[string]string{"all": "all", "zone": "zone", "group": "cell"}
+)
+
+func inMillis(span Span) float64 { return float64(span) / 1e6 }
+
+// GatewaySettings returns the settings of a gateway instance, in the form that internal/config reads.
+func (s *Scenario) GatewaySettings(instance int) map[string]any {
+	zones := make([]string, s.Backends.Zones)
+	for n := range zones {
+		zones[n] = ZoneName(n)
+	}
+	var lanes, tariffs []map[string]any
+	for _, class := range s.Classes {
+		lanes = append(lanes, class.settings())
+	}
+	for _, plan := range s.Plans {
+		tariffs = append(tariffs, plan.settings())
+	}
+	return map[string]any{
+		"me":             instance,
+		"replicas-of-me": s.Instances.Count,
+		"zones":          zones,
+		"my-zone":        instance % s.Backends.Zones,
+		"discovery":      "pushed",
+		"lanes":          lanes,
+		"tariffs":        tariffs,
+		"family-info": map[string]any{
+			"may-count":          !s.Counter.Off,
+			"counter-timeout-ms": inMillis(s.Counter.Timeout),
+		},
+		"permissions": map[string]any{
+			"send-cap":           s.Allow.MaxAttempts,
+			"second-copies":      s.Allow.HedgedAttempts,
+			"cancelling":         s.Allow.Cancellation, //nolint:misspell // the settings' own key
+			"probes":             s.Allow.HealthChecks,
+			"retry-after":        s.Allow.RetryAfter,
+			"max-retry-after-ms": inMillis(s.Allow.MaxRetryAfter),
+		},
+		"invariants": map[string]any{
+			"cold-share":   s.Rules.InitialCapacity,
+			"warm-up-ms":   inMillis(s.Rules.SlowStart),
+			"tip-multiple": s.Rules.CollapseMultiple,
+			"fall-ms":      inMillis(s.Rules.CollapseWindow),
+		},
+	}
+}
+
+func (c *Class) settings() map[string]any {
+	lane := map[string]any{
+		"name":         c.Name,
+		"effect":       effectSettings[c.Idempotency],
+		"goal-time-ms": inMillis(c.LatencyObjective),
+		"deadline-ms":  inMillis(c.Deadline),
+		"late-worth":   c.LateValue,
+	}
+	if c.Idempotency == IdempotentWithKey {
+		lane["group"] = scopeSettings[c.DedupScope]
+		lane["window-ms"] = inMillis(c.DedupWindow)
+	}
+	if c.Fallback != "" {
+		lane["silence"] = c.Fallback
+	}
+	return lane
+}
+
+func (p *Plan) settings() map[string]any {
+	return map[string]any{
+		"name":          p.Name,
+		"quota-rate":    p.Rate,
+		"peak-units":    p.Burst,
+		"parallel":      p.MaxConcurrent,
+		"cap-rate":      p.HardQuotaRate,
+		"ceiling-burst": p.HardQuotaBurst,
+		"beyond-earns":  p.OverQuotaValue,
+		"beyond-costs":  p.OverQuotaCost,
+	}
+}
+
+// EngineSettings returns the settings that a gateway instance reads from GatewaySettings.
+func (s *Scenario) EngineSettings(instance int) (policy.Settings, error) {
+	text, err := json.Marshal(s.GatewaySettings(instance))
+	if err != nil {
+		return policy.Settings{}, err
+	}
+	return config.ParseSettings(text)
+}
--- /dev/null
+++ b/internal/lab/scenario/validate.go
@@ -0,0 +1,203 @@
+package scenario
+
+import (
+	"fmt"
+	"slices"
+
+	"fawnplank/internal/tomlfile"
+)
+
+// Bounds of a scenario. On sockets each instance is a process, and each backend a listener with threads of
+// its own.
+const (
+	maxDuration        = 3600e9
+	maxNumber          = 1e8
+	maxInstances       = 5000
+	maxBackends        = 50000
+	maxSocketInstances = 16
+	maxSocketBackends  = 64
+	minMemoryMB        = 16
+	minSockets         = 64
+	maxRate            = 1e6
+	maxUnits           = 1000
+	maxSkew            = 5
+	maxSpread          = 3
+	maxRetries         = 20
+	maxRepeats         = 10000
+)
+
+// validator keeps the first error met.
+type validator struct {
+	file *tomlfile.File
+	err  error
+}
+
+// require reports a key whose value is not in order.
+func (v *validator) require(ok bool, key, problem string) {
+	if !ok && v.err == nil {
+		v.err = v.file.KeyError(key, problem)
+	}
+}
+
+// requireWord requires a name that is a word and that no other item of its list has.
+func (v *validator) requireWord(name string, seen map[string]bool, key string) {
+	problem := fmt.Sprintf("is %q: not a word of letters, digits and -, or taken", name)
+	v.require(isWord(name) && !seen[name], key, problem)
+	seen[name] = true
+}
+
+// validate checks all values, and returns the first error.
+func (s *Scenario) validate(file *tomlfile.File) error {
+	v := &validator{file: file}
+	v.require(s.Name != "", "name", "is missing")
+	v.require(s.On == OnModel || s.On == OnSockets, "on", fmt.Sprintf("is %q, not model or sockets", s.On))
+	v.require(s.Duration > 0 && s.Duration <= maxDuration, "duration", "is not above 0 and at most 1h")
+	s.validateNumbers(v)
+	s.validateSockets(v)
+	s.validateParties(v)
+	s.validateLoad(v)
+	s.validateRules(v)
+	v.require(len(s.Classes) > 0, "profile", "is missing: one at least")
+	v.require(len(s.Plans) > 0, "plan", "is missing: one at least")
+	s.validateClasses(v)
+	s.validatePlans(v)
+	for n, fault := range s.Faults {
+		s.validateFault(v, fmt.Sprintf("fault[%d].", n), fault)
+	}
+	return v.err
+}
+
+func (s *Scenario) validateNumbers(v *validator) {
+	for _, number := range []struct {
+		key   string
+		value int
+	}{
+		{"doors.count", s.Instances.Count},
+		{"backends.count", s.Backends.Count},
+		{"backends.cores", s.Backends.Cores},
+		{"backends.zones", s.Backends.Zones},
+		{"backends.groups", s.Backends.Groups},
+		{"load.customers", s.Load.Tenants},
+		{"load.most", s.Load.MaxRequests},
+		{"allow.shots", s.Allow.MaxAttempts},
+		{"load.spread", s.Load.EntryPoints},
+		{"load.connections", s.Load.Connections},
+	} {
+		v.require(number.value >= 1 && number.value <= maxNumber, number.key, "is not at least 1")
+	}
+	v.require(s.Instances.Count <= maxInstances, "doors.count", "is above 5000")
+	v.require(s.Backends.Count <= maxBackends, "backends.count", "is above 50000")
+}
+
+func (s *Scenario) validateSockets(v *validator) {
+	if s.On != OnSockets {
+		return
+	}
+	v.require(s.Instances.Count <= maxSocketInstances, "doors.count", "is above 16, which is most on sockets")
+	v.require(s.Backends.Count <= maxSocketBackends, "backends.count", "is above 64, which is most on sockets")
+	v.require(s.Instances.MemoryMB >= minMemoryMB, "doors.memory_mb", "is below 16")
+	v.require(s.Instances.Sockets >= minSockets, "doors.sockets", "is below 64")
+}
+
+// validateParties checks discovery, backends and counter.
+func (s *Scenario) validateParties(v *validator) {
+	source := s.Discovery.Source
+	v.require(source == SourceHTTP || source == SourceDNS, "discovery.source", "is not http or dns")
+	v.require(source != SourceDNS || s.On == OnSockets, "discovery.source", "is dns, which the model does not have")
+	v.require(s.Load.EntryPoints <= s.Instances.Count, "load.spread", "is above doors.count")
+	v.require(s.Backends.Work > 0, "backends.work", "is not above 0")
+	v.require(s.Backends.Spread >= 0 && s.Backends.Spread <= maxSpread, "backends.spread", "is not from 0 to 3")
+	v.require(s.Backends.Queue >= 0, "backends.queue", "is below 0")
+	v.require(s.Counter.Timeout > 0, "counter.timeout", "is not above 0")
+	protocol := s.Counter.Protocol
+	v.require(protocol == ProtocolText || protocol == ProtocolRESP, "counter.protocol", "is not text or resp")
+	v.require(s.Counter.Rate >= 0, "counter.rate", "is below 0")
+}
+
+func (s *Scenario) validateLoad(v *validator) {
+	load := &s.Load
+	v.require(load.Rate > 0 && load.Rate <= maxRate, "load.rate", "is not above 0 and at most 1e6")
+	v.require(load.Arrivals == ArrivalsPoisson || load.Arrivals == ArrivalsFixed,
+		"load.arrivals", "is not poisson or fixed")
+	v.require(load.Units >= 1 && load.Units <= maxUnits, "load.units", "is not from 1 to 1000")
+	v.require(load.Skew >= 0 && load.Skew <= maxSkew, "load.skew", "is not from 0 to 5")
+	v.require(load.Retries >= 0 && load.Retries <= maxRetries, "load.retries", "is not from 0 to 20")
+}
+
+func (s *Scenario) validateRules(v *validator) {
+	rules := &s.Rules
+	v.require(rules.InitialCapacity > 0 && rules.InitialCapacity <= 1,
+		"rules.cold_share", "is not above 0 and at most 1")
+	v.require(rules.CollapseMultiple >= 1, "rules.fall_multiple", "is below 1")
+	v.require(rules.SlowStart >= 0 && rules.CollapseWindow > 0, "rules.fall_span", "is not above 0")
+}
+
+func (s *Scenario) validateClasses(v *validator) {
+	seen := map[string]bool{}
+	for n, class := range s.Classes {
+		path := fmt.Sprintf("profile[%d].", n)
+		hasKey := class.Idempotency == IdempotentWithKey
+		v.requireWord(class.Name, seen, path+"name")
+		v.require(effectSettings[class.Idempotency] != "", path+"effect",
+			fmt.Sprintf("is %q, not reissuable, numbered or at-most-once", class.Idempotency))
+		v.require(!hasKey || scopeSettings[class.DedupScope] != "", path+"reach",
+			fmt.Sprintf("is %q, not all, zone or group", class.DedupScope))
+		v.require(!hasKey || class.DedupWindow > 0, path+"memory", "is not above 0")
+		v.require(class.LatencyObjective > 0 && class.Deadline >= class.LatencyObjective,
+			path+"promised", "is not above 0 and at most hard_limit")
+		v.require(slices.Contains([]string{"", "share", "open", "closed"}, class.Fallback), path+"silence",
+			fmt.Sprintf("is %q, not share, open or closed", class.Fallback))
+		v.require(class.Share > 0, path+"share", "is not above 0")
+	}
+}
+
+func (s *Scenario) validatePlans(v *validator) {
+	seen := map[string]bool{}
+	for n, plan := range s.Plans {
+		path := fmt.Sprintf("plan[%d].", n)
+		v.requireWord(plan.Name, seen, path+"name")
+		hasQuota := plan.Rate >= 0 && plan.Burst >= 0 && plan.MaxConcurrent >= 0
+		hasHardQuota := plan.HardQuotaRate >= 0 && plan.HardQuotaBurst >= 0
+		v.require(hasQuota && hasHardQuota, path+"rate", "or another figure is below 0")
+		v.require(plan.Rate == 0 || plan.Burst > 0, path+"burst", "is not above 0")
+		v.require(plan.Share > 0, path+"share", "is not above 0")
+	}
+}
+
+func (s *Scenario) validateFault(v *validator, path string, fault Fault) {
+	traits, isKnown := traitsOf[fault.Kind]
+	v.require(isKnown, path+"kind", fmt.Sprintf("is %q, which is no kind of fault", fault.Kind))
+	v.require(fault.At >= 0 && fault.At < s.Duration, path+"at", "is not within the duration")
+	v.require(!isKnown || traits.isInstant || fault.Duration > 0, path+"for", "is not above 0")
+	v.require(traits.needs != factorParameter || fault.Factor > 0, path+"factor", "is not above 0")
+	v.require(traits.needs != delayParameter || fault.Delay > 0, path+"delay", "is not above 0")
+	v.require(fault.Share >= 0 && fault.Share <= 1, path+"share", "is not from 0 to 1")
+	v.require(fault.Stagger >= 0, path+"each", "is below 0")
+	v.require(fault.Repeats >= 0 && fault.Repeats <= maxRepeats, path+"times", "is not from 0 to 10000")
+	v.require(fault.Repeats <= 1 || fault.RepeatInterval > 0, path+"every", "is not above 0")
+	s.validateTargets(v, path, fault)
+}
+
+func (s *Scenario) validateTargets(v *validator, path string, fault Fault) {
+	traits, isKnown := traitsOf[fault.Kind]
+	hasTargets := len(fault.Targets) > 0 || fault.Share != 0
+	v.require(!isKnown || traits.party == noParty || len(fault.Targets) > 0 || fault.Share > 0,
+		path+"who", "is missing, and so is share")
+	v.require(!isKnown || traits.party != noParty || !hasTargets, path+"who", "means nothing for this kind")
+	count := s.countOf(traits.party)
+	for _, target := range fault.Targets {
+		v.require(target >= 0 && target < count, path+"who",
+			fmt.Sprintf("names %d of %d %s", target, count, traits.party))
+	}
+}
+
+func isWord(text string) bool {
+	for _, r := range text {
+		isLetter := r >= 'a' && r <= 'z' || r >= 'A' && r <= 'Z'
+		isDigit := r >= '0' && r <= '9'
+		if !isLetter && !isDigit && r != '-' {
+			return false
+		}
+	}
+	return text != ""
+}
--- a/internal/lab/workload/workload.go
+++ b/internal/lab/workload/workload.go
@@ -1,5 +1,8 @@
-// Package people is who asks for what and when in a scenario: customers, their plans and doors, arrivals, and how
-// clients come again. The model and the load tool draw the same people from the same seed. It sends nothing.
+// Package workload says who asks for what and when in a scenario: the tenants with their plans and entry
+// points, the arrivals, and how clients retry. The model and the load tool draw the same workload from the
+// same seed. The package sends nothing.
+//
+// A Generator is not safe for concurrent use.
 package workload
 
 import (
@@ -10,95 +13,129 @@
 	"fawnplank/internal/lab/scenario"
 )
 
-// Tenant is one customer: its plan, and the first of the doors that it comes in through.
+// The streams of the seed, each for draws whose order does not depend on those of the other.
+const (
+	arrivalStream = iota // fixed order: the same requests whatever the answers
+	choiceStream         // entry points and delays, drawn in an order that depends on answers
+)
+
+const (
+	// firstRetryDelayNanos is what a client waits that was given no Retry-After. It doubles with each retry,
+	// as clients commonly do it, maxRetryDoublings times.
+	firstRetryDelayNanos = 50e6
+	maxRetryDoublings    = 5
+	// jitterDivisor bounds the jitter of a delay: up to a quarter more.
+	jitterDivisor = 4
+)
+
+// Tenant is one tenant: its plan, and the first of the instances that are its entry points.
 type Tenant struct{ Plan, FirstInstance int }
 
-// Request is a transaction that a client wants. Times are nanoseconds since the run's start.
+// Request is one that a client wants. Times are nanoseconds since the run's start.
 type Request struct {
-	AtNanos, DeadlineNanos int64
-	Tenant, Class          int
-	Plan                   int
-	Units                  float64
+	AtNanos       int64
+	DeadlineNanos int64
+	Tenant        int
+	Class         int
+	Plan          int
+	Units         float64
 }
 
-// Generator draws transactions. Its calls come one at a time.
+// Generator draws requests.
 type Generator struct {
-	Tenants   []Tenant
-	s         *scenario.Scenario
-	customers []float64 // cumulative weights
-	profiles  []float64
-	arrivals  *rand.Rand
-	chance    *rand.Rand // of doors and waits: asked for in an order that depends on answers
-	at        float64
-	asked     int
+	Tenants []Tenant
+
+	scenario      *scenario.Scenario
+	tenantWeights []float64 // cumulative, as the others
+	classWeights  []float64
+	arrivals      *rand.Rand
+	choices       *rand.Rand
+	atNanos       float64
+	drawn         int
 }
 
-// New makes the people of a scenario.
+// New returns the generator of a scenario.
 func New(s *scenario.Scenario) *Generator {
-	p := &Generator{s: s, arrivals: rand.New(rand.NewPCG(s.Seed, 0)), chance: rand.New(rand.NewPCG(s.Seed, 1))}
-	var plans []float64
-	for _, x := range s.Plans {
-		plans = grow(plans, x.Share)
+	g := &Generator{
+		scenario: s,
+		arrivals: rand.New(rand.NewPCG(s.Seed, arrivalStream)),
+		choices:  rand.New(rand.NewPCG(s.Seed, choiceStream)),
+	}
+	var planWeights []float64
+	for _, plan := range s.Plans {
+		planWeights = appendWeight(planWeights, plan.Share)
 	}
-	for _, x := range s.Classes {
-		p.profiles = grow(p.profiles, x.Share)
+	for _, class := range s.Classes {
+		g.classWeights = appendWeight(g.classWeights, class.Share)
 	}
 	for n := range s.Load.Tenants {
-		// Plans go round by their shares: the busiest customers are not all of one plan by chance.
-		plan := pick(plans, math.Mod(float64(n)*math.Phi, 1))
-		p.Tenants = append(p.Tenants, Tenant{Plan: plan, FirstInstance: p.chance.IntN(s.Instances.Count)})
-		p.customers = grow(p.customers, math.Pow(float64(n+1), -s.Load.Skew))
+		// Plans go round by their shares: the busiest tenants are not all of one plan by chance.
+		plan := pick(planWeights, math.Mod(float64(n)*math.Phi, 1))
+		g.Tenants = append(g.Tenants, Tenant{Plan: plan, FirstInstance: g.choices.IntN(s.Instances.Count)})
+		g.tenantWeights = appendWeight(g.tenantWeights, math.Pow(float64(n+1), -s.Load.Skew))
 	}
-	return p
+	return g
 }
 
-func grow(sums []float64, x float64) []float64 {
-	if len(sums) > 0 {
-		x += sums[len(sums)-1]
+// appendWeight appends a weight to cumulative ones.
+func appendWeight(cumulative []float64, weight float64) []float64 {
+	if len(cumulative) > 0 {
+		weight += cumulative[len(cumulative)-1]
 	}
-	return append(sums, x)
+	return append(cumulative, weight)
 }
 
-// pick gives the row that the part x of the sum falls into.
-func pick(sums []float64, x float64) int {
-	return min(sort.SearchFloat64s(sums, x*sums[len(sums)-1]), len(sums)-1)
+// pick returns the index that a part of the weights' sum, from 0 to 1, falls into.
+func pick(cumulative []float64, part float64) int {
+	last := len(cumulative) - 1
+	return min(sort.SearchFloat64s(cumulative, part*cumulative[last]), last)
 }
 
-// Next draws the next transaction; there is none once the duration or the number asked for is over.
-func (p *Generator) Next() (Request, bool) {
-	gap := 1e9 / p.s.Load.Rate
-	if p.s.Load.Arrivals == "poisson" {
-		gap *= p.arrivals.ExpFloat64()
+// Next draws the next request; there is none once the duration is over or the scenario's number is drawn.
+func (g *Generator) Next() (Request, bool) {
+	load := &g.scenario.Load
+	gapNanos := 1e9 / load.Rate
+	if load.Arrivals == scenario.ArrivalsPoisson {
+		gapNanos *= g.arrivals.ExpFloat64()
 	}
-	p.at += gap
-	if p.at >= float64(p.s.Duration) || p.asked >= p.s.Load.MaxRequests {
+	g.atNanos += gapNanos
+	if g.atNanos >= float64(g.scenario.Duration) || g.drawn >= load.MaxRequests {
 		return Request{}, false
 	}
-	p.asked++
-	c := pick(p.customers, p.arrivals.Float64())
-	a := Request{AtNanos: int64(p.at), Tenant: c, Plan: p.Tenants[c].Plan, Class: pick(p.profiles, p.arrivals.Float64()), Units: 1}
-	if p.s.Load.Units > 1 {
-		a.Units += math.Floor(p.arrivals.ExpFloat64() / math.Log(p.s.Load.Units/(p.s.Load.Units-1))) // geometric
+	g.drawn++
+	tenant := pick(g.tenantWeights, g.arrivals.Float64())
+	request := Request{
+		AtNanos: int64(g.atNanos),
+		Tenant:  tenant,
+		Class:   pick(g.classWeights, g.arrivals.Float64()),
+		Plan:    g.Tenants[tenant].Plan,
+		Units:   1,
+	}
+	if load.Units > 1 { // the further units are of a geometric distribution
+		request.Units += math.Floor(g.arrivals.ExpFloat64() / math.Log(load.Units/(load.Units-1)))
 	}
-	a.DeadlineNanos = a.AtNanos + int64(p.s.Classes[a.Class].Deadline)
-	return a, true
+	request.DeadlineNanos = request.AtNanos + int64(g.scenario.Classes[request.Class].Deadline)
+	return request, true
 }
 
-// Instance draws one of the customer's doors.
-func (p *Generator) Instance(a Request) int {
-	return (p.Tenants[a.Tenant].FirstInstance + p.chance.IntN(p.s.Load.EntryPoints)) % p.s.Instances.Count
+// Instance draws one of the entry points of a request's tenant.
+func (g *Generator) Instance(request Request) int {
+	offset := g.choices.IntN(g.scenario.Load.EntryPoints)
+	return (g.Tenants[request.Tenant].FirstInstance + offset) % g.scenario.Instances.Count
 }
 
-// RetryDelay is how long a client that was dismissed waits: as long as it was told, or else from 50 ms on and doubling,
-// as clients commonly do; and up to a quarter more.
-func (p *Generator) RetryDelay(again int, comeBack int64) int64 {
-	if comeBack <= 0 {
-		comeBack = 50e6 << min(again, 5)
+// RetryDelay draws how long a client waits after a rejection, with its number of retries so far.
+func (g *Generator) RetryDelay(retries int, retryAfterNanos int64) int64 {
+	delayNanos := retryAfterNanos
+	if delayNanos <= 0 {
+		delayNanos = firstRetryDelayNanos << min(retries, maxRetryDoublings)
 	}
-	return comeBack + int64(float64(comeBack)*p.chance.Float64()/4)
+	return delayNanos + int64(float64(delayNanos)*g.choices.Float64()/jitterDivisor)
 }
 
-// WorkNanos draws how many nanoseconds of a core a transaction of so many units takes at a warm backend.
-func (p *Generator) WorkNanos(chance *rand.Rand, units float64) float64 {
-	return float64(p.s.Backends.Work) * units * math.Exp(p.s.Backends.Spread*chance.NormFloat64())
+// WorkNanos draws how many nanoseconds of a core a request of so many units takes at a backend that has
+// warmed up.
+func (g *Generator) WorkNanos(random *rand.Rand, units float64) float64 {
+	median := float64(g.scenario.Backends.Work) * units
+	return median * math.Exp(g.scenario.Backends.Spread*random.NormFloat64())
 }
