--- a/cmd/fawnplank/dns.go
+++ b/cmd/fawnplank/dns.go
@@ -104,10 +104,10 @@
 
 // tell brings the zone's list into the form of discovery's.
 func (n *names) tell(update dnsserver.ListUpdate) {
-	var all []discovery.Entry
+	var all []discovery.Endpoint
 	for _, b := range update.Updated {
-		e := discovery.Entry{Name: b.Name, Address: b.Addresses[0].String(), Zone: b.Zone, Group: b.Group, Status: "up", Weight: b.Weight,
-			SinceMs: float64(b.StartNanos()) / 1e6}
+		e := discovery.Endpoint{Name: b.Name, Address: b.Addresses[0].String(), Zone: b.Zone, Group: b.Group, Status: "up", Weight: b.Weight,
+			StartedAtMillis: float64(b.StartNanos()) / 1e6}
 		if b.Draining {
 			e.Status = "draining"
 		}
@@ -117,7 +117,7 @@
 		all = append(all, e)
 	}
 	for _, name := range update.Removed {
-		all = append(all, discovery.Entry{Name: name, Status: "removed"})
+		all = append(all, discovery.Endpoint{Name: name, Status: "removed"})
 	}
 	how := policy.Delta
 	if update.Full {
@@ -233,7 +233,7 @@
 		_, err = callStore("POST", f.api, "/v1/edits", body)
 	}
 	if err != nil && strings.HasPrefix(err.Error(), "409") {
-		return kv.Conflict{}
+		return kv.ConflictError{}
 	}
 	return err
 }
--- a/internal/dnsserver/replicated_zone.go
+++ b/internal/dnsserver/replicated_zone.go
@@ -15,7 +15,7 @@
 type Replica interface {
 	// ReadLocal returns a key as this replica has it.
 	ReadLocal(key string) (kv.Entry, bool)
-	// Edit makes edits together or not at all; kv.Conflict where a key is not at the index asked for.
+	// Edit makes edits together or not at all; kv.ConflictError where a key is not at the index asked for.
 	Edit(edits []kv.Edit) error
 }
 
@@ -242,7 +242,7 @@
 		return err
 	}
 	err = r.Edit(append(edits, kv.Edit{Key: headKey, Value: value, Check: true, If: index}))
-	if _, ok := errors.AsType[kv.Conflict](err); ok {
+	if _, ok := errors.AsType[kv.ConflictError](err); ok {
 		return errBehind
 	}
 	return err
--- a/internal/lab/scenario/validate.go
+++ b/internal/lab/scenario/validate.go
@@ -33,16 +33,15 @@
 }
 
 // require reports a key whose value is not in order.
-func (v *validator) require(ok bool, key, problem string) {
+func (v *validator) require(ok bool, key, format string, args ...any) {
 	if !ok && v.err == nil {
-		v.err = v.file.KeyError(key, problem)
+		v.err = v.file.KeyErrorf(key, format, args...)
 	}
 }
 
 // requireWord requires a name that is a word and that no other item of its list has.
 func (v *validator) requireWord(name string, seen map[string]bool, key string) {
-	problem := fmt.Sprintf("is %q: not a word of letters, digits and -, or taken", name)
-	v.require(isWord(name) && !seen[name], key, problem)
+	v.require(isWord(name) && !seen[name], key, "is %q: not a word of letters, digits and -, or taken", name)
 	seen[name] = true
 }
 
@@ -50,7 +49,7 @@
 func (s *Scenario) validate(file *tomlfile.File) error {
 	v := &validator{file: file}
 	v.require(s.Name != "", "name", "is missing")
-	v.require(s.On == OnModel || s.On == OnSockets, "on", fmt.Sprintf("is %q, not model or sockets", s.On))
+	v.require(s.On == OnModel || s.On == OnSockets, "on", "is %q, not model or sockets", s.On)
 	v.require(s.Duration > 0 && s.Duration <= maxDuration, "duration", "is not above 0 and at most 1h")
 	s.validateNumbers(v)
 	s.validateSockets(v)
@@ -142,14 +141,14 @@
 		hasKey := class.Idempotency == IdempotentWithKey
 		v.requireWord(class.Name, seen, path+"name")
 		v.require(effectSettings[class.Idempotency] != "", path+"effect",
-			fmt.Sprintf("is %q, not reissuable, numbered or at-most-once", class.Idempotency))
+			"is %q, not reissuable, numbered or at-most-once", class.Idempotency)
 		v.require(!hasKey || scopeSettings[class.DedupScope] != "", path+"reach",
-			fmt.Sprintf("is %q, not all, zone or group", class.DedupScope))
+			"is %q, not all, zone or group", class.DedupScope)
 		v.require(!hasKey || class.DedupWindow > 0, path+"memory", "is not above 0")
 		v.require(class.LatencyObjective > 0 && class.Deadline >= class.LatencyObjective,
 			path+"promised", "is not above 0 and at most hard_limit")
 		v.require(slices.Contains([]string{"", "share", "open", "closed"}, class.Fallback), path+"silence",
-			fmt.Sprintf("is %q, not share, open or closed", class.Fallback))
+			"is %q, not share, open or closed", class.Fallback)
 		v.require(class.Share > 0, path+"share", "is not above 0")
 	}
 }
@@ -169,7 +168,7 @@
 
 func (s *Scenario) validateFault(v *validator, path string, fault Fault) {
 	traits, isKnown := traitsOf[fault.Kind]
-	v.require(isKnown, path+"kind", fmt.Sprintf("is %q, which is no kind of fault", fault.Kind))
+	v.require(isKnown, path+"kind", "is %q, which is no kind of fault", fault.Kind)
 	v.require(fault.At >= 0 && fault.At < s.Duration, path+"at", "is not within the duration")
 	v.require(!isKnown || traits.isInstant || fault.Duration > 0, path+"for", "is not above 0")
 	v.require(traits.needs != factorParameter || fault.Factor > 0, path+"factor", "is not above 0")
@@ -190,7 +189,7 @@
 	count := s.countOf(traits.party)
 	for _, target := range fault.Targets {
 		v.require(target >= 0 && target < count, path+"who",
-			fmt.Sprintf("names %d of %d %s", target, count, traits.party))
+			"names %d of %d %s", target, count, traits.party)
 	}
 }
 
--- a/policy/request.go
+++ b/policy/request.go
@@ -1,5 +1,10 @@
 package policy
 
+import (
+	"fmt"
+	"math"
+)
+
 // Request is the handle of a request that was submitted.
 type Request struct {
 	engine      *Engine
@@ -51,23 +56,38 @@
 	}
 }
 
+// abortUnknown is the final answer to a request whose class or plan is in no table.
+func (r *Request) abortUnknown(spec RequestSpec) {
+	text := fmt.Sprintf("transaction of unknown profile %d or plan %d broken off", spec.Class, spec.Plan)
+	r.engine.effects.Log(text)
+	r.finished = true
+	r.engine.effects.Abort(r.id)
+}
+
 // addAttempt notes that another attempt is in flight at a backend.
 func (r *Request) addAttempt(now int64, b *backend) *attempt {
+	e := r.engine
 	r.inFlight++
 	r.tenant.inFlight++
 	b.inFlight++
-	r.engine.inFlight++
-	r.engine.promptInFlight++
+	e.inFlight++
+	e.promptInFlight++
 	a := &attempt{
-		backend:     b,
-		zone:        b.zone,
-		group:       b.group,
-		sentAt:      now,
-		concurrency: float64(b.inFlight),
-		inFlight:    true,
-		mayHaveRun:  true,
+		backend:        b,
+		zone:           b.zone,
+		group:          b.group,
+		sentAt:         now,
+		concurrency:    float64(b.inFlight),
+		inFlight:       true,
+		mayHaveRun:     true,
+		baselineSample: e.attemptsSent < baselineSamples,
 	}
 	r.attempts = append(r.attempts, a)
+	e.attemptsSent++
+	b.lastSentAt = now
+	if e.warmingUp(now, b) {
+		b.lastSlowStartAt = now
+	}
 	return a
 }
 
@@ -84,6 +104,64 @@
 	}
 }
 
+// release marks the request as finished and gives back what it holds, where no attempt was sent.
+func (r *Request) release() {
+	t := r.tenant
+	if r.waitingForCounter {
+		t.waiting--
+	}
+	r.finished = true
+	r.waitingForCounter = false
+	if len(r.attempts) > 0 {
+		return
+	}
+	t.hardQuota.Units += r.hardQuotaUnits
+	if r.withinQuota {
+		t.unreported -= r.units
+		t.localUsage.Units -= r.units
+	}
+}
+
+// correctUnits charges what a request within the quota really counted, where that is known only after it.
+func (r *Request) correctUnits(result *AttemptResult) {
+	known := r.engine.settings.PostPaid && result.TrueUnits > 0
+	if known && result.Outcome == Succeeded && r.withinQuota {
+		r.tenant.unreported += result.TrueUnits - r.units // goes along with the next call
+		r.tenant.localUsage.Units += result.TrueUnits - r.units
+	}
+}
+
+// keyKnownUntil is how long backends know the request's idempotency key from its earlier attempts.
+func (r *Request) keyKnownUntil() int64 {
+	until := int64(math.MaxInt64)
+	for _, a := range r.attempts {
+		if a.mayHaveRun && r.class.Idempotency == IdempotentWithKey {
+			until = min(until, a.sentAt+r.class.DedupWindow)
+		}
+	}
+	return until
+}
+
+// cancelInFlight cancels the attempts that are in flight.
+func (r *Request) cancelInFlight() {
+	for id, a := range r.attempts {
+		if a.inFlight {
+			r.engine.effects.Cancel(r.id, AttemptID(id))
+		}
+	}
+}
+
+// loadAt is the backend's load; each earlier attempt there adds so many loads.
+func (r *Request) loadAt(b *backend, triedLoad float64) float64 {
+	load := b.load()
+	for _, a := range r.attempts {
+		if a.backend == b {
+			load += triedLoad
+		}
+	}
+	return load
+}
+
 // HandleResponseStarted says that the response of an attempt has begun to stream: the client owns it from now
 // on.
 func (r *Request) HandleResponseStarted(now int64, id AttemptID) {
