--- a/internal/lab/plots/costs.go
+++ b/internal/lab/plots/costs.go
@@ -14,71 +14,113 @@
 	"fawnplank/internal/lab/dnsbench"
 )
 
+// Size of a picture of costs.
+const (
+	costsWidthInches  = 6
+	costsHeightInches = 7.2
+)
+
+// costCurve is one line of a panel: a cost by the size of the zone.
+type costCurve struct {
+	name  string
+	color color.Color
+	value func(cost dnsbench.Cost) float64
+}
+
+type costPanel struct {
+	title  string
+	unit   string
+	curves []costCurve
+}
+
+var costPanels = []costPanel{
+	{title: "a start", unit: "ms", curves: []costCurve{
+		{"zone file", green, func(cost dnsbench.Cost) float64 { return cost.Load }},
+		{"journal", red, func(cost dnsbench.Cost) float64 { return cost.Start }},
+	}},
+	{title: "an update, from its sending", unit: "ms", curves: []costCurve{
+		{"list published, p50", green, func(cost dnsbench.Cost) float64 { return cost.ToldP50 }},
+		{"list published, p99", red, func(cost dnsbench.Cost) float64 { return cost.ToldP99 }},
+		{"answered, p50", blue, func(cost dnsbench.Cost) float64 { return cost.DoneP50 }},
+		{"answered, p99", purple, func(cost dnsbench.Cost) float64 { return cost.DoneP99 }},
+	}},
+	{title: "updates a second, eight updaters", unit: "a second", curves: []costCurve{
+		{"done", green, func(cost dnsbench.Cost) float64 { return cost.PerSecond }},
+	}},
+}
+
 // Costs draws what zones of several sizes cost, into a PNG or SVG file.
-func Costs(path string, all []dnsbench.Cost) error {
-	grid := make([][]*plot.Plot, 3)
-	for i, p := range []struct {
-		title, unit string
-		curves      []struct {
-			name  string
-			value func(dnsbench.Cost) float64
-		}
-	}{
-		{"a start", "ms", []struct {
-			name  string
-			value func(dnsbench.Cost) float64
-		}{{"zone file", func(c dnsbench.Cost) float64 { return c.Load }}, {"journal", func(c dnsbench.Cost) float64 { return c.Start }}}},
-		{"an update, from its sending", "ms", []struct {
-			name  string
-			value func(dnsbench.Cost) float64
-		}{{"list told, p50", func(c dnsbench.Cost) float64 { return c.ToldP50 }}, {"list told, p99", func(c dnsbench.Cost) float64 { return c.ToldP99 }},
-			{"answered, p50", func(c dnsbench.Cost) float64 { return c.DoneP50 }}, {"answered, p99", func(c dnsbench.Cost) float64 { return c.DoneP99 }}}},
-		{"updates a second, eight updaters", "a second", []struct {
-			name  string
-			value func(dnsbench.Cost) float64
-		}{{"done", func(c dnsbench.Cost) float64 { return c.PerSecond }}}},
-	} {
-		plt := plot.New()
-		plt.Title.Text, plt.X.Label.Text, plt.Y.Label.Text = p.title, "backends", p.unit
-		plt.X.Scale, plt.X.Tick.Marker = plot.LogScale{}, plot.LogTicks{Prec: -1}
-		top := 1.0
-		for n, c := range p.curves {
-			var xys plotter.XYs
-			for _, x := range all {
-				xys = append(xys, plotter.XY{X: float64(x.Backends), Y: c.value(x)})
-				top = max(top, c.value(x))
-			}
-			line, points, err := plotter.NewLinePoints(xys)
-			if err != nil {
-				return err
-			}
-			line.Color = []color.Color{green, red, blue, purple}[n]
-			points.Color, line.Width = line.Color, vg.Points(1.2)
-			plt.Add(line, points)
-			plt.Legend.Add(c.name, line, points)
+func Costs(path string, costs []dnsbench.Cost) error {
+	var grid [][]*plot.Plot
+	for _, panel := range costPanels {
+		plt, err := panel.plot(costs)
+		if err != nil {
+			return err
 		}
-		plt.Legend.Top, plt.Legend.Left = true, true
-		plt.Y.Min, plt.Y.Max = 0, top*1.3
-		grid[i] = []*plot.Plot{plt}
+		grid = append(grid, []*plot.Plot{plt})
 	}
-	c, err := newCanvas(path, 6*vg.Inch, 7.2*vg.Inch)
+	picture, err := newCanvas(path, costsWidthInches*vg.Inch, costsHeightInches*vg.Inch)
 	if err != nil {
 		return err
 	}
-	tiles := draw.Tiles{Rows: 3, Cols: 1, PadY: vg.Points(8), PadTop: vg.Points(4), PadBottom: vg.Points(4), PadLeft: vg.Points(4), PadRight: vg.Points(10)}
-	at := plot.Align(grid, tiles, draw.New(c))
-	for i := range grid {
-		grid[i][0].Draw(at[i][0])
+	drawGrid(picture, grid, draw.Tiles{
+		Rows:      len(grid),
+		Cols:      1,
+		PadY:      vg.Points(8),
+		PadTop:    vg.Points(4),
+		PadBottom: vg.Points(4),
+		PadLeft:   vg.Points(4),
+		PadRight:  vg.Points(10),
+	})
+	return writePicture(path, picture)
+}
+
+func (p costPanel) plot(costs []dnsbench.Cost) (*plot.Plot, error) {
+	plt := plot.New()
+	plt.Title.Text = p.title
+	plt.X.Label.Text = "backends"
+	plt.Y.Label.Text = p.unit
+	plt.X.Scale = plot.LogScale{}
+	plt.X.Tick.Marker = plot.LogTicks{Prec: -1}
+	top := 1.0
+	for _, c := range p.curves {
+		var points plotter.XYs
+		for _, cost := range costs {
+			points = append(points, plotter.XY{X: float64(cost.Backends), Y: c.value(cost)})
+			top = max(top, c.value(cost))
+		}
+		line, dots, err := plotter.NewLinePoints(points)
+		if err != nil {
+			return nil, err
+		}
+		line.Color = c.color
+		line.Width = vg.Points(lineWidth)
+		dots.Color = c.color
+		plt.Add(line, dots)
+		plt.Legend.Add(c.name, line, dots)
 	}
-	return write(path, c)
+	plt.Legend.Top = true
+	plt.Legend.Left = true
+	plt.Y.Min = 0
+	plt.Y.Max = top * legendHeadroom
+	return plt, nil
 }
 
-// CostTable writes them as a table.
-func CostTable(w io.Writer, all []dnsbench.Cost) error {
-	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
-	fmt.Fprintln(t, "backends\tfile, ms\tjournal, ms\ttold p50, ms\ttold p99, ms\tanswered p50, ms\tanswered p99, ms\tupdates a second")
-	for _, c := range all {
-		fmt.Fprintf(t, "%d\t%.0f\t%.0f\t%.2f\t%.2f\t%.2f\t%.2f\t%.0f\n", c.Backends, c.Load, c.Start, c.ToldP50, c.ToldP99, c.DoneP50, c.DoneP99, c.PerSecond)
+// CostTable writes the costs as a table.
+func CostTable(w io.Writer, costs []dnsbench.Cost) error {
+	table := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
+	_, err := fmt.Fprintln(table, "backends\tfile, ms\tjournal, ms\tpublished p50, ms\tpublished p99, ms\t"+
+		"answered p50, ms\tanswered p99, ms\tupdates a second")
+	if err != nil {
+		return err
+	}
+	for _, cost := range costs {
+		_, err := fmt.Fprintf(table, "%d\t%.0f\t%.0f\t%.2f\t%.2f\t%.2f\t%.2f\t%.0f\n",
+			cost.Backends, cost.Load, cost.Start, cost.ToldP50, cost.ToldP99,
+			cost.DoneP50, cost.DoneP99, cost.PerSecond)
+		if err != nil {
+			return err
+		}
 	}
-	return t.Flush()
+	return table.Flush()
 }
--- /dev/null
+++ b/internal/lab/plots/draw.go
@@ -0,0 +1,105 @@
+// Package plots draws the results of runs: for each run a column of panels over time (answers, latencies, the
+// counter, quotas) and its latency percentiles, with the same scales in all columns, so that two runs of a
+// change can be laid side by side; and the tables and the sweep that go with them. It reads results and
+// writes pictures. Its functions are safe for concurrent use.
+package plots
+
+import (
+	"bytes"
+	"fmt"
+	"image/color"
+	"io"
+	"os"
+	"path/filepath"
+	"strings"
+
+	"gonum.org/v1/plot"
+	"gonum.org/v1/plot/vg"
+	"gonum.org/v1/plot/vg/draw"
+	"gonum.org/v1/plot/vg/vgimg"
+	"gonum.org/v1/plot/vg/vgsvg"
+
+	"fawnplank/internal/lab/results"
+)
+
+// The colors of Okabe and Ito, which most eyes distinguish.
+var (
+	green  = color.RGBA{R: 0, G: 158, B: 115, A: 255}
+	orange = color.RGBA{R: 230, G: 159, B: 0, A: 255}
+	red    = color.RGBA{R: 213, G: 94, B: 0, A: 255}
+	blue   = color.RGBA{R: 0, G: 114, B: 178, A: 255}
+	purple = color.RGBA{R: 204, G: 121, B: 167, A: 255}
+	shade  = color.NRGBA{R: 120, G: 120, B: 120, A: 45}
+)
+
+// Sizes of pictures.
+const (
+	maxColumns   = 4
+	columnInches = 6
+	panelInches  = 2.4
+	pngDPI       = 80
+)
+
+// canvas is one that can be written to a file.
+type canvas interface {
+	vg.CanvasSizer
+	io.WriterTo
+}
+
+func newCanvas(path string, width, height vg.Length) (canvas, error) {
+	switch strings.ToLower(filepath.Ext(path)) {
+	case ".png":
+		image := vgimg.NewWith(
+			vgimg.UseWH(width, height), vgimg.UseDPI(pngDPI), vgimg.UseBackgroundColor(color.White))
+		return vgimg.PngCanvas{Canvas: image}, nil
+	case ".svg":
+		return vgsvg.New(width, height), nil
+	}
+	return nil, fmt.Errorf("%s: a picture's name ends in .png or .svg", path)
+}
+
+// Draw draws one run, or up to four side by side, into a PNG or SVG file.
+func Draw(path string, runs ...*results.Run) error {
+	if len(runs) == 0 || len(runs) > maxColumns {
+		return fmt.Errorf("%d runs: one to four stand side by side", len(runs))
+	}
+	grid, err := buildGrid(runs)
+	if err != nil {
+		return err
+	}
+	width := vg.Length(len(runs)) * columnInches * vg.Inch
+	height := vg.Length(len(grid)) * panelInches * vg.Inch
+	picture, err := newCanvas(path, width, height)
+	if err != nil {
+		return err
+	}
+	drawGrid(picture, grid, draw.Tiles{
+		Rows:      len(grid),
+		Cols:      len(runs),
+		PadX:      vg.Points(8),
+		PadY:      vg.Points(8),
+		PadTop:    vg.Points(4),
+		PadBottom: vg.Points(4),
+		PadLeft:   vg.Points(4),
+		PadRight:  vg.Points(10),
+	})
+	return writePicture(path, picture)
+}
+
+func drawGrid(picture canvas, grid [][]*plot.Plot, tiles draw.Tiles) {
+	areas := plot.Align(grid, tiles, draw.New(picture))
+	for row := range grid {
+		for column := range grid[row] {
+			grid[row][column].Draw(areas[row][column])
+		}
+	}
+}
+
+// writePicture writes a picture to its file, or nothing where it cannot be encoded.
+func writePicture(path string, picture canvas) error {
+	var encoded bytes.Buffer
+	if _, err := picture.WriteTo(&encoded); err != nil {
+		return err
+	}
+	return os.WriteFile(path, encoded.Bytes(), 0o644)
+}
--- /dev/null
+++ b/internal/lab/plots/panels.go
@@ -0,0 +1,212 @@
+package plots
+
+import (
+	"image/color"
+	"math"
+
+	"gonum.org/v1/plot"
+	"gonum.org/v1/plot/plotter"
+	"gonum.org/v1/plot/vg"
+
+	"fawnplank/internal/lab/results"
+)
+
+const (
+	// legendHeadroom is by how much an axis goes on above the highest value, for the legend.
+	legendHeadroom = 1.3
+	// lineWidth is in points.
+	lineWidth = 1.2
+	// minFaultSeconds is how wide a fault is drawn at least.
+	minFaultSeconds = 0.1
+)
+
+// curve is one line of a panel.
+type curve struct {
+	name  string
+	color color.Color
+	value func(row results.Row) float64
+}
+
+// panel is one plot of a run over time.
+type panel struct {
+	title        string
+	unit         string
+	curves       []curve
+	hasObjective bool // it shows the latency objective
+}
+
+var panels = []panel{
+	{title: "answers a second", unit: "submissions", curves: []curve{
+		{"succeeded", green, func(row results.Row) float64 { return float64(row.Succeeded) }},
+		{"rejected", orange, func(row results.Row) float64 { return float64(row.Rejected) }},
+		{"aborted", red, func(row results.Row) float64 { return float64(row.Aborted) }},
+		{"abandoned, not sent", purple, func(row results.Row) float64 {
+			return float64(row.Abandoned + row.NotSent)
+		}},
+	}},
+	{title: "latency", unit: "ms", hasObjective: true, curves: []curve{
+		{"p50", green, func(row results.Row) float64 { return row.P50 }},
+		{"p99", red, func(row results.Row) float64 { return row.P99 }},
+	}},
+	{title: "the counter", unit: "calls, instances", curves: []curve{
+		{"calls a second", blue, func(row results.Row) float64 { return float64(row.CounterCalls) }},
+		{"failed", red, func(row results.Row) float64 { return float64(row.CounterFailures) }},
+		{"instances not calling", purple, func(row results.Row) float64 { return float64(row.OpenBreakers) }},
+	}},
+	{title: "drift of tenants' counts from an exact counter's", unit: "units", curves: []curve{
+		{"had more", red, func(row results.Row) float64 { return row.DriftOver }},
+		{"had less", orange, func(row results.Row) float64 { return row.DriftUnder }},
+	}},
+}
+
+// points returns a curve's values over time.
+func (c curve) points(run *results.Run) plotter.XYs {
+	var points plotter.XYs
+	for _, row := range run.Rows {
+		points = append(points, plotter.XY{X: float64(row.Second), Y: c.value(row)})
+	}
+	return points
+}
+
+// runTitle names a run.
+func runTitle(run *results.Run) string {
+	if run.Label != "" {
+		return run.Scenario + ", " + run.Label
+	}
+	return run.Scenario
+}
+
+// buildGrid makes a column of plots for each run: its panels, with the same scales in all columns, and its
+// percentiles.
+func buildGrid(runs []*results.Run) ([][]*plot.Plot, error) {
+	var grid [][]*plot.Plot
+	for _, p := range panels {
+		row, err := p.plots(runs)
+		if err != nil {
+			return nil, err
+		}
+		grid = append(grid, row)
+	}
+	var percentiles []*plot.Plot
+	for _, run := range runs {
+		plt, err := percentilePlot(run)
+		if err != nil {
+			return nil, err
+		}
+		percentiles = append(percentiles, plt)
+	}
+	return append(grid, percentiles), nil
+}
+
+// extent is the range of a panel's axes.
+type extent struct{ end, top float64 }
+
+func (p panel) extentOf(runs []*results.Run) extent {
+	var e extent
+	for _, run := range runs {
+		for _, c := range p.curves {
+			for _, point := range c.points(run) {
+				e.end = math.Max(e.end, point.X)
+				e.top = math.Max(e.top, point.Y)
+			}
+		}
+	}
+	e.top = math.Max(e.top*legendHeadroom, 1)
+	return e
+}
+
+// plots draws the panel for each run.
+func (p panel) plots(runs []*results.Run) ([]*plot.Plot, error) {
+	axes := p.extentOf(runs)
+	var row []*plot.Plot
+	for _, run := range runs {
+		plt := plot.New()
+		plt.Title.Text = runTitle(run) + ": " + p.title
+		plt.X.Label.Text = "s"
+		plt.Y.Label.Text = p.unit
+		if err := addFaults(plt, run, axes.top); err != nil {
+			return nil, err
+		}
+		if err := p.addCurves(plt, run); err != nil {
+			return nil, err
+		}
+		if p.hasObjective && run.LatencyObjective <= 1.5*axes.top {
+			addObjective(plt, run.LatencyObjective)
+			axes.top = math.Max(axes.top, run.LatencyObjective*1.05)
+		}
+		plt.Legend.Top = true
+		plt.X.Min = 0
+		plt.X.Max = axes.end
+		plt.Y.Min = 0
+		plt.Y.Max = axes.top
+		row = append(row, plt)
+	}
+	return row, nil
+}
+
+func (p panel) addCurves(plt *plot.Plot, run *results.Run) error {
+	for _, c := range p.curves {
+		line, err := plotter.NewLine(c.points(run))
+		if err != nil {
+			return err
+		}
+		line.Color = c.color
+		line.Width = vg.Points(lineWidth)
+		plt.Add(line)
+		plt.Legend.Add(c.name, line)
+	}
+	return nil
+}
+
+// addFaults shades the time of each fault.
+func addFaults(plt *plot.Plot, run *results.Run, top float64) error {
+	for _, fault := range run.Faults {
+		from, until := fault.From, math.Max(fault.Until, fault.From+minFaultSeconds)
+		corners := plotter.XYs{{X: from, Y: 0}, {X: until, Y: 0}, {X: until, Y: top}, {X: from, Y: top}}
+		box, err := plotter.NewPolygon(corners)
+		if err != nil {
+			return err
+		}
+		box.Color = shade
+		box.Width = 0
+		plt.Add(box)
+	}
+	return nil
+}
+
+func addObjective(plt *plot.Plot, objective float64) {
+	line := plotter.NewFunction(func(float64) float64 { return objective })
+	line.Color = blue
+	line.Dashes = []vg.Length{vg.Points(3), vg.Points(3)}
+	plt.Add(line)
+	plt.Legend.Add("objective", line)
+}
+
+// percentilePlot draws the latencies of a run by percentile.
+func percentilePlot(run *results.Run) (*plot.Plot, error) {
+	plt := plot.New()
+	plt.Title.Text = runTitle(run) + ": latency by percentile"
+	plt.X.Label.Text = "of 1,000 answers, those slower"
+	plt.Y.Label.Text = "ms"
+	var points plotter.XYs
+	for _, p := range run.Latency {
+		if slower := (100 - p.Percent) * 10; slower >= 0.05 && p.Ms > 0 {
+			points = append(points, plotter.XY{X: slower, Y: p.Ms})
+		}
+	}
+	if len(points) < 2 { // nothing was answered, and an empty log axis cannot be drawn
+		return plt, nil
+	}
+	for _, axis := range []*plot.Axis{&plt.X, &plt.Y} {
+		axis.Scale = plot.LogScale{}
+		axis.Tick.Marker = plot.LogTicks{Prec: -1}
+	}
+	line, err := plotter.NewLine(points)
+	if err != nil {
+		return nil, err
+	}
+	line.Color = blue
+	line.Width = vg.Points(lineWidth)
+	plt.Add(line)
+	return plt, nil
+}
--- /dev/null
+++ b/internal/lab/plots/sweep.go
@@ -0,0 +1,99 @@
+package plots
+
+import (
+	"image/color"
+	"math"
+
+	"gonum.org/v1/plot"
+	"gonum.org/v1/plot/plotter"
+	"gonum.org/v1/plot/vg"
+	"gonum.org/v1/plot/vg/draw"
+
+	"fawnplank/internal/lab/results"
+)
+
+// sweepInches is the size of a sweep's picture.
+const sweepInches = 7
+
+// sweepCurve is one line of a sweep's panel: a figure of the whole run.
+type sweepCurve struct {
+	name  string
+	color color.Color
+	value func(run *results.Run) float64
+}
+
+type sweepPanel struct {
+	title  string
+	curves []sweepCurve
+}
+
+var sweepPanels = []sweepPanel{
+	{title: "shares, %", curves: []sweepCurve{
+		{"succeeded of requests", green, func(run *results.Run) float64 {
+			requests := float64(run.Total.Requests + run.Total.NotSent)
+			return 100 * float64(run.Total.Succeeded) / math.Max(requests, 1)
+		}},
+		{"had more", red, func(run *results.Run) float64 {
+			over, _ := run.Drift()
+			return 100 * over
+		}},
+		{"had less", orange, func(run *results.Run) float64 {
+			_, under := run.Drift()
+			return 100 * under
+		}},
+	}},
+	{title: "latency, ms", curves: []sweepCurve{
+		{"p50", green, func(run *results.Run) float64 { return run.Total.P50 }},
+		{"p99", red, func(run *results.Run) float64 { return run.Total.P99 }},
+	}},
+}
+
+// Sweep draws the results of a scenario as one of its keys had several values; labels are the values.
+func Sweep(path, key string, labels []string, runs []*results.Run) error {
+	picture, err := newCanvas(path, sweepInches*vg.Inch, sweepInches*vg.Inch)
+	if err != nil {
+		return err
+	}
+	var grid [][]*plot.Plot
+	for _, panel := range sweepPanels {
+		plt, err := panel.plot(key, labels, runs)
+		if err != nil {
+			return err
+		}
+		grid = append(grid, []*plot.Plot{plt})
+	}
+	drawGrid(picture, grid, draw.Tiles{
+		Rows:     len(grid),
+		Cols:     1,
+		PadY:     vg.Points(10),
+		PadRight: vg.Points(10),
+	})
+	return writePicture(path, picture)
+}
+
+func (p sweepPanel) plot(key string, labels []string, runs []*results.Run) (*plot.Plot, error) {
+	plt := plot.New()
+	plt.Title.Text = runs[0].Scenario + ": " + p.title
+	plt.X.Label.Text = key
+	plt.NominalX(labels...)
+	plt.Y.Min = 0
+	for _, c := range p.curves {
+		points := make(plotter.XYs, len(runs))
+		for n, run := range runs {
+			points[n] = plotter.XY{X: float64(n), Y: c.value(run)}
+		}
+		line, dots, err := plotter.NewLinePoints(points)
+		if err != nil {
+			return nil, err
+		}
+		line.Color = c.color
+		dots.Color = c.color
+		plt.Add(line, dots)
+		plt.Legend.Add(c.name, line)
+	}
+	plt.Legend.Top = true
+	plt.Y.Max *= legendHeadroom
+	plt.X.Min = -0.3
+	plt.X.Max = float64(len(runs)) - 0.7
+	return plt, nil
+}
--- /dev/null
+++ b/internal/lab/plots/table.go
@@ -0,0 +1,117 @@
+package plots
+
+import (
+	"fmt"
+	"io"
+	"math"
+	"strings"
+	"text/tabwriter"
+
+	"fawnplank/internal/lab/results"
+)
+
+// tableRow is one line of the table of totals.
+type tableRow struct {
+	name      string
+	value     func(run *results.Run) string
+	isPartial bool // it is not known of a run of which only the clients' side was seen
+}
+
+var tableRows = []tableRow{
+	{name: "run", value: runTitle},
+	{name: "played on", value: func(run *results.Run) string {
+		return fmt.Sprintf("%s, %d instances, %d backends, seed %d",
+			run.On, run.Instances, run.Backends, run.Seed)
+	}},
+	{name: "requests, submissions", value: func(run *results.Run) string {
+		return joined(run.Total.Requests, run.Total.Submitted)
+	}},
+	{name: "succeeded, of requests", value: func(run *results.Run) string {
+		return percent(float64(run.Total.Succeeded), float64(run.Total.Requests+run.Total.NotSent))
+	}},
+	{name: "late, of succeeded", value: func(run *results.Run) string {
+		return percent(float64(run.Total.Late), float64(run.Total.Succeeded))
+	}},
+	{name: "rejected, aborted, abandoned, not sent", value: func(run *results.Run) string {
+		return joined(run.Total.Rejected, run.Total.Aborted, run.Total.Abandoned, run.Total.NotSent)
+	}},
+	{name: "p50, p90, p99, p99.9, max, ms", value: func(run *results.Run) string {
+		total := &run.Total
+		return fmt.Sprintf("%.1f, %.1f, %.1f, %.1f, %.1f",
+			total.P50, total.P90, total.P99, total.P999, total.Max)
+	}},
+	{name: "attempts a success", isPartial: true, value: func(run *results.Run) string {
+		return fmt.Sprintf("%.3f", float64(run.Total.Attempts)/math.Max(float64(run.Total.Succeeded), 1))
+	}},
+	{name: "counter calls, failed", isPartial: true, value: func(run *results.Run) string {
+		return joined(run.Total.CounterCalls, run.Total.CounterFailures)
+	}},
+	{name: "withdrawn, with an attempt after, p50, p99, max, ms", isPartial: true, value: withdrawals},
+	{name: "dns updates answered", isPartial: true, value: func(run *results.Run) string {
+		return fmt.Sprint(run.DNSUpdates)
+	}},
+	{name: "drift: had more, had less", isPartial: true, value: func(run *results.Run) string {
+		over, under := run.Drift()
+		return fmt.Sprintf("%.1f%%, %.1f%%", 100*over, 100*under)
+	}},
+	{name: "load tool's lag p50, p99, ms", value: func(run *results.Run) string {
+		return fmt.Sprintf("%.2f, %.2f", run.LagP50, run.LagP99)
+	}},
+	{name: "rules 1 to 5 broken", value: func(run *results.Run) string {
+		broken := run.RulesBroken
+		return joined(broken["1"], broken["2"], broken["3"], broken["4"], broken["5"])
+	}},
+}
+
+func withdrawals(run *results.Run) string {
+	w := run.Withdrawals
+	if w == nil {
+		return "none"
+	}
+	return fmt.Sprintf("%d, %d, %.1f, %.1f, %.1f", w.Count, w.WithAttempt, w.P50, w.P99, w.Max)
+}
+
+func joined(numbers ...int) string {
+	texts := make([]string, len(numbers))
+	for n, number := range numbers {
+		texts[n] = fmt.Sprint(number)
+	}
+	return strings.Join(texts, ", ")
+}
+
+func percent(part, whole float64) string { return fmt.Sprintf("%.1f%%", 100*part/math.Max(whole, 1)) }
+
+// cell returns a row's text for a run.
+func (r tableRow) cell(run *results.Run) string {
+	if r.isPartial && run.On == results.OnClients {
+		return "not seen by clients"
+	}
+	return r.value(run)
+}
+
+// Table writes the runs' totals side by side, and the findings of broken rules.
+func Table(w io.Writer, runs ...*results.Run) error {
+	table := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
+	for _, row := range tableRows {
+		cells := []string{row.name}
+		for _, run := range runs {
+			cells = append(cells, row.cell(run))
+		}
+		if _, err := fmt.Fprintln(table, strings.Join(cells, "\t")); err != nil {
+			return err
+		}
+	}
+	if err := table.Flush(); err != nil {
+		return err
+	}
+	for _, run := range runs {
+		for _, finding := range run.Findings {
+			_, err := fmt.Fprintf(w, "%s: rule %d at %.3f s: %s\n",
+				runTitle(run), finding.Rule, float64(finding.AtNanos)/1e9, finding.What)
+			if err != nil {
+				return err
+			}
+		}
+	}
+	return nil
+}
