--- a/internal/lab/dnsbench/dnsbench.go
+++ b/internal/lab/dnsbench/dnsbench.go
@@ -1,6 +1,9 @@
-// Package names measures a front door's name server alone, in this process and on loopback: how long a zone takes to
-// load, how long an update takes from its sending until the list is told and until it is answered, and how many
-// are done a second. The zone's journal is on whatever disk holds the folder for temporary files.
+// Package dnsbench measures a gateway's name server alone, in this process and on loopback: how long a zone
+// takes to load, how long an update takes from its sending until the list is published and until it is
+// answered, and how many updates are applied a second. The zone's journal is on whatever disk holds the
+// folder for temporary files.
+//
+// Measure is meant to run alone: concurrent calls measure each other.
 package dnsbench
 
 import (
@@ -23,149 +26,213 @@
 
 // Cost is what a zone of one size costs. Times are milliseconds.
 type Cost struct {
-	Backends  int
-	Load      float64 // of the zone file
-	Start     float64 // from the journal
-	ToldP50   float64 // from an update's sending until the list is told
-	ToldP99   float64
-	DoneP50   float64 // until its answer
-	DoneP99   float64
-	PerSecond float64 // with eight updaters
+	Backends         int
+	Load             float64 // of the zone file
+	Start            float64 // from the journal
+	PublishedP50     float64 // from an update's sending until the list is published
+	PublishedP99     float64
+	AnsweredP50      float64 // from an update's sending until its answer
+	AnsweredP99      float64
+	UpdatesPerSecond float64 // with concurrent updaters
 }
 
-const origin, service = "lab.", "_calc._tcp.lab."
+const (
+	origin  = "lab."
+	service = "_calc._tcp.lab."
+	keyName = "lab."
+	// updaters send at once where updates a second are measured.
+	updaters = 8
+	// maxUpdatesPerSecond is above what a server reaches.
+	maxUpdatesPerSecond = 1e6
+	// updateTimeout bounds one update.
+	updateTimeout = 5 * time.Second
+	// guardDelay is waited after a start: what is signed in its second is refused, as an earlier incarnation
+	// may have applied it.
+	guardDelay = 1100 * time.Millisecond
+)
 
-// text is a zone file with n backends.
-func text(n int) string {
-	var b strings.Builder
-	b.WriteString("$ORIGIN lab.\n$TTL 30\n@ IN SOA ns admin 1 3600 600 86400 30\n@ IN NS ns\nns IN A 127.0.0.1\n")
-	for i := range n {
-		fmt.Fprintf(&b, "_calc._tcp SRV 0 100 7000 n%d\nn%d A 127.%d.%d.%d\nn%d TXT fawnplank zone=a group=%d\n", i, i, 1+i/62500, i/250%250, 1+i%250, i, i%3)
+// zoneFile is a zone file with so many backends.
+func zoneFile(backends int) string {
+	var text strings.Builder
+	text.WriteString("$ORIGIN lab.\n$TTL 30\n@ IN SOA ns admin 1 3600 600 86400 30\n")
+	text.WriteString("@ IN NS ns\nns IN A 127.0.0.1\n")
+	for i := range backends {
+		fmt.Fprintf(&text, "_calc._tcp SRV 0 100 7000 n%d\nn%d A %s\nn%d TXT fawnplank zone=a group=%d\n",
+			i, i, backendAddress(i), i, i%3)
 	}
-	return b.String()
+	return text.String()
 }
 
-// updaters send at once where updates a second are measured.
-const updaters = 8
+func backendAddress(backend int) string {
+	return fmt.Sprintf("127.%d.%d.%d", 1+backend/62500, backend/250%250, 1+backend%250)
+}
 
-// Measure measures zones of the sizes given: updates one after the other, and then for as long by eight updaters at once.
-func Measure(ctx context.Context, sizes []int, updates int, span time.Duration) (all []Cost, err error) {
+// Measure measures zones of the sizes given: updates one after the other, and then for a time by concurrent
+// updaters.
+func Measure(ctx context.Context, sizes []int, updates int, duration time.Duration) ([]Cost, error) {
 	folder, err := os.MkdirTemp("", "fawnplank-names-")
 	if err != nil {
 		return nil, err
 	}
-	defer os.RemoveAll(folder)
-	secret := filepath.Join(folder, "key")
-	if err := os.WriteFile(secret, []byte(base64.StdEncoding.EncodeToString([]byte("secret of the laboratory"))), 0o600); err != nil {
-		return nil, err
-	}
-	key, err := dnsserver.ReadKey("lab.", "hmac-sha256", secret)
+	defer func() { _ = os.RemoveAll(folder) }() // one left behind is the system's to clean up
+	key, err := newKey(filepath.Join(folder, "key"))
 	if err != nil {
 		return nil, err
 	}
-	for _, n := range sizes {
-		c, err := measure(ctx, folder, key, n, updates, span)
+	var costs []Cost
+	for _, backends := range sizes {
+		b := &bench{folder: folder, key: key, backends: backends}
+		cost, err := b.measure(ctx, updates, duration)
 		if err != nil {
-			return nil, fmt.Errorf("%d backends: %w", n, err)
+			return nil, fmt.Errorf("%d backends: %w", backends, err)
 		}
-		all = append(all, c)
+		costs = append(costs, cost)
 	}
-	return all, nil
+	return costs, nil
 }
 
-func measure(ctx context.Context, folder string, key dnsserver.Key, n, updates int, span time.Duration) (c Cost, err error) {
-	c.Backends = n
-	o := dnsserver.Options{Settings: dnszone.Settings{Origin: origin, Service: service}, ListenAddress: "127.0.0.1:0", Keys: []dnsserver.Key{key}, MaxUpdatesPerSecond: 1e6,
-		ZoneFile: filepath.Join(folder, fmt.Sprint(n, ".zone")), JournalFile: filepath.Join(folder, fmt.Sprint(n, ".journal"))}
-	if err := os.WriteFile(o.ZoneFile, []byte(text(n)), 0o600); err != nil {
-		return c, err
+func newKey(path string) (dnsserver.Key, error) {
+	secret := base64.StdEncoding.EncodeToString([]byte("secret of the laboratory"))
+	if err := os.WriteFile(path, []byte(secret), 0o600); err != nil {
+		return dnsserver.Key{}, err
+	}
+	return dnsserver.ReadKey(keyName, "hmac-sha256", path)
+}
+
+// bench measures a zone of one size.
+type bench struct {
+	folder         string
+	key            dnsserver.Key
+	backends       int
+	server         *dnsserver.Server
+	publishedNanos atomic.Int64 // when the list was published last
+}
+
+func (b *bench) options() dnsserver.Options {
+	return dnsserver.Options{
+		Settings:            dnszone.Settings{Origin: origin, Service: service},
+		ZoneFile:            filepath.Join(b.folder, fmt.Sprint(b.backends, ".zone")),
+		JournalFile:         filepath.Join(b.folder, fmt.Sprint(b.backends, ".journal")),
+		ListenAddress:       "127.0.0.1:0",
+		Keys:                []dnsserver.Key{b.key},
+		MaxUpdatesPerSecond: maxUpdatesPerSecond,
+		Publish:             func(dnsserver.ListUpdate) { b.publishedNanos.Store(time.Now().UnixNano()) },
+	}
+}
+
+func (b *bench) measure(ctx context.Context, updates int, duration time.Duration) (Cost, error) {
+	cost := Cost{Backends: b.backends}
+	options := b.options()
+	if err := os.WriteFile(options.ZoneFile, []byte(zoneFile(b.backends)), 0o600); err != nil {
+		return cost, err
 	}
 	began := time.Now()
-	if _, _, err := dnsserver.ReadZoneFile(o.ZoneFile, o.Settings); err != nil {
-		return c, err
+	if _, _, err := dnsserver.ReadZoneFile(options.ZoneFile, options.Settings); err != nil {
+		return cost, err
 	}
-	c.Load = ms(time.Since(began))
-	var told atomic.Int64
-	o.Publish = func(dnsserver.ListUpdate) { told.Store(time.Now().UnixNano()) }
-	s, err := dnsserver.Start(o)
+	cost.Load = inMillis(time.Since(began))
+	server, err := dnsserver.Start(options)
 	if err != nil {
-		return c, err
+		return cost, err
+	}
+	b.server = server
+	defer func() { b.server.Close() }()
+	if err := b.measureUpdates(ctx, updates, &cost); err != nil {
+		return cost, err
 	}
-	defer func() { s.Close() }()
-	// What is signed in the second of a start is refused, as an earlier life may have done it.
+	if err := b.measureRate(ctx, duration, &cost); err != nil {
+		return cost, err
+	}
+	b.server.Close()
+	began = time.Now()
+	if server, err = dnsserver.Start(options); err != nil {
+		return cost, err
+	}
+	b.server = server
+	cost.Start = inMillis(time.Since(began))
+	return cost, nil
+}
+
+// measureUpdates sends updates one after the other.
+func (b *bench) measureUpdates(ctx context.Context, updates int, cost *Cost) error {
 	select {
-	case <-time.After(1100 * time.Millisecond):
+	case <-time.After(guardDelay):
 	case <-ctx.Done():
-		return c, ctx.Err()
+		return ctx.Err()
 	}
-	var toTell, toDone []time.Duration
+	var published, answered []time.Duration
 	for i := range updates {
 		if ctx.Err() != nil {
-			return c, ctx.Err()
+			return ctx.Err()
 		}
 		began := time.Now()
-		if err := send(s.Address(), key, uint16(i), i/2%n, i%2 == 0); err != nil {
-			return c, err
+		if err := b.send(uint16(i), i/2%b.backends, i%2 == 0); err != nil {
+			return err
 		}
-		toDone = append(toDone, time.Since(began))
-		toTell = append(toTell, time.Duration(told.Load()-began.UnixNano()))
+		answered = append(answered, time.Since(began))
+		published = append(published, time.Duration(b.publishedNanos.Load()-began.UnixNano()))
 	}
-	c.ToldP50, c.ToldP99 = percentile(toTell, 50), percentile(toTell, 99)
-	c.DoneP50, c.DoneP99 = percentile(toDone, 50), percentile(toDone, 99)
-	var wg sync.WaitGroup
-	var done atomic.Int64
+	cost.PublishedP50 = percentile(published, 50)
+	cost.PublishedP99 = percentile(published, 99)
+	cost.AnsweredP50 = percentile(answered, 50)
+	cost.AnsweredP99 = percentile(answered, 99)
+	return nil
+}
+
+// measureRate sends updates by concurrent updaters, each about a backend of its own.
+func (b *bench) measureRate(ctx context.Context, duration time.Duration, cost *Cost) error {
+	var running sync.WaitGroup
+	var applied atomic.Int64
 	var failed atomic.Pointer[error]
-	began = time.Now()
-	for u := range updaters {
-		wg.Go(func() {
-			for i := 0; time.Since(began) < span && ctx.Err() == nil; i++ {
-				if err := send(s.Address(), key, uint16(i), n+u, i%2 == 1); err != nil {
+	began := time.Now()
+	for updater := range updaters {
+		running.Go(func() {
+			for i := 0; time.Since(began) < duration && ctx.Err() == nil; i++ {
+				if err := b.send(uint16(i), b.backends+updater, i%2 == 1); err != nil {
 					failed.Store(&err)
 					return
 				}
-				done.Add(1)
+				applied.Add(1)
 			}
 		})
 	}
-	wg.Wait()
+	running.Wait()
 	if err := failed.Load(); err != nil {
-		return c, *err
-	}
-	c.PerSecond = float64(done.Load()) / time.Since(began).Seconds()
-	s.Close()
-	began = time.Now()
-	if s, err = dnsserver.Start(o); err != nil {
-		return c, err
+		return *err
 	}
-	c.Start = ms(time.Since(began))
-	return c, nil
+	cost.UpdatesPerSecond = float64(applied.Load()) / time.Since(began).Seconds()
+	return nil
 }
 
-// send withdraws backend i, or brings it. The number is the message's: two that are the same in all bytes in the same
-// second have one signature, and the second is taken for a replay, as chance would have it among thousands.
-func send(at string, key dnsserver.Key, number uint16, i int, withdraw bool) error {
-	m := new(dns.Msg).SetUpdate(origin)
-	m.Id = number
-	for _, x := range []string{fmt.Sprintf("%s 30 SRV 0 100 7000 n%d.lab.", service, i), fmt.Sprintf("n%d.lab. 30 A 127.%d.%d.%d", i, 1+i/62500, i/250%250, 1+i%250)} {
-		rr, err := dns.NewRR(x)
+// send removes a backend, or adds it. The id is the message's: two that are the same in all bytes in the same
+// second have one signature, and the second would pass for a replay, as chance would have it among thousands.
+func (b *bench) send(id uint16, backend int, remove bool) error {
+	message := new(dns.Msg).SetUpdate(origin)
+	message.Id = id
+	for _, text := range []string{
+		fmt.Sprintf("%s 30 SRV 0 100 7000 n%d.lab.", service, backend),
+		fmt.Sprintf("n%d.lab. 30 A %s", backend, backendAddress(backend)),
+	} {
+		rr, err := dns.NewRR(text)
 		if err != nil {
 			return err
 		}
-		if withdraw {
-			m.Remove([]dns.RR{rr})
+		if remove {
+			message.Remove([]dns.RR{rr})
 		} else {
-			m.Insert([]dns.RR{rr})
+			message.Insert([]dns.RR{rr})
 		}
 	}
-	return dnsserver.SendUpdate(m, at, key, 5*time.Second)
+	return dnsserver.SendUpdate(message, b.server.Address(), b.key, updateTimeout)
 }
 
-func ms(d time.Duration) float64 { return float64(d) / 1e6 }
+func inMillis(duration time.Duration) float64 { return float64(duration) / 1e6 }
 
-func percentile(all []time.Duration, p int) float64 {
-	if len(all) == 0 {
+// percentile returns a percentile in milliseconds, and sorts the durations.
+func percentile(durations []time.Duration, percent int) float64 {
+	if len(durations) == 0 {
 		return 0
 	}
-	slices.Sort(all)
-	return ms(all[min(len(all)*p/100, len(all)-1)])
+	slices.Sort(durations)
+	return inMillis(durations[min(len(durations)*percent/100, len(durations)-1)])
 }
--- a/internal/lab/plots/costs.go
+++ b/internal/lab/plots/costs.go
@@ -39,13 +39,13 @@
 		{"journal", red, func(cost dnsbench.Cost) float64 { return cost.Start }},
 	}},
 	{title: "an update, from its sending", unit: "ms", curves: []costCurve{
-		{"list published, p50", green, func(cost dnsbench.Cost) float64 { return cost.ToldP50 }},
-		{"list published, p99", red, func(cost dnsbench.Cost) float64 { return cost.ToldP99 }},
-		{"answered, p50", blue, func(cost dnsbench.Cost) float64 { return cost.DoneP50 }},
-		{"answered, p99", purple, func(cost dnsbench.Cost) float64 { return cost.DoneP99 }},
+		{"list published, p50", green, func(cost dnsbench.Cost) float64 { return cost.PublishedP50 }},
+		{"list published, p99", red, func(cost dnsbench.Cost) float64 { return cost.PublishedP99 }},
+		{"answered, p50", blue, func(cost dnsbench.Cost) float64 { return cost.AnsweredP50 }},
+		{"answered, p99", purple, func(cost dnsbench.Cost) float64 { return cost.AnsweredP99 }},
 	}},
 	{title: "updates a second, eight updaters", unit: "a second", curves: []costCurve{
-		{"done", green, func(cost dnsbench.Cost) float64 { return cost.PerSecond }},
+		{"done", green, func(cost dnsbench.Cost) float64 { return cost.UpdatesPerSecond }},
 	}},
 }
 
@@ -116,8 +116,8 @@
 	}
 	for _, cost := range costs {
 		_, err := fmt.Fprintf(table, "%d\t%.0f\t%.0f\t%.2f\t%.2f\t%.2f\t%.2f\t%.0f\n",
-			cost.Backends, cost.Load, cost.Start, cost.ToldP50, cost.ToldP99,
-			cost.DoneP50, cost.DoneP99, cost.PerSecond)
+			cost.Backends, cost.Load, cost.Start, cost.PublishedP50, cost.PublishedP99,
+			cost.AnsweredP50, cost.AnsweredP99, cost.UpdatesPerSecond)
 		if err != nil {
 			return err
 		}
