--- a/internal/lab/results/log.go
+++ b/internal/lab/results/log.go
@@ -8,30 +8,31 @@
 	"fawnplank/internal/lab/invariants"
 )
 
-// Log is a recorder on the wall clock, for many goroutines: it stamps each event as it comes in, so that all of
-// them stand in one order. It notes which door a try went to, since a backend does not see that.
+// Log puts a recorder on the wall clock, for many goroutines: it stamps each event as it comes in, so that
+// all of them stand in one order. It notes which instance a submission went to, which a backend does not see.
 type Log struct {
-	mu    sync.Mutex
 	start atomic.Pointer[time.Time] // nil: the run has not begun, and all that is seen counts as at its start
-	rec   *Recorder
-	doors map[invariants.TryID]int
-	calls uint64
-	lives map[int]int
-	done  bool
+
+	mu           sync.Mutex // of the fields below
+	recorder     *Recorder
+	instances    map[invariants.SubmissionID]int
+	incarnations map[int]int // by instance
+	events       uint64
+	finished     bool
 }
 
-// NewLog makes a log.
-func NewLog(rec *Recorder) *Log {
-	return &Log{rec: rec, doors: map[invariants.TryID]int{}, lives: map[int]int{}}
+// NewLog returns a log that writes to a recorder.
+func NewLog(recorder *Recorder) *Log {
+	return &Log{recorder: recorder, instances: map[invariants.SubmissionID]int{}, incarnations: map[int]int{}}
 }
 
-// Begin lets the run's time begin now.
+// Begin starts the run's time.
 func (l *Log) Begin() {
 	now := time.Now()
 	l.start.Store(&now)
 }
 
-// Now is the time since the run's start, in nanoseconds.
+// Now returns the time since the run's start, in nanoseconds.
 func (l *Log) Now() int64 {
 	if start := l.start.Load(); start != nil {
 		return int64(time.Since(*start))
@@ -39,70 +40,71 @@
 	return 0
 }
 
-// Start is when the run began.
+// Start returns when the run began.
 func (l *Log) Start() time.Time { return *l.start.Load() }
 
-// See stamps an event and takes it in. The time that it gives is the event's.
-func (l *Log) See(e invariants.Event) int64 {
+// Observe stamps an event, records it, and returns its time. Submitted events come with the remaining time in
+// place of the deadline.
+func (l *Log) Observe(event invariants.Event) int64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	e.At = l.Now()
-	if l.done {
-		return e.At
+	event.AtNanos = l.Now()
+	if l.finished {
+		return event.AtNanos
 	}
-	l.calls++
-	switch e.Kind {
-	case invariants.Asked:
-		l.doors[e.Try] = e.Door
-		e.Limit += e.At // told as the time left
-	case invariants.Arrived, invariants.TurnedAway:
-		e.Door = l.doors[e.Try]
-	case invariants.DoorDied:
-		l.lives[e.Door]++
+	l.events++
+	switch event.Kind {
+	case invariants.Submitted:
+		l.instances[event.Submission] = event.Instance
+		event.DeadlineNanos += event.AtNanos
+	case invariants.AttemptArrived, invariants.AttemptRefused:
+		event.Instance = l.instances[event.Submission]
+	case invariants.InstanceDied:
+		l.incarnations[event.Instance]++
 	}
-	l.rec.See(e)
-	return e.At
+	l.recorder.Observe(event)
+	return event.AtNanos
 }
 
-// Life is how often the door died.
-func (l *Log) Life(door int) int {
+// Incarnation returns how often an instance died.
+func (l *Log) Incarnation(instance int) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.lives[door]
+	return l.incarnations[instance]
 }
 
-// Unsent counts a transaction that no door took.
-func (l *Log) Unsent() {
+// CountNotSent counts a request that no instance accepted.
+func (l *Log) CountNotSent() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.rec.Unsent(l.Now())
+	l.recorder.CountNotSent(l.Now())
 }
 
-// Call counts a call of the counter.
-func (l *Log) Call(failed bool) {
+// CountCounterCall counts a call of the counter.
+func (l *Log) CountCounterCall(failed bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.rec.Call(l.Now(), failed)
+	l.recorder.CountCounterCall(l.Now(), failed)
 }
 
-// Updated counts an update that a front door answered.
-func (l *Log) Updated() {
+// CountDNSUpdate counts an update that a gateway answered.
+func (l *Log) CountDNSUpdate() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.rec.Updated()
+	l.recorder.CountDNSUpdate()
 }
 
-// Open notes how many doors call nothing.
-func (l *Log) Open(doors int) {
+// SetOpenBreakers notes how many instances call nothing.
+func (l *Log) SetOpenBreakers(instances int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.rec.Open(l.Now(), doors)
+	l.recorder.SetOpenBreakers(l.Now(), instances)
 }
 
-// Finish ends the run; later events are dropped.
+// Finish ends the run and returns its results; later events are dropped.
 func (l *Log) Finish() *Run {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.done = true
-	return l.rec.Finish(l.Now(), l.calls)
+	l.finished = true
+	return l.recorder.Finish(l.Now(), l.events)
 }
