--- a/cmd/fawnplank/dns.go
+++ b/cmd/fawnplank/dns.go
@@ -46,9 +46,9 @@
 		return nil
 	}
 	o := options(n.set.DNS)
-	o.Tell = n.tell
+	o.Publish = n.tell
 	if k != nil {
-		o.Shared = &dnsserver.Shared{Replica: k.Store}
+		o.Replicated = &dnsserver.ReplicatedZone{Replica: k.Store}
 	}
 	s, err := dnsserver.Start(o)
 	if err != nil {
@@ -57,18 +57,20 @@
 	n.mu.Lock()
 	n.server, n.news = s, make(chan struct{}, 1)
 	n.mu.Unlock()
-	count := func(i int) func() float64 { return func() float64 { return float64(s.Counts()[i]) } }
+	count := func(of func(dnsserver.Stats) uint64) func() float64 {
+		return func() float64 { return float64(of(s.Stats())) }
+	}
 	figures.AddGauges(map[string]metrics.Gauge{
-		"dns_updates_done":     {Help: "dynamic updates that changed the zone", Value: count(0)},
-		"dns_updates_refused":  {Help: "dynamic updates refused for what they ask", Value: count(1)},
-		"dns_messages_refused": {Help: "messages refused for their signature, its time, or a replay", Value: count(2)},
-		"dns_flooded":          {Help: "messages beyond what is looked at", Value: count(3)},
-		"dns_updates_lost":     {Help: "updates that journal or store could not keep", Value: count(4)},
+		"dns_updates_done":     {Help: "dynamic updates that changed the zone", Value: count(func(s dnsserver.Stats) uint64 { return s.UpdatesDone })},
+		"dns_updates_refused":  {Help: "dynamic updates refused for what they ask", Value: count(func(s dnsserver.Stats) uint64 { return s.UpdatesRefused })},
+		"dns_messages_refused": {Help: "messages refused for their signature, its time, or a replay", Value: count(func(s dnsserver.Stats) uint64 { return s.SignaturesRefused })},
+		"dns_flooded":          {Help: "messages beyond what is looked at", Value: count(func(s dnsserver.Stats) uint64 { return s.RateLimited })},
+		"dns_updates_lost":     {Help: "updates that journal or store could not keep", Value: count(func(s dnsserver.Stats) uint64 { return s.UpdatesLost })},
 		"dns_serial":           {Help: "serial of the zone in force", Value: func() float64 { return float64(s.Serial()) }}})
 	if k != nil {
 		go func() {
 			for range n.news {
-				s.Changed()
+				s.StoreChanged()
 			}
 		}()
 		n.changed() // of what changed before there was somebody to tell
@@ -88,7 +90,7 @@
 
 func (n *names) whole() {
 	if s := n.now(); s != nil {
-		s.Whole()
+		s.PublishAll()
 	}
 }
 
@@ -101,11 +103,11 @@
 func (n *names) close() { n.ended.Do(func() { n.now().Close() }) }
 
 // tell brings the zone's list into the form of discovery's.
-func (n *names) tell(come []dnszone.Backend, gone []string, whole bool) {
-	var all []discovery.Entry
-	for _, b := range come {
-		e := discovery.Entry{Name: b.Name, Address: b.Addresses[0].String(), Zone: b.Zone, Group: b.Group, Status: "up", Weight: b.Size,
-			SinceMs: float64(b.Started()) / 1e6}
+func (n *names) tell(update dnsserver.ListUpdate) {
+	var all []discovery.Endpoint
+	for _, b := range update.Updated {
+		e := discovery.Endpoint{Name: b.Name, Address: b.Addresses[0].String(), Zone: b.Zone, Group: b.Group, Status: "up", Weight: b.Weight,
+			StartedAtMillis: float64(b.StartNanos()) / 1e6}
 		if b.Draining {
 			e.Status = "draining"
 		}
@@ -114,18 +116,25 @@
 		}
 		all = append(all, e)
 	}
-	for _, name := range gone {
-		all = append(all, discovery.Entry{Name: name, Status: "removed"})
+	for _, name := range update.Removed {
+		all = append(all, discovery.Endpoint{Name: name, Status: "removed"})
 	}
 	how := policy.Delta
-	if whole {
+	if update.Full {
 		how = policy.FullSnapshot
 	}
 	n.list.Publish(how, all)
 }
 
 func options(d config.DNS) dnsserver.Options {
-	o := dnsserver.Options{Settings: d.Settings(), File: d.ZoneFile, Journal: d.Journal, Listen: d.Listen, Rate: d.MaxUpdatesPerSecond, Notify: d.Notify}
+	o := dnsserver.Options{
+		Settings:            d.Settings(),
+		ZoneFile:            d.ZoneFile,
+		JournalFile:         d.Journal,
+		ListenAddress:       d.Listen,
+		MaxUpdatesPerSecond: d.MaxUpdatesPerSecond,
+		Secondaries:         d.Notify,
+	}
 	for _, k := range d.Keys {
 		o.Keys = append(o.Keys, k.Key)
 	}
@@ -137,7 +146,7 @@
 	if o.DNS.ZoneFile == "" {
 		return nil
 	}
-	_, _, err := dnsserver.ReadFile(o.DNS.ZoneFile, o.DNS.Settings())
+	_, _, err := dnsserver.ReadZoneFile(o.DNS.ZoneFile, o.DNS.Settings())
 	return err
 }
 
@@ -159,9 +168,9 @@
 			}
 			of := options(o.DNS)
 			if api != "" {
-				of.Shared = &dnsserver.Shared{Replica: far{api}}
+				of.Replicated = &dnsserver.ReplicatedZone{Replica: far{api}}
 			}
-			z, source, err := dnsserver.InForce(of)
+			z, source, err := dnsserver.ReadInForce(of)
 			if err != nil {
 				return err
 			}
@@ -196,7 +205,7 @@
 					part.do([]dns.RR{rr})
 				}
 			}
-			return dnsserver.Send(m, at, k, 5*time.Second)
+			return dnsserver.SendUpdate(m, at, k, 5*time.Second)
 		}}
 	update.Flags().StringVar(&at, "at", "127.0.0.1:5353", "address of the front door's name server")
 	update.Flags().String("zone", "", "the zone's name")
@@ -224,7 +233,7 @@
 		_, err = callStore("POST", f.api, "/v1/edits", body)
 	}
 	if err != nil && strings.HasPrefix(err.Error(), "409") {
-		return kv.Conflict{}
+		return kv.ConflictError{}
 	}
 	return err
 }
@@ -235,21 +244,21 @@
 	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(w, "NAME\tADDRESSES\tSTATUS\tSIZE\tZONE\tGROUP\tSINCE\tFROM")
 	for _, b := range z.Backends() {
-		status, since, from := "up", "-", fmt.Sprintf("%s:%d", b.Born.File, b.Born.Line)
+		status, since, from := "up", "-", fmt.Sprintf("%s:%d", b.Provenance.File, b.Provenance.Line)
 		if b.Draining {
 			status = "draining"
 		}
-		if t := b.Started(); t > 0 {
+		if t := b.StartNanos(); t > 0 {
 			since = time.Unix(0, t).UTC().Format(time.RFC3339)
 		}
-		if b.Born.Key != "" {
-			from = "update by " + b.Born.Key
+		if b.Provenance.Key != "" {
+			from = "update by " + b.Provenance.Key
 		}
 		var at []string
 		for _, a := range b.Addresses {
 			at = append(at, a.String())
 		}
-		fmt.Fprintf(w, "%s\t%s\t%s\t%g\t%s\t%d\t%s\t%s, serial %d\n", b.Name, strings.Join(at, ","), status, b.Size, b.Zone, b.Group, since, from, b.Born.Serial)
+		fmt.Fprintf(w, "%s\t%s\t%s\t%g\t%s\t%d\t%s\t%s, serial %d\n", b.Name, strings.Join(at, ","), status, b.Weight, b.Zone, b.Group, since, from, b.Provenance.Serial)
 	}
 	return w.Flush()
 }
--- a/internal/lab/model/golden_test.go
+++ b/internal/lab/model/golden_test.go
@@ -8,8 +8,9 @@
 	"fawnplank/internal/lab/scenario"
 )
 
-// TestGoldenRuns pins whole runs of the model at several sizes: the results' file is of a fixed form, and the same
-// decisions, faults and chance give the same bytes. A hash that changes means that a decision or the model changed.
+// TestGoldenRuns pins whole runs of the model at several sizes: the results' file is of a fixed form, and the
+// same decisions, faults and chance give the same bytes. A hash that changes means that a decision or the
+// model changed.
 func TestGoldenRuns(t *testing.T) {
 	for _, run := range []struct {
 		name, file string
@@ -42,7 +43,7 @@
 			}
 			sum := sha256.Sum256(text)
 			if got := hex.EncodeToString(sum[:]); got != run.want {
-				t.Errorf("%d events, %d tries: hash\n%s, want\n%s", result.Events, result.Total.Asked, got, run.want)
+				t.Errorf("%d events, %d tries: hash\n%s, want\n%s", result.Events, result.Total.Submitted, got, run.want)
 			}
 		})
 	}
--- a/internal/limitserver/account_commands.go
+++ b/internal/limitserver/account_commands.go
@@ -25,7 +25,7 @@
 // NEW, COMMIT, RENEW and TAKE answer with the epoch to name next, the units left, and until when the
 // reservation lasts.
 type Accounts interface {
-	Change(gestoria string, change billing.Change) error
+	Change(gestoria string, change billing.PlanChange) error
 	CancelChange(gestoria, id string) error
 	Reserve(gestoria, id, holder, plan string, units billing.Units, lease time.Duration) (
 		billing.Reservation, error)
@@ -70,7 +70,7 @@
 	if args.err != nil {
 		return nil, args.err
 	}
-	change := billing.Change{ID: args.text(1), Plan: args.text(2), At: moment}
+	change := billing.PlanChange{ID: args.text(1), Plan: args.text(2), EffectiveNanos: moment}
 	if err := accounts.Change(args.gestoria, change); err != nil {
 		return nil, err
 	}
@@ -141,8 +141,8 @@
 	}
 	out = redcon.AppendArray(out, 3)
 	out = redcon.AppendInt(out, int64(r.Epoch))
-	out = redcon.AppendBulkString(out, formatUnits(r.Left))
-	return redcon.AppendInt(out, r.Until/1e6), nil
+	out = redcon.AppendBulkString(out, formatUnits(r.Remaining))
+	return redcon.AppendInt(out, r.ExpiresNanos/1e6), nil
 }
 
 func unreservedUnits(accounts Accounts, out []byte, args *arguments) ([]byte, error) {
@@ -163,7 +163,7 @@
 		out = redcon.AppendArray(out, 3)
 		out = redcon.AppendBulkString(out, change.ID)
 		out = redcon.AppendBulkString(out, change.Plan)
-		out = redcon.AppendInt(out, change.At/1e6)
+		out = redcon.AppendInt(out, change.EffectiveNanos/1e6)
 	}
 	return out, nil
 }
@@ -173,13 +173,13 @@
 	if err != nil {
 		return nil, err
 	}
-	out = redcon.AppendArray(out, len(account.Holds))
-	for _, r := range account.Holds {
+	out = redcon.AppendArray(out, len(account.Reservations))
+	for _, r := range account.Reservations {
 		out = redcon.AppendArray(out, 5)
 		out = redcon.AppendBulkString(out, r.ID)
 		out = redcon.AppendInt(out, int64(r.Epoch))
-		out = redcon.AppendBulkString(out, formatUnits(r.Left))
-		out = redcon.AppendInt(out, r.Until/1e6)
+		out = redcon.AppendBulkString(out, formatUnits(r.Remaining))
+		out = redcon.AppendInt(out, r.ExpiresNanos/1e6)
 		out = redcon.AppendBulkString(out, r.Holder)
 	}
 	return out, nil
--- a/internal/limitserver/account_commands_test.go
+++ b/internal/limitserver/account_commands_test.go
@@ -17,12 +17,12 @@
 const now = 6000e9
 
 var ledgerSettings = billing.Settings{
-	Window: 60e9,
-	Lead:   5e9,
-	Skew:   1e9,
-	Lease:  30e9,
-	Late:   1e9,
-	Plans:  map[string]billing.Quota{"team": {Rate: 1, Peak: 10}},
+	WindowNanos:       60e9,
+	ChangeNoticeNanos: 5e9,
+	ClockSkewNanos:    1e9,
+	MaxLeaseNanos:     30e9,
+	ExportDelayNanos:  1e9,
+	Plans:             map[string]billing.Quota{"team": {Rate: 1, Peak: 10}},
 }
 
 // store keeps the account as an operation left it.
@@ -40,12 +40,12 @@
 	return r, l.store(account, err)
 }
 
-func (l *ledger) Change(_ string, change billing.Change) error {
-	return l.store(l.account.Change(ledgerSettings, now, change))
+func (l *ledger) Change(_ string, change billing.PlanChange) error {
+	return l.store(l.account.SchedulePlanChange(ledgerSettings, now, change))
 }
 
 func (l *ledger) CancelChange(_, id string) error {
-	return l.store(l.account.TakeBack(ledgerSettings, now, id))
+	return l.store(l.account.CancelPlanChange(ledgerSettings, now, id))
 }
 
 func (l *ledger) Release(_, id string, epoch uint64) error {
@@ -55,7 +55,13 @@
 func (l *ledger) Reserve(
 	_, id, holder, plan string, units billing.Units, lease time.Duration,
 ) (billing.Reservation, error) {
-	return l.storeReservation(l.account.Reserve(ledgerSettings, now, id, holder, plan, units, int64(lease)))
+	return l.storeReservation(l.account.Reserve(ledgerSettings, now, billing.ReservationRequest{
+		ID:         id,
+		Holder:     holder,
+		Plan:       plan,
+		Units:      units,
+		LeaseNanos: int64(lease),
+	}))
 }
 
 func (l *ledger) Commit(_, id string, epoch uint64, units billing.Units) (billing.Reservation, error) {
@@ -67,11 +73,11 @@
 }
 
 func (l *ledger) AdoptReservation(_, id, holder string, lease time.Duration) (billing.Reservation, error) {
-	return l.storeReservation(l.account.Take(ledgerSettings, now, id, holder, int64(lease)))
+	return l.storeReservation(l.account.AdoptReservation(ledgerSettings, now, id, holder, int64(lease)))
 }
 
 func (l *ledger) Account(_, plan string) (billing.Account, billing.Units, error) {
-	return l.account, l.account.Room(ledgerSettings, now, now, plan), nil
+	return l.account, l.account.Available(ledgerSettings, now, now, plan), nil
 }
 
 // One session of each command: what is right is answered in its form, what is wrong by an error that names
--- a/internal/limitserver/arguments.go
+++ b/internal/limitserver/arguments.go
@@ -72,7 +72,7 @@
 	if a.err != nil {
 		return 0
 	}
-	units, err := billing.Of(x)
+	units, err := billing.ParseUnits(x)
 	a.err = err
 	return units
 }
--- a/internal/limitserver/server_test.go
+++ b/internal/limitserver/server_test.go
@@ -83,7 +83,7 @@
 	if err != nil {
 		tb.Fatal(err)
 	}
-	settings, err := parsed.Terms(0)
+	settings, err := parsed.EngineSettings(0)
 	if err != nil {
 		tb.Fatal(err)
 	}
--- a/internal/store/kv/version0_test.go
+++ b/internal/store/kv/version0_test.go
@@ -16,14 +16,32 @@
 	at      Index
 	edits   []Edit
 }{
-	{"command-put.json", 3, []Edit{{Key: "plans/basic", Value: json.RawMessage(`{"name":"basic","quota-rate":5}`)},
-		{Key: "x/old", Value: json.RawMessage(`"short-lived"`)}}},
-	{"command-check.json", 7, []Edit{{Key: "plans/basic", Value: json.RawMessage(`{"name":"basic","quota-rate":9}`), Check: true, If: 3},
-		{Key: "x/new", Value: json.RawMessage(`[1,2.5,"ñ"]`), Check: true}, {Key: "x/old"}}},
+	{
+		fixture: "command-put.json",
+		at:      3,
+		edits: []Edit{
+			{Key: "plans/basic", Value: json.RawMessage(`{"name":"basic","quota-rate":5}`)},
+			{Key: "x/old", Value: json.RawMessage(`"short-lived"`)},
+		},
+	},
+	{
+		fixture: "command-check.json",
+		at:      7,
+		edits: []Edit{
+			{
+				Key:   "plans/basic",
+				Value: json.RawMessage(`{"name":"basic","quota-rate":9}`),
+				Check: true,
+				If:    3,
+			},
+			{Key: "x/new", Value: json.RawMessage(`[1,2.5,"ñ"]`), Check: true},
+			{Key: "x/old"},
+		},
+	},
 }
 
-// TestCommand_Version0Bytes reads commands as they stand in the logs of replicas: what they hold, and that the same
-// edits are still written as the same bytes, which replicas of the version before read.
+// TestCommand_Version0Bytes reads commands as they stand in the logs of replicas: what they hold, and that
+// the same edits are still written as the same bytes, which replicas of the version before read.
 func TestCommand_Version0Bytes(t *testing.T) {
 	for _, c := range version0Commands {
 		t.Run(c.fixture, func(t *testing.T) {
@@ -50,7 +68,8 @@
 	}
 }
 
-// TestLoad_ReadsVersion0Snapshot reads a snapshot, compares it with what the commands come to today, and writes it anew.
+// TestLoad_ReadsVersion0Snapshot reads a snapshot, compares it with what the commands come to today, and
+// writes it anew.
 func TestLoad_ReadsVersion0Snapshot(t *testing.T) {
 	now := New()
 	for _, c := range version0Commands {
@@ -78,9 +97,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := map[string]Entry{"plans/basic": {json.RawMessage(`{"name":"basic","quota-rate":9}`), 7}, "x/new": {json.RawMessage(`[1,2.5,"ñ"]`), 7}}
-	if s.At() != 7 || !reflect.DeepEqual(s.keys, want) || s.Print() != now.Print() {
-		t.Errorf("at %d: %+v", s.At(), s.keys)
+	want := map[string]Entry{
+		"plans/basic": {Value: json.RawMessage(`{"name":"basic","quota-rate":9}`), Index: 7},
+		"x/new":       {Value: json.RawMessage(`[1,2.5,"ñ"]`), Index: 7},
+	}
+	if s.AppliedIndex() != 7 || !reflect.DeepEqual(s.entries, want) || s.Fingerprint() != now.Fingerprint() {
+		t.Errorf("at %d: %+v", s.AppliedIndex(), s.entries)
 	}
 	for name, state := range map[string]*State{"as read": s, "as applied": now} {
 		if again, err := state.Snapshot(); err != nil || !bytes.Equal(again, text) {
