--- a/internal/backend/connection.go
+++ b/internal/backend/connection.go
@@ -130,11 +130,11 @@
 
 // endWrite moves the connection on when its writer is done. It returns the fault that the writer is to
 // report; nil where the attempt goes on, or where its end is reported already.
-func (c *conn) endWrite(attempt *dispatch.Attempt, whole bool, err error) error {
+func (c *conn) endWrite(attempt *dispatch.Attempt, isComplete bool, err error) error {
 	p := c.pool
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if !whole { // answered before it was written: what follows would stand behind half a command
+	if !isComplete { // answered before it was written: what follows would stand behind half a command
 		c.close()
 	}
 	if c.state == stateAnsweredEarly {
@@ -144,7 +144,7 @@
 		return nil
 	}
 	progress := dispatch.Writing
-	if whole {
+	if isComplete {
 		progress = dispatch.Written
 		p.metrics.AttemptSent(attempt.Class())
 	}
--- a/internal/backend/connection_test.go
+++ b/internal/backend/connection_test.go
@@ -12,7 +12,7 @@
 	"fawnplank/policy"
 )
 
-// Failure: an answer that never ends, a few bytes at a time, kept its connection for good once its attempt
+// Failure: an answer that never ends, a few bytes at a time, held its connection for good once its attempt
 // was given up.
 func TestConn_AnswerWithoutEndIsLeft(t *testing.T) {
 	p := newPool()
--- a/internal/backend/pool_test.go
+++ b/internal/backend/pool_test.go
@@ -145,7 +145,7 @@
 	p.SetAddress(2, one) // at another address now
 	p.Forget(3)
 	if !third.state.isClosed() || len(p.endpoints[2].idle) != 0 {
-		t.Error("connections to a backend that moved or is gone are kept")
+		t.Error("connections to a backend that moved or is gone stay open")
 	}
 	for range 2 {
 		if c, _, err := p.acquire(1); err != nil || c != nil { // two new ones may be opened
--- a/internal/backend/response_parser.go
+++ b/internal/backend/response_parser.go
@@ -17,7 +17,7 @@
 	maxParts = 8
 	// maxResponseBytes bounds a response: a value of the largest size, with its usage and load report.
 	maxResponseBytes = resp.MaxValue + 4<<10
-	// maxUnits is what a usage report stays below; more is taken for noise.
+	// maxUnits is what a usage report stays below; more is treated as noise.
 	maxUnits = 1e9
 )
 
--- a/internal/limitserver/doc.go
+++ b/internal/limitserver/doc.go
@@ -14,5 +14,5 @@
 // quota is full, both in milliseconds. The commands on accounts stand at Accounts.
 //
 // A Server's methods may be called concurrently. Each connection has a goroutine, which redcon owns and Close
-// ends; all that is kept for one connection is its rights.
+// ends; all that one connection has of its own is its rights.
 package limitserver
--- a/internal/limitserver/fuzz_test.go
+++ b/internal/limitserver/fuzz_test.go
@@ -48,9 +48,9 @@
 }
 
 // readCommands reads commands up to the first that cannot be read.
-func readCommands(text []byte, most int) (commands []redcon.Command) {
+func readCommands(text []byte, limit int) (commands []redcon.Command) {
 	reader := redcon.NewReader(bytes.NewReader(text))
-	for len(commands) < most {
+	for len(commands) < limit {
 		c, err := reader.ReadCommand()
 		if err != nil {
 			break
