--- a/internal/config/billing.go
+++ b/internal/config/billing.go
@@ -49,11 +49,11 @@
 // Settings are the accounts' settings, but for the plans.
 func (b Billing) Settings() billing.Settings {
 	return billing.Settings{
-		Window: int64(b.Window),
-		Lead:   int64(b.PlanLead),
-		Skew:   int64(b.ClockSkew),
-		Lease:  int64(b.ReservationLease),
-		Late:   int64(b.ExportDelay),
+		WindowNanos:       int64(b.Window),
+		ChangeNoticeNanos: int64(b.PlanLead),
+		ClockSkewNanos:    int64(b.ClockSkew),
+		MaxLeaseNanos:     int64(b.ReservationLease),
+		ExportDelayNanos:  int64(b.ExportDelay),
 	}
 }
 
