--- /dev/null
+++ b/cmd/fawnplank/accounts.go
@@ -0,0 +1,132 @@
+package main
+
+import (
+	"errors"
+	"strings"
+	"sync"
+	"sync/atomic"
+	"time"
+
+	"fawnplank/internal/billing"
+	"fawnplank/internal/billingservice"
+	"fawnplank/internal/config"
+	"fawnplank/internal/metrics"
+)
+
+// accounts are the tenants' accounts in the store, where the operator file switches them on. It owns the
+// billing service. KeysChanged and UpdateSettings are safe for concurrent use.
+type accounts struct {
+	service  *billingservice.Service // nil: off. Set by Start, before anything that reads it runs
+	settings atomic.Pointer[billing.Settings]
+	changes  *notifier
+
+	mu          sync.Mutex
+	enabled     bool
+	changedKeys []string // of accounts, which the service has not been notified of
+}
+
+func newAccounts() *accounts { return &accounts{changes: newNotifier()} }
+
+// Start starts the billing service on the replica.
+func (a *accounts) Start(replica *replica, configuration *config.Config, operator *config.Operator,
+	registry *metrics.Registry) error {
+	if !operator.Billing.Enabled {
+		return nil
+	}
+	if replica == nil {
+		return errors.New("is on, and needs the replicated store (--store)")
+	}
+	a.UpdateSettings(configuration, operator)
+	a.mu.Lock()
+	a.enabled = true // before the service reads the accounts, so that it misses no change after that
+	a.mu.Unlock()
+	options := billingservice.Options{
+		Replica:        replica.Store,
+		Instance:       configuration.Name,
+		Settings:       func() billing.Settings { return *a.settings.Load() },
+		ReportInterval: time.Duration(operator.Billing.ReportInterval),
+	}
+	if operator.Billing.ExportFolder != "" {
+		options.Sink = billingservice.Folder(operator.Billing.ExportFolder)
+	} else if operator.Billing.ExportURL != "" {
+		options.Sink = billingservice.NewReceiver(operator.Billing.ExportURL)
+	}
+	a.service = billingservice.Start(options)
+	a.changes.Start(func() { a.service.KeysChanged(a.takeChangedKeys()) })
+	registerBillingMetrics(a.service, registry)
+	return nil
+}
+
+// UpdateSettings applies the plans of a configuration.
+func (a *accounts) UpdateSettings(configuration *config.Config, operator *config.Operator) {
+	settings := operator.Billing.Settings()
+	settings.Plans = map[string]billing.Quota{}
+	for name, id := range configuration.Plans {
+		plan := configuration.Settings.Plans[id]
+		settings.Plans[name] = billing.Quota{Rate: plan.Rate, Peak: plan.Burst}
+	}
+	a.settings.Store(&settings)
+}
+
+// KeysChanged reports keys that have changed in the store. It does not block.
+func (a *accounts) KeysChanged(keys []string) {
+	a.mu.Lock()
+	for _, key := range keys {
+		if a.enabled && strings.HasPrefix(key, billingservice.KeyPrefix) {
+			a.changedKeys = append(a.changedKeys, key)
+		}
+	}
+	a.mu.Unlock()
+	a.changes.Notify()
+}
+
+func (a *accounts) takeChangedKeys() []string {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	keys := a.changedKeys
+	a.changedKeys = nil
+	return keys
+}
+
+// CloseService reports all use that was recorded, and stops the billing service. It may be called more than
+// once.
+func (a *accounts) CloseService() { a.service.Close() }
+
+// Close ends the notification of changes. It is called once, after the replica has stopped.
+func (a *accounts) Close() { a.changes.Close() }
+
+func registerBillingMetrics(service *billingservice.Service, registry *metrics.Registry) {
+	count := func(counter func(*billingservice.Stats) *atomic.Uint64) func() float64 {
+		return func() float64 { return float64(counter(service.Stats()).Load()) }
+	}
+	registry.AddGauges(map[string]metrics.Gauge{
+		"billing_steps": {
+			Help:  "plan changes and steps of reservations that landed",
+			Value: count(func(s *billingservice.Stats) *atomic.Uint64 { return &s.Operations }),
+		},
+		"billing_refused": {
+			Help:  "those refused",
+			Value: count(func(s *billingservice.Stats) *atomic.Uint64 { return &s.Rejected }),
+		},
+		"billing_reports": {
+			Help:  "reports of this door's use that landed",
+			Value: count(func(s *billingservice.Stats) *atomic.Uint64 { return &s.Reports }),
+		},
+		"billing_exported": {
+			Help:  "records that this door had acknowledged",
+			Value: count(func(s *billingservice.Stats) *atomic.Uint64 { return &s.Exported }),
+		},
+		"billing_failures": {
+			Help:  "tries that store or receiver did not take",
+			Value: count(func(s *billingservice.Stats) *atomic.Uint64 { return &s.Failures }),
+		},
+		"billing_waiting": {
+			Help:  "records not exported yet",
+			Value: func() float64 { return float64(service.PendingRecords()) },
+		},
+		"billing_halted": {
+			Help:  "1 while nothing is exported for a fault",
+			Value: func() float64 { return gaugeBool(service.HaltReason() != "") },
+		},
+	})
+}
--- /dev/null
+++ b/cmd/fawnplank/command_check.go
@@ -0,0 +1,55 @@
+package main
+
+import (
+	"fmt"
+
+	"github.com/spf13/cobra"
+
+	"fawnplank/internal/config"
+)
+
+func checkCommand(globals *globalFlags) *cobra.Command {
+	return &cobra.Command{
+		Use: "check [FILE]", Short: "Read the configuration, or an operator file, and report what is wrong with it",
+		Long: `Reads what serve would read, with the same code, and reports what is wrong: in the configuration by key, in the
+operator file by file, line and key, in the zone file that it names by file and line. With FILE, an operator file alone
+is read. Exits with status 1 if anything is wrong.`,
+		Args: cobra.MaximumNArgs(1),
+		Example: "  fawnplank check -c config.json\n" +
+			"  fawnplank check -c config.json --operator deploy/fawnplank.toml\n" +
+			"  fawnplank check deploy/fawnplank.toml",
+		RunE: func(_ *cobra.Command, args []string) error {
+			if len(args) == 1 {
+				return checkOperatorFile(args[0])
+			}
+			return checkConfiguration(globals)
+		},
+	}
+}
+
+func checkOperatorFile(path string) error {
+	operator, err := config.ReadOperator(path)
+	if err != nil {
+		return err
+	}
+	if err := checkZoneFile(operator); err != nil {
+		return err
+	}
+	fmt.Printf("%s: in order\n", path)
+	return nil
+}
+
+func checkConfiguration(globals *globalFlags) error {
+	configuration, operator, err := loadConfiguration(globals.config, globals.operator, config.Overlay{})
+	if err != nil {
+		return err
+	}
+	if err := checkZoneFile(operator); err != nil {
+		return err
+	}
+	// Scripts of operators match this line: it keeps the words of the settings file.
+	fmt.Printf("%s: in order; %d profiles, %d plans, front door %d of %d\n", configuration.Name,
+		len(configuration.Classes), len(configuration.Plans),
+		configuration.Settings.InstanceIndex, configuration.Settings.Instances)
+	return nil
+}
--- /dev/null
+++ b/cmd/fawnplank/command_dns.go
@@ -0,0 +1,176 @@
+package main
+
+import (
+	"errors"
+	"fmt"
+	"io"
+	"strings"
+	"text/tabwriter"
+	"time"
+
+	"github.com/miekg/dns"
+	"github.com/spf13/cobra"
+
+	"fawnplank/internal/config"
+	"fawnplank/internal/dnsserver"
+	"fawnplank/internal/dnszone"
+)
+
+// dnsUpdateTimeout bounds an update: the server waits for its journal or for the store.
+const dnsUpdateTimeout = 5 * time.Second
+
+// dnsCommand is the zone's part of the command line.
+func dnsCommand(globals *globalFlags) *cobra.Command {
+	command := &cobra.Command{Use: "dns VERB", Short: "Show the zone that backends come from, and update it (docs/dns.md)"}
+	command.AddCommand(dnsListCommand(globals), dnsUpdateCommand())
+	return command
+}
+
+func dnsListCommand(globals *globalFlags) *cobra.Command {
+	var address string
+	command := &cobra.Command{
+		Use: "list", Short: "Show the endpoint list in force, and where each entry comes from", Args: cobra.NoArgs,
+		Long: `Shows the endpoint list in force and where each entry comes from, as the zone file and the journal have it, or, with
+--store, a replica of the store. A gateway that runs is neither asked nor disturbed.`,
+		Example: "  fawnplank dns list --operator deploy/fawnplank.toml\n" +
+			"  fawnplank dns list --operator deploy/fawnplank.toml --store 127.0.0.1:7101",
+		RunE: func(command *cobra.Command, _ []string) error {
+			var client *storeClient
+			if address != "" {
+				client = &storeClient{address: address, flag: "--store", tls: globals.tls}
+			}
+			return listZone(command.OutOrStdout(), globals.operator, client)
+		},
+	}
+	command.Flags().StringVar(&address, "store", "", "API address of a replica, where the zone is in the store")
+	return command
+}
+
+// listZone writes the zone of an operator file as journal and zone file have it, or as a replica has it.
+func listZone(out io.Writer, operatorPath string, client *storeClient) error {
+	operator, err := config.ReadOperator(operatorPath)
+	if err != nil {
+		return err
+	}
+	if operator.DNS.ZoneFile == "" {
+		return errors.New("the operator file names no zone: set dns.zone_file there, or name another file with --operator")
+	}
+	options := dnsOptions(operator.DNS)
+	if client != nil {
+		options.Shared = &dnsserver.Shared{Replica: *client}
+	}
+	zone, source, err := dnsserver.InForce(options)
+	if err != nil {
+		return err
+	}
+	return writeZone(out, zone, source)
+}
+
+// writeZone writes the endpoint list, a line for each entry.
+func writeZone(out io.Writer, zone *dnszone.Zone, source string) error {
+	table := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
+	lines := []string{
+		fmt.Sprintf("zone %s, serial %d, from %s; %d backends in the list", zone.Origin, zone.Serial(), source,
+			len(zone.Backends())),
+		"NAME\tADDRESSES\tSTATUS\tWEIGHT\tZONE\tGROUP\tSINCE\tFROM",
+	}
+	for _, backend := range zone.Backends() {
+		lines = append(lines, zoneRow(backend))
+	}
+	for _, line := range lines {
+		if _, err := fmt.Fprintln(table, line); err != nil {
+			return err
+		}
+	}
+	return table.Flush()
+}
+
+// zoneRow is the row of one backend, with tabs between the cells.
+func zoneRow(backend dnszone.Backend) string {
+	status := "up"
+	if backend.Draining {
+		status = "draining"
+	}
+	since := "-"
+	if started := backend.Started(); started > 0 {
+		since = time.Unix(0, started).UTC().Format(time.RFC3339)
+	}
+	origin := fmt.Sprintf("%s:%d", backend.Born.File, backend.Born.Line)
+	if backend.Born.Key != "" {
+		origin = "update by " + backend.Born.Key
+	}
+	var addresses []string
+	for _, address := range backend.Addresses {
+		addresses = append(addresses, address.String())
+	}
+	return fmt.Sprintf("%s\t%s\t%s\t%g\t%s\t%d\t%s\t%s, serial %d", backend.Name, strings.Join(addresses, ","), status,
+		backend.Size, backend.Zone, backend.Group, since, origin, backend.Born.Serial)
+}
+
+// dnsUpdate are the flags of dns update.
+type dnsUpdate struct {
+	server, zone, keyName, algorithm, secretFile string
+	deleteNames, deletes, adds                   []string
+}
+
+func dnsUpdateCommand() *cobra.Command {
+	var u dnsUpdate
+	command := &cobra.Command{
+		Use: "update", Short: "Send one signed update: all of it is applied, or nothing", Args: cobra.NoArgs,
+		Example: `  fawnplank dns update --at 127.0.0.1:5353 --key deploy. --secret-file deploy.key --zone calc.example. \
+    --delete '_calc._tcp.calc.example. SRV 0 100 7000 n1.calc.example.'
+  fawnplank dns update ... --delete-name n1.calc.example. --add 'n1.calc.example. A 127.0.0.11'`,
+		RunE: func(*cobra.Command, []string) error { return u.run() },
+	}
+	flags := command.Flags()
+	flags.StringVar(&u.server, "at", "127.0.0.1:5353", "address of the gateway's name server")
+	flags.StringVar(&u.zone, "zone", "", "name of the zone")
+	flags.StringVar(&u.keyName, "key", "", "name of the key")
+	flags.StringVar(&u.algorithm, "algorithm", "hmac-sha256", "algorithm of the key")
+	flags.StringVar(&u.secretFile, "secret-file", "", "file with the key's secret in base64")
+	flags.StringArrayVar(&u.deleteNames, "delete-name", nil, "name whose records are all deleted; may be repeated")
+	flags.StringArrayVar(&u.deletes, "delete", nil, "record to delete, in master form; may be repeated")
+	flags.StringArrayVar(&u.adds, "add", nil, "record to add, in master form; may be repeated")
+	return command
+}
+
+func (u dnsUpdate) run() error {
+	key, err := dnsserver.ReadKey(u.keyName, u.algorithm, u.secretFile)
+	if err != nil {
+		return err
+	}
+	message := new(dns.Msg).SetUpdate(dns.Fqdn(u.zone))
+	for _, name := range u.deleteNames {
+		message.RemoveName([]dns.RR{&dns.ANY{Hdr: dns.RR_Header{Name: dns.Fqdn(name)}}})
+	}
+	deletes, err := parseRecords(u.deletes)
+	if err != nil {
+		return err
+	}
+	adds, err := parseRecords(u.adds)
+	if err != nil {
+		return err
+	}
+	message.Remove(deletes)
+	message.Insert(adds)
+	if err := dnsserver.Send(message, u.server, key, dnsUpdateTimeout); err != nil {
+		return fmt.Errorf("update of zone %q at %s (--zone, --at): %w", u.zone, u.server, err)
+	}
+	return nil
+}
+
+// parseRecords reads records in master form.
+func parseRecords(texts []string) ([]dns.RR, error) {
+	var records []dns.RR
+	for _, text := range texts {
+		record, err := dns.NewRR(text)
+		if err != nil {
+			return nil, fmt.Errorf("%q is no record: %w", text, err)
+		}
+		if record == nil { // a comment, or nothing
+			return nil, fmt.Errorf("%q is no record: it is empty", text)
+		}
+		records = append(records, record)
+	}
+	return records, nil
+}
--- /dev/null
+++ b/cmd/fawnplank/command_migrate.go
@@ -0,0 +1,56 @@
+package main
+
+import (
+	"errors"
+	"fmt"
+
+	"github.com/spf13/cobra"
+
+	"fawnplank/internal/config"
+)
+
+// migration are the flags of migrate.
+type migration struct {
+	shape  string // file with the settings of the new deployment
+	output string // file to write
+	dryRun bool
+}
+
+func migrateCommand(globals *globalFlags) *cobra.Command {
+	var m migration
+	command := &cobra.Command{
+		Use: "migrate", Short: "Write the configuration's counterpart for the new shape of deployment",
+		Long: "Writes the counterpart of a configuration for the new shape of deployment, and lists what could not be " +
+			"carried over (docs/migration.md).",
+		Args: cobra.NoArgs,
+		Example: `  fawnplank migrate -c old.json --shape shape.json --dry-run
+  fawnplank migrate -c old.json --shape shape.json -o new.json`,
+		RunE: func(*cobra.Command, []string) error { return m.run(globals.config) },
+	}
+	flags := command.Flags()
+	flags.StringVar(&m.shape, "shape", "", "file with the settings of the new deployment, laid over the old ones")
+	flags.StringVarP(&m.output, "output", "o", "", "file to write, which must not exist yet")
+	flags.BoolVar(&m.dryRun, "dry-run", false, "list what could not be carried over, and write nothing")
+	return command
+}
+
+// run writes the counterpart of the configuration at path for the new shape, and lists what could not be
+// carried over.
+func (m migration) run(path string) error {
+	if path == "" || m.output == "" && !m.dryRun {
+		return errors.New("migrate: needs --config for the old file, and --output for the new one or --dry-run")
+	}
+	lost, err := config.Migrate(config.MigrateOptions{From: path, Shape: m.shape, To: m.output, DryRun: m.dryRun})
+	if err != nil {
+		return err
+	}
+	for _, line := range lost {
+		fmt.Println("not carried over:", line)
+	}
+	if m.dryRun {
+		fmt.Printf("%s: %d not carried over; nothing written\n", path, len(lost))
+		return nil
+	}
+	fmt.Printf("%s: written; %d not carried over\n", m.output, len(lost))
+	return nil
+}
--- /dev/null
+++ b/cmd/fawnplank/command_root.go
@@ -0,0 +1,86 @@
+package main
+
+import (
+	"cmp"
+	"errors"
+	"fmt"
+	"os"
+	"runtime"
+
+	"github.com/spf13/cobra"
+
+	"fawnplank/internal/logging"
+	"fawnplank/internal/tlsconfig"
+)
+
+// globalFlags are the flags that every command accepts.
+type globalFlags struct {
+	config    string // configuration file; empty: the one that GW_CONFIG names
+	operator  string // operator file; empty: none
+	logLevel  string // empty: the operator file's
+	logFormat string // empty: the operator file's
+	// tls is presented by a replica on both its addresses and towards the others, and by commands towards
+	// replicas and limits addresses.
+	tls tlsconfig.Files
+}
+
+func (f *globalFlags) register(command *cobra.Command) {
+	flags := command.PersistentFlags()
+	flags.StringVarP(&f.config, "config", "c", "", "configuration file (default: the one that GW_CONFIG names)")
+	flags.StringVar(&f.operator, "operator", os.Getenv("GW_OPERATOR"),
+		"operator file, TOML (default: the one that GW_OPERATOR names, or none)")
+	flags.StringVar(&f.logLevel, "log-level", "",
+		"lowest level that is logged: error, warning, info or debug (default: the operator file's, or info)")
+	flags.StringVar(&f.logFormat, "log-format", "",
+		"format of the log: text or json (default: the operator file's, or text)")
+	flags.StringVar(&f.tls.Certificate, "tls-certificate", "",
+		"certificate of a replica, or of a command towards a replica or a limits address; TLS is used where it is given")
+	flags.StringVar(&f.tls.Key, "tls-key", "", "private key of the certificate")
+	flags.StringVar(&f.tls.Authority, "tls-authority", "", "authority that the peer's certificate is checked against")
+}
+
+// rootCommand is the command line. Each command only parses its flags and arguments; the work is done
+// elsewhere.
+func rootCommand() *cobra.Command {
+	globals := &globalFlags{}
+	root := &cobra.Command{
+		Use: "fawnplank COMMAND", Short: "A quota-keeping gateway for a shared API",
+		SilenceUsage: true, SilenceErrors: true, Args: cobra.ArbitraryArgs,
+		PersistentPreRunE: func(*cobra.Command, []string) error {
+			level, format := cmp.Or(globals.logLevel, "info"), cmp.Or(globals.logFormat, "text")
+			if err := logging.Setup(logging.Options{Output: os.Stderr, Level: level, Format: format}); err != nil {
+				return fmt.Errorf("--log-level, --log-format: %w", err)
+			}
+			return nil
+		},
+		RunE: func(command *cobra.Command, args []string) error {
+			command.SetOut(os.Stderr)
+			_ = command.Usage() // standard error cannot be written; there is nowhere to report that
+			if len(args) > 0 {
+				return fmt.Errorf("unknown command %q", args[0])
+			}
+			return errors.New("one command is needed")
+		},
+	}
+	root.CompletionOptions.DisableDefaultCmd = true
+	globals.register(root)
+	root.AddCommand(
+		serveCommand(globals),
+		storeCommand(globals),
+		dnsCommand(globals),
+		billingCommand(globals),
+		checkCommand(globals),
+		migrateCommand(globals),
+		versionCommand(),
+		labCommand(),
+	)
+	return root
+}
+
+func versionCommand() *cobra.Command {
+	return &cobra.Command{
+		Use: "version", Short: "Print the version", Args: cobra.NoArgs,
+		Example: "  fawnplank version",
+		Run:     func(*cobra.Command, []string) { fmt.Println("fawnplank", version, runtime.Version()) },
+	}
+}
--- /dev/null
+++ b/cmd/fawnplank/command_serve.go
@@ -0,0 +1,54 @@
+package main
+
+import (
+	"context"
+	"os"
+	"os/signal"
+	"syscall"
+
+	"github.com/spf13/cobra"
+)
+
+// pendingSignals is how many signals may wait while one is handled. A reload reads every setting anew, so
+// that signals beyond a few would only repeat it.
+const pendingSignals = 8
+
+func serveCommand(globals *globalFlags) *cobra.Command {
+	var replica replicaFlags
+	command := &cobra.Command{
+		Use: "serve", Short: "Run a gateway until SIGTERM", Args: cobra.NoArgs,
+		Long: `Runs a gateway. SIGHUP reads the configuration again and applies it whole or not at all; on SIGTERM the gateway
+serves for another half second, answers the requests in flight, and exits.`,
+		Example: `  fawnplank serve -c config.json
+  GW_CONFIG=config.json fawnplank serve --log-level warning
+  fawnplank serve -c config.json --store /var/lib/fawnplank --me a@127.0.0.1:7001@127.0.0.1:7101 \
+    --peers a@127.0.0.1:7001@127.0.0.1:7101,b@127.0.0.1:7002@127.0.0.1:7102,c@127.0.0.1:7003@127.0.0.1:7103`,
+		RunE: func(command *cobra.Command, _ []string) error {
+			return serve(command.Context(), globals, replica)
+		},
+	}
+	replica.register(command)
+	return command
+}
+
+// serve runs a gateway until it has shut down.
+func serve(ctx context.Context, globals *globalFlags, replica replicaFlags) error {
+	// Before anything is read: a SIGHUP would end the process otherwise. Never undone, since a signal during
+	// the last steps of a shutdown would end the process with another exit status.
+	signals := make(chan os.Signal, pendingSignals)
+	signal.Notify(signals, syscall.SIGTERM, os.Interrupt, syscall.SIGHUP)
+	g, err := newGateway(ctx, gatewayOptions{
+		ConfigFile:   globals.config,
+		OperatorFile: globals.operator,
+		LogLevel:     globals.logLevel,
+		LogFormat:    globals.logFormat,
+		Replica:      replica,
+		TLS:          globals.tls,
+		Signals:      signals,
+	})
+	if err != nil {
+		return err
+	}
+	defer g.Close()
+	return g.Run(ctx)
+}
--- /dev/null
+++ b/cmd/fawnplank/command_test.go
@@ -0,0 +1,72 @@
+package main
+
+import (
+	"fmt"
+	"path/filepath"
+	"strings"
+	"testing"
+
+	"fawnplank/internal/testutil"
+)
+
+func TestCommandLine(t *testing.T) {
+	file := filepath.Join(t.TempDir(), "config.json")
+	text := fmt.Sprintf(configuration, "127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3")
+	writeFile(t, file, text)
+	bad := file + ".bad"
+	writeFile(t, bad, strings.Replace(text, `"me":0`, `"me":"x"`, 1))
+	known := file + ".known"
+	writeFile(t, known, strings.Replace(text, `"name":"s-1"`, `"name":""`, 1))
+	for _, test := range []struct {
+		args  string
+		want  string
+		fails bool
+	}{
+		{args: "version", want: "fawnplank"},
+		{args: "check -c " + file, want: "n0: in order"},
+		{args: "--help", want: "serve"},
+		{args: "check -c " + bad, want: "settings.me", fails: true},
+		{args: "serve -c " + bad, want: "settings.me", fails: true},
+		{args: "migrate -c " + file + " --dry-run", want: "1 not carried over; nothing written"},
+		{args: "migrate -c " + file + " -o " + file, want: "is there already", fails: true},
+		{args: "migrate -c " + file, want: "--dry-run", fails: true},
+		{args: "migrate -c " + bad + " --dry-run", want: bad + ": settings: settings.me", fails: true},
+		{args: "check -c " + known, want: "known", fails: true},
+		{args: "serve -c " + known, want: "known", fails: true},
+		{args: "check", want: "GW_CONFIG", fails: true},
+		{args: "", want: "one command", fails: true},
+		{args: "dance", want: "unknown command", fails: true},
+		{args: "serve --log-level loud", want: "log-level", fails: true},
+	} {
+		out, err := runProgram(t, strings.Fields(test.args)...)
+		if (err != nil) != test.fails || !strings.Contains(out, test.want) {
+			t.Errorf("%s: %v, %q", test.args, err, out)
+		}
+	}
+}
+
+// An operator's error says what is wrong, where, and what to do.
+func TestCommandLine_ErrorsSayWhatToDo(t *testing.T) {
+	nobody := testutil.FreeAddress(t)
+	operator := filepath.Join(t.TempDir(), "op.toml")
+	writeFile(t, operator, "")
+	for _, test := range []struct {
+		args string
+		want []string
+	}{
+		{args: "store status --at " + nobody, want: []string{"no replica listens at " + nobody, "--at", "refused"}},
+		{args: "billing resume --drop-before 2026-01-01T00:00:00Z --store " + nobody,
+			want: []string{"no replica listens at " + nobody, "--store", "refused"}},
+		{args: "billing room 0000000000000005 team --at " + nobody,
+			want: []string{"no gateway serves limit commands at " + nobody, "--at", "limits.listen"}},
+		{args: "billing room 0000000000000005 team --key ops", want: []string{"--secret-file"}},
+		{args: "dns list --operator " + operator, want: []string{"names no zone", "dns.zone_file", "--operator"}},
+	} {
+		out, err := runProgram(t, strings.Fields(test.args)...)
+		for _, want := range test.want {
+			if err == nil || !strings.Contains(out, want) {
+				t.Errorf("%s: no %q in %v, %q", test.args, want, err, out)
+			}
+		}
+	}
+}
--- a/cmd/fawnplank/limits.go
+++ b/cmd/fawnplank/limits.go
@@ -1,6 +1,7 @@
 package main
 
 import (
+	"context"
 	"crypto/tls"
 	"net"
 	"time"
@@ -15,75 +16,110 @@
 	"fawnplank/internal/tlsconfig"
 )
 
-// limits is the server of limit commands; a nil one is off.
-type limits struct{ *limitserver.Server }
+// limits is the server of limit commands. A nil one is off; its methods may be called.
+type limits struct{ server *limitserver.Server }
 
-// serveLimits starts it, where the operator file names an address.
-func serveLimits(f *dispatch.Dispatcher, figures *metrics.Registry, start *config.Config, set *config.Operator, accounts *billingservice.Service) (*limits, error) {
-	if set.Limits.Listen == "" {
+// limitsOptions configure serveLimits.
+type limitsOptions struct {
+	Dispatcher    *dispatch.Dispatcher
+	Metrics       *metrics.Registry
+	Configuration *config.Config
+	Operator      *config.Operator
+	Accounts      *billingservice.Service // nil: no commands on accounts
+}
+
+// serveLimits starts the server of limit commands, or returns nil where the operator file names no address
+// for it.
+func serveLimits(ctx context.Context, options limitsOptions) (*limits, error) {
+	settings := options.Operator.Limits
+	if settings.Listen == "" {
 		return nil, nil
 	}
-	l, err := net.Listen("tcp", set.Limits.Listen)
+	var listenConfig net.ListenConfig
+	listener, err := listenConfig.Listen(ctx, "tcp", settings.Listen)
 	if err != nil {
 		return nil, err
 	}
-	if files := set.Limits.TLS(); files.Enabled() {
+	if files := settings.TLS(); files.Enabled() {
 		source, err := tlsconfig.New(files)
 		if err != nil {
+			_ = listener.Close() // nothing was accepted
 			return nil, err
 		}
-		l = tls.NewListener(l, source.ServerConfig())
-		figures.AddGauges(map[string]metrics.Gauge{"limits_certificate_seconds": {Help: "until the limits' certificate runs out",
-			Value: func() float64 { return source.ExpiresIn().Seconds() }}})
+		listener = tls.NewListener(listener, source.ServerConfig())
+		options.Metrics.AddGauges(map[string]metrics.Gauge{
+			"limits_certificate_seconds": {
+				Help:  "until the limits' certificate runs out",
+				Value: func() float64 { return source.ExpiresIn().Seconds() },
+			},
+		})
 	}
-	options := limitserver.Options{
-		Dispatcher:     f,
-		Settings:       limitNames(start, set),
-		MaxConnections: set.Limits.MaxConnections,
+	server := newLimitServer(options)
+	registerLimitMetrics(server, options.Metrics)
+	go func() { // ends with limits.Close
+		if err := server.Serve(listener); err != nil {
+			logging.For("limits").WithError(err).Error("stopped")
+		}
+	}()
+	logging.For("limits").WithField(logging.Address, listener.Addr().String()).Info("listening")
+	return &limits{server}, nil
+}
+
+func newLimitServer(options limitsOptions) *limitserver.Server {
+	serverOptions := limitserver.Options{
+		Dispatcher:     options.Dispatcher,
+		Settings:       limitSettings(options.Configuration, options.Operator),
+		MaxConnections: options.Operator.Limits.MaxConnections,
 		Keys:           map[string]authz.Key{},
 	}
-	for _, k := range set.Limits.Keys {
-		options.Keys[k.Name] = k.Key
+	for _, key := range options.Operator.Limits.Keys {
+		serverOptions.Keys[key.Name] = key.Key
 	}
-	if accounts != nil { // a nil service in the interface would not compare as nil
-		options.Accounts = accounts
+	if options.Accounts != nil { // a nil service in the interface would not compare as nil
+		serverOptions.Accounts = options.Accounts
 	}
-	s := limitserver.New(options)
-	counts := func(n int) func() float64 {
-		return func() float64 {
-			granted, refused, faulty := s.Stats()
-			return float64([]uint64{granted, refused, faulty}[n])
-		}
-	}
-	figures.AddGauges(map[string]metrics.Gauge{
-		"limit_checks_granted": {Help: "limit checks that found room", Value: counts(0)},
-		"limit_checks_refused": {Help: "limit checks that found none", Value: counts(1)},
-		"limit_faults":         {Help: "limit commands answered with an error", Value: counts(2)}})
-	go func() {
-		if err := s.Serve(l); err != nil {
-			logging.For("limits").WithError(err).Error("stopped")
-		}
-	}()
-	logging.For("limits").WithField(logging.Address, l.Addr().String()).Info("listens")
-	return &limits{s}, nil
+	return limitserver.New(serverOptions)
 }
 
-func limitNames(start *config.Config, set *config.Operator) limitserver.Settings {
-	id, _ := start.LimitClass()
-	return limitserver.Settings{Class: id, Timeout: time.Duration(set.Limits.AnswerTimeout), Plans: start.Plans, Instances: start.Settings.Instances,
-		MaxUnits: start.MaxUnits}
+// limitSettings are what limit commands may name, and how they are checked.
+func limitSettings(configuration *config.Config, operator *config.Operator) limitserver.Settings {
+	class, _ := configuration.LimitClass()
+	return limitserver.Settings{
+		Class:     class,
+		Timeout:   time.Duration(operator.Limits.AnswerTimeout),
+		Plans:     configuration.Plans,
+		Instances: configuration.Settings.Instances,
+		MaxUnits:  configuration.MaxUnits,
+	}
 }
 
-// Retune takes the plans of a configuration read anew.
-func (l *limits) Retune(names limitserver.Settings) {
+// UpdateSettings applies the plans of a configuration that was read again.
+func (l *limits) UpdateSettings(settings limitserver.Settings) {
 	if l != nil {
-		l.Server.UpdateSettings(names)
+		l.server.UpdateSettings(settings)
 	}
 }
 
-// Close ends it.
+// Close stops the server.
 func (l *limits) Close() {
 	if l != nil {
-		l.Server.Close()
+		_ = l.server.Close() // fails only where it was not serving
 	}
 }
+
+func registerLimitMetrics(server *limitserver.Server, registry *metrics.Registry) {
+	registry.AddGauges(map[string]metrics.Gauge{
+		"limit_checks_granted": {
+			Help:  "limit checks that found room",
+			Value: func() float64 { granted, _, _ := server.Stats(); return float64(granted) },
+		},
+		"limit_checks_refused": {
+			Help:  "limit checks that found none",
+			Value: func() float64 { _, refused, _ := server.Stats(); return float64(refused) },
+		},
+		"limit_faults": {
+			Help:  "limit commands answered with an error",
+			Value: func() float64 { _, _, faults := server.Stats(); return float64(faults) },
+		},
+	})
+}
--- a/cmd/fawnplank/limits_test.go
+++ b/cmd/fawnplank/limits_test.go
@@ -5,10 +5,8 @@
 	"encoding/json"
 	"fmt"
 	"io"
-	"math/rand/v2"
-	"net"
 	"net/http"
-	"os"
+	"os/exec"
 	"path/filepath"
 	"strings"
 	"syscall"
@@ -16,22 +14,11 @@
 	"time"
 )
 
-func freeAddress(t *testing.T) string {
-	t.Helper()
-	// A loopback address of its own: the ports of 127.0.0.1 are taken by connections at any moment.
-	l, err := net.Listen("tcp4", fmt.Sprintf("127.%d.%d.%d:0", 1+rand.IntN(250), rand.IntN(250), 1+rand.IntN(250)))
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer l.Close()
-	return l.Addr().String()
-}
-
-// check and serve go by the same reader: what one refuses the other does, in the same words.
-func TestCheckAndServeAgreeOnOperatorFiles(t *testing.T) {
+// check and serve use the same reader: what one refuses the other does, in the same words.
+func TestCheckAndServe_AgreeOnOperatorFiles(t *testing.T) {
 	folder := t.TempDir()
-	config, operator := filepath.Join(folder, "config.json"), filepath.Join(folder, "op.toml")
-	os.WriteFile(config, []byte(fmt.Sprintf(configuration, freeAddress(t), "127.0.0.1:2", "127.0.0.1:3")), 0o600)
+	settings, operator := filepath.Join(folder, "config.json"), filepath.Join(folder, "op.toml")
+	writeFile(t, settings, fmt.Sprintf(configuration, freeAddress(t), "127.0.0.1:2", "127.0.0.1:3"))
 	for text, want := range map[string]string{
 		"[limits]\nlisten = \"127.0.0.1:1":   "op.toml:2: ",
 		"[limits]\nlisten = 3":               "op.toml:2: ",
@@ -40,120 +27,161 @@
 		"[log]\nlevel=\"info\"\nlevel=\"x\"": "op.toml:3: log.level stands twice",
 		"[counter]\nprotocol = \"smoke\"":    "op.toml:2: counter.protocol is \"smoke\"",
 	} {
-		os.WriteFile(operator, []byte(text), 0o600)
-		var said []string
-		for _, words := range []string{"check " + operator, "check -c " + config + " --operator " + operator, "serve -c " + config + " --operator " + operator} {
-			out, err := program(strings.Fields(words)...).CombinedOutput()
-			if err == nil || !strings.Contains(string(out), want) {
-				t.Errorf("%s with %q: %v, %q", words, text, err, out)
+		writeFile(t, operator, text)
+		var outputs []string
+		for _, args := range []string{
+			"check " + operator,
+			"check -c " + settings + " --operator " + operator,
+			"serve -c " + settings + " --operator " + operator,
+		} {
+			out, err := runProgram(t, strings.Fields(args)...)
+			if err == nil || !strings.Contains(out, want) {
+				t.Errorf("%s with %q: %v, %q", args, text, err, out)
 			}
-			said = append(said, string(out))
+			outputs = append(outputs, out)
 		}
-		if said[0] != said[1] || said[1] != said[2] {
-			t.Errorf("%q is refused in different words: %q", text, said)
+		if outputs[0] != outputs[1] || outputs[1] != outputs[2] {
+			t.Errorf("%q is refused in different words: %q", text, outputs)
 		}
 	}
-	os.WriteFile(operator, nil, 0o600)
-	for _, words := range []string{"check " + operator, "check -c " + config + " --operator " + operator, "check ../../deploy/fawnplank.toml"} {
-		if out, err := program(strings.Fields(words)...).CombinedOutput(); err != nil || !strings.Contains(string(out), "in order") {
-			t.Errorf("%s: %v, %q", words, err, out)
+	writeFile(t, operator, "")
+	for _, args := range []string{
+		"check " + operator,
+		"check -c " + settings + " --operator " + operator,
+		"check ../../deploy/fawnplank.toml",
+	} {
+		if out, err := runProgram(t, strings.Fields(args)...); err != nil || !strings.Contains(out, "in order") {
+			t.Errorf("%s: %v, %q", args, err, out)
 		}
 	}
 }
 
-// A front door with limit commands: a tool's check is granted, no client can take a transaction of the profile
-// that only counts, and a reload with a faulty operator file changes nothing and is counted.
-func TestServeWithLimitCommands(t *testing.T) {
-	folder := t.TempDir()
-	config, operator := filepath.Join(folder, "config.json"), filepath.Join(folder, "op.toml")
-	front, limits, mgmt := freeAddress(t), freeAddress(t), freeAddress(t)
-	text := fmt.Sprintf(configuration, front, "127.0.0.1:2", "127.0.0.1:3")
-	os.WriteFile(config, []byte(strings.Replace(text, `"name":"n0"`, `"name":"n0","mgmt":"`+mgmt+`"`, 1)), 0o600)
-	good := fmt.Sprintf("[limits]\nlisten = %q\n[log]\nformat = \"json\"\n", limits)
-	os.WriteFile(operator, []byte(good), 0o600)
-	c := program("serve", "-c", config, "--operator", operator)
-	log, _ := c.StderrPipe()
-	if err := c.Start(); err != nil {
+// logReader reads the entries of a process that logs as JSON.
+type logReader struct {
+	instance string // the name that each entry must carry
+	entries  chan map[string]any
+}
+
+// startLogged starts a process whose log is read.
+func startLogged(t *testing.T, process *exec.Cmd, instance string) *logReader {
+	t.Helper()
+	log, err := process.StderrPipe()
+	if err != nil {
+		t.Fatal(err)
+	}
+	if err := process.Start(); err != nil {
 		t.Fatal(err)
 	}
-	defer c.Process.Kill()
-	entries := make(chan map[string]any, 100)
+	t.Cleanup(func() { kill(process) })
+	r := &logReader{instance: instance, entries: make(chan map[string]any, 100)}
 	go func() {
-		defer close(entries)
+		defer close(r.entries)
 		for lines := bufio.NewScanner(log); lines.Scan(); {
-			var e map[string]any
-			if err := json.Unmarshal(lines.Bytes(), &e); err != nil {
-				e = map[string]any{"event": "no JSON: " + lines.Text()}
+			var entry map[string]any
+			if err := json.Unmarshal(lines.Bytes(), &entry); err != nil {
+				entry = map[string]any{"event": "no JSON: " + lines.Text()}
 			}
-			entries <- e
+			r.entries <- entry
 		}
 	}()
-	wait := func(component, event string) map[string]any {
-		t.Helper()
-		for late := time.After(5 * time.Second); ; {
-			select {
-			case e, ok := <-entries:
-				if !ok {
-					t.Fatalf("the log ended before %s: %s", component, event)
-				}
-				if e["door"] != "n0" || e["component"] == nil {
-					t.Errorf("an entry without its fields: %v", e)
-				}
-				if e["component"] == component && e["event"] == event {
-					return e
-				}
-			case <-late:
-				t.Fatalf("no entry %s: %s", component, event)
+	return r
+}
+
+// wait reads up to an entry of a component.
+func (r *logReader) wait(t *testing.T, component, event string) map[string]any {
+	t.Helper()
+	for timeout := time.After(5 * time.Second); ; {
+		select {
+		case entry, ok := <-r.entries:
+			if !ok {
+				t.Fatalf("the log ended before %s: %s", component, event)
+			}
+			if entry["door"] != r.instance || entry["component"] == nil {
+				t.Errorf("an entry without its fields: %v", entry)
+			}
+			if entry["component"] == component && entry["event"] == event {
+				return entry
 			}
+		case <-timeout:
+			t.Fatalf("no entry %s: %s", component, event)
 		}
 	}
-	if e := wait("limits", "listens"); e["address"] != limits {
-		t.Error(e)
+}
+
+// checkAnswer sends a command on a connection of its own, and checks how its answer begins.
+func checkAnswer(t *testing.T, address, text, want string) {
+	t.Helper()
+	conn := dial(t, address)
+	defer hangUp(conn)
+	setDeadline(conn, 3*time.Second)
+	send(conn, text)
+	got, _ := bufio.NewReader(conn).ReadString('\n') // an error shows in the line
+	if !strings.HasPrefix(got, want) {
+		t.Errorf("%q: %q, want %q", text, got, want)
 	}
-	wait("front", "listens")
-	ask := func(address, text, want string) {
-		t.Helper()
-		conn, err := net.Dial("tcp", address)
-		if err != nil {
-			t.Fatal(err)
-		}
-		defer conn.Close()
-		conn.SetDeadline(time.Now().Add(3 * time.Second))
-		io.WriteString(conn, text)
-		if got, _ := bufio.NewReader(conn).ReadString('\n'); !strings.HasPrefix(got, want) {
-			t.Errorf("%q: %q, want %q", text, got, want)
-		}
+}
+
+// A gateway with limit commands: a tool's check is granted, no client can send a request of the class that
+// only counts, and a reload with a faulty operator file changes nothing and is counted.
+func TestServe_LimitCommands(t *testing.T) {
+	folder := t.TempDir()
+	settings, operator := filepath.Join(folder, "config.json"), filepath.Join(folder, "op.toml")
+	clients, limits, management := freeAddress(t), freeAddress(t), freeAddress(t)
+	text := fmt.Sprintf(configuration, clients, "127.0.0.1:2", "127.0.0.1:3")
+	writeFile(t, settings, strings.Replace(text, `"name":"n0"`, `"name":"n0","mgmt":"`+management+`"`, 1))
+	good := fmt.Sprintf("[limits]\nlisten = %q\n[log]\nformat = \"json\"\n", limits)
+	writeFile(t, operator, good)
+	process := program(t, "serve", "-c", settings, "--operator", operator)
+	log := startLogged(t, process, "n0")
+	if entry := log.wait(t, "limits", "listening"); entry["address"] != limits {
+		t.Error(entry)
 	}
+	log.wait(t, "frontend", "listening")
 	const check = "*3\r\n$11\r\nLIMIT.CHECK\r\n$16\r\n0000000000000005\r\n$4\r\nteam\r\n"
-	ask(limits, check, "*5")
-	ask(limits, strings.Replace(check, "team", "gold", 1), "-ERR no plan 'gold'")
-	ask(front, "*4\r\n$9\r\nSVC.QUERY\r\n$16\r\n0000000000000005\r\n$1\r\n1\r\n$27\r\nc=limit.check,t=team,d=1400\r\n", "-ERR c has no meaning")
-	os.WriteFile(operator, []byte("[limits]\nlisten = \"nowhere\"\n"), 0o600)
-	c.Process.Signal(syscall.SIGHUP)
-	if e := wait("config", "not reloaded, the old configuration stays"); !strings.Contains(fmt.Sprint(e["error"]), "op.toml:2: limits.listen") {
-		t.Error(e)
+	checkAnswer(t, limits, check, "*5")
+	checkAnswer(t, limits, strings.Replace(check, "team", "gold", 1), "-ERR no plan 'gold'")
+	checkAnswer(t, clients, request("1", "c=limit.check,t=team,d=1400"), "-ERR c has no meaning")
+
+	writeFile(t, operator, "[limits]\nlisten = \"nowhere\"\n")
+	sendSignal(t, process, syscall.SIGHUP)
+	entry := log.wait(t, "config", "configuration not reloaded")
+	if !strings.Contains(fmt.Sprint(entry["error"]), "op.toml:2: limits.listen") {
+		t.Error(entry)
 	}
-	ask(limits, check, "*5")
-	os.WriteFile(operator, []byte(good+"level = \"debug\"\n"), 0o600)
-	c.Process.Signal(syscall.SIGHUP)
-	wait("config", "changes of the operator file take effect at a restart")
-	wait("config", "reloaded")
-	ask(limits, check, "*5")
-	r, err := http.Get("http://" + mgmt + "/admin/stats")
+	checkAnswer(t, limits, check, "*5")
+	writeFile(t, operator, good+"level = \"debug\"\n")
+	sendSignal(t, process, syscall.SIGHUP)
+	log.wait(t, "config", "operator file changes need a restart")
+	log.wait(t, "config", "configuration reloaded")
+	checkAnswer(t, limits, check, "*5")
+	checkStats(t, management, "gw_reload_failure 1", "gw_reload_success 1", "gw_limit_checks_granted 3", "gw_limit_faults 1",
+		"gw_counter_outage_seconds 0", "gw_quota_drift_units 0", "gw_counter_breaker_open 0")
+	sendSignal(t, process, syscall.SIGTERM)
+	log.wait(t, "frontend", "stopped")
+	if err := process.Wait(); err != nil {
+		t.Error(err)
+	}
+}
+
+// checkStats checks that the metrics at a management address hold lines.
+func checkStats(t *testing.T, management string, lines ...string) {
+	t.Helper()
+	statsRequest, err := http.NewRequestWithContext(t.Context(), http.MethodGet, "http://"+management+"/admin/stats", nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer r.Body.Close()
-	stats, _ := io.ReadAll(r.Body)
-	for _, want := range []string{"gw_reload_failure 1", "gw_reload_success 1", "gw_limit_checks_granted 3", "gw_limit_faults 1",
-		"gw_counter_outage_seconds 0", "gw_quota_drift_units 0", "gw_counter_breaker_open 0"} {
-		if !strings.Contains(string(stats), want+"\n") {
-			t.Errorf("%q is lacking in the figures", want)
-		}
+	response, err := http.DefaultClient.Do(statsRequest)
+	if err != nil {
+		t.Fatal(err)
 	}
-	c.Process.Signal(syscall.SIGTERM)
-	wait("front", "stopped")
-	if err := c.Wait(); err != nil {
-		t.Error(err)
+	defer hangUp(response.Body)
+	stats, err := io.ReadAll(response.Body)
+	if err != nil {
+		t.Fatal(err)
+	}
+	for _, line := range lines {
+		if !strings.Contains(string(stats), line+"\n") {
+			t.Errorf("%q is lacking in the metrics", line)
+		}
 	}
 }
--- /dev/null
+++ b/cmd/fawnplank/listen.go
@@ -0,0 +1,37 @@
+package main
+
+import (
+	"context"
+	"net"
+	"os"
+	"syscall"
+
+	"golang.org/x/sys/unix"
+
+	"fawnplank/internal/config"
+)
+
+// listen uses the listener that the process was handed, or opens one that a process started later may share:
+// during an upgrade both serve the clients' address, and the kernel distributes new connections over the two.
+func listen(ctx context.Context, configuration *config.Config) (net.Listener, error) {
+	if configuration.ListenerFD >= 0 {
+		file := os.NewFile(uintptr(configuration.ListenerFD), "listener")
+		defer func() {
+			_ = file.Close() // the listener has a duplicate of its own
+		}()
+		return net.FileListener(file)
+	}
+	shared := net.ListenConfig{Control: setReusePort}
+	return shared.Listen(ctx, "tcp4", configuration.Listen)
+}
+
+func setReusePort(_, _ string, raw syscall.RawConn) error {
+	var optionErr error
+	err := raw.Control(func(fd uintptr) {
+		optionErr = syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, unix.SO_REUSEPORT, 1)
+	})
+	if err != nil {
+		return err
+	}
+	return optionErr
+}
--- /dev/null
+++ b/cmd/fawnplank/management.go
@@ -0,0 +1,46 @@
+package main
+
+import (
+	"context"
+	"fmt"
+	"io"
+
+	"fawnplank/internal/admin"
+	"fawnplank/internal/logging"
+)
+
+// serveManagement serves the management address, where the configuration names one, until the process ends:
+// health and metrics are answered to the last moment.
+func (g *gateway) serveManagement(ctx context.Context) error {
+	if g.configuration.ManagementAddress == "" {
+		return nil
+	}
+	server, err := admin.New(ctx, admin.Options{
+		Address:  g.configuration.ManagementAddress,
+		Gateway:  managed{g},
+		MaxCalls: g.managementCalls(),
+	})
+	if err != nil {
+		return fmt.Errorf("configuration: mgmt: %w", err)
+	}
+	go func() {
+		if err := server.Serve(); err != nil {
+			logging.For("admin").WithError(err).Error("stopped")
+		}
+	}()
+	logging.For("admin").WithField(logging.Address, server.Address()).Info("listening")
+	return nil
+}
+
+// managed is the gateway as the management address sees it. It is safe for concurrent use.
+type managed struct{ gateway *gateway }
+
+func (m managed) Ready() bool { return m.gateway.ready.Load() && !m.gateway.server.Draining() }
+func (m managed) Drain()      { m.gateway.server.Drain() }
+func (m managed) Resume()     { m.gateway.server.Resume() }
+
+func (m managed) WriteStats(out io.Writer) {
+	if err := m.gateway.metrics.Write(out); err != nil {
+		logging.For("admin").WithError(err).Warn("metrics not written")
+	}
+}
--- /dev/null
+++ b/cmd/fawnplank/metrics.go
@@ -0,0 +1,72 @@
+package main
+
+import (
+	"fawnplank/internal/config"
+	"fawnplank/internal/counter"
+	"fawnplank/internal/dispatch"
+	"fawnplank/internal/metrics"
+	"fawnplank/policy"
+)
+
+// classNames are the names of the classes, by id; those of rows that no name refers to any more are empty.
+// There are as many as rows, not as names: after a reload ids reach past the number of names.
+func classNames(configuration *config.Config) []string {
+	names := make([]string, len(configuration.Settings.Classes))
+	for name, id := range configuration.Classes {
+		names[id] = name
+	}
+	return names
+}
+
+// counterGauges are the metrics on the counter: what it answered, and how far the gateway may be from one
+// count.
+func counterGauges(dispatcher *dispatch.Dispatcher, client *counter.Client) map[string]metrics.Gauge {
+	stat := func(value func(policy.CounterStats) float64) func() float64 {
+		return func() float64 { return value(dispatcher.CounterStats()) }
+	}
+	return map[string]metrics.Gauge{
+		"counter_calls": {
+			Help:  "calls that the counter answered with a total",
+			Value: func() float64 { return float64(client.Stats().Answered) },
+		},
+		"counter_failures": {
+			Help:  "calls without a total",
+			Value: func() float64 { return float64(client.Stats().Failed) },
+		},
+		"counter_outage_seconds": {
+			Help:  "since the first failure after the last total; 0: none",
+			Value: func() float64 { return client.Stats().Outage.Seconds() },
+		},
+		"counter_breaker_open": {
+			Help:  "1 while calls to the counter are stopped",
+			Value: stat(func(s policy.CounterStats) float64 { return gaugeBool(s.BreakerOpen) }),
+		},
+		"counter_calling_share": {
+			Help:  "part of the transactions that call the counter",
+			Value: stat(func(s policy.CounterStats) float64 { return s.CallShare }),
+		},
+		"quota_owed_units": {
+			Help:  "units let in and not told to the counter yet",
+			Value: stat(func(s policy.CounterStats) float64 { return s.UnreportedUnits }),
+		},
+		"quota_reconciled_units": {
+			Help:  "units put right on the counter's numbers, of customers remembered",
+			Value: stat(func(s policy.CounterStats) float64 { return s.ReconciledUnits }),
+		},
+		"quota_drift_units": {
+			Help:  "units that this door may be apart from one count",
+			Value: stat(func(s policy.CounterStats) float64 { return s.DriftUnits }),
+		},
+		"customers": {
+			Help:  "customers remembered",
+			Value: stat(func(s policy.CounterStats) float64 { return float64(s.Tenants) }),
+		},
+	}
+}
+
+func gaugeBool(value bool) float64 {
+	if value {
+		return 1
+	}
+	return 0
+}
--- /dev/null
+++ b/cmd/fawnplank/reload_test.go
@@ -0,0 +1,88 @@
+package main
+
+import (
+	"bufio"
+	"fmt"
+	"net/http"
+	"net/http/httptest"
+	"path/filepath"
+	"strings"
+	"syscall"
+	"testing"
+	"time"
+)
+
+// SIGHUP under way: a faulty file is logged with its key and changes nothing; a good one is applied; and
+// neither it nor SIGTERM during it ends the program before its time.
+func TestReload(t *testing.T) {
+	calls := make(chan int, 100)
+	var addresses [2]string
+	for n := range addresses {
+		addresses[n] = countingDiscovery(t, calls, n)
+	}
+	file := filepath.Join(t.TempDir(), "config.json")
+	text := func(n int) string {
+		return fmt.Sprintf(configuration, "127.0.0.1:0", addresses[n], "127.0.0.1:3")
+	}
+	writeFile(t, file, text(0))
+	process := program(t, "serve", "-c", file)
+	log, err := process.StderrPipe()
+	if err != nil {
+		t.Fatal(err)
+	}
+	if err := process.Start(); err != nil {
+		t.Fatal(err)
+	}
+	defer kill(process)
+	lines := bufio.NewScanner(log)
+	waitLogged(t, lines, "listening")
+	waitCalled(t, calls, 0)
+	writeFile(t, file, strings.Replace(text(1), `"me":0`, `"me":"x"`, 1))
+	sendSignal(t, process, syscall.SIGHUP)
+	waitLogged(t, lines, "settings.me")
+	writeFile(t, file, text(1))
+	sendSignal(t, process, syscall.SIGHUP)
+	waitCalled(t, calls, 1)
+	waitLogged(t, lines, "configuration reloaded")
+	sendSignal(t, process, syscall.SIGHUP)
+	sendSignal(t, process, syscall.SIGTERM)
+	sendSignal(t, process, syscall.SIGHUP)
+	waitLogged(t, lines, "stopped")
+	if err := process.Wait(); err != nil {
+		t.Errorf("exit: %v", err)
+	}
+}
+
+// countingDiscovery is the address of a discovery service that sends its number for each call and answers
+// none.
+func countingDiscovery(t *testing.T, calls chan<- int, number int) string {
+	t.Helper()
+	server := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
+		calls <- number
+		<-r.Context().Done()
+	}))
+	t.Cleanup(server.CloseClientConnections)
+	return strings.TrimPrefix(server.URL, "http://")
+}
+
+func waitCalled(t *testing.T, calls <-chan int, want int) {
+	t.Helper()
+	select {
+	case number := <-calls:
+		if number != want {
+			t.Errorf("discovery %d is called, not %d", number, want)
+		}
+	case <-time.After(900 * time.Millisecond): // a watch that was not moved is called again after a second
+		t.Fatalf("discovery %d is not called", want)
+	}
+}
+
+func waitLogged(t *testing.T, lines *bufio.Scanner, want string) {
+	t.Helper()
+	for lines.Scan() {
+		if strings.Contains(lines.Text(), want) {
+			return
+		}
+	}
+	t.Fatalf("not logged: %s", want)
+}
--- /dev/null
+++ b/cmd/fawnplank/replica.go
@@ -0,0 +1,182 @@
+package main
+
+import (
+	"encoding/json"
+	"errors"
+	"fmt"
+	"os/signal"
+	"slices"
+	"strings"
+	"syscall"
+
+	"github.com/spf13/cobra"
+
+	"fawnplank/internal/config"
+	"fawnplank/internal/dnsserver"
+	"fawnplank/internal/metrics"
+	"fawnplank/internal/store"
+	"fawnplank/internal/tlsconfig"
+)
+
+// replicaFlags say where a replica of the store is, and which others there are.
+type replicaFlags struct {
+	folder string // empty: no store
+	self   string
+	peers  []string
+}
+
+func (f *replicaFlags) register(command *cobra.Command) {
+	flags := command.Flags()
+	flags.StringVar(&f.folder, "store", "", "folder of this replica of the store; left out: no store")
+	flags.StringVar(&f.self, "me", "", "this replica: id@raft-address@api-address")
+	flags.StringSliceVar(&f.peers, "peers", nil,
+		"all replicas of the first start, including this one; none: it waits to be added")
+}
+
+func (f *replicaFlags) options(files tlsconfig.Files) (options store.Options, err error) {
+	options.Dir = f.folder
+	if files.Enabled() {
+		if options.TLS, err = tlsconfig.New(files); err != nil {
+			return options, err
+		}
+		if files.Authority == "" {
+			return options, errors.New("--tls-authority is missing: replicas check each other by it")
+		}
+	}
+	if options.Self, err = store.ParsePeer(f.self); err != nil {
+		return options, fmt.Errorf("--me: %w", err)
+	}
+	for _, text := range f.peers {
+		peer, err := store.ParsePeer(text)
+		if err != nil {
+			return options, fmt.Errorf("--peers: %w", err)
+		}
+		options.Peers = append(options.Peers, peer)
+	}
+	if len(options.Peers) > 0 && !slices.Contains(options.Peers, options.Self) {
+		return options, fmt.Errorf("--peers: %s is not among them", f.self)
+	}
+	return options, nil
+}
+
+// ignoreFileSizeSignal lets a write beyond a limit on file sizes fail as one on a full disk does, with an
+// error that is reported, in place of ending the process.
+func ignoreFileSizeSignal() { signal.Ignore(syscall.SIGXFSZ) }
+
+// replica is the gateway's replica of the store. A nil one stands for no store; its methods may be called.
+type replica struct {
+	*store.Store
+	tls *tlsconfig.Source // nil: none
+	// edits receives a value when a plan or a class has changed in the store. One value stands for any number
+	// of edits.
+	edits chan struct{}
+}
+
+// replicaOptions configure openReplica. All functions are required, and none may block.
+type replicaOptions struct {
+	Flags replicaFlags
+	TLS   tlsconfig.Files
+	// CheckOverlay judges what the gateway's own files make of a row of the store.
+	CheckOverlay func(config.Overlay) error
+	// ZoneChanged is called when a part of the zone has changed in the store.
+	ZoneChanged func()
+	// KeysChanged is called with all keys that have changed in the store.
+	KeysChanged func(keys []string)
+}
+
+// openReplica starts the replica that the flags describe, or returns nil where they describe none.
+func openReplica(options replicaOptions) (*replica, error) {
+	if options.Flags.folder == "" {
+		return nil, nil
+	}
+	storeOptions, err := options.Flags.options(options.TLS)
+	if err != nil {
+		return nil, err
+	}
+	ignoreFileSizeSignal()
+	edits := make(chan struct{}, 1)
+	storeOptions.OnChange = func(keys []string) { notifyChanged(keys, options, edits) }
+	storeOptions.Validate = func(key string, value json.RawMessage) error {
+		return checkRow(key, value, options.CheckOverlay)
+	}
+	opened, err := store.Open(storeOptions)
+	if err != nil {
+		return nil, err
+	}
+	return &replica{Store: opened, tls: storeOptions.TLS, edits: edits}, nil
+}
+
+// notifyChanged passes on keys that have changed to those that read them. It does not block.
+func notifyChanged(keys []string, options replicaOptions, edits chan<- struct{}) {
+	isZoneKey := func(key string) bool { return strings.HasPrefix(key, dnsserver.Keys) }
+	if slices.ContainsFunc(keys, isZoneKey) {
+		options.ZoneChanged()
+	}
+	options.KeysChanged(keys)
+	isRow := func(key string) bool {
+		return strings.HasPrefix(key, config.PlanKey) || strings.HasPrefix(key, config.ClassKey)
+	}
+	if slices.ContainsFunc(keys, isRow) {
+		select {
+		case edits <- struct{}{}:
+		default: // an edit waits already, and all that is there by then is read
+		}
+	}
+}
+
+// checkRow judges a plan or class before it is written, alone and then by what this replica's own files make
+// of it. What another replica's files make of it is judged there again.
+func checkRow(key string, value json.RawMessage, checkOverlay func(config.Overlay) error) error {
+	var overlay config.Overlay
+	name, isPlan := strings.CutPrefix(key, config.PlanKey)
+	if isPlan {
+		overlay.Plans = map[string]json.RawMessage{name: value}
+	} else {
+		var isClass bool
+		if name, isClass = strings.CutPrefix(key, config.ClassKey); !isClass {
+			return nil
+		}
+		overlay.Classes = map[string]json.RawMessage{name: value}
+	}
+	if err := config.CheckRow(name, value); err != nil {
+		return err
+	}
+	return checkOverlay(overlay)
+}
+
+// registerMetrics shows until when the replica's certificate is valid.
+func (r *replica) registerMetrics(registry *metrics.Registry) {
+	if r == nil || r.tls == nil {
+		return
+	}
+	registry.AddGauges(map[string]metrics.Gauge{
+		"store_certificate_seconds": {
+			Help:  "until the replica's certificate runs out",
+			Value: func() float64 { return r.tls.ExpiresIn().Seconds() },
+		},
+	})
+}
+
+// Close stops the replica.
+func (r *replica) Close() {
+	if r != nil {
+		r.Store.Close()
+	}
+}
+
+// Edits receives a value after plans or classes were edited in the store; nil, which never receives, without
+// a store.
+func (r *replica) Edits() <-chan struct{} {
+	if r == nil {
+		return nil
+	}
+	return r.edits
+}
+
+// overlay returns the plans and classes that stand in the store.
+func (r *replica) overlay() config.Overlay {
+	if r == nil {
+		return config.Overlay{}
+	}
+	return config.Overlay{Plans: r.ReadPrefix(config.PlanKey), Classes: r.ReadPrefix(config.ClassKey)}
+}
--- /dev/null
+++ b/cmd/fawnplank/replica_process_test.go
@@ -0,0 +1,147 @@
+package main
+
+import (
+	"encoding/json"
+	"errors"
+	"net/http"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"slices"
+	"strings"
+	"testing"
+)
+
+// replicaProcess is a process with a replica of the store.
+type replicaProcess struct {
+	id, raft, api, folder string
+	args                  []string // what it is run with, before the store's flags
+	command               *exec.Cmd
+	log                   string
+}
+
+// newReplicas are the processes of replicas, not started yet. They are killed at the end of the test, and the
+// ends of their logs are printed if it failed.
+func newReplicas(t *testing.T, ids ...string) []*replicaProcess {
+	t.Helper()
+	folder := t.TempDir()
+	var replicas []*replicaProcess
+	for _, id := range ids {
+		replicas = append(replicas, &replicaProcess{
+			id:     id,
+			raft:   freeAddress(t),
+			api:    freeAddress(t),
+			folder: filepath.Join(folder, id),
+			log:    filepath.Join(folder, id+".log"),
+			args:   []string{"store", "run"},
+		})
+	}
+	t.Cleanup(func() {
+		for _, r := range replicas {
+			r.kill()
+		}
+		if !t.Failed() {
+			return
+		}
+		for _, r := range replicas {
+			text, _ := os.ReadFile(r.log) // a replica that never started has none
+			t.Logf("%s:\n%s", r.id, text[max(len(text)-1500, 0):])
+		}
+	})
+	return replicas
+}
+
+func startReplicas(t *testing.T, replicas []*replicaProcess) {
+	t.Helper()
+	for _, r := range replicas {
+		r.start(t, replicas)
+	}
+}
+
+func (r *replicaProcess) name() string { return r.id + "@" + r.raft + "@" + r.api }
+
+func (r *replicaProcess) start(t *testing.T, all []*replicaProcess) {
+	t.Helper()
+	var names []string
+	for _, peer := range all {
+		names = append(names, peer.name())
+	}
+	out, err := os.OpenFile(r.log, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer hangUp(out) // the process has its own
+	flags := []string{"--store", r.folder, "--me", r.name(), "--peers", strings.Join(names, ",")}
+	r.command = program(t, slices.Concat(r.args, flags)...)
+	r.command.Stdout, r.command.Stderr = out, out
+	if err := r.command.Start(); err != nil {
+		t.Fatal(err)
+	}
+}
+
+func (r *replicaProcess) kill() {
+	if r.command != nil {
+		kill(r.command)
+		_ = r.command.Wait() // it was killed
+		r.command = nil
+	}
+}
+
+// call makes one call to the replica's API.
+func (r *replicaProcess) call(t *testing.T, method, path, body string) (string, error) {
+	t.Helper()
+	text, err := storeClient{address: r.api}.call(t.Context(), method, path, []byte(body))
+	return string(text), err
+}
+
+// put writes a key.
+func (r *replicaProcess) put(t *testing.T, key, value string) error {
+	t.Helper()
+	_, err := r.call(t, http.MethodPut, "/v1/kv/"+key, value)
+	return err
+}
+
+// replicaStatus is what a replica reports of itself.
+type replicaStatus struct {
+	State, Leader, Print string
+	At                   int
+}
+
+func (r *replicaProcess) status(t *testing.T) (status replicaStatus, err error) {
+	t.Helper()
+	text, err := r.call(t, http.MethodGet, "/v1/status", "")
+	if err != nil {
+		return status, err
+	}
+	return status, json.Unmarshal([]byte(text), &status)
+}
+
+// read reads a number as the replica has it.
+func (r *replicaProcess) read(t *testing.T, key string) int64 {
+	t.Helper()
+	text, err := r.call(t, http.MethodGet, "/v1/kv/"+key+"?stale=1", "")
+	var entry struct{ Value int64 }
+	if err = errors.Join(err, json.Unmarshal([]byte(text), &entry)); err != nil {
+		t.Fatal(text, err)
+	}
+	return entry.Value
+}
+
+// sameState reports whether all replicas hold the same state.
+func sameState(t *testing.T, replicas []*replicaProcess) bool {
+	t.Helper()
+	var first replicaStatus
+	for n, r := range replicas {
+		status, err := r.status(t)
+		if err != nil || status.Print == "" {
+			return false
+		}
+		if n == 0 {
+			first = status
+		}
+		if status.Print != first.Print || status.At != first.At {
+			return false
+		}
+	}
+	return true
+}
--- a/cmd/fawnplank/replica_test.go
+++ b/cmd/fawnplank/replica_test.go
@@ -2,12 +2,10 @@
 
 import (
 	"bufio"
-	"encoding/json"
 	"fmt"
 	"math/rand/v2"
-	"net"
+	"net/http"
 	"os"
-	"os/exec"
 	"path/filepath"
 	"strings"
 	"sync/atomic"
@@ -16,303 +14,265 @@
 	"time"
 
 	"golang.org/x/sys/unix"
-)
-
-// replica is a process with a replica of the store.
-type replica struct {
-	id, raft, api, dir string
-	words              []string // what it is run with, before the store's flags
-	cmd                *exec.Cmd
-	log                string
-}
 
-func replicas(t *testing.T, ids ...string) (all []*replica) {
-	folder := t.TempDir()
-	for _, id := range ids {
-		all = append(all, &replica{id: id, raft: freeAddress(t), api: freeAddress(t), dir: filepath.Join(folder, id),
-			log: filepath.Join(folder, id+".log"), words: []string{"store", "run"}})
-	}
-	t.Cleanup(func() {
-		for _, r := range all {
-			r.kill()
-		}
-		if t.Failed() {
-			for _, r := range all {
-				text, _ := os.ReadFile(r.log)
-				t.Logf("%s:\n%s", r.id, text[max(len(text)-1500, 0):])
-			}
-		}
-	})
-	return all
-}
-
-func (r *replica) name() string { return r.id + "@" + r.raft + "@" + r.api }
+	"fawnplank/internal/testutil"
+)
 
-func (r *replica) start(t *testing.T, all []*replica) {
+// killSpan is how long TestThreeProcessesThroughRandomKills kills. FAWNPLANK_SOAK=10m makes it a soak.
+func killSpan(t *testing.T) time.Duration {
 	t.Helper()
-	var names []string
-	for _, x := range all {
-		names = append(names, x.name())
+	text := os.Getenv("FAWNPLANK_SOAK")
+	if text == "" {
+		return 8 * time.Second
 	}
-	out, err := os.OpenFile(r.log, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
+	span, err := time.ParseDuration(text)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer out.Close()
-	r.cmd = program(append(r.words, "--store", r.dir, "--me", r.name(), "--peers", strings.Join(names, ","))...)
-	r.cmd.Stdout, r.cmd.Stderr = out, out
-	if err := r.cmd.Start(); err != nil {
-		t.Fatal(err)
-	}
+	return span
 }
 
-func (r *replica) kill() {
-	if r.cmd != nil {
-		r.cmd.Process.Kill()
-		r.cmd.Wait()
-		r.cmd = nil
-	}
-}
-
-func (r *replica) ask(method, path, body string) (string, error) {
-	text, err := callStore(method, r.api, path, []byte(body))
-	return string(text), err
+// editor edits two plans and a key together, again and again, at one replica after another.
+type editor struct {
+	landed, failed atomic.Int64 // the number of the last edit that landed; how many did not, or may not have
+	stop, done     chan struct{}
 }
 
-// until waits for something for twenty seconds at most.
-func until(t *testing.T, what string, is func() bool) {
+func edit(t *testing.T, replicas []*replicaProcess, n int64) bool {
 	t.Helper()
-	for end := time.Now().Add(20 * time.Second); !is(); time.Sleep(20 * time.Millisecond) {
-		if time.Now().After(end) {
-			t.Fatal("not within twenty seconds: " + what)
-		}
-	}
+	body := fmt.Sprintf(`[{"key":"plans/x","value":%d},{"key":"classes/x","value":%d},{"key":"k%d","value":%d}]`, n, n, n%50, n)
+	_, err := replicas[n%3].call(t, http.MethodPost, "/v1/edits", body)
+	return err == nil
 }
 
-// Three processes, killed outright at random while plans are edited. In the end all hold the same, each edit of two
-// keys landed whole, and none that was told to have landed is lost. FAWNPLANK_SOAK=10m makes it a soak.
-func TestThreeProcessesThroughRandomKills(t *testing.T) {
-	span := 8 * time.Second
-	if text := os.Getenv("FAWNPLANK_SOAK"); text != "" {
-		var err error
-		if span, err = time.ParseDuration(text); err != nil {
-			t.Fatal(err)
-		}
-	}
-	all := replicas(t, "a", "b", "c")
-	for _, r := range all {
-		r.start(t, all)
-	}
-	edit := func(n int64) bool {
-		_, err := all[n%3].ask("POST", "/v1/edits", fmt.Sprintf(`[{"key":"plans/x","value":%d},{"key":"classes/x","value":%d},{"key":"k%d","value":%d}]`, n, n, n%50, n))
-		return err == nil
-	}
-	until(t, "a first edit", func() bool { return edit(0) })
-	var told, failed atomic.Int64
-	stop, done := make(chan struct{}), make(chan struct{})
+func startEditor(t *testing.T, replicas []*replicaProcess) *editor {
+	t.Helper()
+	e := &editor{stop: make(chan struct{}), done: make(chan struct{})}
 	go func() {
-		defer close(done)
+		defer close(e.done)
 		for n := int64(1); ; n++ {
 			select {
-			case <-stop:
+			case <-e.stop:
 				return
 			default:
 			}
-			if edit(n) {
-				told.Store(n)
+			if edit(t, replicas, n) {
+				e.landed.Store(n)
 			} else {
-				failed.Add(1)
+				e.failed.Add(1)
 				time.Sleep(20 * time.Millisecond)
 			}
 		}
 	}()
+	return e
+}
+
+func (e *editor) end() {
+	close(e.stop)
+	<-e.done
+}
+
+// Three processes, killed outright at random while plans are edited. In the end all hold the same, each edit
+// of two keys landed whole, and none that was reported to have landed is lost.
+func TestThreeProcessesThroughRandomKills(t *testing.T) {
+	span := killSpan(t)
+	replicas := newReplicas(t, "a", "b", "c")
+	startReplicas(t, replicas)
+	testutil.Eventually(t, "a first edit", func() bool { return edit(t, replicas, 0) })
+	e := startEditor(t, replicas)
 	chance, kills := rand.New(rand.NewPCG(11, 11)), 0
 	for end := time.Now().Add(span); time.Now().Before(end); kills++ {
 		time.Sleep(time.Duration(300+chance.IntN(700)) * time.Millisecond)
-		r := all[chance.IntN(3)]
+		r := replicas[chance.IntN(3)]
 		r.kill()
 		time.Sleep(time.Duration(chance.IntN(500)) * time.Millisecond)
-		r.start(t, all)
-		until(t, r.id+" to answer", func() bool { _, err := r.ask("GET", "/v1/status", ""); return err == nil })
-	}
-	close(stop)
-	<-done
-	var states [3]struct {
-		Print string
-		At    int
+		r.start(t, replicas)
+		testutil.Eventually(t, r.id+" to answer", func() bool {
+			_, err := r.call(t, http.MethodGet, "/v1/status", "")
+			return err == nil
+		})
 	}
-	until(t, "the same state in all three", func() bool {
-		for n, r := range all {
-			text, err := r.ask("GET", "/v1/status", "")
-			if err != nil || json.Unmarshal([]byte(text), &states[n]) != nil {
-				return false
-			}
-		}
-		return states[0] == states[1] && states[1] == states[2]
-	})
-	for _, r := range all {
-		var values [2]struct{ Value int64 }
-		for n, key := range []string{"plans/x", "classes/x"} {
-			text, err := r.ask("GET", "/v1/kv/"+key+"?stale=1", "")
-			if err != nil || json.Unmarshal([]byte(text), &values[n]) != nil {
-				t.Fatal(text, err)
-			}
-		}
-		if values[0] != values[1] || values[0].Value < told.Load() {
-			t.Errorf("%s holds %v, and %d was told to have landed", r.id, values, told.Load())
+	e.end()
+	testutil.Eventually(t, "the same state in all three", func() bool { return sameState(t, replicas) })
+	for _, r := range replicas {
+		plan, class := r.read(t, "plans/x"), r.read(t, "classes/x")
+		if plan != class || plan < e.landed.Load() {
+			t.Errorf("%s holds %d and %d, and %d was reported to have landed", r.id, plan, class, e.landed.Load())
 		}
 	}
-	t.Logf("%d kills, %d edits landed, %d did not or may not have", kills, told.Load()-failed.Load(), failed.Load())
-	if kills < 4 || told.Load() < 50 {
-		t.Errorf("%d kills and %d edits show little", kills, told.Load())
+	t.Logf("%d kills, %d edits landed, %d did not or may not have", kills, e.landed.Load()-e.failed.Load(), e.failed.Load())
+	if kills < 4 || e.landed.Load() < 50 {
+		t.Errorf("%d kills and %d edits show little", kills, e.landed.Load())
 	}
 }
 
-// A plan edited at one replica takes effect at every front door, and one that is not in order at none.
-func TestPlansEditedInTheStoreReachAllFrontDoors(t *testing.T) {
-	all := replicas(t, "a", "b", "c")
-	var doors []string
-	for _, r := range all[:2] { // two front doors, and a replica without one
-		at := freeAddress(t)
-		doors = append(doors, at)
-		config := filepath.Join(filepath.Dir(r.dir), r.id+".json")
-		os.WriteFile(config, []byte(fmt.Sprintf(configuration, at, "127.0.0.1:2", "127.0.0.1:3")), 0o600)
-		r.words = []string{"serve", "-c", config}
-	}
-	for _, r := range all {
-		r.start(t, all)
+// knowsPlan reports whether a gateway knows a plan.
+func knowsPlan(t *testing.T, gateway, plan string) bool {
+	t.Helper()
+	conn, err := tryDial(t, gateway)
+	if err != nil {
+		return false
 	}
-	known := func(door, plan string) bool {
-		conn, err := net.Dial("tcp", door)
-		if err != nil {
-			return false
-		}
-		defer conn.Close()
-		conn.SetDeadline(time.Now().Add(3 * time.Second))
-		head := "c=lookup,t=" + plan + ",d=300"
-		fmt.Fprintf(conn, "*4\r\n$9\r\nSVC.QUERY\r\n$16\r\n0000000000000005\r\n$1\r\n1\r\n$%d\r\n%s\r\n", len(head), head)
-		line, err := bufio.NewReader(conn).ReadString('\n')
-		return err == nil && !strings.Contains(line, "t has no meaning")
+	defer hangUp(conn)
+	setDeadline(conn, 3*time.Second)
+	send(conn, request("1", "c=lookup,t="+plan+",d=300"))
+	line, err := bufio.NewReader(conn).ReadString('\n')
+	return err == nil && !strings.Contains(line, "t has no meaning")
+}
+
+// A plan edited at one replica takes effect at every gateway, and one that is not in order at none.
+func TestStore_EditedPlansReachAllGateways(t *testing.T) {
+	replicas := newReplicas(t, "a", "b", "c")
+	var gateways []string
+	for _, r := range replicas[:2] { // two gateways, and a replica without one
+		address := freeAddress(t)
+		gateways = append(gateways, address)
+		settings := filepath.Join(filepath.Dir(r.folder), r.id+".json")
+		writeFile(t, settings, fmt.Sprintf(configuration, address, "127.0.0.1:2", "127.0.0.1:3"))
+		r.args = []string{"serve", "-c", settings}
 	}
-	for _, at := range doors {
-		until(t, "the front door at "+at, func() bool { return known(at, "team") })
-		if known(at, "gold") {
+	startReplicas(t, replicas)
+	for _, address := range gateways {
+		testutil.Eventually(t, "the gateway at "+address, func() bool { return knowsPlan(t, address, "team") })
+		if knowsPlan(t, address, "gold") {
 			t.Fatal("a plan that nobody wrote is known")
 		}
 	}
-	until(t, "a plan to be written", func() bool {
-		_, err := all[2].ask("PUT", "/v1/kv/plans/silver", `{"name":"silver","quota-rate":5,"peak-units":10}`)
+	editPlans(t, replicas, gateways)
+	second := replicas[1]
+	second.kill()
+	deleteSilver := func() bool {
+		_, err := replicas[0].call(t, http.MethodDelete, "/v1/kv/plans/silver", "")
 		return err == nil
+	}
+	if !deleteSilver() {
+		testutil.Eventually(t, "the deletion after an election", deleteSilver)
+	}
+	testutil.Eventually(t, "the plan to be gone", func() bool {
+		return !knowsPlan(t, gateways[0], "silver") && knowsPlan(t, gateways[0], "gold")
 	})
-	for n := range 2 { // at a replica with a front door, which judges it by its own files
-		until(t, "a refusal", func() bool {
-			_, err := all[n].ask("PUT", "/v1/kv/plans/gold", `{"name":"gold","quota-rate":"many","peak-units":10}`)
+	second.start(t, replicas) // finds the plans in its folder
+	testutil.Eventually(t, "the plan at the gateway that was away", func() bool {
+		return knowsPlan(t, gateways[1], "gold") && !knowsPlan(t, gateways[1], "silver")
+	})
+	sendSignal(t, second.command, syscall.SIGTERM)
+	if err := second.command.Wait(); err != nil {
+		t.Error(err)
+	}
+	second.command = nil
+}
+
+// editPlans writes two plans, with a faulty one between that is refused, and waits until all gateways know
+// them.
+func editPlans(t *testing.T, replicas []*replicaProcess, gateways []string) {
+	t.Helper()
+	testutil.Eventually(t, "a plan to be written", func() bool {
+		return replicas[2].put(t, "plans/silver", `{"name":"silver","quota-rate":5,"peak-units":10}`) == nil
+	})
+	for n := range 2 { // at a replica with a gateway, which judges it by its own files
+		testutil.Eventually(t, "a refusal", func() bool {
+			err := replicas[n].put(t, "plans/gold", `{"name":"gold","quota-rate":"many","peak-units":10}`)
 			return err != nil && !strings.Contains(err.Error(), "503")
 		})
 	}
-	if _, err := all[0].ask("PUT", "/v1/kv/plans/gold", `{"name":"gold","quota-rate":5,"peak-units":10}`); err != nil {
+	if err := replicas[0].put(t, "plans/gold", `{"name":"gold","quota-rate":5,"peak-units":10}`); err != nil {
 		t.Fatal(err)
 	}
-	for _, at := range doors {
-		until(t, "the plan at "+at, func() bool { return known(at, "gold") && known(at, "silver") && known(at, "team") })
-	}
-	all[1].kill()
-	if _, err := all[0].ask("DELETE", "/v1/kv/plans/silver", ""); err != nil {
-		until(t, "the deletion after an election", func() bool { _, err := all[0].ask("DELETE", "/v1/kv/plans/silver", ""); return err == nil })
-	}
-	until(t, "the plan to be gone", func() bool { return !known(doors[0], "silver") && known(doors[0], "gold") })
-	all[1].start(t, all) // finds the plans in its folder
-	until(t, "the plan at the door that was away", func() bool { return known(doors[1], "gold") && !known(doors[1], "silver") })
-	all[1].cmd.Process.Signal(syscall.SIGTERM)
-	if err := all[1].cmd.Wait(); err != nil {
-		t.Error(err)
+	for _, address := range gateways {
+		testutil.Eventually(t, "the plan at "+address, func() bool {
+			return knowsPlan(t, address, "gold") && knowsPlan(t, address, "silver") && knowsPlan(t, address, "team")
+		})
 	}
-	all[1].cmd = nil
 }
 
 // The verbs of the store's command line, on one replica.
 func TestStoreCommands(t *testing.T) {
-	all := replicas(t, "a")
-	all[0].start(t, all)
+	replicas := newReplicas(t, "a")
+	startReplicas(t, replicas)
 	file := filepath.Join(t.TempDir(), "backup")
-	until(t, "a leader", func() bool { _, err := all[0].ask("PUT", "/v1/kv/k", "1"); return err == nil })
-	for _, x := range []struct {
-		words []string
+	testutil.Eventually(t, "a leader", func() bool { return replicas[0].put(t, "k", "1") == nil })
+	for _, test := range []struct {
+		args  []string
 		want  string
 		fails bool
 	}{
-		{[]string{"set", "plans/x", `{"name":"x"}`}, "index", false}, {[]string{"get", "plans/x"}, `"name":"x"`, false},
-		{[]string{"get", "none"}, "404", true}, {[]string{"set", "k", "{"}, "no JSON", true}, {[]string{"keys", "plans/"}, "plans/x", false},
-		{[]string{"backup", file}, "", false}, {[]string{"backup", file}, "exists", true}, {[]string{"delete", "plans/x"}, "index", false},
-		{[]string{"get", "plans/x"}, "404", true}, {[]string{"restore", file}, "index", false}, {[]string{"get", "plans/x"}, `"name":"x"`, false},
-		{[]string{"restore", "/dev/null"}, "no snapshot", true}, {[]string{"status"}, `"state":"Leader"`, false}, {[]string{"add", "b@x"}, "not of the form", true},
-		{[]string{"run"}, "--store is missing", true}, {[]string{"run", "--store", "x", "--me", "a@b"}, "--me", true},
+		{args: []string{"set", "plans/x", `{"name":"x"}`}, want: "index"},
+		{args: []string{"get", "plans/x"}, want: `"name":"x"`},
+		{args: []string{"get", "none"}, want: "404", fails: true},
+		{args: []string{"set", "k", "{"}, want: "no JSON", fails: true},
+		{args: []string{"keys", "plans/"}, want: "plans/x"},
+		{args: []string{"backup", file}},
+		{args: []string{"backup", file}, want: "exists", fails: true},
+		{args: []string{"delete", "plans/x"}, want: "index"},
+		{args: []string{"get", "plans/x"}, want: "404", fails: true},
+		{args: []string{"restore", file}, want: "index"},
+		{args: []string{"get", "plans/x"}, want: `"name":"x"`},
+		{args: []string{"restore", "/dev/null"}, want: "no snapshot", fails: true},
+		{args: []string{"status"}, want: `"state":"Leader"`},
+		{args: []string{"add", "b@x"}, want: "not of the form", fails: true},
+		{args: []string{"run"}, want: "--store is missing", fails: true},
+		{args: []string{"run", "--store", "x", "--me", "a@b"}, want: "--me", fails: true},
 	} {
-		words := append([]string{"store"}, x.words...)
-		if x.words[0] != "run" {
-			words = append(words, "--at", all[0].api)
+		args := append([]string{"store"}, test.args...)
+		if test.args[0] != "run" {
+			args = append(args, "--at", replicas[0].api)
 		}
-		out, err := program(words...).CombinedOutput()
-		if (err != nil) != x.fails || !strings.Contains(string(out), x.want) {
-			t.Errorf("%v: %v, %q", x.words, err, out)
+		out, err := runProgram(t, args...)
+		if (err != nil) != test.fails || !strings.Contains(out, test.want) {
+			t.Errorf("%v: %v, %q", test.args, err, out)
 		}
 	}
 }
 
-// Failure to bear: the disk of one replica is full. Its error is told, what the others hold goes on, nothing that was
-// told to have landed is lost, and it catches up once there is room.
-func TestAFullDiskIsReported(t *testing.T) {
-	all := replicas(t, "a", "b", "c")
-	for _, r := range all {
-		r.start(t, all)
-	}
-	until(t, "a first write", func() bool { _, err := all[0].ask("PUT", "/v1/kv/k", "0"); return err == nil })
-	status := func(r *replica) (x struct {
-		State, Leader, Print string
-		At                   int
-	}) {
-		text, _ := r.ask("GET", "/v1/status", "")
-		json.Unmarshal([]byte(text), &x)
-		return x
+// limitFileSize bounds the files that a process may write.
+func limitFileSize(t *testing.T, r *replicaProcess, bytes uint64) {
+	t.Helper()
+	limit := &unix.Rlimit{Cur: bytes, Max: unix.RLIM_INFINITY}
+	if err := unix.Prlimit(r.command.Process.Pid, unix.RLIMIT_FSIZE, limit, nil); err != nil {
+		t.Fatal(err)
 	}
-	var leader *replica
-	until(t, "a leader", func() bool {
-		for _, r := range all {
-			if status(r).State == "Leader" {
+}
+
+func isLeader(t *testing.T, r *replicaProcess) bool {
+	t.Helper()
+	status, err := r.status(t)
+	return err == nil && status.State == "Leader"
+}
+
+// A fault to bear: the disk of one replica is full. Its error is reported, the others go on, nothing that was
+// reported to have landed is lost, and it catches up once there is space.
+func TestStore_FullDiskIsReported(t *testing.T) {
+	replicas := newReplicas(t, "a", "b", "c")
+	startReplicas(t, replicas)
+	testutil.Eventually(t, "a first write", func() bool { return replicas[0].put(t, "k", "0") == nil })
+	var leader *replicaProcess
+	testutil.Eventually(t, "a leader", func() bool {
+		for _, r := range replicas {
+			if isLeader(t, r) {
 				leader = r
 			}
 		}
 		return leader != nil
 	})
-	limit := func(bytes uint64) {
-		if err := unix.Prlimit(leader.cmd.Process.Pid, unix.RLIMIT_FSIZE, &unix.Rlimit{Cur: bytes, Max: unix.RLIM_INFINITY}, nil); err != nil {
-			t.Fatal(err)
-		}
+	limitFileSize(t, leader, 4096) // below what its log has already: no write there succeeds
+	err := leader.put(t, "k", "1")
+	if err == nil && isLeader(t, leader) { // another may lead by now, and have written it
+		t.Error("a full disk was not reported")
 	}
-	limit(4096) // below what its log has already: no write there gets through
-	_, err := leader.ask("PUT", "/v1/kv/k", "1")
-	if err == nil && status(leader).State == "Leader" { // another may lead by now, and have taken it
-		t.Error("a full disk was not told")
-	}
-	// The two may need more than one round to elect: one turns the other's first candidacy down while it still hears of the
-	// old leader. A fixed number of tries ended before the second round, in one run of ten.
-	others, n := 0, 1
-	until(t, "the other two going on", func() bool {
+	// The two may need more than one round to elect: one refuses the other's first candidacy while it still
+	// hears of the old leader. A fixed number of attempts ended before the second round, in one run of ten.
+	landed, n := 0, 1
+	testutil.Eventually(t, "the other two going on", func() bool {
 		n++
-		if _, err := all[n%3].ask("PUT", "/v1/kv/k", fmt.Sprint(n)); err == nil {
-			others = n
+		if replicas[n%3].put(t, "k", fmt.Sprint(n)) == nil {
+			landed = n
 		}
-		return others > 0
-	})
-	limit(unix.RLIM_INFINITY)
-	until(t, "the same state in all three", func() bool {
-		a, b, c := status(all[0]), status(all[1]), status(all[2])
-		return a.Print != "" && a.Print == b.Print && b.Print == c.Print && a.At == b.At && b.At == c.At
+		return landed > 0
 	})
-	var value struct{ Value int }
-	text, _ := leader.ask("GET", "/v1/kv/k?stale=1", "")
-	if json.Unmarshal([]byte(text), &value); value.Value < others {
-		t.Errorf("%d is held where %d was told to have landed", value.Value, others)
+	limitFileSize(t, leader, unix.RLIM_INFINITY)
+	testutil.Eventually(t, "the same state in all three", func() bool { return sameState(t, replicas) })
+	if value := leader.read(t, "k"); value < int64(landed) {
+		t.Errorf("%d is held where %d was reported to have landed", value, landed)
 	}
-	t.Logf("the full replica said: %v; the others went on to %d", err, others)
+	t.Logf("the full replica reported: %v; the others went on to %d", err, landed)
 }
--- /dev/null
+++ b/cmd/fawnplank/serve.go
@@ -0,0 +1,348 @@
+package main
+
+import (
+	"cmp"
+	"context"
+	"fmt"
+	"net"
+	"os"
+	"runtime"
+	"runtime/debug"
+	"sync/atomic"
+	"syscall"
+
+	"github.com/sirupsen/logrus"
+
+	"fawnplank/internal/admin"
+	"fawnplank/internal/backend"
+	"fawnplank/internal/config"
+	"fawnplank/internal/counter"
+	"fawnplank/internal/discovery"
+	"fawnplank/internal/dispatch"
+	"fawnplank/internal/frontend"
+	"fawnplank/internal/logging"
+	"fawnplank/internal/membudget"
+	"fawnplank/internal/metrics"
+	"fawnplank/internal/tlsconfig"
+)
+
+const (
+	// ownDescriptors is for the program itself, the listener, discovery and the counter's connections, old
+	// and new.
+	ownDescriptors = 48
+	// largeValueShare of the memory is what large values of clients may hold at most, and those of backends
+	// again; what waits for memory is not read on meanwhile. With the collector's three quarters that leaves
+	// a third for the rest.
+	largeValueShare = 6
+	// collectorPercent has the collector start at 2 MB and take a millisecond for the little that is held: a
+	// larger share would let the heap grow for minutes before it first runs, which looks like a leak and is
+	// memory that nothing needs.
+	collectorPercent = 50
+)
+
+// gatewayOptions configure newGateway.
+type gatewayOptions struct {
+	ConfigFile   string // empty: the one that GW_CONFIG names
+	OperatorFile string // empty: none
+	LogLevel     string // empty: the operator file's
+	LogFormat    string // empty: the operator file's
+	Replica      replicaFlags
+	TLS          tlsconfig.Files // of the replica
+	// Signals delivers SIGHUP, which reloads, and the signals that shut down. It is subscribed before
+	// newGateway, since a SIGHUP would end the process otherwise. Edits in the store are queued on it as
+	// SIGHUP.
+	Signals chan os.Signal
+}
+
+// gateway is all parts of a serving process. newGateway constructs them, Run serves, Close frees them.
+//
+// configuration is replaced by a reload, which runs on Run's goroutine; that goroutine alone reads it.
+type gateway struct {
+	options       gatewayOptions
+	configuration *config.Config
+	operator      *config.Operator
+
+	dispatcher *dispatch.Dispatcher
+	metrics    *metrics.Registry
+	pool       *backend.Pool
+	counter    *counter.Client
+	discovery  *discovery.Client
+	zone       *endpointZone
+	listener   net.Listener
+	replica    *replica
+	accounts   *accounts
+	limits     *limits
+	server     *frontend.Server
+	ready      atomic.Bool // listening, and not shutting down
+
+	closers []func() // of what was started, in the order of the starts
+}
+
+// newGateway reads the configuration, constructs all parts and starts those that Run does not. The order of
+// the steps is part of the behavior: the endpoint list is known before the listener opens, so that the first
+// request finds backends, and accounts are there before the first request is received, so that each is billed
+// or none.
+func newGateway(ctx context.Context, options gatewayOptions) (*gateway, error) {
+	g := &gateway{options: options}
+	steps := []func() error{
+		g.load,
+		g.startDispatcher,
+		g.loadEndpoints,
+		g.importWarmStart,
+		func() error { return g.listen(ctx) },
+		g.openReplica,
+		g.startZone,
+		g.startAccounts,
+		func() error { return g.startLimits(ctx) },
+	}
+	for _, step := range steps {
+		if err := step(); err != nil {
+			g.Close()
+			return nil, err
+		}
+	}
+	g.newServer()
+	return g, nil
+}
+
+// Close frees all that was started, the last first. It is called once, after Run.
+func (g *gateway) Close() {
+	for n := len(g.closers) - 1; n >= 0; n-- {
+		g.closers[n]()
+	}
+	g.closers = nil
+}
+
+// load reads the configuration, and sets up the log and the runtime by it.
+func (g *gateway) load() (err error) {
+	g.configuration, g.operator, err = loadConfiguration(g.options.ConfigFile, g.options.OperatorFile, config.Overlay{})
+	if err != nil {
+		return err
+	}
+	err = logging.Setup(logging.Options{
+		Output:   os.Stderr,
+		Level:    cmp.Or(g.options.LogLevel, g.operator.Log.Level),
+		Format:   cmp.Or(g.options.LogFormat, g.operator.Log.Format),
+		Instance: g.configuration.Name,
+	})
+	if err != nil {
+		return err
+	}
+	// Everything runs on one core: more threads would only alternate on it.
+	runtime.GOMAXPROCS(1)
+	// The collector keeps below the memory limit, with a quarter left for what it does not see.
+	debug.SetMemoryLimit(g.configuration.MemoryBytes * 3 / 4)
+	debug.SetGCPercent(collectorPercent)
+	return nil
+}
+
+// managementCalls is how many calls at the management address may be open at once.
+func (g *gateway) managementCalls() int {
+	if g.configuration.ManagementAddress == "" {
+		return 0
+	}
+	return admin.ConnectionLimit(g.configuration.MaxSockets)
+}
+
+// maxConnections is the part of the descriptors that clients may use, and backends again: neither starves the
+// other.
+func (g *gateway) maxConnections() int {
+	return (g.configuration.MaxSockets - ownDescriptors - g.managementCalls()) / 2
+}
+
+// newLargeValueBudget bounds the memory of large values. Clients and backends have one each: a large command
+// holds its memory until its response is written, and that response must not wait for the same budget.
+func (g *gateway) newLargeValueBudget() *membudget.Budget {
+	return membudget.New(g.configuration.MemoryBytes / largeValueShare)
+}
+
+// startDispatcher constructs the clients of backends, counter and discovery, and starts the decisions on
+// them.
+func (g *gateway) startDispatcher() error {
+	g.dispatcher = dispatch.New()
+	g.metrics = metrics.New(classNames(g.configuration))
+	g.pool = backend.New(backend.Options{
+		MaxConnections:    g.maxConnections(),
+		ConnectTimeout:    g.configuration.ConnectTimeout,
+		IdleTimeout:       g.configuration.IdleTimeout,
+		Budget:            g.newLargeValueBudget(),
+		Metrics:           g.metrics,
+		HandleHealthCheck: g.dispatcher.HandleHealthCheck,
+	})
+	g.counter = counter.New(counter.Options{
+		Address:        g.configuration.Counter,
+		ConnectTimeout: g.configuration.ConnectTimeout,
+		Format:         counterFormat(g.operator),
+	}, g.dispatcher)
+	g.metrics.AddGauges(counterGauges(g.dispatcher, g.counter))
+	g.zone = newEndpointZone(g.operator.DNS)
+	discoveryOptions := discovery.Options{
+		Subscriber:  g.dispatcher,
+		AddressBook: g.pool,
+		Config:      g.configuration,
+		Metrics:     g.metrics,
+	}
+	if g.zone.Enabled() {
+		discoveryOptions.Refresh = g.zone.PublishSnapshot
+	}
+	g.discovery = discovery.New(discoveryOptions)
+	g.dispatcher.Start(dispatch.Config{
+		Seed:            g.configuration.Seed,
+		Settings:        g.configuration.Settings,
+		Counter:         g.counter,
+		HealthChecker:   g.pool,
+		EndpointWatcher: g.discovery,
+	})
+	return nil
+}
+
+func counterFormat(operator *config.Operator) counter.Format {
+	if operator.Counter.Protocol == "resp" {
+		return counter.RESP
+	}
+	return counter.Text
+}
+
+// loadEndpoints loads the endpoint list of the configuration and watches discovery, unless the list comes
+// from a zone: a list of long ago must not stand beside the zone's.
+func (g *gateway) loadEndpoints() error {
+	if g.zone.Enabled() {
+		return nil
+	}
+	if err := g.discovery.LoadSnapshot(g.configuration.KnownEndpoints); err != nil {
+		return fmt.Errorf("configuration: %w", err)
+	}
+	if !g.configuration.Settings.PollEndpoints {
+		g.discovery.WatchEndpoints()
+	}
+	return nil
+}
+
+func (g *gateway) importWarmStart() error {
+	if g.operator.WarmStart.File != "" {
+		g.closers = append(g.closers, newWarmStart(g.operator.WarmStart, g.dispatcher).Close)
+	}
+	return nil
+}
+
+func (g *gateway) listen(ctx context.Context) (err error) {
+	if g.listener, err = listen(ctx, g.configuration); err != nil {
+		return fmt.Errorf("configuration: listen: %w", err)
+	}
+	return nil
+}
+
+func (g *gateway) openReplica() (err error) {
+	g.accounts = newAccounts()
+	g.replica, err = openReplica(replicaOptions{
+		Flags: g.options.Replica,
+		TLS:   g.options.TLS,
+		CheckOverlay: func(overlay config.Overlay) error {
+			_, _, err := loadConfiguration(g.options.ConfigFile, g.options.OperatorFile, overlay)
+			return err
+		},
+		ZoneChanged: g.zone.NotifyChanged,
+		KeysChanged: g.accounts.KeysChanged,
+	})
+	if err != nil {
+		return err
+	}
+	g.closers = append(g.closers, g.accounts.Close, g.replica.Close)
+	g.replica.registerMetrics(g.metrics)
+	return nil
+}
+
+func (g *gateway) startZone() error {
+	if err := g.zone.Start(g.discovery, g.replica, g.metrics); err != nil {
+		return fmt.Errorf("operator file: dns: %w", err)
+	}
+	g.closers = append(g.closers, g.zone.Close)
+	return nil
+}
+
+func (g *gateway) startAccounts() error {
+	if err := g.accounts.Start(g.replica, g.configuration, g.operator, g.metrics); err != nil {
+		return fmt.Errorf("operator file: billing: %w", err)
+	}
+	return nil
+}
+
+func (g *gateway) startLimits(ctx context.Context) (err error) {
+	g.limits, err = serveLimits(ctx, limitsOptions{
+		Dispatcher:    g.dispatcher,
+		Metrics:       g.metrics,
+		Configuration: g.configuration,
+		Operator:      g.operator,
+		Accounts:      g.accounts.service,
+	})
+	if err != nil {
+		return fmt.Errorf("operator file: limits.listen: %w", err)
+	}
+	return nil
+}
+
+func (g *gateway) newServer() {
+	options := frontend.Options{
+		Dispatcher:     g.dispatcher,
+		Pool:           g.pool,
+		Config:         g.configuration,
+		MaxConnections: g.maxConnections(),
+		Metrics:        g.metrics,
+		Budget:         g.newLargeValueBudget(),
+	}
+	if g.accounts.service != nil { // a nil service in the interface would not compare as nil
+		options.Usage = g.accounts.service
+	}
+	g.server = frontend.New(options)
+}
+
+// Run serves clients and the management address until a signal, or the end of ctx, has shut the gateway down.
+// It is called once.
+func (g *gateway) Run(ctx context.Context) error {
+	served := make(chan error, 1)
+	go func() { served <- g.server.Serve(g.listener) }()
+	if err := g.serveManagement(ctx); err != nil {
+		return err
+	}
+	g.ready.Store(true)
+	logging.For("frontend").WithFields(logrus.Fields{
+		"number":        g.configuration.Settings.InstanceIndex,
+		"doors":         g.configuration.Settings.Instances,
+		logging.Address: g.configuration.Listen,
+	}).Info("listening")
+	return g.handleEvents(ctx, served)
+}
+
+// handleEvents handles signals, edits and the ends of what serves, one at a time: a further one waits. It
+// returns nil once a shutdown is complete, and the listener's error where the server ends without one.
+func (g *gateway) handleEvents(ctx context.Context, served <-chan error) error {
+	var shutdownDone <-chan struct{} // nil before a shutdown begins
+	canceled := ctx.Done()
+	for {
+		select {
+		case err := <-served:
+			if shutdownDone == nil {
+				return err
+			}
+			served = nil
+		case <-shutdownDone:
+			return nil
+		case <-g.replica.Edits(): // a plan or class was edited in the store: as at SIGHUP
+			select {
+			case g.options.Signals <- syscall.SIGHUP:
+			default: // signals wait already, and the first of them reads the edit or ends the process
+			}
+		case <-canceled:
+			canceled = nil
+			if shutdownDone == nil {
+				shutdownDone = g.beginShutdown()
+			}
+		case received := <-g.options.Signals:
+			if received == syscall.SIGHUP {
+				g.reload()
+			} else if shutdownDone == nil {
+				shutdownDone = g.beginShutdown()
+			}
+		}
+	}
+}
--- /dev/null
+++ b/cmd/fawnplank/shutdown_test.go
@@ -0,0 +1,55 @@
+package main
+
+import (
+	"fmt"
+	"io"
+	"net"
+	"path/filepath"
+	"syscall"
+	"testing"
+	"time"
+
+	"fawnplank/internal/testutil"
+)
+
+// After SIGTERM the program goes on serving while clients may still come, answers the requests in flight, and
+// exits.
+func TestShutdown_AnswersAndExits(t *testing.T) {
+	attempts := make(chan net.Conn, 10)
+	backend := testutil.ServeCommands(t, func(conn net.Conn) { attempts <- conn })
+	address := freeAddress(t)
+	file := filepath.Join(t.TempDir(), "config.json")
+	writeFile(t, file, fmt.Sprintf(configuration, address, silentDiscovery(t), backend))
+	process := startServing(t, file)
+
+	before := dial(t, address)
+	send(before, request("1", requestFields))
+	attempt := <-attempts
+	sendSignal(t, process, syscall.SIGTERM)
+	time.Sleep(250 * time.Millisecond)
+	during := dial(t, address)
+	send(during, request("2", requestFields))
+	other := <-attempts
+	time.Sleep(400 * time.Millisecond) // by now it accepts no new connection
+	if conn, err := tryDial(t, address); err == nil {
+		hangUp(conn)
+		t.Error("accepts connections after its time")
+	}
+	checkAnswered(t, before, attempt)
+	checkAnswered(t, during, other)
+	start := time.Now()
+	if err := process.Wait(); err != nil || time.Since(start) > 3*time.Second {
+		t.Errorf("exit: %v after %v", err, time.Since(start))
+	}
+}
+
+// checkAnswered answers an attempt and checks that its client gets the answer, and then the end of the
+// connection.
+func checkAnswered(t *testing.T, client, attempt net.Conn) {
+	t.Helper()
+	send(attempt, successResponse)
+	got, err := io.ReadAll(client) // up to its end, once the program stops
+	if string(got) != "$2\r\nok\r\n" || err != nil {
+		t.Errorf("%q, %v", got, err)
+	}
+}
--- /dev/null
+++ b/cmd/fawnplank/store_client.go
@@ -0,0 +1,148 @@
+package main
+
+import (
+	"bytes"
+	"context"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"io"
+	"net/http"
+	"strings"
+	"syscall"
+	"time"
+
+	"fawnplank/internal/store/kv"
+	"fawnplank/internal/tlsconfig"
+)
+
+// storeCallTimeout bounds a call to a replica. A write waits up to five seconds for an election, and a backup
+// or a restore of a large state takes a few.
+const storeCallTimeout = 15 * time.Second
+
+// storeClient calls the API of one replica. Each call opens a connection of its own, with the certificate as
+// it is on disk at that moment. It is safe for concurrent use. It serves as the Replica of dnsserver and
+// billingservice, for commands that read or repair what those keep in the store.
+type storeClient struct {
+	address string
+	flag    string // the flag that named the address, for errors
+	tls     tlsconfig.Files
+}
+
+// storeStatusError is an answer of a replica other than 200 OK.
+type storeStatusError struct {
+	Code    int
+	Status  string // code and text, as in HTTP
+	Message string // empty: the answer held none
+}
+
+func (e *storeStatusError) Error() string {
+	if e.Message == "" {
+		return e.Status
+	}
+	return e.Status + ": " + e.Message
+}
+
+// call makes one call, and returns the body of its answer.
+func (c storeClient) call(ctx context.Context, method, path string, body []byte) ([]byte, error) {
+	scheme, transport := "http://", &http.Transport{DisableKeepAlives: true}
+	if c.tls.Enabled() {
+		source, err := tlsconfig.New(c.tls)
+		if err != nil {
+			return nil, err
+		}
+		scheme = "https://"
+		transport.TLSClientConfig = source.ClientConfig()
+	}
+	request, err := http.NewRequestWithContext(ctx, method, scheme+c.address+path, bytes.NewReader(body))
+	if err != nil {
+		return nil, err
+	}
+	client := &http.Client{Timeout: storeCallTimeout, Transport: transport}
+	response, err := client.Do(request)
+	if err != nil {
+		return nil, c.explain(err)
+	}
+	defer func() {
+		_ = response.Body.Close() // it was only read
+	}()
+	text, err := io.ReadAll(response.Body)
+	if err != nil {
+		return nil, err
+	}
+	if response.StatusCode == http.StatusOK {
+		return text, nil
+	}
+	failure := &storeStatusError{Code: response.StatusCode, Status: response.Status}
+	var answer struct {
+		Error string `json:"error"`
+	}
+	if json.Unmarshal(text, &answer) == nil {
+		failure.Message = answer.Error
+	}
+	return nil, failure
+}
+
+// explain adds what to do to an error of the connection.
+func (c storeClient) explain(err error) error {
+	if errors.Is(err, syscall.ECONNREFUSED) {
+		return fmt.Errorf("store: no replica listens at %s; start it, or name the API address of another one with %s: %w",
+			c.address, c.flag, err)
+	}
+	return fmt.Errorf("store: replica at %s: %w", c.address, err)
+}
+
+// ReadLocal reads a key as this replica has it. A call that fails is reported as a key that is not there.
+func (c storeClient) ReadLocal(key string) (entry kv.Entry, ok bool) {
+	text, err := c.call(context.Background(), http.MethodGet, "/v1/kv/"+key+"?stale=1", nil)
+	return entry, err == nil && json.Unmarshal(text, &entry) == nil
+}
+
+// ReadFromLeader reads a key by way of the leader.
+func (c storeClient) ReadFromLeader(key string) (entry kv.Entry, ok bool, err error) {
+	text, err := c.call(context.Background(), http.MethodGet, "/v1/kv/"+key, nil)
+	if hasStatus(err, http.StatusNotFound) {
+		return entry, false, nil
+	}
+	if err != nil {
+		return entry, false, err
+	}
+	err = json.Unmarshal(text, &entry)
+	return entry, err == nil, err
+}
+
+// ReadPrefix reads all keys with a prefix as this replica has them, by what follows the prefix. A call that
+// fails is reported as keys that are not there.
+func (c storeClient) ReadPrefix(prefix string) map[string]json.RawMessage {
+	values := map[string]json.RawMessage{}
+	text, err := c.call(context.Background(), http.MethodGet, "/v1/kv?prefix="+prefix, nil)
+	var keys []string
+	if err != nil || json.Unmarshal(text, &keys) != nil {
+		return values
+	}
+	for _, key := range keys {
+		if entry, ok := c.ReadLocal(key); ok {
+			values[strings.TrimPrefix(key, prefix)] = entry.Value
+		}
+	}
+	return values
+}
+
+// Edit applies edits together or not at all. Its error is a kv.ConflictError where a key has another index
+// than asked.
+func (c storeClient) Edit(edits []kv.Edit) error {
+	body, err := json.Marshal(edits)
+	if err != nil {
+		return err
+	}
+	_, err = c.call(context.Background(), http.MethodPost, "/v1/edits", body)
+	if hasStatus(err, http.StatusConflict) {
+		return kv.ConflictError{}
+	}
+	return err
+}
+
+func hasStatus(err error, code int) bool {
+	var status *storeStatusError
+	return errors.As(err, &status) && status.Code == code
+}
--- a/cmd/fawnplank/tls_test.go
+++ b/cmd/fawnplank/tls_test.go
@@ -3,123 +3,151 @@
 import (
 	"fmt"
 	"os"
+	"slices"
 	"strings"
 	"testing"
 	"time"
 
 	"fawnplank/internal/lab/testca"
+	"fawnplank/internal/testutil"
 	"fawnplank/internal/tlsconfig"
 )
 
-// Replicas that speak TLS: commands with a certificate of the authority go through, by way of any replica; plain ones and
-// those of another authority do not; a certificate renewed under way is taken without a restart, a broken one is not.
-func TestReplicasSpeakTLS(t *testing.T) {
-	folder, elsewhere := t.TempDir(), t.TempDir()
-	sign := func(folder, name string, holds time.Duration, a *testca.Authority) tlsconfig.Files {
-		t.Helper()
-		f, err := a.Write(folder, name, holds)
-		if err != nil {
-			t.Fatal(err)
-		}
-		return f
-	}
-	own, err := testca.New("own")
+func newAuthority(t *testing.T, name string) *testca.Authority {
+	t.Helper()
+	authority, err := testca.New(name)
 	if err != nil {
 		t.Fatal(err)
 	}
-	other, err := testca.New("other")
+	return authority
+}
+
+func sign(t *testing.T, authority *testca.Authority, folder, name string, valid time.Duration) tlsconfig.Files {
+	t.Helper()
+	files, err := authority.Write(folder, name, valid)
 	if err != nil {
 		t.Fatal(err)
 	}
-	flags := func(f tlsconfig.Files) []string {
-		return []string{"--tls-certificate", f.Certificate, "--tls-key", f.Key, "--tls-authority", f.Authority}
-	}
-	files, strange := sign(folder, "replica", time.Hour, own), sign(elsewhere, "stranger", time.Hour, other)
-	all := replicas(t, "a", "b", "c")
-	for _, r := range all {
-		r.words = append(flags(files), "store", "run")
-		r.start(t, all)
+	return files
+}
+
+// tlsFlags are the flags that present a certificate; none for no certificate.
+func tlsFlags(files tlsconfig.Files) []string {
+	if !files.Enabled() {
+		return nil
 	}
-	ask := func(f tlsconfig.Files, n int, words ...string) (string, error) {
-		if f.Enabled() {
-			words = append(flags(f), words...)
-		}
-		out, err := program(append(words, "--at", all[n].api)...).CombinedOutput()
-		return string(out), err
+	return []string{"--tls-certificate", files.Certificate, "--tls-key", files.Key, "--tls-authority", files.Authority}
+}
+
+// runWithTLS runs a store command at a replica with a certificate.
+func (r *replicaProcess) runWithTLS(t *testing.T, files tlsconfig.Files, args ...string) (string, error) {
+	t.Helper()
+	return runProgram(t, slices.Concat(tlsFlags(files), []string{"store"}, args, []string{"--at", r.api})...)
+}
+
+// logged reports whether the replica has logged a phrase.
+func (r *replicaProcess) logged(phrase string) bool {
+	text, _ := os.ReadFile(r.log) // one that cannot be read has no phrase
+	return strings.Contains(string(text), phrase)
+}
+
+// Replicas with TLS: commands with a certificate of the authority succeed, by way of any replica; plain ones
+// and those of another authority do not; a certificate renewed under way is loaded without a restart, a
+// broken one is not.
+func TestReplicas_TLS(t *testing.T) {
+	folder, elsewhere := t.TempDir(), t.TempDir()
+	own, other := newAuthority(t, "own"), newAuthority(t, "other")
+	files, foreign := sign(t, own, folder, "replica", time.Hour), sign(t, other, elsewhere, "stranger", time.Hour)
+	replicas := newReplicas(t, "a", "b", "c")
+	for _, r := range replicas {
+		r.args = append(tlsFlags(files), "store", "run")
 	}
-	until(t, "a first write", func() bool { _, err := ask(files, 0, "store", "set", "k", "1"); return err == nil })
-	for n := range all {
-		if out, err := ask(files, n, "store", "get", "k"); err != nil || !strings.Contains(out, `"value":1`) {
+	startReplicas(t, replicas)
+	testutil.Eventually(t, "a first write", func() bool {
+		_, err := replicas[0].runWithTLS(t, files, "set", "k", "1")
+		return err == nil
+	})
+	for n, r := range replicas {
+		if out, err := r.runWithTLS(t, files, "get", "k"); err != nil || !strings.Contains(out, `"value":1`) {
 			t.Errorf("%d: %v, %s", n, err, out)
 		}
-		if out, err := ask(tlsconfig.Files{}, n, "store", "get", "k"); err == nil {
+		if out, err := r.runWithTLS(t, tlsconfig.Files{}, "get", "k"); err == nil {
 			t.Errorf("%d, plain: %s", n, out)
 		}
-		if out, err := ask(strange, n, "store", "get", "k"); err == nil {
+		if out, err := r.runWithTLS(t, foreign, "get", "k"); err == nil {
 			t.Errorf("%d, another authority: %s", n, out)
 		}
 	}
-	if out, err := program("store", "run", "--store", t.TempDir(), "--me", all[0].name(), "--tls-certificate", files.Certificate, "--tls-key", files.Key).CombinedOutput(); err == nil || !strings.Contains(string(out), "--tls-authority is missing") {
+	out, err := runProgram(t, "store", "run", "--store", t.TempDir(), "--me", replicas[0].name(),
+		"--tls-certificate", files.Certificate, "--tls-key", files.Key)
+	if err == nil || !strings.Contains(out, "--tls-authority is missing") {
 		t.Errorf("%v, %s", err, out)
 	}
-	said := func(n int, what string) func() bool {
-		return func() bool {
-			ask(files, n, "store", "status")
-			text, _ := os.ReadFile(all[n].log)
-			return strings.Contains(string(text), what)
-		}
-	}
+	checkCertificateRenewal(t, own, replicas, folder, elsewhere)
+}
+
+// checkCertificateRenewal renews the replicas' certificate, which lies in folder, then breaks it, and renews
+// it again.
+func checkCertificateRenewal(t *testing.T, own *testca.Authority, replicas []*replicaProcess, folder, elsewhere string) {
+	t.Helper()
 	time.Sleep(20 * time.Millisecond) // another time of the files
-	sign(folder, "replica", 48*time.Hour, own)
-	until(t, "the new certificate", said(1, "a new certificate is taken"))
-	os.WriteFile(files.Certificate, []byte("noise"), 0o600)
-	mine := sign(elsewhere, "mine", time.Hour, own)
-	all[2].kill() // its own files are broken now, and the others go on with what they had
-	until(t, "a complaint", func() bool {
-		ask(mine, 1, "store", "status")
-		text, _ := os.ReadFile(all[1].log)
-		return strings.Contains(string(text), "the new certificate is not taken")
+	files := sign(t, own, folder, "replica", 48*time.Hour)
+	// A call first, since the files are looked at when a connection comes; its own result does not count.
+	loggedAfterCall := func(caller tlsconfig.Files, phrase string) bool {
+		_, _ = replicas[1].runWithTLS(t, caller, "status")
+		return replicas[1].logged(phrase)
+	}
+	testutil.Eventually(t, "the new certificate", func() bool {
+		return loggedAfterCall(files, "a new certificate is taken")
+	})
+	writeFile(t, files.Certificate, "noise")
+	mine := sign(t, own, elsewhere, "mine", time.Hour)
+	replicas[2].kill() // its own files are broken now, and the others go on with what they had
+	testutil.Eventually(t, "a complaint", func() bool {
+		return loggedAfterCall(mine, "the new certificate is not taken")
+	})
+	testutil.Eventually(t, "a write", func() bool {
+		_, err := replicas[0].runWithTLS(t, mine, "set", "k", "2")
+		return err == nil
 	})
-	until(t, "a write", func() bool { _, err := ask(mine, 0, "store", "set", "k", "2"); return err == nil })
-	sign(folder, "replica", time.Hour, own)
-	all[2].start(t, all)
-	until(t, "the third replica", func() bool {
-		out, err := ask(files, 2, "store", "get", "k")
+	sign(t, own, folder, "replica", time.Hour)
+	replicas[2].start(t, replicas)
+	testutil.Eventually(t, "the third replica", func() bool {
+		out, err := replicas[2].runWithTLS(t, files, "get", "k")
 		return err == nil && strings.Contains(out, `"value":2`)
 	})
 }
 
-// The limits' address in TLS, with a certificate asked of clients.
-func TestLimitsSpeakTLS(t *testing.T) {
+// The limits address with TLS, with a certificate demanded of clients.
+func TestLimits_TLS(t *testing.T) {
 	folder := t.TempDir()
-	a, err := testca.New("own")
-	if err != nil {
+	files := sign(t, newAuthority(t, "own"), folder, "gateway", time.Hour)
+	settings, operator := folder+"/config.json", folder+"/op.toml"
+	limits, management := freeAddress(t), freeAddress(t)
+	text := fmt.Sprintf(configuration, freeAddress(t), "127.0.0.1:2", "127.0.0.1:3")
+	writeFile(t, settings, strings.Replace(text, `"name":"n0"`, `"name":"n0","mgmt":"`+management+`"`, 1))
+	operatorText := fmt.Sprintf("[limits]\nlisten = %q\ntls_certificate = %q\ntls_key = %q\ntls_authority = %q\n",
+		limits, files.Certificate, files.Key, files.Authority)
+	writeFile(t, operator, operatorText)
+	process := program(t, "serve", "-c", settings, "--operator", operator)
+	if err := process.Start(); err != nil {
 		t.Fatal(err)
 	}
-	files, err := a.Write(folder, "door", time.Hour)
-	if err != nil {
-		t.Fatal(err)
+	defer kill(process)
+	call := func(flags []string) (string, error) {
+		args := []string{"billing", "--at", limits, "room", "0000000000000005", "team"}
+		return runProgram(t, slices.Concat(flags, args)...)
 	}
-	config, operator, at, mgmt := folder+"/config.json", folder+"/op.toml", freeAddress(t), freeAddress(t)
-	os.WriteFile(config, []byte(strings.Replace(fmt.Sprintf(configuration, freeAddress(t), "127.0.0.1:2", "127.0.0.1:3"), `"name":"n0"`, `"name":"n0","mgmt":"`+mgmt+`"`, 1)), 0o600)
-	text := fmt.Sprintf("[limits]\nlisten = %q\ntls_certificate = %q\ntls_key = %q\ntls_authority = %q\n", at, files.Certificate, files.Key, files.Authority)
-	os.WriteFile(operator, []byte(text), 0o600)
-	c := program("serve", "-c", config, "--operator", operator)
-	if err := c.Start(); err != nil {
-		t.Fatal(err)
-	}
-	defer c.Process.Kill()
-	room := func(words ...string) (string, error) {
-		out, err := program(append(words, "billing", "--at", at, "room", "0000000000000005", "team")...).CombinedOutput()
-		return string(out), err
-	}
-	secure := []string{"--tls-certificate", files.Certificate, "--tls-key", files.Key, "--tls-authority", files.Authority}
-	until(t, "an answer", func() bool { out, _ := room(secure...); return strings.Contains(out, "unknown command") }) // billing is off
-	if out, err := room(); err == nil || strings.Contains(out, "unknown command") {
+	testutil.Eventually(t, "an answer", func() bool {
+		out, _ := call(tlsFlags(files)) // an error answer: billing is off
+		return strings.Contains(out, "unknown command")
+	})
+	if out, err := call(nil); err == nil || strings.Contains(out, "unknown command") {
 		t.Errorf("plain: %v, %s", err, out)
 	}
-	os.WriteFile(operator, []byte(strings.Replace(text, files.Key, "/nowhere", 1)), 0o600)
-	if out, err := program("check", operator).CombinedOutput(); err == nil || !strings.Contains(string(out), "op.toml:3: limits.tls_certificate cannot be used") {
+	writeFile(t, operator, strings.Replace(operatorText, files.Key, "/nowhere", 1))
+	out, err := runProgram(t, "check", operator)
+	if err == nil || !strings.Contains(out, "op.toml:3: limits.tls_certificate cannot be used") {
 		t.Errorf("%v, %s", err, out)
 	}
 }
--- /dev/null
+++ b/cmd/fawnplank/warm_start.go
@@ -0,0 +1,75 @@
+package main
+
+import (
+	"errors"
+	"os"
+	"sync"
+	"time"
+
+	"github.com/sirupsen/logrus"
+
+	"fawnplank/internal/config"
+	"fawnplank/internal/dispatch"
+	"fawnplank/internal/logging"
+	"fawnplank/internal/warmstart"
+)
+
+// warmStart keeps what the decisions know of the backends in a file, for the next process of this instance.
+type warmStart struct {
+	path       string
+	dispatcher *dispatch.Dispatcher
+	failing    bool // the last write failed; read and written by run alone
+	stop       chan struct{}
+	running    sync.WaitGroup
+}
+
+// newWarmStart imports the state that an earlier process left, and starts writing it from time to time.
+func newWarmStart(settings config.WarmStart, dispatcher *dispatch.Dispatcher) *warmStart {
+	w := &warmStart{path: settings.File, dispatcher: dispatcher, stop: make(chan struct{})}
+	w.load()
+	w.running.Go(func() { w.run(time.Duration(settings.SaveInterval)) })
+	return w
+}
+
+// Close writes the state a last time. It is called once.
+func (w *warmStart) Close() {
+	close(w.stop)
+	w.running.Wait()
+}
+
+func (w *warmStart) load() {
+	state, age, err := warmstart.Load(w.path, time.Now())
+	if errors.Is(err, os.ErrNotExist) {
+		return
+	}
+	if err != nil {
+		logging.For("warmstart").WithError(err).Warn("state refused")
+		return
+	}
+	w.dispatcher.ImportState(state, age)
+	logging.For("warmstart").WithFields(logrus.Fields{
+		"age":      age.String(),
+		"backends": len(state.Backends),
+	}).Info("state imported")
+}
+
+func (w *warmStart) run(interval time.Duration) {
+	for {
+		select {
+		case <-w.stop:
+			w.save()
+			return
+		case <-time.After(interval):
+			w.save()
+		}
+	}
+}
+
+// save writes the state. An error is logged once an outage.
+func (w *warmStart) save() {
+	err := warmstart.Save(w.path, w.dispatcher.ExportState(), time.Now())
+	if err != nil && !w.failing {
+		logging.For("warmstart").WithError(err).Error("state not saved")
+	}
+	w.failing = err != nil
+}
--- a/cmd/fawnplank/warm_start_test.go
+++ b/cmd/fawnplank/warm_start_test.go
@@ -10,39 +10,48 @@
 	"testing"
 )
 
-// What a door learned is there for the next life, and a file that is not whole is refused aloud, without harm.
-func TestLearnedStateOverARestart(t *testing.T) {
+// The state that a gateway had of its backends is there for the next process, and a file that is not whole is
+// refused with a log entry, without harm.
+func TestWarmStart_OverRestarts(t *testing.T) {
 	folder := t.TempDir()
-	config, operator, file := filepath.Join(folder, "config.json"), filepath.Join(folder, "op.toml"), filepath.Join(folder, "learned")
-	os.WriteFile(config, []byte(fmt.Sprintf(configuration, freeAddress(t), "127.0.0.1:2", "127.0.0.1:3")), 0o600)
-	os.WriteFile(operator, []byte(fmt.Sprintf("[learned]\nfile = %q\nevery = \"100ms\"\n", file)), 0o600)
-	life := func(says string) {
-		t.Helper()
-		c := program("serve", "-c", config, "--operator", operator)
-		log, _ := c.StderrPipe()
-		if err := c.Start(); err != nil {
-			t.Fatal(err)
-		}
-		defer c.Process.Kill()
-		said, told := false, false
-		for lines := bufio.NewScanner(log); lines.Scan(); {
-			said = said || says != "" && strings.Contains(lines.Text(), says)
-			if strings.Contains(lines.Text(), "component=front") && strings.Contains(lines.Text(), "listens") && !told {
-				told = true
-				c.Process.Signal(syscall.SIGTERM)
-			}
-		}
-		if err := c.Wait(); err != nil || says != "" && !said {
-			t.Errorf("%v; %q was said: %t", err, says, said)
-		}
-	}
-	life("")
+	settings, operator := filepath.Join(folder, "config.json"), filepath.Join(folder, "op.toml")
+	file := filepath.Join(folder, "state")
+	writeFile(t, settings, fmt.Sprintf(configuration, freeAddress(t), "127.0.0.1:2", "127.0.0.1:3"))
+	writeFile(t, operator, fmt.Sprintf("[learned]\nfile = %q\nevery = \"100ms\"\n", file))
+	checkRunLogs(t, settings, operator, "")
 	if _, err := os.Stat(file); err != nil {
 		t.Fatal(err)
 	}
-	life("taken over")
-	text, _ := os.ReadFile(file)
-	os.WriteFile(file, text[:len(text)/2], 0o600)
-	life("refused; the door starts afresh")
-	life("taken over") // written anew
+	checkRunLogs(t, settings, operator, "state imported")
+	text := readFile(t, file)
+	writeFile(t, file, text[:len(text)/2])
+	checkRunLogs(t, settings, operator, "state refused")
+	checkRunLogs(t, settings, operator, "state imported") // written anew
+}
+
+// checkRunLogs runs a gateway until it listens, and checks that it logs a phrase, if any, and exits without
+// an error.
+func checkRunLogs(t *testing.T, settings, operator, phrase string) {
+	t.Helper()
+	process := program(t, "serve", "-c", settings, "--operator", operator)
+	log, err := process.StderrPipe()
+	if err != nil {
+		t.Fatal(err)
+	}
+	if err := process.Start(); err != nil {
+		t.Fatal(err)
+	}
+	defer kill(process)
+	logged, signaled := false, false
+	for lines := bufio.NewScanner(log); lines.Scan(); {
+		line := lines.Text()
+		logged = logged || phrase != "" && strings.Contains(line, phrase)
+		if !signaled && strings.Contains(line, "component=frontend") && strings.Contains(line, "listening") {
+			signaled = true
+			sendSignal(t, process, syscall.SIGTERM)
+		}
+	}
+	if err := process.Wait(); err != nil || phrase != "" && !logged {
+		t.Errorf("%v; %q was logged: %t", err, phrase, logged)
+	}
 }
--- a/cmd/fawnplank/wire_frontend_test.go
+++ b/cmd/fawnplank/wire_frontend_test.go
@@ -16,26 +16,33 @@
 	wireField = "c=lookup,t=team,d=1400"
 )
 
-// Every error line for a request that is not in order; the connection stays open and the next command is answered.
+// Every error line for a request that is not in order; the connection stays open and the next command is
+// answered.
 func TestFrontend_RequestErrorsOnWire(t *testing.T) {
 	backend := newWireBackend(t, func(string) string { return wireGood })
-	g := serveWire(t, "127.0.0.1:2", "127.0.0.1:3", wireEndpoint("s-1", backend.address), "")
+	g := serveWire(t, wireGatewayOptions{endpoints: wireEndpoint(backend.address)})
 	file := openGolden(t, "frontend_request_errors")
 	cases := []struct{ name, text string }{
-		{"PING", wirePing}, {"ping in small letters", respWords("pInG")}, {"PING with a word", respWords("PING", "x")},
-		{"CLIENT", respWords("CLIENT", "SETNAME", "x")}, {"SELECT", respWords("SELECT", "0")},
-		{"unknown command", respWords("GET", "x")}, {"empty command", respWords("")},
+		{"PING", wirePing},
+		{"ping in small letters", respWords("pInG")},
+		{"PING with a word", respWords("PING", "x")},
+		{"CLIENT", respWords("CLIENT", "SETNAME", "x")},
+		{"SELECT", respWords("SELECT", "0")},
+		{"unknown command", respWords("GET", "x")},
+		{"empty command", respWords("")},
 		{"unknown command in small letters", respWords("get")},
 		{"unknown command, binary and long", respWords("\x00\xff\"" + strings.Repeat("AB", 30))},
-		{"too few words", respWords("SVC.QUERY", wireCustomer, "1")},
-		{"too many words", respWords("SVC.QUERY", wireCustomer, "1", wireField, "body", "more")},
-		{"SUBMIT, too few words", respWords("SVC.SUBMIT", wireCustomer)},
+		{"too few words", respWords("SVC.QUERY", wireTenant, "1")},
+		{"too many words", respWords("SVC.QUERY", wireTenant, "1", wireField, "body", "more")},
+		{"SUBMIT, too few words", respWords("SVC.SUBMIT", wireTenant)},
 		{"customer no number", respWords("SVC.QUERY", "customer-of-16-x", "1", wireField)},
 		{"customer too short", respWords("SVC.QUERY", "5", "1", wireField)},
 		{"customer too large", respWords("SVC.QUERY", "0000000200000000", "1", wireField)},
 		{"customer empty", respWords("SVC.QUERY", "", "1", wireField)},
-		{"id empty", wireQuery("", wireField)}, {"id with a blank", wireQuery("a b", wireField)},
-		{"id with a zero byte", wireQuery("1\x00", wireField)}, {"id of 65 bytes", wireQuery(strings.Repeat("7", 65), wireField)},
+		{"id empty", wireQuery("", wireField)},
+		{"id with a blank", wireQuery("a b", wireField)},
+		{"id with a zero byte", wireQuery("1\x00", wireField)},
+		{"id of 65 bytes", wireQuery(strings.Repeat("7", 65), wireField)},
 	}
 	for _, fields := range []string{"", "lookup", ",", wireField + ",", wireField + ",none", "t=team,d=9", "c=lookup,d=9", "c=lookup,t=team",
 		"c=none,t=team,d=9", "c=limit.check,t=team,d=9", "c=,t=team,d=9", "c=lookup,t=none,d=9", "c=lookup,t=,d=9",
@@ -51,41 +58,59 @@
 	}
 	for _, x := range cases {
 		c := dialWire(t, g.clients)
-		io.WriteString(c, x.text+respWords("SELECT", "1"))
+		send(c, x.text+respWords("SELECT", "1"))
 		got, state := readUntil(t, c, "+OK\r\n")
 		for x.name == "CLIENT" && strings.Count(got, "+OK\r\n") < 2 || x.name == "SELECT" && strings.Count(got, "+OK\r\n") < 2 {
 			var more string
 			more, state = readUntil(t, c, "+OK\r\n")
 			got += more
 		}
-		c.Close()
+		hangUp(c)
 		file.compare(x.name, mark(">", x.text), mark("<", strings.TrimSuffix(got, "+OK\r\n")), state)
 	}
-	if lines := backend.take(); len(lines) > 0 {
-		t.Errorf("a backend heard of what was not in order: %s", lines)
+	if lines := backend.received(); len(lines) > 0 {
+		t.Errorf("a backend received what was not in order: %s", lines)
 	}
 }
 
 // Every error that ends the connection, and that nothing follows it.
 func TestFrontend_ProtocolErrorsOnWire(t *testing.T) {
 	backend := newWireBackend(t, func(string) string { return wireGood })
-	g := serveWire(t, "127.0.0.1:2", "127.0.0.1:3", wireEndpoint("s-1", backend.address), "")
+	g := serveWire(t, wireGatewayOptions{endpoints: wireEndpoint(backend.address)})
 	file := openGolden(t, "frontend_protocol_errors")
 	cases := []struct{ name, text string }{
-		{"word of negative length", "*1\r\n$-5\r\n"}, {"word of length -1", "*1\r\n$-1\r\n"}, {"word of huge length", "*1\r\n$9223372036854775807\r\nx"},
-		{"word of a length beyond all integers", "*1\r\n$99999999999999\r\n"}, {"word just too long", "*1\r\n$4194305\r\n"},
-		{"word length with a plus", "*1\r\n$+4\r\nPING\r\n"}, {"word length no number", "*1\r\n$x\r\n"}, {"word length missing", "*1\r\n$\r\n"},
-		{"word of another type", "*1\r\n:4\r\n"}, {"word longer than its length", "*1\r\n$4\r\nPINGS\r\n"}, {"word shorter than its length", "*1\r\n$6\r\nPING\r\n$$$$"},
+		{"word of negative length", "*1\r\n$-5\r\n"},
+		{"word of length -1", "*1\r\n$-1\r\n"},
+		{"word of huge length", "*1\r\n$9223372036854775807\r\nx"},
+		{"word of a length beyond all integers", "*1\r\n$99999999999999\r\n"},
+		{"word just too long", "*1\r\n$4194305\r\n"},
+		{"word length with a plus", "*1\r\n$+4\r\nPING\r\n"},
+		{"word length no number", "*1\r\n$x\r\n"},
+		{"word length missing", "*1\r\n$\r\n"},
+		{"word of another type", "*1\r\n:4\r\n"},
+		{"word longer than its length", "*1\r\n$4\r\nPINGS\r\n"},
+		{"word shorter than its length", "*1\r\n$6\r\nPING\r\n$$$$"},
 		{"word length line without return", "*1\r\n$4\nPING\r\n"},
-		{"array of no words", "*0\r\n"}, {"array of -1 words", "*-1\r\n"}, {"array of -3 words", "*-3\r\n"}, {"array of 17 words", "*17\r\n"},
-		{"array of huge length", "*9999999999999\r\n"}, {"array length no number", "*x\r\n"}, {"array length line without end", "*11111111111111111"},
-		{"inline command", "PING\r\n"}, {"inline request", "SVC.QUERY " + wireCustomer + " 1 " + wireField + "\r\n"}, {"HTTP", "GET / HTTP/1.1\r\nHost: x\r\n\r\n"},
-		{"simple string", "+PING\r\n"}, {"bulk string", "$4\r\nPING\r\n"}, {"zero byte", "\x00"}, {"empty line", "\r\n"},
-		{"error behind a good command", wirePing + "*x\r\n"}, {"good command behind an error", "*x\r\n" + wirePing},
+		{"array of no words", "*0\r\n"},
+		{"array of -1 words", "*-1\r\n"},
+		{"array of -3 words", "*-3\r\n"},
+		{"array of 17 words", "*17\r\n"},
+		{"array of huge length", "*9999999999999\r\n"},
+		{"array length no number", "*x\r\n"},
+		{"array length line without end", "*11111111111111111"},
+		{"inline command", "PING\r\n"},
+		{"inline request", "SVC.QUERY " + wireTenant + " 1 " + wireField + "\r\n"},
+		{"HTTP", "GET / HTTP/1.1\r\nHost: x\r\n\r\n"},
+		{"simple string", "+PING\r\n"},
+		{"bulk string", "$4\r\nPING\r\n"},
+		{"zero byte", "\x00"},
+		{"empty line", "\r\n"},
+		{"error behind a good command", wirePing + "*x\r\n"},
+		{"good command behind an error", "*x\r\n" + wirePing},
 	}
 	for _, x := range cases {
 		c := dialWire(t, g.clients)
-		io.WriteString(c, x.text)
+		send(c, x.text)
 		got, state := readUntil(t, c, "")
 		file.compare(x.name, mark(">", x.text), mark("<", got), state)
 	}
@@ -95,7 +120,7 @@
 	var conns []net.Conn
 	for _, x := range late {
 		c := dialWire(t, g.clients)
-		io.WriteString(c, x.text)
+		send(c, x.text)
 		conns = append(conns, c)
 	}
 	for n, x := range late {
@@ -107,11 +132,11 @@
 // A command longer than any may be, and large ones for which there is no memory.
 func TestFrontend_LargeCommandsOnWire(t *testing.T) {
 	backend := newWireBackend(t, func(string) string { return wireGood })
-	g := serveWire(t, "127.0.0.1:2", "127.0.0.1:3", wireEndpoint("s-1", backend.address), "")
+	g := serveWire(t, wireGatewayOptions{endpoints: wireEndpoint(backend.address)})
 	file := openGolden(t, "frontend_large_commands")
 	const word = 4 << 20
 	c := dialWire(t, g.clients)
-	go io.WriteString(c, "*5\r\n$4194304\r\n"+strings.Repeat("x", word)+"\r\n$4194304\r\n"+strings.Repeat("x", 200<<10))
+	go send(c, "*5\r\n$4194304\r\n"+strings.Repeat("x", word)+"\r\n$4194304\r\n"+strings.Repeat("x", 200<<10))
 	got, state := readUntil(t, c, "")
 	file.compare("command too long", mark("<", got), state)
 
@@ -119,7 +144,7 @@
 	for range 4 { // each wants over 4 MiB of the 10 that there are, and goes on sending a little
 		c := dialWire(t, g.clients)
 		go func() {
-			io.WriteString(c, "*1\r\n$4194304\r\n"+strings.Repeat("x", 3<<20))
+			send(c, "*1\r\n$4194304\r\n"+strings.Repeat("x", 3<<20))
 			for _, err := io.WriteString(c, "x"); err == nil; _, err = io.WriteString(c, "x") {
 				time.Sleep(50 * time.Millisecond)
 			}
@@ -139,10 +164,12 @@
 
 var retryAfter = regexp.MustCompile(`-BUSY [1-9]\d{0,2}\r\n`) // at most the settings' 900
 
+func hideRetryAfter(text string) string { return retryAfter.ReplaceAllString(text, "-BUSY <ms>\r\n") }
+
 // Every kind of final answer, by what the backend says, and the requests that the backend hears for it.
 func TestFrontend_AnswersOnWire(t *testing.T) {
 	file := openGolden(t, "frontend_answers")
-	submit := func(fields, body string) string { return respWords("SVC.SUBMIT", wireCustomer, "7", fields, body) }
+	submit := func(fields, body string) string { return respWords("SVC.SUBMIT", wireTenant, "7", fields, body) }
 	pay := "c=pay,t=team,d=1400"
 	for _, x := range []struct{ name, text, answer string }{
 		{"value", wireQuery("7", wireField), wireGood},
@@ -153,7 +180,7 @@
 		{"all fields and others", wireQuery("7", "r=1,units=2.5,"+wireField+",spread=2,first=1,z=x"), wireGood},
 		{"remaining time with a fraction", wireQuery("7", "c=lookup,t=team,d=1400.5"), wireGood},
 		{"remaining time beyond the class's", wireQuery("7", "c=lookup,t=team,d=0900000"), wireGood},
-		{"query with a body", respWords("SVC.QUERY", wireCustomer, "7", wireField, "body"), wireGood},
+		{"query with a body", respWords("SVC.QUERY", wireTenant, "7", wireField, "body"), wireGood},
 		{"submit, not idempotent", submit(pay, "a\r\n\x00*1\r\n$4\r\nPING\r\n\xff"), wireGood},
 		{"submit with a key", submit("c=order,t=team,d=1400,k=d72e33dc49655fc9,units=1", "body"), wireGood},
 		{"submit with an empty body", submit(pay, ""), wireGood},
@@ -170,76 +197,100 @@
 		{"no remaining time", wireQuery("7", "c=lookup,t=team,d=0"), wireGood},
 	} {
 		backend := newWireBackend(t, func(string) string { return x.answer })
-		g := serveWire(t, "127.0.0.1:2", "127.0.0.1:3", wireEndpoint("s-1", backend.address), "")
+		g := serveWire(t, wireGatewayOptions{endpoints: wireEndpoint(backend.address)})
 		c := dialWire(t, g.clients)
-		io.WriteString(c, x.text+wirePing)
+		send(c, x.text+wirePing)
 		got, state := readUntil(t, c, "+PONG\r\n")
-		lines := append([]string{mark(">", x.text)}, backend.take()...)
-		file.compare(x.name, append(lines, mark("<", retryAfter.ReplaceAllString(strings.TrimSuffix(got, "+PONG\r\n"), "-BUSY <ms>\r\n")), state)...)
-		g.process.Process.Kill()
+		lines := append([]string{mark(">", x.text)}, backend.received()...)
+		file.compare(x.name, append(lines, mark("<", hideRetryAfter(strings.TrimSuffix(got, "+PONG\r\n"))), state)...)
+		kill(g.process)
+	}
+}
+
+// rejection is a request that is rejected, behind one in flight where there is a first.
+type rejection struct {
+	name, first, second string
+	replace             []string // in the settings
+}
+
+func (x rejection) compare(t *testing.T, file *golden) {
+	t.Helper()
+	answer := make(chan string)
+	backend := newWireBackend(t, func(string) string { return <-answer })
+	g := serveWire(t, wireGatewayOptions{endpoints: wireEndpoint(backend.address), replace: x.replace})
+	defer kill(g.process)
+	first, second := dialWire(t, g.clients), dialWire(t, g.clients)
+	if x.first != "" {
+		send(first, x.first)
+		backend.wait(t)
+	}
+	send(second, x.second)
+	got, state := readUntil(t, second, "\r\n")
+	if x.first == "" {
+		lines := []string{mark(">", x.second), mark("<", hideRetryAfter(got)), state}
+		file.compare(x.name, append(lines, backend.received()...)...)
+		return
+	}
+	answer <- wireGood
+	done, firstState := readUntil(t, first, "ok\r\n")
+	lines := []string{
+		mark("first >", x.first),
+		mark("second >", x.second),
+		mark("second <", hideRetryAfter(got)),
+		state,
+		mark("first <", done),
+		firstState,
 	}
+	file.compare(x.name, append(lines, backend.received()...)...)
 }
 
-// Rejections, ids taken twice and the order of answers, with a backend that waits.
+// Rejections, ids in flight and the order of answers, with a backend that waits.
 func TestFrontend_RejectionsOnWire(t *testing.T) {
 	file := openGolden(t, "frontend_rejections")
-	for _, x := range []struct {
-		name    string
-		first   string
-		second  string
-		replace []string
-	}{
-		{"concurrency limit, with Retry-After", wireQuery("1", "c=lookup,t=one,d=1400"), wireQuery("2", "c=lookup,t=one,d=1400"), nil},
-		{"concurrency limit, without Retry-After", wireQuery("1", "c=lookup,t=one,d=1400"), wireQuery("2", "c=lookup,t=one,d=1400"),
-			[]string{`"retry-after":true`, `"retry-after":false`}},
-		{"hard quota, with Retry-After", "", wireQuery("2", "c=lookup,t=roof,d=1400,units=8"), nil},
-		{"hard quota, without Retry-After", "", wireQuery("2", "c=lookup,t=roof,d=1400,units=8"),
-			[]string{`"retry-after":true`, `"retry-after":false`}},
-		{"id of an open request", wireQuery("1", wireField), wireQuery("1", wireField), nil},
+	const limited, limitedQuota = "c=lookup,t=one,d=1400", "c=lookup,t=roof,d=1400,units=8"
+	noRetryAfter := []string{`"retry-after":true`, `"retry-after":false`}
+	for _, x := range []rejection{
+		{name: "concurrency limit, with Retry-After", first: wireQuery("1", limited), second: wireQuery("2", limited)},
+		{name: "concurrency limit, without Retry-After", first: wireQuery("1", limited), second: wireQuery("2", limited),
+			replace: noRetryAfter},
+		{name: "hard quota, with Retry-After", second: wireQuery("2", limitedQuota)},
+		{name: "hard quota, without Retry-After", second: wireQuery("2", limitedQuota), replace: noRetryAfter},
+		{name: "id of an open request", first: wireQuery("1", wireField), second: wireQuery("1", wireField)},
 	} {
-		answer := make(chan string)
-		backend := newWireBackend(t, func(string) string { return <-answer })
-		g := serveWire(t, "127.0.0.1:2", "127.0.0.1:3", wireEndpoint("s-1", backend.address), "", x.replace...)
-		first, second := dialWire(t, g.clients), dialWire(t, g.clients)
-		if x.first != "" {
-			io.WriteString(first, x.first)
-			backend.wait(t)
-		}
-		io.WriteString(second, x.second)
-		got, state := readUntil(t, second, "\r\n")
-		if x.first == "" {
-			file.compare(x.name, append([]string{mark(">", x.second), mark("<", retryAfter.ReplaceAllString(got, "-BUSY <ms>\r\n")), state}, backend.take()...)...)
-			g.process.Process.Kill()
-			continue
-		}
-		answer <- wireGood
-		done, firstState := readUntil(t, first, "ok\r\n")
-		lines := append([]string{mark("first >", x.first), mark("second >", x.second), mark("second <", retryAfter.ReplaceAllString(got, "-BUSY <ms>\r\n")), state,
-			mark("first <", done), firstState}, backend.take()...)
-		file.compare(x.name, lines...)
-		g.process.Process.Kill()
+		x.compare(t, file)
 	}
-	answer := make(chan string)
-	backend := newWireBackend(t, func(string) string { return <-answer })
-	g := serveWire(t, "127.0.0.1:2", "127.0.0.1:3", "", "")
+	checkNoBackend(t, file)
+	checkPipelined(t, file)
+}
+
+// checkNoBackend compares the answer where no backend is known.
+func checkNoBackend(t *testing.T, file *golden) {
+	t.Helper()
+	g := serveWire(t, wireGatewayOptions{})
 	c := dialWire(t, g.clients)
 	text := wireQuery("1", "c=lookup,t=team,d=200") + wirePing
-	io.WriteString(c, text)
+	send(c, text)
 	got, state := readUntil(t, c, "+PONG\r\n")
-	file.compare("no backend is known", mark(">", text), mark("<", retryAfter.ReplaceAllString(got, "-BUSY <ms>\r\n")), state)
-	g.process.Process.Kill()
+	file.compare("no backend is known", mark(">", text), mark("<", hideRetryAfter(got)), state)
+	kill(g.process)
+}
 
-	g = serveWire(t, "127.0.0.1:2", "127.0.0.1:3", wireEndpoint("s-1", backend.address), "")
-	c = dialWire(t, g.clients)
-	text = wirePing + wireQuery("1", wireField) + wirePing + respWords("NONE") + wireQuery("2", wireField+",d=1") + wirePing
-	io.WriteString(c, text)
+// checkPipelined compares the answers to commands sent together.
+func checkPipelined(t *testing.T, file *golden) {
+	t.Helper()
+	answer := make(chan string)
+	backend := newWireBackend(t, func(string) string { return <-answer })
+	g := serveWire(t, wireGatewayOptions{endpoints: wireEndpoint(backend.address)})
+	c := dialWire(t, g.clients)
+	text := wirePing + wireQuery("1", wireField) + wirePing + respWords("NONE") + wireQuery("2", wireField+",d=1") + wirePing
+	send(c, text)
 	backend.wait(t)
 	answer <- wireGood
-	got, state = readUntil(t, c, "\r\n+PONG\r\n")
+	got, state := readUntil(t, c, "\r\n+PONG\r\n")
 	for strings.Count(got, "+PONG") < 3 {
 		var more string
 		more, state = readUntil(t, c, "\r\n+PONG\r\n")
 		got += more
 	}
-	file.compare("pipelined commands are answered in their order", append([]string{mark(">", text), mark("<", got), state}, backend.take()...)...)
+	file.compare("pipelined commands are answered in their order", append([]string{mark(">", text), mark("<", got), state}, backend.received()...)...)
 }
--- a/cmd/fawnplank/wire_test.go
+++ b/cmd/fawnplank/wire_test.go
@@ -2,6 +2,8 @@
 
 import (
 	"bytes"
+	"cmp"
+	"errors"
 	"fmt"
 	"io"
 	"net"
@@ -16,11 +18,14 @@
 	"time"
 
 	"github.com/tidwall/redcon"
+
+	"fawnplank/internal/testutil"
 )
 
-// Tests of the bytes on every wire, against the whole program as a process of its own: what it is sent and what it says
-// is compared, byte for byte, with the transcripts under testdata/golden. They know the program by its settings, its
-// command line and its wires alone. The transcripts are never written by a test; a change of one is a change of a wire.
+// Tests of the bytes on every wire, against the whole program as a process of its own: what it is sent and
+// what it says is compared, byte for byte, with the transcripts under testdata/golden. They know the program
+// by its settings, its command line and its wires alone. The transcripts are never written by a test; a
+// change of one is a change of a wire.
 
 // golden compares named transcripts with those of a file, in which "== name" stands above each.
 type golden struct {
@@ -73,66 +78,61 @@
 var longRun = regexp.MustCompile(`x{64,}|-{64,}`)
 
 const (
-	wireTimeout  = 10 * time.Second
-	wireCustomer = "0000000000000005"
+	wireTimeout = 10 * time.Second
+	wireTenant  = "0000000000000005"
 )
 
-// wireStandIn listens, and hands on each connection.
+// wireStandIn listens, and serves each connection with serve.
 func wireStandIn(t *testing.T, serve func(net.Conn)) string {
 	t.Helper()
-	l, err := net.Listen("tcp4", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() { l.Close() })
+	listener := testutil.Listen(t)
 	go func() {
 		for {
-			c, err := l.Accept()
+			conn, err := listener.Accept()
 			if err != nil {
 				return
 			}
-			go serve(c)
+			go serve(conn)
 		}
 	}()
-	return l.Addr().String()
+	return listener.Addr().String()
 }
 
-// wireBackend answers each request by what answer says of it, and keeps the requests. "close" ends the connection, "" says
-// nothing.
+// wireBackend answers each request with what answer returns for it, and keeps the requests. "close" ends the
+// connection, "" sends nothing.
 type wireBackend struct {
-	address string
-	mu      sync.Mutex
-	heard   []string
-	probes  chan string
-	asked   chan string
+	address      string
+	mu           sync.Mutex
+	requests     []string
+	healthChecks chan string
+	arrived      chan string
 }
 
 func newWireBackend(t *testing.T, answer func(id string) string) *wireBackend {
 	t.Helper()
-	b := &wireBackend{probes: make(chan string, 1000), asked: make(chan string, 1000)}
-	b.address = wireStandIn(t, func(c net.Conn) {
-		defer c.Close()
-		for r := redcon.NewReader(c); ; {
+	b := &wireBackend{healthChecks: make(chan string, 1000), arrived: make(chan string, 1000)}
+	b.address = wireStandIn(t, func(conn net.Conn) {
+		defer hangUp(conn)
+		for r := redcon.NewReader(conn); ; {
 			cmd, err := r.ReadCommand()
 			if err != nil {
 				return
 			}
 			if len(cmd.Args) < 4 {
-				b.probes <- string(cmd.Raw)
-				io.WriteString(c, "+PONG\r\n")
+				b.healthChecks <- string(cmd.Raw)
+				send(conn, "+PONG\r\n")
 				continue
 			}
 			b.mu.Lock()
-			b.heard = append(b.heard, string(cmd.Raw))
+			b.requests = append(b.requests, string(cmd.Raw))
 			b.mu.Unlock()
-			b.asked <- string(cmd.Args[2])
-			switch text := answer(string(cmd.Args[2])); text {
-			case "close":
+			id := string(cmd.Args[2])
+			b.arrived <- id
+			text := answer(id)
+			if text == "close" {
 				return
-			case "":
-			default:
-				io.WriteString(c, text)
 			}
+			send(conn, text)
 		}
 	})
 	return b
@@ -144,26 +144,26 @@
 func (b *wireBackend) wait(t *testing.T) {
 	t.Helper()
 	select {
-	case <-b.asked:
+	case <-b.arrived:
 	case <-time.After(wireTimeout):
 		t.Fatal("no request comes to the backend")
 	}
 }
 
-// take gives what was heard since, as lines; the remaining time, and with it the length of its word, is replaced.
-func (b *wireBackend) take() (lines []string) {
+// received returns the requests since the last call, as lines; the remaining time, and with it the length of
+// its word, is replaced.
+func (b *wireBackend) received() (lines []string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	for _, raw := range b.heard {
+	for _, raw := range b.requests {
 		lines = append(lines, mark("backend <", remainingTime.ReplaceAllString(raw, "$$<length>\r\n${1}<ms>")))
 	}
-	b.heard = nil
+	b.requests = nil
 	return lines
 }
 
 // wireGateway is the program, serving.
 type wireGateway struct {
-	t                    *testing.T
 	clients, mgmt, limit string
 	process              *exec.Cmd
 }
@@ -183,66 +183,95 @@
 {"name":"metered","quota-rate":5,"peak-units":200,"beyond-earns":1},
 {"name":"roof","quota-rate":0,"peak-units":0,"cap-rate":1,"ceiling-burst":2}]}}`
 
-func wireEndpoint(name, address string) string {
-	return fmt.Sprintf(`{"name":%q,"address":%q,"zone":"a","type":"m2","group":1,"status":"up","weight":1.0,"since_ms":0}`, name, address)
+// wireEndpoint is the entry of the one backend in an endpoint list.
+func wireEndpoint(address string) string {
+	const entry = `{"name":"s-1","address":%q,"zone":"a","type":"m2","group":1,"status":"up","weight":1.0,"since_ms":0}`
+	return fmt.Sprintf(entry, address)
 }
 
-// serveWire starts the program on wireSettings, with pairs of text replaced in them, and waits until it listens.
-func serveWire(t *testing.T, discovery, counter, endpoints, operator string, replace ...string) *wireGateway {
+// wireGatewayOptions configure serveWire. What is left out is an address that nothing listens at, and no
+// endpoint.
+type wireGatewayOptions struct {
+	discovery, counter string
+	endpoints          string
+	operator           string   // more of the operator file, behind the table limits
+	replace            []string // pairs of texts in the settings, and what replaces them
+}
+
+// serveWire starts the program on wireSettings, and waits until it listens.
+func serveWire(t *testing.T, options wireGatewayOptions) *wireGateway {
 	t.Helper()
-	g := &wireGateway{t: t, clients: freeAddress(t), mgmt: freeAddress(t), limit: freeAddress(t)}
+	g := &wireGateway{clients: freeAddress(t), mgmt: freeAddress(t), limit: freeAddress(t)}
 	folder := t.TempDir()
-	file, second := filepath.Join(folder, "config.json"), filepath.Join(folder, "op.toml")
-	text := fmt.Sprintf(wireSettings, g.clients, g.mgmt, discovery, counter, endpoints)
-	for n := 0; n < len(replace); n += 2 {
-		if !strings.Contains(text, replace[n]) {
-			t.Fatalf("the settings hold no %s", replace[n])
+	settings, operator := filepath.Join(folder, "config.json"), filepath.Join(folder, "op.toml")
+	text := fmt.Sprintf(wireSettings, g.clients, g.mgmt, cmp.Or(options.discovery, "127.0.0.1:2"),
+		cmp.Or(options.counter, "127.0.0.1:3"), options.endpoints)
+	for n := 0; n < len(options.replace); n += 2 {
+		if !strings.Contains(text, options.replace[n]) {
+			t.Fatalf("the settings hold no %s", options.replace[n])
 		}
-		text = strings.Replace(text, replace[n], replace[n+1], 1)
+		text = strings.Replace(text, options.replace[n], options.replace[n+1], 1)
 	}
-	os.WriteFile(file, []byte(text), 0o600)
-	os.WriteFile(second, []byte(strings.ReplaceAll(fmt.Sprintf("[limits]\nlisten = %q\n", g.limit)+operator, "FOLDER", folder)), 0o600)
-	os.WriteFile(filepath.Join(folder, "secret"), []byte("0123456789abcdef-secret\n"), 0o600)
-	g.process = program("serve", "-c", file, "--operator", second)
+	writeFile(t, settings, text)
+	operatorText := fmt.Sprintf("[limits]\nlisten = %q\n", g.limit) + options.operator
+	writeFile(t, operator, strings.ReplaceAll(operatorText, "FOLDER", folder))
+	writeFile(t, filepath.Join(folder, "secret"), "0123456789abcdef-secret\n")
+	g.process = program(t, "serve", "-c", settings, "--operator", operator)
+	g.start(t)
+	return g
+}
+
+// start starts the process and waits until it listens.
+func (g *wireGateway) start(t *testing.T) {
+	t.Helper()
 	log := &bytes.Buffer{}
 	g.process.Stderr = log
 	if err := g.process.Start(); err != nil {
 		t.Fatal(err)
 	}
 	ended := make(chan struct{})
-	go func() { g.process.Wait(); close(ended) }()
-	t.Cleanup(func() { g.process.Process.Kill(); <-ended })
-	for until := time.Now().Add(wireTimeout); ; time.Sleep(5 * time.Millisecond) {
-		if c, err := net.Dial("tcp4", g.clients); err == nil {
-			c.Close()
-			if c, err = net.Dial("tcp4", g.mgmt); err == nil {
-				c.Close()
-				return g
-			}
-		}
+	go func() {
+		_ = g.process.Wait() // it is killed in the end
+		close(ended)
+	}()
+	t.Cleanup(func() {
+		kill(g.process)
+		<-ended
+	})
+	for deadline := time.Now().Add(wireTimeout); !g.listens(t); time.Sleep(5 * time.Millisecond) {
 		select {
 		case <-ended:
 			t.Fatalf("the program ended: %s", log)
 		default:
 		}
-		if time.Now().After(until) {
+		if time.Now().After(deadline) {
 			t.Fatal("the program does not listen")
 		}
 	}
 }
 
-func dialWire(t *testing.T, address string) net.Conn {
+// listens reports whether the addresses of clients and management can be connected to.
+func (g *wireGateway) listens(t *testing.T) bool {
 	t.Helper()
-	c, err := net.Dial("tcp4", address)
-	if err != nil {
-		t.Fatal(err)
+	for _, address := range []string{g.clients, g.mgmt} {
+		conn, err := tryDial(t, address)
+		if err != nil {
+			return false
+		}
+		hangUp(conn)
 	}
-	t.Cleanup(func() { c.Close() })
-	c.SetDeadline(time.Now().Add(wireTimeout))
-	return c
+	return true
+}
+
+func dialWire(t *testing.T, address string) net.Conn {
+	t.Helper()
+	conn := dial(t, address)
+	setDeadline(conn, wireTimeout)
+	return conn
 }
 
-// readUntil reads until what came ends with the text, or the other side closes the connection; the line says which.
+// readUntil reads until what came ends with the text, or the other side closes the connection; the line says
+// which.
 func readUntil(t *testing.T, c net.Conn, end string) (got, state string) {
 	t.Helper()
 	buf := make([]byte, 64<<10)
@@ -252,7 +281,7 @@
 		if end != "" && strings.HasSuffix(got, end) {
 			return got, "stays open"
 		}
-		if err == io.EOF {
+		if errors.Is(err, io.EOF) {
 			return got, "closed"
 		}
 		if err != nil {
@@ -261,14 +290,15 @@
 	}
 }
 
-func respWords(all ...string) string {
-	text := fmt.Sprintf("*%d\r\n", len(all))
-	for _, w := range all {
-		text += fmt.Sprintf("$%d\r\n%s\r\n", len(w), w)
+// respWords is a command in RESP.
+func respWords(words ...string) string {
+	text := fmt.Sprintf("*%d\r\n", len(words))
+	for _, word := range words {
+		text += fmt.Sprintf("$%d\r\n%s\r\n", len(word), word)
 	}
 	return text
 }
 
 func wireQuery(id, fields string) string {
-	return respWords("SVC.QUERY", wireCustomer, id, fields)
+	return respWords("SVC.QUERY", wireTenant, id, fields)
 }
--- a/cmd/fawnplank/zone_test.go
+++ b/cmd/fawnplank/zone_test.go
@@ -20,6 +20,7 @@
 	"fawnplank/internal/config"
 	"fawnplank/internal/dnsserver"
 	"fawnplank/internal/dnszone"
+	"fawnplank/internal/testutil"
 )
 
 const zoneText = `$ORIGIN calc.example.
@@ -31,80 +32,101 @@
 n0 A 127.0.0.10
 `
 
-// names is a door's operator file with a zone, and what it names.
-type nameFiles struct {
-	at, operator, config string
-	key                  dnsserver.Key
+// zoneFiles are a gateway's files with a zone, in one folder.
+type zoneFiles struct {
+	folder             string
+	address            string // of the name server
+	operator, settings string
+	key                dnsserver.Key
 }
 
-func newNames(t *testing.T, journal bool) nameFiles {
+func newZoneFiles(t *testing.T, journal bool) zoneFiles {
 	t.Helper()
 	folder := t.TempDir()
-	own := func(name string) string { return filepath.Join(folder, name) }
-	n := nameFiles{at: freeAddress(t), operator: own("op.toml"), config: own("config.json")}
-	text := fmt.Sprintf("[dns]\nzone_file = %q\norigin = \"calc.example\"\nservice = \"_calc._tcp.calc.example\"\nlisten = %q\n", own("zone"), n.at)
+	z := zoneFiles{folder: folder, address: freeAddress(t)}
+	z.operator, z.settings = z.path("op.toml"), z.path("config.json")
+	text := fmt.Sprintf("[dns]\nzone_file = %q\norigin = \"calc.example\"\nservice = \"_calc._tcp.calc.example\"\nlisten = %q\n",
+		z.path("zone"), z.address)
 	if journal {
-		text += fmt.Sprintf("journal = %q\n", own("journal"))
+		text += fmt.Sprintf("journal = %q\n", z.path("journal"))
 	}
-	text += fmt.Sprintf("[[dns.key]]\nname = \"deploy\"\nsecret_file = %q\n", own("key"))
-	for name, x := range map[string]string{"op.toml": text, "zone": zoneText, "key": base64.StdEncoding.EncodeToString([]byte("a secret of some length")),
-		"config.json": fmt.Sprintf(configuration, freeAddress(t), freeAddress(t), freeAddress(t))} {
-		if err := os.WriteFile(own(name), []byte(x), 0o600); err != nil {
-			t.Fatal(err)
-		}
-	}
-	var err error
-	if n.key, err = dnsserver.ReadKey("deploy", "hmac-sha256", own("key")); err != nil {
+	text += fmt.Sprintf("[[dns.key]]\nname = \"deploy\"\nsecret_file = %q\n", z.path("key"))
+	writeFile(t, z.operator, text)
+	writeFile(t, z.path("zone"), zoneText)
+	writeFile(t, z.path("key"), base64.StdEncoding.EncodeToString([]byte("a secret of some length")))
+	writeFile(t, z.settings, fmt.Sprintf(configuration, freeAddress(t), freeAddress(t), freeAddress(t)))
+	key, err := dnsserver.ReadKey("deploy", "hmac-sha256", z.path("key"))
+	if err != nil {
 		t.Fatal(err)
 	}
-	return n
+	z.key = key
+	return z
 }
 
-func (n nameFiles) send(texts ...string) error {
-	m := new(dns.Msg).SetUpdate("calc.example.")
-	for _, x := range texts {
-		rr, err := dns.NewRR(strings.TrimPrefix(x, "-"))
+func (z zoneFiles) path(name string) string { return filepath.Join(z.folder, name) }
+
+// update sends one update of records to add, and of those to delete, which begin with a minus.
+func (z zoneFiles) update(texts ...string) error {
+	message := new(dns.Msg).SetUpdate("calc.example.")
+	for _, text := range texts {
+		record, err := dns.NewRR(strings.TrimPrefix(text, "-"))
 		if err != nil {
 			return err
 		}
-		if x[0] == '-' {
-			m.Remove([]dns.RR{rr})
+		if text[0] == '-' {
+			message.Remove([]dns.RR{record})
 		} else {
-			m.Insert([]dns.RR{rr})
+			message.Insert([]dns.RR{record})
 		}
 	}
-	return dnsserver.Send(m, n.at, n.key, 2*time.Second)
+	return dnsserver.Send(message, z.address, z.key, 2*time.Second)
 }
 
-// inForce is the zone as the journal has it.
-func (n nameFiles) inForce() (*dnszone.Zone, error) {
-	o, err := config.ReadOperator(n.operator)
+// inForce is the zone as the journal has it, or, with an API address, as a replica has it.
+func (z zoneFiles) inForce(api string) (*dnszone.Zone, error) {
+	operator, err := config.ReadOperator(z.operator)
 	if err != nil {
 		return nil, err
 	}
-	z, _, err := dnsserver.InForce(options(o.DNS))
-	return z, err
+	options := dnsOptions(operator.DNS)
+	if api != "" {
+		options.Shared = &dnsserver.Shared{Replica: storeClient{address: api}}
+	}
+	zone, _, err := dnsserver.InForce(options)
+	return zone, err
 }
 
-// A front door killed outright while updates come, many times: each start finds every update that was answered as
-// done, no half of one, and no other state.
-func TestKilledWhileUpdatesAreWritten(t *testing.T) {
-	n := newNames(t, true)
-	var cmd *exec.Cmd
-	start := func() {
-		cmd = program("serve", "-c", n.config, "--operator", n.operator)
-		if err := cmd.Start(); err != nil {
-			t.Fatal(err)
-		}
+// startServe starts a gateway, without waiting for it.
+func (z zoneFiles) startServe(t *testing.T) *exec.Cmd {
+	t.Helper()
+	process := program(t, "serve", "-c", z.settings, "--operator", z.operator)
+	if err := process.Start(); err != nil {
+		t.Fatal(err)
 	}
-	start()
+	return process
+}
+
+// replaceBackend withdraws one backend and brings the next in one update: there is one at any time.
+func (z zoneFiles) replaceBackend(i int64) error {
+	srv := func(n int64) string {
+		return fmt.Sprintf("_calc._tcp.calc.example. SRV 0 100 7000 n%d.calc.example.", n)
+	}
+	address := func(n int64) string { return fmt.Sprintf("n%d.calc.example. A 127.0.%d.%d", n, n/200, 10+n%200) }
+	return z.update("-"+srv(i-1), "-"+address(i-1), srv(i), address(i))
+}
+
+// A gateway killed outright while updates come, many times: each start finds every update that was answered
+// as done, no half of one, and no other state.
+func TestZone_KilledWhileUpdatesAreWritten(t *testing.T) {
+	z := newZoneFiles(t, true)
+	process := z.startServe(t)
 	t.Cleanup(func() {
-		cmd.Process.Kill()
-		cmd.Wait()
+		kill(process)
+		_ = process.Wait() // it was killed
 	})
 	var done atomic.Int64
 	stop, ended := make(chan struct{}), make(chan struct{})
-	go func() { // each update withdraws one backend and brings the next: there is one at any time
+	go func() {
 		defer close(ended)
 		for i := int64(1); ; i++ {
 			select {
@@ -112,8 +134,7 @@
 				return
 			default:
 			}
-			if n.send(fmt.Sprintf("-_calc._tcp.calc.example. SRV 0 100 7000 n%d.calc.example.", i-1), fmt.Sprintf("-n%d.calc.example. A 127.0.%d.%d", i-1, (i-1)/200, 10+(i-1)%200),
-				fmt.Sprintf("_calc._tcp.calc.example. SRV 0 100 7000 n%d.calc.example.", i), fmt.Sprintf("n%d.calc.example. A 127.0.%d.%d", i, i/200, 10+i%200)) == nil {
+			if z.replaceBackend(i) == nil {
 				done.Store(i)
 			} else {
 				time.Sleep(20 * time.Millisecond)
@@ -125,21 +146,22 @@
 	kills := 0
 	for ; kills < 12; kills++ {
 		before := done.Load()
-		until(t, "an update", func() bool { return done.Load() > before })
+		testutil.Eventually(t, "an update", func() bool { return done.Load() > before })
 		time.Sleep(time.Duration(chance.IntN(60)) * time.Millisecond)
-		told := done.Load()
-		cmd.Process.Kill()
-		cmd.Wait()
-		z, err := n.inForce()
+		answered := done.Load()
+		kill(process)
+		_ = process.Wait() // it was killed
+		zone, err := z.inForce("")
 		if err != nil {
 			t.Fatal(err)
 		}
-		list := z.Backends()
-		is := int64(z.Serial()) - 1 // each update is one serial
-		if len(list) != 1 || is < told || is > done.Load()+1 || list[0].Name != fmt.Sprintf("n%d.calc.example:7000", is) || len(z.Records()) != 5 {
-			t.Fatalf("kill %d: %d answered; serial %d with %+v", kills, told, z.Serial(), list)
+		list := zone.Backends()
+		last := int64(zone.Serial()) - 1 // each update is one serial
+		if len(list) != 1 || last < answered || last > done.Load()+1 ||
+			list[0].Name != fmt.Sprintf("n%d.calc.example:7000", last) || len(zone.Records()) != 5 {
+			t.Fatalf("kill %d: %d answered; serial %d with %+v", kills, answered, zone.Serial(), list)
 		}
-		start()
+		process = z.startServe(t)
 	}
 	close(stop)
 	<-ended
@@ -149,168 +171,198 @@
 	}
 }
 
-// With the store: updates at two front doors at once while replicas are killed. Each lands at both or at neither, those
-// answered as done have landed, and both lists are the same in the end.
-func TestSharedUpdatesThroughKills(t *testing.T) {
-	all := replicas(t, "a", "b", "c")
-	var files []nameFiles
-	for _, r := range all[:2] {
-		n := newNames(t, false)
-		files = append(files, n)
-		r.words = []string{"serve", "-c", n.config, "--operator", n.operator}
-	}
-	for _, r := range all {
-		r.start(t, all)
+// backendName is the name of a backend that is added by way of a gateway.
+func backendName(gateway, i int) string { return fmt.Sprintf("d%d-%d.calc.example", gateway, i) }
+
+// addBackend adds a backend by way of a gateway.
+func (z zoneFiles) addBackend(gateway, i int) error {
+	name := backendName(gateway, i) + "."
+	return z.update("_calc._tcp.calc.example. SRV 0 100 7000 "+name,
+		fmt.Sprintf("%s A 127.%d.%d.%d", name, 1+gateway, 1+i/200, 1+i%200))
+}
+
+// landedNames are the backends whose updates were answered as done.
+type landedNames struct {
+	mu    sync.Mutex
+	names map[string]bool
+}
+
+// addBackends adds backends by way of a gateway until stop.
+func (l *landedNames) addBackends(z zoneFiles, gateway int, stop <-chan struct{}) {
+	for i := 1; ; i++ {
+		select {
+		case <-stop:
+			return
+		default:
+		}
+		if z.addBackend(gateway, i) != nil {
+			time.Sleep(50 * time.Millisecond)
+			continue
+		}
+		l.mu.Lock()
+		l.names[backendName(gateway, i)+":7000"] = true
+		l.mu.Unlock()
 	}
-	add := func(door, i int) error {
-		name := fmt.Sprintf("d%d-%d.calc.example.", door, i)
-		return files[door].send("_calc._tcp.calc.example. SRV 0 100 7000 "+name, fmt.Sprintf("%s A 127.%d.%d.%d", name, 1+door, 1+i/200, 1+i%200))
+}
+
+// answersSerial reports whether the name server answers with a zone's serial.
+func (z zoneFiles) answersSerial(zone *dnszone.Zone) bool {
+	question := new(dns.Msg).SetQuestion("calc.example.", dns.TypeSOA)
+	answer, _, err := new(dns.Client).Exchange(question, z.address)
+	return err == nil && len(answer.Answer) == 1 && answer.Answer[0].(*dns.SOA).Serial == zone.Serial()
+}
+
+// With the store: updates at two gateways at once while replicas are killed. Each lands at both or at
+// neither, those answered as done have landed, and both lists are the same in the end.
+func TestZone_SharedUpdatesThroughKills(t *testing.T) {
+	replicas := newReplicas(t, "a", "b", "c")
+	var files []zoneFiles
+	for _, r := range replicas[:2] {
+		z := newZoneFiles(t, false)
+		files = append(files, z)
+		r.args = []string{"serve", "-c", z.settings, "--operator", z.operator}
 	}
-	for door := range files {
-		until(t, "a first update", func() bool { return add(door, 0) == nil })
+	startReplicas(t, replicas)
+	for n, z := range files {
+		testutil.Eventually(t, "a first update", func() bool { return z.addBackend(n, 0) == nil })
 	}
-	var wg sync.WaitGroup
-	var mu sync.Mutex
-	landed := map[string]bool{}
+	var updaters sync.WaitGroup
+	landed := landedNames{names: map[string]bool{}}
 	stop := make(chan struct{})
-	for door := range files {
-		wg.Go(func() {
-			for i := 1; ; i++ {
-				select {
-				case <-stop:
-					return
-				default:
-				}
-				if add(door, i) == nil {
-					mu.Lock()
-					landed[fmt.Sprintf("d%d-%d.calc.example:7000", door, i)] = true
-					mu.Unlock()
-				} else {
-					time.Sleep(50 * time.Millisecond)
-				}
-			}
-		})
+	for n, z := range files {
+		updaters.Go(func() { landed.addBackends(z, n, stop) })
 	}
 	chance := rand.New(rand.NewPCG(4, 4))
 	for range 5 {
 		time.Sleep(time.Duration(500+chance.IntN(500)) * time.Millisecond)
-		r := all[chance.IntN(3)]
+		r := replicas[chance.IntN(3)]
 		r.kill()
 		time.Sleep(time.Duration(chance.IntN(500)) * time.Millisecond)
-		r.start(t, all)
+		r.start(t, replicas)
 	}
 	close(stop)
-	wg.Wait()
+	updaters.Wait()
 	var zones [2]*dnszone.Zone
-	until(t, "the same list at both doors", func() bool {
-		for n, f := range files {
-			o, err := config.ReadOperator(f.operator)
-			if err != nil {
-				t.Fatal(err)
-			}
-			of := options(o.DNS)
-			of.Shared = &dnsserver.Shared{Replica: far{all[n].api}}
-			if zones[n], _, err = dnsserver.InForce(of); err != nil || zones[n] == nil {
-				return false
-			}
-			a, _, err := new(dns.Client).Exchange(new(dns.Msg).SetQuestion("calc.example.", dns.TypeSOA), f.at)
-			if err != nil || len(a.Answer) != 1 || a.Answer[0].(*dns.SOA).Serial != zones[n].Serial() {
+	testutil.Eventually(t, "the same list at both gateways", func() bool {
+		for n, z := range files {
+			zone, err := z.inForce(replicas[n].api)
+			if err != nil || zone == nil || !z.answersSerial(zone) {
 				return false
 			}
+			zones[n] = zone
 		}
 		return zones[0].Serial() == zones[1].Serial()
 	})
+	checkLanded(t, zones[0], landed.names)
+	checkZoneList(t, "--operator", files[0].operator)
+	checkZoneList(t, "--store", replicas[0].api, "--operator", files[0].operator)
+	t.Logf("%d updates landed, serial %d", len(landed.names), zones[0].Serial())
+	if len(landed.names) < 20 {
+		t.Error("too few updates to show anything")
+	}
+}
+
+func checkLanded(t *testing.T, zone *dnszone.Zone, landed map[string]bool) {
+	t.Helper()
 	held := map[string]bool{}
-	for _, b := range zones[0].Backends() {
-		held[b.Name] = true
+	for _, backend := range zone.Backends() {
+		held[backend.Name] = true
 	}
 	for name := range landed {
 		if !held[name] {
 			t.Errorf("%s was answered as done, and is not there", name)
 		}
 	}
-	for _, name := range []string{"list", "list --store"} {
-		words := append([]string{"dns"}, strings.Fields(name)...)
-		words = append(words, "--operator", files[0].operator)
-		if strings.Contains(name, "store") {
-			words = append(words[:3], all[0].api, "--operator", files[0].operator)
-		}
-		out, err := program(words...).CombinedOutput()
-		want := "n0.calc.example:7000"
-		if err != nil || !strings.Contains(string(out), want) {
-			t.Errorf("%v: %v, %s", words, err, out)
-		}
-	}
-	t.Logf("%d updates landed, serial %d", len(landed), zones[0].Serial())
-	if len(landed) < 20 {
-		t.Error("too few updates to show anything")
+}
+
+// checkZoneList checks that the list on the command line holds the zone file's backend.
+func checkZoneList(t *testing.T, flags ...string) {
+	t.Helper()
+	out, err := runProgram(t, append([]string{"dns", "list"}, flags...)...)
+	if err != nil || !strings.Contains(out, "n0.calc.example:7000") {
+		t.Errorf("%v: %v, %s", flags, err, out)
 	}
 }
 
-// The command line: faults of the operator file's zone by file, line and key; an update; the list and where it is from.
-func TestZoneOnTheCommandLine(t *testing.T) {
-	n := newNames(t, true)
-	text, _ := os.ReadFile(n.operator)
+// The command line: faults of the operator file's zone by file, line and key.
+func TestZone_FaultsOnTheCommandLine(t *testing.T) {
+	z := newZoneFiles(t, true)
+	text := readFile(t, z.operator)
 	broken := filepath.Join(t.TempDir(), "op.toml")
-	for _, x := range []struct{ old, new, want string }{
+	for _, test := range []struct{ old, fresh, want string }{
 		{"origin = \"calc.example\"", "origin = \"\"", "op.toml:3: dns.origin"},
 		{"_calc._tcp.calc.example", "_calc._tcp.other", "op.toml:4: dns.service"},
-		{n.at, "nowhere", "op.toml:5: dns.listen"},
+		{z.address, "nowhere", "op.toml:5: dns.listen"},
 		{"[[dns.key]]", "updates_per_second = 0\n[[dns.key]]", "op.toml:7: dns.updates_per_second"},
 		{"[[dns.key]]", "notify = [\"x\"]\n[[dns.key]]", "op.toml:7: dns.notify"},
 		{"name = \"deploy\"", "name = \"deploy\"\nalgorithm = \"hmac-md5\"", "op.toml:7: dns.key[0]"},
-		{filepath.Join(filepath.Dir(n.operator), "key"), "/nowhere", "op.toml:7: dns.key[0]"},
+		{z.path("key"), "/nowhere", "op.toml:7: dns.key[0]"},
 		{"zone_file", "# zone_file", "dns.zone_file is missing"},
 	} {
-		os.WriteFile(broken, []byte(strings.Replace(string(text), x.old, x.new, 1)), 0o600)
-		if out, err := program("check", broken).CombinedOutput(); err == nil || !strings.Contains(string(out), x.want) {
-			t.Errorf("%s: %v, %s", x.new, err, out)
+		writeFile(t, broken, strings.Replace(text, test.old, test.fresh, 1))
+		if out, err := runProgram(t, "check", broken); err == nil || !strings.Contains(out, test.want) {
+			t.Errorf("%s: %v, %s", test.fresh, err, out)
 		}
 	}
-	folder := filepath.Dir(n.operator)
-	os.Chmod(filepath.Join(folder, "key"), 0o644)
-	if out, err := program("check", n.operator).CombinedOutput(); err == nil || !strings.Contains(string(out), "others than its owner") {
-		t.Errorf("%v, %s", err, out)
+	if err := os.Chmod(z.path("key"), 0o644); err != nil {
+		t.Fatal(err)
 	}
-	os.Chmod(filepath.Join(folder, "key"), 0o600)
-	os.WriteFile(filepath.Join(folder, "zone"), []byte(zoneText+"n1 A 1.2.3\n"), 0o600)
-	for _, words := range [][]string{{"check", n.operator}, {"serve", "-c", n.config, "--operator", n.operator}} {
-		if out, err := program(words...).CombinedOutput(); err == nil || !strings.Contains(string(out), "zone:8: ") {
-			t.Errorf("%v: %v, %s", words, err, out)
-		}
+	if out, err := runProgram(t, "check", z.operator); err == nil || !strings.Contains(out, "others than its owner") {
+		t.Errorf("%v, %s", err, out)
 	}
-	os.WriteFile(filepath.Join(folder, "zone"), []byte(zoneText), 0o600)
-	cmd := program("serve", "-c", n.config, "--operator", n.operator)
-	if err := cmd.Start(); err != nil {
+	if err := os.Chmod(z.path("key"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	ended := make(chan error, 1)
-	go func() { ended <- cmd.Wait() }()
-	t.Cleanup(func() { cmd.Process.Kill() })
-	update := func(words ...string) (string, error) {
-		out, err := program(append([]string{"dns", "update", "--at", n.at, "--zone", "calc.example", "--key", "deploy", "--secret-file", filepath.Join(folder, "key")}, words...)...).CombinedOutput()
-		return string(out), err
+	writeFile(t, z.path("zone"), zoneText+"n1 A 1.2.3\n")
+	for _, args := range [][]string{{"check", z.operator}, {"serve", "-c", z.settings, "--operator", z.operator}} {
+		if out, err := runProgram(t, args...); err == nil || !strings.Contains(out, "zone:8: ") {
+			t.Errorf("%v: %v, %s", args, err, out)
+		}
 	}
-	until(t, "the update", func() bool {
-		_, err := update("--add", "_calc._tcp.calc.example. SRV 0 200 7000 n1.calc.example.", "--add", "n1.calc.example. A 127.0.0.11")
+}
+
+// updateOnCommandLine sends an update by the command line.
+func (z zoneFiles) updateOnCommandLine(t *testing.T, args ...string) (string, error) {
+	t.Helper()
+	update := []string{"dns", "update", "--at", z.address, "--zone", "calc.example", "--key", "deploy",
+		"--secret-file", z.path("key")}
+	return runProgram(t, append(update, args...)...)
+}
+
+// The command line: an update; the list and where its entries come from.
+func TestZone_UpdatesOnTheCommandLine(t *testing.T) {
+	z := newZoneFiles(t, true)
+	process := z.startServe(t)
+	ended := make(chan error, 1)
+	go func() { ended <- process.Wait() }()
+	t.Cleanup(func() { kill(process) })
+	testutil.Eventually(t, "the update", func() bool {
+		_, err := z.updateOnCommandLine(t, "--add", "_calc._tcp.calc.example. SRV 0 200 7000 n1.calc.example.",
+			"--add", "n1.calc.example. A 127.0.0.11")
 		return err == nil
 	})
-	if out, err := update("--add", "_calc._tcp.calc.example. SRV 0 1 1 n9.calc.example."); err == nil || !strings.Contains(out, "REFUSED") {
+	out, err := z.updateOnCommandLine(t, "--add", "_calc._tcp.calc.example. SRV 0 1 1 n9.calc.example.")
+	if err == nil || !strings.Contains(out, "REFUSED") {
 		t.Errorf("%v, %s", err, out)
 	}
-	if out, err := update("--add", "nonsense"); err == nil || !strings.Contains(out, "no record") {
+	if out, err := z.updateOnCommandLine(t, "--add", "nonsense"); err == nil || !strings.Contains(out, "no record") {
 		t.Errorf("%v, %s", err, out)
 	}
-	out, err := program("dns", "list", "--operator", n.operator).CombinedOutput()
-	for _, want := range []string{"serial 2", "2 backends", "zone:6, serial 1", "update by deploy., serial 2", "127.0.0.11:7000"} {
-		if err != nil || !strings.Contains(string(out), want) {
+	if out, err := z.updateOnCommandLine(t, "--add", "; a comment"); err == nil || !strings.Contains(out, "no record") {
+		t.Errorf("%v, %s", err, out)
+	}
+	out, err = runProgram(t, "dns", "list", "--operator", z.operator)
+	for _, want := range []string{
+		"serial 2", "2 backends", "zone:6, serial 1", "update by deploy., serial 2", "127.0.0.11:7000",
+	} {
+		if err != nil || !strings.Contains(out, want) {
 			t.Errorf("%v: no %q in %s", err, want, out)
 		}
 	}
-	if out, err := program("dns", "list").CombinedOutput(); err == nil || !strings.Contains(string(out), "names no zone") {
+	if out, err := runProgram(t, "dns", "list"); err == nil || !strings.Contains(out, "names no zone") {
 		t.Errorf("%v, %s", err, out)
 	}
-	cmd.Process.Signal(syscall.SIGTERM)
+	sendSignal(t, process, syscall.SIGTERM)
 	select {
 	case err := <-ended:
 		var exit *exec.ExitError
