--- a/cmd/fawnplank/command_dns.go
+++ b/cmd/fawnplank/command_dns.go
@@ -61,9 +61,9 @@
 	}
 	options := dnsOptions(operator.DNS)
 	if client != nil {
-		options.Shared = &dnsserver.Shared{Replica: *client}
+		options.Replicated = &dnsserver.ReplicatedZone{Replica: *client}
 	}
-	zone, source, err := dnsserver.InForce(options)
+	zone, source, err := dnsserver.ReadInForce(options)
 	if err != nil {
 		return err
 	}
@@ -96,19 +96,19 @@
 		status = "draining"
 	}
 	since := "-"
-	if started := backend.Started(); started > 0 {
+	if started := backend.StartNanos(); started > 0 {
 		since = time.Unix(0, started).UTC().Format(time.RFC3339)
 	}
-	origin := fmt.Sprintf("%s:%d", backend.Born.File, backend.Born.Line)
-	if backend.Born.Key != "" {
-		origin = "update by " + backend.Born.Key
+	origin := fmt.Sprintf("%s:%d", backend.Provenance.File, backend.Provenance.Line)
+	if backend.Provenance.Key != "" {
+		origin = "update by " + backend.Provenance.Key
 	}
 	var addresses []string
 	for _, address := range backend.Addresses {
 		addresses = append(addresses, address.String())
 	}
 	return fmt.Sprintf("%s\t%s\t%s\t%g\t%s\t%d\t%s\t%s, serial %d", backend.Name, strings.Join(addresses, ","),
-		status, backend.Size, backend.Zone, backend.Group, since, origin, backend.Born.Serial)
+		status, backend.Weight, backend.Zone, backend.Group, since, origin, backend.Provenance.Serial)
 }
 
 // dnsUpdate are the flags of dns update.
@@ -158,7 +158,7 @@
 	}
 	message.Remove(deletes)
 	message.Insert(adds)
-	if err := dnsserver.Send(message, u.server, key, dnsUpdateTimeout); err != nil {
+	if err := dnsserver.SendUpdate(message, u.server, key, dnsUpdateTimeout); err != nil {
 		return fmt.Errorf("update of zone %q at %s (--zone, --at): %w", u.zone, u.server, err)
 	}
 	return nil
--- a/cmd/fawnplank/limits.go
+++ b/cmd/fawnplank/limits.go
@@ -111,15 +111,15 @@
 	registry.AddGauges(map[string]metrics.Gauge{
 		"limit_checks_granted": {
 			Help:  "limit checks that found room",
-			Value: func() float64 { granted, _, _ := server.Stats(); return float64(granted) },
+			Value: func() float64 { return float64(server.Stats().Admitted) },
 		},
 		"limit_checks_refused": {
 			Help:  "limit checks that found none",
-			Value: func() float64 { _, refused, _ := server.Stats(); return float64(refused) },
+			Value: func() float64 { return float64(server.Stats().Rejected) },
 		},
 		"limit_faults": {
 			Help:  "limit commands answered with an error",
-			Value: func() float64 { _, _, faults := server.Stats(); return float64(faults) },
+			Value: func() float64 { return float64(server.Stats().Failed) },
 		},
 	})
 }
--- a/cmd/fawnplank/replica.go
+++ b/cmd/fawnplank/replica.go
@@ -108,7 +108,7 @@
 
 // notifyChanged passes on keys that have changed to those that read them. It does not block.
 func notifyChanged(keys []string, options replicaOptions, edits chan<- struct{}) {
-	isZoneKey := func(key string) bool { return strings.HasPrefix(key, dnsserver.Keys) }
+	isZoneKey := func(key string) bool { return strings.HasPrefix(key, dnsserver.KeyPrefix) }
 	if slices.ContainsFunc(keys, isZoneKey) {
 		options.ZoneChanged()
 	}
--- a/cmd/fawnplank/tls_test.go
+++ b/cmd/fawnplank/tls_test.go
@@ -104,13 +104,13 @@
 		return replicas[1].logged(phrase)
 	}
 	testutil.Eventually(t, "the new certificate", func() bool {
-		return loggedAfterCall(files, "a new certificate is taken")
+		return loggedAfterCall(files, "certificate reloaded")
 	})
 	writeFile(t, files.Certificate, "noise")
 	mine := sign(t, own, elsewhere, "mine", time.Hour)
 	replicas[2].kill() // its own files are broken now, and the others go on with what they had
 	testutil.Eventually(t, "a complaint", func() bool {
-		return loggedAfterCall(mine, "the new certificate is not taken")
+		return loggedAfterCall(mine, "certificate reload failed")
 	})
 	testutil.Eventually(t, "a write", func() bool {
 		_, err := replicas[0].runWithTLS(t, mine, "set", "k", "2")
--- a/cmd/fawnplank/zone.go
+++ b/cmd/fawnplank/zone.go
@@ -36,11 +36,9 @@
 		return nil
 	}
 	options := dnsOptions(z.settings)
-	options.Tell = func(changed []dnszone.Backend, removed []string, full bool) {
-		client.Publish(endpointUpdate(changed, removed, full))
-	}
+	options.Publish = func(update dnsserver.ListUpdate) { client.Publish(endpointUpdate(update)) }
 	if replica != nil {
-		options.Shared = &dnsserver.Shared{Replica: replica.Store}
+		options.Replicated = &dnsserver.ReplicatedZone{Replica: replica.Store}
 	}
 	server, err := dnsserver.Start(options)
 	if err != nil {
@@ -49,7 +47,7 @@
 	z.server.Store(server)
 	registerZoneMetrics(server, registry)
 	if replica != nil {
-		z.changes.Start(server.Changed)
+		z.changes.Start(server.StoreChanged)
 		z.changes.Notify() // of what changed while the server started
 	}
 	return nil
@@ -61,7 +59,7 @@
 // PublishSnapshot publishes the whole list again.
 func (z *endpointZone) PublishSnapshot() {
 	if server := z.server.Load(); server != nil {
-		server.Whole()
+		server.PublishAll()
 	}
 }
 
@@ -83,48 +81,48 @@
 }
 
 // endpointUpdate brings changes of a zone into the form of the discovery service.
-func endpointUpdate(changed []dnszone.Backend, removed []string, full bool) (policy.UpdateKind, []discovery.Entry) {
-	var entries []discovery.Entry
-	for _, backend := range changed {
-		entries = append(entries, endpointEntry(backend))
+func endpointUpdate(update dnsserver.ListUpdate) (policy.UpdateKind, []discovery.Endpoint) {
+	var endpoints []discovery.Endpoint
+	for _, backend := range update.Updated {
+		endpoints = append(endpoints, zoneEndpoint(backend))
 	}
-	for _, name := range removed {
-		entries = append(entries, discovery.Entry{Name: name, Status: "removed"})
+	for _, name := range update.Removed {
+		endpoints = append(endpoints, discovery.Endpoint{Name: name, Status: "removed"})
 	}
-	if full {
-		return policy.FullSnapshot, entries
+	if update.Full {
+		return policy.FullSnapshot, endpoints
 	}
-	return policy.Delta, entries
+	return policy.Delta, endpoints
 }
 
-func endpointEntry(backend dnszone.Backend) discovery.Entry {
-	entry := discovery.Entry{
-		Name:    backend.Name,
-		Address: backend.Addresses[0].String(),
-		Zone:    backend.Zone,
-		Group:   backend.Group,
-		Status:  "up",
-		Weight:  backend.Size,
-		SinceMs: float64(backend.Started()) / float64(time.Millisecond),
+func zoneEndpoint(backend dnszone.Backend) discovery.Endpoint {
+	endpoint := discovery.Endpoint{
+		Name:            backend.Name,
+		Address:         backend.Addresses[0].String(),
+		Zone:            backend.Zone,
+		Group:           backend.Group,
+		Status:          "up",
+		Weight:          backend.Weight,
+		StartedAtMillis: float64(backend.StartNanos()) / float64(time.Millisecond),
 	}
 	if backend.Draining {
-		entry.Status = "draining"
+		endpoint.Status = "draining"
 	}
 	if len(backend.Addresses) > 1 || !backend.Addresses[0].Addr().Is4() {
-		entry.Addresses = backend.Addresses
+		endpoint.Addresses = backend.Addresses
 	}
-	return entry
+	return endpoint
 }
 
 // dnsOptions are the options of a name server, or of a look at what it has, on the operator file's settings.
 func dnsOptions(settings config.DNS) dnsserver.Options {
 	options := dnsserver.Options{
-		Settings: settings.Settings(),
-		File:     settings.ZoneFile,
-		Journal:  settings.Journal,
-		Listen:   settings.Listen,
-		Rate:     settings.MaxUpdatesPerSecond,
-		Notify:   settings.Notify,
+		Settings:            settings.Settings(),
+		ZoneFile:            settings.ZoneFile,
+		JournalFile:         settings.Journal,
+		ListenAddress:       settings.Listen,
+		MaxUpdatesPerSecond: settings.MaxUpdatesPerSecond,
+		Secondaries:         settings.Notify,
 	}
 	for _, key := range settings.Keys {
 		options.Keys = append(options.Keys, key.Key)
@@ -137,23 +135,35 @@
 	if operator.DNS.ZoneFile == "" {
 		return nil
 	}
-	_, _, err := dnsserver.ReadFile(operator.DNS.ZoneFile, operator.DNS.Settings())
+	_, _, err := dnsserver.ReadZoneFile(operator.DNS.ZoneFile, operator.DNS.Settings())
 	return err
 }
 
 func registerZoneMetrics(server *dnsserver.Server, registry *metrics.Registry) {
-	count := func(index int) func() float64 {
-		return func() float64 { return float64(server.Counts()[index]) }
+	count := func(value func(dnsserver.Stats) uint64) func() float64 {
+		return func() float64 { return float64(value(server.Stats())) }
 	}
 	registry.AddGauges(map[string]metrics.Gauge{
-		"dns_updates_done":    {Help: "dynamic updates that changed the zone", Value: count(0)},
-		"dns_updates_refused": {Help: "dynamic updates refused for what they ask", Value: count(1)},
+		"dns_updates_done": {
+			Help:  "dynamic updates that changed the zone",
+			Value: count(func(s dnsserver.Stats) uint64 { return s.UpdatesDone }),
+		},
+		"dns_updates_refused": {
+			Help:  "dynamic updates refused for what they ask",
+			Value: count(func(s dnsserver.Stats) uint64 { return s.UpdatesRefused }),
+		},
 		"dns_messages_refused": {
 			Help:  "messages refused for their signature, its time, or a replay",
-			Value: count(2),
+			Value: count(func(s dnsserver.Stats) uint64 { return s.SignaturesRefused }),
+		},
+		"dns_flooded": {
+			Help:  "messages beyond what is looked at",
+			Value: count(func(s dnsserver.Stats) uint64 { return s.RateLimited }),
+		},
+		"dns_updates_lost": {
+			Help:  "updates that journal or store could not keep",
+			Value: count(func(s dnsserver.Stats) uint64 { return s.UpdatesLost }),
 		},
-		"dns_flooded":      {Help: "messages beyond what is looked at", Value: count(3)},
-		"dns_updates_lost": {Help: "updates that journal or store could not keep", Value: count(4)},
 		"dns_serial": {
 			Help:  "serial of the zone in force",
 			Value: func() float64 { return float64(server.Serial()) },
--- a/cmd/fawnplank/zone_test.go
+++ b/cmd/fawnplank/zone_test.go
@@ -79,7 +79,7 @@
 			message.Insert([]dns.RR{record})
 		}
 	}
-	return dnsserver.Send(message, z.address, z.key, 2*time.Second)
+	return dnsserver.SendUpdate(message, z.address, z.key, 2*time.Second)
 }
 
 // inForce is the zone as the journal has it, or, with an API address, as a replica has it.
@@ -90,9 +90,9 @@
 	}
 	options := dnsOptions(operator.DNS)
 	if api != "" {
-		options.Shared = &dnsserver.Shared{Replica: storeClient{address: api}}
+		options.Replicated = &dnsserver.ReplicatedZone{Replica: storeClient{address: api}}
 	}
-	zone, _, err := dnsserver.InForce(options)
+	zone, _, err := dnsserver.ReadInForce(options)
 	return zone, err
 }
 
--- a/internal/sock/sock.go
+++ b/internal/sock/sock.go
@@ -81,7 +81,7 @@
 // DialAny opens a connection to one of several addresses, tried in their order, and returns the index of that
 // one.
 func DialAny(addresses []netip.AddrPort, connectTimeout time.Duration) (*Conn, int, error) {
-	nc, index, err := dialer.Dial(addresses, connectTimeout)
+	nc, index, err := dialer.Dial(context.Background(), addresses, connectTimeout)
 	if err != nil {
 		return nil, 0, err
 	}
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -2,14 +2,14 @@
 
 import "slices"
 
-// dispatch sends an attempt to the best backend, or gives the request up: the client may find room elsewhere.
+// dispatch sends an attempt to the best backend, or gives up: the client may find capacity elsewhere.
 func (r *Request) dispatch(now int64) {
 	if r.class.CheckOnly {
 		r.withinQuota, r.hardQuotaUnits = false, 0 // nothing is sent, and what was counted stays
 		r.finish()
 		r.engine.effects.Admit(r.id)
 	} else if b := r.engine.pickBackend(now, r, 1); b == nil || !r.sendAttempt(now, b) {
-		r.giveUp(now, r.class.LatencyObjective/8) // early enough for another try within the objective
+		r.giveUp(r.class.LatencyObjective / 8) // early enough for another try within the objective
 	}
 }
 
@@ -66,22 +66,11 @@
 	}
 	e, s, id := r.engine, &r.engine.settings, len(r.attempts)
 	// A connection may come up late: the backend may have forgotten an earlier attempt's key by then.
-	beginBefore := r.deadline
-	for _, a := range r.attempts {
-		if a.mayHaveRun && r.class.Idempotency == IdempotentWithKey {
-			beginBefore = min(beginBefore, a.sentAt+r.class.DedupWindow)
-		}
-	}
+	beginBefore := min(r.deadline, r.keyKnownUntil())
 	a := r.addAttempt(now, b)
-	a.baselineSample = e.attemptsSent < baselineSamples
-	e.attemptsSent++
-	b.lastSentAt = now
-	if e.warmingUp(now, b) {
-		b.lastSlowStartAt = now
-	}
 	timeout, expireAt := r.attemptTimeout(), int64(0)
 	if !s.Hedging && !s.Cancellation && r.class.Idempotency != NonIdempotent && len(r.attempts) < s.MaxAttempts {
-		// Nothing else makes room for another attempt; beyond seven tenths too little time is left for one.
+		// Nothing else lets another attempt follow; beyond seven tenths too little time is left for one.
 		expireAt = now + timeout
 	}
 	e.effects.Send(r.id, b.id, expireAt, beginBefore)
@@ -99,7 +88,8 @@
 		return
 	}
 	elapsed := float64(now - a.sentAt)
-	e.measure(a.backend, elapsed/e.relativeCost(r.units), a.concurrency) // a jam shows here before its answers come
+	// A jam shows here before its answers come.
+	e.measure(a.backend, elapsed/e.relativeCost(r.units), a.concurrency)
 	if a.backend.lastAnswerAt > a.sentAt || elapsed < 5*usual {
 		return
 	}
@@ -121,18 +111,7 @@
 	e, t, a := r.engine, r.tenant, r.attempts[result.Attempt]
 	r.removeAttempt(a, result.Outcome)
 	r.learnFromResult(now, a, &result)
-	if result.Outcome == Succeeded && e.settings.PostPaid && result.TrueUnits > 0 && r.withinQuota {
-		t.unreported += result.TrueUnits - r.units // goes along with the next call
-		t.localUsage.Units += result.TrueUnits - r.units
-	}
-	r.proceed(now, &result)
-	if t.hasStaleInFlight(now) && e.breaker.state == breakerClosed && e.mayCallCounter(now) {
-		e.count(now, t, nil, 0, 0)
-	}
-}
-
-// proceed decides what follows on an attempt's end.
-func (r *Request) proceed(now int64, result *AttemptResult) {
+	r.correctUnits(&result)
 	switch {
 	case r.finished:
 	case result.RequestDone || result.Outcome == Succeeded:
@@ -140,10 +119,13 @@
 		r.finish()
 	case r.inFlight > 0:
 	case result.Outcome == NotSent || r.responseStarted || now >= r.lastUsefulSend():
-		r.giveUp(now, r.class.LatencyObjective/8)
+		r.giveUp(r.class.LatencyObjective / 8)
 	default:
 		r.dispatch(now)
 	}
+	if t.hasStaleInFlight(now) && e.breaker.IsClosed() && e.mayCallCounter(now) {
+		e.count(now, t, nil, 0, 0)
+	}
 }
 
 // HandleClientGone says that the client is gone: no answer is due any more.
@@ -160,7 +142,7 @@
 
 // giveUp is the only place that gives a final answer without a success: a rejection where that may promise no
 // harm, with the time to come back after, or else an abort.
-func (r *Request) giveUp(now, retryAfter int64) {
+func (r *Request) giveUp(retryAfter int64) {
 	if r.finished {
 		return
 	}
@@ -179,22 +161,10 @@
 	e.effects.Reject(r.id, max(advised, 0))
 }
 
-// finish gives back what the request holds, and cancels the attempts that no client waits for.
+// finish ends the request, and cancels the attempts that no client waits for.
 func (r *Request) finish() {
-	if r.waitingForCounter {
-		r.tenant.waiting--
-	}
-	r.finished, r.waitingForCounter = true, false
-	if len(r.attempts) == 0 {
-		r.tenant.hardQuota.Units += r.hardQuotaUnits
-		if r.withinQuota {
-			r.tenant.unreported -= r.units
-			r.tenant.localUsage.Units -= r.units
-		}
-	}
-	for id, a := range r.attempts {
-		if a.inFlight && r.engine.settings.Cancellation && !r.responseStarted {
-			r.engine.effects.Cancel(r.id, AttemptID(id))
-		}
+	r.release()
+	if r.engine.settings.Cancellation && !r.responseStarted {
+		r.cancelInFlight()
 	}
 }
--- a/policy/state.go
+++ b/policy/state.go
@@ -1,6 +1,7 @@
 package policy
 
 import (
+	"fawnplank/internal/circuitbreaker"
 	"fawnplank/internal/estimate"
 	"fawnplank/internal/nanos"
 	"fawnplank/internal/pcg"
@@ -23,7 +24,7 @@
 	PlanSettings
 	window          int64         // the time in which the rate fills one burst; 0: the plan has no rate
 	quota           float64       // units a window
-	concurrencyUnit float64       // what an attempt in flight counts beside the units; 0: there is no limit on them
+	concurrencyUnit float64       // what an attempt in flight counts beside the units; 0: no limit
 	admittedShare   estimate.Mean // part of a request that the counter lately admitted
 	leaverShare     estimate.Mean // part of the clients that leave before their time
 	leaverPatience  estimate.Mean // after how long they leave
@@ -47,8 +48,9 @@
 	ranked       []*backend // those that are ready, the best first
 	tenants      map[TenantID]*tenant
 	pendingCalls pendingCalls
-	breaker      breaker
-	retryDelay   int64 // longest wait before the endpoint list is asked for again after a failure
+	breaker      circuitbreaker.Breaker // of the calls to the counter
+	callShare    float64                // of the requests that call, while a crowded counter answers some
+	retryDelay   int64                  // longest wait before the list is asked for after a failure
 
 	latency         estimate.Mean       // of the backends together
 	latencyByUnits  estimate.Regression // how it grows with the units
@@ -78,6 +80,11 @@
 		backends:     map[BackendID]*backend{},
 		tenants:      map[TenantID]*tenant{},
 		pendingCalls: pendingCalls{},
-		breaker:      breaker{callShare: 1},
+		callShare:    1,
 	}
 }
+
+// fairSharePerBackend is an instance's part of one attempt at each backend.
+func (e *Engine) fairSharePerBackend() float64 {
+	return e.effectiveBackends / float64(max(e.settings.Instances, 1))
+}
