--- /dev/null
+++ b/cmd/fawnplank/zone.go
@@ -0,0 +1,172 @@
+package main
+
+import (
+	"sync"
+	"sync/atomic"
+	"time"
+
+	"fawnplank/internal/config"
+	"fawnplank/internal/discovery"
+	"fawnplank/internal/dnsserver"
+	"fawnplank/internal/dnszone"
+	"fawnplank/internal/metrics"
+	"fawnplank/policy"
+)
+
+// endpointZone is the DNS zone that the endpoint list comes from, where the operator file names one. It owns
+// the name server. It is made before the discovery client, which asks it for full snapshots, and started
+// after it, since it publishes to that client. Its methods are safe for concurrent use.
+type endpointZone struct {
+	settings config.DNS
+	server   atomic.Pointer[dnsserver.Server] // nil before Start, and where the zone is off
+	changes  *notifier                        // of the zone's keys in the store
+	closing  sync.Once
+}
+
+func newEndpointZone(settings config.DNS) *endpointZone {
+	return &endpointZone{settings: settings, changes: newNotifier()}
+}
+
+// Enabled reports whether the endpoint list comes from a zone.
+func (z *endpointZone) Enabled() bool { return z.settings.ZoneFile != "" }
+
+// Start starts the name server, on the replica where there is one. Lists go to client.
+func (z *endpointZone) Start(client *discovery.Client, replica *replica, registry *metrics.Registry) error {
+	if !z.Enabled() {
+		return nil
+	}
+	options := dnsOptions(z.settings)
+	options.Publish = func(update dnsserver.ListUpdate) { client.Publish(endpointUpdate(update)) }
+	if replica != nil {
+		options.Replicated = &dnsserver.ReplicatedZone{Replica: replica.Store}
+	}
+	server, err := dnsserver.Start(options)
+	if err != nil {
+		return err
+	}
+	z.server.Store(server)
+	registerZoneMetrics(server, registry)
+	if replica != nil {
+		z.changes.Start(server.StoreChanged)
+		z.changes.Notify() // of what changed while the server started
+	}
+	return nil
+}
+
+// NotifyChanged reports that the zone has changed in the store. It does not block.
+func (z *endpointZone) NotifyChanged() { z.changes.Notify() }
+
+// PublishSnapshot publishes the whole list again.
+func (z *endpointZone) PublishSnapshot() {
+	if server := z.server.Load(); server != nil {
+		server.PublishAll()
+	}
+}
+
+// Reload reads the zone file again.
+func (z *endpointZone) Reload() {
+	if server := z.server.Load(); server != nil {
+		server.Reload()
+	}
+}
+
+// CloseServer stops the name server, so that another process may use the journal. The list goes on to follow
+// changes in the store. It may be called more than once; each call returns after the server has stopped.
+func (z *endpointZone) CloseServer() { z.closing.Do(func() { z.server.Load().Close() }) }
+
+// Close ends all that the zone runs. It is called once.
+func (z *endpointZone) Close() {
+	z.CloseServer()
+	z.changes.Close()
+}
+
+// endpointUpdate brings changes of a zone into the form of the discovery service.
+func endpointUpdate(update dnsserver.ListUpdate) (policy.UpdateKind, []discovery.Endpoint) {
+	var endpoints []discovery.Endpoint
+	for _, backend := range update.Updated {
+		endpoints = append(endpoints, zoneEndpoint(backend))
+	}
+	for _, name := range update.Removed {
+		endpoints = append(endpoints, discovery.Endpoint{Name: name, Status: "removed"})
+	}
+	if update.Full {
+		return policy.FullSnapshot, endpoints
+	}
+	return policy.Delta, endpoints
+}
+
+func zoneEndpoint(backend dnszone.Backend) discovery.Endpoint {
+	endpoint := discovery.Endpoint{
+		Name:            backend.Name,
+		Address:         backend.Addresses[0].String(),
+		Zone:            backend.Zone,
+		Group:           backend.Group,
+		Status:          "up",
+		Weight:          backend.Weight,
+		StartedAtMillis: float64(backend.StartNanos()) / float64(time.Millisecond),
+	}
+	if backend.Draining {
+		endpoint.Status = "draining"
+	}
+	if len(backend.Addresses) > 1 || !backend.Addresses[0].Addr().Is4() {
+		endpoint.Addresses = backend.Addresses
+	}
+	return endpoint
+}
+
+// dnsOptions are the options of a name server, or of a look at what it has, on the operator file's settings.
+func dnsOptions(settings config.DNS) dnsserver.Options {
+	options := dnsserver.Options{
+		Settings:            settings.Settings(),
+		ZoneFile:            settings.ZoneFile,
+		JournalFile:         settings.Journal,
+		ListenAddress:       settings.Listen,
+		MaxUpdatesPerSecond: settings.MaxUpdatesPerSecond,
+		Secondaries:         settings.Notify,
+	}
+	for _, key := range settings.Keys {
+		options.Keys = append(options.Keys, key.Key)
+	}
+	return options
+}
+
+// checkZoneFile reports what is wrong with the zone file that an operator file names.
+func checkZoneFile(operator *config.Operator) error {
+	if operator.DNS.ZoneFile == "" {
+		return nil
+	}
+	_, _, err := dnsserver.ReadZoneFile(operator.DNS.ZoneFile, operator.DNS.Settings())
+	return err
+}
+
+func registerZoneMetrics(server *dnsserver.Server, registry *metrics.Registry) {
+	count := func(value func(dnsserver.Stats) uint64) func() float64 {
+		return func() float64 { return float64(value(server.Stats())) }
+	}
+	registry.AddGauges(map[string]metrics.Gauge{
+		"dns_updates_done": {
+			Help:  "dynamic updates that changed the zone",
+			Value: count(func(s dnsserver.Stats) uint64 { return s.UpdatesDone }),
+		},
+		"dns_updates_refused": {
+			Help:  "dynamic updates refused for what they ask",
+			Value: count(func(s dnsserver.Stats) uint64 { return s.UpdatesRefused }),
+		},
+		"dns_messages_refused": {
+			Help:  "messages refused for their signature, its time, or a replay",
+			Value: count(func(s dnsserver.Stats) uint64 { return s.SignaturesRefused }),
+		},
+		"dns_flooded": {
+			Help:  "messages beyond what is looked at",
+			Value: count(func(s dnsserver.Stats) uint64 { return s.RateLimited }),
+		},
+		"dns_updates_lost": {
+			Help:  "updates that journal or store could not keep",
+			Value: count(func(s dnsserver.Stats) uint64 { return s.UpdatesLost }),
+		},
+		"dns_serial": {
+			Help:  "serial of the zone in force",
+			Value: func() float64 { return float64(server.Serial()) },
+		},
+	})
+}
