--- a/internal/lab/emulator/backend.go
+++ b/internal/lab/emulator/backend.go
@@ -17,11 +17,12 @@
 	"fawnplank/policy"
 )
 
-// backendSeedBase keeps the backends' streams of random numbers apart from those of the workload, which have the
-// scenario's seed too.
+// backendSeedBase keeps the backends' streams of random numbers apart from those of the workload, which have
+// the scenario's seed too.
 const backendSeedBase = 100
 
-// backend is a stand-in for one backend: an attempt occupies one of its cores for a time, or waits in a queue.
+// backend is a stand-in for one backend: an attempt occupies one of its cores for a time, or waits in a
+// queue.
 type backend struct {
 	emulator *Emulator
 	index    int
@@ -80,7 +81,8 @@
 	return b, err
 }
 
-// serve reads a connection's commands. Each runs as soon as its last byte is there; answers keep the commands' order.
+// serve reads a connection's commands. Each runs as soon as its last byte is there; answers keep the
+// commands' order.
 func (b *backend) serve(conn net.Conn) {
 	session := &backendSession{Conn: conn}
 	previous := make(chan struct{})
@@ -98,7 +100,9 @@
 }
 
 // respond runs a command and writes its answer once the previous one's is written.
-func (b *backend) respond(session *backendSession, args [][]byte, previous <-chan struct{}, done chan<- struct{}) {
+func (b *backend) respond(
+	session *backendSession, args [][]byte, previous <-chan struct{}, done chan<- struct{},
+) {
 	defer close(done)
 	answer := b.handle(session, args)
 	<-previous
@@ -148,7 +152,8 @@
 
 var errTooFewArguments = errors.New("emulator: too few arguments of an attempt")
 
-// parseJob reads an attempt: the verb, the tenant, the submission's ID and the header, whose units count here.
+// parseJob reads an attempt: the verb, the tenant, the submission's ID and the header, whose units count
+// here.
 func parseJob(args [][]byte) (*job, error) {
 	if len(args) < 4 {
 		return nil, errTooFewArguments
@@ -211,8 +216,8 @@
 	return b.answer(j)
 }
 
-// admit records an attempt's arrival and its work, and gives it a core or a place in the queue. It returns the
-// incarnation that runs it too.
+// admit records an attempt's arrival and its work, and gives it a core or a place in the queue. It returns
+// the incarnation that runs it too.
 func (b *backend) admit(j *job) (admitted admission, incarnation int) {
 	e := b.emulator
 	b.mu.Lock()
@@ -241,8 +246,8 @@
 	return attemptAdmitted, b.incarnation
 }
 
-// releaseCore gives a job's core to the next in the queue. Jobs whose instance has left the connection never run,
-// since nobody waits for their answer.
+// releaseCore gives a job's core to the next in the queue. Jobs whose instance has left the connection never
+// run, since nobody waits for their answer.
 func (b *backend) releaseCore() {
 	b.busyCores--
 	for len(b.queue) > 0 && b.busyCores < b.emulator.scenario.Backends.Cores {
@@ -255,7 +260,8 @@
 	}
 }
 
-// answer returns what is written for a job whose work is done, with the faults of now. The caller holds the lock.
+// answer returns what is written for a job whose work is done, with the faults of now. The caller holds the
+// lock.
 func (b *backend) answer(j *job) backendAnswer {
 	switch {
 	case b.hangs():
@@ -271,8 +277,8 @@
 	return backendAnswer{text: fmt.Sprintf("*3\r\n$%d\r\n%s\r\n$-1\r\n$-1\r\n", len(value), value)}
 }
 
-// garbage returns a line of random bytes. It begins with one that no answer of RESP begins with, so that it is never
-// an answer by chance.
+// garbage returns a line of random bytes. It begins with one that no answer of RESP begins with, so that it
+// is never an answer by chance.
 func (b *backend) garbage() string {
 	noise := make([]byte, 64)
 	for n := range noise {
@@ -282,13 +288,14 @@
 	return string(noise) + "\r\n"
 }
 
-// capacity returns the part of its capacity that the backend has at its age, by the rules of slow start. The caller
-// holds the lock.
+// capacity returns the part of its capacity that the backend has at its age, by the rules of slow start. The
+// caller holds the lock.
 func (b *backend) capacity() float64 {
 	rules := b.emulator.scenario.Rules
 	ageNanos := b.emulator.log.Now() - b.startedNanos
 	if b.startedNanos == 0 || ageNanos >= int64(rules.SlowStart) {
 		return 1
 	}
-	return rules.InitialCapacity + (1-rules.InitialCapacity)*float64(max(ageNanos, 0))/float64(rules.SlowStart)
+	warmedUp := float64(max(ageNanos, 0)) / float64(rules.SlowStart)
+	return rules.InitialCapacity + (1-rules.InitialCapacity)*warmedUp
 }
--- a/internal/lab/emulator/backend_faults.go
+++ b/internal/lab/emulator/backend_faults.go
@@ -36,8 +36,8 @@
 	return active && count == 1, !active && count == 0
 }
 
-// hangs reports whether the backend says nothing; one that has vanished says nothing either. The caller holds the
-// lock.
+// hangs reports whether the backend says nothing; one that has vanished says nothing either. The caller holds
+// the lock.
 func (b *backend) hangs() bool {
 	return b.active[scenario.BackendHang]+b.active[scenario.BackendVanish] > 0
 }
@@ -53,7 +53,7 @@
 	}
 }
 
-// setHanging lets the backend say nothing. At the end what it held is lost, and its connections end.
+// setHanging lets the backend say nothing. At the end its jobs are lost, and its connections end.
 func (b *backend) setHanging(active bool) {
 	b.countFault(scenario.BackendHang, active)
 	if active {
@@ -85,8 +85,8 @@
 	b.emulator.discovery.publish(b)
 }
 
-// setVanished takes the backend's machine off the network: its connections stay up and say nothing, and new ones come
-// up and say nothing. At the end it starts anew.
+// setVanished takes the backend's machine off the network: its connections stay up and say nothing, and new
+// ones come up and say nothing. At the end it starts anew.
 func (b *backend) setVanished(active bool) {
 	if active {
 		b.abandonJobs()
@@ -101,7 +101,8 @@
 	b.restart()
 }
 
-// setWithdrawn takes the backend out of discovery. It runs on, and comes back as a new one at the same address.
+// setWithdrawn takes the backend out of discovery. It runs on, and comes back as a new one at the same
+// address.
 func (b *backend) setWithdrawn(active bool) {
 	isFirst, isLast := b.countFault(scenario.BackendWithdraw, active)
 	switch {
--- a/internal/lab/emulator/counter.go
+++ b/internal/lab/emulator/counter.go
@@ -9,19 +9,20 @@
 )
 
 const (
-	// breakerPeriod is how often the instances that call nothing are counted: the resolution of the run's record.
+	// breakerPeriod is how often the instances that call nothing are counted: the resolution of the run's
+	// record.
 	breakerPeriod = time.Second
 
-	// maxKeyLifeMillis bounds what the line protocol may ask for, as the platform's counter does.
+	// maxKeyLifeMillis bounds a key's lifetime in the line protocol: 60 s by the platform's protocol.
 	maxKeyLifeMillis = 60000
 
-	// overloadTimeouts is how many of the gateway's timeouts a call may wait before the counter refuses it: far
-	// beyond the one after which nobody waits for the answer.
+	// overloadTimeouts is how many of the gateway's timeouts a call may wait before the counter, as one whose
+	// queue is full, refuses it.
 	overloadTimeouts = 4
 )
 
-// counter is a stand-in for the counter. Each instance has an address of its own there, so that it can be cut off
-// alone; the keys are common to all.
+// counter is a stand-in for the counter. Each instance has an address of its own there, so that it can be cut
+// off alone; the keys are common to all.
 type counter struct {
 	emulator  *Emulator
 	listeners []*listener // of each instance
@@ -101,8 +102,8 @@
 	return silent
 }
 
-// schedule returns when a call that comes now is answered, by the counter's rate and delay; it returns false where
-// the queue is too long. The caller holds the lock.
+// schedule returns when a call that comes now is answered, by the counter's rate and delay; it returns false
+// where the queue is too long. The caller holds the lock.
 func (c *counter) schedule(now time.Time) (time.Time, bool) {
 	settings := c.emulator.scenario.Counter
 	startAt := now
@@ -135,13 +136,14 @@
 	return key.total
 }
 
-// expire lets a key that has no end yet end after a time, and reports whether it did. The caller holds the lock.
-func (c *counter) expire(name string, life time.Duration) bool {
+// expire lets a key that has no end yet end after a time, and reports whether it did. The caller holds the
+// lock.
+func (c *counter) expire(name string, lifetime time.Duration) bool {
 	key := c.keys[name]
 	if key == nil || !key.expiresAt.IsZero() {
 		return false
 	}
-	key.expiresAt = time.Now().Add(life)
+	key.expiresAt = time.Now().Add(lifetime)
 	return true
 }
 
@@ -186,7 +188,7 @@
 		c.close()
 	case !active && c.refusing == 0:
 		for _, l := range c.listeners {
-			_ = l.reopen() // where the address stays occupied the counter stays unreachable, which the run shows
+			_ = l.reopen() // one that stays closed shows in the run
 		}
 	}
 }
--- a/internal/lab/emulator/counter_protocol.go
+++ b/internal/lab/emulator/counter_protocol.go
@@ -11,15 +11,15 @@
 )
 
 const (
-	// maxPendingAnswers is how many calls of a connection wait for their answers before the next one is read: more
-	// than an instance has outstanding.
+	// maxPendingAnswers is how many calls of a connection wait for their answers before reading stops.
 	maxPendingAnswers = 10000
 
-	maxKeyLength = 64  // of the line protocol
-	maxCallUnits = 1e9 // of the line protocol
+	maxKeyLength = 64  // of the line protocol, by the platform's page
+	maxCallUnits = 1e9 // the same
 )
 
-// pendingAnswer waits until an answer's time has come and returns it with its line end; empty: none is written.
+// pendingAnswer waits until an answer's time has come and returns it with its line end; empty: none is
+// written.
 type pendingAnswer func() string
 
 // counterSession is an instance's connection to the counter.
@@ -31,8 +31,8 @@
 	ended    chan struct{} // closed when nothing more is read
 }
 
-// serve answers a connection's calls in their order. They come as lines of text, "bump NAME AMOUNT LIFE-MS", or in
-// RESP2 with INCRBYFLOAT and PEXPIRE NX, where the first byte is that of an array.
+// serve answers a connection's calls in their order. They come as lines of text, "bump NAME AMOUNT LIFE-MS",
+// or in RESP2 with INCRBYFLOAT and PEXPIRE NX, where the first byte is that of an array.
 func (c *counter) serve(conn net.Conn, instance int) {
 	s := &counterSession{
 		counter:  c,
@@ -56,8 +56,8 @@
 	}
 }
 
-// writeAnswers writes the answers in their order until serve has ended. It goes on where the connection has ended,
-// since calls count also where nobody waits for them.
+// writeAnswers writes the answers in their order until serve has ended. It goes on where the connection has
+// ended, since calls count also where nobody waits for them.
 func (s *counterSession) writeAnswers() {
 	for answer := range s.answers {
 		text := answer()
@@ -133,7 +133,7 @@
 }
 
 // expireInTurn sets a key's end when the answer's turn has come: behind the call that made the key.
-func (s *counterSession) expireInTurn(key string, life time.Duration) pendingAnswer {
+func (s *counterSession) expireInTurn(key string, lifetime time.Duration) pendingAnswer {
 	c := s.counter
 	return func() string {
 		c.mu.Lock()
@@ -141,7 +141,7 @@
 		switch {
 		case c.cut[s.instance] > 0:
 			return ""
-		case c.expire(key, life):
+		case c.expire(key, lifetime):
 			return ":1\r\n"
 		}
 		return ":0\r\n"
@@ -168,7 +168,7 @@
 	return s.begin(counterCall{key: words[1], units: units, lifeMillis: lifeMillis}, formatLine)
 }
 
-// formatLine writes a total with the seven digits that the platform's counter gives.
+// formatLine writes a total to seven digits, in single precision, as the platform's protocol has it.
 func formatLine(total float64, ok bool) string {
 	if !ok {
 		return "busy\r\n"
@@ -176,8 +176,8 @@
 	return "ok " + strconv.FormatFloat(float64(float32(total)), 'g', 7, 64) + "\r\n"
 }
 
-// begin gives a call its place in the counter's time, and returns what waits for the result, in the form given. A
-// form's ok is false where the counter refuses the call for want of time.
+// begin gives a call its place in the counter's time, and returns what waits for the result, in the form
+// given. A form's ok is false where the counter refuses the call for want of time.
 func (s *counterSession) begin(call counterCall, form func(total float64, ok bool) string) pendingAnswer {
 	c := s.counter
 	c.mu.Lock()
@@ -207,8 +207,8 @@
 	}
 }
 
-// awaitHang waits for the end of a hang; it returns false where the emulator is closed before. It ends with the
-// connection too, since a counter reads what has come also where the instance has left.
+// awaitHang waits for the end of a hang; it returns false where the emulator is closed before. It ends with
+// the connection too, since a counter reads what has come also where the instance has left.
 func (s *counterSession) awaitHang(unblocked <-chan struct{}) bool {
 	select {
 	case <-unblocked:
--- a/internal/lab/emulator/discovery.go
+++ b/internal/lab/emulator/discovery.go
@@ -11,11 +11,12 @@
 	"fawnplank/policy"
 )
 
-// headerTimeout bounds the read of a request's header, so that a client that stalls holds no connection for ever.
+// headerTimeout bounds the read of a request's header, so that a client that stalls holds no connection for
+// ever.
 const headerTimeout = 5 * time.Second
 
-// discovery is a stand-in for discovery: the endpoint list over HTTP, to be polled or watched. Each instance has an
-// address of its own there, so that it is known which instance was delivered what.
+// discovery is a stand-in for discovery: the endpoint list over HTTP, to be polled or watched. Each instance
+// has an address of its own there, so that it is known which instance was delivered what.
 type discovery struct {
 	emulator  *Emulator
 	servers   []*http.Server // of each instance, as its address
@@ -103,7 +104,7 @@
 	d.servers = append(d.servers, server)
 	d.addresses = append(d.addresses, socket.Addr().String())
 	go func() {
-		_ = server.Serve(socket) // returns at close; an instance that finds nobody before then shows it in the run
+		_ = server.Serve(socket) // returns at close; an end before then shows in the run
 	}()
 }
 
@@ -202,7 +203,8 @@
 		if listed.state != policy.EndpointGone {
 			list.Endpoints = append(list.Endpoints, listed)
 		}
-		d.emulator.observeDelivery(instance, listed) // of one that is gone too: the snapshot says so by its absence
+		// A snapshot delivers an endpoint that is gone too, by its absence.
+		d.emulator.observeDelivery(instance, listed)
 	}
 	return list
 }
--- a/internal/lab/emulator/discovery_handler.go
+++ b/internal/lab/emulator/discovery_handler.go
@@ -10,12 +10,12 @@
 const (
 	endpointsPath = "/v1/endpoints"
 
-	// maxWatchMillis bounds how long a request watches, as the platform's discovery does.
+	// maxWatchMillis bounds how long a request watches, whatever it asks for.
 	maxWatchMillis = 60000
 )
 
-// handle answers GET /v1/endpoints: the whole list, or with an index what has changed since, for which it waits as
-// long as the request asks.
+// handle answers GET /v1/endpoints: the whole list, or with an index what has changed since, for which it
+// waits as long as the request asks.
 func (d *discovery) handle(w http.ResponseWriter, request *http.Request, instance int) {
 	if d.isRefusing() {
 		panic(http.ErrAbortHandler) // breaks the connection
@@ -34,7 +34,9 @@
 }
 
 // watch answers with the changes after an index, or with an empty delta when the wait is over.
-func (d *discovery) watch(w http.ResponseWriter, request *http.Request, instance int, index int64, wait time.Duration) {
+func (d *discovery) watch(
+	w http.ResponseWriter, request *http.Request, instance int, index int64, wait time.Duration,
+) {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	for {
--- a/internal/lab/emulator/emulator.go
+++ b/internal/lab/emulator/emulator.go
@@ -1,9 +1,10 @@
-// Package emulator holds the laboratory's stand-ins for what surrounds the gateway instances: backends, the counter
-// and discovery. They speak the platform's protocols on loopback (RESP2, lines of text, HTTP, dynamic DNS updates),
-// show the faults that a scenario asks for, and record what they see in the run's log.
+// Package emulator holds the laboratory's stand-ins for what surrounds the gateway instances: backends, the
+// counter and discovery. They speak the platform's protocols on loopback (RESP2, lines of text, HTTP, dynamic
+// DNS updates), show the faults that a scenario asks for, and record what they see in the run's log.
 //
-// An Emulator owns its listeners, connections and timers, and Close frees them. Every wait in it is bounded or ends
-// with Close, and it listens on 127.0.0.1 alone. Its methods are safe for concurrent use once Start has returned.
+// An Emulator owns its listeners, connections and timers, and Close frees them. Every wait in it is bounded
+// or ends with Close, and it listens on 127.0.0.1 alone. Its methods are safe for concurrent use once Start
+// has returned.
 package emulator
 
 import (
@@ -17,7 +18,8 @@
 	"fawnplank/internal/lab/workload"
 )
 
-// noInstance stands in for the index of an instance where a list is read for nobody, so that no delivery is recorded.
+// noInstance stands in for the index of an instance where a list is read for nobody, so that no delivery is
+// recorded.
 const noInstance = -1
 
 // Emulator is the outside of the gateway instances of one scenario.
@@ -127,8 +129,8 @@
 	return json.MarshalIndent(config, "", " ")
 }
 
-// PlayFaults lets the scenario's faults begin and end at their times, counted from now. Those of gateway instances
-// are the caller's.
+// PlayFaults lets the scenario's faults begin and end at their times, counted from now. Those of gateway
+// instances are the caller's.
 func (e *Emulator) PlayFaults() {
 	e.counter.watchBreakers()
 	for _, fault := range e.scenario.Faults {
@@ -146,7 +148,8 @@
 	}
 }
 
-// setFault begins a fault of a target, or ends it. Faults of a kind may overlap, so that the stand-ins count them.
+// setFault begins a fault of a target, or ends it. Faults of a kind may overlap, so that the stand-ins count
+// them.
 func (e *Emulator) setFault(fault scenario.Fault, target int, active bool) {
 	switch fault.Kind {
 	case scenario.BackendRefuse, scenario.BackendHang, scenario.BackendSlow, scenario.BackendReset,
--- a/internal/lab/emulator/listener.go
+++ b/internal/lab/emulator/listener.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// A reopened listener's address may be held for a moment by another's outgoing connection; half a second is longer
-// than any such connection of a run was seen to last, and shorter than any fault.
+// A closed listener's address may be occupied for a moment by an outgoing connection that got its port; it is
+// tried again for half a second in all.
 const (
 	maxReopenRetries  = 50
 	reopenRetryPeriod = 10 * time.Millisecond
@@ -101,7 +101,7 @@
 // reset closes a connection with a reset in place of an orderly end.
 func reset(conn net.Conn) {
 	if tcp, ok := conn.(*net.TCPConn); ok {
-		_ = tcp.SetLinger(0) // fails where the other side has ended the connection: then nobody sees the difference
+		_ = tcp.SetLinger(0) // fails where the connection has ended: then nobody sees the difference
 	}
 	_ = conn.Close() // what is lost with it is meant to be lost
 }
--- a/internal/lab/emulator/names.go
+++ b/internal/lab/emulator/names.go
@@ -21,14 +21,15 @@
 const (
 	recordTTLSeconds = 30
 
-	// maxQueuedUpdates is how many changes wait for an instance that is down: more than a run has.
+	// maxQueuedUpdates is how many changes wait for an instance that is down; further ones are dropped.
 	maxQueuedUpdates = 1 << 16
 
 	updateTimeout     = time.Second
 	updateRetryPeriod = 50 * time.Millisecond
 )
 
-// updateQueues holds the changes of the list that go out as dynamic updates, for each instance in their order.
+// updateQueues holds the changes of the list that go out as dynamic updates, for each instance in their
+// order.
 type updateQueues struct {
 	instances []chan endpoint
 }
@@ -54,7 +55,8 @@
 // ZoneFile returns the zone file of the scenario's backends at the start.
 func (e *Emulator) ZoneFile() string {
 	var file strings.Builder
-	fmt.Fprintf(&file, "$ORIGIN %s\n$TTL 30\n@ IN SOA ns admin 1 3600 600 86400 30\n@ IN NS ns\nns IN A 127.0.0.1\n", ZoneOrigin)
+	fmt.Fprintf(&file, "$ORIGIN %s\n$TTL %d\n", ZoneOrigin, recordTTLSeconds)
+	file.WriteString("@ IN SOA ns admin 1 3600 600 86400 30\n@ IN NS ns\nns IN A 127.0.0.1\n")
 	for _, listed := range e.discovery.snapshot(noInstance).Endpoints {
 		for _, record := range listed.records() {
 			fmt.Fprintln(&file, record)
@@ -63,8 +65,8 @@
 	return file.String()
 }
 
-// SendUpdates sends an instance's name server, at the address given, the changes from now on, until Close. It is
-// called once for each instance.
+// SendUpdates sends an instance's name server, at the address given, the changes from now on, until Close. It
+// is called once for each instance.
 func (e *Emulator) SendUpdates(instance int, address string, key dnsserver.Key) {
 	go func() {
 		for {
@@ -78,8 +80,8 @@
 	}()
 }
 
-// sendUpdate sends a change until it is answered. It counts as delivered from the first attempt on: the instance may
-// have applied one whose answer was lost.
+// sendUpdate sends a change until it is answered. It counts as delivered from the first attempt on: the
+// instance may have applied one whose answer was lost.
 func (e *Emulator) sendUpdate(instance int, changed endpoint, address string, key dnsserver.Key) {
 	e.observeDelivery(instance, changed)
 	for {
@@ -96,7 +98,8 @@
 	}
 }
 
-// updateMessage returns the update that replaces the endpoint's records, or removes those of one that is gone.
+// updateMessage returns the update that replaces the endpoint's records, or removes those of one that is
+// gone.
 func (e endpoint) updateMessage() *dns.Msg {
 	records := e.records()
 	service, host := records[:1], records[1:2]
