--- a/internal/counter/resp_format.go
+++ b/internal/counter/resp_format.go
@@ -39,8 +39,8 @@
 	return redcon.AppendBulkString(buf, "NX")
 }
 
-// parseRESPAnswer parses one reply. The first of an answer is kept in pending; with the second the answer is
-// complete, whatever the second says.
+// parseRESPAnswer parses one reply. The first of an answer is stored in pending; with the second the answer
+// is complete, whatever the second says.
 func parseRESPAnswer(data []byte, pending *respReply) answer {
 	if !startsWithShortLine(data) {
 		return unfinishedReply(data)
--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -144,7 +144,7 @@
 	d.endedAttempts = append(d.endedAttempts, endedAttempt{attempt, outcome})
 }
 
-// UpdateSettings gives the engine new settings. Their classes and plans extend the old ones: ids keep their
+// UpdateSettings gives the engine new settings. Their classes and plans extend the old ones: ids retain their
 // meaning.
 func (d *Dispatcher) UpdateSettings(settings policy.Settings) {
 	d.do(func(int64) { d.engine.UpdateSettings(settings) })
--- a/internal/dispatch/effects.go
+++ b/internal/dispatch/effects.go
@@ -16,8 +16,8 @@
 
 var _ policy.Effects = effects{}
 
-// Send makes an attempt and hands it to the request's owner. One too many is not sent, which the engine hears
-// of once its call has returned.
+// Send makes an attempt and hands it to the request's owner. One too many is not sent, which is
+// reported to the engine once its call has returned.
 func (e effects) Send(id policy.RequestID, backend policy.BackendID, expiresAt, startBefore int64) {
 	d := e.dispatcher
 	request := d.requests[id]
