--- /dev/null
+++ b/internal/lab/load/protocol.go
@@ -0,0 +1,78 @@
+package load
+
+import (
+	"bufio"
+	"fmt"
+	"io"
+	"strconv"
+	"strings"
+	"time"
+
+	"fawnplank/internal/lab/invariants"
+	"fawnplank/internal/lab/scenario"
+	"fawnplank/internal/lab/workload"
+)
+
+// maxAnswerBytes bounds what is read of one answer: an instance at fault may announce any length.
+const maxAnswerBytes = 8 << 20
+
+// isIdempotent reports whether a request may run twice, by its class.
+func (g *Generator) isIdempotent(request workload.Request) bool {
+	return g.scenario.Classes[request.Class].Idempotency == scenario.Idempotent
+}
+
+// command returns a submission in the platform's protocol: verb, tenant, ID and header.
+func (g *Generator) command(s submission) string {
+	verb := "SVC.SUBMIT"
+	if g.isIdempotent(s.request) {
+		verb = "SVC.QUERY"
+	}
+	header := fmt.Sprintf("c=%s,t=%s,d=%d,units=%s,spread=%d,first=%d",
+		g.scenario.Classes[s.request.Class].Name,
+		g.scenario.Plans[s.request.Plan].Name,
+		max(s.remaining.Milliseconds(), 1),
+		strconv.FormatFloat(s.request.Units, 'f', -1, 64),
+		g.scenario.Load.EntryPoints,
+		g.workload.Tenants[s.request.Tenant].FirstInstance)
+	return fmt.Sprintf("*4\r\n$%d\r\n%s\r\n$16\r\n%016x\r\n$16\r\n%016x\r\n$%d\r\n%s\r\n",
+		len(verb), verb, s.request.Tenant+1, uint64(s.id), len(header), header)
+}
+
+// readAnswer reads one whole answer of RESP2: the line of a simple one, or a bulk string behind a "$". A null
+// and a length that is none are returned as the line that they are.
+func readAnswer(reader *bufio.Reader) (string, error) {
+	line, err := reader.ReadString('\n')
+	if err != nil {
+		return "", err
+	}
+	simple := strings.TrimRight(line, "\r\n")
+	if line[0] != '$' {
+		return simple, nil
+	}
+	length, err := strconv.Atoi(strings.TrimSpace(line[1:]))
+	if err != nil || length < 0 || length > maxAnswerBytes {
+		return simple, nil // a line that parseOutcome counts as an abort
+	}
+	value := make([]byte, length+len("\r\n"))
+	if _, err := io.ReadFull(reader, value); err != nil {
+		return "", err
+	}
+	return "$" + string(value[:length]), nil
+}
+
+// parseOutcome returns what an answer means to the client.
+func parseOutcome(answer string) outcome {
+	if strings.HasPrefix(answer, "$") && answer != "$-1" {
+		return outcome{kind: invariants.Succeeded, sent: true}
+	}
+	words := strings.Fields(answer)
+	if len(words) == 0 || words[0] != "-BUSY" {
+		return outcome{kind: invariants.Aborted, sent: true}
+	}
+	result := outcome{kind: invariants.Rejected, sent: true}
+	if len(words) > 1 {
+		millis, _ := strconv.ParseInt(words[1], 10, 64) // what is no number asks for no wait
+		result.retryAfterNanos = millis * int64(time.Millisecond)
+	}
+	return result
+}
--- /dev/null
+++ b/internal/lab/load/request.go
@@ -0,0 +1,187 @@
+package load
+
+import (
+	"errors"
+	"io"
+	"net"
+	"time"
+
+	"fawnplank/internal/lab/invariants"
+	"fawnplank/internal/lab/workload"
+)
+
+const (
+	// extraConnectRetries is how many connects beyond the scenario's retries a client tries, one instance
+	// after another, before it gives the request up.
+	extraConnectRetries = 3
+
+	// minRemainingToConnect is the remaining time below which a further connect is of no use.
+	minRemainingToConnect = 20 * time.Millisecond
+
+	connectRetryPeriod = 5 * time.Millisecond
+
+	// answerMargin is how long a client waits beyond the deadline and the rules' grace, so that an answer
+	// that is only just too late is seen as one.
+	answerMargin = 100 * time.Millisecond
+
+	// deathNoticeDelay is how long the testbed may need to record the death of an instance that it kills.
+	deathNoticeDelay = 20 * time.Millisecond
+)
+
+// errStaleConnection is that of an idle connection which the instance has closed.
+var errStaleConnection = errors.New("load: idle connection was closed")
+
+// submission is one request to one instance.
+type submission struct {
+	request  workload.Request
+	id       invariants.SubmissionID
+	instance int
+	due      time.Time
+	deadline time.Time
+	isRetry  bool
+
+	remaining   time.Duration // until the deadline, when it is written
+	incarnation int           // of the instance, at that time
+}
+
+// outcome is what became of a submission.
+type outcome struct {
+	kind            invariants.Kind
+	retryAfterNanos int64 // with a rejection
+	sent            bool  // false: no connection came up, and no instance has seen the request
+}
+
+// send submits a request until it is answered for good, as clients do: again after a rejection, and where its
+// instance died.
+func (g *Generator) send(request workload.Request, due time.Time) {
+	deadline := due.Add(time.Duration(request.DeadlineNanos - request.AtNanos))
+	for retries := 0; ; retries++ {
+		s := g.newSubmission(request)
+		s.due = due
+		s.deadline = deadline
+		s.isRetry = retries > 0
+		result := g.submit(s)
+		if !result.sent {
+			isLast := retries >= g.scenario.Load.Retries+extraConnectRetries
+			if isLast || time.Until(deadline) <= minRemainingToConnect {
+				g.log.CountNotSent()
+				return
+			}
+			time.Sleep(connectRetryPeriod) // another instance may accept it
+			continue
+		}
+		wantsRetry := result.kind == invariants.Rejected || result.kind == invariants.Abandoned
+		if !wantsRetry || retries >= g.scenario.Load.Retries {
+			return
+		}
+		// Drawn also where no retry follows, so that a run's random numbers do not depend on the class.
+		wait := g.retryDelay(retries, result.retryAfterNanos)
+		mayRunTwice := result.kind == invariants.Rejected || g.isIdempotent(request)
+		if !mayRunTwice || time.Until(deadline) <= wait {
+			return
+		}
+		time.Sleep(wait)
+		due = time.Now() // a client's retry is due when the client says so
+	}
+}
+
+// newSubmission gives a request an ID and an instance.
+func (g *Generator) newSubmission(request workload.Request) submission {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	g.lastSubmission++
+	return submission{request: request, id: g.lastSubmission, instance: g.workload.Instance(request)}
+}
+
+// retryDelay draws how long a client waits before a retry.
+func (g *Generator) retryDelay(retries int, retryAfterNanos int64) time.Duration {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	return time.Duration(g.workload.RetryDelay(retries, retryAfterNanos))
+}
+
+// submit sends a request to an instance once; a second time where the connection was an idle one that the
+// instance has closed, as it may between requests.
+func (g *Generator) submit(s submission) outcome {
+	conn, err := g.acquire(s.instance, false)
+	if err != nil {
+		return outcome{}
+	}
+	g.stamp(&s)
+	g.observeSubmitted(s)
+	result, err := g.exchange(s, conn)
+	if !errors.Is(err, errStaleConnection) {
+		return result
+	}
+	if conn, err = g.acquire(s.instance, true); err != nil {
+		return g.abandon(s) // written to a connection that ended, and the instance is gone
+	}
+	g.stamp(&s)
+	result, _ = g.exchange(s, conn) // a new connection is not stale
+	return result
+}
+
+// stamp notes what holds when a submission is about to be written.
+func (g *Generator) stamp(s *submission) {
+	s.remaining = time.Until(s.deadline)
+	s.incarnation = g.log.Incarnation(s.instance)
+}
+
+// observeSubmitted records that a request is about to be written, and how late that is.
+func (g *Generator) observeSubmitted(s submission) {
+	g.recordLag(time.Since(s.due))
+	g.log.Observe(invariants.Event{
+		Kind:          invariants.Submitted,
+		Submission:    s.id,
+		Instance:      s.instance,
+		Tenant:        s.request.Tenant,
+		Class:         s.request.Class,
+		Plan:          s.request.Plan,
+		Units:         s.request.Units,
+		DeadlineNanos: int64(s.remaining),
+		DueNanos:      int64(s.due.Sub(g.log.Start())),
+		IsRetry:       s.isRetry,
+	})
+}
+
+// exchange writes a request and reads its answer. It returns errStaleConnection where the connection was idle
+// before and has ended while the instance lives.
+func (g *Generator) exchange(s submission, conn *connection) (outcome, error) {
+	answer, err := g.roundTrip(s, conn)
+	if err == nil {
+		g.release(s.instance, conn)
+		result := parseOutcome(answer)
+		g.log.Observe(invariants.Event{Kind: result.kind, Submission: s.id, Instance: s.instance})
+		return result, nil
+	}
+	g.discard(conn)
+	var netError net.Error
+	switch {
+	case errors.As(err, &netError) && netError.Timeout():
+		return outcome{kind: invariants.Aborted, sent: true}, nil // no answer: the invariants report it
+	case g.log.Incarnation(s.instance) != s.incarnation:
+		return g.abandon(s), nil
+	case conn.reused:
+		return outcome{}, errStaleConnection
+	}
+	time.Sleep(deathNoticeDelay)
+	if g.log.Incarnation(s.instance) != s.incarnation {
+		return g.abandon(s), nil
+	}
+	return outcome{kind: invariants.Aborted, sent: true}, nil // a live instance ended it: likewise
+}
+
+func (g *Generator) roundTrip(s submission, conn *connection) (string, error) {
+	readDeadline := s.deadline.Add(time.Duration(g.scenario.Rules.Grace) + answerMargin)
+	_ = conn.SetDeadline(readDeadline) // fails where the connection has ended, as the write does
+	if _, err := io.WriteString(conn, g.command(s)); err != nil {
+		return "", err
+	}
+	return readAnswer(conn.reader)
+}
+
+// abandon records that a submission's instance died with it.
+func (g *Generator) abandon(s submission) outcome {
+	g.log.Observe(invariants.Event{Kind: invariants.Abandoned, Submission: s.id, Instance: s.instance})
+	return outcome{kind: invariants.Abandoned, sent: true}
+}
