--- a/internal/lab/testca/testca.go
+++ b/internal/lab/testca/testca.go
@@ -1,5 +1,5 @@
-// Package authority is a stand-in for an installation's certificate authority: it signs certificates for the
-// laboratory and for tests. Its key is in memory alone.
+// Package testca is a stand-in for an installation's certificate authority: it signs certificates for the
+// laboratory and for tests. Its key is in memory alone. An Authority is not safe for concurrent use.
 package testca
 
 import (
@@ -9,6 +9,7 @@
 	"crypto/x509"
 	"crypto/x509/pkix"
 	"encoding/pem"
+	"fmt"
 	"math/big"
 	"net"
 	"os"
@@ -18,57 +19,109 @@
 	"fawnplank/internal/tlsconfig"
 )
 
-// Authority signs.
+const (
+	// backdating is how long before its signing a certificate is valid, so that one whose clock is behind accepts it.
+	backdating = time.Hour
+
+	// authorityValidity is that of the authority's own certificate.
+	authorityValidity = 24 * time.Hour
+)
+
+// Authority signs certificates.
 type Authority struct {
-	key    *ecdsa.PrivateKey
-	cert   *x509.Certificate
-	serial int64
+	key         *ecdsa.PrivateKey
+	certificate *x509.Certificate
+	lastSerial  int64
 }
 
-// New makes one of a name.
+// New makes an authority of a name.
 func New(name string) (*Authority, error) {
-	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
+	key, err := newKey()
 	if err != nil {
 		return nil, err
 	}
-	now := time.Now()
-	t := &x509.Certificate{SerialNumber: big.NewInt(1), Subject: pkix.Name{CommonName: name}, NotBefore: now.Add(-time.Hour), NotAfter: now.Add(24 * time.Hour),
-		IsCA: true, BasicConstraintsValid: true, KeyUsage: x509.KeyUsageCertSign}
-	text, err := x509.CreateCertificate(rand.Reader, t, t, &key.PublicKey, key)
+	template := newTemplate(1, name, authorityValidity)
+	template.IsCA = true
+	template.BasicConstraintsValid = true
+	template.KeyUsage = x509.KeyUsageCertSign
+	signed, err := x509.CreateCertificate(rand.Reader, template, template, &key.PublicKey, key)
 	if err != nil {
-		return nil, err
+		return nil, fmt.Errorf("testca: sign certificate of authority %s: %w", name, err)
+	}
+	certificate, err := x509.ParseCertificate(signed)
+	if err != nil {
+		return nil, fmt.Errorf("testca: parse certificate of authority %s: %w", name, err)
 	}
-	cert, err := x509.ParseCertificate(text)
-	return &Authority{key, cert, 1}, err
+	return &Authority{key: key, certificate: certificate, lastSerial: 1}, nil
 }
 
-// Write writes a certificate for loopback addresses that holds for a time, its key, and the authority's own
-// certificate into a folder, over those of before.
-func (a *Authority) Write(folder, name string, holds time.Duration) (tlsconfig.Files, error) {
-	f := tlsconfig.Files{Certificate: filepath.Join(folder, name+".pem"), Key: filepath.Join(folder, name+".key"), Authority: filepath.Join(folder, "authority.pem")}
-	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
+// Write writes a certificate for loopback addresses, its key, and the authority's own certificate into a
+// folder, over those of before. The certificate is valid from an hour ago until validity from now.
+func (a *Authority) Write(folder, name string, validity time.Duration) (tlsconfig.Files, error) {
+	files := tlsconfig.Files{
+		Certificate: filepath.Join(folder, name+".pem"),
+		Key:         filepath.Join(folder, name+".key"),
+		Authority:   filepath.Join(folder, "authority.pem"),
+	}
+	key, err := newKey()
 	if err != nil {
-		return f, err
+		return files, err
 	}
-	a.serial++
-	now := time.Now()
-	t := &x509.Certificate{SerialNumber: big.NewInt(a.serial), Subject: pkix.Name{CommonName: name}, NotBefore: now.Add(-time.Hour), NotAfter: now.Add(holds),
-		KeyUsage: x509.KeyUsageDigitalSignature, ExtKeyUsage: []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth, x509.ExtKeyUsageClientAuth}, IPAddresses: []net.IP{net.IPv4(127, 0, 0, 1)}}
-	text, err := x509.CreateCertificate(rand.Reader, t, a.cert, &key.PublicKey, a.key)
+	signed, err := a.sign(&key.PublicKey, name, validity)
+	if err != nil {
+		return files, err
+	}
+	encodedKey, err := x509.MarshalPKCS8PrivateKey(key)
+	if err != nil {
+		return files, fmt.Errorf("testca: encode key of %s: %w", name, err)
+	}
+	if err := writePEM(files.Key, "PRIVATE KEY", encodedKey); err != nil {
+		return files, err
+	}
+	if err := writePEM(files.Certificate, "CERTIFICATE", signed); err != nil {
+		return files, err
+	}
+	return files, writePEM(files.Authority, "CERTIFICATE", a.certificate.Raw)
+}
+
+// sign returns a certificate for a server and client at 127.0.0.1.
+func (a *Authority) sign(key *ecdsa.PublicKey, name string, validity time.Duration) ([]byte, error) {
+	a.lastSerial++
+	template := newTemplate(a.lastSerial, name, validity)
+	template.KeyUsage = x509.KeyUsageDigitalSignature
+	template.ExtKeyUsage = []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth, x509.ExtKeyUsageClientAuth}
+	template.IPAddresses = []net.IP{net.IPv4(127, 0, 0, 1)}
+	signed, err := x509.CreateCertificate(rand.Reader, template, a.certificate, key, a.key)
 	if err != nil {
-		return f, err
+		return nil, fmt.Errorf("testca: sign certificate of %s: %w", name, err)
 	}
-	secret, err := x509.MarshalPKCS8PrivateKey(key)
+	return signed, nil
+}
+
+func newKey() (*ecdsa.PrivateKey, error) {
+	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
-		return f, err
+		return nil, fmt.Errorf("testca: generate key: %w", err)
 	}
-	for _, x := range []struct {
-		path, kind string
-		text       []byte
-	}{{f.Key, "PRIVATE KEY", secret}, {f.Certificate, "CERTIFICATE", text}, {f.Authority, "CERTIFICATE", a.cert.Raw}} {
-		if err := os.WriteFile(x.path, pem.EncodeToMemory(&pem.Block{Type: x.kind, Bytes: x.text}), 0o600); err != nil {
-			return f, err
-		}
+	return key, nil
+}
+
+// newTemplate returns what all certificates have in common.
+func newTemplate(serial int64, name string, validity time.Duration) *x509.Certificate {
+	now := time.Now()
+	return &x509.Certificate{
+		SerialNumber: big.NewInt(serial),
+		Subject:      pkix.Name{CommonName: name},
+		NotBefore:    now.Add(-backdating),
+		NotAfter:     now.Add(validity),
+	}
+}
+
+// writePEM writes a block that only the owner may read.
+func writePEM(path, blockType string, content []byte) error {
+	encoded := pem.EncodeToMemory(&pem.Block{Type: blockType, Bytes: content})
+	if err := os.WriteFile(path, encoded, 0o600); err != nil {
+		return fmt.Errorf("testca: write %s: %w", path, err)
 	}
-	return f, nil
+	return nil
 }
--- /dev/null
+++ b/internal/lab/testca/testca_test.go
@@ -0,0 +1,97 @@
+package testca
+
+import (
+	"crypto/tls"
+	"crypto/x509"
+	"errors"
+	"io/fs"
+	"os"
+	"path/filepath"
+	"testing"
+	"time"
+)
+
+func newTestAuthority(t *testing.T) *Authority {
+	t.Helper()
+	authority, err := New(t.Name())
+	if err != nil {
+		t.Fatal(err)
+	}
+	return authority
+}
+
+func TestAuthority_WritesCertificatesItVouchesFor(t *testing.T) {
+	authority := newTestAuthority(t)
+	files, err := authority.Write(t.TempDir(), "instance", time.Minute)
+	if err != nil {
+		t.Fatal(err)
+	}
+	pair, err := tls.LoadX509KeyPair(files.Certificate, files.Key)
+	if err != nil {
+		t.Fatal(err)
+	}
+	encoded, err := os.ReadFile(files.Authority)
+	if err != nil {
+		t.Fatal(err)
+	}
+	own, other := x509.NewCertPool(), x509.NewCertPool()
+	if !own.AppendCertsFromPEM(encoded) {
+		t.Fatal("the authority's certificate is not PEM")
+	}
+	other.AddCert(newTestAuthority(t).certificate)
+	verify := func(roots *x509.CertPool, after time.Duration, usage x509.ExtKeyUsage) error {
+		_, err := pair.Leaf.Verify(x509.VerifyOptions{
+			DNSName:     "127.0.0.1",
+			Roots:       roots,
+			CurrentTime: time.Now().Add(after),
+			KeyUsages:   []x509.ExtKeyUsage{usage},
+		})
+		return err
+	}
+	for _, usage := range []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth, x509.ExtKeyUsageClientAuth} {
+		if err := verify(own, 0, usage); err != nil {
+			t.Errorf("usage %d: %v", usage, err)
+		}
+	}
+	if verify(own, 2*time.Minute, x509.ExtKeyUsageServerAuth) == nil {
+		t.Error("the certificate is valid beyond its time")
+	}
+	if verify(other, 0, x509.ExtKeyUsageServerAuth) == nil {
+		t.Error("another authority vouches for the certificate")
+	}
+}
+
+func TestAuthority_WriteReplacesFiles(t *testing.T) {
+	authority := newTestAuthority(t)
+	folder := t.TempDir()
+	var leaves []*x509.Certificate
+	for range 2 {
+		files, err := authority.Write(folder, "instance", time.Minute)
+		if err != nil {
+			t.Fatal(err)
+		}
+		pair, err := tls.LoadX509KeyPair(files.Certificate, files.Key)
+		if err != nil {
+			t.Fatal(err)
+		}
+		leaves = append(leaves, pair.Leaf)
+		info, err := os.Stat(files.Key)
+		if err != nil {
+			t.Fatal(err)
+		}
+		if mode := info.Mode().Perm(); mode != 0o600 {
+			t.Errorf("the key's mode is %o", mode)
+		}
+	}
+	if leaves[0].SerialNumber.Cmp(leaves[1].SerialNumber) == 0 || leaves[0].Equal(leaves[1]) {
+		t.Error("the second certificate is the first one")
+	}
+}
+
+func TestAuthority_WriteReportsMissingFolder(t *testing.T) {
+	missing := filepath.Join(t.TempDir(), "missing")
+	_, err := newTestAuthority(t).Write(missing, "instance", time.Minute)
+	if !errors.Is(err, fs.ErrNotExist) {
+		t.Errorf("%v, want one of a folder that does not exist", err)
+	}
+}
