--- a/internal/lab/testbed/operator_file.go
+++ b/internal/lab/testbed/operator_file.go
@@ -47,7 +47,7 @@
 		return "", err
 	}
 	zoneFile, keyFile := t.gatewayFile(index, "zone"), t.gatewayFile(index, "key")
-	if err := os.WriteFile(zoneFile, []byte(t.emulator.Names()), 0o600); err != nil {
+	if err := os.WriteFile(zoneFile, []byte(t.emulator.ZoneFile()), 0o600); err != nil {
 		return "", err
 	}
 	secret := fmt.Appendf(nil, "secret of the laboratory, door %4d", index)
@@ -58,13 +58,13 @@
 	if err != nil {
 		return "", err
 	}
-	t.emulator.Update(index, address, key)
+	t.emulator.SendUpdates(index, address, key)
 	var section strings.Builder
 	section.WriteString("[dns]\n")
 	for _, setting := range [][2]string{
 		{"zone_file", zoneFile},
-		{"origin", emulator.Zone.Origin},
-		{"service", emulator.Zone.Service},
+		{"origin", emulator.ZoneOrigin},
+		{"service", emulator.ZoneService},
 		{"journal", t.gatewayFile(index, "journal")},
 		{"listen", address},
 	} {
--- a/internal/lab/testbed/testbed.go
+++ b/internal/lab/testbed/testbed.go
@@ -40,7 +40,7 @@
 	folder    string // configurations, operator files, zones, keys and journals; removed by close
 	logFolder string
 	log       *results.Log
-	emulator  *emulator.Emu
+	emulator  *emulator.Emulator
 	gateways  []*gateway
 }
 
@@ -97,7 +97,7 @@
 	if err != nil {
 		return err
 	}
-	configuration, err := t.emulator.Config(index, address)
+	configuration, err := t.emulator.InstanceConfig(index, address)
 	if err != nil {
 		return err
 	}
@@ -131,7 +131,7 @@
 	running, end := context.WithCancel(ctx)
 	defer end()
 	t.log.Begin()
-	t.emulator.Play()
+	t.emulator.PlayFaults()
 	var watches, restarts sync.WaitGroup
 	crashed := make(chan error, len(t.gateways)) // with capacity for each, so that no watch waits for the end
 	for _, g := range t.gateways {
