--- /dev/null
+++ b/cmd/fawnplank-lab/command_check.go
@@ -0,0 +1,33 @@
+package main
+
+import (
+	"time"
+
+	"github.com/spf13/cobra"
+
+	"fawnplank/internal/lab/scenario"
+)
+
+func checkCommand() *cobra.Command {
+	return &cobra.Command{
+		Use:     "check SCENARIO...",
+		Short:   "Read scenarios and report what is wrong with them",
+		Args:    cobra.MinimumNArgs(1),
+		Example: "  fawnplank lab check lab/scenarios/*.toml",
+		RunE:    checkScenarios,
+	}
+}
+
+func checkScenarios(command *cobra.Command, paths []string) error {
+	for _, path := range paths {
+		s, err := scenario.Load(path)
+		if err != nil {
+			return err
+		}
+		printf(command, "%s: in order; %s, %d instances, %d backends, "+
+			"%.0f requests a second for %v, %d faults\n",
+			s.Name, s.On, s.Instances.Count, s.Backends.Count,
+			s.Load.Rate, time.Duration(s.Duration), len(s.Faults))
+	}
+	return nil
+}
--- /dev/null
+++ b/cmd/fawnplank-lab/command_load.go
@@ -0,0 +1,84 @@
+package main
+
+import (
+	"fmt"
+	"strings"
+
+	"github.com/spf13/cobra"
+
+	"fawnplank/internal/lab/load"
+	"fawnplank/internal/lab/plots"
+	"fawnplank/internal/lab/results"
+	"fawnplank/internal/lab/testbed"
+)
+
+// loadFlags are the flags of "load".
+type loadFlags struct {
+	scenario   scenarioFlags
+	addresses  []string
+	outputFile string
+}
+
+func loadCommand() *cobra.Command {
+	var flags loadFlags
+	command := &cobra.Command{
+		Use:   "load SCENARIO --to ADDRESS",
+		Short: "Send a scenario's requests to running gateways",
+		Long: `Sends the scenario's requests to gateways that are already running, in an open loop bounded by
+its duration, number and connections. Classes (profiles) and plans must have the names that the gateways know.
+Faults of the scenario are not played, and what only backends see (attempts, quotas) is not reported.
+Addresses are on loopback.`,
+		Args: cobra.ExactArgs(1),
+		Example: "  fawnplank lab load lab/scenarios/calm.toml --to 127.0.0.1:6379 " +
+			"--set load.rate=500",
+		RunE: func(command *cobra.Command, args []string) error { return flags.run(command, args[0]) },
+	}
+	flags.scenario.register(command)
+	command.Flags().StringSliceVar(&flags.addresses, "to", nil, "addresses of the gateways")
+	command.Flags().StringVarP(&flags.outputFile, "output", "o", "",
+		"file that the results are written to, as JSON")
+	requireFlag(command, "to")
+	return command
+}
+
+func (f *loadFlags) run(command *cobra.Command, path string) error {
+	s, err := f.scenario.load(path,
+		fmt.Sprintf("doors.count=%d", len(f.addresses)),
+		fmt.Sprintf("load.spread=%d", max(len(f.addresses), 1)))
+	if err != nil {
+		return err
+	}
+	for _, address := range f.addresses {
+		if !isLoopback(address) {
+			return fmt.Errorf("--to %s: not on loopback; name an address in 127.0.0.0/8 or [::1]", address)
+		}
+	}
+	settings, err := s.EngineSettings(0)
+	if err != nil {
+		return err
+	}
+	log := results.NewLog(results.New(s, settings, testbed.SlackNanos))
+	log.Begin()
+	tool := load.New(s, log, f.addresses)
+	tool.Run(command.Context().Done())
+	run := log.Finish()
+	run.On = results.OnClients
+	run.LagP50, run.LagP99 = tool.Lag()
+	if f.outputFile != "" {
+		if err := run.Write(f.outputFile); err != nil {
+			return err
+		}
+	}
+	return plots.Table(command.OutOrStdout(), run)
+}
+
+// isLoopback reports whether an address is on this machine's loopback. The load tool sends to no other: it is
+// no tool for loading what others run.
+func isLoopback(address string) bool {
+	for _, prefix := range []string{"127.", "[::1]:", "localhost:"} {
+		if strings.HasPrefix(address, prefix) {
+			return true
+		}
+	}
+	return false
+}
--- /dev/null
+++ b/cmd/fawnplank-lab/command_run.go
@@ -0,0 +1,116 @@
+package main
+
+import (
+	"context"
+	"fmt"
+	"os"
+	"path/filepath"
+	"time"
+
+	"github.com/spf13/cobra"
+
+	"fawnplank/internal/lab/model"
+	"fawnplank/internal/lab/plots"
+	"fawnplank/internal/lab/results"
+	"fawnplank/internal/lab/scenario"
+	"fawnplank/internal/lab/testbed"
+)
+
+// runFlags are the flags of "run".
+type runFlags struct {
+	scenario       scenarioFlags
+	outputFile     string
+	label          string
+	pictureFile    string
+	logFolder      string
+	gatewayProgram string
+}
+
+func runCommand() *cobra.Command {
+	var flags runFlags
+	command := &cobra.Command{
+		Use:   "run SCENARIO",
+		Short: "Play a scenario and print its results",
+		Args:  cobra.ExactArgs(1),
+		Example: `  fawnplank lab run lab/scenarios/calm.toml
+  fawnplank lab run lab/scenarios/counter-lost.toml --on model -o lost.json --plot lost.png
+  fawnplank lab run lab/scenarios/hundred-doors.toml --set doors.count=200 --label 200-instances`,
+		RunE: func(command *cobra.Command, args []string) error { return flags.run(command, args[0]) },
+	}
+	flags.scenario.register(command)
+	command.Flags().StringVarP(&flags.outputFile, "output", "o", "",
+		"file that the results are written to, as JSON")
+	command.Flags().StringVar(&flags.label, "label", "", "what to call this run in tables and plots")
+	command.Flags().StringVar(&flags.pictureFile, "plot", "", "picture to draw, .png or .svg")
+	command.Flags().StringVar(&flags.logFolder, "logs", "", "sockets: folder for the gateways' logs")
+	command.Flags().StringVar(&flags.gatewayProgram, "door", defaultGatewayProgram(),
+		"sockets: the gateway's program")
+	return command
+}
+
+// defaultGatewayProgram is the gateway's program beside this one.
+func defaultGatewayProgram() string {
+	self, err := os.Executable()
+	if err != nil {
+		return "fawnplank"
+	}
+	return filepath.Join(filepath.Dir(self), "fawnplank")
+}
+
+// run plays a scenario and reports on it. A run with an error, such as a gateway that crashed, is printed but
+// not written, so that no file of results holds a run cut short.
+func (f *runFlags) run(command *cobra.Command, path string) error {
+	s, err := f.scenario.load(path)
+	if err != nil {
+		return err
+	}
+	start := time.Now()
+	run, err := f.play(command.Context(), s)
+	if run == nil {
+		return err
+	}
+	run.Label = f.label
+	seconds := time.Since(start).Seconds()
+	_ = plots.Table(command.OutOrStdout(), run) // as in printf
+	printf(command, "%d events in %.2f s, %.0f a second\n", run.Events, seconds, float64(run.Events)/seconds)
+	if err != nil {
+		return err
+	}
+	return f.write(s.Name, run)
+}
+
+// play plays a scenario where it says.
+func (f *runFlags) play(ctx context.Context, s *scenario.Scenario) (*results.Run, error) {
+	if s.On == scenario.OnModel {
+		return model.Run(s)
+	}
+	return testbed.Run(ctx, s, testbed.Options{
+		GatewayCommand: []string{f.gatewayProgram},
+		LogFolder:      f.logFolder,
+	})
+}
+
+// write writes the files that the flags ask for, and fails if a rule was broken.
+func (f *runFlags) write(name string, run *results.Run) error {
+	if f.outputFile != "" {
+		if err := run.Write(f.outputFile); err != nil {
+			return err
+		}
+	}
+	if f.pictureFile != "" {
+		if err := plots.Draw(f.pictureFile, run); err != nil {
+			return err
+		}
+	}
+	return brokenRules(name, run)
+}
+
+// brokenRules returns an error if a run broke a rule.
+func brokenRules(name string, run *results.Run) error {
+	violations := run.Violations()
+	if violations == 0 {
+		return nil
+	}
+	return fmt.Errorf("%s: rules broken %d times; the findings below the table say when and how",
+		name, violations)
+}
--- /dev/null
+++ b/cmd/fawnplank-lab/command_standins.go
@@ -0,0 +1,114 @@
+package main
+
+import (
+	"context"
+	"fmt"
+	"os"
+	"path/filepath"
+	"strings"
+	"time"
+
+	"github.com/spf13/cobra"
+
+	"fawnplank/internal/lab/emulator"
+	"fawnplank/internal/lab/results"
+	"fawnplank/internal/lab/testbed"
+)
+
+const (
+	// defaultStay is enough to try something by hand.
+	defaultStay = 10 * time.Minute
+	// maxStay bounds stand-ins that were forgotten.
+	maxStay = time.Hour
+)
+
+// standInsFlags are the flags of "stand-ins".
+type standInsFlags struct {
+	scenario scenarioFlags
+	folder   string
+	stay     time.Duration
+}
+
+func standInsCommand() *cobra.Command {
+	var flags standInsFlags
+	command := &cobra.Command{
+		Use:   "stand-ins SCENARIO --dir FOLDER",
+		Short: "Run a scenario's backends, counter and discovery alone, for gateways started by hand",
+		Long: `Starts the scenario's stand-ins on loopback, writes a configuration for each of its gateways into
+the folder, and prints how to start them. Its faults come at their times from then on. Ends by itself after
+--stay, or at SIGTERM.`,
+		Args:    cobra.ExactArgs(1),
+		Example: "  fawnplank lab stand-ins lab/scenarios/one-hangs.toml --dir try --stay 10m",
+		RunE:    func(command *cobra.Command, args []string) error { return flags.run(command, args[0]) },
+	}
+	flags.scenario.register(command)
+	command.Flags().StringVar(&flags.folder, "dir", "", "folder for the gateways' configurations")
+	command.Flags().DurationVar(&flags.stay, "stay", defaultStay, "for how long, at most 1h")
+	requireFlag(command, "dir")
+	return command
+}
+
+func (f *standInsFlags) run(command *cobra.Command, path string) error {
+	s, err := f.scenario.load(path)
+	if err != nil {
+		return err
+	}
+	settings, err := s.EngineSettings(0)
+	if err != nil {
+		return err
+	}
+	if f.stay <= 0 || f.stay > maxStay {
+		return fmt.Errorf("--stay %v is not above 0 and at most 1h", f.stay)
+	}
+	if err := os.MkdirAll(f.folder, 0o755); err != nil {
+		return err
+	}
+	log := results.NewLog(results.New(s, settings, testbed.SlackNanos))
+	standIns, err := emulator.Start(s, log)
+	if err != nil {
+		return err
+	}
+	defer standIns.Close()
+	var addresses []string
+	for index := range s.Instances.Count {
+		address, err := f.configure(command, standIns, index)
+		if err != nil {
+			return err
+		}
+		addresses = append(addresses, address)
+	}
+	printf(command, "fawnplank lab load %s --to %s\n", path, strings.Join(addresses, ","))
+	log.Begin()
+	standIns.PlayFaults()
+	f.wait(command.Context())
+	return nil
+}
+
+// configure writes the configuration of a gateway, prints how to start it, and returns the address it will
+// listen at.
+func (f *standInsFlags) configure(
+	command *cobra.Command, standIns *emulator.Emulator, index int,
+) (string, error) {
+	address, err := testbed.FreeAddress(command.Context())
+	if err != nil {
+		return "", err
+	}
+	configuration, err := standIns.InstanceConfig(index, address)
+	if err != nil {
+		return "", err
+	}
+	path := filepath.Join(f.folder, fmt.Sprintf("d%d.json", index))
+	if err := os.WriteFile(path, configuration, 0o644); err != nil {
+		return "", err
+	}
+	printf(command, "fawnplank serve -c %s\n", path)
+	return address, nil
+}
+
+// wait waits for the end of the stay, or of ctx.
+func (f *standInsFlags) wait(ctx context.Context) {
+	select {
+	case <-ctx.Done():
+	case <-time.After(f.stay):
+	}
+}
--- /dev/null
+++ b/cmd/fawnplank-lab/command_sweep.go
@@ -0,0 +1,96 @@
+package main
+
+import (
+	"fmt"
+	"strings"
+
+	"github.com/spf13/cobra"
+	"golang.org/x/sync/errgroup"
+
+	"fawnplank/internal/lab/model"
+	"fawnplank/internal/lab/plots"
+	"fawnplank/internal/lab/results"
+	"fawnplank/internal/lab/scenario"
+)
+
+// defaultParallelRuns leaves half of an eight-core machine to others.
+const defaultParallelRuns = 4
+
+// sweepFlags are the flags of "sweep".
+type sweepFlags struct {
+	scenario     scenarioFlags
+	pictureFile  string
+	parallelRuns int
+}
+
+func sweepCommand() *cobra.Command {
+	var flags sweepFlags
+	command := &cobra.Command{
+		Use:   "sweep SCENARIO KEY=VALUE,VALUE,...",
+		Short: "Play a scenario on the model with several values of a key",
+		Args:  cobra.ExactArgs(2),
+		Example: "  fawnplank lab sweep lab/scenarios/counter-lost.toml " +
+			"doors.count=2,5,10,20,50 -o instances.png",
+		RunE: func(command *cobra.Command, args []string) error {
+			return flags.run(command, args[0], args[1])
+		},
+	}
+	flags.scenario.register(command)
+	command.Flags().StringVarP(&flags.pictureFile, "output", "o", "", "picture to draw, .png or .svg")
+	command.Flags().IntVar(&flags.parallelRuns, "parallel", defaultParallelRuns, "runs at once")
+	return command
+}
+
+func (f *sweepFlags) run(command *cobra.Command, path, assignment string) error {
+	key, list, ok := strings.Cut(assignment, "=")
+	if !ok || list == "" {
+		return fmt.Errorf("%q is not of the form key=value,value", assignment)
+	}
+	values := strings.Split(list, ",")
+	runs, err := f.play(path, key, values)
+	if err != nil {
+		return err
+	}
+	if f.pictureFile != "" {
+		if err := plots.Sweep(f.pictureFile, key, values, runs); err != nil {
+			return err
+		}
+	}
+	if err := plots.Table(command.OutOrStdout(), runs...); err != nil {
+		return err
+	}
+	for _, run := range runs {
+		if err := brokenRules(run.Label, run); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// play plays the scenario once for each value, in their order. All are read before the first is played, so
+// that a wrong value costs no run.
+func (f *sweepFlags) play(path, key string, values []string) ([]*results.Run, error) {
+	scenarios := make([]*scenario.Scenario, len(values))
+	for n, value := range values {
+		s, err := f.scenario.load(path, key+"="+value, "on=model")
+		if err != nil {
+			return nil, err
+		}
+		scenarios[n] = s
+	}
+	runs := make([]*results.Run, len(values))
+	var group errgroup.Group
+	group.SetLimit(f.parallelRuns)
+	for n, s := range scenarios {
+		group.Go(func() error {
+			run, err := model.Run(s)
+			if err != nil {
+				return err
+			}
+			run.Label = key + "=" + values[n]
+			runs[n] = run
+			return nil
+		})
+	}
+	return runs, group.Wait()
+}
--- /dev/null
+++ b/cmd/fawnplank-lab/command_test.go
@@ -0,0 +1,158 @@
+package main
+
+import (
+	"bytes"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+
+	"fawnplank/internal/lab/results"
+	"fawnplank/internal/lab/scenario"
+)
+
+const calmScenario = "../../lab/scenarios/calm.toml"
+
+// execute runs a command line and returns what it prints.
+func execute(t *testing.T, args ...string) (string, error) {
+	t.Helper()
+	var output bytes.Buffer
+	root := rootCommand()
+	root.SetOut(&output)
+	root.SetErr(&output)
+	root.SetArgs(args)
+	err := root.ExecuteContext(t.Context())
+	return output.String(), err
+}
+
+// TestRootCommand_KeepsNamesAndFlags compares the commands and their flags, which scripts use, with a list.
+func TestRootCommand_KeepsNamesAndFlags(t *testing.T) {
+	want := map[string]string{
+		"accounts":  "clients span",
+		"check":     "",
+		"load":      "on output seed set to",
+		"report":    "output",
+		"run":       "door label logs on output plot seed set",
+		"stand-ins": "dir on seed set stay",
+		"sweep":     "on output parallel seed set",
+		"zone":      "output sizes span updates",
+	}
+	commands := rootCommand().Commands()
+	if len(commands) != len(want) {
+		t.Errorf("%d commands, want %d", len(commands), len(want))
+	}
+	for _, command := range commands {
+		var flags []string
+		for _, line := range strings.Split(command.Flags().FlagUsages(), "\n") {
+			if _, after, ok := strings.Cut(line, "--"); ok {
+				flags = append(flags, strings.Fields(after)[0])
+			}
+		}
+		if got := strings.Join(flags, " "); got != want[command.Name()] {
+			t.Errorf("%s: flags %q, want %q", command.Name(), got, want[command.Name()])
+		}
+	}
+}
+
+// TestCheck prints a line for each scenario that is in order.
+func TestCheck(t *testing.T) {
+	output, err := execute(t, "check", calmScenario)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if !strings.HasPrefix(output, "calm: in order; sockets, ") || strings.Count(output, "\n") != 1 {
+		t.Errorf("%q", output)
+	}
+}
+
+// TestRun_OnModel plays a scenario, and writes its results and a picture.
+func TestRun_OnModel(t *testing.T) {
+	folder := t.TempDir()
+	file := filepath.Join(folder, "run.json")
+	picture := filepath.Join(folder, "run.svg")
+	output, err := execute(t, "run", calmScenario, "--on", "model", "--set", "duration=2s", "--seed", "7",
+		"--label", "trial", "-o", file, "--plot", picture)
+	if err != nil {
+		t.Fatal(err)
+	}
+	for _, text := range []string{"trial", " events in ", "seed 7"} {
+		if !strings.Contains(output, text) {
+			t.Errorf("no %q in %s", text, output)
+		}
+	}
+	run, err := results.Read(file)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if run.Label != "trial" || run.Seed != 7 || run.Total.Succeeded == 0 {
+		t.Errorf("%q, seed %d, %+v", run.Label, run.Seed, run.Total)
+	}
+	if info, err := os.Stat(picture); err != nil || info.Size() == 0 {
+		t.Errorf("no picture: %v", err)
+	}
+	if output, err := execute(t, "report", file, file); err != nil || !strings.Contains(output, "trial") {
+		t.Errorf("report: %v: %s", err, output)
+	}
+}
+
+// TestSweep plays a scenario once for each value, in their order.
+func TestSweep(t *testing.T) {
+	output, err := execute(t, "sweep", calmScenario, "doors.count=2,3,4", "--set", "duration=1s")
+	if err != nil {
+		t.Fatal(err)
+	}
+	const want = "run calm, doors.count=2 calm, doors.count=3 calm, doors.count=4"
+	titles, _, _ := strings.Cut(output, "\n")
+	if got := strings.Join(strings.Fields(titles), " "); got != want {
+		t.Errorf("%q, want %q", got, want)
+	}
+}
+
+// TestCommands_RejectWrongArguments: an error names the argument that is wrong.
+func TestCommands_RejectWrongArguments(t *testing.T) {
+	for _, test := range []struct {
+		name string
+		args []string
+		want string
+	}{
+		{"a scenario that is not there", []string{"check", "none.toml"}, "none.toml"},
+		{"load without addresses", []string{"load", calmScenario}, `"to" not set`},
+		{"load beyond loopback", []string{"load", calmScenario, "--to", "192.0.2.1:1"}, "--to 192.0.2.1:1"},
+		{"stand-ins without a folder", []string{"stand-ins", calmScenario}, `"dir" not set`},
+		{"stand-ins too long", []string{"stand-ins", calmScenario, "--dir", "d", "--stay", "2h"}, "2h"},
+		{"a sweep without values", []string{"sweep", calmScenario, "doors.count"}, `"doors.count"`},
+		{"a sweep with a wrong value", []string{"sweep", calmScenario, "doors.count=2,x"}, "doors.count"},
+		{"a zone without backends", []string{"zone", "--sizes", "0"}, "--sizes: 0"},
+		{"too many runs", []string{"report", "1", "2", "3", "4", "5"}, "between 1 and 4"},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			_, err := execute(t, test.args...)
+			if err == nil || !strings.Contains(err.Error(), test.want) {
+				t.Errorf("%v", err)
+			}
+		})
+	}
+}
+
+// TestScenarioFlags_LaterOverridesWin: --on and --seed are laid over --set and the command's own overrides.
+func TestScenarioFlags_LaterOverridesWin(t *testing.T) {
+	flags := scenarioFlags{on: "model", seed: 9, set: []string{"seed=3", "on=sockets", "doors.count=5"}}
+	s, err := flags.load(calmScenario, "doors.count=4")
+	if err != nil {
+		t.Fatal(err)
+	}
+	if s.On != scenario.OnModel || s.Seed != 9 || s.Instances.Count != 4 {
+		t.Errorf("%v, seed %d, %d instances", s.On, s.Seed, s.Instances.Count)
+	}
+}
+
+func TestIsLoopback(t *testing.T) {
+	for address, want := range map[string]bool{
+		"127.0.0.1:1": true, "127.9.0.1:1": true, "[::1]:1": true, "localhost:1": true,
+		"10.0.0.1:1": false, "[::2]:1": false, "example.org:1": false, "": false,
+	} {
+		if got := isLoopback(address); got != want {
+			t.Errorf("%q: %v", address, got)
+		}
+	}
+}
--- /dev/null
+++ b/cmd/fawnplank-lab/command_zone.go
@@ -0,0 +1,67 @@
+package main
+
+import (
+	"fmt"
+	"time"
+
+	"github.com/sirupsen/logrus"
+	"github.com/spf13/cobra"
+
+	"fawnplank/internal/lab/dnsbench"
+	"fawnplank/internal/lab/plots"
+)
+
+const (
+	// maxZoneBackends bounds the sizes of zones that are measured.
+	maxZoneBackends = 50000
+	// defaultZoneUpdates make the 99th percentile rest on ten updates.
+	defaultZoneUpdates = 1000
+	// defaultZoneDuration is how long concurrent updaters send.
+	defaultZoneDuration = 3 * time.Second
+)
+
+// zoneFlags are the flags of "zone".
+type zoneFlags struct {
+	sizes       []int
+	updates     int
+	duration    time.Duration
+	pictureFile string
+}
+
+func zoneCommand() *cobra.Command {
+	var flags zoneFlags
+	command := &cobra.Command{
+		Use:     "zone",
+		Short:   "Measure a gateway's name server: loading, updates, their number a second",
+		Args:    cobra.NoArgs,
+		Example: "  fawnplank lab zone --sizes 100,1000,10000 -o dns-cost.png",
+		RunE:    func(command *cobra.Command, _ []string) error { return flags.run(command) },
+	}
+	command.Flags().IntSliceVar(&flags.sizes, "sizes", []int{100, 1000, 10000, 30000},
+		"how many backends the zones hold")
+	command.Flags().IntVar(&flags.updates, "updates", defaultZoneUpdates, "updates one after the other")
+	command.Flags().DurationVar(&flags.duration, "span", defaultZoneDuration,
+		"time for which eight updaters send at once")
+	command.Flags().StringVarP(&flags.pictureFile, "output", "o", "", "picture to draw, .png or .svg")
+	return command
+}
+
+func (f *zoneFlags) run(command *cobra.Command) error {
+	logrus.SetLevel(logrus.ErrorLevel) // an entry an update would be measured too
+	for _, size := range f.sizes {
+		if size < 1 || size > maxZoneBackends {
+			return fmt.Errorf("--sizes: %d is not from 1 to %d", size, maxZoneBackends)
+		}
+	}
+	costs, err := dnsbench.Measure(command.Context(), f.sizes, f.updates, f.duration)
+	if err != nil {
+		return err
+	}
+	if err := plots.CostTable(command.OutOrStdout(), costs); err != nil {
+		return err
+	}
+	if f.pictureFile == "" {
+		return nil
+	}
+	return plots.Costs(f.pictureFile, costs)
+}
--- /dev/null
+++ b/cmd/fawnplank-lab/scenario_flags.go
@@ -0,0 +1,35 @@
+package main
+
+import (
+	"fmt"
+	"slices"
+
+	"github.com/spf13/cobra"
+
+	"fawnplank/internal/lab/scenario"
+)
+
+// scenarioFlags are the flags that lay values over those of a scenario.
+type scenarioFlags struct {
+	on   string
+	seed uint64
+	set  []string
+}
+
+func (f *scenarioFlags) register(command *cobra.Command) {
+	command.Flags().StringVar(&f.on, "on", "", "model or sockets, in place of the scenario's own")
+	command.Flags().Uint64Var(&f.seed, "seed", 0, "seed in place of the scenario's own")
+	command.Flags().StringArrayVar(&f.set, "set", nil, "key=value laid over the scenario, as often as wanted")
+}
+
+// load reads a scenario and lays over it, in this order, --set, the command's own overrides, --on and --seed.
+func (f *scenarioFlags) load(path string, commandOverrides ...string) (*scenario.Scenario, error) {
+	overrides := slices.Concat(f.set, commandOverrides)
+	if f.on != "" {
+		overrides = append(overrides, "on="+f.on)
+	}
+	if f.seed != 0 {
+		overrides = append(overrides, fmt.Sprintf("seed=%d", f.seed))
+	}
+	return scenario.Load(path, overrides...)
+}
--- a/internal/lab/testbed/testbed.go
+++ b/internal/lab/testbed/testbed.go
@@ -25,9 +25,9 @@
 	LogFolder string
 }
 
-// slackNanos is how late an event may be seen at the far end of a socket, on a machine that does other work
+// SlackNanos is how late an event may be seen at the far end of a socket, on a machine that does other work
 // too: the platform's own allowance for sockets.
-const slackNanos = int64(50e6)
+const SlackNanos = int64(50e6)
 
 // startTimeout is how long the gateways have, one after the other, to answer their first command: far above
 // what a start takes, also on a loaded machine.
@@ -52,7 +52,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("testbed: scenario %s: %w", s.Name, err)
 	}
-	t := &testbed{scenario: s, options: options, log: results.NewLog(results.New(s, settings, slackNanos))}
+	t := &testbed{scenario: s, options: options, log: results.NewLog(results.New(s, settings, SlackNanos))}
 	defer t.close()
 	if err := t.makeFolders(); err != nil {
 		return nil, err
