--- a/internal/lab/testbed/operator_file.go
+++ b/internal/lab/testbed/operator_file.go
@@ -50,7 +50,7 @@
 	if err := os.WriteFile(zoneFile, []byte(t.emulator.ZoneFile()), 0o600); err != nil {
 		return "", err
 	}
-	secret := fmt.Appendf(nil, "secret of the laboratory, door %4d", index)
+	secret := fmt.Appendf(nil, "secret of the laboratory, gateway %4d", index)
 	if err := os.WriteFile(keyFile, []byte(base64.StdEncoding.EncodeToString(secret)), 0o600); err != nil {
 		return "", err
 	}
