--- a/cmd/fawnplank/command_check.go
+++ b/cmd/fawnplank/command_check.go
@@ -28,7 +28,7 @@
 }
 
 func checkOperatorFile(path string) error {
-	operator, err := config.ReadOperator(path)
+	operator, err := readOperator(path, "name an existing file behind check")
 	if err != nil {
 		return err
 	}
--- a/cmd/fawnplank/command_dns.go
+++ b/cmd/fawnplank/command_dns.go
@@ -11,7 +11,6 @@
 	"github.com/miekg/dns"
 	"github.com/spf13/cobra"
 
-	"fawnplank/internal/config"
 	"fawnplank/internal/dnsserver"
 	"fawnplank/internal/dnszone"
 )
@@ -51,7 +50,7 @@
 
 // listZone writes the zone of an operator file as journal and zone file have it, or as a replica has it.
 func listZone(out io.Writer, operatorPath string, client *storeClient) error {
-	operator, err := config.ReadOperator(operatorPath)
+	operator, err := readOperator(operatorPath, "name an existing file with --operator or GW_OPERATOR")
 	if err != nil {
 		return err
 	}
--- a/cmd/fawnplank/command_test.go
+++ b/cmd/fawnplank/command_test.go
@@ -60,6 +60,9 @@
 		{args: "billing room 0000000000000005 team --at " + nobody,
 			want: []string{"no gateway serves limit commands at " + nobody, "--at", "limits.listen"}},
 		{args: "billing room 0000000000000005 team --key ops", want: []string{"--secret-file"}},
+		{args: "check -c absent.json", want: []string{"absent.json", "--config", "GW_CONFIG"}},
+		{args: "check absent.toml", want: []string{"absent.toml", "name an existing file"}},
+		{args: "dns list --operator absent.toml", want: []string{"absent.toml", "--operator", "GW_OPERATOR"}},
 		{args: "dns list --operator " + operator, want: []string{"names no zone", "dns.zone_file", "--operator"}},
 	} {
 		out, err := runProgram(t, strings.Fields(test.args)...)
--- a/cmd/fawnplank/configuration.go
+++ b/cmd/fawnplank/configuration.go
@@ -1,6 +1,10 @@
 package main
 
 import (
+	"errors"
+	"fmt"
+	"io/fs"
+
 	"fawnplank/internal/config"
 	"fawnplank/internal/discovery"
 )
@@ -10,16 +14,30 @@
 func loadConfiguration(path, operatorPath string,
 	overlay config.Overlay) (*config.Config, *config.Operator, error) {
 	configuration, err := config.Read(path, overlay)
+	if errors.Is(err, fs.ErrNotExist) {
+		return nil, nil, fmt.Errorf("%w; name an existing file with --config or GW_CONFIG", err)
+	}
 	if err != nil {
 		return nil, nil, err
 	}
 	if err := discovery.Check(configuration.KnownEndpoints); err != nil {
 		return nil, nil, err
 	}
-	operator, err := config.ReadOperator(operatorPath)
+	operator, err := readOperator(operatorPath, "name an existing file with --operator or GW_OPERATOR")
 	if err != nil {
 		return nil, nil, err
 	}
 	configuration.AddLimitClass(operator)
 	return configuration, operator, nil
 }
+
+// readOperator reads the operator file. Where it does not exist the error ends with the remedy. A file that it
+// names and that does not exist is an error about its key.
+func readOperator(path, remedy string) (*config.Operator, error) {
+	operator, err := config.ReadOperator(path)
+	var failed *fs.PathError
+	if errors.As(err, &failed) && failed.Path == path && errors.Is(err, fs.ErrNotExist) {
+		return nil, fmt.Errorf("%w; %s", err, remedy)
+	}
+	return operator, err
+}
