--- a/cmd/fawnplank/limits_client.go
+++ b/cmd/fawnplank/limits_client.go
@@ -21,7 +21,8 @@
 
 const (
 	limitsConnectTimeout = 5 * time.Second
-	// limitsCallTimeout bounds authentication and command together. A command that writes to the store waits there.
+	// limitsCallTimeout bounds authentication and command together. A command that writes to the store waits
+	// there.
 	limitsCallTimeout = 15 * time.Second
 	// maxBulkBytes and maxArrayLength bound what an answer may claim, before memory is allocated for it.
 	maxBulkBytes   = 1 << 20
--- a/cmd/fawnplank/shutdown.go
+++ b/cmd/fawnplank/shutdown.go
@@ -10,12 +10,13 @@
 )
 
 const (
-	// arrivalGrace is how long connections are accepted after the signal: new ones may still come up to 0.4 s later.
+	// arrivalGrace is how long connections are accepted after the signal: new ones may still come up to 0.4 s
+	// later.
 	arrivalGrace = 450 * time.Millisecond
 	// acceptGrace is how long a connection that the kernel has accepted by then may wait to be accepted here.
 	acceptGrace = 20 * time.Millisecond
-	// listenerGrace is the time from the start of acceptGrace to closing the listener. It is longer, so that the last
-	// connection accepted is with the server by then.
+	// listenerGrace is the time from the start of acceptGrace to closing the listener. It is longer, so that the
+	// last connection accepted is with the server by then.
 	listenerGrace = 30 * time.Millisecond
 	// drainPoll is the time between two looks at the open connections.
 	drainPoll = 10 * time.Millisecond
--- a/cmd/fawnplank/store_client.go
+++ b/cmd/fawnplank/store_client.go
@@ -16,8 +16,8 @@
 	"fawnplank/internal/tlsconfig"
 )
 
-// storeCallTimeout bounds a call to a replica. It is well above the five seconds that a write may wait there for an
-// election.
+// storeCallTimeout bounds a call to a replica. It is well above the five seconds that a write may wait there
+// for an election.
 const storeCallTimeout = 15 * time.Second
 
 // storeClient calls the API of one replica. Each call opens a connection of its own, with the certificate as
--- a/internal/lab/testca/testca.go
+++ b/internal/lab/testca/testca.go
@@ -20,7 +20,8 @@
 )
 
 const (
-	// backdating is how long before its signing a certificate is valid, so that one whose clock is behind accepts it.
+	// backdating is how long before its signing a certificate is valid, so that one whose clock is behind
+	// accepts it.
 	backdating = time.Hour
 
 	// authorityValidity is that of the authority's own certificate.
--- a/internal/testutil/fixture.go
+++ b/internal/testutil/fixture.go
@@ -17,11 +17,11 @@
 
 var updateFixtures = flag.Bool("update-fixtures", false, "write the fixtures under testdata that are missing; one that is there is never replaced")
 
-// Fixture gives a path in a folder of the test's own with a copy of testdata/v0/NAME, so that a test may write to it.
-// A name that ends in .tar.gz stands for a folder.
+// Fixture gives a path in a folder of the test's own with a copy of testdata/v0/NAME, so that a test may
+// write to it. A name that ends in .tar.gz stands for a folder.
 //
-// With -update-fixtures a fixture that is not there is written first, by write. One that is there stays: it proves
-// what the version before wrote, and this version's bytes prove nothing about that one.
+// With -update-fixtures a fixture that is not there is written first, by write. One that is there stays: it
+// proves what the version before wrote, and this version's bytes prove nothing about that one.
 func Fixture(tb testing.TB, name string, write func(path string)) string {
 	tb.Helper()
 	fixture, err := filepath.Abs(filepath.Join("testdata", "v0", name)) // write may change the directory
--- a/internal/testutil/network.go
+++ b/internal/testutil/network.go
@@ -8,7 +8,8 @@
 	"github.com/tidwall/redcon"
 )
 
-// eventuallyTimeout is how long Eventually waits. It bounds a test that fails; one that passes never reaches it.
+// eventuallyTimeout is how long Eventually waits. It bounds a test that fails; one that passes never reaches
+// it.
 const eventuallyTimeout = 20 * time.Second
 
 // Eventually polls condition until it holds and fails the test, naming what was waited for, if it never does.
@@ -35,8 +36,8 @@
 	return listener
 }
 
-// FreeAddress returns a loopback address that nothing listens at. It is free when the call returns; a program under
-// test that listens there a moment later can, rarely, find it taken.
+// FreeAddress returns a loopback address that nothing listens at. It is free when the call returns; a program
+// under test that listens there a moment later can, rarely, find it taken.
 func FreeAddress(tb testing.TB) string {
 	tb.Helper()
 	listener := Listen(tb)
@@ -47,8 +48,8 @@
 	return address
 }
 
-// ServeCommands is a stand-in backend: it calls handle with the connection of each whole RESP command that arrives, and
-// returns the address it listens at. It ends with the test.
+// ServeCommands is a stand-in backend: it calls handle with the connection of each whole RESP command that
+// arrives, and returns the address it listens at. It ends with the test.
 func ServeCommands(tb testing.TB, handle func(conn net.Conn)) net.Addr {
 	tb.Helper()
 	listener := Listen(tb)
--- a/internal/testutil/tags.go
+++ b/internal/testutil/tags.go
@@ -6,9 +6,9 @@
 	"testing"
 )
 
-// CheckTags reports each exported field without a name in its json tag, in the types of the values and in all that they
-// hold: its stored name would be that of the Go field, and change with it. Embedded structs, whose fields stand among
-// those around them, have no name of their own.
+// CheckTags reports each exported field without a name in its json tag, in the types of the values and in all
+// that they hold: its stored name would be that of the Go field, and change with it. Embedded structs, whose
+// fields stand among those around them, have no name of their own.
 func CheckTags(tb testing.TB, values ...any) {
 	tb.Helper()
 	seen := map[reflect.Type]bool{}
--- a/internal/tomlfile/tomlfile.go
+++ b/internal/tomlfile/tomlfile.go
@@ -143,8 +143,8 @@
 // Has reports whether the key stands in the text.
 func (f *File) Has(key string) bool { return f.lines[key] > 0 }
 
-// KeyErrorf returns an error about a key, a *KeyError within a *PositionError: with the key's line, or that of
-// the nearest table around it. The format says the problem.
+// KeyErrorf returns an error about a key, a *KeyError within a *PositionError: with the key's line, or that
+// of the nearest table around it. The format says the problem.
 func (f *File) KeyErrorf(key, format string, args ...any) error {
 	at := key
 	for f.lines[at] == 0 {
