--- /dev/null
+++ b/policy/golden_instance_test.go
@@ -0,0 +1,367 @@
+package policy_test
+
+import (
+	"math"
+
+	"fawnplank/policy"
+)
+
+// This file models one instance of a golden day: it carries out the effects of its engine and hashes them.
+
+// goldenInstance is one instance: its decisions, and their effects.
+type goldenInstance struct {
+	world       *goldenWorld
+	number      int
+	incarnation int
+	engine      *policy.Engine
+	open        map[policy.RequestID]*goldenRequest
+	calls       map[policy.CounterKey][]*goldenCall
+}
+
+type goldenRequest struct {
+	in          *goldenInstance
+	id          policy.RequestID
+	handle      *policy.Request
+	incarnation int
+	limit       int64
+	class       int
+	units       float64
+	ended       bool
+	streams     bool
+	attempts    []*goldenAttempt
+}
+
+type goldenAttempt struct {
+	request          *goldenRequest
+	number           int
+	to               *goldenBackend
+	sent             int64
+	started, settled bool
+}
+
+type goldenCall struct {
+	outcome policy.Outcome
+	total   float64
+	done    bool
+}
+
+func (in *goldenInstance) settings() policy.Settings {
+	settings := in.world.settings
+	settings.InstanceIndex, settings.Zone = in.number, policy.ZoneID(in.number%2)
+	return settings
+}
+
+func (in *goldenInstance) start(exported *policy.WarmStartState, age int64) {
+	w := in.world
+	in.incarnation++
+	in.open, in.calls = map[policy.RequestID]*goldenRequest{}, map[policy.CounterKey][]*goldenCall{}
+	w.write(codeRestart, in.number, uint64(in.incarnation))
+	in.engine = policy.New(w.now, w.chance.Uint64(), in.settings(), in)
+	if !w.settings.PollEndpoints {
+		in.list(policy.FullSnapshot)
+	}
+	if exported != nil {
+		in.engine.ImportState(w.now, *exported, age)
+	}
+}
+
+func (in *goldenInstance) stop() {
+	in.incarnation++
+	in.engine = nil
+}
+
+// later does something unless the instance has been stopped by then.
+func (in *goldenInstance) later(wait int64, what func()) {
+	incarnation := in.incarnation
+	in.world.after(wait, func() {
+		if in.incarnation == incarnation {
+			what()
+		}
+	})
+}
+
+func (in *goldenInstance) list(how policy.UpdateKind) {
+	var endpoints []policy.Endpoint
+	for _, b := range in.world.backends {
+		endpoints = append(endpoints, b.endpoint())
+	}
+	in.engine.UpdateEndpoints(in.world.now, how, endpoints)
+}
+
+func (in *goldenInstance) submit(class, plan, tenant int, remaining int64, units float64, first int) {
+	w := in.world
+	w.nextID++
+	r := &goldenRequest{in: in, id: policy.RequestID(w.nextID), incarnation: in.incarnation, limit: w.now + remaining,
+		class: class, units: units, streams: w.likely(w.day.stream)}
+	in.open[r.id] = r
+	r.handle = in.engine.Submit(w.now, policy.RequestSpec{
+		ID: r.id, Class: policy.ClassID(class), Plan: policy.PlanID(plan), Tenant: policy.TenantID(tenant),
+		Remaining: remaining, Units: units, EntryPoints: w.day.entries, FirstInstance: first,
+	})
+	if w.likely(w.day.leave) {
+		stays := w.about(200 * goldenMillisecond)
+		if w.likely(0.3) { // nearly to the end
+			stays = max(remaining-w.about(20*goldenMillisecond), 0)
+		}
+		in.later(stays, func() {
+			if !r.ended {
+				r.ended = true
+				r.handle.HandleClientGone(w.now)
+				r.finished()
+			}
+		})
+	}
+}
+
+// finished hashes whether anything more is to come.
+func (r *goldenRequest) finished() {
+	r.in.world.write(codeFinished, r.in.number, uint64(r.id), bit(r.handle.Done()))
+}
+
+func (in *goldenInstance) observe() {
+	w, g := in.world, in.engine
+	open, part := g.BreakerStatus()
+	w.write(codeBreaker, in.number, bit(open), float(part))
+	o := g.CounterStats()
+	// The sums run over a map, so that their last bits differ from run to run. The offset keeps the sums of
+	// round numbers away from the bounds between two steps.
+	round := func(x float64) uint64 { return uint64(int64(math.Floor(x*1000 + 0.31731))) }
+	w.write(codeCounterStats, in.number, bit(o.BreakerOpen), float(o.CallShare), round(o.UnreportedUnits), round(o.LostUnits),
+		round(o.ReconciledUnits), round(o.DriftUnits), uint64(o.Tenants))
+	for tenant := range w.day.tenants {
+		plan := tenant % (len(w.settings.Plans) + 1)
+		if tenant%3 > 0 {
+			plan = tenant % len(w.settings.Plans)
+		}
+		q, ok := g.QuotaStatus(w.now, policy.TenantID(tenant), policy.PlanID(plan), w.day.entries)
+		w.write(codeQuota, in.number, bit(ok), float(q.Limit), float(q.Rate),
+			float(q.Used), bit(q.FromCounter), float(q.HardQuotaLeft))
+	}
+	l := g.ExportState()
+	fields := []uint64{float(l.BaselineLatency), float(l.Samples)}
+	for _, b := range l.Backends {
+		fields = append(fields, uint64(b.Backend), uint64(b.StartedAt), float(b.BaselineLatency), float(b.Samples))
+	}
+	w.write(codeExport, in.number, fields...)
+	d := in.settings().DiscoveryTimeouts()
+	w.write(codeTimeouts, in.number, uint64(d.Watch), uint64(d.Lateness), uint64(d.Snapshot), uint64(d.RetryDelay))
+}
+
+func (in *goldenInstance) Send(id policy.RequestID, b policy.BackendID, expireAt, beginBefore int64) {
+	w := in.world
+	w.effect(codeSend, in.number, uint64(id), uint64(b), uint64(expireAt), uint64(beginBefore))
+	r := in.open[id]
+	a := &goldenAttempt{request: r, number: len(r.attempts), sent: w.now, to: &goldenBackend{refuses: 1}}
+	for _, x := range w.backends {
+		if x.id == uint32(b) {
+			a.to = x
+		}
+	}
+	r.attempts = append(r.attempts, a)
+	until := r.limit
+	if expireAt > 0 {
+		until = min(until, expireAt)
+	}
+	in.later(until-w.now, func() {
+		if !a.started {
+			a.settle(policy.TimedOut, 0)
+		}
+	})
+	a.run()
+}
+
+// run decides how the backend deals with an attempt, and when.
+//
+//nolint:gocognit // of this pinned file only names may change
+func (a *goldenAttempt) run() {
+	r, b, w := a.request, a.to, a.request.in.world
+	outcome, took := policy.Succeeded, int64(0)
+	switch {
+	case b.unstarted > 0 && w.likely(0.3):
+		outcome = policy.NotSent
+	case b.refuses > 0:
+		outcome = policy.ConnectFailed
+	case b.full > 0 || b.working >= 8:
+		outcome = policy.Rejected
+	case b.hangs > 0:
+		return
+	default:
+		took = w.day.service/2 + w.about(w.day.service/2)
+		took = int64(float64(took) * (0.5 + r.units/2) * (1 + float64(b.working)/4) / b.size)
+		if w.day.workByUnits {
+			took = int64(float64(w.day.service) * r.units * (0.95 + w.chance.Float64()/10))
+		}
+		if b.slow > 0 {
+			took *= 12
+		}
+		if warmUp := w.settings.SlowStartDuration; b.started > 0 && w.now-b.started < warmUp {
+			took += 3 * took * (warmUp - (w.now - b.started)) / warmUp
+		}
+		if b.resets > 0 || w.likely(0.003) {
+			outcome, took = policy.ConnectionLost, took/3
+		} else if b.errs > 0 || w.likely(0.005) {
+			outcome = policy.Failed
+		}
+		b.working++
+		w.after(took, func() { b.working-- })
+	}
+	if r.streams && outcome == policy.Succeeded {
+		r.in.later(took/2, func() {
+			if !a.settled && !r.ended {
+				a.started = true
+				r.handle.HandleResponseStarted(w.now, policy.AttemptID(a.number))
+			}
+		})
+	}
+	units := r.units * []float64{0.5, 1, 2}[w.below(3)]
+	r.in.later(took+w.about(goldenMillisecond), func() { a.settle(outcome, units) })
+}
+
+// settle reports to the instance how an attempt ended, once.
+func (a *goldenAttempt) settle(o policy.Outcome, units float64) {
+	r, w := a.request, a.request.in.world
+	if a.settled {
+		return
+	}
+	a.settled = true
+	if o == policy.Succeeded || a.started {
+		r.ended = true
+	}
+	result := policy.AttemptResult{Attempt: policy.AttemptID(a.number), Outcome: o, Elapsed: w.now - a.sent,
+		RequestDone: r.ended, TrueUnits: units}
+	r.handle.HandleAttemptResult(w.now, result)
+	r.finished()
+	if w.likely(0.01) { // twice, and one that was never sent
+		r.handle.HandleAttemptResult(w.now, result)
+		result.Attempt = 200
+		r.handle.HandleAttemptResult(w.now, result)
+	}
+}
+
+func (in *goldenInstance) Cancel(id policy.RequestID, n policy.AttemptID) {
+	in.world.effect(codeCancel, in.number, uint64(id), uint64(n))
+	a := in.open[id].attempts[n]
+	in.later(goldenMillisecond/4, func() { a.settle(policy.Canceled, 0) })
+}
+
+func (in *goldenInstance) Reject(id policy.RequestID, retryAfter int64) {
+	in.world.effect(codeReject, in.number, uint64(id), uint64(retryAfter))
+	in.open[id].ended = true
+}
+
+func (in *goldenInstance) Abort(id policy.RequestID) {
+	in.world.effect(codeAbort, in.number, uint64(id))
+	in.open[id].ended = true
+}
+
+func (in *goldenInstance) Admit(id policy.RequestID) {
+	in.world.effect(codeAdmit, in.number, uint64(id))
+	in.open[id].ended = true
+}
+
+func (in *goldenInstance) WakeAt(at int64, timer uint64) {
+	w := in.world
+	w.effect(codeTimer, in.number, uint64(at), timer)
+	early := int64(0)
+	if timer > 0 && w.likely(0.02) { // a coarse clock wakes a little early
+		early = goldenMillisecond / 10
+	}
+	in.later(at-w.now-early, func() { in.engine.HandleTimer(w.now, timer) })
+}
+
+func (in *goldenInstance) CheckHealth(b policy.BackendID) {
+	w := in.world
+	w.effect(codeCheckHealth, in.number, uint64(b))
+	if w.likely(0.2) {
+		return // its answer is lost
+	}
+	in.later(2*goldenMillisecond+w.about(goldenMillisecond), func() {
+		outcome := policy.ConnectFailed
+		for _, x := range w.backends {
+			if x.id == uint32(b) && x.refuses == 0 && x.hangs == 0 {
+				outcome = policy.Succeeded
+			}
+		}
+		in.engine.HandleHealthCheck(w.now, b, outcome)
+	})
+}
+
+func (in *goldenInstance) WatchEndpoints() {
+	w := in.world
+	w.effect(codeWatch, in.number)
+	in.later(5*goldenMillisecond+w.about(10*goldenMillisecond), func() {
+		switch {
+		case w.listDown > 0 && w.likely(0.1):
+			in.list(policy.CachedSnapshot)
+		case w.listDown > 0:
+			in.engine.UpdateEndpoints(w.now, policy.UpdateFailed, nil)
+		default:
+			in.list(policy.FullSnapshot)
+			if w.day.faults.list { // the watch breaks at times
+				in.later(w.about(4*goldenSecond), func() { in.engine.UpdateEndpoints(w.now, policy.UpdateFailed, nil) })
+			}
+		}
+	})
+}
+
+func (in *goldenInstance) Log(text string) {
+	fields := []uint64{uint64(len(text))}
+	for _, b := range []byte(text) {
+		fields = append(fields, uint64(b))
+	}
+	in.world.effect(codeLog, in.number, fields...)
+}
+
+func (in *goldenInstance) AddToCounter(name policy.CounterKey, units float64, lifetime int64) {
+	w, c := in.world, &in.world.counter
+	w.effect(codeAddToCounter, in.number, uint64(name), float(units), uint64(lifetime))
+	call := &goldenCall{}
+	in.calls[name] = append(in.calls[name], call)
+	add := func() float64 {
+		if c.until[name] <= w.now {
+			c.totals[name], c.until[name] = 0, w.now+lifetime
+		}
+		c.totals[name] = float64(float32(c.totals[name] + units)) // the counter reports seven digits
+		return c.totals[name]
+	}
+	way := goldenMillisecond/2 + w.about(goldenMillisecond/2)
+	in.later(w.settings.CounterTimeout, func() { in.answer(name, call, policy.TimedOut, 0) })
+	switch {
+	case c.refuses > 0:
+		in.later(way, func() { in.answer(name, call, policy.ConnectFailed, 0) })
+	case c.hangs > 0 && w.likely(0.5):
+	case c.hangs > 0:
+		w.after(2*w.settings.CounterTimeout, func() { add() }) // added too late
+	case c.rejects > 0 && w.likely(0.4):
+		in.later(way, func() { in.answer(name, call, policy.Rejected, 0) })
+	case c.breaks > 0 && w.likely(0.5):
+		w.after(way, func() { add() })
+		in.later(2*way, func() { in.answer(name, call, policy.ConnectionLost, 0) })
+	default:
+		if c.slow > 0 {
+			way += w.about(40 * goldenMillisecond)
+		}
+		w.after(way, func() {
+			total := add()
+			in.later(way, func() { in.answer(name, call, policy.Succeeded, total) })
+		})
+	}
+}
+
+// answer brings the answers for a name in the order of the calls.
+func (in *goldenInstance) answer(name policy.CounterKey, call *goldenCall, o policy.Outcome, total float64) {
+	if call.done || in.engine == nil {
+		return
+	}
+	call.done, call.outcome, call.total = true, o, total
+	for len(in.calls[name]) > 0 && in.calls[name][0].done {
+		first := in.calls[name][0]
+		if in.calls[name] = in.calls[name][1:]; len(in.calls[name]) == 0 {
+			delete(in.calls, name)
+		}
+		in.engine.HandleCounterResult(in.world.now, first.outcome, name, first.total)
+	}
+	if in.world.likely(0.002) { // an answer to no call
+		in.engine.HandleCounterResult(in.world.now, o, name+1, total)
+	}
+}
