--- a/internal/dispatch/attempt.go
+++ b/internal/dispatch/attempt.go
@@ -7,27 +7,28 @@
 	"fawnplank/policy"
 )
 
-// AttemptConn is the connection that an attempt is written to. Abandon gives the attempt up, and does nothing
-// if the connection has gone on to another. It reports whether the attempt's result will be reported all the
-// same, at once: of one that is just being written, only the writer learns whether it got out whole.
+// AttemptConn is the connection that an attempt is written to. Abandon gives up the attempt; it does nothing
+// if the connection already carries another attempt. Abandon returns true if the writer will still report the
+// attempt's result, at once: while an attempt is being written, only its writer learns whether it was written
+// completely.
 //
-// Abandon is called with the dispatcher's lock held and may take the connection's: Begin, which the
-// connection calls with its own lock held, therefore never takes the dispatcher's.
+// Abandon is called with the dispatcher's lock held and may take the connection's lock. The connection calls
+// Begin with its own lock held, so Begin never takes the dispatcher's lock.
 type AttemptConn interface {
 	Abandon(attempt *Attempt) (reports bool)
 }
 
-// attemptState is where an attempt is in its life:
+// attemptState is the stage of an attempt's life cycle:
 //
 //	waiting   -> started    Begin: its first byte is about to be written
 //	waiting   -> canceled   not to be written: canceled, too late to start, or its request is finished
 //	started   -> abandoned  given up in the middle of writing: its writer still reports
 //	any other -> settled    the engine has been given its outcome; final
 //
-// Begin alone changes the state without the dispatcher's lock. Begin and cancellation therefore leave waiting
-// by compare-and-swap, so that an attempt is either written or canceled, and never both. Straight from
-// waiting to settled goes only an attempt that never got a connection, which is reported by the caller of
-// Begin itself.
+// Only Begin changes the state without the dispatcher's lock. Begin and cancellation therefore leave the
+// waiting state by compare-and-swap, so that an attempt is either written or canceled, but never both. Only
+// an attempt that never got a connection goes directly from waiting to settled; the caller of Begin reports
+// it.
 type attemptState uint32
 
 const (
@@ -60,28 +61,29 @@
 func (s *atomicAttemptState) load() attemptState       { return attemptState(s.value.Load()) }
 func (s *atomicAttemptState) store(state attemptState) { s.value.Store(uint32(state)) }
 
-// leaveWaiting goes from waiting to another state, and reports whether it was waiting.
+// leaveWaiting changes the state from waiting to the given state. It reports whether the state was waiting.
 func (s *atomicAttemptState) leaveWaiting(state attemptState) bool {
 	return s.value.CompareAndSwap(uint32(attemptWaiting), uint32(state))
 }
 
-// Attempt is one sending of a request to a backend.
+// Attempt is one transmission of a request to a backend.
 type Attempt struct {
 	Backend policy.BackendID
 
 	request          *Request
 	id               policy.AttemptID
 	createdNanos     int64
-	deadlineNanos    int64 // its result is waited for until then
-	startBeforeNanos int64 // it must have started before
+	deadlineNanos    int64 // the dispatcher waits for the result until then
+	startBeforeNanos int64 // the attempt may not start at or after this time
 	state            atomicAttemptState
 	conn             AttemptConn // set by Begin, and valid once the attempt has started
-	// abandonedAs is the outcome of an abandoned attempt that got out whole. The dispatcher's lock guards it.
+	// abandonedAs is the outcome of an abandoned attempt that was written completely. It is guarded by the
+	// dispatcher's lock.
 	abandonedAs policy.Outcome
 }
 
-// Begin says that the attempt's first byte is about to be written to conn. Where it returns false the attempt
-// has been canceled, or may not start any more, and nothing may be written.
+// Begin records that the attempt's first byte is about to be written to conn. If it returns false, the
+// attempt has been canceled or is too late to start, and the caller must not write anything.
 func (a *Attempt) Begin(conn AttemptConn) bool {
 	if a.request.dispatcher.now() >= a.startBeforeNanos { // the timer that cancels it may be late
 		return false
@@ -93,14 +95,15 @@
 // Class returns the class of the attempt's request.
 func (a *Attempt) Class() policy.ClassID { return a.request.class }
 
-// Remaining returns for how long the attempt's result is still waited for.
+// Remaining returns how much longer the dispatcher waits for the attempt's result.
 func (a *Attempt) Remaining() time.Duration {
 	return time.Duration(a.deadlineNanos - a.request.dispatcher.now())
 }
 
-// cancel ends the attempt with an outcome. One that has not started ends as ConnectFailed instead; one that
-// is just being written ends so only if it gets out whole, which its writer reports. The engine is given the
-// outcome when the present call into it has returned. The dispatcher's lock is held.
+// cancel ends the attempt with the given outcome. An attempt that has not started ends as ConnectFailed
+// instead. An attempt that is being written ends with the given outcome only if it is written completely,
+// which its writer reports. The engine gets the outcome after the current call into it has returned. The
+// caller holds the dispatcher's lock.
 func (a *Attempt) cancel(outcome policy.Outcome) {
 	switch a.state.load() {
 	case attemptCanceled, attemptAbandoned, attemptSettled:
@@ -119,8 +122,8 @@
 	d.noteEnded(a, outcome)
 }
 
-// Report says how the attempt ended: with a response, which the dispatcher keeps, or an error. actualUnits
-// are those that the request really cost, where the backend says so, or else 0.
+// Report tells the dispatcher how the attempt ended: with a response, which the dispatcher keeps, or with an
+// error. actualUnits is what the request actually cost if the backend says so, otherwise 0.
 func (a *Attempt) Report(response []byte, actualUnits float64, err error) {
 	a.request.dispatcher.do(func(int64) {
 		if a.state.load() == attemptSettled {
@@ -137,7 +140,8 @@
 	})
 }
 
-// settle gives the engine the attempt's outcome; only the first counts. The dispatcher's lock is held.
+// settle passes the attempt's outcome to the engine. Only the first call has an effect. The caller holds the
+// dispatcher's lock.
 func (a *Attempt) settle(outcome policy.Outcome, actualUnits float64) {
 	if a.state.load() == attemptSettled {
 		return
--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -11,36 +11,36 @@
 )
 
 // Counter adds units to numbers that all instances share. Add must not block; it may leave the sending to
-// Flush. The results come back in HandleCounterResult.
+// Flush. The results are passed to HandleCounterResult.
 type Counter interface {
 	Add(key policy.CounterKey, units float64, lifetime time.Duration)
 	Flush()
 }
 
-// HealthChecker checks a backend and reports the result to HandleHealthCheck. It must not block.
+// HealthChecker checks a backend and passes the result to HandleHealthCheck. CheckHealth must not block.
 type HealthChecker interface {
 	CheckHealth(backend policy.BackendID)
 }
 
-// EndpointWatcher starts to watch the list of backends, which it brings to UpdateEndpoints. It must not
-// block, and is called with the dispatcher's lock held.
+// EndpointWatcher starts to watch the list of backends, which it passes to UpdateEndpoints. WatchEndpoints
+// must not block; it is called with the dispatcher's lock held.
 type EndpointWatcher interface {
 	WatchEndpoints()
 }
 
-// Config is what a dispatcher works with from Start on.
+// Config configures a dispatcher; it is passed to Start.
 type Config struct {
-	// Seed is that of the engine's random numbers.
+	// Seed is the seed of the engine's random number generator.
 	Seed     uint64
 	Settings policy.Settings
-	// Each part may be nil where the settings never ask for it: the counter without a plan that has a rate,
-	// the health checker without health checks, the endpoint watcher where no failed update is reported.
+	// Each of the following may be nil if the settings never use it: Counter if no plan has a rate,
+	// HealthChecker if health checks are off, EndpointWatcher if no failed update is ever reported.
 	Counter         Counter
 	HealthChecker   HealthChecker
 	EndpointWatcher EndpointWatcher
 }
 
-// Dispatcher is the engine of one instance with its clock, timers and requests in flight.
+// Dispatcher runs the engine of one instance, with its clock, its timers and its requests in flight.
 type Dispatcher struct {
 	startedAt      time.Time // the monotonic clock's reading at New
 	startedAtNanos int64     // the same moment as Unix time
@@ -51,7 +51,7 @@
 	healthChecker   HealthChecker
 	endpointWatcher EndpointWatcher
 
-	// mu guards the engine and all that follows, and the fields of requests and attempts.
+	// mu guards the engine and all fields below, and the fields of requests and attempts.
 	mu          sync.Mutex
 	engine      *policy.Engine
 	requests    map[policy.RequestID]*Request
@@ -59,8 +59,8 @@
 	timers      timerqueue.Queue[timer]
 	alarm       *time.Timer
 	alarmAt     int64  // when the alarm goes off; 0: not set
-	wakeMark    uint64 // of the latest wake-up that replaces those before it
-	// What the engine asked for during a call, done once it has returned.
+	wakeMark    uint64 // of the latest wake-up that replaces earlier ones
+	// What the engine requested during a call; it is carried out once that call has returned.
 	endedAttempts  []endedAttempt
 	counterCalled  bool
 	healthChecksOf []policy.BackendID
@@ -72,8 +72,8 @@
 	outcome policy.Outcome
 }
 
-// New makes a dispatcher. Start starts it: the parts that a Config names are made in between, since they
-// report to it.
+// New returns a dispatcher that Start must start. The two are separate because the parts named in Config
+// report to the dispatcher, so they are created after New and before Start.
 func New() *Dispatcher {
 	d := &Dispatcher{
 		startedAt: time.Now(),
@@ -85,7 +85,8 @@
 	return d
 }
 
-// Start makes the engine and starts the timers. It is called once; before it, only Stop may be called.
+// Start creates the engine and starts the timers. It must be called once. Before Start, only Stop may be
+// called.
 func (d *Dispatcher) Start(config Config) {
 	d.counter = config.Counter
 	d.healthChecker = config.HealthChecker
@@ -96,19 +97,20 @@
 	d.timerLoop.Go(d.runTimers)
 }
 
-// Stop ends the timers and waits for the call that they are in, if any. It is called once, and not by an
-// effect.
+// Stop stops the timers and waits until the timer call in progress, if any, has returned. It must be called
+// once, and not from an effect.
 func (d *Dispatcher) Stop() {
 	close(d.stopped)
 	d.timerLoop.Wait()
 }
 
-// now is Unix time at New plus the monotonic time since: all instances name the same quota windows, and no
-// step of the system's clock can turn time back.
+// now returns the Unix time at New plus the monotonic time elapsed since. Unix time makes all instances name
+// the same quota windows; the monotonic clock ensures that a step of the system clock never moves time
+// backwards.
 func (d *Dispatcher) now() int64 { return d.startedAtNanos + int64(time.Since(d.startedAt)) }
 
-// do makes one call into the engine under the lock and then, without it, what the engine asked of the
-// network. A panic passes on to the caller, whose connection it ends, and leaves the lock free.
+// do makes one call into the engine with the lock held, then carries out what the engine requested of the
+// network without the lock. A panic propagates to the caller, whose connection it ends; the lock is released.
 func (d *Dispatcher) do(call func(now int64)) {
 	counterCalled, healthChecksOf := d.doLocked(call)
 	if counterCalled {
@@ -119,12 +121,12 @@
 	}
 }
 
-// doLocked makes one call into the engine and reports the attempts that the call ended. It returns what is
-// left to do without the lock.
+// doLocked makes one call into the engine and reports the attempts that the call ended. It returns the work
+// that remains to be done without the lock.
 func (d *Dispatcher) doLocked(call func(now int64)) (counterCalled bool, healthChecksOf []policy.BackendID) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	defer d.setAlarm() // after a panic too, or else what is due would wait for the next call
+	defer d.setAlarm() // after a panic too: otherwise due timers would wait for the next call
 	call(d.now())
 	for len(d.endedAttempts) > 0 { // reporting one may end others
 		ended := d.endedAttempts[0]
@@ -138,21 +140,21 @@
 	return counterCalled, healthChecksOf
 }
 
-// noteEnded notes that an attempt was ended, for its outcome to be reported once the engine's call has
+// noteEnded records that an attempt ended, so that its outcome is reported once the engine's call has
 // returned: the engine must not be called while it calls an effect.
 func (d *Dispatcher) noteEnded(attempt *Attempt, outcome policy.Outcome) {
 	d.endedAttempts = append(d.endedAttempts, endedAttempt{attempt, outcome})
 }
 
-// UpdateSettings gives the engine new settings. Their classes and plans extend the old ones: ids retain their
-// meaning.
+// UpdateSettings gives the engine new settings. Their classes and plans must extend the old ones, so that ids
+// keep their meaning.
 func (d *Dispatcher) UpdateSettings(settings policy.Settings) {
 	d.do(func(int64) { d.engine.UpdateSettings(settings) })
 }
 
-// UpdateEndpoints brings the list of backends or changes to it. Attempts that wait for a connection to a
-// backend that is now known to be draining or gone are not written any more: connecting may take longer than
-// the backend stays.
+// UpdateEndpoints passes the list of backends, or changes to it, to the engine. It cancels attempts that
+// still wait for a connection to a backend now known to be draining or gone: connecting may take longer than
+// the backend stays up.
 func (d *Dispatcher) UpdateEndpoints(kind policy.UpdateKind, endpoints []policy.Endpoint) {
 	d.do(func(now int64) {
 		d.engine.UpdateEndpoints(now, kind, endpoints)
@@ -160,15 +162,15 @@
 	})
 }
 
-// cancelWaitingAttempts cancels the attempts at backends that an update takes out of use and that have not
-// started.
+// cancelWaitingAttempts cancels attempts that have not started and whose backends the update takes out of
+// use.
 func (d *Dispatcher) cancelWaitingAttempts(kind policy.UpdateKind, endpoints []policy.Endpoint) {
 	states := make(map[policy.BackendID]policy.EndpointState, len(endpoints))
 	for _, endpoint := range endpoints {
 		states[endpoint.Backend] = endpoint.State
 	}
 	isSnapshot := kind == policy.FullSnapshot || kind == policy.CachedSnapshot
-	for _, id := range slices.Sorted(maps.Keys(d.requests)) { // in a fixed order, and so the effects
+	for _, id := range slices.Sorted(maps.Keys(d.requests)) { // fixed order: so is that of the effects
 		for _, attempt := range d.requests[id].attempts {
 			state, listed := states[attempt.Backend]
 			outOfUse := listed && state != policy.EndpointReady || !listed && isSnapshot
@@ -179,18 +181,18 @@
 	}
 }
 
-// HandleCounterResult brings the result of the oldest unanswered call for the key.
+// HandleCounterResult passes the result of the oldest unanswered counter call for the key to the engine.
 func (d *Dispatcher) HandleCounterResult(key policy.CounterKey, total float64, err error) {
 	d.do(func(now int64) { d.engine.HandleCounterResult(now, outcomeOf(err), key, total) })
 }
 
-// HandleHealthCheck brings the result of a health check.
+// HandleHealthCheck passes the result of a health check to the engine.
 func (d *Dispatcher) HandleHealthCheck(backend policy.BackendID, err error) {
 	d.do(func(now int64) { d.engine.HandleHealthCheck(now, backend, outcomeOf(err)) })
 }
 
-// QuotaStatus returns what is known of a tenant's quota, whose requests come in through so many instances. It
-// counts nothing; ok is false where there is no such plan.
+// QuotaStatus returns what is known of the quota of a tenant whose requests arrive through the given number
+// of instances. It counts nothing. ok is false if there is no such plan.
 func (d *Dispatcher) QuotaStatus(
 	tenant policy.TenantID, plan policy.PlanID, entries int,
 ) (status policy.QuotaStatus, ok bool) {
@@ -212,7 +214,7 @@
 	return state
 }
 
-// ImportState hands the engine what an earlier incarnation exported so long ago.
+// ImportState gives the engine the state that an earlier process exported; age is the time since that export.
 func (d *Dispatcher) ImportState(state policy.WarmStartState, age time.Duration) {
 	d.do(func(now int64) { d.engine.ImportState(now, state, int64(age)) })
 }
--- a/internal/dispatch/doc.go
+++ b/internal/dispatch/doc.go
@@ -1,18 +1,18 @@
-// Package dispatch drives policy.Engine, which is a pure state machine, in real time: it hands requests to
-// the engine, carries out the effects that the engine asks for, and reports what came of them.
+// Package dispatch drives policy.Engine, which is a pure state machine, in real time: it passes requests to
+// the engine, carries out the effects that the engine asks for, and reports their results.
 //
-// A Dispatcher owns the lock round the engine, the clock, the timers, and the requests in flight; nothing
-// else calls the engine or sees its effects. It never decides anything itself, and it never waits for the
+// A Dispatcher owns the lock around the engine, the clock, the timers, and the requests in flight; nothing
+// else calls the engine or sees its effects. It makes no decisions of its own, and it never waits for the
 // network while it holds the lock: the Counter, the HealthChecker, the EndpointWatcher and AttemptConn must
-// not block, and what may reach the network at once (flushing the counter's calls, health checks) is done
-// after the lock is released.
+// not block, and work that may reach the network at once (flushing the counter's calls, health checks) is
+// done after the lock is released.
 //
-// The life of a request: Submit hands it to the engine. Its owner calls NextStep until a step is final. A
-// step with the action Send carries an Attempt, which its owner passes to the connections to the backends;
-// there Begin says whether it may still be written, and Report brings its result, which may lead to further
-// steps.
+// A request goes through these stages: Submit passes it to the engine. Its owner calls NextStep until a step
+// is final. A step with the action Send carries an Attempt, which the owner passes to the connections to the
+// backends. The connection calls Begin to learn whether the attempt may still be written, and Report to
+// deliver its result, which may lead to further steps.
 //
-// All exported methods of Dispatcher, Request and Attempt are safe for concurrent use, but for Start, which
-// comes first, Stop, which comes last, and NextStep and Begin, which have one caller at a time for a request
-// or an attempt.
+// All exported methods of Dispatcher, Request and Attempt are safe for concurrent use, with these exceptions:
+// Start must come first and Stop last, and NextStep and Begin allow one caller at a time per request or
+// attempt.
 package dispatch
--- a/internal/dispatch/effects.go
+++ b/internal/dispatch/effects.go
@@ -7,17 +7,17 @@
 	"fawnplank/policy"
 )
 
-// effects is the dispatcher as the engine sees it. The engine calls it within its own calls, so the
-// dispatcher's lock is held, and nothing here may block or call back. Times are Unix time in nanoseconds, as
-// in all of policy.
+// effects is the dispatcher as the engine sees it. The engine calls these methods while it handles a call
+// from the dispatcher, so the dispatcher's lock is held, and no method may block or call the engine back.
+// Times are Unix time in nanoseconds, as in all of package policy.
 type effects struct {
 	dispatcher *Dispatcher
 }
 
 var _ policy.Effects = effects{}
 
-// Send makes an attempt and hands it to the request's owner. One too many is not sent, which is
-// reported to the engine once its call has returned.
+// Send creates an attempt and passes it to the request's owner. If maxPendingAttempts attempts wait already,
+// the new one is not sent, which is reported to the engine once its call has returned.
 func (e effects) Send(id policy.RequestID, backend policy.BackendID, expiresAt, startBefore int64) {
 	d := e.dispatcher
 	request := d.requests[id]
@@ -45,7 +45,7 @@
 	request.steps <- attempt
 }
 
-// Cancel cancels an attempt, if it is still out.
+// Cancel cancels an attempt if it has not ended yet.
 func (e effects) Cancel(id policy.RequestID, number policy.AttemptID) {
 	request := e.dispatcher.requests[id]
 	if request == nil || int(number) >= len(request.attempts) {
@@ -54,12 +54,12 @@
 	request.attempts[number].cancel(policy.Canceled)
 }
 
-// Reject ends a request with a promise that nothing ran.
+// Reject ends a request and promises that nothing ran.
 func (e effects) Reject(id policy.RequestID, retryAfterNanos int64) {
 	e.dispatcher.requests[id].finish(Step{Action: Reject, RetryAfter: time.Duration(retryAfterNanos)})
 }
 
-// Abort ends a request with no promise.
+// Abort ends a request without such a promise: it may have run.
 func (e effects) Abort(id policy.RequestID) {
 	e.dispatcher.requests[id].finish(Step{Action: Abort})
 }
@@ -69,8 +69,8 @@
 	e.dispatcher.requests[id].finish(Step{Action: Admit})
 }
 
-// WakeAt sets a timer for a call of Engine.HandleTimer. A mark other than 0 makes the earlier wake-ups with a
-// mark obsolete.
+// WakeAt sets a timer for a call of Engine.HandleTimer. A mark other than 0 makes earlier wake-ups that have
+// a mark obsolete.
 func (e effects) WakeAt(at int64, mark uint64) {
 	if mark != 0 {
 		e.dispatcher.wakeMark = mark
@@ -78,13 +78,13 @@
 	e.dispatcher.timers.Push(at, timer{kind: wakeUp, mark: mark})
 }
 
-// AddToCounter hands a call to the counter, which is flushed when the engine's call has returned.
+// AddToCounter passes a call to the counter, which is flushed when the engine's call has returned.
 func (e effects) AddToCounter(key policy.CounterKey, units float64, lifetimeNanos int64) {
 	e.dispatcher.counter.Add(key, units, time.Duration(lifetimeNanos))
 	e.dispatcher.counterCalled = true
 }
 
-// CheckHealth notes a health check, which is made when the engine's call has returned.
+// CheckHealth records a requested health check, which is started when the engine's call has returned.
 func (e effects) CheckHealth(backend policy.BackendID) {
 	e.dispatcher.healthChecksOf = append(e.dispatcher.healthChecksOf, backend)
 }
@@ -92,5 +92,5 @@
 // WatchEndpoints asks for the list of backends.
 func (e effects) WatchEndpoints() { e.dispatcher.endpointWatcher.WatchEndpoints() }
 
-// Log writes a warning of the engine's.
+// Log writes a warning from the engine to the log.
 func (e effects) Log(text string) { logging.For("policy").Warn(text) }
--- a/internal/dispatch/errors.go
+++ b/internal/dispatch/errors.go
@@ -7,15 +7,15 @@
 	"fawnplank/policy"
 )
 
-// Progress is how far an attempt or a call had come when it failed.
+// Progress is how far an attempt or a call had got when it failed.
 type Progress uint8
 
-// The progress of an attempt, in its order. Before Written nothing can have run.
+// The stages of an attempt, in order. Before Written the request cannot have run.
 const (
-	Dialing   Progress = iota // no connection
-	Writing                   // perhaps a part of it, but not the last byte
-	Written                   // its last byte
-	Answering                 // and a part of the answer had come
+	Dialing   Progress = iota // there was no connection yet
+	Writing                   // a part may have been written, but not the last byte
+	Written                   // the last byte was written
+	Answering                 // a part of the answer had also arrived
 )
 
 func (p Progress) String() string {
@@ -32,7 +32,7 @@
 	return "unknown"
 }
 
-// NetworkError is a failure of the network, with how far the attempt had come.
+// NetworkError is a network failure, with how far the attempt had got.
 type NetworkError struct {
 	Progress Progress
 	Err      error
@@ -40,20 +40,20 @@
 
 func (e *NetworkError) Error() string { return fmt.Sprintf("%s: %v", e.Progress, e.Err) }
 
-// Unwrap returns the network's error.
+// Unwrap returns the underlying network error.
 func (e *NetworkError) Unwrap() error { return e.Err }
 
 var (
 	// ErrRejected is an answer that proves that nothing ran.
 	ErrRejected = errors.New("rejected")
-	// ErrBackendFailed is an answer with an error, or one without a meaning: it may have run.
+	// ErrBackendFailed is an answer with an error, or a meaningless one: the request may have run.
 	ErrBackendFailed = errors.New("answered with an error")
-	// ErrTimeout is a call or a health check that nothing came back for.
+	// ErrTimeout is a call or a health check that got no answer.
 	ErrTimeout = errors.New("no answer in time")
 )
 
-// outcomeOf is what an error says of whether the attempt has run. An error of which nothing is known counts
-// as a connection that was lost with the attempt on it.
+// outcomeOf returns what an error says about whether the attempt has run. An unknown error counts as a
+// connection that was lost while it carried the attempt.
 func outcomeOf(err error) policy.Outcome {
 	if err == nil {
 		return policy.Succeeded
--- a/internal/dispatch/request.go
+++ b/internal/dispatch/request.go
@@ -6,12 +6,12 @@
 	"fawnplank/policy"
 )
 
-// Action is what a step asks for. All but Send are final.
+// Action is what a step tells the request's owner to do. Every action but Send is final.
 type Action uint8
 
 // The actions.
 const (
-	Send    Action = iota // pass the attempt to its backend
+	Send    Action = iota // send the attempt to its backend
 	Respond               // answer with the response
 	Reject                // answer that nothing ran, perhaps with the time after which to retry
 	Abort                 // answer that it failed; it may have run
@@ -37,7 +37,7 @@
 	return "unknown"
 }
 
-// Step is what is to be done next for a request.
+// Step is the next thing to do for a request.
 type Step struct {
 	Action     Action
 	Attempt    *Attempt      // of Send
@@ -45,11 +45,12 @@
 	RetryAfter time.Duration // of Reject; 0: no advice
 }
 
-// maxPendingAttempts is how many attempts of a request may wait for NextStep. Its owner calls it at once, so
-// that two are rare already, whatever the settings allow; eight leave a wide margin.
+// maxPendingAttempts is how many attempts of a request may wait for NextStep. The request's owner calls
+// NextStep at once, so even two waiting attempts are rare, whatever the settings allow; eight leave a wide
+// margin.
 const maxPendingAttempts = 8
 
-// RequestSpec says what a request is.
+// RequestSpec describes a request.
 type RequestSpec struct {
 	Class  policy.ClassID
 	Plan   policy.PlanID
@@ -57,13 +58,14 @@
 	// Timeout is the time until the client gives up.
 	Timeout time.Duration
 	Units   float64
-	// The tenant's requests come in through EntryPoints instances in a row, from FirstInstance on.
+	// The tenant's requests arrive through EntryPoints consecutive instances, the first of which is
+	// FirstInstance.
 	EntryPoints   int
 	FirstInstance int
 }
 
-// Request is a request in flight. The dispatcher's lock guards its fields, but for those that Submit sets,
-// and for finalStep, which is set before its reader is woken.
+// Request is a request in flight. The dispatcher's lock guards its fields, except those that Submit sets and
+// finalStep, which is set before its reader is woken.
 type Request struct {
 	dispatcher    *Dispatcher
 	id            policy.RequestID
@@ -71,14 +73,14 @@
 	engineRequest *policy.Request // nil until the engine's Submit has returned
 	deadlineNanos int64
 	attempts      []*Attempt
-	// steps carries the attempts to be sent, and nil once finalStep is set. It has capacity for
-	// maxPendingAttempts and that nil: nothing blocks under the lock.
+	// steps carries the attempts to send, then nil once finalStep is set. Its capacity is maxPendingAttempts
+	// plus that nil, so that no send blocks while the lock is held.
 	steps     chan *Attempt
 	finalStep Step
 	finished  bool
 }
 
-// Submit hands a request to the engine.
+// Submit passes a request to the engine. The caller then calls NextStep until it returns a final step.
 func (d *Dispatcher) Submit(spec RequestSpec) *Request {
 	r := &Request{dispatcher: d, class: spec.Class, steps: make(chan *Attempt, maxPendingAttempts+1)}
 	d.do(func(now int64) {
@@ -101,7 +103,7 @@
 	return r
 }
 
-// NextStep waits for the next step. After a final step it is not called again.
+// NextStep waits for the next step. It must not be called again after a final step.
 func (r *Request) NextStep() Step {
 	if attempt := <-r.steps; attempt != nil {
 		return Step{Action: Send, Attempt: attempt}
@@ -109,7 +111,7 @@
 	return r.finalStep
 }
 
-// HandleClientGone says that the client is gone. After a final step it does nothing.
+// HandleClientGone tells the engine that the client is gone. After a final step it does nothing.
 func (r *Request) HandleClientGone() {
 	r.dispatcher.do(func(now int64) {
 		if r.finished {
@@ -121,7 +123,7 @@
 	})
 }
 
-// finish sets the final step; only the first counts. The dispatcher's lock is held.
+// finish sets the final step. Only the first call has an effect. The caller holds the dispatcher's lock.
 func (r *Request) finish(step Step) {
 	if r.finished {
 		return
@@ -130,12 +132,12 @@
 	r.finalStep = step
 	r.cancelWaitingAttempts()
 	r.steps <- nil
-	r.release() // it may be finished with no attempt out, by the counter's result or a timer
+	r.release() // a counter result or a timer may finish it with no attempt in flight
 }
 
-// cancelWaitingAttempts guards against an attempt that waits for its connection and is written after the
-// final answer, or after the client has gone, where the settings allow no cancellation. It ends as NotSent,
-// which says nothing against its backend.
+// cancelWaitingAttempts cancels the attempts that still wait for a connection. Without it, if the settings
+// allow no cancellation, such an attempt would be written after the final answer or after the client has
+// gone. The attempt ends as NotSent, which does not count against its backend.
 func (r *Request) cancelWaitingAttempts() {
 	for _, attempt := range r.attempts {
 		if attempt.state.leaveWaiting(attemptCanceled) {
@@ -144,8 +146,8 @@
 	}
 }
 
-// release forgets the request once nothing more can come for it. It does nothing while the engine has not
-// returned its part of the request. The dispatcher's lock is held.
+// release forgets the request once nothing more can happen to it. It does nothing until the engine's Submit
+// has returned. The caller holds the dispatcher's lock.
 func (r *Request) release() {
 	if r.engineRequest != nil && r.engineRequest.Done() {
 		delete(r.dispatcher.requests, r.id)
--- a/internal/dispatch/timers.go
+++ b/internal/dispatch/timers.go
@@ -8,23 +8,23 @@
 	"fawnplank/policy"
 )
 
-// timerKind is what is due when a timer expires.
+// timerKind is what to do when a timer expires.
 type timerKind uint8
 
 const (
 	wakeUp         timerKind = iota // the engine asked for a call
-	startDeadline                   // the attempt must have started
-	resultDeadline                  // the attempt's result is not waited for any longer
+	startDeadline                   // the latest time for the attempt to start
+	resultDeadline                  // the dispatcher stops waiting for the attempt's result
 )
 
-// timer is an entry of the queue of timers.
+// timer is an entry of the timer queue.
 type timer struct {
 	kind    timerKind
 	mark    uint64   // of a wakeUp
 	attempt *Attempt // of the others
 }
 
-// isObsolete reports whether nothing is left to do when the timer expires.
+// isObsolete reports whether there is nothing left to do when the timer expires.
 func (d *Dispatcher) isObsolete(t timer) bool {
 	switch t.kind {
 	case wakeUp:
@@ -46,7 +46,7 @@
 	d.alarm.Reset(time.Duration(next - d.now()))
 }
 
-// runTimers waits for the alarm and does what is due, until Stop.
+// runTimers waits for the alarm and handles due timers, until Stop.
 func (d *Dispatcher) runTimers() {
 	for {
 		select {
@@ -58,7 +58,7 @@
 	}
 }
 
-// expireTimers does what is due. A panic of the engine is logged, and the timers go on.
+// expireTimers handles all due timers. A panic in the engine is logged, and the timers keep running.
 func (d *Dispatcher) expireTimers() {
 	defer func() {
 		if reason := recover(); reason != nil {
@@ -73,7 +73,7 @@
 	})
 }
 
-// expire does what one timer is for.
+// expire handles one timer.
 func (d *Dispatcher) expire(t timer) {
 	if d.isObsolete(t) {
 		return
