--- a/internal/frontend/accept.go
+++ b/internal/frontend/accept.go
@@ -9,7 +9,8 @@
 	"fawnplank/internal/logging"
 )
 
-// acceptRetryDelay is the pause after an accept that failed: out of descriptors, some are freed soon.
+// acceptRetryDelay is the pause after a failed accept. If the process is out of descriptors, some are freed
+// soon.
 const acceptRetryDelay = 10 * time.Millisecond
 
 // accept adds connections until the listener is closed or its deadline has passed.
@@ -28,11 +29,11 @@
 	}
 }
 
-// addConnection starts to serve a connection. Where there are too many, it waits until the one that is missed
-// the least could be closed.
+// addConnection starts to serve a connection. If there are too many, it first waits until the connection that
+// would be missed least can be closed.
 func (s *Server) addConnection(accepted net.Conn) {
 	c, err := newConnection(s, accepted.(*net.TCPConn))
-	if err != nil { // it has ended already
+	if err != nil { // the connection has ended already
 		_ = accepted.Close() // nothing was read or written that could be lost
 		return
 	}
@@ -43,13 +44,13 @@
 	go c.readLoop()
 }
 
-// makeCapacity evicts idle connections until there is capacity for one more, and waits where all are busy.
-// The caller holds mu.
+// makeCapacity evicts idle connections until there is capacity for one more. If all are busy, it waits. The
+// caller holds mu.
 func (s *Server) makeCapacity() {
 	for s.countValidated() >= s.evictionThreshold && s.evictIdle(validatedConnections) {
 	}
 	for len(s.connections) >= s.maxConnections {
-		s.capacityWanted.Store(true) // before looking: what becomes idle from here on signals it
+		s.capacityWanted.Store(true) // before looking: connections that become idle from here on signal it
 		if !s.evictIdle(allConnections) {
 			s.capacityFreed.Wait()
 		}
@@ -57,9 +58,9 @@
 	s.capacityWanted.Store(false)
 }
 
-// signalCapacity wakes an accept that waits for capacity: a connection may have become idle. Guards against
-// connections that all were busy when one more came, and then became idle for good: nobody looked at them
-// again.
+// signalCapacity wakes an accept that waits for capacity, since a connection may have become idle. Without
+// it, if all connections are busy when a new one arrives and then become idle for good, nobody would look at
+// them again.
 func (s *Server) signalCapacity() {
 	if s.capacityWanted.Load() {
 		s.mu.Lock()
--- a/internal/frontend/backpressure.go
+++ b/internal/frontend/backpressure.go
@@ -6,16 +6,17 @@
 )
 
 const (
-	// maxPendingCommands is how many commands of one connection are pending at once; beyond it the reader
-	// waits. Usual clients keep one pending on each, so that one that sends hundreds at once waits for
-	// itself.
+	// maxPendingCommands is how many commands of one connection may be pending at once; beyond that the reader
+	// waits. Typical clients keep one command pending on each connection, so a client that sends hundreds at
+	// once waits only for itself.
 	maxPendingCommands = 32
-	// maxPendingBytes is how much of one connection's pending commands is held; beyond it the reader waits.
+	// maxPendingBytes is how many bytes of one connection's pending commands are held; beyond that the reader
+	// waits.
 	maxPendingBytes = 2 * maxCommandBytes
 )
 
-// enqueue appends a command to the pending ones, once there is capacity for it; false says that the client
-// has gone, or that the input is closed.
+// enqueue appends a command to the pending ones once there is capacity for it. It returns false if the client
+// has gone or the input is closed.
 func (c *connection) enqueue(p *pendingCommand) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -40,8 +41,8 @@
 // hasPending reports whether commands are pending. The caller holds mu.
 func (c *connection) hasPending() bool { return len(c.pending) > 0 }
 
-// awaitResponses waits until nothing is pending on the connection, or the client has gone. The caller does
-// not hold mu.
+// awaitResponses waits until nothing is pending on the connection or the client has gone. The caller must not
+// hold mu.
 func (c *connection) awaitResponses() {
 	c.mu.Lock()
 	pending := c.hasPending()
@@ -51,7 +52,7 @@
 	}
 }
 
-// awaitWatched waits while condition, which is called with mu held, and until the client has gone.
+// awaitWatched waits while condition holds and the client has not gone. It calls condition with mu held.
 func (c *connection) awaitWatched(condition func() bool) {
 	c.waitWatched(func() {
 		c.mu.Lock()
@@ -62,9 +63,10 @@
 	})
 }
 
-// waitWatched calls wait, which waits in the reader's place, while another goroutine watches for the client's
-// hang-up: behind bytes that nobody reads it would go unseen, and what is open here would be sent on for
-// nobody. Guards against attempts begun for clients that had sent more than is read at once, and left.
+// waitWatched calls wait, which blocks the reader, while another goroutine watches for the client's hang-up.
+// While nobody reads, a hang-up behind unread bytes would go unnoticed, and open requests would be sent on
+// for nobody. This prevents attempts from being started for clients that sent more than is read at once and
+// then left.
 func (c *connection) waitWatched(wait func()) {
 	var over atomic.Bool
 	watchEnded := make(chan struct{})
@@ -79,7 +81,7 @@
 	c.setReadDeadline(time.Time{})
 }
 
-// watchHangUp waits for the client's hang-up until over, which is looked at after a deadline for reading has
+// watchHangUp waits for the client's hang-up until over is set. It checks over each time a read deadline has
 // passed.
 func (c *connection) watchHangUp(over *atomic.Bool) {
 	for !over.Load() {
@@ -87,11 +89,11 @@
 			c.clientGone()
 			return
 		}
-		c.setReadDeadline(time.Time{}) // the sweep's; over is looked at after it, and set before its own
+		c.setReadDeadline(time.Time{}) // the sweep's; over is set before waitWatched's deadline and read after this
 	}
 }
 
-// sleep waits for so long, or until the client has gone.
+// sleep waits for the duration, or until the client has gone.
 func (c *connection) sleep(duration time.Duration) {
 	over := false
 	timer := time.AfterFunc(duration, func() {
@@ -108,8 +110,8 @@
 	}
 }
 
-// reserve waits for so many bytes of the budget for a larger buffer, as long as a command may take to come
-// whole; false says that the client has been rejected.
+// reserve acquires bytes from the budget for a larger buffer. It waits for as long as a command may take to
+// arrive completely. It returns false if the bytes did not come free; the client has then been rejected.
 func (c *connection) reserve(bytes int) bool {
 	var reserved int64
 	var ok bool
@@ -124,7 +126,7 @@
 	return true
 }
 
-// releaseReservation returns the reservation of the reader's buffer to the budget.
+// releaseReservation returns the bytes reserved for the reader's buffer to the budget.
 func (c *connection) releaseReservation() {
 	c.server.budget.Release(c.reader.reservedBytes)
 	c.reader.reservedBytes = 0
--- a/internal/frontend/connection.go
+++ b/internal/frontend/connection.go
@@ -10,18 +10,18 @@
 	"fawnplank/internal/sock"
 )
 
-// newConnectionGrace is how long a new connection's first command may be under way before the connection
-// counts as silent; many times what the way takes. It is also how long a client has to take its last response
-// before a connection that is shut down is closed.
+// newConnectionGrace is how long a new connection's first command may be in transit before the connection
+// counts as silent; it is many times the transit time. It is also how long a client has to take its last
+// response before a connection that is shut down is closed.
 const newConnectionGrace = 200 * time.Millisecond
 
-// inputState tells what the reader has done with the bytes of a connection.
+// inputState is how far the reader has handled the bytes of a connection.
 type inputState uint8
 
 const (
-	inputIdle      inputState = iota // all whole commands that were read have been handled
+	inputIdle      inputState = iota // all complete commands read so far have been handled
 	inputUnhandled                   // bytes were read that have not been handled yet
-	inputClosed                      // closed by the server between requests: nothing is read any more
+	inputClosed                      // closed by the server between requests: nothing more is read
 )
 
 func (i inputState) String() string {
@@ -32,14 +32,14 @@
 	return fmt.Sprintf("inputState(%d)", uint8(i))
 }
 
-// peerState tells how the client at the other end is dealt with.
+// peerState is how the server treats the client at the other end.
 type peerState uint8
 
 const (
-	peerServed       peerState = iota // commands are handled, responses written
+	peerServed       peerState = iota // commands are handled and responses are written
 	peerRejected                      // an error that ends the connection was written
-	peerGone                          // the client has gone: nothing is handled or written any more
-	peerRejectedGone                  // rejected, and gone
+	peerGone                          // the client has gone: nothing more is handled or written
+	peerRejectedGone                  // rejected, and the client has gone
 )
 
 func (p peerState) String() string {
@@ -74,10 +74,10 @@
 
 // connection is a client's connection.
 //
-// Its life is a state machine of two halves, each with a lock of its own: mu is held while a response is
-// written, which can take as long as writeTimeout, and a read must not wait for that. inputMu is held round
-// each try to read, and never while anything waits; so what closes the input has either seen a byte that was
-// read, or lets none be read any more. Every transition:
+// Its life cycle is a state machine of two halves, each with its own lock. mu is held while a response is
+// written, which can take as long as writeTimeout, and a read must not wait for that. inputMu is held around
+// each attempt to read, and never while anything waits. So for any byte, code that closes the input either
+// sees that the byte was read or prevents it from being read. All transitions:
 //
 //	half   from       event                                    to              what follows
 //	input  idle       After: bytes were read                   unhandled       the reader handles them
@@ -89,9 +89,9 @@
 //	peer   served     clientGone: hung up, or the reader ends  gone            open requests are canceled
 //	peer   rejected   clientGone                               rejected, gone
 //
-// Closed input and a client that has gone are final. What wants the connection to end, but not before its
-// responses, sets draining; it is looked at each time when nothing is pending any more (inputHandled,
-// complete), and cleared when a drain is called off.
+// Closed input and a client that has gone are final. Code that wants the connection to end after its
+// responses sets draining. draining is checked whenever nothing is pending any more (inputHandled, complete),
+// and cleared when a drain is called off.
 type connection struct {
 	server     *Server
 	conn       *sock.Conn
@@ -99,27 +99,27 @@
 
 	mu           sync.Mutex
 	peer         peerState
-	pending      []*pendingCommand // not answered yet, in their order
+	pending      []*pendingCommand // not answered yet, in order of arrival
 	pendingBytes int
-	pendingFewer *sync.Cond // a pending command was answered, or the client has gone
-	idleSince    time.Time  // nothing has been pending since
-	// writeDeadlineRenewedAt is when the deadline for writing was set last.
+	pendingFewer *sync.Cond // signals that a pending command was answered or the client has gone
+	idleSince    time.Time  // since when nothing has been pending
+	// writeDeadlineRenewedAt is when the write deadline was last set.
 	writeDeadlineRenewedAt time.Time
 
 	inputMu sync.Mutex
 	input   inputState
 
-	validated atomic.Bool // has sent a valid command
-	draining  atomic.Bool // ends after the responses that are due
-	// awaitingSinceNanos is the age of the connection at which the wait for a whole command began; 0: none is
-	// awaited.
+	validated atomic.Bool // the client has sent a valid command
+	draining  atomic.Bool // the connection ends after the responses that are due
+	// awaitingSinceNanos is the age of the connection at which the wait for a complete command began; 0 if no
+	// command is awaited.
 	awaitingSinceNanos atomic.Int64
 
-	reader reader // of the goroutine of readLoop alone
+	reader reader // used only by the goroutine of readLoop
 }
 
-// newConnection returns a connection that awaits its first command. It fails where the accepted one has ended
-// already.
+// newConnection returns a connection that awaits its first command. It fails if the accepted connection has
+// ended already.
 func newConnection(s *Server, accepted *net.TCPConn) (*connection, error) {
 	now := time.Now()
 	c := &connection{server: s, acceptedAt: now, idleSince: now}
@@ -133,7 +133,8 @@
 	return c, nil
 }
 
-// Before implements the hook of sock.Conn round each try to read. False ends the read.
+// Before implements sock.ReadGuard: sock.Conn calls it before each attempt to read. Returning false ends the
+// read.
 func (c *connection) Before() bool {
 	c.inputMu.Lock()
 	if c.input == inputClosed {
@@ -143,7 +144,7 @@
 	return true
 }
 
-// After implements the hook of sock.Conn behind each try to read that Before has let through.
+// After implements sock.ReadGuard: sock.Conn calls it after each attempt to read that Before allowed.
 func (c *connection) After(bytesRead int) {
 	if bytesRead > 0 {
 		c.input = inputUnhandled
@@ -151,7 +152,7 @@
 	c.inputMu.Unlock()
 }
 
-// inputHandled notes that all whole commands that were read have been handled.
+// inputHandled records that all complete commands read so far have been handled.
 func (c *connection) inputHandled() {
 	c.inputMu.Lock()
 	if c.input == inputUnhandled {
@@ -167,8 +168,8 @@
 	return c.input == inputClosed
 }
 
-// closeInput lets nothing be read any more, unless a command is pending or read; it reports whether the input
-// is closed. The caller holds mu.
+// closeInput closes the input, so that nothing more is read, unless a command is pending or bytes were read
+// that are not handled yet. It reports whether the input is closed. The caller holds mu.
 func (c *connection) closeInput() bool {
 	if len(c.pending) > 0 {
 		return false
@@ -181,8 +182,8 @@
 	return c.input == inputClosed
 }
 
-// closeIfIdle closes the connection at once if nothing is open on it, and reports whether it did: its
-// descriptor is wanted.
+// closeIfIdle closes the connection at once if nothing is open on it, because its descriptor is needed. It
+// reports whether it closed the connection.
 func (c *connection) closeIfIdle() bool {
 	if !c.mu.TryLock() {
 		return false
@@ -195,7 +196,8 @@
 	return true
 }
 
-// shutDownIfIdle ends the connection if nothing is open on it: sending ends, and the reader closes it.
+// shutDownIfIdle ends the connection if nothing is open on it: it closes the sending side, and the reader
+// closes the connection.
 func (c *connection) shutDownIfIdle() {
 	if !c.mu.TryLock() {
 		return
@@ -204,9 +206,9 @@
 	c.shutDown()
 }
 
-// shutDown is shutDownIfIdle with mu held. Guards against a close over unread bytes, which resets the
-// connection, and takes with it a response that is still on its way: after one, the client has
-// newConnectionGrace to take it.
+// shutDown is shutDownIfIdle for a caller that holds mu. It does not close the connection at once, because a
+// close with unread bytes resets the connection and discards a response still in transit: after a response,
+// the client has newConnectionGrace to take it.
 func (c *connection) shutDown() {
 	if !c.closeInput() {
 		return
@@ -215,8 +217,8 @@
 	c.setReadDeadline(time.Now()) // wakes the reader
 }
 
-// linger waits until the client has closed the connection that shutDown has ended, at most newConnectionGrace
-// after its last response.
+// linger waits until the client closes a connection that shutDown has ended, but no longer than
+// newConnectionGrace after its last response.
 func (c *connection) linger() {
 	c.mu.Lock()
 	until := c.idleSince.Add(newConnectionGrace)
@@ -232,12 +234,12 @@
 	}
 }
 
-// isNew reports whether the connection's first command is likely on its way.
+// isNew reports whether the connection's first command is probably still in transit.
 func (c *connection) isNew(now time.Time) bool {
 	return !c.validated.Load() && now.Sub(c.acceptedAt) < newConnectionGrace
 }
 
-// commandOverdue reports whether a command has been awaited for longer than commandTimeout.
+// commandOverdue reports whether the wait for a command has lasted longer than commandTimeout.
 func (c *connection) commandOverdue(now time.Time) bool {
 	since := c.awaitingSinceNanos.Load()
 	return since != 0 && now.Sub(c.acceptedAt) > time.Duration(since)+commandTimeout
@@ -250,7 +252,8 @@
 	return c.peer.gone()
 }
 
-// clientGone cancels all requests that are open on the connection: nobody waits for their responses.
+// clientGone records that the client has gone and cancels all requests open on the connection, since nobody
+// waits for their responses.
 func (c *connection) clientGone() {
 	c.mu.Lock()
 	c.peer = c.peer.leave()
@@ -264,7 +267,7 @@
 	}
 }
 
-// end closes the connection when its reader ends: what is open on it is canceled.
+// end closes the connection when its reader ends, and cancels the requests open on it.
 func (c *connection) end() {
 	c.close()
 	c.releaseReservation()
@@ -273,11 +276,11 @@
 }
 
 func (c *connection) close() {
-	_ = c.conn.Close() // fails only where it was closed before
+	_ = c.conn.Close() // fails only if it was closed before
 }
 
 func (c *connection) closeWrite() {
-	_ = c.conn.CloseWrite() // fails only where the connection has ended, which the reader sees
+	_ = c.conn.CloseWrite() // fails only if the connection has ended, which the reader sees
 }
 
 func (c *connection) setReadDeadline(at time.Time) {
--- a/internal/frontend/idle_eviction.go
+++ b/internal/frontend/idle_eviction.go
@@ -6,21 +6,22 @@
 )
 
 const (
-	// sweepInterval is how often silent connections are looked for: fine enough against commandTimeout.
+	// sweepInterval is how often the server looks for silent connections; it is short compared to
+	// commandTimeout.
 	sweepInterval = 250 * time.Millisecond
-	// maxUnreadPassedOver bounds how many idle connections with unread bytes are passed over in search of one
-	// without.
+	// maxUnreadPassedOver bounds how many idle connections with unread bytes are skipped in the search for one
+	// without unread bytes.
 	maxUnreadPassedOver = 8
 )
 
-// evictionRank orders idle connections by how much they would be missed, the least missed first.
+// evictionRank orders idle connections by how much they would be missed, with the least missed first.
 type evictionRank uint8
 
 const (
 	rankRejected evictionRank = iota // rejected with an error that ends the connection
-	rankSilent                       // has sent no valid command, and is no longer new
-	rankIdle                         // idle for commandTimeout at least
-	rankNew                          // has sent no valid command yet, and is new
+	rankSilent                       // the client has sent no valid command, and the connection is no longer new
+	rankIdle                         // idle for at least commandTimeout
+	rankNew                          // the client has sent no valid command yet, and the connection is new
 	rankActive                       // used a moment ago
 )
 
@@ -40,7 +41,7 @@
 
 const (
 	allConnections       evictionScope = iota
-	validatedConnections               // those that have sent a valid command
+	validatedConnections               // those whose client has sent a valid command
 )
 
 func (e evictionScope) String() string {
@@ -57,8 +58,8 @@
 	since      time.Time
 }
 
-// before reports whether the connection is missed less than another: by rank, then by how long it has been
-// idle.
+// before reports whether the connection would be missed less than another: it compares the ranks, then how
+// long each has been idle.
 func (i idleConnection) before(other idleConnection) bool {
 	if i.rank != other.rank {
 		return i.rank < other.rank
@@ -67,7 +68,7 @@
 }
 
 // sweepConnections ends connections that are silent or send too slowly, and closes idle ones once a drain has
-// lasted drainDelay. It runs until no more are accepted and all have ended.
+// lasted for drainDelay. It runs until no more connections are accepted and all have ended.
 func (s *Server) sweepConnections(acceptEnded <-chan struct{}) {
 	ticker := time.NewTicker(sweepInterval)
 	defer ticker.Stop()
@@ -95,7 +96,7 @@
 	}
 }
 
-// countValidated returns how many connections have sent a valid command. The caller holds mu.
+// countValidated returns on how many connections the client has sent a valid command. The caller holds mu.
 func (s *Server) countValidated() int {
 	count := 0
 	for c := range s.connections {
@@ -106,9 +107,9 @@
 	return count
 }
 
-// evictIdle closes the connection of the scope that is missed the least; false says that none is idle. True
-// does not say that one was closed: where it has become busy meanwhile, the caller looks for another. The
-// caller holds mu.
+// evictIdle closes the connection in the scope that would be missed least. It returns false if none is idle.
+// True does not mean that a connection was closed: if the chosen one has become busy meanwhile, the caller
+// must look for another. The caller holds mu.
 func (s *Server) evictIdle(scope evictionScope) bool {
 	least := s.leastMissed(scope)
 	if least == nil {
@@ -120,9 +121,9 @@
 	return true
 }
 
-// leastMissed returns the idle connection that is missed the least, nil where there is none. One with unread
-// bytes is passed over while another will do; where all that were looked at have unread bytes, it is the
-// first of them.
+// leastMissed returns the idle connection that would be missed least, or nil if none is idle. It skips
+// connections with unread bytes as long as it finds another. If all connections that it examined have unread
+// bytes, it returns the first of them.
 func (s *Server) leastMissed(scope evictionScope) *connection {
 	var first *connection
 	passedOver := map[*connection]bool{}
@@ -159,8 +160,8 @@
 	return least.connection
 }
 
-// idleState ranks the connection for eviction; false says that it is busy. One that is just being written to
-// is not asked.
+// idleState ranks the connection for eviction. It returns false if the connection is busy. A connection that
+// is being written to counts as busy without further checks.
 func (c *connection) idleState(now time.Time) (idleConnection, bool) {
 	if !c.mu.TryLock() {
 		return idleConnection{}, false
@@ -172,7 +173,7 @@
 	return state, len(c.pending) == 0 && c.input != inputUnhandled
 }
 
-// rank tells how much the connection would be missed. The caller holds mu.
+// rank returns how much the connection would be missed. The caller holds mu.
 func (c *connection) rank(now time.Time) evictionRank {
 	idleFor, validated := now.Sub(c.idleSince), c.validated.Load()
 	switch {
--- a/internal/frontend/parser.go
+++ b/internal/frontend/parser.go
@@ -13,17 +13,17 @@
 	"fawnplank/policy"
 )
 
-// Bounds of the head of a request.
+// Bounds on the head of a request.
 const (
 	minRequestWords = 4 // command, tenant, id, fields
-	maxRequestWords = 5 // and a body
+	maxRequestWords = 5 // and optionally a body
 	tenantDigits    = 16
-	tenantBits      = 33 // the protocol's tenants are below 2^33
+	tenantBits      = 33 // tenants of the protocol are below 2^33
 	maxIDBytes      = 64
-	maxNumberBytes  = 20 // as many digits as 64 bits have
+	maxNumberBytes  = 20 // the number of decimal digits of a 64-bit integer
 )
 
-// The errors of a head, as they leave on the wire.
+// The errors of a head, as they are sent on the wire.
 var (
 	errWordCount       = errors.New("wrong number of arguments")
 	errTenant          = errors.New("customer is no number of 16 hexadecimal digits below 2^33")
@@ -33,9 +33,9 @@
 	errDeadlineMissing = errors.New("d is missing")
 )
 
-// requestHead is the head of a request. Its slices are parts of the command that it was parsed from.
+// requestHead is the head of a request. Its slices point into the command that it was parsed from.
 type requestHead struct {
-	config     *config.Config // by which it was parsed
+	config     *config.Config // used to parse the head
 	tenantText []byte
 	tenant     policy.TenantID
 	id         []byte
@@ -43,16 +43,17 @@
 	class      policy.ClassID
 	hasClass   bool
 	plan       policy.PlanID
-	planName   []byte // nil: no plan was named
+	planName   []byte // nil if no plan was named
 	remaining  time.Duration
-	// remainingText is the text of remaining among the fields; nil: none was given.
+	// remainingText is the text of remaining within fields; nil if none was given.
 	remainingText []byte
 	units         float64
-	entryPoints   int // number of instances in a row that the tenant's requests come in through
+	entryPoints   int // number of consecutive instances through which the tenant's requests arrive
 	firstInstance int // index of the first of them
 }
 
-// parse parses the words of a request. Where it fails the class is set if it was read before.
+// parse parses the words of a request. If parse fails, the class is still set if it was read before the
+// failure.
 func (h *requestHead) parse(words [][]byte) error {
 	if len(words) < minRequestWords || len(words) > maxRequestWords {
 		return errWordCount
@@ -91,13 +92,13 @@
 	return nil
 }
 
-// fieldResult is what became of one field.
+// fieldResult is the result of parsing one field.
 type fieldResult uint8
 
 const (
 	fieldSet     fieldResult = iota
-	fieldInvalid             // its value has no meaning
-	fieldUnknown             // it is passed on with the rest
+	fieldInvalid             // its value is not valid
+	fieldUnknown             // not known here; it is passed on with the rest
 )
 
 func (f fieldResult) String() string {
@@ -108,8 +109,8 @@
 	return fmt.Sprintf("fieldResult(%d)", uint8(f))
 }
 
-// parseFields parses the names and values, each name once. A name counts as repeated where one before it ends
-// in it, so t behind first and d behind spread are refused too.
+// parseFields parses the names and values. Each name may occur once. A name counts as repeated if an earlier
+// name ends in it, so t after first and d after spread are refused too.
 func (h *requestHead) parseFields() error {
 	h.units = 1
 	h.entryPoints = 1
@@ -133,7 +134,7 @@
 	return nil
 }
 
-// setField sets what a field names.
+// setField sets the part of the head that a field names.
 func (h *requestHead) setField(name, value []byte) fieldResult {
 	valid := false
 	switch string(name) {
@@ -161,8 +162,8 @@
 
 func (h *requestHead) instances() int { return max(h.config.Settings.Instances, 1) }
 
-// setClass leaves the class alone where the name is unknown, or that of a class that is only checked: that
-// one is for the limit commands, and nothing would be sent.
+// setClass sets the class. It leaves the class unchanged if the name is unknown or names a check-only class:
+// such a class is for the limit commands, and its requests would not be sent.
 func (h *requestHead) setClass(name []byte) bool {
 	class, known := h.config.Classes[string(name)]
 	if !known || h.config.Settings.Classes[class].CheckOnly {
@@ -197,7 +198,8 @@
 	return int(number), true
 }
 
-// parseNumber parses digits with a point or none: no sign, exponent, or word for what is no number.
+// parseNumber parses decimal digits with an optional point. It accepts no sign, no exponent, and no word such
+// as NaN.
 func parseNumber(text []byte) (float64, bool) {
 	if len(text) == 0 || len(text) > maxNumberBytes || len(bytes.Trim(text, "0123456789.")) > 0 {
 		return 0, false
--- a/internal/frontend/reader.go
+++ b/internal/frontend/reader.go
@@ -11,36 +11,36 @@
 )
 
 const (
-	// commandTimeout is how long a connection may be silent at first, and how long one command may take to
-	// come whole: the protocol wants such a client rejected within 3 s.
+	// commandTimeout is how long a new connection may be silent, and how long one command may take to arrive
+	// completely: the protocol requires that such a client is rejected within 3 s.
 	commandTimeout = 2 * time.Second
-	// maxCommandBytes is the size of the largest command: a value with its head, and capacity for the rest of
-	// its fields.
+	// maxCommandBytes is the size of the largest command: a value with its head, and room for the rest of its
+	// fields.
 	maxCommandBytes = resp.MaxValue + 64<<10
-	// minBufferBytes is the size of a reader's buffer while it holds no larger command; beyond any head of a
-	// request.
+	// minBufferBytes is the size of a reader's buffer while it holds no larger command. It is larger than any
+	// head of a request.
 	minBufferBytes = 4096
-	// maxUnreservedBytes is what a connection's buffer may hold without a reservation in the process's budget
-	// for large values: a value of the protocol's 64 KiB with its head.
+	// maxUnreservedBytes is how much a connection's buffer may hold without a reservation in the process's
+	// budget for large values: a value of the protocol's 64 KiB with its head.
 	maxUnreservedBytes = 68 << 10
-	// faultPauseStep is the pause for each invalid command that a connection has sent so far, and
-	// maxFaultPause the longest for which a connection that sends invalid commands is not read on.
+	// After an invalid command the server stops reading the connection for a while: faultPauseStep for each
+	// invalid command that the connection has sent so far, but maxFaultPause at most.
 	faultPauseStep = 10 * time.Millisecond
 	maxFaultPause  = 500 * time.Millisecond
-	// rejectLinger is how long, and maxDiscardedBytes how much, is read and discarded after an error that
-	// ends a connection, so that the error is not lost to a reset. More is not worth the work.
+	// After an error that ends a connection, the server reads and discards input for up to rejectLinger and up
+	// to maxDiscardedBytes, so that the error is not lost to a reset. Reading more is not worth the work.
 	rejectLinger      = 300 * time.Millisecond
 	maxDiscardedBytes = 256 << 10
 )
 
-// reader is what the goroutine that reads a connection works with. No other goroutine uses it.
+// reader is the state of the goroutine that reads a connection. No other goroutine uses it.
 type reader struct {
 	buffer           []byte
-	buffered         int      // bytes of buffer that belong to a command that is not whole yet
-	words            [][]byte // of the last command, in place
-	invalidCommands  int      // that were answered with an error
+	buffered         int      // bytes in buffer that belong to an incomplete command
+	words            [][]byte // of the last command, pointing into buffer
+	invalidCommands  int      // number of commands answered with an error
 	reservedBytes    int64    // of the budget, for buffer
-	bufferHandedOver bool     // to a large command that is pending
+	bufferHandedOver bool     // buffer now belongs to a large pending command
 }
 
 // readLoop reads and handles commands until the connection ends.
@@ -65,7 +65,7 @@
 	}
 }
 
-// fill waits for further bytes and appends them to the buffer; false says that the connection ends.
+// fill waits for more bytes and appends them to the buffer. It returns false if the connection ends.
 func (c *connection) fill() bool {
 	r := &c.reader
 	for {
@@ -77,14 +77,14 @@
 			c.linger()
 			return false
 		case errors.Is(err, os.ErrDeadlineExceeded):
-			// Either the command came whole in that moment, or the connection is to end.
+			// If no command is overdue, it has arrived completely just now, or the connection is to end.
 			if c.awaitingSinceNanos.Load() != 0 && !c.draining.Load() {
 				c.rejectClient("Protocol error: no whole command in time")
 				return false
 			}
 			c.setReadDeadline(time.Time{})
 		case err != nil || !c.conn.LastReadWaited() && c.conn.HungUp():
-			return false // what waited to be read may be of a client who went long ago
+			return false // the unread bytes may be from a client that left long ago
 		default:
 			r.buffered += count
 			return true
@@ -92,8 +92,8 @@
 	}
 }
 
-// shutDownIfDraining ends a connection that is to end, but may be new: nothing more is read before all that
-// was handled is answered, and nothing after.
+// shutDownIfDraining ends a draining connection unless it is new. It waits until everything handled so far is
+// answered, and nothing is read before or after that.
 func (c *connection) shutDownIfDraining() {
 	if !c.draining.Load() || c.isNew(time.Now()) {
 		return
@@ -106,8 +106,8 @@
 	}
 }
 
-// handleCommands handles the whole commands that input begins with, and returns what lies behind them; false
-// says that the connection ends.
+// handleCommands handles the complete commands at the beginning of input and returns the bytes after them. It
+// returns false if the connection ends.
 func (c *connection) handleCommands(input []byte) (rest []byte, ok bool) {
 	r := &c.reader
 	for rest = input; len(rest) > 0; {
@@ -136,7 +136,7 @@
 	return rest, true
 }
 
-// protocolErrorText is the text of a protocol error on the wire.
+// protocolErrorText returns the text of a protocol error as sent on the wire.
 func protocolErrorText(err error) string {
 	var malformed *resp.ProtocolError
 	if errors.As(err, &malformed) {
@@ -145,15 +145,15 @@
 	return err.Error()
 }
 
-// pauseAfterFault keeps a client that sends invalid commands waiting, the longer the more of them: the same
-// again at once gains it nothing.
+// pauseAfterFault makes a client that sends invalid commands wait, longer with each of them, so that the
+// client gains nothing by repeating the same command at once.
 func (c *connection) pauseAfterFault() {
 	pause := min(time.Duration(c.reader.invalidCommands)*faultPauseStep, maxFaultPause)
 	c.waitWatched(func() { c.sleep(pause) })
 }
 
-// noteProgress notes since when the rest of a command is awaited. One that is larger than any head is timed
-// from its last progress.
+// noteProgress records since when the rest of a command is awaited. A command that is larger than any head is
+// timed from its last progress.
 func (c *connection) noteProgress(rest []byte) {
 	begins := c.awaitingSinceNanos.Load() == 0 && len(rest) > 0
 	if begins || len(rest) > minBufferBytes {
@@ -161,8 +161,8 @@
 	}
 }
 
-// keepRest moves the beginning of a command that is not whole yet to the front of the buffer, which grows and
-// shrinks with it; false says that the connection ends.
+// keepRest moves the received part of an incomplete command to the front of the buffer, and grows or shrinks
+// the buffer to fit it. It returns false if the connection ends.
 func (c *connection) keepRest(rest []byte) bool {
 	r := &c.reader
 	if r.bufferHandedOver {
@@ -183,7 +183,7 @@
 	return true
 }
 
-// growBuffer doubles a buffer that is full; false says that the connection ends.
+// growBuffer doubles a full buffer. It returns false if the connection ends.
 func (c *connection) growBuffer() bool {
 	r := &c.reader
 	if r.buffered >= maxCommandBytes {
@@ -199,7 +199,7 @@
 	return true
 }
 
-// rejectClient ends the connection with an error, behind all responses that are due on it.
+// rejectClient ends the connection with an error, which follows all responses that are due on it.
 func (c *connection) rejectClient(text string) {
 	c.respondLine("-ERR " + text)
 	c.awaitResponses()
--- a/internal/frontend/request.go
+++ b/internal/frontend/request.go
@@ -16,24 +16,25 @@
 	"fawnplank/policy"
 )
 
-// errRequestIDInUse leaves on the wire.
+// errRequestIDInUse is sent on the wire.
 var errRequestIDInUse = errors.New("id is that of an open transaction")
 
-// span is a part of a command, from its first byte to behind its last.
+// span is a part of a command: begin is the index of its first byte, end the index after its last.
 type span struct{ begin, end int }
 
 func (s span) size() int { return s.end - s.begin }
 
-// spanOf finds part, which is a slice of raw with the same end of capacity.
+// spanOf returns the position of part in raw. part must be a slice of raw whose capacity ends where raw's
+// does.
 func spanOf(raw, part []byte) span {
 	begin := cap(raw) - cap(part)
 	return span{begin: begin, end: begin + len(part)}
 }
 
-// pendingCommand is a command without a response yet. Those that need no request are answered at once.
+// pendingCommand is a command that has no response yet. Commands that need no request are answered at once.
 type pendingCommand struct {
 	connection    *connection
-	request       *dispatch.Request // nil: answered at once
+	request       *dispatch.Request // nil if the command is answered at once
 	class         policy.ClassID
 	id            string
 	raw           []byte
@@ -41,11 +42,11 @@
 	remaining     span // of raw: the value of d
 	response      []byte
 	reservedBytes int64           // of the budget, for raw
-	usage         *usageOfRequest // nil: usage is not recorded
+	usage         *usageOfRequest // nil if usage is not recorded
 }
 
-// usageOfRequest is what the usage of a request is recorded by: as it was when the request was received,
-// whatever changes until it is answered.
+// usageOfRequest is what the recorded usage of a request is based on: the values at the time when the request
+// was received, whatever changes until it is answered.
 type usageOfRequest struct {
 	tenant     string
 	plan       string
@@ -55,7 +56,7 @@
 
 // handleCommand starts a command.
 func (c *connection) handleCommand(raw []byte, words [][]byte) {
-	if bytes.ContainsFunc(words[0], unicode.IsLower) { // rare, and it allocates
+	if bytes.ContainsFunc(words[0], unicode.IsLower) { // rare, and ToUpper allocates
 		words[0] = bytes.ToUpper(words[0])
 	}
 	switch string(words[0]) {
@@ -90,8 +91,8 @@
 	c.respondInvalid(err.Error())
 }
 
-// submit makes a request pending and submits it to the dispatcher. Where the connection ends meanwhile it is
-// neither, which is no error: nobody waits for a response.
+// submit makes a request pending and submits it to the dispatcher. If the connection ends meanwhile, submit
+// does neither and returns no error, since nobody waits for a response.
 func (c *connection) submit(head *requestHead, raw []byte) error {
 	p := &pendingCommand{
 		connection: c, class: head.class, id: string(head.id), raw: raw,
@@ -115,8 +116,8 @@
 	return nil
 }
 
-// handOver gives the command bytes of its own, since the buffer goes on to the next command. With a large one
-// goes the buffer itself, and the reader starts a new one.
+// handOver gives the command its own bytes, since the reader reuses the buffer for the next command. A small
+// command gets a copy. A large command takes over the buffer itself, and the reader starts a new one.
 func (c *connection) handOver(p *pendingCommand) {
 	if len(p.raw) <= maxUnreservedBytes {
 		p.raw = bytes.Clone(p.raw)
@@ -127,8 +128,8 @@
 	c.reader.bufferHandedOver = true
 }
 
-// noteUsage notes what the usage of the request is recorded by, where usage is recorded, and returns the plan
-// that the request is submitted under.
+// noteUsage stores what the recorded usage of the request is based on, if usage is recorded. It returns the
+// plan under which the request is submitted.
 func (p *pendingCommand) noteUsage(head *requestHead) policy.PlanID {
 	recorder := p.connection.server.usage
 	if recorder == nil {
@@ -143,7 +144,7 @@
 		return head.plan
 	}
 	plan, known := head.config.Plans[current]
-	if !known { // this instance's settings lack it: the one that the request names holds
+	if !known { // this instance's settings lack the current plan: the one named in the request applies
 		return head.plan
 	}
 	p.usage.plan = current
@@ -176,7 +177,7 @@
 	p.connection.complete(p, []byte("-ERR internal fault\r\n"))
 }
 
-// conclude answers a request as its last step says, and counts it.
+// conclude answers a request according to its final step, and counts it.
 func (p *pendingCommand) conclude(step dispatch.Step) {
 	c, s := p.connection, p.connection.server
 	switch step.Action {
@@ -197,14 +198,14 @@
 	}
 }
 
-// rewritten is the command with remaining as the value of d, as long as the attempt will be waited for, in
-// pieces that are written one behind another.
+// rewritten returns the command with the value of d replaced by remaining, which is how long the dispatcher
+// waits for the attempt. The command is returned in pieces to be written one after another.
 func (p *pendingCommand) rewritten(remaining time.Duration) [][]byte {
 	milliseconds := max(int64(remaining/time.Millisecond), 1)
 	value := strconv.AppendInt(make([]byte, 0, 24), milliseconds, 10)
 	fieldsSize := p.fields.size() + len(value) - p.remaining.size()
 	sizeLine := append(strconv.AppendInt(make([]byte, 0, 24), int64(fieldsSize), 10), "\r\n"...)
-	// The line with the size of the fields ends two bytes before them, and begins at its dollar.
+	// The line with the size of the fields begins at its dollar sign and ends immediately before the fields.
 	dollar := bytes.LastIndexByte(p.raw[:p.fields.begin], '$')
 	before, after := p.raw[p.fields.begin:p.remaining.begin], p.raw[p.remaining.end:]
 	return [][]byte{p.raw[:dollar+1], sizeLine, before, value, after}
--- a/internal/frontend/responses.go
+++ b/internal/frontend/responses.go
@@ -6,16 +6,16 @@
 )
 
 const (
-	// writePiece is how much of a response is written with one deadline. A large one goes in pieces, each
-	// with the deadline renewed: a client that takes a 4 MiB response slowly but steadily is not cut off, one
-	// that takes nothing is, after writeTimeout.
+	// writePiece is how much of a response is written under one deadline. A large response is written in pieces,
+	// and the deadline is renewed for each: a client that reads a 4 MiB response slowly but steadily is not cut
+	// off, while a client that reads nothing is cut off after writeTimeout.
 	writePiece = 256 << 10
-	// writeDeadlineRenewals is how often within writeTimeout the deadline is renewed: one a write is
-	// expensive.
+	// writeDeadlineRenewals is how often the deadline is renewed within writeTimeout. Renewing it for every
+	// write would be expensive.
 	writeDeadlineRenewals = 5
 )
 
-// respondLine answers a command that needs no more than a line.
+// respondLine answers a command whose response is one line.
 func (c *connection) respondLine(text string) {
 	p := &pendingCommand{connection: c}
 	if c.enqueue(p) {
@@ -23,14 +23,14 @@
 	}
 }
 
-// respondInvalid answers a command that is not in order.
+// respondInvalid answers an invalid command with an error, and counts it.
 func (c *connection) respondInvalid(text string) {
 	c.reader.invalidCommands++
 	c.respondLine("-ERR " + text)
 }
 
-// busyResponse is the response of a request that is rejected, with the time after which a retry makes sense,
-// if one is known.
+// busyResponse returns the response to a rejected request, with the time after which a retry makes sense, if
+// one is known.
 func busyResponse(retryAfter time.Duration) []byte {
 	response := []byte("-BUSY")
 	if retryAfter > 0 {
@@ -40,19 +40,19 @@
 	return append(response, "\r\n"...)
 }
 
-// complete sets the response of a command, nil for none, and writes all responses that may go out in their
-// order.
+// complete sets the response of a command, nil for none, and writes all responses that may now be sent in
+// their order.
 func (c *connection) complete(p *pendingCommand, response []byte) {
 	if p.request != nil {
 		c.server.releaseRequestID(p.id)
 		c.server.metrics.RequestClosed()
 		c.server.budget.Release(p.reservedBytes)
 	}
-	defer c.server.signalCapacity() // with mu released
+	defer c.server.signalCapacity() // runs after mu is released
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if response == nil {
-		response = []byte{} // completed, unlike nil
+		response = []byte{} // nil would mean not completed
 	}
 	p.response = response
 	c.writeCompleted()
@@ -66,7 +66,8 @@
 	c.pendingFewer.Broadcast()
 }
 
-// writeCompleted writes the responses up to the first command that has none yet. The caller holds mu.
+// writeCompleted writes the pending responses up to the first command that has no response yet. The caller
+// holds mu.
 func (c *connection) writeCompleted() {
 	for len(c.pending) > 0 && c.pending[0].response != nil {
 		first := c.pending[0]
@@ -78,7 +79,7 @@
 	}
 }
 
-// write writes a response, or closes the connection where that fails. The caller holds mu.
+// write writes a response, and closes the connection if that fails. The caller holds mu.
 func (c *connection) write(response []byte) {
 	for len(response) > 0 {
 		c.renewWriteDeadline()
@@ -97,6 +98,6 @@
 		return
 	}
 	c.writeDeadlineRenewedAt = now
-	// It fails only on a closed connection, on which the write fails too.
+	// This fails only on a closed connection, on which the write fails too.
 	_ = c.conn.SetWriteDeadline(now.Add(c.server.writeTimeout))
 }
--- a/internal/frontend/server.go
+++ b/internal/frontend/server.go
@@ -17,24 +17,25 @@
 const logComponent = "frontend"
 
 const (
-	// clientDescriptorShare divides the descriptors of the process into the part that validated connections
-	// may hold before idle ones are evicted for new ones. Clients hold at most a third of the descriptors.
-	// Where they leave connections open and open a new one for each request, none could come once they are
-	// that many: half of the third stays free for new ones. The cost: where more are kept open that would
-	// each have been used again, they are opened anew.
+	// clientDescriptorShare is the divisor that yields, from the descriptors of the process, how many validated
+	// connections may be open before idle ones are evicted for new ones. Clients hold at most a third of the
+	// descriptors. If clients leave connections open and open a new one for each request, they would use up that
+	// third and no new connection could be accepted, so half of the third is kept free for new ones. The cost:
+	// if clients keep more connections open and would have reused each, they have to open them again.
 	clientDescriptorShare = 6
-	// writeTimeoutMargin is how much longer than the longest deadline of a class a client may take to take in
-	// a response: longer than it may wait for one.
+	// writeTimeoutMargin is added to the longest deadline of any class to give the time that a client may take
+	// to read a response: longer than it may wait for one.
 	writeTimeoutMargin = time.Second
 )
 
-// UsageRecorder knows the plans that tenants have moved to, and records what is used. Its methods are called
+// UsageRecorder knows the plans that tenants have moved to, and records usage. Its methods are called
 // concurrently.
 type UsageRecorder interface {
-	// TenantPlan returns the plan that the tenant's requests are admitted under now; false: the one that they
-	// name.
+	// TenantPlan returns the plan under which the tenant's requests are admitted now. ok is false if that is the
+	// plan that the requests name.
 	TenantPlan(tenant string) (plan string, ok bool)
-	// RecordUsage records a request that was received at a moment under a plan, and succeeded.
+	// RecordUsage records a request that succeeded, with the plan it ran under and the time at which it was
+	// received.
 	RecordUsage(tenant, plan string, receivedAt time.Time, units float64)
 }
 
@@ -43,18 +44,19 @@
 	Dispatcher *dispatch.Dispatcher
 	Pool       *backend.Pool
 	Config     *config.Config
-	// MaxConnections bounds the client connections that are open at once.
+	// MaxConnections bounds how many client connections are open at once.
 	MaxConnections int
 	// Metrics counts requests received, open and answered. Nil counts nothing.
 	Metrics *metrics.Registry
-	// Budget bounds the memory of large commands, beside the budget for large responses. Nil bounds nothing.
+	// Budget bounds the memory of large commands; the budget for large responses is separate. Nil bounds
+	// nothing.
 	Budget *membudget.Budget
-	// Usage supplies plans of tenants and records usage. Nil: the plan is the one that the request names, and
-	// no usage is recorded.
+	// Usage supplies the plans of tenants and records usage. If nil, the plan is the one that the request names,
+	// and no usage is recorded.
 	Usage UsageRecorder
 }
 
-// Server serves clients.
+// Server accepts client connections and serves their commands.
 type Server struct {
 	dispatcher *dispatch.Dispatcher
 	pool       *backend.Pool
@@ -62,14 +64,14 @@
 	budget     *membudget.Budget
 	usage      UsageRecorder
 
-	config            atomic.Pointer[config.Config] // the names of classes and plans change at a reload
+	config            atomic.Pointer[config.Config] // a reload changes the names of classes and plans
 	maxConnections    int
-	evictionThreshold int           // so many validated connections: idle ones are evicted for new ones
-	writeTimeout      time.Duration // of one piece of a response
+	evictionThreshold int           // at this many validated connections, idle ones are evicted for new ones
+	writeTimeout      time.Duration // for one piece of a response
 
 	serving            atomic.Bool
 	closing            atomic.Bool  // Close was called
-	drainingSinceNanos atomic.Int64 // Unix time at which the drain began; 0: not draining
+	drainingSinceNanos atomic.Int64 // Unix time at which the drain began; 0 if not draining
 	capacityWanted     atomic.Bool  // addConnection waits for a connection to end or to become idle
 
 	mu            sync.Mutex
@@ -78,8 +80,8 @@
 	capacityFreed *sync.Cond          // a connection has ended, or may have become idle
 }
 
-// New returns a server that is not serving yet. It starts nothing and holds nothing that would have to be
-// freed.
+// New returns a server that is not serving yet. It starts no goroutine and holds nothing that must be
+// released.
 func New(options Options) *Server {
 	s := &Server{
 		dispatcher: options.Dispatcher, pool: options.Pool,
@@ -97,12 +99,12 @@
 	return s
 }
 
-// UpdateSettings replaces the names of classes and plans by those of a configuration that was read anew:
-// requests from now on are parsed by them, open ones keep what they were submitted under.
+// UpdateSettings replaces the names of classes and plans with those of a reloaded configuration. New requests
+// are parsed with them; open requests keep the class and plan under which they were submitted.
 func (s *Server) UpdateSettings(updated *config.Config) { s.config.Store(updated) }
 
-// Serve accepts connections until the listener is closed or its deadline has passed, and returns nil then.
-// Connections that are open at that moment are served on, and swept, until each has ended.
+// Serve accepts connections until the listener is closed or its deadline has passed, then returns nil.
+// Connections that are open at that time continue to be served and swept until each has ended.
 func (s *Server) Serve(listener net.Listener) error {
 	acceptEnded := make(chan struct{})
 	defer close(acceptEnded)
@@ -112,8 +114,8 @@
 	return s.accept(listener)
 }
 
-// Serving reports whether Serve accepts connections. While it does, one may have been accepted that
-// Connections does not count yet.
+// Serving reports whether Serve is accepting connections. While it is, a connection may have been accepted
+// that Connections does not count yet.
 func (s *Server) Serving() bool { return s.serving.Load() }
 
 // Connections returns the number of open connections.
@@ -123,8 +125,8 @@
 	return len(s.connections)
 }
 
-// claimRequestID notes the id of a request that is about to be submitted; false says that one with it is
-// open.
+// claimRequestID registers the id of a request that is about to be submitted. It returns false if a request
+// with that id is open.
 func (s *Server) claimRequestID(id string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
