--- a/internal/backend/connection.go
+++ b/internal/backend/connection.go
@@ -14,44 +14,49 @@
 )
 
 const (
-	// plainBufferBytes is the buffer that a reader holds of its own; larger answers get a larger one for
-	// their time.
+	// plainBufferBytes is the size of the buffer that each reader keeps. For a larger answer the reader uses a
+	// larger buffer temporarily.
 	plainBufferBytes = 4 << 10
-	// unbudgetedBytes is how large a buffer may grow without a part of the memory budget: an answer with a
+	// unbudgetedBytes is how large a buffer may grow without taking memory from the budget: an answer with a
 	// value of the protocol's 64 KiB.
 	unbudgetedBytes = 68 << 10
-	// pieceTimeout is how long a reader waits for memory for a large answer, and for each further piece of
-	// the answer to an attempt that was given up: the longest deadline of the operators' page. While it waits
-	// for memory, that connection is not read.
+	// pieceTimeout is how long a reader waits for memory for a large answer, and for each further piece of the
+	// answer to an attempt that was given up. It is the longest deadline on the operators' page. While the
+	// reader waits for memory, it does not read the connection.
 	pieceTimeout = 3 * time.Second
-	// maxDrainTime bounds how long the answer to an attempt that was given up is read in all: one that never
-	// ends, a few bytes at a time, would hold its connection for good. Ten of the longest waits for a piece.
+	// maxDrainTime bounds the total time for reading the answer to an attempt that was given up: an endless
+	// answer that arrives a few bytes at a time would hold its connection forever. It is ten times the longest
+	// wait for a piece.
 	maxDrainTime = 10 * pieceTimeout
 	// neverIdle is the idleBefore of a connection that was not idle before its attempt, or whose attempt is
-	// counted.
+	// already counted.
 	neverIdle = -1
 )
 
-// connState is what a connection is in use for.
+// connState is what a connection is currently used for.
 type connState uint8
 
 const (
-	// stateReserved: one goroutine has it, which was given it to write an attempt, or is its reader, about to
-	// close it.
+	// stateReserved: one goroutine owns the connection: either it got the connection to write an attempt, or it
+	// is the reader, about to close it.
 	stateReserved connState = iota
-	// stateIdle: it is in its endpoint's idle pool.
+	// stateIdle: the connection is in its endpoint's idle pool.
 	stateIdle
-	// stateWriting: an attempt is being written. Its writer alone knows how far it came, and reports.
+	// stateWriting: an attempt is being written. Only its writer knows how much was written, and the writer
+	// reports the result.
 	stateWriting
-	// stateAwaitingResponse: the attempt is written whole. The reader reports.
+	// stateAwaitingResponse: the attempt is completely written. The reader reports the result.
 	stateAwaitingResponse
-	// stateAnsweredEarly: the answer came before the writer was done. It is idle once the writer is.
+	// stateAnsweredEarly: the answer arrived before the writer was done. The connection becomes idle when the
+	// writer is done.
 	stateAnsweredEarly
-	// stateAbandoned: the attempt was given up. The reader drops what comes of its answer, then closes.
+	// stateAbandoned: the attempt was given up. The reader discards whatever arrives of its answer, then closes
+	// the connection.
 	stateAbandoned
-	// stateClosedInWrite: it was closed while an attempt was being written. The writer still reports.
+	// stateClosedInWrite: the connection was closed while an attempt was being written. The writer still reports
+	// the result.
 	stateClosedInWrite
-	// stateClosed: it has ended. Nothing follows.
+	// stateClosed: the connection has ended. This state is final.
 	stateClosed
 )
 
@@ -60,35 +65,36 @@
 		"closed in write", "closed"}[s]
 }
 
-// isClosed reports whether the connection has ended; no state follows but stateClosed.
+// isClosed reports whether the connection has ended. The only state that can follow is stateClosed.
 func (s connState) isClosed() bool { return s == stateClosedInWrite || s == stateClosed }
 
-// conn is a connection. One attempt at a time is out on it. Its reader is always at work, so that an idle
-// connection that the backend closes leaves the pool before an attempt is written to it.
+// conn is a connection to a backend. It carries one attempt at a time. Its reader runs all the time, so that
+// an idle connection that the backend closes leaves the pool before an attempt is written to it.
 type conn struct {
 	pool     *Pool
 	endpoint *endpoint
 	nc       *sock.Conn
 
-	// The Pool's lock guards these.
+	// The Pool's lock guards these fields.
 	state      connState
-	attempt    *dispatch.Attempt // out on it, and not reported yet
-	lastUsed   time.Time         // when it became idle last
-	idleBefore time.Duration     // how long it was idle before the attempt, or neverIdle
+	attempt    *dispatch.Attempt // carried by the connection, and not reported yet
+	lastUsed   time.Time         // when the connection last became idle
+	idleBefore time.Duration     // how long the connection was idle before the attempt, or neverIdle
 
-	// abandoned is set with stateAbandoned, for the reader, which takes no lock between two pieces of an
-	// answer. drainDeadline is by when all of the answer has to have come then; it is set before abandoned.
+	// abandoned is set together with stateAbandoned, for the reader, which takes no lock between two pieces of
+	// an answer. drainDeadline is the time by which the whole answer must then have arrived; it is set before
+	// abandoned.
 	abandoned     atomic.Bool
 	drainDeadline time.Time
 
-	// budgetedBytes is what the buffer holds of the memory budget. Only the reader uses it.
+	// budgetedBytes is how much of the memory budget the buffer holds. Only the reader uses it.
 	budgetedBytes int64
 }
 
 var _ dispatch.AttemptConn = (*conn)(nil)
 
-// write writes an attempt, unless it was canceled. Where the connection ends, or the answer comes, before the
-// writing has ended, that is sorted out here: before the last byte was written nothing ran.
+// write writes an attempt, unless it was canceled. It also handles a connection that ends, or an answer that
+// arrives, before the writing is done: nothing ran before the last byte was written.
 func (c *conn) write(attempt *dispatch.Attempt, command [][]byte) {
 	begun, err := c.beginWrite(attempt)
 	if err != nil {
@@ -108,13 +114,14 @@
 	}
 }
 
-// beginWrite puts an attempt on the connection. Where begun is false nothing may be written: the attempt was
-// canceled, and the connection is idle again; or, with an error, the connection is of no use for it.
+// beginWrite assigns an attempt to the connection. If begun is false, nothing may be written: without an
+// error, the attempt was canceled and the connection is idle again; with an error, the connection cannot be
+// used for the attempt.
 func (c *conn) beginWrite(attempt *dispatch.Attempt) (begun bool, err error) {
 	c.pool.mu.Lock()
 	defer c.pool.mu.Unlock()
-	// Guards against an attempt that goes where its backend no longer is: it was forgotten, or listens
-	// elsewhere, and another may be at the address by now.
+	// Do not send an attempt to an address where its backend no longer is: the backend was forgotten or listens
+	// elsewhere, and another one may be at the address by now.
 	if c.state.isClosed() || c.endpoint.removed {
 		c.close()
 		return false, net.ErrClosed
@@ -128,19 +135,19 @@
 	return true, nil
 }
 
-// endWrite moves the connection on when its writer is done. It returns the fault that the writer is to
-// report; nil where the attempt goes on, or where its end is reported already.
+// endWrite updates the connection's state when its writer is done. It returns the error that the writer must
+// report, or nil if the attempt continues or its end is already reported.
 func (c *conn) endWrite(attempt *dispatch.Attempt, isComplete bool, err error) error {
 	p := c.pool
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if !isComplete { // answered before it was written: what follows would stand behind half a command
+	if !isComplete { // answered before it was written: the next command would follow half a command
 		c.close()
 	}
 	if c.state == stateAnsweredEarly {
 		c.makeIdle()
 	}
-	if c.attempt != attempt { // answered meanwhile
+	if c.attempt != attempt { // answered in the meantime
 		return nil
 	}
 	progress := dispatch.Writing
@@ -158,8 +165,9 @@
 	return &dispatch.NetworkError{Progress: progress, Err: cmp.Or(err, net.ErrClosed)}
 }
 
-// Abandon gives up the attempt, if it is still out here. It returns whether the attempt's end is still to be
-// reported: while it is being written, only its writer learns how far it came. The dispatcher's lock is held.
+// Abandon gives up the attempt if the connection still carries it. It returns whether the attempt's end will
+// still be reported: while the attempt is being written, only its writer learns how much was written. The
+// caller holds the dispatcher's lock.
 func (c *conn) Abandon(attempt *dispatch.Attempt) (reports bool) {
 	c.pool.mu.Lock()
 	defer c.pool.mu.Unlock()
@@ -171,25 +179,26 @@
 		return true
 	}
 	c.attempt = nil
-	if c.state.isClosed() { // its reader ended without a report: nothing is left to be read
+	if c.state.isClosed() { // its reader ended without a report: there is nothing left to read
 		return false
 	}
-	// Guards against cutting off an answer that the backend is giving or about to give, which the operators
-	// count as a lost request where it is long: the reader takes what comes and drops it, then ends the
-	// connection; it waits pieceTimeout at most for each piece. Hurts by keeping the connection and its
-	// memory longer, and a backend that answers nothing keeps it for pieceTimeout.
+	// Do not cut off an answer that the backend is sending or about to send: the operators count a long answer
+	// that is cut off as a lost request. The reader reads and discards what arrives, then ends the connection;
+	// it waits at most pieceTimeout for each piece. The cost: the connection and its memory are held longer, and
+	// a backend that answers nothing holds them for pieceTimeout.
 	c.state = stateAbandoned
 	now := time.Now()
 	c.drainDeadline = now.Add(maxDrainTime)
 	c.abandoned.Store(true)
-	// The sending ends at once: that gives the attempt up, and another may go out for the request. Both calls
-	// fail only where the connection has ended, which the reader meets.
+	// The sending side is closed at once: that gives up the attempt, and another may be sent for the request.
+	// Both calls fail only if the connection has ended, which the reader notices.
 	_ = c.nc.CloseWrite()
 	_ = c.nc.SetReadDeadline(now.Add(pieceTimeout))
 	return false
 }
 
-// recordIdle counts how an attempt ended on a connection that had been idle, once. The Pool's lock is held.
+// recordIdle counts, once, how an attempt ended on a connection that had been idle. The caller holds the
+// Pool's lock.
 func (c *conn) recordIdle(failed bool) {
 	if c.idleBefore >= 0 {
 		c.pool.idleStats.record(c.idleBefore, failed)
@@ -197,7 +206,7 @@
 	}
 }
 
-// makeIdle puts a connection without an attempt into the idle pool. The Pool's lock is held.
+// makeIdle puts a connection without an attempt into the idle pool. The caller holds the Pool's lock.
 func (c *conn) makeIdle() {
 	if c.endpoint.removed {
 		c.close()
@@ -211,8 +220,8 @@
 	c.endpoint.idle = append(c.endpoint.idle, c)
 }
 
-// close ends the connection and takes it out of the idle pool; once, however often it is called. The Pool's
-// lock is held.
+// close ends the connection and removes it from the idle pool. Only the first call has an effect. The caller
+// holds the Pool's lock.
 func (c *conn) close() {
 	if c.state.isClosed() {
 		return
@@ -226,10 +235,10 @@
 	if n := slices.Index(c.endpoint.idle, c); n >= 0 {
 		c.endpoint.idle = slices.Delete(c.endpoint.idle, n, n+1)
 	}
-	_ = c.nc.Close() // there is nobody to hear of a connection that did not end well
+	_ = c.nc.Close() // there is nobody to report the error to
 }
 
-// read is the reader: it reads answers until the connection ends.
+// read is the reader goroutine: it reads answers until the connection ends.
 func (c *conn) read() {
 	defer stopPanic()
 	defer c.endRead()
@@ -246,7 +255,7 @@
 		}
 		r, err := parseResponse(buffer[:filled])
 		switch {
-		case r.size == 0 && err != nil: // the connection is of no further use
+		case r.size == 0 && err != nil: // the connection cannot be used any more
 			c.handleResponse(response{}, err, false)
 			return
 		case r.size == 0 && filled == len(buffer):
@@ -255,7 +264,7 @@
 				return
 			}
 		case r.size > 0:
-			// Bytes behind it belong to nothing: the answer stands, and the connection ends.
+			// Bytes after the answer belong to no attempt: the answer is valid, but the connection ends.
 			reusable := r.size == filled
 			buffer, r.value = c.detachValue(buffer, r.value)
 			if !c.handleResponse(r, err, reusable) || !reusable {
@@ -266,7 +275,7 @@
 	}
 }
 
-// endRead frees what the reader held, and ends the connection, which nobody reads any more.
+// endRead releases what the reader held, and ends the connection, which nobody reads any more.
 func (c *conn) endRead() {
 	c.releaseBudget()
 	c.pool.mu.Lock()
@@ -274,17 +283,18 @@
 	c.close()
 }
 
-// awaitNextPiece sets by when the next piece has to come of an answer that nobody wants.
+// awaitNextPiece sets the deadline for the next piece of an answer that nobody wants.
 func (c *conn) awaitNextPiece() {
 	deadline := time.Now().Add(pieceTimeout)
 	if c.drainDeadline.Before(deadline) {
 		deadline = c.drainDeadline
 	}
-	_ = c.nc.SetReadDeadline(deadline) // where it fails the connection has ended, which the next read meets
+	_ = c.nc.SetReadDeadline(deadline) // fails only if the connection has ended, which the next read reports
 }
 
-// growBuffer returns a buffer as large as what has come of an answer says that it becomes, with that in it;
-// or the same buffer, where the answer would be too large or no memory came free for it in time.
+// growBuffer returns a buffer that contains the bytes in buffer and has the size that the answer will have
+// according to those bytes. It returns buffer itself if the answer would be too large or if no memory came
+// free for it in time.
 func (c *conn) growBuffer(buffer []byte) []byte {
 	_, offset, _ := resp.Length(buffer, '*', maxParts)
 	length, header, _ := resp.Length(buffer[offset:], '$', resp.MaxValue)
@@ -302,8 +312,8 @@
 	return append(make([]byte, 0, size), buffer...)[:size]
 }
 
-// detachValue separates a value from the reader's buffer: a value in a large buffer takes that with it, and
-// any other is copied. It returns the buffer to go on with, and the value.
+// detachValue separates a value from the reader's buffer: a value in a large buffer keeps that buffer, and
+// any other value is copied. It returns the buffer to continue with, and the value.
 func (c *conn) detachValue(buffer, value []byte) (next, detached []byte) {
 	if len(buffer) > plainBufferBytes {
 		c.releaseBudget()
@@ -312,14 +322,14 @@
 	return buffer, bytes.Clone(value)
 }
 
-// releaseBudget gives back what the buffer held of the memory budget.
+// releaseBudget returns the buffer's share to the memory budget.
 func (c *conn) releaseBudget() {
 	c.pool.budget.Release(c.budgetedBytes)
 	c.budgetedBytes = 0
 }
 
-// handleResponse ends the attempt with its answer. It returns whether there was an attempt for it. reusable
-// says that nothing else has come with the answer, so that the connection may carry another attempt.
+// handleResponse ends the attempt with its answer. It returns whether there was an attempt for the answer.
+// reusable means that nothing else arrived with the answer, so that the connection may carry another attempt.
 func (c *conn) handleResponse(r response, err error, reusable bool) bool {
 	attempt := c.endAttempt(reusable)
 	if attempt == nil {
@@ -329,7 +339,7 @@
 	return true
 }
 
-// endAttempt takes the attempt, which was answered, off the connection, and makes that idle where it is
+// endAttempt removes the answered attempt from the connection, and makes the connection idle if it is
 // reusable.
 func (c *conn) endAttempt(reusable bool) *dispatch.Attempt {
 	c.pool.mu.Lock()
@@ -354,8 +364,8 @@
 	return attempt
 }
 
-// handleEnd reports that the connection has ended. An attempt that is just being written is left to its
-// writer.
+// handleEnd reports that the connection has ended. If an attempt is still being written, its writer reports
+// it.
 func (c *conn) handleEnd(answering bool, err error) {
 	attempt := c.closeAndTake(answering)
 	if attempt == nil {
@@ -368,8 +378,8 @@
 	attempt.Report(nil, 0, &dispatch.NetworkError{Progress: progress, Err: err})
 }
 
-// closeAndTake closes the connection and takes the attempt off it that its reader has to report; nil where
-// there is none.
+// closeAndTake closes the connection. It removes and returns the attempt that the reader has to report, or
+// nil if there is none.
 func (c *conn) closeAndTake(answering bool) *dispatch.Attempt {
 	c.pool.mu.Lock()
 	defer c.pool.mu.Unlock()
--- a/internal/backend/health_check.go
+++ b/internal/backend/health_check.go
@@ -10,11 +10,11 @@
 	"fawnplank/policy"
 )
 
-// ping is the whole of a health check; a healthy backend answers it with a status line.
+// ping is the entire request of a health check. A healthy backend answers it with a status line.
 const ping = "*1\r\n$4\r\nPING\r\n"
 
-// CheckHealth asks a backend whether it answers, and passes the outcome to the Pool's HandleHealthCheck. It
-// does not block; the check as a whole takes no longer than a connection may take to come up.
+// CheckHealth checks whether a backend answers, and passes the outcome to Options.HandleHealthCheck. It does
+// not block. The whole check takes no longer than a connection may take to be established.
 func (p *Pool) CheckHealth(backend policy.BackendID) {
 	go func() {
 		defer stopPanic()
@@ -22,8 +22,8 @@
 	}()
 }
 
-// checkHealth runs one check on a connection of its own, which counts among the Pool's: health checks have no
-// descriptors set aside for them.
+// checkHealth runs one check on its own connection, which counts as one of the Pool's: no descriptors are set
+// aside for health checks.
 func (p *Pool) checkHealth(backend policy.BackendID) error {
 	address, err := p.reserveForCheck(backend)
 	if err != nil {
@@ -37,13 +37,13 @@
 		return &dispatch.NetworkError{Progress: dispatch.Dialing, Err: err}
 	}
 	defer func() {
-		_ = conn.Close() // the outcome stands already
+		_ = conn.Close() // the outcome is already known
 	}()
-	_ = conn.SetDeadline(deadline) // it fails only on a closed connection, which the write reports
+	_ = conn.SetDeadline(deadline) // fails only on a closed connection, which the write reports
 	return exchangePing(conn)
 }
 
-// reserveForCheck counts a connection for a check and returns the address to connect to.
+// reserveForCheck reserves a connection for a check and returns the address to connect to.
 func (p *Pool) reserveForCheck(backend policy.BackendID) (address string, err error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -54,7 +54,7 @@
 	return e.address, p.reserve()
 }
 
-// exchangePing sends the ping and judges the answer by its first bytes.
+// exchangePing sends the ping and checks the first bytes of the answer.
 func exchangePing(conn net.Conn) error {
 	if _, err := conn.Write([]byte(ping)); err != nil {
 		return &dispatch.NetworkError{Progress: dispatch.Writing, Err: err}
--- a/internal/backend/pool.go
+++ b/internal/backend/pool.go
@@ -18,9 +18,9 @@
 	"fawnplank/policy"
 )
 
-// minIdle is how long a connection has to be idle before it is used again. A second answer to one attempt may
-// come some milliseconds late, as the operators say, and the next attempt on that connection would take it
-// for its own.
+// minIdle is how long a connection must be idle before it is used again. According to the operators, a second
+// answer to one attempt may arrive some milliseconds late; the next attempt on that connection would take it
+// for its own answer.
 const minIdle = 10 * time.Millisecond
 
 var (
@@ -28,52 +28,53 @@
 	errNoAddress    = errors.New("no address known")
 )
 
-// Options are what a Pool is made of.
+// Options configures a Pool.
 type Options struct {
-	// MaxConnections bounds the connections to all backends together, health checks among them. At 0 none
-	// comes up.
+	// MaxConnections bounds the total number of connections to all backends, including those of health checks.
+	// If it is 0, no connection is opened.
 	MaxConnections int
-	// ConnectTimeout bounds how long a connection takes to come up, and a whole health check. 0 is no bound
-	// on the connection, and fails every health check.
+	// ConnectTimeout bounds the time to establish a connection, and the time of a whole health check. 0 means no
+	// bound for connections, and makes every health check fail.
 	ConnectTimeout time.Duration
-	// IdleTimeout is the time after which backends close an idle connection. The pool closes it at half of
-	// that, so that no attempt meets a connection that is being closed. At 0 no connection is used again.
+	// IdleTimeout is the time after which backends close an idle connection. The pool closes it after half that
+	// time, so that no attempt uses a connection that is being closed. If it is 0, no connection is reused.
 	IdleTimeout time.Duration
-	// Budget bounds the memory of large answers over all connections; nil is no bound.
+	// Budget bounds the memory for large answers over all connections. Nil means no bound.
 	Budget *membudget.Budget
-	// Metrics counts the attempts that were written whole; nil counts none.
+	// Metrics counts the attempts that were written completely. Nil counts none.
 	Metrics *metrics.Registry
-	// HandleHealthCheck gets the outcome of each health check, on a goroutine of its own; nil only where
-	// CheckHealth is never called.
+	// HandleHealthCheck is called with the outcome of each health check, on the goroutine of that check. It may
+	// be nil only if CheckHealth is never called.
 	HandleHealthCheck func(backend policy.BackendID, err error)
 }
 
-// Pool holds the connections to all backends. Its methods may be called concurrently.
+// Pool holds the connections to all backends. Its methods are safe for concurrent use.
 type Pool struct {
 	connectTimeout    time.Duration
-	maxIdle           time.Duration // a connection idle for longer is closed
+	maxIdle           time.Duration // connections that have been idle longer are closed
 	maxConnections    int
 	handleHealthCheck func(backend policy.BackendID, err error)
 	budget            *membudget.Budget
 	metrics           *metrics.Registry
 
-	mu          sync.Mutex // guards all that follows, and the state of every connection
+	mu          sync.Mutex // guards all fields below, and the state of every connection
 	endpoints   map[policy.BackendID]*endpoint
-	connections int // open or being opened, health checks among them
+	connections int // open or being opened, including those of health checks
 	idleStats   idleStats
 }
 
-// endpoint is where one backend listens, with its idle connections. A backend that moves gets a new one.
+// endpoint is where one backend listens, with its idle connections. A backend that moves gets a new endpoint.
 type endpoint struct {
-	address string // or, of a backend with several addresses, all of them as text
-	// addresses are those of a backend that has several, in the order to try them. The one that came up last
-	// is first, so that one that hangs costs its part of the connect timeout once and not at each connection.
+	address string // for a backend with several addresses, all of them as text
+	// addresses lists the addresses of a backend that has several, in the order to try them. The address that
+	// last accepted a connection comes first, so that an address that hangs costs its part of the connect
+	// timeout only once and not for each connection.
 	addresses []netip.AddrPort
-	idle      []*conn // the one used last is last
+	idle      []*conn // the most recently used is last
 	removed   bool    // its backend has moved or is gone
 }
 
-// New makes a pool without connections.
+// New returns a pool without connections.
 func New(options Options) *Pool {
 	return &Pool{
 		connectTimeout:    options.ConnectTimeout,
@@ -86,31 +87,30 @@
 	}
 }
 
-// SetAddress sets where a backend listens. Idle connections to another address are closed.
+// SetAddress sets the address where a backend listens. Idle connections to another address are closed.
 func (p *Pool) SetAddress(backend policy.BackendID, address string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.replace(backend, &endpoint{address: address})
 }
 
-// SetAddresses sets where a backend listens that has several addresses. It is one backend still: a connection
-// goes to the first address that comes up. Idle connections to other addresses are closed.
+// SetAddresses sets the addresses of a backend that listens at several. It remains one backend: a connection
+// goes to the first address that accepts it. Idle connections to other addresses are closed.
 func (p *Pool) SetAddresses(backend policy.BackendID, addresses []netip.AddrPort) {
-	order := dialer.Order(addresses, dialer.Reachable) // it looks at the host's routes: not under the lock
+	order := dialer.Order(addresses, dialer.Reachable) // looks up the host's routes: not with the lock held
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.replace(backend, &endpoint{address: fmt.Sprint(addresses), addresses: order})
 }
 
-// Forget removes a backend that is gone. Attempts that are out there stay out.
+// Forget removes a backend that is gone. Attempts already sent to it continue.
 func (p *Pool) Forget(backend policy.BackendID) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.remove(backend)
 }
 
-// replace puts a backend's endpoint in the place of the one before, unless that has the same address. The
-// lock is held.
+// replace replaces a backend's endpoint, unless the old one has the same address. The caller holds the lock.
 func (p *Pool) replace(backend policy.BackendID, e *endpoint) {
 	if old := p.endpoints[backend]; old != nil && old.address == e.address {
 		return
@@ -119,7 +119,7 @@
 	p.endpoints[backend] = e
 }
 
-// remove drops a backend's endpoint and closes its idle connections. The lock is held.
+// remove deletes a backend's endpoint and closes its idle connections. The caller holds the lock.
 func (p *Pool) remove(backend policy.BackendID) {
 	e := p.endpoints[backend]
 	if e == nil {
@@ -132,8 +132,8 @@
 	delete(p.endpoints, backend)
 }
 
-// acquire returns an idle connection of a backend; or, where the connection is nil, the endpoint to dial,
-// with a reservation for the new connection.
+// acquire returns an idle connection of a backend. If the connection is nil, the caller must dial the
+// returned endpoint; the new connection is already reserved.
 func (p *Pool) acquire(backend policy.BackendID) (*conn, *endpoint, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -147,8 +147,8 @@
 	return nil, e, p.reserve()
 }
 
-// takeIdle returns the connection to an endpoint that was used last among those fit for use, or nil. It
-// closes those that will not be fit any more. The lock is held.
+// takeIdle returns the most recently used of an endpoint's usable idle connections, or nil. It closes those
+// that will never be usable again. The caller holds the lock.
 func (p *Pool) takeIdle(e *endpoint) *conn {
 	now := time.Now()
 	for len(e.idle) > 0 && now.Sub(e.idle[0].lastUsed) > p.maxIdle {
@@ -160,8 +160,8 @@
 		if idle < minIdle {
 			continue
 		}
-		// What the reader has not dealt with yet, stray bytes or the connection's end, must not meet the next
-		// attempt.
+		// The next attempt must not run into anything that the reader has not handled yet, such as stray bytes or
+		// the connection's end.
 		if c.nc.IsConsumed() && !p.idleStats.isStale(now, idle) {
 			e.idle = slices.Delete(e.idle, n, n+1)
 			c.state = stateReserved
@@ -173,8 +173,8 @@
 	return nil
 }
 
-// reserve counts a connection that is to be opened. Where there are as many as may be, the one that has been
-// idle for the longest is closed. The lock is held.
+// reserve counts a connection that is about to be opened. If the maximum is reached, it closes the connection
+// that has been idle longest. The caller holds the lock.
 func (p *Pool) reserve() error {
 	if p.connections >= p.maxConnections {
 		oldest := p.longestIdle()
@@ -187,8 +187,8 @@
 	return nil
 }
 
-// longestIdle returns the connection that has been idle for the longest, of two for as long either; nil where
-// none is idle. The lock is held.
+// longestIdle returns the connection that has been idle longest, any of them on a tie, or nil if none is
+// idle. The caller holds the lock.
 func (p *Pool) longestIdle() *conn {
 	var oldest *conn
 	for _, e := range p.endpoints {
@@ -199,15 +199,15 @@
 	return oldest
 }
 
-// releaseReservation gives up what reserve counted, for a connection that never came up or is closed again.
+// releaseReservation undoes reserve, for a connection that was never established or that is closed again.
 func (p *Pool) releaseReservation() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.connections--
 }
 
-// Send sends an attempt: the parts of a command, which must not change until the attempt has ended. It does
-// not wait for a connection or an answer; the attempt reports how it ended.
+// Send sends an attempt. command holds the parts of its command, which must not change until the attempt has
+// ended. Send does not wait for a connection or an answer; the result is reported with Attempt.Report.
 func (p *Pool) Send(attempt *dispatch.Attempt, command [][]byte) {
 	c, e, err := p.acquire(attempt.Backend)
 	if err != nil {
@@ -232,7 +232,7 @@
 	c.write(attempt, command)
 }
 
-// reportNotConnected ends an attempt of which no byte was written.
+// reportNotConnected ends an attempt of which no byte has been written.
 func reportNotConnected(attempt *dispatch.Attempt, err error) {
 	attempt.Report(nil, 0, &dispatch.NetworkError{Progress: dispatch.Dialing, Err: err})
 }
@@ -249,7 +249,7 @@
 	return c, nil
 }
 
-// connect opens a connection to an endpoint, at one of its addresses.
+// connect opens a connection to one of an endpoint's addresses.
 func (p *Pool) connect(e *endpoint) (*sock.Conn, error) {
 	p.mu.Lock()
 	order := e.addresses
@@ -260,14 +260,14 @@
 	nc, n, err := sock.DialAny(order, p.connectTimeout)
 	if err == nil && n > 0 {
 		p.mu.Lock()
-		// A new slice: another dial may be going through the old one.
+		// Use a new slice, since another dial may be iterating over the old one.
 		e.addresses = append([]netip.AddrPort{order[n]}, slices.Concat(order[:n], order[n+1:])...)
 		p.mu.Unlock()
 	}
 	return nc, err
 }
 
-// stopPanic is deferred by every goroutine of the package: a fault in one must not end the process.
+// stopPanic is deferred by every goroutine of the package, so that a panic in one does not end the process.
 func stopPanic() {
 	if cause := recover(); cause != nil {
 		logging.Panicked("backend", cause, debug.Stack())
--- a/internal/backend/response_parser.go
+++ b/internal/backend/response_parser.go
@@ -10,27 +10,28 @@
 )
 
 const (
-	// maxLineBytes bounds the line of an error with its load report: several times what the fields of the
+	// maxLineBytes bounds an error line with its load report. It is several times what the fields named in the
 	// settings take.
 	maxLineBytes = 1 << 10
-	// maxParts bounds the parts of a response: value, usage and load report, and some to spare.
+	// maxParts bounds the number of parts of a response: value, usage and load report, and some spare.
 	maxParts = 8
 	// maxResponseBytes bounds a response: a value of the largest size, with its usage and load report.
 	maxResponseBytes = resp.MaxValue + 4<<10
-	// maxUnits is what a usage report stays below; more is treated as noise.
+	// maxUnits is the exclusive upper bound on the units of a usage report; larger numbers are treated as noise.
 	maxUnits = 1e9
 )
 
-// response is what a backend answered.
+// response is a backend's answer.
 type response struct {
-	size  int     // in bytes; 0 where it has not come whole
-	value []byte  // as it came, with its length before it; it aliases the buffer that was parsed
-	units float64 // that the request really cost, where the usage says so; else 0
+	size  int     // in bytes; 0 while incomplete
+	value []byte  // as received, including its length line; it aliases the parsed buffer
+	units float64 // what the request actually cost if the usage says so, otherwise 0
 }
 
-// parseResponse judges what has come of a response, each length before what it counts. A size of 0 without an
-// error asks for more; with one, what has come can never become a response. A size with an error is a whole
-// response that stands for that error. received is not empty.
+// parseResponse parses what has been received of a response. It checks each length before the bytes that the
+// length counts. A size of 0 without an error means that more bytes are needed; a size of 0 with an error
+// means that the received bytes can never become a response. Any other size with an error is a complete
+// response that stands for that error. received must not be empty.
 func parseResponse(received []byte) (response, error) {
 	if received[0] == '-' {
 		return parseErrorLine(received)
@@ -63,8 +64,8 @@
 	return r, nil
 }
 
-// parseErrorLine judges a response that begins as an error: BUSY proves that nothing ran, ERR does not, and
-// any other word is no response.
+// parseErrorLine parses a response that begins like an error: BUSY proves that nothing ran, ERR does not, and
+// any other word is not a valid response.
 func parseErrorLine(received []byte) (response, error) {
 	text, size, ok := resp.Line(received, maxLineBytes)
 	if !ok {
@@ -85,12 +86,12 @@
 
 // part is one element of a response's array.
 type part struct {
-	size    int    // in bytes; 0 where it has not come whole
-	payload []byte // of a bulk string; nil where it is null or no bulk string
+	size    int    // in bytes; 0 while incomplete
+	payload []byte // of a bulk string; nil if it is null or not a bulk string
 }
 
-// parsePart judges the part that received begins with. A value has to be a bulk string; usage and load report
-// may also be null, or of another type, which is passed over.
+// parsePart parses the part at the beginning of received. A value must be a bulk string; usage and load
+// report may also be null, or of another type, which is skipped.
 func parsePart(received []byte, isValue bool) (part, error) {
 	length, header, ok := resp.Length(received, '$', resp.MaxValue)
 	if !isValue && !ok && received[0] != '$' {
@@ -118,8 +119,8 @@
 	return part{size: size, payload: received[header : size-2]}, nil
 }
 
-// usedUnits finds the true units in the usage: names and values, as in a load report. 0 says that they are
-// not there.
+// usedUnits returns the actual units from the usage, which consists of names and values like a load report.
+// It returns 0 if the usage does not contain them.
 func usedUnits(usage []byte) float64 {
 	for len(usage) > 0 {
 		var pair []byte
