--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -12,7 +12,7 @@
 	"fawnplank/policy"
 )
 
-// Subscriber is notified of the list of backends, its changes, and failures of the watch.
+// Subscriber is notified of the list of backends, changes to it, and failures of the watch.
 type Subscriber interface {
 	UpdateEndpoints(kind policy.UpdateKind, endpoints []policy.Endpoint)
 }
@@ -24,49 +24,51 @@
 	Forget(backend policy.BackendID)
 }
 
-// Options are the parts that a client works between. Subscriber, AddressBook and Config are needed.
+// Options configures a Client. Subscriber, AddressBook and Config are required.
 type Options struct {
 	Subscriber  Subscriber
 	AddressBook AddressBook
-	// Config has the discovery service's address, the settings, and the zones, whose ids are in their order.
+	// Config supplies the discovery service's address, the settings, and the zones. Zone ids follow the order of
+	// the zones.
 	Config *config.Config
-	// Metrics counts the backends listed and those draining; nil: they are not counted.
+	// Metrics counts the listed backends and the draining ones. If nil, they are not counted.
 	Metrics *metrics.Registry
-	// Refresh makes another source, which hands its lists to Publish, publish its full snapshot. It is called
-	// in a goroutine of its own. nil: the client watches the discovery service.
+	// Refresh is set if the lists come from another source, which passes them to Publish: Refresh makes that
+	// source publish its full snapshot. It is called in its own goroutine. If nil, the client watches the
+	// discovery service.
 	Refresh func()
 }
 
-// Client follows the list of backends.
+// Client tracks the list of backends.
 type Client struct {
 	publisher *publisher
 	refresh   func()
-	// http is a client of its own: the usual one asks the environment for proxies.
+	// http is not http.DefaultClient, because that one reads proxy settings from the environment.
 	http http.Client
 
 	startWatch sync.Once
-	requested  chan struct{} // one token: the watch is asked for
-	// index is that of the last list published, since which the watch asks for what is new. Only the watch
-	// uses it.
+	requested  chan struct{} // holds one token while a watch is requested
+	// index is the index of the last published list; the watch asks for changes since then. Only the watch uses
+	// it.
 	index int64
 
-	publishing sync.Mutex // one list of another source is published at a time
+	publishing sync.Mutex // held while a list from another source is published, one at a time
 
-	mu             sync.Mutex // guards all that follows
+	mu             sync.Mutex // guards all fields below
 	url            string
-	addressVersion int // how often the address has changed
+	addressVersion int // number of address changes so far
 	timeouts       timeouts
-	cancelPoll     context.CancelFunc // gives up the call that is out; nil before the first
+	cancelPoll     context.CancelFunc // cancels the call in progress; nil before the first call
 }
 
-// timeouts are how long calls to the discovery service may take, as the engine says.
+// timeouts are the engine's limits on the duration of calls to the discovery service.
 type timeouts struct {
-	watch    time.Duration // how long the service holds a watch that has nothing new
-	lateness time.Duration // how much later the answer may be
+	watch    time.Duration // how long the service holds a watch call that has no changes
+	lateness time.Duration // how much later than that the answer may arrive
 	snapshot time.Duration // how long a full snapshot may take
 }
 
-// New makes a client. It does nothing before LoadSnapshot, Publish or WatchEndpoints.
+// New returns a client. It does nothing until LoadSnapshot, Publish or WatchEndpoints is called.
 func New(options Options) *Client {
 	return &Client{
 		publisher: newPublisher(options),
@@ -93,15 +95,15 @@
 
 func endpointsURL(address string) string { return "http://" + address + "/v1/endpoints" }
 
-// Publish publishes what another source has, in the same way as what the watch receives.
+// Publish publishes a list from another source in the same way as a list that the watch receives.
 func (c *Client) Publish(kind policy.UpdateKind, endpoints []Endpoint) {
 	c.publishing.Lock()
 	defer c.publishing.Unlock()
 	c.publisher.publish(kind, endpoints)
 }
 
-// LoadSnapshot publishes the list that the instance last had, in the service's form. An empty one is left
-// out.
+// LoadSnapshot publishes the list that the instance last had, given in the discovery service's format. Empty
+// text is not published.
 func (c *Client) LoadSnapshot(text []byte) error {
 	if err := Check(text); err != nil || len(text) == 0 {
 		return err
@@ -115,8 +117,8 @@
 	return nil
 }
 
-// SetAddress goes on to another address, where a new watch starts with a full snapshot, and to other
-// settings.
+// SetAddress switches to other settings and to another address, where a new watch starts with a full
+// snapshot.
 func (c *Client) SetAddress(address string, settings policy.Settings) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -134,17 +136,17 @@
 	}
 }
 
-// WatchEndpoints asks for the list and its changes from now on. The subscriber is notified of a failure,
-// after which the watch waits for the next WatchEndpoints: the engine says when, since many instances that
-// fail together must not ask again together. It does not block.
+// WatchEndpoints requests the list and, from then on, its changes. On a failure the client notifies the
+// subscriber, and the watch waits for the next WatchEndpoints: the engine decides when to call it, since many
+// instances that fail together must not all ask again at the same time. It does not block.
 func (c *Client) WatchEndpoints() {
 	if c.refresh != nil {
-		go c.refresh() // not within the caller's locks
+		go c.refresh() // without the caller's locks held
 		return
 	}
 	c.startWatch.Do(func() { go c.watch() })
 	select {
 	case c.requested <- struct{}{}:
-	default: // it is asked for already
+	default: // already requested
 	}
 }
--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -7,7 +7,7 @@
 	"net/netip"
 )
 
-// The words for an endpoint's status.
+// The possible values of an endpoint's status.
 const (
 	StatusUp       = "up"
 	StatusDraining = "draining"
@@ -18,8 +18,8 @@
 type Endpoint struct {
 	Name    string `json:"name"`
 	Address string `json:"address"`
-	// Addresses are another source's: all addresses, where it is not one of IPv4 alone. They hold in place of
-	// Address.
+	// Addresses is set only by another source than the discovery service: it holds all addresses of a backend,
+	// unless that has a single IPv4 address. If set, it replaces Address.
 	Addresses       []netip.AddrPort `json:"-"`
 	Zone            string           `json:"zone"`
 	Group           uint16           `json:"group"`
@@ -28,21 +28,21 @@
 	StartedAtMillis float64          `json:"since_ms"` // Unix time
 }
 
-// endpointList is a list in the discovery service's form.
+// endpointList is a list in the discovery service's format.
 type endpointList struct {
 	Index     int64      `json:"index"`
-	Snapshot  bool       `json:"snapshot"` // else changes since the index that was asked for
+	Snapshot  bool       `json:"snapshot"` // if false, the list holds the changes since the requested index
 	Endpoints []Endpoint `json:"endpoints"`
 }
 
-// Check says what is wrong with a list in the discovery service's form, such as the one in the configuration.
-// None at all is right.
+// Check returns an error that says what is wrong with a list in the discovery service's format, such as the
+// one in the configuration. Empty text is valid.
 func Check(text []byte) error {
 	if len(text) == 0 {
 		return nil
 	}
 	if _, err := decodeList(text); err != nil {
-		return fmt.Errorf("known: %w", err) // the configuration's word for it
+		return fmt.Errorf("known: %w", err) // the key of the list in the configuration
 	}
 	return nil
 }
@@ -55,8 +55,8 @@
 	}
 	seen := map[string]bool{}
 	for _, endpoint := range list.Endpoints {
-		// Nobody can say which of two entries for one backend holds in a full snapshot; the last good list
-		// stands. A delta may name one twice: its entries hold in their order.
+		// In a full snapshot, two entries for one backend are ambiguous, so the snapshot is refused and the last
+		// valid list stays in use. A delta may name a backend twice: its entries apply in order.
 		if list.Snapshot && seen[endpoint.Name] {
 			return nil, fmt.Errorf("entry with name %q stands twice in a whole list", endpoint.Name)
 		}
@@ -68,7 +68,7 @@
 	return &list, nil
 }
 
-// isValid reports whether the endpoint has a name, and an address unless it is removed.
+// isValid reports whether the endpoint has a name and, unless it is removed, an address.
 func (e *Endpoint) isValid() bool {
 	if e.Name == "" {
 		return false
--- a/internal/discovery/publisher.go
+++ b/internal/discovery/publisher.go
@@ -11,15 +11,15 @@
 	"fawnplank/policy"
 )
 
-// endpointStates are the engine's states for the statuses of a list.
+// endpointStates maps the statuses in a list to the engine's states.
 var endpointStates = map[string]policy.EndpointState{
 	StatusUp:       policy.EndpointReady,
 	StatusDraining: policy.EndpointDraining,
 	StatusRemoved:  policy.EndpointGone,
 }
 
-// publisher turns lists into updates for the engine. It keeps the ids of the names listed, and is used by one
-// goroutine at a time.
+// publisher converts lists into updates for the engine. It keeps the ids of the listed names. Only one
+// goroutine at a time may use it.
 type publisher struct {
 	subscriber  Subscriber
 	addressBook AddressBook
@@ -28,10 +28,10 @@
 	ids         map[string]policy.BackendID
 	names       map[policy.BackendID]string
 	listed      map[policy.BackendID]bool
-	draining    map[policy.BackendID]bool // whether one of those listed is sent nothing new
+	draining    map[policy.BackendID]bool // whether a listed backend gets no new requests
 }
 
-// zoneIDs numbers zones: those of the configuration first, others as they come.
+// zoneIDs numbers zones: first those of the configuration, then others in order of appearance.
 type zoneIDs map[string]policy.ZoneID
 
 func (z zoneIDs) of(name string) policy.ZoneID {
@@ -62,7 +62,7 @@
 
 func (p *publisher) hasEndpoints() bool { return len(p.listed) > 0 }
 
-// publish notifies the address book, then the subscriber.
+// publish notifies the address book of an update, then the subscriber.
 func (p *publisher) publish(kind policy.UpdateKind, endpoints []Endpoint) {
 	updates := make([]policy.Endpoint, len(endpoints))
 	listed := map[policy.BackendID]bool{}
@@ -85,7 +85,8 @@
 	p.subscriber.UpdateEndpoints(kind, updates)
 }
 
-// convert gives an endpoint its ids. One of an unknown status counts as draining, which is the zero state.
+// convert converts a listed endpoint to the engine's form, with ids for its names. An endpoint with an
+// unknown status counts as draining, which is the zero state.
 func (p *publisher) convert(endpoint Endpoint) policy.Endpoint {
 	state, ok := endpointStates[endpoint.Status]
 	if !ok {
@@ -119,7 +120,8 @@
 	}
 }
 
-// forget drops all that is known of a backend that is gone: new ones come under new names without end.
+// forget deletes everything known about a backend that is gone. Otherwise memory would grow without end,
+// since new backends keep arriving under new names.
 func (p *publisher) forget(backend policy.BackendID) {
 	p.addressBook.Forget(backend)
 	delete(p.listed, backend)
@@ -128,7 +130,7 @@
 	delete(p.names, backend)
 }
 
-// noteDraining notes which of the backends updated are sent nothing new.
+// noteDraining records which of the updated backends get no new requests.
 func (p *publisher) noteDraining(updates []policy.Endpoint) {
 	for _, update := range updates {
 		if update.State == policy.EndpointGone || !p.listed[update.Backend] {
@@ -149,9 +151,9 @@
 	return count
 }
 
-// backendID returns the id of a name, which the engine needs to be the same at every instance: a hash of the
-// name. Where two names meet, the later one gets the next free id: instances may then differ, which costs
-// evenness alone.
+// backendID returns the id of a name: a hash of the name, since the engine needs the id to be the same on
+// every instance. If two names have the same hash, the later one gets the next free id. Instances may then
+// differ, which only makes the load less even.
 func (p *publisher) backendID(name string) policy.BackendID {
 	if id, ok := p.ids[name]; ok {
 		return id
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -14,19 +14,19 @@
 // maxListBytes bounds a list: it holds some ten thousand endpoints.
 const maxListBytes = 4 << 20
 
-// errRefused is the discovery service's answer that it has no capacity for the call.
+// errRefused means that the discovery service answered that it has no capacity for the call.
 var errRefused = errors.New("refused")
 
-// watchState is what the watch goes by from one poll to the next.
+// watchState is the state that the watch keeps from one poll to the next.
 type watchState struct {
-	needsSnapshot  bool // else what is new since the last list is enough
-	failing        bool // the last poll failed; logged once an outage
+	needsSnapshot  bool // if false, the changes since the last list are enough
+	failing        bool // the last poll failed; an outage is logged once
 	addressVersion int  // of the last poll
 }
 
 // watch polls the discovery service whenever it is asked to, until a failure.
 func (c *Client) watch() {
-	// With a list, however old, what is new since is enough.
+	// With a list, however old, the changes since then are enough.
 	state := watchState{needsSnapshot: !c.publisher.hasEndpoints()}
 	for {
 		<-c.requested
@@ -34,11 +34,11 @@
 	}
 }
 
-// watchUntilFailure polls again and again. At a failure it notifies the subscriber and returns.
+// watchUntilFailure polls repeatedly. On a failure it notifies the subscriber and returns.
 func (c *Client) watchUntilFailure(state *watchState) {
 	for {
 		err := c.poll(state)
-		if c.addressChangedSince(state) { // what the poll ended with is the old address's
+		if c.addressChangedSince(state) { // the poll's result is from the old address
 			c.http.CloseIdleConnections()
 			continue
 		}
@@ -46,9 +46,9 @@
 		if err == nil {
 			continue
 		}
-		// The watch is broken, and with it what the lost answer said. A refusal says that the call was not
-		// taken up: the index stands, and asking for what is new since costs the service less than a full
-		// snapshot.
+		// The watch is broken, and the content of the lost answer is unknown, so a full snapshot is needed. After a
+		// refusal it is not: the service did not process the call, so the index is still valid, and a request for
+		// the changes since then costs the service less than a full snapshot.
 		state.needsSnapshot = state.needsSnapshot || !errors.Is(err, errRefused)
 		c.publisher.subscriber.UpdateEndpoints(policy.UpdateFailed, nil)
 		return
@@ -76,7 +76,7 @@
 	entry.Warn("endpoint watch resumed")
 }
 
-// poll makes one call, for a full snapshot or for what is new since the last list, and publishes the answer.
+// poll makes one call, for a full snapshot or for the changes since the last list, and publishes the answer.
 func (c *Client) poll(state *watchState) (err error) {
 	defer func() {
 		if reason := recover(); reason != nil {
@@ -106,8 +106,8 @@
 	url    string
 }
 
-// nextCall makes the next call, which SetAddress cancels when the address changes. At a new address the old
-// one's index means nothing.
+// nextCall prepares the next call, which SetAddress cancels if the address changes. At a new address the
+// index from the old one is meaningless.
 func (c *Client) nextCall(state *watchState) pollCall {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -127,7 +127,7 @@
 	return pollCall{ctx: ctx, cancel: cancel, url: url}
 }
 
-// fetch makes a call and returns the list that it was answered with.
+// fetch makes a call and returns the list in its answer.
 func (c *Client) fetch(call pollCall) (*endpointList, error) {
 	request, err := http.NewRequestWithContext(call.ctx, http.MethodGet, call.url, nil)
 	if err != nil {
@@ -138,7 +138,7 @@
 		return nil, err
 	}
 	defer func() {
-		_ = response.Body.Close() // the list was read, or is not needed
+		_ = response.Body.Close() // the list has been read or is not needed
 	}()
 	text, err := io.ReadAll(io.LimitReader(response.Body, maxListBytes))
 	if err != nil {
