--- a/internal/counter/client.go
+++ b/internal/counter/client.go
@@ -10,28 +10,30 @@
 )
 
 const (
-	// maxConnections is how many connections are open at most: the service accepts 32 from an instance's
-	// address, and for a while after a change of the address the old ones are open beside the new. A call
-	// goes to a connection on which nothing waits, so that a slow answer holds up no other key's.
+	// maxConnections is the maximum number of open connections. The service accepts 32 from an instance's
+	// address, and for a while after a change of the service's address the old connections are open beside the
+	// new ones. A call goes to a connection with no outstanding calls, so that a slow answer does not delay the
+	// answers for other keys.
 	maxConnections = 16
 	// maxSilence is how long a connection may leave its oldest call unanswered before it is closed: a service
-	// that has moved never answers on the old connections. It is many times what a crowded service takes.
+	// that has moved never answers on the old connections. It is many times the response time of an overloaded
+	// service.
 	maxSilence = time.Second
 )
 
-// ResultHandler is given the result of each call: the number's total, or an error of package dispatch, which
-// says whether the units may have been added.
+// ResultHandler receives the result of each call: the total of the number, or an error of package dispatch,
+// which says whether the units may have been added.
 type ResultHandler interface {
 	HandleCounterResult(key policy.CounterKey, total float64, err error)
 }
 
-// Options say which service a client calls, and how.
+// Options configures which service a Client calls, and how.
 type Options struct {
-	// Address is host and port. It is needed.
+	// Address is the host and port of the service. It is required.
 	Address string
-	// ConnectTimeout is how long a connection may take to come up; 0: as long as the system lets it.
+	// ConnectTimeout is how long it may take to establish a connection. 0 means the system's limit.
 	ConnectTimeout time.Duration
-	// Format is how the service is spoken to. The zero value is Text.
+	// Format is the wire format of the service. The zero value is Text.
 	Format Format
 }
 
@@ -41,15 +43,15 @@
 	connectTimeout time.Duration
 	format         Format
 
-	mu             sync.Mutex // guards all that follows, and the fields of connections, calls and queues
+	mu             sync.Mutex // guards all fields below, and the fields of connections, calls and queues
 	address        string
 	connections    []*connection // to the address
 	oldConnections []*connection // to earlier addresses, with calls outstanding
 	queues         map[policy.CounterKey]*queue
-	unflushed      []*connection // called since the last flush; one may stand here more than once
-	answered       uint64        // calls that ended with a total
-	failed         uint64        // calls that ended without one
-	failingSince   time.Time     // the first failure since the last total; zero: none
+	unflushed      []*connection // with calls added since the last flush; may contain duplicates
+	answered       uint64        // number of calls that ended with a total
+	failed         uint64        // number of calls that ended without a total
+	failingSince   time.Time     // time of the first failure since the last total; zero if none
 }
 
 var _ dispatch.Counter = (*Client)(nil)
@@ -63,15 +65,15 @@
 	err   error
 }
 
-// queue holds a key's calls whose results are not delivered yet. They are delivered in the order of the
-// calls, also where the later ones went to another address.
+// queue holds a key's calls whose results are not delivered yet. Results are delivered in the order of the
+// calls, even if later calls went to another address.
 type queue struct {
-	connection *connection // that takes the next call; nil: any
+	connection *connection // takes the next call; nil means any connection
 	calls      []*call
 	delivering bool // a goroutine is delivering the results of this queue
 }
 
-// New makes a client that reports to handler. A connection is opened when it is first needed.
+// New returns a client that reports to handler. Connections are opened when they are first needed.
 func New(options Options, handler ResultHandler) *Client {
 	return &Client{
 		handler:        handler,
@@ -82,14 +84,14 @@
 	}
 }
 
-// Stats is what became of the calls so far.
+// Stats counts the results of the calls so far.
 type Stats struct {
-	Answered uint64        // calls that ended with a total
-	Failed   uint64        // calls that ended without one
-	Outage   time.Duration // since the first failure after the last total; 0: none
+	Answered uint64        // number of calls that ended with a total
+	Failed   uint64        // number of calls that ended without a total
+	Outage   time.Duration // time since the first failure after the last total; 0 if none
 }
 
-// Stats returns what became of the calls so far.
+// Stats returns counts of the results of the calls so far.
 func (c *Client) Stats() Stats {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -100,15 +102,15 @@
 	return stats
 }
 
-// SetAddress goes on to another address. Outstanding calls may still be answered at the old one until it
-// closes.
+// SetAddress switches to another address. Outstanding calls may still be answered on a connection to the old
+// address until that closes.
 func (c *Client) SetAddress(address string) {
 	for _, idle := range c.replaceConnections(address) {
 		idle.close(errAddressChanged)
 	}
 }
 
-// replaceConnections lets calls go to the address from now on, and returns the old connections without
+// replaceConnections sends further calls to the address, and returns the old connections that have no
 // outstanding calls.
 func (c *Client) replaceConnections(address string) (idle []*connection) {
 	c.mu.Lock()
@@ -131,8 +133,8 @@
 	return idle
 }
 
-// Add adds units to a number, which the service forgets when its lifetime is over. It does not block: Flush
-// sends the call.
+// Add adds units to the number with the given key, which the service deletes when its lifetime is over. Add
+// does not block: Flush sends the call.
 func (c *Client) Add(key policy.CounterKey, units float64, lifetime time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -150,8 +152,8 @@
 	c.unflushed = append(c.unflushed, q.connection)
 }
 
-// pickConnection returns the first connection without outstanding calls, or else a new one, or else the one
-// with the fewest.
+// pickConnection returns the first connection without outstanding calls. If there is none, it returns a new
+// connection or, once maxConnections are open, the one with the fewest outstanding calls.
 func (c *Client) pickConnection() *connection {
 	var leastBusy *connection
 	for _, conn := range c.connections {
@@ -171,8 +173,8 @@
 	return conn
 }
 
-// Flush sends the calls added since the last flush, and closes connections that have been silent for too
-// long.
+// Flush sends the calls added since the last flush, and closes connections that have been silent for longer
+// than maxSilence.
 func (c *Client) Flush() {
 	c.mu.Lock()
 	unflushed := c.unflushed
@@ -187,7 +189,7 @@
 	}
 }
 
-// silentConnections returns the connections that have left their oldest call unanswered for too long.
+// silentConnections returns the connections whose oldest call has been unanswered for longer than maxSilence.
 func (c *Client) silentConnections() []*connection {
 	var silent []*connection
 	for _, connections := range [][]*connection{c.connections, c.oldConnections} {
@@ -200,7 +202,7 @@
 	return silent
 }
 
-// endCall notes the result of a call, and delivers the results that the call's key is due by now.
+// endCall records the result of a call, and delivers the results that are now due for the call's key.
 func (c *Client) endCall(ended *call, total float64, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -231,25 +233,25 @@
 	}
 }
 
-// deliver gives the handler the result of a queue's call, with the lock released meanwhile. Results of the
-// queue that come in during that time are left to the goroutine that is here.
+// deliver passes the result of a queue's call to the handler, with the lock released. Results of the queue
+// that arrive meanwhile are delivered later by this same goroutine.
 func (c *Client) deliver(q *queue, ended *call) {
 	q.delivering = true
-	defer func() { q.delivering = false }() // after a panic of the handler too
+	defer func() { q.delivering = false }() // also after a panic of the handler
 	c.unlocked(func() {
 		c.handler.HandleCounterResult(ended.key, ended.total, ended.err)
 	})
 }
 
-// unlocked calls f with the lock released, and takes the lock again, after a panic too.
+// unlocked calls f with the lock released, and takes the lock again afterwards, also after a panic.
 func (c *Client) unlocked(f func()) {
 	c.mu.Unlock()
 	defer c.mu.Lock()
 	f()
 }
 
-// forget takes a closed connection out of the client and returns its calls, whose results are still to be
-// given, and how many of them may have been written.
+// forget removes a closed connection from the client. It returns the connection's calls, whose results must
+// still be delivered, and how many of them may have been written.
 func (c *Client) forget(closed *connection) (calls []*call, written int) {
 	isClosed := func(conn *connection) bool { return conn == closed }
 	c.connections = slices.DeleteFunc(c.connections, isClosed)
--- a/internal/counter/connection.go
+++ b/internal/counter/connection.go
@@ -11,10 +11,11 @@
 	"fawnplank/internal/sock"
 )
 
-// readBufferBytes holds many answers at once; one alone is at most maxAnswerBytes.
+// readBufferBytes is the size of the read buffer. It holds many answers at once, since a single answer has at
+// most maxAnswerBytes.
 const readBufferBytes = 4096
 
-// Why a connection is closed.
+// Reasons for closing a connection.
 var (
 	errAddressChanged  = errors.New("counter address changed")
 	errSilent          = errors.New("calls unanswered for too long")
@@ -23,30 +24,30 @@
 	errPanic           = errors.New("panic")
 )
 
-// connection is one connection to the service. Its client's lock guards its fields.
+// connection is one connection to the service. The client's lock guards its fields.
 type connection struct {
 	client         *Client
 	address        string
-	socket         *sock.Conn // nil: not up yet
-	unwritten      []byte     // calls that are not written yet
-	unwrittenCalls int        // how many those are
-	calls          []*call    // outstanding, in the order of their answers
-	writing        bool       // a goroutine is in flush
-	old            bool       // to an earlier address: it gets no further calls
+	socket         *sock.Conn // nil until connected
+	unwritten      []byte     // encoded calls that are not written yet
+	unwrittenCalls int        // number of calls in unwritten
+	calls          []*call    // outstanding calls, in the order of their answers
+	writing        bool       // a goroutine is writing in flush
+	old            bool       // connected to an earlier address: it gets no further calls
 	closed         bool
-	// pendingReply is the first reply of an answer in RESP, whose second has not come yet. Only run uses it.
+	// pendingReply is the first reply of a RESP answer whose second reply has not arrived yet. Only run uses it.
 	pendingReply respReply
 }
 
-// addCall adds a call behind those outstanding. The client's lock is held.
+// addCall appends a call to the outstanding ones. The caller holds the client's lock.
 func (conn *connection) addCall(added *call, units float64, lifetime time.Duration) {
 	conn.unwritten = conn.client.format.appendCall(conn.unwritten, added.key, units, lifetime)
 	conn.unwrittenCalls++
 	conn.calls = append(conn.calls, added)
 }
 
-// flush writes what is not written yet. Where another goroutine does so already, or the connection is not up,
-// that one goes on with it.
+// flush writes the calls that are not written yet. If another goroutine is already writing, or the connection
+// is not established yet, it leaves the calls to the goroutine that is writing or connecting.
 func (conn *connection) flush() {
 	if err := conn.writeAll(); err != nil {
 		conn.close(err)
@@ -100,7 +101,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if conn.closed {
-		_ = socket.Close() // nothing was written on it
+		_ = socket.Close() // nothing was written to it
 		return net.ErrClosed
 	}
 	conn.socket = socket
@@ -124,14 +125,14 @@
 	}
 }
 
-// handleAnswers handles the whole answers in data and returns what is left.
+// handleAnswers handles the complete answers in data and returns the remaining bytes.
 func (conn *connection) handleAnswers(data []byte) (rest []byte, err error) {
 	for {
 		answer := conn.client.format.parseAnswer(data, &conn.pendingReply)
 		switch answer.status {
 		case answerIncomplete:
 			return data, nil
-		case answerMalformed: // it is not waited for: others wait behind it
+		case answerMalformed: // do not wait for more of it: other calls wait behind it
 			conn.handleAnswer(0, &dispatch.NetworkError{Progress: dispatch.Answering, Err: errNoTotal})
 			return nil, errMalformedAnswer
 		case answerComplete:
@@ -143,8 +144,8 @@
 	}
 }
 
-// handleAnswer ends the oldest call, and reports whether the connection may be used on: not where no call was
-// outstanding, or after an answer without a meaning, or once an old connection has answered its last call.
+// handleAnswer ends the oldest call, and reports whether the connection may still be used. It may not if no
+// call was outstanding, if the answer was meaningless, or if an old connection has answered its last call.
 func (conn *connection) handleAnswer(total float64, err error) bool {
 	answered, isLast := conn.popCall()
 	if answered == nil {
@@ -154,8 +155,8 @@
 	return (err == nil || errors.Is(err, dispatch.ErrRejected)) && !isLast
 }
 
-// popCall takes the oldest call out of those outstanding; nil if there is none. isLast reports that no
-// further one will come.
+// popCall removes and returns the oldest outstanding call, or nil if there is none. isLast reports whether no
+// further call will follow.
 func (conn *connection) popCall() (oldest *call, isLast bool) {
 	conn.client.mu.Lock()
 	defer conn.client.mu.Unlock()
@@ -170,8 +171,8 @@
 	return oldest, conn.old && len(conn.calls) == 0
 }
 
-// close closes the connection and ends its calls. Those that were written may have been added; those that
-// were not never were.
+// close closes the connection and ends its calls. The units of calls that were written may have been added;
+// those of unwritten calls have not.
 func (conn *connection) close(reason error) {
 	calls, written := conn.shut()
 	if len(calls) > 0 {
@@ -186,8 +187,8 @@
 	}
 }
 
-// shut closes the connection's socket and takes it out of the client. The first time it returns the calls
-// that are outstanding, and how many of them may have been written.
+// shut closes the connection's socket and removes the connection from the client. The first call returns the
+// outstanding calls and how many of them may have been written.
 func (conn *connection) shut() (calls []*call, written int) {
 	c := conn.client
 	c.mu.Lock()
@@ -198,7 +199,7 @@
 	conn.closed = true
 	if conn.socket != nil {
 		defer func() {
-			_ = conn.socket.Close() // its calls are ended whatever becomes of it
+			_ = conn.socket.Close() // its calls are ended in any case
 		}()
 	}
 	return c.forget(conn)
--- a/internal/counter/doc.go
+++ b/internal/counter/doc.go
@@ -1,10 +1,10 @@
-// Package counter is the client of the counter service, which adds to numbers that all instances share.
+// Package counter is a client for the counter service, which adds units to numbers that all instances share.
 //
-// A Client owns the connections to the service and the calls that wait there for their answers. Results are
-// delivered to the ResultHandler in the order of the calls for each key, one at a time, and never with the
-// client's lock held, so that the handler may call the client again. The client decides neither whether to
-// call, nor how long a result is worth waiting for, nor what a total means: that is up to its caller.
+// A Client owns the connections to the service and the calls that wait for answers on them. For each key it
+// delivers results to the ResultHandler in the order of the calls, one at a time, and never with the client's
+// lock held, so that the handler may call the client again. The caller, not the client, decides whether to
+// call, how long a result is worth waiting for, and what a total means.
 //
-// All methods of Client are safe for concurrent use. A connection's goroutine ends with the connection; a
-// client lasts as long as the process, and has no Close.
+// All methods of Client are safe for concurrent use. A connection's goroutine ends with the connection. A
+// Client lives as long as the process, and has no Close.
 package counter
--- a/internal/counter/format.go
+++ b/internal/counter/format.go
@@ -7,16 +7,16 @@
 	"fawnplank/policy"
 )
 
-// Format is how the service is spoken to.
+// Format is a wire format of the counter service.
 type Format uint8
 
 const (
-	// Text is the platform's own: a line "bump KEY UNITS LIFETIME-MS", answered "ok TOTAL", "busy" or
-	// "error".
+	// Text is the platform's own format: a line "bump KEY UNITS LIFETIME-MS", answered with "ok TOTAL", "busy"
+	// or "error".
 	Text Format = iota
-	// RESP is for services that speak RESP2: INCRBYFLOAT adds, and PEXPIRE with NX gives a new number its
-	// lifetime and leaves an old one's alone. These are two commands and no script: if the connection ends
-	// between them, the next call for the key sets the lifetime.
+	// RESP is for services that speak RESP2: INCRBYFLOAT adds the units, and PEXPIRE with NX sets the lifetime
+	// of a new number without changing that of an existing one. These are two commands and not a script: if the
+	// connection ends between them, the next call for the key sets the lifetime.
 	RESP
 )
 
@@ -27,32 +27,32 @@
 	return "resp"
 }
 
-// maxAnswerBytes is several times a total in any format. A longer answer is malformed.
+// maxAnswerBytes is several times the size of a total in any format. A longer answer is malformed.
 const maxAnswerBytes = 128
 
-// errNoTotal is an answer without a total that does not prove that nothing was added either.
+// errNoTotal means that an answer has no total, but does not prove that nothing was added.
 var errNoTotal = errors.New("no total")
 
-// answerStatus is what stands at the beginning of the bytes received.
+// answerStatus describes the beginning of the received bytes.
 type answerStatus uint8
 
 const (
-	answerIncomplete answerStatus = iota // more must come
-	answerPart                           // a whole reply, but not the last of its answer
+	answerIncomplete answerStatus = iota // more bytes are needed
+	answerPart                           // a complete reply, but not the last one of its answer
 	answerComplete
-	answerMalformed // what can never become an answer
+	answerMalformed // these bytes can never become an answer
 )
 
-// answer is what parseAnswer found.
+// answer is the result of parseAnswer.
 type answer struct {
 	status answerStatus
-	size   int // in bytes; 0 unless it is a part or complete
-	// total or err is the meaning of a complete answer.
+	size   int // in bytes; 0 unless status is answerPart or answerComplete
+	// total or err is the result in a complete answer.
 	total float64
 	err   error
 }
 
-// appendCall appends one call to buf.
+// appendCall appends the encoding of one call to buf.
 func (f Format) appendCall(buf []byte, key policy.CounterKey, units float64, lifetime time.Duration) []byte {
 	lifetimeMillis := max(int64((lifetime+time.Millisecond-1)/time.Millisecond), 1)
 	if f == Text {
@@ -61,8 +61,8 @@
 	return appendRESPCall(buf, key, units, lifetimeMillis)
 }
 
-// parseAnswer parses the first answer in data. pending carries the first of an answer's replies to the call
-// that parses the second.
+// parseAnswer parses the first answer in data. If an answer consists of two replies, pending carries the
+// first one to the call that parses the second.
 func (f Format) parseAnswer(data []byte, pending *respReply) answer {
 	if len(data) == 0 {
 		return answer{}
--- a/internal/counter/resp_format.go
+++ b/internal/counter/resp_format.go
@@ -11,15 +11,14 @@
 )
 
 const (
-	// respTypes are the first bytes of the replies that may come: bulk strings, integers, errors and simple
-	// strings.
+	// respTypes are the first bytes of the possible replies: bulk strings, integers, errors and simple strings.
 	respTypes = "$:-+"
-	// maxBulkHeaderBytes is the length of "$128\r\n". A bulk string that announces more than maxAnswerBytes,
-	// or takes more digits to announce its length, is not waited for.
+	// maxBulkHeaderBytes is the length of "$128\r\n". The client does not wait for a bulk string that announces
+	// more than maxAnswerBytes, or whose length has more digits.
 	maxBulkHeaderBytes = 6
 )
 
-// respReply is the first of the two replies to a call, that of INCRBYFLOAT.
+// respReply is the first of the two replies to a call: the reply to INCRBYFLOAT.
 type respReply struct {
 	received bool
 	total    float64
@@ -39,8 +38,8 @@
 	return redcon.AppendBulkString(buf, "NX")
 }
 
-// parseRESPAnswer parses one reply. The first of an answer is stored in pending; with the second the answer
-// is complete, whatever the second says.
+// parseRESPAnswer parses one reply. It stores the first reply of an answer in pending. The second reply
+// completes the answer, whatever it says.
 func parseRESPAnswer(data []byte, pending *respReply) answer {
 	if !startsWithShortLine(data) {
 		return unfinishedReply(data)
@@ -62,7 +61,7 @@
 	return answer{status: answerComplete, size: size, total: first.total, err: first.err}
 }
 
-// startsWithShortLine reports whether a reply's first line is there, and no longer than it may be.
+// startsWithShortLine reports whether a reply's first line has arrived and is not too long.
 func startsWithShortLine(data []byte) bool {
 	end := bytes.IndexByte(data, '\n')
 	if end < 0 || end > maxAnswerBytes {
@@ -71,7 +70,7 @@
 	return data[0] != '$' || end < maxBulkHeaderBytes
 }
 
-// unfinishedReply is the answer where a reply's first line is not there, or is too long.
+// unfinishedReply returns the answer for a reply whose first line has not arrived or is too long.
 func unfinishedReply(data []byte) answer {
 	tooLong := len(data) > maxAnswerBytes || data[0] == '$' && len(data) > maxBulkHeaderBytes
 	if tooLong || bytes.IndexByte([]byte(respTypes), data[0]) < 0 {
@@ -80,9 +79,9 @@
 	return answer{status: answerIncomplete}
 }
 
-// respTotal returns the total of the reply to INCRBYFLOAT, or why there is none.
+// respTotal returns the total in the reply to INCRBYFLOAT, or an error if there is none.
 func respTotal(reply redcon.RESP) (float64, error) {
-	if reply.Type == redcon.Error { // the command was refused, and nothing added
+	if reply.Type == redcon.Error { // the command was refused, and nothing was added
 		return 0, dispatch.ErrRejected
 	}
 	total, err := strconv.ParseFloat(string(reply.Data), 64)
--- a/internal/counter/text_format.go
+++ b/internal/counter/text_format.go
@@ -9,7 +9,7 @@
 	"fawnplank/policy"
 )
 
-// textAnswerStarts are the first bytes of the answers there are: ok, busy and error.
+// textAnswerStarts are the first bytes of the possible answers: ok, busy and error.
 const textAnswerStarts = "obe"
 
 func appendTextCall(buf []byte, key policy.CounterKey, units float64, lifetimeMillis int64) []byte {
@@ -34,8 +34,8 @@
 	return answer{status: answerIncomplete}
 }
 
-// parseTextTotal returns the total of a line, or why there is none. Where the line has no meaning, the units
-// have been added.
+// parseTextTotal returns the total in a line, or an error if there is none. If the line is meaningless, the
+// units have been added.
 func parseTextTotal(line []byte) (float64, error) {
 	switch string(line) {
 	case "busy", "error":
