--- a/internal/frontend/reader.go
+++ b/internal/frontend/reader.go
@@ -77,7 +77,7 @@
 			c.linger()
 			return false
 		case errors.Is(err, os.ErrDeadlineExceeded):
-			// If no command is overdue, it has arrived completely just now, or the connection is to end.
+			// If no command is overdue, either it has just arrived completely or the connection is to end.
 			if c.awaitingSinceNanos.Load() != 0 && !c.draining.Load() {
 				c.rejectClient("Protocol error: no whole command in time")
 				return false
@@ -93,7 +93,7 @@
 }
 
 // shutDownIfDraining ends a draining connection unless it is new. It waits until everything handled so far is
-// answered, and nothing is read before or after that.
+// answered. Nothing is read while it waits, nor afterwards.
 func (c *connection) shutDownIfDraining() {
 	if !c.draining.Load() || c.isNew(time.Now()) {
 		return
