--- a/internal/dialer/address_order.go
+++ b/internal/dialer/address_order.go
@@ -6,10 +6,11 @@
 	"time"
 )
 
-// ipv4Precedence is that of ::ffff:0:0/96 in the table below: netip keeps IPv4 addresses apart from IPv6.
+// ipv4Precedence is the precedence of ::ffff:0:0/96 in the table below. It has its own constant because netip
+// distinguishes IPv4 addresses from IPv6 addresses.
 const ipv4Precedence = 35
 
-// precedences is the default policy table of RFC 6724, section 2.1, with the longer prefixes first: of two
+// precedences is the default policy table of RFC 6724, section 2.1, with longer prefixes first. Of two
 // addresses that the host can reach, the one with the higher precedence comes first.
 var precedences = []struct {
 	prefix     netip.Prefix
@@ -38,18 +39,18 @@
 	return 0
 }
 
-// candidate is an address that is to be put in order.
+// candidate is an address to be sorted.
 type candidate struct {
 	address    netip.AddrPort
 	reachable  bool
 	precedence int
 }
 
-// Order returns the addresses in the order in which to try them: those that the host cannot reach last (RFC
-// 6724, section 6, rule 1), then by precedence (rule 6), then as they were (rule 10); with the families
-// interleaved after that (RFC 8305, section 4). The rules on scopes, labels and prefixes, which stand between
-// these, are left out: backends are in one network. reachable reports whether the host has a route to an
-// address.
+// Order returns the addresses in the order in which to try them. Addresses that the host cannot reach come
+// last (RFC 6724, section 6, rule 1). The rest of the order is by precedence (rule 6), then as given (rule
+// 10). After that the address families are interleaved (RFC 8305, section 4). The rules in between, on
+// scopes, labels and prefixes, are left out, since all backends are in one network. reachable reports whether
+// the host has a route to an address.
 func Order(addresses []netip.AddrPort, reachable func(netip.Addr) bool) []netip.AddrPort {
 	var candidates []candidate
 	for _, address := range addresses {
@@ -72,7 +73,7 @@
 	return order
 }
 
-// compare puts candidates that are reachable, and those of higher precedence, first.
+// compare sorts reachable candidates first, then those of higher precedence.
 func compare(a, b candidate) int {
 	if a.reachable != b.reachable {
 		if a.reachable {
@@ -83,8 +84,8 @@
 	return b.precedence - a.precedence
 }
 
-// nextOfOtherFamily returns the index of the first candidate that is not of the last one's family; the first
-// of all if there is none, or if that would put an unreachable address before a reachable one.
+// nextOfOtherFamily returns the index of the first candidate whose address family differs from that of last.
+// It returns 0 if there is none, or if choosing it would put an unreachable address before a reachable one.
 func nextOfOtherFamily(candidates []candidate, last netip.AddrPort) int {
 	other := slices.IndexFunc(candidates, func(c candidate) bool {
 		return c.address.Addr().Is4() != last.Addr().Is4()
@@ -96,15 +97,15 @@
 }
 
 const (
-	// recommendedAttemptDelay is that of RFC 8305, section 5.
+	// recommendedAttemptDelay is the delay recommended by RFC 8305, section 5.
 	recommendedAttemptDelay = 250 * time.Millisecond
-	// minAttemptDelay is RFC 8305's lower bound.
+	// minAttemptDelay is the lower bound in RFC 8305.
 	minAttemptDelay = 10 * time.Millisecond
 )
 
-// attemptDelay is how long one address is waited for before the next is tried beside it, where there are so
-// many and all together may take so long: the recommended delay, or less, so that the last is tried while
-// time is left for it.
+// attemptDelay returns how long to wait for one address before the next is tried in parallel, given the
+// number of addresses and the timeout for all of them together. It is the recommended delay or less, so that
+// the last address is tried while there is still time for it.
 func attemptDelay(addresses int, timeout time.Duration) time.Duration {
 	equalParts := timeout / time.Duration(addresses+1)
 	return min(recommendedAttemptDelay, max(equalParts, minAttemptDelay))
--- a/internal/dialer/dial.go
+++ b/internal/dialer/dial.go
@@ -8,34 +8,35 @@
 	"time"
 )
 
-// discardPort is the port of the discard service. Nothing is sent there.
+// discardPort is the port of the discard service. Nothing is sent to it.
 const discardPort = 9
 
-// Reachable reports whether the host has a route to an address: whether a UDP socket, which sends nothing,
-// can be connected to it.
+// Reachable reports whether the host has a route to an address. It checks whether a UDP socket can be
+// connected to the address, which sends nothing.
 func Reachable(address netip.Addr) bool {
 	conn, err := net.DialUDP("udp", nil, net.UDPAddrFromAddrPort(netip.AddrPortFrom(address, discardPort)))
 	if err != nil {
 		return false
 	}
-	_ = conn.Close() // it was only to come up
+	_ = conn.Close() // the connect was all that was needed
 	return true
 }
 
-// dialResult is the end of a dial to the address of that index.
+// dialResult is the result of a dial to the address with that index.
 type dialResult struct {
 	conn  net.Conn
 	index int
 	err   error
 }
 
-// Dial connects to one of the addresses, tried in their order: the next when one fails, or has not come up
-// for a while. It returns the connection that came up first and the index of its address; others are closed
-// before anything is written on them. All together it takes no longer than the timeout.
+// Dial connects to one of the addresses. It tries them in order, and starts with the next one when one fails
+// or is not connected after a delay. It returns the first connection that is established and the index of its
+// address; other connections are closed before anything is written to them. The whole call takes no longer
+// than the timeout.
 func Dial(ctx context.Context, addresses []netip.AddrPort, timeout time.Duration) (*net.TCPConn, int, error) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	results := make(chan dialResult, len(addresses)) // no dial waits for its result to be received
+	results := make(chan dialResult, len(addresses)) // buffered, so that no dial blocks on sending its result
 	started := 0
 	ended := 0
 	var errs []error
@@ -70,12 +71,12 @@
 	results <- dialResult{conn: conn, index: index, err: err}
 }
 
-// closeLate closes the connections among so many results that are yet to come. Each comes at once: its dial's
-// context is canceled.
+// closeLate receives the given number of outstanding results and closes the connections in them. The results
+// arrive at once, since the context of their dials is canceled.
 func closeLate(results <-chan dialResult, count int) {
 	for range count {
 		if late := <-results; late.conn != nil {
-			_ = late.conn.Close() // nothing was written on it
+			_ = late.conn.Close() // nothing was written to it
 		}
 	}
 }
--- a/internal/resp/resp.go
+++ b/internal/resp/resp.go
@@ -1,7 +1,8 @@
-// Package resp judges lines and lengths of the protocol of clients and backends, each before what it counts
-// is stored or waited for. It holds no bytes and no state, so all of it is safe for concurrent use, and it
-// accepts nothing that could not be completed by bytes that have not come yet. (The parsers of redcon give
-// one answer for both incomplete and malformed input, and panic on some lengths.)
+// Package resp parses and checks lines and lengths of the protocol of clients and backends. It checks each
+// length before the caller stores or waits for the bytes that the length counts. It holds no bytes and no
+// state, so all its functions are safe for concurrent use. It reports input as incomplete only if further
+// bytes could complete it. (The parsers of redcon return the same result for incomplete and malformed input,
+// and panic on some lengths.)
 package resp
 
 import (
@@ -10,12 +11,13 @@
 )
 
 const (
-	// MaxValue is the size of the largest value: the protocol says 64 KiB, the operators' page that values of
-	// up to 4 MiB occur.
+	// MaxValue is the size of the largest value: the protocol says 64 KiB, but the operators' page says that
+	// values of up to 4 MiB occur.
 	MaxValue = 4 << 20
-	// maxWords is how many words a command may have: the longest has five.
+	// maxWords is how many words a command may have; the longest has five.
 	maxWords = 16
-	// maxLengthLine is the size of the longest line that holds a length: more digits than any length needs.
+	// maxLengthLine is the maximum size of a line that holds a length: it allows more digits than any length
+	// needs.
 	maxLengthLine = 16
 )
 
@@ -24,15 +26,16 @@
 
 func (e *ProtocolError) Error() string { return "protocol error: " + e.Reason }
 
-// The faults of a command. Their reasons leave on the wire.
+// The errors of a command. Their reasons are sent on the wire.
 var (
 	errArrayExpected = &ProtocolError{"expected an array of a few words"}
 	errWordLength    = &ProtocolError{"invalid length of a word"}
 	errWordEnd       = &ProtocolError{"a word does not fit its length"}
 )
 
-// Line returns the text of the line that b begins with, behind the line's first byte, and the size of the
-// whole line, 0 where its end has not come. False says that it is no line, or larger than maxSize.
+// Line returns the text of the line at the beginning of b, without the line's first byte, and the size of the
+// whole line, which is 0 while the line is incomplete. ok is false if b does not begin with a valid line or
+// if the line is larger than maxSize.
 func Line(b []byte, maxSize int) (text []byte, size int, ok bool) {
 	end := bytes.IndexByte(b, '\n')
 	if end < 0 {
@@ -44,8 +47,9 @@
 	return b[1 : end-1], end + 1, true
 }
 
-// Length returns the number of the line that b begins with, which must begin with kind and hold a number from
-// -1 to maxValue, and the size of the line, 0 where its end has not come. False says that it is no such line.
+// Length returns the number in the line at the beginning of b, which must begin with kind and hold a number
+// from -1 to maxValue. It also returns the size of the line, which is 0 while the line is incomplete. ok is
+// false if b does not begin with such a line.
 func Length(b []byte, kind byte, maxValue int) (value, size int, ok bool) {
 	if b[0] != kind {
 		return 0, 0, false
@@ -59,8 +63,9 @@
 	return value, size, err == nil && inRange && text[0] != '+'
 }
 
-// Command returns the words of the command that b begins with, as parts of b in the memory of words, and the
-// command's size, 0 where it is not whole. An error is a *ProtocolError.
+// Command returns the words of the command at the beginning of b, and the command's size, which is 0 while
+// the command is incomplete. The words are slices of b, and the returned slice reuses the memory of words.
+// Any error is a *ProtocolError.
 func Command(b []byte, words [][]byte) (size int, _ [][]byte, err error) {
 	count, at, ok := Length(b, '*', maxWords)
 	if !ok || at > 0 && count < 1 {
@@ -84,7 +89,8 @@
 	return at, words, nil
 }
 
-// bulkString returns the word that b begins with, and its size with its length line, 0 where it is not whole.
+// bulkString returns the word at the beginning of b, and its size including its length line, which is 0 while
+// the word is incomplete.
 func bulkString(b []byte) (word []byte, size int, err error) {
 	if len(b) == 0 {
 		return nil, 0, nil
--- a/internal/sock/poll.go
+++ b/internal/sock/poll.go
@@ -9,22 +9,22 @@
 	"golang.org/x/sys/unix"
 )
 
-// pending is what the next read would meet.
+// pending is what the next read would find.
 type pending uint8
 
 const (
 	nothingPending pending = iota
 	bytesPending
-	endPending // of the connection
+	endPending // the end of the connection
 )
 
 func (p pending) String() string { return [...]string{"nothing", "bytes", "end"}[p] }
 
-// HasPendingBytes reports whether bytes wait to be read. It does not wait, also while another goroutine
-// reads. Concurrent calls are not allowed.
+// HasPendingBytes reports whether there are bytes to be read. It does not wait, even while another goroutine
+// reads. It must not be called concurrently with itself.
 func (c *Conn) HasPendingBytes() bool { return c.peek() == bytesPending }
 
-// peek returns what the next read would meet.
+// peek returns what the next read would find.
 func (c *Conn) peek() pending {
 	if c.raw.Control(c.peekCallback) != nil {
 		return endPending
@@ -32,7 +32,7 @@
 	return c.peeked
 }
 
-// tryPeek looks for a byte without taking it.
+// tryPeek checks for a byte without consuming it.
 func (c *Conn) tryPeek(fd uintptr) {
 	var b [1]byte
 	n, _, errno := syscall.RawSyscall6(syscall.SYS_RECVFROM, fd, uintptr(unsafe.Pointer(&b[0])), 1,
@@ -47,21 +47,21 @@
 	}
 }
 
-// HungUp reports whether the peer has closed the connection or ended its sending. It does not wait, and may
-// be called beside any other method.
+// HungUp reports whether the peer has closed the connection or its sending side. It does not wait, and may be
+// called concurrently with any other method.
 func (c *Conn) HungUp() (gone bool) {
 	err := c.raw.Control(func(fd uintptr) { gone = hungUp(fd) })
 	return err != nil || gone
 }
 
-// AwaitHangUp waits, in a reader's place and without taking a byte, until the peer has closed the connection
-// or ended its sending: true; or until the deadline for reading: false.
+// AwaitHangUp waits, in place of a reader and without consuming any bytes, until the peer has closed the
+// connection or its sending side. It then returns true; at the read deadline it returns false.
 func (c *Conn) AwaitHangUp() bool {
 	return !errors.Is(c.raw.Read(c.hangUpCallback), os.ErrDeadlineExceeded)
 }
 
-// hungUp reports whether the peer has closed the connection, or ended its sending, also behind bytes not read
-// yet.
+// hungUp reports whether the peer has closed the connection or its sending side, even if unread bytes precede
+// that.
 func hungUp(fd uintptr) bool {
 	polled := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLRDHUP}}
 	n, err := unix.Poll(polled, 0)
--- a/internal/sock/read.go
+++ b/internal/sock/read.go
@@ -7,7 +7,8 @@
 	"unsafe"
 )
 
-// Read reads what is there, and waits if that is nothing. One goroutine at a time may call it or AwaitHangUp.
+// Read reads the available bytes, and waits if there are none. Only one goroutine at a time may call Read or
+// AwaitHangUp.
 func (c *Conn) Read(b []byte) (int, error) {
 	c.readBuffer = b
 	c.readWaited = false
@@ -24,7 +25,8 @@
 	return c.readBytes, nil
 }
 
-// tryRead is one try to read, between the guard's calls where there is one. false: nothing is there yet.
+// tryRead makes one attempt to read, enclosed in the calls of the guard if there is one. It returns false if
+// there is nothing to read yet.
 func (c *Conn) tryRead(fd uintptr) (done bool) {
 	if c.guard != nil {
 		if !c.guard.Before() {
@@ -52,14 +54,14 @@
 	}
 }
 
-// LastReadWaited reports whether the last read waited: else what it took may have lain there for long. Only
-// the reader may call it.
+// LastReadWaited reports whether the last read had to wait. If not, the bytes that it read may have been
+// there for a long time. Only the reader may call it.
 func (c *Conn) LastReadWaited() bool { return c.readWaited }
 
-// MarkConsumed declares that all that was read belongs to what is over.
+// MarkConsumed marks everything read so far as consumed: it belongs to an exchange that is over.
 func (c *Conn) MarkConsumed() { c.unconsumed.Store(false) }
 
-// IsConsumed reports whether nothing has come since MarkConsumed, neither read nor pending. It looks at what
-// is pending first: what is no longer there then was read before, and shows in the mark. Concurrent calls,
-// also with HasPendingBytes, are not allowed; one beside a read is.
+// IsConsumed reports whether nothing has arrived since MarkConsumed, neither read nor pending. It checks for
+// pending bytes first: bytes that are no longer pending at that time have been read before, which the mark
+// shows. It must not be called concurrently with itself or HasPendingBytes; it may be called during a read.
 func (c *Conn) IsConsumed() bool { return c.peek() == nothingPending && !c.unconsumed.Load() }
--- a/internal/sock/sock.go
+++ b/internal/sock/sock.go
@@ -14,8 +14,8 @@
 
 // Conn is a TCP connection. One goroutine may read while another writes.
 //
-// The callbacks of raw are method values made once, and their arguments and results are fields: a closure for
-// each call would be an allocation on the ordinary path of every request.
+// The callbacks for raw are method values created once, and their arguments and results are fields: a closure
+// for each call would cost an allocation on the normal path of every request.
 type Conn struct {
 	*net.TCPConn
 	raw   syscall.RawConn
@@ -25,8 +25,8 @@
 	readBuffer   []byte
 	readBytes    int
 	readErrno    syscall.Errno
-	readWaited   bool        // the last read met nothing at first
-	unconsumed   atomic.Bool // bytes, or the end, were read since the last MarkConsumed
+	readWaited   bool        // the last read found nothing at first
+	unconsumed   atomic.Bool // bytes or the end of the connection were read since the last MarkConsumed
 
 	peekCallback func(fd uintptr)
 	peeked       pending
@@ -40,21 +40,23 @@
 	writeErrno    syscall.Errno
 }
 
-// ReadGuard is called round each try to read: Before says whether it may be made (false: the read ends as at
-// the connection's end), After gets how many bytes it took. What the guard decides under the lock that Before
-// takes and After frees has either seen a byte taken or lets none be taken any more.
+// ReadGuard is called around each attempt to read. Before returns whether the attempt may be made; if it
+// returns false, the read ends as at the end of the connection. After receives how many bytes were read. If
+// Before takes a lock that After releases, then for any byte, a decision made with that lock held either sees
+// that the byte was read or can prevent it from being read.
 type ReadGuard interface {
 	Before() bool
 	After(n int)
 }
 
-// Options are what a Conn is made with. The zero value is a plain connection.
+// Options configures a Conn. The zero value gives a plain connection.
 type Options struct {
-	// ReadGuard is called round each try to read; nil is none.
+	// ReadGuard is called around each attempt to read. Nil means no guard.
 	ReadGuard ReadGuard
 }
 
-// New wraps a connection. It fails where that has been closed already, and leaves it to the caller then.
+// New wraps a connection. It fails if the connection is already closed; the connection is then left to the
+// caller.
 func New(nc *net.TCPConn, options Options) (*Conn, error) {
 	raw, err := nc.SyscallConn()
 	if err != nil {
@@ -68,7 +70,7 @@
 	return c, nil
 }
 
-// Dial opens a connection. A connectTimeout of 0 is none.
+// Dial opens a connection to an IPv4 address. A connectTimeout of 0 means no timeout.
 func Dial(address string, connectTimeout time.Duration) (*Conn, error) {
 	d := net.Dialer{Timeout: connectTimeout}
 	nc, err := d.DialContext(context.Background(), "tcp4", address)
@@ -78,8 +80,8 @@
 	return wrap(nc.(*net.TCPConn))
 }
 
-// DialAny opens a connection to one of several addresses, tried in their order, and returns the index of that
-// one.
+// DialAny opens a connection to one of several addresses, tried in order, and returns the index of the
+// address that it connected to.
 func DialAny(addresses []netip.AddrPort, connectTimeout time.Duration) (*Conn, int, error) {
 	nc, index, err := dialer.Dial(context.Background(), addresses, connectTimeout)
 	if err != nil {
@@ -89,23 +91,23 @@
 	return c, index, err
 }
 
-// wrap is New for a connection that nobody else has: it is closed where New fails.
+// wrap is New for a connection that has no other owner: it closes the connection if New fails.
 func wrap(nc *net.TCPConn) (*Conn, error) {
 	c, err := New(nc, Options{})
 	if err != nil {
-		_ = nc.Close() // the error before it says why
+		_ = nc.Close() // the error of New says why
 	}
 	return c, err
 }
 
-// ReadFrom and WriteTo hide those of net.TCPConn, which io.Copy would call: between TCP connections, or from
-// a file, they splice or send the file, which the fleet's hosts refuse (ENOSYS, EINVAL for splice).
+// ReadFrom and WriteTo hide the methods of net.TCPConn, which io.Copy would call: between TCP connections, or
+// from a file, those use splice or sendfile, which the fleet's hosts refuse (ENOSYS, EINVAL for splice).
 func (c *Conn) ReadFrom(r io.Reader) (int64, error) { return io.Copy(onlyWriter{c}, r) }
 
-// WriteTo is ReadFrom's counterpart.
+// WriteTo is the counterpart of ReadFrom.
 func (c *Conn) WriteTo(w io.Writer) (int64, error) { return io.Copy(w, onlyReader{c}) }
 
-// onlyWriter and onlyReader show io.Copy nothing but Write and Read.
+// onlyWriter and onlyReader expose only Write and Read to io.Copy.
 type onlyWriter struct{ w io.Writer }
 
 func (o onlyWriter) Write(b []byte) (int, error) { return o.w.Write(b) }
--- a/internal/sock/write.go
+++ b/internal/sock/write.go
@@ -6,11 +6,12 @@
 	"unsafe"
 )
 
-// maxParts is how many parts one WriteParts takes: those of the longest command that a gateway sends.
+// maxParts is how many parts one WriteParts call accepts: as many as the command with the most parts that a
+// gateway sends.
 const maxParts = 6
 
-// WriteParts writes the parts one behind another, at most six, and returns how many bytes of them went out.
-// One goroutine at a time may write.
+// WriteParts writes the parts, at most six, one after another and returns how many bytes were written. Only
+// one goroutine at a time may write.
 func (c *Conn) WriteParts(parts ...[]byte) (int64, error) {
 	c.writeParts = 0
 	c.writtenBytes = 0
@@ -22,7 +23,7 @@
 		}
 	}
 	err := c.raw.Write(c.writeCallback)
-	clear(c.writeVectors[:]) // the parts are not held any longer
+	clear(c.writeVectors[:]) // release the parts
 	if err == nil && c.writeErrno != 0 {
 		err = os.NewSyscallError("writev", c.writeErrno)
 	}
@@ -35,7 +36,8 @@
 	return int(n), err
 }
 
-// tryWrite writes on until all is written or the socket is full: false.
+// tryWrite writes until everything is written or the write fails. It returns false if the socket is full
+// first.
 func (c *Conn) tryWrite(fd uintptr) (done bool) {
 	first := 0
 	for first < c.writeParts {
@@ -59,8 +61,8 @@
 	return true
 }
 
-// skipWritten moves the vectors, of which first is the first not written whole, past n further bytes. It
-// returns the first that is not written whole then.
+// skipWritten advances the vectors by n written bytes. first is the index of the first vector that is not
+// completely written; skipWritten returns the new index.
 func (c *Conn) skipWritten(first int, n uint64) int {
 	for first < c.writeParts && n >= c.writeVectors[first].Len {
 		n -= c.writeVectors[first].Len
