--- a/internal/authz/authz.go
+++ b/internal/authz/authz.go
@@ -1,19 +1,19 @@
-// Package authz names what a key of the operator file may do at the limits' address. It decides nothing: the
-// server of limit commands does. All of it is constant, and safe for concurrent use.
+// Package authz defines what a key in the operator file may do at the address for limit commands. It makes no
+// decisions: the server of limit commands does. Everything in it is constant, and safe for concurrent use.
 package authz
 
-// Right is what a key may do. Rights are bits: a key that has several has their sum, and 0 is none.
+// Right is what a key may do. Rights are bits: a key with several rights has their sum, and 0 means no right.
 type Right uint8
 
-// The rights. Where there are no keys, every client may check, and none may do the rest.
+// The rights. If there are no keys, every client has Check and none has any other right.
 const (
 	Check   Right = 1 << iota // LIMIT.CHECK, LIMIT.PEEK, CL.THROTTLE
-	Read                      // the lists of plans and reservations, and what may still be reserved
+	Read                      // lists of plans and reservations, and the units that may still be reserved
 	Reserve                   // RESERVE commands
 	Change                    // PLAN commands
 )
 
-// Names are the rights by their words in the operator file. Nobody may write to it.
+// Names maps the words in the operator file to rights. It must not be modified.
 var Names = map[string]Right{
 	"check":   Check,
 	"read":    Read,
@@ -21,7 +21,7 @@
 	"change":  Change,
 }
 
-// Key is what a client shows with AUTH name secret, and what it may do then.
+// Key is the secret that a client presents with AUTH name secret, and the rights that it then has.
 type Key struct {
 	Secret []byte
 	Rights Right
--- a/internal/membudget/budget.go
+++ b/internal/membudget/budget.go
@@ -1,8 +1,8 @@
-// Package membudget bounds the memory that all connections of a process hold for large values together. A
-// reader that would exceed the budget waits until another releases some of it.
+// Package membudget bounds the total memory that all connections of a process hold for large values. A reader
+// that would exceed the budget waits until another reader releases some of it.
 //
-// A Budget owns nothing but the count: what is acquired must be released. All methods are safe for concurrent
-// use, and on a nil *Budget, which bounds nothing.
+// A Budget only counts bytes, so what is acquired must be released. All methods are safe for concurrent use.
+// They may also be called on a nil *Budget, which bounds nothing.
 package membudget
 
 import (
@@ -18,14 +18,15 @@
 	free  *semaphore.Weighted
 }
 
-// New makes a budget of so many bytes; of one at least.
+// New returns a budget of the given number of bytes, at least one.
 func New(bytes int64) *Budget {
 	bytes = max(bytes, 1)
 	return &Budget{bytes: bytes, free: semaphore.NewWeighted(bytes)}
 }
 
-// Acquire waits for so many bytes until the deadline, and returns how many to release: more than the whole
-// budget waits for, and gets, the whole budget. ok is false if they were not free in time.
+// Acquire waits until the deadline for the given number of bytes, and returns how many the caller must
+// release. A request for more than the whole budget waits for, and gets, the whole budget. ok is false if the
+// bytes were not free in time.
 func (b *Budget) Acquire(bytes int64, deadline time.Time) (acquired int64, ok bool) {
 	if b == nil || bytes <= 0 {
 		return 0, true
@@ -42,7 +43,7 @@
 	return bytes, true
 }
 
-// Release gives back what Acquire returned.
+// Release returns bytes to the budget; pass the number that Acquire returned.
 func (b *Budget) Release(bytes int64) {
 	if b != nil && bytes > 0 {
 		b.free.Release(bytes)
--- a/internal/pcg/pcg.go
+++ b/internal/pcg/pcg.go
@@ -1,6 +1,6 @@
-// Package pcg is a permuted congruential generator (PCG-XSH-RR 64/32). It is kept here, and not taken from
-// math/rand, since recorded runs depend on its stream: equal seeds give equal streams for ever. A Source is
-// not safe for concurrent use.
+// Package pcg implements a permuted congruential generator (PCG-XSH-RR 64/32). The project has its own
+// implementation instead of math/rand because recorded runs depend on its stream: equal seeds must always
+// give equal streams. A Source is not safe for concurrent use.
 package pcg
 
 import "math/bits"
@@ -8,13 +8,14 @@
 // Source is one stream of random numbers.
 type Source struct{ state uint64 }
 
-// The multiplier and the increment of the underlying generator, as PCG's reference implementation has them.
+// The multiplier and the increment of the underlying generator, with the values of PCG's reference
+// implementation.
 const (
 	multiplier = 6364136223846793005
 	increment  = 1442695040888963407
 )
 
-// New returns the stream of a seed.
+// New returns the stream for a seed.
 func New(seed uint64) *Source {
 	s := &Source{state: seed + increment}
 	s.next()
--- a/internal/timerqueue/timerqueue.go
+++ b/internal/timerqueue/timerqueue.go
@@ -1,13 +1,13 @@
-// Package timerqueue keeps values in the order of the times they fall due. Values of equal times keep the
-// order in which they were pushed, so that a state machine driven by the queue is deterministic. A Queue is
-// not safe for concurrent use.
+// Package timerqueue keeps values in the order of the times at which they are due. Values with equal times
+// keep the order in which they were pushed, so that a state machine driven by the queue is deterministic. A
+// Queue is not safe for concurrent use.
 package timerqueue
 
 import "container/heap"
 
 type item[T any] struct {
 	at       int64
-	sequence uint64 // of the push
+	sequence uint64 // number of the push; breaks ties
 	value    T
 }
 
@@ -23,7 +23,7 @@
 func (s *items[T]) Pop() any {
 	last := len(*s) - 1
 	popped := (*s)[last]
-	(*s)[last] = item[T]{} // lets go of what the value holds
+	(*s)[last] = item[T]{} // release the memory that the value refers to
 	*s = (*s)[:last]
 	return popped
 }
@@ -40,7 +40,8 @@
 	heap.Push(&q.items, item[T]{at: at, sequence: q.sequence, value: value})
 }
 
-// NextDue returns the earliest time in the queue. Values that are needless by now are dropped on the way.
+// NextDue returns the earliest due time in the queue. It first removes values at the front that needless
+// reports true for. ok is false if the queue is empty then.
 func (q *Queue[T]) NextDue(needless func(T) bool) (at int64, ok bool) {
 	for len(q.items) > 0 && needless(q.items[0].value) {
 		heap.Pop(&q.items)
@@ -51,7 +52,7 @@
 	return q.items[0].at, true
 }
 
-// PopDue removes and returns the earliest value that is due by now.
+// PopDue removes and returns the earliest value if it is due at the time now. ok is false if no value is due.
 func (q *Queue[T]) PopDue(now int64) (value T, ok bool) {
 	if len(q.items) == 0 || q.items[0].at > now {
 		return value, false
--- a/internal/tlsconfig/config.go
+++ b/internal/tlsconfig/config.go
@@ -8,7 +8,8 @@
 
 var errNoAuthority = errors.New("tls: no authority is named to check the other side by")
 
-// ServerConfig returns the configuration for listeners. Each handshake uses the certificate of its moment.
+// ServerConfig returns the configuration for listeners. Each handshake uses the certificate that is current
+// at that time.
 func (s *Source) ServerConfig() *tls.Config {
 	return &tls.Config{MinVersion: tls.VersionTLS12, GetConfigForClient: s.configForClient}
 }
@@ -23,13 +24,13 @@
 	return config, nil
 }
 
-// ClientConfig returns the configuration for connections to a server whose certificate the authority has
-// signed. Its name need not be the address's: replicas are named by addresses that certificates seldom hold,
-// and the authority is the installation's own.
+// ClientConfig returns the configuration for connections to a server whose certificate is signed by the
+// authority. The name in the certificate need not match the address: replicas are named by addresses, which
+// certificates seldom contain, and the authority belongs to the installation itself.
 func (s *Source) ClientConfig() *tls.Config {
 	return &tls.Config{
 		MinVersion:           tls.VersionTLS12,
-		InsecureSkipVerify:   true, // verifyServer checks the certificate, but for its name
+		InsecureSkipVerify:   true, // verifyServer checks the certificate, except its name
 		GetClientCertificate: s.clientCertificate,
 		VerifyConnection:     s.verifyServer,
 	}
@@ -39,8 +40,8 @@
 	return s.latest().certificate, nil
 }
 
-// verifyServer checks that the authority has signed the server's certificate, perhaps by way of others that
-// it shows.
+// verifyServer checks that the authority has signed the server's certificate, directly or through
+// intermediate certificates that the server presents.
 func (s *Source) verifyServer(state tls.ConnectionState) error {
 	authorities := s.latest().authorities
 	if authorities == nil {
--- a/internal/tlsconfig/source.go
+++ b/internal/tlsconfig/source.go
@@ -12,26 +12,27 @@
 	"fawnplank/internal/logging"
 )
 
-// checkInterval is the time between two looks at the files: a renewed certificate is in use soon enough, and
-// a burst of handshakes does not look at the disk for each.
+// checkInterval is the minimum time between two checks of the files: a renewed certificate is in use soon
+// enough, and a burst of handshakes does not access the disk for each one.
 const checkInterval = time.Second
 
-// Files are where a certificate, its key and the authority of the other side's certificates are, in PEM.
+// Files holds the paths of the PEM files with a certificate, its key, and the authority for the other side's
+// certificates.
 type Files struct {
 	Certificate string `toml:"tls_certificate"`
 	Key         string `toml:"tls_key"`
-	Authority   string `toml:"tls_authority"` // of the other side; empty: a server asks clients for none
+	Authority   string `toml:"tls_authority"` // for the other side; if empty, a server asks clients for none
 }
 
-// Enabled reports whether any file is named.
+// Enabled reports whether any file is configured.
 func (f Files) Enabled() bool { return f != Files{} }
 
-// paths are the files in the order of modTimes; one that is not named is empty.
+// paths returns the paths in the order of modTimes. The path of a file that is not configured is empty.
 func (f Files) paths() [fileCount]string { return [...]string{f.Certificate, f.Key, f.Authority} }
 
 const fileCount = 3
 
-// modTimes are when the files were last written; zero for one that is not named.
+// modTimes are the modification times of the files; zero for a file that is not configured.
 type modTimes [fileCount]time.Time
 
 func (m modTimes) equal(other modTimes) bool {
@@ -43,29 +44,29 @@
 	return true
 }
 
-// material is what the files held.
+// material is the content of the files.
 type material struct {
 	certificate *tls.Certificate // with its Leaf
-	authorities *x509.CertPool   // nil: no authority is named
+	authorities *x509.CertPool   // nil if no authority is configured
 	modified    modTimes
 }
 
-// Source holds what the files held when they were last sound.
+// Source provides the content that the files had when they were last valid.
 type Source struct {
 	files Files
 
-	mu        sync.Mutex // guards all that follows; it is held while the files are read
+	mu        sync.Mutex // guards all fields below; held while the files are read
 	current   material
 	checkedAt time.Time
-	lastError string // of the last reload, so that one is logged once
+	lastError string // of the last reload, so that each error is logged once
 }
 
-// New reads the files; an error names the file.
+// New reads the files and returns a Source for them. An error names the file.
 func New(files Files) (*Source, error) {
 	if files.Certificate == "" || files.Key == "" {
 		return nil, errors.New("tls: certificate and key must both be named")
 	}
-	checkedAt := time.Now() // before they are read: what changes meanwhile is seen at the next look
+	checkedAt := time.Now() // before reading: the next check sees changes made meanwhile
 	current, err := files.load()
 	if err != nil {
 		return nil, err
@@ -73,7 +74,8 @@
 	return &Source{files: files, current: current, checkedAt: checkedAt}, nil
 }
 
-// load reads the files. The times are those before: what changes meanwhile is read again.
+// load reads the files. It takes their modification times before reading, so that files that change meanwhile
+// are read again.
 func (f Files) load() (material, error) {
 	modified, err := f.stat()
 	if err != nil {
@@ -90,7 +92,7 @@
 	return material{certificate: certificate, authorities: authorities, modified: modified}, nil
 }
 
-// stat returns when the files were last written.
+// stat returns the modification times of the files.
 func (f Files) stat() (modTimes, error) {
 	var modified modTimes
 	for n, path := range f.paths() {
@@ -114,14 +116,14 @@
 	if pair.Leaf != nil {
 		return &pair, nil
 	}
-	// With GODEBUG=x509keypairleaf=0 the leaf is left out.
+	// With GODEBUG=x509keypairleaf=0, LoadX509KeyPair does not set Leaf.
 	if pair.Leaf, err = x509.ParseCertificate(pair.Certificate[0]); err != nil {
 		return nil, fmt.Errorf("tls: %s: %w", f.Certificate, err)
 	}
 	return &pair, nil
 }
 
-// loadAuthorities returns nil where no authority is named.
+// loadAuthorities returns nil if no authority is configured.
 func (f Files) loadAuthorities() (*x509.CertPool, error) {
 	if f.Authority == "" {
 		return nil, nil
@@ -137,12 +139,13 @@
 	return pool, nil
 }
 
-// ExpiresIn is how long the certificate is valid for; below 0 it has expired.
+// ExpiresIn returns how long the certificate remains valid. A negative value means that it has expired.
 func (s *Source) ExpiresIn() time.Duration {
 	return time.Until(s.latest().certificate.Leaf.NotAfter)
 }
 
-// latest returns what is in use now, after a look at the files where the last one is checkInterval ago.
+// latest returns the current material. It first checks the files if the last check was at least checkInterval
+// ago.
 func (s *Source) latest() material {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -156,8 +159,8 @@
 	return s.current
 }
 
-// reload replaces what is in use, if the files are sound. A fault is logged once, not at each look. The lock
-// is held.
+// reload replaces the current material if the files are valid. An error is logged once and not at each check.
+// The caller holds the lock.
 func (s *Source) reload() {
 	fresh, err := s.files.load()
 	if err == nil {
