--- a/internal/limitserver/account_commands.go
+++ b/internal/limitserver/account_commands.go
@@ -9,7 +9,7 @@
 	"fawnplank/internal/billing"
 )
 
-// Accounts are where plans are changed and allowance is reserved.
+// Accounts changes plans and reserves allowance. It answers these commands:
 //
 //	PLAN.CHANGE gestoria id plan at       from at on, in ms since 1970, or +ms from now; answers it in ms
 //	PLAN.TAKEBACK gestoria id
@@ -22,8 +22,8 @@
 //	RESERVE.LIST gestoria                 arrays of id, epoch, units left, end in ms since 1970, holder
 //	RESERVE.ROOM gestoria plan            units that may still be reserved now
 //
-// NEW, COMMIT, RENEW and TAKE answer with the epoch to name next, the units left, and until when the
-// reservation lasts.
+// NEW, COMMIT, RENEW and TAKE answer with the epoch to name in the next command, the units left, and the time
+// at which the reservation expires.
 type Accounts interface {
 	Change(gestoria string, change billing.PlanChange) error
 	CancelChange(gestoria, id string) error
@@ -38,11 +38,11 @@
 
 // accountCommand is a command on accounts.
 type accountCommand struct {
-	arguments int // how many there have to be, the gestoría first
+	arguments int // the required number of arguments; the first is the gestoría
 	answer    func(accounts Accounts, out []byte, args *arguments) ([]byte, error)
 }
 
-// accountCommands are the commands on accounts, by their words.
+// accountCommands maps the names of the commands on accounts to the commands.
 var accountCommands = map[string]accountCommand{
 	"PLAN.CHANGE":     {4, changePlan},
 	"PLAN.TAKEBACK":   {2, cancelChange},
@@ -56,7 +56,7 @@
 	"RESERVE.ROOM":    {2, unreservedUnits},
 }
 
-// run returns out with the command's answer behind it.
+// run returns out with the command's answer appended.
 func (c accountCommand) run(accounts Accounts, out []byte, words [][]byte) ([]byte, error) {
 	args, err := parseArguments(words)
 	if err != nil {
@@ -131,7 +131,7 @@
 	return redcon.AppendOK(out), nil
 }
 
-// appendReservation appends what is left of a reservation; OK where nothing is.
+// appendReservation appends the state of a reservation, or OK if nothing is left of it.
 func appendReservation(out []byte, r billing.Reservation, err error) ([]byte, error) {
 	if err != nil {
 		return nil, err
@@ -185,5 +185,5 @@
 	return out, nil
 }
 
-// formatUnits writes units as decimal digits, without an exponent.
+// formatUnits formats units as decimal digits, without an exponent.
 func formatUnits(u billing.Units) string { return strconv.FormatFloat(u.Float(), 'f', -1, 64) }
--- a/internal/limitserver/arguments.go
+++ b/internal/limitserver/arguments.go
@@ -10,25 +10,25 @@
 )
 
 const (
-	// maxInteger bounds the integers of commands: what a client's float64 holds exactly.
+	// maxInteger bounds the integers in commands: a client's float64 holds every integer up to it exactly.
 	maxInteger = 1 << 53
-	// maxLeaseMillis bounds a lease before it becomes nanoseconds; the accounts allow far less.
+	// maxLeaseMillis bounds a lease before it is converted to nanoseconds; the accounts allow far less.
 	maxLeaseMillis = 1 << 40
-	// maxMomentMillis bounds the moment of a change, in the year 2248: its nanoseconds fit an int64.
+	// maxMomentMillis bounds the time of a change. It is in the year 2248, so its nanoseconds fit into an int64.
 	maxMomentMillis = 1 << 43
-	// gestoriaLimit is the first number that names no gestoría, 2^33, as its 16 digits are written.
+	// gestoriaLimit is 2^33, the first number that names no gestoría, written with 16 hexadecimal digits.
 	gestoriaLimit = "0000000200000000"
 )
 
-// arguments are the words of a command on accounts. The first one that cannot be read sets err; a command
-// reads all that it needs, then looks at err, before it does anything.
+// arguments holds the arguments of a command on accounts. The first argument that cannot be parsed sets err.
+// A command parses all the arguments it needs and then checks err before it does anything.
 type arguments struct {
 	gestoria string
 	words    [][]byte
 	err      error
 }
 
-// parseArguments checks the gestoría, which every command names first.
+// parseArguments checks the gestoría, which is the first argument of every command.
 func parseArguments(words [][]byte) (*arguments, error) {
 	name := string(words[0])
 	_, err := strconv.ParseUint(name, 16, 64)
@@ -39,17 +39,17 @@
 	return &arguments{gestoria: name, words: words}, nil
 }
 
-// fail sets err, unless an argument before could not be read either.
+// fail sets err, unless an earlier argument has set it already.
 func (a *arguments) fail(format string, args ...any) {
 	if a.err == nil {
 		a.err = fmt.Errorf(format, args...)
 	}
 }
 
-// text is argument n as it came.
+// text returns argument n as received.
 func (a *arguments) text(n int) string { return string(a.words[n]) }
 
-// integer is argument n as an integer.
+// integer returns argument n as an integer.
 func (a *arguments) integer(n int) int64 { return a.parseInteger(a.text(n)) }
 
 func (a *arguments) parseInteger(text string) int64 {
@@ -60,10 +60,10 @@
 	return x
 }
 
-// epoch is argument n as the epoch of a reservation.
+// epoch returns argument n as the epoch of a reservation.
 func (a *arguments) epoch(n int) uint64 { return uint64(a.integer(n)) }
 
-// units is argument n as units.
+// units returns argument n as units.
 func (a *arguments) units(n int) billing.Units {
 	x, err := strconv.ParseFloat(a.text(n), 64)
 	if err != nil {
@@ -77,12 +77,13 @@
 	return units
 }
 
-// lease is argument n as a time in milliseconds.
+// lease returns argument n, a number of milliseconds, as a duration.
 func (a *arguments) lease(n int) time.Duration {
 	return time.Duration(min(a.integer(n), maxLeaseMillis)) * time.Millisecond
 }
 
-// moment is argument n as a Unix time in nanoseconds: milliseconds since 1970, or, with a plus, from now on.
+// moment returns argument n as a Unix time in nanoseconds. The argument is in milliseconds since 1970 or,
+// with a plus sign, from now.
 func (a *arguments) moment(n int) int64 {
 	text, fromNow := strings.CutPrefix(a.text(n), "+")
 	moment := a.parseInteger(text) * 1e6
--- a/internal/limitserver/check.go
+++ b/internal/limitserver/check.go
@@ -14,23 +14,23 @@
 )
 
 const (
-	// noRetry stands for a check that was admitted: there is nothing to wait for.
+	// noRetry is the retry time of a check that was admitted: there is nothing to wait for.
 	noRetry time.Duration = -1
-	// maxRefillSeconds bounds the time until a quota is full, so that its nanoseconds fit an int64: three
-	// years.
+	// maxRefillSeconds bounds the time until a quota is full to three years, so that its nanoseconds fit into an
+	// int64.
 	maxRefillSeconds = 1e8
 )
 
-// check is one LIMIT.CHECK or CL.THROTTLE under way.
+// check is a LIMIT.CHECK or CL.THROTTLE command in progress.
 type check struct {
 	request     *dispatch.Request
 	tenant      policy.TenantID
 	plan        policy.PlanID
 	entryPoints int
-	timeUnit    time.Duration // of the times in its answer
+	timeUnit    time.Duration // unit of the times in the answer
 }
 
-// startCheck has a check counted; finishChecks answers it.
+// startCheck submits a check to be counted; finishChecks answers it.
 func (b *batch) startCheck(word string, args [][]byte) {
 	spec, err := b.settings.parseCheck(args)
 	if err != nil {
@@ -51,7 +51,7 @@
 	})
 }
 
-// finishChecks answers the checks that are under way.
+// finishChecks answers the checks in progress.
 func (b *batch) finishChecks() {
 	for _, k := range b.checks {
 		b.finishCheck(k)
@@ -59,7 +59,8 @@
 	b.checks = b.checks[:0]
 }
 
-// finishCheck waits for a check's answer; the dispatcher's own wait for the counter bounds it.
+// finishCheck waits for the result of a check and answers it. The wait is bounded by the dispatcher's own
+// wait for the counter.
 func (b *batch) finishCheck(k check) {
 	step := k.request.NextStep()
 	quota, _ := b.server.dispatcher.QuotaStatus(k.tenant, k.plan, k.entryPoints)
@@ -70,7 +71,7 @@
 	case dispatch.Reject:
 		b.server.rejected.Add(1)
 		retryAfter := step.RetryAfter
-		// The settings may allow no Retry-After; who asks here gets the time of the refill all the same.
+		// Even if the settings allow no Retry-After, a client of the limit commands gets the refill time.
 		if retryAfter <= 0 && quota.Rate > 0 {
 			retryAfter = refillTime(max(quota.Used+1-quota.Limit, 1), quota.Rate)
 		}
@@ -81,7 +82,7 @@
 	}
 }
 
-// peek answers with what is known, and counts nothing.
+// peek answers with the known quota status, and counts nothing.
 func (b *batch) peek(args [][]byte) {
 	if len(args) != 2 && len(args) != 3 {
 		b.fail("LIMIT.PEEK", errArity)
@@ -104,12 +105,12 @@
 	b.answers = appendQuota(b.answers, quota, retryAfter, time.Millisecond)
 }
 
-// refillTime is how long units take to refill at a rate a second.
+// refillTime returns how long it takes to refill units at a rate per second.
 func refillTime(units, rate float64) time.Duration {
 	return time.Duration(units / rate * 1e9)
 }
 
-// parseCheck reads a check.
+// parseCheck parses the arguments of a check.
 func (s *Settings) parseCheck(args [][]byte) (dispatch.RequestSpec, error) {
 	if len(args) != 2 && len(args) != 3 && len(args) != 5 {
 		return dispatch.RequestSpec{}, errArity
@@ -143,8 +144,8 @@
 	return spec, nil
 }
 
-// parseTenantPlan reads the tenant and the plan, the first two arguments. The errors' "customer" is the
-// wire's word.
+// parseTenantPlan parses the tenant and the plan, which are the first two arguments. The word "customer" in
+// the errors is the term used on the wire.
 func (s *Settings) parseTenantPlan(args [][]byte) (policy.TenantID, policy.PlanID, error) {
 	id, err := strconv.ParseUint(string(args[0]), 16, 64)
 	if err != nil || len(args[0]) != 16 || id >= 1<<33 {
@@ -158,7 +159,8 @@
 	return policy.TenantID(id), plan, nil
 }
 
-// parseUnits reads the units of a check: a decimal number, not one of the other forms that ParseFloat knows.
+// parseUnits parses the units of a check. It accepts a decimal number, but none of the other forms that
+// ParseFloat accepts.
 func (s *Settings) parseUnits(text []byte) (float64, error) {
 	units, err := strconv.ParseFloat(string(text), 64)
 	if err != nil || !(units > 0 && units <= s.MaxUnits) || bytes.ContainsAny(text, "xXpP_") {
@@ -168,7 +170,7 @@
 	return units, nil
 }
 
-// parseInteger reads the argument of a name, an integer from lowest to highest.
+// parseInteger parses the argument with the given name, an integer from lowest to highest.
 func parseInteger(name string, text []byte, lowest, highest int) (int, error) {
 	n, err := strconv.Atoi(string(text))
 	if err != nil || n < lowest || n > highest {
@@ -178,7 +180,8 @@
 	return n, nil
 }
 
-// appendQuota appends the array of five. A retryAfter below 0 says that the check was admitted.
+// appendQuota appends the array of five integers that answers a check. A retryAfter below 0 means that the
+// check was admitted.
 func appendQuota(out []byte, quota policy.QuotaStatus, retryAfter, timeUnit time.Duration) []byte {
 	limited, wait := int64(0), int64(-1)
 	if retryAfter >= 0 {
--- a/internal/limitserver/commands.go
+++ b/internal/limitserver/commands.go
@@ -12,8 +12,8 @@
 	"fawnplank/internal/authz"
 )
 
-// maxWordBytes is how much of a command's first word is looked at: more than any command has, and little to
-// repeat.
+// maxWordBytes is how many bytes of a command's first word are considered: more than any command has, and few
+// enough to repeat in an error.
 const maxWordBytes = 32
 
 var (
@@ -21,18 +21,18 @@
 	errKey   = errors.New("key or secret is wrong")
 )
 
-// batch is a pipeline of commands being answered. Checks that stand one behind another wait for the counter
-// together; any other command sees what those before it did.
+// batch is a pipeline of commands being answered. Consecutive checks wait for the counter together; any other
+// command sees the effects of the commands before it.
 type batch struct {
 	server   *Server
 	settings *Settings
 	rights   authz.Right // of the connection; AUTH changes them
 	answers  []byte
-	checks   []check // under way, in their order
+	checks   []check // in progress, in order
 }
 
-// run returns the answers to commands, in their order; quit says that the connection is to end. rights are
-// those of the connection, before and after.
+// run returns the answers to commands, in order. quit is true if the connection must end. rights points to
+// the rights of the connection, which run reads and updates.
 func (s *Server) run(commands []redcon.Command, rights *authz.Right) (answers []byte, quit bool) {
 	b := batch{server: s, settings: s.settings.Load(), rights: *rights}
 	defer func() { *rights = b.rights }()
@@ -45,7 +45,7 @@
 	return b.answers, false
 }
 
-// answer answers a command, or starts it where it is a check. It returns whether the connection is to end.
+// answer answers a command, or starts it if it is a check. It returns whether the connection must end.
 func (b *batch) answer(command redcon.Command) (quit bool) {
 	word := commandWord(command)
 	if !b.mayRun(word) {
@@ -64,7 +64,7 @@
 	case "QUIT":
 		b.answers = redcon.AppendOK(b.answers)
 		return true
-	case "COMMAND": // common clients ask at once what there is, and are content with an empty list
+	case "COMMAND": // common clients send it at once, and accept an empty list
 		b.answers = redcon.AppendArray(b.answers, 0)
 	case "LIMIT.PEEK":
 		b.peek(command.Args[1:])
@@ -76,7 +76,8 @@
 	return false
 }
 
-// commandWord is a command's first word as commands are named; empty where it has none.
+// commandWord returns a command's first word, in upper case and cut to maxWordBytes, or an empty string if
+// there is none.
 func commandWord(command redcon.Command) string {
 	if len(command.Args) == 0 {
 		return ""
@@ -85,8 +86,8 @@
 	return strings.ToUpper(string(first[:min(len(first), maxWordBytes)]))
 }
 
-// mayRun reports whether the connection's rights allow a command. Commands on accounts that are not there are
-// let through: they are unknown to every client.
+// mayRun reports whether the connection's rights allow a command. If the server has no accounts, it allows
+// commands on accounts, which are then answered as unknown commands for every client.
 func (b *batch) mayRun(word string) bool {
 	if requiredRight(word)&^b.rights == 0 {
 		return true
@@ -95,7 +96,7 @@
 	return onAccounts && b.server.accounts == nil
 }
 
-// requiredRight is the right that a command asks for; 0 is none.
+// requiredRight returns the right that a command requires; 0 means none.
 func requiredRight(word string) authz.Right {
 	switch {
 	case word == "LIMIT.CHECK" || word == "LIMIT.PEEK" || word == "CL.THROTTLE":
@@ -117,7 +118,7 @@
 		"NOPERM this connection has no key (AUTH name secret) that may "+strings.ToLower(word))
 }
 
-// authenticate gives the connection the rights of a key, or none.
+// authenticate sets the connection's rights to those of a key, or to none if the key or secret is wrong.
 func (b *batch) authenticate(args [][]byte) {
 	rights, err := b.server.keyRights(args)
 	b.rights = rights
@@ -128,14 +129,14 @@
 	b.answers = redcon.AppendOK(b.answers)
 }
 
-// keyRights returns the rights of the key whose name and secret are shown.
+// keyRights returns the rights of the key whose name and secret are given in args.
 func (s *Server) keyRights(args [][]byte) (authz.Right, error) {
 	if len(args) != 2 {
 		return 0, errArity
 	}
 	key, ok := s.keys[string(args[0])]
-	// Hashes, which have one length, whatever is shown: the time of the comparison says nothing about the
-	// secret.
+	// Compare hashes, which have the same length whatever the client sends, so that the time of the comparison
+	// reveals nothing about the secret.
 	shown, own := sha256.Sum256(args[1]), sha256.Sum256(key.Secret)
 	if subtle.ConstantTimeCompare(shown[:], own[:]) != 1 || !ok {
 		return 0, errKey
@@ -143,7 +144,7 @@
 	return key.Rights, nil
 }
 
-// answerOther answers a command on accounts, or one that is unknown.
+// answerOther answers a command on accounts, or an unknown command.
 func (b *batch) answerOther(word string, args [][]byte) {
 	command, ok := accountCommands[word]
 	if !ok || b.server.accounts == nil {
@@ -162,7 +163,7 @@
 	b.answers = answers
 }
 
-// fail answers a command with an error, and counts it.
+// fail answers a command with an error, and counts the failure.
 func (b *batch) fail(word string, err error) {
 	b.server.failed.Add(1)
 	if errors.Is(err, errArity) {
@@ -171,8 +172,8 @@
 	b.answers = redcon.AppendError(b.answers, "ERR "+err.Error())
 }
 
-// printable returns text with all but printable ASCII replaced, so that it fits into the one line of an
-// error.
+// printable returns text with everything but printable ASCII replaced, so that it fits into the single line
+// of an error.
 func printable(text string) string {
 	return strings.Map(func(r rune) rune {
 		if r < ' ' || r > '~' {
--- a/internal/limitserver/doc.go
+++ b/internal/limitserver/doc.go
@@ -1,6 +1,7 @@
 // Package limitserver answers limit commands in RESP2, for tools that ask the gateway whether a tenant has
-// quota left. It owns the listener and the clients' connections. It decides nothing: a check is a request of
-// a class that only counts, admitted by the same decisions, on the same counts, as those that are sent on.
+// quota left. It owns the listener and the clients' connections. It makes no decisions: a check is a request
+// of a class that only counts, and is admitted by the same decisions, on the same counts, as requests that
+// are sent to backends.
 //
 //	LIMIT.CHECK tenant plan [units [spread first]]   counts, and says whether there was quota
 //	LIMIT.PEEK tenant plan [spread]                  says what is known, and counts nothing
@@ -9,10 +10,11 @@
 //	PING, QUIT, COMMAND
 //
 // tenant is 16 hexadecimal digits below 2^33, as in the platform's protocol. The answer is an array of five
-// integers in the form that redis-cell made common: 0 where there was quota and 1 where not; the units that
-// the quota holds; the units left; how long until there is quota again (-1: there is), and how long until the
-// quota is full, both in milliseconds. The commands on accounts stand at Accounts.
+// integers in the form that redis-cell made common: 0 if there was quota and 1 if not; the units that the
+// quota holds; the units left; the time until there is quota again (-1 if there is quota now); and the time
+// until the quota is full. Both times are in milliseconds. The commands on accounts are documented at
+// Accounts.
 //
-// A Server's methods may be called concurrently. Each connection has a goroutine, which redcon owns and Close
-// ends; all that one connection has of its own is its rights.
+// A Server's methods are safe for concurrent use. Each connection has a goroutine, which redcon owns and
+// Close ends. The only state of a connection is its rights.
 package limitserver
--- a/internal/limitserver/listener.go
+++ b/internal/limitserver/listener.go
@@ -7,18 +7,18 @@
 )
 
 const (
-	// maxPendingBytes is how much a connection may send without a whole command in it: a pipeline of
-	// thousands.
+	// maxPendingBytes is how many bytes a connection may send without completing a command. It is the size of a
+	// pipeline of thousands of commands.
 	maxPendingBytes = 1 << 20
-	// lastWriteTimeout bounds the write of an error before a close: a client that does not read holds nothing
-	// up.
+	// lastWriteTimeout bounds the write of an error before a close, so that a client that does not read holds
+	// nothing up.
 	lastWriteTimeout = time.Second
 )
 
 var errCommandTooLarge = errors.New("command too large")
 
-// boundingListener bounds what its connections may send without a whole command in it: redcon's reader grows
-// with what it reads.
+// boundingListener bounds how much its connections may send without completing a command, because redcon's
+// reader grows with the input.
 type boundingListener struct{ net.Listener }
 
 func (l *boundingListener) Accept() (net.Conn, error) {
@@ -29,10 +29,10 @@
 	return &boundedConn{Conn: c}, nil
 }
 
-// boundedConn is a connection of a boundingListener. Its goroutine alone uses it.
+// boundedConn is a connection of a boundingListener. Only its goroutine uses it.
 type boundedConn struct {
 	net.Conn
-	pendingBytes int // read since the last whole command
+	pendingBytes int // bytes read since the last complete command
 }
 
 func (b *boundedConn) Read(p []byte) (int, error) {
@@ -45,8 +45,8 @@
 	return n, err
 }
 
-// writeLastError writes an error to a connection that is closed next. Where that fails the client learns no
-// more than from the close, and there is nobody else to hear of it.
+// writeLastError writes an error to a connection that is about to be closed. Write errors are ignored: the
+// client then only sees the close, and there is nobody else to tell.
 func writeLastError(c net.Conn, text string) {
 	_ = c.SetWriteDeadline(time.Now().Add(lastWriteTimeout))
 	_, _ = c.Write([]byte("-ERR " + text + "\r\n"))
--- a/internal/limitserver/server.go
+++ b/internal/limitserver/server.go
@@ -14,22 +14,22 @@
 	"fawnplank/policy"
 )
 
-// idleTimeout is after how long a silent connection is closed: well beyond the pauses of tools that keep
-// theirs open.
+// idleTimeout is the time after which a silent connection is closed. It is much longer than the pauses of
+// tools that keep their connections open.
 const idleTimeout = 5 * time.Minute
 
-// Dispatcher is where checks are decided.
+// Dispatcher decides checks.
 type Dispatcher interface {
 	Submit(spec dispatch.RequestSpec) *dispatch.Request
 	QuotaStatus(tenant policy.TenantID, plan policy.PlanID, entryPoints int) (policy.QuotaStatus, bool)
 }
 
-// Settings are what commands may name; a reload brings new ones.
+// Settings holds what commands may name. A reload replaces them.
 type Settings struct {
-	Class     policy.ClassID           // the one that only counts
+	Class     policy.ClassID           // the class that only counts
 	Timeout   time.Duration            // of a check
 	Plans     map[string]policy.PlanID // by name
-	Instances int                      // of the fleet; 0 is one
+	Instances int                      // of the fleet; 0 means one
 	MaxUnits  float64                  // of a check
 }
 
@@ -40,17 +40,17 @@
 	Failed   uint64 // commands answered with an error
 }
 
-// Options are what a Server is made of.
+// Options configures a Server.
 type Options struct {
-	// Dispatcher decides the checks; nil only where no client sends one.
+	// Dispatcher decides the checks. It may be nil only if no client sends one.
 	Dispatcher Dispatcher
-	// Settings are what commands may name; UpdateSettings replaces them.
+	// Settings holds what commands may name. UpdateSettings replaces them.
 	Settings Settings
-	// MaxConnections bounds the clients' connections. At 0 every one is refused.
+	// MaxConnections bounds the number of client connections. If it is 0, every connection is refused.
 	MaxConnections int
-	// Accounts answers the commands on accounts; nil is no such commands.
+	// Accounts answers the commands on accounts. If nil, there are no such commands.
 	Accounts Accounts
-	// Keys are the keys of AUTH, by name. Without any, every client may check and nothing more.
+	// Keys maps names to the keys for AUTH. Without keys, every client may run checks but nothing else.
 	Keys map[string]authz.Key
 }
 
@@ -71,7 +71,7 @@
 	closeOnce sync.Once
 }
 
-// New makes a server; Serve starts it.
+// New returns a server; Serve starts it.
 func New(options Options) *Server {
 	s := &Server{
 		dispatcher:     options.Dispatcher,
@@ -86,10 +86,10 @@
 	return s
 }
 
-// UpdateSettings replaces the settings, from the next batch of commands of each connection on.
+// UpdateSettings replaces the settings. Each connection uses them from its next batch of commands on.
 func (s *Server) UpdateSettings(settings Settings) { s.settings.Store(&settings) }
 
-// Serve accepts connections until Close, and closes the listener then.
+// Serve accepts connections until Close is called, then closes the listener.
 func (s *Server) Serve(l net.Listener) error {
 	err := s.server.Serve(&boundingListener{l})
 	if errors.Is(err, net.ErrClosed) {
@@ -98,7 +98,7 @@
 	return err
 }
 
-// Close ends the listener and all connections. Only the first call does anything.
+// Close closes the listener and all connections. Only the first call has an effect.
 func (s *Server) Close() error {
 	var err error
 	s.closeOnce.Do(func() { err = s.server.Close() })
@@ -110,7 +110,8 @@
 	return Stats{Admitted: s.admitted.Load(), Rejected: s.rejected.Load(), Failed: s.failed.Load()}
 }
 
-// accept refuses connections beyond the maximum, with an error, since a close without one looks like a crash.
+// accept refuses connections beyond the maximum. It sends an error first, since a close without one looks
+// like a crash.
 func (s *Server) accept(c redcon.Conn) bool {
 	if s.connections.Add(1) <= int64(s.maxConnections) {
 		return true
@@ -120,7 +121,7 @@
 	return false
 }
 
-// handle answers a command and all that came along with it, in their order.
+// handle answers a command and all commands that arrived with it, in order.
 func (s *Server) handle(c redcon.Conn, first redcon.Command) {
 	if b, ok := c.NetConn().(*boundedConn); ok {
 		b.pendingBytes = 0
@@ -134,6 +135,6 @@
 	c.SetContext(rights)
 	c.WriteRaw(answers)
 	if quit {
-		_ = c.Close() // redcon keeps the error of the write for itself, too
+		_ = c.Close() // redcon does not report the error of the write either
 	}
 }
