--- a/cmd/fawnplank/accounts.go
+++ b/cmd/fawnplank/accounts.go
@@ -13,21 +13,21 @@
 	"fawnplank/internal/metrics"
 )
 
-// accounts are the tenants' accounts in the store, where the operator file switches them on. It owns the
-// billing service. KeysChanged and UpdateSettings are safe for concurrent use.
+// accounts manages the tenants' accounts in the store, if the operator file enables them. It owns the billing
+// service. KeysChanged and UpdateSettings are safe for concurrent use.
 type accounts struct {
-	service  *billingservice.Service // nil: off. Set by Start, before anything that reads it runs
+	service  *billingservice.Service // nil if billing is off; Start sets it before anything that reads it runs
 	settings atomic.Pointer[billing.Settings]
 	changes  *notifier
 
 	mu          sync.Mutex
 	enabled     bool
-	changedKeys []string // of accounts, which the service has not been notified of
+	changedKeys []string // account keys whose change has not been passed to the service yet
 }
 
 func newAccounts() *accounts { return &accounts{changes: newNotifier()} }
 
-// Start starts the billing service on the replica.
+// Start starts the billing service on the replica. It does nothing if the operator file leaves billing off.
 func (a *accounts) Start(replica *replica, configuration *config.Config, operator *config.Operator,
 	registry *metrics.Registry) error {
 	if !operator.Billing.Enabled {
@@ -38,7 +38,7 @@
 	}
 	a.UpdateSettings(configuration, operator)
 	a.mu.Lock()
-	a.enabled = true // before the service reads the accounts, so that it misses no change after that
+	a.enabled = true // set before the service reads the accounts, so that the service misses no later change
 	a.mu.Unlock()
 	options := billingservice.Options{
 		Replica:        replica.Store,
@@ -68,7 +68,8 @@
 	a.settings.Store(&settings)
 }
 
-// KeysChanged reports keys that have changed in the store. It does not block.
+// KeysChanged records the account keys among keys, which have changed in the store, and notifies the service.
+// It does not block.
 func (a *accounts) KeysChanged(keys []string) {
 	a.mu.Lock()
 	for _, key := range keys {
@@ -88,11 +89,10 @@
 	return keys
 }
 
-// CloseService reports all use that was recorded, and stops the billing service. It may be called more than
-// once.
+// CloseService reports all recorded usage and stops the billing service. It may be called more than once.
 func (a *accounts) CloseService() { a.service.Close() }
 
-// Close ends the notification of changes. It is called once, after the replica has stopped.
+// Close stops the notification of changes. It is called once, after the replica has stopped.
 func (a *accounts) Close() { a.changes.Close() }
 
 func registerBillingMetrics(service *billingservice.Service, registry *metrics.Registry) {
--- a/cmd/fawnplank/command_billing.go
+++ b/cmd/fawnplank/command_billing.go
@@ -10,7 +10,7 @@
 	"fawnplank/internal/billingservice"
 )
 
-// billingVerb is a command that sends one command to a limits address.
+// billingVerb describes a subcommand that sends one limit command to a limits address.
 type billingVerb struct {
 	use, word, short, example string
 	args                      int
@@ -71,7 +71,7 @@
 	},
 }
 
-// billingCommand is the accounts' part of the command line.
+// billingCommand returns the command group for the accounts.
 func billingCommand(globals *globalFlags) *cobra.Command {
 	command := &cobra.Command{
 		Use:   "billing VERB",
@@ -103,7 +103,7 @@
 	return command
 }
 
-// billingResume are the flags of billing resume.
+// billingResume holds the flags of "billing resume".
 type billingResume struct {
 	store      string
 	after      uint64
--- a/cmd/fawnplank/command_dns.go
+++ b/cmd/fawnplank/command_dns.go
@@ -15,10 +15,10 @@
 	"fawnplank/internal/dnszone"
 )
 
-// dnsUpdateTimeout bounds an update: the server waits for its journal or for the store.
+// dnsUpdateTimeout bounds an update, because the server waits for its journal or for the store.
 const dnsUpdateTimeout = 5 * time.Second
 
-// dnsCommand is the zone's part of the command line.
+// dnsCommand returns the command group for the zone.
 func dnsCommand(globals *globalFlags) *cobra.Command {
 	command := &cobra.Command{
 		Use:   "dns VERB",
@@ -48,7 +48,8 @@
 	return command
 }
 
-// listZone writes the zone of an operator file as journal and zone file have it, or as a replica has it.
+// listZone writes the zone of an operator file, as recorded in the journal and the zone file, or as held by a
+// replica.
 func listZone(out io.Writer, operatorPath string, client *storeClient) error {
 	operator, err := readOperator(operatorPath, "name an existing file with --operator or GW_OPERATOR")
 	if err != nil {
@@ -69,7 +70,7 @@
 	return writeZone(out, zone, source)
 }
 
-// writeZone writes the endpoint list, a line for each entry.
+// writeZone writes the endpoint list, one line per entry.
 func writeZone(out io.Writer, zone *dnszone.Zone, source string) error {
 	table := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 	lines := []string{
@@ -88,7 +89,7 @@
 	return table.Flush()
 }
 
-// zoneRow is the row of one backend, with tabs between the cells.
+// zoneRow returns the row of one backend, with its cells separated by tabs.
 func zoneRow(backend dnszone.Backend) string {
 	status := "up"
 	if backend.Draining {
@@ -110,7 +111,7 @@
 		status, backend.Weight, backend.Zone, backend.Group, since, origin, backend.Provenance.Serial)
 }
 
-// dnsUpdate are the flags of dns update.
+// dnsUpdate holds the flags of "dns update".
 type dnsUpdate struct {
 	server, zone, keyName, algorithm, secretFile string
 	deleteNames, deletes, adds                   []string
@@ -163,7 +164,7 @@
 	return nil
 }
 
-// parseRecords reads records in master form.
+// parseRecords parses records in master file format.
 func parseRecords(texts []string) ([]dns.RR, error) {
 	var records []dns.RR
 	for _, text := range texts {
@@ -171,7 +172,7 @@
 		if err != nil {
 			return nil, fmt.Errorf("%q is no record: %w", text, err)
 		}
-		if record == nil { // a comment, or nothing
+		if record == nil { // the text holds only a comment, or nothing
 			return nil, fmt.Errorf("%q is no record: it is empty", text)
 		}
 		records = append(records, record)
--- a/cmd/fawnplank/command_lab.go
+++ b/cmd/fawnplank/command_lab.go
@@ -24,7 +24,7 @@
 	}
 }
 
-// execLab replaces the process by the laboratory's program.
+// execLab replaces the current process with the laboratory's program.
 func execLab(args []string) error {
 	self, err := os.Executable()
 	if err != nil {
--- a/cmd/fawnplank/command_migrate.go
+++ b/cmd/fawnplank/command_migrate.go
@@ -9,7 +9,7 @@
 	"fawnplank/internal/config"
 )
 
-// migration are the flags of migrate.
+// migration holds the flags of migrate.
 type migration struct {
 	shape  string // file with the settings of the new deployment
 	output string // file to write
@@ -35,8 +35,8 @@
 	return command
 }
 
-// run writes the counterpart of the configuration at path for the new shape, and lists what could not be
-// carried over.
+// run writes the counterpart of the configuration at path for the new shape, and lists what it could not
+// carry over.
 func (m migration) run(path string) error {
 	if path == "" || m.output == "" && !m.dryRun {
 		return errors.New("migrate: needs --config for the old file, and --output for the new one or --dry-run")
--- a/cmd/fawnplank/command_root.go
+++ b/cmd/fawnplank/command_root.go
@@ -13,14 +13,14 @@
 	"fawnplank/internal/tlsconfig"
 )
 
-// globalFlags are the flags that every command accepts.
+// globalFlags holds the flags that every command accepts.
 type globalFlags struct {
-	config    string // configuration file; empty: the one that GW_CONFIG names
-	operator  string // operator file; empty: none
-	logLevel  string // empty: the operator file's
-	logFormat string // empty: the operator file's
-	// tls is presented by a replica on both its addresses and towards the others, and by commands towards
-	// replicas and limits addresses.
+	config    string // configuration file; if empty, the one that GW_CONFIG names
+	operator  string // operator file; if empty, none
+	logLevel  string // if empty, the operator file's level applies
+	logFormat string // if empty, the operator file's format applies
+	// tls names the certificate files. A replica presents the certificate on both its addresses and to the other
+	// replicas; commands present it to replicas and limits addresses.
 	tls tlsconfig.Files
 }
 
@@ -40,8 +40,8 @@
 		"authority that the peer's certificate is checked against")
 }
 
-// rootCommand is the command line. Each command only parses its flags and arguments; the work is done
-// elsewhere.
+// rootCommand returns the whole command line. Each command only parses its flags and arguments; the work is
+// done elsewhere.
 func rootCommand() *cobra.Command {
 	globals := &globalFlags{}
 	root := &cobra.Command{
@@ -56,7 +56,7 @@
 		},
 		RunE: func(command *cobra.Command, args []string) error {
 			command.SetOut(os.Stderr)
-			_ = command.Usage() // standard error cannot be written; there is nowhere to report that
+			_ = command.Usage() // if standard error cannot be written, there is nowhere to report that
 			if len(args) > 0 {
 				return fmt.Errorf("unknown command %q", args[0])
 			}
--- a/cmd/fawnplank/command_serve.go
+++ b/cmd/fawnplank/command_serve.go
@@ -9,8 +9,8 @@
 	"github.com/spf13/cobra"
 )
 
-// pendingSignals is how many signals may wait while one is handled. A reload reads every setting anew, so
-// that signals beyond a few would only repeat it.
+// pendingSignals is how many signals may wait while one is being handled. A reload reads every setting again,
+// so more than a few waiting signals would only repeat it.
 const pendingSignals = 8
 
 func serveCommand(globals *globalFlags) *cobra.Command {
@@ -33,8 +33,9 @@
 
 // serve runs a gateway until it has shut down.
 func serve(ctx context.Context, globals *globalFlags, replica replicaFlags) error {
-	// Before anything is read: a SIGHUP would end the process otherwise. Never undone, since a signal during
-	// the last steps of a shutdown would end the process with another exit status.
+	// Subscribe before anything is read, because a SIGHUP would otherwise end the process. The subscription is
+	// never undone, because a signal during the last steps of a shutdown would end the process with another exit
+	// status.
 	signals := make(chan os.Signal, pendingSignals)
 	signal.Notify(signals, syscall.SIGTERM, os.Interrupt, syscall.SIGHUP)
 	g, err := newGateway(ctx, gatewayOptions{
--- a/cmd/fawnplank/command_store.go
+++ b/cmd/fawnplank/command_store.go
@@ -17,7 +17,7 @@
 	"fawnplank/internal/store"
 )
 
-// storeVerb is a command that makes one call to a replica.
+// storeVerb describes a subcommand that makes one call to a replica.
 type storeVerb struct {
 	use, short, example string
 	args                int
@@ -77,7 +77,7 @@
 	},
 }
 
-// storeCommand is the store's part of the command line.
+// storeCommand returns the command group for the store.
 func storeCommand(globals *globalFlags) *cobra.Command {
 	command := &cobra.Command{Use: "store VERB", Short: "Run and repair the replicated store (docs/store.md)"}
 	var address string
@@ -110,7 +110,7 @@
 	return command
 }
 
-// runReplica runs a replica alone until a signal.
+// runReplica runs a replica on its own until a signal arrives.
 func runReplica(globals *globalFlags, flags replicaFlags) error {
 	if flags.folder == "" {
 		return errors.New("--store is missing")
--- a/cmd/fawnplank/configuration.go
+++ b/cmd/fawnplank/configuration.go
@@ -9,8 +9,8 @@
 	"fawnplank/internal/discovery"
 )
 
-// loadConfiguration reads the configuration and the operator file, and checks both whole. Rows of the
-// overlay, which stand in the replicated store, take precedence over those of the file.
+// loadConfiguration reads the configuration and the operator file, and checks both completely. The overlay's
+// rows, which come from the replicated store, take precedence over those of the file.
 func loadConfiguration(path, operatorPath string,
 	overlay config.Overlay) (*config.Config, *config.Operator, error) {
 	configuration, err := config.Read(path, overlay)
@@ -31,8 +31,8 @@
 	return configuration, operator, nil
 }
 
-// readOperator reads the operator file. Where it does not exist the error ends with the remedy. A file that it
-// names and that does not exist is an error about its key.
+// readOperator reads the operator file. If the file does not exist, the error ends with the remedy. If the
+// file names another file that does not exist, the error is about the key that names it.
 func readOperator(path, remedy string) (*config.Operator, error) {
 	operator, err := config.ReadOperator(path)
 	var failed *fs.PathError
--- a/cmd/fawnplank/limits.go
+++ b/cmd/fawnplank/limits.go
@@ -16,20 +16,21 @@
 	"fawnplank/internal/tlsconfig"
 )
 
-// limits is the server of limit commands. A nil one is off; its methods may be called.
+// limits is the server of limit commands. A nil *limits means that the server is off; its methods may still
+// be called.
 type limits struct{ server *limitserver.Server }
 
-// limitsOptions configure serveLimits.
+// limitsOptions configures serveLimits.
 type limitsOptions struct {
 	Dispatcher    *dispatch.Dispatcher
 	Metrics       *metrics.Registry
 	Configuration *config.Config
 	Operator      *config.Operator
-	Accounts      *billingservice.Service // nil: no commands on accounts
+	Accounts      *billingservice.Service // if nil, there are no commands on accounts
 }
 
-// serveLimits starts the server of limit commands, or returns nil where the operator file names no address
-// for it.
+// serveLimits starts the server of limit commands. It returns nil if the operator file names no address for
+// it.
 func serveLimits(ctx context.Context, options limitsOptions) (*limits, error) {
 	settings := options.Operator.Limits
 	if settings.Listen == "" {
@@ -43,7 +44,7 @@
 	if files := settings.TLS(); files.Enabled() {
 		source, err := tlsconfig.New(files)
 		if err != nil {
-			_ = listener.Close() // nothing was accepted
+			_ = listener.Close() // no connection has been accepted
 			return nil, err
 		}
 		listener = tls.NewListener(listener, source.ServerConfig())
@@ -56,7 +57,7 @@
 	}
 	server := newLimitServer(options)
 	registerLimitMetrics(server, options.Metrics)
-	go func() { // ends with limits.Close
+	go func() { // ends when limits.Close is called
 		if err := server.Serve(listener); err != nil {
 			logging.For("limits").WithError(err).Error("stopped")
 		}
@@ -75,13 +76,13 @@
 	for _, key := range options.Operator.Limits.Keys {
 		serverOptions.Keys[key.Name] = key.Key
 	}
-	if options.Accounts != nil { // a nil service in the interface would not compare as nil
+	if options.Accounts != nil { // a nil service stored in the interface would not compare as nil
 		serverOptions.Accounts = options.Accounts
 	}
 	return limitserver.New(serverOptions)
 }
 
-// limitSettings are what limit commands may name, and how they are checked.
+// limitSettings returns what limit commands may name, and how they are checked.
 func limitSettings(configuration *config.Config, operator *config.Operator) limitserver.Settings {
 	class, _ := configuration.LimitClass()
 	return limitserver.Settings{
@@ -93,7 +94,7 @@
 	}
 }
 
-// UpdateSettings applies the plans of a configuration that was read again.
+// UpdateSettings applies the plans of a reloaded configuration.
 func (l *limits) UpdateSettings(settings limitserver.Settings) {
 	if l != nil {
 		l.server.UpdateSettings(settings)
@@ -103,7 +104,7 @@
 // Close stops the server.
 func (l *limits) Close() {
 	if l != nil {
-		_ = l.server.Close() // fails only where it was not serving
+		_ = l.server.Close() // fails only if the server was not serving
 	}
 }
 
--- a/cmd/fawnplank/limits_client.go
+++ b/cmd/fawnplank/limits_client.go
@@ -21,23 +21,24 @@
 
 const (
 	limitsConnectTimeout = 5 * time.Second
-	// limitsCallTimeout bounds authentication and command together. A command that writes to the store waits
-	// there.
+	// limitsCallTimeout bounds authentication and command together. The server answers a command that writes to
+	// the store only after the write, so the client waits for that too.
 	limitsCallTimeout = 15 * time.Second
-	// maxBulkBytes and maxArrayLength bound what an answer may claim, before memory is allocated for it.
+	// maxBulkBytes and maxArrayLength bound the lengths that an answer may claim, before memory is allocated for
+	// them.
 	maxBulkBytes   = 1 << 20
 	maxArrayLength = 1 << 16
 )
 
-// limitsClient sends commands to a limits address, each on a connection of its own.
+// limitsClient sends commands to a limits address, each on its own connection.
 type limitsClient struct {
 	address    string
-	keyName    string // empty: no authentication
+	keyName    string // if empty, the client does not authenticate
 	secretFile string
 	tls        tlsconfig.Files
 }
 
-// call authenticates, where a key is named, sends one command and returns its answer as text.
+// call authenticates if a key is named, sends one command, and returns its answer as text.
 func (c limitsClient) call(ctx context.Context, words []string) (string, error) {
 	secret, err := c.readSecret()
 	if err != nil {
@@ -48,7 +49,7 @@
 		return "", err
 	}
 	defer func() {
-		_ = conn.Close() // the answer was read, or the error is reported already
+		_ = conn.Close() // the answer has been read, or the error is already reported
 	}()
 	if err := conn.SetDeadline(time.Now().Add(limitsCallTimeout)); err != nil {
 		return "", err
@@ -88,7 +89,7 @@
 	}
 	source, err := tlsconfig.New(c.tls)
 	if err != nil {
-		_ = conn.Close() // nothing was sent
+		_ = conn.Close() // nothing has been sent
 		return nil, err
 	}
 	return tls.Client(conn, source.ClientConfig()), nil
@@ -106,8 +107,9 @@
 	return readAnswer(reader)
 }
 
-// readAnswer reads one answer in RESP: simple values as they are, arrays with spaces between their values,
-// and a line for each array within one. An error answer is an error.
+// readAnswer reads one answer in RESP and returns it as text. Simple values are returned unchanged, the
+// values of an array are separated by spaces, and each array within an array gets its own line. An error
+// answer is returned as an error.
 func readAnswer(reader *bufio.Reader) (string, error) {
 	line, err := reader.ReadString('\n')
 	if err != nil {
@@ -158,7 +160,7 @@
 	return strings.Join(values, separator), nil
 }
 
-// parseLength reads the length of a bulk string or an array, which follows its type.
+// parseLength parses the length of a bulk string or an array, which follows the type byte.
 func parseLength(line string, maxLength int) (int, error) {
 	length, err := strconv.Atoi(line[1:])
 	if err != nil || length < 0 || length > maxLength {
--- a/cmd/fawnplank/listen.go
+++ b/cmd/fawnplank/listen.go
@@ -11,13 +11,14 @@
 	"fawnplank/internal/config"
 )
 
-// listen uses the listener that the process was handed, or opens one that a process started later may share:
-// during an upgrade both serve the clients' address, and the kernel distributes new connections over the two.
+// listen uses the listener that the process was handed, or opens one that a later process may share. During
+// an upgrade both processes serve the clients' address, and the kernel distributes new connections between
+// them.
 func listen(ctx context.Context, configuration *config.Config) (net.Listener, error) {
 	if configuration.ListenerFD >= 0 {
 		file := os.NewFile(uintptr(configuration.ListenerFD), "listener")
 		defer func() {
-			_ = file.Close() // the listener has a duplicate of its own
+			_ = file.Close() // the listener holds its own duplicate
 		}()
 		return net.FileListener(file)
 	}
--- a/cmd/fawnplank/main.go
+++ b/cmd/fawnplank/main.go
@@ -1,10 +1,11 @@
-// Command fawnplank is a gateway in front of a shared API: it admits clients' requests by their tenant's
-// quota and sends each to a backend. The same program checks and migrates configurations and operates the
-// replicated store, the DNS zone and the accounts.
+// Command fawnplank is a gateway in front of a shared API. It admits clients' requests according to their
+// tenant's quota and sends each to a backend. The same program checks and migrates configurations and
+// operates the replicated store, the DNS zone and the accounts.
 //
-// The package reads the command line (command_*.go) and wires the parts together: newGateway constructs them
-// in a fixed order, gateway.Run serves and handles signals one at a time, gateway.Close frees everything in
-// reverse. The decisions are those of package policy; each part round them is a package under internal.
+// The package parses the command line (command_*.go) and wires the parts together: newGateway constructs them
+// in a fixed order, gateway.Run serves and handles signals one at a time, and gateway.Close releases
+// everything in reverse order. Package policy makes the decisions; each part around it is a package under
+// internal.
 package main
 
 import (
@@ -12,7 +13,7 @@
 	"os"
 )
 
-// version is the release; a build may set it with -ldflags "-X main.version=...".
+// version is the release version. A build may set it with -ldflags "-X main.version=...".
 var version = "0.1.0-dev"
 
 func main() {
--- a/cmd/fawnplank/management.go
+++ b/cmd/fawnplank/management.go
@@ -9,8 +9,8 @@
 	"fawnplank/internal/logging"
 )
 
-// serveManagement serves the management address, where the configuration names one, until the process ends:
-// health and metrics are answered to the last moment.
+// serveManagement serves the management address, if the configuration names one, until the process ends, so
+// that health and metrics are answered to the last moment.
 func (g *gateway) serveManagement(ctx context.Context) error {
 	if g.configuration.ManagementAddress == "" {
 		return nil
@@ -32,7 +32,7 @@
 	return nil
 }
 
-// managed is the gateway as the management address sees it. It is safe for concurrent use.
+// managed is the view of the gateway that the management address uses. It is safe for concurrent use.
 type managed struct{ gateway *gateway }
 
 func (m managed) Ready() bool { return m.gateway.ready.Load() && !m.gateway.server.Draining() }
--- a/cmd/fawnplank/metrics.go
+++ b/cmd/fawnplank/metrics.go
@@ -8,8 +8,9 @@
 	"fawnplank/policy"
 )
 
-// classNames are the names of the classes, by id; those of rows that no name refers to any more are empty.
-// There are as many as rows, not as names: after a reload ids reach past the number of names.
+// classNames returns the names of the classes, indexed by id. A row that no name refers to any longer has an
+// empty name. The result has one entry per row, not per name, because after a reload ids exceed the number of
+// names.
 func classNames(configuration *config.Config) []string {
 	names := make([]string, len(configuration.Settings.Classes))
 	for name, id := range configuration.Classes {
@@ -18,8 +19,8 @@
 	return names
 }
 
-// counterGauges are the metrics on the counter: what it answered, and how far the gateway may be from one
-// count.
+// counterGauges returns the metrics of the shared counter: what it answered, and how far the gateway may be
+// from a single count.
 func counterGauges(dispatcher *dispatch.Dispatcher, client *counter.Client) map[string]metrics.Gauge {
 	stat := func(value func(policy.CounterStats) float64) func() float64 {
 		return func() float64 { return value(dispatcher.CounterStats()) }
--- a/cmd/fawnplank/notifier.go
+++ b/cmd/fawnplank/notifier.go
@@ -2,8 +2,8 @@
 
 import "sync"
 
-// notifier hands changes from a sender that must not block to a handler that may. Changes that arrive while
-// the handler runs are handled by one further call.
+// notifier passes changes from a sender that must not block to a handler that may. All changes that arrive
+// while the handler runs are covered by one further call.
 type notifier struct {
 	pending chan struct{}
 	stop    chan struct{}
@@ -14,15 +14,15 @@
 	return &notifier{pending: make(chan struct{}, 1), stop: make(chan struct{})}
 }
 
-// Notify has the handler called. It does not block. Before Start the call waits for Start.
+// Notify schedules a call of the handler. It does not block. A call scheduled before Start waits for Start.
 func (n *notifier) Notify() {
 	select {
 	case n.pending <- struct{}{}:
-	default: // a call waits already
+	default: // a call is already scheduled
 	}
 }
 
-// Start calls handle after each change until Close.
+// Start calls handle after each Notify until Close is called.
 func (n *notifier) Start(handle func()) {
 	n.running.Go(func() {
 		for {
@@ -36,7 +36,7 @@
 	})
 }
 
-// Close waits for a handler that runs, and ends. It may be called once.
+// Close waits for a running handler and then stops the notifier. It must be called at most once.
 func (n *notifier) Close() {
 	close(n.stop)
 	n.running.Wait()
--- a/cmd/fawnplank/reload.go
+++ b/cmd/fawnplank/reload.go
@@ -9,7 +9,8 @@
 	"fawnplank/internal/logging"
 )
 
-// reload reads the configuration again and applies it whole. Where it is faulty nothing changes.
+// reload reads the configuration again and applies it as a whole. If the configuration is faulty, nothing
+// changes.
 func (g *gateway) reload() {
 	fresh := g.reloadConfiguration()
 	if fresh == nil {
@@ -26,9 +27,9 @@
 	g.configuration = fresh
 }
 
-// reloadConfiguration reads the configuration again and moves counter and discovery to the addresses that it
-// names. It returns the configuration to continue with, in which the ids of classes and plans follow those in
-// force, or nil where the new one is faulty.
+// reloadConfiguration reads the configuration again and switches the counter and discovery to the addresses
+// that it names. It returns the configuration to continue with, in which the ids of classes and plans are
+// consistent with those in force. It returns nil if the new configuration is faulty.
 func (g *gateway) reloadConfiguration() *config.Config {
 	fresh, operator, err := g.loadConfiguration(g.replica.overlay())
 	if err != nil {
@@ -38,7 +39,7 @@
 	if !reflect.DeepEqual(operator, g.operator) {
 		logging.For("config").Warn("operator file changes need a restart")
 		if _, limitsOn := g.configuration.LimitClass(); limitsOn && operator.Limits.Listen == "" {
-			fresh.AddLimitClass(g.operator) // the limits' address is served on
+			fresh.AddLimitClass(g.operator) // the limits address continues to be served
 		}
 	}
 	fresh.KeepIDs(g.configuration)
@@ -57,8 +58,8 @@
 	return merged
 }
 
-// mergeReloadable returns the configuration in force with all of the fresh one that takes effect without a
-// restart.
+// mergeReloadable returns the current configuration with every part of the fresh one that takes effect
+// without a restart.
 func mergeReloadable(current, fresh *config.Config) *config.Config {
 	merged := *current
 	merged.Discovery = fresh.Discovery
--- a/cmd/fawnplank/replica.go
+++ b/cmd/fawnplank/replica.go
@@ -18,9 +18,9 @@
 	"fawnplank/internal/tlsconfig"
 )
 
-// replicaFlags say where a replica of the store is, and which others there are.
+// replicaFlags says where a replica of the store is, and which other replicas exist.
 type replicaFlags struct {
-	folder string // empty: no store
+	folder string // if empty, there is no store
 	self   string
 	peers  []string
 }
@@ -59,24 +59,25 @@
 	return options, nil
 }
 
-// ignoreFileSizeSignal lets a write beyond a limit on file sizes fail as one on a full disk does, with an
-// error that is reported, in place of ending the process.
+// ignoreFileSizeSignal makes a write beyond a file size limit fail with an error that is reported, as on a
+// full disk, instead of ending the process.
 func ignoreFileSizeSignal() { signal.Ignore(syscall.SIGXFSZ) }
 
-// replica is the gateway's replica of the store. A nil one stands for no store; its methods may be called.
+// replica is the gateway's replica of the store. A nil *replica stands for no store; its methods may still be
+// called.
 type replica struct {
 	*store.Store
-	tls *tlsconfig.Source // nil: none
-	// edits receives a value when a plan or a class has changed in the store. One value stands for any number
-	// of edits.
+	tls *tlsconfig.Source // nil if TLS is not used
+	// edits receives a value when a plan or a class has changed in the store. One value stands for any number of
+	// edits.
 	edits chan struct{}
 }
 
-// replicaOptions configure openReplica. All functions are required, and none may block.
+// replicaOptions configures openReplica. All functions are required, and none may block.
 type replicaOptions struct {
 	Flags replicaFlags
 	TLS   tlsconfig.Files
-	// CheckOverlay judges what the gateway's own files make of a row of the store.
+	// CheckOverlay checks a row of the store together with the gateway's own files.
 	CheckOverlay func(config.Overlay) error
 	// ZoneChanged is called when a part of the zone has changed in the store.
 	ZoneChanged func()
@@ -84,7 +85,7 @@
 	KeysChanged func(keys []string)
 }
 
-// openReplica starts the replica that the flags describe, or returns nil where they describe none.
+// openReplica starts the replica that the flags describe. It returns nil if they describe none.
 func openReplica(options replicaOptions) (*replica, error) {
 	if options.Flags.folder == "" {
 		return nil, nil
@@ -106,7 +107,7 @@
 	return &replica{Store: opened, tls: storeOptions.TLS, edits: edits}, nil
 }
 
-// notifyChanged passes on keys that have changed to those that read them. It does not block.
+// notifyChanged passes changed keys on to the parts that read them. It does not block.
 func notifyChanged(keys []string, options replicaOptions, edits chan<- struct{}) {
 	isZoneKey := func(key string) bool { return strings.HasPrefix(key, dnsserver.KeyPrefix) }
 	if slices.ContainsFunc(keys, isZoneKey) {
@@ -119,13 +120,13 @@
 	if slices.ContainsFunc(keys, isRow) {
 		select {
 		case edits <- struct{}{}:
-		default: // an edit waits already, and all that is there by then is read
+		default: // an edit is already pending, and its reader reads everything that is there by then
 		}
 	}
 }
 
-// checkRow judges a plan or class before it is written, alone and then by what this replica's own files make
-// of it. What another replica's files make of it is judged there again.
+// checkRow checks a plan or class before it is written, first alone and then together with this replica's own
+// files. Other replicas check it again with their own files.
 func checkRow(key string, value json.RawMessage, checkOverlay func(config.Overlay) error) error {
 	var overlay config.Overlay
 	name, isPlan := strings.CutPrefix(key, config.PlanKey)
@@ -144,7 +145,7 @@
 	return checkOverlay(overlay)
 }
 
-// registerMetrics shows until when the replica's certificate is valid.
+// registerMetrics adds the metric that shows until when the replica's certificate is valid.
 func (r *replica) registerMetrics(registry *metrics.Registry) {
 	if r == nil || r.tls == nil {
 		return
@@ -164,8 +165,8 @@
 	}
 }
 
-// Edits receives a value after plans or classes were edited in the store; nil, which never receives, without
-// a store.
+// Edits returns a channel that receives a value after plans or classes were edited in the store. Without a
+// store the channel is nil, which never receives.
 func (r *replica) Edits() <-chan struct{} {
 	if r == nil {
 		return nil
@@ -173,7 +174,7 @@
 	return r.edits
 }
 
-// overlay returns the plans and classes that stand in the store.
+// overlay returns the plans and classes that the store holds.
 func (r *replica) overlay() config.Overlay {
 	if r == nil {
 		return config.Overlay{}
--- a/cmd/fawnplank/serve.go
+++ b/cmd/fawnplank/serve.go
@@ -27,36 +27,37 @@
 )
 
 const (
-	// ownDescriptors is for the program itself, the listener, discovery and the counter's connections, old
-	// and new.
+	// ownDescriptors is reserved for the program itself, the listener, discovery, and the counter's connections,
+	// both old and new.
 	ownDescriptors = 48
-	// largeValueShare of the memory is what large values of clients may hold at most, and those of backends
-	// again; what waits for memory is not read on meanwhile. With the collector's three quarters that leaves
-	// a third for the rest.
+	// largeValueShare is the divisor of the memory that the large values of clients may hold at most; those of
+	// backends may hold the same again. Data that waits for memory is not read in the meantime. Given the three
+	// quarters that the collector keeps to, this leaves a third for everything else.
 	largeValueShare = 6
-	// collectorPercent has the collector start at 2 MB and take a millisecond for the little that is held: a
-	// larger share would let the heap grow for minutes before it first runs, which looks like a leak and is
-	// memory that nothing needs.
+	// collectorPercent makes the collector start at 2 MB and take a millisecond for the little memory in use. A
+	// larger percentage would let the heap grow for minutes before the first collection, which looks like a leak
+	// and holds memory that nothing needs.
 	collectorPercent = 50
 )
 
-// gatewayOptions configure newGateway.
+// gatewayOptions configures newGateway.
 type gatewayOptions struct {
-	ConfigFile   string // empty: the one that GW_CONFIG names
-	OperatorFile string // empty: none
-	LogLevel     string // empty: the operator file's
-	LogFormat    string // empty: the operator file's
+	ConfigFile   string // if empty, the one that GW_CONFIG names
+	OperatorFile string // if empty, none
+	LogLevel     string // if empty, the operator file's level applies
+	LogFormat    string // if empty, the operator file's format applies
 	Replica      replicaFlags
 	TLS          tlsconfig.Files // of the replica
-	// Signals delivers SIGHUP, which reloads, and the signals that shut down. It is subscribed before
-	// newGateway, since a SIGHUP would end the process otherwise. Edits in the store are queued on it as
-	// SIGHUP.
+	// Signals delivers SIGHUP, which triggers a reload, and the signals that shut the gateway down. It is
+	// subscribed before newGateway, because a SIGHUP would otherwise end the process. Edits in the store are
+	// queued on it as SIGHUP.
 	Signals chan os.Signal
 }
 
-// gateway is all parts of a serving process. newGateway constructs them, Run serves, Close frees them.
+// gateway holds all parts of a serving process. newGateway constructs them, Run serves, and Close releases
+// them.
 //
-// configuration is replaced by a reload, which runs on Run's goroutine; that goroutine alone reads it.
+// A reload replaces configuration. It runs on Run's goroutine, which is the only one that reads the field.
 type gateway struct {
 	options       gatewayOptions
 	configuration *config.Config
@@ -73,15 +74,15 @@
 	accounts   *accounts
 	limits     *limits
 	server     *frontend.Server
-	ready      atomic.Bool // listening, and not shutting down
+	ready      atomic.Bool // true while the gateway is listening and not shutting down
 
-	closers []func() // of what was started, in the order of the starts
+	closers []func() // releases what was started, in the order of the starts
 }
 
-// newGateway reads the configuration, constructs all parts and starts those that Run does not. The order of
-// the steps is part of the behavior: the endpoint list is known before the listener opens, so that the first
-// request finds backends, and accounts are there before the first request is received, so that each is billed
-// or none.
+// newGateway reads the configuration, constructs all parts, and starts those that Run does not start. The
+// order of the steps is part of the behavior. The endpoint list is known before the listener opens, so that
+// the first request finds backends. The accounts are ready before the first request is received, so that
+// either every request is billed or none is.
 func newGateway(ctx context.Context, options gatewayOptions) (*gateway, error) {
 	g := &gateway{options: options}
 	steps := []func() error{
@@ -105,7 +106,7 @@
 	return g, nil
 }
 
-// Close frees all that was started, the last first. It is called once, after Run.
+// Close releases everything that was started, in reverse order. It is called once, after Run.
 func (g *gateway) Close() {
 	for n := len(g.closers) - 1; n >= 0; n-- {
 		g.closers[n]()
@@ -113,7 +114,7 @@
 	g.closers = nil
 }
 
-// load reads the configuration, and sets up the log and the runtime by it.
+// load reads the configuration, and sets up the log and the runtime accordingly.
 func (g *gateway) load() (err error) {
 	g.configuration, g.operator, err = g.loadConfiguration(config.Overlay{})
 	if err != nil {
@@ -128,9 +129,9 @@
 	if err != nil {
 		return err
 	}
-	// Everything runs on one core: more threads would only alternate on it.
+	// Everything runs on one core; more threads would only alternate on it.
 	runtime.GOMAXPROCS(1)
-	// The collector keeps below the memory limit, with a quarter left for what it does not see.
+	// The collector stays below the memory limit, with a quarter left for memory that it does not see.
 	debug.SetMemoryLimit(g.configuration.MemoryBytes * 3 / 4)
 	debug.SetGCPercent(collectorPercent)
 	return nil
@@ -140,7 +141,7 @@
 	return loadConfiguration(g.options.ConfigFile, g.options.OperatorFile, overlay)
 }
 
-// managementCalls is how many calls at the management address may be open at once.
+// managementCalls returns how many calls at the management address may be open at once.
 func (g *gateway) managementCalls() int {
 	if g.configuration.ManagementAddress == "" {
 		return 0
@@ -148,20 +149,21 @@
 	return admin.ConnectionLimit(g.configuration.MaxSockets)
 }
 
-// maxConnections is the part of the descriptors that clients may use, and backends again: neither starves the
-// other.
+// maxConnections returns how many descriptors clients may use. Backends may use the same number again, so
+// that neither side starves the other.
 func (g *gateway) maxConnections() int {
 	return (g.configuration.MaxSockets - ownDescriptors - g.managementCalls()) / 2
 }
 
-// newLargeValueBudget bounds the memory of large values. Clients and backends have one each: a large command
-// holds its memory until its response is written, and that response must not wait for the same budget.
+// newLargeValueBudget returns a budget that bounds the memory of large values. Clients and backends have one
+// each, because a large command holds its memory until its response is written, and that response must not
+// wait for the same budget.
 func (g *gateway) newLargeValueBudget() *membudget.Budget {
 	return membudget.New(g.configuration.MemoryBytes / largeValueShare)
 }
 
-// startDispatcher constructs the clients of backends, counter and discovery, and starts the decisions on
-// them.
+// startDispatcher constructs the clients of the backends, the counter and discovery, and starts the
+// dispatcher on them.
 func (g *gateway) startDispatcher() error {
 	g.dispatcher = dispatch.New()
 	g.metrics = metrics.New(classNames(g.configuration))
@@ -208,7 +210,7 @@
 }
 
 // loadEndpoints loads the endpoint list of the configuration and watches discovery, unless the list comes
-// from a zone: a list of long ago must not stand beside the zone's.
+// from a zone. An outdated list must not be used alongside the zone's.
 func (g *gateway) loadEndpoints() error {
 	if g.zone.Enabled() {
 		return nil
@@ -294,7 +296,7 @@
 		Metrics:        g.metrics,
 		Budget:         g.newLargeValueBudget(),
 	}
-	if g.accounts.service != nil { // a nil service in the interface would not compare as nil
+	if g.accounts.service != nil { // a nil service stored in the interface would not compare as nil
 		options.Usage = g.accounts.service
 	}
 	g.server = frontend.New(options)
@@ -317,10 +319,10 @@
 	return g.handleEvents(ctx, served)
 }
 
-// handleEvents handles signals, edits and the ends of what serves, one at a time: a further one waits. It
-// returns nil once a shutdown is complete, and the listener's error where the server ends without one.
+// handleEvents handles signals, edits, and the end of the server, one at a time; further events wait. It
+// returns nil once a shutdown is complete, and the listener's error if the server ends without a shutdown.
 func (g *gateway) handleEvents(ctx context.Context, served <-chan error) error {
-	var shutdownDone <-chan struct{} // nil before a shutdown begins
+	var shutdownDone <-chan struct{} // nil until a shutdown begins
 	canceled := ctx.Done()
 	for {
 		select {
@@ -331,10 +333,10 @@
 			served = nil
 		case <-shutdownDone:
 			return nil
-		case <-g.replica.Edits(): // a plan or class was edited in the store: as at SIGHUP
+		case <-g.replica.Edits(): // a plan or class was edited in the store, which is handled like SIGHUP
 			select {
 			case g.options.Signals <- syscall.SIGHUP:
-			default: // signals wait already, and the first of them reads the edit or ends the process
+			default: // signals are already waiting, and the first of them reads the edit or ends the process
 			}
 		case <-canceled:
 			canceled = nil
--- a/cmd/fawnplank/shutdown.go
+++ b/cmd/fawnplank/shutdown.go
@@ -10,44 +10,45 @@
 )
 
 const (
-	// arrivalGrace is how long connections are accepted after the signal: new ones may still come up to 0.4 s
+	// arrivalGrace is how long connections are accepted after the signal. New ones may still arrive up to 0.4 s
 	// later.
 	arrivalGrace = 450 * time.Millisecond
 	// acceptGrace is how long a connection that the kernel has accepted by then may wait to be accepted here.
 	acceptGrace = 20 * time.Millisecond
-	// listenerGrace is the time from the start of acceptGrace to closing the listener. It is longer, so that the
-	// last connection accepted is with the server by then.
+	// listenerGrace is the time from the start of acceptGrace until the listener is closed. It is longer than
+	// acceptGrace, so that the server already has the last accepted connection when the listener closes.
 	listenerGrace = 30 * time.Millisecond
-	// drainPoll is the time between two looks at the open connections.
+	// drainPoll is the interval between two checks of the open connections.
 	drainPoll = 10 * time.Millisecond
 )
 
-// beginShutdown starts the shutdown, and returns a channel that is closed when all requests are answered, or
+// beginShutdown starts the shutdown. It returns a channel that is closed when all requests are answered, or
 // their time is up, and all usage is reported.
 func (g *gateway) beginShutdown() <-chan struct{} {
 	g.ready.Store(false)
-	// The process that replaces this one may use the journal from now on. Close waits for it.
+	// From now on the process that replaces this one may use the journal. Close waits for CloseServer.
 	go g.zone.CloseServer()
-	// The settings as they are now: a SIGHUP behind the SIGTERM replaces them on Run's goroutine.
+	// Take the current settings, because a SIGHUP after the SIGTERM replaces them on Run's goroutine.
 	settings := g.configuration.Settings
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
 		drainClients(g.server, g.listener, settings)
 		g.limits.Close()
-		g.accounts.CloseService() // with the usage of all that was answered
+		g.accounts.CloseService() // reports the usage of every answered request too
 	}()
 	return done
 }
 
-// drainClients serves on while new connections may still come; then it ends connections between requests, and
-// returns once all requests are answered, or the longest deadline is over.
+// drainClients continues to serve while new connections may still arrive. It then ends connections between
+// requests, and returns once all requests are answered or the longest deadline has passed.
 func drainClients(server *frontend.Server, listener net.Listener, settings policy.Settings) {
 	logging.For("frontend").Info("stopping")
 	time.Sleep(arrivalGrace)
-	// The kernel has accepted what waits on the listener: it is served before the listener closes.
+	// The kernel has already accepted the connections waiting on the listener, so they are served before the
+	// listener closes.
 	if tcp, ok := listener.(*net.TCPListener); ok {
-		_ = tcp.SetDeadline(time.Now().Add(acceptGrace)) // fails on a closed listener, which accepts no more anyway
+		_ = tcp.SetDeadline(time.Now().Add(acceptGrace)) // fails only on a closed listener, which accepts no more connections anyway
 	}
 	time.Sleep(listenerGrace)
 	_ = listener.Close() // the process ends next
--- a/cmd/fawnplank/store_client.go
+++ b/cmd/fawnplank/store_client.go
@@ -16,24 +16,24 @@
 	"fawnplank/internal/tlsconfig"
 )
 
-// storeCallTimeout bounds a call to a replica. It is well above the five seconds that a write may wait there
-// for an election.
+// storeCallTimeout bounds a call to a replica. It is well above the five seconds that a write may wait at the
+// replica for an election.
 const storeCallTimeout = 15 * time.Second
 
-// storeClient calls the API of one replica. Each call opens a connection of its own, with the certificate as
-// it is on disk at that moment. It is safe for concurrent use. It serves as the Replica of dnsserver and
-// billingservice, for commands that read or repair what those keep in the store.
+// storeClient calls the API of one replica. Each call opens its own connection, with the certificate as it is
+// on disk at that moment. It is safe for concurrent use. It serves as the Replica of dnsserver and
+// billingservice, for commands that read or repair what those packages keep in the store.
 type storeClient struct {
 	address string
-	flag    string // the flag that named the address, for errors
+	flag    string // the flag that named the address, used in errors
 	tls     tlsconfig.Files
 }
 
-// storeStatusError is an answer of a replica other than 200 OK.
+// storeStatusError is a replica's answer with a status other than 200 OK.
 type storeStatusError struct {
 	Code    int
 	Status  string // code and text, as in HTTP
-	Message string // empty: the answer held none
+	Message string // empty if the answer held none
 }
 
 func (e *storeStatusError) Error() string {
@@ -43,7 +43,7 @@
 	return e.Status + ": " + e.Message
 }
 
-// call makes one call, and returns the body of its answer.
+// call makes one call and returns the body of the answer.
 func (c storeClient) call(ctx context.Context, method, path string, body []byte) ([]byte, error) {
 	scheme, transport := "http://", &http.Transport{DisableKeepAlives: true}
 	if c.tls.Enabled() {
@@ -64,7 +64,7 @@
 		return nil, c.explain(err)
 	}
 	defer func() {
-		_ = response.Body.Close() // it was only read
+		_ = response.Body.Close() // the body was only read
 	}()
 	text, err := io.ReadAll(response.Body)
 	if err != nil {
@@ -83,7 +83,7 @@
 	return nil, failure
 }
 
-// explain adds what to do to an error of the connection.
+// explain adds the remedy to a connection error.
 func (c storeClient) explain(err error) error {
 	if errors.Is(err, syscall.ECONNREFUSED) {
 		return fmt.Errorf("store: no replica listens at %s; start it, or name the API address of another one "+
@@ -92,13 +92,13 @@
 	return fmt.Errorf("store: replica at %s: %w", c.address, err)
 }
 
-// ReadLocal reads a key as this replica has it. A call that fails is reported as a key that is not there.
+// ReadLocal reads a key as this replica has it. A call that fails is reported as a missing key.
 func (c storeClient) ReadLocal(key string) (entry kv.Entry, ok bool) {
 	text, err := c.call(context.Background(), http.MethodGet, "/v1/kv/"+key+"?stale=1", nil)
 	return entry, err == nil && json.Unmarshal(text, &entry) == nil
 }
 
-// ReadFromLeader reads a key by way of the leader.
+// ReadFromLeader reads a key through the leader.
 func (c storeClient) ReadFromLeader(key string) (entry kv.Entry, ok bool, err error) {
 	text, err := c.call(context.Background(), http.MethodGet, "/v1/kv/"+key, nil)
 	if hasStatus(err, http.StatusNotFound) {
@@ -111,8 +111,8 @@
 	return entry, err == nil, err
 }
 
-// ReadPrefix reads all keys with a prefix as this replica has them, by what follows the prefix. A call that
-// fails is reported as keys that are not there.
+// ReadPrefix reads all keys with a prefix as this replica has them, and returns their values by the part of
+// the key that follows the prefix. Keys are reported as missing if a call for them fails.
 func (c storeClient) ReadPrefix(prefix string) map[string]json.RawMessage {
 	values := map[string]json.RawMessage{}
 	text, err := c.call(context.Background(), http.MethodGet, "/v1/kv?prefix="+prefix, nil)
@@ -128,8 +128,8 @@
 	return values
 }
 
-// Edit applies edits together or not at all. Its error is a kv.ConflictError where a key has another index
-// than asked.
+// Edit applies all edits or none. It returns a kv.ConflictError if a key's index differs from the one an edit
+// expects.
 func (c storeClient) Edit(edits []kv.Edit) error {
 	body, err := json.Marshal(edits)
 	if err != nil {
--- a/cmd/fawnplank/warm_start.go
+++ b/cmd/fawnplank/warm_start.go
@@ -14,16 +14,17 @@
 	"fawnplank/internal/warmstart"
 )
 
-// warmStart keeps what the decisions know of the backends in a file, for the next process of this instance.
+// warmStart saves what the dispatcher has learned about the backends to a file, for the next process of this
+// instance.
 type warmStart struct {
 	path       string
 	dispatcher *dispatch.Dispatcher
-	failing    bool // the last write failed; read and written by run alone
+	failing    bool // whether the last write failed; only run reads and writes it
 	stop       chan struct{}
 	running    sync.WaitGroup
 }
 
-// newWarmStart imports the state that an earlier process left, and starts writing it from time to time.
+// newWarmStart imports the state that an earlier process left, and starts saving the state periodically.
 func newWarmStart(settings config.WarmStart, dispatcher *dispatch.Dispatcher) *warmStart {
 	w := &warmStart{path: settings.File, dispatcher: dispatcher, stop: make(chan struct{})}
 	w.load()
@@ -31,7 +32,7 @@
 	return w
 }
 
-// Close writes the state a last time. It is called once.
+// Close saves the state one last time. It is called once.
 func (w *warmStart) Close() {
 	close(w.stop)
 	w.running.Wait()
@@ -65,7 +66,7 @@
 	}
 }
 
-// save writes the state. An error is logged once an outage.
+// save writes the state. It logs one error per outage.
 func (w *warmStart) save() {
 	err := warmstart.Save(w.path, w.dispatcher.ExportState(), time.Now())
 	if err != nil && !w.failing {
--- a/cmd/fawnplank/zone.go
+++ b/cmd/fawnplank/zone.go
@@ -13,13 +13,13 @@
 	"fawnplank/policy"
 )
 
-// endpointZone is the DNS zone that the endpoint list comes from, where the operator file names one. It owns
-// the name server. It is made before the discovery client, which asks it for full snapshots, and started
+// endpointZone is the DNS zone that the endpoint list comes from, if the operator file names one. It owns the
+// name server. It is constructed before the discovery client, which asks it for full snapshots, and started
 // after it, since it publishes to that client. Its methods are safe for concurrent use.
 type endpointZone struct {
 	settings config.DNS
-	server   atomic.Pointer[dnsserver.Server] // nil before Start, and where the zone is off
-	changes  *notifier                        // of the zone's keys in the store
+	server   atomic.Pointer[dnsserver.Server] // nil before Start, and if the zone is off
+	changes  *notifier                        // notified when the zone's keys change in the store
 	closing  sync.Once
 }
 
@@ -30,7 +30,7 @@
 // Enabled reports whether the endpoint list comes from a zone.
 func (z *endpointZone) Enabled() bool { return z.settings.ZoneFile != "" }
 
-// Start starts the name server, on the replica where there is one. Lists go to client.
+// Start starts the name server, on the replica if there is one. It publishes endpoint lists to client.
 func (z *endpointZone) Start(client *discovery.Client, replica *replica, registry *metrics.Registry) error {
 	if !z.Enabled() {
 		return nil
@@ -48,7 +48,7 @@
 	registerZoneMetrics(server, registry)
 	if replica != nil {
 		z.changes.Start(server.StoreChanged)
-		z.changes.Notify() // of what changed while the server started
+		z.changes.Notify() // covers changes made while the server started
 	}
 	return nil
 }
@@ -70,17 +70,18 @@
 	}
 }
 
-// CloseServer stops the name server, so that another process may use the journal. The list goes on to follow
-// changes in the store. It may be called more than once; each call returns after the server has stopped.
+// CloseServer stops the name server, so that another process may use the journal. The endpoint list continues
+// to follow changes in the store. It may be called more than once; each call returns after the server has
+// stopped.
 func (z *endpointZone) CloseServer() { z.closing.Do(func() { z.server.Load().Close() }) }
 
-// Close ends all that the zone runs. It is called once.
+// Close stops everything that the zone runs. It is called once.
 func (z *endpointZone) Close() {
 	z.CloseServer()
 	z.changes.Close()
 }
 
-// endpointUpdate brings changes of a zone into the form of the discovery service.
+// endpointUpdate converts changes of a zone into the form of the discovery service.
 func endpointUpdate(update dnsserver.ListUpdate) (policy.UpdateKind, []discovery.Endpoint) {
 	var endpoints []discovery.Endpoint
 	for _, backend := range update.Updated {
@@ -114,7 +115,8 @@
 	return endpoint
 }
 
-// dnsOptions are the options of a name server, or of a look at what it has, on the operator file's settings.
+// dnsOptions returns the options for running a name server, or for reading what it holds, from the operator
+// file's settings.
 func dnsOptions(settings config.DNS) dnsserver.Options {
 	options := dnsserver.Options{
 		Settings:            settings.Settings(),
@@ -130,7 +132,7 @@
 	return options
 }
 
-// checkZoneFile reports what is wrong with the zone file that an operator file names.
+// checkZoneFile returns an error if the zone file that an operator file names is faulty.
 func checkZoneFile(operator *config.Operator) error {
 	if operator.DNS.ZoneFile == "" {
 		return nil
