--- a/internal/billing/account.go
+++ b/internal/billing/account.go
@@ -7,21 +7,22 @@
 	"slices"
 )
 
-// Account is a tenant's. It is not changed: each operation gives a new one.
+// Account is a tenant's account. It is never modified: each operation returns a new one.
 type Account struct {
 	Tenant  string       `json:"gestoria"`
-	Changes []PlanChange `json:"changes,omitempty"` // in order of their moments
-	Windows []Window     `json:"windows,omitempty"` // not exported yet, or open, in order
-	// Reservations are those in force, by id.
+	Changes []PlanChange `json:"changes,omitempty"` // ordered by their moments
+	Windows []Window     `json:"windows,omitempty"` // open or not yet exported, in order
+	// Reservations holds the reservations in force, by id.
 	Reservations map[string]Reservation `json:"holds,omitempty"`
-	// EndedReservations are the ids of those that ended, with the moment (unix ns) until which they are
+	// EndedReservations maps the id of each ended reservation to the moment (unix ns) until which it is
 	// remembered.
 	EndedReservations map[string]int64 `json:"ended,omitempty"`
-	// Epoch is that of the last change of a reservation: no two have one in common.
+	// Epoch is the epoch of the last change of a reservation. No two reservations share an epoch.
 	Epoch uint64 `json:"epoch,omitempty"`
 }
 
-// What is wrong with a request; each error wraps one of them and names what it is about.
+// The reasons for rejecting a request. Each error that an operation returns wraps one of them and names its
+// subject.
 var (
 	ErrUnknown    = errors.New("is not known")
 	ErrConflict   = errors.New("is taken")
@@ -32,14 +33,14 @@
 	ErrOutOfRange = errors.New("is out of range")
 )
 
-// Bounds of an account: it is one value of the store.
+// Bounds of an account, which is a single value of the store.
 const (
 	maxReservations = 200
 	maxChanges      = 100
 	maxIDBytes      = 64
 )
 
-// annotate gives an error that reads "SUBJECT is not known", say, and wraps err.
+// annotate returns an error that wraps err and puts a subject before its text, as in "SUBJECT is not known".
 func annotate(err error, format string, args ...any) error {
 	return fmt.Errorf("%s %w", fmt.Sprintf(format, args...), err)
 }
@@ -51,7 +52,7 @@
 	return nil
 }
 
-// clone copies all that an operation may change, with maps that can be written to.
+// clone copies everything that an operation may change, with maps that can be written to.
 func (a Account) clone() Account {
 	a.Changes = slices.Clone(a.Changes)
 	a.Windows = slices.Clone(a.Windows)
--- a/internal/billing/plan.go
+++ b/internal/billing/plan.go
@@ -6,18 +6,18 @@
 	"slices"
 )
 
-// maxChangeAheadNanos is how far ahead a plan change may lie: a year, of which one is a leap year.
+// maxChangeAheadNanos is how far ahead a plan change may lie: one year, which may be a leap year.
 const maxChangeAheadNanos = 366 * 24 * 3600e9
 
-// PlanChange is a plan from a moment on.
+// PlanChange puts a plan in force from a moment on.
 type PlanChange struct {
 	ID             string `json:"id"`
 	EffectiveNanos int64  `json:"at"` // unix ns
 	Plan           string `json:"plan"`
 }
 
-// PlanAt is the plan in force at a moment; empty where no change has set one: the one that is asked for
-// holds.
+// PlanAt returns the plan in force at a moment. It is empty if no change has set one; then the plan that a
+// request asks for applies.
 func (a Account) PlanAt(at int64) string {
 	plan := ""
 	for _, change := range a.Changes {
@@ -28,7 +28,8 @@
 	return plan
 }
 
-// SchedulePlanChange sets the tenant's plan from a moment on. The same change again is no error: it was made.
+// SchedulePlanChange sets the tenant's plan from a moment on. Repeating the same change is not an error,
+// since the change has already been made.
 func (a Account) SchedulePlanChange(settings Settings, now int64, change PlanChange) (Account, error) {
 	if err := checkID(change.ID); err != nil {
 		return a, err
@@ -50,7 +51,7 @@
 	return a, nil
 }
 
-// checkChange checks a new change against those that are there, and its moment.
+// checkChange checks a new change against the existing ones, and checks its moment.
 func (a Account) checkChange(settings Settings, now int64, change PlanChange) error {
 	for _, other := range a.Changes {
 		if other.ID == change.ID {
@@ -74,7 +75,7 @@
 	return nil
 }
 
-// CancelPlanChange cancels a change that no instance goes by yet.
+// CancelPlanChange cancels a change that no instance applies yet.
 func (a Account) CancelPlanChange(settings Settings, now int64, id string) (Account, error) {
 	position := slices.IndexFunc(a.Changes, func(change PlanChange) bool { return change.ID == id })
 	if position < 0 {
@@ -88,8 +89,8 @@
 	return a, nil
 }
 
-// Allowance is what a window allows: each plan's rate for the time it is in force in it, and what the plan
-// now in force allows at once. Where no change has set a plan it is defaultPlan.
+// Allowance returns the units that a window allows: the rate of each plan for the time that it is in force in
+// the window, plus the peak of the plan now in force. defaultPlan applies where no change has set a plan.
 func (a Account) Allowance(settings Settings, windowStart, now int64, defaultPlan string) Units {
 	quota := func(plan string) Quota { return settings.Plans[cmp.Or(plan, defaultPlan)] }
 	end := windowStart + settings.WindowNanos
@@ -108,8 +109,8 @@
 	return Units(math.Round(sum * microsPerUnit))
 }
 
-// Available is what may still be reserved of a window: below 0 where a change left less than is used or
-// reserved already.
+// Available returns how many units of a window may still be reserved. It is below 0 if a plan change left
+// less than is already used or reserved.
 func (a Account) Available(settings Settings, windowStart, now int64, defaultPlan string) Units {
 	available := a.Allowance(settings, windowStart, now, defaultPlan)
 	for _, window := range a.Windows {
--- a/internal/billing/reservation.go
+++ b/internal/billing/reservation.go
@@ -2,7 +2,7 @@
 
 import "cmp"
 
-// Reservation is a part of a window's allowance that a holder alone may use, for as long as its lease lasts.
+// Reservation is a part of a window's allowance that only its holder may use, for as long as its lease lasts.
 type Reservation struct {
 	ID               string `json:"id"`
 	Plan             string `json:"plan"`
@@ -13,17 +13,17 @@
 	Holder           string `json:"holder"`
 }
 
-// ReservationRequest is what is asked of Reserve.
+// ReservationRequest holds the arguments of Reserve.
 type ReservationRequest struct {
 	ID         string
 	Holder     string
-	Plan       string // where no change has set the tenant's
+	Plan       string // applies if no change has set the tenant's plan
 	Units      Units
 	LeaseNanos int64
 }
 
-// Reserve reserves units of the window that now lies in. The same id again is no error while the same holder
-// has it: it was made, and what is returned is what it holds.
+// Reserve reserves units of the window that contains now. Repeating an id is not an error while the same
+// holder has the reservation: it has already been made, and Reserve returns it as it is.
 func (a Account) Reserve(
 	settings Settings, now int64, request ReservationRequest,
 ) (Account, Reservation, error) {
@@ -63,8 +63,8 @@
 	return a, reservation, nil
 }
 
-// checkReservation checks that a new reservation's id is free and that its window and the account can hold
-// it.
+// checkReservation checks that a new reservation's id is free and that its window and the account have room
+// for it.
 func (a Account) checkReservation(settings Settings, now int64, reservation Reservation) error {
 	if _, ok := a.Reservations[reservation.ID]; ok {
 		return annotate(ErrConflict, "reservation %q", reservation.ID)
@@ -83,7 +83,7 @@
 	return nil
 }
 
-// active gives a reservation that its holder may still use.
+// active returns a reservation that its holder may still use.
 func (a Account) active(now int64, id string, epoch uint64) (Reservation, error) {
 	reservation, ok := a.Reservations[id]
 	switch {
@@ -100,8 +100,9 @@
 	return reservation, nil
 }
 
-// Commit turns reserved units into use. Each raises the epoch, which is returned and which the next one must
-// name: one that is sent twice is done once, and the second fails with ErrStaleEpoch.
+// Commit turns reserved units into usage. Each commit raises the epoch. Commit returns the new epoch, which
+// the next commit must name. Therefore a commit that is sent twice is applied once, and the second one fails
+// with ErrStaleEpoch.
 func (a Account) Commit(
 	settings Settings, now int64, id string, epoch uint64, units Units,
 ) (Account, Reservation, error) {
@@ -142,8 +143,8 @@
 	return a, reservation, nil
 }
 
-// AdoptReservation makes a reservation another holder's: what the old one sends from then on is of a stale
-// epoch.
+// AdoptReservation gives a reservation to another holder. Whatever the old holder sends from then on has a
+// stale epoch.
 func (a Account) AdoptReservation(
 	settings Settings, now int64, id, holder string, leaseNanos int64,
 ) (Account, Reservation, error) {
@@ -162,7 +163,7 @@
 	return a, reservation, nil
 }
 
-// Release gives back what remains of a reservation.
+// Release gives back the remaining units of a reservation.
 func (a Account) Release(settings Settings, now int64, id string, epoch uint64) (Account, error) {
 	if _, err := a.active(now, id, epoch); err != nil {
 		return a, err
@@ -172,15 +173,15 @@
 	return a, nil
 }
 
-// end ends a reservation; its id is remembered for as long as somebody may send for it. The account must be a
-// clone.
+// end ends a reservation. Its id is remembered for as long as somebody may still send requests for it. The
+// account must be a clone.
 func (a *Account) end(settings Settings, now int64, id string) {
 	delete(a.Reservations, id)
 	a.EndedReservations[id] = now + 2*settings.MaxLeaseNanos
 }
 
-// ExpireReservations returns what remains of reservations whose holders have not renewed them: once a lease
-// is over on every instance's clock.
+// ExpireReservations gives back the remaining units of reservations whose holders have not renewed them, once
+// the lease has ended on every instance's clock.
 func (a Account) ExpireReservations(settings Settings, now int64) Account {
 	var expired, forgotten []string
 	for id, reservation := range a.Reservations {
--- a/internal/billing/window.go
+++ b/internal/billing/window.go
@@ -6,14 +6,14 @@
 	"slices"
 )
 
-// Window is the use of one window.
+// Window holds the usage of one window.
 type Window struct {
 	StartNanos int64            `json:"start"` // unix ns
-	Used       map[string]Units `json:"used"`  // by plan, not exported yet
+	Used       map[string]Units `json:"used"`  // by plan, not yet exported
 	Exported   Units            `json:"sent"`  // of all plans
 }
 
-// Record is use to be billed. Records of one tenant, plan and window add up.
+// Record is usage to be billed. Records of the same tenant, plan and window add up.
 type Record struct {
 	Sequence           uint64 `json:"sequence"`
 	Tenant             string `json:"gestoria"`
@@ -22,8 +22,8 @@
 	Units              Units  `json:"micro_units"`
 }
 
-// window gives the account's own window of a start, and adds it where it is not there. The account must be a
-// clone.
+// window returns the account's own window with the given start, and adds it if it does not exist. The account
+// must be a clone.
 func (a *Account) window(start int64) *Window {
 	position, found := slices.BinarySearchFunc(a.Windows, start, func(window Window, start int64) int {
 		return cmp.Compare(window.StartNanos, start)
@@ -34,7 +34,8 @@
 	return &a.Windows[position]
 }
 
-// RecordUsage adds units that were used under a plan, the one their requests were admitted under.
+// RecordUsage adds units that were used under a plan, which is the plan under which their requests were
+// admitted.
 func (a Account) RecordUsage(
 	settings Settings, windowStart int64, plan string, units Units,
 ) (Account, error) {
@@ -49,9 +50,9 @@
 	return a, nil
 }
 
-// CloseWindows gives the records of windows whose time is over, numbered from nextSequence on, and the
-// account without them. The export does not wait for a reservation that may still add to a window: what it
-// adds makes a further record.
+// CloseWindows returns the records of windows whose export is due, numbered from nextSequence on, and the
+// account without the usage in them. The export does not wait for a reservation that may still add to a
+// window: what it adds makes a further record.
 func (a Account) CloseWindows(settings Settings, now int64, nextSequence uint64) (Account, []Record) {
 	var records []Record
 	closed := a.clone()
@@ -76,7 +77,8 @@
 			window.Exported += units
 		}
 		window.Used = map[string]Units{}
-		// A reservation of it may be open, and what is available to that one is counted with the window.
+		// The window stays while one of its reservations may be open, because the window's usage counts toward what
+		// that reservation has available.
 		if now < exportAt+settings.MaxLeaseNanos+settings.ClockSkewNanos {
 			closed.Windows = append(closed.Windows, window)
 		}
@@ -88,15 +90,15 @@
 	return closed, records
 }
 
-// forgetChanges drops plan changes that took effect before a moment, all but the last, which says what holds.
-// The account must be a clone.
+// forgetChanges drops plan changes that took effect before a moment, except for the last of them, which
+// determines the plan in force. The account must be a clone.
 func (a *Account) forgetChanges(before int64) {
 	for len(a.Changes) > 1 && a.Changes[1].EffectiveNanos < before {
 		a.Changes = a.Changes[1:]
 	}
 }
 
-// DropWindows drops what was used in windows that began before a moment, and returns how many those were.
+// DropWindows drops the usage of windows that began before a moment, and returns how many windows it dropped.
 func (a Account) DropWindows(before int64) (Account, int) {
 	count := len(a.Windows)
 	a = a.clone()
--- a/internal/billingservice/commit.go
+++ b/internal/billingservice/commit.go
@@ -11,19 +11,19 @@
 	"fawnplank/internal/store/kv"
 )
 
-// commitReports adds reported use to accounts, where this instance holds the export lease: reports go and
-// their units come in one write, as many as it holds. A second write at once would meet accounts that this
-// replica does not have yet: report by report, a holder that is not the store's leader committed four a
-// second and fell behind two instances.
+// commitReports adds reported usage to accounts, if this instance holds the export lease. One write deletes
+// reports and adds their units, for as many reports as it can hold. A second write right after it would be
+// based on accounts that this replica does not have yet. When a lease holder that was not the store's leader
+// committed report by report, it committed four a second and fell behind two instances.
 //
-// A report that cannot be added stays until somebody looks: use is not dropped in silence, and others are not
-// held up.
+// A report that cannot be added stays until somebody looks at it. Usage is not dropped silently, and other
+// reports are not held up.
 func (s *Service) commitReports() error {
 	if !s.acquireLease() {
 		return nil
 	}
 	batch := reportBatch{accounts: map[string]billing.Account{}, indices: map[string]kv.Index{}}
-	var reportErr error // of the last report that could not be added
+	var reportErr error // about the last report that could not be added
 	for _, name := range slices.Sorted(maps.Keys(s.options.Replica.ReadPrefix(reportPrefix))) {
 		entry, ok := s.options.Replica.ReadLocal(reportPrefix + name)
 		if !ok {
@@ -53,21 +53,21 @@
 	}
 	err = s.options.Replica.Edit(edits)
 	if isConflict(err) {
-		return reportErr // an account was changed meanwhile: in the next round
+		return reportErr // an account has changed in the meantime; the next round tries again
 	}
 	return errors.Join(err, reportErr)
 }
 
-// reportBatch is what one write commits.
+// reportBatch holds what one write commits.
 type reportBatch struct {
-	accounts  map[string]billing.Account // by tenant, with the reports' units
-	indices   map[string]kv.Index        // of the accounts as they were read
+	accounts  map[string]billing.Account // by tenant, including the reports' units
+	indices   map[string]kv.Index        // of the accounts, as they were read
 	deletions []kv.Edit                  // of the reports
 }
 
 func (b *reportBatch) size() int { return len(b.deletions) + len(b.accounts) }
 
-// edits are the deletions and then the accounts in order.
+// edits returns the deletions, followed by the accounts in order.
 func (b *reportBatch) edits() ([]kv.Edit, error) {
 	edits := b.deletions
 	for _, tenant := range slices.Sorted(maps.Keys(b.accounts)) {
@@ -80,7 +80,7 @@
 	return edits, nil
 }
 
-// addReport adds a report's units to the accounts of a batch, all or none.
+// addReport adds all units of a report to the accounts of a batch, or none.
 func (s *Service) addReport(batch *reportBatch, items []usageItem) error {
 	accounts := maps.Clone(batch.accounts)
 	indices := maps.Clone(batch.indices)
--- a/internal/billingservice/compaction.go
+++ b/internal/billingservice/compaction.go
@@ -11,16 +11,16 @@
 )
 
 const (
-	// maxCompactionWrites bounds a round of compaction: the next one goes on.
+	// maxCompactionWrites bounds a round of compaction. The next round continues where it stopped.
 	maxCompactionWrites = 100
-	// replicaLagInterval lies between two looks whether this replica has the last write: commits take
+	// replicaLagInterval is the time between two checks whether this replica has the last write. Commits take
 	// milliseconds.
 	replicaLagInterval = 5 * time.Millisecond
 )
 
-// compact returns reservations whose leases are over, and makes records of windows that are, where this
-// instance holds the export lease: as many accounts in a write as it holds, since windows of all tenants end
-// together.
+// compact ends reservations whose leases are over and makes records of windows that are over, if this
+// instance holds the export lease. Each write covers as many accounts as it can hold, because the windows of
+// all tenants end together.
 func (s *Service) compact() error {
 	if !s.acquireLease() {
 		return nil
@@ -49,7 +49,7 @@
 		stateEdit := kv.Edit{Key: exportKey, Value: value, Check: true, If: index}
 		err = s.options.Replica.Edit(append(compaction.edits, stateEdit))
 		if isConflict(err) {
-			return nil // in the next round
+			return nil // the next round tries again
 		}
 		if err != nil {
 			return err
@@ -58,29 +58,29 @@
 	return nil
 }
 
-// isBehind reports whether this replica has yet to apply a write of the export's state, and all that came
-// with it.
+// isBehind reports whether this replica has yet to apply a write of the export state, together with
+// everything that was written with it.
 func (s *Service) isBehind(index kv.Index) bool {
 	entry, _ := s.options.Replica.ReadLocal(exportKey)
 	return entry.Index < index
 }
 
-// compaction is what one write of compact does.
+// compaction holds one write of compact.
 type compaction struct {
 	edits     []kv.Edit
-	state     exportState // after the edits
+	state     exportState // the export state after the edits
 	remaining []string    // tenants that did not fit
 }
 
-// compactAccounts gives the edits of the first tenants' accounts whose time has come, with their records
-// numbered on from the export's state.
+// compactAccounts returns edits for the first of the tenants' accounts that are due, and their records,
+// numbered from the export state's next sequence on.
 func (s *Service) compactAccounts(tenants []string, state exportState) (compaction, error) {
 	settings := s.options.Settings()
 	result := compaction{state: state}
 	for n, tenant := range tenants {
 		account, index, err := s.readAccount(tenant, false)
 		if err != nil || index == 0 {
-			continue // it is gone, or cannot be read, which an operation on it reports
+			continue // it is gone, or it cannot be read, which operations on it report
 		}
 		now := s.options.Now().UnixNano()
 		expired := account.ExpireReservations(settings, now)
@@ -110,7 +110,7 @@
 	return result, nil
 }
 
-// isSame reports whether two accounts are stored as the same bytes.
+// isSame reports whether two accounts have the same stored bytes.
 func isSame(a, b billing.Account) bool {
 	valueA, errA := json.Marshal(a)
 	valueB, errB := json.Marshal(b)
--- a/internal/billingservice/export.go
+++ b/internal/billingservice/export.go
@@ -13,27 +13,26 @@
 )
 
 const (
-	// maxBatch bounds the records that are sent at once.
+	// maxBatch bounds how many records are sent at once.
 	maxBatch = 200
-	// maxRetryFactor bounds how far Options.RetryDelay is doubled.
+	// maxRetryFactor bounds the doubling of Options.RetryDelay.
 	maxRetryFactor = 30
 )
 
-// errReceiverAhead says that the receiver has records that this store has never numbered.
+// errReceiverAhead reports that the receiver has records that this store has never numbered.
 var errReceiverAhead = errors.New("the receiver has records that the store has not numbered: " +
 	"it was put back to an old copy. Nothing is exported until `fawnplank billing resume`")
 
-// exportState is how far the export is.
+// exportState is the progress of the export.
 type exportState struct {
 	Next  uint64 `json:"next"`  // sequence of the next record
-	Acked uint64 `json:"acked"` // the last one that the receiver has acknowledged
-	// First and Last are the sequences of the batch in flight, which is sent until it is acknowledged, as it
-	// is.
+	Acked uint64 `json:"acked"` // the last record that the receiver has acknowledged
+	// First and Last are the sequences of the batch in flight, which is sent unchanged until it is acknowledged.
 	First uint64 `json:"first,omitempty"`
-	Last  uint64 `json:"last,omitempty"` // 0: no batch is in flight
+	Last  uint64 `json:"last,omitempty"` // 0 if no batch is in flight
 }
 
-// readExportState reads the state from the leader.
+// readExportState reads the export state from the leader.
 func (s *Service) readExportState() (exportState, kv.Index, error) {
 	entry, ok, err := s.options.Replica.ReadFromLeader(exportKey)
 	if err != nil || !ok {
@@ -44,8 +43,8 @@
 	return state, entry.Index, err
 }
 
-// writeExportState writes the state behind other edits, if it still is of an index, and returns the index
-// that it then has.
+// writeExportState writes the export state after other edits, if the state still has the given index, and
+// returns its new index.
 func (s *Service) writeExportState(state exportState, index kv.Index, edits []kv.Edit) (kv.Index, error) {
 	value, err := json.Marshal(state)
 	if err != nil {
@@ -62,8 +61,8 @@
 	return entry.Index, err
 }
 
-// runExport sends records to the sink, in their order, until Close. It logs each change of what is wrong
-// once.
+// runExport sends records to the sink, in order, until Close. Whenever the reason for failure changes, it
+// logs the change once.
 func (s *Service) runExport() {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -95,8 +94,8 @@
 	}
 }
 
-// nextExportDelay is how long the export waits after an attempt: not at all where more may be waiting, and
-// longer after each failure.
+// nextExportDelay returns how long the export waits after an attempt. It does not wait if more records may be
+// waiting, and waits longer after each failure.
 func (s *Service) nextExportDelay(last time.Duration, sent bool, err error) time.Duration {
 	switch {
 	case err != nil:
@@ -108,7 +107,7 @@
 	}
 }
 
-// logExport logs that nothing is exported, or with no error that it is again.
+// logExport logs that nothing is exported or, if err is nil, that the export works again.
 func logExport(err error) {
 	if err != nil {
 		logging.For("billing").WithError(err).Error("export failed; retrying")
@@ -117,10 +116,10 @@
 	logging.For("billing").Info("export resumed")
 }
 
-// exportBatch sends one batch, if there is one, and reports whether more may be waiting.
+// exportBatch sends one batch, if there is one, and reports whether more records may be waiting.
 //
-// The batch is fixed in the store before anything is sent, so that whoever sends it again, after a crash at
-// any moment, sends the same; and the receiver is asked first what it has.
+// The batch is fixed in the store before anything is sent, so that whichever instance sends it again, after a
+// crash at any moment, sends the same content. The receiver is first asked which records it has.
 func (s *Service) exportBatch(ctx context.Context) (sent bool, err error) {
 	state, index, err := s.readExportState()
 	if err != nil {
@@ -143,14 +142,15 @@
 	if received > state.Last {
 		return s.checkReceiverAhead(index)
 	}
-	if s.isBehind(index) { // the records may not be here yet
+	if s.isBehind(index) { // the records may not have arrived here yet
 		return false, nil
 	}
 	batch, err := s.readBatch(state)
 	if err != nil {
 		return false, err
 	}
-	// Also where the receiver has them all: that they are the same is for it to say.
+	// Send the batch even if the receiver already has all of it, because only the receiver can say that the
+	// content is the same.
 	if err := s.options.Sink.Send(ctx, batch); err != nil {
 		return false, err
 	}
@@ -161,8 +161,8 @@
 	return true, nil
 }
 
-// checkReceiverAhead tells why the receiver has more than the state says: another exporter was quicker, and
-// the state has changed, or the store is an old copy.
+// checkReceiverAhead determines why the receiver has more records than the state says. Either another
+// exporter was faster and the state has changed, or the store is an old copy.
 func (s *Service) checkReceiverAhead(index kv.Index) (again bool, err error) {
 	_, current, err := s.readExportState()
 	if err != nil {
@@ -188,7 +188,7 @@
 	return batch, nil
 }
 
-// acknowledge deletes the records of the batch in flight, and moves the state behind them.
+// acknowledge deletes the records of the batch in flight, and advances the state past them.
 func (s *Service) acknowledge(state exportState, index kv.Index) error {
 	var deletions []kv.Edit
 	for sequence := state.First; sequence <= state.Last; sequence++ {
--- a/internal/billingservice/folder.go
+++ b/internal/billingservice/folder.go
@@ -14,16 +14,17 @@
 	"fawnplank/internal/billing"
 )
 
-// Folder is a sink of files, a batch each, named use-FIRST-LAST.jsonl and put there whole.
+// Folder is a sink that writes each batch to a file named use-FIRST-LAST.jsonl. A file appears only when it
+// is complete.
 type Folder string
 
-// Last is read from the files' names.
+// Last returns the last sequence found in the files' names.
 func (f Folder) Last(context.Context) (uint64, error) {
 	paths, err := filepath.Glob(filepath.Join(string(f), "use-*-*.jsonl"))
 	if err != nil {
 		return 0, err
 	}
-	if _, err := os.Stat(string(f)); err != nil { // a folder that is not there is no empty one
+	if _, err := os.Stat(string(f)); err != nil { // a missing folder is not an empty one
 		return 0, err
 	}
 	last := uint64(0)
@@ -36,7 +37,7 @@
 	return last, nil
 }
 
-// Send writes a file. One of the name with other content is an error.
+// Send writes a batch to a file. A file of the same name with other content is an error.
 func (f Folder) Send(_ context.Context, batch []billing.Record) error {
 	name := fmt.Sprintf("use-%012d-%012d.jsonl", batch[0].Sequence, batch[len(batch)-1].Sequence)
 	path := filepath.Join(string(f), name)
@@ -50,13 +51,13 @@
 	if err := renameio.WriteFile(path, content, 0o600); err != nil {
 		return err
 	}
-	// The name lasts once the folder is on disk too.
+	// The file's name is durable only once the folder is synced too.
 	folder, err := os.Open(string(f))
 	if err != nil {
 		return err
 	}
 	defer func() {
-		_ = folder.Close() // it was only synced, which has its own error
+		_ = folder.Close() // the folder was only synced, and Sync returns its own error
 	}()
 	return folder.Sync()
 }
--- a/internal/billingservice/lease.go
+++ b/internal/billingservice/lease.go
@@ -6,23 +6,23 @@
 	"fawnplank/internal/store/kv"
 )
 
-// exportLease says which instance commits reports and compacts accounts, and until when.
+// exportLease states which instance commits reports and compacts accounts, and until when.
 type exportLease struct {
 	Holder       string `json:"who"`   // an incarnation's name
 	ExpiresNanos int64  `json:"until"` // unix ns
 }
 
-// acquireLease reports whether this instance holds the export lease, and acquires or renews it where it can.
-// The holder commits reports and looks for what is over, so that not every instance reads all accounts each
-// second. Two at once would do no harm, since each write names what it read. The holder is not simply the
-// store's leader, which may be a replica without a gateway: nothing was committed then, for as long as that
-// one led.
+// acquireLease reports whether this instance holds the export lease. It acquires or renews the lease if it
+// can. Only the holder commits reports and looks for leases and windows that are over, so that not every
+// instance reads all accounts each second. Two holders at once would do no harm, because each write names the
+// index of what it read. The holder is not simply the store's leader: the leader may be a replica without a
+// gateway, and then nothing was committed for as long as it led.
 func (s *Service) acquireLease() bool {
 	s.leaseMu.Lock()
 	defer s.leaseMu.Unlock()
 	now := s.options.Now().UnixNano()
 	duration := int64(s.options.LeaseDuration)
-	if now < s.leaseExpiresNanos-duration/2 { // it is renewed in its second half
+	if now < s.leaseExpiresNanos-duration/2 { // the lease is renewed in its second half
 		return true
 	}
 	self := s.incarnationName()
@@ -38,7 +38,7 @@
 	return true
 }
 
-// releaseLease lets another instance acquire the lease at once.
+// releaseLease allows another instance to acquire the lease at once.
 func (s *Service) releaseLease() {
 	s.leaseMu.Lock()
 	defer s.leaseMu.Unlock()
@@ -49,18 +49,18 @@
 	if !ok || lease.Holder != s.incarnationName() {
 		return
 	}
-	_ = s.writeLease(exportLease{Holder: lease.Holder}, index) // it expires by itself otherwise
+	_ = s.writeLease(exportLease{Holder: lease.Holder}, index) // if the write fails, the lease expires by itself
 }
 
-// readLease reads the lease as this replica has it. It is not ok where there is none or it cannot be read;
-// the index is the key's in any case.
+// readLease reads the lease as this replica has it. ok is false if there is no lease or it cannot be read.
+// The index is that of the key in any case.
 func (s *Service) readLease() (lease exportLease, index kv.Index, ok bool) {
 	entry, found := s.options.Replica.ReadLocal(leaseKey)
 	ok = found && json.Unmarshal(entry.Value, &lease) == nil
 	return lease, entry.Index, ok
 }
 
-// writeLease writes the lease, if it is still of an index.
+// writeLease writes the lease, if the key still has the given index.
 func (s *Service) writeLease(lease exportLease, index kv.Index) error {
 	value, err := json.Marshal(lease)
 	if err != nil {
--- a/internal/billingservice/operations.go
+++ b/internal/billingservice/operations.go
@@ -10,15 +10,15 @@
 	"fawnplank/internal/store/kv"
 )
 
-// ErrStore says that an operation is not known to be committed. It may be committed yet; asked again with the
-// same id or epoch it is done once.
+// ErrStore reports that an operation is not known to be committed. It may still be committed. If it is
+// repeated with the same id or epoch, it is applied only once.
 var ErrStore = errors.New("the store gives no answer; ask again with the same words")
 
-// operation is one of package billing, with its arguments. It may be called more than once.
+// operation is an operation of package billing, bound to its arguments. It may be called more than once.
 type operation func(settings billing.Settings, now int64, account billing.Account) (billing.Account, error)
 
-// update carries out an operation on an account. One that goes through on what is here costs one write; after
-// a refusal or a conflict it reads the account from the leader.
+// update applies an operation to an account. An operation that succeeds on this replica's copy costs one
+// write. After a refusal or a conflict, update reads the account from the leader.
 func (s *Service) update(tenant string, operate operation) error {
 	readLeader := false
 	for deadline := time.Now().Add(operationTimeout); ; readLeader = true {
@@ -47,8 +47,9 @@
 	}
 }
 
-// readAccount reads an account: as this replica has it, or from the leader with all that is committed. What
-// is written with the index that it returns is committed only if nothing was written in between.
+// readAccount reads an account, either as this replica has it or from the leader, which has everything that
+// is committed. A write that names the returned index is committed only if nothing else was written in
+// between.
 func (s *Service) readAccount(tenant string, fromLeader bool) (billing.Account, kv.Index, error) {
 	entry, ok := s.options.Replica.ReadLocal(accountPrefix + tenant)
 	if fromLeader {
@@ -75,7 +76,7 @@
 	return s.options.Replica.Edit([]kv.Edit{edit})
 }
 
-// editAccount is the edit that writes an account, or deletes one with nothing in it.
+// editAccount returns the edit that writes an account, or that deletes an empty one.
 func editAccount(account billing.Account, index kv.Index) (kv.Edit, error) {
 	edit := kv.Edit{Key: accountPrefix + account.Tenant, Check: true, If: index}
 	if account.IsEmpty() {
@@ -104,12 +105,12 @@
 	})
 }
 
-// reservationOperation is an operation that gives a reservation as it then is.
+// reservationOperation is an operation that also returns the resulting reservation.
 type reservationOperation func(
 	settings billing.Settings, now int64, account billing.Account,
 ) (billing.Account, billing.Reservation, error)
 
-// updateReservation carries out an operation on an account and returns the reservation of its last attempt.
+// updateReservation applies an operation to an account and returns the reservation of its last attempt.
 func (s *Service) updateReservation(
 	tenant string, operate reservationOperation,
 ) (billing.Reservation, error) {
@@ -142,7 +143,7 @@
 	})
 }
 
-// Commit turns reserved units into use.
+// Commit turns reserved units into usage.
 func (s *Service) Commit(tenant, id string, epoch uint64, units billing.Units) (billing.Reservation, error) {
 	return s.updateReservation(tenant, func(
 		settings billing.Settings, now int64, a billing.Account,
@@ -160,7 +161,7 @@
 	})
 }
 
-// AdoptReservation makes a reservation another holder's.
+// AdoptReservation gives a reservation to another holder.
 func (s *Service) AdoptReservation(
 	tenant, id, holder string, lease time.Duration,
 ) (billing.Reservation, error) {
@@ -171,7 +172,7 @@
 	})
 }
 
-// Release gives back what remains of a reservation.
+// Release gives back the remaining units of a reservation.
 func (s *Service) Release(tenant, id string, epoch uint64) error {
 	return s.update(tenant, func(
 		settings billing.Settings, now int64, a billing.Account,
@@ -180,7 +181,7 @@
 	})
 }
 
-// Account is an account as the leader has it, and what may still be reserved of the window that is open.
+// Account returns an account as the leader has it, and how much of the open window may still be reserved.
 func (s *Service) Account(tenant, defaultPlan string) (billing.Account, billing.Units, error) {
 	account, _, err := s.readAccount(tenant, true)
 	if err != nil {
--- a/internal/billingservice/plans.go
+++ b/internal/billingservice/plans.go
@@ -9,8 +9,8 @@
 	"fawnplank/internal/billing"
 )
 
-// TenantPlan is the plan under which a tenant's requests are admitted now, where a change has set one. It is
-// called for each request: a look into a map.
+// TenantPlan returns the plan under which a tenant's requests are admitted now, if a change has set one. It
+// is called for each request and costs one map lookup.
 func (s *Service) TenantPlan(tenant string) (string, bool) {
 	account, ok := (*s.plans.Load())[tenant]
 	if !ok {
@@ -20,9 +20,9 @@
 	return plan, plan != ""
 }
 
-// KeysChanged is to be called with keys that have changed in the store: it takes over changes of plans. Its
-// cost is that of the accounts named, not of all: each report that is committed changes some. Calls must not
-// overlap.
+// KeysChanged must be called with the keys that have changed in the store. It adopts changes of plans. Its
+// cost depends on the accounts named, not on all accounts, because each committed report changes some
+// accounts. Calls must not overlap.
 func (s *Service) KeysChanged(keys []string) {
 	plans := *s.plans.Load()
 	copied := false
@@ -47,8 +47,8 @@
 	s.plans.Store(&plans)
 }
 
-// readChanges gives an account's plan changes: none where the account is gone, and not ok where it cannot be
-// read.
+// readChanges returns an account's plan changes, which are none if the account is gone. Its second result is
+// false if the account cannot be read.
 func (s *Service) readChanges(key string) ([]billing.PlanChange, bool) {
 	entry, found := s.options.Replica.ReadLocal(key)
 	if !found {
@@ -56,7 +56,7 @@
 	}
 	var account billing.Account
 	if err := json.Unmarshal(entry.Value, &account); err != nil {
-		return nil, false // an operation on it reports the fault
+		return nil, false // operations on the account report the fault
 	}
 	return account.Changes, true
 }
--- a/internal/billingservice/receiver.go
+++ b/internal/billingservice/receiver.go
@@ -13,23 +13,23 @@
 )
 
 const (
-	// receiverTimeout bounds a call to the receiver. A batch is a few kilobytes, which a receiver stores in
-	// less.
+	// receiverTimeout bounds a call to the receiver. A batch is a few kilobytes, which a receiver stores in less
+	// time.
 	receiverTimeout = 10 * time.Second
 	// receiverIdleTimeout is how long a connection to the receiver is reused.
 	receiverIdleTimeout = time.Minute
-	// maxResponseBytes bounds what is read of an answer: a number, or words for an error.
+	// maxResponseBytes bounds how much of an answer is read. The answer is a number, or the text of an error.
 	maxResponseBytes = 4 << 10
 )
 
-// Receiver is a sink by HTTP: POST of lines with Idempotency-Key fawnplank-FIRST-LAST, and GET for {"last":
-// N}.
+// Receiver is a sink that uses HTTP. It sends a batch as lines with POST and the header Idempotency-Key:
+// fawnplank-FIRST-LAST, and gets {"last": N} with GET.
 type Receiver struct {
 	url    string
 	client *http.Client
 }
 
-// NewReceiver makes a sink of the receiver at a URL.
+// NewReceiver returns a sink that sends to the receiver at a URL.
 func NewReceiver(url string) *Receiver {
 	return &Receiver{
 		url: url,
@@ -40,7 +40,7 @@
 	}
 }
 
-// Last asks for the last sequence.
+// Last asks the receiver for the last sequence that it has.
 func (r *Receiver) Last(ctx context.Context) (uint64, error) {
 	text, err := r.call(ctx, http.MethodGet, "", nil)
 	if err != nil {
@@ -55,15 +55,15 @@
 	return *answer.Last, nil
 }
 
-// Send sends a batch.
+// Send sends a batch to the receiver.
 func (r *Receiver) Send(ctx context.Context, batch []billing.Record) error {
 	key := fmt.Sprintf("fawnplank-%d-%d", batch[0].Sequence, batch[len(batch)-1].Sequence)
 	_, err := r.call(ctx, http.MethodPost, key, encodeBatch(batch))
 	return err
 }
 
-// call makes a request, with an idempotency key where there is one, and returns the body of an answer of
-// success.
+// call makes a request, with an idempotency key unless key is empty, and returns the body of a successful
+// answer.
 func (r *Receiver) call(ctx context.Context, method, key string, body []byte) ([]byte, error) {
 	request, err := http.NewRequestWithContext(ctx, method, r.url, bytes.NewReader(body))
 	if err != nil {
@@ -78,7 +78,7 @@
 		return nil, err
 	}
 	defer func() {
-		_ = response.Body.Close() // it was only read
+		_ = response.Body.Close() // the body was only read
 	}()
 	text, err := io.ReadAll(io.LimitReader(response.Body, maxResponseBytes))
 	if err != nil {
--- a/internal/billingservice/report.go
+++ b/internal/billingservice/report.go
@@ -13,22 +13,23 @@
 )
 
 const (
-	// maxItems bounds a report, whose accounts are written at once; see maxEdits.
+	// maxItems bounds the lines of a report, because the accounts of a report are written at once; see maxEdits.
 	maxItems = 400
-	// reportRetryInterval lies between two attempts to write a report.
+	// reportRetryInterval is the time between two attempts to write a report.
 	reportRetryInterval = 50 * time.Millisecond
-	// markLifetime is how long the mark of an incarnation stays: after a day it reports nothing any more.
+	// markLifetime is how long the mark of an incarnation is kept. After a day an incarnation no longer reports
+	// anything.
 	markLifetime = 24 * time.Hour
 )
 
-// usageKey is what reports are summed by.
+// usageKey is the key by which usage is summed.
 type usageKey struct {
 	tenant           string
 	plan             string
 	windowStartNanos int64
 }
 
-// usageItem is a line of a report.
+// usageItem is one line of a report.
 type usageItem struct {
 	Tenant           string        `json:"g"`
 	Plan             string        `json:"p"`
@@ -36,8 +37,8 @@
 	Units            billing.Units `json:"u"`
 }
 
-// RecordUsage adds units of a request that was admitted at a moment under a plan, and has succeeded. Units
-// out of range are left out.
+// RecordUsage adds the units of a request that was admitted under a plan at a moment, and has succeeded. It
+// ignores units that are out of range.
 func (s *Service) RecordUsage(tenant, plan string, admittedAt time.Time, units float64) {
 	count, err := billing.ParseUnits(units)
 	if err != nil {
@@ -51,12 +52,12 @@
 	s.mu.Unlock()
 }
 
-// report writes what was used since the last report under a key of its own.
+// report writes the usage since the last report, each report under its own key.
 //
-// What a report says is fixed before it is first written, and stays so until it is known to be committed.
-// Otherwise a write that was committed though it gave an error, followed by a newer report of the same
-// number, would let the newer one pass for committed: units were lost so in 8 of 13 runs of the test with a
-// store that fails.
+// The content of a report is fixed before it is first written, and stays fixed until the report is known to
+// be committed. Otherwise, if a write returned an error but was committed, a newer report with the same
+// number would be taken for committed. Units were lost in this way in 8 of 13 runs of the test with a store
+// that fails.
 func (s *Service) report() error {
 	for {
 		if s.pending == nil {
@@ -84,7 +85,7 @@
 	}
 }
 
-// collectUsage takes up to maxItems of the usage that is not reported; nil: there is none.
+// collectUsage takes up to maxItems of the unreported usage. It returns nil if there is none.
 func (s *Service) collectUsage() []usageItem {
 	var items []usageItem
 	s.mu.Lock()
@@ -104,9 +105,9 @@
 	return items
 }
 
-// writeReport writes a report until it is known to be committed. It may be so though the write gave an error,
-// and may have been added to accounts since: so what was written is tried again as it is, and a mark under
-// this incarnation's own key says which report was the last.
+// writeReport writes a report until it is known to be committed. A write may be committed although it
+// returned an error, and the report may have been added to accounts since. Therefore writeReport retries with
+// unchanged content, and a mark under this incarnation's own key records which report was the last.
 func (s *Service) writeReport(key string, content []byte) error {
 	markKey := markPrefix + s.incarnationName()
 	mark, err := json.Marshal(key)
@@ -133,7 +134,7 @@
 	}
 }
 
-// deleteOldMarks deletes the marks of this instance's incarnations of long ago.
+// deleteOldMarks deletes the marks of old incarnations of this instance.
 func (s *Service) deleteOldMarks() error {
 	var edits []kv.Edit
 	for name := range s.options.Replica.ReadPrefix(markPrefix) {
@@ -147,7 +148,8 @@
 	return s.options.Replica.Edit(edits)
 }
 
-// isOldMark reports whether a mark's name is that of an incarnation of this instance that began long ago.
+// isOldMark reports whether a mark belongs to an old incarnation of this instance, one that began more than
+// markLifetime before this one.
 func (s *Service) isOldMark(name string) bool {
 	incarnation, ok := strings.CutPrefix(name, s.options.Instance+"-")
 	if !ok {
--- a/internal/billingservice/resume.go
+++ b/internal/billingservice/resume.go
@@ -8,9 +8,9 @@
 	"fawnplank/internal/store/kv"
 )
 
-// Resume goes on after the store was put back to an old copy: sequences go on behind what the receiver has,
-// and use of windows that began before a moment, which may have been exported by the lost state, is dropped,
-// never billed again. It returns how many records and windows that were.
+// Resume lets the export continue after the store was restored from an old copy. Sequences continue after
+// those that the receiver has. The usage of windows that began before a moment is dropped and never billed
+// again, because the lost state may have exported it. Resume returns how many records and windows it dropped.
 func Resume(replica Replica, after uint64, before time.Time) (records, windows int, err error) {
 	s := &Service{options: Options{
 		Replica:  replica,
@@ -25,7 +25,7 @@
 		return 0, 0, fmt.Errorf("record %d is exported already: the receiver has %d at least",
 			state.Acked, state.Acked)
 	}
-	// Records that the old copy has numbered go: what they count is in its accounts no more.
+	// Delete the records that the old copy has numbered, because the accounts no longer contain what they count.
 	for sequence := state.Acked + 1; sequence < state.Next; sequence++ {
 		if err := replica.Edit([]kv.Edit{{Key: recordKeyAt(sequence)}}); err != nil {
 			return records, 0, err
--- a/internal/billingservice/service.go
+++ b/internal/billingservice/service.go
@@ -12,51 +12,53 @@
 	"fawnplank/internal/store/kv"
 )
 
-// Replica is the part of a replica of the store by which accounts are stored.
+// Replica is the part of a store replica that is used to store accounts.
 type Replica interface {
 	// ReadLocal reads a key as this replica has it.
 	ReadLocal(key string) (kv.Entry, bool)
-	// ReadFromLeader reads a key as the leader has it, with all that is committed.
+	// ReadFromLeader reads a key as the leader has it, including everything that is committed.
 	ReadFromLeader(key string) (kv.Entry, bool, error)
-	// ReadPrefix reads the keys with a prefix as this replica has them, by what follows the prefix.
+	// ReadPrefix reads the keys with a prefix as this replica has them. The result is indexed by the part of the
+	// key that follows the prefix.
 	ReadPrefix(prefix string) map[string]json.RawMessage
-	// Edit commits edits together or not at all. It returns a kv.ConflictError where a key is not as
-	// expected; after any other error the edits may be committed yet.
+	// Edit commits all edits or none. It returns a kv.ConflictError if a key is not as expected. After any other
+	// error the edits may still be committed.
 	Edit(edits []kv.Edit) error
 }
 
-// Options configure a Service.
+// Options configures a Service.
 type Options struct {
 	// Replica is this instance's replica of the store.
 	Replica Replica
-	// Instance is this instance's name, one of its own in the installation.
+	// Instance is this instance's name, which is unique in the installation.
 	Instance string
-	// Settings gives the settings now in force. It is called for each request.
+	// Settings returns the settings now in force. It is called for each request.
 	Settings func() billing.Settings
-	// ReportInterval lies between two reports of this instance's use.
+	// ReportInterval is the time between two reports of this instance's usage.
 	ReportInterval time.Duration
-	// RetryDelay follows an export that failed, doubled up to thirty times that; 0: a second.
+	// RetryDelay is the delay after a failed export. It is doubled up to thirty times its value; 0 means one
+	// second.
 	RetryDelay time.Duration
-	// LeaseDuration is how long an export lease lasts without being renewed; 0: three seconds.
+	// LeaseDuration is how long an export lease lasts without being renewed; 0 means three seconds.
 	LeaseDuration time.Duration
-	// Sink receives the records; nil: this instance exports nothing.
+	// Sink receives the records. If it is nil, this instance exports nothing.
 	Sink Sink
-	// Now is the clock; nil: time.Now.
+	// Now is the clock. If it is nil, time.Now is used.
 	Now func() time.Time
 }
 
 const (
 	defaultRetryDelay    = time.Second
 	defaultLeaseDuration = 3 * time.Second
-	// operationTimeout bounds an operation: an election takes a second or so.
+	// operationTimeout bounds an operation. An election takes a second or so.
 	operationTimeout = 5 * time.Second
-	// closeRetryInterval lies between two attempts of Close to report what is left.
+	// closeRetryInterval is the time between two attempts of Close to report the remaining usage.
 	closeRetryInterval = 100 * time.Millisecond
-	// CompactionInterval is how often leases and windows that are over are looked for.
+	// CompactionInterval is how often the service looks for leases and windows that are over.
 	CompactionInterval = time.Second
 	// commitInterval is how often reports are committed to accounts.
 	commitInterval = 250 * time.Millisecond
-	// maxEdits bounds the edits of one write: a command of the store holds a thousand.
+	// maxEdits bounds the edits of one write. A command of the store holds a thousand.
 	maxEdits = 900
 )
 
@@ -68,11 +70,11 @@
 	mu    sync.Mutex
 	usage map[usageKey]billing.Units // not reported yet
 
-	// pending and reportNumber belong to the report loop, and to Close after that has ended.
-	pending      []usageItem // the report that is being written, as it was fixed
+	// pending and reportNumber belong to the report loop and, after that loop has ended, to Close.
+	pending      []usageItem // the report that is being written, with its content fixed
 	reportNumber uint64      // its number
 
-	plans atomic.Pointer[map[string]billing.Account] // plan changes by tenant; replaced, not written to
+	plans atomic.Pointer[map[string]billing.Account] // plan changes by tenant; replaced, never modified
 
 	leaseMu           sync.Mutex
 	leaseExpiresNanos int64 // until when this instance holds the export lease, unix ns
@@ -85,7 +87,7 @@
 	closeOnce sync.Once
 }
 
-// Stats are counts since Start.
+// Stats holds counts since Start.
 type Stats struct {
 	Operations atomic.Uint64 // operations on accounts that were committed
 	Rejected   atomic.Uint64 // operations that package billing refused
@@ -126,7 +128,7 @@
 	return s
 }
 
-// startLoop calls round after each interval until Close. It logs once an outage.
+// startLoop calls round after each interval until Close. It logs once per outage.
 func (s *Service) startLoop(interval time.Duration, round func() error) {
 	s.loops.Go(func() {
 		failing := false
@@ -143,7 +145,7 @@
 	})
 }
 
-// logOutage logs that rounds fail, or with no error that they succeed again.
+// logOutage logs that rounds fail or, if err is nil, that they succeed again.
 func logOutage(err error) {
 	if err != nil {
 		logging.For("billing").WithError(err).Warn("store not writable; retrying")
@@ -152,7 +154,7 @@
 	logging.For("billing").Info("store writable again")
 }
 
-// waitOrStop waits for a while and reports whether the service stops meanwhile.
+// waitOrStop waits for delay and reports whether the service was stopped in the meantime.
 func (s *Service) waitOrStop(delay time.Duration) (stopped bool) {
 	select {
 	case <-s.stop:
@@ -162,7 +164,7 @@
 	}
 }
 
-// Close ends the loops, releases the export lease and reports what was used. It may be called of a nil
+// Close ends the loops, releases the export lease, and reports the remaining usage. It may be called on a nil
 // Service, and more than once.
 func (s *Service) Close() {
 	if s == nil {
@@ -185,15 +187,15 @@
 	})
 }
 
-// Stats gives the counts since Start, which go on changing.
+// Stats returns the counts since Start, which continue to change.
 func (s *Service) Stats() *Stats { return &s.counts }
 
-// PendingRecords is how many records are not exported yet.
+// PendingRecords returns how many records are not exported yet.
 func (s *Service) PendingRecords() int {
 	return len(s.options.Replica.ReadPrefix(recordPrefix))
 }
 
-// HaltReason is why nothing is exported; empty: nothing is wrong.
+// HaltReason returns why nothing is exported. It is empty if nothing is wrong.
 func (s *Service) HaltReason() string {
 	if reason := s.haltReason.Load(); reason != nil {
 		return *reason
--- a/internal/billingservice/sink.go
+++ b/internal/billingservice/sink.go
@@ -8,21 +8,21 @@
 	"fawnplank/internal/billing"
 )
 
-// Sink is a receiver of records. A batch that it was sent before, known by its first and last sequence, it
-// accepts again without effect.
+// Sink receives records. It accepts a batch that was sent before, identified by its first and last sequence,
+// again without effect.
 type Sink interface {
-	// Last is the last sequence that it has; 0: none.
+	// Last returns the last sequence that the sink has; 0 if it has none.
 	Last(ctx context.Context) (uint64, error)
-	// Send gives it a batch, which is not empty. After an error it may have accepted it. One that it knows
-	// with another content is an error.
+	// Send sends a batch, which is not empty. After an error the sink may still have accepted the batch. If the
+	// sink knows the batch with different content, Send returns an error.
 	Send(ctx context.Context, batch []billing.Record) error
 }
 
-// encodeBatch is a batch as it is sent: a JSON object a line.
+// encodeBatch encodes a batch as it is sent: one JSON object per line.
 func encodeBatch(batch []billing.Record) []byte {
 	var encoded bytes.Buffer
 	for _, record := range batch {
-		line, _ := json.Marshal(record) // of numbers and strings: it has no errors
+		line, _ := json.Marshal(record) // a record of numbers and strings always marshals
 		encoded.Write(append(line, '\n'))
 	}
 	return encoded.Bytes()
