--- a/internal/dnsserver/handler.go
+++ b/internal/dnsserver/handler.go
@@ -12,24 +12,25 @@
 	"fawnplank/internal/logging"
 )
 
-// Layout of a header's flag bits (RFC 1035, 4.1.1).
+// Layout of the flag bits in a message header (RFC 1035, 4.1.1).
 const (
 	responseBit = 1 << 15
 	opcodeShift = 11
 	opcodeMask  = 0xF
 )
 
-// badTimeDataBytes: a signature out of time is answered with the server's clock in 48 bits (RFC 8945, 5.2.3).
+// badTimeDataBytes is the length of the server's clock, 48 bits, which the answer to a signature outside the
+// time limits contains (RFC 8945, 5.2.3).
 const badTimeDataBytes = 6
 
-// exchange is one message and the way to answer it.
+// exchange holds one message and the means to answer it.
 type exchange struct {
 	writer  dns.ResponseWriter
 	request *dns.Msg
-	tsig    *dns.TSIG // nil: the message is not signed
+	tsig    *dns.TSIG // nil if the message is not signed
 }
 
-// acceptHeader judges the header of each message before the rest is parsed.
+// acceptHeader decides from the header of each message whether the rest is parsed.
 func (s *Server) acceptHeader(header dns.Header) dns.MsgAcceptAction {
 	opcode := int(header.Bits>>opcodeShift) & opcodeMask
 	switch {
@@ -43,7 +44,7 @@
 	return dns.MsgAccept
 }
 
-// ServeDNS implements dns.Handler: it answers one message.
+// ServeDNS implements dns.Handler. It answers one message.
 func (s *Server) ServeDNS(writer dns.ResponseWriter, request *dns.Msg) {
 	defer func() {
 		if reason := recover(); reason != nil {
@@ -53,12 +54,12 @@
 	select {
 	case s.inFlight <- struct{}{}:
 		defer func() { <-s.inFlight }()
-	default: // dropped: the client asks again
+	default: // the message is dropped; the client will ask again
 		s.counters.rateLimited.Add(1)
 		return
 	}
 	x := &exchange{writer: writer, request: request}
-	if len(request.Question) != 1 { // the header alone says that there is one
+	if len(request.Question) != 1 { // until here, only the header has said that there is one
 		x.replyCode(dns.RcodeFormatError)
 		return
 	}
@@ -70,7 +71,7 @@
 	s.route(x)
 }
 
-// route hands a message on by its opcode and type.
+// route dispatches a message by its opcode and question type.
 func (s *Server) route(x *exchange) {
 	question := x.request.Question[0]
 	switch {
@@ -96,7 +97,7 @@
 	return entry
 }
 
-// logRefusal logs a refusal, unless another one was logged in this second.
+// logRefusal logs a refusal, unless another one was logged in the same second.
 func (s *Server) logRefusal(x *exchange, err error, phrase string) {
 	skipped, ok := s.refusals.allow(time.Now().Unix())
 	if !ok {
@@ -109,7 +110,7 @@
 	entry.Warn(phrase)
 }
 
-// reply sends an answer, signed where the request was.
+// reply sends an answer, which is signed if the request was.
 func (x *exchange) reply(answer *dns.Msg) {
 	if x.tsig != nil {
 		answer.SetTsig(x.tsig.Hdr.Name, x.tsig.Algorithm, FudgeSeconds, time.Now().Unix())
@@ -117,7 +118,7 @@
 	x.write(answer)
 }
 
-// replyCode sends an answer that is an RCODE alone.
+// replyCode sends an answer that consists only of an RCODE.
 func (x *exchange) replyCode(rcode int) { x.reply(new(dns.Msg).SetRcode(x.request, rcode)) }
 
 func (x *exchange) write(answer *dns.Msg) {
@@ -126,8 +127,8 @@
 	}
 }
 
-// refuseSignature answers a message whose signature is not valid (RFC 8945, 5.2): NOTAUTH, with the TSIG's
-// own error.
+// refuseSignature answers a message whose signature is not valid (RFC 8945, 5.2). The answer is NOTAUTH, with
+// the error of the TSIG.
 func (s *Server) refuseSignature(x *exchange, err error) {
 	s.counters.signaturesRefused.Add(1)
 	s.logRefusal(x, err, "invalid signature refused")
--- a/internal/dnsserver/journal.go
+++ b/internal/dnsserver/journal.go
@@ -18,24 +18,25 @@
 )
 
 const (
-	// storedFormat is the version of the stored form; another one is refused.
+	// storedFormat is the version of the stored format. Any other version is rejected.
 	storedFormat = 1
-	// maxJournalChanges is how many changes stand in a journal before it is compacted into one snapshot: a
-	// start reads them in some tens of milliseconds, and secondaries that lag by no more get changes alone.
+	// maxJournalChanges is how many changes a journal holds before it is compacted into one snapshot. A start
+	// reads that many in some tens of milliseconds, and secondaries that lag by no more are sent only the
+	// changes.
 	maxJournalChanges = 4096
-	// journalMode is that of the journal and its lock.
+	// journalMode is the file mode of the journal and its lock file.
 	journalMode = 0o600
-	// checksumDigits is the length of a line's checksum, in hexadecimal, which a space follows.
+	// checksumDigits is the length of a line's checksum in hexadecimal digits. A space follows the checksum.
 	checksumDigits = 8
 )
 
-// zoneRecord is the stored form of a zone with its settings: a journal's first line, and the store's
-// snapshot.
+// zoneRecord is the stored form of a zone with its settings. It is the first line of a journal, and the
+// snapshot in the store.
 type zoneRecord struct {
 	Format   int              `json:"format"`
 	Origin   string           `json:"origin"`
 	Service  string           `json:"service"`
-	FileSum  string           `json:"file_sum"` // of the zone file's text that was adopted last
+	FileSum  string           `json:"file_sum"` // of the text of the zone file that was adopted last
 	Snapshot dnszone.Snapshot `json:"snapshot"`
 }
 
@@ -53,18 +54,18 @@
 	return dnszone.Settings{Origin: r.Origin, Service: r.Service}
 }
 
-// journal keeps the zone in force over a restart: a line with a snapshot, and one for each change after it. A
-// line is the CRC-32C of its JSON, a space, and the JSON. An update is answered once its line is synced; a
-// torn last line belongs to an update that was never answered as done.
+// journal preserves the zone in force across a restart. It holds one line with a snapshot, and one line for
+// each later change. A line consists of the CRC-32C of its JSON, a space, and the JSON. An update is answered
+// once its line is synced, so a torn last line belongs to an update that was never answered as done.
 //
-// The server's lock guards it. Between processes the lock file does.
+// The server's lock guards the journal within the process; the lock file guards it between processes.
 type journal struct {
 	path     string
 	file     *os.File
 	lockFile *os.File
 	size     int64
 	changes  int   // lines after the first
-	failed   error // why nothing more may be written
+	failed   error // why nothing more may be written; nil if writing is allowed
 }
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
@@ -77,7 +78,7 @@
 	return fmt.Appendf(nil, "%08x %s\n", crc32.Checksum(text, castagnoli), text), nil
 }
 
-// decodeLine returns a line's JSON, and whether its checksum matches.
+// decodeLine returns a line's JSON, and reports whether its checksum matches.
 func decodeLine(line []byte) ([]byte, bool) {
 	if len(line) < checksumDigits+2 || line[checksumDigits] != ' ' {
 		return nil, false
@@ -87,9 +88,9 @@
 	return text, err == nil && crc32.Checksum(text, castagnoli) == uint32(sum)
 }
 
-// readJournal reads a journal, which another process may be writing. A missing one is os.ErrNotExist. Damage
-// anywhere but in the last line is an error with file and line: to go on without what stood there would bring
-// removed backends back.
+// readJournal reads a journal, which another process may be writing. If the journal is missing, the error is
+// os.ErrNotExist. Damage anywhere except in the last line is an error that names file and line, because
+// continuing without the damaged part would bring removed backends back.
 func readJournal(path string, settings dnszone.Settings) (*storedZone, error) {
 	text, err := readAll(path)
 	if err != nil {
@@ -129,11 +130,11 @@
 	if err != nil {
 		return nil, err
 	}
-	defer func() { _ = file.Close() }() // only read
+	defer func() { _ = file.Close() }() // the file was only read
 	return io.ReadAll(file)
 }
 
-// decodeSnapshot reads a journal's first line.
+// decodeSnapshot decodes a journal's first line.
 func (z *storedZone) decodeSnapshot(body []byte, settings dnszone.Settings) error {
 	var record zoneRecord
 	if err := json.Unmarshal(body, &record); err != nil {
@@ -155,7 +156,7 @@
 	return nil
 }
 
-// decodeChange reads a later line.
+// decodeChange decodes a later line and applies its change.
 func (z *storedZone) decodeChange(body []byte) error {
 	change := &dnszone.Change{}
 	if err := json.Unmarshal(body, change); err != nil {
@@ -170,10 +171,10 @@
 	return nil
 }
 
-// errJournalLocked is that another process has the journal.
+// errJournalLocked reports that another process has the journal.
 var errJournalLocked = errors.New("another process has the journal")
 
-// lockJournal makes the journal this process's own, or returns errJournalLocked.
+// lockJournal locks the journal for this process, or returns errJournalLocked.
 func lockJournal(path string) (*journal, error) {
 	lockFile, err := os.OpenFile(path+".lock", os.O_CREATE|os.O_RDWR, journalMode)
 	if err != nil {
@@ -183,14 +184,14 @@
 	if err == nil {
 		return &journal{path: path, lockFile: lockFile}, nil
 	}
-	_ = lockFile.Close() // nothing was written, or locked
+	_ = lockFile.Close() // nothing was written or locked
 	if errors.Is(err, unix.EWOULDBLOCK) {
 		return nil, errJournalLocked
 	}
 	return nil, fmt.Errorf("%s.lock: %w", path, err)
 }
 
-// resume goes on behind what was read; a torn line is cut off.
+// resume prepares the journal for writing after the lines that were read. It cuts off a torn line.
 func (j *journal) resume(stored *storedZone) error {
 	file, err := os.OpenFile(j.path, os.O_RDWR, journalMode)
 	if err != nil {
@@ -208,7 +209,7 @@
 	return j.file.Sync()
 }
 
-// rewrite replaces the journal by one with a snapshot alone. On an error the old one stays.
+// rewrite replaces the journal with one that holds only a snapshot. On an error the old journal stays.
 func (j *journal) rewrite(zone *dnszone.Zone, fileSum string) error {
 	text, err := encodeLine(newZoneRecord(zone, fileSum))
 	if err != nil {
@@ -226,7 +227,7 @@
 		return err
 	}
 	if j.file != nil {
-		_ = j.file.Close() // replaced: what it holds is no longer read
+		_ = j.file.Close() // replaced, and its content is no longer read
 	}
 	j.file = file
 	j.size = int64(len(text))
@@ -235,18 +236,18 @@
 	return nil
 }
 
-// syncFolder makes a rename in a folder durable. A folder that cannot be opened is left as it is.
+// syncFolder makes a rename in a folder durable. It ignores a folder that cannot be opened.
 func syncFolder(path string) error {
 	folder, err := os.Open(path)
 	if err != nil {
 		return nil // a process may write to a folder that it may not read
 	}
-	defer func() { _ = folder.Close() }() // only read
+	defer func() { _ = folder.Close() }() // the folder was only read
 	return folder.Sync()
 }
 
-// append writes a change and returns once it is durable. After an error the journal is as before, or accepts
-// nothing more until it is rewritten.
+// append writes a change and returns once the change is durable. After an error the journal is unchanged, or
+// accepts nothing more until it is rewritten.
 func (j *journal) append(change *dnszone.Change) error {
 	if j.failed != nil {
 		return j.failed
--- a/internal/dnsserver/limits.go
+++ b/internal/dnsserver/limits.go
@@ -6,11 +6,12 @@
 	"time"
 )
 
-// messagesPerUpdate is how many messages are parsed for each update that is allowed: checking a signature
-// costs some ten microseconds, which a flood of unsigned messages must not take from the requests.
+// messagesPerUpdate is how many messages are parsed for each update that is allowed. Checking a signature
+// costs some ten microseconds, and a flood of unsigned messages must not take this time away from the
+// requests.
 const messagesPerUpdate = 20
 
-// messageLimiter is a token bucket that holds a second's worth of messages.
+// messageLimiter is a token bucket that holds one second's worth of messages.
 type messageLimiter struct {
 	mu            sync.Mutex
 	ratePerSecond float64
@@ -35,8 +36,8 @@
 	return true
 }
 
-// logLimiter keeps a flood of refused messages from becoming a flood of log lines: it allows one line a
-// second, with the number of those skipped before it.
+// logLimiter prevents a flood of refused messages from becoming a flood of log lines. It allows one line per
+// second, and reports how many lines were skipped before it.
 type logLimiter struct {
 	second  atomic.Int64
 	skipped atomic.Uint64
@@ -54,13 +55,13 @@
 	updatesDone, updatesRefused, signaturesRefused, rateLimited, updatesLost atomic.Uint64
 }
 
-// Stats counts what has become of messages since the start.
+// Stats holds counts, since the start, of what became of messages.
 type Stats struct {
-	UpdatesDone       uint64 // that changed the zone
-	UpdatesRefused    uint64 // for what they ask
-	SignaturesRefused uint64 // messages without a valid signature, replays among them
+	UpdatesDone       uint64 // updates that changed the zone
+	UpdatesRefused    uint64 // updates refused because of what they ask
+	SignaturesRefused uint64 // messages without a valid signature, including replays
 	RateLimited       uint64 // messages over a limit
-	UpdatesLost       uint64 // that journal or store could not keep
+	UpdatesLost       uint64 // updates that the journal or the store could not keep
 }
 
 // Stats returns the counts so far.
--- a/internal/dnsserver/load.go
+++ b/internal/dnsserver/load.go
@@ -12,25 +12,25 @@
 	"fawnplank/internal/logging"
 )
 
-// maxZoneFileBytes bounds a zone file: some hundred thousand backends.
+// maxZoneFileBytes bounds the size of a zone file. It allows some hundred thousand backends.
 const maxZoneFileBytes = 32 << 20
 
-// errStoreUnavailable is that the store accepts nothing yet.
+// errStoreUnavailable reports that the store does not accept anything yet.
 var errStoreUnavailable = errors.New("the store has not accepted the zone")
 
-// storedZone is what a journal or the store holds.
+// storedZone is the content of a journal or of the store.
 type storedZone struct {
 	zone      *dnszone.Zone
-	fileSum   string // of the zone file's text that was adopted last
+	fileSum   string // of the text of the zone file that was adopted last
 	changes   []*dnszone.Change
-	size      int64 // of a journal's whole lines, in bytes
-	tornBytes int64 // of a journal's last line, where that is not whole
+	size      int64 // total of a journal's whole lines, in bytes
+	tornBytes int64 // length of a journal's last line, if that line is not whole
 }
 
-// load finds the zone in force and publishes it. The lock is held.
+// load determines the zone in force and publishes it. The caller holds the lock.
 //
-// Between the zone file and the updates the higher serial wins. A file whose serial is newer than that in
-// force replaces the zone, and the updates before it are void; any other file changes nothing.
+// Of the zone file and the updates, the one with the higher serial wins. A file whose serial is newer than
+// the one in force replaces the zone and voids the updates before it. Any other file changes nothing.
 func (s *Server) load(nowNanos int64) error {
 	file, fileSum, fileErr := s.readZoneFile()
 	stored, err := s.readStored()
@@ -57,7 +57,8 @@
 	return nil
 }
 
-// readStored reads what the store or the journal holds; nil where that is nothing. The lock is held.
+// readStored reads the content of the store or the journal. It returns nil if there is none. The caller holds
+// the lock.
 func (s *Server) readStored() (*storedZone, error) {
 	if s.options.Replicated != nil {
 		return s.options.Replicated.load(s.options.Settings)
@@ -70,13 +71,13 @@
 		return nil, err
 	}
 	if stored != nil && stored.tornBytes > 0 && s.journal != nil {
-		// Its update was never answered as done.
+		// The update in this line was never answered as done.
 		logging.For(component).WithField("bytes", stored.tornBytes).Warn("torn journal line cut off")
 	}
 	return stored, nil
 }
 
-// initialize stores and installs the first zone. The lock is held.
+// initialize stores and installs the first zone. The caller holds the lock.
 func (s *Server) initialize(file *dnszone.Zone, fileSum string) error {
 	switch {
 	case s.options.Replicated != nil:
@@ -96,7 +97,8 @@
 	return nil
 }
 
-// install puts a zone in force and publishes it, as a full list or as the difference. The lock is held.
+// install puts a zone in force and publishes it, either as a full list or as the difference. The caller holds
+// the lock.
 func (s *Server) install(stored *storedZone, full bool) {
 	old := s.zone
 	s.zone = stored.zone
@@ -123,7 +125,7 @@
 
 func (s *Server) publishAll() { s.options.Publish(ListUpdate{Updated: s.zone.Backends(), Full: true}) }
 
-// PublishAll publishes the whole list again.
+// PublishAll publishes the full list again.
 func (s *Server) PublishAll() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -132,7 +134,7 @@
 	}
 }
 
-// Reload reads the zone file again. A faulty one is logged, and the last good list stays.
+// Reload reads the zone file again. If the file is faulty, the fault is logged and the last good list stays.
 func (s *Server) Reload() {
 	file, fileSum, err := s.readZoneFile()
 	s.mu.Lock()
@@ -141,7 +143,7 @@
 		logZoneFileRejected(err)
 		return
 	}
-	if s.zone == nil { // the store has no leader yet, and awaitStore reads the file again
+	if s.zone == nil { // the store has no leader yet; awaitStore reads the file again
 		return
 	}
 	s.adopt(file, fileSum, time.Now().UnixNano())
@@ -151,7 +153,8 @@
 	logging.For(component).WithError(err).Error("zone file rejected, last good list stays")
 }
 
-// adopt puts a file just read in the place of the zone in force, if its serial is newer. The lock is held.
+// adopt replaces the zone in force with a newly read file, if the file's serial is newer. The caller holds
+// the lock.
 func (s *Server) adopt(file *dnszone.Zone, fileSum string, nowNanos int64) {
 	if fileSum == s.fileSum {
 		return
@@ -187,7 +190,7 @@
 	return zone, fmt.Sprintf("%016x", xxhash.Sum64(text)), err
 }
 
-// ReadZoneFile reads a zone file and returns its text with it. Errors name file and line.
+// ReadZoneFile reads a zone file and also returns its text. Errors name file and line.
 func ReadZoneFile(path string, settings dnszone.Settings) (*dnszone.Zone, []byte, error) {
 	info, err := os.Stat(path)
 	if err != nil {
@@ -204,8 +207,8 @@
 	return zone, text, err
 }
 
-// ReadInForce reads the zone in force, beside a server that may run, from the store, the journal or the zone
-// file, and names the source.
+// ReadInForce reads the zone in force from the store, the journal or the zone file, and names the source. A
+// server may be running at the same time.
 func ReadInForce(options Options) (zone *dnszone.Zone, source string, err error) {
 	settings, err := options.Settings.Canonical()
 	if err != nil {
--- a/internal/dnsserver/notify.go
+++ b/internal/dnsserver/notify.go
@@ -9,26 +9,27 @@
 )
 
 const (
-	// notifyAttempts is how often a secondary is notified of one change that it does not acknowledge.
+	// notifyAttempts is how many times a secondary is notified of a change that it does not acknowledge.
 	notifyAttempts = 3
-	// notifyTimeout is how long an acknowledgment is waited for.
+	// notifyTimeout is how long to wait for an acknowledgment.
 	notifyTimeout = 2 * time.Second
-	// notifyRetryInterval is between two attempts.
+	// notifyRetryInterval is the time between two attempts.
 	notifyRetryInterval = time.Second
 )
 
-// signalSecondaries has all secondaries notified that the serial has changed. The lock is held.
+// signalSecondaries triggers a notification of all secondaries that the serial has changed. The caller holds
+// the lock.
 func (s *Server) signalSecondaries() {
 	for _, moved := range s.serialMoved {
 		select {
 		case moved <- struct{}{}:
-		default: // a notification is due already
+		default: // a notification is already due
 		}
 	}
 }
 
-// notify notifies one secondary (RFC 1996) until the server closes. Changes that come during an exchange are
-// notified as one.
+// notify notifies one secondary (RFC 1996) until the server closes. Changes that arrive during an exchange
+// are notified together.
 func (s *Server) notify(secondary string, moved <-chan struct{}) {
 	client := dns.Client{Timeout: notifyTimeout}
 	for {
--- a/internal/dnsserver/query.go
+++ b/internal/dnsserver/query.go
@@ -7,15 +7,17 @@
 )
 
 const (
-	// plainUDPBytes is the size of a UDP answer where the client states none (RFC 1035, 4.2.1).
+	// plainUDPBytes is the size limit of a UDP answer if the client states none (RFC 1035, 4.2.1).
 	plainUDPBytes = 512
-	// ednsUDPBytes is the size that the server offers: it passes any link without fragments.
+	// ednsUDPBytes is the size that the server offers. An answer of this size passes any link without
+	// fragmentation.
 	ednsUDPBytes = 1232
-	// maxAliases is how many CNAMEs an answer follows; a loop ends there.
+	// maxAliases is how many CNAMEs an answer follows. It also ends a loop of CNAMEs.
 	maxAliases = 8
 )
 
-// query answers a question about the zone, with authority. Others are refused: the server does no recursion.
+// query answers a question about the zone authoritatively. It refuses other questions, because the server
+// does no recursion.
 func (s *Server) query(x *exchange) *dns.Msg {
 	zone := s.published.Load()
 	answer := new(dns.Msg).SetReply(x.request)
@@ -40,7 +42,8 @@
 	return answer
 }
 
-// resolve returns the records of a name and type, and the aliases on the way to them, with the last name.
+// resolve returns the records of a name and type, including the aliases on the way to them, and the last
+// name.
 func resolve(zone *dnszone.Zone, name string, rrtype uint16) (rrs []dns.RR, last string) {
 	for range maxAliases {
 		rrs = append(rrs, zone.RRset(name, rrtype)...)
@@ -54,7 +57,7 @@
 	return rrs, name
 }
 
-// maxAnswerBytes returns the size that an answer must fit.
+// maxAnswerBytes returns the size limit of an answer.
 func (x *exchange) maxAnswerBytes() int {
 	if x.isTCP() {
 		return dns.MaxMsgSize
--- a/internal/dnsserver/replicated_zone.go
+++ b/internal/dnsserver/replicated_zone.go
@@ -11,49 +11,51 @@
 	"fawnplank/internal/store/kv"
 )
 
-// Replica is the part of a replica of the store that keeps the zone.
+// Replica is the part of a store replica that keeps the zone.
 type Replica interface {
 	// ReadLocal returns a key as this replica has it.
 	ReadLocal(key string) (kv.Entry, bool)
-	// Edit makes edits together or not at all; kv.ConflictError where a key is not at the index asked for.
+	// Edit applies all edits or none. It returns a kv.ConflictError if a key does not have the index that its
+	// edit expects.
 	Edit(edits []kv.Edit) error
 }
 
-// ReplicatedZone keeps the zone in the replicated store, in place of a journal: a head, the snapshot that it
-// names in pieces, and a key for each change, by the serial before it. Each write requires the head as it was
-// read: an update that loses to a concurrent one is judged anew, and lands at every replica or at none.
+// ReplicatedZone keeps the zone in the replicated store instead of a journal: a head, the snapshot that the
+// head names, split into pieces, and a key for each change, which is named after the serial before the
+// change. Each write requires that the head is still as it was read. Therefore an update that loses to a
+// concurrent one is judged again, and is applied at every replica or at none.
 type ReplicatedZone struct{ Replica }
 
-// Keys of the store.
+// Keys in the store.
 const (
-	KeyPrefix       = "dns/" // of all keys of the zone
+	KeyPrefix       = "dns/" // prefix of all keys of the zone
 	headKey         = KeyPrefix + "head"
 	snapshotPrefix  = KeyPrefix + "base/"
 	changeKeyPrefix = KeyPrefix + "change/"
 )
 
 const (
-	// pieceBytes is how much of a snapshot goes into one value, which is JSON within JSON: half of a value's
-	// maximum.
+	// pieceBytes is how much of a snapshot goes into one value: half of the maximum size of a value, because the
+	// value is JSON within JSON.
 	pieceBytes = kv.MaxValue / 2
-	// maxStoredChanges is how many changes stand in the store beside a snapshot: their deletion must fit one
-	// command.
+	// maxStoredChanges is how many changes the store holds in addition to a snapshot. Their deletion must fit
+	// into one command.
 	maxStoredChanges = 500
 )
 
 // storeHead is the stored form of the head.
 type storeHead struct {
 	Serial  uint32 `json:"serial"`  // in force
-	Base    uint32 `json:"base"`    // of the snapshot
-	Pieces  int    `json:"pieces"`  // of the snapshot
-	Changes int    `json:"changes"` // since the snapshot
+	Base    uint32 `json:"base"`    // serial of the snapshot
+	Pieces  int    `json:"pieces"`  // number of the snapshot's pieces
+	Changes int    `json:"changes"` // number of changes since the snapshot
 	Sum     string `json:"file_sum"`
 }
 
-// errBehind is that this replica, or this server, has yet to apply a change that landed.
+// errBehind reports that this replica, or this server, has yet to apply a committed change.
 var errBehind = errors.New("a change landed that this replica has yet to apply")
 
-// readHead returns the head with its index; index 0: there is none.
+// readHead returns the head and its index. The index is 0 if there is no head.
 func (r *ReplicatedZone) readHead() (head storeHead, index kv.Index, err error) {
 	entry, ok := r.ReadLocal(headKey)
 	if !ok {
@@ -62,7 +64,7 @@
 	return head, entry.Index, json.Unmarshal(entry.Value, &head)
 }
 
-// readHeadAt returns the head if its serial is the one given, and else errBehind.
+// readHeadAt returns the head if it has the given serial, and errBehind otherwise.
 func (r *ReplicatedZone) readHeadAt(serial uint32) (storeHead, kv.Index, error) {
 	head, index, err := r.readHead()
 	if err == nil && head.Serial != serial {
@@ -77,7 +79,7 @@
 
 func changeKey(serial uint32) string { return fmt.Sprintf("%s%08x", changeKeyPrefix, serial) }
 
-// load reads what this replica has; nil where that is nothing.
+// load reads the zone as this replica has it. It returns nil if there is none.
 func (r *ReplicatedZone) load(settings dnszone.Settings) (*storedZone, error) {
 	head, index, err := r.readHead()
 	if err != nil || index == 0 {
@@ -138,8 +140,8 @@
 	return text.String(), nil
 }
 
-// applyNext applies the change that follows a zone and returns it as it is stored. Where there is none, both
-// are nil.
+// applyNext applies the change that follows a zone, and also returns the change as it is stored. Both results
+// are nil if there is no such change.
 func (r *ReplicatedZone) applyNext(zone *dnszone.Zone) (*dnszone.Step, *dnszone.Change, error) {
 	key := changeKey(zone.Serial())
 	entry, ok := r.ReadLocal(key)
@@ -157,12 +159,12 @@
 	return step, change, nil
 }
 
-// initialize writes a zone where there is none yet.
+// initialize writes a zone if the store has none yet.
 func (r *ReplicatedZone) initialize(zone *dnszone.Zone, fileSum string) error {
 	return r.writeSnapshot(zone, fileSum, storeHead{}, 0)
 }
 
-// replace writes a zone as a snapshot in the place of the old one.
+// replace writes a zone as a snapshot that replaces the old zone.
 func (r *ReplicatedZone) replace(old, zone *dnszone.Zone, fileSum string) error {
 	head, index, err := r.readHeadAt(old.Serial())
 	if err != nil {
@@ -171,7 +173,7 @@
 	return r.writeSnapshot(zone, fileSum, head, index)
 }
 
-// writeSnapshot writes a snapshot and deletes what the old head stands for.
+// writeSnapshot writes a snapshot and deletes everything that belongs to the old head.
 func (r *ReplicatedZone) writeSnapshot(
 	zone *dnszone.Zone, fileSum string, old storeHead, index kv.Index,
 ) error {
@@ -189,7 +191,7 @@
 	}
 	next := storeHead{Serial: zone.Serial(), Base: zone.Serial(), Pieces: len(pieces), Sum: fileSum}
 	for number, piece := range pieces {
-		if next.Base == old.Base && number < old.Pieces { // the same key: written in place of its deletion
+		if next.Base == old.Base && number < old.Pieces { // the same key: written instead of deleted
 			edits[number].Value = piece
 			continue
 		}
@@ -198,7 +200,8 @@
 	return r.write(next, index, edits)
 }
 
-// deletions returns the edits that delete a head's pieces, which come first and in order, and its changes.
+// deletions returns the edits that delete a head's pieces, which come first and in order, followed by those
+// that delete its changes.
 func (r *ReplicatedZone) deletions(head storeHead) ([]kv.Edit, error) {
 	var edits []kv.Edit
 	for number := range head.Pieces {
@@ -218,7 +221,8 @@
 	return edits, nil
 }
 
-// splitPieces cuts a text into JSON strings of no more than pieceBytes of it, and not within a character.
+// splitPieces splits a text into JSON strings. Each holds at most pieceBytes of the text, and no character is
+// split.
 func splitPieces(text []byte) (pieces [][]byte, err error) {
 	for len(text) > 0 {
 		size := min(len(text), pieceBytes)
@@ -235,7 +239,7 @@
 	return pieces, nil
 }
 
-// write makes edits together with a new head, if the present one is still at the index given.
+// write applies edits together with a new head, if the current head still has the given index.
 func (r *ReplicatedZone) write(head storeHead, index kv.Index, edits []kv.Edit) error {
 	value, err := json.Marshal(head)
 	if err != nil {
@@ -263,7 +267,7 @@
 	return r.write(head, index, []kv.Edit{{Key: changeKey(change.FromSerial), Value: value}})
 }
 
-// isFull reports whether the changes are to be compacted into a snapshot.
+// isFull reports whether the changes are due to be compacted into a snapshot.
 func (r *ReplicatedZone) isFull() bool {
 	head, _, err := r.readHead()
 	return err == nil && head.Changes >= maxStoredChanges
--- a/internal/dnsserver/replication.go
+++ b/internal/dnsserver/replication.go
@@ -9,15 +9,15 @@
 )
 
 const (
-	// replicateTimeout bounds the attempts of one update: an updater waits for some seconds, and meanwhile no
-	// other update is looked at.
+	// replicateTimeout bounds the attempts of one update. The updater waits for some seconds, and no other
+	// update is processed in the meantime.
 	replicateTimeout = 3 * time.Second
-	// replicateRetryInterval lets this replica apply the change that was quicker.
+	// replicateRetryInterval gives this replica time to apply the change that was faster.
 	replicateRetryInterval = 5 * time.Millisecond
 )
 
-// StoreChanged is to be called when a key of the zone has changed in the store: it goes on to what the store
-// has.
+// StoreChanged adopts what the store holds. It must be called when a key of the zone has changed in the
+// store.
 func (s *Server) StoreChanged() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -29,7 +29,7 @@
 	}
 }
 
-// catchUp goes on to what this replica has. The lock is held.
+// catchUp adopts what this replica has. The caller holds the lock.
 func (s *Server) catchUp() error {
 	replicated := s.options.Replicated
 	for {
@@ -48,7 +48,7 @@
 		return err
 	}
 	if !dnszone.SerialNewer(head.Serial, s.zone.Serial()) {
-		return nil // up to date, or ahead: this server's own change is on the way to the replica
+		return nil // up to date, or ahead because this server's own change is on the way to the replica
 	}
 	stored, err := replicated.load(s.options.Settings)
 	if err != nil || stored == nil {
@@ -58,8 +58,8 @@
 	return nil
 }
 
-// replicate lands an update at every replica or at none: judged on the zone in force, and again where a
-// concurrent one was quicker. The lock is held.
+// replicate applies an update at every replica or at none. The update is judged on the zone in force, and
+// judged again if a concurrent update was faster. The caller holds the lock.
 func (s *Server) replicate(judge func() (*dnszone.Step, error)) (*dnszone.Step, error) {
 	for deadline := time.Now().Add(replicateTimeout); ; time.Sleep(replicateRetryInterval) {
 		step, err := judge()
--- a/internal/dnsserver/server.go
+++ b/internal/dnsserver/server.go
@@ -1,10 +1,10 @@
-// Package dnsserver is the gateway's own name server for the zone that its backends stand in. It reads the
-// zone file, accepts dynamic updates (RFC 2136) signed with TSIG (RFC 8945), keeps the zone in force in a
-// journal or in the replicated store, answers queries, notifies secondaries (RFC 1996) and transfers the zone
-// to them (RFC 5936, 1995).
+// Package dnsserver is the gateway's own name server for the zone that holds its backends. It reads the zone
+// file, accepts dynamic updates (RFC 2136) signed with TSIG (RFC 8945), keeps the zone in force in a journal
+// or in the replicated store, answers queries, notifies secondaries (RFC 1996) and transfers the zone to them
+// (RFC 5936, 1995).
 //
-// It owns the zone file, the journal and the sockets. What a message means for the zone is package dnszone's
-// part. The methods of Server are safe for concurrent use.
+// It owns the zone file, the journal and the sockets. Package dnszone determines what a message means for the
+// zone. The methods of Server are safe for concurrent use.
 package dnsserver
 
 import (
@@ -22,18 +22,19 @@
 	"fawnplank/internal/logging"
 )
 
-// Options configure a server. Settings, ZoneFile and Publish are required.
+// Options configures a server. Settings, ZoneFile and Publish are required.
 type Options struct {
 	Settings            dnszone.Settings
 	ZoneFile            string
-	JournalFile         string // where the zone in force is kept; empty: nowhere, and updates are refused
-	ListenAddress       string // UDP and TCP; empty: nowhere
-	Keys                []Key  // that may update and transfer the zone
+	JournalFile         string // keeps the zone in force; if empty, updates are refused
+	ListenAddress       string // UDP and TCP; if empty, the server does not listen
+	Keys                []Key  // keys that may update and transfer the zone
 	MaxUpdatesPerSecond float64
 	Secondaries         []string // addresses that are notified of changes
-	// Replicated, where set, stands in the journal's place: updates land in all replicas or in none.
+	// Replicated, if set, replaces the journal. Updates are then applied in all replicas or in none.
 	Replicated *ReplicatedZone
-	// Publish receives every change to the list of backends, one at a time and before its update is answered.
+	// Publish receives every change to the list of backends. It is called once at a time, and before the update
+	// that made the change is answered.
 	Publish func(update ListUpdate)
 }
 
@@ -45,16 +46,17 @@
 }
 
 const (
-	// maxConcurrent bounds TCP connections, and messages handled at once. Updaters and secondaries are few.
+	// maxConcurrent bounds the TCP connections, and the messages handled at once. There are few updaters and
+	// secondaries.
 	maxConcurrent = 64
-	// maxUDPMessageBytes is the largest message read by UDP.
+	// maxUDPMessageBytes is the size of the largest message read over UDP.
 	maxUDPMessageBytes = 4096
-	// maxQueriesPerConnection closes a TCP connection that asks for more.
+	// maxQueriesPerConnection is the number of queries after which a TCP connection is closed.
 	maxQueriesPerConnection = 1024
-	// retryInterval is between two attempts to take over the journal of a process that ends, or to reach the
-	// store.
+	// retryInterval is the time between two attempts to take over the journal of a process that is ending, or to
+	// reach the store.
 	retryInterval = 200 * time.Millisecond
-	// component is the log entries' field of that name.
+	// component is the value of the component field in log entries.
 	component = "dns"
 )
 
@@ -63,9 +65,9 @@
 	options Options
 	keys    keyring
 
-	mu          sync.Mutex // of the fields up to published
+	mu          sync.Mutex // guards the fields up to published
 	zone        *dnszone.Zone
-	fileSum     string            // of the zone file's text that was adopted last
+	fileSum     string            // of the text of the zone file that was adopted last
 	changes     []*dnszone.Change // since the stored snapshot, for IXFR
 	journal     *journal
 	guard       *dnszone.ReplayGuard
@@ -73,7 +75,7 @@
 	listeners   []*dns.Server
 	address     string
 
-	// published is the zone in force, for queries: they do not wait for an update under way.
+	// published is the zone in force for queries, which do not wait for an update in progress.
 	published atomic.Pointer[dnszone.Zone]
 	inFlight  chan struct{} // a token for each message being handled
 	messages  *messageLimiter
@@ -82,13 +84,13 @@
 
 	stop       chan struct{}
 	closeOnce  sync.Once
-	startup    sync.WaitGroup // of the goroutine that waits for the journal or the store
-	background sync.WaitGroup // of those that serve
+	startup    sync.WaitGroup // the goroutine that waits for the journal or the store
+	background sync.WaitGroup // the goroutines that serve
 }
 
-// Start reads the zone, publishes the list, and listens. A faulty zone file is an error only where neither
-// journal nor store has a zone to go on with. Where another process has the journal, or the store has no
-// leader yet, Start returns a server that goes on trying.
+// Start reads the zone, publishes the list, and listens. A faulty zone file is an error only if neither the
+// journal nor the store has a zone to continue with. If another process has the journal, or the store has no
+// leader yet, Start returns a server that keeps trying.
 func Start(options Options) (*Server, error) {
 	settings, err := options.Settings.Canonical()
 	if err != nil {
@@ -134,8 +136,8 @@
 	return s, nil
 }
 
-// awaitJournal follows another process's journal and takes it over when that process ends: during an upgrade
-// both run.
+// awaitJournal follows another process's journal and takes it over when that process ends. During an upgrade
+// both processes run.
 func (s *Server) awaitJournal() {
 	for {
 		select {
@@ -153,7 +155,7 @@
 	}
 }
 
-// tryJournal reads the journal again, and reports whether it is this process's own now.
+// tryJournal reads the journal again, and reports whether this process now owns it.
 func (s *Server) tryJournal() bool {
 	journal, err := lockJournal(s.options.JournalFile)
 	s.mu.Lock()
@@ -167,7 +169,7 @@
 	return err == nil
 }
 
-// awaitStore waits until the store has a leader, which a first start needs.
+// awaitStore waits until the store has a leader, which a first start requires.
 func (s *Server) awaitStore() {
 	for lastError := ""; ; {
 		s.mu.Lock()
@@ -191,9 +193,9 @@
 	}
 }
 
-// openSockets listens by TCP and UDP at one port.
+// openSockets listens on TCP and UDP at the same port.
 func openSockets(address string) (net.Listener, net.PacketConn, error) {
-	// The sockets outlive any caller's context: Close ends them.
+	// The sockets outlive any caller's context, because Close ends them.
 	ctx := context.Background()
 	var config net.ListenConfig
 	for {
@@ -209,7 +211,7 @@
 		if _, port, _ := net.SplitHostPort(address); port != "0" {
 			return nil, nil, err
 		}
-		// The port was the system's choice, and its UDP side is another socket's: the next choice will do.
+		// The system chose the port, but its UDP side belongs to another socket. Another choice will succeed.
 	}
 }
 
@@ -233,14 +235,14 @@
 	for _, secondary := range s.options.Secondaries {
 		moved := make(chan struct{}, 1)
 		s.serialMoved = append(s.serialMoved, moved)
-		// It ends within an exchange's timeout after Close, which does not wait for it.
+		// The goroutine ends within the timeout of one exchange after Close, which does not wait for it.
 		go s.notify(secondary, moved)
 	}
 	s.signalSecondaries()
 	return nil
 }
 
-// serve starts a listener. The lock is held.
+// serve starts a listener. The caller holds the lock.
 func (s *Server) serve(listener *dns.Server) {
 	listener.Handler = s
 	listener.TsigProvider = s.keys
@@ -261,14 +263,14 @@
 	})
 }
 
-// Close stops listening and releases the journal. It may be called on a nil server, and more than once.
+// Close stops listening and releases the journal. It may be called on a nil Server, and more than once.
 func (s *Server) Close() {
 	if s == nil {
 		return
 	}
 	s.closeOnce.Do(func() {
 		close(s.stop)
-		s.startup.Wait() // it may be about to listen
+		s.startup.Wait() // the startup goroutine may be about to listen
 		s.mu.Lock()
 		listeners := s.listeners
 		s.mu.Unlock()
@@ -287,7 +289,7 @@
 	if listener.Shutdown() == nil {
 		return
 	}
-	// It has not begun to serve: closing its socket ends it as soon as it does.
+	// The listener has not begun to serve. Closing its socket ends it as soon as it does.
 	if listener.Listener != nil {
 		_ = listener.Listener.Close()
 		return
@@ -295,8 +297,8 @@
 	_ = listener.PacketConn.Close()
 }
 
-// Serial returns the serial in force, or 0 where there is no zone yet. It does not wait for an update under
-// way.
+// Serial returns the serial in force, or 0 if there is no zone yet. It does not wait for an update in
+// progress.
 func (s *Server) Serial() uint32 {
 	if zone := s.published.Load(); zone != nil {
 		return zone.Serial()
@@ -304,7 +306,7 @@
 	return 0
 }
 
-// Address returns the address that the server listens at, or "" while it does not.
+// Address returns the address on which the server listens, or "" while it does not listen.
 func (s *Server) Address() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/dnsserver/transfer.go
+++ b/internal/dnsserver/transfer.go
@@ -10,15 +10,16 @@
 )
 
 const (
-	// recordsPerEnvelope keeps a message of a transfer below 64 KB: a record has some hundred bytes.
+	// recordsPerEnvelope keeps each message of a transfer below 64 KB. A record has some hundred bytes.
 	recordsPerEnvelope = 200
-	// transferStallTimeout is how long a secondary that has gone holds the records of its transfer.
+	// transferStallTimeout is how long the records of a transfer are held for a secondary that has gone.
 	transferStallTimeout = 10 * time.Second
 )
 
 var errTransferNotAllowed = errors.New("not signed, not of this zone, or not over TCP")
 
-// transfer gives a secondary that signs the whole zone (RFC 5936), or the changes since a serial (RFC 1995).
+// transfer sends the whole zone (RFC 5936), or the changes since a serial (RFC 1995), to a secondary that
+// signs its request.
 func (s *Server) transfer(x *exchange) {
 	s.mu.Lock()
 	zone := s.zone
@@ -34,11 +35,11 @@
 	if err := new(dns.Transfer).Out(x.writer, x.request, envelopes(rrs)); err != nil {
 		x.logger().WithError(err).Warn("transfer failed")
 	}
-	_ = x.writer.Close() // the secondary has all, or is gone
+	_ = x.writer.Close() // the secondary has received everything, or has gone
 }
 
-// transferRecords returns the records of an answer to AXFR or IXFR: the SOA alone where the secondary is up
-// to date, the changes where they are known, and else the zone.
+// transferRecords returns the records that answer AXFR or IXFR. They are only the SOA if the secondary is up
+// to date, the changes if they are known, and the whole zone otherwise.
 func transferRecords(request *dns.Msg, zone *dnszone.Zone, changes []*dnszone.Change) []dns.RR {
 	soa := zone.RRset(zone.Origin, dns.TypeSOA)[0]
 	if request.Question[0].Qtype == dns.TypeIXFR && len(request.Ns) == 1 {
@@ -54,8 +55,8 @@
 	return append(zone.Records(), soa)
 }
 
-// envelopes sends records in parts. Its goroutine ends when all are received, or none is for
-// transferStallTimeout.
+// envelopes sends records in parts on the returned channel. Its goroutine ends when all parts have been
+// received, or when none is received for transferStallTimeout.
 func envelopes(rrs []dns.RR) chan *dns.Envelope {
 	parts := make(chan *dns.Envelope)
 	go func() {
@@ -73,7 +74,7 @@
 	return parts
 }
 
-// deltaSince returns the changes after a serial in the order of IXFR, or nil where they are no longer known.
+// deltaSince returns the changes after a serial in the order of IXFR, or nil if they are no longer known.
 func deltaSince(changes []*dnszone.Change, serial uint32) (rrs []dns.RR) {
 	found := false
 	for _, change := range changes {
@@ -92,7 +93,7 @@
 	return rrs
 }
 
-// ixfrSequence parses records and puts the SOA, which leads each sequence of IXFR, first.
+// ixfrSequence parses records and puts the SOA first, because it begins each sequence of IXFR.
 func ixfrSequence(texts []string) ([]dns.RR, error) {
 	var soa, rest []dns.RR
 	for _, text := range texts {
--- a/internal/dnsserver/tsig.go
+++ b/internal/dnsserver/tsig.go
@@ -19,16 +19,16 @@
 const (
 	// FudgeSeconds is by how many seconds the clocks of the two sides may differ.
 	FudgeSeconds = dnszone.FudgeSeconds
-	// minSecretBytes is the shortest secret accepted: 128 bits.
+	// minSecretBytes is the length of the shortest secret accepted, 128 bits.
 	minSecretBytes = 16
-	// othersMayRead are the permission bits that a secret's file must not have.
+	// othersMayRead holds the permission bits that the file of a secret must not have.
 	othersMayRead = 0o077
 )
 
 // Key is a TSIG key (RFC 8945) that may update the zone and transfer it.
 type Key struct {
 	Name      string // as a DNS name
-	Algorithm string // hmac-sha256, hmac-sha384 or hmac-sha512; those with MD5 and SHA-1 are not accepted
+	Algorithm string // hmac-sha256, hmac-sha384 or hmac-sha512; MD5 and SHA-1 are not accepted
 	Secret    []byte
 }
 
@@ -38,8 +38,8 @@
 	dns.HmacSHA512: sha512.New,
 }
 
-// ReadKey reads a key whose secret stands in a file, in base64. Nobody but its owner may have access to the
-// file.
+// ReadKey returns a key whose secret it reads from a file in base64. Only the file's owner may have access to
+// the file.
 func ReadKey(name, algorithm, file string) (Key, error) {
 	key := Key{Name: dns.CanonicalName(name), Algorithm: dns.CanonicalName(algorithm)}
 	if _, ok := dns.IsDomainName(name); !ok || key.Name == "." {
@@ -78,8 +78,8 @@
 	return secret, nil
 }
 
-// keyring implements dns.TsigProvider: it signs and verifies with the configured keys alone, each with its
-// own algorithm alone.
+// keyring implements dns.TsigProvider. It signs and verifies only with the configured keys, and uses each key
+// only with its own algorithm.
 type keyring map[string]Key
 
 func newKeyring(keys []Key) keyring {
@@ -99,7 +99,7 @@
 		return nil, dns.ErrKeyAlg
 	}
 	mac := hmac.New(hashes[key.Algorithm], key.Secret)
-	_, _ = mac.Write(message) // a hash never returns an error
+	_, _ = mac.Write(message) // writing to a hash never returns an error
 	return mac.Sum(nil), nil
 }
 
--- a/internal/dnsserver/update.go
+++ b/internal/dnsserver/update.go
@@ -11,7 +11,7 @@
 	"fawnplank/internal/logging"
 )
 
-// update handles a signed update: it is judged, stored durably, published, and answered then.
+// update handles a signed update. The update is judged, stored durably and published, and only then answered.
 func (s *Server) update(x *exchange) {
 	signature := dnszone.Signature{
 		KeyName:       dns.CanonicalName(x.tsig.Hdr.Name),
@@ -35,15 +35,15 @@
 		return
 	case dnszone.VerdictAccept:
 		outcome = dnszone.Outcome{Sender: sender, Rcode: s.apply(x, signature, nowNanos)}
-		if outcome.Rcode != dns.RcodeServerFailure { // after which the same message may be sent again
+		if outcome.Rcode != dns.RcodeServerFailure { // after a server failure the same message may be sent again
 			s.guard.Record(signature, outcome, nowNanos)
 		}
-	case dnszone.VerdictRepeat: // it gets the outcome that was recorded
+	case dnszone.VerdictRepeat: // the sender gets the outcome that was recorded
 	}
 	x.replyCode(outcome.Rcode)
 }
 
-// apply applies an update and returns the RCODE of its answer. The lock is held.
+// apply applies an update and returns the RCODE of its answer. The caller holds the lock.
 func (s *Server) apply(x *exchange, signature dnszone.Signature, nowNanos int64) int {
 	if x.request.Truncated {
 		return dns.RcodeFormatError
@@ -59,7 +59,7 @@
 		s.logRefusal(x, err, "update refused")
 		return refused.Rcode
 	}
-	if err != nil { // with the replicated store it may land yet, at all replicas
+	if err != nil { // with the replicated store it may still be committed, at all replicas
 		s.counters.updatesLost.Add(1)
 		x.logger().WithError(err).Error("update not stored")
 		return dns.RcodeServerFailure
@@ -77,7 +77,7 @@
 	return dns.RcodeSuccess
 }
 
-// store judges an update on the zone in force and makes it durable. The lock is held.
+// store judges an update on the zone in force and makes it durable. The caller holds the lock.
 func (s *Server) store(judge func() (*dnszone.Step, error)) (*dnszone.Step, error) {
 	if s.options.Replicated != nil {
 		return s.replicate(judge)
@@ -89,7 +89,7 @@
 	return step, err
 }
 
-// advance puts the zone of one stored change in force. The lock is held.
+// advance puts in force the zone that results from one stored change. The caller holds the lock.
 func (s *Server) advance(step *dnszone.Step) {
 	s.zone = step.Zone
 	s.changes = append(s.changes, step.Change)
@@ -108,7 +108,7 @@
 	s.signalSecondaries()
 }
 
-// compact stores the zone as one snapshot where enough changes stand behind the last one. The lock is held.
+// compact stores the zone as one snapshot if enough changes follow the last one. The caller holds the lock.
 func (s *Server) compact() error {
 	switch {
 	case s.journal != nil && s.journal.changes >= maxJournalChanges:
@@ -116,14 +116,14 @@
 	case s.options.Replicated != nil && s.options.Replicated.isFull():
 		err := s.options.Replicated.replace(s.zone, s.zone, s.fileSum)
 		if errors.Is(err, errBehind) {
-			return nil // another replica was quicker, or the next change finds it full
+			return nil // another replica was faster, or the next change finds it full again
 		}
 		return err
 	}
 	return nil
 }
 
-// SendUpdate signs an update, sends it by TCP, and returns an error unless it was applied.
+// SendUpdate signs an update, sends it over TCP, and returns an error unless the update was applied.
 func SendUpdate(message *dns.Msg, address string, key Key, timeout time.Duration) error {
 	message.SetTsig(key.Name, key.Algorithm, FudgeSeconds, time.Now().Unix())
 	client := dns.Client{Net: "tcp", Timeout: timeout, TsigProvider: newKeyring([]Key{key})}
@@ -131,7 +131,7 @@
 	if answer == nil || answer.Rcode == dns.RcodeSuccess {
 		return err
 	}
-	// The library's own error, if any, only says that it could not verify a refusal.
+	// An error from the library only says that it could not verify a refusal.
 	err = errors.New(dns.RcodeToString[answer.Rcode])
 	if tsig := answer.IsTsig(); tsig != nil && tsig.Error != 0 {
 		err = fmt.Errorf("%w (%s)", err, dns.RcodeToString[int(tsig.Error)])
--- a/internal/dnszone/backends.go
+++ b/internal/dnszone/backends.go
@@ -6,9 +6,9 @@
 	"slices"
 )
 
-// Provenance says where a backend in the list came from.
+// Provenance states where a backend in the list came from.
 type Provenance struct {
-	// StartNanos is when the backend was listed, unix; 0: long ago.
+	// StartNanos is when the backend was listed, in unix ns; 0 means long ago.
 	StartNanos int64  `json:"started,omitempty"`
 	File       string `json:"file,omitempty"`
 	Line       int    `json:"line,omitempty"`
@@ -18,21 +18,21 @@
 
 // Backend is an entry of the list.
 type Backend struct {
-	Name             string // target:port, in lower case, without the last dot
+	Name             string // target:port, in lower case, without the final dot
 	Addresses        []netip.AddrPort
 	Zone             string
 	Group            uint16
 	Draining         bool
-	Weight           float64 // relative to an ordinary backend, which has 1
+	Weight           float64 // relative to an ordinary backend, whose weight is 1
 	Priority         uint16
-	StatedStartNanos int64 // the start that the records state, unix; 0: none
+	StatedStartNanos int64 // the start stated by the records, unix ns; 0 if they state none
 	Provenance       Provenance
 }
 
-// StartNanos returns when the backend started, unix; 0: long ago.
+// StartNanos returns when the backend started, in unix ns; 0 means long ago.
 func (b Backend) StartNanos() int64 { return cmp.Or(b.StatedStartNanos, b.Provenance.StartNanos) }
 
-// equal reports whether two backends are the same to whoever consumes the list.
+// equal reports whether two backends are the same to the consumers of the list.
 func (b Backend) equal(other Backend) bool {
 	return b.Name == other.Name &&
 		b.Zone == other.Zone &&
@@ -43,7 +43,7 @@
 		slices.Equal(b.Addresses, other.Addresses)
 }
 
-// Backends returns the list in order of names.
+// Backends returns the list in the order of names.
 func (z *Zone) Backends() (list []Backend) {
 	z.backends.Scan(func(_ string, backend Backend) bool {
 		if z.serves(backend) {
@@ -54,17 +54,17 @@
 	return list
 }
 
-// BackendCount returns the length of the list without walking it, as Backends does.
+// BackendCount returns the length of the list without walking it, unlike Backends.
 func (z *Zone) BackendCount() int { return z.priorities[z.servedPriority].total }
 
-// serves reports whether a backend is in the list. Those of the served priority are (RFC 2782); those of the
-// priorities behind it wait until none of it is left.
+// serves reports whether a backend is in the list. The backends of the served priority are in the list (RFC
+// 2782). Those of the priorities after it wait until no backend of the served priority is left.
 func (z *Zone) serves(backend Backend) bool { return backend.Priority == z.servedPriority }
 
 // priorityCount counts the backends of one SRV priority.
 type priorityCount struct{ serving, total int }
 
-// count adds delta backends like the given one to those of its priority.
+// count adds delta to the number of backends with the priority of the given one.
 func (z *Zone) count(backend Backend, delta int) {
 	if z.priorities == nil {
 		z.priorities = map[uint16]priorityCount{}
@@ -81,8 +81,8 @@
 	z.priorities[backend.Priority] = counted
 }
 
-// electPriority picks the priority to serve: the lowest with a backend that is not draining, or the lowest of
-// all where every backend is draining.
+// electPriority chooses the priority to serve. This is the lowest priority with a backend that is not
+// draining, or the lowest of all if every backend is draining.
 func (z *Zone) electPriority() {
 	elected := false
 	for priority := range z.priorities {
@@ -102,7 +102,7 @@
 	return a < b
 }
 
-// Diff compares two lists: the new and changed backends, and the names of the removed ones.
+// Diff compares two lists. It returns the new and changed backends, and the names of the removed ones.
 func Diff(old, next *Zone) (updated []Backend, removed []string) {
 	var diff listDiff
 	next.backends.Scan(func(name string, _ Backend) bool {
@@ -135,7 +135,7 @@
 	}
 }
 
-// listed returns a backend that is in the list.
+// listed returns a backend, and reports whether it is in the list.
 func (z *Zone) listed(name string) (Backend, bool) {
 	backend, ok := z.backends.Get(name)
 	return backend, ok && z.serves(backend)
--- a/internal/dnszone/change.go
+++ b/internal/dnszone/change.go
@@ -9,34 +9,34 @@
 	"github.com/miekg/dns"
 )
 
-// Change is the effect of an update in a form to be stored and applied again elsewhere. Records are in master
-// form.
+// Change is the effect of an update, in a form that can be stored and applied again elsewhere. Records are in
+// master file format.
 type Change struct {
 	FromSerial uint32    `json:"from"`
 	ToSerial   uint32    `json:"to"`
 	Deleted    []string  `json:"del,omitempty"`
 	Added      []string  `json:"add,omitempty"`
-	AtNanos    int64     `json:"at"` // unix, at the gateway that accepted the update
+	AtNanos    int64     `json:"at"` // unix ns, at the gateway that accepted the update
 	Signature  Signature `json:"by"`
 }
 
-// Signature is the TSIG of an update, by which a replay is recognized.
+// Signature is the TSIG of an update. Replays are recognized by it.
 type Signature struct {
 	KeyName       string `json:"key"`
-	SignedSeconds int64  `json:"signed"` // unix
+	SignedSeconds int64  `json:"signed"` // unix seconds
 	MAC           string `json:"mac"`
 }
 
-// Step is a zone that an update made of another one, with the difference between their lists.
+// Step is a zone that an update made from another one, with the difference between their lists.
 type Step struct {
 	Zone    *Zone
-	Change  *Change   // nil: the update changed nothing
+	Change  *Change   // nil if the update changed nothing
 	Updated []Backend // new or changed
 	Removed []string
 }
 
-// Apply applies a change that was made before, or at another replica. It returns an error, and no zone, where
-// the change does not follow from this one.
+// Apply applies a change that was made earlier, or at another replica. It returns an error if the change does
+// not follow from this zone.
 func (z *Zone) Apply(change *Change) (*Step, error) {
 	if change.FromSerial != z.Serial() || !SerialNewer(change.ToSerial, change.FromSerial) {
 		return nil, fmt.Errorf("change from serial %d to %d does not follow %d",
@@ -75,7 +75,7 @@
 	return nil
 }
 
-// finish makes a step of the draft, if what its records say of the backends is in order.
+// finish turns the draft into a step, if what its records say about the backends is valid.
 func (d *draft) finish(atNanos int64, signature Signature) (*Step, error) {
 	soa := d.next.soa()
 	if soa == nil {
@@ -96,7 +96,7 @@
 		AtNanos:    atNanos,
 		Signature:  signature,
 	}}
-	if d.base.servedPriority != d.next.servedPriority { // any backend may have entered the list, or left it
+	if d.base.servedPriority != d.next.servedPriority { // any backend may have entered or left the list
 		step.Updated, step.Removed = Diff(d.base, d.next)
 		return step, nil
 	}
--- a/internal/dnszone/draft.go
+++ b/internal/dnszone/draft.go
@@ -13,17 +13,17 @@
 	"github.com/miekg/dns"
 )
 
-// defaultSRVWeight is the weight of an ordinary backend. It also stands in for 0, which by RFC 2782 is no
+// defaultSRVWeight is the weight of an ordinary backend. It also replaces 0, which RFC 2782 defines as no
 // weight.
 const defaultSRVWeight = 100
 
-// draft is a zone with changes laid over it, until they are known to be in order.
+// draft is a zone with changes applied to it that are not yet known to be valid.
 type draft struct {
 	base            *Zone
 	next            *Zone
-	touchedNames    map[string]bool // owner names and targets whose backends are to be made anew
-	changedBackends map[string]bool // names of the backends made anew or removed
-	deleted         map[string]bool // records in master form, net
+	touchedNames    map[string]bool // owner names and targets whose backends must be rebuilt
+	changedBackends map[string]bool // names of the backends that were rebuilt or removed
+	deleted         map[string]bool // records in master file format, net of additions
 	added           map[string]bool
 }
 
@@ -42,7 +42,7 @@
 
 func (d *draft) nameInUse(name string) bool { return len(d.rrset(name, dns.TypeANY)) > 0 }
 
-// find returns the record that is the same but for its TTL, or nil.
+// find returns the existing record that differs at most in its TTL, or nil.
 func (d *draft) find(rr dns.RR) dns.RR {
 	existing, _ := d.next.records.Get(recordKey(rr))
 	return existing
@@ -76,10 +76,11 @@
 	}
 }
 
-// provenanceFunc says where a backend that the base does not have comes from; srv is its SRV record.
+// provenanceFunc returns the provenance of a backend that the base does not have. srv is the backend's SRV
+// record.
 type provenanceFunc func(name string, srv dns.RR) Provenance
 
-// withBackends returns the zone with its backends, made anew of all its records.
+// withBackends returns the zone with its backends rebuilt from all its records.
 func (z *Zone) withBackends(provenance provenanceFunc) (*Zone, error) {
 	d := z.newDraft()
 	for _, rr := range z.RRset(z.Service, dns.TypeSRV) {
@@ -91,7 +92,7 @@
 	return d.next, nil
 }
 
-// rebuildBackends makes the backends of the touched targets anew.
+// rebuildBackends rebuilds the backends of the touched targets.
 func (d *draft) rebuildBackends(provenance provenanceFunc) error {
 	maps.Copy(d.touchedNames, d.next.aliasedTargets)
 	targets := slices.Sorted(maps.Keys(d.touchedNames))
--- a/internal/dnszone/parse.go
+++ b/internal/dnszone/parse.go
@@ -12,10 +12,10 @@
 	"github.com/miekg/dns"
 )
 
-// defaultTTLSeconds holds for records of a master file without $TTL.
+// defaultTTLSeconds is the TTL of records in a master file without $TTL.
 const defaultTTLSeconds = 60
 
-// PositionError is an error in a master file, with the place of the record at fault.
+// PositionError is an error in a master file, with the position of the faulty record.
 type PositionError struct {
 	File string
 	Line int
@@ -24,10 +24,10 @@
 
 func (e *PositionError) Error() string { return fmt.Sprintf("%s:%d: %v", e.File, e.Line, e.Err) }
 
-// Unwrap returns the error without its place.
+// Unwrap returns the error without its position.
 func (e *PositionError) Unwrap() error { return e.Err }
 
-// positioned adds the file and line of a record to an error, as far as they are known.
+// positioned adds the file and line of a record to an error, if they are known.
 func (z *Zone) positioned(rr dns.RR, err error) error {
 	if line := z.lines[rr]; line > 0 {
 		return &PositionError{File: z.file, Line: line, Err: err}
@@ -35,7 +35,7 @@
 	return err
 }
 
-// lineCounter counts the lines that the parser, which reads single bytes, has consumed.
+// lineCounter counts the lines that the parser has consumed. The parser reads single bytes.
 type lineCounter struct {
 	*bytes.Reader
 	line int
@@ -50,7 +50,7 @@
 	return b, err
 }
 
-// Parse reads a master file. Errors have the form "name:line: what". The backends count as started long ago,
+// Parse parses a master file. Errors have the form "name:line: what". The backends count as started long ago,
 // unless their records state a start.
 func Parse(name string, text []byte, settings Settings) (*Zone, error) {
 	settings, err := settings.Canonical()
@@ -111,8 +111,8 @@
 	return nil
 }
 
-// syntaxError brings an error of the library's parser, "NAME: dns: WHAT at line: LINE:COLUMN", to this
-// package's form. lastLine stands in where the library names no line.
+// syntaxError converts an error of the library's parser, "NAME: dns: WHAT at line: LINE:COLUMN", to the form
+// of this package. lastLine is used if the library names no line.
 func syntaxError(name string, lastLine int, err error) error {
 	text := strings.TrimPrefix(strings.TrimPrefix(err.Error(), name+": "), "dns: ")
 	what, position, _ := strings.Cut(text, " at line: ")
--- a/internal/dnszone/prerequisites.go
+++ b/internal/dnszone/prerequisites.go
@@ -6,15 +6,15 @@
 	"github.com/miekg/dns"
 )
 
-// rrsetID names an RRset.
+// rrsetID identifies an RRset.
 type rrsetID struct {
 	name   string
 	rrtype uint16
 }
 
-// checkPrerequisites is RFC 2136, 3.2.
+// checkPrerequisites implements RFC 2136, 3.2.
 func (d *draft) checkPrerequisites(section []dns.RR) error {
-	wanted := map[rrsetID][]dns.RR{} // of the RRsets that must exist with these records and no others
+	wanted := map[rrsetID][]dns.RR{} // RRsets that must consist of exactly these records
 	for _, rr := range section {
 		if err := d.checkPrerequisite(rr); err != nil {
 			return err
@@ -38,8 +38,8 @@
 	return nil
 }
 
-// checkPrerequisite checks one record of the section: its form and, where it does not depend on data, its
-// condition.
+// checkPrerequisite checks one record of the section. It checks the record's form and, if that does not
+// depend on data, its condition.
 func (d *draft) checkPrerequisite(rr dns.RR) error {
 	header := rr.Header()
 	name := dns.CanonicalName(header.Name)
@@ -67,7 +67,7 @@
 	return nil
 }
 
-// checkNameInUse checks "name is in use" (class ANY) or "name is not in use" (class NONE).
+// checkNameInUse checks the prerequisite "name is in use" (class ANY) or "name is not in use" (class NONE).
 func (d *draft) checkNameInUse(name string, class uint16) error {
 	inUse := d.nameInUse(name)
 	switch {
--- a/internal/dnszone/records.go
+++ b/internal/dnszone/records.go
@@ -9,16 +9,16 @@
 	"github.com/miekg/dns"
 )
 
-// maxRecords bounds a zone: three records for each of a hundred thousand backends.
+// maxRecords bounds the size of a zone. It allows three records for each of a hundred thousand backends.
 const maxRecords = 300_000
 
-// supportedTypes are the record types that a zone here may hold; any other type in a file is an error.
+// supportedTypes lists the record types that a zone may hold here. Any other type in a file is an error.
 var supportedTypes = []uint16{
 	dns.TypeSOA, dns.TypeNS, dns.TypeSRV, dns.TypeA, dns.TypeAAAA, dns.TypeTXT, dns.TypeCNAME,
 }
 
-// recordKey orders and identifies a record: owner name, type and data, with the target first in SRV data. Of
-// records that differ in their TTL alone a zone holds one.
+// recordKey returns the key that orders and identifies a record: owner name, type and data, with the target
+// first in SRV data. Of records that differ only in their TTL, a zone holds one.
 func recordKey(rr dns.RR) string {
 	header := rr.Header()
 	data := strings.TrimPrefix(rr.String(), header.String())
@@ -28,12 +28,12 @@
 	return keyPrefix(header.Name, header.Rrtype) + data
 }
 
-// keyPrefix is what the keys of one RRset begin with.
+// keyPrefix returns the prefix of the keys of one RRset.
 func keyPrefix(name string, rrtype uint16) string {
 	return name + "\x00" + dns.Type(rrtype).String() + "\x00"
 }
 
-// canonicalize brings the names in a record to canonical form, in place.
+// canonicalize converts the names in a record to canonical form, in place.
 func canonicalize(rr dns.RR) dns.RR {
 	rr.Header().Name = dns.CanonicalName(rr.Header().Name)
 	switch data := rr.(type) {
@@ -47,7 +47,7 @@
 	return rr
 }
 
-// parseRecord reads one record in master form.
+// parseRecord parses one record in master file format.
 func parseRecord(text string) (dns.RR, error) {
 	rr, err := dns.NewRR(text)
 	if err != nil {
@@ -59,7 +59,7 @@
 	return canonicalize(rr), nil
 }
 
-// parseAllowedRecord reads one record in master form that the zone may hold.
+// parseAllowedRecord parses one record in master file format and checks that the zone may hold it.
 func (z *Zone) parseAllowedRecord(text string) (dns.RR, error) {
 	rr, err := parseRecord(text)
 	if err != nil {
@@ -68,7 +68,7 @@
 	return rr, z.checkRecord(rr)
 }
 
-// checkRecord returns an error where a record, by itself, has no place in the zone.
+// checkRecord returns an error if the record, considered by itself, does not belong in the zone.
 func (z *Zone) checkRecord(rr dns.RR) error {
 	header := rr.Header()
 	switch {
--- a/internal/dnszone/replay_guard.go
+++ b/internal/dnszone/replay_guard.go
@@ -2,23 +2,24 @@
 
 import "fmt"
 
-// FudgeSeconds is how far an updater's clock may be from this host's: what RFC 8945, 10 recommends.
+// FudgeSeconds is how far an updater's clock may differ from this host's. RFC 8945, 10 recommends this value.
 const FudgeSeconds = 300
 
 const nanosPerSecond = 1e9
 
-// ReplayGuard keeps updates from being applied twice and from coming faster than is allowed. The caller
-// passes the time. What it remembers is bounded by its rate times the time for which a signature is valid.
+// ReplayGuard prevents updates from being applied twice, and from arriving faster than is allowed. The caller
+// passes the time. The number of updates that it remembers is bounded by its rate times the time for which a
+// signature is valid.
 type ReplayGuard struct {
 	ratePerSecond   float64
-	tokens          float64 // how many updates may come at once: at most a second's worth
+	tokens          float64 // how many updates may come at once, at most a second's worth
 	refilledAtNanos int64
-	startedSeconds  int64 // what was signed before may have been applied by an earlier incarnation
+	startedSeconds  int64 // an earlier incarnation may have applied what was signed before
 	outcomes        map[string]Outcome
 	expiries        []expiry // in order of recording
 }
 
-// expiry is when the signature with a MAC is no longer valid by its time alone.
+// expiry states when the signature with a given MAC becomes invalid because of its time alone.
 type expiry struct {
 	mac          string
 	untilSeconds int64
@@ -30,7 +31,8 @@
 	Rcode  int
 }
 
-// NewReplayGuard returns a guard that accepts ratePerSecond updates, signed after its start.
+// NewReplayGuard returns a guard that accepts ratePerSecond updates per second, if they are signed after its
+// start.
 func NewReplayGuard(ratePerSecond float64, nowNanos int64) *ReplayGuard {
 	return &ReplayGuard{
 		ratePerSecond:   ratePerSecond,
@@ -41,15 +43,15 @@
 	}
 }
 
-// Verdict is what Check decides about a message.
+// Verdict is the decision of Check about a message.
 type Verdict uint8
 
 // The verdicts.
 const (
 	VerdictAccept      Verdict = iota // a new update
-	VerdictRepeat                     // the same sender asks again, and gets the recorded outcome
-	VerdictReplay                     // seen before, or signed too long ago or ahead
-	VerdictRateLimited                // more than the rate allows
+	VerdictRepeat                     // repeated by the same sender, which gets the recorded outcome
+	VerdictReplay                     // seen before, or signed too long ago or too far ahead
+	VerdictRateLimited                // more updates than the rate allows
 )
 
 // String returns the verdict's name.
@@ -67,8 +69,8 @@
 	return fmt.Sprintf("Verdict(%d)", uint8(v))
 }
 
-// Check decides about a message whose signature is valid. The outcome is that of the message recorded before,
-// if any.
+// Check decides about a message whose signature is valid. The returned outcome is the one recorded for the
+// same message before, if any.
 func (g *ReplayGuard) Check(signature Signature, sender string, nowNanos int64) (Verdict, Outcome) {
 	nowSeconds := nowNanos / nanosPerSecond
 	g.forgetExpired(nowSeconds)
@@ -90,7 +92,7 @@
 	return VerdictAccept, Outcome{}
 }
 
-// refill adds the tokens of the time since the last refill.
+// refill adds the tokens for the time since the last refill.
 func (g *ReplayGuard) refill(nowNanos int64) {
 	elapsedSeconds := float64(max(nowNanos-g.refilledAtNanos, 0)) / nanosPerSecond
 	g.tokens = min(g.tokens+elapsedSeconds*g.ratePerSecond, max(g.ratePerSecond, 1))
@@ -106,7 +108,7 @@
 	g.outcomes[signature.MAC] = outcome
 }
 
-// forgetExpired drops what is refused by its time alone.
+// forgetExpired drops the updates that are now refused because of their time alone.
 func (g *ReplayGuard) forgetExpired(nowSeconds int64) {
 	n := 0
 	for n < len(g.expiries) && g.expiries[n].untilSeconds < nowSeconds {
--- a/internal/dnszone/snapshot.go
+++ b/internal/dnszone/snapshot.go
@@ -8,7 +8,7 @@
 
 // Snapshot is the stored form of a zone.
 type Snapshot struct {
-	Records    []string              `json:"records"` // in master form, the SOA first
+	Records    []string              `json:"records"` // in master file format, the SOA first
 	Provenance map[string]Provenance `json:"born"`    // of the backends, by name
 }
 
@@ -25,8 +25,8 @@
 	return snapshot
 }
 
-// Restore makes a zone of a snapshot, which it checks as Parse checks a file. A service without backends is
-// no error here: updates may have removed the last one.
+// Restore builds a zone from a snapshot, which it checks as Parse checks a file. A service without backends
+// is not an error here, because updates may have removed the last one.
 func Restore(snapshot Snapshot, settings Settings) (*Zone, error) {
 	settings, err := settings.Canonical()
 	if err != nil {
--- a/internal/dnszone/target.go
+++ b/internal/dnszone/target.go
@@ -12,31 +12,31 @@
 )
 
 const (
-	// maxAliases is how many CNAMEs are followed from a target to its addresses. A loop is longer than any
-	// number.
+	// maxAliases is how many CNAMEs are followed from a target to its addresses. A loop exceeds any limit.
 	maxAliases = 8
-	// attributeMark begins the TXT records that describe a backend; others at its name are left alone.
+	// attributeMark begins the TXT records that describe a backend. Other TXT records at the backend's name are
+	// ignored.
 	attributeMark = "fawnplank"
-	// maxZoneNameBytes is the longest label of a DNS name, and of a zone attribute.
+	// maxZoneNameBytes is the maximum length of a label in a DNS name, and of a zone attribute.
 	maxZoneNameBytes = 63
-	// maxStartMillis bounds a stated start: some year 2109.
+	// maxStartMillis bounds a stated start, to some time in the year 2109.
 	maxStartMillis = 1 << 42
-	// minSize and maxSize bound a size attribute, relative to an ordinary backend.
+	// minSize and maxSize bound a size attribute, which is relative to an ordinary backend.
 	minSize, maxSize = 0.01, 100
 )
 
-// target is what the records say at an SRV record's target.
+// target holds what the records say at the target of an SRV record.
 type target struct {
 	addresses  []netip.Addr
 	zone       string
 	group      uint16
 	draining   bool
-	size       float64 // 0: not stated
-	startNanos int64   // 0: not stated
+	size       float64 // 0 if not stated
+	startNanos int64   // 0 if not stated
 }
 
-// readTarget reads what stands at a target. Attributes stand at the target's own name; addresses may stand
-// behind aliases.
+// readTarget reads the records of a target. Attributes are at the target's own name; addresses may be behind
+// aliases.
 func (d *draft) readTarget(name string) (*target, error) {
 	owner, err := d.resolveAliases(name)
 	if err != nil {
@@ -49,7 +49,7 @@
 	if err := d.readAttributes(name, host); err != nil {
 		return nil, err
 	}
-	if owner != name { // a change there does not touch the target, which every update therefore reads again
+	if owner != name { // changes there do not touch the target, so every update reads it again
 		if d.next.aliasedTargets == nil {
 			d.next.aliasedTargets = map[string]bool{}
 		}
@@ -58,7 +58,7 @@
 	return host, nil
 }
 
-// resolveAliases follows CNAME records from a name to the last one.
+// resolveAliases follows CNAME records from a name and returns the last name.
 func (d *draft) resolveAliases(name string) (string, error) {
 	owner := name
 	for n := 0; ; n++ {
@@ -74,8 +74,8 @@
 	}
 }
 
-// readAddresses returns the addresses of a target, which stand at owner, in an order that is the same at
-// every gateway.
+// readAddresses returns the addresses of a target, which are at owner, in an order that is the same at every
+// gateway.
 func (d *draft) readAddresses(name, owner string) (addresses []netip.Addr, err error) {
 	for _, rr := range d.next.RRset(owner, dns.TypeAAAA) {
 		if address, ok := netip.AddrFromSlice(rr.(*dns.AAAA).AAAA); ok {
@@ -99,7 +99,7 @@
 	return addresses, nil
 }
 
-// readAttributes reads the TXT record at a target that bears the mark.
+// readAttributes reads the TXT record at a target that begins with the mark.
 func (d *draft) readAttributes(name string, host *target) error {
 	found := false
 	for _, rr := range d.next.RRset(name, dns.TypeTXT) {
@@ -119,7 +119,7 @@
 	return nil
 }
 
-// parseAttributes reads words of the form key=value, each key once.
+// parseAttributes parses words of the form key=value. Each key may appear only once.
 func (t *target) parseAttributes(words []string) error {
 	seen := map[string]bool{}
 	for _, word := range words {
@@ -135,7 +135,7 @@
 	return nil
 }
 
-// setAttribute sets one of zone=NAME, group=0..65535, status=up|draining, size=0.01..100,
+// setAttribute sets one attribute: zone=NAME, group=0..65535, status=up|draining, size=0.01..100 or
 // since=UNIX-MILLISECONDS.
 func (t *target) setAttribute(key, value string) (err error) {
 	switch key {
@@ -168,7 +168,7 @@
 	if err != nil {
 		return 0, err
 	}
-	if !(size >= minSize && size <= maxSize) { // NaN is neither
+	if !(size >= minSize && size <= maxSize) { // written so that NaN is rejected too
 		return 0, errors.New("not from 0.01 to 100")
 	}
 	return size, nil
--- a/internal/dnszone/update.go
+++ b/internal/dnszone/update.go
@@ -8,7 +8,7 @@
 	"github.com/miekg/dns"
 )
 
-// UpdateError is why an update is refused, with the RCODE of the answer.
+// UpdateError is the reason for refusing an update, with the RCODE of the answer.
 type UpdateError struct {
 	Rcode  int
 	Reason string
@@ -20,9 +20,9 @@
 	return &UpdateError{Rcode: rcode, Reason: fmt.Sprintf(format, args...)}
 }
 
-// Update applies an update message as it came off the wire (RFC 2136, 3.1 to 3.4); checking its signature is
-// the caller's part. It returns the step to a new zone, or an *UpdateError. The serial rises by one where the
-// update does not set it.
+// Update applies an update message as received from the wire (RFC 2136, 3.1 to 3.4). The caller must have
+// checked its signature. Update returns the step to a new zone, or an *UpdateError. If the update does not
+// set the serial, the serial increases by one.
 func (z *Zone) Update(message *dns.Msg, atNanos int64, signature Signature) (*Step, error) {
 	if err := z.checkZoneSection(message.Question); err != nil {
 		return nil, err
@@ -52,7 +52,7 @@
 	return step, nil
 }
 
-// checkZoneSection is RFC 2136, 3.1.
+// checkZoneSection implements RFC 2136, 3.1.
 func (z *Zone) checkZoneSection(section []dns.Question) error {
 	if len(section) != 1 || section[0].Qtype != dns.TypeSOA || section[0].Qclass != dns.ClassINET {
 		return refuse(dns.RcodeFormatError, "the zone section is not one SOA of class IN")
@@ -63,7 +63,7 @@
 	return nil
 }
 
-// raiseSerial raises the serial by one where the update did not set it.
+// raiseSerial increases the serial by one if the update did not set it.
 func (d *draft) raiseSerial() {
 	old := d.rrset(d.base.Origin, dns.TypeSOA)[0].(*dns.SOA)
 	if old.Serial != d.base.Serial() {
@@ -84,8 +84,8 @@
 	return false
 }
 
-// prescan is RFC 2136, 3.4.1.3: it refuses what is no update at all and, beyond it, what has no place in this
-// zone.
+// prescan implements RFC 2136, 3.4.1.3. It refuses malformed update records and, in addition to the RFC,
+// records that do not belong in this zone.
 func (d *draft) prescan(rr dns.RR) error {
 	header := rr.Header()
 	name := dns.CanonicalName(header.Name)
@@ -117,7 +117,7 @@
 	return nil
 }
 
-// applyUpdateRecord is RFC 2136, 3.4.2, for one record of the update section.
+// applyUpdateRecord implements RFC 2136, 3.4.2, for one record of the update section.
 func (d *draft) applyUpdateRecord(rr dns.RR) error {
 	rr = canonicalize(dns.Copy(rr))
 	switch rr.Header().Class {
@@ -139,7 +139,8 @@
 	return nil
 }
 
-// deleteRRsets deletes an RRset, or with type ANY all of a name. The apex keeps its SOA and NS records.
+// deleteRRsets deletes an RRset or, with type ANY, all RRsets of a name. The apex keeps its SOA and NS
+// records.
 func (d *draft) deleteRRsets(header *dns.RR_Header) {
 	isApex := header.Name == d.base.Origin
 	for _, rrtype := range supportedTypes {
@@ -155,7 +156,8 @@
 	}
 }
 
-// deleteRecord deletes one record from an RRset, but no SOA and not the apex's last NS record.
+// deleteRecord deletes one record from an RRset. It does not delete an SOA, or the last NS record of the
+// apex.
 func (d *draft) deleteRecord(rr dns.RR) {
 	header := rr.Header()
 	header.Class = dns.ClassINET
@@ -170,8 +172,7 @@
 	d.remove(existing)
 }
 
-// replaceSOA puts a newer SOA in the place of the present one. One that is not newer is passed over
-// (3.4.2.2).
+// replaceSOA replaces the current SOA with a newer one. An SOA that is not newer is ignored (3.4.2.2).
 func (d *draft) replaceSOA(soa *dns.SOA) {
 	old := d.rrset(soa.Hdr.Name, dns.TypeSOA)[0].(*dns.SOA)
 	if SerialNewer(soa.Serial, old.Serial) {
@@ -180,8 +181,8 @@
 	}
 }
 
-// addRecord adds a record, or replaces the one that differs in its TTL alone. An alias stands alone at its
-// name, and nothing is added beside one: such a record is passed over (3.4.2.2).
+// addRecord adds a record, or replaces the record that differs only in its TTL. An alias must be the only
+// record at its name, so a record that would break this rule is ignored (3.4.2.2).
 func (d *draft) addRecord(rr dns.RR) {
 	header := rr.Header()
 	aliases := d.rrset(header.Name, dns.TypeCNAME)
--- a/internal/dnszone/zone.go
+++ b/internal/dnszone/zone.go
@@ -1,12 +1,13 @@
-// Package dnszone holds a DNS zone and what its records say of the backends: master files (RFC 1035) or
-// records go in, a list of backends comes out, and a dynamic update (RFC 2136) makes a new zone of an old
-// one, whole or not at all.
+// Package dnszone holds a DNS zone and what its records say about the backends. Master files (RFC 1035) or
+// records go in, and a list of backends comes out. A dynamic update (RFC 2136) makes a new zone from an old
+// one, completely or not at all.
 //
-// The package is pure: it reads no clock, no file and no socket, and its results depend on the arguments
-// alone, so that the same changes give the same zone on every replica. docs/dns.md is the operators' page.
+// The package is pure: it reads no clock, no file and no socket, and its results depend only on the
+// arguments, so that the same changes give the same zone on every replica. docs/dns.md is the operators'
+// page.
 //
 // A Zone is immutable once a function of this package has returned it, and safe for concurrent use. A
-// ReplayGuard is not: its owner serializes the calls.
+// ReplayGuard is not safe for concurrent use: its owner serializes the calls.
 package dnszone
 
 import (
@@ -18,13 +19,13 @@
 	"github.com/tidwall/btree"
 )
 
-// Settings name a zone and where the backends stand in it. Names are fully qualified.
+// Settings names a zone, and the service in it that lists the backends. Names are fully qualified.
 type Settings struct {
-	Origin  string // of the zone
+	Origin  string // name of the zone
 	Service string // owner name of the SRV records
 }
 
-// Canonical returns the settings with both names in canonical form, or an error where one is not usable.
+// Canonical returns the settings with both names in canonical form, or an error if one of them is not usable.
 func (s Settings) Canonical() (Settings, error) {
 	for _, name := range []string{s.Origin, s.Service} {
 		if _, ok := dns.IsDomainName(name); !ok || name == "" || name == "." {
@@ -39,21 +40,22 @@
 	return s, nil
 }
 
-// Zone is one version of a zone. It is never changed: an update makes a new one, which shares with it all
-// that stayed the same, so that an update costs what it touches and not what the zone holds.
+// Zone is one version of a zone. It never changes: an update makes a new zone, which shares with the old one
+// everything that stayed the same. The cost of an update therefore depends on what it touches, not on what
+// the zone holds.
 type Zone struct {
 	Settings
 	records          btree.Map[string, dns.RR]  // by recordKey
-	backends         btree.Map[string, Backend] // of all SRV records, by name, standby priorities included
+	backends         btree.Map[string, Backend] // of all SRV records, by name, including standby priorities
 	backendByAddress btree.Map[string, string]  // name of the backend at an address
-	aliasedTargets   map[string]bool            // SRV targets whose addresses stand behind a CNAME
+	aliasedTargets   map[string]bool            // SRV targets whose addresses are behind a CNAME
 	priorities       map[uint16]priorityCount
 	servedPriority   uint16
-	file             string         // name of the master file, of a zone just parsed
+	file             string         // name of the master file, set only in a zone just parsed
 	lines            map[dns.RR]int // of the records in that file
 }
 
-// soa returns the SOA record, or nil where the zone does not have exactly one.
+// soa returns the SOA record, or nil if the zone does not have exactly one.
 func (z *Zone) soa() *dns.SOA {
 	if rrset := z.RRset(z.Origin, dns.TypeSOA); len(rrset) == 1 {
 		return rrset[0].(*dns.SOA)
@@ -64,8 +66,8 @@
 // Serial returns the zone's serial.
 func (z *Zone) Serial() uint32 { return z.soa().Serial }
 
-// RRset returns the records of a name and type; with type ANY, all of the name's. The caller must not change
-// them.
+// RRset returns the records of a name and type or, with type ANY, all records of the name. The caller must
+// not modify them.
 func (z *Zone) RRset(name string, rrtype uint16) (rrs []dns.RR) {
 	prefix := keyPrefix(dns.CanonicalName(name), rrtype)
 	if rrtype == dns.TypeANY {
@@ -97,8 +99,8 @@
 	return all
 }
 
-// HasDescendants reports whether any record stands below a name: the name exists then, without records of its
-// own.
+// HasDescendants reports whether any record is at or below a name. If so, the name exists even without
+// records of its own.
 func (z *Zone) HasDescendants(name string) bool {
 	found := false
 	z.records.Scan(func(key string, _ dns.RR) bool {
@@ -109,8 +111,8 @@
 	return found
 }
 
-// Replacing returns a zone just parsed as the one that takes the place of old, at atNanos. Backends that old
-// has keep their start; the others are new, and warm up, since then.
+// Replacing returns a newly parsed zone as the one that replaces old at atNanos. Backends that old also has
+// keep their start; the others are new since atNanos, and warm up from then on.
 func (z *Zone) Replacing(old *Zone, atNanos int64) *Zone {
 	next := z.clone()
 	z.backends.Scan(func(name string, backend Backend) bool {
@@ -124,8 +126,8 @@
 	return next
 }
 
-// clone copies a zone to make the next one of. The trees are copied on write, so it costs little whatever
-// they hold.
+// clone copies a zone as the basis for the next one. The trees are copied on write, so the cost is small
+// whatever they hold.
 func (z *Zone) clone() *Zone {
 	return &Zone{
 		Settings:         z.Settings,
