--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -1,6 +1,6 @@
-// Package admin serves the management address: HTTP/1.1, one call a connection, each answered well within a
-// second. It owns the listener and the timeouts that keep slow callers from holding anything; what a call
-// does is the Gateway's. It decides nothing about requests.
+// Package admin serves the management address: HTTP/1.1, one call per connection, each answered well within a
+// second. It owns the listener, and the timeouts that prevent slow callers from holding anything. The Gateway
+// defines what a call does. The package decides nothing about requests.
 //
 // The Gateway is called from many goroutines at once. The methods of Server are safe for concurrent use.
 package admin
@@ -20,7 +20,7 @@
 	"fawnplank/internal/logging"
 )
 
-// Gateway is what the calls act on.
+// Gateway is the object on which the calls act.
 type Gateway interface {
 	// Ready reports whether the gateway serves clients.
 	Ready() bool
@@ -33,31 +33,31 @@
 }
 
 const (
-	// readHeaderTimeout bounds how long a caller takes for its head, and readTimeout all of its call: the
-	// answer is due within 1 s, and callers that send nothing or half a call are cut off long before they add
-	// up.
+	// readHeaderTimeout bounds how long a caller may take to send its head, and readTimeout bounds its whole
+	// call. The answer is due within 1 s, and callers that send nothing or half a call are cut off long before
+	// they accumulate.
 	readHeaderTimeout = 300 * time.Millisecond
 	readTimeout       = 500 * time.Millisecond
-	// writeTimeout bounds writing an answer: what is left of the second.
+	// writeTimeout bounds writing an answer. It is what remains of the second.
 	writeTimeout = 400 * time.Millisecond
-	// maxCalls is how many calls are open at once; a further one waits at most readHeaderTimeout for a place.
-	// It is far more than the operators' callers.
+	// maxCalls is how many calls may be open at once. A further call waits at most readHeaderTimeout for a
+	// place. The limit is far above the number of the operators' callers.
 	maxCalls = 32
-	// callShare is the part of the descriptors that calls use at most: one in so many.
+	// callShare is the divisor of the descriptors that calls may use at most.
 	callShare = 8
-	// maxHeaderBytes is ample for the calls' heads, which carry nothing that is read.
+	// maxHeaderBytes is ample for the heads of calls, which carry nothing that is read.
 	maxHeaderBytes = 8 << 10
 )
 
-// ConnectionLimit returns how many calls may be open at once under a limit of descriptors. The owner of the
-// descriptors sets so many aside.
+// ConnectionLimit returns how many calls may be open at once if the process may open maxSockets descriptors.
+// The owner of the descriptors reserves this number.
 func ConnectionLimit(maxSockets int) int { return min(maxCalls, maxSockets/callShare) }
 
-// Options are what a Server needs; all of them are required.
+// Options configures a Server. All fields are required.
 type Options struct {
 	Address  string // host and port to listen on
 	Gateway  Gateway
-	MaxCalls int // open at once, see ConnectionLimit
+	MaxCalls int // open at once; see ConnectionLimit
 }
 
 // Server serves the management address.
@@ -66,7 +66,7 @@
 	listener net.Listener
 }
 
-// New listens on the address; Serve answers the calls. The context bounds the start alone.
+// New listens on the address; Serve answers the calls. The context bounds only the start.
 func New(ctx context.Context, o Options) (*Server, error) {
 	var config net.ListenConfig
 	listener, err := config.Listen(ctx, "tcp4", o.Address)
@@ -83,7 +83,7 @@
 		ErrorLog:          log.New(logging.For("admin").WriterLevel(logrus.DebugLevel), "", 0),
 	}
 	server.SetKeepAlivesEnabled(false)
-	// The wrapped connections hide net.TCPConn's ReadFrom, by which net/http could splice or send a file.
+	// The wrapped connections hide net.TCPConn's ReadFrom, with which net/http could splice or send a file.
 	return &Server{server: server, listener: netutil.LimitListener(listener, o.MaxCalls)}, nil
 }
 
@@ -128,5 +128,5 @@
 
 // Close closes the listener and all connections at once.
 func (s *Server) Close() {
-	_ = s.server.Close() // nothing is left to do for a listener that does not close
+	_ = s.server.Close() // nothing can be done about a listener that does not close
 }
--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -1,10 +1,10 @@
-// Package logging sets up the program's one log: logrus, an entry a line on standard error, as text or as
-// JSON. A message is a short constant phrase; what it is about stands in fields of fixed names, which
-// docs/runbook.md lists. Every entry names its component. Nothing is logged at info or above for each
-// request.
+// Package logging sets up the program's only log. It uses logrus and writes one line per entry to standard
+// error, as text or as JSON. A message is a short constant phrase. What it is about is in fields with fixed
+// names, which docs/runbook.md lists. Every entry names its component. Nothing is logged at info or above for
+// each request.
 //
-// Setup changes the process-wide log and is called before the goroutines that log are started. All else is
-// safe for concurrent use.
+// Setup changes the process-wide log and is called before the goroutines that log are started. Everything
+// else is safe for concurrent use.
 package logging
 
 import (
@@ -17,7 +17,8 @@
 	"github.com/sirupsen/logrus"
 )
 
-// Keys of the fields of an entry, the same in every package. Operators filter by them, so the texts stay.
+// Keys of the fields of an entry, which are the same in every package. Operators filter by them, so their
+// texts must not change.
 const (
 	Component = "component" // the part of the program that writes the entry
 	Instance  = "door"      // the name of the instance
@@ -29,27 +30,27 @@
 	Stack     = "stack" // of the goroutine that panicked
 )
 
-// Keys that the JSON form gives to an entry's time and message.
+// Keys of an entry's time and message in the JSON form.
 const (
 	timeKey    = "time"
 	messageKey = "event"
 )
 
-// The forms of an entry.
+// The formats of an entry.
 const (
 	formatText = "text"
 	formatJSON = "json"
 )
 
-// Options say how the log is written.
+// Options configures how the log is written.
 type Options struct {
-	Output   io.Writer // nil: standard error
-	Level    string    // the least level that is written: error, warning, info or debug; required
+	Output   io.Writer // if nil, standard error
+	Level    string    // the lowest level that is written: error, warning, info or debug; required
 	Format   string    // text or json; required
-	Instance string    // the name that every entry carries; empty: none
+	Instance string    // the name that every entry carries; if empty, none
 }
 
-// Setup sets the process-wide log. On an error the log stays as it was.
+// Setup configures the process-wide log. If it returns an error, the log is unchanged.
 func Setup(o Options) error {
 	level, err := logrus.ParseLevel(o.Level)
 	if err != nil {
@@ -92,7 +93,7 @@
 	instance string
 }
 
-// Format formats a copy of the entry: the entry itself may be shared between goroutines.
+// Format formats a copy of the entry, because the entry itself may be shared between goroutines.
 func (f instanceFormatter) Format(entry *logrus.Entry) ([]byte, error) {
 	if f.instance == "" {
 		return f.Formatter.Format(entry)
@@ -107,7 +108,7 @@
 // For returns the log of a component.
 func For(component string) *logrus.Entry { return logrus.WithField(Component, component) }
 
-// Panicked logs a panic that was recovered, with the stack of its goroutine.
+// Panicked logs a recovered panic with the stack of its goroutine.
 func Panicked(component string, reason any, stack []byte) {
 	For(component).WithFields(logrus.Fields{Error: fmt.Sprint(reason), Stack: string(stack)}).Error("panic")
 }
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -1,10 +1,10 @@
-// Package metrics keeps the metrics that the management address shows, in Prometheus' text form. Each is
-// counted where its event happens, from 0 in each process; the package owns nothing but the counts and
-// decides nothing.
+// Package metrics keeps the metrics that the management address shows, in Prometheus' text format. Each is
+// counted where its event happens, and starts at 0 in each process. The package owns only the counts and
+// makes no decisions.
 //
-// All methods are safe for concurrent use, and those of a nil Registry, Write apart, do nothing: parts that
-// run without metrics, in tests above all, need no registry. Names and help texts are what operators'
-// dashboards go by: they stay as they are.
+// All methods are safe for concurrent use. Except for Write, the methods of a nil Registry do nothing, so
+// parts that run without metrics, especially in tests, need no registry. Operators' dashboards depend on
+// names and help texts, which therefore stay as they are.
 package metrics
 
 import (
@@ -19,19 +19,19 @@
 	"fawnplank/policy"
 )
 
-// Outcome is how a request was answered.
+// Outcome is the way in which a request was answered.
 type Outcome uint8
 
 // The outcomes of a request.
 const (
 	Success  Outcome = iota // answered by a backend
 	Overload                // rejected
-	Error                   // failed, or refused for its head
+	Error                   // failed, or refused because of its head
 
-	outcomes // how many there are
+	outcomes // the number of outcomes
 )
 
-// String returns the outcome's name, that of its metric.
+// String returns the name of the outcome, which is also the name of its metric.
 func (o Outcome) String() string {
 	switch o {
 	case Success:
@@ -61,10 +61,10 @@
 	disabledEndpoints prometheus.Gauge
 	configsReloaded   prometheus.Counter
 	configsRejected   prometheus.Counter
-	classes           atomic.Pointer[[]string] // their names, by id
+	classes           atomic.Pointer[[]string] // names of the classes, by id
 }
 
-// New returns a registry for the classes named, by id.
+// New returns a registry for classes with the given names, by id.
 func New(classes []string) *Registry {
 	r := &Registry{
 		registry: prometheus.NewRegistry(),
@@ -105,13 +105,13 @@
 // classCounters returns the counters that have a row for each class.
 func (r *Registry) classCounters() []*prometheus.CounterVec { return append(r.requests[:], r.attempts) }
 
-// Gauge is a metric whose value is read whenever it is shown. Value is called from many goroutines at once.
+// Gauge is a metric whose value is read each time it is shown. Value is called from many goroutines at once.
 type Gauge struct {
 	Help  string
 	Value func() float64
 }
 
-// AddGauges adds gauges by name. A name that is there already is a fault of the program, which panics.
+// AddGauges adds gauges by name. A name that already exists is a bug in the program and causes a panic.
 func (r *Registry) AddGauges(gauges map[string]Gauge) {
 	if r == nil {
 		return
@@ -122,8 +122,9 @@
 	}
 }
 
-// SetClasses names the classes anew, by id, after a reload; what was counted for classes dropped stays
-// readable. An empty name keeps the one it had: requests in flight of a dropped class count under it.
+// SetClasses replaces the names of the classes, by id, after a reload. The counts of dropped classes stay
+// readable. An empty name keeps the previous name of its id, under which the requests in flight of a dropped
+// class are counted.
 func (r *Registry) SetClasses(names []string) {
 	if r == nil {
 		return
@@ -134,7 +135,7 @@
 			names[id] = cmp.Or(names[id], (*old)[id])
 		}
 	}
-	for _, name := range names { // each is shown from 0 on
+	for _, name := range names { // each class is shown from 0 on
 		for _, counter := range r.classCounters() {
 			counter.WithLabelValues(name)
 		}
@@ -149,15 +150,15 @@
 	return unknownClass
 }
 
-// RequestReceived counts a request that was read whole, as one in flight.
+// RequestReceived counts a completely read request as one in flight.
 func (r *Registry) RequestReceived() {
 	if r != nil {
 		r.requestsInFlight.Inc()
 	}
 }
 
-// RequestEnded counts a request's answer under the class that it came with. A request whose client has gone
-// has none.
+// RequestEnded counts a request's answer under the class that the request came with. A request whose client
+// has gone has no answer to count.
 func (r *Registry) RequestEnded(class policy.ClassID, outcome Outcome) {
 	if r != nil {
 		r.requests[outcome].WithLabelValues(r.className(class)).Inc()
@@ -171,7 +172,7 @@
 	}
 }
 
-// RequestRefused counts a request refused for its head, where its class could be read.
+// RequestRefused counts a request that was refused because of its head, if its class could be read.
 func (r *Registry) RequestRefused(class string) {
 	if r != nil {
 		r.requests[Error].WithLabelValues(class).Inc()
@@ -185,7 +186,7 @@
 	}
 }
 
-// SetEndpoints sets how many backends the endpoint list holds, and how many of them get no new attempts.
+// SetEndpoints sets how many backends the endpoint list holds, and how many of them receive no new attempts.
 func (r *Registry) SetEndpoints(listed, disabled int) {
 	if r != nil {
 		r.endpoints.Set(float64(listed))
@@ -200,14 +201,14 @@
 	}
 }
 
-// ConfigRejected counts a configuration that was found faulty at a SIGHUP, and changed nothing.
+// ConfigRejected counts a configuration that was found faulty at a SIGHUP and therefore changed nothing.
 func (r *Registry) ConfigRejected() {
 	if r != nil {
 		r.configsRejected.Inc()
 	}
 }
 
-// Write writes all metrics in Prometheus' text form.
+// Write writes all metrics in Prometheus' text format.
 func (r *Registry) Write(w io.Writer) error {
 	families, err := r.registry.Gather()
 	if err != nil {
--- a/internal/tomlfile/tomlfile.go
+++ b/internal/tomlfile/tomlfile.go
@@ -1,7 +1,8 @@
-// Package tomlfile reads TOML texts (toml.io, version 1.0) strictly into Go values and keeps the line of each
-// key, so that every error names the file, the line and the key. It owns no settings and gives no defaults.
+// Package tomlfile decodes TOML texts (toml.io, version 1.0) strictly into Go values. It records the line of
+// each key, so that every error names the file, the line and the key. It owns no settings and sets no
+// defaults.
 //
-// Read is safe for concurrent use, and a File never changes once it is read.
+// Read is safe for concurrent use, and a File never changes after it has been read.
 package tomlfile
 
 import (
@@ -14,14 +15,14 @@
 	"github.com/pelletier/go-toml/v2/unstable"
 )
 
-// PositionError is an error at a place of a text: one of its form, or a KeyError.
+// PositionError is an error at a position in a text. It concerns the form of the text, or wraps a KeyError.
 type PositionError struct {
 	File string
-	Line int // from 1 on; 0: none is known
+	Line int // counted from 1; 0 if no line is known
 	Err  error
 }
 
-// Error returns "file:line: what", or "file: what" where no line is known.
+// Error returns "file:line: what", or "file: what" if no line is known.
 func (e *PositionError) Error() string {
 	if e.Line == 0 {
 		return fmt.Sprintf("%s: %v", e.File, e.Err)
@@ -29,27 +30,27 @@
 	return fmt.Sprintf("%s:%d: %v", e.File, e.Line, e.Err)
 }
 
-// Unwrap returns the error without its place.
+// Unwrap returns the error without its position.
 func (e *PositionError) Unwrap() error { return e.Err }
 
-// KeyError is a fault of a key's value.
+// KeyError is a fault in the value of a key.
 type KeyError struct {
-	Key     string // with its path: limits.key[0].name
+	Key     string // with its path, as in limits.key[0].name
 	Problem string // completes a sentence that begins with the key: "is not from 1 to 10"
 }
 
 // Error returns the key and its problem.
 func (e *KeyError) Error() string { return e.Key + " " + e.Problem }
 
-// File is a text that was read whole, with the lines of its keys.
+// File is a completely read text, with the lines of its keys.
 type File struct {
 	name  string
 	lines map[string]int // from 1 on, by full path: "load.rate", "profile[1].effect"
 }
 
-// Read reads the text strictly into the value that into points to: an unknown key, one that stands twice, a
-// value of the wrong type and a text cut short are errors. The name stands for the text in messages. Errors
-// are of type *PositionError.
+// Read decodes the text strictly into the value that into points to. An unknown key, a key that appears
+// twice, a value of the wrong type and a truncated text are errors. Messages refer to the text by name.
+// Errors are of type *PositionError.
 func Read(name string, text []byte, into any) (*File, error) {
 	f := &File{name: name, lines: map[string]int{}}
 	if err := f.index(text); err != nil {
@@ -62,7 +63,7 @@
 	return f, nil
 }
 
-// decodeError puts the decoder's error into the form of this package.
+// decodeError converts an error of the decoder to the form of this package.
 func (f *File) decodeError(err error) error {
 	var missing *toml.StrictMissingError
 	if errors.As(err, &missing) && len(missing.Errors) > 0 {
@@ -86,12 +87,12 @@
 	return &PositionError{File: f.name, Line: line, Err: err}
 }
 
-// index notes the line of each key. It refuses what the decoder lets pass: a key that stands twice within a
-// table of an array.
+// index records the line of each key. It rejects what the decoder lets pass: a key that appears twice within
+// a table of an array.
 func (f *File) index(text []byte) error {
 	var parser unstable.Parser
 	parser.Reset(text)
-	prefix := "" // of the table that the next keys stand in
+	prefix := "" // of the table that contains the next keys
 	rows := map[string]int{}
 	for parser.NextExpression() {
 		expression := parser.Expression()
@@ -129,8 +130,8 @@
 	return strings.Join(names, "."), line
 }
 
-// parseError puts the parser's error into the form of this package. One without a place is that of a text cut
-// short.
+// parseError converts an error of the parser to the form of this package. An error without a position comes
+// from a truncated text.
 func (f *File) parseError(parser *unstable.Parser, text []byte, err error) error {
 	line := bytes.Count(text, []byte("\n")) + 1
 	var at *unstable.ParserError
@@ -140,11 +141,11 @@
 	return f.errorAt(line, errors.New(strings.TrimPrefix(err.Error(), "toml: ")))
 }
 
-// Has reports whether the key stands in the text.
+// Has reports whether the text contains the key.
 func (f *File) Has(key string) bool { return f.lines[key] > 0 }
 
-// KeyErrorf returns an error about a key, a *KeyError within a *PositionError: with the key's line, or that
-// of the nearest table around it. The format says the problem.
+// KeyErrorf returns an error about a key: a *KeyError within a *PositionError, with the line of the key or of
+// the nearest table around it. The format and its arguments state the problem.
 func (f *File) KeyErrorf(key, format string, args ...any) error {
 	at := key
 	for f.lines[at] == 0 {
--- a/internal/warmstart/warmstart.go
+++ b/internal/warmstart/warmstart.go
@@ -1,9 +1,10 @@
-// Package warmstart keeps what an instance measured of the backends in a file over a restart, where a folder
-// lasts. The file is versioned and checksummed, written beside its place and renamed there whole, and read
-// whole or not at all. What the state is worth after a time is for the decisions to say.
+// Package warmstart preserves an instance's measurements of the backends in a file across a restart, if the
+// folder survives it. The file has a version and a checksum. It is written in full under another name in the
+// same folder and then renamed into place, and it is read completely or not at all. The decisions determine
+// what the state is worth after a time.
 //
-// Save and Load may be called by several processes at once: a reader gets one whole state, that of the last
-// writer.
+// Save and Load may be called by several processes at once: a reader gets one complete state, that of the
+// last writer.
 package warmstart
 
 import (
@@ -21,37 +22,37 @@
 	"fawnplank/policy"
 )
 
-// Version is that of the file's form; a file of another one is refused.
+// Version is the version of the file's format. A file of another version is rejected.
 const Version = 1
 
 const (
-	// magic is the first line of the file. It is stored, so its text stays.
+	// magic is the first line of the file. It is stored, so its text must not change.
 	magic         = "fawnplank learned\n"
 	checksumBytes = 8
-	// fileMode: the file is for the gateway alone.
+	// fileMode gives only the gateway access to the file.
 	fileMode = 0o600
-	// maxBytes bounds the file: some hundred thousand backends.
+	// maxBytes bounds the size of the file. It allows some hundred thousand backends.
 	maxBytes = 16 << 20
-	// maxClockSkew is more than clocks of one machine differ by: a file of a later time than that is not
-	// trusted.
+	// maxClockSkew is more than the clocks of one machine differ. A file from further in the future than that is
+	// not trusted.
 	maxClockSkew = time.Minute
 )
 
-// Reasons for which Load refuses a file; it wraps them with the file's path.
+// Reasons for which Load rejects a file. Load wraps them with the file's path.
 var (
 	ErrCutShort = errors.New("no file of this kind, or one cut short")
 	ErrDamaged  = errors.New("damaged: its checksum does not fit")
 )
 
-// body is the file behind the magic line and the checksum (xxhash, big-endian) of the rest.
+// body is the content of the file after the magic line and the checksum (xxhash, big-endian) of the body.
 type body struct {
 	Version       int                   `json:"v"`
 	SavedUnixNano int64                 `json:"saved_unix_ns"`
 	State         policy.WarmStartState `json:"learned"`
 }
 
-// Save writes the file: under another name in its folder, synced and renamed over the old one; then the
-// folder is synced. On an error, say of a full disk, the old file stays as it was.
+// Save writes the file under another name in its folder, syncs it, renames it over the old file, and then
+// syncs the folder. On an error, such as a full disk, the old file stays unchanged.
 func Save(path string, state policy.WarmStartState, now time.Time) error {
 	text, err := json.Marshal(body{Version: Version, SavedUnixNano: now.UnixNano(), State: state})
 	if err != nil {
@@ -68,18 +69,19 @@
 	return nil
 }
 
-// syncFolder makes a rename in the folder outlast a crash of the machine.
+// syncFolder makes a rename in the folder survive a crash of the machine.
 func syncFolder(path string) error {
 	folder, err := os.Open(path)
 	if err != nil {
 		return err
 	}
-	defer func() { _ = folder.Close() }() // it was only read
+	defer func() { _ = folder.Close() }() // the folder was only read
 	return folder.Sync()
 }
 
-// Load reads the file and returns how old it is. A file that is absent is os.ErrNotExist; one cut short,
-// damaged, of another version or from the future is refused by an error that says so.
+// Load reads the file and returns the state and its age. If the file does not exist, the error is
+// os.ErrNotExist. A file that is truncated, damaged, of another version or from the future is rejected with
+// an error that says so.
 func Load(path string, now time.Time) (state policy.WarmStartState, age time.Duration, err error) {
 	info, err := os.Stat(path)
 	if err != nil {
@@ -103,7 +105,7 @@
 	return saved.State, max(age, 0), nil
 }
 
-// parse checks a file's content from its outside in: magic line, checksum, form, version.
+// parse checks a file's content from the outside in: magic line, checksum, JSON form, version.
 func parse(content []byte) (body, error) {
 	const headBytes = len(magic) + checksumBytes
 	if len(content) < headBytes || string(content[:len(magic)]) != magic {
