--- a/cmd/fawnplank/limits_client.go
+++ b/cmd/fawnplank/limits_client.go
@@ -21,8 +21,8 @@
 
 const (
 	limitsConnectTimeout = 5 * time.Second
-	// limitsCallTimeout bounds authentication and command together. The server answers a command that writes to
-	// the store only after the write, so the client waits for that too.
+	// limitsCallTimeout bounds authentication and command together. A command that writes to the store also
+	// waits for the store.
 	limitsCallTimeout = 15 * time.Second
 	// maxBulkBytes and maxArrayLength bound the lengths that an answer may claim, before memory is allocated for
 	// them.
--- a/cmd/fawnplank/shutdown.go
+++ b/cmd/fawnplank/shutdown.go
@@ -48,7 +48,7 @@
 	// The kernel has already accepted the connections waiting on the listener, so they are served before the
 	// listener closes.
 	if tcp, ok := listener.(*net.TCPListener); ok {
-		_ = tcp.SetDeadline(time.Now().Add(acceptGrace)) // fails only on a closed listener, which accepts no more connections anyway
+		_ = tcp.SetDeadline(time.Now().Add(acceptGrace)) // fails on a closed listener, which accepts no more anyway
 	}
 	time.Sleep(listenerGrace)
 	_ = listener.Close() // the process ends next
