--- a/policy/admission.go
+++ b/policy/admission.go
@@ -2,7 +2,7 @@
 
 import "fawnplank/internal/nanos"
 
-// Submit takes a request and decides on its admission. Its first effects come before Submit returns.
+// Submit starts a request and decides on its admission. It issues the first effects before it returns.
 func (e *Engine) Submit(now int64, spec RequestSpec) *Request {
 	r := newRequest(e, now, spec)
 	if int(spec.Class) >= len(e.classes) || int(spec.Plan) >= len(e.plans) {
@@ -12,7 +12,7 @@
 	r.class, r.plan = &e.classes[spec.Class], &e.plans[spec.Plan]
 	r.tenant = e.findTenant(now, spec.Tenant, r)
 	r.objectiveAt = min(now+r.class.LatencyObjective, r.deadline)
-	if r.plan.leaverShare.Value > 0.3 { // what can't be answered before the client leaves is not worth sending
+	if r.plan.leaverShare.Value > 0.3 { // do not send what cannot be answered before the client leaves
 		r.objectiveAt = min(r.objectiveAt, now+int64(r.plan.leaverPatience.Value))
 	}
 	if r.drawHardQuota(now) {
@@ -21,8 +21,8 @@
 	return r
 }
 
-// drawHardQuota draws on this instance's part of the hard quota, or rejects. It fills from empty at the
-// start, as an earlier incarnation may have sent much: rule 5 holds through restarts and counter failures.
+// drawHardQuota takes the units from this instance's part of the hard quota, or rejects. The bucket starts
+// empty, since an earlier incarnation may have sent much: rule 5 holds through restarts and counter failures.
 func (r *Request) drawHardQuota(now int64) bool {
 	rate, bucket := r.plan.HardQuotaRate, &r.tenant.hardQuota
 	if rate > 0 {
@@ -55,8 +55,8 @@
 	return limit > 0 && inFlight > 0 && inFlight+r.inFlightElsewhere() >= float64(limit)
 }
 
-// inFlightElsewhere is how many attempts the others likely have in flight: what the rate keeps there, twice,
-// since those who near the limit are the busy ones; without a rate, half the limit is a guess.
+// inFlightElsewhere estimates the tenant's attempts in flight at other instances: twice what the rate keeps
+// there, since tenants near the limit are the busy ones; without a rate, half the limit is a guess.
 func (r *Request) inFlightElsewhere() float64 {
 	elsewhere := 1 - r.tenant.trafficShare(r.entryPoints)
 	if r.plan.Rate <= 0 {
@@ -65,7 +65,7 @@
 	return 2 * elsewhere * r.plan.Rate / r.units * r.engine.latency.Value / float64(second)
 }
 
-// decideAdmission ends the wait for the counter; call is the one that was made, nil if there was none.
+// decideAdmission ends the wait for the counter; call is the call that was made, or nil if there was none.
 func (r *Request) decideAdmission(now int64, admitted bool, call *counterCall) {
 	r.waitingForCounter = false
 	switch {
@@ -75,13 +75,13 @@
 	case call != nil:
 		call.admitted = true
 	case !r.engine.breaker.IsClosed() || !r.engine.settings.CounterEnabled:
-		r.tenant.unreported += r.units // otherwise the calls that are made stand for it
+		r.tenant.unreported += r.units // otherwise the calls of other requests stand for it
 	}
 	r.admit(now, true)
 }
 
-// handleOverQuota rejects what is beyond the quota until it has refilled enough. The exception: where a
-// plan's requests earn more beyond the quota than they cost, and a backend has capacity, it is admitted.
+// handleOverQuota rejects a request until the quota has refilled enough. Exception: where a plan's requests
+// earn more beyond the quota than they cost, and a backend has capacity, it admits the request.
 func (r *Request) handleOverQuota(now int64) {
 	t := r.tenant
 	if r.plan.OverQuotaValue > r.plan.OverQuotaCost && !r.class.CheckOnly {
--- a/policy/endpoints.go
+++ b/policy/endpoints.go
@@ -2,10 +2,10 @@
 
 import "math"
 
-// DiscoveryTimeouts bounds the calls to discovery. Where lists are pushed, what the agent has counts at once,
-// a call that an outage silenced is never answered, and asking costs nothing: a third, a quarter and a tenth
-// of the drain's grace leave a third to the instance. Elsewhere asking is work, but a change is due six
-// seconds after it could be fetched: a silent watch is opened anew by 5.2 s; a snapshot stays in its queue.
+// DiscoveryTimeouts returns the bounds of calls to discovery. If lists are pushed, what the agent has counts
+// at once, a call silenced by an outage is never answered, and asking is free: a third, a quarter and a tenth
+// of the drain grace leave the instance a third. If lists are polled, asking is work, but a change is due 6 s
+// after it could be fetched: a silent watch is reopened by 5.2 s; a snapshot stays in its queue.
 func (s Settings) DiscoveryTimeouts() DiscoveryTimeouts {
 	if s.PollEndpoints {
 		watch := min(max(2*second, s.PollTimeout), 4500*millisecond)
@@ -16,7 +16,7 @@
 	return DiscoveryTimeouts{Watch: grace / 3, Lateness: grace / 4, Snapshot: grace / 2, RetryDelay: grace / 10}
 }
 
-// UpdateEndpoints brings the list of backends, or changes to it.
+// UpdateEndpoints updates the backends from a list or from changes to it, and retries a failed watch.
 func (e *Engine) UpdateEndpoints(now int64, kind UpdateKind, list []Endpoint) {
 	if kind == UpdateFailed {
 		e.retryWatch(now)
@@ -28,7 +28,7 @@
 	}
 	for _, endpoint := range list {
 		b, found := e.findBackend(endpoint.Backend)
-		if !found { // due by chance, so that instances do not all begin with the same new backend
+		if !found { // a random due time, so that instances do not all begin with the same new backend
 			b.lastSentAt = now - int64(e.random.Float64()*10*float64(second))
 		}
 		if endpoint.StartedAt != b.startedAt && endpoint.State == EndpointReady {
@@ -40,9 +40,9 @@
 	e.rankBackends(now)
 }
 
-// retryWatch spreads the calls after failures by chance and, where asking is work, makes them ever rarer:
-// else the instances fill the queue of a crowded discovery with calls that it answers too late, and none ever
-// gets an answer. Four seconds at most: its changes are due in six, whatever failed.
+// retryWatch delays the call after a failure at random and, where asking is work, longer each time: otherwise
+// the instances fill the queue of a crowded discovery with calls that it answers too late, and none ever gets
+// an answer. At most four seconds, since changes are due in six, whatever failed.
 func (e *Engine) retryWatch(now int64) {
 	delay := int64((1 + e.random.Float64()) / 2 * float64(e.retryDelay))
 	e.schedule(now+delay, nil, func(int64) { e.effects.WatchEndpoints() })
@@ -51,8 +51,8 @@
 	}
 }
 
-// assignShares lays the ready backends out in a ring, in an order that all instances share, and computes how
-// many fair shares each lies away from this instance's own.
+// assignShares places the ready backends on a ring, in an order that all instances share, and computes how
+// many fair shares lie between each and this instance's own.
 func (e *Engine) assignShares() {
 	ring, capacity := e.ring()
 	share := capacity / float64(max(e.settings.Instances, 1))
--- a/policy/latency.go
+++ b/policy/latency.go
@@ -8,16 +8,16 @@
 func (e *Engine) updateThroughput() {
 	e.throughput += 0.1 * (e.answersSinceTick*10 - e.throughput) // over about a second
 	e.answersSinceTick = 0
-	// What a backend is seen to answer, over ten seconds, and the most: a jam takes none away. So its capacity.
+	// A backend's answers over ten seconds, and their peak, which a jam does not lower. Likewise its capacity.
 	perBackend := e.throughput * float64(max(e.settings.Instances, 1)) / max(e.effectiveBackends, 1)
 	e.backendThroughput += 0.01 * (perBackend - e.backendThroughput)
 	e.peakBackendThroughput = max(e.peakBackendThroughput*0.999, e.backendThroughput)
 	e.meanCapacity = max(e.meanCapacity*0.999, e.effectiveCapacity/max(e.effectiveBackends, roundingTolerance))
 }
 
-// updateBaselineLatency lets the baseline follow the fleet. It falls with a quicker fleet in a second, and
-// rises with a slower one in about a minute; in two seconds while fewer than one attempt a backend is in
-// flight and none is rejected: the fleet is slow of itself then, warming up, say.
+// updateBaselineLatency makes the baseline follow the fleet. It falls to a faster fleet in a second and rises
+// to a slower one in about a minute, or in two seconds while fewer than one attempt per backend is in flight
+// and none is rejected: then the fleet itself is slow, for example while it warms up.
 func (e *Engine) updateBaselineLatency(now int64) {
 	if !e.baselineKnown() {
 		return
@@ -30,10 +30,10 @@
 	e.baselineLatency.Value += rise*change + 0.1*min(change, 0)
 }
 
-// fadeMeasurements forgets a single backend in five seconds, and who leaves in ten. An instance that took a
-// jam for granted would send and measure nothing more. While attempts are in flight it does measure: silence
-// is the jam then. Forgetting ends at the baseline (where the jam came first, at a fifth of the latency
-// objective, which always finds capacity): else all would look quick at last, and late answers stalled.
+// fadeMeasurements forgets a single backend in five seconds, and clients that leave in ten. An instance that
+// took a jam for permanent would stop sending and measuring. With attempts in flight it does measure: silence
+// is the jam then. Forgetting stops at the baseline (at a fifth of the latency objective if the jam came
+// first: that always finds capacity): else all would look fast in the end, and late answers stalled.
 func (e *Engine) fadeMeasurements(now int64) {
 	fade := 0.98
 	if now-e.lastAnswerAt > second && e.inFlight == 0 {
@@ -49,18 +49,18 @@
 	}
 }
 
-// measure smooths the latency, over some ten answers of the backend and two seconds (8 to 30) of the fleet.
+// measure averages the latency over some ten answers of the backend and two seconds (8 to 30) of the fleet.
 func (e *Engine) measure(b *backend, latency, concurrency float64) {
 	b.latency.Add(latency, 10)
 	b.latencyConcurrency += (concurrency - b.latencyConcurrency) / b.latency.Count
 	if b.estimatedLatency > 0 {
-		latency = min(latency, 3*b.estimatedLatency) // a few stalls say little of the others
+		latency = min(latency, 3*b.estimatedLatency) // a few stalls say little about the others
 	}
 	e.latency.Add(latency, min(max(2*e.throughput, 8), 30))
 }
 
-// relativeCost is how much longer than the mean a request of so many units takes, as far as measured: a unit
-// may stand for work. Without it a large request passes for a slow backend, and a small one for a quick one.
+// relativeCost returns how much longer than the mean a request of so many units takes, as far as measured: a
+// unit may stand for work. Without it a large request seems a slow backend, and a small one a fast one.
 func (e *Engine) relativeCost(units float64) float64 {
 	line := &e.latencyByUnits
 	slope := line.Slope() * line.Count / (line.Count + 20)
--- a/policy/local_share.go
+++ b/policy/local_share.go
@@ -1,12 +1,12 @@
 package policy
 
-// recordAdmittedShare notes what part of a request the count admitted.
+// recordAdmittedShare records which part of a request the counter admitted.
 func (t *tenant) recordAdmittedShare(share float64) {
-	t.admittedShare.Add(share, 4) // few: tenants change in seconds
+	t.admittedShare.Add(share, 4) // few samples: tenants change in seconds
 	t.plan.admittedShare.Add(share, 50)
 }
 
-// fallbackAdmits decides without the counter, by the class's fallback mode.
+// fallbackAdmits decides without the counter, by the fallback mode of the class.
 func (r *Request) fallbackAdmits(now int64) bool {
 	e, mode := r.engine, r.class.FallbackMode
 	if reached := r.concurrencyReached(); reached || mode != LocalShare {
@@ -15,9 +15,9 @@
 	if quota := r.localQuota(now); r.tenant.localUsage.Units+r.units > quota+roundingTolerance {
 		return false
 	}
-	// Where backends are pressed, what was counted goes first: what is not may be beyond the quota, and costs
-	// its value even where nobody answers it. Six tenths: at a half big days lose, above a jam comes. Behind an
-	// open breaker nothing is counted: there is nobody to go first.
+	// Where backends are pressed, counted requests go first: an uncounted one may be beyond the quota, which
+	// costs its value even if nobody answers it. Six tenths: big days lose at a half, and a jam comes above.
+	// Behind an open breaker nothing is counted, so nothing has to go first.
 	counted := e.settings.CounterEnabled && e.breaker.IsClosed()
 	if counted && !r.class.CheckOnly && e.pickBackend(now, r, 0.6) == nil {
 		return false
@@ -26,9 +26,9 @@
 	return chance >= 1 || e.random.Float64() < chance
 }
 
-// admitChance is how likely the local share admits a request that fits it. One at least an instance adds up
-// past small quotas: a share of a fraction of one is granted as often as the counter admitted the tenant, or
-// half way up from what it admitted of the plan: it rejects mostly few tenants far beyond it.
+// admitChance returns how likely the local share admits a request that fits it. One request per instance
+// would add up past small quotas: a share below one is granted as often as the counter admitted the tenant,
+// or half way between what it admitted of the plan and all, as it rejects mostly few tenants far beyond it.
 func (r *Request) admitChance() float64 {
 	share := r.plan.quota * r.tenant.trafficShare(r.entryPoints) / r.units
 	if share+roundingTolerance >= 1 || !r.engine.settings.CounterEnabled {
@@ -37,9 +37,9 @@
 	return r.tenant.admittedShare.Blend((1+r.plan.admittedShare.Blend(share, 1))/2, 1)
 }
 
-// localQuota returns the local share of a window, at least the request's units, and brings up to date what of
-// it has been refilled. Few requests spread unevenly over many instances: a share of a fraction of one
-// refills the quicker the less a unit beyond the quota costs, two and a half times at the full value.
+// localQuota returns the local share of a window, at least the request's units, and refills the local usage.
+// Few requests spread unevenly over many instances: a share below one request refills the faster the less a
+// unit beyond the quota costs, 2.5 times as fast where it costs the full value.
 func (r *Request) localQuota(now int64) float64 {
 	share := r.tenant.trafficShare(r.entryPoints)
 	rate, quota := r.plan.Rate*share, r.plan.quota*share
@@ -50,7 +50,7 @@
 	return max(quota, r.units)
 }
 
-// trafficShare is this instance's part of the tenant's traffic: an even one, or as the counter showed it.
+// trafficShare returns this instance's part of the tenant's traffic: even, then as the counter shows it.
 func (t *tenant) trafficShare(entryPoints float64) float64 {
 	const evenUnits = 20 // twice what ten answers of one unit show, so that chance does not pass for a share
 	return (t.ownUnits + evenUnits/entryPoints) / (t.ownUnits + t.otherUnits + evenUnits)
--- a/policy/quota.go
+++ b/policy/quota.go
@@ -8,7 +8,7 @@
 
 const maxCountLifetime = 60 * second // the counter drops counts after a minute
 
-// countLifetime is how long the counter is to keep the window's count: through the next window and a second.
+// countLifetime returns how long the counter keeps the window's count: until a second after the next window.
 func (t *tenant) countLifetime(now int64) int64 {
 	return min(t.windowEnd()+t.plan.window+second-now, maxCountLifetime)
 }
@@ -20,19 +20,19 @@
 		2*r.entryPoints*float64(r.class.counterWait) <= float64(p.window)
 }
 
-// keepFor is how long a tenant is remembered unused: for two windows and the minute that the counter keeps
-// counts for, and until its hard quota would be full anyway.
+// keepFor returns how long an unused tenant is remembered: for two windows and for the minute that the
+// counter keeps counts, and until its hard quota would be full anyway.
 func (t *tenant) keepFor() int64 {
-	keep := max(2*t.plan.window, maxCountLifetime) // a minute: seldom enough for plans of tiny windows
+	keep := max(2*t.plan.window, maxCountLifetime) // a minute keeps the checks rare for plans of tiny windows
 	if t.plan.HardQuotaRate > 0 {
 		keep = max(keep, nanos.FromSeconds(t.plan.HardQuotaBurst/t.plan.HardQuotaRate))
 	}
 	return keep
 }
 
-// rollOver goes on to the window of now. What the last one used beyond its refill is carried: a rollover
-// grants no fresh burst, and what else was unreported has been refilled. Where few of the instances see much
-// of a count none knows in time what to carry, and the plain count holds: all requests, each window afresh.
+// rollOver starts the window of now and carries over what the last one used beyond its refill: it grants no
+// fresh burst, and other unreported units have been refilled. Where few of the instances see much of a count,
+// none knows in time what to carry: the plain count of all requests holds, from zero in each window.
 func (t *tenant) rollOver(now int64, breakerOpen bool, entryPoints float64) {
 	if t.plan.window == 0 || t.window.key != 0 && now < t.windowEnd() {
 		return
@@ -40,7 +40,7 @@
 	next, carried := t.windowAt(now), 0.0
 	switch {
 	case !t.tracksRefill:
-	case breakerOpen && t.window.counterTotal == 0: // nothing was reported: the local share stands for it
+	case breakerOpen && t.window.counterTotal == 0: // nothing was reported: use the local share instead
 		carried = t.localUsage.UnrefilledAt(next.start, t.trafficShare(entryPoints), t.plan.Rate)
 	default:
 		carried = max(t.window.total+t.unreported-nanos.Accrued(t.plan.Rate, next.start-t.window.start), 0)
@@ -50,21 +50,21 @@
 	t.window = next
 }
 
-// askCounter counts the request, if the breaker lets it call, and goes by the local share if not.
+// askCounter counts the request on the counter if the breaker allows the call, and else uses the fallback.
 func (r *Request) askCounter(now int64) {
 	e, t := r.engine, r.tenant
 	switch {
 	case !r.class.CheckOnly && e.pickBackend(now, r, 1) == nil:
-		r.giveUp(r.class.LatencyObjective / 8) // no capacity: counted, it would shut others of the tenant out
+		r.giveUp(r.class.LatencyObjective / 8) // no capacity: a count would shut out the tenant's other requests
 	case t.window.total+r.units > t.plan.quota+t.refilled(now, t.window.start)+roundingTolerance:
 		t.recordAdmittedShare(0)
-		r.handleOverQuota(now) // used up as far as is known: no call can say otherwise
+		r.handleOverQuota(now) // known to be used up: no call can say otherwise
 	case !e.mayCallCounter(now):
 		r.decideAdmission(now, r.fallbackAdmits(now), nil)
 	default:
 		r.waitingForCounter = true
 		t.waiting++
-		// A crowded counter gets calls for a part of the requests: each stands for the others admitted too.
+		// A crowded counter gets calls for some requests only: each also counts the others likely admitted.
 		others := (1/max(e.callShare, 0.2) - 1) * r.admitChance()
 		call := e.count(now, t, r, r.units*(1+others), t.unreported)
 		t.unreported = 0
@@ -81,7 +81,7 @@
 	if (outcome == Rejected || outcome == ConnectFailed) && call.windowStart == t.window.start {
 		t.window.reportedInFlight -= call.attempts
 	}
-	// Else it was added: likely by a slow counter, for certain by one whose answer was spoilt (ConnectionLost).
+	// Report it again unless a slow counter likely added it, or one with a spoilt answer (ConnectionLost) did.
 	if outcome != ConnectionLost && (outcome != TimedOut || !e.breaker.IsClosed()) {
 		t.unreported += call.amount
 	}
@@ -90,12 +90,12 @@
 	}
 }
 
-// handleTotal takes in a count's total. It lacks what the burst cannot hold of the refill, what the last
-// window left used, and what a counter lost that came back empty.
+// handleTotal processes the total of a count. The total lacks refill that the burst cannot hold, what the
+// last window left used, and what was lost by a counter that came back empty.
 func (e *Engine) handleTotal(now int64, call *counterCall, total float64) {
 	t := call.tenant
 	total, inFlight := t.plan.splitTotal(total)
-	total += t.window.reconciled - call.reconciled // what was reconciled since the call was made
+	total += t.window.reconciled - call.reconciled // reconciled since the call was made
 	refilled := t.refilled(now, call.windowStart)
 	current := call.request != nil && call.windowStart == t.window.start
 	if current {
@@ -109,7 +109,7 @@
 	if call.waiting {
 		units := call.request.units
 		unitsLeft := t.plan.quota + refilled - total + call.units - units
-		// What is admitted without a call goes unseen here.
+		// Attempts admitted without a call are not seen here.
 		overLimit := t.plan.concurrencyUnit > 0 && inFlight > float64(t.plan.ConcurrencyLimit)
 		call.decide(now, true, unitsLeft+roundingTolerance >= 0 && !overLimit)
 		t.recordAdmittedShare(min(max(unitsLeft+units, 0)/units, 1))
@@ -129,19 +129,19 @@
 	}
 }
 
-// observeTotal learns from a total of the current window; before is what it was without the call's amount.
+// observeTotal learns from a total of the current window; before is the total without the call's amount.
 func (t *tenant) observeTotal(before, refilled, amount float64) {
 	w := &t.window
 	w.answers++
 	switch {
 	case w.counterTotal-before > t.plan.quota/2 && before < w.counterTotal/2: // the counter came back empty
 		w.lostUnits += w.counterTotal
-	case w.lostUnits > 0 && before-w.counterTotal >= w.lostUnits/2: // reconciled, as far as another knew
+	case w.lostUnits > 0 && before-w.counterTotal >= w.lostUnits/2: // another reconciled what it knew of
 		w.lostUnits = max(w.total-before, 0)
 	case w.counterTotal > 0:
-		// This instance's part of the traffic, over about ten answers. Between a window's first and last lie n-1 of
-		// n for (n-1)/(n+1) of its time: an instance of few takes its part for a half larger. That is kept where a
-		// unit beyond the quota costs half of one inside or less: what is admitted too little costs all.
+		// Estimate this instance's part of the traffic over about ten answers. From the first to the last answer of
+		// a window come n-1 of n in (n-1)/(n+1) of its time: an instance with few overrates its part by half. Keep
+		// that where a unit beyond the quota costs at most half of one within: admitting too little costs all.
 		n, penalty := float64(w.answers), min(max(2*t.plan.OverQuotaCost-1, 0), 1)
 		t.ownUnits = 0.9*t.ownUnits + amount*(1-penalty*2/(n*(n+1)))
 		t.otherUnits = 0.9*t.otherUnits + max(before-w.counterTotal, 0)
@@ -149,8 +149,8 @@
 	w.lostUnits = max(w.lostUnits, refilled-before)
 }
 
-// claimLostUnits returns the units that this instance is to add for lost ones. The tenant's instances do so
-// in an order of the window's own, each if the ones before did not: two at once would shut the tenant out.
+// claimLostUnits returns the lost units that this instance adds back now. The tenant's instances take turns
+// in an order set by the window, each only if those before did not: two at once would shut the tenant out.
 func (r *Request) claimLostUnits(now int64) float64 {
 	w := &r.tenant.window
 	if w.lostUnits <= r.plan.quota/8 { // an eighth: a call for each small step would crowd the counter
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -18,7 +18,7 @@
 	if r.class.LateValue > 0 {
 		return r.deadline - millisecond
 	}
-	return r.objectiveAt - r.class.LatencyObjective/10 // the quickest answers take about that
+	return r.objectiveAt - r.class.LatencyObjective/10 // the fastest answers take about a tenth
 }
 
 // mayAttempt reports whether an attempt may go to a backend: rules 1 to 4 are checked here and nowhere else.
@@ -51,15 +51,15 @@
 		!slices.ContainsFunc(r.attempts, func(a *attempt) bool { return a.mayHaveRun })
 }
 
-// attemptTimeout is when an attempt is overdue: few take five times the usual for their units; a jam must
-// show by seven tenths of the latency objective.
+// attemptTimeout returns how long an attempt may take until it is overdue: few take five times the usual for
+// their units, and a jam must show by seven tenths of the latency objective.
 func (r *Request) attemptTimeout() int64 {
 	e, objective := r.engine, r.class.LatencyObjective
 	timeout := max(int64(5*e.latency.Value*e.relativeCost(r.units)), objective*4/10)
 	return min(timeout, objective*7/10)
 }
 
-// sendAttempt is the only place that sends.
+// sendAttempt sends an attempt to the backend if it may get one. It is the only place that sends.
 func (r *Request) sendAttempt(now int64, b *backend) bool {
 	if !r.mayAttempt(now, b) {
 		return false
@@ -70,7 +70,7 @@
 	a := r.addAttempt(now, b)
 	timeout, expireAt := r.attemptTimeout(), int64(0)
 	if !s.Hedging && !s.Cancellation && r.class.Idempotency != NonIdempotent && len(r.attempts) < s.MaxAttempts {
-		// Nothing else lets another attempt follow; beyond seven tenths too little time is left for one.
+		// Only a timeout lets another attempt follow here; beyond seven tenths too little time is left for one.
 		expireAt = now + timeout
 	}
 	e.effects.Send(r.id, b.id, expireAt, beginBefore)
@@ -78,7 +78,7 @@
 	return true
 }
 
-// handleOverdue asks whether an attempt that takes long is stalled: its backend has answered nothing since.
+// handleOverdue checks if an overdue attempt is stalled: its backend has answered nothing since it was sent.
 func (r *Request) handleOverdue(now int64, id int) {
 	e, a := r.engine, r.attempts[id]
 	a.overdue = true
@@ -88,7 +88,7 @@
 		return
 	}
 	elapsed := float64(now - a.sentAt)
-	// A jam shows here before its answers come.
+	// The elapsed time shows a jam before its answers come.
 	e.measure(a.backend, elapsed/e.relativeCost(r.units), a.concurrency)
 	if a.backend.lastAnswerAt > a.sentAt || elapsed < 5*usual {
 		return
@@ -103,7 +103,7 @@
 	}
 }
 
-// HandleAttemptResult brings how an attempt ended.
+// HandleAttemptResult reports how an attempt ended.
 func (r *Request) HandleAttemptResult(now int64, result AttemptResult) {
 	if int(result.Attempt) >= len(r.attempts) || !r.attempts[result.Attempt].inFlight {
 		return
@@ -128,20 +128,20 @@
 	}
 }
 
-// HandleClientGone says that the client is gone: no answer is due any more.
+// HandleClientGone reports that the client is gone and no longer waits for an answer.
 func (r *Request) HandleClientGone(now int64) {
 	if r.finished {
 		return
 	}
-	if now < r.deadline-10*millisecond { // else its time was over
+	if now < r.deadline-10*millisecond { // else it left because its time was over
 		r.plan.leaverShare.Add(1, 20)
 		r.plan.leaverPatience.Add(float64(now-r.submittedAt), 20)
 	}
 	r.finish()
 }
 
-// giveUp is the only place that gives a final answer without a success: a rejection where that may promise no
-// harm, with the time to come back after, or else an abort.
+// giveUp is the only place that gives a final answer without a success: a rejection, with the time to come
+// back after, where it can promise that a retry does no harm; otherwise an abort.
 func (r *Request) giveUp(retryAfter int64) {
 	if r.finished {
 		return
@@ -154,7 +154,7 @@
 	}
 	var advised int64
 	if e.settings.RetryAfter {
-		// Spread over a quarter more, so that those rejected together do not come back together.
+		// Add up to a quarter at random, so that clients rejected together do not come back together.
 		spread := int64(float64(retryAfter) * e.random.Float64() / 4)
 		advised = min(retryAfter+spread, e.settings.MaxRetryAfter)
 	}
--- a/policy/selection.go
+++ b/policy/selection.go
@@ -5,9 +5,9 @@
 	"math"
 )
 
-// rankBackend rates a backend. They are ordered by the latency against the fleet's, as far as it was
-// measured, in steps of some 40% (finer is chance); then those of the own zone where crossing has a price;
-// then by the fair shares, the own first; then those not sent to for the longest, by capacity. One that warms
+// rankBackend computes a backend's rank. Backends are ordered by measured latency relative to the fleet's, in
+// steps of some 40% (finer ones are chance); then the own zone first, where crossing has a price; then by
+// fair shares, the own first; then by the time since the last attempt, times capacity. A backend that warms
 // up goes first: its turns are few, and work may be what warms it.
 func (e *Engine) rankBackend(now int64, b *backend) {
 	warmth := e.warmth(now, b)
@@ -18,11 +18,11 @@
 	if !warmingUp {
 		b.estimatedLatency = b.latency.Blend(fleet, 3)
 	} else if e.baselineKnown() {
-		// Within its budget there is no queue, however full the warm ones are.
+		// Within its budget it has no queue, however full the warm backends are.
 		b.estimatedLatency = min(fleet, e.baselineLatency.Value)
 	}
 	cost := math.Round(2 * math.Log2(max(b.estimatedLatency, 1)/max(fleet, 1)))
-	// The limit follows the latency, in steps too, or chance alone would lift one over it.
+	// The limit follows the latency in steps too: otherwise chance alone would lift a backend over it.
 	b.concurrencyLimit = min(max(math.Exp2(-cost/2), 0.25), 2)
 	if e.settings.CrossZoneCost > 0 && b.zone != e.settings.Zone {
 		cost += 0.5
@@ -38,8 +38,8 @@
 		cmp.Compare(other.rank.due, b.rank.due), cmp.Compare(b.id, other.id))
 }
 
-// latencyBudget is the latency that a backend may likely have: two fifths of the time left to the objective
-// (few take 2.5 times the likely), less what its units take more, and 2.5 baselines. Urgency shortens both.
+// latencyBudget returns the likely latency that a backend may have: two fifths of the time to the objective
+// less the extra for its units (few take 2.5 times the likely), at most 2.5 baselines. Urgency scales both.
 func (e *Engine) latencyBudget(now int64, r *Request, urgency float64) float64 {
 	extra := (e.relativeCost(r.units) - 1) * e.latency.Value
 	budget := (float64(r.objectiveAt-now) - extra) / 2.5
@@ -49,9 +49,9 @@
 	return budget * urgency
 }
 
-// pickBackend returns the first backend in the order that is below its concurrency limit, with none the least
-// loaded; of those only that likely answer within the latency budget; nil: none. An instance has no more in
-// flight than one or two, its part of one for each backend, and 1.3 times what it answers in the budget.
+// pickBackend returns the first ranked backend below its concurrency limit, or else the least loaded, of
+// those likely to answer within the latency budget; nil if there is none. An instance has at most one or two
+// attempts in flight, plus its part of one for each backend and 1.3 times what it answers in the budget.
 func (e *Engine) pickBackend(now int64, r *Request, urgency float64) *backend {
 	budget, fairShare := e.latencyBudget(now, r, urgency), e.fairSharePerBackend()
 	if float64(e.promptInFlight) >= min(2, 1+fairShare)+fairShare+1.3*e.throughput*budget/float64(second) {
@@ -64,7 +64,7 @@
 		if ejected || !r.mayAttempt(now, b) || b.likelyLatency() > budget {
 			continue
 		}
-		load := r.loadAt(b, 2) // tried ones last
+		load := r.loadAt(b, 2) // backends tried before go last
 		if load <= 1 {
 			return b
 		}
@@ -75,8 +75,8 @@
 	return best
 }
 
-// likelyLatency is the latency with one more attempt. Two: the others' share of a queue is not known. One:
-// the concurrency at a backend that is not measured yet.
+// likelyLatency returns the latency with one more attempt. The 2 stands for the other instances' unknown part
+// of a queue, the 1 for the concurrency at a backend that is not measured yet.
 func (b *backend) likelyLatency() float64 {
 	return b.estimatedLatency * float64(b.inFlight+3) / (max(b.latencyConcurrency, 1) + 2)
 }
--- a/policy/slow_start.go
+++ b/policy/slow_start.go
@@ -2,7 +2,7 @@
 
 import "fawnplank/internal/hash64"
 
-// warmth is the part of its capacity that a backend has: it warms up evenly. A window less, to be safe.
+// warmth returns the part of its capacity that a backend has. It rises evenly, a window late to be safe.
 func (e *Engine) warmth(now int64, b *backend) float64 {
 	if !e.warmingUp(now, b) {
 		return 1
@@ -12,7 +12,7 @@
 	return s.SlowStartShare + (1-s.SlowStartShare)*risen/float64(s.SlowStartDuration)
 }
 
-// slowStartRate is how many attempts a nanosecond all instances may send to a backend once it is warm.
+// slowStartRate returns how many attempts per nanosecond all instances may send to a backend once it is warm.
 func (r *Request) slowStartRate(b *backend) float64 {
 	e := r.engine
 	work := float64(r.class.LatencyObjective) / 2 // nothing measured yet: few objectives are tighter
@@ -23,12 +23,12 @@
 	return rate * min(b.capacity/e.meanCapacity, 1)
 }
 
-// slowStartAllows keeps all instances within half the multiple of what a backend that warms up bears, since
-// requests differ in work: a third of what a warm one of its capacity (the mean at most) does, which is one
-// core's work of 1.5 baseline latencies, or more as far as warm ones are seen to. Attempts are numbered from
-// its start and go to the instances in turn, one each, for half a window: the rest of the half is for that,
-// since one of many seldom has something to send just then. So the sum holds for any number of them without a
-// word between them. One just started waits a window: its earlier incarnation may have sent much.
+// slowStartAllows keeps all instances together within half the multiple of what a warming backend bears,
+// since requests differ in work: a third of what a warm one of its capacity (at most the mean) does, which is
+// one core's work of 1.5 baseline latencies, or more if warm ones are seen to do more. Attempts are numbered
+// from its start and go to the instances in turn, one each. A turn lasts half a window, and the rest of the
+// half allows that: one of many seldom has something to send just then. So the sum holds for any number of
+// instances without messages. One just started waits a window: its earlier incarnation may have sent much.
 func (r *Request) slowStartAllows(now int64, b *backend) bool {
 	e := r.engine
 	if !e.warmingUp(now, b) {
@@ -43,7 +43,7 @@
 	turnsPassed := float64((offset + uint64(number)) % uint64(instances))
 	rate *= warmth
 	hasTurn := turnsPassed < max(1, rate*float64(s.OverloadWindow)/2)
-	// Three quarters of the time between an instance's turns: a change in what is measured shifts the numbers.
+	// Wait 3/4 of the time between the instance's turns: a change in the measurements shifts the numbers.
 	return now-e.startedAt >= s.OverloadWindow && hasTurn &&
 		(b.lastSlowStartAt == 0 || float64(now-b.lastSlowStartAt)*rate >= 0.75*instances)
 }
