--- a/internal/circuitbreaker/circuitbreaker.go
+++ b/internal/circuitbreaker/circuitbreaker.go
@@ -5,13 +5,13 @@
 
 import "strconv"
 
-// State is what a breaker lets through.
+// State says which calls a breaker lets pass.
 type State uint8
 
 // The states.
 const (
 	Closed   State = iota // calls pass
-	Open                  // none passes until the time to retry
+	Open                  // no call passes until the time to retry
 	HalfOpen              // a single call passed, and its answer decides
 )
 
@@ -32,8 +32,8 @@
 // IsClosed reports whether calls pass.
 func (b *Breaker) IsClosed() bool { return b.State == Closed }
 
-// TryHalfOpen reports whether an open breaker lets a single call pass now, and counts on that call being
-// made.
+// TryHalfOpen reports whether an open breaker lets a single call pass now. The caller must then make that
+// call.
 func (b *Breaker) TryHalfOpen(now int64) bool {
 	if b.State != Open || now < b.RetryAt {
 		return false
@@ -42,8 +42,8 @@
 	return true
 }
 
-// Record takes in how a call ended: a success closes the breaker, and threshold failures in a row open it, or
-// keep it open, until retryAt.
+// Record records how a call ended. A success closes the breaker; threshold failures in a row open it, or keep
+// it open, until retryAt.
 func (b *Breaker) Record(ok bool, threshold int, retryAt int64) {
 	b.ConsecutiveFailures++
 	if ok {
--- a/internal/estimate/estimate.go
+++ b/internal/estimate/estimate.go
@@ -1,12 +1,12 @@
-// Package estimate holds running estimates of what was measured lately: a mean, and a regression line. Each
-// takes how many measurements it reaches back over from its caller, and holds no tuned value of its own. The
-// zero values are ready to use. Nothing here is safe for concurrent use.
+// Package estimate keeps running estimates of recent measurements: a mean and a regression line. The caller
+// says how many measurements each one reaches back over; the package holds no tuned value. The zero values
+// are ready to use. Nothing here is safe for concurrent use.
 package estimate
 
-// Mean is the mean of what was measured lately.
+// Mean is the mean of recent measurements.
 type Mean struct {
 	Value float64
-	Count float64 // of the measurements that stand behind the value
+	Count float64 // of the measurements behind the value
 }
 
 // Add takes in one more measurement. The mean reaches back over the last maxCount or so.
@@ -15,12 +15,12 @@
 	m.Value += (measured - m.Value) / m.Count
 }
 
-// Blend returns the mean together with a prior that weighs as much as so many measurements.
+// Blend returns the mean combined with a prior that weighs as much as weight measurements.
 func (m *Mean) Blend(prior, weight float64) float64 {
 	return (m.Value*m.Count + prior*weight) / (m.Count + weight)
 }
 
-// Regression is the straight line through the last measurements of y over x.
+// Regression is the straight line through recent measurements of y over x.
 type Regression struct {
 	Count        float64
 	MeanX, MeanY float64
@@ -28,7 +28,7 @@
 	covariance   float64 // of x and y
 }
 
-// minVariance keeps the slope finite where all x are alike.
+// minVariance keeps the slope finite when all x are equal.
 const minVariance = 1e-9
 
 // Add takes in one more measurement. The line reaches back over the last maxCount or so.
@@ -41,5 +41,5 @@
 	r.covariance += (offsetX*(y-r.MeanY) - r.covariance) / r.Count
 }
 
-// Slope returns by how much y rises for each x: 0 where it does not rise.
+// Slope returns how much y rises per unit of x, or 0 if it does not rise.
 func (r *Regression) Slope() float64 { return max(r.covariance/(r.variance+minVariance), 0) }
--- a/internal/quotawindow/quotawindow.go
+++ b/internal/quotawindow/quotawindow.go
@@ -1,14 +1,14 @@
-// Package quotawindow lays fixed windows over time. All functions are pure and safe for concurrent use.
+// Package quotawindow divides time into fixed windows. All functions are pure and safe for concurrent use.
 package quotawindow
 
-// Window is one of the windows that follow each other without a gap.
+// Window is one of a sequence of windows without gaps.
 type Window struct {
 	Start int64
-	Index uint64 // the number of the window; those of one length and offset differ
+	Index uint64 // the window's number, unique among those of one length and offset
 }
 
-// At returns the window of the given length, above 0, that holds an instant. Windows of different offsets
-// start at different times, so that not all of them roll over at once.
+// At returns the window of the given length, above 0, that contains an instant. Windows of different offsets
+// start at different times, so that they do not all roll over at once.
 func At(now, length int64, offset uint64) Window {
 	shifted := now + int64(offset%uint64(length))
 	return Window{Start: now - shifted%length, Index: uint64(shifted / length)}
--- a/policy/backend.go
+++ b/policy/backend.go
@@ -8,7 +8,7 @@
 	"fawnplank/internal/hash64"
 )
 
-// backend is what this instance knows of a backend.
+// backend is what this instance knows about a backend.
 type backend struct {
 	id        BackendID
 	zone      ZoneID
@@ -28,19 +28,18 @@
 	latency            estimate.Mean // of its own
 	latencyConcurrency float64       // attempts in flight there while that was measured
 	estimatedLatency   float64       // 0: unknown
-	concurrencyLimit   float64       // attempts in flight up to which it is filled in its turn
+	concurrencyLimit   float64       // attempts in flight that it takes before backends ranked behind it
 	rank               rank
 }
 
-// health is what a backend's failures led to.
+// health records what a backend's failures led to.
 type health struct {
-	ejectedUntil      int64 // no attempts before
+	ejectedUntil      int64 // no attempts are sent before
 	symptoms          int   // since the last good answer
 	consecutiveErrors int
 }
 
-// rank is what backends are ordered by: the lowest cost first, then the nearest, then the one that is most
-// due.
+// rank orders backends: the lowest cost first, then the nearest, then the one that is most due.
 type rank struct {
 	cost float64
 	due  float64
@@ -49,23 +48,23 @@
 // load returns how full one more attempt would make the backend, as a share of its concurrency limit.
 func (b *backend) load() float64 { return float64(b.inFlight+1) / b.concurrencyLimit }
 
-// update takes over what the endpoint list says of the backend.
+// update copies the backend's entry of the endpoint list.
 func (b *backend) update(endpoint Endpoint) {
 	b.zone, b.group = endpoint.Zone, endpoint.Group
 	b.startedAt = endpoint.StartedAt
 	b.ready = endpoint.State == EndpointReady
 	b.gone = endpoint.State == EndpointGone
-	b.capacity = cmp.Or(max(endpoint.Capacity, 0), 1) // none stated: all are alike
+	b.capacity = cmp.Or(max(endpoint.Capacity, 0), 1) // none stated: all are equal
 }
 
-// reset forgets what is known of the backend's incarnation.
+// reset forgets what is known about the backend's earlier incarnation.
 func (b *backend) reset() {
 	b.latency = estimate.Mean{}
 	b.health = health{}
 	b.lastSlowStartAt = 0
 }
 
-// findBackend returns a backend, which it adds where it is not known yet.
+// findBackend returns the backend with this id, and adds it if it is not known yet.
 func (e *Engine) findBackend(id BackendID) (b *backend, found bool) {
 	b, found = e.backends[id]
 	if !found {
@@ -76,7 +75,7 @@
 	return b, found
 }
 
-// ring returns the ready backends in an order that all instances share, and their capacity together.
+// ring returns the ready backends in an order that all instances share, and their total capacity.
 func (e *Engine) ring() (ring []*backend, capacity float64) {
 	for _, b := range e.endpoints {
 		if b.ready {
@@ -90,8 +89,8 @@
 	return ring, capacity
 }
 
-// dropGone forgets the backends that are gone once nothing is in flight there: others come under new ids for
-// ever.
+// dropGone forgets backends that are gone and have nothing in flight, since new ones keep coming under new
+// ids.
 func (e *Engine) dropGone() {
 	e.endpoints = slices.DeleteFunc(e.endpoints, func(b *backend) bool {
 		if b.gone && b.inFlight == 0 {
@@ -115,19 +114,19 @@
 	slices.SortFunc(e.ranked, (*backend).compareRank)
 }
 
-// markAllGone precedes a snapshot: what it does not list is gone.
+// markAllGone marks all backends as gone before a snapshot: those that it does not list stay so.
 func (e *Engine) markAllGone() {
 	for _, b := range e.endpoints {
 		b.ready, b.gone = false, true
 	}
 }
 
-// warmingUp reports whether a backend may not have its whole capacity yet.
+// warmingUp reports whether a backend may still lack a part of its capacity.
 func (e *Engine) warmingUp(now int64, b *backend) bool {
 	return b.startedAt > 0 && now-b.startedAt < e.settings.SlowStartDuration
 }
 
-// ageBeyond is for how long a backend's age has been above a duration.
+// ageBeyond returns by how much a backend's age exceeds a duration, or 0.
 func (b *backend) ageBeyond(now, duration int64) float64 {
 	return float64(max(now-b.startedAt-duration, 0))
 }
--- a/policy/pending_calls.go
+++ b/policy/pending_calls.go
@@ -8,15 +8,15 @@
 	request     *Request // nil: the call only corrects the count
 	windowStart int64    // of the window that the count belongs to
 	amount      float64  // units that were added
-	units       float64  // those of the request and of the ones that it stands for
-	reconciled  float64  // the window's, when the call was made
-	attempts    int      // in flight that were added
+	units       float64  // units of the request and of the requests that it stands for
+	reconciled  float64  // the window's reconciled units when the call was made
+	attempts    int      // attempts in flight that were added
 	waiting     bool     // the answer decides the request
 	admitted    bool     // the request was admitted
 }
 
-// pendingCalls are the unanswered calls by the count, each in the order in which they were made: the counter
-// answers them in that order.
+// pendingCalls are the unanswered calls by their count, in the order in which they were made: the counter
+// answers the calls for a count in that order.
 type pendingCalls map[CounterKey][]*counterCall
 
 func (p pendingCalls) push(key CounterKey, call *counterCall) { p[key] = append(p[key], call) }
@@ -33,8 +33,8 @@
 	return calls[0]
 }
 
-// count adds units to the tenant's count, and the attempts in flight that it does not hold yet. The request
-// is nil where the call only corrects the count, by more.
+// count adds units and more to the tenant's count, and the attempts in flight that the count does not hold
+// yet. r is nil if the call only corrects the count, by more.
 func (e *Engine) count(now int64, t *tenant, r *Request, units, more float64) *counterCall {
 	w := &t.window
 	call := &counterCall{
@@ -68,13 +68,13 @@
 func (c *counterCall) decide(now int64, ok, admitted bool) {
 	c.waiting = false
 	c.request.engine.recordCounterCall(now, ok)
-	if c.request.waitingForCounter { // else its client has left meanwhile
+	if c.request.waitingForCounter { // else its client has left in the meantime
 		c.tenant.waiting--
 		c.request.decideAdmission(now, admitted, c)
 	}
 }
 
-// HandleCounterResult brings the answer to the oldest unanswered call for a count.
+// HandleCounterResult reports the answer to the oldest unanswered call for a count.
 func (e *Engine) HandleCounterResult(now int64, outcome Outcome, key CounterKey, total float64) {
 	call := e.pendingCalls.pop(key)
 	switch {
--- a/policy/request.go
+++ b/policy/request.go
@@ -56,7 +56,7 @@
 	}
 }
 
-// abortUnknown is the final answer to a request whose class or plan is in no table.
+// abortUnknown aborts a request whose class or plan is in no table.
 func (r *Request) abortUnknown(spec RequestSpec) {
 	text := fmt.Sprintf("transaction of unknown profile %d or plan %d broken off", spec.Class, spec.Plan)
 	r.engine.effects.Log(text)
@@ -64,7 +64,7 @@
 	r.engine.effects.Abort(r.id)
 }
 
-// addAttempt notes that another attempt is in flight at a backend.
+// addAttempt records that another attempt is in flight at a backend.
 func (r *Request) addAttempt(now int64, b *backend) *attempt {
 	e := r.engine
 	r.inFlight++
@@ -91,7 +91,7 @@
 	return a
 }
 
-// removeAttempt notes that an attempt is no longer in flight.
+// removeAttempt records that an attempt is no longer in flight.
 func (r *Request) removeAttempt(a *attempt, outcome Outcome) {
 	a.inFlight = false
 	a.mayHaveRun = outcome.mayHaveRun()
@@ -104,7 +104,7 @@
 	}
 }
 
-// release marks the request as finished and gives back what it holds, where no attempt was sent.
+// release marks the request as finished, and gives back the units that it holds if no attempt was sent.
 func (r *Request) release() {
 	t := r.tenant
 	if r.waitingForCounter {
@@ -122,16 +122,16 @@
 	}
 }
 
-// correctUnits charges what a request within the quota really counted, where that is known only after it.
+// correctUnits charges what a request within the quota really counted, where that is known only afterwards.
 func (r *Request) correctUnits(result *AttemptResult) {
 	known := r.engine.settings.PostPaid && result.TrueUnits > 0
 	if known && result.Outcome == Succeeded && r.withinQuota {
-		r.tenant.unreported += result.TrueUnits - r.units // goes along with the next call
+		r.tenant.unreported += result.TrueUnits - r.units // reported with the next call
 		r.tenant.localUsage.Units += result.TrueUnits - r.units
 	}
 }
 
-// keyKnownUntil is how long backends know the request's idempotency key from its earlier attempts.
+// keyKnownUntil returns until when backends know the request's idempotency key from its earlier attempts.
 func (r *Request) keyKnownUntil() int64 {
 	until := int64(math.MaxInt64)
 	for _, a := range r.attempts {
@@ -151,7 +151,7 @@
 	}
 }
 
-// loadAt is the backend's load; each earlier attempt there adds so many loads.
+// loadAt returns the backend's load; each earlier attempt of the request there adds triedLoad.
 func (r *Request) loadAt(b *backend, triedLoad float64) float64 {
 	load := b.load()
 	for _, a := range r.attempts {
@@ -162,8 +162,8 @@
 	return load
 }
 
-// HandleResponseStarted says that the response of an attempt has begun to stream: the client owns it from now
-// on.
+// HandleResponseStarted reports that the response of an attempt has begun to stream: it belongs to the client
+// from now on.
 func (r *Request) HandleResponseStarted(now int64, id AttemptID) {
 	r.responseStarted = true
 	if int(id) < len(r.attempts) {
@@ -171,5 +171,5 @@
 	}
 }
 
-// Done reports that nothing more comes for this handle.
+// Done reports whether the request is over: nothing more comes for this handle.
 func (r *Request) Done() bool { return r.finished && r.inFlight == 0 }
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -1,6 +1,6 @@
 package policy
 
-// Settings are what an instance is given at its start, and may be given anew while it runs.
+// Settings configure an instance. It gets them at its start, and they may be replaced while it runs.
 type Settings struct {
 	InstanceIndex  int // of this instance, from 0
 	Instances      int // of the fleet
@@ -15,13 +15,13 @@
 	MaxRetryAfter  int64
 	CounterEnabled bool // the instances share a counter
 	CounterTimeout int64
-	PostPaid       bool // the true units of a request are known after it
+	PostPaid       bool // a request's true units are known only after it
 	PollEndpoints  bool // the endpoint list comes only on demand
 	PollTimeout    int64
 	DrainGrace     int64 // how long after a drain was announced attempts may still begin at the backend
 
-	// A backend that was started has SlowStartShare of its capacity, and all of it after SlowStartDuration. It
-	// collapses at OverloadMultiple times what it bears within any OverloadWindow.
+	// A backend starts with SlowStartShare of its capacity and has all of it after SlowStartDuration. It
+	// collapses when it gets OverloadMultiple times what it bears within any OverloadWindow.
 	SlowStartShare    float64
 	SlowStartDuration int64
 	OverloadMultiple  float64
@@ -30,16 +30,16 @@
 	CrossZoneCost float64 // of an attempt in another zone; 0: none
 }
 
-// ClassSettings are what is promised for a class of requests.
+// ClassSettings are the promises made for a class of requests.
 type ClassSettings struct {
 	Idempotency      Idempotency
 	DedupScope       DedupScope
-	DedupWindow      int64 // how long the repeats of a request with a key are known, from its first attempt
+	DedupWindow      int64 // how long backends know repeats of a request with a key, from its first attempt
 	LatencyObjective int64
 	Deadline         int64
 	LateValue        float64      // share of the value that an answer after the latency objective keeps
 	FallbackMode     FallbackMode // the simulator's wire names none, so its instances use their local share
-	CheckOnly        bool         // a question about the quota: counted, then admitted and not sent
+	CheckOnly        bool         // only asks the quota: requests are counted, admitted and not sent
 }
 
 // PlanSettings are a plan's quotas, each for one tenant over all instances.
--- a/policy/state.go
+++ b/policy/state.go
@@ -24,13 +24,13 @@
 	PlanSettings
 	window          int64         // the time in which the rate fills one burst; 0: the plan has no rate
 	quota           float64       // units a window
-	concurrencyUnit float64       // what an attempt in flight counts beside the units; 0: no limit
+	concurrencyUnit float64       // what an attempt in flight adds to the count; 0: no limit
 	admittedShare   estimate.Mean // part of a request that the counter lately admitted
 	leaverShare     estimate.Mean // part of the clients that leave before their time
 	leaverPatience  estimate.Mean // after how long they leave
 }
 
-// Engine is the decisions of one instance and all that they remember.
+// Engine makes the decisions of one instance and holds all that they remember.
 type Engine struct {
 	effects   Effects
 	settings  Settings
@@ -55,7 +55,7 @@
 	latency         estimate.Mean       // of the backends together
 	latencyByUnits  estimate.Regression // how it grows with the units
 	baselineLatency estimate.Mean       // of moments without a queue; the count is of the first attempts
-	defaultLatency  float64             // taken for granted where nothing better is known
+	defaultLatency  float64             // assumed while nothing better is known
 	lastAnswerAt    int64               // when any backend last answered
 	lastRejectionAt int64               // when any backend last turned an attempt away
 
@@ -66,10 +66,10 @@
 	answersSinceTick      float64
 	throughput            float64 // answers a second
 	backendThroughput     float64 // of one backend, from all instances alike
-	peakBackendThroughput float64 // the most of that lately
-	effectiveBackends     float64 // that are ready, each as far as it is warm
+	peakBackendThroughput float64 // its recent peak
+	effectiveBackends     float64 // ready backends, each weighted by its warmth
 	effectiveCapacity     float64 // the same, by capacity
-	meanCapacity          float64 // of a backend, the most of that lately
+	meanCapacity          float64 // of a backend, its recent peak
 }
 
 func newEngine(now int64, seed uint64, effects Effects) *Engine {
@@ -84,7 +84,7 @@
 	}
 }
 
-// fairSharePerBackend is an instance's part of one attempt at each backend.
+// fairSharePerBackend returns an instance's part of one attempt at each backend.
 func (e *Engine) fairSharePerBackend() float64 {
 	return e.effectiveBackends / float64(max(e.settings.Instances, 1))
 }
--- a/policy/status.go
+++ b/policy/status.go
@@ -2,17 +2,17 @@
 
 import "fawnplank/internal/nanos"
 
-// QuotaStatus is what this instance knows of a tenant's quota, for those who ask without counting.
+// QuotaStatus is what this instance knows about a tenant's quota, for callers that ask without counting.
 type QuotaStatus struct {
 	Limit         float64 // units that the quota holds when it is full; 0: the plan has none
-	Rate          float64 // units a second that it refills by
-	Used          float64 // units used and not refilled yet
+	Rate          float64 // refill in units a second
+	Used          float64 // units that are used and not refilled yet
 	FromCounter   bool    // the counter reported this window; else the numbers are those of the local share
 	HardQuotaLeft float64 // units left of this instance's part of the hard quota; -1: the plan has none
 }
 
-// QuotaStatus returns what is known of a tenant's quota now, and counts nothing. ok is false for a plan out
-// of range.
+// QuotaStatus returns what is known about a tenant's quota now. It counts nothing. ok is false if the plan is
+// out of range.
 func (e *Engine) QuotaStatus(now int64, id TenantID, plan PlanID, entryPoints int) (_ QuotaStatus, ok bool) {
 	if int(plan) >= len(e.plans) {
 		return QuotaStatus{}, false
@@ -40,13 +40,13 @@
 	return status, true
 }
 
-// BreakerStatus reports whether calls to the counter are stopped, and else which share of the requests makes
-// one.
+// BreakerStatus reports whether the breaker stops calls to the counter, and which share of the requests makes
+// a call otherwise.
 func (e *Engine) BreakerStatus() (open bool, callShare float64) {
 	return !e.breaker.IsClosed(), e.callShare
 }
 
-// CounterStats are statistics on the counter's failures, as this instance met them.
+// CounterStats are statistics on the counter's failures as this instance saw them.
 type CounterStats struct {
 	BreakerOpen     bool    // calls are stopped
 	CallShare       float64 // share of the requests that make a call otherwise
@@ -57,7 +57,7 @@
 	Tenants         int     // remembered
 }
 
-// CounterStats returns the statistics of now.
+// CounterStats returns the current statistics.
 func (e *Engine) CounterStats() CounterStats {
 	stats := CounterStats{Tenants: len(e.tenants)}
 	stats.BreakerOpen, stats.CallShare = e.BreakerStatus()
--- a/policy/tenant.go
+++ b/policy/tenant.go
@@ -8,7 +8,7 @@
 	"fawnplank/internal/tokenbucket"
 )
 
-// tenant is what this instance knows of a tenant: of its quota, and of the limits that the instance enforces
+// tenant is what this instance knows about a tenant: its quota, and the limits that the instance enforces
 // alone.
 type tenant struct {
 	id       TenantID
@@ -18,16 +18,16 @@
 	waiting  int // requests that wait for the counter
 
 	unreported   float64 // units for the next call: admitted without the counter, or counted and not sent
-	ownUnits     float64 // units that this instance lately counted
-	otherUnits   float64 // units that the others did
-	tracksRefill bool    // its instances see enough of the count to compute its refill together
+	ownUnits     float64 // units that this instance counted lately
+	otherUnits   float64 // units that the other instances counted lately
+	tracksRefill bool    // the tenant's instances see enough of its count to compute its refill together
 
 	admittedShare estimate.Mean
 	localUsage    tokenbucket.Usage  // units admitted here, less what the local share has refilled
 	hardQuota     tokenbucket.Bucket // this instance's part of the hard quota
 }
 
-// findTenant returns the request's tenant, in its window of now.
+// findTenant returns the request's tenant, with its window rolled over to now.
 func (e *Engine) findTenant(now int64, id TenantID, r *Request) *tenant {
 	t := e.tenants[id]
 	if t == nil {
@@ -48,7 +48,8 @@
 	return t
 }
 
-// scheduleForgetting drops the tenant once it was unused for its time and nothing of it is in flight.
+// scheduleForgetting drops the tenant once it has been unused for the time of keepFor and has nothing in
+// flight.
 func (e *Engine) scheduleForgetting(now int64, t *tenant) {
 	keep := t.keepFor()
 	e.schedule(now+keep, nil, func(now int64) {
@@ -61,17 +62,17 @@
 	})
 }
 
-// quotaWindow is what is known of the count of a tenant's current window. The count is compared with what the
-// rate has refilled since the window's start: the tenant has used total - refilled of its burst. The lost
-// units are at least what the last window left used, until an instance reconciles the count.
+// quotaWindow is what is known about the count of a tenant's current window. The count is compared with what
+// the rate has refilled since the window's start: the tenant has used total - refilled of its burst. Until an
+// instance reconciles the count, the lost units are at least what the last window left used.
 type quotaWindow struct {
 	start            int64
 	key              CounterKey
 	total            float64 // as last reported, with the lost units
 	counterTotal     float64 // as last reported
 	lostUnits        float64 // that the count lacks: at first what the last window left used
-	lostSince        int64   // since when the count lacks much; 0: it does not
-	reconciled       float64 // units that were added to make up for lost ones, in all
+	lostSince        int64   // since when the count has lacked much; 0: it does not
+	reconciled       float64 // units added so far to make up for lost ones
 	answers          int     // of the counter
 	reportedInFlight int     // attempts of this instance that the count holds
 }
@@ -82,9 +83,9 @@
 // tenantOffset keeps the offsets of tenants apart from other hashes of their ids.
 const tenantOffset = 0x9e3779b97f4a7c15
 
-// windowAt returns an empty window that holds now. Windows start at a time of the tenant's own: clients that
-// were rejected together come apart. A count that holds attempts too has a key of its own: instances that do
-// not report them could not read it.
+// windowAt returns an empty window that holds now. Each tenant's windows start at an offset of their own, so
+// that clients that were rejected together spread out. A count that holds attempts too has a separate key,
+// since instances that do not report attempts could not read it.
 func (t *tenant) windowAt(now int64) quotaWindow {
 	own := hash64.Mix(uint64(t.id) + tenantOffset)
 	window := quotawindow.At(now, t.plan.window, own)
@@ -92,7 +93,7 @@
 	return quotaWindow{start: window.Start, key: CounterKey(key)}
 }
 
-// refilled returns what the rate has given since a window's start.
+// refilled returns how many units the rate has refilled since a window's start.
 func (t *tenant) refilled(now, windowStart int64) float64 {
 	if !t.tracksRefill {
 		return 0
@@ -101,8 +102,7 @@
 }
 
 // hasStaleInFlight reports whether the window's count holds more attempts of this instance than are in
-// flight. The concurrency limit is counted beside the units, in the same call; only the end of an attempt
-// needs one of its own.
+// flight. A call that counts units also counts attempts; only the end of an attempt needs a call of its own.
 func (t *tenant) hasStaleInFlight(now int64) bool {
 	return t.plan.concurrencyUnit > 0 && t.window.reportedInFlight > t.inFlight+t.waiting && now < t.windowEnd()
 }
--- a/policy/timers.go
+++ b/policy/timers.go
@@ -1,9 +1,9 @@
 package policy
 
-// tickTimer is the number of the periodic timer; those for the earliest due time are numbered from 1.
+// tickTimer is the number of the periodic timer; wakes for the earliest due time are numbered from 1.
 const tickTimer = 0
 
-// timer is something to do at its time, unless while (where there is one) says by then that it is needless.
+// timer is a function to run at a due time. It is needless if while is set and is false by then.
 type timer struct {
 	while *bool
 	run   func(now int64)
@@ -11,8 +11,8 @@
 
 func (t timer) needless() bool { return t.while != nil && !*t.while }
 
-// schedule runs a function at a time or soon after, if while still holds then. Most of what is scheduled for
-// a request is needless by its time, and nothing wakes up for it.
+// schedule runs a function at a time or soon after, if while is nil or still true then. Most functions
+// scheduled for a request are needless by their time, and no wake is requested for them.
 func (e *Engine) schedule(at int64, while *bool, run func(now int64)) {
 	e.timers.Push(at, timer{while: while, run: run})
 	if e.wakeAt == 0 || at < e.wakeAt {
@@ -26,7 +26,7 @@
 	e.effects.WakeAt(at, e.wakeups)
 }
 
-// HandleTimer runs what has fallen due. The timer is the one that Effects.WakeAt was given.
+// HandleTimer runs the functions that are due. timerID is the timer that Effects.WakeAt was given.
 func (e *Engine) HandleTimer(now int64, timerID uint64) {
 	if timerID == tickTimer {
 		e.tick(now)
--- a/policy/types.go
+++ b/policy/types.go
@@ -2,7 +2,7 @@
 
 import "strconv"
 
-// Each kind of id is a type of its own. Ids say nothing beyond being equal or not.
+// Each kind of id has its own type. Ids can only be compared for equality.
 type (
 	// RequestID names a request.
 	RequestID uint64
@@ -47,13 +47,13 @@
 // mayHaveRun reports whether a backend may have run an attempt that ended like this.
 func (o Outcome) mayHaveRun() bool { return o != Rejected && o != ConnectFailed && o != NotSent }
 
-// Idempotency is what running a request twice does.
+// Idempotency says what running a request twice does.
 type Idempotency uint8
 
 // The kinds of idempotency.
 const (
 	Idempotent        Idempotency = iota // may run again
-	IdempotentWithKey                    // repeats are known by their key, within the dedup scope and window
+	IdempotentWithKey                    // backends know repeats by their key, within the dedup scope and window
 	NonIdempotent                        // must never run twice
 )
 
@@ -61,7 +61,7 @@
 	return enumName(int(i), "idempotent", "idempotent with key", "non-idempotent")
 }
 
-// DedupScope is which backends know the repeats of a request with an idempotency key.
+// DedupScope says which backends know the repeats of a request with an idempotency key.
 type DedupScope uint8
 
 // The dedup scopes.
@@ -73,7 +73,7 @@
 
 func (s DedupScope) String() string { return enumName(int(s), "all", "zone", "group") }
 
-// EndpointState is where a backend is in its life.
+// EndpointState is a backend's stage of life.
 type EndpointState uint8
 
 // The states of an endpoint.
@@ -85,7 +85,7 @@
 
 func (s EndpointState) String() string { return enumName(int(s), "draining", "ready", "gone") }
 
-// UpdateKind is how endpoints came.
+// UpdateKind says what an update of the endpoint list brings.
 type UpdateKind uint8
 
 // The kinds of update.
@@ -100,7 +100,7 @@
 	return enumName(int(k), "delta", "full snapshot", "cached snapshot", "update failed")
 }
 
-// FallbackMode is how a class decides while the counter gives no answer.
+// FallbackMode says how a class decides while the counter gives no answer.
 type FallbackMode uint8
 
 // The fallback modes.
@@ -122,17 +122,17 @@
 	return strconv.Itoa(value)
 }
 
-// Endpoint is one line of the list of backends.
+// Endpoint is one entry of the list of backends.
 type Endpoint struct {
 	Backend   BackendID
 	Zone      ZoneID
 	Group     GroupID
-	Capacity  float64 // what it is stated to bear, relative to the others
+	Capacity  float64 // stated capacity, relative to the others
 	State     EndpointState
 	StartedAt int64 // 0: long ago
 }
 
-// RequestSpec is one request as it arrives.
+// RequestSpec describes a request as it arrives.
 type RequestSpec struct {
 	ID     RequestID
 	Class  ClassID
@@ -154,6 +154,6 @@
 	Elapsed int64
 	// RequestDone says that the client has its answer: no other attempt can follow.
 	RequestDone bool
-	// TrueUnits is what the request really counted, where that is known only afterwards; else 0.
+	// TrueUnits is what the request really counted, if that is known only afterwards; otherwise 0.
 	TrueUnits float64
 }
--- a/policy/warm_start.go
+++ b/policy/warm_start.go
@@ -2,15 +2,15 @@
 
 import "math"
 
-// WarmStartState is what an instance knows of the backends' answer times, for the one that is started after
-// it.
+// WarmStartState is what an instance knows about the backends' answer times, for the instance that is started
+// after it.
 type WarmStartState struct {
 	BaselineLatency float64            `json:"usual_ns"` // of all together
-	Samples         float64            `json:"count"`    // of answers that stand behind it
+	Samples         float64            `json:"count"`    // how many answers stand behind it
 	Backends        []BackendWarmStart `json:"backends"`
 }
 
-// BackendWarmStart is one backend's part.
+// BackendWarmStart is the part of a WarmStartState that describes one backend.
 type BackendWarmStart struct {
 	Backend         BackendID `json:"backend"`
 	StartedAt       int64     `json:"started"` // of the incarnation that was measured
@@ -18,21 +18,21 @@
 	Samples         float64   `json:"count"`
 }
 
-// aging is how what was measured loses its weight with its age. Its values are in engine.go.
+// aging says how measurements lose weight with their age. Its values are in engine.go.
 type aging struct {
 	fleetHalfLife, backendHalfLife int64
 	maxSamples                     float64
-	maxLatency                     float64 // in nanoseconds; beyond it a measurement is not valid
+	maxLatency                     float64 // in nanoseconds; a measurement from there on is not valid
 }
 
-// fade returns how many samples are left of those that count after so many half-lives.
+// fade returns how many samples still count after so many half-lives.
 func (a *aging) fade(samples, halfLives float64) float64 {
 	return min(max(samples, 0), a.maxSamples) * math.Exp2(-halfLives)
 }
 
 func (a *aging) valid(latency float64) bool { return latency > 0 && latency < a.maxLatency }
 
-// ExportState returns what is known of the listed backends.
+// ExportState returns what is known about the listed backends.
 func (e *Engine) ExportState() WarmStartState {
 	state := WarmStartState{BaselineLatency: e.latency.Value, Samples: e.latency.Count}
 	for _, b := range e.endpoints {
@@ -49,7 +49,7 @@
 }
 
 // ImportState takes over what an earlier incarnation of the instance measured, aged by warmStartAging. What
-// was measured since stays.
+// this incarnation has measured since stays where it rests on as many samples or more.
 func (e *Engine) ImportState(now int64, state WarmStartState, age int64) {
 	elapsed := float64(max(age, 0))
 	samples := warmStartAging.fade(state.Samples, elapsed/float64(warmStartAging.fleetHalfLife))
