--- a/cmd/drill/host.go
+++ b/cmd/drill/host.go
@@ -9,10 +9,10 @@
 	"fawnplank/policy"
 )
 
-// errUnknownEvent is that of a code which the wire does not define.
+// errUnknownEvent reports a code that the wire does not define.
 var errUnknownEvent = errors.New("unknown event code")
 
-// host holds the instances of this process, which share nothing but the reply. It belongs to one goroutine.
+// host holds the instances of this process, which share nothing but the reply. Only one goroutine may use it.
 type host struct {
 	instances map[uint32]*instance
 	reply     simwire.Reply
@@ -20,13 +20,13 @@
 
 func newHost() *host { return &host{instances: map[uint32]*instance{}} }
 
-// event is a kind of event: its name on the wire, in errors, and how a record of it is read and handled.
+// event is a kind of event: its name in errors, and how one of its records is read and handled.
 type event struct {
 	name   string
 	handle func(h *host, now int64, number uint32, f *simwire.Frame) error
 }
 
-// events are the kinds of events by their code, with the names that errors have always given them.
+// events lists the kinds of events by their code, with the names that errors have always given them.
 var events = [...]event{
 	eventCreate:          hostEvent("Create", readCreate, (*host).create),
 	eventEndpoints:       instanceEvent("View", readEndpoints, (*instance).handleEndpoints),
@@ -41,7 +41,7 @@
 	eventCounterResult:   instanceEvent("TallyBack", readCounterResult, (*instance).handleCounterResult),
 }
 
-// hostEvent makes a kind of event that the host handles, be there such an instance or not.
+// hostEvent returns a kind of event that the host handles, whether or not the instance exists.
 func hostEvent[M any](
 	name string,
 	read func(*simwire.Frame) (M, error),
@@ -57,8 +57,8 @@
 	}}
 }
 
-// instanceEvent makes a kind of event that an instance handles; one of an instance that is not there is
-// ignored.
+// instanceEvent returns a kind of event that an instance handles. An event of an instance that does not exist
+// is ignored.
 func instanceEvent[M any](
 	name string,
 	read func(*simwire.Frame) (M, error),
@@ -76,7 +76,7 @@
 	}}
 }
 
-// readWhole reads a message, and returns it only if its record was whole.
+// readWhole reads a message. It returns an error unless the whole record could be read.
 func readWhole[M any](f *simwire.Frame, read func(*simwire.Frame) (M, error)) (M, error) {
 	message, err := read(f)
 	if err == nil {
@@ -85,8 +85,8 @@
 	return message, err
 }
 
-// handleFrame answers one frame. Decisions that panic are reported on the wire; an error means that the frame
-// is malformed.
+// handleFrame answers one frame. A panic in the decisions is reported on the wire; an error means that the
+// frame is malformed.
 func (h *host) handleFrame(f *simwire.Frame) error {
 	now := nanoseconds(f.Clock)
 	for n := range f.Records {
@@ -103,7 +103,7 @@
 	return nil
 }
 
-// handleRecord handles one record, and returns the name of its kind of event, empty if there is none.
+// handleRecord handles one record and returns the name of its kind of event, or "" if there is no such kind.
 func (h *host) handleRecord(now int64, code uint8, f *simwire.Frame) (name string, err error) {
 	number := f.Uint32()
 	if int(code) < len(events) {
@@ -116,7 +116,7 @@
 	return "", errUnknownEvent
 }
 
-// guard runs decisions; if they panic, that is reported in the place of the instance's further actions.
+// guard runs decisions. If they panic, it reports that in place of the instance's further actions.
 func (h *host) guard(number uint32, decide func()) {
 	defer func() {
 		if reason := recover(); reason != nil {
@@ -126,13 +126,13 @@
 	decide()
 }
 
-// reportBroken ends an instance and says why.
+// reportBroken ends an instance and reports why.
 func (h *host) reportBroken(number uint32, reason string) {
 	delete(h.instances, number)
 	h.reply.Record(actionBroken).Uint32(number).Text(reason)
 }
 
-// create starts an instance, in the place of one of its number if there is one.
+// create starts an instance, and replaces the one with the same number if there is one.
 func (h *host) create(now int64, number uint32, m createMessage) {
 	settings, err := config.ParseSettings(m.settings)
 	if err != nil {
@@ -144,8 +144,8 @@
 	h.guard(number, func() { in.engine = policy.New(now, m.seed, settings, in) })
 }
 
-// kill ends an instance without a word.
+// kill ends an instance without a reply.
 func (h *host) kill(_ int64, number uint32, _ emptyMessage) { delete(h.instances, number) }
 
-// ignore handles messages of other instances: the decisions send none and expect none.
+// ignore handles messages from other instances: the decisions send none and expect none.
 func (h *host) ignore(int64, uint32, emptyMessage) {}
--- a/cmd/drill/instance.go
+++ b/cmd/drill/instance.go
@@ -15,17 +15,17 @@
 	actionCancel
 	actionWakeAt
 	actionCheckHealth
-	_ // drop connections: idle ones are left to close by themselves
-	_ // message to another instance: instances share the counter alone
+	_ // drop connections: idle ones close by themselves
+	_ // message to another instance: instances share only the counter
 	actionLog
 	actionBroken
 	actionWatch
-	_ // refresh: a watch brings what was missed
+	_ // refresh: a watch delivers what was missed
 	actionAddToCounter
 )
 
-// instance is one instance of the gateway: its decisions, and its requests in flight by their id. It is the
-// decisions' policy.Effects: each effect is an action in the reply.
+// instance is one gateway instance: its decisions, and its requests in flight by their id. It implements
+// policy.Effects for the decisions: each effect becomes an action in the reply.
 type instance struct {
 	number   uint32
 	reply    *simwire.Reply // the host's, which all instances share
@@ -40,7 +40,8 @@
 	return in.reply.Record(code).Uint32(in.number)
 }
 
-// Send sends an attempt. The simulator sends at once, so that the time by which it has to begin says nothing.
+// Send sends an attempt. The simulator sends at once, so the time by which the attempt has to begin is not
+// used.
 func (in *instance) Send(id policy.RequestID, backend policy.BackendID, expiresAt, _ int64) {
 	in.action(actionSend).Uint64(uint64(id)).Uint32(uint32(backend)).Float64(milliseconds(expiresAt))
 }
@@ -62,7 +63,7 @@
 	in.dropDone(id)
 }
 
-// Admit does nothing: the wire has no class that only checks.
+// Admit does nothing: the wire has no class that only counts.
 func (in *instance) Admit(policy.RequestID) {}
 
 // WakeAt asks for a timer event.
@@ -75,7 +76,7 @@
 	in.action(actionAddToCounter).Uint64(uint64(key)).Float32(units).Float64(milliseconds(lifetime))
 }
 
-// CheckHealth makes a health check.
+// CheckHealth asks for a health check.
 func (in *instance) CheckHealth(backend policy.BackendID) {
 	in.action(actionCheckHealth).Uint32(uint32(backend))
 }
@@ -83,17 +84,17 @@
 // WatchEndpoints asks for the endpoint list and its changes.
 func (in *instance) WatchEndpoints() { in.action(actionWatch).Uint8(1) }
 
-// Log notes a text in the simulator's log.
+// Log writes a text to the simulator's log.
 func (in *instance) Log(text string) { in.action(actionLog).Text(text) }
 
-// dropDone forgets a request that ended with no attempt in flight, by the counter's answer or a timer.
+// dropDone forgets a request that the counter's answer or a timer ended with no attempt in flight.
 func (in *instance) dropDone(id policy.RequestID) {
 	if request := in.requests[uint64(id)]; request != nil && request.Done() {
 		delete(in.requests, uint64(id))
 	}
 }
 
-// keep remembers a request until no further event can come for it.
+// keep remembers a request until no further event can come for it, and forgets it then.
 func (in *instance) keep(id uint64, request *policy.Request) {
 	if request.Done() {
 		delete(in.requests, id)
@@ -102,7 +103,7 @@
 	in.requests[id] = request
 }
 
-// The handlers of events. Those of requests that are not in flight, or no longer, are ignored: the
+// The handlers of events. Events of requests that are not in flight, or no longer are, are ignored: the
 // simulator's events and the instance's answers may cross on the way.
 
 func (in *instance) handleEndpoints(now int64, m endpointsMessage) {
--- a/cmd/drill/main.go
+++ b/cmd/drill/main.go
@@ -1,5 +1,5 @@
-// Command drill puts the decisions on the simulator's wire: it reads batches of events from standard input
-// and writes one reply a batch to standard output. It translates and decides nothing.
+// Command drill connects the decisions to the simulator's wire: it reads batches of events from standard
+// input and writes one reply per batch to standard output. It translates and decides nothing.
 package main
 
 import (
@@ -12,7 +12,7 @@
 	"fawnplank/internal/simwire"
 )
 
-// bufferBytes holds a busy batch whole, so that it is read and answered by one system call each.
+// bufferBytes is enough for a whole busy batch, so that one system call reads it and one answers it.
 const bufferBytes = 1 << 20
 
 func main() {
@@ -23,7 +23,7 @@
 }
 
 // run answers frames until the input ends between two of them. The simulator waits for each reply before it
-// sends on.
+// sends the next frame.
 func run(in io.Reader, out io.Writer) error {
 	reader := bufio.NewReaderSize(in, bufferBytes)
 	writer := bufio.NewWriterSize(out, bufferBytes)
--- a/cmd/drill/messages.go
+++ b/cmd/drill/messages.go
@@ -8,8 +8,9 @@
 	"fawnplank/policy"
 )
 
-// This file reads the bodies of events. Readers leave it to their caller to check the frame's error, which
-// comes before all use of a message; the errors that they return are of values that the wire does not define.
+// This file reads the bodies of events. The readers leave it to their caller to check the frame's error
+// before it uses a message. The errors that they return themselves are about values that the wire does not
+// define.
 
 // Codes of the events on the wire.
 const (
@@ -33,7 +34,7 @@
 	stateGone     = 3
 )
 
-// nanoseconds and milliseconds turn the wire's times into the decisions' and back.
+// nanoseconds and milliseconds convert the wire's times to those of the decisions, and back.
 func nanoseconds(ms float64) int64     { return config.Nanoseconds(ms) }
 func milliseconds(nanos int64) float64 { return float64(nanos) / 1e6 }
 
@@ -54,7 +55,7 @@
 	statusNotSent        = 307
 )
 
-// outcomes are those of attempts, health checks and calls to the counter by their status on the wire.
+// outcomes maps a status on the wire to the outcome of an attempt, a health check or a call to the counter.
 var outcomes = map[uint16]policy.Outcome{
 	statusSucceeded:      policy.Succeeded,
 	statusFailed:         policy.Failed,
@@ -66,7 +67,7 @@
 	statusNotSent:        policy.NotSent,
 }
 
-// outcomeOf translates a status. After a fault in the frame the status is none, and the fault is what counts.
+// outcomeOf translates a status. After a fault in the frame there is no status, and the frame's error counts.
 func outcomeOf(f *simwire.Frame, status uint16) (policy.Outcome, error) {
 	outcome, ok := outcomes[status]
 	if f.Err() == nil && !ok {
@@ -78,7 +79,7 @@
 // createMessage starts an instance.
 type createMessage struct {
 	seed     uint64
-	settings []byte // JSON; the frame's own
+	settings []byte // JSON; memory of the frame
 }
 
 func readCreate(f *simwire.Frame) (createMessage, error) {
@@ -86,14 +87,14 @@
 	return createMessage{seed: seed, settings: f.Bytes(int(f.Uint32()))}, nil
 }
 
-// endpointsMessage brings the endpoint list or its changes.
+// endpointsMessage holds the endpoint list or changes to it.
 type endpointsMessage struct {
 	kind          policy.UpdateKind
 	endpoints     []policy.Endpoint
 	unknownStates []unknownState
 }
 
-// unknownState is a state on the wire that is not defined: its backend counts as draining.
+// unknownState is a state that the wire does not define. Its backend counts as draining.
 type unknownState struct {
 	backend policy.BackendID
 	state   uint8
@@ -102,7 +103,7 @@
 func readEndpoints(f *simwire.Frame) (endpointsMessage, error) {
 	const entryBytes = 22
 	kind := f.Uint8()
-	f.Uint64() // the list's version: the wire gives no list twice
+	f.Uint64() // the list's version: the wire sends no list twice
 	m := endpointsMessage{kind: policy.UpdateKind(kind)}
 	m.endpoints = make([]policy.Endpoint, f.Count(int(f.Uint32()), entryBytes))
 	for n := range m.endpoints {
@@ -117,11 +118,12 @@
 	return m, nil
 }
 
-// readEndpoint reads an entry of a list, and returns its state on the wire and whether that is defined.
+// readEndpoint reads an entry of a list. It returns the entry's state on the wire and whether the wire
+// defines it.
 func readEndpoint(f *simwire.Frame, endpoint *policy.Endpoint) (state uint8, known bool) {
 	endpoint.Backend = policy.BackendID(f.Uint32())
 	endpoint.Zone = policy.ZoneID(f.Uint16())
-	f.Uint8() // the kind of machine: answer times say it
+	f.Uint8() // the kind of machine: the answer times show it
 	endpoint.Group = policy.GroupID(f.Uint16())
 	state = f.Uint8()
 	endpoint.Capacity = f.Float32()
@@ -153,11 +155,11 @@
 	m.spec.Units = f.Float32()
 	m.spec.EntryPoints = countOf(f.Float32())
 	m.spec.FirstInstance = countOf(f.Float32())
-	f.Uint8() // flags: the decisions read none
+	f.Uint8() // flags: the decisions use none
 	return m, nil
 }
 
-// responseStartedMessage is the first byte of an attempt's answer.
+// responseStartedMessage reports the first byte of an attempt's answer.
 type responseStartedMessage struct {
 	id      uint64
 	attempt policy.AttemptID
@@ -167,11 +169,11 @@
 	m := responseStartedMessage{id: f.Uint64()}
 	m.attempt = policy.AttemptID(f.Uint8())
 	f.Uint32()  // the backend: known from the attempt
-	f.Float64() // the time since it was sent: known too
+	f.Float64() // the time since it was sent: known as well
 	return m, nil
 }
 
-// attemptResultMessage is the end of an attempt.
+// attemptResultMessage reports the end of an attempt.
 type attemptResultMessage struct {
 	id     uint64
 	result policy.AttemptResult
@@ -184,7 +186,7 @@
 	status := f.Uint16()
 	m.result.Elapsed = nanoseconds(f.Float64())
 	m.result.RequestDone = f.Uint8() != 0
-	f.Uint16() // the meter: the decisions go by the counter
+	f.Uint16() // the meter: the decisions use the counter
 	m.result.TrueUnits = float64(f.Uint16())
 	skipLoadReport(f)
 	var err error
@@ -192,19 +194,19 @@
 	return m, err
 }
 
-// clientGoneMessage is a request whose client has left.
+// clientGoneMessage reports that a request's client has left.
 type clientGoneMessage struct{ id uint64 }
 
 func readClientGone(f *simwire.Frame) (clientGoneMessage, error) {
 	return clientGoneMessage{id: f.Uint64()}, nil
 }
 
-// timerMessage is a timer that the decisions asked for.
+// timerMessage reports a timer that the decisions asked for.
 type timerMessage struct{ mark uint64 }
 
 func readTimer(f *simwire.Frame) (timerMessage, error) { return timerMessage{mark: f.Uint64()}, nil }
 
-// healthCheckMessage is the end of a health check.
+// healthCheckMessage reports the end of a health check.
 type healthCheckMessage struct {
 	backend policy.BackendID
 	outcome policy.Outcome
@@ -213,7 +215,7 @@
 func readHealthCheck(f *simwire.Frame) (healthCheckMessage, error) {
 	m := healthCheckMessage{backend: policy.BackendID(f.Uint32())}
 	status := f.Uint16()
-	f.Float64() // how long it took: the decisions go by what requests take
+	f.Float64() // how long it took: the decisions use the time that requests take
 	skipLoadReport(f)
 	var err error
 	m.outcome, err = outcomeOf(f, status)
@@ -237,19 +239,19 @@
 	return m, err
 }
 
-// emptyMessage is one whose fields, if any, the decisions do not use.
+// emptyMessage stands for an event whose fields, if any, the decisions do not use.
 type emptyMessage struct{}
 
 func readNothing(*simwire.Frame) (emptyMessage, error) { return emptyMessage{}, nil }
 
-// readPeerMessage passes over a message of another instance.
+// readPeerMessage skips a message from another instance.
 func readPeerMessage(f *simwire.Frame) (emptyMessage, error) {
 	f.Uint32() // the sender
 	f.Bytes(int(f.Uint16()))
 	return emptyMessage{}, nil
 }
 
-// skipLoadReport passes over a load report: the decisions go by what the backends answer.
+// skipLoadReport skips a load report: the decisions use what the backends answer.
 func skipLoadReport(f *simwire.Frame) {
 	const numberBytes = 4
 	f.Bytes(numberBytes * int(f.Uint8()))
--- a/cmd/fawnplank-lab/command_accounts.go
+++ b/cmd/fawnplank-lab/command_accounts.go
@@ -34,7 +34,7 @@
 }
 
 func (f *accountsFlags) run(command *cobra.Command) error {
-	logrus.SetLevel(logrus.ErrorLevel) // an election's entries would stand in the table
+	logrus.SetLevel(logrus.ErrorLevel) // log entries of an election would end up in the table
 	var costs []accounts.Cost
 	for _, clients := range f.clients {
 		for _, secure := range []bool{false, true} {
--- a/cmd/fawnplank-lab/command_load.go
+++ b/cmd/fawnplank-lab/command_load.go
@@ -72,8 +72,8 @@
 	return plots.Table(command.OutOrStdout(), run)
 }
 
-// isLoopback reports whether an address is on this machine's loopback. The load tool sends to no other: it is
-// no tool for loading what others run.
+// isLoopback reports whether an address is on this machine's loopback. The load tool sends to no other
+// address: it must not put load on what others run.
 func isLoopback(address string) bool {
 	for _, prefix := range []string{"127.", "[::1]:", "localhost:"} {
 		if strings.HasPrefix(address, prefix) {
--- a/cmd/fawnplank-lab/command_run.go
+++ b/cmd/fawnplank-lab/command_run.go
@@ -48,7 +48,7 @@
 	return command
 }
 
-// defaultGatewayProgram is the gateway's program beside this one.
+// defaultGatewayProgram returns the path of the gateway's program, which is next to this one.
 func defaultGatewayProgram() string {
 	self, err := os.Executable()
 	if err != nil {
@@ -57,8 +57,8 @@
 	return filepath.Join(filepath.Dir(self), "fawnplank")
 }
 
-// run plays a scenario and reports on it. A run with an error, such as a gateway that crashed, is printed but
-// not written, so that no file of results holds a run cut short.
+// run plays a scenario and reports on it. A run that ended with an error, such as a crashed gateway, is
+// printed but not written, so that no file of results holds a run cut short.
 func (f *runFlags) run(command *cobra.Command, path string) error {
 	s, err := f.scenario.load(path)
 	if err != nil {
@@ -79,7 +79,7 @@
 	return f.write(s.Name, run)
 }
 
-// play plays a scenario where it says.
+// play plays a scenario on the model or on sockets, as the scenario says.
 func (f *runFlags) play(ctx context.Context, s *scenario.Scenario) (*results.Run, error) {
 	if s.On == scenario.OnModel {
 		return model.Run(s)
--- a/cmd/fawnplank-lab/command_standins.go
+++ b/cmd/fawnplank-lab/command_standins.go
@@ -16,9 +16,9 @@
 )
 
 const (
-	// defaultStay is enough to try something by hand.
+	// defaultStay is long enough to try something by hand.
 	defaultStay = 10 * time.Minute
-	// maxStay bounds stand-ins that were forgotten.
+	// maxStay ends stand-ins that were forgotten.
 	maxStay = time.Hour
 )
 
@@ -84,8 +84,8 @@
 	return nil
 }
 
-// configure writes the configuration of a gateway, prints how to start it, and returns the address it will
-// listen at.
+// configure writes the configuration of a gateway, prints how to start it, and returns the address that it
+// will listen on.
 func (f *standInsFlags) configure(
 	command *cobra.Command, standIns *emulator.Emulator, index int,
 ) (string, error) {
@@ -105,7 +105,7 @@
 	return address, nil
 }
 
-// wait waits for the end of the stay, or of ctx.
+// wait waits until the stay is over or ctx ends.
 func (f *standInsFlags) wait(ctx context.Context) {
 	select {
 	case <-ctx.Done():
--- a/cmd/fawnplank-lab/command_sweep.go
+++ b/cmd/fawnplank-lab/command_sweep.go
@@ -13,7 +13,7 @@
 	"fawnplank/internal/lab/scenario"
 )
 
-// defaultParallelRuns leaves half of an eight-core machine to others.
+// defaultParallelRuns leaves half of an eight-core machine to other work.
 const defaultParallelRuns = 4
 
 // sweepFlags are the flags of "sweep".
@@ -67,8 +67,8 @@
 	return nil
 }
 
-// play plays the scenario once for each value, in their order. All are read before the first is played, so
-// that a wrong value costs no run.
+// play plays the scenario once for each value and returns the runs in the order of the values. It reads all
+// scenarios before it plays the first, so that a wrong value costs no run.
 func (f *sweepFlags) play(path, key string, values []string) ([]*results.Run, error) {
 	scenarios := make([]*scenario.Scenario, len(values))
 	for n, value := range values {
--- a/cmd/fawnplank-lab/command_zone.go
+++ b/cmd/fawnplank-lab/command_zone.go
@@ -12,9 +12,9 @@
 )
 
 const (
-	// maxZoneBackends bounds the sizes of zones that are measured.
+	// maxZoneBackends is the size of the largest zone that is measured.
 	maxZoneBackends = 50000
-	// defaultZoneUpdates make the 99th percentile rest on ten updates.
+	// defaultZoneUpdates is enough for the 99th percentile to rest on ten updates.
 	defaultZoneUpdates = 1000
 	// defaultZoneDuration is how long concurrent updaters send.
 	defaultZoneDuration = 3 * time.Second
@@ -47,7 +47,7 @@
 }
 
 func (f *zoneFlags) run(command *cobra.Command) error {
-	logrus.SetLevel(logrus.ErrorLevel) // an entry an update would be measured too
+	logrus.SetLevel(logrus.ErrorLevel) // one log entry per update would be measured too
 	for _, size := range f.sizes {
 		if size < 1 || size > maxZoneBackends {
 			return fmt.Errorf("--sizes: %d is not from 1 to %d", size, maxZoneBackends)
--- a/cmd/fawnplank-lab/main.go
+++ b/cmd/fawnplank-lab/main.go
@@ -1,9 +1,8 @@
 // Command fawnplank-lab is the laboratory's program: it plays scenarios on the model or between stand-ins,
 // sends their requests to running gateways, measures single parts, and draws reports. "fawnplank lab" runs
-// it. It is a program of its own because a gateway's memory is bounded, and fonts and plots are no part of
-// one.
+// it. It is a separate program because a gateway's memory is bounded, and a gateway needs no fonts and plots.
 //
-// Each command has a file of its own, command_*.go, and is a value that holds its flags.
+// Each command has its own file, command_*.go, and is a value that holds its flags.
 package main
 
 import (
@@ -20,7 +19,7 @@
 	os.Exit(run())
 }
 
-// run executes the command line and returns the exit status. It is apart from main since os.Exit skips
+// run executes the command line and returns the exit status. It is separate from main because os.Exit skips
 // deferred calls.
 func run() int {
 	ctx, cancel := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
@@ -56,7 +55,7 @@
 	return root
 }
 
-// printf prints to the output of a command. An error is left aside: what is printed is for its reader, and
+// printf prints to the output of a command. It ignores errors: the output is for a reader, and a failed write
 // must not end a run whose results go to files.
 func printf(command *cobra.Command, format string, values ...any) {
 	_, _ = fmt.Fprintf(command.OutOrStdout(), format, values...)
--- a/cmd/fawnplank-lab/scenario_flags.go
+++ b/cmd/fawnplank-lab/scenario_flags.go
@@ -9,7 +9,7 @@
 	"fawnplank/internal/lab/scenario"
 )
 
-// scenarioFlags are the flags that lay values over those of a scenario.
+// scenarioFlags are the flags that override values of a scenario.
 type scenarioFlags struct {
 	on   string
 	seed uint64
@@ -22,7 +22,7 @@
 	command.Flags().StringArrayVar(&f.set, "set", nil, "key=value laid over the scenario, as often as wanted")
 }
 
-// load reads a scenario and lays over it, in this order, --set, the command's own overrides, --on and --seed.
+// load reads a scenario and applies, in this order, --set, the command's own overrides, --on and --seed.
 func (f *scenarioFlags) load(path string, commandOverrides ...string) (*scenario.Scenario, error) {
 	overrides := slices.Concat(f.set, commandOverrides)
 	if f.on != "" {
--- a/internal/simwire/frame.go
+++ b/internal/simwire/frame.go
@@ -4,8 +4,8 @@
 //	frame: uint32 length of the body, uint32 records, float64 clock in ms; then the body
 //	reply: uint32 records, uint32 length of the body; then the body
 //
-// A record begins with a byte that says its kind; which fields follow is for the caller to know. A Frame and
-// a Reply belong to one goroutine, which uses each again and again: their memory is kept.
+// A record begins with a byte for its kind; the caller knows which fields follow. A Frame and a Reply each
+// belong to one goroutine, which reuses them: they keep their memory.
 package simwire
 
 import (
@@ -18,18 +18,18 @@
 
 const (
 	frameHeaderBytes = 16
-	// maxClock, in ms, is some thirty years: a clock beyond it is damaged.
+	// maxClock, in ms, is about thirty years: a clock beyond it is damaged.
 	maxClock = 1e12
 	// MaxBytes bounds a frame's body, so that a damaged length is an error and not a huge allocation.
 	MaxBytes = 1 << 30
 )
 
-// ErrEnd is the error of ReadFrame where the input ends between two frames. It is not io.EOF, which an input
-// that ends behind a header gives too.
+// ErrEnd is the error of ReadFrame when the input ends between two frames. It differs from io.EOF, which an
+// input that ends right after a header gives as well.
 var ErrEnd = errors.New("simwire: end of input")
 
-// Frame is one batch of events, read field by field. The first fault sticks: all later reads return zero, and
-// Err returns it. Callers read a record whole and check once.
+// Frame is one batch of events, which is read field by field. The first fault sticks: all later reads return
+// zero, and Err returns the fault. Callers read a whole record and then check once.
 type Frame struct {
 	Clock   float64 // the simulator's time, in ms
 	Records int     // how many the body holds
@@ -38,8 +38,8 @@
 	err     error
 }
 
-// ReadFrame reads the next frame into f, whose memory is used again: what Bytes returned before is
-// overwritten. At the end of input between two frames it returns io.EOF.
+// ReadFrame reads the next frame into f. It reuses f's memory and so overwrites what Bytes returned before.
+// At the end of input between two frames it returns ErrEnd.
 func ReadFrame(r io.Reader, f *Frame) error {
 	var header [frameHeaderBytes]byte
 	n, err := io.ReadFull(r, header[:])
@@ -69,7 +69,7 @@
 	if size > MaxBytes {
 		return fmt.Errorf("frame header: impossible length %d", size)
 	}
-	if records > size { // a record has one byte at the least
+	if records > size { // a record has at least one byte
 		return fmt.Errorf("frame header: impossible count of %d records in %d bytes", records, size)
 	}
 	if math.IsNaN(clock) || math.Abs(clock) > maxClock {
@@ -84,17 +84,17 @@
 // Remaining returns the number of bytes not yet read.
 func (f *Frame) Remaining() int { return len(f.body) - f.offset }
 
-// Err returns the first fault met, nil if there is none.
+// Err returns the first fault, or nil if there is none.
 func (f *Frame) Err() error { return f.err }
 
-// failf notes a fault at the next field, unless one is noted.
+// failf records a fault at the next field, unless one is recorded already.
 func (f *Frame) failf(format string, args ...any) {
 	if f.err == nil {
 		f.err = fmt.Errorf("byte %d: %s", f.offset, fmt.Sprintf(format, args...))
 	}
 }
 
-// next returns the next n bytes, nil after a fault.
+// next returns the next n bytes, or nil after a fault.
 func (f *Frame) next(n int) []byte {
 	if n > f.Remaining() {
 		f.failf("field of %d bytes, %d left", n, f.Remaining())
@@ -152,7 +152,7 @@
 	return number
 }
 
-// Bytes reads n bytes; they are the frame's own and last until the next ReadFrame.
+// Bytes reads n bytes. They belong to the frame and last until the next ReadFrame.
 func (f *Frame) Bytes(n int) []byte {
 	if n > f.Remaining() {
 		f.failf("impossible count %d, %d bytes left", n, f.Remaining())
--- a/internal/simwire/reply.go
+++ b/internal/simwire/reply.go
@@ -8,18 +8,18 @@
 
 const replyHeaderBytes = 8
 
-// Reply gathers the records that answer one frame. Its methods return it, so that a record is written in one
-// statement:
+// Reply collects the records that answer one frame. Its methods return it, so that one statement writes a
+// record:
 //
 //	reply.Record(code).Uint32(instance).Uint64(id)
 //
 // The zero value is an empty reply.
 type Reply struct {
-	buffer  []byte // with the header's bytes in front, once it is begun
+	buffer  []byte // starts with room for the header, once the reply is begun
 	records uint32
 }
 
-// begin leaves the header's place free in front of the body.
+// begin reserves room for the header in front of the body.
 func (r *Reply) begin() {
 	if len(r.buffer) == 0 {
 		r.buffer = append(r.buffer, make([]byte, replyHeaderBytes)...)
@@ -63,7 +63,7 @@
 // Float64 adds a real number of eight bytes.
 func (r *Reply) Float64(v float64) *Reply { return r.Uint64(math.Float64bits(v)) }
 
-// Text adds a text with its length, cut to what the length's two bytes can say.
+// Text adds a text with its length, cut to what two bytes of length can express.
 func (r *Reply) Text(s string) *Reply {
 	if len(s) > math.MaxUint16 {
 		s = s[:math.MaxUint16]
