--- a/internal/lab/accounts/client.go
+++ b/internal/lab/accounts/client.go
@@ -16,31 +16,32 @@
 )
 
 const (
-	// commandTimeout bounds a command: above what the billing service itself waits for an election.
+	// commandTimeout bounds a command. It is longer than the billing service itself waits for an election.
 	commandTimeout = 20 * time.Second
-	// electionRetryInterval is between two commands to replicas without a leader.
+	// electionRetryInterval is the time between two commands while the replicas have no leader.
 	electionRetryInterval = 100 * time.Millisecond
-	// reservationLines follow the first line of a reservation's answer; the epoch is the first of them.
+	// reservationLines is how many lines follow the first line of a reservation's answer; the first of them is
+	// the epoch.
 	reservationLines = 4
 )
 
-// clientOptions are what one client does.
+// clientOptions say what one client does.
 type clientOptions struct {
-	index            int // its tenants are its own
+	index            int // each client has its own tenants
 	address          string
 	certificates     *tlsconfig.Source // nil: without TLS
 	electionDeadline time.Time
 	duration         time.Duration
 }
 
-// client is one connection to the limit server.
+// client is a connection to the limit server.
 type client struct {
 	conn   net.Conn
 	reader *bufio.Reader
 }
 
-// runClient reserves and commits until the duration since its first success is over, and returns the
-// latencies of what came after that success.
+// runClient reserves and commits until the duration since its first success is over. It returns the latencies
+// of the commands after that success.
 func runClient(ctx context.Context, options clientOptions) ([]time.Duration, error) {
 	c, err := dial(ctx, options.address, options.certificates)
 	if err != nil {
@@ -106,8 +107,8 @@
 	return nil
 }
 
-// send sends a command and returns the epoch of a reservation that it answers with, an error line as it is,
-// and "" for other answers.
+// send sends a command. It returns the epoch if the answer is a reservation, the line itself if it is an
+// error, and "" for other answers.
 func (c *client) send(command string) (string, error) {
 	if err := c.conn.SetDeadline(time.Now().Add(commandTimeout)); err != nil {
 		return "", err
@@ -125,7 +126,7 @@
 	return c.readReservation()
 }
 
-// readReservation reads the rest of a reservation, and returns its epoch.
+// readReservation reads the rest of a reservation's answer and returns its epoch.
 func (c *client) readReservation() (string, error) {
 	epoch := ""
 	for n := range reservationLines {
--- a/internal/lab/accounts/cluster.go
+++ b/internal/lab/accounts/cluster.go
@@ -19,19 +19,19 @@
 )
 
 const (
-	// clockSkew is the setting for how far the replicas' clocks may differ.
+	// clockSkew is the setting that bounds how far the replicas' clocks differ.
 	clockSkew = 50 * time.Millisecond
-	// The key by which clients authenticate.
+	// The key with which clients authenticate.
 	keyName   = "lab"
 	keySecret = "laboratory"
-	// certificateLifetime is above what any measurement takes.
+	// certificateLifetime is longer than any measurement.
 	certificateLifetime = time.Hour
-	// spareConnections are allowed by the limit server beyond those of the clients.
+	// spareConnections is how many connections the limit server allows beyond those of the clients.
 	spareConnections = 8
 )
 
-// settings are those of the billing service: windows that do not end meanwhile, and a quota that is not used
-// up.
+// settings returns the settings of the billing service: windows that do not end during a measurement, and a
+// quota that is not used up.
 func settings() billing.Settings {
 	return billing.Settings{
 		WindowNanos:       3600e9,
@@ -43,7 +43,7 @@
 	}
 }
 
-// cluster is three replicas with an instance of the billing service each, and a limit server before the
+// cluster is three replicas, each with an instance of the billing service, and a limit server in front of the
 // first.
 type cluster struct {
 	folder       string
@@ -56,7 +56,7 @@
 	address      string // of the limit server
 }
 
-// start starts the cluster. What it started before an error is freed by close.
+// start starts the cluster. If it fails, close frees what it had started.
 func (c *cluster) start(ctx context.Context, options Options) error {
 	if options.TLS {
 		certificates, err := newCertificates(c.folder)
@@ -90,7 +90,7 @@
 	return tlsconfig.New(files)
 }
 
-// newPeers gives replicas addresses that are free.
+// newPeers returns peers with free addresses.
 func newPeers(ctx context.Context, ids ...string) ([]store.Peer, error) {
 	var peers []store.Peer
 	for _, id := range ids {
@@ -160,15 +160,15 @@
 		}},
 	})
 	c.serving.Go(func() {
-		_ = c.server.Serve(listener) // one that fails early fails the clients' commands
+		_ = c.server.Serve(listener) // if it fails early, the clients' commands fail
 	})
 	return nil
 }
 
-// close frees what was started, the last first.
+// close frees what was started, the latest first.
 func (c *cluster) close() {
 	if c.server != nil {
-		_ = c.server.Close()   // fails only where Serve has not begun, and the listener's close ends that
+		_ = c.server.Close()   // fails only if Serve has not begun; closing the listener ends it then
 		_ = c.listener.Close() // closed already otherwise
 		c.serving.Wait()
 	}
--- a/internal/lab/accounts/doc.go
+++ b/internal/lab/accounts/doc.go
@@ -1,7 +1,7 @@
-// Package accounts measures what plan changes and reservations cost: three replicas of the store, each with
-// an instance of the billing service, run in this process on loopback, and clients send the limit server's
-// commands to one of them, with TLS between all of them or without.
+// Package accounts measures what plan changes and reservations cost. Three replicas of the store, each with
+// an instance of the billing service, run in this process on loopback. Clients send the limit server's
+// commands to one of them, with or without TLS between all of them.
 //
-// Measure owns all that it starts and frees it before it returns. It is meant to run alone: concurrent calls
-// measure each other.
+// Measure owns everything that it starts and frees it before it returns. It should run alone: concurrent
+// calls would measure each other.
 package accounts
--- a/internal/lab/accounts/measure.go
+++ b/internal/lab/accounts/measure.go
@@ -14,50 +14,50 @@
 	"fawnplank/internal/tlsconfig"
 )
 
-// Options are what is measured.
+// Options say what to measure.
 type Options struct {
 	// TLS encrypts the connections of clients and those between replicas.
 	TLS bool
 	// Clients is how many connections send one command after the other; 0 fails, since only clients
 	// wait for the replicas to elect a leader.
 	Clients int
-	// Duration is how long they send, from each one's first success on.
+	// Duration is how long they send, each from its first success on.
 	Duration time.Duration
 }
 
-// Cost is what was measured. Times are milliseconds, but for OrdinaryPathNanos.
+// Cost is what was measured. Times are in milliseconds, except for OrdinaryPathNanos.
 type Cost struct {
 	TLS               bool
 	Clients           int
 	CommandsPerSecond float64 // a reservation, then a commit
 	CommandP50        float64
 	CommandP99        float64
-	Release           float64 // of an abandoned reservation, after its lease's end; the worst of those tried
-	ReleaseBound      float64 // what is stated for Release
-	OrdinaryPathNanos float64 // what a request takes longer for being billed
+	Release           float64 // of an abandoned reservation after the end of its lease; the worst of those tried
+	ReleaseBound      float64 // the bound that is stated for Release
+	OrdinaryPathNanos float64 // by how much billing lengthens a request
 }
 
 const (
 	// electionTimeout is how long clients wait for the replicas to elect a leader: an election takes a second
 	// or so.
 	electionTimeout = 10 * time.Second
-	// abandonedReservations are tried, one after the other, as each waits for a compaction.
+	// abandonedReservations is how many are tried, one after the other, as each waits for a compaction.
 	abandonedReservations = 5
-	// abandonedUnits are reserved: far below the quota.
+	// abandonedUnits is how many units each reserves: far below the quota.
 	abandonedUnits = billing.Units(1e6)
 	// abandonedLease is the lease of such a reservation.
 	abandonedLease = 200 * time.Millisecond
 	// firstAbandonedTenant is above the tenants that clients use.
 	firstAbandonedTenant = 0xf000
-	// releasePollInterval is between two looks at an account; it bounds how exactly a release is timed.
+	// releasePollInterval is the time between two looks at an account. It limits how exactly a release is timed.
 	releasePollInterval = 10 * time.Millisecond
-	// ordinaryRequests are billed to time one, for tenantsInTurn tenants.
+	// ordinaryRequests is how many requests are billed to time one, for tenantsInTurn tenants.
 	ordinaryRequests = 1_000_000
-	// tenantsInTurn is how many tenants a client, or the ordinary path, uses one after the other.
+	// tenantsInTurn is how many tenants a client, or the ordinary path, uses in turn.
 	tenantsInTurn = 100
-	// tenantsPerClient is between the first tenants of two clients, so that they share none.
+	// tenantsPerClient is the distance between the first tenants of two clients, so that they share none.
 	tenantsPerClient = 1000
-	// planName is the one plan of the tenants.
+	// planName is the only plan of the tenants.
 	planName = "team"
 )
 
@@ -86,10 +86,10 @@
 	return cost, nil
 }
 
-// tenantID is the identifier of a tenant.
+// tenantID returns the identifier of a tenant.
 func tenantID(tenant int) string { return fmt.Sprintf("%016x", tenant) }
 
-// measureCommands has clients reserve and commit, each for tenants of its own.
+// measureCommands makes clients reserve and commit, each for its own tenants.
 func (c *Cost) measureCommands(
 	ctx context.Context, duration time.Duration, address string, certificates *tlsconfig.Source,
 ) error {
@@ -124,7 +124,8 @@
 	return nil
 }
 
-// measureRelease abandons reservations, and times how long after their leases the units are released.
+// measureRelease abandons reservations, and measures how long after the end of their leases the units are
+// released.
 func (c *Cost) measureRelease(ctx context.Context, service *billingservice.Service) error {
 	c.ReleaseBound = inMillis(clockSkew + billingservice.CompactionInterval)
 	for n := range abandonedReservations {
@@ -140,8 +141,8 @@
 	return ctx.Err()
 }
 
-// awaitRelease waits until a tenant has no reservation, or ctx ends. A read that fails, as during an
-// election, is tried again.
+// awaitRelease waits until a tenant has no reservation, or ctx ends. If a read fails, as during an election,
+// it tries again.
 func awaitRelease(ctx context.Context, service *billingservice.Service, tenant string) {
 	for ctx.Err() == nil {
 		account, _, err := service.Account(tenant, planName)
@@ -152,7 +153,7 @@
 	}
 }
 
-// measureOrdinaryPath times what the gateway does for a request where billing is on.
+// measureOrdinaryPath measures the time of what the gateway does for a request when billing is on.
 func (c *Cost) measureOrdinaryPath(service *billingservice.Service) {
 	start := time.Now()
 	for n := range ordinaryRequests {
--- a/internal/lab/invariants/attempts.go
+++ b/internal/lab/invariants/attempts.go
@@ -6,7 +6,7 @@
 	"fawnplank/policy"
 )
 
-// attemptArrived checks an attempt that came whole to a backend against every rule.
+// attemptArrived checks an attempt that arrived whole at a backend against every rule.
 func (c *Checker) attemptArrived(s *submission, event Event) {
 	if s.answeredNanos > 0 && event.AtNanos > s.answeredNanos+c.settings.SlackNanos {
 		c.report(RuleOneAnswer, event.AtNanos, "submission %d: came to backend %d %s after its final answer",
@@ -50,7 +50,7 @@
 	}
 }
 
-// isInDedupScope reports whether two backends share what they remember of keys.
+// isInDedupScope reports whether two backends share their memory of keys.
 func (c *Checker) isInDedupScope(scope policy.DedupScope, a, b int) bool {
 	switch scope {
 	case policy.DedupByZone:
@@ -71,15 +71,15 @@
 	}
 }
 
-// arrival is work that came to a backend while it warmed up.
+// arrival is work that arrived at a backend while it warmed up.
 type arrival struct {
 	atNanos     int64
 	workSeconds float64
 }
 
-// checkSlowStart adds to what a backend that warms up was sent within the collapse window. Nobody is given
-// its capacity at an age; the gateway knows the share that it starts with and when it has all of it at the
-// latest, and a straight line lies between.
+// checkSlowStart adds up what a warming backend was sent within the collapse window. Nobody is told a
+// backend's capacity at an age: the gateway knows only the share that it starts with and when it has all of
+// it at the latest. The check assumes a straight line between the two.
 func (c *Checker) checkSlowStart(event, delivered Event) {
 	settings := &c.settings
 	hasWarmedUp := event.StartedNanos == 0 || event.AtNanos-event.StartedNanos > settings.SlowStartNanos
@@ -93,8 +93,8 @@
 		age, end := float64(nanos-event.StartedNanos), float64(max(settings.SlowStartNanos, 1))
 		return settings.InitialCapacity + (1-settings.InitialCapacity)*age/end
 	}
-	// The whole window counts from the start on: a burst at the start is borne as far as a window bears it.
-	// Beside the budget stand the largest attempts, which nobody can send in part: chance in their size
+	// The whole window counts from the start on: a burst at the start is borne as far as a window bears it. The
+	// largest attempts are allowed beyond the budget, since nobody can send them in part: chance in their size
 	// breaks no rule.
 	windowSeconds := float64(settings.CollapseWindowNanos)
 	capacity := (capacityAt(from) + capacityAt(event.AtNanos)) / 2
@@ -108,7 +108,8 @@
 	}
 }
 
-// addArrival adds to a backend's arrivals within the window, and returns their work and the largest of them.
+// addArrival adds an arrival to those of its backend within the window, and returns the work of all of them
+// and of the largest.
 func (c *Checker) addArrival(event Event) (workSeconds, largestSeconds float64) {
 	all := append(c.arrivals[event.Backend], arrival{atNanos: event.AtNanos, workSeconds: event.WorkSeconds})
 	all = slices.DeleteFunc(all, func(a arrival) bool {
@@ -122,10 +123,10 @@
 	return workSeconds, largestSeconds
 }
 
-// roundingTolerance is what sums of units may be off by.
+// roundingTolerance is how far sums of units may be off.
 const roundingTolerance = 1e-6
 
-// hardQuota is a tenant's token bucket as the rule has it: it may be overdrawn.
+// hardQuota is a tenant's token bucket as the rule defines it; it may be overdrawn.
 type hardQuota struct {
 	tokens          float64
 	refilledAtNanos int64
--- a/internal/lab/invariants/checker.go
+++ b/internal/lab/invariants/checker.go
@@ -1,6 +1,6 @@
 // Package invariants checks the five rules of the gateway from outside, by what clients, backends and
-// discovery saw, whether the model produced it or instances on sockets. Events go in, in order of time, and
-// findings come out. The package is pure, and knows nothing of the decisions that it judges.
+// discovery saw, whether on the model or with instances on sockets. It takes events in order of time and
+// returns findings. The package is pure and knows nothing about the decisions that it judges.
 //
 // A Checker is not safe for concurrent use: its caller serializes the calls.
 package invariants
@@ -20,20 +20,20 @@
 const (
 	RuleOneAnswer Rule = iota + 1 // one final answer in time, and no attempt sent after it
 	RuleNoRerun                   // nothing runs twice that must not, nor is rejected after it may have run
-	RuleDrain                     // no attempt to a backend after the grace of its leaving
+	RuleDrain                     // no attempt to a leaving backend after its grace
 	RuleSlowStart                 // no overload of a backend that warms up
 	RuleHardQuota                 // no admission beyond a hard quota
 	ruleEnd
 )
 
-// Settings are the figures that the rules go by.
+// Settings are the figures that the rules use.
 type Settings struct {
 	Classes             []policy.ClassSettings
 	Plans               []policy.PlanSettings
 	HardQuotaSlack      []float64 // by plan, in units
 	GraceNanos          int64     // of an answer after the client's deadline
 	DrainNanos          int64     // of an attempt after the instance had the backend's new state
-	SlackNanos          int64     // of the ways that are not seen, from an instance to a backend or client
+	SlackNanos          int64     // for ways that are not seen, from an instance to a backend or client
 	Cores               float64   // of a backend that has warmed up
 	InitialCapacity     float64   // of a backend that starts, as a share
 	SlowStartNanos      int64
@@ -50,21 +50,21 @@
 }
 
 const (
-	// maxFindings bounds what is reported of each rule; the count goes on.
+	// maxFindings bounds how many findings of each rule are reported; later ones are only counted.
 	maxFindings = 20
-	// retentionNanos is for how long a submission is remembered after its end: no attempt of it is left
-	// anywhere then.
+	// retentionNanos is how long a submission is remembered after its end. By then no attempt of it is left
+	// anywhere.
 	retentionNanos = 30e9
 )
 
-// attempt is one that came to a backend.
+// attempt is an attempt that arrived at a backend.
 type attempt struct {
 	backend int
 	atNanos int64
-	refused bool // proved not run
+	refused bool // the backend proved that it did not run the attempt
 }
 
-// submission is what has been seen of one.
+// submission is what has been seen of a submission.
 type submission struct {
 	Event
 	answeredNanos int64 // when the client had its answer; 0: not yet
@@ -74,7 +74,7 @@
 	endedNanos    int64 // when it was answered or abandoned; 0: not yet
 }
 
-// view leads from an instance to the backend whose state it was delivered.
+// view is the pair of an instance and the backend whose state was delivered to it.
 type view struct{ instance, backend int }
 
 // Checker finds violations in events that come in order of time.
@@ -84,7 +84,7 @@
 	ended       []SubmissionID // in order of their end
 	delivered   map[view]Event // the last EndpointDelivered
 	arrivals    map[int][]arrival
-	overloaded  map[int]int64 // by backend, the start after which it was found to be
+	overloaded  map[int]int64 // by backend, the start after which it was found overloaded
 	quotas      map[int]*hardQuota
 	findings    []Finding
 	counts      [ruleEnd]int
@@ -149,7 +149,7 @@
 	c.submissions[event.Submission] = &submission{Event: event, answerDue: true}
 }
 
-// observeSubmission checks an event of a submission that is known.
+// observeSubmission checks an event that belongs to a submission.
 func (c *Checker) observeSubmission(event Event) {
 	s := c.submissions[event.Submission]
 	if s == nil {
@@ -178,7 +178,7 @@
 	}
 }
 
-// refuseLast marks the last attempt at a backend as proved not run.
+// refuseLast marks the last attempt at a backend as one that the backend proved not to have run.
 func (s *submission) refuseLast(backend int) {
 	for n := len(s.attempts) - 1; n >= 0; n-- {
 		if s.attempts[n].backend == backend && !s.attempts[n].refused {
@@ -208,8 +208,7 @@
 	}
 }
 
-// isSafeToRetry reports whether a request of a class may be run again anywhere at any time that the client
-// retries.
+// isSafeToRetry reports whether a request of a class may run again wherever and whenever the client retries.
 func isSafeToRetry(class policy.ClassSettings) bool {
 	switch class.Idempotency {
 	case policy.Idempotent:
@@ -220,7 +219,7 @@
 	return false
 }
 
-// checkRejection reports attempts that may have run, of a request that the client may now retry.
+// checkRejection reports attempts that may have run if the client may now retry their request.
 func (c *Checker) checkRejection(s *submission, event Event) {
 	for _, attempt := range s.attempts {
 		if !attempt.refused {
@@ -231,9 +230,9 @@
 	}
 }
 
-// end notes that a submission has ended, once, and forgets those that ended long ago.
+// end records, once, that a submission has ended, and forgets submissions that ended long ago.
 func (c *Checker) end(s *submission, atNanos int64) {
-	if s.endedNanos != 0 { // its client had left before the answer: it stands in the order already
+	if s.endedNanos != 0 { // its client had left before the answer: it is in the order already
 		return
 	}
 	s.endedNanos = atNanos
@@ -244,8 +243,8 @@
 	}
 }
 
-// End ends the run, and returns the findings in order of time and the number of violations by rule.
-// Submissions that are past their deadline without an answer are lost.
+// End ends the run. It returns the findings in order of time, and the number of violations by rule.
+// Submissions past their deadline without an answer are lost.
 func (c *Checker) End(atNanos int64) (findings []Finding, counts map[string]int) {
 	var lost []SubmissionID
 	for id, s := range c.submissions {
--- a/internal/lab/invariants/event.go
+++ b/internal/lab/invariants/event.go
@@ -6,22 +6,22 @@
 	"fawnplank/policy"
 )
 
-// SubmissionID names one submission of a request by a client to a gateway instance. A client's retry has
+// SubmissionID identifies one submission of a request by a client to a gateway instance. A client's retry has
 // another one.
 type SubmissionID uint64
 
-// Kind is what happened.
+// Kind says what happened.
 type Kind uint8
 
 // The kinds of event.
 const (
-	Submitted         Kind = iota // a client wrote a request whole to an instance
+	Submitted         Kind = iota // a client wrote a whole request to an instance
 	Succeeded                     // the client had the backend's answer
 	Rejected                      // the client was answered that a retry does no harm
 	Aborted                       // any other final answer
 	Abandoned                     // the client gave up, or its instance died: no answer is due
-	AttemptSent                   // an instance sent an attempt; the model alone sees it
-	AttemptArrived                // an attempt came whole to a backend
+	AttemptSent                   // an instance sent an attempt; only the model sees this
+	AttemptArrived                // a whole attempt arrived at a backend
 	AttemptRefused                // the backend proved that it did not run the attempt
 	EndpointDelivered             // discovery delivered a backend's state to an instance
 	InstanceDied
@@ -59,10 +59,10 @@
 	Class         int
 	Plan          int
 	Units         float64
-	DueNanos      int64                // Submitted: when it was planned; latencies count from here
+	DueNanos      int64                // Submitted: when it was due; latencies count from here
 	IsRetry       bool                 // Submitted
 	DeadlineNanos int64                // Submitted: until when the client waits
 	State         policy.EndpointState // EndpointDelivered
 	StartedNanos  int64                // EndpointDelivered, AttemptArrived: of the backend; 0: long ago
-	WorkSeconds   float64              // AttemptArrived: of one core, that the attempt costs
+	WorkSeconds   float64              // AttemptArrived: time of one core that the attempt costs
 }
--- a/internal/lab/load/connection.go
+++ b/internal/lab/load/connection.go
@@ -13,15 +13,15 @@
 
 var errTooManyConnections = errors.New("load: no connection is left")
 
-// connection is one to an instance.
+// connection is a connection to an instance.
 type connection struct {
 	net.Conn
 	reader *bufio.Reader
 	reused bool // it was idle before this request
 }
 
-// acquire returns a connection to an instance: an idle one, the latest used first, or a new one, which
-// mustBeNew asks for.
+// acquire returns a connection to an instance: the idle one used most recently, or a new one if none is idle
+// or if mustBeNew is set.
 func (g *Generator) acquire(instance int, mustBeNew bool) (*connection, error) {
 	g.mu.Lock()
 	if count := len(g.idle[instance]); count > 0 && !mustBeNew {
@@ -39,7 +39,7 @@
 	return g.dial(instance)
 }
 
-// dial opens a connection that is counted already.
+// dial opens a connection that acquire has already counted.
 func (g *Generator) dial(instance int) (*connection, error) {
 	dialer := net.Dialer{Timeout: connectTimeout}
 	conn, err := dialer.DialContext(context.Background(), "tcp", g.addresses[instance])
@@ -56,7 +56,7 @@
 	g.connections--
 }
 
-// discard closes a connection that is of no use any more.
+// discard closes a connection that is no longer of use.
 func (g *Generator) discard(conn *connection) {
 	_ = conn.Close() // the instance may have ended it
 	g.uncount()
--- a/internal/lab/load/load.go
+++ b/internal/lab/load/load.go
@@ -1,7 +1,7 @@
-// Package load sends gateway instances the requests of a workload over sockets, in an open loop: each is due
-// at its planned time, whether or not the ones before were answered, and its latency counts from then, so
-// that an instance that stands still is not spared the requests that it would have had (coordinated
-// omission). The number of requests, the time and the connections are bounded, and so is each wait.
+// Package load sends the requests of a workload to gateway instances over sockets, in an open loop: each
+// request is due at its planned time, whether or not earlier ones were answered, and its latency counts from
+// then. So an instance that stands still is not spared the requests that it would have had (coordinated
+// omission). The number of requests, the time, the connections and each wait are bounded.
 //
 // A Generator owns its connections and the goroutines of its requests; Run returns when all of them have
 // ended. Lag is safe to call at any time.
@@ -19,29 +19,29 @@
 	"fawnplank/internal/lab/workload"
 )
 
-// The histogram of lags has microseconds, up to a minute, in three digits.
+// The histogram of lags counts microseconds, up to a minute, with three digits.
 const (
 	minLagMicros = 1
 	maxLagMicros = 60e6
 	lagDigits    = 3
 )
 
-// Generator is the clients of a scenario.
+// Generator plays the clients of a scenario.
 type Generator struct {
 	scenario  *scenario.Scenario
 	log       *results.Log
 	addresses []string // of the instances
 	requests  sync.WaitGroup
 
-	mu             sync.Mutex // guards what follows, and the random numbers of the workload but those of Next
+	mu             sync.Mutex // guards what follows, and the workload's random numbers except those of Next
 	workload       *workload.Generator
-	idle           [][]*connection // of each instance, the latest used last
+	idle           [][]*connection // of each instance, the most recently used last
 	connections    int             // open ones, idle or not
 	lastSubmission invariants.SubmissionID
 	lag            *hdrhistogram.Histogram
 }
 
-// New makes the clients of a scenario, which record into log; addresses are those of the gateway instances.
+// New makes the clients of a scenario, which record into log. addresses are those of the gateway instances.
 func New(s *scenario.Scenario, log *results.Log, addresses []string) *Generator {
 	return &Generator{
 		scenario:  s,
@@ -53,8 +53,8 @@
 	}
 }
 
-// Run sends everything, and returns once all is answered or its time is up. At a stop it sends nothing
-// further.
+// Run sends all requests, and returns once all are answered or their time is up. After a stop it sends no
+// more.
 func (g *Generator) Run(stop <-chan struct{}) {
 	start := time.Now()
 	for {
@@ -73,7 +73,7 @@
 	g.closeIdle()
 }
 
-// sleepUntil returns false where it is stopped before.
+// sleepUntil waits until due. It returns false if stop ends the wait.
 func sleepUntil(due time.Time, stop <-chan struct{}) bool {
 	wait := time.Until(due)
 	if wait <= 0 {
@@ -87,8 +87,8 @@
 	}
 }
 
-// Lag returns how much later than due requests were written, in milliseconds: the generator's own share of
-// the latencies.
+// Lag returns by how much requests were written later than due, in milliseconds: this is the generator's own
+// share of the latencies.
 func (g *Generator) Lag() (p50, p99 float64) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -99,5 +99,5 @@
 func (g *Generator) recordLag(lag time.Duration) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	_ = g.lag.RecordValue(max(lag.Microseconds(), minLagMicros)) // one beyond the histogram's end is left out
+	_ = g.lag.RecordValue(max(lag.Microseconds(), minLagMicros)) // a lag beyond the histogram's end is left out
 }
--- a/internal/lab/load/protocol.go
+++ b/internal/lab/load/protocol.go
@@ -13,10 +13,10 @@
 	"fawnplank/internal/lab/workload"
 )
 
-// maxAnswerBytes bounds what is read of one answer: an instance at fault may announce any length.
+// maxAnswerBytes bounds how much of one answer is read: a faulty instance may announce any length.
 const maxAnswerBytes = 8 << 20
 
-// isIdempotent reports whether a request may run twice, by its class.
+// isIdempotent reports whether the class of a request lets it run twice.
 func (g *Generator) isIdempotent(request workload.Request) bool {
 	return g.scenario.Classes[request.Class].Idempotency == scenario.Idempotent
 }
@@ -38,8 +38,8 @@
 		len(verb), verb, s.request.Tenant+1, uint64(s.id), len(header), header)
 }
 
-// readAnswer reads one whole answer of RESP2: the line of a simple one, or a bulk string behind a "$". A null
-// and a length that is none are returned as the line that they are.
+// readAnswer reads one whole answer of RESP2: the line of a simple answer, or a bulk string with a "$" in
+// front. It returns a null, or a length that is not valid, as the line that it is.
 func readAnswer(reader *bufio.Reader) (string, error) {
 	line, err := reader.ReadString('\n')
 	if err != nil {
@@ -71,7 +71,7 @@
 	}
 	result := outcome{kind: invariants.Rejected, sent: true}
 	if len(words) > 1 {
-		millis, _ := strconv.ParseInt(words[1], 10, 64) // what is no number asks for no wait
+		millis, _ := strconv.ParseInt(words[1], 10, 64) // a text that is not a number asks for no wait
 		result.retryAfterNanos = millis * int64(time.Millisecond)
 	}
 	return result
--- a/internal/lab/load/request.go
+++ b/internal/lab/load/request.go
@@ -11,24 +11,24 @@
 )
 
 const (
-	// extraConnectRetries is how many connects beyond the scenario's retries a client tries, one instance
-	// after another, before it gives the request up.
+	// extraConnectRetries is how many connects beyond the scenario's retries a client tries, one instance after
+	// another, before it gives up the request.
 	extraConnectRetries = 3
 
-	// minRemainingToConnect is the remaining time below which a further connect is of no use.
+	// minRemainingToConnect is the remaining time below which another connect is of no use.
 	minRemainingToConnect = 20 * time.Millisecond
 
 	connectRetryPeriod = 5 * time.Millisecond
 
-	// answerMargin is how long a client waits beyond the deadline and the rules' grace, so that an answer
-	// that is only just too late is seen as one.
+	// answerMargin is how long a client waits beyond the deadline and the rules' grace, so that it still sees an
+	// answer that is slightly too late, as a late one.
 	answerMargin = 100 * time.Millisecond
 
 	// deathNoticeDelay is how long the testbed may need to record the death of an instance that it kills.
 	deathNoticeDelay = 20 * time.Millisecond
 )
 
-// errStaleConnection is that of an idle connection which the instance has closed.
+// errStaleConnection reports that the instance has closed an idle connection.
 var errStaleConnection = errors.New("load: idle connection was closed")
 
 // submission is one request to one instance.
@@ -40,18 +40,18 @@
 	deadline time.Time
 	isRetry  bool
 
-	remaining   time.Duration // until the deadline, when it is written
+	remaining   time.Duration // time left until the deadline when it is written
 	incarnation int           // of the instance, at that time
 }
 
-// outcome is what became of a submission.
+// outcome says what became of a submission.
 type outcome struct {
 	kind            invariants.Kind
-	retryAfterNanos int64 // with a rejection
+	retryAfterNanos int64 // if rejected
 	sent            bool  // false: no connection came up, and no instance has seen the request
 }
 
-// send submits a request until it is answered for good, as clients do: again after a rejection, and where its
+// send submits a request until it has a final answer, as clients do: again after a rejection, and if its
 // instance died.
 func (g *Generator) send(request workload.Request, due time.Time) {
 	deadline := due.Add(time.Duration(request.DeadlineNanos - request.AtNanos))
@@ -74,14 +74,14 @@
 		if !wantsRetry || retries >= g.scenario.Load.Retries {
 			return
 		}
-		// Drawn also where no retry follows, so that a run's random numbers do not depend on the class.
+		// The wait is drawn even if no retry follows, so that a run's random numbers do not depend on the class.
 		wait := g.retryDelay(retries, result.retryAfterNanos)
 		mayRunTwice := result.kind == invariants.Rejected || g.isIdempotent(request)
 		if !mayRunTwice || time.Until(deadline) <= wait {
 			return
 		}
 		time.Sleep(wait)
-		due = time.Now() // a client's retry is due when the client says so
+		due = time.Now() // a retry is due when the client sends it
 	}
 }
 
@@ -100,8 +100,8 @@
 	return time.Duration(g.workload.RetryDelay(retries, retryAfterNanos))
 }
 
-// submit sends a request to an instance once; a second time where the connection was an idle one that the
-// instance has closed, as it may between requests.
+// submit sends a request to an instance once. It sends it a second time if the instance had closed the idle
+// connection that was used, as it may between requests.
 func (g *Generator) submit(s submission) outcome {
 	conn, err := g.acquire(s.instance, false)
 	if err != nil {
@@ -121,7 +121,7 @@
 	return result
 }
 
-// stamp notes what holds when a submission is about to be written.
+// stamp records what holds when a submission is about to be written.
 func (g *Generator) stamp(s *submission) {
 	s.remaining = time.Until(s.deadline)
 	s.incarnation = g.log.Incarnation(s.instance)
@@ -144,7 +144,7 @@
 	})
 }
 
-// exchange writes a request and reads its answer. It returns errStaleConnection where the connection was idle
+// exchange writes a request and reads its answer. It returns errStaleConnection if the connection was idle
 // before and has ended while the instance lives.
 func (g *Generator) exchange(s submission, conn *connection) (outcome, error) {
 	answer, err := g.roundTrip(s, conn)
@@ -168,12 +168,12 @@
 	if g.log.Incarnation(s.instance) != s.incarnation {
 		return g.abandon(s), nil
 	}
-	return outcome{kind: invariants.Aborted, sent: true}, nil // a live instance ended it: likewise
+	return outcome{kind: invariants.Aborted, sent: true}, nil // a live instance ended the connection: likewise
 }
 
 func (g *Generator) roundTrip(s submission, conn *connection) (string, error) {
 	readDeadline := s.deadline.Add(time.Duration(g.scenario.Rules.Grace) + answerMargin)
-	_ = conn.SetDeadline(readDeadline) // fails where the connection has ended, as the write does
+	_ = conn.SetDeadline(readDeadline) // fails only if the connection has ended; the write fails then too
 	if _, err := io.WriteString(conn, g.command(s)); err != nil {
 		return "", err
 	}
--- a/internal/lab/model/backend.go
+++ b/internal/lab/model/backend.go
@@ -7,7 +7,7 @@
 	"fawnplank/policy"
 )
 
-// attempt is one sending of a request to a backend.
+// attempt is one request as sent to a backend.
 type attempt struct {
 	submission *submission
 	id         policy.AttemptID
@@ -15,10 +15,10 @@
 	sentNanos  int64
 	workNanos  float64
 	hasEnded   bool
-	isCanceled bool // a backend that has not begun it leaves it
+	isCanceled bool // a backend that has not begun it skips it
 }
 
-// end brings the attempt's outcome to the instance, once.
+// end reports the attempt's outcome to the instance. Only the first call has an effect.
 func (a *attempt) end(outcome policy.Outcome) {
 	s := a.submission
 	w := s.instance.world
@@ -39,12 +39,12 @@
 	s.instance.forgetIfDone(s)
 }
 
-// backend works on attempts on so many cores, and queues some.
+// backend works on as many attempts at once as it has cores, and queues some more.
 type backend struct {
 	world        *world
 	index        int
 	isUp         bool
-	isSilent     bool // down, and answers nothing: a machine that vanished
+	isSilent     bool // down without answering: a machine that vanished
 	state        policy.EndpointState
 	startedNanos int64
 	incarnation  int
@@ -133,7 +133,7 @@
 	for len(b.queue) > 0 && len(b.running) < w.scenario.Backends.Cores {
 		next := b.queue[0]
 		b.queue = b.queue[1:]
-		if !next.isCanceled { // or else its connection is closed: nobody waits for it
+		if !next.isCanceled { // else its connection is closed, and nobody waits for it
 			b.begin(next)
 		}
 	}
@@ -173,7 +173,7 @@
 	b.startAnew()
 }
 
-// startAnew lists the backend with a start at present.
+// startAnew lists the backend as one that starts now.
 func (b *backend) startAnew() {
 	b.startedNanos = b.world.nowNanos
 	b.setState(policy.EndpointReady)
--- a/internal/lab/model/client.go
+++ b/internal/lab/model/client.go
@@ -7,7 +7,7 @@
 	"fawnplank/policy"
 )
 
-// maxRefusedRetries is how many retries a client whose connections are refused has beside its usual ones.
+// maxRefusedRetries is how many retries beyond its usual ones a client has while its connections are refused.
 const maxRefusedRetries = 3
 
 // submission is one submission of a request to an instance.
@@ -16,13 +16,13 @@
 	request     workload.Request
 	retries     int // before it
 	instance    *instance
-	incarnation int // of the instance, that received it
+	incarnation int // of the instance when it received the submission
 	handle      *policy.Request
 	attempts    []*attempt
 	isAnswered  bool
 }
 
-// submit lets a client submit a request that was due at dueNanos.
+// submit makes a client submit a request that was due at dueNanos.
 func (w *world) submit(request workload.Request, dueNanos int64, retries int) {
 	to := w.instances[w.workload.Instance(request)]
 	w.lastSubmission++
@@ -54,7 +54,7 @@
 	})
 }
 
-// connectionRefused lets a client try another instance, in vain at last.
+// connectionRefused makes a client try another instance, or give up once it has no retry or time left.
 func (w *world) connectionRefused(request workload.Request, dueNanos int64, retries int) {
 	w.after(2*w.hopNanos(), func() {
 		if retries < w.scenario.Load.Retries+maxRefusedRetries && w.nowNanos < request.DeadlineNanos {
@@ -69,7 +69,7 @@
 func (s *submission) answer(kind invariants.Kind, retryAfterNanos int64) {
 	w := s.instance.world
 	s.isAnswered = true
-	w.after(0, func() { // once the engine has returned: it may have ended without an attempt in flight
+	w.after(0, func() { // once the engine has returned: the request may have ended without an attempt in flight
 		if s.instance.incarnation == s.incarnation {
 			s.instance.forgetIfDone(s)
 		}
@@ -94,7 +94,7 @@
 	}
 }
 
-// lose ends a submission whose instance died. Its client retries what is idempotent.
+// lose ends a submission whose instance died. The client retries it if it is idempotent.
 func (s *submission) lose() {
 	w := s.instance.world
 	if s.isAnswered {
--- a/internal/lab/model/counter.go
+++ b/internal/lab/model/counter.go
@@ -9,7 +9,7 @@
 	queueTimeouts = 4
 )
 
-// number is one of the counter's.
+// number is one of the counter's numbers.
 type number struct {
 	total      float64
 	untilNanos int64
@@ -19,7 +19,7 @@
 type counter struct {
 	world     *world
 	numbers   map[policy.CounterKey]*number
-	freeNanos int64 // when it has time for the next call
+	freeNanos int64 // when it can begin the next call
 
 	// The faults in force.
 	refusing, hanging int
@@ -28,7 +28,7 @@
 	held              []func()    // calls that wait for the end of hanging
 }
 
-// counterCall is one call of an instance; answers for a key come in order.
+// counterCall is one call of an instance. An instance gets the answers for a key in the order of its calls.
 type counterCall struct {
 	instance    *instance
 	incarnation int
@@ -38,7 +38,7 @@
 	total       float64
 }
 
-// end brings a call's result to the instance once those before it are there.
+// end delivers a call's result to the instance once the calls before it have theirs.
 func (k *counterCall) end(outcome policy.Outcome, total float64) {
 	i := k.instance
 	if k.isDone || i.incarnation != k.incarnation {
@@ -61,7 +61,7 @@
 	}
 }
 
-// call sends an instance's call on its way.
+// call sends an instance's call to the counter.
 func (c *counter) call(from *instance, key policy.CounterKey, units float64, lifetimeNanos int64) {
 	w := c.world
 	k := &counterCall{instance: from, incarnation: from.incarnation, key: key}
@@ -75,7 +75,7 @@
 	})
 }
 
-// arrive answers a call that has come to the counter, or lets it wait.
+// arrive answers a call that has reached the counter, or makes it wait.
 func (c *counter) arrive(k *counterCall, answer func()) {
 	w := c.world
 	switch {
@@ -97,7 +97,7 @@
 	}
 }
 
-// add adds to a number and returns its total, which has seven digits.
+// add adds units to a number and returns its total, which has seven digits.
 func (c *counter) add(key policy.CounterKey, units float64, lifetimeNanos int64) float64 {
 	n := c.numbers[key]
 	if n == nil || n.untilNanos <= c.world.nowNanos {
--- a/internal/lab/model/discovery.go
+++ b/internal/lab/model/discovery.go
@@ -2,17 +2,17 @@
 
 import "fawnplank/policy"
 
-// discovery delivers changes of backends to all instances, later.
+// discovery delivers changes of backends to all instances after a delay.
 type discovery struct {
 	world *world
 
 	// The faults in force.
 	stale      int
 	delayNanos int64
-	held       []*backend // with changes that wait for the end of staleness
+	held       []*backend // backends whose changes wait for the end of staleness
 }
 
-// publish has a backend's present state delivered, as it is then.
+// publish delivers a backend after the delay, in the state that it has by then.
 func (d *discovery) publish(b *backend) {
 	d.world.after(int64(d.world.scenario.Discovery.Delay)+d.delayNanos, func() {
 		if d.stale > 0 {
@@ -23,7 +23,7 @@
 	})
 }
 
-// deliver delivers what a backend is now to all instances.
+// deliver delivers a backend's current state to all instances.
 func (d *discovery) deliver(b *backend) {
 	for _, i := range d.world.instances {
 		if i.engine != nil {
--- a/internal/lab/model/faults.go
+++ b/internal/lab/model/faults.go
@@ -5,7 +5,7 @@
 	"fawnplank/policy"
 )
 
-// planFault plans the begin of a fault for each of its targets.
+// planFault schedules the begin of a fault for each of its targets.
 func (w *world) planFault(fault scenario.Fault) {
 	fromNanos := int64(fault.At)
 	for n, target := range w.scenario.Targets(fault) {
@@ -17,8 +17,8 @@
 	}
 }
 
-// during counts a fault until its end: faults of a kind may overlap. ended, if any, is called when the last
-// one ends.
+// during counts a fault as in force until its end, since faults of a kind may overlap. ended, if not nil, is
+// called when the last one ends.
 func (w *world) during(inForce *int, untilNanos int64, ended func()) {
 	*inForce++
 	w.at(untilNanos, func() {
@@ -29,7 +29,7 @@
 	})
 }
 
-// beginFault begins a fault at one target, and plans its end.
+// beginFault begins a fault at one target and schedules its end.
 func (w *world) beginFault(fault scenario.Fault, target int, untilNanos int64) {
 	switch fault.Kind {
 	case scenario.CounterRefuse, scenario.CounterHang, scenario.CounterSlow, scenario.CounterEmpty,
@@ -70,7 +70,7 @@
 	d.world.during(&d.stale, untilNanos, d.release)
 }
 
-// restart kills an instance and starts it anew at a time, unless it is down already.
+// restart kills an instance, unless it is down already, and starts it again at the given time.
 func (i *instance) restart(untilNanos int64) {
 	if i.engine == nil {
 		return
@@ -109,7 +109,7 @@
 		b.die(false)
 		w.at(untilNanos, b.rise)
 	default:
-		// The scenario was validated: a kind was added there alone.
+		// The scenario was validated, so a kind was added there and not here.
 		panic("model: no way to play " + string(fault.Kind))
 	}
 }
--- a/internal/lab/model/instance.go
+++ b/internal/lab/model/instance.go
@@ -8,19 +8,19 @@
 	"fawnplank/policy"
 )
 
-// instance is one gateway instance: its decisions, and policy.Effects towards them.
+// instance is one gateway instance: its decisions, for which it implements policy.Effects.
 type instance struct {
 	world       *world
 	index       int
-	incarnation int // how often it was started; what belongs to an earlier one is void
+	incarnation int // changes at each start and death; what belongs to an earlier one is void
 	settings    policy.Settings
-	engine      *policy.Engine // nil: it is down
+	engine      *policy.Engine // nil while it is down
 	inFlight    map[policy.RequestID]*submission
 	calls       map[policy.CounterKey][]*counterCall
-	timerID     uint64 // the last that replaced those before it
+	timerID     uint64 // the latest, which replaced those before it
 }
 
-// start starts the instance with the present endpoint list.
+// start starts the instance with the current endpoint list.
 func (i *instance) start() {
 	w := i.world
 	i.incarnation++
@@ -62,7 +62,7 @@
 	return endpoint
 }
 
-// die kills the instance and all that is in flight in it.
+// die kills the instance with everything that is in flight in it.
 func (i *instance) die() {
 	i.incarnation++
 	i.engine = nil
@@ -75,7 +75,7 @@
 	for id := range i.inFlight {
 		ids = append(ids, id)
 	}
-	slices.Sort(ids) // the order of a map must not show
+	slices.Sort(ids) // map order must not affect the run
 	inFlight := i.inFlight
 	i.inFlight = nil
 	for _, id := range ids {
--- a/internal/lab/model/world.go
+++ b/internal/lab/model/world.go
@@ -1,9 +1,9 @@
 // Package model plays a scenario in simulated time: the decisions of hundreds of gateway instances, each a
 // policy.Engine, between models of clients, backends, counter and discovery with the scenario's faults.
 //
-// All that happens stands in one queue ordered by time, and all chance comes from the seed, so that a run
-// gives the same events each time. The package never decides anything that a gateway decides, and reads no
-// clock. Run is safe for concurrent use: runs share nothing.
+// All events are in one queue ordered by time, and all random numbers come from the seed, so that a run gives
+// the same events each time. The package decides nothing that a gateway decides, and reads no clock. Run is
+// safe for concurrent use: runs share nothing.
 package model
 
 import (
@@ -18,28 +18,28 @@
 	"fawnplank/policy"
 )
 
-// epochNanos is what instances have for the time of the run's start: some day, as their windows go by Unix
-// time.
+// epochNanos is the Unix time at which a run starts for the instances: an arbitrary day, needed because their
+// windows follow Unix time.
 const epochNanos int64 = 1_700_000_000e9
 
-// The streams of the seed. The workload has those before.
+// The random streams of the seed. The workload uses those before these.
 const (
 	networkStream = 2
 	workStream    = 3
-	// engineStream marks the streams that give each incarnation of an instance its seed.
+	// engineStream marks the streams from which each incarnation of an instance gets its seed.
 	engineStream = 1 << 60
 	// incarnationBits is how many bits of such a stream number the incarnations.
 	incarnationBits = 20
 )
 
 const (
-	// sampleIntervalNanos is between two samples of the breakers.
+	// sampleIntervalNanos is the time between two samples of the breakers.
 	sampleIntervalNanos = 1e9
-	// settleNanos is how long a run goes on after the last request has ended.
+	// settleNanos is how long a run continues after the last request has ended.
 	settleNanos = 1e9
 )
 
-// world is all that takes part in a run. Times are nanoseconds since its start.
+// world is everything that takes part in a run. Times are nanoseconds since its start.
 type world struct {
 	scenario       *scenario.Scenario
 	nowNanos       int64
@@ -98,7 +98,7 @@
 	return w, nil
 }
 
-// play runs the queue to the end of the run.
+// play handles the events of the queue until the end of the run.
 func (w *world) play() *results.Run {
 	var longest scenario.Span
 	for _, class := range w.scenario.Classes {
@@ -118,19 +118,20 @@
 	return w.recorder.Finish(endNanos, w.events)
 }
 
-// at does something at a time, or at once after what is being done.
+// at schedules do for a time. A time in the past means as soon as the current event has been handled.
 func (w *world) at(dueNanos int64, do func()) { w.queue.Push(max(dueNanos, w.nowNanos), do) }
 
-// after does something so long from now.
+// after schedules do for a delay from now.
 func (w *world) after(delayNanos int64, do func()) { w.at(w.nowNanos+delayNanos, do) }
 
-// hopNanos draws one way through the network: half its usual delay, and as much again on the mean.
+// hopNanos draws the time of one way through the network: half the usual delay, plus as much again on
+// average.
 func (w *world) hopNanos() int64 {
 	delay := float64(w.scenario.Net.Delay)
 	return int64(delay/2 + delay/2*w.networkRandom.ExpFloat64())
 }
 
-// engineNow is the present as engines have it.
+// engineNow returns the present time as engines see it.
 func (w *world) engineNow() int64 { return epochNanos + w.nowNanos }
 
 // sampleBreakers records each second how many instances have their breaker open.
--- a/internal/lab/plots/costs.go
+++ b/internal/lab/plots/costs.go
@@ -20,7 +20,7 @@
 	costsHeightInches = 7.2
 )
 
-// costCurve is one line of a panel: a cost by the size of the zone.
+// costCurve is one line of a panel: a cost over the size of the zone.
 type costCurve struct {
 	name  string
 	color color.Color
@@ -49,7 +49,7 @@
 	}},
 }
 
-// Costs draws what zones of several sizes cost, into a PNG or SVG file.
+// Costs draws what zones of several sizes cost into a PNG or SVG file.
 func Costs(path string, costs []dnsbench.Cost) error {
 	var grid [][]*plot.Plot
 	for _, panel := range costPanels {
--- a/internal/lab/plots/draw.go
+++ b/internal/lab/plots/draw.go
@@ -1,7 +1,7 @@
 // Package plots draws the results of runs: for each run a column of panels over time (answers, latencies, the
-// counter, quotas) and its latency percentiles, with the same scales in all columns, so that two runs of a
-// change can be laid side by side; and the tables and the sweep that go with them. It reads results and
-// writes pictures. Its functions are safe for concurrent use.
+// counter, quotas) and its latency percentiles. All columns have the same scales, so that the runs before and
+// after a change can be compared side by side. It also makes the tables and the sweep that go with them. It
+// reads results and writes pictures. Its functions are safe for concurrent use.
 package plots
 
 import (
@@ -22,7 +22,7 @@
 	"fawnplank/internal/lab/results"
 )
 
-// The colors of Okabe and Ito, which most eyes distinguish.
+// The colors of Okabe and Ito, which most eyes can tell apart.
 var (
 	green  = color.RGBA{R: 0, G: 158, B: 115, A: 255}
 	orange = color.RGBA{R: 230, G: 159, B: 0, A: 255}
@@ -40,7 +40,7 @@
 	pngDPI       = 80
 )
 
-// canvas is one that can be written to a file.
+// canvas is a canvas that can be written to a file.
 type canvas interface {
 	vg.CanvasSizer
 	io.WriterTo
@@ -95,7 +95,7 @@
 	}
 }
 
-// writePicture writes a picture to its file, or nothing where it cannot be encoded.
+// writePicture writes a picture to its file. It writes nothing if the picture cannot be encoded.
 func writePicture(path string, picture canvas) error {
 	var encoded bytes.Buffer
 	if _, err := picture.WriteTo(&encoded); err != nil {
--- a/internal/lab/plots/panels.go
+++ b/internal/lab/plots/panels.go
@@ -12,11 +12,11 @@
 )
 
 const (
-	// legendHeadroom is by how much an axis goes on above the highest value, for the legend.
+	// legendHeadroom is the factor by which an axis exceeds the highest value, to make room for the legend.
 	legendHeadroom = 1.3
-	// lineWidth is in points.
+	// lineWidth is in typographic points.
 	lineWidth = 1.2
-	// minFaultSeconds is how wide a fault is drawn at least.
+	// minFaultSeconds is the least width that a fault is drawn with.
 	minFaultSeconds = 0.1
 )
 
@@ -32,7 +32,7 @@
 	title        string
 	unit         string
 	curves       []curve
-	hasObjective bool // it shows the latency objective
+	hasObjective bool // the panel shows the latency objective
 }
 
 var panels = []panel{
@@ -68,7 +68,7 @@
 	return points
 }
 
-// runTitle names a run.
+// runTitle returns the title of a run.
 func runTitle(run *results.Run) string {
 	if run.Label != "" {
 		return run.Scenario + ", " + run.Label
@@ -76,7 +76,7 @@
 	return run.Scenario
 }
 
-// buildGrid makes a column of plots for each run: its panels, with the same scales in all columns, and its
+// buildGrid builds a column of plots for each run: the panels, with the same scales in all columns, and the
 // percentiles.
 func buildGrid(runs []*results.Run) ([][]*plot.Plot, error) {
 	var grid [][]*plot.Plot
--- a/internal/lab/plots/sweep.go
+++ b/internal/lab/plots/sweep.go
@@ -12,10 +12,10 @@
 	"fawnplank/internal/lab/results"
 )
 
-// sweepInches is the size of a sweep's picture.
+// sweepInches is the width and height of a sweep's picture.
 const sweepInches = 7
 
-// sweepCurve is one line of a sweep's panel: a figure of the whole run.
+// sweepCurve is one line of a sweep's panel: one figure of each whole run.
 type sweepCurve struct {
 	name  string
 	color color.Color
@@ -48,7 +48,8 @@
 	}},
 }
 
-// Sweep draws the results of a scenario as one of its keys had several values; labels are the values.
+// Sweep draws the results of a scenario that was run with several values of one of its keys; labels are the
+// values.
 func Sweep(path, key string, labels []string, runs []*results.Run) error {
 	picture, err := newCanvas(path, sweepInches*vg.Inch, sweepInches*vg.Inch)
 	if err != nil {
--- a/internal/lab/plots/table.go
+++ b/internal/lab/plots/table.go
@@ -14,7 +14,7 @@
 type tableRow struct {
 	name      string
 	value     func(run *results.Run) string
-	isPartial bool // it is not known of a run of which only the clients' side was seen
+	isPartial bool // unknown for a run that was seen only from the clients' side
 }
 
 var tableRows = []tableRow{
--- a/internal/lab/results/exact_quota.go
+++ b/internal/lab/results/exact_quota.go
@@ -7,8 +7,8 @@
 )
 
 // exactQuota is a tenant's token bucket as one exact counter would keep it. It starts full and refills at the
-// plan's rate. What the gateways sent on is drawn from tokens; what such a counter would have admitted of the
-// same submissions, which need not be the same ones, from exactTokens.
+// plan's rate. Units that the gateways sent on are drawn from tokens. Units that the exact counter would have
+// admitted of the same submissions, which need not be the same ones, are drawn from exactTokens.
 type exactQuota struct {
 	tokens          float64
 	exactTokens     float64
@@ -17,14 +17,16 @@
 	exactUnits      float64
 }
 
-// drift returns by how many whole units the tenant had more than the exact ones, or less.
+// drift returns by how many whole units the tenant had more, or less, than the exact counter would have
+// admitted.
 func (q *exactQuota) drift() (over, under float64) {
 	over = math.Max(math.Round(q.sentUnits-q.exactUnits), 0)
 	under = math.Max(math.Round(q.exactUnits-q.sentUnits), 0)
 	return over, under
 }
 
-// refilledQuota returns the quota of a submission's tenant at a time, or nil where its plan has none.
+// refilledQuota returns the quota of a submission's tenant refilled up to a time, or nil if its plan has
+// none.
 func (r *Recorder) refilledQuota(atNanos int64, submission invariants.Event) *exactQuota {
 	plan := r.scenario.Plans[submission.Plan]
 	if plan.Rate <= 0 {
@@ -42,7 +44,7 @@
 	return quota
 }
 
-// admitExact lets the exact counter decide a submission.
+// admitExact makes the exact counter decide on a submission.
 func (r *Recorder) admitExact(submission invariants.Event) {
 	quota := r.refilledQuota(submission.AtNanos, submission)
 	if quota == nil || quota.exactTokens < submission.Units {
@@ -53,7 +55,7 @@
 	r.row.UnitsExact += submission.Units
 }
 
-// drawExact draws a submission that an instance sent on.
+// drawExact draws the units of a submission that an instance sent on.
 func (r *Recorder) drawExact(atNanos int64, submission invariants.Event) {
 	quota := r.refilledQuota(atNanos, submission)
 	if quota == nil {
--- a/internal/lab/results/log.go
+++ b/internal/lab/results/log.go
@@ -8,10 +8,11 @@
 	"fawnplank/internal/lab/invariants"
 )
 
-// Log puts a recorder on the wall clock, for many goroutines: it stamps each event as it comes in, so that
-// all of them stand in one order. It notes which instance a submission went to, which a backend does not see.
+// Log connects a recorder to the wall clock for many goroutines: it stamps each event when it comes in, so
+// that all events are in one order. It remembers which instance a submission went to, since a backend does
+// not see that.
 type Log struct {
-	start atomic.Pointer[time.Time] // nil: the run has not begun, and all that is seen counts as at its start
+	start atomic.Pointer[time.Time] // nil: the run has not begun, and events get the time of its start
 
 	mu           sync.Mutex // of the fields below
 	recorder     *Recorder
@@ -43,8 +44,8 @@
 // Start returns when the run began.
 func (l *Log) Start() time.Time { return *l.start.Load() }
 
-// Observe stamps an event, records it, and returns its time. Submitted events come with the remaining time in
-// place of the deadline.
+// Observe stamps an event, records it, and returns its time. Submitted events carry the remaining time
+// instead of the deadline.
 func (l *Log) Observe(event invariants.Event) int64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -94,7 +95,7 @@
 	l.recorder.CountDNSUpdate()
 }
 
-// SetOpenBreakers notes how many instances call nothing.
+// SetOpenBreakers records how many instances make no calls.
 func (l *Log) SetOpenBreakers(instances int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/lab/results/recorder.go
+++ b/internal/lab/results/recorder.go
@@ -10,10 +10,11 @@
 
 const (
 	nanosPerSecond = 1e9
-	// maxLatencyMicros and latencyDigits are the range of the histograms: up to two minutes, to three digits.
+	// maxLatencyMicros and latencyDigits are the range of the histograms: up to two minutes, with three digits.
 	maxLatencyMicros = 120e6
 	latencyDigits    = 3
-	// minWithdrawalNanos tells a last attempt that came with the news from none at all, which is 0.
+	// minWithdrawalNanos distinguishes a last attempt that came together with the news from no attempt, which is
+	// 0.
 	minWithdrawalNanos = 1e3
 )
 
@@ -25,7 +26,7 @@
 }
 
 func (h histogram) record(micros int64) {
-	// It returns an error for values above the range alone.
+	// It returns an error only for values above the range.
 	_ = h.RecordValue(min(micros, maxLatencyMicros))
 }
 
@@ -34,13 +35,13 @@
 	return float64(h.ValueAtQuantile(percent)) / 1e3
 }
 
-// pending is a submission without an answer so far.
+// pending is a submission that has no answer yet.
 type pending struct {
 	invariants.Event
 	hasArrived bool
 }
 
-// path leads from an instance to a backend.
+// path is the way from an instance to a backend.
 type path struct{ instance, backend int }
 
 // withdrawal is when a backend was delivered as gone, and how long after that the last attempt came.
@@ -49,8 +50,8 @@
 	lastAttemptNanos int64
 }
 
-// Recorder makes the results of the events that it observes, in order of time. Times are nanoseconds since
-// the run's start.
+// Recorder turns the events that it observes, in order of time, into results. Times are nanoseconds since the
+// run's start.
 type Recorder struct {
 	scenario        *scenario.Scenario
 	checker         *invariants.Checker
@@ -64,8 +65,8 @@
 	withdrawalTimes histogram
 }
 
-// New returns a recorder for a scenario. slackNanos is what the ways between the parties may take where only
-// their ends are seen; classes and plans are those of the settings, which the gateways have too.
+// New returns a recorder for a scenario. slackNanos is how long the ways between the parties may take where
+// only their ends are seen. Classes and plans come from the settings, which the gateways have too.
 func New(s *scenario.Scenario, settings policy.Settings, slackNanos int64) *Recorder {
 	r := &Recorder{
 		scenario:        s,
@@ -115,7 +116,7 @@
 		LatencyObjective: float64(s.Classes[0].LatencyObjective) / 1e6,
 	}
 	for _, fault := range s.Faults {
-		// Staggered faults are in force until the last one's end.
+		// Staggered faults are in force until the last of them ends.
 		staggered := fault.Stagger * scenario.Span(max(len(s.Targets(fault))-1, 0))
 		run.Faults = append(run.Faults, FaultSpan{
 			Kind:  string(fault.Kind),
@@ -126,7 +127,7 @@
 	return run
 }
 
-// advance goes on to the second of a time.
+// advance closes rows up to the second that contains a time.
 func (r *Recorder) advance(atNanos int64) {
 	for int64(r.row.Second+1)*nanosPerSecond <= atNanos {
 		r.closeRow()
@@ -224,7 +225,7 @@
 	}
 }
 
-// settleWithdrawal records how a withdrawal ended, once the backend is back or the run over.
+// settleWithdrawal records how a withdrawal ended, once the backend is back or the run is over.
 func (r *Recorder) settleWithdrawal(key path) {
 	w := r.withdrawals[key]
 	if w == nil {
@@ -250,7 +251,7 @@
 	r.row.NotSent++
 }
 
-// CountCounterCall counts a call that came to the counter, or failed to.
+// CountCounterCall counts a call to the counter, and its failure if it failed.
 func (r *Recorder) CountCounterCall(atNanos int64, failed bool) {
 	r.advance(atNanos)
 	r.row.CounterCalls++
@@ -259,13 +260,13 @@
 	}
 }
 
-// SetOpenBreakers notes how many instances have their breaker open.
+// SetOpenBreakers records how many instances have an open breaker.
 func (r *Recorder) SetOpenBreakers(atNanos int64, instances int) {
 	r.advance(atNanos)
 	r.row.OpenBreakers = instances
 }
 
-// Finish ends the run, and returns its results.
+// Finish ends the run and returns its results.
 func (r *Recorder) Finish(atNanos int64, events uint64) *Run {
 	r.advance(atNanos)
 	r.closeRow()
--- a/internal/lab/results/run.go
+++ b/internal/lab/results/run.go
@@ -1,8 +1,8 @@
-// Package results turns what was seen in a run into its results: rows a second, latencies in an HDR
-// histogram, quotas against those of an exact counter, and the findings of the invariants. A run is written
-// as JSON and read back for reports. The package runs nothing.
+// Package results turns what was seen in a run into its results: one row per second, latencies in an HDR
+// histogram, quotas compared with those of an exact counter, and the findings of the invariants. A run is
+// written as JSON and read back for reports. The package runs nothing.
 //
-// A Recorder is not safe for concurrent use; a Log, which puts one on the wall clock, is.
+// A Recorder is not safe for concurrent use; a Log, which connects one to the wall clock, is.
 package results
 
 import (
@@ -14,21 +14,21 @@
 	"fawnplank/internal/lab/invariants"
 )
 
-// OnClients is where a run was played of which only the clients' side was seen: no attempts, counter calls or
-// quotas.
+// OnClients says where a run was played that was seen only from the clients' side: it has no attempts,
+// counter calls or quotas.
 const OnClients = "clients"
 
-// Version is of the form of a run's file; another one is refused.
+// Version is the version of the file format of runs. Files of another version are refused.
 const Version = 1
 
-// Row is one second of a run. Latencies are milliseconds, from when a submission was due to its answer's last
-// byte. Units are compared with those of an exact counter, which decides the same submissions with the quota
-// alone.
+// Row is one second of a run. Latencies are milliseconds, from when a submission was due to the last byte of
+// its answer. Units are compared with those of an exact counter, which decides on the same submissions by the
+// quota alone.
 type Row struct {
 	Second          int     `json:"second"`
 	Submitted       int     `json:"asked"`
 	Succeeded       int     `json:"fulfilled"`
-	Late            int     `json:"late"` // of those succeeded, after the latency objective
+	Late            int     `json:"late"` // succeeded after the latency objective
 	Rejected        int     `json:"dismissed"`
 	Aborted         int     `json:"broken_off"`
 	Abandoned       int     `json:"left"`
@@ -39,19 +39,19 @@
 	AttemptsRefused int     `json:"turned_away"`
 	CounterCalls    int     `json:"counter_calls"`
 	CounterFailures int     `json:"counter_failed"`
-	OpenBreakers    int     `json:"breakers_open"` // instances whose breaker is open, or that called nothing
-	UnitsOver       float64 `json:"units_over"`    // sent on, that an exact counter would have rejected
+	OpenBreakers    int     `json:"breakers_open"` // instances with an open breaker, or that called nothing
+	UnitsOver       float64 `json:"units_over"`    // sent on; an exact counter would have rejected them
 	UnitsInside     float64 `json:"units_inside"`  // sent on within the quota
-	UnitsExact      float64 `json:"units_honest"`  // that an exact counter would have admitted
-	DriftOver       float64 `json:"drift_over"`    // units that tenants had more since the start
-	DriftUnder      float64 `json:"drift_under"`   // units that others had less since the start
+	UnitsExact      float64 `json:"units_honest"`  // units that an exact counter would have admitted
+	DriftOver       float64 `json:"drift_over"`    // units that tenants had too many since the start
+	DriftUnder      float64 `json:"drift_under"`   // units that other tenants had too few since the start
 }
 
-// Total is a run's sums. Row has no tag: its fields stand among the others in the file, and a name would nest
-// them.
+// Total is the sums of a run. The field Row has no tag, so that its fields are among the others in the file:
+// a name would nest them.
 type Total struct {
 	Row
-	Requests int     `json:"transactions"` // submissions but for clients' retries
+	Requests int     `json:"transactions"` // submissions without clients' retries
 	P90      float64 `json:"p90_ms"`
 	P999     float64 `json:"p999_ms"`
 	Max      float64 `json:"max_ms"`
@@ -63,7 +63,7 @@
 	Ms      float64 `json:"ms"`
 }
 
-// Run is the results of one run. The same scenario on the model gives the same bytes.
+// Run is the results of one run. The same scenario on the model always gives the same bytes.
 type Run struct {
 	Version          int                  `json:"version"`
 	Scenario         string               `json:"scenario"`
@@ -88,8 +88,8 @@
 	Rows             []Row                `json:"rows"`
 }
 
-// Withdrawals are how long after a backend was delivered as gone to an instance the last attempt came from
-// there: 0 where none did.
+// Withdrawals says how long after a backend was delivered to an instance as gone the last attempt from there
+// arrived; 0 if none did.
 type Withdrawals struct {
 	Count       int     `json:"count"` // one for each instance
 	WithAttempt int     `json:"with_shot"`
@@ -98,14 +98,14 @@
 	Max         float64 `json:"max_ms"`
 }
 
-// FaultSpan is when a fault was in force, in seconds, for plots.
+// FaultSpan says when a fault was in force, in seconds, for plots.
 type FaultSpan struct {
 	Kind  string  `json:"kind"`
 	From  float64 `json:"from_s"`
 	Until float64 `json:"until_s"`
 }
 
-// add adds a second to the sums. What counts from the run's start stands as it did last.
+// add adds a second to the sums. Figures that count from the run's start are replaced by their latest value.
 func (t *Total) add(row Row) {
 	t.Submitted += row.Submitted
 	t.Succeeded += row.Succeeded
@@ -126,7 +126,7 @@
 	t.OpenBreakers = max(t.OpenBreakers, row.OpenBreakers)
 }
 
-// Violations returns how often rules were broken, all together.
+// Violations returns how often rules were broken in all.
 func (r *Run) Violations() int {
 	total := 0
 	for _, count := range r.RulesBroken {
--- a/internal/lab/scenario/fault.go
+++ b/internal/lab/scenario/fault.go
@@ -2,7 +2,7 @@
 
 import "math"
 
-// FaultKind is what goes wrong.
+// FaultKind says what goes wrong.
 type FaultKind string
 
 // The kinds of fault.
@@ -28,7 +28,7 @@
 	InstanceRestart FaultKind = "door-restart"     // killed, and started anew at the end
 )
 
-// party is who a fault befalls, in the words of errors.
+// party says whom a fault affects, in the words of errors.
 type party string
 
 const (
@@ -45,7 +45,7 @@
 	delayParameter  parameter = "delay"
 )
 
-// faultTraits say what keys a kind of fault has.
+// faultTraits say which keys a kind of fault has.
 type faultTraits struct {
 	party     party
 	needs     parameter
@@ -74,21 +74,21 @@
 	InstanceRestart: {party: gatewaysParty},
 }
 
-// Fault is something that goes wrong from At on, for a duration.
+// Fault is something that goes wrong from At on for a duration.
 type Fault struct {
 	Kind           FaultKind `toml:"kind"`
 	At             Span      `toml:"at"`
 	Duration       Span      `toml:"for"`
 	Targets        []int     `toml:"who"`   // numbers of backends or instances, from 0
-	Share          float64   `toml:"share"` // in place of targets: of them all, the first ones
+	Share          float64   `toml:"share"` // instead of targets: this share of them all, the first ones
 	Factor         float64   `toml:"factor"`
 	Delay          Span      `toml:"delay"`
-	Stagger        Span      `toml:"each"`  // between one target and the next
+	Stagger        Span      `toml:"each"`  // time between one target and the next
 	Repeats        int       `toml:"times"` // how often the fault comes; 0: once
 	RepeatInterval Span      `toml:"every"`
 }
 
-// expandRepeats returns a fault that comes again as so many faults.
+// expandRepeats replaces each fault that repeats by as many single faults.
 func expandRepeats(faults []Fault) (expanded []Fault) {
 	for _, fault := range faults {
 		for n := range max(fault.Repeats, 1) {
@@ -101,7 +101,7 @@
 	return expanded
 }
 
-// Targets returns the numbers of the backends or instances that a fault befalls.
+// Targets returns the numbers of the backends or instances that a fault affects.
 func (s *Scenario) Targets(fault Fault) []int {
 	if len(fault.Targets) > 0 {
 		return fault.Targets
@@ -113,7 +113,7 @@
 	return targets
 }
 
-// countOf returns how many there are of a party that faults befall.
+// countOf returns the number of members of a party.
 func (s *Scenario) countOf(p party) int {
 	switch p {
 	case backendsParty:
--- a/internal/lab/scenario/scenario.go
+++ b/internal/lab/scenario/scenario.go
@@ -1,8 +1,8 @@
-// Package scenario reads the laboratory's scenario files: what is balanced, who asks for what, and which
-// faults come when. It gives defaults, checks every key, and turns the terms of service into the settings
-// that a gateway reads, so that the model and the sockets go by the same ones. It runs nothing.
+// Package scenario reads the laboratory's scenario files: what is balanced, who sends which requests, and
+// which faults come when. It fills in defaults, checks every key, and turns the terms of service into the
+// settings that a gateway reads, so that the model and the sockets use the same ones. It runs nothing.
 //
-// A Scenario does not change once it is read, and is safe for concurrent use then.
+// A Scenario does not change after it is read, and is then safe for concurrent use.
 package scenario
 
 import (
@@ -42,13 +42,13 @@
 	ProtocolRESP = "resp"
 )
 
-// Scenario is one experiment. Rates are a second.
+// Scenario is one experiment. Rates are per second.
 type Scenario struct {
 	Name     string `toml:"name"`
 	About    string `toml:"about"`
 	On       string `toml:"on"`
 	Seed     uint64 `toml:"seed"`
-	Duration Span   `toml:"duration"` // of the arrivals; requests in flight are waited for after that
+	Duration Span   `toml:"duration"` // of the arrivals; the run then waits for requests in flight
 
 	Instances struct {
 		Count    int `toml:"count"`
@@ -58,9 +58,9 @@
 	Backends struct {
 		Count  int     `toml:"count"`
 		Cores  int     `toml:"cores"`  // attempts worked on at once
-		Work   Span    `toml:"work"`   // median of a unit
-		Spread float64 `toml:"spread"` // sigma of its logarithm; 0: all alike
-		Queue  int     `toml:"queue"`  // attempts that wait at most; further ones are refused
+		Work   Span    `toml:"work"`   // median time for a unit
+		Spread float64 `toml:"spread"` // sigma of the work's logarithm; 0: all equal
+		Queue  int     `toml:"queue"`  // attempts that can wait; further ones are refused
 		Zones  int     `toml:"zones"`
 		Groups int     `toml:"groups"`
 	} `toml:"backends"`
@@ -68,11 +68,11 @@
 		Off      bool    `toml:"off"`
 		Protocol string  `toml:"protocol"` // sockets only
 		Delay    Span    `toml:"delay"`    // of an answer, beside the network's
-		Rate     float64 `toml:"rate"`     // calls at most; 0: no bound
+		Rate     float64 `toml:"rate"`     // most calls per second; 0: no bound
 		Timeout  Span    `toml:"timeout"`
 	} `toml:"counter"`
 	Discovery struct {
-		Delay  Span   `toml:"delay"` // of a change, until it is delivered
+		Delay  Span   `toml:"delay"` // from a change to its delivery
 		Source string `toml:"source"`
 	} `toml:"discovery"`
 	Net struct {
@@ -83,10 +83,10 @@
 		Arrivals    string  `toml:"arrivals"`
 		MaxRequests int     `toml:"most"`
 		Tenants     int     `toml:"customers"`
-		Skew        float64 `toml:"skew"`    // exponent of Zipf's law over the tenants; 0: all alike
-		Units       float64 `toml:"units"`   // mean; 1 or more each
+		Skew        float64 `toml:"skew"`    // exponent of Zipf's law over the tenants; 0: all equal
+		Units       float64 `toml:"units"`   // mean; each request has 1 or more
 		EntryPoints int     `toml:"spread"`  // instances that a tenant's requests go to; 0: all
-		Retries     int     `toml:"retries"` // after a rejection, at most
+		Retries     int     `toml:"retries"` // most retries after a rejection
 		Connections int     `toml:"connections"`
 	} `toml:"load"`
 	Rules struct {
@@ -94,7 +94,7 @@
 		Drain            Span    `toml:"drain"`      // of attempts to a backend that drains or is gone
 		InitialCapacity  float64 `toml:"cold_share"` // of a backend that starts, as a share
 		SlowStart        Span    `toml:"warm_up"`
-		CollapseMultiple float64 `toml:"fall_multiple"` // of its capacity, borne over the window
+		CollapseMultiple float64 `toml:"fall_multiple"` // of its capacity that a backend bears over the window
 		CollapseWindow   Span    `toml:"fall_span"`
 	} `toml:"rules"`
 	Allow struct {
@@ -110,7 +110,7 @@
 	Faults  []Fault `toml:"fault"`
 }
 
-// The idempotency of a class, as scenario files have it.
+// The idempotency of a class, as scenario files write it.
 const (
 	Idempotent        = "reissuable"
 	IdempotentWithKey = "numbered"
@@ -144,7 +144,7 @@
 	Share          float64 `toml:"share"` // of the tenants
 }
 
-// defaults returns a scenario before its file is read: every default stands here.
+// defaults returns a scenario before its file is read. It sets every default that depends on no other value.
 func defaults() *Scenario {
 	s := &Scenario{On: OnModel, Seed: 1, Duration: 10e9}
 
@@ -198,7 +198,7 @@
 	return Parse(path, text, overrides...)
 }
 
-// Parse reads a scenario; name stands for it in errors, which name line and key.
+// Parse reads a scenario. Errors give name, line and key.
 func Parse(name string, text []byte, overrides ...string) (*Scenario, error) {
 	s := defaults()
 	file, err := tomlfile.Read(name, text, s)
@@ -218,7 +218,7 @@
 	return s, nil
 }
 
-// override applies one key=value. A value that is no number, bool or list is a string.
+// override applies one key=value. A value that is not a number, bool or list is taken as a string.
 func (s *Scenario) override(text string) error {
 	key, value, ok := strings.Cut(text, "=")
 	if !ok {
@@ -233,7 +233,7 @@
 	return err
 }
 
-// complete gives the defaults that depend on other values.
+// complete sets the defaults that depend on other values.
 func (s *Scenario) complete() {
 	for n := range s.Classes {
 		class := &s.Classes[n]
--- a/internal/lab/scenario/settings.go
+++ b/internal/lab/scenario/settings.go
@@ -7,7 +7,7 @@
 	"fawnplank/policy"
 )
 
-// The gateway's words for those of a scenario.
+// The gateway's words for the words of a scenario.
 var (
 	effectSettings = map[string]string{
 		Idempotent:        "read_like",
--- a/internal/lab/scenario/validate.go
+++ b/internal/lab/scenario/validate.go
@@ -7,8 +7,8 @@
 	"fawnplank/internal/tomlfile"
 )
 
-// Bounds of a scenario. On sockets each instance is a process, and each backend a listener with threads of
-// its own.
+// Bounds of a scenario. On sockets each instance is a process, and each backend is a listener with its own
+// threads.
 const (
 	maxDuration        = 3600e9
 	maxNumber          = 1e8
@@ -26,20 +26,20 @@
 	maxRepeats         = 10000
 )
 
-// validator keeps the first error met.
+// validator keeps the first error.
 type validator struct {
 	file *tomlfile.File
 	err  error
 }
 
-// require reports a key whose value is not in order.
+// require records an error about a key unless its value is ok.
 func (v *validator) require(ok bool, key, format string, args ...any) {
 	if !ok && v.err == nil {
 		v.err = v.file.KeyErrorf(key, format, args...)
 	}
 }
 
-// requireWord requires a name that is a word and that no other item of its list has.
+// requireWord requires that a name is a word and that no other item of its list has it.
 func (v *validator) requireWord(name string, seen map[string]bool, key string) {
 	v.require(isWord(name) && !seen[name], key, "is %q: not a word of letters, digits and -, or taken", name)
 	seen[name] = true
--- a/internal/lab/testbed/gateway.go
+++ b/internal/lab/testbed/gateway.go
@@ -17,12 +17,12 @@
 )
 
 const (
-	// pingInterval is between two attempts to get a first answer from a gateway.
+	// pingInterval is the time between two attempts to get a first answer from a gateway.
 	pingInterval = 20 * time.Millisecond
 	// pingDialTimeout and pingAnswerTimeout bound one such attempt: generous for loopback.
 	pingDialTimeout   = 200 * time.Millisecond
 	pingAnswerTimeout = 500 * time.Millisecond
-	// watchInterval is between two looks at a gateway that is down on purpose.
+	// watchInterval is the time between two looks at a gateway that is down on purpose.
 	watchInterval = 10 * time.Millisecond
 	// stopTimeout is how long a gateway may take for its graceful shutdown before it is killed.
 	stopTimeout = 5 * time.Second
@@ -30,8 +30,8 @@
 	logTailBytes = 400
 )
 
-// gateway is the process of one gateway. Its methods may be called concurrently, but start, restart and stop
-// only one at a time.
+// gateway is the process of one gateway. Its methods may be called concurrently, except that start, restart
+// and stop may only run one at a time.
 type gateway struct {
 	index             int
 	address           string
@@ -43,7 +43,7 @@
 
 	mu      sync.Mutex
 	process *process // nil before the first start
-	// expected is whether the process is meant to run: one that ends while it is has crashed.
+	// expected says whether the process is meant to run. A process that ends while it is expected has crashed.
 	expected bool
 }
 
@@ -60,7 +60,7 @@
 		return err
 	}
 	defer func() {
-		_ = output.Close() // the process has a descriptor of its own; nothing is written through this one
+		_ = output.Close() // the process has its own descriptor; nothing is written through this one
 	}()
 	arguments := append(slices.Clone(g.command[1:]), "serve", "-c", g.configurationFile)
 	if g.operatorFile != "" {
@@ -82,20 +82,20 @@
 	g.expected = true
 	g.mu.Unlock()
 	go func() {
-		_ = command.Wait() // watch and waitReady see a crash, and quote the log in place of the status
+		_ = command.Wait() // watch and waitReady see a crash, and quote the log instead of the status
 		close(started.exited)
 	}()
 	return nil
 }
 
-// current returns the process, and whether it is meant to run.
+// current returns the process and whether it is meant to run.
 func (g *gateway) current() (*process, bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.process, g.expected
 }
 
-// expectExit returns the process, whose end is no crash from then on.
+// expectExit returns the process and marks that its end is no crash from now on.
 func (g *gateway) expectExit() *process {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -131,7 +131,7 @@
 		return false
 	}
 	defer func() {
-		_ = conn.Close() // the answer is read, or the next attempt has a connection of its own
+		_ = conn.Close() // the answer is read, or the next attempt opens its own connection
 	}()
 	if err := conn.SetDeadline(time.Now().Add(pingAnswerTimeout)); err != nil {
 		return false
@@ -140,11 +140,11 @@
 		return false
 	}
 	answer := make([]byte, len("+PONG\r\n"))
-	n, _ := conn.Read(answer) // whatever came before an error decides
+	n, _ := conn.Read(answer) // the bytes read before an error decide
 	return bytes.HasPrefix(answer[:n], []byte("+PONG"))
 }
 
-// logTail is the end of the gateway's log.
+// logTail returns the end of the gateway's log.
 func (g *gateway) logTail() string {
 	text, err := os.ReadFile(g.logFile)
 	if err != nil {
@@ -153,8 +153,8 @@
 	return string(bytes.TrimSpace(text[max(len(text)-logTailBytes, 0):]))
 }
 
-// watch reports the first crash of the gateway: an end that neither restart nor stop asked for. It returns
-// then, or when ctx ends.
+// watch reports the gateway's first crash, that is, an end that neither restart nor stop asked for. It
+// returns after that, or when ctx ends.
 func (g *gateway) watch(ctx context.Context, crashed chan<- error) {
 	for {
 		watched, _ := g.current()
--- a/internal/lab/testbed/operator_file.go
+++ b/internal/lab/testbed/operator_file.go
@@ -11,15 +11,15 @@
 	"fawnplank/internal/lab/emulator"
 )
 
-// The key that signs a gateway's dynamic updates. The gateway reads its secret from a file of its own.
+// The key that signs a gateway's dynamic updates. The gateway reads its secret from a separate file.
 const (
 	updateKeyName      = "lab."
 	updateKeyAlgorithm = "hmac-sha256"
 )
 
-// writeOperatorFile writes the operator file of a gateway, where the scenario asks for what only such a file
-// sets, and returns its path, or "" if none is needed. A gateway that takes its backends from DNS gets a zone
-// file too, and updates from then on.
+// writeOperatorFile writes the operator file of a gateway and returns its path, or "" if the scenario asks
+// for nothing that only such a file can set. A gateway that takes its backends from DNS also gets a zone
+// file, and updates from then on.
 func (t *testbed) writeOperatorFile(ctx context.Context, index int) (string, error) {
 	var text strings.Builder
 	if t.scenario.Counter.Protocol == "resp" {
@@ -39,8 +39,8 @@
 	return path, os.WriteFile(path, []byte(text.String()), 0o600)
 }
 
-// prepareZone writes a gateway's zone file and key, has the emulator send it updates, and returns the section
-// of the operator file that names them.
+// prepareZone writes a gateway's zone file and key and makes the emulator send it updates. It returns the
+// section of the operator file that names the files.
 func (t *testbed) prepareZone(ctx context.Context, index int) (string, error) {
 	address, err := FreeAddress(ctx)
 	if err != nil {
--- a/internal/lab/testbed/testbed.go
+++ b/internal/lab/testbed/testbed.go
@@ -14,23 +14,24 @@
 	"fawnplank/internal/lab/scenario"
 )
 
-// Options are what a run on sockets needs beside its scenario.
+// Options are what a run on sockets needs besides its scenario.
 type Options struct {
-	// GatewayCommand is the gateway's program and its first arguments; "serve -c FILE" is added. Required.
+	// GatewayCommand is the gateway's program and its first arguments; the testbed adds "serve -c FILE".
+	// Required.
 	GatewayCommand []string
 	// Env is added to the environment of the gateways.
 	Env []string
-	// LogFolder is where the gateways' logs are written; it is made if it is missing. Empty: the logs are
+	// LogFolder is where the gateways' logs are written; it is created if it is missing. If empty, the logs are
 	// removed with the run's other files.
 	LogFolder string
 }
 
-// SlackNanos is how late an event may be seen at the far end of a socket, on a machine that does other work
-// too: the platform's own allowance for sockets.
+// SlackNanos is how late an event may be seen at the far end of a socket on a machine that also does other
+// work. It is the platform's own allowance for sockets.
 const SlackNanos = int64(50e6)
 
-// startTimeout is how long the gateways have, one after the other, to answer their first command: far above
-// what a start takes, also on a loaded machine.
+// startTimeout is how long the gateways, one after the other, may take to answer their first command. It is
+// far above what a start takes, even on a loaded machine.
 const startTimeout = 10 * time.Second
 
 // testbed is one run and what it has to free.
@@ -44,9 +45,9 @@
 	gateways  []*gateway
 }
 
-// Run plays a scenario on sockets. It ends early, with what was recorded until then and the error of ctx,
-// when ctx ends. A gateway that ends by itself does not end the run: its crash is returned with the results.
-// Without results the run could not be started.
+// Run plays a scenario on sockets. If ctx ends, it ends early and returns what was recorded until then and
+// the error of ctx. A gateway that ends by itself does not end the run: its crash is returned with the
+// results. If no results are returned, the run could not be started.
 func Run(ctx context.Context, s *scenario.Scenario, options Options) (*results.Run, error) {
 	settings, err := s.EngineSettings(0)
 	if err != nil {
@@ -73,7 +74,7 @@
 	return t.play(ctx)
 }
 
-// makeFolders makes the run's own folder, and that of the logs.
+// makeFolders creates the run's own folder and the folder of the logs.
 func (t *testbed) makeFolders() error {
 	folder, err := os.MkdirTemp("", "fawnplank-lab-")
 	if err != nil {
@@ -121,19 +122,19 @@
 	return g.start(ctx)
 }
 
-// gatewayFile is the path of a file that belongs to one gateway.
+// gatewayFile returns the path of a file that belongs to one gateway.
 func (t *testbed) gatewayFile(index int, extension string) string {
 	return filepath.Join(t.folder, fmt.Sprintf("d%d.%s", index, extension))
 }
 
-// play sends the scenario's requests and injects its faults, once every gateway answers.
+// play waits until every gateway answers, then sends the scenario's requests and injects its faults.
 func (t *testbed) play(ctx context.Context) (*results.Run, error) {
 	running, end := context.WithCancel(ctx)
 	defer end()
 	t.log.Begin()
 	t.emulator.PlayFaults()
 	var watches, restarts sync.WaitGroup
-	crashed := make(chan error, len(t.gateways)) // with capacity for each, so that no watch waits for the end
+	crashed := make(chan error, len(t.gateways)) // one place for each, so that no watch waits for the end of the run
 	for _, g := range t.gateways {
 		watches.Go(func() { g.watch(running, crashed) })
 	}
@@ -157,7 +158,7 @@
 	}
 }
 
-// scheduleRestarts has gateways killed and started again at the times of the scenario.
+// scheduleRestarts kills gateways and starts them again at the times of the scenario.
 func (t *testbed) scheduleRestarts(ctx context.Context, restarts *sync.WaitGroup) {
 	for _, fault := range t.scenario.Faults {
 		if fault.Kind != scenario.InstanceRestart {
@@ -181,6 +182,6 @@
 		t.emulator.Close()
 	}
 	if t.folder != "" {
-		_ = os.RemoveAll(t.folder) // under the folder for temporary files, which the system clears
+		_ = os.RemoveAll(t.folder) // if this fails, the system clears its folder for temporary files
 	}
 }
--- a/internal/lab/testca/testca.go
+++ b/internal/lab/testca/testca.go
@@ -1,5 +1,5 @@
-// Package testca is a stand-in for an installation's certificate authority: it signs certificates for the
-// laboratory and for tests. Its key is in memory alone. An Authority is not safe for concurrent use.
+// Package testca stands in for an installation's certificate authority: it signs certificates for the
+// laboratory and for tests. It keeps its key only in memory. An Authority is not safe for concurrent use.
 package testca
 
 import (
@@ -20,11 +20,11 @@
 )
 
 const (
-	// backdating is how long before its signing a certificate is valid, so that one whose clock is behind
-	// accepts it.
+	// backdating is how long before its signing a certificate becomes valid, so that a party whose clock is
+	// behind accepts it.
 	backdating = time.Hour
 
-	// authorityValidity is that of the authority's own certificate.
+	// authorityValidity is how long the authority's own certificate is valid.
 	authorityValidity = 24 * time.Hour
 )
 
@@ -35,7 +35,7 @@
 	lastSerial  int64
 }
 
-// New makes an authority of a name.
+// New makes an authority with a name.
 func New(name string) (*Authority, error) {
 	key, err := newKey()
 	if err != nil {
@@ -57,7 +57,7 @@
 }
 
 // Write writes a certificate for loopback addresses, its key, and the authority's own certificate into a
-// folder, over those of before. The certificate is valid from an hour ago until validity from now.
+// folder, and overwrites earlier ones. The certificate is valid from an hour ago until validity from now.
 func (a *Authority) Write(folder, name string, validity time.Duration) (tlsconfig.Files, error) {
 	files := tlsconfig.Files{
 		Certificate: filepath.Join(folder, name+".pem"),
@@ -107,7 +107,7 @@
 	return key, nil
 }
 
-// newTemplate returns what all certificates have in common.
+// newTemplate returns the fields that all certificates have in common.
 func newTemplate(serial int64, name string, validity time.Duration) *x509.Certificate {
 	now := time.Now()
 	return &x509.Certificate{
@@ -118,7 +118,7 @@
 	}
 }
 
-// writePEM writes a block that only the owner may read.
+// writePEM writes a block to a file that only its owner may read.
 func writePEM(path, blockType string, content []byte) error {
 	encoded := pem.EncodeToMemory(&pem.Block{Type: blockType, Bytes: content})
 	if err := os.WriteFile(path, encoded, 0o600); err != nil {
--- a/internal/lab/workload/workload.go
+++ b/internal/lab/workload/workload.go
@@ -1,4 +1,4 @@
-// Package workload says who asks for what and when in a scenario: the tenants with their plans and entry
+// Package workload draws who sends which request when in a scenario: the tenants with their plans and entry
 // points, the arrivals, and how clients retry. The model and the load tool draw the same workload from the
 // same seed. The package sends nothing.
 //
@@ -13,25 +13,25 @@
 	"fawnplank/internal/lab/scenario"
 )
 
-// The streams of the seed, each for draws whose order does not depend on those of the other.
+// The random streams of the seed. The order of the draws from one does not depend on the other.
 const (
 	arrivalStream = iota // fixed order: the same requests whatever the answers
 	choiceStream         // entry points and delays, drawn in an order that depends on answers
 )
 
 const (
-	// firstRetryDelayNanos is what a client waits that was given no Retry-After. It doubles with each retry,
-	// as clients commonly do it, maxRetryDoublings times.
+	// firstRetryDelayNanos is how long a client waits that got no Retry-After. The delay doubles with each
+	// retry, as is common among clients, up to maxRetryDoublings times.
 	firstRetryDelayNanos = 50e6
 	maxRetryDoublings    = 5
-	// jitterDivisor bounds the jitter of a delay: up to a quarter more.
+	// jitterDivisor bounds the jitter of a delay: it adds up to a quarter.
 	jitterDivisor = 4
 )
 
-// Tenant is one tenant: its plan, and the first of the instances that are its entry points.
+// Tenant is a tenant: its plan, and the first instance of those that are its entry points.
 type Tenant struct{ Plan, FirstInstance int }
 
-// Request is one that a client wants. Times are nanoseconds since the run's start.
+// Request is a request that a client wants answered. Times are nanoseconds since the run's start.
 type Request struct {
 	AtNanos       int64
 	DeadlineNanos int64
@@ -46,7 +46,7 @@
 	Tenants []Tenant
 
 	scenario      *scenario.Scenario
-	tenantWeights []float64 // cumulative, as the others
+	tenantWeights []float64 // cumulative, like the others
 	classWeights  []float64
 	arrivals      *rand.Rand
 	choices       *rand.Rand
@@ -69,7 +69,7 @@
 		g.classWeights = appendWeight(g.classWeights, class.Share)
 	}
 	for n := range s.Load.Tenants {
-		// Plans go round by their shares: the busiest tenants are not all of one plan by chance.
+		// Plans take turns by their shares, so that the busiest tenants do not all have one plan by chance.
 		plan := pick(planWeights, math.Mod(float64(n)*math.Phi, 1))
 		g.Tenants = append(g.Tenants, Tenant{Plan: plan, FirstInstance: g.choices.IntN(s.Instances.Count)})
 		g.tenantWeights = appendWeight(g.tenantWeights, math.Pow(float64(n+1), -s.Load.Skew))
@@ -85,13 +85,13 @@
 	return append(cumulative, weight)
 }
 
-// pick returns the index that a part of the weights' sum, from 0 to 1, falls into.
+// pick returns the index of the weight into which a part, from 0 to 1, of the weights' sum falls.
 func pick(cumulative []float64, part float64) int {
 	last := len(cumulative) - 1
 	return min(sort.SearchFloat64s(cumulative, part*cumulative[last]), last)
 }
 
-// Next draws the next request; there is none once the duration is over or the scenario's number is drawn.
+// Next draws the next request. It returns false once the duration is over or the scenario's number is drawn.
 func (g *Generator) Next() (Request, bool) {
 	load := &g.scenario.Load
 	gapNanos := 1e9 / load.Rate
@@ -111,7 +111,7 @@
 		Plan:    g.Tenants[tenant].Plan,
 		Units:   1,
 	}
-	if load.Units > 1 { // the further units are of a geometric distribution
+	if load.Units > 1 { // the units beyond the first have a geometric distribution
 		request.Units += math.Floor(g.arrivals.ExpFloat64() / math.Log(load.Units/(load.Units-1)))
 	}
 	request.DeadlineNanos = request.AtNanos + int64(g.scenario.Classes[request.Class].Deadline)
@@ -124,7 +124,7 @@
 	return (g.Tenants[request.Tenant].FirstInstance + offset) % g.scenario.Instances.Count
 }
 
-// RetryDelay draws how long a client waits after a rejection, with its number of retries so far.
+// RetryDelay draws how long a client waits after a rejection. retries is its number of retries so far.
 func (g *Generator) RetryDelay(retries int, retryAfterNanos int64) int64 {
 	delayNanos := retryAfterNanos
 	if delayNanos <= 0 {
