--- a/internal/estimate/estimate.go
+++ b/internal/estimate/estimate.go
@@ -9,7 +9,7 @@
 	Count float64 // of the measurements behind the value
 }
 
-// Add takes in one more measurement. The mean reaches back over the last maxCount or so.
+// Add adds a measurement. The mean reaches back over about the last maxCount.
 func (m *Mean) Add(measured, maxCount float64) {
 	m.Count = min(m.Count+1, maxCount)
 	m.Value += (measured - m.Value) / m.Count
@@ -31,7 +31,7 @@
 // minVariance keeps the slope finite when all x are equal.
 const minVariance = 1e-9
 
-// Add takes in one more measurement. The line reaches back over the last maxCount or so.
+// Add adds a measurement. The line reaches back over about the last maxCount.
 func (r *Regression) Add(x, y, maxCount float64) {
 	r.Count = min(r.Count+1, maxCount)
 	offsetX, offsetY := x-r.MeanX, y-r.MeanY
--- a/internal/lab/accounts/measure.go
+++ b/internal/lab/accounts/measure.go
@@ -70,7 +70,7 @@
 	if err != nil {
 		return cost, err
 	}
-	defer func() { _ = os.RemoveAll(folder) }() // one left behind is the system's to clean up
+	defer func() { _ = os.RemoveAll(folder) }() // the system cleans up a folder that is left behind
 	c := &cluster{folder: folder}
 	defer c.close()
 	if err := c.start(ctx, options); err != nil {
--- a/internal/lab/dnsbench/dnsbench.go
+++ b/internal/lab/dnsbench/dnsbench.go
@@ -1,9 +1,9 @@
 // Package dnsbench measures a gateway's name server alone, in this process and on loopback: how long a zone
-// takes to load, how long an update takes from its sending until the list is published and until it is
-// answered, and how many updates are applied a second. The zone's journal is on whatever disk holds the
+// takes to load, how long it takes from the sending of an update until the list is published and until the
+// update is answered, and how many updates are applied per second. The zone's journal is on the disk of the
 // folder for temporary files.
 //
-// Measure is meant to run alone: concurrent calls measure each other.
+// Measure should run alone: concurrent calls would measure each other.
 package dnsbench
 
 import (
@@ -24,7 +24,7 @@
 	"fawnplank/internal/dnszone"
 )
 
-// Cost is what a zone of one size costs. Times are milliseconds.
+// Cost is what a zone of one size costs. Times are in milliseconds.
 type Cost struct {
 	Backends         int
 	Load             float64 // of the zone file
@@ -40,18 +40,18 @@
 	origin  = "lab."
 	service = "_calc._tcp.lab."
 	keyName = "lab."
-	// updaters send at once where updates a second are measured.
+	// updaters is how many updaters send at once to measure updates per second.
 	updaters = 8
-	// maxUpdatesPerSecond is above what a server reaches.
+	// maxUpdatesPerSecond is more than a server reaches.
 	maxUpdatesPerSecond = 1e6
 	// updateTimeout bounds one update.
 	updateTimeout = 5 * time.Second
-	// guardDelay is waited after a start: what is signed in its second is refused, as an earlier incarnation
-	// may have applied it.
+	// guardDelay is the wait after a start: the server refuses updates signed in the second of its start, as an
+	// earlier incarnation may have applied them.
 	guardDelay = 1100 * time.Millisecond
 )
 
-// zoneFile is a zone file with so many backends.
+// zoneFile returns a zone file with a number of backends.
 func zoneFile(backends int) string {
 	var text strings.Builder
 	text.WriteString("$ORIGIN lab.\n$TTL 30\n@ IN SOA ns admin 1 3600 600 86400 30\n")
@@ -67,14 +67,14 @@
 	return fmt.Sprintf("127.%d.%d.%d", 1+backend/62500, backend/250%250, 1+backend%250)
 }
 
-// Measure measures zones of the sizes given: updates one after the other, and then for a time by concurrent
-// updaters.
+// Measure measures zones of the given sizes: first with updates one after the other, then for a time with
+// concurrent updaters.
 func Measure(ctx context.Context, sizes []int, updates int, duration time.Duration) ([]Cost, error) {
 	folder, err := os.MkdirTemp("", "fawnplank-names-")
 	if err != nil {
 		return nil, err
 	}
-	defer func() { _ = os.RemoveAll(folder) }() // one left behind is the system's to clean up
+	defer func() { _ = os.RemoveAll(folder) }() // the system cleans up a folder that is left behind
 	key, err := newKey(filepath.Join(folder, "key"))
 	if err != nil {
 		return nil, err
@@ -105,7 +105,7 @@
 	key            dnsserver.Key
 	backends       int
 	server         *dnsserver.Server
-	publishedNanos atomic.Int64 // when the list was published last
+	publishedNanos atomic.Int64 // when the list was last published
 }
 
 func (b *bench) options() dnsserver.Options {
@@ -179,7 +179,7 @@
 	return nil
 }
 
-// measureRate sends updates by concurrent updaters, each about a backend of its own.
+// measureRate sends updates from concurrent updaters, each about its own backend.
 func (b *bench) measureRate(ctx context.Context, duration time.Duration, cost *Cost) error {
 	var running sync.WaitGroup
 	var applied atomic.Int64
@@ -204,8 +204,9 @@
 	return nil
 }
 
-// send removes a backend, or adds it. The id is the message's: two that are the same in all bytes in the same
-// second have one signature, and the second would pass for a replay, as chance would have it among thousands.
+// send removes a backend or adds it. id is the message's id: two messages with the same bytes in the same
+// second have the same signature, so that the second would be taken for a replay. Among thousands with random
+// ids that would happen by chance.
 func (b *bench) send(id uint16, backend int, remove bool) error {
 	message := new(dns.Msg).SetUpdate(origin)
 	message.Id = id
@@ -228,7 +229,7 @@
 
 func inMillis(duration time.Duration) float64 { return float64(duration) / 1e6 }
 
-// percentile returns a percentile in milliseconds, and sorts the durations.
+// percentile sorts the durations and returns a percentile in milliseconds.
 func percentile(durations []time.Duration, percent int) float64 {
 	if len(durations) == 0 {
 		return 0
--- a/internal/lab/emulator/backend.go
+++ b/internal/lab/emulator/backend.go
@@ -17,12 +17,11 @@
 	"fawnplank/policy"
 )
 
-// backendSeedBase keeps the backends' streams of random numbers apart from those of the workload, which have
-// the scenario's seed too.
+// backendSeedBase keeps the backends' random streams apart from those of the workload, which also come from
+// the scenario's seed.
 const backendSeedBase = 100
 
-// backend is a stand-in for one backend: an attempt occupies one of its cores for a time, or waits in a
-// queue.
+// backend stands in for one backend: an attempt occupies one of its cores for a time, or waits in a queue.
 type backend struct {
 	emulator *Emulator
 	index    int
@@ -35,7 +34,7 @@
 	startedNanos int64 // since the run's start; 0: long ago
 	state        policy.EndpointState
 	incarnation  int
-	slowdown     float64                    // what faults multiply the work by
+	slowdown     float64                    // factor by which faults multiply the work
 	active       map[scenario.FaultKind]int // how many faults of a kind are active
 }
 
@@ -48,7 +47,7 @@
 	started    chan struct{} // closed when a core is free for it
 }
 
-// backendSession is an instance's connection.
+// backendSession is a connection from an instance.
 type backendSession struct {
 	net.Conn
 	mu    sync.Mutex
@@ -81,8 +80,8 @@
 	return b, err
 }
 
-// serve reads a connection's commands. Each runs as soon as its last byte is there; answers keep the
-// commands' order.
+// serve reads a connection's commands. Each command runs as soon as its last byte has arrived; the answers
+// keep the order of the commands.
 func (b *backend) serve(conn net.Conn) {
 	session := &backendSession{Conn: conn}
 	previous := make(chan struct{})
@@ -99,7 +98,7 @@
 	}
 }
 
-// respond runs a command and writes its answer once the previous one's is written.
+// respond runs a command, and writes its answer once the previous answer is written.
 func (b *backend) respond(
 	session *backendSession, args [][]byte, previous <-chan struct{}, done chan<- struct{},
 ) {
@@ -109,7 +108,7 @@
 	if answer.text == "" {
 		return
 	}
-	// Both fail where the instance has ended the connection: it misses its answer, as it chose to.
+	// Both fail if the instance has ended the connection: then it misses its answer by its own choice.
 	_ = session.SetWriteDeadline(time.Now().Add(writeTimeout))
 	_, _ = session.Write([]byte(answer.text))
 	if answer.resets {
@@ -117,10 +116,11 @@
 	}
 }
 
-// backendAnswer is what a backend writes. The zero value is that of one that hangs: nothing is written.
+// backendAnswer is what a backend writes. The zero value is the answer of a backend that hangs: nothing is
+// written.
 type backendAnswer struct {
 	text   string
-	resets bool // the connection is reset behind the text
+	resets bool // the connection is reset after the text
 }
 
 // handle runs a command to its end.
@@ -152,8 +152,8 @@
 
 var errTooFewArguments = errors.New("emulator: too few arguments of an attempt")
 
-// parseJob reads an attempt: the verb, the tenant, the submission's ID and the header, whose units count
-// here.
+// parseJob reads an attempt: the verb, the tenant, the submission's ID and the header, of which only the
+// units are used here.
 func parseJob(args [][]byte) (*job, error) {
 	if len(args) < 4 {
 		return nil, errTooFewArguments
@@ -175,16 +175,16 @@
 	return &job{submission: invariants.SubmissionID(id), units: units, started: make(chan struct{})}, nil
 }
 
-// admission is what becomes of an attempt that has arrived.
+// admission says what becomes of an attempt that has arrived.
 type admission uint8
 
 const (
-	attemptAdmitted  admission = iota // it has a core, or a place in the queue
-	attemptRefused                    // no core and no place is left, or the backend drains
+	attemptAdmitted  admission = iota // it gets a core or a place in the queue
+	attemptRefused                    // no core or place is left, or the backend drains
 	attemptSwallowed                  // the backend hangs
 )
 
-// run runs an attempt, which occupies a core for its work, and returns what is written then.
+// run runs an attempt, which occupies a core for its work, and returns the answer to write after it.
 func (b *backend) run(j *job) backendAnswer {
 	admitted, incarnation := b.admit(j)
 	switch admitted {
@@ -216,8 +216,8 @@
 	return b.answer(j)
 }
 
-// admit records an attempt's arrival and its work, and gives it a core or a place in the queue. It returns
-// the incarnation that runs it too.
+// admit records an attempt's arrival and its work, and gives it a core or a place in the queue. It also
+// returns the incarnation that runs the attempt.
 func (b *backend) admit(j *job) (admitted admission, incarnation int) {
 	e := b.emulator
 	b.mu.Lock()
@@ -246,8 +246,8 @@
 	return attemptAdmitted, b.incarnation
 }
 
-// releaseCore gives a job's core to the next in the queue. Jobs whose instance has left the connection never
-// run, since nobody waits for their answer.
+// releaseCore gives a job's core to the next job in the queue. A job whose instance has left the connection
+// never runs, since nobody waits for its answer.
 func (b *backend) releaseCore() {
 	b.busyCores--
 	for len(b.queue) > 0 && b.busyCores < b.emulator.scenario.Backends.Cores {
@@ -260,8 +260,8 @@
 	}
 }
 
-// answer returns what is written for a job whose work is done, with the faults of now. The caller holds the
-// lock.
+// answer returns the answer to a job whose work is done, under the faults that are active now. The caller
+// holds the lock.
 func (b *backend) answer(j *job) backendAnswer {
 	switch {
 	case b.hangs():
@@ -277,8 +277,8 @@
 	return backendAnswer{text: fmt.Sprintf("*3\r\n$%d\r\n%s\r\n$-1\r\n$-1\r\n", len(value), value)}
 }
 
-// garbage returns a line of random bytes. It begins with one that no answer of RESP begins with, so that it
-// is never an answer by chance.
+// garbage returns a line of random bytes. Its first byte begins no RESP answer, so that it is never a valid
+// answer by chance.
 func (b *backend) garbage() string {
 	noise := make([]byte, 64)
 	for n := range noise {
--- a/internal/lab/emulator/backend_faults.go
+++ b/internal/lab/emulator/backend_faults.go
@@ -5,7 +5,7 @@
 	"fawnplank/policy"
 )
 
-// setFault begins a fault, or ends it.
+// setFault begins or ends a fault.
 func (b *backend) setFault(fault scenario.Fault, active bool) {
 	switch fault.Kind {
 	case scenario.BackendReset, scenario.BackendGarble, scenario.BackendError:
@@ -27,7 +27,8 @@
 	}
 }
 
-// countFault counts a fault in or out. It returns whether it is the first one of its kind, and the last one.
+// countFault counts the begin or the end of a fault. It returns whether the fault is the first active one of
+// its kind, or was the last one.
 func (b *backend) countFault(kind scenario.FaultKind, active bool) (isFirst, isLast bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -36,8 +37,8 @@
 	return active && count == 1, !active && count == 0
 }
 
-// hangs reports whether the backend says nothing; one that has vanished says nothing either. The caller holds
-// the lock.
+// hangs reports whether the backend says nothing, which is also the case when it has vanished. The caller
+// holds the lock.
 func (b *backend) hangs() bool {
 	return b.active[scenario.BackendHang]+b.active[scenario.BackendVanish] > 0
 }
@@ -53,7 +54,8 @@
 	}
 }
 
-// setHanging lets the backend say nothing. At the end its jobs are lost, and its connections end.
+// setHanging makes the backend say nothing. When the fault ends, the backend loses its jobs and its
+// connections end.
 func (b *backend) setHanging(active bool) {
 	b.countFault(scenario.BackendHang, active)
 	if active {
@@ -86,7 +88,7 @@
 }
 
 // setVanished takes the backend's machine off the network: its connections stay up and say nothing, and new
-// ones come up and say nothing. At the end it starts anew.
+// ones come up and say nothing. When the fault ends, the backend starts anew.
 func (b *backend) setVanished(active bool) {
 	if active {
 		b.abandonJobs()
@@ -101,8 +103,8 @@
 	b.restart()
 }
 
-// setWithdrawn takes the backend out of discovery. It runs on, and comes back as a new one at the same
-// address.
+// setWithdrawn takes the backend out of discovery. The backend keeps running, and comes back as a new one at
+// the same address.
 func (b *backend) setWithdrawn(active bool) {
 	isFirst, isLast := b.countFault(scenario.BackendWithdraw, active)
 	switch {
@@ -131,7 +133,7 @@
 	b.state = state
 }
 
-// setStarted makes the backend one that starts now.
+// setStarted marks the backend as started now.
 func (b *backend) setStarted() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -139,7 +141,7 @@
 	b.state = policy.EndpointReady
 }
 
-// abandonJobs ends the incarnation with its work.
+// abandonJobs ends the incarnation together with its work.
 func (b *backend) abandonJobs() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -148,7 +150,7 @@
 	b.queue = nil
 }
 
-// restart brings the backend up as a new one; discovery publishes it only where it listens.
+// restart brings the backend up as a new one. Discovery publishes it only if it listens.
 func (b *backend) restart() {
 	b.setStarted()
 	if err := b.listener.reopen(); err == nil {
@@ -156,7 +158,7 @@
 	}
 }
 
-// reopen listens again. Where the address stays occupied the backend stays unreachable, which the run shows.
+// reopen listens again. If the address stays occupied the backend stays unreachable, which the run shows.
 func (b *backend) reopen() {
 	_ = b.listener.reopen()
 }
--- a/internal/lab/emulator/counter.go
+++ b/internal/lab/emulator/counter.go
@@ -9,28 +9,28 @@
 )
 
 const (
-	// breakerPeriod is how often the instances that call nothing are counted: the resolution of the run's
+	// breakerPeriod is how often the instances that make no calls are counted. It is the resolution of the run's
 	// record.
 	breakerPeriod = time.Second
 
 	// maxKeyLifeMillis bounds a key's lifetime in the line protocol: 60 s by the platform's protocol.
 	maxKeyLifeMillis = 60000
 
-	// overloadTimeouts is how many of the gateway's timeouts a call may wait before the counter, as one whose
-	// queue is full, refuses it.
+	// overloadTimeouts is how many of the gateway's timeouts a call may wait. The counter refuses calls that
+	// would wait longer, like one whose queue is full.
 	overloadTimeouts = 4
 )
 
-// counter is a stand-in for the counter. Each instance has an address of its own there, so that it can be cut
-// off alone; the keys are common to all.
+// counter stands in for the counter. Each instance has its own address there, so that it can be cut off
+// alone; all instances share the keys.
 type counter struct {
 	emulator  *Emulator
 	listeners []*listener // of each instance
 
 	mu        sync.Mutex // guards what follows
 	keys      map[string]*counterKey
-	freeAt    time.Time // when it has time for the next call
-	refusing  int       // how many faults of the kind are active, as with the next ones
+	freeAt    time.Time // when it can begin the next call
+	refusing  int       // how many faults of the kind are active; likewise below
 	hanging   int
 	cut       map[int]int // of each instance
 	slowness  time.Duration
@@ -38,7 +38,7 @@
 	unblocked chan struct{} // closed at the end of a hang
 }
 
-// counterKey is a number under a name.
+// counterKey is the number under a key.
 type counterKey struct {
 	total     float64
 	expiresAt time.Time // zero: never
@@ -48,7 +48,7 @@
 type counterCall struct {
 	key        string
 	units      float64
-	lifeMillis int64 // of a key that the call makes; 0: without an end
+	lifeMillis int64 // lifetime of a key that the call creates; 0: without an end
 }
 
 func newCounter(e *Emulator) (*counter, error) {
@@ -77,7 +77,7 @@
 	}
 }
 
-// watchBreakers records each second how many instances call nothing: those whose breaker is open.
+// watchBreakers records each second how many instances make no calls: those with an open breaker.
 func (c *counter) watchBreakers() {
 	if c.emulator.scenario.Counter.Off {
 		return
@@ -88,7 +88,7 @@
 	})
 }
 
-// resetCalls returns how many instances have called nothing since the last time.
+// resetCalls returns how many instances have made no call since it was last called.
 func (c *counter) resetCalls() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -102,8 +102,8 @@
 	return silent
 }
 
-// schedule returns when a call that comes now is answered, by the counter's rate and delay; it returns false
-// where the queue is too long. The caller holds the lock.
+// schedule returns when a call that arrives now is answered, by the counter's rate and delay. It returns
+// false if the queue is too long. The caller holds the lock.
 func (c *counter) schedule(now time.Time) (time.Time, bool) {
 	settings := c.emulator.scenario.Counter
 	startAt := now
@@ -119,7 +119,7 @@
 	return startAt.Add(time.Duration(settings.Delay) + c.slowness), true
 }
 
-// add adds to a key, which it makes where there is none or the old one has expired, and returns the total.
+// add adds units to a key and returns the total. It creates the key if it does not exist or has expired.
 func (c *counter) add(call counterCall) float64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -136,8 +136,7 @@
 	return key.total
 }
 
-// expire lets a key that has no end yet end after a time, and reports whether it did. The caller holds the
-// lock.
+// expire sets the end of a key that has none yet, and reports whether it did. The caller holds the lock.
 func (c *counter) expire(name string, lifetime time.Duration) bool {
 	key := c.keys[name]
 	if key == nil || !key.expiresAt.IsZero() {
@@ -147,7 +146,7 @@
 	return true
 }
 
-// CounterTotal returns what all keys of the counter hold together.
+// CounterTotal returns the sum of all keys of the counter.
 func (e *Emulator) CounterTotal() float64 {
 	c := e.counter
 	c.mu.Lock()
@@ -159,10 +158,10 @@
 	return total
 }
 
-// CounterAddress returns where an instance finds the counter.
+// CounterAddress returns the address of the counter for an instance.
 func (e *Emulator) CounterAddress(instance int) string { return e.counter.address(instance) }
 
-// setFault begins a fault, or ends it.
+// setFault begins or ends a fault.
 func (c *counter) setFault(fault scenario.Fault, instance int, active bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -180,7 +179,7 @@
 	}
 }
 
-// setRefusing closes all listeners, or opens them again. The caller holds the lock.
+// setRefusing closes all listeners or opens them again. The caller holds the lock.
 func (c *counter) setRefusing(active bool) {
 	c.refusing += step(active)
 	switch {
@@ -188,12 +187,12 @@
 		c.close()
 	case !active && c.refusing == 0:
 		for _, l := range c.listeners {
-			_ = l.reopen() // one that stays closed shows in the run
+			_ = l.reopen() // a listener that stays closed shows in the run
 		}
 	}
 }
 
-// setHanging lets calls wait, or lets those that do go on. The caller holds the lock.
+// setHanging makes calls wait, or lets waiting calls go on. The caller holds the lock.
 func (c *counter) setHanging(active bool) {
 	c.hanging += step(active)
 	if !active && c.hanging == 0 {
--- a/internal/lab/emulator/counter_protocol.go
+++ b/internal/lab/emulator/counter_protocol.go
@@ -11,28 +11,28 @@
 )
 
 const (
-	// maxPendingAnswers is how many calls of a connection wait for their answers before reading stops.
+	// maxPendingAnswers is how many calls of a connection may wait for their answers before reading stops.
 	maxPendingAnswers = 10000
 
-	maxKeyLength = 64  // of the line protocol, by the platform's page
+	maxKeyLength = 64  // of the line protocol, as the platform's page says
 	maxCallUnits = 1e9 // the same
 )
 
-// pendingAnswer waits until an answer's time has come and returns it with its line end; empty: none is
-// written.
+// pendingAnswer waits until the time of an answer has come and returns it with its line end, or "" if nothing
+// is to be written.
 type pendingAnswer func() string
 
-// counterSession is an instance's connection to the counter.
+// counterSession is a connection from an instance to the counter.
 type counterSession struct {
 	counter  *counter
 	instance int
 	conn     net.Conn
 	answers  chan pendingAnswer
-	ended    chan struct{} // closed when nothing more is read
+	ended    chan struct{} // closed when reading has ended
 }
 
-// serve answers a connection's calls in their order. They come as lines of text, "bump NAME AMOUNT LIFE-MS",
-// or in RESP2 with INCRBYFLOAT and PEXPIRE NX, where the first byte is that of an array.
+// serve answers a connection's calls in order. Calls come as lines of text, "bump NAME AMOUNT LIFE-MS", or in
+// RESP2 as INCRBYFLOAT and PEXPIRE NX if the first byte is that of an array.
 func (c *counter) serve(conn net.Conn, instance int) {
 	s := &counterSession{
 		counter:  c,
@@ -56,22 +56,22 @@
 	}
 }
 
-// writeAnswers writes the answers in their order until serve has ended. It goes on where the connection has
-// ended, since calls count also where nobody waits for them.
+// writeAnswers writes the answers in order until serve has ended. It continues after the connection has
+// ended, because calls count even if nobody waits for them.
 func (s *counterSession) writeAnswers() {
 	for answer := range s.answers {
 		text := answer()
 		if text == "" {
 			continue
 		}
-		_ = s.conn.SetWriteDeadline(time.Now().Add(writeTimeout)) // where it fails, so does the write
+		_ = s.conn.SetWriteDeadline(time.Now().Add(writeTimeout)) // if this fails, the write fails too
 		if _, err := s.conn.Write([]byte(text)); err != nil {
-			_ = s.conn.Close() // ends the reads too; it may be closed already
+			_ = s.conn.Close() // also ends the reads; it may be closed already
 		}
 	}
 }
 
-// enqueue hands an answer over to writeAnswers; it returns false where the emulator is closed.
+// enqueue passes an answer to writeAnswers. It returns false if the emulator is closed.
 func (s *counterSession) enqueue(answer pendingAnswer) bool {
 	select {
 	case s.answers <- answer:
@@ -99,12 +99,12 @@
 	}
 }
 
-// immediate is an answer that waits for nothing but those before it.
+// immediate returns an answer that waits only for the answers before it.
 func immediate(text string) pendingAnswer {
 	return func() string { return text + "\r\n" }
 }
 
-// handleCommand begins a call in RESP2.
+// handleCommand begins a call that came in RESP2.
 func (s *counterSession) handleCommand(args [][]byte) pendingAnswer {
 	switch name := strings.ToUpper(string(args[0])); {
 	case name == "PING":
@@ -132,7 +132,8 @@
 	return string(redcon.AppendBulkString(nil, strconv.FormatFloat(total, 'f', -1, 64)))
 }
 
-// expireInTurn sets a key's end when the answer's turn has come: behind the call that made the key.
+// expireInTurn sets a key's end when the answer's turn has come, which is after the call that created the
+// key.
 func (s *counterSession) expireInTurn(key string, lifetime time.Duration) pendingAnswer {
 	c := s.counter
 	return func() string {
@@ -148,7 +149,7 @@
 	}
 }
 
-// handleLine begins a call in the line protocol.
+// handleLine begins a call that came in the line protocol.
 func (s *counterSession) handleLine(line string) pendingAnswer {
 	if line == "ping" {
 		return immediate("pong")
@@ -168,7 +169,7 @@
 	return s.begin(counterCall{key: words[1], units: units, lifeMillis: lifeMillis}, formatLine)
 }
 
-// formatLine writes a total to seven digits, in single precision, as the platform's protocol has it.
+// formatLine formats a total with seven digits in single precision, as the platform's protocol does.
 func formatLine(total float64, ok bool) string {
 	if !ok {
 		return "busy\r\n"
@@ -176,8 +177,8 @@
 	return "ok " + strconv.FormatFloat(float64(float32(total)), 'g', 7, 64) + "\r\n"
 }
 
-// begin gives a call its place in the counter's time, and returns what waits for the result, in the form
-// given. A form's ok is false where the counter refuses the call for want of time.
+// begin gives a call its place in the counter's time, and returns an answer that waits for the result and
+// writes it in the given form. A form gets ok as false if the counter refuses the call for lack of time.
 func (s *counterSession) begin(call counterCall, form func(total float64, ok bool) string) pendingAnswer {
 	c := s.counter
 	c.mu.Lock()
@@ -207,8 +208,8 @@
 	}
 }
 
-// awaitHang waits for the end of a hang; it returns false where the emulator is closed before. It ends with
-// the connection too, since a counter reads what has come also where the instance has left.
+// awaitHang waits for the end of a hang. It returns false if the emulator is closed first. The wait also ends
+// with the connection, since a counter reads what has arrived even if the instance has left.
 func (s *counterSession) awaitHang(unblocked <-chan struct{}) bool {
 	select {
 	case <-unblocked:
--- a/internal/lab/emulator/discovery.go
+++ b/internal/lab/emulator/discovery.go
@@ -11,15 +11,15 @@
 	"fawnplank/policy"
 )
 
-// headerTimeout bounds the read of a request's header, so that a client that stalls holds no connection for
-// ever.
+// headerTimeout bounds the reading of a request's header, so that a stalled client does not hold a connection
+// for ever.
 const headerTimeout = 5 * time.Second
 
-// discovery is a stand-in for discovery: the endpoint list over HTTP, to be polled or watched. Each instance
-// has an address of its own there, so that it is known which instance was delivered what.
+// discovery stands in for discovery: it serves the endpoint list over HTTP, to be polled or watched. Each
+// instance has its own address there, so that it is known what was delivered to which instance.
 type discovery struct {
 	emulator  *Emulator
-	servers   []*http.Server // of each instance, as its address
+	servers   []*http.Server // one per instance, like addresses
 	addresses []string
 	updates   *updateQueues // nil unless changes go out by DNS
 
@@ -28,12 +28,12 @@
 	endpoints  []endpoint    // of each backend
 	changed    chan struct{} // closed at the next change
 	extraDelay time.Duration // of faults, before a change is applied
-	stale      int           // how many faults of the kind are active, as with the next one
+	stale      int           // how many faults of the kind are active; likewise below
 	refusing   int
-	withheld   []func() // changes to apply when the list is stale no more
+	withheld   []func() // changes to apply when the list is no longer stale
 }
 
-// endpoint is a backend as the list has it.
+// endpoint is a backend as the list describes it.
 type endpoint struct {
 	Name    string  `json:"name"`
 	Address string  `json:"address"`
@@ -47,7 +47,7 @@
 	backend      int
 	startedNanos int64 // since the run's start; 0: long ago
 	state        policy.EndpointState
-	version      int64 // the index of the latest change
+	version      int64 // the list's index at its latest change
 }
 
 // endpointList is the body of an answer: a full snapshot, or a delta.
@@ -57,7 +57,7 @@
 	Endpoints []endpoint `json:"endpoints"`
 }
 
-// statusNames are the states' names in the list.
+// statusNames are the names of the states in the list.
 var statusNames = map[policy.EndpointState]string{
 	policy.EndpointReady:    "up",
 	policy.EndpointDraining: "draining",
@@ -116,7 +116,7 @@
 	}
 }
 
-// publish puts a backend's state of now into the list, after the usual delay.
+// publish puts a backend's current state into the list after the usual delay.
 func (d *discovery) publish(b *backend) {
 	b.mu.Lock()
 	state, startedNanos := b.state, b.startedNanos
@@ -154,13 +154,13 @@
 	}
 }
 
-// wakeWatches lets the watches look again. The caller holds the lock.
+// wakeWatches makes the watches look again. The caller holds the lock.
 func (d *discovery) wakeWatches() {
 	close(d.changed)
 	d.changed = make(chan struct{})
 }
 
-// setStale withholds changes, or applies those that were withheld.
+// setStale withholds changes, or applies the changes that were withheld.
 func (d *discovery) setStale(active bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -180,7 +180,8 @@
 	d.extraDelay += delay
 }
 
-// setRefusing lets every request end with a broken connection, those that watch already too, or ends that.
+// setRefusing makes every request end with a broken connection, including those that already watch, or stops
+// that.
 func (d *discovery) setRefusing(active bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -194,7 +195,7 @@
 	return d.refusing > 0
 }
 
-// snapshot returns the whole list, as it is delivered to an instance or to noInstance.
+// snapshot returns the whole list, and records its delivery to an instance unless that is noInstance.
 func (d *discovery) snapshot(instance int) endpointList {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -203,7 +204,7 @@
 		if listed.state != policy.EndpointGone {
 			list.Endpoints = append(list.Endpoints, listed)
 		}
-		// A snapshot delivers an endpoint that is gone too, by its absence.
+		// A snapshot also delivers an endpoint that is gone, by its absence.
 		d.emulator.observeDelivery(instance, listed)
 	}
 	return list
@@ -212,11 +213,11 @@
 // watchResult is what a watch finds when it looks.
 type watchResult struct {
 	delta    endpointList
-	changed  <-chan struct{} // closed when it is to look again
+	changed  <-chan struct{} // closed when the watch has to look again
 	refusing bool
 }
 
-// changesSince returns what has changed after an index, as it is delivered to an instance.
+// changesSince returns what has changed after an index, and records its delivery to an instance.
 func (d *discovery) changesSince(index int64, instance int) watchResult {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -230,7 +231,8 @@
 	return watchResult{delta: delta, changed: d.changed, refusing: d.refusing > 0}
 }
 
-// observeDelivery records that an instance is about to receive an endpoint: from here on it counts as known.
+// observeDelivery records that an instance is about to receive an endpoint. From then on the instance counts
+// as knowing it.
 func (e *Emulator) observeDelivery(instance int, delivered endpoint) {
 	if instance == noInstance {
 		return
--- a/internal/lab/emulator/discovery_handler.go
+++ b/internal/lab/emulator/discovery_handler.go
@@ -14,8 +14,8 @@
 	maxWatchMillis = 60000
 )
 
-// handle answers GET /v1/endpoints: the whole list, or with an index what has changed since, for which it
-// waits as long as the request asks.
+// handle answers GET /v1/endpoints. Without an index it returns the whole list; with an index it returns what
+// has changed since, and waits for a change as long as the request asks.
 func (d *discovery) handle(w http.ResponseWriter, request *http.Request, instance int) {
 	if d.isRefusing() {
 		panic(http.ErrAbortHandler) // breaks the connection
@@ -29,7 +29,7 @@
 		writeList(w, d.snapshot(instance))
 		return
 	}
-	waitMillis, _ := strconv.ParseInt(request.FormValue("wait"), 10, 64) // none asks for an answer at once
+	waitMillis, _ := strconv.ParseInt(request.FormValue("wait"), 10, 64) // no number asks for an answer at once
 	d.watch(w, request, instance, index, time.Duration(min(waitMillis, maxWatchMillis))*time.Millisecond)
 }
 
@@ -60,5 +60,5 @@
 }
 
 func writeList(w http.ResponseWriter, list endpointList) {
-	_ = json.NewEncoder(w).Encode(list) // fails where the instance has left: it polls again
+	_ = json.NewEncoder(w).Encode(list) // fails only if the instance has left: it polls again
 }
--- a/internal/lab/emulator/emulator.go
+++ b/internal/lab/emulator/emulator.go
@@ -1,10 +1,11 @@
-// Package emulator holds the laboratory's stand-ins for what surrounds the gateway instances: backends, the
-// counter and discovery. They speak the platform's protocols on loopback (RESP2, lines of text, HTTP, dynamic
-// DNS updates), show the faults that a scenario asks for, and record what they see in the run's log.
+// Package emulator stands in for what surrounds the gateway instances in the laboratory: backends, the
+// counter and discovery. The stand-ins speak the platform's protocols on loopback (RESP2, lines of text,
+// HTTP, dynamic DNS updates), show the faults that a scenario asks for, and record what they see in the run's
+// log.
 //
 // An Emulator owns its listeners, connections and timers, and Close frees them. Every wait in it is bounded
-// or ends with Close, and it listens on 127.0.0.1 alone. Its methods are safe for concurrent use once Start
-// has returned.
+// or ends with Close. It listens only on 127.0.0.1. Its methods are safe for concurrent use once Start has
+// returned.
 package emulator
 
 import (
@@ -18,11 +19,11 @@
 	"fawnplank/internal/lab/workload"
 )
 
-// noInstance stands in for the index of an instance where a list is read for nobody, so that no delivery is
+// noInstance replaces the index of an instance when a list is read for no instance, so that no delivery is
 // recorded.
 const noInstance = -1
 
-// Emulator is the outside of the gateway instances of one scenario.
+// Emulator is everything around the gateway instances of one scenario.
 type Emulator struct {
 	scenario  *scenario.Scenario
 	log       *results.Log
@@ -37,7 +38,7 @@
 	closeOnce sync.Once
 }
 
-// Start starts the stand-ins of a scenario, which record into log. Faults begin with PlayFaults.
+// Start starts the stand-ins of a scenario, which record into log. Faults begin only with PlayFaults.
 func Start(s *scenario.Scenario, log *results.Log) (*Emulator, error) {
 	e := &Emulator{
 		scenario: s,
@@ -52,7 +53,7 @@
 	return e, nil
 }
 
-// start makes the stand-ins; discovery comes last, since it lists the backends' addresses.
+// start starts the stand-ins. Discovery comes last because it lists the backends' addresses.
 func (e *Emulator) start() error {
 	for n := range e.scenario.Backends.Count {
 		b, err := newBackend(e, n)
@@ -71,7 +72,7 @@
 	return nil
 }
 
-// Close ends all stand-ins and their connections. Later calls do nothing.
+// Close ends all stand-ins and their connections. Further calls do nothing.
 func (e *Emulator) Close() {
 	e.closeOnce.Do(func() {
 		close(e.closed)
@@ -109,7 +110,7 @@
 	}))
 }
 
-// InstanceConfig returns the configuration file of a gateway instance that is to listen at the address given.
+// InstanceConfig returns the configuration file for a gateway instance that listens on the given address.
 func (e *Emulator) InstanceConfig(instance int, listenAddress string) ([]byte, error) {
 	config := map[string]any{
 		"name":      fmt.Sprintf("d%d", instance),
@@ -129,14 +130,14 @@
 	return json.MarshalIndent(config, "", " ")
 }
 
-// PlayFaults lets the scenario's faults begin and end at their times, counted from now. Those of gateway
-// instances are the caller's.
+// PlayFaults makes the scenario's faults begin and end at their times, counted from now. The caller plays the
+// faults of gateway instances.
 func (e *Emulator) PlayFaults() {
 	e.counter.watchBreakers()
 	for _, fault := range e.scenario.Faults {
 		targets := e.scenario.Targets(fault)
 		if len(targets) == 0 {
-			targets = []int{0} // a fault of a party that there is one of
+			targets = []int{0} // a fault of a party that exists only once
 		}
 		for i, target := range targets {
 			begin := time.Duration(fault.At + scenario.Span(i)*fault.Stagger)
@@ -148,8 +149,7 @@
 	}
 }
 
-// setFault begins a fault of a target, or ends it. Faults of a kind may overlap, so that the stand-ins count
-// them.
+// setFault begins or ends a fault of a target. Faults of a kind may overlap, so the stand-ins count them.
 func (e *Emulator) setFault(fault scenario.Fault, target int, active bool) {
 	switch fault.Kind {
 	case scenario.BackendRefuse, scenario.BackendHang, scenario.BackendSlow, scenario.BackendReset,
@@ -168,7 +168,7 @@
 	}
 }
 
-// step is what a fault's begin or end adds to the number of those that are active.
+// step returns what the begin or end of a fault adds to the number of active faults.
 func step(active bool) int {
 	if active {
 		return 1
--- a/internal/lab/emulator/listener.go
+++ b/internal/lab/emulator/listener.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// A closed listener's address may be occupied for a moment by an outgoing connection that got its port; it is
-// tried again for half a second in all.
+// For a moment, an outgoing connection may occupy the address of a closed listener because it got the same
+// port. Reopening is therefore tried for half a second in all.
 const (
 	maxReopenRetries  = 50
 	reopenRetryPeriod = 10 * time.Millisecond
@@ -17,8 +17,8 @@
 // writeTimeout bounds the write of an answer to an instance that reads nothing.
 const writeTimeout = 2 * time.Second
 
-// listener is a listening socket that can be closed and opened again at the same address. Closing it ends its
-// connections with a reset, as the death of a process does.
+// listener is a listening socket that can be closed and opened again at the same address. Closing it resets
+// its connections, as the death of a process does.
 type listener struct {
 	address string
 	serve   func(net.Conn) // returns once the connection has ended
@@ -26,10 +26,10 @@
 	mu          sync.Mutex
 	socket      net.Listener // nil while closed
 	connections map[net.Conn]bool
-	paused      chan struct{} // not nil: connections come up and are served once it is closed
+	paused      chan struct{} // if not nil, new connections come up and are served once it is closed
 }
 
-// newListener listens at a free port, and serves each connection in a goroutine of its own.
+// newListener listens on a free port and serves each connection in its own goroutine.
 func newListener(serve func(net.Conn)) (*listener, error) {
 	socket, err := listenLoopback("127.0.0.1:0")
 	if err != nil {
@@ -50,7 +50,7 @@
 	return config.Listen(context.Background(), "tcp4", address)
 }
 
-// accept takes connections until the socket is closed.
+// accept accepts connections until the socket is closed.
 func (l *listener) accept(socket net.Listener) {
 	for {
 		conn, err := socket.Accept()
@@ -58,7 +58,7 @@
 			return // closed
 		}
 		l.mu.Lock()
-		if l.socket != socket { // accepted while close ran, which did not see it
+		if l.socket != socket { // accepted while close ran and did not see it
 			l.mu.Unlock()
 			_ = conn.Close() // nothing was written
 			continue
@@ -78,10 +78,10 @@
 	l.mu.Lock()
 	delete(l.connections, conn)
 	l.mu.Unlock()
-	_ = conn.Close() // its end was seen by serve
+	_ = conn.Close() // serve has seen its end
 }
 
-// close refuses connections from now on, and resets those that are up.
+// close refuses connections from now on and resets the open ones.
 func (l *listener) close() {
 	l.mu.Lock()
 	socket := l.socket
@@ -90,7 +90,7 @@
 	l.connections = map[net.Conn]bool{}
 	l.mu.Unlock()
 	if socket != nil {
-		_ = socket.Close() // it fails only where it is closed already
+		_ = socket.Close() // fails only if it is closed already
 	}
 	for conn := range connections {
 		reset(conn)
@@ -98,15 +98,15 @@
 	l.setPaused(false)
 }
 
-// reset closes a connection with a reset in place of an orderly end.
+// reset closes a connection with a reset instead of an orderly end.
 func reset(conn net.Conn) {
 	if tcp, ok := conn.(*net.TCPConn); ok {
-		_ = tcp.SetLinger(0) // fails where the connection has ended: then nobody sees the difference
+		_ = tcp.SetLinger(0) // fails only if the connection has ended: then nobody sees the difference
 	}
-	_ = conn.Close() // what is lost with it is meant to be lost
+	_ = conn.Close() // data lost with it is meant to be lost
 }
 
-// setPaused lets connections come up without being served, or ends that.
+// setPaused makes connections come up without being served, or ends that.
 func (l *listener) setPaused(paused bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/lab/emulator/names.go
+++ b/internal/lab/emulator/names.go
@@ -12,7 +12,7 @@
 	"fawnplank/policy"
 )
 
-// The zone that the gateway's operators keep the backends in where a scenario lists them by DNS.
+// The zone in which the gateway's operators keep the backends if a scenario lists them by DNS.
 const (
 	ZoneOrigin  = "lab."            // the zone's own name
 	ZoneService = "_calc._tcp.lab." // the name of the SRV records
@@ -21,15 +21,14 @@
 const (
 	recordTTLSeconds = 30
 
-	// maxQueuedUpdates is how many changes wait for an instance that is down; further ones are dropped.
+	// maxQueuedUpdates is how many changes can wait for an instance that is down; further ones are dropped.
 	maxQueuedUpdates = 1 << 16
 
 	updateTimeout     = time.Second
 	updateRetryPeriod = 50 * time.Millisecond
 )
 
-// updateQueues holds the changes of the list that go out as dynamic updates, for each instance in their
-// order.
+// updateQueues holds the changes of the list that are sent as dynamic updates, in order for each instance.
 type updateQueues struct {
 	instances []chan endpoint
 }
@@ -42,7 +41,7 @@
 	return q
 }
 
-// add queues a change for every instance; one whose queue is full misses it.
+// add queues a change for every instance. An instance whose queue is full misses it.
 func (q *updateQueues) add(changed endpoint) {
 	for _, queue := range q.instances {
 		select {
@@ -65,8 +64,8 @@
 	return file.String()
 }
 
-// SendUpdates sends an instance's name server, at the address given, the changes from now on, until Close. It
-// is called once for each instance.
+// SendUpdates sends the changes from now on to the name server of an instance at the given address, until
+// Close. It must be called once for each instance.
 func (e *Emulator) SendUpdates(instance int, address string, key dnsserver.Key) {
 	go func() {
 		for {
@@ -80,8 +79,8 @@
 	}()
 }
 
-// sendUpdate sends a change until it is answered. It counts as delivered from the first attempt on: the
-// instance may have applied one whose answer was lost.
+// sendUpdate sends a change until it is answered. The change counts as delivered from the first attempt on,
+// since the instance may have applied an update whose answer was lost.
 func (e *Emulator) sendUpdate(instance int, changed endpoint, address string, key dnsserver.Key) {
 	e.observeDelivery(instance, changed)
 	for {
@@ -98,7 +97,7 @@
 	}
 }
 
-// updateMessage returns the update that replaces the endpoint's records, or removes those of one that is
+// updateMessage returns the update that replaces the endpoint's records, or removes them if the endpoint is
 // gone.
 func (e endpoint) updateMessage() *dns.Msg {
 	records := e.records()
@@ -113,7 +112,7 @@
 	return message
 }
 
-// records returns the endpoint's records: SRV first, then those at its own name.
+// records returns the endpoint's records: first SRV, then those at the endpoint's own name.
 func (e endpoint) records() []dns.RR {
 	host, port, _ := net.SplitHostPort(e.Address) // the address of a listener is well formed
 	target := e.Name + "." + ZoneOrigin
@@ -124,7 +123,7 @@
 	}
 }
 
-// attributes returns the text of the TXT record, which has what A and SRV have no place for.
+// attributes returns the text of the TXT record, which holds what has no place in A and SRV.
 func (e endpoint) attributes() string {
 	text := fmt.Sprintf(`"fawnplank" "zone=%s" "group=%d" "size=%g"`, e.Zone, e.Group, e.Weight)
 	if e.state == policy.EndpointDraining {
@@ -136,11 +135,11 @@
 	return text
 }
 
-// newRecord parses a record of this file's own making.
+// newRecord parses a record that this file has composed.
 func newRecord(format string, args ...any) dns.RR {
 	record, err := dns.NewRR(fmt.Sprintf(format, args...))
 	if err != nil {
-		panic(fmt.Sprintf("emulator: %v", err)) // a fault of this file
+		panic(fmt.Sprintf("emulator: %v", err)) // a mistake in this file
 	}
 	record.Header().Ttl = recordTTLSeconds
 	return record
--- a/internal/lab/testbed/gateway.go
+++ b/internal/lab/testbed/gateway.go
@@ -66,7 +66,7 @@
 	if g.operatorFile != "" {
 		arguments = append(arguments, "--operator", g.operatorFile)
 	}
-	// stop ends the process, by SIGTERM first; the end of ctx must not kill it outright.
+	// stop ends the process, first by SIGTERM. The end of ctx must not kill the process outright.
 	command := exec.CommandContext(context.WithoutCancel(ctx), g.command[0], arguments...)
 	command.Env = append(os.Environ(), g.env...)
 	command.Stdout = output
@@ -199,8 +199,8 @@
 	}
 }
 
-// stop ends the gateway: by SIGTERM, and by a kill if its graceful shutdown takes too long. A gateway that
-// was never started or has ended already is left alone.
+// stop ends the gateway by SIGTERM, and kills it if its graceful shutdown takes too long. It does nothing if
+// the gateway was never started or has already ended.
 func (g *gateway) stop() {
 	stopped := g.expectExit()
 	if stopped == nil {
--- a/internal/lab/testbed/testbed.go
+++ b/internal/lab/testbed/testbed.go
@@ -134,7 +134,7 @@
 	t.log.Begin()
 	t.emulator.PlayFaults()
 	var watches, restarts sync.WaitGroup
-	crashed := make(chan error, len(t.gateways)) // one place for each, so that no watch waits for the end of the run
+	crashed := make(chan error, len(t.gateways)) // room for each, so that no watch waits for the end
 	for _, g := range t.gateways {
 		watches.Go(func() { g.watch(running, crashed) })
 	}
--- a/policy/admission.go
+++ b/policy/admission.go
@@ -80,8 +80,8 @@
 	r.admit(now, true)
 }
 
-// handleOverQuota rejects a request until the quota has refilled enough. Exception: where a plan's requests
-// earn more beyond the quota than they cost, and a backend has capacity, it admits the request.
+// handleOverQuota rejects a request beyond the quota until the quota has refilled enough. Exception: where a
+// plan's requests earn more beyond it than they cost, and a backend has capacity, it admits the request.
 func (r *Request) handleOverQuota(now int64) {
 	t := r.tenant
 	if r.plan.OverQuotaValue > r.plan.OverQuotaCost && !r.class.CheckOnly {
--- a/policy/breaker.go
+++ b/policy/breaker.go
@@ -3,7 +3,7 @@
 // failureThreshold is how many failures in a row trip the breaker: five, as in the post, are no coincidence.
 const failureThreshold = 5
 
-// mayCallCounter reports whether a call may be made now; the caller must then make it.
+// mayCallCounter reports whether a call may be made now. If so, the caller must make it.
 func (e *Engine) mayCallCounter(now int64) bool {
 	if e.breaker.IsClosed() {
 		return e.settings.CounterEnabled && (e.callShare >= 1 || e.random.Float64() < e.callShare)
@@ -22,7 +22,7 @@
 	case e.breaker.IsClosed():
 		e.callShare = max(e.callShare*0.8, 0.05)
 	}
-	// A second plus chance, so that instances do not retry together: the post's ten outlast most failures.
+	// A second, plus chance against retries all together; the post's ten would outlast most failures.
 	retryAt := now + second + int64(e.random.Float64()*float64(second)/4)
 	e.breaker.Record(ok, failureThreshold, retryAt)
 }
--- a/policy/types.go
+++ b/policy/types.go
@@ -85,7 +85,7 @@
 
 func (s EndpointState) String() string { return enumName(int(s), "draining", "ready", "gone") }
 
-// UpdateKind says what an update of the endpoint list brings.
+// UpdateKind says what an update of the endpoint list holds.
 type UpdateKind uint8
 
 // The kinds of update.
--- a/policy/warm_start.go
+++ b/policy/warm_start.go
@@ -5,7 +5,7 @@
 // WarmStartState is what an instance knows about the backends' answer times, for the instance that is started
 // after it.
 type WarmStartState struct {
-	BaselineLatency float64            `json:"usual_ns"` // of all together
+	BaselineLatency float64            `json:"usual_ns"` // of all backends together
 	Samples         float64            `json:"count"`    // how many answers stand behind it
 	Backends        []BackendWarmStart `json:"backends"`
 }
