--- a/policy/doc.go
+++ b/policy/doc.go
@@ -25,6 +25,9 @@
 // Request.giveUp, Request.HandleAttemptResult, Request.HandleClientGone and Request.dispatch finish a
 // request.
 //
+// Comments that say "the post" mean the article that the design follows, "Fail open or fail closed? What your
+// rate limiter does when Redis dies" (ReqKey); docs/design.md says where the design departs from it.
+//
 // # Files
 //
 // The files that hold decisions and tuned values are listed under "policy" in deploy/balancer.toml. The
