--- a/internal/lab/load/load_test.go
+++ b/internal/lab/load/load_test.go
@@ -117,23 +117,32 @@
 }
 
 func TestGenerator_DistinguishesDeathFromBrokenConnection(t *testing.T) {
+	kill := func(log *results.Log) { log.Observe(invariants.Event{Kind: invariants.InstanceDied}) }
+	exit := func(log *results.Log) { log.InstanceExited(0) }
+	nothing := func(*results.Log) {}
 	for name, test := range map[string]struct {
-		dies bool
-		want invariants.Kind
+		before, meanwhile func(log *results.Log) // before the request is written, and while it is open
+		want              invariants.Kind
 	}{
-		"instance dies":     {dies: true, want: invariants.Abandoned},
-		"connection breaks": {dies: false, want: invariants.Aborted},
+		"instance dies":                    {before: nothing, meanwhile: kill, want: invariants.Abandoned},
+		"instance was being killed":        {before: kill, meanwhile: nothing, want: invariants.Abandoned},
+		"instance was killed and now ends": {before: kill, meanwhile: exit, want: invariants.Abandoned},
+		"connection breaks":                {before: nothing, meanwhile: nothing, want: invariants.Aborted},
+		"connection of the next process breaks": {
+			before:    func(log *results.Log) { kill(log); exit(log) },
+			meanwhile: nothing,
+			want:      invariants.Aborted,
+		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var log *results.Log
 			address := testutil.ServeCommands(t, func(conn net.Conn) {
-				if test.dies {
-					log.Observe(invariants.Event{Kind: invariants.InstanceDied})
-				}
+				test.meanwhile(log)
 				_ = conn.Close() // without an answer
 			}).String()
 			g, runLog := newGenerator(t, address)
 			log = runLog
+			test.before(log)
 			if result := g.submit(newTestSubmission(g)); !result.sent || result.kind != test.want {
 				t.Errorf("%+v, want kind %v", result, test.want)
 			}
--- a/internal/lab/load/request.go
+++ b/internal/lab/load/request.go
@@ -23,9 +23,6 @@
 	// answerMargin is how long a client waits beyond the deadline and the rules' grace, so that it still sees an
 	// answer that is slightly too late, as a late one.
 	answerMargin = 100 * time.Millisecond
-
-	// deathNoticeDelay is how long the testbed may need to record the death of an instance that it kills.
-	deathNoticeDelay = 20 * time.Millisecond
 )
 
 // errStaleConnection reports that the instance has closed an idle connection.
@@ -159,15 +156,11 @@
 	switch {
 	case errors.As(err, &netError) && netError.Timeout():
 		return outcome{kind: invariants.Aborted, sent: true}, nil // no answer: the invariants report it
-	case g.log.Incarnation(s.instance) != s.incarnation:
+	case g.log.WasKilled(s.instance, s.incarnation):
 		return g.abandon(s), nil
 	case conn.reused:
 		return outcome{}, errStaleConnection
 	}
-	time.Sleep(deathNoticeDelay)
-	if g.log.Incarnation(s.instance) != s.incarnation {
-		return g.abandon(s), nil
-	}
 	return outcome{kind: invariants.Aborted, sent: true}, nil // a live instance ended the connection: likewise
 }
 
--- a/internal/lab/results/log.go
+++ b/internal/lab/results/log.go
@@ -14,17 +14,24 @@
 type Log struct {
 	start atomic.Pointer[time.Time] // nil: the run has not begun, and events get the time of its start
 
-	mu           sync.Mutex // of the fields below
-	recorder     *Recorder
-	instances    map[invariants.SubmissionID]int
-	incarnations map[int]int // by instance
-	events       uint64
-	finished     bool
+	mu        sync.Mutex // of the fields below
+	recorder  *Recorder
+	instances map[invariants.SubmissionID]int
+	kills     map[int]kills // by instance
+	events    uint64
+	finished  bool
+}
+
+// kills counts how often an instance was killed. Between the signal and the end of its process it may still
+// accept a connection and read a request, so the two are counted apart.
+type kills struct {
+	begun int // the signal is about to be sent
+	ended int // the process has ended
 }
 
 // NewLog returns a log that writes to a recorder.
 func NewLog(recorder *Recorder) *Log {
-	return &Log{recorder: recorder, instances: map[invariants.SubmissionID]int{}, incarnations: map[int]int{}}
+	return &Log{recorder: recorder, instances: map[invariants.SubmissionID]int{}, kills: map[int]kills{}}
 }
 
 // Begin starts the run's time.
@@ -45,7 +52,8 @@
 func (l *Log) Start() time.Time { return *l.start.Load() }
 
 // Observe stamps an event, records it, and returns its time. Submitted events carry the remaining time
-// instead of the deadline.
+// instead of the deadline. InstanceDied is observed before the instance is killed; InstanceExited must follow
+// once its process has ended.
 func (l *Log) Observe(event invariants.Event) int64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -61,17 +69,37 @@
 	case invariants.AttemptArrived, invariants.AttemptRefused:
 		event.Instance = l.instances[event.Submission]
 	case invariants.InstanceDied:
-		l.incarnations[event.Instance]++
+		l.countKill(event.Instance, kills{begun: 1})
 	}
 	l.recorder.Observe(event)
 	return event.AtNanos
 }
 
-// Incarnation returns how often an instance died.
+// InstanceExited records that the process of an instance that was killed has ended.
+func (l *Log) InstanceExited(instance int) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.countKill(instance, kills{ended: 1})
+}
+
+// countKill adds to the counts of an instance. The caller holds the lock.
+func (l *Log) countKill(instance int, added kills) {
+	k := l.kills[instance]
+	l.kills[instance] = kills{begun: k.begun + added.begun, ended: k.ended + added.ended}
+}
+
+// Incarnation numbers the processes of an instance: it returns how many of them were killed and have ended.
 func (l *Log) Incarnation(instance int) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.incarnations[instance]
+	return l.kills[instance].ended
+}
+
+// WasKilled reports whether an incarnation of an instance has been killed, or is being killed now.
+func (l *Log) WasKilled(instance, incarnation int) bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.kills[instance].begun > incarnation
 }
 
 // CountNotSent counts a request that no instance accepted.
--- a/internal/lab/testbed/gateway.go
+++ b/internal/lab/testbed/gateway.go
@@ -183,6 +183,7 @@
 	log.Observe(invariants.Event{Kind: invariants.InstanceDied, Instance: g.index})
 	_ = killed.handle.Kill() // fails only if the process has ended already
 	<-killed.exited
+	log.InstanceExited(g.index)
 	if !wait(ctx, downtime) {
 		return
 	}
