--- a/internal/lab/model/world.go
+++ b/internal/lab/model/world.go
@@ -141,7 +141,7 @@
 		if i.engine == nil {
 			continue
 		}
-		if isOpen, _ := i.engine.BreakerStatus(); isOpen {
+		if i.engine.BreakerOpen() {
 			open++
 		}
 	}
--- a/internal/warmstart/warmstart_test.go
+++ b/internal/warmstart/warmstart_test.go
@@ -31,13 +31,13 @@
 
 // stateOf returns a state in which every part has the same number, so that a mixture of two shows.
 func stateOf(number int) policy.WarmStartState {
-	state := policy.WarmStartState{BaselineLatency: float64(number), Samples: float64(number)}
+	state := policy.WarmStartState{Latency: float64(number), Samples: float64(number)}
 	for b := range stateBackends {
 		state.Backends = append(state.Backends, policy.BackendWarmStart{
-			Backend:         policy.BackendID(b),
-			StartedAt:       int64(number),
-			BaselineLatency: float64(number),
-			Samples:         1,
+			Backend:   policy.BackendID(b),
+			StartedAt: int64(number),
+			Latency:   float64(number),
+			Samples:   1,
 		})
 	}
 	return state
@@ -116,11 +116,11 @@
 			t.Fatalf("kill %d: %v", n, err)
 		}
 		for _, backend := range state.Backends {
-			if backend.BaselineLatency != state.BaselineLatency || len(state.Backends) != stateBackends {
-				t.Fatalf("kill %d: a mixture of %v and %v", n, state.BaselineLatency, backend.BaselineLatency)
+			if backend.Latency != state.Latency || len(state.Backends) != stateBackends {
+				t.Fatalf("kill %d: a mixture of %v and %v", n, state.Latency, backend.Latency)
 			}
 		}
-		seen[state.BaselineLatency] = true
+		seen[state.Latency] = true
 	}
 	if len(seen) < 5 {
 		t.Errorf("only %d states were seen: the kills hit nothing", len(seen))
@@ -136,8 +136,8 @@
 	if err != nil || !strings.Contains(string(out), "file too large") {
 		t.Errorf("%v, %q", err, out)
 	}
-	if state, _, err := Load(path, time.Now()); err != nil || state.BaselineLatency != 3 {
-		t.Error(state.BaselineLatency, err)
+	if state, _, err := Load(path, time.Now()); err != nil || state.Latency != 3 {
+		t.Error(state.Latency, err)
 	}
 	if err := Save(filepath.Join(path, "below-a-file"), stateOf(1), time.Now()); err == nil {
 		t.Error("no error in a folder that is none")
--- a/policy/admission.go
+++ b/policy/admission.go
@@ -13,7 +13,7 @@
 	r.tenant = e.findTenant(now, spec.Tenant, r)
 	r.objectiveAt = min(now+r.class.LatencyObjective, r.deadline)
 	if r.plan.leaverShare.Value > 0.3 { // do not send what cannot be answered before the client leaves
-		r.objectiveAt = min(r.objectiveAt, now+int64(r.plan.leaverPatience.Value))
+		r.objectiveAt = min(r.objectiveAt, now+int64(r.plan.leaverWait.Value))
 	}
 	if r.drawHardQuota(now) {
 		r.checkQuota(now)
--- a/policy/endpoints_test.go
+++ b/policy/endpoints_test.go
@@ -99,15 +99,15 @@
 
 // call returns when a call made now is answered, and whether well.
 func (d *overbookedDiscovery) call(now int64) (answerAt int64, ok bool) {
-	const work, patience, queueLength = second / 20, 2 * second, 50
+	const work, maxWait, queueLength = second / 20, 2 * second, 50
 	d.freeAt = max(d.freeAt, now)
 	wait := d.freeAt - now
 	if wait > queueLength*work {
 		return now, false
 	}
 	d.freeAt += work
-	if wait+work > patience { // answered too late
-		return now + patience, false
+	if wait+work > maxWait { // answered too late
+		return now + maxWait, false
 	}
 	return now, true
 }
--- a/policy/fleet_test.go
+++ b/policy/fleet_test.go
@@ -46,12 +46,12 @@
 	backendByID  map[BackendID]*fleetBackend
 	ids          []BackendID
 	together     bool // connections come up together, four times a second; else each by itself
-	bearings     []bearing
+	loadLimits   []loadLimit
 	worst        worstWindow
 }
 
-// bearing is the multiple from a time on, and how much longer all backends take.
-type bearing struct {
+// loadLimit is what backends bear from a time on: the overload multiple, and how much longer their work takes.
+type loadLimit struct {
 	from           int64
 	multiple, slow float64
 }
@@ -176,7 +176,7 @@
 		latency:       make([]int64, c.instances),
 		backendByID:   map[BackendID]*fleetBackend{},
 		together:      seed%2 == 0,
-		bearings:      []bearing{{0, c.multiple, 1}},
+		loadLimits:    []loadLimit{{0, c.multiple, 1}},
 	}
 	f.settings.CounterEnabled = false
 	f.settings.Instances = c.instances
@@ -382,7 +382,7 @@
 func (f *fleet) serve(b *fleetBackend) {
 	for ; b.busy < int(f.cores) && b.busy < len(b.queue); b.busy++ {
 		attempt, started := b.queue[b.busy], b.started
-		slow := f.bearings[len(f.bearings)-1].slow
+		slow := f.loadLimits[len(f.loadLimits)-1].slow
 		f.at(f.now+int64(attempt.work*slow/b.size/f.warmth(b)), func() {
 			if b.started != started || !b.up {
 				return
@@ -451,9 +451,9 @@
 // multipleIn is the most that a backend bears in the window that ends at a time: a change may lie within it.
 func (f *fleet) multipleIn(at int64) float64 {
 	multiple := 0.0
-	for n, bearing := range f.bearings {
-		if bearing.from <= at && (n+1 == len(f.bearings) || f.bearings[n+1].from > at-f.window) {
-			multiple = max(multiple, bearing.multiple/bearing.slow)
+	for n, limit := range f.loadLimits {
+		if limit.from <= at && (n+1 == len(f.loadLimits) || f.loadLimits[n+1].from > at-f.window) {
+			multiple = max(multiple, limit.multiple/limit.slow)
 		}
 	}
 	return multiple
--- a/policy/golden_instance_test.go
+++ b/policy/golden_instance_test.go
@@ -119,32 +119,32 @@
 }
 
 func (in *goldenInstance) observe() {
-	w, g := in.world, in.engine
-	open, part := g.BreakerStatus()
-	w.write(codeBreaker, in.number, bit(open), float(part))
-	o := g.CounterStats()
+	w, engine := in.world, in.engine
+	stats := engine.CounterStats()
+	w.write(codeBreaker, in.number, bit(engine.BreakerOpen()), float(stats.CallShare))
 	// The sums run over a map, so that their last bits differ from run to run. The offset keeps the sums of
 	// round numbers away from the bounds between two steps.
 	round := func(x float64) uint64 { return uint64(int64(math.Floor(x*1000 + 0.31731))) }
-	w.write(codeCounterStats, in.number, bit(o.BreakerOpen), float(o.CallShare), round(o.UnreportedUnits), round(o.LostUnits),
-		round(o.ReconciledUnits), round(o.DriftUnits), uint64(o.Tenants))
+	w.write(codeCounterStats, in.number, bit(stats.BreakerOpen), float(stats.CallShare), round(stats.UnreportedUnits),
+		round(stats.LostUnits), round(stats.ReconciledUnits), round(stats.DriftUnits), uint64(stats.Tenants))
 	for tenant := range w.day.tenants {
 		plan := tenant % (len(w.settings.Plans) + 1)
 		if tenant%3 > 0 {
 			plan = tenant % len(w.settings.Plans)
 		}
-		q, ok := g.QuotaStatus(w.now, policy.TenantID(tenant), policy.PlanID(plan), w.day.entries)
-		w.write(codeQuota, in.number, bit(ok), float(q.Limit), float(q.Rate),
-			float(q.Used), bit(q.FromCounter), float(q.HardQuotaLeft))
+		quota, ok := engine.QuotaStatus(w.now, policy.TenantID(tenant), policy.PlanID(plan), w.day.entries)
+		w.write(codeQuota, in.number, bit(ok), float(quota.Limit), float(quota.Rate),
+			float(quota.Used), bit(quota.FromCounter), float(quota.HardQuotaLeft))
 	}
-	l := g.ExportState()
-	fields := []uint64{float(l.BaselineLatency), float(l.Samples)}
-	for _, b := range l.Backends {
-		fields = append(fields, uint64(b.Backend), uint64(b.StartedAt), float(b.BaselineLatency), float(b.Samples))
+	state := engine.ExportState()
+	fields := []uint64{float(state.Latency), float(state.Samples)}
+	for _, b := range state.Backends {
+		fields = append(fields, uint64(b.Backend), uint64(b.StartedAt), float(b.Latency), float(b.Samples))
 	}
 	w.write(codeExport, in.number, fields...)
-	d := in.settings().DiscoveryTimeouts()
-	w.write(codeTimeouts, in.number, uint64(d.Watch), uint64(d.Lateness), uint64(d.Snapshot), uint64(d.RetryDelay))
+	timeouts := in.settings().DiscoveryTimeouts()
+	w.write(codeTimeouts, in.number, uint64(timeouts.Watch), uint64(timeouts.Lateness), uint64(timeouts.Snapshot),
+		uint64(timeouts.RetryDelay))
 }
 
 func (in *goldenInstance) Send(id policy.RequestID, b policy.BackendID, expireAt, beginBefore int64) {
--- a/policy/harness_test.go
+++ b/policy/harness_test.go
@@ -362,7 +362,7 @@
 }
 
 // advance lets time go on, a step of the simulator's wire at a time: wakes come due, and attempts end with
-// the patience of their clients.
+// their timeouts or the deadlines of their clients.
 func (h *harness) advance(duration int64) {
 	for end := h.now + duration; h.now < end; {
 		h.now = min(h.now+4*millisecond, end)
--- a/policy/leavers_test.go
+++ b/policy/leavers_test.go
@@ -29,9 +29,9 @@
 	if sent > 30 { // a client who stays for 240 ms is not worth an attempt where answers take longer
 		t.Errorf("%d of 40 sent to backends that do not answer before their clients leave", sent)
 	}
-	share, patience := h.engine.plans[0].leaverShare.Value, h.engine.plans[0].leaverPatience.Value
-	if share < 0.3 || int64(patience) > 250*millisecond {
-		t.Errorf("%.2f leave, after %.0f ms", share, patience/1e6)
+	share, wait := h.engine.plans[0].leaverShare.Value, h.engine.plans[0].leaverWait.Value
+	if share < 0.3 || int64(wait) > 250*millisecond {
+		t.Errorf("%.2f leave, after %.0f ms", share, wait/1e6)
 	}
 }
 
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -135,7 +135,7 @@
 	}
 	if now < r.deadline-10*millisecond { // else it left because its time was over
 		r.plan.leaverShare.Add(1, 20)
-		r.plan.leaverPatience.Add(float64(now-r.submittedAt), 20)
+		r.plan.leaverWait.Add(float64(now-r.submittedAt), 20)
 	}
 	r.finish()
 }
--- a/policy/retry_test.go
+++ b/policy/retry_test.go
@@ -12,7 +12,7 @@
 	request := h.submit(100, 0, 0, 100, 2*second, 1)
 	h.advance(200 * millisecond)
 	if h.endAttempt(request, 0, Succeeded); strings.Contains(strings.Join(h.log, "\n"), "cancel") {
-		t.Error("canceled after four usual latency")
+		t.Error("canceled after four usual latencies")
 	}
 	next := h.submit(101, 0, 0, 101, 2*second, 1)
 	h.advance(400 * millisecond)
@@ -48,7 +48,7 @@
 	request := h.submit(100, 0, 0, 100, 2*second, 1)
 	h.advance(700 * millisecond)
 	if len(request.attempts) != 1 || strings.Contains(strings.Join(h.log, "\n"), "cancel") {
-		t.Error("canceled before five usual latency")
+		t.Error("canceled before five usual latencies")
 	}
 	if h.engine.promptInFlight != 0 {
 		t.Error("overdue, and still held for one that is likely to end soon")
--- a/policy/slow_start_test.go
+++ b/policy/slow_start_test.go
@@ -252,7 +252,7 @@
 		update := func(multiple float64) func() {
 			return func() {
 				f.settings.OverloadMultiple = multiple
-				f.bearings = append(f.bearings, bearing{f.now, multiple, 1})
+				f.loadLimits = append(f.loadLimits, loadLimit{f.now, multiple, 1})
 				for index, incarnations := range f.incarnations {
 					for _, i := range incarnations {
 						settings := f.settings
@@ -277,7 +277,7 @@
 	}},
 	{"all get four times as slow", func(f *fleet) {
 		f.after(scenarioAt, f.restartThird)
-		f.after(scenarioAt+f.warmUp/2, func() { f.bearings = append(f.bearings, bearing{f.now, f.multiple, 4}) })
+		f.after(scenarioAt+f.warmUp/2, func() { f.loadLimits = append(f.loadLimits, loadLimit{f.now, f.multiple, 4}) })
 	}},
 	{"the instances with traffic change", func(f *fleet) {
 		for n := range 3 {
--- a/policy/state.go
+++ b/policy/state.go
@@ -27,7 +27,7 @@
 	concurrencyUnit float64       // what an attempt in flight adds to the count; 0: no limit
 	admittedShare   estimate.Mean // part of a request that the counter lately admitted
 	leaverShare     estimate.Mean // part of the clients that leave before their time
-	leaverPatience  estimate.Mean // after how long they leave
+	leaverWait      estimate.Mean // after how long they leave
 }
 
 // Engine makes the decisions of one instance and holds all that they remember.
--- a/policy/status.go
+++ b/policy/status.go
@@ -40,11 +40,8 @@
 	return status, true
 }
 
-// BreakerStatus reports whether the breaker stops calls to the counter, and which share of the requests makes
-// a call otherwise.
-func (e *Engine) BreakerStatus() (open bool, callShare float64) {
-	return !e.breaker.IsClosed(), e.callShare
-}
+// BreakerOpen reports whether the breaker stops calls to the counter.
+func (e *Engine) BreakerOpen() bool { return !e.breaker.IsClosed() }
 
 // CounterStats are statistics on the counter's failures as this instance saw them.
 type CounterStats struct {
@@ -59,8 +56,7 @@
 
 // CounterStats returns the current statistics.
 func (e *Engine) CounterStats() CounterStats {
-	stats := CounterStats{Tenants: len(e.tenants)}
-	stats.BreakerOpen, stats.CallShare = e.BreakerStatus()
+	stats := CounterStats{BreakerOpen: e.BreakerOpen(), CallShare: e.callShare, Tenants: len(e.tenants)}
 	for _, t := range e.tenants {
 		stats.UnreportedUnits += max(t.unreported, 0)
 		stats.LostUnits += max(t.window.lostUnits, 0)
--- a/policy/warm_start.go
+++ b/policy/warm_start.go
@@ -5,17 +5,17 @@
 // WarmStartState is what an instance knows about the backends' answer times, for the instance that is started
 // after it.
 type WarmStartState struct {
-	BaselineLatency float64            `json:"usual_ns"` // of all backends together
-	Samples         float64            `json:"count"`    // how many answers stand behind it
-	Backends        []BackendWarmStart `json:"backends"`
+	Latency  float64            `json:"usual_ns"` // of all backends together
+	Samples  float64            `json:"count"`    // how many answers stand behind it
+	Backends []BackendWarmStart `json:"backends"`
 }
 
 // BackendWarmStart is the part of a WarmStartState that describes one backend.
 type BackendWarmStart struct {
-	Backend         BackendID `json:"backend"`
-	StartedAt       int64     `json:"started"` // of the incarnation that was measured
-	BaselineLatency float64   `json:"usual_ns"`
-	Samples         float64   `json:"count"`
+	Backend   BackendID `json:"backend"`
+	StartedAt int64     `json:"started"` // of the incarnation that was measured
+	Latency   float64   `json:"usual_ns"`
+	Samples   float64   `json:"count"`
 }
 
 // aging says how measurements lose weight with their age. Its values are in engine.go.
@@ -34,14 +34,14 @@
 
 // ExportState returns what is known about the listed backends.
 func (e *Engine) ExportState() WarmStartState {
-	state := WarmStartState{BaselineLatency: e.latency.Value, Samples: e.latency.Count}
+	state := WarmStartState{Latency: e.latency.Value, Samples: e.latency.Count}
 	for _, b := range e.endpoints {
 		if b.latency.Count > 0 {
 			state.Backends = append(state.Backends, BackendWarmStart{
-				Backend:         b.id,
-				StartedAt:       b.startedAt,
-				BaselineLatency: b.latency.Value,
-				Samples:         b.latency.Count,
+				Backend:   b.id,
+				StartedAt: b.startedAt,
+				Latency:   b.latency.Value,
+				Samples:   b.latency.Count,
 			})
 		}
 	}
@@ -53,15 +53,15 @@
 func (e *Engine) ImportState(now int64, state WarmStartState, age int64) {
 	elapsed := float64(max(age, 0))
 	samples := warmStartAging.fade(state.Samples, elapsed/float64(warmStartAging.fleetHalfLife))
-	if samples > e.latency.Count && warmStartAging.valid(state.BaselineLatency) {
-		e.latency.Value, e.latency.Count = state.BaselineLatency, samples
+	if samples > e.latency.Count && warmStartAging.valid(state.Latency) {
+		e.latency.Value, e.latency.Count = state.Latency, samples
 	}
 	for _, known := range state.Backends {
 		b := e.backends[known.Backend]
 		samples := warmStartAging.fade(known.Samples, elapsed/float64(warmStartAging.backendHalfLife))
 		if b != nil && b.startedAt == known.StartedAt && samples > b.latency.Count &&
-			warmStartAging.valid(known.BaselineLatency) {
-			b.latency.Value, b.latency.Count = known.BaselineLatency, samples
+			warmStartAging.valid(known.Latency) {
+			b.latency.Value, b.latency.Count = known.Latency, samples
 		}
 	}
 	e.rankBackends(now)
--- a/policy/warm_start_test.go
+++ b/policy/warm_start_test.go
@@ -18,7 +18,7 @@
 		}
 	}
 	state := old.engine.ExportState()
-	if len(state.Backends) < 2 || state.BaselineLatency < 15e6 || state.BaselineLatency > 30e6 {
+	if len(state.Backends) < 2 || state.Latency < 15e6 || state.Latency > 30e6 {
 		t.Fatalf("%+v", state)
 	}
 	for age, want := range map[int64]float64{0: 1, 600 * second: 0.5, 6 * 3600 * second: 1e-9} {
@@ -41,9 +41,9 @@
 	}
 	h := newHarness(t, defaultSettings(), readyEndpoints(1, 2, 3)...)
 	h.engine.ImportState(h.now, WarmStartState{
-		BaselineLatency: math.NaN(),
-		Samples:         1e9,
-		Backends:        []BackendWarmStart{{Backend: 1, BaselineLatency: -4, Samples: 9}, {Backend: 99}},
+		Latency:  math.NaN(),
+		Samples:  1e9,
+		Backends: []BackendWarmStart{{Backend: 1, Latency: -4, Samples: 9}, {Backend: 99}},
 	}, -5)
 	if h.engine.latency.Count != 0 || h.engine.backends[1].latency.Count != 0 {
 		t.Error("values out of range were taken over")
