--- a/cmd/drill/recorder_test.go
+++ b/cmd/drill/recorder_test.go
@@ -63,7 +63,7 @@
 // recorder is a simulator of a few instances and backends, in simulated time.
 type recorder struct {
 	t       *testing.T
-	chance  *pcg.Source
+	random  *pcg.Source
 	now     float64 // ms
 	events  timerqueue.Queue[func()]
 	batch   *simwire.Reply // the events of the next frame
@@ -73,15 +73,15 @@
 	in      io.Writer // the host's two ends
 	out     io.Reader
 
-	incarnations [recorderInstances]int
-	attempts     map[uint64][]*recordedAttempt // by request
-	done         map[uint64]bool               // requests that are answered, or whose client has left
-	limits       map[uint64]float64            // until when a request's client waits
-	totals       map[uint64]float64            // of the counter
-	states       [recorderBackends + 1]uint8   // of backends, which count from 1
-	started      [recorderBackends + 1]float64
-	nextID       uint64
-	version      uint64 // of the endpoint list
+	incarnations  [recorderInstances]int
+	attempts      map[uint64][]*recordedAttempt // by request
+	done          map[uint64]bool               // requests that are answered, or whose client has left
+	deadlines     map[uint64]float64            // of requests, when their clients give up
+	counterTotals map[uint64]float64            // by key
+	states        [recorderBackends + 1]uint8   // of backends, which count from 1
+	started       [recorderBackends + 1]float64
+	nextID        uint64
+	version       uint64 // of the endpoint list
 }
 
 type recordedAttempt struct {
@@ -107,17 +107,17 @@
 		}
 	})
 	return &recorder{
-		t:        t,
-		chance:   pcg.New(77),
-		now:      testClock,
-		batch:    &simwire.Reply{},
-		in:       inWrite,
-		out:      outRead,
-		attempts: map[uint64][]*recordedAttempt{},
-		done:     map[uint64]bool{},
-		limits:   map[uint64]float64{},
-		totals:   map[uint64]float64{},
-		nextID:   1 << 40,
+		t:             t,
+		random:        pcg.New(77),
+		now:           testClock,
+		batch:         &simwire.Reply{},
+		in:            inWrite,
+		out:           outRead,
+		attempts:      map[uint64][]*recordedAttempt{},
+		done:          map[uint64]bool{},
+		deadlines:     map[uint64]float64{},
+		counterTotals: map[uint64]float64{},
+		nextID:        1 << 40,
 	}
 }
 
@@ -132,8 +132,8 @@
 	r.events.Push(int64((r.now+max(ms, 0))*1000), do)
 }
 
-// later does something to an instance unless it was killed by then.
-func (r *recorder) later(instance uint32, ms float64, do func()) {
+// afterIfAlive does something to an instance at a later time, unless it was killed by then.
+func (r *recorder) afterIfAlive(instance uint32, ms float64, do func()) {
 	incarnation := r.incarnations[instance]
 	r.after(ms, func() {
 		if r.incarnations[instance] == incarnation {
@@ -142,10 +142,18 @@
 	})
 }
 
-func (r *recorder) below(n int) int           { return int(r.chance.Uint64() % uint64(n)) }
-func (r *recorder) likely(part float64) bool  { return r.chance.Float64() < part }
-func (r *recorder) about(ms float64) float64  { return -math.Log(1-r.chance.Float64()) * ms }
-func (r *recorder) rounded(x float64) float64 { return math.Round(x*1000) / 1000 }
+// randomInt draws a number from 0 on and below n.
+func (r *recorder) randomInt(n int) int { return int(r.random.Uint64() % uint64(n)) }
+
+// happens draws whether something of the given probability happens.
+func (r *recorder) happens(probability float64) bool { return r.random.Float64() < probability }
+
+// exponential draws a time of the given mean.
+func (r *recorder) exponential(meanMs float64) float64 {
+	return -math.Log(1-r.random.Float64()) * meanMs
+}
+
+func (r *recorder) roundToMicros(ms float64) float64 { return math.Round(ms*1000) / 1000 }
 
 // play plays the day.
 func (r *recorder) play() {
@@ -223,11 +231,11 @@
 		return 13
 	case actionCancel:
 		a := r.attempts[u64(5)][action[13]]
-		r.later(i, 1, func() { r.settle(a, statusCanceled) })
+		r.afterIfAlive(i, 1, func() { r.settle(a, statusCanceled) })
 		return 14
 	case actionWakeAt:
-		mark := u64(13)
-		r.later(i, f64(5)-r.now, func() { r.record(eventTimer, i).Uint64(mark) })
+		timer := u64(13)
+		r.afterIfAlive(i, f64(5)-r.now, func() { r.record(eventTimer, i).Uint64(timer) })
 		return 21
 	case actionCheckHealth:
 		r.checkHealth(i, u32(5))
@@ -247,8 +255,8 @@
 
 // checkHealth answers a health check; a third of them cannot connect.
 func (r *recorder) checkHealth(i, backend uint32) {
-	status := []uint16{statusSucceeded, statusSucceeded, statusConnectFailed}[r.below(3)]
-	r.later(i, 3, func() {
+	status := []uint16{statusSucceeded, statusSucceeded, statusConnectFailed}[r.randomInt(3)]
+	r.afterIfAlive(i, 3, func() {
 		r.record(eventHealthCheck, i).Uint32(backend).Uint16(status).Float64(3).Uint8(1).Float32(4.5)
 	})
 }
@@ -256,8 +264,8 @@
 // watch answers a watch with the list, or by a failure.
 func (r *recorder) watch(i uint32) {
 	kind := policy.FullSnapshot
-	if r.likely(0.3) {
+	if r.happens(0.3) {
 		kind = policy.UpdateFailed
 	}
-	r.later(i, 5, func() { r.sendEndpoints(i, kind) })
+	r.afterIfAlive(i, 5, func() { r.sendEndpoints(i, kind) })
 }
--- a/cmd/drill/recorder_world_test.go
+++ b/cmd/drill/recorder_world_test.go
@@ -56,14 +56,14 @@
 
 // disturb changes a backend, kills an instance or sends what makes no sense, again and again.
 func (r *recorder) disturb() {
-	r.after(100+r.about(300), func() {
-		i := uint32(r.below(recorderInstances))
-		b := uint32(1 + r.below(recorderBackends))
-		switch r.below(8) {
+	r.after(100+r.exponential(300), func() {
+		i := uint32(r.randomInt(recorderInstances))
+		b := uint32(1 + r.randomInt(recorderBackends))
+		switch r.randomInt(8) {
 		case 0, 1, 2:
 			r.restart(b)
 		case 3:
-			if r.likely(0.4) {
+			if r.happens(0.4) {
 				r.incarnations[i]++
 				r.record(eventKill, i)
 				r.create(i)
@@ -75,7 +75,7 @@
 		case 6:
 			r.sendEndpoints(i, policy.FullSnapshot)
 		case 7:
-			clear(r.totals) // the counter comes back empty
+			clear(r.counterTotals) // the counter comes back empty
 		}
 		r.disturb()
 	})
@@ -84,7 +84,7 @@
 // restart puts a backend into some state, one of which the wire does not define, and makes it ready after a
 // second.
 func (r *recorder) restart(b uint32) {
-	r.states[b] = []uint8{stateDraining, stateReady, stateGone, 7}[r.below(4)]
+	r.states[b] = []uint8{stateDraining, stateReady, stateGone, 7}[r.randomInt(4)]
 	r.announce(b)
 	r.after(1000, func() {
 		r.states[b] = stateReady
@@ -110,24 +110,24 @@
 
 // arrive sends requests, some of whose clients leave before the answer.
 func (r *recorder) arrive() {
-	r.after(r.about(7), func() {
-		i := uint32(r.below(recorderInstances))
-		class, plan, tenant := uint16(r.below(5)), r.below(4), uint64(r.below(3))
-		if r.likely(0.005) {
+	r.after(r.exponential(7), func() {
+		i := uint32(r.randomInt(recorderInstances))
+		class, plan, tenant := uint16(r.randomInt(5)), r.randomInt(4), uint64(r.randomInt(3))
+		if r.happens(0.005) {
 			class = 40 // there is none
 		}
 		remaining := 1500.0
-		if r.likely(0.1) {
-			remaining = 10 * float64(r.below(100))
+		if r.happens(0.1) {
+			remaining = 10 * float64(r.randomInt(100))
 		}
 		r.nextID++
 		id := r.nextID
-		r.limits[id] = r.now + remaining
+		r.deadlines[id] = r.now + remaining
 		r.record(eventSubmit, i).Uint64(id).Uint16(class).Uint32(uint32(plan)).Uint64(tenant*4 + uint64(plan)).
-			Float64(remaining).Float32([]float64{0.5, 1, 1, 1, 2}[r.below(5)]).
+			Float64(remaining).Float32([]float64{0.5, 1, 1, 1, 2}[r.randomInt(5)]).
 			Float32(recorderInstances).Float32(float64(tenant)).Uint8(2)
-		if r.likely(0.05) {
-			r.later(i, float64(r.below(300)), func() { r.leave(i, id) })
+		if r.happens(0.05) {
+			r.afterIfAlive(i, float64(r.randomInt(300)), func() { r.leave(i, id) })
 		}
 		r.arrive()
 	})
@@ -152,18 +152,18 @@
 		sent:     r.now,
 	}
 	r.attempts[id] = append(r.attempts[id], a)
-	until := r.limits[id]
+	until := r.deadlines[id]
 	if expiresAt > 0 {
 		until = min(until, expiresAt)
 	}
-	r.later(i, until-r.now, func() {
+	r.afterIfAlive(i, until-r.now, func() {
 		if !a.streams {
 			r.settle(a, statusTimedOut)
 		}
 	})
-	duration := 20 + r.about(30)
+	duration := 20 + r.exponential(30)
 	status := uint16(statusSucceeded)
-	switch percentile := r.below(100); {
+	switch percentile := r.randomInt(100); {
 	case percentile < 3:
 		return // no answer ever
 	case percentile < 10:
@@ -172,9 +172,9 @@
 	case percentile < 15:
 		duration *= 15
 	case percentile < 25:
-		r.later(i, duration/2, func() { r.startResponse(a) })
+		r.afterIfAlive(i, duration/2, func() { r.startResponse(a) })
 	}
-	r.later(i, duration, func() { r.settle(a, status) })
+	r.afterIfAlive(i, duration, func() { r.settle(a, status) })
 }
 
 // startResponse sends the first byte of an attempt's answer, from when on it is not canceled.
@@ -184,7 +184,7 @@
 	}
 	a.streams = true
 	r.record(eventResponseStarted, a.instance).Uint64(a.id).Uint8(a.number).Uint32(a.backend).
-		Float64(r.rounded(r.now - a.sent))
+		Float64(r.roundToMicros(r.now - a.sent))
 }
 
 // settle ends an attempt, once.
@@ -202,9 +202,10 @@
 	}
 	units := uint16(0)
 	if status == statusSucceeded && a.instance == 3 { // the one that is post-paid
-		units = uint16(1 + r.below(3))
+		units = uint16(1 + r.randomInt(3))
 	}
-	r.attemptResult(a.instance, a.id, a.number, a.backend).Uint16(status).Float64(r.rounded(r.now - a.sent)).
+	elapsed := r.roundToMicros(r.now - a.sent)
+	r.attemptResult(a.instance, a.id, a.number, a.backend).Uint16(status).Float64(elapsed).
 		Uint8(requestDone).Uint16(0).Uint16(units).Uint8(2).Float32(0.5).Float32(3)
 }
 
@@ -224,10 +225,10 @@
 	case statusTimedOut:
 		duration = 60
 	case statusSucceeded:
-		r.totals[key] += units
+		r.counterTotals[key] += units
 	}
-	total := r.totals[key]
-	r.later(i, duration, func() {
+	total := r.counterTotals[key]
+	r.afterIfAlive(i, duration, func() {
 		r.record(eventCounterResult, i).Uint16(status).Uint64(key).Float64(duration).Float32(total)
 	})
 }
