--- a/cmd/drill/host.go
+++ b/cmd/drill/host.go
@@ -139,7 +139,7 @@
 		h.reportBroken(number, err.Error())
 		return
 	}
-	in := &instance{number: number, reply: &h.reply, requests: map[uint64]*policy.Request{}}
+	in := &instance{number: number, reply: &h.reply, requests: map[policy.RequestID]*policy.Request{}}
 	h.instances[number] = in
 	h.guard(number, func() { in.engine = policy.New(now, m.seed, settings, in) })
 }
--- a/cmd/drill/instance.go
+++ b/cmd/drill/instance.go
@@ -24,13 +24,13 @@
 	actionAddToCounter
 )
 
-// instance is one gateway instance: its decisions, and its requests in flight by their id. It implements
-// policy.Effects for the decisions: each effect becomes an action in the reply.
+// instance is one gateway instance: its decisions, and its requests in flight. It implements policy.Effects
+// for the decisions: each effect becomes an action in the reply.
 type instance struct {
 	number   uint32
 	reply    *simwire.Reply // the host's, which all instances share
 	engine   *policy.Engine
-	requests map[uint64]*policy.Request
+	requests map[policy.RequestID]*policy.Request
 }
 
 var _ policy.Effects = (*instance)(nil)
@@ -54,21 +54,21 @@
 // Reject answers a request with a rejection.
 func (in *instance) Reject(id policy.RequestID, retryAfter int64) {
 	in.action(actionReject).Uint64(uint64(id)).Float64(milliseconds(retryAfter))
-	in.dropDone(id)
+	in.forgetIfDone(id)
 }
 
 // Abort answers a request with an error.
 func (in *instance) Abort(id policy.RequestID) {
 	in.action(actionAbort).Uint64(uint64(id))
-	in.dropDone(id)
+	in.forgetIfDone(id)
 }
 
 // Admit does nothing: the wire has no class that only counts.
 func (in *instance) Admit(policy.RequestID) {}
 
 // WakeAt asks for a timer event.
-func (in *instance) WakeAt(at int64, mark uint64) {
-	in.action(actionWakeAt).Float64(milliseconds(at)).Uint64(mark)
+func (in *instance) WakeAt(at int64, timer uint64) {
+	in.action(actionWakeAt).Float64(milliseconds(at)).Uint64(timer)
 }
 
 // AddToCounter adds units to the shared counter.
@@ -87,20 +87,13 @@
 // Log writes a text to the simulator's log.
 func (in *instance) Log(text string) { in.action(actionLog).Text(text) }
 
-// dropDone forgets a request that the counter's answer or a timer ended with no attempt in flight.
-func (in *instance) dropDone(id policy.RequestID) {
-	if request := in.requests[uint64(id)]; request != nil && request.Done() {
-		delete(in.requests, uint64(id))
-	}
-}
-
-// keep remembers a request until no further event can come for it, and forgets it then.
-func (in *instance) keep(id uint64, request *policy.Request) {
-	if request.Done() {
+// forgetIfDone forgets a request once no further event can come for it. The effects that give a final answer
+// call it too, since the counter's answer or a timer may end a request with no attempt in flight, and then no
+// event of the request follows.
+func (in *instance) forgetIfDone(id policy.RequestID) {
+	if request := in.requests[id]; request != nil && request.Done() {
 		delete(in.requests, id)
-		return
 	}
-	in.requests[id] = request
 }
 
 // The handlers of events. Events of requests that are not in flight, or no longer are, are ignored: the
@@ -114,7 +107,8 @@
 }
 
 func (in *instance) handleSubmit(now int64, m submitMessage) {
-	in.keep(uint64(m.spec.ID), in.engine.Submit(now, m.spec))
+	in.requests[m.spec.ID] = in.engine.Submit(now, m.spec)
+	in.forgetIfDone(m.spec.ID)
 }
 
 func (in *instance) handleResponseStarted(now int64, m responseStartedMessage) {
@@ -129,7 +123,7 @@
 		return
 	}
 	request.HandleAttemptResult(now, m.result)
-	in.keep(m.id, request)
+	in.forgetIfDone(m.id)
 }
 
 func (in *instance) handleClientGone(now int64, m clientGoneMessage) {
@@ -138,10 +132,10 @@
 		return
 	}
 	request.HandleClientGone(now)
-	in.keep(m.id, request)
+	in.forgetIfDone(m.id)
 }
 
-func (in *instance) handleTimer(now int64, m timerMessage) { in.engine.HandleTimer(now, m.mark) }
+func (in *instance) handleTimer(now int64, m timerMessage) { in.engine.HandleTimer(now, m.timer) }
 
 func (in *instance) handleHealthCheck(now int64, m healthCheckMessage) {
 	in.engine.HandleHealthCheck(now, m.backend, m.outcome)
--- a/cmd/drill/main.go
+++ b/cmd/drill/main.go
@@ -22,8 +22,7 @@
 	}
 }
 
-// run answers frames until the input ends between two of them. The simulator waits for each reply before it
-// sends the next frame.
+// run answers frames until the input ends between two of them.
 func run(in io.Reader, out io.Writer) error {
 	reader := bufio.NewReaderSize(in, bufferBytes)
 	writer := bufio.NewWriterSize(out, bufferBytes)
@@ -35,16 +34,24 @@
 			return nil
 		}
 		if err == nil {
-			err = h.handleFrame(&frame)
+			err = h.answerFrame(&frame, writer)
 		}
 		if err != nil {
 			return fmt.Errorf("batch %d: %w", n, err)
 		}
-		if _, err := h.reply.WriteTo(writer); err != nil {
-			return err
-		}
-		if err := writer.Flush(); err != nil {
-			return err
-		}
 	}
 }
+
+// answerFrame handles a frame and sends the reply at once, since the simulator waits for it.
+func (h *host) answerFrame(f *simwire.Frame, w *bufio.Writer) error {
+	if err := h.handleFrame(f); err != nil {
+		return err
+	}
+	if _, err := h.reply.WriteTo(w); err != nil {
+		return fmt.Errorf("write reply: %w", err)
+	}
+	if err := w.Flush(); err != nil {
+		return fmt.Errorf("write reply: %w", err)
+	}
+	return nil
+}
--- a/cmd/drill/messages.go
+++ b/cmd/drill/messages.go
@@ -8,9 +8,8 @@
 	"fawnplank/policy"
 )
 
-// This file reads the bodies of events. The readers leave it to their caller to check the frame's error
-// before it uses a message. The errors that they return themselves are about values that the wire does not
-// define.
+// This file reads the bodies of events. The readers do not check the frame's error: readWhole does, before a
+// message is used. The errors that they return themselves are about values that the wire does not define.
 
 // Codes of the events on the wire.
 const (
@@ -38,9 +37,10 @@
 func nanoseconds(ms float64) int64     { return config.Nanoseconds(ms) }
 func milliseconds(nanos int64) float64 { return float64(nanos) / 1e6 }
 
-// maxCount bounds counts that the wire sends as real numbers.
+// maxCount bounds counts, so that they fit into an int of any size.
 const maxCount = 1e9
 
+// countOf converts a count, which the wire sends as a real number.
 func countOf(number float64) int { return int(min(max(number, 0), maxCount)) }
 
 // Statuses of attempts, health checks and calls to the counter on the wire.
@@ -161,12 +161,12 @@
 
 // responseStartedMessage reports the first byte of an attempt's answer.
 type responseStartedMessage struct {
-	id      uint64
+	id      policy.RequestID
 	attempt policy.AttemptID
 }
 
 func readResponseStarted(f *simwire.Frame) (responseStartedMessage, error) {
-	m := responseStartedMessage{id: f.Uint64()}
+	m := responseStartedMessage{id: policy.RequestID(f.Uint64())}
 	m.attempt = policy.AttemptID(f.Uint8())
 	f.Uint32()  // the backend: known from the attempt
 	f.Float64() // the time since it was sent: known as well
@@ -175,12 +175,12 @@
 
 // attemptResultMessage reports the end of an attempt.
 type attemptResultMessage struct {
-	id     uint64
+	id     policy.RequestID
 	result policy.AttemptResult
 }
 
 func readAttemptResult(f *simwire.Frame) (attemptResultMessage, error) {
-	m := attemptResultMessage{id: f.Uint64()}
+	m := attemptResultMessage{id: policy.RequestID(f.Uint64())}
 	m.result.Attempt = policy.AttemptID(f.Uint8())
 	f.Uint32() // the backend: known from the attempt
 	status := f.Uint16()
@@ -195,16 +195,16 @@
 }
 
 // clientGoneMessage reports that a request's client has left.
-type clientGoneMessage struct{ id uint64 }
+type clientGoneMessage struct{ id policy.RequestID }
 
 func readClientGone(f *simwire.Frame) (clientGoneMessage, error) {
-	return clientGoneMessage{id: f.Uint64()}, nil
+	return clientGoneMessage{id: policy.RequestID(f.Uint64())}, nil
 }
 
 // timerMessage reports a timer that the decisions asked for.
-type timerMessage struct{ mark uint64 }
+type timerMessage struct{ timer uint64 }
 
-func readTimer(f *simwire.Frame) (timerMessage, error) { return timerMessage{mark: f.Uint64()}, nil }
+func readTimer(f *simwire.Frame) (timerMessage, error) { return timerMessage{timer: f.Uint64()}, nil }
 
 // healthCheckMessage reports the end of a health check.
 type healthCheckMessage struct {
--- a/internal/simwire/frame.go
+++ b/internal/simwire/frame.go
@@ -20,8 +20,8 @@
 	frameHeaderBytes = 16
 	// maxClock, in ms, is about thirty years: a clock beyond it is damaged.
 	maxClock = 1e12
-	// MaxBytes bounds a frame's body, so that a damaged length is an error and not a huge allocation.
-	MaxBytes = 1 << 30
+	// maxBodyBytes bounds a frame's body, so that a damaged length is an error and not a huge allocation.
+	maxBodyBytes = 1 << 30
 )
 
 // ErrEnd is the error of ReadFrame when the input ends between two frames. It differs from io.EOF, which an
@@ -66,7 +66,7 @@
 }
 
 func checkHeader(size, records uint32, clock float64) error {
-	if size > MaxBytes {
+	if size > maxBodyBytes {
 		return fmt.Errorf("frame header: impossible length %d", size)
 	}
 	if records > size { // a record has at least one byte
