--- a/internal/lab/model/backend.go
+++ b/internal/lab/model/backend.go
@@ -15,7 +15,7 @@
 	sentNanos  int64
 	workNanos  float64
 	hasEnded   bool
-	isCanceled bool // a backend that has not begun it skips it
+	isCanceled bool // nobody waits for it: a backend that has not begun it skips it
 }
 
 // end reports the attempt's outcome to the instance. Only the first call has an effect.
@@ -44,17 +44,23 @@
 	world        *world
 	index        int
 	isUp         bool
-	isSilent     bool // down without answering: a machine that vanished
+	isSilent     bool // the machine vanished: it does not even refuse connections
 	state        policy.EndpointState
 	startedNanos int64
 	incarnation  int
 	running      []*attempt
 	queue        []*attempt
 
-	// The faults in force.
-	slowdown                                                  float64
-	refusing, hanging, resetting, garbling, failing, draining int
-	withdrawn                                                 int
+	slowdown float64 // factor by which faults multiply the work
+
+	// How many faults of each kind are active.
+	refusing  int
+	hanging   int
+	resetting int
+	garbling  int
+	failing   int
+	draining  int
+	withdrawn int
 }
 
 func newBackend(w *world, index int) *backend {
@@ -94,7 +100,7 @@
 	})
 	hasFreeCore := len(b.running) < w.scenario.Backends.Cores
 	switch {
-	case b.hanging > 0:
+	case b.hanging > 0: // no answer ever
 	case b.draining > 0, !hasFreeCore && len(b.queue) >= w.scenario.Backends.Queue:
 		b.refuse(a)
 	case hasFreeCore:
@@ -128,15 +134,8 @@
 
 // finish ends the work on an attempt, begins the next ones, and answers.
 func (b *backend) finish(a *attempt) {
-	w := b.world
 	b.running = slices.DeleteFunc(b.running, func(other *attempt) bool { return other == a })
-	for len(b.queue) > 0 && len(b.running) < w.scenario.Backends.Cores {
-		next := b.queue[0]
-		b.queue = b.queue[1:]
-		if !next.isCanceled { // else its connection is closed, and nobody waits for it
-			b.begin(next)
-		}
-	}
+	b.beginQueued()
 	outcome := policy.Succeeded
 	switch {
 	case b.hanging > 0:
@@ -146,28 +145,46 @@
 	case b.garbling > 0, b.failing > 0:
 		outcome = policy.Failed
 	}
-	w.after(w.hopNanos(), func() { a.end(outcome) })
+	b.world.after(b.world.hopNanos(), func() { a.end(outcome) })
 }
 
-// die ends all work: connections break or, where the machine vanishes, fall silent.
-func (b *backend) die(silent bool) {
-	w := b.world
-	lost := append(b.running, b.queue...)
+// beginQueued begins queued attempts on the cores that are free.
+func (b *backend) beginQueued() {
+	for len(b.queue) > 0 && len(b.running) < b.world.scenario.Backends.Cores {
+		next := b.queue[0]
+		b.queue = b.queue[1:]
+		if !next.isCanceled { // else its connection is closed, and nobody waits for it
+			b.begin(next)
+		}
+	}
+}
+
+// crash ends the process: it answers nothing more, and its connections break.
+func (b *backend) crash() {
+	for _, a := range b.stop() {
+		b.world.after(b.world.hopNanos(), func() { a.end(policy.ConnectionLost) })
+	}
+}
+
+// vanish takes the machine off the network: connections stay up and say nothing, so that attempts time out.
+func (b *backend) vanish() {
+	b.stop()
+	b.isSilent = true
+}
+
+// stop ends the incarnation, and returns the attempts that were in it.
+func (b *backend) stop() (lost []*attempt) {
+	lost = append(b.running, b.queue...)
 	b.isUp = false
-	b.isSilent = silent
+	b.isSilent = false
 	b.running = nil
 	b.queue = nil
 	b.incarnation++
-	if silent {
-		return
-	}
-	for _, a := range lost {
-		w.after(w.hopNanos(), func() { a.end(policy.ConnectionLost) })
-	}
+	return lost
 }
 
-// rise starts the backend anew.
-func (b *backend) rise() {
+// restart starts the process again, after crash or vanish.
+func (b *backend) restart() {
 	b.isUp = true
 	b.isSilent = false
 	b.startAnew()
--- a/internal/lab/model/client.go
+++ b/internal/lab/model/client.go
@@ -40,7 +40,7 @@
 		IsRetry:       retries > 0,
 	}}
 	if to.engine == nil {
-		w.connectionRefused(request, dueNanos, retries)
+		w.handleConnectionRefused(request, dueNanos, retries)
 		return
 	}
 	w.recorder.Observe(s.Event)
@@ -54,9 +54,10 @@
 	})
 }
 
-// connectionRefused makes a client try another instance, or give up once it has no retry or time left.
-func (w *world) connectionRefused(request workload.Request, dueNanos int64, retries int) {
-	w.after(2*w.hopNanos(), func() {
+// handleConnectionRefused makes the client try another instance, or give up once it has no retry or time
+// left.
+func (w *world) handleConnectionRefused(request workload.Request, dueNanos int64, retries int) {
+	w.after(w.roundTripNanos(), func() {
 		if retries < w.scenario.Load.Retries+maxRefusedRetries && w.nowNanos < request.DeadlineNanos {
 			w.submit(request, dueNanos, retries+1)
 		} else {
@@ -65,7 +66,7 @@
 	})
 }
 
-// answer sends a final answer to the client, which may retry a request that was rejected.
+// answer sends a final answer to the client.
 func (s *submission) answer(kind invariants.Kind, retryAfterNanos int64) {
 	w := s.instance.world
 	s.isAnswered = true
@@ -74,10 +75,12 @@
 			s.instance.forgetIfDone(s)
 		}
 	})
-	w.after(w.hopNanos(), func() { s.answerArrived(kind, retryAfterNanos) })
+	w.after(w.hopNanos(), func() { s.handleAnswerArrived(kind, retryAfterNanos) })
 }
 
-func (s *submission) answerArrived(kind invariants.Kind, retryAfterNanos int64) {
+// handleAnswerArrived records an answer that has reached the client, and makes the client retry a rejected
+// request while it has retries and time left.
+func (s *submission) handleAnswerArrived(kind invariants.Kind, retryAfterNanos int64) {
 	w := s.instance.world
 	w.recorder.Observe(invariants.Event{
 		AtNanos:    w.nowNanos,
@@ -108,6 +111,6 @@
 	})
 	isIdempotent := w.scenario.Classes[s.Class].Idempotency == scenario.Idempotent
 	if s.retries < w.scenario.Load.Retries && isIdempotent && w.nowNanos < s.DeadlineNanos {
-		w.after(2*w.hopNanos(), func() { w.submit(s.request, w.nowNanos, s.retries+1) })
+		w.after(w.roundTripNanos(), func() { w.submit(s.request, w.nowNanos, s.retries+1) })
 	}
 }
--- a/internal/lab/model/counter.go
+++ b/internal/lab/model/counter.go
@@ -3,29 +3,34 @@
 import "fawnplank/policy"
 
 const (
-	// maxLifetimeNanos is the longest that the counter keeps a number.
+	// maxLifetimeNanos bounds an entry's lifetime: 60 s by the platform's protocol.
 	maxLifetimeNanos = 60e9
-	// queueTimeouts is how many timeouts' worth of calls the counter queues before it refuses more.
-	queueTimeouts = 4
+	// overloadTimeouts is how many of the gateway's timeouts a call may wait. The counter refuses calls that
+	// would wait longer, like one whose queue is full.
+	overloadTimeouts = 4
 )
 
-// number is one of the counter's numbers.
-type number struct {
-	total      float64
-	untilNanos int64
+// counterEntry is the number under a key.
+type counterEntry struct {
+	total          float64
+	expiresAtNanos int64
 }
 
 // counter adds up numbers, one call at a time.
 type counter struct {
-	world     *world
-	numbers   map[policy.CounterKey]*number
-	freeNanos int64 // when it can begin the next call
+	world       *world
+	entries     map[policy.CounterKey]*counterEntry
+	freeAtNanos int64 // when it can begin the next call
 
-	// The faults in force.
-	refusing, hanging int
-	delayNanos        int64
-	cutOff            map[int]int // by instance
-	held              []func()    // calls that wait for the end of hanging
+	refusing        int // how many faults of the kind are active; likewise below
+	hanging         int
+	cutOff          map[int]int // by instance
+	extraDelayNanos int64       // of the faults that are active
+	withheld        []func()    // answers that wait for the end of hanging
+}
+
+func newCounter(w *world) counter {
+	return counter{world: w, entries: map[policy.CounterKey]*counterEntry{}, cutOff: map[int]int{}}
 }
 
 // counterCall is one call of an instance. An instance gets the answers for a key in the order of its calls.
@@ -83,39 +88,48 @@
 	case c.refusing > 0:
 		w.after(w.hopNanos(), func() { k.end(policy.ConnectFailed, 0) })
 	case c.hanging > 0:
-		c.held = append(c.held, answer)
+		c.withheld = append(c.withheld, answer)
 	default:
-		startNanos := max(w.nowNanos, c.freeNanos)
-		if rate := w.scenario.Counter.Rate; rate > 0 {
-			if startNanos-w.nowNanos > queueTimeouts*int64(w.scenario.Counter.Timeout) {
-				w.after(w.hopNanos(), func() { k.end(policy.Rejected, 0) })
-				return
-			}
-			c.freeNanos = startNanos + int64(1e9/rate)
+		answerNanos, ok := c.schedule()
+		if !ok {
+			w.after(w.hopNanos(), func() { k.end(policy.Rejected, 0) })
+			return
 		}
-		w.at(startNanos+int64(w.scenario.Counter.Delay)+c.delayNanos, answer)
+		w.at(answerNanos, answer)
 	}
 }
 
-// add adds units to a number and returns its total, which has seven digits.
-func (c *counter) add(key policy.CounterKey, units float64, lifetimeNanos int64) float64 {
-	n := c.numbers[key]
-	if n == nil || n.untilNanos <= c.world.nowNanos {
-		n = &number{untilNanos: c.world.nowNanos + min(lifetimeNanos, maxLifetimeNanos)}
-		c.numbers[key] = n
+// schedule returns when a call that arrives now is answered, by the counter's rate and delay. It returns
+// false if the queue is too long.
+func (c *counter) schedule() (answerNanos int64, ok bool) {
+	settings := &c.world.scenario.Counter
+	startNanos := max(c.world.nowNanos, c.freeAtNanos)
+	if settings.Rate > 0 {
+		if startNanos-c.world.nowNanos > overloadTimeouts*int64(settings.Timeout) {
+			return 0, false
+		}
+		c.freeAtNanos = startNanos + int64(1e9/settings.Rate)
 	}
-	n.total = float64(float32(n.total + units))
-	return n.total
+	return startNanos + int64(settings.Delay) + c.extraDelayNanos, true
 }
 
-// empty loses all numbers.
-func (c *counter) empty() { clear(c.numbers) }
+// add adds units to a key and returns the total, in single precision as on the platform's wire. It creates
+// the entry if there is none or it has expired.
+func (c *counter) add(key policy.CounterKey, units float64, lifetimeNanos int64) float64 {
+	entry := c.entries[key]
+	if entry == nil || entry.expiresAtNanos <= c.world.nowNanos {
+		entry = &counterEntry{expiresAtNanos: c.world.nowNanos + min(lifetimeNanos, maxLifetimeNanos)}
+		c.entries[key] = entry
+	}
+	entry.total = float64(float32(entry.total + units))
+	return entry.total
+}
 
 // release answers the calls that waited.
 func (c *counter) release() {
-	held := c.held
-	c.held = nil
-	for _, answer := range held {
+	withheld := c.withheld
+	c.withheld = nil
+	for _, answer := range withheld {
 		answer()
 	}
 }
--- a/internal/lab/model/discovery.go
+++ b/internal/lab/model/discovery.go
@@ -6,17 +6,16 @@
 type discovery struct {
 	world *world
 
-	// The faults in force.
-	stale      int
-	delayNanos int64
-	held       []*backend // backends whose changes wait for the end of staleness
+	stale           int        // how many faults of the kind are active
+	extraDelayNanos int64      // of the faults that are active
+	withheld        []*backend // backends whose changes wait until the list is no longer stale
 }
 
 // publish delivers a backend after the delay, in the state that it has by then.
 func (d *discovery) publish(b *backend) {
-	d.world.after(int64(d.world.scenario.Discovery.Delay)+d.delayNanos, func() {
+	d.world.after(int64(d.world.scenario.Discovery.Delay)+d.extraDelayNanos, func() {
 		if d.stale > 0 {
-			d.held = append(d.held, b)
+			d.withheld = append(d.withheld, b)
 		} else {
 			d.deliver(b)
 		}
@@ -34,9 +33,9 @@
 
 // release delivers the changes that waited.
 func (d *discovery) release() {
-	held := d.held
-	d.held = nil
-	for _, b := range held {
+	withheld := d.withheld
+	d.withheld = nil
+	for _, b := range withheld {
 		d.deliver(b)
 	}
 }
--- a/internal/lab/model/faults.go
+++ b/internal/lab/model/faults.go
@@ -5,8 +5,8 @@
 	"fawnplank/policy"
 )
 
-// planFault schedules the begin of a fault for each of its targets.
-func (w *world) planFault(fault scenario.Fault) {
+// scheduleFault schedules the begin of a fault for each of its targets.
+func (w *world) scheduleFault(fault scenario.Fault) {
 	fromNanos := int64(fault.At)
 	for n, target := range w.scenario.Targets(fault) {
 		beginNanos := fromNanos + int64(n)*int64(fault.Stagger)
@@ -17,13 +17,17 @@
 	}
 }
 
-// during counts a fault as in force until its end, since faults of a kind may overlap. ended, if not nil, is
-// called when the last one ends.
-func (w *world) during(inForce *int, untilNanos int64, ended func()) {
-	*inForce++
+// countFault counts a fault as active until its end, since faults of a kind may overlap.
+func (w *world) countFault(active *int, untilNanos int64) {
+	w.countFaultThen(active, untilNanos, func() {})
+}
+
+// countFaultThen counts a fault as active until its end, and calls ended when the last of its kind has ended.
+func (w *world) countFaultThen(active *int, untilNanos int64, ended func()) {
+	*active++
 	w.at(untilNanos, func() {
-		*inForce--
-		if ended != nil && *inForce == 0 {
+		*active--
+		if *active == 0 {
 			ended()
 		}
 	})
@@ -47,14 +51,14 @@
 func (c *counter) beginFault(fault scenario.Fault, target int, untilNanos int64) {
 	switch fault.Kind {
 	case scenario.CounterRefuse:
-		c.world.during(&c.refusing, untilNanos, nil)
+		c.world.countFault(&c.refusing, untilNanos)
 	case scenario.CounterHang:
-		c.world.during(&c.hanging, untilNanos, c.release)
+		c.world.countFaultThen(&c.hanging, untilNanos, c.release)
 	case scenario.CounterSlow:
-		c.delayNanos += int64(fault.Delay)
-		c.world.at(untilNanos, func() { c.delayNanos -= int64(fault.Delay) })
+		c.extraDelayNanos += int64(fault.Delay)
+		c.world.at(untilNanos, func() { c.extraDelayNanos -= int64(fault.Delay) })
 	case scenario.CounterEmpty:
-		c.empty()
+		clear(c.entries)
 	case scenario.CounterCut:
 		c.cutOff[target]++
 		c.world.at(untilNanos, func() { c.cutOff[target]-- })
@@ -63,11 +67,11 @@
 
 func (d *discovery) beginFault(fault scenario.Fault, untilNanos int64) {
 	if fault.Kind == scenario.DiscoveryLate {
-		d.delayNanos += int64(fault.Delay)
-		d.world.at(untilNanos, func() { d.delayNanos -= int64(fault.Delay) })
+		d.extraDelayNanos += int64(fault.Delay)
+		d.world.at(untilNanos, func() { d.extraDelayNanos -= int64(fault.Delay) })
 		return
 	}
-	d.world.during(&d.stale, untilNanos, d.release)
+	d.world.countFaultThen(&d.stale, untilNanos, d.release)
 }
 
 // restart kills an instance, unless it is down already, and starts it again at the given time.
@@ -83,31 +87,31 @@
 	w := b.world
 	switch fault.Kind {
 	case scenario.BackendRefuse:
-		w.during(&b.refusing, untilNanos, nil)
+		w.countFault(&b.refusing, untilNanos)
 	case scenario.BackendHang:
-		w.during(&b.hanging, untilNanos, nil)
+		w.countFault(&b.hanging, untilNanos)
 	case scenario.BackendReset:
-		w.during(&b.resetting, untilNanos, nil)
+		w.countFault(&b.resetting, untilNanos)
 	case scenario.BackendGarble:
-		w.during(&b.garbling, untilNanos, nil)
+		w.countFault(&b.garbling, untilNanos)
 	case scenario.BackendError:
-		w.during(&b.failing, untilNanos, nil)
+		w.countFault(&b.failing, untilNanos)
 	case scenario.BackendSlow:
 		b.slowdown *= fault.Factor
 		w.at(untilNanos, func() { b.slowdown /= fault.Factor })
 	case scenario.BackendDrain:
 		b.setState(policy.EndpointDraining)
-		w.during(&b.draining, untilNanos, func() { b.setState(policy.EndpointReady) })
+		w.countFaultThen(&b.draining, untilNanos, func() { b.setState(policy.EndpointReady) })
 	case scenario.BackendVanish:
-		b.die(true)
+		b.vanish()
 		b.setState(policy.EndpointGone)
-		w.at(untilNanos, b.rise)
+		w.at(untilNanos, b.restart)
 	case scenario.BackendWithdraw:
 		b.setState(policy.EndpointGone)
-		w.during(&b.withdrawn, untilNanos, b.startAnew)
+		w.countFaultThen(&b.withdrawn, untilNanos, b.startAnew)
 	case scenario.BackendRestart:
-		b.die(false)
-		w.at(untilNanos, b.rise)
+		b.crash()
+		w.at(untilNanos, b.restart)
 	default:
 		// The scenario was validated, so a kind was added there and not here.
 		panic("model: no way to play " + string(fault.Kind))
--- a/internal/lab/model/instance.go
+++ b/internal/lab/model/instance.go
@@ -181,7 +181,7 @@
 	w := i.world
 	incarnation := i.incarnation
 	checked := w.backends[id-1]
-	w.after(2*w.hopNanos(), func() {
+	w.after(w.roundTripNanos(), func() {
 		outcome := policy.Succeeded
 		if !checked.isUp || checked.refusing > 0 || checked.hanging > 0 {
 			outcome = policy.ConnectFailed
--- a/internal/lab/model/world.go
+++ b/internal/lab/model/world.go
@@ -15,7 +15,6 @@
 	"fawnplank/internal/lab/scenario"
 	"fawnplank/internal/lab/workload"
 	"fawnplank/internal/timerqueue"
-	"fawnplank/policy"
 )
 
 // epochNanos is the Unix time at which a run starts for the instances: an arbitrary day, needed because their
@@ -77,7 +76,7 @@
 		networkRandom: rand.New(rand.NewPCG(s.Seed, networkStream)),
 		workRandom:    rand.New(rand.NewPCG(s.Seed, workStream)),
 	}
-	w.counter = counter{world: w, numbers: map[policy.CounterKey]*number{}, cutOff: map[int]int{}}
+	w.counter = newCounter(w)
 	w.discovery.world = w
 	for n := range s.Backends.Count {
 		w.backends = append(w.backends, newBackend(w, n))
@@ -85,26 +84,22 @@
 	for n := range s.Instances.Count {
 		i := &instance{world: w, index: n}
 		if i.settings, err = s.EngineSettings(n); err != nil {
-			return nil, err
+			return nil, fmt.Errorf("%s: instance %d: %w", s.Name, n, err)
 		}
 		w.instances = append(w.instances, i)
 		i.start()
 	}
 	for _, fault := range s.Faults {
-		w.planFault(fault)
+		w.scheduleFault(fault)
 	}
-	w.planArrival()
+	w.scheduleArrival()
 	w.sampleBreakers()
 	return w, nil
 }
 
 // play handles the events of the queue until the end of the run.
 func (w *world) play() *results.Run {
-	var longest scenario.Span
-	for _, class := range w.scenario.Classes {
-		longest = max(longest, class.Deadline)
-	}
-	endNanos := int64(w.scenario.Duration + longest + w.scenario.Rules.Grace + settleNanos)
+	endNanos := w.endNanos()
 	for {
 		dueNanos, ok := w.queue.NextDue(func(func()) bool { return false })
 		if !ok || dueNanos > endNanos {
@@ -118,6 +113,15 @@
 	return w.recorder.Finish(endNanos, w.events)
 }
 
+// endNanos returns the end of the run: some time after the last request of all must have its answer.
+func (w *world) endNanos() int64 {
+	var longest scenario.Span
+	for _, class := range w.scenario.Classes {
+		longest = max(longest, class.Deadline)
+	}
+	return int64(w.scenario.Duration + longest + w.scenario.Rules.Grace + settleNanos)
+}
+
 // at schedules do for a time. A time in the past means as soon as the current event has been handled.
 func (w *world) at(dueNanos int64, do func()) { w.queue.Push(max(dueNanos, w.nowNanos), do) }
 
@@ -131,6 +135,9 @@
 	return int64(delay/2 + delay/2*w.networkRandom.ExpFloat64())
 }
 
+// roundTripNanos draws the time of the way to a party and back, as twice that of one way.
+func (w *world) roundTripNanos() int64 { return 2 * w.hopNanos() }
+
 // engineNow returns the present time as engines see it.
 func (w *world) engineNow() int64 { return epochNanos + w.nowNanos }
 
@@ -149,14 +156,14 @@
 	w.after(sampleIntervalNanos, w.sampleBreakers)
 }
 
-// planArrival plans the next request, which plans the one after it.
-func (w *world) planArrival() {
+// scheduleArrival schedules the next request, which schedules the one after it.
+func (w *world) scheduleArrival() {
 	request, ok := w.workload.Next()
 	if !ok {
 		return
 	}
 	w.at(request.AtNanos, func() {
 		w.submit(request, request.AtNanos, 0)
-		w.planArrival()
+		w.scheduleArrival()
 	})
 }
