--- a/internal/lab/invariants/attempts.go
+++ b/internal/lab/invariants/attempts.go
@@ -6,8 +6,8 @@
 	"fawnplank/policy"
 )
 
-// attemptArrived checks an attempt that arrived whole at a backend against every rule.
-func (c *Checker) attemptArrived(s *submission, event Event) {
+// checkArrival checks an attempt that arrived whole at a backend against every rule.
+func (c *Checker) checkArrival(s *submission, event Event) {
 	if s.answeredNanos > 0 && event.AtNanos > s.answeredNanos+c.settings.SlackNanos {
 		c.report(RuleOneAnswer, event.AtNanos, "submission %d: came to backend %d %s after its final answer",
 			event.Submission, event.Backend, inMillis(event.AtNanos-s.answeredNanos))
@@ -18,7 +18,7 @@
 		}
 	}
 	s.attempts = append(s.attempts, attempt{backend: event.Backend, atNanos: event.AtNanos})
-	delivered, ok := c.delivered[view{instance: s.Instance, backend: event.Backend}]
+	delivered, ok := c.delivered[route{instance: s.Instance, backend: event.Backend}]
 	if ok && delivered.State != policy.EndpointReady {
 		c.checkDrain(s, delivered, event)
 	}
@@ -58,12 +58,12 @@
 	case policy.DedupByGroup:
 		return c.settings.Group(a) == c.settings.Group(b)
 	}
-	return true
+	return true // DedupByAll
 }
 
 // checkDrain checks an attempt at a backend that was delivered as draining or gone.
 func (c *Checker) checkDrain(s *submission, delivered, event Event) {
-	lateNanos := event.AtNanos - delivered.AtNanos - c.settings.DrainNanos - c.settings.SlackNanos
+	lateNanos := event.AtNanos - delivered.AtNanos - c.settings.DrainGraceNanos - c.settings.SlackNanos
 	if lateNanos > 0 {
 		c.report(RuleDrain, event.AtNanos,
 			"submission %d: instance %d sent to backend %d %s after the grace of its draining or being gone",
@@ -71,15 +71,19 @@
 	}
 }
 
+// attemptsBeyondBudget is how many attempts of the largest size a warming backend may be sent beyond its
+// budget. Nobody can send an attempt in part, so chance in their size breaks no rule.
+const attemptsBeyondBudget = 3
+
 // arrival is work that arrived at a backend while it warmed up.
 type arrival struct {
 	atNanos     int64
 	workSeconds float64
 }
 
-// checkSlowStart adds up what a warming backend was sent within the collapse window. Nobody is told a
-// backend's capacity at an age: the gateway knows only the share that it starts with and when it has all of
-// it at the latest. The check assumes a straight line between the two.
+// checkSlowStart adds up what a warming backend was sent within the collapse window. Nobody knows a backend's
+// capacity at an age: the gateway knows only the share that it starts with and when it has all of it at the
+// latest. The check assumes a straight line between the two.
 func (c *Checker) checkSlowStart(event, delivered Event) {
 	settings := &c.settings
 	hasWarmedUp := event.StartedNanos == 0 || event.AtNanos-event.StartedNanos > settings.SlowStartNanos
@@ -87,25 +91,30 @@
 	if hasWarmedUp || !isDelivered {
 		return
 	}
-	workSeconds, largest := c.addArrival(event)
-	from := max(event.AtNanos-settings.CollapseWindowNanos, event.StartedNanos)
-	capacityAt := func(nanos int64) float64 {
-		age, end := float64(nanos-event.StartedNanos), float64(max(settings.SlowStartNanos, 1))
-		return settings.InitialCapacity + (1-settings.InitialCapacity)*age/end
-	}
-	// The whole window counts from the start on: a burst at the start is borne as far as a window bears it. The
-	// largest attempts are allowed beyond the budget, since nobody can send them in part: chance in their size
-	// breaks no rule.
-	windowSeconds := float64(settings.CollapseWindowNanos)
-	capacity := (capacityAt(from) + capacityAt(event.AtNanos)) / 2
-	bearsSeconds := settings.CollapseMultiple * settings.Cores * capacity * windowSeconds / 1e9
-	if workSeconds > bearsSeconds+3*largest && c.overloaded[event.Backend] != event.StartedNanos {
+	workSeconds, largestSeconds := c.addArrival(event)
+	budgetSeconds := settings.slowStartBudget(event.StartedNanos, event.AtNanos)
+	isOverloaded := workSeconds > budgetSeconds+attemptsBeyondBudget*largestSeconds
+	if isOverloaded && c.overloaded[event.Backend] != event.StartedNanos {
 		c.overloaded[event.Backend] = event.StartedNanos
 		c.report(RuleSlowStart, event.AtNanos,
 			"backend %d, started %s ago, was sent %.3f s of work in %s and bears %.3f s",
 			event.Backend, inMillis(event.AtNanos-event.StartedNanos), workSeconds,
-			inMillis(settings.CollapseWindowNanos), bearsSeconds)
+			inMillis(settings.CollapseWindowNanos), budgetSeconds)
+	}
+}
+
+// slowStartBudget returns the work, in seconds of a core, that a warming backend bears within the collapse
+// window that ends at a time. The whole window counts from the start on: a burst at the start is borne as far
+// as a window bears it.
+func (s *Settings) slowStartBudget(startedNanos, atNanos int64) float64 {
+	capacityAt := func(nanos int64) float64 {
+		age := float64(nanos - startedNanos)
+		slowStart := float64(max(s.SlowStartNanos, 1))
+		return s.InitialCapacity + (1-s.InitialCapacity)*age/slowStart
 	}
+	windowStart := max(atNanos-s.CollapseWindowNanos, startedNanos)
+	capacity := (capacityAt(windowStart) + capacityAt(atNanos)) / 2
+	return s.CollapseMultiple * s.Cores * capacity * float64(s.CollapseWindowNanos) / 1e9
 }
 
 // addArrival adds an arrival to those of its backend within the window, and returns the work of all of them
--- a/internal/lab/invariants/checker.go
+++ b/internal/lab/invariants/checker.go
@@ -31,15 +31,16 @@
 	Classes             []policy.ClassSettings
 	Plans               []policy.PlanSettings
 	HardQuotaSlack      []float64 // by plan, in units
-	GraceNanos          int64     // of an answer after the client's deadline
-	DrainNanos          int64     // of an attempt after the instance had the backend's new state
+	AnswerGraceNanos    int64     // of an answer after the client's deadline
+	DrainGraceNanos     int64     // of an attempt after the instance had the backend's new state
 	SlackNanos          int64     // for ways that are not seen, from an instance to a backend or client
 	Cores               float64   // of a backend that has warmed up
 	InitialCapacity     float64   // of a backend that starts, as a share
 	SlowStartNanos      int64
 	CollapseMultiple    float64 // of its capacity that a backend bears over the window
 	CollapseWindowNanos int64
-	Zone, Group         func(backend int) int
+	Zone                func(backend int) int
+	Group               func(backend int) int
 }
 
 // Finding is one violation of a rule.
@@ -74,15 +75,15 @@
 	endedNanos    int64 // when it was answered or abandoned; 0: not yet
 }
 
-// view is the pair of an instance and the backend whose state was delivered to it.
-type view struct{ instance, backend int }
+// route is the way from an instance to a backend.
+type route struct{ instance, backend int }
 
 // Checker finds violations in events that come in order of time.
 type Checker struct {
 	settings    Settings
 	submissions map[SubmissionID]*submission
-	ended       []SubmissionID // in order of their end
-	delivered   map[view]Event // the last EndpointDelivered
+	ended       []SubmissionID  // in order of their end
+	delivered   map[route]Event // the last EndpointDelivered
 	arrivals    map[int][]arrival
 	overloaded  map[int]int64 // by backend, the start after which it was found overloaded
 	quotas      map[int]*hardQuota
@@ -95,13 +96,14 @@
 	return &Checker{
 		settings:    settings,
 		submissions: map[SubmissionID]*submission{},
-		delivered:   map[view]Event{},
+		delivered:   map[route]Event{},
 		arrivals:    map[int][]arrival{},
 		overloaded:  map[int]int64{},
 		quotas:      map[int]*hardQuota{},
 	}
 }
 
+// report adds a finding, or only counts it if there are enough of its rule.
 func (c *Checker) report(rule Rule, atNanos int64, format string, args ...any) {
 	c.counts[rule]++
 	if c.counts[rule] <= maxFindings {
@@ -114,18 +116,18 @@
 func (c *Checker) Observe(event Event) {
 	switch event.Kind {
 	case EndpointDelivered:
-		c.endpointDelivered(event)
+		c.observeEndpoint(event)
 	case InstanceDied:
-		c.instanceDied(event.Instance)
+		c.observeInstanceDeath(event.Instance)
 	case Submitted:
-		c.submitted(event)
-	default:
 		c.observeSubmission(event)
+	default:
+		c.observeSubmissionEvent(event)
 	}
 }
 
-func (c *Checker) endpointDelivered(event Event) {
-	key := view{instance: event.Instance, backend: event.Backend}
+func (c *Checker) observeEndpoint(event Event) {
+	key := route{instance: event.Instance, backend: event.Backend}
 	old, ok := c.delivered[key]
 	if ok && old.State != policy.EndpointReady && event.State != policy.EndpointReady {
 		event.AtNanos = old.AtNanos // the grace counts from the first state that forbids new attempts
@@ -133,7 +135,7 @@
 	c.delivered[key] = event
 }
 
-func (c *Checker) instanceDied(instance int) {
+func (c *Checker) observeInstanceDeath(instance int) {
 	for key := range c.delivered {
 		if key.instance == instance {
 			delete(c.delivered, key)
@@ -141,7 +143,7 @@
 	}
 }
 
-func (c *Checker) submitted(event Event) {
+func (c *Checker) observeSubmission(event Event) {
 	if c.submissions[event.Submission] != nil {
 		c.report(RuleOneAnswer, event.AtNanos, "submission %d: its id was used before", event.Submission)
 		return
@@ -149,8 +151,8 @@
 	c.submissions[event.Submission] = &submission{Event: event, answerDue: true}
 }
 
-// observeSubmission checks an event that belongs to a submission.
-func (c *Checker) observeSubmission(event Event) {
+// observeSubmissionEvent checks an event that belongs to a submission.
+func (c *Checker) observeSubmissionEvent(event Event) {
 	s := c.submissions[event.Submission]
 	if s == nil {
 		if event.Kind != Abandoned && event.Kind != AttemptRefused {
@@ -161,7 +163,7 @@
 	}
 	switch event.Kind {
 	case Succeeded, Rejected, Aborted:
-		c.answered(s, event)
+		c.checkAnswer(s, event)
 	case Abandoned:
 		s.answerDue = false
 		c.end(s, event.AtNanos)
@@ -172,7 +174,7 @@
 				event.Submission, event.Backend, inMillis(event.AtNanos-s.answeredNanos))
 		}
 	case AttemptArrived:
-		c.attemptArrived(s, event)
+		c.checkArrival(s, event)
 	case AttemptRefused:
 		s.refuseLast(event.Backend)
 	}
@@ -190,12 +192,13 @@
 
 func inMillis(nanos int64) string { return fmt.Sprintf("%.1f ms", float64(nanos)/1e6) }
 
-func (c *Checker) answered(s *submission, event Event) {
+// checkAnswer checks a final answer against the rules of answers and, if it is a rejection, of reruns.
+func (c *Checker) checkAnswer(s *submission, event Event) {
 	if s.answeredNanos > 0 {
 		c.report(RuleOneAnswer, event.AtNanos, "submission %d: a second final answer", event.Submission)
 		return
 	}
-	lateNanos := event.AtNanos - s.DeadlineNanos - c.settings.GraceNanos
+	lateNanos := event.AtNanos - s.DeadlineNanos - c.settings.AnswerGraceNanos
 	if s.answerDue && lateNanos > 0 {
 		c.report(RuleOneAnswer, event.AtNanos, "submission %d: answered %s after its deadline and grace",
 			event.Submission, inMillis(lateNanos))
@@ -248,7 +251,7 @@
 func (c *Checker) End(atNanos int64) (findings []Finding, counts map[string]int) {
 	var lost []SubmissionID
 	for id, s := range c.submissions {
-		if s.answerDue && atNanos > s.DeadlineNanos+c.settings.GraceNanos {
+		if s.answerDue && atNanos > s.DeadlineNanos+c.settings.AnswerGraceNanos {
 			lost = append(lost, id)
 		}
 	}
--- a/internal/lab/results/recorder.go
+++ b/internal/lab/results/recorder.go
@@ -13,8 +13,8 @@
 	// maxLatencyMicros and latencyDigits are the range of the histograms: up to two minutes, with three digits.
 	maxLatencyMicros = 120e6
 	latencyDigits    = 3
-	// minWithdrawalNanos distinguishes a last attempt that came together with the news from no attempt, which is
-	// 0.
+	// minWithdrawalNanos distinguishes a last attempt that arrived at the time of the delivery from no attempt,
+	// which is 0.
 	minWithdrawalNanos = 1e3
 )
 
@@ -41,8 +41,8 @@
 	hasArrived bool
 }
 
-// path is the way from an instance to a backend.
-type path struct{ instance, backend int }
+// route is the way from an instance to a backend.
+type route struct{ instance, backend int }
 
 // withdrawal is when a backend was delivered as gone, and how long after that the last attempt came.
 type withdrawal struct {
@@ -57,18 +57,18 @@
 	checker         *invariants.Checker
 	run             *Run
 	row             Row
-	rowLatency      histogram
-	latency         histogram
+	rowLatency      histogram // of the row's successes
+	latency         histogram // of the run's successes
 	pending         map[invariants.SubmissionID]*pending
 	quotas          map[int]*exactQuota // by tenant
-	withdrawals     map[path]*withdrawal
+	withdrawals     map[route]*withdrawal
 	withdrawalTimes histogram
 }
 
 // New returns a recorder for a scenario. slackNanos is how long the ways between the parties may take where
 // only their ends are seen. Classes and plans come from the settings, which the gateways have too.
 func New(s *scenario.Scenario, settings policy.Settings, slackNanos int64) *Recorder {
-	r := &Recorder{
+	return &Recorder{
 		scenario:        s,
 		checker:         invariants.New(checkerSettings(s, settings, slackNanos)),
 		run:             newRun(s),
@@ -76,18 +76,17 @@
 		latency:         newHistogram(),
 		pending:         map[invariants.SubmissionID]*pending{},
 		quotas:          map[int]*exactQuota{},
-		withdrawals:     map[path]*withdrawal{},
+		withdrawals:     map[route]*withdrawal{},
 		withdrawalTimes: newHistogram(),
 	}
-	return r
 }
 
 func checkerSettings(s *scenario.Scenario, settings policy.Settings, slackNanos int64) invariants.Settings {
 	checked := invariants.Settings{
 		Classes:             settings.Classes,
 		Plans:               settings.Plans,
-		GraceNanos:          int64(s.Rules.Grace),
-		DrainNanos:          int64(s.Rules.Drain),
+		AnswerGraceNanos:    int64(s.Rules.Grace),
+		DrainGraceNanos:     int64(s.Rules.Drain),
 		SlackNanos:          slackNanos,
 		Cores:               float64(s.Backends.Cores),
 		InitialCapacity:     s.Rules.InitialCapacity,
@@ -116,17 +115,21 @@
 		LatencyObjective: float64(s.Classes[0].LatencyObjective) / 1e6,
 	}
 	for _, fault := range s.Faults {
-		// Staggered faults are in force until the last of them ends.
-		staggered := fault.Stagger * scenario.Span(max(len(s.Targets(fault))-1, 0))
-		run.Faults = append(run.Faults, FaultSpan{
-			Kind:  string(fault.Kind),
-			From:  float64(fault.At) / 1e9,
-			Until: float64(fault.At+fault.Duration+staggered) / 1e9,
-		})
+		run.Faults = append(run.Faults, newFaultSpan(s, fault))
 	}
 	return run
 }
 
+// newFaultSpan returns the span of a fault, which lasts until it ends for the last of its staggered targets.
+func newFaultSpan(s *scenario.Scenario, fault scenario.Fault) FaultSpan {
+	stagger := fault.Stagger * scenario.Span(max(len(s.Targets(fault))-1, 0))
+	return FaultSpan{
+		Kind:  string(fault.Kind),
+		From:  float64(fault.At) / nanosPerSecond,
+		Until: float64(fault.At+fault.Duration+stagger) / nanosPerSecond,
+	}
+}
+
 // advance closes rows up to the second that contains a time.
 func (r *Recorder) advance(atNanos int64) {
 	for int64(r.row.Second+1)*nanosPerSecond <= atNanos {
@@ -155,27 +158,27 @@
 	r.checker.Observe(event)
 	switch event.Kind {
 	case invariants.EndpointDelivered:
-		r.endpointDelivered(event)
+		r.recordDelivery(event)
 	case invariants.Submitted:
-		r.submitted(event)
+		r.recordSubmission(event)
 	case invariants.AttemptRefused:
 		r.row.AttemptsRefused++
 	case invariants.AttemptArrived:
-		r.attemptArrived(event)
+		r.recordArrival(event)
 	case invariants.Succeeded, invariants.Rejected, invariants.Aborted, invariants.Abandoned:
-		r.ended(event)
+		r.recordEnd(event)
 	}
 }
 
-func (r *Recorder) endpointDelivered(event invariants.Event) {
-	key := path{instance: event.Instance, backend: event.Backend}
-	r.settleWithdrawal(key)
+func (r *Recorder) recordDelivery(event invariants.Event) {
+	way := route{instance: event.Instance, backend: event.Backend}
+	r.settleWithdrawal(way)
 	if event.State == policy.EndpointGone {
-		r.withdrawals[key] = &withdrawal{deliveredNanos: event.AtNanos}
+		r.withdrawals[way] = &withdrawal{deliveredNanos: event.AtNanos}
 	}
 }
 
-func (r *Recorder) submitted(event invariants.Event) {
+func (r *Recorder) recordSubmission(event invariants.Event) {
 	r.pending[event.Submission] = &pending{Event: event}
 	r.admitExact(event)
 	r.row.Submitted++
@@ -184,9 +187,9 @@
 	}
 }
 
-func (r *Recorder) attemptArrived(event invariants.Event) {
+func (r *Recorder) recordArrival(event invariants.Event) {
 	r.row.Attempts++
-	if w := r.withdrawals[path{instance: event.Instance, backend: event.Backend}]; w != nil {
+	if w := r.withdrawals[route{instance: event.Instance, backend: event.Backend}]; w != nil {
 		w.lastAttemptNanos = max(event.AtNanos-w.deliveredNanos, minWithdrawalNanos)
 	}
 	if submission := r.pending[event.Submission]; submission != nil && !submission.hasArrived {
@@ -195,8 +198,8 @@
 	}
 }
 
-// ended records how a submission ended.
-func (r *Recorder) ended(event invariants.Event) {
+// recordEnd records how a submission ended.
+func (r *Recorder) recordEnd(event invariants.Event) {
 	submission := r.pending[event.Submission]
 	if submission == nil {
 		return
@@ -204,7 +207,7 @@
 	delete(r.pending, event.Submission)
 	switch event.Kind {
 	case invariants.Succeeded:
-		r.succeeded(submission, event)
+		r.recordSuccess(submission, event)
 	case invariants.Rejected:
 		r.row.Rejected++
 	case invariants.Aborted:
@@ -214,7 +217,7 @@
 	}
 }
 
-func (r *Recorder) succeeded(submission *pending, event invariants.Event) {
+func (r *Recorder) recordSuccess(submission *pending, event invariants.Event) {
 	latencyNanos := max(event.AtNanos-submission.DueNanos, 0)
 	micros := max(latencyNanos/1e3, 1)
 	r.rowLatency.record(micros)
@@ -226,12 +229,12 @@
 }
 
 // settleWithdrawal records how a withdrawal ended, once the backend is back or the run is over.
-func (r *Recorder) settleWithdrawal(key path) {
-	w := r.withdrawals[key]
+func (r *Recorder) settleWithdrawal(way route) {
+	w := r.withdrawals[way]
 	if w == nil {
 		return
 	}
-	delete(r.withdrawals, key)
+	delete(r.withdrawals, way)
 	if r.run.Withdrawals == nil {
 		r.run.Withdrawals = &Withdrawals{}
 	}
@@ -272,14 +275,10 @@
 	r.closeRow()
 	r.run.Events = events
 	r.run.Findings, r.run.RulesBroken = r.checker.End(atNanos)
-	for key := range r.withdrawals {
-		r.settleWithdrawal(key)
-	}
-	if w := r.run.Withdrawals; w != nil {
-		w.P50 = r.withdrawalTimes.millisAt(50)
-		w.P99 = r.withdrawalTimes.millisAt(99)
-		w.Max = r.withdrawalTimes.millisAt(100)
+	for way := range r.withdrawals {
+		r.settleWithdrawal(way)
 	}
+	r.finishWithdrawals()
 	for _, row := range r.run.Rows {
 		r.run.Total.add(row)
 	}
@@ -290,6 +289,17 @@
 	return r.run
 }
 
+// finishWithdrawals reads the percentiles of the withdrawals, if there were any.
+func (r *Recorder) finishWithdrawals() {
+	w := r.run.Withdrawals
+	if w == nil {
+		return
+	}
+	w.P50 = r.withdrawalTimes.millisAt(50)
+	w.P99 = r.withdrawalTimes.millisAt(99)
+	w.Max = r.withdrawalTimes.millisAt(100)
+}
+
 // finishLatency reads the percentiles of the whole run.
 func (r *Recorder) finishLatency() {
 	total := &r.run.Total
