--- a/internal/lab/results/run.go
+++ b/internal/lab/results/run.go
@@ -168,10 +168,11 @@
 		return nil, fmt.Errorf("%s: no run: %w", path, err)
 	}
 	if run.Version != Version {
-		return nil, fmt.Errorf("%s: a run of form %d, where %d is read", path, run.Version, Version)
+		return nil, fmt.Errorf("%s: a run of form %d, where %d is read: run the scenario again",
+			path, run.Version, Version)
 	}
 	if len(run.Rows) == 0 {
-		return nil, fmt.Errorf("%s: a run without rows", path)
+		return nil, fmt.Errorf("%s: a run without rows: run the scenario again", path)
 	}
 	return &run, nil
 }
