--- a/internal/lab/emulator/backend.go
+++ b/internal/lab/emulator/backend.go
@@ -43,8 +43,11 @@
 	session    *backendSession
 	submission invariants.SubmissionID
 	units      float64
-	work       time.Duration
 	started    chan struct{} // closed when a core is free for it
+
+	// Set when it is admitted.
+	work        time.Duration
+	incarnation int // of the backend
 }
 
 // backendSession is a connection from an instance.
@@ -186,8 +189,7 @@
 
 // run runs an attempt, which occupies a core for its work, and returns the answer to write after it.
 func (b *backend) run(j *job) backendAnswer {
-	admitted, incarnation := b.admit(j)
-	switch admitted {
+	switch b.admit(j) {
 	case attemptSwallowed:
 		return backendAnswer{}
 	case attemptRefused:
@@ -197,28 +199,36 @@
 		return backendAnswer{text: "-BUSY\r\n"}
 	case attemptAdmitted:
 	}
-	select {
-	case <-j.started:
-	case <-b.emulator.closed:
-		return backendAnswer{}
-	}
-	select {
-	case <-time.After(j.work):
-	case <-b.emulator.closed:
+	if !b.work(j) {
 		return backendAnswer{}
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.incarnation != incarnation { // the backend died during the work
+	if b.incarnation != j.incarnation { // the backend died during the work
 		return backendAnswer{}
 	}
 	b.releaseCore()
 	return b.answer(j)
 }
 
-// admit records an attempt's arrival and its work, and gives it a core or a place in the queue. It also
-// returns the incarnation that runs the attempt.
-func (b *backend) admit(j *job) (admitted admission, incarnation int) {
+// work waits for a core and then for the end of a job's work. It returns false if the emulator is closed
+// first.
+func (b *backend) work(j *job) bool {
+	select {
+	case <-j.started:
+	case <-b.emulator.closed:
+		return false
+	}
+	select {
+	case <-time.After(j.work):
+		return true
+	case <-b.emulator.closed:
+		return false
+	}
+}
+
+// admit records an attempt's arrival and its work, and gives it a core or a place in the queue.
+func (b *backend) admit(j *job) admission {
 	e := b.emulator
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -231,23 +241,24 @@
 		WorkSeconds:  workNanos / 1e9,
 	})
 	j.work = time.Duration(workNanos * b.slowdown / b.capacity())
+	j.incarnation = b.incarnation
 	coreIsFree := b.busyCores < e.scenario.Backends.Cores
 	switch {
 	case b.hangs():
-		return attemptSwallowed, b.incarnation
+		return attemptSwallowed
 	case b.active[scenario.BackendDrain] > 0, !coreIsFree && len(b.queue) >= e.scenario.Backends.Queue:
-		return attemptRefused, b.incarnation
+		return attemptRefused
 	case coreIsFree:
 		b.busyCores++
 		close(j.started)
 	default:
 		b.queue = append(b.queue, j)
 	}
-	return attemptAdmitted, b.incarnation
+	return attemptAdmitted
 }
 
 // releaseCore gives a job's core to the next job in the queue. A job whose instance has left the connection
-// never runs, since nobody waits for its answer.
+// never runs, since nobody waits for its answer. The caller holds the lock.
 func (b *backend) releaseCore() {
 	b.busyCores--
 	for len(b.queue) > 0 && b.busyCores < b.emulator.scenario.Backends.Cores {
@@ -278,7 +289,7 @@
 }
 
 // garbage returns a line of random bytes. Its first byte begins no RESP answer, so that it is never a valid
-// answer by chance.
+// answer by chance. The caller holds the lock.
 func (b *backend) garbage() string {
 	noise := make([]byte, 64)
 	for n := range noise {
--- a/internal/lab/emulator/backend_faults.go
+++ b/internal/lab/emulator/backend_faults.go
@@ -6,35 +6,35 @@
 )
 
 // setFault begins or ends a fault.
-func (b *backend) setFault(fault scenario.Fault, active bool) {
+func (b *backend) setFault(fault scenario.Fault, change faultChange) {
 	switch fault.Kind {
 	case scenario.BackendReset, scenario.BackendGarble, scenario.BackendError:
-		b.countFault(fault.Kind, active)
+		b.countFault(fault.Kind, change)
 	case scenario.BackendRefuse:
-		b.setRefusing(active)
+		b.setRefusing(change)
 	case scenario.BackendHang:
-		b.setHanging(active)
+		b.setHanging(change)
 	case scenario.BackendSlow:
-		b.setSlow(fault.Factor, active)
+		b.setSlow(fault.Factor, change)
 	case scenario.BackendDrain:
-		b.setDraining(active)
+		b.setDraining(change)
 	case scenario.BackendVanish:
-		b.setVanished(active)
+		b.setVanished(change)
 	case scenario.BackendWithdraw:
-		b.setWithdrawn(active)
+		b.setWithdrawn(change)
 	case scenario.BackendRestart:
-		b.setRestarting(active)
+		b.setRestarting(change)
 	}
 }
 
-// countFault counts the begin or the end of a fault. It returns whether the fault is the first active one of
-// its kind, or was the last one.
-func (b *backend) countFault(kind scenario.FaultKind, active bool) (isFirst, isLast bool) {
+// countFault counts the begin or the end of a fault.
+func (b *backend) countFault(kind scenario.FaultKind, change faultChange) faultEdge {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.active[kind] += step(active)
-	count := b.active[kind]
-	return active && count == 1, !active && count == 0
+	active := b.active[kind]
+	edge := change.count(&active)
+	b.active[kind] = active
+	return edge
 }
 
 // hangs reports whether the backend says nothing, which is also the case when it has vanished. The caller
@@ -43,22 +43,21 @@
 	return b.active[scenario.BackendHang]+b.active[scenario.BackendVanish] > 0
 }
 
-func (b *backend) setRefusing(active bool) {
-	isFirst, isLast := b.countFault(scenario.BackendRefuse, active)
-	switch {
-	case isFirst:
+func (b *backend) setRefusing(change faultChange) {
+	switch b.countFault(scenario.BackendRefuse, change) {
+	case firstEdge:
 		b.abandonJobs()
 		b.listener.close()
-	case isLast:
+	case lastEdge:
 		b.reopen()
 	}
 }
 
 // setHanging makes the backend say nothing. When the fault ends, the backend loses its jobs and its
 // connections end.
-func (b *backend) setHanging(active bool) {
-	b.countFault(scenario.BackendHang, active)
-	if active {
+func (b *backend) setHanging(change faultChange) {
+	b.countFault(scenario.BackendHang, change)
+	if change == faultBegins {
 		return
 	}
 	b.abandonJobs()
@@ -66,22 +65,21 @@
 	b.reopen()
 }
 
-func (b *backend) setSlow(factor float64, active bool) {
+func (b *backend) setSlow(factor float64, change faultChange) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if active {
+	if change == faultBegins {
 		b.slowdown *= factor
 	} else {
 		b.slowdown /= factor
 	}
 }
 
-func (b *backend) setDraining(active bool) {
-	isFirst, isLast := b.countFault(scenario.BackendDrain, active)
-	switch {
-	case isFirst:
+func (b *backend) setDraining(change faultChange) {
+	switch b.countFault(scenario.BackendDrain, change) {
+	case firstEdge:
 		b.setState(policy.EndpointDraining)
-	case isLast:
+	case lastEdge:
 		b.setState(policy.EndpointReady)
 	}
 	b.emulator.discovery.publish(b)
@@ -89,37 +87,36 @@
 
 // setVanished takes the backend's machine off the network: its connections stay up and say nothing, and new
 // ones come up and say nothing. When the fault ends, the backend starts anew.
-func (b *backend) setVanished(active bool) {
-	if active {
+func (b *backend) setVanished(change faultChange) {
+	if change == faultBegins {
 		b.abandonJobs()
-		b.countFault(scenario.BackendVanish, true)
+		b.countFault(scenario.BackendVanish, change)
 		b.setState(policy.EndpointGone)
 		b.listener.setPaused(true)
 		b.emulator.discovery.publish(b)
 		return
 	}
-	b.countFault(scenario.BackendVanish, false)
+	b.countFault(scenario.BackendVanish, change)
 	b.listener.close()
 	b.restart()
 }
 
 // setWithdrawn takes the backend out of discovery. The backend keeps running, and comes back as a new one at
 // the same address.
-func (b *backend) setWithdrawn(active bool) {
-	isFirst, isLast := b.countFault(scenario.BackendWithdraw, active)
-	switch {
-	case isFirst:
+func (b *backend) setWithdrawn(change faultChange) {
+	switch b.countFault(scenario.BackendWithdraw, change) {
+	case firstEdge:
 		b.setState(policy.EndpointGone)
-	case isLast:
+	case lastEdge:
 		b.setStarted()
-	default:
+	case noEdge:
 		return
 	}
 	b.emulator.discovery.publish(b)
 }
 
-func (b *backend) setRestarting(active bool) {
-	if active {
+func (b *backend) setRestarting(change faultChange) {
+	if change == faultBegins {
 		b.abandonJobs()
 		b.listener.close()
 		return
--- a/internal/lab/emulator/backend_test.go
+++ b/internal/lab/emulator/backend_test.go
@@ -55,11 +55,11 @@
 				defer func() { _ = c.Close() }() // the backend may have ended it
 				return c.roundTrip(query(1))
 			}
-			e.setFault(fault, 0, true)
+			e.setFault(fault, 0, faultBegins)
 			if answer, err := attempt(); !isExpected(answer, err) {
 				t.Errorf("%q, %v", answer, err)
 			}
-			e.setFault(fault, 0, false)
+			e.setFault(fault, 0, faultEnds)
 			time.Sleep(500 * time.Millisecond) // what was slow has ended; a restarted one is warming up
 			if answer, err := attempt(); !isResult(answer) {
 				t.Errorf("when the fault is over: %q, %v", answer, err)
@@ -71,7 +71,7 @@
 // One core and a queue of one: the third at once is rejected, and the second answered after the first.
 func TestBackend_RejectsBeyondItsQueue(t *testing.T) {
 	e := start(t)
-	e.setFault(scenario.Fault{Kind: scenario.BackendSlow, Factor: 10}, 0, true)
+	e.setFault(scenario.Fault{Kind: scenario.BackendSlow, Factor: 10}, 0, faultBegins)
 	answers := make(chan string, 3)
 	for n := range 3 {
 		c, err := dial(t, e.backends[0].listener.address)
--- a/internal/lab/emulator/counter.go
+++ b/internal/lab/emulator/counter.go
@@ -13,8 +13,8 @@
 	// record.
 	breakerPeriod = time.Second
 
-	// maxKeyLifeMillis bounds a key's lifetime in the line protocol: 60 s by the platform's protocol.
-	maxKeyLifeMillis = 60000
+	// maxLifetimeMillis bounds an entry's lifetime in the line protocol: 60 s by the platform's protocol.
+	maxLifetimeMillis = 60000
 
 	// overloadTimeouts is how many of the gateway's timeouts a call may wait. The counter refuses calls that
 	// would wait longer, like one whose queue is full.
@@ -27,35 +27,35 @@
 	emulator  *Emulator
 	listeners []*listener // of each instance
 
-	mu        sync.Mutex // guards what follows
-	keys      map[string]*counterKey
-	freeAt    time.Time // when it can begin the next call
-	refusing  int       // how many faults of the kind are active; likewise below
-	hanging   int
-	cut       map[int]int // of each instance
-	slowness  time.Duration
-	calls     []int         // of each instance, since the last count of breakers
-	unblocked chan struct{} // closed at the end of a hang
+	mu         sync.Mutex // guards what follows
+	entries    map[string]*counterEntry
+	freeAt     time.Time // when it can begin the next call
+	refusing   int       // how many faults of the kind are active; likewise below
+	hanging    int
+	cutOff     map[int]int   // by instance
+	extraDelay time.Duration // of the faults that are active
+	calls      []int         // of each instance, since the last count of breakers
+	unblocked  chan struct{} // closed at the end of a hang
 }
 
-// counterKey is the number under a key.
-type counterKey struct {
+// counterEntry is the number under a key.
+type counterEntry struct {
 	total     float64
 	expiresAt time.Time // zero: never
 }
 
 // counterCall is an addition that an instance asks for.
 type counterCall struct {
-	key        string
-	units      float64
-	lifeMillis int64 // lifetime of a key that the call creates; 0: without an end
+	key            string
+	units          float64
+	lifetimeMillis int64 // of an entry that the call creates; 0: without an end
 }
 
 func newCounter(e *Emulator) (*counter, error) {
 	c := &counter{
 		emulator:  e,
-		keys:      map[string]*counterKey{},
-		cut:       map[int]int{},
+		entries:   map[string]*counterEntry{},
+		cutOff:    map[int]int{},
 		calls:     make([]int, e.scenario.Instances.Count),
 		unblocked: make(chan struct{}),
 	}
@@ -116,33 +116,34 @@
 		}
 		c.freeAt = startAt.Add(time.Duration(1e9 / settings.Rate))
 	}
-	return startAt.Add(time.Duration(settings.Delay) + c.slowness), true
+	return startAt.Add(time.Duration(settings.Delay) + c.extraDelay), true
 }
 
-// add adds units to a key and returns the total. It creates the key if it does not exist or has expired.
+// add adds units to a key and returns the total. It creates the entry if there is none or it has expired.
 func (c *counter) add(call counterCall) float64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := time.Now()
-	key := c.keys[call.key]
-	if key == nil || !key.expiresAt.IsZero() && now.After(key.expiresAt) {
-		key = &counterKey{}
-		if call.lifeMillis > 0 {
-			key.expiresAt = now.Add(time.Duration(min(call.lifeMillis, maxKeyLifeMillis)) * time.Millisecond)
+	entry := c.entries[call.key]
+	if entry == nil || !entry.expiresAt.IsZero() && now.After(entry.expiresAt) {
+		entry = &counterEntry{}
+		if call.lifetimeMillis > 0 {
+			lifetime := time.Duration(min(call.lifetimeMillis, maxLifetimeMillis)) * time.Millisecond
+			entry.expiresAt = now.Add(lifetime)
 		}
-		c.keys[call.key] = key
+		c.entries[call.key] = entry
 	}
-	key.total += call.units
-	return key.total
+	entry.total += call.units
+	return entry.total
 }
 
-// expire sets the end of a key that has none yet, and reports whether it did. The caller holds the lock.
-func (c *counter) expire(name string, lifetime time.Duration) bool {
-	key := c.keys[name]
-	if key == nil || !key.expiresAt.IsZero() {
+// expire sets the end of an entry that has none yet, and reports whether it did. The caller holds the lock.
+func (c *counter) expire(key string, lifetime time.Duration) bool {
+	entry := c.entries[key]
+	if entry == nil || !entry.expiresAt.IsZero() {
 		return false
 	}
-	key.expiresAt = time.Now().Add(lifetime)
+	entry.expiresAt = time.Now().Add(lifetime)
 	return true
 }
 
@@ -152,8 +153,8 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	total := 0.0
-	for _, key := range c.keys {
-		total += key.total
+	for _, entry := range c.entries {
+		total += entry.total
 	}
 	return total
 }
@@ -162,30 +163,29 @@
 func (e *Emulator) CounterAddress(instance int) string { return e.counter.address(instance) }
 
 // setFault begins or ends a fault.
-func (c *counter) setFault(fault scenario.Fault, instance int, active bool) {
+func (c *counter) setFault(fault scenario.Fault, instance int, change faultChange) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	switch fault.Kind {
 	case scenario.CounterRefuse:
-		c.setRefusing(active)
+		c.setRefusing(change)
 	case scenario.CounterHang:
-		c.setHanging(active)
+		c.setHanging(change)
 	case scenario.CounterSlow:
-		c.slowness += time.Duration(step(active)) * time.Duration(fault.Delay)
+		c.extraDelay += time.Duration(change) * time.Duration(fault.Delay)
 	case scenario.CounterCut:
-		c.cut[instance] += step(active)
+		c.cutOff[instance] += int(change)
 	case scenario.CounterEmpty:
-		clear(c.keys)
+		clear(c.entries)
 	}
 }
 
 // setRefusing closes all listeners or opens them again. The caller holds the lock.
-func (c *counter) setRefusing(active bool) {
-	c.refusing += step(active)
-	switch {
-	case active && c.refusing == 1:
+func (c *counter) setRefusing(change faultChange) {
+	switch change.count(&c.refusing) {
+	case firstEdge:
 		c.close()
-	case !active && c.refusing == 0:
+	case lastEdge:
 		for _, l := range c.listeners {
 			_ = l.reopen() // a listener that stays closed shows in the run
 		}
@@ -193,9 +193,8 @@
 }
 
 // setHanging makes calls wait, or lets waiting calls go on. The caller holds the lock.
-func (c *counter) setHanging(active bool) {
-	c.hanging += step(active)
-	if !active && c.hanging == 0 {
+func (c *counter) setHanging(change faultChange) {
+	if change.count(&c.hanging) == lastEdge {
 		close(c.unblocked)
 		c.unblocked = make(chan struct{})
 	}
--- a/internal/lab/emulator/counter_protocol.go
+++ b/internal/lab/emulator/counter_protocol.go
@@ -116,11 +116,11 @@
 		}
 		return s.begin(counterCall{key: string(args[1]), units: units}, formatBulk)
 	case name == "PEXPIRE" && len(args) == 4 && strings.EqualFold(string(args[3]), "NX"):
-		lifeMillis, err := strconv.ParseInt(string(args[2]), 10, 64)
+		lifetimeMillis, err := strconv.ParseInt(string(args[2]), 10, 64)
 		if err != nil {
 			return immediate("-ERR value is not an integer or out of range")
 		}
-		return s.expireInTurn(string(args[1]), time.Duration(lifeMillis)*time.Millisecond)
+		return s.expireInTurn(string(args[1]), time.Duration(lifetimeMillis)*time.Millisecond)
 	}
 	return immediate("-ERR unknown command or wrong number of arguments")
 }
@@ -140,7 +140,7 @@
 		c.mu.Lock()
 		defer c.mu.Unlock()
 		switch {
-		case c.cut[s.instance] > 0:
+		case c.cutOff[s.instance] > 0:
 			return ""
 		case c.expire(key, lifetime):
 			return ":1\r\n"
@@ -162,11 +162,11 @@
 	if err != nil || units > maxCallUnits {
 		return immediate("error")
 	}
-	lifeMillis, err := strconv.ParseInt(words[3], 10, 64)
-	if err != nil || lifeMillis < 1 {
+	lifetimeMillis, err := strconv.ParseInt(words[3], 10, 64)
+	if err != nil || lifetimeMillis < 1 {
 		return immediate("error")
 	}
-	return s.begin(counterCall{key: words[1], units: units, lifeMillis: lifeMillis}, formatLine)
+	return s.begin(counterCall{key: words[1], units: units, lifetimeMillis: lifetimeMillis}, formatLine)
 }
 
 // formatLine formats a total with seven digits in single precision, as the platform's protocol does.
@@ -183,7 +183,7 @@
 	c := s.counter
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.cut[s.instance] > 0 { // lost on the way
+	if c.cutOff[s.instance] > 0 { // lost on the way
 		c.emulator.log.CountCounterCall(true)
 		return func() string { return "" }
 	}
--- a/internal/lab/emulator/counter_test.go
+++ b/internal/lab/emulator/counter_test.go
@@ -38,9 +38,9 @@
 // during calls f while a fault is active.
 func (c counterTester) during(kind scenario.FaultKind, f func()) {
 	fault := scenario.Fault{Kind: kind, Delay: 300e6}
-	c.e.setFault(fault, 0, true)
+	c.e.setFault(fault, 0, faultBegins)
 	f()
-	c.e.setFault(fault, 0, false)
+	c.e.setFault(fault, 0, faultEnds)
 }
 
 func TestCounter_FaultsAreSeenByClients(t *testing.T) {
@@ -66,7 +66,7 @@
 	c.during(scenario.CounterHang, func() { c.check("hang", c.add(0, 1), "") })
 	time.Sleep(50 * time.Millisecond)
 	c.check("the call that hung was added", c.add(0, 0), "ok 6")
-	e.setFault(scenario.Fault{Kind: scenario.CounterEmpty}, 0, true)
+	e.setFault(scenario.Fault{Kind: scenario.CounterEmpty}, 0, faultBegins)
 	c.check("empty", c.add(0, 1), "ok 1")
 }
 
--- a/internal/lab/emulator/discovery.go
+++ b/internal/lab/emulator/discovery.go
@@ -27,7 +27,7 @@
 	index      int64
 	endpoints  []endpoint    // of each backend
 	changed    chan struct{} // closed at the next change
-	extraDelay time.Duration // of faults, before a change is applied
+	extraDelay time.Duration // of the faults that are active, before a change is applied
 	stale      int           // how many faults of the kind are active; likewise below
 	refusing   int
 	withheld   []func() // changes to apply when the list is no longer stale
@@ -161,11 +161,10 @@
 }
 
 // setStale withholds changes, or applies the changes that were withheld.
-func (d *discovery) setStale(active bool) {
+func (d *discovery) setStale(change faultChange) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.stale += step(active)
-	if d.stale != 0 {
+	if change.count(&d.stale) != lastEdge {
 		return
 	}
 	for _, apply := range d.withheld {
@@ -182,10 +181,10 @@
 
 // setRefusing makes every request end with a broken connection, including those that already watch, or stops
 // that.
-func (d *discovery) setRefusing(active bool) {
+func (d *discovery) setRefusing(change faultChange) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.refusing += step(active)
+	change.count(&d.refusing)
 	d.wakeWatches()
 }
 
@@ -195,17 +194,31 @@
 	return d.refusing > 0
 }
 
-// snapshot returns the whole list, and records its delivery to an instance unless that is noInstance.
-func (d *discovery) snapshot(instance int) endpointList {
+// snapshot returns the whole list.
+func (d *discovery) snapshot() endpointList {
 	d.mu.Lock()
 	defer d.mu.Unlock()
+	return d.wholeList()
+}
+
+// deliverSnapshot returns the whole list, and records its delivery to an instance. A snapshot also delivers
+// an endpoint that is gone, by its absence.
+func (d *discovery) deliverSnapshot(instance int) endpointList {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	for _, listed := range d.endpoints {
+		d.emulator.observeDelivery(instance, listed)
+	}
+	return d.wholeList()
+}
+
+// wholeList returns the endpoints that are not gone. The caller holds the lock.
+func (d *discovery) wholeList() endpointList {
 	list := endpointList{Index: d.index, Snapshot: true, Endpoints: []endpoint{}}
 	for _, listed := range d.endpoints {
 		if listed.state != policy.EndpointGone {
 			list.Endpoints = append(list.Endpoints, listed)
 		}
-		// A snapshot also delivers an endpoint that is gone, by its absence.
-		d.emulator.observeDelivery(instance, listed)
 	}
 	return list
 }
@@ -217,8 +230,8 @@
 	refusing bool
 }
 
-// changesSince returns what has changed after an index, and records its delivery to an instance.
-func (d *discovery) changesSince(index int64, instance int) watchResult {
+// deliverChanges returns what has changed after an index, and records its delivery to an instance.
+func (d *discovery) deliverChanges(index int64, instance int) watchResult {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	delta := endpointList{Index: d.index, Endpoints: []endpoint{}}
@@ -234,9 +247,6 @@
 // observeDelivery records that an instance is about to receive an endpoint. From then on the instance counts
 // as knowing it.
 func (e *Emulator) observeDelivery(instance int, delivered endpoint) {
-	if instance == noInstance {
-		return
-	}
 	e.log.Observe(invariants.Event{
 		Kind:         invariants.EndpointDelivered,
 		Instance:     instance,
--- a/internal/lab/emulator/discovery_handler.go
+++ b/internal/lab/emulator/discovery_handler.go
@@ -26,7 +26,7 @@
 	}
 	index, err := strconv.ParseInt(request.FormValue("index"), 10, 64)
 	if err != nil {
-		writeList(w, d.snapshot(instance))
+		writeList(w, d.deliverSnapshot(instance))
 		return
 	}
 	waitMillis, _ := strconv.ParseInt(request.FormValue("wait"), 10, 64) // no number asks for an answer at once
@@ -40,7 +40,7 @@
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	for {
-		found := d.changesSince(index, instance)
+		found := d.deliverChanges(index, instance)
 		if found.refusing {
 			panic(http.ErrAbortHandler) // breaks the connection
 		}
--- a/internal/lab/emulator/discovery_test.go
+++ b/internal/lab/emulator/discovery_test.go
@@ -31,11 +31,11 @@
 
 func TestDiscovery_DeliversChanges(t *testing.T) {
 	e := start(t)
-	setFault := func(kind scenario.FaultKind, active bool) {
-		e.setFault(scenario.Fault{Kind: kind, Delay: 200e6}, 0, active)
+	setFault := func(kind scenario.FaultKind, change faultChange) {
+		e.setFault(scenario.Fault{Kind: kind, Delay: 200e6}, 0, change)
 	}
-	setDraining := func(backend int, active bool) {
-		e.setFault(scenario.Fault{Kind: scenario.BackendDrain}, backend, active)
+	setDraining := func(backend int, change faultChange) {
+		e.setFault(scenario.Fault{Kind: scenario.BackendDrain}, backend, change)
 	}
 	hasOne := func(list endpointList, status string) bool {
 		return len(list.Endpoints) == 1 && list.Endpoints[0].Status == status
@@ -44,29 +44,29 @@
 	if err != nil || !first.Snapshot || len(first.Endpoints) != 2 || first.Endpoints[0].Status != "up" {
 		t.Fatalf("%+v, %v", first, err)
 	}
-	time.AfterFunc(50*time.Millisecond, func() { setDraining(1, true) })
+	time.AfterFunc(50*time.Millisecond, func() { setDraining(1, faultBegins) })
 	next, err := getList(t, e, fmt.Sprintf("?index=%d&wait=3000", first.Index))
 	if err != nil || next.Snapshot || !hasOne(next, "draining") || next.Index <= first.Index {
 		t.Fatalf("%+v, %v", next, err)
 	}
-	setFault(scenario.DiscoveryStale, true)
-	setDraining(1, false)
+	setFault(scenario.DiscoveryStale, faultBegins)
+	setDraining(1, faultEnds)
 	stale, err := getList(t, e, fmt.Sprintf("?index=%d&wait=100", next.Index))
 	if err != nil || len(stale.Endpoints) > 0 {
 		t.Errorf("a stale one delivered %+v, %v", stale, err)
 	}
-	setFault(scenario.DiscoveryStale, false)
+	setFault(scenario.DiscoveryStale, faultEnds)
 	again, err := getList(t, e, fmt.Sprintf("?index=%d&wait=1000", next.Index))
 	if err != nil || !hasOne(again, "up") {
 		t.Errorf("%+v, %v", again, err)
 	}
-	setFault(scenario.DiscoveryRefuse, true)
+	setFault(scenario.DiscoveryRefuse, faultBegins)
 	if _, err := getList(t, e, ""); err == nil {
 		t.Error("one that refuses answered")
 	}
-	setFault(scenario.DiscoveryRefuse, false)
-	setFault(scenario.DiscoveryLate, true)
-	setDraining(0, true)
+	setFault(scenario.DiscoveryRefuse, faultEnds)
+	setFault(scenario.DiscoveryLate, faultBegins)
+	setDraining(0, faultBegins)
 	if early, _ := getList(t, e, ""); early.Endpoints[0].Status != "up" {
 		t.Error("a late one delivered at once")
 	}
--- a/internal/lab/emulator/names.go
+++ b/internal/lab/emulator/dns_updates.go
@@ -56,7 +56,7 @@
 	var file strings.Builder
 	fmt.Fprintf(&file, "$ORIGIN %s\n$TTL %d\n", ZoneOrigin, recordTTLSeconds)
 	file.WriteString("@ IN SOA ns admin 1 3600 600 86400 30\n@ IN NS ns\nns IN A 127.0.0.1\n")
-	for _, listed := range e.discovery.snapshot(noInstance).Endpoints {
+	for _, listed := range e.discovery.snapshot().Endpoints {
 		for _, record := range listed.records() {
 			fmt.Fprintln(&file, record)
 		}
--- a/internal/lab/emulator/emulator.go
+++ b/internal/lab/emulator/emulator.go
@@ -19,10 +19,6 @@
 	"fawnplank/internal/lab/workload"
 )
 
-// noInstance replaces the index of an instance when a list is read for no instance, so that no delivery is
-// recorded.
-const noInstance = -1
-
 // Emulator is everything around the gateway instances of one scenario.
 type Emulator struct {
 	scenario  *scenario.Scenario
@@ -121,7 +117,7 @@
 			"memory_mb": e.scenario.Instances.MemoryMB,
 			"sockets":   e.scenario.Instances.Sockets,
 		},
-		"known":    e.discovery.snapshot(noInstance),
+		"known":    e.discovery.snapshot(),
 		"settings": e.scenario.GatewaySettings(instance),
 	}
 	if !e.scenario.Counter.Off {
@@ -141,37 +137,29 @@
 		}
 		for i, target := range targets {
 			begin := time.Duration(fault.At + scenario.Span(i)*fault.Stagger)
-			e.after(begin, func() { e.setFault(fault, target, true) })
+			e.after(begin, func() { e.setFault(fault, target, faultBegins) })
 			if fault.Duration > 0 {
-				e.after(begin+time.Duration(fault.Duration), func() { e.setFault(fault, target, false) })
+				e.after(begin+time.Duration(fault.Duration), func() { e.setFault(fault, target, faultEnds) })
 			}
 		}
 	}
 }
 
-// setFault begins or ends a fault of a target. Faults of a kind may overlap, so the stand-ins count them.
-func (e *Emulator) setFault(fault scenario.Fault, target int, active bool) {
+// setFault begins or ends a fault of a target.
+func (e *Emulator) setFault(fault scenario.Fault, target int, change faultChange) {
 	switch fault.Kind {
 	case scenario.BackendRefuse, scenario.BackendHang, scenario.BackendSlow, scenario.BackendReset,
 		scenario.BackendGarble, scenario.BackendError, scenario.BackendDrain, scenario.BackendVanish,
 		scenario.BackendRestart, scenario.BackendWithdraw:
-		e.backends[target].setFault(fault, active)
+		e.backends[target].setFault(fault, change)
 	case scenario.CounterRefuse, scenario.CounterHang, scenario.CounterSlow, scenario.CounterEmpty,
 		scenario.CounterCut:
-		e.counter.setFault(fault, target, active)
+		e.counter.setFault(fault, target, change)
 	case scenario.DiscoveryStale:
-		e.discovery.setStale(active)
+		e.discovery.setStale(change)
 	case scenario.DiscoveryLate:
-		e.discovery.addDelay(time.Duration(fault.Delay) * time.Duration(step(active)))
+		e.discovery.addDelay(time.Duration(fault.Delay) * time.Duration(change))
 	case scenario.DiscoveryRefuse:
-		e.discovery.setRefusing(active)
-	}
-}
-
-// step returns what the begin or end of a fault adds to the number of active faults.
-func step(active bool) int {
-	if active {
-		return 1
+		e.discovery.setRefusing(change)
 	}
-	return -1
 }
