--- a/cmd/fawnplank-lab/command_load.go
+++ b/cmd/fawnplank-lab/command_load.go
@@ -1,6 +1,7 @@
 package main
 
 import (
+	"context"
 	"fmt"
 	"strings"
 
@@ -9,6 +10,7 @@
 	"fawnplank/internal/lab/load"
 	"fawnplank/internal/lab/plots"
 	"fawnplank/internal/lab/results"
+	"fawnplank/internal/lab/scenario"
 	"fawnplank/internal/lab/testbed"
 )
 
@@ -53,17 +55,10 @@
 			return fmt.Errorf("--to %s: not on loopback; name an address in 127.0.0.0/8 or [::1]", address)
 		}
 	}
-	settings, err := s.EngineSettings(0)
+	run, err := f.send(command.Context(), s)
 	if err != nil {
 		return err
 	}
-	log := results.NewLog(results.New(s, settings, testbed.SlackNanos))
-	log.Begin()
-	tool := load.New(s, log, f.addresses)
-	tool.Run(command.Context().Done())
-	run := log.Finish()
-	run.On = results.OnClients
-	run.LagP50, run.LagP99 = tool.Lag()
 	if f.outputFile != "" {
 		if err := run.Write(f.outputFile); err != nil {
 			return err
@@ -72,6 +67,22 @@
 	return plots.Table(command.OutOrStdout(), run)
 }
 
+// send sends the scenario's requests until they are answered or ctx ends, and returns what the clients saw.
+func (f *loadFlags) send(ctx context.Context, s *scenario.Scenario) (*results.Run, error) {
+	settings, err := s.EngineSettings(0)
+	if err != nil {
+		return nil, err
+	}
+	log := results.NewLog(results.New(s, settings, testbed.SlackNanos))
+	log.Begin()
+	tool := load.New(s, log, f.addresses)
+	tool.Run(ctx.Done())
+	run := log.Finish()
+	run.On = results.OnClients
+	run.LagP50, run.LagP99 = tool.Lag()
+	return run, nil
+}
+
 // isLoopback reports whether an address is on this machine's loopback. The load tool sends to no other
 // address: it must not put load on what others run.
 func isLoopback(address string) bool {
--- a/cmd/fawnplank-lab/command_run.go
+++ b/cmd/fawnplank-lab/command_run.go
@@ -102,11 +102,11 @@
 			return err
 		}
 	}
-	return brokenRules(name, run)
+	return checkRules(name, run)
 }
 
-// brokenRules returns an error if a run broke a rule.
-func brokenRules(name string, run *results.Run) error {
+// checkRules returns an error if a run broke a rule.
+func checkRules(name string, run *results.Run) error {
 	violations := run.Violations()
 	if violations == 0 {
 		return nil
--- a/cmd/fawnplank-lab/command_standins.go
+++ b/cmd/fawnplank-lab/command_standins.go
@@ -69,13 +69,9 @@
 		return err
 	}
 	defer standIns.Close()
-	var addresses []string
-	for index := range s.Instances.Count {
-		address, err := f.configure(command, standIns, index)
-		if err != nil {
-			return err
-		}
-		addresses = append(addresses, address)
+	addresses, err := f.configureGateways(command, standIns, s.Instances.Count)
+	if err != nil {
+		return err
 	}
 	printf(command, "fawnplank lab load %s --to %s\n", path, strings.Join(addresses, ","))
 	log.Begin()
@@ -84,9 +80,24 @@
 	return nil
 }
 
-// configure writes the configuration of a gateway, prints how to start it, and returns the address that it
-// will listen on.
-func (f *standInsFlags) configure(
+// configureGateways configures all gateways and returns the addresses that they will listen on.
+func (f *standInsFlags) configureGateways(
+	command *cobra.Command, standIns *emulator.Emulator, count int,
+) ([]string, error) {
+	var addresses []string
+	for index := range count {
+		address, err := f.configureGateway(command, standIns, index)
+		if err != nil {
+			return nil, fmt.Errorf("configure gateway %d: %w", index, err)
+		}
+		addresses = append(addresses, address)
+	}
+	return addresses, nil
+}
+
+// configureGateway writes the configuration of a gateway, prints how to start it, and returns the address
+// that it will listen on.
+func (f *standInsFlags) configureGateway(
 	command *cobra.Command, standIns *emulator.Emulator, index int,
 ) (string, error) {
 	address, err := testbed.FreeAddress(command.Context())
--- a/cmd/fawnplank-lab/command_sweep.go
+++ b/cmd/fawnplank-lab/command_sweep.go
@@ -60,7 +60,7 @@
 		return err
 	}
 	for _, run := range runs {
-		if err := brokenRules(run.Label, run); err != nil {
+		if err := checkRules(run.Label, run); err != nil {
 			return err
 		}
 	}
--- a/cmd/fawnplank-lab/command_test.go
+++ b/cmd/fawnplank-lab/command_test.go
@@ -54,8 +54,8 @@
 	}
 }
 
-// TestCheck prints a line for each scenario that is in order.
-func TestCheck(t *testing.T) {
+// TestCheck_PrintsOneLineForScenario prints a line for each scenario that is in order.
+func TestCheck_PrintsOneLineForScenario(t *testing.T) {
 	output, err := execute(t, "check", calmScenario)
 	if err != nil {
 		t.Fatal(err)
@@ -65,8 +65,8 @@
 	}
 }
 
-// TestRun_OnModel plays a scenario, and writes its results and a picture.
-func TestRun_OnModel(t *testing.T) {
+// TestRun_WritesResultsAndPicture plays a scenario, and writes its results and a picture.
+func TestRun_WritesResultsAndPicture(t *testing.T) {
 	folder := t.TempDir()
 	file := filepath.Join(folder, "run.json")
 	picture := filepath.Join(folder, "run.svg")
@@ -95,8 +95,8 @@
 	}
 }
 
-// TestSweep plays a scenario once for each value, in their order.
-func TestSweep(t *testing.T) {
+// TestSweep_PlaysValuesInOrder plays a scenario once for each value, in their order.
+func TestSweep_PlaysValuesInOrder(t *testing.T) {
 	output, err := execute(t, "sweep", calmScenario, "doors.count=2,3,4", "--set", "duration=1s")
 	if err != nil {
 		t.Fatal(err)
@@ -146,7 +146,7 @@
 	}
 }
 
-func TestIsLoopback(t *testing.T) {
+func TestIsLoopback_AcceptsNoOtherAddress(t *testing.T) {
 	for address, want := range map[string]bool{
 		"127.0.0.1:1": true, "127.9.0.1:1": true, "[::1]:1": true, "localhost:1": true,
 		"10.0.0.1:1": false, "[::2]:1": false, "example.org:1": false, "": false,
