--- a/internal/lab/accounts/accounts_test.go
+++ b/internal/lab/accounts/accounts_test.go
@@ -8,10 +8,10 @@
 	"time"
 )
 
-// TestMeasure measures one client for a moment, without TLS and with it: every cost is above 0, and abandoned
-// reservations are released. One at a time, since two clusters that look for free ports at once take each
-// other's.
-func TestMeasure(t *testing.T) {
+// TestMeasure_EveryCostIsAboveZero measures one client for a moment, without TLS and with it: every cost is
+// above 0, and abandoned reservations are released. One at a time, since two clusters that look for free ports
+// at once take each other's.
+func TestMeasure_EveryCostIsAboveZero(t *testing.T) {
 	for name, secure := range map[string]bool{"plain": false, "TLS": true} {
 		t.Run(name, func(t *testing.T) {
 			options := Options{TLS: secure, Clients: 1, Duration: 100 * time.Millisecond}
@@ -42,8 +42,8 @@
 	}
 }
 
-// TestTable compares a table with its text.
-func TestTable(t *testing.T) {
+// TestTable_AlignsCosts compares a table with its text.
+func TestTable_AlignsCosts(t *testing.T) {
 	var text strings.Builder
 	err := Table(&text, []Cost{{
 		TLS: true, Clients: 8, CommandsPerSecond: 2660, CommandP50: 2.9, CommandP99: 7.2,
--- a/internal/lab/accounts/cluster.go
+++ b/internal/lab/accounts/cluster.go
@@ -94,15 +94,15 @@
 func newPeers(ctx context.Context, ids ...string) ([]store.Peer, error) {
 	var peers []store.Peer
 	for _, id := range ids {
-		raft, err := freeAddress(ctx)
+		raftAddress, err := freeAddress(ctx)
 		if err != nil {
 			return nil, err
 		}
-		api, err := freeAddress(ctx)
+		apiAddress, err := freeAddress(ctx)
 		if err != nil {
 			return nil, err
 		}
-		peers = append(peers, store.Peer{ID: id, Raft: raft, API: api})
+		peers = append(peers, store.Peer{ID: id, Raft: raftAddress, API: apiAddress})
 	}
 	return peers, nil
 }
@@ -112,6 +112,8 @@
 	return config.Listen(ctx, "tcp", "127.0.0.1:0")
 }
 
+// freeAddress returns an address of loopback that nothing listens on. Another process may take it before it
+// is used; then the replica fails to start.
 func freeAddress(ctx context.Context) (string, error) {
 	listener, err := listen(ctx)
 	if err != nil {
--- a/internal/lab/accounts/doc.go
+++ b/internal/lab/accounts/doc.go
@@ -1,4 +1,5 @@
-// Package accounts measures what plan changes and reservations cost. Three replicas of the store, each with
+// Package accounts measures what billing costs: the commands that reserve and commit, the release of
+// abandoned reservations, and the time that billing adds to a request. Three replicas of the store, each with
 // an instance of the billing service, run in this process on loopback. Clients send the limit server's
 // commands to one of them, with or without TLS between all of them.
 //
--- a/internal/lab/accounts/measure.go
+++ b/internal/lab/accounts/measure.go
@@ -32,7 +32,7 @@
 	CommandsPerSecond float64 // a reservation, then a commit
 	CommandP50        float64
 	CommandP99        float64
-	Release           float64 // of an abandoned reservation after the end of its lease; the worst of those tried
+	Release           float64 // of an abandoned reservation after the end of its lease; the worst measured
 	ReleaseBound      float64 // the bound that is stated for Release
 	OrdinaryPathNanos float64 // by how much billing lengthens a request
 }
@@ -41,7 +41,7 @@
 	// electionTimeout is how long clients wait for the replicas to elect a leader: an election takes a second
 	// or so.
 	electionTimeout = 10 * time.Second
-	// abandonedReservations is how many are tried, one after the other, as each waits for a compaction.
+	// abandonedReservations is how many are measured, one after the other, as each waits for a compaction.
 	abandonedReservations = 5
 	// abandonedUnits is how many units each reserves: far below the quota.
 	abandonedUnits = billing.Units(1e6)
--- a/internal/lab/dnsbench/dnsbench.go
+++ b/internal/lab/dnsbench/dnsbench.go
@@ -63,8 +63,10 @@
 	return text.String()
 }
 
+// backendAddress returns an address of loopback that no other backend has.
 func backendAddress(backend int) string {
-	return fmt.Sprintf("127.%d.%d.%d", 1+backend/62500, backend/250%250, 1+backend%250)
+	const octet = 250 // values of an octet that are used: neither 0 nor 255 ends an address
+	return fmt.Sprintf("127.%d.%d.%d", 1+backend/(octet*octet), backend/octet%octet, 1+backend%octet)
 }
 
 // Measure measures zones of the given sizes: first with updates one after the other, then for a time with
--- a/internal/lab/dnsbench/dnsbench_test.go
+++ b/internal/lab/dnsbench/dnsbench_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// TestMeasure measures a small zone for a moment: every cost is above 0.
-func TestMeasure(t *testing.T) {
+// TestMeasure_EveryCostIsAboveZero measures a small zone for a moment: every cost is above 0.
+func TestMeasure_EveryCostIsAboveZero(t *testing.T) {
 	costs, err := Measure(t.Context(), []int{20}, 10, 50*time.Millisecond)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/lab/model/model_test.go
+++ b/internal/lab/model/model_test.go
@@ -150,9 +150,9 @@
 	}
 }
 
-// TestRun_CounterLosesNumbers empties the counter: tenants far beyond their quotas have again what it lost,
-// until the instances reconcile.
-func TestRun_CounterLosesNumbers(t *testing.T) {
+// TestRun_EmptiedCounterAdmitsBeyondQuota empties the counter: tenants far beyond their quotas have again what
+// it lost, until the instances reconcile.
+func TestRun_EmptiedCounterAdmitsBeyondQuota(t *testing.T) {
 	const empty = "[[fault]]\nkind = \"counter-empty\"\nat = \"6s\"\n"
 	with := runSmall(t, empty, "load.rate=2000")
 	without := runSmall(t, "", "load.rate=2000")
--- a/internal/lab/plots/panels.go
+++ b/internal/lab/plots/panels.go
@@ -18,6 +18,11 @@
 	lineWidth = 1.2
 	// minFaultSeconds is the least width that a fault is drawn with.
 	minFaultSeconds = 0.1
+	// maxObjectiveRatio is how far beyond the highest value an objective is still drawn. One that is higher
+	// would flatten the curves.
+	maxObjectiveRatio = 1.5
+	// objectiveHeadroom is the factor by which an axis exceeds the objective.
+	objectiveHeadroom = 1.05
 )
 
 // curve is one line of a panel.
@@ -115,7 +120,7 @@
 	return e
 }
 
-// plots draws the panel for each run.
+// plots returns a plot of the panel for each run.
 func (p panel) plots(runs []*results.Run) ([]*plot.Plot, error) {
 	axes := p.extentOf(runs)
 	var row []*plot.Plot
@@ -130,9 +135,9 @@
 		if err := p.addCurves(plt, run); err != nil {
 			return nil, err
 		}
-		if p.hasObjective && run.LatencyObjective <= 1.5*axes.top {
+		if p.hasObjective && run.LatencyObjective <= maxObjectiveRatio*axes.top {
 			addObjective(plt, run.LatencyObjective)
-			axes.top = math.Max(axes.top, run.LatencyObjective*1.05)
+			axes.top = math.Max(axes.top, run.LatencyObjective*objectiveHeadroom)
 		}
 		plt.Legend.Top = true
 		plt.X.Min = 0
@@ -161,7 +166,8 @@
 // addFaults shades the time of each fault.
 func addFaults(plt *plot.Plot, run *results.Run, top float64) error {
 	for _, fault := range run.Faults {
-		from, until := fault.From, math.Max(fault.Until, fault.From+minFaultSeconds)
+		from := fault.From
+		until := math.Max(fault.Until, from+minFaultSeconds)
 		corners := plotter.XYs{{X: from, Y: 0}, {X: until, Y: 0}, {X: until, Y: top}, {X: from, Y: top}}
 		box, err := plotter.NewPolygon(corners)
 		if err != nil {
--- a/internal/lab/plots/sweep.go
+++ b/internal/lab/plots/sweep.go
@@ -12,8 +12,12 @@
 	"fawnplank/internal/lab/results"
 )
 
-// sweepInches is the width and height of a sweep's picture.
-const sweepInches = 7
+const (
+	// sweepInches is the width and height of a sweep's picture.
+	sweepInches = 7
+	// sweepMargin is the space beside the outermost values, as a part of the distance between two.
+	sweepMargin = 0.3
+)
 
 // sweepCurve is one line of a sweep's panel: one figure of each whole run.
 type sweepCurve struct {
@@ -94,7 +98,7 @@
 	}
 	plt.Legend.Top = true
 	plt.Y.Max *= legendHeadroom
-	plt.X.Min = -0.3
-	plt.X.Max = float64(len(runs)) - 0.7
+	plt.X.Min = -sweepMargin
+	plt.X.Max = float64(len(runs)) - (1 - sweepMargin)
 	return plt, nil
 }
