--- a/internal/lab/accounts/client.go
+++ b/internal/lab/accounts/client.go
@@ -34,6 +34,9 @@
 	duration         time.Duration
 }
 
+// errNotReserved reports a reservation that was refused, as all are while the replicas have no leader.
+var errNotReserved = errors.New("accounts: reserve")
+
 // client is a connection to the limit server.
 type client struct {
 	conn   net.Conn
@@ -58,31 +61,57 @@
 	}
 	for n := 0; !isOver(); n++ {
 		tenant := tenantID(options.index*tenantsPerClient + n%tenantsInTurn)
-		start := time.Now()
-		epoch, err := c.send(fmt.Sprintf("RESERVE.NEW %s r%d %s %s 1 30000", tenant, n, keyName, planName))
-		if err != nil {
-			return latencies, err
-		}
-		if _, err := strconv.Atoi(epoch); err != nil { // no leader yet
-			if time.Now().After(options.electionDeadline) {
-				return latencies, fmt.Errorf("accounts: reserve: %s", strings.TrimSpace(epoch))
-			}
+		measured, err := c.reserveAndCommit(tenant, n)
+		if errors.Is(err, errNotReserved) && !time.Now().After(options.electionDeadline) {
 			time.Sleep(electionRetryInterval)
 			continue
 		}
-		reserved := time.Now()
-		if err := c.commit(tenant, n, epoch); err != nil {
+		if err != nil {
 			return latencies, err
 		}
 		if firstSuccess.IsZero() {
 			firstSuccess = time.Now()
 			continue
 		}
-		latencies = append(latencies, reserved.Sub(start), time.Since(reserved))
+		latencies = append(latencies, measured.reserve, measured.commit)
 	}
 	return latencies, nil
 }
 
+// commandLatencies are the latencies of a reservation's two commands.
+type commandLatencies struct{ reserve, commit time.Duration }
+
+// reserveAndCommit reserves a unit and commits it. It returns errNotReserved, with the answer, if the unit
+// was not reserved.
+func (c *client) reserveAndCommit(tenant string, reservation int) (commandLatencies, error) {
+	var measured commandLatencies
+	start := time.Now()
+	epoch, err := c.reserve(tenant, reservation)
+	if err != nil {
+		return measured, err
+	}
+	reserved := time.Now()
+	if err := c.commit(tenant, reservation, epoch); err != nil {
+		return measured, err
+	}
+	measured.reserve = reserved.Sub(start)
+	measured.commit = time.Since(reserved)
+	return measured, nil
+}
+
+// reserve reserves one unit and returns the reservation's epoch.
+func (c *client) reserve(tenant string, reservation int) (epoch string, err error) {
+	command := fmt.Sprintf("RESERVE.NEW %s r%d %s %s 1 30000", tenant, reservation, keyName, planName)
+	answer, err := c.send(command)
+	if err != nil {
+		return "", err
+	}
+	if _, err := strconv.Atoi(answer); err != nil { // an error's line, not an epoch
+		return "", fmt.Errorf("%w: %s", errNotReserved, strings.TrimSpace(answer))
+	}
+	return answer, nil
+}
+
 func dial(ctx context.Context, address string, certificates *tlsconfig.Source) (*client, error) {
 	var dialer net.Dialer
 	conn, err := dialer.DialContext(ctx, "tcp", address)
