--- a/cmd/fawnplank-lab/command_report.go
+++ b/cmd/fawnplank-lab/command_report.go
@@ -7,15 +7,12 @@
 	"fawnplank/internal/lab/results"
 )
 
-// maxReportRuns is how many runs fit side by side.
-const maxReportRuns = 4
-
 func reportCommand() *cobra.Command {
 	var pictureFile string
 	command := &cobra.Command{
 		Use:     "report RUN...",
 		Short:   "Tabulate and draw recorded runs, up to four side by side",
-		Args:    cobra.RangeArgs(1, maxReportRuns),
+		Args:    cobra.RangeArgs(1, plots.MaxRuns),
 		Example: "  fawnplank lab report before.json after.json -o change.png",
 		RunE: func(command *cobra.Command, args []string) error {
 			return report(command, args, pictureFile)
--- a/internal/lab/plots/draw.go
+++ b/internal/lab/plots/draw.go
@@ -32,9 +32,11 @@
 	shade  = color.NRGBA{R: 120, G: 120, B: 120, A: 45}
 )
 
+// MaxRuns is how many runs Draw draws side by side.
+const MaxRuns = 4
+
 // Sizes of pictures.
 const (
-	maxColumns   = 4
 	columnInches = 6
 	panelInches  = 2.4
 	pngDPI       = 80
@@ -58,9 +60,9 @@
 	return nil, fmt.Errorf("%s: a picture's name ends in .png or .svg", path)
 }
 
-// Draw draws one run, or up to four side by side, into a PNG or SVG file.
+// Draw draws one run, or up to MaxRuns side by side, into a PNG or SVG file.
 func Draw(path string, runs ...*results.Run) error {
-	if len(runs) == 0 || len(runs) > maxColumns {
+	if len(runs) == 0 || len(runs) > MaxRuns {
 		return fmt.Errorf("%d runs: one to four stand side by side", len(runs))
 	}
 	grid, err := buildGrid(runs)
--- a/internal/lab/scenario/validate.go
+++ b/internal/lab/scenario/validate.go
@@ -84,19 +84,20 @@
 	} {
 		v.require(number.value >= 1 && number.value <= maxNumber, number.key, "is not at least 1")
 	}
-	v.require(s.Instances.Count <= maxInstances, "doors.count", "is above 5000")
-	v.require(s.Backends.Count <= maxBackends, "backends.count", "is above 50000")
+	v.require(s.Instances.Count <= maxInstances, "doors.count", "is above %d", maxInstances)
+	v.require(s.Backends.Count <= maxBackends, "backends.count", "is above %d", maxBackends)
 }
 
 func (s *Scenario) validateSockets(v *validator) {
 	if s.On != OnSockets {
 		return
 	}
-	v.require(s.Instances.Count <= maxSocketInstances, "doors.count", "is above 16, which is most on sockets")
+	v.require(s.Instances.Count <= maxSocketInstances,
+		"doors.count", "is above %d, which is most on sockets", maxSocketInstances)
 	v.require(s.Backends.Count <= maxSocketBackends,
-		"backends.count", "is above 64, which is most on sockets")
-	v.require(s.Instances.MemoryMB >= minMemoryMB, "doors.memory_mb", "is below 16")
-	v.require(s.Instances.Sockets >= minSockets, "doors.sockets", "is below 64")
+		"backends.count", "is above %d, which is most on sockets", maxSocketBackends)
+	v.require(s.Instances.MemoryMB >= minMemoryMB, "doors.memory_mb", "is below %d", minMemoryMB)
+	v.require(s.Instances.Sockets >= minSockets, "doors.sockets", "is below %d", minSockets)
 }
 
 // validateParties checks discovery, backends and counter.
@@ -108,7 +109,7 @@
 	v.require(s.Load.EntryPoints <= s.Instances.Count, "load.spread", "is above doors.count")
 	v.require(s.Backends.Work > 0, "backends.work", "is not above 0")
 	v.require(s.Backends.Spread >= 0 && s.Backends.Spread <= maxSpread,
-		"backends.spread", "is not from 0 to 3")
+		"backends.spread", "is not from 0 to %d", maxSpread)
 	v.require(s.Backends.Queue >= 0, "backends.queue", "is below 0")
 	v.require(s.Counter.Timeout > 0, "counter.timeout", "is not above 0")
 	protocol := s.Counter.Protocol
@@ -121,9 +122,9 @@
 	v.require(load.Rate > 0 && load.Rate <= maxRate, "load.rate", "is not above 0 and at most 1e6")
 	v.require(load.Arrivals == ArrivalsPoisson || load.Arrivals == ArrivalsFixed,
 		"load.arrivals", "is not poisson or fixed")
-	v.require(load.Units >= 1 && load.Units <= maxUnits, "load.units", "is not from 1 to 1000")
-	v.require(load.Skew >= 0 && load.Skew <= maxSkew, "load.skew", "is not from 0 to 5")
-	v.require(load.Retries >= 0 && load.Retries <= maxRetries, "load.retries", "is not from 0 to 20")
+	v.require(load.Units >= 1 && load.Units <= maxUnits, "load.units", "is not from 1 to %d", maxUnits)
+	v.require(load.Skew >= 0 && load.Skew <= maxSkew, "load.skew", "is not from 0 to %d", maxSkew)
+	v.require(load.Retries >= 0 && load.Retries <= maxRetries, "load.retries", "is not from 0 to %d", maxRetries)
 }
 
 func (s *Scenario) validateRules(v *validator) {
@@ -175,7 +176,8 @@
 	v.require(traits.needs != delayParameter || fault.Delay > 0, path+"delay", "is not above 0")
 	v.require(fault.Share >= 0 && fault.Share <= 1, path+"share", "is not from 0 to 1")
 	v.require(fault.Stagger >= 0, path+"each", "is below 0")
-	v.require(fault.Repeats >= 0 && fault.Repeats <= maxRepeats, path+"times", "is not from 0 to 10000")
+	v.require(fault.Repeats >= 0 && fault.Repeats <= maxRepeats, path+"times",
+		"is not from 0 to %d", maxRepeats)
 	v.require(fault.Repeats <= 1 || fault.RepeatInterval > 0, path+"every", "is not above 0")
 	s.validateTargets(v, path, fault)
 }
