--- a/internal/lab/emulator/backend.go
+++ b/internal/lab/emulator/backend.go
@@ -53,7 +53,8 @@
 // backendSession is a connection from an instance.
 type backendSession struct {
 	net.Conn
-	mu    sync.Mutex
+
+	mu    sync.Mutex // guards what follows
 	ended bool
 }
 
@@ -89,7 +90,8 @@
 	session := &backendSession{Conn: conn}
 	previous := make(chan struct{})
 	close(previous)
-	for reader := redcon.NewReader(conn); ; {
+	reader := redcon.NewReader(conn)
+	for {
 		command, err := reader.ReadCommand()
 		if err != nil {
 			session.markEnded()
--- a/internal/lab/emulator/counter_protocol.go
+++ b/internal/lab/emulator/counter_protocol.go
@@ -82,7 +82,8 @@
 }
 
 func (s *counterSession) readCommands(in *bufio.Reader) {
-	for reader := redcon.NewReader(in); ; {
+	reader := redcon.NewReader(in)
+	for {
 		command, err := reader.ReadCommand()
 		if err != nil || !s.enqueue(s.handleCommand(command.Args)) {
 			return
--- a/internal/lab/emulator/emulator.go
+++ b/internal/lab/emulator/emulator.go
@@ -4,8 +4,8 @@
 // log.
 //
 // An Emulator owns its listeners, connections and timers, and Close frees them. Every wait in it is bounded
-// or ends with Close. It listens only on 127.0.0.1. Its methods are safe for concurrent use once Start has
-// returned.
+// or ends with Close. Close does not wait for the goroutines of connections, which end within their bounds.
+// An Emulator listens only on 127.0.0.1. Its methods are safe for concurrent use once Start has returned.
 package emulator
 
 import (
--- a/internal/lab/emulator/listener.go
+++ b/internal/lab/emulator/listener.go
@@ -23,7 +23,7 @@
 	address string
 	serve   func(net.Conn) // returns once the connection has ended
 
-	mu          sync.Mutex
+	mu          sync.Mutex   // guards what follows
 	socket      net.Listener // nil while closed
 	connections map[net.Conn]bool
 	paused      chan struct{} // if not nil, new connections come up and are served once it is closed
