--- a/internal/dispatch/attempt.go
+++ b/internal/dispatch/attempt.go
@@ -156,5 +156,5 @@
 		RequestDone: r.finished,
 		TrueUnits:   actualUnits,
 	})
-	r.release()
+	r.forgetIfDone()
 }
--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -61,9 +61,14 @@
 	alarmAt     int64  // when the alarm goes off; 0: not set
 	wakeMark    uint64 // of the latest wake-up that replaces earlier ones
 	// What the engine requested during a call; it is carried out once that call has returned.
-	endedAttempts  []endedAttempt
-	counterCalled  bool
-	healthChecksOf []policy.BackendID
+	endedAttempts []endedAttempt
+	networkWork   networkWork
+}
+
+// networkWork is what remains to be done without the lock after a call into the engine.
+type networkWork struct {
+	flushCounter    bool
+	backendsToCheck []policy.BackendID
 }
 
 // endedAttempt is an attempt that was ended during a call into the engine.
@@ -112,18 +117,18 @@
 // do makes one call into the engine with the lock held, then carries out what the engine requested of the
 // network without the lock. A panic propagates to the caller, whose connection it ends; the lock is released.
 func (d *Dispatcher) do(call func(now int64)) {
-	counterCalled, healthChecksOf := d.doLocked(call)
-	if counterCalled {
+	work := d.callEngine(call)
+	if work.flushCounter {
 		d.counter.Flush()
 	}
-	for _, backend := range healthChecksOf {
+	for _, backend := range work.backendsToCheck {
 		d.healthChecker.CheckHealth(backend)
 	}
 }
 
-// doLocked makes one call into the engine and reports the attempts that the call ended. It returns the work
-// that remains to be done without the lock.
-func (d *Dispatcher) doLocked(call func(now int64)) (counterCalled bool, healthChecksOf []policy.BackendID) {
+// callEngine takes the lock for one call into the engine, and reports the attempts that the call ended. It
+// returns the work that remains to be done without the lock.
+func (d *Dispatcher) callEngine(call func(now int64)) networkWork {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	defer d.setAlarm() // after a panic too: otherwise due timers would wait for the next call
@@ -133,11 +138,9 @@
 		d.endedAttempts = d.endedAttempts[1:]
 		ended.attempt.settle(ended.outcome, 0)
 	}
-	counterCalled = d.counterCalled
-	healthChecksOf = d.healthChecksOf
-	d.counterCalled = false
-	d.healthChecksOf = nil
-	return counterCalled, healthChecksOf
+	work := d.networkWork
+	d.networkWork = networkWork{}
+	return work
 }
 
 // noteEnded records that an attempt ended, so that its outcome is reported once the engine's call has
@@ -158,13 +161,13 @@
 func (d *Dispatcher) UpdateEndpoints(kind policy.UpdateKind, endpoints []policy.Endpoint) {
 	d.do(func(now int64) {
 		d.engine.UpdateEndpoints(now, kind, endpoints)
-		d.cancelWaitingAttempts(kind, endpoints)
+		d.cancelUnusableAttempts(kind, endpoints)
 	})
 }
 
-// cancelWaitingAttempts cancels attempts that have not started and whose backends the update takes out of
+// cancelUnusableAttempts cancels attempts that have not started and whose backends the update takes out of
 // use.
-func (d *Dispatcher) cancelWaitingAttempts(kind policy.UpdateKind, endpoints []policy.Endpoint) {
+func (d *Dispatcher) cancelUnusableAttempts(kind policy.UpdateKind, endpoints []policy.Endpoint) {
 	states := make(map[policy.BackendID]policy.EndpointState, len(endpoints))
 	for _, endpoint := range endpoints {
 		states[endpoint.Backend] = endpoint.State
@@ -191,12 +194,12 @@
 	d.do(func(now int64) { d.engine.HandleHealthCheck(now, backend, outcomeOf(err)) })
 }
 
-// QuotaStatus returns what is known of the quota of a tenant whose requests arrive through the given number
-// of instances. It counts nothing. ok is false if there is no such plan.
+// QuotaStatus returns what is known of the quota of a tenant whose requests arrive through entryPoints
+// instances. It counts nothing. ok is false if there is no such plan.
 func (d *Dispatcher) QuotaStatus(
-	tenant policy.TenantID, plan policy.PlanID, entries int,
+	tenant policy.TenantID, plan policy.PlanID, entryPoints int,
 ) (status policy.QuotaStatus, ok bool) {
-	d.do(func(now int64) { status, ok = d.engine.QuotaStatus(now, tenant, plan, entries) })
+	d.do(func(now int64) { status, ok = d.engine.QuotaStatus(now, tenant, plan, entryPoints) })
 	return status, ok
 }
 
--- a/internal/dispatch/effects.go
+++ b/internal/dispatch/effects.go
@@ -81,12 +81,13 @@
 // AddToCounter passes a call to the counter, which is flushed when the engine's call has returned.
 func (e effects) AddToCounter(key policy.CounterKey, units float64, lifetimeNanos int64) {
 	e.dispatcher.counter.Add(key, units, time.Duration(lifetimeNanos))
-	e.dispatcher.counterCalled = true
+	e.dispatcher.networkWork.flushCounter = true
 }
 
 // CheckHealth records a requested health check, which is started when the engine's call has returned.
 func (e effects) CheckHealth(backend policy.BackendID) {
-	e.dispatcher.healthChecksOf = append(e.dispatcher.healthChecksOf, backend)
+	work := &e.dispatcher.networkWork
+	work.backendsToCheck = append(work.backendsToCheck, backend)
 }
 
 // WatchEndpoints asks for the list of backends.
--- a/internal/dispatch/request.go
+++ b/internal/dispatch/request.go
@@ -98,7 +98,7 @@
 			EntryPoints:   spec.EntryPoints,
 			FirstInstance: spec.FirstInstance,
 		})
-		r.release()
+		r.forgetIfDone()
 	})
 	return r
 }
@@ -119,7 +119,7 @@
 		}
 		r.finish(Step{Action: Discard})
 		r.engineRequest.HandleClientGone(now)
-		r.release()
+		r.forgetIfDone()
 	})
 }
 
@@ -132,7 +132,7 @@
 	r.finalStep = step
 	r.cancelWaitingAttempts()
 	r.steps <- nil
-	r.release() // a counter result or a timer may finish it with no attempt in flight
+	r.forgetIfDone() // a counter result or a timer may finish it with no attempt in flight
 }
 
 // cancelWaitingAttempts cancels the attempts that still wait for a connection. Without it, if the settings
@@ -146,9 +146,9 @@
 	}
 }
 
-// release forgets the request once nothing more can happen to it. It does nothing until the engine's Submit
+// forgetIfDone forgets the request if nothing more can happen to it. It does nothing until the engine's Submit
 // has returned. The caller holds the dispatcher's lock.
-func (r *Request) release() {
+func (r *Request) forgetIfDone() {
 	if r.engineRequest != nil && r.engineRequest.Done() {
 		delete(r.dispatcher.requests, r.id)
 	}
