--- a/cmd/fawnplank/reload.go
+++ b/cmd/fawnplank/reload.go
@@ -12,63 +12,62 @@
 // reload reads the configuration again and applies it as a whole. If the configuration is faulty, nothing
 // changes.
 func (g *gateway) reload() {
-	fresh := g.reloadConfiguration()
-	if fresh == nil {
+	updated, err := g.readUpdatedConfiguration()
+	if err != nil {
+		logging.For("config").WithError(err).Error("configuration not reloaded")
 		g.metrics.ConfigRejected()
 		return
 	}
+	merged := mergeReloadable(g.configuration, updated)
+	g.counter.SetAddress(merged.Counter)
+	g.discovery.SetAddress(merged.Discovery, merged.Settings)
+	logging.For("config").WithFields(logrus.Fields{
+		"discovery": merged.Discovery,
+		"counter":   merged.Counter,
+		"classes":   len(merged.Classes),
+	}).Info("configuration reloaded")
+	if !reflect.DeepEqual(merged, updated) {
+		logging.For("config").WithField("keys", "listen, mgmt, limits, seed").
+			Warn("configuration changes need a restart")
+	}
 	g.metrics.ConfigReloaded()
-	g.dispatcher.UpdateSettings(fresh.Settings)
-	g.server.UpdateSettings(fresh)
-	g.limits.UpdateSettings(limitSettings(fresh, g.operator))
+	g.dispatcher.UpdateSettings(merged.Settings)
+	g.server.UpdateSettings(merged)
+	g.limits.UpdateSettings(limitSettings(merged, g.operator))
 	g.zone.Reload()
-	g.accounts.UpdateSettings(fresh, g.operator)
-	g.metrics.SetClasses(classNames(fresh))
-	g.configuration = fresh
+	g.accounts.UpdateSettings(merged, g.operator)
+	g.metrics.SetClasses(classNames(merged))
+	g.configuration = merged
 }
 
-// reloadConfiguration reads the configuration again and switches the counter and discovery to the addresses
-// that it names. It returns the configuration to continue with, in which the ids of classes and plans are
-// consistent with those in force. It returns nil if the new configuration is faulty.
-func (g *gateway) reloadConfiguration() *config.Config {
-	fresh, operator, err := g.loadConfiguration(g.replica.overlay())
+// readUpdatedConfiguration reads the configuration again. The ids of its classes and plans are consistent
+// with those in force. Changes of the operator file take effect only at a start; it logs that there are some.
+func (g *gateway) readUpdatedConfiguration() (*config.Config, error) {
+	updated, operator, err := g.loadConfiguration(g.replica.overlay())
 	if err != nil {
-		logging.For("config").WithError(err).Error("configuration not reloaded")
-		return nil
+		return nil, err
 	}
 	if !reflect.DeepEqual(operator, g.operator) {
 		logging.For("config").Warn("operator file changes need a restart")
 		if _, limitsOn := g.configuration.LimitClass(); limitsOn && operator.Limits.Listen == "" {
-			fresh.AddLimitClass(g.operator) // the limits address continues to be served
+			updated.AddLimitClass(g.operator) // the limits address continues to be served
 		}
 	}
-	fresh.KeepIDs(g.configuration)
-	g.counter.SetAddress(fresh.Counter)
-	g.discovery.SetAddress(fresh.Discovery, fresh.Settings)
-	logging.For("config").WithFields(logrus.Fields{
-		"discovery": fresh.Discovery,
-		"counter":   fresh.Counter,
-		"classes":   len(fresh.Classes),
-	}).Info("configuration reloaded")
-	merged := mergeReloadable(g.configuration, fresh)
-	if !reflect.DeepEqual(merged, fresh) {
-		logging.For("config").WithField("keys", "listen, mgmt, limits, seed").
-			Warn("configuration changes need a restart")
-	}
-	return merged
+	updated.KeepIDs(g.configuration)
+	return updated, nil
 }
 
-// mergeReloadable returns the current configuration with every part of the fresh one that takes effect
+// mergeReloadable returns the current configuration with every part of the updated one that takes effect
 // without a restart.
-func mergeReloadable(current, fresh *config.Config) *config.Config {
+func mergeReloadable(current, updated *config.Config) *config.Config {
 	merged := *current
-	merged.Discovery = fresh.Discovery
-	merged.Counter = fresh.Counter
-	merged.KnownEndpoints = fresh.KnownEndpoints
-	merged.Settings = fresh.Settings
-	merged.Classes = fresh.Classes
-	merged.Plans = fresh.Plans
-	merged.Zones = fresh.Zones
-	merged.MaxUnits = fresh.MaxUnits
+	merged.Discovery = updated.Discovery
+	merged.Counter = updated.Counter
+	merged.KnownEndpoints = updated.KnownEndpoints
+	merged.Settings = updated.Settings
+	merged.Classes = updated.Classes
+	merged.Plans = updated.Plans
+	merged.Zones = updated.Zones
+	merged.MaxUnits = updated.MaxUnits
 	return &merged
 }
