--- a/cmd/fawnplank/limits.go
+++ b/cmd/fawnplank/limits.go
@@ -32,29 +32,13 @@
 // serveLimits starts the server of limit commands. It returns nil if the operator file names no address for
 // it.
 func serveLimits(ctx context.Context, options limitsOptions) (*limits, error) {
-	settings := options.Operator.Limits
-	if settings.Listen == "" {
+	if options.Operator.Limits.Listen == "" {
 		return nil, nil
 	}
-	var listenConfig net.ListenConfig
-	listener, err := listenConfig.Listen(ctx, "tcp", settings.Listen)
+	listener, err := listenLimits(ctx, options)
 	if err != nil {
 		return nil, err
 	}
-	if files := settings.TLS(); files.Enabled() {
-		source, err := tlsconfig.New(files)
-		if err != nil {
-			_ = listener.Close() // no connection has been accepted
-			return nil, err
-		}
-		listener = tls.NewListener(listener, source.ServerConfig())
-		options.Metrics.AddGauges(map[string]metrics.Gauge{
-			"limits_certificate_seconds": {
-				Help:  "until the limits' certificate runs out",
-				Value: func() float64 { return source.ExpiresIn().Seconds() },
-			},
-		})
-	}
 	server := newLimitServer(options)
 	registerLimitMetrics(server, options.Metrics)
 	go func() { // ends when limits.Close is called
@@ -66,6 +50,31 @@
 	return &limits{server}, nil
 }
 
+// listenLimits listens on the address that the operator file names, with TLS if it names a certificate.
+func listenLimits(ctx context.Context, options limitsOptions) (net.Listener, error) {
+	settings := options.Operator.Limits
+	var listenConfig net.ListenConfig
+	listener, err := listenConfig.Listen(ctx, "tcp", settings.Listen)
+	if err != nil {
+		return nil, err
+	}
+	if !settings.TLS().Enabled() {
+		return listener, nil
+	}
+	source, err := tlsconfig.New(settings.TLS())
+	if err != nil {
+		_ = listener.Close() // no connection has been accepted
+		return nil, err
+	}
+	options.Metrics.AddGauges(map[string]metrics.Gauge{
+		"limits_certificate_seconds": {
+			Help:  "until the limits' certificate runs out",
+			Value: func() float64 { return source.ExpiresIn().Seconds() },
+		},
+	})
+	return tls.NewListener(listener, source.ServerConfig()), nil
+}
+
 func newLimitServer(options limitsOptions) *limitserver.Server {
 	serverOptions := limitserver.Options{
 		Dispatcher:     options.Dispatcher,
