--- a/cmd/fawnplank/store_client.go
+++ b/cmd/fawnplank/store_client.go
@@ -43,22 +43,27 @@
 	return e.Status + ": " + e.Message
 }
 
+func newStoreStatusError(response *http.Response, body []byte) *storeStatusError {
+	failure := &storeStatusError{Code: response.StatusCode, Status: response.Status}
+	var answer struct {
+		Error string `json:"error"`
+	}
+	if json.Unmarshal(body, &answer) == nil {
+		failure.Message = answer.Error
+	}
+	return failure
+}
+
 // call makes one call and returns the body of the answer.
 func (c storeClient) call(ctx context.Context, method, path string, body []byte) ([]byte, error) {
-	scheme, transport := "http://", &http.Transport{DisableKeepAlives: true}
-	if c.tls.Enabled() {
-		source, err := tlsconfig.New(c.tls)
-		if err != nil {
-			return nil, err
-		}
-		scheme = "https://"
-		transport.TLSClientConfig = source.ClientConfig()
+	client, err := c.httpClient()
+	if err != nil {
+		return nil, err
 	}
-	request, err := http.NewRequestWithContext(ctx, method, scheme+c.address+path, bytes.NewReader(body))
+	request, err := http.NewRequestWithContext(ctx, method, c.url(path), bytes.NewReader(body))
 	if err != nil {
 		return nil, err
 	}
-	client := &http.Client{Timeout: storeCallTimeout, Transport: transport}
 	response, err := client.Do(request)
 	if err != nil {
 		return nil, c.explain(err)
@@ -68,19 +73,32 @@
 	}()
 	text, err := io.ReadAll(response.Body)
 	if err != nil {
-		return nil, err
+		return nil, c.explain(err)
 	}
-	if response.StatusCode == http.StatusOK {
-		return text, nil
+	if response.StatusCode != http.StatusOK {
+		return nil, newStoreStatusError(response, text)
 	}
-	failure := &storeStatusError{Code: response.StatusCode, Status: response.Status}
-	var answer struct {
-		Error string `json:"error"`
+	return text, nil
+}
+
+// httpClient returns a client for one call.
+func (c storeClient) httpClient() (*http.Client, error) {
+	transport := &http.Transport{DisableKeepAlives: true}
+	if c.tls.Enabled() {
+		source, err := tlsconfig.New(c.tls)
+		if err != nil {
+			return nil, err
+		}
+		transport.TLSClientConfig = source.ClientConfig()
 	}
-	if json.Unmarshal(text, &answer) == nil {
-		failure.Message = answer.Error
+	return &http.Client{Timeout: storeCallTimeout, Transport: transport}, nil
+}
+
+func (c storeClient) url(path string) string {
+	if c.tls.Enabled() {
+		return "https://" + c.address + path
 	}
-	return nil, failure
+	return "http://" + c.address + path
 }
 
 // explain adds the remedy to a connection error.
