--- a/cmd/fawnplank/command_billing.go
+++ b/cmd/fawnplank/command_billing.go
@@ -16,18 +16,19 @@
 	args                      int
 }
 
-const exampleTenant = "0000000000000005 "
+// exampleTenant is the tenant in the examples of the help.
+const exampleTenant = "0000000000000005"
 
 var billingVerbs = []billingVerb{
 	{
 		use: "change TENANT ID PLAN AT", word: "PLAN.CHANGE", args: 4,
 		short:   "Change a plan from a moment on (ms since 1970, or +ms)",
-		example: "change " + exampleTenant + "spring-1 large +60000",
+		example: "change " + exampleTenant + " spring-1 large +60000",
 	},
 	{
 		use: "take-back TENANT ID", word: "PLAN.TAKEBACK", args: 2,
 		short:   "Withdraw a change that no gateway applies yet",
-		example: "take-back " + exampleTenant + "spring-1",
+		example: "take-back " + exampleTenant + " spring-1",
 	},
 	{
 		use: "changes TENANT", word: "PLAN.LIST", args: 1,
@@ -37,27 +38,27 @@
 	{
 		use: "reserve TENANT ID HOLDER PLAN UNITS LEASE-MS", word: "RESERVE.NEW", args: 6,
 		short:   "Reserve units; prints the epoch, the units reserved, and until when",
-		example: "reserve " + exampleTenant + "b1 batch-host team 500 60000",
+		example: "reserve " + exampleTenant + " b1 batch-host team 500 60000",
 	},
 	{
 		use: "commit TENANT ID EPOCH UNITS", word: "RESERVE.COMMIT", args: 4,
 		short:   "Turn reserved units into usage",
-		example: "commit " + exampleTenant + "b1 7 20",
+		example: "commit " + exampleTenant + " b1 7 20",
 	},
 	{
 		use: "renew TENANT ID EPOCH LEASE-MS", word: "RESERVE.RENEW", args: 4,
 		short:   "Extend the lease of a reservation",
-		example: "renew " + exampleTenant + "b1 8 60000",
+		example: "renew " + exampleTenant + " b1 8 60000",
 	},
 	{
 		use: "take TENANT ID HOLDER LEASE-MS", word: "RESERVE.TAKE", args: 4,
 		short:   "Move a reservation from its holder to another",
-		example: "take " + exampleTenant + "b1 other-host 60000",
+		example: "take " + exampleTenant + " b1 other-host 60000",
 	},
 	{
 		use: "release TENANT ID EPOCH", word: "RESERVE.RELEASE", args: 3,
 		short:   "Release what is left of a reservation",
-		example: "release " + exampleTenant + "b1 9",
+		example: "release " + exampleTenant + " b1 9",
 	},
 	{
 		use: "reservations TENANT", word: "RESERVE.LIST", args: 1,
@@ -67,7 +68,7 @@
 	{
 		use: "room TENANT PLAN", word: "RESERVE.ROOM", args: 2,
 		short:   "Show how much may still be reserved",
-		example: "room " + exampleTenant + "team",
+		example: "room " + exampleTenant + " team",
 	},
 }
 
--- a/cmd/fawnplank/command_lab.go
+++ b/cmd/fawnplank/command_lab.go
@@ -1,7 +1,7 @@
 package main
 
 import (
-	"errors"
+	"fmt"
 	"os"
 	"os/exec"
 	"path/filepath"
@@ -10,6 +10,7 @@
 	"github.com/spf13/cobra"
 )
 
+// labProgram is the name of the laboratory's own program.
 const labProgram = "fawnplank-lab"
 
 func labCommand() *cobra.Command {
@@ -28,14 +29,15 @@
 func execLab(args []string) error {
 	self, err := os.Executable()
 	if err != nil {
-		return err
+		return fmt.Errorf("lab: find the folder of this program: %w", err)
 	}
 	program := filepath.Join(filepath.Dir(self), labProgram)
 	if _, err := os.Stat(program); err != nil {
 		if program, err = exec.LookPath(labProgram); err != nil {
-			return errors.New("lab: fawnplank-lab is neither beside this program nor on PATH; " +
-				"build it with 'go build -o bin/ ./cmd/...'")
+			return fmt.Errorf("lab: %s is neither beside this program nor on PATH; "+
+				"build it with 'go build -o bin/ ./cmd/...'", labProgram)
 		}
 	}
-	return syscall.Exec(program, append([]string{program}, args...), os.Environ())
+	err = syscall.Exec(program, append([]string{program}, args...), os.Environ()) // returns only if it fails
+	return fmt.Errorf("lab: run %s: %w", program, err)
 }
--- a/cmd/fawnplank/limits_client.go
+++ b/cmd/fawnplank/limits_client.go
@@ -113,7 +113,7 @@
 func readAnswer(reader *bufio.Reader) (string, error) {
 	line, err := reader.ReadString('\n')
 	if err != nil {
-		return "", err
+		return "", fmt.Errorf("no whole answer: %w", err)
 	}
 	line = strings.TrimRight(line, "\r\n")
 	if line == "" {
@@ -136,8 +136,10 @@
 		return "", err
 	}
 	text := make([]byte, length+len("\r\n"))
-	_, err = io.ReadFull(reader, text)
-	return string(text[:length]), err
+	if _, err := io.ReadFull(reader, text); err != nil {
+		return "", fmt.Errorf("no whole answer: %w", err)
+	}
+	return string(text[:length]), nil
 }
 
 func readArray(reader *bufio.Reader, line string) (string, error) {
