--- a/cmd/fawnplank/management.go
+++ b/cmd/fawnplank/management.go
@@ -17,7 +17,7 @@
 	}
 	server, err := admin.New(ctx, admin.Options{
 		Address:  g.configuration.ManagementAddress,
-		Gateway:  managed{g},
+		Gateway:  managedGateway{g},
 		MaxCalls: g.managementCalls(),
 	})
 	if err != nil {
@@ -32,14 +32,14 @@
 	return nil
 }
 
-// managed is the view of the gateway that the management address uses. It is safe for concurrent use.
-type managed struct{ gateway *gateway }
+// managedGateway is the view of the gateway that the management address uses. It is safe for concurrent use.
+type managedGateway struct{ gateway *gateway }
 
-func (m managed) Ready() bool { return m.gateway.ready.Load() && !m.gateway.server.Draining() }
-func (m managed) Drain()      { m.gateway.server.Drain() }
-func (m managed) Resume()     { m.gateway.server.Resume() }
+func (m managedGateway) Ready() bool { return m.gateway.ready.Load() && !m.gateway.server.Draining() }
+func (m managedGateway) Drain()      { m.gateway.server.Drain() }
+func (m managedGateway) Resume()     { m.gateway.server.Resume() }
 
-func (m managed) WriteStats(out io.Writer) {
+func (m managedGateway) WriteStats(out io.Writer) {
 	if err := m.gateway.metrics.Write(out); err != nil {
 		logging.For("admin").WithError(err).Warn("metrics not written")
 	}
--- a/cmd/fawnplank/replica.go
+++ b/cmd/fawnplank/replica.go
@@ -115,7 +115,7 @@
 	}
 	options.KeysChanged(keys)
 	isRow := func(key string) bool {
-		return strings.HasPrefix(key, config.PlanKey) || strings.HasPrefix(key, config.ClassKey)
+		return strings.HasPrefix(key, config.PlanKeyPrefix) || strings.HasPrefix(key, config.ClassKeyPrefix)
 	}
 	if slices.ContainsFunc(keys, isRow) {
 		select {
@@ -126,23 +126,21 @@
 }
 
 // checkRow checks a plan or class before it is written, first alone and then together with this replica's own
-// files. Other replicas check it again with their own files.
+// files. Other replicas check it again with their own files. Any other key may hold any value.
 func checkRow(key string, value json.RawMessage, checkOverlay func(config.Overlay) error) error {
-	var overlay config.Overlay
-	name, isPlan := strings.CutPrefix(key, config.PlanKey)
-	if isPlan {
-		overlay.Plans = map[string]json.RawMessage{name: value}
-	} else {
-		var isClass bool
-		if name, isClass = strings.CutPrefix(key, config.ClassKey); !isClass {
-			return nil
+	check := func(name string, overlay config.Overlay) error {
+		if err := config.CheckRow(name, value); err != nil {
+			return err
 		}
-		overlay.Classes = map[string]json.RawMessage{name: value}
+		return checkOverlay(overlay)
 	}
-	if err := config.CheckRow(name, value); err != nil {
-		return err
+	if name, ok := strings.CutPrefix(key, config.PlanKeyPrefix); ok {
+		return check(name, config.Overlay{Plans: map[string]json.RawMessage{name: value}})
 	}
-	return checkOverlay(overlay)
+	if name, ok := strings.CutPrefix(key, config.ClassKeyPrefix); ok {
+		return check(name, config.Overlay{Classes: map[string]json.RawMessage{name: value}})
+	}
+	return nil
 }
 
 // registerMetrics adds the metric that shows until when the replica's certificate is valid.
@@ -179,5 +177,8 @@
 	if r == nil {
 		return config.Overlay{}
 	}
-	return config.Overlay{Plans: r.ReadPrefix(config.PlanKey), Classes: r.ReadPrefix(config.ClassKey)}
+	return config.Overlay{
+		Plans:   r.ReadPrefix(config.PlanKeyPrefix),
+		Classes: r.ReadPrefix(config.ClassKeyPrefix),
+	}
 }
--- a/internal/config/overlay.go
+++ b/internal/config/overlay.go
@@ -7,11 +7,10 @@
 	"slices"
 )
 
-// Prefixes of the replicated store's keys that hold an overlay's rows. The name of the plan or class follows
-// the prefix.
+// Prefixes of the replicated store's keys that hold an overlay's rows. The name of the plan or class follows.
 const (
-	PlanKey  = "plans/"
-	ClassKey = "classes/"
+	PlanKeyPrefix  = "plans/"
+	ClassKeyPrefix = "classes/"
 )
 
 // Overlay holds the settings rows of the replicated store, by name. A plan or class in the overlay replaces
