--- a/internal/dispatch/request.go
+++ b/internal/dispatch/request.go
@@ -146,8 +146,8 @@
 	}
 }
 
-// forgetIfDone forgets the request if nothing more can happen to it. It does nothing until the engine's Submit
-// has returned. The caller holds the dispatcher's lock.
+// forgetIfDone forgets the request if nothing more can happen to it, but not before the engine's Submit has
+// returned. The caller holds the dispatcher's lock.
 func (r *Request) forgetIfDone() {
 	if r.engineRequest != nil && r.engineRequest.Done() {
 		delete(r.dispatcher.requests, r.id)
