--- a/cmd/fawnplank/accounts_test.go
+++ b/cmd/fawnplank/accounts_test.go
@@ -284,7 +284,7 @@
 // Two gateways under load, replicas and gateways killed outright at random, a plan changed while requests are
 // in flight, a reservation spent, a receiver that answers errors after having counted. What it has in the end
 // is what clients saw succeed, but for what a killed gateway had not reported.
-func TestUseIsBilledOnceThroughKills(t *testing.T) {
+func TestAccounts_UsageIsBilledOnceDespiteKills(t *testing.T) {
 	f := newBilledFleet(t)
 	f.startLoad(t)
 	testutil.Eventually(t, "a first export", func() bool { return f.receiver.units() > 0 })
--- a/cmd/fawnplank/race_conditions_test.go
+++ b/cmd/fawnplank/race_conditions_test.go
@@ -16,9 +16,9 @@
 // Races in whole processes: signals between two steps, a limit of descriptors that is reached, discovery that
 // is silent.
 
-// Held already: idle clients fill the descriptors while discovery is silent: the gateway keeps those it needs
-// itself, no more are open than the limit says, and a client with a request is served meanwhile.
-func TestIdleClientsFillTheDescriptorsWhileDiscoveryIsDown(t *testing.T) {
+// While discovery is silent, more idle clients connect than there are descriptors: the gateway keeps those
+// that it needs itself, no more are open than the limit says, and a client with a request is still served.
+func TestGateway_IdleClientsLeaveDescriptorsFree(t *testing.T) {
 	backend := testutil.ServeCommands(t, func(conn net.Conn) { send(conn, successResponse) })
 	g := startGateway(t, silentDiscovery(t), backend)
 	testutil.Eventually(t, "ready", func() bool { return g.ready(t) })
@@ -47,8 +47,8 @@
 	}
 }
 
-// Held already: a restarted process is ready within ten seconds, whatever discovery does.
-func TestReadyWithDiscoverySilent(t *testing.T) {
+// A restarted process does not wait for discovery: it is ready within five seconds.
+func TestGateway_IsReadyWithSilentDiscovery(t *testing.T) {
 	start := time.Now()
 	g := startGateway(t, silentDiscovery(t), testutil.ServeCommands(t, func(net.Conn) {}))
 	testutil.Eventually(t, "ready", func() bool { return g.ready(t) })
@@ -58,9 +58,9 @@
 }
 
 // SIGTERM between two SIGHUPs, and twice: the gateway answers the requests in flight, on all its connections,
-// and ends once, in time. Failure, shown by the race detector (one run in ten to forty): the shutdown read
-// the settings while a reload behind the SIGTERM replaced them.
-func TestSignalsThatCross(t *testing.T) {
+// and ends once, in time. It guards against a fault that the race detector showed in one run of ten to forty:
+// the shutdown read the settings while a reload after the SIGTERM replaced them.
+func TestShutdown_RacingSignalsEndItOnce(t *testing.T) {
 	attempts := make(chan net.Conn, 10)
 	g := startGateway(t, silentDiscovery(t), testutil.ServeCommands(t, func(conn net.Conn) { attempts <- conn }))
 	testutil.Eventually(t, "ready", func() bool { return g.ready(t) })
@@ -91,10 +91,10 @@
 	}
 }
 
-// Held already: a backend hangs in an answer while the gateway stops: its request gets its final answer
-// before its deadline, and the gateway ends after it, though a client goes on sending on a connection that it
+// A backend hangs in an answer while the gateway shuts down: its request gets its final answer before its
+// deadline, and the gateway ends soon after that, though a client goes on sending on a connection that it
 // never leaves idle.
-func TestABackendHangsWhileTheGatewayStops(t *testing.T) {
+func TestShutdown_HungBackendDoesNotDelayIt(t *testing.T) {
 	const deadline = 1500 * time.Millisecond
 	hung := make(chan struct{}, 100)
 	g := startGateway(t, silentDiscovery(t), testutil.ServeCommands(t, func(conn net.Conn) {
--- a/cmd/fawnplank/replica_test.go
+++ b/cmd/fawnplank/replica_test.go
@@ -18,7 +18,7 @@
 	"fawnplank/internal/testutil"
 )
 
-// killSpan is how long TestThreeProcessesThroughRandomKills kills. FAWNPLANK_SOAK=10m makes it a soak.
+// killSpan is how long TestStore_ReplicasAgreeAfterRandomKills kills. FAWNPLANK_SOAK=10m makes it a soak.
 func killSpan(t *testing.T) time.Duration {
 	t.Helper()
 	text := os.Getenv("FAWNPLANK_SOAK")
@@ -75,7 +75,7 @@
 
 // Three processes, killed outright at random while plans are edited. In the end all hold the same, each edit
 // of two keys landed whole, and none that was reported to have landed is lost.
-func TestThreeProcessesThroughRandomKills(t *testing.T) {
+func TestStore_ReplicasAgreeAfterRandomKills(t *testing.T) {
 	span := killSpan(t)
 	replicas := newReplicas(t, "a", "b", "c")
 	startReplicas(t, replicas)
@@ -188,7 +188,7 @@
 }
 
 // The verbs of the store's command line, on one replica.
-func TestStoreCommands(t *testing.T) {
+func TestStore_Commands(t *testing.T) {
 	replicas := newReplicas(t, "a")
 	startReplicas(t, replicas)
 	file := filepath.Join(t.TempDir(), "backup")
