--- a/cmd/fawnplank/accounts_test.go
+++ b/cmd/fawnplank/accounts_test.go
@@ -123,7 +123,8 @@
 		text = strings.Replace(text, `"tariffs":[`,
 			`"tariffs":[{"name":"large","quota-rate":1000,"peak-units":500},`, 1)
 		writeFile(t, settings, text)
-		writeFile(t, operator, fmt.Sprintf("[limits]\nlisten = %q\n[[limits.key]]\nname = \"ops\"\nsecret_file = %q\n"+
+		writeFile(t, operator, fmt.Sprintf("[limits]\nlisten = %q\n"+
+			"[[limits.key]]\nname = \"ops\"\nsecret_file = %q\n"+
 			"rights = [\"read\", \"reserve\", \"change\"]\n[billing]\non = true\nwindow = \"1s\"\nlate = \"200ms\"\n"+
 			"lead = \"2s\"\nclock_skew = \"50ms\"\nreport_every = \"50ms\"\nexport_url = %q\n",
 			f.limits[n], f.secretFile, server.URL))
@@ -311,6 +312,7 @@
 	if receiver.plans["large"] == 0 || receiver.plans["team"] == 0 {
 		t.Errorf("by plan: %v", receiver.plans)
 	}
-	t.Logf("%g units succeeded, %g billed in %d records, %d kills (at most %g lost), %d requests without an answer, "+
-		"by plan %v", expected, exported, receiver.last, f.kills, f.lost, f.unsure, receiver.plans)
+	t.Logf("%g units succeeded, %g billed in %d records, %d kills (at most %g lost), "+
+		"%d requests without an answer, by plan %v",
+		expected, exported, receiver.last, f.kills, f.lost, f.unsure, receiver.plans)
 }
--- a/cmd/fawnplank/command_migrate_test.go
+++ b/cmd/fawnplank/command_migrate_test.go
@@ -5,7 +5,6 @@
 	"fmt"
 	"net"
 	"net/http"
-	"net/http/httptest"
 	"path/filepath"
 	"strings"
 	"sync/atomic"
@@ -24,7 +23,7 @@
 		arrived <- true
 	})
 	address := freeAddress(t)
-	serveMigrated(t, address, discoveryOnce(t, backend))
+	serveMigrated(t, address, discoveryOf(t, backend))
 
 	client, attempt := requestUntilSent(t, address, attempts)
 	beyond := dial(t, address)
@@ -42,19 +41,17 @@
 	}
 }
 
-// discoveryOnce is the address of a discovery service that lists a backend and says no more.
-func discoveryOnce(t *testing.T, backend net.Addr) string {
+// discoveryOf is the address of a discovery service that lists a backend and reports no change.
+func discoveryOf(t *testing.T, backend net.Addr) string {
 	t.Helper()
 	var calls atomic.Int64
-	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	return serveDiscovery(t, func(w http.ResponseWriter, r *http.Request) {
 		if calls.Add(1) > 1 {
 			<-r.Context().Done()
 		}
 		sendf(w, `{"index":9,"snapshot":true,"endpoints":[{"name":"s-9","address":%q,"zone":"a","type":"m2",
 			"group":1,"status":"up","weight":0.7,"since_ms":0}]}`, backend)
-	}))
-	t.Cleanup(server.CloseClientConnections)
-	return strings.TrimPrefix(server.URL, "http://")
+	})
 }
 
 // serveMigrated starts a gateway on a file of the old shape that was carried over.
--- a/cmd/fawnplank/process_test.go
+++ b/cmd/fawnplank/process_test.go
@@ -68,9 +68,9 @@
 	"tariffs":[{"name":"team","quota-rate":0,"peak-units":0}]}}`
 
 const (
-	successResponse  = "*3\r\n$2\r\nok\r\n$-1\r\n$-1\r\n" // of a backend
-	requestFields    = "c=lookup,t=team,d=1400"
-	defaultReadLimit = 5 * time.Second // bounds a test that fails
+	successResponse   = "*3\r\n$2\r\nok\r\n$-1\r\n$-1\r\n" // of a backend
+	requestFields     = "c=lookup,t=team,d=1400"
+	connectionTimeout = 5 * time.Second // bounds a test that fails
 )
 
 // request is a command in the clients' protocol.
@@ -187,7 +187,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { hangUp(conn) })
-	setDeadline(conn, defaultReadLimit)
+	setDeadline(conn, connectionTimeout)
 	return conn
 }
 
@@ -242,12 +242,17 @@
 	return string(output), err
 }
 
-// silentDiscovery is the address of a discovery service that accepts every call and answers none.
-func silentDiscovery(t *testing.T) string {
+// serveDiscovery starts a discovery service and returns its address. Calls that are still open when the test
+// ends are cut off.
+func serveDiscovery(t *testing.T, handle http.HandlerFunc) string {
 	t.Helper()
-	server := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
-		<-r.Context().Done()
-	}))
+	server := httptest.NewServer(handle)
 	t.Cleanup(server.CloseClientConnections)
 	return strings.TrimPrefix(server.URL, "http://")
 }
+
+// silentDiscovery is the address of a discovery service that accepts every call and answers none.
+func silentDiscovery(t *testing.T) string {
+	t.Helper()
+	return serveDiscovery(t, func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() })
+}
--- a/cmd/fawnplank/reload_test.go
+++ b/cmd/fawnplank/reload_test.go
@@ -4,7 +4,6 @@
 	"bufio"
 	"fmt"
 	"net/http"
-	"net/http/httptest"
 	"path/filepath"
 	"strings"
 	"syscall"
@@ -57,12 +56,10 @@
 // none.
 func countingDiscovery(t *testing.T, calls chan<- int, number int) string {
 	t.Helper()
-	server := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
+	return serveDiscovery(t, func(_ http.ResponseWriter, r *http.Request) {
 		calls <- number
 		<-r.Context().Done()
-	}))
-	t.Cleanup(server.CloseClientConnections)
-	return strings.TrimPrefix(server.URL, "http://")
+	})
 }
 
 func waitCalled(t *testing.T, calls <-chan int, want int) {
--- a/cmd/fawnplank/replica_test.go
+++ b/cmd/fawnplank/replica_test.go
@@ -32,12 +32,14 @@
 	return span
 }
 
-// editor edits two plans and a key together, again and again, at one replica after another.
+// editor edits a plan, a class and a key together, again and again, at one replica after another.
 type editor struct {
 	landed, failed atomic.Int64 // the number of the last edit that landed; how many did not, or may not have
 	stop, done     chan struct{}
 }
 
+// edit writes n to two rows and to one of fifty keys, all or none, at one of the replicas. It reports whether
+// the edit is known to have landed.
 func edit(t *testing.T, replicas []*replicaProcess, n int64) bool {
 	t.Helper()
 	body := fmt.Sprintf(`[{"key":"plans/x","value":%d},{"key":"classes/x","value":%d},{"key":"k%d","value":%d}]`,
--- a/cmd/fawnplank/tls_test.go
+++ b/cmd/fawnplank/tls_test.go
@@ -22,9 +22,11 @@
 	return authority
 }
 
-func sign(t *testing.T, authority *testca.Authority, folder, name string, valid time.Duration) tlsconfig.Files {
+// sign writes a certificate of the authority, and its key, to a folder.
+func sign(t *testing.T, authority *testca.Authority, folder, name string,
+	validity time.Duration) tlsconfig.Files {
 	t.Helper()
-	files, err := authority.Write(folder, name, valid)
+	files, err := authority.Write(folder, name, validity)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -132,7 +134,8 @@
 	limits, management := freeAddress(t), freeAddress(t)
 	text := fmt.Sprintf(configuration, freeAddress(t), "127.0.0.1:2", "127.0.0.1:3")
 	writeFile(t, settings, strings.Replace(text, `"name":"n0"`, `"name":"n0","mgmt":"`+management+`"`, 1))
-	operatorText := fmt.Sprintf("[limits]\nlisten = %q\ntls_certificate = %q\ntls_key = %q\ntls_authority = %q\n",
+	operatorText := fmt.Sprintf(
+		"[limits]\nlisten = %q\ntls_certificate = %q\ntls_key = %q\ntls_authority = %q\n",
 		limits, files.Certificate, files.Key, files.Authority)
 	writeFile(t, operator, operatorText)
 	process := program(t, "serve", "-c", settings, "--operator", operator)
