--- a/cmd/drill/messages.go
+++ b/cmd/drill/messages.go
@@ -35,7 +35,7 @@
 )
 
 // nanoseconds and milliseconds convert the wire's times to those of the decisions, and back.
-func nanoseconds(ms float64) int64     { return config.Nanoseconds(ms) }
+func nanoseconds(ms float64) int64     { return config.NanosFromMillis(ms) }
 func milliseconds(nanos int64) float64 { return float64(nanos) / 1e6 }
 
 // maxCount bounds counts that the wire sends as real numbers.
--- a/internal/config/decode.go
+++ b/internal/config/decode.go
@@ -171,12 +171,13 @@
 // maxMilliseconds is a thousand hours. Only absurd figures exceed it, and they must not overflow.
 const maxMilliseconds = 3.6e9
 
-// Nanoseconds converts milliseconds, in which the platform writes times, into the unit of the decisions.
-func Nanoseconds(ms float64) int64 {
+// NanosFromMillis converts milliseconds, in which the platform writes times, into nanoseconds, in which the
+// decisions take them. It saturates at a thousand hours in either direction.
+func NanosFromMillis(ms float64) int64 {
 	return int64(math.Round(min(max(ms, -maxMilliseconds), maxMilliseconds) * 1e6))
 }
 
-func milliseconds(ms float64) time.Duration { return time.Duration(Nanoseconds(ms)) }
+func milliseconds(ms float64) time.Duration { return time.Duration(NanosFromMillis(ms)) }
 
 // maxCount bounds counts, so that sums and products of a few of them do not overflow.
 const maxCount = 1e9
--- a/internal/config/dns.go
+++ b/internal/config/dns.go
@@ -31,8 +31,8 @@
 const (
 	// defaultMaxUpdatesPerSecond suffices to replace a fleet of thousands within a minute.
 	defaultMaxUpdatesPerSecond = 100
-	minMaxUpdatesPerSecond     = 0.1
-	maxMaxUpdatesPerSecond     = 10000
+	lowestMaxUpdatesPerSecond  = 0.1
+	highestMaxUpdatesPerSecond = 10000
 	// defaultAlgorithm is the algorithm that every updater must support (RFC 8945, 6).
 	defaultAlgorithm = "hmac-sha256"
 )
@@ -53,8 +53,9 @@
 	if d.Listen != "" && !isHostPort(d.Listen) {
 		return file.KeyErrorf("dns.listen", "is %q, which is no host and port", d.Listen)
 	}
-	isRate := d.MaxUpdatesPerSecond >= minMaxUpdatesPerSecond && d.MaxUpdatesPerSecond <= maxMaxUpdatesPerSecond
-	if !isRate { // NaN is not a rate either
+	inRange := d.MaxUpdatesPerSecond >= lowestMaxUpdatesPerSecond &&
+		d.MaxUpdatesPerSecond <= highestMaxUpdatesPerSecond
+	if !inRange { // NaN is not in range either
 		return file.KeyErrorf("dns.updates_per_second", "is not from 0.1 to 10000")
 	}
 	for _, address := range d.Notify {
--- a/internal/config/limits.go
+++ b/internal/config/limits.go
@@ -40,7 +40,7 @@
 	maxAnswerTimeout     = Duration(time.Minute)
 	// defaultMaxConnections is sized for tools, not for tenants.
 	defaultMaxConnections = 64
-	maxMaxConnections     = 10000
+	highestMaxConnections = 10000
 	// minSecretBytes is the length below which a secret could be guessed.
 	minSecretBytes = 16
 	// othersPermissions holds the file mode bits that give access to anyone but the owner.
@@ -68,7 +68,7 @@
 	if l.AnswerTimeout < minAnswerTimeout || l.AnswerTimeout > maxAnswerTimeout {
 		return file.KeyErrorf("limits.answer_within", "is not from 1ms to 60s")
 	}
-	if l.MaxConnections < 1 || l.MaxConnections > maxMaxConnections {
+	if l.MaxConnections < 1 || l.MaxConnections > highestMaxConnections {
 		return file.KeyErrorf("limits.connections", "is not from 1 to 10000")
 	}
 	return nil
--- a/internal/config/migrate.go
+++ b/internal/config/migrate.go
@@ -36,7 +36,9 @@
 		m.note(key, "left out: "+environmentNames[key]+" has to stand in for it, as before")
 	}
 	m.prune("", "", old)
-	migrated, err := readStrict(o.From) // a second copy, because the old one is compared with it below
+	// The old configuration is compared with the migrated one below, so that one is a copy of its own. Its
+	// unknown keys are pruned as above, without a second note for each.
+	migrated, err := readStrict(o.From)
 	if err != nil {
 		return nil, err
 	}
@@ -224,10 +226,10 @@
 			return fmt.Errorf("%s is %v, which has no meaning", setting.path, value)
 		}
 	}
-	settings := fields["settings"].(map[string]any) // it is there, or the text would not parse
+	settings := fields["settings"].(map[string]any) // present, because the text has been parsed
 	index, instances := numberAt(settings, "me"), numberAt(settings, "replicas-of-me")
 	if index >= instances {
-		return fmt.Errorf("settings.me is %v, of %v front doors", index, instances)
+		return fmt.Errorf("settings.me is %v, of %v instances", index, instances)
 	}
 	zones, _ := settings["zones"].([]any)
 	if zone := numberAt(settings, "my-zone"); zone > 0 && int(zone) >= len(zones) {
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -63,21 +63,21 @@
 		Cancellation:      permissions.optionalBool(cancellationKey),
 		HealthChecks:      permissions.optionalBool("probes"),
 		RetryAfter:        permissions.optionalBool("retry-after"),
-		MaxRetryAfter:     Nanoseconds(permissions.optionalNumber("max-retry-after-ms")),
+		MaxRetryAfter:     NanosFromMillis(permissions.optionalNumber("max-retry-after-ms")),
 		CounterEnabled:    family.optionalBool("may-count"),
-		CounterTimeout:    Nanoseconds(family.optionalNumber("counter-timeout-ms")),
+		CounterTimeout:    NanosFromMillis(family.optionalNumber("counter-timeout-ms")),
 		PostPaid:          family.optionalBool("post-paid"),
 		PollEndpoints:     top.optionalString("discovery") == "on_request",
-		PollTimeout:       Nanoseconds(invariants.optionalNumber("ask-within-ms")),
+		PollTimeout:       NanosFromMillis(invariants.optionalNumber("ask-within-ms")),
 		DrainGrace:        defaultDrainGrace,
 		SlowStartShare:    invariants.requiredNumber("cold-share"),
-		SlowStartDuration: Nanoseconds(invariants.requiredNumber("warm-up-ms")),
+		SlowStartDuration: NanosFromMillis(invariants.requiredNumber("warm-up-ms")),
 		OverloadMultiple:  invariants.requiredNumber("tip-multiple"),
-		OverloadWindow:    Nanoseconds(invariants.requiredNumber("fall-ms")),
+		OverloadWindow:    NanosFromMillis(invariants.requiredNumber("fall-ms")),
 		CrossZoneCost:     top.optionalObject("prices").optionalNumber("cross-zone"),
 	}
 	if invariants.has("stop-sending-within-ms") {
-		settings.DrainGrace = Nanoseconds(invariants.optionalNumber("stop-sending-within-ms"))
+		settings.DrainGrace = NanosFromMillis(invariants.optionalNumber("stop-sending-within-ms"))
 		if settings.DrainGrace <= 0 {
 			invariants.failf("stop-sending-within-ms", "is not above 0")
 		}
@@ -97,10 +97,10 @@
 // readClass reads a row of the list of classes.
 func readClass(row object) policy.ClassSettings {
 	class := policy.ClassSettings{
-		LatencyObjective: Nanoseconds(row.requiredNumber("goal-time-ms")),
-		Deadline:         Nanoseconds(row.requiredNumber("deadline-ms")),
+		LatencyObjective: NanosFromMillis(row.requiredNumber("goal-time-ms")),
+		Deadline:         NanosFromMillis(row.requiredNumber("deadline-ms")),
 		LateValue:        row.optionalNumber("late-worth"),
-		DedupWindow:      Nanoseconds(row.optionalNumber("window-ms")),
+		DedupWindow:      NanosFromMillis(row.optionalNumber("window-ms")),
 	}
 	class.Idempotency = oneOf(row, "effect", idempotencyWords)
 	if class.Idempotency == policy.IdempotentWithKey {
