--- a/internal/testutil/fixture.go
+++ b/internal/testutil/fixture.go
@@ -15,98 +15,102 @@
 	"testing"
 )
 
-var updateFixtures = flag.Bool("update-fixtures", false, "write the fixtures under testdata that are missing; one that is there is never replaced")
+// archiveSuffix is the end of the name of a fixture that is a folder.
+const archiveSuffix = ".tar.gz"
 
-// Fixture gives a path in a folder of the test's own with a copy of testdata/v0/NAME, so that a test may
-// write to it. A name that ends in .tar.gz stands for a folder.
+var updateFixtures = flag.Bool("update-fixtures", false,
+	"write the fixtures under testdata that are missing; one that is there is never replaced")
+
+// Fixture copies testdata/v0/NAME into a temporary folder and returns the path of the copy, to which the test
+// may write. A name that ends in .tar.gz stands for a folder.
 //
-// With -update-fixtures a fixture that is not there is written first, by write. One that is there stays: it
-// proves what the version before wrote, and this version's bytes prove nothing about that one.
+// With -update-fixtures, write first creates a fixture that is missing. An existing one is never replaced: it
+// holds what an earlier version wrote, which the bytes of this version cannot stand in for.
 func Fixture(tb testing.TB, name string, write func(path string)) string {
 	tb.Helper()
 	fixture, err := filepath.Abs(filepath.Join("testdata", "v0", name)) // write may change the directory
 	if err != nil {
 		tb.Fatal(err)
 	}
-	scratch := tb.TempDir()
-	plain := filepath.Join(scratch, strings.TrimSuffix(name, ".tar.gz"))
+	plainCopy := filepath.Join(tb.TempDir(), strings.TrimSuffix(name, archiveSuffix))
 	if _, err := os.Stat(fixture); errors.Is(err, fs.ErrNotExist) && *updateFixtures {
-		made := filepath.Join(tb.TempDir(), filepath.Base(plain))
-		write(made)
-		store(tb, made, fixture)
+		written := filepath.Join(tb.TempDir(), filepath.Base(plainCopy))
+		write(written)
+		storeFixture(tb, written, fixture)
 	}
-	packed, err := os.ReadFile(fixture)
+	content, err := os.ReadFile(fixture)
 	if err != nil {
 		tb.Fatalf("%v; -update-fixtures writes fixtures that are missing", err)
 	}
-	if strings.HasSuffix(name, ".tar.gz") {
-		unpack(tb, packed, plain)
-		return plain
+	if strings.HasSuffix(name, archiveSuffix) {
+		unpack(tb, content, plainCopy)
+		return plainCopy
 	}
-	if err := os.WriteFile(plain, packed, 0o600); err != nil {
+	if err := os.WriteFile(plainCopy, content, 0o600); err != nil {
 		tb.Fatal(err)
 	}
-	return plain
+	return plainCopy
 }
 
-func store(tb testing.TB, made, fixture string) {
+// storeFixture makes a fixture of the file, or for an archive of the folder, at path.
+func storeFixture(tb testing.TB, path, fixture string) {
 	tb.Helper()
 	if err := os.MkdirAll(filepath.Dir(fixture), 0o755); err != nil {
 		tb.Fatal(err)
 	}
-	var packed []byte
-	var err error
-	if strings.HasSuffix(fixture, ".tar.gz") {
-		packed, err = pack(made)
-	} else {
-		packed, err = os.ReadFile(made)
+	read := os.ReadFile
+	if strings.HasSuffix(fixture, archiveSuffix) {
+		read = pack
 	}
+	content, err := read(path)
 	if err != nil {
 		tb.Fatal(err)
 	}
-	if err := os.WriteFile(fixture, packed, 0o644); err != nil {
+	if err := os.WriteFile(fixture, content, 0o644); err != nil {
 		tb.Fatal(err)
 	}
 }
 
+// pack returns a folder as a compressed archive.
 func pack(folder string) ([]byte, error) {
 	var out bytes.Buffer
-	z := gzip.NewWriter(&out)
-	w := tar.NewWriter(z)
-	if err := w.AddFS(os.DirFS(folder)); err != nil {
+	compressor := gzip.NewWriter(&out)
+	archive := tar.NewWriter(compressor)
+	if err := archive.AddFS(os.DirFS(folder)); err != nil {
 		return nil, err
 	}
-	if err := w.Close(); err != nil {
+	if err := archive.Close(); err != nil {
 		return nil, err
 	}
-	if err := z.Close(); err != nil {
+	if err := compressor.Close(); err != nil {
 		return nil, err
 	}
 	return out.Bytes(), nil
 }
 
+// unpack writes the files of a compressed archive into a folder.
 func unpack(tb testing.TB, packed []byte, folder string) {
 	tb.Helper()
-	z, err := gzip.NewReader(bytes.NewReader(packed))
+	decompressor, err := gzip.NewReader(bytes.NewReader(packed))
 	if err != nil {
 		tb.Fatal(err)
 	}
-	for r := tar.NewReader(z); ; {
-		h, err := r.Next()
+	for archive := tar.NewReader(decompressor); ; {
+		header, err := archive.Next()
 		if errors.Is(err, io.EOF) {
 			return
 		}
 		if err != nil {
 			tb.Fatal(err)
 		}
-		if !filepath.IsLocal(h.Name) {
-			tb.Fatalf("%s lies outside the folder", h.Name)
+		if !filepath.IsLocal(header.Name) {
+			tb.Fatalf("%s lies outside the folder", header.Name)
 		}
-		path := filepath.Join(folder, h.Name)
-		if h.FileInfo().IsDir() {
+		path := filepath.Join(folder, header.Name)
+		if header.FileInfo().IsDir() {
 			continue
 		}
-		content, err := io.ReadAll(r)
+		content, err := io.ReadAll(archive)
 		if err == nil {
 			err = os.MkdirAll(filepath.Dir(path), 0o700)
 		}
--- a/internal/testutil/tags.go
+++ b/internal/testutil/tags.go
@@ -6,32 +6,34 @@
 	"testing"
 )
 
-// CheckTags reports each exported field without a name in its json tag, in the types of the values and in all
-// that they hold: its stored name would be that of the Go field, and change with it. Embedded structs, whose
-// fields stand among those around them, have no name of their own.
+// CheckTags fails the test for each exported field without a name in its json tag, in the types of the values
+// and in all that they hold: renaming such a field would change stored data. Embedded structs need no name,
+// because their fields are stored among those of the struct around them.
 func CheckTags(tb testing.TB, values ...any) {
 	tb.Helper()
 	seen := map[reflect.Type]bool{}
-	for _, v := range values {
-		checkTags(tb, reflect.TypeOf(v), seen)
+	for _, value := range values {
+		checkTags(tb, reflect.TypeOf(value), seen)
 	}
 }
 
-func checkTags(tb testing.TB, x reflect.Type, seen map[reflect.Type]bool) {
+// checkTags checks a type and all that it holds, unless it has been seen.
+func checkTags(tb testing.TB, checked reflect.Type, seen map[reflect.Type]bool) {
 	tb.Helper()
-	if seen[x] {
+	if seen[checked] {
 		return
 	}
-	seen[x] = true
-	switch x.Kind() {
+	seen[checked] = true
+	switch checked.Kind() {
 	case reflect.Pointer, reflect.Slice, reflect.Array, reflect.Map:
-		checkTags(tb, x.Elem(), seen)
+		checkTags(tb, checked.Elem(), seen)
 	case reflect.Struct:
-		for f := range x.Fields() {
-			if name, _, _ := strings.Cut(f.Tag.Get("json"), ","); name == "" && f.IsExported() && !f.Anonymous {
-				tb.Errorf("%s.%s has no json tag", x, f.Name)
+		for field := range checked.Fields() {
+			name, _, _ := strings.Cut(field.Tag.Get("json"), ",")
+			if name == "" && field.IsExported() && !field.Anonymous {
+				tb.Errorf("%s.%s has no json tag", checked, field.Name)
 			}
-			checkTags(tb, f.Type, seen)
+			checkTags(tb, field.Type, seen)
 		}
 	}
 }
--- a/internal/testutil/tags_test.go
+++ b/internal/testutil/tags_test.go
@@ -6,16 +6,16 @@
 	"testing"
 )
 
-// failures notes what a test helper reports.
-type failures struct {
+// failureRecorder records the failures that a helper reports, in place of the test.
+type failureRecorder struct {
 	testing.TB
-	said []string
+	messages []string
 }
 
-func (f *failures) Helper() {}
+func (f *failureRecorder) Helper() {}
 
-func (f *failures) Errorf(form string, args ...any) {
-	f.said = append(f.said, fmt.Sprintf(form, args...))
+func (f *failureRecorder) Errorf(format string, args ...any) {
+	f.messages = append(f.messages, fmt.Sprintf(format, args...))
 }
 
 type part struct {
@@ -30,12 +30,13 @@
 	Empty int                `json:",omitempty"`
 }
 
-// TestCheckTags_ReportsUntaggedFields has fields without a name told, wherever they lie, each once.
+// TestCheckTags_ReportsUntaggedFields: a field without a name is reported once, however deep it lies.
 func TestCheckTags_ReportsUntaggedFields(t *testing.T) {
-	_ = part{private: 1} // it is there to be passed over
-	f := &failures{TB: t}
-	CheckTags(f, embedded{}, part{})
-	if want := []string{"testutil.part.Unnamed has no json tag", "testutil.embedded.Empty has no json tag"}; !reflect.DeepEqual(f.said, want) {
-		t.Errorf("%q", f.said)
+	_ = part{private: 1} // a field that is not exported is not reported
+	recorder := &failureRecorder{TB: t}
+	CheckTags(recorder, embedded{}, part{})
+	want := []string{"testutil.part.Unnamed has no json tag", "testutil.embedded.Empty has no json tag"}
+	if !reflect.DeepEqual(recorder.messages, want) {
+		t.Errorf("%q", recorder.messages)
 	}
 }
