--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -43,15 +43,15 @@
 	// maxCalls is how many calls may be open at once. A further call waits at most readHeaderTimeout for a
 	// place. The limit is far above the number of the operators' callers.
 	maxCalls = 32
-	// callShare is the divisor of the descriptors that calls may use at most.
-	callShare = 8
+	// descriptorsPerCall is how many descriptors of the process there must be for each call that may be open.
+	descriptorsPerCall = 8
 	// maxHeaderBytes is ample for the heads of calls, which carry nothing that is read.
 	maxHeaderBytes = 8 << 10
 )
 
 // ConnectionLimit returns how many calls may be open at once if the process may open maxSockets descriptors.
 // The owner of the descriptors reserves this number.
-func ConnectionLimit(maxSockets int) int { return min(maxCalls, maxSockets/callShare) }
+func ConnectionLimit(maxSockets int) int { return min(maxCalls, maxSockets/descriptorsPerCall) }
 
 // Options configures a Server. All fields are required.
 type Options struct {
--- a/internal/dialer/dial.go
+++ b/internal/dialer/dial.go
@@ -33,7 +33,9 @@
 // or is not connected after a delay. It returns the first connection that is established and the index of its
 // address; other connections are closed before anything is written to them. The whole call takes no longer
 // than the timeout.
-func Dial(ctx context.Context, addresses []netip.AddrPort, timeout time.Duration) (*net.TCPConn, int, error) {
+func Dial(
+	ctx context.Context, addresses []netip.AddrPort, timeout time.Duration,
+) (conn *net.TCPConn, index int, err error) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	results := make(chan dialResult, len(addresses)) // buffered, so that no dial blocks on sending its result
--- a/internal/sock/poll.go
+++ b/internal/sock/poll.go
@@ -9,23 +9,23 @@
 	"golang.org/x/sys/unix"
 )
 
-// pending is what the next read would find.
-type pending uint8
+// pendingInput is what the next read would find.
+type pendingInput uint8
 
 const (
-	nothingPending pending = iota
+	nothingPending pendingInput = iota
 	bytesPending
 	endPending // the end of the connection
 )
 
-func (p pending) String() string { return [...]string{"nothing", "bytes", "end"}[p] }
+func (p pendingInput) String() string { return [...]string{"nothing", "bytes", "end"}[p] }
 
 // HasPendingBytes reports whether there are bytes to be read. It does not wait, even while another goroutine
 // reads. It must not be called concurrently with itself.
 func (c *Conn) HasPendingBytes() bool { return c.peek() == bytesPending }
 
 // peek returns what the next read would find.
-func (c *Conn) peek() pending {
+func (c *Conn) peek() pendingInput {
 	if c.raw.Control(c.peekCallback) != nil {
 		return endPending
 	}
--- a/internal/sock/sock.go
+++ b/internal/sock/sock.go
@@ -29,7 +29,7 @@
 	unconsumed   atomic.Bool // bytes or the end of the connection were read since the last MarkConsumed
 
 	peekCallback func(fd uintptr)
-	peeked       pending
+	peeked       pendingInput
 
 	hangUpCallback func(fd uintptr) bool
 
@@ -82,12 +82,12 @@
 
 // DialAny opens a connection to one of several addresses, tried in order, and returns the index of the
 // address that it connected to.
-func DialAny(addresses []netip.AddrPort, connectTimeout time.Duration) (*Conn, int, error) {
+func DialAny(addresses []netip.AddrPort, connectTimeout time.Duration) (c *Conn, index int, err error) {
 	nc, index, err := dialer.Dial(context.Background(), addresses, connectTimeout)
 	if err != nil {
 		return nil, 0, err
 	}
-	c, err := wrap(nc)
+	c, err = wrap(nc)
 	return c, index, err
 }
 
--- a/internal/timerqueue/timerqueue.go
+++ b/internal/timerqueue/timerqueue.go
@@ -40,10 +40,10 @@
 	heap.Push(&q.items, item[T]{at: at, sequence: q.sequence, value: value})
 }
 
-// NextDue returns the earliest due time in the queue. It first removes values at the front that needless
-// reports true for. ok is false if the queue is empty then.
-func (q *Queue[T]) NextDue(needless func(T) bool) (at int64, ok bool) {
-	for len(q.items) > 0 && needless(q.items[0].value) {
+// NextDue returns the earliest due time in the queue. It first removes obsolete values from the front. ok is
+// false if the queue is empty then.
+func (q *Queue[T]) NextDue(isObsolete func(T) bool) (at int64, ok bool) {
+	for len(q.items) > 0 && isObsolete(q.items[0].value) {
 		heap.Pop(&q.items)
 	}
 	if len(q.items) == 0 {
--- a/internal/timerqueue/timerqueue_test.go
+++ b/internal/timerqueue/timerqueue_test.go
@@ -23,7 +23,7 @@
 	}
 }
 
-func TestQueue_NextDueDropsWhatIsNeedless(t *testing.T) {
+func TestQueue_NextDueDropsObsoleteValues(t *testing.T) {
 	var q Queue[int]
 	q.Push(1, -1)
 	q.Push(3, 3)
--- a/internal/tokenbucket/tokenbucket.go
+++ b/internal/tokenbucket/tokenbucket.go
@@ -1,11 +1,11 @@
-// Package tokenbucket keeps stores of units that refill steadily. The caller passes rates and sizes with each
-// call, because they follow settings that change. The zero values are ready to use; nothing here is safe for
-// concurrent use.
+// Package tokenbucket holds token buckets, counted from either end: Bucket counts the units left, and Usage
+// the units taken. The caller passes rates and bursts with each call, because they follow settings that
+// change. The zero values are ready to use; nothing here is safe for concurrent use.
 package tokenbucket
 
 import "fawnplank/internal/nanos"
 
-// Bucket is a store that counts the units it holds.
+// Bucket is a token bucket that counts the units it holds.
 type Bucket struct {
 	Units     float64
 	UpdatedAt int64 // when Units was last brought up to date
@@ -20,7 +20,7 @@
 	return b.Units
 }
 
-// Usage is a store that counts the units taken and not refilled yet, so that it needs no size.
+// Usage is a token bucket that counts the units taken and not refilled yet, so that it needs no burst.
 type Usage struct {
 	Units     float64
 	UpdatedAt int64 // when Units was last brought up to date
