--- a/internal/dialer/address_order_test.go
+++ b/internal/dialer/address_order_test.go
@@ -19,15 +19,43 @@
 
 func TestOrder(t *testing.T) {
 	for _, test := range []struct{ name, addresses, unreachable, want string }{
-		{"IPv6 first", "192.0.2.1 2001:db8::1", "", "2001:db8::1 192.0.2.1"},
-		{"unreachable last", "192.0.2.1 2001:db8::1", "2001:db8::1", "192.0.2.1 2001:db8::1"},
-		{"families interleaved", "192.0.2.1 192.0.2.2 2001:db8::1 2001:db8::2", "",
-			"2001:db8::1 192.0.2.1 2001:db8::2 192.0.2.2"},
-		{"unreachable family", "192.0.2.1 192.0.2.2 2001:db8::1 2001:db8::2", "2001:db8::1 2001:db8::2",
-			"192.0.2.1 192.0.2.2 2001:db8::1 2001:db8::2"},
-		{"unique local after IPv4", "192.0.2.1 fc00::1", "", "192.0.2.1 fc00::1"},
-		{"by precedence", "fc00::1 2001:db8::1 ::1", "", "::1 2001:db8::1 fc00::1"},
-		{"stable", "192.0.2.2 192.0.2.1", "", "192.0.2.2 192.0.2.1"},
+		{
+			name:      "IPv6 first",
+			addresses: "192.0.2.1 2001:db8::1",
+			want:      "2001:db8::1 192.0.2.1",
+		},
+		{
+			name:        "unreachable last",
+			addresses:   "192.0.2.1 2001:db8::1",
+			unreachable: "2001:db8::1",
+			want:        "192.0.2.1 2001:db8::1",
+		},
+		{
+			name:      "families interleaved",
+			addresses: "192.0.2.1 192.0.2.2 2001:db8::1 2001:db8::2",
+			want:      "2001:db8::1 192.0.2.1 2001:db8::2 192.0.2.2",
+		},
+		{
+			name:        "unreachable family",
+			addresses:   "192.0.2.1 192.0.2.2 2001:db8::1 2001:db8::2",
+			unreachable: "2001:db8::1 2001:db8::2",
+			want:        "192.0.2.1 192.0.2.2 2001:db8::1 2001:db8::2",
+		},
+		{
+			name:      "unique local after IPv4",
+			addresses: "192.0.2.1 fc00::1",
+			want:      "192.0.2.1 fc00::1",
+		},
+		{
+			name:      "by precedence",
+			addresses: "fc00::1 2001:db8::1 ::1",
+			want:      "::1 2001:db8::1 fc00::1",
+		},
+		{
+			name:      "stable",
+			addresses: "192.0.2.2 192.0.2.1",
+			want:      "192.0.2.2 192.0.2.1",
+		},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			unreachable := strings.Fields(test.unreachable)
--- a/internal/logging/logging_test.go
+++ b/internal/logging/logging_test.go
@@ -10,7 +10,7 @@
 	"github.com/sirupsen/logrus"
 )
 
-// restore sets the log back to how tests of other packages expect it.
+// restore undoes, at the end of the test, what Setup changes in the process-wide log.
 func restore(t *testing.T) {
 	t.Helper()
 	output := logrus.StandardLogger().Out
@@ -68,7 +68,8 @@
 	For("front").Info("unseen")
 	For("front").Warn("seen")
 	text := out.String()
-	if strings.Count(text, "\n") != 1 || !strings.Contains(text, "component=front") || !strings.Contains(text, "door=n3") {
+	if strings.Count(text, "\n") != 1 || !strings.Contains(text, "component=front") ||
+		!strings.Contains(text, "door=n3") {
 		t.Errorf("%q", text)
 	}
 }
--- a/internal/membudget/budget_test.go
+++ b/internal/membudget/budget_test.go
@@ -13,12 +13,12 @@
 		bytes        int64
 		wantAcquired int64
 	}{
-		{"a part", New(10), 4, 4},
-		{"all", New(10), 10, 10},
-		{"more than all", New(10), 11, 10},
-		{"nothing", New(10), 0, 0},
-		{"of a budget of nothing", New(0), 5, 1},
-		{"of no budget", nil, 5, 0},
+		{name: "a part", budget: New(10), bytes: 4, wantAcquired: 4},
+		{name: "all", budget: New(10), bytes: 10, wantAcquired: 10},
+		{name: "more than all", budget: New(10), bytes: 11, wantAcquired: 10},
+		{name: "nothing", budget: New(10), bytes: 0, wantAcquired: 0},
+		{name: "of a budget of nothing", budget: New(0), bytes: 5, wantAcquired: 1},
+		{name: "of no budget", budget: nil, bytes: 5, wantAcquired: 0},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			acquired, ok := test.budget.Acquire(test.bytes, time.Now())
