--- a/cmd/fawnplank/listen.go
+++ b/cmd/fawnplank/listen.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"fmt"
 	"net"
 	"os"
 	"syscall"
@@ -16,16 +17,25 @@
 // them.
 func listen(ctx context.Context, configuration *config.Config) (net.Listener, error) {
 	if configuration.ListenerFD >= 0 {
-		file := os.NewFile(uintptr(configuration.ListenerFD), "listener")
-		defer func() {
-			_ = file.Close() // the listener holds its own duplicate
-		}()
-		return net.FileListener(file)
+		return inheritListener(configuration.ListenerFD)
 	}
 	shared := net.ListenConfig{Control: setReusePort}
 	return shared.Listen(ctx, "tcp4", configuration.Listen)
 }
 
+// inheritListener returns the listener that the process was handed under a descriptor, which it closes.
+func inheritListener(fd int) (net.Listener, error) {
+	file := os.NewFile(uintptr(fd), "listener")
+	defer func() {
+		_ = file.Close() // the listener holds its own duplicate
+	}()
+	listener, err := net.FileListener(file)
+	if err != nil {
+		return nil, fmt.Errorf("descriptor %d, which GW_SOCKET_FD or SOCKET_FD names: %w", fd, err)
+	}
+	return listener, nil
+}
+
 func setReusePort(_, _ string, raw syscall.RawConn) error {
 	var optionErr error
 	err := raw.Control(func(fd uintptr) {
--- a/cmd/fawnplank/zone.go
+++ b/cmd/fawnplank/zone.go
@@ -88,7 +88,7 @@
 		endpoints = append(endpoints, zoneEndpoint(backend))
 	}
 	for _, name := range update.Removed {
-		endpoints = append(endpoints, discovery.Endpoint{Name: name, Status: "removed"})
+		endpoints = append(endpoints, discovery.Endpoint{Name: name, Status: discovery.StatusRemoved})
 	}
 	if update.Full {
 		return policy.FullSnapshot, endpoints
@@ -102,12 +102,12 @@
 		Address:         backend.Addresses[0].String(),
 		Zone:            backend.Zone,
 		Group:           backend.Group,
-		Status:          "up",
+		Status:          discovery.StatusUp,
 		Weight:          backend.Weight,
 		StartedAtMillis: float64(backend.StartNanos()) / float64(time.Millisecond),
 	}
 	if backend.Draining {
-		endpoint.Status = "draining"
+		endpoint.Status = discovery.StatusDraining
 	}
 	if len(backend.Addresses) > 1 || !backend.Addresses[0].Addr().Is4() {
 		endpoint.Addresses = backend.Addresses
