--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -157,8 +157,9 @@
 	}
 }
 
-// RequestEnded counts a request's answer under the class that the request came with. A request whose client
-// has gone has no answer to count.
+// RequestEnded counts a request's answer under the class that the request came with. That includes a refusal
+// because of the request's head, if its class could be read. A request whose client has gone has no answer to
+// count.
 func (r *Registry) RequestEnded(class policy.ClassID, outcome Outcome) {
 	if r != nil {
 		r.requests[outcome].WithLabelValues(r.className(class)).Inc()
@@ -172,13 +173,6 @@
 	}
 }
 
-// RequestRefused counts a request that was refused because of its head, if its class could be read.
-func (r *Registry) RequestRefused(class string) {
-	if r != nil {
-		r.requests[Error].WithLabelValues(class).Inc()
-	}
-}
-
 // AttemptSent counts an attempt whose last byte was written.
 func (r *Registry) AttemptSent(class policy.ClassID) {
 	if r != nil {
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -71,7 +71,6 @@
 	r.RequestReceived()
 	r.RequestEnded(0, Success)
 	r.RequestClosed()
-	r.RequestRefused("lookup")
 	r.AttemptSent(0)
 	r.SetEndpoints(1, 0)
 	r.ConfigReloaded()
