--- a/internal/sock/sock_test.go
+++ b/internal/sock/sock_test.go
@@ -32,8 +32,8 @@
 	return c, peer
 }
 
-// check fails a test whose own step, which proves nothing, does not work.
-func check(t *testing.T, err error) {
+// mustSucceed ends the test if a step of the test itself fails.
+func mustSucceed(t *testing.T, err error) {
 	t.Helper()
 	if err != nil {
 		t.Fatal(err)
@@ -64,7 +64,7 @@
 	if n != int64(len(want)) || err != nil {
 		t.Errorf("%d of %d bytes, %v", n, len(want), err)
 	}
-	check(t, c.Close())
+	mustSucceed(t, c.Close())
 	if !bytes.Equal(<-received, want) {
 		t.Error("other bytes came out")
 	}
@@ -74,12 +74,12 @@
 func TestConn_FailedWriteReturnsHowFarItCame(t *testing.T) {
 	c, _ := dialPair(t)
 	large := make([]byte, 64<<20)
-	check(t, c.SetWriteDeadline(time.Now().Add(50*time.Millisecond)))
+	mustSucceed(t, c.SetWriteDeadline(time.Now().Add(50*time.Millisecond)))
 	n, err := c.WriteParts([]byte("head"), large)
 	if !errors.Is(err, os.ErrDeadlineExceeded) || n < 4 || n >= int64(len(large)) {
 		t.Errorf("%d bytes, %v", n, err)
 	}
-	check(t, c.Close())
+	mustSucceed(t, c.Close())
 	if n, err := c.WriteParts([]byte("x")); n != 0 || err == nil {
 		t.Errorf("after the end: %d bytes, %v", n, err)
 	}
@@ -88,11 +88,11 @@
 func TestConn_ReadWaitsAndReturnsTheEnd(t *testing.T) {
 	c, peer := dialPair(t)
 	buffer := make([]byte, 10)
-	check(t, c.SetReadDeadline(time.Now().Add(20*time.Millisecond)))
+	mustSucceed(t, c.SetReadDeadline(time.Now().Add(20*time.Millisecond)))
 	if _, err := c.Read(buffer); !errors.Is(err, os.ErrDeadlineExceeded) {
 		t.Errorf("%v", err)
 	}
-	check(t, c.SetReadDeadline(time.Time{}))
+	mustSucceed(t, c.SetReadDeadline(time.Time{}))
 	time.AfterFunc(20*time.Millisecond, func() {
 		// Where these fail the reads do not give what they should.
 		_, _ = peer.Write([]byte("hello"))
@@ -118,7 +118,7 @@
 	for i := range want {
 		want[i] = byte(i * 7)
 	}
-	check(t, from.SetDeadline(time.Now().Add(5*time.Second)))
+	mustSucceed(t, from.SetDeadline(time.Now().Add(5*time.Second)))
 	go func() {
 		// Where these fail other bytes arrive.
 		_, _ = sender.Write(want)
@@ -128,7 +128,7 @@
 	if n, err := io.Copy(to, from); err != nil || n != int64(len(want)) {
 		t.Fatalf("copied %d of %d: %v", n, len(want), err)
 	}
-	check(t, to.CloseWrite())
+	mustSucceed(t, to.CloseWrite())
 	if got := <-received; !bytes.Equal(got, want) {
 		t.Fatalf("%d bytes arrived, not the %d sent", len(got), len(want))
 	}
