--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -46,8 +46,10 @@
 	// http is not http.DefaultClient, because that one reads proxy settings from the environment.
 	http http.Client
 
-	startWatch sync.Once
-	requested  chan struct{} // holds one token while a watch is requested
+	ctx       context.Context // canceled by Close; every call to the service derives from it
+	cancel    context.CancelFunc
+	running   sync.WaitGroup // the watch, calls of refresh, and calls of Publish
+	requested chan struct{}  // holds one token while a watch is requested
 	// index is the index of the last published list; the watch asks for changes since then. Only the watch uses
 	// it.
 	index int64
@@ -59,6 +61,8 @@
 	addressVersion int // number of address changes so far
 	timeouts       timeouts
 	cancelPoll     context.CancelFunc // cancels the call in progress; nil before the first call
+	watching       bool               // the watch has been started
+	closed         bool               // nothing is started any more
 }
 
 // timeouts are the engine's limits on the duration of calls to the discovery service.
@@ -70,7 +74,10 @@
 
 // New returns a client. It does nothing until LoadSnapshot, Publish or WatchEndpoints is called.
 func New(options Options) *Client {
+	ctx, cancel := context.WithCancel(context.Background())
 	return &Client{
+		ctx:       ctx,
+		cancel:    cancel,
 		publisher: newPublisher(options),
 		refresh:   options.Refresh,
 		http: http.Client{Transport: &http.Transport{
@@ -95,8 +102,36 @@
 
 func endpointsURL(address string) string { return "http://" + address + "/v1/endpoints" }
 
+// Close ends the watch: it cancels the call in progress, and returns when the last update has been published
+// and nothing of the client runs any more. From then on Publish and WatchEndpoints have no effect. Close does
+// not wait for the discovery service. It must not be called by the Subscriber or the AddressBook, nor with a
+// lock held that either of them takes.
+func (c *Client) Close() {
+	c.mu.Lock()
+	c.closed = true
+	c.mu.Unlock()
+	c.cancel()
+	c.running.Wait()
+	c.http.CloseIdleConnections() // and cancels the dials that the transport has not given up yet
+}
+
+// begin reports whether the client is open. If so, Close waits until running is done once more.
+func (c *Client) begin() bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.closed {
+		return false
+	}
+	c.running.Add(1)
+	return true
+}
+
 // Publish publishes a list from another source in the same way as a list that the watch receives.
 func (c *Client) Publish(kind policy.UpdateKind, endpoints []Endpoint) {
+	if !c.begin() {
+		return
+	}
+	defer c.running.Done()
 	c.publishing.Lock()
 	defer c.publishing.Unlock()
 	c.publisher.publish(kind, endpoints)
@@ -132,7 +167,7 @@
 	if c.cancelPoll != nil {
 		c.cancelPoll()
 		// The watch may be waiting for the engine to ask again, after a failure at the old address.
-		c.WatchEndpoints()
+		c.requestWatch()
 	}
 }
 
@@ -140,11 +175,24 @@
 // subscriber, and the watch waits for the next WatchEndpoints: the engine decides when to call it, since many
 // instances that fail together must not all ask again at the same time. It does not block.
 func (c *Client) WatchEndpoints() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.closed {
+		return
+	}
 	if c.refresh != nil {
-		go c.refresh() // without the caller's locks held
+		c.running.Go(c.refresh) // without the caller's locks held
 		return
 	}
-	c.startWatch.Do(func() { go c.watch() })
+	if !c.watching {
+		c.watching = true
+		c.running.Go(func() { c.watch(c.ctx) })
+	}
+	c.requestWatch()
+}
+
+// requestWatch makes the watch poll if it waits for a request.
+func (c *Client) requestWatch() {
 	select {
 	case c.requested <- struct{}{}:
 	default: // already requested
--- a/internal/discovery/client_test.go
+++ b/internal/discovery/client_test.go
@@ -6,6 +6,8 @@
 	"net/netip"
 	"strings"
 	"testing"
+	"testing/synctest"
+	"time"
 
 	"fawnplank/internal/config"
 	"fawnplank/policy"
@@ -90,3 +92,64 @@
 		t.Errorf("the service was called: %s", <-calls)
 	}
 }
+
+// TestClient_CloseEndsWatch: Close returns at once, whatever the watch is waiting for; from then on nobody is
+// notified and the service is not called. That every goroutine has ended is the bubble's own check.
+func TestClient_CloseEndsWatch(t *testing.T) {
+	for _, first := range []firstCall{answered, unanswered, unfinished, unreachable} {
+		for _, after := range []time.Duration{0, 600 * time.Millisecond, 5 * time.Second} {
+			t.Run(first.String()+" "+after.String(), func(t *testing.T) {
+				synctest.Test(t, func(t *testing.T) { checkCloseEndsWatch(t, first, after) })
+			})
+		}
+	}
+}
+
+func checkCloseEndsWatch(t *testing.T, first firstCall, after time.Duration) {
+	t.Helper()
+	snapshot := list(2, true, entry("s-1", "up"))
+	i := startInstance(t, 1, time.Second, first, lists{list(1, true, entry("s-1", "up")), snapshot, snapshot})
+	time.Sleep(after)
+	synctest.Wait()
+	updates, calls, closedAt := i.updates.Load(), i.agent.calls.Load(), time.Now()
+	i.client.Close()
+	if took := time.Since(closedAt); took != 0 {
+		t.Errorf("Close took %v", took)
+	}
+	i.client.WatchEndpoints()
+	i.client.Publish(policy.FullSnapshot, nil)
+	i.client.SetAddress("agent:2", startupSettings(time.Second))
+	time.Sleep(time.Minute)
+	if i.updates.Load() != updates || i.agent.calls.Load() != calls {
+		t.Errorf("%d updates and %d calls after Close", i.updates.Load()-updates, i.agent.calls.Load()-calls)
+	}
+}
+
+// TestClient_CloseWaitsForPublish: a list from another source that is being published when Close is called is
+// published whole, and Close returns after it.
+func TestClient_CloseWaitsForPublish(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		r := newRecorder()
+		r.updates = make(chan update) // a notification waits until the test takes it
+		options := Options{Subscriber: r, AddressBook: r, Config: &config.Config{}}
+		var client *Client
+		options.Refresh = func() { client.Publish(policy.FullSnapshot, nil) }
+		client = New(options)
+		client.WatchEndpoints()
+		synctest.Wait()
+		closed := make(chan struct{})
+		go func() {
+			client.Close()
+			close(closed)
+		}()
+		synctest.Wait()
+		select {
+		case <-closed:
+			t.Error("Close does not wait")
+		default:
+		}
+		<-r.updates
+		<-closed
+		client.WatchEndpoints() // would publish, and block
+	})
+}
--- a/internal/discovery/doc.go
+++ b/internal/discovery/doc.go
@@ -5,7 +5,8 @@
 // the Subscriber, which may then send requests there. It decides neither what an update means nor when to
 // watch again after a failure. During an outage the last list remains valid.
 //
-// SetAddress, Publish and WatchEndpoints are safe for concurrent use; LoadSnapshot must be called before
-// them. The watch is one goroutine, started by the first WatchEndpoints. It runs as long as the process: a
-// Client has no Close.
+// SetAddress, Publish, WatchEndpoints and Close are safe for concurrent use; LoadSnapshot must be called
+// before them. The watch is one goroutine, started by the first WatchEndpoints and ended by Close, which
+// waits for it. The client's lock is held neither while the AddressBook or the Subscriber is notified nor
+// during a call to the service, so WatchEndpoints may be called with the Subscriber's lock held.
 package discovery
--- a/internal/discovery/startup_test.go
+++ b/internal/discovery/startup_test.go
@@ -7,7 +7,6 @@
 	"net"
 	"net/http"
 	"net/netip"
-	"runtime"
 	"strings"
 	"sync"
 	"sync/atomic"
@@ -43,8 +42,9 @@
 	t          *testing.T
 	dispatcher *dispatch.Dispatcher
 	client     *Client
+	agent      *fakeAgent
+	updates    atomic.Int64
 	start      time.Time
-	over       atomic.Bool
 	ids        map[string]policy.BackendID
 	mu         sync.Mutex
 	sent       map[policy.BackendID][]time.Duration // since the start
@@ -58,12 +58,9 @@
 func (i *instance) Flush()                                          {}
 func (i *instance) Abandon(*dispatch.Attempt) bool                  { return false }
 
-// UpdateEndpoints passes updates on. After the test's end it ends the watch, which has no end of its own and
-// may not outlive the bubble.
+// UpdateEndpoints counts updates, and passes them on.
 func (i *instance) UpdateEndpoints(kind policy.UpdateKind, endpoints []policy.Endpoint) {
-	if i.over.Load() {
-		runtime.Goexit()
-	}
+	i.updates.Add(1)
 	i.dispatcher.UpdateEndpoints(kind, endpoints)
 }
 
@@ -153,13 +150,15 @@
 func startInstance(t *testing.T, seed uint64, grace time.Duration, first firstCall, lists lists) *instance {
 	t.Helper()
 	listener := newPipeListener()
-	agent := &http.Server{Handler: &fakeAgent{first: first, lists: lists, delay: grace / 4}}
+	agent := &fakeAgent{first: first, lists: lists, delay: grace / 4}
+	server := &http.Server{Handler: agent}
 	go func() {
-		_ = agent.Serve(listener) // ends with the test
+		_ = server.Serve(listener) // ends with the test
 	}()
 	i := &instance{
 		t:          t,
 		dispatcher: dispatch.New(),
+		agent:      agent,
 		start:      time.Now(),
 		sent:       map[policy.BackendID][]time.Duration{},
 	}
@@ -187,10 +186,9 @@
 	i.ids = maps.Clone(i.client.publisher.ids) // before the watch uses them
 	i.client.WatchEndpoints()
 	t.Cleanup(func() {
-		i.over.Store(true)
-		_ = agent.Close()         // its connections are pipes
-		i.client.WatchEndpoints() // in case the watch waits for the engine to ask
+		i.client.Close()
 		i.dispatcher.Stop()
+		_ = server.Close() // its connections are pipes
 	})
 	return i
 }
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -24,20 +24,28 @@
 	addressVersion int  // of the last poll
 }
 
-// watch polls the discovery service whenever it is asked to, until a failure.
-func (c *Client) watch() {
+// watch polls the discovery service whenever it is asked to, until a failure. It ends with ctx.
+func (c *Client) watch(ctx context.Context) {
 	// With a list, however old, the changes since then are enough.
 	state := watchState{needsSnapshot: !c.publisher.hasEndpoints()}
 	for {
-		<-c.requested
-		c.watchUntilFailure(&state)
+		select {
+		case <-c.requested:
+			c.watchUntilFailure(ctx, &state)
+		case <-ctx.Done():
+			return
+		}
 	}
 }
 
-// watchUntilFailure polls repeatedly. On a failure it notifies the subscriber and returns.
-func (c *Client) watchUntilFailure(state *watchState) {
+// watchUntilFailure polls repeatedly. On a failure it notifies the subscriber and returns. The end of ctx is
+// no failure: it returns without notifying anybody.
+func (c *Client) watchUntilFailure(ctx context.Context, state *watchState) {
 	for {
-		err := c.poll(state)
+		err := c.poll(ctx, state)
+		if ctx.Err() != nil {
+			return
+		}
 		if c.addressChangedSince(state) { // the poll's result is from the old address
 			c.http.CloseIdleConnections()
 			continue
@@ -77,13 +85,13 @@
 }
 
 // poll makes one call, for a full snapshot or for the changes since the last list, and publishes the answer.
-func (c *Client) poll(state *watchState) (err error) {
+func (c *Client) poll(ctx context.Context, state *watchState) (err error) {
 	defer func() {
 		if reason := recover(); reason != nil {
 			err = fmt.Errorf("panic: %v", reason)
 		}
 	}()
-	call := c.nextCall(state)
+	call := c.nextCall(ctx, state)
 	defer call.cancel()
 	list, err := c.fetch(call)
 	if err != nil {
@@ -108,7 +116,7 @@
 
 // nextCall prepares the next call, which SetAddress cancels if the address changes. At a new address the
 // index from the old one is meaningless.
-func (c *Client) nextCall(state *watchState) pollCall {
+func (c *Client) nextCall(ctx context.Context, state *watchState) pollCall {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if state.addressVersion != c.addressVersion {
@@ -121,7 +129,7 @@
 		url = fmt.Sprintf("%s?index=%d&wait=%d", c.url, c.index, c.timeouts.watch.Milliseconds())
 		timeout = c.timeouts.watch + c.timeouts.lateness
 	}
-	ctx := withDialTimeout(context.Background(), min(timeout, c.timeouts.snapshot))
+	ctx = withDialTimeout(ctx, min(timeout, c.timeouts.snapshot))
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	c.cancelPoll = cancel
 	return pollCall{ctx: ctx, cancel: cancel, url: url}
