--- a/internal/counter/client.go
+++ b/internal/counter/client.go
@@ -1,6 +1,7 @@
 package counter
 
 import (
+	"context"
 	"slices"
 	"sync"
 	"time"
@@ -42,6 +43,9 @@
 	handler        ResultHandler
 	connectTimeout time.Duration
 	format         Format
+	ctx            context.Context // canceled by Close; every dial uses it
+	cancel         context.CancelFunc
+	running        sync.WaitGroup // the goroutines of connections
 
 	mu             sync.Mutex // guards all fields below, and the fields of connections, calls and queues
 	address        string
@@ -52,6 +56,7 @@
 	answered       uint64        // number of calls that ended with a total
 	failed         uint64        // number of calls that ended without a total
 	failingSince   time.Time     // time of the first failure since the last total; zero if none
+	closed         bool          // no further calls are accepted
 }
 
 var _ dispatch.Counter = (*Client)(nil)
@@ -75,7 +80,10 @@
 
 // New returns a client that reports to handler. Connections are opened when they are first needed.
 func New(options Options, handler ResultHandler) *Client {
+	ctx, cancel := context.WithCancel(context.Background())
 	return &Client{
+		ctx:            ctx,
+		cancel:         cancel,
 		handler:        handler,
 		connectTimeout: options.ConnectTimeout,
 		format:         options.Format,
@@ -84,6 +92,26 @@
 	}
 }
 
+// Close closes all connections, and returns when their goroutines have ended. Outstanding calls end as they
+// do when a connection is lost, and their results are delivered. From then on Add, Flush and SetAddress have
+// no effect; a call that is added has no result. Close does not wait for the service. It must not be called
+// by the handler, nor with a lock held that the handler takes.
+func (c *Client) Close() {
+	for _, conn := range c.stop() {
+		conn.close(errClientClosed)
+	}
+	c.running.Wait()
+}
+
+// stop prevents further connections and ends the dials in progress. It returns the connections to be closed.
+func (c *Client) stop() []*connection {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.closed = true
+	c.cancel()
+	return slices.Concat(c.connections, c.oldConnections)
+}
+
 // Stats counts the results of the calls so far.
 type Stats struct {
 	Answered uint64        // number of calls that ended with a total
@@ -138,6 +166,9 @@
 func (c *Client) Add(key policy.CounterKey, units float64, lifetime time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
+	if c.closed {
+		return
+	}
 	q := c.queues[key]
 	if q == nil {
 		q = &queue{}
@@ -169,7 +200,7 @@
 	}
 	conn := &connection{client: c, address: c.address}
 	c.connections = append(c.connections, conn)
-	go conn.run()
+	c.running.Go(conn.run)
 	return conn
 }
 
--- a/internal/counter/client_test.go
+++ b/internal/counter/client_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bufio"
+	"context"
 	"errors"
 	"fmt"
 	"net"
@@ -239,3 +240,70 @@
 		}
 	}
 }
+
+// TestClient_CloseEndsCallsAndConnections: Close returns once the outstanding call has ended as with a lost
+// connection, and no goroutine is left: that would hold a connection. Nothing is called after it.
+func TestClient_CloseEndsCallsAndConnections(t *testing.T) {
+	client, received, service := startClient(t)
+	client.add(1)
+	outstanding := <-service.calls
+	client.add(2)
+	idle := <-service.calls
+	idle.answer(t, "ok 1\r\n")
+	received.next(t)
+	client.Close()
+	if len(received) != 1 {
+		t.Fatalf("%d results by the end of Close", len(received))
+	}
+	if got := received.next(t); got.key != 1 || !errors.Is(got.err, dispatch.ErrTimeout) {
+		t.Errorf("%+v", got)
+	}
+	if !outstanding.isClosed() || !idle.isClosed() {
+		t.Error("a connection is left open")
+	}
+	client.add(3)
+	client.SetAddress("127.0.0.1:1")
+	client.add(4)
+	client.Close()
+	checkForgotten(t, client)
+	if len(received)+len(service.calls)+len(client.connections) != 0 {
+		t.Error("a closed client calls")
+	}
+}
+
+// TestClient_CloseEndsDials: a connection that is coming up when the client is closed is not waited for.
+func TestClient_CloseEndsDials(t *testing.T) {
+	client, _, service := startClient(t)
+	client.Close()
+	conn := &connection{client: client, address: service.address()}
+	if err := conn.connect(); !errors.Is(err, context.Canceled) {
+		t.Errorf("%v", err)
+	}
+}
+
+// handlerFunc is a ResultHandler.
+type handlerFunc func()
+
+func (f handlerFunc) HandleCounterResult(policy.CounterKey, float64, error) { f() }
+
+// TestClient_CloseWaitsForHandler: a result that is being delivered when the client is closed is delivered
+// before Close returns.
+func TestClient_CloseWaitsForHandler(t *testing.T) {
+	service := startService(t)
+	handling, returned := make(chan struct{}), false
+	var client *Client
+	client = New(Options{Address: service.address()}, handlerFunc(func() {
+		close(handling)
+		<-client.ctx.Done()
+		time.Sleep(10 * time.Millisecond) // time in which a Close that does not wait returns
+		returned = true
+	}))
+	client.add(1)
+	call := <-service.calls
+	call.answer(t, "ok 1\r\n")
+	<-handling
+	client.Close()
+	if !returned {
+		t.Error("Close does not wait")
+	}
+}
--- a/internal/counter/connection.go
+++ b/internal/counter/connection.go
@@ -21,6 +21,7 @@
 	errSilent          = errors.New("calls unanswered for too long")
 	errMalformedAnswer = errors.New("malformed answer")
 	errNotReusable     = errors.New("not to be used any more")
+	errClientClosed    = errors.New("client closed")
 	errPanic           = errors.New("panic")
 )
 
@@ -94,10 +95,15 @@
 
 func (conn *connection) connect() error {
 	c := conn.client
-	socket, err := sock.Dial(conn.address, c.connectTimeout)
+	dialer := net.Dialer{Timeout: c.connectTimeout}
+	dialed, err := dialer.DialContext(c.ctx, "tcp4", conn.address)
 	if err != nil {
 		return err
 	}
+	socket, err := sock.New(dialed.(*net.TCPConn), sock.Options{})
+	if err != nil { // the connection has ended already
+		return err
+	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if conn.closed {
--- a/internal/counter/doc.go
+++ b/internal/counter/doc.go
@@ -5,6 +5,6 @@
 // lock held, so that the handler may call the client again. The caller, not the client, decides whether to
 // call, how long a result is worth waiting for, and what a total means.
 //
-// All methods of Client are safe for concurrent use. A connection's goroutine ends with the connection. A
-// Client lives as long as the process, and has no Close.
+// All methods of Client are safe for concurrent use. Each connection has one goroutine, which connects, reads
+// answers, and ends with the connection; Close ends all connections and waits for these goroutines.
 package counter
