--- a/internal/backend/connection.go
+++ b/internal/backend/connection.go
@@ -74,6 +74,8 @@
 	pool     *Pool
 	endpoint *endpoint
 	nc       *sock.Conn
+	// readEnded is closed when the reader has ended.
+	readEnded chan struct{}
 
 	// The Pool's lock guards these fields.
 	state      connState
@@ -240,6 +242,7 @@
 
 // read is the reader goroutine: it reads answers until the connection ends.
 func (c *conn) read() {
+	defer close(c.readEnded)
 	defer stopPanic()
 	defer c.endRead()
 	buffer, filled := make([]byte, plainBufferBytes), 0
--- a/internal/backend/doc.go
+++ b/internal/backend/doc.go
@@ -10,6 +10,7 @@
 // Three kinds of goroutines run. Each connection has a reader, which runs from when the connection is
 // established until it ends, and closes it. An attempt is written by the goroutine that calls Send if a
 // connection is idle, otherwise by its own goroutine, which dials first. Each health check has its own
-// goroutine. All are bounded by the Pool's timeouts or end with their connection. The Pool lives as long as
-// the process and has no Close.
+// goroutine. All are bounded by the Pool's timeouts or end with their connection. Close ends the readers of
+// idle connections, the dials and the health checks, and waits for them. A connection in use ends with its
+// attempt.
 package backend
--- a/internal/backend/health_check.go
+++ b/internal/backend/health_check.go
@@ -14,11 +14,19 @@
 const ping = "*1\r\n$4\r\nPING\r\n"
 
 // CheckHealth checks whether a backend answers, and passes the outcome to Options.HandleHealthCheck. It does
-// not block. The whole check takes no longer than a connection may take to be established.
+// not block. The whole check takes no longer than a connection may take to be established. Close ends it
+// without an outcome.
 func (p *Pool) CheckHealth(backend policy.BackendID) {
+	if !p.begin() {
+		return
+	}
 	go func() {
+		defer p.running.Done()
 		defer stopPanic()
-		p.handleHealthCheck(backend, p.checkHealth(backend))
+		err := p.checkHealth(backend)
+		if p.ctx.Err() == nil {
+			p.handleHealthCheck(backend, err)
+		}
 	}()
 }
 
@@ -32,7 +40,7 @@
 	defer p.releaseReservation()
 	deadline := time.Now().Add(p.connectTimeout)
 	dialer := net.Dialer{Timeout: p.connectTimeout}
-	conn, err := dialer.DialContext(context.Background(), "tcp4", address)
+	conn, err := dialer.DialContext(p.ctx, "tcp4", address)
 	if err != nil {
 		return &dispatch.NetworkError{Progress: dispatch.Dialing, Err: err}
 	}
@@ -40,6 +48,10 @@
 		_ = conn.Close() // the outcome is already known
 	}()
 	_ = conn.SetDeadline(deadline) // fails only on a closed connection, which the write reports
+	stop := context.AfterFunc(p.ctx, func() {
+		_ = conn.SetDeadline(time.Now()) // ends the exchange; it fails if that has ended
+	})
+	defer stop()
 	return exchangePing(conn)
 }
 
--- a/internal/backend/pool.go
+++ b/internal/backend/pool.go
@@ -1,8 +1,10 @@
 package backend
 
 import (
+	"context"
 	"errors"
 	"fmt"
+	"net"
 	"net/netip"
 	"runtime/debug"
 	"slices"
@@ -56,11 +58,15 @@
 	handleHealthCheck func(backend policy.BackendID, err error)
 	budget            *membudget.Budget
 	metrics           *metrics.Registry
+	ctx               context.Context // canceled by Close; every dial and health check uses it
+	cancel            context.CancelFunc
+	running           sync.WaitGroup // dials and health checks
 
 	mu          sync.Mutex // guards all fields below, and the state of every connection
 	endpoints   map[policy.BackendID]*endpoint
 	connections int // open or being opened, including those of health checks
 	idleStats   idleStats
+	closed      bool // no backend has an address any more, and nothing is dialed
 }
 
 // endpoint is where one backend listens, with its idle connections. A backend that moves gets a new endpoint.
@@ -76,7 +82,10 @@
 
 // New returns a pool without connections.
 func New(options Options) *Pool {
+	ctx, cancel := context.WithCancel(context.Background())
 	return &Pool{
+		ctx:               ctx,
+		cancel:            cancel,
 		connectTimeout:    options.ConnectTimeout,
 		maxIdle:           options.IdleTimeout / 2,
 		maxConnections:    options.MaxConnections,
@@ -87,6 +96,46 @@
 	}
 }
 
+// Close forgets all backends, cancels dials and health checks, and closes idle connections. It returns when
+// their goroutines have ended. From then on no backend gets an address, so no attempt is sent and no health
+// check is made; a health check that is canceled has no outcome. Close does not wait for any backend. It must
+// not be called with a lock held that Attempt.Report or Options.HandleHealthCheck takes.
+//
+// Attempts already sent continue, and their connections end with them. Close does not wait for these, and the
+// process that ends next would lose their answers, so it is called after every client has been answered.
+func (p *Pool) Close() {
+	for _, idle := range p.stop() {
+		<-idle.readEnded
+	}
+	p.running.Wait()
+}
+
+// stop forgets all backends and cancels dials and health checks. It returns the connections that were idle,
+// which it closes.
+func (p *Pool) stop() []*conn {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.closed = true
+	p.cancel()
+	var idle []*conn
+	for backend, e := range p.endpoints {
+		idle = append(idle, e.idle...)
+		p.remove(backend)
+	}
+	return idle
+}
+
+// begin reports whether the pool is open. If so, Close waits until running is done once more.
+func (p *Pool) begin() bool {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.closed {
+		return false
+	}
+	p.running.Add(1)
+	return true
+}
+
 // SetAddress sets the address where a backend listens. Idle connections to another address are closed.
 func (p *Pool) SetAddress(backend policy.BackendID, address string) {
 	p.mu.Lock()
@@ -110,8 +159,12 @@
 	p.remove(backend)
 }
 
-// replace replaces a backend's endpoint, unless the old one has the same address. The caller holds the lock.
+// replace replaces a backend's endpoint, unless the old one has the same address or the pool is closed. The
+// caller holds the lock.
 func (p *Pool) replace(backend policy.BackendID, e *endpoint) {
+	if p.closed {
+		return
+	}
 	if old := p.endpoints[backend]; old != nil && old.address == e.address {
 		return
 	}
@@ -244,20 +297,37 @@
 		p.releaseReservation()
 		return nil, err
 	}
-	c := &conn{pool: p, endpoint: e, nc: nc, idleBefore: neverIdle}
+	c := &conn{pool: p, endpoint: e, nc: nc, idleBefore: neverIdle, readEnded: make(chan struct{})}
 	go c.read()
 	return c, nil
 }
 
 // connect opens a connection to one of an endpoint's addresses.
 func (p *Pool) connect(e *endpoint) (*sock.Conn, error) {
+	if !p.begin() {
+		return nil, net.ErrClosed
+	}
+	defer p.running.Done()
+	nc, err := p.connectTCP(e)
+	if err != nil {
+		return nil, err
+	}
+	return sock.New(nc, sock.Options{}) // fails only if the connection has ended
+}
+
+func (p *Pool) connectTCP(e *endpoint) (*net.TCPConn, error) {
 	p.mu.Lock()
 	order := e.addresses
 	p.mu.Unlock()
 	if len(order) == 0 {
-		return sock.Dial(e.address, p.connectTimeout)
+		single := net.Dialer{Timeout: p.connectTimeout}
+		nc, err := single.DialContext(p.ctx, "tcp4", e.address)
+		if err != nil {
+			return nil, err
+		}
+		return nc.(*net.TCPConn), nil
 	}
-	nc, n, err := sock.DialAny(order, p.connectTimeout)
+	nc, n, err := dialer.Dial(p.ctx, order, p.connectTimeout)
 	if err == nil && n > 0 {
 		p.mu.Lock()
 		// Use a new slice, since another dial may be iterating over the old one.
--- a/internal/backend/pool_test.go
+++ b/internal/backend/pool_test.go
@@ -1,12 +1,15 @@
 package backend
 
 import (
+	"context"
 	"errors"
+	"io"
 	"net"
 	"net/netip"
 	"testing"
 	"time"
 
+	"fawnplank/internal/dispatch"
 	"fawnplank/internal/testutil"
 	"fawnplank/policy"
 )
@@ -190,3 +193,92 @@
 		t.Error("the old addresses stand")
 	}
 }
+
+// readPing returns the next connection, on which a ping has been written.
+func readPing(t *testing.T, conns chan net.Conn) net.Conn {
+	t.Helper()
+	conn := <-conns
+	if _, err := io.ReadFull(conn, make([]byte, len(ping))); err != nil {
+		t.Fatal(err)
+	}
+	return conn
+}
+
+// Close returns once the readers of idle connections have ended.
+func TestPool_CloseEndsIdleConnections(t *testing.T) {
+	p := newPool()
+	address, _ := listen(t, "")
+	p.SetAddress(1, address)
+	var idle []*conn
+	for range 10 {
+		idle = append(idle, mustAcquire(t, p, 1))
+	}
+	for _, c := range idle {
+		makeIdle(p, c)
+	}
+	p.Close()
+	for n, c := range idle {
+		select {
+		case <-c.readEnded:
+		default:
+			t.Errorf("the reader of connection %d runs on", n)
+		}
+	}
+	if p.connections != 0 {
+		t.Errorf("%d connections are open", p.connections)
+	}
+}
+
+// Close ends health checks, which have no outcome then, and leaves the attempt in flight to its answer; its
+// connection ends with it.
+func TestPool_CloseLeavesAttemptsInFlight(t *testing.T) {
+	outcome := make(chan error, 10)
+	p := New(Options{
+		MaxConnections:    10,
+		ConnectTimeout:    time.Minute, // no health check ends by itself
+		IdleTimeout:       10 * time.Second,
+		HandleHealthCheck: func(_ policy.BackendID, err error) { outcome <- err },
+	})
+	address, conns := listen(t, "")
+	p.SetAddress(1, address)
+	request := submit(t)
+	p.Send(request.NextStep().Attempt, [][]byte{[]byte(ping)})
+	remote := readPing(t, conns)
+	p.CheckHealth(1)
+	readPing(t, conns)
+	p.Close()
+	p.SetAddress(1, address)
+	p.CheckHealth(1)
+	if _, _, err := p.acquire(1); !errors.Is(err, errNoAddress) || len(outcome) > 0 {
+		t.Errorf("after Close: %v, %d health checks", err, len(outcome))
+	}
+	if _, err := remote.Write([]byte("*1\r\n$2\r\nok\r\n")); err != nil {
+		t.Fatal(err)
+	}
+	if step := request.NextStep(); step.Action != dispatch.Respond {
+		t.Errorf("the attempt in flight ended as %+v", step)
+	}
+	testutil.Eventually(t, "all connections end", func() bool {
+		p.mu.Lock()
+		defer p.mu.Unlock()
+		return p.connections == 0
+	})
+	p.Close()
+}
+
+// A connection that is coming up when the pool is closed is not waited for, and none is opened after it.
+func TestPool_CloseEndsDials(t *testing.T) {
+	p := newPool()
+	address, _ := listen(t, "")
+	several := []netip.AddrPort{netip.MustParseAddrPort(address), netip.MustParseAddrPort(address)}
+	p.cancel() // the first step of Close
+	for _, e := range []*endpoint{{address: address}, {addresses: several}} {
+		if _, err := p.connect(e); !errors.Is(err, context.Canceled) {
+			t.Errorf("%+v: %v", e, err)
+		}
+	}
+	p.Close()
+	if _, err := p.connect(&endpoint{address: address}); !errors.Is(err, net.ErrClosed) {
+		t.Errorf("after Close: %v", err)
+	}
+}
