--- a/cmd/fawnplank/serve.go
+++ b/cmd/fawnplank/serve.go
@@ -199,6 +199,9 @@
 		HealthChecker:   g.pool,
 		EndpointWatcher: g.discovery,
 	})
+	// Close runs these after everything started later, in reverse: the clients of the network first, while the
+	// dispatcher still takes what their ends report.
+	g.closers = append(g.closers, g.dispatcher.Stop, g.pool.Close, g.counter.Close, g.discovery.Close)
 	return nil
 }
 
--- a/cmd/fawnplank/shutdown.go
+++ b/cmd/fawnplank/shutdown.go
@@ -1,6 +1,7 @@
 package main
 
 import (
+	"context"
 	"net"
 	"time"
 
@@ -18,8 +19,6 @@
 	// listenerGrace is the time from the start of acceptGrace until the listener is closed. It is longer than
 	// acceptGrace, so that the server already has the last accepted connection when the listener closes.
 	listenerGrace = 30 * time.Millisecond
-	// drainPoll is the interval between two checks of the open connections.
-	drainPoll = 10 * time.Millisecond
 )
 
 // beginShutdown starts the shutdown. It returns a channel that is closed when all requests are answered, or
@@ -52,13 +51,9 @@
 	}
 	time.Sleep(listenerGrace)
 	_ = listener.Close() // the process ends next
-	deadline := time.Now().Add(longestDeadline(settings))
-	for ; time.Now().Before(deadline); time.Sleep(drainPoll) {
-		server.Close()
-		if !server.Serving() && server.Connections() == 0 {
-			break
-		}
-	}
+	ctx, cancel := context.WithTimeout(context.Background(), longestDeadline(settings))
+	defer cancel()
+	_ = server.Shutdown(ctx) // fails if time is up for every request: then there is nothing left to wait for
 	logging.For("frontend").Info("stopped")
 }
 
--- a/cmd/fawnplank/shutdown_test.go
+++ b/cmd/fawnplank/shutdown_test.go
@@ -1,14 +1,17 @@
 package main
 
 import (
+	"errors"
 	"fmt"
 	"io"
 	"net"
+	"os"
 	"path/filepath"
 	"syscall"
 	"testing"
 	"time"
 
+	"fawnplank/internal/config"
 	"fawnplank/internal/testutil"
 )
 
@@ -53,3 +56,48 @@
 		t.Errorf("%q, %v", got, err)
 	}
 }
+
+// Close ends the watch of discovery, a call of the counter and a health check under way, none of which is
+// ever answered: it waits for no peer.
+func TestGateway_CloseEndsNetworkClients(t *testing.T) {
+	listener := testutil.Listen(t)
+	address := listener.Addr().String()
+	file := filepath.Join(t.TempDir(), "config.json")
+	writeFile(t, file, fmt.Sprintf(configuration, address, address, address))
+	g := &gateway{options: gatewayOptions{ConfigFile: file}}
+	var err error
+	if g.configuration, g.operator, err = g.loadConfiguration(config.Overlay{}); err != nil {
+		t.Fatal(err)
+	}
+	g.configuration.Counter = address
+	g.configuration.ConnectTimeout = time.Minute
+	if err := errors.Join(g.startDispatcher(), g.loadEndpoints()); err != nil {
+		t.Fatal(err)
+	}
+	g.counter.Add(1, 1, time.Second)
+	g.pool.SetAddress(1, address)
+	g.pool.CheckHealth(1)
+	var peers []net.Conn
+	for range 3 {
+		peer, err := listener.Accept()
+		if err != nil {
+			t.Fatal(err)
+		}
+		t.Cleanup(func() { hangUp(peer) })
+		peers = append(peers, peer)
+	}
+	start := time.Now()
+	g.Close()
+	if took := time.Since(start); took > time.Second {
+		t.Errorf("Close took %v", took)
+	}
+	t.Logf("Close took %v", time.Since(start))
+	for _, peer := range peers {
+		if err := peer.SetReadDeadline(time.Now().Add(defaultReadLimit)); err != nil {
+			t.Error(err)
+		}
+		if _, err := io.Copy(io.Discard, peer); errors.Is(err, os.ErrDeadlineExceeded) {
+			t.Error("a connection is left open")
+		}
+	}
+}
--- a/internal/frontend/race_conditions_test.go
+++ b/internal/frontend/race_conditions_test.go
@@ -74,7 +74,7 @@
 	h := newHarness(t, harnessOptions{})
 	client, attempt := h.openRequest("1")
 	c := h.onlyConnection()
-	h.server.Close()
+	h.server.beginShutdown()
 	client.send(words("PING")) // read while the first is still open; then its reader waits for that
 	h.until("the PING is read", func() bool {
 		c.mu.Lock()
@@ -112,7 +112,7 @@
 		}
 	}()
 	client.skipResponses(5)
-	h.server.Close()
+	h.server.beginShutdown()
 	closedAt := time.Now()
 	h.until("the connection ends", func() bool { return h.server.Connections() == 0 })
 	if took := time.Since(closedAt); took > time.Second {
@@ -136,7 +136,7 @@
 			case <-stop:
 				return
 			default:
-				h.server.Close()
+				h.server.beginShutdown()
 			}
 		}
 	}()
@@ -144,7 +144,7 @@
 	for n := range 20 {
 		client := h.dial()
 		h.until("it is accepted", accepted)
-		time.Sleep(5 * time.Millisecond) // several calls of Close, and far less than newConnectionGrace
+		time.Sleep(5 * time.Millisecond) // several calls of beginShutdown, and far less than newConnectionGrace
 		client.send(query(strconv.Itoa(n), lookupFields))
 		h.nextAttempt().respond(okReply)
 		client.expect(okResponse)
@@ -156,7 +156,7 @@
 	close(stop)
 	<-stopped
 	h.until("it is accepted", accepted)
-	h.server.Close() // once will do
+	h.server.beginShutdown() // once will do
 	h.until("it ends", func() bool { return h.server.Connections() == 0 })
 }
 
--- a/internal/frontend/server.go
+++ b/internal/frontend/server.go
@@ -69,8 +69,8 @@
 	evictionThreshold int           // at this many validated connections, idle ones are evicted for new ones
 	writeTimeout      time.Duration // for one piece of a response
 
-	serving            atomic.Bool
-	closing            atomic.Bool  // Close was called
+	serving            atomic.Bool  // in Serve: a connection may be accepted that connections does not hold yet
+	closing            atomic.Bool  // a shutdown has begun
 	drainingSinceNanos atomic.Int64 // Unix time at which the drain began; 0 if not draining
 	capacityWanted     atomic.Bool  // addConnection waits for a connection to end or to become idle
 
@@ -114,10 +114,6 @@
 	return s.accept(listener)
 }
 
-// Serving reports whether Serve is accepting connections. While it is, a connection may have been accepted
-// that Connections does not count yet.
-func (s *Server) Serving() bool { return s.serving.Load() }
-
 // Connections returns the number of open connections.
 func (s *Server) Connections() int {
 	s.mu.Lock()
--- a/internal/frontend/shutdown.go
+++ b/internal/frontend/shutdown.go
@@ -1,6 +1,9 @@
 package frontend
 
-import "time"
+import (
+	"context"
+	"time"
+)
 
 // drainDelay is how long a draining server continues to serve its connections before it closes them as they
 // become idle. The load balancer sends PING ten times a second and stops opening connections 0.2 s after an
@@ -8,6 +11,9 @@
 // count one that is still open as lost.
 const drainDelay = time.Second
 
+// shutdownInterval is the time between two looks of Shutdown for connections to close.
+const shutdownInterval = 10 * time.Millisecond
+
 // Drain begins a drain: from now on PING is answered with an error, and after drainDelay connections are
 // closed between requests. A further call has no effect: drainDelay counts from the first.
 func (s *Server) Drain() { s.drainingSinceNanos.CompareAndSwap(0, time.Now().UnixNano()) }
@@ -27,13 +33,34 @@
 // Draining reports whether a drain is under way.
 func (s *Server) Draining() bool { return s.drainingSinceNanos.Load() != 0 }
 
-// Close ends the connections that have nothing pending; the others end after their responses. Close does not
-// wait, and may be called again for connections that were accepted meanwhile.
-func (s *Server) Close() {
+// Shutdown ends all connections, each once it has nothing pending and its responses are written. It returns
+// nil when Serve has returned and no connection is open, or the error of ctx if that ends first; connections
+// that are open then continue to be served until they have nothing pending. Serve accepts connections, which
+// end likewise, until the caller closes the listener.
+func (s *Server) Shutdown(ctx context.Context) error {
+	ticker := time.NewTicker(shutdownInterval)
+	defer ticker.Stop()
+	for {
+		s.beginShutdown()
+		if !s.serving.Load() && s.Connections() == 0 {
+			return nil
+		}
+		select {
+		case <-ticker.C:
+		case <-ctx.Done():
+			return ctx.Err()
+		}
+	}
+}
+
+// beginShutdown ends the connections that have nothing pending; the others end after their responses. Later
+// calls do the same with connections that were accepted meanwhile.
+func (s *Server) beginShutdown() {
 	s.closing.Store(true)
 	s.closeConnections()
 }
 
+// closeConnections ends the connections that have nothing pending; the others end after their responses.
 func (s *Server) closeConnections() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/frontend/shutdown_test.go
+++ b/internal/frontend/shutdown_test.go
@@ -1,6 +1,7 @@
 package frontend
 
 import (
+	"context"
 	"errors"
 	"io"
 	"testing"
@@ -26,12 +27,16 @@
 }
 
 // At the end connections close between requests, and what was submitted is answered.
-func TestServer_CloseAnswersPendingRequests(t *testing.T) {
+func TestServer_ShutdownAnswersPendingRequests(t *testing.T) {
 	h := newHarness(t, harnessOptions{})
 	c, attempt := h.openRequest("1")
 	idle := h.dial()
 	h.until("both connections are open", func() bool { return h.server.Connections() >= 2 })
-	h.server.Close()
+	if err := h.listener.Close(); err != nil {
+		t.Error(err)
+	}
+	shutdown := make(chan error, 1)
+	go func() { shutdown <- h.server.Shutdown(t.Context()) }()
 	if _, err := idle.reader.ReadByte(); !errors.Is(err, io.EOF) {
 		t.Errorf("an idle connection: %v", err)
 	}
@@ -41,6 +46,33 @@
 		t.Errorf("after the last response: %v", err)
 	}
 	h.until("all connections have ended", func() bool { return h.server.Connections() == 0 })
+	if err := <-shutdown; err != nil {
+		t.Errorf("Shutdown: %v", err)
+	}
+}
+
+// Shutdown waits for the listener's end and for the last connection's, but no longer than its context lasts.
+func TestServer_ShutdownEndsWithItsContext(t *testing.T) {
+	h := newHarness(t, harnessOptions{})
+	h.until("it serves", h.server.serving.Load)
+	canceled, cancel := context.WithCancel(t.Context())
+	cancel()
+	if err := h.server.Shutdown(canceled); !errors.Is(err, context.Canceled) {
+		t.Errorf("while it accepts connections: %v", err)
+	}
+	client, attempt := h.openRequest("1")
+	if err := h.listener.Close(); err != nil {
+		t.Error(err)
+	}
+	h.until("no more is accepted", func() bool { return !h.server.serving.Load() })
+	if err := h.server.Shutdown(canceled); !errors.Is(err, context.Canceled) {
+		t.Errorf("while a request is open: %v", err)
+	}
+	attempt.respond(okReply)
+	client.expect(okResponse)
+	if err := h.server.Shutdown(t.Context()); err != nil || h.server.Connections() != 0 {
+		t.Errorf("at its end: %v, %d connections", err, h.server.Connections())
+	}
 }
 
 // A draining server answers PING with an error at once, serves open connections for a while, then closes them
