--- a/internal/backend/connection.go
+++ b/internal/backend/connection.go
@@ -299,9 +299,11 @@
 // according to those bytes. It returns buffer itself if the answer would be too large or if no memory came
 // free for it in time.
 func (c *conn) growBuffer(buffer []byte) []byte {
-	_, offset, _ := resp.Length(buffer, '*', maxParts)
-	length, header, _ := resp.Length(buffer[offset:], '$', resp.MaxValue)
-	size := min(max(2*len(buffer), offset+header+length+maxLineBytes), maxResponseBytes)
+	// Both are valid: parseResponse refuses a length that is not, before the buffer is full.
+	count, _ := resp.ParseLength(buffer, '*', maxParts)
+	value, _ := resp.ParseLength(buffer[count.Size:], '$', resp.MaxValue)
+	whole := count.Size + value.Size + value.Value + maxLineBytes
+	size := min(max(2*len(buffer), whole), maxResponseBytes)
 	if size <= len(buffer) {
 		return buffer
 	}
--- a/internal/backend/response_parser.go
+++ b/internal/backend/response_parser.go
@@ -36,15 +36,16 @@
 	if received[0] == '-' {
 		return parseErrorLine(received)
 	}
-	count, offset, ok := resp.Length(received, '*', maxParts)
-	if !ok || offset > 0 && count < 1 {
+	count, ok := resp.ParseLength(received, '*', maxParts)
+	if !ok || count.IsComplete() && count.Value < 1 {
 		return response{}, dispatch.ErrBackendFailed
 	}
-	if offset == 0 {
+	if !count.IsComplete() {
 		return response{}, nil
 	}
 	var r response
-	for number := range count {
+	offset := count.Size
+	for number := range count.Value {
 		if offset == len(received) {
 			return response{}, nil
 		}
@@ -67,19 +68,19 @@
 // parseErrorLine parses a response that begins like an error: BUSY proves that nothing ran, ERR does not, and
 // any other word is not a valid response.
 func parseErrorLine(received []byte) (response, error) {
-	text, size, ok := resp.Line(received, maxLineBytes)
+	line, ok := resp.ParseLine(received, maxLineBytes)
 	if !ok {
 		return response{}, dispatch.ErrBackendFailed
 	}
-	if size == 0 {
+	if !line.IsComplete() {
 		return response{}, nil
 	}
-	word, _, _ := bytes.Cut(text, []byte(" "))
+	word, _, _ := bytes.Cut(line.Text, []byte(" "))
 	switch string(word) {
 	case "BUSY":
-		return response{size: size}, dispatch.ErrRejected
+		return response{size: line.Size}, dispatch.ErrRejected
 	case "ERR":
-		return response{size: size}, dispatch.ErrBackendFailed
+		return response{size: line.Size}, dispatch.ErrBackendFailed
 	}
 	return response{}, dispatch.ErrBackendFailed
 }
@@ -93,30 +94,31 @@
 // parsePart parses the part at the beginning of received. A value must be a bulk string; usage and load
 // report may also be null, or of another type, which is skipped.
 func parsePart(received []byte, isValue bool) (part, error) {
-	length, header, ok := resp.Length(received, '$', resp.MaxValue)
+	length, ok := resp.ParseLength(received, '$', resp.MaxValue)
 	if !isValue && !ok && received[0] != '$' {
-		length = -1
-		_, header, ok = resp.Line(received, maxLineBytes)
+		var line resp.Line
+		line, ok = resp.ParseLine(received, maxLineBytes)
+		length = resp.Length{Value: -1, Size: line.Size} // of another type, which is skipped like null
 		ok = ok && strings.IndexByte("+-:", received[0]) >= 0
 	}
-	isNull := header > 0 && length < 0
+	isNull := length.IsComplete() && length.Value < 0
 	if !ok || isValue && isNull {
 		return part{}, dispatch.ErrBackendFailed
 	}
-	if header == 0 {
+	if !length.IsComplete() {
 		return part{}, nil
 	}
 	if isNull {
-		return part{size: header}, nil
+		return part{size: length.Size}, nil
 	}
-	size := header + length + len("\r\n")
+	size := length.Size + length.Value + len("\r\n")
 	if len(received) < size {
 		return part{}, nil
 	}
 	if string(received[size-2:size]) != "\r\n" {
 		return part{}, dispatch.ErrBackendFailed
 	}
-	return part{size: size, payload: received[header : size-2]}, nil
+	return part{size: size, payload: received[length.Size : size-2]}, nil
 }
 
 // usedUnits returns the actual units from the usage, which consists of names and values like a load report.
--- a/internal/backend/response_parser_test.go
+++ b/internal/backend/response_parser_test.go
@@ -73,3 +73,13 @@
 		t.Error(err)
 	}
 }
+
+func BenchmarkParseResponse(b *testing.B) {
+	received := []byte("*3\r\n$5\r\nvalue\r\n$14\r\nused=86,cost=3\r\n+x\r\n")
+	b.ReportAllocs()
+	for b.Loop() {
+		if r, err := parseResponse(received); r.size != len(received) || err != nil {
+			b.Fatal(r, err)
+		}
+	}
+}
--- a/internal/resp/resp.go
+++ b/internal/resp/resp.go
@@ -33,49 +33,67 @@
 	errWordEnd       = &ProtocolError{"a word does not fit its length"}
 )
 
-// Line returns the text of the line at the beginning of b, without the line's first byte, and the size of the
-// whole line, which is 0 while the line is incomplete. ok is false if b does not begin with a valid line or
-// if the line is larger than maxSize.
-func Line(b []byte, maxSize int) (text []byte, size int, ok bool) {
+// Line is a line of the protocol. The zero value stands for one that is incomplete.
+type Line struct {
+	Text []byte // without the line's first byte and its end
+	Size int    // of the whole line, in bytes
+}
+
+// IsComplete reports whether the line's end has been received.
+func (l Line) IsComplete() bool { return l.Size > 0 }
+
+// ParseLine returns the line at the beginning of b. ok is false if b does not begin with a valid line or if
+// the line is larger than maxSize.
+func ParseLine(b []byte, maxSize int) (line Line, ok bool) {
 	end := bytes.IndexByte(b, '\n')
 	if end < 0 {
-		return nil, 0, len(b) <= maxSize
+		return Line{}, len(b) <= maxSize
 	}
 	if end < 2 || end > maxSize || b[end-1] != '\r' {
-		return nil, 0, false
+		return Line{}, false
 	}
-	return b[1 : end-1], end + 1, true
+	return Line{Text: b[1 : end-1], Size: end + 1}, true
 }
 
-// Length returns the number in the line at the beginning of b, which must begin with kind and hold a number
-// from -1 to maxValue. It also returns the size of the line, which is 0 while the line is incomplete. ok is
-// false if b does not begin with such a line.
-func Length(b []byte, kind byte, maxValue int) (value, size int, ok bool) {
+// Length is a line that holds the length of a bulk string or of an array; -1 is the length of null. The zero
+// value stands for a line that is incomplete.
+type Length struct {
+	Value int
+	Size  int // of the line, in bytes
+}
+
+// IsComplete reports whether the line's end has been received.
+func (l Length) IsComplete() bool { return l.Size > 0 }
+
+// ParseLength returns the length in the line at the beginning of b, which must begin with kind and hold a
+// number from -1 to maxValue. ok is false if b does not begin with such a line.
+func ParseLength(b []byte, kind byte, maxValue int) (length Length, ok bool) {
 	if b[0] != kind {
-		return 0, 0, false
+		return Length{}, false
 	}
-	text, size, ok := Line(b, maxLengthLine)
-	if !ok || size == 0 {
-		return 0, 0, ok
+	line, ok := ParseLine(b, maxLengthLine)
+	if !ok || !line.IsComplete() {
+		return Length{}, ok
 	}
-	value, err := strconv.Atoi(string(text))
+	value, err := strconv.Atoi(string(line.Text))
 	inRange := value >= -1 && value <= maxValue
-	return value, size, err == nil && inRange && text[0] != '+'
+	return Length{Value: value, Size: line.Size}, err == nil && inRange && line.Text[0] != '+'
 }
 
 // Command returns the words of the command at the beginning of b, and the command's size, which is 0 while
 // the command is incomplete. The words are slices of b, and the returned slice reuses the memory of words.
 // Any error is a *ProtocolError.
 func Command(b []byte, words [][]byte) (size int, _ [][]byte, err error) {
-	count, at, ok := Length(b, '*', maxWords)
-	if !ok || at > 0 && count < 1 {
+	count, ok := ParseLength(b, '*', maxWords)
+	if !ok || count.IsComplete() && count.Value < 1 {
 		return 0, nil, errArrayExpected
 	}
-	if at == 0 {
+	if !count.IsComplete() {
 		return 0, words[:0], nil
 	}
+	at := count.Size
 	words = words[:0]
-	for len(words) < count {
+	for len(words) < count.Value {
 		word, wordSize, err := bulkString(b[at:])
 		if err != nil {
 			return 0, nil, err
@@ -95,16 +113,16 @@
 	if len(b) == 0 {
 		return nil, 0, nil
 	}
-	length, start, ok := Length(b, '$', MaxValue)
-	if !ok || length < 0 {
+	length, ok := ParseLength(b, '$', MaxValue)
+	if !ok || length.Value < 0 {
 		return nil, 0, errWordLength
 	}
-	end := start + length + len("\r\n")
-	if start == 0 || len(b) < end {
+	end := length.Size + length.Value + len("\r\n")
+	if !length.IsComplete() || len(b) < end {
 		return nil, 0, nil
 	}
 	if string(b[end-2:end]) != "\r\n" {
 		return nil, 0, errWordEnd
 	}
-	return b[start : end-2], end, nil
+	return b[length.Size : end-2], end, nil
 }
--- a/internal/resp/resp_test.go
+++ b/internal/resp/resp_test.go
@@ -74,3 +74,15 @@
 		t.Error(err)
 	}
 }
+
+func BenchmarkCommand(b *testing.B) {
+	const text = "*4\r\n$9\r\nSVC.QUERY\r\n$16\r\n00000000b4d65521\r\n$1\r\n1\r\n$20\r\nc=lookup,t=team,d=90\r\n"
+	command := []byte(text)
+	words := make([][]byte, 0, maxWords)
+	b.ReportAllocs()
+	for b.Loop() {
+		if size, _, err := Command(command, words); size != len(command) || err != nil {
+			b.Fatal(size, err)
+		}
+	}
+}
