--- a/internal/frontend/doc.go
+++ b/internal/frontend/doc.go
@@ -3,10 +3,11 @@
 // out the steps that the dispatcher picks. It never decides what happens to a request, never leaves a
 // submitted request without its one response, and never submits a request with an invalid head.
 //
-// New creates a Server, Serve runs it, and Shutdown ends it once the listener is closed. Each connection has one reader goroutine, which parses and submits. Each request has its own
-// goroutine, which runs it up to its response. The reader does not wait for these goroutines; responses are
-// written by whichever goroutine completes the first of those that are due. All these goroutines end with
-// their connection, which the server counts until its reader has ended.
+// New creates a Server, Serve runs it, and Shutdown ends it once the listener is closed. Each connection has
+// one reader goroutine, which parses and submits. Each request has its own goroutine, which runs it up to its
+// response. The reader does not wait for these goroutines; responses are written by whichever goroutine
+// completes the first of those that are due. All these goroutines end with their connection, which the server
+// counts until its reader has ended.
 //
 // The methods of Server are safe for concurrent use, but Serve may be called only once.
 //
