--- a/internal/backend/connection.go
+++ b/internal/backend/connection.go
@@ -74,6 +74,8 @@
 	pool     *Pool
 	endpoint *endpoint
 	nc       *sock.Conn
+	// readEnded is closed when the reader has ended.
+	readEnded chan struct{}
 
 	// The Pool's lock guards these fields.
 	state      connState
@@ -240,6 +242,7 @@
 
 // read is the reader goroutine: it reads answers until the connection ends.
 func (c *conn) read() {
+	defer close(c.readEnded)
 	defer stopPanic()
 	defer c.endRead()
 	buffer, filled := make([]byte, plainBufferBytes), 0
@@ -296,9 +299,11 @@
 // according to those bytes. It returns buffer itself if the answer would be too large or if no memory came
 // free for it in time.
 func (c *conn) growBuffer(buffer []byte) []byte {
-	_, offset, _ := resp.Length(buffer, '*', maxParts)
-	length, header, _ := resp.Length(buffer[offset:], '$', resp.MaxValue)
-	size := min(max(2*len(buffer), offset+header+length+maxLineBytes), maxResponseBytes)
+	// Both are valid: parseResponse refuses a length that is not, before the buffer is full.
+	count, _ := resp.ParseLength(buffer, '*', maxParts)
+	value, _ := resp.ParseLength(buffer[count.Size:], '$', resp.MaxValue)
+	whole := count.Size + value.Size + value.Value + maxLineBytes
+	size := min(max(2*len(buffer), whole), maxResponseBytes)
 	if size <= len(buffer) {
 		return buffer
 	}
