--- a/cmd/fawnplank/shutdown_test.go
+++ b/cmd/fawnplank/shutdown_test.go
@@ -94,7 +94,7 @@
 	}
 	t.Logf("Close took %v", time.Since(start))
 	for _, peer := range peers {
-		if err := peer.SetReadDeadline(time.Now().Add(defaultReadLimit)); err != nil {
+		if err := peer.SetReadDeadline(time.Now().Add(connectionTimeout)); err != nil {
 			t.Error(err)
 		}
 		if _, err := io.Copy(io.Discard, peer); errors.Is(err, os.ErrDeadlineExceeded) {
--- a/internal/backend/pool.go
+++ b/internal/backend/pool.go
@@ -308,26 +308,13 @@
 		return nil, net.ErrClosed
 	}
 	defer p.running.Done()
-	nc, err := p.connectTCP(e)
-	if err != nil {
-		return nil, err
-	}
-	return sock.New(nc, sock.Options{}) // fails only if the connection has ended
-}
-
-func (p *Pool) connectTCP(e *endpoint) (*net.TCPConn, error) {
 	p.mu.Lock()
 	order := e.addresses
 	p.mu.Unlock()
 	if len(order) == 0 {
-		single := net.Dialer{Timeout: p.connectTimeout}
-		nc, err := single.DialContext(p.ctx, "tcp4", e.address)
-		if err != nil {
-			return nil, err
-		}
-		return nc.(*net.TCPConn), nil
+		return sock.Dial(p.ctx, e.address, p.connectTimeout)
 	}
-	nc, n, err := dialer.Dial(p.ctx, order, p.connectTimeout)
+	nc, n, err := sock.DialAny(p.ctx, order, p.connectTimeout)
 	if err == nil && n > 0 {
 		p.mu.Lock()
 		// Use a new slice, since another dial may be iterating over the old one.
--- a/internal/counter/connection.go
+++ b/internal/counter/connection.go
@@ -95,15 +95,10 @@
 
 func (conn *connection) connect() error {
 	c := conn.client
-	dialer := net.Dialer{Timeout: c.connectTimeout}
-	dialed, err := dialer.DialContext(c.ctx, "tcp4", conn.address)
+	socket, err := sock.Dial(c.ctx, conn.address, c.connectTimeout)
 	if err != nil {
 		return err
 	}
-	socket, err := sock.New(dialed.(*net.TCPConn), sock.Options{})
-	if err != nil { // the connection has ended already
-		return err
-	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if conn.closed {
--- a/internal/sock/sock.go
+++ b/internal/sock/sock.go
@@ -71,9 +71,9 @@
 }
 
 // Dial opens a connection to an IPv4 address. A connectTimeout of 0 means no timeout.
-func Dial(address string, connectTimeout time.Duration) (*Conn, error) {
+func Dial(ctx context.Context, address string, connectTimeout time.Duration) (*Conn, error) {
 	d := net.Dialer{Timeout: connectTimeout}
-	nc, err := d.DialContext(context.Background(), "tcp4", address)
+	nc, err := d.DialContext(ctx, "tcp4", address)
 	if err != nil {
 		return nil, err
 	}
@@ -82,8 +82,10 @@
 
 // DialAny opens a connection to one of several addresses, tried in order, and returns the index of the
 // address that it connected to.
-func DialAny(addresses []netip.AddrPort, connectTimeout time.Duration) (c *Conn, index int, err error) {
-	nc, index, err := dialer.Dial(context.Background(), addresses, connectTimeout)
+func DialAny(
+	ctx context.Context, addresses []netip.AddrPort, connectTimeout time.Duration,
+) (c *Conn, index int, err error) {
+	nc, index, err := dialer.Dial(ctx, addresses, connectTimeout)
 	if err != nil {
 		return nil, 0, err
 	}
--- a/internal/sock/sock_test.go
+++ b/internal/sock/sock_test.go
@@ -16,7 +16,7 @@
 func dialPair(t *testing.T) (*Conn, net.Conn) {
 	t.Helper()
 	listener := testutil.Listen(t)
-	c, err := Dial(listener.Addr().String(), time.Second)
+	c, err := Dial(t.Context(), listener.Addr().String(), time.Second)
 	if err != nil {
 		t.Fatal(err)
 	}
