--- a/internal/billingservice/commit.go
+++ b/internal/billingservice/commit.go
@@ -41,7 +41,7 @@
 			reportErr = fmt.Errorf("report %s: %w", name, err)
 			continue
 		}
-		deletion := kv.Edit{Key: reportPrefix + name, Check: true, If: entry.Index}
+		deletion := kv.Edit{Key: reportPrefix + name, Conditional: true, ExpectedIndex: entry.Index}
 		batch.deletions = append(batch.deletions, deletion)
 	}
 	if len(batch.deletions) == 0 {
--- a/internal/billingservice/compaction.go
+++ b/internal/billingservice/compaction.go
@@ -46,7 +46,7 @@
 		if err != nil {
 			return err
 		}
-		stateEdit := kv.Edit{Key: exportKey, Value: value, Check: true, If: index}
+		stateEdit := kv.Edit{Key: exportKey, Value: value, Conditional: true, ExpectedIndex: index}
 		err = s.options.Replica.Edit(append(compaction.edits, stateEdit))
 		if isConflict(err) {
 			return nil // the next round tries again
@@ -102,7 +102,7 @@
 			if err != nil {
 				return compaction{}, err
 			}
-			recordEdit := kv.Edit{Key: recordKeyAt(record.Sequence), Value: value, Check: true}
+			recordEdit := kv.Edit{Key: recordKeyAt(record.Sequence), Value: value, Conditional: true}
 			result.edits = append(result.edits, recordEdit)
 		}
 		result.state.Next += uint64(len(records))
--- a/internal/billingservice/export.go
+++ b/internal/billingservice/export.go
@@ -50,7 +50,7 @@
 	if err != nil {
 		return 0, err
 	}
-	edits = append(edits, kv.Edit{Key: exportKey, Value: value, Check: true, If: index})
+	edits = append(edits, kv.Edit{Key: exportKey, Value: value, Conditional: true, ExpectedIndex: index})
 	if err := s.options.Replica.Edit(edits); err != nil {
 		return 0, err
 	}
--- a/internal/billingservice/lease.go
+++ b/internal/billingservice/lease.go
@@ -66,5 +66,6 @@
 	if err != nil {
 		return err
 	}
-	return s.options.Replica.Edit([]kv.Edit{{Key: leaseKey, Value: value, Check: true, If: index}})
+	edit := kv.Edit{Key: leaseKey, Value: value, Conditional: true, ExpectedIndex: index}
+	return s.options.Replica.Edit([]kv.Edit{edit})
 }
--- a/internal/billingservice/operations.go
+++ b/internal/billingservice/operations.go
@@ -78,7 +78,7 @@
 
 // editAccount returns the edit that writes an account, or that deletes an empty one.
 func editAccount(account billing.Account, index kv.Index) (kv.Edit, error) {
-	edit := kv.Edit{Key: accountPrefix + account.Tenant, Check: true, If: index}
+	edit := kv.Edit{Key: accountPrefix + account.Tenant, Conditional: true, ExpectedIndex: index}
 	if account.IsEmpty() {
 		return edit, nil
 	}
--- a/internal/billingservice/report.go
+++ b/internal/billingservice/report.go
@@ -122,7 +122,7 @@
 		if err == nil {
 			err = s.options.Replica.Edit([]kv.Edit{
 				{Key: key, Value: content},
-				{Key: markKey, Value: mark, Check: true, If: last.Index},
+				{Key: markKey, Value: mark, Conditional: true, ExpectedIndex: last.Index},
 			})
 		}
 		if err == nil {
--- a/internal/dnsserver/replicated_zone.go
+++ b/internal/dnsserver/replicated_zone.go
@@ -37,7 +37,7 @@
 const (
 	// pieceBytes is how much of a snapshot goes into one value: half of the maximum size of a value, because the
 	// value is JSON within JSON.
-	pieceBytes = kv.MaxValue / 2
+	pieceBytes = kv.MaxValueBytes / 2
 	// maxStoredChanges is how many changes the store holds in addition to a snapshot. Their deletion must fit
 	// into one command.
 	maxStoredChanges = 500
@@ -245,7 +245,7 @@
 	if err != nil {
 		return err
 	}
-	err = r.Edit(append(edits, kv.Edit{Key: headKey, Value: value, Check: true, If: index}))
+	err = r.Edit(append(edits, kv.Edit{Key: headKey, Value: value, Conditional: true, ExpectedIndex: index}))
 	if _, ok := errors.AsType[kv.ConflictError](err); ok {
 		return errBehind
 	}
--- a/internal/store/api.go
+++ b/internal/store/api.go
@@ -143,8 +143,8 @@
 		if err != nil {
 			return fmt.Errorf("if=%.20q is no index: %w", text, kv.ErrInvalid)
 		}
-		edit.Check = true
-		edit.If = kv.Index(index)
+		edit.Conditional = true
+		edit.ExpectedIndex = kv.Index(index)
 	}
 	return s.write(w, []kv.Edit{edit})
 }
--- a/internal/store/kv/command.go
+++ b/internal/store/kv/command.go
@@ -13,14 +13,18 @@
 // Edit changes one key.
 type Edit struct {
 	Key string `json:"key"`
-	// Value is the key's new value, in JSON; nil deletes the key.
+	// Value is the key's new value, in JSON. No value, or null, deletes the key.
 	Value json.RawMessage `json:"value,omitempty"`
-	// Check makes the edit conditional on If.
-	Check bool `json:"check,omitempty"`
-	// If is the index that the key must have; 0 means that the key must not exist.
-	If Index `json:"if,omitempty"`
+	// Conditional means that the edit requires the key to be at ExpectedIndex. Otherwise ExpectedIndex is not
+	// looked at.
+	Conditional bool `json:"check,omitempty"`
+	// ExpectedIndex is the index that the key must have; 0 means that the key must not exist.
+	ExpectedIndex Index `json:"if,omitempty"`
 }
 
+// isDeletion reports whether the edit deletes its key.
+func (e Edit) isDeletion() bool { return len(e.Value) == 0 || string(e.Value) == "null" }
+
 // Command is a log entry. Either all its edits are applied, or none is.
 type Command struct {
 	Version int    `json:"v"`
@@ -32,9 +36,9 @@
 
 // Bounds of a command. Larger commands in the log would delay elections.
 const (
-	MaxEdits = 1000
-	MaxKey   = 256     // bytes
-	MaxValue = 1 << 20 // bytes
+	MaxEdits      = 1000
+	MaxKeyBytes   = 256
+	MaxValueBytes = 1 << 20
 )
 
 // ErrInvalid reports that a command is malformed. It is never written, and sending it again is useless.
@@ -83,15 +87,15 @@
 
 func validateKey(key string) error {
 	isUnprintable := func(r rune) bool { return r <= ' ' || r > '~' }
-	if key == "" || len(key) > MaxKey || strings.ContainsFunc(key, isUnprintable) {
-		return fmt.Errorf("key %.40q is not 1 to %d printable characters: %w", key, MaxKey, ErrInvalid)
+	if key == "" || len(key) > MaxKeyBytes || strings.ContainsFunc(key, isUnprintable) {
+		return fmt.Errorf("key %.40q is not 1 to %d printable characters: %w", key, MaxKeyBytes, ErrInvalid)
 	}
 	return nil
 }
 
 func validateValue(edit Edit) error {
-	if len(edit.Value) > MaxValue {
-		return fmt.Errorf("key %s: %d bytes, above %d: %w", edit.Key, len(edit.Value), MaxValue, ErrInvalid)
+	if len(edit.Value) > MaxValueBytes {
+		return fmt.Errorf("key %s: %d bytes, above %d: %w", edit.Key, len(edit.Value), MaxValueBytes, ErrInvalid)
 	}
 	if len(edit.Value) > 0 && !json.Valid(edit.Value) {
 		return fmt.Errorf("key %s: its value is no JSON: %w", edit.Key, ErrInvalid)
--- a/internal/store/kv/kv_test.go
+++ b/internal/store/kv/kv_test.go
@@ -29,13 +29,16 @@
 	}
 	before := s.Fingerprint()
 	var conflict ConflictError
-	err := apply(t, s, 2, put("a", "9"), Edit{Key: "b", Value: json.RawMessage("9"), Check: true, If: 7})
+	outdated := put("b", "9")
+	outdated.Conditional = true
+	outdated.ExpectedIndex = 7
+	err := apply(t, s, 2, put("a", "9"), outdated)
 	if !errors.As(err, &conflict) || conflict.Key != "b" || conflict.Actual != 1 ||
 		s.Fingerprint() != before || s.AppliedIndex() != 2 {
 		t.Errorf("%v, %s at %d", err, s.Fingerprint(), s.AppliedIndex())
 	}
-	absent := Edit{Key: "c", Value: json.RawMessage("3"), Check: true}
-	if err := apply(t, s, 3, Edit{Key: "b", Check: true, If: 1}, absent); err != nil {
+	absent := Edit{Key: "c", Value: json.RawMessage("3"), Conditional: true}
+	if err := apply(t, s, 3, Edit{Key: "b", Conditional: true, ExpectedIndex: 1}, absent); err != nil {
 		t.Error(err)
 	}
 	if _, found := s.Get("b"); found || strings.Join(s.Keys(""), ",") != "a,c" {
@@ -56,8 +59,8 @@
 		"space in a key": {put("a b", "1")},
 		"no JSON":        {put("a", "{")},
 		"a key twice":    {put("a", "1"), put("a", "2")},
-		"key too long":   {put(strings.Repeat("k", MaxKey+1), "1")},
-		"value too long": {put("a", `"`+strings.Repeat("x", MaxValue)+`"`)},
+		"key too long":   {put(strings.Repeat("k", MaxKeyBytes+1), "1")},
+		"value too long": {put("a", `"`+strings.Repeat("x", MaxValueBytes)+`"`)},
 		"too many":       make([]Edit, MaxEdits+1),
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -78,8 +81,8 @@
 		}
 		if random.Intn(3) == 0 {
 			entry, _ := s.Get(edit.Key)
-			edit.Check = true
-			edit.If = entry.Index + Index(random.Intn(2))
+			edit.Conditional = true
+			edit.ExpectedIndex = entry.Index + Index(random.Intn(2))
 		}
 		edits = append(edits, edit)
 	}
@@ -117,7 +120,8 @@
 
 // The same commands give the same state, also over a snapshot made anywhere between.
 func TestState_ReplicasAgree(t *testing.T) {
-	if err := quick.Check(replicasAgree, &quick.Config{MaxCount: 100, Rand: rand.New(rand.NewSource(4))}); err != nil {
+	config := &quick.Config{MaxCount: 100, Rand: rand.New(rand.NewSource(4))}
+	if err := quick.Check(replicasAgree, config); err != nil {
 		t.Error(err)
 	}
 }
--- a/internal/store/kv/state.go
+++ b/internal/store/kv/state.go
@@ -19,7 +19,7 @@
 // State is the store's content.
 type State struct {
 	entries      map[string]Entry
-	appliedIndex Index // index of the last command
+	appliedIndex Index // position of the last command, including commands that were rejected
 }
 
 // New returns an empty state.
@@ -38,7 +38,7 @@
 	}
 	var changed []string
 	for _, edit := range command.Edits {
-		if len(edit.Value) == 0 || string(edit.Value) == "null" {
+		if edit.isDeletion() {
 			delete(s.entries, edit.Key)
 		} else {
 			s.entries[edit.Key] = Entry{Value: slices.Clone(edit.Value), Index: index}
@@ -56,7 +56,8 @@
 		return command, fmt.Errorf("command at %d: %w", index, err)
 	}
 	if command.Version != Version {
-		return command, fmt.Errorf("command at %d is of version %d, and %d is read", index, command.Version, Version)
+		return command, fmt.Errorf("command at %d is of version %d, and %d is read",
+			index, command.Version, Version)
 	}
 	return command, validate(command.Edits)
 }
@@ -66,14 +67,14 @@
 func (s *State) checkIndices(edits []Edit) error {
 	for _, edit := range edits {
 		actual := s.entries[edit.Key].Index
-		if edit.Check && actual != edit.If {
-			return ConflictError{Key: edit.Key, Actual: actual, Expected: edit.If}
+		if edit.Conditional && actual != edit.ExpectedIndex {
+			return ConflictError{Key: edit.Key, Actual: actual, Expected: edit.ExpectedIndex}
 		}
 	}
 	return nil
 }
 
-// Get returns a key's entry.
+// Get returns a key's entry, and whether the key exists.
 func (s *State) Get(key string) (Entry, bool) {
 	entry, ok := s.entries[key]
 	return entry, ok
@@ -91,7 +92,7 @@
 	return keys
 }
 
-// AppliedIndex returns the position of the last command.
+// AppliedIndex returns the position of the last command, including commands that were rejected.
 func (s *State) AppliedIndex() Index { return s.appliedIndex }
 
 // Fingerprint returns a hash of the content. It is the same for the same content on any replica, regardless
--- a/internal/store/kv/version0_test.go
+++ b/internal/store/kv/version0_test.go
@@ -29,12 +29,12 @@
 		at:      7,
 		edits: []Edit{
 			{
-				Key:   "plans/basic",
-				Value: json.RawMessage(`{"name":"basic","quota-rate":9}`),
-				Check: true,
-				If:    3,
+				Key:           "plans/basic",
+				Value:         json.RawMessage(`{"name":"basic","quota-rate":9}`),
+				Conditional:   true,
+				ExpectedIndex: 3,
 			},
-			{Key: "x/new", Value: json.RawMessage(`[1,2.5,"ñ"]`), Check: true},
+			{Key: "x/new", Value: json.RawMessage(`[1,2.5,"ñ"]`), Conditional: true},
 			{Key: "x/old"},
 		},
 	},
--- a/internal/store/version0_test.go
+++ b/internal/store/version0_test.go
@@ -24,7 +24,12 @@
 	t.Helper()
 	return testutil.Fixture(t, "replica.tar.gz", func(path string) {
 		self := Peer{ID: "a", Raft: "127.0.0.1:7001", API: "127.0.0.1:7101"}
-		s, err := Open(Options{Dir: path, Self: self, Peers: []Peer{self}, HeartbeatInterval: testHeartbeatInterval})
+		s, err := Open(Options{
+			Dir:               path,
+			Self:              self,
+			Peers:             []Peer{self},
+			HeartbeatInterval: testHeartbeatInterval,
+		})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -38,15 +43,20 @@
 				t.Fatal(err)
 			}
 		}
-		commit(kv.Edit{Key: "plans/basic", Value: json.RawMessage(`{"name":"basic","quota-rate":5}`)},
-			kv.Edit{Key: "x/gone", Value: json.RawMessage(`1`)})
-		commit(kv.Edit{Key: "x/before", Value: json.RawMessage(`{"n":1}`), Check: true})
+		commit(
+			kv.Edit{Key: "plans/basic", Value: json.RawMessage(`{"name":"basic","quota-rate":5}`)},
+			kv.Edit{Key: "x/gone", Value: json.RawMessage(`1`)},
+		)
+		commit(kv.Edit{Key: "x/before", Value: json.RawMessage(`{"n":1}`), Conditional: true})
 		if err := s.raft.Snapshot().Error(); err != nil {
 			t.Fatal(err)
 		}
 		entry, _ := s.ReadLocal("plans/basic")
 		changed := json.RawMessage(`{"name":"basic","quota-rate":9}`)
-		commit(kv.Edit{Key: "plans/basic", Value: changed, Check: true, If: entry.Index}, kv.Edit{Key: "x/gone"})
+		commit(
+			kv.Edit{Key: "plans/basic", Value: changed, Conditional: true, ExpectedIndex: entry.Index},
+			kv.Edit{Key: "x/gone"},
+		)
 		commit(kv.Edit{Key: "x/after", Value: json.RawMessage(`["behind the snapshot"]`)})
 		s.Close()
 	})
@@ -79,7 +89,8 @@
 			t.Errorf("%s: %s at %d, not %s at %d", key, e.Value, e.Index, x.Value, x.Index)
 		}
 	}
-	if err := s.Edit([]kv.Edit{{Key: "x/before", Value: json.RawMessage(`2`), Check: true, If: 5}}); err != nil {
+	edit := kv.Edit{Key: "x/before", Value: json.RawMessage(`2`), Conditional: true, ExpectedIndex: 5}
+	if err := s.Edit([]kv.Edit{edit}); err != nil {
 		t.Error(err)
 	}
 }
@@ -182,7 +193,7 @@
 	}{
 		"entry": {kv.Entry{Value: json.RawMessage(`{"n":1}`), Index: 4}, `{"value":{"n":1},"index":4}`},
 		"edit": {
-			kv.Edit{Key: "k", Value: json.RawMessage(`1`), Check: true, If: 2},
+			kv.Edit{Key: "k", Value: json.RawMessage(`1`), Conditional: true, ExpectedIndex: 2},
 			`{"key":"k","value":1,"check":true,"if":2}`,
 		},
 		"deletes": {kv.Edit{Key: "k"}, `{"key":"k"}`},
