--- a/internal/store/api.go
+++ b/internal/store/api.go
@@ -1,18 +1,26 @@
 package store
 
 import (
+	"context"
+	"crypto/tls"
 	"encoding/json"
 	"errors"
 	"fmt"
 	"io"
+	"net"
 	"net/http"
 	"strconv"
+	"time"
 
 	"fawnplank/internal/store/kv"
 )
 
-// maxBodyBytes bounds a request's body. It is many times the size of a backup of a store of settings.
-const maxBodyBytes = 64 << 20
+const (
+	// maxBodyBytes bounds a request's body. It is many times the size of a backup of a store of settings.
+	maxBodyBytes = 64 << 20
+	// readHeaderTimeout bounds how long a client of the API may hold a connection without sending a request.
+	readHeaderTimeout = 5 * time.Second
+)
 
 var (
 	// errStarting is the answer to requests until Raft runs.
@@ -26,6 +34,28 @@
 // leader.
 type handler func(w http.ResponseWriter, r *http.Request, body []byte) error
 
+// listenAPI opens the listener of the API.
+func (s *Store) listenAPI() error {
+	var config net.ListenConfig
+	listener, err := config.Listen(context.Background(), "tcp", s.options.Self.API)
+	if err != nil {
+		return err
+	}
+	if s.options.TLS != nil {
+		listener = tls.NewListener(listener, s.options.TLS.ServerConfig())
+	}
+	s.listener = listener
+	return nil
+}
+
+// serveAPI serves the API until Close.
+func (s *Store) serveAPI() {
+	s.server = &http.Server{Handler: s.routes(), ReadHeaderTimeout: readHeaderTimeout}
+	s.background.Go(func() {
+		_ = s.server.Serve(s.listener) // ends with Close, and its error only says so
+	})
+}
+
 // routes returns the API of a replica: HTTP with JSON, served by every replica. A request that needs the
 // leader is forwarded to it, once.
 //
--- a/internal/store/api_cluster.go
+++ b/internal/store/api_cluster.go
@@ -43,7 +43,7 @@
 
 // handleBackup answers with a snapshot of the leader's state.
 func (s *Store) handleBackup(w http.ResponseWriter, _ *http.Request, _ []byte) error {
-	if _, _, err := s.read(""); err != nil { // a read of any key waits for everything written before it
+	if err := s.confirmLeadership(); err != nil {
 		return err
 	}
 	s.mu.RLock()
--- a/internal/store/api_test.go
+++ b/internal/store/api_test.go
@@ -59,7 +59,7 @@
 	c.converge()
 }
 
-func TestAPI_BackupAndRestore(t *testing.T) {
+func TestAPI_RestoreBringsBackTheBackup(t *testing.T) {
 	c := newCluster(t, nil)
 	c.write("a", "plans/x", "1")
 	c.write("b", "plans/y", "2")
--- a/internal/store/benchmark_test.go
+++ b/internal/store/benchmark_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// BenchmarkWrite is a write through the leader's API on three replicas of one machine, one at a time.
+// BenchmarkWrite measures writes through the leader's API, one at a time, on three replicas of one machine.
 func BenchmarkWrite(b *testing.B) {
 	c := newCluster(b, nil)
 	leader := c.leader()
@@ -26,8 +26,8 @@
 	b.ReportMetric(float64(latencies[len(latencies)*99/100].Microseconds()), "p99-us")
 }
 
-// BenchmarkWrites is sixteen clients at once.
-func BenchmarkWrites(b *testing.B) {
+// BenchmarkWrite_Concurrent measures writes of two clients for each processor at once.
+func BenchmarkWrite_Concurrent(b *testing.B) {
 	c := newCluster(b, nil)
 	leader := c.leader()
 	b.SetParallelism(2)
@@ -42,7 +42,7 @@
 	b.ReportMetric(float64(b.N)/b.Elapsed().Seconds(), "writes/s")
 }
 
-// BenchmarkRecovery is from the leader's death to the next write that is committed.
+// BenchmarkRecovery measures the time from the leader's end to the next committed write.
 func BenchmarkRecovery(b *testing.B) {
 	c := newCluster(b, nil)
 	var total time.Duration
--- a/internal/store/cluster_test.go
+++ b/internal/store/cluster_test.go
@@ -14,10 +14,10 @@
 	"time"
 )
 
-// testHeartbeatInterval makes elections quick: a loopback's delay is far below it.
+// testHeartbeatInterval is short, so that elections are quick, and far above the delay of a loopback.
 const testHeartbeatInterval = 50 * time.Millisecond
 
-// cluster is three replicas in one process, each with a folder and addresses of its own.
+// cluster runs three replicas in one process, each with its own folder and addresses.
 type cluster struct {
 	t        testing.TB
 	dir      string
@@ -26,8 +26,8 @@
 	validate func(string, json.RawMessage) error
 }
 
-// freeAddress gives a loopback address of its own, with a free port: those of 127.0.0.1 may be in use by
-// connections at any moment.
+// freeAddress returns an address with a free port on a random loopback host. A port of 127.0.0.1, as
+// testutil.FreeAddress returns it, may be taken by any connection before the replica listens there.
 func freeAddress(tb testing.TB) string {
 	tb.Helper()
 	host := fmt.Sprintf("127.%d.%d.%d:0", 1+rand.IntN(250), rand.IntN(250), 1+rand.IntN(250))
@@ -95,7 +95,7 @@
 	delete(c.running, id)
 }
 
-// anyRunning gives one of the replicas that run, which it is left to chance.
+// anyRunning returns the ID of a running replica. Which one is left to chance.
 func (c *cluster) anyRunning() string {
 	for id := range c.running {
 		return id
@@ -103,7 +103,7 @@
 	return "a"
 }
 
-// followers are the replicas other than the leader, in order.
+// followers returns the IDs of the replicas other than the leader, in order.
 func (c *cluster) followers(leader string) []string {
 	var ids []string
 	for _, peer := range c.peers {
@@ -114,7 +114,7 @@
 	return ids
 }
 
-// eventually waits for a condition, for ten seconds at most.
+// eventually waits for a condition and fails the test, with the status of each replica, after ten seconds.
 func (c *cluster) eventually(what string, condition func() bool) {
 	c.t.Helper()
 	for deadline := time.Now().Add(10 * time.Second); !condition(); time.Sleep(10 * time.Millisecond) {
@@ -127,7 +127,7 @@
 	}
 }
 
-// leader waits until there is a leader that knows itself to lead, and gives its ID.
+// leader waits until a replica knows that it is the leader, and returns its ID.
 func (c *cluster) leader() string {
 	c.t.Helper()
 	leader := ""
@@ -142,7 +142,7 @@
 	return leader
 }
 
-// converge waits until all replicas that run hold the same, up to the same place.
+// converge waits until all running replicas have the same state at the same index.
 func (c *cluster) converge() {
 	c.t.Helper()
 	c.eventually("the same state everywhere", func() bool {
@@ -156,8 +156,8 @@
 	})
 }
 
-// call makes a call to a replica's API, and gives the status and the answer. The status is 0 where there is
-// no answer.
+// call makes a call to a replica's API, and returns the status and the answer. The status is 0 if there is no
+// answer.
 func (c *cluster) call(id, method, path, body string) (int, string) {
 	c.t.Helper()
 	url := "http://" + c.peer(id).API + path
@@ -177,7 +177,7 @@
 	return response.StatusCode, strings.TrimSpace(string(text))
 }
 
-// write writes a key until the write is committed: an election may be under way.
+// write repeats a write until it is committed, because an election may be under way.
 func (c *cluster) write(id, key, value string) {
 	c.t.Helper()
 	c.eventually("a write of "+key, func() bool {
--- a/internal/store/failure_test.go
+++ b/internal/store/failure_test.go
@@ -11,15 +11,15 @@
 	"time"
 )
 
-// Failure to bear: one of three is killed while plans are edited. Each edit of two keys is committed whole or
-// not at all, and everything that was answered as committed is there.
+// TestEdits_SurviveLeaderFailure stops the leader of three replicas while plans are edited. Each edit of two
+// keys is committed as a whole or not at all, and everything that was answered as committed is there.
 func TestEdits_SurviveLeaderFailure(t *testing.T) {
 	c := newCluster(t, nil)
 	committed := 0
 	for n := 1; n <= 60; n++ {
 		if n%20 == 5 {
 			leader := c.leader()
-			go c.running[leader].Close() // in the middle of what follows
+			go c.running[leader].Close() // while the next edits are written
 			delete(c.running, leader)
 		}
 		edits := fmt.Sprintf(`[{"key":"plans/x","value":%d},{"key":"classes/x","value":%d}]`, n, n)
@@ -50,7 +50,7 @@
 	}
 }
 
-// restartStopped starts the replicas that do not run, once their folders are free.
+// restartStopped starts the replicas that are not running, once their folders are free.
 func restartStopped(c *cluster) {
 	c.t.Helper()
 	for _, peer := range c.peers {
@@ -77,15 +77,16 @@
 	}
 }
 
-// Failure to bear: a replica is started from an old copy of its folder, and the one that would outvote it
-// lacks the newest state. Without rejoin the two elect the one that lacks it, and what was committed is gone.
+// TestRejoin_OldCopyDoesNotOverwriteNewerState starts a replica from an old copy of its folder, together with
+// one that lacks the newest state. Without rejoin, the two would elect one of them, and committed entries
+// would be lost.
 func TestRejoin_OldCopyDoesNotOverwriteNewerState(t *testing.T) {
 	c := newCluster(t, nil)
 	for n := range 20 {
 		c.write("a", "k", fmt.Sprint(n))
 	}
 	c.converge()
-	// One follower will be put back; the other one lacks what is written from here on.
+	// One follower will be restored from an old copy; the other one misses what is written from here on.
 	leader := c.leader()
 	followers := c.followers(leader)
 	restored, lagging := followers[0], followers[1]
@@ -93,7 +94,7 @@
 	oldCopy := filepath.Join(c.dir, "old")
 	copyFolder(t, filepath.Join(c.dir, restored), oldCopy)
 	c.start(restored)
-	c.eventually("three at one place", func() bool {
+	c.eventually("three replicas at one index", func() bool {
 		return c.running[restored].Status().LastIndex >= c.running[leader].Status().CommitIndex
 	})
 	c.stop(lagging)
@@ -108,8 +109,7 @@
 	if replica.votes.targetIndex == 0 {
 		t.Error("an old copy was not noticed")
 	}
-	// The leader goes as soon as the two that lack it are up: they must not elect one of them without its
-	// state.
+	// The leader stops as soon as the two others are up. They must not elect one of them that lacks its state.
 	c.leader()
 	c.eventually("the old copy to have caught up", func() bool { return replica.Status().CanVote })
 	c.stop(leader)
@@ -122,7 +122,8 @@
 	c.converge()
 }
 
-// A replica that has not caught up gives no vote, and does not win one.
+// TestVoteRestriction_NoVotesWhileCatchingUp holds that a replica that has not caught up neither votes nor
+// wins a vote.
 func TestVoteRestriction_NoVotesWhileCatchingUp(t *testing.T) {
 	c := newCluster(t, nil)
 	c.write("a", "k", "1")
@@ -130,13 +131,13 @@
 	leader := c.leader()
 	followers := c.followers(leader)
 	restricted := c.running[followers[0]]
-	restricted.votes.targetIndex = 1 << 60 // for ever behind
+	restricted.votes.targetIndex = 1 << 60 // never reached
 	restricted.votes.lifted.Store(false)
 	c.stop(leader)
 	time.Sleep(time.Second)
 	for _, id := range followers {
 		if status := c.running[id].Status(); status.State == "Leader" {
-			t.Errorf("%s leads with the vote of one that catches up", id)
+			t.Errorf("%s leads with the vote of a replica that is catching up", id)
 		}
 	}
 	if status, text := c.call(followers[1], "PUT", "/v1/kv/k", "2"); status != 503 {
@@ -147,7 +148,8 @@
 	c.write(followers[1], "k", "3")
 }
 
-// Snapshots shorten the log, and a replica that was away longer than the log reaches back restores one.
+// TestSnapshot_RestoresReplicaAfterLongAbsence holds that a replica that was stopped for longer than the log
+// reaches back catches up from a snapshot.
 func TestSnapshot_RestoresReplicaAfterLongAbsence(t *testing.T) {
 	c := newCluster(t, nil)
 	away := "c"
--- a/internal/store/forward.go
+++ b/internal/store/forward.go
@@ -129,7 +129,7 @@
 func (s *Store) requestLeader(
 	ctx context.Context, method, address, path string, body []byte,
 ) (*http.Response, error) {
-	request, err := http.NewRequestWithContext(ctx, method, s.scheme+address+path, bytes.NewReader(body))
+	request, err := http.NewRequestWithContext(ctx, method, s.apiURL(address, path), bytes.NewReader(body))
 	if err != nil {
 		return nil, err
 	}
@@ -137,9 +137,12 @@
 	return s.client.Do(request)
 }
 
+// apiURL returns the URL of a path of the API at an address.
+func (s *Store) apiURL(address, path string) string { return s.scheme + "://" + address + path }
+
 // getJSON decodes an answer from another replica's API into a value.
 func (s *Store) getJSON(ctx context.Context, address, path string, into any) error {
-	request, err := http.NewRequestWithContext(ctx, http.MethodGet, s.scheme+address+path, http.NoBody)
+	request, err := http.NewRequestWithContext(ctx, http.MethodGet, s.apiURL(address, path), http.NoBody)
 	if err != nil {
 		return err
 	}
--- a/internal/store/membership_test.go
+++ b/internal/store/membership_test.go
@@ -14,7 +14,7 @@
 	c.write("a", "k", "1")
 	added := newPeer(t, "d")
 	c.peers = append(c.peers, added)
-	replica, err := Open(Options{ // without peers: it waits to be added
+	replica, err := Open(Options{ // without peers, so it waits to be added
 		Dir:               filepath.Join(c.dir, added.ID),
 		Self:              added,
 		HeartbeatInterval: testHeartbeatInterval,
@@ -49,12 +49,16 @@
 	}
 }
 
-func TestOpen_RefusesFolderInUseAndDamagedLog(t *testing.T) {
+func TestOpen_RefusesFolderInUse(t *testing.T) {
 	c := newCluster(t, nil)
 	_, err := Open(Options{Dir: filepath.Join(c.dir, "a"), Self: newPeer(t, "a")})
-	if err == nil || !strings.Contains(err.Error(), "raft.db") {
+	if err == nil || !strings.Contains(err.Error(), "raft.db") ||
+		!strings.Contains(err.Error(), "another process has it open") {
 		t.Errorf("a second replica in the folder: %v", err)
 	}
+}
+
+func TestParsePeer_RefusesIncompletePeers(t *testing.T) {
 	for _, text := range []string{
 		"", "a", "a@b@c", "a@127.0.0.1:1", "@127.0.0.1:1@127.0.0.1:2", "a@127.0.0.1:0@127.0.0.1:1",
 	} {
@@ -62,6 +66,9 @@
 			t.Errorf("%q was accepted", text)
 		}
 	}
+}
+
+func TestOpen_RefusesDamagedLog(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "raft.db")
 	damaged := []byte("no database at all, but long enough to look like one for a moment")
 	if err := os.WriteFile(file, damaged, 0o600); err != nil {
--- a/internal/store/peer.go
+++ b/internal/store/peer.go
@@ -81,8 +81,8 @@
 			continue // a struct of strings always marshals
 		}
 		written, found := s.ReadLocalValue(peerPrefix + peer.ID)
-		moved := peer.ID == s.options.Self.ID && string(written) != string(value)
-		if moved || !found && s.isMember(peer.ID) {
+		isOwnAddressNew := peer.ID == s.options.Self.ID && string(written) != string(value)
+		if isOwnAddressNew || !found && s.isMember(peer.ID) {
 			edits = append(edits, kv.Edit{Key: peerPrefix + peer.ID, Value: value})
 		}
 	}
--- a/internal/store/raft.go
+++ b/internal/store/raft.go
@@ -1,27 +1,23 @@
 package store
 
 import (
-	"context"
-	"crypto/tls"
 	"errors"
 	"fmt"
-	"net"
-	"net/http"
 	"path/filepath"
-	"strings"
 	"time"
 
 	"github.com/hashicorp/go-hclog"
 	"github.com/hashicorp/raft"
 	raftboltdb "github.com/hashicorp/raft-boltdb/v2"
 	"go.etcd.io/bbolt"
+	bbolterrors "go.etcd.io/bbolt/errors"
 
-	"fawnplank/internal/logging"
 	"fawnplank/internal/store/kv"
-	"fawnplank/internal/tlsconfig"
 )
 
 const (
+	// logFile is the name of the file with Raft's log, term and vote.
+	logFile = "raft.db"
 	// snapshotThreshold is the number of log entries between snapshots. A restart replays no more than these;
 	// settings are small and change by hand.
 	snapshotThreshold = 1024
@@ -31,12 +27,6 @@
 	commitTimeout = 5 * time.Millisecond
 	// folderLockTimeout is short, so that a second process in the same folder is rejected instead of waited for.
 	folderLockTimeout = time.Second
-	// readHeaderTimeout bounds how long a client of the API may hold a connection without sending a request.
-	readHeaderTimeout = 5 * time.Second
-	// transportPool is how many connections to each replica Raft reuses; transportTimeout is how long a message
-	// may take.
-	transportPool    = 3
-	transportTimeout = 2 * time.Second
 )
 
 // Raft's timeouts, as multiples of the heartbeat interval.
@@ -56,89 +46,56 @@
 // opened.
 func (s *Store) open() error {
 	if err := s.listenAPI(); err != nil {
-		return err
+		return fmt.Errorf("address of the API: %w", err)
 	}
-	path := filepath.Join(s.options.Dir, "raft.db")
-	var err error
-	s.logStore, err = raftboltdb.New(raftboltdb.Options{
-		Path:        path,
-		BoltOptions: &bbolt.Options{Timeout: folderLockTimeout},
-	})
-	if err != nil {
-		return fmt.Errorf("%s: %w", path, err)
+	if err := s.openLog(); err != nil {
+		return err
 	}
 	logger := newRaftLogger()
 	snapshots, err := raft.NewFileSnapshotStoreWithLogger(s.options.Dir, retainedSnapshots, logger)
 	if err != nil {
-		return err
+		return fmt.Errorf("snapshots in %s: %w", s.options.Dir, err)
 	}
 	inUse, err := raft.HasExistingState(s.logStore, s.logStore, snapshots)
 	if err != nil {
-		return err
+		return fmt.Errorf("state in %s: %w", s.options.Dir, err)
 	}
 	s.serveAPI() // from here on the others may ask for this replica's position
 	var targetIndex uint64
 	if inUse {
 		if targetIndex, err = s.rejoin(); err != nil {
-			return err
+			return fmt.Errorf("term and log in %s: %w", s.options.Dir, err)
 		}
 	}
 	if s.transport, err = s.newTransport(logger); err != nil {
-		return err
+		return fmt.Errorf("address of Raft: %w", err)
 	}
 	s.votes = newVoteRestriction(s.transport, targetIndex)
 	config := s.raftConfig(logger)
 	if !inUse {
 		if err := s.bootstrap(config, snapshots); err != nil {
-			return err
+			return fmt.Errorf("first configuration of the cluster: %w", err)
 		}
 	}
 	return s.startRaft(config, snapshots)
 }
 
-// listenAPI opens the listener of the API.
-func (s *Store) listenAPI() error {
-	var config net.ListenConfig
-	listener, err := config.Listen(context.Background(), "tcp", s.options.Self.API)
-	if err != nil {
-		return err
-	}
-	if s.options.TLS != nil {
-		listener = tls.NewListener(listener, s.options.TLS.ServerConfig())
-	}
-	s.listener = listener
-	return nil
-}
-
-// serveAPI serves the API until Close.
-func (s *Store) serveAPI() {
-	s.server = &http.Server{Handler: s.routes(), ReadHeaderTimeout: readHeaderTimeout}
-	s.background.Go(func() {
-		_ = s.server.Serve(s.listener) // ends with Close, and its error only says so
+// openLog opens the file in which Raft keeps its log, term and vote, and locks it for this process.
+func (s *Store) openLog() error {
+	path := filepath.Join(s.options.Dir, logFile)
+	logStore, err := raftboltdb.New(raftboltdb.Options{
+		Path:        path,
+		BoltOptions: &bbolt.Options{Timeout: folderLockTimeout},
 	})
-}
-
-// newTransport opens Raft's address, with TLS if the options ask for it.
-func (s *Store) newTransport(logger hclog.Logger) (*raft.NetworkTransport, error) {
-	address := s.options.Self.Raft
-	advertised, err := net.ResolveTCPAddr("tcp", address)
-	if err != nil {
-		return nil, err
-	}
-	if s.options.TLS == nil {
-		return raft.NewTCPTransportWithLogger(address, advertised, transportPool, transportTimeout, logger)
+	if errors.Is(err, bbolterrors.ErrTimeout) {
+		return fmt.Errorf("%s: another process has it open; stop that process or name another folder: %w",
+			path, err)
 	}
-	var config net.ListenConfig
-	listener, err := config.Listen(context.Background(), "tcp", address)
 	if err != nil {
-		return nil, err
-	}
-	layer := &tlsStreamLayer{
-		Listener:   tls.NewListener(listener, s.options.TLS.ServerConfig()),
-		advertised: advertised,
-		source:     s.options.TLS,
+		return fmt.Errorf("%s: %w", path, err)
 	}
-	return raft.NewNetworkTransportWithLogger(layer, transportPool, transportTimeout, logger), nil
+	s.logStore = logStore
+	return nil
 }
 
 // raftConfig returns Raft's configuration for this replica.
@@ -177,7 +134,7 @@
 	stable := retryingStableStore{StableStore: s.logStore, closed: s.closed}
 	node, err := raft.NewRaft(config, (*fsm)(s), s.logStore, stable, snapshots, s.votes)
 	if err != nil {
-		return err
+		return fmt.Errorf("start of Raft: %w", err)
 	}
 	s.mu.Lock()
 	s.raft = node
@@ -204,19 +161,24 @@
 	return result.index, result.err
 }
 
-// read reads a key on the leader. A quorum confirms that this replica is still the leader, and the read sees
-// everything written before it.
+// read reads a key on the leader. The read sees everything written before it.
 func (s *Store) read(key string) (kv.Entry, bool, error) {
-	if err := s.raft.VerifyLeader().Error(); err != nil {
-		return kv.Entry{}, false, errNotLeader
-	}
-	if err := s.raft.Barrier(writeTimeout).Error(); err != nil {
+	if err := s.confirmLeadership(); err != nil {
 		return kv.Entry{}, false, err
 	}
 	entry, ok := s.ReadLocal(key)
 	return entry, ok, nil
 }
 
+// confirmLeadership returns once a quorum has confirmed that this replica is still the leader, and the state
+// contains everything that was written before the call.
+func (s *Store) confirmLeadership() error {
+	if err := s.raft.VerifyLeader().Error(); err != nil {
+		return errNotLeader
+	}
+	return s.raft.Barrier(writeTimeout).Error()
+}
+
 // asNotLeader replaces Raft's own not-leader error with errNotLeader and returns any other error unchanged.
 func asNotLeader(err error) error {
 	if errors.Is(err, raft.ErrNotLeader) {
@@ -224,39 +186,3 @@
 	}
 	return err
 }
-
-// tlsStreamLayer carries Raft's messages between replicas over TLS.
-type tlsStreamLayer struct {
-	net.Listener
-	advertised net.Addr
-	source     *tlsconfig.Source
-}
-
-// Addr returns the address at which the others reach this replica.
-func (l *tlsStreamLayer) Addr() net.Addr { return l.advertised }
-
-// Dial connects to another replica.
-func (l *tlsStreamLayer) Dial(address raft.ServerAddress, timeout time.Duration) (net.Conn, error) {
-	dialer := &tls.Dialer{NetDialer: &net.Dialer{Timeout: timeout}, Config: l.source.ClientConfig()}
-	return dialer.DialContext(context.Background(), "tcp", string(address))
-}
-
-// newRaftLogger returns a logger that passes Raft's own warnings on to the log.
-func newRaftLogger() hclog.Logger {
-	return hclog.New(&hclog.LoggerOptions{
-		Name:        "raft",
-		Level:       hclog.Warn,
-		Output:      logWriter{},
-		DisableTime: true,
-	})
-}
-
-// logWriter writes each line as a log message. The lines are Raft's own words, which an operator seldom
-// needs.
-type logWriter struct{}
-
-// Write logs one line.
-func (logWriter) Write(line []byte) (int, error) {
-	logging.For("store").WithField("raft", strings.TrimSpace(string(line))).Debug("raft")
-	return len(line), nil
-}
--- /dev/null
+++ b/internal/store/raft_log.go
@@ -0,0 +1,29 @@
+package store
+
+import (
+	"strings"
+
+	"github.com/hashicorp/go-hclog"
+
+	"fawnplank/internal/logging"
+)
+
+// newRaftLogger returns a logger that passes Raft's own warnings on to the log.
+func newRaftLogger() hclog.Logger {
+	return hclog.New(&hclog.LoggerOptions{
+		Name:        "raft",
+		Level:       hclog.Warn,
+		Output:      logWriter{},
+		DisableTime: true,
+	})
+}
+
+// logWriter writes each line as a log message. The lines are Raft's own words, which an operator seldom
+// needs.
+type logWriter struct{}
+
+// Write logs one line.
+func (logWriter) Write(line []byte) (int, error) {
+	logging.For("store").WithField("raft", strings.TrimSpace(string(line))).Debug("raft")
+	return len(line), nil
+}
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -63,15 +63,14 @@
 	transport *raft.NetworkTransport
 	votes     *voteRestriction
 
-	// mu guards raft until Open returns, and state.
-	mu    sync.RWMutex
-	raft  *raft.Raft // nil while the replica starts
+	mu    sync.RWMutex // guards raft until Open returns, and state
+	raft  *raft.Raft   // nil while the replica starts
 	state *kv.State
 
 	listener net.Listener // listener of the API
 	server   *http.Server
 	client   *http.Client // calls other replicas' APIs
-	scheme   string       // URL scheme of the replicas' APIs
+	scheme   string       // URL scheme of the replicas' APIs: http or https
 
 	closed     chan struct{}
 	closeOnce  sync.Once
@@ -89,9 +88,9 @@
 	}
 	s := &Store{options: options, state: kv.New(), closed: make(chan struct{})}
 	transport := &http.Transport{MaxIdleConnsPerHost: apiMaxIdleConns}
-	s.scheme = "http://"
+	s.scheme = "http"
 	if options.TLS != nil {
-		s.scheme = "https://"
+		s.scheme = "https"
 		transport.TLSClientConfig = options.TLS.ClientConfig()
 	}
 	s.client = &http.Client{Timeout: writeTimeout + time.Second, Transport: transport}
--- a/internal/store/version0_test.go
+++ b/internal/store/version0_test.go
@@ -18,8 +18,8 @@
 	"fawnplank/internal/testutil"
 )
 
-// version0Folder gives a replica's folder as the version before left it: some commands, a snapshot, and
-// commands behind that. The replica was alone, so that one of its name elects itself, at any address.
+// version0Folder returns the folder of a replica as an earlier version left it: some commands, a snapshot,
+// and later commands. The replica was the only one, so that a replica of its ID elects itself at any address.
 func version0Folder(t *testing.T) string {
 	t.Helper()
 	return testutil.Fixture(t, "replica.tar.gz", func(path string) {
@@ -62,8 +62,8 @@
 	})
 }
 
-// TestOpen_ReadsVersion0Folder starts a replica on a folder of the version before: it has what that one had,
-// at the indices it had it, and accepts writes.
+// TestOpen_ReadsVersion0Folder starts a replica on a folder of an earlier version. It has the same entries at
+// the same indices, and accepts writes.
 func TestOpen_ReadsVersion0Folder(t *testing.T) {
 	options := Options{Dir: version0Folder(t), Self: newPeer(t, "a"), HeartbeatInterval: testHeartbeatInterval}
 	s, err := Open(options)
@@ -84,9 +84,10 @@
 	if values := s.ReadPrefix(""); len(values) != len(want)+1 || values[peerPrefix+"a"] == nil {
 		t.Errorf("keys %q", slices.Sorted(maps.Keys(values)))
 	}
-	for key, x := range want {
-		if e, ok := s.ReadLocal(key); !ok || e.Index != x.Index || !bytes.Equal(e.Value, x.Value) {
-			t.Errorf("%s: %s at %d, not %s at %d", key, e.Value, e.Index, x.Value, x.Index)
+	for key, wanted := range want {
+		got, ok := s.ReadLocal(key)
+		if !ok || got.Index != wanted.Index || !bytes.Equal(got.Value, wanted.Value) {
+			t.Errorf("%s: %s at %d, not %s at %d", key, got.Value, got.Index, wanted.Value, wanted.Index)
 		}
 	}
 	edit := kv.Edit{Key: "x/before", Value: json.RawMessage(`2`), Conditional: true, ExpectedIndex: 5}
@@ -95,9 +96,9 @@
 	}
 }
 
-// TestVersion0Folder_Bytes reads the log and the snapshot of the folder with nothing but Raft's own stores
-// and kv, and writes each command, and the snapshot, anew as the same bytes.
-func TestVersion0Folder_Bytes(t *testing.T) {
+// TestVersion0Folder_IsWrittenAsTheSameBytes reads the log and the snapshot of the folder with Raft's own
+// stores and package kv alone. Each command, and the snapshot, is encoded again as the same bytes.
+func TestVersion0Folder_IsWrittenAsTheSameBytes(t *testing.T) {
 	dir := version0Folder(t)
 	logStore, err := raftboltdb.NewBoltStore(filepath.Join(dir, "raft.db"))
 	if err != nil {
@@ -140,7 +141,7 @@
 	}
 }
 
-// readVersion0Snapshot gives the bytes of the folder's one snapshot.
+// readVersion0Snapshot returns the bytes of the folder's only snapshot.
 func readVersion0Snapshot(t *testing.T, dir string) []byte {
 	t.Helper()
 	snapshots, err := raft.NewFileSnapshotStore(dir, 2, io.Discard)
@@ -163,7 +164,7 @@
 	return content
 }
 
-// replayVersion0Command applies a command of the log, and compares it with the same edits written anew.
+// replayVersion0Command applies a command of the log, and compares its bytes with its edits encoded again.
 func replayVersion0Command(t *testing.T, state *kv.State, entry raft.Log) {
 	t.Helper()
 	var command kv.Command
@@ -185,8 +186,8 @@
 	}
 }
 
-// TestAPI_JSONForms holds the API's forms, which replicas of the version before and operators' tools read.
-func TestAPI_JSONForms(t *testing.T) {
+// TestAPI_KeepsJSONForms holds the API's forms, which replicas of earlier versions and operators' tools read.
+func TestAPI_KeepsJSONForms(t *testing.T) {
 	for name, test := range map[string]struct {
 		value any
 		want  string
@@ -224,8 +225,7 @@
 	}
 }
 
-// TestStoredTypes_HaveTags holds that each field of the API and of what replicas keep has its name from a
-// tag.
+// TestStoredTypes_HaveTags holds that a tag names each field of the API and of stored data.
 func TestStoredTypes_HaveTags(t *testing.T) {
 	testutil.CheckTags(t, kv.Entry{}, kv.Edit{}, Peer{}, logPosition{}, Status{})
 }
