--- a/internal/store/kv/kv_test.go
+++ b/internal/store/kv/kv_test.go
@@ -71,7 +71,7 @@
 	}
 }
 
-// randomEdits are some edits of which many are conditional, on the right index or on one beside it.
+// randomEdits returns one to three edits. Many are conditional, on the key's index or on the one after it.
 func randomEdits(random *rand.Rand, s *State) []Edit {
 	var edits []Edit
 	for k := range 1 + random.Intn(3) {
@@ -89,8 +89,8 @@
 	return edits
 }
 
-// replicasAgree applies the same commands to two states, of which one goes through snapshots, and reports
-// whether they agree after each.
+// replicasAgree applies the same commands to two states, one of which is now and then replaced by its own
+// snapshot, and reports whether they agree after each command.
 func replicasAgree(seed int64) bool {
 	random := rand.New(rand.NewSource(seed))
 	a, b := New(), New()
@@ -118,7 +118,8 @@
 	return true
 }
 
-// The same commands give the same state, also over a snapshot made anywhere between.
+// TestState_ReplicasAgree holds that the same commands give the same state, wherever a snapshot comes
+// between.
 func TestState_ReplicasAgree(t *testing.T) {
 	config := &quick.Config{MaxCount: 100, Rand: rand.New(rand.NewSource(4))}
 	if err := quick.Check(replicasAgree, config); err != nil {
@@ -126,7 +127,7 @@
 	}
 }
 
-// A snapshot with any byte changed, or cut anywhere, is refused.
+// TestLoad_RefusesDamagedSnapshots changes a snapshot at each byte, and cuts it at each byte.
 func TestLoad_RefusesDamagedSnapshots(t *testing.T) {
 	s := New()
 	if err := apply(t, s, 1, put("plans/team", `{"name":"team"}`), put("b", "2")); err != nil {
--- a/internal/store/kv/version0_test.go
+++ b/internal/store/kv/version0_test.go
@@ -10,7 +10,7 @@
 	"fawnplank/internal/testutil"
 )
 
-// version0Commands are the commands behind the fixtures: together they use each field of an edit.
+// version0Commands are the commands that the fixtures contain. Together they use each field of an edit.
 var version0Commands = []struct {
 	fixture string
 	at      Index
@@ -40,9 +40,9 @@
 	},
 }
 
-// TestCommand_Version0Bytes reads commands as they stand in the logs of replicas: what they hold, and that
-// the same edits are still written as the same bytes, which replicas of the version before read.
-func TestCommand_Version0Bytes(t *testing.T) {
+// TestCommand_IsEncodedAsVersion0Bytes decodes commands from the logs of replicas of an earlier version, and
+// encodes the same edits as the same bytes, which such replicas read.
+func TestCommand_IsEncodedAsVersion0Bytes(t *testing.T) {
 	for _, c := range version0Commands {
 		t.Run(c.fixture, func(t *testing.T) {
 			text, err := os.ReadFile(testutil.Fixture(t, c.fixture, func(path string) {
@@ -68,8 +68,8 @@
 	}
 }
 
-// TestLoad_ReadsVersion0Snapshot reads a snapshot, compares it with what the commands come to today, and
-// writes it anew.
+// TestLoad_ReadsVersion0Snapshot loads a snapshot of an earlier version, compares it with the state that the
+// commands give today, and encodes both as the same bytes.
 func TestLoad_ReadsVersion0Snapshot(t *testing.T) {
 	now := New()
 	for _, c := range version0Commands {
@@ -111,7 +111,7 @@
 	}
 }
 
-// TestStoredTypes_HaveTags holds that each stored field has its name from a tag, and not from Go.
+// TestStoredTypes_HaveTags holds that a tag, and not Go, names each stored field.
 func TestStoredTypes_HaveTags(t *testing.T) {
 	testutil.CheckTags(t, Command{}, snapshot{})
 }
--- a/internal/warmstart/version0_test.go
+++ b/internal/warmstart/version0_test.go
@@ -12,12 +12,17 @@
 	"fawnplank/policy"
 )
 
-// TestLoad_ReadsVersion0File reads a file of the version before, and writes the same state as the same bytes.
+// TestLoad_ReadsVersion0File reads a file of an earlier version, and saves its state as the same bytes.
 func TestLoad_ReadsVersion0File(t *testing.T) {
 	saved := time.Unix(1_800_000_000, 123_456_789)
-	want := policy.WarmStartState{BaselineLatency: 12_500_000.25, Samples: 30, Backends: []policy.BackendWarmStart{
-		{Backend: 1, StartedAt: 1_799_990_000_000_000_001, BaselineLatency: 11_000_000.5, Samples: 29.75},
-		{Backend: 7, StartedAt: 1_799_995_000_000_000_000, BaselineLatency: 99_000_000, Samples: 0.125}}}
+	want := policy.WarmStartState{
+		BaselineLatency: 12_500_000.25,
+		Samples:         30,
+		Backends: []policy.BackendWarmStart{
+			{Backend: 1, StartedAt: 1_799_990_000_000_000_001, BaselineLatency: 11_000_000.5, Samples: 29.75},
+			{Backend: 7, StartedAt: 1_799_995_000_000_000_000, BaselineLatency: 99_000_000, Samples: 0.125},
+		},
+	}
 	path := testutil.Fixture(t, "learned", func(path string) {
 		if err := Save(path, want, saved); err != nil {
 			t.Fatal(err)
@@ -40,7 +45,7 @@
 	}
 }
 
-// TestStoredTypes_HaveTags holds that each stored field has its name from a tag, and not from Go.
+// TestStoredTypes_HaveTags holds that a tag, and not Go, names each stored field.
 func TestStoredTypes_HaveTags(t *testing.T) {
 	testutil.CheckTags(t, body{})
 }
--- a/internal/warmstart/warmstart.go
+++ b/internal/warmstart/warmstart.go
@@ -1,10 +1,10 @@
 // Package warmstart preserves an instance's measurements of the backends in a file across a restart, if the
 // folder survives it. The file has a version and a checksum. It is written in full under another name in the
-// same folder and then renamed into place, and it is read completely or not at all. The decisions determine
-// what the state is worth after a time.
+// same folder and then renamed into place, and it is read completely or not at all. Package policy decides
+// what a state of a given age is still good for.
 //
-// Save and Load may be called by several processes at once: a reader gets one complete state, that of the
-// last writer.
+// Save and Load are safe for concurrent use, also by several processes: a reader gets one complete state,
+// that of the last writer. Their errors begin with "learned", the name of the operator's key for the file.
 package warmstart
 
 import (
@@ -27,14 +27,15 @@
 
 const (
 	// magic is the first line of the file. It is stored, so its text must not change.
-	magic         = "fawnplank learned\n"
+	magic = "fawnplank learned\n"
+	// checksumBytes is the length of the checksum that follows magic.
 	checksumBytes = 8
 	// fileMode gives only the gateway access to the file.
 	fileMode = 0o600
-	// maxBytes bounds the size of the file. It allows some hundred thousand backends.
-	maxBytes = 16 << 20
-	// maxClockSkew is more than the clocks of one machine differ. A file from further in the future than that is
-	// not trusted.
+	// maxFileBytes bounds the size of the file. It allows some hundred thousand backends.
+	maxFileBytes = 16 << 20
+	// maxClockSkew bounds how far in the future a file may have been written; one beyond that is not trusted.
+	// The clocks of one machine differ by less.
 	maxClockSkew = time.Minute
 )
 
@@ -54,19 +55,23 @@
 // Save writes the file under another name in its folder, syncs it, renames it over the old file, and then
 // syncs the folder. On an error, such as a full disk, the old file stays unchanged.
 func Save(path string, state policy.WarmStartState, now time.Time) error {
+	if err := save(path, state, now); err != nil {
+		return fmt.Errorf("learned: %w", err)
+	}
+	return nil
+}
+
+func save(path string, state policy.WarmStartState, now time.Time) error {
 	text, err := json.Marshal(body{Version: Version, SavedUnixNano: now.UnixNano(), State: state})
 	if err != nil {
-		return fmt.Errorf("learned: %w", err)
+		return err
 	}
 	content := binary.BigEndian.AppendUint64([]byte(magic), xxhash.Sum64(text))
 	content = append(content, text...)
 	if err := renameio.WriteFile(path, content, fileMode); err != nil {
-		return fmt.Errorf("learned: %w", err)
-	}
-	if err := syncFolder(filepath.Dir(path)); err != nil {
-		return fmt.Errorf("learned: %w", err)
+		return err
 	}
-	return nil
+	return syncFolder(filepath.Dir(path))
 }
 
 // syncFolder makes a rename in the folder survive a crash of the machine.
@@ -79,30 +84,39 @@
 	return folder.Sync()
 }
 
-// Load reads the file and returns the state and its age. If the file does not exist, the error is
+// Load reads the file and returns the state and its age. If the file does not exist, the error wraps
 // os.ErrNotExist. A file that is truncated, damaged, of another version or from the future is rejected with
 // an error that says so.
 func Load(path string, now time.Time) (state policy.WarmStartState, age time.Duration, err error) {
-	info, err := os.Stat(path)
+	saved, err := load(path)
 	if err != nil {
 		return state, 0, fmt.Errorf("learned: %w", err)
 	}
-	if info.Size() > maxBytes {
-		return state, 0, fmt.Errorf("learned: %s has %d bytes, above %d", path, info.Size(), maxBytes)
+	age = now.Sub(time.Unix(0, saved.SavedUnixNano))
+	if age < -maxClockSkew {
+		return state, 0, fmt.Errorf("learned: %s was written %v from now", path, -age)
+	}
+	return saved.State, max(age, 0), nil
+}
+
+// load reads a file of a bounded size.
+func load(path string) (body, error) {
+	info, err := os.Stat(path)
+	if err != nil {
+		return body{}, err
+	}
+	if info.Size() > maxFileBytes {
+		return body{}, fmt.Errorf("%s has %d bytes, above %d", path, info.Size(), maxFileBytes)
 	}
 	content, err := os.ReadFile(path)
 	if err != nil {
-		return state, 0, fmt.Errorf("learned: %w", err)
+		return body{}, err
 	}
 	saved, err := parse(content)
 	if err != nil {
-		return state, 0, fmt.Errorf("learned: %s: %w", path, err)
-	}
-	age = now.Sub(time.Unix(0, saved.SavedUnixNano))
-	if age < -maxClockSkew {
-		return state, 0, fmt.Errorf("learned: %s was written %v from now", path, -age)
+		return body{}, fmt.Errorf("%s: %w", path, err)
 	}
-	return saved.State, max(age, 0), nil
+	return saved, nil
 }
 
 // parse checks a file's content from the outside in: magic line, checksum, JSON form, version.
--- a/internal/warmstart/warmstart_test.go
+++ b/internal/warmstart/warmstart_test.go
@@ -18,6 +18,7 @@
 	"github.com/cespare/xxhash/v2"
 	"golang.org/x/sys/unix"
 
+	"fawnplank/internal/testutil"
 	"fawnplank/policy"
 )
 
@@ -84,33 +85,32 @@
 	return command
 }
 
-// killWriter starts a writer, waits for its file if there is none, and kills it at a chance moment.
-func killWriter(t *testing.T, path string, chance *rand.Rand) {
+// killWriter starts a writer, waits for its file if there is none, and kills it at a random moment.
+func killWriter(t *testing.T, path string, random *rand.Rand) {
 	t.Helper()
 	command := writer(t, path)
 	if err := command.Start(); err != nil {
 		t.Fatal(err)
 	}
-	for start := time.Now(); time.Since(start) < 5*time.Second; time.Sleep(time.Millisecond) {
-		if _, err := os.Stat(path); err == nil {
-			break
-		}
-	}
-	time.Sleep(time.Duration(5+chance.IntN(15)) * time.Millisecond)
+	testutil.Eventually(t, "the writer's first file", func() bool {
+		_, err := os.Stat(path)
+		return err == nil
+	})
+	time.Sleep(time.Duration(5+random.IntN(15)) * time.Millisecond)
 	if err := command.Process.Kill(); err != nil {
 		t.Errorf("the writer had ended by itself: %v", err)
 	}
 	_ = command.Wait() // it was killed, which is an error
 }
 
-// TestSave_KilledWhileWriting kills the process in the middle of a write, some two hundred times. What is
-// read is always one whole state, and the file is there from the first on.
-func TestSave_KilledWhileWriting(t *testing.T) {
+// TestSave_LeavesOneWholeStateWhenKilled kills a process that writes the file, two hundred times. From the
+// first write on, the file always has one whole state.
+func TestSave_LeavesOneWholeStateWhenKilled(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "learned")
-	chance := rand.New(rand.NewPCG(3, 3))
+	random := rand.New(rand.NewPCG(3, 3))
 	seen := map[float64]bool{}
 	for n := range 200 {
-		killWriter(t, path, chance)
+		killWriter(t, path, random)
 		state, _, err := Load(path, time.Now())
 		if err != nil {
 			t.Fatalf("kill %d: %v", n, err)
@@ -140,7 +140,7 @@
 		t.Error(state.BaselineLatency, err)
 	}
 	if err := Save(filepath.Join(path, "below-a-file"), stateOf(1), time.Now()); err == nil {
-		t.Error("no error in a folder that is none")
+		t.Error("no error for a file in a folder that is a file")
 	}
 }
 
@@ -194,7 +194,7 @@
 	}
 }
 
-func TestLoad_Age(t *testing.T) {
+func TestLoad_ReturnsAgeAndRefusesFuture(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "learned")
 	saved := time.Unix(1_800_000_000, 0)
 	if err := Save(path, stateOf(2), saved); err != nil {
@@ -204,6 +204,6 @@
 		t.Error(age, err)
 	}
 	if _, _, err := Load(path, saved.Add(-time.Hour)); err == nil || !strings.Contains(err.Error(), "from now") {
-		t.Errorf("a file of the future: %v", err)
+		t.Errorf("a file from the future: %v", err)
 	}
 }
