--- a/internal/billing/conservation_test.go
+++ b/internal/billing/conservation_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// conservation does random operations on an account, and counts on its own what they must come to.
+// conservation does random operations on an account, and sums independently what they must amount to.
 type conservation struct {
 	t            *testing.T
 	seed         uint64
@@ -21,7 +21,7 @@
 	epochs       map[string]uint64
 }
 
-// operation is one step's moment on the clock of the instance that is asked, and what is asked.
+// operation is one step: a moment on the clock of the instance that does it, and its arguments.
 type operation struct {
 	step  int
 	clock int64
@@ -64,7 +64,7 @@
 }
 
 func (c *conservation) recordUsage(op operation) (err error) {
-	start := c.settings.windowStart(op.clock - int64(c.random.IntN(90))*second)
+	start := c.settings.WindowStart(op.clock - int64(c.random.IntN(90))*second)
 	plan := []string{"small", "large"}[c.random.IntN(2)]
 	c.account, err = c.account.RecordUsage(c.settings, start, plan, op.units)
 	if err == nil {
@@ -75,7 +75,7 @@
 
 func (c *conservation) reserve(op operation) error {
 	c.t.Helper()
-	start := c.settings.windowStart(op.clock)
+	start := c.settings.WindowStart(op.clock)
 	expired := c.account.ExpireReservations(c.settings, op.clock)
 	available := expired.Available(c.settings, start, op.clock, "small")
 	request := ReservationRequest{
@@ -128,7 +128,7 @@
 	}
 }
 
-// check compares the account with what the operations so far must come to.
+// check compares the account with what the operations so far must amount to.
 func (c *conservation) check(step int) {
 	c.t.Helper()
 	sum := Units(0)
@@ -177,9 +177,9 @@
 	}
 }
 
-// Whatever is asked in whatever order, at clocks that differ: units are neither lost nor made. What was used
-// and committed is in records and open windows, each once; what was granted is spent, returned or reserved;
-// no grant passes the allowance; sequences have no gap.
+// TestAccount_ConservesUnits does operations in random order, on clocks that differ. Units are neither lost
+// nor made: what was used and committed is in records and open windows, each once; what was granted is spent,
+// returned or reserved; no grant exceeds the allowance; sequences have no gap.
 func TestAccount_ConservesUnits(t *testing.T) {
 	for seed := range uint64(60) {
 		c := &conservation{
--- a/internal/billing/plan.go
+++ b/internal/billing/plan.go
@@ -7,7 +7,7 @@
 )
 
 // maxChangeAheadNanos is how far ahead a plan change may lie: one year, which may be a leap year.
-const maxChangeAheadNanos = 366 * 24 * 3600e9
+const maxChangeAheadNanos = 366 * 24 * 3600 * nanosPerSecond
 
 // PlanChange puts a plan in force from a moment on.
 type PlanChange struct {
@@ -18,10 +18,10 @@
 
 // PlanAt returns the plan in force at a moment. It is empty if no change has set one; then the plan that a
 // request asks for applies.
-func (a Account) PlanAt(at int64) string {
+func (a Account) PlanAt(atNanos int64) string {
 	plan := ""
 	for _, change := range a.Changes {
-		if change.EffectiveNanos <= at {
+		if change.EffectiveNanos <= atNanos {
 			plan = change.Plan
 		}
 	}
@@ -30,7 +30,7 @@
 
 // SchedulePlanChange sets the tenant's plan from a moment on. Repeating the same change is not an error,
 // since the change has already been made.
-func (a Account) SchedulePlanChange(settings Settings, now int64, change PlanChange) (Account, error) {
+func (a Account) SchedulePlanChange(settings Settings, nowNanos int64, change PlanChange) (Account, error) {
 	if err := checkID(change.ID); err != nil {
 		return a, err
 	}
@@ -40,7 +40,7 @@
 	if slices.Contains(a.Changes, change) {
 		return a, nil
 	}
-	if err := a.checkChange(settings, now, change); err != nil {
+	if err := a.checkChange(settings, nowNanos, change); err != nil {
 		return a, err
 	}
 	a = a.clone()
@@ -52,7 +52,7 @@
 }
 
 // checkChange checks a new change against the existing ones, and checks its moment.
-func (a Account) checkChange(settings Settings, now int64, change PlanChange) error {
+func (a Account) checkChange(settings Settings, nowNanos int64, change PlanChange) error {
 	for _, other := range a.Changes {
 		if other.ID == change.ID {
 			return annotate(ErrConflict, "id %q", change.ID)
@@ -61,12 +61,12 @@
 			return annotate(ErrConflict, "the moment, by change %q to %s,", other.ID, other.Plan)
 		}
 	}
-	ahead := change.EffectiveNanos - now
-	if change.EffectiveNanos < now+settings.ChangeNoticeNanos {
+	aheadNanos := change.EffectiveNanos - nowNanos
+	if change.EffectiveNanos < nowNanos+settings.ChangeNoticeNanos {
 		return annotate(ErrTooSoon, "the moment, %d ms from now where %d are needed,",
-			ahead/1e6, settings.ChangeNoticeNanos/1e6)
+			aheadNanos/nanosPerMilli, settings.ChangeNoticeNanos/nanosPerMilli)
 	}
-	if change.EffectiveNanos > now+maxChangeAheadNanos {
+	if change.EffectiveNanos > nowNanos+maxChangeAheadNanos {
 		return annotate(ErrOutOfRange, "the moment, more than a year ahead,")
 	}
 	if len(a.Changes) >= maxChanges {
@@ -76,12 +76,12 @@
 }
 
 // CancelPlanChange cancels a change that no instance applies yet.
-func (a Account) CancelPlanChange(settings Settings, now int64, id string) (Account, error) {
+func (a Account) CancelPlanChange(settings Settings, nowNanos int64, id string) (Account, error) {
 	position := slices.IndexFunc(a.Changes, func(change PlanChange) bool { return change.ID == id })
 	if position < 0 {
 		return a, annotate(ErrUnknown, "change %.80q", id)
 	}
-	if a.Changes[position].EffectiveNanos < now+settings.ChangeNoticeNanos {
+	if a.Changes[position].EffectiveNanos < nowNanos+settings.ChangeNoticeNanos {
 		return a, annotate(ErrExpired, "the time to take change %q back", id)
 	}
 	a = a.clone()
@@ -91,30 +91,30 @@
 
 // Allowance returns the units that a window allows: the rate of each plan for the time that it is in force in
 // the window, plus the peak of the plan now in force. defaultPlan applies where no change has set a plan.
-func (a Account) Allowance(settings Settings, windowStart, now int64, defaultPlan string) Units {
+func (a Account) Allowance(settings Settings, windowStartNanos, nowNanos int64, defaultPlan string) Units {
 	quota := func(plan string) Quota { return settings.Plans[cmp.Or(plan, defaultPlan)] }
-	end := windowStart + settings.WindowNanos
+	endNanos := windowStartNanos + settings.WindowNanos
 	sum := 0.0
-	from := windowStart
-	plan := a.PlanAt(windowStart)
+	fromNanos := windowStartNanos
+	plan := a.PlanAt(windowStartNanos)
 	for _, change := range a.Changes {
-		if change.EffectiveNanos > windowStart && change.EffectiveNanos < end {
-			sum += quota(plan).Rate * float64(change.EffectiveNanos-from) / 1e9
-			from = change.EffectiveNanos
+		if change.EffectiveNanos > windowStartNanos && change.EffectiveNanos < endNanos {
+			sum += quota(plan).Rate * float64(change.EffectiveNanos-fromNanos) / nanosPerSecond
+			fromNanos = change.EffectiveNanos
 			plan = change.Plan
 		}
 	}
-	sum += quota(plan).Rate * float64(end-from) / 1e9
-	sum += quota(a.PlanAt(now)).Peak
+	sum += quota(plan).Rate * float64(endNanos-fromNanos) / nanosPerSecond
+	sum += quota(a.PlanAt(nowNanos)).Peak
 	return Units(math.Round(sum * microsPerUnit))
 }
 
 // Available returns how many units of a window may still be reserved. It is below 0 if a plan change left
 // less than is already used or reserved.
-func (a Account) Available(settings Settings, windowStart, now int64, defaultPlan string) Units {
-	available := a.Allowance(settings, windowStart, now, defaultPlan)
+func (a Account) Available(settings Settings, windowStartNanos, nowNanos int64, defaultPlan string) Units {
+	available := a.Allowance(settings, windowStartNanos, nowNanos, defaultPlan)
 	for _, window := range a.Windows {
-		if window.StartNanos != windowStart {
+		if window.StartNanos != windowStartNanos {
 			continue
 		}
 		available -= window.Exported
@@ -123,7 +123,7 @@
 		}
 	}
 	for _, reservation := range a.Reservations {
-		if reservation.WindowStartNanos == windowStart {
+		if reservation.WindowStartNanos == windowStartNanos {
 			available -= reservation.Remaining
 		}
 	}
--- a/internal/billing/plan_test.go
+++ b/internal/billing/plan_test.go
@@ -18,7 +18,7 @@
 	}
 }
 
-func TestAccount_PlanChanges(t *testing.T) {
+func TestAccount_SchedulesAndCancelsPlanChanges(t *testing.T) {
 	settings := testSettings()
 	now := 1000 * second
 	account := Account{Tenant: "g"}
@@ -58,9 +58,9 @@
 	if _, err := account.CancelPlanChange(settings, now, "9"); !errors.Is(err, ErrUnknown) {
 		t.Error(err)
 	}
-	// A window in which the plan changes allows each plan's rate for its time: 980 to 1008 none set (small is
-	// asked for), to 1010 small, to 1020 large; and at once what the plan now in force does.
-	start := settings.windowStart(now)
+	// A window in which the plan changes allows each plan's rate for its time: until 1008 no plan is set (small
+	// is the default), until 1010 small, then large. The peak is that of the plan now in force.
+	start := settings.WindowStart(now)
 	small := float64((1010 - start/second) * 1)
 	large := float64(start/second+60-1010) * 5
 	if got := account.Allowance(settings, start, now, "small").Float(); got != small+large+10 {
--- a/internal/billing/reservation.go
+++ b/internal/billing/reservation.go
@@ -22,39 +22,39 @@
 	LeaseNanos int64
 }
 
-// Reserve reserves units of the window that contains now. Repeating an id is not an error while the same
+// Reserve reserves units of the window that contains nowNanos. Repeating an id is not an error while the same
 // holder has the reservation: it has already been made, and Reserve returns it as it is.
 func (a Account) Reserve(
-	settings Settings, now int64, request ReservationRequest,
+	settings Settings, nowNanos int64, request ReservationRequest,
 ) (Account, Reservation, error) {
-	plan := cmp.Or(a.PlanAt(now), request.Plan)
+	plan := cmp.Or(a.PlanAt(nowNanos), request.Plan)
 	if err := checkID(request.ID); err != nil {
 		return a, Reservation{}, err
 	}
 	if _, ok := settings.Plans[plan]; !ok {
 		return a, Reservation{}, annotate(ErrUnknown, "plan %.80q", plan)
 	}
-	expires, err := settings.leaseEnd(now, request.LeaseNanos)
+	expires, err := settings.leaseEnd(nowNanos, request.LeaseNanos)
 	if err != nil {
 		return a, Reservation{}, err
 	}
 	if request.Units <= 0 || request.Units > maxUnits*microsPerUnit {
 		return a, Reservation{}, annotate(ErrOutOfRange, "a reservation of %g units", request.Units.Float())
 	}
-	a = a.ExpireReservations(settings, now)
+	a = a.ExpireReservations(settings, nowNanos)
 	if existing, ok := a.Reservations[request.ID]; ok && existing.Holder == request.Holder {
 		return a, existing, nil
 	}
 	reservation := Reservation{
 		ID:               request.ID,
 		Plan:             plan,
-		WindowStartNanos: settings.windowStart(now),
+		WindowStartNanos: settings.WindowStart(nowNanos),
 		Remaining:        request.Units,
 		ExpiresNanos:     expires,
 		Epoch:            a.Epoch + 1,
 		Holder:           request.Holder,
 	}
-	if err := a.checkReservation(settings, now, reservation); err != nil {
+	if err := a.checkReservation(settings, nowNanos, reservation); err != nil {
 		return a, Reservation{}, err
 	}
 	a = a.clone()
@@ -65,14 +65,14 @@
 
 // checkReservation checks that a new reservation's id is free and that its window and the account have room
 // for it.
-func (a Account) checkReservation(settings Settings, now int64, reservation Reservation) error {
+func (a Account) checkReservation(settings Settings, nowNanos int64, reservation Reservation) error {
 	if _, ok := a.Reservations[reservation.ID]; ok {
 		return annotate(ErrConflict, "reservation %q", reservation.ID)
 	}
 	if _, ok := a.EndedReservations[reservation.ID]; ok {
 		return annotate(ErrExpired, "reservation %q", reservation.ID)
 	}
-	available := a.Available(settings, reservation.WindowStartNanos, now, reservation.Plan)
+	available := a.Available(settings, reservation.WindowStartNanos, nowNanos, reservation.Plan)
 	if reservation.Remaining > available {
 		return annotate(ErrNoCapacity, "the window, for %g units of %g,",
 			reservation.Remaining.Float(), max(available, 0).Float())
@@ -83,8 +83,8 @@
 	return nil
 }
 
-// active returns a reservation that its holder may still use.
-func (a Account) active(now int64, id string, epoch uint64) (Reservation, error) {
+// activeReservation returns a reservation that its holder may still use.
+func (a Account) activeReservation(nowNanos int64, id string, epoch uint64) (Reservation, error) {
 	reservation, ok := a.Reservations[id]
 	switch {
 	case !ok && a.EndedReservations[id] != 0:
@@ -94,7 +94,7 @@
 	case reservation.Epoch != epoch:
 		return reservation, annotate(ErrStaleEpoch,
 			"epoch %d of reservation %q, which is at %d,", epoch, id, reservation.Epoch)
-	case now >= reservation.ExpiresNanos:
+	case nowNanos >= reservation.ExpiresNanos:
 		return reservation, annotate(ErrExpired, "the lease of reservation %q", id)
 	}
 	return reservation, nil
@@ -104,9 +104,9 @@
 // the next commit must name. Therefore a commit that is sent twice is applied once, and the second one fails
 // with ErrStaleEpoch.
 func (a Account) Commit(
-	settings Settings, now int64, id string, epoch uint64, units Units,
+	settings Settings, nowNanos int64, id string, epoch uint64, units Units,
 ) (Account, Reservation, error) {
-	reservation, err := a.active(now, id, epoch)
+	reservation, err := a.activeReservation(nowNanos, id, epoch)
 	if err != nil {
 		return a, reservation, err
 	}
@@ -116,26 +116,26 @@
 			units.Float(), reservation.Remaining.Float(), id)
 	}
 	a = a.clone()
-	a.window(reservation.WindowStartNanos).Used[reservation.Plan] += units
+	a.ensureWindow(reservation.WindowStartNanos).Used[reservation.Plan] += units
 	a.Epoch++
 	reservation.Remaining -= units
 	reservation.Epoch = a.Epoch
 	a.Reservations[id] = reservation
 	if reservation.Remaining == 0 {
-		a.end(settings, now, id)
+		a.endReservation(settings, nowNanos, id)
 	}
 	return a, reservation, nil
 }
 
 // Renew extends a reservation's lease.
 func (a Account) Renew(
-	settings Settings, now int64, id string, epoch uint64, leaseNanos int64,
+	settings Settings, nowNanos int64, id string, epoch uint64, leaseNanos int64,
 ) (Account, Reservation, error) {
-	reservation, err := a.active(now, id, epoch)
+	reservation, err := a.activeReservation(nowNanos, id, epoch)
 	if err != nil {
 		return a, reservation, err
 	}
-	if reservation.ExpiresNanos, err = settings.leaseEnd(now, leaseNanos); err != nil {
+	if reservation.ExpiresNanos, err = settings.leaseEnd(nowNanos, leaseNanos); err != nil {
 		return a, reservation, err
 	}
 	a = a.clone()
@@ -146,13 +146,13 @@
 // AdoptReservation gives a reservation to another holder. Whatever the old holder sends from then on has a
 // stale epoch.
 func (a Account) AdoptReservation(
-	settings Settings, now int64, id, holder string, leaseNanos int64,
+	settings Settings, nowNanos int64, id, holder string, leaseNanos int64,
 ) (Account, Reservation, error) {
-	reservation, err := a.active(now, id, a.Reservations[id].Epoch)
+	reservation, err := a.activeReservation(nowNanos, id, a.Reservations[id].Epoch)
 	if err != nil {
 		return a, reservation, err
 	}
-	if reservation.ExpiresNanos, err = settings.leaseEnd(now, leaseNanos); err != nil {
+	if reservation.ExpiresNanos, err = settings.leaseEnd(nowNanos, leaseNanos); err != nil {
 		return a, reservation, err
 	}
 	a = a.clone()
@@ -164,33 +164,33 @@
 }
 
 // Release gives back the remaining units of a reservation.
-func (a Account) Release(settings Settings, now int64, id string, epoch uint64) (Account, error) {
-	if _, err := a.active(now, id, epoch); err != nil {
+func (a Account) Release(settings Settings, nowNanos int64, id string, epoch uint64) (Account, error) {
+	if _, err := a.activeReservation(nowNanos, id, epoch); err != nil {
 		return a, err
 	}
 	a = a.clone()
-	a.end(settings, now, id)
+	a.endReservation(settings, nowNanos, id)
 	return a, nil
 }
 
-// end ends a reservation. Its id is remembered for as long as somebody may still send requests for it. The
-// account must be a clone.
-func (a *Account) end(settings Settings, now int64, id string) {
+// endReservation ends a reservation. Its id is remembered for as long as somebody may still send requests for
+// it. The account must be a clone.
+func (a *Account) endReservation(settings Settings, nowNanos int64, id string) {
 	delete(a.Reservations, id)
-	a.EndedReservations[id] = now + 2*settings.MaxLeaseNanos
+	a.EndedReservations[id] = nowNanos + 2*settings.MaxLeaseNanos
 }
 
 // ExpireReservations gives back the remaining units of reservations whose holders have not renewed them, once
 // the lease has ended on every instance's clock.
-func (a Account) ExpireReservations(settings Settings, now int64) Account {
+func (a Account) ExpireReservations(settings Settings, nowNanos int64) Account {
 	var expired, forgotten []string
 	for id, reservation := range a.Reservations {
-		if now >= reservation.ExpiresNanos+settings.ClockSkewNanos {
+		if nowNanos >= reservation.ExpiresNanos+settings.ClockSkewNanos {
 			expired = append(expired, id)
 		}
 	}
 	for id, until := range a.EndedReservations {
-		if now >= until {
+		if nowNanos >= until {
 			forgotten = append(forgotten, id)
 		}
 	}
@@ -202,7 +202,7 @@
 		delete(a.EndedReservations, id)
 	}
 	for _, id := range expired {
-		a.end(settings, now, id)
+		a.endReservation(settings, nowNanos, id)
 	}
 	return a
 }
--- a/internal/billing/reservation_test.go
+++ b/internal/billing/reservation_test.go
@@ -9,7 +9,7 @@
 // reservationStart is the start of a window, in which small allows 70 units.
 const reservationStart = 6000 * second
 
-// reserved gives an account with a reservation "r" of 50 units that "me" holds.
+// reserved returns an account with a reservation "r" of 50 units that "me" holds.
 func reserved(t *testing.T) (Account, Reservation) {
 	t.Helper()
 	request := ReservationRequest{ID: "r", Holder: "me", Plan: "small", Units: 50e6, LeaseNanos: 10 * second}
@@ -56,7 +56,7 @@
 	}
 }
 
-func TestAccount_Reservations(t *testing.T) {
+func TestAccount_ReservationIsSpentOnceByItsHolder(t *testing.T) {
 	settings := testSettings()
 	now := reservationStart
 	account, reservation := reserved(t)
@@ -82,10 +82,11 @@
 	if _, _, err := account.Commit(settings, expires, "r", reservation.Epoch, 1e6); !errors.Is(err, ErrExpired) {
 		t.Error("spent after its lease: ", err)
 	}
-	if active := account.ExpireReservations(settings, expires+settings.ClockSkewNanos-1); len(active.Reservations) != 1 {
+	expiresEverywhere := expires + settings.ClockSkewNanos
+	if active := account.ExpireReservations(settings, expiresEverywhere-1); len(active.Reservations) != 1 {
 		t.Error("returned while it may be spent on another clock")
 	}
-	expired := account.ExpireReservations(settings, expires+settings.ClockSkewNanos)
+	expired := account.ExpireReservations(settings, expiresEverywhere)
 	if len(expired.Reservations) != 0 || expired.Available(settings, now, now, "small") != 50e6 {
 		t.Error("not returned")
 	}
@@ -94,11 +95,12 @@
 	}
 	again := ReservationRequest{ID: "r", Holder: "me", Plan: "small", Units: 1e6, LeaseNanos: second}
 	if _, _, err := expired.Reserve(settings, now, again); !errors.Is(err, ErrExpired) {
-		t.Error("an id that ended holds again: ", err)
+		t.Error("an id that has ended is reserved again: ", err)
 	}
 }
 
-// A plan that allows less than is used: nothing is revoked, and nothing more is granted.
+// TestAccount_OverusedWindowKeepsReservations uses more than the plan allows: no reservation is revoked, and
+// no further one is granted.
 func TestAccount_OverusedWindowKeepsReservations(t *testing.T) {
 	settings := testSettings()
 	now := reservationStart
@@ -116,6 +118,6 @@
 		t.Error(err)
 	}
 	if _, _, err := overused.Commit(settings, now, "r", reservation.Epoch, 30e6); err != nil {
-		t.Error("what was granted does not hold: ", err)
+		t.Error("a granted reservation cannot be spent: ", err)
 	}
 }
--- a/internal/billing/settings.go
+++ b/internal/billing/settings.go
@@ -9,6 +9,9 @@
 type Units int64
 
 const (
+	nanosPerSecond = 1e9
+	nanosPerMilli  = 1e6
+
 	microsPerUnit = 1e6
 	// maxUnits is the largest number of units at once. Sums of a million of them fit into Units.
 	maxUnits = 1e6
@@ -29,7 +32,7 @@
 // Float converts u from millionths of a unit to units.
 func (u Units) Float() float64 { return float64(u) / microsPerUnit }
 
-// Quota is what a plan allows.
+// Quota is what a plan allows in a window: Rate for the length of the window, and Peak once.
 type Quota struct {
 	Rate float64 // units a second
 	Peak float64 // units at once
@@ -53,21 +56,22 @@
 	Plans map[string]Quota
 }
 
-// windowStart returns the start of the window that contains a moment, which may lie before 1970.
-func (s Settings) windowStart(at int64) int64 {
-	sinceStart := (at%s.WindowNanos + s.WindowNanos) % s.WindowNanos
-	return at - sinceStart
+// WindowStart returns the start of the window that contains a moment, which may lie before 1970.
+func (s Settings) WindowStart(atNanos int64) int64 {
+	sinceStart := (atNanos%s.WindowNanos + s.WindowNanos) % s.WindowNanos
+	return atNanos - sinceStart
 }
 
 // exportAt returns the moment at which a window's usage is exported.
-func (s Settings) exportAt(windowStart int64) int64 {
-	return windowStart + s.WindowNanos + s.ExportDelayNanos
+func (s Settings) exportAt(windowStartNanos int64) int64 {
+	return windowStartNanos + s.WindowNanos + s.ExportDelayNanos
 }
 
 // leaseEnd checks the length of a lease and returns the moment at which it ends.
-func (s Settings) leaseEnd(now, leaseNanos int64) (int64, error) {
+func (s Settings) leaseEnd(nowNanos, leaseNanos int64) (int64, error) {
 	if leaseNanos <= 0 || leaseNanos > s.MaxLeaseNanos {
-		return 0, annotate(ErrOutOfRange, "lease of %d ms, of 1 to %d,", leaseNanos/1e6, s.MaxLeaseNanos/1e6)
+		return 0, annotate(ErrOutOfRange, "lease of %d ms, of 1 to %d,",
+			leaseNanos/nanosPerMilli, s.MaxLeaseNanos/nanosPerMilli)
 	}
-	return now + leaseNanos, nil
+	return nowNanos + leaseNanos, nil
 }
--- a/internal/billing/window.go
+++ b/internal/billing/window.go
@@ -22,14 +22,29 @@
 	Units              Units  `json:"micro_units"`
 }
 
-// window returns the account's own window with the given start, and adds it if it does not exist. The account
-// must be a clone.
-func (a *Account) window(start int64) *Window {
-	position, found := slices.BinarySearchFunc(a.Windows, start, func(window Window, start int64) int {
-		return cmp.Compare(window.StartNanos, start)
-	})
+// records returns the window's usage as records, in the order of plans and numbered from nextSequence on.
+func (w Window) records(tenant string, nextSequence uint64) []Record {
+	var records []Record
+	for _, plan := range slices.Sorted(maps.Keys(w.Used)) {
+		records = append(records, Record{
+			Sequence:           nextSequence + uint64(len(records)),
+			Tenant:             tenant,
+			Plan:               plan,
+			WindowStartSeconds: w.StartNanos / nanosPerSecond,
+			Units:              w.Used[plan],
+		})
+	}
+	return records
+}
+
+// ensureWindow returns the account's own window with the given start, and adds it if it does not exist. The
+// account must be a clone.
+func (a *Account) ensureWindow(startNanos int64) *Window {
+	byStart := func(window Window, startNanos int64) int { return cmp.Compare(window.StartNanos, startNanos) }
+	position, found := slices.BinarySearchFunc(a.Windows, startNanos, byStart)
 	if !found {
-		a.Windows = slices.Insert(a.Windows, position, Window{StartNanos: start, Used: map[string]Units{}})
+		added := Window{StartNanos: startNanos, Used: map[string]Units{}}
+		a.Windows = slices.Insert(a.Windows, position, added)
 	}
 	return &a.Windows[position]
 }
@@ -37,71 +52,65 @@
 // RecordUsage adds units that were used under a plan, which is the plan under which their requests were
 // admitted.
 func (a Account) RecordUsage(
-	settings Settings, windowStart int64, plan string, units Units,
+	settings Settings, windowStartNanos int64, plan string, units Units,
 ) (Account, error) {
 	if units <= 0 || units > maxUnits*microsPerUnit*maxReportFactor {
 		return a, annotate(ErrOutOfRange, "use of %d", units)
 	}
-	if windowStart != settings.windowStart(windowStart) {
-		return a, annotate(ErrOutOfRange, "window %d", windowStart)
+	if windowStartNanos != settings.WindowStart(windowStartNanos) {
+		return a, annotate(ErrOutOfRange, "window %d", windowStartNanos)
 	}
 	a = a.clone()
-	a.window(windowStart).Used[plan] += units
+	a.ensureWindow(windowStartNanos).Used[plan] += units
 	return a, nil
 }
 
 // CloseWindows returns the records of windows whose export is due, numbered from nextSequence on, and the
 // account without the usage in them. The export does not wait for a reservation that may still add to a
 // window: what it adds makes a further record.
-func (a Account) CloseWindows(settings Settings, now int64, nextSequence uint64) (Account, []Record) {
+func (a Account) CloseWindows(settings Settings, nowNanos int64, nextSequence uint64) (Account, []Record) {
 	var records []Record
 	closed := a.clone()
 	windows := closed.Windows
 	closed.Windows = nil
 	for _, window := range windows {
-		exportAt := settings.exportAt(window.StartNanos)
-		if now < exportAt {
+		exportAtNanos := settings.exportAt(window.StartNanos)
+		if nowNanos < exportAtNanos {
 			closed.Windows = append(closed.Windows, window)
 			continue
 		}
-		for _, plan := range slices.Sorted(maps.Keys(window.Used)) {
-			units := window.Used[plan]
-			records = append(records, Record{
-				Sequence:           nextSequence,
-				Tenant:             a.Tenant,
-				Plan:               plan,
-				WindowStartSeconds: window.StartNanos / 1e9,
-				Units:              units,
-			})
+		for _, record := range window.records(a.Tenant, nextSequence) {
+			records = append(records, record)
+			window.Exported += record.Units
 			nextSequence++
-			window.Exported += units
 		}
 		window.Used = map[string]Units{}
 		// The window stays while one of its reservations may be open, because the window's usage counts toward what
 		// that reservation has available.
-		if now < exportAt+settings.MaxLeaseNanos+settings.ClockSkewNanos {
+		if nowNanos < exportAtNanos+settings.MaxLeaseNanos+settings.ClockSkewNanos {
 			closed.Windows = append(closed.Windows, window)
 		}
 	}
 	if len(records) == 0 && len(closed.Windows) == len(a.Windows) {
 		return a, nil
 	}
-	closed.forgetChanges(now - settings.WindowNanos - settings.ExportDelayNanos - settings.MaxLeaseNanos)
+	closed.forgetChanges(nowNanos - settings.WindowNanos - settings.ExportDelayNanos - settings.MaxLeaseNanos)
 	return closed, records
 }
 
 // forgetChanges drops plan changes that took effect before a moment, except for the last of them, which
 // determines the plan in force. The account must be a clone.
-func (a *Account) forgetChanges(before int64) {
-	for len(a.Changes) > 1 && a.Changes[1].EffectiveNanos < before {
+func (a *Account) forgetChanges(beforeNanos int64) {
+	for len(a.Changes) > 1 && a.Changes[1].EffectiveNanos < beforeNanos {
 		a.Changes = a.Changes[1:]
 	}
 }
 
 // DropWindows drops the usage of windows that began before a moment, and returns how many windows it dropped.
-func (a Account) DropWindows(before int64) (Account, int) {
+func (a Account) DropWindows(beforeNanos int64) (Account, int) {
 	count := len(a.Windows)
 	a = a.clone()
-	a.Windows = slices.DeleteFunc(a.Windows, func(window Window) bool { return window.StartNanos < before })
+	isBefore := func(window Window) bool { return window.StartNanos < beforeNanos }
+	a.Windows = slices.DeleteFunc(a.Windows, isBefore)
 	return a, count - len(a.Windows)
 }
