--- a/cmd/fawnplank/command_billing.go
+++ b/cmd/fawnplank/command_billing.go
@@ -135,11 +135,11 @@
 	if err != nil {
 		return fmt.Errorf("--drop-before: %w", err)
 	}
-	records, windows, err := billingservice.Resume(client, r.after, moment)
+	dropped, err := billingservice.Resume(client, r.after, moment)
 	if err != nil {
 		return err
 	}
 	_, err = fmt.Fprintf(out, "%d records and %d windows dropped; the next sequence follows %d\n",
-		records, windows, r.after)
+		dropped.Records, dropped.Windows, r.after)
 	return err
 }
--- a/internal/billingservice/commit.go
+++ b/internal/billingservice/commit.go
@@ -88,7 +88,7 @@
 		account, ok := accounts[item.Tenant]
 		if !ok {
 			var err error
-			if account, indices[item.Tenant], err = s.readAccount(item.Tenant, false); err != nil {
+			if account, indices[item.Tenant], err = s.readLocalAccount(item.Tenant); err != nil {
 				return err
 			}
 		}
--- a/internal/billingservice/compaction.go
+++ b/internal/billingservice/compaction.go
@@ -78,7 +78,7 @@
 	settings := s.options.Settings()
 	result := compaction{state: state}
 	for n, tenant := range tenants {
-		account, index, err := s.readAccount(tenant, false)
+		account, index, err := s.readLocalAccount(tenant)
 		if err != nil || index == 0 {
 			continue // it is gone, or it cannot be read, which operations on it report
 		}
--- a/internal/billingservice/export_test.go
+++ b/internal/billingservice/export_test.go
@@ -13,7 +13,7 @@
 	"fawnplank/internal/testutil"
 )
 
-// snapshot copies what a replica holds.
+// snapshot returns a copy of a replica's state.
 func snapshot(t *testing.T, replica *memoryReplica) []byte {
 	t.Helper()
 	replica.mu.Lock()
@@ -25,7 +25,7 @@
 	return content
 }
 
-// restore puts a replica back to a snapshot. Its log goes on behind what it had.
+// restore replaces a replica's state with a snapshot. The log continues after its last index.
 func restore(t *testing.T, replica *memoryReplica, content []byte) {
 	t.Helper()
 	state, err := kv.Load(content)
@@ -38,8 +38,8 @@
 	replica.index += 10
 }
 
-// The store put back to an old copy: nothing is exported anew until somebody says from where, and what may
-// have been exported is not exported again then.
+// TestExport_OldCopyExportsNothingAnew restores the store from an old copy. Nothing is exported until Resume
+// is told where to continue, and what may have been exported before is not exported again.
 func TestExport_OldCopyExportsNothingAnew(t *testing.T) {
 	replica := newMemoryReplica()
 	receiver, url := newStubReceiver(t)
@@ -66,7 +66,7 @@
 	if sum, err := receiver.total(); sum != 13e6 || err != nil {
 		t.Errorf("%v exported anew, %v", sum, err)
 	}
-	if _, _, err := Resume(replica, receiver.last, time.Now()); err != nil {
+	if _, err := Resume(replica, receiver.last, time.Now()); err != nil {
 		t.Fatal(err)
 	}
 	use(service, 7)
@@ -74,13 +74,13 @@
 	if _, err := receiver.total(); err != nil {
 		t.Error(err)
 	}
-	if _, _, err := Resume(replica, 0, time.Now()); err == nil {
-		t.Error("it may go back behind what is exported")
+	if _, err := Resume(replica, 0, time.Now()); err == nil {
+		t.Error("Resume accepted a sequence before the last one exported")
 	}
 }
 
-// Windows of all tenants end together: thousands of records are numbered in a few writes and exported in
-// order.
+// TestExport_ManyWindowsEndTogether ends the windows of 2,000 tenants at once. Their records are numbered in
+// a few writes and exported in order.
 func TestExport_ManyWindowsEndTogether(t *testing.T) {
 	replica := newMemoryReplica()
 	receiver, url := newStubReceiver(t)
@@ -121,9 +121,9 @@
 	}
 	batch[0].Units++
 	if err := folder.Send(t.Context(), batch); err == nil {
-		t.Error("another text under the same name")
+		t.Error("another content under the same name was accepted")
 	}
 	if _, err := Folder(string(folder) + "/none").Last(t.Context()); err == nil {
-		t.Error("a folder that is not there")
+		t.Error("a missing folder was accepted")
 	}
 }
--- a/internal/billingservice/operations.go
+++ b/internal/billingservice/operations.go
@@ -15,17 +15,23 @@
 var ErrStore = errors.New("the store gives no answer; ask again with the same words")
 
 // operation is an operation of package billing, bound to its arguments. It may be called more than once.
-type operation func(settings billing.Settings, now int64, account billing.Account) (billing.Account, error)
+type operation func(
+	settings billing.Settings, nowNanos int64, account billing.Account,
+) (billing.Account, error)
 
 // update applies an operation to an account. An operation that succeeds on this replica's copy costs one
 // write. After a refusal or a conflict, update reads the account from the leader.
 func (s *Service) update(tenant string, operate operation) error {
-	readLeader := false
-	for deadline := time.Now().Add(operationTimeout); ; readLeader = true {
-		account, index, err := s.readAccount(tenant, readLeader)
+	fromLeader := false
+	for deadline := time.Now().Add(operationTimeout); ; fromLeader = true {
+		read := s.readLocalAccount
+		if fromLeader {
+			read = s.readAccountFromLeader
+		}
+		account, index, err := read(tenant)
 		if err == nil {
 			updated, refusal := operate(s.options.Settings(), s.options.Now().UnixNano(), account)
-			if refusal != nil && !readLeader {
+			if refusal != nil && !fromLeader {
 				continue
 			}
 			if refusal != nil {
@@ -47,18 +53,26 @@
 	}
 }
 
-// readAccount reads an account, either as this replica has it or from the leader, which has everything that
-// is committed. A write that names the returned index is committed only if nothing else was written in
-// between.
-func (s *Service) readAccount(tenant string, fromLeader bool) (billing.Account, kv.Index, error) {
-	entry, ok := s.options.Replica.ReadLocal(accountPrefix + tenant)
-	if fromLeader {
-		var err error
-		if entry, ok, err = s.options.Replica.ReadFromLeader(accountPrefix + tenant); err != nil {
-			return billing.Account{}, 0, err
-		}
+// readLocalAccount reads an account as this replica has it; see decodeAccount.
+func (s *Service) readLocalAccount(tenant string) (billing.Account, kv.Index, error) {
+	entry, found := s.options.Replica.ReadLocal(accountPrefix + tenant)
+	return decodeAccount(tenant, entry, found)
+}
+
+// readAccountFromLeader reads an account from the leader, which has everything that is committed; see
+// decodeAccount.
+func (s *Service) readAccountFromLeader(tenant string) (billing.Account, kv.Index, error) {
+	entry, found, err := s.options.Replica.ReadFromLeader(accountPrefix + tenant)
+	if err != nil {
+		return billing.Account{}, 0, err
 	}
-	if !ok {
+	return decodeAccount(tenant, entry, found)
+}
+
+// decodeAccount returns the account in a tenant's entry, which is an empty one if there is no entry, and its
+// index. A write that names this index is committed only if nothing else was written in between.
+func decodeAccount(tenant string, entry kv.Entry, found bool) (billing.Account, kv.Index, error) {
+	if !found {
 		return billing.Account{Tenant: tenant}, 0, nil
 	}
 	var account billing.Account
@@ -90,24 +104,24 @@
 // Change sets a tenant's plan from a moment on.
 func (s *Service) Change(tenant string, change billing.PlanChange) error {
 	return s.update(tenant, func(
-		settings billing.Settings, now int64, a billing.Account,
+		settings billing.Settings, nowNanos int64, a billing.Account,
 	) (billing.Account, error) {
-		return a.SchedulePlanChange(settings, now, change)
+		return a.SchedulePlanChange(settings, nowNanos, change)
 	})
 }
 
 // CancelChange cancels a plan change.
 func (s *Service) CancelChange(tenant, id string) error {
 	return s.update(tenant, func(
-		settings billing.Settings, now int64, a billing.Account,
+		settings billing.Settings, nowNanos int64, a billing.Account,
 	) (billing.Account, error) {
-		return a.CancelPlanChange(settings, now, id)
+		return a.CancelPlanChange(settings, nowNanos, id)
 	})
 }
 
 // reservationOperation is an operation that also returns the resulting reservation.
 type reservationOperation func(
-	settings billing.Settings, now int64, account billing.Account,
+	settings billing.Settings, nowNanos int64, account billing.Account,
 ) (billing.Account, billing.Reservation, error)
 
 // updateReservation applies an operation to an account and returns the reservation of its last attempt.
@@ -116,48 +130,39 @@
 ) (billing.Reservation, error) {
 	var reservation billing.Reservation
 	err := s.update(tenant, func(
-		settings billing.Settings, now int64, a billing.Account,
+		settings billing.Settings, nowNanos int64, a billing.Account,
 	) (billing.Account, error) {
 		var err error
-		a, reservation, err = operate(settings, now, a)
+		a, reservation, err = operate(settings, nowNanos, a)
 		return a, err
 	})
 	return reservation, err
 }
 
-// Reserve reserves units.
-func (s *Service) Reserve(
-	tenant, id, holder, plan string, units billing.Units, lease time.Duration,
-) (billing.Reservation, error) {
-	request := billing.ReservationRequest{
-		ID:         id,
-		Holder:     holder,
-		Plan:       plan,
-		Units:      units,
-		LeaseNanos: int64(lease),
-	}
+// Reserve reserves units of the open window.
+func (s *Service) Reserve(tenant string, request billing.ReservationRequest) (billing.Reservation, error) {
 	return s.updateReservation(tenant, func(
-		settings billing.Settings, now int64, a billing.Account,
+		settings billing.Settings, nowNanos int64, a billing.Account,
 	) (billing.Account, billing.Reservation, error) {
-		return a.Reserve(settings, now, request)
+		return a.Reserve(settings, nowNanos, request)
 	})
 }
 
 // Commit turns reserved units into usage.
 func (s *Service) Commit(tenant, id string, epoch uint64, units billing.Units) (billing.Reservation, error) {
 	return s.updateReservation(tenant, func(
-		settings billing.Settings, now int64, a billing.Account,
+		settings billing.Settings, nowNanos int64, a billing.Account,
 	) (billing.Account, billing.Reservation, error) {
-		return a.Commit(settings, now, id, epoch, units)
+		return a.Commit(settings, nowNanos, id, epoch, units)
 	})
 }
 
 // Renew extends a reservation's lease.
 func (s *Service) Renew(tenant, id string, epoch uint64, lease time.Duration) (billing.Reservation, error) {
 	return s.updateReservation(tenant, func(
-		settings billing.Settings, now int64, a billing.Account,
+		settings billing.Settings, nowNanos int64, a billing.Account,
 	) (billing.Account, billing.Reservation, error) {
-		return a.Renew(settings, now, id, epoch, int64(lease))
+		return a.Renew(settings, nowNanos, id, epoch, int64(lease))
 	})
 }
 
@@ -166,29 +171,29 @@
 	tenant, id, holder string, lease time.Duration,
 ) (billing.Reservation, error) {
 	return s.updateReservation(tenant, func(
-		settings billing.Settings, now int64, a billing.Account,
+		settings billing.Settings, nowNanos int64, a billing.Account,
 	) (billing.Account, billing.Reservation, error) {
-		return a.AdoptReservation(settings, now, id, holder, int64(lease))
+		return a.AdoptReservation(settings, nowNanos, id, holder, int64(lease))
 	})
 }
 
 // Release gives back the remaining units of a reservation.
 func (s *Service) Release(tenant, id string, epoch uint64) error {
 	return s.update(tenant, func(
-		settings billing.Settings, now int64, a billing.Account,
+		settings billing.Settings, nowNanos int64, a billing.Account,
 	) (billing.Account, error) {
-		return a.Release(settings, now, id, epoch)
+		return a.Release(settings, nowNanos, id, epoch)
 	})
 }
 
 // Account returns an account as the leader has it, and how much of the open window may still be reserved.
 func (s *Service) Account(tenant, defaultPlan string) (billing.Account, billing.Units, error) {
-	account, _, err := s.readAccount(tenant, true)
+	account, _, err := s.readAccountFromLeader(tenant)
 	if err != nil {
 		return account, 0, fmt.Errorf("%w (%w)", ErrStore, err)
 	}
 	settings := s.options.Settings()
-	now := s.options.Now().UnixNano()
-	windowStart := now - now%settings.WindowNanos
-	return account, account.Available(settings, windowStart, now, defaultPlan), nil
+	nowNanos := s.options.Now().UnixNano()
+	available := account.Available(settings, settings.WindowStart(nowNanos), nowNanos, defaultPlan)
+	return account, available, nil
 }
--- a/internal/billingservice/report.go
+++ b/internal/billingservice/report.go
@@ -44,9 +44,8 @@
 	if err != nil {
 		return
 	}
-	windowNanos := s.options.Settings().WindowNanos
-	at := admittedAt.UnixNano()
-	key := usageKey{tenant: tenant, plan: plan, windowStartNanos: at - at%windowNanos}
+	windowStartNanos := s.options.Settings().WindowStart(admittedAt.UnixNano())
+	key := usageKey{tenant: tenant, plan: plan, windowStartNanos: windowStartNanos}
 	s.mu.Lock()
 	s.usage[key] += count
 	s.mu.Unlock()
--- a/internal/billingservice/reservations_test.go
+++ b/internal/billingservice/reservations_test.go
@@ -5,11 +5,12 @@
 	"testing/synctest"
 	"time"
 
+	"fawnplank/internal/billing"
 	"fawnplank/internal/store/kv"
 )
 
-// sleepUntil moves a bubble's clock to a moment, and waits for all that happens then. The moment must not be
-// over: what is checked behind it would be checked at another moment.
+// sleepUntil moves a bubble's clock to a moment, and waits for all that happens then. A moment that has
+// passed fails the test, because what follows would be checked at another one.
 func sleepUntil(t *testing.T, moment time.Time) {
 	t.Helper()
 	time.Sleep(time.Until(moment))
@@ -19,15 +20,13 @@
 	}
 }
 
-// A reservation whose holder is gone returns within its lease, the clocks' skew and a compaction, and not
-// before: at the first compaction of the instance that is left. The clock is a bubble's, which moves only
-// while all wait: the moments are exact, however busy the machine is. It is held a nanosecond before its
-// moment, and not at it.
+// TestService_ReservationsReturnInTime abandons reservations. Each returns at the first compaction of the
+// other instance after its lease and the clock skew, and not a nanosecond earlier. The clock is that of a
+// synctest bubble, so the moments are exact, however busy the machine is.
 func TestService_ReservationsReturnInTime(t *testing.T) {
 	const lease = 300 * time.Millisecond
 	due := lease + time.Duration(testSettings().ClockSkewNanos)
-	// Reserved so long after the start of the instance that is left, it is over just at the first compaction
-	// there.
+	// A reservation made this long after the other instance's start is due exactly at its first compaction.
 	last := CompactionInterval - due
 	for name, test := range map[string]struct {
 		after time.Duration // from the other instance's start to the reservation
@@ -69,12 +68,19 @@
 	}
 }
 
-// reserveAndLeave reserves at an instance that ends 20 ms later, after its first report. That one deletes the
-// mark of an incarnation of long ago.
+// reserveAndLeave reserves at an instance that ends 20 ms later, after its first report. That report deletes
+// the mark of an old incarnation.
 func reserveAndLeave(t *testing.T, replica *memoryReplica, lease time.Duration) {
 	t.Helper()
 	service := startService(replica, "d", nil)
-	if _, err := service.Reserve("g", "r", "gone", "small", 10e6, lease); err != nil {
+	request := billing.ReservationRequest{
+		ID:         "r",
+		Holder:     "gone",
+		Plan:       "small",
+		Units:      10e6,
+		LeaseNanos: int64(lease),
+	}
+	if _, err := service.Reserve("g", request); err != nil {
 		t.Fatal(err)
 	}
 	oldMark := markPrefix + "d-0000000000000001"
--- a/internal/billingservice/service.go
+++ b/internal/billingservice/service.go
@@ -58,8 +58,9 @@
 	CompactionInterval = time.Second
 	// commitInterval is how often reports are committed to accounts.
 	commitInterval = 250 * time.Millisecond
-	// maxEdits bounds the edits of one write. A command of the store holds a thousand.
-	maxEdits = 900
+	// maxEdits bounds the edits of one write. It leaves a tenth of a command of the store for the edits that end
+	// a write.
+	maxEdits = kv.MaxEdits * 9 / 10
 )
 
 // Service serves the accounts at one instance.
--- a/internal/billingservice/totals_test.go
+++ b/internal/billingservice/totals_test.go
@@ -13,15 +13,15 @@
 	"fawnplank/internal/testutil"
 )
 
-// totals counts what instances use, apart from what they write.
+// totals sums what instances use, independently of what they write.
 type totals struct {
 	t           *testing.T
 	replica     *memoryReplica
 	receiverURL string
 
 	mu       sync.Mutex
-	certain  billing.Units // was reported or committed
-	possible billing.Units // may have been
+	certain  billing.Units // known to be reported or committed
+	possible billing.Units // may be reported or committed
 }
 
 func (c *totals) addCertain(units billing.Units) {
@@ -36,9 +36,17 @@
 	c.possible += units
 }
 
-// runIncarnation lets one incarnation of an instance record use and commit reservations. Where it is killed,
-// it ends without a word: what it had not reported is lost, and no more.
-func (c *totals) runIncarnation(instance, incarnation int, random *rand.Rand, isKilled bool) {
+// ending is how an incarnation of an instance ends.
+type ending int
+
+const (
+	closed ending = iota
+	killed        // without a last report
+)
+
+// runIncarnation lets one incarnation of an instance record usage and commit reservations. If it is killed,
+// the usage that it has not reported is lost, and nothing else.
+func (c *totals) runIncarnation(instance, incarnation int, random *rand.Rand, end ending) {
 	service := startService(c.replica, fmt.Sprint("d", instance), NewReceiver(c.receiverURL))
 	recorded := billing.Units(0)
 	for n := range 30 {
@@ -52,7 +60,7 @@
 		}
 		c.reserveAndCommit(service, tenant, fmt.Sprintf("%d-%d-%d", instance, incarnation, n))
 	}
-	if !isKilled {
+	if end == closed {
 		service.Close()
 		c.addCertain(recorded)
 		return
@@ -62,7 +70,7 @@
 	c.addPossible(unreported) // its last report may have been committed
 }
 
-// kill ends a service without a word, and gives what it had not reported, or does not know to have.
+// kill ends a service without a last report, and returns the usage that it does not know to be reported.
 func kill(service *Service) billing.Units {
 	close(service.stop)
 	service.loops.Wait()
@@ -80,7 +88,13 @@
 
 // reserveAndCommit reserves three units and commits two of them.
 func (c *totals) reserveAndCommit(service *Service, tenant, id string) {
-	reservation, err := service.Reserve(tenant, id, "me", "large", 3e6, 400*time.Millisecond)
+	reservation, err := service.Reserve(tenant, billing.ReservationRequest{
+		ID:         id,
+		Holder:     "me",
+		Plan:       "large",
+		Units:      3e6,
+		LeaseNanos: int64(400 * time.Millisecond),
+	})
 	if err != nil {
 		return
 	}
@@ -90,21 +104,21 @@
 		c.addCertain(2e6)
 	case errors.Is(err, ErrStore):
 		c.resolveCommit(service, tenant, id)
-	case errors.Is(err, billing.ErrStaleEpoch): // it was done, and its answer was lost
+	case errors.Is(err, billing.ErrStaleEpoch): // an earlier attempt was applied, and its answer was lost
 		c.addCertain(2e6)
 	case !errors.Is(err, billing.ErrExpired):
 		c.t.Error(err)
 	}
 }
 
-// resolveCommit finds out whether a commit without an answer was done.
+// resolveCommit finds out whether a commit without an answer was applied.
 func (c *totals) resolveCommit(service *Service, tenant, id string) {
 	account, _, err := service.Account(tenant, "large")
 	for err != nil {
 		account, _, err = service.Account(tenant, "large")
 	}
 	reservation, ok := account.Reservations[id]
-	if !ok { // it is over by now
+	if !ok { // the reservation has ended by now
 		c.addPossible(2e6)
 		return
 	}
@@ -113,7 +127,7 @@
 	}
 }
 
-// openItems is how much of accounts and reports is not exported yet.
+// openItems counts the reports, usages and reservations that are not exported or returned yet.
 func openItems(t *testing.T, replica *memoryReplica) int {
 	t.Helper()
 	open := len(replica.ReadPrefix(reportPrefix))
@@ -130,11 +144,11 @@
 	return open
 }
 
-// Three instances report use and reserve, the store's writes fail before or after they are committed, the
-// receiver fails before or after it has accepted a batch, and services end without a word and start anew.
-// What the receiver has in the end is what was reported and committed, to the millionth, each record once and
-// in order.
-func TestService_TotalsThroughFailures(t *testing.T) {
+// TestService_ExportsExactTotalsThroughFailures lets three instances report usage and reserve, while the
+// store's writes fail before or after they are committed, the receiver fails before or after it has accepted
+// a batch, and services are killed and started again. In the end the receiver has what was reported and
+// committed, to the millionth, each record once and in order.
+func TestService_ExportsExactTotalsThroughFailures(t *testing.T) {
 	replica := newMemoryReplica()
 	replica.failureRate = 0.1
 	receiver, url := newStubReceiver(t)
@@ -144,8 +158,8 @@
 	for n := range 3 {
 		instances.Go(func() {
 			random := rand.New(rand.NewPCG(uint64(n), 9))
-			for incarnation := range 3 {
-				count.runIncarnation(n, incarnation, random, incarnation == 1)
+			for incarnation, end := range []ending{closed, killed, closed} {
+				count.runIncarnation(n, incarnation, random, end)
 			}
 		})
 	}
--- a/internal/billingservice/version0_test.go
+++ b/internal/billingservice/version0_test.go
@@ -22,7 +22,7 @@
 // version0Start is when a synctest bubble begins, where the fixtures were written.
 var version0Start = time.Date(2000, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// version0At is so long after that, in unix ns.
+// version0At returns the moment so long after version0Start, in unix ns.
 func version0At(after time.Duration) int64 { return version0Start.Add(after).UnixNano() }
 
 // firstBatchFolder is a sink that accepts its first batch, and then no more.
@@ -41,9 +41,9 @@
 
 const version0Export = "use-000000000001-000000000001.jsonl"
 
-// writeVersion0 lets a service work for 2.3 s of a bubble's time, and copies what the store and the export's
-// folder hold: a window that is exported, one that is being sent, one that is open with a reservation in it,
-// and a report that is not committed yet.
+// writeVersion0 lets a service work for 2.3 s of a bubble's time, and writes the state of the store and the
+// exported file to the two paths. The state has a window that is exported, one that is being sent, one that
+// is open with a reservation in it, and a report that is not committed yet.
 func writeVersion0(t *testing.T, store, export string) {
 	t.Helper()
 	folder := t.TempDir()
@@ -65,7 +65,12 @@
 		d.RecordUsage("h", "large", time.Now(), 1.5)
 		until(1250 * time.Millisecond)
 		d.RecordUsage("g", "small", time.Now(), 2)
-		_, err := d.Reserve("g", "r0", "gone", "", 3e6, 300*time.Millisecond)
+		_, err := d.Reserve("g", billing.ReservationRequest{
+			ID:         "r0",
+			Holder:     "gone",
+			Units:      3e6,
+			LeaseNanos: int64(300 * time.Millisecond),
+		})
 		must(err)
 		until(1260 * time.Millisecond)
 		a, _, err := d.Account("g", "small")
@@ -73,7 +78,12 @@
 		must(d.Release("g", "r0", a.Reservations["r0"].Epoch))
 		until(2050 * time.Millisecond)
 		d.RecordUsage("g", "small", version0Start.Add(1300*time.Millisecond), 3)
-		h, err := d.Reserve("g", "r1", "holder-1", "", 20e6, 500*time.Millisecond)
+		h, err := d.Reserve("g", billing.ReservationRequest{
+			ID:         "r1",
+			Holder:     "holder-1",
+			Units:      20e6,
+			LeaseNanos: int64(500 * time.Millisecond),
+		})
 		must(err)
 		_, err = d.Commit("g", "r1", h.Epoch, 5e6)
 		must(err)
@@ -179,9 +189,9 @@
 	},
 }
 
-// TestVersion0Store_ValuesAndBytes reads each value of the store's fixture into its type, and writes it anew
-// as the same bytes under the same key.
-func TestVersion0Store_ValuesAndBytes(t *testing.T) {
+// TestVersion0Store_IsWrittenAsTheSameBytes decodes each value of the store's fixture into its type, and
+// encodes it again as the same bytes.
+func TestVersion0Store_IsWrittenAsTheSameBytes(t *testing.T) {
 	m := version0Store(t)
 	for _, key := range m.state.Keys("") {
 		if _, ok := version0Values[key]; !ok {
@@ -192,7 +202,8 @@
 	for key, want := range version0Values {
 		e, ok := m.ReadLocal(key)
 		got := reflect.New(reflect.TypeOf(want))
-		if !ok || json.Unmarshal(e.Value, got.Interface()) != nil || !reflect.DeepEqual(got.Elem().Interface(), want) {
+		isDecoded := ok && json.Unmarshal(e.Value, got.Interface()) == nil
+		if !isDecoded || !reflect.DeepEqual(got.Elem().Interface(), want) {
 			t.Errorf("%s: %s, and not %+v", key, e.Value, want)
 		}
 		if again, err := json.Marshal(want); err != nil || !bytes.Equal(again, e.Value) {
@@ -201,9 +212,9 @@
 	}
 }
 
-// TestService_GoesOnWithVersion0Store lets a service go on with the store's fixture: it knows the plan and
-// the reservation, commits the report, and sends the batch that was fixed.
-func TestService_GoesOnWithVersion0Store(t *testing.T) {
+// TestService_ContinuesWithVersion0Store lets a service continue with the store's fixture: it knows the plan
+// and the reservation, commits the report, and sends the batch that was fixed.
+func TestService_ContinuesWithVersion0Store(t *testing.T) {
 	m, folder := version0Store(t), Folder(t.TempDir())
 	d := newVersion0Service(m, folder)
 	d.plans.Store(&map[string]billing.Account{})
@@ -221,8 +232,9 @@
 		t.Fatal(err)
 	}
 	a, _, err := d.Account("g", "")
-	if err != nil || len(a.Windows) != 2 || a.Windows[1].Used["small"] != 10e6 || len(m.ReadPrefix(reportPrefix)) != 0 {
-		t.Errorf("after the report: %+v, %v, %q", a, err, m.ReadPrefix(reportPrefix))
+	reports := m.ReadPrefix(reportPrefix)
+	if err != nil || len(a.Windows) != 2 || a.Windows[1].Used["small"] != 10e6 || len(reports) != 0 {
+		t.Errorf("after the report: %+v, %v, %q", a, err, reports)
 	}
 	if sent, err := d.exportBatch(context.Background()); !sent || err != nil {
 		t.Fatal(sent, err)
@@ -232,13 +244,14 @@
 	if err != nil || string(text) != want {
 		t.Errorf("%s, %v", text, err)
 	}
-	if s, _, err := d.readExportState(); err != nil || s != (exportState{Next: 3, Acked: 2}) || len(m.ReadPrefix(recordPrefix)) != 0 {
-		t.Errorf("the export: %+v, %v", s, err)
+	state, _, err := d.readExportState()
+	if err != nil || state != (exportState{Next: 3, Acked: 2}) || len(m.ReadPrefix(recordPrefix)) != 0 {
+		t.Errorf("the export: %+v, %v", state, err)
 	}
 }
 
-// TestFolder_ReadsVersion0Export has a folder with a file of the version before: its last sequence is
-// known, and the same batch is written as the same bytes, of the same name.
+// TestFolder_ReadsVersion0Export uses a folder with a file of an earlier version. Its last sequence is known,
+// and the same batch is written as the same bytes under the same name.
 func TestFolder_ReadsVersion0Export(t *testing.T) {
 	path := testutil.Fixture(t, version0Export, func(path string) { writeVersion0(t, path+".store", path) })
 	folder := Folder(filepath.Dir(path))
@@ -250,14 +263,21 @@
 		t.Fatal(err)
 	}
 	var got billing.Record
-	want := billing.Record{Sequence: 1, Tenant: "h", Plan: "large", WindowStartSeconds: 946684800, Units: 1500000}
+	want := billing.Record{
+		Sequence:           1,
+		Tenant:             "h",
+		Plan:               "large",
+		WindowStartSeconds: 946684800,
+		Units:              1500000,
+	}
 	if err := json.Unmarshal([]byte(strings.TrimSpace(string(text))), &got); err != nil || got != want {
 		t.Errorf("%+v, %v", got, err)
 	}
 	if again := encodeBatch([]billing.Record{want}); !bytes.Equal(again, text) {
 		t.Errorf("written anew:\n%s\nthe fixture:\n%s", again, text)
 	}
-	if err := folder.Send(context.Background(), []billing.Record{want}); err != nil { // another text of this name is an error
+	// Send fails if the file of this name has another content.
+	if err := folder.Send(context.Background(), []billing.Record{want}); err != nil {
 		t.Error(err)
 	}
 	if names, err := os.ReadDir(string(folder)); err != nil || len(names) != 1 {
@@ -265,7 +285,7 @@
 	}
 }
 
-// TestStoredTypes_HaveTags holds that each stored field has its name from a tag, and not from Go.
+// TestStoredTypes_HaveTags holds that a tag, and not Go, names each stored field.
 func TestStoredTypes_HaveTags(t *testing.T) {
 	testutil.CheckTags(t, billing.Account{}, billing.Record{}, usageItem{}, exportState{}, exportLease{})
 }
--- a/internal/lab/accounts/measure.go
+++ b/internal/lab/accounts/measure.go
@@ -130,7 +130,13 @@
 	c.ReleaseBound = inMillis(clockSkew + billingservice.CompactionInterval)
 	for n := range abandonedReservations {
 		tenant := tenantID(firstAbandonedTenant + n)
-		reservation, err := service.Reserve(tenant, "left", keyName, planName, abandonedUnits, abandonedLease)
+		reservation, err := service.Reserve(tenant, billing.ReservationRequest{
+			ID:         "left",
+			Holder:     keyName,
+			Plan:       planName,
+			Units:      abandonedUnits,
+			LeaseNanos: int64(abandonedLease),
+		})
 		if err != nil {
 			return fmt.Errorf("accounts: reserve: %w", err)
 		}
--- a/internal/limitserver/account_commands.go
+++ b/internal/limitserver/account_commands.go
@@ -27,8 +27,7 @@
 type Accounts interface {
 	Change(gestoria string, change billing.PlanChange) error
 	CancelChange(gestoria, id string) error
-	Reserve(gestoria, id, holder, plan string, units billing.Units, lease time.Duration) (
-		billing.Reservation, error)
+	Reserve(gestoria string, request billing.ReservationRequest) (billing.Reservation, error)
 	Commit(gestoria, id string, epoch uint64, units billing.Units) (billing.Reservation, error)
 	Renew(gestoria, id string, epoch uint64, lease time.Duration) (billing.Reservation, error)
 	AdoptReservation(gestoria, id, holder string, lease time.Duration) (billing.Reservation, error)
@@ -85,11 +84,17 @@
 }
 
 func reserve(accounts Accounts, out []byte, args *arguments) ([]byte, error) {
-	units, lease := args.units(4), args.lease(5)
+	request := billing.ReservationRequest{
+		ID:         args.text(1),
+		Holder:     args.text(2),
+		Plan:       args.text(3),
+		Units:      args.units(4),
+		LeaseNanos: int64(args.lease(5)),
+	}
 	if args.err != nil {
 		return nil, args.err
 	}
-	r, err := accounts.Reserve(args.gestoria, args.text(1), args.text(2), args.text(3), units, lease)
+	r, err := accounts.Reserve(args.gestoria, request)
 	return appendReservation(out, r, err)
 }
 
--- a/internal/limitserver/account_commands_test.go
+++ b/internal/limitserver/account_commands_test.go
@@ -52,16 +52,8 @@
 	return l.store(l.account.Release(ledgerSettings, now, id, epoch))
 }
 
-func (l *ledger) Reserve(
-	_, id, holder, plan string, units billing.Units, lease time.Duration,
-) (billing.Reservation, error) {
-	return l.storeReservation(l.account.Reserve(ledgerSettings, now, billing.ReservationRequest{
-		ID:         id,
-		Holder:     holder,
-		Plan:       plan,
-		Units:      units,
-		LeaseNanos: int64(lease),
-	}))
+func (l *ledger) Reserve(_ string, request billing.ReservationRequest) (billing.Reservation, error) {
+	return l.storeReservation(l.account.Reserve(ledgerSettings, now, request))
 }
 
 func (l *ledger) Commit(_, id string, epoch uint64, units billing.Units) (billing.Reservation, error) {
