--- a/internal/limitserver/account_commands.go
+++ b/internal/limitserver/account_commands.go
@@ -11,33 +11,33 @@
 
 // Accounts changes plans and reserves allowance. It answers these commands:
 //
-//	PLAN.CHANGE gestoria id plan at       from at on, in ms since 1970, or +ms from now; answers it in ms
-//	PLAN.TAKEBACK gestoria id
-//	PLAN.LIST gestoria                    arrays of id, plan, ms since 1970
-//	RESERVE.NEW gestoria id holder plan units lease-ms
-//	RESERVE.COMMIT gestoria id epoch units
-//	RESERVE.RENEW gestoria id epoch lease-ms
-//	RESERVE.TAKE gestoria id holder lease-ms
-//	RESERVE.RELEASE gestoria id epoch
-//	RESERVE.LIST gestoria                 arrays of id, epoch, units left, end in ms since 1970, holder
-//	RESERVE.ROOM gestoria plan            units that may still be reserved now
+//	PLAN.CHANGE tenant id plan at         from at on, in ms since 1970, or +ms from now; answers it in ms
+//	PLAN.TAKEBACK tenant id
+//	PLAN.LIST tenant                      arrays of id, plan, ms since 1970
+//	RESERVE.NEW tenant id holder plan units lease-ms
+//	RESERVE.COMMIT tenant id epoch units
+//	RESERVE.RENEW tenant id epoch lease-ms
+//	RESERVE.TAKE tenant id holder lease-ms
+//	RESERVE.RELEASE tenant id epoch
+//	RESERVE.LIST tenant                   arrays of id, epoch, units left, end in ms since 1970, holder
+//	RESERVE.ROOM tenant plan              units that may still be reserved now
 //
 // NEW, COMMIT, RENEW and TAKE answer with the epoch to name in the next command, the units left, and the time
 // at which the reservation expires.
 type Accounts interface {
-	Change(gestoria string, change billing.PlanChange) error
-	CancelChange(gestoria, id string) error
-	Reserve(gestoria string, request billing.ReservationRequest) (billing.Reservation, error)
-	Commit(gestoria, id string, epoch uint64, units billing.Units) (billing.Reservation, error)
-	Renew(gestoria, id string, epoch uint64, lease time.Duration) (billing.Reservation, error)
-	AdoptReservation(gestoria, id, holder string, lease time.Duration) (billing.Reservation, error)
-	Release(gestoria, id string, epoch uint64) error
-	Account(gestoria, plan string) (billing.Account, billing.Units, error)
+	Change(tenant string, change billing.PlanChange) error
+	CancelChange(tenant, id string) error
+	Reserve(tenant string, request billing.ReservationRequest) (billing.Reservation, error)
+	Commit(tenant, id string, epoch uint64, units billing.Units) (billing.Reservation, error)
+	Renew(tenant, id string, epoch uint64, lease time.Duration) (billing.Reservation, error)
+	AdoptReservation(tenant, id, holder string, lease time.Duration) (billing.Reservation, error)
+	Release(tenant, id string, epoch uint64) error
+	Account(tenant, plan string) (billing.Account, billing.Units, error)
 }
 
 // accountCommand is a command on accounts.
 type accountCommand struct {
-	arguments int // the required number of arguments; the first is the gestoría
+	arguments int // the required number of arguments; the first is the tenant
 	answer    func(accounts Accounts, out []byte, args *arguments) ([]byte, error)
 }
 
@@ -65,19 +65,19 @@
 }
 
 func changePlan(accounts Accounts, out []byte, args *arguments) ([]byte, error) {
-	moment := args.moment(3)
+	momentNanos := args.momentNanos(3)
 	if args.err != nil {
 		return nil, args.err
 	}
-	change := billing.PlanChange{ID: args.text(1), Plan: args.text(2), EffectiveNanos: moment}
-	if err := accounts.Change(args.gestoria, change); err != nil {
+	change := billing.PlanChange{ID: args.text(1), Plan: args.text(2), EffectiveNanos: momentNanos}
+	if err := accounts.Change(args.tenant, change); err != nil {
 		return nil, err
 	}
-	return redcon.AppendInt(out, moment/1e6), nil
+	return redcon.AppendInt(out, momentNanos/nanosPerMilli), nil
 }
 
 func cancelChange(accounts Accounts, out []byte, args *arguments) ([]byte, error) {
-	if err := accounts.CancelChange(args.gestoria, args.text(1)); err != nil {
+	if err := accounts.CancelChange(args.tenant, args.text(1)); err != nil {
 		return nil, err
 	}
 	return redcon.AppendOK(out), nil
@@ -94,7 +94,7 @@
 	if args.err != nil {
 		return nil, args.err
 	}
-	r, err := accounts.Reserve(args.gestoria, request)
+	r, err := accounts.Reserve(args.tenant, request)
 	return appendReservation(out, r, err)
 }
 
@@ -103,7 +103,7 @@
 	if args.err != nil {
 		return nil, args.err
 	}
-	r, err := accounts.Commit(args.gestoria, args.text(1), epoch, units)
+	r, err := accounts.Commit(args.tenant, args.text(1), epoch, units)
 	return appendReservation(out, r, err)
 }
 
@@ -112,7 +112,7 @@
 	if args.err != nil {
 		return nil, args.err
 	}
-	r, err := accounts.Renew(args.gestoria, args.text(1), epoch, lease)
+	r, err := accounts.Renew(args.tenant, args.text(1), epoch, lease)
 	return appendReservation(out, r, err)
 }
 
@@ -121,7 +121,7 @@
 	if args.err != nil {
 		return nil, args.err
 	}
-	r, err := accounts.AdoptReservation(args.gestoria, args.text(1), args.text(2), lease)
+	r, err := accounts.AdoptReservation(args.tenant, args.text(1), args.text(2), lease)
 	return appendReservation(out, r, err)
 }
 
@@ -130,7 +130,7 @@
 	if args.err != nil {
 		return nil, args.err
 	}
-	if err := accounts.Release(args.gestoria, args.text(1), epoch); err != nil {
+	if err := accounts.Release(args.tenant, args.text(1), epoch); err != nil {
 		return nil, err
 	}
 	return redcon.AppendOK(out), nil
@@ -147,11 +147,11 @@
 	out = redcon.AppendArray(out, 3)
 	out = redcon.AppendInt(out, int64(r.Epoch))
 	out = redcon.AppendBulkString(out, formatUnits(r.Remaining))
-	return redcon.AppendInt(out, r.ExpiresNanos/1e6), nil
+	return redcon.AppendInt(out, r.ExpiresNanos/nanosPerMilli), nil
 }
 
 func unreservedUnits(accounts Accounts, out []byte, args *arguments) ([]byte, error) {
-	_, units, err := accounts.Account(args.gestoria, args.text(1))
+	_, units, err := accounts.Account(args.tenant, args.text(1))
 	if err != nil {
 		return nil, err
 	}
@@ -159,7 +159,7 @@
 }
 
 func listChanges(accounts Accounts, out []byte, args *arguments) ([]byte, error) {
-	account, _, err := accounts.Account(args.gestoria, "")
+	account, _, err := accounts.Account(args.tenant, "")
 	if err != nil {
 		return nil, err
 	}
@@ -168,13 +168,13 @@
 		out = redcon.AppendArray(out, 3)
 		out = redcon.AppendBulkString(out, change.ID)
 		out = redcon.AppendBulkString(out, change.Plan)
-		out = redcon.AppendInt(out, change.EffectiveNanos/1e6)
+		out = redcon.AppendInt(out, change.EffectiveNanos/nanosPerMilli)
 	}
 	return out, nil
 }
 
 func listReservations(accounts Accounts, out []byte, args *arguments) ([]byte, error) {
-	account, _, err := accounts.Account(args.gestoria, "")
+	account, _, err := accounts.Account(args.tenant, "")
 	if err != nil {
 		return nil, err
 	}
@@ -184,7 +184,7 @@
 		out = redcon.AppendBulkString(out, r.ID)
 		out = redcon.AppendInt(out, int64(r.Epoch))
 		out = redcon.AppendBulkString(out, formatUnits(r.Remaining))
-		out = redcon.AppendInt(out, r.ExpiresNanos/1e6)
+		out = redcon.AppendInt(out, r.ExpiresNanos/nanosPerMilli)
 		out = redcon.AppendBulkString(out, r.Holder)
 	}
 	return out, nil
--- a/internal/limitserver/account_commands_test.go
+++ b/internal/limitserver/account_commands_test.go
@@ -11,7 +11,7 @@
 	"fawnplank/internal/billing"
 )
 
-// ledger is one gestoría's account, on a clock that stands.
+// ledger holds one tenant's account, at a fixed moment.
 type ledger struct{ account billing.Account }
 
 const now = 6000e9
@@ -25,7 +25,7 @@
 	Plans:             map[string]billing.Quota{"team": {Rate: 1, Peak: 10}},
 }
 
-// store keeps the account as an operation left it.
+// store keeps the account that an operation returned, if it succeeded.
 func (l *ledger) store(account billing.Account, err error) error {
 	if err == nil {
 		l.account = account
@@ -72,9 +72,9 @@
 	return l.account, l.account.Available(ledgerSettings, now, now, plan), nil
 }
 
-// One session of each command: what is right is answered in its form, what is wrong by an error that names
-// it.
-func TestServer_AccountCommands(t *testing.T) {
+// TestServer_AnswersAccountCommands runs a session with each command on accounts. A valid command is answered
+// in its form, an invalid one by an error that names its fault.
+func TestServer_AnswersAccountCommands(t *testing.T) {
 	s := New(Options{MaxConnections: 1, Accounts: &ledger{}, Keys: map[string]authz.Key{
 		"ops": {Secret: []byte("open sesame, please"), Rights: authz.Read | authz.Reserve},
 		"all": {Secret: []byte("another secret"), Rights: 255},
@@ -135,7 +135,7 @@
 	}
 }
 
-// parseWords makes a command of words, in which, for AUTH, an underscore stands for a space.
+// parseWords makes a command of words. In AUTH, an underscore stands for a space.
 func parseWords(text string) (c redcon.Command) {
 	for _, word := range strings.Fields(text) {
 		if strings.HasPrefix(text, "AUTH") {
--- a/internal/limitserver/arguments.go
+++ b/internal/limitserver/arguments.go
@@ -16,27 +16,34 @@
 	maxLeaseMillis = 1 << 40
 	// maxMomentMillis bounds the time of a change. It is in the year 2248, so its nanoseconds fit into an int64.
 	maxMomentMillis = 1 << 43
-	// gestoriaLimit is 2^33, the first number that names no gestoría, written with 16 hexadecimal digits.
-	gestoriaLimit = "0000000200000000"
+	// tenantDigits is the length of a tenant's number, in hexadecimal digits.
+	tenantDigits = 16
+	// tenantLimit is the first number that names no tenant.
+	tenantLimit = 1 << 33
+
+	nanosPerMilli = 1e6
 )
 
 // arguments holds the arguments of a command on accounts. The first argument that cannot be parsed sets err.
 // A command parses all the arguments it needs and then checks err before it does anything.
 type arguments struct {
-	gestoria string
-	words    [][]byte
-	err      error
+	tenant string
+	words  [][]byte
+	err    error
 }
 
-// parseArguments checks the gestoría, which is the first argument of every command.
+// parseArguments checks the tenant, which is the first argument of every command. Its digits must be lower
+// case, because accounts are stored under them. The word "gestoria" in the error is the term used on the
+// wire.
 func parseArguments(words [][]byte) (*arguments, error) {
-	name := string(words[0])
-	_, err := strconv.ParseUint(name, 16, 64)
-	if err != nil || len(name) != 16 || name != strings.ToLower(name) || name >= gestoriaLimit {
+	tenant := string(words[0])
+	number, err := strconv.ParseUint(tenant, 16, 64)
+	isCanonical := len(tenant) == tenantDigits && tenant == strings.ToLower(tenant)
+	if err != nil || !isCanonical || number >= tenantLimit {
 		return nil, fmt.Errorf("gestoria '%.20s' is no number of 16 small hexadecimal digits below 2^33",
-			name)
+			tenant)
 	}
-	return &arguments{gestoria: name, words: words}, nil
+	return &arguments{tenant: tenant, words: words}, nil
 }
 
 // fail sets err, unless an earlier argument has set it already.
@@ -82,16 +89,16 @@
 	return time.Duration(min(a.integer(n), maxLeaseMillis)) * time.Millisecond
 }
 
-// moment returns argument n as a Unix time in nanoseconds. The argument is in milliseconds since 1970 or,
-// with a plus sign, from now.
-func (a *arguments) moment(n int) int64 {
+// momentNanos returns argument n as a Unix time in nanoseconds. The argument is in milliseconds since 1970
+// or, with a plus sign, from now.
+func (a *arguments) momentNanos(n int) int64 {
 	text, fromNow := strings.CutPrefix(a.text(n), "+")
-	moment := a.parseInteger(text) * 1e6
+	nanos := a.parseInteger(text) * nanosPerMilli
 	if fromNow {
-		return moment + time.Now().UnixMilli()*1e6
+		return nanos + time.Now().UnixMilli()*nanosPerMilli
 	}
-	if moment/1e6 > maxMomentMillis {
+	if nanos/nanosPerMilli > maxMomentMillis {
 		a.fail("moment %s is out of range", text)
 	}
-	return moment
+	return nanos
 }
--- a/internal/limitserver/benchmark_test.go
+++ b/internal/limitserver/benchmark_test.go
@@ -12,8 +12,8 @@
 	"fawnplank/internal/counter"
 )
 
-// BenchmarkCheck is a check over loopback with a counter stand-in that answers in half a millisecond, one at
-// a time and a hundred in a pipeline; the latencies of pipelines are reported as p50 and p99.
+// BenchmarkCheck measures checks over loopback, one at a time and a hundred in a pipeline, with a counter
+// stand-in that answers in half a millisecond. It reports the latencies of pipelines as p50 and p99.
 func BenchmarkCheck(b *testing.B) {
 	for _, size := range []int{1, 100} {
 		b.Run(fmt.Sprint("pipeline-", size), func(b *testing.B) {
@@ -44,7 +44,7 @@
 	}
 }
 
-// BenchmarkPeek counts nothing and waits for nobody: the cost of the protocol and the lock.
+// BenchmarkPeek measures the protocol and the lock: a peek counts nothing and waits for nobody.
 func BenchmarkPeek(b *testing.B) {
 	g := startGateway(b, counter.Text)
 	words := [][]byte{[]byte("LIMIT.PEEK"), []byte(tenant), []byte("despacho")}
--- a/internal/limitserver/check.go
+++ b/internal/limitserver/check.go
@@ -53,21 +53,21 @@
 
 // finishChecks answers the checks in progress.
 func (b *batch) finishChecks() {
-	for _, k := range b.checks {
-		b.finishCheck(k)
+	for _, pending := range b.checks {
+		b.finishCheck(pending)
 	}
 	b.checks = b.checks[:0]
 }
 
 // finishCheck waits for the result of a check and answers it. The wait is bounded by the dispatcher's own
 // wait for the counter.
-func (b *batch) finishCheck(k check) {
-	step := k.request.NextStep()
-	quota, _ := b.server.dispatcher.QuotaStatus(k.tenant, k.plan, k.entryPoints)
+func (b *batch) finishCheck(pending check) {
+	step := pending.request.NextStep()
+	quota, _ := b.server.dispatcher.QuotaStatus(pending.tenant, pending.plan, pending.entryPoints)
 	switch step.Action {
 	case dispatch.Admit:
 		b.server.admitted.Add(1)
-		b.answers = appendQuota(b.answers, quota, noRetry, k.timeUnit)
+		b.answers = appendQuota(b.answers, quota, noRetry, pending.timeUnit)
 	case dispatch.Reject:
 		b.server.rejected.Add(1)
 		retryAfter := step.RetryAfter
@@ -75,7 +75,7 @@
 		if retryAfter <= 0 && quota.Rate > 0 {
 			retryAfter = refillTime(max(quota.Used+1-quota.Limit, 1), quota.Rate)
 		}
-		b.answers = appendQuota(b.answers, quota, max(retryAfter, 0), k.timeUnit)
+		b.answers = appendQuota(b.answers, quota, max(retryAfter, 0), pending.timeUnit)
 	default:
 		b.server.failed.Add(1)
 		b.answers = redcon.AppendError(b.answers, "ERR failed")
@@ -107,7 +107,7 @@
 
 // refillTime returns how long it takes to refill units at a rate per second.
 func refillTime(units, rate float64) time.Duration {
-	return time.Duration(units / rate * 1e9)
+	return time.Duration(units / rate * float64(time.Second))
 }
 
 // parseCheck parses the arguments of a check.
@@ -148,7 +148,7 @@
 // the errors is the term used on the wire.
 func (s *Settings) parseTenantPlan(args [][]byte) (policy.TenantID, policy.PlanID, error) {
 	id, err := strconv.ParseUint(string(args[0]), 16, 64)
-	if err != nil || len(args[0]) != 16 || id >= 1<<33 {
+	if err != nil || len(args[0]) != tenantDigits || id >= tenantLimit {
 		return 0, 0, fmt.Errorf("customer '%.20s' is no number of 16 hexadecimal digits below 2^33",
 			printable(string(args[0])))
 	}
@@ -183,7 +183,8 @@
 // appendQuota appends the array of five integers that answers a check. A retryAfter below 0 means that the
 // check was admitted.
 func appendQuota(out []byte, quota policy.QuotaStatus, retryAfter, timeUnit time.Duration) []byte {
-	limited, wait := int64(0), int64(-1)
+	limited := int64(0)
+	wait := int64(-1)
 	if retryAfter >= 0 {
 		limited = 1
 		wait = int64(math.Ceil(float64(retryAfter) / float64(timeUnit)))
@@ -194,7 +195,7 @@
 	}
 	untilFull := int64(0)
 	if quota.Rate > 0 {
-		nanos := min(quota.Used/quota.Rate, maxRefillSeconds) * 1e9
+		nanos := min(quota.Used/quota.Rate, maxRefillSeconds) * float64(time.Second)
 		untilFull = int64(math.Ceil(nanos / float64(timeUnit)))
 	}
 	out = redcon.AppendArray(out, 5)
--- a/internal/limitserver/check_test.go
+++ b/internal/limitserver/check_test.go
@@ -8,7 +8,8 @@
 	"fawnplank/internal/counter"
 )
 
-// A check draws from the tenant's hard quota too, as what is sent on does (rule 5).
+// TestCheck_DrawsFromTheHardQuota holds that a check draws from the tenant's hard quota, as a request that is
+// sent to a backend does (rule 5).
 func TestCheck_DrawsFromTheHardQuota(t *testing.T) {
 	g := startGateway(t, counter.Text)
 	c, admitted := g.dial(t), 0
@@ -23,7 +24,7 @@
 	}
 }
 
-// A pipeline sees its own checks: the tenth of one unit each leaves ten less.
+// TestPeek_SeesTheChecksBeforeIt holds that a peek sees the ten checks before it in its pipeline.
 func TestPeek_SeesTheChecksBeforeIt(t *testing.T) {
 	g := startGateway(t, counter.Text)
 	c := g.dial(t)
@@ -41,8 +42,9 @@
 	}
 }
 
-// The counter that refuses, hangs or is slow does not hold a check up, and the instance's share decides.
-func TestCheck_WithoutTheCounter(t *testing.T) {
+// TestCheck_UsesLocalShareWithoutCounter holds that a check without a counter is answered in time, by the
+// instance's local share.
+func TestCheck_UsesLocalShareWithoutCounter(t *testing.T) {
 	g := startGateway(t, counter.RESP)
 	c := g.dial(t)
 	if got := c.call(t, "LIMIT.CHECK", tenant, "despacho"); !strings.HasPrefix(got, "0 50 49") {
--- a/internal/limitserver/commands.go
+++ b/internal/limitserver/commands.go
@@ -137,7 +137,8 @@
 	key, ok := s.keys[string(args[0])]
 	// Compare hashes, which have the same length whatever the client sends, so that the time of the comparison
 	// reveals nothing about the secret.
-	shown, own := sha256.Sum256(args[1]), sha256.Sum256(key.Secret)
+	shown := sha256.Sum256(args[1])
+	own := sha256.Sum256(key.Secret)
 	if subtle.ConstantTimeCompare(shown[:], own[:]) != 1 || !ok {
 		return 0, errKey
 	}
--- a/internal/limitserver/equivalence_test.go
+++ b/internal/limitserver/equivalence_test.go
@@ -17,10 +17,10 @@
 	"fawnplank/policy"
 )
 
-// bubbledGateway is a gateway in a bubble of synctest whose counter's client and stand-in stay outside: who
-// waits for the network never counts as blocked in a bubble, and its clock would stand for good. So it does
-// just while a call's answer is waited for: to the decisions each is answered at the moment of the call,
-// however busy the machine is.
+// bubbledGateway is a gateway in a synctest bubble whose counter client and stand-in stay outside. A
+// goroutine that waits for the network never counts as durably blocked, so with them inside the bubble's
+// clock would not advance at all. This way it stands only while a call's answer is awaited: to the decisions,
+// each call is answered at the moment it was made, however busy the machine is.
 type bubbledGateway struct {
 	gateway
 	settings policy.Settings
@@ -43,7 +43,7 @@
 	err   error
 }
 
-// newBubbledGateway starts what stays outside the bubble.
+// newBubbledGateway starts the parts that stay outside the bubble.
 func newBubbledGateway(t *testing.T, format counter.Format) *bubbledGateway {
 	t.Helper()
 	g := &bubbledGateway{outgoing: make(chan counterCall, 100), incoming: make(chan counterResult, 100)}
@@ -63,12 +63,12 @@
 	return g
 }
 
-// HandleCounterResult gets the client's results, outside.
+// HandleCounterResult receives the counter client's results, outside the bubble.
 func (g *bubbledGateway) HandleCounterResult(key policy.CounterKey, total float64, err error) {
 	g.incoming <- counterResult{key, total, err}
 }
 
-// Add and Flush are the dispatcher's counter, in the bubble.
+// Add is a call of the dispatcher to its counter, in the bubble.
 func (g *bubbledGateway) Add(key policy.CounterKey, units float64, lifetime time.Duration) {
 	call := counterCall{key, units, lifetime}
 	g.calls = append(g.calls, call)
@@ -82,13 +82,14 @@
 	}()
 }
 
+// Flush does nothing, because Add does not hold calls back.
 func (g *bubbledGateway) Flush() {}
 
-// enter starts the rest in a bubble, and returns a connection to the limit commands.
+// enter starts the other parts in a bubble, and returns a connection to the limit commands.
 func (g *bubbledGateway) enter(t *testing.T) *client {
 	t.Helper()
 	g.dispatcher = dispatch.New()
-	l := &pipeListener{make(chan net.Conn, 1), make(chan struct{})}
+	l := &pipeListener{conns: make(chan net.Conn, 1), closed: make(chan struct{})}
 	g.serve(t, g.settings, g, l)
 	near, far := net.Pipe()
 	t.Cleanup(func() {
@@ -124,10 +125,10 @@
 
 func (p *pipeListener) Addr() net.Addr { return &net.UnixAddr{Name: "pipe", Net: "pipe"} }
 
-// The same thousand requests sent on and checked by limit commands count the same, to the last call of the
-// counter. Two gateways, each with a counter of its own, get each request at the same moment of one clock,
-// which stands meanwhile: on the machine's clock they got it a little apart, and what refilled between parted
-// some.
+// TestCheck_CountsAsRequestsDo sends a thousand requests through one gateway and checks them at another. Both
+// make the same calls to their counters and get the same results. They get each request at the same moment of
+// one clock: on the machine's clock they got it a little apart, and what was refilled in between made some
+// results differ.
 func TestCheck_CountsAsRequestsDo(t *testing.T) {
 	for _, test := range []struct {
 		format   counter.Format
@@ -159,8 +160,8 @@
 	}
 }
 
-// forwardAndCheck has one gateway send request n on and the other check it, and returns whether it was
-// admitted.
+// forwardAndCheck lets one gateway send request n to a backend and the other check it, and returns whether it
+// was admitted.
 func forwardAndCheck(t *testing.T, forwarding *bubbledGateway, checking *client, n, tenants int) bool {
 	t.Helper()
 	id, units := n%tenants, 1+n%3
@@ -188,7 +189,7 @@
 	return true
 }
 
-// compareCounters compares what the two gateways had counted.
+// compareCounters compares the two gateways' calls to their counters.
 func compareCounters(t *testing.T, forwarding, checking *bubbledGateway, admitted int) {
 	t.Helper()
 	sameCalls := slices.Equal(forwarding.calls, checking.calls)
@@ -202,7 +203,7 @@
 				len(g.calls), stats.Answered, stats.Failed)
 		}
 	}
-	// A millionth: the sum over the numbers is taken in any order.
+	// The tolerance allows for sums of floats in another order.
 	sums := [2]float64{forwarding.emulator.CounterTotal(), checking.emulator.CounterTotal()}
 	if admitted < 300 || admitted > 700 || math.Abs(sums[0]-sums[1]) > 1e-6 {
 		t.Errorf("%d admitted; counted %v", admitted, sums)
--- a/internal/limitserver/fuzz_test.go
+++ b/internal/limitserver/fuzz_test.go
@@ -12,7 +12,7 @@
 	"fawnplank/internal/counter"
 )
 
-// FuzzCommands: whatever the words are, each command gets one whole answer, in RESP.
+// FuzzCommands holds that each command gets one whole RESP answer, whatever its words are.
 func FuzzCommands(f *testing.F) {
 	g := startGateway(f, counter.Text)
 	f.Add([]byte("*1\r\n$4\r\nPING\r\n"))
@@ -47,7 +47,7 @@
 	})
 }
 
-// readCommands reads commands up to the first that cannot be read.
+// readCommands reads at most limit commands, up to the first that cannot be read.
 func readCommands(text []byte, limit int) (commands []redcon.Command) {
 	reader := redcon.NewReader(bytes.NewReader(text))
 	for len(commands) < limit {
--- a/internal/limitserver/server_test.go
+++ b/internal/limitserver/server_test.go
@@ -22,7 +22,7 @@
 	"fawnplank/policy"
 )
 
-// scene is the fleet that the tests' checks are for: two instances, and the plans that commands name.
+// scene is the scenario of the tests: a fleet of two instances, and the plans that commands name.
 const scene = `name = "limits"
 [backends]
 count = 1
@@ -45,13 +45,13 @@
 ceiling_burst = 10
 `
 
-// checkClass is the class that only counts: the one behind the scene's.
+// checkClass is the class that only counts. It follows the class of the scene.
 const checkClass policy.ClassID = 1
 
-// tenant is one that most tests check.
+// tenant is the tenant that most tests check.
 const tenant = "0000000000000005"
 
-// gateway is a dispatcher with a stand-in for its counter, and the server of limit commands before it.
+// gateway is a server of limit commands with its dispatcher, and a stand-in for the counter.
 type gateway struct {
 	emulator   *emulator.Emulator
 	dispatcher *dispatch.Dispatcher
@@ -60,7 +60,7 @@
 	address    string
 }
 
-// startGateway starts a gateway that talks to its counter in a format.
+// startGateway starts a gateway whose counter speaks a format.
 func startGateway(tb testing.TB, format counter.Format) *gateway {
 	tb.Helper()
 	g := &gateway{dispatcher: dispatch.New()}
@@ -76,7 +76,7 @@
 	return g
 }
 
-// startEmulator starts the counter's stand-in, and returns the settings for a dispatcher beside it.
+// startEmulator starts the counter's stand-in, and returns the dispatcher's settings.
 func (g *gateway) startEmulator(tb testing.TB) policy.Settings {
 	tb.Helper()
 	parsed, err := scenario.Parse("scene", []byte(scene))
@@ -98,7 +98,7 @@
 	return settings
 }
 
-// serve starts the decisions and the limit commands.
+// serve starts the dispatcher and the server of limit commands.
 func (g *gateway) serve(tb testing.TB, settings policy.Settings, c dispatch.Counter, l net.Listener) {
 	tb.Helper()
 	g.dispatcher.Start(dispatch.Config{Seed: 7, Settings: settings, Counter: c})
@@ -154,7 +154,7 @@
 	}
 }
 
-// command is a command as it stands on the wire.
+// command encodes a command.
 func command(words ...string) []byte {
 	b := redcon.AppendArray(nil, len(words))
 	for _, w := range words {
@@ -201,11 +201,12 @@
 	return c.receive(tb)
 }
 
-func TestServer_Commands(t *testing.T) {
+func TestServer_AnswersEachCommand(t *testing.T) {
 	g := startGateway(t, counter.Text)
 	c := g.dial(t)
 	for _, step := range []struct{ command, want string }{
-		{"PING", "+PONG"}, {"command docs", "*0"},
+		{"PING", "+PONG"},
+		{"command docs", "*0"},
 		{"LIMIT.PEEK " + tenant + " despacho", "0 50 50 -1 0"},
 		{"limit.check " + tenant + " despacho 10", "0 50 40 -1 "},
 		{"LIMIT.CHECK " + tenant + " despacho 0.5 2 1", "0 50 39 -1 "},
@@ -229,7 +230,8 @@
 		{"LIMIT.CHECK " + tenant + " despacho 1 3 0", "-ERR spread '3'"},
 		{"LIMIT.CHECK " + tenant + " despacho 1 2 2", "-ERR first '2'"},
 		{"LIMIT.PEEK " + tenant + " despacho x", "-ERR spread 'x'"},
-		{"FLUSHALL", "-ERR unknown command 'FLUSHALL'"}, {"\x01\xff", "-ERR unknown command"},
+		{"FLUSHALL", "-ERR unknown command 'FLUSHALL'"},
+		{"\x01\xff", "-ERR unknown command"},
 		{"QUIT", "+OK"},
 	} {
 		if got := c.call(t, strings.Split(step.command, " ")...); !strings.HasPrefix(got, step.want) {
@@ -244,7 +246,8 @@
 	}
 }
 
-// Answers to a pipeline come in its order, whatever waits for the counter in between.
+// TestServer_PipelineKeepsItsOrder mixes checks, which wait for the counter, with commands that do not. The
+// answers come in the order of the commands.
 func TestServer_PipelineKeepsItsOrder(t *testing.T) {
 	g := startGateway(t, counter.Text)
 	c := g.dial(t)
@@ -263,10 +266,10 @@
 			answers = append(answers, "+PONG")
 		}
 	}
-	go func() { // in pieces that end anywhere
+	go func() { // in pieces that end in the middle of commands
 		for len(pipeline) > 0 {
 			n := min(len(pipeline), 777)
-			_, _ = c.Write(pipeline[:n]) // where it fails answers are missing
+			_, _ = c.Write(pipeline[:n]) // if it fails, answers are missing below
 			pipeline = pipeline[n:]
 		}
 	}()
