--- a/internal/tlsconfig/tlsconfig_test.go
+++ b/internal/tlsconfig/tlsconfig_test.go
@@ -25,7 +25,7 @@
 	return authority
 }
 
-// sign writes a certificate of an authority into a folder, over the one before.
+// sign writes a certificate of an authority to a folder, in place of an earlier one.
 func sign(t *testing.T, authority *testca.Authority, folder string, validity time.Duration) tlsconfig.Files {
 	t.Helper()
 	files, err := authority.Write(folder, "pair", validity)
@@ -35,7 +35,7 @@
 	return files
 }
 
-// newSource reads files that are sound.
+// newSource returns a source of valid files.
 func newSource(t *testing.T, files tlsconfig.Files) *tlsconfig.Source {
 	t.Helper()
 	source, err := tlsconfig.New(files)
@@ -45,7 +45,7 @@
 	return source
 }
 
-// handshake connects a client to a server over loopback, and returns what either makes of it.
+// handshake connects a client to a server over loopback, and returns the error of each side.
 func handshake(t *testing.T, server, client *tls.Config) (serverErr, clientErr error) {
 	t.Helper()
 	listener := testutil.Listen(t)
@@ -109,7 +109,7 @@
 	}
 }
 
-// Both sides ask for a certificate of their authority, and take no other.
+// TestSource_ConfigsVerifyBothSides holds that each side requires a certificate of its authority.
 func TestSource_ConfigsVerifyBothSides(t *testing.T) {
 	own, other := newAuthority(t), newAuthority(t)
 	files := sign(t, own, t.TempDir(), time.Hour)
@@ -140,7 +140,8 @@
 	}
 }
 
-// A renewed certificate is in use without a restart; a broken one is not, and the one before stays.
+// TestSource_FollowsItsFiles holds that a renewed certificate comes into use without a restart, and that a
+// broken one leaves the old one in use.
 func TestSource_FollowsItsFiles(t *testing.T) {
 	authority, folder := newAuthority(t), t.TempDir()
 	files := sign(t, authority, folder, time.Hour)
@@ -148,7 +149,7 @@
 	if left := source.ExpiresIn(); left <= 0 || left > time.Hour {
 		t.Fatalf("expires in %v", left)
 	}
-	time.Sleep(20 * time.Millisecond) // another time of the files
+	time.Sleep(20 * time.Millisecond) // so that the modification times differ
 	sign(t, authority, folder, 48*time.Hour)
 	testutil.Eventually(t, "the renewed certificate is in use", func() bool {
 		return source.ExpiresIn() > 2*time.Hour
--- a/internal/tomlfile/tomlfile_test.go
+++ b/internal/tomlfile/tomlfile_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// shape is what the texts below are read into.
+// shape is the type that the tests read texts into.
 type shape struct {
 	Name string  `toml:"name"`
 	Rate float64 `toml:"rate"`
@@ -61,13 +61,15 @@
 		}
 	}
 	if _, err := Read("f", nil, &s); err != nil {
-		t.Error("an empty text is in order, if the values need nothing:", err)
+		t.Error("an empty text was rejected:", err)
 	}
 }
 
-// FuzzRead: whatever the text, a value or an error with the text's name, and never a panic.
+// FuzzRead holds that any text gives a value or an error with the text's name, and never a panic.
 func FuzzRead(f *testing.F) {
-	for _, text := range []string{"", "name = 1", "[[row]]\nn = 1\n", "a.b.c = {x = 1}", "[a]\n[a]\n", "x = [1,\n2"} {
+	for _, text := range []string{
+		"", "name = 1", "[[row]]\nn = 1\n", "a.b.c = {x = 1}", "[a]\n[a]\n", "x = [1,\n2",
+	} {
 		f.Add([]byte(text))
 	}
 	f.Fuzz(func(t *testing.T, text []byte) {
