--- a/internal/dnsserver/helpers_test.go
+++ b/internal/dnsserver/helpers_test.go
@@ -35,7 +35,7 @@
 // otherKey has another algorithm.
 var otherKey = Key{Name: "other.", Algorithm: dns.HmacSHA512, Secret: []byte("fedcba9876543210")}
 
-// zoneFileText is a zone file with the backends n1 to nCOUNT.
+// zoneFileText returns a zone file with the backends n1 to nCOUNT.
 func zoneFileText(serial uint32, count int) string {
 	var text strings.Builder
 	fmt.Fprintf(&text, zoneFileHead, serial)
@@ -45,7 +45,7 @@
 	return text.String()
 }
 
-// subscriber keeps the list as it was published.
+// subscriber keeps the published list.
 type subscriber struct {
 	mu   sync.Mutex
 	list map[string]dnszone.Backend
@@ -124,7 +124,7 @@
 	return s
 }
 
-// newFiles writes a zone file, beside the place of a journal, in a folder of the test's own.
+// newFiles writes a zone file to a folder of its own, and returns options with it and a journal beside it.
 func newFiles(tb testing.TB, zoneFile string) Options {
 	tb.Helper()
 	folder := tb.TempDir()
@@ -152,7 +152,7 @@
 	return []dns.RR{rr}
 }
 
-// newUpdate is an update with records to add, and to delete where a minus precedes them.
+// newUpdate returns an update that adds records, or deletes those with a minus in front.
 func newUpdate(tb testing.TB, records ...string) *dns.Msg {
 	tb.Helper()
 	message := new(dns.Msg).SetUpdate(testSettings.Origin)
@@ -182,7 +182,7 @@
 	}
 	if tsig := answer.IsTsig(); tsig != nil {
 		tsigError = int(tsig.Error)
-		isNotAuth := answer.Rcode == dns.RcodeNotAuth // at which the library does not look further
+		isNotAuth := answer.Rcode == dns.RcodeNotAuth // the library checks no signature of such an answer
 		if tsigError == 0 && err != nil && !isNotAuth {
 			tb.Fatalf("the answer's signature: %v, %s", err, answer)
 		}
--- a/internal/dnsserver/journal.go
+++ b/internal/dnsserver/journal.go
@@ -256,19 +256,27 @@
 	if err != nil {
 		return err
 	}
-	if _, err = j.file.WriteAt(text, j.size); err == nil {
-		err = j.file.Sync()
-		if err == nil {
-			j.size += int64(len(text))
-			j.changes++
-			return nil
+	if err := j.writeLine(text); err != nil {
+		if truncateErr := j.file.Truncate(j.size); truncateErr != nil {
+			j.failed = fmt.Errorf("%s: %w", j.path, truncateErr)
 		}
-		j.failed = fmt.Errorf("%s: %w", j.path, err) // after a failed sync nobody knows what is durable
+		return err
+	}
+	j.size += int64(len(text))
+	j.changes++
+	return nil
+}
+
+// writeLine writes a line after the others and syncs it.
+func (j *journal) writeLine(line []byte) error {
+	if _, err := j.file.WriteAt(line, j.size); err != nil {
+		return err
 	}
-	if cut := j.file.Truncate(j.size); cut != nil {
-		j.failed = fmt.Errorf("%s: %w", j.path, cut)
+	if err := j.file.Sync(); err != nil {
+		j.failed = fmt.Errorf("%s: %w", j.path, err) // after a failed sync nobody knows what is durable
+		return err
 	}
-	return err
+	return nil
 }
 
 // close releases the journal. It may be called on a nil journal.
--- a/internal/dnsserver/journal_test.go
+++ b/internal/dnsserver/journal_test.go
@@ -10,8 +10,8 @@
 	"github.com/miekg/dns"
 )
 
-// journalOfThreeRemovals writes a journal with the removal of n1, n2 and n3. It returns the text and the
-// sizes that the journal had before each.
+// journalOfThreeRemovals writes a journal with the removals of n1, n2 and n3. It returns the text, and the
+// sizes that the journal had before each removal.
 func journalOfThreeRemovals(t *testing.T, files Options) (whole []byte, sizes []int64) {
 	t.Helper()
 	s := mustStart(t, files)
@@ -34,7 +34,7 @@
 	return whole, sizes
 }
 
-// countReached returns how many of the ends lie within a size.
+// countReached returns how many of the ends are at most size.
 func countReached(ends []int64, size int64) (reached int) {
 	for _, end := range ends {
 		if size >= end {
@@ -44,8 +44,8 @@
 	return reached
 }
 
-// TestReadJournal_SurvivesTornWrite cuts the journal off at every byte: a start finds the zone before an
-// update or after it, never another one.
+// TestReadJournal_SurvivesTornWrite cuts the journal off at every byte. A start finds the zone before an
+// update or after it, and never another one.
 func TestReadJournal_SurvivesTornWrite(t *testing.T) {
 	files := newFiles(t, zoneFileText(7, 3))
 	whole, sizes := journalOfThreeRemovals(t, files)
@@ -67,7 +67,7 @@
 			}
 		}
 	}
-	// A start cuts the torn line off, and the next one stands whole behind the others.
+	// A start cuts the torn line off, so that the next line follows a whole one.
 	writeFile(t, files.JournalFile, string(whole[:sizes[2]+20]))
 	s := mustStart(t, files)
 	if rcode := s.sendUpdate(t, "udp", "-"+srvTo+"n3.calc.example."); rcode != dns.RcodeSuccess {
@@ -80,7 +80,7 @@
 	}
 }
 
-// TestStart_RefusesDamagedJournal damages a journal where a torn write cannot: the error names file and line.
+// TestStart_RefusesDamagedJournal damages a journal where a torn write cannot. The error names file and line.
 func TestStart_RefusesDamagedJournal(t *testing.T) {
 	files := newFiles(t, zoneFileText(7, 3))
 	whole, sizes := journalOfThreeRemovals(t, files)
@@ -102,8 +102,8 @@
 	}
 }
 
-// TestServer_RefusesUpdateThatJournalCannotKeep makes the journal fail: the update gets SERVFAIL and is not
-// applied, and the same message is once it can be kept.
+// TestServer_RefusesUpdateThatJournalCannotKeep makes the journal fail. An update is answered with SERVFAIL
+// and not applied; the same message is applied once the journal can keep it.
 func TestServer_RefusesUpdateThatJournalCannotKeep(t *testing.T) {
 	files := newFiles(t, zoneFileText(7, 3))
 	s := mustStart(t, files)
--- a/internal/dnsserver/limits.go
+++ b/internal/dnsserver/limits.go
@@ -11,7 +11,7 @@
 // requests.
 const messagesPerUpdate = 20
 
-// messageLimiter is a token bucket that holds one second's worth of messages.
+// messageLimiter is a token bucket that holds one second's worth of messages. It is safe for concurrent use.
 type messageLimiter struct {
 	mu            sync.Mutex
 	ratePerSecond float64
@@ -37,7 +37,7 @@
 }
 
 // logLimiter prevents a flood of refused messages from becoming a flood of log lines. It allows one line per
-// second, and reports how many lines were skipped before it.
+// second, and reports how many lines were skipped before it. It is safe for concurrent use.
 type logLimiter struct {
 	second  atomic.Int64
 	skipped atomic.Uint64
@@ -51,8 +51,13 @@
 	return l.skipped.Swap(0), true
 }
 
+// counters holds the counts that Stats returns.
 type counters struct {
-	updatesDone, updatesRefused, signaturesRefused, rateLimited, updatesLost atomic.Uint64
+	updatesDone       atomic.Uint64
+	updatesRefused    atomic.Uint64
+	signaturesRefused atomic.Uint64
+	rateLimited       atomic.Uint64
+	updatesLost       atomic.Uint64
 }
 
 // Stats holds counts, since the start, of what became of messages.
--- a/internal/dnsserver/load.go
+++ b/internal/dnsserver/load.go
@@ -48,7 +48,7 @@
 			return err
 		}
 	}
-	s.install(stored, s.zone == nil)
+	s.install(stored, asDifference)
 	if fileErr != nil {
 		logZoneFileRejected(fileErr)
 		return nil
@@ -93,13 +93,20 @@
 			return err
 		}
 	}
-	s.install(&storedZone{zone: file, fileSum: fileSum}, true)
+	s.install(&storedZone{zone: file, fileSum: fileSum}, asFullList)
 	return nil
 }
 
-// install puts a zone in force and publishes it, either as a full list or as the difference. The caller holds
-// the lock.
-func (s *Server) install(stored *storedZone, full bool) {
+// publication is the form in which install publishes the list of a zone.
+type publication int
+
+const (
+	asDifference publication = iota // from the list in force, or as the full list if none is in force
+	asFullList
+)
+
+// install puts a zone in force and publishes its list. The caller holds the lock.
+func (s *Server) install(stored *storedZone, form publication) {
 	old := s.zone
 	s.zone = stored.zone
 	s.fileSum = stored.fileSum
@@ -108,7 +115,7 @@
 	for _, change := range stored.changes {
 		s.guard.Record(change.Signature, dnszone.Outcome{}, change.AtNanos)
 	}
-	if full || old == nil {
+	if form == asFullList || old == nil {
 		s.publishAll()
 	} else {
 		updated, removed := dnszone.Diff(old, s.zone)
@@ -182,7 +189,7 @@
 		return
 	}
 	log.WithField("updates_over", len(s.changes)).Info("zone file adopted")
-	s.install(&storedZone{zone: next, fileSum: fileSum}, false)
+	s.install(&storedZone{zone: next, fileSum: fileSum}, asDifference)
 }
 
 func (s *Server) readZoneFile() (*dnszone.Zone, string, error) {
--- a/internal/dnsserver/replicated_zone.go
+++ b/internal/dnsserver/replicated_zone.go
@@ -45,11 +45,11 @@
 
 // storeHead is the stored form of the head.
 type storeHead struct {
-	Serial  uint32 `json:"serial"`  // in force
-	Base    uint32 `json:"base"`    // serial of the snapshot
-	Pieces  int    `json:"pieces"`  // number of the snapshot's pieces
-	Changes int    `json:"changes"` // number of changes since the snapshot
-	Sum     string `json:"file_sum"`
+	Serial         uint32 `json:"serial"` // in force
+	SnapshotSerial uint32 `json:"base"`
+	Pieces         int    `json:"pieces"`   // number of the snapshot's pieces
+	Changes        int    `json:"changes"`  // number of changes since the snapshot
+	FileSum        string `json:"file_sum"` // of the text of the zone file that was adopted last
 }
 
 // errBehind reports that this replica, or this server, has yet to apply a committed change.
@@ -126,7 +126,7 @@
 func (r *ReplicatedZone) joinPieces(head storeHead) (string, error) {
 	var text strings.Builder
 	for number := range head.Pieces {
-		key := pieceKey(head.Base, number)
+		key := pieceKey(head.SnapshotSerial, number)
 		entry, ok := r.ReadLocal(key)
 		if !ok {
 			return "", fmt.Errorf("store: %s is missing: %w", key, errBehind)
@@ -189,13 +189,19 @@
 	if err != nil {
 		return err
 	}
-	next := storeHead{Serial: zone.Serial(), Base: zone.Serial(), Pieces: len(pieces), Sum: fileSum}
+	next := storeHead{
+		Serial:         zone.Serial(),
+		SnapshotSerial: zone.Serial(),
+		Pieces:         len(pieces),
+		FileSum:        fileSum,
+	}
 	for number, piece := range pieces {
-		if next.Base == old.Base && number < old.Pieces { // the same key: written instead of deleted
+		// A piece under the key of an old one is written instead of deleted.
+		if next.SnapshotSerial == old.SnapshotSerial && number < old.Pieces {
 			edits[number].Value = piece
 			continue
 		}
-		edits = append(edits, kv.Edit{Key: pieceKey(next.Base, number), Value: piece})
+		edits = append(edits, kv.Edit{Key: pieceKey(next.SnapshotSerial, number), Value: piece})
 	}
 	return r.write(next, index, edits)
 }
@@ -205,9 +211,9 @@
 func (r *ReplicatedZone) deletions(head storeHead) ([]kv.Edit, error) {
 	var edits []kv.Edit
 	for number := range head.Pieces {
-		edits = append(edits, kv.Edit{Key: pieceKey(head.Base, number)})
+		edits = append(edits, kv.Edit{Key: pieceKey(head.SnapshotSerial, number)})
 	}
-	serial := head.Base
+	serial := head.SnapshotSerial
 	for range head.Changes {
 		key := changeKey(serial)
 		entry, ok := r.ReadLocal(key)
--- a/internal/dnsserver/replicated_zone_test.go
+++ b/internal/dnsserver/replicated_zone_test.go
@@ -13,7 +13,7 @@
 	"fawnplank/internal/testutil"
 )
 
-// fakeStore is a store as its replicas see it: one log of commands, which each applies late.
+// fakeStore is a replicated store: one log of commands, which each fakeReplica applies later.
 type fakeStore struct {
 	mu         sync.Mutex
 	log        [][]byte
@@ -63,14 +63,14 @@
 	return err
 }
 
-// setOnApplied sets what is called after commands were applied.
+// setOnApplied sets a function that is called after commands have been applied.
 func (r *fakeReplica) setOnApplied(onApplied func()) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.onApplied = onApplied
 }
 
-// catchUp applies what the log has.
+// catchUp applies the commands of the log that were not applied yet.
 func (r *fakeReplica) catchUp() {
 	r.store.mu.Lock()
 	log := r.store.log
@@ -78,7 +78,7 @@
 	r.mu.Lock()
 	isBehind := r.applied < len(log)
 	for ; r.applied < len(log); r.applied++ {
-		// A conflict was its sender's, who had it from Edit.
+		// Edit has returned the error of a conflict to its sender.
 		_, _ = r.state.Apply(kv.Index(r.applied+1), log[r.applied])
 	}
 	onApplied := r.onApplied
@@ -115,7 +115,7 @@
 		files := newFiles(t, zoneFileText(7, 2))
 		files.Replicated = &ReplicatedZone{replica}
 		s := mustStart(t, files)
-		// StoreChanged waits for updates that wait for this replica: it must not hold the replica up.
+		// StoreChanged waits for the server's lock, which an update holds while it waits for this replica.
 		replica.setOnApplied(func() { go s.StoreChanged() })
 		servers = append(servers, s)
 	}
@@ -141,8 +141,8 @@
 	testutil.Eventually(t, what, func() bool { return allHave(servers, serial, size) })
 }
 
-// TestServer_WaitsForStoreWithoutLeader starts a server whose store accepts nothing: it has no zone, and its
-// serial may be asked for.
+// TestServer_WaitsForStoreWithoutLeader starts a server whose store accepts nothing. It has no zone, and
+// Serial returns 0.
 func TestServer_WaitsForStoreWithoutLeader(t *testing.T) {
 	files := newFiles(t, zoneFileText(7, 2))
 	files.Replicated = &ReplicatedZone{newFakeReplica(&fakeStore{leaderless: true})}
@@ -151,8 +151,8 @@
 	}
 }
 
-// TestServer_ReplicatesUpdates sends updates to three replicas at once: they land in all, each once, in one
-// order; and without a leader an update lands nowhere and is not answered as applied.
+// TestServer_ReplicatesUpdates sends updates to three replicas at once. All apply each update once, in one
+// order. Without a leader, no replica applies an update, and it is not answered as applied.
 func TestServer_ReplicatesUpdates(t *testing.T) {
 	store := &fakeStore{}
 	servers := startReplicas(t, store)
@@ -181,8 +181,8 @@
 	}
 }
 
-// TestServer_ReplicatesZoneFileAndCompaction adopts a newer file at one replica, and sends enough changes for
-// them to be compacted into a snapshot: every replica has the file and all changes.
+// TestServer_ReplicatesZoneFileAndCompaction adopts a newer file at one replica, and sends so many changes
+// that they are compacted into a snapshot. Every replica has the file and all changes.
 func TestServer_ReplicatesZoneFileAndCompaction(t *testing.T) {
 	servers := startReplicas(t, &fakeStore{})
 	writeFile(t, servers[1].files.ZoneFile, zoneFileText(90, 4))
@@ -199,7 +199,7 @@
 	if err != nil {
 		t.Error(err)
 	}
-	if head.Changes > maxStoredChanges || head.Base == 90 {
+	if head.Changes > maxStoredChanges || head.SnapshotSerial == 90 {
 		t.Errorf("%+v: the changes were never compacted", head)
 	}
 	stored, err := servers[2].options.Replicated.load(testSettings)
--- a/internal/dnsserver/replication.go
+++ b/internal/dnsserver/replication.go
@@ -54,7 +54,7 @@
 	if err != nil || stored == nil {
 		return err
 	}
-	s.install(stored, false)
+	s.install(stored, asDifference)
 	return nil
 }
 
--- a/internal/dnsserver/server.go
+++ b/internal/dnsserver/server.go
@@ -171,7 +171,8 @@
 
 // awaitStore waits until the store has a leader, which a first start requires.
 func (s *Server) awaitStore() {
-	for lastError := ""; ; {
+	lastError := "" // each error is logged once
+	for {
 		s.mu.Lock()
 		err := s.load(time.Now().UnixNano())
 		s.mu.Unlock()
--- a/internal/dnsserver/server_test.go
+++ b/internal/dnsserver/server_test.go
@@ -20,7 +20,7 @@
 	rcode, tsigError int
 }
 
-// refusedMessages are messages that a server with the backends n1 and n2 must not follow.
+// refusedMessages returns messages that a server with the backends n1 and n2 must refuse.
 func refusedMessages(t *testing.T) []refusedMessage {
 	t.Helper()
 	remove := func() *dns.Msg { return newUpdate(t, "-"+srvTo+"n1.calc.example.") }
@@ -64,8 +64,8 @@
 	}
 }
 
-// TestServer_RefusesMessages sends messages that are not to be followed: each is refused by its RCODE, and
-// the list stays.
+// TestServer_RefusesMessages sends messages that must be refused. Each is answered with its RCODE, and the
+// list stays.
 func TestServer_RefusesMessages(t *testing.T) {
 	s := mustStart(t, newFiles(t, zoneFileText(7, 2)))
 	for _, test := range refusedMessages(t) {
@@ -90,12 +90,12 @@
 	}
 	rcode := s.sendUpdate(t, "udp", "-"+srvTo+"n1.calc.example.")
 	if rcode != dns.RcodeSuccess || s.published.has("n1") || s.Serial() != 8 {
-		t.Errorf("%d: after all that a valid update is not applied", rcode)
+		t.Errorf("%d: a valid update after them is not applied", rcode)
 	}
 }
 
-// TestServer_SurvivesMalformedMessages sends messages that are cut off, and noise: they get FORMERR, REFUSED
-// or nothing, and the server goes on.
+// TestServer_SurvivesMalformedMessages sends truncated messages and noise. They are answered with FORMERR or
+// REFUSED or not at all, and the server continues.
 func TestServer_SurvivesMalformedMessages(t *testing.T) {
 	s := mustStart(t, newFiles(t, zoneFileText(7, 2)))
 	whole, err := newUpdate(t, "-"+srvTo+"n1.calc.example.").Pack()
@@ -108,7 +108,7 @@
 		send(t, packets, whole[:size])
 		n, err := packets.Read(buffer)
 		var answer dns.Msg
-		// Cut off between two records it may pass for a shorter one, without its signature, which is last.
+		// A message cut off between two records may be a valid one without the signature, which comes last.
 		isAnswer := err == nil && answer.Unpack(buffer[:n]) == nil
 		if !isAnswer || answer.Rcode != dns.RcodeFormatError && answer.Rcode != dns.RcodeRefused {
 			t.Fatalf("cut off at %d: %v, %s", size, err, &answer)
@@ -120,7 +120,7 @@
 		t.Error(s.published.list)
 	}
 	if rcode := s.sendUpdate(t, "tcp", "-"+srvTo+"n1.calc.example."); rcode != 0 || s.published.size() != 1 {
-		t.Error("it does not go on")
+		t.Error("the server does not continue")
 	}
 }
 
@@ -146,14 +146,14 @@
 	}
 }
 
-// TestServer_TakesJournalOver starts a second process's server on the same journal: it follows the first, and
-// takes the journal over when that one closes, as in an upgrade.
+// TestServer_TakesJournalOver starts a second server on the same journal, as in an upgrade. It follows the
+// first one, and takes the journal over when that one closes.
 func TestServer_TakesJournalOver(t *testing.T) {
 	files := newFiles(t, zoneFileText(7, 3))
 	old := mustStart(t, files)
 	next := mustStart(t, files)
 	if next.Address() != "" || next.published.size() != 3 {
-		t.Fatal("it listens beside the other, or has no list")
+		t.Fatal("the second server listens beside the first, or has no list")
 	}
 	if rcode := old.sendUpdate(t, "udp", "-"+srvTo+"n1.calc.example."); rcode != dns.RcodeSuccess {
 		t.Error(dns.RcodeToString[rcode])
@@ -167,8 +167,8 @@
 	}
 }
 
-// TestLogLimiter_AllowsOneLinePerSecond floods the limiter: one line a second is allowed, with the number of
-// the others.
+// TestLogLimiter_AllowsOneLinePerSecond floods the limiter. It allows one line a second, with the number of
+// lines skipped.
 func TestLogLimiter_AllowsOneLinePerSecond(t *testing.T) {
 	var limiter logLimiter
 	lines := 0
@@ -184,25 +184,25 @@
 	}
 }
 
-// nullWriter is a client whose signature has the status given; it keeps the answer.
-type nullWriter struct {
+// answerRecorder is the writer of a client whose signature has the given status. It keeps the answer.
+type answerRecorder struct {
 	dns.ResponseWriter
 	status error
 	answer *dns.Msg
 }
 
-func (w *nullWriter) RemoteAddr() net.Addr { return &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)} }
-func (w *nullWriter) TsigStatus() error    { return w.status }
-func (w *nullWriter) TsigTimersOnly(bool)  {}
-func (w *nullWriter) Close() error         { return nil }
-func (w *nullWriter) WriteMsg(m *dns.Msg) error {
+func (w *answerRecorder) RemoteAddr() net.Addr { return &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)} }
+func (w *answerRecorder) TsigStatus() error    { return w.status }
+func (w *answerRecorder) TsigTimersOnly(bool)  {}
+func (w *answerRecorder) Close() error         { return nil }
+func (w *answerRecorder) WriteMsg(m *dns.Msg) error {
 	w.answer = m
 	_, err := m.Pack()
 	return err
 }
 
-// FuzzServer_ServeDNS passes messages of any form, none with a valid signature: each gets an answer, and none
-// changes the list.
+// FuzzServer_ServeDNS passes messages of any form, none of them with a valid signature. Each is answered, and
+// none changes the list.
 func FuzzServer_ServeDNS(f *testing.F) {
 	s := mustStart(f, newFiles(f, zoneFileText(7, 2)))
 	for _, message := range []*dns.Msg{
@@ -218,11 +218,11 @@
 	}
 	f.Fuzz(func(t *testing.T, text []byte) {
 		message := new(dns.Msg)
-		// The library passes on no others.
+		// The library passes no other messages on.
 		if message.Unpack(text) != nil || len(message.Question) != 1 {
 			return
 		}
-		writer := &nullWriter{}
+		writer := &answerRecorder{}
 		if message.IsTsig() != nil {
 			writer.status = dns.ErrSig
 		}
--- a/internal/dnsserver/transfer.go
+++ b/internal/dnsserver/transfer.go
@@ -2,6 +2,7 @@
 
 import (
 	"errors"
+	"slices"
 	"time"
 
 	"github.com/miekg/dns"
@@ -42,19 +43,30 @@
 // to date, the changes if they are known, and the whole zone otherwise.
 func transferRecords(request *dns.Msg, zone *dnszone.Zone, changes []*dnszone.Change) []dns.RR {
 	soa := zone.RRset(zone.Origin, dns.TypeSOA)[0]
-	if request.Question[0].Qtype == dns.TypeIXFR && len(request.Ns) == 1 {
-		if theirs, ok := request.Ns[0].(*dns.SOA); ok {
-			if !dnszone.SerialNewer(zone.Serial(), theirs.Serial) {
-				return []dns.RR{soa}
-			}
-			if delta := deltaSince(changes, theirs.Serial); delta != nil {
-				return append(append([]dns.RR{soa}, delta...), soa)
-			}
+	if serial, ok := ixfrSerial(request); ok {
+		if !dnszone.SerialNewer(zone.Serial(), serial) {
+			return []dns.RR{soa}
+		}
+		if delta := deltaSince(changes, serial); delta != nil {
+			return slices.Concat([]dns.RR{soa}, delta, []dns.RR{soa})
 		}
 	}
 	return append(zone.Records(), soa)
 }
 
+// ixfrSerial returns the serial that the sender of an IXFR request has. It reports false if the request is
+// for AXFR, or names no serial.
+func ixfrSerial(request *dns.Msg) (uint32, bool) {
+	if request.Question[0].Qtype != dns.TypeIXFR || len(request.Ns) != 1 {
+		return 0, false
+	}
+	soa, ok := request.Ns[0].(*dns.SOA)
+	if !ok {
+		return 0, false
+	}
+	return soa.Serial, true
+}
+
 // envelopes sends records in parts on the returned channel. Its goroutine ends when all parts have been
 // received, or when none is received for transferStallTimeout.
 func envelopes(rrs []dns.RR) chan *dns.Envelope {
--- a/internal/dnsserver/transfer_test.go
+++ b/internal/dnsserver/transfer_test.go
@@ -58,7 +58,7 @@
 	return records
 }
 
-// TestServer_AnswersQueries asks for names of the zone, which are answered with authority.
+// TestServer_AnswersQueries queries names of the zone, which are answered authoritatively.
 func TestServer_AnswersQueries(t *testing.T) {
 	s := mustStart(t, newFiles(t, zoneFileText(7, 400)+"alias CNAME n1\n"))
 	for _, test := range []struct {
--- a/internal/dnsserver/update.go
+++ b/internal/dnsserver/update.go
@@ -3,6 +3,7 @@
 import (
 	"errors"
 	"fmt"
+	"slices"
 	"time"
 
 	"github.com/miekg/dns"
@@ -103,7 +104,7 @@
 		logging.For(component).WithError(err).Error("changes not compacted")
 	}
 	if len(s.changes) >= maxJournalChanges { // secondaries that lag by more get the whole zone
-		s.changes = append([]*dnszone.Change(nil), s.changes[maxJournalChanges/2:]...)
+		s.changes = slices.Clone(s.changes[maxJournalChanges/2:])
 	}
 	s.signalSecondaries()
 }
--- a/internal/dnsserver/update_test.go
+++ b/internal/dnsserver/update_test.go
@@ -27,8 +27,8 @@
 	return answer.Rcode
 }
 
-// TestServer_AppliesReplayedUpdateOnce sends the same signed bytes again: their sender, who may have had no
-// answer, gets the first answer, and anybody else is refused, also after a restart.
+// TestServer_AppliesReplayedUpdateOnce sends the same signed bytes again. Their sender, which may not have
+// received the answer, gets the first answer again. Anybody else is refused, also after a restart.
 func TestServer_AppliesReplayedUpdateOnce(t *testing.T) {
 	files := newFiles(t, zoneFileText(7, 2))
 	s := mustStart(t, files)
@@ -59,7 +59,7 @@
 	}
 }
 
-// TestServer_LimitsUpdateRate sends more updates than are allowed: no more than those are applied, and all
+// TestServer_LimitsUpdateRate sends more updates than are allowed. No more than allowed are applied, and all
 // are answered.
 func TestServer_LimitsUpdateRate(t *testing.T) {
 	files := newFiles(t, zoneFileText(7, 3))
@@ -130,8 +130,8 @@
 	}
 }
 
-// TestServer_KeepsHigherSerial follows the rule between zone file and updates, the higher serial wins, over
-// restarts and round the circle of serials.
+// TestServer_KeepsHigherSerial holds that of the zone file and the updates the one with the higher serial
+// wins, also over restarts and where serials wrap around.
 func TestServer_KeepsHigherSerial(t *testing.T) {
 	w := &zoneWalk{mustStart(t, newFiles(t, zoneFileText(4294967290, 3)))}
 	w.apply(t, "-"+srvTo+"n1.calc.example.")
--- a/internal/dnszone/change_test.go
+++ b/internal/dnszone/change_test.go
@@ -12,7 +12,7 @@
 	"github.com/miekg/dns"
 )
 
-// updated applies an update with records to add, and to delete where a minus precedes them.
+// updated applies an update that adds records, or deletes those with a minus in front.
 func updated(t *testing.T, zone *Zone, atNanos int64, records ...string) *Zone {
 	t.Helper()
 	message := newUpdate()
@@ -30,8 +30,8 @@
 	return step.Zone
 }
 
-// TestZone_BackendThatReturnsIsNew removes a backend and adds it again at the same address: it starts anew,
-// and the others keep their start.
+// TestZone_BackendThatReturnsIsNew removes a backend and adds it again at the same address. It has a new
+// start, and the others keep theirs.
 func TestZone_BackendThatReturnsIsNew(t *testing.T) {
 	zone := mustParse(t, testZoneFile)
 	zone = updated(t, zone, 5e9, "-"+srvTo+"n1.calc.example.")
@@ -62,7 +62,7 @@
 	}
 }
 
-// randomRecord is a record that updates of the test's zone add and remove.
+// randomRecord returns a record that updates add to the test's zone or remove from it.
 func randomRecord(t *testing.T, random *rand.Rand) dns.RR {
 	t.Helper()
 	name := fmt.Sprintf("n%d.calc.example.", random.IntN(8))
@@ -96,7 +96,7 @@
 	return viaWire(t, message)
 }
 
-// follower makes the zone of another one's changes, and the list of its differences.
+// follower builds a zone from the changes of another one, and its list from the differences.
 type follower struct {
 	zone *Zone
 	list map[string]Backend
@@ -110,7 +110,7 @@
 	return f
 }
 
-// follow applies a step of the zone followed, and checks that list and zone are the same then.
+// follow applies a step of the followed zone, and checks that list and zone are the same afterwards.
 func (f *follower) follow(t *testing.T, step *Step, viaSnapshot bool) {
 	t.Helper()
 	for _, backend := range step.Updated {
@@ -140,7 +140,7 @@
 	}
 }
 
-// checkDifferences compares a step's differences with those of the whole lists.
+// checkDifferences compares a step's differences with those between the whole lists.
 func checkDifferences(t *testing.T, old *Zone, step *Step) {
 	t.Helper()
 	updated, removed := Diff(old, step.Zone)
@@ -150,9 +150,8 @@
 	}
 }
 
-// TestZone_ApplyGivesSameZone makes random updates: a zone is a function of the changes alone. Applied one
-// after the other, and from a snapshot in between, they give the same, and the differences on the way add up
-// to the list.
+// TestZone_ApplyGivesSameZone makes random updates. A zone depends on its changes alone: applied one after
+// the other, or from a snapshot in between, they give the same zone, and the differences add up to its list.
 func TestZone_ApplyGivesSameZone(t *testing.T) {
 	for seed := range uint64(20) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
@@ -176,8 +175,8 @@
 	}
 }
 
-// FuzzZone_Update passes whatever may come off the wire: it ends in a valid zone or in a refusal, and the
-// zone before stays as it was.
+// FuzzZone_Update passes any message that the parser accepts. It gives a valid zone or an error, and the old
+// zone does not change.
 func FuzzZone_Update(f *testing.F) {
 	zone := mustParse(f, testZoneFile)
 	for _, records := range [][]string{
--- a/internal/dnszone/helpers_test.go
+++ b/internal/dnszone/helpers_test.go
@@ -41,7 +41,7 @@
 	return zone
 }
 
-// listedNames are the backends in the list; those that are draining in brackets.
+// listedNames returns the names of the backends in the list, with those that are draining in brackets.
 func listedNames(zone *Zone) string {
 	var names []string
 	for _, backend := range zone.Backends() {
@@ -65,7 +65,7 @@
 	return rr
 }
 
-// viaWire is the message as it comes off the wire.
+// viaWire returns the message as its receiver unpacks it.
 func viaWire(tb testing.TB, message *dns.Msg) *dns.Msg {
 	tb.Helper()
 	text, err := message.Pack()
@@ -79,7 +79,7 @@
 	return received
 }
 
-// largeZoneFile is a zone of count backends.
+// largeZoneFile returns a zone file with count backends.
 func largeZoneFile(count int) string {
 	var text strings.Builder
 	text.WriteString(testZoneHead)
--- a/internal/dnszone/parse_test.go
+++ b/internal/dnszone/parse_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// TestParse_ReturnsBackends parses a file with all that records may say of a backend, and restores its
-// snapshot.
+// TestParse_ReturnsBackends parses a file with everything that records may say about a backend, and restores
+// its snapshot.
 func TestParse_ReturnsBackends(t *testing.T) {
 	zone := mustParse(t, testZoneFile)
 	list := zone.Backends()
@@ -34,7 +34,7 @@
 	}
 }
 
-// TestParse_NamesFileAndLine parses faulty files: nothing of one is accepted, and the error names its line.
+// TestParse_NamesFileAndLine parses faulty files. Each is rejected as a whole, and the error names the line.
 func TestParse_NamesFileAndLine(t *testing.T) {
 	const toNS = "_calc._tcp SRV 0 1 7000 ns\n" // line 6
 	for _, test := range []struct{ text, want string }{
--- a/internal/dnszone/serial_test.go
+++ b/internal/dnszone/serial_test.go
@@ -7,7 +7,7 @@
 	"github.com/miekg/dns"
 )
 
-func TestSerialNewer(t *testing.T) {
+func TestSerialNewer_ComparesAroundTheCircle(t *testing.T) {
 	for _, test := range []struct {
 		a, b uint32
 		want bool
--- a/internal/dnszone/update_test.go
+++ b/internal/dnszone/update_test.go
@@ -10,7 +10,7 @@
 // messageEdit changes an update message under construction.
 type messageEdit func(message *dns.Msg)
 
-// updateTest is an update of the test's zone, with its RCODE and the list after it.
+// updateTest is an update of the test's zone, with the wanted RCODE and list.
 type updateTest struct {
 	name  string
 	edits []messageEdit
@@ -56,7 +56,7 @@
 	return func(message *dns.Msg) { edit(&message.Question[0]) }
 }
 
-// updateSectionTests are updates by their update section.
+// updateSectionTests returns updates that differ in their update section.
 func updateSectionTests(t *testing.T) []updateTest {
 	t.Helper()
 	e := edits{t}
@@ -103,8 +103,8 @@
 	}
 }
 
-// passedOverTests are updates whose records RFC 2136, 3.4.2.2 passes over.
-func passedOverTests(t *testing.T) []updateTest {
+// ignoredRecordTests returns updates with records that RFC 2136, 3.4.2.2 ignores.
+func ignoredRecordTests(t *testing.T) []updateTest {
 	t.Helper()
 	e := edits{t}
 	const aliasedByN2 = "n2.calc.example. A 127.0.0.77"
@@ -119,7 +119,7 @@
 	}
 }
 
-// zoneSectionTests are updates by their zone section.
+// zoneSectionTests returns updates that differ in their zone section.
 func zoneSectionTests(t *testing.T) []updateTest {
 	t.Helper()
 	e := edits{t}
@@ -134,7 +134,7 @@
 	}
 }
 
-// prerequisiteTests are updates by their prerequisites, each met and not.
+// prerequisiteTests returns updates with each kind of prerequisite, met and not met.
 func prerequisiteTests(t *testing.T) []updateTest {
 	t.Helper()
 	e := edits{t}
@@ -163,10 +163,11 @@
 	}
 }
 
-// TestZone_Update applies updates whole, or refuses them by their RCODE and leaves everything as it was.
-func TestZone_Update(t *testing.T) {
+// TestZone_UpdateAppliesAllOrNothing applies updates as a whole, or refuses them with their RCODE and leaves
+// the zone as it was.
+func TestZone_UpdateAppliesAllOrNothing(t *testing.T) {
 	for _, tests := range [][]updateTest{
-		updateSectionTests(t), passedOverTests(t), zoneSectionTests(t), prerequisiteTests(t),
+		updateSectionTests(t), ignoredRecordTests(t), zoneSectionTests(t), prerequisiteTests(t),
 	} {
 		for _, test := range tests {
 			t.Run(test.name, func(t *testing.T) { checkUpdate(t, test) })
