--- a/internal/dnszone/draft.go
+++ b/internal/dnszone/draft.go
@@ -145,7 +145,7 @@
 		return d.base.positioned(rrs[0],
 			fmt.Errorf("target %s does not lie in the zone; names outside are not looked up", targetName))
 	}
-	host, err := d.readTarget(targetName)
+	target, err := d.readTarget(targetName)
 	if err != nil {
 		if _, ok := errors.AsType[*PositionError](err); ok {
 			return err
@@ -153,14 +153,14 @@
 		return d.base.positioned(rrs[0], err)
 	}
 	for _, rr := range rrs {
-		if err := d.addBackend(rr.(*dns.SRV), host, provenance); err != nil {
+		if err := d.addBackend(rr.(*dns.SRV), target, provenance); err != nil {
 			return d.base.positioned(rr, err)
 		}
 	}
 	return nil
 }
 
-func (d *draft) addBackend(srv *dns.SRV, host *target, provenance provenanceFunc) error {
+func (d *draft) addBackend(srv *dns.SRV, target *srvTarget, provenance provenanceFunc) error {
 	if srv.Port == 0 {
 		return fmt.Errorf("target %s with port 0", srv.Target)
 	}
@@ -170,17 +170,17 @@
 	}
 	backend := Backend{
 		Name:             name,
-		Zone:             host.zone,
-		Group:            host.group,
-		Draining:         host.draining,
-		Weight:           host.size,
+		Zone:             target.zone,
+		Group:            target.group,
+		Draining:         target.draining,
+		Weight:           target.size,
 		Priority:         srv.Priority,
-		StatedStartNanos: host.startNanos,
+		StatedStartNanos: target.startNanos,
 	}
 	if backend.Weight == 0 {
 		backend.Weight = float64(cmp.Or(srv.Weight, defaultSRVWeight)) / defaultSRVWeight
 	}
-	for _, address := range host.addresses {
+	for _, address := range target.addresses {
 		endpoint := netip.AddrPortFrom(address, srv.Port)
 		if other, duplicate := d.next.backendByAddress.Set(endpoint.String(), name); duplicate {
 			return fmt.Errorf("%s and %s both have the address %s", other, name, endpoint)
--- a/internal/dnszone/target.go
+++ b/internal/dnszone/target.go
@@ -25,8 +25,8 @@
 	minSize, maxSize = 0.01, 100
 )
 
-// target holds what the records say at the target of an SRV record.
-type target struct {
+// srvTarget holds what the records say at the target of an SRV record.
+type srvTarget struct {
 	addresses  []netip.Addr
 	zone       string
 	group      uint16
@@ -37,16 +37,16 @@
 
 // readTarget reads the records of a target. Attributes are at the target's own name; addresses may be behind
 // aliases.
-func (d *draft) readTarget(name string) (*target, error) {
+func (d *draft) readTarget(name string) (*srvTarget, error) {
 	owner, err := d.resolveAliases(name)
 	if err != nil {
 		return nil, err
 	}
-	host := &target{}
-	if host.addresses, err = d.readAddresses(name, owner); err != nil {
+	target := &srvTarget{}
+	if target.addresses, err = d.readAddresses(name, owner); err != nil {
 		return nil, err
 	}
-	if err := d.readAttributes(name, host); err != nil {
+	if err := d.readAttributes(name, target); err != nil {
 		return nil, err
 	}
 	if owner != name { // changes there do not touch the target, so every update reads it again
@@ -55,7 +55,7 @@
 		}
 		d.next.aliasedTargets[name] = true
 	}
-	return host, nil
+	return target, nil
 }
 
 // resolveAliases follows CNAME records from a name and returns the last name.
@@ -100,7 +100,7 @@
 }
 
 // readAttributes reads the TXT record at a target that begins with the mark.
-func (d *draft) readAttributes(name string, host *target) error {
+func (d *draft) readAttributes(name string, target *srvTarget) error {
 	found := false
 	for _, rr := range d.next.RRset(name, dns.TypeTXT) {
 		words := rr.(*dns.TXT).Txt
@@ -112,7 +112,7 @@
 				fmt.Errorf("%s has two texts that begin with %s", name, attributeMark))
 		}
 		found = true
-		if err := host.parseAttributes(words[1:]); err != nil {
+		if err := target.parseAttributes(words[1:]); err != nil {
 			return d.base.positioned(rr, fmt.Errorf("%s: %w", name, err))
 		}
 	}
@@ -120,7 +120,7 @@
 }
 
 // parseAttributes parses words of the form key=value. Each key may appear only once.
-func (t *target) parseAttributes(words []string) error {
+func (t *srvTarget) parseAttributes(words []string) error {
 	seen := map[string]bool{}
 	for _, word := range words {
 		key, value, ok := strings.Cut(word, "=")
@@ -137,7 +137,7 @@
 
 // setAttribute sets one attribute: zone=NAME, group=0..65535, status=up|draining, size=0.01..100 or
 // since=UNIX-MILLISECONDS.
-func (t *target) setAttribute(key, value string) (err error) {
+func (t *srvTarget) setAttribute(key, value string) (err error) {
 	switch key {
 	case "zone":
 		if len(value) > maxZoneNameBytes {
