--- a/internal/billingservice/export.go
+++ b/internal/billingservice/export.go
@@ -32,6 +32,19 @@
 	Last  uint64 `json:"last,omitempty"` // 0 if no batch is in flight
 }
 
+// isBatchInFlight reports whether a batch was fixed that is not acknowledged yet.
+func (e exportState) isBatchInFlight() bool { return e.Last != 0 }
+
+// isDrained reports whether every record is acknowledged.
+func (e exportState) isDrained() bool { return e.Next == e.Acked+1 }
+
+// withNextBatch returns the state with the next records as the batch in flight.
+func (e exportState) withNextBatch() exportState {
+	e.First = e.Acked + 1
+	e.Last = min(e.Next-1, e.Acked+maxBatch)
+	return e
+}
+
 // readExportState reads the export state from the leader.
 func (s *Service) readExportState() (exportState, kv.Index, error) {
 	entry, ok, err := s.options.Replica.ReadFromLeader(exportKey)
@@ -125,12 +138,11 @@
 	if err != nil {
 		return false, err
 	}
-	if state.Last == 0 {
-		if state.Next == state.Acked+1 {
+	if !state.isBatchInFlight() {
+		if state.isDrained() {
 			return false, nil
 		}
-		state.First = state.Acked + 1
-		state.Last = min(state.Next-1, state.Acked+maxBatch)
+		state = state.withNextBatch()
 		if index, err = s.writeExportState(state, index, nil); err != nil {
 			return false, err
 		}
--- a/internal/billingservice/report.go
+++ b/internal/billingservice/report.go
@@ -59,13 +59,13 @@
 // that fails.
 func (s *Service) report() error {
 	for {
-		if s.pending == nil {
-			s.pending = s.collectUsage()
+		if s.pendingReport == nil {
+			s.pendingReport = s.collectUsage()
 		}
-		if s.pending == nil {
+		if s.pendingReport == nil {
 			return nil
 		}
-		content, err := json.Marshal(s.pending)
+		content, err := json.Marshal(s.pendingReport)
 		if err != nil {
 			return err
 		}
@@ -73,7 +73,7 @@
 		if err := s.writeReport(key, content); err != nil {
 			return err
 		}
-		s.pending = nil
+		s.pendingReport = nil
 		s.reportNumber++
 		if s.reportNumber == 1 {
 			if err := s.deleteOldMarks(); err != nil {
--- a/internal/billingservice/service.go
+++ b/internal/billingservice/service.go
@@ -71,9 +71,9 @@
 	mu    sync.Mutex
 	usage map[usageKey]billing.Units // not reported yet
 
-	// pending and reportNumber belong to the report loop and, after that loop has ended, to Close.
-	pending      []usageItem // the report that is being written, with its content fixed
-	reportNumber uint64      // its number
+	// pendingReport and reportNumber belong to the report loop and, after that loop has ended, to Close.
+	pendingReport []usageItem // the report that is being written, with its content fixed
+	reportNumber  uint64      // its number
 
 	plans atomic.Pointer[map[string]billing.Account] // plan changes by tenant; replaced, never modified
 
--- a/internal/billingservice/stubs_test.go
+++ b/internal/billingservice/stubs_test.go
@@ -17,8 +17,8 @@
 	"fawnplank/internal/store/kv"
 )
 
-// memoryReplica is a store of one replica. Of its writes a share fails: some are committed all the same,
-// others are not.
+// memoryReplica is a store of one replica, some of whose calls fail. Of the writes that fail, some are
+// committed all the same.
 type memoryReplica struct {
 	mu          sync.Mutex
 	state       *kv.State
@@ -80,8 +80,8 @@
 	return err
 }
 
-// stubReceiver is a stand-in for billing's receiver: it accepts a batch by its key once, and at times is
-// down, or answers an error after having accepted one.
+// stubReceiver is a stand-in for billing's receiver. It accepts a batch by its key once. Some of its calls
+// fail, before or after it has accepted a batch.
 type stubReceiver struct {
 	mu          sync.Mutex
 	last        uint64
@@ -89,7 +89,7 @@
 	sums        map[string]billing.Units // by tenant
 	failureRate float64
 	random      *rand.Rand
-	repeated    int // batches that came again
+	repeated    int // batches that were received again
 	err         error
 }
 
@@ -113,7 +113,8 @@
 		return
 	}
 	if request.Method == http.MethodGet {
-		_, _ = fmt.Fprintf(w, `{"last": %d}`, r.last) // a service that has ended does not read it
+		// A service that has ended does not read the answer.
+		_, _ = fmt.Fprintf(w, `{"last": %d}`, r.last)
 		return
 	}
 	if !r.accept(request) {
@@ -121,13 +122,13 @@
 		return
 	}
 	if r.shouldFail() {
-		w.WriteHeader(http.StatusInternalServerError) // it has accepted the batch
+		w.WriteHeader(http.StatusInternalServerError) // although the batch was accepted
 	}
 }
 
 func (r *stubReceiver) shouldFail() bool { return r.random.Float64() < r.failureRate }
 
-// accept accepts a batch, and refuses one that it knows with another content.
+// accept accepts a batch, and refuses one that it knows with different content.
 func (r *stubReceiver) accept(request *http.Request) bool {
 	key := request.Header.Get("Idempotency-Key")
 	content := ""
@@ -155,7 +156,7 @@
 	return true
 }
 
-// total is what was received of all tenants, and the first thing that was wrong.
+// total returns the units received for all tenants, and the last fault found in a batch.
 func (r *stubReceiver) total() (sum billing.Units, err error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -165,7 +166,7 @@
 	return sum, r.err
 }
 
-// hasTotal reports whether the receiver has units of all tenants.
+// hasTotal reports whether the units received for all tenants amount to want.
 func (r *stubReceiver) hasTotal(want billing.Units) bool {
 	sum, _ := r.total()
 	return sum == want
--- a/internal/billingservice/totals_test.go
+++ b/internal/billingservice/totals_test.go
@@ -80,7 +80,7 @@
 	for _, units := range service.usage {
 		unreported += units
 	}
-	for _, item := range service.pending {
+	for _, item := range service.pendingReport {
 		unreported += item.Units
 	}
 	return unreported
