--- a/internal/billingservice/commit.go
+++ b/internal/billingservice/commit.go
@@ -41,7 +41,7 @@
 			reportErr = fmt.Errorf("report %s: %w", name, err)
 			continue
 		}
-		deletion := kv.Edit{Key: reportPrefix + name, Check: true, If: entry.Index}
+		deletion := kv.Edit{Key: reportPrefix + name, Conditional: true, ExpectedIndex: entry.Index}
 		batch.deletions = append(batch.deletions, deletion)
 	}
 	if len(batch.deletions) == 0 {
@@ -88,7 +88,7 @@
 		account, ok := accounts[item.Tenant]
 		if !ok {
 			var err error
-			if account, indices[item.Tenant], err = s.readAccount(item.Tenant, false); err != nil {
+			if account, indices[item.Tenant], err = s.readLocalAccount(item.Tenant); err != nil {
 				return err
 			}
 		}
--- a/internal/billingservice/report.go
+++ b/internal/billingservice/report.go
@@ -44,9 +44,8 @@
 	if err != nil {
 		return
 	}
-	windowNanos := s.options.Settings().WindowNanos
-	at := admittedAt.UnixNano()
-	key := usageKey{tenant: tenant, plan: plan, windowStartNanos: at - at%windowNanos}
+	windowStartNanos := s.options.Settings().WindowStart(admittedAt.UnixNano())
+	key := usageKey{tenant: tenant, plan: plan, windowStartNanos: windowStartNanos}
 	s.mu.Lock()
 	s.usage[key] += count
 	s.mu.Unlock()
@@ -60,13 +59,13 @@
 // that fails.
 func (s *Service) report() error {
 	for {
-		if s.pending == nil {
-			s.pending = s.collectUsage()
+		if s.pendingReport == nil {
+			s.pendingReport = s.collectUsage()
 		}
-		if s.pending == nil {
+		if s.pendingReport == nil {
 			return nil
 		}
-		content, err := json.Marshal(s.pending)
+		content, err := json.Marshal(s.pendingReport)
 		if err != nil {
 			return err
 		}
@@ -74,7 +73,7 @@
 		if err := s.writeReport(key, content); err != nil {
 			return err
 		}
-		s.pending = nil
+		s.pendingReport = nil
 		s.reportNumber++
 		if s.reportNumber == 1 {
 			if err := s.deleteOldMarks(); err != nil {
@@ -122,7 +121,7 @@
 		if err == nil {
 			err = s.options.Replica.Edit([]kv.Edit{
 				{Key: key, Value: content},
-				{Key: markKey, Value: mark, Check: true, If: last.Index},
+				{Key: markKey, Value: mark, Conditional: true, ExpectedIndex: last.Index},
 			})
 		}
 		if err == nil {
--- a/internal/billingservice/service.go
+++ b/internal/billingservice/service.go
@@ -58,8 +58,9 @@
 	CompactionInterval = time.Second
 	// commitInterval is how often reports are committed to accounts.
 	commitInterval = 250 * time.Millisecond
-	// maxEdits bounds the edits of one write. A command of the store holds a thousand.
-	maxEdits = 900
+	// maxEdits bounds the edits of one write. It leaves a tenth of a command of the store for the edits that end
+	// a write.
+	maxEdits = kv.MaxEdits * 9 / 10
 )
 
 // Service serves the accounts at one instance.
@@ -70,9 +71,9 @@
 	mu    sync.Mutex
 	usage map[usageKey]billing.Units // not reported yet
 
-	// pending and reportNumber belong to the report loop and, after that loop has ended, to Close.
-	pending      []usageItem // the report that is being written, with its content fixed
-	reportNumber uint64      // its number
+	// pendingReport and reportNumber belong to the report loop and, after that loop has ended, to Close.
+	pendingReport []usageItem // the report that is being written, with its content fixed
+	reportNumber  uint64      // its number
 
 	plans atomic.Pointer[map[string]billing.Account] // plan changes by tenant; replaced, never modified
 
--- a/internal/store/version0_test.go
+++ b/internal/store/version0_test.go
@@ -18,13 +18,18 @@
 	"fawnplank/internal/testutil"
 )
 
-// version0Folder gives a replica's folder as the version before left it: some commands, a snapshot, and
-// commands behind that. The replica was alone, so that one of its name elects itself, at any address.
+// version0Folder returns the folder of a replica as an earlier version left it: some commands, a snapshot,
+// and later commands. The replica was the only one, so that a replica of its ID elects itself at any address.
 func version0Folder(t *testing.T) string {
 	t.Helper()
 	return testutil.Fixture(t, "replica.tar.gz", func(path string) {
 		self := Peer{ID: "a", Raft: "127.0.0.1:7001", API: "127.0.0.1:7101"}
-		s, err := Open(Options{Dir: path, Self: self, Peers: []Peer{self}, HeartbeatInterval: testHeartbeatInterval})
+		s, err := Open(Options{
+			Dir:               path,
+			Self:              self,
+			Peers:             []Peer{self},
+			HeartbeatInterval: testHeartbeatInterval,
+		})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -38,22 +43,27 @@
 				t.Fatal(err)
 			}
 		}
-		commit(kv.Edit{Key: "plans/basic", Value: json.RawMessage(`{"name":"basic","quota-rate":5}`)},
-			kv.Edit{Key: "x/gone", Value: json.RawMessage(`1`)})
-		commit(kv.Edit{Key: "x/before", Value: json.RawMessage(`{"n":1}`), Check: true})
+		commit(
+			kv.Edit{Key: "plans/basic", Value: json.RawMessage(`{"name":"basic","quota-rate":5}`)},
+			kv.Edit{Key: "x/gone", Value: json.RawMessage(`1`)},
+		)
+		commit(kv.Edit{Key: "x/before", Value: json.RawMessage(`{"n":1}`), Conditional: true})
 		if err := s.raft.Snapshot().Error(); err != nil {
 			t.Fatal(err)
 		}
 		entry, _ := s.ReadLocal("plans/basic")
 		changed := json.RawMessage(`{"name":"basic","quota-rate":9}`)
-		commit(kv.Edit{Key: "plans/basic", Value: changed, Check: true, If: entry.Index}, kv.Edit{Key: "x/gone"})
+		commit(
+			kv.Edit{Key: "plans/basic", Value: changed, Conditional: true, ExpectedIndex: entry.Index},
+			kv.Edit{Key: "x/gone"},
+		)
 		commit(kv.Edit{Key: "x/after", Value: json.RawMessage(`["behind the snapshot"]`)})
 		s.Close()
 	})
 }
 
-// TestOpen_ReadsVersion0Folder starts a replica on a folder of the version before: it has what that one had,
-// at the indices it had it, and accepts writes.
+// TestOpen_ReadsVersion0Folder starts a replica on a folder of an earlier version. It has the same entries at
+// the same indices, and accepts writes.
 func TestOpen_ReadsVersion0Folder(t *testing.T) {
 	options := Options{Dir: version0Folder(t), Self: newPeer(t, "a"), HeartbeatInterval: testHeartbeatInterval}
 	s, err := Open(options)
@@ -74,19 +84,21 @@
 	if values := s.ReadPrefix(""); len(values) != len(want)+1 || values[peerPrefix+"a"] == nil {
 		t.Errorf("keys %q", slices.Sorted(maps.Keys(values)))
 	}
-	for key, x := range want {
-		if e, ok := s.ReadLocal(key); !ok || e.Index != x.Index || !bytes.Equal(e.Value, x.Value) {
-			t.Errorf("%s: %s at %d, not %s at %d", key, e.Value, e.Index, x.Value, x.Index)
+	for key, wanted := range want {
+		got, ok := s.ReadLocal(key)
+		if !ok || got.Index != wanted.Index || !bytes.Equal(got.Value, wanted.Value) {
+			t.Errorf("%s: %s at %d, not %s at %d", key, got.Value, got.Index, wanted.Value, wanted.Index)
 		}
 	}
-	if err := s.Edit([]kv.Edit{{Key: "x/before", Value: json.RawMessage(`2`), Check: true, If: 5}}); err != nil {
+	edit := kv.Edit{Key: "x/before", Value: json.RawMessage(`2`), Conditional: true, ExpectedIndex: 5}
+	if err := s.Edit([]kv.Edit{edit}); err != nil {
 		t.Error(err)
 	}
 }
 
-// TestVersion0Folder_Bytes reads the log and the snapshot of the folder with nothing but Raft's own stores
-// and kv, and writes each command, and the snapshot, anew as the same bytes.
-func TestVersion0Folder_Bytes(t *testing.T) {
+// TestVersion0Folder_IsWrittenAsTheSameBytes reads the log and the snapshot of the folder with Raft's own
+// stores and package kv alone. Each command, and the snapshot, is encoded again as the same bytes.
+func TestVersion0Folder_IsWrittenAsTheSameBytes(t *testing.T) {
 	dir := version0Folder(t)
 	logStore, err := raftboltdb.NewBoltStore(filepath.Join(dir, "raft.db"))
 	if err != nil {
@@ -129,7 +141,7 @@
 	}
 }
 
-// readVersion0Snapshot gives the bytes of the folder's one snapshot.
+// readVersion0Snapshot returns the bytes of the folder's only snapshot.
 func readVersion0Snapshot(t *testing.T, dir string) []byte {
 	t.Helper()
 	snapshots, err := raft.NewFileSnapshotStore(dir, 2, io.Discard)
@@ -152,7 +164,7 @@
 	return content
 }
 
-// replayVersion0Command applies a command of the log, and compares it with the same edits written anew.
+// replayVersion0Command applies a command of the log, and compares its bytes with its edits encoded again.
 func replayVersion0Command(t *testing.T, state *kv.State, entry raft.Log) {
 	t.Helper()
 	var command kv.Command
@@ -174,15 +186,15 @@
 	}
 }
 
-// TestAPI_JSONForms holds the API's forms, which replicas of the version before and operators' tools read.
-func TestAPI_JSONForms(t *testing.T) {
+// TestAPI_KeepsJSONForms holds the API's forms, which replicas of earlier versions and operators' tools read.
+func TestAPI_KeepsJSONForms(t *testing.T) {
 	for name, test := range map[string]struct {
 		value any
 		want  string
 	}{
 		"entry": {kv.Entry{Value: json.RawMessage(`{"n":1}`), Index: 4}, `{"value":{"n":1},"index":4}`},
 		"edit": {
-			kv.Edit{Key: "k", Value: json.RawMessage(`1`), Check: true, If: 2},
+			kv.Edit{Key: "k", Value: json.RawMessage(`1`), Conditional: true, ExpectedIndex: 2},
 			`{"key":"k","value":1,"check":true,"if":2}`,
 		},
 		"deletes": {kv.Edit{Key: "k"}, `{"key":"k"}`},
@@ -213,8 +225,7 @@
 	}
 }
 
-// TestStoredTypes_HaveTags holds that each field of the API and of what replicas keep has its name from a
-// tag.
+// TestStoredTypes_HaveTags holds that a tag names each field of the API and of stored data.
 func TestStoredTypes_HaveTags(t *testing.T) {
 	testutil.CheckTags(t, kv.Entry{}, kv.Edit{}, Peer{}, logPosition{}, Status{})
 }
