--- a/cmd/fawnplank/serve.go
+++ b/cmd/fawnplank/serve.go
@@ -30,10 +30,10 @@
 	// ownDescriptors is reserved for the program itself, the listener, discovery, and the counter's connections,
 	// both old and new.
 	ownDescriptors = 48
-	// largeValueShare is the divisor of the memory that the large values of clients may hold at most; those of
-	// backends may hold the same again. Data that waits for memory is not read in the meantime. Given the three
-	// quarters that the collector keeps to, this leaves a third for everything else.
-	largeValueShare = 6
+	// largeValueDivisor yields, from the memory limit, how much the large values of clients may hold at most;
+	// those of backends may hold the same again. Data that waits for memory is not read in the meantime. Given
+	// the three quarters that the collector keeps to, this leaves a third for everything else.
+	largeValueDivisor = 6
 	// collectorPercent makes the collector start at 2 MB and take a millisecond for the little memory in use. A
 	// larger percentage would let the heap grow for minutes before the first collection, which looks like a leak
 	// and holds memory that nothing needs.
@@ -159,7 +159,7 @@
 // each, because a large command holds its memory until its response is written, and that response must not
 // wait for the same budget.
 func (g *gateway) newLargeValueBudget() *membudget.Budget {
-	return membudget.New(g.configuration.MemoryBytes / largeValueShare)
+	return membudget.New(g.configuration.MemoryBytes / largeValueDivisor)
 }
 
 // startDispatcher constructs the clients of the backends, the counter and discovery, and starts the
@@ -238,6 +238,9 @@
 	if g.listener, err = listen(ctx, g.configuration); err != nil {
 		return fmt.Errorf("configuration: listen: %w", err)
 	}
+	g.closers = append(g.closers, func() {
+		_ = g.listener.Close() // a shutdown has closed it already
+	})
 	return nil
 }
 
@@ -308,11 +311,11 @@
 // Run serves clients and the management address until a signal, or the end of ctx, has shut the gateway down.
 // It is called once.
 func (g *gateway) Run(ctx context.Context) error {
-	served := make(chan error, 1)
-	go func() { served <- g.server.Serve(g.listener) }()
 	if err := g.serveManagement(ctx); err != nil {
 		return err
 	}
+	served := make(chan error, 1)
+	go func() { served <- g.server.Serve(g.listener) }()
 	g.ready.Store(true)
 	logging.For("frontend").WithFields(logrus.Fields{
 		"number":        g.configuration.Settings.InstanceIndex,
--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -59,7 +59,7 @@
 	timers      timerqueue.Queue[timer]
 	alarm       *time.Timer
 	alarmAt     int64  // when the alarm goes off; 0: not set
-	wakeMark    uint64 // of the latest wake-up that replaces earlier ones
+	latestWake  uint64 // the number of the latest wake-up that replaces earlier ones
 	// What the engine requested during a call; it is carried out once that call has returned.
 	endedAttempts []endedAttempt
 	networkWork   networkWork
--- a/internal/dispatch/effects.go
+++ b/internal/dispatch/effects.go
@@ -69,13 +69,13 @@
 	e.dispatcher.requests[id].finish(Step{Action: Admit})
 }
 
-// WakeAt sets a timer for a call of Engine.HandleTimer. A mark other than 0 makes earlier wake-ups that have
-// a mark obsolete.
-func (e effects) WakeAt(at int64, mark uint64) {
-	if mark != 0 {
-		e.dispatcher.wakeMark = mark
+// WakeAt sets a timer for a call of Engine.HandleTimer with the same number. A number other than 0 makes
+// earlier wake-ups obsolete, except those with number 0.
+func (e effects) WakeAt(at int64, number uint64) {
+	if number != 0 {
+		e.dispatcher.latestWake = number
 	}
-	e.dispatcher.timers.Push(at, timer{kind: wakeUp, mark: mark})
+	e.dispatcher.timers.Push(at, timer{kind: wakeUp, number: number})
 }
 
 // AddToCounter passes a call to the counter, which is flushed when the engine's call has returned.
--- a/internal/dispatch/timers.go
+++ b/internal/dispatch/timers.go
@@ -20,7 +20,7 @@
 // timer is an entry of the timer queue.
 type timer struct {
 	kind    timerKind
-	mark    uint64   // of a wakeUp
+	number  uint64   // of a wakeUp, as the engine gave it
 	attempt *Attempt // of the others
 }
 
@@ -28,7 +28,7 @@
 func (d *Dispatcher) isObsolete(t timer) bool {
 	switch t.kind {
 	case wakeUp:
-		return t.mark != 0 && t.mark != d.wakeMark
+		return t.number != 0 && t.number != d.latestWake
 	case startDeadline:
 		return t.attempt.state.load() != attemptWaiting
 	default:
@@ -80,7 +80,7 @@
 	}
 	switch t.kind {
 	case wakeUp:
-		d.engine.HandleTimer(d.now(), t.mark)
+		d.engine.HandleTimer(d.now(), t.number)
 	case startDeadline:
 		t.attempt.cancel(policy.ConnectFailed)
 	default:
--- a/internal/frontend/request.go
+++ b/internal/frontend/request.go
@@ -86,7 +86,7 @@
 		return
 	}
 	if head.hasClass {
-		c.server.metrics.RequestEnded(head.class, metrics.Error)
+		c.server.metrics.RequestAnswered(head.class, metrics.Error)
 	}
 	c.respondInvalid(err.Error())
 }
@@ -173,7 +173,7 @@
 	}
 	logging.Panicked(logComponent, fmt.Sprintf("request %s: %v", p.id, x), debug.Stack())
 	p.request.HandleClientGone()
-	p.connection.server.metrics.RequestEnded(p.class, metrics.Error)
+	p.connection.server.metrics.RequestAnswered(p.class, metrics.Error)
 	p.connection.complete(p, []byte("-ERR internal fault\r\n"))
 }
 
@@ -182,16 +182,16 @@
 	c, s := p.connection, p.connection.server
 	switch step.Action {
 	case dispatch.Respond:
-		s.metrics.RequestEnded(p.class, metrics.Success)
+		s.metrics.RequestAnswered(p.class, metrics.Success)
 		if p.usage != nil {
 			s.usage.RecordUsage(p.usage.tenant, p.usage.plan, p.usage.receivedAt, p.usage.units)
 		}
 		c.complete(p, step.Response)
 	case dispatch.Reject:
-		s.metrics.RequestEnded(p.class, metrics.Overload)
+		s.metrics.RequestAnswered(p.class, metrics.Overload)
 		c.complete(p, busyResponse(step.RetryAfter))
 	case dispatch.Abort:
-		s.metrics.RequestEnded(p.class, metrics.Error)
+		s.metrics.RequestAnswered(p.class, metrics.Error)
 		c.complete(p, []byte("-ERR failed\r\n"))
 	default: // the client has gone
 		c.complete(p, nil)
--- a/internal/frontend/responses.go
+++ b/internal/frontend/responses.go
@@ -45,7 +45,7 @@
 func (c *connection) complete(p *pendingCommand, response []byte) {
 	if p.request != nil {
 		c.server.releaseRequestID(p.id)
-		c.server.metrics.RequestClosed()
+		c.server.metrics.RequestEnded()
 		c.server.budget.Release(p.reservedBytes)
 	}
 	defer c.server.signalCapacity() // runs after mu is released
--- a/internal/frontend/server.go
+++ b/internal/frontend/server.go
@@ -17,12 +17,12 @@
 const logComponent = "frontend"
 
 const (
-	// clientDescriptorShare is the divisor that yields, from the descriptors of the process, how many validated
-	// connections may be open before idle ones are evicted for new ones. Clients hold at most a third of the
+	// clientDescriptorDivisor yields, from the descriptors of the process, how many validated connections may be
+	// open before idle ones are evicted for new ones. Clients hold at most a third of the
 	// descriptors. If clients leave connections open and open a new one for each request, they would use up that
 	// third and no new connection could be accepted, so half of the third is kept free for new ones. The cost:
 	// if clients keep more connections open and would have reused each, they have to open them again.
-	clientDescriptorShare = 6
+	clientDescriptorDivisor = 6
 	// writeTimeoutMargin is added to the longest deadline of any class to give the time that a client may take
 	// to read a response: longer than it may wait for one.
 	writeTimeoutMargin = time.Second
@@ -89,7 +89,7 @@
 		maxConnections: options.MaxConnections,
 		connections:    map[*connection]struct{}{}, requestIDs: map[string]struct{}{},
 	}
-	s.evictionThreshold = min(max(options.Config.MaxSockets/clientDescriptorShare, 1), options.MaxConnections)
+	s.evictionThreshold = min(max(options.Config.MaxSockets/clientDescriptorDivisor, 1), options.MaxConnections)
 	s.writeTimeout = writeTimeoutMargin
 	for _, class := range options.Config.Settings.Classes {
 		s.writeTimeout = max(s.writeTimeout, time.Duration(class.Deadline)+writeTimeoutMargin)
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -157,17 +157,17 @@
 	}
 }
 
-// RequestEnded counts a request's answer under the class that the request came with. That includes a refusal
-// because of the request's head, if its class could be read. A request whose client has gone has no answer to
-// count.
-func (r *Registry) RequestEnded(class policy.ClassID, outcome Outcome) {
+// RequestAnswered counts a request's answer under the class that the request came with. That includes a
+// refusal because of the request's head, if its class could be read. A request whose client has gone has no
+// answer to count.
+func (r *Registry) RequestAnswered(class policy.ClassID, outcome Outcome) {
 	if r != nil {
 		r.requests[outcome].WithLabelValues(r.className(class)).Inc()
 	}
 }
 
-// RequestClosed counts a request that is no longer in flight, answered or not.
-func (r *Registry) RequestClosed() {
+// RequestEnded counts a request that is no longer in flight, answered or not.
+func (r *Registry) RequestEnded() {
 	if r != nil {
 		r.requestsInFlight.Dec()
 	}
