--- a/cmd/fawnplank/wire_admin_test.go
+++ b/cmd/fawnplank/wire_admin_test.go
@@ -29,7 +29,7 @@
 func (a *wireAdmin) compare(t *testing.T, name, text string) {
 	t.Helper()
 	got, state := a.call(t, text)
-	a.file.compare(name, mark(">", text), mark("<", got), state)
+	a.file.compare(name, transcriptLine(">", text), transcriptLine("<", got), state)
 }
 
 // ping compares the answer to a PING of a client that stays connected.
@@ -37,7 +37,7 @@
 	t.Helper()
 	send(a.client, wirePing)
 	got, state := readUntil(t, a.client, "\r\n")
-	a.file.compare(name, mark(">", wirePing), mark("<", got), state)
+	a.file.compare(name, transcriptLine(">", wirePing), transcriptLine("<", got), state)
 }
 
 func httpHead(line string) string { return line + " HTTP/1.1\r\nHost: x\r\n\r\n" }
@@ -92,9 +92,9 @@
 	got, _ := a.call(t, httpHead("GET /admin/stats"))
 	head, body, _ := strings.Cut(got, "\r\n\r\n")
 	head = bodyLength.ReplaceAllString(head, "<length>")
-	out := []string{mark("<", head)}
+	out := []string{transcriptLine("<", head)}
 	for _, line := range strings.Split(unchunk(t, body), "\n") {
-		out = append(out, mark("<", line))
+		out = append(out, transcriptLine("<", line))
 	}
 	a.file.compare("stats", out...)
 }
--- a/cmd/fawnplank/wire_commands_test.go
+++ b/cmd/fawnplank/wire_commands_test.go
@@ -22,7 +22,7 @@
 		state = err.Error()
 	}
 	text := goType.ReplaceAllString(strings.ReplaceAll(string(out), folder, "<folder>"), "${1}<type>")
-	return []string{mark("<", goField.ReplaceAllString(text, "struct field <field> of type <type>")), state}
+	return []string{transcriptLine("<", goField.ReplaceAllString(text, "struct field <field> of type <type>")), state}
 }
 
 // The decoders of JSON and TOML name types and fields of the program in their texts; those are free to be
--- a/cmd/fawnplank/wire_frontend_test.go
+++ b/cmd/fawnplank/wire_frontend_test.go
@@ -67,7 +67,7 @@
 			got += more
 		}
 		hangUp(c)
-		file.compare(x.name, mark(">", x.text), mark("<", strings.TrimSuffix(got, "+OK\r\n")), state)
+		file.compare(x.name, transcriptLine(">", x.text), transcriptLine("<", strings.TrimSuffix(got, "+OK\r\n")), state)
 	}
 	if lines := backend.received(); len(lines) > 0 {
 		t.Errorf("a backend received what was not in order: %s", lines)
@@ -113,7 +113,7 @@
 		c := dialWire(t, g.clients)
 		send(c, x.text)
 		got, state := readUntil(t, c, "")
-		file.compare(x.name, mark(">", x.text), mark("<", got), state)
+		file.compare(x.name, transcriptLine(">", x.text), transcriptLine("<", got), state)
 	}
 	// What comes only after a time: all are opened first, then read in turn.
 	late := []struct{ name, text string }{
@@ -130,7 +130,7 @@
 	}
 	for n, x := range late {
 		got, state := readUntil(t, conns[n], "")
-		file.compare(x.name, mark(">", x.text), mark("<", got), state)
+		file.compare(x.name, transcriptLine(">", x.text), transcriptLine("<", got), state)
 	}
 }
 
@@ -143,7 +143,7 @@
 	c := dialWire(t, g.clients)
 	go send(c, "*5\r\n$4194304\r\n"+strings.Repeat("x", word)+"\r\n$4194304\r\n"+strings.Repeat("x", 200<<10))
 	got, state := readUntil(t, c, "")
-	file.compare("command too long", mark("<", got), state)
+	file.compare("command too long", transcriptLine("<", got), state)
 
 	ended := make(chan string, 4)
 	for range 4 { // each wants over 4 MiB of the 10 that there are, and goes on sending a little
@@ -161,7 +161,7 @@
 	}
 	select {
 	case got := <-ended:
-		file.compare("no room for a large value", mark("<", got))
+		file.compare("no room for a large value", transcriptLine("<", got))
 	case <-time.After(wireTimeout):
 		t.Error("all large values found room")
 	}
@@ -171,7 +171,7 @@
 
 func hideRetryAfter(text string) string { return retryAfter.ReplaceAllString(text, "-BUSY <ms>\r\n") }
 
-// Every kind of final answer, by what the backend says, and the requests that the backend hears for it.
+// Every kind of final answer, by what the backend says, and the requests that the backend receives for it.
 func TestFrontend_AnswersOnWire(t *testing.T) {
 	file := openGolden(t, "frontend_answers")
 	submit := func(fields, body string) string { return respWords("SVC.SUBMIT", wireTenant, "7", fields, body) }
@@ -207,8 +207,8 @@
 		c := dialWire(t, g.clients)
 		send(c, x.text+wirePing)
 		got, state := readUntil(t, c, "+PONG\r\n")
-		lines := append([]string{mark(">", x.text)}, backend.received()...)
-		lines = append(lines, mark("<", hideRetryAfter(strings.TrimSuffix(got, "+PONG\r\n"))), state)
+		lines := append([]string{transcriptLine(">", x.text)}, backend.received()...)
+		lines = append(lines, transcriptLine("<", hideRetryAfter(strings.TrimSuffix(got, "+PONG\r\n"))), state)
 		file.compare(x.name, lines...)
 		kill(g.process)
 	}
@@ -234,18 +234,18 @@
 	send(second, x.second)
 	got, state := readUntil(t, second, "\r\n")
 	if x.first == "" {
-		lines := []string{mark(">", x.second), mark("<", hideRetryAfter(got)), state}
+		lines := []string{transcriptLine(">", x.second), transcriptLine("<", hideRetryAfter(got)), state}
 		file.compare(x.name, append(lines, backend.received()...)...)
 		return
 	}
 	answer <- wireGood
 	done, firstState := readUntil(t, first, "ok\r\n")
 	lines := []string{
-		mark("first >", x.first),
-		mark("second >", x.second),
-		mark("second <", hideRetryAfter(got)),
+		transcriptLine("first >", x.first),
+		transcriptLine("second >", x.second),
+		transcriptLine("second <", hideRetryAfter(got)),
 		state,
-		mark("first <", done),
+		transcriptLine("first <", done),
 		firstState,
 	}
 	file.compare(x.name, append(lines, backend.received()...)...)
@@ -278,7 +278,7 @@
 	text := wireQuery("1", "c=lookup,t=team,d=200") + wirePing
 	send(c, text)
 	got, state := readUntil(t, c, "+PONG\r\n")
-	file.compare("no backend is known", mark(">", text), mark("<", hideRetryAfter(got)), state)
+	file.compare("no backend is known", transcriptLine(">", text), transcriptLine("<", hideRetryAfter(got)), state)
 	kill(g.process)
 }
 
@@ -300,6 +300,6 @@
 		more, state = readUntil(t, c, "\r\n+PONG\r\n")
 		got += more
 	}
-	lines := []string{mark(">", text), mark("<", got), state}
+	lines := []string{transcriptLine(">", text), transcriptLine("<", got), state}
 	file.compare("pipelined commands are answered in their order", append(lines, backend.received()...)...)
 }
--- a/cmd/fawnplank/wire_limits_test.go
+++ b/cmd/fawnplank/wire_limits_test.go
@@ -86,7 +86,7 @@
 		})
 		got = waitsFor.ReplaceAllString(got, "${1}:<wait>\r\n${2}")
 	}
-	file.compare(name, mark(">", text), mark("<", got), state)
+	file.compare(name, transcriptLine(">", text), transcriptLine("<", got), state)
 }
 
 // serveTotals answers calls in the counter's text form with their totals.
@@ -118,7 +118,7 @@
 	}
 	send(c, respWords("QUIT")+respWords("PING"))
 	got, state := readUntil(t, c, "")
-	file.compare("QUIT", mark("<", got), state)
+	file.compare("QUIT", transcriptLine("<", got), state)
 	compareLimitFaults(t, file, g)
 	kill(g.process)
 
@@ -142,12 +142,12 @@
 		c := dialWire(t, g.limit)
 		send(c, x.text)
 		got, state := readUntil(t, c, x.end)
-		file.compare(x.name, mark(">", x.text), mark("<", got), state)
+		file.compare(x.name, transcriptLine(">", x.text), transcriptLine("<", got), state)
 	}
 	c := dialWire(t, g.limit)
 	go send(c, "*2\r\n$4\r\nPING\r\n$3000000\r\n"+strings.Repeat("x", 2<<20))
 	got, state := readUntil(t, c, "too large\r\n")
-	file.compare("command too large", mark("<", got), state)
+	file.compare("command too large", transcriptLine("<", got), state)
 }
 
 const limitKeys = "[[limits.key]]\nname = \"tool\"\nsecret_file = \"FOLDER/secret\"\nrights = [\"check\"]\n" +
@@ -174,7 +174,7 @@
 	}
 	other := dialWire(t, g.limit)
 	got, state := readUntil(t, other, "")
-	file.compare("too many connections", mark("<", got), state)
+	file.compare("too many connections", transcriptLine("<", got), state)
 }
 
 // waitsFor is the fourth number of an answer, above 1, which is how long until there is room.
--- a/cmd/fawnplank/wire_services_test.go
+++ b/cmd/fawnplank/wire_services_test.go
@@ -11,12 +11,13 @@
 	"time"
 )
 
-// wireCounter hands on each line that it hears, and the connection to answer it on.
+// counterLine is a line that the counter received, and the connection to answer it on.
 type counterLine struct {
 	text string
 	conn net.Conn
 }
 
+// newWireCounter starts a stand-in for the counter, and returns its address and the lines that it receives.
 func newWireCounter(t *testing.T) (string, chan counterLine) {
 	t.Helper()
 	lines := make(chan counterLine, 1000)
@@ -31,18 +32,21 @@
 	}), lines
 }
 
-// counterCall is the next call of so many lines.
-func counterCall(t *testing.T, name string, lines chan counterLine, many int) (text string, c net.Conn) {
+// nextCounterCall waits for the next call, which consists of so many lines.
+func nextCounterCall(
+	t *testing.T, name string, lines chan counterLine, lineCount int,
+) (text string, conn net.Conn) {
 	t.Helper()
-	for range many {
+	for range lineCount {
 		select {
 		case l := <-lines:
-			text, c = text+l.text, l.conn
+			text += l.text
+			conn = l.conn
 		case <-time.After(wireTimeout):
 			t.Fatalf("%s: no call comes to the counter behind %q", name, text)
 		}
 	}
-	return text, c
+	return text, conn
 }
 
 var (
@@ -122,7 +126,7 @@
 		}
 		correction := counterCorrection(t, format, backend)
 		normal := format.units.ReplaceAllString(format.normalize(correction), format.anyUnits)
-		file.compare(format.name+", correction of lost units", mark("counter <", normal))
+		file.compare(format.name+", correction of lost units", transcriptLine("counter <", normal))
 	}
 }
 
@@ -141,8 +145,8 @@
 	c := dialWire(t, g.clients)
 	for n, units := range []string{"1", "2.5"}[:calls] {
 		send(c, wireQuery(fmt.Sprint(n), "c=lookup,t=metered,d=1400,units="+units))
-		text, conn := counterCall(t, fmt.Sprintf("%s, call %d", name, n+1), lines, format.lines)
-		out = append(out, mark("counter <", format.normalize(text)))
+		text, conn := nextCounterCall(t, fmt.Sprintf("%s, call %d", name, n+1), lines, format.lines)
+		out = append(out, transcriptLine("counter <", format.normalize(text)))
 		if n > 0 {
 			answer = format.total
 		}
@@ -154,13 +158,13 @@
 			send(conn, answer)
 		}
 		got, _ := readUntil(t, c, "ok\r\n")
-		out = append(out, mark("<", got))
+		out = append(out, transcriptLine("<", got))
 	}
 	return out
 }
 
 // counterCorrection is a call of a gateway whose counter forgets: what it lacks is reported again, by a call
-// that no request asks for. Only such a call has other units than the requests' 8. It comes without a loss
+// that no request causes. Only such a call has other units than the requests' 8. It comes without a loss
 // too, where a window is old.
 func counterCorrection(t *testing.T, format wireFormat, backend *wireBackend) string {
 	t.Helper()
@@ -190,7 +194,7 @@
 	return ""
 }
 
-// forgetfulCounter answers calls with totals, of which it forgets those above 60, and hands on corrections.
+// forgetfulCounter answers calls with totals, of which it forgets those above 60, and passes corrections on.
 func forgetfulCounter(t *testing.T, format wireFormat, lines <-chan counterLine, corrections chan<- string) {
 	t.Helper()
 	for sums := map[string]float64{}; ; {
@@ -234,7 +238,7 @@
 	readUntil(t, c, "\r\n")
 	select {
 	case raw := <-backend.healthChecks:
-		file.compare("health check", mark("backend <", raw))
+		file.compare("health check", transcriptLine("backend <", raw))
 	case <-time.After(wireTimeout):
 		t.Fatal("no health check comes")
 	}
@@ -245,7 +249,7 @@
 	return fmt.Sprintf("HTTP/1.1 %s\r\nContent-Length: %d\r\n\r\n%s", status, len(body), body)
 }
 
-// wireDiscovery answers one call after another, "hold" by silence, and hands on the calls.
+// wireDiscovery answers one call after another, "hold" by silence, and passes the calls on.
 type wireDiscovery struct {
 	address string
 	calls   chan string
@@ -319,7 +323,7 @@
 			select {
 			case call := <-d.calls:
 				call = strings.Replace(call, "Host: "+d.address+"\r\n", "Host: <address>\r\n", 1)
-				out = append(out, mark("discovery <", call))
+				out = append(out, transcriptLine("discovery <", call))
 			case <-time.After(wireTimeout):
 				t.Fatalf("%s: no call comes to discovery behind %s", x.name, out)
 			}
--- a/cmd/fawnplank/wire_test.go
+++ b/cmd/fawnplank/wire_test.go
@@ -23,7 +23,7 @@
 )
 
 // Tests of the bytes on every wire, against the whole program as a process of its own: what it is sent and
-// what it says is compared, byte for byte, with the transcripts under testdata/golden. They know the program
+// what it sends is compared, byte for byte, with the transcripts under testdata/golden. They know the program
 // by its settings, its command line and its wires alone. The transcripts are never written by a test; a
 // change of one is a change of a wire.
 
@@ -73,9 +73,10 @@
 	})
 }
 
-// mark writes bytes as one line of a transcript; long runs of one byte are counted.
-func mark(sign string, b string) string {
-	return sign + " " + longRun.ReplaceAllStringFunc(strconv.Quote(b), func(run string) string {
+// transcriptLine returns bytes as one line of a transcript, behind the direction in which they went. Long runs
+// of one byte are counted.
+func transcriptLine(direction, text string) string {
+	return direction + " " + longRun.ReplaceAllStringFunc(strconv.Quote(text), func(run string) string {
 		return fmt.Sprintf("%s{%d}", run[:1], len(run))
 	})
 }
@@ -161,7 +162,7 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, raw := range b.requests {
-		lines = append(lines, mark("backend <", remainingTime.ReplaceAllString(raw, "$$<length>\r\n${1}<ms>")))
+		lines = append(lines, transcriptLine("backend <", remainingTime.ReplaceAllString(raw, "$$<length>\r\n${1}<ms>")))
 	}
 	b.requests = nil
 	return lines
--- a/policy/golden_faults_test.go
+++ b/policy/golden_faults_test.go
@@ -9,7 +9,7 @@
 	if w.day.faults == (goldenFaults{}) {
 		return
 	}
-	w.after(goldenSecond/10+w.about(w.day.calm), func() {
+	w.after(goldenSecond/10+w.exponential(w.day.faultInterval), func() {
 		var kinds []func()
 		f := w.day.faults
 		if f.counter {
@@ -36,24 +36,24 @@
 		if f.updates {
 			kinds = append(kinds, w.updateSettings)
 		}
-		kinds[w.below(len(kinds))]()
+		kinds[w.randomInt(len(kinds))]()
 		w.breakSomething()
 	})
 }
 
 func (w *goldenWorld) breakCounter() {
-	c, long := &w.counter, goldenSecond/5+w.about(goldenSecond)
-	switch w.below(6) {
+	c, duration := &w.counter, goldenSecond/5+w.exponential(goldenSecond)
+	switch w.randomInt(6) {
 	case 0:
-		w.during(&c.refuses, long)
+		w.during(&c.refuses, duration)
 	case 1:
-		w.during(&c.hangs, long)
+		w.during(&c.hangs, duration)
 	case 2:
-		w.during(&c.rejects, long)
+		w.during(&c.rejects, duration)
 	case 3:
-		w.during(&c.breaks, long)
+		w.during(&c.breaks, duration)
 	case 4:
-		w.during(&c.slow, long)
+		w.during(&c.slow, duration)
 	case 5:
 		clear(c.totals)
 		clear(c.until)
@@ -61,46 +61,47 @@
 }
 
 func (w *goldenWorld) breakBackend() {
-	b, long := w.backends[w.below(len(w.backends))], goldenSecond/2+w.about(2*goldenSecond)
-	switch w.below(7) {
+	b, duration := w.backends[w.randomInt(len(w.backends))], goldenSecond/2+w.exponential(2*goldenSecond)
+	switch w.randomInt(7) {
 	case 0:
-		w.during(&b.refuses, long)
+		w.during(&b.refuses, duration)
 	case 1:
-		w.during(&b.hangs, long)
+		w.during(&b.hangs, duration)
 	case 2:
-		w.during(&b.resets, long)
+		w.during(&b.resets, duration)
 	case 3:
-		w.during(&b.errs, long)
+		w.during(&b.errs, duration)
 	case 4:
-		w.during(&b.slow, long)
+		w.during(&b.slow, duration)
 	case 5:
-		w.during(&b.unstarted, long)
+		w.during(&b.unstarted, duration)
 	case 6:
-		w.during(&b.full, long)
+		w.during(&b.full, duration)
 	}
 }
 
 // jam makes every backend hang, or slow, for a while.
 func (w *goldenWorld) jam() {
-	if w.likely(0.4) {
-		w.after(goldenSecond, func() { w.during(&w.lull, 7*goldenSecond) })
+	if w.happens(0.4) {
+		w.after(goldenSecond, func() { w.during(&w.pauses, 7*goldenSecond) })
 	}
-	long, hang := 2*goldenSecond+w.about(2*goldenSecond), w.likely(0.5)
+	duration := 2*goldenSecond + w.exponential(2*goldenSecond)
+	hang := w.happens(0.5)
 	for _, b := range w.backends {
 		if hang {
-			w.during(&b.hangs, long)
+			w.during(&b.hangs, duration)
 		} else {
-			w.during(&b.slow, long)
+			w.during(&b.slow, duration)
 		}
 	}
 }
 
 func (w *goldenWorld) drainBackend() {
-	b := w.backends[w.below(len(w.backends))]
+	b := w.backends[w.randomInt(len(w.backends))]
 	b.state = policy.EndpointDraining
 	w.announce(b)
-	w.after(goldenSecond+w.about(goldenSecond), func() {
-		if w.likely(0.5) {
+	w.after(goldenSecond+w.exponential(goldenSecond), func() {
+		if w.happens(0.5) {
 			b.state = policy.EndpointReady
 			w.announce(b)
 			return
@@ -109,7 +110,7 @@
 	})
 }
 
-// replace takes a backend off the list for ever; another comes warming up under a new id.
+// replace removes a backend from the list for good; another one starts under a new id.
 func (w *goldenWorld) replace(b *goldenBackend) {
 	b.state = policy.EndpointGone
 	w.announce(b)
@@ -122,9 +123,9 @@
 	w.announce(w.addBackend(w.now))
 }
 
-// startBackend starts a backend anew, warming up.
+// startBackend restarts a backend, which then warms up.
 func (w *goldenWorld) startBackend() {
-	b := w.backends[w.below(len(w.backends))]
+	b := w.backends[w.randomInt(len(w.backends))]
 	w.during(&b.refuses, goldenSecond/2)
 	w.after(goldenSecond/2, func() {
 		b.state, b.started = policy.EndpointReady, w.now
@@ -132,25 +133,30 @@
 	})
 }
 
-func (w *goldenWorld) breakList() { w.during(&w.listDown, goldenSecond+w.about(2*goldenSecond)) }
+func (w *goldenWorld) breakList() { w.during(&w.listDown, goldenSecond+w.exponential(2*goldenSecond)) }
 
 func (w *goldenWorld) restartInstance() {
-	in := w.instances[w.below(len(w.instances))]
+	in := w.instances[w.randomInt(len(w.instances))]
 	if in.engine == nil {
 		return
 	}
 	exported, since := in.engine.ExportState(), w.now
 	in.stop()
-	w.after(w.about(goldenSecond), func() { in.start(&exported, w.now-since) })
+	w.after(w.exponential(goldenSecond), func() { in.start(&exported, w.now-since) })
 }
 
-// updateTerms gives all instances new settings: rows are added, and a few figures change.
+// updateSettings gives all instances new settings: rows are added, and a value changes.
 func (w *goldenWorld) updateSettings() {
 	if len(w.settings.Plans) > 12 {
 		return
 	}
 	w.settings.Plans = append(w.settings.Plans[:len(w.settings.Plans):len(w.settings.Plans)],
-		policy.PlanSettings{Rate: 5 + float64(w.below(10)), Burst: 10, ConcurrencyLimit: w.below(3), OverQuotaCost: 0.6})
+		policy.PlanSettings{
+			Rate:             5 + float64(w.randomInt(10)),
+			Burst:            10,
+			ConcurrencyLimit: w.randomInt(3),
+			OverQuotaCost:    0.6,
+		})
 	w.settings.Classes = append(w.settings.Classes[:len(w.settings.Classes):len(w.settings.Classes)],
 		policy.ClassSettings{LatencyObjective: 300 * goldenMillisecond, Deadline: goldenSecond})
 	w.settings.MaxRetryAfter += 100 * goldenMillisecond
--- a/policy/golden_instance_test.go
+++ b/policy/golden_instance_test.go
@@ -23,7 +23,7 @@
 	id          policy.RequestID
 	handle      *policy.Request
 	incarnation int
-	limit       int64
+	deadline    int64
 	class       int
 	units       float64
 	ended       bool
@@ -56,7 +56,7 @@
 	in.incarnation++
 	in.open, in.calls = map[policy.RequestID]*goldenRequest{}, map[policy.CounterKey][]*goldenCall{}
 	w.write(codeRestart, in.number, uint64(in.incarnation))
-	in.engine = policy.New(w.now, w.chance.Uint64(), in.settings(), in)
+	in.engine = policy.New(w.now, w.random.Uint64(), in.settings(), in)
 	if !w.settings.PollEndpoints {
 		in.list(policy.FullSnapshot)
 	}
@@ -70,12 +70,12 @@
 	in.engine = nil
 }
 
-// later does something unless the instance has been stopped by then.
-func (in *goldenInstance) later(wait int64, what func()) {
+// afterIfRunning runs a function after a time, unless the instance has been stopped by then.
+func (in *goldenInstance) afterIfRunning(wait int64, run func()) {
 	incarnation := in.incarnation
 	in.world.after(wait, func() {
 		if in.incarnation == incarnation {
-			what()
+			run()
 		}
 	})
 }
@@ -91,19 +91,26 @@
 func (in *goldenInstance) submit(class, plan, tenant int, remaining int64, units float64, first int) {
 	w := in.world
 	w.nextID++
-	r := &goldenRequest{in: in, id: policy.RequestID(w.nextID), incarnation: in.incarnation, limit: w.now + remaining,
-		class: class, units: units, streams: w.likely(w.day.stream)}
+	r := &goldenRequest{
+		in:          in,
+		id:          policy.RequestID(w.nextID),
+		incarnation: in.incarnation,
+		deadline:    w.now + remaining,
+		class:       class,
+		units:       units,
+		streams:     w.happens(w.day.streamShare),
+	}
 	in.open[r.id] = r
 	r.handle = in.engine.Submit(w.now, policy.RequestSpec{
 		ID: r.id, Class: policy.ClassID(class), Plan: policy.PlanID(plan), Tenant: policy.TenantID(tenant),
-		Remaining: remaining, Units: units, EntryPoints: w.day.entries, FirstInstance: first,
+		Remaining: remaining, Units: units, EntryPoints: w.day.entryPoints, FirstInstance: first,
 	})
-	if w.likely(w.day.leave) {
-		stays := w.about(200 * goldenMillisecond)
-		if w.likely(0.3) { // nearly to the end
-			stays = max(remaining-w.about(20*goldenMillisecond), 0)
+	if w.happens(w.day.leaveShare) {
+		stays := w.exponential(200 * goldenMillisecond)
+		if w.happens(0.3) { // nearly to the end
+			stays = max(remaining-w.exponential(20*goldenMillisecond), 0)
 		}
-		in.later(stays, func() {
+		in.afterIfRunning(stays, func() {
 			if !r.ended {
 				r.ended = true
 				r.handle.HandleClientGone(w.now)
@@ -132,7 +139,7 @@
 		if tenant%3 > 0 {
 			plan = tenant % len(w.settings.Plans)
 		}
-		quota, ok := engine.QuotaStatus(w.now, policy.TenantID(tenant), policy.PlanID(plan), w.day.entries)
+		quota, ok := engine.QuotaStatus(w.now, policy.TenantID(tenant), policy.PlanID(plan), w.day.entryPoints)
 		w.write(codeQuota, in.number, bit(ok), float(quota.Limit), float(quota.Rate),
 			float(quota.Used), bit(quota.FromCounter), float(quota.HardQuotaLeft))
 	}
@@ -158,11 +165,11 @@
 		}
 	}
 	r.attempts = append(r.attempts, a)
-	until := r.limit
+	until := r.deadline
 	if expireAt > 0 {
 		until = min(until, expireAt)
 	}
-	in.later(until-w.now, func() {
+	in.afterIfRunning(until-w.now, func() {
 		if !a.started {
 			a.settle(policy.TimedOut, 0)
 		}
@@ -175,9 +182,9 @@
 //nolint:gocognit // of this pinned file only names may change
 func (a *goldenAttempt) run() {
 	r, b, w := a.request, a.to, a.request.in.world
-	outcome, took := policy.Succeeded, int64(0)
+	outcome, duration := policy.Succeeded, int64(0)
 	switch {
-	case b.unstarted > 0 && w.likely(0.3):
+	case b.unstarted > 0 && w.happens(0.3):
 		outcome = policy.NotSent
 	case b.refuses > 0:
 		outcome = policy.ConnectFailed
@@ -186,35 +193,35 @@
 	case b.hangs > 0:
 		return
 	default:
-		took = w.day.service/2 + w.about(w.day.service/2)
-		took = int64(float64(took) * (0.5 + r.units/2) * (1 + float64(b.working)/4) / b.size)
+		duration = w.day.serviceTime/2 + w.exponential(w.day.serviceTime/2)
+		duration = int64(float64(duration) * (0.5 + r.units/2) * (1 + float64(b.working)/4) / b.size)
 		if w.day.workByUnits {
-			took = int64(float64(w.day.service) * r.units * (0.95 + w.chance.Float64()/10))
+			duration = int64(float64(w.day.serviceTime) * r.units * (0.95 + w.random.Float64()/10))
 		}
 		if b.slow > 0 {
-			took *= 12
+			duration *= 12
 		}
 		if warmUp := w.settings.SlowStartDuration; b.started > 0 && w.now-b.started < warmUp {
-			took += 3 * took * (warmUp - (w.now - b.started)) / warmUp
+			duration += 3 * duration * (warmUp - (w.now - b.started)) / warmUp
 		}
-		if b.resets > 0 || w.likely(0.003) {
-			outcome, took = policy.ConnectionLost, took/3
-		} else if b.errs > 0 || w.likely(0.005) {
+		if b.resets > 0 || w.happens(0.003) {
+			outcome, duration = policy.ConnectionLost, duration/3
+		} else if b.errs > 0 || w.happens(0.005) {
 			outcome = policy.Failed
 		}
 		b.working++
-		w.after(took, func() { b.working-- })
+		w.after(duration, func() { b.working-- })
 	}
 	if r.streams && outcome == policy.Succeeded {
-		r.in.later(took/2, func() {
+		r.in.afterIfRunning(duration/2, func() {
 			if !a.settled && !r.ended {
 				a.started = true
 				r.handle.HandleResponseStarted(w.now, policy.AttemptID(a.number))
 			}
 		})
 	}
-	units := r.units * []float64{0.5, 1, 2}[w.below(3)]
-	r.in.later(took+w.about(goldenMillisecond), func() { a.settle(outcome, units) })
+	units := r.units * []float64{0.5, 1, 2}[w.randomInt(3)]
+	r.in.afterIfRunning(duration+w.exponential(goldenMillisecond), func() { a.settle(outcome, units) })
 }
 
 // settle reports to the instance how an attempt ended, once.
@@ -231,7 +238,7 @@
 		RequestDone: r.ended, TrueUnits: units}
 	r.handle.HandleAttemptResult(w.now, result)
 	r.finished()
-	if w.likely(0.01) { // twice, and one that was never sent
+	if w.happens(0.01) { // twice, and one that was never sent
 		r.handle.HandleAttemptResult(w.now, result)
 		result.Attempt = 200
 		r.handle.HandleAttemptResult(w.now, result)
@@ -241,7 +248,7 @@
 func (in *goldenInstance) Cancel(id policy.RequestID, n policy.AttemptID) {
 	in.world.effect(codeCancel, in.number, uint64(id), uint64(n))
 	a := in.open[id].attempts[n]
-	in.later(goldenMillisecond/4, func() { a.settle(policy.Canceled, 0) })
+	in.afterIfRunning(goldenMillisecond/4, func() { a.settle(policy.Canceled, 0) })
 }
 
 func (in *goldenInstance) Reject(id policy.RequestID, retryAfter int64) {
@@ -263,19 +270,19 @@
 	w := in.world
 	w.effect(codeTimer, in.number, uint64(at), timer)
 	early := int64(0)
-	if timer > 0 && w.likely(0.02) { // a coarse clock wakes a little early
+	if timer > 0 && w.happens(0.02) { // a coarse clock wakes a little early
 		early = goldenMillisecond / 10
 	}
-	in.later(at-w.now-early, func() { in.engine.HandleTimer(w.now, timer) })
+	in.afterIfRunning(at-w.now-early, func() { in.engine.HandleTimer(w.now, timer) })
 }
 
 func (in *goldenInstance) CheckHealth(b policy.BackendID) {
 	w := in.world
 	w.effect(codeCheckHealth, in.number, uint64(b))
-	if w.likely(0.2) {
+	if w.happens(0.2) {
 		return // its answer is lost
 	}
-	in.later(2*goldenMillisecond+w.about(goldenMillisecond), func() {
+	in.afterIfRunning(2*goldenMillisecond+w.exponential(goldenMillisecond), func() {
 		outcome := policy.ConnectFailed
 		for _, x := range w.backends {
 			if x.id == uint32(b) && x.refuses == 0 && x.hangs == 0 {
@@ -289,16 +296,18 @@
 func (in *goldenInstance) WatchEndpoints() {
 	w := in.world
 	w.effect(codeWatch, in.number)
-	in.later(5*goldenMillisecond+w.about(10*goldenMillisecond), func() {
+	in.afterIfRunning(5*goldenMillisecond+w.exponential(10*goldenMillisecond), func() {
 		switch {
-		case w.listDown > 0 && w.likely(0.1):
+		case w.listDown > 0 && w.happens(0.1):
 			in.list(policy.CachedSnapshot)
 		case w.listDown > 0:
 			in.engine.UpdateEndpoints(w.now, policy.UpdateFailed, nil)
 		default:
 			in.list(policy.FullSnapshot)
 			if w.day.faults.list { // the watch breaks at times
-				in.later(w.about(4*goldenSecond), func() { in.engine.UpdateEndpoints(w.now, policy.UpdateFailed, nil) })
+				in.afterIfRunning(w.exponential(4*goldenSecond), func() {
+					in.engine.UpdateEndpoints(w.now, policy.UpdateFailed, nil)
+				})
 			}
 		}
 	})
@@ -324,26 +333,26 @@
 		c.totals[name] = float64(float32(c.totals[name] + units)) // the counter reports seven digits
 		return c.totals[name]
 	}
-	way := goldenMillisecond/2 + w.about(goldenMillisecond/2)
-	in.later(w.settings.CounterTimeout, func() { in.answer(name, call, policy.TimedOut, 0) })
+	way := goldenMillisecond/2 + w.exponential(goldenMillisecond/2)
+	in.afterIfRunning(w.settings.CounterTimeout, func() { in.answer(name, call, policy.TimedOut, 0) })
 	switch {
 	case c.refuses > 0:
-		in.later(way, func() { in.answer(name, call, policy.ConnectFailed, 0) })
-	case c.hangs > 0 && w.likely(0.5):
+		in.afterIfRunning(way, func() { in.answer(name, call, policy.ConnectFailed, 0) })
+	case c.hangs > 0 && w.happens(0.5):
 	case c.hangs > 0:
 		w.after(2*w.settings.CounterTimeout, func() { add() }) // added too late
-	case c.rejects > 0 && w.likely(0.4):
-		in.later(way, func() { in.answer(name, call, policy.Rejected, 0) })
-	case c.breaks > 0 && w.likely(0.5):
+	case c.rejects > 0 && w.happens(0.4):
+		in.afterIfRunning(way, func() { in.answer(name, call, policy.Rejected, 0) })
+	case c.breaks > 0 && w.happens(0.5):
 		w.after(way, func() { add() })
-		in.later(2*way, func() { in.answer(name, call, policy.ConnectionLost, 0) })
+		in.afterIfRunning(2*way, func() { in.answer(name, call, policy.ConnectionLost, 0) })
 	default:
 		if c.slow > 0 {
-			way += w.about(40 * goldenMillisecond)
+			way += w.exponential(40 * goldenMillisecond)
 		}
 		w.after(way, func() {
 			total := add()
-			in.later(way, func() { in.answer(name, call, policy.Succeeded, total) })
+			in.afterIfRunning(way, func() { in.answer(name, call, policy.Succeeded, total) })
 		})
 	}
 }
@@ -361,7 +370,7 @@
 		}
 		in.engine.HandleCounterResult(in.world.now, first.outcome, name, first.total)
 	}
-	if in.world.likely(0.002) { // an answer to no call
+	if in.world.happens(0.002) { // an answer to no call
 		in.engine.HandleCounterResult(in.world.now, o, name+1, total)
 	}
 }
--- a/policy/golden_test.go
+++ b/policy/golden_test.go
@@ -48,16 +48,17 @@
 type goldenDay struct {
 	name                                  string
 	seed                                  uint64
-	instances, backends, tenants, entries int
+	instances, backends, tenants, entryPoints int
 	rate                                  float64 // requests a second
 	seconds                               int64
-	service                               int64   // usual service time of a backend
-	leave, stream                         float64 // shares of the requests
+	serviceTime                           int64   // usual, of a backend
+	leaveShare                            float64 // of the requests, whose clients leave early
+	streamShare                           float64 // of the requests, whose responses are streamed
 	settings                              func(*policy.Settings)
 	faults                                goldenFaults
 	zeroUnits                             bool  // some requests have no units
 	workByUnits                           bool  // small requests are much quicker
-	calm                                  int64 // mean time between two faults
+	faultInterval                         int64 // mean time between two faults
 	minEffects                            int
 	want                                  string
 }
@@ -79,7 +80,7 @@
 	}
 }
 
-// everyEffect is a class for each idempotency and each scope of it.
+// everyIdempotency returns classes of each idempotency and each dedup scope.
 func everyIdempotency() []policy.ClassSettings {
 	classes := []policy.ClassSettings{
 		{Idempotency: policy.Idempotent},
@@ -87,18 +88,20 @@
 		{Idempotency: policy.IdempotentWithKey, DedupScope: policy.DedupByZone, DedupWindow: goldenSecond},
 		{Idempotency: policy.IdempotentWithKey, DedupScope: policy.DedupByGroup, DedupWindow: 600 * goldenMillisecond},
 		{Idempotency: policy.NonIdempotent},
-		{Idempotency: policy.IdempotentWithKey, DedupScope: policy.DedupByAll, DedupWindow: 200 * goldenMillisecond}, // gone before a retry is
+		{Idempotency: policy.IdempotentWithKey, DedupScope: policy.DedupByAll, DedupWindow: 200 * goldenMillisecond},
 		{Idempotency: policy.IdempotentWithKey, DedupScope: policy.DedupByGroup, DedupWindow: 120 * goldenMillisecond},
 	}
 	for i := range classes {
-		classes[i].LatencyObjective, classes[i].Deadline = 600*goldenMillisecond, 2*goldenSecond
+		classes[i].LatencyObjective = 600 * goldenMillisecond
+		classes[i].Deadline = 2 * goldenSecond
 		classes[i].LateValue = float64(i%2) / 2
 	}
 	// Long enough for several attempts one after another, up to the last that is worth sending.
-	return append(classes, policy.ClassSettings{LatencyObjective: 1500 * goldenMillisecond, Deadline: 2 * goldenSecond})
+	long := policy.ClassSettings{LatencyObjective: 1500 * goldenMillisecond, Deadline: 2 * goldenSecond}
+	return append(classes, long)
 }
 
-// everySilence is a class for each way to decide while the counter gives no answer.
+// everyFallbackMode returns a class for each fallback mode.
 func everyFallbackMode() []policy.ClassSettings {
 	var classes []policy.ClassSettings
 	for _, mode := range []policy.FallbackMode{policy.LocalShare, policy.FailOpen, policy.FailClosed} {
@@ -110,17 +113,19 @@
 
 var goldenDays = []goldenDay{
 	{
-		name: "quota", seed: 1, instances: 4, backends: 6, tenants: 12, entries: 3, rate: 300, seconds: 20,
-		service: 30 * goldenMillisecond, leave: 0.02, minEffects: 5000,
-		settings: func(t *policy.Settings) {},
+		name: "quota", seed: 1, rate: 300, seconds: 20, minEffects: 5000,
+		instances: 4, backends: 6, tenants: 12, entryPoints: 3,
+		serviceTime: 30 * goldenMillisecond, leaveShare: 0.02,
+		settings: func(*policy.Settings) {},
 		want:     "9110e0724060f40faa119561907447f28b254c0c4e03692e47013edadfa5390c",
 	},
 	{
-		name: "hard quota and concurrency", seed: 2, instances: 4, backends: 6, tenants: 16, entries: 4, rate: 300, seconds: 20,
-		service: 60 * goldenMillisecond, leave: 0.02, stream: 0.2, minEffects: 5000,
-		settings: func(t *policy.Settings) {
-			t.PostPaid = true
-			t.Plans = []policy.PlanSettings{
+		name: "hard quota and concurrency", seed: 2, rate: 300, seconds: 20, minEffects: 5000,
+		instances: 4, backends: 6, tenants: 16, entryPoints: 4,
+		serviceTime: 60 * goldenMillisecond, leaveShare: 0.02, streamShare: 0.2,
+		settings: func(s *policy.Settings) {
+			s.PostPaid = true
+			s.Plans = []policy.PlanSettings{
 				{Rate: 10, Burst: 20, ConcurrencyLimit: 3, OverQuotaCost: 1},
 				{Rate: 8, Burst: 10, HardQuotaRate: 10, HardQuotaBurst: 15, OverQuotaValue: 1, OverQuotaCost: 0.3},
 				{ConcurrencyLimit: 4},
@@ -131,156 +136,199 @@
 		want: "452a1a542da134ab658b6d55480942c69df5c90c9fbc213e2063cc23a4acfa41",
 	},
 	{
-		name: "counter outage", seed: 3, instances: 5, backends: 6, tenants: 12, entries: 4, rate: 350, seconds: 60,
-		service: 30 * goldenMillisecond, leave: 0.02, minEffects: 5000,
-		settings: func(t *policy.Settings) {
-			t.Classes = everyFallbackMode()
-			t.Plans = append(t.Plans, policy.PlanSettings{Rate: 10, Burst: 15, ConcurrencyLimit: 3, OverQuotaCost: 0.9},
+		name: "counter outage", seed: 3, rate: 350, seconds: 60, minEffects: 5000,
+		instances: 5, backends: 6, tenants: 12, entryPoints: 4,
+		serviceTime: 30 * goldenMillisecond, leaveShare: 0.02,
+		settings: func(s *policy.Settings) {
+			s.Classes = everyFallbackMode()
+			s.Plans = append(s.Plans, policy.PlanSettings{Rate: 10, Burst: 15, ConcurrencyLimit: 3, OverQuotaCost: 0.9},
 				policy.PlanSettings{Rate: 8, Burst: 40, HardQuotaRate: 12, HardQuotaBurst: 30})
 		},
 		faults: goldenFaults{counter: true},
-		calm:   2500 * goldenMillisecond,
+		faultInterval: 2500 * goldenMillisecond,
 		want:   "3512d295feb41902f09c7b06b905dcf90064f3eaaa07fd06b46d6be021c0f717",
 	},
 	{
-		name: "draining and zones", seed: 4, instances: 6, backends: 9, tenants: 20, entries: 3, rate: 300, seconds: 40,
-		service: 40 * goldenMillisecond, leave: 0.03, minEffects: 5000,
-		settings: func(t *policy.Settings) {
-			t.PollEndpoints, t.PollTimeout, t.CrossZoneCost = true, 8*goldenSecond, 0.1
+		name: "draining and zones", seed: 4, rate: 300, seconds: 40, minEffects: 5000,
+		instances: 6, backends: 9, tenants: 20, entryPoints: 3,
+		serviceTime: 40 * goldenMillisecond, leaveShare: 0.03,
+		settings: func(s *policy.Settings) {
+			s.PollEndpoints, s.PollTimeout, s.CrossZoneCost = true, 8*goldenSecond, 0.1
 		},
 		faults: goldenFaults{draining: true, list: true, backends: true},
-		calm:   700 * goldenMillisecond,
+		faultInterval: 700 * goldenMillisecond,
 		want:   "016ffbd41dae9066dfb2ad114734541ac889854a67644a679b2b69a0e6d8598f",
 	},
 	{
-		name: "slow starts", seed: 5, instances: 20, backends: 12, tenants: 40, entries: 8, rate: 400, seconds: 40,
-		service: 50 * goldenMillisecond, leave: 0.02, minEffects: 5000,
-		settings: func(t *policy.Settings) { t.DrainGrace = 0 },
+		name: "slow starts", seed: 5, rate: 400, seconds: 40, minEffects: 5000,
+		instances: 20, backends: 12, tenants: 40, entryPoints: 8,
+		serviceTime: 50 * goldenMillisecond, leaveShare: 0.02,
+		settings: func(s *policy.Settings) { s.DrainGrace = 0 },
 		faults:   goldenFaults{slowStarts: true, restarts: true},
-		calm:     goldenSecond,
+		faultInterval: goldenSecond,
 		want:     "e64bba705e97aab0f2613153777d3e77f9fa71dffbcf4e24a1c5fafc44cdfdab",
 	},
 	{
-		name: "hedged attempts", seed: 6, instances: 3, backends: 6, tenants: 12, entries: 3, rate: 150, seconds: 40,
-		service: 30 * goldenMillisecond, leave: 0.05, stream: 0.1, minEffects: 5000,
-		settings: func(t *policy.Settings) {
-			t.Hedging, t.MaxAttempts, t.Classes = true, 4, everyIdempotency()
+		name: "hedged attempts", seed: 6, rate: 150, seconds: 40, minEffects: 5000,
+		instances: 3, backends: 6, tenants: 12, entryPoints: 3,
+		serviceTime: 30 * goldenMillisecond, leaveShare: 0.05, streamShare: 0.1,
+		settings: func(s *policy.Settings) {
+			s.Hedging, s.MaxAttempts, s.Classes = true, 4, everyIdempotency()
 		},
 		faults: goldenFaults{backends: true},
-		calm:   goldenSecond / 2,
+		faultInterval: goldenSecond / 2,
 		want:   "488888140ee3d0acdb97a6172d2bc2962b79033079be4c9d3ef5bceeaca4cfd6",
 	},
 	{
-		name: "hedged and never canceled", seed: 7, instances: 2, backends: 5, tenants: 8, entries: 2, rate: 150, seconds: 40,
-		service: 30 * goldenMillisecond, leave: 0.7, minEffects: 5000,
-		settings: func(t *policy.Settings) {
-			t.Hedging, t.Cancellation, t.HealthChecks, t.RetryAfter, t.Classes = true, false, false, false, everyIdempotency()
+		name: "hedged and never canceled", seed: 7, rate: 150, seconds: 40, minEffects: 5000,
+		instances: 2, backends: 5, tenants: 8, entryPoints: 2,
+		serviceTime: 30 * goldenMillisecond, leaveShare: 0.7,
+		settings: func(s *policy.Settings) {
+			s.Hedging = true
+			s.Cancellation = false
+			s.HealthChecks = false
+			s.RetryAfter = false
+			s.Classes = everyIdempotency()
 		},
 		faults: goldenFaults{backends: true, draining: true},
-		calm:   goldenSecond / 2,
+		faultInterval: goldenSecond / 2,
 		want:   "8bf5956c131e1721fd25a3c44d736adff3e2a8ba2b4d2242a1d5d063067e0e49",
 	},
 	{
-		name: "keyed and unsafe with cancels", seed: 8, instances: 3, backends: 6, tenants: 12, entries: 2, rate: 150, seconds: 40,
-		service: 30 * goldenMillisecond, leave: 0.05, stream: 0.1, minEffects: 5000,
-		settings: func(t *policy.Settings) { t.Classes = everyIdempotency() },
+		name: "keyed and unsafe with cancels", seed: 8, rate: 150, seconds: 40, minEffects: 5000,
+		instances: 3, backends: 6, tenants: 12, entryPoints: 2,
+		serviceTime: 30 * goldenMillisecond, leaveShare: 0.05, streamShare: 0.1,
+		settings: func(s *policy.Settings) { s.Classes = everyIdempotency() },
 		faults:   goldenFaults{backends: true, slowStarts: true},
-		calm:     goldenSecond / 2,
+		faultInterval: goldenSecond / 2,
 		want:     "b4468a0ef15e9028eba9e12af47f6e95852c780798bef3d526dafe7c886b9618",
 	},
 	{
-		name: "keyed and unsafe with expiry", seed: 9, instances: 3, backends: 6, tenants: 12, entries: 2, rate: 150, seconds: 40,
-		service: 30 * goldenMillisecond, leave: 0.05, stream: 0.05, minEffects: 5000,
-		settings: func(t *policy.Settings) { t.Classes, t.Cancellation, t.MaxAttempts = everyIdempotency(), false, 5 },
+		name: "keyed and unsafe with expiry", seed: 9, rate: 150, seconds: 40, minEffects: 5000,
+		instances: 3, backends: 6, tenants: 12, entryPoints: 2,
+		serviceTime: 30 * goldenMillisecond, leaveShare: 0.05, streamShare: 0.05,
+		settings: func(s *policy.Settings) { s.Classes, s.Cancellation, s.MaxAttempts = everyIdempotency(), false, 5 },
 		faults:   goldenFaults{backends: true, slowStarts: true, draining: true},
-		calm:     goldenSecond / 2,
+		faultInterval: goldenSecond / 2,
 		want:     "246c2a7a5ca95694adddec843ec747987f6fce835983f4bdd9f20d8a3a2530c6",
 	},
 	{
-		name: "alone without a counter", seed: 10, instances: 1, backends: 4, tenants: 6, entries: 1, rate: 120, seconds: 60,
-		service: 40 * goldenMillisecond, leave: 0.02, minEffects: 3000,
-		settings: func(t *policy.Settings) {
-			t.CounterEnabled, t.PostPaid = false, true
-			t.Plans = append(t.Plans, policy.PlanSettings{HardQuotaRate: 8, HardQuotaBurst: 9})
-			t.Classes = append(t.Classes, policy.ClassSettings{LatencyObjective: 400 * goldenMillisecond,
+		name: "alone without a counter", seed: 10, rate: 120, seconds: 60, minEffects: 3000,
+		instances: 1, backends: 4, tenants: 6, entryPoints: 1,
+		serviceTime: 40 * goldenMillisecond, leaveShare: 0.02,
+		settings: func(s *policy.Settings) {
+			s.CounterEnabled, s.PostPaid = false, true
+			s.Plans = append(s.Plans, policy.PlanSettings{HardQuotaRate: 8, HardQuotaBurst: 9})
+			s.Classes = append(s.Classes, policy.ClassSettings{LatencyObjective: 400 * goldenMillisecond,
 				Deadline: goldenSecond, CheckOnly: true})
 		},
 		faults: goldenFaults{restarts: true},
-		calm:   4 * goldenSecond,
+		faultInterval: 4 * goldenSecond,
 		want:   "1aa00903ac0bbea9b38f94fa6cf9bdd10253255cd3eb4d935e5503b7eab29e61",
 	},
 	{
-		name: "counts only and tiny windows", seed: 11, instances: 3, backends: 4, tenants: 14, entries: 3, rate: 250, seconds: 30,
-		service: 20 * goldenMillisecond, leave: 0.02, minEffects: 5000,
-		settings: func(t *policy.Settings) {
-			t.Plans = []policy.PlanSettings{{Rate: 100, Burst: 1}, {Rate: 50, Burst: 10, HardQuotaRate: 40, HardQuotaBurst: 5},
-				{Rate: 1e9}, {Rate: 1e-9, Burst: 1e9}, {Rate: 4, Burst: 2, ConcurrencyLimit: 2}, {Rate: 1000, Burst: 20, ConcurrencyLimit: 1e7}}
-			t.Classes = append(t.Classes, policy.ClassSettings{LatencyObjective: 400 * goldenMillisecond,
-				Deadline: goldenSecond, CheckOnly: true}, policy.ClassSettings{LatencyObjective: 400 * goldenMillisecond,
-				Deadline: goldenSecond, CheckOnly: true, FallbackMode: policy.FailOpen})
+		name: "counts only and tiny windows", seed: 11, rate: 250, seconds: 30, minEffects: 5000,
+		instances: 3, backends: 4, tenants: 14, entryPoints: 3,
+		serviceTime: 20 * goldenMillisecond, leaveShare: 0.02,
+		settings: func(s *policy.Settings) {
+			s.Plans = []policy.PlanSettings{
+				{Rate: 100, Burst: 1},
+				{Rate: 50, Burst: 10, HardQuotaRate: 40, HardQuotaBurst: 5},
+				{Rate: 1e9},
+				{Rate: 1e-9, Burst: 1e9},
+				{Rate: 4, Burst: 2, ConcurrencyLimit: 2},
+				{Rate: 1000, Burst: 20, ConcurrencyLimit: 1e7},
+			}
+			checkOnly := policy.ClassSettings{
+				LatencyObjective: 400 * goldenMillisecond,
+				Deadline:         goldenSecond,
+				CheckOnly:        true,
+			}
+			checkOnlyOpen := checkOnly
+			checkOnlyOpen.FallbackMode = policy.FailOpen
+			s.Classes = append(s.Classes, checkOnly, checkOnlyOpen)
 		},
 		faults: goldenFaults{counter: true},
-		calm:   goldenSecond,
+		faultInterval: goldenSecond,
 		want:   "226389eaa13ce64438f8846d49b615217a3b5b4f474e73201deea7d3ee562270",
 	},
 	{
-		name: "concurrency near its limit", seed: 14, instances: 4, backends: 10, tenants: 6, entries: 4, rate: 250, seconds: 40,
-		service: 100 * goldenMillisecond, leave: 0.02, stream: 0.1, minEffects: 5000,
-		settings: func(t *policy.Settings) {
-			t.CounterTimeout = 20 * goldenMillisecond
-			t.Classes = append(t.Classes, everyFallbackMode()...)
-			t.Plans = []policy.PlanSettings{{ConcurrencyLimit: 7}, {Rate: 30, Burst: 40, ConcurrencyLimit: 8, OverQuotaCost: 0.7}, {ConcurrencyLimit: 9},
-				{Rate: 12, Burst: 30, ConcurrencyLimit: 5, OverQuotaCost: 1}}
+		name: "concurrency near its limit", seed: 14, rate: 250, seconds: 40, minEffects: 5000,
+		instances: 4, backends: 10, tenants: 6, entryPoints: 4,
+		serviceTime: 100 * goldenMillisecond, leaveShare: 0.02, streamShare: 0.1,
+		settings: func(s *policy.Settings) {
+			s.CounterTimeout = 20 * goldenMillisecond
+			s.Classes = append(s.Classes, everyFallbackMode()...)
+			s.Plans = []policy.PlanSettings{
+				{ConcurrencyLimit: 7},
+				{Rate: 30, Burst: 40, ConcurrencyLimit: 8, OverQuotaCost: 0.7},
+				{ConcurrencyLimit: 9},
+				{Rate: 12, Burst: 30, ConcurrencyLimit: 5, OverQuotaCost: 1},
+			}
 		},
 		faults: goldenFaults{counter: true, restarts: true},
-		calm:   goldenSecond,
+		faultInterval: goldenSecond,
 		want:   "4bba4d4bede0d62a1e22908416c7b56dd4f6d06a962e88a108d9c8ff41bb030f",
 	},
 	{
-		name: "jams", seed: 15, instances: 3, backends: 5, tenants: 12, entries: 3, rate: 120, seconds: 60,
-		service: 160 * goldenMillisecond, leave: 0.1, minEffects: 5000,
-		settings: func(t *policy.Settings) {
-			t.Classes = everyIdempotency()
-			t.Plans = []policy.PlanSettings{{}, {Rate: 20, Burst: 40, OverQuotaCost: 1}}
+		name: "jams", seed: 15, rate: 120, seconds: 60, minEffects: 5000,
+		instances: 3, backends: 5, tenants: 12, entryPoints: 3,
+		serviceTime: 160 * goldenMillisecond, leaveShare: 0.1,
+		settings: func(s *policy.Settings) {
+			s.Classes = everyIdempotency()
+			s.Plans = []policy.PlanSettings{{}, {Rate: 20, Burst: 40, OverQuotaCost: 1}}
 		},
 		faults: goldenFaults{jams: true, backends: true, counter: true},
-		calm:   goldenSecond,
+		faultInterval: goldenSecond,
 		want:   "cba5b2d456dddf1028a3c7c0c331017c734460b57e8ed6f01f5af47a79ab681b",
 	},
 	{
-		name: "work grows with the units", seed: 16, instances: 3, backends: 6, tenants: 12, entries: 3, rate: 150, seconds: 30,
-		service: 60 * goldenMillisecond, leave: 0.02, minEffects: 5000, workByUnits: true,
-		settings: func(t *policy.Settings) {
-			t.Plans = []policy.PlanSettings{{}, {Rate: 20, Burst: 40, OverQuotaCost: 1}}
+		name: "work grows with the units", seed: 16, rate: 150, seconds: 30, minEffects: 5000,
+		instances: 3, backends: 6, tenants: 12, entryPoints: 3,
+		serviceTime: 60 * goldenMillisecond, leaveShare: 0.02, workByUnits: true,
+		settings: func(s *policy.Settings) {
+			s.Plans = []policy.PlanSettings{{}, {Rate: 20, Burst: 40, OverQuotaCost: 1}}
 		},
 		faults: goldenFaults{backends: true},
-		calm:   goldenSecond,
+		faultInterval: goldenSecond,
 		want:   "53570b0dec1ffe3561bc5066694459b9bd5d273fa94fac49087ffc3092889230",
 	},
 	{
 		// A request of no units under a quota makes the measured share of the plan no number (0/0), and what is
 		// counted after it too. The day is apart so that the others are not blind from there on.
-		name: "requests without units", seed: 13, instances: 3, backends: 4, tenants: 9, entries: 3, rate: 300, seconds: 20,
-		service: 20 * goldenMillisecond, leave: 0.02, minEffects: 2000, zeroUnits: true,
-		settings: func(t *policy.Settings) {},
+		name: "requests without units", seed: 13, rate: 300, seconds: 20, minEffects: 2000,
+		instances: 3, backends: 4, tenants: 9, entryPoints: 3,
+		serviceTime: 20 * goldenMillisecond, leaveShare: 0.02, zeroUnits: true,
+		settings: func(*policy.Settings) {},
 		faults:   goldenFaults{counter: true},
-		calm:     goldenSecond,
+		faultInterval: goldenSecond,
 		want:     "89f817ddb8b5f28b0315bbbb03de0c3c75c2aac358b959ce9066167c1149d418",
 	},
 	{
-		name: "everything at once", seed: 12, instances: 8, backends: 10, tenants: 30, entries: 5, rate: 350, seconds: 90,
-		service: 40 * goldenMillisecond, leave: 0.05, stream: 0.05, minEffects: 20000,
-		settings: func(t *policy.Settings) {
-			t.Hedging, t.PostPaid, t.CrossZoneCost = true, true, 0.05
-			t.Classes = append(everyIdempotency(), everyFallbackMode()...)
-			t.Classes = append(t.Classes, policy.ClassSettings{LatencyObjective: 400 * goldenMillisecond,
+		name: "everything at once", seed: 12, rate: 350, seconds: 90, minEffects: 20000,
+		instances: 8, backends: 10, tenants: 30, entryPoints: 5,
+		serviceTime: 40 * goldenMillisecond, leaveShare: 0.05, streamShare: 0.05,
+		settings: func(s *policy.Settings) {
+			s.Hedging, s.PostPaid, s.CrossZoneCost = true, true, 0.05
+			s.Classes = append(everyIdempotency(), everyFallbackMode()...)
+			s.Classes = append(s.Classes, policy.ClassSettings{LatencyObjective: 400 * goldenMillisecond,
 				Deadline: goldenSecond, CheckOnly: true})
-			t.Plans = append(t.Plans, policy.PlanSettings{Rate: 12, Burst: 24, ConcurrencyLimit: 4, OverQuotaCost: 0.7},
-				policy.PlanSettings{Rate: 8, Burst: 12, HardQuotaRate: 10, HardQuotaBurst: 12, OverQuotaValue: 0.6, OverQuotaCost: 0.5},
+			s.Plans = append(s.Plans,
+				policy.PlanSettings{Rate: 12, Burst: 24, ConcurrencyLimit: 4, OverQuotaCost: 0.7},
+				policy.PlanSettings{
+					Rate:           8,
+					Burst:          12,
+					HardQuotaRate:  10,
+					HardQuotaBurst: 12,
+					OverQuotaValue: 0.6,
+					OverQuotaCost:  0.5,
+				},
 				policy.PlanSettings{})
 		},
-		faults: goldenFaults{counter: true, backends: true, draining: true, slowStarts: true, list: true, restarts: true, updates: true},
-		calm:   700 * goldenMillisecond,
+		faults: goldenFaults{
+			counter: true, backends: true, draining: true, slowStarts: true, list: true, restarts: true, updates: true,
+		},
+		faultInterval: 700 * goldenMillisecond,
 		want:   "296105e252a65983b9bc11c44e57515a6c5ae77aeba50d180d7af610e4714348",
 	},
 }
--- a/policy/golden_world_test.go
+++ b/policy/golden_world_test.go
@@ -15,12 +15,12 @@
 
 // This file models what the instances of a golden day share: the counter, the backends, the list and the clock.
 
-// goldenWorld is all there is on a day.
+// goldenWorld is everything that a day consists of.
 type goldenWorld struct {
 	day       goldenDay
 	now       int64
 	events    timerqueue.Queue[func()]
-	chance    *pcg.Source
+	random    *pcg.Source
 	hash      hash.Hash
 	buffer    []byte
 	effects   int
@@ -30,7 +30,7 @@
 	nextID    uint64
 	nextBack  uint32
 	listDown  int
-	lull      int // no client comes
+	pauses    int // how many are under way in which no client comes
 	counter   goldenCounter
 }
 
@@ -52,8 +52,15 @@
 
 func playGoldenDay(t *testing.T, day goldenDay) (sum string, effects int) {
 	t.Helper()
-	w := &goldenWorld{day: day, now: goldenStart, chance: pcg.New(day.seed), hash: sha256.New(), settings: goldenSettings()}
-	w.counter.totals, w.counter.until = map[policy.CounterKey]float64{}, map[policy.CounterKey]int64{}
+	w := &goldenWorld{
+		day:      day,
+		now:      goldenStart,
+		random:   pcg.New(day.seed),
+		hash:     sha256.New(),
+		settings: goldenSettings(),
+	}
+	w.counter.totals = map[policy.CounterKey]float64{}
+	w.counter.until = map[policy.CounterKey]int64{}
 	day.settings(&w.settings)
 	w.settings.Instances = day.instances
 	for range day.backends {
@@ -73,9 +80,9 @@
 		if !ok || at > end {
 			break
 		}
-		what, _ := w.events.PopDue(at)
+		run, _ := w.events.PopDue(at)
 		w.now = at
-		what()
+		run()
 	}
 	return hex.EncodeToString(w.hash.Sum(nil)), w.effects
 }
@@ -99,7 +106,7 @@
 	w.write(code, instance, fields...)
 }
 
-// float is a number's bits; what is no number has many forms, and which one comes out is up to the compiler.
+// float returns a number's bits. NaN has many forms, and which one comes out is up to the compiler.
 func float(x float64) uint64 {
 	if math.IsNaN(x) {
 		return 0x7ff8000000000001
@@ -114,38 +121,54 @@
 	return 0
 }
 
-func (w *goldenWorld) at(when int64, what func()) { w.events.Push(max(when, w.now), what) }
+// at runs a function at a time, or now if that has passed.
+func (w *goldenWorld) at(when int64, run func()) { w.events.Push(max(when, w.now), run) }
 
-func (w *goldenWorld) after(wait int64, what func()) { w.at(w.now+wait, what) }
+// after runs a function after a time.
+func (w *goldenWorld) after(wait int64, run func()) { w.at(w.now+wait, run) }
 
-func (w *goldenWorld) below(n int) int { return int(w.chance.Uint64() % uint64(n)) }
+// randomInt draws a number from 0 on and below n.
+func (w *goldenWorld) randomInt(n int) int { return int(w.random.Uint64() % uint64(n)) }
 
-func (w *goldenWorld) likely(part float64) bool { return w.chance.Float64() < part }
+// happens draws whether something of the given probability happens.
+func (w *goldenWorld) happens(probability float64) bool { return w.random.Float64() < probability }
 
-// about is a random time around the mean.
-func (w *goldenWorld) about(mean int64) int64 {
-	return int64(-math.Log(1-w.chance.Float64()) * float64(mean))
+// exponential draws a time of the given mean.
+func (w *goldenWorld) exponential(mean int64) int64 {
+	return int64(-math.Log(1-w.random.Float64()) * float64(mean))
 }
 
 func (w *goldenWorld) addBackend(started int64) *goldenBackend {
 	w.nextBack++
-	b := &goldenBackend{id: w.nextBack, zone: uint16(w.nextBack % 2), group: uint16(w.nextBack % 3),
-		size: 1 + float64(w.nextBack%3)/2, state: policy.EndpointReady, started: started}
+	b := &goldenBackend{
+		id:      w.nextBack,
+		zone:    uint16(w.nextBack % 2),
+		group:   uint16(w.nextBack % 3),
+		size:    1 + float64(w.nextBack%3)/2,
+		state:   policy.EndpointReady,
+		started: started,
+	}
 	w.backends = append(w.backends, b)
 	return b
 }
 
 func (b *goldenBackend) endpoint() policy.Endpoint {
-	return policy.Endpoint{Backend: policy.BackendID(b.id), Zone: policy.ZoneID(b.zone), Group: policy.GroupID(b.group),
-		Capacity: b.size, State: b.state, StartedAt: b.started}
+	return policy.Endpoint{
+		Backend:   policy.BackendID(b.id),
+		Zone:      policy.ZoneID(b.zone),
+		Group:     policy.GroupID(b.group),
+		Capacity:  b.size,
+		State:     b.state,
+		StartedAt: b.started,
+	}
 }
 
-// tell brings a change of the list to every instance, each a little later than the one before.
+// announce delivers an entry of the list to every instance, to each after a random delay.
 func (w *goldenWorld) announce(b *goldenBackend) {
 	endpoint := b.endpoint()
 	for _, in := range w.instances {
 		incarnation := in.incarnation
-		w.after(w.about(10*goldenMillisecond), func() {
+		w.after(w.exponential(10*goldenMillisecond), func() {
 			if in.engine != nil && in.incarnation == incarnation {
 				in.engine.UpdateEndpoints(w.now, policy.Delta, []policy.Endpoint{endpoint})
 			}
@@ -155,33 +178,33 @@
 
 // arrive lets one client come and plans the next.
 func (w *goldenWorld) arrive() {
-	w.after(w.about(int64(float64(goldenSecond)/w.day.rate)), func() {
-		if w.lull > 0 {
+	w.after(w.exponential(int64(float64(goldenSecond)/w.day.rate)), func() {
+		if w.pauses > 0 {
 			w.arrive()
 			return
 		}
-		tenant := min(w.below(w.day.tenants), w.below(w.day.tenants)) // some are busier
+		tenant := min(w.randomInt(w.day.tenants), w.randomInt(w.day.tenants)) // some are busier
 		first := tenant % w.day.instances
-		in := w.instances[(first+w.below(w.day.entries))%w.day.instances]
-		class, plan := w.below(len(w.settings.Classes)), tenant%len(w.settings.Plans)
+		in := w.instances[(first+w.randomInt(w.day.entryPoints))%w.day.instances]
+		class, plan := w.randomInt(len(w.settings.Classes)), tenant%len(w.settings.Plans)
 		remaining := w.settings.Classes[class].Deadline
-		if w.likely(0.05) {
-			remaining = int64(float64(remaining) * (w.chance.Float64() - 0.05))
+		if w.happens(0.05) {
+			remaining = int64(float64(remaining) * (w.random.Float64() - 0.05))
 		}
-		units := []float64{0.25, 0.5, 1, 1, 1, 1, 2, 3.7}[w.below(8)]
-		switch w.below(500) {
+		units := []float64{0.25, 0.5, 1, 1, 1, 1, 2, 3.7}[w.randomInt(8)]
+		switch w.randomInt(500) {
 		case 0:
 			class += 1000
 		case 1:
 			plan += 1000
 		case 2:
-			plan = w.below(len(w.settings.Plans)) // the tenant changed its plan
+			plan = w.randomInt(len(w.settings.Plans)) // the tenant changed its plan
 		}
 		if w.day.workByUnits {
 			units *= units / 2
 		}
-		if w.day.zeroUnits && w.likely(0.3) {
-			units = -1 + float64(w.below(2)) // below none is taken for none
+		if w.day.zeroUnits && w.happens(0.3) {
+			units = -1 + float64(w.randomInt(2)) // the engine takes a negative number for 0
 		}
 		if in.engine != nil {
 			in.submit(class, plan, tenant, remaining, units, first)
@@ -200,8 +223,8 @@
 	w.after(goldenSecond/2, w.observe)
 }
 
-// during counts up for a while: faults of a kind may overlap.
-func (w *goldenWorld) during(n *int, wait int64) {
-	*n++
-	w.after(wait, func() { *n-- })
+// during counts one more fault for a time. It is a count, because faults of a kind may overlap.
+func (w *goldenWorld) during(active *int, duration int64) {
+	*active++
+	w.after(duration, func() { *active-- })
 }
