--- a/cmd/fawnplank/replica_test.go
+++ b/cmd/fawnplank/replica_test.go
@@ -264,7 +264,7 @@
 		t.Error("a full disk was not reported")
 	}
 	// The two may need more than one round to elect: one refuses the other's first candidacy while it still
-	// hears of the old leader. A fixed number of attempts ended before the second round, in one run of ten.
+	// still knows the old leader. A fixed number of attempts ended before the second round, in one run of ten.
 	landed, n := 0, 1
 	testutil.Eventually(t, "the other two going on", func() bool {
 		n++
--- a/policy/golden_test.go
+++ b/policy/golden_test.go
@@ -46,21 +46,21 @@
 
 // goldenDay is one row of the table.
 type goldenDay struct {
-	name                                  string
-	seed                                  uint64
+	name                                      string
+	seed                                      uint64
 	instances, backends, tenants, entryPoints int
-	rate                                  float64 // requests a second
-	seconds                               int64
-	serviceTime                           int64   // usual, of a backend
-	leaveShare                            float64 // of the requests, whose clients leave early
-	streamShare                           float64 // of the requests, whose responses are streamed
-	settings                              func(*policy.Settings)
-	faults                                goldenFaults
-	zeroUnits                             bool  // some requests have no units
-	workByUnits                           bool  // small requests are much quicker
-	faultInterval                         int64 // mean time between two faults
-	minEffects                            int
-	want                                  string
+	rate                                      float64 // requests a second
+	seconds                                   int64
+	serviceTime                               int64   // usual, of a backend
+	leaveShare                                float64 // of the requests, whose clients leave early
+	streamShare                               float64 // of the requests, whose responses are streamed
+	settings                                  func(*policy.Settings)
+	faults                                    goldenFaults
+	zeroUnits                                 bool  // some requests have no units
+	workByUnits                               bool  // small requests are much quicker
+	faultInterval                             int64 // mean time between two faults
+	minEffects                                int
+	want                                      string
 }
 
 func goldenSettings() policy.Settings {
@@ -144,9 +144,9 @@
 			s.Plans = append(s.Plans, policy.PlanSettings{Rate: 10, Burst: 15, ConcurrencyLimit: 3, OverQuotaCost: 0.9},
 				policy.PlanSettings{Rate: 8, Burst: 40, HardQuotaRate: 12, HardQuotaBurst: 30})
 		},
-		faults: goldenFaults{counter: true},
+		faults:        goldenFaults{counter: true},
 		faultInterval: 2500 * goldenMillisecond,
-		want:   "3512d295feb41902f09c7b06b905dcf90064f3eaaa07fd06b46d6be021c0f717",
+		want:          "3512d295feb41902f09c7b06b905dcf90064f3eaaa07fd06b46d6be021c0f717",
 	},
 	{
 		name: "draining and zones", seed: 4, rate: 300, seconds: 40, minEffects: 5000,
@@ -155,18 +155,18 @@
 		settings: func(s *policy.Settings) {
 			s.PollEndpoints, s.PollTimeout, s.CrossZoneCost = true, 8*goldenSecond, 0.1
 		},
-		faults: goldenFaults{draining: true, list: true, backends: true},
+		faults:        goldenFaults{draining: true, list: true, backends: true},
 		faultInterval: 700 * goldenMillisecond,
-		want:   "016ffbd41dae9066dfb2ad114734541ac889854a67644a679b2b69a0e6d8598f",
+		want:          "016ffbd41dae9066dfb2ad114734541ac889854a67644a679b2b69a0e6d8598f",
 	},
 	{
 		name: "slow starts", seed: 5, rate: 400, seconds: 40, minEffects: 5000,
 		instances: 20, backends: 12, tenants: 40, entryPoints: 8,
 		serviceTime: 50 * goldenMillisecond, leaveShare: 0.02,
-		settings: func(s *policy.Settings) { s.DrainGrace = 0 },
-		faults:   goldenFaults{slowStarts: true, restarts: true},
+		settings:      func(s *policy.Settings) { s.DrainGrace = 0 },
+		faults:        goldenFaults{slowStarts: true, restarts: true},
 		faultInterval: goldenSecond,
-		want:     "e64bba705e97aab0f2613153777d3e77f9fa71dffbcf4e24a1c5fafc44cdfdab",
+		want:          "e64bba705e97aab0f2613153777d3e77f9fa71dffbcf4e24a1c5fafc44cdfdab",
 	},
 	{
 		name: "hedged attempts", seed: 6, rate: 150, seconds: 40, minEffects: 5000,
@@ -175,9 +175,9 @@
 		settings: func(s *policy.Settings) {
 			s.Hedging, s.MaxAttempts, s.Classes = true, 4, everyIdempotency()
 		},
-		faults: goldenFaults{backends: true},
+		faults:        goldenFaults{backends: true},
 		faultInterval: goldenSecond / 2,
-		want:   "488888140ee3d0acdb97a6172d2bc2962b79033079be4c9d3ef5bceeaca4cfd6",
+		want:          "488888140ee3d0acdb97a6172d2bc2962b79033079be4c9d3ef5bceeaca4cfd6",
 	},
 	{
 		name: "hedged and never canceled", seed: 7, rate: 150, seconds: 40, minEffects: 5000,
@@ -190,27 +190,27 @@
 			s.RetryAfter = false
 			s.Classes = everyIdempotency()
 		},
-		faults: goldenFaults{backends: true, draining: true},
+		faults:        goldenFaults{backends: true, draining: true},
 		faultInterval: goldenSecond / 2,
-		want:   "8bf5956c131e1721fd25a3c44d736adff3e2a8ba2b4d2242a1d5d063067e0e49",
+		want:          "8bf5956c131e1721fd25a3c44d736adff3e2a8ba2b4d2242a1d5d063067e0e49",
 	},
 	{
 		name: "keyed and unsafe with cancels", seed: 8, rate: 150, seconds: 40, minEffects: 5000,
 		instances: 3, backends: 6, tenants: 12, entryPoints: 2,
 		serviceTime: 30 * goldenMillisecond, leaveShare: 0.05, streamShare: 0.1,
-		settings: func(s *policy.Settings) { s.Classes = everyIdempotency() },
-		faults:   goldenFaults{backends: true, slowStarts: true},
+		settings:      func(s *policy.Settings) { s.Classes = everyIdempotency() },
+		faults:        goldenFaults{backends: true, slowStarts: true},
 		faultInterval: goldenSecond / 2,
-		want:     "b4468a0ef15e9028eba9e12af47f6e95852c780798bef3d526dafe7c886b9618",
+		want:          "b4468a0ef15e9028eba9e12af47f6e95852c780798bef3d526dafe7c886b9618",
 	},
 	{
 		name: "keyed and unsafe with expiry", seed: 9, rate: 150, seconds: 40, minEffects: 5000,
 		instances: 3, backends: 6, tenants: 12, entryPoints: 2,
 		serviceTime: 30 * goldenMillisecond, leaveShare: 0.05, streamShare: 0.05,
-		settings: func(s *policy.Settings) { s.Classes, s.Cancellation, s.MaxAttempts = everyIdempotency(), false, 5 },
-		faults:   goldenFaults{backends: true, slowStarts: true, draining: true},
+		settings:      func(s *policy.Settings) { s.Classes, s.Cancellation, s.MaxAttempts = everyIdempotency(), false, 5 },
+		faults:        goldenFaults{backends: true, slowStarts: true, draining: true},
 		faultInterval: goldenSecond / 2,
-		want:     "246c2a7a5ca95694adddec843ec747987f6fce835983f4bdd9f20d8a3a2530c6",
+		want:          "246c2a7a5ca95694adddec843ec747987f6fce835983f4bdd9f20d8a3a2530c6",
 	},
 	{
 		name: "alone without a counter", seed: 10, rate: 120, seconds: 60, minEffects: 3000,
@@ -222,9 +222,9 @@
 			s.Classes = append(s.Classes, policy.ClassSettings{LatencyObjective: 400 * goldenMillisecond,
 				Deadline: goldenSecond, CheckOnly: true})
 		},
-		faults: goldenFaults{restarts: true},
+		faults:        goldenFaults{restarts: true},
 		faultInterval: 4 * goldenSecond,
-		want:   "1aa00903ac0bbea9b38f94fa6cf9bdd10253255cd3eb4d935e5503b7eab29e61",
+		want:          "1aa00903ac0bbea9b38f94fa6cf9bdd10253255cd3eb4d935e5503b7eab29e61",
 	},
 	{
 		name: "counts only and tiny windows", seed: 11, rate: 250, seconds: 30, minEffects: 5000,
@@ -248,9 +248,9 @@
 			checkOnlyOpen.FallbackMode = policy.FailOpen
 			s.Classes = append(s.Classes, checkOnly, checkOnlyOpen)
 		},
-		faults: goldenFaults{counter: true},
+		faults:        goldenFaults{counter: true},
 		faultInterval: goldenSecond,
-		want:   "226389eaa13ce64438f8846d49b615217a3b5b4f474e73201deea7d3ee562270",
+		want:          "226389eaa13ce64438f8846d49b615217a3b5b4f474e73201deea7d3ee562270",
 	},
 	{
 		name: "concurrency near its limit", seed: 14, rate: 250, seconds: 40, minEffects: 5000,
@@ -266,9 +266,9 @@
 				{Rate: 12, Burst: 30, ConcurrencyLimit: 5, OverQuotaCost: 1},
 			}
 		},
-		faults: goldenFaults{counter: true, restarts: true},
+		faults:        goldenFaults{counter: true, restarts: true},
 		faultInterval: goldenSecond,
-		want:   "4bba4d4bede0d62a1e22908416c7b56dd4f6d06a962e88a108d9c8ff41bb030f",
+		want:          "4bba4d4bede0d62a1e22908416c7b56dd4f6d06a962e88a108d9c8ff41bb030f",
 	},
 	{
 		name: "jams", seed: 15, rate: 120, seconds: 60, minEffects: 5000,
@@ -278,9 +278,9 @@
 			s.Classes = everyIdempotency()
 			s.Plans = []policy.PlanSettings{{}, {Rate: 20, Burst: 40, OverQuotaCost: 1}}
 		},
-		faults: goldenFaults{jams: true, backends: true, counter: true},
+		faults:        goldenFaults{jams: true, backends: true, counter: true},
 		faultInterval: goldenSecond,
-		want:   "cba5b2d456dddf1028a3c7c0c331017c734460b57e8ed6f01f5af47a79ab681b",
+		want:          "cba5b2d456dddf1028a3c7c0c331017c734460b57e8ed6f01f5af47a79ab681b",
 	},
 	{
 		name: "work grows with the units", seed: 16, rate: 150, seconds: 30, minEffects: 5000,
@@ -289,9 +289,9 @@
 		settings: func(s *policy.Settings) {
 			s.Plans = []policy.PlanSettings{{}, {Rate: 20, Burst: 40, OverQuotaCost: 1}}
 		},
-		faults: goldenFaults{backends: true},
+		faults:        goldenFaults{backends: true},
 		faultInterval: goldenSecond,
-		want:   "53570b0dec1ffe3561bc5066694459b9bd5d273fa94fac49087ffc3092889230",
+		want:          "53570b0dec1ffe3561bc5066694459b9bd5d273fa94fac49087ffc3092889230",
 	},
 	{
 		// A request of no units under a quota makes the measured share of the plan no number (0/0), and what is
@@ -299,10 +299,10 @@
 		name: "requests without units", seed: 13, rate: 300, seconds: 20, minEffects: 2000,
 		instances: 3, backends: 4, tenants: 9, entryPoints: 3,
 		serviceTime: 20 * goldenMillisecond, leaveShare: 0.02, zeroUnits: true,
-		settings: func(*policy.Settings) {},
-		faults:   goldenFaults{counter: true},
+		settings:      func(*policy.Settings) {},
+		faults:        goldenFaults{counter: true},
 		faultInterval: goldenSecond,
-		want:     "89f817ddb8b5f28b0315bbbb03de0c3c75c2aac358b959ce9066167c1149d418",
+		want:          "89f817ddb8b5f28b0315bbbb03de0c3c75c2aac358b959ce9066167c1149d418",
 	},
 	{
 		name: "everything at once", seed: 12, rate: 350, seconds: 90, minEffects: 20000,
@@ -329,7 +329,7 @@
 			counter: true, backends: true, draining: true, slowStarts: true, list: true, restarts: true, updates: true,
 		},
 		faultInterval: 700 * goldenMillisecond,
-		want:   "296105e252a65983b9bc11c44e57515a6c5ae77aeba50d180d7af610e4714348",
+		want:          "296105e252a65983b9bc11c44e57515a6c5ae77aeba50d180d7af610e4714348",
 	},
 }
 
