--- a/cmd/fawnplank/replica_test.go
+++ b/cmd/fawnplank/replica_test.go
@@ -263,7 +263,7 @@
 	if err == nil && isLeader(t, leader) { // another may lead by now, and have written it
 		t.Error("a full disk was not reported")
 	}
-	// The two may need more than one round to elect: one refuses the other's first candidacy while it still
+	// The two may need more than one round to elect: one refuses the other's first candidacy while it
 	// still knows the old leader. A fixed number of attempts ended before the second round, in one run of ten.
 	landed, n := 0, 1
 	testutil.Eventually(t, "the other two going on", func() bool {
