--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -23,8 +23,6 @@
 	Component = "component" // the part of the program that writes the entry
 	Instance  = "door"      // the name of the instance
 	Backend   = "backend"
-	Request   = "transaction" // the id of a request
-	Outcome   = "outcome"
 	Address   = "address"
 	Error     = "error" // logrus' own key for WithError
 	Stack     = "stack" // of the goroutine that panicked
