--- a/internal/billingservice/folder.go
+++ b/internal/billingservice/folder.go
@@ -9,9 +9,8 @@
 	"strconv"
 	"strings"
 
-	"github.com/google/renameio/v2"
-
 	"fawnplank/internal/billing"
+	"fawnplank/internal/durable"
 )
 
 // Folder is a sink that writes each batch to a file named use-FIRST-LAST.jsonl. A file appears only when it
@@ -48,16 +47,5 @@
 		}
 		return nil
 	}
-	if err := renameio.WriteFile(path, content, 0o600); err != nil {
-		return err
-	}
-	// The file's name is durable only once the folder is synced too.
-	folder, err := os.Open(string(f))
-	if err != nil {
-		return err
-	}
-	defer func() {
-		_ = folder.Close() // the folder was only synced, and Sync returns its own error
-	}()
-	return folder.Sync()
+	return durable.WriteFile(path, content, 0o600)
 }
--- a/internal/dnsserver/journal.go
+++ b/internal/dnsserver/journal.go
@@ -8,13 +8,12 @@
 	"hash/crc32"
 	"io"
 	"os"
-	"path/filepath"
 	"strconv"
 
-	"github.com/google/renameio/v2"
 	"golang.org/x/sys/unix"
 
 	"fawnplank/internal/dnszone"
+	"fawnplank/internal/durable"
 )
 
 const (
@@ -215,10 +214,7 @@
 	if err != nil {
 		return err
 	}
-	if err := renameio.WriteFile(j.path, text, journalMode); err != nil {
-		return err
-	}
-	if err := syncFolder(filepath.Dir(j.path)); err != nil {
+	if err := replaceFile(j.path, text); err != nil {
 		return err
 	}
 	file, err := os.OpenFile(j.path, os.O_RDWR, journalMode)
@@ -236,14 +232,13 @@
 	return nil
 }
 
-// syncFolder makes a rename in a folder durable. It ignores a folder that cannot be opened.
-func syncFolder(path string) error {
-	folder, err := os.Open(path)
-	if err != nil {
-		return nil // a process may write to a folder that it may not read
+// replaceFile replaces the journal durably. It ignores a folder that cannot be opened to sync it.
+func replaceFile(path string, content []byte) error {
+	err := durable.WriteFile(path, content, journalMode)
+	if _, ok := errors.AsType[*durable.FolderOpenError](err); ok {
+		return nil
 	}
-	defer func() { _ = folder.Close() }() // the folder was only read
-	return folder.Sync()
+	return err
 }
 
 // append writes a change and returns once the change is durable. After an error the journal is unchanged, or
--- a/internal/warmstart/warmstart.go
+++ b/internal/warmstart/warmstart.go
@@ -13,12 +13,11 @@
 	"errors"
 	"fmt"
 	"os"
-	"path/filepath"
 	"time"
 
 	"github.com/cespare/xxhash/v2"
-	"github.com/google/renameio/v2"
 
+	"fawnplank/internal/durable"
 	"fawnplank/policy"
 )
 
@@ -52,8 +51,7 @@
 	State         policy.WarmStartState `json:"learned"`
 }
 
-// Save writes the file under another name in its folder, syncs it, renames it over the old file, and then
-// syncs the folder. On an error, such as a full disk, the old file stays unchanged.
+// Save replaces the file durably. On an error, such as a full disk, the old file stays unchanged.
 func Save(path string, state policy.WarmStartState, now time.Time) error {
 	if err := save(path, state, now); err != nil {
 		return fmt.Errorf("learned: %w", err)
@@ -68,20 +66,7 @@
 	}
 	content := binary.BigEndian.AppendUint64([]byte(magic), xxhash.Sum64(text))
 	content = append(content, text...)
-	if err := renameio.WriteFile(path, content, fileMode); err != nil {
-		return err
-	}
-	return syncFolder(filepath.Dir(path))
-}
-
-// syncFolder makes a rename in the folder survive a crash of the machine.
-func syncFolder(path string) error {
-	folder, err := os.Open(path)
-	if err != nil {
-		return err
-	}
-	defer func() { _ = folder.Close() }() // the folder was only read
-	return folder.Sync()
+	return durable.WriteFile(path, content, fileMode)
 }
 
 // Load reads the file and returns the state and its age. If the file does not exist, the error wraps
