--- a/internal/discovery/startup_test.go
+++ b/internal/discovery/startup_test.go
@@ -16,6 +16,7 @@
 
 	"fawnplank/internal/config"
 	"fawnplank/internal/dispatch"
+	"fawnplank/internal/testutil"
 	"fawnplank/policy"
 )
 
@@ -64,43 +65,6 @@
 	i.dispatcher.UpdateEndpoints(kind, endpoints)
 }
 
-// pipeListener is a listener for connections within the bubble.
-type pipeListener struct {
-	conns  chan net.Conn
-	closed chan struct{}
-	once   sync.Once
-}
-
-func newPipeListener() *pipeListener {
-	return &pipeListener{conns: make(chan net.Conn), closed: make(chan struct{})}
-}
-
-func (l *pipeListener) Accept() (net.Conn, error) {
-	select {
-	case conn := <-l.conns:
-		return conn, nil
-	case <-l.closed:
-		return nil, net.ErrClosed
-	}
-}
-
-func (l *pipeListener) Close() error {
-	l.once.Do(func() { close(l.closed) })
-	return nil
-}
-
-func (l *pipeListener) Addr() net.Addr { return &net.UnixAddr{Name: "pipe", Net: "pipe"} }
-
-func (l *pipeListener) dial() (net.Conn, error) {
-	near, far := net.Pipe()
-	select {
-	case l.conns <- far:
-		return near, nil
-	case <-l.closed:
-		return nil, net.ErrClosed
-	}
-}
-
 // fakeAgent is a discovery service that has a list of index 2, while the instance starts with an older one.
 // It answers as late as it may.
 type fakeAgent struct {
@@ -149,7 +113,7 @@
 // agent that has another since.
 func startInstance(t *testing.T, seed uint64, grace time.Duration, first firstCall, lists lists) *instance {
 	t.Helper()
-	listener := newPipeListener()
+	listener := testutil.NewPipeListener()
 	agent := &fakeAgent{first: first, lists: lists, delay: grace / 4}
 	server := &http.Server{Handler: agent}
 	go func() {
@@ -173,10 +137,10 @@
 	transport := i.client.http.Transport.(*http.Transport)
 	transport.DialContext = func(context.Context, string, string) (net.Conn, error) {
 		if dials.Add(1) == 1 && first == unreachable {
-			<-listener.closed // a dial goes on for calls to come when its own has been given up
+			<-listener.Closed() // a dial goes on for calls to come when its own has been given up
 			return nil, net.ErrClosed
 		}
-		return listener.dial()
+		return listener.Dial()
 	}
 	i.dispatcher.Start(dispatch.Config{Seed: seed, Settings: configuration.Settings,
 		Counter: i, HealthChecker: i, EndpointWatcher: i.client})
--- a/internal/limitserver/equivalence_test.go
+++ b/internal/limitserver/equivalence_test.go
@@ -4,7 +4,6 @@
 	"bufio"
 	"fmt"
 	"math"
-	"net"
 	"slices"
 	"strings"
 	"sync"
@@ -14,6 +13,7 @@
 
 	"fawnplank/internal/counter"
 	"fawnplank/internal/dispatch"
+	"fawnplank/internal/testutil"
 	"fawnplank/policy"
 )
 
@@ -89,42 +89,18 @@
 func (g *bubbledGateway) enter(t *testing.T) *client {
 	t.Helper()
 	g.dispatcher = dispatch.New()
-	l := &pipeListener{conns: make(chan net.Conn, 1), closed: make(chan struct{})}
-	g.serve(t, g.settings, g, l)
-	near, far := net.Pipe()
+	listener := testutil.NewPipeListener()
+	g.serve(t, g.settings, g, listener)
+	conn, err := listener.Dial()
+	if err != nil {
+		t.Fatal(err)
+	}
 	t.Cleanup(func() {
-		_ = near.Close() // the end of the test; nobody writes any more
+		_ = conn.Close() // the end of the test; nobody writes any more
 	})
-	l.conns <- far
-	return &client{near, bufio.NewReader(near)}
-}
-
-// pipeListener is a listener for connections within a bubble.
-type pipeListener struct {
-	conns  chan net.Conn
-	closed chan struct{}
-}
-
-func (p *pipeListener) Accept() (net.Conn, error) {
-	select {
-	case c := <-p.conns:
-		return c, nil
-	case <-p.closed:
-		return nil, net.ErrClosed
-	}
+	return &client{conn, bufio.NewReader(conn)}
 }
 
-func (p *pipeListener) Close() error {
-	select {
-	case <-p.closed:
-	default:
-		close(p.closed)
-	}
-	return nil
-}
-
-func (p *pipeListener) Addr() net.Addr { return &net.UnixAddr{Name: "pipe", Net: "pipe"} }
-
 // TestCheck_CountsAsRequestsDo sends a thousand requests through one gateway and checks them at another. Both
 // make the same calls to their counters and get the same results. They get each request at the same moment of
 // one clock: on the machine's clock they got it a little apart, and what was refilled in between made some
