--- a/internal/frontend/accept.go
+++ b/internal/frontend/accept.go
@@ -14,11 +14,11 @@
 const acceptRetryDelay = 10 * time.Millisecond
 
 // accept adds connections until the listener is closed or its deadline has passed.
-func (s *Server) accept(listener net.Listener) error {
+func (s *Server) accept(listener net.Listener) {
 	for {
 		conn, err := listener.Accept()
 		if errors.Is(err, net.ErrClosed) || errors.Is(err, os.ErrDeadlineExceeded) {
-			return nil
+			return
 		}
 		if err != nil {
 			logging.For(logComponent).WithError(err).Warn("accept failed")
@@ -37,11 +37,16 @@
 		_ = accepted.Close() // nothing was read or written that could be lost
 		return
 	}
+	s.register(c)
+	go c.readLoop()
+}
+
+// register adds a connection, once there is capacity for it.
+func (s *Server) register(c *connection) {
 	s.mu.Lock()
+	defer s.mu.Unlock()
 	s.makeCapacity()
 	s.connections[c] = struct{}{}
-	s.mu.Unlock()
-	go c.readLoop()
 }
 
 // makeCapacity evicts idle connections until there is capacity for one more. If all are busy, it waits. The
@@ -62,17 +67,18 @@
 // it, if all connections are busy when a new one arrives and then become idle for good, nobody would look at
 // them again.
 func (s *Server) signalCapacity() {
-	if s.capacityWanted.Load() {
-		s.mu.Lock()
-		s.capacityFreed.Signal()
-		s.mu.Unlock()
+	if !s.capacityWanted.Load() {
+		return
 	}
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.capacityFreed.Signal()
 }
 
 // removeConnection forgets a connection that has ended.
 func (s *Server) removeConnection(c *connection) {
 	s.mu.Lock()
+	defer s.mu.Unlock()
 	delete(s.connections, c)
 	s.capacityFreed.Signal()
-	s.mu.Unlock()
 }
--- a/internal/frontend/backend_responses_test.go
+++ b/internal/frontend/backend_responses_test.go
@@ -15,7 +15,7 @@
 
 func TestBackendResponses(t *testing.T) {
 	long, huge := strings.Repeat("v", 64<<10), strings.Repeat("v", 400000)
-	for name, x := range map[string]struct{ class, first, want string }{
+	for name, test := range map[string]struct{ class, first, want string }{
 		"long value":                  {"lookup", bulkReply(long), `\$65536`},
 		"value of 400 KB":             {"pay", bulkReply(huge), `\$400000`},
 		"rejection":                   {"pay", "-BUSY full\r\n", `\$2`},
@@ -36,7 +36,7 @@
 			var once sync.Once
 			onAttempt := func(a receivedAttempt) {
 				reply := okReply
-				once.Do(func() { reply = x.first })
+				once.Do(func() { reply = test.first })
 				a.respond(reply)
 				if !strings.HasSuffix(reply, "\r\n") {
 					_ = a.conn.Close() // the gateway may have closed it
@@ -44,8 +44,8 @@
 			}
 			h := newHarness(t, harnessOptions{onAttempt: onAttempt})
 			c := h.dial()
-			c.send(query("1", ofClass(x.class)))
-			c.expectLine(x.want)
+			c.send(query("1", ofClass(test.class)))
+			c.expectLine(test.want)
 		})
 	}
 }
--- a/internal/frontend/backpressure.go
+++ b/internal/frontend/backpressure.go
@@ -21,7 +21,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.isFull() {
-		c.mu.Unlock()
+		c.mu.Unlock() // awaitWatched takes it
 		c.awaitWatched(c.isFull)
 		c.mu.Lock()
 	}
--- a/internal/frontend/connection.go
+++ b/internal/frontend/connection.go
@@ -10,10 +10,17 @@
 	"fawnplank/internal/sock"
 )
 
-// newConnectionGrace is how long a new connection's first command may be in transit before the connection
-// counts as silent; it is many times the transit time. It is also how long a client has to take its last
-// response before a connection that is shut down is closed.
-const newConnectionGrace = 200 * time.Millisecond
+const (
+	// newConnectionGrace is how long a new connection's first command may be in transit before the connection
+	// counts as silent; it is many times the transit time.
+	newConnectionGrace = 200 * time.Millisecond
+	// lastResponseGrace is how long a client has to take its last response before a connection that is shut down
+	// is closed; it, too, is many times the transit time.
+	lastResponseGrace = 200 * time.Millisecond
+	// awaitingSinceAccept is the awaitingSinceNanos of a connection that has just been accepted: the smallest
+	// age, since 0 means that no command is awaited.
+	awaitingSinceAccept = 1
+)
 
 // inputState is how far the reader has handled the bytes of a connection.
 type inputState uint8
@@ -128,7 +135,7 @@
 		return nil, err
 	}
 	c.conn = conn
-	c.awaitingSinceNanos.Store(1)
+	c.awaitingSinceNanos.Store(awaitingSinceAccept)
 	c.pendingFewer = sync.NewCond(&c.mu)
 	return c, nil
 }
@@ -208,7 +215,7 @@
 
 // shutDown is shutDownIfIdle for a caller that holds mu. It does not close the connection at once, because a
 // close with unread bytes resets the connection and discards a response still in transit: after a response,
-// the client has newConnectionGrace to take it.
+// the client has lastResponseGrace to take it.
 func (c *connection) shutDown() {
 	if !c.closeInput() {
 		return
@@ -218,10 +225,10 @@
 }
 
 // linger waits until the client closes a connection that shutDown has ended, but no longer than
-// newConnectionGrace after its last response.
+// lastResponseGrace after its last response.
 func (c *connection) linger() {
 	c.mu.Lock()
-	until := c.idleSince.Add(newConnectionGrace)
+	until := c.idleSince.Add(lastResponseGrace)
 	c.mu.Unlock()
 	if !c.validated.Load() {
 		return // nothing was answered
--- a/internal/frontend/connection_test.go
+++ b/internal/frontend/connection_test.go
@@ -3,17 +3,17 @@
 import "testing"
 
 func TestPeerState_Transitions(t *testing.T) {
-	for _, x := range []struct{ from, rejected, left peerState }{
+	for _, test := range []struct{ from, rejected, left peerState }{
 		{peerServed, peerRejected, peerGone},
 		{peerRejected, peerRejected, peerRejectedGone},
 		{peerGone, peerRejectedGone, peerGone},
 		{peerRejectedGone, peerRejectedGone, peerRejectedGone},
 	} {
-		t.Run(x.from.String(), func(t *testing.T) {
-			if got := x.from.reject(); got != x.rejected || !got.rejected() || got.gone() != x.from.gone() {
+		t.Run(test.from.String(), func(t *testing.T) {
+			if got := test.from.reject(); got != test.rejected || !got.rejected() || got.gone() != test.from.gone() {
 				t.Errorf("rejected: %v", got)
 			}
-			if got := x.from.leave(); got != x.left || !got.gone() || got.rejected() != x.from.rejected() {
+			if got := test.from.leave(); got != test.left || !got.gone() || got.rejected() != test.from.rejected() {
 				t.Errorf("left: %v", got)
 			}
 		})
--- a/internal/frontend/parser.go
+++ b/internal/frontend/parser.go
@@ -188,11 +188,11 @@
 	return valid
 }
 
-// parseInteger parses an integer from least to most.
-func parseInteger(text []byte, least, most int) (int, bool) {
+// parseInteger parses an integer from minimum to maximum.
+func parseInteger(text []byte, minimum, maximum int) (int, bool) {
 	number, valid := parseNumber(text)
-	valid = valid && number >= float64(least) && number <= float64(most) && number == math.Trunc(number)
-	if !valid {
+	inRange := number >= float64(minimum) && number <= float64(maximum)
+	if !valid || !inRange || number != math.Trunc(number) {
 		return 0, false
 	}
 	return int(number), true
--- a/internal/frontend/parser_test.go
+++ b/internal/frontend/parser_test.go
@@ -152,7 +152,7 @@
 
 // The class is set where it was read before the fault, so that the error is counted for it, and only then.
 func TestRequestHead_Errors(t *testing.T) {
-	for name, x := range map[string]struct {
+	for name, test := range map[string]struct {
 		words    [][]byte
 		want     string
 		hasClass bool
@@ -168,9 +168,9 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			head := requestHead{config: headConfig()}
-			err := head.parse(x.words)
-			if err == nil || err.Error() != x.want || head.hasClass != x.hasClass {
-				t.Errorf("%v, class read: %t; wanted %s, %t", err, head.hasClass, x.want, x.hasClass)
+			err := head.parse(test.words)
+			if err == nil || err.Error() != test.want || head.hasClass != test.hasClass {
+				t.Errorf("%v, class read: %t; wanted %s, %t", err, head.hasClass, test.want, test.hasClass)
 			}
 		})
 	}
--- a/internal/frontend/race_conditions_test.go
+++ b/internal/frontend/race_conditions_test.go
@@ -166,7 +166,7 @@
 // has read, and the next attempt is not begun.
 func TestRace_ClientGoneWhileReaderWaits(t *testing.T) {
 	largeHead := "*5\r\n$9\r\nSVC.QUERY\r\n$16\r\n" + testTenant + "\r\n$1\r\n2\r\n$3\r\nd=1\r\n$200000\r\n"
-	for name, x := range map[string]struct {
+	for name, test := range map[string]struct {
 		behind string // the first request
 		waits  func(c *connection) bool
 	}{
@@ -187,7 +187,7 @@
 			pendingCount(func(n int) bool { return n == 2 }),
 		},
 	} {
-		t.Run(name, func(t *testing.T) { testClientGoneWhileReaderWaits(t, x.behind, x.waits) })
+		t.Run(name, func(t *testing.T) { testClientGoneWhileReaderWaits(t, test.behind, test.waits) })
 	}
 }
 
--- a/internal/frontend/reader.go
+++ b/internal/frontend/reader.go
@@ -47,8 +47,8 @@
 func (c *connection) readLoop() {
 	defer c.end()
 	defer func() {
-		if x := recover(); x != nil {
-			logging.Panicked(logComponent, x, debug.Stack())
+		if cause := recover(); cause != nil {
+			logging.Panicked(logComponent, cause, debug.Stack())
 		}
 	}()
 	r := &c.reader
--- a/internal/frontend/request.go
+++ b/internal/frontend/request.go
@@ -19,6 +19,9 @@
 // errRequestIDInUse is sent on the wire.
 var errRequestIDInUse = errors.New("id is that of an open transaction")
 
+// integerLineBytes is enough for the decimal digits of any 64-bit integer, its sign, and the end of its line.
+const integerLineBytes = 24
+
 // span is a part of a command: begin is the index of its first byte, end the index after its last.
 type span struct{ begin, end int }
 
@@ -167,11 +170,11 @@
 // recoverPanic answers a request whose goroutine panicked with an error, so that the process and the order of
 // responses go on.
 func (p *pendingCommand) recoverPanic() {
-	x := recover()
-	if x == nil {
+	cause := recover()
+	if cause == nil {
 		return
 	}
-	logging.Panicked(logComponent, fmt.Sprintf("request %s: %v", p.id, x), debug.Stack())
+	logging.Panicked(logComponent, fmt.Sprintf("request %s: %v", p.id, cause), debug.Stack())
 	p.request.HandleClientGone()
 	p.connection.server.metrics.RequestAnswered(p.class, metrics.Error)
 	p.connection.complete(p, []byte("-ERR internal fault\r\n"))
@@ -202,9 +205,10 @@
 // waits for the attempt. The command is returned in pieces to be written one after another.
 func (p *pendingCommand) rewritten(remaining time.Duration) [][]byte {
 	milliseconds := max(int64(remaining/time.Millisecond), 1)
-	value := strconv.AppendInt(make([]byte, 0, 24), milliseconds, 10)
+	value := strconv.AppendInt(make([]byte, 0, integerLineBytes), milliseconds, 10)
 	fieldsSize := p.fields.size() + len(value) - p.remaining.size()
-	sizeLine := append(strconv.AppendInt(make([]byte, 0, 24), int64(fieldsSize), 10), "\r\n"...)
+	sizeLine := strconv.AppendInt(make([]byte, 0, integerLineBytes), int64(fieldsSize), 10)
+	sizeLine = append(sizeLine, "\r\n"...)
 	// The line with the size of the fields begins at its dollar sign and ends immediately before the fields.
 	dollar := bytes.LastIndexByte(p.raw[:p.fields.begin], '$')
 	before, after := p.raw[p.fields.begin:p.remaining.begin], p.raw[p.remaining.end:]
--- a/internal/frontend/responses.go
+++ b/internal/frontend/responses.go
@@ -6,10 +6,10 @@
 )
 
 const (
-	// writePiece is how much of a response is written under one deadline. A large response is written in pieces,
-	// and the deadline is renewed for each: a client that reads a 4 MiB response slowly but steadily is not cut
-	// off, while a client that reads nothing is cut off after writeTimeout.
-	writePiece = 256 << 10
+	// writePieceBytes is how much of a response is written under one deadline. A large response is written in
+	// pieces, and the deadline is renewed for each: a client that reads a 4 MiB response slowly but steadily is
+	// not cut off, while a client that reads nothing is cut off after writeTimeout.
+	writePieceBytes = 256 << 10
 	// writeDeadlineRenewals is how often the deadline is renewed within writeTimeout. Renewing it for every
 	// write would be expensive.
 	writeDeadlineRenewals = 5
@@ -83,7 +83,7 @@
 func (c *connection) write(response []byte) {
 	for len(response) > 0 {
 		c.renewWriteDeadline()
-		piece := response[:min(len(response), writePiece)]
+		piece := response[:min(len(response), writePieceBytes)]
 		if _, err := c.conn.Write(piece); err != nil {
 			c.close()
 			return
--- a/internal/frontend/server.go
+++ b/internal/frontend/server.go
@@ -18,10 +18,10 @@
 
 const (
 	// clientDescriptorDivisor yields, from the descriptors of the process, how many validated connections may be
-	// open before idle ones are evicted for new ones. Clients hold at most a third of the
-	// descriptors. If clients leave connections open and open a new one for each request, they would use up that
-	// third and no new connection could be accepted, so half of the third is kept free for new ones. The cost:
-	// if clients keep more connections open and would have reused each, they have to open them again.
+	// open before idle ones are evicted for new ones: less than MaxConnections, unless that is small. If clients
+	// leave connections open and open a new one for each request, they would use up MaxConnections and no new
+	// connection could be accepted, so the rest is kept free for new ones. The cost: if clients keep more
+	// connections open and would have reused each, they have to open them again.
 	clientDescriptorDivisor = 6
 	// writeTimeoutMargin is added to the longest deadline of any class to give the time that a client may take
 	// to read a response: longer than it may wait for one.
@@ -103,15 +103,17 @@
 // are parsed with them; open requests keep the class and plan under which they were submitted.
 func (s *Server) UpdateSettings(updated *config.Config) { s.config.Store(updated) }
 
-// Serve accepts connections until the listener is closed or its deadline has passed, then returns nil.
-// Connections that are open at that time continue to be served and swept until each has ended.
+// Serve accepts connections until the listener is closed or its deadline has passed, then returns nil. The
+// listener must return TCP connections. Connections that are open when Serve returns continue to be served
+// and swept until each has ended.
 func (s *Server) Serve(listener net.Listener) error {
 	acceptEnded := make(chan struct{})
 	defer close(acceptEnded)
 	go s.sweepConnections(acceptEnded)
 	s.serving.Store(true)
 	defer s.serving.Store(false)
-	return s.accept(listener)
+	s.accept(listener)
+	return nil
 }
 
 // Connections returns the number of open connections.
