--- a/internal/backend/connection.go
+++ b/internal/backend/connection.go
@@ -3,6 +3,7 @@
 import (
 	"bytes"
 	"cmp"
+	"fmt"
 	"net"
 	"slices"
 	"sync/atomic"
@@ -61,19 +62,41 @@
 )
 
 func (s connState) String() string {
-	return [...]string{"reserved", "idle", "writing", "awaiting response", "answered early", "abandoned",
-		"closed in write", "closed"}[s]
+	names := [...]string{
+		stateReserved: "reserved", stateIdle: "idle", stateWriting: "writing",
+		stateAwaitingResponse: "awaiting response", stateAnsweredEarly: "answered early",
+		stateAbandoned: "abandoned", stateClosedInWrite: "closed in write", stateClosed: "closed",
+	}
+	if int(s) < len(names) {
+		return names[s]
+	}
+	return fmt.Sprintf("connState(%d)", uint8(s))
 }
 
 // isClosed reports whether the connection has ended. The only state that can follow is stateClosed.
 func (s connState) isClosed() bool { return s == stateClosedInWrite || s == stateClosed }
 
+// afterAnswer says what becomes of a connection after an answer.
+type afterAnswer uint8
+
+const (
+	connectionReusable afterAnswer = iota // it may carry another attempt
+	connectionEnds                        // its reader closes it
+)
+
+func (a afterAnswer) String() string {
+	if a == connectionReusable {
+		return "reusable"
+	}
+	return "ends"
+}
+
 // conn is a connection to a backend. It carries one attempt at a time. Its reader runs all the time, so that
 // an idle connection that the backend closes leaves the pool before an attempt is written to it.
 type conn struct {
 	pool     *Pool
 	endpoint *endpoint
-	nc       *sock.Conn
+	socket   *sock.Conn
 	// readEnded is closed when the reader has ended.
 	readEnded chan struct{}
 
@@ -110,7 +133,7 @@
 	for _, part := range command {
 		size += int64(len(part))
 	}
-	written, err := c.nc.WriteParts(command...)
+	written, err := c.socket.WriteParts(command...)
 	if fault := c.endWrite(attempt, written == size, err); fault != nil {
 		attempt.Report(nil, 0, fault)
 	}
@@ -161,7 +184,7 @@
 		c.state = stateAwaitingResponse
 		return nil
 	}
-	c.recordIdle(true)
+	c.recordIdle(idleLost)
 	c.attempt = nil
 	c.close()
 	return &dispatch.NetworkError{Progress: progress, Err: cmp.Or(err, net.ErrClosed)}
@@ -194,16 +217,16 @@
 	c.abandoned.Store(true)
 	// The sending side is closed at once: that gives up the attempt, and another may be sent for the request.
 	// Both calls fail only if the connection has ended, which the reader notices.
-	_ = c.nc.CloseWrite()
-	_ = c.nc.SetReadDeadline(now.Add(pieceTimeout))
+	_ = c.socket.CloseWrite()
+	_ = c.socket.SetReadDeadline(now.Add(pieceTimeout))
 	return false
 }
 
-// recordIdle counts, once, how an attempt ended on a connection that had been idle. The caller holds the
-// Pool's lock.
-func (c *conn) recordIdle(failed bool) {
+// recordIdle counts, once, whether a connection that had been idle before its attempt still worked. The
+// caller holds the Pool's lock.
+func (c *conn) recordIdle(outcome idleOutcome) {
 	if c.idleBefore >= 0 {
-		c.pool.idleStats.record(c.idleBefore, failed)
+		c.pool.idleStats.record(c.idleBefore, outcome)
 		c.idleBefore = neverIdle
 	}
 }
@@ -234,21 +257,22 @@
 		c.state = stateClosed
 	}
 	c.pool.connections--
-	if n := slices.Index(c.endpoint.idle, c); n >= 0 {
-		c.endpoint.idle = slices.Delete(c.endpoint.idle, n, n+1)
+	if i := slices.Index(c.endpoint.idle, c); i >= 0 {
+		c.endpoint.idle = slices.Delete(c.endpoint.idle, i, i+1)
 	}
-	_ = c.nc.Close() // there is nobody to report the error to
+	_ = c.socket.Close() // there is nobody to report the error to
 }
 
 // read is the reader goroutine: it reads answers until the connection ends.
 func (c *conn) read() {
 	defer close(c.readEnded)
-	defer stopPanic()
+	defer recoverPanic()
 	defer c.endRead()
-	buffer, filled := make([]byte, plainBufferBytes), 0
+	buffer := make([]byte, plainBufferBytes)
+	filled := 0
 	for {
-		n, err := c.nc.Read(buffer[filled:])
-		filled += n
+		count, err := c.socket.Read(buffer[filled:])
+		filled += count
 		if err != nil {
 			c.handleEnd(filled > 0, err)
 			return
@@ -259,18 +283,20 @@
 		r, err := parseResponse(buffer[:filled])
 		switch {
 		case r.size == 0 && err != nil: // the connection cannot be used any more
-			c.handleResponse(response{}, err, false)
+			c.handleResponse(response{}, err, connectionEnds)
 			return
 		case r.size == 0 && filled == len(buffer):
 			if buffer = c.growBuffer(buffer); filled == len(buffer) {
-				c.handleResponse(response{}, dispatch.ErrBackendFailed, false)
+				c.handleResponse(response{}, dispatch.ErrBackendFailed, connectionEnds)
 				return
 			}
 		case r.size > 0:
-			// Bytes after the answer belong to no attempt: the answer is valid, but the connection ends.
-			reusable := r.size == filled
+			after := connectionReusable
+			if r.size < filled { // bytes behind the answer belong to no attempt: only the answer is valid
+				after = connectionEnds
+			}
 			buffer, r.value = c.detachValue(buffer, r.value)
-			if !c.handleResponse(r, err, reusable) || !reusable {
+			if !c.handleResponse(r, err, after) || after == connectionEnds {
 				return
 			}
 			filled = 0
@@ -292,7 +318,7 @@
 	if c.drainDeadline.Before(deadline) {
 		deadline = c.drainDeadline
 	}
-	_ = c.nc.SetReadDeadline(deadline) // fails only if the connection has ended, which the next read reports
+	_ = c.socket.SetReadDeadline(deadline) // fails only if the connection has ended, which the next read reports
 }
 
 // growBuffer returns a buffer that contains the bytes in buffer and has the size that the answer will have
@@ -302,13 +328,13 @@
 	// Both are valid: parseResponse refuses a length that is not, before the buffer is full.
 	count, _ := resp.ParseLength(buffer, '*', maxParts)
 	value, _ := resp.ParseLength(buffer[count.Size:], '$', resp.MaxValue)
-	whole := count.Size + value.Size + value.Value + maxLineBytes
-	size := min(max(2*len(buffer), whole), maxResponseBytes)
+	expectedBytes := count.Size + value.Size + value.Value + maxLineBytes
+	size := min(max(2*len(buffer), expectedBytes), maxResponseBytes)
 	if size <= len(buffer) {
 		return buffer
 	}
-	if missing := int64(max(size-unbudgetedBytes, 0)) - c.budgetedBytes; missing > 0 {
-		acquired, ok := c.pool.budget.Acquire(missing, time.Now().Add(pieceTimeout))
+	if missingBytes := int64(max(size-unbudgetedBytes, 0)) - c.budgetedBytes; missingBytes > 0 {
+		acquired, ok := c.pool.budget.Acquire(missingBytes, time.Now().Add(pieceTimeout))
 		if !ok {
 			return buffer
 		}
@@ -334,9 +360,8 @@
 }
 
 // handleResponse ends the attempt with its answer. It returns whether there was an attempt for the answer.
-// reusable means that nothing else arrived with the answer, so that the connection may carry another attempt.
-func (c *conn) handleResponse(r response, err error, reusable bool) bool {
-	attempt := c.endAttempt(reusable)
+func (c *conn) handleResponse(r response, err error, after afterAnswer) bool {
+	attempt := c.endAttempt(after)
 	if attempt == nil {
 		return false
 	}
@@ -346,21 +371,21 @@
 
 // endAttempt removes the answered attempt from the connection, and makes the connection idle if it is
 // reusable.
-func (c *conn) endAttempt(reusable bool) *dispatch.Attempt {
+func (c *conn) endAttempt(after afterAnswer) *dispatch.Attempt {
 	c.pool.mu.Lock()
 	defer c.pool.mu.Unlock()
 	attempt := c.attempt
 	c.attempt = nil
-	c.recordIdle(false)
+	c.recordIdle(idleAlive)
 	if attempt == nil || c.state.isClosed() {
 		return attempt
 	}
 	wasWriting := c.state == stateWriting
 	c.state = stateReserved // by its reader, which closes it
-	if !reusable {
+	if after == connectionEnds {
 		return attempt
 	}
-	c.nc.MarkConsumed()
+	c.socket.MarkConsumed()
 	if wasWriting {
 		c.state = stateAnsweredEarly
 	} else {
@@ -394,6 +419,10 @@
 	}
 	attempt := c.attempt
 	c.attempt = nil
-	c.recordIdle(!answering)
+	if answering {
+		c.recordIdle(idleAlive)
+	} else {
+		c.recordIdle(idleLost)
+	}
 	return attempt
 }
--- a/internal/backend/connection_test.go
+++ b/internal/backend/connection_test.go
@@ -129,7 +129,7 @@
 		t.Fatal(err)
 	}
 	p.mu.Lock() // its reader cannot get at the pool's state meanwhile
-	for c.nc.IsConsumed() {
+	for c.socket.IsConsumed() {
 		time.Sleep(time.Millisecond)
 	}
 	time.Sleep(20 * time.Millisecond) // now it has them in hand
@@ -155,7 +155,7 @@
 	c.attempt = attempt
 	c.state = stateWriting
 	p.mu.Unlock()
-	if c.endAttempt(true) != attempt {
+	if c.endAttempt(connectionReusable) != attempt {
 		t.Error("another attempt was answered")
 	}
 	if got, _, _ := p.acquire(1); got != nil {
--- a/internal/backend/health_check.go
+++ b/internal/backend/health_check.go
@@ -10,19 +10,23 @@
 	"fawnplank/policy"
 )
 
-// ping is the entire request of a health check. A healthy backend answers it with a status line.
-const ping = "*1\r\n$4\r\nPING\r\n"
+const (
+	// ping is the entire request of a health check. A healthy backend answers it with a status line.
+	ping = "*1\r\n$4\r\nPING\r\n"
+	// pongBufferBytes is how much of the answer is read: only its first byte matters.
+	pongBufferBytes = 64
+)
 
 // CheckHealth checks whether a backend answers, and passes the outcome to Options.HandleHealthCheck. It does
 // not block. The whole check takes no longer than a connection may take to be established. Close ends it
 // without an outcome.
 func (p *Pool) CheckHealth(backend policy.BackendID) {
-	if !p.begin() {
+	if !p.addRunning() {
 		return
 	}
 	go func() {
 		defer p.running.Done()
-		defer stopPanic()
+		defer recoverPanic()
 		err := p.checkHealth(backend)
 		if p.ctx.Err() == nil {
 			p.handleHealthCheck(backend, err)
@@ -71,12 +75,12 @@
 	if _, err := conn.Write([]byte(ping)); err != nil {
 		return &dispatch.NetworkError{Progress: dispatch.Writing, Err: err}
 	}
-	var answer [64]byte
-	n, err := conn.Read(answer[:])
+	var answer [pongBufferBytes]byte
+	count, err := conn.Read(answer[:])
 	if err != nil {
 		return &dispatch.NetworkError{Progress: dispatch.Written, Err: err}
 	}
-	if !bytes.HasPrefix(answer[:n], []byte("+")) {
+	if !bytes.HasPrefix(answer[:count], []byte("+")) {
 		return dispatch.ErrBackendFailed
 	}
 	return nil
--- a/internal/backend/idle_stats.go
+++ b/internal/backend/idle_stats.go
@@ -6,16 +6,16 @@
 )
 
 const (
-	// idleClasses is the number of classes of idle time, with boundaries at 1, 2, 4 ... ms. The last class
+	// idleBuckets is the number of buckets of idle time, with boundaries at 1, 2, 4 ... ms. The last bucket
 	// begins at 70 minutes, far beyond any idle timeout.
-	idleClasses = 24
-	// idleStatsHalfLife is the time after which all counts are halved, so that a class of idle times that is
+	idleBuckets = 24
+	// idleStatsHalfLife is the time after which all counts are halved, so that a bucket of idle times that is
 	// avoided is eventually tried again.
 	idleStatsHalfLife = 10 * time.Second
-	// minIdleFailures is how many failures a class must have to be stale. Fewer prove nothing, since a few
+	// minIdleFailures is how many failures a bucket must have to be stale. Fewer prove nothing, since a few
 	// broken connections of any age are normal.
 	minIdleFailures = 2
-	// staleRatio is the inverse of the share of failures above which a class is stale: one in staleRatio.
+	// staleRatio is the inverse of the share of failures above which a bucket is stale: one in staleRatio.
 	staleRatio = 5
 )
 
@@ -25,27 +25,41 @@
 // than a fifth of the attempts end this way. For connections idle that long or longer, it opens new
 // connections instead, at the cost of some that would still have worked. The Pool's lock guards it.
 type idleStats struct {
-	classes  [idleClasses]idleClass
+	buckets  [idleBuckets]idleBucket
 	halvedAt time.Time
 }
 
-// idleClass counts the attempts on connections with about the same idle time. The counts become fractions
+// idleBucket counts the attempts on connections with about the same idle time. The counts become fractions
 // when they are halved.
-type idleClass struct{ attempts, failures float64 }
+type idleBucket struct{ attempts, failures float64 }
 
-// classOf returns the index of the class of an idle time.
-func classOf(idle time.Duration) int {
+// bucketOf returns the index of the bucket of an idle time.
+func bucketOf(idle time.Duration) int {
 	milliseconds := uint64(max(idle.Milliseconds(), 0))
-	return min(bits.Len64(milliseconds), idleClasses-1)
+	return min(bits.Len64(milliseconds), idleBuckets-1)
 }
 
-// record counts an attempt on a connection that had been idle before. failed means that the connection ended
-// without a byte of an answer.
-func (s *idleStats) record(idle time.Duration, failed bool) {
-	class := &s.classes[classOf(idle)]
-	class.attempts++
-	if failed {
-		class.failures++
+// idleOutcome says whether a connection that had been idle still worked.
+type idleOutcome uint8
+
+const (
+	idleAlive idleOutcome = iota // at least one byte of an answer arrived
+	idleLost                     // the connection ended without one
+)
+
+func (o idleOutcome) String() string {
+	if o == idleAlive {
+		return "alive"
+	}
+	return "lost"
+}
+
+// record counts an attempt on a connection that had been idle before.
+func (s *idleStats) record(idle time.Duration, outcome idleOutcome) {
+	bucket := &s.buckets[bucketOf(idle)]
+	bucket.attempts++
+	if outcome == idleLost {
+		bucket.failures++
 	}
 }
 
@@ -55,8 +69,8 @@
 	if now.Sub(s.halvedAt) > idleStatsHalfLife {
 		s.halve(now)
 	}
-	for _, class := range s.classes[:classOf(idle)+1] {
-		if class.failures >= minIdleFailures && class.failures*staleRatio > class.attempts {
+	for _, bucket := range s.buckets[:bucketOf(idle)+1] {
+		if bucket.failures >= minIdleFailures && bucket.failures*staleRatio > bucket.attempts {
 			return true
 		}
 	}
@@ -66,8 +80,8 @@
 // halve divides all counts by two.
 func (s *idleStats) halve(now time.Time) {
 	s.halvedAt = now
-	for i := range s.classes {
-		s.classes[i].attempts /= 2
-		s.classes[i].failures /= 2
+	for i := range s.buckets {
+		s.buckets[i].attempts /= 2
+		s.buckets[i].failures /= 2
 	}
 }
--- a/internal/backend/idle_stats_test.go
+++ b/internal/backend/idle_stats_test.go
@@ -12,18 +12,18 @@
 	var s idleStats
 	now := time.Now()
 	s.isStale(now, 0) // the half-life begins
-	s.record(time.Second, true)
+	s.record(time.Second, idleLost)
 	if s.isStale(now, time.Second) {
 		t.Error("one failure proves something")
 	}
 	for range 9 {
-		s.record(time.Second, false)
+		s.record(time.Second, idleAlive)
 	}
-	s.record(time.Second, true)
+	s.record(time.Second, idleLost)
 	if s.isStale(now, time.Second) {
 		t.Error("stale at 2 failures of 11")
 	}
-	s.record(time.Second, true)
+	s.record(time.Second, idleLost)
 	if !s.isStale(now, time.Second) || !s.isStale(now, time.Hour) {
 		t.Error("not stale at 3 failures of 12, or not beyond their idle time")
 	}
--- a/internal/backend/pool.go
+++ b/internal/backend/pool.go
@@ -20,6 +20,9 @@
 	"fawnplank/policy"
 )
 
+// logComponent names this package in the log.
+const logComponent = "backend"
+
 // minIdle is how long a connection must be idle before it is used again. According to the operators, a second
 // answer to one attempt may arrive some milliseconds late; the next attempt on that connection would take it
 // for its own answer.
@@ -125,8 +128,9 @@
 	return idle
 }
 
-// begin reports whether the pool is open. If so, Close waits until running is done once more.
-func (p *Pool) begin() bool {
+// addRunning adds a dial or a health check to running, for which Close waits, and reports whether it did: a
+// closed pool begins none.
+func (p *Pool) addRunning() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.closed {
@@ -161,15 +165,15 @@
 
 // replace replaces a backend's endpoint, unless the old one has the same address or the pool is closed. The
 // caller holds the lock.
-func (p *Pool) replace(backend policy.BackendID, e *endpoint) {
+func (p *Pool) replace(backend policy.BackendID, replacement *endpoint) {
 	if p.closed {
 		return
 	}
-	if old := p.endpoints[backend]; old != nil && old.address == e.address {
+	if old := p.endpoints[backend]; old != nil && old.address == replacement.address {
 		return
 	}
 	p.remove(backend)
-	p.endpoints[backend] = e
+	p.endpoints[backend] = replacement
 }
 
 // remove deletes a backend's endpoint and closes its idle connections. The caller holds the lock.
@@ -190,33 +194,33 @@
 func (p *Pool) acquire(backend policy.BackendID) (*conn, *endpoint, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	e := p.endpoints[backend]
-	if e == nil {
+	target := p.endpoints[backend]
+	if target == nil {
 		return nil, nil, errNoAddress
 	}
-	if c := p.takeIdle(e); c != nil {
-		return c, e, nil
+	if c := p.takeIdle(target); c != nil {
+		return c, target, nil
 	}
-	return nil, e, p.reserve()
+	return nil, target, p.reserve()
 }
 
 // takeIdle returns the most recently used of an endpoint's usable idle connections, or nil. It closes those
 // that will never be usable again. The caller holds the lock.
-func (p *Pool) takeIdle(e *endpoint) *conn {
+func (p *Pool) takeIdle(target *endpoint) *conn {
 	now := time.Now()
-	for len(e.idle) > 0 && now.Sub(e.idle[0].lastUsed) > p.maxIdle {
-		e.idle[0].close()
+	for len(target.idle) > 0 && now.Sub(target.idle[0].lastUsed) > p.maxIdle {
+		target.idle[0].close()
 	}
-	for n := len(e.idle) - 1; n >= 0; n-- {
-		c := e.idle[n]
+	for i := len(target.idle) - 1; i >= 0; i-- {
+		c := target.idle[i]
 		idle := now.Sub(c.lastUsed)
 		if idle < minIdle {
 			continue
 		}
 		// The next attempt must not run into anything that the reader has not handled yet, such as stray bytes or
 		// the connection's end.
-		if c.nc.IsConsumed() && !p.idleStats.isStale(now, idle) {
-			e.idle = slices.Delete(e.idle, n, n+1)
+		if c.socket.IsConsumed() && !p.idleStats.isStale(now, idle) {
+			target.idle = slices.Delete(target.idle, i, i+1)
 			c.state = stateReserved
 			c.idleBefore = idle
 			return c
@@ -262,22 +266,22 @@
 // Send sends an attempt. command holds the parts of its command, which must not change until the attempt has
 // ended. Send does not wait for a connection or an answer; the result is reported with Attempt.Report.
 func (p *Pool) Send(attempt *dispatch.Attempt, command [][]byte) {
-	c, e, err := p.acquire(attempt.Backend)
+	c, target, err := p.acquire(attempt.Backend)
 	if err != nil {
 		reportNotConnected(attempt, err)
 		return
 	}
 	if c == nil {
-		go p.dialAndWrite(e, attempt, command)
+		go p.dialAndWrite(target, attempt, command)
 		return
 	}
 	c.write(attempt, command)
 }
 
 // dialAndWrite opens the connection that acquire reserved and writes the attempt to it.
-func (p *Pool) dialAndWrite(e *endpoint, attempt *dispatch.Attempt, command [][]byte) {
-	defer stopPanic()
-	c, err := p.dial(e)
+func (p *Pool) dialAndWrite(target *endpoint, attempt *dispatch.Attempt, command [][]byte) {
+	defer recoverPanic()
+	c, err := p.dial(target)
 	if err != nil {
 		reportNotConnected(attempt, err)
 		return
@@ -291,42 +295,49 @@
 }
 
 // dial opens the connection that acquire reserved and starts its reader.
-func (p *Pool) dial(e *endpoint) (*conn, error) {
-	nc, err := p.connect(e)
+func (p *Pool) dial(target *endpoint) (*conn, error) {
+	socket, err := p.connect(target)
 	if err != nil {
 		p.releaseReservation()
 		return nil, err
 	}
-	c := &conn{pool: p, endpoint: e, nc: nc, idleBefore: neverIdle, readEnded: make(chan struct{})}
+	c := &conn{
+		pool:       p,
+		endpoint:   target,
+		socket:     socket,
+		idleBefore: neverIdle,
+		readEnded:  make(chan struct{}),
+	}
 	go c.read()
 	return c, nil
 }
 
 // connect opens a connection to one of an endpoint's addresses.
-func (p *Pool) connect(e *endpoint) (*sock.Conn, error) {
-	if !p.begin() {
+func (p *Pool) connect(target *endpoint) (*sock.Conn, error) {
+	if !p.addRunning() {
 		return nil, net.ErrClosed
 	}
 	defer p.running.Done()
 	p.mu.Lock()
-	order := e.addresses
+	order := target.addresses
 	p.mu.Unlock()
 	if len(order) == 0 {
-		return sock.Dial(p.ctx, e.address, p.connectTimeout)
+		return sock.Dial(p.ctx, target.address, p.connectTimeout)
 	}
-	nc, n, err := sock.DialAny(p.ctx, order, p.connectTimeout)
-	if err == nil && n > 0 {
+	socket, accepted, err := sock.DialAny(p.ctx, order, p.connectTimeout)
+	if err == nil && accepted > 0 {
 		p.mu.Lock()
 		// Use a new slice, since another dial may be iterating over the old one.
-		e.addresses = append([]netip.AddrPort{order[n]}, slices.Concat(order[:n], order[n+1:])...)
+		target.addresses = slices.Concat(order[accepted:accepted+1], order[:accepted], order[accepted+1:])
 		p.mu.Unlock()
 	}
-	return nc, err
+	return socket, err
 }
 
-// stopPanic is deferred by every goroutine of the package, so that a panic in one does not end the process.
-func stopPanic() {
+// recoverPanic is deferred by every goroutine of the package, so that a panic in one does not end the
+// process.
+func recoverPanic() {
 	if cause := recover(); cause != nil {
-		logging.Panicked("backend", cause, debug.Stack())
+		logging.Panicked(logComponent, cause, debug.Stack())
 	}
 }
--- a/internal/backend/pool_test.go
+++ b/internal/backend/pool_test.go
@@ -170,7 +170,7 @@
 	addresses := []netip.AddrPort{netip.MustParseAddrPort(refusing), netip.MustParseAddrPort(good)}
 	p.SetAddresses(1, addresses)
 	c := idleConn(t, p, 1)
-	if got := c.nc.RemoteAddr().String(); got != good {
+	if got := c.socket.RemoteAddr().String(); got != good {
 		t.Fatal(got)
 	}
 	<-conns
--- a/internal/backend/response_parser.go
+++ b/internal/backend/response_parser.go
@@ -21,6 +21,12 @@
 	maxUnits = 1e9
 )
 
+// The parts of a response that are used, by their index. The others are skipped.
+const (
+	valuePart = 0
+	usagePart = 1
+)
+
 // response is a backend's answer.
 type response struct {
 	size  int     // in bytes; 0 while incomplete
@@ -45,18 +51,18 @@
 	}
 	var r response
 	offset := count.Size
-	for number := range count.Value {
+	for index := range count.Value {
 		if offset == len(received) {
 			return response{}, nil
 		}
-		p, err := parsePart(received[offset:], number == 0)
+		p, err := parsePart(received[offset:], index)
 		if p.size == 0 || err != nil {
 			return response{}, err
 		}
-		switch number {
-		case 0:
+		switch index {
+		case valuePart:
 			r.value = received[offset : offset+p.size]
-		case 1:
+		case usagePart:
 			r.units = usedUnits(p.payload)
 		}
 		offset += p.size
@@ -91,9 +97,10 @@
 	payload []byte // of a bulk string; nil if it is null or not a bulk string
 }
 
-// parsePart parses the part at the beginning of received. A value must be a bulk string; usage and load
-// report may also be null, or of another type, which is skipped.
-func parsePart(received []byte, isValue bool) (part, error) {
+// parsePart parses the part of the given index, which is at the beginning of received. A value must be a bulk
+// string; usage and load report may also be null, or of another type, which is skipped.
+func parsePart(received []byte, index int) (part, error) {
+	isValue := index == valuePart
 	length, ok := resp.ParseLength(received, '$', resp.MaxValue)
 	if !isValue && !ok && received[0] != '$' {
 		var line resp.Line
