--- a/internal/counter/client.go
+++ b/internal/counter/client.go
@@ -10,6 +10,9 @@
 	"fawnplank/policy"
 )
 
+// logComponent names this package in the log.
+const logComponent = "counter"
+
 const (
 	// maxConnections is the maximum number of open connections. The service accepts 32 from an instance's
 	// address, and for a while after a change of the service's address the old connections are open beside the
@@ -63,9 +66,10 @@
 
 // call is one addition to a number.
 type call struct {
-	key   policy.CounterKey
-	begun time.Time
-	ended bool
+	key     policy.CounterKey
+	addedAt time.Time
+	ended   bool
+	// total or err is the result of a call that has ended.
 	total float64
 	err   error
 }
@@ -148,7 +152,7 @@
 	}
 	c.address = address
 	for _, conn := range c.connections {
-		conn.old = true
+		conn.addressChanged = true
 		if len(conn.calls) == 0 {
 			idle = append(idle, conn)
 		}
@@ -174,7 +178,7 @@
 		q = &queue{}
 		c.queues[key] = q
 	}
-	added := &call{key: key, begun: time.Now()}
+	added := &call{key: key, addedAt: time.Now()}
 	if q.connection == nil {
 		q.connection = c.pickConnection()
 	}
@@ -184,7 +188,8 @@
 }
 
 // pickConnection returns the first connection without outstanding calls. If there is none, it returns a new
-// connection or, once maxConnections are open, the one with the fewest outstanding calls.
+// connection or, once maxConnections are open, the one with the fewest outstanding calls. The caller holds
+// the lock.
 func (c *Client) pickConnection() *connection {
 	var leastBusy *connection
 	for _, conn := range c.connections {
@@ -221,11 +226,12 @@
 }
 
 // silentConnections returns the connections whose oldest call has been unanswered for longer than maxSilence.
+// The caller holds the lock.
 func (c *Client) silentConnections() []*connection {
 	var silent []*connection
 	for _, connections := range [][]*connection{c.connections, c.oldConnections} {
 		for _, conn := range connections {
-			if len(conn.calls) > 0 && time.Since(conn.calls[0].begun) > maxSilence {
+			if len(conn.calls) > 0 && time.Since(conn.calls[0].addedAt) > maxSilence {
 				silent = append(silent, conn)
 			}
 		}
@@ -252,6 +258,7 @@
 	}
 }
 
+// countResult counts a call that ended. The caller holds the lock.
 func (c *Client) countResult(err error) {
 	if err == nil {
 		c.answered++
@@ -264,8 +271,8 @@
 	}
 }
 
-// deliver passes the result of a queue's call to the handler, with the lock released. Results of the queue
-// that arrive meanwhile are delivered later by this same goroutine.
+// deliver passes the result of a queue's call to the handler. The caller holds the lock, which is released
+// meanwhile. Results of the queue that arrive then are delivered later by this same goroutine.
 func (c *Client) deliver(q *queue, ended *call) {
 	q.delivering = true
 	defer func() { q.delivering = false }() // also after a panic of the handler
@@ -282,8 +289,8 @@
 }
 
 // forget removes a closed connection from the client. It returns the connection's calls, whose results must
-// still be delivered, and how many of them may have been written.
-func (c *Client) forget(closed *connection) (calls []*call, written int) {
+// still be delivered: those that may have been written, and those that have not. The caller holds the lock.
+func (c *Client) forget(closed *connection) (written, unwritten []*call) {
 	isClosed := func(conn *connection) bool { return conn == closed }
 	c.connections = slices.DeleteFunc(c.connections, isClosed)
 	c.oldConnections = slices.DeleteFunc(c.oldConnections, isClosed)
@@ -292,5 +299,6 @@
 			q.connection = nil
 		}
 	}
-	return closed.calls, len(closed.calls) - closed.unwrittenCalls
+	firstUnwritten := len(closed.calls) - closed.unwrittenCalls
+	return closed.calls[:firstUnwritten], closed.calls[firstUnwritten:]
 }
--- a/internal/counter/client_test.go
+++ b/internal/counter/client_test.go
@@ -117,6 +117,21 @@
 	c.Flush()
 }
 
+// openConnections makes the client open two connections: one with an outstanding call for key 1, and an idle
+// one, on which a call for key 2 was answered.
+func openConnections(
+	t *testing.T, client *Client, received results, service *fakeService,
+) (outstanding, idle receivedCall) {
+	t.Helper()
+	client.add(1)
+	outstanding = <-service.calls
+	client.add(2)
+	idle = <-service.calls
+	idle.answer(t, "ok 1\r\n")
+	received.next(t)
+	return outstanding, idle
+}
+
 func TestClient_AnswersReachTheirCallsInOrder(t *testing.T) {
 	client, received, service := startClient(t)
 	client.Add(0xab, 2.5, 4_000_000_001)
@@ -164,12 +179,7 @@
 func TestClient_SetAddressKeepsOrderOfResults(t *testing.T) {
 	client, received, service := startClient(t)
 	newService := startService(t)
-	client.add(1)
-	outstanding := <-service.calls
-	client.add(2)
-	idle := <-service.calls
-	idle.answer(t, "ok 1\r\n")
-	received.next(t)
+	outstanding, idle := openConnections(t, client, received, service)
 	service.stopListening(t)
 	client.SetAddress(newService.address())
 	client.SetAddress(newService.address())
@@ -245,12 +255,7 @@
 // connection, and no goroutine is left: that would hold a connection. Nothing is called after it.
 func TestClient_CloseEndsCallsAndConnections(t *testing.T) {
 	client, received, service := startClient(t)
-	client.add(1)
-	outstanding := <-service.calls
-	client.add(2)
-	idle := <-service.calls
-	idle.answer(t, "ok 1\r\n")
-	received.next(t)
+	outstanding, idle := openConnections(t, client, received, service)
 	client.Close()
 	if len(received) != 1 {
 		t.Fatalf("%d results by the end of Close", len(received))
--- a/internal/counter/connection.go
+++ b/internal/counter/connection.go
@@ -34,7 +34,7 @@
 	unwrittenCalls int        // number of calls in unwritten
 	calls          []*call    // outstanding calls, in the order of their answers
 	writing        bool       // a goroutine is writing in flush
-	old            bool       // connected to an earlier address: it gets no further calls
+	addressChanged bool       // connected to an earlier address: it gets no further calls
 	closed         bool
 	// pendingReply is the first reply of a RESP answer whose second reply has not arrived yet. Only run uses it.
 	pendingReply respReply
@@ -55,6 +55,8 @@
 	}
 }
 
+// writeAll writes calls until none is left, and returns why a write failed. The lock is released during each
+// write.
 func (conn *connection) writeAll() error {
 	c := conn.client
 	c.mu.Lock()
@@ -80,8 +82,8 @@
 // run connects, and reads answers until the connection ends.
 func (conn *connection) run() {
 	defer func() {
-		if reason := recover(); reason != nil {
-			logging.Panicked("counter", reason, debug.Stack())
+		if cause := recover(); cause != nil {
+			logging.Panicked(logComponent, cause, debug.Stack())
 			conn.close(errPanic)
 		}
 	}()
@@ -93,6 +95,7 @@
 	conn.close(conn.readAnswers())
 }
 
+// connect establishes the connection, unless it is closed meanwhile.
 func (conn *connection) connect() error {
 	c := conn.client
 	socket, err := sock.Dial(c.ctx, conn.address, c.connectTimeout)
@@ -114,11 +117,11 @@
 	buf := make([]byte, readBufferBytes)
 	buffered := 0
 	for {
-		n, err := conn.socket.Read(buf[buffered:])
+		count, err := conn.socket.Read(buf[buffered:])
 		if err != nil {
 			return err
 		}
-		rest, err := conn.handleAnswers(buf[:buffered+n])
+		rest, err := conn.handleAnswers(buf[:buffered+count])
 		if err != nil {
 			return err
 		}
@@ -136,6 +139,7 @@
 		case answerMalformed: // do not wait for more of it: other calls wait behind it
 			conn.handleAnswer(0, &dispatch.NetworkError{Progress: dispatch.Answering, Err: errNoTotal})
 			return nil, errMalformedAnswer
+		case answerPart: // its second reply completes it
 		case answerComplete:
 			if !conn.handleAnswer(answer.total, answer.err) {
 				return nil, errNotReusable
@@ -146,7 +150,7 @@
 }
 
 // handleAnswer ends the oldest call, and reports whether the connection may still be used. It may not if no
-// call was outstanding, if the answer was meaningless, or if an old connection has answered its last call.
+// call was outstanding, if the answer was meaningless, or if the last call at an earlier address is answered.
 func (conn *connection) handleAnswer(total float64, err error) bool {
 	answered, isLast := conn.popCall()
 	if answered == nil {
@@ -169,33 +173,33 @@
 	if len(conn.calls) == 0 {
 		conn.calls = nil
 	}
-	return oldest, conn.old && len(conn.calls) == 0
+	return oldest, conn.addressChanged && len(conn.calls) == 0
 }
 
 // close closes the connection and ends its calls. The units of calls that were written may have been added;
 // those of unwritten calls have not.
 func (conn *connection) close(reason error) {
-	calls, written := conn.shut()
-	if len(calls) > 0 {
-		logging.For("counter").WithError(reason).WithField("calls", len(calls)).Debug("connection ended")
+	written, unwritten := conn.closeAndForget()
+	if count := len(written) + len(unwritten); count > 0 {
+		logging.For(logComponent).WithError(reason).WithField("calls", count).Debug("connection ended")
 	}
-	for _, outstanding := range calls[:written] {
+	for _, outstanding := range written {
 		conn.client.endCall(outstanding, 0, dispatch.ErrTimeout)
 	}
-	for _, outstanding := range calls[written:] {
+	for _, outstanding := range unwritten {
 		err := &dispatch.NetworkError{Progress: dispatch.Writing, Err: reason}
 		conn.client.endCall(outstanding, 0, err)
 	}
 }
 
-// shut closes the connection's socket and removes the connection from the client. The first call returns the
-// outstanding calls and how many of them may have been written.
-func (conn *connection) shut() (calls []*call, written int) {
+// closeAndForget closes the connection's socket and removes the connection from the client. The first call
+// returns the outstanding calls: those that may have been written, and those that have not.
+func (conn *connection) closeAndForget() (written, unwritten []*call) {
 	c := conn.client
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if conn.closed {
-		return nil, 0
+		return nil, nil
 	}
 	conn.closed = true
 	if conn.socket != nil {
