--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -39,6 +39,9 @@
 	Refresh func()
 }
 
+// logComponent names this package in the log.
+const logComponent = "discovery"
+
 // Client tracks the list of backends.
 type Client struct {
 	publisher *publisher
@@ -54,7 +57,7 @@
 	// it.
 	index int64
 
-	publishing sync.Mutex // held while a list from another source is published, one at a time
+	publishMu sync.Mutex // held while a list from another source is published, one at a time
 
 	mu             sync.Mutex // guards all fields below
 	url            string
@@ -115,8 +118,9 @@
 	c.http.CloseIdleConnections() // and cancels the dials that the transport has not given up yet
 }
 
-// begin reports whether the client is open. If so, Close waits until running is done once more.
-func (c *Client) begin() bool {
+// addRunning adds a call to running, for which Close waits, and reports whether it did: a closed client begins
+// none.
+func (c *Client) addRunning() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.closed {
@@ -128,22 +132,22 @@
 
 // Publish publishes a list from another source in the same way as a list that the watch receives.
 func (c *Client) Publish(kind policy.UpdateKind, endpoints []Endpoint) {
-	if !c.begin() {
+	if !c.addRunning() {
 		return
 	}
 	defer c.running.Done()
-	c.publishing.Lock()
-	defer c.publishing.Unlock()
+	c.publishMu.Lock()
+	defer c.publishMu.Unlock()
 	c.publisher.publish(kind, endpoints)
 }
 
 // LoadSnapshot publishes the list that the instance last had, given in the discovery service's format. Empty
 // text is not published.
 func (c *Client) LoadSnapshot(text []byte) error {
-	if err := Check(text); err != nil || len(text) == 0 {
-		return err
+	if len(text) == 0 {
+		return nil
 	}
-	list, err := decodeList(text)
+	list, err := decodeKnown(text)
 	if err != nil {
 		return err
 	}
--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -41,10 +41,17 @@
 	if len(text) == 0 {
 		return nil
 	}
-	if _, err := decodeList(text); err != nil {
-		return fmt.Errorf("known: %w", err) // the key of the list in the configuration
+	_, err := decodeKnown(text)
+	return err
+}
+
+// decodeKnown decodes the list in the configuration. Its error names the list's key.
+func decodeKnown(text []byte) (*endpointList, error) {
+	list, err := decodeList(text)
+	if err != nil {
+		return nil, fmt.Errorf("known: %w", err)
 	}
-	return nil
+	return list, nil
 }
 
 // decodeList decodes and checks a list.
--- a/internal/discovery/publisher.go
+++ b/internal/discovery/publisher.go
@@ -66,10 +66,10 @@
 func (p *publisher) publish(kind policy.UpdateKind, endpoints []Endpoint) {
 	updates := make([]policy.Endpoint, len(endpoints))
 	listed := map[policy.BackendID]bool{}
-	for n, endpoint := range endpoints {
-		updates[n] = p.convert(endpoint)
-		backend := updates[n].Backend
-		if updates[n].State == policy.EndpointGone {
+	for i, endpoint := range endpoints {
+		updates[i] = p.convert(endpoint)
+		backend := updates[i].Backend
+		if updates[i].State == policy.EndpointGone {
 			p.forget(backend)
 			continue
 		}
@@ -90,7 +90,7 @@
 func (p *publisher) convert(endpoint Endpoint) policy.Endpoint {
 	state, ok := endpointStates[endpoint.Status]
 	if !ok {
-		logging.For("discovery").WithField(logging.Backend, endpoint.Name).
+		logging.For(logComponent).WithField(logging.Backend, endpoint.Name).
 			WithField("status", endpoint.Status).Warn("unknown endpoint status, treated as draining")
 	}
 	return policy.Endpoint{
@@ -99,10 +99,17 @@
 		Group:     policy.GroupID(endpoint.Group),
 		Capacity:  endpoint.Weight,
 		State:     state,
-		StartedAt: int64(math.Round(endpoint.StartedAtMillis*1e3)) * 1e3, // to the microsecond
+		StartedAt: nanosFromMillis(endpoint.StartedAtMillis),
 	}
 }
 
+// nanosFromMillis converts a Unix time, rounded to the microsecond: below that, a float64 of
+// milliseconds holds only noise.
+func nanosFromMillis(milliseconds float64) int64 {
+	const microsPerMilli, nanosPerMicro = 1e3, 1e3
+	return int64(math.Round(milliseconds*microsPerMilli)) * nanosPerMicro
+}
+
 func (p *publisher) setAddress(backend policy.BackendID, endpoint Endpoint) {
 	if len(endpoint.Addresses) > 0 {
 		p.addressBook.SetAddresses(backend, endpoint.Addresses)
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -76,7 +76,7 @@
 		return
 	}
 	state.failing = failing
-	entry := logging.For("discovery").WithField("failing", failing)
+	entry := logging.For(logComponent).WithField("failing", failing)
 	if failing {
 		entry.WithError(err).Warn("endpoint watch failed")
 		return
@@ -87,8 +87,8 @@
 // poll makes one call, for a full snapshot or for the changes since the last list, and publishes the answer.
 func (c *Client) poll(ctx context.Context, state *watchState) (err error) {
 	defer func() {
-		if reason := recover(); reason != nil {
-			err = fmt.Errorf("panic: %v", reason)
+		if cause := recover(); cause != nil {
+			err = fmt.Errorf("panic: %v", cause)
 		}
 	}()
 	call := c.nextCall(ctx, state)
