--- a/internal/circuitbreaker/circuitbreaker.go
+++ b/internal/circuitbreaker/circuitbreaker.go
@@ -26,7 +26,7 @@
 type Breaker struct {
 	State               State
 	ConsecutiveFailures int
-	RetryAt             int64
+	RetryAt             int64 // in nanoseconds; matters while the breaker is open
 }
 
 // IsClosed reports whether calls pass.
@@ -44,9 +44,9 @@
 
 // Record records how a call ended. A success closes the breaker; threshold failures in a row open it, or keep
 // it open, until retryAt.
-func (b *Breaker) Record(ok bool, threshold int, retryAt int64) {
+func (b *Breaker) Record(succeeded bool, threshold int, retryAt int64) {
 	b.ConsecutiveFailures++
-	if ok {
+	if succeeded {
 		b.ConsecutiveFailures = 0
 	}
 	b.RetryAt = retryAt
--- a/internal/pcg/pcg.go
+++ b/internal/pcg/pcg.go
@@ -31,5 +31,5 @@
 // Uint64 returns 64 random bits.
 func (s *Source) Uint64() uint64 { return uint64(s.next())<<32 | uint64(s.next()) }
 
-// Float64 returns a number in [0, 1).
+// Float64 returns a number in [0, 1), of the 53 bits that a float64 holds.
 func (s *Source) Float64() float64 { return float64(s.Uint64()>>11) / (1 << 53) }
--- a/internal/quotawindow/quotawindow.go
+++ b/internal/quotawindow/quotawindow.go
@@ -3,7 +3,7 @@
 
 // Window is one of a sequence of windows without gaps.
 type Window struct {
-	Start int64
+	Start int64  // in nanoseconds
 	Index uint64 // the window's number, unique among those of one length and offset
 }
 
--- a/internal/resp/resp.go
+++ b/internal/resp/resp.go
@@ -42,17 +42,17 @@
 // IsComplete reports whether the line's end has been received.
 func (l Line) IsComplete() bool { return l.Size > 0 }
 
-// ParseLine returns the line at the beginning of b. ok is false if b does not begin with a valid line or if
-// the line is larger than maxSize.
-func ParseLine(b []byte, maxSize int) (line Line, ok bool) {
-	end := bytes.IndexByte(b, '\n')
+// ParseLine returns the line at the beginning of input. ok is false if input does not begin with a valid line
+// or if the line is larger than maxSize.
+func ParseLine(input []byte, maxSize int) (line Line, ok bool) {
+	end := bytes.IndexByte(input, '\n')
 	if end < 0 {
-		return Line{}, len(b) <= maxSize
+		return Line{}, len(input) <= maxSize
 	}
-	if end < 2 || end > maxSize || b[end-1] != '\r' {
+	if end < 2 || end > maxSize || input[end-1] != '\r' {
 		return Line{}, false
 	}
-	return Line{Text: b[1 : end-1], Size: end + 1}, true
+	return Line{Text: input[1 : end-1], Size: end + 1}, true
 }
 
 // Length is a line that holds the length of a bulk string or of an array; -1 is the length of null. The zero
@@ -65,13 +65,13 @@
 // IsComplete reports whether the line's end has been received.
 func (l Length) IsComplete() bool { return l.Size > 0 }
 
-// ParseLength returns the length in the line at the beginning of b, which must begin with kind and hold a
-// number from -1 to maxValue. ok is false if b does not begin with such a line.
-func ParseLength(b []byte, kind byte, maxValue int) (length Length, ok bool) {
-	if b[0] != kind {
+// ParseLength returns the length in the line at the beginning of input, which must begin with kind and hold a
+// number from -1 to maxValue. ok is false if input can never begin with such a line. input must not be empty.
+func ParseLength(input []byte, kind byte, maxValue int) (length Length, ok bool) {
+	if input[0] != kind {
 		return Length{}, false
 	}
-	line, ok := ParseLine(b, maxLengthLine)
+	line, ok := ParseLine(input, maxLengthLine)
 	if !ok || !line.IsComplete() {
 		return Length{}, ok
 	}
@@ -80,21 +80,21 @@
 	return Length{Value: value, Size: line.Size}, err == nil && inRange && line.Text[0] != '+'
 }
 
-// Command returns the words of the command at the beginning of b, and the command's size, which is 0 while
-// the command is incomplete. The words are slices of b, and the returned slice reuses the memory of words.
-// Any error is a *ProtocolError.
-func Command(b []byte, words [][]byte) (size int, _ [][]byte, err error) {
-	count, ok := ParseLength(b, '*', maxWords)
+// Command returns the words of the command at the beginning of input, and the command's size, which is 0
+// while the command is incomplete. The words are slices of input, and the returned slice reuses the memory of
+// words. Any error is a *ProtocolError.
+func Command(input []byte, words [][]byte) (size int, _ [][]byte, err error) {
+	count, ok := ParseLength(input, '*', maxWords)
 	if !ok || count.IsComplete() && count.Value < 1 {
 		return 0, nil, errArrayExpected
 	}
 	if !count.IsComplete() {
 		return 0, words[:0], nil
 	}
-	at := count.Size
+	offset := count.Size
 	words = words[:0]
 	for len(words) < count.Value {
-		word, wordSize, err := bulkString(b[at:])
+		word, wordSize, err := bulkString(input[offset:])
 		if err != nil {
 			return 0, nil, err
 		}
@@ -102,27 +102,27 @@
 			return 0, words, nil
 		}
 		words = append(words, word)
-		at += wordSize
+		offset += wordSize
 	}
-	return at, words, nil
+	return offset, words, nil
 }
 
-// bulkString returns the word at the beginning of b, and its size including its length line, which is 0 while
-// the word is incomplete.
-func bulkString(b []byte) (word []byte, size int, err error) {
-	if len(b) == 0 {
+// bulkString returns the word at the beginning of input, and its size including its length line, which is 0
+// while the word is incomplete.
+func bulkString(input []byte) (word []byte, size int, err error) {
+	if len(input) == 0 {
 		return nil, 0, nil
 	}
-	length, ok := ParseLength(b, '$', MaxValue)
+	length, ok := ParseLength(input, '$', MaxValue)
 	if !ok || length.Value < 0 {
 		return nil, 0, errWordLength
 	}
 	end := length.Size + length.Value + len("\r\n")
-	if !length.IsComplete() || len(b) < end {
+	if !length.IsComplete() || len(input) < end {
 		return nil, 0, nil
 	}
-	if string(b[end-2:end]) != "\r\n" {
+	if string(input[end-2:end]) != "\r\n" {
 		return nil, 0, errWordEnd
 	}
-	return b[length.Size : end-2], end, nil
+	return input[length.Size : end-2], end, nil
 }
