--- a/internal/frontend/benchmark_test.go
+++ b/internal/frontend/benchmark_test.go
@@ -16,10 +16,10 @@
 	"fawnplank/policy"
 )
 
-// BenchmarkFront_Request measures one request from a client's connection through the decisions to a backend
+// BenchmarkFrontend_Request measures one request from a client's connection through the decisions to a backend
 // on loopback in the same process, and its response's way back. The allocations are the whole process's; the
 // stand-in makes none.
-func BenchmarkFront_Request(b *testing.B) {
+func BenchmarkFrontend_Request(b *testing.B) {
 	client := newBenchmarkClient(b, startBenchmarkServer(b))
 	b.ReportAllocs()
 	rejected := 0
