--- a/cmd/drill/host.go
+++ b/cmd/drill/host.go
@@ -85,7 +85,7 @@
 	return message, err
 }
 
-// handleFrame answers one frame. A panic in the decisions is reported on the wire; an error means that the
+// handleFrame answers one frame. A panic in the engine is reported on the wire; an error means that the
 // frame is malformed.
 func (h *host) handleFrame(f *simwire.Frame) error {
 	now := nanoseconds(f.Clock)
@@ -116,14 +116,14 @@
 	return "", errUnknownEvent
 }
 
-// guard runs decisions. If they panic, it reports that in place of the instance's further actions.
-func (h *host) guard(number uint32, decide func()) {
+// guard calls the engine. If it panics, guard reports that in place of the instance's further actions.
+func (h *host) guard(number uint32, call func()) {
 	defer func() {
 		if reason := recover(); reason != nil {
 			h.reportBroken(number, fmt.Sprint(reason))
 		}
 	}()
-	decide()
+	call()
 }
 
 // reportBroken ends an instance and reports why.
@@ -147,5 +147,5 @@
 // kill ends an instance without a reply.
 func (h *host) kill(_ int64, number uint32, _ emptyMessage) { delete(h.instances, number) }
 
-// ignore handles messages from other instances: the decisions send none and expect none.
+// ignore handles messages from other instances: the engine sends none and expects none.
 func (h *host) ignore(int64, uint32, emptyMessage) {}
--- a/cmd/drill/instance.go
+++ b/cmd/drill/instance.go
@@ -24,8 +24,8 @@
 	actionAddToCounter
 )
 
-// instance is one gateway instance: its decisions, and its requests in flight. It implements policy.Effects
-// for the decisions: each effect becomes an action in the reply.
+// instance is one gateway instance: its engine, and its requests in flight. It implements policy.Effects
+// for the engine: each effect becomes an action in the reply.
 type instance struct {
 	number   uint32
 	reply    *simwire.Reply // the host's, which all instances share
@@ -67,8 +67,8 @@
 func (in *instance) Admit(policy.RequestID) {}
 
 // WakeAt asks for a timer event.
-func (in *instance) WakeAt(at int64, timer uint64) {
-	in.action(actionWakeAt).Float64(milliseconds(at)).Uint64(timer)
+func (in *instance) WakeAt(at int64, timer policy.TimerID) {
+	in.action(actionWakeAt).Float64(milliseconds(at)).Uint64(uint64(timer))
 }
 
 // AddToCounter adds units to the shared counter.
--- a/cmd/drill/main.go
+++ b/cmd/drill/main.go
@@ -1,4 +1,4 @@
-// Command drill connects the decisions to the simulator's wire: it reads batches of events from standard
+// Command drill connects the engine to the simulator's wire: it reads batches of events from standard
 // input and writes one reply per batch to standard output. It translates and decides nothing.
 package main
 
--- a/cmd/drill/messages.go
+++ b/cmd/drill/messages.go
@@ -33,7 +33,7 @@
 	stateGone     = 3
 )
 
-// nanoseconds and milliseconds convert the wire's times to those of the decisions, and back.
+// nanoseconds and milliseconds convert the wire's times to those of the engine, and back.
 func nanoseconds(ms float64) int64     { return config.NanosFromMillis(ms) }
 func milliseconds(nanos int64) float64 { return float64(nanos) / 1e6 }
 
@@ -155,7 +155,7 @@
 	m.spec.Units = f.Float32()
 	m.spec.EntryPoints = countOf(f.Float32())
 	m.spec.FirstInstance = countOf(f.Float32())
-	f.Uint8() // flags: the decisions use none
+	f.Uint8() // flags: the engine uses none
 	return m, nil
 }
 
@@ -186,8 +186,8 @@
 	status := f.Uint16()
 	m.result.Elapsed = nanoseconds(f.Float64())
 	m.result.RequestDone = f.Uint8() != 0
-	f.Uint16() // the meter: the decisions use the counter
-	m.result.TrueUnits = float64(f.Uint16())
+	f.Uint16() // the meter: the engine uses the counter
+	m.result.ActualUnits = float64(f.Uint16())
 	skipLoadReport(f)
 	var err error
 	m.result.Outcome, err = outcomeOf(f, status)
@@ -201,10 +201,12 @@
 	return clientGoneMessage{id: policy.RequestID(f.Uint64())}, nil
 }
 
-// timerMessage reports a timer that the decisions asked for.
-type timerMessage struct{ timer uint64 }
+// timerMessage reports a timer that the engine asked for.
+type timerMessage struct{ timer policy.TimerID }
 
-func readTimer(f *simwire.Frame) (timerMessage, error) { return timerMessage{timer: f.Uint64()}, nil }
+func readTimer(f *simwire.Frame) (timerMessage, error) {
+	return timerMessage{timer: policy.TimerID(f.Uint64())}, nil
+}
 
 // healthCheckMessage reports the end of a health check.
 type healthCheckMessage struct {
@@ -215,7 +217,7 @@
 func readHealthCheck(f *simwire.Frame) (healthCheckMessage, error) {
 	m := healthCheckMessage{backend: policy.BackendID(f.Uint32())}
 	status := f.Uint16()
-	f.Float64() // how long it took: the decisions use the time that requests take
+	f.Float64() // how long it took: the engine uses the time that requests take
 	skipLoadReport(f)
 	var err error
 	m.outcome, err = outcomeOf(f, status)
@@ -239,7 +241,7 @@
 	return m, err
 }
 
-// emptyMessage stands for an event whose fields, if any, the decisions do not use.
+// emptyMessage stands for an event whose fields, if any, the engine does not use.
 type emptyMessage struct{}
 
 func readNothing(*simwire.Frame) (emptyMessage, error) { return emptyMessage{}, nil }
@@ -251,7 +253,7 @@
 	return emptyMessage{}, nil
 }
 
-// skipLoadReport skips a load report: the decisions use what the backends answer.
+// skipLoadReport skips a load report: the engine uses what the backends answer.
 func skipLoadReport(f *simwire.Frame) {
 	const numberBytes = 4
 	f.Bytes(numberBytes * int(f.Uint8()))
--- a/cmd/fawnplank/serve.go
+++ b/cmd/fawnplank/serve.go
@@ -57,7 +57,7 @@
 // gateway holds all parts of a serving process. newGateway constructs them, Run serves, and Close releases
 // them.
 //
-// A reload replaces configuration. It runs on Run's goroutine, which is the only one that reads the field.
+// A reload replaces configuration on Run's goroutine; once Run is called, no other goroutine reads that field.
 type gateway struct {
 	options       gatewayOptions
 	configuration *config.Config
--- a/internal/dispatch/attempt.go
+++ b/internal/dispatch/attempt.go
@@ -154,7 +154,7 @@
 		Outcome:     outcome,
 		Elapsed:     now - a.createdNanos,
 		RequestDone: r.finished,
-		TrueUnits:   actualUnits,
+		ActualUnits: actualUnits,
 	})
 	r.forgetIfDone()
 }
--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -10,7 +10,7 @@
 	"fawnplank/policy"
 )
 
-// Counter adds units to numbers that all instances share. Add must not block; it may leave the sending to
+// Counter adds units to counts that all instances share. Add must not block; it may leave the sending to
 // Flush. The results are passed to HandleCounterResult.
 type Counter interface {
 	Add(key policy.CounterKey, units float64, lifetime time.Duration)
@@ -58,8 +58,8 @@
 	lastRequest policy.RequestID
 	timers      timerqueue.Queue[timer]
 	alarm       *time.Timer
-	alarmAt     int64  // when the alarm goes off; 0: not set
-	latestWake  uint64 // the number of the latest wake-up that replaces earlier ones
+	alarmAt     int64          // when the alarm goes off; 0: not set
+	latestWake  policy.TimerID // the latest wake-up that replaces earlier ones
 	// What the engine requested during a call; it is carried out once that call has returned.
 	endedAttempts []endedAttempt
 	networkWork   networkWork
--- a/internal/dispatch/effects.go
+++ b/internal/dispatch/effects.go
@@ -46,12 +46,12 @@
 }
 
 // Cancel cancels an attempt if it has not ended yet.
-func (e effects) Cancel(id policy.RequestID, number policy.AttemptID) {
+func (e effects) Cancel(id policy.RequestID, attemptID policy.AttemptID) {
 	request := e.dispatcher.requests[id]
-	if request == nil || int(number) >= len(request.attempts) {
+	if request == nil || int(attemptID) >= len(request.attempts) {
 		return
 	}
-	request.attempts[number].cancel(policy.Canceled)
+	request.attempts[attemptID].cancel(policy.Canceled)
 }
 
 // Reject ends a request and promises that nothing ran.
@@ -69,13 +69,13 @@
 	e.dispatcher.requests[id].finish(Step{Action: Admit})
 }
 
-// WakeAt sets a timer for a call of Engine.HandleTimer with the same number. A number other than 0 makes
-// earlier wake-ups obsolete, except those with number 0.
-func (e effects) WakeAt(at int64, number uint64) {
-	if number != 0 {
-		e.dispatcher.latestWake = number
+// WakeAt sets a timer for a call of Engine.HandleTimer with the same id. An id other than 0 makes earlier
+// wake-ups obsolete, except those with id 0.
+func (e effects) WakeAt(at int64, id policy.TimerID) {
+	if id != 0 {
+		e.dispatcher.latestWake = id
 	}
-	e.dispatcher.timers.Push(at, timer{kind: wakeUp, number: number})
+	e.dispatcher.timers.Push(at, timer{kind: wakeUp, id: id})
 }
 
 // AddToCounter passes a call to the counter, which is flushed when the engine's call has returned.
--- a/internal/dispatch/timers.go
+++ b/internal/dispatch/timers.go
@@ -20,15 +20,15 @@
 // timer is an entry of the timer queue.
 type timer struct {
 	kind    timerKind
-	number  uint64   // of a wakeUp, as the engine gave it
-	attempt *Attempt // of the others
+	id      policy.TimerID // of a wakeUp, as the engine gave it
+	attempt *Attempt       // of the others
 }
 
 // isObsolete reports whether there is nothing left to do when the timer expires.
 func (d *Dispatcher) isObsolete(t timer) bool {
 	switch t.kind {
 	case wakeUp:
-		return t.number != 0 && t.number != d.latestWake
+		return t.id != 0 && t.id != d.latestWake
 	case startDeadline:
 		return t.attempt.state.load() != attemptWaiting
 	default:
@@ -80,7 +80,7 @@
 	}
 	switch t.kind {
 	case wakeUp:
-		d.engine.HandleTimer(d.now(), t.number)
+		d.engine.HandleTimer(d.now(), t.id)
 	case startDeadline:
 		t.attempt.cancel(policy.ConnectFailed)
 	default:
--- a/internal/estimate/estimate.go
+++ b/internal/estimate/estimate.go
@@ -3,7 +3,8 @@
 // are ready to use. Nothing here is safe for concurrent use.
 package estimate
 
-// Mean is the mean of recent measurements.
+// Mean is an exponentially weighted moving average: the plain mean of the first measurements, after which each
+// new one weighs 1/maxCount.
 type Mean struct {
 	Value float64
 	Count float64 // of the measurements behind the value
--- a/internal/lab/model/instance.go
+++ b/internal/lab/model/instance.go
@@ -8,7 +8,7 @@
 	"fawnplank/policy"
 )
 
-// instance is one gateway instance: its decisions, for which it implements policy.Effects.
+// instance is one gateway instance: its engine, for which it implements policy.Effects.
 type instance struct {
 	world       *world
 	index       int
@@ -17,7 +17,7 @@
 	engine      *policy.Engine // nil while it is down
 	inFlight    map[policy.RequestID]*submission
 	calls       map[policy.CounterKey][]*counterCall
-	timerID     uint64 // the latest, which replaced those before it
+	timerID     policy.TimerID // the latest, which replaced those before it
 }
 
 // start starts the instance with the current endpoint list.
@@ -110,12 +110,12 @@
 }
 
 // Send implements policy.Effects. The model begins every attempt at once.
-func (i *instance) Send(id policy.RequestID, to policy.BackendID, expireAt, _ int64) {
+func (i *instance) Send(id policy.RequestID, to policy.BackendID, expiresAt, _ int64) {
 	w := i.world
 	s := i.inFlight[id]
 	expireNanos := s.DeadlineNanos
-	if expireAt > 0 {
-		expireNanos = min(expireNanos, expireAt-epochNanos)
+	if expiresAt > 0 {
+		expireNanos = min(expireNanos, expiresAt-epochNanos)
 	}
 	a := &attempt{
 		submission: s,
@@ -158,7 +158,7 @@
 func (i *instance) Admit(policy.RequestID) {}
 
 // WakeAt implements policy.Effects.
-func (i *instance) WakeAt(at int64, timerID uint64) {
+func (i *instance) WakeAt(at int64, timerID policy.TimerID) {
 	if timerID != 0 {
 		i.timerID = timerID
 	}
--- a/internal/tokenbucket/tokenbucket.go
+++ b/internal/tokenbucket/tokenbucket.go
@@ -21,6 +21,7 @@
 }
 
 // Usage is a token bucket that counts the units taken and not refilled yet, so that it needs no burst.
+// In other words, it is a leaky bucket used as a meter.
 type Usage struct {
 	Units     float64
 	UpdatedAt int64 // when Units was last brought up to date
--- a/policy/admission.go
+++ b/policy/admission.go
@@ -10,7 +10,7 @@
 		return r
 	}
 	r.class, r.plan = &e.classes[spec.Class], &e.plans[spec.Plan]
-	r.tenant = e.findTenant(now, spec.Tenant, r)
+	r.tenant = e.findOrAddTenant(now, spec.Tenant, r)
 	r.objectiveAt = min(now+r.class.LatencyObjective, r.deadline)
 	if r.plan.leaverShare.Value > 0.3 { // do not send what cannot be answered before the client leaves
 		r.objectiveAt = min(r.objectiveAt, now+int64(r.plan.leaverWait.Value))
@@ -43,7 +43,7 @@
 	case limit > 0 && (r.tenant.inFlight >= limit || r.plan.Rate <= 0 && r.concurrencyReached()):
 		r.handleOverQuota(now)
 	case r.plan.Rate <= 0:
-		r.admit(now, true)
+		r.admit(now)
 	default:
 		r.askCounter(now)
 	}
@@ -77,7 +77,7 @@
 	case !r.engine.breaker.IsClosed() || !r.engine.settings.CounterEnabled:
 		r.tenant.unreported += r.units // otherwise the calls of other requests stand for it
 	}
-	r.admit(now, true)
+	r.admit(now)
 }
 
 // handleOverQuota rejects a request beyond the quota until the quota has refilled enough. Exception: where a
@@ -86,7 +86,7 @@
 	t := r.tenant
 	if r.plan.OverQuotaValue > r.plan.OverQuotaCost && !r.class.CheckOnly {
 		if b := r.engine.pickBackend(now, r, 1); b != nil && b.load() <= 1 {
-			r.admit(now, false)
+			r.forward(now)
 			return
 		}
 	}
@@ -98,11 +98,11 @@
 	r.giveUp(retryAfter)
 }
 
-func (r *Request) admit(now int64, withinQuota bool) {
-	r.withinQuota = withinQuota
-	if withinQuota && r.plan.Rate > 0 {
-		r.localQuota(now)
+func (r *Request) admit(now int64) {
+	r.withinQuota = true
+	if r.plan.Rate > 0 {
+		r.refillLocalUsage(now)
 		r.tenant.localUsage.Units += r.units
 	}
-	r.dispatch(now)
+	r.forward(now)
 }
--- a/policy/backend.go
+++ b/policy/backend.go
@@ -35,7 +35,7 @@
 // health records what a backend's failures led to.
 type health struct {
 	ejectedUntil      int64 // no attempts are sent before
-	symptoms          int   // since the last good answer
+	ejections         int   // by eject, since the last success
 	consecutiveErrors int
 }
 
@@ -64,8 +64,8 @@
 	b.lastSlowStartAt = 0
 }
 
-// findBackend returns the backend with this id, and adds it if it is not known yet.
-func (e *Engine) findBackend(id BackendID) (b *backend, found bool) {
+// findOrAddBackend returns the backend with this id, and adds it if it is not known yet.
+func (e *Engine) findOrAddBackend(id BackendID) (b *backend, found bool) {
 	b, found = e.backends[id]
 	if !found {
 		b = &backend{id: id}
--- a/policy/bench_test.go
+++ b/policy/bench_test.go
@@ -22,7 +22,7 @@
 		}
 		if id%10 == 0 {
 			e.HandleTimer(now, tickTimer)
-			e.HandleTimer(now, e.wakeups)
+			e.HandleTimer(now, e.wakeID)
 		}
 	}
 	for id := range 1000 { // until what is measured and remembered is steady
--- a/policy/breaker.go
+++ b/policy/breaker.go
@@ -11,7 +11,7 @@
 	return e.breaker.TryHalfOpen(now)
 }
 
-// recordCounterCall updates the breaker and the share of requests that call. Exception: a crowded counter
+// recordCounterCall updates the breaker and the share of requests that call. Exception: an overloaded counter
 // seldom trips the breaker: each failure takes a fifth off the share, each answer gives back a fiftieth.
 func (e *Engine) recordCounterCall(now int64, ok bool) {
 	switch {
--- a/policy/doc.go
+++ b/policy/doc.go
@@ -16,14 +16,18 @@
 // Calls of one Engine and of its requests come one at a time, in order of time: nothing here is safe for
 // concurrent use. Times and durations are int64 nanoseconds.
 //
-// # The ladder
+// # From admission to answer
 //
 // Each request is counted on a counter that all instances share, under a short wait. A breaker stops the
 // calls to a counter that fails, and the request's class then decides by its [FallbackMode]: by this
 // instance's local share of the quota, fail open or fail closed. What is admitted goes to the first backend
 // of a ranked order that is below its concurrency limit. Only Request.sendAttempt sends, and only
-// Request.giveUp, Request.HandleAttemptResult, Request.HandleClientGone and Request.dispatch finish a
-// request.
+// Request.abortUnknown, Request.giveUp, Request.HandleAttemptResult, Request.HandleClientGone and
+// Request.forward finish a request.
+//
+// Comments that say "rule 1" to "rule 5" mean the rules that package internal/lab/invariants checks: one
+// final answer (1), nothing that must not runs twice (2), no attempt to a backend that has drained (3), no
+// overload of a backend that warms up (4), and no admission beyond a hard quota (5).
 //
 // Comments that say "the post" mean the article that the design follows, "Fail open or fail closed? What your
 // rate limiter does when Redis dies" (ReqKey); docs/design.md says where the design departs from it.
--- a/policy/effects.go
+++ b/policy/effects.go
@@ -2,9 +2,9 @@
 
 // Effects carries out the decisions. Every call takes effect at once; none calls back into the Engine.
 type Effects interface {
-	// Send sends an attempt, which ends as TimedOut at the time expireAt (0: when the client gives up). An
-	// attempt that waits for its connection must not begin at beginBefore or later.
-	Send(id RequestID, backend BackendID, expireAt, beginBefore int64)
+	// Send sends an attempt, which ends as TimedOut at the time expiresAt (0: when the client gives up). An
+	// attempt that waits for its connection must not start at startBefore or later.
+	Send(id RequestID, backend BackendID, expiresAt, startBefore int64)
 	// Cancel cancels an attempt.
 	Cancel(id RequestID, attempt AttemptID)
 	// Reject gives the final answer that a retry is harmless, after retryAfter if that is above 0.
@@ -16,7 +16,7 @@
 	Admit(id RequestID)
 	// WakeAt asks for a call of Engine.HandleTimer with the same timer at the time at or soon after. A timer
 	// above 0 replaces all of those before it; a call for one that was replaced does nothing.
-	WakeAt(at int64, timer uint64)
+	WakeAt(at int64, timer TimerID)
 	// AddToCounter adds units to a count that all instances share; Engine.HandleCounterResult brings the answer.
 	AddToCounter(key CounterKey, units float64, lifetime int64)
 	// CheckHealth checks a backend; Engine.HandleHealthCheck brings the answer.
--- a/policy/endpoints.go
+++ b/policy/endpoints.go
@@ -27,7 +27,7 @@
 		e.markAllGone()
 	}
 	for _, endpoint := range list {
-		b, found := e.findBackend(endpoint.Backend)
+		b, found := e.findOrAddBackend(endpoint.Backend)
 		if !found { // a random due time, so that instances do not all begin with the same new backend
 			b.lastSentAt = now - int64(e.random.Float64()*10*float64(second))
 		}
@@ -41,7 +41,7 @@
 }
 
 // retryWatch delays the call after a failure at random and, where asking is work, longer each time: otherwise
-// the instances fill the queue of a crowded discovery with calls that it answers too late, and none ever gets
+// the instances fill the queue of overloaded discovery with calls answered too late, and none ever gets
 // an answer. At most four seconds, since changes are due in six, whatever failed.
 func (e *Engine) retryWatch(now int64) {
 	delay := int64((1 + e.random.Float64()) / 2 * float64(e.retryDelay))
--- a/policy/fleet_test.go
+++ b/policy/fleet_test.go
@@ -105,7 +105,7 @@
 	done        bool
 }
 
-func (i *incarnation) Send(id RequestID, b BackendID, expireAt, _ int64) { // no request has a key
+func (i *incarnation) Send(id RequestID, b BackendID, expiresAt, _ int64) { // no request has a key
 	f, request := i.fleet, i.open[id]
 	attempt := &fleetAttempt{
 		incarnation: i,
@@ -125,8 +125,8 @@
 		begins += f.random.Int64N(250 * millisecond)
 	}
 	f.at(begins, func() { f.begin(attempt) })
-	if expireAt > 0 {
-		f.at(expireAt, func() { f.endAttempt(attempt, TimedOut) })
+	if expiresAt > 0 {
+		f.at(expiresAt, func() { f.endAttempt(attempt, TimedOut) })
 	}
 }
 
@@ -135,7 +135,7 @@
 	i.fleet.at(i.fleet.now, func() { i.fleet.endAttempt(attempt, Canceled) })
 }
 
-func (i *incarnation) WakeAt(at int64, timer uint64) {
+func (i *incarnation) WakeAt(at int64, timer TimerID) {
 	i.fleet.at(at, func() {
 		if !i.dead {
 			i.engine.HandleTimer(i.fleet.now, timer)
--- a/policy/golden_instance_test.go
+++ b/policy/golden_instance_test.go
@@ -154,9 +154,9 @@
 		uint64(timeouts.RetryDelay))
 }
 
-func (in *goldenInstance) Send(id policy.RequestID, b policy.BackendID, expireAt, beginBefore int64) {
+func (in *goldenInstance) Send(id policy.RequestID, b policy.BackendID, expiresAt, startBefore int64) {
 	w := in.world
-	w.effect(codeSend, in.number, uint64(id), uint64(b), uint64(expireAt), uint64(beginBefore))
+	w.effect(codeSend, in.number, uint64(id), uint64(b), uint64(expiresAt), uint64(startBefore))
 	r := in.open[id]
 	a := &goldenAttempt{request: r, number: len(r.attempts), sent: w.now, to: &goldenBackend{refuses: 1}}
 	for _, x := range w.backends {
@@ -166,8 +166,8 @@
 	}
 	r.attempts = append(r.attempts, a)
 	until := r.deadline
-	if expireAt > 0 {
-		until = min(until, expireAt)
+	if expiresAt > 0 {
+		until = min(until, expiresAt)
 	}
 	in.afterIfRunning(until-w.now, func() {
 		if !a.started {
@@ -235,7 +235,7 @@
 		r.ended = true
 	}
 	result := policy.AttemptResult{Attempt: policy.AttemptID(a.number), Outcome: o, Elapsed: w.now - a.sent,
-		RequestDone: r.ended, TrueUnits: units}
+		RequestDone: r.ended, ActualUnits: units}
 	r.handle.HandleAttemptResult(w.now, result)
 	r.finished()
 	if w.happens(0.01) { // twice, and one that was never sent
@@ -266,9 +266,9 @@
 	in.open[id].ended = true
 }
 
-func (in *goldenInstance) WakeAt(at int64, timer uint64) {
+func (in *goldenInstance) WakeAt(at int64, timer policy.TimerID) {
 	w := in.world
-	w.effect(codeTimer, in.number, uint64(at), timer)
+	w.effect(codeTimer, in.number, uint64(at), uint64(timer))
 	early := int64(0)
 	if timer > 0 && w.happens(0.02) { // a coarse clock wakes a little early
 		early = goldenMillisecond / 10
--- a/policy/harness_test.go
+++ b/policy/harness_test.go
@@ -32,7 +32,7 @@
 
 type wakeup struct {
 	at    int64
-	timer uint64
+	timer TimerID
 }
 
 type counterAdd struct {
@@ -58,8 +58,8 @@
 type clientAttempt struct {
 	endpoint    Endpoint
 	sentAt      int64
-	expireAt    int64
-	beginBefore int64
+	expiresAt   int64
+	startBefore int64
 	inFlight    bool
 	mayHaveRun  bool
 }
@@ -140,8 +140,8 @@
 	h.log = append(h.log, fmt.Sprintf("%d ", h.now)+fmt.Sprintf(format, args...))
 }
 
-func (h *harness) Send(id RequestID, b BackendID, expireAt, beginBefore int64) {
-	h.record("send %d to %d until %d", id, b, expireAt)
+func (h *harness) Send(id RequestID, b BackendID, expiresAt, startBefore int64) {
+	h.record("send %d to %d until %d", id, b, expiresAt)
 	request, endpoint := h.requests[id], h.endpoints[b]
 	if request.ended != "" || request.streamed || h.now >= request.deadline {
 		h.t.Errorf("rule 1: attempt for %d, which is over (%q)", id, request.ended)
@@ -156,8 +156,8 @@
 	request.attempts = append(request.attempts, clientAttempt{
 		endpoint:    endpoint,
 		sentAt:      h.now,
-		expireAt:    expireAt,
-		beginBefore: beginBefore,
+		expiresAt:   expiresAt,
+		startBefore: startBefore,
 		inFlight:    true,
 		mayHaveRun:  true,
 	})
@@ -223,7 +223,7 @@
 }
 
 func (h *harness) Cancel(id RequestID, attempt AttemptID) { h.record("cancel %d of %d", attempt, id) }
-func (h *harness) WakeAt(at int64, timer uint64)          { h.wakes = append(h.wakes, wakeup{at, timer}) }
+func (h *harness) WakeAt(at int64, timer TimerID)         { h.wakes = append(h.wakes, wakeup{at, timer}) }
 func (h *harness) CheckHealth(b BackendID)                { h.healthChecks = append(h.healthChecks, b) }
 func (h *harness) WatchEndpoints()                        { h.watches++ }
 func (h *harness) Log(text string)                        { h.record("%s", text) }
@@ -385,7 +385,7 @@
 	for _, id := range h.order {
 		request := h.requests[id]
 		for n, attempt := range request.attempts {
-			expired := h.now >= request.deadline || attempt.expireAt > 0 && h.now >= attempt.expireAt
+			expired := h.now >= request.deadline || attempt.expiresAt > 0 && h.now >= attempt.expiresAt
 			if attempt.inFlight && !request.streamed && expired {
 				h.endAttempt(request, n, TimedOut)
 			}
@@ -401,7 +401,7 @@
 func (*idleEffects) Reject(RequestID, int64)                           {}
 func (*idleEffects) Abort(RequestID)                                   {}
 func (*idleEffects) Admit(RequestID)                                   {}
-func (*idleEffects) WakeAt(int64, uint64)                              {}
+func (*idleEffects) WakeAt(int64, TimerID)                             {}
 func (e *idleEffects) AddToCounter(key CounterKey, _ float64, _ int64) { e.key = key }
 func (*idleEffects) CheckHealth(BackendID)                             {}
 func (*idleEffects) WatchEndpoints()                                   {}
--- a/policy/latency.go
+++ b/policy/latency.go
@@ -6,9 +6,9 @@
 func (e *Engine) baselineKnown() bool { return e.baselineLatency.Count >= baselineSamples/2 }
 
 func (e *Engine) updateThroughput() {
-	e.throughput += 0.1 * (e.answersSinceTick*10 - e.throughput) // over about a second
+	e.throughput += 0.1 * (e.answersSinceTick*float64(second/tickInterval) - e.throughput) // over about a second
 	e.answersSinceTick = 0
-	// A backend's answers over ten seconds, and their peak, which a jam does not lower. Likewise its capacity.
+	// A backend's answers over ten seconds, and their peak, that overload does not lower. Likewise its capacity.
 	perBackend := e.throughput * float64(max(e.settings.Instances, 1)) / max(e.effectiveBackends, 1)
 	e.backendThroughput += 0.01 * (perBackend - e.backendThroughput)
 	e.peakBackendThroughput = max(e.peakBackendThroughput*0.999, e.backendThroughput)
@@ -31,8 +31,8 @@
 }
 
 // fadeMeasurements forgets a single backend in five seconds, and clients that leave in ten. An instance that
-// took a jam for permanent would stop sending and measuring. With attempts in flight it does measure: silence
-// is the jam then. Forgetting stops at the baseline (at a fifth of the latency objective if the jam came
+// took overload for lasting would not send or measure. With attempts in flight it does measure: silence
+// is overload then. Forgetting stops at the baseline (at a fifth of the latency objective if overload came
 // first: that always finds capacity): else all would look fast in the end, and late answers stalled.
 func (e *Engine) fadeMeasurements(now int64) {
 	fade := 0.98
--- a/policy/local_share.go
+++ b/policy/local_share.go
@@ -12,11 +12,11 @@
 	if reached := r.concurrencyReached(); reached || mode != LocalShare {
 		return mode == FailOpen && !reached
 	}
-	if quota := r.localQuota(now); r.tenant.localUsage.Units+r.units > quota+roundingTolerance {
+	if quota := r.refillLocalUsage(now); r.tenant.localUsage.Units+r.units > quota+roundingTolerance {
 		return false
 	}
-	// Where backends are pressed, counted requests go first: an uncounted one may be beyond the quota, which
-	// costs its value even if nobody answers it. Six tenths: big days lose at a half, and a jam comes above.
+	// Where backends are busy, counted requests go first: an uncounted one may be beyond the quota, which
+	// costs its value even if nobody answers it. 0.6: with 0.5 busy days lose value, above 0.6 overload comes.
 	// Behind an open breaker nothing is counted, so nothing has to go first.
 	counted := e.settings.CounterEnabled && e.breaker.IsClosed()
 	if counted && !r.class.CheckOnly && e.pickBackend(now, r, 0.6) == nil {
@@ -37,10 +37,10 @@
 	return r.tenant.admittedShare.Blend((1+r.plan.admittedShare.Blend(share, 1))/2, 1)
 }
 
-// localQuota returns the local share of a window, at least the request's units, and refills the local usage.
+// refillLocalUsage refills the local usage and returns the share of a window, at least the request's units.
 // Few requests spread unevenly over many instances: a share below one request refills the faster the less a
 // unit beyond the quota costs, 2.5 times as fast where it costs the full value.
-func (r *Request) localQuota(now int64) float64 {
+func (r *Request) refillLocalUsage(now int64) float64 {
 	share := r.tenant.trafficShare(r.entryPoints)
 	rate, quota := r.plan.Rate*share, r.plan.quota*share
 	if quota+roundingTolerance < r.units {
--- a/policy/quota.go
+++ b/policy/quota.go
@@ -64,7 +64,7 @@
 	default:
 		r.waitingForCounter = true
 		t.waiting++
-		// A crowded counter gets calls for some requests only: each also counts the others likely admitted.
+		// An overloaded counter gets calls for some requests only: each also counts the others likely admitted.
 		others := (1/max(e.callShare, 0.2) - 1) * r.admitChance()
 		call := e.count(now, t, r, r.units*(1+others), t.unreported)
 		t.unreported = 0
@@ -153,7 +153,7 @@
 // in an order set by the window, each only if those before did not: two at once would shut the tenant out.
 func (r *Request) claimLostUnits(now int64) float64 {
 	w := &r.tenant.window
-	if w.lostUnits <= r.plan.quota/8 { // an eighth: a call for each small step would crowd the counter
+	if w.lostUnits <= r.plan.quota/8 { // an eighth: a call for each small step would overload the counter
 		w.lostSince = 0
 	} else if w.lostSince == 0 {
 		w.lostSince = now
--- a/policy/request.go
+++ b/policy/request.go
@@ -124,10 +124,10 @@
 
 // correctUnits charges what a request within the quota really counted, where that is known only afterwards.
 func (r *Request) correctUnits(result *AttemptResult) {
-	known := r.engine.settings.PostPaid && result.TrueUnits > 0
+	known := r.engine.settings.PostPaid && result.ActualUnits > 0
 	if known && result.Outcome == Succeeded && r.withinQuota {
-		r.tenant.unreported += result.TrueUnits - r.units // reported with the next call
-		r.tenant.localUsage.Units += result.TrueUnits - r.units
+		r.tenant.unreported += result.ActualUnits - r.units // reported with the next call
+		r.tenant.localUsage.Units += result.ActualUnits - r.units
 	}
 }
 
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -2,8 +2,8 @@
 
 import "slices"
 
-// dispatch sends an attempt to the best backend, or gives up: the client may find capacity elsewhere.
-func (r *Request) dispatch(now int64) {
+// forward sends an attempt to the best backend, or gives up: the client may find capacity elsewhere.
+func (r *Request) forward(now int64) {
 	if r.class.CheckOnly {
 		r.withinQuota, r.hardQuotaUnits = false, 0 // nothing is sent, and what was counted stays
 		r.finish()
@@ -52,7 +52,7 @@
 }
 
 // attemptTimeout returns how long an attempt may take until it is overdue: few take five times the usual for
-// their units, and a jam must show by seven tenths of the latency objective.
+// their units, and overload must show by seven tenths of the latency objective.
 func (r *Request) attemptTimeout() int64 {
 	e, objective := r.engine, r.class.LatencyObjective
 	timeout := max(int64(5*e.latency.Value*e.relativeCost(r.units)), objective*4/10)
@@ -66,14 +66,14 @@
 	}
 	e, s, id := r.engine, &r.engine.settings, len(r.attempts)
 	// A connection may come up late: the backend may have forgotten an earlier attempt's key by then.
-	beginBefore := min(r.deadline, r.keyKnownUntil())
+	startBefore := min(r.deadline, r.keyKnownUntil())
 	a := r.addAttempt(now, b)
-	timeout, expireAt := r.attemptTimeout(), int64(0)
+	timeout, expiresAt := r.attemptTimeout(), int64(0)
 	if !s.Hedging && !s.Cancellation && r.class.Idempotency != NonIdempotent && len(r.attempts) < s.MaxAttempts {
 		// Only a timeout lets another attempt follow here; beyond seven tenths too little time is left for one.
-		expireAt = now + timeout
+		expiresAt = now + timeout
 	}
-	e.effects.Send(r.id, b.id, expireAt, beginBefore)
+	e.effects.Send(r.id, b.id, expiresAt, startBefore)
 	e.schedule(now+timeout, &a.inFlight, func(now int64) { r.handleOverdue(now, id) })
 	return true
 }
@@ -88,7 +88,7 @@
 		return
 	}
 	elapsed := float64(now - a.sentAt)
-	// The elapsed time shows a jam before its answers come.
+	// The elapsed time shows overload before its answers come.
 	e.measure(a.backend, elapsed/e.relativeCost(r.units), a.concurrency)
 	if a.backend.lastAnswerAt > a.sentAt || elapsed < 5*usual {
 		return
@@ -121,7 +121,7 @@
 	case result.Outcome == NotSent || r.responseStarted || now >= r.lastUsefulSend():
 		r.giveUp(r.class.LatencyObjective / 8)
 	default:
-		r.dispatch(now)
+		r.forward(now)
 	}
 	if t.hasStaleInFlight(now) && e.breaker.IsClosed() && e.mayCallCounter(now) {
 		e.count(now, t, nil, 0, 0)
@@ -140,8 +140,8 @@
 	r.finish()
 }
 
-// giveUp is the only place that gives a final answer without a success: a rejection, with the time to come
-// back after, where it can promise that a retry does no harm; otherwise an abort.
+// giveUp gives the final answer when no attempt succeeded: a rejection, with the time to come back after, if
+// that can promise that a retry does no harm; otherwise an abort. Only abortUnknown answers so too.
 func (r *Request) giveUp(retryAfter int64) {
 	if r.finished {
 		return
--- a/policy/selection.go
+++ b/policy/selection.go
@@ -60,7 +60,7 @@
 	var best *backend
 	minLoad := math.Inf(1)
 	for _, b := range e.ranked {
-		ejected := now < b.health.ejectedUntil || b.health.symptoms > 0 && b.inFlight > 0
+		ejected := now < b.health.ejectedUntil || b.health.ejections > 0 && b.inFlight > 0
 		if ejected || !r.mayAttempt(now, b) || b.likelyLatency() > budget {
 			continue
 		}
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -15,7 +15,7 @@
 	MaxRetryAfter  int64
 	CounterEnabled bool // the instances share a counter
 	CounterTimeout int64
-	PostPaid       bool // a request's true units are known only after it
+	PostPaid       bool // a request's actual units are known only after it
 	PollEndpoints  bool // the endpoint list comes only on demand
 	PollTimeout    int64
 	DrainGrace     int64 // how long after a drain was announced attempts may still begin at the backend
--- a/policy/slow_start.go
+++ b/policy/slow_start.go
@@ -15,11 +15,11 @@
 // slowStartRate returns how many attempts per nanosecond all instances may send to a backend once it is warm.
 func (r *Request) slowStartRate(b *backend) float64 {
 	e := r.engine
-	work := float64(r.class.LatencyObjective) / 2 // nothing measured yet: few objectives are tighter
+	serviceTime := float64(r.class.LatencyObjective) / 2 // nothing measured yet: few objectives are tighter
 	if e.baselineKnown() {
-		work = e.baselineLatency.Value * 1.5
+		serviceTime = e.baselineLatency.Value * 1.5
 	}
-	rate := e.settings.OverloadMultiple / 3 * max(1/max(work, 1), e.peakBackendThroughput/float64(second))
+	rate := e.settings.OverloadMultiple / 3 * max(1/max(serviceTime, 1), e.peakBackendThroughput/float64(second))
 	return rate * min(b.capacity/e.meanCapacity, 1)
 }
 
--- a/policy/state.go
+++ b/policy/state.go
@@ -39,9 +39,9 @@
 	random    *pcg.Source
 	startedAt int64
 
-	timers  timerqueue.Queue[timer]
-	wakeAt  int64  // the earliest wake that was asked for; 0: none
-	wakeups uint64 // its number
+	timers timerqueue.Queue[timer]
+	wakeAt int64   // the earliest wake that was asked for; 0: none
+	wakeID TimerID // its id
 
 	backends     map[BackendID]*backend
 	endpoints    []*backend // the same, in the order in which they were first listed
@@ -49,7 +49,7 @@
 	tenants      map[TenantID]*tenant
 	pendingCalls pendingCalls
 	breaker      circuitbreaker.Breaker // of the calls to the counter
-	callShare    float64                // of the requests that call, while a crowded counter answers some
+	callShare    float64                // of the requests that call, while an overloaded counter answers some
 	retryDelay   int64                  // longest wait before the list is asked for after a failure
 
 	latency         estimate.Mean       // of the backends together
--- a/policy/tenant.go
+++ b/policy/tenant.go
@@ -27,8 +27,9 @@
 	hardQuota     tokenbucket.Bucket // this instance's part of the hard quota
 }
 
-// findTenant returns the request's tenant, with its window rolled over to now.
-func (e *Engine) findTenant(now int64, id TenantID, r *Request) *tenant {
+// findOrAddTenant returns the request's tenant, with its window rolled over to now, and adds it if it is not
+// known yet. A change of plan starts its count anew.
+func (e *Engine) findOrAddTenant(now int64, id TenantID, r *Request) *tenant {
 	t := e.tenants[id]
 	if t == nil {
 		t = &tenant{id: id, plan: r.plan}
@@ -80,16 +81,16 @@
 // windowEnd returns when the tenant's current window ends.
 func (t *tenant) windowEnd() int64 { return t.window.start + t.plan.window }
 
-// tenantOffset keeps the offsets of tenants apart from other hashes of their ids.
-const tenantOffset = 0x9e3779b97f4a7c15
+// tenantSalt keeps the hashes behind the windows apart from other hashes of tenant ids.
+const tenantSalt = 0x9e3779b97f4a7c15
 
 // windowAt returns an empty window that holds now. Each tenant's windows start at an offset of their own, so
 // that clients that were rejected together spread out. A count that holds attempts too has a separate key,
 // since instances that do not report attempts could not read it.
 func (t *tenant) windowAt(now int64) quotaWindow {
-	own := hash64.Mix(uint64(t.id) + tenantOffset)
-	window := quotawindow.At(now, t.plan.window, own)
-	key := hash64.Mix(own + window.Index + uint64(t.plan.concurrencyUnit))
+	hash := hash64.Mix(uint64(t.id) + tenantSalt)
+	window := quotawindow.At(now, t.plan.window, hash)
+	key := hash64.Mix(hash + window.Index + uint64(t.plan.concurrencyUnit))
 	return quotaWindow{start: window.Start, key: CounterKey(key)}
 }
 
--- a/policy/types.go
+++ b/policy/types.go
@@ -22,6 +22,9 @@
 	GroupID uint16
 	// AttemptID numbers a request's attempts from 0 in the order in which they were sent.
 	AttemptID uint8
+	// TimerID numbers the wake-ups that the Engine asks for; a new one replaces those before it. 0 is the
+	// periodic one.
+	TimerID uint64
 )
 
 // Outcome is how an attempt, a health check or a call to the counter ended.
@@ -154,6 +157,6 @@
 	Elapsed int64
 	// RequestDone says that the client has its answer: no other attempt can follow.
 	RequestDone bool
-	// TrueUnits is what the request really counted, if that is known only afterwards; otherwise 0.
-	TrueUnits float64
+	// ActualUnits is what the request really counted, if that is known only afterwards; otherwise 0.
+	ActualUnits float64
 }
