--- a/cmd/fawnplank/serve.go
+++ b/cmd/fawnplank/serve.go
@@ -146,7 +146,7 @@
 	if g.configuration.ManagementAddress == "" {
 		return 0
 	}
-	return admin.ConnectionLimit(g.configuration.MaxSockets)
+	return admin.CallLimit(g.configuration.MaxSockets)
 }
 
 // maxConnections returns how many descriptors clients may use. Backends may use the same number again, so
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -49,15 +49,15 @@
 	maxHeaderBytes = 8 << 10
 )
 
-// ConnectionLimit returns how many calls may be open at once if the process may open maxSockets descriptors.
+// CallLimit returns how many calls may be open at once if the process may open maxSockets descriptors.
 // The owner of the descriptors reserves this number.
-func ConnectionLimit(maxSockets int) int { return min(maxCalls, maxSockets/descriptorsPerCall) }
+func CallLimit(maxSockets int) int { return min(maxCalls, maxSockets/descriptorsPerCall) }
 
 // Options configures a Server. All fields are required.
 type Options struct {
 	Address  string // host and port to listen on
 	Gateway  Gateway
-	MaxCalls int // open at once; see ConnectionLimit
+	MaxCalls int // open at once; see CallLimit
 }
 
 // Server serves the management address.
--- a/internal/backend/connection.go
+++ b/internal/backend/connection.go
@@ -15,23 +15,23 @@
 )
 
 const (
-	// plainBufferBytes is the size of the buffer that each reader keeps. For a larger answer the reader uses a
+	// plainBufferBytes is the size of the buffer that each reader keeps. For a larger response the reader uses a
 	// larger buffer temporarily.
 	plainBufferBytes = 4 << 10
-	// unbudgetedBytes is how large a buffer may grow without taking memory from the budget: an answer with a
+	// maxUnbudgetedBytes is how large a buffer may grow without taking memory from the budget: a response with a
 	// value of the protocol's 64 KiB.
-	unbudgetedBytes = 68 << 10
-	// pieceTimeout is how long a reader waits for memory for a large answer, and for each further piece of the
-	// answer to an attempt that was given up. It is the longest deadline on the operators' page. While the
+	maxUnbudgetedBytes = 68 << 10
+	// pieceTimeout is how long a reader waits for memory for a large response, and for each further piece of the
+	// response to an attempt that was given up. It is the longest deadline on the operators' page. While the
 	// reader waits for memory, it does not read the connection.
 	pieceTimeout = 3 * time.Second
-	// maxDrainTime bounds the total time for reading the answer to an attempt that was given up: an endless
-	// answer that arrives a few bytes at a time would hold its connection forever. It is ten times the longest
+	// maxDrainTime bounds the total time for reading the response to an attempt that was given up: an endless
+	// response that arrives a few bytes at a time would hold its connection forever. It is ten times the longest
 	// wait for a piece.
 	maxDrainTime = 10 * pieceTimeout
-	// neverIdle is the idleBefore of a connection that was not idle before its attempt, or whose attempt is
+	// noIdleTime is the idleBefore of a connection that was not idle before its attempt, or whose attempt is
 	// already counted.
-	neverIdle = -1
+	noIdleTime = -1
 )
 
 // connState is what a connection is currently used for.
@@ -48,10 +48,10 @@
 	stateWriting
 	// stateAwaitingResponse: the attempt is completely written. The reader reports the result.
 	stateAwaitingResponse
-	// stateAnsweredEarly: the answer arrived before the writer was done. The connection becomes idle when the
+	// stateRespondedEarly: the response arrived before the writer was done. The connection becomes idle when the
 	// writer is done.
-	stateAnsweredEarly
-	// stateAbandoned: the attempt was given up. The reader discards whatever arrives of its answer, then closes
+	stateRespondedEarly
+	// stateAbandoned: the attempt was given up. The reader discards whatever arrives of its response, then closes
 	// the connection.
 	stateAbandoned
 	// stateClosedInWrite: the connection was closed while an attempt was being written. The writer still reports
@@ -64,7 +64,7 @@
 func (s connState) String() string {
 	names := [...]string{
 		stateReserved: "reserved", stateIdle: "idle", stateWriting: "writing",
-		stateAwaitingResponse: "awaiting response", stateAnsweredEarly: "answered early",
+		stateAwaitingResponse: "awaiting response", stateRespondedEarly: "responded early",
 		stateAbandoned: "abandoned", stateClosedInWrite: "closed in write", stateClosed: "closed",
 	}
 	if int(s) < len(names) {
@@ -76,15 +76,15 @@
 // isClosed reports whether the connection has ended. The only state that can follow is stateClosed.
 func (s connState) isClosed() bool { return s == stateClosedInWrite || s == stateClosed }
 
-// afterAnswer says what becomes of a connection after an answer.
-type afterAnswer uint8
+// afterResponse says what becomes of a connection after a response.
+type afterResponse uint8
 
 const (
-	connectionReusable afterAnswer = iota // it may carry another attempt
-	connectionEnds                        // its reader closes it
+	connectionReusable afterResponse = iota // it may carry another attempt
+	connectionEnds                          // its reader closes it
 )
 
-func (a afterAnswer) String() string {
+func (a afterResponse) String() string {
 	if a == connectionReusable {
 		return "reusable"
 	}
@@ -104,10 +104,10 @@
 	state      connState
 	attempt    *dispatch.Attempt // carried by the connection, and not reported yet
 	lastUsed   time.Time         // when the connection last became idle
-	idleBefore time.Duration     // how long the connection was idle before the attempt, or neverIdle
+	idleBefore time.Duration     // how long the connection was idle before the attempt, or noIdleTime
 
 	// abandoned is set together with stateAbandoned, for the reader, which takes no lock between two pieces of
-	// an answer. drainDeadline is the time by which the whole answer must then have arrived; it is set before
+	// a response. drainDeadline is the time by which the whole response must then have arrived; it is set before
 	// abandoned.
 	abandoned     atomic.Bool
 	drainDeadline time.Time
@@ -118,7 +118,7 @@
 
 var _ dispatch.AttemptConn = (*conn)(nil)
 
-// write writes an attempt, unless it was canceled. It also handles a connection that ends, or an answer that
+// write writes an attempt, unless it was canceled. It also handles a connection that ends, or a response that
 // arrives, before the writing is done: nothing ran before the last byte was written.
 func (c *conn) write(attempt *dispatch.Attempt, command [][]byte) {
 	begun, err := c.beginWrite(attempt)
@@ -169,7 +169,7 @@
 	if !isComplete { // answered before it was written: the next command would follow half a command
 		c.close()
 	}
-	if c.state == stateAnsweredEarly {
+	if c.state == stateRespondedEarly {
 		c.makeIdle()
 	}
 	if c.attempt != attempt { // answered in the meantime
@@ -207,7 +207,7 @@
 	if c.state.isClosed() { // its reader ended without a report: there is nothing left to read
 		return false
 	}
-	// Do not cut off an answer that the backend is sending or about to send: the operators count a long answer
+	// Do not cut off a response that the backend is sending or about to send: the operators count a long response
 	// that is cut off as a lost request. The reader reads and discards what arrives, then ends the connection;
 	// it waits at most pieceTimeout for each piece. The cost: the connection and its memory are held longer, and
 	// a backend that answers nothing holds them for pieceTimeout.
@@ -227,7 +227,7 @@
 func (c *conn) recordIdle(outcome idleOutcome) {
 	if c.idleBefore >= 0 {
 		c.pool.idleStats.record(c.idleBefore, outcome)
-		c.idleBefore = neverIdle
+		c.idleBefore = noIdleTime
 	}
 }
 
@@ -263,7 +263,7 @@
 	_ = c.socket.Close() // there is nobody to report the error to
 }
 
-// read is the reader goroutine: it reads answers until the connection ends.
+// read is the reader goroutine: it reads responses until the connection ends.
 func (c *conn) read() {
 	defer close(c.readEnded)
 	defer recoverPanic()
@@ -292,7 +292,7 @@
 			}
 		case r.size > 0:
 			after := connectionReusable
-			if r.size < filled { // bytes behind the answer belong to no attempt: only the answer is valid
+			if r.size < filled { // bytes behind the response belong to no attempt: only the response is valid
 				after = connectionEnds
 			}
 			buffer, r.value = c.detachValue(buffer, r.value)
@@ -312,7 +312,7 @@
 	c.close()
 }
 
-// awaitNextPiece sets the deadline for the next piece of an answer that nobody wants.
+// awaitNextPiece sets the deadline for the next piece of a response that nobody wants.
 func (c *conn) awaitNextPiece() {
 	deadline := time.Now().Add(pieceTimeout)
 	if c.drainDeadline.Before(deadline) {
@@ -321,8 +321,8 @@
 	_ = c.socket.SetReadDeadline(deadline) // fails only if the connection has ended, which the next read reports
 }
 
-// growBuffer returns a buffer that contains the bytes in buffer and has the size that the answer will have
-// according to those bytes. It returns buffer itself if the answer would be too large or if no memory came
+// growBuffer returns a buffer that contains the bytes in buffer and has the size that the response will have
+// according to those bytes. It returns buffer itself if the response would be too large or if no memory came
 // free for it in time.
 func (c *conn) growBuffer(buffer []byte) []byte {
 	// Both are valid: parseResponse refuses a length that is not, before the buffer is full.
@@ -333,7 +333,7 @@
 	if size <= len(buffer) {
 		return buffer
 	}
-	if missingBytes := int64(max(size-unbudgetedBytes, 0)) - c.budgetedBytes; missingBytes > 0 {
+	if missingBytes := int64(max(size-maxUnbudgetedBytes, 0)) - c.budgetedBytes; missingBytes > 0 {
 		acquired, ok := c.pool.budget.Acquire(missingBytes, time.Now().Add(pieceTimeout))
 		if !ok {
 			return buffer
@@ -359,8 +359,8 @@
 	c.budgetedBytes = 0
 }
 
-// handleResponse ends the attempt with its answer. It returns whether there was an attempt for the answer.
-func (c *conn) handleResponse(r response, err error, after afterAnswer) bool {
+// handleResponse ends the attempt with its response. It returns whether there was an attempt for the response.
+func (c *conn) handleResponse(r response, err error, after afterResponse) bool {
 	attempt := c.endAttempt(after)
 	if attempt == nil {
 		return false
@@ -371,7 +371,7 @@
 
 // endAttempt removes the answered attempt from the connection, and makes the connection idle if it is
 // reusable.
-func (c *conn) endAttempt(after afterAnswer) *dispatch.Attempt {
+func (c *conn) endAttempt(after afterResponse) *dispatch.Attempt {
 	c.pool.mu.Lock()
 	defer c.pool.mu.Unlock()
 	attempt := c.attempt
@@ -387,7 +387,7 @@
 	}
 	c.socket.MarkConsumed()
 	if wasWriting {
-		c.state = stateAnsweredEarly
+		c.state = stateRespondedEarly
 	} else {
 		c.makeIdle()
 	}
--- a/internal/backend/connection_test.go
+++ b/internal/backend/connection_test.go
@@ -179,7 +179,7 @@
 	head := append([]byte(start), make([]byte, plainBufferBytes-len(start))...)
 	size := len(start) + 1000000 + maxLineBytes // the head of the answer, its value, and a line
 	var holders []*conn
-	for len(holders) < maxBytes/(size-unbudgetedBytes) {
+	for len(holders) < maxBytes/(size-maxUnbudgetedBytes) {
 		c := &conn{pool: p}
 		buffer := c.growBuffer(head)
 		if len(buffer) == len(head) {
@@ -207,7 +207,7 @@
 	for _, c := range holders[1:] {
 		c.releaseBudget()
 	}
-	if _, ok := p.budget.Acquire(int64(maxBytes-(size-unbudgetedBytes)), time.Now()); !ok {
+	if _, ok := p.budget.Acquire(int64(maxBytes-(size-maxUnbudgetedBytes)), time.Now()); !ok {
 		t.Error("memory is still held")
 	}
 }
--- a/internal/backend/pool.go
+++ b/internal/backend/pool.go
@@ -24,8 +24,8 @@
 const logComponent = "backend"
 
 // minIdle is how long a connection must be idle before it is used again. According to the operators, a second
-// answer to one attempt may arrive some milliseconds late; the next attempt on that connection would take it
-// for its own answer.
+// response to one attempt may arrive some milliseconds late; the next attempt on that connection would take it
+// for its own response.
 const minIdle = 10 * time.Millisecond
 
 var (
@@ -38,13 +38,14 @@
 	// MaxConnections bounds the total number of connections to all backends, including those of health checks.
 	// If it is 0, no connection is opened.
 	MaxConnections int
-	// ConnectTimeout bounds the time to establish a connection, and the time of a whole health check. 0 means no
-	// bound for connections, and makes every health check fail.
+	// ConnectTimeout bounds the time to establish a connection, and the time of a whole health check. It must
+	// be above 0: with 0, a connection to a backend with a single address has no bound, and every other
+	// connection and every health check fails.
 	ConnectTimeout time.Duration
 	// IdleTimeout is the time after which backends close an idle connection. The pool closes it after half that
 	// time, so that no attempt uses a connection that is being closed. If it is 0, no connection is reused.
 	IdleTimeout time.Duration
-	// Budget bounds the memory for large answers over all connections. Nil means no bound.
+	// Budget bounds the memory for large responses over all connections. Nil means no bound.
 	Budget *membudget.Budget
 	// Metrics counts the attempts that were written completely. Nil counts none.
 	Metrics *metrics.Registry
@@ -105,7 +106,7 @@
 // not be called with a lock held that Attempt.Report or Options.HandleHealthCheck takes.
 //
 // Attempts already sent continue, and their connections end with them. Close does not wait for these, and the
-// process that ends next would lose their answers, so it is called after every client has been answered.
+// process that ends next would lose their responses, so it is called after every client has been answered.
 func (p *Pool) Close() {
 	for _, idle := range p.stop() {
 		<-idle.readEnded
@@ -264,7 +265,7 @@
 }
 
 // Send sends an attempt. command holds the parts of its command, which must not change until the attempt has
-// ended. Send does not wait for a connection or an answer; the result is reported with Attempt.Report.
+// ended. Send does not wait for a connection or a response; the result is reported with Attempt.Report.
 func (p *Pool) Send(attempt *dispatch.Attempt, command [][]byte) {
 	c, target, err := p.acquire(attempt.Backend)
 	if err != nil {
@@ -305,7 +306,7 @@
 		pool:       p,
 		endpoint:   target,
 		socket:     socket,
-		idleBefore: neverIdle,
+		idleBefore: noIdleTime,
 		readEnded:  make(chan struct{}),
 	}
 	go c.read()
--- a/internal/backend/response_parser.go
+++ b/internal/backend/response_parser.go
@@ -101,13 +101,10 @@
 // string; usage and load report may also be null, or of another type, which is skipped.
 func parsePart(received []byte, index int) (part, error) {
 	isValue := index == valuePart
-	length, ok := resp.ParseLength(received, '$', resp.MaxValue)
-	if !isValue && !ok && received[0] != '$' {
-		var line resp.Line
-		line, ok = resp.ParseLine(received, maxLineBytes)
-		length = resp.Length{Value: -1, Size: line.Size} // of another type, which is skipped like null
-		ok = ok && strings.IndexByte("+-:", received[0]) >= 0
+	if !isValue && received[0] != '$' {
+		return parseSkippedPart(received)
 	}
+	length, ok := resp.ParseLength(received, '$', resp.MaxValue)
 	isNull := length.IsComplete() && length.Value < 0
 	if !ok || isValue && isNull {
 		return part{}, dispatch.ErrBackendFailed
@@ -128,6 +125,15 @@
 	return part{size: size, payload: received[length.Size : size-2]}, nil
 }
 
+// parseSkippedPart parses a part that is a line of another type than a bulk string.
+func parseSkippedPart(received []byte) (part, error) {
+	line, ok := resp.ParseLine(received, maxLineBytes)
+	if !ok || strings.IndexByte("+-:", received[0]) < 0 {
+		return part{}, dispatch.ErrBackendFailed
+	}
+	return part{size: line.Size}, nil // the size is 0 while the line is incomplete
+}
+
 // usedUnits returns the actual units from the usage, which consists of names and values like a load report.
 // It returns 0 if the usage does not contain them.
 func usedUnits(usage []byte) float64 {
--- a/internal/config/billing.go
+++ b/internal/config/billing.go
@@ -11,37 +11,37 @@
 
 // Billing is the section for plan changes, reservations and exported usage, which need the replicated store.
 type Billing struct {
-	Enabled          bool     `toml:"on"`
-	Window           Duration `toml:"window"`       // length of the windows by which usage is billed
-	PlanLead         Duration `toml:"lead"`         // from a change becoming known until it takes effect
-	ClockSkew        Duration `toml:"clock_skew"`   // the most that two instances' clocks may differ
-	ReservationLease Duration `toml:"lease"`        // the longest lease that a reservation may have
-	ExportDelay      Duration `toml:"late"`         // from the end of a window until its export
-	ReportInterval   Duration `toml:"report_every"` // between two reports of an instance's usage
-	ExportFolder     string   `toml:"export_folder"`
-	ExportURL        string   `toml:"export_url"`
+	Enabled        bool     `toml:"on"`
+	Window         Duration `toml:"window"`       // length of the windows by which usage is billed
+	ChangeNotice   Duration `toml:"lead"`         // from a change becoming known until it takes effect
+	ClockSkew      Duration `toml:"clock_skew"`   // the most that two instances' clocks may differ
+	MaxLease       Duration `toml:"lease"`        // the longest lease that a reservation may have
+	ExportDelay    Duration `toml:"late"`         // from the end of a window until its export
+	ReportInterval Duration `toml:"report_every"` // between two reports of an instance's usage
+	ExportFolder   string   `toml:"export_folder"`
+	ExportURL      string   `toml:"export_url"`
 }
 
 const (
 	defaultWindow = Duration(time.Hour)
-	// defaultPlanLead is twice as long as a write may take while a leader is elected.
-	defaultPlanLead = Duration(10 * time.Second)
+	// defaultChangeNotice is twice as long as a write may take while a leader is elected.
+	defaultChangeNotice = Duration(10 * time.Second)
 	// defaultClockSkew is generous: clocks kept by NTP differ by far less.
-	defaultClockSkew        = Duration(time.Second)
-	defaultReservationLease = Duration(10 * time.Minute)
-	defaultExportDelay      = Duration(time.Minute)
+	defaultClockSkew   = Duration(time.Second)
+	defaultMaxLease    = Duration(10 * time.Minute)
+	defaultExportDelay = Duration(time.Minute)
 	// defaultReportInterval is the time whose usage an instance has not reported when it is killed.
 	defaultReportInterval = Duration(time.Second)
 )
 
 func defaultBilling() Billing {
 	return Billing{
-		Window:           defaultWindow,
-		PlanLead:         defaultPlanLead,
-		ClockSkew:        defaultClockSkew,
-		ReservationLease: defaultReservationLease,
-		ExportDelay:      defaultExportDelay,
-		ReportInterval:   defaultReportInterval,
+		Window:         defaultWindow,
+		ChangeNotice:   defaultChangeNotice,
+		ClockSkew:      defaultClockSkew,
+		MaxLease:       defaultMaxLease,
+		ExportDelay:    defaultExportDelay,
+		ReportInterval: defaultReportInterval,
 	}
 }
 
@@ -49,9 +49,9 @@
 func (b Billing) Settings() billing.Settings {
 	return billing.Settings{
 		WindowNanos:       int64(b.Window),
-		ChangeNoticeNanos: int64(b.PlanLead),
+		ChangeNoticeNanos: int64(b.ChangeNotice),
 		ClockSkewNanos:    int64(b.ClockSkew),
-		MaxLeaseNanos:     int64(b.ReservationLease),
+		MaxLeaseNanos:     int64(b.MaxLease),
 		ExportDelayNanos:  int64(b.ExportDelay),
 	}
 }
@@ -64,9 +64,9 @@
 		min, max time.Duration
 	}{
 		{key: "window", value: b.Window, min: time.Second, max: 31 * day},
-		{key: "lead", value: b.PlanLead, min: 100 * time.Millisecond, max: day},
+		{key: "lead", value: b.ChangeNotice, min: 100 * time.Millisecond, max: day},
 		{key: "clock_skew", value: b.ClockSkew, min: time.Millisecond, max: time.Minute},
-		{key: "lease", value: b.ReservationLease, min: 100 * time.Millisecond, max: day},
+		{key: "lease", value: b.MaxLease, min: 100 * time.Millisecond, max: day},
 		{key: "late", value: b.ExportDelay, min: 100 * time.Millisecond, max: day},
 		{key: "report_every", value: b.ReportInterval, min: 10 * time.Millisecond, max: time.Minute},
 	} {
--- a/internal/config/migrate.go
+++ b/internal/config/migrate.go
@@ -27,7 +27,7 @@
 	if err != nil {
 		return nil, err
 	}
-	absent, getenv := standIns(old)
+	absent, getenv := environmentPlaceholders(old)
 	if err := checkParses(old, getenv); err != nil {
 		return nil, fmt.Errorf("configuration %s: %w", o.From, err)
 	}
@@ -36,8 +36,8 @@
 		m.note(key, "left out: "+environmentNames[key]+" has to stand in for it, as before")
 	}
 	m.prune("", "", old)
-	// The old configuration is compared with the migrated one below, so that one is a copy of its own. Its
-	// unknown keys are pruned as above, without a second note for each.
+	// migrated is decoded a second time, because old must stay unchanged for the comparison in applyShape. Its
+	// unknown keys are pruned too, without a second note for each.
 	migrated, err := readStrict(o.From)
 	if err != nil {
 		return nil, err
@@ -66,9 +66,9 @@
 	return m.notes, writeNew(o.To, append(text, '\n'))
 }
 
-// standIns lists the keys that a file leaves to the environment. It also returns an environment that stands
-// in for them while the rest is checked.
-func standIns(old map[string]any) (absent []string, getenv func(string) string) {
+// environmentPlaceholders lists the keys that a file leaves to the environment. It also returns an environment
+// with valid placeholders for them, with which the rest is checked.
+func environmentPlaceholders(old map[string]any) (absent []string, getenv func(string) string) {
 	for _, key := range []string{"name", "listen", "discovery"} {
 		if _, ok := old[key]; !ok {
 			absent = append(absent, key)
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -13,12 +13,12 @@
 // TOML file of their own (deploy/fawnplank.toml). Every feature in it is off unless it is set. The zero value
 // sets nothing.
 type Operator struct {
-	Limits    Limits        `toml:"limits"`
-	Counter   CounterFormat `toml:"counter"`
-	Log       Log           `toml:"log"`
-	WarmStart WarmStart     `toml:"learned"`
-	DNS       DNS           `toml:"dns"`
-	Billing   Billing       `toml:"billing"`
+	Limits    Limits    `toml:"limits"`
+	Counter   Counter   `toml:"counter"`
+	Log       Log       `toml:"log"`
+	WarmStart WarmStart `toml:"learned"`
+	DNS       DNS       `toml:"dns"`
+	Billing   Billing   `toml:"billing"`
 }
 
 // WarmStart configures the file that preserves an instance's measurements of the backends across a restart,
@@ -34,8 +34,8 @@
 	Level  string `toml:"level"`  // lowest level: error, warning, info or debug; a flag takes precedence
 }
 
-// CounterFormat configures the protocol that the shared counter speaks.
-type CounterFormat struct {
+// Counter configures the protocol that the shared counter speaks.
+type Counter struct {
 	Protocol string `toml:"protocol"` // "text", the platform's own, or "resp"
 }
 
@@ -66,7 +66,8 @@
 	defaultLogLevel        = "info"
 	defaultCounterProtocol = "text"
 
-	// defaultSaveInterval is the time in which what is known of a backend fades by two thirds.
+	// defaultSaveInterval is the time in which the weight of a backend's measurements decays by about two thirds:
+	// they halve in 3.4 s (see package policy).
 	defaultSaveInterval = Duration(5 * time.Second)
 	minSaveInterval     = Duration(100 * time.Millisecond)
 	maxSaveInterval     = Duration(time.Hour)
@@ -104,7 +105,7 @@
 func defaultOperator() *Operator {
 	return &Operator{
 		Limits:    defaultLimits(),
-		Counter:   CounterFormat{Protocol: defaultCounterProtocol},
+		Counter:   Counter{Protocol: defaultCounterProtocol},
 		Log:       Log{Format: defaultLogFormat, Level: defaultLogLevel},
 		WarmStart: WarmStart{SaveInterval: defaultSaveInterval},
 		DNS:       DNS{MaxUpdatesPerSecond: defaultMaxUpdatesPerSecond},
--- a/internal/counter/client.go
+++ b/internal/counter/client.go
@@ -25,7 +25,7 @@
 	maxSilence = time.Second
 )
 
-// ResultHandler receives the result of each call: the total of the number, or an error of package dispatch,
+// ResultHandler receives the result of each call: the total of the count, or an error of package dispatch,
 // which says whether the units may have been added.
 type ResultHandler interface {
 	HandleCounterResult(key policy.CounterKey, total float64, err error)
@@ -64,7 +64,7 @@
 
 var _ dispatch.Counter = (*Client)(nil)
 
-// call is one addition to a number.
+// call is one addition to a count.
 type call struct {
 	key     policy.CounterKey
 	addedAt time.Time
@@ -165,7 +165,7 @@
 	return idle
 }
 
-// Add adds units to the number with the given key, which the service deletes when its lifetime is over. Add
+// Add adds units to the count with the given key, which the service deletes when its lifetime is over. Add
 // does not block: Flush sends the call.
 func (c *Client) Add(key policy.CounterKey, units float64, lifetime time.Duration) {
 	c.mu.Lock()
--- a/internal/counter/doc.go
+++ b/internal/counter/doc.go
@@ -1,4 +1,4 @@
-// Package counter is a client for the counter service, which adds units to numbers that all instances share.
+// Package counter is a client for the counter service, which adds units to counts that all instances share.
 //
 // A Client owns the connections to the service and the calls that wait for answers on them. For each key it
 // delivers results to the ResultHandler in the order of the calls, one at a time, and never with the client's
--- a/internal/counter/format.go
+++ b/internal/counter/format.go
@@ -15,7 +15,7 @@
 	// or "error".
 	Text Format = iota
 	// RESP is for services that speak RESP2: INCRBYFLOAT adds the units, and PEXPIRE with NX sets the lifetime
-	// of a new number without changing that of an existing one. These are two commands and not a script: if the
+	// of a new count without changing that of an existing one. These are two commands and not a script: if the
 	// connection ends between them, the next call for the key sets the lifetime.
 	RESP
 )
--- a/internal/dialer/dial.go
+++ b/internal/dialer/dial.go
@@ -32,7 +32,7 @@
 // Dial connects to one of the addresses. It tries them in order, and starts with the next one when one fails
 // or is not connected after a delay. It returns the first connection that is established and the index of its
 // address; other connections are closed before anything is written to them. The whole call takes no longer
-// than the timeout.
+// than the timeout, which must be above 0. addresses must not be empty.
 func Dial(
 	ctx context.Context, addresses []netip.AddrPort, timeout time.Duration,
 ) (conn *net.TCPConn, index int, err error) {
--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -53,8 +53,8 @@
 	cancel    context.CancelFunc
 	running   sync.WaitGroup // the watch, calls of refresh, and calls of Publish
 	requested chan struct{}  // holds one token while a watch is requested
-	// index is the index of the last published list; the watch asks for changes since then. Only the watch uses
-	// it.
+	// index is the index of the last list in the discovery service's format; the watch asks for changes since
+	// then. LoadSnapshot sets it before the watch starts; after that only the watch uses it.
 	index int64
 
 	publishMu sync.Mutex // held while a list from another source is published, one at a time
--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -35,9 +35,9 @@
 	Endpoints []Endpoint `json:"endpoints"`
 }
 
-// Check returns an error that says what is wrong with a list in the discovery service's format, such as the
-// one in the configuration. Empty text is valid.
-func Check(text []byte) error {
+// CheckSnapshot returns an error that says what is wrong with a list in the discovery service's format, such as
+// the one in the configuration. Empty text is valid.
+func CheckSnapshot(text []byte) error {
 	if len(text) == 0 {
 		return nil
 	}
--- a/internal/discovery/publisher.go
+++ b/internal/discovery/publisher.go
@@ -28,7 +28,7 @@
 	ids         map[string]policy.BackendID
 	names       map[policy.BackendID]string
 	listed      map[policy.BackendID]bool
-	draining    map[policy.BackendID]bool // whether a listed backend gets no new requests
+	draining    map[policy.BackendID]bool // whether a listed backend gets no new attempts
 }
 
 // zoneIDs numbers zones: first those of the configuration, then others in order of appearance.
@@ -137,7 +137,7 @@
 	delete(p.names, backend)
 }
 
-// noteDraining records which of the updated backends get no new requests.
+// noteDraining records which of the updated backends get no new attempts.
 func (p *publisher) noteDraining(updates []policy.Endpoint) {
 	for _, update := range updates {
 		if update.State == policy.EndpointGone || !p.listed[update.Backend] {
--- a/internal/dnsserver/update_test.go
+++ b/internal/dnsserver/update_test.go
@@ -113,7 +113,7 @@
 	}
 }
 
-// TestServer_KeepsHigherSerial holds that of the zone file and the updates the one with the higher serial
+// TestServer_KeepsHigherSerial checks that of the zone file and the updates the one with the higher serial
 // wins, also over restarts and where serials wrap around.
 func TestServer_KeepsHigherSerial(t *testing.T) {
 	w := &zoneWalk{mustStart(t, newFiles(t, zoneFileText(4294967290, 3)))}
--- a/internal/dnsserver/version0_test.go
+++ b/internal/dnsserver/version0_test.go
@@ -266,7 +266,7 @@
 	}
 }
 
-// TestStoredTypes_HaveTags holds that a tag, and not Go, names each stored field.
+// TestStoredTypes_HaveTags checks that a tag, not the Go field name, names each stored field.
 func TestStoredTypes_HaveTags(t *testing.T) {
 	testutil.CheckTags(t, zoneRecord{}, storeHead{}, dnszone.Change{})
 }
--- a/internal/frontend/backpressure.go
+++ b/internal/frontend/backpressure.go
@@ -110,24 +110,24 @@
 	}
 }
 
-// reserve acquires bytes from the budget for a larger buffer. It waits for as long as a command may take to
+// acquireBudget acquires bytes from the budget for a larger buffer. It waits for as long as a command may take to
 // arrive completely. It returns false if the bytes did not come free; the client has then been rejected.
-func (c *connection) reserve(bytes int) bool {
-	var reserved int64
+func (c *connection) acquireBudget(bytes int) bool {
+	var acquired int64
 	var ok bool
 	c.waitWatched(func() {
-		reserved, ok = c.server.budget.Acquire(int64(bytes), time.Now().Add(commandTimeout))
+		acquired, ok = c.server.budget.Acquire(int64(bytes), time.Now().Add(commandTimeout))
 	})
 	if !ok {
 		c.rejectClient("busy: no room for a large value")
 		return false
 	}
-	c.reader.reservedBytes += reserved
+	c.reader.budgetedBytes += acquired
 	return true
 }
 
-// releaseReservation returns the bytes reserved for the reader's buffer to the budget.
-func (c *connection) releaseReservation() {
-	c.server.budget.Release(c.reader.reservedBytes)
-	c.reader.reservedBytes = 0
+// releaseBudget returns the bytes acquired for the reader's buffer to the budget.
+func (c *connection) releaseBudget() {
+	c.server.budget.Release(c.reader.budgetedBytes)
+	c.reader.budgetedBytes = 0
 }
--- a/internal/frontend/connection.go
+++ b/internal/frontend/connection.go
@@ -17,9 +17,9 @@
 	// lastResponseGrace is how long a client has to take its last response before a connection that is shut down
 	// is closed; it, too, is many times the transit time.
 	lastResponseGrace = 200 * time.Millisecond
-	// awaitingSinceAccept is the awaitingSinceNanos of a connection that has just been accepted: the smallest
+	// awaitingFromAccept is the awaitingFromAgeNanos of a connection that has just been accepted: the smallest
 	// age, since 0 means that no command is awaited.
-	awaitingSinceAccept = 1
+	awaitingFromAccept = 1
 )
 
 // inputState is how far the reader has handled the bytes of a connection.
@@ -118,9 +118,9 @@
 
 	validated atomic.Bool // the client has sent a valid command
 	draining  atomic.Bool // the connection ends after the responses that are due
-	// awaitingSinceNanos is the age of the connection at which the wait for a complete command began; 0 if no
+	// awaitingFromAgeNanos is the age of the connection at which the wait for a complete command began; 0 if no
 	// command is awaited.
-	awaitingSinceNanos atomic.Int64
+	awaitingFromAgeNanos atomic.Int64
 
 	reader reader // used only by the goroutine of readLoop
 }
@@ -135,7 +135,7 @@
 		return nil, err
 	}
 	c.conn = conn
-	c.awaitingSinceNanos.Store(awaitingSinceAccept)
+	c.awaitingFromAgeNanos.Store(awaitingFromAccept)
 	c.pendingFewer = sync.NewCond(&c.mu)
 	return c, nil
 }
@@ -248,8 +248,8 @@
 
 // commandOverdue reports whether the wait for a command has lasted longer than commandTimeout.
 func (c *connection) commandOverdue(now time.Time) bool {
-	since := c.awaitingSinceNanos.Load()
-	return since != 0 && now.Sub(c.acceptedAt) > time.Duration(since)+commandTimeout
+	fromAge := c.awaitingFromAgeNanos.Load()
+	return fromAge != 0 && now.Sub(c.acceptedAt) > time.Duration(fromAge)+commandTimeout
 }
 
 // isClientGone reports whether the client is known to have gone.
@@ -277,7 +277,7 @@
 // end closes the connection when its reader ends, and cancels the requests open on it.
 func (c *connection) end() {
 	c.close()
-	c.releaseReservation()
+	c.releaseBudget()
 	c.clientGone()
 	c.server.removeConnection(c)
 }
--- a/internal/frontend/harness_test.go
+++ b/internal/frontend/harness_test.go
@@ -44,8 +44,8 @@
 	conn net.Conn
 }
 
-// respond sends a backend's response. The gateway may have closed the connection: what the client gets is
-// looked at.
+// respond sends a backend's response. The gateway may have closed the connection: the tests check
+// what the client receives.
 func (a receivedAttempt) respond(text string) { _, _ = io.WriteString(a.conn, text) }
 
 // deadline is the value of d in the command.
@@ -295,7 +295,7 @@
 	c.expectLine(`\+PONG`)
 }
 
-// skipResponses reads so many responses.
+// skipResponses reads count responses.
 func (c *testClient) skipResponses(count int) {
 	c.t.Helper()
 	for range count {
--- a/internal/frontend/idle_eviction.go
+++ b/internal/frontend/idle_eviction.go
@@ -5,14 +5,9 @@
 	"time"
 )
 
-const (
-	// sweepInterval is how often the server looks for silent connections; it is short compared to
-	// commandTimeout.
-	sweepInterval = 250 * time.Millisecond
-	// maxUnreadPassedOver bounds how many idle connections with unread bytes are skipped in the search for one
-	// without unread bytes.
-	maxUnreadPassedOver = 8
-)
+// maxSkippedUnread bounds how many idle connections with unread bytes are skipped in the search for one
+// without unread bytes.
+const maxSkippedUnread = 8
 
 // evictionRank orders idle connections by how much they would be missed, with the least missed first.
 type evictionRank uint8
@@ -67,35 +62,6 @@
 	return i.since.Before(other.since)
 }
 
-// sweepConnections ends connections that are silent or send too slowly, and closes idle ones once a drain has
-// lasted for drainDelay. It runs until no more connections are accepted and all have ended.
-func (s *Server) sweepConnections(acceptEnded <-chan struct{}) {
-	ticker := time.NewTicker(sweepInterval)
-	defer ticker.Stop()
-	for accepting := true; accepting || s.Connections() > 0; {
-		select {
-		case <-acceptEnded:
-			acceptEnded = nil
-			accepting = false
-		case now := <-ticker.C:
-			s.sweep(now)
-		}
-	}
-}
-
-func (s *Server) sweep(now time.Time) {
-	if since := s.drainingSinceNanos.Load(); since != 0 && now.UnixNano()-since > int64(drainDelay) {
-		s.closeConnections()
-	}
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	for c := range s.connections {
-		if c.commandOverdue(now) {
-			c.setReadDeadline(now) // its reader rejects it
-		}
-	}
-}
-
 // countValidated returns on how many connections the client has sent a valid command. The caller holds mu.
 func (s *Server) countValidated() int {
 	count := 0
@@ -111,7 +77,7 @@
 // True does not mean that a connection was closed: if the chosen one has become busy meanwhile, the caller
 // must look for another. The caller holds mu.
 func (s *Server) evictIdle(scope evictionScope) bool {
-	least := s.leastMissed(scope)
+	least := s.evictionCandidate(scope)
 	if least == nil {
 		return false
 	}
@@ -121,36 +87,36 @@
 	return true
 }
 
-// leastMissed returns the idle connection that would be missed least, or nil if none is idle. It skips
+// evictionCandidate returns the idle connection that would be missed least, or nil if none is idle. It skips
 // connections with unread bytes as long as it finds another. If all connections that it examined have unread
 // bytes, it returns the first of them.
-func (s *Server) leastMissed(scope evictionScope) *connection {
+func (s *Server) evictionCandidate(scope evictionScope) *connection {
 	var first *connection
-	passedOver := map[*connection]bool{}
+	skipped := map[*connection]bool{}
 	for {
-		found := s.leastMissedExcept(passedOver, scope)
+		found := s.evictionCandidateExcept(skipped, scope)
 		if found == nil {
 			return first
 		}
 		if first == nil {
 			first = found
 		}
-		if len(passedOver) == maxUnreadPassedOver {
+		if len(skipped) == maxSkippedUnread {
 			return first
 		}
 		if !found.conn.HasPendingBytes() {
 			return found
 		}
-		passedOver[found] = true
+		skipped[found] = true
 	}
 }
 
-func (s *Server) leastMissedExcept(passedOver map[*connection]bool, scope evictionScope) *connection {
+func (s *Server) evictionCandidateExcept(skipped map[*connection]bool, scope evictionScope) *connection {
 	var least idleConnection
 	now := time.Now()
 	for c := range s.connections {
 		candidate, idle := c.idleState(now)
-		if !idle || passedOver[c] || scope == validatedConnections && !c.validated.Load() {
+		if !idle || skipped[c] || scope == validatedConnections && !c.validated.Load() {
 			continue
 		}
 		if least.connection == nil || candidate.before(least) {
--- a/internal/frontend/reader.go
+++ b/internal/frontend/reader.go
@@ -20,9 +20,9 @@
 	// minBufferBytes is the size of a reader's buffer while it holds no larger command. It is larger than any
 	// head of a request.
 	minBufferBytes = 4096
-	// maxUnreservedBytes is how much a connection's buffer may hold without a reservation in the process's
+	// maxUnbudgetedBytes is how much a connection's buffer may hold without taking memory from the
 	// budget for large values: a value of the protocol's 64 KiB with its head.
-	maxUnreservedBytes = 68 << 10
+	maxUnbudgetedBytes = 68 << 10
 	// After an invalid command the server stops reading the connection for a while: faultPauseStep for each
 	// invalid command that the connection has sent so far, but maxFaultPause at most.
 	faultPauseStep = 10 * time.Millisecond
@@ -39,7 +39,7 @@
 	buffered         int      // bytes in buffer that belong to an incomplete command
 	words            [][]byte // of the last command, pointing into buffer
 	invalidCommands  int      // number of commands answered with an error
-	reservedBytes    int64    // of the budget, for buffer
+	budgetedBytes    int64    // of the budget, for buffer
 	bufferHandedOver bool     // buffer now belongs to a large pending command
 }
 
@@ -78,7 +78,7 @@
 			return false
 		case errors.Is(err, os.ErrDeadlineExceeded):
 			// If no command is overdue, either it has just arrived completely or the connection is to end.
-			if c.awaitingSinceNanos.Load() != 0 && !c.draining.Load() {
+			if c.awaitingFromAgeNanos.Load() != 0 && !c.draining.Load() {
 				c.rejectClient("Protocol error: no whole command in time")
 				return false
 			}
@@ -128,8 +128,8 @@
 		rest = rest[size:]
 		if r.invalidCommands > invalidBefore {
 			c.pauseAfterFault()
-		} else if c.awaitingSinceNanos.Load() != 0 {
-			c.awaitingSinceNanos.Store(0)
+		} else if c.awaitingFromAgeNanos.Load() != 0 {
+			c.awaitingFromAgeNanos.Store(0)
 			c.validated.Store(true)
 		}
 	}
@@ -155,9 +155,9 @@
 // noteProgress records since when the rest of a command is awaited. A command that is larger than any head is
 // timed from its last progress.
 func (c *connection) noteProgress(rest []byte) {
-	begins := c.awaitingSinceNanos.Load() == 0 && len(rest) > 0
+	begins := c.awaitingFromAgeNanos.Load() == 0 && len(rest) > 0
 	if begins || len(rest) > minBufferBytes {
-		c.awaitingSinceNanos.Store(int64(time.Since(c.acceptedAt)))
+		c.awaitingFromAgeNanos.Store(int64(time.Since(c.acceptedAt)))
 	}
 }
 
@@ -168,7 +168,7 @@
 	if r.bufferHandedOver {
 		r.bufferHandedOver = false
 		r.buffer = make([]byte, max(minBufferBytes, len(rest)))
-		if len(rest) > maxUnreservedBytes && !c.reserve(len(r.buffer)-maxUnreservedBytes) {
+		if len(rest) > maxUnbudgetedBytes && !c.acquireBudget(len(r.buffer)-maxUnbudgetedBytes) {
 			return false
 		}
 	}
@@ -178,7 +178,7 @@
 		return c.growBuffer()
 	case r.buffered == 0 && len(r.buffer) > minBufferBytes:
 		r.buffer = make([]byte, minBufferBytes)
-		c.releaseReservation()
+		c.releaseBudget()
 	}
 	return true
 }
@@ -192,7 +192,7 @@
 	}
 	size := len(r.buffer)
 	grown := min(2*size, maxCommandBytes)
-	if grown > maxUnreservedBytes && !c.reserve(grown-max(size, maxUnreservedBytes)) {
+	if grown > maxUnbudgetedBytes && !c.acquireBudget(grown-max(size, maxUnbudgetedBytes)) {
 		return false
 	}
 	r.buffer = append(r.buffer, make([]byte, grown-size)...)
--- a/internal/frontend/request.go
+++ b/internal/frontend/request.go
@@ -44,13 +44,13 @@
 	fields        span // of raw: the list of names and values
 	remaining     span // of raw: the value of d
 	response      []byte
-	reservedBytes int64           // of the budget, for raw
-	usage         *usageOfRequest // nil if usage is not recorded
+	budgetedBytes int64         // of the budget, for raw
+	usage         *requestUsage // nil if usage is not recorded
 }
 
-// usageOfRequest is what the recorded usage of a request is based on: the values at the time when the request
+// requestUsage is what the recorded usage of a request is based on: the values at the time when the request
 // was received, whatever changes until it is answered.
-type usageOfRequest struct {
+type requestUsage struct {
 	tenant     string
 	plan       string
 	receivedAt time.Time
@@ -89,7 +89,7 @@
 		return
 	}
 	if head.hasClass {
-		c.server.metrics.RequestAnswered(head.class, metrics.Error)
+		c.server.metrics.RequestAnswered(head.class, metrics.RequestFailed)
 	}
 	c.respondInvalid(err.Error())
 }
@@ -109,7 +109,7 @@
 		return nil
 	}
 	c.handOver(p)
-	plan := p.noteUsage(head)
+	plan := p.resolvePlan(head)
 	c.server.metrics.RequestReceived()
 	p.request = c.server.dispatcher.Submit(dispatch.RequestSpec{
 		Class: head.class, Plan: plan, Tenant: head.tenant, Timeout: head.remaining,
@@ -122,23 +122,24 @@
 // handOver gives the command its own bytes, since the reader reuses the buffer for the next command. A small
 // command gets a copy. A large command takes over the buffer itself, and the reader starts a new one.
 func (c *connection) handOver(p *pendingCommand) {
-	if len(p.raw) <= maxUnreservedBytes {
+	if len(p.raw) <= maxUnbudgetedBytes {
 		p.raw = bytes.Clone(p.raw)
 		return
 	}
-	p.reservedBytes = c.reader.reservedBytes
-	c.reader.reservedBytes = 0
+	p.budgetedBytes = c.reader.budgetedBytes
+	c.reader.budgetedBytes = 0
 	c.reader.bufferHandedOver = true
 }
 
-// noteUsage stores what the recorded usage of the request is based on, if usage is recorded. It returns the
-// plan under which the request is submitted.
-func (p *pendingCommand) noteUsage(head *requestHead) policy.PlanID {
+// resolvePlan returns the plan under which the request is submitted: the one that its tenant has moved to, if
+// any, otherwise the one that it names. If usage is recorded, resolvePlan also stores what that record will
+// contain.
+func (p *pendingCommand) resolvePlan(head *requestHead) policy.PlanID {
 	recorder := p.connection.server.usage
 	if recorder == nil {
 		return head.plan
 	}
-	p.usage = &usageOfRequest{
+	p.usage = &requestUsage{
 		tenant: strings.ToLower(string(head.tenantText)), plan: string(head.planName),
 		receivedAt: time.Now(), units: head.units,
 	}
@@ -176,7 +177,7 @@
 	}
 	logging.Panicked(logComponent, fmt.Sprintf("request %s: %v", p.id, cause), debug.Stack())
 	p.request.HandleClientGone()
-	p.connection.server.metrics.RequestAnswered(p.class, metrics.Error)
+	p.connection.server.metrics.RequestAnswered(p.class, metrics.RequestFailed)
 	p.connection.complete(p, []byte("-ERR internal fault\r\n"))
 }
 
@@ -185,16 +186,16 @@
 	c, s := p.connection, p.connection.server
 	switch step.Action {
 	case dispatch.Respond:
-		s.metrics.RequestAnswered(p.class, metrics.Success)
+		s.metrics.RequestAnswered(p.class, metrics.RequestSucceeded)
 		if p.usage != nil {
 			s.usage.RecordUsage(p.usage.tenant, p.usage.plan, p.usage.receivedAt, p.usage.units)
 		}
 		c.complete(p, step.Response)
 	case dispatch.Reject:
-		s.metrics.RequestAnswered(p.class, metrics.Overload)
+		s.metrics.RequestAnswered(p.class, metrics.RequestRejected)
 		c.complete(p, busyResponse(step.RetryAfter))
 	case dispatch.Abort:
-		s.metrics.RequestAnswered(p.class, metrics.Error)
+		s.metrics.RequestAnswered(p.class, metrics.RequestFailed)
 		c.complete(p, []byte("-ERR failed\r\n"))
 	default: // the client has gone
 		c.complete(p, nil)
--- a/internal/frontend/responses.go
+++ b/internal/frontend/responses.go
@@ -46,7 +46,7 @@
 	if p.request != nil {
 		c.server.releaseRequestID(p.id)
 		c.server.metrics.RequestEnded()
-		c.server.budget.Release(p.reservedBytes)
+		c.server.budget.Release(p.budgetedBytes)
 	}
 	defer c.server.signalCapacity() // runs after mu is released
 	c.mu.Lock()
--- a/internal/frontend/shutdown.go
+++ b/internal/frontend/shutdown.go
@@ -53,15 +53,16 @@
 	}
 }
 
-// beginShutdown ends the connections that have nothing pending; the others end after their responses. Later
-// calls do the same with connections that were accepted meanwhile.
+// beginShutdown marks the server as closing and shuts down its connections. Shutdown repeats it for
+// connections accepted meanwhile.
 func (s *Server) beginShutdown() {
 	s.closing.Store(true)
-	s.closeConnections()
+	s.shutDownConnections()
 }
 
-// closeConnections ends the connections that have nothing pending; the others end after their responses.
-func (s *Server) closeConnections() {
+// shutDownConnections shuts down the connections that have nothing pending, and marks the others to be shut
+// down after their responses.
+func (s *Server) shutDownConnections() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
--- /dev/null
+++ b/internal/frontend/sweep.go
@@ -0,0 +1,35 @@
+package frontend
+
+import "time"
+
+// sweepInterval is how often the server looks for silent connections; it is short compared to commandTimeout.
+const sweepInterval = 250 * time.Millisecond
+
+// sweepConnections ends connections that are silent or send too slowly, and closes idle ones once a drain has
+// lasted for drainDelay. It runs until no more connections are accepted and all have ended.
+func (s *Server) sweepConnections(acceptEnded <-chan struct{}) {
+	ticker := time.NewTicker(sweepInterval)
+	defer ticker.Stop()
+	for accepting := true; accepting || s.Connections() > 0; {
+		select {
+		case <-acceptEnded:
+			acceptEnded = nil
+			accepting = false
+		case now := <-ticker.C:
+			s.sweep(now)
+		}
+	}
+}
+
+func (s *Server) sweep(now time.Time) {
+	if since := s.drainingSinceNanos.Load(); since != 0 && now.UnixNano()-since > int64(drainDelay) {
+		s.shutDownConnections()
+	}
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for c := range s.connections {
+		if c.commandOverdue(now) {
+			c.setReadDeadline(now) // its reader rejects it
+		}
+	}
+}
--- a/internal/lab/results/version0_test.go
+++ b/internal/lab/results/version0_test.go
@@ -128,7 +128,7 @@
 	}
 }
 
-// TestStoredTypes_HaveTags holds that each stored field has its name from a tag, and not from Go.
+// TestStoredTypes_HaveTags checks that a tag, not the Go field name, names each stored field.
 func TestStoredTypes_HaveTags(t *testing.T) {
 	testutil.CheckTags(t, results.Run{})
 }
--- a/internal/logging/logging_test.go
+++ b/internal/logging/logging_test.go
@@ -29,7 +29,7 @@
 	}
 	For("counter").Debug("unseen")
 	For("counter").WithError(errors.New("line 1\nline 2")).WithField(Backend, "s-1").Warn("silent")
-	Panicked("front", "index out of range", []byte("goroutine 1\n"))
+	Panicked("frontend", "index out of range", []byte("goroutine 1\n"))
 
 	lines := strings.Split(strings.TrimSpace(out.String()), "\n")
 	if len(lines) != 2 {
@@ -65,8 +65,8 @@
 	if err := Setup(Options{Output: &out, Level: "warning", Format: "text", Instance: "n3"}); err != nil {
 		t.Fatal(err)
 	}
-	For("front").Info("unseen")
-	For("front").Warn("seen")
+	For("frontend").Info("unseen")
+	For("frontend").Warn("seen")
 	text := out.String()
 	if strings.Count(text, "\n") != 1 || !strings.Contains(text, "component=front") ||
 		!strings.Contains(text, "door=n3") {
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -19,29 +19,29 @@
 	"fawnplank/policy"
 )
 
-// Outcome is the way in which a request was answered.
-type Outcome uint8
+// RequestOutcome is the way in which a request was answered.
+type RequestOutcome uint8
 
 // The outcomes of a request.
 const (
-	Success  Outcome = iota // answered by a backend
-	Overload                // rejected
-	Error                   // failed, or refused because of its head
+	RequestSucceeded RequestOutcome = iota // answered by a backend
+	RequestRejected                        // rejected
+	RequestFailed                          // failed, or refused because of its head
 
-	outcomes // the number of outcomes
+	requestOutcomeCount // the number of outcomes
 )
 
 // String returns the name of the outcome, which is also the name of its metric.
-func (o Outcome) String() string {
+func (o RequestOutcome) String() string {
 	switch o {
-	case Success:
+	case RequestSucceeded:
 		return "success"
-	case Overload:
+	case RequestRejected:
 		return "overload"
-	case Error:
+	case RequestFailed:
 		return "error"
 	default:
-		return fmt.Sprintf("Outcome(%d)", uint8(o))
+		return fmt.Sprintf("RequestOutcome(%d)", uint8(o))
 	}
 }
 
@@ -54,11 +54,11 @@
 // Registry holds the metrics of one process.
 type Registry struct {
 	registry          *prometheus.Registry
-	requests          [outcomes]*prometheus.CounterVec // answered, by outcome and class
-	attempts          *prometheus.CounterVec           // sent, by class
+	requests          [requestOutcomeCount]*prometheus.CounterVec // answered, by outcome and class
+	attempts          *prometheus.CounterVec                      // sent, by class
 	requestsInFlight  prometheus.Gauge
 	endpoints         prometheus.Gauge
-	disabledEndpoints prometheus.Gauge
+	drainingEndpoints prometheus.Gauge
 	configsReloaded   prometheus.Counter
 	configsRejected   prometheus.Counter
 	classes           atomic.Pointer[[]string] // names of the classes, by id
@@ -68,22 +68,22 @@
 func New(classes []string) *Registry {
 	r := &Registry{
 		registry: prometheus.NewRegistry(),
-		requests: [outcomes]*prometheus.CounterVec{
-			Success:  newClassCounter(Success.String(), "transactions fulfilled"),
-			Overload: newClassCounter(Overload.String(), "transactions dismissed"),
-			Error:    newClassCounter(Error.String(), "transactions broken off or refused"),
+		requests: [requestOutcomeCount]*prometheus.CounterVec{
+			RequestSucceeded: newClassCounter(RequestSucceeded.String(), "transactions fulfilled"),
+			RequestRejected:  newClassCounter(RequestRejected.String(), "transactions dismissed"),
+			RequestFailed:    newClassCounter(RequestFailed.String(), "transactions broken off or refused"),
 		},
 		attempts:          newClassCounter("dispatches", "shots written whole to backends"),
 		requestsInFlight:  newGauge("concurrent", "transactions taken and not answered"),
 		endpoints:         newGauge("targets", "backends in the list"),
-		disabledEndpoints: newGauge("targets_disabled", "listed backends that are sent nothing new"),
+		drainingEndpoints: newGauge("targets_disabled", "listed backends that are sent nothing new"),
 		configsReloaded:   newCounter("reload_success", "configurations taken at SIGHUP"),
 		configsRejected:   newCounter("reload_failure", "configurations turned down at SIGHUP"),
 	}
 	for _, counter := range r.classCounters() {
 		r.registry.MustRegister(counter)
 	}
-	r.registry.MustRegister(r.requestsInFlight, r.endpoints, r.disabledEndpoints)
+	r.registry.MustRegister(r.requestsInFlight, r.endpoints, r.drainingEndpoints)
 	r.registry.MustRegister(r.configsReloaded, r.configsRejected)
 	r.SetClasses(classes)
 	return r
@@ -160,7 +160,7 @@
 // RequestAnswered counts a request's answer under the class that the request came with. That includes a
 // refusal because of the request's head, if its class could be read. A request whose client has gone has no
 // answer to count.
-func (r *Registry) RequestAnswered(class policy.ClassID, outcome Outcome) {
+func (r *Registry) RequestAnswered(class policy.ClassID, outcome RequestOutcome) {
 	if r != nil {
 		r.requests[outcome].WithLabelValues(r.className(class)).Inc()
 	}
@@ -180,11 +180,11 @@
 	}
 }
 
-// SetEndpoints sets how many backends the endpoint list holds, and how many of them receive no new attempts.
-func (r *Registry) SetEndpoints(listed, disabled int) {
+// SetEndpoints sets how many backends the endpoint list holds, and how many of them are draining.
+func (r *Registry) SetEndpoints(listed, draining int) {
 	if r != nil {
 		r.endpoints.Set(float64(listed))
-		r.disabledEndpoints.Set(float64(disabled))
+		r.drainingEndpoints.Set(float64(draining))
 	}
 }
 
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -34,15 +34,15 @@
 	r.RequestReceived()
 	r.RequestReceived()
 	r.AttemptSent(1)
-	r.RequestAnswered(1, Success)
+	r.RequestAnswered(1, RequestSucceeded)
 	r.RequestEnded()
 	r.SetEndpoints(5, 2)
 	r.ConfigRejected()
 	r.SetClasses([]string{"", "pay", "report"}) // lookup is dropped, its row stays; pay is a new row
-	r.RequestAnswered(0, Error)                 // in flight under lookup
+	r.RequestAnswered(0, RequestFailed)         // in flight under lookup
 	r.SetClasses([]string{"", "pay", "report"})
-	r.RequestAnswered(1, Overload)
-	r.RequestAnswered(7, Error) // of no known class
+	r.RequestAnswered(1, RequestRejected)
+	r.RequestAnswered(7, RequestFailed) // of no known class
 	for _, want := range []string{
 		`gw_success{type="pay"} 1`,
 		`gw_dispatches{type="pay"} 1`,
@@ -69,7 +69,7 @@
 	r.AddGauges(map[string]Gauge{"x": {}})
 	r.SetClasses([]string{"lookup"})
 	r.RequestReceived()
-	r.RequestAnswered(0, Success)
+	r.RequestAnswered(0, RequestSucceeded)
 	r.RequestEnded()
 	r.AttemptSent(0)
 	r.SetEndpoints(1, 0)
--- a/internal/store/failure_test.go
+++ b/internal/store/failure_test.go
@@ -122,7 +122,7 @@
 	c.converge()
 }
 
-// TestVoteRestriction_NoVotesWhileCatchingUp holds that a replica that has not caught up neither votes nor
+// TestVoteRestriction_NoVotesWhileCatchingUp checks that a replica that has not caught up neither votes nor
 // wins a vote.
 func TestVoteRestriction_NoVotesWhileCatchingUp(t *testing.T) {
 	c := newCluster(t, nil)
@@ -148,7 +148,7 @@
 	c.write(followers[1], "k", "3")
 }
 
-// TestSnapshot_RestoresReplicaAfterLongAbsence holds that a replica that was stopped for longer than the log
+// TestSnapshot_RestoresReplicaAfterLongAbsence checks that a replica that was stopped for longer than the log
 // reaches back catches up from a snapshot.
 func TestSnapshot_RestoresReplicaAfterLongAbsence(t *testing.T) {
 	c := newCluster(t, nil)
--- a/internal/timerqueue/timerqueue.go
+++ b/internal/timerqueue/timerqueue.go
@@ -1,6 +1,7 @@
 // Package timerqueue keeps values in the order of the times at which they are due. Values with equal times
 // keep the order in which they were pushed, so that a state machine driven by the queue is deterministic. A
-// Queue is not safe for concurrent use.
+// Queue is not safe for concurrent use. Times are int64 in one unit and on one clock of the caller's choice;
+// the program uses nanoseconds.
 package timerqueue
 
 import "container/heap"
--- a/internal/tlsconfig/source.go
+++ b/internal/tlsconfig/source.go
@@ -12,6 +12,9 @@
 	"fawnplank/internal/logging"
 )
 
+// logComponent names this package in the log.
+const logComponent = "tls"
+
 // checkInterval is the minimum time between two checks of the files: a renewed certificate is in use soon
 // enough, and a burst of handshakes does not access the disk for each one.
 const checkInterval = time.Second
@@ -167,11 +170,11 @@
 		s.current = fresh
 		s.lastError = ""
 		until := fresh.certificate.Leaf.NotAfter.UTC().Format(time.RFC3339)
-		logging.For("tls").WithField("until", until).Info("certificate reloaded")
+		logging.For(logComponent).WithField("until", until).Info("certificate reloaded")
 		return
 	}
 	if text := err.Error(); text != s.lastError {
 		s.lastError = text
-		logging.For("tls").WithField(logging.Error, text).Error("certificate reload failed")
+		logging.For(logComponent).WithField(logging.Error, text).Error("certificate reload failed")
 	}
 }
--- a/internal/tlsconfig/tlsconfig_test.go
+++ b/internal/tlsconfig/tlsconfig_test.go
@@ -109,7 +109,7 @@
 	}
 }
 
-// TestSource_ConfigsVerifyBothSides holds that each side requires a certificate of its authority.
+// TestSource_ConfigsVerifyBothSides checks that each side requires a certificate of its authority.
 func TestSource_ConfigsVerifyBothSides(t *testing.T) {
 	own, other := newAuthority(t), newAuthority(t)
 	files := sign(t, own, t.TempDir(), time.Hour)
@@ -140,7 +140,7 @@
 	}
 }
 
-// TestSource_FollowsItsFiles holds that a renewed certificate comes into use without a restart, and that a
+// TestSource_FollowsItsFiles checks that a renewed certificate comes into use without a restart, and that a
 // broken one leaves the old one in use.
 func TestSource_FollowsItsFiles(t *testing.T) {
 	authority, folder := newAuthority(t), t.TempDir()
--- a/internal/warmstart/version0_test.go
+++ b/internal/warmstart/version0_test.go
@@ -45,7 +45,7 @@
 	}
 }
 
-// TestStoredTypes_HaveTags holds that a tag, and not Go, names each stored field.
+// TestStoredTypes_HaveTags checks that a tag, not the Go field name, names each stored field.
 func TestStoredTypes_HaveTags(t *testing.T) {
 	testutil.CheckTags(t, body{})
 }
--- a/internal/warmstart/warmstart.go
+++ b/internal/warmstart/warmstart.go
@@ -40,8 +40,9 @@
 
 // Reasons for which Load rejects a file. Load wraps them with the file's path.
 var (
-	ErrCutShort = errors.New("no file of this kind, or one cut short")
-	ErrDamaged  = errors.New("damaged: its checksum does not fit")
+	// ErrTruncated is also reported for a file of another kind.
+	ErrTruncated = errors.New("no file of this kind, or one cut short")
+	ErrCorrupt   = errors.New("damaged: its checksum does not fit")
 )
 
 // body is the content of the file after the magic line and the checksum (xxhash, big-endian) of the body.
@@ -108,11 +109,11 @@
 func parse(content []byte) (body, error) {
 	const headBytes = len(magic) + checksumBytes
 	if len(content) < headBytes || string(content[:len(magic)]) != magic {
-		return body{}, ErrCutShort
+		return body{}, ErrTruncated
 	}
 	text := content[headBytes:]
 	if xxhash.Sum64(text) != binary.BigEndian.Uint64(content[len(magic):]) {
-		return body{}, ErrDamaged
+		return body{}, ErrCorrupt
 	}
 	var saved body
 	if err := json.Unmarshal(text, &saved); err != nil {
--- a/internal/warmstart/warmstart_test.go
+++ b/internal/warmstart/warmstart_test.go
@@ -176,7 +176,7 @@
 			if err == nil {
 				t.Fatalf("no error though cut or changed at byte %d", n)
 			}
-			if !errors.Is(err, ErrCutShort) && !errors.Is(err, ErrDamaged) {
+			if !errors.Is(err, ErrTruncated) && !errors.Is(err, ErrCorrupt) {
 				t.Errorf("cut or changed at byte %d: %v", n, err)
 			}
 		}
