--- a/cmd/fawnplank-lab/command_accounts.go
+++ b/cmd/fawnplank-lab/command_accounts.go
@@ -6,7 +6,7 @@
 	"github.com/sirupsen/logrus"
 	"github.com/spf13/cobra"
 
-	"fawnplank/internal/lab/accounts"
+	"fawnplank/internal/lab/billingbench"
 )
 
 // defaultAccountsDuration is how long clients send commands.
@@ -35,10 +35,10 @@
 
 func (f *accountsFlags) run(command *cobra.Command) error {
 	logrus.SetLevel(logrus.ErrorLevel) // log entries of an election would end up in the table
-	var costs []accounts.Cost
+	var costs []billingbench.Cost
 	for _, clients := range f.clients {
 		for _, secure := range []bool{false, true} {
-			cost, err := accounts.Measure(command.Context(), accounts.Options{
+			cost, err := billingbench.Measure(command.Context(), billingbench.Options{
 				TLS:      secure,
 				Clients:  clients,
 				Duration: f.duration,
@@ -49,5 +49,5 @@
 			costs = append(costs, cost)
 		}
 	}
-	return accounts.Table(command.OutOrStdout(), costs)
+	return billingbench.Table(command.OutOrStdout(), costs)
 }
--- a/cmd/fawnplank-lab/command_load.go
+++ b/cmd/fawnplank-lab/command_load.go
@@ -76,7 +76,7 @@
 	log := results.NewLog(results.New(s, settings, testbed.SlackNanos))
 	log.Begin()
 	tool := load.New(s, log, f.addresses)
-	tool.Run(ctx.Done())
+	tool.Run(ctx)
 	run := log.Finish()
 	run.On = results.OnClients
 	run.LagP50, run.LagP99 = tool.Lag()
--- a/internal/lab/accounts/client.go
+++ b/internal/lab/billingbench/client.go
@@ -1,4 +1,4 @@
-package accounts
+package billingbench
 
 import (
 	"bufio"
@@ -8,7 +8,6 @@
 	"fmt"
 	"io"
 	"net"
-	"strconv"
 	"strings"
 	"time"
 
@@ -43,6 +42,18 @@
 	reader *bufio.Reader
 }
 
+func dial(ctx context.Context, address string, certificates *tlsconfig.Source) (*client, error) {
+	var dialer net.Dialer
+	conn, err := dialer.DialContext(ctx, "tcp", address)
+	if err != nil {
+		return nil, err
+	}
+	if certificates != nil {
+		conn = tls.Client(conn, certificates.ClientConfig())
+	}
+	return &client{conn: conn, reader: bufio.NewReader(conn)}, nil
+}
+
 // runClient reserves and commits until the duration since its first success is over. It returns the latencies
 // of the commands after that success.
 func runClient(ctx context.Context, options clientOptions) ([]time.Duration, error) {
@@ -106,22 +117,10 @@
 	if err != nil {
 		return "", err
 	}
-	if _, err := strconv.Atoi(answer); err != nil { // an error's line, not an epoch
-		return "", fmt.Errorf("%w: %s", errNotReserved, strings.TrimSpace(answer))
+	if answer.epoch == "" {
+		return "", fmt.Errorf("%w: %s", errNotReserved, answer.refusal)
 	}
-	return answer, nil
-}
-
-func dial(ctx context.Context, address string, certificates *tlsconfig.Source) (*client, error) {
-	var dialer net.Dialer
-	conn, err := dialer.DialContext(ctx, "tcp", address)
-	if err != nil {
-		return nil, err
-	}
-	if certificates != nil {
-		conn = tls.Client(conn, certificates.ClientConfig())
-	}
-	return &client{conn: conn, reader: bufio.NewReader(conn)}, nil
+	return answer.epoch, nil
 }
 
 // commit commits one unit of a reservation.
@@ -130,29 +129,39 @@
 	if err != nil {
 		return fmt.Errorf("accounts: commit: %w", err)
 	}
-	if strings.HasPrefix(answer, "-") {
-		return errors.New("accounts: commit: " + strings.TrimSpace(answer))
+	if answer.refusal != "" {
+		return errors.New("accounts: commit: " + answer.refusal)
 	}
 	return nil
 }
 
-// send sends a command. It returns the epoch if the answer is a reservation, the line itself if it is an
-// error, and "" for other answers.
-func (c *client) send(command string) (string, error) {
+// answer is the answer to a command. Both fields are empty if the answer is neither a reservation nor an error.
+type answer struct {
+	epoch   string // of a reservation
+	refusal string // the line of an error
+}
+
+// send sends a command and reads the answer.
+func (c *client) send(command string) (answer, error) {
 	if err := c.conn.SetDeadline(time.Now().Add(commandTimeout)); err != nil {
-		return "", err
+		return answer{}, err
 	}
 	if _, err := io.WriteString(c.conn, command+"\r\n"); err != nil {
-		return "", err
+		return answer{}, err
 	}
 	line, err := c.reader.ReadString('\n')
-	if err != nil || line[0] == '-' {
-		return line, err
+	if err != nil {
+		return answer{}, err
 	}
-	if line[0] != '*' {
-		return "", nil
+	switch line[0] {
+	case '-':
+		return answer{refusal: strings.TrimSpace(line)}, nil
+	case '*':
+		epoch, err := c.readReservation()
+		return answer{epoch: epoch}, err
+	default:
+		return answer{}, nil
 	}
-	return c.readReservation()
 }
 
 // readReservation reads the rest of a reservation's answer and returns its epoch.
--- a/internal/lab/accounts/cluster.go
+++ b/internal/lab/billingbench/cluster.go
@@ -1,4 +1,4 @@
-package accounts
+package billingbench
 
 import (
 	"context"
@@ -113,7 +113,7 @@
 }
 
 // freeAddress returns an address of loopback that nothing listens on. Another process may take it before it
-// is used; then the replica fails to start.
+// is used; then the replica fails to start. It is on 127.0.0.1, the only address in the certificates of testca.
 func freeAddress(ctx context.Context) (string, error) {
 	listener, err := listen(ctx)
 	if err != nil {
--- a/internal/lab/accounts/measure.go
+++ b/internal/lab/billingbench/measure.go
@@ -1,4 +1,4 @@
-package accounts
+package billingbench
 
 import (
 	"context"
--- a/internal/lab/dnsbench/dnsbench.go
+++ b/internal/lab/dnsbench/dnsbench.go
@@ -72,7 +72,7 @@
 // Measure measures zones of the given sizes: first with updates one after the other, then for a time with
 // concurrent updaters.
 func Measure(ctx context.Context, sizes []int, updates int, duration time.Duration) ([]Cost, error) {
-	folder, err := os.MkdirTemp("", "fawnplank-names-")
+	folder, err := os.MkdirTemp("", "fawnplank-dnsbench-")
 	if err != nil {
 		return nil, err
 	}
--- a/internal/lab/emulator/backend.go
+++ b/internal/lab/emulator/backend.go
@@ -306,9 +306,9 @@
 func (b *backend) capacity() float64 {
 	rules := b.emulator.scenario.Rules
 	ageNanos := b.emulator.log.Now() - b.startedNanos
-	if b.startedNanos == 0 || ageNanos >= int64(rules.SlowStart) {
+	if b.startedNanos == 0 || ageNanos >= int64(rules.SlowStartDuration) {
 		return 1
 	}
-	warmedUp := float64(max(ageNanos, 0)) / float64(rules.SlowStart)
-	return rules.InitialCapacity + (1-rules.InitialCapacity)*warmedUp
+	warmedUp := float64(max(ageNanos, 0)) / float64(rules.SlowStartDuration)
+	return rules.SlowStartShare + (1-rules.SlowStartShare)*warmedUp
 }
--- a/internal/lab/emulator/discovery.go
+++ b/internal/lab/emulator/discovery.go
@@ -80,7 +80,7 @@
 			version: 1,
 		})
 	}
-	if e.scenario.Discovery.Source == "dns" {
+	if e.scenario.Discovery.Source == scenario.SourceDNS {
 		d.updates = newUpdateQueues(e.scenario.Instances.Count)
 	}
 	for instance := range e.scenario.Instances.Count {
--- a/internal/lab/invariants/attempts.go
+++ b/internal/lab/invariants/attempts.go
@@ -10,7 +10,7 @@
 func (c *Checker) checkArrival(s *submission, event Event) {
 	if s.answeredNanos > 0 && event.AtNanos > s.answeredNanos+c.settings.SlackNanos {
 		c.report(RuleOneAnswer, event.AtNanos, "submission %d: came to backend %d %s after its final answer",
-			event.Submission, event.Backend, inMillis(event.AtNanos-s.answeredNanos))
+			event.Submission, event.Backend, formatMillis(event.AtNanos-s.answeredNanos))
 	}
 	for _, earlier := range s.attempts {
 		if !earlier.refused {
@@ -18,7 +18,7 @@
 		}
 	}
 	s.attempts = append(s.attempts, attempt{backend: event.Backend, atNanos: event.AtNanos})
-	delivered, ok := c.delivered[route{instance: s.Instance, backend: event.Backend}]
+	delivered, ok := c.delivered[Route{Instance: s.Instance, Backend: event.Backend}]
 	if ok && delivered.State != policy.EndpointReady {
 		c.checkDrain(s, delivered, event)
 	}
@@ -46,7 +46,7 @@
 	case event.AtNanos-earlier.atNanos > class.DedupWindow+c.settings.SlackNanos:
 		c.report(RuleNoRerun, event.AtNanos,
 			"submission %d: came to backend %d %s after one that may have run, beyond the dedup window",
-			event.Submission, event.Backend, inMillis(event.AtNanos-earlier.atNanos))
+			event.Submission, event.Backend, formatMillis(event.AtNanos-earlier.atNanos))
 	}
 }
 
@@ -67,7 +67,7 @@
 	if lateNanos > 0 {
 		c.report(RuleDrain, event.AtNanos,
 			"submission %d: instance %d sent to backend %d %s after the grace of its draining or being gone",
-			event.Submission, s.Instance, event.Backend, inMillis(lateNanos))
+			event.Submission, s.Instance, event.Backend, formatMillis(lateNanos))
 	}
 }
 
@@ -81,12 +81,12 @@
 	workSeconds float64
 }
 
-// checkSlowStart adds up what a warming backend was sent within the collapse window. Nobody knows a backend's
+// checkSlowStart adds up what a warming backend was sent within the overload window. Nobody knows a backend's
 // capacity at an age: the gateway knows only the share that it starts with and when it has all of it at the
 // latest. The check assumes a straight line between the two.
 func (c *Checker) checkSlowStart(event, delivered Event) {
 	settings := &c.settings
-	hasWarmedUp := event.StartedNanos == 0 || event.AtNanos-event.StartedNanos > settings.SlowStartNanos
+	hasWarmedUp := event.StartedNanos == 0 || event.AtNanos-event.StartedNanos > settings.SlowStartDurationNanos
 	isDelivered := delivered.StartedNanos == event.StartedNanos
 	if hasWarmedUp || !isDelivered {
 		return
@@ -98,8 +98,8 @@
 		c.overloaded[event.Backend] = event.StartedNanos
 		c.report(RuleSlowStart, event.AtNanos,
 			"backend %d, started %s ago, was sent %.3f s of work in %s and bears %.3f s",
-			event.Backend, inMillis(event.AtNanos-event.StartedNanos), workSeconds,
-			inMillis(settings.CollapseWindowNanos), budgetSeconds)
+			event.Backend, formatMillis(event.AtNanos-event.StartedNanos), workSeconds,
+			formatMillis(settings.OverloadWindowNanos), budgetSeconds)
 	}
 }
 
@@ -109,12 +109,12 @@
 func (s *Settings) slowStartBudget(startedNanos, atNanos int64) float64 {
 	capacityAt := func(nanos int64) float64 {
 		age := float64(nanos - startedNanos)
-		slowStart := float64(max(s.SlowStartNanos, 1))
-		return s.InitialCapacity + (1-s.InitialCapacity)*age/slowStart
+		slowStart := float64(max(s.SlowStartDurationNanos, 1))
+		return s.SlowStartShare + (1-s.SlowStartShare)*age/slowStart
 	}
-	windowStart := max(atNanos-s.CollapseWindowNanos, startedNanos)
+	windowStart := max(atNanos-s.OverloadWindowNanos, startedNanos)
 	capacity := (capacityAt(windowStart) + capacityAt(atNanos)) / 2
-	return s.CollapseMultiple * s.Cores * capacity * float64(s.CollapseWindowNanos) / 1e9
+	return s.OverloadMultiple * s.Cores * capacity * float64(s.OverloadWindowNanos) / 1e9
 }
 
 // addArrival adds an arrival to those of its backend within the window, and returns the work of all of them
@@ -122,7 +122,7 @@
 func (c *Checker) addArrival(event Event) (workSeconds, largestSeconds float64) {
 	all := append(c.arrivals[event.Backend], arrival{atNanos: event.AtNanos, workSeconds: event.WorkSeconds})
 	all = slices.DeleteFunc(all, func(a arrival) bool {
-		return event.AtNanos-a.atNanos > c.settings.CollapseWindowNanos || a.atNanos < event.StartedNanos
+		return event.AtNanos-a.atNanos > c.settings.OverloadWindowNanos || a.atNanos < event.StartedNanos
 	})
 	c.arrivals[event.Backend] = all
 	for _, a := range all {
--- a/internal/lab/invariants/checker.go
+++ b/internal/lab/invariants/checker.go
@@ -28,19 +28,19 @@
 
 // Settings are the figures that the rules use.
 type Settings struct {
-	Classes             []policy.ClassSettings
-	Plans               []policy.PlanSettings
-	HardQuotaSlack      []float64 // by plan, in units
-	AnswerGraceNanos    int64     // of an answer after the client's deadline
-	DrainGraceNanos     int64     // of an attempt after the instance had the backend's new state
-	SlackNanos          int64     // for ways that are not seen, from an instance to a backend or client
-	Cores               float64   // of a backend that has warmed up
-	InitialCapacity     float64   // of a backend that starts, as a share
-	SlowStartNanos      int64
-	CollapseMultiple    float64 // of its capacity that a backend bears over the window
-	CollapseWindowNanos int64
-	Zone                func(backend int) int
-	Group               func(backend int) int
+	Classes                []policy.ClassSettings
+	Plans                  []policy.PlanSettings
+	HardQuotaSlack         []float64 // by plan, in units
+	AnswerGraceNanos       int64     // of an answer after the client's deadline
+	DrainGraceNanos        int64     // of an attempt after the instance had the backend's new state
+	SlackNanos             int64     // for unobserved transit from an instance to a backend or client
+	Cores                  float64   // of a backend that has warmed up
+	SlowStartShare         float64   // of a backend that starts, as a share
+	SlowStartDurationNanos int64
+	OverloadMultiple       float64 // of its capacity that a backend bears over the window
+	OverloadWindowNanos    int64
+	Zone                   func(backend int) int
+	Group                  func(backend int) int
 }
 
 // Finding is one violation of a rule.
@@ -75,15 +75,15 @@
 	endedNanos    int64 // when it was answered or abandoned; 0: not yet
 }
 
-// route is the way from an instance to a backend.
-type route struct{ instance, backend int }
+// Route is an instance and a backend that it sends to.
+type Route struct{ Instance, Backend int }
 
 // Checker finds violations in events that come in order of time.
 type Checker struct {
 	settings    Settings
 	submissions map[SubmissionID]*submission
 	ended       []SubmissionID  // in order of their end
-	delivered   map[route]Event // the last EndpointDelivered
+	delivered   map[Route]Event // the last EndpointDelivered
 	arrivals    map[int][]arrival
 	overloaded  map[int]int64 // by backend, the start after which it was found overloaded
 	quotas      map[int]*hardQuota
@@ -96,7 +96,7 @@
 	return &Checker{
 		settings:    settings,
 		submissions: map[SubmissionID]*submission{},
-		delivered:   map[route]Event{},
+		delivered:   map[Route]Event{},
 		arrivals:    map[int][]arrival{},
 		overloaded:  map[int]int64{},
 		quotas:      map[int]*hardQuota{},
@@ -127,7 +127,7 @@
 }
 
 func (c *Checker) observeEndpoint(event Event) {
-	key := route{instance: event.Instance, backend: event.Backend}
+	key := Route{Instance: event.Instance, Backend: event.Backend}
 	old, ok := c.delivered[key]
 	if ok && old.State != policy.EndpointReady && event.State != policy.EndpointReady {
 		event.AtNanos = old.AtNanos // the grace counts from the first state that forbids new attempts
@@ -137,7 +137,7 @@
 
 func (c *Checker) observeInstanceDeath(instance int) {
 	for key := range c.delivered {
-		if key.instance == instance {
+		if key.Instance == instance {
 			delete(c.delivered, key)
 		}
 	}
@@ -171,7 +171,7 @@
 		if s.answeredNanos > 0 && event.AtNanos > s.answeredNanos {
 			c.report(RuleOneAnswer, event.AtNanos,
 				"submission %d: sent to backend %d %s after its final answer",
-				event.Submission, event.Backend, inMillis(event.AtNanos-s.answeredNanos))
+				event.Submission, event.Backend, formatMillis(event.AtNanos-s.answeredNanos))
 		}
 	case AttemptArrived:
 		c.checkArrival(s, event)
@@ -190,7 +190,7 @@
 	}
 }
 
-func inMillis(nanos int64) string { return fmt.Sprintf("%.1f ms", float64(nanos)/1e6) }
+func formatMillis(nanos int64) string { return fmt.Sprintf("%.1f ms", float64(nanos)/1e6) }
 
 // checkAnswer checks a final answer against the rules of answers and, if it is a rejection, of reruns.
 func (c *Checker) checkAnswer(s *submission, event Event) {
@@ -201,7 +201,7 @@
 	lateNanos := event.AtNanos - s.DeadlineNanos - c.settings.AnswerGraceNanos
 	if s.answerDue && lateNanos > 0 {
 		c.report(RuleOneAnswer, event.AtNanos, "submission %d: answered %s after its deadline and grace",
-			event.Submission, inMillis(lateNanos))
+			event.Submission, formatMillis(lateNanos))
 	}
 	s.answeredNanos = event.AtNanos
 	s.answerDue = false
--- a/internal/lab/load/load.go
+++ b/internal/lab/load/load.go
@@ -8,6 +8,7 @@
 package load
 
 import (
+	"context"
 	"sync"
 	"time"
 
@@ -53,9 +54,9 @@
 	}
 }
 
-// Run sends all requests, and returns once all are answered or their time is up. After a stop it sends no
-// more.
-func (g *Generator) Run(stop <-chan struct{}) {
+// Run sends all requests, and returns once all are answered or their time is up. It sends no more once ctx
+// ends.
+func (g *Generator) Run(ctx context.Context) {
 	start := time.Now()
 	for {
 		request, ok := g.workload.Next()
@@ -63,9 +64,8 @@
 			break
 		}
 		due := start.Add(time.Duration(request.AtNanos))
-		if !sleepUntil(due, stop) {
-			g.requests.Wait()
-			return
+		if !sleepUntil(ctx, due) {
+			break
 		}
 		g.requests.Go(func() { g.send(request, due) })
 	}
@@ -73,8 +73,8 @@
 	g.closeIdle()
 }
 
-// sleepUntil waits until due. It returns false if stop ends the wait.
-func sleepUntil(due time.Time, stop <-chan struct{}) bool {
+// sleepUntil waits until due. It returns false if ctx ends the wait.
+func sleepUntil(ctx context.Context, due time.Time) bool {
 	wait := time.Until(due)
 	if wait <= 0 {
 		return true
@@ -82,7 +82,7 @@
 	select {
 	case <-time.After(wait):
 		return true
-	case <-stop:
+	case <-ctx.Done():
 		return false
 	}
 }
--- a/internal/lab/load/load_test.go
+++ b/internal/lab/load/load_test.go
@@ -1,6 +1,7 @@
 package load
 
 import (
+	"context"
 	"net"
 	"sync/atomic"
 	"testing"
@@ -62,7 +63,7 @@
 
 func TestGenerator_RunSendsEveryRequest(t *testing.T) {
 	g, log := newGenerator(t, serveAnswers(t, "$2\r\nok\r\n"))
-	g.Run(nil)
+	g.Run(t.Context())
 	total := log.Finish().Total
 	if total.Requests == 0 || total.Succeeded != total.Requests || total.NotSent > 0 {
 		t.Errorf("%+v", total)
@@ -74,9 +75,9 @@
 
 func TestGenerator_RunEndsAtStop(t *testing.T) {
 	g, log := newGenerator(t, serveAnswers(t, "$2\r\nok\r\n"), "load.rate=1")
-	stop := make(chan struct{})
-	close(stop)
-	g.Run(stop)
+	ctx, stop := context.WithCancel(t.Context())
+	stop()
+	g.Run(ctx)
 	if total := log.Finish().Total; total.Requests > 0 {
 		t.Errorf("%d requests after the stop", total.Requests)
 	}
@@ -84,7 +85,7 @@
 
 func TestGenerator_CountsWhatNoInstanceAccepts(t *testing.T) {
 	g, log := newGenerator(t, testutil.FreeAddress(t), "load.retries=0")
-	g.Run(nil)
+	g.Run(t.Context())
 	if total := log.Finish().Total; total.Requests > 0 || total.NotSent == 0 {
 		t.Errorf("%+v", total)
 	}
--- a/internal/lab/model/backend.go
+++ b/internal/lab/model/backend.go
@@ -72,10 +72,10 @@
 func (b *backend) capacity() float64 {
 	rules := &b.world.scenario.Rules
 	ageNanos := b.world.nowNanos - b.startedNanos
-	if b.startedNanos == 0 || ageNanos >= int64(rules.SlowStart) {
+	if b.startedNanos == 0 || ageNanos >= int64(rules.SlowStartDuration) {
 		return 1
 	}
-	return rules.InitialCapacity + (1-rules.InitialCapacity)*float64(ageNanos)/float64(rules.SlowStart)
+	return rules.SlowStartShare + (1-rules.SlowStartShare)*float64(ageNanos)/float64(rules.SlowStartDuration)
 }
 
 // arrive accepts an attempt, or refuses it.
@@ -85,7 +85,7 @@
 		return // the attempt times out
 	}
 	if !b.isUp || b.refusing > 0 {
-		w.after(w.hopNanos(), func() { a.end(policy.ConnectFailed) })
+		w.after(w.oneWayDelayNanos(), func() { a.end(policy.ConnectFailed) })
 		return
 	}
 	a.workNanos = w.workload.WorkNanos(w.workRandom, a.submission.Units)
@@ -119,7 +119,7 @@
 		Submission: a.submission.Submission,
 		Backend:    b.index,
 	})
-	w.after(w.hopNanos(), func() { a.end(policy.Rejected) })
+	w.after(w.oneWayDelayNanos(), func() { a.end(policy.Rejected) })
 }
 
 func (b *backend) begin(a *attempt) {
@@ -145,7 +145,7 @@
 	case b.garbling > 0, b.failing > 0:
 		outcome = policy.Failed
 	}
-	b.world.after(b.world.hopNanos(), func() { a.end(outcome) })
+	b.world.after(b.world.oneWayDelayNanos(), func() { a.end(outcome) })
 }
 
 // beginQueued begins queued attempts on the cores that are free.
@@ -162,7 +162,7 @@
 // crash ends the process: it answers nothing more, and its connections break.
 func (b *backend) crash() {
 	for _, a := range b.stop() {
-		b.world.after(b.world.hopNanos(), func() { a.end(policy.ConnectionLost) })
+		b.world.after(b.world.oneWayDelayNanos(), func() { a.end(policy.ConnectionLost) })
 	}
 }
 
--- a/internal/lab/model/client.go
+++ b/internal/lab/model/client.go
@@ -45,7 +45,7 @@
 	}
 	w.recorder.Observe(s.Event)
 	incarnation := to.incarnation
-	w.after(w.hopNanos(), func() {
+	w.after(w.oneWayDelayNanos(), func() {
 		if to.incarnation == incarnation {
 			to.receive(s)
 		} else {
@@ -75,7 +75,7 @@
 			s.instance.forgetIfDone(s)
 		}
 	})
-	w.after(w.hopNanos(), func() { s.handleAnswerArrived(kind, retryAfterNanos) })
+	w.after(w.oneWayDelayNanos(), func() { s.handleAnswerArrived(kind, retryAfterNanos) })
 }
 
 // handleAnswerArrived records an answer that has reached the client, and makes the client retry a rejected
--- a/internal/lab/model/counter.go
+++ b/internal/lab/model/counter.go
@@ -72,10 +72,10 @@
 	k := &counterCall{instance: from, incarnation: from.incarnation, key: key}
 	from.calls[key] = append(from.calls[key], k)
 	w.after(int64(w.scenario.Counter.Timeout), func() { k.end(policy.TimedOut, 0) })
-	w.after(w.hopNanos(), func() {
+	w.after(w.oneWayDelayNanos(), func() {
 		c.arrive(k, func() {
 			total := c.add(key, units, lifetimeNanos)
-			w.after(w.hopNanos(), func() { k.end(policy.Succeeded, total) })
+			w.after(w.oneWayDelayNanos(), func() { k.end(policy.Succeeded, total) })
 		})
 	})
 }
@@ -86,13 +86,13 @@
 	switch {
 	case c.cutOff[k.instance.index] > 0: // lost on the way
 	case c.refusing > 0:
-		w.after(w.hopNanos(), func() { k.end(policy.ConnectFailed, 0) })
+		w.after(w.oneWayDelayNanos(), func() { k.end(policy.ConnectFailed, 0) })
 	case c.hanging > 0:
 		c.withheld = append(c.withheld, answer)
 	default:
 		answerNanos, ok := c.schedule()
 		if !ok {
-			w.after(w.hopNanos(), func() { k.end(policy.Rejected, 0) })
+			w.after(w.oneWayDelayNanos(), func() { k.end(policy.Rejected, 0) })
 			return
 		}
 		w.at(answerNanos, answer)
--- a/internal/lab/model/instance.go
+++ b/internal/lab/model/instance.go
@@ -132,7 +132,7 @@
 		Backend:    a.to.index,
 	})
 	w.at(expireNanos, func() { a.end(policy.TimedOut) })
-	w.after(w.hopNanos(), func() { a.to.arrive(a) })
+	w.after(w.oneWayDelayNanos(), func() { a.to.arrive(a) })
 }
 
 // Cancel implements policy.Effects.
--- a/internal/lab/model/world.go
+++ b/internal/lab/model/world.go
@@ -128,15 +128,15 @@
 // after schedules do for a delay from now.
 func (w *world) after(delayNanos int64, do func()) { w.at(w.nowNanos+delayNanos, do) }
 
-// hopNanos draws the time of one way through the network: half the usual delay, plus as much again on
-// average.
-func (w *world) hopNanos() int64 {
+// oneWayDelayNanos draws the delay of a message in one direction: half of Net.Delay, plus an exponential part
+// with the same mean.
+func (w *world) oneWayDelayNanos() int64 {
 	delay := float64(w.scenario.Net.Delay)
 	return int64(delay/2 + delay/2*w.networkRandom.ExpFloat64())
 }
 
-// roundTripNanos draws the time of the way to a party and back, as twice that of one way.
-func (w *world) roundTripNanos() int64 { return 2 * w.hopNanos() }
+// roundTripNanos draws a round-trip time, as twice a one-way delay.
+func (w *world) roundTripNanos() int64 { return 2 * w.oneWayDelayNanos() }
 
 // engineNow returns the present time as engines see it.
 func (w *world) engineNow() int64 { return epochNanos + w.nowNanos }
--- a/internal/lab/results/exact_quota.go
+++ b/internal/lab/results/exact_quota.go
@@ -6,11 +6,11 @@
 	"fawnplank/internal/lab/invariants"
 )
 
-// exactQuota is a tenant's token bucket as one exact counter would keep it. It starts full and refills at the
-// plan's rate. Units that the gateways sent on are drawn from tokens. Units that the exact counter would have
-// admitted of the same submissions, which need not be the same ones, are drawn from exactTokens.
+// exactQuota compares a tenant's use with that of one exact counter. It has two token buckets, which start full
+// and refill at the plan's rate: sentTokens pays for the units that gateways sent on, exactTokens for those that
+// the exact counter would have admitted of the same submissions.
 type exactQuota struct {
-	tokens          float64
+	sentTokens      float64
 	exactTokens     float64
 	refilledAtNanos int64
 	sentUnits       float64 // since the start
@@ -34,11 +34,11 @@
 	}
 	quota := r.quotas[submission.Tenant]
 	if quota == nil {
-		quota = &exactQuota{tokens: plan.Burst, exactTokens: plan.Burst, refilledAtNanos: atNanos}
+		quota = &exactQuota{sentTokens: plan.Burst, exactTokens: plan.Burst, refilledAtNanos: atNanos}
 		r.quotas[submission.Tenant] = quota
 	}
 	refill := float64(atNanos-quota.refilledAtNanos) / 1e9 * plan.Rate
-	quota.tokens = min(quota.tokens+refill, plan.Burst)
+	quota.sentTokens = min(quota.sentTokens+refill, plan.Burst)
 	quota.exactTokens = min(quota.exactTokens+refill, plan.Burst)
 	quota.refilledAtNanos = atNanos
 	return quota
@@ -62,8 +62,8 @@
 		return
 	}
 	quota.sentUnits += submission.Units
-	if quota.tokens >= submission.Units {
-		quota.tokens -= submission.Units
+	if quota.sentTokens >= submission.Units {
+		quota.sentTokens -= submission.Units
 		r.row.UnitsInside += submission.Units
 	} else {
 		r.row.UnitsOver += submission.Units
--- a/internal/lab/results/recorder.go
+++ b/internal/lab/results/recorder.go
@@ -41,9 +41,6 @@
 	hasArrived bool
 }
 
-// route is the way from an instance to a backend.
-type route struct{ instance, backend int }
-
 // withdrawal is when a backend was delivered as gone, and how long after that the last attempt came.
 type withdrawal struct {
 	deliveredNanos   int64
@@ -61,12 +58,12 @@
 	latency         histogram // of the run's successes
 	pending         map[invariants.SubmissionID]*pending
 	quotas          map[int]*exactQuota // by tenant
-	withdrawals     map[route]*withdrawal
+	withdrawals     map[invariants.Route]*withdrawal
 	withdrawalTimes histogram
 }
 
-// New returns a recorder for a scenario. slackNanos is how long the ways between the parties may take where
-// only their ends are seen. Classes and plans come from the settings, which the gateways have too.
+// New returns a recorder for a scenario. slackNanos is how long a message may be in transit, where only
+// its sending or its arrival is observed. Classes and plans come from the settings, which the gateways have too.
 func New(s *scenario.Scenario, settings policy.Settings, slackNanos int64) *Recorder {
 	return &Recorder{
 		scenario:        s,
@@ -76,25 +73,25 @@
 		latency:         newHistogram(),
 		pending:         map[invariants.SubmissionID]*pending{},
 		quotas:          map[int]*exactQuota{},
-		withdrawals:     map[route]*withdrawal{},
+		withdrawals:     map[invariants.Route]*withdrawal{},
 		withdrawalTimes: newHistogram(),
 	}
 }
 
 func checkerSettings(s *scenario.Scenario, settings policy.Settings, slackNanos int64) invariants.Settings {
 	checked := invariants.Settings{
-		Classes:             settings.Classes,
-		Plans:               settings.Plans,
-		AnswerGraceNanos:    int64(s.Rules.Grace),
-		DrainGraceNanos:     int64(s.Rules.Drain),
-		SlackNanos:          slackNanos,
-		Cores:               float64(s.Backends.Cores),
-		InitialCapacity:     s.Rules.InitialCapacity,
-		SlowStartNanos:      int64(s.Rules.SlowStart),
-		CollapseMultiple:    s.Rules.CollapseMultiple,
-		CollapseWindowNanos: int64(s.Rules.CollapseWindow),
-		Zone:                func(backend int) int { return backend % s.Backends.Zones },
-		Group:               func(backend int) int { return backend % s.Backends.Groups },
+		Classes:                settings.Classes,
+		Plans:                  settings.Plans,
+		AnswerGraceNanos:       int64(s.Rules.Grace),
+		DrainGraceNanos:        int64(s.Rules.Drain),
+		SlackNanos:             slackNanos,
+		Cores:                  float64(s.Backends.Cores),
+		SlowStartShare:         s.Rules.SlowStartShare,
+		SlowStartDurationNanos: int64(s.Rules.SlowStartDuration),
+		OverloadMultiple:       s.Rules.OverloadMultiple,
+		OverloadWindowNanos:    int64(s.Rules.OverloadWindow),
+		Zone:                   func(backend int) int { return backend % s.Backends.Zones },
+		Group:                  func(backend int) int { return backend % s.Backends.Groups },
 	}
 	for _, plan := range s.Plans {
 		checked.HardQuotaSlack = append(checked.HardQuotaSlack, plan.HardQuotaSlack)
@@ -171,10 +168,10 @@
 }
 
 func (r *Recorder) recordDelivery(event invariants.Event) {
-	way := route{instance: event.Instance, backend: event.Backend}
-	r.settleWithdrawal(way)
+	key := invariants.Route{Instance: event.Instance, Backend: event.Backend}
+	r.settleWithdrawal(key)
 	if event.State == policy.EndpointGone {
-		r.withdrawals[way] = &withdrawal{deliveredNanos: event.AtNanos}
+		r.withdrawals[key] = &withdrawal{deliveredNanos: event.AtNanos}
 	}
 }
 
@@ -189,7 +186,7 @@
 
 func (r *Recorder) recordArrival(event invariants.Event) {
 	r.row.Attempts++
-	if w := r.withdrawals[route{instance: event.Instance, backend: event.Backend}]; w != nil {
+	if w := r.withdrawals[invariants.Route{Instance: event.Instance, Backend: event.Backend}]; w != nil {
 		w.lastAttemptNanos = max(event.AtNanos-w.deliveredNanos, minWithdrawalNanos)
 	}
 	if submission := r.pending[event.Submission]; submission != nil && !submission.hasArrived {
@@ -229,12 +226,12 @@
 }
 
 // settleWithdrawal records how a withdrawal ended, once the backend is back or the run is over.
-func (r *Recorder) settleWithdrawal(way route) {
-	w := r.withdrawals[way]
+func (r *Recorder) settleWithdrawal(key invariants.Route) {
+	w := r.withdrawals[key]
 	if w == nil {
 		return
 	}
-	delete(r.withdrawals, way)
+	delete(r.withdrawals, key)
 	if r.run.Withdrawals == nil {
 		r.run.Withdrawals = &Withdrawals{}
 	}
@@ -275,8 +272,8 @@
 	r.closeRow()
 	r.run.Events = events
 	r.run.Findings, r.run.RulesBroken = r.checker.End(atNanos)
-	for way := range r.withdrawals {
-		r.settleWithdrawal(way)
+	for key := range r.withdrawals {
+		r.settleWithdrawal(key)
 	}
 	r.finishWithdrawals()
 	for _, row := range r.run.Rows {
--- a/internal/lab/scenario/scenario.go
+++ b/internal/lab/scenario/scenario.go
@@ -24,22 +24,31 @@
 	OnSockets = "sockets" // gateways between stand-ins on loopback
 )
 
-// How requests arrive.
+// Arrivals is how requests arrive.
+type Arrivals string
+
+// The kinds of arrivals.
 const (
-	ArrivalsPoisson = "poisson"
-	ArrivalsFixed   = "fixed"
+	ArrivalsPoisson Arrivals = "poisson"
+	ArrivalsFixed   Arrivals = "fixed"
 )
 
-// Where the endpoint list comes from.
+// Source is where the endpoint list comes from.
+type Source string
+
+// The sources of the endpoint list.
 const (
-	SourceHTTP = "http"
-	SourceDNS  = "dns" // dynamic updates to the gateways; sockets only
+	SourceHTTP Source = "http"
+	SourceDNS  Source = "dns" // dynamic updates to the gateways; sockets only
 )
 
+// Protocol is the protocol of the counter.
+type Protocol string
+
 // The protocols of the counter.
 const (
-	ProtocolText = "text"
-	ProtocolRESP = "resp"
+	ProtocolText Protocol = "text"
+	ProtocolRESP Protocol = "resp"
 )
 
 // Scenario is one experiment. Rates are per second.
@@ -65,37 +74,37 @@
 		Groups int     `toml:"groups"`
 	} `toml:"backends"`
 	Counter struct {
-		Off      bool    `toml:"off"`
-		Protocol string  `toml:"protocol"` // sockets only
-		Delay    Span    `toml:"delay"`    // of an answer, beside the network's
-		Rate     float64 `toml:"rate"`     // most calls per second; 0: no bound
-		Timeout  Span    `toml:"timeout"`
+		Off      bool     `toml:"off"`
+		Protocol Protocol `toml:"protocol"` // sockets only
+		Delay    Span     `toml:"delay"`    // of an answer, beside the network's
+		Rate     float64  `toml:"rate"`     // most calls per second; 0: no bound
+		Timeout  Span     `toml:"timeout"`
 	} `toml:"counter"`
 	Discovery struct {
 		Delay  Span   `toml:"delay"` // from a change to its delivery
-		Source string `toml:"source"`
+		Source Source `toml:"source"`
 	} `toml:"discovery"`
 	Net struct {
 		Delay Span `toml:"delay"` // one way; model only
 	} `toml:"net"`
 	Load struct {
-		Rate        float64 `toml:"rate"` // requests, at all instances together
-		Arrivals    string  `toml:"arrivals"`
-		MaxRequests int     `toml:"most"`
-		Tenants     int     `toml:"customers"`
-		Skew        float64 `toml:"skew"`    // exponent of Zipf's law over the tenants; 0: all equal
-		Units       float64 `toml:"units"`   // mean; each request has 1 or more
-		EntryPoints int     `toml:"spread"`  // instances that a tenant's requests go to; 0: all
-		Retries     int     `toml:"retries"` // most retries after a rejection
-		Connections int     `toml:"connections"`
+		Rate        float64  `toml:"rate"` // requests, at all instances together
+		Arrivals    Arrivals `toml:"arrivals"`
+		MaxRequests int      `toml:"most"`
+		Tenants     int      `toml:"customers"`
+		Skew        float64  `toml:"skew"`    // exponent of Zipf's law over the tenants; 0: all equal
+		Units       float64  `toml:"units"`   // mean; each request has 1 or more
+		EntryPoints int      `toml:"spread"`  // instances that a tenant's requests go to; 0: all
+		Retries     int      `toml:"retries"` // most retries after a rejection
+		Connections int      `toml:"connections"`
 	} `toml:"load"`
 	Rules struct {
-		Grace            Span    `toml:"grace"`      // of the final answer after the client's deadline
-		Drain            Span    `toml:"drain"`      // of attempts to a backend that drains or is gone
-		InitialCapacity  float64 `toml:"cold_share"` // of a backend that starts, as a share
-		SlowStart        Span    `toml:"warm_up"`
-		CollapseMultiple float64 `toml:"fall_multiple"` // of its capacity that a backend bears over the window
-		CollapseWindow   Span    `toml:"fall_span"`
+		Grace             Span    `toml:"grace"`      // of the final answer after the client's deadline
+		Drain             Span    `toml:"drain"`      // of attempts to a backend that drains or is gone
+		SlowStartShare    float64 `toml:"cold_share"` // of a backend that starts, as a share
+		SlowStartDuration Span    `toml:"warm_up"`
+		OverloadMultiple  float64 `toml:"fall_multiple"` // of its capacity that a backend bears over the window
+		OverloadWindow    Span    `toml:"fall_span"`
 	} `toml:"rules"`
 	Allow struct {
 		MaxAttempts    int  `toml:"shots"`
@@ -110,24 +119,27 @@
 	Faults  []Fault `toml:"fault"`
 }
 
-// The idempotency of a class, as scenario files write it.
+// Idempotency is the idempotency of a class, as scenario files write it.
+type Idempotency string
+
+// The idempotency of a class.
 const (
-	Idempotent        = "reissuable"
-	IdempotentWithKey = "numbered"
-	NonIdempotent     = "at-most-once"
+	Idempotent        Idempotency = "reissuable"
+	IdempotentWithKey Idempotency = "numbered"
+	NonIdempotent     Idempotency = "at-most-once"
 )
 
 // Class is a class of requests.
 type Class struct {
-	Name             string  `toml:"name"`
-	Idempotency      string  `toml:"effect"`
-	DedupScope       string  `toml:"reach"`  // all, zone or group; with a key
-	DedupWindow      Span    `toml:"memory"` // with a key
-	LatencyObjective Span    `toml:"promised"`
-	Deadline         Span    `toml:"hard_limit"`
-	LateValue        float64 `toml:"late_utility"`
-	Fallback         string  `toml:"silence"` // of a counter that does not answer: share, open or closed
-	Share            float64 `toml:"share"`   // of the requests
+	Name             string      `toml:"name"`
+	Idempotency      Idempotency `toml:"effect"`
+	DedupScope       string      `toml:"reach"`  // all, zone or group; with a key
+	DedupWindow      Span        `toml:"memory"` // with a key
+	LatencyObjective Span        `toml:"promised"`
+	Deadline         Span        `toml:"hard_limit"`
+	LateValue        float64     `toml:"late_utility"`
+	Fallback         string      `toml:"silence"` // of a counter that does not answer: share, open or closed
+	Share            float64     `toml:"share"`   // of the requests
 }
 
 // Plan is a tenant's quotas.
@@ -176,10 +188,10 @@
 
 	s.Rules.Grace = 100e6
 	s.Rules.Drain = 1e9
-	s.Rules.InitialCapacity = 0.2
-	s.Rules.SlowStart = 9e9
-	s.Rules.CollapseMultiple = 2
-	s.Rules.CollapseWindow = 1e9
+	s.Rules.SlowStartShare = 0.2
+	s.Rules.SlowStartDuration = 9e9
+	s.Rules.OverloadMultiple = 2
+	s.Rules.OverloadWindow = 1e9
 
 	s.Allow.MaxAttempts = 3
 	s.Allow.HedgedAttempts = true
--- a/internal/lab/scenario/settings.go
+++ b/internal/lab/scenario/settings.go
@@ -9,7 +9,7 @@
 
 // The gateway's words for the words of a scenario.
 var (
-	effectSettings = map[string]string{
+	effectSettings = map[Idempotency]string{
 		Idempotent:        "read_like",
 		IdempotentWithKey: "idempotency_key",
 		NonIdempotent:     "non_idempotent",
@@ -53,10 +53,10 @@
 			"max-retry-after-ms": inMillis(s.Allow.MaxRetryAfter),
 		},
 		"invariants": map[string]any{
-			"cold-share":   s.Rules.InitialCapacity,
-			"warm-up-ms":   inMillis(s.Rules.SlowStart),
-			"tip-multiple": s.Rules.CollapseMultiple,
-			"fall-ms":      inMillis(s.Rules.CollapseWindow),
+			"cold-share":   s.Rules.SlowStartShare,
+			"warm-up-ms":   inMillis(s.Rules.SlowStartDuration),
+			"tip-multiple": s.Rules.OverloadMultiple,
+			"fall-ms":      inMillis(s.Rules.OverloadWindow),
 		},
 	}
 }
--- a/internal/lab/scenario/validate.go
+++ b/internal/lab/scenario/validate.go
@@ -129,10 +129,10 @@
 
 func (s *Scenario) validateRules(v *validator) {
 	rules := &s.Rules
-	v.require(rules.InitialCapacity > 0 && rules.InitialCapacity <= 1,
+	v.require(rules.SlowStartShare > 0 && rules.SlowStartShare <= 1,
 		"rules.cold_share", "is not above 0 and at most 1")
-	v.require(rules.CollapseMultiple >= 1, "rules.fall_multiple", "is below 1")
-	v.require(rules.SlowStart >= 0 && rules.CollapseWindow > 0, "rules.fall_span", "is not above 0")
+	v.require(rules.OverloadMultiple >= 1, "rules.fall_multiple", "is below 1")
+	v.require(rules.SlowStartDuration >= 0 && rules.OverloadWindow > 0, "rules.fall_span", "is not above 0")
 }
 
 func (s *Scenario) validateClasses(v *validator) {
--- a/internal/lab/testbed/load_test.go
+++ b/internal/lab/testbed/load_test.go
@@ -29,7 +29,7 @@
 	log := results.NewLog(results.New(s, settings, 0))
 	log.Begin()
 	tool := load.New(s, log, []string{address})
-	tool.Run(nil)
+	tool.Run(tb.Context())
 	run := log.Finish()
 	run.LagP50, run.LagP99 = tool.Lag()
 	return run
--- a/internal/lab/testbed/operator_file.go
+++ b/internal/lab/testbed/operator_file.go
@@ -9,6 +9,7 @@
 
 	"fawnplank/internal/dnsserver"
 	"fawnplank/internal/lab/emulator"
+	"fawnplank/internal/lab/scenario"
 )
 
 // The key that signs a gateway's dynamic updates. The gateway reads its secret from a separate file.
@@ -22,10 +23,10 @@
 // file, and updates from then on.
 func (t *testbed) writeOperatorFile(ctx context.Context, index int) (string, error) {
 	var text strings.Builder
-	if t.scenario.Counter.Protocol == "resp" {
+	if t.scenario.Counter.Protocol == scenario.ProtocolRESP {
 		text.WriteString("[counter]\nprotocol = \"resp\"\n")
 	}
-	if t.scenario.Discovery.Source == "dns" {
+	if t.scenario.Discovery.Source == scenario.SourceDNS {
 		section, err := t.prepareZone(ctx, index)
 		if err != nil {
 			return "", err
--- a/internal/lab/testbed/testbed.go
+++ b/internal/lab/testbed/testbed.go
@@ -144,7 +144,7 @@
 		addresses[n] = g.address
 	}
 	tool := load.New(t.scenario, t.log, addresses)
-	tool.Run(running.Done())
+	tool.Run(running)
 	end()
 	restarts.Wait()
 	watches.Wait()
--- a/internal/lab/testbed/testbed_test.go
+++ b/internal/lab/testbed/testbed_test.go
@@ -165,7 +165,7 @@
 
 // TestRun_DriftThroughLostCounter: the counter refuses for 15 s and comes back empty, while tenants ask for a
 // quarter more than their quotas. What they are admitted with stays within the stated bound of what one
-// honest counter admits.
+// exact counter admits.
 func TestRun_DriftThroughLostCounter(t *testing.T) {
 	for _, protocol := range []string{"text", "resp"} {
 		t.Run(protocol, func(t *testing.T) {
