--- a/cmd/drill/host.go
+++ b/cmd/drill/host.go
@@ -23,7 +23,7 @@
 // event is a kind of event: its name in errors, and how one of its records is read and handled.
 type event struct {
 	name   string
-	handle func(h *host, now int64, number uint32, f *simwire.Frame) error
+	handle func(h *host, now policy.Instant, number uint32, f *simwire.Frame) error
 }
 
 // events lists the kinds of events by their code, with the names that errors have always given them.
@@ -45,9 +45,9 @@
 func hostEvent[M any](
 	name string,
 	read func(*simwire.Frame) (M, error),
-	handle func(h *host, now int64, number uint32, message M),
+	handle func(h *host, now policy.Instant, number uint32, message M),
 ) event {
-	return event{name: name, handle: func(h *host, now int64, number uint32, f *simwire.Frame) error {
+	return event{name: name, handle: func(h *host, now policy.Instant, number uint32, f *simwire.Frame) error {
 		message, err := readWhole(f, read)
 		if err != nil {
 			return err
@@ -62,9 +62,9 @@
 func instanceEvent[M any](
 	name string,
 	read func(*simwire.Frame) (M, error),
-	handle func(in *instance, now int64, message M),
+	handle func(in *instance, now policy.Instant, message M),
 ) event {
-	return event{name: name, handle: func(h *host, now int64, number uint32, f *simwire.Frame) error {
+	return event{name: name, handle: func(h *host, now policy.Instant, number uint32, f *simwire.Frame) error {
 		message, err := readWhole(f, read)
 		if err != nil {
 			return err
@@ -88,7 +88,7 @@
 // handleFrame answers one frame. A panic in the engine is reported on the wire; an error means that the
 // frame is malformed.
 func (h *host) handleFrame(f *simwire.Frame) error {
-	now := nanoseconds(f.Clock)
+	now := instantOf(f.Clock)
 	for n := range f.Records {
 		offset := f.Offset()
 		code := f.Uint8()
@@ -104,7 +104,7 @@
 }
 
 // handleRecord handles one record and returns the name of its kind of event, or "" if there is no such kind.
-func (h *host) handleRecord(now int64, code uint8, f *simwire.Frame) (name string, err error) {
+func (h *host) handleRecord(now policy.Instant, code uint8, f *simwire.Frame) (name string, err error) {
 	number := f.Uint32()
 	if int(code) < len(events) {
 		kind := &events[code]
@@ -133,7 +133,7 @@
 }
 
 // create starts an instance, and replaces the one with the same number if there is one.
-func (h *host) create(now int64, number uint32, m createMessage) {
+func (h *host) create(now policy.Instant, number uint32, m createMessage) {
 	settings, err := config.ParseSettings(m.settings)
 	if err != nil {
 		h.reportBroken(number, err.Error())
@@ -141,11 +141,13 @@
 	}
 	in := &instance{number: number, reply: &h.reply, requests: map[policy.RequestID]*policy.Request{}}
 	h.instances[number] = in
-	h.guard(number, func() { in.engine = policy.New(now, m.seed, settings, in) })
+	h.guard(number, func() {
+		in.engine = policy.New(policy.Options{Now: now, Seed: m.seed, Settings: settings, Effects: in})
+	})
 }
 
 // kill ends an instance without a reply.
-func (h *host) kill(_ int64, number uint32, _ emptyMessage) { delete(h.instances, number) }
+func (h *host) kill(_ policy.Instant, number uint32, _ emptyMessage) { delete(h.instances, number) }
 
 // ignore handles messages from other instances: the engine sends none and expects none.
-func (h *host) ignore(int64, uint32, emptyMessage) {}
+func (h *host) ignore(policy.Instant, uint32, emptyMessage) {}
--- a/cmd/drill/instance.go
+++ b/cmd/drill/instance.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"time"
 
 	"fawnplank/internal/simwire"
 	"fawnplank/policy"
@@ -42,8 +43,9 @@
 
 // Send sends an attempt. The simulator sends at once, so the time by which the attempt has to begin is not
 // used.
-func (in *instance) Send(id policy.RequestID, backend policy.BackendID, expiresAt, _ int64) {
-	in.action(actionSend).Uint64(uint64(id)).Uint32(uint32(backend)).Float64(milliseconds(expiresAt))
+func (in *instance) Send(attempt policy.AttemptSpec) {
+	record := in.action(actionSend).Uint64(uint64(attempt.Request)).Uint32(uint32(attempt.Backend))
+	record.Float64(instantMillis(attempt.ExpiresAt))
 }
 
 // Cancel cancels an attempt.
@@ -52,7 +54,7 @@
 }
 
 // Reject answers a request with a rejection.
-func (in *instance) Reject(id policy.RequestID, retryAfter int64) {
+func (in *instance) Reject(id policy.RequestID, retryAfter time.Duration) {
 	in.action(actionReject).Uint64(uint64(id)).Float64(milliseconds(retryAfter))
 	in.forgetIfDone(id)
 }
@@ -67,12 +69,12 @@
 func (in *instance) Admit(policy.RequestID) {}
 
 // WakeAt asks for a timer event.
-func (in *instance) WakeAt(at int64, timer policy.TimerID) {
-	in.action(actionWakeAt).Float64(milliseconds(at)).Uint64(uint64(timer))
+func (in *instance) WakeAt(at policy.Instant, timer policy.TimerID) {
+	in.action(actionWakeAt).Float64(instantMillis(at)).Uint64(uint64(timer))
 }
 
 // AddToCounter adds units to the shared counter.
-func (in *instance) AddToCounter(key policy.CounterKey, units float64, lifetime int64) {
+func (in *instance) AddToCounter(key policy.CounterKey, units float64, lifetime time.Duration) {
 	in.action(actionAddToCounter).Uint64(uint64(key)).Float32(units).Float64(milliseconds(lifetime))
 }
 
@@ -84,8 +86,13 @@
 // WatchEndpoints asks for the endpoint list and its changes.
 func (in *instance) WatchEndpoints() { in.action(actionWatch).Uint8(1) }
 
-// Log writes a text to the simulator's log.
-func (in *instance) Log(text string) { in.action(actionLog).Text(text) }
+// LogUnknown writes to the simulator's log.
+func (in *instance) LogUnknown(class policy.ClassID, plan policy.PlanID) {
+	in.log(fmt.Sprintf("transaction of unknown profile %d or plan %d broken off", class, plan))
+}
+
+// log writes a text to the simulator's log.
+func (in *instance) log(text string) { in.action(actionLog).Text(text) }
 
 // forgetIfDone forgets a request once no further event can come for it. The effects that give a final answer
 // call it too, since the counter's answer or a timer may end a request with no attempt in flight, and then no
@@ -99,25 +106,25 @@
 // The handlers of events. Events of requests that are not in flight, or no longer are, are ignored: the
 // simulator's events and the instance's answers may cross on the way.
 
-func (in *instance) handleEndpoints(now int64, m endpointsMessage) {
+func (in *instance) handleEndpoints(now policy.Instant, m endpointsMessage) {
 	for _, u := range m.unknownStates {
-		in.Log(fmt.Sprintf("backend %d has unknown state %d: taken for draining", u.backend, u.state))
+		in.log(fmt.Sprintf("backend %d has unknown state %d: taken for draining", u.backend, u.state))
 	}
 	in.engine.UpdateEndpoints(now, m.kind, m.endpoints)
 }
 
-func (in *instance) handleSubmit(now int64, m submitMessage) {
+func (in *instance) handleSubmit(now policy.Instant, m submitMessage) {
 	in.requests[m.spec.ID] = in.engine.Submit(now, m.spec)
 	in.forgetIfDone(m.spec.ID)
 }
 
-func (in *instance) handleResponseStarted(now int64, m responseStartedMessage) {
+func (in *instance) handleResponseStarted(now policy.Instant, m responseStartedMessage) {
 	if request := in.requests[m.id]; request != nil {
 		request.HandleResponseStarted(now, m.attempt)
 	}
 }
 
-func (in *instance) handleAttemptResult(now int64, m attemptResultMessage) {
+func (in *instance) handleAttemptResult(now policy.Instant, m attemptResultMessage) {
 	request := in.requests[m.id]
 	if request == nil {
 		return
@@ -126,7 +133,7 @@
 	in.forgetIfDone(m.id)
 }
 
-func (in *instance) handleClientGone(now int64, m clientGoneMessage) {
+func (in *instance) handleClientGone(now policy.Instant, m clientGoneMessage) {
 	request := in.requests[m.id]
 	if request == nil {
 		return
@@ -135,12 +142,14 @@
 	in.forgetIfDone(m.id)
 }
 
-func (in *instance) handleTimer(now int64, m timerMessage) { in.engine.HandleTimer(now, m.timer) }
+func (in *instance) handleTimer(now policy.Instant, m timerMessage) {
+	in.engine.HandleTimer(now, m.timer)
+}
 
-func (in *instance) handleHealthCheck(now int64, m healthCheckMessage) {
+func (in *instance) handleHealthCheck(now policy.Instant, m healthCheckMessage) {
 	in.engine.HandleHealthCheck(now, m.backend, m.outcome)
 }
 
-func (in *instance) handleCounterResult(now int64, m counterResultMessage) {
-	in.engine.HandleCounterResult(now, m.outcome, m.key, m.total)
+func (in *instance) handleCounterResult(now policy.Instant, m counterResultMessage) {
+	in.engine.HandleCounterResult(now, m.result)
 }
--- a/cmd/drill/messages.go
+++ b/cmd/drill/messages.go
@@ -2,8 +2,10 @@
 
 import (
 	"fmt"
+	"time"
 
 	"fawnplank/internal/config"
+	"fawnplank/internal/monotime"
 	"fawnplank/internal/simwire"
 	"fawnplank/policy"
 )
@@ -33,9 +35,10 @@
 	stateGone     = 3
 )
 
-// nanoseconds and milliseconds convert the wire's times to those of the engine, and back.
-func nanoseconds(ms float64) int64     { return config.NanosFromMillis(ms) }
-func milliseconds(nanos int64) float64 { return float64(nanos) / 1e6 }
+// instantOf and milliseconds convert the wire's times, milliseconds, to those of the engine, and back.
+func instantOf(ms float64) policy.Instant     { return monotime.FromNanos(int64(config.Milliseconds(ms))) }
+func instantMillis(at policy.Instant) float64 { return milliseconds(time.Duration(at.Nanos())) }
+func milliseconds(span time.Duration) float64 { return float64(span) / float64(time.Millisecond) }
 
 // maxCount bounds counts, so that they fit into an int of any size.
 const maxCount = 1e9
@@ -127,7 +130,7 @@
 	endpoint.Group = policy.GroupID(f.Uint16())
 	state = f.Uint8()
 	endpoint.Capacity = f.Float32()
-	endpoint.StartedAt = nanoseconds(f.Float64())
+	endpoint.StartedAt = instantOf(f.Float64())
 	switch state {
 	case stateDraining:
 		endpoint.State = policy.EndpointDraining
@@ -151,7 +154,7 @@
 	m.spec.Class = policy.ClassID(f.Uint16())
 	m.spec.Plan = policy.PlanID(f.Uint32())
 	m.spec.Tenant = policy.TenantID(f.Uint64())
-	m.spec.Remaining = nanoseconds(f.Float64())
+	m.spec.Remaining = config.Milliseconds(f.Float64())
 	m.spec.Units = f.Float32()
 	m.spec.EntryPoints = countOf(f.Float32())
 	m.spec.FirstInstance = countOf(f.Float32())
@@ -184,7 +187,7 @@
 	m.result.Attempt = policy.AttemptID(f.Uint8())
 	f.Uint32() // the backend: known from the attempt
 	status := f.Uint16()
-	m.result.Elapsed = nanoseconds(f.Float64())
+	m.result.Elapsed = config.Milliseconds(f.Float64())
 	m.result.RequestDone = f.Uint8() != 0
 	f.Uint16() // the meter: the engine uses the counter
 	m.result.ActualUnits = float64(f.Uint16())
@@ -226,18 +229,17 @@
 
 // counterResultMessage is the answer of the shared counter.
 type counterResultMessage struct {
-	key     policy.CounterKey
-	outcome policy.Outcome
-	total   float64
+	result policy.CounterResult
 }
 
 func readCounterResult(f *simwire.Frame) (counterResultMessage, error) {
 	status := f.Uint16()
-	m := counterResultMessage{key: policy.CounterKey(f.Uint64())}
+	var m counterResultMessage
+	m.result.Key = policy.CounterKey(f.Uint64())
 	f.Float64() // how long the call took
-	m.total = f.Float32()
+	m.result.Total = f.Float32()
 	var err error
-	m.outcome, err = outcomeOf(f, status)
+	m.result.Outcome, err = outcomeOf(f, status)
 	return m, err
 }
 
--- a/cmd/drill/recorder_test.go
+++ b/cmd/drill/recorder_test.go
@@ -9,7 +9,9 @@
 	"math"
 	"os"
 	"testing"
+	"time"
 
+	"fawnplank/internal/monotime"
 	"fawnplank/internal/pcg"
 	"fawnplank/internal/simwire"
 	"fawnplank/internal/timerqueue"
@@ -129,7 +131,7 @@
 
 // after does something at a later time.
 func (r *recorder) after(ms float64, do func()) {
-	r.events.Push(int64((r.now+max(ms, 0))*1000), do)
+	r.events.Push(atMillis(r.now+max(ms, 0)), do)
 }
 
 // afterIfAlive does something to an instance at a later time, unless it was killed by then.
@@ -142,6 +144,12 @@
 	})
 }
 
+// atMillis returns the queue's time, rounded down to a microsecond.
+func atMillis(ms float64) monotime.Instant {
+	micros := time.Duration(ms * 1000)
+	return monotime.FromNanos(int64(micros * time.Microsecond))
+}
+
 // randomInt draws a number from 0 on and below n.
 func (r *recorder) randomInt(n int) int { return int(r.random.Uint64() % uint64(n)) }
 
@@ -174,7 +182,8 @@
 		if !ok {
 			break
 		}
-		r.now = max(math.Ceil(float64(at)/4000)*4, r.now+4) // batches are 4 ms apart at least
+		micros := at.Nanos() / int64(time.Microsecond)
+		r.now = max(math.Ceil(float64(micros)/4000)*4, r.now+4) // batches are 4 ms apart at least
 		r.doDue()
 	}
 }
@@ -182,7 +191,7 @@
 // doDue does all that is due by now.
 func (r *recorder) doDue() {
 	for {
-		do, ok := r.events.PopDue(int64(r.now * 1000))
+		do, ok := r.events.PopDue(atMillis(r.now))
 		if !ok {
 			return
 		}
--- a/cmd/fawnplank/shutdown.go
+++ b/cmd/fawnplank/shutdown.go
@@ -51,9 +51,9 @@
 }
 
 func longestDeadline(settings policy.Settings) time.Duration {
-	var longest int64
+	var longest time.Duration
 	for _, class := range settings.Classes {
 		longest = max(longest, class.Deadline)
 	}
-	return time.Duration(longest)
+	return longest
 }
--- a/cmd/fawnplank/shutdown_test.go
+++ b/cmd/fawnplank/shutdown_test.go
@@ -70,8 +70,8 @@
 		t.Fatal(err)
 	}
 	g.configuration.Counter = address
-	g.configuration.ConnectTimeout = time.Minute                  // no health check ends by itself
-	g.configuration.Settings.DrainGrace = int64(10 * time.Minute) // nor does a call of discovery
+	g.configuration.ConnectTimeout = time.Minute           // no health check ends by itself
+	g.configuration.Settings.DrainGrace = 10 * time.Minute // nor does a call of discovery
 	if err := errors.Join(g.startDispatcher(), g.loadEndpoints()); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -175,8 +175,8 @@
 		c.Counter = top.optionalAddress("counter")
 	}
 	permissions := settings.requiredObject("permissions")
-	c.IdleTimeout = milliseconds(permissions.positiveOr("conn-idle-ms", defaultIdleTimeoutMs))
-	c.ConnectTimeout = milliseconds(permissions.positiveOr("connect-timeout-ms", defaultConnectTimeoutMs))
+	c.IdleTimeout = Milliseconds(permissions.positiveOr("conn-idle-ms", defaultIdleTimeoutMs))
+	c.ConnectTimeout = Milliseconds(permissions.positiveOr("connect-timeout-ms", defaultConnectTimeoutMs))
 	c.MaxUnits = settings.optionalObject("family-info").positiveOr("max-units", defaultMaxUnits)
 	c.Classes = idsByName[policy.ClassID](settings.requiredRows("lanes"))
 	c.Plans = idsByName[policy.PlanID](settings.requiredRows("tariffs"))
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -55,10 +55,10 @@
 		{"instances", c.Settings.Instances, 3},
 		{"post-paid", c.Settings.PostPaid, true},
 		{"poll", c.Settings.PollEndpoints, true},
-		{"drain grace", c.Settings.DrainGrace, int64(250 * time.Millisecond)},
+		{"drain grace", c.Settings.DrainGrace, 250 * time.Millisecond},
 		{"class's idempotency", class.Idempotency, policy.IdempotentWithKey},
 		{"class's dedup scope", class.DedupScope, policy.DedupByGroup},
-		{"class's deadline", class.Deadline, int64(2 * time.Second)},
+		{"class's deadline", class.Deadline, 2 * time.Second},
 		{"plan's concurrency", plan.ConcurrencyLimit, 4},
 		{"plan's hard quota", plan.HardQuotaRate, 9.0},
 	} {
--- a/internal/config/decode.go
+++ b/internal/config/decode.go
@@ -184,14 +184,13 @@
 // maxMilliseconds is a thousand hours. Only absurd figures exceed it, and they must not overflow.
 const maxMilliseconds = 3.6e9
 
-// NanosFromMillis converts milliseconds, in which the platform writes times, into nanoseconds, in which the
-// decisions take them. It saturates at a thousand hours in either direction.
-func NanosFromMillis(ms float64) int64 {
-	return int64(math.Round(min(max(ms, -maxMilliseconds), maxMilliseconds) * 1e6))
+// Milliseconds converts milliseconds, in which the platform writes times, into a duration. It saturates at a
+// thousand hours in either direction.
+func Milliseconds(ms float64) time.Duration {
+	bounded := min(max(ms, -maxMilliseconds), maxMilliseconds)
+	return time.Duration(math.Round(bounded * float64(time.Millisecond)))
 }
 
-func milliseconds(ms float64) time.Duration { return time.Duration(NanosFromMillis(ms)) }
-
 // maxCount bounds counts, so that sums and products of a few of them do not overflow.
 const maxCount = 1e9
 
--- a/internal/config/limits.go
+++ b/internal/config/limits.go
@@ -137,10 +137,9 @@
 		return
 	}
 	c.Classes[limitClassName] = policy.ClassID(len(c.Settings.Classes))
-	timeoutNanos := int64(o.Limits.AnswerTimeout)
 	c.Settings.Classes = append(c.Settings.Classes, policy.ClassSettings{
-		LatencyObjective: timeoutNanos,
-		Deadline:         timeoutNanos,
+		LatencyObjective: time.Duration(o.Limits.AnswerTimeout),
+		Deadline:         time.Duration(o.Limits.AnswerTimeout),
 		CheckOnly:        true,
 	})
 }
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -10,7 +10,7 @@
 
 // defaultDrainGrace is how long attempts may still go to a backend that was taken off the list, if the
 // settings do not specify a time.
-const defaultDrainGrace = int64(time.Second)
+const defaultDrainGrace = time.Second
 
 // cancellationKey is the platform's word, in British spelling.
 const cancellationKey = "cancelling" //nolint:misspell // a key of the platform's settings
@@ -63,21 +63,21 @@
 		Cancellation:      permissions.optionalBool(cancellationKey),
 		HealthChecks:      permissions.optionalBool("probes"),
 		RetryAfter:        permissions.optionalBool("retry-after"),
-		MaxRetryAfter:     NanosFromMillis(permissions.optionalNumber("max-retry-after-ms")),
+		MaxRetryAfter:     Milliseconds(permissions.optionalNumber("max-retry-after-ms")),
 		CounterEnabled:    family.optionalBool("may-count"),
-		CounterTimeout:    NanosFromMillis(family.optionalNumber("counter-timeout-ms")),
+		CounterTimeout:    Milliseconds(family.optionalNumber("counter-timeout-ms")),
 		PostPaid:          family.optionalBool("post-paid"),
 		PollEndpoints:     top.optionalString("discovery") == "on_request",
-		PollTimeout:       NanosFromMillis(invariants.optionalNumber("ask-within-ms")),
+		PollTimeout:       Milliseconds(invariants.optionalNumber("ask-within-ms")),
 		DrainGrace:        defaultDrainGrace,
 		SlowStartShare:    invariants.requiredNumber("cold-share"),
-		SlowStartDuration: NanosFromMillis(invariants.requiredNumber("warm-up-ms")),
+		SlowStartDuration: Milliseconds(invariants.requiredNumber("warm-up-ms")),
 		OverloadMultiple:  invariants.requiredNumber("tip-multiple"),
-		OverloadWindow:    NanosFromMillis(invariants.requiredNumber("fall-ms")),
+		OverloadWindow:    Milliseconds(invariants.requiredNumber("fall-ms")),
 		CrossZoneCost:     top.optionalObject("prices").optionalNumber("cross-zone"),
 	}
 	if invariants.has("stop-sending-within-ms") {
-		settings.DrainGrace = NanosFromMillis(invariants.optionalNumber("stop-sending-within-ms"))
+		settings.DrainGrace = Milliseconds(invariants.optionalNumber("stop-sending-within-ms"))
 		if settings.DrainGrace <= 0 {
 			invariants.failf("stop-sending-within-ms", "is not above 0")
 		}
@@ -97,10 +97,10 @@
 // readClass reads a row of the list of classes.
 func readClass(row object) policy.ClassSettings {
 	class := policy.ClassSettings{
-		LatencyObjective: NanosFromMillis(row.requiredNumber("goal-time-ms")),
-		Deadline:         NanosFromMillis(row.requiredNumber("deadline-ms")),
+		LatencyObjective: Milliseconds(row.requiredNumber("goal-time-ms")),
+		Deadline:         Milliseconds(row.requiredNumber("deadline-ms")),
 		LateValue:        row.optionalNumber("late-worth"),
-		DedupWindow:      NanosFromMillis(row.optionalNumber("window-ms")),
+		DedupWindow:      Milliseconds(row.optionalNumber("window-ms")),
 	}
 	class.Idempotency = oneOf(row, "effect", idempotencyWords)
 	if class.Idempotency == policy.IdempotentWithKey {
--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -95,12 +95,8 @@
 }
 
 func timeoutsOf(settings policy.Settings) timeouts {
-	nanos := settings.DiscoveryTimeouts()
-	return timeouts{
-		watch:    time.Duration(nanos.Watch),
-		lateness: time.Duration(nanos.Lateness),
-		snapshot: time.Duration(nanos.Snapshot),
-	}
+	bounds := settings.DiscoveryTimeouts()
+	return timeouts{watch: bounds.Watch, lateness: bounds.Lateness, snapshot: bounds.Snapshot}
 }
 
 func endpointsURL(address string) string { return "http://" + address + "/v1/endpoints" }
--- a/internal/discovery/publisher.go
+++ b/internal/discovery/publisher.go
@@ -5,9 +5,11 @@
 	"io"
 	"maps"
 	"math"
+	"time"
 
 	"fawnplank/internal/logging"
 	"fawnplank/internal/metrics"
+	"fawnplank/internal/monotime"
 	"fawnplank/policy"
 )
 
@@ -99,15 +101,16 @@
 		Group:     policy.GroupID(endpoint.Group),
 		Capacity:  endpoint.Weight,
 		State:     state,
-		StartedAt: nanosFromMillis(endpoint.StartedAtMillis),
+		StartedAt: startOf(endpoint),
 	}
 }
 
-// nanosFromMillis converts a Unix time, rounded to the microsecond: below that, a float64 of
-// milliseconds holds only noise.
-func nanosFromMillis(milliseconds float64) int64 {
-	const microsPerMilli, nanosPerMicro = 1e3, 1e3
-	return int64(math.Round(milliseconds*microsPerMilli)) * nanosPerMicro
+// startOf returns an endpoint's start, rounded to the microsecond: below that, a float64 of milliseconds holds
+// only noise.
+func startOf(endpoint Endpoint) policy.Instant {
+	const microsPerMilli = 1e3
+	micros := int64(math.Round(endpoint.StartedAtMillis * microsPerMilli))
+	return monotime.FromNanos(micros * int64(time.Microsecond))
 }
 
 func (p *publisher) setAddress(backend policy.BackendID, endpoint Endpoint) {
--- a/internal/discovery/startup_test.go
+++ b/internal/discovery/startup_test.go
@@ -163,7 +163,7 @@
 		// An update may meet a request between its submission and its attempt's first byte. The attempt is withdrawn
 		// then, and the request needs another to be answered.
 		MaxAttempts:      2,
-		DrainGrace:       int64(grace),
+		DrainGrace:       grace,
 		SlowStartShare:   1,
 		OverloadMultiple: 2,
 		OverloadWindow:   1e9,
--- a/internal/dispatch/attempt.go
+++ b/internal/dispatch/attempt.go
@@ -70,13 +70,13 @@
 type Attempt struct {
 	Backend policy.BackendID
 
-	request          *Request
-	id               policy.AttemptID
-	createdNanos     int64
-	deadlineNanos    int64 // the dispatcher waits for the result until then
-	startBeforeNanos int64 // the attempt may not start at or after this time
-	state            atomicAttemptState
-	conn             AttemptConn // set by Begin, and valid once the attempt has started
+	request     *Request
+	id          policy.AttemptID
+	createdAt   policy.Instant
+	deadline    policy.Instant // the dispatcher waits for the result until then
+	startBefore policy.Instant // the attempt may not start at or after this time
+	state       atomicAttemptState
+	conn        AttemptConn // set by Begin, and valid once the attempt has started
 	// abandonedAs is the outcome of an abandoned attempt that was written completely. It is guarded by the
 	// dispatcher's lock.
 	abandonedAs policy.Outcome
@@ -85,7 +85,7 @@
 // Begin records that the attempt's first byte is about to be written to conn. If it returns false, the
 // attempt has been canceled or is too late to start, and the caller must not write anything.
 func (a *Attempt) Begin(conn AttemptConn) bool {
-	if a.request.dispatcher.now() >= a.startBeforeNanos { // the timer that cancels it may be late
+	if !a.request.dispatcher.now().Before(a.startBefore) { // the timer that cancels it may be late
 		return false
 	}
 	a.conn = conn
@@ -97,7 +97,7 @@
 
 // Remaining returns how much longer the dispatcher waits for the attempt's result.
 func (a *Attempt) Remaining() time.Duration {
-	return time.Duration(a.deadlineNanos - a.request.dispatcher.now())
+	return a.deadline.Sub(a.request.dispatcher.now())
 }
 
 // cancel ends the attempt with the given outcome. An attempt that has not started ends as ConnectFailed
@@ -125,7 +125,7 @@
 // Report tells the dispatcher how the attempt ended: with a response, which the dispatcher keeps, or with an
 // error. actualUnits is what the request actually cost if the backend says so, otherwise 0.
 func (a *Attempt) Report(response []byte, actualUnits float64, err error) {
-	a.request.dispatcher.do(func(int64) {
+	a.request.dispatcher.do(func(policy.Instant) {
 		if a.state.load() == attemptSettled {
 			return
 		}
@@ -152,7 +152,7 @@
 	r.engineRequest.HandleAttemptResult(now, policy.AttemptResult{
 		Attempt:     a.id,
 		Outcome:     outcome,
-		Elapsed:     now - a.createdNanos,
+		Elapsed:     now.Sub(a.createdAt),
 		RequestDone: r.finished,
 		ActualUnits: actualUnits,
 	})
--- a/internal/dispatch/attempt_test.go
+++ b/internal/dispatch/attempt_test.go
@@ -41,7 +41,7 @@
 func TestAttempt_RetryStartsWithinDedupWindow(t *testing.T) {
 	settings := testSettings
 	settings.Classes = []policy.ClassSettings{{LatencyObjective: 500e6, Deadline: 1500e6,
-		Idempotency: policy.IdempotentWithKey, DedupWindow: int64(300 * time.Millisecond)}}
+		Idempotency: policy.IdempotentWithKey, DedupWindow: 300 * time.Millisecond}}
 	for delay, want := range map[time.Duration]bool{
 		50 * time.Millisecond:  true,
 		199 * time.Millisecond: true,
--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -6,6 +6,7 @@
 	"sync"
 	"time"
 
+	"fawnplank/internal/monotime"
 	"fawnplank/internal/timerqueue"
 	"fawnplank/policy"
 )
@@ -42,10 +43,10 @@
 
 // Dispatcher runs the engine of one instance, with its clock, its timers and its requests in flight.
 type Dispatcher struct {
-	startedAt      time.Time // the monotonic clock's reading at New
-	startedAtNanos int64     // the same moment as Unix time
-	stopped        chan struct{}
-	timerLoop      sync.WaitGroup
+	startedAt time.Time      // the monotonic clock's reading at New
+	epoch     policy.Instant // the same moment, as Unix time
+	stopped   chan struct{}
+	timerLoop sync.WaitGroup
 
 	counter         Counter
 	healthChecker   HealthChecker
@@ -58,10 +59,10 @@
 	lastRequest policy.RequestID
 	timers      timerqueue.Queue[timer]
 	alarm       *time.Timer
-	wallNow     func() int64   // the wall clock, as Unix time in nanoseconds
-	starts      startTimes     // of backends
-	alarmAt     int64          // when the alarm goes off; 0: not set
-	latestWake  policy.TimerID // the latest wake-up that replaces earlier ones
+	wallNow     func() policy.Instant // the wall clock, as Unix time
+	starts      startTimes            // of backends
+	alarmAt     policy.Instant        // when the alarm goes off; zero: not set
+	latestWake  policy.TimerID        // the latest wake-up that replaces earlier ones
 	// What the engine requested during a call; it is carried out once that call has returned.
 	endedAttempts []endedAttempt
 	networkWork   networkWork
@@ -84,12 +85,12 @@
 func New() *Dispatcher {
 	d := &Dispatcher{
 		startedAt: time.Now(),
-		wallNow:   func() int64 { return time.Now().UnixNano() },
+		wallNow:   func() policy.Instant { return monotime.FromNanos(time.Now().UnixNano()) },
 		stopped:   make(chan struct{}),
 		requests:  map[policy.RequestID]*Request{},
 		alarm:     time.NewTimer(time.Hour),
 	}
-	d.startedAtNanos = d.startedAt.UnixNano()
+	d.epoch = monotime.FromNanos(d.startedAt.UnixNano())
 	return d
 }
 
@@ -99,8 +100,13 @@
 	d.counter = config.Counter
 	d.healthChecker = config.HealthChecker
 	d.endpointWatcher = config.EndpointWatcher
-	d.do(func(now int64) {
-		d.engine = policy.New(now, config.Seed, config.Settings, effects{d})
+	d.do(func(now policy.Instant) {
+		d.engine = policy.New(policy.Options{
+			Now:      now,
+			Seed:     config.Seed,
+			Settings: config.Settings,
+			Effects:  effects{d},
+		})
 	})
 	d.timerLoop.Go(d.runTimers)
 }
@@ -115,11 +121,11 @@
 // now returns the Unix time at New plus the monotonic time elapsed since. Unix time makes all instances name
 // the same quota windows; the monotonic clock ensures that a step of the system clock never moves time
 // backwards.
-func (d *Dispatcher) now() int64 { return d.startedAtNanos + int64(time.Since(d.startedAt)) }
+func (d *Dispatcher) now() policy.Instant { return d.epoch.Add(time.Since(d.startedAt)) }
 
 // do makes one call into the engine with the lock held, then carries out what the engine requested of the
 // network without the lock. A panic propagates to the caller, whose connection it ends; the lock is released.
-func (d *Dispatcher) do(call func(now int64)) {
+func (d *Dispatcher) do(call func(now policy.Instant)) {
 	work := d.callEngine(call)
 	if work.flushCounter {
 		d.counter.Flush()
@@ -131,7 +137,7 @@
 
 // callEngine takes the lock for one call into the engine, and reports the attempts that the call ended. It
 // returns the work that remains to be done without the lock.
-func (d *Dispatcher) callEngine(call func(now int64)) networkWork {
+func (d *Dispatcher) callEngine(call func(now policy.Instant)) networkWork {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	defer d.setAlarm() // after a panic too: otherwise due timers would wait for the next call
@@ -155,14 +161,14 @@
 // UpdateSettings gives the engine new settings. Their classes and plans must extend the old ones, so that ids
 // keep their meaning.
 func (d *Dispatcher) UpdateSettings(settings policy.Settings) {
-	d.do(func(int64) { d.engine.UpdateSettings(settings) })
+	d.do(func(policy.Instant) { d.engine.UpdateSettings(settings) })
 }
 
 // UpdateEndpoints passes the list of backends, or changes to it, to the engine. It cancels attempts that
 // still wait for a connection to a backend now known to be draining or gone: connecting may take longer than
 // the backend stays up.
 func (d *Dispatcher) UpdateEndpoints(kind policy.UpdateKind, endpoints []policy.Endpoint) {
-	d.do(func(now int64) {
+	d.do(func(now policy.Instant) {
 		endpoints := d.starts.translate(now, d.wallNow(), kind, endpoints)
 		d.engine.UpdateEndpoints(now, kind, endpoints)
 		d.cancelUnusableAttempts(kind, endpoints)
@@ -190,40 +196,39 @@
 
 // HandleCounterResult passes the result of the oldest unanswered counter call for the key to the engine.
 func (d *Dispatcher) HandleCounterResult(key policy.CounterKey, total float64, err error) {
-	d.do(func(now int64) { d.engine.HandleCounterResult(now, outcomeOf(err), key, total) })
+	result := policy.CounterResult{Key: key, Outcome: outcomeOf(err), Total: total}
+	d.do(func(now policy.Instant) { d.engine.HandleCounterResult(now, result) })
 }
 
 // HandleHealthCheck passes the result of a health check to the engine.
 func (d *Dispatcher) HandleHealthCheck(backend policy.BackendID, err error) {
-	d.do(func(now int64) { d.engine.HandleHealthCheck(now, backend, outcomeOf(err)) })
+	d.do(func(now policy.Instant) { d.engine.HandleHealthCheck(now, backend, outcomeOf(err)) })
 }
 
-// QuotaStatus returns what is known of the quota of a tenant whose requests arrive through entryPoints
-// instances. It counts nothing. ok is false if there is no such plan.
-func (d *Dispatcher) QuotaStatus(
-	tenant policy.TenantID, plan policy.PlanID, entryPoints int,
-) (status policy.QuotaStatus, ok bool) {
-	d.do(func(now int64) { status, ok = d.engine.QuotaStatus(now, tenant, plan, entryPoints) })
+// QuotaStatus returns what is known of a tenant's quota. It counts nothing. ok is false if there is no such
+// plan.
+func (d *Dispatcher) QuotaStatus(query policy.QuotaQuery) (status policy.QuotaStatus, ok bool) {
+	d.do(func(now policy.Instant) { status, ok = d.engine.QuotaStatus(now, query) })
 	return status, ok
 }
 
 // CounterStats returns the engine's statistics on the counter's failures.
 func (d *Dispatcher) CounterStats() policy.CounterStats {
 	var stats policy.CounterStats
-	d.do(func(int64) { stats = d.engine.CounterStats() })
+	d.do(func(policy.Instant) { stats = d.engine.CounterStats() })
 	return stats
 }
 
 // ExportState returns what the engine knows of the backends' latencies, for ImportState after a restart.
 func (d *Dispatcher) ExportState() policy.WarmStartState {
 	var state policy.WarmStartState
-	d.do(func(int64) { state = d.engine.ExportState() })
+	d.do(func(policy.Instant) { state = d.engine.ExportState() })
 	return state
 }
 
 // ImportState gives the engine the state that an earlier process exported; age is the time since that export.
 func (d *Dispatcher) ImportState(state policy.WarmStartState, age time.Duration) {
-	d.do(func(now int64) { d.engine.ImportState(now, state, int64(age)) })
+	d.do(func(now policy.Instant) { d.engine.ImportState(now, state, age) })
 }
 
 // OpenRequests returns the number of requests in flight.
--- a/internal/dispatch/dispatcher_test.go
+++ b/internal/dispatch/dispatcher_test.go
@@ -48,7 +48,7 @@
 					t.Error("no panic")
 				}
 			}()
-			n.dispatcher.do(func(int64) { panic("broken") })
+			n.dispatcher.do(func(policy.Instant) { panic("broken") })
 		}()
 		request := n.submit(0, time.Second)
 		if step := request.NextStep(); step.Action != Send {
--- a/internal/dispatch/effects.go
+++ b/internal/dispatch/effects.go
@@ -4,12 +4,12 @@
 	"time"
 
 	"fawnplank/internal/logging"
+	"fawnplank/internal/monotime"
 	"fawnplank/policy"
 )
 
 // effects is the dispatcher as the engine sees it. The engine calls these methods while it handles a call
 // from the dispatcher, so the dispatcher's lock is held, and no method may block or call the engine back.
-// Times are Unix time in nanoseconds, as in all of package policy.
 type effects struct {
 	dispatcher *Dispatcher
 }
@@ -18,19 +18,20 @@
 
 // Send creates an attempt and passes it to the request's owner. If maxPendingAttempts attempts wait already,
 // the new one is not sent, which is reported to the engine once its call has returned.
-func (e effects) Send(id policy.RequestID, backend policy.BackendID, expiresAt, startBefore int64) {
+func (e effects) Send(spec policy.AttemptSpec) {
 	d := e.dispatcher
-	request := d.requests[id]
-	if expiresAt <= 0 {
-		expiresAt = request.deadlineNanos
+	request := d.requests[spec.Request]
+	deadline := request.deadline
+	if !spec.ExpiresAt.IsZero() {
+		deadline = monotime.Earlier(deadline, spec.ExpiresAt)
 	}
 	attempt := &Attempt{
-		Backend:          backend,
-		request:          request,
-		id:               policy.AttemptID(len(request.attempts)),
-		createdNanos:     d.now(),
-		deadlineNanos:    min(request.deadlineNanos, expiresAt),
-		startBeforeNanos: startBefore,
+		Backend:     spec.Backend,
+		request:     request,
+		id:          policy.AttemptID(len(request.attempts)),
+		createdAt:   d.now(),
+		deadline:    deadline,
+		startBefore: spec.StartBefore,
 	}
 	request.attempts = append(request.attempts, attempt)
 	if len(request.steps) == maxPendingAttempts {
@@ -38,9 +39,9 @@
 		d.noteEnded(attempt, policy.NotSent)
 		return
 	}
-	d.timers.Push(attempt.deadlineNanos, timer{kind: resultDeadline, attempt: attempt})
-	if startBefore < attempt.deadlineNanos {
-		d.timers.Push(startBefore, timer{kind: startDeadline, attempt: attempt})
+	d.timers.Push(attempt.deadline, timer{kind: resultDeadline, attempt: attempt})
+	if attempt.startBefore.Before(attempt.deadline) {
+		d.timers.Push(attempt.startBefore, timer{kind: startDeadline, attempt: attempt})
 	}
 	request.steps <- attempt
 }
@@ -55,8 +56,8 @@
 }
 
 // Reject ends a request and promises that nothing ran.
-func (e effects) Reject(id policy.RequestID, retryAfterNanos int64) {
-	e.dispatcher.requests[id].finish(Step{Action: Reject, RetryAfter: time.Duration(retryAfterNanos)})
+func (e effects) Reject(id policy.RequestID, retryAfter time.Duration) {
+	e.dispatcher.requests[id].finish(Step{Action: Reject, RetryAfter: retryAfter})
 }
 
 // Abort ends a request without such a promise: it may have run.
@@ -71,7 +72,7 @@
 
 // WakeAt sets a timer for a call of Engine.HandleTimer with the same id. An id other than 0 makes earlier
 // wake-ups obsolete, except those with id 0.
-func (e effects) WakeAt(at int64, id policy.TimerID) {
+func (e effects) WakeAt(at policy.Instant, id policy.TimerID) {
 	if id != 0 {
 		e.dispatcher.latestWake = id
 	}
@@ -79,8 +80,8 @@
 }
 
 // AddToCounter passes a call to the counter, which is flushed when the engine's call has returned.
-func (e effects) AddToCounter(key policy.CounterKey, units float64, lifetimeNanos int64) {
-	e.dispatcher.counter.Add(key, units, time.Duration(lifetimeNanos))
+func (e effects) AddToCounter(key policy.CounterKey, units float64, lifetime time.Duration) {
+	e.dispatcher.counter.Add(key, units, lifetime)
 	e.dispatcher.networkWork.flushCounter = true
 }
 
@@ -93,5 +94,7 @@
 // WatchEndpoints asks for the list of backends.
 func (e effects) WatchEndpoints() { e.dispatcher.endpointWatcher.WatchEndpoints() }
 
-// Log writes a warning from the engine to the log.
-func (e effects) Log(text string) { logging.For("policy").Warn(text) }
+// LogUnknown writes a warning to the log.
+func (e effects) LogUnknown(class policy.ClassID, plan policy.PlanID) {
+	logging.For("policy").WithField("class", class).WithField("plan", plan).Warn("request aborted: unknown class or plan")
+}
--- a/internal/dispatch/request.go
+++ b/internal/dispatch/request.go
@@ -71,7 +71,7 @@
 	id            policy.RequestID
 	class         policy.ClassID
 	engineRequest *policy.Request // nil until the engine's Submit has returned
-	deadlineNanos int64
+	deadline      policy.Instant
 	attempts      []*Attempt
 	// steps carries the attempts to send, then nil once finalStep is set. Its capacity is maxPendingAttempts
 	// plus that nil, so that no send blocks while the lock is held.
@@ -83,17 +83,17 @@
 // Submit passes a request to the engine. The caller then calls NextStep until it returns a final step.
 func (d *Dispatcher) Submit(spec RequestSpec) *Request {
 	r := &Request{dispatcher: d, class: spec.Class, steps: make(chan *Attempt, maxPendingAttempts+1)}
-	d.do(func(now int64) {
+	d.do(func(now policy.Instant) {
 		d.lastRequest++
 		r.id = d.lastRequest
-		r.deadlineNanos = now + int64(spec.Timeout)
+		r.deadline = now.Add(spec.Timeout)
 		d.requests[r.id] = r
 		r.engineRequest = d.engine.Submit(now, policy.RequestSpec{
 			ID:            r.id,
 			Class:         spec.Class,
 			Plan:          spec.Plan,
 			Tenant:        spec.Tenant,
-			Remaining:     int64(spec.Timeout),
+			Remaining:     spec.Timeout,
 			Units:         spec.Units,
 			EntryPoints:   spec.EntryPoints,
 			FirstInstance: spec.FirstInstance,
@@ -113,7 +113,7 @@
 
 // HandleClientGone tells the engine that the client is gone. After a final step it does nothing.
 func (r *Request) HandleClientGone() {
-	r.dispatcher.do(func(now int64) {
+	r.dispatcher.do(func(now policy.Instant) {
 		if r.finished {
 			return
 		}
--- a/internal/dispatch/start_times.go
+++ b/internal/dispatch/start_times.go
@@ -3,12 +3,13 @@
 import (
 	"time"
 
+	"fawnplank/internal/monotime"
 	"fawnplank/policy"
 )
 
 // minClockStep is the least difference between the wall clock and the dispatcher's clock that counts as a step
 // of the wall clock. Slewing keeps clocks within far less.
-const minClockStep = int64(time.Second)
+const minClockStep = time.Second
 
 // startTimes translates the starts of backends, which discovery states on the wall clock, to the dispatcher's
 // clock, which ignores steps of the wall clock. Without it, a backend that starts after a step of an hour back
@@ -21,12 +22,12 @@
 }
 
 // startTime is a start as it was stated, and on the dispatcher's clock.
-type startTime struct{ stated, translated int64 }
+type startTime struct{ stated, translated policy.Instant }
 
 // translate returns the endpoints of an update with translated starts. now is the dispatcher's time, and
 // wallNow the wall clock's.
 func (s *startTimes) translate(
-	now, wallNow int64, kind policy.UpdateKind, endpoints []policy.Endpoint,
+	now, wallNow policy.Instant, kind policy.UpdateKind, endpoints []policy.Endpoint,
 ) []policy.Endpoint {
 	if len(endpoints) == 0 {
 		return endpoints
@@ -55,15 +56,15 @@
 // translateStart returns a start on the dispatcher's clock. After a step it is not known whether the start was
 // stated before or after it: the later of the two possible moments that have passed is taken, so that a
 // backend rather counts as warming up for too long.
-func translateStart(now, wallNow, stated int64) int64 {
-	step := wallNow - now
-	if stated == 0 || max(step, -step) < minClockStep {
+func translateStart(now, wallNow, stated policy.Instant) policy.Instant {
+	step := wallNow.Sub(now)
+	if stated.IsZero() || max(step, -step) < minClockStep {
 		return stated
 	}
-	afterStep := stated - step
-	earlier, later := min(stated, afterStep), max(stated, afterStep)
-	if later <= now {
-		return later
+	afterStep := stated.Add(-step)
+	later := monotime.Later(stated, afterStep)
+	if later.After(now) {
+		return monotime.Earlier(stated, afterStep)
 	}
-	return earlier
+	return later
 }
--- a/internal/dispatch/start_times_test.go
+++ b/internal/dispatch/start_times_test.go
@@ -4,29 +4,31 @@
 	"testing"
 	"time"
 
+	"fawnplank/internal/monotime"
 	"fawnplank/policy"
 )
 
 func TestTranslateStart_AcrossClockSteps(t *testing.T) {
 	const (
-		now  = int64(100 * time.Hour)
-		hour = int64(time.Hour)
-		age  = int64(3 * time.Second)
+		hour = time.Hour
+		age  = 3 * time.Second
 	)
+	now := monotime.FromNanos(int64(100 * time.Hour))
+	started := now.Add(-age)
 	for _, test := range []struct {
 		name                  string
-		wallNow, stated, want int64
+		wallNow, stated, want policy.Instant
 	}{
-		{"long ago", now - hour, 0, 0},
-		{"no step", now, now - age, now - age},
-		{"slewed", now + 9e8, now - age, now - age},
-		{"stated after a step back", now - hour, now - hour - age, now - age},
-		{"stated before a step back", now - hour, now - age, now - age},
-		{"stated after a step forward", now + hour, now + hour - age, now - age},
-		{"stated before a step forward", now + hour, now - age, now - age},
+		{"long ago", now.Add(-hour), policy.Instant{}, policy.Instant{}},
+		{"no step", now, started, started},
+		{"slewed", now.Add(900 * time.Millisecond), started, started},
+		{"stated after a step back", now.Add(-hour), now.Add(-hour - age), started},
+		{"stated before a step back", now.Add(-hour), started, started},
+		{"stated after a step forward", now.Add(hour), now.Add(hour - age), started},
+		{"stated before a step forward", now.Add(hour), started, started},
 	} {
 		if got := translateStart(now, test.wallNow, test.stated); got != test.want {
-			t.Errorf("%s: %v from now, want %v", test.name, time.Duration(got-now), time.Duration(test.want-now))
+			t.Errorf("%s: %v from now, want %v", test.name, got.Sub(now), test.want.Sub(now))
 		}
 	}
 }
@@ -38,7 +40,7 @@
 	attempts := func(step time.Duration) (count int) {
 		withNetwork(t, 1, testSettings, func(n *fakeNetwork) {
 			time.Sleep(2 * time.Second) // a new instance waits an overload window
-			wallNow := func() int64 { return time.Now().Add(step).UnixNano() }
+			wallNow := func() policy.Instant { return monotime.FromNanos(time.Now().Add(step).UnixNano()) }
 			n.dispatcher.mu.Lock()
 			n.dispatcher.wallNow = wallNow
 			n.dispatcher.mu.Unlock()
--- a/internal/dispatch/timers.go
+++ b/internal/dispatch/timers.go
@@ -2,7 +2,6 @@
 
 import (
 	"runtime/debug"
-	"time"
 
 	"fawnplank/internal/logging"
 	"fawnplank/policy"
@@ -43,7 +42,7 @@
 		return
 	}
 	d.alarmAt = next
-	d.alarm.Reset(time.Duration(next - d.now()))
+	d.alarm.Reset(next.Sub(d.now()))
 }
 
 // runTimers waits for the alarm and handles due timers, until Stop.
@@ -65,8 +64,8 @@
 			logging.Panicked("dispatch", reason, debug.Stack())
 		}
 	}()
-	d.do(func(now int64) {
-		d.alarmAt = 0
+	d.do(func(now policy.Instant) {
+		d.alarmAt = policy.Instant{}
 		for t, ok := d.timers.PopDue(now); ok; t, ok = d.timers.PopDue(d.now()) {
 			d.expire(t)
 		}
--- a/internal/frontend/parser.go
+++ b/internal/frontend/parser.go
@@ -183,7 +183,7 @@
 
 func (h *requestHead) setRemaining(milliseconds []byte) bool {
 	number, valid := parseNumber(milliseconds)
-	h.remaining = time.Duration(config.NanosFromMillis(number))
+	h.remaining = config.Milliseconds(number)
 	h.remainingText = milliseconds
 	return valid
 }
--- a/internal/lab/invariants/attempts.go
+++ b/internal/lab/invariants/attempts.go
@@ -43,7 +43,7 @@
 		c.report(RuleNoRerun, event.AtNanos,
 			"submission %d: came to backend %d, outside the dedup scope of %d where it may have run",
 			event.Submission, event.Backend, earlier.backend)
-	case event.AtNanos-earlier.atNanos > class.DedupWindow+c.settings.SlackNanos:
+	case event.AtNanos-earlier.atNanos > int64(class.DedupWindow)+c.settings.SlackNanos:
 		c.report(RuleNoRerun, event.AtNanos,
 			"submission %d: came to backend %d %s after one that may have run, beyond the dedup window",
 			event.Submission, event.Backend, formatMillis(event.AtNanos-earlier.atNanos))
--- a/internal/lab/invariants/checker_test.go
+++ b/internal/lab/invariants/checker_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"testing"
+	"time"
 
 	"fawnplank/policy"
 )
@@ -10,17 +11,17 @@
 
 var testSettings = Settings{
 	Classes: []policy.ClassSettings{
-		idempotent:    {LatencyObjective: 750 * millis},
+		idempotent:    {LatencyObjective: 750 * time.Millisecond},
 		nonIdempotent: {Idempotency: policy.NonIdempotent},
 		keyOfGroup: {
 			Idempotency: policy.IdempotentWithKey,
 			DedupScope:  policy.DedupByGroup,
-			DedupWindow: 1000 * millis,
+			DedupWindow: time.Second,
 		},
 		keyOfAll: {
 			Idempotency: policy.IdempotentWithKey,
 			DedupScope:  policy.DedupByAll,
-			DedupWindow: 1000 * millis,
+			DedupWindow: time.Second,
 		},
 	},
 	Plans:                  []policy.PlanSettings{{}, {HardQuotaRate: 1, HardQuotaBurst: 2}},
--- a/internal/lab/model/backend.go
+++ b/internal/lab/model/backend.go
@@ -2,6 +2,7 @@
 
 import (
 	"slices"
+	"time"
 
 	"fawnplank/internal/lab/invariants"
 	"fawnplank/policy"
@@ -33,7 +34,7 @@
 	s.handle.HandleAttemptResult(w.engineNow(), policy.AttemptResult{
 		Attempt:     a.id,
 		Outcome:     outcome,
-		Elapsed:     w.nowNanos - a.sentNanos,
+		Elapsed:     time.Duration(w.nowNanos - a.sentNanos),
 		RequestDone: s.isAnswered,
 	})
 	s.instance.forgetIfDone(s)
--- a/internal/lab/model/counter.go
+++ b/internal/lab/model/counter.go
@@ -59,7 +59,8 @@
 			delete(i.calls, k.key)
 		}
 		i.world.recorder.CountCounterCall(i.world.nowNanos, first.outcome != policy.Succeeded)
-		i.engine.HandleCounterResult(i.world.engineNow(), first.outcome, k.key, first.total)
+		result := policy.CounterResult{Key: k.key, Outcome: first.outcome, Total: first.total}
+		i.engine.HandleCounterResult(i.world.engineNow(), result)
 		if i.incarnation != k.incarnation {
 			return
 		}
--- a/internal/lab/model/instance.go
+++ b/internal/lab/model/instance.go
@@ -3,8 +3,10 @@
 import (
 	"math/rand/v2"
 	"slices"
+	"time"
 
 	"fawnplank/internal/lab/invariants"
+	"fawnplank/internal/monotime"
 	"fawnplank/policy"
 )
 
@@ -28,7 +30,7 @@
 	i.calls = map[policy.CounterKey][]*counterCall{}
 	stream := uint64(i.index)<<incarnationBits | uint64(i.incarnation) | engineStream
 	seed := rand.New(rand.NewPCG(w.scenario.Seed, stream)).Uint64()
-	i.engine = policy.New(w.engineNow(), seed, i.settings, i)
+	i.engine = policy.New(policy.Options{Now: w.engineNow(), Seed: seed, Settings: i.settings, Effects: i})
 	list := make([]policy.Endpoint, 0, len(w.backends))
 	for _, b := range w.backends {
 		if b.state != policy.EndpointGone {
@@ -57,7 +59,7 @@
 		State:    b.state,
 	}
 	if b.startedNanos > 0 {
-		endpoint.StartedAt = epochNanos + b.startedNanos
+		endpoint.StartedAt = monotime.FromNanos(epochNanos + b.startedNanos)
 	}
 	return endpoint
 }
@@ -94,7 +96,7 @@
 		Class:         policy.ClassID(s.Class),
 		Plan:          policy.PlanID(s.Plan),
 		Tenant:        policy.TenantID(s.Tenant + 1),
-		Remaining:     max(s.DeadlineNanos-w.nowNanos, 0),
+		Remaining:     time.Duration(max(s.DeadlineNanos-w.nowNanos, 0)),
 		Units:         s.Units,
 		EntryPoints:   w.scenario.Load.EntryPoints,
 		FirstInstance: w.workload.Tenants[s.Tenant].FirstInstance,
@@ -110,17 +112,17 @@
 }
 
 // Send implements policy.Effects. The model begins every attempt at once.
-func (i *instance) Send(id policy.RequestID, to policy.BackendID, expiresAt, _ int64) {
+func (i *instance) Send(spec policy.AttemptSpec) {
 	w := i.world
-	s := i.inFlight[id]
+	s := i.inFlight[spec.Request]
 	expireNanos := s.DeadlineNanos
-	if expiresAt > 0 {
-		expireNanos = min(expireNanos, expiresAt-epochNanos)
+	if !spec.ExpiresAt.IsZero() {
+		expireNanos = min(expireNanos, spec.ExpiresAt.Nanos()-epochNanos)
 	}
 	a := &attempt{
 		submission: s,
 		id:         policy.AttemptID(len(s.attempts)),
-		to:         w.backends[to-1],
+		to:         w.backends[spec.Backend-1],
 		sentNanos:  w.nowNanos,
 	}
 	s.attempts = append(s.attempts, a)
@@ -147,8 +149,8 @@
 }
 
 // Reject implements policy.Effects.
-func (i *instance) Reject(id policy.RequestID, retryAfterNanos int64) {
-	i.inFlight[id].answer(invariants.Rejected, retryAfterNanos)
+func (i *instance) Reject(id policy.RequestID, retryAfter time.Duration) {
+	i.inFlight[id].answer(invariants.Rejected, int64(retryAfter))
 }
 
 // Abort implements policy.Effects.
@@ -158,12 +160,12 @@
 func (i *instance) Admit(policy.RequestID) {}
 
 // WakeAt implements policy.Effects.
-func (i *instance) WakeAt(at int64, timerID policy.TimerID) {
+func (i *instance) WakeAt(at policy.Instant, timerID policy.TimerID) {
 	if timerID != 0 {
 		i.timerID = timerID
 	}
 	incarnation := i.incarnation
-	i.world.at(at-epochNanos, func() {
+	i.world.at(at.Nanos()-epochNanos, func() {
 		isCurrent := timerID == 0 || timerID == i.timerID
 		if i.incarnation == incarnation && isCurrent {
 			i.engine.HandleTimer(i.world.engineNow(), timerID)
@@ -172,8 +174,8 @@
 }
 
 // AddToCounter implements policy.Effects.
-func (i *instance) AddToCounter(key policy.CounterKey, units float64, lifetimeNanos int64) {
-	i.world.counter.call(i, key, units, lifetimeNanos)
+func (i *instance) AddToCounter(key policy.CounterKey, units float64, lifetime time.Duration) {
+	i.world.counter.call(i, key, units, int64(lifetime))
 }
 
 // CheckHealth implements policy.Effects.
@@ -195,5 +197,5 @@
 // WatchEndpoints implements policy.Effects. Discovery delivers its events unasked.
 func (i *instance) WatchEndpoints() {}
 
-// Log implements policy.Effects. The model keeps no log.
-func (i *instance) Log(string) {}
+// LogUnknown implements policy.Effects. The model keeps no log.
+func (i *instance) LogUnknown(policy.ClassID, policy.PlanID) {}
--- a/internal/lab/model/model_test.go
+++ b/internal/lab/model/model_test.go
@@ -8,6 +8,7 @@
 	"fawnplank/internal/lab/invariants"
 	"fawnplank/internal/lab/results"
 	"fawnplank/internal/lab/scenario"
+	"fawnplank/internal/monotime"
 	"fawnplank/policy"
 )
 
@@ -193,7 +194,7 @@
 	for id, s := range i.inFlight {
 		isNonIdempotent := w.scenario.Classes[s.Class].Idempotency == scenario.NonIdempotent
 		if isNonIdempotent && len(s.attempts) > 0 && !s.isAnswered {
-			i.Send(id, 1, 0, 1<<62)
+			i.Send(policy.AttemptSpec{Request: id, Backend: 1, StartBefore: monotime.Latest})
 			return
 		}
 	}
--- a/internal/lab/model/world.go
+++ b/internal/lab/model/world.go
@@ -14,7 +14,9 @@
 	"fawnplank/internal/lab/results"
 	"fawnplank/internal/lab/scenario"
 	"fawnplank/internal/lab/workload"
+	"fawnplank/internal/monotime"
 	"fawnplank/internal/timerqueue"
+	"fawnplank/policy"
 )
 
 // epochNanos is the Unix time at which a run starts for the instances: an arbitrary day, needed because their
@@ -101,12 +103,12 @@
 func (w *world) play() *results.Run {
 	endNanos := w.endNanos()
 	for {
-		dueNanos, ok := w.queue.NextDue(func(func()) bool { return false })
-		if !ok || dueNanos > endNanos {
+		due, ok := w.queue.NextDue(func(func()) bool { return false })
+		if !ok || due.Nanos() > endNanos {
 			break
 		}
-		do, _ := w.queue.PopDue(dueNanos)
-		w.nowNanos = dueNanos
+		do, _ := w.queue.PopDue(due)
+		w.nowNanos = due.Nanos()
 		w.events++
 		do()
 	}
@@ -123,7 +125,9 @@
 }
 
 // at schedules do for a time. A time in the past means as soon as the current event has been handled.
-func (w *world) at(dueNanos int64, do func()) { w.queue.Push(max(dueNanos, w.nowNanos), do) }
+func (w *world) at(dueNanos int64, do func()) {
+	w.queue.Push(monotime.FromNanos(max(dueNanos, w.nowNanos)), do)
+}
 
 // after schedules do for a delay from now.
 func (w *world) after(delayNanos int64, do func()) { w.at(w.nowNanos+delayNanos, do) }
@@ -139,7 +143,7 @@
 func (w *world) roundTripNanos() int64 { return 2 * w.oneWayDelayNanos() }
 
 // engineNow returns the present time as engines see it.
-func (w *world) engineNow() int64 { return epochNanos + w.nowNanos }
+func (w *world) engineNow() policy.Instant { return monotime.FromNanos(epochNanos + w.nowNanos) }
 
 // sampleBreakers records each second how many instances have their breaker open.
 func (w *world) sampleBreakers() {
--- a/internal/limitserver/check.go
+++ b/internal/limitserver/check.go
@@ -23,11 +23,9 @@
 
 // check is a LIMIT.CHECK or CL.THROTTLE command in progress.
 type check struct {
-	request     *dispatch.Request
-	tenant      policy.TenantID
-	plan        policy.PlanID
-	entryPoints int
-	timeUnit    time.Duration // unit of the times in the answer
+	request  *dispatch.Request
+	quota    policy.QuotaQuery // the quota that the answer states
+	timeUnit time.Duration     // unit of the times in the answer
 }
 
 // startCheck submits a check to be counted; finishChecks answers it.
@@ -43,11 +41,9 @@
 		timeUnit = time.Second
 	}
 	b.checks = append(b.checks, check{
-		request:     b.server.dispatcher.Submit(spec),
-		tenant:      spec.Tenant,
-		plan:        spec.Plan,
-		entryPoints: spec.EntryPoints,
-		timeUnit:    timeUnit,
+		request:  b.server.dispatcher.Submit(spec),
+		quota:    policy.QuotaQuery{Tenant: spec.Tenant, Plan: spec.Plan, EntryPoints: spec.EntryPoints},
+		timeUnit: timeUnit,
 	})
 }
 
@@ -63,7 +59,7 @@
 // wait for the counter.
 func (b *batch) finishCheck(pending check) {
 	step := pending.request.NextStep()
-	quota, _ := b.server.dispatcher.QuotaStatus(pending.tenant, pending.plan, pending.entryPoints)
+	quota, _ := b.server.dispatcher.QuotaStatus(pending.quota)
 	switch step.Action {
 	case dispatch.Admit:
 		b.server.admitted.Add(1)
@@ -97,7 +93,8 @@
 		b.fail("", err)
 		return
 	}
-	quota, _ := b.server.dispatcher.QuotaStatus(tenant, plan, entryPoints)
+	query := policy.QuotaQuery{Tenant: tenant, Plan: plan, EntryPoints: entryPoints}
+	quota, _ := b.server.dispatcher.QuotaStatus(query)
 	retryAfter := noRetry
 	if quota.Rate > 0 && quota.Limit-quota.Used < 1 {
 		retryAfter = refillTime(quota.Used+1-quota.Limit, quota.Rate)
--- a/internal/limitserver/server.go
+++ b/internal/limitserver/server.go
@@ -22,7 +22,7 @@
 // Dispatcher decides checks.
 type Dispatcher interface {
 	Submit(spec dispatch.RequestSpec) *dispatch.Request
-	QuotaStatus(tenant policy.TenantID, plan policy.PlanID, entryPoints int) (policy.QuotaStatus, bool)
+	QuotaStatus(query policy.QuotaQuery) (status policy.QuotaStatus, ok bool)
 }
 
 // Settings holds what commands may name. A reload replaces them.
--- a/internal/warmstart/version0_test.go
+++ b/internal/warmstart/version0_test.go
@@ -8,6 +8,7 @@
 	"testing"
 	"time"
 
+	"fawnplank/internal/monotime"
 	"fawnplank/internal/testutil"
 	"fawnplank/policy"
 )
@@ -19,8 +20,8 @@
 		Latency: 12_500_000.25,
 		Samples: 30,
 		Backends: []policy.BackendWarmStart{
-			{Backend: 1, StartedAt: 1_799_990_000_000_000_001, Latency: 11_000_000.5, Samples: 29.75},
-			{Backend: 7, StartedAt: 1_799_995_000_000_000_000, Latency: 99_000_000, Samples: 0.125},
+			{Backend: 1, StartedAt: monotime.FromNanos(1_799_990_000_000_000_001), Latency: 11_000_000.5, Samples: 29.75},
+			{Backend: 7, StartedAt: monotime.FromNanos(1_799_995_000_000_000_000), Latency: 99_000_000, Samples: 0.125},
 		},
 	}
 	path := testutil.Fixture(t, "learned", func(path string) {
--- a/internal/warmstart/warmstart_test.go
+++ b/internal/warmstart/warmstart_test.go
@@ -18,6 +18,7 @@
 	"github.com/cespare/xxhash/v2"
 	"golang.org/x/sys/unix"
 
+	"fawnplank/internal/monotime"
 	"fawnplank/internal/testutil"
 	"fawnplank/policy"
 )
@@ -36,7 +37,7 @@
 	for b := range stateBackends {
 		state.Backends = append(state.Backends, policy.BackendWarmStart{
 			Backend:   policy.BackendID(b),
-			StartedAt: int64(number),
+			StartedAt: monotime.FromNanos(int64(number)),
 			Latency:   float64(number),
 			Samples:   1,
 		})
--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -3,6 +3,7 @@
 import (
 	"math"
 	"testing"
+	"time"
 )
 
 func TestHardQuota_HoldsWithoutTheCounterAndThroughRestarts(t *testing.T) {
@@ -11,13 +12,13 @@
 	h := newHarness(t, settings, readyEndpoints(1, 2, 3)...)
 	sent := 0
 	for n := range 400 {
-		if request := h.submit(RequestID(n), 0, 0, 1, 2*second, 1); len(request.attempts) > 0 {
+		if request := h.submit(RequestID(n), 0, 0, 1, 2*time.Second, 1); len(request.attempts) > 0 {
 			sent++
 			h.endAttempt(request, 0, Succeeded)
 		}
-		h.advance(20 * millisecond)
+		h.advance(20 * time.Millisecond)
 		// This instance's half of four units a second, and nothing to begin with.
-		if upper := 2 * float64(h.now-startOfTest) / float64(second); float64(sent) > upper+roundingTolerance {
+		if upper := 2 * float64(h.now.Sub(startOfTest)) / float64(time.Second); float64(sent) > upper+roundingTolerance {
 			t.Fatalf("%d units of at most %.1f", sent, upper)
 		}
 	}
@@ -31,10 +32,10 @@
 func TestReject_WithoutCapacityAtOnceWithAnEarlyRetryAfter(t *testing.T) {
 	h := newHarnessWithoutCounter(t)
 	for n := range 20 {
-		h.submit(RequestID(n), 0, 0, TenantID(n), 2*second, 1)
+		h.submit(RequestID(n), 0, 0, TenantID(n), 2*time.Second, 1)
 	}
 	request := h.requests[19]
-	if request.ended != "rejected" || request.retryAfter <= 0 || request.retryAfter >= 750*millisecond/4 {
+	if request.ended != "rejected" || request.retryAfter <= 0 || request.retryAfter >= 750*time.Millisecond/4 {
 		t.Errorf("with a full instance: %q, retry after %d", request.ended, request.retryAfter)
 	}
 }
@@ -42,7 +43,7 @@
 // Fault: requests that no backend had capacity for were counted, and shut the tenant's later ones out.
 func TestAdmission_WithoutCapacityNothingIsCounted(t *testing.T) {
 	h := newHarness(t, defaultSettings())
-	if request := h.submit(1, 0, 0, 1, 2*second, 1); len(h.pendingAdds) > 0 || request.ended != "rejected" {
+	if request := h.submit(1, 0, 0, 1, 2*time.Second, 1); len(h.pendingAdds) > 0 || request.ended != "rejected" {
 		t.Errorf("%d calls, %q", len(h.pendingAdds), request.ended)
 	}
 }
@@ -54,11 +55,11 @@
 		settings := defaultSettings()
 		question := ClassID(len(settings.Classes))
 		settings.Classes = append(settings.Classes,
-			ClassSettings{LatencyObjective: second, Deadline: 2 * second, CheckOnly: true})
+			ClassSettings{LatencyObjective: time.Second, Deadline: 2 * time.Second, CheckOnly: true})
 		h := newHarness(t, settings) // no backend is ready, which is nothing to a question
 		ends := map[string]int{}
 		for n := range 40 {
-			request := h.submit(RequestID(n), question, 0, 1, 2*second, 1)
+			request := h.submit(RequestID(n), question, 0, 1, 2*time.Second, 1)
 			h.answerCounterCalls(outcome)
 			ends[request.ended]++
 			if len(request.attempts) > 0 || !request.handle.Done() {
@@ -79,7 +80,8 @@
 		if outcome == Succeeded && math.Abs(sum-float64(ends["admitted"])) > 1 {
 			t.Errorf("%d admitted and %.1f counted", ends["admitted"], sum)
 		}
-		if q, ok := h.engine.QuotaStatus(h.now, 1, 0, 2); !ok || q.Limit != 10 || q.Used < 9 {
+		query := QuotaQuery{Tenant: 1, EntryPoints: 2}
+		if q, ok := h.engine.QuotaStatus(h.now, query); !ok || q.Limit != 10 || q.Used < 9 {
 			t.Errorf("counter %s: %+v", outcome, q)
 		}
 	}
--- /dev/null
+++ b/policy/baseline.go
@@ -0,0 +1,39 @@
+package policy
+
+import "time"
+
+const (
+	// baselineSamples is how many first attempts show the latency without a queue. Half of them suffice.
+	baselineSamples = 30
+	// The baseline falls to a faster fleet in about a second, and rises to a slower one in about a minute, or in
+	// two seconds while the fleet is not loaded. Each is the part of the difference made up in a tick.
+	baselineFall     = 0.1
+	baselineRise     = 0.002
+	baselineIdleRise = 0.05
+	// unrejectedTime is for how long no attempt may have been rejected for the fleet to count as not loaded.
+	unrejectedTime = time.Second
+)
+
+// baselineKnown reports whether enough of the first attempts were answered.
+func (e *Engine) baselineKnown() bool { return e.latency.baseline.Count >= baselineSamples/2 }
+
+// updateBaselineLatency makes the baseline follow the fleet.
+func (e *Engine) updateBaselineLatency(now Instant) {
+	if !e.baselineKnown() {
+		return
+	}
+	rise := baselineRise
+	if e.fleetNotLoaded(now) {
+		rise = baselineIdleRise
+	}
+	baseline := &e.latency.baseline
+	change := e.latency.mean.Value - baseline.Value
+	baseline.Value += rise*change + baselineFall*min(change, 0)
+}
+
+// fleetNotLoaded reports whether fewer than one attempt for each backend is in flight, on average, and none was
+// rejected lately: then a higher latency is the fleet's own, for example while it warms up.
+func (e *Engine) fleetNotLoaded(now Instant) bool {
+	inFlight := e.throughput.perSecond * e.latency.mean.Value // attempts, times a second in nanoseconds
+	return now.Sub(e.lastRejectionAt) > unrejectedTime && inFlight < e.fairSharePerBackend()*float64(time.Second)
+}
--- a/policy/bench_test.go
+++ b/policy/bench_test.go
@@ -1,22 +1,25 @@
 package policy
 
-import "testing"
+import (
+	"testing"
+	"time"
+)
 
 // BenchmarkPolicy_Request is one request's whole way: submitted, counted, sent and answered.
 func BenchmarkPolicy_Request(b *testing.B) {
 	settings := defaultSettings()
 	settings.Plans = []PlanSettings{{Rate: 1e6, Burst: 1e6}}
 	effects := &idleEffects{}
-	now := 1000 * second
-	e := New(now, 1, settings, effects)
+	now := startOfTest
+	e := New(Options{Now: now, Seed: 1, Settings: settings, Effects: effects})
 	e.UpdateEndpoints(now, FullSnapshot, readyEndpoints(1, 2, 3, 4, 5, 6, 7, 8))
 	step := func(id int) {
-		request := e.Submit(now, RequestSpec{ID: RequestID(id), Tenant: TenantID(id % 100), Remaining: 2 * second,
+		request := e.Submit(now, RequestSpec{ID: RequestID(id), Tenant: TenantID(id % 100), Remaining: 2 * time.Second,
 			Units: 1, EntryPoints: 2})
-		now += millisecond
-		e.HandleCounterResult(now, Succeeded, effects.key, 1)
-		now += 9 * millisecond
-		request.HandleAttemptResult(now, AttemptResult{Outcome: Succeeded, Elapsed: 9 * millisecond})
+		now = now.Add(time.Millisecond)
+		e.HandleCounterResult(now, CounterResult{Key: effects.key, Outcome: Succeeded, Total: 1})
+		now = now.Add(9 * time.Millisecond)
+		request.HandleAttemptResult(now, AttemptResult{Outcome: Succeeded, Elapsed: 9 * time.Millisecond})
 		if !request.Done() || len(request.attempts) != 1 {
 			b.Fatalf("request %d: done %v, %d attempts", id, request.Done(), len(request.attempts))
 		}
--- a/policy/breaker.go
+++ b/policy/breaker.go
@@ -1,28 +1,70 @@
 package policy
 
-// failureThreshold is how many failures in a row trip the breaker: five, as in the post, are no coincidence.
-const failureThreshold = 5
+import (
+	"time"
+
+	"fawnplank/policy/internal/circuitbreaker"
+)
+
+const (
+	// breakerFailureThreshold is how many failed calls in a row open the breaker.
+	breakerFailureThreshold = 5
+	// breakerOpenTime is how long the breaker stays open before one call is tried, plus up to breakerJitter,
+	// so that the instances do not all try at once.
+	breakerOpenTime = time.Second
+	breakerJitter   = 250 * time.Millisecond
+
+	// After the breaker has closed again, callShareAfterOpen of the requests call. Then, and while the counter
+	// is overloaded, each answer adds callShareGain to the share, and each failure multiplies it by
+	// callShareLoss, down to callShareMin.
+	callShareAfterOpen = 0.5
+	callShareGain      = 0.02
+	callShareLoss      = 0.8
+	callShareMin       = 0.05
+)
+
+// counterBreaker decides how many requests call the counter: none while it is open, and fewer while an
+// overloaded counter answers only some calls, which seldom opens the breaker.
+type counterBreaker struct {
+	circuitbreaker.Breaker
+	callShare float64 // of the requests that call while the breaker is closed
+}
 
 // mayCallCounter reports whether a call may be made now. If so, the caller must make it.
-func (e *Engine) mayCallCounter(now int64) bool {
-	if e.breaker.IsClosed() {
-		return e.settings.CounterEnabled && (e.callShare >= 1 || e.random.Float64() < e.callShare)
+func (e *Engine) mayCallCounter(now Instant) bool {
+	if !e.breaker.IsClosed() {
+		return e.breaker.TryHalfOpen(now)
+	}
+	if !e.settings.CounterEnabled {
+		return false
+	}
+	share := e.breaker.callShare
+	return share >= 1 || e.random.Float64() < share
+}
+
+// recordCounterCall updates the breaker and the share of requests that call by how a call ended.
+func (e *Engine) recordCounterCall(now Instant, outcome Outcome) {
+	// Drawn for a success too: recorded runs depend on the order of draws.
+	jitter := time.Duration(e.random.Float64() * float64(breakerJitter))
+	if outcome == Succeeded {
+		e.breaker.recordAnswer()
+		return
+	}
+	e.breaker.recordFailure(now.Add(breakerOpenTime + jitter))
+}
+
+func (b *counterBreaker) recordAnswer() {
+	if b.IsClosed() {
+		b.callShare = min(b.callShare+callShareGain, 1)
+	} else {
+		b.callShare = callShareAfterOpen
 	}
-	return e.breaker.TryHalfOpen(now)
+	b.RecordSuccess()
 }
 
-// recordCounterCall updates the breaker and the share of requests that call. Exception: an overloaded counter
-// seldom trips the breaker: each failure takes a fifth off the share, each answer gives back a fiftieth.
-func (e *Engine) recordCounterCall(now int64, ok bool) {
-	switch {
-	case ok && !e.breaker.IsClosed():
-		e.callShare = 0.5
-	case ok:
-		e.callShare = min(e.callShare+0.02, 1)
-	case e.breaker.IsClosed():
-		e.callShare = max(e.callShare*0.8, 0.05)
+func (b *counterBreaker) recordFailure(retryAt Instant) {
+	if b.IsClosed() {
+		b.callShare = max(b.callShare*callShareLoss, callShareMin)
 	}
-	// A second, plus chance against retries all together; the post's ten would outlast most failures.
-	retryAt := now + second + int64(e.random.Float64()*float64(second)/4)
-	e.breaker.Record(ok, failureThreshold, retryAt)
+	b.RecordFailure(breakerFailureThreshold, retryAt)
 }
--- a/policy/breaker_test.go
+++ b/policy/breaker_test.go
@@ -1,27 +1,30 @@
 package policy
 
-import "testing"
+import (
+	"testing"
+	"time"
+)
 
 func TestBreaker_SilentCounterOpensItAndOneCallClosesIt(t *testing.T) {
 	h := newHarness(t, defaultSettings(), readyEndpoints(1, 2, 3, 4, 5, 6)...)
 	for n := range 20 {
-		request := h.submit(RequestID(n), 0, 0, TenantID(n), 2*second, 1)
-		if h.advance(40 * millisecond); len(request.attempts) > 0 {
+		request := h.submit(RequestID(n), 0, 0, TenantID(n), 2*time.Second, 1)
+		if h.advance(40 * time.Millisecond); len(request.attempts) > 0 {
 			h.endAttempt(request, 0, Succeeded)
 		}
 	}
-	if len(h.pendingAdds) != failureThreshold {
+	if len(h.pendingAdds) != breakerFailureThreshold {
 		t.Errorf("%d calls to a silent counter", len(h.pendingAdds))
 	}
 	h.pendingAdds = nil
-	h.advance(2 * second)
-	h.submit(100, 0, 0, 100, 2*second, 1)
-	h.submit(101, 0, 0, 101, 2*second, 1)
+	h.advance(2 * time.Second)
+	h.submit(100, 0, 0, 100, 2*time.Second, 1)
+	h.submit(101, 0, 0, 101, 2*time.Second, 1)
 	if len(h.pendingAdds) != 1 {
 		t.Fatalf("%d half-open calls", len(h.pendingAdds))
 	}
-	h.engine.HandleCounterResult(h.now, Succeeded, h.pendingAdds[0].key, 1)
-	if h.submit(102, 0, 0, 102, 2*second, 1); len(h.pendingAdds) < 2 {
+	h.engine.HandleCounterResult(h.now, CounterResult{Key: h.pendingAdds[0].key, Outcome: Succeeded, Total: 1})
+	if h.submit(102, 0, 0, 102, 2*time.Second, 1); len(h.pendingAdds) < 2 {
 		t.Error("the breaker did not close")
 	}
 }
@@ -30,12 +33,12 @@
 // open.
 func TestBreaker_HalfOpenCallOutlivesItsClient(t *testing.T) {
 	h := newHarness(t, defaultSettings(), readyEndpoints(1, 2, 3)...)
-	h.countAdmitted(0, failureThreshold, 1, Rejected)
-	h.advance(2 * second)
-	request := h.submit(100, 0, 0, 2, 2*second, 1)
+	h.countAdmitted(0, breakerFailureThreshold, 1, Rejected)
+	h.advance(2 * time.Second)
+	request := h.submit(100, 0, 0, 2, 2*time.Second, 1)
 	h.clientGone(request)
-	h.advance(2 * second)
-	if n := len(h.pendingAdds); h.submit(101, 0, 0, 3, 2*second, 1) == nil || len(h.pendingAdds) != n+1 {
+	h.advance(2 * time.Second)
+	if n := len(h.pendingAdds); h.submit(101, 0, 0, 3, 2*time.Second, 1) == nil || len(h.pendingAdds) != n+1 {
 		t.Error("no further half-open call")
 	}
 }
@@ -44,7 +47,7 @@
 func TestCallShare_PartlyAnsweringCounterIsCalledLess(t *testing.T) {
 	h, calls := newHarness(t, defaultSettings(), readyEndpoints(1, 2, 3)...), 0
 	for n := range 200 {
-		request := h.submit(RequestID(n), 0, 0, TenantID(n), 2*second, 1)
+		request := h.submit(RequestID(n), 0, 0, TenantID(n), 2*time.Second, 1)
 		if len(h.pendingAdds) > 0 {
 			calls++
 			h.answerCounter([]Outcome{Succeeded, Rejected}[calls%2])
--- /dev/null
+++ b/policy/capacity.go
@@ -0,0 +1,77 @@
+package policy
+
+import "time"
+
+// budgetFactor scales the latency budget of a request: a smaller one keeps it away from busy backends.
+type budgetFactor float64
+
+// fullBudget is the factor of a request that is charged to its quota.
+const fullBudget budgetFactor = 1
+
+const (
+	// highLatencyRatio is how far above the likely latency few requests come: the budget for the likely latency
+	// is that part of the time that is left.
+	highLatencyRatio = 2.5
+	// maxBaselineRatio bounds the budget by the latency of an idle fleet, whatever the objective allows.
+	maxBaselineRatio = 2.5
+	// maxBaseInFlight is how many attempts an instance may have in flight before anything is measured.
+	maxBaseInFlight = 2
+	// throughputMargin lets the attempts in flight exceed what the throughput accounts for, so that it can grow.
+	throughputMargin = 1.3
+	// unseenAttempts stands for the other instances' unknown part of a backend's queue.
+	unseenAttempts = 2
+	// triedLoad is what each earlier attempt of a request adds to a backend's load: backends tried before go
+	// last.
+	triedLoad = 2
+)
+
+// lacksCapacity reports whether no backend can take the request now. A class that only counts needs none.
+func (r *Request) lacksCapacity(now Instant) bool {
+	return !r.class.CheckOnly && r.engine.pickBackend(now, r, fullBudget) == nil
+}
+
+// latencyBudget returns the likely latency that a backend may have for the request: the time to the objective,
+// less the extra for the request's units, over highLatencyRatio, and at most maxBaselineRatio baselines.
+//
+// Inputs: the time left to the objective, the request's units. Result: nanoseconds.
+func (e *Engine) latencyBudget(now Instant, r *Request, factor budgetFactor) float64 {
+	extra := (e.relativeCost(r.units) - 1) * e.latency.mean.Value
+	budget := (float64(r.objectiveAt.Sub(now)) - extra) / highLatencyRatio
+	if e.baselineKnown() {
+		budget = min(budget, maxBaselineRatio*e.latency.baseline.Value)
+	}
+	return budget * float64(factor)
+}
+
+// atInFlightLimit reports whether this instance has as many attempts in flight as it may, overdue ones not
+// counted: one or two, plus its part of one for each backend, plus throughputMargin times what it answers
+// within the budget.
+//
+// Inputs: the latency budget in nanoseconds, the throughput in answers a second, the fair share in attempts.
+func (e *Engine) atInFlightLimit(budget float64) bool {
+	fairShare := e.fairSharePerBackend()
+	base := min(maxBaseInFlight, 1+fairShare) + fairShare
+	limit := base + throughputMargin*e.throughput.perSecond*budget/float64(time.Second)
+	return float64(e.promptInFlight) >= limit
+}
+
+// likelyLatency returns a backend's latency with one more attempt, in nanoseconds. A backend that is not
+// measured yet is taken to have been measured with one attempt in flight.
+func (b *backend) likelyLatency() float64 {
+	queue := float64(b.inFlight + 1 + unseenAttempts)
+	return b.latency.estimate * queue / (max(b.latency.concurrency, 1) + unseenAttempts)
+}
+
+// load returns how full one more attempt would make the backend, as a share of its concurrency limit.
+func (b *backend) load() float64 { return float64(b.inFlight+1) / b.concurrencyLimit }
+
+// loadAt returns the backend's load for the request; each earlier attempt of the request there adds triedLoad.
+func (r *Request) loadAt(b *backend) float64 {
+	load := b.load()
+	for _, a := range r.attempts {
+		if a.backend == b {
+			load += triedLoad
+		}
+	}
+	return load
+}
--- a/policy/concurrency_limit_test.go
+++ b/policy/concurrency_limit_test.go
@@ -1,6 +1,9 @@
 package policy
 
-import "testing"
+import (
+	"testing"
+	"time"
+)
 
 // Fault: a limit of two attempts in flight was enforced by each of many instances for itself, and passed many
 // times over, or by an even part of it, so that one attempt at an instance had the next one there rejected.
@@ -11,7 +14,7 @@
 	there := newHarness(t, settings, readyEndpoints(1, 2, 3, 4)...)
 	there.counter = here.counter
 	step := func(h *harness, id RequestID) *clientRequest {
-		request := h.submit(id, 0, 0, 7, 2*second, 1)
+		request := h.submit(id, 0, 0, 7, 2*time.Second, 1)
 		h.answerCounterCalls(Succeeded)
 		return request
 	}
@@ -32,7 +35,7 @@
 	}
 	plain := newHarness(t, defaultSettings(), readyEndpoints(1)...)
 	plain.now = here.now
-	if plain.submit(1, 0, 0, 7, 2*second, 1); plain.pendingAdds[0].key == here.engine.tenants[7].window.key {
+	if plain.submit(1, 0, 0, 7, 2*time.Second, 1); plain.pendingAdds[0].key == here.engine.tenants[7].window.key {
 		t.Error("an instance that knows of no limit reads the same count")
 	}
 	unit, total := here.engine.plans[0].concurrencyUnit, here.counter[here.engine.tenants[7].window.key]
@@ -50,13 +53,13 @@
 		settings.Plans[0] = PlanSettings{Rate: rate, Burst: 100, ConcurrencyLimit: 3}
 		settings.Instances = 1
 		h := newHarness(t, settings, readyEndpoints(1, 2, 3, 4)...)
-		request := h.submit(1, 0, 0, 2, 2*second, 1)
+		request := h.submit(1, 0, 0, 2, 2*time.Second, 1)
 		h.answerCounter(Rejected)
-		h.advance(100 * millisecond)
+		h.advance(100 * time.Millisecond)
 		h.endAttempt(request, 0, Succeeded) // the latency is known from here on
 		admitted := 0
 		for n := range 5 {
-			next := h.submit(RequestID(10+n), 0, 0, 1, 2*second, 1)
+			next := h.submit(RequestID(10+n), 0, 0, 1, 2*time.Second, 1)
 			h.answerCounterCalls(Rejected)
 			if len(next.attempts) > 0 {
 				admitted++
--- a/policy/endpoints_test.go
+++ b/policy/endpoints_test.go
@@ -3,14 +3,16 @@
 import (
 	"math"
 	"testing"
+	"time"
 
+	"fawnplank/internal/monotime"
 	"fawnplank/internal/pcg"
 )
 
 // Fault: what was remembered of backends that are gone grew for as long as new ones came.
 func TestEndpoints_GoneBackendsAreForgotten(t *testing.T) {
 	h := newHarnessWithoutCounter(t, readyEndpoints(1)...)
-	held := h.submit(1, 0, 0, 1, 2*second, 1)
+	held := h.submit(1, 0, 0, 1, 2*time.Second, 1)
 	for n := BackendID(2); n < 3000; n++ {
 		if n%2 == 0 {
 			h.update(Delta, Endpoint{Backend: n, State: EndpointReady, StartedAt: h.now},
@@ -19,7 +21,7 @@
 			h.update(FullSnapshot, Endpoint{Backend: n, State: EndpointReady, StartedAt: h.now})
 		}
 		if n%200 == 0 {
-			h.advance(100 * millisecond)
+			h.advance(100 * time.Millisecond)
 		}
 	}
 	known, listed := len(h.engine.backends), len(h.engine.endpoints)
@@ -27,21 +29,21 @@
 		t.Errorf("%d backends are kept, %d of them listed", known, listed)
 	}
 	h.endAttempt(held, 0, Succeeded)
-	if h.advance(100 * millisecond); h.engine.backends[1] != nil {
+	if h.advance(100 * time.Millisecond); h.engine.backends[1] != nil {
 		t.Error("one that is gone and has nothing in flight is kept")
 	}
 }
 
 func TestEndpoints_FailedWatchIsRetried(t *testing.T) {
 	settings := defaultSettings()
-	settings.PollEndpoints, settings.PollTimeout = true, 10*second
+	settings.PollEndpoints, settings.PollTimeout = true, 10*time.Second
 	h := newHarness(t, settings, readyEndpoints(1)...)
-	for h.advance(8 * millisecond); h.watches == 0; h.advance(8 * millisecond) { // the first asking
+	for h.advance(8 * time.Millisecond); h.watches == 0; h.advance(8 * time.Millisecond) { // the first asking
 	}
 	for range 5 {
 		n := h.watches
 		h.update(UpdateFailed)
-		if h.advance(10100 * millisecond); h.watches != n+1 {
+		if h.advance(10100 * time.Millisecond); h.watches != n+1 {
 			t.Fatalf("asked %d times after a failure", h.watches-n)
 		}
 	}
@@ -51,10 +53,10 @@
 // later, whatever the grace: 23 draining backends were sent to 335 times. A third of the grace is the
 // instance's own.
 func TestEndpoints_SilentWatchIsRetriedWithinTheGrace(t *testing.T) {
-	for _, grace := range []int64{200 * millisecond, 250 * millisecond, 500 * millisecond, second, 10 * second} {
+	for _, grace := range []time.Duration{200 * time.Millisecond, 250 * time.Millisecond, 500 * time.Millisecond, time.Second, 10 * time.Second} {
 		timeouts := Settings{DrainGrace: grace}.DiscoveryTimeouts()
 		watch, late, whole, again := timeouts.Watch, timeouts.Lateness, timeouts.Snapshot, timeouts.RetryDelay
-		if max(watch+late, whole)+again > grace*7/10 || watch < 50*millisecond {
+		if max(watch+late, whole)+again > grace*7/10 || watch < 50*time.Millisecond {
 			t.Errorf("of a grace of %d: a watch of %d and %d, a list of %d, again after %d",
 				grace, watch, late, whole, again)
 		}
@@ -64,7 +66,7 @@
 		for range 20 { // however long the outage
 			n := h.watches
 			h.update(UpdateFailed)
-			if h.advance(grace/10 + 8*millisecond); h.watches != n+1 {
+			if h.advance(grace/10 + 8*time.Millisecond); h.watches != n+1 {
 				t.Fatalf("asked %d times within a tenth of %d", h.watches-n, grace)
 			}
 		}
@@ -72,21 +74,21 @@
 	// Asked for: what a watch missed that fell silent counts as reported six seconds after discovery had it,
 	// whatever the wait that it was given and whatever failed before. Eight tenths are left for the answer to
 	// the call that opens it anew, or to the one after a refusal.
-	for _, within := range []int64{second, 4 * second, 10 * second, 30 * second} {
+	for _, within := range []time.Duration{time.Second, 4 * time.Second, 10 * time.Second, 30 * time.Second} {
 		settings := defaultSettings()
 		settings.PollEndpoints, settings.PollTimeout = true, within
 		timeouts := settings.DiscoveryTimeouts()
 		watch, late, whole, again := timeouts.Watch, timeouts.Lateness, timeouts.Snapshot, timeouts.RetryDelay
-		if watch+late+again > 5200*millisecond || whole+again > 5200*millisecond {
+		if watch+late+again > 5200*time.Millisecond || whole+again > 5200*time.Millisecond {
 			t.Errorf("asked for within %d: %d, %d, %d, %d", within, watch, late, whole, again)
 		}
 		h := newHarness(t, settings, readyEndpoints(1)...)
-		for h.advance(8 * millisecond); h.watches == 0; h.advance(8 * millisecond) { // the first asking
+		for h.advance(8 * time.Millisecond); h.watches == 0; h.advance(8 * time.Millisecond) { // the first asking
 		}
 		for range 20 {
 			n := h.watches
 			h.update(UpdateFailed)
-			if h.advance(4*second + 8*millisecond); h.watches != n+1 {
+			if h.advance(4*time.Second + 8*time.Millisecond); h.watches != n+1 {
 				t.Fatalf("asked %d times in the four seconds after a failure", h.watches-n)
 			}
 		}
@@ -95,19 +97,19 @@
 
 // overbookedDiscovery answers 20 calls a second, in turn, works at those too that have waited for more than
 // two seconds, and refuses those that find a full queue.
-type overbookedDiscovery struct{ freeAt int64 }
+type overbookedDiscovery struct{ freeAt Instant }
 
 // call returns when a call made now is answered, and whether well.
-func (d *overbookedDiscovery) call(now int64) (answerAt int64, ok bool) {
-	const work, maxWait, queueLength = second / 20, 2 * second, 50
-	d.freeAt = max(d.freeAt, now)
-	wait := d.freeAt - now
+func (d *overbookedDiscovery) call(now Instant) (answerAt Instant, ok bool) {
+	const work, maxWait, queueLength = time.Second / 20, 2 * time.Second, 50
+	d.freeAt = monotime.Later(d.freeAt, now)
+	wait := d.freeAt.Sub(now)
 	if wait > queueLength*work {
 		return now, false
 	}
-	d.freeAt += work
+	d.freeAt = d.freeAt.Add(work)
 	if wait+work > maxWait { // answered too late
-		return now + maxWait, false
+		return now.Add(maxWait), false
 	}
 	return now, true
 }
@@ -115,41 +117,42 @@
 // discoveryClient is an instance that polls.
 type discoveryClient struct {
 	*harness
-	callAt   int64 // when its watch ends; 0: it has none
-	failsAt  int64 // when its call fails; 0: it does not
-	lastList int64
+	callAt   Instant // when its watch ends; zero: it has none
+	failsAt  Instant // when its call fails; zero: it does not
+	lastList Instant
 }
 
 // step moves the instance to now, and returns whether it got an answer.
-func (c *discoveryClient) step(now, watch int64, discovery *overbookedDiscovery) bool {
-	if c.advance(4 * millisecond); c.watches > 0 {
+func (c *discoveryClient) step(now Instant, watch time.Duration, discovery *overbookedDiscovery) bool {
+	if c.advance(4 * time.Millisecond); c.watches > 0 {
 		c.watches, c.callAt = 0, now
 	}
-	if c.failsAt != 0 && now >= c.failsAt {
-		c.failsAt = 0
+	if !c.failsAt.IsZero() && !now.Before(c.failsAt) {
+		c.failsAt = Instant{}
 		c.engine.UpdateEndpoints(c.now, UpdateFailed, nil)
 	}
-	if c.callAt == 0 || now < c.callAt {
+	if c.callAt.IsZero() || now.Before(c.callAt) {
 		return false
 	}
-	c.callAt = 0
+	c.callAt = Instant{}
 	answerAt, ok := discovery.call(now)
 	if !ok {
 		c.failsAt = answerAt
 		return false
 	}
 	c.engine.UpdateEndpoints(c.now, Delta, nil)
-	c.callAt = now + watch // without an event
+	c.callAt = now.Add(watch) // without an event
 	return true
 }
 
 // Fault: instances refused by an overbooked discovery retried all at once, and as often: its queue was always
 // full of calls that it answered too late, and no instance ever got an answer.
 func TestEndpoints_OverbookedDiscoveryAnswersAll(t *testing.T) {
-	const instances, end = 80, startOfTest + 60*second
+	const instances = 80
+	end := startOfTest.Add(60 * time.Second)
 	settings := defaultSettings()
 	settings.Instances = instances
-	settings.PollEndpoints, settings.PollTimeout = true, 10*second
+	settings.PollEndpoints, settings.PollTimeout = true, 10*time.Second
 	watch := settings.DiscoveryTimeouts().Watch
 	var clients []*discoveryClient
 	for n := range instances {
@@ -158,23 +161,23 @@
 		client.watches, client.callAt = 0, client.now // all poll at once
 		clients = append(clients, client)
 	}
-	discovery, gap := &overbookedDiscovery{}, int64(0)
-	for now := startOfTest; now < end; now += 4 * millisecond {
+	discovery, gap := &overbookedDiscovery{}, time.Duration(0)
+	for now := startOfTest; now.Before(end); now = now.Add(4 * time.Millisecond) {
 		for _, client := range clients {
 			if !client.step(now, watch, discovery) {
 				continue
 			}
-			if now > startOfTest+20*second { // from then on the six seconds hold for every instance
-				gap = max(gap, now-client.lastList)
+			if now.After(startOfTest.Add(20 * time.Second)) { // from then on the six seconds hold for every instance
+				gap = max(gap, now.Sub(client.lastList))
 			}
 			client.lastList = now
 		}
 	}
 	for _, client := range clients {
-		gap = max(gap, end-client.lastList)
+		gap = max(gap, end.Sub(client.lastList))
 	}
-	if gap > 6*second {
-		t.Errorf("an instance got no list for %d ms", gap/millisecond)
+	if gap > 6*time.Second {
+		t.Errorf("an instance got no list for %d ms", gap/time.Millisecond)
 	}
 }
 
@@ -183,20 +186,22 @@
 func TestEndpoints_InstancesThatStartTogetherPollApart(t *testing.T) {
 	for _, test := range []struct {
 		instances int
-		from, end int64 // of their askings
-	}{{80, 2 * second, 5 * second}, {3, 0, 150 * millisecond}} {
-		first, last := int64(math.MaxInt64), int64(0)
+		from, end time.Duration // of their askings
+	}{{80, 2 * time.Second, 5 * time.Second}, {3, 0, 150 * time.Millisecond}} {
+		first, last := time.Duration(math.MaxInt64), time.Duration(0)
 		for index := range test.instances {
 			settings := defaultSettings()
 			settings.InstanceIndex = index
 			settings.Instances = test.instances
 			settings.PollEndpoints = true
-			settings.PollTimeout = 10 * second
+			settings.PollTimeout = 10 * time.Second
 			h := &harness{t: t, settings: settings, now: startOfTest}
-			for h.engine = New(h.now, uint64(index), settings, h); h.watches == 0 && h.now < startOfTest+10*second; {
-				h.advance(4 * millisecond)
+			h.engine = New(Options{Now: h.now, Seed: uint64(index), Settings: settings, Effects: h})
+			for h.watches == 0 && h.now.Before(startOfTest.Add(10*time.Second)) {
+				h.advance(4 * time.Millisecond)
 			}
-			first, last = min(first, h.now-startOfTest), max(last, h.now-startOfTest)
+			asked := h.now.Sub(startOfTest)
+			first, last = min(first, asked), max(last, asked)
 		}
 		if last-first < test.from || last > test.end {
 			t.Errorf("%d instances ask from %d to %d ns after their start", test.instances, first, last)
--- a/policy/engine_test.go
+++ b/policy/engine_test.go
@@ -6,6 +6,7 @@
 	"reflect"
 	"testing"
 	"testing/quick"
+	"time"
 )
 
 // randomDay is a day of random events on random settings.
@@ -32,16 +33,16 @@
 	settings.CounterEnabled = d.random.IntN(4) > 0
 	settings.PostPaid = d.likely()
 	settings.PollEndpoints = d.likely()
-	settings.PollTimeout = 10 * second
+	settings.PollTimeout = 10 * time.Second
 	settings.MaxAttempts = 1 + d.random.IntN(5)
 	settings.Classes = nil
 	for range 6 {
 		settings.Classes = append(settings.Classes, ClassSettings{
 			Idempotency:      Idempotency(d.random.IntN(3)),
 			DedupScope:       DedupScope(d.random.IntN(3)),
-			DedupWindow:      int64(d.random.IntN(1000)) * millisecond,
-			LatencyObjective: int64(400+d.random.IntN(1000)) * millisecond,
-			Deadline:         2 * second,
+			DedupWindow:      time.Duration(d.random.IntN(1000)) * time.Millisecond,
+			LatencyObjective: time.Duration(400+d.random.IntN(1000)) * time.Millisecond,
+			Deadline:         2 * time.Second,
 			LateValue:        float64(d.random.IntN(2)),
 			FallbackMode:     FallbackMode(d.random.IntN(3)),
 		})
@@ -66,7 +67,7 @@
 	for n := range 500 {
 		d.step(RequestID(n))
 	}
-	d.advance(4 * second)
+	d.advance(4 * time.Second)
 	for _, id := range d.order {
 		if request := d.requests[id]; request.ended == "" && !request.streamed {
 			d.t.Errorf("rule 1: %d was never answered", id)
@@ -81,7 +82,7 @@
 	case 0, 1, 2, 3:
 		plan := d.random.IntN(len(d.settings.Plans) + 1) // one more than there are, as with the classes
 		d.submit(id, ClassID(d.random.IntN(len(d.settings.Classes)+1)), PlanID(plan),
-			TenantID(d.random.IntN(3)+3*plan), int64(d.random.IntN(2000))*millisecond, float64(d.random.IntN(4)))
+			TenantID(d.random.IntN(3)+3*plan), time.Duration(d.random.IntN(2000))*time.Millisecond, float64(d.random.IntN(4)))
 	case 4, 5, 6:
 		d.endSomeAttempt()
 	case 7, 8:
@@ -99,7 +100,7 @@
 			d.streamOrLeave(d.request())
 		}
 	default:
-		d.advance(int64(d.random.IntN(200)) * millisecond)
+		d.advance(time.Duration(d.random.IntN(200)) * time.Millisecond)
 	}
 }
 
@@ -109,7 +110,7 @@
 	}
 	request := d.request()
 	last := len(request.attempts) - 1
-	if last >= 0 && d.now-request.attempts[last].sentAt >= 200*millisecond { // as the check of rule 4 has it
+	if last >= 0 && d.now.Sub(request.attempts[last].sentAt) >= 200*time.Millisecond { // as the check of rule 4 has it
 		attempt := d.random.IntN(last + 1)
 		d.endAttempt(request, attempt, d.outcome())
 	}
@@ -124,7 +125,7 @@
 		Group:    GroupID(d.random.IntN(2)),
 	}
 	if d.likely() {
-		endpoint.StartedAt = d.now - int64(d.random.IntN(9000))*millisecond
+		endpoint.StartedAt = d.now.Add(-time.Duration(d.random.IntN(9000)) * time.Millisecond)
 	}
 	kinds := []UpdateKind{Delta, Delta, Delta, FullSnapshot, UpdateFailed}
 	if kind := kinds[d.random.IntN(len(kinds))]; kind == UpdateFailed {
--- /dev/null
+++ b/policy/fallback.go
@@ -0,0 +1,18 @@
+package policy
+
+// fallbackAdmission decides a request without the counter, by the fallback mode of its class.
+func (r *Request) fallbackAdmission(now Instant) admission {
+	if r.concurrencyReached() {
+		return overQuota
+	}
+	switch r.class.FallbackMode {
+	case FailOpen:
+		return withinQuota
+	case LocalShare:
+		if r.localShareAdmits(now) {
+			return withinQuota
+		}
+	case FailClosed:
+	}
+	return overQuota
+}
--- a/policy/fleet_test.go
+++ b/policy/fleet_test.go
@@ -6,7 +6,9 @@
 	"math/rand/v2"
 	"slices"
 	"testing"
+	"time"
 
+	"fawnplank/internal/monotime"
 	"fawnplank/internal/timerqueue"
 )
 
@@ -18,30 +20,30 @@
 type fleetSettings struct {
 	instances, backends int
 	cores               float64
-	work                int64
+	work                time.Duration
 	multiple, share     float64
-	window, warmUp      int64
+	window, warmUp      time.Duration
 }
 
 func (c fleetSettings) String() string {
 	return fmt.Sprintf("%d instances, %d backends of %.0f/s, x%.1f, %.2f, %d s, warm in %d s",
-		c.instances, c.backends, c.capacity(), c.multiple, c.share, c.window/second, c.warmUp/second)
+		c.instances, c.backends, c.capacity(), c.multiple, c.share, c.window/time.Second, c.warmUp/time.Second)
 }
 
 // capacity is what a warm backend of capacity 1 answers a second.
-func (c fleetSettings) capacity() float64 { return c.cores * float64(second) / float64(c.work) }
+func (c fleetSettings) capacity() float64 { return c.cores * float64(time.Second) / float64(c.work) }
 
 // fleet is the instances and everything round them: clients, backends, the endpoint list, and the clock.
 type fleet struct {
 	fleetSettings
 	t            testing.TB
 	random       *rand.Rand
-	now          int64
+	now          Instant
 	due          timerqueue.Queue[func()]
 	settings     Settings
 	incarnations [][]*incarnation // by instance, those that get requests
 	weight       []float64        // of the instances in the traffic, added up
-	latency      []int64          // by instance: what its answers take beyond the work
+	latency      []time.Duration  // by instance: what its answers take beyond the work
 	demand       float64          // requests a second
 	backendByID  map[BackendID]*fleetBackend
 	ids          []BackendID
@@ -52,7 +54,7 @@
 
 // loadLimit is what backends bear from a time on: the overload multiple, and how much longer their work takes.
 type loadLimit struct {
-	from           int64
+	from           Instant
 	multiple, slow float64
 }
 
@@ -62,20 +64,20 @@
 	sent     int
 	budget   float64
 	bound    float64
-	age      int64 // of the backend
-	attempts int   // at backends that warm up, in the whole play
+	age      time.Duration // of the backend
+	attempts int           // at backends that warm up, in the whole play
 }
 
 // fleetBackend is a simulated backend.
 type fleetBackend struct {
 	id      BackendID
 	size    float64
-	started int64 // 0: long ago
-	ahead   int64 // by so much the list states a later start
+	started Instant       // zero: long ago
+	ahead   time.Duration // by so much the list states a later start
 	up      bool
 	busy    int
 	queue   []*fleetAttempt
-	begunAt []int64 // attempts since the start
+	begunAt []Instant // attempts since the start
 }
 
 // incarnation is one incarnation of an instance, and its effects.
@@ -99,20 +101,20 @@
 	request     *fleetRequest
 	id          AttemptID
 	backend     *fleetBackend
-	started     int64 // of the incarnation of the backend that it was sent to
-	sentAt      int64
+	started     Instant // of the incarnation of the backend that it was sent to
+	sentAt      Instant
 	work        float64
 	done        bool
 }
 
-func (i *incarnation) Send(id RequestID, b BackendID, expiresAt, _ int64) { // no request has a key
-	f, request := i.fleet, i.open[id]
+func (i *incarnation) Send(spec AttemptSpec) { // no request has a key
+	f, request := i.fleet, i.open[spec.Request]
 	attempt := &fleetAttempt{
 		incarnation: i,
 		request:     request,
 		id:          AttemptID(len(request.attempts)),
-		backend:     f.backendByID[b],
-		started:     i.engine.backends[b].startedAt,
+		backend:     f.backendByID[spec.Backend],
+		started:     i.engine.backends[spec.Backend].startedAt,
 		sentAt:      f.now,
 		work:        float64(f.work) * (0.5 + f.random.Float64()),
 	}
@@ -120,13 +122,14 @@
 	// Every other connection is open already; the others take up to a quarter of a second to come up.
 	begins := f.now
 	if f.together {
-		begins += 250*millisecond - f.now%(250*millisecond)
+		sinceLast := time.Duration(f.now.Nanos()) % (250 * time.Millisecond)
+		begins = begins.Add(250*time.Millisecond - sinceLast)
 	} else if f.random.IntN(2) == 0 {
-		begins += f.random.Int64N(250 * millisecond)
+		begins = begins.Add(f.randomSpan(250 * time.Millisecond))
 	}
 	f.at(begins, func() { f.begin(attempt) })
-	if expiresAt > 0 {
-		f.at(expiresAt, func() { f.endAttempt(attempt, TimedOut) })
+	if !spec.ExpiresAt.IsZero() {
+		f.at(spec.ExpiresAt, func() { f.endAttempt(attempt, TimedOut) })
 	}
 }
 
@@ -135,7 +138,7 @@
 	i.fleet.at(i.fleet.now, func() { i.fleet.endAttempt(attempt, Canceled) })
 }
 
-func (i *incarnation) WakeAt(at int64, timer TimerID) {
+func (i *incarnation) WakeAt(at Instant, timer TimerID) {
 	i.fleet.at(at, func() {
 		if !i.dead {
 			i.engine.HandleTimer(i.fleet.now, timer)
@@ -145,7 +148,7 @@
 
 func (i *incarnation) CheckHealth(b BackendID) {
 	f := i.fleet
-	f.at(f.now+5*millisecond, func() {
+	f.in(5*time.Millisecond, func() {
 		outcome := ConnectFailed
 		if f.backendByID[b].up {
 			outcome = Succeeded
@@ -156,12 +159,14 @@
 	})
 }
 
-func (i *incarnation) Reject(id RequestID, _ int64)            { i.open[id].ended = true }
-func (i *incarnation) Abort(id RequestID)                      { i.open[id].ended = true }
-func (i *incarnation) Admit(RequestID)                         {}
-func (i *incarnation) AddToCounter(CounterKey, float64, int64) {}
-func (i *incarnation) WatchEndpoints()                         {}
-func (i *incarnation) Log(text string)                         { i.fleet.t.Error(text) }
+func (i *incarnation) Reject(id RequestID, _ time.Duration)            { i.open[id].ended = true }
+func (i *incarnation) Abort(id RequestID)                              { i.open[id].ended = true }
+func (i *incarnation) Admit(RequestID)                                 {}
+func (i *incarnation) AddToCounter(CounterKey, float64, time.Duration) {}
+func (i *incarnation) WatchEndpoints()                                 {}
+func (i *incarnation) LogUnknown(class ClassID, plan PlanID) {
+	i.fleet.t.Errorf("unknown class %d or plan %d", class, plan)
+}
 
 func newFleet(tb testing.TB, c fleetSettings, seed uint64) *fleet {
 	tb.Helper()
@@ -173,22 +178,22 @@
 		settings:      defaultSettings(),
 		incarnations:  make([][]*incarnation, c.instances),
 		weight:        make([]float64, c.instances),
-		latency:       make([]int64, c.instances),
+		latency:       make([]time.Duration, c.instances),
 		backendByID:   map[BackendID]*fleetBackend{},
 		together:      seed%2 == 0,
-		loadLimits:    []loadLimit{{0, c.multiple, 1}},
+		loadLimits:    []loadLimit{{Instant{}, c.multiple, 1}},
 	}
 	f.settings.CounterEnabled = false
 	f.settings.Instances = c.instances
 	f.settings.Plans = []PlanSettings{{}}
-	f.settings.Classes[0].LatencyObjective = max(750*millisecond, 5*c.work)
+	f.settings.Classes[0].LatencyObjective = max(750*time.Millisecond, 5*c.work)
 	f.settings.SlowStartShare = c.share
 	f.settings.SlowStartDuration = c.warmUp
 	f.settings.OverloadMultiple = c.multiple
 	f.settings.OverloadWindow = c.window
 	f.traffic(func(int) float64 { return 1 })
 	for n := range c.backends {
-		f.add(BackendID(n+1), 1, 0)
+		f.add(BackendID(n+1), 1, Instant{})
 	}
 	f.demand = 2 * float64(c.backends) * c.capacity()
 	return f
@@ -197,32 +202,40 @@
 // startAll starts all instances within a second, and the traffic.
 func (f *fleet) startAll() {
 	for index := range f.instances {
-		f.at(f.now+f.random.Int64N(second), func() { f.startInstance(index) })
+		f.in(f.randomSpan(time.Second), func() { f.startInstance(index) })
 	}
 	f.arrive()
 }
 
 // add adds a backend.
-func (f *fleet) add(id BackendID, size float64, started int64) {
+func (f *fleet) add(id BackendID, size float64, started Instant) {
 	f.backendByID[id] = &fleetBackend{id: id, size: size, up: true, started: started}
 	f.ids = append(f.ids, id)
 }
 
 // at runs a function at a time.
-func (f *fleet) at(when int64, run func()) { f.due.Push(when, run) }
+func (f *fleet) at(when Instant, run func()) { f.due.Push(when, run) }
+
+// in runs a function after a span from now.
+func (f *fleet) in(span time.Duration, run func()) { f.at(f.now.Add(span), run) }
+
+// randomSpan draws a span from 0 on and below longest.
+func (f *fleet) randomSpan(longest time.Duration) time.Duration {
+	return time.Duration(f.random.Int64N(int64(longest)))
+}
 
 // after runs a function so long after the beginning of the play.
-func (f *fleet) after(duration int64, run func()) { f.at(startOfTest+duration, run) }
+func (f *fleet) after(duration time.Duration, run func()) { f.at(startOfTest.Add(duration), run) }
 
 // play runs the clock for a time from the beginning on.
-func (f *fleet) play(duration int64) {
+func (f *fleet) play(duration time.Duration) {
 	never := func(func()) bool { return false }
 	for {
 		next, ok := f.due.NextDue(never)
-		if !ok || next > startOfTest+duration {
+		if !ok || next.After(startOfTest.Add(duration)) {
 			break
 		}
-		f.now = max(f.now, next)
+		f.now = monotime.Later(f.now, next)
 		run, _ := f.due.PopDue(f.now)
 		run()
 	}
@@ -247,8 +260,11 @@
 	return list
 }
 
+// statedStart is the start that the list states.
+func (b *fleetBackend) statedStart() Instant { return b.started.Add(b.ahead) }
+
 func (b *fleetBackend) listed() Endpoint {
-	endpoint := Endpoint{Backend: b.id, Capacity: b.size, StartedAt: b.started + b.ahead, State: EndpointGone}
+	endpoint := Endpoint{Backend: b.id, Capacity: b.size, StartedAt: b.statedStart(), State: EndpointGone}
 	if b.up {
 		endpoint.State = EndpointReady
 	}
@@ -260,28 +276,28 @@
 	i := &incarnation{fleet: f, index: index, open: map[RequestID]*fleetRequest{}}
 	settings := f.settings
 	settings.InstanceIndex = index
-	i.engine = New(f.now, f.random.Uint64(), settings, i)
+	i.engine = New(Options{Now: f.now, Seed: f.random.Uint64(), Settings: settings, Effects: i})
 	i.engine.UpdateEndpoints(f.now, CachedSnapshot, f.listed())
 	f.incarnations[index] = append(f.incarnations[index], i)
 }
 
 // upgrade starts a new incarnation of the instance; the old one keeps a part of its traffic while both
 // overlap.
-func (f *fleet) upgrade(index int, overlap int64) {
+func (f *fleet) upgrade(index int, overlap time.Duration) {
 	old := f.incarnations[index][0]
 	f.startInstance(index)
-	f.at(f.now+overlap, func() {
+	f.in(overlap, func() {
 		isOld := func(i *incarnation) bool { return i == old }
 		f.incarnations[index] = slices.DeleteFunc(f.incarnations[index], isOld)
 	})
-	f.at(f.now+overlap+3*second, func() { old.dead = true })
+	f.in(overlap+3*time.Second, func() { old.dead = true })
 }
 
 // announce sends an endpoint to all instances, to each a little later than the list has it.
 func (f *fleet) announce(b *fleetBackend) {
 	for _, incarnations := range f.incarnations {
 		for _, i := range incarnations {
-			f.at(f.now+f.random.Int64N(100*millisecond), func() {
+			f.in(f.randomSpan(100*time.Millisecond), func() {
 				i.engine.UpdateEndpoints(f.now, Delta, []Endpoint{b.listed()})
 			})
 		}
@@ -311,7 +327,7 @@
 func (f *fleet) restart(id BackendID) {
 	b := f.backendByID[id]
 	f.stop(b)
-	f.at(f.now+400*millisecond, func() { f.boot(b) })
+	f.in(400*time.Millisecond, func() { f.boot(b) })
 }
 
 // replace starts a backend under a new id, and stops the old one.
@@ -325,7 +341,7 @@
 
 // arrive submits a request after a while, and so on.
 func (f *fleet) arrive() {
-	f.at(f.now+int64(f.random.ExpFloat64()/f.demand*float64(second)), func() {
+	f.in(time.Duration(f.random.ExpFloat64()/f.demand*float64(time.Second)), func() {
 		point := f.random.Float64() * f.weight[f.instances-1]
 		index, _ := slices.BinarySearch(f.weight, point)
 		if incarnations := f.incarnations[index]; len(incarnations) > 0 {
@@ -339,33 +355,33 @@
 	request := &fleetRequest{id: RequestID(f.random.Uint64())}
 	i.open[request.id] = request
 	request.handle = i.engine.Submit(f.now, RequestSpec{ID: request.id, Tenant: TenantID(f.random.IntN(8)),
-		Remaining: 2 * second, Units: 1, EntryPoints: 1})
+		Remaining: 2 * time.Second, Units: 1, EntryPoints: 1})
 	if len(request.attempts) == 0 {
 		delete(i.open, request.id)
 		return
 	}
-	f.at(f.now+2*second, func() {
+	f.in(2*time.Second, func() {
 		if !request.ended {
 			request.ended = true
 			request.handle.HandleClientGone(f.now)
 		}
-		f.at(f.now+second, func() { delete(i.open, request.id) })
+		f.in(time.Second, func() { delete(i.open, request.id) })
 	})
 }
 
 // warmth is the part of its capacity that the backend has.
 func (f *fleet) warmth(b *fleetBackend) float64 {
-	if b.started == 0 || f.now-b.started >= f.warmUp {
+	if b.started.IsZero() || f.now.Sub(b.started) >= f.warmUp {
 		return 1
 	}
-	return f.share + (1-f.share)*float64(f.now-b.started)/float64(f.warmUp)
+	return f.share + (1-f.share)*float64(f.now.Sub(b.started))/float64(f.warmUp)
 }
 
 // begin brings an attempt to its backend.
 func (f *fleet) begin(attempt *fleetAttempt) {
 	switch b := attempt.backend; {
 	case attempt.done:
-	case !b.up || b.started+b.ahead != attempt.started:
+	case !b.up || b.statedStart() != attempt.started:
 		f.endAttempt(attempt, ConnectFailed)
 	default:
 		b.begunAt = append(b.begunAt, f.now)
@@ -383,14 +399,14 @@
 	for ; b.busy < int(f.cores) && b.busy < len(b.queue); b.busy++ {
 		attempt, started := b.queue[b.busy], b.started
 		slow := f.loadLimits[len(f.loadLimits)-1].slow
-		f.at(f.now+int64(attempt.work*slow/b.size/f.warmth(b)), func() {
+		f.in(time.Duration(attempt.work*slow/b.size/f.warmth(b)), func() {
 			if b.started != started || !b.up {
 				return
 			}
 			isServed := func(other *fleetAttempt) bool { return other == attempt }
 			b.queue = slices.DeleteFunc(b.queue, isServed)
 			b.busy--
-			f.at(f.now+f.latency[attempt.incarnation.index], func() { f.endAttempt(attempt, Succeeded) })
+			f.in(f.latency[attempt.incarnation.index], func() { f.endAttempt(attempt, Succeeded) })
 			f.serve(b)
 		})
 	}
@@ -414,26 +430,26 @@
 	done := attempt.request.ended || outcome == Succeeded
 	attempt.request.ended = done
 	attempt.request.handle.HandleAttemptResult(f.now, AttemptResult{Attempt: attempt.id, Outcome: outcome,
-		Elapsed: f.now - attempt.sentAt, RequestDone: done})
+		Elapsed: f.now.Sub(attempt.sentAt), RequestDone: done})
 }
 
 // check holds what was sent to a backend since its start against the rule, in every window.
 func (f *fleet) check(b *fleetBackend) {
-	if b.started == 0 {
+	if b.started.IsZero() {
 		return
 	}
 	first := 0
 	for n, at := range b.begunAt {
-		age := at - b.started
+		age := at.Sub(b.started)
 		if age >= f.warmUp {
 			break
 		}
 		f.worst.attempts++
-		for b.begunAt[first] <= at-f.window {
+		for !b.begunAt[first].After(at.Add(-f.window)) {
 			first++
 		}
 		capacity := (f.share + (1-f.share)*float64(age)/float64(f.warmUp)) * b.size * f.capacity()
-		budget := f.multipleIn(at) * capacity * float64(f.window) / float64(second)
+		budget := f.multipleIn(at) * capacity * float64(f.window) / float64(time.Second)
 		bound := budget + 2*math.Sqrt(budget) + 2
 		if sent := n + 1 - first; float64(sent)/bound > f.worst.part {
 			f.worst = worstWindow{
@@ -449,10 +465,11 @@
 }
 
 // multipleIn is the most that a backend bears in the window that ends at a time: a change may lie within it.
-func (f *fleet) multipleIn(at int64) float64 {
+func (f *fleet) multipleIn(at Instant) float64 {
 	multiple := 0.0
 	for n, limit := range f.loadLimits {
-		if limit.from <= at && (n+1 == len(f.loadLimits) || f.loadLimits[n+1].from > at-f.window) {
+		isLast := n+1 == len(f.loadLimits)
+		if !limit.from.After(at) && (isLast || f.loadLimits[n+1].from.After(at.Add(-f.window))) {
 			multiple = max(multiple, limit.multiple/limit.slow)
 		}
 	}
--- a/policy/golden_instance_test.go
+++ b/policy/golden_instance_test.go
@@ -1,7 +1,9 @@
 package policy_test
 
 import (
+	"fmt"
 	"math"
+	"time"
 
 	"fawnplank/policy"
 )
@@ -56,12 +58,17 @@
 	in.incarnation++
 	in.open, in.calls = map[policy.RequestID]*goldenRequest{}, map[policy.CounterKey][]*goldenCall{}
 	w.write(codeRestart, in.number, uint64(in.incarnation))
-	in.engine = policy.New(w.now, w.random.Uint64(), in.settings(), in)
+	in.engine = policy.New(policy.Options{
+		Now:      w.instant(),
+		Seed:     w.random.Uint64(),
+		Settings: in.settings(),
+		Effects:  in,
+	})
 	if !w.settings.PollEndpoints {
 		in.list(policy.FullSnapshot)
 	}
 	if exported != nil {
-		in.engine.ImportState(w.now, *exported, age)
+		in.engine.ImportState(w.instant(), *exported, time.Duration(age))
 	}
 }
 
@@ -85,7 +92,7 @@
 	for _, b := range in.world.backends {
 		endpoints = append(endpoints, b.endpoint())
 	}
-	in.engine.UpdateEndpoints(in.world.now, how, endpoints)
+	in.engine.UpdateEndpoints(in.world.instant(), how, endpoints)
 }
 
 func (in *goldenInstance) submit(class, plan, tenant int, remaining int64, units float64, first int) {
@@ -101,9 +108,9 @@
 		streams:     w.happens(w.day.streamShare),
 	}
 	in.open[r.id] = r
-	r.handle = in.engine.Submit(w.now, policy.RequestSpec{
+	r.handle = in.engine.Submit(w.instant(), policy.RequestSpec{
 		ID: r.id, Class: policy.ClassID(class), Plan: policy.PlanID(plan), Tenant: policy.TenantID(tenant),
-		Remaining: remaining, Units: units, EntryPoints: w.day.entryPoints, FirstInstance: first,
+		Remaining: time.Duration(remaining), Units: units, EntryPoints: w.day.entryPoints, FirstInstance: first,
 	})
 	if w.happens(w.day.leaveShare) {
 		stays := w.exponential(200 * goldenMillisecond)
@@ -113,7 +120,7 @@
 		in.afterIfRunning(stays, func() {
 			if !r.ended {
 				r.ended = true
-				r.handle.HandleClientGone(w.now)
+				r.handle.HandleClientGone(w.instant())
 				r.finished()
 			}
 		})
@@ -139,14 +146,18 @@
 		if tenant%3 > 0 {
 			plan = tenant % len(w.settings.Plans)
 		}
-		quota, ok := engine.QuotaStatus(w.now, policy.TenantID(tenant), policy.PlanID(plan), w.day.entryPoints)
+		quota, ok := engine.QuotaStatus(w.instant(), policy.QuotaQuery{
+			Tenant:      policy.TenantID(tenant),
+			Plan:        policy.PlanID(plan),
+			EntryPoints: w.day.entryPoints,
+		})
 		w.write(codeQuota, in.number, bit(ok), float(quota.Limit), float(quota.Rate),
 			float(quota.Used), bit(quota.FromCounter), float(quota.HardQuotaLeft))
 	}
 	state := engine.ExportState()
 	fields := []uint64{float(state.Latency), float(state.Samples)}
 	for _, b := range state.Backends {
-		fields = append(fields, uint64(b.Backend), uint64(b.StartedAt), float(b.Latency), float(b.Samples))
+		fields = append(fields, uint64(b.Backend), uint64(b.StartedAt.Nanos()), float(b.Latency), float(b.Samples))
 	}
 	w.write(codeExport, in.number, fields...)
 	timeouts := in.settings().DiscoveryTimeouts()
@@ -154,9 +165,9 @@
 		uint64(timeouts.RetryDelay))
 }
 
-func (in *goldenInstance) Send(id policy.RequestID, b policy.BackendID, expiresAt, startBefore int64) {
-	w := in.world
-	w.effect(codeSend, in.number, uint64(id), uint64(b), uint64(expiresAt), uint64(startBefore))
+func (in *goldenInstance) Send(spec policy.AttemptSpec) {
+	w, id, b, expiresAt := in.world, spec.Request, spec.Backend, spec.ExpiresAt.Nanos()
+	w.effect(codeSend, in.number, uint64(id), uint64(b), uint64(expiresAt), uint64(spec.StartBefore.Nanos()))
 	r := in.open[id]
 	a := &goldenAttempt{request: r, number: len(r.attempts), sent: w.now, to: &goldenBackend{refuses: 1}}
 	for _, x := range w.backends {
@@ -201,7 +212,7 @@
 		if b.slow > 0 {
 			duration *= 12
 		}
-		if warmUp := w.settings.SlowStartDuration; b.started > 0 && w.now-b.started < warmUp {
+		if warmUp := int64(w.settings.SlowStartDuration); b.started > 0 && w.now-b.started < warmUp {
 			duration += 3 * duration * (warmUp - (w.now - b.started)) / warmUp
 		}
 		if b.resets > 0 || w.happens(0.003) {
@@ -216,7 +227,7 @@
 		r.in.afterIfRunning(duration/2, func() {
 			if !a.settled && !r.ended {
 				a.started = true
-				r.handle.HandleResponseStarted(w.now, policy.AttemptID(a.number))
+				r.handle.HandleResponseStarted(w.instant(), policy.AttemptID(a.number))
 			}
 		})
 	}
@@ -234,14 +245,14 @@
 	if o == policy.Succeeded || a.started {
 		r.ended = true
 	}
-	result := policy.AttemptResult{Attempt: policy.AttemptID(a.number), Outcome: o, Elapsed: w.now - a.sent,
+	result := policy.AttemptResult{Attempt: policy.AttemptID(a.number), Outcome: o, Elapsed: time.Duration(w.now - a.sent),
 		RequestDone: r.ended, ActualUnits: units}
-	r.handle.HandleAttemptResult(w.now, result)
+	r.handle.HandleAttemptResult(w.instant(), result)
 	r.finished()
 	if w.happens(0.01) { // twice, and one that was never sent
-		r.handle.HandleAttemptResult(w.now, result)
+		r.handle.HandleAttemptResult(w.instant(), result)
 		result.Attempt = 200
-		r.handle.HandleAttemptResult(w.now, result)
+		r.handle.HandleAttemptResult(w.instant(), result)
 	}
 }
 
@@ -251,7 +262,7 @@
 	in.afterIfRunning(goldenMillisecond/4, func() { a.settle(policy.Canceled, 0) })
 }
 
-func (in *goldenInstance) Reject(id policy.RequestID, retryAfter int64) {
+func (in *goldenInstance) Reject(id policy.RequestID, retryAfter time.Duration) {
 	in.world.effect(codeReject, in.number, uint64(id), uint64(retryAfter))
 	in.open[id].ended = true
 }
@@ -266,14 +277,14 @@
 	in.open[id].ended = true
 }
 
-func (in *goldenInstance) WakeAt(at int64, timer policy.TimerID) {
+func (in *goldenInstance) WakeAt(at policy.Instant, timer policy.TimerID) {
 	w := in.world
-	w.effect(codeTimer, in.number, uint64(at), uint64(timer))
+	w.effect(codeTimer, in.number, uint64(at.Nanos()), uint64(timer))
 	early := int64(0)
 	if timer > 0 && w.happens(0.02) { // a coarse clock wakes a little early
 		early = goldenMillisecond / 10
 	}
-	in.afterIfRunning(at-w.now-early, func() { in.engine.HandleTimer(w.now, timer) })
+	in.afterIfRunning(at.Nanos()-w.now-early, func() { in.engine.HandleTimer(w.instant(), timer) })
 }
 
 func (in *goldenInstance) CheckHealth(b policy.BackendID) {
@@ -289,7 +300,7 @@
 				outcome = policy.Succeeded
 			}
 		}
-		in.engine.HandleHealthCheck(w.now, b, outcome)
+		in.engine.HandleHealthCheck(w.instant(), b, outcome)
 	})
 }
 
@@ -301,19 +312,21 @@
 		case w.listDown > 0 && w.happens(0.1):
 			in.list(policy.CachedSnapshot)
 		case w.listDown > 0:
-			in.engine.UpdateEndpoints(w.now, policy.UpdateFailed, nil)
+			in.engine.UpdateEndpoints(w.instant(), policy.UpdateFailed, nil)
 		default:
 			in.list(policy.FullSnapshot)
 			if w.day.faults.list { // the watch breaks at times
 				in.afterIfRunning(w.exponential(4*goldenSecond), func() {
-					in.engine.UpdateEndpoints(w.now, policy.UpdateFailed, nil)
+					in.engine.UpdateEndpoints(w.instant(), policy.UpdateFailed, nil)
 				})
 			}
 		}
 	})
 }
 
-func (in *goldenInstance) Log(text string) {
+// LogUnknown hashes the text that the log had when the days were recorded.
+func (in *goldenInstance) LogUnknown(class policy.ClassID, plan policy.PlanID) {
+	text := fmt.Sprintf("transaction of unknown profile %d or plan %d broken off", class, plan)
 	fields := []uint64{uint64(len(text))}
 	for _, b := range []byte(text) {
 		fields = append(fields, uint64(b))
@@ -321,26 +334,27 @@
 	in.world.effect(codeLog, in.number, fields...)
 }
 
-func (in *goldenInstance) AddToCounter(name policy.CounterKey, units float64, lifetime int64) {
+func (in *goldenInstance) AddToCounter(name policy.CounterKey, units float64, lifetime time.Duration) {
 	w, c := in.world, &in.world.counter
 	w.effect(codeAddToCounter, in.number, uint64(name), float(units), uint64(lifetime))
+	timeout := int64(w.settings.CounterTimeout)
 	call := &goldenCall{}
 	in.calls[name] = append(in.calls[name], call)
 	add := func() float64 {
 		if c.until[name] <= w.now {
-			c.totals[name], c.until[name] = 0, w.now+lifetime
+			c.totals[name], c.until[name] = 0, w.now+int64(lifetime)
 		}
 		c.totals[name] = float64(float32(c.totals[name] + units)) // the counter reports seven digits
 		return c.totals[name]
 	}
 	way := goldenMillisecond/2 + w.exponential(goldenMillisecond/2)
-	in.afterIfRunning(w.settings.CounterTimeout, func() { in.answer(name, call, policy.TimedOut, 0) })
+	in.afterIfRunning(timeout, func() { in.answer(name, call, policy.TimedOut, 0) })
 	switch {
 	case c.refuses > 0:
 		in.afterIfRunning(way, func() { in.answer(name, call, policy.ConnectFailed, 0) })
 	case c.hangs > 0 && w.happens(0.5):
 	case c.hangs > 0:
-		w.after(2*w.settings.CounterTimeout, func() { add() }) // added too late
+		w.after(2*timeout, func() { add() }) // added too late
 	case c.rejects > 0 && w.happens(0.4):
 		in.afterIfRunning(way, func() { in.answer(name, call, policy.Rejected, 0) })
 	case c.breaks > 0 && w.happens(0.5):
@@ -368,9 +382,14 @@
 		if in.calls[name] = in.calls[name][1:]; len(in.calls[name]) == 0 {
 			delete(in.calls, name)
 		}
-		in.engine.HandleCounterResult(in.world.now, first.outcome, name, first.total)
+		in.answerCall(name, first.outcome, first.total)
 	}
 	if in.world.happens(0.002) { // an answer to no call
-		in.engine.HandleCounterResult(in.world.now, o, name+1, total)
+		in.answerCall(name+1, o, total)
 	}
 }
+
+func (in *goldenInstance) answerCall(name policy.CounterKey, o policy.Outcome, total float64) {
+	result := policy.CounterResult{Key: name, Outcome: o, Total: total}
+	in.engine.HandleCounterResult(in.world.instant(), result)
+}
--- a/policy/golden_test.go
+++ b/policy/golden_test.go
@@ -13,9 +13,9 @@
 // results behind them are those of amd64: a compiler that fuses multiply and add rounds otherwise.
 
 const (
-	goldenMillisecond = int64(1e6)
-	goldenSecond      = int64(1e9)
-	goldenStart       = int64(1_700_000_000e9)
+	goldenMillisecond = 1_000_000 // nanoseconds; untyped, for the world's times and for the settings
+	goldenSecond      = 1000 * goldenMillisecond
+	goldenStart       = int64(1_700_000_000 * goldenSecond)
 )
 
 // Codes of what is hashed. They are part of the golden hashes and must never change.
--- a/policy/golden_world_test.go
+++ b/policy/golden_world_test.go
@@ -8,6 +8,7 @@
 	"math"
 	"testing"
 
+	"fawnplank/internal/monotime"
 	"fawnplank/internal/pcg"
 	"fawnplank/internal/timerqueue"
 	"fawnplank/policy"
@@ -77,11 +78,11 @@
 	end := goldenStart + day.seconds*goldenSecond
 	for {
 		at, ok := w.events.NextDue(func(func()) bool { return false })
-		if !ok || at > end {
+		if !ok || at.Nanos() > end {
 			break
 		}
 		run, _ := w.events.PopDue(at)
-		w.now = at
+		w.now = at.Nanos()
 		run()
 	}
 	return hex.EncodeToString(w.hash.Sum(nil)), w.effects
@@ -122,7 +123,12 @@
 }
 
 // at runs a function at a time, or now if that has passed.
-func (w *goldenWorld) at(when int64, run func()) { w.events.Push(max(when, w.now), run) }
+func (w *goldenWorld) at(when int64, run func()) {
+	w.events.Push(monotime.FromNanos(max(when, w.now)), run)
+}
+
+// instant returns the present time as engines see it.
+func (w *goldenWorld) instant() policy.Instant { return monotime.FromNanos(w.now) }
 
 // after runs a function after a time.
 func (w *goldenWorld) after(wait int64, run func()) { w.at(w.now+wait, run) }
@@ -159,7 +165,7 @@
 		Group:     policy.GroupID(b.group),
 		Capacity:  b.size,
 		State:     b.state,
-		StartedAt: b.started,
+		StartedAt: monotime.FromNanos(b.started),
 	}
 }
 
@@ -170,7 +176,7 @@
 		incarnation := in.incarnation
 		w.after(w.exponential(10*goldenMillisecond), func() {
 			if in.engine != nil && in.incarnation == incarnation {
-				in.engine.UpdateEndpoints(w.now, policy.Delta, []policy.Endpoint{endpoint})
+				in.engine.UpdateEndpoints(w.instant(), policy.Delta, []policy.Endpoint{endpoint})
 			}
 		})
 	}
@@ -187,7 +193,7 @@
 		first := tenant % w.day.instances
 		in := w.instances[(first+w.randomInt(w.day.entryPoints))%w.day.instances]
 		class, plan := w.randomInt(len(w.settings.Classes)), tenant%len(w.settings.Plans)
-		remaining := w.settings.Classes[class].Deadline
+		remaining := int64(w.settings.Classes[class].Deadline)
 		if w.happens(0.05) {
 			remaining = int64(float64(remaining) * (w.random.Float64() - 0.05))
 		}
--- a/policy/harness_test.go
+++ b/policy/harness_test.go
@@ -4,9 +4,16 @@
 	"fmt"
 	"slices"
 	"testing"
+	"time"
+
+	"fawnplank/internal/monotime"
 )
 
-const startOfTest = 1000 * second
+// startOfTest is when harnesses start.
+var startOfTest = atSecond(1000)
+
+// atSecond returns the Instant that many seconds after the clock's zero.
+func atSecond(seconds int64) Instant { return monotime.FromNanos(seconds * int64(time.Second)) }
 
 // harness stands in for everything round one engine: it carries out the effects, checks the rules at each of
 // them, and keeps a log.
@@ -14,7 +21,7 @@
 	t              testing.TB
 	engine         *Engine
 	settings       Settings
-	now            int64
+	now            Instant
 	log            []string
 	wakes          []wakeup
 	endpoints      map[BackendID]Endpoint
@@ -25,13 +32,13 @@
 	healthChecks   []BackendID
 	watches        int
 	hardQuotaUnits map[TenantID]float64 // first attempts' units of tenants under a hard quota
-	sentTimes      map[BackendID][]int64
-	answerTimes    []int64 // of successes, within a second
-	peakAnswers    int     // the most of them
+	sentTimes      map[BackendID][]Instant
+	answerTimes    []Instant // of successes, within a second
+	peakAnswers    int       // the most of them
 }
 
 type wakeup struct {
-	at    int64
+	at    Instant
 	timer TimerID
 }
 
@@ -48,18 +55,18 @@
 	tenant      TenantID
 	units       float64
 	entryPoints int
-	deadline    int64
+	deadline    Instant
 	attempts    []clientAttempt
 	ended       string // how the final answer was given
-	retryAfter  int64
+	retryAfter  time.Duration
 	streamed    bool
 }
 
 type clientAttempt struct {
 	endpoint    Endpoint
-	sentAt      int64
-	expiresAt   int64
-	startBefore int64
+	sentAt      Instant
+	expiresAt   Instant
+	startBefore Instant
 	inFlight    bool
 	mayHaveRun  bool
 }
@@ -67,19 +74,19 @@
 func defaultSettings() Settings {
 	return Settings{
 		Instances:         2,
-		Classes:           []ClassSettings{{LatencyObjective: 750 * millisecond, Deadline: 2 * second}},
+		Classes:           []ClassSettings{{LatencyObjective: 750 * time.Millisecond, Deadline: 2 * time.Second}},
 		Plans:             []PlanSettings{{Rate: 5, Burst: 10}},
 		MaxAttempts:       3,
 		Cancellation:      true,
 		HealthChecks:      true,
 		RetryAfter:        true,
-		MaxRetryAfter:     second,
+		MaxRetryAfter:     time.Second,
 		CounterEnabled:    true,
-		CounterTimeout:    50 * millisecond,
+		CounterTimeout:    50 * time.Millisecond,
 		SlowStartShare:    0.2,
-		SlowStartDuration: 10 * second,
+		SlowStartDuration: 10 * time.Second,
 		OverloadMultiple:  2,
-		OverloadWindow:    second,
+		OverloadWindow:    time.Second,
 	}
 }
 
@@ -93,9 +100,9 @@
 		requests:       map[RequestID]*clientRequest{},
 		counter:        map[CounterKey]float64{},
 		hardQuotaUnits: map[TenantID]float64{},
-		sentTimes:      map[BackendID][]int64{},
+		sentTimes:      map[BackendID][]Instant{},
 	}
-	h.engine = New(h.now, 7, settings, h)
+	h.engine = New(Options{Now: h.now, Seed: 7, Settings: settings, Effects: h})
 	h.update(CachedSnapshot, backends...)
 	return h
 }
@@ -137,27 +144,28 @@
 }
 
 func (h *harness) record(format string, args ...any) {
-	h.log = append(h.log, fmt.Sprintf("%d ", h.now)+fmt.Sprintf(format, args...))
+	h.log = append(h.log, fmt.Sprintf("%d ", h.now.Nanos())+fmt.Sprintf(format, args...))
 }
 
-func (h *harness) Send(id RequestID, b BackendID, expiresAt, startBefore int64) {
-	h.record("send %d to %d until %d", id, b, expiresAt)
+func (h *harness) Send(spec AttemptSpec) {
+	id, b := spec.Request, spec.Backend
+	h.record("send %d to %d until %d", id, b, spec.ExpiresAt.Nanos())
 	request, endpoint := h.requests[id], h.endpoints[b]
-	if request.ended != "" || request.streamed || h.now >= request.deadline {
+	if request.ended != "" || request.streamed || !h.now.Before(request.deadline) {
 		h.t.Errorf("rule 1: attempt for %d, which is over (%q)", id, request.ended)
 	}
 	if endpoint.State != EndpointReady {
 		h.t.Errorf("rule 3: attempt at %d, which is not ready", b)
 	}
 	h.sentTimes[b] = append(h.sentTimes[b], h.now)
-	if endpoint.StartedAt > 0 && h.now-endpoint.StartedAt < h.settings.SlowStartDuration {
+	if !endpoint.StartedAt.IsZero() && h.now.Sub(endpoint.StartedAt) < h.settings.SlowStartDuration {
 		h.checkSlowStart(endpoint)
 	}
 	request.attempts = append(request.attempts, clientAttempt{
 		endpoint:    endpoint,
 		sentAt:      h.now,
-		expiresAt:   expiresAt,
-		startBefore: startBefore,
+		expiresAt:   spec.ExpiresAt,
+		startBefore: spec.StartBefore,
 		inFlight:    true,
 		mayHaveRun:  true,
 	})
@@ -168,11 +176,11 @@
 func (h *harness) checkSlowStart(endpoint Endpoint) {
 	sent := 0
 	for _, at := range h.sentTimes[endpoint.Backend] {
-		if at > h.now-h.settings.OverloadWindow {
+		if at.After(h.now.Add(-h.settings.OverloadWindow)) {
 			sent++
 		}
 	}
-	age := float64(h.now-endpoint.StartedAt) / float64(h.settings.SlowStartDuration)
+	age := float64(h.now.Sub(endpoint.StartedAt)) / float64(h.settings.SlowStartDuration)
 	warmth := h.settings.SlowStartShare + (1-h.settings.SlowStartShare)*age
 	// A request's work on one core is a fifth of a second in these tests; more cores show in what is answered.
 	ready := 0
@@ -182,7 +190,7 @@
 		}
 	}
 	rate := max(5, float64(h.peakAnswers*h.settings.Instances)/float64(ready))
-	bears := h.settings.OverloadMultiple * warmth * float64(h.settings.OverloadWindow) / float64(second) * rate
+	bears := h.settings.OverloadMultiple * warmth * float64(h.settings.OverloadWindow) / float64(time.Second) * rate
 	if sent > 1 && float64(sent*h.settings.Instances) > bears { // a single attempt shows no pace
 		h.t.Errorf("rule 4: %d attempts of %d instances at backend %d that warms up and bears %.1f",
 			sent, h.settings.Instances, endpoint.Backend, bears)
@@ -201,7 +209,7 @@
 			continue
 		}
 		class := request.class
-		known := h.now < earlier.sentAt+class.DedupWindow &&
+		known := h.now.Before(earlier.sentAt.Add(class.DedupWindow)) &&
 			(class.DedupScope != DedupByZone || earlier.endpoint.Zone == endpoint.Zone) &&
 			(class.DedupScope != DedupByGroup || earlier.endpoint.Group == endpoint.Group)
 		switch {
@@ -216,23 +224,27 @@
 	}
 	h.hardQuotaUnits[request.tenant] += request.units
 	rate := request.plan.HardQuotaRate / float64(request.entryPoints)
-	elapsed := float64(h.now-startOfTest) / float64(second)
+	elapsed := float64(h.now.Sub(startOfTest)) / float64(time.Second)
 	if h.hardQuotaUnits[request.tenant] > rate*elapsed+roundingTolerance {
-		h.t.Errorf("rule 5: %.1f units sent by %d ns", h.hardQuotaUnits[request.tenant], h.now-startOfTest)
+		h.t.Errorf("rule 5: %.1f units sent by %d ns", h.hardQuotaUnits[request.tenant], h.now.Sub(startOfTest))
 	}
 }
 
 func (h *harness) Cancel(id RequestID, attempt AttemptID) { h.record("cancel %d of %d", attempt, id) }
-func (h *harness) WakeAt(at int64, timer TimerID)         { h.wakes = append(h.wakes, wakeup{at, timer}) }
+func (h *harness) WakeAt(at Instant, timer TimerID)       { h.wakes = append(h.wakes, wakeup{at, timer}) }
 func (h *harness) CheckHealth(b BackendID)                { h.healthChecks = append(h.healthChecks, b) }
 func (h *harness) WatchEndpoints()                        { h.watches++ }
-func (h *harness) Log(text string)                        { h.record("%s", text) }
-func (h *harness) Reject(id RequestID, retryAfter int64)  { h.finish(id, "rejected", retryAfter) }
-func (h *harness) Admit(id RequestID)                     { h.finish(id, "admitted", 0) }
-func (h *harness) Abort(id RequestID)                     { h.finish(id, "aborted", 0) }
+func (h *harness) LogUnknown(class ClassID, plan PlanID) {
+	h.record("unknown class %d or plan %d", class, plan)
+}
+func (h *harness) Reject(id RequestID, retryAfter time.Duration) {
+	h.finish(id, "rejected", retryAfter)
+}
+func (h *harness) Admit(id RequestID) { h.finish(id, "admitted", 0) }
+func (h *harness) Abort(id RequestID) { h.finish(id, "aborted", 0) }
 
-func (h *harness) AddToCounter(key CounterKey, units float64, lifetime int64) {
-	if lifetime <= 0 || lifetime > 60*second {
+func (h *harness) AddToCounter(key CounterKey, units float64, lifetime time.Duration) {
+	if lifetime <= 0 || lifetime > 60*time.Second {
 		h.t.Errorf("count for %d ns", lifetime)
 	}
 	h.record("count %d by %.3f", key, units)
@@ -240,7 +252,7 @@
 }
 
 // finish notes a final answer.
-func (h *harness) finish(id RequestID, how string, retryAfter int64) {
+func (h *harness) finish(id RequestID, how string, retryAfter time.Duration) {
 	h.record("%d %s, retry after %d", id, how, retryAfter)
 	request := h.requests[id]
 	if request.ended != "" {
@@ -261,7 +273,7 @@
 }
 
 // submit submits a request of a tenant that comes in through two instances.
-func (h *harness) submit(id RequestID, class ClassID, plan PlanID, tenant TenantID, remaining int64,
+func (h *harness) submit(id RequestID, class ClassID, plan PlanID, tenant TenantID, remaining time.Duration,
 	units float64) *clientRequest {
 	return h.submitSpec(RequestSpec{ID: id, Class: class, Plan: plan, Tenant: tenant, Remaining: remaining,
 		Units: units, EntryPoints: 2})
@@ -269,7 +281,7 @@
 
 func (h *harness) submitSpec(spec RequestSpec) *clientRequest {
 	request := &clientRequest{tenant: spec.Tenant, units: spec.Units, entryPoints: spec.EntryPoints,
-		deadline: h.now + spec.Remaining}
+		deadline: h.now.Add(spec.Remaining)}
 	if int(spec.Class) < len(h.settings.Classes) && int(spec.Plan) < len(h.settings.Plans) {
 		request.class, request.plan = h.settings.Classes[spec.Class], h.settings.Plans[spec.Plan]
 	}
@@ -280,9 +292,9 @@
 }
 
 // serveTwenty submits twenty requests, of a tenant each, one after another, and answers each after a time.
-func (h *harness) serveTwenty(latency int64) {
+func (h *harness) serveTwenty(latency time.Duration) {
 	for n := range 20 {
-		request := h.submit(RequestID(n), 0, 0, TenantID(n), 2*second, 1)
+		request := h.submit(RequestID(n), 0, 0, TenantID(n), 2*time.Second, 1)
 		h.advance(latency)
 		h.endAttempt(request, 0, Succeeded)
 	}
@@ -292,8 +304,8 @@
 func (h *harness) checkAnswered() {
 	for _, id := range h.order {
 		request := h.requests[id]
-		if request.ended == "" && h.now > request.deadline+16*millisecond && !request.streamed {
-			h.t.Errorf("rule 1: %d has no answer %d ns after its deadline", id, h.now-request.deadline)
+		if request.ended == "" && h.now.After(request.deadline.Add(16*time.Millisecond)) && !request.streamed {
+			h.t.Errorf("rule 1: %d has no answer %d ns after its deadline", id, h.now.Sub(request.deadline))
 			request.ended = "lost"
 		}
 	}
@@ -313,13 +325,13 @@
 			request.ended = "succeeded"
 		}
 		h.answerTimes = append(h.answerTimes, h.now)
-		for h.answerTimes[0] <= h.now-second {
+		for !h.answerTimes[0].After(h.now.Add(-time.Second)) {
 			h.answerTimes = h.answerTimes[1:]
 		}
 		h.peakAnswers = max(h.peakAnswers, len(h.answerTimes))
 	}
 	request.handle.HandleAttemptResult(h.now, AttemptResult{Attempt: AttemptID(n), Outcome: outcome,
-		Elapsed: h.now - attempt.sentAt, RequestDone: done})
+		Elapsed: h.now.Sub(attempt.sentAt), RequestDone: done})
 	h.checkAnswered()
 }
 
@@ -336,7 +348,7 @@
 	if outcome == Succeeded {
 		h.counter[add.key] += add.units
 	}
-	h.engine.HandleCounterResult(h.now, outcome, add.key, h.counter[add.key])
+	h.engine.HandleCounterResult(h.now, CounterResult{Key: add.key, Outcome: outcome, Total: h.counter[add.key]})
 	h.checkAnswered()
 }
 
@@ -351,7 +363,7 @@
 // admitted.
 func (h *harness) countAdmitted(from, n int, tenant TenantID, outcome Outcome) (admitted int) {
 	for i := range n {
-		request := h.submit(RequestID(from+i), 0, 0, tenant, 2*second, 1)
+		request := h.submit(RequestID(from+i), 0, 0, tenant, 2*time.Second, 1)
 		h.answerCounterCalls(outcome)
 		if len(request.attempts) > 0 {
 			admitted++
@@ -363,14 +375,14 @@
 
 // advance lets time go on, a step of the simulator's wire at a time: wakes come due, and attempts end with
 // their timeouts or the deadlines of their clients.
-func (h *harness) advance(duration int64) {
-	for end := h.now + duration; h.now < end; {
-		h.now = min(h.now+4*millisecond, end)
+func (h *harness) advance(duration time.Duration) {
+	for end := h.now.Add(duration); h.now.Before(end); {
+		h.now = monotime.Earlier(h.now.Add(4*time.Millisecond), end)
 		due := h.wakes
 		h.wakes = nil
-		slices.SortStableFunc(due, func(a, b wakeup) int { return int(min(max(a.at-b.at, -1), 1)) })
+		slices.SortStableFunc(due, func(a, b wakeup) int { return a.at.Compare(b.at) })
 		for _, wake := range due {
-			if wake.at <= h.now {
+			if !wake.at.After(h.now) {
 				h.engine.HandleTimer(h.now, wake.timer)
 			} else {
 				h.wakes = append(h.wakes, wake)
@@ -385,7 +397,7 @@
 	for _, id := range h.order {
 		request := h.requests[id]
 		for n, attempt := range request.attempts {
-			expired := h.now >= request.deadline || attempt.expiresAt > 0 && h.now >= attempt.expiresAt
+			expired := !h.now.Before(request.deadline) || !attempt.expiresAt.IsZero() && !h.now.Before(attempt.expiresAt)
 			if attempt.inFlight && !request.streamed && expired {
 				h.endAttempt(request, n, TimedOut)
 			}
@@ -396,13 +408,13 @@
 // idleEffects counts nothing and does nothing.
 type idleEffects struct{ key CounterKey }
 
-func (*idleEffects) Send(RequestID, BackendID, int64, int64)           {}
-func (*idleEffects) Cancel(RequestID, AttemptID)                       {}
-func (*idleEffects) Reject(RequestID, int64)                           {}
-func (*idleEffects) Abort(RequestID)                                   {}
-func (*idleEffects) Admit(RequestID)                                   {}
-func (*idleEffects) WakeAt(int64, TimerID)                             {}
-func (e *idleEffects) AddToCounter(key CounterKey, _ float64, _ int64) { e.key = key }
-func (*idleEffects) CheckHealth(BackendID)                             {}
-func (*idleEffects) WatchEndpoints()                                   {}
-func (*idleEffects) Log(string)                                        {}
+func (*idleEffects) Send(AttemptSpec)                                          {}
+func (*idleEffects) Cancel(RequestID, AttemptID)                               {}
+func (*idleEffects) Reject(RequestID, time.Duration)                           {}
+func (*idleEffects) Abort(RequestID)                                           {}
+func (*idleEffects) Admit(RequestID)                                           {}
+func (*idleEffects) WakeAt(Instant, TimerID)                                   {}
+func (e *idleEffects) AddToCounter(key CounterKey, _ float64, _ time.Duration) { e.key = key }
+func (*idleEffects) CheckHealth(BackendID)                                     {}
+func (*idleEffects) WatchEndpoints()                                           {}
+func (*idleEffects) LogUnknown(ClassID, PlanID)                                {}
--- /dev/null
+++ b/policy/hedging.go
@@ -0,0 +1,63 @@
+package policy
+
+import "time"
+
+const (
+	// stallRatio is how many times the usual latency few attempts take: one that does is overdue, and stalled if
+	// its backend has answered nothing since.
+	stallRatio = 5
+	// minTimeoutPercent and maxTimeoutPercent bound the attempt timeout, as parts of the latency objective:
+	// overload must show by then, and beyond it too little time is left for another attempt.
+	minTimeoutPercent = 40
+	maxTimeoutPercent = 70
+)
+
+// attemptTimeout returns how long an attempt may take until it is overdue.
+//
+// Inputs: the usual latency for the request's units, the class's latency objective.
+func (r *Request) attemptTimeout() time.Duration {
+	e, objective := r.engine, r.class.LatencyObjective
+	usual := time.Duration(stallRatio * e.latency.mean.Value * e.relativeCost(r.units))
+	timeout := max(usual, percentOf(objective, minTimeoutPercent))
+	return min(timeout, percentOf(objective, maxTimeoutPercent))
+}
+
+// handleOverdue measures an overdue attempt, and ejects its backend if it stalls: then a hedged attempt
+// follows, or a retry after the cancellation.
+func (r *Request) handleOverdue(now Instant, id int) {
+	e, a := r.engine, r.attempts[id]
+	a.overdue = true
+	usual := e.latency.mean.Value * e.relativeCost(r.units)
+	e.promptInFlight--
+	if r.finished || r.responseStarted {
+		return
+	}
+	elapsed := float64(now.Sub(a.sentAt))
+	// The elapsed time shows overload before its answers come.
+	e.measure(a.backend, elapsed/e.relativeCost(r.units), a.concurrency)
+	if a.backend.lastAnswerAt.After(a.sentAt) || elapsed < stallRatio*usual {
+		return
+	}
+	e.eject(now, a.backend)
+	r.replaceStalled(now, AttemptID(id))
+}
+
+// replaceStalled sends a hedged attempt beside a stalled one, or else cancels the stalled one, so that a retry
+// follows on its end. It does neither if another attempt is in flight already, if no time is left, or if a
+// later rejection could not promise that nothing ran twice.
+func (r *Request) replaceStalled(now Instant, id AttemptID) {
+	e := r.engine
+	if r.inFlight > 1 || r.tooLateToSend(now) || !r.rejectionIsSafe() {
+		return
+	}
+	if e.settings.Hedging {
+		b := e.pickBackend(now, r, fullBudget)
+		if b != nil && b != r.attempts[id].backend {
+			r.sendAttempt(now, b)
+		}
+		return
+	}
+	if e.settings.Cancellation && len(r.attempts) < e.settings.MaxAttempts {
+		e.effects.Cancel(r.id, id)
+	}
+}
--- a/internal/circuitbreaker/circuitbreaker.go
+++ b/policy/internal/circuitbreaker/circuitbreaker.go
@@ -3,7 +3,11 @@
 // Breaker is not safe for concurrent use.
 package circuitbreaker
 
-import "strconv"
+import (
+	"strconv"
+
+	"fawnplank/internal/monotime"
+)
 
 // State says which calls a breaker lets pass.
 type State uint8
@@ -26,7 +30,7 @@
 type Breaker struct {
 	State               State
 	ConsecutiveFailures int
-	RetryAt             int64 // in nanoseconds; matters while the breaker is open
+	RetryAt             monotime.Instant // matters while the breaker is open
 }
 
 // IsClosed reports whether calls pass.
@@ -34,21 +38,24 @@
 
 // TryHalfOpen reports whether an open breaker lets a single call pass now. The caller must then make that
 // call.
-func (b *Breaker) TryHalfOpen(now int64) bool {
-	if b.State != Open || now < b.RetryAt {
+func (b *Breaker) TryHalfOpen(now monotime.Instant) bool {
+	if b.State != Open || now.Before(b.RetryAt) {
 		return false
 	}
 	b.State = HalfOpen
 	return true
 }
 
-// Record records how a call ended. A success closes the breaker; threshold failures in a row open it, or keep
-// it open, until retryAt.
-func (b *Breaker) Record(succeeded bool, threshold int, retryAt int64) {
+// RecordSuccess records a call that succeeded. It closes the breaker.
+func (b *Breaker) RecordSuccess() {
+	b.ConsecutiveFailures = 0
+	b.State = Closed
+}
+
+// RecordFailure records a call that failed. After threshold failures in a row the breaker opens, or stays open,
+// until retryAt.
+func (b *Breaker) RecordFailure(threshold int, retryAt monotime.Instant) {
 	b.ConsecutiveFailures++
-	if succeeded {
-		b.ConsecutiveFailures = 0
-	}
 	b.RetryAt = retryAt
 	b.State = Closed
 	if b.ConsecutiveFailures >= threshold {
--- a/internal/circuitbreaker/circuitbreaker_test.go
+++ b/policy/internal/circuitbreaker/circuitbreaker_test.go
@@ -1,35 +1,41 @@
 package circuitbreaker
 
-import "testing"
+import (
+	"testing"
+
+	"fawnplank/internal/monotime"
+)
+
+func at(nanos int64) monotime.Instant { return monotime.FromNanos(nanos) }
 
 func TestBreaker_States(t *testing.T) {
 	var b Breaker
 	const threshold = 3
 	for n := range threshold {
-		if !b.IsClosed() || b.TryHalfOpen(100) {
+		if !b.IsClosed() || b.TryHalfOpen(at(100)) {
 			t.Fatalf("%s after %d failures", b.State, n)
 		}
-		b.Record(false, threshold, 50)
+		b.RecordFailure(threshold, at(50))
 	}
 	if b.IsClosed() || b.State != Open {
 		t.Fatalf("%s after %d failures", b.State, threshold)
 	}
-	if b.TryHalfOpen(49) {
+	if b.TryHalfOpen(at(49)) {
 		t.Error("a call passes before the time to retry")
 	}
-	if !b.TryHalfOpen(50) || b.State != HalfOpen {
+	if !b.TryHalfOpen(at(50)) || b.State != HalfOpen {
 		t.Errorf("no call passes at the time to retry: %s", b.State)
 	}
-	if b.TryHalfOpen(60) {
+	if b.TryHalfOpen(at(60)) {
 		t.Error("a second call passes while the first is out")
 	}
-	if b.Record(false, threshold, 90); b.State != Open || b.TryHalfOpen(60) {
+	if b.RecordFailure(threshold, at(90)); b.State != Open || b.TryHalfOpen(at(60)) {
 		t.Errorf("%s after the call failed", b.State)
 	}
-	if !b.TryHalfOpen(90) {
+	if !b.TryHalfOpen(at(90)) {
 		t.Error("no further call passes")
 	}
-	if b.Record(true, threshold, 100); !b.IsClosed() || b.ConsecutiveFailures != 0 {
+	if b.RecordSuccess(); !b.IsClosed() || b.ConsecutiveFailures != 0 {
 		t.Errorf("%s after a success, with %d failures", b.State, b.ConsecutiveFailures)
 	}
 }
--- a/internal/quotawindow/quotawindow.go
+++ b/policy/internal/quotawindow/quotawindow.go
@@ -1,15 +1,23 @@
 // Package quotawindow divides time into fixed windows. All functions are pure and safe for concurrent use.
 package quotawindow
 
+import (
+	"time"
+
+	"fawnplank/internal/monotime"
+)
+
 // Window is one of a sequence of windows without gaps.
 type Window struct {
-	Start int64  // in nanoseconds
+	Start monotime.Instant
 	Index uint64 // the window's number, unique among those of one length and offset
 }
 
 // At returns the window of the given length, above 0, that contains an instant. Windows of different offsets
 // start at different times, so that they do not all roll over at once.
-func At(now, length int64, offset uint64) Window {
-	shifted := now + int64(offset%uint64(length))
-	return Window{Start: now - shifted%length, Index: uint64(shifted / length)}
+func At(now monotime.Instant, length time.Duration, offset uint64) Window {
+	nanos := int64(length)
+	shifted := now.Nanos() + int64(offset%uint64(length))
+	start := now.Nanos() - shifted%nanos
+	return Window{Start: monotime.FromNanos(start), Index: uint64(shifted / nanos)}
 }
--- /dev/null
+++ b/policy/internal/quotawindow/quotawindow_test.go
@@ -0,0 +1,32 @@
+package quotawindow
+
+import (
+	"testing"
+
+	"fawnplank/internal/monotime"
+)
+
+// at returns the window of ten nanoseconds that contains an instant.
+func at(now int64, offset uint64) Window { return At(monotime.FromNanos(now), 10, offset) }
+
+func TestAt_WindowsFollowWithoutAGap(t *testing.T) {
+	for _, offset := range []uint64{0, 3, 10, 1<<64 - 1} {
+		previous := at(99, offset)
+		for now := int64(100); now < 200; now++ {
+			window := at(now, offset)
+			if start := window.Start.Nanos(); start > now || now >= start+10 {
+				t.Fatalf("offset %d: %d lies outside of its window %+v", offset, now, window)
+			}
+			if window != previous && (window.Index != previous.Index+1 || window.Start != previous.Start.Add(10)) {
+				t.Fatalf("offset %d: %+v follows %+v", offset, window, previous)
+			}
+			previous = window
+		}
+	}
+}
+
+func TestAt_OffsetShiftsTheStart(t *testing.T) {
+	if plain, shifted := at(100, 0).Start.Nanos(), at(100, 13).Start.Nanos(); plain != 100 || shifted != 97 {
+		t.Errorf("windows start at %d and %d, want 100 and 97", plain, shifted)
+	}
+}
--- a/internal/tokenbucket/tokenbucket.go
+++ b/policy/internal/tokenbucket/tokenbucket.go
@@ -3,18 +3,18 @@
 // change. The zero values are ready to use; nothing here is safe for concurrent use.
 package tokenbucket
 
-import "fawnplank/internal/nanos"
+import "fawnplank/internal/monotime"
 
 // Bucket is a token bucket that counts the units it holds.
 type Bucket struct {
 	Units     float64
-	UpdatedAt int64 // when Units was last brought up to date
+	UpdatedAt monotime.Instant // when Units was last brought up to date
 }
 
 // Refill brings the bucket up to date, at a rate in units a second and up to burst, and returns the units
 // that it holds.
-func (b *Bucket) Refill(now int64, rate, burst float64) float64 {
-	b.Units += nanos.Seconds(now-b.UpdatedAt) * rate
+func (b *Bucket) Refill(now monotime.Instant, rate, burst float64) float64 {
+	b.Units += monotime.Seconds(now.Sub(b.UpdatedAt)) * rate
 	b.Units = min(b.Units, burst)
 	b.UpdatedAt = now
 	return b.Units
@@ -24,17 +24,17 @@
 // In other words, it is a leaky bucket used as a meter.
 type Usage struct {
 	Units     float64
-	UpdatedAt int64 // when Units was last brought up to date
+	UpdatedAt monotime.Instant // when Units was last brought up to date
 }
 
 // Refill brings the usage up to date at a rate in units a second.
-func (u *Usage) Refill(now int64, rate float64) {
-	u.Units = max(u.Units-nanos.Accrued(rate, now-u.UpdatedAt), 0)
+func (u *Usage) Refill(now monotime.Instant, rate float64) {
+	u.Units = max(u.Units-monotime.Accrued(rate, now.Sub(u.UpdatedAt)), 0)
 	u.UpdatedAt = now
 }
 
 // UnrefilledAt scales the usage, which is the given share of a tenant's traffic, up to all of the traffic,
 // and returns how much of it would not be refilled at an instant at the whole rate. It changes nothing.
-func (u *Usage) UnrefilledAt(now int64, share, rate float64) float64 {
-	return max(u.Units/share-nanos.Accrued(rate, now-u.UpdatedAt), 0)
+func (u *Usage) UnrefilledAt(now monotime.Instant, share, rate float64) float64 {
+	return max(u.Units/share-monotime.Accrued(rate, now.Sub(u.UpdatedAt)), 0)
 }
--- a/policy/latency_test.go
+++ b/policy/latency_test.go
@@ -1,6 +1,9 @@
 package policy
 
-import "testing"
+import (
+	"testing"
+	"time"
+)
 
 // Fault: backends that a jam had made slow got nothing, and so were never found quick again; likewise by an
 // instance that had met the jam before it knew a baseline.
@@ -8,16 +11,16 @@
 	for _, quick := range []int{40, 0} {
 		h := newHarnessWithoutCounter(t, readyEndpoints(1)...)
 		for n := range quick + 10 {
-			request := h.submit(RequestID(n), 0, 0, TenantID(n), 2*second, 1)
-			if h.advance(50 * millisecond); n >= quick {
-				h.advance(650 * millisecond)
+			request := h.submit(RequestID(n), 0, 0, TenantID(n), 2*time.Second, 1)
+			if h.advance(50 * time.Millisecond); n >= quick {
+				h.advance(650 * time.Millisecond)
 			}
 			for i := range request.attempts {
 				h.endAttempt(request, i, Succeeded)
 			}
 		}
-		h.advance(12 * second)
-		if request := h.submit(100, 0, 0, 100, 2*second, 1); len(request.attempts) != 1 {
+		h.advance(12 * time.Second)
+		if request := h.submit(100, 0, 0, 100, 2*time.Second, 1); len(request.attempts) != 1 {
 			t.Errorf("nothing sent long after a jam that came after %d quick answers", quick)
 		}
 	}
@@ -28,10 +31,10 @@
 func TestLatency_SlowFleetIsNoJam(t *testing.T) {
 	h, sent := newHarnessWithoutCounter(t, readyEndpoints(1, 2, 3, 4)...), 0
 	for n := range 100 {
-		request := h.submit(RequestID(n), 0, 0, TenantID(n), 2*second, 1)
-		h.advance(40 * millisecond)
+		request := h.submit(RequestID(n), 0, 0, TenantID(n), 2*time.Second, 1)
+		h.advance(40 * time.Millisecond)
 		if n >= 40 {
-			h.advance(170 * millisecond)
+			h.advance(170 * time.Millisecond)
 		}
 		for i := range request.attempts {
 			h.endAttempt(request, i, Succeeded)
@@ -44,7 +47,7 @@
 		t.Errorf("%d of 20 sent, one after another, to a fleet that answers in time", sent)
 	}
 	h.update(FullSnapshot, readyEndpoints(11, 12)...)
-	if request := h.submit(200, 0, 0, 200, 2*second, 1); len(request.attempts) != 1 {
+	if request := h.submit(200, 0, 0, 200, 2*time.Second, 1); len(request.attempts) != 1 {
 		t.Error("nothing sent to a new backend of that kind")
 	}
 }
@@ -64,8 +67,8 @@
 		h := newHarness(t, settings, readyEndpoints(list...)...)
 		sent := 0
 		for n := range 140 {
-			request := h.submit(RequestID(n), 0, 0, TenantID(n), 2*second, 1)
-			if h.advance(20 * millisecond); n < 40 {
+			request := h.submit(RequestID(n), 0, 0, TenantID(n), 2*time.Second, 1)
+			if h.advance(20 * time.Millisecond); n < 40 {
 				h.endAttempt(request, 0, Succeeded)
 				continue
 			}
@@ -87,21 +90,21 @@
 	h := newHarness(t, settings, readyEndpoints(1, 2, 3)...)
 	for n := range 120 {
 		units := float64(1 + n%2*7) // one, or eight
-		request := h.submit(RequestID(n), 0, 0, TenantID(n), 2*second, units)
-		if h.advance(int64(units) * 24 * millisecond); len(request.attempts) == 0 {
+		request := h.submit(RequestID(n), 0, 0, TenantID(n), 2*time.Second, units)
+		if h.advance(time.Duration(units) * 24 * time.Millisecond); len(request.attempts) == 0 {
 			t.Fatalf("no capacity for the %dth, of %.0f units", n, units)
 		}
 		h.endAttempt(request, 0, Succeeded)
 	}
 	for _, b := range h.engine.endpoints {
-		if off := b.estimatedLatency / h.engine.latency.Value; off < 0.8 || off > 1.25 {
+		if off := b.latency.estimate / h.engine.latency.mean.Value; off < 0.8 || off > 1.25 {
 			t.Errorf("backend %d is estimated at %.2f of the fleet's latency", b.id, off)
 		}
 	}
 	if one, eight := h.engine.relativeCost(1), h.engine.relativeCost(8); one > 0.5 || eight < 1.5 {
 		t.Errorf("one unit is taken for %.2f of the mean, eight for %.2f", one, eight)
 	}
-	if request := h.submit(200, 0, 0, 200, 2*second, 8); len(request.attempts) != 1 {
+	if request := h.submit(200, 0, 0, 200, 2*time.Second, 8); len(request.attempts) != 1 {
 		t.Error("no capacity for a large one in a quiet fleet")
 	}
 }
@@ -113,19 +116,19 @@
 	settings := defaultSettings()
 	settings.Instances, settings.CounterEnabled = 1, false
 	h := newHarness(t, settings, readyEndpoints(1, 2, 3, 4, 5, 6, 7, 8)...)
-	for n := 0; h.now < 1022500*millisecond; n++ {
-		request := h.submit(RequestID(n), 0, 0, TenantID(n), 2*second, 1)
-		took := 100 * millisecond
-		if h.now > 1020*second {
-			took = 240 * millisecond
+	for n := 0; h.now.Before(startOfTest.Add(22500 * time.Millisecond)); n++ {
+		request := h.submit(RequestID(n), 0, 0, TenantID(n), 2*time.Second, 1)
+		took := 100 * time.Millisecond
+		if h.now.After(atSecond(1020)) {
+			took = 240 * time.Millisecond
 		}
 		if h.advance(took); len(request.attempts) > 0 && request.attempts[0].inFlight {
 			h.endAttempt(request, 0, Succeeded)
 		}
-		h.advance(250*millisecond - took)
+		h.advance(250*time.Millisecond - took)
 	}
-	if h.engine.latency.Value < float64(190*millisecond) {
-		t.Errorf("after 2.5 s of answers in 240 ms the latency is %.0f ms", h.engine.latency.Value/1e6)
+	if h.engine.latency.mean.Value < float64(190*time.Millisecond) {
+		t.Errorf("after 2.5 s of answers in 240 ms the latency is %.0f ms", h.engine.latency.mean.Value/1e6)
 	}
 }
 
@@ -133,31 +136,31 @@
 // quick, and what was only late was canceled and sent again.
 func TestLatency_ForgettingEndsAtTheBaseline(t *testing.T) {
 	h := newHarnessWithoutCounter(t, readyEndpoints(1, 2)...)
-	h.serveTwenty(100 * millisecond)
-	request := h.submit(100, 0, 0, 100, 2*second, 1)
-	h.advance(1800 * millisecond)
-	if request.ended != "" || h.engine.latency.Value < float64(100*millisecond) {
+	h.serveTwenty(100 * time.Millisecond)
+	request := h.submit(100, 0, 0, 100, 2*time.Second, 1)
+	h.advance(1800 * time.Millisecond)
+	if request.ended != "" || h.engine.latency.mean.Value < float64(100*time.Millisecond) {
 		t.Errorf("%q; with an attempt in flight, silence took the latency to %.0f ms",
-			request.ended, h.engine.latency.Value/1e6)
+			request.ended, h.engine.latency.mean.Value/1e6)
 	}
-	h.advance(20 * second)
-	if h.engine.latency.Value < float64(90*millisecond) {
-		t.Errorf("long after, the latency is taken for %.0f ms", h.engine.latency.Value/1e6)
+	h.advance(20 * time.Second)
+	if h.engine.latency.mean.Value < float64(90*time.Millisecond) {
+		t.Errorf("long after, the latency is taken for %.0f ms", h.engine.latency.mean.Value/1e6)
 	}
 }
 
 // Fault: one late answer among quick ones put the last backend's own mean over the latency budget. With nothing
 // in flight nothing renewed it, and every request was rejected for seconds.
 func TestLatency_OneLateAnswerClosesNoBackend(t *testing.T) {
-	for _, test := range []struct{ usual, late int64 }{
-		{100_000, 10 * millisecond},
-		{100_000, 210 * millisecond},
-		{2 * millisecond, 200 * millisecond},
-		{10 * millisecond, 290 * millisecond},
+	for _, test := range []struct{ usual, late time.Duration }{
+		{100 * time.Microsecond, 10 * time.Millisecond},
+		{100 * time.Microsecond, 210 * time.Millisecond},
+		{2 * time.Millisecond, 200 * time.Millisecond},
+		{10 * time.Millisecond, 290 * time.Millisecond},
 	} {
 		h := newHarnessWithoutCounter(t, readyEndpoints(1, 2)...)
-		answer := func(id int, latency int64) (backend BackendID) {
-			request := h.submit(RequestID(id), 0, 0, TenantID(id), 2*second, 1)
+		answer := func(id int, latency time.Duration) (backend BackendID) {
+			request := h.submit(RequestID(id), 0, 0, TenantID(id), 2*time.Second, 1)
 			if len(request.attempts) != 1 {
 				return 0
 			}
@@ -167,17 +170,17 @@
 		}
 		for n := range 400 {
 			answer(n, test.usual)
-			h.advance(2 * millisecond)
+			h.advance(2 * time.Millisecond)
 		}
 		late := answer(400, test.late)
 		h.update(Delta, Endpoint{Backend: 3 - late, State: EndpointDraining})
-		h.advance(20 * millisecond)
+		h.advance(20 * time.Millisecond)
 		for n := range 20 {
 			if answer(500+n, test.usual) == 0 {
 				t.Errorf("one answer of %d ns among some of %d: request %d is rejected", test.late, test.usual, n)
 				break
 			}
-			h.advance(10 * millisecond)
+			h.advance(10 * time.Millisecond)
 		}
 	}
 }
--- a/policy/leavers_test.go
+++ b/policy/leavers_test.go
@@ -1,15 +1,18 @@
 package policy
 
-import "testing"
+import (
+	"testing"
+	"time"
+)
 
 // Fault: clients who left before a jam's answers hid it, and what they would not wait for was sent on.
 func TestLeavers_ShowAJamAndAreNotSentFor(t *testing.T) {
 	h := newHarnessWithoutCounter(t, readyEndpoints(1, 2, 3)...)
-	h.serveTwenty(100 * millisecond)
-	before := h.engine.latency.Value
+	h.serveTwenty(100 * time.Millisecond)
+	before := h.engine.latency.mean.Value
 	leave := func(id RequestID) bool {
-		request := h.submit(id, 0, 0, TenantID(id), 2*second, 1)
-		h.advance(240 * millisecond)
+		request := h.submit(id, 0, 0, TenantID(id), 2*time.Second, 1)
+		h.advance(240 * time.Millisecond)
 		if len(request.attempts) == 0 {
 			return false
 		}
@@ -23,14 +26,14 @@
 			sent++
 		}
 	}
-	if h.engine.latency.Value < 1.1*before {
-		t.Errorf("latency %.0f ms after attempts that took 240 and more", h.engine.latency.Value/1e6)
+	if h.engine.latency.mean.Value < 1.1*before {
+		t.Errorf("latency %.0f ms after attempts that took 240 and more", h.engine.latency.mean.Value/1e6)
 	}
 	if sent > 30 { // a client who stays for 240 ms is not worth an attempt where answers take longer
 		t.Errorf("%d of 40 sent to backends that do not answer before their clients leave", sent)
 	}
-	share, wait := h.engine.plans[0].leaverShare.Value, h.engine.plans[0].leaverWait.Value
-	if share < 0.3 || int64(wait) > 250*millisecond {
+	share, wait := h.engine.plans[0].abandonment.share.Value, h.engine.plans[0].abandonment.wait.Value
+	if share < 0.3 || time.Duration(wait) > 250*time.Millisecond {
 		t.Errorf("%.2f leave, after %.0f ms", share, wait/1e6)
 	}
 }
@@ -40,24 +43,24 @@
 // 680 of one instance's in 22 s).
 func TestLeavers_BurstIsForgotten(t *testing.T) {
 	h := newHarnessWithoutCounter(t, readyEndpoints(1, 2, 3)...)
-	h.serveTwenty(100 * millisecond)
+	h.serveTwenty(100 * time.Millisecond)
 	for n := range 20 {
-		request := h.submit(RequestID(100+n), 0, 0, TenantID(n), 2*second, 1)
+		request := h.submit(RequestID(100+n), 0, 0, TenantID(n), 2*time.Second, 1)
 		if len(request.attempts) == 0 {
 			continue
 		}
 		request.ended = "client gone"
-		request.handle.HandleClientGone(h.now + 10*millisecond)
-		h.advance(10 * millisecond)
+		request.handle.HandleClientGone(h.now.Add(10 * time.Millisecond))
+		h.advance(10 * time.Millisecond)
 		h.endAttempt(request, 0, Canceled)
 	}
-	if h.engine.plans[0].leaverShare.Value < 0.3 {
-		t.Fatalf("%.2f left", h.engine.plans[0].leaverShare.Value)
+	if h.engine.plans[0].abandonment.share.Value < 0.3 {
+		t.Fatalf("%.2f left", h.engine.plans[0].abandonment.share.Value)
 	}
 	served, last := 0, 0
 	for n := range 200 { // twenty seconds, and none leaves
-		request := h.submit(RequestID(200+n), 0, 0, TenantID(n), 2*second, 1)
-		h.advance(100 * millisecond)
+		request := h.submit(RequestID(200+n), 0, 0, TenantID(n), 2*time.Second, 1)
+		h.advance(100 * time.Millisecond)
 		if len(request.attempts) > 0 {
 			h.endAttempt(request, 0, Succeeded)
 			if served++; n >= 120 {
--- a/policy/local_share.go
+++ b/policy/local_share.go
@@ -1,57 +1,105 @@
 package policy
 
-// recordAdmittedShare records which part of a request the counter admitted.
-func (t *tenant) recordAdmittedShare(share float64) {
-	t.admittedShare.Add(share, 4) // few samples: tenants change in seconds
-	t.plan.admittedShare.Add(share, 50)
-}
+const (
+	// tenantAdmittedSamples and planAdmittedSamples are how many answers of the counter the admitted shares
+	// reach back over. A tenant's is short, since tenants change in seconds.
+	tenantAdmittedSamples = 4
+	planAdmittedSamples   = 50
+	// uncountedBudget is the latency budget of requests that no call counts, while others are counted: it
+	// leaves busy backends to the counted ones.
+	uncountedBudget budgetFactor = 0.6
+	// smallShareRefill is how much faster a share below one request refills where a unit beyond the quota costs
+	// as much as one within it earns.
+	smallShareRefill = 2.5
+	// minOverQuotaCost bounds the refill of shares below one request from above.
+	minOverQuotaCost = 0.1
+	// trafficMemory is the weight that earlier units keep at each answer: they reach back over about ten.
+	trafficMemory = 0.9
+	// evenTrafficUnits is the weight, in units, of an even split of the traffic: twice what ten answers of one
+	// unit show, so that chance does not pass for a share.
+	evenTrafficUnits = 20
+)
 
-// fallbackAdmits decides without the counter, by the fallback mode of the class.
-func (r *Request) fallbackAdmits(now int64) bool {
-	e, mode := r.engine, r.class.FallbackMode
-	if reached := r.concurrencyReached(); reached || mode != LocalShare {
-		return mode == FailOpen && !reached
-	}
-	if quota := r.refillLocalUsage(now); r.tenant.localUsage.Units+r.units > quota+roundingTolerance {
+// localShareAdmits decides by this instance's share of the quota, as far as it is not used up, and by the
+// capacity that requests without a count leave to the others. One request per instance would add up past small
+// quotas, so a share below one request admits by chance.
+func (r *Request) localShareAdmits(now Instant) bool {
+	share := r.refillLocalUsage(now)
+	if r.tenant.localUsage.Units+r.units > share+roundingTolerance {
 		return false
 	}
-	// Where backends are busy, counted requests go first: an uncounted one may be beyond the quota, which
-	// costs its value even if nobody answers it. 0.6: with 0.5 busy days lose value, above 0.6 overload comes.
-	// Behind an open breaker nothing is counted, so nothing has to go first.
-	counted := e.settings.CounterEnabled && e.breaker.IsClosed()
-	if counted && !r.class.CheckOnly && e.pickBackend(now, r, 0.6) == nil {
+	if r.leavesCapacityToCounted(now) {
 		return false
 	}
-	chance := r.admitChance()
-	return chance >= 1 || e.random.Float64() < chance
+	chance := r.localAdmitChance()
+	return chance >= 1 || r.engine.random.Float64() < chance
 }
 
-// admitChance returns how likely the local share admits a request that fits it. One request per instance
-// would add up past small quotas: a share below one is granted as often as the counter admitted the tenant,
-// or half way between what it admitted of the plan and all, as it rejects mostly few tenants far beyond it.
-func (r *Request) admitChance() float64 {
-	share := r.plan.quota * r.tenant.trafficShare(r.entryPoints) / r.units
+// leavesCapacityToCounted reports whether the request has to leave the backends' capacity to requests that
+// are counted: an uncounted one may be beyond the quota, which costs its value even if nobody answers it.
+// Behind an open breaker nothing is counted, so nothing has to go first.
+func (r *Request) leavesCapacityToCounted(now Instant) bool {
+	e := r.engine
+	countsOthers := e.settings.CounterEnabled && e.breaker.IsClosed()
+	return countsOthers && !r.class.CheckOnly && e.pickBackend(now, r, uncountedBudget) == nil
+}
+
+// localAdmitChance returns how likely the local share admits a request that fits it. A share below one request
+// admits as often as the counter admitted the tenant, or half way between what it admitted of the plan and
+// all, as it rejects mostly few tenants far beyond it.
+//
+// Inputs: the quota and the request's size in units, this instance's share of the traffic. Result: 0 to 1.
+func (r *Request) localAdmitChance() float64 {
+	share := r.plan.quota * r.tenant.traffic.share(r.entryPoints) / r.units
 	if share+roundingTolerance >= 1 || !r.engine.settings.CounterEnabled {
 		return min(share+roundingTolerance, 1)
 	}
-	return r.tenant.admittedShare.Blend((1+r.plan.admittedShare.Blend(share, 1))/2, 1)
+	ofPlan := (1 + r.plan.admittedShare.Blend(share, 1)) / 2
+	return r.tenant.admittedShare.Blend(ofPlan, 1)
 }
 
-// refillLocalUsage refills the local usage and returns the share of a window, at least the request's units.
-// Few requests spread unevenly over many instances: a share below one request refills the faster the less a
-// unit beyond the quota costs, 2.5 times as fast where it costs the full value.
-func (r *Request) refillLocalUsage(now int64) float64 {
-	share := r.tenant.trafficShare(r.entryPoints)
-	rate, quota := r.plan.Rate*share, r.plan.quota*share
-	if quota+roundingTolerance < r.units {
-		rate *= max(2.5/max(r.plan.OverQuotaCost, 0.1), 1)
+// recordAdmittedShare records which part of a request the counter admitted.
+func (t *tenant) recordAdmittedShare(share float64) {
+	t.admittedShare.Add(share, tenantAdmittedSamples)
+	t.plan.admittedShare.Add(share, planAdmittedSamples)
+}
+
+// refillLocalUsage refills the local usage and returns the instance's share of a window in units, at least the
+// request's. Few requests spread unevenly over many instances: a share below one request refills the faster
+// the less a unit beyond the quota costs.
+func (r *Request) refillLocalUsage(now Instant) (share float64) {
+	traffic := r.tenant.traffic.share(r.entryPoints)
+	rate, share := r.plan.Rate*traffic, r.plan.quota*traffic
+	if share+roundingTolerance < r.units {
+		rate *= max(smallShareRefill/max(r.plan.OverQuotaCost, minOverQuotaCost), 1)
 	}
 	r.tenant.localUsage.Refill(now, rate)
-	return max(quota, r.units)
+	return max(share, r.units)
+}
+
+// traffic is what the counter's totals showed lately of a tenant's traffic, in units.
+type traffic struct {
+	ownUnits   float64 // counted by this instance
+	otherUnits float64 // counted by the other instances
 }
 
-// trafficShare returns this instance's part of the tenant's traffic: even, then as the counter shows it.
-func (t *tenant) trafficShare(entryPoints float64) float64 {
-	const evenUnits = 20 // twice what ten answers of one unit show, so that chance does not pass for a share
-	return (t.ownUnits + evenUnits/entryPoints) / (t.ownUnits + t.otherUnits + evenUnits)
+// share returns this instance's part of the tenant's traffic: even, then as the counter shows it.
+func (t *traffic) share(entryPoints float64) float64 {
+	return (t.ownUnits + evenTrafficUnits/entryPoints) / (t.ownUnits + t.otherUnits + evenTrafficUnits)
+}
+
+// uncount takes back units that were counted for a request that was not admitted.
+func (t *traffic) uncount(units float64) { t.ownUnits = max(t.ownUnits-units, 0) }
+
+// observeTraffic updates the traffic by a total of the current window. before is the total without what the
+// call added.
+//
+// From the first to the last answer of a window come n-1 of n in (n-1)/(n+1) of its time, so an instance with
+// few answers overrates its part by half. That is kept where a unit beyond the quota costs at most half of one
+// within: admitting too little costs all.
+func (t *tenant) observeTraffic(before, added float64) {
+	n := float64(t.window.answers)
+	penalty := min(max(2*t.plan.OverQuotaCost-1, 0), 1)
+	t.traffic.ownUnits = trafficMemory*t.traffic.ownUnits + added*(1-penalty*2/(n*(n+1)))
+	t.traffic.otherUnits = trafficMemory*t.traffic.otherUnits + max(before-t.window.counterTotal, 0)
 }
--- a/policy/local_share_test.go
+++ b/policy/local_share_test.go
@@ -3,10 +3,11 @@
 import (
 	"math/rand/v2"
 	"testing"
+	"time"
 
-	"fawnplank/internal/circuitbreaker"
-	"fawnplank/internal/estimate"
 	"fawnplank/internal/pcg"
+	"fawnplank/policy/internal/circuitbreaker"
+	"fawnplank/policy/internal/estimate"
 )
 
 func TestFallback_RefusingCounterLeavesTheFallbackMode(t *testing.T) {
@@ -34,13 +35,13 @@
 			h := newHarness(t, settings, readyEndpoints(1, 2, 3)...)
 			h.engine.random = pcg.New(uint64(index))
 			h.engine.plans[0].admittedShare = estimate.Mean{Value: reported, Count: reported * 20}
-			h.engine.breaker = circuitbreaker.Breaker{
+			h.engine.breaker.Breaker = circuitbreaker.Breaker{
 				State:               circuitbreaker.Open,
-				ConsecutiveFailures: failureThreshold,
-				RetryAt:             h.now + second,
+				ConsecutiveFailures: breakerFailureThreshold,
+				RetryAt:             h.now.Add(time.Second),
 			}
 			for c := range 10 {
-				request := h.submitSpec(RequestSpec{ID: RequestID(c), Tenant: TenantID(c), Remaining: second, Units: 1,
+				request := h.submitSpec(RequestSpec{ID: RequestID(c), Tenant: TenantID(c), Remaining: time.Second, Units: 1,
 					EntryPoints: 20})
 				if len(request.attempts) > 0 {
 					admitted++
@@ -59,7 +60,7 @@
 	h := newHarness(t, defaultSettings(), readyEndpoints(1, 2, 3)...)
 	for n := range 60 { // all of this tenant's traffic comes here
 		h.countAdmitted(n, 1, 1, Succeeded)
-		h.advance(400 * millisecond)
+		h.advance(400 * time.Millisecond)
 	}
 	if admitted := h.countAdmitted(100, 30, 1, ConnectFailed); admitted < 6 || admitted > 10 {
 		t.Errorf("%d admitted of a burst of 10 that all comes through this instance", admitted)
@@ -72,15 +73,15 @@
 	for _, answer := range []Outcome{Succeeded, Rejected} {
 		h := newHarness(t, defaultSettings(), readyEndpoints(1)...)
 		for n := range 40 {
-			request := h.submit(RequestID(n), 0, 0, TenantID(n), 2*second, 1)
+			request := h.submit(RequestID(n), 0, 0, TenantID(n), 2*time.Second, 1)
 			h.answerCounterCalls(Succeeded)
-			if h.advance(230 * millisecond); len(request.attempts) == 0 {
+			if h.advance(230 * time.Millisecond); len(request.attempts) == 0 {
 				t.Fatalf("the %dth %s", n, request.ended)
 			}
 			h.endAttempt(request, 0, Succeeded)
 		}
 		// Likely to take 230 ms of at most 300, and of 180 where it is not counted.
-		request := h.submit(100, 0, 0, 100, 2*second, 1)
+		request := h.submit(100, 0, 0, 100, 2*time.Second, 1)
 		if h.answerCounter(answer); (len(request.attempts) == 1) != (answer == Succeeded) {
 			t.Errorf("after an answer of kind %s: %d attempts", answer, len(request.attempts))
 		}
@@ -93,7 +94,7 @@
 	h := newHarness(t, defaultSettings(), readyEndpoints(1, 2, 3)...)
 	admitted := 0
 	alone := func(id RequestID, outcome Outcome) {
-		request := h.submitSpec(RequestSpec{ID: id, Tenant: 1, Remaining: 2 * second, Units: 1, EntryPoints: 1})
+		request := h.submitSpec(RequestSpec{ID: id, Tenant: 1, Remaining: 2 * time.Second, Units: 1, EntryPoints: 1})
 		h.answerCounterCalls(outcome)
 		if len(request.attempts) > 0 {
 			admitted++
@@ -102,12 +103,12 @@
 	}
 	for n := range 200 { // twenty seconds with the counter
 		alone(RequestID(n), Succeeded)
-		h.advance(100 * millisecond)
+		h.advance(100 * time.Millisecond)
 	}
 	admitted = 0
 	for n := range 600 { // a minute, ten requests a second for five
 		alone(RequestID(1000+n), ConnectFailed)
-		h.advance(100 * millisecond)
+		h.advance(100 * time.Millisecond)
 	}
 	if admitted < 295 || admitted > 312 {
 		t.Errorf("%d admitted through a minute of a rate of 5 a second and a burst of 10", admitted)
@@ -122,7 +123,7 @@
 	h := newHarness(t, settings, readyEndpoints(1, 2, 3)...)
 	chance, sum, n := rand.New(rand.NewPCG(5, 5)), 0.0, 0
 	for id := range 800 {
-		request := h.submit(RequestID(id), 0, 0, 1, 2*second, 1)
+		request := h.submit(RequestID(id), 0, 0, 1, 2*time.Second, 1)
 		for len(h.pendingAdds) > 0 {
 			add := h.pendingAdds[0] // the other instance's, as many on the mean, came before it
 			for chance.Float64() < 0.5 {
@@ -133,9 +134,9 @@
 		if len(request.attempts) > 0 {
 			h.endAttempt(request, 0, Succeeded)
 		}
-		h.advance(int64(chance.ExpFloat64() * float64(400*millisecond)))
+		h.advance(time.Duration(chance.ExpFloat64() * float64(400*time.Millisecond)))
 		if id > 100 {
-			sum, n = sum+h.engine.tenants[1].trafficShare(2), n+1
+			sum, n = sum+h.engine.tenants[1].traffic.share(2), n+1
 		}
 	}
 	if part := sum / float64(n); part < 0.48 || part > 0.515 {
--- a/policy/outlier.go
+++ b/policy/outlier.go
@@ -1,65 +1,89 @@
 package policy
 
-// learnFromResult updates the measurements and the backend's health by how an attempt ended.
-func (r *Request) learnFromResult(now int64, a *attempt, result *AttemptResult) {
-	e, b := r.engine, a.backend
-	switch result.Outcome {
-	case Succeeded:
-		e.answersSinceTick++
-		b.lastAnswerAt, e.lastAnswerAt = now, now
-		b.health.ejections, b.health.consecutiveErrors = 0, 0
-		latency := float64(result.Elapsed) / e.relativeCost(r.units)
-		if a.baselineSample { // the first attempts meet the queues before this instance has filled them
-			e.baselineLatency.Add(latency, baselineSamples)
-		}
-		e.measure(b, latency, a.concurrency)
-		e.latencyByUnits.Add(r.units, float64(result.Elapsed), 200)
-	case Rejected: // what gets into a full queue is late, and a fleet of full queues is overloaded
-		b.lastAnswerAt, e.lastAnswerAt, e.lastRejectionAt = now, now, now
-		b.health.ejectedUntil = max(b.health.ejectedUntil, now+50*millisecond) // a full queue moves by then
-		e.measure(b, 2*b.estimatedLatency, a.concurrency)
-	case Failed, ConnectionLost:
-		b.lastAnswerAt = now
-		b.health.consecutiveErrors++
-		if b.health.consecutiveErrors >= 3 { // single errors are normal; a dead backend refuses the next attempt
-			e.eject(now, b)
-		}
-	case ConnectFailed:
+import (
+	"time"
+
+	"fawnplank/internal/monotime"
+)
+
+const (
+	// consecutiveErrorThreshold is how many errors in a row eject a backend; single errors are normal.
+	consecutiveErrorThreshold = 3
+	// minEjectionTime doubles with each ejection, maxEjectionDoublings times at most (to 3.2 s): a short stall
+	// costs little, and a dead backend few attempts.
+	minEjectionTime      = 200 * time.Millisecond
+	maxEjectionDoublings = 4
+	// rejectionPause is the time in which a full queue moves.
+	rejectionPause = 50 * time.Millisecond
+	// healthCheckTimeout ends the wait for a health check whose answer is lost.
+	healthCheckTimeout = time.Second
+)
+
+// outlierState records what a backend's failures led to.
+type outlierState struct {
+	ejectedUntil      Instant // no attempts are sent before
+	ejections         int     // by eject, since the last success
+	consecutiveErrors int
+}
+
+// isEjected reports whether the backend gets no attempt: it is ejected, or it was and one attempt in flight
+// already tries it.
+func (o *outlierState) isEjected(now Instant, inFlight int) bool {
+	return now.Before(o.ejectedUntil) || o.ejections > 0 && inFlight > 0
+}
+
+// recordSuccess ends the series of ejections. The current one lasts until its end.
+func (o *outlierState) recordSuccess() {
+	o.ejections = 0
+	o.consecutiveErrors = 0
+}
+
+// pauseAfterRejection keeps attempts away from a full backend for rejectionPause. It is no ejection: a full
+// queue is no fault.
+func (o *outlierState) pauseAfterRejection(now Instant) {
+	o.ejectedUntil = monotime.Later(o.ejectedUntil, now.Add(rejectionPause))
+}
+
+// recordError counts an error, and ejects the backend at the consecutiveErrorThreshold.
+func (e *Engine) recordError(now Instant, b *backend) {
+	b.outlier.consecutiveErrors++
+	if b.outlier.consecutiveErrors >= consecutiveErrorThreshold {
 		e.eject(now, b)
-	case Canceled: // clients who leave early would hide overload: an attempt slow by then would be slower yet
-		latency := float64(result.Elapsed) / e.relativeCost(r.units)
-		if latency > b.estimatedLatency && !a.overdue {
-			e.measure(b, latency, a.concurrency)
-		}
 	}
 }
 
-// eject keeps attempts away from a backend for a time that doubles with each ejection, then has it checked.
-func (e *Engine) eject(now int64, b *backend) {
-	h := &b.health
-	if now < h.ejectedUntil {
+// eject keeps attempts away from a backend for a time that doubles with each ejection, then has it checked
+// where the settings allow. Without health checks a single attempt tries the backend then.
+func (e *Engine) eject(now Instant, b *backend) {
+	o := &b.outlier
+	if now.Before(o.ejectedUntil) {
 		return
 	}
-	h.ejections++
-	// 0.2 to 3.2 s: a short stall costs little, and a dead backend few tries.
-	h.ejectedUntil = now + 100*millisecond<<min(h.ejections, 5)
+	o.ejections++
+	o.ejectedUntil = now.Add(minEjectionTime << min(o.ejections-1, maxEjectionDoublings))
 	if e.settings.HealthChecks {
-		e.schedule(h.ejectedUntil, nil, func(now int64) {
-			if b.ready && h.ejections > 0 && now >= h.ejectedUntil {
-				h.ejectedUntil = now + second // until the check is answered, or by itself if the answer is lost
-				e.effects.CheckHealth(b.id)
-			}
-		})
+		e.schedule(o.ejectedUntil, nil, func(now Instant) { e.checkEjected(now, b) })
+	}
+}
+
+// checkEjected starts a health check at the end of an ejection. The backend stays ejected until the answer.
+func (e *Engine) checkEjected(now Instant, b *backend) {
+	o := &b.outlier
+	if !b.ready || o.ejections == 0 || now.Before(o.ejectedUntil) {
+		return
 	}
+	o.ejectedUntil = now.Add(healthCheckTimeout)
+	e.effects.CheckHealth(b.id)
 }
 
-// HandleHealthCheck reports a health check's outcome. A success lets a single attempt try the backend.
-func (e *Engine) HandleHealthCheck(now int64, id BackendID, outcome Outcome) {
+// HandleHealthCheck reports a health check's outcome. A success lets a single attempt try the backend; a
+// failure ejects it again.
+func (e *Engine) HandleHealthCheck(now Instant, id BackendID, outcome Outcome) {
 	b := e.backends[id]
-	if b == nil || b.health.ejections == 0 {
+	if b == nil || b.outlier.ejections == 0 {
 		return
 	}
-	b.health.ejectedUntil = now
+	b.outlier.ejectedUntil = now
 	if outcome != Succeeded {
 		e.eject(now, b)
 	}
--- /dev/null
+++ b/policy/over_quota.go
@@ -0,0 +1,22 @@
+package policy
+
+// handleOverQuota rejects a request beyond the quota until the quota has refilled enough, or forwards it where
+// that is worth its cost.
+func (r *Request) handleOverQuota(now Instant) {
+	if r.worthSendingOverQuota() && r.hasIdleBackend(now) {
+		r.forward(now)
+		return
+	}
+	r.giveUp(r.retryAfterOverQuota(now))
+}
+
+// worthSendingOverQuota reports whether the plan's requests earn more beyond the quota than they cost there.
+func (r *Request) worthSendingOverQuota() bool {
+	return r.plan.OverQuotaValue > r.plan.OverQuotaCost && !r.class.CheckOnly
+}
+
+// hasIdleBackend reports whether a backend has capacity below its concurrency limit.
+func (r *Request) hasIdleBackend(now Instant) bool {
+	b := r.engine.pickBackend(now, r, fullBudget)
+	return b != nil && b.load() <= 1
+}
--- a/policy/quota_test.go
+++ b/policy/quota_test.go
@@ -3,6 +3,7 @@
 import (
 	"strings"
 	"testing"
+	"time"
 )
 
 func TestQuota_IsThatOfTheCounter(t *testing.T) {
@@ -13,7 +14,7 @@
 	if request := h.requests[29]; request.ended != "rejected" || request.retryAfter == 0 {
 		t.Errorf("beyond the quota: %q, retry after %d", request.ended, request.retryAfter)
 	}
-	h.advance(second)
+	h.advance(time.Second)
 	if admitted := h.countAdmitted(100, 30, 1, Succeeded); admitted != 5 {
 		t.Errorf("%d admitted after a second at 5 a second", admitted)
 	}
@@ -23,7 +24,7 @@
 	h, admitted := newHarness(t, defaultSettings(), readyEndpoints(1, 2, 3)...), 0
 	for n := range 50 { // through five windows of two seconds
 		admitted += h.countAdmitted(100*n, 20, 1, Succeeded)
-		h.advance(200 * millisecond)
+		h.advance(200 * time.Millisecond)
 	}
 	if admitted < 55 || admitted > 10+50 {
 		t.Errorf("%d admitted over ten seconds of a burst of 10 and 5 a second", admitted)
@@ -36,7 +37,7 @@
 	for _, entries := range []int{2, 40} {
 		h, admitted := newHarness(t, defaultSettings(), readyEndpoints(1, 2, 3)...), 0
 		for c := range 20 { // windows start at times of each tenant's own
-			request := h.submitSpec(RequestSpec{ID: RequestID(c), Tenant: TenantID(c), Remaining: second, Units: 1,
+			request := h.submitSpec(RequestSpec{ID: RequestID(c), Tenant: TenantID(c), Remaining: time.Second, Units: 1,
 				EntryPoints: entries})
 			h.counter[h.pendingAdds[0].key] = 10 // other instances admitted the whole quota in this window
 			h.answerCounterCalls(Succeeded)
@@ -53,14 +54,14 @@
 
 func TestQuota_SlowCounterCostsOneShortWaitAndStillInforms(t *testing.T) {
 	h := newHarness(t, defaultSettings(), readyEndpoints(1, 2, 3)...)
-	request := h.submit(1, 0, 0, 1, 2*second, 1)
-	h.advance(40 * millisecond)
-	if len(request.attempts) != 1 || request.attempts[0].sentAt > 1000*second+40*millisecond {
+	request := h.submit(1, 0, 0, 1, 2*time.Second, 1)
+	h.advance(40 * time.Millisecond)
+	if len(request.attempts) != 1 || request.attempts[0].sentAt.After(startOfTest.Add(40*time.Millisecond)) {
 		t.Fatalf("not sent after the wait for the counter: %v", h.log)
 	}
 	h.counter[h.pendingAdds[0].key] = 30 // others used it up
 	h.answerCounter(Succeeded)
-	if next := h.submit(2, 0, 0, 1, 2*second, 1); len(next.attempts) > 0 || next.ended != "rejected" {
+	if next := h.submit(2, 0, 0, 1, 2*time.Second, 1); len(next.attempts) > 0 || next.ended != "rejected" {
 		t.Error("the late total was not taken in")
 	}
 }
@@ -70,7 +71,7 @@
 func TestQuota_SpoiltAnswerOfTheCounterWasAdded(t *testing.T) {
 	for outcome, want := range map[Outcome]float64{ConnectionLost: 0, ConnectFailed: 1} {
 		h := newHarness(t, defaultSettings(), readyEndpoints(1, 2, 3)...)
-		h.submit(1, 0, 0, 1, 2*second, 1)
+		h.submit(1, 0, 0, 1, 2*time.Second, 1)
 		h.answerCounter(outcome)
 		if got := h.engine.tenants[1].unreported; got != want {
 			t.Errorf("outcome %s: then %v is unreported, wanted %v", outcome, got, want)
@@ -94,9 +95,9 @@
 	h := newHarness(t, defaultSettings(), readyEndpoints(1, 2, 3)...)
 	for n := range 40 {
 		h.countAdmitted(10*n, 1, 1, ConnectFailed)
-		h.advance(400 * millisecond)
+		h.advance(400 * time.Millisecond)
 	}
-	h.advance(4 * second)
+	h.advance(4 * time.Second)
 	for n := range 60 { // the half-open call closes the breaker, and the calls come back
 		h.countAdmitted(1000+n, 1, TenantID(10+n), Succeeded)
 	}
@@ -113,10 +114,10 @@
 		settings.InstanceIndex = index
 		h := newHarness(t, settings, readyEndpoints(1, 2, 3)...)
 		h.countAdmitted(0, 12, 1, Succeeded)
-		h.advance(2100 * millisecond)
+		h.advance(2100 * time.Millisecond)
 		clear(h.counter)
 		n := len(h.log)
-		h.submit(100, 0, 0, 1, 2*second, 1)
+		h.submit(100, 0, 0, 1, 2*time.Second, 1)
 		h.answerCounter(Succeeded)
 		for _, l := range h.log[n:] {
 			if strings.Contains(l, "count") && !strings.Contains(l, "by 1.000") {
@@ -137,12 +138,12 @@
 	h := newHarness(t, settings, readyEndpoints(1, 2, 3)...)
 	for n := range 200 { // forty seconds, always beyond the share of half
 		h.countAdmitted(10*n, 2, 1, ConnectFailed)
-		h.advance(200 * millisecond)
+		h.advance(200 * time.Millisecond)
 	}
 	clear(h.counter)
 	for n := range 60 { // the half-open call closes the breaker
 		h.countAdmitted(10000+10*n, 1, TenantID(10+n), Succeeded)
-		h.advance(40 * millisecond)
+		h.advance(40 * time.Millisecond)
 	}
 	if admitted := h.countAdmitted(20000, 60, 1, Succeeded); admitted > 25 {
 		t.Errorf("%d admitted at once after an outage through which the tenant used all it could", admitted)
--- /dev/null
+++ b/policy/retry_after.go
@@ -0,0 +1,58 @@
+package policy
+
+import (
+	"time"
+
+	"fawnplank/internal/monotime"
+)
+
+// Every Retry-After of the program comes from a rule of this file. It says when a rejected client should come
+// back, and is sent if Settings.RetryAfter allows.
+
+const (
+	// retriesPerObjective is how many times a client without capacity may come back within its latency
+	// objective.
+	retriesPerObjective = 8
+	// minRefillShare is the part of a request's units for whose refill a client waits at least.
+	minRefillShare = 0.125
+	// retryAfterSpread is the random part that is added, so that clients rejected together do not come back
+	// together.
+	retryAfterSpread = 0.25
+)
+
+// retryAfterHardQuota returns when the hard quota has refilled the units that the request lacks.
+//
+// Inputs: the units lacking in this instance's part, the plan's rate in units a second.
+func (r *Request) retryAfterHardQuota(lacking float64) time.Duration {
+	return monotime.FromSeconds(lacking * r.entryPoints / r.plan.HardQuotaRate)
+}
+
+// retryAfterOverQuota returns when the plan's rate has refilled the units that the request lacks. Where only a
+// concurrency limit was reached it is the latency objective, by which an attempt should have ended.
+//
+// Inputs: the window's total and refill, the quota and the request's size, in units; the rate in units a
+// second.
+func (r *Request) retryAfterOverQuota(now Instant) time.Duration {
+	if r.plan.Rate <= 0 {
+		return r.class.LatencyObjective
+	}
+	t := r.tenant
+	lacking := t.window.total + r.units - r.plan.quota - t.refilled(now, t.window.start)
+	return monotime.FromSeconds(max(lacking, r.units*minRefillShare) / r.plan.Rate)
+}
+
+// retryAfterNoCapacity returns when to come back to backends that have no capacity, or after a failure that
+// left no time for a retry: early enough for more attempts within the latency objective.
+func (r *Request) retryAfterNoCapacity() time.Duration {
+	return r.class.LatencyObjective / retriesPerObjective
+}
+
+// advisedRetryAfter returns the Retry-After that is sent with a rejection: spread at random, at most
+// Settings.MaxRetryAfter, and 0 where none may be sent.
+func (e *Engine) advisedRetryAfter(retryAfter time.Duration) time.Duration {
+	if !e.settings.RetryAfter {
+		return 0
+	}
+	spread := time.Duration(float64(retryAfter) * e.random.Float64() * retryAfterSpread)
+	return max(min(retryAfter+spread, e.settings.MaxRetryAfter), 0)
+}
--- a/policy/selection.go
+++ b/policy/selection.go
@@ -3,88 +3,127 @@
 import (
 	"cmp"
 	"math"
+	"slices"
 )
 
-// rankBackend computes a backend's rank. Backends are ordered by measured latency relative to the fleet's, in
-// steps of some 40% (finer ones are chance); then the own zone first, where crossing has a price; then by
-// fair shares, the own first; then by the time since the last attempt, times capacity. A backend that warms
-// up goes first: its turns are few, and work may be what warms it.
-func (e *Engine) rankBackend(now int64, b *backend) {
-	warmth := e.warmth(now, b)
-	e.effectiveBackends += warmth
-	e.effectiveCapacity += warmth * b.capacity
-	fleet, warmingUp := e.latency.Value, e.warmingUp(now, b)
-	b.estimatedLatency = fleet
-	if !warmingUp {
-		b.estimatedLatency = b.latency.Blend(fleet, 3)
-	} else if e.baselineKnown() {
-		// Within its budget it has no queue, however full the warm backends are.
-		b.estimatedLatency = min(fleet, e.baselineLatency.Value)
+const (
+	// priorSamples is the weight of the fleet's latency, in answers, against a backend's own.
+	priorSamples = 3
+	// stepsPerDoubling is how many steps of the rank a doubled latency makes: some 40% each. Finer ones are
+	// chance.
+	stepsPerDoubling = 2
+	// minConcurrencyLimit and maxConcurrencyLimit bound a backend's concurrency limit, in attempts of this
+	// instance.
+	minConcurrencyLimit = 0.25
+	maxConcurrencyLimit = 2
+	// otherZoneSteps is what a crossing between zones adds to the rank, where it has a price: less than a step
+	// of the latency.
+	otherZoneSteps = 0.5
+	// warmingUpSteps is taken off a warming backend's rank: its turns are few, and work may be what warms it.
+	warmingUpSteps = 1
+)
+
+// rank orders backends: the lowest cost first, then the nearest, then the one that is most due.
+type rank struct {
+	cost float64 // steps of latency above the fleet's
+	due  float64 // nanoseconds since the last attempt, times capacity
+}
+
+// rankBackends orders the backends that are ready.
+func (e *Engine) rankBackends(now Instant) {
+	e.ranked = e.ranked[:0]
+	e.capacity.effectiveBackends = 0
+	e.capacity.effectiveCapacity = 0
+	for _, b := range e.endpoints {
+		if b.ready {
+			e.ranked = append(e.ranked, b)
+			e.rankBackend(now, b)
+		}
 	}
-	cost := math.Round(2 * math.Log2(max(b.estimatedLatency, 1)/max(fleet, 1)))
+	slices.SortFunc(e.ranked, (*backend).compareRank)
+}
+
+// rankBackend computes a backend's rank and its concurrency limit. Backends are ordered by their latency
+// relative to the fleet's, in steps; then the own zone first, where crossing has a price; then by fair shares,
+// the own first; then by the time since the last attempt, times capacity.
+func (e *Engine) rankBackend(now Instant, b *backend) {
+	warmth := e.warmth(now, b)
+	e.capacity.effectiveBackends += warmth
+	e.capacity.effectiveCapacity += warmth * b.capacity
+	b.latency.estimate = e.estimateLatency(now, b)
+	steps := math.Round(stepsPerDoubling * math.Log2(max(b.latency.estimate, 1)/max(e.latency.mean.Value, 1)))
 	// The limit follows the latency in steps too: otherwise chance alone would lift a backend over it.
-	b.concurrencyLimit = min(max(math.Exp2(-cost/2), 0.25), 2)
-	if e.settings.CrossZoneCost > 0 && b.zone != e.settings.Zone {
-		cost += 0.5
-	}
-	if warmingUp {
-		cost--
+	b.concurrencyLimit = min(max(math.Exp2(-steps/stepsPerDoubling), minConcurrencyLimit), maxConcurrencyLimit)
+	b.rank = rank{
+		cost: steps + e.rankPenalty(now, b),
+		due:  float64(now.Sub(b.lastSentAt)) * b.capacity,
 	}
-	b.rank = rank{cost: cost, due: float64(now-b.lastSentAt) * b.capacity}
 }
 
-func (b *backend) compareRank(other *backend) int {
-	return cmp.Or(cmp.Compare(b.rank.cost, other.rank.cost), cmp.Compare(b.distance, other.distance),
-		cmp.Compare(other.rank.due, b.rank.due), cmp.Compare(b.id, other.id))
+// rankPenalty returns what is added to a backend's rank besides its latency, in steps.
+func (e *Engine) rankPenalty(now Instant, b *backend) float64 {
+	penalty := 0.0
+	if e.settings.CrossZoneCost > 0 && b.zone != e.settings.Zone {
+		penalty += otherZoneSteps
+	}
+	if e.warmingUp(now, b) {
+		penalty -= warmingUpSteps
+	}
+	return penalty
 }
 
-// latencyBudget returns the likely latency that a backend may have: two fifths of the time to the objective
-// less the extra for its units (few take 2.5 times the likely), at most 2.5 baselines. Urgency scales both.
-func (e *Engine) latencyBudget(now int64, r *Request, urgency float64) float64 {
-	extra := (e.relativeCost(r.units) - 1) * e.latency.Value
-	budget := (float64(r.objectiveAt-now) - extra) / 2.5
+// estimateLatency returns a backend's latency as far as it is measured, in nanoseconds. A warming backend has
+// no queue within its budget, however full the warm ones are.
+func (e *Engine) estimateLatency(now Instant, b *backend) float64 {
+	fleet := e.latency.mean.Value
+	if !e.warmingUp(now, b) {
+		return b.latency.mean.Blend(fleet, priorSamples)
+	}
 	if e.baselineKnown() {
-		budget = min(budget, 2.5*e.baselineLatency.Value)
+		return min(fleet, e.latency.baseline.Value)
 	}
-	return budget * urgency
+	return fleet
 }
 
-// pickBackend returns the first ranked backend below its concurrency limit, or else the least loaded, of
-// those likely to answer within the latency budget; nil if there is none. An instance has at most one or two
-// attempts in flight, plus its part of one for each backend and 1.3 times what it answers in the budget.
-func (e *Engine) pickBackend(now int64, r *Request, urgency float64) *backend {
-	budget, fairShare := e.latencyBudget(now, r, urgency), e.fairSharePerBackend()
-	if float64(e.promptInFlight) >= min(2, 1+fairShare)+fairShare+1.3*e.throughput*budget/float64(second) {
+func (b *backend) compareRank(other *backend) int {
+	return cmp.Or(
+		cmp.Compare(b.rank.cost, other.rank.cost),
+		cmp.Compare(b.distance, other.distance),
+		cmp.Compare(other.rank.due, b.rank.due),
+		cmp.Compare(b.id, other.id),
+	)
+}
+
+// pickBackend returns the first ranked backend below its concurrency limit, or else the least loaded, of those
+// that may get an attempt and likely answer within the latency budget; nil if there is none, or if this
+// instance has too much in flight.
+func (e *Engine) pickBackend(now Instant, r *Request, factor budgetFactor) *backend {
+	budget := e.latencyBudget(now, r, factor)
+	if e.atInFlightLimit(budget) {
 		return nil
 	}
-	var best, first *backend
+	var usable, leastLoaded *backend
 	minLoad := math.Inf(1)
 	for _, b := range e.ranked {
-		ejected := now < b.health.ejectedUntil || b.health.ejections > 0 && b.inFlight > 0
-		if ejected || !r.mayAttempt(now, b) {
+		if b.outlier.isEjected(now, b.inFlight) || !r.mayAttempt(now, b) {
 			continue
 		}
-		first = cmp.Or(first, b)
+		usable = cmp.Or(usable, b)
 		if b.likelyLatency() > budget {
 			continue
 		}
-		load := r.loadAt(b, 2) // backends tried before go last
+		load := r.loadAt(b)
 		if load <= 1 {
 			return b
 		}
 		if load < minLoad {
-			best, minLoad = b, load
+			leastLoaded = b
+			minLoad = load
 		}
 	}
 	// With nothing in flight nothing is measured, and one late answer would close a backend until it is forgotten.
-	if best == nil && e.inFlight == 0 && e.latency.Value <= budget {
-		return first
+	if leastLoaded == nil && e.inFlight == 0 && e.latency.mean.Value <= budget {
+		return usable
 	}
-	return best
-}
-
-// likelyLatency returns the latency with one more attempt. The 2 stands for the other instances' unknown part
-// of a queue, the 1 for the concurrency at a backend that is not measured yet.
-func (b *backend) likelyLatency() float64 {
-	return b.estimatedLatency * float64(b.inFlight+3) / (max(b.latencyConcurrency, 1) + 2)
+	return leastLoaded
 }
--- a/policy/selection_test.go
+++ b/policy/selection_test.go
@@ -1,6 +1,9 @@
 package policy
 
-import "testing"
+import (
+	"testing"
+	"time"
+)
 
 // Fault: at their start many instances sent all they got before the first late answer showed a jam.
 func TestSelection_YoungInstanceOfManyHasFewInFlight(t *testing.T) {
@@ -8,7 +11,7 @@
 	settings.CounterEnabled, settings.Instances = false, 100
 	h, sent := newHarness(t, settings, readyEndpoints(1, 2, 3, 4, 5, 6, 7, 8, 9, 10)...), 0
 	for n := range 40 {
-		sent += len(h.submit(RequestID(n), 0, 0, TenantID(n), 2*second, 1).attempts)
+		sent += len(h.submit(RequestID(n), 0, 0, TenantID(n), 2*time.Second, 1).attempts)
 	}
 	if sent < 1 || sent > 4 {
 		t.Errorf("%d attempts in flight from one of 100 instances before any answer", sent)
@@ -25,9 +28,9 @@
 		settings.CounterEnabled = false
 		h := newHarness(t, settings, readyEndpoints(1, 2, 3, 4, 5, 6, 7, 8)...)
 		for n := range 10 {
-			request := h.submit(RequestID(n), 0, 0, TenantID(n), 2*second, 1)
+			request := h.submit(RequestID(n), 0, 0, TenantID(n), 2*time.Second, 1)
 			first[request.attempts[0].endpoint.Backend] = index
-			h.advance(100 * millisecond)
+			h.advance(100 * time.Millisecond)
 			h.endAttempt(request, 0, Succeeded)
 		}
 		if len(first) != 2*(index+1) {
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -1,62 +1,99 @@
 package policy
 
+import "time"
+
 // Settings configure an instance. It gets them at its start, and they may be replaced while it runs.
+// internal/config reads them, checks them and sets the defaults.
 type Settings struct {
-	InstanceIndex  int // of this instance, from 0
-	Instances      int // of the fleet
-	Zone           ZoneID
-	Classes        []ClassSettings
-	Plans          []PlanSettings
-	MaxAttempts    int
-	Hedging        bool // a second attempt may be sent while one is in flight
-	Cancellation   bool // attempts can be canceled
-	HealthChecks   bool // backends can be checked
-	RetryAfter     bool // rejections can carry a time to come back after
-	MaxRetryAfter  int64
-	CounterEnabled bool // the instances share a counter
-	CounterTimeout int64
-	PostPaid       bool // a request's actual units are known only after it
-	PollEndpoints  bool // the endpoint list comes only on demand
-	PollTimeout    int64
-	DrainGrace     int64 // how long after a drain was announced attempts may still begin at the backend
+	// InstanceIndex is this instance's number, from 0, among the fleet's Instances.
+	InstanceIndex int
+	Instances     int
+	// Zone is the zone in which the instance runs.
+	Zone ZoneID
+	// Classes and Plans are indexed by ClassID and PlanID. A replacement may only add rows.
+	Classes []ClassSettings
+	Plans   []PlanSettings
+
+	// MaxAttempts bounds a request's attempts, the first included.
+	MaxAttempts int
+	// Hedging allows a second attempt while one is in flight.
+	Hedging bool
+	// Cancellation allows attempts in flight to be canceled.
+	Cancellation bool
+	// HealthChecks allows calls that only check a backend.
+	HealthChecks bool
+	// RetryAfter allows rejections to say after what time to come back, MaxRetryAfter at most.
+	RetryAfter    bool
+	MaxRetryAfter time.Duration
+
+	// CounterEnabled says that the instances share a counter, which itself gives up a call after
+	// CounterTimeout.
+	CounterEnabled bool
+	CounterTimeout time.Duration
+	// PostPaid says that a request's actual units are known only after it.
+	PostPaid bool
+
+	// PollEndpoints says that the endpoint list comes only on demand; a poll may take PollTimeout.
+	PollEndpoints bool
+	PollTimeout   time.Duration
+	// DrainGrace is how long attempts may still begin at a backend after its drain was announced.
+	DrainGrace time.Duration
 
 	// A backend starts with SlowStartShare of its capacity and has all of it after SlowStartDuration. It
 	// collapses when it gets OverloadMultiple times what it bears within any OverloadWindow.
 	SlowStartShare    float64
-	SlowStartDuration int64
+	SlowStartDuration time.Duration
 	OverloadMultiple  float64
-	OverloadWindow    int64
+	OverloadWindow    time.Duration
 
-	CrossZoneCost float64 // of an attempt in another zone; 0: none
+	// CrossZoneCost is the price of an attempt in another zone; 0: none.
+	CrossZoneCost float64
 }
 
 // ClassSettings are the promises made for a class of requests.
 type ClassSettings struct {
-	Idempotency      Idempotency
-	DedupScope       DedupScope
-	DedupWindow      int64 // how long backends know repeats of a request with a key, from its first attempt
-	LatencyObjective int64
-	Deadline         int64
-	LateValue        float64      // share of the value that an answer after the latency objective keeps
-	FallbackMode     FallbackMode // the simulator's wire names none, so its instances use their local share
-	CheckOnly        bool         // only asks the quota: requests are counted, admitted and not sent
+	Idempotency Idempotency
+	// DedupScope and DedupWindow matter for requests that are idempotent with a key: which backends know
+	// their repeats, and for how long after the first attempt.
+	DedupScope  DedupScope
+	DedupWindow time.Duration
+	// LatencyObjective is the time within which an answer has its full value, and Deadline the time after
+	// which the client gives up.
+	LatencyObjective time.Duration
+	Deadline         time.Duration
+	// LateValue is the share of its value that an answer after the latency objective keeps.
+	LateValue float64
+	// FallbackMode decides while the counter gives no answer. The simulator's wire names none, so its
+	// instances use their local share.
+	FallbackMode FallbackMode
+	// CheckOnly marks a class that only asks the quota: its requests are counted, admitted and not sent.
+	CheckOnly bool
 }
 
-// PlanSettings are a plan's quotas, each for one tenant over all instances.
+// PlanSettings are a plan's quotas, each for one tenant over all instances. A value of 0 means that the plan
+// has no such quota.
 type PlanSettings struct {
-	Rate             float64 // units a second; 0: no such quota
-	Burst            float64 // units
-	ConcurrencyLimit int     // attempts in flight; 0: no such quota
-	HardQuotaRate    float64 // units a second; 0: no hard quota
-	HardQuotaBurst   float64 // units
-	OverQuotaValue   float64 // share of the value that a request beyond the quota earns
-	OverQuotaCost    float64 // share of the value that sending a request beyond the quota costs
+	// Rate, in units a second, and Burst, in units, are the quota's token bucket.
+	Rate  float64
+	Burst float64
+	// ConcurrencyLimit bounds the attempts in flight.
+	ConcurrencyLimit int
+	// HardQuotaRate, in units a second, and HardQuotaBurst, in units, are never exceeded (rule 5).
+	HardQuotaRate  float64
+	HardQuotaBurst float64
+	// OverQuotaValue and OverQuotaCost are the shares of a request's value that sending it beyond the quota
+	// earns and costs.
+	OverQuotaValue float64
+	OverQuotaCost  float64
 }
 
-// DiscoveryTimeouts bound the calls to discovery, in nanoseconds.
+// DiscoveryTimeouts bound the calls to discovery.
 type DiscoveryTimeouts struct {
-	Watch      int64 // how long a watch waits for an event
-	Lateness   int64 // how much later than that its answer may come
-	Snapshot   int64 // how long a full snapshot may take
-	RetryDelay int64 // how long after a failure the next call is made
+	// Watch is how long a watch waits for an event, and Lateness how much later its answer may come.
+	Watch    time.Duration
+	Lateness time.Duration
+	// Snapshot is how long a full snapshot may take.
+	Snapshot time.Duration
+	// RetryDelay is the longest wait between a failure and the next call.
+	RetryDelay time.Duration
 }
