--- a/policy/slow_start.go
+++ b/policy/slow_start.go
@@ -1,9 +1,32 @@
 package policy
 
-import "fawnplank/internal/hash64"
+import (
+	"time"
 
-// warmth returns the part of its capacity that a backend has. It rises evenly, a window late to be safe.
-func (e *Engine) warmth(now int64, b *backend) float64 {
+	"fawnplank/policy/internal/hash64"
+)
+
+// Rule 4: all instances together send a warming backend at most a stated multiple of what it bears, though none
+// knows what the others send.
+
+const (
+	// budgetDivisor is the part of the overload multiple that the instances plan for, a third: requests differ in work.
+	budgetDivisor = 3
+	// baselineServiceRatio is the service time of one core, as a multiple of the baseline latency.
+	baselineServiceRatio = 1.5
+	// minTurnSpacing is how much of the time between its turns an instance waits after an attempt: a change in
+	// the measurements shifts the numbers of the attempts.
+	minTurnSpacing = 0.75
+)
+
+// warmingUp reports whether a backend may still lack a part of its capacity.
+func (e *Engine) warmingUp(now Instant, b *backend) bool {
+	return !b.startedAt.IsZero() && now.Sub(b.startedAt) < e.settings.SlowStartDuration
+}
+
+// warmth returns the part of its capacity that a backend has, from Settings.SlowStartShare to 1. It is taken to
+// rise evenly, and an overload window late to be safe.
+func (e *Engine) warmth(now Instant, b *backend) float64 {
 	if !e.warmingUp(now, b) {
 		return 1
 	}
@@ -12,38 +35,79 @@
 	return s.SlowStartShare + (1-s.SlowStartShare)*risen/float64(s.SlowStartDuration)
 }
 
-// slowStartRate returns how many attempts per nanosecond all instances may send to a backend once it is warm.
-func (r *Request) slowStartRate(b *backend) float64 {
-	e := r.engine
-	serviceTime := float64(r.class.LatencyObjective) / 2 // nothing measured yet: few objectives are tighter
-	if e.baselineKnown() {
-		serviceTime = e.baselineLatency.Value * 1.5
-	}
-	rate := e.settings.OverloadMultiple / 3 * max(1/max(serviceTime, 1), e.peakBackendThroughput/float64(second))
-	return rate * min(b.capacity/e.meanCapacity, 1)
+// ageBeyond returns by how much a backend's age exceeds a span, in nanoseconds, or 0.
+func (b *backend) ageBeyond(now Instant, span time.Duration) float64 {
+	return float64(max(now.Sub(b.startedAt)-span, 0))
 }
 
-// slowStartAllows keeps all instances together within half the multiple of what a warming backend bears,
-// since requests differ in work: a third of what a warm one of its capacity (at most the mean) does, which is
-// one core's work of 1.5 baseline latencies, or more if warm ones are seen to do more. Attempts are numbered
-// from its start and go to the instances in turn, one each. A turn lasts half a window, and the rest of the
-// half allows that: one of many seldom has something to send just then. So the sum holds for any number of
-// instances without messages. One just started waits a window: its earlier incarnation may have sent much.
-func (r *Request) slowStartAllows(now int64, b *backend) bool {
+// slowStartAllows reports whether a backend that warms up may get an attempt of this instance now: one that is
+// warm always may. The attempts that the budget allows a backend are numbered from its start, and go to the
+// instances in turn, one each; so the sum holds for any number of instances without messages between them.
+//
+// An instance that just started waits for an overload window, since its earlier incarnation may have sent
+// much.
+func (r *Request) slowStartAllows(now Instant, b *backend) bool {
 	e := r.engine
 	if !e.warmingUp(now, b) {
 		return true
 	}
-	s, warmth := &e.settings, e.warmth(now, b)
-	instances := float64(max(s.Instances, 1))
+	if now.Sub(e.startedAt) < e.settings.OverloadWindow {
+		return false
+	}
+	warmth := e.warmth(now, b)
 	rate := r.slowStartRate(b)
-	atShare := s.SlowStartShare * float64(max(now-b.startedAt, 0))
-	number := rate * (atShare + (warmth-s.SlowStartShare)*b.ageBeyond(now, s.OverloadWindow)/2)
-	offset := hash64.Mix(uint64(b.id)) + uint64(instances) - uint64(s.InstanceIndex)
-	turnsPassed := float64((offset + uint64(number)) % uint64(instances))
-	rate *= warmth
-	hasTurn := turnsPassed < max(1, rate*float64(s.OverloadWindow)/2)
-	// Wait 3/4 of the time between the instance's turns: a change in the measurements shifts the numbers.
-	return now-e.startedAt >= s.OverloadWindow && hasTurn &&
-		(b.lastSlowStartAt == 0 || float64(now-b.lastSlowStartAt)*rate >= 0.75*instances)
+	return e.hasSlowStartTurn(now, b, slowStartBudget{warmth: warmth, rate: rate}) &&
+		e.slowStartTurnSpaced(now, b, rate*warmth)
+}
+
+// slowStartBudget is how much a warming backend may get from all instances.
+type slowStartBudget struct {
+	warmth float64 // part of its capacity that it has
+	rate   float64 // attempts a nanosecond, of a warm backend
+}
+
+// hasSlowStartTurn reports whether the current attempt of a backend's budget belongs to this instance. A turn
+// lasts half an overload window, for which the budget's other half allows: one instance of many seldom has
+// something to send just when its turn begins.
+func (e *Engine) hasSlowStartTurn(now Instant, b *backend, budget slowStartBudget) bool {
+	instances := uint64(e.instances())
+	offset := hash64.Mix(uint64(b.id)) + instances - uint64(e.settings.InstanceIndex)
+	turnsPassed := float64((offset + uint64(e.budgetedAttempts(now, b, budget))) % instances)
+	turnLength := budget.rate * budget.warmth * float64(e.settings.OverloadWindow) / 2
+	return turnsPassed < max(1, turnLength)
+}
+
+// budgetedAttempts returns how many attempts the budget has allowed a backend since its start: the integral of
+// its rate over its warmth, which starts at the slow start's share.
+func (e *Engine) budgetedAttempts(now Instant, b *backend, budget slowStartBudget) float64 {
+	s := &e.settings
+	atShare := s.SlowStartShare * float64(max(now.Sub(b.startedAt), 0))
+	risen := (budget.warmth - s.SlowStartShare) * b.ageBeyond(now, s.OverloadWindow) / 2
+	return budget.rate * (atShare + risen)
+}
+
+// slowStartTurnSpaced reports whether this instance's last attempt at a warming backend is minTurnSpacing of
+// the time between its turns ago. rate is in attempts a nanosecond, of all instances.
+func (e *Engine) slowStartTurnSpaced(now Instant, b *backend, rate float64) bool {
+	if b.lastSlowStartAt.IsZero() {
+		return true
+	}
+	return float64(now.Sub(b.lastSlowStartAt))*rate >= minTurnSpacing*float64(e.instances())
+}
+
+// slowStartRate returns how many attempts a nanosecond all instances may send to a backend once it is warm: a
+// third of the overload multiple times what a warm one of its capacity, at most the mean, does. That is one
+// core's work of baselineServiceRatio baseline latencies, or more if warm backends are seen to do more.
+//
+// Inputs: the baseline latency (before it is known, half the latency objective: few are tighter), the peak of
+// the throughput of a backend, the backend's capacity relative to the mean.
+func (r *Request) slowStartRate(b *backend) float64 {
+	e := r.engine
+	serviceTime := float64(r.class.LatencyObjective) / 2
+	if e.baselineKnown() {
+		serviceTime = e.latency.baseline.Value * baselineServiceRatio
+	}
+	warmRate := max(1/max(serviceTime, 1), e.throughput.peakPerBackend/float64(time.Second))
+	rate := e.settings.OverloadMultiple / budgetDivisor * warmRate
+	return rate * min(b.capacity/e.capacity.meanCapacity, 1)
 }
--- a/policy/slow_start_test.go
+++ b/policy/slow_start_test.go
@@ -5,6 +5,7 @@
 	"os"
 	"strconv"
 	"testing"
+	"time"
 )
 
 // Fault: with many instances none could send anything to a backend that warmed up, and an enlarged fleet
@@ -16,13 +17,13 @@
 		settings.InstanceIndex = index
 		settings.Instances = 8
 		settings.CounterEnabled = false
-		settings.Classes[0].LatencyObjective = 400 * millisecond
-		started := startOfTest - 8*second
+		settings.Classes[0].LatencyObjective = 400 * time.Millisecond
+		started := startOfTest.Add(-8 * time.Second)
 		h := newHarness(t, settings, Endpoint{Backend: 1, State: EndpointReady, Capacity: 1, StartedAt: started})
-		h.advance(1100 * millisecond)
+		h.advance(1100 * time.Millisecond)
 		for n := range 15 {
-			h.submit(RequestID(n), 0, 0, TenantID(n), 2*second, 1)
-			h.advance(48 * millisecond)
+			h.submit(RequestID(n), 0, 0, TenantID(n), 2*time.Second, 1)
+			h.advance(48 * time.Millisecond)
 		}
 		sent += len(h.sentTimes[1])
 	}
@@ -33,30 +34,30 @@
 
 // Fault: backends that warm up were kept to the pace of one core while warm ones answered many times that.
 func TestSlowStart_BudgetFollowsWhatWarmBackendsTake(t *testing.T) {
-	sent := map[int64]int{}
+	sent := map[time.Duration]int{}
 	// Answers take 200 ms in both: many cores, or few used.
-	for _, gap := range []int64{100 * millisecond, 5 * millisecond} {
+	for _, gap := range []time.Duration{100 * time.Millisecond, 5 * time.Millisecond} {
 		settings := defaultSettings()
 		settings.Instances = 1
 		settings.CounterEnabled = false
 		settings.OverloadMultiple = 4
 		h := newHarness(t, settings, readyEndpoints(1, 2, 3, 4, 5, 6, 7, 8)...)
-		for n := 0; h.now < 1020*second; n++ {
-			if h.now >= 1012*second && len(h.endpoints) == 8 {
-				h.update(Delta, Endpoint{Backend: 9, State: EndpointReady, Capacity: 1, StartedAt: 1011 * second})
+		for n := 0; h.now.Before(atSecond(1020)); n++ {
+			if !h.now.Before(atSecond(1012)) && len(h.endpoints) == 8 {
+				h.update(Delta, Endpoint{Backend: 9, State: EndpointReady, Capacity: 1, StartedAt: atSecond(1011)})
 			}
-			h.submit(RequestID(n), 0, 0, TenantID(n), 2*second, 1)
+			h.submit(RequestID(n), 0, 0, TenantID(n), 2*time.Second, 1)
 			h.advance(gap)
 			for _, id := range h.order[max(n-60, 0):] {
 				request := h.requests[id]
-				if len(request.attempts) > 0 && h.now-request.attempts[0].sentAt >= 200*millisecond {
+				if len(request.attempts) > 0 && h.now.Sub(request.attempts[0].sentAt) >= 200*time.Millisecond {
 					h.endAttempt(request, 0, Succeeded)
 				}
 			}
 		}
 		sent[gap] = len(h.sentTimes[9])
 	}
-	if sent[5*millisecond] < 2*sent[100*millisecond] || sent[100*millisecond] == 0 {
+	if sent[5*time.Millisecond] < 2*sent[100*time.Millisecond] || sent[100*time.Millisecond] == 0 {
 		t.Errorf("attempts at a backend that warms up by the gap between requests: %v", sent)
 	}
 }
@@ -76,20 +77,20 @@
 			warm = append(warm, BackendID(10+b))
 		}
 		h := newHarness(t, settings, readyEndpoints(warm...)...)
-		for n := 0; h.now < 1025*second; n++ {
-			request := h.submit(RequestID(n), 0, 0, TenantID(n), 2*second, 1)
-			h.advance(100 * millisecond)
-			if len(request.attempts) > 0 && h.now < 1020*second { // from then on nobody answers
+		for n := 0; h.now.Before(atSecond(1025)); n++ {
+			request := h.submit(RequestID(n), 0, 0, TenantID(n), 2*time.Second, 1)
+			h.advance(100 * time.Millisecond)
+			if len(request.attempts) > 0 && h.now.Before(atSecond(1020)) { // from then on nobody answers
 				h.endAttempt(request, 0, Succeeded)
 			}
-			h.advance(100 * millisecond)
-			if h.now >= 1020*second && len(h.endpoints) == 20 {
-				h.update(Delta, Endpoint{Backend: 3, State: EndpointReady, Capacity: 1, StartedAt: 1019 * second})
+			h.advance(100 * time.Millisecond)
+			if !h.now.Before(atSecond(1020)) && len(h.endpoints) == 20 {
+				h.update(Delta, Endpoint{Backend: 3, State: EndpointReady, Capacity: 1, StartedAt: atSecond(1019)})
 			}
 		}
 		sent += len(h.sentTimes[3])
 		for _, at := range h.sentTimes[3] {
-			sentIn[at/second]++
+			sentIn[at.Nanos()/int64(time.Second)]++
 		}
 	}
 	// It bears four times a share, from 0.2 to 0.7, of the 15 a second that a warm one was seen to answer.
@@ -114,24 +115,24 @@
 		settings.Instances = 80
 		settings.CounterEnabled = false
 		settings.OverloadMultiple = 4
-		settings.OverloadWindow, settings.SlowStartDuration = 2*second, 20*second
+		settings.OverloadWindow, settings.SlowStartDuration = 2*time.Second, 20*time.Second
 		h := newHarness(t, settings, readyEndpoints(10, 11, 12, 13, 14, 15, 16, 17)...)
-		h.advance(int64(index) * 5 * millisecond)
-		for n := 0; h.now < 1035*second; n++ {
-			request := h.submit(RequestID(n), 0, 0, TenantID(n), 2*second, 1)
-			if h.advance(200 * millisecond); len(request.attempts) > 0 {
+		h.advance(time.Duration(index) * 5 * time.Millisecond)
+		for n := 0; h.now.Before(atSecond(1035)); n++ {
+			request := h.submit(RequestID(n), 0, 0, TenantID(n), 2*time.Second, 1)
+			if h.advance(200 * time.Millisecond); len(request.attempts) > 0 {
 				h.endAttempt(request, 0, Succeeded)
 			}
-			h.advance(200 * millisecond)
-			if len(h.endpoints) == 8 && h.now >= 1019*second {
-				h.update(Delta, Endpoint{Backend: 3, State: EndpointReady, Capacity: 1, StartedAt: 1019 * second})
+			h.advance(200 * time.Millisecond)
+			if len(h.endpoints) == 8 && !h.now.Before(atSecond(1019)) {
+				h.update(Delta, Endpoint{Backend: 3, State: EndpointReady, Capacity: 1, StartedAt: atSecond(1019)})
 			}
-			if h.now >= 1025*second { // a jam: as if all had answered late
-				h.engine.latency.Value = 0.45 * float64(second)
+			if !h.now.Before(atSecond(1025)) { // a jam: as if all had answered late
+				h.engine.latency.mean.Value = 0.45 * float64(time.Second)
 			}
 		}
 		for _, at := range h.sentTimes[3] {
-			sentIn[at/second]++
+			sentIn[at.Nanos()/int64(time.Second)]++
 			sent++
 		}
 	}
@@ -164,7 +165,7 @@
 				}
 				worst := worstOf(t, scenario.prepare, c, uint64(k*7+i), seeds)
 				line := fmt.Sprintf("%s | %d of N %.1f, bound %.1f (%.2f) at %.1f s; %d in all", c, worst.sent,
-					worst.budget, worst.bound, worst.part, float64(worst.age)/float64(second), worst.attempts)
+					worst.budget, worst.bound, worst.part, float64(worst.age)/float64(time.Second), worst.attempts)
 				if t.Log(line); worst.part > 1 {
 					t.Errorf("rule 4: %s", line)
 				}
@@ -185,7 +186,7 @@
 		f := newFleet(t, c, firstSeed+n)
 		prepare(f)
 		f.startAll()
-		f.play(scenarioAt + 2*second + c.warmUp)
+		f.play(scenarioAt + 2*time.Second + c.warmUp)
 		attempts += f.worst.attempts
 		if f.worst.part > worst.part {
 			worst = f.worst
@@ -196,21 +197,21 @@
 }
 
 var fleets = []fleetSettings{
-	{instances: 20, backends: 12, cores: 1, work: 100 * millisecond,
-		multiple: 2, share: 0.2, window: second, warmUp: 10 * second},
-	{instances: 30, backends: 12, cores: 4, work: 150 * millisecond,
-		multiple: 2.5, share: 0.3, window: 2 * second, warmUp: 12 * second},
-	{instances: 30, backends: 10, cores: 8, work: 200 * millisecond,
-		multiple: 4, share: 0.45, window: second, warmUp: 6 * second},
-	{instances: 20, backends: 12, cores: 2, work: 100 * millisecond,
-		multiple: 2, share: 0.18, window: 2 * second, warmUp: 18 * second},
-	{instances: 300, backends: 12, cores: 1, work: 150 * millisecond,
-		multiple: 4, share: 0.25, window: 2 * second, warmUp: 15 * second},
-	{instances: 300, backends: 6, cores: 4, work: 100 * millisecond,
-		multiple: 2.5, share: 0.35, window: second, warmUp: 12 * second},
+	{instances: 20, backends: 12, cores: 1, work: 100 * time.Millisecond,
+		multiple: 2, share: 0.2, window: time.Second, warmUp: 10 * time.Second},
+	{instances: 30, backends: 12, cores: 4, work: 150 * time.Millisecond,
+		multiple: 2.5, share: 0.3, window: 2 * time.Second, warmUp: 12 * time.Second},
+	{instances: 30, backends: 10, cores: 8, work: 200 * time.Millisecond,
+		multiple: 4, share: 0.45, window: time.Second, warmUp: 6 * time.Second},
+	{instances: 20, backends: 12, cores: 2, work: 100 * time.Millisecond,
+		multiple: 2, share: 0.18, window: 2 * time.Second, warmUp: 18 * time.Second},
+	{instances: 300, backends: 12, cores: 1, work: 150 * time.Millisecond,
+		multiple: 4, share: 0.25, window: 2 * time.Second, warmUp: 15 * time.Second},
+	{instances: 300, backends: 6, cores: 4, work: 100 * time.Millisecond,
+		multiple: 2.5, share: 0.35, window: time.Second, warmUp: 12 * time.Second},
 }
 
-const scenarioAt = 12 * second // from the play's beginning, when the instances know their fleet
+const scenarioAt = 12 * time.Second // from the play's beginning, when the instances know their fleet
 
 // restartThird restarts a third of the backends at once.
 func (f *fleet) restartThird() {
@@ -226,13 +227,13 @@
 	{"a third restarts", func(f *fleet) { f.after(scenarioAt, f.restartThird) }},
 	{"six in ten replaced in 7 s", func(f *fleet) {
 		for n := range f.backends * 6 / 10 {
-			f.after(scenarioAt+int64(n)*7*second/int64(f.backends*6/10), func() { f.replace(BackendID(n+1), 1) })
+			f.after(scenarioAt+time.Duration(n)*7*time.Second/time.Duration(f.backends*6/10), func() { f.replace(BackendID(n+1), 1) })
 		}
 	}},
 	{"instances upgraded by tenths", func(f *fleet) {
 		f.after(scenarioAt, f.restartThird)
 		for index := range f.instances {
-			f.after(scenarioAt-2*second+int64(index*10/f.instances)*second, func() { f.upgrade(index, 3*second) })
+			f.after(scenarioAt-2*time.Second+time.Duration(index*10/f.instances)*time.Second, func() { f.upgrade(index, 3*time.Second) })
 		}
 	}},
 	{"one hot instance, others thin", func(f *fleet) {
@@ -243,7 +244,7 @@
 			return 0.5 + float64(index%4)/4
 		})
 		for index := range f.latency {
-			f.latency[index] = int64(index%5) * 30 * millisecond
+			f.latency[index] = time.Duration(index%5) * 30 * time.Millisecond
 		}
 		f.after(scenarioAt, f.restartThird)
 	}},
@@ -268,8 +269,8 @@
 	}},
 	{"warming up twice", func(f *fleet) {
 		f.after(scenarioAt, f.restartThird)
-		f.after(scenarioAt+2500*millisecond, f.restartThird)
-		f.after(scenarioAt+3*second+f.warmUp/2, f.restartThird)
+		f.after(scenarioAt+2500*time.Millisecond, f.restartThird)
+		f.after(scenarioAt+3*time.Second+f.warmUp/2, f.restartThird)
 	}},
 	{"traffic at a third of the instances", func(f *fleet) {
 		f.traffic(func(index int) float64 { return float64(1 - min(index%3, 1)) })
@@ -282,14 +283,14 @@
 	{"the instances with traffic change", func(f *fleet) {
 		for n := range 3 {
 			weight := func(index int) float64 { return max(0.02, float64(1-min((index+n)%3, 1))) }
-			f.after(int64(n)*4*second, func() { f.traffic(weight) })
+			f.after(time.Duration(n)*4*time.Second, func() { f.traffic(weight) })
 		}
 		f.after(scenarioAt, func() { f.traffic(func(int) float64 { return 1 }) })
 		f.after(scenarioAt, f.restartThird)
 	}},
 	{"all start at once", func(f *fleet) {
 		for _, id := range f.ids {
-			f.backendByID[id].started = f.now + 1
+			f.backendByID[id].started = f.now.Add(1)
 		}
 	}},
 	{"little traffic, then much", func(f *fleet) {
@@ -301,7 +302,7 @@
 	{"starts stated 30 s ahead", func(f *fleet) {
 		f.after(scenarioAt, func() {
 			for n := range f.backends / 3 {
-				f.backendByID[BackendID(n+1)].ahead = 30 * second
+				f.backendByID[BackendID(n+1)].ahead = 30 * time.Second
 			}
 			f.restartThird()
 		})
--- a/policy/status.go
+++ b/policy/status.go
@@ -1,6 +1,6 @@
 package policy
 
-import "fawnplank/internal/nanos"
+import "fawnplank/internal/monotime"
 
 // QuotaStatus is what this instance knows about a tenant's quota, for callers that ask without counting.
 type QuotaStatus struct {
@@ -11,30 +11,38 @@
 	HardQuotaLeft float64 // units left of this instance's part of the hard quota; -1: the plan has none
 }
 
+// QuotaQuery names the quota that is asked for: that of a tenant under a plan, whose requests come in through
+// EntryPoints instances.
+type QuotaQuery struct {
+	Tenant      TenantID
+	Plan        PlanID
+	EntryPoints int
+}
+
 // QuotaStatus returns what is known about a tenant's quota now. It counts nothing. ok is false if the plan is
 // out of range.
-func (e *Engine) QuotaStatus(now int64, id TenantID, plan PlanID, entryPoints int) (_ QuotaStatus, ok bool) {
-	if int(plan) >= len(e.plans) {
+func (e *Engine) QuotaStatus(now Instant, query QuotaQuery) (_ QuotaStatus, ok bool) {
+	if int(query.Plan) >= len(e.plans) {
 		return QuotaStatus{}, false
 	}
-	p := &e.plans[plan]
-	parts := float64(max(entryPoints, 1))
+	p := &e.plans[query.Plan]
+	parts := float64(max(query.EntryPoints, 1))
 	status := QuotaStatus{Limit: p.quota, Rate: p.Rate, HardQuotaLeft: -1}
 	if p.HardQuotaRate > 0 {
 		status.HardQuotaLeft = p.HardQuotaBurst / parts
 	}
-	t := e.tenants[id]
+	t := e.tenants[query.Tenant]
 	if t == nil || t.plan != p {
 		return status, true
 	}
 	if p.HardQuotaRate > 0 {
-		refill := nanos.Seconds(now-t.hardQuota.UpdatedAt) * p.HardQuotaRate / parts
+		refill := monotime.Seconds(now.Sub(t.hardQuota.UpdatedAt)) * p.HardQuotaRate / parts
 		status.HardQuotaLeft = min(t.hardQuota.Units+refill, status.HardQuotaLeft)
 	}
 	if !e.breaker.IsClosed() || t.window.counterTotal == 0 && t.window.total == 0 {
-		status.Used = t.localUsage.UnrefilledAt(now, t.trafficShare(parts), p.Rate)
+		status.Used = t.localUsage.UnrefilledAt(now, t.traffic.share(parts), p.Rate)
 	} else {
-		status.Used = max(t.window.total+t.unreported-nanos.Accrued(p.Rate, now-t.window.start), 0)
+		status.Used = max(t.window.total+t.unreported-monotime.Accrued(p.Rate, now.Sub(t.window.start)), 0)
 		status.FromCounter = t.window.counterTotal > 0
 	}
 	return status, true
@@ -56,7 +64,7 @@
 
 // CounterStats returns the current statistics.
 func (e *Engine) CounterStats() CounterStats {
-	stats := CounterStats{BreakerOpen: e.BreakerOpen(), CallShare: e.callShare, Tenants: len(e.tenants)}
+	stats := CounterStats{BreakerOpen: e.BreakerOpen(), CallShare: e.breaker.callShare, Tenants: len(e.tenants)}
 	for _, t := range e.tenants {
 		stats.UnreportedUnits += max(t.unreported, 0)
 		stats.LostUnits += max(t.window.lostUnits, 0)
--- a/policy/timers.go
+++ b/policy/timers.go
@@ -1,33 +1,35 @@
 package policy
 
+import "fawnplank/internal/monotime"
+
 // tickTimer is the number of the periodic timer; wakes for the earliest due time are numbered from 1.
 const tickTimer TimerID = 0
 
 // timer is a function to run at a due time. It is obsolete if while is set and is false by then.
 type timer struct {
 	while *bool
-	run   func(now int64)
+	run   func(now Instant)
 }
 
 func (t timer) isObsolete() bool { return t.while != nil && !*t.while }
 
 // schedule runs a function at a time or soon after, if while is nil or still true then. Most functions
 // scheduled for a request are obsolete by their time, and no wake is requested for them.
-func (e *Engine) schedule(at int64, while *bool, run func(now int64)) {
+func (e *Engine) schedule(at Instant, while *bool, run func(now Instant)) {
 	e.timers.Push(at, timer{while: while, run: run})
-	if e.wakeAt == 0 || at < e.wakeAt {
+	if e.wakeAt.IsZero() || at.Before(e.wakeAt) {
 		e.requestWake(at)
 	}
 }
 
-func (e *Engine) requestWake(at int64) {
+func (e *Engine) requestWake(at Instant) {
 	e.wakeAt = at
 	e.wakeID++
 	e.effects.WakeAt(at, e.wakeID)
 }
 
 // HandleTimer runs the functions that are due. id is the timer that Effects.WakeAt was given.
-func (e *Engine) HandleTimer(now int64, id TimerID) {
+func (e *Engine) HandleTimer(now Instant, id TimerID) {
 	if id == tickTimer {
 		e.tick(now)
 		return
@@ -40,9 +42,9 @@
 			t.run(now)
 		}
 	}
-	e.wakeAt = 0
+	e.wakeAt = Instant{}
 	// A clock coarser than ours may wake a little early: this then asks again for the same time.
 	if next, ok := e.timers.NextDue(timer.isObsolete); ok {
-		e.requestWake(max(next, now+1))
+		e.requestWake(monotime.Later(next, now.Add(1)))
 	}
 }
--- a/policy/timers_test.go
+++ b/policy/timers_test.go
@@ -1,19 +1,22 @@
 package policy
 
-import "testing"
+import (
+	"testing"
+	"time"
+)
 
 // Fault: a wake came a little before its time on a coarser clock, and none was asked for again.
 func TestTimers_EarlyWakeAsksAgain(t *testing.T) {
 	h := newHarness(t, defaultSettings(), readyEndpoints(1)...)
-	h.submit(1, 0, 0, 1, 2*second, 1)
+	h.submit(1, 0, 0, 1, 2*time.Second, 1)
 	w := h.wakes[len(h.wakes)-1]
 	h.wakes = nil
-	h.now = w.at - 1
+	h.now = w.at.Add(-1)
 	h.engine.HandleTimer(h.now, w.timer)
 	if len(h.wakes) != 1 {
 		t.Fatal("no wake asked for again")
 	}
-	h.advance(10 * millisecond)
+	h.advance(10 * time.Millisecond)
 	if len(h.sentTimes[1]) != 1 {
 		t.Error("the request was forgotten")
 	}
--- a/policy/types.go
+++ b/policy/types.go
@@ -1,6 +1,14 @@
 package policy
 
-import "strconv"
+import (
+	"strconv"
+	"time"
+
+	"fawnplank/internal/monotime"
+)
+
+// Instant is a moment on the caller's monotonic clock.
+type Instant = monotime.Instant
 
 // Each kind of id has its own type. Ids can only be compared for equality.
 type (
@@ -34,7 +42,7 @@
 const (
 	Succeeded      Outcome = iota
 	Failed                 // answered with an error; may have run
-	Rejected               // turned away unseen; did not run
+	Rejected               // refused before it was processed; did not run
 	TimedOut               // no answer in time; may have run
 	ConnectFailed          // no connection; did not run
 	ConnectionLost         // the connection broke; may have run
@@ -132,7 +140,7 @@
 	Group     GroupID
 	Capacity  float64 // stated capacity, relative to the others
 	State     EndpointState
-	StartedAt int64 // 0: long ago
+	StartedAt Instant // zero: long ago
 }
 
 // RequestSpec describes a request as it arrives.
@@ -141,20 +149,39 @@
 	Class  ClassID
 	Plan   PlanID
 	Tenant TenantID
-	// Remaining is the time until the client gives up, in nanoseconds.
-	Remaining int64
-	Units     float64
+	// Remaining is the time until the client gives up.
+	Remaining time.Duration
+	// Units is what the request adds to its tenant's count.
+	Units float64
 	// The tenant's requests come in through EntryPoints instances in a row, from FirstInstance on.
 	EntryPoints   int
 	FirstInstance int
 }
 
+// AttemptSpec describes an attempt that is to be sent.
+type AttemptSpec struct {
+	Request RequestID
+	Backend BackendID
+	// ExpiresAt is when the attempt ends as TimedOut; zero: when the client gives up.
+	ExpiresAt Instant
+	// StartBefore bounds the wait for a connection: from then on the first byte must not be written.
+	StartBefore Instant
+}
+
+// CounterResult is how the oldest unanswered call for a count ended.
+type CounterResult struct {
+	Key     CounterKey
+	Outcome Outcome
+	// Total is the count after the call, in units. It is valid if Outcome is Succeeded.
+	Total float64
+}
+
 // AttemptResult is how an attempt ended.
 type AttemptResult struct {
 	Attempt AttemptID
 	Outcome Outcome
-	// Elapsed is the time since the attempt was sent, in nanoseconds.
-	Elapsed int64
+	// Elapsed is the time since the attempt was sent.
+	Elapsed time.Duration
 	// RequestDone says that the client has its answer: no other attempt can follow.
 	RequestDone bool
 	// ActualUnits is what the request really counted, if that is known only afterwards; otherwise 0.
--- a/policy/warm_start_test.go
+++ b/policy/warm_start_test.go
@@ -3,16 +3,17 @@
 import (
 	"math"
 	"testing"
+	"time"
 )
 
 // What an earlier incarnation measured counts by its age: at once for all, after hours for next to nothing; a
-// backend that was started anew since is unknown; and what rule 4 rests on is not taken over.
+// backend that was started anew since is unknown; and what rule 4 rests on is not adopted.
 func TestImportState_IsAged(t *testing.T) {
 	old := newHarness(t, defaultSettings(), readyEndpoints(1, 2, 3)...)
 	for n := range 60 {
-		request := old.submit(RequestID(n), 0, 0, TenantID(n), 2*second, 1)
+		request := old.submit(RequestID(n), 0, 0, TenantID(n), 2*time.Second, 1)
 		old.answerCounterCalls(Succeeded)
-		old.advance(20 * millisecond)
+		old.advance(20 * time.Millisecond)
 		if len(request.attempts) > 0 {
 			old.endAttempt(request, 0, Succeeded)
 		}
@@ -21,21 +22,21 @@
 	if len(state.Backends) < 2 || state.Latency < 15e6 || state.Latency > 30e6 {
 		t.Fatalf("%+v", state)
 	}
-	for age, want := range map[int64]float64{0: 1, 600 * second: 0.5, 6 * 3600 * second: 1e-9} {
+	for age, want := range map[time.Duration]float64{0: 1, 600 * time.Second: 0.5, 6 * 3600 * time.Second: 1e-9} {
 		h := newHarness(t, defaultSettings(), readyEndpoints(1, 2)...)
-		h.update(Delta, Endpoint{Backend: 3, Capacity: 1, State: EndpointReady, StartedAt: h.now - 60*second})
+		h.update(Delta, Endpoint{Backend: 3, Capacity: 1, State: EndpointReady, StartedAt: h.now.Add(-60 * time.Second)})
 		h.engine.ImportState(h.now, state, age)
-		if got := h.engine.latency.Count / state.Samples; math.Abs(got-want) > 0.01 {
-			t.Errorf("after %d s all together count for %.4f, want %.4f", age/second, got, want)
+		if got := h.engine.latency.mean.Count / state.Samples; math.Abs(got-want) > 0.01 {
+			t.Errorf("after %d s all together count for %.4f, want %.4f", age/time.Second, got, want)
 		}
-		if one := h.engine.backends[1].latency.Count; (age == 0) != (one > 0.5) {
-			t.Errorf("after %d s a backend's own time counts for %.4f answers", age/second, one)
+		if one := h.engine.backends[1].latency.mean.Count; (age == 0) != (one > 0.5) {
+			t.Errorf("after %d s a backend's own time counts for %.4f answers", age/time.Second, one)
 		}
-		if h.engine.backends[3].latency.Count != 0 {
+		if h.engine.backends[3].latency.mean.Count != 0 {
 			t.Error("a backend that was started anew is taken for known")
 		}
-		baseline := h.engine.baselineLatency
-		if baseline.Value != 0 || baseline.Count != 0 || h.engine.peakBackendThroughput != 0 {
+		baseline := h.engine.latency.baseline
+		if baseline.Value != 0 || baseline.Count != 0 || h.engine.throughput.peakPerBackend != 0 {
 			t.Error("the budget of backends that warm up rests on an earlier incarnation")
 		}
 	}
@@ -45,7 +46,7 @@
 		Samples:  1e9,
 		Backends: []BackendWarmStart{{Backend: 1, Latency: -4, Samples: 9}, {Backend: 99}},
 	}, -5)
-	if h.engine.latency.Count != 0 || h.engine.backends[1].latency.Count != 0 {
+	if h.engine.latency.mean.Count != 0 || h.engine.backends[1].latency.mean.Count != 0 {
 		t.Error("values out of range were taken over")
 	}
 }
