--- a/cmd/drill/golden_test.go
+++ b/internal/simadapter/golden_test.go
@@ -1,4 +1,4 @@
-package main
+package simadapter
 
 import (
 	"bytes"
@@ -43,7 +43,7 @@
 		t.Fatalf("the recorded stream of %d bytes has the hash\n%s, want\n%s: it must stay as it was recorded", len(stream), got, wantIn)
 	}
 	var out bytes.Buffer
-	if err := run(bytes.NewReader(stream), &out); err != nil {
+	if err := Run(bytes.NewReader(stream), &out); err != nil {
 		t.Fatal(err)
 	}
 	if got := hash(out.Bytes()); got != wantOut {
@@ -80,7 +80,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			var out bytes.Buffer
-			err := run(bytes.NewReader(c.stream), &out)
+			err := Run(bytes.NewReader(c.stream), &out)
 			if err == nil {
 				t.Error("the fault was not found")
 			}
--- a/cmd/drill/recorder_test.go
+++ b/internal/simadapter/recorder_test.go
@@ -1,4 +1,4 @@
-package main
+package simadapter
 
 import (
 	"bytes"
@@ -20,7 +20,7 @@
 
 // This file made the recorded stream that TestGoldenStream plays: a small simulator at the other end of the
 // wire. The stream is kept, so that the test's input depends on nothing that changes in the program. It is
-// made with go test ./cmd/drill -run Recorder -record testdata/stream.bin.gz
+// made with go test ./internal/simadapter -run Recorder -record testdata/stream.bin.gz
 
 var recordTo = flag.String("record", "", "write the simulator's frames, packed, to this file")
 
@@ -101,7 +101,7 @@
 	inRead, inWrite := io.Pipe()
 	outRead, outWrite := io.Pipe()
 	done := make(chan error, 1)
-	go func() { done <- run(inRead, outWrite) }()
+	go func() { done <- Run(inRead, outWrite) }()
 	t.Cleanup(func() {
 		_ = inWrite.Close() // ends the run
 		if err := <-done; err != nil {
--- a/cmd/drill/recorder_world_test.go
+++ b/internal/simadapter/recorder_world_test.go
@@ -1,4 +1,4 @@
-package main
+package simadapter
 
 import (
 	"fmt"
--- a/cmd/drill/main_test.go
+++ b/internal/simadapter/run_test.go
@@ -1,4 +1,4 @@
-package main
+package simadapter
 
 import (
 	"bytes"
@@ -84,7 +84,7 @@
 		"1 bytes after the last":                           frame(1, createInstance(validSettings).Uint8(0)),
 	} {
 		var out bytes.Buffer
-		err := run(bytes.NewReader(in), &out)
+		err := Run(bytes.NewReader(in), &out)
 		if want == "" && (err != nil || out.Len() != replyHeaderBytes) {
 			t.Errorf("an empty frame: %v, %d bytes", err, out.Len())
 		}
@@ -102,7 +102,7 @@
 		"tariffs[0].quota-rate is of t": strings.Replace(validSettings, `"quota-rate": 0`, `"quota-rate": "x"`, 1),
 	} {
 		var out bytes.Buffer
-		err := run(bytes.NewReader(frameOf(t, 1, testClock, createInstance(text))), &out)
+		err := Run(bytes.NewReader(frameOf(t, 1, testClock, createInstance(text))), &out)
 		if err != nil || !strings.Contains(out.String(), want) {
 			t.Errorf("%q: %v, %q", want, err, out.String())
 		}
@@ -122,7 +122,7 @@
 	in.Record(eventAttemptResult).Uint32(3).Uint64(999).Uint8(0).Uint32(77).Uint16(100).Float64(1).
 		Uint8(1).Uint16(0).Uint16(0).Uint8(0) // of a request that is not in flight
 	var out bytes.Buffer
-	if err := run(bytes.NewReader(frameOf(t, 5, testClock, in)), &out); err != nil {
+	if err := Run(bytes.NewReader(frameOf(t, 5, testClock, in)), &out); err != nil {
 		t.Fatal(err)
 	}
 	sent := bodyOf(t, (&simwire.Reply{}).Record(actionSend).Uint32(3).Uint64(123).Uint32(77))
