--- a/internal/simadapter/instance.go
+++ b/internal/simadapter/instance.go
@@ -88,7 +88,7 @@
 
 // LogUnknown writes to the simulator's log.
 func (in *instance) LogUnknown(class policy.ClassID, plan policy.PlanID) {
-	in.log(fmt.Sprintf("transaction of unknown profile %d or plan %d broken off", class, plan))
+	in.log(fmt.Sprintf("request aborted: unknown class %d or plan %d", class, plan))
 }
 
 // log writes a text to the simulator's log.
