--- a/internal/tomlfile/tomlfile.go
+++ b/internal/tomlfile/tomlfile.go
@@ -1,8 +1,8 @@
 // Package tomlfile decodes TOML texts (toml.io, version 1.0) strictly into Go values. It records the line of
-// each key, so that every error names the file, the line and the key. It owns no settings and sets no
-// defaults.
+// each key, so that every error names the file, the line and the key. It also reads names that a format has
+// renamed, and reports them. It owns no settings and sets no defaults.
 //
-// Read is safe for concurrent use, and a File never changes after it has been read.
+// Read and ReadRenamed are safe for concurrent use, and a File never changes after it has been read.
 package tomlfile
 
 import (
@@ -45,7 +45,7 @@
 // File is a completely read text, with the lines of its keys.
 type File struct {
 	name  string
-	lines map[string]int // from 1 on, by full path: "load.rate", "profile[1].effect"
+	lines map[string]int // from 1 on, by full path: "load.rate", "class[1].deadline"
 }
 
 // Read decodes the text strictly into the value that into points to. An unknown key, a key that appears
