--- a/cmd/fawnplank-lab/command_check.go
+++ b/cmd/fawnplank-lab/command_check.go
@@ -24,6 +24,7 @@
 		if err != nil {
 			return err
 		}
+		warnOfDeprecations(command, s)
 		printf(command, "%s: in order; %s, %d instances, %d backends, "+
 			"%.0f requests a second for %v, %d faults\n",
 			s.Name, s.On, s.Instances.Count, s.Backends.Count,
--- a/cmd/fawnplank-lab/command_load.go
+++ b/cmd/fawnplank-lab/command_load.go
@@ -27,7 +27,7 @@
 		Use:   "load SCENARIO --to ADDRESS",
 		Short: "Send a scenario's requests to running gateways",
 		Long: `Sends the scenario's requests to gateways that are already running, in an open loop bounded by
-its duration, number and connections. Classes (profiles) and plans must have the names that the gateways know.
+its duration, number and connections. Classes and plans must have the names that the gateways know.
 Faults of the scenario are not played, and what only backends see (attempts, quotas) is not reported.
 Addresses are on loopback.`,
 		Args: cobra.ExactArgs(1),
@@ -44,9 +44,9 @@
 }
 
 func (f *loadFlags) run(command *cobra.Command, path string) error {
-	s, err := f.scenario.load(path,
-		fmt.Sprintf("doors.count=%d", len(f.addresses)),
-		fmt.Sprintf("load.spread=%d", max(len(f.addresses), 1)))
+	s, err := f.scenario.load(command, path,
+		fmt.Sprintf("gateways.count=%d", len(f.addresses)),
+		fmt.Sprintf("load.entry_points=%d", max(len(f.addresses), 1)))
 	if err != nil {
 		return err
 	}
--- a/cmd/fawnplank-lab/command_run.go
+++ b/cmd/fawnplank-lab/command_run.go
@@ -16,6 +16,9 @@
 	"fawnplank/internal/lab/testbed"
 )
 
+// oldGatewayFlag is the name that --gateway had before. It is still read, with a warning.
+const oldGatewayFlag = "door"
+
 // runFlags are the flags of "run".
 type runFlags struct {
 	scenario       scenarioFlags
@@ -34,7 +37,7 @@
 		Args:  cobra.ExactArgs(1),
 		Example: `  fawnplank lab run lab/scenarios/calm.toml
   fawnplank lab run lab/scenarios/counter-lost.toml --on model -o lost.json --plot lost.png
-  fawnplank lab run lab/scenarios/hundred-doors.toml --set doors.count=200 --label 200-instances`,
+  fawnplank lab run lab/scenarios/hundred-gateways.toml --set gateways.count=200 --label 200-instances`,
 		RunE: func(command *cobra.Command, args []string) error { return flags.run(command, args[0]) },
 	}
 	flags.scenario.register(command)
@@ -43,8 +46,11 @@
 	command.Flags().StringVar(&flags.label, "label", "", "what to call this run in tables and plots")
 	command.Flags().StringVar(&flags.pictureFile, "plot", "", "picture to draw, .png or .svg")
 	command.Flags().StringVar(&flags.logFolder, "logs", "", "sockets: folder for the gateways' logs")
-	command.Flags().StringVar(&flags.gatewayProgram, "door", defaultGatewayProgram(),
-		"sockets: the gateway's program")
+	program := defaultGatewayProgram()
+	command.Flags().StringVar(&flags.gatewayProgram, "gateway", program, "sockets: the gateway's program")
+	command.Flags().StringVar(&flags.gatewayProgram, oldGatewayFlag, program, "use --gateway")
+	deprecateFlag(command, oldGatewayFlag, "use --gateway")
+	command.MarkFlagsMutuallyExclusive("gateway", oldGatewayFlag)
 	return command
 }
 
@@ -60,7 +66,7 @@
 // run plays a scenario and reports on it. A run that ended with an error, such as a crashed gateway, is
 // printed but not written, so that no file of results holds a run cut short.
 func (f *runFlags) run(command *cobra.Command, path string) error {
-	s, err := f.scenario.load(path)
+	s, err := f.scenario.load(command, path)
 	if err != nil {
 		return err
 	}
--- a/cmd/fawnplank-lab/command_standins.go
+++ b/cmd/fawnplank-lab/command_standins.go
@@ -49,7 +49,7 @@
 }
 
 func (f *standInsFlags) run(command *cobra.Command, path string) error {
-	s, err := f.scenario.load(path)
+	s, err := f.scenario.load(command, path)
 	if err != nil {
 		return err
 	}
--- a/cmd/fawnplank-lab/command_sweep.go
+++ b/cmd/fawnplank-lab/command_sweep.go
@@ -30,7 +30,7 @@
 		Short: "Play a scenario on the model with several values of a key",
 		Args:  cobra.ExactArgs(2),
 		Example: "  fawnplank lab sweep lab/scenarios/counter-lost.toml " +
-			"doors.count=2,5,10,20,50 -o instances.png",
+			"gateways.count=2,5,10,20,50 -o instances.png",
 		RunE: func(command *cobra.Command, args []string) error {
 			return flags.run(command, args[0], args[1])
 		},
@@ -47,7 +47,7 @@
 		return fmt.Errorf("%q is not of the form key=value,value", assignment)
 	}
 	values := strings.Split(list, ",")
-	runs, err := f.play(path, key, values)
+	runs, err := f.play(command, path, key, values)
 	if err != nil {
 		return err
 	}
@@ -69,15 +69,18 @@
 
 // play plays the scenario once for each value and returns the runs in the order of the values. It reads all
 // scenarios before it plays the first, so that a wrong value costs no run.
-func (f *sweepFlags) play(path, key string, values []string) ([]*results.Run, error) {
+func (f *sweepFlags) play(
+	command *cobra.Command, path, key string, values []string,
+) ([]*results.Run, error) {
 	scenarios := make([]*scenario.Scenario, len(values))
 	for n, value := range values {
-		s, err := f.scenario.load(path, key+"="+value, "on=model")
+		s, err := f.scenario.read(path, key+"="+value, "on=model")
 		if err != nil {
 			return nil, err
 		}
 		scenarios[n] = s
 	}
+	warnOfDeprecations(command, scenarios[0]) // the others differ in a value only
 	runs := make([]*results.Run, len(values))
 	var group errgroup.Group
 	group.SetLimit(f.parallelRuns)
--- a/cmd/fawnplank-lab/command_test.go
+++ b/cmd/fawnplank-lab/command_test.go
@@ -32,7 +32,7 @@
 		"check":     "",
 		"load":      "on output seed set to",
 		"report":    "output",
-		"run":       "door label logs on output plot seed set",
+		"run":       "gateway label logs on output plot seed set",
 		"stand-ins": "dir on seed set stay",
 		"sweep":     "on output parallel seed set",
 		"zone":      "output sizes span updates",
@@ -97,11 +97,11 @@
 
 // TestSweep_PlaysValuesInOrder plays a scenario once for each value, in their order.
 func TestSweep_PlaysValuesInOrder(t *testing.T) {
-	output, err := execute(t, "sweep", calmScenario, "doors.count=2,3,4", "--set", "duration=1s")
+	output, err := execute(t, "sweep", calmScenario, "gateways.count=2,3,4", "--set", "duration=1s")
 	if err != nil {
 		t.Fatal(err)
 	}
-	const want = "run calm, doors.count=2 calm, doors.count=3 calm, doors.count=4"
+	const want = "run calm, gateways.count=2 calm, gateways.count=3 calm, gateways.count=4"
 	titles, _, _ := strings.Cut(output, "\n")
 	if got := strings.Join(strings.Fields(titles), " "); got != want {
 		t.Errorf("%q, want %q", got, want)
@@ -120,8 +120,8 @@
 		{"load beyond loopback", []string{"load", calmScenario, "--to", "192.0.2.1:1"}, "--to 192.0.2.1:1"},
 		{"stand-ins without a folder", []string{"stand-ins", calmScenario}, `"dir" not set`},
 		{"stand-ins too long", []string{"stand-ins", calmScenario, "--dir", "d", "--stay", "2h"}, "2h"},
-		{"a sweep without values", []string{"sweep", calmScenario, "doors.count"}, `"doors.count"`},
-		{"a sweep with a wrong value", []string{"sweep", calmScenario, "doors.count=2,x"}, "doors.count"},
+		{"a sweep without values", []string{"sweep", calmScenario, "gateways.count"}, `"gateways.count"`},
+		{"a sweep with a wrong value", []string{"sweep", calmScenario, "gateways.count=2,x"}, "gateways.count"},
 		{"a zone without backends", []string{"zone", "--sizes", "0"}, "--sizes: 0"},
 		{"too many runs", []string{"report", "1", "2", "3", "4", "5"}, "between 1 and 4"},
 	} {
@@ -136,8 +136,8 @@
 
 // TestScenarioFlags_LaterOverridesWin: --on and --seed are laid over --set and the command's own overrides.
 func TestScenarioFlags_LaterOverridesWin(t *testing.T) {
-	flags := scenarioFlags{on: "model", seed: 9, set: []string{"seed=3", "on=sockets", "doors.count=5"}}
-	s, err := flags.load(calmScenario, "doors.count=4")
+	flags := scenarioFlags{on: "model", seed: 9, set: []string{"seed=3", "on=sockets", "gateways.count=5"}}
+	s, err := flags.read(calmScenario, "gateways.count=4")
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/fawnplank-lab/main.go
+++ b/cmd/fawnplank-lab/main.go
@@ -61,6 +61,13 @@
 	_, _ = fmt.Fprintf(command.OutOrStdout(), format, values...)
 }
 
+// deprecateFlag hides a flag and warns whoever uses it.
+func deprecateFlag(command *cobra.Command, name, advice string) {
+	if err := command.Flags().MarkDeprecated(name, advice); err != nil {
+		panic(err) // the command has no such flag: a mistake in this package
+	}
+}
+
 // requireFlag makes a flag required.
 func requireFlag(command *cobra.Command, name string) {
 	if err := command.MarkFlagRequired(name); err != nil {
--- a/cmd/fawnplank-lab/scenario_flags.go
+++ b/cmd/fawnplank-lab/scenario_flags.go
@@ -22,8 +22,20 @@
 	command.Flags().StringArrayVar(&f.set, "set", nil, "key=value laid over the scenario, as often as wanted")
 }
 
-// load reads a scenario and applies, in this order, --set, the command's own overrides, --on and --seed.
-func (f *scenarioFlags) load(path string, commandOverrides ...string) (*scenario.Scenario, error) {
+// load reads a scenario as read does, and warns of the old names that it uses.
+func (f *scenarioFlags) load(
+	command *cobra.Command, path string, commandOverrides ...string,
+) (*scenario.Scenario, error) {
+	s, err := f.read(path, commandOverrides...)
+	if err != nil {
+		return nil, err
+	}
+	warnOfDeprecations(command, s)
+	return s, nil
+}
+
+// read reads a scenario and applies, in this order, --set, the command's own overrides, --on and --seed.
+func (f *scenarioFlags) read(path string, commandOverrides ...string) (*scenario.Scenario, error) {
 	overrides := slices.Concat(f.set, commandOverrides)
 	if f.on != "" {
 		overrides = append(overrides, "on="+f.on)
@@ -33,3 +45,11 @@
 	}
 	return scenario.Load(path, overrides...)
 }
+
+// warnOfDeprecations prints the old names that a scenario uses, each with the new one, as warnings. It ignores
+// errors, as printf does.
+func warnOfDeprecations(command *cobra.Command, s *scenario.Scenario) {
+	for _, deprecation := range s.Deprecations {
+		_, _ = fmt.Fprintln(command.ErrOrStderr(), "warning:", deprecation)
+	}
+}
--- a/internal/lab/emulator/emulator_test.go
+++ b/internal/lab/emulator/emulator_test.go
@@ -18,13 +18,13 @@
 cores = 1
 queue = 1
 work = "5ms"
-spread = 0.0
+work_sigma = 0.0
 [discovery]
 delay = "1ms"
-[[profile]]
+[[class]]
 name = "calc"
-effect = "reissuable"
-promised = "750ms"
+idempotency = "idempotent"
+latency_objective = "750ms"
 [[plan]]
 name = "despacho"
 `
--- a/internal/lab/load/load_test.go
+++ b/internal/lab/load/load_test.go
@@ -15,14 +15,14 @@
 )
 
 const smallScenario = `name = "small"
-[[profile]]
+[[class]]
 name = "calc"
-effect = "reissuable"
-promised = "750ms"
-[[profile]]
+idempotency = "idempotent"
+latency_objective = "750ms"
+[[class]]
 name = "submit"
-effect = "at-most-once"
-promised = "750ms"
+idempotency = "non-idempotent"
+latency_objective = "750ms"
 [[plan]]
 name = "despacho"
 `
@@ -31,7 +31,7 @@
 // has begun.
 func newGenerator(t *testing.T, address string, overrides ...string) (*Generator, *results.Log) {
 	t.Helper()
-	small := []string{"doors.count=1", "load.spread=1", "load.rate=200", "duration=300ms"}
+	small := []string{"gateways.count=1", "load.entry_points=1", "load.rate=200", "duration=300ms"}
 	s, err := scenario.Parse("small", []byte(smallScenario), append(small, overrides...)...)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/lab/load/request.go
+++ b/internal/lab/load/request.go
@@ -165,7 +165,7 @@
 }
 
 func (g *Generator) roundTrip(s submission, conn *connection) (string, error) {
-	readDeadline := s.deadline.Add(time.Duration(g.scenario.Rules.Grace) + answerMargin)
+	readDeadline := s.deadline.Add(time.Duration(g.scenario.Rules.DeadlineGrace) + answerMargin)
 	_ = conn.SetDeadline(readDeadline) // fails only if the connection has ended; the write fails then too
 	if _, err := io.WriteString(conn, g.command(s)); err != nil {
 		return "", err
--- a/internal/lab/model/model_test.go
+++ b/internal/lab/model/model_test.go
@@ -14,7 +14,7 @@
 
 const smallScenario = `name = "small"
 duration = "12s"
-[doors]
+[gateways]
 count = 4
 [backends]
 count = 6
@@ -23,32 +23,32 @@
 groups = 2
 [load]
 rate = 300
-customers = 30
+tenants = 30
 skew = 0.5
 retries = 2
-[[profile]]
+[[class]]
 name = "calc"
-effect = "reissuable"
-promised = "750ms"
+idempotency = "idempotent"
+latency_objective = "750ms"
 share = 6
-[[profile]]
+[[class]]
 name = "sum"
-effect = "numbered"
-reach = "group"
-memory = "5s"
-promised = "750ms"
+idempotency = "idempotent-with-key"
+dedup_scope = "group"
+dedup_window = "5s"
+latency_objective = "750ms"
 share = 2
-[[profile]]
+[[class]]
 name = "file"
-effect = "at-most-once"
-promised = "750ms"
+idempotency = "non-idempotent"
+latency_objective = "750ms"
 share = 2
 [[plan]]
 name = "despacho"
 rate = 15
 burst = 30
-ceiling_rate = 30
-ceiling_burst = 60
+hard_quota_rate = 30
+hard_quota_burst = 60
 `
 
 // parseSmall returns the small scenario with more text behind it.
@@ -81,9 +81,9 @@
 
 // TestRun_IsReproducible runs one seed twice, which gives the same bytes, and another one, which does not.
 func TestRun_IsReproducible(t *testing.T) {
-	const faults = "[[fault]]\nkind = \"door-restart\"\nat = \"4s\"\nfor = \"1s\"\n" +
+	const faults = "[[fault]]\nkind = \"gateway-restart\"\nat = \"4s\"\nduration = \"1s\"\n" +
 		"share = 1\neach = \"200ms\"\n" +
-		"[[fault]]\nkind = \"backend-vanish\"\nat = \"3s\"\nfor = \"2s\"\nwho = [1]\n"
+		"[[fault]]\nkind = \"backend-vanish\"\nat = \"3s\"\nduration = \"2s\"\ntargets = [1]\n"
 	first := runBytes(t, runSmall(t, faults))
 	second := runBytes(t, runSmall(t, faults))
 	other := runBytes(t, runSmall(t, faults, "seed=2"))
@@ -130,17 +130,17 @@
 		{scenario.BackendDrain, "share = 1", unserved},
 		{scenario.BackendVanish, "share = 1", unserved},
 		{scenario.BackendRestart, "share = 1", unserved},
-		{scenario.BackendReset, "who = [2]", attempts},
+		{scenario.BackendReset, "targets = [2]", attempts},
 		{scenario.CounterRefuse, "", failures},
 		{scenario.CounterHang, "", failures},
 		{scenario.CounterSlow, "delay = \"200ms\"", failures},
-		{scenario.CounterCut, "who = [0, 2]", failures},
+		{scenario.CounterCut, "targets = [0, 2]", failures},
 		{scenario.DiscoveryStale, "", same},
 		{scenario.DiscoveryRefuse, "", same},
 		{scenario.DiscoveryLate, "delay = \"1s\"", same},
 		{scenario.InstanceRestart, "share = 1", lost},
 	} {
-		fault := fmt.Sprintf("[[fault]]\nkind = %q\nat = \"4s\"\nfor = \"3s\"\n%s\n", test.kind, test.keys)
+		fault := fmt.Sprintf("[[fault]]\nkind = %q\nat = \"4s\"\nduration = \"3s\"\n%s\n", test.kind, test.keys)
 		run := runSmall(t, fault)
 		if test.shows.figure(run.Total) < test.shows.figure(calm.Total)+test.shows.growth {
 			t.Errorf("%s: does not show: %+v", test.kind, run.Total)
@@ -167,7 +167,7 @@
 // in time.
 func TestRun_StaleDiscovery(t *testing.T) {
 	succeeded := func(more string) int {
-		const vanish = "[[fault]]\nkind = \"backend-vanish\"\nat = \"4s\"\nfor = \"6s\"\nshare = 0.5\n"
+		const vanish = "[[fault]]\nkind = \"backend-vanish\"\nat = \"4s\"\nduration = \"6s\"\nshare = 0.5\n"
 		run := runSmall(t, vanish+more)
 		if run.Violations() > 0 {
 			t.Error(run.Findings[0])
@@ -175,7 +175,7 @@
 		return run.Total.Succeeded
 	}
 	inTime := succeeded("")
-	stale := succeeded("[[fault]]\nkind = \"discovery-stale\"\nat = \"3s\"\nfor = \"7s\"\n")
+	stale := succeeded("[[fault]]\nkind = \"discovery-stale\"\nat = \"3s\"\nduration = \"7s\"\n")
 	if stale > inTime {
 		t.Errorf("%d succeeded with the list in time, %d with a stale one", inTime, stale)
 	}
@@ -235,7 +235,7 @@
 	for _, size := range []struct{ instances, backends int }{{10, 10}, {100, 100}, {100, 1000}} {
 		b.Run(fmt.Sprintf("%dx%d", size.instances, size.backends), func(b *testing.B) {
 			overrides := []string{
-				fmt.Sprintf("doors.count=%d", size.instances),
+				fmt.Sprintf("gateways.count=%d", size.instances),
 				fmt.Sprintf("backends.count=%d", size.backends),
 				fmt.Sprintf("load.rate=%d", 50*size.instances),
 				"duration=2s",
@@ -282,13 +282,13 @@
 // others count on without them, so that tenants may have as much more as the shares come to, half for half of
 // the time here, and none less. A counter that hangs or is slow for all is as one that is lost.
 func TestRun_DriftWhileCutOffOrSlow(t *testing.T) {
-	overrides := []string{"duration=40s", "load.rate=600", "load.skew=0", "load.spread=3"}
+	overrides := []string{"duration=40s", "load.rate=600", "load.skew=0", "load.entry_points=3"}
 	for fault, maxOver := range map[string]float64{
 		"kind = \"counter-cut\"\nshare = 0.5":        0.25,
 		"kind = \"counter-hang\"":                    0.08,
 		"kind = \"counter-slow\"\ndelay = \"300ms\"": 0.08,
 	} {
-		const during = "beyond_costs = 1.0\n[[fault]]\nat = \"10s\"\nfor = \"20s\"\n"
+		const during = "over_quota_cost = 1.0\n[[fault]]\nat = \"10s\"\nduration = \"20s\"\n"
 		run := runSmall(t, during+fault+"\n", overrides...)
 		over, under := run.Drift()
 		t.Logf("%s: %.1f%% more, %.1f%% less", fault, 100*over, 100*under)
--- a/internal/lab/model/world.go
+++ b/internal/lab/model/world.go
@@ -121,7 +121,7 @@
 	for _, class := range w.scenario.Classes {
 		longest = max(longest, class.Deadline)
 	}
-	return int64(w.scenario.Duration + longest + w.scenario.Rules.Grace + settleNanos)
+	return int64(w.scenario.Duration + longest + w.scenario.Rules.DeadlineGrace + settleNanos)
 }
 
 // at schedules do for a time. A time in the past means as soon as the current event has been handled.
--- a/internal/lab/results/recorder.go
+++ b/internal/lab/results/recorder.go
@@ -82,8 +82,8 @@
 	checked := invariants.Settings{
 		Classes:                settings.Classes,
 		Plans:                  settings.Plans,
-		AnswerGraceNanos:       int64(s.Rules.Grace),
-		DrainGraceNanos:        int64(s.Rules.Drain),
+		AnswerGraceNanos:       int64(s.Rules.DeadlineGrace),
+		DrainGraceNanos:        int64(s.Rules.DrainGrace),
 		SlackNanos:             slackNanos,
 		Cores:                  float64(s.Backends.Cores),
 		SlowStartShare:         s.Rules.SlowStartShare,
@@ -121,12 +121,21 @@
 func newFaultSpan(s *scenario.Scenario, fault scenario.Fault) FaultSpan {
 	stagger := fault.Stagger * scenario.Span(max(len(s.Targets(fault))-1, 0))
 	return FaultSpan{
-		Kind:  string(fault.Kind),
+		Kind:  storedFaultKind(fault.Kind),
 		From:  float64(fault.At) / nanosPerSecond,
 		Until: float64(fault.At+fault.Duration+stagger) / nanosPerSecond,
 	}
 }
 
+// storedFaultKind returns the name of a kind of fault in the file of a run, which keeps the names that it has
+// always had.
+func storedFaultKind(kind scenario.FaultKind) string {
+	if kind == scenario.InstanceRestart {
+		return "door-restart"
+	}
+	return string(kind)
+}
+
 // advance closes rows up to the second that contains a time.
 func (r *Recorder) advance(atNanos int64) {
 	for int64(r.row.Second+1)*nanosPerSecond <= atNanos {
--- a/internal/lab/results/version0_test.go
+++ b/internal/lab/results/version0_test.go
@@ -132,3 +132,18 @@
 func TestStoredTypes_HaveTags(t *testing.T) {
 	testutil.CheckTags(t, results.Run{})
 }
+
+// TestNew_StoresKindsOfFaultByTheirFirstNames: files of runs keep the kind that scenarios have renamed.
+func TestNew_StoresKindsOfFaultByTheirFirstNames(t *testing.T) {
+	s, err := scenario.Parse("version-0", []byte(version0Scenario))
+	if err != nil {
+		t.Fatal(err)
+	}
+	r, err := model.Run(s)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if want := (results.FaultSpan{Kind: "door-restart", From: 3, Until: 4}); len(r.Faults) != 4 || r.Faults[2] != want {
+		t.Errorf("faults %+v", r.Faults)
+	}
+}
--- a/internal/lab/scenario/fault.go
+++ b/internal/lab/scenario/fault.go
@@ -25,7 +25,7 @@
 	DiscoveryStale  FaultKind = "discovery-stale"  // delivers nothing until the end
 	DiscoveryLate   FaultKind = "discovery-late"   // delivers changes late by delay
 	DiscoveryRefuse FaultKind = "discovery-refuse" // refuses connections; model: as stale
-	InstanceRestart FaultKind = "door-restart"     // killed, and started anew at the end
+	InstanceRestart FaultKind = "gateway-restart"  // killed, and started anew at the end
 )
 
 // party says whom a fault affects, in the words of errors.
@@ -34,7 +34,7 @@
 const (
 	noParty       party = ""
 	backendsParty party = "backends"
-	gatewaysParty party = "doors"
+	gatewaysParty party = "gateways"
 )
 
 // parameter is a key that a kind of fault needs.
@@ -78,14 +78,14 @@
 type Fault struct {
 	Kind           FaultKind `toml:"kind"`
 	At             Span      `toml:"at"`
-	Duration       Span      `toml:"for"`
-	Targets        []int     `toml:"who"`   // numbers of backends or instances, from 0
-	Share          float64   `toml:"share"` // instead of targets: this share of them all, the first ones
+	Duration       Span      `toml:"duration"`
+	Targets        []int     `toml:"targets"` // numbers of backends or instances, from 0
+	Share          float64   `toml:"share"`   // instead of targets: this share of them all, the first ones
 	Factor         float64   `toml:"factor"`
 	Delay          Span      `toml:"delay"`
-	Stagger        Span      `toml:"each"`  // time between one target and the next
-	Repeats        int       `toml:"times"` // how often the fault comes; 0: once
-	RepeatInterval Span      `toml:"every"`
+	Stagger        Span      `toml:"stagger"` // time between one target and the next
+	Repeats        int       `toml:"repeats"` // how often the fault comes; 0: once
+	RepeatInterval Span      `toml:"repeat_interval"`
 }
 
 // expandRepeats replaces each fault that repeats by as many single faults.
--- a/internal/lab/scenario/scenario.go
+++ b/internal/lab/scenario/scenario.go
@@ -63,15 +63,15 @@
 		Count    int `toml:"count"`
 		MemoryMB int `toml:"memory_mb"` // sockets only
 		Sockets  int `toml:"sockets"`   // sockets only
-	} `toml:"doors"`
+	} `toml:"gateways"`
 	Backends struct {
-		Count  int     `toml:"count"`
-		Cores  int     `toml:"cores"`  // attempts worked on at once
-		Work   Span    `toml:"work"`   // median time for a unit
-		Spread float64 `toml:"spread"` // sigma of the work's logarithm; 0: all equal
-		Queue  int     `toml:"queue"`  // attempts that can wait; further ones are refused
-		Zones  int     `toml:"zones"`
-		Groups int     `toml:"groups"`
+		Count     int     `toml:"count"`
+		Cores     int     `toml:"cores"`      // attempts worked on at once
+		Work      Span    `toml:"work"`       // median time for a unit
+		WorkSigma float64 `toml:"work_sigma"` // sigma of the work's logarithm; 0: all equal
+		Queue     int     `toml:"queue"`      // attempts that can wait; further ones are refused
+		Zones     int     `toml:"zones"`
+		Groups    int     `toml:"groups"`
 	} `toml:"backends"`
 	Counter struct {
 		Off      bool     `toml:"off"`
@@ -90,33 +90,36 @@
 	Load struct {
 		Rate        float64  `toml:"rate"` // requests, at all instances together
 		Arrivals    Arrivals `toml:"arrivals"`
-		MaxRequests int      `toml:"most"`
-		Tenants     int      `toml:"customers"`
-		Skew        float64  `toml:"skew"`    // exponent of Zipf's law over the tenants; 0: all equal
-		Units       float64  `toml:"units"`   // mean; each request has 1 or more
-		EntryPoints int      `toml:"spread"`  // instances that a tenant's requests go to; 0: all
-		Retries     int      `toml:"retries"` // most retries after a rejection
+		MaxRequests int      `toml:"max_requests"`
+		Tenants     int      `toml:"tenants"`
+		Skew        float64  `toml:"skew"`         // exponent of Zipf's law over the tenants; 0: all equal
+		Units       float64  `toml:"units"`        // mean; each request has 1 or more
+		EntryPoints int      `toml:"entry_points"` // instances that a tenant's requests go to; 0: all
+		Retries     int      `toml:"retries"`      // most retries after a rejection
 		Connections int      `toml:"connections"`
 	} `toml:"load"`
 	Rules struct {
-		Grace             Span    `toml:"grace"`      // of the final answer after the client's deadline
-		Drain             Span    `toml:"drain"`      // of attempts to a backend that drains or is gone
-		SlowStartShare    float64 `toml:"cold_share"` // of a backend that starts, as a share
-		SlowStartDuration Span    `toml:"warm_up"`
-		OverloadMultiple  float64 `toml:"fall_multiple"` // of its capacity that a backend bears over the window
-		OverloadWindow    Span    `toml:"fall_span"`
+		DeadlineGrace     Span    `toml:"deadline_grace"`   // of the final answer after the client's deadline
+		DrainGrace        Span    `toml:"drain_grace"`      // of attempts to a backend that drains or is gone
+		SlowStartShare    float64 `toml:"slow_start_share"` // of a backend that starts, as a share
+		SlowStartDuration Span    `toml:"slow_start_duration"`
+		OverloadMultiple  float64 `toml:"overload_multiple"` // of its capacity that a backend bears over the window
+		OverloadWindow    Span    `toml:"overload_window"`
 	} `toml:"rules"`
 	Allow struct {
-		MaxAttempts    int  `toml:"shots"`
-		HedgedAttempts bool `toml:"second_copies"`
-		Cancellation   bool `toml:"recalls"`
-		HealthChecks   bool `toml:"probes"`
-		RetryAfter     bool `toml:"advice"`
-		MaxRetryAfter  Span `toml:"longest_advice"`
+		MaxAttempts    int  `toml:"max_attempts"`
+		HedgedAttempts bool `toml:"hedged_attempts"`
+		Cancellation   bool `toml:"cancellation"`
+		HealthChecks   bool `toml:"health_checks"`
+		RetryAfter     bool `toml:"retry_after"`
+		MaxRetryAfter  Span `toml:"max_retry_after"`
 	} `toml:"allow"`
-	Classes []Class `toml:"profile"`
+	Classes []Class `toml:"class"`
 	Plans   []Plan  `toml:"plan"`
 	Faults  []Fault `toml:"fault"`
+
+	// Deprecations are the old names that the file and the overrides used, for warnings.
+	Deprecations []tomlfile.Deprecation `toml:"-"`
 }
 
 // Idempotency is the idempotency of a class, as scenario files write it.
@@ -124,22 +127,42 @@
 
 // The idempotency of a class.
 const (
-	Idempotent        Idempotency = "reissuable"
-	IdempotentWithKey Idempotency = "numbered"
-	NonIdempotent     Idempotency = "at-most-once"
+	Idempotent        Idempotency = "idempotent"
+	IdempotentWithKey Idempotency = "idempotent-with-key"
+	NonIdempotent     Idempotency = "non-idempotent"
+)
+
+// DedupScope says which backends recognize the repeat of a request with a key.
+type DedupScope string
+
+// The dedup scopes.
+const (
+	DedupByAll   DedupScope = "all" // any backend
+	DedupByZone  DedupScope = "zone"
+	DedupByGroup DedupScope = "group"
+)
+
+// Fallback is what a class does while the counter gives no answer.
+type Fallback string
+
+// The fallback modes. A class without one takes the gateway's default.
+const (
+	LocalShare Fallback = "local-share"
+	FailOpen   Fallback = "fail-open"
+	FailClosed Fallback = "fail-closed"
 )
 
 // Class is a class of requests.
 type Class struct {
 	Name             string      `toml:"name"`
-	Idempotency      Idempotency `toml:"effect"`
-	DedupScope       string      `toml:"reach"`  // all, zone or group; with a key
-	DedupWindow      Span        `toml:"memory"` // with a key
-	LatencyObjective Span        `toml:"promised"`
-	Deadline         Span        `toml:"hard_limit"`
-	LateValue        float64     `toml:"late_utility"`
-	Fallback         string      `toml:"silence"` // of a counter that does not answer: share, open or closed
-	Share            float64     `toml:"share"`   // of the requests
+	Idempotency      Idempotency `toml:"idempotency"`
+	DedupScope       DedupScope  `toml:"dedup_scope"`  // with a key
+	DedupWindow      Span        `toml:"dedup_window"` // with a key
+	LatencyObjective Span        `toml:"latency_objective"`
+	Deadline         Span        `toml:"deadline"`
+	LateValue        float64     `toml:"late_value"`
+	Fallback         Fallback    `toml:"fallback"`
+	Share            float64     `toml:"share"` // of the requests
 }
 
 // Plan is a tenant's quotas.
@@ -147,12 +170,12 @@
 	Name           string  `toml:"name"`
 	Rate           float64 `toml:"rate"`
 	Burst          float64 `toml:"burst"`
-	MaxConcurrent  int     `toml:"parallel"`
-	HardQuotaRate  float64 `toml:"ceiling_rate"`
-	HardQuotaBurst float64 `toml:"ceiling_burst"`
-	HardQuotaSlack float64 `toml:"ceiling_slack"`
-	OverQuotaValue float64 `toml:"beyond_earns"`
-	OverQuotaCost  float64 `toml:"beyond_costs"`
+	MaxConcurrent  int     `toml:"max_concurrent"`
+	HardQuotaRate  float64 `toml:"hard_quota_rate"`
+	HardQuotaBurst float64 `toml:"hard_quota_burst"`
+	HardQuotaSlack float64 `toml:"hard_quota_slack"`
+	OverQuotaValue float64 `toml:"over_quota_value"`
+	OverQuotaCost  float64 `toml:"over_quota_cost"`
 	Share          float64 `toml:"share"` // of the tenants
 }
 
@@ -167,7 +190,7 @@
 	s.Backends.Count = 4
 	s.Backends.Cores = 2
 	s.Backends.Work = 20e6
-	s.Backends.Spread = 0.5
+	s.Backends.WorkSigma = 0.5
 	s.Backends.Queue = 64
 	s.Backends.Zones = 1
 	s.Backends.Groups = 1
@@ -186,8 +209,8 @@
 	s.Load.Units = 1
 	s.Load.Connections = 256
 
-	s.Rules.Grace = 100e6
-	s.Rules.Drain = 1e9
+	s.Rules.DeadlineGrace = 100e6
+	s.Rules.DrainGrace = 1e9
 	s.Rules.SlowStartShare = 0.2
 	s.Rules.SlowStartDuration = 9e9
 	s.Rules.OverloadMultiple = 2
@@ -201,7 +224,7 @@
 	return s
 }
 
-// Load reads a scenario file and applies overrides of the form key=value: "doors.count=100".
+// Load reads a scenario file and applies overrides of the form key=value: "gateways.count=100".
 func Load(path string, overrides ...string) (*Scenario, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -210,10 +233,11 @@
 	return Parse(path, text, overrides...)
 }
 
-// Parse reads a scenario. Errors give name, line and key.
+// Parse reads a scenario. Errors give name, line and key. Old names of keys are read for the new ones, and
+// listed in the scenario's deprecations.
 func Parse(name string, text []byte, overrides ...string) (*Scenario, error) {
 	s := defaults()
-	file, err := tomlfile.Read(name, text, s)
+	file, err := s.decode(name, text)
 	if err != nil {
 		return nil, err
 	}
@@ -241,10 +265,17 @@
 	if !isLiteral {
 		value = strconv.Quote(value)
 	}
-	_, err = tomlfile.Read("--set "+text, []byte(key+" = "+value), s)
+	_, err = s.decode("--set "+text, []byte(key+" = "+value))
 	return err
 }
 
+// decode reads a text into the scenario, over the values that it has.
+func (s *Scenario) decode(name string, text []byte) (*tomlfile.File, error) {
+	file, deprecations, err := tomlfile.ReadRenamed(name, text, s, renamed)
+	s.Deprecations = append(s.Deprecations, deprecations...)
+	return file, err
+}
+
 // complete sets the defaults that depend on other values.
 func (s *Scenario) complete() {
 	for n := range s.Classes {
--- a/internal/lab/scenario/scenario_test.go
+++ b/internal/lab/scenario/scenario_test.go
@@ -10,12 +10,12 @@
 )
 
 const smallScenario = `name = "x"
-[[profile]]
+[[class]]
 name = "calc"
-effect = "numbered"
-reach = "group"
-memory = "5s"
-promised = "750ms"
+idempotency = "idempotent-with-key"
+dedup_scope = "group"
+dedup_window = "5s"
+latency_objective = "750ms"
 [[plan]]
 name = "despacho"
 rate = 8
@@ -46,30 +46,30 @@
 	}
 }
 
-// TestParse_NamesLineAndKey parses texts with a fault behind the small scenario, which has 12 lines.
+// TestParse_NamesLineAndKey parses texts with a fault behind the small scenario, which has 11 lines.
 func TestParse_NamesLineAndKey(t *testing.T) {
 	const hang = "[[fault]]\nkind = \"backend-hang\"\nat = \"1s\"\n"
 	for _, test := range []struct{ text, override, want string }{
 		{"", "load.rate=0", "load.rate is not above 0"},
 		{"[load]\nrate = 0\n", "", "f:13: load.rate is not above 0"},
 		{"[load]\nspeed = 1\n", "", "f:13: unknown key load.speed"},
-		{"[doors]\ncount = \"two\"\n", "", "f:13: "},
-		{"[doors]\ncount = 2\ncount = 3\n", "", "f:14: doors.count stands twice"},
+		{"[gateways]\ncount = \"two\"\n", "", "f:13: "},
+		{"[gateways]\ncount = 2\ncount = 3\n", "", "f:14: gateways.count stands twice"},
 		{"[net]\ndelay = \"soon\"\n", "", "f:13: "},
 		{"[[fault]]\nkind = \"backend-melts\"\nat = \"1s\"\n", "",
 			"f:13: fault[0].kind is \"backend-melts\""},
-		{hang + "who = [0]\n", "", "fault[0].for is not above 0"},
-		{hang + "for = \"1s\"\n", "", "fault[0].who is missing"},
-		{hang + "for = \"1s\"\nwho = [4]\n", "", "f:16: fault[0].who names 4 of 4 backends"},
-		{"[[fault]]\nkind = \"backend-slow\"\nat = \"1s\"\nfor = \"1s\"\nwho = [0]\n", "",
+		{hang + "targets = [0]\n", "", "fault[0].duration is not above 0"},
+		{hang + "duration = \"1s\"\n", "", "fault[0].targets is missing"},
+		{hang + "duration = \"1s\"\ntargets = [4]\n", "", "f:16: fault[0].targets names 4 of 4 backends"},
+		{"[[fault]]\nkind = \"backend-slow\"\nat = \"1s\"\nduration = \"1s\"\ntargets = [0]\n", "",
 			"fault[0].factor is not above 0"},
-		{"[[fault]]\nkind = \"counter-slow\"\nat = \"1s\"\nfor = \"1s\"\n", "",
+		{"[[fault]]\nkind = \"counter-slow\"\nat = \"1s\"\nduration = \"1s\"\n", "",
 			"fault[0].delay is not above 0"},
 		{"[[fault]]\nkind = \"counter-empty\"\nat = \"99s\"\n", "", "fault[0].at is not within"},
-		{"[[profile]]\nname = \"calc\"\neffect = \"reissuable\"\npromised = \"1s\"\n", "",
-			"profile[1].name is \"calc\""},
-		{"[[profile]]\nname = \"other\"\neffect = \"odd\"\npromised = \"1s\"\n", "",
-			"f:14: profile[1].effect is \"odd\""},
+		{"[[class]]\nname = \"calc\"\nidempotency = \"idempotent\"\nlatency_objective = \"1s\"\n", "",
+			"class[1].name is \"calc\""},
+		{"[[class]]\nname = \"other\"\nidempotency = \"odd\"\nlatency_objective = \"1s\"\n", "",
+			"f:14: class[1].idempotency is \"odd\""},
 		{"[[plan]]\nname = \"other\"\nrate = 3\n", "", "plan[1].burst is not above 0"},
 		{"", "on=sky", "on is \"sky\""},
 		{"", "rate", "key=value"},
@@ -91,18 +91,18 @@
 
 // TestParse_BoundsInstancesOnSockets parses a number of instances that the model has, and sockets do not.
 func TestParse_BoundsInstancesOnSockets(t *testing.T) {
-	if _, err := Parse("f", []byte(smallScenario), "doors.count=17"); err != nil {
+	if _, err := Parse("f", []byte(smallScenario), "gateways.count=17"); err != nil {
 		t.Error(err)
 	}
-	_, err := Parse("f", []byte("on = \"sockets\"\n"+smallScenario), "doors.count=17")
-	if err == nil || !strings.Contains(err.Error(), "doors.count is above 16") {
+	_, err := Parse("f", []byte("on = \"sockets\"\n"+smallScenario), "gateways.count=17")
+	if err == nil || !strings.Contains(err.Error(), "gateways.count is above 16") {
 		t.Error(err)
 	}
 }
 
 // TestScenario_EngineSettings passes a scenario's settings through the gateway's own reader.
 func TestScenario_EngineSettings(t *testing.T) {
-	s, err := Parse("f", []byte(smallScenario), "doors.count=3", "backends.zones=2")
+	s, err := Parse("f", []byte(smallScenario), "gateways.count=3", "backends.zones=2")
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/lab/scenario/settings.go
+++ b/internal/lab/scenario/settings.go
@@ -9,12 +9,21 @@
 
 // The gateway's words for the words of a scenario.
 var (
-	effectSettings = map[Idempotency]string{
+	idempotencySettings = map[Idempotency]string{
 		Idempotent:        "read_like",
 		IdempotentWithKey: "idempotency_key",
 		NonIdempotent:     "non_idempotent",
 	}
-	scopeSettings = map[string]string{"all": "all", "zone": "zone", "group": "cell"}
+	scopeSettings = map[DedupScope]string{
+		DedupByAll:   "all",
+		DedupByZone:  "zone",
+		DedupByGroup: "cell",
+	}
+	fallbackSettings = map[Fallback]string{
+		LocalShare: "share",
+		FailOpen:   "open",
+		FailClosed: "closed",
+	}
 )
 
 func inMillis(span Span) float64 { return float64(span) / 1e6 }
@@ -25,12 +34,12 @@
 	for n := range zones {
 		zones[n] = ZoneName(n)
 	}
-	var lanes, tariffs []map[string]any
+	var classes, plans []map[string]any
 	for _, class := range s.Classes {
-		lanes = append(lanes, class.settings())
+		classes = append(classes, class.settings())
 	}
 	for _, plan := range s.Plans {
-		tariffs = append(tariffs, plan.settings())
+		plans = append(plans, plan.settings())
 	}
 	return map[string]any{
 		"me":             instance,
@@ -38,8 +47,8 @@
 		"zones":          zones,
 		"my-zone":        instance % s.Backends.Zones,
 		"discovery":      "pushed",
-		"lanes":          lanes,
-		"tariffs":        tariffs,
+		"lanes":          classes,
+		"tariffs":        plans,
 		"family-info": map[string]any{
 			"may-count":          !s.Counter.Off,
 			"counter-timeout-ms": inMillis(s.Counter.Timeout),
@@ -62,21 +71,21 @@
 }
 
 func (c *Class) settings() map[string]any {
-	lane := map[string]any{
+	settings := map[string]any{
 		"name":         c.Name,
-		"effect":       effectSettings[c.Idempotency],
+		"effect":       idempotencySettings[c.Idempotency],
 		"goal-time-ms": inMillis(c.LatencyObjective),
 		"deadline-ms":  inMillis(c.Deadline),
 		"late-worth":   c.LateValue,
 	}
 	if c.Idempotency == IdempotentWithKey {
-		lane["group"] = scopeSettings[c.DedupScope]
-		lane["window-ms"] = inMillis(c.DedupWindow)
+		settings["group"] = scopeSettings[c.DedupScope]
+		settings["window-ms"] = inMillis(c.DedupWindow)
 	}
 	if c.Fallback != "" {
-		lane["silence"] = c.Fallback
+		settings["silence"] = fallbackSettings[c.Fallback]
 	}
-	return lane
+	return settings
 }
 
 func (p *Plan) settings() map[string]any {
--- a/internal/lab/scenario/validate.go
+++ b/internal/lab/scenario/validate.go
@@ -2,7 +2,6 @@
 
 import (
 	"fmt"
-	"slices"
 
 	"fawnplank/internal/tomlfile"
 )
@@ -21,7 +20,7 @@
 	maxRate            = 1e6
 	maxUnits           = 1000
 	maxSkew            = 5
-	maxSpread          = 3
+	maxWorkSigma       = 3
 	maxRetries         = 20
 	maxRepeats         = 10000
 )
@@ -56,7 +55,7 @@
 	s.validateParties(v)
 	s.validateLoad(v)
 	s.validateRules(v)
-	v.require(len(s.Classes) > 0, "profile", "is missing: one at least")
+	v.require(len(s.Classes) > 0, "class", "is missing: one at least")
 	v.require(len(s.Plans) > 0, "plan", "is missing: one at least")
 	s.validateClasses(v)
 	s.validatePlans(v)
@@ -71,20 +70,20 @@
 		key   string
 		value int
 	}{
-		{"doors.count", s.Instances.Count},
+		{"gateways.count", s.Instances.Count},
 		{"backends.count", s.Backends.Count},
 		{"backends.cores", s.Backends.Cores},
 		{"backends.zones", s.Backends.Zones},
 		{"backends.groups", s.Backends.Groups},
-		{"load.customers", s.Load.Tenants},
-		{"load.most", s.Load.MaxRequests},
-		{"allow.shots", s.Allow.MaxAttempts},
-		{"load.spread", s.Load.EntryPoints},
+		{"load.tenants", s.Load.Tenants},
+		{"load.max_requests", s.Load.MaxRequests},
+		{"allow.max_attempts", s.Allow.MaxAttempts},
+		{"load.entry_points", s.Load.EntryPoints},
 		{"load.connections", s.Load.Connections},
 	} {
 		v.require(number.value >= 1 && number.value <= maxNumber, number.key, "is not at least 1")
 	}
-	v.require(s.Instances.Count <= maxInstances, "doors.count", "is above %d", maxInstances)
+	v.require(s.Instances.Count <= maxInstances, "gateways.count", "is above %d", maxInstances)
 	v.require(s.Backends.Count <= maxBackends, "backends.count", "is above %d", maxBackends)
 }
 
@@ -93,11 +92,11 @@
 		return
 	}
 	v.require(s.Instances.Count <= maxSocketInstances,
-		"doors.count", "is above %d, which is most on sockets", maxSocketInstances)
+		"gateways.count", "is above %d, which is most on sockets", maxSocketInstances)
 	v.require(s.Backends.Count <= maxSocketBackends,
 		"backends.count", "is above %d, which is most on sockets", maxSocketBackends)
-	v.require(s.Instances.MemoryMB >= minMemoryMB, "doors.memory_mb", "is below %d", minMemoryMB)
-	v.require(s.Instances.Sockets >= minSockets, "doors.sockets", "is below %d", minSockets)
+	v.require(s.Instances.MemoryMB >= minMemoryMB, "gateways.memory_mb", "is below %d", minMemoryMB)
+	v.require(s.Instances.Sockets >= minSockets, "gateways.sockets", "is below %d", minSockets)
 }
 
 // validateParties checks discovery, backends and counter.
@@ -106,10 +105,10 @@
 	v.require(source == SourceHTTP || source == SourceDNS, "discovery.source", "is not http or dns")
 	v.require(source != SourceDNS || s.On == OnSockets,
 		"discovery.source", "is dns, which the model does not have")
-	v.require(s.Load.EntryPoints <= s.Instances.Count, "load.spread", "is above doors.count")
+	v.require(s.Load.EntryPoints <= s.Instances.Count, "load.entry_points", "is above gateways.count")
 	v.require(s.Backends.Work > 0, "backends.work", "is not above 0")
-	v.require(s.Backends.Spread >= 0 && s.Backends.Spread <= maxSpread,
-		"backends.spread", "is not from 0 to %d", maxSpread)
+	v.require(s.Backends.WorkSigma >= 0 && s.Backends.WorkSigma <= maxWorkSigma,
+		"backends.work_sigma", "is not from 0 to %d", maxWorkSigma)
 	v.require(s.Backends.Queue >= 0, "backends.queue", "is below 0")
 	v.require(s.Counter.Timeout > 0, "counter.timeout", "is not above 0")
 	protocol := s.Counter.Protocol
@@ -130,26 +129,26 @@
 func (s *Scenario) validateRules(v *validator) {
 	rules := &s.Rules
 	v.require(rules.SlowStartShare > 0 && rules.SlowStartShare <= 1,
-		"rules.cold_share", "is not above 0 and at most 1")
-	v.require(rules.OverloadMultiple >= 1, "rules.fall_multiple", "is below 1")
-	v.require(rules.SlowStartDuration >= 0 && rules.OverloadWindow > 0, "rules.fall_span", "is not above 0")
+		"rules.slow_start_share", "is not above 0 and at most 1")
+	v.require(rules.OverloadMultiple >= 1, "rules.overload_multiple", "is below 1")
+	v.require(rules.SlowStartDuration >= 0 && rules.OverloadWindow > 0, "rules.overload_window", "is not above 0")
 }
 
 func (s *Scenario) validateClasses(v *validator) {
 	seen := map[string]bool{}
 	for n, class := range s.Classes {
-		path := fmt.Sprintf("profile[%d].", n)
+		path := fmt.Sprintf("class[%d].", n)
 		hasKey := class.Idempotency == IdempotentWithKey
 		v.requireWord(class.Name, seen, path+"name")
-		v.require(effectSettings[class.Idempotency] != "", path+"effect",
-			"is %q, not reissuable, numbered or at-most-once", class.Idempotency)
-		v.require(!hasKey || scopeSettings[class.DedupScope] != "", path+"reach",
+		v.require(idempotencySettings[class.Idempotency] != "", path+"idempotency",
+			"is %q, not idempotent, idempotent-with-key or non-idempotent", class.Idempotency)
+		v.require(!hasKey || scopeSettings[class.DedupScope] != "", path+"dedup_scope",
 			"is %q, not all, zone or group", class.DedupScope)
-		v.require(!hasKey || class.DedupWindow > 0, path+"memory", "is not above 0")
+		v.require(!hasKey || class.DedupWindow > 0, path+"dedup_window", "is not above 0")
 		v.require(class.LatencyObjective > 0 && class.Deadline >= class.LatencyObjective,
-			path+"promised", "is not above 0 and at most hard_limit")
-		v.require(slices.Contains([]string{"", "share", "open", "closed"}, class.Fallback), path+"silence",
-			"is %q, not share, open or closed", class.Fallback)
+			path+"latency_objective", "is not above 0 and at most deadline")
+		v.require(class.Fallback == "" || fallbackSettings[class.Fallback] != "", path+"fallback",
+			"is %q, not local-share, fail-open or fail-closed", class.Fallback)
 		v.require(class.Share > 0, path+"share", "is not above 0")
 	}
 }
@@ -171,14 +170,14 @@
 	traits, isKnown := traitsOf[fault.Kind]
 	v.require(isKnown, path+"kind", "is %q, which is no kind of fault", fault.Kind)
 	v.require(fault.At >= 0 && fault.At < s.Duration, path+"at", "is not within the duration")
-	v.require(!isKnown || traits.isInstant || fault.Duration > 0, path+"for", "is not above 0")
+	v.require(!isKnown || traits.isInstant || fault.Duration > 0, path+"duration", "is not above 0")
 	v.require(traits.needs != factorParameter || fault.Factor > 0, path+"factor", "is not above 0")
 	v.require(traits.needs != delayParameter || fault.Delay > 0, path+"delay", "is not above 0")
 	v.require(fault.Share >= 0 && fault.Share <= 1, path+"share", "is not from 0 to 1")
-	v.require(fault.Stagger >= 0, path+"each", "is below 0")
-	v.require(fault.Repeats >= 0 && fault.Repeats <= maxRepeats, path+"times",
+	v.require(fault.Stagger >= 0, path+"stagger", "is below 0")
+	v.require(fault.Repeats >= 0 && fault.Repeats <= maxRepeats, path+"repeats",
 		"is not from 0 to %d", maxRepeats)
-	v.require(fault.Repeats <= 1 || fault.RepeatInterval > 0, path+"every", "is not above 0")
+	v.require(fault.Repeats <= 1 || fault.RepeatInterval > 0, path+"repeat_interval", "is not above 0")
 	s.validateTargets(v, path, fault)
 }
 
@@ -186,11 +185,11 @@
 	traits, isKnown := traitsOf[fault.Kind]
 	hasTargets := len(fault.Targets) > 0 || fault.Share != 0
 	v.require(!isKnown || traits.party == noParty || len(fault.Targets) > 0 || fault.Share > 0,
-		path+"who", "is missing, and so is share")
-	v.require(!isKnown || traits.party != noParty || !hasTargets, path+"who", "means nothing for this kind")
+		path+"targets", "is missing, and so is share")
+	v.require(!isKnown || traits.party != noParty || !hasTargets, path+"targets", "means nothing for this kind")
 	count := s.countOf(traits.party)
 	for _, target := range fault.Targets {
-		v.require(target >= 0 && target < count, path+"who",
+		v.require(target >= 0 && target < count, path+"targets",
 			"names %d of %d %s", target, count, traits.party)
 	}
 }
--- a/internal/lab/testbed/load_test.go
+++ b/internal/lab/testbed/load_test.go
@@ -39,7 +39,7 @@
 // is told apart from a gateway that rejects.
 func TestLoadTool_Alone(t *testing.T) {
 	s, err := scenario.Parse("small", []byte(smallScenario),
-		"doors.count=1", "load.spread=1", "load.rate=400", "duration=1s", "load.retries=0")
+		"gateways.count=1", "load.entry_points=1", "load.rate=400", "duration=1s", "load.retries=0")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -70,7 +70,7 @@
 	for _, rate := range []string{"500", "2000", "5000"} {
 		b.Run(rate, func(b *testing.B) {
 			s, err := scenario.Parse("small", []byte(smallScenario),
-				"doors.count=1", "load.spread=1", "duration=2s", "load.rate="+rate)
+				"gateways.count=1", "load.entry_points=1", "duration=2s", "load.rate="+rate)
 			if err != nil {
 				b.Fatal(err)
 			}
--- a/internal/lab/testbed/testbed_test.go
+++ b/internal/lab/testbed/testbed_test.go
@@ -48,7 +48,7 @@
 const smallScenario = `name = "small"
 on = "sockets"
 duration = "3s"
-[doors]
+[gateways]
 count = 2
 [backends]
 count = 3
@@ -57,19 +57,19 @@
 groups = 3
 [load]
 rate = 80
-customers = 10
+tenants = 10
 retries = 1
-[[profile]]
+[[class]]
 name = "calc"
-effect = "reissuable"
-promised = "400ms"
-hard_limit = "800ms"
+idempotency = "idempotent"
+latency_objective = "400ms"
+deadline = "800ms"
 share = 4
-[[profile]]
+[[class]]
 name = "file"
-effect = "at-most-once"
-promised = "400ms"
-hard_limit = "800ms"
+idempotency = "non-idempotent"
+latency_objective = "400ms"
+deadline = "800ms"
 [[plan]]
 name = "despacho"
 rate = 30
@@ -129,31 +129,31 @@
 		want func(total results.Total) bool
 	}{
 		{"", "", succeededAtLeast(0.99)},
-		{scenario.BackendRefuse, "who = [0]", succeededAtLeast(0.97)},
+		{scenario.BackendRefuse, "targets = [0]", succeededAtLeast(0.97)},
 		{scenario.BackendRefuse, "share = 1", succeededPartly},
-		{scenario.BackendHang, "who = [0]", succeededAtLeast(0.95)},
-		{scenario.BackendSlow, "who = [0]\nfactor = 20", succeededAtLeast(0.95)},
+		{scenario.BackendHang, "targets = [0]", succeededAtLeast(0.95)},
+		{scenario.BackendSlow, "targets = [0]\nfactor = 20", succeededAtLeast(0.95)},
 		{scenario.BackendReset, "share = 1", succeededPartly},
 		{scenario.BackendGarble, "share = 1", succeededPartly},
 		{scenario.BackendError, "share = 1", succeededPartly},
-		{scenario.BackendDrain, "who = [0, 1]", succeededAtLeast(0.97)},
-		{scenario.BackendVanish, "who = [1]", succeededAtLeast(0.9)},
-		{scenario.BackendRestart, "who = [1]", succeededAtLeast(0.9)},
+		{scenario.BackendDrain, "targets = [0, 1]", succeededAtLeast(0.97)},
+		{scenario.BackendVanish, "targets = [1]", succeededAtLeast(0.9)},
+		{scenario.BackendRestart, "targets = [1]", succeededAtLeast(0.9)},
 		{scenario.CounterRefuse, "", succeededAtLeast(0.95)},
 		{scenario.CounterRefuse, resp, succeededAtLeast(0.95)},
 		{scenario.CounterHang, resp, succeededAtLeast(0.95)},
 		{scenario.CounterHang, "", succeededAtLeast(0.95)},
 		{scenario.CounterSlow, "delay = \"300ms\"", succeededAtLeast(0.95)},
-		{scenario.CounterCut, "who = [0]", succeededAtLeast(0.95)},
+		{scenario.CounterCut, "targets = [0]", succeededAtLeast(0.95)},
 		{scenario.DiscoveryStale, "", succeededAtLeast(0.99)},
 		{scenario.DiscoveryRefuse, "", succeededAtLeast(0.99)},
-		{scenario.InstanceRestart, "who = [1]", succeededThroughRestart},
+		{scenario.InstanceRestart, "targets = [1]", succeededThroughRestart},
 	} {
 		t.Run(string(test.kind)+test.more, func(t *testing.T) {
 			t.Parallel()
 			fault := ""
 			if test.kind != "" {
-				fault = fmt.Sprintf("[[fault]]\nkind = %q\nat = \"1s\"\nfor = \"1s\"\n%s\n",
+				fault = fmt.Sprintf("[[fault]]\nkind = %q\nat = \"1s\"\nduration = \"1s\"\n%s\n",
 					test.kind, test.more)
 			}
 			if run := play(t, fault); !test.want(run.Total) {
@@ -203,22 +203,22 @@
 	}{
 		{
 			name: "many",
-			faults: "[[fault]]\nkind = \"backend-withdraw\"\nat = \"200ms\"\nfor = \"600ms\"\n" +
-				"who = [0, 1, 2, 3]\neach = \"200ms\"\ntimes = 3\nevery = \"800ms\"\n",
+			faults: "[[fault]]\nkind = \"backend-withdraw\"\nat = \"200ms\"\nduration = \"600ms\"\n" +
+				"targets = [0, 1, 2, 3]\neach = \"200ms\"\ntimes = 3\nevery = \"800ms\"\n",
 			minShare:          0.9,
 			boundsWithdrawals: true,
 		},
 		{
 			name: "a gateway killed meanwhile",
-			faults: "[[fault]]\nkind = \"backend-withdraw\"\nat = \"900ms\"\nfor = \"1500ms\"\n" +
-				"who = [1]\n[[fault]]\nkind = \"door-restart\"\nat = \"1200ms\"\nfor = \"200ms\"\n" +
-				"who = [0]\n",
+			faults: "[[fault]]\nkind = \"backend-withdraw\"\nat = \"900ms\"\nduration = \"1500ms\"\n" +
+				"targets = [1]\n[[fault]]\nkind = \"gateway-restart\"\nat = \"1200ms\"\nduration = \"200ms\"\n" +
+				"targets = [0]\n",
 			minShare:          0.9,
 			boundsWithdrawals: true,
 		},
 		{
 			name:     "drained",
-			faults:   "[[fault]]\nkind = \"backend-drain\"\nat = \"500ms\"\nfor = \"1s\"\nwho = [0]\n",
+			faults:   "[[fault]]\nkind = \"backend-drain\"\nat = \"500ms\"\nduration = \"1s\"\ntargets = [0]\n",
 			minShare: 0.97,
 		},
 	} {
--- a/internal/lab/workload/workload.go
+++ b/internal/lab/workload/workload.go
@@ -137,5 +137,5 @@
 // warmed up.
 func (g *Generator) WorkNanos(random *rand.Rand, units float64) float64 {
 	median := float64(g.scenario.Backends.Work) * units
-	return median * math.Exp(g.scenario.Backends.Spread*random.NormFloat64())
+	return median * math.Exp(g.scenario.Backends.WorkSigma*random.NormFloat64())
 }
--- a/internal/lab/workload/workload_test.go
+++ b/internal/lab/workload/workload_test.go
@@ -11,10 +11,10 @@
 [load]
 rate = 500
 units = 3
-[[profile]]
+[[class]]
 name = "calc"
-effect = "reissuable"
-promised = "750ms"
+idempotency = "idempotent"
+latency_objective = "750ms"
 [[plan]]
 name = "despacho"
 `
@@ -60,7 +60,7 @@
 
 // TestGenerator_StopsAtMaxRequests draws as many requests as the scenario has at most.
 func TestGenerator_StopsAtMaxRequests(t *testing.T) {
-	if requests := drawAll(newGenerator(t, "load.most=7")); len(requests) != 7 {
+	if requests := drawAll(newGenerator(t, "load.max_requests=7")); len(requests) != 7 {
 		t.Errorf("%d requests", len(requests))
 	}
 }
