--- a/internal/lab/emulator/backend.go
+++ b/internal/lab/emulator/backend.go
@@ -301,14 +301,10 @@
 	return string(noise) + "\r\n"
 }
 
-// capacity returns the part of its capacity that the backend has at its age, by the rules of slow start. The
-// caller holds the lock.
+// capacity returns the share of its capacity that the backend has at its age. The caller holds the lock.
 func (b *backend) capacity() float64 {
-	rules := b.emulator.scenario.Rules
-	ageNanos := b.emulator.log.Now() - b.startedNanos
-	if b.startedNanos == 0 || ageNanos >= int64(rules.SlowStartDuration) {
+	if b.startedNanos == 0 {
 		return 1
 	}
-	warmedUp := float64(max(ageNanos, 0)) / float64(rules.SlowStartDuration)
-	return rules.SlowStartShare + (1-rules.SlowStartShare)*warmedUp
+	return b.emulator.scenario.CapacityShare(time.Duration(b.emulator.log.Now() - b.startedNanos))
 }
--- a/internal/lab/emulator/counter.go
+++ b/internal/lab/emulator/counter.go
@@ -5,7 +5,9 @@
 	"sync"
 	"time"
 
+	"fawnplank/internal/lab/counterqueue"
 	"fawnplank/internal/lab/scenario"
+	"fawnplank/internal/monotime"
 )
 
 const (
@@ -15,10 +17,6 @@
 
 	// maxLifetimeMillis bounds an entry's lifetime in the line protocol: 60 s by the platform's protocol.
 	maxLifetimeMillis = 60000
-
-	// overloadTimeouts is how many of the gateway's timeouts a call may wait. The counter refuses calls that
-	// would wait longer, like one whose queue is full.
-	overloadTimeouts = 4
 )
 
 // counter stands in for the counter. Each instance has its own address there, so that it can be cut off
@@ -26,11 +24,12 @@
 type counter struct {
 	emulator  *Emulator
 	listeners []*listener // of each instance
+	started   time.Time   // zero of the queue's instants
 
 	mu         sync.Mutex // guards what follows
 	entries    map[string]*counterEntry
-	freeAt     time.Time // when it can begin the next call
-	refusing   int       // how many faults of the kind are active; likewise below
+	queue      counterqueue.Queue
+	refusing   int // how many faults of the kind are active; likewise below
 	hanging    int
 	cutOff     map[int]int   // by instance
 	extraDelay time.Duration // of the faults that are active
@@ -52,9 +51,12 @@
 }
 
 func newCounter(e *Emulator) (*counter, error) {
+	settings := &e.scenario.Counter
 	c := &counter{
 		emulator:  e,
+		started:   time.Now(),
 		entries:   map[string]*counterEntry{},
+		queue:     counterqueue.New(settings.Rate, time.Duration(settings.Timeout)),
 		cutOff:    map[int]int{},
 		calls:     make([]int, e.scenario.Instances.Count),
 		unblocked: make(chan struct{}),
@@ -104,19 +106,13 @@
 
 // schedule returns when a call that arrives now is answered, by the counter's rate and delay. It returns
 // false if the queue is too long. The caller holds the lock.
-func (c *counter) schedule(now time.Time) (time.Time, bool) {
-	settings := c.emulator.scenario.Counter
-	startAt := now
-	if c.freeAt.After(now) {
-		startAt = c.freeAt
-	}
-	if settings.Rate > 0 {
-		if startAt.Sub(now) > overloadTimeouts*time.Duration(settings.Timeout) {
-			return time.Time{}, false
-		}
-		c.freeAt = startAt.Add(time.Duration(1e9 / settings.Rate))
+func (c *counter) schedule(now time.Time) (answerAt time.Time, ok bool) {
+	begin, ok := c.queue.Push(monotime.FromNanos(int64(now.Sub(c.started))))
+	if !ok {
+		return time.Time{}, false
 	}
-	return startAt.Add(time.Duration(settings.Delay) + c.extraDelay), true
+	delay := time.Duration(c.emulator.scenario.Counter.Delay) + c.extraDelay
+	return c.started.Add(begin.Sub(monotime.Instant{}) + delay), true
 }
 
 // add adds units to a key and returns the total. It creates the entry if there is none or it has expired.
--- a/internal/lab/emulator/emulator.go
+++ b/internal/lab/emulator/emulator.go
@@ -131,15 +131,11 @@
 func (e *Emulator) PlayFaults() {
 	e.counter.watchBreakers()
 	for _, fault := range e.scenario.Faults {
-		targets := e.scenario.Targets(fault)
-		if len(targets) == 0 {
-			targets = []int{0} // a fault of a party that exists only once
-		}
-		for i, target := range targets {
-			begin := time.Duration(fault.At + scenario.Span(i)*fault.Stagger)
-			e.after(begin, func() { e.setFault(fault, target, faultBegins) })
-			if fault.Duration > 0 {
-				e.after(begin+time.Duration(fault.Duration), func() { e.setFault(fault, target, faultEnds) })
+		for _, occurrence := range e.scenario.Occurrences(fault) {
+			target := occurrence.Target
+			e.after(occurrence.Begin, func() { e.setFault(fault, target, faultBegins) })
+			if occurrence.End > occurrence.Begin {
+				e.after(occurrence.End, func() { e.setFault(fault, target, faultEnds) })
 			}
 		}
 	}
--- a/internal/lab/load/protocol.go
+++ b/internal/lab/load/protocol.go
@@ -9,7 +9,6 @@
 	"time"
 
 	"fawnplank/internal/lab/invariants"
-	"fawnplank/internal/lab/scenario"
 	"fawnplank/internal/lab/workload"
 )
 
@@ -18,7 +17,7 @@
 
 // isIdempotent reports whether the class of a request lets it run twice.
 func (g *Generator) isIdempotent(request workload.Request) bool {
-	return g.scenario.Classes[request.Class].Idempotency == scenario.Idempotent
+	return g.scenario.Classes[request.Class].IsIdempotent()
 }
 
 // command returns a submission in the platform's protocol: verb, tenant, ID and header.
--- a/internal/lab/load/request.go
+++ b/internal/lab/load/request.go
@@ -11,10 +11,6 @@
 )
 
 const (
-	// extraConnectRetries is how many connects beyond the scenario's retries a client tries, one instance after
-	// another, before it gives up the request.
-	extraConnectRetries = 3
-
 	// minRemainingToConnect is the remaining time below which another connect is of no use.
 	minRemainingToConnect = 20 * time.Millisecond
 
@@ -59,7 +55,7 @@
 		s.isRetry = retries > 0
 		result := g.submit(s)
 		if !result.sent {
-			isLast := retries >= g.scenario.Load.Retries+extraConnectRetries
+			isLast := retries >= g.scenario.Load.Retries+workload.ExtraConnectRetries
 			if isLast || time.Until(deadline) <= minRemainingToConnect {
 				g.log.CountNotSent()
 				return
--- a/internal/lab/model/backend.go
+++ b/internal/lab/model/backend.go
@@ -68,15 +68,12 @@
 	return &backend{world: w, index: index, isUp: true, state: policy.EndpointReady, slowdown: 1}
 }
 
-// capacity returns the share of its capacity that the backend has: it rises from the initial one while it
-// warms up.
+// capacity returns the share of its capacity that the backend has at its age.
 func (b *backend) capacity() float64 {
-	rules := &b.world.scenario.Rules
-	ageNanos := b.world.nowNanos - b.startedNanos
-	if b.startedNanos == 0 || ageNanos >= int64(rules.SlowStartDuration) {
+	if b.startedNanos == 0 {
 		return 1
 	}
-	return rules.SlowStartShare + (1-rules.SlowStartShare)*float64(ageNanos)/float64(rules.SlowStartDuration)
+	return b.world.scenario.CapacityShare(time.Duration(b.world.nowNanos - b.startedNanos))
 }
 
 // arrive accepts an attempt, or refuses it.
--- a/internal/lab/model/client.go
+++ b/internal/lab/model/client.go
@@ -2,14 +2,10 @@
 
 import (
 	"fawnplank/internal/lab/invariants"
-	"fawnplank/internal/lab/scenario"
 	"fawnplank/internal/lab/workload"
 	"fawnplank/policy"
 )
 
-// maxRefusedRetries is how many retries beyond its usual ones a client has while its connections are refused.
-const maxRefusedRetries = 3
-
 // submission is one submission of a request to an instance.
 type submission struct {
 	invariants.Event
@@ -58,7 +54,7 @@
 // left.
 func (w *world) handleConnectionRefused(request workload.Request, dueNanos int64, retries int) {
 	w.after(w.roundTripNanos(), func() {
-		if retries < w.scenario.Load.Retries+maxRefusedRetries && w.nowNanos < request.DeadlineNanos {
+		if retries < w.scenario.Load.Retries+workload.ExtraConnectRetries && w.nowNanos < request.DeadlineNanos {
 			w.submit(request, dueNanos, retries+1)
 		} else {
 			w.recorder.CountNotSent(w.nowNanos)
@@ -109,8 +105,8 @@
 		Kind:       invariants.Abandoned,
 		Submission: s.Submission,
 	})
-	isIdempotent := w.scenario.Classes[s.Class].Idempotency == scenario.Idempotent
-	if s.retries < w.scenario.Load.Retries && isIdempotent && w.nowNanos < s.DeadlineNanos {
+	mayRunTwice := w.scenario.Classes[s.Class].IsIdempotent()
+	if s.retries < w.scenario.Load.Retries && mayRunTwice && w.nowNanos < s.DeadlineNanos {
 		w.after(w.roundTripNanos(), func() { w.submit(s.request, w.nowNanos, s.retries+1) })
 	}
 }
--- a/internal/lab/model/counter.go
+++ b/internal/lab/model/counter.go
@@ -1,15 +1,16 @@
 package model
 
-import "fawnplank/policy"
+import (
+	"time"
 
-const (
-	// maxLifetimeNanos bounds an entry's lifetime: 60 s by the platform's protocol.
-	maxLifetimeNanos = 60e9
-	// overloadTimeouts is how many of the gateway's timeouts a call may wait. The counter refuses calls that
-	// would wait longer, like one whose queue is full.
-	overloadTimeouts = 4
+	"fawnplank/internal/lab/counterqueue"
+	"fawnplank/internal/monotime"
+	"fawnplank/policy"
 )
 
+// maxLifetimeNanos bounds an entry's lifetime: 60 s by the platform's protocol.
+const maxLifetimeNanos = 60e9
+
 // counterEntry is the number under a key.
 type counterEntry struct {
 	total          float64
@@ -18,9 +19,9 @@
 
 // counter adds up numbers, one call at a time.
 type counter struct {
-	world       *world
-	entries     map[policy.CounterKey]*counterEntry
-	freeAtNanos int64 // when it can begin the next call
+	world   *world
+	entries map[policy.CounterKey]*counterEntry
+	queue   counterqueue.Queue
 
 	refusing        int // how many faults of the kind are active; likewise below
 	hanging         int
@@ -30,7 +31,13 @@
 }
 
 func newCounter(w *world) counter {
-	return counter{world: w, entries: map[policy.CounterKey]*counterEntry{}, cutOff: map[int]int{}}
+	settings := &w.scenario.Counter
+	return counter{
+		world:   w,
+		entries: map[policy.CounterKey]*counterEntry{},
+		queue:   counterqueue.New(settings.Rate, time.Duration(settings.Timeout)),
+		cutOff:  map[int]int{},
+	}
 }
 
 // counterCall is one call of an instance. An instance gets the answers for a key in the order of its calls.
@@ -103,15 +110,11 @@
 // schedule returns when a call that arrives now is answered, by the counter's rate and delay. It returns
 // false if the queue is too long.
 func (c *counter) schedule() (answerNanos int64, ok bool) {
-	settings := &c.world.scenario.Counter
-	startNanos := max(c.world.nowNanos, c.freeAtNanos)
-	if settings.Rate > 0 {
-		if startNanos-c.world.nowNanos > overloadTimeouts*int64(settings.Timeout) {
-			return 0, false
-		}
-		c.freeAtNanos = startNanos + int64(1e9/settings.Rate)
+	begin, ok := c.queue.Push(monotime.FromNanos(c.world.nowNanos))
+	if !ok {
+		return 0, false
 	}
-	return startNanos + int64(settings.Delay) + c.extraDelayNanos, true
+	return begin.Nanos() + int64(c.world.scenario.Counter.Delay) + c.extraDelayNanos, true
 }
 
 // add adds units to a key and returns the total, in single precision as on the platform's wire. It creates
--- a/internal/lab/model/faults.go
+++ b/internal/lab/model/faults.go
@@ -7,13 +7,8 @@
 
 // scheduleFault schedules the begin of a fault for each of its targets.
 func (w *world) scheduleFault(fault scenario.Fault) {
-	fromNanos := int64(fault.At)
-	for n, target := range w.scenario.Targets(fault) {
-		beginNanos := fromNanos + int64(n)*int64(fault.Stagger)
-		w.at(beginNanos, func() { w.beginFault(fault, target, beginNanos+int64(fault.Duration)) })
-	}
-	if len(fault.Targets) == 0 && fault.Share == 0 {
-		w.at(fromNanos, func() { w.beginFault(fault, 0, fromNanos+int64(fault.Duration)) })
+	for _, occurrence := range w.scenario.Occurrences(fault) {
+		w.at(int64(occurrence.Begin), func() { w.beginFault(fault, occurrence.Target, int64(occurrence.End)) })
 	}
 }
 
--- a/internal/lab/results/recorder.go
+++ b/internal/lab/results/recorder.go
@@ -119,11 +119,11 @@
 
 // newFaultSpan returns the span of a fault, which lasts until it ends for the last of its staggered targets.
 func newFaultSpan(s *scenario.Scenario, fault scenario.Fault) FaultSpan {
-	stagger := fault.Stagger * scenario.Span(max(len(s.Targets(fault))-1, 0))
+	occurrences := s.Occurrences(fault)
 	return FaultSpan{
 		Kind:  storedFaultKind(fault.Kind),
-		From:  float64(fault.At) / nanosPerSecond,
-		Until: float64(fault.At+fault.Duration+stagger) / nanosPerSecond,
+		From:  float64(occurrences[0].Begin) / nanosPerSecond,
+		Until: float64(occurrences[len(occurrences)-1].End) / nanosPerSecond,
 	}
 }
 
--- a/internal/lab/testbed/testbed.go
+++ b/internal/lab/testbed/testbed.go
@@ -164,10 +164,10 @@
 		if fault.Kind != scenario.InstanceRestart {
 			continue
 		}
-		for position, index := range t.scenario.Targets(fault) {
-			delay := time.Duration(fault.At + scenario.Span(position)*fault.Stagger)
+		for _, occurrence := range t.scenario.Occurrences(fault) {
+			g := t.gateways[occurrence.Target]
 			restarts.Go(func() {
-				t.gateways[index].restart(ctx, t.log, delay, time.Duration(fault.Duration))
+				g.restart(ctx, t.log, occurrence.Begin, occurrence.End-occurrence.Begin)
 			})
 		}
 	}
--- a/internal/lab/workload/workload.go
+++ b/internal/lab/workload/workload.go
@@ -19,6 +19,10 @@
 	choiceStream         // entry points and delays, drawn in an order that depends on answers
 )
 
+// ExtraConnectRetries is how many connects beyond the scenario's retries a client tries, one instance after
+// another, before it gives up a request that no instance accepts.
+const ExtraConnectRetries = 3
+
 const (
 	// firstRetryDelayNanos is how long a client waits that got no Retry-After. The delay doubles with each
 	// retry, as is common among clients, up to maxRetryDoublings times.
