--- a/cmd/fawnplank-lab/command_accounts.go
+++ b/cmd/fawnplank-lab/command_accounts.go
@@ -3,7 +3,6 @@
 import (
 	"time"
 
-	"github.com/sirupsen/logrus"
 	"github.com/spf13/cobra"
 
 	"fawnplank/internal/lab/billingbench"
@@ -34,7 +33,7 @@
 }
 
 func (f *accountsFlags) run(command *cobra.Command) error {
-	logrus.SetLevel(logrus.ErrorLevel) // log entries of an election would end up in the table
+	logErrorsOnly()
 	var costs []billingbench.Cost
 	for _, clients := range f.clients {
 		for _, secure := range []bool{false, true} {
--- a/cmd/fawnplank-lab/command_load.go
+++ b/cmd/fawnplank-lab/command_load.go
@@ -37,8 +37,7 @@
 	}
 	flags.scenario.register(command)
 	command.Flags().StringSliceVar(&flags.addresses, "to", nil, "addresses of the gateways")
-	command.Flags().StringVarP(&flags.outputFile, "output", "o", "",
-		"file that the results are written to, as JSON")
+	addResultsFlag(command, &flags.outputFile)
 	requireFlag(command, "to")
 	return command
 }
@@ -59,21 +58,18 @@
 	if err != nil {
 		return err
 	}
-	if f.outputFile != "" {
-		if err := run.Write(f.outputFile); err != nil {
-			return err
-		}
+	if err := writeResults(f.outputFile, run); err != nil {
+		return err
 	}
 	return plots.Table(command.OutOrStdout(), run)
 }
 
 // send sends the scenario's requests until they are answered or ctx ends, and returns what the clients saw.
 func (f *loadFlags) send(ctx context.Context, s *scenario.Scenario) (*results.Run, error) {
-	settings, err := s.EngineSettings(0)
+	log, err := testbed.NewLog(s)
 	if err != nil {
 		return nil, err
 	}
-	log := results.NewLog(results.New(s, settings, testbed.SlackNanos))
 	log.Begin()
 	tool := load.New(s, log, f.addresses)
 	tool.Run(ctx)
--- a/cmd/fawnplank-lab/command_report.go
+++ b/cmd/fawnplank-lab/command_report.go
@@ -18,7 +18,7 @@
 			return report(command, args, pictureFile)
 		},
 	}
-	command.Flags().StringVarP(&pictureFile, "output", "o", "", "picture to draw, .png or .svg")
+	addPictureFlag(command, &pictureFile)
 	return command
 }
 
@@ -31,10 +31,9 @@
 		}
 		runs = append(runs, run)
 	}
-	if pictureFile != "" {
-		if err := plots.Draw(pictureFile, runs...); err != nil {
-			return err
-		}
+	err := drawPicture(pictureFile, func(file string) error { return plots.Draw(file, runs...) })
+	if err != nil {
+		return err
 	}
 	return plots.Table(command.OutOrStdout(), runs...)
 }
--- a/cmd/fawnplank-lab/command_run.go
+++ b/cmd/fawnplank-lab/command_run.go
@@ -41,8 +41,7 @@
 		RunE: func(command *cobra.Command, args []string) error { return flags.run(command, args[0]) },
 	}
 	flags.scenario.register(command)
-	command.Flags().StringVarP(&flags.outputFile, "output", "o", "",
-		"file that the results are written to, as JSON")
+	addResultsFlag(command, &flags.outputFile)
 	command.Flags().StringVar(&flags.label, "label", "", "what to call this run in tables and plots")
 	command.Flags().StringVar(&flags.pictureFile, "plot", "", "picture to draw, .png or .svg")
 	command.Flags().StringVar(&flags.logFolder, "logs", "", "sockets: folder for the gateways' logs")
@@ -98,15 +97,12 @@
 
 // write writes the files that the flags ask for, and fails if a rule was broken.
 func (f *runFlags) write(name string, run *results.Run) error {
-	if f.outputFile != "" {
-		if err := run.Write(f.outputFile); err != nil {
-			return err
-		}
+	if err := writeResults(f.outputFile, run); err != nil {
+		return err
 	}
-	if f.pictureFile != "" {
-		if err := plots.Draw(f.pictureFile, run); err != nil {
-			return err
-		}
+	err := drawPicture(f.pictureFile, func(file string) error { return plots.Draw(file, run) })
+	if err != nil {
+		return err
 	}
 	return checkRules(name, run)
 }
--- a/cmd/fawnplank-lab/command_standins.go
+++ b/cmd/fawnplank-lab/command_standins.go
@@ -11,7 +11,6 @@
 	"github.com/spf13/cobra"
 
 	"fawnplank/internal/lab/emulator"
-	"fawnplank/internal/lab/results"
 	"fawnplank/internal/lab/testbed"
 )
 
@@ -53,40 +52,39 @@
 	if err != nil {
 		return err
 	}
-	settings, err := s.EngineSettings(0)
-	if err != nil {
-		return err
-	}
 	if f.stay <= 0 || f.stay > maxStay {
 		return fmt.Errorf("--stay %v is not above 0 and at most 1h", f.stay)
 	}
 	if err := os.MkdirAll(f.folder, 0o755); err != nil {
 		return err
 	}
-	log := results.NewLog(results.New(s, settings, testbed.SlackNanos))
-	standIns, err := emulator.Start(s, log)
+	log, err := testbed.NewLog(s)
+	if err != nil {
+		return err
+	}
+	emulated, err := emulator.Start(s, log)
 	if err != nil {
 		return err
 	}
-	defer standIns.Close()
-	addresses, err := f.configureGateways(command, standIns, s.Instances.Count)
+	defer emulated.Close()
+	addresses, err := f.configureGateways(command, emulated, s.Instances.Count)
 	if err != nil {
 		return err
 	}
 	printf(command, "fawnplank lab load %s --to %s\n", path, strings.Join(addresses, ","))
 	log.Begin()
-	standIns.PlayFaults()
+	emulated.PlayFaults()
 	f.wait(command.Context())
 	return nil
 }
 
 // configureGateways configures all gateways and returns the addresses that they will listen on.
 func (f *standInsFlags) configureGateways(
-	command *cobra.Command, standIns *emulator.Emulator, count int,
+	command *cobra.Command, emulated *emulator.Emulator, count int,
 ) ([]string, error) {
 	var addresses []string
 	for index := range count {
-		address, err := f.configureGateway(command, standIns, index)
+		address, err := f.configureGateway(command, emulated, index)
 		if err != nil {
 			return nil, fmt.Errorf("configure gateway %d: %w", index, err)
 		}
@@ -98,13 +96,13 @@
 // configureGateway writes the configuration of a gateway, prints how to start it, and returns the address
 // that it will listen on.
 func (f *standInsFlags) configureGateway(
-	command *cobra.Command, standIns *emulator.Emulator, index int,
+	command *cobra.Command, emulated *emulator.Emulator, index int,
 ) (string, error) {
 	address, err := testbed.FreeAddress(command.Context())
 	if err != nil {
 		return "", err
 	}
-	configuration, err := standIns.InstanceConfig(index, address)
+	configuration, err := emulated.InstanceConfig(index, address)
 	if err != nil {
 		return "", err
 	}
--- a/cmd/fawnplank-lab/command_sweep.go
+++ b/cmd/fawnplank-lab/command_sweep.go
@@ -36,7 +36,7 @@
 		},
 	}
 	flags.scenario.register(command)
-	command.Flags().StringVarP(&flags.pictureFile, "output", "o", "", "picture to draw, .png or .svg")
+	addPictureFlag(command, &flags.pictureFile)
 	command.Flags().IntVar(&flags.parallelRuns, "parallel", defaultParallelRuns, "runs at once")
 	return command
 }
@@ -51,10 +51,9 @@
 	if err != nil {
 		return err
 	}
-	if f.pictureFile != "" {
-		if err := plots.Sweep(f.pictureFile, key, values, runs); err != nil {
-			return err
-		}
+	err = drawPicture(f.pictureFile, func(file string) error { return plots.Sweep(file, key, values, runs) })
+	if err != nil {
+		return err
 	}
 	if err := plots.Table(command.OutOrStdout(), runs...); err != nil {
 		return err
--- a/cmd/fawnplank-lab/command_zone.go
+++ b/cmd/fawnplank-lab/command_zone.go
@@ -4,7 +4,6 @@
 	"fmt"
 	"time"
 
-	"github.com/sirupsen/logrus"
 	"github.com/spf13/cobra"
 
 	"fawnplank/internal/lab/dnsbench"
@@ -42,12 +41,12 @@
 	command.Flags().IntVar(&flags.updates, "updates", defaultZoneUpdates, "updates one after the other")
 	command.Flags().DurationVar(&flags.duration, "span", defaultZoneDuration,
 		"time for which eight updaters send at once")
-	command.Flags().StringVarP(&flags.pictureFile, "output", "o", "", "picture to draw, .png or .svg")
+	addPictureFlag(command, &flags.pictureFile)
 	return command
 }
 
 func (f *zoneFlags) run(command *cobra.Command) error {
-	logrus.SetLevel(logrus.ErrorLevel) // one log entry per update would be measured too
+	logErrorsOnly()
 	for _, size := range f.sizes {
 		if size < 1 || size > maxZoneBackends {
 			return fmt.Errorf("--sizes: %d is not from 1 to %d", size, maxZoneBackends)
@@ -60,8 +59,5 @@
 	if err := plots.CostTable(command.OutOrStdout(), costs); err != nil {
 		return err
 	}
-	if f.pictureFile == "" {
-		return nil
-	}
-	return plots.Costs(f.pictureFile, costs)
+	return drawPicture(f.pictureFile, func(file string) error { return plots.Costs(file, costs) })
 }
--- a/internal/lab/plots/costs.go
+++ b/internal/lab/plots/costs.go
@@ -2,14 +2,12 @@
 
 import (
 	"fmt"
-	"image/color"
 	"io"
 	"text/tabwriter"
 
 	"gonum.org/v1/plot"
 	"gonum.org/v1/plot/plotter"
 	"gonum.org/v1/plot/vg"
-	"gonum.org/v1/plot/vg/draw"
 
 	"fawnplank/internal/lab/dnsbench"
 )
@@ -20,31 +18,25 @@
 	costsHeightInches = 7.2
 )
 
-// costCurve is one line of a panel: a cost over the size of the zone.
-type costCurve struct {
-	name  string
-	color color.Color
-	value func(cost dnsbench.Cost) float64
-}
-
+// costPanel is one plot of costs over the size of the zone.
 type costPanel struct {
 	title  string
 	unit   string
-	curves []costCurve
+	curves []curve[dnsbench.Cost]
 }
 
 var costPanels = []costPanel{
-	{title: "a start", unit: "ms", curves: []costCurve{
+	{title: "a start", unit: "ms", curves: []curve[dnsbench.Cost]{
 		{"zone file", green, func(cost dnsbench.Cost) float64 { return cost.Load }},
 		{"journal", red, func(cost dnsbench.Cost) float64 { return cost.Start }},
 	}},
-	{title: "an update, from its sending", unit: "ms", curves: []costCurve{
+	{title: "an update, from its sending", unit: "ms", curves: []curve[dnsbench.Cost]{
 		{"list published, p50", green, func(cost dnsbench.Cost) float64 { return cost.PublishedP50 }},
 		{"list published, p99", red, func(cost dnsbench.Cost) float64 { return cost.PublishedP99 }},
 		{"answered, p50", blue, func(cost dnsbench.Cost) float64 { return cost.AnsweredP50 }},
 		{"answered, p99", purple, func(cost dnsbench.Cost) float64 { return cost.AnsweredP99 }},
 	}},
-	{title: "updates a second, eight updaters", unit: "a second", curves: []costCurve{
+	{title: "updates a second, eight updaters", unit: "a second", curves: []curve[dnsbench.Cost]{
 		{"done", green, func(cost dnsbench.Cost) float64 { return cost.UpdatesPerSecond }},
 	}},
 }
@@ -63,15 +55,7 @@
 	if err != nil {
 		return err
 	}
-	drawGrid(picture, grid, draw.Tiles{
-		Rows:      len(grid),
-		Cols:      1,
-		PadY:      vg.Points(8),
-		PadTop:    vg.Points(4),
-		PadBottom: vg.Points(4),
-		PadLeft:   vg.Points(4),
-		PadRight:  vg.Points(10),
-	})
+	drawGrid(picture, grid, runPadding)
 	return writePicture(path, picture)
 }
 
--- a/internal/lab/plots/draw.go
+++ b/internal/lab/plots/draw.go
@@ -75,20 +75,25 @@
 	if err != nil {
 		return err
 	}
-	drawGrid(picture, grid, draw.Tiles{
-		Rows:      len(grid),
-		Cols:      len(runs),
-		PadX:      vg.Points(8),
-		PadY:      vg.Points(8),
-		PadTop:    vg.Points(4),
-		PadBottom: vg.Points(4),
-		PadLeft:   vg.Points(4),
-		PadRight:  vg.Points(10),
-	})
+	drawGrid(picture, grid, runPadding)
 	return writePicture(path, picture)
 }
 
-func drawGrid(picture canvas, grid [][]*plot.Plot, tiles draw.Tiles) {
+// runPadding is the space between and around the plots of runs and costs.
+var runPadding = draw.Tiles{
+	PadX:      vg.Points(8),
+	PadY:      vg.Points(8),
+	PadTop:    vg.Points(4),
+	PadBottom: vg.Points(4),
+	PadLeft:   vg.Points(4),
+	PadRight:  vg.Points(10),
+}
+
+// drawGrid draws rows of plots of one size. The padding needs no numbers of rows and columns.
+func drawGrid(picture canvas, grid [][]*plot.Plot, padding draw.Tiles) {
+	tiles := padding
+	tiles.Rows = len(grid)
+	tiles.Cols = len(grid[0])
 	areas := plot.Align(grid, tiles, draw.New(picture))
 	for row := range grid {
 		for column := range grid[row] {
--- a/internal/lab/plots/panels.go
+++ b/internal/lab/plots/panels.go
@@ -25,23 +25,23 @@
 	objectiveHeadroom = 1.05
 )
 
-// curve is one line of a panel.
-type curve struct {
+// curve is one line of a panel: a figure of each second, of each run or of each cost.
+type curve[T any] struct {
 	name  string
 	color color.Color
-	value func(row results.Row) float64
+	value func(T) float64
 }
 
 // panel is one plot of a run over time.
 type panel struct {
 	title        string
 	unit         string
-	curves       []curve
+	curves       []curve[results.Row]
 	hasObjective bool // the panel shows the latency objective
 }
 
 var panels = []panel{
-	{title: "answers a second", unit: "submissions", curves: []curve{
+	{title: "answers a second", unit: "submissions", curves: []curve[results.Row]{
 		{"succeeded", green, func(row results.Row) float64 { return float64(row.Succeeded) }},
 		{"rejected", orange, func(row results.Row) float64 { return float64(row.Rejected) }},
 		{"aborted", red, func(row results.Row) float64 { return float64(row.Aborted) }},
@@ -49,23 +49,23 @@
 			return float64(row.Abandoned + row.NotSent)
 		}},
 	}},
-	{title: "latency", unit: "ms", hasObjective: true, curves: []curve{
+	{title: "latency", unit: "ms", hasObjective: true, curves: []curve[results.Row]{
 		{"p50", green, func(row results.Row) float64 { return row.P50 }},
 		{"p99", red, func(row results.Row) float64 { return row.P99 }},
 	}},
-	{title: "the counter", unit: "calls, instances", curves: []curve{
+	{title: "the counter", unit: "calls, instances", curves: []curve[results.Row]{
 		{"calls a second", blue, func(row results.Row) float64 { return float64(row.CounterCalls) }},
 		{"failed", red, func(row results.Row) float64 { return float64(row.CounterFailures) }},
 		{"instances not calling", purple, func(row results.Row) float64 { return float64(row.OpenBreakers) }},
 	}},
-	{title: "drift of tenants' counts from an exact counter's", unit: "units", curves: []curve{
-		{"had more", red, func(row results.Row) float64 { return row.DriftOver }},
-		{"had less", orange, func(row results.Row) float64 { return row.DriftUnder }},
+	{title: "drift of tenants' counts from an exact counter's", unit: "units", curves: []curve[results.Row]{
+		{"over", red, func(row results.Row) float64 { return row.DriftOver }},
+		{"under", orange, func(row results.Row) float64 { return row.DriftUnder }},
 	}},
 }
 
-// points returns a curve's values over time.
-func (c curve) points(run *results.Run) plotter.XYs {
+// pointsOverTime returns a curve's values in the seconds of a run.
+func pointsOverTime(c curve[results.Row], run *results.Run) plotter.XYs {
 	var points plotter.XYs
 	for _, row := range run.Rows {
 		points = append(points, plotter.XY{X: float64(row.Second), Y: c.value(row)})
@@ -110,7 +110,7 @@
 	var e extent
 	for _, run := range runs {
 		for _, c := range p.curves {
-			for _, point := range c.points(run) {
+			for _, point := range pointsOverTime(c, run) {
 				e.end = math.Max(e.end, point.X)
 				e.top = math.Max(e.top, point.Y)
 			}
@@ -151,7 +151,7 @@
 
 func (p panel) addCurves(plt *plot.Plot, run *results.Run) error {
 	for _, c := range p.curves {
-		line, err := plotter.NewLine(c.points(run))
+		line, err := plotter.NewLine(pointsOverTime(c, run))
 		if err != nil {
 			return err
 		}
--- a/internal/lab/plots/sweep.go
+++ b/internal/lab/plots/sweep.go
@@ -1,7 +1,6 @@
 package plots
 
 import (
-	"image/color"
 	"math"
 
 	"gonum.org/v1/plot"
@@ -19,34 +18,28 @@
 	sweepMargin = 0.3
 )
 
-// sweepCurve is one line of a sweep's panel: one figure of each whole run.
-type sweepCurve struct {
-	name  string
-	color color.Color
-	value func(run *results.Run) float64
-}
-
+// sweepPanel is one plot of the totals of runs.
 type sweepPanel struct {
 	title  string
-	curves []sweepCurve
+	curves []curve[*results.Run]
 }
 
 var sweepPanels = []sweepPanel{
-	{title: "shares, %", curves: []sweepCurve{
+	{title: "shares, %", curves: []curve[*results.Run]{
 		{"succeeded of requests", green, func(run *results.Run) float64 {
 			requests := float64(run.Total.Requests + run.Total.NotSent)
 			return 100 * float64(run.Total.Succeeded) / math.Max(requests, 1)
 		}},
-		{"had more", red, func(run *results.Run) float64 {
+		{"over", red, func(run *results.Run) float64 {
 			over, _ := run.Drift()
 			return 100 * over
 		}},
-		{"had less", orange, func(run *results.Run) float64 {
+		{"under", orange, func(run *results.Run) float64 {
 			_, under := run.Drift()
 			return 100 * under
 		}},
 	}},
-	{title: "latency, ms", curves: []sweepCurve{
+	{title: "latency, ms", curves: []curve[*results.Run]{
 		{"p50", green, func(run *results.Run) float64 { return run.Total.P50 }},
 		{"p99", red, func(run *results.Run) float64 { return run.Total.P99 }},
 	}},
@@ -67,12 +60,7 @@
 		}
 		grid = append(grid, []*plot.Plot{plt})
 	}
-	drawGrid(picture, grid, draw.Tiles{
-		Rows:     len(grid),
-		Cols:     1,
-		PadY:     vg.Points(10),
-		PadRight: vg.Points(10),
-	})
+	drawGrid(picture, grid, draw.Tiles{PadY: vg.Points(10), PadRight: vg.Points(10)})
 	return writePicture(path, picture)
 }
 
--- a/internal/lab/plots/table.go
+++ b/internal/lab/plots/table.go
@@ -50,7 +50,7 @@
 	{name: "dns updates answered", isPartial: true, value: func(run *results.Run) string {
 		return fmt.Sprint(run.DNSUpdates)
 	}},
-	{name: "drift: had more, had less", isPartial: true, value: func(run *results.Run) string {
+	{name: "drift: over, under", isPartial: true, value: func(run *results.Run) string {
 		over, under := run.Drift()
 		return fmt.Sprintf("%.1f%%, %.1f%%", 100*over, 100*under)
 	}},
--- a/internal/lab/testbed/testbed.go
+++ b/internal/lab/testbed/testbed.go
@@ -26,9 +26,9 @@
 	LogFolder string
 }
 
-// SlackNanos is how late an event may be seen at the far end of a socket on a machine that also does other
+// slackNanos is how late an event may be seen at the far end of a socket on a machine that also does other
 // work. It is the platform's own allowance for sockets.
-const SlackNanos = int64(50e6)
+const slackNanos = int64(50e6)
 
 // startTimeout is how long the gateways, one after the other, may take to answer their first command. It is
 // far above what a start takes, even on a loaded machine.
@@ -45,15 +45,25 @@
 	gateways  []*gateway
 }
 
+// NewLog returns the log of a scenario's run on sockets, which has not begun. It returns an error if a gateway
+// would refuse the scenario's settings.
+func NewLog(s *scenario.Scenario) (*results.Log, error) {
+	settings, err := s.EngineSettings(0)
+	if err != nil {
+		return nil, fmt.Errorf("testbed: scenario %s: %w", s.Name, err)
+	}
+	return results.NewLog(results.New(s, settings, slackNanos)), nil
+}
+
 // Run plays a scenario on sockets. If ctx ends, it ends early and returns what was recorded until then and
 // the error of ctx. A gateway that ends by itself does not end the run: its crash is returned with the
 // results. If no results are returned, the run could not be started.
 func Run(ctx context.Context, s *scenario.Scenario, options Options) (*results.Run, error) {
-	settings, err := s.EngineSettings(0)
+	log, err := NewLog(s)
 	if err != nil {
-		return nil, fmt.Errorf("testbed: scenario %s: %w", s.Name, err)
+		return nil, err
 	}
-	t := &testbed{scenario: s, options: options, log: results.NewLog(results.New(s, settings, SlackNanos))}
+	t := &testbed{scenario: s, options: options, log: log}
 	defer t.close()
 	if err := t.makeFolders(); err != nil {
 		return nil, err
