--- a/internal/lab/emulator/backend.go
+++ b/internal/lab/emulator/backend.go
@@ -14,6 +14,7 @@
 
 	"fawnplank/internal/lab/invariants"
 	"fawnplank/internal/lab/scenario"
+	"fawnplank/internal/monotime"
 	"fawnplank/policy"
 )
 
@@ -27,15 +28,15 @@
 	index    int
 	listener *listener
 
-	mu           sync.Mutex // guards what follows
-	random       *rand.Rand
-	busyCores    int
-	queue        []*job
-	startedNanos int64 // since the run's start; 0: long ago
-	state        policy.EndpointState
-	incarnation  int
-	slowdown     float64                    // factor by which faults multiply the work
-	active       map[scenario.FaultKind]int // how many faults of a kind are active
+	mu          sync.Mutex // guards what follows
+	random      *rand.Rand
+	busyCores   int
+	queue       []*job
+	startedAt   monotime.Instant // since the run's start; zero: long ago
+	state       policy.EndpointState
+	incarnation int
+	slowdown    float64                    // factor by which faults multiply the work
+	active      map[scenario.FaultKind]int // how many faults of a kind are active
 }
 
 // job is an attempt that has arrived whole.
@@ -236,11 +237,11 @@
 	defer b.mu.Unlock()
 	workNanos := e.workload.WorkNanos(b.random, j.units)
 	e.log.Observe(invariants.Event{
-		Kind:         invariants.AttemptArrived,
-		Submission:   j.submission,
-		Backend:      b.index,
-		StartedNanos: b.startedNanos,
-		WorkSeconds:  workNanos / 1e9,
+		Kind:        invariants.AttemptArrived,
+		Submission:  j.submission,
+		Backend:     b.index,
+		StartedAt:   b.startedAt,
+		WorkSeconds: workNanos / 1e9,
 	})
 	j.work = time.Duration(workNanos * b.slowdown / b.capacity())
 	j.incarnation = b.incarnation
@@ -303,8 +304,8 @@
 
 // capacity returns the share of its capacity that the backend has at its age. The caller holds the lock.
 func (b *backend) capacity() float64 {
-	if b.startedNanos == 0 {
+	if b.startedAt.IsZero() {
 		return 1
 	}
-	return b.emulator.scenario.CapacityShare(time.Duration(b.emulator.log.Now() - b.startedNanos))
+	return b.emulator.scenario.CapacityShare(b.emulator.log.Now().Sub(b.startedAt))
 }
--- a/internal/lab/emulator/backend_faults.go
+++ b/internal/lab/emulator/backend_faults.go
@@ -134,7 +134,7 @@
 func (b *backend) setStarted() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.startedNanos = b.emulator.log.Now()
+	b.startedAt = b.emulator.log.Now()
 	b.state = policy.EndpointReady
 }
 
--- a/internal/lab/emulator/discovery.go
+++ b/internal/lab/emulator/discovery.go
@@ -8,6 +8,7 @@
 
 	"fawnplank/internal/lab/invariants"
 	"fawnplank/internal/lab/scenario"
+	"fawnplank/internal/monotime"
 	"fawnplank/policy"
 )
 
@@ -44,10 +45,10 @@
 	Weight  float64 `json:"weight"`
 	SinceMs float64 `json:"since_ms"`
 
-	backend      int
-	startedNanos int64 // since the run's start; 0: long ago
-	state        policy.EndpointState
-	version      int64 // the list's index at its latest change
+	backend   int
+	startedAt monotime.Instant // since the run's start; zero: long ago
+	state     policy.EndpointState
+	version   int64 // the list's index at its latest change
 }
 
 // endpointList is the body of an answer: a full snapshot, or a delta.
@@ -119,12 +120,12 @@
 // publish puts a backend's current state into the list after the usual delay.
 func (d *discovery) publish(b *backend) {
 	b.mu.Lock()
-	state, startedNanos := b.state, b.startedNanos
+	state, startedAt := b.state, b.startedAt
 	b.mu.Unlock()
 	d.mu.Lock()
 	delay := time.Duration(d.emulator.scenario.Discovery.Delay) + d.extraDelay
 	d.mu.Unlock()
-	apply := func() { d.apply(b.index, state, startedNanos) }
+	apply := func() { d.apply(b.index, state, startedAt) }
 	d.emulator.after(delay, func() {
 		d.mu.Lock()
 		defer d.mu.Unlock()
@@ -137,16 +138,16 @@
 }
 
 // apply changes a backend's endpoint and wakes the watches. The caller holds the lock.
-func (d *discovery) apply(backend int, state policy.EndpointState, startedNanos int64) {
+func (d *discovery) apply(backend int, state policy.EndpointState, startedAt monotime.Instant) {
 	d.index++
 	changed := &d.endpoints[backend]
 	changed.state = state
 	changed.Status = statusNames[state]
-	changed.startedNanos = startedNanos
+	changed.startedAt = startedAt
 	changed.version = d.index
 	changed.SinceMs = 0
-	if startedNanos > 0 {
-		changed.SinceMs = float64(d.emulator.log.Start().UnixNano()+startedNanos) / 1e6
+	if !startedAt.IsZero() {
+		changed.SinceMs = float64(d.emulator.log.Start().UnixNano()+startedAt.Nanos()) / 1e6
 	}
 	d.wakeWatches()
 	if d.updates != nil {
@@ -248,10 +249,10 @@
 // as knowing it.
 func (e *Emulator) observeDelivery(instance int, delivered endpoint) {
 	e.log.Observe(invariants.Event{
-		Kind:         invariants.EndpointDelivered,
-		Instance:     instance,
-		Backend:      delivered.backend,
-		State:        delivered.state,
-		StartedNanos: delivered.startedNanos,
+		Kind:      invariants.EndpointDelivered,
+		Instance:  instance,
+		Backend:   delivered.backend,
+		State:     delivered.state,
+		StartedAt: delivered.startedAt,
 	})
 }
--- a/internal/lab/invariants/checker.go
+++ b/internal/lab/invariants/checker.go
@@ -6,10 +6,11 @@
 package invariants
 
 import (
-	"cmp"
 	"fmt"
 	"slices"
+	"time"
 
+	"fawnplank/internal/monotime"
 	"fawnplank/policy"
 )
 
@@ -28,51 +29,51 @@
 
 // Settings are the figures that the rules use.
 type Settings struct {
-	Classes                []policy.ClassSettings
-	Plans                  []policy.PlanSettings
-	HardQuotaSlack         []float64 // by plan, in units
-	AnswerGraceNanos       int64     // of an answer after the client's deadline
-	DrainGraceNanos        int64     // of an attempt after the instance had the backend's new state
-	SlackNanos             int64     // for unobserved transit from an instance to a backend or client
-	Cores                  float64   // of a backend that has warmed up
-	SlowStartShare         float64   // of a backend that starts, as a share
-	SlowStartDurationNanos int64
-	OverloadMultiple       float64 // of its capacity that a backend bears over the window
-	OverloadWindowNanos    int64
-	Zone                   func(backend int) int
-	Group                  func(backend int) int
+	Classes           []policy.ClassSettings
+	Plans             []policy.PlanSettings
+	HardQuotaSlack    []float64     // by plan, in units
+	AnswerGrace       time.Duration // of an answer after the client's deadline
+	DrainGrace        time.Duration // of an attempt after the instance had the backend's new state
+	Slack             time.Duration // for unobserved transit from an instance to a backend or client
+	Cores             float64       // of a backend that has warmed up
+	SlowStartShare    float64       // of a backend that starts, as a share
+	SlowStartDuration time.Duration
+	OverloadMultiple  float64 // of its capacity that a backend bears over the window
+	OverloadWindow    time.Duration
+	Zone              func(backend int) int
+	Group             func(backend int) int
 }
 
 // Finding is one violation of a rule.
 type Finding struct {
-	Rule    Rule   `json:"rule"`
-	AtNanos int64  `json:"at_ns"`
-	What    string `json:"what"`
+	Rule Rule             `json:"rule"`
+	At   monotime.Instant `json:"at_ns"` // since the run's start
+	What string           `json:"what"`
 }
 
 const (
 	// maxFindings bounds how many findings of each rule are reported; later ones are only counted.
 	maxFindings = 20
-	// retentionNanos is how long a submission is remembered after its end. By then no attempt of it is left
+	// retention is how long a submission is remembered after its end. By then no attempt of it is left
 	// anywhere.
-	retentionNanos = 30e9
+	retention = 30 * time.Second
 )
 
 // attempt is an attempt that arrived at a backend.
 type attempt struct {
 	backend int
-	atNanos int64
+	at      monotime.Instant
 	refused bool // the backend proved that it did not run the attempt
 }
 
 // submission is what has been seen of a submission.
 type submission struct {
 	Event
-	answeredNanos int64 // when the client had its answer; 0: not yet
-	answerDue     bool
-	attempts      []attempt
-	drawn         bool  // from the hard quota
-	endedNanos    int64 // when it was answered or abandoned; 0: not yet
+	answeredAt monotime.Instant // when the client had its answer; zero: not yet
+	answerDue  bool
+	attempts   []attempt
+	drawn      bool             // from the hard quota
+	endedAt    monotime.Instant // when it was answered or abandoned; zero: not yet
 }
 
 // Route is an instance and a backend that it sends to.
@@ -85,7 +86,7 @@
 	ended       []SubmissionID  // in order of their end
 	delivered   map[Route]Event // the last EndpointDelivered
 	arrivals    map[int][]arrival
-	overloaded  map[int]int64 // by backend, the start after which it was found overloaded
+	overloaded  map[int]monotime.Instant // by backend, the start after which it was found overloaded
 	quotas      map[int]*hardQuota
 	findings    []Finding
 	counts      [ruleEnd]int
@@ -98,17 +99,17 @@
 		submissions: map[SubmissionID]*submission{},
 		delivered:   map[Route]Event{},
 		arrivals:    map[int][]arrival{},
-		overloaded:  map[int]int64{},
+		overloaded:  map[int]monotime.Instant{},
 		quotas:      map[int]*hardQuota{},
 	}
 }
 
 // report adds a finding, or only counts it if there are enough of its rule.
-func (c *Checker) report(rule Rule, atNanos int64, format string, args ...any) {
+func (c *Checker) report(rule Rule, at monotime.Instant, format string, args ...any) {
 	c.counts[rule]++
 	if c.counts[rule] <= maxFindings {
 		what := fmt.Sprintf(format, args...)
-		c.findings = append(c.findings, Finding{Rule: rule, AtNanos: atNanos, What: what})
+		c.findings = append(c.findings, Finding{Rule: rule, At: at, What: what})
 	}
 }
 
@@ -130,7 +131,7 @@
 	key := Route{Instance: event.Instance, Backend: event.Backend}
 	old, ok := c.delivered[key]
 	if ok && old.State != policy.EndpointReady && event.State != policy.EndpointReady {
-		event.AtNanos = old.AtNanos // the grace counts from the first state that forbids new attempts
+		event.At = old.At // the grace counts from the first state that forbids new attempts
 	}
 	c.delivered[key] = event
 }
@@ -145,7 +146,7 @@
 
 func (c *Checker) observeSubmission(event Event) {
 	if c.submissions[event.Submission] != nil {
-		c.report(RuleOneAnswer, event.AtNanos, "submission %d: its id was used before", event.Submission)
+		c.report(RuleOneAnswer, event.At, "submission %d: its id was used before", event.Submission)
 		return
 	}
 	c.submissions[event.Submission] = &submission{Event: event, answerDue: true}
@@ -156,7 +157,7 @@
 	s := c.submissions[event.Submission]
 	if s == nil {
 		if event.Kind != Abandoned && event.Kind != AttemptRefused {
-			c.report(RuleOneAnswer, event.AtNanos,
+			c.report(RuleOneAnswer, event.At,
 				"submission %d: no client sent it, or it ended long ago", event.Submission)
 		}
 		return
@@ -166,12 +167,12 @@
 		c.checkAnswer(s, event)
 	case Abandoned:
 		s.answerDue = false
-		c.end(s, event.AtNanos)
+		c.end(s, event.At)
 	case AttemptSent:
-		if s.answeredNanos > 0 && event.AtNanos > s.answeredNanos {
-			c.report(RuleOneAnswer, event.AtNanos,
+		if !s.answeredAt.IsZero() && event.At.After(s.answeredAt) {
+			c.report(RuleOneAnswer, event.At,
 				"submission %d: sent to backend %d %s after its final answer",
-				event.Submission, event.Backend, formatMillis(event.AtNanos-s.answeredNanos))
+				event.Submission, event.Backend, formatMillis(event.At.Sub(s.answeredAt)))
 		}
 	case AttemptArrived:
 		c.checkArrival(s, event)
@@ -190,22 +191,24 @@
 	}
 }
 
-func formatMillis(nanos int64) string { return fmt.Sprintf("%.1f ms", float64(nanos)/1e6) }
+func formatMillis(span time.Duration) string {
+	return fmt.Sprintf("%.1f ms", float64(span)/float64(time.Millisecond))
+}
 
 // checkAnswer checks a final answer against the rules of answers and, if it is a rejection, of reruns.
 func (c *Checker) checkAnswer(s *submission, event Event) {
-	if s.answeredNanos > 0 {
-		c.report(RuleOneAnswer, event.AtNanos, "submission %d: a second final answer", event.Submission)
+	if !s.answeredAt.IsZero() {
+		c.report(RuleOneAnswer, event.At, "submission %d: a second final answer", event.Submission)
 		return
 	}
-	lateNanos := event.AtNanos - s.DeadlineNanos - c.settings.AnswerGraceNanos
-	if s.answerDue && lateNanos > 0 {
-		c.report(RuleOneAnswer, event.AtNanos, "submission %d: answered %s after its deadline and grace",
-			event.Submission, formatMillis(lateNanos))
+	late := event.At.Sub(s.Deadline) - c.settings.AnswerGrace
+	if s.answerDue && late > 0 {
+		c.report(RuleOneAnswer, event.At, "submission %d: answered %s after its deadline and grace",
+			event.Submission, formatMillis(late))
 	}
-	s.answeredNanos = event.AtNanos
+	s.answeredAt = event.At
 	s.answerDue = false
-	c.end(s, event.AtNanos)
+	c.end(s, event.At)
 	if event.Kind == Rejected && !isSafeToRetry(c.settings.Classes[s.Class]) {
 		c.checkRejection(s, event)
 	}
@@ -226,7 +229,7 @@
 func (c *Checker) checkRejection(s *submission, event Event) {
 	for _, attempt := range s.attempts {
 		if !attempt.refused {
-			c.report(RuleNoRerun, event.AtNanos,
+			c.report(RuleNoRerun, event.At,
 				"submission %d: rejected though its attempt at backend %d may have run",
 				event.Submission, attempt.backend)
 		}
@@ -234,13 +237,13 @@
 }
 
 // end records, once, that a submission has ended, and forgets submissions that ended long ago.
-func (c *Checker) end(s *submission, atNanos int64) {
-	if s.endedNanos != 0 { // its client had left before the answer: it is in the order already
+func (c *Checker) end(s *submission, at monotime.Instant) {
+	if !s.endedAt.IsZero() { // its client had left before the answer: it is in the order already
 		return
 	}
-	s.endedNanos = atNanos
+	s.endedAt = at
 	c.ended = append(c.ended, s.Submission)
-	for len(c.ended) > 0 && atNanos-c.submissions[c.ended[0]].endedNanos > retentionNanos {
+	for len(c.ended) > 0 && at.Sub(c.submissions[c.ended[0]].endedAt) > retention {
 		delete(c.submissions, c.ended[0])
 		c.ended = c.ended[1:]
 	}
@@ -248,22 +251,22 @@
 
 // End ends the run. It returns the findings in order of time, and the number of violations by rule.
 // Submissions past their deadline without an answer are lost.
-func (c *Checker) End(atNanos int64) (findings []Finding, counts map[string]int) {
+func (c *Checker) End(at monotime.Instant) (findings []Finding, counts map[string]int) {
 	var lost []SubmissionID
 	for id, s := range c.submissions {
-		if s.answerDue && atNanos > s.DeadlineNanos+c.settings.AnswerGraceNanos {
+		if s.answerDue && at.After(s.Deadline.Add(c.settings.AnswerGrace)) {
 			lost = append(lost, id)
 		}
 	}
 	slices.Sort(lost)
 	for _, id := range lost {
-		c.report(RuleOneAnswer, atNanos,
+		c.report(RuleOneAnswer, at,
 			"submission %d at instance %d: no final answer", id, c.submissions[id].Instance)
 	}
 	counts = map[string]int{}
 	for rule := RuleOneAnswer; rule < ruleEnd; rule++ {
 		counts[fmt.Sprint(int(rule))] = c.counts[rule]
 	}
-	slices.SortStableFunc(c.findings, func(a, b Finding) int { return cmp.Compare(a.AtNanos, b.AtNanos) })
+	slices.SortStableFunc(c.findings, func(a, b Finding) int { return a.At.Compare(b.At) })
 	return c.findings, counts
 }
--- a/internal/lab/invariants/checker_test.go
+++ b/internal/lab/invariants/checker_test.go
@@ -4,10 +4,14 @@
 	"testing"
 	"time"
 
+	"fawnplank/internal/monotime"
 	"fawnplank/policy"
 )
 
-const millis = int64(1e6)
+// afterMillis returns the instant that many milliseconds after the start.
+func afterMillis(millis int64) monotime.Instant {
+	return monotime.FromNanos(millis * int64(time.Millisecond))
+}
 
 var testSettings = Settings{
 	Classes: []policy.ClassSettings{
@@ -24,17 +28,17 @@
 			DedupWindow: time.Second,
 		},
 	},
-	Plans:                  []policy.PlanSettings{{}, {HardQuotaRate: 1, HardQuotaBurst: 2}},
-	HardQuotaSlack:         []float64{0, 1},
-	AnswerGraceNanos:       100 * millis,
-	DrainGraceNanos:        500 * millis,
-	Cores:                  1,
-	SlowStartShare:         0.5,
-	SlowStartDurationNanos: 10_000 * millis,
-	OverloadMultiple:       2,
-	OverloadWindowNanos:    1000 * millis,
-	Zone:                   func(int) int { return 0 },
-	Group:                  func(backend int) int { return backend % 2 },
+	Plans:             []policy.PlanSettings{{}, {HardQuotaRate: 1, HardQuotaBurst: 2}},
+	HardQuotaSlack:    []float64{0, 1},
+	AnswerGrace:       100 * time.Millisecond,
+	DrainGrace:        500 * time.Millisecond,
+	Cores:             1,
+	SlowStartShare:    0.5,
+	SlowStartDuration: 10 * time.Second,
+	OverloadMultiple:  2,
+	OverloadWindow:    time.Second,
+	Zone:              func(int) int { return 0 },
+	Group:             func(backend int) int { return backend % 2 },
 }
 
 // The classes of testSettings.
@@ -48,77 +52,77 @@
 // violations returns how often events break each rule.
 func violations(events ...Event) map[string]int {
 	checker := New(testSettings)
-	lastNanos := int64(0)
+	var last monotime.Instant
 	for _, event := range events {
 		if event.Submission == 0 {
 			event.Submission = 1
 		}
 		checker.Observe(event)
-		lastNanos = max(lastNanos, event.AtNanos)
+		last = monotime.Later(last, event.At)
 	}
-	_, counts := checker.End(lastNanos + 5000*millis)
+	_, counts := checker.End(last.Add(5 * time.Second))
 	return counts
 }
 
 func submitted(class int) Event {
-	return Event{Kind: Submitted, Class: class, DeadlineNanos: 1000 * millis, Units: 1}
+	return Event{Kind: Submitted, Class: class, Deadline: afterMillis(1000), Units: 1}
 }
 
 func arrived(atMillis int64, backend int) Event {
-	return Event{AtNanos: atMillis * millis, Kind: AttemptArrived, Backend: backend}
+	return Event{At: afterMillis(atMillis), Kind: AttemptArrived, Backend: backend}
 }
 
 func refused(atMillis int64, backend int) Event {
-	return Event{AtNanos: atMillis * millis, Kind: AttemptRefused, Backend: backend}
+	return Event{At: afterMillis(atMillis), Kind: AttemptRefused, Backend: backend}
 }
 
-func ended(atMillis int64, kind Kind) Event { return Event{AtNanos: atMillis * millis, Kind: kind} }
+func ended(atMillis int64, kind Kind) Event { return Event{At: afterMillis(atMillis), Kind: kind} }
 
 func delivered(atMillis int64, state policy.EndpointState) Event {
-	return Event{AtNanos: atMillis * millis, Kind: EndpointDelivered, State: state}
+	return Event{At: afterMillis(atMillis), Kind: EndpointDelivered, State: state}
 }
 
 // quotaUse are requests of one tenant with a hard quota, at these times.
 func quotaUse(timesMillis ...int64) (events []Event) {
 	for n, atMillis := range timesMillis {
 		id := SubmissionID(n + 1)
-		atNanos := atMillis * millis
+		at := afterMillis(atMillis)
 		events = append(events,
 			Event{
-				Submission:    id,
-				AtNanos:       atNanos,
-				Kind:          Submitted,
-				Tenant:        7,
-				Plan:          1,
-				Units:         1,
-				DeadlineNanos: atNanos + 1000*millis,
+				Submission: id,
+				At:         at,
+				Kind:       Submitted,
+				Tenant:     7,
+				Plan:       1,
+				Units:      1,
+				Deadline:   at.Add(time.Second),
 			},
-			Event{Submission: id, AtNanos: atNanos, Kind: AttemptArrived},
-			Event{Submission: id, AtNanos: atNanos, Kind: Succeeded})
+			Event{Submission: id, At: at, Kind: AttemptArrived},
+			Event{Submission: id, At: at, Kind: Succeeded})
 	}
 	return events
 }
 
 // warmingUp are requests to a backend that has just started, of 0.1 s of work each.
 func warmingUp(count int, isDelivered bool) (events []Event) {
-	const startedNanos = 100 * millis
+	startedAt := afterMillis(100)
 	if isDelivered {
 		start := delivered(100, policy.EndpointReady)
-		start.StartedNanos = startedNanos
+		start.StartedAt = startedAt
 		events = append(events, start)
 	}
 	for n := range count {
 		id := SubmissionID(n + 1)
 		events = append(events,
-			Event{Submission: id, AtNanos: 200 * millis, Kind: Submitted, DeadlineNanos: 1200 * millis},
+			Event{Submission: id, At: afterMillis(200), Kind: Submitted, Deadline: afterMillis(1200)},
 			Event{
-				Submission:   id,
-				AtNanos:      210 * millis,
-				Kind:         AttemptArrived,
-				StartedNanos: startedNanos,
-				WorkSeconds:  0.1,
+				Submission:  id,
+				At:          afterMillis(210),
+				Kind:        AttemptArrived,
+				StartedAt:   startedAt,
+				WorkSeconds: 0.1,
 			},
-			Event{Submission: id, AtNanos: 300 * millis, Kind: Succeeded})
+			Event{Submission: id, At: afterMillis(300), Kind: Succeeded})
 	}
 	return events
 }
@@ -161,7 +165,7 @@
 	{"with a key, outside the scope", "2",
 		[]Event{submitted(keyOfGroup), arrived(10, 1), arrived(20, 2), ended(30, Succeeded)}},
 	{"with a key, beyond the window", "2",
-		[]Event{{Kind: Submitted, Class: keyOfGroup, DeadlineNanos: 3000 * millis},
+		[]Event{{Kind: Submitted, Class: keyOfGroup, Deadline: afterMillis(3000)},
 			arrived(10, 1), arrived(1020, 3), ended(1030, Succeeded)}},
 	{"with a key of a group, rejected", "2",
 		[]Event{submitted(keyOfGroup), arrived(10, 1), ended(30, Rejected)}},
@@ -214,21 +218,20 @@
 func TestChecker_ForgetsWhatEnded(t *testing.T) {
 	checker := New(testSettings)
 	for n := range 10000 {
-		atNanos := int64(n) * 100 * millis
+		at := afterMillis(int64(n) * 100)
 		id := SubmissionID(n + 1)
-		deadlineNanos := atNanos + 1000*millis
-		start := Event{AtNanos: atNanos, Kind: Submitted, Submission: id, DeadlineNanos: deadlineNanos}
+		start := Event{At: at, Kind: Submitted, Submission: id, Deadline: at.Add(time.Second)}
 		checker.Observe(start)
-		checker.Observe(Event{AtNanos: atNanos + millis, Kind: AttemptArrived, Submission: id})
+		checker.Observe(Event{At: at.Add(time.Millisecond), Kind: AttemptArrived, Submission: id})
 		if n%2 == 0 {
-			checker.Observe(Event{AtNanos: atNanos + 2*millis, Kind: Abandoned, Submission: id})
+			checker.Observe(Event{At: at.Add(2 * time.Millisecond), Kind: Abandoned, Submission: id})
 		}
-		checker.Observe(Event{AtNanos: atNanos + 2*millis, Kind: Succeeded, Submission: id})
+		checker.Observe(Event{At: at.Add(2 * time.Millisecond), Kind: Succeeded, Submission: id})
 	}
 	if len(checker.submissions) > 400 {
 		t.Errorf("%d submissions are remembered of the last half minute", len(checker.submissions))
 	}
-	if findings, _ := checker.End(1e15); len(findings) > 0 {
+	if findings, _ := checker.End(monotime.FromNanos(1e15)); len(findings) > 0 {
 		t.Error(findings[0])
 	}
 }
@@ -237,9 +240,9 @@
 func TestChecker_BoundsFindings(t *testing.T) {
 	checker := New(testSettings)
 	for n := range 1000 {
-		checker.Observe(Event{Kind: Submitted, Submission: SubmissionID(n + 1), DeadlineNanos: millis})
+		checker.Observe(Event{Kind: Submitted, Submission: SubmissionID(n + 1), Deadline: afterMillis(1)})
 	}
-	findings, counts := checker.End(1e12)
+	findings, counts := checker.End(monotime.FromNanos(1e12))
 	if counts["1"] != 1000 || len(findings) != maxFindings {
 		t.Error(counts, len(findings))
 	}
--- a/internal/lab/invariants/event.go
+++ b/internal/lab/invariants/event.go
@@ -3,6 +3,7 @@
 import (
 	"fmt"
 
+	"fawnplank/internal/monotime"
 	"fawnplank/policy"
 )
 
@@ -50,19 +51,19 @@
 
 // Event is one thing that was seen. Only the fields of its kind are read.
 type Event struct {
-	AtNanos       int64 // on one clock for all events
-	Kind          Kind
-	Submission    SubmissionID
-	Instance      int
-	Backend       int
-	Tenant        int
-	Class         int
-	Plan          int
-	Units         float64
-	DueNanos      int64                // Submitted: when it was due; latencies count from here
-	IsRetry       bool                 // Submitted
-	DeadlineNanos int64                // Submitted: until when the client waits
-	State         policy.EndpointState // EndpointDelivered
-	StartedNanos  int64                // EndpointDelivered, AttemptArrived: of the backend; 0: long ago
-	WorkSeconds   float64              // AttemptArrived: time of one core that the attempt costs
+	At          monotime.Instant // on one clock for all events
+	Kind        Kind
+	Submission  SubmissionID
+	Instance    int
+	Backend     int
+	Tenant      int
+	Class       int
+	Plan        int
+	Units       float64
+	Due         monotime.Instant     // Submitted: when it was due; latencies count from here
+	IsRetry     bool                 // Submitted
+	Deadline    monotime.Instant     // Submitted: until when the client waits
+	State       policy.EndpointState // EndpointDelivered
+	StartedAt   monotime.Instant     // EndpointDelivered, AttemptArrived: of the backend; zero: long ago
+	WorkSeconds float64              // AttemptArrived: time of one core that the attempt costs
 }
--- a/internal/lab/load/load.go
+++ b/internal/lab/load/load.go
@@ -18,6 +18,7 @@
 	"fawnplank/internal/lab/results"
 	"fawnplank/internal/lab/scenario"
 	"fawnplank/internal/lab/workload"
+	"fawnplank/internal/monotime"
 )
 
 // The histogram of lags counts microseconds, up to a minute, with three digits.
@@ -63,7 +64,7 @@
 		if !ok {
 			break
 		}
-		due := start.Add(time.Duration(request.AtNanos))
+		due := start.Add(request.Due.Sub(monotime.Instant{}))
 		if !sleepUntil(ctx, due) {
 			break
 		}
--- a/internal/lab/load/protocol.go
+++ b/internal/lab/load/protocol.go
@@ -71,7 +71,7 @@
 	result := outcome{kind: invariants.Rejected, sent: true}
 	if len(words) > 1 {
 		millis, _ := strconv.ParseInt(words[1], 10, 64) // a text that is not a number asks for no wait
-		result.retryAfterNanos = millis * int64(time.Millisecond)
+		result.retryAfter = time.Duration(millis) * time.Millisecond
 	}
 	return result
 }
--- a/internal/lab/load/protocol_test.go
+++ b/internal/lab/load/protocol_test.go
@@ -61,8 +61,8 @@
 		"-BUSYNESS":   {kind: invariants.Aborted, sent: true},
 		"-BUSY":       {kind: invariants.Rejected, sent: true},
 		"-BUSY soon":  {kind: invariants.Rejected, sent: true},
-		"-BUSY 20":    {kind: invariants.Rejected, retryAfterNanos: 20e6, sent: true},
-		"-BUSY 20 ms": {kind: invariants.Rejected, retryAfterNanos: 20e6, sent: true},
+		"-BUSY 20":    {kind: invariants.Rejected, retryAfter: 20 * time.Millisecond, sent: true},
+		"-BUSY 20 ms": {kind: invariants.Rejected, retryAfter: 20 * time.Millisecond, sent: true},
 	} {
 		if got := parseOutcome(answer); got != want {
 			t.Errorf("%q: %+v, want %+v", answer, got, want)
--- a/internal/lab/load/request.go
+++ b/internal/lab/load/request.go
@@ -8,6 +8,7 @@
 
 	"fawnplank/internal/lab/invariants"
 	"fawnplank/internal/lab/workload"
+	"fawnplank/internal/monotime"
 )
 
 const (
@@ -39,15 +40,15 @@
 
 // outcome says what became of a submission.
 type outcome struct {
-	kind            invariants.Kind
-	retryAfterNanos int64 // if rejected
-	sent            bool  // false: no connection came up, and no instance has seen the request
+	kind       invariants.Kind
+	retryAfter time.Duration // if rejected; 0: none
+	sent       bool          // false: no connection came up, and no instance has seen the request
 }
 
 // send submits a request until it has a final answer, as clients do: again after a rejection, and if its
 // instance died.
 func (g *Generator) send(request workload.Request, due time.Time) {
-	deadline := due.Add(time.Duration(request.DeadlineNanos - request.AtNanos))
+	deadline := due.Add(request.Deadline.Sub(request.Due))
 	for retries := 0; ; retries++ {
 		s := g.newSubmission(request)
 		s.due = due
@@ -68,7 +69,7 @@
 			return
 		}
 		// The wait is drawn even if no retry follows, so that a run's random numbers do not depend on the class.
-		wait := g.retryDelay(retries, result.retryAfterNanos)
+		wait := g.retryDelay(retries, result.retryAfter)
 		mayRunTwice := result.kind == invariants.Rejected || g.isIdempotent(request)
 		if !mayRunTwice || time.Until(deadline) <= wait {
 			return
@@ -87,10 +88,10 @@
 }
 
 // retryDelay draws how long a client waits before a retry.
-func (g *Generator) retryDelay(retries int, retryAfterNanos int64) time.Duration {
+func (g *Generator) retryDelay(retries int, retryAfter time.Duration) time.Duration {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return time.Duration(g.workload.RetryDelay(retries, retryAfterNanos))
+	return g.workload.RetryDelay(retries, retryAfter)
 }
 
 // submit sends a request to an instance once. It sends it a second time if the instance had closed the idle
@@ -123,18 +124,16 @@
 // observeSubmitted records that a request is about to be written, and how late that is.
 func (g *Generator) observeSubmitted(s submission) {
 	g.recordLag(time.Since(s.due))
-	g.log.Observe(invariants.Event{
-		Kind:          invariants.Submitted,
-		Submission:    s.id,
-		Instance:      s.instance,
-		Tenant:        s.request.Tenant,
-		Class:         s.request.Class,
-		Plan:          s.request.Plan,
-		Units:         s.request.Units,
-		DeadlineNanos: int64(s.remaining),
-		DueNanos:      int64(s.due.Sub(g.log.Start())),
-		IsRetry:       s.isRetry,
-	})
+	g.log.ObserveSubmitted(invariants.Event{
+		Submission: s.id,
+		Instance:   s.instance,
+		Tenant:     s.request.Tenant,
+		Class:      s.request.Class,
+		Plan:       s.request.Plan,
+		Units:      s.request.Units,
+		Due:        monotime.FromNanos(int64(s.due.Sub(g.log.Start()))),
+		IsRetry:    s.isRetry,
+	}, s.remaining)
 }
 
 // exchange writes a request and reads its answer. It returns errStaleConnection if the connection was idle
--- a/internal/lab/model/backend.go
+++ b/internal/lab/model/backend.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"fawnplank/internal/lab/invariants"
+	"fawnplank/internal/monotime"
 	"fawnplank/policy"
 )
 
@@ -13,8 +14,8 @@
 	submission *submission
 	id         policy.AttemptID
 	to         *backend
-	sentNanos  int64
-	workNanos  float64
+	sentAt     monotime.Instant
+	workNanos  float64 // of one core of a backend that has warmed up
 	hasEnded   bool
 	isCanceled bool // nobody waits for it: a backend that has not begun it skips it
 }
@@ -34,7 +35,7 @@
 	s.handle.HandleAttemptResult(w.engineNow(), policy.AttemptResult{
 		Attempt:     a.id,
 		Outcome:     outcome,
-		Elapsed:     time.Duration(w.nowNanos - a.sentNanos),
+		Elapsed:     w.now.Sub(a.sentAt),
 		RequestDone: s.isAnswered,
 	})
 	s.instance.forgetIfDone(s)
@@ -42,15 +43,15 @@
 
 // backend works on as many attempts at once as it has cores, and queues some more.
 type backend struct {
-	world        *world
-	index        int
-	isUp         bool
-	isSilent     bool // the machine vanished: it does not even refuse connections
-	state        policy.EndpointState
-	startedNanos int64
-	incarnation  int
-	running      []*attempt
-	queue        []*attempt
+	world       *world
+	index       int
+	isUp        bool
+	isSilent    bool // the machine vanished: it does not even refuse connections
+	state       policy.EndpointState
+	startedAt   monotime.Instant // zero: long ago
+	incarnation int
+	running     []*attempt
+	queue       []*attempt
 
 	slowdown float64 // factor by which faults multiply the work
 
@@ -70,10 +71,10 @@
 
 // capacity returns the share of its capacity that the backend has at its age.
 func (b *backend) capacity() float64 {
-	if b.startedNanos == 0 {
+	if b.startedAt.IsZero() {
 		return 1
 	}
-	return b.world.scenario.CapacityShare(time.Duration(b.world.nowNanos - b.startedNanos))
+	return b.world.scenario.CapacityShare(b.world.now.Sub(b.startedAt))
 }
 
 // arrive accepts an attempt, or refuses it.
@@ -83,18 +84,18 @@
 		return // the attempt times out
 	}
 	if !b.isUp || b.refusing > 0 {
-		w.after(w.oneWayDelayNanos(), func() { a.end(policy.ConnectFailed) })
+		w.after(w.oneWayDelay(), func() { a.end(policy.ConnectFailed) })
 		return
 	}
 	a.workNanos = w.workload.WorkNanos(w.workRandom, a.submission.Units)
 	w.recorder.Observe(invariants.Event{
-		AtNanos:      w.nowNanos,
-		Kind:         invariants.AttemptArrived,
-		Submission:   a.submission.Submission,
-		Instance:     a.submission.instance.index,
-		Backend:      b.index,
-		StartedNanos: b.startedNanos,
-		WorkSeconds:  a.workNanos / 1e9,
+		At:          w.now,
+		Kind:        invariants.AttemptArrived,
+		Submission:  a.submission.Submission,
+		Instance:    a.submission.instance.index,
+		Backend:     b.index,
+		StartedAt:   b.startedAt,
+		WorkSeconds: a.workNanos / 1e9,
 	})
 	hasFreeCore := len(b.running) < w.scenario.Backends.Cores
 	switch {
@@ -112,18 +113,18 @@
 func (b *backend) refuse(a *attempt) {
 	w := b.world
 	w.recorder.Observe(invariants.Event{
-		AtNanos:    w.nowNanos,
+		At:         w.now,
 		Kind:       invariants.AttemptRefused,
 		Submission: a.submission.Submission,
 		Backend:    b.index,
 	})
-	w.after(w.oneWayDelayNanos(), func() { a.end(policy.Rejected) })
+	w.after(w.oneWayDelay(), func() { a.end(policy.Rejected) })
 }
 
 func (b *backend) begin(a *attempt) {
 	incarnation := b.incarnation
 	b.running = append(b.running, a)
-	b.world.after(int64(a.workNanos*b.slowdown/b.capacity()), func() {
+	b.world.after(time.Duration(a.workNanos*b.slowdown/b.capacity()), func() {
 		if b.incarnation == incarnation {
 			b.finish(a)
 		}
@@ -143,7 +144,7 @@
 	case b.garbling > 0, b.failing > 0:
 		outcome = policy.Failed
 	}
-	b.world.after(b.world.oneWayDelayNanos(), func() { a.end(outcome) })
+	b.world.after(b.world.oneWayDelay(), func() { a.end(outcome) })
 }
 
 // beginQueued begins queued attempts on the cores that are free.
@@ -160,7 +161,7 @@
 // crash ends the process: it answers nothing more, and its connections break.
 func (b *backend) crash() {
 	for _, a := range b.stop() {
-		b.world.after(b.world.oneWayDelayNanos(), func() { a.end(policy.ConnectionLost) })
+		b.world.after(b.world.oneWayDelay(), func() { a.end(policy.ConnectionLost) })
 	}
 }
 
@@ -190,7 +191,7 @@
 
 // startAnew lists the backend as one that starts now.
 func (b *backend) startAnew() {
-	b.startedNanos = b.world.nowNanos
+	b.startedAt = b.world.now
 	b.setState(policy.EndpointReady)
 }
 
--- a/internal/lab/model/client.go
+++ b/internal/lab/model/client.go
@@ -1,8 +1,11 @@
 package model
 
 import (
+	"time"
+
 	"fawnplank/internal/lab/invariants"
 	"fawnplank/internal/lab/workload"
+	"fawnplank/internal/monotime"
 	"fawnplank/policy"
 )
 
@@ -18,30 +21,30 @@
 	isAnswered  bool
 }
 
-// submit makes a client submit a request that was due at dueNanos.
-func (w *world) submit(request workload.Request, dueNanos int64, retries int) {
+// submit makes a client submit a request that was due at a time.
+func (w *world) submit(request workload.Request, due monotime.Instant, retries int) {
 	to := w.instances[w.workload.Instance(request)]
 	w.lastSubmission++
 	s := &submission{request: request, retries: retries, instance: to, Event: invariants.Event{
-		AtNanos:       w.nowNanos,
-		Kind:          invariants.Submitted,
-		Submission:    w.lastSubmission,
-		Instance:      to.index,
-		Tenant:        request.Tenant,
-		Class:         request.Class,
-		Plan:          request.Plan,
-		Units:         request.Units,
-		DeadlineNanos: request.DeadlineNanos,
-		DueNanos:      dueNanos,
-		IsRetry:       retries > 0,
+		At:         w.now,
+		Kind:       invariants.Submitted,
+		Submission: w.lastSubmission,
+		Instance:   to.index,
+		Tenant:     request.Tenant,
+		Class:      request.Class,
+		Plan:       request.Plan,
+		Units:      request.Units,
+		Deadline:   request.Deadline,
+		Due:        due,
+		IsRetry:    retries > 0,
 	}}
 	if to.engine == nil {
-		w.handleConnectionRefused(request, dueNanos, retries)
+		w.handleConnectionRefused(request, due, retries)
 		return
 	}
 	w.recorder.Observe(s.Event)
 	incarnation := to.incarnation
-	w.after(w.oneWayDelayNanos(), func() {
+	w.after(w.oneWayDelay(), func() {
 		if to.incarnation == incarnation {
 			to.receive(s)
 		} else {
@@ -52,18 +55,18 @@
 
 // handleConnectionRefused makes the client try another instance, or give up once it has no retry or time
 // left.
-func (w *world) handleConnectionRefused(request workload.Request, dueNanos int64, retries int) {
-	w.after(w.roundTripNanos(), func() {
-		if retries < w.scenario.Load.Retries+workload.ExtraConnectRetries && w.nowNanos < request.DeadlineNanos {
-			w.submit(request, dueNanos, retries+1)
+func (w *world) handleConnectionRefused(request workload.Request, due monotime.Instant, retries int) {
+	w.after(w.roundTrip(), func() {
+		if retries < w.scenario.Load.Retries+workload.ExtraConnectRetries && w.now.Before(request.Deadline) {
+			w.submit(request, due, retries+1)
 		} else {
-			w.recorder.CountNotSent(w.nowNanos)
+			w.recorder.CountNotSent(w.now)
 		}
 	})
 }
 
 // answer sends a final answer to the client.
-func (s *submission) answer(kind invariants.Kind, retryAfterNanos int64) {
+func (s *submission) answer(kind invariants.Kind, retryAfter time.Duration) {
 	w := s.instance.world
 	s.isAnswered = true
 	w.after(0, func() { // once the engine has returned: the request may have ended without an attempt in flight
@@ -71,15 +74,15 @@
 			s.instance.forgetIfDone(s)
 		}
 	})
-	w.after(w.oneWayDelayNanos(), func() { s.handleAnswerArrived(kind, retryAfterNanos) })
+	w.after(w.oneWayDelay(), func() { s.handleAnswerArrived(kind, retryAfter) })
 }
 
 // handleAnswerArrived records an answer that has reached the client, and makes the client retry a rejected
 // request while it has retries and time left.
-func (s *submission) handleAnswerArrived(kind invariants.Kind, retryAfterNanos int64) {
+func (s *submission) handleAnswerArrived(kind invariants.Kind, retryAfter time.Duration) {
 	w := s.instance.world
 	w.recorder.Observe(invariants.Event{
-		AtNanos:    w.nowNanos,
+		At:         w.now,
 		Kind:       kind,
 		Submission: s.Submission,
 		Instance:   s.instance.index,
@@ -87,9 +90,9 @@
 	if kind != invariants.Rejected || s.retries >= w.scenario.Load.Retries {
 		return
 	}
-	delayNanos := w.workload.RetryDelay(s.retries, retryAfterNanos)
-	if w.nowNanos+delayNanos < s.DeadlineNanos {
-		w.after(delayNanos, func() { w.submit(s.request, w.nowNanos, s.retries+1) })
+	delay := w.workload.RetryDelay(s.retries, retryAfter)
+	if w.now.Add(delay).Before(s.Deadline) {
+		w.after(delay, func() { w.submit(s.request, w.now, s.retries+1) })
 	}
 }
 
@@ -101,12 +104,12 @@
 	}
 	s.isAnswered = true
 	w.recorder.Observe(invariants.Event{
-		AtNanos:    w.nowNanos,
+		At:         w.now,
 		Kind:       invariants.Abandoned,
 		Submission: s.Submission,
 	})
 	mayRunTwice := w.scenario.Classes[s.Class].IsIdempotent()
-	if s.retries < w.scenario.Load.Retries && mayRunTwice && w.nowNanos < s.DeadlineNanos {
-		w.after(w.roundTripNanos(), func() { w.submit(s.request, w.nowNanos, s.retries+1) })
+	if s.retries < w.scenario.Load.Retries && mayRunTwice && w.now.Before(s.Deadline) {
+		w.after(w.roundTrip(), func() { w.submit(s.request, w.now, s.retries+1) })
 	}
 }
--- a/internal/lab/model/counter.go
+++ b/internal/lab/model/counter.go
@@ -8,13 +8,13 @@
 	"fawnplank/policy"
 )
 
-// maxLifetimeNanos bounds an entry's lifetime: 60 s by the platform's protocol.
-const maxLifetimeNanos = 60e9
+// maxLifetime bounds an entry's lifetime, by the platform's protocol.
+const maxLifetime = time.Minute
 
 // counterEntry is the number under a key.
 type counterEntry struct {
-	total          float64
-	expiresAtNanos int64
+	total     float64
+	expiresAt monotime.Instant
 }
 
 // counter adds up numbers, one call at a time.
@@ -23,11 +23,11 @@
 	entries map[policy.CounterKey]*counterEntry
 	queue   counterqueue.Queue
 
-	refusing        int // how many faults of the kind are active; likewise below
-	hanging         int
-	cutOff          map[int]int // by instance
-	extraDelayNanos int64       // of the faults that are active
-	withheld        []func()    // answers that wait for the end of hanging
+	refusing   int // how many faults of the kind are active; likewise below
+	hanging    int
+	cutOff     map[int]int   // by instance
+	extraDelay time.Duration // of the faults that are active
+	withheld   []func()      // answers that wait for the end of hanging
 }
 
 func newCounter(w *world) counter {
@@ -65,7 +65,7 @@
 		if len(i.calls[k.key]) == 0 {
 			delete(i.calls, k.key)
 		}
-		i.world.recorder.CountCounterCall(i.world.nowNanos, first.outcome != policy.Succeeded)
+		i.world.recorder.CountCounterCall(i.world.now, first.outcome != policy.Succeeded)
 		result := policy.CounterResult{Key: k.key, Outcome: first.outcome, Total: first.total}
 		i.engine.HandleCounterResult(i.world.engineNow(), result)
 		if i.incarnation != k.incarnation {
@@ -75,15 +75,15 @@
 }
 
 // call sends an instance's call to the counter.
-func (c *counter) call(from *instance, key policy.CounterKey, units float64, lifetimeNanos int64) {
+func (c *counter) call(from *instance, key policy.CounterKey, units float64, lifetime time.Duration) {
 	w := c.world
 	k := &counterCall{instance: from, incarnation: from.incarnation, key: key}
 	from.calls[key] = append(from.calls[key], k)
-	w.after(int64(w.scenario.Counter.Timeout), func() { k.end(policy.TimedOut, 0) })
-	w.after(w.oneWayDelayNanos(), func() {
+	w.after(time.Duration(w.scenario.Counter.Timeout), func() { k.end(policy.TimedOut, 0) })
+	w.after(w.oneWayDelay(), func() {
 		c.arrive(k, func() {
-			total := c.add(key, units, lifetimeNanos)
-			w.after(w.oneWayDelayNanos(), func() { k.end(policy.Succeeded, total) })
+			total := c.add(key, units, lifetime)
+			w.after(w.oneWayDelay(), func() { k.end(policy.Succeeded, total) })
 		})
 	})
 }
@@ -94,35 +94,35 @@
 	switch {
 	case c.cutOff[k.instance.index] > 0: // lost on the way
 	case c.refusing > 0:
-		w.after(w.oneWayDelayNanos(), func() { k.end(policy.ConnectFailed, 0) })
+		w.after(w.oneWayDelay(), func() { k.end(policy.ConnectFailed, 0) })
 	case c.hanging > 0:
 		c.withheld = append(c.withheld, answer)
 	default:
-		answerNanos, ok := c.schedule()
+		answerAt, ok := c.schedule()
 		if !ok {
-			w.after(w.oneWayDelayNanos(), func() { k.end(policy.Rejected, 0) })
+			w.after(w.oneWayDelay(), func() { k.end(policy.Rejected, 0) })
 			return
 		}
-		w.at(answerNanos, answer)
+		w.at(answerAt, answer)
 	}
 }
 
 // schedule returns when a call that arrives now is answered, by the counter's rate and delay. It returns
 // false if the queue is too long.
-func (c *counter) schedule() (answerNanos int64, ok bool) {
-	begin, ok := c.queue.Push(monotime.FromNanos(c.world.nowNanos))
+func (c *counter) schedule() (answerAt monotime.Instant, ok bool) {
+	begin, ok := c.queue.Push(c.world.now)
 	if !ok {
-		return 0, false
+		return monotime.Instant{}, false
 	}
-	return begin.Nanos() + int64(c.world.scenario.Counter.Delay) + c.extraDelayNanos, true
+	return begin.Add(time.Duration(c.world.scenario.Counter.Delay) + c.extraDelay), true
 }
 
 // add adds units to a key and returns the total, in single precision as on the platform's wire. It creates
 // the entry if there is none or it has expired.
-func (c *counter) add(key policy.CounterKey, units float64, lifetimeNanos int64) float64 {
+func (c *counter) add(key policy.CounterKey, units float64, lifetime time.Duration) float64 {
 	entry := c.entries[key]
-	if entry == nil || entry.expiresAtNanos <= c.world.nowNanos {
-		entry = &counterEntry{expiresAtNanos: c.world.nowNanos + min(lifetimeNanos, maxLifetimeNanos)}
+	if entry == nil || !entry.expiresAt.After(c.world.now) {
+		entry = &counterEntry{expiresAt: c.world.now.Add(min(lifetime, maxLifetime))}
 		c.entries[key] = entry
 	}
 	entry.total = float64(float32(entry.total + units))
--- a/internal/lab/model/discovery.go
+++ b/internal/lab/model/discovery.go
@@ -1,19 +1,23 @@
 package model
 
-import "fawnplank/policy"
+import (
+	"time"
+
+	"fawnplank/policy"
+)
 
 // discovery delivers changes of backends to all instances after a delay.
 type discovery struct {
 	world *world
 
-	stale           int        // how many faults of the kind are active
-	extraDelayNanos int64      // of the faults that are active
-	withheld        []*backend // backends whose changes wait until the list is no longer stale
+	stale      int           // how many faults of the kind are active
+	extraDelay time.Duration // of the faults that are active
+	withheld   []*backend    // backends whose changes wait until the list is no longer stale
 }
 
 // publish delivers a backend after the delay, in the state that it has by then.
 func (d *discovery) publish(b *backend) {
-	d.world.after(int64(d.world.scenario.Discovery.Delay)+d.extraDelayNanos, func() {
+	d.world.after(time.Duration(d.world.scenario.Discovery.Delay)+d.extraDelay, func() {
 		if d.stale > 0 {
 			d.withheld = append(d.withheld, b)
 		} else {
--- a/internal/lab/model/faults.go
+++ b/internal/lab/model/faults.go
@@ -1,26 +1,31 @@
 package model
 
 import (
+	"time"
+
 	"fawnplank/internal/lab/scenario"
+	"fawnplank/internal/monotime"
 	"fawnplank/policy"
 )
 
 // scheduleFault schedules the begin of a fault for each of its targets.
 func (w *world) scheduleFault(fault scenario.Fault) {
 	for _, occurrence := range w.scenario.Occurrences(fault) {
-		w.at(int64(occurrence.Begin), func() { w.beginFault(fault, occurrence.Target, int64(occurrence.End)) })
+		w.at(sinceStart(occurrence.Begin), func() {
+			w.beginFault(fault, occurrence.Target, sinceStart(occurrence.End))
+		})
 	}
 }
 
 // countFault counts a fault as active until its end, since faults of a kind may overlap.
-func (w *world) countFault(active *int, untilNanos int64) {
-	w.countFaultThen(active, untilNanos, func() {})
+func (w *world) countFault(active *int, until monotime.Instant) {
+	w.countFaultThen(active, until, func() {})
 }
 
 // countFaultThen counts a fault as active until its end, and calls ended when the last of its kind has ended.
-func (w *world) countFaultThen(active *int, untilNanos int64, ended func()) {
+func (w *world) countFaultThen(active *int, until monotime.Instant, ended func()) {
 	*active++
-	w.at(untilNanos, func() {
+	w.at(until, func() {
 		*active--
 		if *active == 0 {
 			ended()
@@ -29,84 +34,84 @@
 }
 
 // beginFault begins a fault at one target and schedules its end.
-func (w *world) beginFault(fault scenario.Fault, target int, untilNanos int64) {
+func (w *world) beginFault(fault scenario.Fault, target int, until monotime.Instant) {
 	switch fault.Kind {
 	case scenario.CounterRefuse, scenario.CounterHang, scenario.CounterSlow, scenario.CounterEmpty,
 		scenario.CounterCut:
-		w.counter.beginFault(fault, target, untilNanos)
+		w.counter.beginFault(fault, target, until)
 	case scenario.DiscoveryStale, scenario.DiscoveryRefuse, scenario.DiscoveryLate:
-		w.discovery.beginFault(fault, untilNanos)
+		w.discovery.beginFault(fault, until)
 	case scenario.InstanceRestart:
-		w.instances[target].restart(untilNanos)
+		w.instances[target].restart(until)
 	default:
-		w.backends[target].beginFault(fault, untilNanos)
+		w.backends[target].beginFault(fault, until)
 	}
 }
 
-func (c *counter) beginFault(fault scenario.Fault, target int, untilNanos int64) {
+func (c *counter) beginFault(fault scenario.Fault, target int, until monotime.Instant) {
 	switch fault.Kind {
 	case scenario.CounterRefuse:
-		c.world.countFault(&c.refusing, untilNanos)
+		c.world.countFault(&c.refusing, until)
 	case scenario.CounterHang:
-		c.world.countFaultThen(&c.hanging, untilNanos, c.release)
+		c.world.countFaultThen(&c.hanging, until, c.release)
 	case scenario.CounterSlow:
-		c.extraDelayNanos += int64(fault.Delay)
-		c.world.at(untilNanos, func() { c.extraDelayNanos -= int64(fault.Delay) })
+		c.extraDelay += time.Duration(fault.Delay)
+		c.world.at(until, func() { c.extraDelay -= time.Duration(fault.Delay) })
 	case scenario.CounterEmpty:
 		clear(c.entries)
 	case scenario.CounterCut:
 		c.cutOff[target]++
-		c.world.at(untilNanos, func() { c.cutOff[target]-- })
+		c.world.at(until, func() { c.cutOff[target]-- })
 	}
 }
 
-func (d *discovery) beginFault(fault scenario.Fault, untilNanos int64) {
+func (d *discovery) beginFault(fault scenario.Fault, until monotime.Instant) {
 	if fault.Kind == scenario.DiscoveryLate {
-		d.extraDelayNanos += int64(fault.Delay)
-		d.world.at(untilNanos, func() { d.extraDelayNanos -= int64(fault.Delay) })
+		d.extraDelay += time.Duration(fault.Delay)
+		d.world.at(until, func() { d.extraDelay -= time.Duration(fault.Delay) })
 		return
 	}
-	d.world.countFaultThen(&d.stale, untilNanos, d.release)
+	d.world.countFaultThen(&d.stale, until, d.release)
 }
 
 // restart kills an instance, unless it is down already, and starts it again at the given time.
-func (i *instance) restart(untilNanos int64) {
+func (i *instance) restart(until monotime.Instant) {
 	if i.engine == nil {
 		return
 	}
 	i.die()
-	i.world.at(untilNanos, i.start)
+	i.world.at(until, i.start)
 }
 
-func (b *backend) beginFault(fault scenario.Fault, untilNanos int64) {
+func (b *backend) beginFault(fault scenario.Fault, until monotime.Instant) {
 	w := b.world
 	switch fault.Kind {
 	case scenario.BackendRefuse:
-		w.countFault(&b.refusing, untilNanos)
+		w.countFault(&b.refusing, until)
 	case scenario.BackendHang:
-		w.countFault(&b.hanging, untilNanos)
+		w.countFault(&b.hanging, until)
 	case scenario.BackendReset:
-		w.countFault(&b.resetting, untilNanos)
+		w.countFault(&b.resetting, until)
 	case scenario.BackendGarble:
-		w.countFault(&b.garbling, untilNanos)
+		w.countFault(&b.garbling, until)
 	case scenario.BackendError:
-		w.countFault(&b.failing, untilNanos)
+		w.countFault(&b.failing, until)
 	case scenario.BackendSlow:
 		b.slowdown *= fault.Factor
-		w.at(untilNanos, func() { b.slowdown /= fault.Factor })
+		w.at(until, func() { b.slowdown /= fault.Factor })
 	case scenario.BackendDrain:
 		b.setState(policy.EndpointDraining)
-		w.countFaultThen(&b.draining, untilNanos, func() { b.setState(policy.EndpointReady) })
+		w.countFaultThen(&b.draining, until, func() { b.setState(policy.EndpointReady) })
 	case scenario.BackendVanish:
 		b.vanish()
 		b.setState(policy.EndpointGone)
-		w.at(untilNanos, b.restart)
+		w.at(until, b.restart)
 	case scenario.BackendWithdraw:
 		b.setState(policy.EndpointGone)
-		w.countFaultThen(&b.withdrawn, untilNanos, b.startAnew)
+		w.countFaultThen(&b.withdrawn, until, b.startAnew)
 	case scenario.BackendRestart:
 		b.crash()
-		w.at(untilNanos, b.restart)
+		w.at(until, b.restart)
 	default:
 		// The scenario was validated, so a kind was added there and not here.
 		panic("model: no way to play " + string(fault.Kind))
--- a/internal/lab/model/instance.go
+++ b/internal/lab/model/instance.go
@@ -44,12 +44,12 @@
 func (i *instance) deliver(b *backend) policy.Endpoint {
 	w := i.world
 	w.recorder.Observe(invariants.Event{
-		AtNanos:      w.nowNanos,
-		Kind:         invariants.EndpointDelivered,
-		Instance:     i.index,
-		Backend:      b.index,
-		State:        b.state,
-		StartedNanos: b.startedNanos,
+		At:        w.now,
+		Kind:      invariants.EndpointDelivered,
+		Instance:  i.index,
+		Backend:   b.index,
+		State:     b.state,
+		StartedAt: b.startedAt,
 	})
 	endpoint := policy.Endpoint{
 		Backend:  policy.BackendID(b.index + 1),
@@ -58,8 +58,8 @@
 		Capacity: 1,
 		State:    b.state,
 	}
-	if b.startedNanos > 0 {
-		endpoint.StartedAt = monotime.FromNanos(epochNanos + b.startedNanos)
+	if !b.startedAt.IsZero() {
+		endpoint.StartedAt = b.startedAt.Add(epoch)
 	}
 	return endpoint
 }
@@ -69,7 +69,7 @@
 	i.incarnation++
 	i.engine = nil
 	i.world.recorder.Observe(invariants.Event{
-		AtNanos:  i.world.nowNanos,
+		At:       i.world.now,
 		Kind:     invariants.InstanceDied,
 		Instance: i.index,
 	})
@@ -96,7 +96,7 @@
 		Class:         policy.ClassID(s.Class),
 		Plan:          policy.PlanID(s.Plan),
 		Tenant:        policy.TenantID(s.Tenant + 1),
-		Remaining:     time.Duration(max(s.DeadlineNanos-w.nowNanos, 0)),
+		Remaining:     max(s.Deadline.Sub(w.now), 0),
 		Units:         s.Units,
 		EntryPoints:   w.scenario.Load.EntryPoints,
 		FirstInstance: w.workload.Tenants[s.Tenant].FirstInstance,
@@ -115,26 +115,26 @@
 func (i *instance) Send(spec policy.AttemptSpec) {
 	w := i.world
 	s := i.inFlight[spec.Request]
-	expireNanos := s.DeadlineNanos
+	expiresAt := s.Deadline
 	if !spec.ExpiresAt.IsZero() {
-		expireNanos = min(expireNanos, spec.ExpiresAt.Nanos()-epochNanos)
+		expiresAt = monotime.Earlier(expiresAt, spec.ExpiresAt.Add(-epoch))
 	}
 	a := &attempt{
 		submission: s,
 		id:         policy.AttemptID(len(s.attempts)),
 		to:         w.backends[spec.Backend-1],
-		sentNanos:  w.nowNanos,
+		sentAt:     w.now,
 	}
 	s.attempts = append(s.attempts, a)
 	w.recorder.Observe(invariants.Event{
-		AtNanos:    w.nowNanos,
+		At:         w.now,
 		Kind:       invariants.AttemptSent,
 		Submission: s.Submission,
 		Instance:   i.index,
 		Backend:    a.to.index,
 	})
-	w.at(expireNanos, func() { a.end(policy.TimedOut) })
-	w.after(w.oneWayDelayNanos(), func() { a.to.arrive(a) })
+	w.at(expiresAt, func() { a.end(policy.TimedOut) })
+	w.after(w.oneWayDelay(), func() { a.to.arrive(a) })
 }
 
 // Cancel implements policy.Effects.
@@ -150,7 +150,7 @@
 
 // Reject implements policy.Effects.
 func (i *instance) Reject(id policy.RequestID, retryAfter time.Duration) {
-	i.inFlight[id].answer(invariants.Rejected, int64(retryAfter))
+	i.inFlight[id].answer(invariants.Rejected, retryAfter)
 }
 
 // Abort implements policy.Effects.
@@ -165,7 +165,7 @@
 		i.timerID = timerID
 	}
 	incarnation := i.incarnation
-	i.world.at(at.Nanos()-epochNanos, func() {
+	i.world.at(at.Add(-epoch), func() {
 		isCurrent := timerID == 0 || timerID == i.timerID
 		if i.incarnation == incarnation && isCurrent {
 			i.engine.HandleTimer(i.world.engineNow(), timerID)
@@ -175,7 +175,7 @@
 
 // AddToCounter implements policy.Effects.
 func (i *instance) AddToCounter(key policy.CounterKey, units float64, lifetime time.Duration) {
-	i.world.counter.call(i, key, units, int64(lifetime))
+	i.world.counter.call(i, key, units, lifetime)
 }
 
 // CheckHealth implements policy.Effects.
@@ -183,7 +183,7 @@
 	w := i.world
 	incarnation := i.incarnation
 	checked := w.backends[id-1]
-	w.after(w.roundTripNanos(), func() {
+	w.after(w.roundTrip(), func() {
 		outcome := policy.Succeeded
 		if !checked.isUp || checked.refusing > 0 || checked.hanging > 0 {
 			outcome = policy.ConnectFailed
--- a/internal/lab/model/model_test.go
+++ b/internal/lab/model/model_test.go
@@ -4,6 +4,7 @@
 	"bytes"
 	"fmt"
 	"testing"
+	"time"
 
 	"fawnplank/internal/lab/invariants"
 	"fawnplank/internal/lab/results"
@@ -203,7 +204,7 @@
 // drainUnseen breaks rule 3: the instance goes on sending to a backend that it has as ready.
 func drainUnseen(w *world, i *instance) {
 	w.recorder.Observe(invariants.Event{
-		AtNanos:  w.nowNanos,
+		At:       w.now,
 		Kind:     invariants.EndpointDelivered,
 		Instance: i.index,
 		State:    policy.EndpointDraining,
@@ -222,7 +223,7 @@
 			t.Fatal(err)
 		}
 		for n := range 50 { // at some of the moments a request is in flight
-			w.at(5e9+int64(n)*7e6, func() { plant(w, w.instances[0]) })
+			w.at(sinceStart(5*time.Second+time.Duration(n)*7*time.Millisecond), func() { plant(w, w.instances[0]) })
 		}
 		if run := w.play(); run.RulesBroken[rule] == 0 {
 			t.Errorf("rule %s: a planted violation was not found", rule)
--- a/internal/lab/model/world.go
+++ b/internal/lab/model/world.go
@@ -9,6 +9,7 @@
 import (
 	"fmt"
 	"math/rand/v2"
+	"time"
 
 	"fawnplank/internal/lab/invariants"
 	"fawnplank/internal/lab/results"
@@ -19,9 +20,9 @@
 	"fawnplank/policy"
 )
 
-// epochNanos is the Unix time at which a run starts for the instances: an arbitrary day, needed because their
-// windows follow Unix time.
-const epochNanos int64 = 1_700_000_000e9
+// epoch is the Unix time at which a run starts for the engines: an arbitrary day, needed because their windows
+// follow Unix time.
+const epoch = 1_700_000_000 * time.Second
 
 // The random streams of the seed. The workload uses those before these.
 const (
@@ -34,16 +35,17 @@
 )
 
 const (
-	// sampleIntervalNanos is the time between two samples of the breakers.
-	sampleIntervalNanos = 1e9
-	// settleNanos is how long a run continues after the last request has ended.
-	settleNanos = 1e9
+	// sampleInterval is the time between two samples of the breakers.
+	sampleInterval = time.Second
+	// settleTime is how long a run continues after the last request has ended.
+	settleTime = time.Second
 )
 
-// world is everything that takes part in a run. Times are nanoseconds since its start.
+// world is everything that takes part in a run. Its instants count from the run's start, those of engines from
+// the Unix epoch.
 type world struct {
 	scenario       *scenario.Scenario
-	nowNanos       int64
+	now            monotime.Instant
 	queue          timerqueue.Queue[func()]
 	events         uint64
 	recorder       *results.Recorder
@@ -73,7 +75,7 @@
 	}
 	w := &world{
 		scenario:      s,
-		recorder:      results.New(s, settings, 2*int64(s.Net.Delay)),
+		recorder:      results.New(s, settings, 2*time.Duration(s.Net.Delay)),
 		workload:      workload.New(s),
 		networkRandom: rand.New(rand.NewPCG(s.Seed, networkStream)),
 		workRandom:    rand.New(rand.NewPCG(s.Seed, workStream)),
@@ -101,49 +103,53 @@
 
 // play handles the events of the queue until the end of the run.
 func (w *world) play() *results.Run {
-	endNanos := w.endNanos()
+	end := w.end()
 	for {
 		due, ok := w.queue.NextDue(func(func()) bool { return false })
-		if !ok || due.Nanos() > endNanos {
+		if !ok || due.After(end) {
 			break
 		}
 		do, _ := w.queue.PopDue(due)
-		w.nowNanos = due.Nanos()
+		w.now = due
 		w.events++
 		do()
 	}
-	return w.recorder.Finish(endNanos, w.events)
+	return w.recorder.Finish(end, w.events)
 }
 
-// endNanos returns the end of the run: some time after the last request of all must have its answer.
-func (w *world) endNanos() int64 {
+// end returns the end of the run: some time after the last request of all must have its answer.
+func (w *world) end() monotime.Instant {
 	var longest scenario.Span
 	for _, class := range w.scenario.Classes {
 		longest = max(longest, class.Deadline)
 	}
-	return int64(w.scenario.Duration + longest + w.scenario.Rules.DeadlineGrace + settleNanos)
+	length := w.scenario.Duration + longest + w.scenario.Rules.DeadlineGrace
+	return sinceStart(time.Duration(length) + settleTime)
 }
 
+// sinceStart returns the instant a span after the run's start.
+func sinceStart(span time.Duration) monotime.Instant { return monotime.Instant{}.Add(span) }
+
 // at schedules do for a time. A time in the past means as soon as the current event has been handled.
-func (w *world) at(dueNanos int64, do func()) {
-	w.queue.Push(monotime.FromNanos(max(dueNanos, w.nowNanos)), do)
+func (w *world) at(due monotime.Instant, do func()) {
+	w.queue.Push(monotime.Later(due, w.now), do)
 }
 
 // after schedules do for a delay from now.
-func (w *world) after(delayNanos int64, do func()) { w.at(w.nowNanos+delayNanos, do) }
+func (w *world) after(delay time.Duration, do func()) { w.at(w.now.Add(delay), do) }
 
-// oneWayDelayNanos draws the delay of a message in one direction: half of Net.Delay, plus an exponential part
+// oneWayDelay draws the delay of a message in one direction: half of Net.Delay, plus an exponential part
 // with the same mean.
-func (w *world) oneWayDelayNanos() int64 {
+func (w *world) oneWayDelay() time.Duration {
 	delay := float64(w.scenario.Net.Delay)
-	return int64(delay/2 + delay/2*w.networkRandom.ExpFloat64())
+	return time.Duration(delay/2 + delay/2*w.networkRandom.ExpFloat64())
 }
 
-// roundTripNanos draws a round-trip time, as twice a one-way delay.
-func (w *world) roundTripNanos() int64 { return 2 * w.oneWayDelayNanos() }
+// roundTrip draws a round-trip time, as twice a one-way delay.
+func (w *world) roundTrip() time.Duration { return 2 * w.oneWayDelay() }
 
 // engineNow returns the present time as engines see it.
-func (w *world) engineNow() policy.Instant { return monotime.FromNanos(epochNanos + w.nowNanos) }
+func (w *world) engineNow() policy.Instant { return w.now.Add(epoch) }
 
 // sampleBreakers records each second how many instances have their breaker open.
 func (w *world) sampleBreakers() {
@@ -156,8 +162,8 @@
 			open++
 		}
 	}
-	w.recorder.SetOpenBreakers(w.nowNanos, open)
-	w.after(sampleIntervalNanos, w.sampleBreakers)
+	w.recorder.SetOpenBreakers(w.now, open)
+	w.after(sampleInterval, w.sampleBreakers)
 }
 
 // scheduleArrival schedules the next request, which schedules the one after it.
@@ -166,8 +172,8 @@
 	if !ok {
 		return
 	}
-	w.at(request.AtNanos, func() {
-		w.submit(request, request.AtNanos, 0)
+	w.at(request.Due, func() {
+		w.submit(request, request.Due, 0)
 		w.scheduleArrival()
 	})
 }
--- a/internal/lab/plots/table.go
+++ b/internal/lab/plots/table.go
@@ -8,6 +8,7 @@
 	"text/tabwriter"
 
 	"fawnplank/internal/lab/results"
+	"fawnplank/internal/monotime"
 )
 
 // tableRow is one line of the table of totals.
@@ -107,7 +108,7 @@
 	for _, run := range runs {
 		for _, finding := range run.Findings {
 			_, err := fmt.Fprintf(w, "%s: rule %d at %.3f s: %s\n",
-				runTitle(run), finding.Rule, float64(finding.AtNanos)/1e9, finding.What)
+				runTitle(run), finding.Rule, monotime.Seconds(finding.At.Sub(monotime.Instant{})), finding.What)
 			if err != nil {
 				return err
 			}
--- a/internal/lab/results/log.go
+++ b/internal/lab/results/log.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"fawnplank/internal/lab/invariants"
+	"fawnplank/internal/monotime"
 )
 
 // Log connects a recorder to the wall clock for many goroutines: it stamps each event when it comes in, so
@@ -40,39 +41,51 @@
 	l.start.Store(&now)
 }
 
-// Now returns the time since the run's start, in nanoseconds.
-func (l *Log) Now() int64 {
+// Now returns the present time on the run's clock, which starts from 0. It is 0 until the run begins.
+func (l *Log) Now() monotime.Instant {
 	if start := l.start.Load(); start != nil {
-		return int64(time.Since(*start))
+		return monotime.FromNanos(int64(time.Since(*start)))
 	}
-	return 0
+	return monotime.Instant{}
 }
 
 // Start returns when the run began.
 func (l *Log) Start() time.Time { return *l.start.Load() }
 
-// Observe stamps an event, records it, and returns its time. Submitted events carry the remaining time
-// instead of the deadline. InstanceDied is observed before the instance is killed; InstanceExited must follow
-// once its process has ended.
-func (l *Log) Observe(event invariants.Event) int64 {
+// ObserveSubmitted observes a submission whose client waits for the remaining time from now on.
+func (l *Log) ObserveSubmitted(event invariants.Event, remaining time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	event.AtNanos = l.Now()
+	event.Kind = invariants.Submitted
+	event.At = l.Now()
+	event.Deadline = event.At.Add(remaining)
+	l.record(event)
+}
+
+// Observe stamps an event, which is no submission, and records it. InstanceDied is observed before the
+// instance is killed; InstanceExited must follow once its process has ended.
+func (l *Log) Observe(event invariants.Event) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	event.At = l.Now()
+	l.record(event)
+}
+
+// record passes an event to the recorder unless the run is over. The caller holds the lock.
+func (l *Log) record(event invariants.Event) {
 	if l.finished {
-		return event.AtNanos
+		return
 	}
 	l.events++
 	switch event.Kind {
 	case invariants.Submitted:
 		l.instances[event.Submission] = event.Instance
-		event.DeadlineNanos += event.AtNanos
 	case invariants.AttemptArrived, invariants.AttemptRefused:
 		event.Instance = l.instances[event.Submission]
 	case invariants.InstanceDied:
 		l.countKill(event.Instance, kills{begun: 1})
 	}
 	l.recorder.Observe(event)
-	return event.AtNanos
 }
 
 // InstanceExited records that the process of an instance that was killed has ended.
--- a/internal/lab/results/recorder.go
+++ b/internal/lab/results/recorder.go
@@ -1,21 +1,23 @@
 package results
 
 import (
+	"time"
+
 	"github.com/HdrHistogram/hdrhistogram-go"
 
 	"fawnplank/internal/lab/invariants"
 	"fawnplank/internal/lab/scenario"
+	"fawnplank/internal/monotime"
 	"fawnplank/policy"
 )
 
 const (
-	nanosPerSecond = 1e9
 	// maxLatencyMicros and latencyDigits are the range of the histograms: up to two minutes, with three digits.
 	maxLatencyMicros = 120e6
 	latencyDigits    = 3
-	// minWithdrawalNanos distinguishes a last attempt that arrived at the time of the delivery from no attempt,
+	// minWithdrawal distinguishes a last attempt that arrived at the time of the delivery from no attempt,
 	// which is 0.
-	minWithdrawalNanos = 1e3
+	minWithdrawal = time.Microsecond
 )
 
 // histogram counts latencies in microseconds.
@@ -43,12 +45,12 @@
 
 // withdrawal is when a backend was delivered as gone, and how long after that the last attempt came.
 type withdrawal struct {
-	deliveredNanos   int64
-	lastAttemptNanos int64
+	deliveredAt monotime.Instant
+	lastAttempt time.Duration // after that; 0: none came
 }
 
-// Recorder turns the events that it observes, in order of time, into results. Times are nanoseconds since the
-// run's start.
+// Recorder turns the events that it observes, in order of time, into results. Instants count from the run's
+// start.
 type Recorder struct {
 	scenario        *scenario.Scenario
 	checker         *invariants.Checker
@@ -62,12 +64,12 @@
 	withdrawalTimes histogram
 }
 
-// New returns a recorder for a scenario. slackNanos is how long a message may be in transit, where only
+// New returns a recorder for a scenario. slack is how long a message may be in transit, where only
 // its sending or its arrival is observed. Classes and plans come from the settings, which the gateways have too.
-func New(s *scenario.Scenario, settings policy.Settings, slackNanos int64) *Recorder {
+func New(s *scenario.Scenario, settings policy.Settings, slack time.Duration) *Recorder {
 	return &Recorder{
 		scenario:        s,
-		checker:         invariants.New(checkerSettings(s, settings, slackNanos)),
+		checker:         invariants.New(checkerSettings(s, settings, slack)),
 		run:             newRun(s),
 		rowLatency:      newHistogram(),
 		latency:         newHistogram(),
@@ -78,20 +80,20 @@
 	}
 }
 
-func checkerSettings(s *scenario.Scenario, settings policy.Settings, slackNanos int64) invariants.Settings {
+func checkerSettings(s *scenario.Scenario, settings policy.Settings, slack time.Duration) invariants.Settings {
 	checked := invariants.Settings{
-		Classes:                settings.Classes,
-		Plans:                  settings.Plans,
-		AnswerGraceNanos:       int64(s.Rules.DeadlineGrace),
-		DrainGraceNanos:        int64(s.Rules.DrainGrace),
-		SlackNanos:             slackNanos,
-		Cores:                  float64(s.Backends.Cores),
-		SlowStartShare:         s.Rules.SlowStartShare,
-		SlowStartDurationNanos: int64(s.Rules.SlowStartDuration),
-		OverloadMultiple:       s.Rules.OverloadMultiple,
-		OverloadWindowNanos:    int64(s.Rules.OverloadWindow),
-		Zone:                   func(backend int) int { return backend % s.Backends.Zones },
-		Group:                  func(backend int) int { return backend % s.Backends.Groups },
+		Classes:           settings.Classes,
+		Plans:             settings.Plans,
+		AnswerGrace:       time.Duration(s.Rules.DeadlineGrace),
+		DrainGrace:        time.Duration(s.Rules.DrainGrace),
+		Slack:             slack,
+		Cores:             float64(s.Backends.Cores),
+		SlowStartShare:    s.Rules.SlowStartShare,
+		SlowStartDuration: time.Duration(s.Rules.SlowStartDuration),
+		OverloadMultiple:  s.Rules.OverloadMultiple,
+		OverloadWindow:    time.Duration(s.Rules.OverloadWindow),
+		Zone:              func(backend int) int { return backend % s.Backends.Zones },
+		Group:             func(backend int) int { return backend % s.Backends.Groups },
 	}
 	for _, plan := range s.Plans {
 		checked.HardQuotaSlack = append(checked.HardQuotaSlack, plan.HardQuotaSlack)
@@ -122,8 +124,8 @@
 	occurrences := s.Occurrences(fault)
 	return FaultSpan{
 		Kind:  storedFaultKind(fault.Kind),
-		From:  float64(occurrences[0].Begin) / nanosPerSecond,
-		Until: float64(occurrences[len(occurrences)-1].End) / nanosPerSecond,
+		From:  monotime.Seconds(occurrences[0].Begin),
+		Until: monotime.Seconds(occurrences[len(occurrences)-1].End),
 	}
 }
 
@@ -137,8 +139,8 @@
 }
 
 // advance closes rows up to the second that contains a time.
-func (r *Recorder) advance(atNanos int64) {
-	for int64(r.row.Second+1)*nanosPerSecond <= atNanos {
+func (r *Recorder) advance(at monotime.Instant) {
+	for at.Sub(monotime.Instant{}) >= time.Duration(r.row.Second+1)*time.Second {
 		r.closeRow()
 	}
 }
@@ -160,7 +162,7 @@
 
 // Observe records the next event.
 func (r *Recorder) Observe(event invariants.Event) {
-	r.advance(event.AtNanos)
+	r.advance(event.At)
 	r.checker.Observe(event)
 	switch event.Kind {
 	case invariants.EndpointDelivered:
@@ -180,7 +182,7 @@
 	key := invariants.Route{Instance: event.Instance, Backend: event.Backend}
 	r.settleWithdrawal(key)
 	if event.State == policy.EndpointGone {
-		r.withdrawals[key] = &withdrawal{deliveredNanos: event.AtNanos}
+		r.withdrawals[key] = &withdrawal{deliveredAt: event.At}
 	}
 }
 
@@ -196,11 +198,11 @@
 func (r *Recorder) recordArrival(event invariants.Event) {
 	r.row.Attempts++
 	if w := r.withdrawals[invariants.Route{Instance: event.Instance, Backend: event.Backend}]; w != nil {
-		w.lastAttemptNanos = max(event.AtNanos-w.deliveredNanos, minWithdrawalNanos)
+		w.lastAttempt = max(event.At.Sub(w.deliveredAt), minWithdrawal)
 	}
 	if submission := r.pending[event.Submission]; submission != nil && !submission.hasArrived {
 		submission.hasArrived = true
-		r.drawExact(event.AtNanos, submission.Event)
+		r.drawExact(event.At, submission.Event)
 	}
 }
 
@@ -224,12 +226,12 @@
 }
 
 func (r *Recorder) recordSuccess(submission *pending, event invariants.Event) {
-	latencyNanos := max(event.AtNanos-submission.DueNanos, 0)
-	micros := max(latencyNanos/1e3, 1)
+	latency := max(event.At.Sub(submission.Due), 0)
+	micros := max(latency.Microseconds(), 1)
 	r.rowLatency.record(micros)
 	r.latency.record(micros)
 	r.row.Succeeded++
-	if latencyNanos > int64(r.scenario.Classes[submission.Class].LatencyObjective) {
+	if latency > time.Duration(r.scenario.Classes[submission.Class].LatencyObjective) {
 		r.row.Late++
 	}
 }
@@ -245,24 +247,24 @@
 		r.run.Withdrawals = &Withdrawals{}
 	}
 	r.run.Withdrawals.Count++
-	if w.lastAttemptNanos > 0 {
+	if w.lastAttempt > 0 {
 		r.run.Withdrawals.WithAttempt++
 	}
-	r.withdrawalTimes.record(w.lastAttemptNanos / 1e3)
+	r.withdrawalTimes.record(w.lastAttempt.Microseconds())
 }
 
 // CountDNSUpdate counts an update that a gateway answered.
 func (r *Recorder) CountDNSUpdate() { r.run.DNSUpdates++ }
 
 // CountNotSent counts a request that no instance accepted.
-func (r *Recorder) CountNotSent(atNanos int64) {
-	r.advance(atNanos)
+func (r *Recorder) CountNotSent(at monotime.Instant) {
+	r.advance(at)
 	r.row.NotSent++
 }
 
 // CountCounterCall counts a call to the counter, and its failure if it failed.
-func (r *Recorder) CountCounterCall(atNanos int64, failed bool) {
-	r.advance(atNanos)
+func (r *Recorder) CountCounterCall(at monotime.Instant, failed bool) {
+	r.advance(at)
 	r.row.CounterCalls++
 	if failed {
 		r.row.CounterFailures++
@@ -270,17 +272,17 @@
 }
 
 // SetOpenBreakers records how many instances have an open breaker.
-func (r *Recorder) SetOpenBreakers(atNanos int64, instances int) {
-	r.advance(atNanos)
+func (r *Recorder) SetOpenBreakers(at monotime.Instant, instances int) {
+	r.advance(at)
 	r.row.OpenBreakers = instances
 }
 
 // Finish ends the run and returns its results.
-func (r *Recorder) Finish(atNanos int64, events uint64) *Run {
-	r.advance(atNanos)
+func (r *Recorder) Finish(at monotime.Instant, events uint64) *Run {
+	r.advance(at)
 	r.closeRow()
 	r.run.Events = events
-	r.run.Findings, r.run.RulesBroken = r.checker.End(atNanos)
+	r.run.Findings, r.run.RulesBroken = r.checker.End(at)
 	for key := range r.withdrawals {
 		r.settleWithdrawal(key)
 	}
--- a/internal/lab/results/version0_test.go
+++ b/internal/lab/results/version0_test.go
@@ -9,6 +9,7 @@
 	"fawnplank/internal/lab/model"
 	"fawnplank/internal/lab/results"
 	"fawnplank/internal/lab/scenario"
+	"fawnplank/internal/monotime"
 	"fawnplank/internal/testutil"
 )
 
@@ -73,7 +74,7 @@
 			t.Fatal(err)
 		}
 		r.Label, r.DNSUpdates, r.LagP50, r.LagP99 = "before", 4, 0.25, 1.5
-		r.Findings = append(r.Findings, invariants.Finding{Rule: 3, AtNanos: 2_500_000_000, What: "an example"})
+		r.Findings = append(r.Findings, invariants.Finding{Rule: 3, At: monotime.FromNanos(2_500_000_000), What: "an example"})
 		r.RulesBroken["3"]++
 		r.Total.Aborted, r.Total.OpenBreakers, r.Total.UnitsOver, r.Total.DriftOver = 2, 3, 6.5, 8.25
 		r.Withdrawals = &results.Withdrawals{Count: 2, WithAttempt: 1, P50: 3.5, P99: 4.5, Max: 5}
@@ -117,7 +118,7 @@
 	if want := (results.Withdrawals{Count: 2, WithAttempt: 1, P50: 3.5, P99: 4.5, Max: 5}); r.Withdrawals == nil || *r.Withdrawals != want {
 		t.Errorf("withdrawals %+v", r.Withdrawals)
 	}
-	if want := (invariants.Finding{Rule: 3, AtNanos: 2_500_000_000, What: "an example"}); len(r.Findings) != 1 || r.Findings[0] != want || r.Violations() != 1 {
+	if want := (invariants.Finding{Rule: 3, At: monotime.FromNanos(2_500_000_000), What: "an example"}); len(r.Findings) != 1 || r.Findings[0] != want || r.Violations() != 1 {
 		t.Errorf("findings %+v, broken %v", r.Findings, r.RulesBroken)
 	}
 	if want := (results.Point{Percent: 50, Ms: 64.479}); len(r.Latency) < 2 || r.Latency[1] != want {
--- a/internal/lab/testbed/testbed.go
+++ b/internal/lab/testbed/testbed.go
@@ -26,9 +26,9 @@
 	LogFolder string
 }
 
-// slackNanos is how late an event may be seen at the far end of a socket on a machine that also does other
+// slack is how late an event may be seen at the far end of a socket on a machine that also does other
 // work. It is the platform's own allowance for sockets.
-const slackNanos = int64(50e6)
+const slack = 50 * time.Millisecond
 
 // startTimeout is how long the gateways, one after the other, may take to answer their first command. It is
 // far above what a start takes, even on a loaded machine.
@@ -52,7 +52,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("testbed: scenario %s: %w", s.Name, err)
 	}
-	return results.NewLog(results.New(s, settings, slackNanos)), nil
+	return results.NewLog(results.New(s, settings, slack)), nil
 }
 
 // Run plays a scenario on sockets. If ctx ends, it ends early and returns what was recorded until then and
--- a/internal/lab/workload/workload.go
+++ b/internal/lab/workload/workload.go
@@ -9,8 +9,10 @@
 	"math"
 	"math/rand/v2"
 	"sort"
+	"time"
 
 	"fawnplank/internal/lab/scenario"
+	"fawnplank/internal/monotime"
 )
 
 // The random streams of the seed. The order of the draws from one does not depend on the other.
@@ -24,10 +26,10 @@
 const ExtraConnectRetries = 3
 
 const (
-	// firstRetryDelayNanos is how long a client waits that got no Retry-After. The delay doubles with each
+	// firstRetryDelay is how long a client waits that got no Retry-After. The delay doubles with each
 	// retry, as is common among clients, up to maxRetryDoublings times.
-	firstRetryDelayNanos = 50e6
-	maxRetryDoublings    = 5
+	firstRetryDelay   = 50 * time.Millisecond
+	maxRetryDoublings = 5
 	// jitterDivisor bounds the jitter of a delay: it adds up to a quarter.
 	jitterDivisor = 4
 )
@@ -35,14 +37,14 @@
 // Tenant is a tenant: its plan, and the first instance of those that are its entry points.
 type Tenant struct{ Plan, FirstInstance int }
 
-// Request is a request that a client wants answered. Times are nanoseconds since the run's start.
+// Request is a request that a client wants answered. Instants count from the run's start.
 type Request struct {
-	AtNanos       int64
-	DeadlineNanos int64
-	Tenant        int
-	Class         int
-	Plan          int
-	Units         float64
+	Due      monotime.Instant // when its client sends it
+	Deadline monotime.Instant // until when its client waits
+	Tenant   int
+	Class    int
+	Plan     int
+	Units    float64
 }
 
 // Generator draws requests.
@@ -109,16 +111,16 @@
 	g.drawn++
 	tenant := pick(g.tenantWeights, g.arrivals.Float64())
 	request := Request{
-		AtNanos: int64(g.atNanos),
-		Tenant:  tenant,
-		Class:   pick(g.classWeights, g.arrivals.Float64()),
-		Plan:    g.Tenants[tenant].Plan,
-		Units:   1,
+		Due:    monotime.FromNanos(int64(g.atNanos)),
+		Tenant: tenant,
+		Class:  pick(g.classWeights, g.arrivals.Float64()),
+		Plan:   g.Tenants[tenant].Plan,
+		Units:  1,
 	}
 	if load.Units > 1 { // the units beyond the first have a geometric distribution
 		request.Units += math.Floor(g.arrivals.ExpFloat64() / math.Log(load.Units/(load.Units-1)))
 	}
-	request.DeadlineNanos = request.AtNanos + int64(g.scenario.Classes[request.Class].Deadline)
+	request.Deadline = request.Due.Add(time.Duration(g.scenario.Classes[request.Class].Deadline))
 	return request, true
 }
 
@@ -128,13 +130,14 @@
 	return (g.Tenants[request.Tenant].FirstInstance + offset) % g.scenario.Instances.Count
 }
 
-// RetryDelay draws how long a client waits after a rejection. retries is its number of retries so far.
-func (g *Generator) RetryDelay(retries int, retryAfterNanos int64) int64 {
-	delayNanos := retryAfterNanos
-	if delayNanos <= 0 {
-		delayNanos = firstRetryDelayNanos << min(retries, maxRetryDoublings)
+// RetryDelay draws how long a client waits after a rejection. retries is its number of retries so far;
+// retryAfter is 0 if the rejection has none.
+func (g *Generator) RetryDelay(retries int, retryAfter time.Duration) time.Duration {
+	delay := retryAfter
+	if delay <= 0 {
+		delay = firstRetryDelay << min(retries, maxRetryDoublings)
 	}
-	return delayNanos + int64(float64(delayNanos)*g.choices.Float64()/jitterDivisor)
+	return delay + time.Duration(float64(delay)*g.choices.Float64()/jitterDivisor)
 }
 
 // WorkNanos draws how many nanoseconds of a core a request of so many units takes at a backend that has
--- a/internal/lab/workload/workload_test.go
+++ b/internal/lab/workload/workload_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"testing"
+	"time"
 
 	"fawnplank/internal/lab/scenario"
 )
@@ -70,19 +71,19 @@
 func TestGenerator_RetryDelay(t *testing.T) {
 	generator := newGenerator(t)
 	for _, test := range []struct {
-		retries         int
-		retryAfterNanos int64
-		want            int64
+		retries    int
+		retryAfter time.Duration
+		want       time.Duration
 	}{
 		{retries: 0, want: 50e6},
 		{retries: 2, want: 200e6},
 		{retries: 9, want: 1600e6},
-		{retries: 9, retryAfterNanos: 3e9, want: 3e9},
+		{retries: 9, retryAfter: 3e9, want: 3e9},
 	} {
-		got := generator.RetryDelay(test.retries, test.retryAfterNanos)
+		got := generator.RetryDelay(test.retries, test.retryAfter)
 		if got < test.want || got > test.want*5/4 {
-			t.Errorf("retry %d, Retry-After %d: %d ns, not %d",
-				test.retries, test.retryAfterNanos, got, test.want)
+			t.Errorf("retry %d, Retry-After %v: %v, not %v",
+				test.retries, test.retryAfter, got, test.want)
 		}
 	}
 }
