--- /dev/null
+++ b/policy/pages_test.go
@@ -0,0 +1,150 @@
+package policy
+
+import (
+	"go/ast"
+	"go/parser"
+	"go/token"
+	"os"
+	"path/filepath"
+	"regexp"
+	"strings"
+	"testing"
+)
+
+// What the pages name: functions as `Type.name` or `name`, constants as `name` = value, files as `name.go`.
+var (
+	pageFunction = regexp.MustCompile("`((?:Engine|Request|Settings|tenant|traffic|plan|class|backend|outlierState|" +
+		"quotaWindow|counterCall|counterBreaker|fleetLatency|QuotaStatus)\\.\\w+)`")
+	pageConstant    = regexp.MustCompile("`(\\w+)`\\s+=\\s")
+	capacityRow     = regexp.MustCompile("(?m)^\\| `(\\w+)` \\| `(\\w+\\.go)` \\|")
+	pageSourceFiles = regexp.MustCompile("`(\\w+\\.go)`")
+)
+
+// sourceNames are the declarations of the package: the file of each function, field and constant.
+type sourceNames struct {
+	declaredIn map[string]string
+	constants  []string
+	files      map[string]bool
+}
+
+// readSource parses the package's files but the tests.
+func readSource(t *testing.T) sourceNames {
+	t.Helper()
+	names := sourceNames{declaredIn: map[string]string{}, files: map[string]bool{}}
+	paths, err := filepath.Glob("*.go")
+	if err != nil {
+		t.Fatal(err)
+	}
+	for _, path := range paths {
+		if strings.HasSuffix(path, "_test.go") {
+			continue
+		}
+		file, err := parser.ParseFile(token.NewFileSet(), path, nil, 0)
+		if err != nil {
+			t.Fatal(err)
+		}
+		names.files[path] = true
+		for _, declaration := range file.Decls {
+			names.add(path, declaration)
+		}
+	}
+	return names
+}
+
+func (n *sourceNames) add(path string, declaration ast.Decl) {
+	switch d := declaration.(type) {
+	case *ast.FuncDecl:
+		n.declaredIn[functionName(d)] = path
+	case *ast.GenDecl:
+		for _, spec := range d.Specs {
+			n.addSpec(path, d.Tok, spec)
+		}
+	}
+}
+
+func (n *sourceNames) addSpec(path string, kind token.Token, spec ast.Spec) {
+	switch s := spec.(type) {
+	case *ast.ValueSpec:
+		for _, name := range s.Names {
+			n.declaredIn[name.Name] = path
+			if kind == token.CONST && !name.IsExported() {
+				n.constants = append(n.constants, name.Name)
+			}
+		}
+	case *ast.TypeSpec:
+		structure, ok := s.Type.(*ast.StructType)
+		if !ok {
+			return
+		}
+		for _, field := range structure.Fields.List {
+			for _, name := range field.Names {
+				n.declaredIn[s.Name.Name+"."+name.Name] = path
+			}
+		}
+	}
+}
+
+// functionName returns a function's name, with its receiver's type before it if it has one.
+func functionName(d *ast.FuncDecl) string {
+	if d.Recv == nil {
+		return d.Name.Name
+	}
+	receiver := d.Recv.List[0].Type
+	if pointer, ok := receiver.(*ast.StarExpr); ok {
+		receiver = pointer.X
+	}
+	return receiver.(*ast.Ident).Name + "." + d.Name.Name
+}
+
+func readPage(t *testing.T, name string) string {
+	t.Helper()
+	text, err := os.ReadFile(filepath.Join("..", "docs", name))
+	if err != nil {
+		t.Fatal(err)
+	}
+	return string(text)
+}
+
+// TestPages_NameWhatIsThere: docs/decisions.md leads from a symptom to a function, so what it names has to exist.
+func TestPages_NameWhatIsThere(t *testing.T) {
+	source := readSource(t)
+	page := readPage(t, "decisions.md")
+	for _, match := range pageFunction.FindAllStringSubmatch(page, -1) {
+		isFile := strings.HasSuffix(match[1], ".go")
+		if !isFile && source.declaredIn[match[1]] == "" {
+			t.Errorf("decisions.md names %s, which is not in the package", match[1])
+		}
+	}
+	for _, match := range pageConstant.FindAllStringSubmatch(page, -1) {
+		if source.declaredIn[match[1]] == "" {
+			t.Errorf("decisions.md names the constant %s, which is not in the package", match[1])
+		}
+	}
+	for _, match := range pageSourceFiles.FindAllStringSubmatch(page, -1) {
+		if !source.files[match[1]] {
+			t.Errorf("decisions.md names %s, which is no file of the package", match[1])
+		}
+	}
+}
+
+// TestPages_HaveEveryConstant: docs/capacity.md says of each constant what it bounds. Constants that are no
+// choice are left out of it: names of enumerations, units and salts.
+func TestPages_HaveEveryConstant(t *testing.T) {
+	source := readSource(t)
+	notTuned := map[string]bool{
+		"overQuota": true, "withinQuota": true, "awaitingCounter": true, // an enumeration
+		"hundredPercent": true, "ticksPerSecond": true, "tickTimer": true, "tenantSalt": true,
+	}
+	listedIn := map[string]string{}
+	for _, match := range capacityRow.FindAllStringSubmatch(readPage(t, "capacity.md"), -1) {
+		listedIn[match[1]] = match[2]
+		if source.declaredIn[match[1]] != match[2] {
+			t.Errorf("capacity.md has %s in %s, and it is in %q", match[1], match[2], source.declaredIn[match[1]])
+		}
+	}
+	for _, name := range source.constants {
+		if listedIn[name] == "" && !notTuned[name] {
+			t.Errorf("%s of %s is not in capacity.md", name, source.declaredIn[name])
+		}
+	}
+}
