--- a/cmd/fawnplank-lab/deprecated_test.go
+++ b/cmd/fawnplank-lab/deprecated_test.go
@@ -9,7 +9,8 @@
 
 // TestCheck_WarnsOfOldNames: a scenario in old names is in order, and each old name gives a warning.
 func TestCheck_WarnsOfOldNames(t *testing.T) {
-	const text = "name = \"old\"\n[doors]\ncount = 2\n[[profile]]\nname = \"calc\"\neffect = \"reissuable\"\npromised = \"750ms\"\n" +
+	const text = "name = \"old\"\n[doors]\ncount = 2\n" +
+		"[[profile]]\nname = \"calc\"\neffect = \"reissuable\"\npromised = \"750ms\"\n" +
 		"[[plan]]\nname = \"despacho\"\nrate = 20\nburst = 40\n"
 	path := filepath.Join(t.TempDir(), "old.toml")
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
--- a/internal/lab/invariants/checker.go
+++ b/internal/lab/invariants/checker.go
@@ -27,7 +27,7 @@
 	ruleEnd
 )
 
-// Settings are the figures that the rules use.
+// Settings are the parameters of the rules. The functions map a backend's number to that of its zone or group.
 type Settings struct {
 	Classes           []policy.ClassSettings
 	Plans             []policy.PlanSettings
@@ -44,7 +44,7 @@
 	Group             func(backend int) int
 }
 
-// Finding is one violation of a rule.
+// Finding is one violation of a rule; What says in words how it was broken.
 type Finding struct {
 	Rule Rule             `json:"rule"`
 	At   monotime.Instant `json:"at_ns"` // since the run's start
@@ -92,7 +92,7 @@
 	counts      [ruleEnd]int
 }
 
-// New returns a checker.
+// New returns a checker that has seen nothing.
 func New(settings Settings) *Checker {
 	return &Checker{
 		settings:    settings,
@@ -113,7 +113,7 @@
 	}
 }
 
-// Observe checks the next event.
+// Observe checks the next event, which must not be earlier than the one before.
 func (c *Checker) Observe(event Event) {
 	switch event.Kind {
 	case EndpointDelivered:
--- a/internal/lab/invariants/event.go
+++ b/internal/lab/invariants/event.go
@@ -49,7 +49,8 @@
 	return fmt.Sprintf("Kind(%d)", uint8(k))
 }
 
-// Event is one thing that was seen. Only the fields of its kind are read.
+// Event is one thing that was seen. Only the fields of its kind are read. Instances, backends, tenants, classes
+// and plans are numbered from 0.
 type Event struct {
 	At          monotime.Instant // on one clock for all events
 	Kind        Kind
--- a/internal/lab/model/golden_test.go
+++ b/internal/lab/model/golden_test.go
@@ -19,12 +19,15 @@
 	}{
 		{"calm", "calm", nil, "e4fa44d9d5c96cff7269974405de4b62b6a9bec3f17cbbbc03fdd18e0ecea615"},
 		{"one backend hangs", "one-hangs", nil, "8688bfdd413410d026b616e0d8468267c72bfdf0abb0194a7b772bcc305c2391"},
-		{"the counter loses a minute", "counter-minute", nil, "d93c8274beb3fd8ee40aaba3e162299ba795ba522524bc4699f4d1e6baad3155"},
+		{"the counter loses a minute", "counter-minute", nil,
+			"d93c8274beb3fd8ee40aaba3e162299ba795ba522524bc4699f4d1e6baad3155"},
 		{"a herd of gateways", "fleet-herd", nil, "c794efd240f306894952f063371ce067f47b34fec181d33cf4d8c68ddf1122e3"},
 		{"a herd of few gateways", "fleet-herd", []string{"gateways.count=12", "load.entry_points=6", "seed=5"},
 			"a29bb44b828c1a74c041d13f399b665b2509755901a81f09a4f7512644246ec0"},
-		{"a zone fails", "fleet-zone", []string{"duration=20s"}, "437c5a4ce75bb40a815de8d0a85e0e3ccf2f42e9f72f5b3446b6ed06f4060f43"},
-		{"mass restart", "mass-restart", []string{"duration=20s"}, "cc4f1ab7bd31eed90c64ee02fe6cc79d48bff2e1751c11f0fcbe06aa5e661ed3"},
+		{"a zone fails", "fleet-zone", []string{"duration=20s"},
+			"437c5a4ce75bb40a815de8d0a85e0e3ccf2f42e9f72f5b3446b6ed06f4060f43"},
+		{"mass restart", "mass-restart", []string{"duration=20s"},
+			"cc4f1ab7bd31eed90c64ee02fe6cc79d48bff2e1751c11f0fcbe06aa5e661ed3"},
 	} {
 		t.Run(run.name, func(t *testing.T) {
 			t.Parallel()
--- a/internal/lab/results/run.go
+++ b/internal/lab/results/run.go
@@ -22,33 +22,33 @@
 const Version = 1
 
 // Row is one second of a run. Latencies are milliseconds, from when a submission was due to the last byte of
-// its answer. Units are compared with those of an exact counter, which decides on the same submissions by the
-// quota alone.
+// its answer; percentiles are those of the successes. Units are compared with those of an exact counter, which
+// decides on the same submissions by the quota alone.
 type Row struct {
-	Second          int     `json:"second"`
-	Submitted       int     `json:"asked"`
+	Second          int     `json:"second"` // from 0 on; in a total, their number
+	Submitted       int     `json:"asked"`  // retries included
 	Succeeded       int     `json:"fulfilled"`
 	Late            int     `json:"late"` // succeeded after the latency objective
 	Rejected        int     `json:"dismissed"`
 	Aborted         int     `json:"broken_off"`
-	Abandoned       int     `json:"left"`
+	Abandoned       int     `json:"left"`   // the client gave up, or its instance died
 	NotSent         int     `json:"unsent"` // no instance accepted the connection
 	P50             float64 `json:"p50_ms"`
 	P99             float64 `json:"p99_ms"`
-	Attempts        int     `json:"shots"`
-	AttemptsRefused int     `json:"turned_away"`
+	Attempts        int     `json:"shots"`       // that arrived at backends
+	AttemptsRefused int     `json:"turned_away"` // by backends that had not run them
 	CounterCalls    int     `json:"counter_calls"`
-	CounterFailures int     `json:"counter_failed"`
-	OpenBreakers    int     `json:"breakers_open"` // instances with an open breaker, or that called nothing
-	UnitsOver       float64 `json:"units_over"`    // sent on; an exact counter would have rejected them
-	UnitsInside     float64 `json:"units_inside"`  // sent on within the quota
-	UnitsExact      float64 `json:"units_honest"`  // units that an exact counter would have admitted
-	DriftOver       float64 `json:"drift_over"`    // units that tenants had too many since the start
-	DriftUnder      float64 `json:"drift_under"`   // units that other tenants had too few since the start
+	CounterFailures int     `json:"counter_failed"` // of the calls
+	OpenBreakers    int     `json:"breakers_open"`  // instances with an open breaker, or that called nothing
+	UnitsOver       float64 `json:"units_over"`     // sent on; an exact counter would have rejected them
+	UnitsInside     float64 `json:"units_inside"`   // sent on within the quota
+	UnitsExact      float64 `json:"units_honest"`   // units that an exact counter would have admitted
+	DriftOver       float64 `json:"drift_over"`     // units that tenants had too many since the start
+	DriftUnder      float64 `json:"drift_under"`    // units that other tenants had too few since the start
 }
 
-// Total is the sums of a run. The field Row has no tag, so that its fields are among the others in the file:
-// a name would nest them.
+// Total is the sums of a run, and percentiles in milliseconds over all of it. The field Row has no tag, so that
+// its fields are among the others in the file: a name would nest them.
 type Total struct {
 	Row
 	Requests int     `json:"transactions"` // submissions without clients' retries
@@ -57,42 +57,42 @@
 	Max      float64 `json:"max_ms"`
 }
 
-// Point is a percentile of the answers' latencies.
+// Point is a percentile of the latencies of successes.
 type Point struct {
-	Percent float64 `json:"percent"`
+	Percent float64 `json:"percent"` // from 0 to 100
 	Ms      float64 `json:"ms"`
 }
 
 // Run is the results of one run. The same scenario on the model always gives the same bytes.
 type Run struct {
-	Version          int                  `json:"version"`
+	Version          int                  `json:"version"` // of the format
 	Scenario         string               `json:"scenario"`
 	About            string               `json:"about"`
-	On               string               `json:"on"`
-	Label            string               `json:"label,omitempty"`
+	On               string               `json:"on"`              // scenario.OnModel, scenario.OnSockets or OnClients
+	Label            string               `json:"label,omitempty"` // what the user calls the run
 	Seed             uint64               `json:"seed"`
 	Instances        int                  `json:"doors"`
 	Backends         int                  `json:"backends"`
-	Rate             float64              `json:"rate"`
-	LatencyObjective float64              `json:"promised_ms"` // of the first class
-	Events           uint64               `json:"events"`
+	Rate             float64              `json:"rate"`            // requests per second, of the scenario
+	LatencyObjective float64              `json:"promised_ms"`     // of the first class
+	Events           uint64               `json:"events"`          // that were handled
 	LagP50           float64              `json:"tool_lag_p50_ms"` // of the load tool itself; 0 on the model
 	LagP99           float64              `json:"tool_lag_p99_ms"`
 	Total            Total                `json:"total"`
 	Latency          []Point              `json:"latency"`
-	RulesBroken      map[string]int       `json:"rules_broken"`
+	RulesBroken      map[string]int       `json:"rules_broken"` // how often, by the number of the rule
 	Findings         []invariants.Finding `json:"findings"`
 	Withdrawals      *Withdrawals         `json:"withdrawals,omitempty"` // nil: no backend was removed
 	DNSUpdates       int                  `json:"dns_updates,omitempty"` // answered by gateways
 	Faults           []FaultSpan          `json:"faults"`
-	Rows             []Row                `json:"rows"`
+	Rows             []Row                `json:"rows"` // by second
 }
 
 // Withdrawals says how long after a backend was delivered to an instance as gone the last attempt from there
-// arrived; 0 if none did.
+// arrived, in milliseconds; 0 if none did.
 type Withdrawals struct {
-	Count       int     `json:"count"` // one for each instance
-	WithAttempt int     `json:"with_shot"`
+	Count       int     `json:"count"`     // one for each instance
+	WithAttempt int     `json:"with_shot"` // those after which an attempt arrived
 	P50         float64 `json:"p50_ms"`
 	P99         float64 `json:"p99_ms"`
 	Max         float64 `json:"max_ms"`
@@ -100,7 +100,7 @@
 
 // FaultSpan says when a fault was in force, in seconds, for plots.
 type FaultSpan struct {
-	Kind  string  `json:"kind"`
+	Kind  string  `json:"kind"` // by its first name, where scenarios have renamed it
 	From  float64 `json:"from_s"`
 	Until float64 `json:"until_s"`
 }
@@ -148,7 +148,7 @@
 	return append(text, '\n'), err
 }
 
-// Write writes the run to a file.
+// Write writes the run to a file, over one that is there.
 func (r *Run) Write(path string) error {
 	text, err := r.Bytes()
 	if err != nil {
@@ -157,7 +157,8 @@
 	return os.WriteFile(path, text, 0o644)
 }
 
-// Read reads a run from its file.
+// Read reads a run from its file. It returns an error that names the file if the file cannot be read, is no
+// run, is of another version, or has no rows.
 func Read(path string) (*Run, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
--- a/internal/lab/results/version0_test.go
+++ b/internal/lab/results/version0_test.go
@@ -61,6 +61,9 @@
 factor = 10
 `
 
+// exampleFinding is the finding in the run of the version before.
+var exampleFinding = invariants.Finding{Rule: 3, At: monotime.FromNanos(2_500_000_000), What: "an example"}
+
 // version0Run is the file of a run of the version before.
 func version0Run(t *testing.T) string {
 	t.Helper()
@@ -74,7 +77,7 @@
 			t.Fatal(err)
 		}
 		r.Label, r.DNSUpdates, r.LagP50, r.LagP99 = "before", 4, 0.25, 1.5
-		r.Findings = append(r.Findings, invariants.Finding{Rule: 3, At: monotime.FromNanos(2_500_000_000), What: "an example"})
+		r.Findings = append(r.Findings, exampleFinding)
 		r.RulesBroken["3"]++
 		r.Total.Aborted, r.Total.OpenBreakers, r.Total.UnitsOver, r.Total.DriftOver = 2, 3, 6.5, 8.25
 		r.Withdrawals = &results.Withdrawals{Count: 2, WithAttempt: 1, P50: 3.5, P99: 4.5, Max: 5}
@@ -93,8 +96,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if r.Scenario != "version-0" || r.About != "a backend is withdrawn while the counter is away" || r.On != "model" || r.Label != "before" ||
-		r.Seed != 7 || r.Instances != 2 || r.Backends != 3 || r.Rate != 200 || r.LatencyObjective != 200 || r.Events != 11159 || r.DNSUpdates != 4 || r.LagP50 != 0.25 || r.LagP99 != 1.5 {
+	const about = "a backend is withdrawn while the counter is away"
+	if r.Scenario != "version-0" || r.About != about || r.On != "model" || r.Label != "before" ||
+		r.Seed != 7 || r.Instances != 2 || r.Backends != 3 || r.Rate != 200 || r.LatencyObjective != 200 ||
+		r.Events != 11159 || r.DNSUpdates != 4 || r.LagP50 != 0.25 || r.LagP99 != 1.5 {
 		t.Errorf("head: %+v", r)
 	}
 	text, err := os.ReadFile(path)
@@ -104,27 +109,33 @@
 	if again, err := r.Bytes(); err != nil || !bytes.Equal(again, text) {
 		t.Errorf("written anew (%v): %d bytes, not the fixture's %d", err, len(again), len(text))
 	}
-	total := results.Total{Row: results.Row{Second: 8, Submitted: 2181, Succeeded: 170, Late: 5, Rejected: 2007, Aborted: 2, Abandoned: 4,
-		NotSent: 15, P50: 64.479, P99: 230.271, Attempts: 181, AttemptsRefused: 1, CounterCalls: 236, CounterFailures: 10, OpenBreakers: 3, UnitsOver: 6.5, UnitsInside: 179, UnitsExact: 904,
+	total := results.Total{Row: results.Row{
+		Second: 8, Submitted: 2181, Succeeded: 170, Late: 5, Rejected: 2007, Aborted: 2, Abandoned: 4,
+		NotSent: 15, P50: 64.479, P99: 230.271, Attempts: 181, AttemptsRefused: 1, CounterCalls: 236,
+		CounterFailures: 10, OpenBreakers: 3, UnitsOver: 6.5, UnitsInside: 179, UnitsExact: 904,
 		DriftOver: 8.25, DriftUnder: 725}, Requests: 1085, P90: 138.879, P999: 376.063, Max: 376.063}
 	if r.Total != total {
 		t.Errorf("total %+v, not %+v", r.Total, total)
 	}
-	row := results.Row{Second: 3, Submitted: 312, Succeeded: 1, Rejected: 312, Abandoned: 4, NotSent: 15, P50: 62.879, P99: 62.879, Attempts: 1, OpenBreakers: 1,
+	row := results.Row{
+		Second: 3, Submitted: 312, Succeeded: 1, Rejected: 312, Abandoned: 4, NotSent: 15,
+		P50: 62.879, P99: 62.879, Attempts: 1, OpenBreakers: 1,
 		UnitsInside: 1, UnitsExact: 123, DriftUnder: 541}
 	if len(r.Rows) != 8 || r.Rows[3] != row {
 		t.Errorf("row 3 of %d: %+v", len(r.Rows), r.Rows[3])
 	}
-	if want := (results.Withdrawals{Count: 2, WithAttempt: 1, P50: 3.5, P99: 4.5, Max: 5}); r.Withdrawals == nil || *r.Withdrawals != want {
+	withdrawals := results.Withdrawals{Count: 2, WithAttempt: 1, P50: 3.5, P99: 4.5, Max: 5}
+	if r.Withdrawals == nil || *r.Withdrawals != withdrawals {
 		t.Errorf("withdrawals %+v", r.Withdrawals)
 	}
-	if want := (invariants.Finding{Rule: 3, At: monotime.FromNanos(2_500_000_000), What: "an example"}); len(r.Findings) != 1 || r.Findings[0] != want || r.Violations() != 1 {
+	if len(r.Findings) != 1 || r.Findings[0] != exampleFinding || r.Violations() != 1 {
 		t.Errorf("findings %+v, broken %v", r.Findings, r.RulesBroken)
 	}
 	if want := (results.Point{Percent: 50, Ms: 64.479}); len(r.Latency) < 2 || r.Latency[1] != want {
 		t.Errorf("latency %+v", r.Latency)
 	}
-	if want := (results.FaultSpan{Kind: "backend-withdraw", From: 1, Until: 4}); len(r.Faults) != 4 || r.Faults[1] != want {
+	fault := results.FaultSpan{Kind: "backend-withdraw", From: 1, Until: 4}
+	if len(r.Faults) != 4 || r.Faults[1] != fault {
 		t.Errorf("faults %+v", r.Faults)
 	}
 }
@@ -144,7 +155,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if want := (results.FaultSpan{Kind: "door-restart", From: 3, Until: 4}); len(r.Faults) != 4 || r.Faults[2] != want {
+	fault := results.FaultSpan{Kind: "door-restart", From: 3, Until: 4}
+	if len(r.Faults) != 4 || r.Faults[2] != fault {
 		t.Errorf("faults %+v", r.Faults)
 	}
 }
--- a/internal/lab/scenario/fault.go
+++ b/internal/lab/scenario/fault.go
@@ -74,17 +74,17 @@
 	InstanceRestart: {party: gatewaysParty},
 }
 
-// Fault is something that goes wrong from At on for a duration.
+// Fault is something that goes wrong from a time on for a duration. Times count from the run's start.
 type Fault struct {
 	Kind           FaultKind `toml:"kind"`
 	At             Span      `toml:"at"`
-	Duration       Span      `toml:"duration"`
-	Targets        []int     `toml:"targets"` // numbers of backends or instances, from 0
-	Share          float64   `toml:"share"`   // instead of targets: this share of them all, the first ones
-	Factor         float64   `toml:"factor"`
-	Delay          Span      `toml:"delay"`
-	Stagger        Span      `toml:"stagger"` // time between one target and the next
-	Repeats        int       `toml:"repeats"` // how often the fault comes; 0: once
+	Duration       Span      `toml:"duration"` // 0 only for a kind that is instant
+	Targets        []int     `toml:"targets"`  // numbers of backends or instances, from 0
+	Share          float64   `toml:"share"`    // instead of targets: this share of them all, the first ones
+	Factor         float64   `toml:"factor"`   // BackendSlow: how many times as long work takes
+	Delay          Span      `toml:"delay"`    // CounterSlow, DiscoveryLate: how late
+	Stagger        Span      `toml:"stagger"`  // time between one target and the next
+	Repeats        int       `toml:"repeats"`  // how often the fault comes; 0: once
 	RepeatInterval Span      `toml:"repeat_interval"`
 }
 
--- a/internal/lab/scenario/occurrence.go
+++ b/internal/lab/scenario/occurrence.go
@@ -4,8 +4,8 @@
 
 // Occurrence is a fault at one of its targets. Times count from the run's start.
 type Occurrence struct {
-	Target int // number of the backend or instance; 0 for the counter and discovery, which exist once
-	Begin  time.Duration
+	Target int           // number of the backend or instance; 0 for the counter and discovery, which exist once
+	Begin  time.Duration // until End the fault is in force
 	End    time.Duration // Begin, for a fault without a duration
 }
 
--- a/internal/lab/scenario/occurrence_test.go
+++ b/internal/lab/scenario/occurrence_test.go
@@ -9,13 +9,13 @@
 
 func TestScenario_Occurrences(t *testing.T) {
 	s := parseText(t, smallScenario, "backends.count=4")
-	const second = Span(time.Second)
 	for _, test := range []struct {
 		name  string
 		fault Fault
 		want  []Occurrence
 	}{
-		{"targets, staggered", Fault{Kind: BackendHang, At: second, Duration: 2 * second, Targets: []int{3, 1}, Stagger: second / 2},
+		{"targets, staggered",
+			Fault{Kind: BackendHang, At: second, Duration: 2 * second, Targets: []int{3, 1}, Stagger: second / 2},
 			[]Occurrence{{3, 1 * time.Second, 3 * time.Second}, {1, 1500 * time.Millisecond, 3500 * time.Millisecond}}},
 		{"a share, rounded up", Fault{Kind: BackendHang, At: second, Duration: second, Share: 0.3},
 			[]Occurrence{{0, time.Second, 2 * time.Second}, {1, time.Second, 2 * time.Second}}},
--- a/internal/lab/scenario/renamed_test.go
+++ b/internal/lab/scenario/renamed_test.go
@@ -196,8 +196,10 @@
 
 func TestParse_RefusesBothNamesOfOneKey(t *testing.T) {
 	for _, test := range []struct{ text, want string }{
-		{"[doors]\ncount = 2\n[gateways]\ncount = 2\n", `f:14: gateways is given as "doors" in line 12 and as "gateways" here`},
-		{"[load]\nentry_points = 1\nspread = 1\n", `f:14: load.entry_points is given as "entry_points" in line 13 and as "spread" here`},
+		{"[doors]\ncount = 2\n[gateways]\ncount = 2\n",
+			`f:14: gateways is given as "doors" in line 12 and as "gateways" here`},
+		{"[load]\nentry_points = 1\nspread = 1\n",
+			`f:14: load.entry_points is given as "entry_points" in line 13 and as "spread" here`},
 		{"[[profile]]\nname = \"other\"\n", `f:12: class is given as "class" in line 2 and as "profile" here`},
 		{"[[class]]\ndeadline = \"1s\"\nhard_limit = \"1s\"\n",
 			`f:14: class[1].deadline is given as "deadline" in line 13 and as "hard_limit" here`},
--- a/internal/lab/scenario/validate.go
+++ b/internal/lab/scenario/validate.go
@@ -9,7 +9,7 @@
 // Bounds of a scenario. On sockets each instance is a process, and each backend is a listener with its own
 // threads.
 const (
-	maxDuration        = 3600e9
+	maxDuration        = 3600 * second
 	maxNumber          = 1e8
 	maxInstances       = 5000
 	maxBackends        = 50000
--- a/internal/simadapter/golden_test.go
+++ b/internal/simadapter/golden_test.go
@@ -31,23 +31,27 @@
 	return stream
 }
 
+// The hashes of the answers to the recorded stream.
+const (
+	allAnswers    = "a0e0dc5421929d9cde23793c28fbd26eeb364970f0a3d2363ff47e840f45c0a3"
+	halfOfAnswers = "7e8458e1890535e315ce20aecad6906c4465b1e486e72d3114112d9e6bd24cc9"
+)
+
 // TestGoldenStream pins the bytes that answer a recorded stream. A hash that changes means that a decision or
 // the wire changed.
 func TestGoldenStream(t *testing.T) {
-	const (
-		wantIn  = "35ebe1844df05f1a096f9a1e2ec2ffbf3f7cf6706f20f0ac220eaa16240dc2d0"
-		wantOut = "a0e0dc5421929d9cde23793c28fbd26eeb364970f0a3d2363ff47e840f45c0a3"
-	)
+	const wantIn = "35ebe1844df05f1a096f9a1e2ec2ffbf3f7cf6706f20f0ac220eaa16240dc2d0"
 	stream := recordedStream(t)
 	if got := hash(stream); got != wantIn {
-		t.Fatalf("the recorded stream of %d bytes has the hash\n%s, want\n%s: it must stay as it was recorded", len(stream), got, wantIn)
+		t.Fatalf("the recorded stream of %d bytes has the hash\n%s, want\n%s: it must stay as it was recorded",
+			len(stream), got, wantIn)
 	}
 	var out bytes.Buffer
 	if err := Run(bytes.NewReader(stream), &out); err != nil {
 		t.Fatal(err)
 	}
-	if got := hash(out.Bytes()); got != wantOut {
-		t.Errorf("%d bytes of answers have the hash\n%s, want\n%s", out.Len(), got, wantOut)
+	if got := hash(out.Bytes()); got != allAnswers {
+		t.Errorf("%d bytes of answers have the hash\n%s, want\n%s", out.Len(), got, allAnswers)
 	}
 }
 
@@ -70,13 +74,15 @@
 		stream []byte
 		want   string
 	}{
-		"cut within a header":    {stream[:middle+7], "7e8458e1890535e315ce20aecad6906c4465b1e486e72d3114112d9e6bd24cc9"},
-		"cut within a body":      {stream[:middle+19], "7e8458e1890535e315ce20aecad6906c4465b1e486e72d3114112d9e6bd24cc9"},
-		"a byte lost":            {append(bytes.Clone(stream[:middle+20]), stream[middle+21:]...), "7e8458e1890535e315ce20aecad6906c4465b1e486e72d3114112d9e6bd24cc9"},
-		"an unknown event":       {changed(16, 99), "7e8458e1890535e315ce20aecad6906c4465b1e486e72d3114112d9e6bd24cc9"},
-		"one record too many":    {changed(4, stream[middle+4]+1), "7e8458e1890535e315ce20aecad6906c4465b1e486e72d3114112d9e6bd24cc9"},
-		"an impossible length":   {append(bytes.Clone(stream), bytes.Repeat([]byte{0xff}, 16)...), "a0e0dc5421929d9cde23793c28fbd26eeb364970f0a3d2363ff47e840f45c0a3"},
-		"a clock that is no one": {append(bytes.Clone(stream), 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0xf8, 0x7f), "a0e0dc5421929d9cde23793c28fbd26eeb364970f0a3d2363ff47e840f45c0a3"},
+		"cut within a header":  {stream[:middle+7], halfOfAnswers},
+		"cut within a body":    {stream[:middle+19], halfOfAnswers},
+		"a byte lost":          {append(bytes.Clone(stream[:middle+20]), stream[middle+21:]...), halfOfAnswers},
+		"an unknown event":     {changed(16, 99), halfOfAnswers},
+		"one record too many":  {changed(4, stream[middle+4]+1), halfOfAnswers},
+		"an impossible length": {append(bytes.Clone(stream), bytes.Repeat([]byte{0xff}, 16)...), allAnswers},
+		"a clock that is no one": {
+			append(bytes.Clone(stream), 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0xf8, 0x7f), allAnswers,
+		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var out bytes.Buffer
--- a/internal/simadapter/recorder_world_test.go
+++ b/internal/simadapter/recorder_world_test.go
@@ -14,16 +14,21 @@
 func (r *recorder) create(i uint32) {
 	discovery := []string{"pushed", "on_request"}[i%2]
 	settings := fmt.Sprintf(`{"me": %d, "replicas-of-me": %d, "my-zone": %d, "discovery": %q, "unknown-key": [1],
-"permissions": {"send-cap": 4, "`+cancellationKey+`": %v, "second-copies": %v, "probes": true, "retry-after": true, "max-retry-after-ms": 1000},
-"invariants": {"cold-share": 0.2, "warm-up-ms": 5000, "tip-multiple": 3, "fall-ms": 1000, "ask-within-ms": 4000, "stop-sending-within-ms": 800},
+"permissions": {"send-cap": 4, "`+cancellationKey+`": %v, "second-copies": %v, `+
+		`"probes": true, "retry-after": true, "max-retry-after-ms": 1000},
+"invariants": {"cold-share": 0.2, "warm-up-ms": 5000, "tip-multiple": 3, "fall-ms": 1000, `+
+		`"ask-within-ms": 4000, "stop-sending-within-ms": 800},
 "family-info": {"may-count": true, "counter-timeout-ms": 60, "post-paid": %v}, "prices": {"cross-zone": 0.02},
 "lanes": [{"goal-time-ms": 750, "deadline-ms": 2000, "effect": "read_like", "late-worth": 0.3, "silence": "open"},
 {"goal-time-ms": 500, "deadline-ms": 1500, "effect": "idempotency_key", "group": "zone", "window-ms": 900},
 {"goal-time-ms": 500, "deadline-ms": 1500, "effect": "idempotency_key", "group": "cell", "window-ms": 300},
-{"goal-time-ms": 600, "deadline-ms": 1500, "effect": "idempotency_key", "group": "all", "window-ms": 400, "silence": "closed"},
+{"goal-time-ms": 600, "deadline-ms": 1500, "effect": "idempotency_key", "group": "all", `+
+		`"window-ms": 400, "silence": "closed"},
 {"goal-time-ms": 700, "deadline-ms": 1500, "effect": "non_idempotent"}],
-"tariffs": [{"quota-rate": 6, "peak-units": 9, "beyond-costs": 1}, {"quota-rate": 4, "peak-units": 8, "parallel": 3, "cap-rate": 6, "ceiling-burst": 8},
-{"quota-rate": 0, "peak-units": 0, "parallel": 4}, {"quota-rate": 2, "peak-units": 3, "beyond-earns": 0.6, "beyond-costs": 0.4}]}`,
+"tariffs": [{"quota-rate": 6, "peak-units": 9, "beyond-costs": 1}, `+
+		`{"quota-rate": 4, "peak-units": 8, "parallel": 3, "cap-rate": 6, "ceiling-burst": 8},
+{"quota-rate": 0, "peak-units": 0, "parallel": 4}, `+
+		`{"quota-rate": 2, "peak-units": 3, "beyond-earns": 0.6, "beyond-costs": 0.4}]}`,
 		i, recorderInstances, i%2, discovery, i != 2, i < 2, i == 3)
 	record := r.record(eventCreate, i).Uint64(uint64(i)*7919 + uint64(r.incarnations[i]))
 	addLongText(record, settings)
--- a/internal/tomlfile/rename_test.go
+++ b/internal/tomlfile/rename_test.go
@@ -83,25 +83,43 @@
 }
 
 func TestReadRenamed_ErrorNamesItsLine(t *testing.T) {
-	for text, want := range map[string]string{
-		"[traffic]\nusers = 1\n[load]\ntenants = 2":     `f:3: load is given as "traffic" in line 1 and as "load" here: keep one`,
-		"[load]\ntenants = 1\nusers = 2":                `f:3: load.tenants is given as "tenants" in line 2 and as "users" here: keep one`,
-		"[[row]]\nkind = \"a\"\n[[line]]\nkind = \"a\"": `f:3: row is given as "row" in line 1 and as "line" here: keep one`,
-		"[[row]]\n[[row]]\nsort = \"a\"\nkind = \"a\"":  `f:4: row[1].kind is given as "sort" in line 3 and as "kind" here: keep one`,
-		"row = [{sort = \"a\", kind = \"a\"}]":          `f:1: row[0].kind is given as "sort" in line 1 and as "kind" here: keep one`,
-		"load.users = 1\nload.tenants = 2":              `f:2: load.tenants is given as "users" in line 1 and as "tenants" here: keep one`,
-		"[load]\nusers = 1\nusers = 2":                  "f:3: load.tenants stands twice, first in line 2",
-		"[traffic]\nusers = \"a\"":                      "f:2: ",
-		"[traffic]\nspeed = 1":                          "f:2: unknown key load.speed",
-		"[traffic]\nusers = ":                           "f:2: ",
+	for _, test := range []struct{ text, want string }{
+		{
+			"[traffic]\nusers = 1\n[load]\ntenants = 2",
+			`f:3: load is given as "traffic" in line 1 and as "load" here: keep one`,
+		},
+		{
+			"[load]\ntenants = 1\nusers = 2",
+			`f:3: load.tenants is given as "tenants" in line 2 and as "users" here: keep one`,
+		},
+		{
+			"[[row]]\nkind = \"a\"\n[[line]]\nkind = \"a\"",
+			`f:3: row is given as "row" in line 1 and as "line" here: keep one`,
+		},
+		{
+			"[[row]]\n[[row]]\nsort = \"a\"\nkind = \"a\"",
+			`f:4: row[1].kind is given as "sort" in line 3 and as "kind" here: keep one`,
+		},
+		{
+			"row = [{sort = \"a\", kind = \"a\"}]",
+			`f:1: row[0].kind is given as "sort" in line 1 and as "kind" here: keep one`,
+		},
+		{
+			"load.users = 1\nload.tenants = 2",
+			`f:2: load.tenants is given as "users" in line 1 and as "tenants" here: keep one`,
+		},
+		{"[load]\nusers = 1\nusers = 2", "f:3: load.tenants stands twice, first in line 2"},
+		{"[traffic]\nusers = \"a\"", "f:2: "},
+		{"[traffic]\nspeed = 1", "f:2: unknown key load.speed"},
+		{"[traffic]\nusers = ", "f:2: "},
 	} {
 		var s renamedShape
-		_, _, err := ReadRenamed("f", []byte(text), &s, testRenames)
-		if err == nil || !strings.HasPrefix(err.Error(), want) {
-			t.Errorf("%q: %v, want %q", text, err, want)
+		_, _, err := ReadRenamed("f", []byte(test.text), &s, testRenames)
+		if err == nil || !strings.HasPrefix(err.Error(), test.want) {
+			t.Errorf("%q: %v, want %q", test.text, err, test.want)
 		}
 		if at, ok := errors.AsType[*PositionError](err); !ok || at.File != "f" || at.Line == 0 {
-			t.Errorf("%q: %v has no place", text, err)
+			t.Errorf("%q: %v has no place", test.text, err)
 		}
 	}
 }
@@ -121,7 +139,8 @@
 // FuzzReadRenamed holds that any text gives a value or an error with the text's name, and never a panic.
 func FuzzReadRenamed(f *testing.F) {
 	for _, text := range []string{
-		"", "traffic = 1", "[[line]]\nsort = \"small\"\n", "line = [{sort = \"small\"}, [{}]]", "[traffic.users]\n", "[[line.sort]]",
+		"", "traffic = 1", "[[line]]\nsort = \"small\"\n", "line = [{sort = \"small\"}, [{}]]",
+		"[traffic.users]\n", "[[line.sort]]",
 		"line.sort = \"\"\"\nsmall\"\"\"",
 	} {
 		f.Add([]byte(text))
