--- a/cmd/fawnplank-lab/command_load.go
+++ b/cmd/fawnplank-lab/command_load.go
@@ -27,7 +27,7 @@
 		Use:   "load SCENARIO --to ADDRESS",
 		Short: "Send a scenario's requests to running gateways",
 		Long: `Sends the scenario's requests to gateways that are already running, in an open loop bounded by
-its duration, number and connections. Classes and plans must have the names that the gateways know.
+its duration, number and connections. Classes and plans must have the names of the gateways' configuration.
 Faults of the scenario are not played, and what only backends see (attempts, quotas) is not reported.
 Addresses are on loopback.`,
 		Args: cobra.ExactArgs(1),
--- a/cmd/fawnplank-lab/command_standins.go
+++ b/cmd/fawnplank-lab/command_standins.go
@@ -17,7 +17,7 @@
 const (
 	// defaultStay is long enough to try something by hand.
 	defaultStay = 10 * time.Minute
-	// maxStay ends stand-ins that were forgotten.
+	// maxStay ends emulated services that were forgotten.
 	maxStay = time.Hour
 )
 
@@ -33,7 +33,7 @@
 	command := &cobra.Command{
 		Use:   "stand-ins SCENARIO --dir FOLDER",
 		Short: "Run a scenario's backends, counter and discovery alone, for gateways started by hand",
-		Long: `Starts the scenario's stand-ins on loopback, writes a configuration for each of its gateways into
+		Long: `Starts the scenario's emulated services on loopback, writes a configuration for each of its gateways into
 the folder, and prints how to start them. Its faults come at their times from then on. Ends by itself after
 --stay, or at SIGTERM.`,
 		Args:    cobra.ExactArgs(1),
--- a/cmd/fawnplank-lab/main.go
+++ b/cmd/fawnplank-lab/main.go
@@ -1,6 +1,6 @@
-// Command fawnplank-lab is the laboratory's program: it plays scenarios on the model or between stand-ins,
-// sends their requests to running gateways, measures single parts, and draws reports. "fawnplank lab" runs
-// it. It is a separate program because a gateway's memory is bounded, and a gateway needs no fonts and plots.
+// Command fawnplank-lab is the laboratory's program: it plays scenarios on the model or between emulated
+// services, sends their requests to running gateways, measures single parts, and draws reports. "fawnplank lab"
+// runs it. It is a separate program because a gateway's memory is bounded, and a gateway needs no fonts and plots.
 //
 // Each command has its own file, command_*.go, and is a value that holds its flags.
 package main
@@ -34,10 +34,10 @@
 func rootCommand() *cobra.Command {
 	root := &cobra.Command{
 		Use:   "lab",
-		Short: "Try designs and faults on the model or between stand-ins",
+		Short: "Try designs and faults on the model or between emulated services",
 		Long: `The laboratory plays scenarios: TOML files that say what is balanced, which requests come, and
-which faults when. On sockets, real gateways run between stand-ins on loopback; on the model, the real decisions
-run in simulated time, at sizes that sockets do not reach. The five rules are checked in every run.`,
+which faults when. On sockets, real gateways run between emulated services on loopback; on the model, the real
+decisions run in simulated time, at sizes that sockets do not reach. The five rules are checked in every run.`,
 		SilenceUsage:  true,
 		SilenceErrors: true,
 	}
--- a/internal/lab/emulator/backend.go
+++ b/internal/lab/emulator/backend.go
@@ -261,7 +261,7 @@
 }
 
 // releaseCore gives a job's core to the next job in the queue. A job whose instance has left the connection
-// never runs, since nobody waits for its answer. The caller holds the lock.
+// never runs, since its answer has no reader. The caller holds the lock.
 func (b *backend) releaseCore() {
 	b.busyCores--
 	for len(b.queue) > 0 && b.busyCores < b.emulator.scenario.Backends.Cores {
--- a/internal/lab/emulator/backend_faults.go
+++ b/internal/lab/emulator/backend_faults.go
@@ -37,7 +37,7 @@
 	return edge
 }
 
-// hangs reports whether the backend says nothing, which is also the case when it has vanished. The caller
+// hangs reports whether the backend answers nothing, which is also the case when it has vanished. The caller
 // holds the lock.
 func (b *backend) hangs() bool {
 	return b.active[scenario.BackendHang]+b.active[scenario.BackendVanish] > 0
@@ -53,7 +53,7 @@
 	}
 }
 
-// setHanging makes the backend say nothing. When the fault ends, the backend loses its jobs and its
+// setHanging makes the backend answer nothing. When the fault ends, the backend loses its jobs and its
 // connections end.
 func (b *backend) setHanging(change faultChange) {
 	b.countFault(scenario.BackendHang, change)
@@ -85,8 +85,8 @@
 	b.emulator.discovery.publish(b)
 }
 
-// setVanished takes the backend's machine off the network: its connections stay up and say nothing, and new
-// ones come up and say nothing. When the fault ends, the backend starts anew.
+// setVanished takes the backend's machine off the network: its connections stay up without answers, and so do
+// new ones. When the fault ends, the backend starts anew.
 func (b *backend) setVanished(change faultChange) {
 	if change == faultBegins {
 		b.abandonJobs()
--- a/internal/lab/emulator/counter.go
+++ b/internal/lab/emulator/counter.go
@@ -94,14 +94,14 @@
 func (c *counter) resetCalls() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	silent := 0
+	count := 0
 	for instance, calls := range c.calls {
 		if calls == 0 {
-			silent++
+			count++
 		}
 		c.calls[instance] = 0
 	}
-	return silent
+	return count
 }
 
 // schedule returns when a call that arrives now is answered, by the counter's rate and delay. It returns
--- a/internal/lab/emulator/counter_protocol.go
+++ b/internal/lab/emulator/counter_protocol.go
@@ -57,7 +57,7 @@
 }
 
 // writeAnswers writes the answers in order until serve has ended. It continues after the connection has
-// ended, because calls count even if nobody waits for them.
+// ended, because calls count even if their answers have no reader.
 func (s *counterSession) writeAnswers() {
 	for answer := range s.answers {
 		text := answer()
--- a/internal/lab/emulator/emulator.go
+++ b/internal/lab/emulator/emulator.go
@@ -1,7 +1,6 @@
-// Package emulator stands in for what surrounds the gateway instances in the laboratory: backends, the
-// counter and discovery. The stand-ins speak the platform's protocols on loopback (RESP2, lines of text,
-// HTTP, dynamic DNS updates), show the faults that a scenario asks for, and record what they see in the run's
-// log.
+// Package emulator emulates what surrounds the gateway instances in the laboratory: backends, the counter and
+// discovery. The emulated services speak the platform's protocols on loopback (RESP2, lines of text, HTTP,
+// dynamic DNS updates), show the faults that a scenario asks for, and record what they see in the run's log.
 //
 // An Emulator owns its listeners, connections and timers, and Close frees them. Every wait in it is bounded
 // or ends with Close. Close does not wait for the goroutines of connections, which end within their bounds.
@@ -34,7 +33,7 @@
 	closeOnce sync.Once
 }
 
-// Start starts the stand-ins of a scenario, which record into log. Faults begin only with PlayFaults.
+// Start starts the emulated services of a scenario, which record into log. Faults begin only with PlayFaults.
 func Start(s *scenario.Scenario, log *results.Log) (*Emulator, error) {
 	e := &Emulator{
 		scenario: s,
@@ -49,7 +48,7 @@
 	return e, nil
 }
 
-// start starts the stand-ins. Discovery comes last because it lists the backends' addresses.
+// start starts the emulated services. Discovery comes last because it lists the backends' addresses.
 func (e *Emulator) start() error {
 	for n := range e.scenario.Backends.Count {
 		b, err := newBackend(e, n)
@@ -68,7 +67,7 @@
 	return nil
 }
 
-// Close ends all stand-ins and their connections. Further calls do nothing.
+// Close ends all emulated services and their connections. Further calls do nothing.
 func (e *Emulator) Close() {
 	e.closeOnce.Do(func() {
 		close(e.closed)
--- a/internal/lab/emulator/emulator_test.go
+++ b/internal/lab/emulator/emulator_test.go
@@ -29,7 +29,7 @@
 name = "despacho"
 `
 
-// start starts the stand-ins of the small scenario, and its run.
+// start starts the emulated services of the small scenario, and its run.
 func start(t *testing.T) *Emulator {
 	t.Helper()
 	s, err := scenario.Parse("small", []byte(smallScenario))
@@ -50,13 +50,13 @@
 	return e
 }
 
-// client talks to a stand-in; what does not come in 150 ms counts as nothing.
+// client talks to an emulated service; what does not come in 150 ms counts as nothing.
 type client struct {
 	net.Conn
 	reader *bufio.Reader
 }
 
-// dial connects to a stand-in; an error of it is part of what some tests want.
+// dial connects to an emulated service; an error of it is part of what some tests want.
 func dial(t *testing.T, address string) (*client, error) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), time.Second)
@@ -66,7 +66,7 @@
 	if err != nil {
 		return nil, err
 	}
-	t.Cleanup(func() { _ = conn.Close() }) // a stand-in may have ended it
+	t.Cleanup(func() { _ = conn.Close() }) // the service may have ended it
 	return &client{Conn: conn, reader: bufio.NewReader(conn)}, nil
 }
 
--- a/internal/lab/emulator/listener.go
+++ b/internal/lab/emulator/listener.go
@@ -101,9 +101,9 @@
 // reset closes a connection with a reset instead of an orderly end.
 func reset(conn net.Conn) {
 	if tcp, ok := conn.(*net.TCPConn); ok {
-		_ = tcp.SetLinger(0) // fails only if the connection has ended: then nobody sees the difference
+		_ = tcp.SetLinger(0) // fails only if the connection has ended: then it makes no difference
 	}
-	_ = conn.Close() // data lost with it is meant to be lost
+	_ = conn.Close() // what is lost with it is lost by intent
 }
 
 // setPaused makes connections come up without being served, or ends that.
--- a/internal/lab/invariants/attempts.go
+++ b/internal/lab/invariants/attempts.go
@@ -74,7 +74,7 @@
 }
 
 // attemptsBeyondBudget is how many attempts of the largest size a warming backend may be sent beyond its
-// budget. Nobody can send an attempt in part, so chance in their size breaks no rule.
+// budget. An attempt cannot be sent in part, so chance in their size breaks no rule.
 const attemptsBeyondBudget = 3
 
 // arrival is work that arrived at a backend while it warmed up.
@@ -83,9 +83,9 @@
 	workSeconds float64
 }
 
-// checkSlowStart adds up what a warming backend was sent within the overload window. Nobody knows a backend's
-// capacity at an age: the gateway knows only the share that it starts with and when it has all of it at the
-// latest. The check assumes a straight line between the two.
+// checkSlowStart adds up what a warming backend was sent within the overload window. A backend's
+// capacity at an age is not observed: given are only the share that it starts with and when it has all of it at
+// the latest. The check assumes a straight line between the two.
 func (c *Checker) checkSlowStart(event, delivered Event) {
 	settings := &c.settings
 	hasWarmedUp := event.StartedAt.IsZero() || event.At.Sub(event.StartedAt) > settings.SlowStartDuration
--- a/internal/lab/invariants/checker.go
+++ b/internal/lab/invariants/checker.go
@@ -1,6 +1,6 @@
 // Package invariants checks the five rules of the gateway from outside, by what clients, backends and
 // discovery saw, whether on the model or with instances on sockets. It takes events in order of time and
-// returns findings. The package is pure and knows nothing about the decisions that it judges.
+// returns findings. The package is pure and shares no code with the decisions that it judges.
 //
 // A Checker is not safe for concurrent use: its caller serializes the calls.
 package invariants
--- a/internal/lab/model/backend.go
+++ b/internal/lab/model/backend.go
@@ -17,7 +17,7 @@
 	sentAt     monotime.Instant
 	workNanos  float64 // of one core of a backend that has warmed up
 	hasEnded   bool
-	isCanceled bool // nobody waits for it: a backend that has not begun it skips it
+	isCanceled bool // no answer is awaited: a backend that has not begun it skips it
 }
 
 // end reports the attempt's outcome to the instance. Only the first call has an effect.
@@ -152,7 +152,7 @@
 	for len(b.queue) > 0 && len(b.running) < b.world.scenario.Backends.Cores {
 		next := b.queue[0]
 		b.queue = b.queue[1:]
-		if !next.isCanceled { // else its connection is closed, and nobody waits for it
+		if !next.isCanceled { // else its connection is closed, and its answer has no reader
 			b.begin(next)
 		}
 	}
@@ -165,7 +165,7 @@
 	}
 }
 
-// vanish takes the machine off the network: connections stay up and say nothing, so that attempts time out.
+// vanish takes the machine off the network: connections stay up without traffic, so that attempts time out.
 func (b *backend) vanish() {
 	b.stop()
 	b.isSilent = true
--- a/internal/lab/plots/draw.go
+++ b/internal/lab/plots/draw.go
@@ -22,7 +22,7 @@
 	"fawnplank/internal/lab/results"
 )
 
-// The colors of Okabe and Ito, which most eyes can tell apart.
+// The colors of Okabe and Ito, which remain distinct with most kinds of color blindness.
 var (
 	green  = color.RGBA{R: 0, G: 158, B: 115, A: 255}
 	orange = color.RGBA{R: 230, G: 159, B: 0, A: 255}
--- a/internal/lab/scenario/fault.go
+++ b/internal/lab/scenario/fault.go
@@ -21,7 +21,7 @@
 	CounterHang     FaultKind = "counter-hang"     // accepts calls and answers none until the end
 	CounterSlow     FaultKind = "counter-slow"     // answers late by delay
 	CounterEmpty    FaultKind = "counter-empty"    // loses all numbers, at once
-	CounterCut      FaultKind = "counter-cut"      // silent towards the instances named
+	CounterCut      FaultKind = "counter-cut"      // gives the instances named no answer
 	DiscoveryStale  FaultKind = "discovery-stale"  // delivers nothing until the end
 	DiscoveryLate   FaultKind = "discovery-late"   // delivers changes late by delay
 	DiscoveryRefuse FaultKind = "discovery-refuse" // refuses connections; model: as stale
--- a/internal/lab/scenario/renamed.go
+++ b/internal/lab/scenario/renamed.go
@@ -3,7 +3,7 @@
 import "fawnplank/internal/tomlfile"
 
 // renamed lists the keys and words that scenario files and overrides may still use by their old names. Parse
-// translates them as it decodes, and the rest of the program knows only the new ones.
+// translates them as it decodes; no other code uses them.
 var renamed = tomlfile.Renames{
 	Keys: []tomlfile.KeyRename{
 		{Table: "", Old: "doors", New: "gateways"},
--- a/internal/lab/scenario/scenario.go
+++ b/internal/lab/scenario/scenario.go
@@ -18,7 +18,7 @@
 // Where a scenario is played.
 const (
 	OnModel   = "model"   // simulated time, in one process
-	OnSockets = "sockets" // gateways between stand-ins on loopback
+	OnSockets = "sockets" // gateways between emulated services on loopback
 )
 
 // Arrivals is how requests arrive.
@@ -80,7 +80,7 @@
 	Sockets  int `toml:"sockets"`   // each instance's limit of open sockets; sockets only
 }
 
-// BackendSettings are the backends, which are all alike. Zones and groups take turns among them.
+// BackendSettings are the backends, which are all alike. Zones and groups are assigned to them in rotation.
 type BackendSettings struct {
 	Count     int     `toml:"count"`
 	Cores     int     `toml:"cores"`      // attempts worked on at once
--- a/internal/lab/testbed/load_test.go
+++ b/internal/lab/testbed/load_test.go
@@ -10,7 +10,7 @@
 	"fawnplank/internal/testutil"
 )
 
-// instantGateway serves a stand-in that answers every command with success at once, so that what is measured
+// instantGateway serves a gateway that answers every command with success at once, so that what is measured
 // at it is the load tool's own. It returns its address.
 func instantGateway(tb testing.TB) string {
 	tb.Helper()
--- a/internal/lab/workload/workload.go
+++ b/internal/lab/workload/workload.go
@@ -75,7 +75,7 @@
 		g.classWeights = appendWeight(g.classWeights, class.Share)
 	}
 	for n := range s.Load.Tenants {
-		// Plans take turns by their shares, so that the busiest tenants do not all have one plan by chance.
+		// Plans are assigned in rotation by their shares, so that the busiest tenants do not all have one plan by chance.
 		plan := pick(planWeights, math.Mod(float64(n)*math.Phi, 1))
 		g.Tenants = append(g.Tenants, Tenant{Plan: plan, FirstInstance: g.choices.IntN(s.Instances.Count)})
 		g.tenantWeights = appendWeight(g.tenantWeights, math.Pow(float64(n+1), -s.Load.Skew))
--- a/internal/simadapter/golden_test.go
+++ b/internal/simadapter/golden_test.go
@@ -80,7 +80,7 @@
 		"an unknown event":     {changed(16, 99), halfOfAnswers},
 		"one record too many":  {changed(4, stream[middle+4]+1), halfOfAnswers},
 		"an impossible length": {append(bytes.Clone(stream), bytes.Repeat([]byte{0xff}, 16)...), allAnswers},
-		"a clock that is no one": {
+		"a clock that is not a number": {
 			append(bytes.Clone(stream), 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0xf8, 0x7f), allAnswers,
 		},
 	} {
