--- a/internal/billingservice/add_reports.go
+++ b/internal/billingservice/add_reports.go
@@ -3,7 +3,6 @@
 import (
 	"encoding/json"
 	"errors"
-	"fmt"
 	"maps"
 	"slices"
 
@@ -11,10 +10,10 @@
 	"fawnplank/internal/store/kv"
 )
 
-// addReports adds reported usage to accounts, if this instance holds the export lease. One write deletes
+// addReports adds reported usage to accounts, if this instance holds the maintenance lease. One write deletes
 // reports and adds their units, for as many reports as it can hold. A second write right after it would be
-// based on accounts that this replica does not have yet. When a lease holder that was not the store's leader
-// added one report per write, it added four a second and fell behind two instances.
+// based on accounts that this replica does not have yet, and so one report per write would be far too slow at
+// an instance whose replica is not the leader.
 //
 // A report that cannot be added stays until somebody looks at it. Usage is not dropped silently, and other
 // reports are not held up.
@@ -22,8 +21,26 @@
 	if !s.acquireLease() {
 		return nil
 	}
-	batch := reportBatch{accounts: map[string]billing.Account{}, indices: map[string]kv.Index{}}
-	var reportErr error // about the last report that could not be added
+	batch, reportErr := s.collectReports()
+	if len(batch.deletions) == 0 {
+		return reportErr
+	}
+	edits, err := batch.edits()
+	if err != nil {
+		return err
+	}
+	err = s.options.Replica.Edit(edits)
+	if isConflict(err) {
+		return reportErr // an account has changed in the meantime; the next round tries again
+	}
+	return errors.Join(err, reportErr)
+}
+
+// collectReports returns the first of the stored reports, as many as one write can hold, and an
+// *InvalidReportError about the last report among them that cannot be added.
+func (s *Service) collectReports() (*reportBatch, error) {
+	batch := &reportBatch{accounts: map[string]billing.Account{}, indices: map[string]kv.Index{}}
+	var reportErr error
 	for _, name := range slices.Sorted(maps.Keys(s.options.Replica.ReadPrefix(reportPrefix))) {
 		entry, ok := s.options.Replica.ReadLocal(reportPrefix + name)
 		if !ok {
@@ -31,31 +48,19 @@
 		}
 		var items []usageItem
 		if err := json.Unmarshal(entry.Value, &items); err != nil {
-			reportErr = fmt.Errorf("report %s: %w", name, err)
+			reportErr = &InvalidReportError{Name: name, Err: err}
 			continue
 		}
-		if batch.size()+len(items) >= maxEdits {
+		if !batch.fits(items) {
 			break
 		}
-		if err := s.addReport(&batch, items); err != nil {
-			reportErr = fmt.Errorf("report %s: %w", name, err)
+		if err := s.addReport(batch, items); err != nil {
+			reportErr = &InvalidReportError{Name: name, Err: err}
 			continue
 		}
-		deletion := kv.Edit{Key: reportPrefix + name, Conditional: true, ExpectedIndex: entry.Index}
-		batch.deletions = append(batch.deletions, deletion)
+		batch.deleteReport(reportPrefix+name, entry.Index)
 	}
-	if len(batch.deletions) == 0 {
-		return reportErr
-	}
-	edits, err := batch.edits()
-	if err != nil {
-		return err
-	}
-	err = s.options.Replica.Edit(edits)
-	if isConflict(err) {
-		return reportErr // an account has changed in the meantime; the next round tries again
-	}
-	return errors.Join(err, reportErr)
+	return batch, reportErr
 }
 
 // reportBatch holds what one write adds and deletes.
@@ -65,7 +70,15 @@
 	deletions []kv.Edit                  // of the reports
 }
 
-func (b *reportBatch) size() int { return len(b.deletions) + len(b.accounts) }
+// fits reports whether the write can hold a further report, even if none of its accounts is in the write yet.
+func (b *reportBatch) fits(items []usageItem) bool {
+	return len(b.deletions)+len(b.accounts)+len(items) < maxEdits
+}
+
+// deleteReport adds the deletion of a report that was read at an index.
+func (b *reportBatch) deleteReport(key string, index kv.Index) {
+	b.deletions = append(b.deletions, kv.Edit{Key: key, Conditional: true, ExpectedIndex: index})
+}
 
 // edits returns the deletions, followed by the accounts in order.
 func (b *reportBatch) edits() ([]kv.Edit, error) {
@@ -92,8 +105,7 @@
 				return err
 			}
 		}
-		settings := s.options.Settings()
-		account, err := account.RecordUsage(settings, item.WindowStartNanos, item.Plan, item.Units)
+		account, err := account.RecordUsage(s.options.Settings(), item.WindowStartNanos, item.Plan, item.Units)
 		if err != nil {
 			return err
 		}
--- a/internal/billingservice/compaction.go
+++ b/internal/billingservice/compaction.go
@@ -4,23 +4,17 @@
 	"encoding/json"
 	"maps"
 	"slices"
-	"time"
 
 	"fawnplank/internal/billing"
 	"fawnplank/internal/store/kv"
 )
 
-const (
-	// maxCompactionWrites bounds a round of compaction. The next round continues where it stopped.
-	maxCompactionWrites = 100
-	// replicaLagInterval is the time between two checks whether this replica has the last write. Commits take
-	// milliseconds.
-	replicaLagInterval = 5 * time.Millisecond
-)
+// maxCompactionWrites bounds a round of compaction. The next round continues where it stopped.
+const maxCompactionWrites = 100
 
 // compact ends reservations whose leases have expired and makes records of windows that have ended, if this
-// instance holds the export lease. Each write covers as many accounts as it can hold, because the windows of
-// all tenants end together.
+// instance holds the maintenance lease. Each write covers as many accounts as it can hold, because the windows
+// of all tenants end together.
 func (s *Service) compact() error {
 	if !s.acquireLease() {
 		return nil
@@ -31,88 +25,94 @@
 		if err != nil {
 			return err
 		}
-		if s.isBehind(index) {
+		if s.isBehind(index) { // what follows reads accounts, which this replica does not have yet
 			if s.waitOrStop(replicaLagInterval) {
 				return nil
 			}
 			continue
 		}
-		compaction, err := s.compactAccounts(tenants, state)
-		if err != nil || len(compaction.edits) == 0 {
-			return err
-		}
-		tenants = compaction.remaining
-		value, err := json.Marshal(compaction.state)
-		if err != nil {
+		write, err := s.compactAccounts(tenants, state)
+		if err != nil || write.isEmpty() {
 			return err
 		}
-		stateEdit := kv.Edit{Key: exportKey, Value: value, Conditional: true, ExpectedIndex: index}
-		err = s.options.Replica.Edit(append(compaction.edits, stateEdit))
-		if isConflict(err) {
-			return nil // the next round tries again
-		}
-		if err != nil {
+		tenants = write.remaining
+		if err := s.commitCompaction(write, index); err != nil {
+			if isConflict(err) {
+				return nil // the next round tries again
+			}
 			return err
 		}
 	}
 	return nil
 }
 
-// isBehind reports whether this replica has yet to apply a write of the export state, together with
-// everything that was written with it.
-func (s *Service) isBehind(index kv.Index) bool {
-	entry, _ := s.options.Replica.ReadLocal(exportKey)
-	return entry.Index < index
+// commitCompaction commits a write, if the export state still has the given index.
+func (s *Service) commitCompaction(write compactionWrite, index kv.Index) error {
+	stateEdit, err := write.state.edit(index)
+	if err != nil {
+		return err
+	}
+	return s.options.Replica.Edit(append(write.edits, stateEdit))
 }
 
-// compaction holds one write of compact.
-type compaction struct {
+// compactionWrite collects one write of compact.
+type compactionWrite struct {
 	edits     []kv.Edit
 	state     exportState // the export state after the edits
 	remaining []string    // tenants that did not fit
 }
 
-// compactAccounts returns edits for the first of the tenants' accounts that are due, and their records,
+// isEmpty reports whether nothing is to be written.
+func (w *compactionWrite) isEmpty() bool { return len(w.edits) == 0 }
+
+// fits reports whether an account with so many records may be added. An account always fits into an empty
+// write.
+func (w *compactionWrite) fits(records int) bool {
+	return w.isEmpty() || len(w.edits)+records+1 <= maxEdits
+}
+
+// add adds an account, which was read at an index, and its records.
+func (w *compactionWrite) add(account billing.Account, index kv.Index, records []billing.Record) error {
+	edit, err := editAccount(account, index)
+	if err != nil {
+		return err
+	}
+	w.edits = append(w.edits, edit)
+	for _, record := range records {
+		value, err := json.Marshal(record)
+		if err != nil {
+			return err
+		}
+		recordEdit := kv.Edit{Key: recordKeyAt(record.Sequence), Value: value, Conditional: true}
+		w.edits = append(w.edits, recordEdit)
+	}
+	w.state = w.state.numberRecords(len(records))
+	return nil
+}
+
+// compactAccounts returns a write with the first of the tenants' accounts that are due, and their records,
 // numbered from the export state's next sequence on.
-func (s *Service) compactAccounts(tenants []string, state exportState) (compaction, error) {
+func (s *Service) compactAccounts(tenants []string, state exportState) (compactionWrite, error) {
 	settings := s.options.Settings()
-	result := compaction{state: state}
+	write := compactionWrite{state: state}
 	for n, tenant := range tenants {
 		account, index, err := s.readLocalAccount(tenant)
 		if err != nil || index == 0 {
 			continue // it is gone, or it cannot be read, which operations on it report
 		}
-		now := s.options.Now().UnixNano()
-		expired := account.ExpireReservations(settings, now)
-		compacted, records := expired.CloseWindows(settings, now, result.state.Next)
-		if isSame(account, compacted) {
+		nowNanos := s.options.Now().UnixNano()
+		expired := account.ExpireReservations(settings, nowNanos)
+		compacted, records := expired.CloseWindows(settings, nowNanos, write.state.Next)
+		if hasSameBytes(account, compacted) {
 			continue
 		}
-		if len(result.edits) > 0 && len(result.edits)+len(records)+1 > maxEdits {
-			result.remaining = tenants[n:]
-			return result, nil
-		}
-		edit, err := editAccount(compacted, index)
-		if err != nil {
-			return compaction{}, err
+		if !write.fits(len(records)) {
+			write.remaining = tenants[n:]
+			return write, nil
 		}
-		result.edits = append(result.edits, edit)
-		for _, record := range records {
-			value, err := json.Marshal(record)
-			if err != nil {
-				return compaction{}, err
-			}
-			recordEdit := kv.Edit{Key: recordKeyAt(record.Sequence), Value: value, Conditional: true}
-			result.edits = append(result.edits, recordEdit)
+		if err := write.add(compacted, index, records); err != nil {
+			return compactionWrite{}, err
 		}
-		result.state.Next += uint64(len(records))
 	}
-	return result, nil
-}
-
-// isSame reports whether two accounts have the same stored bytes.
-func isSame(a, b billing.Account) bool {
-	valueA, errA := json.Marshal(a)
-	valueB, errB := json.Marshal(b)
-	return errA == nil && errB == nil && string(valueA) == string(valueB)
+	return write, nil
 }
--- a/internal/billingservice/export_test.go
+++ b/internal/billingservice/export_test.go
@@ -39,7 +39,7 @@
 }
 
 // TestExport_OldCopyExportsNothingAnew restores the store from an old copy. Nothing is exported until Resume
-// is told where to continue, and what may have been exported before is not exported again.
+// is given the last sequence to continue after, and what may have been exported before is not exported again.
 func TestExport_OldCopyExportsNothingAnew(t *testing.T) {
 	replica := newMemoryReplica()
 	receiver, url := newStubReceiver(t)
--- a/internal/billingservice/folder.go
+++ b/internal/billingservice/folder.go
@@ -13,13 +13,22 @@
 	"fawnplank/internal/durable"
 )
 
-// Folder is a sink that writes each batch to a file named use-FIRST-LAST.jsonl. A file appears only when it
-// is complete.
+// Folder is a sink that writes each batch to a file named use-FIRST-LAST.jsonl in the folder of this path. A
+// file appears only when it is complete. Several instances may use the same folder.
 type Folder string
 
+const (
+	// exportFileFormat takes the first and the last sequence of the batch in the file.
+	exportFileFormat = "use-%012d-%012d" + exportFileSuffix
+	exportFileGlob   = "use-*-*" + exportFileSuffix
+	exportFileSuffix = ".jsonl"
+	// exportFileMode gives only the gateway's user access to what tenants used.
+	exportFileMode = 0o600
+)
+
 // Last returns the last sequence found in the files' names.
 func (f Folder) Last(context.Context) (uint64, error) {
-	paths, err := filepath.Glob(filepath.Join(string(f), "use-*-*.jsonl"))
+	paths, err := filepath.Glob(filepath.Join(string(f), exportFileGlob))
 	if err != nil {
 		return 0, err
 	}
@@ -28,7 +37,7 @@
 	}
 	last := uint64(0)
 	for _, path := range paths {
-		parts := strings.Split(strings.TrimSuffix(filepath.Base(path), ".jsonl"), "-")
+		parts := strings.Split(strings.TrimSuffix(filepath.Base(path), exportFileSuffix), "-")
 		if sequence, err := strconv.ParseUint(parts[len(parts)-1], 10, 64); err == nil {
 			last = max(last, sequence)
 		}
@@ -38,7 +47,7 @@
 
 // Send writes a batch to a file. A file of the same name with other content is an error.
 func (f Folder) Send(_ context.Context, batch []billing.Record) error {
-	name := fmt.Sprintf("use-%012d-%012d.jsonl", batch[0].Sequence, batch[len(batch)-1].Sequence)
+	name := fmt.Sprintf(exportFileFormat, batch[0].Sequence, batch[len(batch)-1].Sequence)
 	path := filepath.Join(string(f), name)
 	content := encodeBatch(batch)
 	if existing, err := os.ReadFile(path); err == nil {
@@ -47,5 +56,5 @@
 		}
 		return nil
 	}
-	return durable.WriteFile(path, content, 0o600)
+	return durable.WriteFile(path, content, exportFileMode)
 }
--- a/internal/billingservice/keys.go
+++ b/internal/billingservice/keys.go
@@ -7,19 +7,24 @@
 
 // The keys below KeyPrefix. They are stored, so their names stay those of the first version.
 const (
-	accountPrefix = KeyPrefix + "account/" // followed by the tenant: a billing.Account
-	reportPrefix  = KeyPrefix + "use/"     // followed by incarnation and number: a report, until its units are added to accounts
-	recordPrefix  = KeyPrefix + "record/"  // followed by the sequence: a billing.Record, until it is exported
-	exportKey     = KeyPrefix + "export"   // the exportState
-	leaseKey      = KeyPrefix + "clerk"    // the exportLease
+	// accountPrefix is followed by the tenant: a billing.Account.
+	accountPrefix = KeyPrefix + "account/"
+	// reportPrefix is followed by incarnation and number: a report, until its units are added to accounts.
+	reportPrefix = KeyPrefix + "use/"
+	// recordPrefix is followed by the sequence: a billing.Record, until it is exported.
+	recordPrefix = KeyPrefix + "record/"
 	// lastReportPrefix is followed by an incarnation: the key of the report that it wrote last.
 	lastReportPrefix = KeyPrefix + "door/"
+	// exportKey holds the exportState.
+	exportKey = KeyPrefix + "export"
+	// leaseKey holds the maintenanceLease.
+	leaseKey = KeyPrefix + "clerk"
 )
 
 // incarnationName returns the part of a key that is unique to this process, because during an upgrade two
 // processes of one instance run.
 func (s *Service) incarnationName() string {
-	return fmt.Sprintf("%s-%016x", s.options.Instance, s.incarnation)
+	return fmt.Sprintf("%s-%016x", s.options.Instance, s.incarnationNanos)
 }
 
 // recordKeyAt returns the key of the record with a sequence. Keys sort in the order of sequences.
--- a/internal/billingservice/receiver.go
+++ b/internal/billingservice/receiver.go
@@ -13,8 +13,7 @@
 )
 
 const (
-	// receiverTimeout bounds a call to the receiver. A batch is a few kilobytes, which a receiver stores in less
-	// time.
+	// receiverTimeout bounds a call to the receiver, which stores a few kilobytes.
 	receiverTimeout = 10 * time.Second
 	// receiverIdleTimeout is how long a connection to the receiver is reused.
 	receiverIdleTimeout = time.Minute
@@ -23,7 +22,7 @@
 )
 
 // Receiver is a sink that uses HTTP. It sends a batch as lines with POST and the header Idempotency-Key:
-// fawnplank-FIRST-LAST, and gets {"last": N} with GET.
+// fawnplank-FIRST-LAST, and gets {"last": N} with GET. It is safe for concurrent use.
 type Receiver struct {
 	url    string
 	client *http.Client
@@ -40,7 +39,8 @@
 	}
 }
 
-// Last asks the receiver for the last sequence that it has.
+// Last asks the receiver for the last sequence that it has. An answer that is not a success is a
+// *ReceiverStatusError.
 func (r *Receiver) Last(ctx context.Context) (uint64, error) {
 	text, err := r.call(ctx, http.MethodGet, "", nil)
 	if err != nil {
@@ -55,7 +55,7 @@
 	return *answer.Last, nil
 }
 
-// Send sends a batch to the receiver.
+// Send sends a batch to the receiver. An answer that is not a success is a *ReceiverStatusError.
 func (r *Receiver) Send(ctx context.Context, batch []billing.Record) error {
 	key := fmt.Sprintf("fawnplank-%d-%d", batch[0].Sequence, batch[len(batch)-1].Sequence)
 	_, err := r.call(ctx, http.MethodPost, key, encodeBatch(batch))
@@ -84,8 +84,13 @@
 	if err != nil {
 		return nil, err
 	}
-	if response.StatusCode/100 != 2 {
-		return nil, fmt.Errorf("the receiver answers %s: %.200s", response.Status, text)
+	if !isSuccess(response.StatusCode) {
+		return nil, &ReceiverStatusError{StatusCode: response.StatusCode, Status: response.Status, Body: text}
 	}
 	return text, nil
 }
+
+// isSuccess reports whether an HTTP status code is one of 200 to 299.
+func isSuccess(statusCode int) bool {
+	return statusCode >= http.StatusOK && statusCode < http.StatusMultipleChoices
+}
--- a/internal/billingservice/report.go
+++ b/internal/billingservice/report.go
@@ -3,157 +3,109 @@
 import (
 	"encoding/json"
 	"fmt"
-	"strconv"
-	"strings"
-	"time"
 
 	"fawnplank/internal/billing"
 	"fawnplank/internal/logging"
 	"fawnplank/internal/store/kv"
 )
 
-const (
-	// maxItems bounds the lines of a report, because the accounts of a report are written at once; see maxEdits.
-	maxItems = 400
-	// reportRetryInterval is the time between two attempts to write a report.
-	reportRetryInterval = 50 * time.Millisecond
-	// lastReportLifetime is how long the key of an incarnation's last report is kept. After a day an incarnation
-	// no longer reports anything.
-	lastReportLifetime = 24 * time.Hour
-)
-
-// usageKey is the key by which usage is summed.
-type usageKey struct {
-	tenant           string
-	plan             string
-	windowStartNanos int64
-}
+// maxReportItems bounds the lines of a report, because the accounts of a report are written at once; see
+// maxEdits.
+const maxReportItems = 400
 
 // usageItem is one line of a report.
 type usageItem struct {
 	Tenant           string        `json:"g"`
 	Plan             string        `json:"p"`
-	WindowStartNanos int64         `json:"w"`
+	WindowStartNanos int64         `json:"w"` // unix ns
 	Units            billing.Units `json:"u"`
 }
 
-// RecordUsage adds the units of a request that was admitted under a plan at a moment, and has succeeded. It
-// ignores units that are out of range.
-func (s *Service) RecordUsage(tenant, plan string, admittedAt time.Time, units float64) {
-	count, err := billing.UnitsFromFloat(units)
-	if err != nil {
-		return
-	}
-	windowStartNanos := s.options.Settings().WindowStart(admittedAt.UnixNano())
-	key := usageKey{tenant: tenant, plan: plan, windowStartNanos: windowStartNanos}
-	s.mu.Lock()
-	s.usage[key] += count
-	s.mu.Unlock()
-}
-
-// report writes the usage since the last report, each report under its own key.
+// reportState is the progress of this incarnation's reports. It belongs to the report loop and, after that
+// loop has ended, to Close.
 //
 // The content of a report is fixed before it is first written, and stays fixed until the report is known to
 // be committed. Otherwise, if a write returned an error but was committed, a newer report with the same
-// number would be taken for committed. Units were lost in this way in 8 of 13 runs of the test with a store
-// that fails.
+// number would be taken for committed, and its units would be lost.
+type reportState struct {
+	pending []usageItem // the report that is being written; nil if there is none
+	number  uint64      // of the pending report, or of the next one
+}
+
+// isPending reports whether a report is fixed and not known to be committed.
+func (r *reportState) isPending() bool { return r.pending != nil }
+
+// fix makes items the pending report. With no items, no report is pending.
+func (r *reportState) fix(items []usageItem) { r.pending = items }
+
+// commit records that the pending report is committed.
+func (r *reportState) commit() {
+	r.pending = nil
+	r.number++
+}
+
+// isFirstCommitted reports whether exactly one report is committed.
+func (r *reportState) isFirstCommitted() bool { return r.number == 1 }
+
+// report writes the usage since the last report, each report under its own key.
 func (s *Service) report() error {
 	for {
-		if s.pendingReport == nil {
-			s.pendingReport = s.collectUsage()
+		if !s.reports.isPending() {
+			s.reports.fix(s.usage.take(maxReportItems))
 		}
-		if s.pendingReport == nil {
+		if !s.reports.isPending() {
 			return nil
 		}
-		content, err := json.Marshal(s.pendingReport)
-		if err != nil {
-			return err
-		}
-		key := fmt.Sprintf("%s%s-%08x", reportPrefix, s.incarnationName(), s.reportNumber)
-		if err := s.writeReport(key, content); err != nil {
+		if err := s.writePendingReport(); err != nil {
 			return err
 		}
-		s.pendingReport = nil
-		s.reportNumber++
-		if s.reportNumber == 1 {
-			if err := s.deleteOldLastReports(); err != nil {
-				logging.For("billing").WithError(err).Debug("old report marks not deleted")
-			}
+		s.reports.commit()
+		if s.reports.isFirstCommitted() {
+			s.cleanUpLastReports()
 		}
 		s.counts.Reports.Add(1)
 	}
 }
 
-// collectUsage takes up to maxItems of the unreported usage. It returns nil if there is none.
-func (s *Service) collectUsage() []usageItem {
-	var items []usageItem
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	for key, units := range s.usage {
-		items = append(items, usageItem{
-			Tenant:           key.tenant,
-			Plan:             key.plan,
-			WindowStartNanos: key.windowStartNanos,
-			Units:            units,
-		})
-		delete(s.usage, key)
-		if len(items) == maxItems {
-			break
-		}
+// writePendingReport writes the pending report until it is known to be committed.
+func (s *Service) writePendingReport() error {
+	content, err := json.Marshal(s.reports.pending)
+	if err != nil {
+		return err
 	}
-	return items
-}
-
-// writeReport writes a report until it is known to be committed. A write may be committed although it
-// returned an error, and the report may have been added to accounts since. Therefore writeReport retries with
-// unchanged content, and a key of this incarnation's own holds the key of the report that it wrote last.
-func (s *Service) writeReport(key string, content []byte) error {
-	lastReportKey := lastReportPrefix + s.incarnationName()
+	key := fmt.Sprintf("%s%s-%08x", reportPrefix, s.incarnationName(), s.reports.number)
 	encodedKey, err := json.Marshal(key)
 	if err != nil {
 		return err
 	}
-	for deadline := time.Now().Add(operationTimeout); ; {
-		stored, ok, err := s.options.Replica.ReadFromLeader(lastReportKey)
-		if err == nil && ok && string(stored.Value) == string(encodedKey) {
-			return nil // an earlier attempt was committed
-		}
-		if err == nil {
-			err = s.options.Replica.Edit([]kv.Edit{
-				{Key: key, Value: content},
-				{Key: lastReportKey, Value: encodedKey, Conditional: true, ExpectedIndex: stored.Index},
-			})
-		}
-		if err == nil {
-			return nil
-		}
-		if time.Now().After(deadline) || s.waitOrStop(reportRetryInterval) {
-			return err
-		}
-	}
+	return retry(
+		func() error { return s.attemptReport(key, encodedKey, content) },
+		func() bool { return s.waitOrStop(reportRetryInterval) },
+	)
 }
 
-// deleteOldLastReports deletes the keys that hold the last reports of old incarnations of this instance.
-func (s *Service) deleteOldLastReports() error {
-	var edits []kv.Edit
-	for name := range s.options.Replica.ReadPrefix(lastReportPrefix) {
-		if s.isOldIncarnation(name) && len(edits) < maxItems {
-			edits = append(edits, kv.Edit{Key: lastReportPrefix + name})
-		}
+// attemptReport writes a report, unless an earlier attempt was committed although it returned an error. In
+// that case the report may even have been added to accounts since, so its own key does not show it. A key of
+// this incarnation's own therefore names the report that was written last.
+func (s *Service) attemptReport(key string, encodedKey, content []byte) error {
+	lastReportKey := lastReportPrefix + s.incarnationName()
+	last, found, err := s.options.Replica.ReadFromLeader(lastReportKey)
+	if err != nil {
+		return err
 	}
-	if len(edits) == 0 {
+	if found && string(last.Value) == string(encodedKey) {
 		return nil
 	}
-	return s.options.Replica.Edit(edits)
+	return s.options.Replica.Edit([]kv.Edit{
+		{Key: key, Value: content},
+		{Key: lastReportKey, Value: encodedKey, Conditional: true, ExpectedIndex: last.Index},
+	})
 }
 
-// isOldIncarnation reports whether a name is that of an incarnation of this instance that began more than
-// lastReportLifetime before this one.
-func (s *Service) isOldIncarnation(name string) bool {
-	incarnation, ok := strings.CutPrefix(name, s.options.Instance+"-")
-	if !ok {
-		return false
+// cleanUpLastReports deletes what earlier incarnations left. A failure is only logged, because the next
+// incarnation deletes it.
+func (s *Service) cleanUpLastReports() {
+	if err := s.deleteOldLastReports(); err != nil {
+		logging.For(logComponent).WithError(err).Debug("old report marks not deleted")
 	}
-	began, err := strconv.ParseInt(incarnation, 16, 64)
-	return err == nil && began < s.incarnation-int64(lastReportLifetime)
 }
--- a/internal/billingservice/resume.go
+++ b/internal/billingservice/resume.go
@@ -1,7 +1,6 @@
 package billingservice
 
 import (
-	"fmt"
 	"time"
 
 	"fawnplank/internal/billing"
@@ -15,9 +14,10 @@
 }
 
 // Resume lets the export continue after the store was restored from an old copy. Sequences continue after
-// those that the receiver has. The usage of windows that began before a moment is dropped and never billed
-// again, because the lost state may have exported it. After an error, Resume may have done a part, and the
-// counts are those of that part.
+// the given one, the last that the receiver has. The usage of windows that began before a moment is dropped and
+// never billed, because the lost state may have exported it. If the store has exported later records than the
+// given one, the error is an *AlreadyExportedError and nothing is done. After any other error, Resume may have
+// done a part, and the counts are those of that part.
 func Resume(replica Replica, after uint64, before time.Time) (Dropped, error) {
 	// The service is not started. It is used for its operations on the store alone.
 	s := &Service{options: Options{
@@ -30,30 +30,47 @@
 	if err != nil {
 		return dropped, err
 	}
-	if after+1 < state.Next && state.Acked > after {
-		return dropped, fmt.Errorf("record %d is exported already: the receiver has %d at least",
-			state.Acked, state.Acked)
+	if state.isExportedBeyond(after) {
+		return dropped, &AlreadyExportedError{Acknowledged: state.Acked}
 	}
-	// Delete the records that the old copy has numbered, because the accounts no longer contain what they count.
+	if dropped.Records, err = s.dropRecords(state); err != nil {
+		return dropped, err
+	}
+	if dropped.Windows, err = s.dropWindows(before); err != nil {
+		return dropped, err
+	}
+	_, err = s.writeExportState(state.resumeAfter(after), index, nil)
+	return dropped, err
+}
+
+// dropRecords deletes the records that the old copy has numbered, because the accounts no longer contain what
+// they count. It returns how many it deleted.
+func (s *Service) dropRecords(state exportState) (int, error) {
+	count := 0
 	for sequence := state.Acked + 1; sequence < state.Next; sequence++ {
-		if err := replica.Edit([]kv.Edit{{Key: recordKeyAt(sequence)}}); err != nil {
-			return dropped, err
+		if err := s.options.Replica.Edit([]kv.Edit{{Key: recordKeyAt(sequence)}}); err != nil {
+			return count, err
 		}
-		dropped.Records++
+		count++
 	}
-	for tenant := range replica.ReadPrefix(accountPrefix) {
+	return count, nil
+}
+
+// dropWindows drops the usage of all tenants' windows that began before a moment, and returns how many windows
+// it dropped.
+func (s *Service) dropWindows(before time.Time) (int, error) {
+	count := 0
+	for tenant := range s.options.Replica.ReadPrefix(accountPrefix) {
 		err := s.update(tenant, func(
 			_ billing.Settings, _ int64, account billing.Account,
 		) (billing.Account, error) {
 			remaining, windows := account.DropWindows(before.UnixNano())
-			dropped.Windows += windows
+			count += windows
 			return remaining, nil
 		})
 		if err != nil {
-			return dropped, err
+			return count, err
 		}
 	}
-	next := max(after+1, state.Next)
-	_, err = s.writeExportState(exportState{Next: next, Acked: next - 1}, index, nil)
-	return dropped, err
+	return count, nil
 }
--- a/internal/billingservice/totals_test.go
+++ b/internal/billingservice/totals_test.go
@@ -74,13 +74,13 @@
 func kill(service *Service) billing.Units {
 	close(service.stop)
 	service.loops.Wait()
-	service.mu.Lock()
-	defer service.mu.Unlock()
+	service.usage.mu.Lock()
+	defer service.usage.mu.Unlock()
 	unreported := billing.Units(0)
-	for _, units := range service.usage {
+	for _, units := range service.usage.units {
 		unreported += units
 	}
-	for _, item := range service.pendingReport {
+	for _, item := range service.reports.pending {
 		unreported += item.Units
 	}
 	return unreported
--- a/internal/billingservice/version0_test.go
+++ b/internal/billingservice/version0_test.go
@@ -31,12 +31,12 @@
 	sent bool
 }
 
-func (o *firstBatchFolder) Send(ctx context.Context, batch []billing.Record) error {
-	if o.sent {
+func (f *firstBatchFolder) Send(ctx context.Context, batch []billing.Record) error {
+	if f.sent {
 		return errors.New("no more")
 	}
-	o.sent = true
-	return o.Folder.Send(ctx, batch)
+	f.sent = true
+	return f.Folder.Send(ctx, batch)
 }
 
 const version0Export = "use-000000000001-000000000001.jsonl"
@@ -48,8 +48,8 @@
 	t.Helper()
 	folder := t.TempDir()
 	synctest.Test(t, func(t *testing.T) {
-		m := newMemoryReplica()
-		d := startService(m, "d", &firstBatchFolder{Folder: Folder(folder)})
+		replica := newMemoryReplica()
+		service := startService(replica, "d", &firstBatchFolder{Folder: Folder(folder)})
 		until := func(after time.Duration) {
 			time.Sleep(time.Until(version0Start.Add(after)))
 			synctest.Wait()
@@ -60,12 +60,12 @@
 			}
 		}
 		for _, change := range version0Account.Changes {
-			must(d.SchedulePlanChange("g", change))
+			must(service.SchedulePlanChange("g", change))
 		}
-		d.RecordUsage("h", "large", time.Now(), 1.5)
+		service.RecordUsage("h", "large", time.Now(), 1.5)
 		until(1250 * time.Millisecond)
-		d.RecordUsage("g", "small", time.Now(), 2)
-		_, err := d.Reserve("g", billing.ReservationRequest{
+		service.RecordUsage("g", "small", time.Now(), 2)
+		_, err := service.Reserve("g", billing.ReservationRequest{
 			ID:         "r0",
 			Holder:     "gone",
 			Units:      3e6,
@@ -73,31 +73,31 @@
 		})
 		must(err)
 		until(1260 * time.Millisecond)
-		a, _, err := d.Account("g", "small")
+		account, _, err := service.Account("g", "small")
 		must(err)
-		must(d.Release("g", "r0", a.Reservations["r0"].Epoch))
+		must(service.Release("g", "r0", account.Reservations["r0"].Epoch))
 		until(2050 * time.Millisecond)
-		d.RecordUsage("g", "small", version0Start.Add(1300*time.Millisecond), 3)
-		h, err := d.Reserve("g", billing.ReservationRequest{
+		service.RecordUsage("g", "small", version0Start.Add(1300*time.Millisecond), 3)
+		reservation, err := service.Reserve("g", billing.ReservationRequest{
 			ID:         "r1",
 			Holder:     "holder-1",
 			Units:      20e6,
 			LeaseNanos: int64(500 * time.Millisecond),
 		})
 		must(err)
-		_, err = d.Commit("g", "r1", h.Epoch, 5e6)
+		_, err = service.Commit("g", "r1", reservation.Epoch, 5e6)
 		must(err)
 		until(2255 * time.Millisecond)
-		d.RecordUsage("g", "small", time.Now(), 4)
+		service.RecordUsage("g", "small", time.Now(), 4)
 		until(2300 * time.Millisecond)
-		text, err := m.state.Snapshot()
+		content, err := replica.state.Snapshot()
 		must(err)
-		must(os.WriteFile(store, text, 0o600))
-		d.Close()
+		must(os.WriteFile(store, content, 0o600))
+		service.Close()
 	})
-	text, err := os.ReadFile(filepath.Join(folder, version0Export))
+	content, err := os.ReadFile(filepath.Join(folder, version0Export))
 	if err == nil {
-		err = os.WriteFile(export, text, 0o600)
+		err = os.WriteFile(export, content, 0o600)
 	}
 	if err != nil {
 		t.Fatal(err)
@@ -107,33 +107,32 @@
 func version0Store(t *testing.T) *memoryReplica {
 	t.Helper()
 	path := testutil.Fixture(t, "store", func(path string) { writeVersion0(t, path, path+".export") })
-	text, err := os.ReadFile(path)
+	content, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	m := newMemoryReplica()
-	if m.state, err = kv.Load(text); err != nil {
+	replica := newMemoryReplica()
+	if replica.state, err = kv.Load(content); err != nil {
 		t.Fatal(err)
 	}
-	m.index = m.state.AppliedIndex()
-	return m
+	replica.index = replica.state.AppliedIndex()
+	return replica
 }
 
 // newVersion0Service is a service without its loops at the moment at which the fixture was written.
-func newVersion0Service(m *memoryReplica, sink Sink) *Service {
+func newVersion0Service(replica *memoryReplica, sink Sink) *Service {
 	now := version0Start.Add(2300 * time.Millisecond)
 	return &Service{
 		options: Options{
-			Replica:       m,
+			Replica:       replica,
 			Instance:      "d",
 			Settings:      testSettings,
 			LeaseDuration: 300 * time.Millisecond,
 			Sink:          sink,
 			Now:           func() time.Time { return now },
 		},
-		incarnation: version0At(0),
-		usage:       map[usageKey]billing.Units{},
-		stop:        make(chan struct{}),
+		incarnationNanos: version0At(0),
+		stop:             make(chan struct{}),
 	}
 }
 
@@ -168,7 +167,7 @@
 	Epoch:             3,
 }
 
-// version0Values are what the store's fixture holds, as values of today's types.
+// version0Values are what the store's fixture holds, as values of the current types.
 var version0Values = map[string]any{
 	accountPrefix + "g": version0Account,
 	recordPrefix + "0000000000000002": billing.Record{
@@ -179,7 +178,7 @@
 		Units:              2e6,
 	},
 	exportKey: exportState{Next: 3, Acked: 1, First: 2, Last: 2},
-	leaseKey: exportLease{
+	leaseKey: maintenanceLease{
 		Holder:       version0Incarnation,
 		ExpiresNanos: version0At(2550 * time.Millisecond),
 	},
@@ -192,22 +191,22 @@
 // TestVersion0Store_IsWrittenAsTheSameBytes decodes each value of the store's fixture into its type, and
 // encodes it again as the same bytes.
 func TestVersion0Store_IsWrittenAsTheSameBytes(t *testing.T) {
-	m := version0Store(t)
-	for _, key := range m.state.Keys("") {
+	replica := version0Store(t)
+	for _, key := range replica.state.Keys("") {
 		if _, ok := version0Values[key]; !ok {
-			e, _ := m.ReadLocal(key)
-			t.Errorf("key %s: %s", key, e.Value)
+			entry, _ := replica.ReadLocal(key)
+			t.Errorf("key %s: %s", key, entry.Value)
 		}
 	}
 	for key, want := range version0Values {
-		e, ok := m.ReadLocal(key)
+		entry, ok := replica.ReadLocal(key)
 		got := reflect.New(reflect.TypeOf(want))
-		isDecoded := ok && json.Unmarshal(e.Value, got.Interface()) == nil
+		isDecoded := ok && json.Unmarshal(entry.Value, got.Interface()) == nil
 		if !isDecoded || !reflect.DeepEqual(got.Elem().Interface(), want) {
-			t.Errorf("%s: %s, and not %+v", key, e.Value, want)
+			t.Errorf("%s: %s, and not %+v", key, entry.Value, want)
 		}
-		if again, err := json.Marshal(want); err != nil || !bytes.Equal(again, e.Value) {
-			t.Errorf("%s, written anew (%v):\n%s\nthe fixture:\n%s", key, err, again, e.Value)
+		if again, err := json.Marshal(want); err != nil || !bytes.Equal(again, entry.Value) {
+			t.Errorf("%s, written anew (%v):\n%s\nthe fixture:\n%s", key, err, again, entry.Value)
 		}
 	}
 }
@@ -215,28 +214,30 @@
 // TestService_ContinuesWithVersion0Store lets a service continue with the store's fixture: it knows the plan
 // and the reservation, commits the report, and sends the batch that was fixed.
 func TestService_ContinuesWithVersion0Store(t *testing.T) {
-	m, folder := version0Store(t), Folder(t.TempDir())
-	d := newVersion0Service(m, folder)
-	d.plans.Store(&map[string]billing.Account{})
-	d.KeysChanged([]string{accountPrefix + "g"})
-	if plan, ok := d.TenantPlan("g"); plan != "small" || !ok {
+	replica := version0Store(t)
+	folder := Folder(t.TempDir())
+	service := newVersion0Service(replica, folder)
+	service.plans.Store(&map[string]billing.Account{})
+	service.KeysChanged([]string{accountPrefix + "g"})
+	if plan, ok := service.TenantPlan("g"); plan != "small" || !ok {
 		t.Errorf("plan %q, %v", plan, ok)
 	}
-	if h, err := d.Commit("g", "r1", 3, 1e6); err != nil || h.Remaining != 14e6 || h.Epoch != 4 {
-		t.Errorf("a commit: %+v, %v", h, err)
+	reservation, err := service.Commit("g", "r1", 3, 1e6)
+	if err != nil || reservation.Remaining != 14e6 || reservation.Epoch != 4 {
+		t.Errorf("a commit: %+v, %v", reservation, err)
 	}
-	if err := d.Release("g", "r0", 1); !errors.Is(err, billing.ErrExpired) {
+	if err := service.Release("g", "r0", 1); !errors.Is(err, billing.ErrExpired) {
 		t.Errorf("a release of what had ended: %v", err)
 	}
-	if err := d.addReports(); err != nil {
+	if err := service.addReports(); err != nil {
 		t.Fatal(err)
 	}
-	a, _, err := d.Account("g", "")
-	reports := m.ReadPrefix(reportPrefix)
-	if err != nil || len(a.Windows) != 2 || a.Windows[1].Used["small"] != 10e6 || len(reports) != 0 {
-		t.Errorf("after the report: %+v, %v, %q", a, err, reports)
+	account, _, err := service.Account("g", "")
+	reports := replica.ReadPrefix(reportPrefix)
+	if err != nil || len(account.Windows) != 2 || account.Windows[1].Used["small"] != 10e6 || len(reports) != 0 {
+		t.Errorf("after the report: %+v, %v, %q", account, err, reports)
 	}
-	if mayHaveMore, err := d.exportBatch(context.Background()); !mayHaveMore || err != nil {
+	if mayHaveMore, err := service.exportBatch(context.Background()); !mayHaveMore || err != nil {
 		t.Fatal(mayHaveMore, err)
 	}
 	text, err := os.ReadFile(filepath.Join(string(folder), "use-000000000002-000000000002.jsonl"))
@@ -244,8 +245,8 @@
 	if err != nil || string(text) != want {
 		t.Errorf("%s, %v", text, err)
 	}
-	state, _, err := d.readExportState()
-	if err != nil || state != (exportState{Next: 3, Acked: 2}) || len(m.ReadPrefix(recordPrefix)) != 0 {
+	state, _, err := service.readExportState()
+	if err != nil || state != (exportState{Next: 3, Acked: 2}) || len(replica.ReadPrefix(recordPrefix)) != 0 {
 		t.Errorf("the export: %+v, %v", state, err)
 	}
 }
@@ -287,5 +288,5 @@
 
 // TestStoredTypes_HaveTags checks that a tag, not the Go field name, names each stored field.
 func TestStoredTypes_HaveTags(t *testing.T) {
-	testutil.CheckTags(t, billing.Account{}, billing.Record{}, usageItem{}, exportState{}, exportLease{})
+	testutil.CheckTags(t, billing.Account{}, billing.Record{}, usageItem{}, exportState{}, maintenanceLease{})
 }
