--- a/internal/billing/account.go
+++ b/internal/billing/account.go
@@ -7,7 +7,8 @@
 	"slices"
 )
 
-// Account is a tenant's account. It is never modified: each operation returns a new one.
+// Account is a tenant's account. No operation modifies it: each returns a new one, so an account is safe for
+// concurrent use. After an error, the returned account is not to be stored.
 type Account struct {
 	Tenant  string       `json:"gestoria"`
 	Changes []PlanChange `json:"changes,omitempty"` // ordered by their moments
@@ -21,19 +22,27 @@
 	Epoch uint64 `json:"epoch,omitempty"`
 }
 
-// The reasons for rejecting a request. Each error that an operation returns wraps one of them and names its
-// subject.
+// The reasons for rejecting an operation. Each error that an operation returns wraps one of them and names its
+// subject. Clients read the texts.
 var (
-	ErrUnknown    = errors.New("is not known")
-	ErrConflict   = errors.New("is taken")
-	ErrTooSoon    = errors.New("is too soon")
-	ErrExpired    = errors.New("is over")
+	// ErrUnknown reports that there is no plan, plan change or reservation of the given name or id.
+	ErrUnknown = errors.New("is not known")
+	// ErrConflict reports that an id, or the moment of a plan change, is in use already.
+	ErrConflict = errors.New("is taken")
+	// ErrTooSoon reports that a plan change lies less than Settings.ChangeNoticeNanos ahead.
+	ErrTooSoon = errors.New("is too soon")
+	// ErrExpired reports that a reservation or its lease has ended, or that a plan change can no longer be
+	// canceled.
+	ErrExpired = errors.New("is over")
+	// ErrStaleEpoch reports that the reservation has changed since the epoch that the operation names.
 	ErrStaleEpoch = errors.New("is gone by")
+	// ErrNoCapacity reports that a window or a list has no capacity for what is to be added.
 	ErrNoCapacity = errors.New("has no room")
+	// ErrOutOfRange reports that an argument is not within its bounds.
 	ErrOutOfRange = errors.New("is out of range")
 )
 
-// Bounds of an account, which is a single value of the store.
+// Bounds of an account, which is a single value of the store and is read and written as a whole.
 const (
 	maxReservations = 200
 	maxChanges      = 100
@@ -45,6 +54,7 @@
 	return fmt.Errorf("%s %w", fmt.Sprintf(format, args...), err)
 }
 
+// checkID checks the length of an id that a client has chosen.
 func checkID(id string) error {
 	if id == "" || len(id) > maxIDBytes {
 		return annotate(ErrOutOfRange, "id %.80q, of 1 to %d bytes,", id, maxIDBytes)
--- a/internal/billing/conservation_test.go
+++ b/internal/billing/conservation_test.go
@@ -16,17 +16,17 @@
 	nextSequence uint64
 	used         Units            // recorded and committed
 	exported     map[string]Units // by plan
-	granted      map[string]Units // by reservation
+	reserved     map[string]Units // by reservation
 	spent        map[string]Units // by reservation
 	epochs       map[string]uint64
 }
 
-// operation is one step: a moment on the clock of the instance that does it, and its arguments.
+// operation is what one operation of an account is given.
 type operation struct {
-	step  int
-	clock int64
-	id    string // of a reservation
-	units Units
+	number     int
+	clockNanos int64  // of the instance that does it
+	id         string // of a reservation
+	units      Units
 }
 
 // do does one operation of a random kind.
@@ -43,10 +43,10 @@
 		return c.commit(op)
 	case 6:
 		var err error
-		c.account, err = c.account.Release(c.settings, op.clock, op.id, c.epochs[op.id])
+		c.account, err = c.account.Release(c.settings, op.clockNanos, op.id, c.epochs[op.id])
 		return err
 	case 7:
-		c.account = c.account.ExpireReservations(c.settings, op.clock)
+		c.account = c.account.ExpireReservations(c.settings, op.clockNanos)
 	case 8:
 		c.closeWindows(op)
 	}
@@ -55,16 +55,16 @@
 
 func (c *conservation) changePlan(op operation) (err error) {
 	change := PlanChange{
-		ID:             fmt.Sprint(op.step),
-		EffectiveNanos: op.clock + int64(c.random.IntN(20))*second,
+		ID:             fmt.Sprint(op.number),
+		EffectiveNanos: op.clockNanos + int64(c.random.IntN(20))*second,
 		Plan:           []string{"small", "large", "gold"}[c.random.IntN(3)],
 	}
-	c.account, err = c.account.SchedulePlanChange(c.settings, op.clock, change)
+	c.account, err = c.account.SchedulePlanChange(c.settings, op.clockNanos, change)
 	return err
 }
 
 func (c *conservation) recordUsage(op operation) (err error) {
-	start := c.settings.WindowStart(op.clock - int64(c.random.IntN(90))*second)
+	start := c.settings.WindowStart(op.clockNanos - int64(c.random.IntN(90))*second)
 	plan := []string{"small", "large"}[c.random.IntN(2)]
 	c.account, err = c.account.RecordUsage(c.settings, start, plan, op.units)
 	if err == nil {
@@ -75,9 +75,9 @@
 
 func (c *conservation) reserve(op operation) error {
 	c.t.Helper()
-	start := c.settings.WindowStart(op.clock)
-	expired := c.account.ExpireReservations(c.settings, op.clock)
-	available := expired.Available(c.settings, start, op.clock, "small")
+	start := c.settings.WindowStart(op.clockNanos)
+	expired := c.account.ExpireReservations(c.settings, op.clockNanos)
+	available := expired.Available(c.settings, start, op.clockNanos, "small")
 	request := ReservationRequest{
 		ID:         op.id,
 		Holder:     "me",
@@ -85,18 +85,18 @@
 		Units:      op.units,
 		LeaseNanos: int64(1+c.random.IntN(20)) * second,
 	}
-	account, reservation, err := c.account.Reserve(c.settings, op.clock, request)
+	account, reservation, err := c.account.Reserve(c.settings, op.clockNanos, request)
 	c.account = account
 	if err != nil {
 		return err
 	}
 	c.epochs[op.id] = reservation.Epoch
-	if _, ok := c.granted[op.id]; ok {
+	if _, ok := c.reserved[op.id]; ok {
 		return nil
 	}
-	c.granted[op.id] = reservation.Remaining
+	c.reserved[op.id] = reservation.Remaining
 	if reservation.Remaining > available {
-		c.t.Fatalf("seed %d: %v granted of %v", c.seed, reservation.Remaining, available)
+		c.t.Fatalf("seed %d: %v reserved of %v", c.seed, reservation.Remaining, available)
 	}
 	return nil
 }
@@ -104,7 +104,7 @@
 // commit names a stale epoch one time in five.
 func (c *conservation) commit(op operation) error {
 	epoch := c.epochs[op.id] - uint64(c.random.IntN(5)/4)
-	account, reservation, err := c.account.Commit(c.settings, op.clock, op.id, epoch, op.units)
+	account, reservation, err := c.account.Commit(c.settings, op.clockNanos, op.id, epoch, op.units)
 	c.account = account
 	if err != nil {
 		return err
@@ -118,7 +118,7 @@
 func (c *conservation) closeWindows(op operation) {
 	c.t.Helper()
 	var records []Record
-	c.account, records = c.account.CloseWindows(c.settings, op.clock, c.nextSequence)
+	c.account, records = c.account.CloseWindows(c.settings, op.clockNanos, c.nextSequence)
 	for _, record := range records {
 		if record.Sequence != c.nextSequence || record.Units <= 0 {
 			c.t.Fatalf("seed %d: %+v after %d", c.seed, record, c.nextSequence)
@@ -129,7 +129,7 @@
 }
 
 // check compares the account with what the operations so far must amount to.
-func (c *conservation) check(step int) {
+func (c *conservation) check(number int) {
 	c.t.Helper()
 	sum := Units(0)
 	for _, window := range c.account.Windows {
@@ -141,13 +141,13 @@
 		sum += units
 	}
 	if sum != c.used {
-		c.t.Fatalf("seed %d, step %d: %v used, %v in records and windows", c.seed, step, c.used, sum)
+		c.t.Fatalf("seed %d, operation %d: %v used, %v in records and windows", c.seed, number, c.used, sum)
 	}
-	for id, granted := range c.granted {
+	for id, reserved := range c.reserved {
 		remaining := c.account.Reservations[id].Remaining
-		if remaining+c.spent[id] > granted {
-			c.t.Fatalf("seed %d, step %d: %v granted to %s, %v spent and %v reserved",
-				c.seed, step, granted, id, c.spent[id], remaining)
+		if remaining+c.spent[id] > reserved {
+			c.t.Fatalf("seed %d, operation %d: %v reserved as %s, %v spent and %v remaining",
+				c.seed, number, reserved, id, c.spent[id], remaining)
 		}
 	}
 }
@@ -156,13 +156,13 @@
 func (c *conservation) run() {
 	c.t.Helper()
 	now := 6000 * second
-	for step := range 600 {
+	for number := range 600 {
 		now += int64(c.random.IntN(4)) * second / 2
 		op := operation{
-			step:  step,
-			clock: now + int64(c.random.IntN(1000))*second/1000,
-			id:    fmt.Sprint("r", step/10-c.random.IntN(3)),
-			units: Units(1+c.random.IntN(40)) * 1e5,
+			number:     number,
+			clockNanos: now + int64(c.random.IntN(1000))*second/1000,
+			id:         fmt.Sprint("r", number/10-c.random.IntN(3)),
+			units:      Units(1+c.random.IntN(40)) * 1e5,
 		}
 		before := c.account
 		text := fmt.Sprint(before)
@@ -171,15 +171,15 @@
 		after := fmt.Sprint(c.account.Windows, c.account.Changes)
 		isChanged := after != fmt.Sprint(before.Windows, before.Changes)
 		if isMutated || err != nil && isChanged {
-			c.t.Fatalf("seed %d, step %d: an account was changed by what did not happen: %v", c.seed, step, err)
+			c.t.Fatalf("seed %d, operation %d: an account was changed by what did not happen: %v", c.seed, number, err)
 		}
-		c.check(step)
+		c.check(number)
 	}
 }
 
 // TestAccount_ConservesUnits does operations in random order, on clocks that differ. Units are neither lost
-// nor made: what was used and committed is in records and open windows, each once; what was granted is spent,
-// returned or reserved; no grant exceeds the allowance; sequences have no gap.
+// nor made: what was used and committed is in records and open windows, each once; what was reserved is spent,
+// returned or still reserved; no reservation exceeds the allowance; sequences have no gap.
 func TestAccount_ConservesUnits(t *testing.T) {
 	for seed := range uint64(60) {
 		c := &conservation{
@@ -190,13 +190,13 @@
 			account:      Account{Tenant: "g"},
 			nextSequence: 1,
 			exported:     map[string]Units{},
-			granted:      map[string]Units{},
+			reserved:     map[string]Units{},
 			spent:        map[string]Units{},
 			epochs:       map[string]uint64{},
 		}
 		c.run()
-		if c.used == 0 || c.nextSequence < 5 || len(c.granted) < 5 {
-			t.Fatalf("seed %d shows little: %v, %d, %d", seed, c.used, c.nextSequence, len(c.granted))
+		if c.used == 0 || c.nextSequence < 5 || len(c.reserved) < 5 {
+			t.Fatalf("seed %d shows little: %v, %d, %d", seed, c.used, c.nextSequence, len(c.reserved))
 		}
 	}
 }
--- a/internal/billing/plan.go
+++ b/internal/billing/plan.go
@@ -16,7 +16,7 @@
 	Plan           string `json:"plan"`
 }
 
-// PlanAt returns the plan in force at a moment. It is empty if no change has set one; then the plan that a
+// PlanAt returns the plan in force at a moment (unix ns). It is empty if no change has set one; then the plan that a
 // request asks for applies.
 func (a Account) PlanAt(atNanos int64) string {
 	plan := ""
@@ -29,7 +29,8 @@
 }
 
 // SchedulePlanChange sets the tenant's plan from a moment on. Repeating the same change is not an error,
-// since the change has already been made.
+// since the change has already been made. The error wraps ErrOutOfRange, ErrUnknown, ErrConflict, ErrTooSoon or
+// ErrNoCapacity.
 func (a Account) SchedulePlanChange(settings Settings, nowNanos int64, change PlanChange) (Account, error) {
 	if err := checkID(change.ID); err != nil {
 		return a, err
@@ -75,7 +76,7 @@
 	return nil
 }
 
-// CancelPlanChange cancels a change that no instance applies yet.
+// CancelPlanChange cancels a change that no instance applies yet. The error wraps ErrUnknown or ErrExpired.
 func (a Account) CancelPlanChange(settings Settings, nowNanos int64, id string) (Account, error) {
 	position := slices.IndexFunc(a.Changes, func(change PlanChange) bool { return change.ID == id })
 	if position < 0 {
--- a/internal/billing/plan_test.go
+++ b/internal/billing/plan_test.go
@@ -22,7 +22,7 @@
 	settings := testSettings()
 	now := 1000 * second
 	account := Account{Tenant: "g"}
-	for _, step := range []struct {
+	for _, test := range []struct {
 		name   string
 		change PlanChange
 		want   error
@@ -36,9 +36,9 @@
 		{"no id", PlanChange{"", now + 20*second, "small"}, ErrOutOfRange},
 		{"before the first", PlanChange{"4", now + 8*second, "small"}, nil},
 	} {
-		changed, err := account.SchedulePlanChange(settings, now, step.change)
-		if !errors.Is(err, step.want) || step.want == nil && err != nil {
-			t.Fatalf("%s: %+v: %v", step.name, step.change, err)
+		changed, err := account.SchedulePlanChange(settings, now, test.change)
+		if !errors.Is(err, test.want) || test.want == nil && err != nil {
+			t.Fatalf("%s: %+v: %v", test.name, test.change, err)
 		}
 		if err == nil {
 			account = changed
@@ -59,7 +59,7 @@
 		t.Error(err)
 	}
 	// A window in which the plan changes allows each plan's rate for its time: until 1008 no plan is set (small
-	// is the default), until 1010 small, then large. The peak is that of the plan now in force.
+	// is the default), until 1010 small, then large. The burst is that of the plan now in force.
 	start := settings.WindowStart(now)
 	small := float64((1010 - start/second) * 1)
 	large := float64(start/second+60-1010) * 5
--- a/internal/billing/reservation.go
+++ b/internal/billing/reservation.go
@@ -2,6 +2,10 @@
 
 import "cmp"
 
+// endedLeases is for how many of the longest leases the id of an ended reservation is remembered: longer than
+// any holder can take its lease to be running.
+const endedLeases = 2
+
 // Reservation is a part of a window's allowance that only its holder may use, for as long as its lease lasts.
 type Reservation struct {
 	ID               string `json:"id"`
@@ -9,7 +13,7 @@
 	WindowStartNanos int64  `json:"window"` // of the window whose allowance it uses, unix ns
 	Remaining        Units  `json:"left"`
 	ExpiresNanos     int64  `json:"until"` // unix ns
-	Epoch            uint64 `json:"epoch"`
+	Epoch            uint64 `json:"epoch"` // raised by each commit and adoption
 	Holder           string `json:"holder"`
 }
 
@@ -19,11 +23,12 @@
 	Holder     string
 	Plan       string // applies if no change has set the tenant's plan
 	Units      Units
-	LeaseNanos int64
+	LeaseNanos int64 // from now to the end of the lease, if it is not renewed
 }
 
 // Reserve reserves units of the window that contains nowNanos. Repeating an id is not an error while the same
-// holder has the reservation: it has already been made, and Reserve returns it as it is.
+// holder has the reservation: it has already been made, and Reserve returns it as it is. The error wraps
+// ErrOutOfRange, ErrUnknown, ErrConflict, ErrExpired or ErrNoCapacity.
 func (a Account) Reserve(
 	settings Settings, nowNanos int64, request ReservationRequest,
 ) (Account, Reservation, error) {
@@ -63,7 +68,7 @@
 	return a, reservation, nil
 }
 
-// checkReservation checks that a new reservation's id is free and that its window and the account have room
+// checkReservation checks that a new reservation's id is free and that its window and the account have capacity
 // for it.
 func (a Account) checkReservation(settings Settings, nowNanos int64, reservation Reservation) error {
 	if _, ok := a.Reservations[reservation.ID]; ok {
@@ -102,7 +107,7 @@
 
 // Commit turns reserved units into usage. Each commit raises the epoch. Commit returns the new epoch, which
 // the next commit must name. Therefore a commit that is sent twice is applied once, and the second one fails
-// with ErrStaleEpoch.
+// with ErrStaleEpoch. The error may also wrap ErrUnknown, ErrExpired or ErrOutOfRange.
 func (a Account) Commit(
 	settings Settings, nowNanos int64, id string, epoch uint64, units Units,
 ) (Account, Reservation, error) {
@@ -127,7 +132,8 @@
 	return a, reservation, nil
 }
 
-// Renew extends a reservation's lease.
+// Renew sets the end of a reservation's lease to leaseNanos from now. The error wraps ErrUnknown, ErrStaleEpoch,
+// ErrExpired or ErrOutOfRange.
 func (a Account) Renew(
 	settings Settings, nowNanos int64, id string, epoch uint64, leaseNanos int64,
 ) (Account, Reservation, error) {
@@ -144,7 +150,7 @@
 }
 
 // AdoptReservation gives a reservation to another holder. Whatever the old holder sends from then on has a
-// stale epoch.
+// stale epoch. The error wraps ErrUnknown, ErrExpired or ErrOutOfRange.
 func (a Account) AdoptReservation(
 	settings Settings, nowNanos int64, id, holder string, leaseNanos int64,
 ) (Account, Reservation, error) {
@@ -163,7 +169,8 @@
 	return a, reservation, nil
 }
 
-// Release gives back the remaining units of a reservation.
+// Release gives back the remaining units of a reservation. The error wraps ErrUnknown, ErrStaleEpoch or
+// ErrExpired.
 func (a Account) Release(settings Settings, nowNanos int64, id string, epoch uint64) (Account, error) {
 	if _, err := a.activeReservation(nowNanos, id, epoch); err != nil {
 		return a, err
@@ -177,7 +184,7 @@
 // it. The account must be a clone.
 func (a *Account) endReservation(settings Settings, nowNanos int64, id string) {
 	delete(a.Reservations, id)
-	a.EndedReservations[id] = nowNanos + 2*settings.MaxLeaseNanos
+	a.EndedReservations[id] = nowNanos + endedLeases*settings.MaxLeaseNanos
 }
 
 // ExpireReservations gives back the remaining units of reservations whose holders have not renewed them, once
--- a/internal/billing/reservation_test.go
+++ b/internal/billing/reservation_test.go
@@ -100,7 +100,7 @@
 }
 
 // TestAccount_OverusedWindowKeepsReservations uses more than the plan allows: no reservation is revoked, and
-// no further one is granted.
+// no further one is made.
 func TestAccount_OverusedWindowKeepsReservations(t *testing.T) {
 	settings := testSettings()
 	now := reservationStart
@@ -118,6 +118,6 @@
 		t.Error(err)
 	}
 	if _, _, err := overused.Commit(settings, now, "r", reservation.Epoch, 30e6); err != nil {
-		t.Error("a granted reservation cannot be spent: ", err)
+		t.Error("a reservation cannot be spent: ", err)
 	}
 }
--- a/internal/billing/settings.go
+++ b/internal/billing/settings.go
@@ -22,8 +22,8 @@
 	maxReportFactor = 1000
 )
 
-// UnitsFromFloat converts a number, as it appears in requests and commands, to Units. The number must be above 0
-// and at most a million.
+// UnitsFromFloat converts a number of units, as it appears in requests and commands, to Units. The number must
+// be above 0 and at most a million; any other one, and NaN, is an error.
 func UnitsFromFloat(number float64) (Units, error) {
 	if !(number > 0 && number <= maxUnits) { // written so that NaN is out of range too
 		return 0, fmt.Errorf("units %g are not above 0 and at most %g", number, float64(maxUnits))
@@ -40,7 +40,8 @@
 	Burst float64 // units at once
 }
 
-// Settings holds settings that are the same at all gateway instances.
+// Settings holds settings that are the same at all gateway instances. Its plans are not modified while it is in
+// use.
 type Settings struct {
 	// WindowNanos is the length of a window. Usage is billed by windows, which are counted since 1970.
 	WindowNanos int64
--- a/internal/billing/window.go
+++ b/internal/billing/window.go
@@ -15,10 +15,10 @@
 
 // Record is usage to be billed. Records of the same tenant, plan and window add up.
 type Record struct {
-	Sequence           uint64 `json:"sequence"`
+	Sequence           uint64 `json:"sequence"` // from 1 on, over all tenants, without a gap
 	Tenant             string `json:"gestoria"`
 	Plan               string `json:"plan"`
-	WindowStartSeconds int64  `json:"window_unix_s"`
+	WindowStartSeconds int64  `json:"window_unix_s"` // unix s
 	Units              Units  `json:"micro_units"`
 }
 
@@ -50,7 +50,7 @@
 }
 
 // RecordUsage adds units that were used under a plan, which is the plan under which their requests were
-// admitted.
+// admitted. The error wraps ErrOutOfRange.
 func (a Account) RecordUsage(
 	settings Settings, windowStartNanos int64, plan string, units Units,
 ) (Account, error) {
