--- a/internal/billingservice/stubs_test.go
+++ b/internal/billingservice/stubs_test.go
@@ -8,7 +8,6 @@
 	"math/rand/v2"
 	"net/http"
 	"net/http/httptest"
-	"strings"
 	"sync"
 	"testing"
 	"time"
@@ -54,12 +53,7 @@
 func (m *memoryReplica) ReadPrefix(prefix string) map[string]json.RawMessage {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	values := map[string]json.RawMessage{}
-	for _, key := range m.state.Keys(prefix) {
-		entry, _ := m.state.Get(key)
-		values[strings.TrimPrefix(key, prefix)] = entry.Value
-	}
-	return values
+	return m.state.Values(prefix)
 }
 
 func (m *memoryReplica) Edit(edits []kv.Edit) error {
--- a/internal/store/kv/command.go
+++ b/internal/store/kv/command.go
@@ -10,7 +10,7 @@
 // Index is a position in the replicated log. The index of a key is that of the command that last changed it.
 type Index uint64
 
-// Edit changes one key.
+// Edit changes one key. Its JSON is both stored in the log and sent to the API.
 type Edit struct {
 	Key string `json:"key"`
 	// Value is the key's new value, in JSON. No value, or null, deletes the key.
@@ -44,6 +44,16 @@
 // ErrInvalid reports that a command is malformed. It is never written, and sending it again is useless.
 var ErrInvalid = errors.New("not in form")
 
+// VersionError reports that a command or a snapshot has another version than Version.
+type VersionError struct {
+	Version int
+}
+
+// Error names both versions.
+func (e *VersionError) Error() string {
+	return fmt.Sprintf("of version %d, and %d is read", e.Version, Version)
+}
+
 // ConflictError reports that a key's index is not the one that an edit expected, because somebody else has
 // changed the key.
 type ConflictError struct {
@@ -85,6 +95,7 @@
 	return nil
 }
 
+// validateKey checks a key's length, and that it can be printed and be a part of a URL's path.
 func validateKey(key string) error {
 	isUnprintable := func(r rune) bool { return r <= ' ' || r > '~' }
 	if key == "" || len(key) > MaxKeyBytes || strings.ContainsFunc(key, isUnprintable) {
@@ -93,6 +104,7 @@
 	return nil
 }
 
+// validateValue checks the length of an edit's value, and that it is JSON.
 func validateValue(edit Edit) error {
 	if len(edit.Value) > MaxValueBytes {
 		return fmt.Errorf("key %s: %d bytes, above %d: %w", edit.Key, len(edit.Value), MaxValueBytes, ErrInvalid)
--- a/internal/store/kv/kv_test.go
+++ b/internal/store/kv/kv_test.go
@@ -52,6 +52,20 @@
 	}
 }
 
+func TestState_ValuesAreIndexedByTheRestOfTheKey(t *testing.T) {
+	s := New()
+	if err := apply(t, s, 1, put("plans/a", "1"), put("plans/b", "2"), put("plan", "3")); err != nil {
+		t.Fatal(err)
+	}
+	values := s.Values("plans/")
+	if len(values) != 2 || string(values["a"]) != "1" || string(values["b"]) != "2" {
+		t.Errorf("%s", values)
+	}
+	if values := s.Values("classes/"); values == nil || len(values) != 0 {
+		t.Errorf("without such a key: %v, want an empty map", values)
+	}
+}
+
 func TestEncode_RefusesInvalidEdits(t *testing.T) {
 	for name, edits := range map[string][]Edit{
 		"none":           nil,
@@ -118,7 +132,7 @@
 	return true
 }
 
-// TestState_ReplicasAgree holds that the same commands give the same state, wherever a snapshot comes
+// TestState_ReplicasAgree checks that the same commands give the same state, wherever a snapshot comes
 // between.
 func TestState_ReplicasAgree(t *testing.T) {
 	config := &quick.Config{MaxCount: 100, Rand: rand.New(rand.NewSource(4))}
@@ -138,13 +152,13 @@
 		t.Fatal(err)
 	}
 	for n := range content {
-		if _, err := Load(content[:n]); err == nil {
-			t.Fatalf("cut at %d of %d: accepted", n, len(content))
+		if _, err := Load(content[:n]); !errors.Is(err, ErrTruncated) && !errors.Is(err, ErrCorrupt) {
+			t.Fatalf("cut at %d of %d: %v", n, len(content), err)
 		}
 		damaged := append([]byte(nil), content...)
 		damaged[n] ^= 1 << (n % 8)
-		if _, err := Load(damaged); err == nil {
-			t.Fatalf("byte %d changed: accepted", n)
+		if _, err := Load(damaged); !errors.Is(err, ErrTruncated) && !errors.Is(err, ErrCorrupt) {
+			t.Fatalf("byte %d changed: %v", n, err)
 		}
 	}
 	if loaded, err := Load(content); err != nil || loaded.Fingerprint() != s.Fingerprint() {
--- a/internal/store/kv/snapshot.go
+++ b/internal/store/kv/snapshot.go
@@ -16,8 +16,16 @@
 	Entries      map[string]Entry `json:"keys"`
 }
 
+// The reasons for which Load rejects bytes that are no snapshot.
+var (
+	// ErrTruncated is also reported for content of another kind.
+	ErrTruncated = errors.New("no snapshot of this store, or one cut short")
+	// ErrCorrupt reports that the content has been changed.
+	ErrCorrupt = errors.New("a damaged snapshot: its checksum does not fit")
+)
+
 const (
-	// magic is the first line of a snapshot and identifies its format.
+	// magic is the first line of a snapshot and identifies its format. It is stored, so its text must not change.
 	magic = "fawnplank store\n"
 	// checksumBytes is the length of the checksum that follows magic.
 	checksumBytes = 8
@@ -34,23 +42,24 @@
 	return append(content, body...), nil
 }
 
-// Load decodes a snapshot completely or not at all. It rejects a snapshot that is truncated, damaged, or of
-// another version.
+// Load decodes a snapshot completely or not at all. It rejects a snapshot that is truncated (ErrTruncated),
+// damaged (ErrCorrupt) or of another version (*VersionError).
 func Load(content []byte) (*State, error) {
-	if len(content) < len(magic)+checksumBytes || string(content[:len(magic)]) != magic {
-		return nil, errors.New("no snapshot of this store, or one cut short")
+	const headBytes = len(magic) + checksumBytes
+	if len(content) < headBytes || string(content[:len(magic)]) != magic {
+		return nil, ErrTruncated
 	}
 	checksum := binary.BigEndian.Uint64(content[len(magic):])
-	body := content[len(magic)+checksumBytes:]
+	body := content[headBytes:]
 	if xxhash.Sum64(body) != checksum {
-		return nil, errors.New("a damaged snapshot: its checksum does not fit")
+		return nil, ErrCorrupt
 	}
 	var stored snapshot
 	if err := json.Unmarshal(body, &stored); err != nil {
 		return nil, fmt.Errorf("snapshot: %w", err)
 	}
 	if stored.Version != Version {
-		return nil, fmt.Errorf("a snapshot of version %d, and %d is read", stored.Version, Version)
+		return nil, fmt.Errorf("a snapshot %w", &VersionError{Version: stored.Version})
 	}
 	if stored.Entries == nil {
 		stored.Entries = map[string]Entry{}
--- a/internal/store/kv/state.go
+++ b/internal/store/kv/state.go
@@ -4,7 +4,6 @@
 	"encoding/json"
 	"fmt"
 	"slices"
-	"sort"
 	"strings"
 
 	"github.com/cespare/xxhash/v2"
@@ -16,7 +15,7 @@
 	Index Index           `json:"index"`
 }
 
-// State is the store's content.
+// State is the store's content. It is not safe for concurrent use.
 type State struct {
 	entries      map[string]Entry
 	appliedIndex Index // position of the last command, including commands that were rejected
@@ -26,7 +25,8 @@
 func New() *State { return &State{entries: map[string]Entry{}} }
 
 // Apply applies a command at its position in the log and returns the keys that it changed. If it returns an
-// error, no key was changed. A command of another version is an error on every replica alike.
+// error, no key was changed: a ConflictError if a key is not at the expected index, a *VersionError, or one that
+// wraps ErrInvalid or says what cannot be decoded. It returns the same error on every replica.
 func (s *State) Apply(index Index, encoded []byte) ([]string, error) {
 	s.appliedIndex = max(s.appliedIndex, index)
 	command, err := decode(index, encoded)
@@ -56,8 +56,7 @@
 		return command, fmt.Errorf("command at %d: %w", index, err)
 	}
 	if command.Version != Version {
-		return command, fmt.Errorf("command at %d is of version %d, and %d is read",
-			index, command.Version, Version)
+		return command, fmt.Errorf("command at %d is %w", index, &VersionError{Version: command.Version})
 	}
 	return command, validate(command.Edits)
 }
@@ -88,10 +87,21 @@
 			keys = append(keys, key)
 		}
 	}
-	sort.Strings(keys)
+	slices.Sort(keys)
 	return keys
 }
 
+// Values returns the values of the keys with a prefix, by the part of the key that follows the prefix.
+func (s *State) Values(prefix string) map[string]json.RawMessage {
+	values := map[string]json.RawMessage{}
+	for key, entry := range s.entries {
+		if suffix, ok := strings.CutPrefix(key, prefix); ok {
+			values[suffix] = entry.Value
+		}
+	}
+	return values
+}
+
 // AppliedIndex returns the position of the last command, including commands that were rejected.
 func (s *State) AppliedIndex() Index { return s.appliedIndex }
 
--- a/internal/store/kv/version0_test.go
+++ b/internal/store/kv/version0_test.go
@@ -40,23 +40,32 @@
 	},
 }
 
+// readFixture returns the bytes of a fixture. encode returns those to write if it is missing, which only
+// -update-fixtures does.
+func readFixture(t *testing.T, name string, encode func() ([]byte, error)) []byte {
+	t.Helper()
+	path := testutil.Fixture(t, name, func(path string) {
+		content, err := encode()
+		if err == nil {
+			err = os.WriteFile(path, content, 0o600)
+		}
+		if err != nil {
+			t.Fatal(err)
+		}
+	})
+	content, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return content
+}
+
 // TestCommand_IsEncodedAsVersion0Bytes decodes commands from the logs of replicas of an earlier version, and
 // encodes the same edits as the same bytes, which such replicas read.
 func TestCommand_IsEncodedAsVersion0Bytes(t *testing.T) {
 	for _, c := range version0Commands {
 		t.Run(c.fixture, func(t *testing.T) {
-			text, err := os.ReadFile(testutil.Fixture(t, c.fixture, func(path string) {
-				text, err := Encode(c.edits)
-				if err == nil {
-					err = os.WriteFile(path, text, 0o600)
-				}
-				if err != nil {
-					t.Fatal(err)
-				}
-			}))
-			if err != nil {
-				t.Fatal(err)
-			}
+			text := readFixture(t, c.fixture, func() ([]byte, error) { return Encode(c.edits) })
 			var got Command
 			if err := json.Unmarshal(text, &got); err != nil || !reflect.DeepEqual(got, Command{1, c.edits}) {
 				t.Errorf("%+v, %v", got, err)
@@ -81,18 +90,7 @@
 			t.Fatal(err)
 		}
 	}
-	text, err := os.ReadFile(testutil.Fixture(t, "snapshot", func(path string) {
-		text, err := now.Snapshot()
-		if err == nil {
-			err = os.WriteFile(path, text, 0o600)
-		}
-		if err != nil {
-			t.Fatal(err)
-		}
-	}))
-	if err != nil {
-		t.Fatal(err)
-	}
+	text := readFixture(t, "snapshot", now.Snapshot)
 	s, err := Load(text)
 	if err != nil {
 		t.Fatal(err)
@@ -111,7 +109,7 @@
 	}
 }
 
-// TestStoredTypes_HaveTags holds that a tag, and not Go, names each stored field.
+// TestStoredTypes_HaveTags checks that a tag, and not the Go field name, names each stored field.
 func TestStoredTypes_HaveTags(t *testing.T) {
 	testutil.CheckTags(t, Command{}, snapshot{})
 }
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -19,7 +19,6 @@
 	"net"
 	"net/http"
 	"os"
-	"strings"
 	"sync"
 	"time"
 
@@ -162,10 +161,5 @@
 func (s *Store) ReadPrefix(prefix string) map[string]json.RawMessage {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
-	values := map[string]json.RawMessage{}
-	for _, key := range s.state.Keys(prefix) {
-		entry, _ := s.state.Get(key)
-		values[strings.TrimPrefix(key, prefix)] = entry.Value
-	}
-	return values
+	return s.state.Values(prefix)
 }
