--- a/internal/authz/authz.go
+++ b/internal/authz/authz.go
@@ -1,5 +1,5 @@
 // Package authz defines what a key in the operator file may do at the address for limit commands. It makes no
-// decisions: the server of limit commands does. Everything in it is constant, and safe for concurrent use.
+// decisions: package limitserver does. Everything in it is constant, and safe for concurrent use.
 package authz
 
 // Right is what a key may do. Rights are bits: a key with several rights has their sum, and 0 means no right.
--- a/internal/durable/durable.go
+++ b/internal/durable/durable.go
@@ -1,4 +1,7 @@
 // Package durable replaces files so that the new content survives a crash of the machine.
+//
+// It owns nothing between calls and is safe for concurrent use, also by several processes: of two writers of one
+// file, the last rename wins, and no reader sees a mixture.
 package durable
 
 import (
@@ -8,7 +11,7 @@
 	"github.com/google/renameio/v2"
 )
 
-// FolderOpenError says that the file was replaced, but its folder could not be opened to sync the rename. A
+// FolderOpenError reports that the file was replaced, but its folder could not be opened to sync the rename. A
 // process may write to a folder that it may not read.
 type FolderOpenError struct {
 	Err error
@@ -21,7 +24,9 @@
 func (e *FolderOpenError) Unwrap() error { return e.Err }
 
 // WriteFile writes the content under another name in the file's folder, syncs it, renames it over the old
-// file, and then syncs the folder. Until the rename, an error leaves the old file unchanged.
+// file, and then syncs the folder. Until the rename, an error leaves the old file unchanged. After the rename,
+// the error is a *FolderOpenError if the folder could not be opened; whether the new file survives a crash is
+// then, as after any error of the sync, not known.
 func WriteFile(path string, content []byte, mode os.FileMode) error {
 	if err := renameio.WriteFile(path, content, mode); err != nil {
 		return err
--- a/internal/tlsconfig/config.go
+++ b/internal/tlsconfig/config.go
@@ -6,17 +6,23 @@
 	"errors"
 )
 
+// minVersion is the oldest version of TLS that either side accepts.
+const minVersion = tls.VersionTLS12
+
+// errNoAuthority reports that a client has nothing to check the server's certificate by.
 var errNoAuthority = errors.New("tls: no authority is named to check the other side by")
 
 // ServerConfig returns the configuration for listeners. Each handshake uses the certificate that is current
 // at that time.
 func (s *Source) ServerConfig() *tls.Config {
-	return &tls.Config{MinVersion: tls.VersionTLS12, GetConfigForClient: s.configForClient}
+	return &tls.Config{MinVersion: minVersion, GetConfigForClient: s.configForClient}
 }
 
+// configForClient returns the configuration for one handshake. It requires a client's certificate if an
+// authority is configured.
 func (s *Source) configForClient(*tls.ClientHelloInfo) (*tls.Config, error) {
 	latest := s.latest()
-	config := &tls.Config{MinVersion: tls.VersionTLS12, Certificates: []tls.Certificate{*latest.certificate}}
+	config := &tls.Config{MinVersion: minVersion, Certificates: []tls.Certificate{*latest.certificate}}
 	if latest.authorities != nil {
 		config.ClientCAs = latest.authorities
 		config.ClientAuth = tls.RequireAndVerifyClientCert
@@ -29,13 +35,14 @@
 // certificates seldom contain, and the authority belongs to the installation itself.
 func (s *Source) ClientConfig() *tls.Config {
 	return &tls.Config{
-		MinVersion:           tls.VersionTLS12,
+		MinVersion:           minVersion,
 		InsecureSkipVerify:   true, // verifyServer checks the certificate, except its name
 		GetClientCertificate: s.clientCertificate,
 		VerifyConnection:     s.verifyServer,
 	}
 }
 
+// clientCertificate returns the certificate that a client presents.
 func (s *Source) clientCertificate(*tls.CertificateRequestInfo) (*tls.Certificate, error) {
 	return s.latest().certificate, nil
 }
--- a/internal/tlsconfig/source.go
+++ b/internal/tlsconfig/source.go
@@ -30,14 +30,16 @@
 // Enabled reports whether any file is configured.
 func (f Files) Enabled() bool { return f != Files{} }
 
+// fileCount is the number of files that Files names.
+const fileCount = 3
+
 // paths returns the paths in the order of modTimes. The path of a file that is not configured is empty.
 func (f Files) paths() [fileCount]string { return [...]string{f.Certificate, f.Key, f.Authority} }
 
-const fileCount = 3
-
 // modTimes are the modification times of the files; zero for a file that is not configured.
 type modTimes [fileCount]time.Time
 
+// equal reports whether no file has changed.
 func (m modTimes) equal(other modTimes) bool {
 	for n := range m {
 		if !m[n].Equal(other[n]) {
@@ -54,7 +56,7 @@
 	modified    modTimes
 }
 
-// Source provides the content that the files had when they were last valid.
+// Source provides the content that the files had when they were last valid. It is safe for concurrent use.
 type Source struct {
 	files Files
 
@@ -64,7 +66,7 @@
 	lastError string // of the last reload, so that each error is logged once
 }
 
-// New reads the files and returns a Source for them. An error names the file.
+// New reads the files and returns a Source for them. An error names the file that is missing or not valid.
 func New(files Files) (*Source, error) {
 	if files.Certificate == "" || files.Key == "" {
 		return nil, errors.New("tls: certificate and key must both be named")
@@ -111,6 +113,7 @@
 	return modified, nil
 }
 
+// loadCertificate reads the certificate with its key, and parses its leaf.
 func (f Files) loadCertificate() (*tls.Certificate, error) {
 	pair, err := tls.LoadX509KeyPair(f.Certificate, f.Key)
 	if err != nil {
--- a/internal/tlsconfig/tlsconfig_test.go
+++ b/internal/tlsconfig/tlsconfig_test.go
@@ -73,7 +73,7 @@
 	ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
 	defer cancel()
 	t.Cleanup(func() {
-		_ = conn.Close() // nothing is said after the handshake
+		_ = conn.Close() // nothing is sent after the handshake
 	})
 	return conn.HandshakeContext(ctx)
 }
@@ -111,12 +111,13 @@
 
 // TestSource_ConfigsVerifyBothSides checks that each side requires a certificate of its authority.
 func TestSource_ConfigsVerifyBothSides(t *testing.T) {
-	own, other := newAuthority(t), newAuthority(t)
+	own := newAuthority(t)
+	other := newAuthority(t)
 	files := sign(t, own, t.TempDir(), time.Hour)
 	server := newSource(t, files)
-	friend := newSource(t, sign(t, own, t.TempDir(), time.Hour))
+	peer := newSource(t, sign(t, own, t.TempDir(), time.Hour))
 	stranger := newSource(t, sign(t, other, t.TempDir(), time.Hour))
-	serverErr, clientErr := handshake(t, server.ServerConfig(), friend.ClientConfig())
+	serverErr, clientErr := handshake(t, server.ServerConfig(), peer.ClientConfig())
 	if serverErr != nil || clientErr != nil {
 		t.Errorf("of one authority: %v, %v", serverErr, clientErr)
 	}
@@ -143,11 +144,12 @@
 // TestSource_FollowsItsFiles checks that a renewed certificate comes into use without a restart, and that a
 // broken one leaves the old one in use.
 func TestSource_FollowsItsFiles(t *testing.T) {
-	authority, folder := newAuthority(t), t.TempDir()
+	authority := newAuthority(t)
+	folder := t.TempDir()
 	files := sign(t, authority, folder, time.Hour)
 	source := newSource(t, files)
-	if left := source.ExpiresIn(); left <= 0 || left > time.Hour {
-		t.Fatalf("expires in %v", left)
+	if remaining := source.ExpiresIn(); remaining <= 0 || remaining > time.Hour {
+		t.Fatalf("expires in %v", remaining)
 	}
 	time.Sleep(20 * time.Millisecond) // so that the modification times differ
 	sign(t, authority, folder, 48*time.Hour)
@@ -158,8 +160,8 @@
 		t.Fatal(err)
 	}
 	for deadline := time.Now().Add(1200 * time.Millisecond); time.Now().Before(deadline); {
-		if left := source.ExpiresIn(); left < 2*time.Hour {
-			t.Fatalf("expires in %v, with a broken file", left)
+		if remaining := source.ExpiresIn(); remaining < 2*time.Hour {
+			t.Fatalf("expires in %v, with a broken file", remaining)
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
--- a/internal/warmstart/warmstart.go
+++ b/internal/warmstart/warmstart.go
@@ -42,13 +42,24 @@
 var (
 	// ErrTruncated is also reported for a file of another kind.
 	ErrTruncated = errors.New("no file of this kind, or one cut short")
-	ErrCorrupt   = errors.New("damaged: its checksum does not fit")
+	// ErrCorrupt reports that the content has been changed.
+	ErrCorrupt = errors.New("damaged: its checksum does not fit")
 )
 
+// VersionError reports that a file has another version than Version.
+type VersionError struct {
+	Version int
+}
+
+// Error names both versions.
+func (e *VersionError) Error() string {
+	return fmt.Sprintf("of version %d, and %d is read", e.Version, Version)
+}
+
 // body is the content of the file after the magic line and the checksum (xxhash, big-endian) of the body.
 type body struct {
 	Version       int                   `json:"v"`
-	SavedUnixNano int64                 `json:"saved_unix_ns"`
+	SavedUnixNano int64                 `json:"saved_unix_ns"` // by the wall clock of the writer
 	State         policy.WarmStartState `json:"learned"`
 }
 
@@ -71,8 +82,8 @@
 }
 
 // Load reads the file and returns the state and its age. If the file does not exist, the error wraps
-// os.ErrNotExist. A file that is truncated, damaged, of another version or from the future is rejected with
-// an error that says so.
+// os.ErrNotExist. A file that is truncated (ErrTruncated), damaged (ErrCorrupt), of another version
+// (*VersionError), too large or from the future is rejected with an error that says so.
 func Load(path string, now time.Time) (state policy.WarmStartState, age time.Duration, err error) {
 	saved, err := load(path)
 	if err != nil {
@@ -120,7 +131,7 @@
 		return body{}, err
 	}
 	if saved.Version != Version {
-		return body{}, fmt.Errorf("of version %d, and %d is read", saved.Version, Version)
+		return body{}, &VersionError{Version: saved.Version}
 	}
 	return saved, nil
 }
--- a/internal/warmstart/warmstart_test.go
+++ b/internal/warmstart/warmstart_test.go
@@ -104,9 +104,9 @@
 	_ = command.Wait() // it was killed, which is an error
 }
 
-// TestSave_LeavesOneWholeStateWhenKilled kills a process that writes the file, two hundred times. From the
-// first write on, the file always has one whole state.
-func TestSave_LeavesOneWholeStateWhenKilled(t *testing.T) {
+// TestSave_LeavesOneCompleteStateWhenKilled kills a process that writes the file, two hundred times. From the
+// first write on, the file always has one complete state.
+func TestSave_LeavesOneCompleteStateWhenKilled(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "learned")
 	random := rand.New(rand.NewPCG(3, 3))
 	seen := map[float64]bool{}
@@ -190,7 +190,9 @@
 	content := binary.BigEndian.AppendUint64([]byte(magic), xxhash.Sum64(text))
 	writeFile(t, path, append(content, text...))
 	_, _, err := Load(path, time.Unix(1_800_000_000, 0))
-	if err == nil || !strings.Contains(err.Error(), "of version 0, and 1 is read") {
+	var version *VersionError
+	if !errors.As(err, &version) || version.Version != 0 ||
+		!strings.Contains(err.Error(), "of version 0, and 1 is read") {
 		t.Error(err)
 	}
 }
