--- a/internal/billing/conservation_test.go
+++ b/internal/billing/conservation_test.go
@@ -17,7 +17,7 @@
 	used         Units            // recorded and committed
 	exported     map[string]Units // by plan
 	reserved     map[string]Units // by reservation
-	spent        map[string]Units // by reservation
+	committed    map[string]Units // by reservation
 	epochs       map[string]uint64
 }
 
@@ -109,7 +109,7 @@
 	if err != nil {
 		return err
 	}
-	c.spent[op.id] += op.units
+	c.committed[op.id] += op.units
 	c.used += op.units
 	c.epochs[op.id] = reservation.Epoch
 	return nil
@@ -145,9 +145,9 @@
 	}
 	for id, reserved := range c.reserved {
 		remaining := c.account.Reservations[id].Remaining
-		if remaining+c.spent[id] > reserved {
-			c.t.Fatalf("seed %d, operation %d: %v reserved as %s, %v spent and %v remaining",
-				c.seed, number, reserved, id, c.spent[id], remaining)
+		if remaining+c.committed[id] > reserved {
+			c.t.Fatalf("seed %d, operation %d: %v reserved as %s, %v committed and %v remaining",
+				c.seed, number, reserved, id, c.committed[id], remaining)
 		}
 	}
 }
@@ -178,7 +178,7 @@
 }
 
 // TestAccount_ConservesUnits does operations in random order, on clocks that differ. Units are neither lost
-// nor made: what was used and committed is in records and open windows, each once; what was reserved is spent,
+// nor made: what was used and committed is in records and open windows, each once; what was reserved is committed,
 // returned or still reserved; no reservation exceeds the allowance; sequences have no gap.
 func TestAccount_ConservesUnits(t *testing.T) {
 	for seed := range uint64(60) {
@@ -191,7 +191,7 @@
 			nextSequence: 1,
 			exported:     map[string]Units{},
 			reserved:     map[string]Units{},
-			spent:        map[string]Units{},
+			committed:    map[string]Units{},
 			epochs:       map[string]uint64{},
 		}
 		c.run()
--- a/internal/billing/reservation_test.go
+++ b/internal/billing/reservation_test.go
@@ -56,7 +56,7 @@
 	}
 }
 
-func TestAccount_ReservationIsSpentOnceByItsHolder(t *testing.T) {
+func TestAccount_ReservationIsCommittedOnceByItsHolder(t *testing.T) {
 	settings := testSettings()
 	now := reservationStart
 	account, reservation := reserved(t)
@@ -76,22 +76,22 @@
 		t.Fatal(err)
 	}
 	if _, _, err := account.Commit(settings, now, "r", beforeAdoption, 1e6); !errors.Is(err, ErrStaleEpoch) {
-		t.Error("the old holder spent what another adopted: ", err)
+		t.Error("the old holder committed what another adopted: ", err)
 	}
 	expires := reservation.ExpiresNanos
 	if _, _, err := account.Commit(settings, expires, "r", reservation.Epoch, 1e6); !errors.Is(err, ErrExpired) {
-		t.Error("spent after its lease: ", err)
+		t.Error("committed after its lease: ", err)
 	}
 	expiresEverywhere := expires + settings.ClockSkewNanos
 	if active := account.ExpireReservations(settings, expiresEverywhere-1); len(active.Reservations) != 1 {
-		t.Error("returned while it may be spent on another clock")
+		t.Error("returned while it may be committed on another clock")
 	}
 	expired := account.ExpireReservations(settings, expiresEverywhere)
 	if len(expired.Reservations) != 0 || expired.Available(settings, now, now, "small") != 50e6 {
 		t.Error("not returned")
 	}
 	if _, _, err := expired.Commit(settings, now, "r", reservation.Epoch, 1e6); !errors.Is(err, ErrExpired) {
-		t.Error("spent and returned: ", err)
+		t.Error("committed and returned: ", err)
 	}
 	again := ReservationRequest{ID: "r", Holder: "me", Plan: "small", Units: 1e6, LeaseNanos: second}
 	if _, _, err := expired.Reserve(settings, now, again); !errors.Is(err, ErrExpired) {
@@ -118,6 +118,6 @@
 		t.Error(err)
 	}
 	if _, _, err := overused.Commit(settings, now, "r", reservation.Epoch, 30e6); err != nil {
-		t.Error("a reservation cannot be spent: ", err)
+		t.Error("a reservation cannot be committed: ", err)
 	}
 }
--- a/internal/billingservice/version0_test.go
+++ b/internal/billingservice/version0_test.go
@@ -41,58 +41,22 @@
 
 const version0Export = "use-000000000001-000000000001.jsonl"
 
-// writeVersion0 lets a service work for 2.3 s of a bubble's time, and writes the state of the store and the
-// exported file to the two paths. The state has a window that is exported, one that is being sent, one that
-// is open with a reservation in it, and a report that is not committed yet.
+// writeVersion0 lets a service work in a bubble's time, and writes the state of the store and the exported file
+// to the two paths.
 func writeVersion0(t *testing.T, store, export string) {
 	t.Helper()
 	folder := t.TempDir()
 	synctest.Test(t, func(t *testing.T) {
 		replica := newMemoryReplica()
 		service := startService(replica, "d", &firstBatchFolder{Folder: Folder(folder)})
-		until := func(after time.Duration) {
-			time.Sleep(time.Until(version0Start.Add(after)))
-			synctest.Wait()
-		}
-		must := func(err error) {
-			if err != nil {
-				t.Fatal(err)
-			}
+		useVersion0(t, service)
+		content, err := replica.state.Snapshot()
+		if err == nil {
+			err = os.WriteFile(store, content, 0o600)
 		}
-		for _, change := range version0Account.Changes {
-			must(service.SchedulePlanChange("g", change))
+		if err != nil {
+			t.Fatal(err)
 		}
-		service.RecordUsage("h", "large", time.Now(), 1.5)
-		until(1250 * time.Millisecond)
-		service.RecordUsage("g", "small", time.Now(), 2)
-		_, err := service.Reserve("g", billing.ReservationRequest{
-			ID:         "r0",
-			Holder:     "gone",
-			Units:      3e6,
-			LeaseNanos: int64(300 * time.Millisecond),
-		})
-		must(err)
-		until(1260 * time.Millisecond)
-		account, _, err := service.Account("g", "small")
-		must(err)
-		must(service.Release("g", "r0", account.Reservations["r0"].Epoch))
-		until(2050 * time.Millisecond)
-		service.RecordUsage("g", "small", version0Start.Add(1300*time.Millisecond), 3)
-		reservation, err := service.Reserve("g", billing.ReservationRequest{
-			ID:         "r1",
-			Holder:     "holder-1",
-			Units:      20e6,
-			LeaseNanos: int64(500 * time.Millisecond),
-		})
-		must(err)
-		_, err = service.Commit("g", "r1", reservation.Epoch, 5e6)
-		must(err)
-		until(2255 * time.Millisecond)
-		service.RecordUsage("g", "small", time.Now(), 4)
-		until(2300 * time.Millisecond)
-		content, err := replica.state.Snapshot()
-		must(err)
-		must(os.WriteFile(store, content, 0o600))
 		service.Close()
 	})
 	content, err := os.ReadFile(filepath.Join(folder, version0Export))
@@ -104,6 +68,53 @@
 	}
 }
 
+// useVersion0 uses a service for the first 2.3 s of a bubble's time. After it, the store has a window that is
+// exported, one that is being sent, one that is open with a reservation in it, and a report that is not
+// committed yet.
+func useVersion0(t *testing.T, service *Service) {
+	t.Helper()
+	until := func(after time.Duration) {
+		time.Sleep(time.Until(version0Start.Add(after)))
+		synctest.Wait()
+	}
+	must := func(err error) {
+		if err != nil {
+			t.Fatal(err)
+		}
+	}
+	for _, change := range version0Account.Changes {
+		must(service.SchedulePlanChange("g", change))
+	}
+	service.RecordUsage("h", "large", time.Now(), 1.5)
+	until(1250 * time.Millisecond)
+	service.RecordUsage("g", "small", time.Now(), 2)
+	_, err := service.Reserve("g", billing.ReservationRequest{
+		ID:         "r0",
+		Holder:     "gone",
+		Units:      3e6,
+		LeaseNanos: int64(300 * time.Millisecond),
+	})
+	must(err)
+	until(1260 * time.Millisecond)
+	account, _, err := service.Account("g", "small")
+	must(err)
+	must(service.Release("g", "r0", account.Reservations["r0"].Epoch))
+	until(2050 * time.Millisecond)
+	service.RecordUsage("g", "small", version0Start.Add(1300*time.Millisecond), 3)
+	reservation, err := service.Reserve("g", billing.ReservationRequest{
+		ID:         "r1",
+		Holder:     "holder-1",
+		Units:      20e6,
+		LeaseNanos: int64(500 * time.Millisecond),
+	})
+	must(err)
+	_, err = service.Commit("g", "r1", reservation.Epoch, 5e6)
+	must(err)
+	until(2255 * time.Millisecond)
+	service.RecordUsage("g", "small", time.Now(), 4)
+	until(2300 * time.Millisecond)
+}
+
 func version0Store(t *testing.T) *memoryReplica {
 	t.Helper()
 	path := testutil.Fixture(t, "store", func(path string) { writeVersion0(t, path, path+".export") })
