--- a/internal/lab/results/recorder.go
+++ b/internal/lab/results/recorder.go
@@ -3,52 +3,18 @@
 import (
 	"time"
 
-	"github.com/HdrHistogram/hdrhistogram-go"
-
 	"fawnplank/internal/lab/invariants"
 	"fawnplank/internal/lab/scenario"
 	"fawnplank/internal/monotime"
 	"fawnplank/policy"
 )
 
-const (
-	// maxLatencyMicros and latencyDigits are the range of the histograms: up to two minutes, with three digits.
-	maxLatencyMicros = 120e6
-	latencyDigits    = 3
-	// minWithdrawal distinguishes a last attempt that arrived at the time of the delivery from no attempt,
-	// which is 0.
-	minWithdrawal = time.Microsecond
-)
-
-// histogram counts latencies in microseconds.
-type histogram struct{ *hdrhistogram.Histogram }
-
-func newHistogram() histogram {
-	return histogram{hdrhistogram.New(1, maxLatencyMicros, latencyDigits)}
-}
-
-func (h histogram) record(micros int64) {
-	// It returns an error only for values above the range.
-	_ = h.RecordValue(min(micros, maxLatencyMicros))
-}
-
-// millisAt returns a percentile in milliseconds.
-func (h histogram) millisAt(percent float64) float64 {
-	return float64(h.ValueAtQuantile(percent)) / 1e3
-}
-
 // pending is a submission that has no answer yet.
 type pending struct {
 	invariants.Event
 	hasArrived bool
 }
 
-// withdrawal is when a backend was delivered as gone, and how long after that the last attempt came.
-type withdrawal struct {
-	deliveredAt monotime.Instant
-	lastAttempt time.Duration // after that; 0: none came
-}
-
 // Recorder turns the events that it observes, in order of time, into results. Instants count from the run's
 // start.
 type Recorder struct {
@@ -178,14 +144,6 @@
 	}
 }
 
-func (r *Recorder) recordDelivery(event invariants.Event) {
-	key := invariants.Route{Instance: event.Instance, Backend: event.Backend}
-	r.settleWithdrawal(key)
-	if event.State == policy.EndpointGone {
-		r.withdrawals[key] = &withdrawal{deliveredAt: event.At}
-	}
-}
-
 func (r *Recorder) recordSubmission(event invariants.Event) {
 	r.pending[event.Submission] = &pending{Event: event}
 	r.admitExact(event)
@@ -236,23 +194,6 @@
 	}
 }
 
-// settleWithdrawal records how a withdrawal ended, once the backend is back or the run is over.
-func (r *Recorder) settleWithdrawal(key invariants.Route) {
-	w := r.withdrawals[key]
-	if w == nil {
-		return
-	}
-	delete(r.withdrawals, key)
-	if r.run.Withdrawals == nil {
-		r.run.Withdrawals = &Withdrawals{}
-	}
-	r.run.Withdrawals.Count++
-	if w.lastAttempt > 0 {
-		r.run.Withdrawals.WithAttempt++
-	}
-	r.withdrawalTimes.record(w.lastAttempt.Microseconds())
-}
-
 // CountDNSUpdate counts an update that a gateway answered.
 func (r *Recorder) CountDNSUpdate() { r.run.DNSUpdates++ }
 
@@ -297,17 +238,6 @@
 	return r.run
 }
 
-// finishWithdrawals reads the percentiles of the withdrawals, if there were any.
-func (r *Recorder) finishWithdrawals() {
-	w := r.run.Withdrawals
-	if w == nil {
-		return
-	}
-	w.P50 = r.withdrawalTimes.millisAt(50)
-	w.P99 = r.withdrawalTimes.millisAt(99)
-	w.Max = r.withdrawalTimes.millisAt(100)
-}
-
 // finishLatency reads the percentiles of the whole run.
 func (r *Recorder) finishLatency() {
 	total := &r.run.Total
