--- a/internal/dispatch/attempt.go
+++ b/internal/dispatch/attempt.go
@@ -32,10 +32,16 @@
 type attemptState uint32
 
 const (
-	attemptWaiting attemptState = iota // for a connection
+	// attemptWaiting: no byte is written yet, and Begin may still start the attempt.
+	attemptWaiting attemptState = iota
+	// attemptStarted: the backend may run the request from now on.
 	attemptStarted
+	// attemptCanceled: Begin returns false. The engine gets the outcome when its current call has returned.
 	attemptCanceled
+	// attemptAbandoned: the result is not needed any more, but only the writer knows whether the request was
+	// written completely, and the engine waits for that.
 	attemptAbandoned
+	// attemptSettled: the engine has the outcome. Later reports are ignored.
 	attemptSettled
 )
 
@@ -66,15 +72,19 @@
 	return s.value.CompareAndSwap(uint32(attemptWaiting), uint32(state))
 }
 
-// Attempt is one transmission of a request to a backend.
+// Attempt is one transmission of a request to a backend. Its methods are safe for concurrent use, but Begin is
+// called once.
 type Attempt struct {
+	// Backend is where the attempt goes.
 	Backend policy.BackendID
 
-	request     *Request
-	id          policy.AttemptID
-	createdAt   policy.Instant
-	deadline    policy.Instant // the dispatcher waits for the result until then
-	startBefore policy.Instant // the attempt may not start at or after this time
+	request   *Request
+	id        policy.AttemptID
+	createdAt policy.Instant
+	// deadline is how long the dispatcher waits for the result; see attemptDeadline.
+	deadline policy.Instant
+	// startBefore is when it becomes too late to start; see mayStart.
+	startBefore policy.Instant
 	state       atomicAttemptState
 	conn        AttemptConn // set by Begin, and valid once the attempt has started
 	// abandonedAs is the outcome of an abandoned attempt that was written completely. It is guarded by the
@@ -83,19 +93,26 @@
 }
 
 // Begin records that the attempt's first byte is about to be written to conn. If it returns false, the
-// attempt has been canceled or is too late to start, and the caller must not write anything.
+// attempt has been canceled or is too late to start: the caller must not write anything, and reports a
+// NetworkError whose progress is below Written. conn must be valid from the call on.
 func (a *Attempt) Begin(conn AttemptConn) bool {
-	if !a.request.dispatcher.now().Before(a.startBefore) { // the timer that cancels it may be late
+	if !a.mayStart() {
 		return false
 	}
 	a.conn = conn
 	return a.state.leaveWaiting(attemptStarted)
 }
 
+// mayStart reports whether it is early enough to start. The engine sets the limit, so that an attempt that
+// waited for a connection does not reach a backend that has drained, nor repeat a request whose key the
+// backends have forgotten. A timer cancels the attempt at the same time, but may be late.
+func (a *Attempt) mayStart() bool { return a.request.dispatcher.now().Before(a.startBefore) }
+
 // Class returns the class of the attempt's request.
 func (a *Attempt) Class() policy.ClassID { return a.request.class }
 
-// Remaining returns how much longer the dispatcher waits for the attempt's result.
+// Remaining returns how much longer the dispatcher waits for the attempt's result. It is below 0 once that
+// time is over.
 func (a *Attempt) Remaining() time.Duration {
 	return a.deadline.Sub(a.request.dispatcher.now())
 }
@@ -105,13 +122,7 @@
 // which its writer reports. The engine gets the outcome after the current call into it has returned. The
 // caller holds the dispatcher's lock.
 func (a *Attempt) cancel(outcome policy.Outcome) {
-	switch a.state.load() {
-	case attemptCanceled, attemptAbandoned, attemptSettled:
-		return
-	}
-	d := a.request.dispatcher
-	if a.state.leaveWaiting(attemptCanceled) {
-		d.noteEnded(a, policy.ConnectFailed)
+	if a.cancelWaiting(policy.ConnectFailed) || a.state.load() != attemptStarted {
 		return
 	}
 	if a.conn.Abandon(a) {
@@ -119,20 +130,28 @@
 		a.state.store(attemptAbandoned)
 		return
 	}
-	d.noteEnded(a, outcome)
+	a.request.dispatcher.noteEnded(a, outcome)
+}
+
+// cancelWaiting ends the attempt with the given outcome if it has not started, and reports whether it did. The
+// engine gets the outcome after the current call into it has returned. The caller holds the dispatcher's lock.
+func (a *Attempt) cancelWaiting(outcome policy.Outcome) bool {
+	if !a.state.leaveWaiting(attemptCanceled) {
+		return false
+	}
+	a.request.dispatcher.noteEnded(a, outcome)
+	return true
 }
 
 // Report tells the dispatcher how the attempt ended: with a response, which the dispatcher keeps, or with an
-// error. actualUnits is what the request actually cost if the backend says so, otherwise 0.
+// error, which is ErrRejected, ErrBackendFailed, ErrTimeout or a NetworkError. actualUnits is what the request
+// actually cost, in units, if the backend says so, otherwise 0. Only the first report has an effect.
 func (a *Attempt) Report(response []byte, actualUnits float64, err error) {
 	a.request.dispatcher.do(func(policy.Instant) {
 		if a.state.load() == attemptSettled {
 			return
 		}
-		outcome := outcomeOf(err)
-		if a.state.load() == attemptAbandoned && outcome == policy.ConnectionLost {
-			outcome = a.abandonedAs
-		}
+		outcome := a.outcomeOf(err)
 		if outcome == policy.Succeeded {
 			a.request.finish(Step{Action: Respond, Response: response})
 		}
--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -1,8 +1,6 @@
 package dispatch
 
 import (
-	"maps"
-	"slices"
 	"sync"
 	"time"
 
@@ -11,37 +9,49 @@
 	"fawnplank/policy"
 )
 
-// Counter adds units to counts that all instances share. Add must not block; it may leave the sending to
-// Flush. The results are passed to HandleCounterResult.
+// Counter adds units to counts that all instances share. For every call of Add it calls
+// Dispatcher.HandleCounterResult once, in the order of the calls for a key.
 type Counter interface {
+	// Add adds units to a count, which may be dropped after lifetime. It is called with the dispatcher's lock
+	// held, so it must neither block nor report from within the call. It may leave the sending to Flush.
 	Add(key policy.CounterKey, units float64, lifetime time.Duration)
+	// Flush sends what Add has left. It is called without the dispatcher's lock, by several goroutines at once.
 	Flush()
 }
 
-// HealthChecker checks a backend and passes the result to HandleHealthCheck. CheckHealth must not block.
+// HealthChecker checks backends.
 type HealthChecker interface {
+	// CheckHealth starts a check and passes its result to Dispatcher.HandleHealthCheck. It must not block. It is
+	// called without the dispatcher's lock, by several goroutines at once.
 	CheckHealth(backend policy.BackendID)
 }
 
-// EndpointWatcher starts to watch the list of backends, which it passes to UpdateEndpoints. WatchEndpoints
-// must not block; it is called with the dispatcher's lock held.
+// EndpointWatcher watches the list of backends.
 type EndpointWatcher interface {
+	// WatchEndpoints asks for the list, which is passed to Dispatcher.UpdateEndpoints. It is called with the
+	// dispatcher's lock held, so it must neither block nor report from within the call.
 	WatchEndpoints()
 }
 
 // Config configures a dispatcher; it is passed to Start.
 type Config struct {
 	// Seed is the seed of the engine's random number generator.
-	Seed     uint64
+	Seed uint64
+	// Settings are the engine's settings. UpdateSettings replaces them.
 	Settings policy.Settings
-	// Each of the following may be nil if the settings never use it: Counter if no plan has a rate,
-	// HealthChecker if health checks are off, EndpointWatcher if no failed update is ever reported.
-	Counter         Counter
-	HealthChecker   HealthChecker
+	// Counter may be nil if no plan has a rate.
+	Counter Counter
+	// HealthChecker may be nil if health checks are off.
+	HealthChecker HealthChecker
+	// EndpointWatcher may be nil if no failed update is ever reported.
 	EndpointWatcher EndpointWatcher
 }
 
-// Dispatcher runs the engine of one instance, with its clock, its timers and its requests in flight.
+// initialAlarm is how long the alarm of a new dispatcher runs. Start sets it to the engine's first timer.
+const initialAlarm = time.Hour
+
+// Dispatcher runs the engine of one instance, with its clock, its timers and its requests in flight. Its
+// methods are safe for concurrent use after Start and before Stop.
 type Dispatcher struct {
 	startedAt time.Time      // the monotonic clock's reading at New
 	epoch     policy.Instant // the same moment, as Unix time
@@ -58,11 +68,11 @@
 	requests    map[policy.RequestID]*Request
 	lastRequest policy.RequestID
 	timers      timerqueue.Queue[timer]
-	alarm       *time.Timer
-	wallNow     func() policy.Instant // the wall clock, as Unix time
-	starts      startTimes            // of backends
+	alarm       *time.Timer           // wakes runTimers
 	alarmAt     policy.Instant        // when the alarm goes off; zero: not set
 	latestWake  policy.TimerID        // the latest wake-up that replaces earlier ones
+	wallNow     func() policy.Instant // the wall clock, as Unix time
+	starts      startTimes            // of backends
 	// What the engine requested during a call; it is carried out once that call has returned.
 	endedAttempts []endedAttempt
 	networkWork   networkWork
@@ -88,7 +98,7 @@
 		wallNow:   func() policy.Instant { return monotime.FromNanos(time.Now().UnixNano()) },
 		stopped:   make(chan struct{}),
 		requests:  map[policy.RequestID]*Request{},
-		alarm:     time.NewTimer(time.Hour),
+		alarm:     time.NewTimer(initialAlarm),
 	}
 	d.epoch = monotime.FromNanos(d.startedAt.UnixNano())
 	return d
@@ -164,45 +174,17 @@
 	d.do(func(policy.Instant) { d.engine.UpdateSettings(settings) })
 }
 
-// UpdateEndpoints passes the list of backends, or changes to it, to the engine. It cancels attempts that
-// still wait for a connection to a backend now known to be draining or gone: connecting may take longer than
-// the backend stays up.
-func (d *Dispatcher) UpdateEndpoints(kind policy.UpdateKind, endpoints []policy.Endpoint) {
-	d.do(func(now policy.Instant) {
-		endpoints := d.starts.translate(now, d.wallNow(), kind, endpoints)
-		d.engine.UpdateEndpoints(now, kind, endpoints)
-		d.cancelUnusableAttempts(kind, endpoints)
-	})
-}
-
-// cancelUnusableAttempts cancels attempts that have not started and whose backends the update takes out of
-// use.
-func (d *Dispatcher) cancelUnusableAttempts(kind policy.UpdateKind, endpoints []policy.Endpoint) {
-	states := make(map[policy.BackendID]policy.EndpointState, len(endpoints))
-	for _, endpoint := range endpoints {
-		states[endpoint.Backend] = endpoint.State
-	}
-	isSnapshot := kind == policy.FullSnapshot || kind == policy.CachedSnapshot
-	for _, id := range slices.Sorted(maps.Keys(d.requests)) { // fixed order: so is that of the effects
-		for _, attempt := range d.requests[id].attempts {
-			state, listed := states[attempt.Backend]
-			outOfUse := listed && state != policy.EndpointReady || !listed && isSnapshot
-			if outOfUse && attempt.state.load() == attemptWaiting {
-				attempt.cancel(policy.NotSent)
-			}
-		}
-	}
-}
-
-// HandleCounterResult passes the result of the oldest unanswered counter call for the key to the engine.
+// HandleCounterResult passes the result of the oldest unanswered counter call for the key to the engine: the
+// count after the call, in units, or the error with which the call ended, as for Attempt.Report.
 func (d *Dispatcher) HandleCounterResult(key policy.CounterKey, total float64, err error) {
 	result := policy.CounterResult{Key: key, Outcome: outcomeOf(err), Total: total}
 	d.do(func(now policy.Instant) { d.engine.HandleCounterResult(now, result) })
 }
 
-// HandleHealthCheck passes the result of a health check to the engine.
+// HandleHealthCheck passes the result of a health check to the engine: nil, or an error as for Attempt.Report.
 func (d *Dispatcher) HandleHealthCheck(backend policy.BackendID, err error) {
-	d.do(func(now policy.Instant) { d.engine.HandleHealthCheck(now, backend, outcomeOf(err)) })
+	outcome := outcomeOf(err)
+	d.do(func(now policy.Instant) { d.engine.HandleHealthCheck(now, backend, outcome) })
 }
 
 // QuotaStatus returns what is known of a tenant's quota. It counts nothing. ok is false if there is no such
--- a/internal/dispatch/effects.go
+++ b/internal/dispatch/effects.go
@@ -8,6 +8,9 @@
 	"fawnplank/policy"
 )
 
+// engineLogComponent names the engine, which asks for the entry, in the log.
+const engineLogComponent = "policy"
+
 // effects is the dispatcher as the engine sees it. The engine calls these methods while it handles a call
 // from the dispatcher, so the dispatcher's lock is held, and no method may block or call the engine back.
 type effects struct {
@@ -19,31 +22,37 @@
 // Send creates an attempt and passes it to the request's owner. If maxPendingAttempts attempts wait already,
 // the new one is not sent, which is reported to the engine once its call has returned.
 func (e effects) Send(spec policy.AttemptSpec) {
-	d := e.dispatcher
-	request := d.requests[spec.Request]
-	deadline := request.deadline
-	if !spec.ExpiresAt.IsZero() {
-		deadline = monotime.Earlier(deadline, spec.ExpiresAt)
+	request := e.dispatcher.requests[spec.Request]
+	attempt := request.newAttempt(spec)
+	if len(request.steps) == maxPendingAttempts {
+		attempt.cancelWaiting(policy.NotSent)
+		return
 	}
+	e.dispatcher.pushDeadlines(attempt)
+	request.steps <- attempt
+}
+
+// newAttempt adds an attempt to the request. The caller holds the dispatcher's lock.
+func (r *Request) newAttempt(spec policy.AttemptSpec) *Attempt {
 	attempt := &Attempt{
 		Backend:     spec.Backend,
-		request:     request,
-		id:          policy.AttemptID(len(request.attempts)),
-		createdAt:   d.now(),
-		deadline:    deadline,
+		request:     r,
+		id:          policy.AttemptID(len(r.attempts)),
+		createdAt:   r.dispatcher.now(),
+		deadline:    r.attemptDeadline(spec),
 		startBefore: spec.StartBefore,
 	}
-	request.attempts = append(request.attempts, attempt)
-	if len(request.steps) == maxPendingAttempts {
-		attempt.state.store(attemptCanceled)
-		d.noteEnded(attempt, policy.NotSent)
-		return
-	}
-	d.timers.Push(attempt.deadline, timer{kind: resultDeadline, attempt: attempt})
-	if attempt.startBefore.Before(attempt.deadline) {
-		d.timers.Push(attempt.startBefore, timer{kind: startDeadline, attempt: attempt})
+	r.attempts = append(r.attempts, attempt)
+	return attempt
+}
+
+// attemptDeadline returns how long the dispatcher waits for an attempt's result: until the client gives up, or
+// until the engine does if that is earlier.
+func (r *Request) attemptDeadline(spec policy.AttemptSpec) policy.Instant {
+	if spec.ExpiresAt.IsZero() {
+		return r.deadline
 	}
-	request.steps <- attempt
+	return monotime.Earlier(r.deadline, spec.ExpiresAt)
 }
 
 // Cancel cancels an attempt if it has not ended yet.
@@ -96,5 +105,8 @@
 
 // LogUnknown writes a warning to the log.
 func (e effects) LogUnknown(class policy.ClassID, plan policy.PlanID) {
-	logging.For("policy").WithField("class", class).WithField("plan", plan).Warn("request aborted: unknown class or plan")
+	logging.For(engineLogComponent).
+		WithField("class", class).
+		WithField("plan", plan).
+		Warn("request aborted: unknown class or plan")
 }
--- a/internal/dispatch/errors.go
+++ b/internal/dispatch/errors.go
@@ -3,14 +3,12 @@
 import (
 	"errors"
 	"fmt"
-
-	"fawnplank/policy"
 )
 
-// Progress is how far an attempt or a call had got when it failed.
+// Progress is how far an attempt, or a call to the counter, had got when it failed.
 type Progress uint8
 
-// The stages of an attempt, in order. Before Written the request cannot have run.
+// The stages of an attempt or a call, in order. Before Written nothing can have run.
 const (
 	Dialing   Progress = iota // there was no connection yet
 	Writing                   // a part may have been written, but not the last byte
@@ -32,7 +30,8 @@
 	return "unknown"
 }
 
-// NetworkError is a network failure, with how far the attempt had got.
+// NetworkError is a network failure, with how far the attempt or the call had got. Progress decides whether a
+// request that must not run twice may be sent again.
 type NetworkError struct {
 	Progress Progress
 	Err      error
@@ -43,6 +42,7 @@
 // Unwrap returns the underlying network error.
 func (e *NetworkError) Unwrap() error { return e.Err }
 
+// How an attempt, a call to the counter or a health check ends without a network failure.
 var (
 	// ErrRejected is an answer that proves that nothing ran.
 	ErrRejected = errors.New("rejected")
@@ -51,23 +51,3 @@
 	// ErrTimeout is a call or a health check that got no answer.
 	ErrTimeout = errors.New("no answer in time")
 )
-
-// outcomeOf returns what an error says about whether the attempt has run. An unknown error counts as a
-// connection that was lost while it carried the attempt.
-func outcomeOf(err error) policy.Outcome {
-	if err == nil {
-		return policy.Succeeded
-	}
-	var networkError *NetworkError
-	switch {
-	case errors.Is(err, ErrRejected):
-		return policy.Rejected
-	case errors.Is(err, ErrBackendFailed):
-		return policy.Failed
-	case errors.Is(err, ErrTimeout):
-		return policy.TimedOut
-	case errors.As(err, &networkError) && networkError.Progress < Written:
-		return policy.ConnectFailed
-	}
-	return policy.ConnectionLost
-}
--- a/internal/dispatch/request.go
+++ b/internal/dispatch/request.go
@@ -37,17 +37,17 @@
 	return "unknown"
 }
 
-// Step is the next thing to do for a request.
+// Step is the next thing to do for a request. Each field but Action belongs to one action.
 type Step struct {
 	Action     Action
 	Attempt    *Attempt      // of Send
 	Response   []byte        // of Respond
-	RetryAfter time.Duration // of Reject; 0: no advice
+	RetryAfter time.Duration // of Reject; 0: the client is not told when to come back
 }
 
 // maxPendingAttempts is how many attempts of a request may wait for NextStep. The request's owner calls
-// NextStep at once, so even two waiting attempts are rare, whatever the settings allow; eight leave a wide
-// margin.
+// NextStep at once, so even two waiting attempts are rare, whatever the settings allow. An attempt beyond them
+// ends as NotSent, since waiting would block the engine.
 const maxPendingAttempts = 8
 
 // RequestSpec describes a request.
@@ -55,17 +55,19 @@
 	Class  policy.ClassID
 	Plan   policy.PlanID
 	Tenant policy.TenantID
-	// Timeout is the time until the client gives up.
+	// Timeout is the time until the client gives up. A request without any time left is answered at once.
 	Timeout time.Duration
-	Units   float64
+	// Units is what the request adds to its tenant's count.
+	Units float64
 	// The tenant's requests arrive through EntryPoints consecutive instances, the first of which is
 	// FirstInstance.
 	EntryPoints   int
 	FirstInstance int
 }
 
-// Request is a request in flight. The dispatcher's lock guards its fields, except those that Submit sets and
-// finalStep, which is set before its reader is woken.
+// Request is a request in flight. Its methods are safe for concurrent use, but NextStep has one caller at a
+// time. The dispatcher's lock guards its fields, except those that Submit sets and finalStep, which is set before
+// its reader is woken.
 type Request struct {
 	dispatcher    *Dispatcher
 	id            policy.RequestID
@@ -137,12 +139,10 @@
 
 // cancelWaitingAttempts cancels the attempts that still wait for a connection. Without it, if the settings
 // allow no cancellation, such an attempt would be written after the final answer or after the client has
-// gone. The attempt ends as NotSent, which does not count against its backend.
+// gone. The attempts end as NotSent, which does not count against their backends.
 func (r *Request) cancelWaitingAttempts() {
 	for _, attempt := range r.attempts {
-		if attempt.state.leaveWaiting(attemptCanceled) {
-			r.dispatcher.noteEnded(attempt, policy.NotSent)
-		}
+		attempt.cancelWaiting(policy.NotSent)
 	}
 }
 
--- a/internal/dispatch/start_times.go
+++ b/internal/dispatch/start_times.go
@@ -1,6 +1,7 @@
 package dispatch
 
 import (
+	"slices"
 	"time"
 
 	"fawnplank/internal/monotime"
@@ -8,12 +9,28 @@
 )
 
 // minClockStep is the least difference between the wall clock and the dispatcher's clock that counts as a step
-// of the wall clock. Slewing keeps clocks within far less.
+// of the wall clock. Slewing keeps them within far less.
 const minClockStep = time.Second
 
+// clockReadings are the readings of both clocks at one moment.
+type clockReadings struct {
+	now     policy.Instant // the dispatcher's clock, which ignores steps of the wall clock
+	wallNow policy.Instant // the wall clock
+}
+
+// step returns how far the wall clock has been stepped since the dispatcher started, and 0 if it has only been
+// slewed. It is below 0 after a step back.
+func (c clockReadings) step() time.Duration {
+	step := c.wallNow.Sub(c.now)
+	if max(step, -step) < minClockStep {
+		return 0
+	}
+	return step
+}
+
 // startTimes translates the starts of backends, which discovery states on the wall clock, to the dispatcher's
-// clock, which ignores steps of the wall clock. Without it, a backend that starts after a step of an hour back
-// would count as warm at once.
+// clock. Without it, a backend that starts after the wall clock was stepped an hour back would count as warm at
+// once.
 //
 // A start that was translated keeps its value while discovery states the same one, because a start that
 // changes means another incarnation. It is not safe for concurrent use.
@@ -21,13 +38,15 @@
 	known map[policy.BackendID]startTime
 }
 
-// startTime is a start as it was stated, and on the dispatcher's clock.
-type startTime struct{ stated, translated policy.Instant }
+// startTime is a backend's start on both clocks.
+type startTime struct {
+	stated     policy.Instant // as discovery states it
+	translated policy.Instant // on the dispatcher's clock
+}
 
-// translate returns the endpoints of an update with translated starts. now is the dispatcher's time, and
-// wallNow the wall clock's.
+// translate returns the endpoints of an update with translated starts.
 func (s *startTimes) translate(
-	now, wallNow policy.Instant, kind policy.UpdateKind, endpoints []policy.Endpoint,
+	clocks clockReadings, kind policy.UpdateKind, endpoints []policy.Endpoint,
 ) []policy.Endpoint {
 	if len(endpoints) == 0 {
 		return endpoints
@@ -36,7 +55,7 @@
 	if kind != policy.Delta || previous == nil {
 		s.known = make(map[policy.BackendID]startTime, len(endpoints))
 	}
-	translated := append([]policy.Endpoint(nil), endpoints...)
+	translated := slices.Clone(endpoints)
 	for n := range translated {
 		endpoint := &translated[n]
 		if endpoint.State == policy.EndpointGone {
@@ -45,7 +64,10 @@
 		}
 		start, found := previous[endpoint.Backend]
 		if !found || start.stated != endpoint.StartedAt {
-			start = startTime{endpoint.StartedAt, translateStart(now, wallNow, endpoint.StartedAt)}
+			start = startTime{
+				stated:     endpoint.StartedAt,
+				translated: translateStart(clocks, endpoint.StartedAt),
+			}
 		}
 		s.known[endpoint.Backend] = start
 		endpoint.StartedAt = start.translated
@@ -53,17 +75,16 @@
 	return translated
 }
 
-// translateStart returns a start on the dispatcher's clock. After a step it is not known whether the start was
-// stated before or after it: the later of the two possible moments that have passed is taken, so that a
-// backend rather counts as warming up for too long.
-func translateStart(now, wallNow, stated policy.Instant) policy.Instant {
-	step := wallNow.Sub(now)
-	if stated.IsZero() || max(step, -step) < minClockStep {
+// translateStart returns a start on the dispatcher's clock; zero, which means long ago, stays zero. After a
+// step it is not known whether the start was stated before or after it: the later of the two possible moments
+// that have passed is taken, so that a backend rather counts as warming up for too long.
+func translateStart(clocks clockReadings, stated policy.Instant) policy.Instant {
+	if stated.IsZero() {
 		return stated
 	}
-	afterStep := stated.Add(-step)
+	afterStep := stated.Add(-clocks.step())
 	later := monotime.Later(stated, afterStep)
-	if later.After(now) {
+	if later.After(clocks.now) {
 		return monotime.Earlier(stated, afterStep)
 	}
 	return later
--- a/internal/dispatch/start_times_test.go
+++ b/internal/dispatch/start_times_test.go
@@ -27,7 +27,7 @@
 		{"stated after a step forward", now.Add(hour), now.Add(hour - age), started},
 		{"stated before a step forward", now.Add(hour), started, started},
 	} {
-		if got := translateStart(now, test.wallNow, test.stated); got != test.want {
+		if got := translateStart(clockReadings{now: now, wallNow: test.wallNow}, test.stated); got != test.want {
 			t.Errorf("%s: %v from now, want %v", test.name, got.Sub(now), test.want.Sub(now))
 		}
 	}
--- a/internal/dispatch/timers.go
+++ b/internal/dispatch/timers.go
@@ -7,15 +7,30 @@
 	"fawnplank/policy"
 )
 
+// logComponent names this package in the log.
+const logComponent = "dispatch"
+
 // timerKind is what to do when a timer expires.
 type timerKind uint8
 
 const (
-	wakeUp         timerKind = iota // the engine asked for a call
-	startDeadline                   // the latest time for the attempt to start
-	resultDeadline                  // the dispatcher stops waiting for the attempt's result
+	wakeUp         timerKind = iota // call the engine, which has asked for it
+	startDeadline                   // cancel the attempt if it has not started: Attempt.mayStart is false now
+	resultDeadline                  // end the attempt as timed out
 )
 
+func (k timerKind) String() string {
+	switch k {
+	case wakeUp:
+		return "wake-up"
+	case startDeadline:
+		return "start deadline"
+	case resultDeadline:
+		return "result deadline"
+	}
+	return "unknown"
+}
+
 // timer is an entry of the timer queue.
 type timer struct {
 	kind    timerKind
@@ -23,19 +38,29 @@
 	attempt *Attempt       // of the others
 }
 
-// isObsolete reports whether there is nothing left to do when the timer expires.
+// isObsolete reports whether there is nothing left to do when the timer expires. The caller holds the lock.
 func (d *Dispatcher) isObsolete(t timer) bool {
 	switch t.kind {
 	case wakeUp:
 		return t.id != 0 && t.id != d.latestWake
 	case startDeadline:
 		return t.attempt.state.load() != attemptWaiting
-	default:
+	case resultDeadline:
 		return t.attempt.state.load() == attemptSettled
 	}
+	return true
+}
+
+// pushDeadlines sets the timers of a new attempt. One to start is needed only if it expires before the one that
+// ends the attempt anyway.
+func (d *Dispatcher) pushDeadlines(attempt *Attempt) {
+	d.timers.Push(attempt.deadline, timer{kind: resultDeadline, attempt: attempt})
+	if attempt.startBefore.Before(attempt.deadline) {
+		d.timers.Push(attempt.startBefore, timer{kind: startDeadline, attempt: attempt})
+	}
 }
 
-// setAlarm sets the alarm for the earliest timer that is not obsolete.
+// setAlarm sets the alarm for the earliest timer that is not obsolete. The caller holds the lock.
 func (d *Dispatcher) setAlarm() {
 	next, ok := d.timers.NextDue(d.isObsolete)
 	if !ok || next == d.alarmAt {
@@ -61,7 +86,7 @@
 func (d *Dispatcher) expireTimers() {
 	defer func() {
 		if reason := recover(); reason != nil {
-			logging.Panicked("dispatch", reason, debug.Stack())
+			logging.Panicked(logComponent, reason, debug.Stack())
 		}
 	}()
 	d.do(func(now policy.Instant) {
@@ -82,7 +107,7 @@
 		d.engine.HandleTimer(d.now(), t.id)
 	case startDeadline:
 		t.attempt.cancel(policy.ConnectFailed)
-	default:
+	case resultDeadline:
 		t.attempt.cancel(policy.TimedOut)
 	}
 }
