--- a/internal/dispatch/attempt_test.go
+++ b/internal/dispatch/attempt_test.go
@@ -2,9 +2,11 @@
 
 import (
 	"io"
+	"sync"
 	"testing"
 	"time"
 
+	"fawnplank/internal/monotime"
 	"fawnplank/policy"
 )
 
@@ -99,3 +101,40 @@
 		})
 	}
 }
+
+// TestAttempt_CancelWaitingSparesStarted guards against a race: an attempt that began between the check that it
+// still waits and its cancellation was reported as one that cannot have run, so that a non-idempotent request
+// could be sent again.
+func TestAttempt_CancelWaitingSparesStarted(t *testing.T) {
+	const (
+		rounds   = 200
+		attempts = 1000
+	)
+	draining := []policy.Endpoint{{Backend: 1, State: policy.EndpointDraining}}
+	for range rounds {
+		d := New()
+		request := &Request{dispatcher: d}
+		conns := make([]*fakeConn, attempts)
+		for i := range conns {
+			conns[i] = newFakeConn(false)
+			request.newAttempt(policy.AttemptSpec{Backend: 1, StartBefore: monotime.Latest})
+		}
+		d.requests[1] = request
+		var beginning sync.WaitGroup
+		begun := make([]bool, attempts)
+		beginning.Go(func() {
+			for i := range begun { // in the order of the cancellations, so that both meet often
+				begun[i] = request.attempts[i].Begin(conns[i])
+			}
+		})
+		d.mu.Lock()
+		d.cancelUnusableAttempts(newEndpointUpdate(policy.Delta, draining))
+		d.mu.Unlock()
+		beginning.Wait()
+		for i, conn := range conns {
+			if begun[i] && conn.isAbandoned() {
+				t.Fatalf("attempt %d was abandoned although it had begun", i)
+			}
+		}
+	}
+}
--- a/internal/dispatch/harness_test.go
+++ b/internal/dispatch/harness_test.go
@@ -150,6 +150,10 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.writing = false
+	return c.isAbandoned()
+}
+
+func (c *fakeConn) isAbandoned() bool {
 	select {
 	case <-c.abandoned:
 		return true
