--- a/policy/retry_after.go
+++ b/policy/retry_after.go
@@ -7,7 +7,7 @@
 )
 
 // Every Retry-After of the program comes from a rule of this file. It says when a rejected client should come
-// back, and is sent if Settings.RetryAfter allows.
+// back. Requests get one if Settings.RetryAfter allows; clients of the limit commands always do.
 
 const (
 	// retriesPerObjective is how many times a client without capacity may come back within its latency
@@ -18,6 +18,8 @@
 	// retryAfterSpread is the random part that is added, so that clients rejected together do not come back
 	// together.
 	retryAfterSpread = 0.25
+	// minRefillUnits is the size of the check that a client of the limit commands is expected to repeat.
+	minRefillUnits = 1
 )
 
 // retryAfterHardQuota returns when the hard quota has refilled the units that the request lacks.
@@ -56,3 +58,34 @@
 	spread := time.Duration(float64(retryAfter) * e.random.Float64() * retryAfterSpread)
 	return max(min(retryAfter+spread, e.settings.MaxRetryAfter), 0)
 }
+
+// RetryAfter returns when the plan's rate has refilled the quota to one unit, for a client that asks without
+// counting. isLimited is false if there is a unit now, or if the plan has no rate.
+//
+// Inputs: the quota's units and the units used; the rate in units a second.
+func (s QuotaStatus) RetryAfter() (retryAfter time.Duration, isLimited bool) {
+	if s.Rate <= 0 || s.Limit-s.Used >= minRefillUnits {
+		return 0, false
+	}
+	return s.refillTime(s.lackingUnits()), true
+}
+
+// RetryAfterRejection returns when a client of the limit commands should come back whose check was rejected
+// without a Retry-After: when the plan's rate has refilled what a check of one unit lacks, but at least one
+// unit, since the check was rejected whatever the status says. It is 0 if the plan has no rate.
+//
+// Inputs: the quota's units and the units used; the rate in units a second.
+func (s QuotaStatus) RetryAfterRejection() time.Duration {
+	if s.Rate <= 0 {
+		return 0
+	}
+	return s.refillTime(max(s.lackingUnits(), minRefillUnits))
+}
+
+// lackingUnits returns by how many units the quota is too low for a check of one unit.
+func (s QuotaStatus) lackingUnits() float64 { return s.Used + minRefillUnits - s.Limit }
+
+// refillTime returns how long the plan's rate takes to refill units.
+func (s QuotaStatus) refillTime(units float64) time.Duration {
+	return time.Duration(units / s.Rate * float64(time.Second))
+}
--- /dev/null
+++ b/policy/retry_after_test.go
@@ -0,0 +1,52 @@
+package policy
+
+import (
+	"testing"
+	"time"
+)
+
+func TestQuotaStatus_RetryAfter(t *testing.T) {
+	const rate = 4 // units a second
+	for name, test := range map[string]struct {
+		status        QuotaStatus
+		want          time.Duration
+		wantLimited   bool
+		wantRejection time.Duration
+	}{
+		"no rate": {
+			status: QuotaStatus{Limit: 10, Used: 10},
+		},
+		"a unit left": {
+			status:        QuotaStatus{Rate: rate, Limit: 10, Used: 9},
+			wantRejection: 250 * time.Millisecond,
+		},
+		"half a unit": {
+			status:        QuotaStatus{Rate: rate, Limit: 10, Used: 9.5},
+			want:          125 * time.Millisecond,
+			wantLimited:   true,
+			wantRejection: 250 * time.Millisecond,
+		},
+		"none left": {
+			status:        QuotaStatus{Rate: rate, Limit: 10, Used: 10},
+			want:          250 * time.Millisecond,
+			wantLimited:   true,
+			wantRejection: 250 * time.Millisecond,
+		},
+		"used up by 3": {
+			status:        QuotaStatus{Rate: rate, Limit: 10, Used: 13},
+			want:          time.Second,
+			wantLimited:   true,
+			wantRejection: time.Second,
+		},
+	} {
+		t.Run(name, func(t *testing.T) {
+			got, limited := test.status.RetryAfter()
+			if got != test.want || limited != test.wantLimited {
+				t.Errorf("%v, %t, want %v, %t", got, limited, test.want, test.wantLimited)
+			}
+			if got := test.status.RetryAfterRejection(); got != test.wantRejection {
+				t.Errorf("%v after a rejection, want %v", got, test.wantRejection)
+			}
+		})
+	}
+}
