--- a/internal/limitserver/account_commands.go
+++ b/internal/limitserver/account_commands.go
@@ -35,6 +35,13 @@
 	Account(tenant, plan string) (billing.Account, billing.Units, error)
 }
 
+// The number of fields in the arrays of the answers.
+const (
+	planChangeFields       = 3 // id, plan, time
+	reservationFields      = 5 // id, epoch, units left, expiry, holder
+	reservationStateFields = 3 // epoch, units left, expiry
+)
+
 // accountCommand is a command on accounts.
 type accountCommand struct {
 	arguments int // the required number of arguments; the first is the tenant
@@ -57,7 +64,7 @@
 
 // run returns out with the command's answer appended.
 func (c accountCommand) run(accounts Accounts, out []byte, words [][]byte) ([]byte, error) {
-	args, err := parseArguments(words)
+	args, err := newArguments(words)
 	if err != nil {
 		return nil, err
 	}
@@ -65,19 +72,18 @@
 }
 
 func schedulePlanChange(accounts Accounts, out []byte, args *arguments) ([]byte, error) {
-	momentNanos := args.momentNanos(3)
+	change := billing.PlanChange{ID: args.text(), Plan: args.text(), EffectiveNanos: args.momentNanos()}
 	if args.err != nil {
 		return nil, args.err
 	}
-	change := billing.PlanChange{ID: args.text(1), Plan: args.text(2), EffectiveNanos: momentNanos}
 	if err := accounts.SchedulePlanChange(args.tenant, change); err != nil {
 		return nil, err
 	}
-	return redcon.AppendInt(out, momentNanos/nanosPerMilli), nil
+	return redcon.AppendInt(out, change.EffectiveNanos/nanosPerMilli), nil
 }
 
 func cancelPlanChange(accounts Accounts, out []byte, args *arguments) ([]byte, error) {
-	if err := accounts.CancelPlanChange(args.tenant, args.text(1)); err != nil {
+	if err := accounts.CancelPlanChange(args.tenant, args.text()); err != nil {
 		return nil, err
 	}
 	return redcon.AppendOK(out), nil
@@ -85,11 +91,11 @@
 
 func reserve(accounts Accounts, out []byte, args *arguments) ([]byte, error) {
 	request := billing.ReservationRequest{
-		ID:         args.text(1),
-		Holder:     args.text(2),
-		Plan:       args.text(3),
-		Units:      args.units(4),
-		LeaseNanos: int64(args.lease(5)),
+		ID:         args.text(),
+		Holder:     args.text(),
+		Plan:       args.text(),
+		Units:      args.units(),
+		LeaseNanos: int64(args.lease()),
 	}
 	if args.err != nil {
 		return nil, args.err
@@ -99,38 +105,45 @@
 }
 
 func commitReservation(accounts Accounts, out []byte, args *arguments) ([]byte, error) {
-	epoch, units := args.epoch(2), args.units(3)
+	id := args.text()
+	epoch := args.epoch()
+	units := args.units()
 	if args.err != nil {
 		return nil, args.err
 	}
-	r, err := accounts.Commit(args.tenant, args.text(1), epoch, units)
+	r, err := accounts.Commit(args.tenant, id, epoch, units)
 	return appendReservation(out, r, err)
 }
 
 func renewReservation(accounts Accounts, out []byte, args *arguments) ([]byte, error) {
-	epoch, lease := args.epoch(2), args.lease(3)
+	id := args.text()
+	epoch := args.epoch()
+	lease := args.lease()
 	if args.err != nil {
 		return nil, args.err
 	}
-	r, err := accounts.Renew(args.tenant, args.text(1), epoch, lease)
+	r, err := accounts.Renew(args.tenant, id, epoch, lease)
 	return appendReservation(out, r, err)
 }
 
 func adoptReservation(accounts Accounts, out []byte, args *arguments) ([]byte, error) {
-	lease := args.lease(3)
+	id := args.text()
+	holder := args.text()
+	lease := args.lease()
 	if args.err != nil {
 		return nil, args.err
 	}
-	r, err := accounts.AdoptReservation(args.tenant, args.text(1), args.text(2), lease)
+	r, err := accounts.AdoptReservation(args.tenant, id, holder, lease)
 	return appendReservation(out, r, err)
 }
 
 func releaseReservation(accounts Accounts, out []byte, args *arguments) ([]byte, error) {
-	epoch := args.epoch(2)
+	id := args.text()
+	epoch := args.epoch()
 	if args.err != nil {
 		return nil, args.err
 	}
-	if err := accounts.Release(args.tenant, args.text(1), epoch); err != nil {
+	if err := accounts.Release(args.tenant, id, epoch); err != nil {
 		return nil, err
 	}
 	return redcon.AppendOK(out), nil
@@ -144,14 +157,14 @@
 	if r.ID == "" {
 		return redcon.AppendOK(out), nil
 	}
-	out = redcon.AppendArray(out, 3)
+	out = redcon.AppendArray(out, reservationStateFields)
 	out = redcon.AppendInt(out, int64(r.Epoch))
 	out = redcon.AppendBulkString(out, formatUnits(r.Remaining))
 	return redcon.AppendInt(out, r.ExpiresNanos/nanosPerMilli), nil
 }
 
 func unreservedUnits(accounts Accounts, out []byte, args *arguments) ([]byte, error) {
-	_, units, err := accounts.Account(args.tenant, args.text(1))
+	_, units, err := accounts.Account(args.tenant, args.text())
 	if err != nil {
 		return nil, err
 	}
@@ -165,7 +178,7 @@
 	}
 	out = redcon.AppendArray(out, len(account.Changes))
 	for _, change := range account.Changes {
-		out = redcon.AppendArray(out, 3)
+		out = redcon.AppendArray(out, planChangeFields)
 		out = redcon.AppendBulkString(out, change.ID)
 		out = redcon.AppendBulkString(out, change.Plan)
 		out = redcon.AppendInt(out, change.EffectiveNanos/nanosPerMilli)
@@ -180,7 +193,7 @@
 	}
 	out = redcon.AppendArray(out, len(account.Reservations))
 	for _, r := range account.Reservations {
-		out = redcon.AppendArray(out, 5)
+		out = redcon.AppendArray(out, reservationFields)
 		out = redcon.AppendBulkString(out, r.ID)
 		out = redcon.AppendInt(out, int64(r.Epoch))
 		out = redcon.AppendBulkString(out, formatUnits(r.Remaining))
--- a/internal/limitserver/arguments.go
+++ b/internal/limitserver/arguments.go
@@ -24,26 +24,26 @@
 	nanosPerMilli = 1e6
 )
 
-// arguments holds the arguments of a command on accounts. The first argument that cannot be parsed sets err.
-// A command parses all the arguments it needs and then checks err before it does anything.
+// arguments holds the arguments of a command on accounts. Each of its methods takes the next argument, and the
+// first one that cannot be parsed sets err. A command takes all its arguments and then checks err before it does
+// anything.
 type arguments struct {
 	tenant string
-	words  [][]byte
+	rest   [][]byte // not taken yet
 	err    error
 }
 
-// parseArguments checks the tenant, which is the first argument of every command. Its digits must be lower
-// case, because accounts are stored under them. The word "gestoria" in the error is the term used on the
-// wire.
-func parseArguments(words [][]byte) (*arguments, error) {
-	tenant := string(words[0])
+// newArguments takes the tenant, which is the first argument of every command. Its digits must be lower case,
+// because accounts are stored under them. The word "gestoria" in the error is the term used on the wire.
+func newArguments(all [][]byte) (*arguments, error) {
+	tenant := string(all[0])
 	number, err := strconv.ParseUint(tenant, 16, 64)
 	isCanonical := len(tenant) == tenantDigits && tenant == strings.ToLower(tenant)
 	if err != nil || !isCanonical || number >= tenantLimit {
 		return nil, fmt.Errorf("gestoria '%.20s' is no number of 16 small hexadecimal digits below 2^33",
 			tenant)
 	}
-	return &arguments{tenant: tenant, words: words}, nil
+	return &arguments{tenant: tenant, rest: all[1:]}, nil
 }
 
 // fail sets err, unless an earlier argument has set it already.
@@ -53,11 +53,15 @@
 	}
 }
 
-// text returns argument n as received.
-func (a *arguments) text(n int) string { return string(a.words[n]) }
+// text takes an argument as received.
+func (a *arguments) text() string {
+	text := string(a.rest[0])
+	a.rest = a.rest[1:]
+	return text
+}
 
-// integer returns argument n as an integer.
-func (a *arguments) integer(n int) int64 { return a.parseInteger(a.text(n)) }
+// integer takes an integer.
+func (a *arguments) integer() int64 { return a.parseInteger(a.text()) }
 
 func (a *arguments) parseInteger(text string) int64 {
 	x, err := strconv.ParseInt(text, 10, 64)
@@ -67,14 +71,15 @@
 	return x
 }
 
-// epoch returns argument n as the epoch of a reservation.
-func (a *arguments) epoch(n int) uint64 { return uint64(a.integer(n)) }
+// epoch takes the epoch of a reservation.
+func (a *arguments) epoch() uint64 { return uint64(a.integer()) }
 
-// units returns argument n as units.
-func (a *arguments) units(n int) billing.Units {
-	x, err := strconv.ParseFloat(a.text(n), 64)
+// units takes a number of units.
+func (a *arguments) units() billing.Units {
+	text := a.text()
+	x, err := strconv.ParseFloat(text, 64)
 	if err != nil {
-		a.fail("units '%.20s' are no number", a.text(n))
+		a.fail("units '%.20s' are no number", text)
 	}
 	if a.err != nil {
 		return 0
@@ -84,15 +89,15 @@
 	return units
 }
 
-// lease returns argument n, a number of milliseconds, as a duration.
-func (a *arguments) lease(n int) time.Duration {
-	return time.Duration(min(a.integer(n), maxLeaseMillis)) * time.Millisecond
+// lease takes a number of milliseconds.
+func (a *arguments) lease() time.Duration {
+	return time.Duration(min(a.integer(), maxLeaseMillis)) * time.Millisecond
 }
 
-// momentNanos returns argument n as a Unix time in nanoseconds. The argument is in milliseconds since 1970
-// or, with a plus sign, from now.
-func (a *arguments) momentNanos(n int) int64 {
-	text, fromNow := strings.CutPrefix(a.text(n), "+")
+// momentNanos takes a time, in milliseconds since 1970 or, with a plus sign, from now. It returns it as Unix time
+// in nanoseconds.
+func (a *arguments) momentNanos() int64 {
+	text, fromNow := strings.CutPrefix(a.text(), "+")
 	nanos := a.parseInteger(text) * nanosPerMilli
 	if fromNow {
 		return nanos + time.Now().UnixMilli()*nanosPerMilli
--- a/internal/limitserver/check.go
+++ b/internal/limitserver/check.go
@@ -17,15 +17,15 @@
 }
 
 // startCheck submits a check to be counted; finishChecks answers it.
-func (b *batch) startCheck(word string, args [][]byte) {
+func (b *batch) startCheck(name string, args [][]byte) {
 	spec, err := b.settings.parseCheck(args)
 	if err != nil {
 		b.finishChecks()
-		b.fail(word, err)
+		b.fail(name, err)
 		return
 	}
 	timeUnit := time.Millisecond
-	if word == "CL.THROTTLE" {
+	if name == throttleCommand {
 		timeUnit = time.Second
 	}
 	b.checks = append(b.checks, check{
@@ -77,7 +77,7 @@
 func (b *batch) peek(args [][]byte) {
 	query, err := b.settings.parsePeek(args)
 	if err != nil {
-		b.fail("LIMIT.PEEK", err)
+		b.fail(peekCommand, err)
 		return
 	}
 	quota, _ := b.server.dispatcher.QuotaStatus(query) // without the plan, the answer states no quota
--- a/internal/limitserver/commands.go
+++ b/internal/limitserver/commands.go
@@ -12,9 +12,20 @@
 	"fawnplank/internal/authz"
 )
 
-// maxWordBytes is how many bytes of a command's first word are considered: more than any command has, and few
-// enough to repeat in an error.
-const maxWordBytes = 32
+// The names of the commands on limits.
+const (
+	checkCommand    = "LIMIT.CHECK"
+	peekCommand     = "LIMIT.PEEK"
+	throttleCommand = "CL.THROTTLE"
+)
+
+const (
+	// maxNameBytes is how many bytes of a command's name are considered: more than any command has, and few
+	// enough to repeat in an error.
+	maxNameBytes = 32
+	// authArguments is the number of arguments of AUTH: name and secret.
+	authArguments = 2
+)
 
 var (
 	errArity = errors.New("wrong number of arguments")
@@ -47,18 +58,18 @@
 
 // answer answers a command, or starts it if it is a check. It returns whether the connection must end.
 func (b *batch) answer(command redcon.Command) (quit bool) {
-	word := commandWord(command)
-	if !b.mayRun(word) {
+	name := commandName(command)
+	if !b.mayRun(name) {
 		b.finishChecks()
-		b.refuse(word)
+		b.refuse(name)
 		return false
 	}
-	if word == "LIMIT.CHECK" || word == "CL.THROTTLE" {
-		b.startCheck(word, command.Args[1:])
+	if name == checkCommand || name == throttleCommand {
+		b.startCheck(name, command.Args[1:])
 		return false
 	}
 	b.finishChecks()
-	switch word {
+	switch name {
 	case "PING":
 		b.answers = redcon.AppendString(b.answers, "PONG")
 	case "QUIT":
@@ -66,56 +77,56 @@
 		return true
 	case "COMMAND": // common clients send it at once, and accept an empty list
 		b.answers = redcon.AppendArray(b.answers, 0)
-	case "LIMIT.PEEK":
+	case peekCommand:
 		b.peek(command.Args[1:])
 	case "AUTH":
 		b.authenticate(command.Args[1:])
 	default:
-		b.answerOther(word, command.Args)
+		b.answerOther(name, command.Args)
 	}
 	return false
 }
 
-// commandWord returns a command's first word, in upper case and cut to maxWordBytes, or an empty string if
-// there is none.
-func commandWord(command redcon.Command) string {
+// commandName returns a command's name, in upper case and cut to maxNameBytes, or an empty string if there is
+// none.
+func commandName(command redcon.Command) string {
 	if len(command.Args) == 0 {
 		return ""
 	}
 	first := command.Args[0]
-	return strings.ToUpper(string(first[:min(len(first), maxWordBytes)]))
+	return strings.ToUpper(string(first[:min(len(first), maxNameBytes)]))
 }
 
 // mayRun reports whether the connection's rights allow a command. If the server has no accounts, it allows
 // commands on accounts, which are then answered as unknown commands for every client.
-func (b *batch) mayRun(word string) bool {
-	if requiredRight(word)&^b.rights == 0 {
+func (b *batch) mayRun(name string) bool {
+	if requiredRight(name)&^b.rights == 0 {
 		return true
 	}
-	_, onAccounts := accountCommands[word]
+	_, onAccounts := accountCommands[name]
 	return onAccounts && b.server.accounts == nil
 }
 
 // requiredRight returns the right that a command requires; 0 means none.
-func requiredRight(word string) authz.Right {
+func requiredRight(name string) authz.Right {
 	switch {
-	case word == "LIMIT.CHECK" || word == "LIMIT.PEEK" || word == "CL.THROTTLE":
+	case name == checkCommand || name == peekCommand || name == throttleCommand:
 		return authz.Check
-	case strings.HasSuffix(word, ".LIST") || word == "RESERVE.ROOM":
+	case strings.HasSuffix(name, ".LIST") || name == "RESERVE.ROOM":
 		return authz.Read
-	case strings.HasPrefix(word, "RESERVE."):
+	case strings.HasPrefix(name, "RESERVE."):
 		return authz.Reserve
-	case strings.HasPrefix(word, "PLAN."):
+	case strings.HasPrefix(name, "PLAN."):
 		return authz.Change
 	}
 	return 0
 }
 
 // refuse answers a command that the connection's rights do not allow.
-func (b *batch) refuse(word string) {
+func (b *batch) refuse(name string) {
 	b.server.failed.Add(1)
 	b.answers = redcon.AppendError(b.answers,
-		"NOPERM this connection has no key (AUTH name secret) that may "+strings.ToLower(word))
+		"NOPERM this connection has no key (AUTH name secret) that may "+strings.ToLower(name))
 }
 
 // authenticate sets the connection's rights to those of a key, or to none if the key or secret is wrong.
@@ -131,7 +142,7 @@
 
 // keyRights returns the rights of the key whose name and secret are given in args.
 func (s *Server) keyRights(args [][]byte) (authz.Right, error) {
-	if len(args) != 2 {
+	if len(args) != authArguments {
 		return 0, errArity
 	}
 	key, ok := s.keys[string(args[0])]
@@ -146,29 +157,29 @@
 }
 
 // answerOther answers a command on accounts, or an unknown command.
-func (b *batch) answerOther(word string, args [][]byte) {
-	command, ok := accountCommands[word]
+func (b *batch) answerOther(name string, args [][]byte) {
+	command, ok := accountCommands[name]
 	if !ok || b.server.accounts == nil {
-		b.fail("", fmt.Errorf("unknown command '%.32s'", printable(word)))
+		b.fail("", fmt.Errorf("unknown command '%.32s'", printable(name)))
 		return
 	}
 	if len(args)-1 != command.arguments {
-		b.fail(word, errArity)
+		b.fail(name, errArity)
 		return
 	}
 	answers, err := command.run(b.server.accounts, b.answers, args[1:])
 	if err != nil {
-		b.fail(word, errors.New(printable(err.Error())))
+		b.fail(name, errors.New(printable(err.Error())))
 		return
 	}
 	b.answers = answers
 }
 
 // fail answers a command with an error, and counts the failure.
-func (b *batch) fail(word string, err error) {
+func (b *batch) fail(name string, err error) {
 	b.server.failed.Add(1)
 	if errors.Is(err, errArity) {
-		err = fmt.Errorf("%w for '%s'", err, strings.ToLower(word))
+		err = fmt.Errorf("%w for '%s'", err, strings.ToLower(name))
 	}
 	b.answers = redcon.AppendError(b.answers, "ERR "+err.Error())
 }
