--- a/internal/counter/connection.go
+++ b/internal/counter/connection.go
@@ -4,18 +4,20 @@
 	"errors"
 	"net"
 	"runtime/debug"
-	"time"
 
 	"fawnplank/internal/dispatch"
 	"fawnplank/internal/logging"
 	"fawnplank/internal/sock"
 )
 
+// unansweredCallsField is the log field with how many calls were unanswered on a connection that ended.
+const unansweredCallsField = "calls"
+
 // readBufferBytes is the size of the read buffer. It holds many answers at once, since a single answer has at
 // most maxAnswerBytes.
 const readBufferBytes = 4096
 
-// Reasons for closing a connection.
+// Reasons for closing a connection. The log states them in the field "error" of "connection ended".
 var (
 	errAddressChanged  = errors.New("counter address changed")
 	errSilent          = errors.New("calls unanswered for too long")
@@ -41,8 +43,8 @@
 }
 
 // addCall appends a call to the outstanding ones. The caller holds the client's lock.
-func (conn *connection) addCall(added *call, units float64, lifetime time.Duration) {
-	conn.unwritten = conn.client.format.appendCall(conn.unwritten, added.key, units, lifetime)
+func (conn *connection) addCall(added *call, wire increment) {
+	conn.unwritten = conn.client.format.appendCall(conn.unwritten, wire)
 	conn.unwrittenCalls++
 	conn.calls = append(conn.calls, added)
 }
@@ -150,14 +152,16 @@
 }
 
 // handleAnswer ends the oldest call, and reports whether the connection may still be used. It may not if no
-// call was outstanding, if the answer was meaningless, or if the last call at an earlier address is answered.
+// call was outstanding, if the answer was meaningless, or if the last call at an earlier address is answered:
+// after the first two, answers and calls may not belong together any more.
 func (conn *connection) handleAnswer(total float64, err error) bool {
 	answered, isLast := conn.popCall()
 	if answered == nil {
 		return false
 	}
 	conn.client.endCall(answered, total, err)
-	return (err == nil || errors.Is(err, dispatch.ErrRejected)) && !isLast
+	isMeaningful := err == nil || errors.Is(err, dispatch.ErrRejected)
+	return isMeaningful && !isLast
 }
 
 // popCall removes and returns the oldest outstanding call, or nil if there is none. isLast reports whether no
@@ -177,11 +181,11 @@
 }
 
 // close closes the connection and ends its calls. The units of calls that were written may have been added;
-// those of unwritten calls have not.
+// those of unwritten calls have not. No call is sent again: the caller decides by what the errors say.
 func (conn *connection) close(reason error) {
 	written, unwritten := conn.closeAndForget()
 	if count := len(written) + len(unwritten); count > 0 {
-		logging.For(logComponent).WithError(reason).WithField("calls", count).Debug("connection ended")
+		logging.For(logComponent).WithError(reason).WithField(unansweredCallsField, count).Debug("connection ended")
 	}
 	for _, outstanding := range written {
 		conn.client.endCall(outstanding, 0, dispatch.ErrTimeout)
--- a/internal/counter/format.go
+++ b/internal/counter/format.go
@@ -52,13 +52,32 @@
 	err   error
 }
 
+// increment is what a call adds to a count.
+type increment struct {
+	key      policy.CounterKey
+	units    float64
+	lifetime time.Duration // after which the service deletes the count
+}
+
+// Both formats have the key in hexadecimal digits and the lifetime in decimal ones.
+const (
+	keyBase      = 16
+	lifetimeBase = 10
+)
+
+// lifetimeMillis returns the lifetime on the wire, in milliseconds: rounded up and above 0, since a lifetime of 0
+// deletes the count at once.
+func (i increment) lifetimeMillis() int64 {
+	roundedUp := i.lifetime + time.Millisecond - 1
+	return max(int64(roundedUp/time.Millisecond), 1)
+}
+
 // appendCall appends the encoding of one call to buf.
-func (f Format) appendCall(buf []byte, key policy.CounterKey, units float64, lifetime time.Duration) []byte {
-	lifetimeMillis := max(int64((lifetime+time.Millisecond-1)/time.Millisecond), 1)
+func (f Format) appendCall(buf []byte, call increment) []byte {
 	if f == Text {
-		return appendTextCall(buf, key, units, lifetimeMillis)
+		return appendTextCall(buf, call)
 	}
-	return appendRESPCall(buf, key, units, lifetimeMillis)
+	return appendRESPCall(buf, call)
 }
 
 // parseAnswer parses the first answer in data. If an answer consists of two replies, pending carries the
--- a/internal/counter/format_test.go
+++ b/internal/counter/format_test.go
@@ -10,10 +10,11 @@
 func TestFormat_AppendCall(t *testing.T) {
 	want := "*3\r\n$11\r\nINCRBYFLOAT\r\n$2\r\n1f\r\n$4\r\n-2.5\r\n" +
 		"*4\r\n$7\r\nPEXPIRE\r\n$2\r\n1f\r\n$4\r\n4001\r\n$2\r\nNX\r\n"
-	if got := string(RESP.appendCall(nil, 0x1f, -2.5, 4_000_000_001)); got != want {
+	if got := string(RESP.appendCall(nil, increment{key: 0x1f, units: -2.5, lifetime: 4_000_000_001})); got != want {
 		t.Errorf("%q", got)
 	}
-	if got := string(Text.appendCall(nil, 0x1f, -2.5, 4_000_000_000)); got != "bump 1f -2.5 4000\r\n" {
+	want = "bump 1f -2.5 4000\r\n"
+	if got := string(Text.appendCall(nil, increment{key: 0x1f, units: -2.5, lifetime: 4_000_000_000})); got != want {
 		t.Errorf("%q", got)
 	}
 }
--- a/internal/counter/resp_format.go
+++ b/internal/counter/resp_format.go
@@ -7,7 +7,6 @@
 	"github.com/tidwall/redcon"
 
 	"fawnplank/internal/dispatch"
-	"fawnplank/policy"
 )
 
 const (
@@ -25,17 +24,21 @@
 	err      error
 }
 
-func appendRESPCall(buf []byte, key policy.CounterKey, units float64, lifetimeMillis int64) []byte {
-	name := strconv.FormatUint(uint64(key), 16)
-	buf = redcon.AppendArray(buf, 3)
-	buf = redcon.AppendBulkString(buf, "INCRBYFLOAT")
-	buf = redcon.AppendBulkString(buf, name)
-	buf = redcon.AppendBulkString(buf, strconv.FormatFloat(units, 'f', -1, 64))
-	buf = redcon.AppendArray(buf, 4)
-	buf = redcon.AppendBulkString(buf, "PEXPIRE")
-	buf = redcon.AppendBulkString(buf, name)
-	buf = redcon.AppendBulkString(buf, strconv.FormatInt(lifetimeMillis, 10))
-	return redcon.AppendBulkString(buf, "NX")
+// appendRESPCall appends the two commands of a call.
+func appendRESPCall(buf []byte, call increment) []byte {
+	name := strconv.FormatUint(uint64(call.key), keyBase)
+	units := strconv.FormatFloat(call.units, 'f', -1, float64Bits)
+	lifetime := strconv.FormatInt(call.lifetimeMillis(), lifetimeBase)
+	buf = appendRESPCommand(buf, "INCRBYFLOAT", name, units)
+	return appendRESPCommand(buf, "PEXPIRE", name, lifetime, "NX")
+}
+
+func appendRESPCommand(buf []byte, words ...string) []byte {
+	buf = redcon.AppendArray(buf, len(words))
+	for _, word := range words {
+		buf = redcon.AppendBulkString(buf, word)
+	}
+	return buf
 }
 
 // parseRESPAnswer parses one reply. It stores the first reply of an answer in pending. The second reply
@@ -84,7 +87,7 @@
 	if reply.Type == redcon.Error { // the command was refused, and nothing was added
 		return 0, dispatch.ErrRejected
 	}
-	total, err := strconv.ParseFloat(string(reply.Data), 64)
+	total, err := strconv.ParseFloat(string(reply.Data), float64Bits)
 	if err != nil || reply.Type != redcon.Bulk || !isFinite(total) {
 		return 0, &dispatch.NetworkError{Progress: dispatch.Answering, Err: errNoTotal}
 	}
--- a/internal/counter/text_format.go
+++ b/internal/counter/text_format.go
@@ -6,22 +6,26 @@
 	"strconv"
 
 	"fawnplank/internal/dispatch"
-	"fawnplank/policy"
 )
 
 // textAnswerStarts are the first bytes of the possible answers: ok, busy and error.
 const textAnswerStarts = "obe"
 
-func appendTextCall(buf []byte, key policy.CounterKey, units float64, lifetimeMillis int64) []byte {
+// float64Bits is the precision of the units in decimal digits.
+const float64Bits = 64
+
+// appendTextCall appends the line of a call.
+func appendTextCall(buf []byte, call increment) []byte {
 	buf = append(buf, "bump "...)
-	buf = strconv.AppendUint(buf, uint64(key), 16)
+	buf = strconv.AppendUint(buf, uint64(call.key), keyBase)
 	buf = append(buf, ' ')
-	buf = strconv.AppendFloat(buf, units, 'f', -1, 64)
+	buf = strconv.AppendFloat(buf, call.units, 'f', -1, float64Bits)
 	buf = append(buf, ' ')
-	buf = strconv.AppendInt(buf, lifetimeMillis, 10)
+	buf = strconv.AppendInt(buf, call.lifetimeMillis(), lifetimeBase)
 	return append(buf, "\r\n"...)
 }
 
+// parseTextAnswer parses a line. It does not wait for the end of one that cannot become an answer.
 func parseTextAnswer(data []byte) answer {
 	end := bytes.IndexByte(data, '\n')
 	if end >= 0 {
@@ -42,7 +46,7 @@
 		return 0, dispatch.ErrRejected
 	}
 	digits, ok := bytes.CutPrefix(line, []byte("ok "))
-	total, err := strconv.ParseFloat(string(digits), 64)
+	total, err := strconv.ParseFloat(string(digits), float64Bits)
 	if err != nil || !ok || !isFinite(total) {
 		return 0, &dispatch.NetworkError{Progress: dispatch.Answering, Err: errNoTotal}
 	}
