--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -12,15 +12,22 @@
 	"fawnplank/policy"
 )
 
-// Subscriber is notified of the list of backends, changes to it, and failures of the watch.
+// Subscriber is notified of the list of backends, changes to it, and failures of the watch. It is called by one
+// goroutine at a time.
 type Subscriber interface {
+	// UpdateEndpoints receives a list or, for policy.Delta, changes to it. policy.UpdateFailed, without endpoints,
+	// says that the watch failed and waits for the next Client.WatchEndpoints.
 	UpdateEndpoints(kind policy.UpdateKind, endpoints []policy.Endpoint)
 }
 
-// AddressBook is notified of where backends listen.
+// AddressBook is notified of where backends listen, before the Subscriber is notified of the backends. It is
+// called by one goroutine at a time.
 type AddressBook interface {
+	// SetAddress sets the only address of a backend, as host and port.
 	SetAddress(backend policy.BackendID, address string)
+	// SetAddresses sets the addresses of a backend that listens at several.
 	SetAddresses(backend policy.BackendID, addresses []netip.AddrPort)
+	// Forget removes a backend that is gone.
 	Forget(backend policy.BackendID)
 }
 
@@ -42,7 +49,10 @@
 // logComponent names this package in the log.
 const logComponent = "discovery"
 
-// Client tracks the list of backends.
+// maxIdleTime is how long a connection to the service may be idle, as it is between two calls after a failure.
+const maxIdleTime = time.Minute
+
+// Client tracks the list of backends. Its methods but LoadSnapshot are safe for concurrent use.
 type Client struct {
 	publisher *publisher
 	refresh   func()
@@ -62,19 +72,12 @@
 	mu             sync.Mutex // guards all fields below
 	url            string
 	addressVersion int // number of address changes so far
-	timeouts       timeouts
+	timeouts       policy.DiscoveryTimeouts
 	cancelPoll     context.CancelFunc // cancels the call in progress; nil before the first call
 	watching       bool               // the watch has been started
 	closed         bool               // nothing is started any more
 }
 
-// timeouts are the engine's limits on the duration of calls to the discovery service.
-type timeouts struct {
-	watch    time.Duration // how long the service holds a watch call that has no changes
-	lateness time.Duration // how much later than that the answer may arrive
-	snapshot time.Duration // how long a full snapshot may take
-}
-
 // New returns a client. It does nothing until LoadSnapshot, Publish or WatchEndpoints is called.
 func New(options Options) *Client {
 	ctx, cancel := context.WithCancel(context.Background())
@@ -84,21 +87,17 @@
 		publisher: newPublisher(options),
 		refresh:   options.Refresh,
 		http: http.Client{Transport: &http.Transport{
-			IdleConnTimeout:    time.Minute,
+			IdleConnTimeout:    maxIdleTime,
 			DisableCompression: true,
 			DialContext:        dialIPv4,
 		}},
 		requested: make(chan struct{}, 1),
 		url:       endpointsURL(options.Config.Discovery),
-		timeouts:  timeoutsOf(options.Config.Settings),
+		timeouts:  options.Config.Settings.DiscoveryTimeouts(),
 	}
 }
 
-func timeoutsOf(settings policy.Settings) timeouts {
-	bounds := settings.DiscoveryTimeouts()
-	return timeouts{watch: bounds.Watch, lateness: bounds.Lateness, snapshot: bounds.Snapshot}
-}
-
+// endpointsURL returns the URL of the list at the service's address.
 func endpointsURL(address string) string { return "http://" + address + "/v1/endpoints" }
 
 // Close ends the watch: it cancels the call in progress, and returns when the last update has been published
@@ -157,7 +156,7 @@
 func (c *Client) SetAddress(address string, settings policy.Settings) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.timeouts = timeoutsOf(settings)
+	c.timeouts = settings.DiscoveryTimeouts()
 	url := endpointsURL(address)
 	if url == c.url {
 		return
--- a/internal/discovery/doc.go
+++ b/internal/discovery/doc.go
@@ -9,4 +9,13 @@
 // before them. The watch is one goroutine, started by the first WatchEndpoints and ended by Close, which
 // waits for it. The client's lock is held neither while the AddressBook or the Subscriber is notified nor
 // during a call to the service, so WatchEndpoints may be called with the Subscriber's lock held.
+//
+//	when does the watch stop, and what does it ask for next?   watch.go
+//	how long may a call and its connection take?               poll.go
+//	which answers are refusals, which are failures?            poll.go
+//	what is a valid list?                                      list.go
+//	in which order is an update made known?                    publisher.go
+//
+// The delay before the next WatchEndpoints after a failure, and the durations of calls, are decided by package
+// policy (endpoint_watch.go).
 package discovery
--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -5,6 +5,8 @@
 	"fmt"
 	"net"
 	"net/netip"
+
+	"fawnplank/policy"
 )
 
 // The possible values of an endpoint's status.
@@ -16,16 +18,23 @@
 
 // Endpoint is a backend in a list.
 type Endpoint struct {
-	Name    string `json:"name"`
+	// Name identifies the backend. It is required.
+	Name string `json:"name"`
+	// Address is the backend's host and port. It is required unless the backend is removed.
 	Address string `json:"address"`
 	// Addresses is set only by another source than the discovery service: it holds all addresses of a backend,
 	// unless that has a single IPv4 address. If set, it replaces Address.
-	Addresses       []netip.AddrPort `json:"-"`
-	Zone            string           `json:"zone"`
-	Group           uint16           `json:"group"`
-	Status          string           `json:"status"` // StatusUp, StatusDraining or StatusRemoved
-	Weight          float64          `json:"weight"`
-	StartedAtMillis float64          `json:"since_ms"` // Unix time
+	Addresses []netip.AddrPort `json:"-"`
+	// Zone is the name of the backend's zone.
+	Zone string `json:"zone"`
+	// Group is the group of backends that know each other's idempotency keys.
+	Group uint16 `json:"group"`
+	// Status is StatusUp, StatusDraining or StatusRemoved. Any other counts as StatusDraining.
+	Status string `json:"status"`
+	// Weight is the backend's capacity, relative to the others.
+	Weight float64 `json:"weight"`
+	// StartedAtMillis is when the backend started, in milliseconds of Unix time. 0 means long ago.
+	StartedAtMillis float64 `json:"since_ms"`
 }
 
 // endpointList is a list in the discovery service's format.
@@ -35,6 +44,14 @@
 	Endpoints []Endpoint `json:"endpoints"`
 }
 
+// updateKind returns what a list from the service means to the engine.
+func (l *endpointList) updateKind() policy.UpdateKind {
+	if l.Snapshot {
+		return policy.FullSnapshot
+	}
+	return policy.Delta
+}
+
 // CheckSnapshot returns an error that says what is wrong with a list in the discovery service's format, such as
 // the one in the configuration. Empty text is valid.
 func CheckSnapshot(text []byte) error {
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -2,25 +2,18 @@
 
 import (
 	"context"
-	"errors"
-	"fmt"
-	"io"
-	"net/http"
 
 	"fawnplank/internal/logging"
 	"fawnplank/policy"
 )
 
-// maxListBytes bounds a list: it holds some ten thousand endpoints.
-const maxListBytes = 4 << 20
-
-// errRefused means that the discovery service answered that it has no capacity for the call.
-var errRefused = errors.New("refused")
+// failingField is the log field that says whether the watch of the discovery service fails.
+const failingField = "failing"
 
 // watchState is the state that the watch keeps from one poll to the next.
 type watchState struct {
 	needsSnapshot  bool // if false, the changes since the last list are enough
-	failing        bool // the last poll failed; an outage is logged once
+	failing        bool // the last poll failed
 	addressVersion int  // of the last poll
 }
 
@@ -38,8 +31,9 @@
 	}
 }
 
-// watchUntilFailure polls repeatedly. On a failure it notifies the subscriber and returns. The end of ctx is
-// no failure: it returns without notifying anybody.
+// watchUntilFailure polls repeatedly. On a failure it notifies the subscriber and returns: it does not wait and
+// ask again by itself, since the engine decides when. The end of ctx is no failure: it returns without
+// notifying anybody.
 func (c *Client) watchUntilFailure(ctx context.Context, state *watchState) {
 	for {
 		err := c.poll(ctx, state)
@@ -50,14 +44,11 @@
 			c.http.CloseIdleConnections()
 			continue
 		}
-		c.logOutage(state, err)
+		state.logOutage(err)
 		if err == nil {
 			continue
 		}
-		// The watch is broken, and the content of the lost answer is unknown, so a full snapshot is needed. After a
-		// refusal it is not: the service did not process the call, so the index is still valid, and a request for
-		// the changes since then costs the service less than a full snapshot.
-		state.needsSnapshot = state.needsSnapshot || !errors.Is(err, errRefused)
+		state.needsSnapshot = state.needsSnapshotAfter(err)
 		c.publisher.subscriber.UpdateEndpoints(policy.UpdateFailed, nil)
 		return
 	}
@@ -69,95 +60,24 @@
 	return c.addressVersion != state.addressVersion
 }
 
-// logOutage logs the beginning and the end of an outage.
-func (c *Client) logOutage(state *watchState, err error) {
+// needsSnapshotAfter reports whether the poll after a failed one must ask for a full snapshot. It must if the
+// content of a lost answer is unknown. After a refusal it need not: the service did not process the call, so the
+// index is still valid, and the changes since then cost the service less than a full snapshot.
+func (s *watchState) needsSnapshotAfter(err error) bool {
+	return s.needsSnapshot || !isRefusal(err)
+}
+
+// logOutage logs the beginning and the end of an outage, so that an outage of many polls is two entries.
+func (s *watchState) logOutage(err error) {
 	failing := err != nil
-	if failing == state.failing {
+	if failing == s.failing {
 		return
 	}
-	state.failing = failing
-	entry := logging.For(logComponent).WithField("failing", failing)
+	s.failing = failing
+	entry := logging.For(logComponent).WithField(failingField, failing)
 	if failing {
 		entry.WithError(err).Warn("endpoint watch failed")
 		return
 	}
 	entry.Warn("endpoint watch resumed")
 }
-
-// poll makes one call, for a full snapshot or for the changes since the last list, and publishes the answer.
-func (c *Client) poll(ctx context.Context, state *watchState) (err error) {
-	defer func() {
-		if cause := recover(); cause != nil {
-			err = fmt.Errorf("panic: %v", cause)
-		}
-	}()
-	call := c.nextCall(ctx, state)
-	defer call.cancel()
-	list, err := c.fetch(call)
-	if err != nil {
-		return err
-	}
-	state.needsSnapshot = false
-	kind := policy.Delta
-	if list.Snapshot {
-		kind = policy.FullSnapshot
-	}
-	c.index = list.Index
-	c.publisher.publish(kind, list.Endpoints)
-	return nil
-}
-
-// pollCall is one call to the discovery service.
-type pollCall struct {
-	ctx    context.Context
-	cancel context.CancelFunc
-	url    string
-}
-
-// nextCall prepares the next call, which SetAddress cancels if the address changes. At a new address the
-// index from the old one is meaningless.
-func (c *Client) nextCall(ctx context.Context, state *watchState) pollCall {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if state.addressVersion != c.addressVersion {
-		state.addressVersion = c.addressVersion
-		state.needsSnapshot = true
-	}
-	url := c.url
-	timeout := c.timeouts.snapshot
-	if !state.needsSnapshot {
-		url = fmt.Sprintf("%s?index=%d&wait=%d", c.url, c.index, c.timeouts.watch.Milliseconds())
-		timeout = c.timeouts.watch + c.timeouts.lateness
-	}
-	ctx = withDialTimeout(ctx, min(timeout, c.timeouts.snapshot))
-	ctx, cancel := context.WithTimeout(ctx, timeout)
-	c.cancelPoll = cancel
-	return pollCall{ctx: ctx, cancel: cancel, url: url}
-}
-
-// fetch makes a call and returns the list in its answer.
-func (c *Client) fetch(call pollCall) (*endpointList, error) {
-	request, err := http.NewRequestWithContext(call.ctx, http.MethodGet, call.url, nil)
-	if err != nil {
-		return nil, err
-	}
-	response, err := c.http.Do(request)
-	if err != nil {
-		return nil, err
-	}
-	defer func() {
-		_ = response.Body.Close() // the list has been read or is not needed
-	}()
-	text, err := io.ReadAll(io.LimitReader(response.Body, maxListBytes))
-	if err != nil {
-		return nil, err
-	}
-	switch response.StatusCode {
-	case http.StatusOK:
-		return decodeList(text)
-	case http.StatusServiceUnavailable, http.StatusTooManyRequests:
-		return nil, fmt.Errorf("%w: %s", errRefused, response.Status)
-	default:
-		return nil, errors.New(response.Status)
-	}
-}
