--- a/internal/monotime/monotime.go
+++ b/internal/monotime/monotime.go
@@ -57,10 +57,13 @@
 // Later returns the later of two Instants.
 func Later(a, b Instant) Instant { return Instant{max(a.nanos, b.nanos)} }
 
-// MarshalJSON encodes an Instant as its nanoseconds.
-func (i Instant) MarshalJSON() ([]byte, error) { return strconv.AppendInt(nil, i.nanos, 10), nil }
+// MarshalJSON encodes an Instant as its nanoseconds, in decimal digits. It returns no error.
+func (i Instant) MarshalJSON() ([]byte, error) {
+	const decimal = 10
+	return strconv.AppendInt(nil, i.nanos, decimal), nil
+}
 
-// UnmarshalJSON decodes what MarshalJSON encodes.
+// UnmarshalJSON decodes what MarshalJSON encodes. It returns the errors of json.Unmarshal.
 func (i *Instant) UnmarshalJSON(text []byte) error {
 	return json.Unmarshal(text, &i.nanos)
 }
--- a/internal/pcg/pcg.go
+++ b/internal/pcg/pcg.go
@@ -15,6 +15,20 @@
 	increment  = 1442695040888963407
 )
 
+// The shifts of the output function XSH-RR: the state is folded, its high bits are taken, and they are rotated by
+// the number in the highest five bits.
+const (
+	foldShift     = 18
+	outputShift   = 27
+	rotationShift = 59
+)
+
+const (
+	uint64Bits   = 64
+	uint32Bits   = 32
+	fractionBits = 53 // of a float64, with the leading one
+)
+
 // New returns the stream for a seed.
 func New(seed uint64) *Source {
 	s := &Source{state: seed + increment}
@@ -25,11 +39,18 @@
 func (s *Source) next() uint32 {
 	old := s.state
 	s.state = old*multiplier + increment
-	return bits.RotateLeft32(uint32((old>>18^old)>>27), -int(old>>59))
+	folded := uint32((old>>foldShift ^ old) >> outputShift)
+	return bits.RotateLeft32(folded, -int(old>>rotationShift))
 }
 
 // Uint64 returns 64 random bits.
-func (s *Source) Uint64() uint64 { return uint64(s.next())<<32 | uint64(s.next()) }
+func (s *Source) Uint64() uint64 {
+	high := uint64(s.next())
+	low := uint64(s.next())
+	return high<<uint32Bits | low
+}
 
 // Float64 returns a number in [0, 1), of the 53 bits that a float64 holds.
-func (s *Source) Float64() float64 { return float64(s.Uint64()>>11) / (1 << 53) }
+func (s *Source) Float64() float64 {
+	return float64(s.Uint64()>>(uint64Bits-fractionBits)) / (1 << fractionBits)
+}
--- a/policy/internal/circuitbreaker/circuitbreaker.go
+++ b/policy/internal/circuitbreaker/circuitbreaker.go
@@ -26,14 +26,16 @@
 	return strconv.Itoa(int(s))
 }
 
-// Breaker is a circuit breaker. Its zero value is closed.
+// Breaker is a circuit breaker. Its zero value is closed. Its fields are for reading.
 type Breaker struct {
-	State               State
+	State State
+	// ConsecutiveFailures is the number of failures since the last success.
 	ConsecutiveFailures int
-	RetryAt             monotime.Instant // matters while the breaker is open
+	// RetryAt is when an open breaker lets a call pass.
+	RetryAt monotime.Instant
 }
 
-// IsClosed reports whether calls pass.
+// IsClosed reports whether all calls pass.
 func (b *Breaker) IsClosed() bool { return b.State == Closed }
 
 // TryHalfOpen reports whether an open breaker lets a single call pass now. The caller must then make that
@@ -52,8 +54,8 @@
 	b.State = Closed
 }
 
-// RecordFailure records a call that failed. After threshold failures in a row the breaker opens, or stays open,
-// until retryAt.
+// RecordFailure records a call that failed. From threshold failures in a row on, the breaker is open until
+// retryAt; below that it is closed.
 func (b *Breaker) RecordFailure(threshold int, retryAt monotime.Instant) {
 	b.ConsecutiveFailures++
 	b.RetryAt = retryAt
--- a/policy/internal/tokenbucket/tokenbucket.go
+++ b/policy/internal/tokenbucket/tokenbucket.go
@@ -7,12 +7,12 @@
 
 // Bucket is a token bucket that counts the units it holds.
 type Bucket struct {
-	Units     float64
+	Units     float64          // held; the caller takes units by subtraction, and may overdraw the bucket
 	UpdatedAt monotime.Instant // when Units was last brought up to date
 }
 
-// Refill brings the bucket up to date, at a rate in units a second and up to burst, and returns the units
-// that it holds.
+// Refill brings the bucket up to date, at a rate in units a second and up to burst, in units. It returns the
+// units that the bucket holds then.
 func (b *Bucket) Refill(now monotime.Instant, rate, burst float64) float64 {
 	b.Units += monotime.Seconds(now.Sub(b.UpdatedAt)) * rate
 	b.Units = min(b.Units, burst)
@@ -23,7 +23,7 @@
 // Usage is a token bucket that counts the units taken and not refilled yet, so that it needs no burst.
 // In other words, it is a leaky bucket used as a meter.
 type Usage struct {
-	Units     float64
+	Units     float64          // taken; the caller takes units by addition
 	UpdatedAt monotime.Instant // when Units was last brought up to date
 }
 
@@ -33,8 +33,9 @@
 	u.UpdatedAt = now
 }
 
-// UnrefilledAt scales the usage, which is the given share of a tenant's traffic, up to all of the traffic,
-// and returns how much of it would not be refilled at an instant at the whole rate. It changes nothing.
+// UnrefilledAt scales the usage, which is the given share (above 0, at most 1) of a tenant's traffic, up to all
+// of the traffic. It returns how many units of it are not refilled at an instant, at a rate in units a second for
+// all of the traffic. It changes nothing.
 func (u *Usage) UnrefilledAt(now monotime.Instant, share, rate float64) float64 {
 	return max(u.Units/share-monotime.Accrued(rate, now.Sub(u.UpdatedAt)), 0)
 }
