--- a/internal/dialer/address_order.go
+++ b/internal/dialer/address_order.go
@@ -1,9 +1,9 @@
 package dialer
 
 import (
+	"net"
 	"net/netip"
 	"slices"
-	"time"
 )
 
 // ipv4Precedence is the precedence of ::ffff:0:0/96 in the table below. It has its own constant because netip
@@ -50,7 +50,7 @@
 // last (RFC 6724, section 6, rule 1). The rest of the order is by precedence (rule 6), then as given (rule
 // 10). After that the address families are interleaved (RFC 8305, section 4). The rules in between, on
 // scopes, labels and prefixes, are left out, since all backends are in one network. reachable reports whether
-// the host has a route to an address.
+// the host has a route to an address; Reachable asks the system.
 func Order(addresses []netip.AddrPort, reachable func(netip.Addr) bool) []netip.AddrPort {
 	var candidates []candidate
 	for _, address := range addresses {
@@ -96,17 +96,16 @@
 	return other
 }
 
-const (
-	// recommendedAttemptDelay is the delay recommended by RFC 8305, section 5.
-	recommendedAttemptDelay = 250 * time.Millisecond
-	// minAttemptDelay is the lower bound in RFC 8305.
-	minAttemptDelay = 10 * time.Millisecond
-)
+// discardPort is the port of the discard service. Nothing is sent to it.
+const discardPort = 9
 
-// attemptDelay returns how long to wait for one address before the next is tried in parallel, given the
-// number of addresses and the timeout for all of them together. It is the recommended delay or less, so that
-// the last address is tried while there is still time for it.
-func attemptDelay(addresses int, timeout time.Duration) time.Duration {
-	equalParts := timeout / time.Duration(addresses+1)
-	return min(recommendedAttemptDelay, max(equalParts, minAttemptDelay))
+// Reachable reports whether the host has a route to an address. It checks whether a UDP socket can be
+// connected to the address, which sends nothing.
+func Reachable(address netip.Addr) bool {
+	conn, err := net.DialUDP("udp", nil, net.UDPAddrFromAddrPort(netip.AddrPortFrom(address, discardPort)))
+	if err != nil {
+		return false
+	}
+	_ = conn.Close() // the connect was all that was needed
+	return true
 }
--- a/internal/dialer/address_order_test.go
+++ b/internal/dialer/address_order_test.go
@@ -5,7 +5,6 @@
 	"slices"
 	"strings"
 	"testing"
-	"time"
 )
 
 // parse parses addresses between spaces, and gives each a port.
@@ -69,17 +68,8 @@
 	}
 }
 
-func TestAttemptDelay(t *testing.T) {
-	for _, test := range []struct {
-		addresses     int
-		timeout, want time.Duration
-	}{
-		{2, time.Second, 250 * time.Millisecond},
-		{2, 90 * time.Millisecond, 30 * time.Millisecond},
-		{5, 0, 10 * time.Millisecond},
-	} {
-		if got := attemptDelay(test.addresses, test.timeout); got != test.want {
-			t.Errorf("%d addresses in %v: %v, wanted %v", test.addresses, test.timeout, got, test.want)
-		}
+func TestReachable(t *testing.T) {
+	if !Reachable(netip.MustParseAddr("127.0.0.1")) {
+		t.Error("the host does not reach itself")
 	}
 }
--- a/internal/dialer/dial_test.go
+++ b/internal/dialer/dial_test.go
@@ -11,12 +11,6 @@
 	"fawnplank/internal/testutil"
 )
 
-func TestReachable(t *testing.T) {
-	if !Reachable(netip.MustParseAddr("127.0.0.1")) {
-		t.Error("the host does not reach itself")
-	}
-}
-
 // TestDial_HangingAddressTakesPartOfTimeout: an address that hangs, one that refuses, and one that answers
 // are one backend. The one that answers is reached well within the timeout.
 func TestDial_HangingAddressTakesPartOfTimeout(t *testing.T) {
@@ -43,3 +37,18 @@
 		t.Errorf("%v does not say that an address refuses", err)
 	}
 }
+
+func TestAttemptDelay(t *testing.T) {
+	for _, test := range []struct {
+		addresses     int
+		timeout, want time.Duration
+	}{
+		{2, time.Second, 250 * time.Millisecond},
+		{2, 90 * time.Millisecond, 30 * time.Millisecond},
+		{5, 0, 10 * time.Millisecond},
+	} {
+		if got := attemptDelay(test.addresses, test.timeout); got != test.want {
+			t.Errorf("%d addresses in %v: %v, wanted %v", test.addresses, test.timeout, got, test.want)
+		}
+	}
+}
