--- a/internal/limitserver/check_test.go
+++ b/internal/limitserver/check_test.go
@@ -14,7 +14,7 @@
 	g := startGateway(t, counter.Text)
 	c, admitted := g.dial(t), 0
 	for range 200 {
-		if strings.HasPrefix(c.call(t, "LIMIT.CHECK", tenant, "roof"), "0") {
+		if strings.HasPrefix(c.call(t, "LIMIT.CHECK", tenant, "capped"), "0") {
 			admitted++
 		}
 		time.Sleep(5 * time.Millisecond)
--- a/internal/limitserver/server_test.go
+++ b/internal/limitserver/server_test.go
@@ -40,7 +40,7 @@
 [[plan]]
 name = "open"
 [[plan]]
-name = "roof"
+name = "capped"
 ceiling_rate = 1
 ceiling_burst = 10
 `
@@ -112,7 +112,7 @@
 			Timeout:   750 * time.Millisecond,
 			Instances: 2,
 			MaxUnits:  100,
-			Plans:     map[string]policy.PlanID{"despacho": 0, "open": 1, "roof": 2},
+			Plans:     map[string]policy.PlanID{"despacho": 0, "open": 1, "capped": 2},
 		},
 		MaxConnections: 4,
 	})
