--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -82,7 +82,7 @@
 		// In a full snapshot, two entries for one backend are ambiguous, so the snapshot is refused and the last
 		// valid list stays in use. A delta may name a backend twice: its entries apply in order.
 		if list.Snapshot && seen[endpoint.Name] {
-			return nil, fmt.Errorf("entry with name %q stands twice in a whole list", endpoint.Name)
+			return nil, fmt.Errorf("entry with name %q stands twice in a full snapshot", endpoint.Name)
 		}
 		seen[endpoint.Name] = true
 		if !endpoint.isValid() {
