--- a/internal/counter/resp_format.go
+++ b/internal/counter/resp_format.go
@@ -15,6 +15,9 @@
 	// maxBulkHeaderBytes is the length of "$128\r\n". The client does not wait for a bulk string that announces
 	// more than maxAnswerBytes, or whose length has more digits.
 	maxBulkHeaderBytes = 6
+	// incrementWords and expiryWords are the number of words of the two commands of a call.
+	incrementWords = 3 // INCRBYFLOAT key units
+	expiryWords    = 4 // PEXPIRE key lifetime NX
 )
 
 // respReply is the first of the two replies to a call: the reply to INCRBYFLOAT.
@@ -27,18 +30,15 @@
 // appendRESPCall appends the two commands of a call.
 func appendRESPCall(buf []byte, call increment) []byte {
 	name := strconv.FormatUint(uint64(call.key), keyBase)
-	units := strconv.FormatFloat(call.units, 'f', -1, float64Bits)
-	lifetime := strconv.FormatInt(call.lifetimeMillis(), lifetimeBase)
-	buf = appendRESPCommand(buf, "INCRBYFLOAT", name, units)
-	return appendRESPCommand(buf, "PEXPIRE", name, lifetime, "NX")
-}
-
-func appendRESPCommand(buf []byte, words ...string) []byte {
-	buf = redcon.AppendArray(buf, len(words))
-	for _, word := range words {
-		buf = redcon.AppendBulkString(buf, word)
-	}
-	return buf
+	buf = redcon.AppendArray(buf, incrementWords)
+	buf = redcon.AppendBulkString(buf, "INCRBYFLOAT")
+	buf = redcon.AppendBulkString(buf, name)
+	buf = redcon.AppendBulkString(buf, strconv.FormatFloat(call.units, 'f', -1, float64Bits))
+	buf = redcon.AppendArray(buf, expiryWords)
+	buf = redcon.AppendBulkString(buf, "PEXPIRE")
+	buf = redcon.AppendBulkString(buf, name)
+	buf = redcon.AppendBulkString(buf, strconv.FormatInt(call.lifetimeMillis(), lifetimeBase))
+	return redcon.AppendBulkString(buf, "NX")
 }
 
 // parseRESPAnswer parses one reply. It stores the first reply of an answer in pending. The second reply
--- a/internal/dispatch/outcome.go
+++ b/internal/dispatch/outcome.go
@@ -10,10 +10,11 @@
 // whether it has run. A connection that failed before the last byte was written proves that nothing ran. An
 // unknown error counts as a connection that was lost afterwards, since it proves nothing.
 func outcomeOf(err error) policy.Outcome {
-	var networkError *NetworkError
-	switch {
-	case err == nil:
+	if err == nil {
 		return policy.Succeeded
+	}
+	var networkError *NetworkError // errors.As moves it to the heap, so not before success is ruled out
+	switch {
 	case errors.Is(err, ErrRejected):
 		return policy.Rejected
 	case errors.Is(err, ErrBackendFailed):
