--- a/internal/dispatch/endpoints.go
+++ b/internal/dispatch/endpoints.go
@@ -24,8 +24,8 @@
 func (d *Dispatcher) cancelUnusableAttempts(update endpointUpdate) {
 	for _, id := range slices.Sorted(maps.Keys(d.requests)) { // fixed order: so is that of the effects
 		for _, attempt := range d.requests[id].attempts {
-			if update.takesOutOfUse(attempt.Backend) {
-				attempt.cancelWaiting(policy.ConnectFailed)
+			if attempt.state.load() == attemptWaiting && update.takesOutOfUse(attempt.Backend) {
+				attempt.cancel(policy.NotSent)
 			}
 		}
 	}
--- a/internal/dispatch/timers.go
+++ b/internal/dispatch/timers.go
@@ -106,7 +106,7 @@
 	case wakeUp:
 		d.engine.HandleTimer(d.now(), t.id)
 	case startDeadline:
-		t.attempt.cancelWaiting(policy.ConnectFailed)
+		t.attempt.cancel(policy.ConnectFailed)
 	case resultDeadline:
 		t.attempt.cancel(policy.TimedOut)
 	}
