--- a/internal/lab/plots/table.go
+++ b/internal/lab/plots/table.go
@@ -8,6 +8,7 @@
 	"text/tabwriter"
 
 	"fawnplank/internal/lab/results"
+	"fawnplank/internal/monotime"
 )
 
 // tableRow is one line of the table of totals.
@@ -50,7 +51,7 @@
 	{name: "dns updates answered", isPartial: true, value: func(run *results.Run) string {
 		return fmt.Sprint(run.DNSUpdates)
 	}},
-	{name: "drift: had more, had less", isPartial: true, value: func(run *results.Run) string {
+	{name: "drift: over, under", isPartial: true, value: func(run *results.Run) string {
 		over, under := run.Drift()
 		return fmt.Sprintf("%.1f%%, %.1f%%", 100*over, 100*under)
 	}},
@@ -107,7 +108,7 @@
 	for _, run := range runs {
 		for _, finding := range run.Findings {
 			_, err := fmt.Fprintf(w, "%s: rule %d at %.3f s: %s\n",
-				runTitle(run), finding.Rule, float64(finding.AtNanos)/1e9, finding.What)
+				runTitle(run), finding.Rule, monotime.Seconds(finding.At.Sub(monotime.Instant{})), finding.What)
 			if err != nil {
 				return err
 			}
