--- a/internal/limitserver/server_test.go
+++ b/internal/limitserver/server_test.go
@@ -26,23 +26,23 @@
 const scene = `name = "limits"
 [backends]
 count = 1
-[doors]
+[gateways]
 count = 2
-[[profile]]
+[[class]]
 name = "calc"
-effect = "reissuable"
-promised = "750ms"
+idempotency = "idempotent"
+latency_objective = "750ms"
 [[plan]]
 name = "despacho"
 rate = 5
 burst = 50
-beyond_costs = 1.0
+over_quota_cost = 1.0
 [[plan]]
 name = "open"
 [[plan]]
 name = "capped"
-ceiling_rate = 1
-ceiling_burst = 10
+hard_quota_rate = 1
+hard_quota_burst = 10
 `
 
 // checkClass is the class that only counts. It follows the class of the scene.
