--- a/cmd/fawnplank/accounts.go
+++ b/cmd/fawnplank/accounts.go
@@ -53,7 +53,7 @@
 	}
 	a.service = billingservice.Start(options)
 	a.changes.Start(func() { a.service.KeysChanged(a.takeChangedKeys()) })
-	registerBillingMetrics(a.service, registry)
+	metrics.AddGauges(registry, a.service, billingGauges)
 	return nil
 }
 
@@ -94,39 +94,3 @@
 
 // Close stops the notification of changes. It is called once, after the replica has stopped.
 func (a *accounts) Close() { a.changes.Close() }
-
-func registerBillingMetrics(service *billingservice.Service, registry *metrics.Registry) {
-	count := func(counter func(*billingservice.Stats) *atomic.Uint64) func() float64 {
-		return func() float64 { return float64(counter(service.Stats()).Load()) }
-	}
-	registry.AddGauges(map[string]metrics.Gauge{
-		"billing_steps": {
-			Help:  "plan changes and reservation operations committed",
-			Value: count(func(s *billingservice.Stats) *atomic.Uint64 { return &s.Operations }),
-		},
-		"billing_refused": {
-			Help:  "plan changes and reservation operations rejected",
-			Value: count(func(s *billingservice.Stats) *atomic.Uint64 { return &s.Rejected }),
-		},
-		"billing_reports": {
-			Help:  "usage reports of this instance committed",
-			Value: count(func(s *billingservice.Stats) *atomic.Uint64 { return &s.Reports }),
-		},
-		"billing_exported": {
-			Help:  "records that the receiver acknowledged to this instance",
-			Value: count(func(s *billingservice.Stats) *atomic.Uint64 { return &s.Exported }),
-		},
-		"billing_failures": {
-			Help:  "rounds that failed at the store or the receiver",
-			Value: count(func(s *billingservice.Stats) *atomic.Uint64 { return &s.Failures }),
-		},
-		"billing_waiting": {
-			Help:  "records not exported yet",
-			Value: func() float64 { return float64(service.PendingRecords()) },
-		},
-		"billing_halted": {
-			Help:  "1 while a fault stops the export",
-			Value: func() float64 { return gaugeBool(service.HaltReason() != "") },
-		},
-	})
-}
--- a/cmd/fawnplank/limits.go
+++ b/cmd/fawnplank/limits.go
@@ -40,7 +40,7 @@
 		return nil, err
 	}
 	server := newLimitServer(options)
-	registerLimitMetrics(server, options.Metrics)
+	metrics.AddGauges(options.Metrics, server, limitGauges)
 	go func() { // ends when limits.Close is called
 		if err := server.Serve(listener); err != nil {
 			logging.For("limits").WithError(err).Error("stopped")
@@ -66,12 +66,7 @@
 		_ = listener.Close() // no connection has been accepted
 		return nil, err
 	}
-	options.Metrics.AddGauges(map[string]metrics.Gauge{
-		"limits_certificate_seconds": {
-			Help:  "seconds until the certificate of the limits address expires",
-			Value: func() float64 { return source.ExpiresIn().Seconds() },
-		},
-	})
+	metrics.AddGauges(options.Metrics, source, limitCertificateGauges)
 	return tls.NewListener(listener, source.ServerConfig()), nil
 }
 
@@ -116,20 +111,3 @@
 		_ = l.server.Close() // fails only if the server was not serving
 	}
 }
-
-func registerLimitMetrics(server *limitserver.Server, registry *metrics.Registry) {
-	registry.AddGauges(map[string]metrics.Gauge{
-		"limit_checks_granted": {
-			Help:  "limit checks admitted",
-			Value: func() float64 { return float64(server.Stats().Admitted) },
-		},
-		"limit_checks_refused": {
-			Help:  "limit checks rejected",
-			Value: func() float64 { return float64(server.Stats().Rejected) },
-		},
-		"limit_faults": {
-			Help:  "limit commands answered with an error",
-			Value: func() float64 { return float64(server.Stats().Failed) },
-		},
-	})
-}
--- a/cmd/fawnplank/metrics.go
+++ b/cmd/fawnplank/metrics.go
@@ -1,12 +1,15 @@
 package main
 
 import (
+	"fawnplank/internal/billingservice"
 	"fawnplank/internal/config"
 	"fawnplank/internal/counter"
 	"fawnplank/internal/dispatch"
+	"fawnplank/internal/dnsserver"
 	"fawnplank/internal/frontend"
+	"fawnplank/internal/limitserver"
 	"fawnplank/internal/metrics"
-	"fawnplank/policy"
+	"fawnplank/internal/tlsconfig"
 )
 
 // classNames returns the names of the classes, indexed by id. A row that no name refers to any longer has an
@@ -20,72 +23,104 @@
 	return names
 }
 
-// counterGauges returns the metrics of the shared counter: what it answered, and how far the gateway may be
-// from a single count.
-func counterGauges(dispatcher *dispatch.Dispatcher, client *counter.Client) map[string]metrics.Gauge {
-	stat := func(value func(policy.CounterStats) float64) func() float64 {
-		return func() float64 { return value(dispatcher.CounterStats()) }
-	}
-	return map[string]metrics.Gauge{
-		"counter_calls": {
-			Help:  "calls that the counter answered with a total",
-			Value: func() float64 { return float64(client.Stats().Answered) },
-		},
-		"counter_failures": {
-			Help:  "calls without a total",
-			Value: func() float64 { return float64(client.Stats().Failed) },
-		},
-		"counter_outage_seconds": {
-			Help:  "since the first failure after the last total; 0: none",
-			Value: func() float64 { return client.Stats().Outage.Seconds() },
-		},
-		"counter_breaker_open": {
-			Help:  "1 while calls to the counter are stopped",
-			Value: stat(func(s policy.CounterStats) float64 { return gaugeBool(s.BreakerOpen) }),
-		},
-		"counter_calling_share": {
-			Help:  "share of the requests that call the counter",
-			Value: stat(func(s policy.CounterStats) float64 { return s.CallShare }),
-		},
-		"quota_owed_units": {
-			Help:  "units admitted and not reported to the counter yet",
-			Value: stat(func(s policy.CounterStats) float64 { return s.UnreportedUnits }),
-		},
-		"quota_reconciled_units": {
-			Help:  "lost units written back to the counter, of the tenants remembered",
-			Value: stat(func(s policy.CounterStats) float64 { return s.ReconciledUnits }),
-		},
-		"quota_drift_units": {
-			Help:  "units by which this instance may differ from a single count",
-			Value: stat(func(s policy.CounterStats) float64 { return s.DriftUnits }),
-		},
-		"customers": {
-			Help:  "tenants remembered",
-			Value: stat(func(s policy.CounterStats) float64 { return float64(s.Tenants) }),
-		},
-	}
+// counterClientGauges are the metrics of the calls to the shared counter.
+var counterClientGauges = []metrics.Gauge[*counter.Client]{
+	{Name: "counter_calls", Help: "calls that the counter answered with a total",
+		Value: func(c *counter.Client) float64 { return float64(c.Stats().Answered) }},
+	{Name: "counter_failures", Help: "calls without a total",
+		Value: func(c *counter.Client) float64 { return float64(c.Stats().Failed) }},
+	{Name: "counter_outage_seconds", Help: "since the first failure after the last total; 0: none",
+		Value: func(c *counter.Client) float64 { return c.Stats().Outage.Seconds() }},
 }
 
-// frontendGauges returns the metrics of clients' connections.
-func frontendGauges(server *frontend.Server) map[string]metrics.Gauge {
-	return map[string]metrics.Gauge{
-		"client_connections": {
-			Help:  "open connections of clients",
-			Value: func() float64 { return float64(server.Connections()) },
-		},
-		"client_connections_accepted": {
-			Help:  "connections of clients accepted so far",
-			Value: func() float64 { return float64(server.Stats().Accepted) },
-		},
-		"client_connections_forced": {
-			Help:  "connections closed at a drain or shutdown because they did not end",
-			Value: func() float64 { return float64(server.Stats().ClosedByForce) },
-		},
-		"draining": {
-			Help:  "1 while the instance drains",
-			Value: func() float64 { return gaugeBool(server.Draining()) },
-		},
-	}
+// quotaGauges are the metrics of the decisions about quotas: whether the counter is called, and how far the
+// gateway may be from a single count.
+var quotaGauges = []metrics.Gauge[*dispatch.Dispatcher]{
+	{Name: "counter_breaker_open", Help: "1 while calls to the counter are stopped",
+		Value: func(d *dispatch.Dispatcher) float64 { return gaugeBool(d.CounterStats().BreakerOpen) }},
+	{Name: "counter_calling_share", Help: "share of the requests that call the counter",
+		Value: func(d *dispatch.Dispatcher) float64 { return d.CounterStats().CallShare }},
+	{Name: "quota_owed_units", Help: "units admitted and not reported to the counter yet",
+		Value: func(d *dispatch.Dispatcher) float64 { return d.CounterStats().UnreportedUnits }},
+	{Name: "quota_reconciled_units", Help: "lost units written back to the counter, of the tenants remembered",
+		Value: func(d *dispatch.Dispatcher) float64 { return d.CounterStats().ReconciledUnits }},
+	{Name: "quota_drift_units", Help: "units by which this instance may differ from a single count",
+		Value: func(d *dispatch.Dispatcher) float64 { return d.CounterStats().DriftUnits }},
+	{Name: "customers", Help: "tenants remembered",
+		Value: func(d *dispatch.Dispatcher) float64 { return float64(d.CounterStats().Tenants) }},
+}
+
+// frontendGauges are the metrics of clients' connections.
+var frontendGauges = []metrics.Gauge[*frontend.Server]{
+	{Name: "client_connections", Help: "open connections of clients",
+		Value: func(s *frontend.Server) float64 { return float64(s.Connections()) }},
+	{Name: "client_connections_accepted", Help: "connections of clients accepted so far",
+		Value: func(s *frontend.Server) float64 { return float64(s.Stats().Accepted) }},
+	{Name: "client_connections_forced",
+		Help:  "connections closed at a drain or shutdown because they did not end",
+		Value: func(s *frontend.Server) float64 { return float64(s.Stats().ClosedByForce) }},
+	{Name: "draining", Help: "1 while the instance drains",
+		Value: func(s *frontend.Server) float64 { return gaugeBool(s.Draining()) }},
+}
+
+// limitGauges are the metrics of the limit commands.
+var limitGauges = []metrics.Gauge[*limitserver.Server]{
+	{Name: "limit_checks_granted", Help: "limit checks admitted",
+		Value: func(s *limitserver.Server) float64 { return float64(s.Stats().Admitted) }},
+	{Name: "limit_checks_refused", Help: "limit checks rejected",
+		Value: func(s *limitserver.Server) float64 { return float64(s.Stats().Rejected) }},
+	{Name: "limit_faults", Help: "limit commands answered with an error",
+		Value: func(s *limitserver.Server) float64 { return float64(s.Stats().Failed) }},
+}
+
+// limitCertificateGauges are the metrics of the certificate of the limits address.
+var limitCertificateGauges = []metrics.Gauge[*tlsconfig.Source]{
+	{Name: "limits_certificate_seconds", Help: "seconds until the certificate of the limits address expires",
+		Value: secondsUntilExpiry},
+}
+
+// replicaCertificateGauges are the metrics of the certificate of the replica.
+var replicaCertificateGauges = []metrics.Gauge[*tlsconfig.Source]{
+	{Name: "store_certificate_seconds", Help: "seconds until the certificate of the replica expires",
+		Value: secondsUntilExpiry},
+}
+
+// billingGauges are the metrics of the accounts.
+var billingGauges = []metrics.Gauge[*billingservice.Service]{
+	{Name: "billing_steps", Help: "plan changes and reservation operations committed",
+		Value: func(s *billingservice.Service) float64 { return float64(s.Stats().Operations.Load()) }},
+	{Name: "billing_refused", Help: "plan changes and reservation operations rejected",
+		Value: func(s *billingservice.Service) float64 { return float64(s.Stats().Rejected.Load()) }},
+	{Name: "billing_reports", Help: "usage reports of this instance committed",
+		Value: func(s *billingservice.Service) float64 { return float64(s.Stats().Reports.Load()) }},
+	{Name: "billing_exported", Help: "records that the receiver acknowledged to this instance",
+		Value: func(s *billingservice.Service) float64 { return float64(s.Stats().Exported.Load()) }},
+	{Name: "billing_failures", Help: "rounds that failed at the store or the receiver",
+		Value: func(s *billingservice.Service) float64 { return float64(s.Stats().Failures.Load()) }},
+	{Name: "billing_waiting", Help: "records not exported yet",
+		Value: func(s *billingservice.Service) float64 { return float64(s.PendingRecords()) }},
+	{Name: "billing_halted", Help: "1 while a fault stops the export",
+		Value: func(s *billingservice.Service) float64 { return gaugeBool(s.HaltReason() != "") }},
+}
+
+// zoneGauges are the metrics of the DNS zone and its name server.
+var zoneGauges = []metrics.Gauge[*dnsserver.Server]{
+	{Name: "dns_updates_done", Help: "dynamic updates that changed the zone",
+		Value: func(s *dnsserver.Server) float64 { return float64(s.Stats().UpdatesDone) }},
+	{Name: "dns_updates_refused", Help: "dynamic updates rejected for their content",
+		Value: func(s *dnsserver.Server) float64 { return float64(s.Stats().UpdatesRefused) }},
+	{Name: "dns_messages_refused", Help: "messages rejected for their signature, its time, or a replay",
+		Value: func(s *dnsserver.Server) float64 { return float64(s.Stats().SignaturesRefused) }},
+	{Name: "dns_flooded", Help: "messages dropped beyond the rate limit",
+		Value: func(s *dnsserver.Server) float64 { return float64(s.Stats().RateLimited) }},
+	{Name: "dns_updates_lost", Help: "updates that could not be stored in the journal or the store",
+		Value: func(s *dnsserver.Server) float64 { return float64(s.Stats().UpdatesLost) }},
+	{Name: "dns_serial", Help: "serial of the zone in force",
+		Value: func(s *dnsserver.Server) float64 { return float64(s.Serial()) }},
+}
+
+func secondsUntilExpiry(certificate *tlsconfig.Source) float64 {
+	return certificate.ExpiresIn().Seconds()
 }
 
 func gaugeBool(value bool) float64 {
--- a/cmd/fawnplank/replica.go
+++ b/cmd/fawnplank/replica.go
@@ -145,15 +145,9 @@
 
 // registerMetrics adds the metric that shows until when the replica's certificate is valid.
 func (r *replica) registerMetrics(registry *metrics.Registry) {
-	if r == nil || r.tls == nil {
-		return
-	}
-	registry.AddGauges(map[string]metrics.Gauge{
-		"store_certificate_seconds": {
-			Help:  "seconds until the certificate of the replica expires",
-			Value: func() float64 { return r.tls.ExpiresIn().Seconds() },
-		},
-	})
+	if r != nil && r.tls != nil {
+		metrics.AddGauges(registry, r.tls, replicaCertificateGauges)
+	}
 }
 
 // Close stops the replica.
--- a/cmd/fawnplank/serve.go
+++ b/cmd/fawnplank/serve.go
@@ -191,7 +191,8 @@
 		ConnectTimeout: g.configuration.ConnectTimeout,
 		Format:         counterFormat(g.operator),
 	}, g.dispatcher)
-	g.metrics.AddGauges(counterGauges(g.dispatcher, g.counter))
+	metrics.AddGauges(g.metrics, g.counter, counterClientGauges)
+	metrics.AddGauges(g.metrics, g.dispatcher, quotaGauges)
 	g.zone = newEndpointZone(g.operator.DNS)
 	discoveryOptions := discovery.Options{
 		Subscriber:  g.dispatcher,
@@ -317,7 +318,7 @@
 		options.Usage = g.accounts.service
 	}
 	g.server = frontend.New(options)
-	g.metrics.AddGauges(frontendGauges(g.server))
+	metrics.AddGauges(g.metrics, g.server, frontendGauges)
 }
 
 // Run serves clients and the management address until a signal, or the end of ctx, has shut the gateway down.
--- a/cmd/fawnplank/zone.go
+++ b/cmd/fawnplank/zone.go
@@ -45,7 +45,7 @@
 		return err
 	}
 	z.server.Store(server)
-	registerZoneMetrics(server, registry)
+	metrics.AddGauges(registry, server, zoneGauges)
 	if replica != nil {
 		z.changes.Start(server.StoreChanged)
 		z.changes.Notify() // covers changes made while the server started
@@ -140,35 +140,3 @@
 	_, _, err := dnsserver.ReadZoneFile(operator.DNS.ZoneFile, operator.DNS.Settings())
 	return err
 }
-
-func registerZoneMetrics(server *dnsserver.Server, registry *metrics.Registry) {
-	count := func(value func(dnsserver.Stats) uint64) func() float64 {
-		return func() float64 { return float64(value(server.Stats())) }
-	}
-	registry.AddGauges(map[string]metrics.Gauge{
-		"dns_updates_done": {
-			Help:  "dynamic updates that changed the zone",
-			Value: count(func(s dnsserver.Stats) uint64 { return s.UpdatesDone }),
-		},
-		"dns_updates_refused": {
-			Help:  "dynamic updates rejected for their content",
-			Value: count(func(s dnsserver.Stats) uint64 { return s.UpdatesRefused }),
-		},
-		"dns_messages_refused": {
-			Help:  "messages rejected for their signature, its time, or a replay",
-			Value: count(func(s dnsserver.Stats) uint64 { return s.SignaturesRefused }),
-		},
-		"dns_flooded": {
-			Help:  "messages dropped beyond the rate limit",
-			Value: count(func(s dnsserver.Stats) uint64 { return s.RateLimited }),
-		},
-		"dns_updates_lost": {
-			Help:  "updates that could not be stored in the journal or the store",
-			Value: count(func(s dnsserver.Stats) uint64 { return s.UpdatesLost }),
-		},
-		"dns_serial": {
-			Help:  "serial of the zone in force",
-			Value: func() float64 { return float64(server.Serial()) },
-		},
-	})
-}
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -2,8 +2,8 @@
 // counted where its event happens, and starts at 0 in each process. The package owns only the counts and
 // makes no decisions.
 //
-// All methods are safe for concurrent use. Except for Write, the methods of a nil Registry do nothing, so
-// parts that run without metrics, especially in tests, need no registry. Operators' dashboards depend on the
+// AddGauges and all methods are safe for concurrent use. Except for Write, they do nothing with a nil Registry,
+// so parts that run without metrics, especially in tests, need no registry. Operators' dashboards depend on the
 // names of metrics and labels, which therefore stay as they are; help texts use the terms of docs/glossary.md.
 package metrics
 
@@ -105,20 +105,23 @@
 // classCounters returns the counters that have a row for each class.
 func (r *Registry) classCounters() []*prometheus.CounterVec { return append(r.requests[:], r.attempts) }
 
-// Gauge is a metric whose value is read each time it is shown. Value is called from many goroutines at once.
-type Gauge struct {
-	Help  string
-	Value func() float64
+// Gauge is a metric of a source, for instance a server, that is read each time the metric is shown.
+type Gauge[S any] struct {
+	Name  string                 // without the namespace; its ending names the unit, if there is one
+	Help  string                 // for operators
+	Value func(source S) float64 // safe for concurrent use
 }
 
-// AddGauges adds gauges by name. A name that already exists is a bug in the program and causes a panic.
-func (r *Registry) AddGauges(gauges map[string]Gauge) {
+// AddGauges adds the gauges of a source to a registry. A name that already exists is a bug in the program and
+// causes a panic.
+func AddGauges[S any](r *Registry, source S, gauges []Gauge[S]) {
 	if r == nil {
 		return
 	}
-	for name, gauge := range gauges {
-		options := prometheus.GaugeOpts{Namespace: namespace, Name: name, Help: gauge.Help}
-		r.registry.MustRegister(prometheus.NewGaugeFunc(options, gauge.Value))
+	for _, gauge := range gauges {
+		options := prometheus.GaugeOpts{Namespace: namespace, Name: gauge.Name, Help: gauge.Help}
+		value := func() float64 { return gauge.Value(source) }
+		r.registry.MustRegister(prometheus.NewGaugeFunc(options, value))
 	}
 }
 
@@ -202,7 +205,8 @@
 	}
 }
 
-// Write writes all metrics in Prometheus' text format.
+// Write writes all metrics in Prometheus' text format. The error is that of w, or of metrics that contradict
+// each other.
 func (r *Registry) Write(w io.Writer) error {
 	families, err := r.registry.Gather()
 	if err != nil {
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -63,10 +63,28 @@
 	}
 }
 
+func TestAddGauges_ReadsTheSourceEachTime(t *testing.T) {
+	r := New(nil)
+	connections := 3
+	AddGauges(r, &connections, []Gauge[*int]{
+		{Name: "open", Help: "open connections", Value: func(n *int) float64 { return float64(*n) }},
+		{Name: "spare", Help: "places left of ten", Value: func(n *int) float64 { return float64(10 - *n) }},
+	})
+	for _, want := range []string{"# HELP gw_open open connections", "gw_open 3", "gw_spare 7"} {
+		if text := textOf(t, r); !strings.Contains(text, want+"\n") {
+			t.Errorf("no %q in\n%s", want, text)
+		}
+	}
+	connections = 4
+	if text := textOf(t, r); !strings.Contains(text, "gw_open 4\n") {
+		t.Errorf("after a change:\n%s", text)
+	}
+}
+
 // TestRegistry_NilDoesNothing calls each method that counts on no registry: a panic fails the test.
 func TestRegistry_NilDoesNothing(_ *testing.T) {
 	var r *Registry
-	r.AddGauges(map[string]Gauge{"x": {}})
+	AddGauges(r, 0, []Gauge[int]{{Name: "x"}})
 	r.SetClasses([]string{"lookup"})
 	r.RequestReceived()
 	r.RequestAnswered(0, RequestSucceeded)
