--- a/cmd/fawnplank/command_billing.go
+++ b/cmd/fawnplank/command_billing.go
@@ -1,6 +1,7 @@
 package main
 
 import (
+	"context"
 	"fmt"
 	"io"
 	"time"
@@ -10,66 +11,94 @@
 	"fawnplank/internal/billingservice"
 )
 
-// billingVerb describes a subcommand that sends one limit command to a limits address.
-type billingVerb struct {
-	use, word, short, example string
-	args                      int
-}
-
 // exampleTenant is the tenant in the examples of the help.
 const exampleTenant = "0000000000000005"
 
-var billingVerbs = []billingVerb{
-	{
-		use: "change TENANT ID PLAN AT", word: "PLAN.CHANGE", args: 4,
-		short:   "Change a plan from a moment on (ms since 1970, or +ms)",
-		example: "change " + exampleTenant + " spring-1 large +60000",
-	},
-	{
-		use: "take-back TENANT ID", word: "PLAN.TAKEBACK", args: 2,
-		short:   "Withdraw a change that no gateway applies yet",
-		example: "take-back " + exampleTenant + " spring-1",
-	},
-	{
-		use: "changes TENANT", word: "PLAN.LIST", args: 1,
-		short:   "List plan changes",
-		example: "changes " + exampleTenant,
-	},
-	{
-		use: "reserve TENANT ID HOLDER PLAN UNITS LEASE-MS", word: "RESERVE.NEW", args: 6,
-		short:   "Reserve units; prints the epoch, the units reserved, and until when",
-		example: "reserve " + exampleTenant + " b1 batch-host team 500 60000",
-	},
-	{
-		use: "commit TENANT ID EPOCH UNITS", word: "RESERVE.COMMIT", args: 4,
-		short:   "Turn reserved units into usage",
-		example: "commit " + exampleTenant + " b1 7 20",
-	},
-	{
-		use: "renew TENANT ID EPOCH LEASE-MS", word: "RESERVE.RENEW", args: 4,
-		short:   "Extend the lease of a reservation",
-		example: "renew " + exampleTenant + " b1 8 60000",
-	},
-	{
-		use: "take TENANT ID HOLDER LEASE-MS", word: "RESERVE.TAKE", args: 4,
-		short:   "Move a reservation from its holder to another",
-		example: "take " + exampleTenant + " b1 other-host 60000",
-	},
-	{
-		use: "release TENANT ID EPOCH", word: "RESERVE.RELEASE", args: 3,
-		short:   "Release what is left of a reservation",
-		example: "release " + exampleTenant + " b1 9",
-	},
-	{
-		use: "reservations TENANT", word: "RESERVE.LIST", args: 1,
-		short:   "List reservations",
-		example: "reservations " + exampleTenant,
-	},
-	{
-		use: "room TENANT PLAN", word: "RESERVE.ROOM", args: 2,
-		short:   "Show how much may still be reserved",
-		example: "room " + exampleTenant + " team",
-	},
+// billingVerbs are the verbs that each send one limit command, with their arguments, to a limits address.
+type billingVerbs struct{ client func() limitsClient }
+
+// plans returns the verbs for changes of a tenant's plan.
+func (v billingVerbs) plans() []verb {
+	return []verb{
+		{
+			use:     "change TENANT ID PLAN AT",
+			short:   "Change a plan from a moment on (ms since 1970, or +ms)",
+			example: "change " + exampleTenant + " spring-1 large +60000",
+			run:     v.send("PLAN.CHANGE"),
+		},
+		{
+			use:     "take-back TENANT ID",
+			short:   "Withdraw a change that no gateway applies yet",
+			example: "take-back " + exampleTenant + " spring-1",
+			run:     v.send("PLAN.TAKEBACK"),
+		},
+		{
+			use:     "changes TENANT",
+			short:   "List plan changes",
+			example: "changes " + exampleTenant,
+			run:     v.send("PLAN.LIST"),
+		},
+	}
+}
+
+// reservations returns the verbs for the units that are set aside for a holder.
+func (v billingVerbs) reservations() []verb {
+	return []verb{
+		{
+			use:     "reserve TENANT ID HOLDER PLAN UNITS LEASE-MS",
+			short:   "Reserve units; prints the epoch, the units reserved, and until when",
+			example: "reserve " + exampleTenant + " b1 batch-host team 500 60000",
+			run:     v.send("RESERVE.NEW"),
+		},
+		{
+			use:     "commit TENANT ID EPOCH UNITS",
+			short:   "Turn reserved units into usage",
+			example: "commit " + exampleTenant + " b1 7 20",
+			run:     v.send("RESERVE.COMMIT"),
+		},
+		{
+			use:     "renew TENANT ID EPOCH LEASE-MS",
+			short:   "Extend the lease of a reservation",
+			example: "renew " + exampleTenant + " b1 8 60000",
+			run:     v.send("RESERVE.RENEW"),
+		},
+		{
+			use:     "take TENANT ID HOLDER LEASE-MS",
+			short:   "Move a reservation from its holder to another",
+			example: "take " + exampleTenant + " b1 other-host 60000",
+			run:     v.send("RESERVE.TAKE"),
+		},
+		{
+			use:     "release TENANT ID EPOCH",
+			short:   "Release what is left of a reservation",
+			example: "release " + exampleTenant + " b1 9",
+			run:     v.send("RESERVE.RELEASE"),
+		},
+		{
+			use:     "reservations TENANT",
+			short:   "List reservations",
+			example: "reservations " + exampleTenant,
+			run:     v.send("RESERVE.LIST"),
+		},
+		{
+			use:     "room TENANT PLAN",
+			short:   "Show how much may still be reserved",
+			example: "room " + exampleTenant + " team",
+			run:     v.send("RESERVE.ROOM"),
+		},
+	}
+}
+
+// send returns what sends a limit command, with the arguments of a verb, and writes its answer.
+func (v billingVerbs) send(name string) func(context.Context, io.Writer, []string) error {
+	return func(ctx context.Context, out io.Writer, args []string) error {
+		answer, err := v.client().call(ctx, append([]string{name}, args...))
+		if err != nil {
+			return err
+		}
+		_, err = fmt.Fprintln(out, answer)
+		return err
+	}
 }
 
 // billingCommand returns the command group for the accounts.
@@ -83,22 +112,12 @@
 	flags.StringVar(&client.address, "at", "127.0.0.1:6390", "limits address of any gateway")
 	flags.StringVar(&client.keyName, "key", "", "name of the key to authenticate with")
 	flags.StringVar(&client.secretFile, "secret-file", "", "file with the key's secret")
-	for _, verb := range billingVerbs {
-		command.AddCommand(&cobra.Command{
-			Use:     verb.use,
-			Short:   verb.short,
-			Example: "  fawnplank billing " + verb.example,
-			Args:    cobra.ExactArgs(verb.args),
-			RunE: func(command *cobra.Command, args []string) error {
-				client.tls = globals.tls
-				answer, err := client.call(command.Context(), append([]string{verb.word}, args...))
-				if err != nil {
-					return err
-				}
-				_, err = fmt.Fprintln(command.OutOrStdout(), answer)
-				return err
-			},
-		})
+	verbs := billingVerbs{client: func() limitsClient {
+		client.tls = globals.tls
+		return client
+	}}
+	for _, verb := range append(verbs.plans(), verbs.reservations()...) {
+		command.AddCommand(verb.newCommand(command.Name()))
 	}
 	command.AddCommand(billingResumeCommand(globals))
 	return command
@@ -120,8 +139,7 @@
 meanwhile.`,
 		Example: "  fawnplank billing resume --store 127.0.0.1:7101 --after 812 --drop-before 2026-04-01T12:00:00Z",
 		RunE: func(command *cobra.Command, _ []string) error {
-			client := storeClient{address: r.store, flag: "--store", tls: globals.tls}
-			return r.run(command.OutOrStdout(), client)
+			return r.run(command.OutOrStdout(), globals.storeClient(r.store, "--store"))
 		},
 	}
 	flags := command.Flags()
--- a/cmd/fawnplank/command_dns.go
+++ b/cmd/fawnplank/command_dns.go
@@ -39,7 +39,8 @@
 		RunE: func(command *cobra.Command, _ []string) error {
 			var client *storeClient
 			if address != "" {
-				client = &storeClient{address: address, flag: "--store", tls: globals.tls}
+				replica := globals.storeClient(address, "--store")
+				client = &replica
 			}
 			return listZone(command.OutOrStdout(), globals.operator, client)
 		},
--- a/cmd/fawnplank/command_root.go
+++ b/cmd/fawnplank/command_root.go
@@ -40,6 +40,11 @@
 		"authority that the peer's certificate is checked against")
 }
 
+// storeClient returns a client of the replica whose API address a flag names.
+func (f *globalFlags) storeClient(address, flag string) storeClient {
+	return storeClient{address: address, flag: flag, tls: f.tls}
+}
+
 // rootCommand returns the whole command line. Each command only parses its flags and arguments; the work is
 // done elsewhere.
 func rootCommand() *cobra.Command {
--- a/cmd/fawnplank/command_store.go
+++ b/cmd/fawnplank/command_store.go
@@ -5,6 +5,8 @@
 	"encoding/json"
 	"errors"
 	"fmt"
+	"io"
+	"io/fs"
 	"net/http"
 	"os"
 	"os/signal"
@@ -17,64 +19,51 @@
 	"fawnplank/internal/store"
 )
 
-// storeVerb describes a subcommand that makes one call to a replica.
-type storeVerb struct {
-	use, short, example string
-	args                int
-	run                 func(ctx context.Context, client storeClient, args []string) error
-}
+// backupMode lets only the owner read a backup, which holds all that the store holds.
+const backupMode fs.FileMode = 0o600
+
+// storeVerbs are the verbs that each make one call to a replica.
+type storeVerbs struct{ client func() storeClient }
 
-var storeVerbs = []storeVerb{
-	{
-		use: "status", short: "Show the state of a replica", example: "status --at 127.0.0.1:7102", args: 0,
-		run: func(ctx context.Context, client storeClient, _ []string) error {
-			return printCall(ctx, client, http.MethodGet, "/v1/status", nil)
+func (v storeVerbs) all() []verb {
+	return []verb{
+		{
+			use: "status", short: "Show the state of a replica", example: "status --at 127.0.0.1:7102",
+			run: v.status,
+		},
+		{
+			use: "keys PREFIX", short: "List the keys with a prefix, as the replica has them",
+			example: "keys plans/", run: v.keys,
+		},
+		{
+			use: "get KEY", short: "Read a key; the leader answers", example: "get plans/team",
+			run: v.get,
 		},
-	},
-	{
-		use: "keys PREFIX", short: "List the keys with a prefix, as the replica has them",
-		example: "keys plans/", args: 1,
-		run: func(ctx context.Context, client storeClient, args []string) error {
-			return printCall(ctx, client, http.MethodGet, "/v1/kv?prefix="+args[0], nil)
+		{
+			use: "set KEY JSON", short: "Write a key",
+			example: `set plans/team '{"name":"team","quota-rate":5,"peak-units":10}'`, run: v.set,
 		},
-	},
-	{
-		use: "get KEY", short: "Read a key; the leader answers", example: "get plans/team", args: 1,
-		run: func(ctx context.Context, client storeClient, args []string) error {
-			return printCall(ctx, client, http.MethodGet, "/v1/kv/"+args[0], nil)
+		{
+			use: "delete KEY", short: "Delete a key", example: "delete plans/team",
+			run: v.delete,
 		},
-	},
-	{
-		use: "set KEY JSON", short: "Write a key",
-		example: `set plans/team '{"name":"team","quota-rate":5,"peak-units":10}'`, args: 2,
-		run: func(ctx context.Context, client storeClient, args []string) error {
-			return printCall(ctx, client, http.MethodPut, "/v1/kv/"+args[0], []byte(args[1]))
+		{
+			use: "add ID@RAFT@API", short: "Add a replica, which runs without --peers",
+			example: "add d@127.0.0.1:7004@127.0.0.1:7104", run: v.addReplica,
 		},
-	},
-	{
-		use: "delete KEY", short: "Delete a key", example: "delete plans/team", args: 1,
-		run: func(ctx context.Context, client storeClient, args []string) error {
-			return printCall(ctx, client, http.MethodDelete, "/v1/kv/"+args[0], nil)
+		{
+			use: "remove ID", short: "Remove a replica", example: "remove d",
+			run: v.removeReplica,
 		},
-	},
-	{
-		use: "add ID@RAFT@API", short: "Add a replica, which runs without --peers",
-		example: "add d@127.0.0.1:7004@127.0.0.1:7104", args: 1, run: addReplica,
-	},
-	{
-		use: "remove ID", short: "Remove a replica", example: "remove d", args: 1,
-		run: func(ctx context.Context, client storeClient, args []string) error {
-			return printCall(ctx, client, http.MethodDelete, "/v1/peers/"+args[0], nil)
+		{
+			use: "backup FILE", short: "Write the leader's state to a file, which must not exist yet",
+			example: "backup store.backup", run: v.backup,
 		},
-	},
-	{
-		use: "backup FILE", short: "Write the leader's state to a file, which must not exist yet",
-		example: "backup store.backup", args: 1, run: backupStore,
-	},
-	{
-		use: "restore FILE", short: "Replace the state by that of a backup; the set of replicas stays as it is",
-		example: "restore store.backup", args: 1, run: restoreStore,
-	},
+		{
+			use: "restore FILE", short: "Replace the state by that of a backup; the set of replicas stays as it is",
+			example: "restore store.backup", run: v.restore,
+		},
+	}
 }
 
 // storeCommand returns the command group for the store.
@@ -83,17 +72,9 @@
 	var address string
 	command.PersistentFlags().StringVar(&address, "at", "127.0.0.1:7101", "API address of any replica")
 	command.AddCommand(storeRunCommand(globals))
-	for _, verb := range storeVerbs {
-		command.AddCommand(&cobra.Command{
-			Use:     verb.use,
-			Short:   verb.short,
-			Example: "  fawnplank store " + verb.example,
-			Args:    cobra.ExactArgs(verb.args),
-			RunE: func(command *cobra.Command, args []string) error {
-				client := storeClient{address: address, flag: "--at", tls: globals.tls}
-				return verb.run(command.Context(), client, args)
-			},
-		})
+	verbs := storeVerbs{client: func() storeClient { return globals.storeClient(address, "--at") }}
+	for _, verb := range verbs.all() {
+		command.AddCommand(verb.newCommand(command.Name()))
 	}
 	return command
 }
@@ -120,7 +101,7 @@
 		return err
 	}
 	ignoreFileSizeSignal()
-	signals := make(chan os.Signal, 1)
+	signals := make(chan os.Signal, pendingSignals)
 	signal.Notify(signals, syscall.SIGTERM, os.Interrupt)
 	replica, err := store.Open(options)
 	if err != nil {
@@ -132,17 +113,27 @@
 	return nil
 }
 
-// printCall makes one call to a replica and prints its answer.
-func printCall(ctx context.Context, client storeClient, method, path string, body []byte) error {
-	text, err := client.call(ctx, method, path, body)
-	if err != nil {
-		return err
-	}
-	fmt.Println(strings.TrimSpace(string(text)))
-	return nil
+func (v storeVerbs) status(ctx context.Context, out io.Writer, _ []string) error {
+	return v.print(ctx, out, storeCall{method: http.MethodGet, path: "/v1/status"})
 }
 
-func addReplica(ctx context.Context, client storeClient, args []string) error {
+func (v storeVerbs) keys(ctx context.Context, out io.Writer, args []string) error {
+	return v.print(ctx, out, storeCall{method: http.MethodGet, path: "/v1/kv?prefix=" + args[0]})
+}
+
+func (v storeVerbs) get(ctx context.Context, out io.Writer, args []string) error {
+	return v.print(ctx, out, storeCall{method: http.MethodGet, path: "/v1/kv/" + args[0]})
+}
+
+func (v storeVerbs) set(ctx context.Context, out io.Writer, args []string) error {
+	return v.print(ctx, out, storeCall{method: http.MethodPut, path: "/v1/kv/" + args[0], body: []byte(args[1])})
+}
+
+func (v storeVerbs) delete(ctx context.Context, out io.Writer, args []string) error {
+	return v.print(ctx, out, storeCall{method: http.MethodDelete, path: "/v1/kv/" + args[0]})
+}
+
+func (v storeVerbs) addReplica(ctx context.Context, out io.Writer, args []string) error {
 	peer, err := store.ParsePeer(args[0])
 	if err != nil {
 		return err
@@ -151,15 +142,19 @@
 	if err != nil {
 		return err
 	}
-	return printCall(ctx, client, http.MethodPost, "/v1/peers", body)
+	return v.print(ctx, out, storeCall{method: http.MethodPost, path: "/v1/peers", body: body})
+}
+
+func (v storeVerbs) removeReplica(ctx context.Context, out io.Writer, args []string) error {
+	return v.print(ctx, out, storeCall{method: http.MethodDelete, path: "/v1/peers/" + args[0]})
 }
 
-func backupStore(ctx context.Context, client storeClient, args []string) error {
-	text, err := client.call(ctx, http.MethodGet, "/v1/backup", nil)
+func (v storeVerbs) backup(ctx context.Context, _ io.Writer, args []string) error {
+	text, err := v.client().do(ctx, storeCall{method: http.MethodGet, path: "/v1/backup"})
 	if err != nil {
 		return err
 	}
-	file, err := os.OpenFile(args[0], os.O_CREATE|os.O_EXCL|os.O_WRONLY, 0o600)
+	file, err := os.OpenFile(args[0], os.O_CREATE|os.O_EXCL|os.O_WRONLY, backupMode)
 	if err != nil {
 		return err
 	}
@@ -169,10 +164,20 @@
 	return errors.Join(err, file.Close())
 }
 
-func restoreStore(ctx context.Context, client storeClient, args []string) error {
+func (v storeVerbs) restore(ctx context.Context, out io.Writer, args []string) error {
 	text, err := os.ReadFile(args[0])
 	if err != nil {
 		return err
 	}
-	return printCall(ctx, client, http.MethodPost, "/v1/restore", text)
+	return v.print(ctx, out, storeCall{method: http.MethodPost, path: "/v1/restore", body: text})
+}
+
+// print makes one call and writes its answer.
+func (v storeVerbs) print(ctx context.Context, out io.Writer, call storeCall) error {
+	text, err := v.client().do(ctx, call)
+	if err != nil {
+		return err
+	}
+	_, err = fmt.Fprintln(out, strings.TrimSpace(string(text)))
+	return err
 }
--- a/cmd/fawnplank/replica_process_test.go
+++ b/cmd/fawnplank/replica_process_test.go
@@ -90,7 +90,7 @@
 // call makes one call to the replica's API.
 func (r *replicaProcess) call(t *testing.T, method, path, body string) (string, error) {
 	t.Helper()
-	text, err := storeClient{address: r.api}.call(t.Context(), method, path, []byte(body))
+	text, err := storeClient{address: r.api}.do(t.Context(), storeCall{method: method, path: path, body: []byte(body)})
 	return string(text), err
 }
 
--- a/cmd/fawnplank/store_client.go
+++ b/cmd/fawnplank/store_client.go
@@ -54,13 +54,20 @@
 	return failure
 }
 
-// call makes one call and returns the body of the answer.
-func (c storeClient) call(ctx context.Context, method, path string, body []byte) ([]byte, error) {
+// storeCall is one call to a replica.
+type storeCall struct {
+	method string // of HTTP
+	path   string // with the query, if there is one
+	body   []byte // nil for none
+}
+
+// do makes one call and returns the body of the answer. An answer that is not 200 OK is a *storeStatusError.
+func (c storeClient) do(ctx context.Context, call storeCall) ([]byte, error) {
 	client, err := c.httpClient()
 	if err != nil {
 		return nil, err
 	}
-	request, err := http.NewRequestWithContext(ctx, method, c.url(path), bytes.NewReader(body))
+	request, err := http.NewRequestWithContext(ctx, call.method, c.url(call.path), bytes.NewReader(call.body))
 	if err != nil {
 		return nil, err
 	}
@@ -110,15 +117,20 @@
 	return fmt.Errorf("store: replica at %s: %w", c.address, err)
 }
 
+// read makes one call that changes nothing.
+func (c storeClient) read(path string) ([]byte, error) {
+	return c.do(context.Background(), storeCall{method: http.MethodGet, path: path})
+}
+
 // ReadLocal reads a key as this replica has it. A call that fails is reported as a missing key.
 func (c storeClient) ReadLocal(key string) (entry kv.Entry, ok bool) {
-	text, err := c.call(context.Background(), http.MethodGet, "/v1/kv/"+key+"?stale=1", nil)
+	text, err := c.read("/v1/kv/" + key + "?stale=1")
 	return entry, err == nil && json.Unmarshal(text, &entry) == nil
 }
 
 // ReadFromLeader reads a key through the leader.
 func (c storeClient) ReadFromLeader(key string) (entry kv.Entry, ok bool, err error) {
-	text, err := c.call(context.Background(), http.MethodGet, "/v1/kv/"+key, nil)
+	text, err := c.read("/v1/kv/" + key)
 	if hasStatus(err, http.StatusNotFound) {
 		return entry, false, nil
 	}
@@ -133,7 +145,7 @@
 // the key that follows the prefix. Keys are reported as missing if a call for them fails.
 func (c storeClient) ReadPrefix(prefix string) map[string]json.RawMessage {
 	values := map[string]json.RawMessage{}
-	text, err := c.call(context.Background(), http.MethodGet, "/v1/kv?prefix="+prefix, nil)
+	text, err := c.read("/v1/kv?prefix=" + prefix)
 	var keys []string
 	if err != nil || json.Unmarshal(text, &keys) != nil {
 		return values
@@ -153,7 +165,7 @@
 	if err != nil {
 		return err
 	}
-	_, err = c.call(context.Background(), http.MethodPost, "/v1/edits", body)
+	_, err = c.do(context.Background(), storeCall{method: http.MethodPost, path: "/v1/edits", body: body})
 	if hasStatus(err, http.StatusConflict) {
 		return kv.ConflictError{}
 	}
--- a/cmd/fawnplank/store_client_test.go
+++ b/cmd/fawnplank/store_client_test.go
@@ -22,7 +22,7 @@
 	client := storeClient{address: strings.TrimPrefix(server.URL, "http://")}
 
 	status, body = http.StatusServiceUnavailable, `{"error":"no leader"}`
-	_, err := client.call(t.Context(), http.MethodGet, "/v1/status", nil)
+	_, err := client.do(t.Context(), storeCall{method: http.MethodGet, path: "/v1/status"})
 	if err == nil || err.Error() != "503 Service Unavailable: no leader" {
 		t.Errorf("%v", err)
 	}
@@ -30,7 +30,7 @@
 		t.Error("a leader that is not there reads a key")
 	}
 	status, body = http.StatusNotFound, "x"
-	_, err = client.call(t.Context(), http.MethodGet, "/v1/kv/k", nil)
+	_, err = client.do(t.Context(), storeCall{method: http.MethodGet, path: "/v1/kv/k"})
 	if err == nil || err.Error() != "404 Not Found" {
 		t.Errorf("%v", err)
 	}
