--- a/cmd/fawnplank/command_root.go
+++ b/cmd/fawnplank/command_root.go
@@ -9,6 +9,7 @@
 
 	"github.com/spf13/cobra"
 
+	"fawnplank/internal/config"
 	"fawnplank/internal/logging"
 	"fawnplank/internal/tlsconfig"
 )
@@ -53,11 +54,7 @@
 		Use: "fawnplank COMMAND", Short: "A quota-keeping gateway for a shared API",
 		SilenceUsage: true, SilenceErrors: true, Args: cobra.ArbitraryArgs,
 		PersistentPreRunE: func(*cobra.Command, []string) error {
-			level, format := cmp.Or(globals.logLevel, "info"), cmp.Or(globals.logFormat, "text")
-			if err := logging.Setup(logging.Options{Output: os.Stderr, Level: level, Format: format}); err != nil {
-				return fmt.Errorf("--log-level, --log-format: %w", err)
-			}
-			return nil
+			return setUpCommandLog(globals)
 		},
 		RunE: func(command *cobra.Command, args []string) error {
 			command.SetOut(os.Stderr)
@@ -83,6 +80,20 @@
 	return root
 }
 
+// setUpCommandLog configures the log by the flags alone. A gateway configures it again once it has read the
+// operator file.
+func setUpCommandLog(globals *globalFlags) error {
+	err := logging.Setup(logging.Options{
+		Output: os.Stderr,
+		Level:  cmp.Or(globals.logLevel, config.DefaultLogLevel),
+		Format: cmp.Or(globals.logFormat, config.DefaultLogFormat),
+	})
+	if err != nil {
+		return fmt.Errorf("--log-level, --log-format: %w", err)
+	}
+	return nil
+}
+
 func versionCommand() *cobra.Command {
 	return &cobra.Command{
 		Use: "version", Short: "Print the version", Args: cobra.NoArgs,
--- a/cmd/fawnplank/command_store.go
+++ b/cmd/fawnplank/command_store.go
@@ -107,7 +107,7 @@
 	if err != nil {
 		return err
 	}
-	logging.For("store").WithField(logging.Address, options.Self.API).Info("listening")
+	logging.For(storeComponent).WithField(logging.Address, options.Self.API).Info("listening")
 	<-signals
 	replica.Close()
 	return nil
--- /dev/null
+++ b/cmd/fawnplank/gateway_load.go
@@ -0,0 +1,53 @@
+package main
+
+import (
+	"cmp"
+	"context"
+	"os"
+	"strings"
+
+	"fawnplank/internal/config"
+	"fawnplank/internal/logging"
+)
+
+// load reads the configuration, and sets up the log and the runtime accordingly.
+func (g *gateway) load(context.Context) error {
+	configuration, operator, err := g.loadConfiguration(config.Overlay{})
+	if err != nil {
+		return err
+	}
+	g.configuration = configuration
+	g.operator = operator
+	if err := g.setUpLog(); err != nil {
+		return err
+	}
+	g.logConfiguration()
+	g.resources = newResources(configuration)
+	g.resources.limitRuntime()
+	return nil
+}
+
+// loadConfiguration reads the configuration with the rows of an overlay, and the operator file.
+func (g *gateway) loadConfiguration(overlay config.Overlay) (*config.Config, *config.Operator, error) {
+	return loadConfiguration(g.options.ConfigFile, g.options.OperatorFile, overlay)
+}
+
+// setUpLog configures the log by the flags and, where they are not given, by the operator file.
+func (g *gateway) setUpLog() error {
+	return logging.Setup(logging.Options{
+		Output:   os.Stderr,
+		Level:    cmp.Or(g.options.LogLevel, g.operator.Log.Level),
+		Format:   cmp.Or(g.options.LogFormat, g.operator.Log.Format),
+		Instance: g.configuration.Name,
+	})
+}
+
+// logConfiguration logs what an operator may not expect of the configuration.
+func (g *gateway) logConfiguration() {
+	if unknown := g.configuration.UnknownKeys; len(unknown) > 0 {
+		logging.For(configComponent).WithField("keys", strings.Join(unknown, ", ")).Warn("unknown keys ignored")
+	}
+	if g.configuration.ManagementAddress == "" {
+		logging.For(configComponent).Info("no management address: drain calls cannot arrive")
+	}
+}
--- /dev/null
+++ b/cmd/fawnplank/gateway_start.go
@@ -0,0 +1,184 @@
+package main
+
+import (
+	"context"
+	"fmt"
+
+	"fawnplank/internal/backend"
+	"fawnplank/internal/config"
+	"fawnplank/internal/counter"
+	"fawnplank/internal/discovery"
+	"fawnplank/internal/dispatch"
+	"fawnplank/internal/frontend"
+	"fawnplank/internal/metrics"
+)
+
+// startDispatcher constructs the clients of the backends, the counter and discovery, and starts the
+// dispatcher on them.
+func (g *gateway) startDispatcher(context.Context) error {
+	g.dispatcher = dispatch.New()
+	g.metrics = metrics.New(classNames(g.configuration))
+	g.pool = g.newPool()
+	g.counter = g.newCounter()
+	g.zone = newEndpointZone(g.operator.DNS)
+	g.discovery = g.newDiscovery()
+	metrics.AddGauges(g.metrics, g.counter, counterClientGauges)
+	metrics.AddGauges(g.metrics, g.dispatcher, quotaGauges)
+	g.dispatcher.Start(dispatch.Config{
+		Seed:            g.configuration.Seed,
+		Settings:        g.configuration.Settings,
+		Counter:         g.counter,
+		HealthChecker:   g.pool,
+		EndpointWatcher: g.discovery,
+	})
+	// Close runs these after everything started later, in reverse: the clients of the network first, while the
+	// dispatcher still takes what their ends report.
+	g.closeLater(g.dispatcher.Stop, g.pool.Close, g.counter.Close, g.discovery.Close)
+	return nil
+}
+
+func (g *gateway) newPool() *backend.Pool {
+	return backend.New(backend.Options{
+		MaxConnections:    g.resources.connectionsPerSide(),
+		ConnectTimeout:    g.configuration.ConnectTimeout,
+		IdleTimeout:       g.configuration.IdleTimeout,
+		Budget:            g.resources.newLargeValueBudget(),
+		Metrics:           g.metrics,
+		HandleHealthCheck: g.dispatcher.HandleHealthCheck,
+	})
+}
+
+func (g *gateway) newCounter() *counter.Client {
+	return counter.New(counter.Options{
+		Address:        g.configuration.Counter,
+		ConnectTimeout: g.configuration.ConnectTimeout,
+		Format:         counterFormat(g.operator.Counter),
+	}, g.dispatcher)
+}
+
+// counterFormat returns the wire format of the protocol that the operator file names.
+func counterFormat(settings config.Counter) counter.Format {
+	if settings.Protocol == config.CounterProtocolRESP {
+		return counter.RESP
+	}
+	return counter.Text
+}
+
+func (g *gateway) newDiscovery() *discovery.Client {
+	options := discovery.Options{
+		Subscriber:  g.dispatcher,
+		AddressBook: g.pool,
+		Config:      g.configuration,
+		Metrics:     g.metrics,
+	}
+	if g.zone.Enabled() {
+		options.Refresh = g.zone.PublishSnapshot
+	}
+	return discovery.New(options)
+}
+
+// loadEndpoints loads the endpoint list of the configuration and watches discovery, unless the list comes
+// from a zone. An outdated list must not be used alongside the zone's.
+func (g *gateway) loadEndpoints(context.Context) error {
+	if g.zone.Enabled() {
+		return nil
+	}
+	if err := g.discovery.LoadSnapshot(g.configuration.KnownEndpoints); err != nil {
+		return fmt.Errorf("configuration: %w", err)
+	}
+	if !g.configuration.Settings.PollEndpoints {
+		g.discovery.WatchEndpoints()
+	}
+	return nil
+}
+
+// importWarmStart imports and saves the measurements of the backends, if the operator file names a file.
+func (g *gateway) importWarmStart(context.Context) error {
+	if g.operator.WarmStart.File != "" {
+		g.closeLater(newWarmStart(g.operator.WarmStart, g.dispatcher).Close)
+	}
+	return nil
+}
+
+// listen opens the clients' address; Run accepts connections.
+func (g *gateway) listen(ctx context.Context) error {
+	listener, err := listen(ctx, g.configuration)
+	if err != nil {
+		return fmt.Errorf("configuration: listen: %w", err)
+	}
+	g.listener = listener
+	g.closeLater(func() {
+		_ = listener.Close() // a shutdown has closed it already
+	})
+	return nil
+}
+
+// openReplica starts the replica of the store, if the flags describe one, and what is notified of its changes.
+func (g *gateway) openReplica(context.Context) error {
+	g.accounts = newAccounts()
+	replica, err := openReplica(replicaOptions{
+		Flags: g.options.Replica,
+		TLS:   g.options.TLS,
+		CheckOverlay: func(overlay config.Overlay) error {
+			_, _, err := g.loadConfiguration(overlay)
+			return err
+		},
+		ZoneChanged: g.zone.NotifyChanged,
+		KeysChanged: g.accounts.KeysChanged,
+	})
+	if err != nil {
+		return err
+	}
+	g.replica = replica
+	g.closeLater(g.accounts.Close, g.replica.Close)
+	g.replica.registerMetrics(g.metrics)
+	return nil
+}
+
+func (g *gateway) startZone(context.Context) error {
+	if err := g.zone.Start(g.discovery, g.replica, g.metrics); err != nil {
+		return fmt.Errorf("operator file: dns: %w", err)
+	}
+	g.closeLater(g.zone.Close)
+	return nil
+}
+
+func (g *gateway) startAccounts(context.Context) error {
+	if err := g.accounts.Start(g.replica, g.configuration, g.operator, g.metrics); err != nil {
+		return fmt.Errorf("operator file: billing: %w", err)
+	}
+	return nil
+}
+
+// startLimits serves the limit commands, if the operator file names an address for them.
+func (g *gateway) startLimits(ctx context.Context) error {
+	limits, err := serveLimits(ctx, limitsOptions{
+		Dispatcher:    g.dispatcher,
+		Metrics:       g.metrics,
+		Configuration: g.configuration,
+		Operator:      g.operator,
+		Accounts:      g.accounts.service,
+	})
+	if err != nil {
+		return fmt.Errorf("operator file: limits.listen: %w", err)
+	}
+	g.limits = limits
+	return nil
+}
+
+// newServer constructs the server of the clients; Run starts it.
+func (g *gateway) newServer() {
+	options := frontend.Options{
+		Dispatcher:     g.dispatcher,
+		Pool:           g.pool,
+		Config:         g.configuration,
+		MaxConnections: g.resources.connectionsPerSide(),
+		Metrics:        g.metrics,
+		Budget:         g.resources.newLargeValueBudget(),
+	}
+	if g.accounts.service != nil { // a nil service stored in the interface would not compare as nil
+		options.Usage = g.accounts.service
+	}
+	g.server = frontend.New(options)
+	metrics.AddGauges(g.metrics, g.server, frontendGauges)
+}
--- a/cmd/fawnplank/limits.go
+++ b/cmd/fawnplank/limits.go
@@ -43,10 +43,10 @@
 	metrics.AddGauges(options.Metrics, server, limitGauges)
 	go func() { // ends when limits.Close is called
 		if err := server.Serve(listener); err != nil {
-			logging.For("limits").WithError(err).Error("stopped")
+			logging.For(limitsComponent).WithError(err).Error("stopped")
 		}
 	}()
-	logging.For("limits").WithField(logging.Address, listener.Addr().String()).Info("listening")
+	logging.For(limitsComponent).WithField(logging.Address, listener.Addr().String()).Info("listening")
 	return &limits{server}, nil
 }
 
--- a/cmd/fawnplank/management.go
+++ b/cmd/fawnplank/management.go
@@ -18,17 +18,17 @@
 	server, err := admin.New(ctx, admin.Options{
 		Address:  g.configuration.ManagementAddress,
 		Gateway:  managedGateway{g},
-		MaxCalls: g.managementCalls(),
+		MaxCalls: g.resources.managementCalls(),
 	})
 	if err != nil {
 		return fmt.Errorf("configuration: mgmt: %w", err)
 	}
 	go func() {
 		if err := server.Serve(); err != nil {
-			logging.For("admin").WithError(err).Error("stopped")
+			logging.For(adminComponent).WithError(err).Error("stopped")
 		}
 	}()
-	logging.For("admin").WithField(logging.Address, server.Address()).Info("listening")
+	logging.For(adminComponent).WithField(logging.Address, server.Address()).Info("listening")
 	return nil
 }
 
@@ -41,6 +41,6 @@
 
 func (m managedGateway) WriteStats(out io.Writer) {
 	if err := m.gateway.metrics.Write(out); err != nil {
-		logging.For("admin").WithError(err).Warn("metrics not written")
+		logging.For(adminComponent).WithError(err).Warn("metrics not written")
 	}
 }
--- a/cmd/fawnplank/reload.go
+++ b/cmd/fawnplank/reload.go
@@ -53,7 +53,7 @@
 // applyReload applies a configuration that was read again as a whole. If it is faulty, nothing changes.
 func (g *gateway) applyReload(result reloadResult) {
 	if result.err != nil {
-		logging.For("config").WithError(result.err).Error("configuration not reloaded")
+		logging.For(configComponent).WithError(result.err).Error("configuration not reloaded")
 		g.metrics.ConfigRejected()
 		return
 	}
@@ -61,13 +61,13 @@
 	merged := mergeReloadable(g.configuration, updated)
 	g.counter.SetAddress(merged.Counter)
 	g.discovery.SetAddress(merged.Discovery, merged.Settings)
-	logging.For("config").WithFields(logrus.Fields{
+	logging.For(configComponent).WithFields(logrus.Fields{
 		"discovery": merged.Discovery,
 		"counter":   merged.Counter,
 		"classes":   len(merged.Classes),
 	}).Info("configuration reloaded")
 	if !reflect.DeepEqual(merged, updated) {
-		logging.For("config").WithField("keys", "listen, mgmt, limits, seed").
+		logging.For(configComponent).WithField("keys", "listen, mgmt, limits, seed").
 			Warn("configuration changes need a restart")
 	}
 	g.metrics.ConfigReloaded()
@@ -88,7 +88,7 @@
 		return nil, err
 	}
 	if !reflect.DeepEqual(operator, g.operator) {
-		logging.For("config").Warn("operator file changes need a restart")
+		logging.For(configComponent).Warn("operator file changes need a restart")
 		if _, limitsOn := g.configuration.LimitClass(); limitsOn && operator.Limits.Listen == "" {
 			updated.AddLimitClass(g.operator) // the limits address continues to be served
 		}
--- a/cmd/fawnplank/shutdown.go
+++ b/cmd/fawnplank/shutdown.go
@@ -40,14 +40,14 @@
 // drainClients continues to serve while new connections may still arrive. It then ends connections between
 // requests, and returns once all requests are answered or the longest deadline has passed.
 func drainClients(server *frontend.Server, listener net.Listener, settings policy.Settings) {
-	logging.For("frontend").WithField("connections", server.Connections()).Info("stopping")
+	logging.For(frontendComponent).WithField("connections", server.Connections()).Info("stopping")
 	time.Sleep(arrivalGrace)
 	server.AcceptLast(listener)
 	_ = listener.Close() // the process ends next
 	ctx, cancel := context.WithTimeout(context.Background(), longestDeadline(settings)+lastRequestGrace)
 	defer cancel()
 	_ = server.Shutdown(ctx) // fails if time is up for every request: then there is nothing left to wait for
-	logging.For("frontend").WithField("connections", server.Connections()).Info("stopped")
+	logging.For(frontendComponent).WithField("connections", server.Connections()).Info("stopped")
 }
 
 func longestDeadline(settings policy.Settings) time.Duration {
--- a/cmd/fawnplank/shutdown_test.go
+++ b/cmd/fawnplank/shutdown_test.go
@@ -69,10 +69,11 @@
 	if g.configuration, g.operator, err = g.loadConfiguration(config.Overlay{}); err != nil {
 		t.Fatal(err)
 	}
+	g.resources = newResources(g.configuration)
 	g.configuration.Counter = address
 	g.configuration.ConnectTimeout = time.Minute           // no health check ends by itself
 	g.configuration.Settings.DrainGrace = 10 * time.Minute // nor does a call of discovery
-	if err := errors.Join(g.startDispatcher(), g.loadEndpoints()); err != nil {
+	if err := errors.Join(g.startDispatcher(t.Context()), g.loadEndpoints(t.Context())); err != nil {
 		t.Fatal(err)
 	}
 	g.counter.Add(1, 1, time.Second)
--- a/cmd/fawnplank/warm_start.go
+++ b/cmd/fawnplank/warm_start.go
@@ -44,11 +44,11 @@
 		return
 	}
 	if err != nil {
-		logging.For("warmstart").WithError(err).Warn("state refused")
+		logging.For(warmStartComponent).WithError(err).Warn("state refused")
 		return
 	}
 	w.dispatcher.ImportState(state, age)
-	logging.For("warmstart").WithFields(logrus.Fields{
+	logging.For(warmStartComponent).WithFields(logrus.Fields{
 		"age":      age.String(),
 		"backends": len(state.Backends),
 	}).Info("state imported")
@@ -70,7 +70,7 @@
 func (w *warmStart) save() {
 	err := warmstart.Save(w.path, w.dispatcher.ExportState(), time.Now())
 	if err != nil && !w.failing {
-		logging.For("warmstart").WithError(err).Error("state not saved")
+		logging.For(warmStartComponent).WithError(err).Error("state not saved")
 	}
 	w.failing = err != nil
 }
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -36,7 +36,7 @@
 
 // Counter configures the protocol that the shared counter speaks.
 type Counter struct {
-	Protocol string `toml:"protocol"` // "text", the platform's own, or "resp"
+	Protocol string `toml:"protocol"` // CounterProtocolText or CounterProtocolRESP
 }
 
 // Duration is a time in Go's notation, such as "750ms".
@@ -54,18 +54,26 @@
 
 // Values that the settings of the log and the counter may have.
 var (
-	logFormats       = []string{"text", "json"}
-	logLevels        = []string{"error", "warning", "info", "debug"}
-	counterProtocols = []string{"text", "resp"}
+	logFormats       = []string{DefaultLogFormat, "json"}
+	logLevels        = []string{"error", "warning", DefaultLogLevel, "debug"}
+	counterProtocols = []string{CounterProtocolText, CounterProtocolRESP}
+)
+
+// Defaults of the log, which also hold for commands that read no operator file.
+const (
+	DefaultLogFormat = "text"
+	DefaultLogLevel  = "info"
+)
+
+// The protocols that the shared counter may speak.
+const (
+	CounterProtocolText = "text" // the platform's own
+	CounterProtocolRESP = "resp"
 )
 
 // Defaults and bounds of the sections declared in this file. The other sections have theirs in their own
 // files.
 const (
-	defaultLogFormat       = "text"
-	defaultLogLevel        = "info"
-	defaultCounterProtocol = "text"
-
 	// defaultSaveInterval is the time in which the weight of a backend's measurements decays by about two thirds:
 	// they halve in 3.4 s (see package policy).
 	defaultSaveInterval = Duration(5 * time.Second)
@@ -105,8 +113,8 @@
 func defaultOperator() *Operator {
 	return &Operator{
 		Limits:    defaultLimits(),
-		Counter:   Counter{Protocol: defaultCounterProtocol},
-		Log:       Log{Format: defaultLogFormat, Level: defaultLogLevel},
+		Counter:   Counter{Protocol: CounterProtocolText},
+		Log:       Log{Format: DefaultLogFormat, Level: DefaultLogLevel},
 		WarmStart: WarmStart{SaveInterval: defaultSaveInterval},
 		DNS:       DNS{MaxUpdatesPerSecond: defaultMaxUpdatesPerSecond},
 		Billing:   defaultBilling(),
