--- a/cmd/fawnplank/command_migrate.go
+++ b/cmd/fawnplank/command_migrate.go
@@ -41,7 +41,7 @@
 	if path == "" || m.output == "" && !m.dryRun {
 		return errors.New("migrate: needs --config for the old file, and --output for the new one or --dry-run")
 	}
-	lost, err := config.Migrate(config.MigrateOptions{
+	losses, err := config.Migrate(config.MigrateOptions{
 		From:   path,
 		Shape:  m.shape,
 		To:     m.output,
@@ -50,13 +50,13 @@
 	if err != nil {
 		return err
 	}
-	for _, line := range lost {
-		fmt.Println("not carried over:", line)
+	for _, loss := range losses {
+		fmt.Println("not carried over:", loss)
 	}
 	if m.dryRun {
-		fmt.Printf("%s: %d not carried over; nothing written\n", path, len(lost))
+		fmt.Printf("%s: %d not carried over; nothing written\n", path, len(losses))
 		return nil
 	}
-	fmt.Printf("%s: written; %d not carried over\n", m.output, len(lost))
+	fmt.Printf("%s: written; %d not carried over\n", m.output, len(losses))
 	return nil
 }
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -20,7 +20,6 @@
 	"errors"
 	"fmt"
 	"os"
-	"strconv"
 	"time"
 
 	"fawnplank/policy"
@@ -57,31 +56,19 @@
 // Defaults for what the configuration may leave out. The limits are the example figures of the deployment
 // page; the other values are the platform's.
 const (
-	defaultMemoryMB         = 192
-	defaultMaxSockets       = 1024
-	defaultIdleTimeoutMs    = 15000
-	defaultConnectTimeoutMs = 250
-	defaultMaxUnits         = 1e6
+	defaultMemoryMebibytes = 192
+	defaultMaxSockets      = 1024
+	defaultIdleTimeout     = 15 * time.Second
+	defaultConnectTimeout  = 250 * time.Millisecond
+	defaultMaxUnits        = 1e6
 )
 
+// bytesPerMebibyte converts the unit of the key for memory into bytes.
+const bytesPerMebibyte = 1 << 20
+
 // minSockets covers the program's own descriptors, plus a few for clients and a few for backends.
 const minSockets = 64
 
-// managementKey names the management address. Deployments that are migrated do not have it.
-const managementKey = "mgmt"
-
-// environmentNames lists the environment variables that replace keys that a configuration leaves out.
-var environmentNames = map[string]string{
-	"name":        "GW_NAME",
-	"listen":      "GW_LISTEN",
-	"discovery":   "GW_DISCOVERY",
-	managementKey: "GW_MGMT",
-}
-
-// listenerNames lists the environment variables that may name the listener handed down. The first one that is
-// set wins.
-var listenerNames = []string{"GW_SOCKET_FD", "SOCKET_FD"}
-
 // ErrNoFile is the error that Read returns if nothing names a configuration file.
 var ErrNoFile = errors.New("configuration: no file: neither a flag nor GW_CONFIG names one")
 
@@ -115,22 +102,6 @@
 	return c, nil
 }
 
-// listenerFD returns the descriptor of the listener that was handed to the process, or -1 if there is none.
-func listenerFD(getenv func(string) string) (int, error) {
-	for _, name := range listenerNames {
-		text := getenv(name)
-		if text == "" {
-			continue
-		}
-		fd, err := strconv.Atoi(text)
-		if err != nil || fd < 0 {
-			return 0, fmt.Errorf("%s is %q, which is no descriptor", name, text)
-		}
-		return fd, nil
-	}
-	return -1, nil
-}
-
 // parse parses a configuration's text. If several keys are faulty, the error names the first one read, so the
 // order of the reads below determines which message appears.
 func parse(text []byte, getenv func(string) string) (*Config, error) {
@@ -149,77 +120,48 @@
 	}
 	c := readConfig(top)
 	c.UnknownKeys = top.unknownKeys()
-	c.KnownEndpoints = raw["known"]
+	c.KnownEndpoints = raw[keyKnownEndpoints]
 	return c, top.err()
 }
 
 // readConfig reads the fields of a configuration, except for the endpoint list.
 func readConfig(top object) *Config {
-	limits := top.optionalObject("limits")
-	settings := top.requiredObject("settings")
+	limits := top.optionalObject(keyLimits)
+	settings := top.requiredObject(keySettings)
 	c := &Config{
-		Name:              required[string](top, "name"),
-		Listen:            top.requiredAddress("listen"),
-		Discovery:         top.requiredAddress("discovery"),
-		ManagementAddress: top.optionalAddress(managementKey),
+		Name:              required[string](top, keyName),
+		Listen:            top.requiredAddress(keyListen),
+		Discovery:         top.requiredAddress(keyDiscovery),
+		ManagementAddress: top.optionalAddress(keyManagement),
 		ListenerFD:        -1,
 		Settings:          readSettings(settings),
-		MemoryBytes:       int64(clampToCount(limits.positiveOr("memory_mb", defaultMemoryMB))) << 20,
-		MaxSockets:        clampToCount(limits.positiveOr("sockets", defaultMaxSockets)),
-		Zones:             settings.optionalStrings("zones"),
+		MemoryBytes:       readMemoryBytes(limits),
+		MaxSockets:        clampToCount(limits.positiveOr(keySockets, defaultMaxSockets)),
+		Zones:             settings.optionalStrings(keyZones),
 	}
 	c.Seed = top.hexadecimal("seed")
-	if c.Settings.CounterEnabled {
-		c.Counter = top.requiredAddress("counter")
-	} else {
-		c.Counter = top.optionalAddress("counter")
-	}
-	permissions := settings.requiredObject("permissions")
-	c.IdleTimeout = Milliseconds(permissions.positiveOr("conn-idle-ms", defaultIdleTimeoutMs))
-	c.ConnectTimeout = Milliseconds(permissions.positiveOr("connect-timeout-ms", defaultConnectTimeoutMs))
-	c.MaxUnits = settings.optionalObject("family-info").positiveOr("max-units", defaultMaxUnits)
-	c.Classes = idsByName[policy.ClassID](settings.requiredRows("lanes"))
-	c.Plans = idsByName[policy.PlanID](settings.requiredRows("tariffs"))
+	c.Counter = readCounterAddress(top, c.Settings.CounterEnabled)
+	permissions := settings.requiredObject(keyPermissions)
+	c.IdleTimeout = permissions.positiveMillisecondsOr("conn-idle-ms", defaultIdleTimeout)
+	c.ConnectTimeout = permissions.positiveMillisecondsOr("connect-timeout-ms", defaultConnectTimeout)
+	c.MaxUnits = settings.optionalObject(keyRequests).positiveOr("max-units", defaultMaxUnits)
+	c.Classes = idsByName[policy.ClassID](settings.requiredRows(keyClasses))
+	c.Plans = idsByName[policy.PlanID](settings.requiredRows(keyPlans))
 	if c.MaxSockets < minSockets {
-		limits.failf("sockets", "is below %d", minSockets)
+		limits.failf(keySockets, "is below %d", minSockets)
 	}
 	return c
 }
 
-// idsByName numbers rows in their order and returns the numbers by name.
-func idsByName[ID ~uint16 | ~uint32](rows []object) map[string]ID {
-	ids := map[string]ID{}
-	for n, row := range rows {
-		ids[required[string](row, "name")] = ID(n)
-	}
-	return ids
-}
-
-// KeepIDs renumbers the classes and plans of a newly read configuration, so that ids mean what they meant in
-// old. A name whose row is unchanged keeps its id. A new name, or one whose row changed, gets an id after all
-// ids of old. Old rows stay for the requests in flight under them; names that are gone admit no request.
-func (c *Config) KeepIDs(old *Config) {
-	c.Settings.Classes, c.Classes = keepIDs(old.Settings.Classes, old.Classes, c.Settings.Classes, c.Classes)
-	c.Settings.Plans, c.Plans = keepIDs(old.Settings.Plans, old.Plans, c.Settings.Plans, c.Plans)
+func readMemoryBytes(limits object) int64 {
+	mebibytes := clampToCount(limits.positiveOr("memory_mb", defaultMemoryMebibytes))
+	return int64(mebibytes) * bytesPerMebibyte
 }
 
-// keepIDs merges the rows of a list, indexed by id, with its old rows.
-func keepIDs[T comparable, ID ~uint16 | ~uint32](
-	oldRows []T, oldIDs map[string]ID, rows []T, ids map[string]ID,
-) (mergedRows []T, mergedIDs map[string]ID) {
-	names := make([]string, len(rows))
-	for name, id := range ids {
-		names[id] = name
-	}
-	mergedRows = append([]T(nil), oldRows...)
-	mergedIDs = map[string]ID{}
-	for id, name := range names { // iterates in the file's order, so that the same file gives the same ids
-		if oldID, ok := oldIDs[name]; ok && mergedRows[oldID] == rows[id] {
-			mergedIDs[name] = oldID
-			continue
-		}
-		mergedIDs[name] = ID(len(mergedRows))
-		mergedRows = append(mergedRows, rows[id])
+// readCounterAddress reads the address of the shared counter, which must be present if the counter is enabled.
+func readCounterAddress(top object, enabled bool) string {
+	if enabled {
+		return top.requiredAddress(keyCounter)
 	}
-	return mergedRows, mergedIDs
+	return top.optionalAddress(keyCounter)
 }
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -17,7 +17,7 @@
 	"known":{"index":41,"snapshot":true,"endpoints":[]},
 	"settings":{"me": 1, "replicas-of-me": 3, "zones": ["a"], "shapes": ["m2"], "discovery": "on_request",
 	"family-info": {"may-count": true, "counter-timeout-ms": 80, "post-paid": true},
-	"permissions": {"send-cap": 3, "` + cancellationKey + `": true, "conn-idle-ms": 9000, "connect-timeout-ms": 100},
+	"permissions": {"send-cap": 3, "` + keyCancellation + `": true, "conn-idle-ms": 9000, "connect-timeout-ms": 100},
 	"invariants": {"cold-share": 0.2, "warm-up-ms": 9000, "tip-multiple": 2, "fall-ms": 1000, "ask-within-ms": 5,
 	"stop-sending-within-ms": 250},
 	"lanes": [{"name": "lookup", "goal-time-ms": 750, "deadline-ms": 2000, "effect": "idempotency_key",
@@ -115,7 +115,7 @@
 	t.Setenv("GW_NAME", "other") // the file's own word goes first
 	c, err := Read("", Overlay{})
 	if err != nil || c.Listen != "127.0.0.9:1" || c.Name != "n3" || c.MaxSockets != defaultMaxSockets ||
-		c.MemoryBytes != defaultMemoryMB<<20 {
+		c.MemoryBytes != defaultMemoryMebibytes<<20 {
 		t.Errorf("%+v, %v", c, err)
 	}
 	t.Setenv("GW_CONFIG", "")
--- a/internal/config/decode.go
+++ b/internal/config/decode.go
@@ -48,7 +48,7 @@
 func (o object) unknownKeys() []string {
 	var unknown []string
 	for key := range o.fields {
-		if key != managementKey && !isKnownKey("", key) {
+		if key != keyManagement && !isKnownKey("", key) {
 			unknown = append(unknown, key)
 		}
 	}
@@ -138,6 +138,25 @@
 	return number
 }
 
+// requiredMilliseconds returns the time of a key that must be present, as milliseconds.
+func (o object) requiredMilliseconds(key string) time.Duration {
+	return Milliseconds(o.requiredNumber(key))
+}
+
+// optionalMilliseconds returns the time of a key, which is in milliseconds, or 0 if the key is absent.
+func (o object) optionalMilliseconds(key string) time.Duration {
+	return Milliseconds(o.optionalNumber(key))
+}
+
+// positiveMillisecondsOr returns a time in milliseconds, or fallback if the key is absent. A time that is present
+// must be above 0.
+func (o object) positiveMillisecondsOr(key string, fallback time.Duration) time.Duration {
+	if !o.has(key) {
+		return fallback
+	}
+	return Milliseconds(o.positiveOr(key, 0))
+}
+
 // hexadecimal returns a 64-bit number, which must be present as hexadecimal digits.
 func (o object) hexadecimal(key string) uint64 {
 	number, err := strconv.ParseUint(required[string](o, key), 16, 64)
@@ -182,7 +201,7 @@
 }
 
 // maxMilliseconds is a thousand hours. Only absurd figures exceed it, and they must not overflow.
-const maxMilliseconds = 3.6e9
+const maxMilliseconds = float64(1000 * time.Hour / time.Millisecond)
 
 // Milliseconds converts milliseconds, in which the platform writes times, into a duration. It saturates at a
 // thousand hours in either direction.
--- a/internal/config/migrate_keys.go
+++ b/internal/config/migrate_keys.go
@@ -24,7 +24,7 @@
 		"may-count call-price counter-timeout-ms metering-ms max-units inbox-per-s post-paid"),
 	"settings.blend": strings.Fields("whole worst-class worst-tenant worst-window"),
 	"settings.permissions": strings.Fields(
-		cancellationKey + " conn-idle-ms connect-timeout-ms cpu-us-per-request cpu-us-per-s send-cap max-open " +
+		keyCancellation + " conn-idle-ms connect-timeout-ms cpu-us-per-request cpu-us-per-s send-cap max-open " +
 			"max-retry-after-ms peer-messages probes retry-after second-copies max-streams"),
 	"settings.prices": strings.Fields(
 		"connection cross-zone discovery handshake late-fail moves origin peer probe waste"),
@@ -48,7 +48,7 @@
 
 // wordSettings lists the settings that Migrate checks, in the order of its messages.
 var wordSettings = []wordSetting{
-	{path: "settings.discovery", words: []string{"pushed", "on_request"}},
+	{path: "settings.discovery", words: []string{"pushed", discoveryOnRequest}},
 	{path: "settings.telemetry.how", words: []string{"inline", "on_probe", "off"}},
 	{path: "settings.weights", words: []string{"off", "nominal", "rough", "live"}},
 }
--- a/internal/config/migrate_test.go
+++ b/internal/config/migrate_test.go
@@ -44,7 +44,7 @@
 
 func TestMigrate_ToTheNewShape(t *testing.T) {
 	from, to := files(t, oldConfig, newShape)
-	lines, err := Migrate(MigrateOptions{From: from[0], Shape: from[1], To: to})
+	losses, err := Migrate(MigrateOptions{From: from[0], Shape: from[1], To: to})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -52,12 +52,12 @@
 		"settings.permissions.turbo: not known here", "settings.permissions.probes: true",
 		"settings.telemetry: reports", "known: 1 backends", "settings.permissions.retry-after: true",
 		`settings.lanes[1]: "draft" has no counterpart`, `settings.tariffs[0]: "team" has no counterpart`}
-	if len(lines) != len(want) {
-		t.Fatalf("%q", lines)
+	if len(losses) != len(want) {
+		t.Fatalf("%q", losses)
 	}
 	for n := range want {
-		if !strings.HasPrefix(lines[n], want[n]) {
-			t.Errorf("line %d is %q, not %q", n, lines[n], want[n])
+		if !strings.HasPrefix(losses[n].String(), want[n]) {
+			t.Errorf("loss %d is %q, not %q", n, losses[n], want[n])
 		}
 	}
 	c, err := Read(to, Overlay{})
@@ -78,8 +78,8 @@
 		t.Error("the source has changed")
 	}
 	// Its own output has nothing left to say, but for what the shape took out.
-	if lines, err := Migrate(MigrateOptions{From: to, DryRun: true}); err != nil || len(lines) != 0 {
-		t.Errorf("once more: %q, %v", lines, err)
+	if losses, err := Migrate(MigrateOptions{From: to, DryRun: true}); err != nil || len(losses) != 0 {
+		t.Errorf("once more: %q, %v", losses, err)
 	}
 }
 
@@ -87,10 +87,10 @@
 // they are written.
 func TestMigrate_WithoutAShape(t *testing.T) {
 	from, to := files(t, strings.Replace(oldConfig, `"name":"n3","listen":"127.0.0.1:6379",`, "", 1))
-	lines, err := Migrate(MigrateOptions{From: from[0], To: to})
-	saysListen := func(note string) bool { return strings.HasPrefix(note, "listen: left out: GW_LISTEN") }
-	if err != nil || !slices.ContainsFunc(lines, saysListen) {
-		t.Fatalf("%q, %v", lines, err)
+	losses, err := Migrate(MigrateOptions{From: from[0], To: to})
+	namesListen := func(l Loss) bool { return strings.HasPrefix(l.String(), "listen: left out: GW_LISTEN") }
+	if err != nil || !slices.ContainsFunc(losses, namesListen) {
+		t.Fatalf("%q, %v", losses, err)
 	}
 	text, err := os.ReadFile(to)
 	if err != nil {
--- a/internal/config/overlay.go
+++ b/internal/config/overlay.go
@@ -44,16 +44,16 @@
 	if err := json.Unmarshal(text, &top); err != nil {
 		return nil, fmt.Errorf("no JSON object: %w", err)
 	}
-	if err := json.Unmarshal(top["settings"], &settings); err != nil {
+	if err := json.Unmarshal(top[keySettings], &settings); err != nil {
 		return nil, fmt.Errorf("settings: no JSON object: %w", err)
 	}
-	if err := replaceRows(settings, "tariffs", o.Plans); err != nil {
+	if err := replaceRows(settings, keyPlans, o.Plans); err != nil {
 		return nil, err
 	}
-	if err := replaceRows(settings, "lanes", o.Classes); err != nil {
+	if err := replaceRows(settings, keyClasses, o.Classes); err != nil {
 		return nil, err
 	}
-	top["settings"], _ = json.Marshal(settings) // each value was decoded or marshaled before
+	top[keySettings], _ = json.Marshal(settings) // each value was decoded or marshaled before
 	return json.Marshal(top)
 }
 
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -12,9 +12,6 @@
 // settings do not specify a time.
 const defaultDrainGrace = time.Second
 
-// cancellationKey is the platform's word, in British spelling.
-const cancellationKey = "cancelling" //nolint:misspell // a key of the platform's settings
-
 // The words that settings may hold, with their meanings.
 var (
 	idempotencyWords = map[string]policy.Idempotency{
@@ -34,8 +31,11 @@
 	}
 )
 
+// discoveryOnRequest is the word for discovery that has to be polled.
+const discoveryOnRequest = "on_request"
+
 // nonNegativePlanKeys lists a plan's numbers that must not be below 0.
-var nonNegativePlanKeys = []string{"quota-rate", "peak-units", "parallel", "cap-rate", "ceiling-burst",
+var nonNegativePlanKeys = []string{"quota-rate", "peak-units", keyConcurrency, "cap-rate", "ceiling-burst",
 	"beyond-earns", "beyond-costs"}
 
 // ParseSettings converts the platform's settings, a JSON object, into the settings of the decisions. An error
@@ -51,44 +51,44 @@
 
 // readSettings reads the platform's settings.
 func readSettings(top object) policy.Settings {
-	family := top.optionalObject("family-info")
-	permissions := top.requiredObject("permissions")
+	family := top.optionalObject(keyRequests)
+	permissions := top.requiredObject(keyPermissions)
 	invariants := top.requiredObject("invariants")
 	settings := policy.Settings{
-		InstanceIndex:     clampToCount(top.requiredNumber("me")),
-		Instances:         clampToCount(top.requiredNumber("replicas-of-me")),
-		Zone:              policy.ZoneID(clampToCount(top.optionalNumber("my-zone"))),
-		MaxAttempts:       clampToCount(permissions.requiredNumber("send-cap")),
+		InstanceIndex:     clampToCount(top.requiredNumber(keyInstanceIndex)),
+		Instances:         clampToCount(top.requiredNumber(keyInstances)),
+		Zone:              policy.ZoneID(clampToCount(top.optionalNumber(keyZone))),
+		MaxAttempts:       clampToCount(permissions.requiredNumber(keyMaxAttempts)),
 		Hedging:           permissions.optionalBool("second-copies"),
-		Cancellation:      permissions.optionalBool(cancellationKey),
-		HealthChecks:      permissions.optionalBool("probes"),
+		Cancellation:      permissions.optionalBool(keyCancellation),
+		HealthChecks:      permissions.optionalBool(keyHealthChecks),
 		RetryAfter:        permissions.optionalBool("retry-after"),
-		MaxRetryAfter:     Milliseconds(permissions.optionalNumber("max-retry-after-ms")),
+		MaxRetryAfter:     permissions.optionalMilliseconds("max-retry-after-ms"),
 		CounterEnabled:    family.optionalBool("may-count"),
-		CounterTimeout:    Milliseconds(family.optionalNumber("counter-timeout-ms")),
+		CounterTimeout:    family.optionalMilliseconds("counter-timeout-ms"),
 		PostPaid:          family.optionalBool("post-paid"),
-		PollEndpoints:     top.optionalString("discovery") == "on_request",
-		PollTimeout:       Milliseconds(invariants.optionalNumber("ask-within-ms")),
+		PollEndpoints:     top.optionalString(keyDiscovery) == discoveryOnRequest,
+		PollTimeout:       invariants.optionalMilliseconds("ask-within-ms"),
 		DrainGrace:        defaultDrainGrace,
 		SlowStartShare:    invariants.requiredNumber("cold-share"),
-		SlowStartDuration: Milliseconds(invariants.requiredNumber("warm-up-ms")),
+		SlowStartDuration: invariants.requiredMilliseconds("warm-up-ms"),
 		OverloadMultiple:  invariants.requiredNumber("tip-multiple"),
-		OverloadWindow:    Milliseconds(invariants.requiredNumber("fall-ms")),
+		OverloadWindow:    invariants.requiredMilliseconds("fall-ms"),
 		CrossZoneCost:     top.optionalObject("prices").optionalNumber("cross-zone"),
 	}
-	if invariants.has("stop-sending-within-ms") {
-		settings.DrainGrace = Milliseconds(invariants.optionalNumber("stop-sending-within-ms"))
+	if invariants.has(keyDrainGrace) {
+		settings.DrainGrace = invariants.optionalMilliseconds(keyDrainGrace)
 		if settings.DrainGrace <= 0 {
-			invariants.failf("stop-sending-within-ms", "is not above 0")
+			invariants.failf(keyDrainGrace, "is not above 0")
 		}
 	}
 	if settings.MaxAttempts < 1 {
-		permissions.failf("send-cap", "is not above 0")
+		permissions.failf(keyMaxAttempts, "is not above 0")
 	}
-	for _, row := range top.requiredRows("lanes") {
+	for _, row := range top.requiredRows(keyClasses) {
 		settings.Classes = append(settings.Classes, readClass(row))
 	}
-	for _, row := range top.requiredRows("tariffs") {
+	for _, row := range top.requiredRows(keyPlans) {
 		settings.Plans = append(settings.Plans, readPlan(row))
 	}
 	return settings
@@ -97,17 +97,17 @@
 // readClass reads a row of the list of classes.
 func readClass(row object) policy.ClassSettings {
 	class := policy.ClassSettings{
-		LatencyObjective: Milliseconds(row.requiredNumber("goal-time-ms")),
-		Deadline:         Milliseconds(row.requiredNumber("deadline-ms")),
+		LatencyObjective: row.requiredMilliseconds("goal-time-ms"),
+		Deadline:         row.requiredMilliseconds("deadline-ms"),
 		LateValue:        row.optionalNumber("late-worth"),
-		DedupWindow:      Milliseconds(row.optionalNumber("window-ms")),
+		DedupWindow:      row.optionalMilliseconds("window-ms"),
 	}
 	class.Idempotency = oneOf(row, "effect", idempotencyWords)
 	if class.Idempotency == policy.IdempotentWithKey {
 		class.DedupScope = oneOf(row, "group", dedupScopeWords)
 	}
-	if row.has("silence") { // if it is left out, the instance falls back to its local share
-		class.FallbackMode = oneOf(row, "silence", fallbackModeWords)
+	if row.has(keyFallbackMode) { // if it is left out, the instance falls back to its local share
+		class.FallbackMode = oneOf(row, keyFallbackMode, fallbackModeWords)
 	}
 	if class.Deadline <= 0 {
 		row.failf("deadline-ms", "is not above 0")
@@ -122,13 +122,13 @@
 			row.failf(key, "is below 0")
 		}
 	}
-	if limit := row.optionalNumber("parallel"); limit != math.Trunc(limit) {
-		row.failf("parallel", "is no whole number")
+	if limit := row.optionalNumber(keyConcurrency); limit != math.Trunc(limit) {
+		row.failf(keyConcurrency, "is no whole number")
 	}
 	return policy.PlanSettings{
 		Rate:             row.requiredNumber("quota-rate"),
 		Burst:            row.requiredNumber("peak-units"),
-		ConcurrencyLimit: clampToCount(row.optionalNumber("parallel")),
+		ConcurrencyLimit: clampToCount(row.optionalNumber(keyConcurrency)),
 		HardQuotaRate:    row.optionalNumber("cap-rate"),
 		HardQuotaBurst:   row.optionalNumber("ceiling-burst"),
 		OverQuotaValue:   row.optionalNumber("beyond-earns"),
