--- a/cmd/fawnplank/command_dns.go
+++ b/cmd/fawnplank/command_dns.go
@@ -18,6 +18,9 @@
 // dnsUpdateTimeout bounds an update, because the server waits for its journal or for the store.
 const dnsUpdateTimeout = 5 * time.Second
 
+// tablePadding is the number of spaces between the columns of a table.
+const tablePadding = 2
+
 // dnsCommand returns the command group for the zone.
 func dnsCommand(globals *globalFlags) *cobra.Command {
 	command := &cobra.Command{
@@ -73,7 +76,7 @@
 
 // writeZone writes the endpoint list, one line per entry.
 func writeZone(out io.Writer, zone *dnszone.Zone, source string) error {
-	table := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
+	table := tabwriter.NewWriter(out, 0, 0, tablePadding, ' ', 0)
 	lines := []string{
 		fmt.Sprintf("zone %s, serial %d, from %s; %d backends in the list", zone.Origin, zone.Serial(), source,
 			len(zone.Backends())),
@@ -114,8 +117,14 @@
 
 // dnsUpdate holds the flags of "dns update".
 type dnsUpdate struct {
-	server, zone, keyName, algorithm, secretFile string
-	deleteNames, deletes, adds                   []string
+	server      string   // host and port of the name server
+	zone        string   // with or without the final point
+	keyName     string   // of the TSIG key
+	algorithm   string   // of the TSIG key
+	secretFile  string   // with the key's secret in base64
+	deleteNames []string // names whose records are all deleted
+	deletes     []string // records to delete, in master form
+	adds        []string // records to add, in master form
 }
 
 func dnsUpdateCommand() *cobra.Command {
--- a/cmd/fawnplank/command_migrate.go
+++ b/cmd/fawnplank/command_migrate.go
@@ -9,15 +9,15 @@
 	"fawnplank/internal/config"
 )
 
-// migration holds the flags of migrate.
-type migration struct {
+// migrateFlags holds the flags of "migrate".
+type migrateFlags struct {
 	shape  string // file with the settings of the new deployment
 	output string // file to write
 	dryRun bool
 }
 
 func migrateCommand(globals *globalFlags) *cobra.Command {
-	var m migration
+	var m migrateFlags
 	command := &cobra.Command{
 		Use: "migrate", Short: "Write the configuration's counterpart for the new shape of deployment",
 		Long: "Writes the counterpart of a configuration for the new shape of deployment, and lists what could not " +
@@ -37,7 +37,7 @@
 
 // run writes the counterpart of the configuration at path for the new shape, and lists what it could not
 // carry over.
-func (m migration) run(path string) error {
+func (m migrateFlags) run(path string) error {
 	if path == "" || m.output == "" && !m.dryRun {
 		return errors.New("migrate: needs --config for the old file, and --output for the new one or --dry-run")
 	}
--- a/cmd/fawnplank/replica.go
+++ b/cmd/fawnplank/replica.go
@@ -2,15 +2,11 @@
 
 import (
 	"encoding/json"
-	"errors"
-	"fmt"
 	"os/signal"
 	"slices"
 	"strings"
 	"syscall"
 
-	"github.com/spf13/cobra"
-
 	"fawnplank/internal/config"
 	"fawnplank/internal/dnsserver"
 	"fawnplank/internal/metrics"
@@ -18,47 +14,6 @@
 	"fawnplank/internal/tlsconfig"
 )
 
-// replicaFlags says where a replica of the store is, and which other replicas exist.
-type replicaFlags struct {
-	folder string // if empty, there is no store
-	self   string
-	peers  []string
-}
-
-func (f *replicaFlags) register(command *cobra.Command) {
-	flags := command.Flags()
-	flags.StringVar(&f.folder, "store", "", "folder of this replica of the store; left out: no store")
-	flags.StringVar(&f.self, "me", "", "this replica: id@raft-address@api-address")
-	flags.StringSliceVar(&f.peers, "peers", nil,
-		"all replicas of the first start, including this one; none: it waits to be added")
-}
-
-func (f *replicaFlags) options(files tlsconfig.Files) (options store.Options, err error) {
-	options.Dir = f.folder
-	if files.Enabled() {
-		if options.TLS, err = tlsconfig.New(files); err != nil {
-			return options, err
-		}
-		if files.Authority == "" {
-			return options, errors.New("--tls-authority is missing: replicas check each other by it")
-		}
-	}
-	if options.Self, err = store.ParsePeer(f.self); err != nil {
-		return options, fmt.Errorf("--me: %w", err)
-	}
-	for _, text := range f.peers {
-		peer, err := store.ParsePeer(text)
-		if err != nil {
-			return options, fmt.Errorf("--peers: %w", err)
-		}
-		options.Peers = append(options.Peers, peer)
-	}
-	if len(options.Peers) > 0 && !slices.Contains(options.Peers, options.Self) {
-		return options, fmt.Errorf("--peers: %s is not among them", f.self)
-	}
-	return options, nil
-}
-
 // ignoreFileSizeSignal makes a write beyond a file size limit fail with an error that is reported, as on a
 // full disk, instead of ending the process.
 func ignoreFileSizeSignal() { signal.Ignore(syscall.SIGXFSZ) }
--- /dev/null
+++ b/cmd/fawnplank/replica_flags.go
@@ -0,0 +1,75 @@
+package main
+
+import (
+	"errors"
+	"fmt"
+	"slices"
+
+	"github.com/spf13/cobra"
+
+	"fawnplank/internal/store"
+	"fawnplank/internal/tlsconfig"
+)
+
+// replicaFlags says where a replica of the store is, and which other replicas exist.
+type replicaFlags struct {
+	folder string   // if empty, there is no store
+	self   string   // id@raft-address@api-address, as store.ParsePeer reads it
+	peers  []string // all replicas of the first start, in the same form
+}
+
+func (f *replicaFlags) register(command *cobra.Command) {
+	flags := command.Flags()
+	flags.StringVar(&f.folder, "store", "", "folder of this replica of the store; left out: no store")
+	flags.StringVar(&f.self, "me", "", "this replica: id@raft-address@api-address")
+	flags.StringSliceVar(&f.peers, "peers", nil,
+		"all replicas of the first start, including this one; none: it waits to be added")
+}
+
+// options returns the options of the replica. Errors name the flag.
+func (f *replicaFlags) options(files tlsconfig.Files) (store.Options, error) {
+	source, err := replicaTLS(files)
+	if err != nil {
+		return store.Options{}, err
+	}
+	self, err := store.ParsePeer(f.self)
+	if err != nil {
+		return store.Options{}, fmt.Errorf("--me: %w", err)
+	}
+	peers, err := f.parsePeers(self)
+	if err != nil {
+		return store.Options{}, fmt.Errorf("--peers: %w", err)
+	}
+	return store.Options{Dir: f.folder, TLS: source, Self: self, Peers: peers}, nil
+}
+
+// parsePeers parses the replicas of the first start, which include self unless there are none.
+func (f *replicaFlags) parsePeers(self store.Peer) ([]store.Peer, error) {
+	var peers []store.Peer
+	for _, text := range f.peers {
+		peer, err := store.ParsePeer(text)
+		if err != nil {
+			return nil, err
+		}
+		peers = append(peers, peer)
+	}
+	if len(peers) > 0 && !slices.Contains(peers, self) {
+		return nil, fmt.Errorf("%s is not among them", f.self)
+	}
+	return peers, nil
+}
+
+// replicaTLS returns the source of a replica's certificate, or nil if TLS is not used.
+func replicaTLS(files tlsconfig.Files) (*tlsconfig.Source, error) {
+	if !files.Enabled() {
+		return nil, nil
+	}
+	source, err := tlsconfig.New(files)
+	if err != nil {
+		return nil, err
+	}
+	if files.Authority == "" {
+		return nil, errors.New("--tls-authority is missing: replicas check each other by it")
+	}
+	return source, nil
+}
--- a/cmd/fawnplank/warm_start.go
+++ b/cmd/fawnplank/warm_start.go
@@ -14,8 +14,8 @@
 	"fawnplank/internal/warmstart"
 )
 
-// warmStart saves what the dispatcher has learned about the backends to a file, for the next process of this
-// instance.
+// warmStart saves the warm-start state, the dispatcher's measurements of the backends, to a file for the next
+// process of this instance.
 type warmStart struct {
 	path       string
 	dispatcher *dispatch.Dispatcher
--- a/internal/config/dns.go
+++ b/internal/config/dns.go
@@ -56,7 +56,8 @@
 	inRange := d.MaxUpdatesPerSecond >= lowestMaxUpdatesPerSecond &&
 		d.MaxUpdatesPerSecond <= highestMaxUpdatesPerSecond
 	if !inRange { // NaN is not in range either
-		return file.KeyErrorf("dns.updates_per_second", "is not from 0.1 to 10000")
+		return file.KeyErrorf("dns.updates_per_second", "is not from %v to %v",
+			lowestMaxUpdatesPerSecond, highestMaxUpdatesPerSecond)
 	}
 	for _, address := range d.Notify {
 		if !isHostPort(address) {
--- a/internal/config/limits.go
+++ b/internal/config/limits.go
@@ -69,7 +69,7 @@
 		return file.KeyErrorf("limits.answer_within", "is not from 1ms to 60s")
 	}
 	if l.MaxConnections < 1 || l.MaxConnections > highestMaxConnections {
-		return file.KeyErrorf("limits.connections", "is not from 1 to 10000")
+		return file.KeyErrorf("limits.connections", "is not from 1 to %d", highestMaxConnections)
 	}
 	return nil
 }
