--- a/cmd/fawnplank/command_migrate_test.go
+++ b/cmd/fawnplank/command_migrate_test.go
@@ -59,19 +59,19 @@
 	t.Helper()
 	folder := t.TempDir()
 	old, shape := filepath.Join(folder, "old.json"), filepath.Join(folder, "shape.json")
-	fresh := filepath.Join(folder, "new.json")
+	migrated := filepath.Join(folder, "new.json")
 	text := fmt.Sprintf(configuration, address, discovery, "127.0.0.1:3")
 	text = strings.Replace(text, `"send-cap":3`,
 		`"send-cap":3,"probes":true,"retry-after":true,"max-retry-after-ms":900`, 1)
 	writeFile(t, old, text)
 	writeFile(t, shape, `{"permissions":{"retry-after":false},"weights":"rough",
 		"tariffs":[{"name":"team","quota-rate":0,"peak-units":0,"parallel":1}]}`)
-	out, err := runProgram(t, "migrate", "-c", old, "--shape", shape, "-o", fresh)
+	out, err := runProgram(t, "migrate", "-c", old, "--shape", shape, "-o", migrated)
 	if err != nil || !strings.Contains(out, "settings.permissions.retry-after") ||
 		!strings.Contains(out, "known: 1 backends") {
 		t.Fatalf("%v, %s", err, out)
 	}
-	startServing(t, fresh)
+	startServing(t, migrated)
 }
 
 // requestUntilSent sends requests, each on a connection of its own, until the list has come and a backend
--- a/cmd/fawnplank/drain_test.go
+++ b/cmd/fawnplank/drain_test.go
@@ -46,6 +46,14 @@
 	return g
 }
 
+// dialForDrain opens a client's connection that fails if it is open long after a drain's limit.
+func (g *drainGateway) dialForDrain(t *testing.T) net.Conn {
+	t.Helper()
+	client := dial(t, g.address)
+	setDeadline(client, 2*drainLimit)
+	return client
+}
+
 // newDrainGateway returns a gateway that is not started yet.
 func newDrainGateway(t *testing.T, backend net.Addr, deadlineMs int) *drainGateway {
 	t.Helper()
@@ -131,7 +139,7 @@
 	return time.Now()
 }
 
-// TestDrain_EndsEveryConnection: 4 s after it was told to drain an instance holds no connection, whatever its
+// TestDrain_EndsEveryConnection: 4 s after a drain began an instance holds no connection, whatever its
 // clients do meanwhile, and whatever becomes of the wall clock.
 func TestDrain_EndsEveryConnection(t *testing.T) {
 	for name, test := range map[string]func(t *testing.T){
@@ -177,8 +185,7 @@
 func testDrainWithInvalidCommands(t *testing.T) {
 	t.Helper()
 	g := startDrainGateway(t)
-	client := dial(t, g.address)
-	setDeadline(client, 2*drainLimit)
+	client := g.dialForDrain(t)
 	go discard(client)
 	ended := make(chan struct{})
 	go func() {
@@ -225,8 +232,7 @@
 func testDrainWithClientThatNeverReads(t *testing.T) {
 	t.Helper()
 	g := startDrainGateway(t)
-	client := dial(t, g.address)
-	setDeadline(client, 2*drainLimit)
+	client := g.dialForDrain(t)
 	go func() {
 		// It is cut off in the end.
 		_, _ = io.WriteString(client, strings.Repeat(respWords("PING"), 2_000_000))
@@ -240,8 +246,7 @@
 func testDrainWithBusyConnection(t *testing.T) {
 	t.Helper()
 	g := startDrainGateway(t)
-	client := dial(t, g.address)
-	setDeadline(client, 2*drainLimit)
+	client := g.dialForDrain(t)
 	send(client, request("1", drainFields))
 	testutil.Eventually(t, "the attempt is out", func() bool { return g.attempts.Load() == 1 })
 	began := g.drain(t)
--- a/cmd/fawnplank/endpoint_grace_test.go
+++ b/cmd/fawnplank/endpoint_grace_test.go
@@ -167,8 +167,8 @@
 // endpointGrace is how long after the agent has a list an attempt at a backend that drains may still begin.
 const endpointGrace = time.Second + 50*time.Millisecond
 
-// drainEvents are the ways by which a gateway learns that a backend drains. Each returns when the agent had
-// the list.
+// drainEvents are the ways by which a gateway is notified that a backend is draining. Each returns when the
+// agent had the list.
 var drainEvents = map[string]func(first, second *agent, without string, reload func()) time.Time{
 	"outage": func(first, _ *agent, without string, _ func()) time.Time {
 		first.set(first.list, true)
@@ -239,10 +239,11 @@
 // internal/discovery, on a clock that the test moves; no time counts here.
 func TestAnOldKnownListIsLeft(t *testing.T) {
 	t.Parallel()
-	p, fresh := newBackendPair(t), 0
+	p := newBackendPair(t)
+	added := 0 // attempts at the backend that only the new list has
 	third := testutil.ServeCommands(t, func(conn net.Conn) {
 		p.mu.Lock()
-		fresh++
+		added++
 		p.mu.Unlock()
 		send(conn, successResponse)
 	})
@@ -263,17 +264,17 @@
 		t.Errorf("the first call asks for %q", first)
 	}
 	a.mu.Unlock()
-	a.set(a.list, false) // what has met silence is never answered
-	p.eventually(t, "an attempt at the new backend", func() bool { return fresh > 0 })
+	a.set(a.list, false) // a call that the agent left unanswered stays so
+	p.eventually(t, "an attempt at the new backend", func() bool { return added > 0 })
 	// Waits for so many attempts at the others, and returns those at the draining one.
 	drainingAfter := func(attempts int) (draining int) {
 		target := 0
 		p.eventually(t, "further attempts", func() bool {
 			if target == 0 {
-				target = p.staying + fresh + attempts
+				target = p.staying + added + attempts
 			}
 			draining = p.draining
-			return p.staying+fresh >= target
+			return p.staying+added >= target
 		})
 		return draining
 	}
--- a/cmd/fawnplank/limits_test.go
+++ b/cmd/fawnplank/limits_test.go
@@ -65,14 +65,7 @@
 // startLogged starts a process whose log is read.
 func startLogged(t *testing.T, process *exec.Cmd, instance string) *logReader {
 	t.Helper()
-	log, err := process.StderrPipe()
-	if err != nil {
-		t.Fatal(err)
-	}
-	if err := process.Start(); err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() { kill(process) })
+	log := startWithLog(t, process)
 	r := &logReader{instance: instance, entries: make(chan map[string]any, 100)}
 	go func() {
 		defer close(r.entries)
@@ -121,7 +114,7 @@
 	}
 }
 
-// A gateway with limit commands: a tool's check is granted, no client can send a request of the class that
+// A gateway with limit commands: a tool's check is admitted, no client can send a request of the class that
 // only counts, and a reload with a faulty operator file changes nothing and is counted.
 func TestServe_LimitCommands(t *testing.T) {
 	folder := t.TempDir()
--- a/cmd/fawnplank/listen_test.go
+++ b/cmd/fawnplank/listen_test.go
@@ -12,17 +12,17 @@
 // listener, the new one accepts every connection.
 func TestListen_TwoProcessesShareTheAddress(t *testing.T) {
 	settings := &config.Config{Listen: "127.0.0.1:0", ListenerFD: -1}
-	old, err := listen(t.Context(), settings)
+	first, err := listen(t.Context(), settings)
 	if err != nil {
 		t.Fatal(err)
 	}
-	settings.Listen = old.Addr().String()
-	fresh, err := listen(t.Context(), settings)
+	settings.Listen = first.Addr().String()
+	second, err := listen(t.Context(), settings)
 	if err != nil {
 		t.Fatalf("the second listener: %v", err)
 	}
-	defer hangUp(fresh)
-	hangUp(old)
+	defer hangUp(second)
+	hangUp(first)
 	go func() {
 		for range 20 {
 			if conn, err := tryDial(t, settings.Listen); err == nil {
@@ -30,11 +30,11 @@
 			}
 		}
 	}()
-	if err := fresh.(*net.TCPListener).SetDeadline(time.Now().Add(3 * time.Second)); err != nil {
+	if err := second.(*net.TCPListener).SetDeadline(time.Now().Add(3 * time.Second)); err != nil {
 		t.Fatal(err)
 	}
 	for n := range 20 {
-		conn, err := fresh.Accept()
+		conn, err := second.Accept()
 		if err != nil {
 			t.Fatalf("connection %d: %v", n, err)
 		}
--- a/cmd/fawnplank/process_test.go
+++ b/cmd/fawnplank/process_test.go
@@ -35,18 +35,25 @@
 	return command
 }
 
-// startServing starts a gateway on a configuration and waits until it listens.
-func startServing(t *testing.T, file string) *exec.Cmd {
+// startWithLog starts a process, which is killed at the end of the test, and returns its log.
+func startWithLog(t *testing.T, process *exec.Cmd) io.Reader {
 	t.Helper()
-	command := program(t, "serve", "-c", file)
-	log, err := command.StderrPipe()
+	log, err := process.StderrPipe()
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := command.Start(); err != nil {
+	if err := process.Start(); err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { kill(command) })
+	t.Cleanup(func() { kill(process) })
+	return log
+}
+
+// startServing starts a gateway on a configuration and waits until it listens.
+func startServing(t *testing.T, file string) *exec.Cmd {
+	t.Helper()
+	command := program(t, "serve", "-c", file)
+	log := startWithLog(t, command)
 	lines := bufio.NewScanner(log)
 	for lines.Scan() && !strings.Contains(lines.Text(), "listening") {
 		continue
--- a/cmd/fawnplank/reload_test.go
+++ b/cmd/fawnplank/reload_test.go
@@ -25,15 +25,7 @@
 	}
 	writeFile(t, file, text(0))
 	process := program(t, "serve", "-c", file)
-	log, err := process.StderrPipe()
-	if err != nil {
-		t.Fatal(err)
-	}
-	if err := process.Start(); err != nil {
-		t.Fatal(err)
-	}
-	defer kill(process)
-	lines := bufio.NewScanner(log)
+	lines := bufio.NewScanner(startWithLog(t, process))
 	waitLogged(t, lines, "listening")
 	waitCalled(t, calls, 0)
 	writeFile(t, file, strings.Replace(text(1), `"me":0`, `"me":"x"`, 1))
--- a/cmd/fawnplank/replica_test.go
+++ b/cmd/fawnplank/replica_test.go
@@ -76,7 +76,7 @@
 }
 
 // Three processes, killed outright at random while plans are edited. In the end all hold the same, each edit
-// of two keys landed whole, and none that was reported to have landed is lost.
+// of two keys was committed completely, and none that was reported to be committed is lost.
 func TestStore_ReplicasAgreeAfterRandomKills(t *testing.T) {
 	span := killSpan(t)
 	replicas := newReplicas(t, "a", "b", "c")
--- a/cmd/fawnplank/soak_clients_test.go
+++ b/cmd/fawnplank/soak_clients_test.go
@@ -172,7 +172,7 @@
 		forwarded := c.world.forwarded[r.id]
 		c.world.mu.Unlock()
 		if forwarded {
-			c.world.violate("request %s, sent %v ago, was sent on and closed unanswered (%v)",
+			c.world.violate("request %s, sent %v ago, was forwarded and closed unanswered (%v)",
 				r.id, time.Since(r.sentAt), err)
 		} else if !reset {
 			c.world.violate("request %s, sent %v ago, was read and closed unanswered (%v)",
@@ -219,7 +219,7 @@
 	}
 }
 
-// runShortClient opens a connection for each request, and rests until the gateway ends it, or closes it.
+// runShortClient opens a connection for each request, and stays idle until the gateway ends it, or closes it.
 func (w *soakWorld) runShortClient(random *rand.Rand) {
 	for w.mayOpen() {
 		if c := w.dialSoak(); c != nil && c.send(w.nextRequest(random)) && c.receive(true) {
@@ -337,7 +337,7 @@
 	}
 }
 
-// runIdleClient opens a connection, makes itself known, and rests until the gateway ends it.
+// runIdleClient opens a connection, sends a PING, and stays idle until the gateway ends it.
 func (w *soakWorld) runIdleClient() {
 	for w.mayOpen() {
 		if c := w.dialSoak(); c != nil {
--- a/cmd/fawnplank/warm_start_test.go
+++ b/cmd/fawnplank/warm_start_test.go
@@ -10,7 +10,7 @@
 	"testing"
 )
 
-// The state that a gateway had of its backends is there for the next process, and a file that is not whole is
+// The warm-start state of a gateway is there for the next process, and a file that is not complete is
 // refused with a log entry, without harm.
 func TestWarmStart_OverRestarts(t *testing.T) {
 	folder := t.TempDir()
@@ -34,14 +34,7 @@
 func checkRunLogs(t *testing.T, settings, operator, phrase string) {
 	t.Helper()
 	process := program(t, "serve", "-c", settings, "--operator", operator)
-	log, err := process.StderrPipe()
-	if err != nil {
-		t.Fatal(err)
-	}
-	if err := process.Start(); err != nil {
-		t.Fatal(err)
-	}
-	defer kill(process)
+	log := startWithLog(t, process)
 	logged, signaled := false, false
 	for lines := bufio.NewScanner(log); lines.Scan(); {
 		line := lines.Text()
--- a/cmd/fawnplank/wire_commands_test.go
+++ b/cmd/fawnplank/wire_commands_test.go
@@ -33,7 +33,7 @@
 )
 
 // faultySettings are replacements in wireSettings that check refuses.
-var faultySettings = []struct{ old, fresh string }{
+var faultySettings = []struct{ old, faulty string }{
 	{`"name":"n0",`, ``},
 	{`"name":"n0"`, `"name":0`},
 	{`"listen":"127.0.0.1:1",`, ``},
@@ -184,8 +184,8 @@
 		if !strings.Contains(good, x.old) {
 			t.Errorf("the settings hold no %s", x.old)
 		}
-		write("bad.json", strings.Replace(good, x.old, x.fresh, 1))
-		file.compare(x.old+" -> "+x.fresh, runWire(t, folder, nil, "check", "-c", "bad.json")...)
+		write("bad.json", strings.Replace(good, x.old, x.faulty, 1))
+		file.compare(x.old+" -> "+x.faulty, runWire(t, folder, nil, "check", "-c", "bad.json")...)
 	}
 	for _, text := range faultyOperatorFiles {
 		write("secret", "0123456789abcdef-secret\n")
--- a/cmd/fawnplank/wire_services_test.go
+++ b/cmd/fawnplank/wire_services_test.go
@@ -130,10 +130,9 @@
 	}
 }
 
-// counterCalls is the transcript of one or two requests, of which the first call to the counter gets the
-// answer.
-func counterCalls(t *testing.T, format wireFormat, backend *wireBackend,
-	name, answer string, calls int) (out []string) {
+// serveWithCounter starts a gateway whose counter the test answers. It also returns the lines that the counter
+// receives.
+func serveWithCounter(t *testing.T, format wireFormat, backend *wireBackend) (*wireGateway, chan counterLine) {
 	t.Helper()
 	counter, lines := newWireCounter(t)
 	g := serveWire(t, wireGatewayOptions{
@@ -141,6 +140,15 @@
 		endpoints: wireEndpoint(backend.address),
 		operator:  format.operator,
 	})
+	return g, lines
+}
+
+// counterCalls is the transcript of one or two requests, of which the first call to the counter gets the
+// answer.
+func counterCalls(t *testing.T, format wireFormat, backend *wireBackend,
+	name, answer string, calls int) (out []string) {
+	t.Helper()
+	g, lines := serveWithCounter(t, format, backend)
 	defer kill(g.process)
 	c := dialWire(t, g.clients)
 	for n, units := range []string{"1", "2.5"}[:calls] {
@@ -168,12 +176,7 @@
 // too, where a window is old.
 func counterCorrection(t *testing.T, format wireFormat, backend *wireBackend) string {
 	t.Helper()
-	counter, lines := newWireCounter(t)
-	g := serveWire(t, wireGatewayOptions{
-		counter:   counter,
-		endpoints: wireEndpoint(backend.address),
-		operator:  format.operator,
-	})
+	g, lines := serveWithCounter(t, format, backend)
 	defer kill(g.process)
 	c := dialWire(t, g.clients)
 	corrections := make(chan string, 100)
@@ -295,24 +298,24 @@
 	return text, nil
 }
 
-// The calls to discovery: whole lists, lists since an index, after each kind of answer.
+// The calls to discovery: full snapshots, deltas since an index, after each kind of answer.
 func TestDiscovery_CallsOnWire(t *testing.T) {
 	file := openGolden(t, "discovery_calls")
 	entry := wireEndpoint("127.0.0.1:4")
-	whole := httpAnswer("200 OK", `{"index":41,"snapshot":true,"endpoints":[`+entry+`]}`)
+	snapshot := httpAnswer("200 OK", `{"index":41,"snapshot":true,"endpoints":[`+entry+`]}`)
 	changes := httpAnswer("200 OK", `{"index":42,"snapshot":false,"endpoints":[]}`)
 	for _, x := range []struct {
 		name, known string
 		answers     []string
 		replace     []string
 	}{
-		{name: "pushed, nothing known", answers: []string{whole, changes, "hold"}},
-		{name: "pushed, a list known", known: entry, answers: []string{changes, whole, "hold"}},
-		{name: "pushed, refused with 503", answers: []string{whole, httpAnswer("503 Service Unavailable", ""), "hold"}},
-		{name: "pushed, refused with 429", answers: []string{whole, httpAnswer("429 Too Many Requests", ""), "hold"}},
-		{name: "pushed, failed with 500", answers: []string{whole, httpAnswer("500 Internal Server Error", ""), "hold"}},
-		{name: "pushed, answered with no list", answers: []string{whole, httpAnswer("200 OK", "x"), "hold"}},
-		{name: "asked for", answers: []string{whole, "hold"}, replace: []string{
+		{name: "pushed, nothing known", answers: []string{snapshot, changes, "hold"}},
+		{name: "pushed, a list known", known: entry, answers: []string{changes, snapshot, "hold"}},
+		{name: "pushed, refused with 503", answers: []string{snapshot, httpAnswer("503 Service Unavailable", ""), "hold"}},
+		{name: "pushed, refused with 429", answers: []string{snapshot, httpAnswer("429 Too Many Requests", ""), "hold"}},
+		{name: "pushed, failed with 500", answers: []string{snapshot, httpAnswer("500 Internal Server Error", ""), "hold"}},
+		{name: "pushed, answered with no list", answers: []string{snapshot, httpAnswer("200 OK", "x"), "hold"}},
+		{name: "asked for", answers: []string{snapshot, "hold"}, replace: []string{
 			`"settings":{`, `"settings":{"discovery":"on_request",`, `"invariants":{`, `"invariants":{"ask-within-ms":400,`,
 		}},
 	} {
--- a/cmd/fawnplank/zone_test.go
+++ b/cmd/fawnplank/zone_test.go
@@ -289,7 +289,7 @@
 	z := newZoneFiles(t, true)
 	text := readFile(t, z.operator)
 	broken := filepath.Join(t.TempDir(), "op.toml")
-	for _, test := range []struct{ old, fresh, want string }{
+	for _, test := range []struct{ old, faulty, want string }{
 		{"origin = \"calc.example\"", "origin = \"\"", "op.toml:3: dns.origin"},
 		{"_calc._tcp.calc.example", "_calc._tcp.other", "op.toml:4: dns.service"},
 		{z.address, "nowhere", "op.toml:5: dns.listen"},
@@ -299,9 +299,9 @@
 		{z.path("key"), "/nowhere", "op.toml:7: dns.key[0]"},
 		{"zone_file", "# zone_file", "dns.zone_file is missing"},
 	} {
-		writeFile(t, broken, strings.Replace(text, test.old, test.fresh, 1))
+		writeFile(t, broken, strings.Replace(text, test.old, test.faulty, 1))
 		if out, err := runProgram(t, "check", broken); err == nil || !strings.Contains(out, test.want) {
-			t.Errorf("%s: %v, %s", test.fresh, err, out)
+			t.Errorf("%s: %v, %s", test.faulty, err, out)
 		}
 	}
 	if err := os.Chmod(z.path("key"), 0o644); err != nil {
