--- a/cmd/fawnplank/accounts.go
+++ b/cmd/fawnplank/accounts.go
@@ -27,36 +27,54 @@
 
 func newAccounts() *accounts { return &accounts{changes: newNotifier()} }
 
-// Start starts the billing service on the replica. It does nothing if the operator file leaves billing off.
-func (a *accounts) Start(replica *replica, configuration *config.Config, operator *config.Operator,
-	registry *metrics.Registry) error {
-	if !operator.Billing.Enabled {
+// accountsOptions configures accounts.Start.
+type accountsOptions struct {
+	Replica       *replica // if nil, billing must be off
+	Configuration *config.Config
+	Operator      *config.Operator
+	Metrics       *metrics.Registry
+}
+
+// errBillingNeedsStore completes a sentence that begins with the section of the operator file.
+var errBillingNeedsStore = errors.New("is on, and needs the replicated store (--store)")
+
+// Start starts the billing service on the replica. It does nothing if the operator file leaves billing off. It
+// returns errBillingNeedsStore if billing is on without a replica.
+func (a *accounts) Start(options accountsOptions) error {
+	if !options.Operator.Billing.Enabled {
 		return nil
 	}
-	if replica == nil {
-		return errors.New("is on, and needs the replicated store (--store)")
+	if options.Replica == nil {
+		return errBillingNeedsStore
 	}
-	a.UpdateSettings(configuration, operator)
+	a.UpdateSettings(options.Configuration, options.Operator)
 	a.mu.Lock()
 	a.enabled = true // set before the service reads the accounts, so that the service misses no later change
 	a.mu.Unlock()
-	options := billingservice.Options{
-		Replica:        replica.Store,
-		Instance:       configuration.Name,
+	a.service = billingservice.Start(billingservice.Options{
+		Replica:        options.Replica.Store,
+		Instance:       options.Configuration.Name,
 		Settings:       func() billing.Settings { return *a.settings.Load() },
-		ReportInterval: time.Duration(operator.Billing.ReportInterval),
-	}
-	if operator.Billing.ExportFolder != "" {
-		options.Sink = billingservice.Folder(operator.Billing.ExportFolder)
-	} else if operator.Billing.ExportURL != "" {
-		options.Sink = billingservice.NewReceiver(operator.Billing.ExportURL)
-	}
-	a.service = billingservice.Start(options)
+		ReportInterval: time.Duration(options.Operator.Billing.ReportInterval),
+		Sink:           newExportSink(options.Operator.Billing),
+	})
 	a.changes.Start(func() { a.service.KeysChanged(a.takeChangedKeys()) })
-	metrics.AddGauges(registry, a.service, billingGauges)
+	metrics.AddGauges(options.Metrics, a.service, billingGauges)
 	return nil
 }
 
+// newExportSink returns what receives the records of usage, or nil if nothing does.
+func newExportSink(settings config.Billing) billingservice.Sink {
+	switch {
+	case settings.ExportFolder != "":
+		return billingservice.Folder(settings.ExportFolder)
+	case settings.ExportURL != "":
+		return billingservice.NewReceiver(settings.ExportURL)
+	default:
+		return nil
+	}
+}
+
 // UpdateSettings applies the plans of a configuration.
 func (a *accounts) UpdateSettings(configuration *config.Config, operator *config.Operator) {
 	settings := operator.Billing.Settings()
--- a/cmd/fawnplank/accounts_test.go
+++ b/cmd/fawnplank/accounts_test.go
@@ -117,7 +117,8 @@
 	writeFile(t, f.secretFile, "a secret of some length\n")
 	for n, r := range f.replicas[:2] {
 		f.clients, f.limits = append(f.clients, freeAddress(t)), append(f.limits, freeAddress(t))
-		settings, operator := filepath.Join(folder, r.id+".json"), filepath.Join(folder, r.id+".toml")
+		settings := filepath.Join(folder, r.id+".json")
+		operator := filepath.Join(folder, r.id+".toml")
 		text := fmt.Sprintf(configuration, f.clients[n], freeAddress(t), backend)
 		text = strings.Replace(text, `"name":"n0"`, fmt.Sprintf(`"name":"n%d"`, n), 1)
 		text = strings.Replace(text, `"tariffs":[`,
@@ -166,7 +167,8 @@
 			if err != nil {
 				continue
 			}
-			conn, reader = dialed, bufio.NewReader(dialed)
+			conn = dialed
+			reader = bufio.NewReader(dialed)
 		}
 		if err := f.requestOnce(conn, reader, n, i); err != nil {
 			f.mu.Lock()
@@ -181,7 +183,8 @@
 // requestOnce sends one request, and counts it if it succeeds. An error answer is no error.
 func (f *billedFleet) requestOnce(conn net.Conn, reader *bufio.Reader, n, i int) error {
 	setDeadline(conn, 3*time.Second)
-	fields, id := "c=lookup,t=team,d=1400,units=2", fmt.Sprintf("%d-%08d", n, i)
+	const fields = "c=lookup,t=team,d=1400,units=2"
+	id := fmt.Sprintf("%d-%08d", n, i)
 	_, err := fmt.Fprintf(conn, "*4\r\n$9\r\nSVC.QUERY\r\n$16\r\n%016x\r\n$10\r\n%s\r\n$%d\r\n%s\r\n",
 		5+n%3, id, len(fields), fields)
 	if err != nil {
--- a/cmd/fawnplank/command_migrate_test.go
+++ b/cmd/fawnplank/command_migrate_test.go
@@ -17,7 +17,8 @@
 // A file of the old shape is carried over to the new one, and a gateway runs on it: without health checks,
 // with a limit on the tenant's concurrency, and with rejections that give no Retry-After.
 func TestMigrate_FileServes(t *testing.T) {
-	attempts, arrived := make(chan net.Conn, 10), make(chan bool, 10)
+	attempts := make(chan net.Conn, 10)
+	arrived := make(chan bool, 10)
 	backend := testutil.ServeCommands(t, func(conn net.Conn) {
 		attempts <- conn
 		arrived <- true
@@ -58,7 +59,8 @@
 func serveMigrated(t *testing.T, address, discovery string) {
 	t.Helper()
 	folder := t.TempDir()
-	old, shape := filepath.Join(folder, "old.json"), filepath.Join(folder, "shape.json")
+	old := filepath.Join(folder, "old.json")
+	shape := filepath.Join(folder, "shape.json")
 	migrated := filepath.Join(folder, "new.json")
 	text := fmt.Sprintf(configuration, address, discovery, "127.0.0.1:3")
 	text = strings.Replace(text, `"send-cap":3`,
--- a/cmd/fawnplank/gateway_start.go
+++ b/cmd/fawnplank/gateway_start.go
@@ -144,7 +144,13 @@
 }
 
 func (g *gateway) startAccounts(context.Context) error {
-	if err := g.accounts.Start(g.replica, g.configuration, g.operator, g.metrics); err != nil {
+	err := g.accounts.Start(accountsOptions{
+		Replica:       g.replica,
+		Configuration: g.configuration,
+		Operator:      g.operator,
+		Metrics:       g.metrics,
+	})
+	if err != nil {
 		return fmt.Errorf("operator file: billing: %w", err)
 	}
 	return nil
--- a/cmd/fawnplank/limits_test.go
+++ b/cmd/fawnplank/limits_test.go
@@ -17,7 +17,8 @@
 // check and serve use the same reader: what one refuses the other does, in the same words.
 func TestCheckAndServe_AgreeOnOperatorFiles(t *testing.T) {
 	folder := t.TempDir()
-	settings, operator := filepath.Join(folder, "config.json"), filepath.Join(folder, "op.toml")
+	settings := filepath.Join(folder, "config.json")
+	operator := filepath.Join(folder, "op.toml")
 	writeFile(t, settings, fmt.Sprintf(configuration, freeAddress(t), "127.0.0.1:2", "127.0.0.1:3"))
 	for text, want := range map[string]string{
 		"[limits]\nlisten = \"127.0.0.1:1":   "op.toml:2: ",
@@ -118,7 +119,8 @@
 // only counts, and a reload with a faulty operator file changes nothing and is counted.
 func TestServe_LimitCommands(t *testing.T) {
 	folder := t.TempDir()
-	settings, operator := filepath.Join(folder, "config.json"), filepath.Join(folder, "op.toml")
+	settings := filepath.Join(folder, "config.json")
+	operator := filepath.Join(folder, "op.toml")
 	clients, limits, management := freeAddress(t), freeAddress(t), freeAddress(t)
 	text := fmt.Sprintf(configuration, clients, "127.0.0.1:2", "127.0.0.1:3")
 	writeFile(t, settings, strings.Replace(text, `"name":"n0"`, `"name":"n0","mgmt":"`+management+`"`, 1))
--- a/cmd/fawnplank/metrics.go
+++ b/cmd/fawnplank/metrics.go
@@ -111,7 +111,7 @@
 		Value: func(s *dnsserver.Server) float64 { return float64(s.Stats().UpdatesRefused) }},
 	{Name: "dns_messages_refused", Help: "messages rejected for their signature, its time, or a replay",
 		Value: func(s *dnsserver.Server) float64 { return float64(s.Stats().SignaturesRefused) }},
-	{Name: "dns_flooded", Help: "messages dropped beyond the rate limit",
+	{Name: "dns_flooded", Help: "messages over a rate limit, refused or dropped",
 		Value: func(s *dnsserver.Server) float64 { return float64(s.Stats().RateLimited) }},
 	{Name: "dns_updates_lost", Help: "updates that could not be stored in the journal or the store",
 		Value: func(s *dnsserver.Server) float64 { return float64(s.Stats().UpdatesLost) }},
--- a/cmd/fawnplank/replica_test.go
+++ b/cmd/fawnplank/replica_test.go
@@ -34,12 +34,12 @@
 
 // editor edits a plan, a class and a key together, again and again, at one replica after another.
 type editor struct {
-	landed, failed atomic.Int64 // the number of the last edit that landed; how many did not, or may not have
-	stop, done     chan struct{}
+	committed, failed atomic.Int64 // the number of the last committed edit; how many failed, or may have failed
+	stop, done        chan struct{}
 }
 
 // edit writes n to two rows and to one of fifty keys, all or none, at one of the replicas. It reports whether
-// the edit is known to have landed.
+// the edit is known to be committed.
 func edit(t *testing.T, replicas []*replicaProcess, n int64) bool {
 	t.Helper()
 	body := fmt.Sprintf(`[{"key":"plans/x","value":%d},{"key":"classes/x","value":%d},{"key":"k%d","value":%d}]`,
@@ -60,7 +60,7 @@
 			default:
 			}
 			if edit(t, replicas, n) {
-				e.landed.Store(n)
+				e.committed.Store(n)
 			} else {
 				e.failed.Add(1)
 				time.Sleep(20 * time.Millisecond)
@@ -83,7 +83,8 @@
 	startReplicas(t, replicas)
 	testutil.Eventually(t, "a first edit", func() bool { return edit(t, replicas, 0) })
 	e := startEditor(t, replicas)
-	chance, kills := rand.New(rand.NewPCG(11, 11)), 0
+	chance := rand.New(rand.NewPCG(11, 11))
+	kills := 0
 	for end := time.Now().Add(span); time.Now().Before(end); kills++ {
 		time.Sleep(time.Duration(300+chance.IntN(700)) * time.Millisecond)
 		r := replicas[chance.IntN(3)]
@@ -98,15 +99,17 @@
 	e.end()
 	testutil.Eventually(t, "the same state in all three", func() bool { return sameState(t, replicas) })
 	for _, r := range replicas {
-		plan, class := r.read(t, "plans/x"), r.read(t, "classes/x")
-		if plan != class || plan < e.landed.Load() {
-			t.Errorf("%s holds %d and %d, and %d was reported to have landed", r.id, plan, class, e.landed.Load())
+		plan := r.read(t, "plans/x")
+		class := r.read(t, "classes/x")
+		if plan != class || plan < e.committed.Load() {
+			t.Errorf("%s holds %d and %d, and %d was reported to be committed", r.id, plan, class, e.committed.Load())
 		}
 	}
-	landed, failed := e.landed.Load(), e.failed.Load()
-	t.Logf("%d kills, %d edits landed, %d did not or may not have", kills, landed-failed, failed)
-	if kills < 4 || e.landed.Load() < 50 {
-		t.Errorf("%d kills and %d edits show little", kills, e.landed.Load())
+	committed := e.committed.Load()
+	failed := e.failed.Load()
+	t.Logf("%d kills, %d edits committed, %d failed or may have failed", kills, committed-failed, failed)
+	if kills < 4 || e.committed.Load() < 50 {
+		t.Errorf("%d kills and %d edits show little", kills, e.committed.Load())
 	}
 }
 
@@ -244,7 +247,7 @@
 }
 
 // A fault to bear: the disk of one replica is full. Its error is reported, the others go on, nothing that was
-// reported to have landed is lost, and it catches up once there is space.
+// reported to be committed is lost, and it catches up once there is space.
 func TestStore_FullDiskIsReported(t *testing.T) {
 	replicas := newReplicas(t, "a", "b", "c")
 	startReplicas(t, replicas)
@@ -265,18 +268,19 @@
 	}
 	// The two may need more than one round to elect: one refuses the other's first candidacy while it
 	// still knows the old leader. A fixed number of attempts ended before the second round, in one run of ten.
-	landed, n := 0, 1
+	committed := 0
+	n := 1
 	testutil.Eventually(t, "the other two going on", func() bool {
 		n++
 		if replicas[n%3].put(t, "k", fmt.Sprint(n)) == nil {
-			landed = n
+			committed = n
 		}
-		return landed > 0
+		return committed > 0
 	})
 	limitFileSize(t, leader, unix.RLIM_INFINITY)
 	testutil.Eventually(t, "the same state in all three", func() bool { return sameState(t, replicas) })
-	if value := leader.read(t, "k"); value < int64(landed) {
-		t.Errorf("%d is held where %d was reported to have landed", value, landed)
+	if value := leader.read(t, "k"); value < int64(committed) {
+		t.Errorf("%d is held where %d was reported to be committed", value, committed)
 	}
-	t.Logf("the full replica reported: %v; the others went on to %d", err, landed)
+	t.Logf("the full replica reported: %v; the others went on to %d", err, committed)
 }
--- a/cmd/fawnplank/tls_test.go
+++ b/cmd/fawnplank/tls_test.go
@@ -130,7 +130,8 @@
 func TestLimits_TLS(t *testing.T) {
 	folder := t.TempDir()
 	files := sign(t, newAuthority(t, "own"), folder, "gateway", time.Hour)
-	settings, operator := folder+"/config.json", folder+"/op.toml"
+	settings := folder + "/config.json"
+	operator := folder + "/op.toml"
 	limits, management := freeAddress(t), freeAddress(t)
 	text := fmt.Sprintf(configuration, freeAddress(t), "127.0.0.1:2", "127.0.0.1:3")
 	writeFile(t, settings, strings.Replace(text, `"name":"n0"`, `"name":"n0","mgmt":"`+management+`"`, 1))
--- a/cmd/fawnplank/warm_start_test.go
+++ b/cmd/fawnplank/warm_start_test.go
@@ -14,7 +14,8 @@
 // refused with a log entry, without harm.
 func TestWarmStart_OverRestarts(t *testing.T) {
 	folder := t.TempDir()
-	settings, operator := filepath.Join(folder, "config.json"), filepath.Join(folder, "op.toml")
+	settings := filepath.Join(folder, "config.json")
+	operator := filepath.Join(folder, "op.toml")
 	file := filepath.Join(folder, "state")
 	writeFile(t, settings, fmt.Sprintf(configuration, freeAddress(t), "127.0.0.1:2", "127.0.0.1:3"))
 	writeFile(t, operator, fmt.Sprintf("[learned]\nfile = %q\nevery = \"100ms\"\n", file))
@@ -35,7 +36,8 @@
 	t.Helper()
 	process := program(t, "serve", "-c", settings, "--operator", operator)
 	log := startWithLog(t, process)
-	logged, signaled := false, false
+	logged := false
+	signaled := false
 	for lines := bufio.NewScanner(log); lines.Scan(); {
 		line := lines.Text()
 		logged = logged || phrase != "" && strings.Contains(line, phrase)
--- a/cmd/fawnplank/wire_frontend_test.go
+++ b/cmd/fawnplank/wire_frontend_test.go
@@ -16,13 +16,30 @@
 	wireField = "c=lookup,t=team,d=1400"
 )
 
-// Every error line for a request that is not in order; the connection stays open and the next command is
-// answered.
-func TestFrontend_RequestErrorsOnWire(t *testing.T) {
-	backend := newWireBackend(t, func(string) string { return wireGood })
-	g := serveWire(t, wireGatewayOptions{endpoints: wireEndpoint(backend.address)})
-	file := openGolden(t, "frontend_request_errors")
-	cases := []struct{ name, text string }{
+// wireCase is a text that a client sends, under the name of its transcript.
+type wireCase struct{ name, text string }
+
+// faultyFields are the fields of requests that are not in order.
+var faultyFields = []string{
+	"", "lookup", ",", wireField + ",", wireField + ",none", "t=team,d=9", "c=lookup,d=9", "c=lookup,t=team",
+	"c=none,t=team,d=9", "c=limit.check,t=team,d=9", "c=,t=team,d=9", "c=lookup,t=none,d=9", "c=lookup,t=,d=9",
+	"c=lookup,t=team,d=x", "c=lookup,t=team,d=NaN", "c=lookup,t=team,d=-4", "c=lookup,t=team,d=1e3", "c=lookup,t=team,d=",
+	"c=lookup,t=team,d=1.2.3", "c=lookup,t=team,d=123456789012345678901",
+	wireField + ",c=lookup", wireField + ",t=team", wireField + ",d=9",
+	wireField + ",units=1,units=1", wireField + ",spread=1,spread=1", wireField + ",first=0,first=0",
+	wireField + ",units=0", wireField + ",units=-2", wireField + ",units=NaN",
+	wireField + ",units=Inf", wireField + ",units=0x2", wireField + ",units=",
+	wireField + ",units=8.5", wireField + ",spread=0", wireField + ",spread=3",
+	wireField + ",spread=-1", wireField + ",spread=1.5", wireField + ",spread=x",
+	wireField + ",first=2", wireField + ",first=-1", wireField + ",first=0.5",
+	wireField + ",first=99999999999999999999",
+	wireField + ",units=\x01\xff" + strings.Repeat("y", 50), strings.Repeat("z", 50),
+}
+
+// requestErrors returns commands, most of which are answered with an error, and after which the connection stays
+// open.
+func requestErrors() []wireCase {
+	cases := []wireCase{
 		{"PING", wirePing},
 		{"ping in small letters", respWords("pInG")},
 		{"PING with a word", respWords("PING", "x")},
@@ -44,19 +61,19 @@
 		{"id with a zero byte", wireQuery("1\x00", wireField)},
 		{"id of 65 bytes", wireQuery(strings.Repeat("7", 65), wireField)},
 	}
-	for _, fields := range []string{"", "lookup", ",", wireField + ",", wireField + ",none", "t=team,d=9", "c=lookup,d=9", "c=lookup,t=team",
-		"c=none,t=team,d=9", "c=limit.check,t=team,d=9", "c=,t=team,d=9", "c=lookup,t=none,d=9", "c=lookup,t=,d=9",
-		"c=lookup,t=team,d=x", "c=lookup,t=team,d=NaN", "c=lookup,t=team,d=-4", "c=lookup,t=team,d=1e3", "c=lookup,t=team,d=",
-		"c=lookup,t=team,d=1.2.3", "c=lookup,t=team,d=123456789012345678901",
-		wireField + ",c=lookup", wireField + ",t=team", wireField + ",d=9", wireField + ",units=1,units=1", wireField + ",spread=1,spread=1",
-		wireField + ",first=0,first=0", wireField + ",units=0", wireField + ",units=-2", wireField + ",units=NaN", wireField + ",units=Inf",
-		wireField + ",units=0x2", wireField + ",units=", wireField + ",units=8.5", wireField + ",spread=0", wireField + ",spread=3",
-		wireField + ",spread=-1", wireField + ",spread=1.5", wireField + ",spread=x", wireField + ",first=2", wireField + ",first=-1",
-		wireField + ",first=0.5", wireField + ",first=99999999999999999999",
-		wireField + ",units=\x01\xff" + strings.Repeat("y", 50), strings.Repeat("z", 50)} {
-		cases = append(cases, struct{ name, text string }{fmt.Sprintf("fields %q", fields), wireQuery("1", fields)})
+	for _, fields := range faultyFields {
+		cases = append(cases, wireCase{fmt.Sprintf("fields %q", fields), wireQuery("1", fields)})
 	}
-	for _, x := range cases {
+	return cases
+}
+
+// Every error line for a request that is not in order; the connection stays open and the next command is
+// answered.
+func TestFrontend_RequestErrorsOnWire(t *testing.T) {
+	backend := newWireBackend(t, func(string) string { return wireGood })
+	g := serveWire(t, wireGatewayOptions{endpoints: wireEndpoint(backend.address)})
+	file := openGolden(t, "frontend_request_errors")
+	for _, x := range requestErrors() {
 		c := dialWire(t, g.clients)
 		send(c, x.text+respWords("SELECT", "1"))
 		got, state := readUntil(t, c, "+OK\r\n")
@@ -74,42 +91,44 @@
 	}
 }
 
+// protocolErrors are commands whose error ends the connection.
+var protocolErrors = []wireCase{
+	{"word of negative length", "*1\r\n$-5\r\n"},
+	{"word of length -1", "*1\r\n$-1\r\n"},
+	{"word of huge length", "*1\r\n$9223372036854775807\r\nx"},
+	{"word of a length beyond all integers", "*1\r\n$99999999999999\r\n"},
+	{"word just too long", "*1\r\n$4194305\r\n"},
+	{"word length with a plus", "*1\r\n$+4\r\nPING\r\n"},
+	{"word length no number", "*1\r\n$x\r\n"},
+	{"word length missing", "*1\r\n$\r\n"},
+	{"word of another type", "*1\r\n:4\r\n"},
+	{"word longer than its length", "*1\r\n$4\r\nPINGS\r\n"},
+	{"word shorter than its length", "*1\r\n$6\r\nPING\r\n$$$$"},
+	{"word length line without return", "*1\r\n$4\nPING\r\n"},
+	{"array of no words", "*0\r\n"},
+	{"array of -1 words", "*-1\r\n"},
+	{"array of -3 words", "*-3\r\n"},
+	{"array of 17 words", "*17\r\n"},
+	{"array of huge length", "*9999999999999\r\n"},
+	{"array length no number", "*x\r\n"},
+	{"array length line without end", "*11111111111111111"},
+	{"inline command", "PING\r\n"},
+	{"inline request", "SVC.QUERY " + wireTenant + " 1 " + wireField + "\r\n"},
+	{"HTTP", "GET / HTTP/1.1\r\nHost: x\r\n\r\n"},
+	{"simple string", "+PING\r\n"},
+	{"bulk string", "$4\r\nPING\r\n"},
+	{"zero byte", "\x00"},
+	{"empty line", "\r\n"},
+	{"error behind a good command", wirePing + "*x\r\n"},
+	{"good command behind an error", "*x\r\n" + wirePing},
+}
+
 // Every error that ends the connection, and that nothing follows it.
 func TestFrontend_ProtocolErrorsOnWire(t *testing.T) {
 	backend := newWireBackend(t, func(string) string { return wireGood })
 	g := serveWire(t, wireGatewayOptions{endpoints: wireEndpoint(backend.address)})
 	file := openGolden(t, "frontend_protocol_errors")
-	cases := []struct{ name, text string }{
-		{"word of negative length", "*1\r\n$-5\r\n"},
-		{"word of length -1", "*1\r\n$-1\r\n"},
-		{"word of huge length", "*1\r\n$9223372036854775807\r\nx"},
-		{"word of a length beyond all integers", "*1\r\n$99999999999999\r\n"},
-		{"word just too long", "*1\r\n$4194305\r\n"},
-		{"word length with a plus", "*1\r\n$+4\r\nPING\r\n"},
-		{"word length no number", "*1\r\n$x\r\n"},
-		{"word length missing", "*1\r\n$\r\n"},
-		{"word of another type", "*1\r\n:4\r\n"},
-		{"word longer than its length", "*1\r\n$4\r\nPINGS\r\n"},
-		{"word shorter than its length", "*1\r\n$6\r\nPING\r\n$$$$"},
-		{"word length line without return", "*1\r\n$4\nPING\r\n"},
-		{"array of no words", "*0\r\n"},
-		{"array of -1 words", "*-1\r\n"},
-		{"array of -3 words", "*-3\r\n"},
-		{"array of 17 words", "*17\r\n"},
-		{"array of huge length", "*9999999999999\r\n"},
-		{"array length no number", "*x\r\n"},
-		{"array length line without end", "*11111111111111111"},
-		{"inline command", "PING\r\n"},
-		{"inline request", "SVC.QUERY " + wireTenant + " 1 " + wireField + "\r\n"},
-		{"HTTP", "GET / HTTP/1.1\r\nHost: x\r\n\r\n"},
-		{"simple string", "+PING\r\n"},
-		{"bulk string", "$4\r\nPING\r\n"},
-		{"zero byte", "\x00"},
-		{"empty line", "\r\n"},
-		{"error behind a good command", wirePing + "*x\r\n"},
-		{"good command behind an error", "*x\r\n" + wirePing},
-	}
-	for _, x := range cases {
+	for _, x := range protocolErrors {
 		c := dialWire(t, g.clients)
 		send(c, x.text)
 		got, state := readUntil(t, c, "")
--- a/cmd/fawnplank/zone_test.go
+++ b/cmd/fawnplank/zone_test.go
@@ -181,14 +181,14 @@
 		fmt.Sprintf("%s A 127.%d.%d.%d", name, 1+gateway, 1+i/200, 1+i%200))
 }
 
-// landedNames are the backends whose updates were answered as done.
-type landedNames struct {
+// committedNames are the backends whose updates were answered as done.
+type committedNames struct {
 	mu    sync.Mutex
 	names map[string]bool
 }
 
 // addBackends adds backends by way of a gateway until stop.
-func (l *landedNames) addBackends(z zoneFiles, gateway int, stop <-chan struct{}) {
+func (l *committedNames) addBackends(z zoneFiles, gateway int, stop <-chan struct{}) {
 	for i := 1; ; i++ {
 		select {
 		case <-stop:
@@ -213,7 +213,7 @@
 }
 
 // With the store: updates at two gateways at once while replicas are killed. Each lands at both or at
-// neither, those answered as done have landed, and both lists are the same in the end.
+// neither, those answered as done are in both, and both lists are the same in the end.
 func TestZone_SharedUpdatesThroughKills(t *testing.T) {
 	replicas := newReplicas(t, "a", "b", "c")
 	var files []zoneFiles
@@ -227,10 +227,10 @@
 		testutil.Eventually(t, "a first update", func() bool { return z.addBackend(n, 0) == nil })
 	}
 	var updaters sync.WaitGroup
-	landed := landedNames{names: map[string]bool{}}
+	committed := committedNames{names: map[string]bool{}}
 	stop := make(chan struct{})
 	for n, z := range files {
-		updaters.Go(func() { landed.addBackends(z, n, stop) })
+		updaters.Go(func() { committed.addBackends(z, n, stop) })
 	}
 	chance := rand.New(rand.NewPCG(4, 4))
 	for range 5 {
@@ -253,22 +253,22 @@
 		}
 		return zones[0].Serial() == zones[1].Serial()
 	})
-	checkLanded(t, zones[0], landed.names)
+	checkCommitted(t, zones[0], committed.names)
 	checkZoneList(t, "--operator", files[0].operator)
 	checkZoneList(t, "--store", replicas[0].api, "--operator", files[0].operator)
-	t.Logf("%d updates landed, serial %d", len(landed.names), zones[0].Serial())
-	if len(landed.names) < 20 {
+	t.Logf("%d updates committed, serial %d", len(committed.names), zones[0].Serial())
+	if len(committed.names) < 20 {
 		t.Error("too few updates to show anything")
 	}
 }
 
-func checkLanded(t *testing.T, zone *dnszone.Zone, landed map[string]bool) {
+func checkCommitted(t *testing.T, zone *dnszone.Zone, committed map[string]bool) {
 	t.Helper()
 	held := map[string]bool{}
 	for _, backend := range zone.Backends() {
 		held[backend.Name] = true
 	}
-	for name := range landed {
+	for name := range committed {
 		if !held[name] {
 			t.Errorf("%s was answered as done, and is not there", name)
 		}
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -69,7 +69,8 @@
 	listener net.Listener
 }
 
-// New listens on the address; Serve answers the calls. The context bounds only the start.
+// New listens on the address; Serve answers the calls. The context bounds only the start. The error is that of
+// listening.
 func New(ctx context.Context, o Options) (*Server, error) {
 	var config net.ListenConfig
 	listener, err := config.Listen(ctx, "tcp4", o.Address)
@@ -125,7 +126,8 @@
 // Address returns the host and port that the server listens on.
 func (s *Server) Address() string { return s.listener.Addr().String() }
 
-// Serve answers calls until Close, after which it returns nil. It is called once.
+// Serve answers calls until Close, after which it returns nil. Any other end returns the error of the listener.
+// It is called once.
 func (s *Server) Serve() error {
 	if err := s.server.Serve(s.listener); !errors.Is(err, http.ErrServerClosed) {
 		return err
--- a/internal/config/billing.go
+++ b/internal/config/billing.go
@@ -12,14 +12,14 @@
 // Billing is the section for plan changes, reservations and exported usage, which need the replicated store.
 type Billing struct {
 	Enabled        bool     `toml:"on"`
-	Window         Duration `toml:"window"`       // length of the windows by which usage is billed
-	ChangeNotice   Duration `toml:"lead"`         // from a change becoming known until it takes effect
-	ClockSkew      Duration `toml:"clock_skew"`   // the most that two instances' clocks may differ
-	MaxLease       Duration `toml:"lease"`        // the longest lease that a reservation may have
-	ExportDelay    Duration `toml:"late"`         // from the end of a window until its export
-	ReportInterval Duration `toml:"report_every"` // between two reports of an instance's usage
-	ExportFolder   string   `toml:"export_folder"`
-	ExportURL      string   `toml:"export_url"`
+	Window         Duration `toml:"window"`        // length of the windows by which usage is billed
+	ChangeNotice   Duration `toml:"lead"`          // from a change becoming known until it takes effect
+	ClockSkew      Duration `toml:"clock_skew"`    // the most that two instances' clocks may differ
+	MaxLease       Duration `toml:"lease"`         // the longest lease that a reservation may have
+	ExportDelay    Duration `toml:"late"`          // from the end of a window until its export
+	ReportInterval Duration `toml:"report_every"`  // between two reports of an instance's usage
+	ExportFolder   string   `toml:"export_folder"` // receives the records; empty for none
+	ExportURL      string   `toml:"export_url"`    // receives the records by http or https; empty for none
 }
 
 const (
--- a/internal/config/dns.go
+++ b/internal/config/dns.go
@@ -10,14 +10,14 @@
 
 // DNS is the section for a zone that replaces discovery as the source of the endpoint list.
 type DNS struct {
-	ZoneFile            string   `toml:"zone_file"` // master file; if empty, the zone is off
-	Origin              string   `toml:"origin"`    // origin of the zone
-	Service             string   `toml:"service"`   // the name of the SRV records
-	Journal             string   `toml:"journal"`   // holds the updates to the zone file across a restart
-	Listen              string   `toml:"listen"`    // UDP and TCP: updates, queries, transfers; empty for none
-	MaxUpdatesPerSecond float64  `toml:"updates_per_second"`
-	Notify              []string `toml:"notify"` // secondaries that are sent a NOTIFY about changes
-	Keys                []DNSKey `toml:"key"`
+	ZoneFile            string   `toml:"zone_file"`          // master file; if empty, the zone is off
+	Origin              string   `toml:"origin"`             // origin of the zone
+	Service             string   `toml:"service"`            // the name of the SRV records
+	Journal             string   `toml:"journal"`            // holds the updates to the zone file across a restart
+	Listen              string   `toml:"listen"`             // UDP and TCP: updates, queries, transfers; empty for none
+	MaxUpdatesPerSecond float64  `toml:"updates_per_second"` // of all keys together
+	Notify              []string `toml:"notify"`             // secondaries that are sent a NOTIFY about changes
+	Keys                []DNSKey `toml:"key"`                // that updates are signed with
 }
 
 // DNSKey is a TSIG key.
--- a/internal/config/limits.go
+++ b/internal/config/limits.go
@@ -17,7 +17,7 @@
 type Limits struct {
 	Listen         string   `toml:"listen"`        // where tools connect; if empty, the commands are off
 	AnswerTimeout  Duration `toml:"answer_within"` // time limit for an answer
-	MaxConnections int      `toml:"connections"`
+	MaxConnections int      `toml:"connections"`   // of tools, at once
 
 	TLSCertificate string     `toml:"tls_certificate"`
 	TLSKey         string     `toml:"tls_key"`
--- a/internal/config/migrate_test.go
+++ b/internal/config/migrate_test.go
@@ -120,7 +120,7 @@
 		"a.json: settings: seed is no hexadecimal":                         {"old", `8c1f30d27a5be964`, `seed`},
 		"a.json: settings.me comes twice":                                  {"old", `"me": 1`, `"me": 1, "me": 2`},
 		"a.json: settings.zones[0]: no JSON":                               {"old", `["a"]`, `[a]`},
-		"a.json: something follows":                                        {"old", `"peak-units": 5}]}}`, `"peak-units": 5}]}} {}`},
+		"a.json: something follows":                                        {"old", `5}]}}`, `5}]}} {}`},
 		"a.json: the file: no JSON":                                        {"old", oldConfig, ``},
 		"a.json: is no JSON object":                                        {"old", oldConfig, `[]`},
 		"a.json: settings: settings.tariffs[0].parallel":                   {"old", `"peak-units": 5`, `"parallel": 1.5`},
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -39,10 +39,10 @@
 	Protocol string `toml:"protocol"` // CounterProtocolText or CounterProtocolRESP
 }
 
-// Duration is a time in Go's notation, such as "750ms".
+// Duration is a time.Duration that a TOML file holds in Go's notation, such as "750ms".
 type Duration time.Duration
 
-// UnmarshalText parses a time.
+// UnmarshalText parses a time. The error quotes the text.
 func (d *Duration) UnmarshalText(text []byte) error {
 	duration, err := time.ParseDuration(string(text))
 	if err != nil {
--- a/internal/config/operator_test.go
+++ b/internal/config/operator_test.go
@@ -7,6 +7,35 @@
 	"testing"
 )
 
+// operatorFiles are texts of operator files, with a part of the error that each causes; empty for none.
+var operatorFiles = map[string]string{
+	"": "", "[limits]\nlisten = \"127.0.0.1:1\"\n": "",
+	"[limits]\nlisten = \"nowhere\"\n":             ":2: limits.listen is \"nowhere\"",
+	"[limits]\nlisten = 3\n":                       ":2: ",
+	"[limits]\nlistn = \"127.0.0.1:1\"\n":          ":2: unknown key limits.listn",
+	"[limits]\nconnections = 0\n":                  ":2: limits.connections",
+	"[limits]\nconnections = 1\nconnections = 2\n": ":3: limits.connections stands twice",
+	"[limits]\nanswer_within = \"soon\"\n":         ":2: ",
+	"[limits]\nanswer_within = \"2h\"\n":           ":2: limits.answer_within",
+	"[counter]\nprotocol = \"http\"\n":             ":2: counter.protocol is \"http\"",
+	"[counter]\nprotocol = \"re":                   ":2: ",
+	"[limits\n":                                    ":1: ",
+	"[store]\ndir = \"x\"\n":                       ": unknown key",
+	"[log]\nformat = \"xml\"\n":                    ":2: log.format is \"xml\"",
+	"[learned]\nevery = \"1ms\"\n":                 ":2: learned.every",
+	"[billing]\non = true\nwindow = \"1ms\"\n":     ":3: billing.window is not from 1s to",
+	"[billing]\nexport_folder = \"/nowhere\"\n": ":2: billing.export_folder is \"/nowhere\", " +
+		"which is no folder",
+	"[billing]\nexport_url = \"ftp://x\"\n":                          ":2: billing.export_url is \"ftp://x\"",
+	"[billing]\nexport_url = \"http://x\"\nexport_folder=\"/tmp\"\n": ":2: billing.export_url stands beside",
+	"[[limits.key]]\nname = \"a\"\nsecret_file = \"/nowhere\"\n":     ":3: limits.key[0].secret_file cannot be read",
+	"[[limits.key]]\nsecret_file = \"/nowhere\"\n":                   ":1: limits.key[0].name",
+	"[limits]\ntls_certificate = \"/nowhere\"\n":                     ":2: limits.tls_certificate cannot be used",
+	"[log]\nlevel = \"loud\"\n":                                      ":2: log.level is \"loud\"",
+	"[log]\nformat = \"json\"\nlevel = \"debug\"\n[counter]\n":       "",
+	"[limits]\nanswer_within = \"100ms\"\nlisten = \"[::1]:99\"\n":   "",
+}
+
 func TestReadOperator(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "op.toml")
 	read := func(t *testing.T, text string) (*Operator, error) {
@@ -16,32 +45,7 @@
 		}
 		return ReadOperator(path)
 	}
-	for text, want := range map[string]string{
-		"": "", "[limits]\nlisten = \"127.0.0.1:1\"\n": "",
-		"[limits]\nlisten = \"nowhere\"\n":                               ":2: limits.listen is \"nowhere\"",
-		"[limits]\nlisten = 3\n":                                         ":2: ",
-		"[limits]\nlistn = \"127.0.0.1:1\"\n":                            ":2: unknown key limits.listn",
-		"[limits]\nconnections = 0\n":                                    ":2: limits.connections",
-		"[limits]\nconnections = 1\nconnections = 2\n":                   ":3: limits.connections stands twice",
-		"[limits]\nanswer_within = \"soon\"\n":                           ":2: ",
-		"[limits]\nanswer_within = \"2h\"\n":                             ":2: limits.answer_within",
-		"[counter]\nprotocol = \"http\"\n":                               ":2: counter.protocol is \"http\"",
-		"[counter]\nprotocol = \"re":                                     ":2: ",
-		"[limits\n":                                                      ":1: ",
-		"[store]\ndir = \"x\"\n":                                         ": unknown key",
-		"[log]\nformat = \"xml\"\n":                                      ":2: log.format is \"xml\"",
-		"[learned]\nevery = \"1ms\"\n":                                   ":2: learned.every",
-		"[billing]\non = true\nwindow = \"1ms\"\n":                       ":3: billing.window is not from 1s to",
-		"[billing]\nexport_folder = \"/nowhere\"\n":                      ":2: billing.export_folder is \"/nowhere\", which is no folder",
-		"[billing]\nexport_url = \"ftp://x\"\n":                          ":2: billing.export_url is \"ftp://x\"",
-		"[billing]\nexport_url = \"http://x\"\nexport_folder=\"/tmp\"\n": ":2: billing.export_url stands beside",
-		"[[limits.key]]\nname = \"a\"\nsecret_file = \"/nowhere\"\n":     ":3: limits.key[0].secret_file cannot be read",
-		"[[limits.key]]\nsecret_file = \"/nowhere\"\n":                   ":1: limits.key[0].name",
-		"[limits]\ntls_certificate = \"/nowhere\"\n":                     ":2: limits.tls_certificate cannot be used",
-		"[log]\nlevel = \"loud\"\n":                                      ":2: log.level is \"loud\"",
-		"[log]\nformat = \"json\"\nlevel = \"debug\"\n[counter]\n":       "",
-		"[limits]\nanswer_within = \"100ms\"\nlisten = \"[::1]:99\"\n":   "",
-	} {
+	for text, want := range operatorFiles {
 		o, err := read(t, text)
 		if want == "" && err != nil {
 			t.Errorf("%q: %v", text, err)
--- a/internal/config/overlay.go
+++ b/internal/config/overlay.go
@@ -16,14 +16,18 @@
 // Overlay holds the settings rows of the replicated store, by name. A plan or class in the overlay replaces
 // the one of the same name in the file; one with a new name is added after the file's rows. The zero value
 // changes nothing.
-type Overlay struct{ Plans, Classes map[string]json.RawMessage }
+type Overlay struct {
+	Plans   map[string]json.RawMessage // in the form of a row of "tariffs"
+	Classes map[string]json.RawMessage // in the form of a row of "lanes"
+}
 
 // namedRow holds what rows of plans and classes have in common.
 type namedRow struct {
 	Name string `json:"name"`
 }
 
-// CheckRow checks that a value in the store is a row with the name given by its key.
+// CheckRow checks that a value in the store is a row with the name given by its key. The error says what the
+// value is instead; the caller adds the key.
 func CheckRow(name string, value json.RawMessage) error {
 	var row namedRow
 	if err := json.Unmarshal(value, &row); err != nil {
--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -48,7 +48,8 @@
 	Instance string    // the name that every entry carries; if empty, none
 }
 
-// Setup configures the process-wide log. If it returns an error, the log is unchanged.
+// Setup configures the process-wide log. It returns an error, and leaves the log unchanged, if the level or the
+// format is unknown.
 func Setup(o Options) error {
 	level, err := logrus.ParseLevel(o.Level)
 	if err != nil {
