--- a/cmd/fawnplank/management.go
+++ b/cmd/fawnplank/management.go
@@ -35,10 +35,16 @@
 // managedGateway is the view of the gateway that the management address uses. It is safe for concurrent use.
 type managedGateway struct{ gateway *gateway }
 
+// Ready reports whether the gateway accepts connections and is not draining.
 func (m managedGateway) Ready() bool { return m.gateway.ready.Load() && !m.gateway.server.Draining() }
-func (m managedGateway) Drain()      { m.gateway.server.Drain() }
-func (m managedGateway) Resume()     { m.gateway.server.Resume() }
 
+// Drain starts draining.
+func (m managedGateway) Drain() { m.gateway.server.Drain() }
+
+// Resume ends draining.
+func (m managedGateway) Resume() { m.gateway.server.Resume() }
+
+// WriteStats writes the metrics. A failed write is logged, because the caller gets no further answer.
 func (m managedGateway) WriteStats(out io.Writer) {
 	if err := m.gateway.metrics.Write(out); err != nil {
 		logging.For(adminComponent).WithError(err).Warn("metrics not written")
--- a/cmd/fawnplank/soak_clients_test.go
+++ b/cmd/fawnplank/soak_clients_test.go
@@ -208,6 +208,18 @@
 	return false
 }
 
+// forEachConnection opens one connection after another, as long as the load balancer opens any.
+func (w *soakWorld) forEachConnection(use func(c *soakConnection)) {
+	for w.mayOpen() {
+		c := w.dialSoak()
+		if c == nil {
+			time.Sleep(5 * time.Millisecond)
+			continue
+		}
+		use(c)
+	}
+}
+
 // runSteadyClient keeps a connection and sends one request after another on it, for as long as it is open.
 func (w *soakWorld) runSteadyClient(random *rand.Rand) {
 	for w.mayOpen() {
@@ -235,12 +247,7 @@
 
 // runPipeliningClient always has requests open on its connection, in order.
 func (w *soakWorld) runPipeliningClient(random *rand.Rand) {
-	for w.mayOpen() {
-		c := w.dialSoak()
-		if c == nil {
-			time.Sleep(5 * time.Millisecond)
-			continue
-		}
+	w.forEachConnection(func(c *soakConnection) {
 		w.clients.Go(func() {
 			for c.receive(false) {
 				continue
@@ -249,17 +256,12 @@
 		for !w.stopping.Load() && c.send(w.nextRequest(random)) {
 			time.Sleep(time.Duration(random.IntN(60)) * time.Millisecond)
 		}
-	}
+	})
 }
 
 // runBurstClient sends more requests at once than may be pending on a connection.
 func (w *soakWorld) runBurstClient(random *rand.Rand) {
-	for w.mayOpen() {
-		c := w.dialSoak()
-		if c == nil {
-			time.Sleep(5 * time.Millisecond)
-			continue
-		}
+	w.forEachConnection(func(c *soakConnection) {
 		burst := make([]soakRequest, 30+random.IntN(40))
 		text := ""
 		for n := range burst {
@@ -273,7 +275,7 @@
 			}
 		}
 		c.close()
-	}
+	})
 }
 
 // runSlowClient writes its requests byte by byte.
@@ -301,12 +303,7 @@
 
 // runInvalidClient sends many invalid commands at once, sometimes a request behind them or half a command.
 func (w *soakWorld) runInvalidClient(random *rand.Rand) {
-	for w.mayOpen() {
-		c := w.dialSoak()
-		if c == nil {
-			time.Sleep(5 * time.Millisecond)
-			continue
-		}
+	w.forEachConnection(func(c *soakConnection) {
 		r := w.nextRequest(random)
 		r.text = strings.Repeat(respWords("NONE"), random.IntN(200)) + r.text
 		if random.IntN(2) == 0 {
@@ -316,17 +313,12 @@
 		for c.receive(false) { // the gateway ends the connection, at the end at the latest
 			continue
 		}
-	}
+	})
 }
 
 // runUnreadingClient sends on and on and reads nothing.
 func (w *soakWorld) runUnreadingClient() {
-	for w.mayOpen() {
-		c := w.dialSoak()
-		if c == nil {
-			time.Sleep(5 * time.Millisecond)
-			continue
-		}
+	w.forEachConnection(func(c *soakConnection) {
 		text := []byte(strings.Repeat(wirePing, 1000))
 		for !w.stopping.Load() {
 			if _, err := c.conn.Write(text); err != nil {
@@ -334,7 +326,7 @@
 			}
 		}
 		c.checkEnd(nil)
-	}
+	})
 }
 
 // runIdleClient opens a connection, sends a PING, and stays idle until the gateway ends it.
--- a/cmd/fawnplank/store_client.go
+++ b/cmd/fawnplank/store_client.go
@@ -36,6 +36,7 @@
 	Message string // empty if the answer held none
 }
 
+// Error returns the status and the message.
 func (e *storeStatusError) Error() string {
 	if e.Message == "" {
 		return e.Status
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -42,11 +42,11 @@
 	// writeTimeout bounds writing an answer. It is what remains of the second.
 	writeTimeout = 400 * time.Millisecond
 	// maxCalls is how many calls may be open at once. A further call waits at most readHeaderTimeout for a
-	// place. The limit is far above the number of the operators' callers.
+	// place. Operators have fewer callers than this.
 	maxCalls = 32
 	// descriptorsPerCall is how many descriptors of the process there must be for each call that may be open.
 	descriptorsPerCall = 8
-	// maxHeaderBytes is ample for the heads of calls, which carry nothing that is read.
+	// maxHeaderBytes bounds the heads of calls, of which nothing but the first line is read.
 	maxHeaderBytes = 8 << 10
 )
 
--- a/internal/config/billing.go
+++ b/internal/config/billing.go
@@ -24,9 +24,9 @@
 
 const (
 	defaultWindow = Duration(time.Hour)
-	// defaultChangeNotice is twice as long as a write may take while a leader is elected.
+	// defaultChangeNotice is twice the 5 s that a write may wait for the election of a leader.
 	defaultChangeNotice = Duration(10 * time.Second)
-	// defaultClockSkew is generous: clocks kept by NTP differ by far less.
+	// defaultClockSkew is well above the difference between clocks that NTP keeps.
 	defaultClockSkew   = Duration(time.Second)
 	defaultMaxLease    = Duration(10 * time.Minute)
 	defaultExportDelay = Duration(time.Minute)
--- a/internal/config/ids.go
+++ b/internal/config/ids.go
@@ -2,11 +2,11 @@
 
 import "fawnplank/policy"
 
-// id is the number of a row: a policy.ClassID or a policy.PlanID.
-type id interface{ ~uint16 | ~uint32 }
+// rowID is the number of a row: a policy.ClassID or a policy.PlanID.
+type rowID interface{ ~uint16 | ~uint32 }
 
 // idsByName numbers rows in their order and returns the numbers by name.
-func idsByName[ID id](rows []object) map[string]ID {
+func idsByName[ID rowID](rows []object) map[string]ID {
 	ids := map[string]ID{}
 	for n, row := range rows {
 		ids[required[string](row, keyName)] = ID(n)
@@ -35,7 +35,7 @@
 }
 
 // table holds rows, indexed by id, and the ids of their names.
-type table[T comparable, ID id] struct {
+type table[T comparable, ID rowID] struct {
 	rows []T
 	ids  map[string]ID
 }
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -69,19 +69,13 @@
 		PostPaid:          family.optionalBool("post-paid"),
 		PollEndpoints:     top.optionalString(keyDiscovery) == discoveryOnRequest,
 		PollTimeout:       invariants.optionalMilliseconds("ask-within-ms"),
-		DrainGrace:        defaultDrainGrace,
 		SlowStartShare:    invariants.requiredNumber("cold-share"),
 		SlowStartDuration: invariants.requiredMilliseconds("warm-up-ms"),
 		OverloadMultiple:  invariants.requiredNumber("tip-multiple"),
 		OverloadWindow:    invariants.requiredMilliseconds("fall-ms"),
 		CrossZoneCost:     top.optionalObject("prices").optionalNumber("cross-zone"),
 	}
-	if invariants.has(keyDrainGrace) {
-		settings.DrainGrace = invariants.optionalMilliseconds(keyDrainGrace)
-		if settings.DrainGrace <= 0 {
-			invariants.failf(keyDrainGrace, "is not above 0")
-		}
-	}
+	settings.DrainGrace = readDrainGrace(invariants)
 	if settings.MaxAttempts < 1 {
 		permissions.failf(keyMaxAttempts, "is not above 0")
 	}
@@ -94,6 +88,17 @@
 	return settings
 }
 
+func readDrainGrace(invariants object) time.Duration {
+	if !invariants.has(keyDrainGrace) {
+		return defaultDrainGrace
+	}
+	grace := invariants.optionalMilliseconds(keyDrainGrace)
+	if grace <= 0 {
+		invariants.failf(keyDrainGrace, "is not above 0")
+	}
+	return grace
+}
+
 // readClass reads a row of the list of classes.
 func readClass(row object) policy.ClassSettings {
 	class := policy.ClassSettings{
--- a/internal/logging/logging_test.go
+++ b/internal/logging/logging_test.go
@@ -21,12 +21,20 @@
 	})
 }
 
-func TestSetup_JSONEntryHasFields(t *testing.T) {
+// setUpForTest sets up the log until the end of the test, and returns what is written to it.
+func setUpForTest(t *testing.T, options Options) *bytes.Buffer {
+	t.Helper()
 	restore(t)
-	var out bytes.Buffer
-	if err := Setup(Options{Output: &out, Level: "info", Format: "json", Instance: "n3"}); err != nil {
+	out := &bytes.Buffer{}
+	options.Output = out
+	if err := Setup(options); err != nil {
 		t.Fatal(err)
 	}
+	return out
+}
+
+func TestSetup_JSONEntryHasFields(t *testing.T) {
+	out := setUpForTest(t, Options{Level: "info", Format: "json", Instance: "n3"})
 	For("counter").Debug("unseen")
 	For("counter").WithError(errors.New("line 1\nline 2")).WithField(Backend, "s-1").Warn("silent")
 	Panicked("frontend", "index out of range", []byte("goroutine 1\n"))
@@ -60,11 +68,7 @@
 }
 
 func TestSetup_TextEntryNamesTheInstance(t *testing.T) {
-	restore(t)
-	var out bytes.Buffer
-	if err := Setup(Options{Output: &out, Level: "warning", Format: "text", Instance: "n3"}); err != nil {
-		t.Fatal(err)
-	}
+	out := setUpForTest(t, Options{Level: "warning", Format: "text", Instance: "n3"})
 	For("frontend").Info("unseen")
 	For("frontend").Warn("seen")
 	text := out.String()
