--- a/internal/counter/resp_format.go
+++ b/internal/counter/resp_format.go
@@ -7,7 +7,6 @@
 	"github.com/tidwall/redcon"
 
 	"fawnplank/internal/dispatch"
-	"fawnplank/policy"
 )
 
 const (
@@ -16,6 +15,9 @@
 	// maxBulkHeaderBytes is the length of "$128\r\n". The client does not wait for a bulk string that announces
 	// more than maxAnswerBytes, or whose length has more digits.
 	maxBulkHeaderBytes = 6
+	// incrementWords and expiryWords are the number of words of the two commands of a call.
+	incrementWords = 3 // INCRBYFLOAT key units
+	expiryWords    = 4 // PEXPIRE key lifetime NX
 )
 
 // respReply is the first of the two replies to a call: the reply to INCRBYFLOAT.
@@ -25,16 +27,17 @@
 	err      error
 }
 
-func appendRESPCall(buf []byte, key policy.CounterKey, units float64, lifetimeMillis int64) []byte {
-	name := strconv.FormatUint(uint64(key), 16)
-	buf = redcon.AppendArray(buf, 3)
+// appendRESPCall appends the two commands of a call.
+func appendRESPCall(buf []byte, call increment) []byte {
+	name := strconv.FormatUint(uint64(call.key), keyBase)
+	buf = redcon.AppendArray(buf, incrementWords)
 	buf = redcon.AppendBulkString(buf, "INCRBYFLOAT")
 	buf = redcon.AppendBulkString(buf, name)
-	buf = redcon.AppendBulkString(buf, strconv.FormatFloat(units, 'f', -1, 64))
-	buf = redcon.AppendArray(buf, 4)
+	buf = redcon.AppendBulkString(buf, strconv.FormatFloat(call.units, 'f', -1, float64Bits))
+	buf = redcon.AppendArray(buf, expiryWords)
 	buf = redcon.AppendBulkString(buf, "PEXPIRE")
 	buf = redcon.AppendBulkString(buf, name)
-	buf = redcon.AppendBulkString(buf, strconv.FormatInt(lifetimeMillis, 10))
+	buf = redcon.AppendBulkString(buf, strconv.FormatInt(call.lifetimeMillis(), lifetimeBase))
 	return redcon.AppendBulkString(buf, "NX")
 }
 
@@ -84,7 +87,7 @@
 	if reply.Type == redcon.Error { // the command was refused, and nothing was added
 		return 0, dispatch.ErrRejected
 	}
-	total, err := strconv.ParseFloat(string(reply.Data), 64)
+	total, err := strconv.ParseFloat(string(reply.Data), float64Bits)
 	if err != nil || reply.Type != redcon.Bulk || !isFinite(total) {
 		return 0, &dispatch.NetworkError{Progress: dispatch.Answering, Err: errNoTotal}
 	}
