--- a/cmd/fawnplank-lab/command_run.go
+++ b/cmd/fawnplank-lab/command_run.go
@@ -16,6 +16,9 @@
 	"fawnplank/internal/lab/testbed"
 )
 
+// oldGatewayFlag is the name that --gateway had before. It is still read, with a warning.
+const oldGatewayFlag = "door"
+
 // runFlags are the flags of "run".
 type runFlags struct {
 	scenario       scenarioFlags
@@ -34,17 +37,19 @@
 		Args:  cobra.ExactArgs(1),
 		Example: `  fawnplank lab run lab/scenarios/calm.toml
   fawnplank lab run lab/scenarios/counter-lost.toml --on model -o lost.json --plot lost.png
-  fawnplank lab run lab/scenarios/hundred-doors.toml --set doors.count=200 --label 200-instances`,
+  fawnplank lab run lab/scenarios/hundred-gateways.toml --set gateways.count=200 --label 200-instances`,
 		RunE: func(command *cobra.Command, args []string) error { return flags.run(command, args[0]) },
 	}
 	flags.scenario.register(command)
-	command.Flags().StringVarP(&flags.outputFile, "output", "o", "",
-		"file that the results are written to, as JSON")
+	addResultsFlag(command, &flags.outputFile)
 	command.Flags().StringVar(&flags.label, "label", "", "what to call this run in tables and plots")
 	command.Flags().StringVar(&flags.pictureFile, "plot", "", "picture to draw, .png or .svg")
 	command.Flags().StringVar(&flags.logFolder, "logs", "", "sockets: folder for the gateways' logs")
-	command.Flags().StringVar(&flags.gatewayProgram, "door", defaultGatewayProgram(),
-		"sockets: the gateway's program")
+	program := defaultGatewayProgram()
+	command.Flags().StringVar(&flags.gatewayProgram, "gateway", program, "sockets: the gateway's program")
+	command.Flags().StringVar(&flags.gatewayProgram, oldGatewayFlag, program, "use --gateway")
+	deprecateFlag(command, oldGatewayFlag, "use --gateway")
+	command.MarkFlagsMutuallyExclusive("gateway", oldGatewayFlag)
 	return command
 }
 
@@ -60,7 +65,7 @@
 // run plays a scenario and reports on it. A run that ended with an error, such as a crashed gateway, is
 // printed but not written, so that no file of results holds a run cut short.
 func (f *runFlags) run(command *cobra.Command, path string) error {
-	s, err := f.scenario.load(path)
+	s, err := f.scenario.load(command, path)
 	if err != nil {
 		return err
 	}
@@ -92,15 +97,12 @@
 
 // write writes the files that the flags ask for, and fails if a rule was broken.
 func (f *runFlags) write(name string, run *results.Run) error {
-	if f.outputFile != "" {
-		if err := run.Write(f.outputFile); err != nil {
-			return err
-		}
+	if err := writeResults(f.outputFile, run); err != nil {
+		return err
 	}
-	if f.pictureFile != "" {
-		if err := plots.Draw(f.pictureFile, run); err != nil {
-			return err
-		}
+	err := drawPicture(f.pictureFile, func(file string) error { return plots.Draw(file, run) })
+	if err != nil {
+		return err
 	}
 	return checkRules(name, run)
 }
