--- a/cmd/fawnplank/command_store.go
+++ b/cmd/fawnplank/command_store.go
@@ -178,6 +178,6 @@
 	if err != nil {
 		return err
 	}
-	_, err = fmt.Fprintln(out, strings.TrimSpace(string(text)))
-	return err
+	_, _ = fmt.Fprintln(out, strings.TrimSpace(string(text))) // the call has succeeded, shown or not
+	return nil
 }
