--- a/cmd/fawnplank/command_migrate_test.go
+++ b/cmd/fawnplank/command_migrate_test.go
@@ -17,7 +17,8 @@
 // A file of the old shape is carried over to the new one, and a gateway runs on it: without health checks,
 // with a limit on the tenant's concurrency, and with rejections that give no Retry-After.
 func TestMigrate_FileServes(t *testing.T) {
-	attempts, arrived := make(chan net.Conn, 10), make(chan bool, 10)
+	attempts := make(chan net.Conn, 10)
+	arrived := make(chan bool, 10)
 	backend := testutil.ServeCommands(t, func(conn net.Conn) {
 		attempts <- conn
 		arrived <- true
@@ -58,20 +59,21 @@
 func serveMigrated(t *testing.T, address, discovery string) {
 	t.Helper()
 	folder := t.TempDir()
-	old, shape := filepath.Join(folder, "old.json"), filepath.Join(folder, "shape.json")
-	fresh := filepath.Join(folder, "new.json")
+	old := filepath.Join(folder, "old.json")
+	shape := filepath.Join(folder, "shape.json")
+	migrated := filepath.Join(folder, "new.json")
 	text := fmt.Sprintf(configuration, address, discovery, "127.0.0.1:3")
 	text = strings.Replace(text, `"send-cap":3`,
 		`"send-cap":3,"probes":true,"retry-after":true,"max-retry-after-ms":900`, 1)
 	writeFile(t, old, text)
 	writeFile(t, shape, `{"permissions":{"retry-after":false},"weights":"rough",
 		"tariffs":[{"name":"team","quota-rate":0,"peak-units":0,"parallel":1}]}`)
-	out, err := runProgram(t, "migrate", "-c", old, "--shape", shape, "-o", fresh)
+	out, err := runProgram(t, "migrate", "-c", old, "--shape", shape, "-o", migrated)
 	if err != nil || !strings.Contains(out, "settings.permissions.retry-after") ||
 		!strings.Contains(out, "known: 1 backends") {
 		t.Fatalf("%v, %s", err, out)
 	}
-	startServing(t, fresh)
+	startServing(t, migrated)
 }
 
 // requestUntilSent sends requests, each on a connection of its own, until the list has come and a backend
--- a/cmd/fawnplank/limits_test.go
+++ b/cmd/fawnplank/limits_test.go
@@ -17,7 +17,8 @@
 // check and serve use the same reader: what one refuses the other does, in the same words.
 func TestCheckAndServe_AgreeOnOperatorFiles(t *testing.T) {
 	folder := t.TempDir()
-	settings, operator := filepath.Join(folder, "config.json"), filepath.Join(folder, "op.toml")
+	settings := filepath.Join(folder, "config.json")
+	operator := filepath.Join(folder, "op.toml")
 	writeFile(t, settings, fmt.Sprintf(configuration, freeAddress(t), "127.0.0.1:2", "127.0.0.1:3"))
 	for text, want := range map[string]string{
 		"[limits]\nlisten = \"127.0.0.1:1":   "op.toml:2: ",
@@ -65,14 +66,7 @@
 // startLogged starts a process whose log is read.
 func startLogged(t *testing.T, process *exec.Cmd, instance string) *logReader {
 	t.Helper()
-	log, err := process.StderrPipe()
-	if err != nil {
-		t.Fatal(err)
-	}
-	if err := process.Start(); err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() { kill(process) })
+	log := startWithLog(t, process)
 	r := &logReader{instance: instance, entries: make(chan map[string]any, 100)}
 	go func() {
 		defer close(r.entries)
@@ -96,7 +90,7 @@
 			if !ok {
 				t.Fatalf("the log ended before %s: %s", component, event)
 			}
-			if entry["door"] != r.instance || entry["component"] == nil {
+			if entry["instance"] != r.instance || entry["component"] == nil {
 				t.Errorf("an entry without its fields: %v", entry)
 			}
 			if entry["component"] == component && entry["event"] == event {
@@ -121,11 +115,12 @@
 	}
 }
 
-// A gateway with limit commands: a tool's check is granted, no client can send a request of the class that
+// A gateway with limit commands: a tool's check is admitted, no client can send a request of the class that
 // only counts, and a reload with a faulty operator file changes nothing and is counted.
 func TestServe_LimitCommands(t *testing.T) {
 	folder := t.TempDir()
-	settings, operator := filepath.Join(folder, "config.json"), filepath.Join(folder, "op.toml")
+	settings := filepath.Join(folder, "config.json")
+	operator := filepath.Join(folder, "op.toml")
 	clients, limits, management := freeAddress(t), freeAddress(t), freeAddress(t)
 	text := fmt.Sprintf(configuration, clients, "127.0.0.1:2", "127.0.0.1:3")
 	writeFile(t, settings, strings.Replace(text, `"name":"n0"`, `"name":"n0","mgmt":"`+management+`"`, 1))
--- a/cmd/fawnplank/management.go
+++ b/cmd/fawnplank/management.go
@@ -18,29 +18,35 @@
 	server, err := admin.New(ctx, admin.Options{
 		Address:  g.configuration.ManagementAddress,
 		Gateway:  managedGateway{g},
-		MaxCalls: g.managementCalls(),
+		MaxCalls: g.resources.managementCalls(),
 	})
 	if err != nil {
 		return fmt.Errorf("configuration: mgmt: %w", err)
 	}
 	go func() {
 		if err := server.Serve(); err != nil {
-			logging.For("admin").WithError(err).Error("stopped")
+			logging.For(adminComponent).WithError(err).Error("stopped")
 		}
 	}()
-	logging.For("admin").WithField(logging.Address, server.Address()).Info("listening")
+	logging.For(adminComponent).WithField(logging.Address, server.Address()).Info("listening")
 	return nil
 }
 
 // managedGateway is the view of the gateway that the management address uses. It is safe for concurrent use.
 type managedGateway struct{ gateway *gateway }
 
+// Ready reports whether the gateway accepts connections and is not draining.
 func (m managedGateway) Ready() bool { return m.gateway.ready.Load() && !m.gateway.server.Draining() }
-func (m managedGateway) Drain()      { m.gateway.server.Drain() }
-func (m managedGateway) Resume()     { m.gateway.server.Resume() }
 
+// Drain starts draining.
+func (m managedGateway) Drain() { m.gateway.server.Drain() }
+
+// Resume ends draining.
+func (m managedGateway) Resume() { m.gateway.server.Resume() }
+
+// WriteStats writes the metrics. A failed write is logged, because the caller gets no further answer.
 func (m managedGateway) WriteStats(out io.Writer) {
 	if err := m.gateway.metrics.Write(out); err != nil {
-		logging.For("admin").WithError(err).Warn("metrics not written")
+		logging.For(adminComponent).WithError(err).Warn("metrics not written")
 	}
 }
--- a/cmd/fawnplank/warm_start_test.go
+++ b/cmd/fawnplank/warm_start_test.go
@@ -10,11 +10,12 @@
 	"testing"
 )
 
-// The state that a gateway had of its backends is there for the next process, and a file that is not whole is
+// The warm-start state of a gateway is there for the next process, and a file that is not complete is
 // refused with a log entry, without harm.
 func TestWarmStart_OverRestarts(t *testing.T) {
 	folder := t.TempDir()
-	settings, operator := filepath.Join(folder, "config.json"), filepath.Join(folder, "op.toml")
+	settings := filepath.Join(folder, "config.json")
+	operator := filepath.Join(folder, "op.toml")
 	file := filepath.Join(folder, "state")
 	writeFile(t, settings, fmt.Sprintf(configuration, freeAddress(t), "127.0.0.1:2", "127.0.0.1:3"))
 	writeFile(t, operator, fmt.Sprintf("[learned]\nfile = %q\nevery = \"100ms\"\n", file))
@@ -34,15 +35,9 @@
 func checkRunLogs(t *testing.T, settings, operator, phrase string) {
 	t.Helper()
 	process := program(t, "serve", "-c", settings, "--operator", operator)
-	log, err := process.StderrPipe()
-	if err != nil {
-		t.Fatal(err)
-	}
-	if err := process.Start(); err != nil {
-		t.Fatal(err)
-	}
-	defer kill(process)
-	logged, signaled := false, false
+	log := startWithLog(t, process)
+	logged := false
+	signaled := false
 	for lines := bufio.NewScanner(log); lines.Scan(); {
 		line := lines.Text()
 		logged = logged || phrase != "" && strings.Contains(line, phrase)
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -42,11 +42,11 @@
 	// writeTimeout bounds writing an answer. It is what remains of the second.
 	writeTimeout = 400 * time.Millisecond
 	// maxCalls is how many calls may be open at once. A further call waits at most readHeaderTimeout for a
-	// place. The limit is far above the number of the operators' callers.
+	// place. Operators have fewer callers than this.
 	maxCalls = 32
 	// descriptorsPerCall is how many descriptors of the process there must be for each call that may be open.
 	descriptorsPerCall = 8
-	// maxHeaderBytes is ample for the heads of calls, which carry nothing that is read.
+	// maxHeaderBytes bounds the heads of calls, of which nothing but the first line is read.
 	maxHeaderBytes = 8 << 10
 )
 
@@ -69,7 +69,8 @@
 	listener net.Listener
 }
 
-// New listens on the address; Serve answers the calls. The context bounds only the start.
+// New listens on the address; Serve answers the calls. The context bounds only the start. The error is that of
+// listening.
 func New(ctx context.Context, o Options) (*Server, error) {
 	var config net.ListenConfig
 	listener, err := config.Listen(ctx, "tcp4", o.Address)
@@ -125,7 +126,8 @@
 // Address returns the host and port that the server listens on.
 func (s *Server) Address() string { return s.listener.Addr().String() }
 
-// Serve answers calls until Close, after which it returns nil. It is called once.
+// Serve answers calls until Close, after which it returns nil. Any other end returns the error of the listener.
+// It is called once.
 func (s *Server) Serve() error {
 	if err := s.server.Serve(s.listener); !errors.Is(err, http.ErrServerClosed) {
 		return err
--- a/internal/config/billing.go
+++ b/internal/config/billing.go
@@ -12,21 +12,21 @@
 // Billing is the section for plan changes, reservations and exported usage, which need the replicated store.
 type Billing struct {
 	Enabled        bool     `toml:"on"`
-	Window         Duration `toml:"window"`       // length of the windows by which usage is billed
-	ChangeNotice   Duration `toml:"lead"`         // from a change becoming known until it takes effect
-	ClockSkew      Duration `toml:"clock_skew"`   // the most that two instances' clocks may differ
-	MaxLease       Duration `toml:"lease"`        // the longest lease that a reservation may have
-	ExportDelay    Duration `toml:"late"`         // from the end of a window until its export
-	ReportInterval Duration `toml:"report_every"` // between two reports of an instance's usage
-	ExportFolder   string   `toml:"export_folder"`
-	ExportURL      string   `toml:"export_url"`
+	Window         Duration `toml:"window"`        // length of the windows by which usage is billed
+	ChangeNotice   Duration `toml:"lead"`          // from a change becoming known until it takes effect
+	ClockSkew      Duration `toml:"clock_skew"`    // the most that two instances' clocks may differ
+	MaxLease       Duration `toml:"lease"`         // the longest lease that a reservation may have
+	ExportDelay    Duration `toml:"late"`          // from the end of a window until its export
+	ReportInterval Duration `toml:"report_every"`  // between two reports of an instance's usage
+	ExportFolder   string   `toml:"export_folder"` // receives the records; empty for none
+	ExportURL      string   `toml:"export_url"`    // receives the records by http or https; empty for none
 }
 
 const (
 	defaultWindow = Duration(time.Hour)
-	// defaultChangeNotice is twice as long as a write may take while a leader is elected.
+	// defaultChangeNotice is twice the 5 s that a write may wait for the election of a leader.
 	defaultChangeNotice = Duration(10 * time.Second)
-	// defaultClockSkew is generous: clocks kept by NTP differ by far less.
+	// defaultClockSkew is well above the difference between clocks that NTP keeps.
 	defaultClockSkew   = Duration(time.Second)
 	defaultMaxLease    = Duration(10 * time.Minute)
 	defaultExportDelay = Duration(time.Minute)
--- a/internal/config/dns.go
+++ b/internal/config/dns.go
@@ -10,14 +10,14 @@
 
 // DNS is the section for a zone that replaces discovery as the source of the endpoint list.
 type DNS struct {
-	ZoneFile            string   `toml:"zone_file"` // master file; if empty, the zone is off
-	Origin              string   `toml:"origin"`    // origin of the zone
-	Service             string   `toml:"service"`   // the name of the SRV records
-	Journal             string   `toml:"journal"`   // holds the updates to the zone file across a restart
-	Listen              string   `toml:"listen"`    // UDP and TCP: updates, queries, transfers; empty for none
-	MaxUpdatesPerSecond float64  `toml:"updates_per_second"`
-	Notify              []string `toml:"notify"` // secondaries that are sent a NOTIFY about changes
-	Keys                []DNSKey `toml:"key"`
+	ZoneFile            string   `toml:"zone_file"`          // master file; if empty, the zone is off
+	Origin              string   `toml:"origin"`             // origin of the zone
+	Service             string   `toml:"service"`            // the name of the SRV records
+	Journal             string   `toml:"journal"`            // holds the updates to the zone file across a restart
+	Listen              string   `toml:"listen"`             // UDP and TCP: updates, queries, transfers; empty for none
+	MaxUpdatesPerSecond float64  `toml:"updates_per_second"` // of all keys together
+	Notify              []string `toml:"notify"`             // secondaries that are sent a NOTIFY about changes
+	Keys                []DNSKey `toml:"key"`                // that updates are signed with
 }
 
 // DNSKey is a TSIG key.
@@ -56,7 +56,8 @@
 	inRange := d.MaxUpdatesPerSecond >= lowestMaxUpdatesPerSecond &&
 		d.MaxUpdatesPerSecond <= highestMaxUpdatesPerSecond
 	if !inRange { // NaN is not in range either
-		return file.KeyErrorf("dns.updates_per_second", "is not from 0.1 to 10000")
+		return file.KeyErrorf("dns.updates_per_second", "is not from %v to %v",
+			lowestMaxUpdatesPerSecond, highestMaxUpdatesPerSecond)
 	}
 	for _, address := range d.Notify {
 		if !isHostPort(address) {
--- a/internal/config/limits.go
+++ b/internal/config/limits.go
@@ -17,7 +17,7 @@
 type Limits struct {
 	Listen         string   `toml:"listen"`        // where tools connect; if empty, the commands are off
 	AnswerTimeout  Duration `toml:"answer_within"` // time limit for an answer
-	MaxConnections int      `toml:"connections"`
+	MaxConnections int      `toml:"connections"`   // of tools, at once
 
 	TLSCertificate string     `toml:"tls_certificate"`
 	TLSKey         string     `toml:"tls_key"`
@@ -69,7 +69,7 @@
 		return file.KeyErrorf("limits.answer_within", "is not from 1ms to 60s")
 	}
 	if l.MaxConnections < 1 || l.MaxConnections > highestMaxConnections {
-		return file.KeyErrorf("limits.connections", "is not from 1 to 10000")
+		return file.KeyErrorf("limits.connections", "is not from 1 to %d", highestMaxConnections)
 	}
 	return nil
 }
--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -17,15 +17,15 @@
 	"github.com/sirupsen/logrus"
 )
 
-// Keys of the fields of an entry, which are the same in every package. Operators filter by them, so their
-// texts must not change.
+// Keys of the fields of an entry, which are the same in every package. Operators filter by them and find them in
+// docs/runbook.md, so a change here is a change there.
 const (
 	Component = "component" // the part of the program that writes the entry
-	Instance  = "door"      // the name of the instance
-	Backend   = "backend"
-	Address   = "address"
-	Error     = "error" // logrus' own key for WithError
-	Stack     = "stack" // of the goroutine that panicked
+	Instance  = "instance"  // the name of the instance
+	Backend   = "backend"   // the name of a backend
+	Address   = "address"   // host and port
+	Error     = "error"     // logrus' own key for WithError
+	Stack     = "stack"     // of the goroutine that panicked
 )
 
 // Keys of an entry's time and message in the JSON form.
@@ -48,7 +48,8 @@
 	Instance string    // the name that every entry carries; if empty, none
 }
 
-// Setup configures the process-wide log. If it returns an error, the log is unchanged.
+// Setup configures the process-wide log. It returns an error, and leaves the log unchanged, if the level or the
+// format is unknown.
 func Setup(o Options) error {
 	level, err := logrus.ParseLevel(o.Level)
 	if err != nil {
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -2,9 +2,9 @@
 // counted where its event happens, and starts at 0 in each process. The package owns only the counts and
 // makes no decisions.
 //
-// All methods are safe for concurrent use. Except for Write, the methods of a nil Registry do nothing, so
-// parts that run without metrics, especially in tests, need no registry. Operators' dashboards depend on
-// names and help texts, which therefore stay as they are.
+// AddGauges and all methods are safe for concurrent use. Except for Write, they do nothing with a nil Registry,
+// so parts that run without metrics, especially in tests, need no registry. Operators' dashboards depend on the
+// names of metrics and labels, which therefore stay as they are; help texts use the terms of docs/glossary.md.
 package metrics
 
 import (
@@ -69,16 +69,16 @@
 	r := &Registry{
 		registry: prometheus.NewRegistry(),
 		requests: [requestOutcomeCount]*prometheus.CounterVec{
-			RequestSucceeded: newClassCounter(RequestSucceeded.String(), "transactions fulfilled"),
-			RequestRejected:  newClassCounter(RequestRejected.String(), "transactions dismissed"),
-			RequestFailed:    newClassCounter(RequestFailed.String(), "transactions broken off or refused"),
+			RequestSucceeded: newClassCounter(RequestSucceeded.String(), "requests answered by a backend"),
+			RequestRejected:  newClassCounter(RequestRejected.String(), "requests rejected"),
+			RequestFailed:    newClassCounter(RequestFailed.String(), "requests aborted or refused"),
 		},
-		attempts:          newClassCounter("dispatches", "shots written whole to backends"),
-		requestsInFlight:  newGauge("concurrent", "transactions taken and not answered"),
-		endpoints:         newGauge("targets", "backends in the list"),
-		drainingEndpoints: newGauge("targets_disabled", "listed backends that are sent nothing new"),
-		configsReloaded:   newCounter("reload_success", "configurations taken at SIGHUP"),
-		configsRejected:   newCounter("reload_failure", "configurations turned down at SIGHUP"),
+		attempts:          newClassCounter("dispatches", "attempts sent completely to backends"),
+		requestsInFlight:  newGauge("concurrent", "requests received and not answered yet"),
+		endpoints:         newGauge("targets", "backends in the endpoint list"),
+		drainingEndpoints: newGauge("targets_disabled", "draining backends in the endpoint list"),
+		configsReloaded:   newCounter("reload_success", "configurations applied at SIGHUP"),
+		configsRejected:   newCounter("reload_failure", "configurations rejected at SIGHUP"),
 	}
 	for _, counter := range r.classCounters() {
 		r.registry.MustRegister(counter)
@@ -105,20 +105,23 @@
 // classCounters returns the counters that have a row for each class.
 func (r *Registry) classCounters() []*prometheus.CounterVec { return append(r.requests[:], r.attempts) }
 
-// Gauge is a metric whose value is read each time it is shown. Value is called from many goroutines at once.
-type Gauge struct {
-	Help  string
-	Value func() float64
+// Gauge is a metric of a source, for instance a server, that is read each time the metric is shown.
+type Gauge[S any] struct {
+	Name  string                 // without the namespace; its ending names the unit, if there is one
+	Help  string                 // for operators
+	Value func(source S) float64 // safe for concurrent use
 }
 
-// AddGauges adds gauges by name. A name that already exists is a bug in the program and causes a panic.
-func (r *Registry) AddGauges(gauges map[string]Gauge) {
+// AddGauges adds the gauges of a source to a registry. A name that already exists is a bug in the program and
+// causes a panic.
+func AddGauges[S any](r *Registry, source S, gauges []Gauge[S]) {
 	if r == nil {
 		return
 	}
-	for name, gauge := range gauges {
-		options := prometheus.GaugeOpts{Namespace: namespace, Name: name, Help: gauge.Help}
-		r.registry.MustRegister(prometheus.NewGaugeFunc(options, gauge.Value))
+	for _, gauge := range gauges {
+		options := prometheus.GaugeOpts{Namespace: namespace, Name: gauge.Name, Help: gauge.Help}
+		value := func() float64 { return gauge.Value(source) }
+		r.registry.MustRegister(prometheus.NewGaugeFunc(options, value))
 	}
 }
 
@@ -202,7 +205,8 @@
 	}
 }
 
-// Write writes all metrics in Prometheus' text format.
+// Write writes all metrics in Prometheus' text format. The error is that of w, or of metrics that contradict
+// each other.
 func (r *Registry) Write(w io.Writer) error {
 	families, err := r.registry.Gather()
 	if err != nil {
