--- a/internal/backend/response_parser.go
+++ b/internal/backend/response_parser.go
@@ -10,7 +10,7 @@
 )
 
 const (
-	// maxLineBytes bounds an error line with its load report. It is several times what the fields named in the
+	// maxLineBytes bounds a line: an error with its load report. It is several times what the fields named in the
 	// settings take.
 	maxLineBytes = 1 << 10
 	// maxParts bounds the number of parts of a response: value, usage and load report, and some spare.
@@ -19,6 +19,8 @@
 	maxResponseBytes = resp.MaxValue + 4<<10
 	// maxUnits is the exclusive upper bound on the units of a usage report; larger numbers are treated as noise.
 	maxUnits = 1e9
+	// float64Bits is the bitSize of strconv.ParseFloat for a float64.
+	float64Bits = 64
 )
 
 // The parts of a response that are used, by their index. The others are skipped.
@@ -104,25 +106,11 @@
 	if !isValue && received[0] != '$' {
 		return parseSkippedPart(received)
 	}
-	length, ok := resp.ParseLength(received, '$', resp.MaxValue)
-	isNull := length.IsComplete() && length.Value < 0
-	if !ok || isValue && isNull {
+	bulk, err := resp.ParseBulkString(received)
+	if err != nil || isValue && bulk.IsComplete() && bulk.IsNull() {
 		return part{}, dispatch.ErrBackendFailed
 	}
-	if !length.IsComplete() {
-		return part{}, nil
-	}
-	if isNull {
-		return part{size: length.Size}, nil
-	}
-	size := length.Size + length.Value + len("\r\n")
-	if len(received) < size {
-		return part{}, nil
-	}
-	if string(received[size-2:size]) != "\r\n" {
-		return part{}, dispatch.ErrBackendFailed
-	}
-	return part{size: size, payload: received[length.Size : size-2]}, nil
+	return part{size: bulk.Size, payload: bulk.Payload}, nil // the size is 0 while the bulk string is incomplete
 }
 
 // parseSkippedPart parses a part that is a line of another type than a bulk string.
@@ -144,7 +132,7 @@
 		if !ok {
 			continue
 		}
-		if units, err := strconv.ParseFloat(string(text), 64); err == nil && units > 0 && units < maxUnits {
+		if units, err := strconv.ParseFloat(string(text), float64Bits); err == nil && units > 0 && units < maxUnits {
 			return units
 		}
 	}
--- a/internal/resp/resp.go
+++ b/internal/resp/resp.go
@@ -13,24 +13,29 @@
 const (
 	// MaxValue is the size of the largest value: the protocol says 64 KiB, but the operators' page says that
 	// values of up to 4 MiB occur.
-	MaxValue = 4 << 20
+	MaxValue = 4 << 20 // bytes
 	// maxWords is how many words a command may have; the longest has five.
 	maxWords = 16
-	// maxLengthLine is the maximum size of a line that holds a length: it allows more digits than any length
-	// needs.
+	// maxLengthLine is the maximum size in bytes of a line that holds a length: it allows more digits than any
+	// length needs.
 	maxLengthLine = 16
+	// lineEnd ends each line and the payload of each bulk string.
+	lineEnd = "\r\n"
 )
 
 // ProtocolError says why bytes cannot be the beginning of a command.
-type ProtocolError struct{ Reason string }
+type ProtocolError struct {
+	Reason string // sent to the client as it stands
+}
 
+// Error implements error.
 func (e *ProtocolError) Error() string { return "protocol error: " + e.Reason }
 
 // The errors of a command. Their reasons are sent on the wire.
 var (
-	errArrayExpected = &ProtocolError{"expected an array of a few words"}
-	errWordLength    = &ProtocolError{"invalid length of a word"}
-	errWordEnd       = &ProtocolError{"a word does not fit its length"}
+	errArrayExpected = &ProtocolError{Reason: "expected an array of a few words"}
+	errWordLength    = &ProtocolError{Reason: "invalid length of a word"}
+	errWordEnd       = &ProtocolError{Reason: "a word does not fit its length"}
 )
 
 // Line is a line of the protocol. The zero value stands for one that is incomplete.
@@ -43,13 +48,13 @@
 func (l Line) IsComplete() bool { return l.Size > 0 }
 
 // ParseLine returns the line at the beginning of input. ok is false if input does not begin with a valid line
-// or if the line is larger than maxSize.
+// or if the line is larger than maxSize bytes.
 func ParseLine(input []byte, maxSize int) (line Line, ok bool) {
 	end := bytes.IndexByte(input, '\n')
 	if end < 0 {
 		return Line{}, len(input) <= maxSize
 	}
-	if end < 2 || end > maxSize || input[end-1] != '\r' {
+	if end < 2 || end > maxSize || input[end-1] != '\r' { // at least the kind and the carriage return precede it
 		return Line{}, false
 	}
 	return Line{Text: input[1 : end-1], Size: end + 1}, true
@@ -94,35 +99,57 @@
 	offset := count.Size
 	words = words[:0]
 	for len(words) < count.Value {
-		word, wordSize, err := bulkString(input[offset:])
+		word, err := ParseBulkString(input[offset:])
 		if err != nil {
 			return 0, nil, err
 		}
-		if wordSize == 0 {
+		if !word.IsComplete() {
 			return 0, words, nil
 		}
-		words = append(words, word)
-		offset += wordSize
+		if word.IsNull() {
+			return 0, nil, errWordLength
+		}
+		words = append(words, word.Payload)
+		offset += word.Size
 	}
 	return offset, words, nil
 }
 
-// bulkString returns the word at the beginning of input, and its size including its length line, which is 0
-// while the word is incomplete.
-func bulkString(input []byte) (word []byte, size int, err error) {
+// BulkString is a bulk string with its length line. The zero value stands for one that is incomplete.
+type BulkString struct {
+	Payload []byte // a slice of the parsed input; nil if the bulk string is null
+	Size    int    // of the payload with its length line and end, in bytes
+}
+
+// IsComplete reports whether the whole bulk string has been received.
+func (b BulkString) IsComplete() bool { return b.Size > 0 }
+
+// IsNull reports whether a complete bulk string is null, which is not the same as empty.
+func (b BulkString) IsNull() bool { return b.Payload == nil }
+
+// ParseBulkString returns the bulk string at the beginning of input, whose payload may have up to MaxValue bytes.
+// Any error is a *ProtocolError and means that input can never begin with a bulk string.
+func ParseBulkString(input []byte) (BulkString, error) {
 	if len(input) == 0 {
-		return nil, 0, nil
+		return BulkString{}, nil
 	}
 	length, ok := ParseLength(input, '$', MaxValue)
-	if !ok || length.Value < 0 {
-		return nil, 0, errWordLength
+	if !ok {
+		return BulkString{}, errWordLength
+	}
+	if !length.IsComplete() {
+		return BulkString{}, nil
+	}
+	if length.Value < 0 {
+		return BulkString{Size: length.Size}, nil
 	}
-	end := length.Size + length.Value + len("\r\n")
-	if !length.IsComplete() || len(input) < end {
-		return nil, 0, nil
+	payloadEnd := length.Size + length.Value
+	size := payloadEnd + len(lineEnd)
+	if len(input) < size {
+		return BulkString{}, nil
 	}
-	if string(input[end-2:end]) != "\r\n" {
-		return nil, 0, errWordEnd
+	if string(input[payloadEnd:size]) != lineEnd {
+		return BulkString{}, errWordEnd
 	}
-	return input[length.Size : end-2], end, nil
+	return BulkString{Payload: input[length.Size:payloadEnd], Size: size}, nil
 }
