--- /dev/null
+++ b/internal/backend/abandonment.go
@@ -0,0 +1,64 @@
+package backend
+
+import (
+	"time"
+
+	"fawnplank/internal/dispatch"
+)
+
+const (
+	// abandonedReadTimeout is how long the reader waits for each further piece of the response to an attempt that
+	// was given up. It is the longest deadline on the operators' page.
+	abandonedReadTimeout = 3 * time.Second
+	// maxDrainTime bounds the total time for reading the response to an attempt that was given up.
+	maxDrainTime = 10 * abandonedReadTimeout
+)
+
+// Abandon gives up the attempt if the connection still carries it. It returns whether the attempt's end will
+// still be reported: while the attempt is being written, only its writer learns how much was written. The
+// caller holds the dispatcher's lock.
+func (c *conn) Abandon(attempt *dispatch.Attempt) (reports bool) {
+	c.pool.mu.Lock()
+	defer c.pool.mu.Unlock()
+	if c.attempt != attempt {
+		return false
+	}
+	if c.state == stateWriting || c.state == stateClosedInWrite {
+		c.close()
+		return true
+	}
+	c.attempt = nil
+	if c.state.isClosed() { // its reader ended without a report: there is nothing left to read
+		return false
+	}
+	c.drainResponse()
+	return false
+}
+
+// drainResponse lets the reader read and discard the response to an attempt that was given up, and then end the
+// connection. It guards against cutting off a response that the backend is sending or about to send: the operators
+// count a long response that is cut off as a lost request. The cost: the connection and its memory are held
+// longer, and a backend that answers nothing holds them for abandonedReadTimeout.
+//
+// The sending side is closed at once: that gives up the attempt, and another may be sent for the request. The
+// caller holds the Pool's lock.
+func (c *conn) drainResponse() {
+	c.state = stateAbandoned
+	now := time.Now()
+	c.drainDeadline = now.Add(maxDrainTime)
+	c.abandoned.Store(true)
+	// Both calls fail only if the connection has ended, which the reader notices.
+	_ = c.socket.CloseWrite()
+	_ = c.socket.SetReadDeadline(now.Add(abandonedReadTimeout))
+}
+
+// awaitNextPiece sets the deadline for the next piece of a response that nobody waits for. It guards against a
+// backend that sends nothing more, by abandonedReadTimeout, and against an endless response that arrives a few
+// bytes at a time, by drainDeadline: either would hold its connection forever.
+func (c *conn) awaitNextPiece() {
+	deadline := time.Now().Add(abandonedReadTimeout)
+	if c.drainDeadline.Before(deadline) {
+		deadline = c.drainDeadline
+	}
+	_ = c.socket.SetReadDeadline(deadline) // fails only if the connection has ended, which the next read reports
+}
--- /dev/null
+++ b/internal/backend/dial.go
@@ -0,0 +1,72 @@
+package backend
+
+import (
+	"net"
+	"net/netip"
+	"slices"
+
+	"fawnplank/internal/dispatch"
+	"fawnplank/internal/sock"
+)
+
+// dialAndWrite opens the connection that acquire reserved and writes the attempt to it.
+func (p *Pool) dialAndWrite(target *endpoint, attempt *dispatch.Attempt, command [][]byte) {
+	defer recoverPanic()
+	c, err := p.dial(target)
+	if err != nil {
+		reportNotConnected(attempt, err)
+		return
+	}
+	c.write(attempt, command)
+}
+
+// dial opens the connection that acquire reserved and starts its reader.
+func (p *Pool) dial(target *endpoint) (*conn, error) {
+	socket, err := p.connect(target)
+	if err != nil {
+		p.releaseReservation()
+		return nil, err
+	}
+	c := &conn{
+		pool:       p,
+		endpoint:   target,
+		socket:     socket,
+		idleBefore: noIdleTime,
+		readEnded:  make(chan struct{}),
+	}
+	go c.read()
+	return c, nil
+}
+
+// connect opens a connection to one of an endpoint's addresses. It guards against an address that does not answer,
+// by connectTimeout, and against a dial that outlasts the pool: Close cancels it and waits for it.
+func (p *Pool) connect(target *endpoint) (*sock.Conn, error) {
+	if !p.addRunning() {
+		return nil, net.ErrClosed
+	}
+	defer p.running.Done()
+	order := p.addressOrder(target)
+	if len(order) == 0 {
+		return sock.Dial(p.ctx, target.address, p.connectTimeout)
+	}
+	socket, accepted, err := sock.DialAny(p.ctx, order, p.connectTimeout)
+	if err == nil && accepted > 0 {
+		p.moveToFront(target, order, accepted)
+	}
+	return socket, err
+}
+
+// addressOrder returns the addresses of an endpoint that has several, in the order to try them.
+func (p *Pool) addressOrder(target *endpoint) []netip.AddrPort {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return target.addresses
+}
+
+// moveToFront makes the address that accepted a connection the first one to try. order is what was tried.
+func (p *Pool) moveToFront(target *endpoint, order []netip.AddrPort, accepted int) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	// Use a new slice, since another dial may be iterating over the old one.
+	target.addresses = slices.Concat(order[accepted:accepted+1], order[:accepted], order[accepted+1:])
+}
--- a/internal/backend/doc.go
+++ b/internal/backend/doc.go
@@ -13,4 +13,8 @@
 // goroutine. All are bounded by the Pool's timeouts or end with their connection. Close ends the readers of
 // idle connections, the dials and the health checks, and waits for them. A connection in use ends with its
 // attempt.
+//
+// Each concern has a file: endpoints.go (where a backend listens), idle_pool.go (which connection an attempt gets),
+// dial.go, connection.go (the state table of a connection), attempt_writer.go, response_reader.go with
+// response_parser.go and response_buffer.go, abandonment.go (attempts that are given up), health_check.go.
 package backend
--- /dev/null
+++ b/internal/backend/endpoints.go
@@ -0,0 +1,73 @@
+package backend
+
+import (
+	"errors"
+	"fmt"
+	"net/netip"
+
+	"fawnplank/internal/dialer"
+	"fawnplank/policy"
+)
+
+// errNoAddress: discovery has not given the backend an address, or the backend is gone.
+var errNoAddress = errors.New("no address known")
+
+// endpoint is where one backend listens, with its idle connections. A backend that moves gets a new endpoint.
+type endpoint struct {
+	address string // for a backend with several addresses, all of them as text
+	// addresses lists the addresses of a backend that has several, in the order to try them. The address that
+	// last accepted a connection comes first, so that an address that hangs costs its part of the connect
+	// timeout only once and not for each connection.
+	addresses []netip.AddrPort
+	idle      []*conn // the most recently used is last
+	removed   bool    // its backend has moved or is gone
+}
+
+// SetAddress sets the address where a backend listens. Idle connections to another address are closed.
+func (p *Pool) SetAddress(backend policy.BackendID, address string) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.replace(backend, &endpoint{address: address})
+}
+
+// SetAddresses sets the addresses of a backend that listens at several. It remains one backend: a connection
+// goes to the first address that accepts it. Idle connections to other addresses are closed.
+func (p *Pool) SetAddresses(backend policy.BackendID, addresses []netip.AddrPort) {
+	order := dialer.Order(addresses, dialer.Reachable) // looks up the host's routes: not with the lock held
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.replace(backend, &endpoint{address: fmt.Sprint(addresses), addresses: order})
+}
+
+// Forget removes a backend that is gone. Attempts already sent to it continue.
+func (p *Pool) Forget(backend policy.BackendID) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.remove(backend)
+}
+
+// replace replaces a backend's endpoint, unless the old one has the same address or the pool is closed. The
+// caller holds the lock.
+func (p *Pool) replace(backend policy.BackendID, replacement *endpoint) {
+	if p.closed {
+		return
+	}
+	if old := p.endpoints[backend]; old != nil && old.address == replacement.address {
+		return
+	}
+	p.remove(backend)
+	p.endpoints[backend] = replacement
+}
+
+// remove deletes a backend's endpoint and closes its idle connections. The caller holds the lock.
+func (p *Pool) remove(backend policy.BackendID) {
+	e := p.endpoints[backend]
+	if e == nil {
+		return
+	}
+	e.removed = true
+	for len(e.idle) > 0 {
+		e.idle[0].close()
+	}
+	delete(p.endpoints, backend)
+}
--- a/internal/backend/health_check.go
+++ b/internal/backend/health_check.go
@@ -51,14 +51,21 @@
 	defer func() {
 		_ = conn.Close() // the outcome is already known
 	}()
-	_ = conn.SetDeadline(deadline) // fails only on a closed connection, which the write reports
-	stop := context.AfterFunc(p.ctx, func() {
-		_ = conn.SetDeadline(time.Now()) // ends the exchange; it fails if that has ended
-	})
+	stop := p.limitExchange(conn, deadline)
 	defer stop()
 	return exchangePing(conn)
 }
 
+// limitExchange ends the exchange on a health check's connection at the deadline, or at once when the pool is
+// closed. It guards against a backend that accepts connections and answers nothing, which would hold the check,
+// its descriptor and Close. The caller calls stop when the exchange is over.
+func (p *Pool) limitExchange(conn net.Conn, deadline time.Time) (stop func() bool) {
+	_ = conn.SetDeadline(deadline) // fails only on a closed connection, which the write reports
+	return context.AfterFunc(p.ctx, func() {
+		_ = conn.SetDeadline(time.Now()) // it fails if the exchange has ended
+	})
+}
+
 // reserveForCheck reserves a connection for a check and returns the address to connect to.
 func (p *Pool) reserveForCheck(backend policy.BackendID) (address string, err error) {
 	p.mu.Lock()
--- a/internal/backend/health_check_test.go
+++ b/internal/backend/health_check_test.go
@@ -8,14 +8,20 @@
 	"fawnplank/policy"
 )
 
-func TestPool_CheckHealth(t *testing.T) {
-	outcome := make(chan error, 1)
-	p := New(Options{
-		MaxConnections:    10,
-		ConnectTimeout:    200 * time.Millisecond,
-		IdleTimeout:       time.Second,
+// newHealthCheckPool returns a pool that passes on the outcome of each health check.
+func newHealthCheckPool(maxConnections int, connectTimeout time.Duration) (p *Pool, outcome chan error) {
+	outcome = make(chan error, 10)
+	p = New(Options{
+		MaxConnections:    maxConnections,
+		ConnectTimeout:    connectTimeout,
+		IdleTimeout:       10 * time.Second,
 		HandleHealthCheck: func(_ policy.BackendID, err error) { outcome <- err },
 	})
+	return p, outcome
+}
+
+func TestPool_CheckHealth(t *testing.T) {
+	p, outcome := newHealthCheckPool(10, 200*time.Millisecond)
 	for answer, isHealthy := range map[string]bool{"+PONG\r\n": true, "-ERR busy\r\n": false, "": false} {
 		address, _ := listen(t, answer)
 		p.SetAddress(1, address)
@@ -34,13 +40,7 @@
 // Health checks use descriptors of the pool, not of the few that the process has set aside: as many as there
 // are backends may be under way.
 func TestPool_HealthChecksCountAmongConnections(t *testing.T) {
-	outcome := make(chan error, 10)
-	p := New(Options{
-		MaxConnections:    2,
-		ConnectTimeout:    300 * time.Millisecond,
-		IdleTimeout:       time.Second,
-		HandleHealthCheck: func(_ policy.BackendID, err error) { outcome <- err },
-	})
+	p, outcome := newHealthCheckPool(2, 300*time.Millisecond)
 	address, conns := listen(t, "")
 	for b := policy.BackendID(1); b <= 3; b++ {
 		p.SetAddress(b, address)
--- /dev/null
+++ b/internal/backend/idle_pool.go
@@ -0,0 +1,101 @@
+package backend
+
+import (
+	"errors"
+	"slices"
+	"time"
+
+	"fawnplank/policy"
+)
+
+// minIdle is how long a connection must be idle before it is used again. According to the operators, a second
+// response to one attempt may arrive some milliseconds late; the next attempt on that connection would take it
+// for its own response.
+const minIdle = 10 * time.Millisecond
+
+// errNoDescriptor: all connections that the pool may open are in use.
+var errNoDescriptor = errors.New("no descriptor left")
+
+// acquire returns an idle connection of a backend. If the connection is nil, the caller must dial the
+// returned endpoint; the new connection is already reserved.
+func (p *Pool) acquire(backend policy.BackendID) (*conn, *endpoint, error) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	target := p.endpoints[backend]
+	if target == nil {
+		return nil, nil, errNoAddress
+	}
+	if c := p.takeIdle(target); c != nil {
+		return c, target, nil
+	}
+	return nil, target, p.reserve()
+}
+
+// takeIdle returns the most recently used of an endpoint's usable idle connections, or nil. It closes those
+// that will never be usable again. The caller holds the lock.
+func (p *Pool) takeIdle(target *endpoint) *conn {
+	now := time.Now()
+	p.closeLongIdle(target, now)
+	for i := len(target.idle) - 1; i >= 0; i-- {
+		c := target.idle[i]
+		idleFor := now.Sub(c.lastUsed)
+		if idleFor < minIdle {
+			continue
+		}
+		if !c.isIntact() || p.idleStats.isStale(now, idleFor) {
+			c.close()
+			continue
+		}
+		target.idle = slices.Delete(target.idle, i, i+1)
+		c.state = stateReserved
+		c.idleBefore = idleFor
+		return c
+	}
+	return nil
+}
+
+// closeLongIdle closes the connections of an endpoint that have been idle for longer than maxIdle. It guards
+// against an attempt on a connection that its backend closes at that moment. The caller holds the lock.
+func (p *Pool) closeLongIdle(target *endpoint, now time.Time) {
+	for len(target.idle) > 0 && now.Sub(target.idle[0].lastUsed) > p.maxIdle {
+		target.idle[0].close()
+	}
+}
+
+// isIntact reports whether nothing has arrived on an idle connection. It guards against an attempt that would
+// run into something that the reader has not handled yet, such as stray bytes or the connection's end.
+func (c *conn) isIntact() bool { return c.socket.IsConsumed() }
+
+// reserve counts a connection that is about to be opened, or returns errNoDescriptor. It guards against opening more
+// connections than the process has descriptors for: at the maximum, it closes the connection that has been idle
+// longest, and gives up if none is idle. The caller holds the lock.
+func (p *Pool) reserve() error {
+	if p.connections >= p.maxConnections {
+		oldest := p.longestIdle()
+		if oldest == nil {
+			return errNoDescriptor
+		}
+		oldest.close()
+	}
+	p.connections++
+	return nil
+}
+
+// longestIdle returns the connection that has been idle longest, any of them on a tie, or nil if none is
+// idle. The caller holds the lock.
+func (p *Pool) longestIdle() *conn {
+	var oldest *conn
+	for _, e := range p.endpoints {
+		if len(e.idle) > 0 && (oldest == nil || e.idle[0].lastUsed.Before(oldest.lastUsed)) {
+			oldest = e.idle[0]
+		}
+	}
+	return oldest
+}
+
+// releaseReservation undoes reserve, for a connection that was never established or that is closed again.
+func (p *Pool) releaseReservation() {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.connections--
+}
--- a/internal/backend/idle_stats.go
+++ b/internal/backend/idle_stats.go
@@ -31,7 +31,10 @@
 
 // idleBucket counts the attempts on connections with about the same idle time. The counts become fractions
 // when they are halved.
-type idleBucket struct{ attempts, failures float64 }
+type idleBucket struct {
+	attempts float64
+	failures float64 // attempts whose connection ended without an answer
+}
 
 // bucketOf returns the index of the bucket of an idle time.
 func bucketOf(idle time.Duration) int {
--- a/internal/backend/pool_test.go
+++ b/internal/backend/pool_test.go
@@ -232,13 +232,7 @@
 // Close ends health checks, which have no outcome then, and leaves the attempt in flight to its answer; its
 // connection ends with it.
 func TestPool_CloseLeavesAttemptsInFlight(t *testing.T) {
-	outcome := make(chan error, 10)
-	p := New(Options{
-		MaxConnections:    10,
-		ConnectTimeout:    time.Minute, // no health check ends by itself
-		IdleTimeout:       10 * time.Second,
-		HandleHealthCheck: func(_ policy.BackendID, err error) { outcome <- err },
-	})
+	p, outcome := newHealthCheckPool(10, time.Minute) // no health check ends by itself
 	address, conns := listen(t, "")
 	p.SetAddress(1, address)
 	request := submit(t)
