--- a/internal/frontend/accept.go
+++ b/internal/frontend/accept.go
@@ -30,12 +30,14 @@
 	}
 }
 
-// AcceptLast ends accepting: it returns once the connections are accepted that wait on the listener. The kernel
-// has accepted them already, so they are served before the listener is closed.
+// AcceptLast ends accepting: it returns once the connections are accepted that wait on the listener, after
+// listenerGrace, or after up to 1 + maxAcceptExtensions times that while accepts fail. It guards against resetting
+// connections that the kernel has accepted already, whose clients may have sent a request: they are served before the
+// listener is closed.
 func (s *Server) AcceptLast(listener net.Listener) {
-	bounded, ok := listener.(interface{ SetDeadline(at time.Time) error })
+	bounded, hasDeadline := listener.(interface{ SetDeadline(at time.Time) error })
 	for range 1 + maxAcceptExtensions {
-		if ok {
+		if hasDeadline {
 			_ = bounded.SetDeadline(time.Now().Add(acceptGrace)) // fails on a closed listener, which accepts no more
 		}
 		time.Sleep(listenerGrace)
@@ -51,8 +53,7 @@
 	return listener != nil && listener.Failing()
 }
 
-// addConnection starts to serve a connection. If there are too many, it first waits until the connection that
-// would be missed least can be closed.
+// addConnection starts to serve a connection. If there are too many, it first waits until an idle one can be closed.
 func (s *Server) addConnection(accepted net.Conn) {
 	c, err := newConnection(s, accepted.(*net.TCPConn))
 	if err != nil { // the connection has ended already
@@ -74,37 +75,3 @@
 		c.startEnding(time.Now())
 	}
 }
-
-// makeCapacity evicts idle connections until there is capacity for one more. If all are busy, it waits. The
-// caller holds mu.
-func (s *Server) makeCapacity() {
-	for s.countValidated() >= s.evictionThreshold && s.evictIdle(validatedConnections) {
-	}
-	for len(s.connections) >= s.maxConnections {
-		s.capacityWanted.Store(true) // before looking: connections that become idle from here on signal it
-		if !s.evictIdle(allConnections) {
-			s.capacityFreed.Wait()
-		}
-	}
-	s.capacityWanted.Store(false)
-}
-
-// signalCapacity wakes an accept that waits for capacity, since a connection may have become idle. Without
-// it, if all connections are busy when a new one arrives and then become idle for good, nobody would look at
-// them again.
-func (s *Server) signalCapacity() {
-	if !s.capacityWanted.Load() {
-		return
-	}
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.capacityFreed.Signal()
-}
-
-// removeConnection forgets a connection that has ended.
-func (s *Server) removeConnection(c *connection) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	delete(s.connections, c)
-	s.capacityFreed.Signal()
-}
--- a/internal/frontend/connection_test.go
+++ b/internal/frontend/connection_test.go
@@ -3,18 +3,20 @@
 import "testing"
 
 func TestPeerState_Transitions(t *testing.T) {
-	for _, test := range []struct{ from, rejected, left peerState }{
-		{peerServed, peerRejected, peerGone},
-		{peerRejected, peerRejected, peerRejectedGone},
-		{peerGone, peerRejectedGone, peerGone},
-		{peerRejectedGone, peerRejectedGone, peerRejectedGone},
+	for _, test := range []struct{ from, afterError, afterLeave peerState }{
+		{from: peerServed, afterError: peerErrorSent, afterLeave: peerGone},
+		{from: peerErrorSent, afterError: peerErrorSent, afterLeave: peerErrorSentGone},
+		{from: peerGone, afterError: peerErrorSentGone, afterLeave: peerGone},
+		{from: peerErrorSentGone, afterError: peerErrorSentGone, afterLeave: peerErrorSentGone},
 	} {
 		t.Run(test.from.String(), func(t *testing.T) {
-			if got := test.from.reject(); got != test.rejected || !got.rejected() || got.gone() != test.from.gone() {
-				t.Errorf("rejected: %v", got)
+			got := test.from.sendError()
+			if got != test.afterError || !got.hasError() || got.isGone() != test.from.isGone() {
+				t.Errorf("after an error: %v", got)
 			}
-			if got := test.from.leave(); got != test.left || !got.gone() || got.rejected() != test.from.rejected() {
-				t.Errorf("left: %v", got)
+			got = test.from.leave()
+			if got != test.afterLeave || !got.isGone() || got.hasError() != test.from.hasError() {
+				t.Errorf("after the client has gone: %v", got)
 			}
 		})
 	}
--- a/internal/frontend/parser.go
+++ b/internal/frontend/parser.go
@@ -15,14 +15,28 @@
 
 // Bounds on the head of a request.
 const (
-	minRequestWords = 4 // command, tenant, id, fields
-	maxRequestWords = 5 // and optionally a body
-	tenantDigits    = 16
+	minRequestWords = 4  // command, tenant, id, fields
+	maxRequestWords = 5  // and optionally a body
+	tenantDigits    = 16 // hexadecimal
 	tenantBits      = 33 // tenants of the protocol are below 2^33
 	maxIDBytes      = 64
 	maxNumberBytes  = 20 // the number of decimal digits of a 64-bit integer
 )
 
+// The words of a request, by their index.
+const (
+	_ = iota // the command
+	tenantWord
+	idWord
+	fieldsWord
+)
+
+// Arguments of package strconv.
+const (
+	hexadecimalBase = 16
+	float64Bits     = 64
+)
+
 // The errors of a head, as they are sent on the wire.
 var (
 	errWordCount       = errors.New("wrong number of arguments")
@@ -58,14 +72,14 @@
 	if len(words) < minRequestWords || len(words) > maxRequestWords {
 		return errWordCount
 	}
-	if err := h.parseTenant(words[1]); err != nil {
+	if err := h.parseTenant(words[tenantWord]); err != nil {
 		return err
 	}
-	h.id = words[2]
+	h.id = words[idWord]
 	if len(h.id) == 0 || len(h.id) > maxIDBytes || bytes.ContainsFunc(h.id, isUnprintable) {
 		return errRequestID
 	}
-	h.fields = words[3]
+	h.fields = words[fieldsWord]
 	if err := h.parseFields(); err != nil {
 		return err
 	}
@@ -80,11 +94,13 @@
 	return nil
 }
 
+// isUnprintable reports whether a rune may not be part of an id.
 func isUnprintable(r rune) bool { return r <= ' ' || r > '~' }
 
+// parseTenant sets the tenant.
 func (h *requestHead) parseTenant(text []byte) error {
-	tenant, err := strconv.ParseUint(string(text), 16, 64)
-	if err != nil || len(text) != tenantDigits || tenant >= 1<<tenantBits {
+	tenant, err := strconv.ParseUint(string(text), hexadecimalBase, tenantBits)
+	if err != nil || len(text) != tenantDigits {
 		return errTenant
 	}
 	h.tenantText = text
@@ -102,11 +118,12 @@
 )
 
 func (f fieldResult) String() string {
-	names := [...]string{fieldSet: "set", fieldInvalid: "invalid", fieldUnknown: "unknown"}
-	if int(f) < len(names) {
-		return names[f]
+	names := []string{
+		fieldSet:     "set",
+		fieldInvalid: "invalid",
+		fieldUnknown: "unknown",
 	}
-	return fmt.Sprintf("fieldResult(%d)", uint8(f))
+	return enumName(names, "fieldResult", f)
 }
 
 // parseFields parses the names and values. Each name may occur once. A name counts as repeated if an earlier
@@ -115,11 +132,12 @@
 	h.units = 1
 	h.entryPoints = 1
 	seen := ""
-	for rest, more := h.fields, true; more; {
+	rest := h.fields
+	for hasMore := true; hasMore; {
 		var field []byte
-		field, rest, more = bytes.Cut(rest, []byte(","))
-		name, value, found := bytes.Cut(field, []byte("="))
-		if !found {
+		field, rest, hasMore = bytes.Cut(rest, []byte(","))
+		name, value, hasValue := bytes.Cut(field, []byte("="))
+		if !hasValue {
 			return fmt.Errorf("%.40q has no value", field)
 		}
 		result := h.setField(name, value)
@@ -160,6 +178,7 @@
 	return fieldSet
 }
 
+// instances returns how many instances the fleet has.
 func (h *requestHead) instances() int { return max(h.config.Settings.Instances, 1) }
 
 // setClass sets the class. It leaves the class unchanged if the name is unknown or names a check-only class:
@@ -174,6 +193,7 @@
 	return true
 }
 
+// setPlan sets the plan. It returns false if the name is unknown.
 func (h *requestHead) setPlan(name []byte) bool {
 	plan, known := h.config.Plans[string(name)]
 	h.plan = plan
@@ -181,6 +201,7 @@
 	return known
 }
 
+// setRemaining sets the remaining time from a number of milliseconds.
 func (h *requestHead) setRemaining(milliseconds []byte) bool {
 	number, valid := parseNumber(milliseconds)
 	h.remaining = config.Milliseconds(number)
@@ -204,6 +225,6 @@
 	if len(text) == 0 || len(text) > maxNumberBytes || len(bytes.Trim(text, "0123456789.")) > 0 {
 		return 0, false
 	}
-	number, err := strconv.ParseFloat(string(text), 64)
+	number, err := strconv.ParseFloat(string(text), float64Bits)
 	return number, err == nil
 }
--- a/internal/frontend/request_test.go
+++ b/internal/frontend/request_test.go
@@ -204,7 +204,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	pauses := faultPauseStep * invalidCommands * (invalidCommands + 1) / 2
+	pauses := invalidCommandPauseStep * invalidCommands * (invalidCommands + 1) / 2
 	if left := 900*time.Millisecond - pauses; time.Duration(milliseconds)*time.Millisecond > left {
 		t.Errorf("the backend is told %d ms, and the client has %v", milliseconds, left)
 	}
--- a/internal/frontend/responses.go
+++ b/internal/frontend/responses.go
@@ -6,6 +6,8 @@
 )
 
 const (
+	// decimalBase is the base of the integers that are written.
+	decimalBase = 10
 	// writePieceBytes is how much of a response is written under one deadline. A large response is written in
 	// pieces, and the deadline is renewed for each: a client that reads a 4 MiB response slowly but steadily is
 	// not cut off, while a client that reads nothing is cut off after writeTimeout.
@@ -29,13 +31,13 @@
 	c.respondLine("-ERR " + text)
 }
 
-// busyResponse returns the response to a rejected request, with the time after which a retry makes sense, if
-// one is known.
+// busyResponse returns the response to a rejected request, with its Retry-After in milliseconds, rounded up, if that is
+// above 0.
 func busyResponse(retryAfter time.Duration) []byte {
 	response := []byte("-BUSY")
 	if retryAfter > 0 {
 		roundedUp := retryAfter + time.Millisecond - 1
-		response = strconv.AppendInt(append(response, ' '), roundedUp.Milliseconds(), 10)
+		response = strconv.AppendInt(append(response, ' '), roundedUp.Milliseconds(), decimalBase)
 	}
 	return append(response, "\r\n"...)
 }
@@ -73,7 +75,7 @@
 		first := c.pending[0]
 		c.pending = c.pending[1:]
 		c.pendingBytes -= len(first.raw)
-		if !c.peer.gone() {
+		if !c.peer.isGone() {
 			c.write(first.response)
 		}
 		if first.isRequest {
@@ -82,7 +84,8 @@
 	}
 }
 
-// write writes a response, and closes the connection if that fails. The caller holds mu.
+// write writes a response, and closes the connection if that fails. By writeTimeout for each piece, it guards against a
+// client that reads nothing, which would hold the connection and the response. The caller holds mu.
 func (c *connection) write(response []byte) {
 	for len(response) > 0 {
 		c.renewWriteDeadline()
@@ -95,6 +98,7 @@
 	}
 }
 
+// renewWriteDeadline sets the deadline of a write, unless it was set a short time ago.
 func (c *connection) renewWriteDeadline() {
 	now := time.Now()
 	if now.Sub(c.writeDeadlineRenewedAt) <= c.server.writeTimeout/writeDeadlineRenewals {
--- a/internal/frontend/server.go
+++ b/internal/frontend/server.go
@@ -12,33 +12,15 @@
 	"fawnplank/internal/membudget"
 	"fawnplank/internal/metrics"
 	"fawnplank/internal/retryaccept"
+	"fawnplank/policy"
 )
 
 // logComponent names this package in the log.
 const logComponent = "frontend"
 
-const (
-	// clientDescriptorDivisor yields, from the descriptors of the process, how many validated connections may be
-	// open before idle ones are evicted for new ones: less than MaxConnections, unless that is small. If clients
-	// leave connections open and open a new one for each request, they would use up MaxConnections and no new
-	// connection could be accepted, so the rest is kept free for new ones. The cost: if clients keep more
-	// connections open and would have reused each, they have to open them again.
-	clientDescriptorDivisor = 6
-	// writeTimeoutMargin is added to the longest deadline of any class to give the time that a client may take
-	// to read a response: longer than it may wait for one.
-	writeTimeoutMargin = time.Second
-)
-
-// UsageRecorder knows the plans that tenants have moved to, and records usage. Its methods are called
-// concurrently.
-type UsageRecorder interface {
-	// TenantPlan returns the plan under which the tenant's requests are admitted now. ok is false if that is the
-	// plan that the requests name.
-	TenantPlan(tenant string) (plan string, ok bool)
-	// RecordUsage records a request that succeeded, with the plan it ran under and the time at which it was
-	// received.
-	RecordUsage(tenant, plan string, receivedAt time.Time, units float64)
-}
+// writeTimeoutMargin is added to the longest deadline of any class to give the time that a client may take to read a
+// response: longer than it may wait for one.
+const writeTimeoutMargin = time.Second
 
 // Options configures a Server. Dispatcher, Pool, Config and MaxConnections are required.
 type Options struct {
@@ -92,22 +74,32 @@
 // released.
 func New(options Options) *Server {
 	s := &Server{
-		dispatcher: options.Dispatcher, pool: options.Pool,
-		metrics: options.Metrics, budget: options.Budget, usage: options.Usage,
-		maxConnections: options.MaxConnections,
-		connections:    map[*connection]struct{}{}, requestIDs: map[string]struct{}{},
-		drain: newDrainClock(),
-	}
-	s.evictionThreshold = min(max(options.Config.MaxSockets/clientDescriptorDivisor, 1), options.MaxConnections)
-	s.writeTimeout = writeTimeoutMargin
-	for _, class := range options.Config.Settings.Classes {
-		s.writeTimeout = max(s.writeTimeout, time.Duration(class.Deadline)+writeTimeoutMargin)
+		dispatcher:        options.Dispatcher,
+		pool:              options.Pool,
+		metrics:           options.Metrics,
+		budget:            options.Budget,
+		usage:             options.Usage,
+		maxConnections:    options.MaxConnections,
+		evictionThreshold: evictionThreshold(options.Config.MaxSockets, options.MaxConnections),
+		writeTimeout:      writeTimeout(options.Config.Settings.Classes),
+		connections:       map[*connection]struct{}{},
+		requestIDs:        map[string]struct{}{},
+		drain:             newDrainClock(),
 	}
 	s.capacityFreed = sync.NewCond(&s.mu)
 	s.config.Store(options.Config)
 	return s
 }
 
+// writeTimeout returns how long a client may take to read a piece of a response.
+func writeTimeout(classes []policy.ClassSettings) time.Duration {
+	timeout := writeTimeoutMargin
+	for _, class := range classes {
+		timeout = max(timeout, time.Duration(class.Deadline)+writeTimeoutMargin)
+	}
+	return timeout
+}
+
 // UpdateSettings replaces the names of classes and plans with those of a reloaded configuration. New requests
 // are parsed with them; open requests keep the class and plan under which they were submitted.
 func (s *Server) UpdateSettings(updated *config.Config) { s.config.Store(updated) }
@@ -153,19 +145,3 @@
 	defer s.mu.Unlock()
 	return len(s.connections)
 }
-
-// claimRequestID registers the id of a request that is about to be submitted. It returns false if a request
-// with that id is open.
-func (s *Server) claimRequestID(id string) bool {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	_, inUse := s.requestIDs[id]
-	s.requestIDs[id] = struct{}{}
-	return !inUse
-}
-
-func (s *Server) releaseRequestID(id string) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	delete(s.requestIDs, id)
-}
--- a/internal/frontend/sweep.go
+++ b/internal/frontend/sweep.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// sweepInterval is how often the server looks for silent connections; it is short compared to commandTimeout.
+// sweepInterval is the time between two looks for silent connections; it is short compared to commandTimeout.
 const sweepInterval = 250 * time.Millisecond
 
 // sweepConnections ends connections that are silent or send too slowly, and closes idle ones once a drain has
@@ -21,16 +21,17 @@
 	}
 }
 
+// sweep takes one look at all connections.
 func (s *Server) sweep(now time.Time) {
 	if age, draining := s.drain.age(); draining && age > drainDelay {
 		s.shutDownConnections()
-		s.logHeldConnections(age)
+		s.logOutlastingConnections(age)
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for c := range s.connections {
-		if c.commandOverdue(now) {
-			c.setReadDeadline(now) // its reader rejects it
+		if c.isCommandOverdue(now) {
+			c.setReadDeadline(now) // its reader ends it, in endIfOverdue
 		}
 	}
 }
