--- a/internal/backend/connection_test.go
+++ b/internal/backend/connection_test.go
@@ -12,8 +12,8 @@
 	"fawnplank/policy"
 )
 
-// Failure: an answer that never ends, a few bytes at a time, held its connection for good once its attempt
-// was given up.
+// Failure: an answer that never ends, a few bytes at a time, kept its connection open for good once its
+// attempt was given up.
 func TestConn_AnswerWithoutEndIsLeft(t *testing.T) {
 	p := newPool()
 	address, conns := listen(t, "")
@@ -37,7 +37,7 @@
 }
 
 // Failure: an attempt whose connection was at hand when its backend moved to another address, or was
-// forgotten, went out to the old one, where another backend may listen by now.
+// forgotten, was sent to the old one, where another backend may listen by now.
 func TestConn_AttemptDoesNotGoWhereItsBackendWas(t *testing.T) {
 	for name, change := range map[string]func(p *Pool){
 		"moved":   func(p *Pool) { p.SetAddress(1, "127.0.0.1:1") },
@@ -93,8 +93,8 @@
 	return d.Submit(dispatch.RequestSpec{Tenant: 1, Timeout: time.Second, Units: 1, EntryPoints: 1})
 }
 
-// An attempt that is given up ends the sending on its connection at once: until then it counts as out, and
-// where no hedged attempts are allowed the next one would be one.
+// An attempt that is given up ends the sending on its connection at once: until then it counts as in flight,
+// and where no hedged attempts are allowed the next one would be one.
 func TestConn_AbandonEndsTheSending(t *testing.T) {
 	p := newPool()
 	address, conns := listen(t, "")
@@ -159,7 +159,7 @@
 		t.Error("another attempt was answered")
 	}
 	if got, _, _ := p.acquire(1); got != nil {
-		t.Error("given out while it is written to")
+		t.Error("acquired while it is written to")
 	}
 	if err := c.endWrite(attempt, true, nil); err != nil {
 		t.Errorf("an answered attempt fails: %v", err)
@@ -208,6 +208,6 @@
 		c.releaseBudget()
 	}
 	if _, ok := p.budget.Acquire(int64(maxBytes-(size-maxUnbudgetedBytes)), time.Now()); !ok {
-		t.Error("memory is still held")
+		t.Error("memory is still reserved")
 	}
 }
--- a/internal/backend/pool_test.go
+++ b/internal/backend/pool_test.go
@@ -18,24 +18,17 @@
 // connections that it accepts.
 func listen(t *testing.T, pong string) (address string, conns chan net.Conn) {
 	t.Helper()
-	listener := testutil.Listen(t)
 	conns = make(chan net.Conn, 10)
-	go func() {
-		for {
-			conn, err := listener.Accept()
-			if err != nil {
-				return
-			}
-			conns <- conn
-			if pong == "" {
-				continue
-			}
-			// What fails here is seen by the pool under test.
-			_, _ = conn.Read(make([]byte, 100))
-			_, _ = conn.Write([]byte(pong))
+	address = testutil.Serve(t, func(conn net.Conn) {
+		conns <- conn
+		if pong == "" {
+			return
 		}
-	}()
-	return listener.Addr().String(), conns
+		// What fails here is seen by the pool under test.
+		_, _ = conn.Read(make([]byte, 100))
+		_, _ = conn.Write([]byte(pong))
+	})
+	return address, conns
 }
 
 // newPool is a pool of at most ten connections, whose backends close idle ones after 10 s.
@@ -47,7 +40,7 @@
 	})
 }
 
-// mustAcquire takes a connection to a backend out of the pool, or dials one.
+// mustAcquire acquires an idle connection to a backend, or dials one.
 func mustAcquire(t *testing.T, p *Pool, b policy.BackendID) *conn {
 	t.Helper()
 	c, e, err := p.acquire(b)
@@ -109,11 +102,11 @@
 		return stateOf(p, c).isClosed()
 	})
 
-	// Of two idle connections the pool gives the one that has been idle for long enough, though the other was
+	// Of two idle connections the pool chooses the one that has been idle for long enough, though the other was
 	// used last.
 	older, younger := mustAcquire(t, p, 1), mustAcquire(t, p, 1)
 	if older == younger {
-		t.Fatal("one connection was given out twice")
+		t.Fatal("one connection was acquired twice")
 	}
 	makeIdle(p, older)
 	makeIdle(p, younger)
--- a/internal/frontend/accept_test.go
+++ b/internal/frontend/accept_test.go
@@ -1,8 +1,6 @@
 package frontend
 
 import (
-	"errors"
-	"io"
 	"net"
 	"sync/atomic"
 	"syscall"
@@ -49,7 +47,5 @@
 	h.server.beginShutdown()
 	h.nextAttempt().respond(okReply)
 	client.expect(okResponse)
-	if _, err := client.reader.ReadByte(); !errors.Is(err, io.EOF) {
-		t.Errorf("behind the response: %v", err)
-	}
+	client.expectEnd("behind the response")
 }
--- a/internal/frontend/backend_responses_test.go
+++ b/internal/frontend/backend_responses_test.go
@@ -54,7 +54,8 @@
 // attempt on such connections.
 func TestBackendConnections_ForgottenOnesAvoided(t *testing.T) {
 	var mu sync.Mutex
-	answered, forgotten := map[net.Conn]bool{}, 0
+	answered := map[net.Conn]bool{}
+	forgotten := 0
 	onAttempt := func(a receivedAttempt) {
 		mu.Lock()
 		defer mu.Unlock()
--- a/internal/frontend/backpressure_test.go
+++ b/internal/frontend/backpressure_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// Each pipelined command is started at once, and answered by itself in its turn.
+// Each pipelined command is started at once, and answered as soon as those before it are.
 func TestPipeline_ResponsesInOrder(t *testing.T) {
 	h := newHarness(t, harnessOptions{})
 	c := h.dial()
@@ -69,7 +69,7 @@
 	}
 }
 
-// A client that takes in nothing holds up neither new connections nor the others.
+// A client that reads nothing delays neither new connections nor the others.
 func TestBackpressure_ClientThatDoesNotReadDelaysNobody(t *testing.T) {
 	long := bulkReply(strings.Repeat("v", 64<<10))
 	h := newHarness(t, harnessOptions{
@@ -90,7 +90,7 @@
 	}
 }
 
-// A client that reads a 4 MiB response slowly gets it whole. (The failure it stands for, one deadline for all
+// A client that reads a 4 MiB response slowly gets all of it. (The failure it stands for, one deadline for all
 // of a 3.4 MB response, does not show here: loopback's send buffer takes all but a few hundred KB at once.)
 func TestBackpressure_SlowReaderGetsLargeResponseWhole(t *testing.T) {
 	value := strings.Repeat("v", 4<<20)
--- a/internal/frontend/benchmark_test.go
+++ b/internal/frontend/benchmark_test.go
@@ -9,16 +9,13 @@
 	"testing"
 	"time"
 
-	"fawnplank/internal/backend"
-	"fawnplank/internal/config"
-	"fawnplank/internal/dispatch"
 	"fawnplank/internal/testutil"
 	"fawnplank/policy"
 )
 
 // BenchmarkFrontend_Request measures one request from a client's connection through the decisions to a backend
-// on loopback in the same process, and its response's way back. The allocations are the whole process's; the
-// stand-in makes none.
+// on loopback in the same process, and its response back. The allocations are those of the process; the
+// backend makes none.
 func BenchmarkFrontend_Request(b *testing.B) {
 	client := newBenchmarkClient(b, startBenchmarkServer(b))
 	b.ReportAllocs()
@@ -35,19 +32,12 @@
 // startBenchmarkServer starts a server with one backend, and returns its address.
 func startBenchmarkServer(b *testing.B) string {
 	b.Helper()
-	dispatcher := dispatch.New()
-	pool := backend.New(backend.Options{
-		MaxConnections: 50, ConnectTimeout: 200 * time.Millisecond, IdleTimeout: 10 * time.Second,
-		HandleHealthCheck: dispatcher.HandleHealthCheck,
-	})
-	dispatcher.Start(dispatch.Config{Seed: 9, Settings: testSettings, HealthChecker: pool})
-	b.Cleanup(dispatcher.Stop)
+	dispatcher, pool := startDispatcher(b)
 	server := New(Options{
-		Dispatcher: dispatcher, Pool: pool, MaxConnections: 10,
-		Config: &config.Config{
-			Settings: testSettings, MaxUnits: 8,
-			Classes: map[string]policy.ClassID{"lookup": 0}, Plans: map[string]policy.PlanID{"team": 0},
-		},
+		Dispatcher:     dispatcher,
+		Pool:           pool,
+		Config:         testConfig(),
+		MaxConnections: 10,
 	})
 	listener := testutil.Listen(b)
 	go func() {
@@ -60,20 +50,10 @@
 }
 
 // startBenchmarkBackend returns the address of a backend that answers each read: the one client has one
-// request out, so that what comes is one, whole.
+// request open, so that each read gets one complete command.
 func startBenchmarkBackend(b *testing.B) string {
 	b.Helper()
-	listener := testutil.Listen(b)
-	go func() {
-		for {
-			conn, err := listener.Accept()
-			if err != nil {
-				return
-			}
-			go answerReads(conn)
-		}
-	}()
-	return listener.Addr().String()
+	return testutil.Serve(b, func(conn net.Conn) { go answerReads(conn) })
 }
 
 func answerReads(conn net.Conn) {
@@ -133,7 +113,7 @@
 	}
 	c.b.StopTimer()
 	defer c.b.StartTimer()
-	line, _ := c.reader.ReadString('\n') // what is not whole is no number
+	line, _ := c.reader.ReadString('\n') // an incomplete line is no number
 	retryAfter, err := strconv.Atoi(strings.TrimSpace(strings.TrimPrefix(line, "-BUSY")))
 	if err != nil {
 		c.b.Fatalf("%q", line)
--- a/internal/frontend/doc.go
+++ b/internal/frontend/doc.go
@@ -1,8 +1,8 @@
 // Package frontend serves clients. It owns the listener's connections, the clients' input and the order of
 // responses on each connection: it parses commands in place, submits requests to the dispatcher, and carries
-// out the steps that the dispatcher picks. It never decides what happens to a request, except that it rejects
-// requests once a drain has lasted for drainRejectDelay, never leaves a
-// submitted request without its one response, and never submits a request with an invalid head.
+// out the steps that the dispatcher picks. It never leaves a submitted request without its one response, and never
+// submits a request with an invalid head. It does not decide what happens to a request, with one exception: it rejects
+// requests once a drain has lasted for drainRejectDelay (drain_rejection.go).
 //
 // New creates a Server, Serve runs it, and Shutdown ends it once the listener is closed. Each connection has
 // one reader goroutine, which parses and submits. Each request has its own goroutine, which runs it up to its
@@ -16,4 +16,10 @@
 // code that holds Server.mu takes connection.mu only with TryLock: connection.mu is held while a response is
 // written, and a client that reads nothing must not hold up the others. Code that holds connection.mu never
 // takes Server.mu.
+//
+// Each concern has a file. Accepting: accept.go, connection_capacity.go, idle_eviction.go with eviction_rank.go. A
+// connection: connection.go with the table of its states, reader.go and reader_buffer.go, command_timeout.go,
+// invalid_command_pause.go, backpressure.go, client_gone.go, connection_error.go, connection_end.go. A command:
+// commands.go, parser.go, request.go with request_rewrite.go and request_usage.go, responses.go. The end: drain.go,
+// drain_rejection.go, outlasting_connections.go, shutdown.go.
 package frontend
--- a/internal/frontend/harness_test.go
+++ b/internal/frontend/harness_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bufio"
+	"errors"
 	"fmt"
 	"io"
 	"net"
@@ -38,7 +39,7 @@
 	Plans: []policy.PlanSettings{{}, {ConcurrencyLimit: 1}},
 }
 
-// receivedAttempt is a command that has reached a backend whole, on the connection conn.
+// receivedAttempt is a complete command that has reached a backend on the connection conn.
 type receivedAttempt struct {
 	raw  string
 	conn net.Conn
@@ -53,7 +54,7 @@
 	return regexp.MustCompile(`d=(\d+)`).FindStringSubmatch(a.raw)[1]
 }
 
-// harness is a whole gateway on loopback, with backends that do what a test says.
+// harness is a gateway on loopback, with backends that do what a test says.
 type harness struct {
 	t          *testing.T
 	server     *Server
@@ -81,18 +82,15 @@
 func newHarness(t *testing.T, options harnessOptions) *harness {
 	t.Helper()
 	h := &harness{
-		t: t, dispatcher: dispatch.New(),
-		attempts: make(chan receivedAttempt, 100), ended: map[net.Conn]bool{},
+		t:        t,
+		attempts: make(chan receivedAttempt, 100),
+		ended:    map[net.Conn]bool{},
 	}
 	onAttempt := options.onAttempt
 	if onAttempt == nil {
 		onAttempt = func(a receivedAttempt) { h.attempts <- a }
 	}
-	h.pool = backend.New(backend.Options{
-		MaxConnections: 50, ConnectTimeout: 200 * time.Millisecond, IdleTimeout: 10 * time.Second,
-		HandleHealthCheck: h.dispatcher.HandleHealthCheck,
-	})
-	h.dispatcher.Start(dispatch.Config{Seed: 9, Settings: testSettings, HealthChecker: h.pool})
+	h.dispatcher, h.pool = startDispatcher(t)
 	h.server = newTestServer(h, options)
 	h.listener = testutil.Listen(t)
 	go func() {
@@ -104,19 +102,39 @@
 	h.dispatcher.UpdateEndpoints(policy.FullSnapshot, []policy.Endpoint{
 		{Backend: 1, State: policy.EndpointReady}, {Backend: 2, State: policy.EndpointReady},
 	})
-	t.Cleanup(h.dispatcher.Stop)
 	return h
 }
 
+// startDispatcher starts a dispatcher with the pool of connections to its backends. It stops when the test ends.
+func startDispatcher(tb testing.TB) (*dispatch.Dispatcher, *backend.Pool) {
+	tb.Helper()
+	dispatcher := dispatch.New()
+	pool := backend.New(backend.Options{
+		MaxConnections:    50,
+		ConnectTimeout:    200 * time.Millisecond,
+		IdleTimeout:       10 * time.Second,
+		HandleHealthCheck: dispatcher.HandleHealthCheck,
+	})
+	dispatcher.Start(dispatch.Config{Seed: 9, Settings: testSettings, HealthChecker: pool})
+	tb.Cleanup(dispatcher.Stop)
+	return dispatcher, pool
+}
+
+// testConfig is the configuration of a server under test, with two classes and two plans.
+func testConfig() *config.Config {
+	return &config.Config{
+		Settings: testSettings,
+		MaxUnits: 8,
+		Classes:  map[string]policy.ClassID{"lookup": 0, "pay": 1},
+		Plans:    map[string]policy.PlanID{"team": 0, "one": 1},
+	}
+}
+
 func newTestServer(h *harness, options harnessOptions) *Server {
 	complete := options.server
 	complete.Dispatcher = h.dispatcher
 	complete.Pool = h.pool
-	complete.Config = &config.Config{
-		Settings: testSettings, MaxUnits: 8,
-		Classes: map[string]policy.ClassID{"lookup": 0, "pay": 1},
-		Plans:   map[string]policy.PlanID{"team": 0, "one": 1},
-	}
+	complete.Config = testConfig()
 	if complete.MaxConnections == 0 {
 		complete.MaxConnections = 10
 	}
@@ -133,17 +151,7 @@
 
 // startBackend returns the address of a backend that calls onAttempt, in a goroutine, for each command.
 func (h *harness) startBackend(onAttempt func(receivedAttempt)) string {
-	listener := testutil.Listen(h.t)
-	go func() {
-		for {
-			conn, err := listener.Accept()
-			if err != nil {
-				return
-			}
-			go h.readAttempts(conn, onAttempt)
-		}
-	}()
-	return listener.Addr().String()
+	return testutil.Serve(h.t, func(conn net.Conn) { go h.readAttempts(conn, onAttempt) })
 }
 
 func (h *harness) readAttempts(conn net.Conn, onAttempt func(receivedAttempt)) {
@@ -158,11 +166,11 @@
 			return
 		}
 		unread = append(unread, buffer[:count]...)
-		whole, _, _, rest, err := redcon.ReadNextCommand(unread, nil)
+		isComplete, _, _, rest, err := redcon.ReadNextCommand(unread, nil)
 		if err != nil {
 			h.t.Errorf("a backend received %q: %v", unread, err)
 		}
-		if whole {
+		if isComplete {
 			raw := string(unread[:len(unread)-len(rest)])
 			unread = append([]byte(nil), rest...)
 			go onAttempt(receivedAttempt{raw, conn})
@@ -307,6 +315,15 @@
 	c.expectLine(`\+PONG`)
 }
 
+// expectEnd fails the test unless the server ends the connection and nothing more comes on it. where says which
+// connection it is, or after what it ends.
+func (c *testClient) expectEnd(where string) {
+	c.t.Helper()
+	if _, err := c.reader.ReadByte(); !errors.Is(err, io.EOF) {
+		c.t.Errorf("%s: %v", where, err)
+	}
+}
+
 // skipResponses reads count responses.
 func (c *testClient) skipResponses(count int) {
 	c.t.Helper()
--- a/internal/frontend/idle_eviction_test.go
+++ b/internal/frontend/idle_eviction_test.go
@@ -14,8 +14,8 @@
 	silent, incomplete := h.dial(), h.dial()
 	incomplete.send(words("PING") + "*4\r\n$9\r\nSVC.QU")
 	incomplete.expectLine(`\+PONG`)
-	usual := h.dial()
-	usual.ping()
+	active := h.dial()
+	active.ping()
 	start := time.Now()
 	silent.expectLine("-ERR .+")
 	incomplete.expectLine("-ERR .+")
@@ -24,22 +24,22 @@
 		t.Errorf("rejected after %v", took)
 	}
 	time.Sleep(2 * sweepInterval)
-	usual.ping()
+	active.ping()
 }
 
-// Failure: connections opened by the hundreds pushed out those of usual clients, idle for a moment longer.
+// Failure: new connections by the hundreds evicted those of active clients, which had been idle for a moment longer.
 func TestEviction_SilentConnectionsEvictedFirst(t *testing.T) {
 	h := newHarness(t, harnessOptions{server: Options{MaxConnections: 4}})
-	usual := h.dial()
-	usual.ping()
+	active := h.dial()
+	active.ping()
 	for range 12 {
 		h.dial()
 		time.Sleep(newConnectionGrace / 4)
 	}
-	usual.ping()
+	active.ping()
 }
 
-// Failure: clients that left their connections open held all that clients may, and could not open further
+// Failure: clients that left their connections open used up all that clients may have, and could not open further
 // ones.
 func TestEviction_IdleConnectionsLeaveCapacity(t *testing.T) {
 	threshold := New(Options{Config: &config.Config{MaxSockets: 12}, MaxConnections: 20}).evictionThreshold
--- a/internal/frontend/race_conditions_test.go
+++ b/internal/frontend/race_conditions_test.go
@@ -1,8 +1,6 @@
 package frontend
 
 import (
-	"errors"
-	"io"
 	"strconv"
 	"strings"
 	"testing"
@@ -17,7 +15,7 @@
 // that does not answer, until the other has done what must come between.
 
 // Failure: a request that had been read when the server closed its connection was neither submitted nor
-// answered: the client could not know that it had never been sent on. Whatever has been read is answered
+// answered: the client could not know that it had never been forwarded. Whatever has been read is answered
 // first.
 func TestRace_RequestReadBeforeCloseAnswered(t *testing.T) {
 	for name, end := range map[string]func(c *connection){
@@ -60,15 +58,13 @@
 		t.Fatal(err)
 	}
 	c.handleCommand(raw, parsed)
-	if _, err := client.reader.ReadByte(); !errors.Is(err, io.EOF) {
-		t.Errorf("%v", err)
-	}
+	client.expectEnd("on the closed connection")
 	if n := h.dispatcher.OpenRequests(); n > 0 {
 		t.Errorf("%d requests submitted", n)
 	}
 }
 
-// A request that comes once the connection is to end is not read, and not sent on. Failure: the close over it
+// A request that comes once the connection is to end is not read, and not forwarded. Failure: the close over it
 // reset the connection, and a response still on its way is lost to that; the client has time to take it.
 func TestRace_RequestAfterShutdownNotRead(t *testing.T) {
 	h := newHarness(t, harnessOptions{})
@@ -95,16 +91,14 @@
 	}
 	attempt.respond(okReply)
 	client.expect(okResponse + "+PONG\r\n")
-	if _, err := client.reader.ReadByte(); !errors.Is(err, io.EOF) {
-		t.Errorf("behind the responses: %v", err)
-	}
+	client.expectEnd("behind the responses")
 	h.until("the connection ends", func() bool { return h.server.Connections() == 0 })
 	if n := len(h.attempts); n > 0 {
-		t.Errorf("%d requests sent on after the shutdown", n)
+		t.Errorf("%d requests forwarded after the shutdown", n)
 	}
 }
 
-// Failure: a client that sent on and on had its requests submitted up to the process's end, where some were
+// Failure: a client that kept sending had its requests submitted up to the process's end, where some were
 // lost. Once the connection is to end no more is read, and it ends when what was submitted is answered.
 func TestRace_ClientThatKeepsSendingEnded(t *testing.T) {
 	h := newHarness(t, harnessOptions{onAttempt: func(a receivedAttempt) {
@@ -156,9 +150,7 @@
 		client.send(query(strconv.Itoa(n), lookupFields))
 		h.nextAttempt().respond(okReply)
 		client.expect(okResponse)
-		if _, err := client.reader.ReadByte(); !errors.Is(err, io.EOF) {
-			t.Errorf("behind the response: %v", err)
-		}
+		client.expectEnd("behind the response")
 	}
 	h.dial() // one that says nothing ends by itself
 	close(stop)
@@ -170,7 +162,7 @@
 
 // Failure: a client that had gone was not noticed while its connection's reader waited: for capacity among
 // the pending commands, for the pause after invalid commands, for memory, or for the responses before an
-// error. What it had open was sent on, again and again. Now it counts as gone at once, whatever bytes nobody
+// error. What it had open was forwarded, again and again. Now it counts as gone at once, whatever bytes nobody
 // has read, and the next attempt is not begun.
 func TestRace_ClientGoneWhileReaderWaits(t *testing.T) {
 	largeHead := "*5\r\n$9\r\nSVC.QUERY\r\n$16\r\n" + testTenant + "\r\n$1\r\n2\r\n$3\r\nd=1\r\n$200000\r\n"
@@ -231,7 +223,7 @@
 }
 
 // Failure: a request that had waited for its connection to be accepted while its client gave up and left was
-// sent on.
+// forwarded.
 func TestRace_RequestOfClientLongGoneNotSent(t *testing.T) {
 	recorder := tenantRecorder{make(chan string, 10)}
 	h := newHarness(t, harnessOptions{server: Options{MaxConnections: 1, Usage: recorder}})
@@ -260,7 +252,7 @@
 func (tenantRecorder) RecordUsage(string, string, time.Time, float64) {}
 
 // Failure: where all connections had something open when one more came, it waited until one of them ended,
-// also once all had become idle: clients that keep theirs open locked all others out for good.
+// also once all had become idle: clients that keep theirs open kept all others from connecting.
 func TestRace_ConnectionsBecomingIdleFreeCapacity(t *testing.T) {
 	h := newHarness(t, harnessOptions{server: Options{MaxConnections: 2}})
 	first, firstAttempt := h.openRequest("0")
@@ -285,7 +277,7 @@
 	first.respond("*1\r\n$3\r\none\r\n")
 	client.expect("$3\r\none\r\n")
 	client.send(query("2", lookupFields))
-	second := h.nextAttempt() // out before the late one comes
+	second := h.nextAttempt() // sent before the late one comes
 	first.respond("*1\r\n$3\r\none\r\n")
 	second.respond("*1\r\n$3\r\ntwo\r\n")
 	client.expect("$3\r\ntwo\r\n")
--- a/internal/frontend/request_test.go
+++ b/internal/frontend/request_test.go
@@ -93,7 +93,7 @@
 }
 
 // A 4 MiB value that comes in pieces cut anywhere, over longer than a command may take without progress, is
-// passed on whole both ways, two at once within their budget, and all of the budget is released.
+// forwarded completely both ways, two at once within their budget, and all of the budget is released.
 func TestRequest_LargeValuesInPieces(t *testing.T) {
 	const budget = 10 << 20 // two large commands at a time
 	const clients = 2
@@ -206,7 +206,7 @@
 	}
 	pauses := invalidCommandPauseStep * invalidCommands * (invalidCommands + 1) / 2
 	if left := 900*time.Millisecond - pauses; time.Duration(milliseconds)*time.Millisecond > left {
-		t.Errorf("the backend is told %d ms, and the client has %v", milliseconds, left)
+		t.Errorf("the backend is given %d ms, and the client has %v", milliseconds, left)
 	}
 	attempt.respond(okReply)
 }
--- a/internal/frontend/shutdown_test.go
+++ b/internal/frontend/shutdown_test.go
@@ -3,7 +3,6 @@
 import (
 	"context"
 	"errors"
-	"io"
 	"testing"
 	"time"
 )
@@ -37,14 +36,10 @@
 	}
 	shutdown := make(chan error, 1)
 	go func() { shutdown <- h.server.Shutdown(t.Context()) }()
-	if _, err := idle.reader.ReadByte(); !errors.Is(err, io.EOF) {
-		t.Errorf("an idle connection: %v", err)
-	}
+	idle.expectEnd("an idle connection")
 	attempt.respond(okReply)
 	c.expect(okResponse)
-	if _, err := c.reader.ReadByte(); !errors.Is(err, io.EOF) {
-		t.Errorf("after the last response: %v", err)
-	}
+	c.expectEnd("after the last response")
 	h.until("all connections have ended", func() bool { return h.server.Connections() == 0 })
 	if err := <-shutdown; err != nil {
 		t.Errorf("Shutdown: %v", err)
@@ -88,15 +83,11 @@
 	busy.send(query("1", lookupFields))
 	h.nextAttempt().respond(okReply)
 	busy.expect(okResponse) // open connections are still served
-	if _, err := idle.reader.ReadByte(); !errors.Is(err, io.EOF) {
-		t.Errorf("an idle connection of a draining server: %v", err)
-	}
+	idle.expectEnd("an idle connection of a draining server")
 	if took := time.Since(began); took < drainDelay || took > drainDelay+time.Second {
 		t.Errorf("the idle connection was closed after %v", took)
 	}
-	if _, err := busy.reader.ReadByte(); !errors.Is(err, io.EOF) {
-		t.Errorf("the other connection: %v", err)
-	}
+	busy.expectEnd("the other connection")
 	h.server.Resume()
 	h.server.Resume() // without a drain: nothing
 	resumed := h.dial()
@@ -105,8 +96,8 @@
 	resumed.ping()
 }
 
-// TestServer_ResumeKeepsNewConnection: a connection that is new when a drain is taken back has the usual time
-// for its first command. Failure: it was turned away after newConnectionGrace.
+// TestServer_ResumeKeepsNewConnection: a connection that is new when a drain ends has the usual time for its
+// first command. Failure: it was ended after newConnectionGrace.
 func TestServer_ResumeKeepsNewConnection(t *testing.T) {
 	h := newHarness(t, harnessOptions{})
 	h.server.Drain()
@@ -119,8 +110,8 @@
 	client.ping()
 }
 
-// TestServer_DrainsAgainAfterResume: a drain that begins after another was taken back has its whole time, and
-// ends the connections.
+// TestServer_DrainsAgainAfterResume: a drain that begins after another has ended has its full time, and ends
+// the connections.
 func TestServer_DrainsAgainAfterResume(t *testing.T) {
 	h := newHarness(t, harnessOptions{})
 	client := h.dial()
@@ -130,9 +121,7 @@
 	h.server.Resume()
 	h.server.Drain()
 	began := time.Now()
-	if _, err := client.reader.ReadByte(); !errors.Is(err, io.EOF) {
-		t.Errorf("an idle connection: %v", err)
-	}
+	client.expectEnd("an idle connection")
 	if took := time.Since(began); took < drainDelay || took > drainDelay+time.Second {
 		t.Errorf("closed after %v", took)
 	}
--- a/internal/membudget/budget.go
+++ b/internal/membudget/budget.go
@@ -26,7 +26,7 @@
 
 // Acquire waits until the deadline for the given number of bytes, and returns how many the caller must
 // release. A request for more than the whole budget waits for, and gets, the whole budget. ok is false if the
-// bytes were not free in time.
+// bytes were not free in time. Those who wait are served in the order in which they came.
 func (b *Budget) Acquire(bytes int64, deadline time.Time) (acquired int64, ok bool) {
 	if b == nil || bytes <= 0 {
 		return 0, true
--- a/internal/resp/resp_test.go
+++ b/internal/resp/resp_test.go
@@ -12,7 +12,7 @@
 	"github.com/tidwall/redcon"
 )
 
-// Whole commands are read as redcon reads them, and cut short they ask for more.
+// Complete commands are read as redcon reads them, and truncated ones are incomplete.
 func TestCommand_ReadsAsRedcon(t *testing.T) {
 	same := func(words [][]byte) bool {
 		words = append(words, []byte("x"))[:min(len(words)+1, maxWords)]
--- a/internal/retryaccept/retryaccept.go
+++ b/internal/retryaccept/retryaccept.go
@@ -21,7 +21,7 @@
 // Listener is a listener whose Accept fails only once the listener is closed or its deadline has passed.
 type Listener struct {
 	net.Listener
-	component string
+	component string      // of the owner, for the log
 	failing   atomic.Bool // the last accept failed
 }
 
@@ -30,8 +30,10 @@
 	return &Listener{Listener: listener, component: component}
 }
 
-// Accept waits for a connection, across failures. While accepts fail, a deadline does not end it: connections
-// may be waiting that could not be accepted so far.
+// Accept waits for a connection. After a failure it pauses for Delay and tries again, which guards against a server
+// that stops accepting for good over an outage of descriptors or memory. It returns an error once the listener is
+// closed (net.ErrClosed) or its deadline has passed (os.ErrDeadlineExceeded). While accepts fail, the deadline does not
+// end it: connections may be waiting that could not be accepted so far.
 func (l *Listener) Accept() (net.Conn, error) {
 	for {
 		conn, err := l.Listener.Accept()
@@ -62,6 +64,7 @@
 	}
 }
 
+// recovered logs the end of an outage.
 func (l *Listener) recovered() {
 	if l.failing.Swap(false) {
 		logging.For(l.component).Info("accept works again")
--- a/internal/sock/read.go
+++ b/internal/sock/read.go
@@ -7,8 +7,9 @@
 	"unsafe"
 )
 
-// Read reads the available bytes, and waits if there are none. Only one goroutine at a time may call Read or
-// AwaitHangUp.
+// Read reads the available bytes, and waits if there are none, until the read deadline (os.ErrDeadlineExceeded). It
+// returns io.EOF at the end of the connection, and where the guard refuses the read. b must not be empty. Only one
+// goroutine at a time may call Read or AwaitHangUp.
 func (c *Conn) Read(b []byte) (int, error) {
 	c.readBuffer = b
 	c.readWaited = false
--- a/internal/sock/sock.go
+++ b/internal/sock/sock.go
@@ -35,7 +35,7 @@
 
 	writeCallback func(fd uintptr) bool
 	writeVectors  [maxParts]syscall.Iovec
-	writeParts    int
+	vectorCount   int // of writeVectors that are in use
 	writtenBytes  int64
 	writeErrno    syscall.Errno
 }
@@ -70,7 +70,8 @@
 	return c, nil
 }
 
-// Dial opens a connection to an IPv4 address. A connectTimeout of 0 means no timeout.
+// Dial opens a connection to an IPv4 address. It waits for connectTimeout at most, where 0 means no timeout, or until
+// ctx ends.
 func Dial(ctx context.Context, address string, connectTimeout time.Duration) (*Conn, error) {
 	d := net.Dialer{Timeout: connectTimeout}
 	nc, err := d.DialContext(ctx, "tcp4", address)
--- a/internal/sock/sock_test.go
+++ b/internal/sock/sock_test.go
@@ -50,7 +50,7 @@
 	return received
 }
 
-// Parts far larger than a socket's buffers come out whole and in order, to a slow reader too.
+// Parts far larger than a socket's buffers arrive complete and in order, at a slow reader too.
 func TestConn_WritePartsComeOutWhole(t *testing.T) {
 	c, peer := dialPair(t)
 	large := bytes.Repeat([]byte("0123456789"), 1<<20)
@@ -66,11 +66,11 @@
 	}
 	mustSucceed(t, c.Close())
 	if !bytes.Equal(<-received, want) {
-		t.Error("other bytes came out")
+		t.Error("other bytes arrived")
 	}
 }
 
-// A write that fails returns how much went out: less than all means that nothing ran.
+// A write that fails returns how many bytes were written: fewer than all means that nothing ran.
 func TestConn_FailedWriteReturnsHowFarItCame(t *testing.T) {
 	c, _ := dialPair(t)
 	large := make([]byte, 64<<20)
--- a/internal/sock/write.go
+++ b/internal/sock/write.go
@@ -10,16 +10,17 @@
 // gateway sends.
 const maxParts = 6
 
-// WriteParts writes the parts, at most six, one after another and returns how many bytes were written. Only
-// one goroutine at a time may write.
+// WriteParts writes the parts, at most six, one after another and returns how many bytes were written, which are fewer
+// than all only with an error. It waits while the socket is full, until the write deadline (os.ErrDeadlineExceeded).
+// Only one goroutine at a time may write.
 func (c *Conn) WriteParts(parts ...[]byte) (int64, error) {
-	c.writeParts = 0
+	c.vectorCount = 0
 	c.writtenBytes = 0
 	c.writeErrno = 0
 	for _, part := range parts {
 		if len(part) > 0 {
-			c.writeVectors[c.writeParts] = syscall.Iovec{Base: &part[0], Len: uint64(len(part))}
-			c.writeParts++
+			c.writeVectors[c.vectorCount] = syscall.Iovec{Base: &part[0], Len: uint64(len(part))}
+			c.vectorCount++
 		}
 	}
 	err := c.raw.Write(c.writeCallback)
@@ -30,7 +31,7 @@
 	return c.writtenBytes, err
 }
 
-// Write writes b.
+// Write writes b, as WriteParts does.
 func (c *Conn) Write(b []byte) (int, error) {
 	n, err := c.WriteParts(b)
 	return int(n), err
@@ -40,16 +41,16 @@
 // first.
 func (c *Conn) tryWrite(fd uintptr) (done bool) {
 	first := 0
-	for first < c.writeParts {
+	for first < c.vectorCount {
 		n, _, errno := syscall.RawSyscall(syscall.SYS_WRITEV, fd,
-			uintptr(unsafe.Pointer(&c.writeVectors[first])), uintptr(c.writeParts-first))
+			uintptr(unsafe.Pointer(&c.writeVectors[first])), uintptr(c.vectorCount-first))
 		switch errno {
 		case 0:
 		case syscall.EINTR:
 			continue
 		case syscall.EAGAIN:
-			copy(c.writeVectors[:], c.writeVectors[first:c.writeParts])
-			c.writeParts -= first
+			copy(c.writeVectors[:], c.writeVectors[first:c.vectorCount])
+			c.vectorCount -= first
 			return false
 		default:
 			c.writeErrno = errno
@@ -64,7 +65,7 @@
 // skipWritten advances the vectors by n written bytes. first is the index of the first vector that is not
 // completely written; skipWritten returns the new index.
 func (c *Conn) skipWritten(first int, n uint64) int {
-	for first < c.writeParts && n >= c.writeVectors[first].Len {
+	for first < c.vectorCount && n >= c.writeVectors[first].Len {
 		n -= c.writeVectors[first].Len
 		first++
 	}
