--- a/internal/backend/attempt_writer.go
+++ b/internal/backend/attempt_writer.go
@@ -19,8 +19,12 @@
 		return
 	}
 	size := commandBytes(command)
+	progress := dispatch.Writing
 	written, err := c.socket.WriteParts(command...)
-	if failure := c.endWrite(attempt, written == size, err); failure != nil {
+	if written == size {
+		progress = dispatch.Written
+	}
+	if failure := c.endWrite(attempt, progress, err); failure != nil {
 		attempt.Report(nil, 0, failure)
 	}
 }
@@ -55,13 +59,14 @@
 	return true, nil
 }
 
-// endWrite updates the connection's state when its writer is done. It returns the error that the writer must
-// report, or nil if the attempt continues or its end is already reported.
-func (c *conn) endWrite(attempt *dispatch.Attempt, isComplete bool, err error) error {
+// endWrite updates the connection's state when its writer is done. progress is dispatch.Written if the command is
+// completely written, otherwise dispatch.Writing. It returns the error that the writer must report, or nil if the
+// attempt continues or its end is already reported.
+func (c *conn) endWrite(attempt *dispatch.Attempt, progress dispatch.Progress, err error) error {
 	p := c.pool
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if !isComplete { // answered before it was written: the next command would follow half a command
+	if progress != dispatch.Written { // answered before it was written: the next command would follow half a command
 		c.close()
 	}
 	if c.state == stateRespondedEarly {
@@ -70,9 +75,7 @@
 	if c.attempt != attempt { // answered in the meantime
 		return nil
 	}
-	progress := dispatch.Writing
-	if isComplete {
-		progress = dispatch.Written
+	if progress == dispatch.Written {
 		p.metrics.AttemptSent(attempt.Class())
 	}
 	if err == nil && c.state == stateWriting {
--- a/internal/backend/connection_test.go
+++ b/internal/backend/connection_test.go
@@ -161,7 +161,7 @@
 	if got, _, _ := p.acquire(1); got != nil {
 		t.Error("acquired while it is written to")
 	}
-	if err := c.endWrite(attempt, true, nil); err != nil {
+	if err := c.endWrite(attempt, dispatch.Written, nil); err != nil {
 		t.Errorf("an answered attempt fails: %v", err)
 	}
 	setLastUsed(p, c, time.Now().Add(-minIdle))
--- a/internal/backend/response_reader.go
+++ b/internal/backend/response_reader.go
@@ -12,7 +12,7 @@
 		count, err := c.socket.Read(received[len(received):cap(received)])
 		received = received[:len(received)+count]
 		if err != nil {
-			c.handleEnd(len(received) > 0, err)
+			c.handleEnd(readProgress(received), err)
 			return
 		}
 		if c.abandoned.Load() {
@@ -102,23 +102,27 @@
 	return attempt
 }
 
+// readProgress returns how far an attempt has come of whose response these bytes have been received.
+func readProgress(received []byte) dispatch.Progress {
+	if len(received) > 0 {
+		return dispatch.Answering
+	}
+	return dispatch.Written
+}
+
 // handleEnd reports that the connection has ended. If an attempt is still being written, its writer reports
 // it.
-func (c *conn) handleEnd(answering bool, err error) {
-	attempt := c.closeAndTake(answering)
+func (c *conn) handleEnd(progress dispatch.Progress, err error) {
+	attempt := c.closeAndTake(progress)
 	if attempt == nil {
 		return
 	}
-	progress := dispatch.Written
-	if answering {
-		progress = dispatch.Answering
-	}
 	attempt.Report(nil, 0, &dispatch.NetworkError{Progress: progress, Err: err})
 }
 
 // closeAndTake closes the connection. It removes and returns the attempt that the reader has to report, or
 // nil if there is none.
-func (c *conn) closeAndTake(answering bool) *dispatch.Attempt {
+func (c *conn) closeAndTake(progress dispatch.Progress) *dispatch.Attempt {
 	c.pool.mu.Lock()
 	defer c.pool.mu.Unlock()
 	c.close()
@@ -127,7 +131,7 @@
 	}
 	attempt := c.attempt
 	c.attempt = nil
-	if answering {
+	if progress == dispatch.Answering {
 		c.recordIdle(idleAlive)
 	} else {
 		c.recordIdle(idleLost)
--- a/internal/frontend/request.go
+++ b/internal/frontend/request.go
@@ -17,10 +17,10 @@
 	request       *dispatch.Request // nil if the command is answered at once
 	class         policy.ClassID
 	id            string
-	raw           []byte
-	fields        span // of raw: the list of names and values
-	remaining     span // of raw: the value of d
-	response      []byte
+	raw           []byte        // the command as it was received
+	fields        span          // of raw: the list of names and values
+	remaining     span          // of raw: the value of d
+	response      []byte        // nil until the command is completed
 	budgetedBytes int64         // of the budget, for raw
 	usage         *requestUsage // nil if usage is not recorded
 }
