--- a/cmd/fawnplank-lab/command_load.go
+++ b/cmd/fawnplank-lab/command_load.go
@@ -27,7 +27,7 @@
 		Use:   "load SCENARIO --to ADDRESS",
 		Short: "Send a scenario's requests to running gateways",
 		Long: `Sends the scenario's requests to gateways that are already running, in an open loop bounded by
-its duration, number and connections. Classes (profiles) and plans must have the names that the gateways know.
+its duration, number and connections. Classes and plans must have the names of the gateways' configuration.
 Faults of the scenario are not played, and what only backends see (attempts, quotas) is not reported.
 Addresses are on loopback.`,
 		Args: cobra.ExactArgs(1),
@@ -37,16 +37,15 @@
 	}
 	flags.scenario.register(command)
 	command.Flags().StringSliceVar(&flags.addresses, "to", nil, "addresses of the gateways")
-	command.Flags().StringVarP(&flags.outputFile, "output", "o", "",
-		"file that the results are written to, as JSON")
+	addResultsFlag(command, &flags.outputFile)
 	requireFlag(command, "to")
 	return command
 }
 
 func (f *loadFlags) run(command *cobra.Command, path string) error {
-	s, err := f.scenario.load(path,
-		fmt.Sprintf("doors.count=%d", len(f.addresses)),
-		fmt.Sprintf("load.spread=%d", max(len(f.addresses), 1)))
+	s, err := f.scenario.load(command, path,
+		fmt.Sprintf("gateways.count=%d", len(f.addresses)),
+		fmt.Sprintf("load.entry_points=%d", max(len(f.addresses), 1)))
 	if err != nil {
 		return err
 	}
@@ -59,21 +58,18 @@
 	if err != nil {
 		return err
 	}
-	if f.outputFile != "" {
-		if err := run.Write(f.outputFile); err != nil {
-			return err
-		}
+	if err := writeResults(f.outputFile, run); err != nil {
+		return err
 	}
 	return plots.Table(command.OutOrStdout(), run)
 }
 
 // send sends the scenario's requests until they are answered or ctx ends, and returns what the clients saw.
 func (f *loadFlags) send(ctx context.Context, s *scenario.Scenario) (*results.Run, error) {
-	settings, err := s.EngineSettings(0)
+	log, err := testbed.NewLog(s)
 	if err != nil {
 		return nil, err
 	}
-	log := results.NewLog(results.New(s, settings, testbed.SlackNanos))
 	log.Begin()
 	tool := load.New(s, log, f.addresses)
 	tool.Run(ctx)
--- a/cmd/fawnplank-lab/command_standins.go
+++ b/cmd/fawnplank-lab/command_standins.go
@@ -11,14 +11,13 @@
 	"github.com/spf13/cobra"
 
 	"fawnplank/internal/lab/emulator"
-	"fawnplank/internal/lab/results"
 	"fawnplank/internal/lab/testbed"
 )
 
 const (
 	// defaultStay is long enough to try something by hand.
 	defaultStay = 10 * time.Minute
-	// maxStay ends stand-ins that were forgotten.
+	// maxStay ends emulated services that were forgotten.
 	maxStay = time.Hour
 )
 
@@ -34,7 +33,7 @@
 	command := &cobra.Command{
 		Use:   "stand-ins SCENARIO --dir FOLDER",
 		Short: "Run a scenario's backends, counter and discovery alone, for gateways started by hand",
-		Long: `Starts the scenario's stand-ins on loopback, writes a configuration for each of its gateways into
+		Long: `Starts the scenario's emulated services on loopback, writes a configuration for each of its gateways into
 the folder, and prints how to start them. Its faults come at their times from then on. Ends by itself after
 --stay, or at SIGTERM.`,
 		Args:    cobra.ExactArgs(1),
@@ -49,11 +48,7 @@
 }
 
 func (f *standInsFlags) run(command *cobra.Command, path string) error {
-	s, err := f.scenario.load(path)
-	if err != nil {
-		return err
-	}
-	settings, err := s.EngineSettings(0)
+	s, err := f.scenario.load(command, path)
 	if err != nil {
 		return err
 	}
@@ -63,30 +58,33 @@
 	if err := os.MkdirAll(f.folder, 0o755); err != nil {
 		return err
 	}
-	log := results.NewLog(results.New(s, settings, testbed.SlackNanos))
-	standIns, err := emulator.Start(s, log)
+	log, err := testbed.NewLog(s)
+	if err != nil {
+		return err
+	}
+	emulated, err := emulator.Start(s, log)
 	if err != nil {
 		return err
 	}
-	defer standIns.Close()
-	addresses, err := f.configureGateways(command, standIns, s.Instances.Count)
+	defer emulated.Close()
+	addresses, err := f.configureGateways(command, emulated, s.Instances.Count)
 	if err != nil {
 		return err
 	}
 	printf(command, "fawnplank lab load %s --to %s\n", path, strings.Join(addresses, ","))
 	log.Begin()
-	standIns.PlayFaults()
+	emulated.PlayFaults()
 	f.wait(command.Context())
 	return nil
 }
 
 // configureGateways configures all gateways and returns the addresses that they will listen on.
 func (f *standInsFlags) configureGateways(
-	command *cobra.Command, standIns *emulator.Emulator, count int,
+	command *cobra.Command, emulated *emulator.Emulator, count int,
 ) ([]string, error) {
 	var addresses []string
 	for index := range count {
-		address, err := f.configureGateway(command, standIns, index)
+		address, err := f.configureGateway(command, emulated, index)
 		if err != nil {
 			return nil, fmt.Errorf("configure gateway %d: %w", index, err)
 		}
@@ -98,13 +96,13 @@
 // configureGateway writes the configuration of a gateway, prints how to start it, and returns the address
 // that it will listen on.
 func (f *standInsFlags) configureGateway(
-	command *cobra.Command, standIns *emulator.Emulator, index int,
+	command *cobra.Command, emulated *emulator.Emulator, index int,
 ) (string, error) {
 	address, err := testbed.FreeAddress(command.Context())
 	if err != nil {
 		return "", err
 	}
-	configuration, err := standIns.InstanceConfig(index, address)
+	configuration, err := emulated.InstanceConfig(index, address)
 	if err != nil {
 		return "", err
 	}
--- a/internal/lab/load/protocol.go
+++ b/internal/lab/load/protocol.go
@@ -9,7 +9,6 @@
 	"time"
 
 	"fawnplank/internal/lab/invariants"
-	"fawnplank/internal/lab/scenario"
 	"fawnplank/internal/lab/workload"
 )
 
@@ -18,7 +17,7 @@
 
 // isIdempotent reports whether the class of a request lets it run twice.
 func (g *Generator) isIdempotent(request workload.Request) bool {
-	return g.scenario.Classes[request.Class].Idempotency == scenario.Idempotent
+	return g.scenario.Classes[request.Class].IsIdempotent()
 }
 
 // command returns a submission in the platform's protocol: verb, tenant, ID and header.
@@ -72,7 +71,7 @@
 	result := outcome{kind: invariants.Rejected, sent: true}
 	if len(words) > 1 {
 		millis, _ := strconv.ParseInt(words[1], 10, 64) // a text that is not a number asks for no wait
-		result.retryAfterNanos = millis * int64(time.Millisecond)
+		result.retryAfter = time.Duration(millis) * time.Millisecond
 	}
 	return result
 }
