--- a/internal/backend/connection_test.go
+++ b/internal/backend/connection_test.go
@@ -90,7 +90,7 @@
 	}})
 	t.Cleanup(d.Stop)
 	d.UpdateEndpoints(policy.FullSnapshot, []policy.Endpoint{{Backend: 1, State: policy.EndpointReady}})
-	return d.Submit(dispatch.RequestSpec{Tenant: 1, Timeout: time.Second, Units: 1, EntryPoints: 1})
+	return d.Submit(dispatch.RequestSpec{Tenant: 1, Remaining: time.Second, Units: 1, EntryPoints: 1})
 }
 
 // An attempt that is given up ends the sending on its connection at once: until then it counts as in flight,
--- a/internal/counter/client.go
+++ b/internal/counter/client.go
@@ -119,7 +119,8 @@
 }
 
 // Flush sends the calls added since the last flush, and closes connections that are silent: their calls end with
-// dispatch.ErrTimeout, and those not written yet with a NetworkError. It may wait for the network.
+// dispatch.ErrTimeout, and those not written yet with a NetworkError. Without further calls a silent connection stays
+// open. It may wait for the network.
 func (c *Client) Flush() {
 	c.mu.Lock()
 	unflushed := c.unflushed
--- a/internal/counter/text_format.go
+++ b/internal/counter/text_format.go
@@ -11,7 +11,7 @@
 // textAnswerStarts are the first bytes of the possible answers: ok, busy and error.
 const textAnswerStarts = "obe"
 
-// float64Bits is the precision of the units in decimal digits.
+// float64Bits is the size of the units' type, in bits: as many digits are written as it needs.
 const float64Bits = 64
 
 // appendTextCall appends the line of a call.
@@ -38,8 +38,8 @@
 	return answer{status: answerIncomplete}
 }
 
-// parseTextTotal returns the total in a line, or an error if there is none. If the line is meaningless, the
-// units have been added.
+// parseTextTotal returns the total in a line, or an error if there is none. A meaningless line leaves open whether
+// the units have been added.
 func parseTextTotal(line []byte) (float64, error) {
 	switch string(line) {
 	case "busy", "error":
--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -151,8 +151,8 @@
 	return nil
 }
 
-// SetAddress switches to other settings and to another address, where a new watch starts with a full
-// snapshot.
+// SetAddress switches to another address, where a new watch starts with a full snapshot, and to the timeouts of
+// other settings.
 func (c *Client) SetAddress(address string, settings policy.Settings) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/discovery/publisher.go
+++ b/internal/discovery/publisher.go
@@ -99,7 +99,7 @@
 		Backend:   p.backendID(endpoint.Name),
 		Zone:      p.zones.of(endpoint.Zone),
 		Group:     policy.GroupID(endpoint.Group),
-		Capacity:  endpoint.Weight,
+		Weight:    endpoint.Weight,
 		State:     state,
 		StartedAt: startOf(endpoint),
 	}
--- a/internal/discovery/startup_test.go
+++ b/internal/discovery/startup_test.go
@@ -174,7 +174,7 @@
 
 // send sends a request, and notes when and where to.
 func (i *instance) send() {
-	spec := dispatch.RequestSpec{Tenant: 1, Timeout: 500 * time.Millisecond, Units: 1, EntryPoints: 1}
+	spec := dispatch.RequestSpec{Tenant: 1, Remaining: 500 * time.Millisecond, Units: 1, EntryPoints: 1}
 	request := i.dispatcher.Submit(spec)
 	for {
 		step := request.NextStep()
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -25,7 +25,7 @@
 	snapshot := updates.next(t)
 	x := snapshot.endpoints[0]
 	if snapshot.kind != policy.FullSnapshot || len(snapshot.addresses) != 2 || x.Zone != 1 || x.Group != 3 ||
-		x.State != policy.EndpointReady || x.Capacity != 1.5 || x.StartedAt.Nanos() != 1700000000123e6 ||
+		x.State != policy.EndpointReady || x.Weight != 1.5 || x.StartedAt.Nanos() != 1700000000123e6 ||
 		x.Backend == snapshot.endpoints[1].Backend {
 		t.Errorf("%+v", snapshot)
 	}
--- a/internal/dispatch/attempt.go
+++ b/internal/dispatch/attempt.go
@@ -81,8 +81,8 @@
 	request   *Request
 	id        policy.AttemptID
 	createdAt policy.Instant
-	// deadline is how long the dispatcher waits for the result; see attemptDeadline.
-	deadline policy.Instant
+	// resultDueAt is until when the dispatcher waits for the result.
+	resultDueAt policy.Instant
 	// startBefore is when it becomes too late to start; see mayStart.
 	startBefore policy.Instant
 	state       atomicAttemptState
@@ -114,23 +114,22 @@
 // Remaining returns how much longer the dispatcher waits for the attempt's result. It is below 0 once that
 // time is over.
 func (a *Attempt) Remaining() time.Duration {
-	return a.deadline.Sub(a.request.dispatcher.now())
+	return a.resultDueAt.Sub(a.request.dispatcher.now())
 }
 
-// cancel ends the attempt with the given outcome. An attempt that has not started ends as ConnectFailed
-// instead. An attempt that is being written ends with the given outcome only if it is written completely,
-// which its writer reports. The engine gets the outcome after the current call into it has returned. The
-// caller holds the dispatcher's lock.
-func (a *Attempt) cancel(outcome policy.Outcome) {
+// cancel ends the attempt: as ConnectFailed if it has not started, and otherwise with the outcome ifStarted. An
+// attempt that is being written ends so only if it is written completely, which its writer reports. The engine
+// gets the outcome after the current call into it has returned. The caller holds the dispatcher's lock.
+func (a *Attempt) cancel(ifStarted policy.Outcome) {
 	if a.cancelWaiting(policy.ConnectFailed) || a.state.load() != attemptStarted {
 		return
 	}
 	if a.conn.Abandon(a) {
-		a.abandonedAs = outcome
+		a.abandonedAs = ifStarted
 		a.state.store(attemptAbandoned)
 		return
 	}
-	a.request.dispatcher.noteEnded(a, outcome)
+	a.request.dispatcher.noteEnded(a, ifStarted)
 }
 
 // cancelWaiting ends the attempt with the given outcome if it has not started, and reports whether it did. The
--- a/internal/dispatch/effects.go
+++ b/internal/dispatch/effects.go
@@ -39,16 +39,16 @@
 		request:     r,
 		id:          policy.AttemptID(len(r.attempts)),
 		createdAt:   r.dispatcher.now(),
-		deadline:    r.attemptDeadline(spec),
+		resultDueAt: r.resultDueAt(spec),
 		startBefore: spec.StartBefore,
 	}
 	r.attempts = append(r.attempts, attempt)
 	return attempt
 }
 
-// attemptDeadline returns how long the dispatcher waits for an attempt's result: until the client gives up, or
+// resultDueAt returns until when the dispatcher waits for an attempt's result: until the client gives up, or
 // until the engine does if that is earlier.
-func (r *Request) attemptDeadline(spec policy.AttemptSpec) policy.Instant {
+func (r *Request) resultDueAt(spec policy.AttemptSpec) policy.Instant {
 	if spec.ExpiresAt.IsZero() {
 		return r.deadline
 	}
@@ -64,7 +64,7 @@
 	request.attempts[attemptID].cancel(policy.Canceled)
 }
 
-// Reject ends a request and promises that nothing ran.
+// Reject ends a request with the promise that a retry does no harm.
 func (e effects) Reject(id policy.RequestID, retryAfter time.Duration) {
 	e.dispatcher.requests[id].finish(Step{Action: Reject, RetryAfter: retryAfter})
 }
--- a/internal/dispatch/harness_test.go
+++ b/internal/dispatch/harness_test.go
@@ -112,7 +112,7 @@
 
 // submit submits a request of the first tenant that costs one unit, of a plan without quotas.
 func (n *fakeNetwork) submit(class policy.ClassID, timeout time.Duration) *Request {
-	return n.dispatcher.Submit(RequestSpec{Class: class, Tenant: 1, Timeout: timeout, Units: 1, EntryPoints: 1})
+	return n.dispatcher.Submit(RequestSpec{Class: class, Tenant: 1, Remaining: timeout, Units: 1, EntryPoints: 1})
 }
 
 // serve does what the frontend does for a request: it has each attempt carried out, and returns the final
--- a/internal/dispatch/request.go
+++ b/internal/dispatch/request.go
@@ -13,7 +13,7 @@
 const (
 	Send    Action = iota // send the attempt to its backend
 	Respond               // answer with the response
-	Reject                // answer that nothing ran, perhaps with the time after which to retry
+	Reject                // answer that a retry does no harm, perhaps with the time after which to retry
 	Abort                 // answer that it failed; it may have run
 	Discard               // no answer: the client is gone
 	Admit                 // answer that it was counted: its class only counts, and nothing is sent
@@ -55,8 +55,8 @@
 	Class  policy.ClassID
 	Plan   policy.PlanID
 	Tenant policy.TenantID
-	// Timeout is the time until the client gives up. A request without any time left is answered at once.
-	Timeout time.Duration
+	// Remaining is the time until the client gives up. A request without any time left is answered at once.
+	Remaining time.Duration
 	// Units is what the request adds to its tenant's count.
 	Units float64
 	// The tenant's requests arrive through EntryPoints consecutive instances, the first of which is
@@ -88,14 +88,14 @@
 	d.do(func(now policy.Instant) {
 		d.lastRequest++
 		r.id = d.lastRequest
-		r.deadline = now.Add(spec.Timeout)
+		r.deadline = now.Add(spec.Remaining)
 		d.requests[r.id] = r
 		r.engineRequest = d.engine.Submit(now, policy.RequestSpec{
 			ID:            r.id,
 			Class:         spec.Class,
 			Plan:          spec.Plan,
 			Tenant:        spec.Tenant,
-			Remaining:     spec.Timeout,
+			Remaining:     spec.Remaining,
 			Units:         spec.Units,
 			EntryPoints:   spec.EntryPoints,
 			FirstInstance: spec.FirstInstance,
--- a/internal/dispatch/request_test.go
+++ b/internal/dispatch/request_test.go
@@ -40,7 +40,7 @@
 	timeout := time.Duration(1+n.script.Intn(1500)) * time.Millisecond
 	class := policy.ClassID(n.script.Intn(2))
 	request := n.dispatcher.Submit(RequestSpec{Class: class, Plan: policy.PlanID(n.script.Intn(2)),
-		Tenant: policy.TenantID(number % 3), Timeout: timeout, Units: 1, EntryPoints: 1})
+		Tenant: policy.TenantID(number % 3), Remaining: timeout, Units: 1, EntryPoints: 1})
 	clientLeaves := n.script.Intn(10) == 0
 	attempts := n.randomAttempts()
 	go checkEnd(n.t, request, timeout, clientLeaves, attempts)
--- a/internal/dispatch/timers.go
+++ b/internal/dispatch/timers.go
@@ -54,8 +54,8 @@
 // pushDeadlines sets the timers of a new attempt. One to start is needed only if it expires before the one that
 // ends the attempt anyway.
 func (d *Dispatcher) pushDeadlines(attempt *Attempt) {
-	d.timers.Push(attempt.deadline, timer{kind: resultDeadline, attempt: attempt})
-	if attempt.startBefore.Before(attempt.deadline) {
+	d.timers.Push(attempt.resultDueAt, timer{kind: resultDeadline, attempt: attempt})
+	if attempt.startBefore.Before(attempt.resultDueAt) {
 		d.timers.Push(attempt.startBefore, timer{kind: startDeadline, attempt: attempt})
 	}
 }
--- a/internal/frontend/request.go
+++ b/internal/frontend/request.go
@@ -78,7 +78,7 @@
 		Class:         head.class,
 		Plan:          plan,
 		Tenant:        head.tenant,
-		Timeout:       head.remaining - c.waited(),
+		Remaining:     head.remaining - c.waited(),
 		Units:         head.units,
 		EntryPoints:   head.entryPoints,
 		FirstInstance: head.firstInstance,
--- a/internal/lab/model/instance.go
+++ b/internal/lab/model/instance.go
@@ -52,11 +52,11 @@
 		StartedAt: b.startedAt,
 	})
 	endpoint := policy.Endpoint{
-		Backend:  policy.BackendID(b.index + 1),
-		Zone:     policy.ZoneID(b.index % w.scenario.Backends.Zones),
-		Group:    policy.GroupID(b.index % w.scenario.Backends.Groups),
-		Capacity: 1,
-		State:    b.state,
+		Backend: policy.BackendID(b.index + 1),
+		Zone:    policy.ZoneID(b.index % w.scenario.Backends.Zones),
+		Group:   policy.GroupID(b.index % w.scenario.Backends.Groups),
+		Weight:  1,
+		State:   b.state,
 	}
 	if !b.startedAt.IsZero() {
 		endpoint.StartedAt = b.startedAt.Add(epoch)
--- a/internal/limitserver/check_arguments.go
+++ b/internal/limitserver/check_arguments.go
@@ -31,7 +31,7 @@
 		Class:       s.Class,
 		Plan:        plan,
 		Tenant:      tenant,
-		Timeout:     s.Timeout,
+		Remaining:   s.Timeout,
 		Units:       1,
 		EntryPoints: s.instances(),
 	}
--- a/internal/limitserver/equivalence_test.go
+++ b/internal/limitserver/equivalence_test.go
@@ -143,7 +143,7 @@
 	id, units := n%tenants, 1+n%3
 	request := forwarding.dispatcher.Submit(dispatch.RequestSpec{
 		Tenant:      policy.TenantID(id),
-		Timeout:     750 * time.Millisecond,
+		Remaining:   750 * time.Millisecond,
 		Units:       float64(units),
 		EntryPoints: 2,
 	})
--- a/internal/simadapter/messages.go
+++ b/internal/simadapter/messages.go
@@ -129,7 +129,7 @@
 	f.Uint8() // the kind of machine: the answer times show it
 	endpoint.Group = policy.GroupID(f.Uint16())
 	state = f.Uint8()
-	endpoint.Capacity = f.Float32()
+	endpoint.Weight = f.Float32()
 	endpoint.StartedAt = instantOf(f.Float64())
 	switch state {
 	case stateDraining:
--- a/policy/abandonment.go
+++ b/policy/abandonment.go
@@ -10,7 +10,7 @@
 const (
 	// abandonmentSamples is how many clients of a plan the shares reach back over.
 	abandonmentSamples = 20
-	// abandonmentThreshold is the part of a plan's clients from which on answers are due before they leave.
+	// abandonmentThreshold is the left share from which on a plan's answers are due before its clients leave.
 	abandonmentThreshold = 0.3
 	// abandonmentFadePerTick halves what is known in about seven seconds, so that a burst of clients who leave is
 	// forgotten.
@@ -19,26 +19,28 @@
 	minTimeAbandoned = 10 * time.Millisecond
 )
 
-// abandonment is how many of a plan's clients leave before their deadline, and when.
+// abandonment is how many of a plan's clients leave before their deadline, and when. Clients that are rejected
+// are not counted, as it is not known how long they would have stayed. There is no minimum: the share is 1
+// after the first client has left.
 type abandonment struct {
-	share estimate.Mean // of the clients
-	wait  estimate.Mean // in nanoseconds
+	leftShare estimate.Mean // of the clients that left or got an answer from a backend
+	wait      estimate.Mean // until they left, in nanoseconds
 }
 
-func (a *abandonment) recordStayed() { a.share.Add(0, abandonmentSamples) }
+func (a *abandonment) recordStayed() { a.leftShare.Add(0, abandonmentSamples) }
 
 func (a *abandonment) recordLeft(wait time.Duration) {
-	a.share.Add(1, abandonmentSamples)
+	a.leftShare.Add(1, abandonmentSamples)
 	a.wait.Add(float64(wait), abandonmentSamples)
 }
 
-func (a *abandonment) fade() { a.share.Value *= abandonmentFadePerTick }
+func (a *abandonment) fade() { a.leftShare.Value *= abandonmentFadePerTick }
 
 // answerDue returns when the request's answer is due: by the latency objective, and before the plan's clients
 // likely leave, so that nothing is sent that cannot be answered in time.
 func (r *Request) answerDue(now Instant) Instant {
 	due := monotime.Earlier(now.Add(r.class.LatencyObjective), r.deadline)
-	if r.plan.abandonment.share.Value > abandonmentThreshold {
+	if r.plan.abandonment.leftShare.Value > abandonmentThreshold {
 		wait := time.Duration(r.plan.abandonment.wait.Value)
 		due = monotime.Earlier(due, now.Add(wait))
 	}
--- a/policy/abandonment_test.go
+++ b/policy/abandonment_test.go
@@ -33,7 +33,7 @@
 	if sent > 30 { // a client who stays for 240 ms is not worth an attempt where answers take longer
 		t.Errorf("%d of 40 sent to backends that do not answer before their clients leave", sent)
 	}
-	share, wait := h.engine.plans[0].abandonment.share.Value, h.engine.plans[0].abandonment.wait.Value
+	share, wait := h.engine.plans[0].abandonment.leftShare.Value, h.engine.plans[0].abandonment.wait.Value
 	if share < 0.3 || time.Duration(wait) > 250*time.Millisecond {
 		t.Errorf("%.2f leave, after %.0f ms", share, wait/1e6)
 	}
@@ -55,8 +55,8 @@
 		h.advance(10 * time.Millisecond)
 		h.endAttempt(request, 0, Canceled)
 	}
-	if h.engine.plans[0].abandonment.share.Value < 0.3 {
-		t.Fatalf("%.2f left", h.engine.plans[0].abandonment.share.Value)
+	if h.engine.plans[0].abandonment.leftShare.Value < 0.3 {
+		t.Fatalf("%.2f left", h.engine.plans[0].abandonment.leftShare.Value)
 	}
 	served, last := 0, 0
 	for n := range 200 { // twenty seconds, and none leaves
--- a/policy/admission.go
+++ b/policy/admission.go
@@ -22,8 +22,8 @@
 	}
 	r.class = &e.classes[spec.Class]
 	r.plan = &e.plans[spec.Plan]
-	r.tenant = e.findOrAddTenant(now, spec.Tenant, r)
-	r.objectiveAt = r.answerDue(now)
+	r.tenant = e.tenantFor(now, spec.Tenant, r)
+	r.answerDueAt = r.answerDue(now)
 	r.checkAdmission(now)
 	return r
 }
@@ -85,9 +85,9 @@
 	}
 }
 
-// finishCheck admits a request of a class that only counts. Nothing is sent, and what was counted stays.
+// finishCheck admits a request of a class that only counts. Nothing is sent, and what was counted stays counted.
 func (r *Request) finishCheck() {
-	r.withinQuota = false
+	r.withinQuota = false // so that finish gives nothing back
 	r.hardQuotaUnits = 0
 	r.finish()
 	r.engine.effects.Admit(r.id)
--- a/policy/attempt.go
+++ b/policy/attempt.go
@@ -19,7 +19,9 @@
 	baselineSample bool // one of the first attempts of the instance
 }
 
-// mayAttempt reports whether an attempt may go to a backend: rules 1 to 4 are checked here and nowhere else.
+// mayAttempt reports whether an attempt may go to a backend: rules 1 to 4 are checked here when a backend is picked,
+// and again when the attempt is sent. While an attempt waits for its connection, package dispatch keeps rules 2
+// and 3 by AttemptSpec.StartBefore and by the endpoint list.
 func (r *Request) mayAttempt(now Instant, b *backend) bool {
 	return r.awaitsAnswer(now) && // rule 1
 		r.hasAttemptLeft() && r.mayRunAt(now, b) && // rule 2
--- a/policy/backend.go
+++ b/policy/backend.go
@@ -16,7 +16,7 @@
 	startedAt Instant // zero: long ago
 	ready     bool
 	gone      bool
-	capacity  float64 // relative to the others
+	weight    float64 // stated capacity, relative to the others
 	distance  float64 // fair shares of instances between this instance's own and the backend's
 
 	inFlight        int
@@ -24,10 +24,10 @@
 	lastAnswerAt    Instant
 	lastSlowStartAt Instant // when it got its last attempt since its start, while warming up; zero: none yet
 
-	outlier          outlierState
-	latency          backendLatency
-	concurrencyLimit float64 // attempts in flight that it takes before backends ranked behind it
-	rank             rank
+	outlier           outlierState
+	latency           backendLatency
+	preferredInFlight float64 // attempts of this instance that it takes before backends ranked behind it
+	rank              rank
 }
 
 // update copies the backend's entry of the endpoint list. Without a stated capacity all backends are equal.
@@ -37,7 +37,7 @@
 	b.startedAt = endpoint.StartedAt
 	b.ready = endpoint.State == EndpointReady
 	b.gone = endpoint.State == EndpointGone
-	b.capacity = cmp.Or(max(endpoint.Capacity, 0), 1)
+	b.weight = cmp.Or(max(endpoint.Weight, 0), 1)
 }
 
 // reset forgets what is known about the backend's earlier incarnation. What was estimated at the last ranking
@@ -59,18 +59,18 @@
 	return b, found
 }
 
-// ring returns the ready backends in an order that all instances share, and their total capacity.
-func (e *Engine) ring() (ring []*backend, capacity float64) {
+// ring returns the ready backends in an order that all instances share, and their total weight.
+func (e *Engine) ring() (ring []*backend, weight float64) {
 	for _, b := range e.endpoints {
 		if b.ready {
 			ring = append(ring, b)
-			capacity += b.capacity
+			weight += b.weight
 		}
 	}
 	slices.SortFunc(ring, func(a, b *backend) int {
 		return cmp.Compare(hash64.Mix(uint64(a.id)), hash64.Mix(uint64(b.id)))
 	})
-	return ring, capacity
+	return ring, weight
 }
 
 // markAllGone marks all backends as gone before a snapshot: those that it does not list stay so.
--- a/policy/baseline.go
+++ b/policy/baseline.go
@@ -3,7 +3,8 @@
 import "time"
 
 const (
-	// baselineSamples is how many first attempts show the latency without a queue. Half of them suffice.
+	// baselineSamples is how many first attempts of an instance show the latency without a queue. Where fewer than
+	// half of them succeed, the baseline is never known.
 	baselineSamples = 30
 	// The baseline falls to a faster fleet in about a second, and rises to a slower one in about a minute, or in
 	// two seconds while the fleet is not loaded. Each is the part of the difference made up in a tick.
@@ -35,5 +36,5 @@
 // rejected lately: then a higher latency is the fleet's own, for example while it warms up.
 func (e *Engine) fleetNotLoaded(now Instant) bool {
 	inFlight := e.throughput.perSecond * e.latency.mean.Value // attempts, times a second in nanoseconds
-	return now.Sub(e.lastRejectionAt) > unrejectedTime && inFlight < e.fairSharePerBackend()*float64(time.Second)
+	return now.Sub(e.lastRejectionAt) > unrejectedTime && inFlight < e.backendsPerInstance()*float64(time.Second)
 }
--- a/policy/breaker.go
+++ b/policy/breaker.go
@@ -30,8 +30,9 @@
 	callShare float64 // of the requests that call while the breaker is closed
 }
 
-// mayCallCounter reports whether a call may be made now. If so, the caller must make it.
-func (e *Engine) mayCallCounter(now Instant) bool {
+// claimCounterCall reports whether a call may be made now. If so, the caller must make it: an open breaker becomes
+// half-open by it, and the share of requests that call is drawn at random.
+func (e *Engine) claimCounterCall(now Instant) bool {
 	if !e.breaker.IsClosed() {
 		return e.breaker.TryHalfOpen(now)
 	}
@@ -42,7 +43,10 @@
 	return share >= 1 || e.random.Float64() < share
 }
 
-// recordCounterCall updates the breaker and the share of requests that call by how a call ended.
+// recordCounterCall updates the breaker and the share of requests that call by how a call ended for its request:
+// a call whose answer took longer than the request waits has failed, whatever comes later. Calls that only
+// correct a count are not recorded. While the breaker is open, a success of an earlier call closes it at once,
+// and a further failure keeps it open for longer.
 func (e *Engine) recordCounterCall(now Instant, outcome Outcome) {
 	// Drawn for a success too: recorded runs depend on the order of draws.
 	jitter := time.Duration(e.random.Float64() * float64(breakerJitter))
--- a/policy/capacity.go
+++ b/policy/capacity.go
@@ -9,12 +9,13 @@
 const fullBudget budgetFactor = 1
 
 const (
-	// highLatencyRatio is how far above the likely latency few requests come: the budget for the likely latency
-	// is that part of the time that is left.
+	// highLatencyRatio is the multiple of the likely latency that few attempts exceed: the budget for the likely
+	// latency is the time that is left over this ratio.
 	highLatencyRatio = 2.5
 	// maxBaselineRatio bounds the budget by the latency of an idle fleet, whatever the objective allows.
 	maxBaselineRatio = 2.5
-	// maxBaseInFlight is how many attempts an instance may have in flight before anything is measured.
+	// maxBaseInFlight bounds the attempts in flight, beside one for each of this instance's backends, before anything
+	// is measured.
 	maxBaseInFlight = 2
 	// throughputMargin lets the attempts in flight exceed what the throughput accounts for, so that it can grow.
 	throughputMargin = 1.3
@@ -36,7 +37,7 @@
 // Inputs: the time left to the objective, the request's units. Result: nanoseconds.
 func (e *Engine) latencyBudget(now Instant, r *Request, factor budgetFactor) float64 {
 	extra := (e.relativeCost(r.units) - 1) * e.latency.mean.Value
-	budget := (float64(r.objectiveAt.Sub(now)) - extra) / highLatencyRatio
+	budget := (float64(r.answerDueAt.Sub(now)) - extra) / highLatencyRatio
 	if e.baselineKnown() {
 		budget = min(budget, maxBaselineRatio*e.latency.baseline.Value)
 	}
@@ -44,13 +45,13 @@
 }
 
 // atInFlightLimit reports whether this instance has as many attempts in flight as it may, overdue ones not
-// counted: one or two, plus its part of one for each backend, plus throughputMargin times what it answers
-// within the budget.
+// counted: one or two, plus one for each of its backends, plus throughputMargin times what it answers within
+// the budget.
 //
-// Inputs: the latency budget in nanoseconds, the throughput in answers a second, the fair share in attempts.
+// Inputs: the latency budget in nanoseconds, the throughput in answers a second, the backends for each instance.
 func (e *Engine) atInFlightLimit(budget float64) bool {
-	fairShare := e.fairSharePerBackend()
-	base := min(maxBaseInFlight, 1+fairShare) + fairShare
+	ownBackends := e.backendsPerInstance()
+	base := min(maxBaseInFlight, 1+ownBackends) + ownBackends
 	limit := base + throughputMargin*e.throughput.perSecond*budget/float64(time.Second)
 	return float64(e.promptInFlight) >= limit
 }
@@ -62,8 +63,8 @@
 	return b.latency.estimate * queue / (max(b.latency.concurrency, 1) + unseenAttempts)
 }
 
-// load returns how full one more attempt would make the backend, as a share of its concurrency limit.
-func (b *backend) load() float64 { return float64(b.inFlight+1) / b.concurrencyLimit }
+// load returns how full one more attempt would make the backend: above 1, those ranked behind it go first.
+func (b *backend) load() float64 { return float64(b.inFlight+1) / b.preferredInFlight }
 
 // loadAt returns the backend's load for the request; each earlier attempt of the request there adds triedLoad.
 func (r *Request) loadAt(b *backend) float64 {
--- a/policy/counter_call.go
+++ b/policy/counter_call.go
@@ -12,8 +12,8 @@
 	counterTimeoutPercent = 80
 	// minCounterWait is the shortest wait, for objectives that leave less.
 	minCounterWait = time.Millisecond
-	// minCallShare bounds for how many requests one call may count: a fifth of the share is five requests.
-	minCallShare = 0.2
+	// maxRequestsPerCall bounds for how many requests one call may count.
+	maxRequestsPerCall = 5
 )
 
 // counterCall is one unanswered call to the counter.
@@ -23,7 +23,7 @@
 	windowStart Instant  // of the window that the count belongs to
 	amount      float64  // units that were added
 	units       float64  // units of the request and of the requests that it stands for
-	reconciled  float64  // the window's reconciled units when the call was made
+	corrections float64  // the window's corrections when the call was made
 	attempts    int      // attempts in flight that were added
 	waiting     bool     // the answer decides the request
 	admitted    bool     // the request was admitted
@@ -70,7 +70,9 @@
 
 // uncountedPerCall returns for how many requests without a call each call stands: an overloaded counter gets
 // calls for a share of the requests only (breaker.go).
-func (e *Engine) uncountedPerCall() float64 { return 1/max(e.breaker.callShare, minCallShare) - 1 }
+func (e *Engine) uncountedPerCall() float64 {
+	return min(1/e.breaker.callShare, maxRequestsPerCall) - 1
+}
 
 // countedUnits are the units that a call adds to a count: those of the request and of the requests that it
 // stands for, and a correction of the count, which may be negative.
@@ -86,7 +88,7 @@
 		windowStart: w.start,
 		amount:      units.own + units.correction,
 		units:       units.own,
-		reconciled:  w.reconciled,
+		corrections: w.corrections,
 		attempts:    t.inFlight + t.waiting - w.reportedInFlight,
 		waiting:     r != nil,
 	}
@@ -99,7 +101,7 @@
 
 // reportEndedAttempts counts the end of the tenant's attempts, if the counter may be called.
 func (e *Engine) reportEndedAttempts(now Instant, t *tenant) {
-	if t.hasStaleInFlight(now) && e.breaker.IsClosed() && e.mayCallCounter(now) {
+	if t.hasStaleInFlight(now) && e.breaker.IsClosed() && e.claimCounterCall(now) {
 		e.count(now, t, nil, countedUnits{})
 	}
 }
@@ -118,17 +120,18 @@
 
 // countTotal is a count's total as an answer gave it.
 type countTotal struct {
-	units    float64 // with lost units, as far as known
+	units    float64 // as answered; lost units are added as far as they are known
 	refilled float64 // units that the rate has refilled since the window's start
 	inFlight float64 // the tenant's attempts in flight at all instances
 }
 
-// handleCounterTotal processes the total of a count. The total lacks refill that the burst cannot hold, what
-// the last window left used, and what was lost by a counter that came back empty.
+// handleCounterTotal processes the total of a count. Three things are added to the answer: refill beyond a full
+// bucket, what the last window left used, and units that an emptied counter lost. The answer to a call of an
+// earlier window decides its request with the lost units of the current one, and is not stored.
 func (e *Engine) handleCounterTotal(now Instant, call *counterCall, answer float64) {
 	t := call.tenant
 	total := t.plan.splitTotal(answer)
-	total.units += t.window.reconciled - call.reconciled // reconciled since the call was made
+	total.units += t.window.corrections - call.corrections // added since the call was made
 	total.refilled = t.refilled(now, call.windowStart)
 	countsCurrentWindow := call.windowStart == t.window.start
 	isObserved := call.request != nil && countsCurrentWindow
@@ -173,7 +176,7 @@
 	t.window.total = total
 	t.window.counterTotal = total - t.window.lostUnits
 	if math.Abs(correction) > roundingTolerance || t.hasStaleInFlight(now) {
-		t.window.reconciled += correction
+		t.window.corrections += correction
 		e.count(now, t, nil, countedUnits{correction: correction})
 	}
 }
@@ -198,7 +201,7 @@
 }
 
 // likelyAdded reports whether a call that failed was likely added all the same: by a counter whose answer was
-// spoilt, or by one that is slow but does answer.
+// malformed (ConnectionLost), or by one that is slow but does answer.
 func (e *Engine) likelyAdded(outcome Outcome) bool {
 	return outcome == ConnectionLost || outcome == TimedOut && e.breaker.IsClosed()
 }
--- a/policy/doc.go
+++ b/policy/doc.go
@@ -6,7 +6,8 @@
 // there is no clock, no goroutine and no I/O here. Equal seeds and equal calls give equal effects.
 //
 //   - [New] makes an [Engine] from the [Settings], and [Engine.UpdateSettings] replaces them.
-//   - [Engine.UpdateEndpoints] feeds it the list of backends.
+//   - [Engine.UpdateEndpoints] feeds it the list of backends. Where lists are polled the engine asks for the first
+//     one by [Effects].WatchEndpoints; where they are pushed, the caller starts the watch.
 //   - [Engine.Submit] takes a request and returns its handle. [Request.HandleAttemptResult],
 //     [Request.HandleResponseStarted] and [Request.HandleClientGone] are called on that handle until
 //     [Request.Done].
@@ -23,11 +24,11 @@
 // calls to a counter that fails, and the request's class then decides by its [FallbackMode]: by this
 // instance's local share of the quota, fail open or fail closed. What is admitted goes to the first backend
 // of a ranked order that is below its concurrency limit. Only Request.sendAttempt sends, and only
-// Request.abortUnknown, Request.giveUp, Request.HandleAttemptResult, Request.HandleClientGone and
+// Request.abortUnknown, Request.giveUp, Request.continueAfter, Request.HandleClientGone and
 // Request.finishCheck finish a request.
 //
 // Comments that say "rule 1" to "rule 5" mean the rules that package internal/lab/invariants checks: one
-// final answer (1), nothing that must not runs twice (2), no attempt to a backend that has drained (3), no
+// final answer (1), no request that must not runs twice (2), no attempt to a backend that has drained (3), no
 // overload of a backend that warms up (4), and no admission beyond a hard quota (5). docs/design.md says which
 // published design the package follows, and where it departs from it.
 //
--- a/policy/endpoints.go
+++ b/policy/endpoints.go
@@ -29,8 +29,9 @@
 	e.rankBackends(now)
 }
 
-// updateEndpoint adds or updates a backend. A new one gets a random due time, so that instances do not all
-// begin with the same one.
+// updateEndpoint adds or updates a backend. A new one gets a random due time, so that instances do not all begin
+// with the same one. A backend that is listed as ready with another start is a new incarnation, of which nothing
+// is known.
 func (e *Engine) updateEndpoint(now Instant, endpoint Endpoint) {
 	b, found := e.findOrAddBackend(endpoint.Backend)
 	if !found {
@@ -48,15 +49,15 @@
 // many fair shares lie between each and this instance's own. An instance fills its own share first, so that
 // instances spread over the backends without messages between them.
 func (e *Engine) assignShares() {
-	ring, capacity := e.ring()
-	share := capacity / float64(e.instances())
+	ring, weight := e.ring()
+	share := weight / float64(e.instances())
 	position := -share * float64(e.settings.InstanceIndex)
 	for _, b := range ring {
 		away := position
 		if away < 0 {
-			away += capacity
+			away += weight
 		}
-		b.distance = math.Floor(away/max(share, capacity/float64(len(ring))) + shareTolerance)
-		position += b.capacity
+		b.distance = math.Floor(away/max(share, weight/float64(len(ring))) + shareTolerance)
+		position += b.weight
 	}
 }
--- a/policy/engine.go
+++ b/policy/engine.go
@@ -45,7 +45,7 @@
 
 	latency        fleetLatency
 	throughput     throughput
-	capacity       readyCapacity
+	ready          readyBackends
 	inFlight       int // attempts
 	promptInFlight int // those that are not overdue
 	attemptsSent   int // since the instance started
@@ -54,7 +54,8 @@
 	lastRejectionAt Instant // when any backend last rejected an attempt
 }
 
-// New returns the Engine of one instance and schedules its first work.
+// New returns the Engine of one instance and schedules its first work. Where lists are polled that includes the
+// first poll; where they are pushed, the caller starts the watch.
 func New(options Options) *Engine {
 	e := &Engine{
 		effects:      options.Effects,
@@ -73,13 +74,14 @@
 	return e
 }
 
-// UpdateSettings replaces the settings. It only adds rows of classes and plans: open requests keep theirs.
+// UpdateSettings replaces the settings. It only adds rows of classes and plans: open requests keep theirs, and old
+// classes their wait for the counter. The backoff of the endpoint watch starts anew.
 func (e *Engine) UpdateSettings(settings Settings) {
 	e.settings = settings
 	e.watchRetryDelay = settings.DiscoveryTimeouts().RetryDelay
 	for _, row := range settings.Classes[len(e.classes):] {
 		e.classes = append(e.classes, newClass(row, settings.CounterTimeout))
-		e.latency.assumeFor(row.LatencyObjective)
+		e.latency.boundIdleFloor(row.LatencyObjective)
 	}
 	for _, row := range settings.Plans[len(e.plans):] {
 		e.plans = append(e.plans, newPlan(row))
@@ -99,7 +101,7 @@
 // instances returns the number of instances, at least 1.
 func (e *Engine) instances() int { return max(e.settings.Instances, 1) }
 
-// fairSharePerBackend returns an instance's part of one attempt at each backend.
-func (e *Engine) fairSharePerBackend() float64 {
-	return e.capacity.effectiveBackends / float64(e.instances())
+// backendsPerInstance returns how many ready backends, each weighted by its warmth, there are for each instance.
+func (e *Engine) backendsPerInstance() float64 {
+	return e.ready.effectiveBackends / float64(e.instances())
 }
--- a/policy/engine_test.go
+++ b/policy/engine_test.go
@@ -118,11 +118,11 @@
 
 func (d *randomDay) updateSomeEndpoint() {
 	endpoint := Endpoint{
-		Backend:  BackendID(1 + d.random.IntN(6)),
-		Capacity: d.random.Float64(),
-		State:    EndpointState(d.random.IntN(3)),
-		Zone:     ZoneID(d.random.IntN(2)),
-		Group:    GroupID(d.random.IntN(2)),
+		Backend: BackendID(1 + d.random.IntN(6)),
+		Weight:  d.random.Float64(),
+		State:   EndpointState(d.random.IntN(3)),
+		Zone:    ZoneID(d.random.IntN(2)),
+		Group:   GroupID(d.random.IntN(2)),
 	}
 	if d.likely() {
 		endpoint.StartedAt = d.now.Add(-time.Duration(d.random.IntN(9000)) * time.Millisecond)
--- a/policy/fleet_test.go
+++ b/policy/fleet_test.go
@@ -264,7 +264,7 @@
 func (b *fleetBackend) statedStart() Instant { return b.started.Add(b.ahead) }
 
 func (b *fleetBackend) listed() Endpoint {
-	endpoint := Endpoint{Backend: b.id, Capacity: b.size, StartedAt: b.statedStart(), State: EndpointGone}
+	endpoint := Endpoint{Backend: b.id, Weight: b.size, StartedAt: b.statedStart(), State: EndpointGone}
 	if b.up {
 		endpoint.State = EndpointReady
 	}
--- a/policy/golden_world_test.go
+++ b/policy/golden_world_test.go
@@ -163,7 +163,7 @@
 		Backend:   policy.BackendID(b.id),
 		Zone:      policy.ZoneID(b.zone),
 		Group:     policy.GroupID(b.group),
-		Capacity:  b.size,
+		Weight:    b.size,
 		State:     b.state,
 		StartedAt: monotime.FromNanos(b.started),
 	}
--- a/policy/harness_test.go
+++ b/policy/harness_test.go
@@ -117,11 +117,11 @@
 func readyEndpoints(ids ...BackendID) (list []Endpoint) {
 	for _, id := range ids {
 		list = append(list, Endpoint{
-			Backend:  id,
-			State:    EndpointReady,
-			Capacity: 1,
-			Group:    GroupID(id % 2),
-			Zone:     ZoneID(id % 2),
+			Backend: id,
+			State:   EndpointReady,
+			Weight:  1,
+			Group:   GroupID(id % 2),
+			Zone:    ZoneID(id % 2),
 		})
 	}
 	return list
--- a/policy/hedging.go
+++ b/policy/hedging.go
@@ -3,11 +3,12 @@
 import "time"
 
 const (
-	// stallRatio is how many times the usual latency few attempts take: one that does is overdue, and stalled if
-	// its backend has answered nothing since.
+	// stallRatio is the multiple of the usual latency that few attempts exceed. An attempt is overdue then, within
+	// the bounds below, and stalled if it has taken that long and its backend has answered nothing since.
 	stallRatio = 5
 	// minTimeoutPercent and maxTimeoutPercent bound the attempt timeout, as parts of the latency objective:
-	// overload must show by then, and beyond it too little time is left for another attempt.
+	// overload must show by then, and beyond it too little time is left for another attempt. Where the usual
+	// latency exceeds a seventh of the objective, the upper bound comes first, and no attempt counts as stalled.
 	minTimeoutPercent = 40
 	maxTimeoutPercent = 70
 )
@@ -23,7 +24,7 @@
 }
 
 // handleOverdue measures an overdue attempt, and ejects its backend if it stalls: then a hedged attempt
-// follows, or a retry after the cancellation.
+// follows, or a retry after the cancellation. It runs once for an attempt, when its timeout is over.
 func (r *Request) handleOverdue(now Instant, id int) {
 	e, a := r.engine, r.attempts[id]
 	a.overdue = true
@@ -42,8 +43,8 @@
 	r.replaceStalled(now, AttemptID(id))
 }
 
-// replaceStalled sends a hedged attempt beside a stalled one, or else cancels the stalled one, so that a retry
-// follows on its end. It does neither if another attempt is in flight already, if no time is left, or if a
+// replaceStalled sends a hedged attempt beside a stalled one or, where hedging is not allowed, cancels the
+// stalled one, so that a retry follows on its end. It does neither if another attempt is in flight already, if no time is left, or if a
 // later rejection could not promise that nothing ran twice.
 func (r *Request) replaceStalled(now Instant, id AttemptID) {
 	e := r.engine
--- a/policy/internal/tokenbucket/tokenbucket.go
+++ b/policy/internal/tokenbucket/tokenbucket.go
@@ -33,9 +33,16 @@
 	u.UpdatedAt = now
 }
 
-// UnrefilledAt scales the usage, which is the given share (above 0, at most 1) of a tenant's traffic, up to all
-// of the traffic. It returns how many units of it are not refilled at an instant, at a rate in units a second for
-// all of the traffic. It changes nothing.
-func (u *Usage) UnrefilledAt(now monotime.Instant, share, rate float64) float64 {
-	return max(u.Units/share-monotime.Accrued(rate, now.Sub(u.UpdatedAt)), 0)
+// Traffic is all of the traffic of which a Usage holds a part.
+type Traffic struct {
+	// Share is the part of the traffic that the Usage holds, above 0 and at most 1.
+	Share float64
+	// Rate is the refill of all of the traffic, in units a second.
+	Rate float64
+}
+
+// UnrefilledOf scales the usage up to all of the traffic, and returns how many units of that are not refilled at
+// an instant. It changes nothing.
+func (u *Usage) UnrefilledOf(traffic Traffic, now monotime.Instant) float64 {
+	return max(u.Units/traffic.Share-monotime.Accrued(traffic.Rate, now.Sub(u.UpdatedAt)), 0)
 }
--- a/policy/internal/tokenbucket/tokenbucket_test.go
+++ b/policy/internal/tokenbucket/tokenbucket_test.go
@@ -28,7 +28,7 @@
 
 func TestUsage_RefillsDownToZero(t *testing.T) {
 	u := Usage{Units: 5, UpdatedAt: atSecond(1)}
-	if got := u.UnrefilledAt(atSecond(2), 0.5, 4); got != 6 {
+	if got := u.UnrefilledOf(Traffic{Share: 0.5, Rate: 4}, atSecond(2)); got != 6 {
 		t.Errorf("%g unrefilled of the whole, want 6", got)
 	}
 	if u.Units != 5 || u.UpdatedAt != atSecond(1) {
--- a/policy/latency.go
+++ b/policy/latency.go
@@ -16,18 +16,18 @@
 	fleetSampleSeconds = 2
 	minFleetSamples    = 8
 	maxFleetSamples    = 30
-	// maxStallRatio bounds what a stalled backend adds to the fleet's latency: a few stalls say little about the
-	// others.
-	maxStallRatio = 3
+	// maxFleetSampleRatio bounds what a single latency adds to the fleet's, in estimates of its backend: a few stalls
+	// say little about the others.
+	maxFleetSampleRatio = 3
 	// costSamples is how many answers the relation of latency and units reaches back over. As many as
 	// costPriorSamples are taken to show no relation.
 	costSamples      = 200
 	costPriorSamples = 20
 	// minRelativeCost bounds the cost of small requests from below.
 	minRelativeCost = 0.25
-	// assumedLatencyDivisor divides the latency objective: a fifth of the tightest one is assumed while no latency
-	// is measured.
-	assumedLatencyDivisor = 5
+	// idleFloorDivisor divides the latency objective: an idle instance does not forget the fleet's latency below a
+	// fifth of the tightest one.
+	idleFloorDivisor = 5
 
 	// idleTime is for how long nothing has to be answered, with nothing in flight, for measurements to be
 	// forgotten faster.
@@ -40,10 +40,11 @@
 
 // fleetLatency is what is known about the latency of the backends together, in nanoseconds.
 type fleetLatency struct {
-	mean     estimate.Mean       // of recent attempts, at the mean cost
+	mean     estimate.Mean       // of recent attempts, at the mean cost; 0: none is measured, and all backends look fast
 	byUnits  estimate.Regression // of the latency over the units
 	baseline estimate.Mean       // of moments without a queue; the count is of the first attempts
-	assumed  float64             // while nothing better is known
+	// idleFloor is the least latency that fadeIdle leaves, unless the baseline is lower.
+	idleFloor float64
 }
 
 // backendLatency is what is known about one backend's latency, in nanoseconds.
@@ -53,10 +54,10 @@
 	estimate    float64       // as the ranking has it; 0: unknown
 }
 
-// assumeFor takes a class's latency objective into account for the latency that is assumed.
-func (f *fleetLatency) assumeFor(objective time.Duration) {
-	assumed := float64(objective) / assumedLatencyDivisor
-	f.assumed = min(cmp.Or(f.assumed, math.Inf(1)), assumed)
+// boundIdleFloor takes a class's latency objective into account for the idle floor.
+func (f *fleetLatency) boundIdleFloor(objective time.Duration) {
+	floor := float64(objective) / idleFloorDivisor
+	f.idleFloor = min(cmp.Or(f.idleFloor, math.Inf(1)), floor)
 }
 
 // measure takes a latency into account, in nanoseconds at the mean cost, that was measured at a backend with a
@@ -66,7 +67,7 @@
 	own.mean.Add(latency, backendSamples)
 	own.concurrency += (concurrency - own.concurrency) / own.mean.Count
 	if own.estimate > 0 {
-		latency = min(latency, maxStallRatio*own.estimate)
+		latency = min(latency, maxFleetSampleRatio*own.estimate)
 	}
 	samples := min(max(fleetSampleSeconds*e.throughput.perSecond, minFleetSamples), maxFleetSamples)
 	e.latency.mean.Add(latency, samples)
@@ -82,8 +83,9 @@
 
 // fadeMeasurements forgets single backends, and clients that leave. An idle instance also forgets the fleet's
 // latency: one that took overload for lasting would not send, and so would not measure. With attempts in
-// flight it does measure, and silence is overload. Forgetting stops at the baseline, or at the assumed latency
-// if overload came first: otherwise all would look fast in the end, and late answers stalled.
+// flight it does measure, and silence is overload. Forgetting stops at the idle floor or at a lower baseline:
+// otherwise all would look fast in the end, and late answers stalled. A baseline of 0, before the first answer,
+// sets no such bound.
 func (e *Engine) fadeMeasurements(now Instant) {
 	fade := backendFadePerTick
 	if now.Sub(e.lastAnswerAt) > idleTime && e.inFlight == 0 {
@@ -98,8 +100,8 @@
 	}
 }
 
-// fadeIdle lowers the fleet's latency towards the baseline or the assumed latency, whichever is lower.
+// fadeIdle lowers the fleet's latency towards the baseline or the idle floor, whichever is lower.
 func (f *fleetLatency) fadeIdle() {
-	floor := min(f.mean.Value, f.baseline.Value, f.assumed)
+	floor := min(f.mean.Value, f.baseline.Value, f.idleFloor)
 	f.mean.Value = max(f.mean.Value*idleFadePerTick, floor)
 }
--- a/policy/local_share.go
+++ b/policy/local_share.go
@@ -1,5 +1,7 @@
 package policy
 
+import "fawnplank/policy/internal/tokenbucket"
+
 const (
 	// tenantAdmittedSamples and planAdmittedSamples are how many answers of the counter the admitted shares
 	// reach back over. A tenant's is short, since tenants change in seconds.
@@ -24,21 +26,22 @@
 // capacity that requests without a count leave to the others. One request per instance would add up past small
 // quotas, so a share below one request admits by chance.
 func (r *Request) localShareAdmits(now Instant) bool {
-	share := r.refillLocalUsage(now)
-	if r.tenant.localUsage.Units+r.units > share+roundingTolerance {
+	r.refillLocalUsage(now)
+	shareUnits := max(r.localShareUnits(), r.units)
+	if r.tenant.localUsage.Units+r.units > shareUnits+roundingTolerance {
 		return false
 	}
-	if r.leavesCapacityToCounted(now) {
+	if r.mustLeaveCapacity(now) {
 		return false
 	}
 	chance := r.localAdmitChance()
 	return chance >= 1 || r.engine.random.Float64() < chance
 }
 
-// leavesCapacityToCounted reports whether the request has to leave the backends' capacity to requests that
-// are counted: an uncounted one may be beyond the quota, which costs its value even if nobody answers it.
+// mustLeaveCapacity reports whether the request has to leave the backends' capacity to requests that are
+// counted: an uncounted one may be beyond the quota, which costs its value even if nobody answers it.
 // Behind an open breaker nothing is counted, so nothing has to go first.
-func (r *Request) leavesCapacityToCounted(now Instant) bool {
+func (r *Request) mustLeaveCapacity(now Instant) bool {
 	e := r.engine
 	countsOthers := e.settings.CounterEnabled && e.breaker.IsClosed()
 	return countsOthers && !r.class.CheckOnly && e.pickBackend(now, r, uncountedBudget) == nil
@@ -50,11 +53,11 @@
 //
 // Inputs: the quota and the request's size in units, this instance's share of the traffic. Result: 0 to 1.
 func (r *Request) localAdmitChance() float64 {
-	share := r.plan.quota * r.tenant.traffic.share(r.entryPoints) / r.units
-	if share+roundingTolerance >= 1 || !r.engine.settings.CounterEnabled {
-		return min(share+roundingTolerance, 1)
+	shareRequests := r.localShareUnits() / r.units
+	if shareRequests+roundingTolerance >= 1 || !r.engine.settings.CounterEnabled {
+		return min(shareRequests+roundingTolerance, 1)
 	}
-	ofPlan := (1 + r.plan.admittedShare.Blend(share, 1)) / 2
+	ofPlan := (1 + r.plan.admittedShare.Blend(shareRequests, 1)) / 2
 	return r.tenant.admittedShare.Blend(ofPlan, 1)
 }
 
@@ -64,17 +67,26 @@
 	t.plan.admittedShare.Add(share, planAdmittedSamples)
 }
 
-// refillLocalUsage refills the local usage and returns the instance's share of a window in units, at least the
-// request's. Few requests spread unevenly over many instances: a share below one request refills the faster
-// the less a unit beyond the quota costs.
-func (r *Request) refillLocalUsage(now Instant) (share float64) {
-	traffic := r.tenant.traffic.share(r.entryPoints)
-	rate, share := r.plan.Rate*traffic, r.plan.quota*traffic
-	if share+roundingTolerance < r.units {
+// localShareUnits returns this instance's share of a window's quota, in units.
+func (r *Request) localShareUnits() float64 {
+	return r.plan.quota * r.tenant.traffic.share(r.entryPoints)
+}
+
+// refillLocalUsage refills the local usage at this instance's share of the rate. Few requests spread unevenly over
+// many instances: a share below one request refills the faster the less a unit beyond the quota costs.
+func (r *Request) refillLocalUsage(now Instant) {
+	rate := r.plan.Rate * r.tenant.traffic.share(r.entryPoints)
+	if r.localShareUnits()+roundingTolerance < r.units {
 		rate *= max(smallShareRefill/max(r.plan.OverQuotaCost, minOverQuotaCost), 1)
 	}
 	r.tenant.localUsage.Refill(now, rate)
-	return max(share, r.units)
+}
+
+// unrefilledLocally estimates from this instance's usage how many units of all of the tenant's are not refilled at
+// an instant.
+func (t *tenant) unrefilledLocally(at Instant, entryPoints float64) float64 {
+	all := tokenbucket.Traffic{Share: t.traffic.share(entryPoints), Rate: t.plan.Rate}
+	return t.localUsage.UnrefilledOf(all, at)
 }
 
 // traffic is what the counter's totals showed lately of a tenant's traffic, in units.
--- a/policy/outlier.go
+++ b/policy/outlier.go
@@ -21,15 +21,16 @@
 
 // outlierState records what a backend's failures led to.
 type outlierState struct {
-	ejectedUntil      Instant // no attempts are sent before
-	ejections         int     // by eject, since the last success
-	consecutiveErrors int
+	// noAttemptsUntil ends an ejection, the pause after a rejection, or the wait for a health check.
+	noAttemptsUntil   Instant
+	ejections         int // by eject, since the last success
+	consecutiveErrors int // without a success between them; a rejection does not end the series
 }
 
-// isEjected reports whether the backend gets no attempt: it is ejected, or it was and one attempt in flight
-// already tries it.
-func (o *outlierState) isEjected(now Instant, inFlight int) bool {
-	return now.Before(o.ejectedUntil) || o.ejections > 0 && inFlight > 0
+// getsNoAttempt reports whether the backend gets no attempt now: it is ejected or paused, or it was ejected and
+// one attempt in flight already tries it.
+func (o *outlierState) getsNoAttempt(now Instant, inFlight int) bool {
+	return now.Before(o.noAttemptsUntil) || o.ejections > 0 && inFlight > 0
 }
 
 // recordSuccess ends the series of ejections. The current one lasts until its end.
@@ -41,7 +42,7 @@
 // pauseAfterRejection keeps attempts away from a full backend for rejectionPause. It is no ejection: a full
 // queue is no fault.
 func (o *outlierState) pauseAfterRejection(now Instant) {
-	o.ejectedUntil = monotime.Later(o.ejectedUntil, now.Add(rejectionPause))
+	o.noAttemptsUntil = monotime.Later(o.noAttemptsUntil, now.Add(rejectionPause))
 }
 
 // recordError counts an error, and ejects the backend at the consecutiveErrorThreshold.
@@ -53,26 +54,27 @@
 }
 
 // eject keeps attempts away from a backend for a time that doubles with each ejection, then has it checked
-// where the settings allow. Without health checks a single attempt tries the backend then.
+// where the settings allow. Without health checks a single attempt tries the backend then. A backend that gets
+// no attempts for the moment, for whatever reason, is not ejected again.
 func (e *Engine) eject(now Instant, b *backend) {
 	o := &b.outlier
-	if now.Before(o.ejectedUntil) {
+	if now.Before(o.noAttemptsUntil) {
 		return
 	}
 	o.ejections++
-	o.ejectedUntil = now.Add(minEjectionTime << min(o.ejections-1, maxEjectionDoublings))
+	o.noAttemptsUntil = now.Add(minEjectionTime << min(o.ejections-1, maxEjectionDoublings))
 	if e.settings.HealthChecks {
-		e.schedule(o.ejectedUntil, nil, func(now Instant) { e.checkEjected(now, b) })
+		e.schedule(o.noAttemptsUntil, nil, func(now Instant) { e.checkEjected(now, b) })
 	}
 }
 
 // checkEjected starts a health check at the end of an ejection. The backend stays ejected until the answer.
 func (e *Engine) checkEjected(now Instant, b *backend) {
 	o := &b.outlier
-	if !b.ready || o.ejections == 0 || now.Before(o.ejectedUntil) {
+	if !b.ready || o.ejections == 0 || now.Before(o.noAttemptsUntil) {
 		return
 	}
-	o.ejectedUntil = now.Add(healthCheckTimeout)
+	o.noAttemptsUntil = now.Add(healthCheckTimeout)
 	e.effects.CheckHealth(b.id)
 }
 
@@ -83,7 +85,7 @@
 	if b == nil || b.outlier.ejections == 0 {
 		return
 	}
-	b.outlier.ejectedUntil = now
+	b.outlier.noAttemptsUntil = now
 	if outcome != Succeeded {
 		e.eject(now, b)
 	}
--- a/policy/over_quota.go
+++ b/policy/over_quota.go
@@ -3,7 +3,7 @@
 // handleOverQuota rejects a request beyond the quota until the quota has refilled enough, or forwards it where
 // that is worth its cost.
 func (r *Request) handleOverQuota(now Instant) {
-	if r.worthSendingOverQuota() && r.hasIdleBackend(now) {
+	if r.worthSendingOverQuota() && r.hasBackendBelowPreferred(now) {
 		r.forward(now)
 		return
 	}
@@ -15,8 +15,8 @@
 	return r.plan.OverQuotaValue > r.plan.OverQuotaCost && !r.class.CheckOnly
 }
 
-// hasIdleBackend reports whether a backend has capacity below its concurrency limit.
-func (r *Request) hasIdleBackend(now Instant) bool {
+// hasBackendBelowPreferred reports whether a backend has fewer attempts in flight than preferred.
+func (r *Request) hasBackendBelowPreferred(now Instant) bool {
 	b := r.engine.pickBackend(now, r, fullBudget)
 	return b != nil && b.load() <= 1
 }
--- a/policy/quota.go
+++ b/policy/quota.go
@@ -10,7 +10,7 @@
 		r.tenant.recordAdmittedShare(0)
 		return overQuota
 	}
-	if r.engine.mayCallCounter(now) {
+	if r.engine.claimCounterCall(now) {
 		r.callCounter(now)
 		return awaitingCounter
 	}
@@ -21,8 +21,8 @@
 	return checked
 }
 
-// quotaKnownUsedUp reports whether the last total leaves no units for the request: then no call can say
-// otherwise, as totals only grow until the window rolls over.
+// quotaKnownUsedUp reports whether the last total leaves no units for the request. A call would hardly say
+// otherwise: totals grow but for units that are taken back, until the window rolls over.
 //
 // Inputs: the window's last total, the quota and its refill since the window's start, the request's units.
 func (r *Request) quotaKnownUsedUp(now Instant) bool {
--- a/policy/quota_window.go
+++ b/policy/quota_window.go
@@ -27,7 +27,7 @@
 	counterTotal     float64    // units as last reported
 	lostUnits        float64    // that the count lacks: at first what the last window left used
 	lostSince        Instant    // since when the count has lacked much; zero: it does not
-	reconciled       float64    // units added so far to make up for lost ones
+	corrections      float64    // units added so far by calls that only correct: lost ones, less those taken back
 	answers          int        // of the counter
 	reportedInFlight int        // attempts of this instance that the count holds
 }
@@ -79,7 +79,7 @@
 		return 0
 	}
 	if !e.breaker.IsClosed() && t.window.counterTotal == 0 {
-		return t.localUsage.UnrefilledAt(nextStart, t.traffic.share(entryPoints), t.plan.Rate)
+		return t.unrefilledLocally(nextStart, entryPoints)
 	}
 	refilled := monotime.Accrued(t.plan.Rate, nextStart.Sub(t.window.start))
 	return max(t.window.total+t.unreported-refilled, 0)
--- a/policy/request.go
+++ b/policy/request.go
@@ -12,7 +12,7 @@
 	position    int // this instance's place among the tenant's entry points
 
 	submittedAt Instant
-	objectiveAt Instant // when the answer is due
+	answerDueAt Instant // see answerDue
 	deadline    Instant // when the client gives up
 
 	hardQuotaUnits    float64 // drawn from the hard quota
@@ -57,25 +57,25 @@
 // Done reports whether the request is over: nothing more comes for this handle.
 func (r *Request) Done() bool { return r.finished && r.inFlight == 0 }
 
-// finish ends the request, and cancels the attempts that no client waits for.
+// finish ends the request. It gives back the units that the request holds if no attempt was sent, and cancels the
+// attempts that no client waits for.
 func (r *Request) finish() {
-	r.release()
+	r.finished = true
+	if r.waitingForCounter {
+		r.waitingForCounter = false
+		r.tenant.waiting--
+	}
+	if len(r.attempts) == 0 {
+		r.giveBackUnits()
+	}
 	if r.engine.settings.Cancellation && !r.responseStarted {
 		r.cancelInFlight()
 	}
 }
 
-// release marks the request as finished, and gives back the units that it holds if no attempt was sent.
-func (r *Request) release() {
+// giveBackUnits gives back what the request has drawn from the hard quota and been charged to the quota.
+func (r *Request) giveBackUnits() {
 	t := r.tenant
-	if r.waitingForCounter {
-		t.waiting--
-	}
-	r.finished = true
-	r.waitingForCounter = false
-	if len(r.attempts) > 0 {
-		return
-	}
 	t.hardQuota.Units += r.hardQuotaUnits
 	if r.withinQuota {
 		t.unreported -= r.units
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -41,9 +41,11 @@
 }
 
 // tooLateToSend reports whether an attempt sent now is unlikely to be worth its cost: where a late answer has
-// no value, the fastest answer would miss the latency objective.
+// no value, the fastest answer would miss the time at which the answer is due. Where it has one, the deadline
+// bounds it here, but pickBackend finds no backend once the latency budget is used up, which is before that
+// time.
 func (r *Request) tooLateToSend(now Instant) bool {
-	latest := r.objectiveAt.Add(-percentOf(r.class.LatencyObjective, fastestAnswerPercent))
+	latest := r.answerDueAt.Add(-percentOf(r.class.LatencyObjective, fastestAnswerPercent))
 	if r.class.LateValue > 0 {
 		latest = r.deadline.Add(-minTimeToSend)
 	}
--- a/policy/retry_after.go
+++ b/policy/retry_after.go
@@ -29,8 +29,12 @@
 	return monotime.FromSeconds(lacking * r.entryPoints / r.plan.HardQuotaRate)
 }
 
-// retryAfterOverQuota returns when the plan's rate has refilled the units that the request lacks. Where only a
-// concurrency limit was reached it is the latency objective, by which an attempt should have ended.
+// retryAfterOverQuota returns when the plan's rate has refilled the units that the request lacks, at least
+// minRefillShare of its own. For a plan without a rate, whose concurrency limit was reached, it is the latency
+// objective, by which an attempt should have ended.
+//
+// It rests on the last total that was stored, which for a request that the counter's answer rejects is the one
+// before that answer: at the first call of a window that is what was carried over.
 //
 // Inputs: the window's total and refill, the quota and the request's size, in units; the rate in units a
 // second.
--- a/policy/selection.go
+++ b/policy/selection.go
@@ -12,10 +12,10 @@
 	// stepsPerDoubling is how many steps of the rank a doubled latency makes: some 40% each. Finer ones are
 	// chance.
 	stepsPerDoubling = 2
-	// minConcurrencyLimit and maxConcurrencyLimit bound a backend's concurrency limit, in attempts of this
-	// instance.
-	minConcurrencyLimit = 0.25
-	maxConcurrencyLimit = 2
+	// minPreferredInFlight and maxPreferredInFlight bound how many attempts of this instance a backend takes before
+	// those ranked behind it.
+	minPreferredInFlight = 0.25
+	maxPreferredInFlight = 2
 	// otherZoneSteps is what a crossing between zones adds to the rank, where it has a price: less than a step
 	// of the latency.
 	otherZoneSteps = 0.5
@@ -32,8 +32,8 @@
 // rankBackends orders the backends that are ready.
 func (e *Engine) rankBackends(now Instant) {
 	e.ranked = e.ranked[:0]
-	e.capacity.effectiveBackends = 0
-	e.capacity.effectiveCapacity = 0
+	e.ready.effectiveBackends = 0
+	e.ready.effectiveWeight = 0
 	for _, b := range e.endpoints {
 		if b.ready {
 			e.ranked = append(e.ranked, b)
@@ -43,20 +43,20 @@
 	slices.SortFunc(e.ranked, (*backend).compareRank)
 }
 
-// rankBackend computes a backend's rank and its concurrency limit. Backends are ordered by their latency
+// rankBackend computes a backend's rank and how many attempts it takes before those ranked behind it. Backends are ordered by their latency
 // relative to the fleet's, in steps; then the own zone first, where crossing has a price; then by fair shares,
 // the own first; then by the time since the last attempt, times capacity.
 func (e *Engine) rankBackend(now Instant, b *backend) {
 	warmth := e.warmth(now, b)
-	e.capacity.effectiveBackends += warmth
-	e.capacity.effectiveCapacity += warmth * b.capacity
+	e.ready.effectiveBackends += warmth
+	e.ready.effectiveWeight += warmth * b.weight
 	b.latency.estimate = e.estimateLatency(now, b)
 	steps := math.Round(stepsPerDoubling * math.Log2(max(b.latency.estimate, 1)/max(e.latency.mean.Value, 1)))
-	// The limit follows the latency in steps too: otherwise chance alone would lift a backend over it.
-	b.concurrencyLimit = min(max(math.Exp2(-steps/stepsPerDoubling), minConcurrencyLimit), maxConcurrencyLimit)
+	// It follows the latency in steps too: otherwise chance alone would move attempts between backends.
+	b.preferredInFlight = min(max(math.Exp2(-steps/stepsPerDoubling), minPreferredInFlight), maxPreferredInFlight)
 	b.rank = rank{
 		cost: steps + e.rankPenalty(now, b),
-		due:  float64(now.Sub(b.lastSentAt)) * b.capacity,
+		due:  float64(now.Sub(b.lastSentAt)) * b.weight,
 	}
 }
 
@@ -94,7 +94,7 @@
 	)
 }
 
-// pickBackend returns the first ranked backend below its concurrency limit, or else the least loaded, of those
+// pickBackend returns the first ranked backend with fewer attempts than preferred, or else the least loaded, of those
 // that may get an attempt and likely answer within the latency budget; nil if there is none, or if this
 // instance has too much in flight.
 func (e *Engine) pickBackend(now Instant, r *Request, factor budgetFactor) *backend {
@@ -105,7 +105,7 @@
 	var usable, leastLoaded *backend
 	minLoad := math.Inf(1)
 	for _, b := range e.ranked {
-		if b.outlier.isEjected(now, b.inFlight) || !r.mayAttempt(now, b) {
+		if b.outlier.getsNoAttempt(now, b.inFlight) || !r.mayAttempt(now, b) {
 			continue
 		}
 		usable = cmp.Or(usable, b)
--- a/policy/slow_start.go
+++ b/policy/slow_start.go
@@ -13,7 +13,7 @@
 	// overloadMargin divides the overload multiple: the instances plan for a third of what makes a backend
 	// collapse, since requests differ in work.
 	overloadMargin = 3
-	// baselineServiceRatio is the service time of one core, as a multiple of the baseline latency.
+	// baselineServiceRatio is the service time that is assumed for one core, as a multiple of the baseline latency.
 	baselineServiceRatio = 1.5
 	// minTurnSpacing is how much of the time between its turns an instance waits after an attempt: a change in
 	// the measurements shifts the numbers of the attempts.
@@ -67,15 +67,16 @@
 	rate   float64 // attempts a nanosecond, of a warm backend
 }
 
-// hasSlowStartTurn reports whether the current attempt of a backend's budget belongs to this instance. A turn
-// lasts half an overload window, for which the budget's other half allows: one instance of many seldom has
-// something to send just when its turn begins.
+// hasSlowStartTurn reports whether it is this instance's turn at a warming backend. Its turn begins when the
+// budget reaches an attempt whose number belongs to it, and lasts for half an overload window, since one instance
+// of many seldom has something to send just then. Several instances may so have their turn at once; the budget is
+// half of what the rule allows, which covers that.
 func (e *Engine) hasSlowStartTurn(now Instant, b *backend, budget slowStartBudget) bool {
 	instances := uint64(e.instances())
 	offset := hash64.Mix(uint64(b.id)) + instances - uint64(e.settings.InstanceIndex)
 	turnsPassed := float64((offset + uint64(e.budgetedAttempts(now, b, budget))) % instances)
-	turnLength := budget.rate * budget.warmth * float64(e.settings.OverloadWindow) / 2
-	return turnsPassed < max(1, turnLength)
+	numbersPerTurn := budget.rate * budget.warmth * float64(e.settings.OverloadWindow) / 2
+	return turnsPassed < max(1, numbersPerTurn)
 }
 
 // budgetedAttempts returns how many attempts the budget has allowed a backend since its start: the integral of
@@ -110,5 +111,5 @@
 	}
 	warmRate := max(1/max(serviceTime, 1), e.throughput.peakPerBackend/float64(time.Second))
 	rate := e.settings.OverloadMultiple / overloadMargin * warmRate
-	return rate * min(b.capacity/e.capacity.meanCapacity, 1)
+	return rate * min(b.weight/e.ready.meanWeight, 1)
 }
--- a/policy/slow_start_test.go
+++ b/policy/slow_start_test.go
@@ -19,7 +19,7 @@
 		settings.CounterEnabled = false
 		settings.Classes[0].LatencyObjective = 400 * time.Millisecond
 		started := startOfTest.Add(-8 * time.Second)
-		h := newHarness(t, settings, Endpoint{Backend: 1, State: EndpointReady, Capacity: 1, StartedAt: started})
+		h := newHarness(t, settings, Endpoint{Backend: 1, State: EndpointReady, Weight: 1, StartedAt: started})
 		h.advance(1100 * time.Millisecond)
 		for n := range 15 {
 			h.submit(RequestID(n), 0, 0, TenantID(n), 2*time.Second, 1)
@@ -44,7 +44,7 @@
 		h := newHarness(t, settings, readyEndpoints(1, 2, 3, 4, 5, 6, 7, 8)...)
 		for n := 0; h.now.Before(atSecond(1020)); n++ {
 			if !h.now.Before(atSecond(1012)) && len(h.endpoints) == 8 {
-				h.update(Delta, Endpoint{Backend: 9, State: EndpointReady, Capacity: 1, StartedAt: atSecond(1011)})
+				h.update(Delta, Endpoint{Backend: 9, State: EndpointReady, Weight: 1, StartedAt: atSecond(1011)})
 			}
 			h.submit(RequestID(n), 0, 0, TenantID(n), 2*time.Second, 1)
 			h.advance(gap)
@@ -85,7 +85,7 @@
 			}
 			h.advance(100 * time.Millisecond)
 			if !h.now.Before(atSecond(1020)) && len(h.endpoints) == 20 {
-				h.update(Delta, Endpoint{Backend: 3, State: EndpointReady, Capacity: 1, StartedAt: atSecond(1019)})
+				h.update(Delta, Endpoint{Backend: 3, State: EndpointReady, Weight: 1, StartedAt: atSecond(1019)})
 			}
 		}
 		sent += len(h.sentTimes[3])
@@ -125,7 +125,7 @@
 			}
 			h.advance(200 * time.Millisecond)
 			if len(h.endpoints) == 8 && !h.now.Before(atSecond(1019)) {
-				h.update(Delta, Endpoint{Backend: 3, State: EndpointReady, Capacity: 1, StartedAt: atSecond(1019)})
+				h.update(Delta, Endpoint{Backend: 3, State: EndpointReady, Weight: 1, StartedAt: atSecond(1019)})
 			}
 			if !h.now.Before(atSecond(1025)) { // overload: as if all had answered late
 				h.engine.latency.mean.Value = 0.45 * float64(time.Second)
--- a/policy/status.go
+++ b/policy/status.go
@@ -6,9 +6,9 @@
 type QuotaStatus struct {
 	Limit         float64 // units that the quota holds when it is full; 0: the plan has none
 	Rate          float64 // refill in units a second
-	Used          float64 // units that are used and not refilled yet
+	Used          float64 // units that are used and not refilled yet; the refill is always computed
 	FromCounter   bool    // the counter reported this window; else the numbers are those of the local share
-	HardQuotaLeft float64 // units left of this instance's part of the hard quota; -1: the plan has none
+	HardQuotaLeft float64 // units left of this instance's part of the hard quota, all for an unknown tenant; -1: none
 }
 
 // QuotaQuery names the quota that is asked for: that of a tenant under a plan, whose requests come in through
@@ -40,7 +40,7 @@
 		status.HardQuotaLeft = min(t.hardQuota.Units+refill, status.HardQuotaLeft)
 	}
 	if !e.breaker.IsClosed() || t.window.counterTotal == 0 && t.window.total == 0 {
-		status.Used = t.localUsage.UnrefilledAt(now, t.traffic.share(parts), p.Rate)
+		status.Used = t.unrefilledLocally(now, parts)
 	} else {
 		status.Used = max(t.window.total+t.unreported-monotime.Accrued(p.Rate, now.Sub(t.window.start)), 0)
 		status.FromCounter = t.window.counterTotal > 0
@@ -57,7 +57,7 @@
 	CallShare       float64 // share of the requests that make a call otherwise
 	UnreportedUnits float64 // units admitted and not reported yet, of all tenants
 	LostUnits       float64 // units that the counts are known to lack, of all tenants
-	ReconciledUnits float64 // units that were added to the counts for lost ones, of all tenants remembered
+	ReconciledUnits float64 // units by which the counts of the current windows were corrected, of all tenants
 	DriftUnits      float64 // by which the instances may differ from one count: unreported and lost
 	Tenants         int     // remembered
 }
@@ -68,7 +68,7 @@
 	for _, t := range e.tenants {
 		stats.UnreportedUnits += max(t.unreported, 0)
 		stats.LostUnits += max(t.window.lostUnits, 0)
-		stats.ReconciledUnits += max(t.window.reconciled, 0)
+		stats.ReconciledUnits += max(t.window.corrections, 0)
 	}
 	stats.DriftUnits = stats.UnreportedUnits + stats.LostUnits
 	return stats
--- a/policy/tenant.go
+++ b/policy/tenant.go
@@ -17,18 +17,18 @@
 	inFlight int // attempts
 	waiting  int // requests that wait for the counter
 
-	unreported   float64 // units for the next call: admitted without the counter, or counted and not sent
+	unreported   float64 // units for the next call: those admitted without the counter, less those counted and not sent
 	traffic      traffic
-	tracksRefill bool // the tenant's instances see enough of its count to compute its refill together
+	tracksRefill bool // see Request.tracksRefill; as of the last request
 
 	admittedShare estimate.Mean      // part of a request that the counter lately admitted
 	localUsage    tokenbucket.Usage  // units admitted here, less what the local share has refilled
 	hardQuota     tokenbucket.Bucket // this instance's part of the hard quota
 }
 
-// findOrAddTenant returns the request's tenant, with its window rolled over to now, and adds it if it is not
-// known yet. A change of plan starts its count anew.
-func (e *Engine) findOrAddTenant(now Instant, id TenantID, r *Request) *tenant {
+// tenantFor returns the request's tenant, brought up to now and to the request: it is added if it is not known
+// yet, its window is rolled over, and a change of plan starts its count anew.
+func (e *Engine) tenantFor(now Instant, id TenantID, r *Request) *tenant {
 	t := e.tenants[id]
 	if t == nil {
 		t = e.addTenant(now, id, r.plan)
@@ -50,6 +50,7 @@
 	return t
 }
 
+// changePlan starts the tenant's count anew. What does not depend on the plan stays: its usage and its traffic.
 func (t *tenant) changePlan(p *plan) {
 	t.plan = p
 	t.unreported = 0
@@ -68,8 +69,8 @@
 	return keep
 }
 
-// scheduleForgetting drops the tenant once it has been unused for the time of keepFor and has nothing in
-// flight.
+// scheduleForgetting drops the tenant once nothing was admitted or drawn from its hard quota for the time of keepFor,
+// and nothing is in flight.
 func (e *Engine) scheduleForgetting(now Instant, t *tenant) {
 	keep := t.keepFor()
 	e.schedule(now.Add(keep), nil, func(now Instant) {
--- a/policy/throughput.go
+++ b/policy/throughput.go
@@ -23,21 +23,21 @@
 	peakPerBackend   float64 // the recent peak of perBackend, which overload does not lower
 }
 
-// readyCapacity is what the ready backends can do.
-type readyCapacity struct {
+// readyBackends is what the ready backends can do.
+type readyBackends struct {
 	effectiveBackends float64 // ready backends, each weighted by its warmth
-	effectiveCapacity float64 // the same, by stated capacity
-	meanCapacity      float64 // of a backend, its recent peak
+	effectiveWeight   float64 // the sum of their weights, each times its warmth
+	meanWeight        float64 // of a backend; its recent peak
 }
 
 // updateThroughput takes the answers since the last tick into account.
 func (e *Engine) updateThroughput() {
-	t, c := &e.throughput, &e.capacity
+	t, ready := &e.throughput, &e.ready
 	t.perSecond += throughputSmoothing * (t.answersSinceTick*ticksPerSecond - t.perSecond)
 	t.answersSinceTick = 0
-	perBackend := t.perSecond * float64(e.instances()) / max(c.effectiveBackends, 1)
+	perBackend := t.perSecond * float64(e.instances()) / max(ready.effectiveBackends, 1)
 	t.perBackend += backendThroughputSmoothing * (perBackend - t.perBackend)
 	t.peakPerBackend = max(t.peakPerBackend*peakFadePerTick, t.perBackend)
-	meanCapacity := c.effectiveCapacity / max(c.effectiveBackends, minEffectiveBackends)
-	c.meanCapacity = max(c.meanCapacity*peakFadePerTick, meanCapacity)
+	meanWeight := ready.effectiveWeight / max(ready.effectiveBackends, minEffectiveBackends)
+	ready.meanWeight = max(ready.meanWeight*peakFadePerTick, meanWeight)
 }
--- a/policy/types.go
+++ b/policy/types.go
@@ -138,7 +138,7 @@
 	Backend   BackendID
 	Zone      ZoneID
 	Group     GroupID
-	Capacity  float64 // stated capacity, relative to the others
+	Weight    float64 // stated capacity, relative to the others
 	State     EndpointState
 	StartedAt Instant // zero: long ago
 }
