--- a/policy/internal/circuitbreaker/circuitbreaker.go
+++ b/policy/internal/circuitbreaker/circuitbreaker.go
@@ -1,4 +1,4 @@
-// Package circuitbreaker stops calls to a service that fails. It holds no clock and no tuned value: the
+// Package circuitbreaker stops calls to a service that fails. It holds no clock and no threshold: the
 // caller hands in the time, how many failures trip the breaker, and when the next call may be tried. A
 // Breaker is not safe for concurrent use.
 package circuitbreaker
--- a/policy/internal/estimate/estimate.go
+++ b/policy/internal/estimate/estimate.go
@@ -1,5 +1,5 @@
 // Package estimate keeps running estimates of recent measurements: a mean and a regression line. The caller
-// says how many measurements each one reaches back over; the package holds no tuned value. The zero values
+// says how many measurements each one reaches back over; the package holds no such number itself. The zero values
 // are ready to use. Nothing here is safe for concurrent use.
 package estimate
 
