--- a/cmd/fawnplank/gateway_load.go
+++ b/cmd/fawnplank/gateway_load.go
@@ -10,7 +10,8 @@
 	"fawnplank/internal/logging"
 )
 
-// load reads the configuration, and sets up the log and the runtime accordingly.
+// load reads the configuration, and sets up the log and the runtime accordingly. The store is not open yet, so
+// the configuration lacks the store's rows. They are applied once Run handles the first of replica.Edits.
 func (g *gateway) load(context.Context) error {
 	configuration, operator, err := g.loadConfiguration(config.Overlay{})
 	if err != nil {
@@ -44,7 +45,7 @@
 
 // logConfiguration logs what an operator may not expect of the configuration.
 func (g *gateway) logConfiguration() {
-	if unknown := g.configuration.UnknownKeys; len(unknown) > 0 {
+	if unknown := g.configuration.UnknownTopLevelKeys; len(unknown) > 0 {
 		logging.For(configComponent).WithField("keys", strings.Join(unknown, ", ")).Warn("unknown keys ignored")
 	}
 	if g.configuration.ManagementAddress == "" {
--- a/internal/config/billing.go
+++ b/internal/config/billing.go
@@ -30,7 +30,7 @@
 	defaultClockSkew   = Duration(time.Second)
 	defaultMaxLease    = Duration(10 * time.Minute)
 	defaultExportDelay = Duration(time.Minute)
-	// defaultReportInterval is the time whose usage an instance has not reported when it is killed.
+	// defaultReportInterval bounds what is lost: usage of up to this time, if an instance is killed.
 	defaultReportInterval = Duration(time.Second)
 )
 
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -48,9 +48,10 @@
 
 	IdleTimeout    time.Duration // after which a backend closes an idle connection
 	ConnectTimeout time.Duration // for a connection to a backend or the counter
-	// UnknownKeys are the keys of the file that have no meaning, in order: a misspelled key has no effect.
-	UnknownKeys []string
-	MaxUnits    float64 // units that one request may count at most
+	// UnknownTopLevelKeys are the keys at the top of the file that have no meaning, in order: a misspelled key has no
+	// effect. A misspelled key further down, as in the settings, is not among them, and nothing reports it.
+	UnknownTopLevelKeys []string
+	MaxUnits            float64 // units that one request may count at most
 }
 
 // Defaults for what the configuration may leave out. The limits are the example figures of the deployment
@@ -105,7 +106,7 @@
 // parse parses a configuration's text. If several keys are faulty, the error names the first one read, so the
 // order of the reads below determines which message appears.
 func parse(text []byte, getenv func(string) string) (*Config, error) {
-	var raw map[string]json.RawMessage
+	var raw map[string]json.RawMessage // keeps the bytes of keyKnownEndpoints, which discovery decodes
 	if err := json.Unmarshal(text, &raw); err != nil {
 		return nil, fmt.Errorf("no JSON object: %w", err)
 	}
@@ -119,7 +120,7 @@
 		}
 	}
 	c := readConfig(top)
-	c.UnknownKeys = top.unknownKeys()
+	c.UnknownTopLevelKeys = top.unknownTopLevelKeys()
 	c.KnownEndpoints = raw[keyKnownEndpoints]
 	return c, top.err()
 }
--- a/internal/config/decode.go
+++ b/internal/config/decode.go
@@ -17,7 +17,8 @@
 	Problem string // completes a sentence that begins with the key: "is not above 0"
 }
 
-// Error returns the message that operators get.
+// Error returns the message that operators get. It begins with "settings: " for every key, also for those outside
+// the settings, such as limits.sockets: operators know the text, and a golden file of the command "check" holds it.
 func (e *SettingError) Error() string { return "settings: " + e.Key + " " + e.Problem }
 
 // object gives typed access to a JSON object. Reading a faulty key returns the zero value and records the
@@ -44,8 +45,9 @@
 	return ok
 }
 
-// unknownKeys returns the keys at the top of a configuration that have no meaning, in alphabetical order.
-func (o object) unknownKeys() []string {
+// unknownTopLevelKeys returns the keys at the top of a configuration that have no meaning, in alphabetical order. It
+// names keyManagement itself, which knownKeys leaves out so that Migrate drops it.
+func (o object) unknownTopLevelKeys() []string {
 	var unknown []string
 	for key := range o.fields {
 		if key != keyManagement && !isKnownKey("", key) {
@@ -138,7 +140,7 @@
 	return number
 }
 
-// requiredMilliseconds returns the time of a key that must be present, as milliseconds.
+// requiredMilliseconds returns the time of a key that must be present, which it reads as milliseconds.
 func (o object) requiredMilliseconds(key string) time.Duration {
 	return Milliseconds(o.requiredNumber(key))
 }
@@ -213,5 +215,6 @@
 // maxCount bounds counts, so that sums and products of a few of them do not overflow.
 const maxCount = 1e9
 
-// clampToCount rounds a number to a whole number from 0 to maxCount.
+// clampToCount rounds a number to a whole number from 0 to maxCount. A negative count so becomes 0 without an error;
+// a key for which 0 is no value is checked by its reader (send-cap, limits.sockets).
 func clampToCount(number float64) int { return int(math.Round(min(max(number, 0), maxCount))) }
--- a/internal/config/ids.go
+++ b/internal/config/ids.go
@@ -5,7 +5,8 @@
 // rowID is the number of a row: a policy.ClassID or a policy.PlanID.
 type rowID interface{ ~uint16 | ~uint32 }
 
-// idsByName numbers rows in their order and returns the numbers by name.
+// idsByName numbers rows in their order and returns the numbers by name. Two rows of one name are accepted: the
+// later one has the name, and names finds none for the earlier one.
 func idsByName[ID rowID](rows []object) map[string]ID {
 	ids := map[string]ID{}
 	for n, row := range rows {
@@ -16,7 +17,8 @@
 
 // KeepIDs renumbers the classes and plans of a newly read configuration, so that ids mean what they meant in
 // old. A name whose row is unchanged keeps its id. A new name, or one whose row changed, gets an id after all
-// ids of old. Old rows stay for the requests in flight under them; names that are gone admit no request.
+// ids of old. Old rows stay for the requests in flight under them; names that are gone admit no request. A class that
+// AddLimitClass adds must be there already.
 func (c *Config) KeepIDs(old *Config) {
 	classes := c.classTable().withIDsOf(old.classTable())
 	c.Settings.Classes = classes.rows
@@ -40,7 +42,7 @@
 	ids  map[string]ID
 }
 
-// names returns the names of the rows, by id.
+// names returns the names of the rows, by id. A row that a later one of the same name shadows has the name "".
 func (t table[T, ID]) names() []string {
 	names := make([]string, len(t.rows))
 	for name, id := range t.ids {
@@ -49,7 +51,8 @@
 	return names
 }
 
-// withIDsOf returns the table with the rows of old before its own, where an unchanged row keeps its old id.
+// withIDsOf returns the table with the rows of old before its own, where an unchanged row keeps its old id. After a
+// reload a shadowed row is therefore in use under the name "", which a client can send (c= and t=).
 func (t table[T, ID]) withIDsOf(old table[T, ID]) table[T, ID] {
 	merged := table[T, ID]{rows: append([]T(nil), old.rows...), ids: map[string]ID{}}
 	for id, name := range t.names() { // in the file's order, so that the same file gives the same ids
--- a/internal/config/keys.go
+++ b/internal/config/keys.go
@@ -7,7 +7,7 @@
 	keyListen         = "listen"
 	keyDiscovery      = "discovery" // of the configuration, an address; of the settings, how the list comes
 	keyCounter        = "counter"
-	keyManagement     = "mgmt" // deployments that are migrated do not have it
+	keyManagement     = "mgmt" // not in knownKeys, so that Migrate drops it
 	keyKnownEndpoints = "known"
 	keyLimits         = "limits"
 	keySockets        = "sockets"
--- a/internal/config/limits.go
+++ b/internal/config/limits.go
@@ -25,7 +25,8 @@
 	Keys           []LimitKey `toml:"key"`
 }
 
-// LimitKey is a key that a tool presents before it may do more than check.
+// LimitKey is a key that a tool presents, and its rights. If no key is configured, all tools may check and do nothing
+// else. Once one is, a tool may do nothing without a key, not even check.
 type LimitKey struct {
 	Name       string    `toml:"name"`
 	SecretFile string    `toml:"secret_file"` // file with the secret, accessible only to its owner
@@ -99,7 +100,8 @@
 	return nil
 }
 
-// readSecret reads the key's secret. The error completes a sentence that begins with the file's key.
+// readSecret reads the key's secret. The error completes a sentence that begins with the file's key. Once the file is
+// there, one text stands for three faults and leaves out the system's error.
 func (k *LimitKey) readSecret() error {
 	info, err := os.Stat(k.SecretFile)
 	if err != nil {
@@ -131,7 +133,8 @@
 }
 
 // AddLimitClass adds the class that only checks, which the limit commands use, to a newly read configuration.
-// It does nothing if the commands are off.
+// It does nothing if the commands are off. It changes the configuration, and is called before KeepIDs, so that the
+// class keeps its id over a reload: a class that is added afterwards gets a new id each time, and the rows grow.
 func (c *Config) AddLimitClass(o *Operator) {
 	if o.Limits.Listen == "" {
 		return
--- a/internal/config/migrate_shape.go
+++ b/internal/config/migrate_shape.go
@@ -45,30 +45,45 @@
 }
 
 // matchRows compares a list of the old settings with the shape's. A row of the old list that has no counterpart
-// of the same name is lost.
+// of the same name is lost. A class that has one keeps its fallback mode.
 func (m *migration) matchRows(list string) {
 	rows, _ := settingsOf(m.migrated)[list].([]any)
 	oldRows := settingsOf(m.old)[list].([]any) // objects, because the text has been parsed
 	for n, value := range oldRows {
 		oldRow := value.(map[string]any)
-		if !keepFallbackMode(oldRow, rows) {
+		if !hasCounterpart(oldRow, rows) {
 			m.lose(fmt.Sprintf("%s[%d]", joinPath(keySettings, list), n),
 				fmt.Sprintf("%q has no counterpart in the new shape", oldRow[keyName]))
 		}
+		carryFallbackMode(oldRow, rows) // finds none in a plan, unless the old file has the key there
 	}
 }
 
-// keepFallbackMode carries the fallback mode of an old row over to the rows of the same name: operators preset
-// fallback modes, and a shape has none. It reports whether there is such a row.
-func keepFallbackMode(oldRow map[string]any, rows []any) (found bool) {
-	for _, value := range rows {
-		row, ok := value.(map[string]any)
-		if !ok || row[keyName] != oldRow[keyName] {
-			continue
+// hasCounterpart reports whether one of the rows has the name of an old row.
+func hasCounterpart(oldRow map[string]any, rows []any) bool {
+	return len(counterparts(oldRow, rows)) > 0
+}
+
+// carryFallbackMode carries the fallback mode of an old row over to the rows of the same name that have none:
+// operators preset fallback modes, and a shape has none.
+func carryFallbackMode(oldRow map[string]any, rows []any) {
+	mode := oldRow[keyFallbackMode]
+	if mode == nil {
+		return
+	}
+	for _, row := range counterparts(oldRow, rows) {
+		if _, ok := row[keyFallbackMode]; !ok {
+			row[keyFallbackMode] = mode
 		}
-		found = true
-		if _, ok := row[keyFallbackMode]; !ok && oldRow[keyFallbackMode] != nil {
-			row[keyFallbackMode] = oldRow[keyFallbackMode]
+	}
+}
+
+// counterparts returns the rows that have the name of an old row.
+func counterparts(oldRow map[string]any, rows []any) []map[string]any {
+	var found []map[string]any
+	for _, value := range rows {
+		if row, ok := value.(map[string]any); ok && row[keyName] == oldRow[keyName] {
+			found = append(found, row)
 		}
 	}
 	return found
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -49,7 +49,8 @@
 	return settings, top.err()
 }
 
-// readSettings reads the platform's settings.
+// readSettings reads the platform's settings. It does not compare InstanceIndex with Instances: a gateway starts as
+// number 3 of 3, and only Migrate rejects such a file (checkIndexes).
 func readSettings(top object) policy.Settings {
 	family := top.optionalObject(keyRequests)
 	permissions := top.requiredObject(keyPermissions)
