--- a/cmd/fawnplank/accounts.go
+++ b/cmd/fawnplank/accounts.go
@@ -107,8 +107,10 @@
 	return keys
 }
 
-// CloseService reports all recorded usage and stops the billing service. It may be called more than once.
+// CloseService reports all recorded usage and stops the billing service. It needs the replica, so it is called
+// before the replica has stopped. It may be called more than once.
 func (a *accounts) CloseService() { a.service.Close() }
 
-// Close stops the notification of changes. It is called once, after the replica has stopped.
-func (a *accounts) Close() { a.changes.Close() }
+// StopNotifications stops the notification of changes. It does not stop the service. It is called once, after the
+// replica has stopped, which sends the changes.
+func (a *accounts) StopNotifications() { a.changes.Close() }
--- a/cmd/fawnplank/command_billing.go
+++ b/cmd/fawnplank/command_billing.go
@@ -136,7 +136,7 @@
 		Use: "resume", Short: "Export again, after the store was restored from an old backup", Args: cobra.NoArgs,
 		Long: `Continues with sequences behind those that the receiver has, and drops usage of windows that began
 before a moment: the lost state may have exported it, and it must not be billed twice. Gateways should be stopped
-meanwhile.`,
+meanwhile; "fawnplank store run" then runs the replica that --store names.`,
 		Example: "  fawnplank billing resume --store 127.0.0.1:7101 --after 812 --drop-before 2026-04-01T12:00:00Z",
 		RunE: func(command *cobra.Command, _ []string) error {
 			return r.run(command.OutOrStdout(), globals.storeClient(r.store, "--store"))
@@ -149,6 +149,8 @@
 	return command
 }
 
+// run resumes the export and prints what was dropped. The sequence printed is --after's. The next one is that of
+// the store instead if the store has numbered later ones.
 func (r billingResume) run(out io.Writer, client storeClient) error {
 	moment, err := time.Parse(time.RFC3339, r.dropBefore)
 	if err != nil {
--- a/cmd/fawnplank/gateway.go
+++ b/cmd/fawnplank/gateway.go
@@ -31,10 +31,11 @@
 	Reloads, Terminations <-chan os.Signal
 }
 
-// gateway holds all parts of a serving process. newGateway constructs them, Run serves, and Close releases
-// them.
+// gateway holds all parts of a serving process. newGateway constructs them, Run serves, and Close releases what
+// closers lists.
 //
-// A reload replaces configuration on Run's goroutine; once Run is called, no other goroutine reads that field.
+// A reload replaces configuration on Run's goroutine. Once Run is called, no other goroutine reads that field,
+// except the reload's reader, which applyReload waits for.
 type gateway struct {
 	options       gatewayOptions
 	configuration *config.Config
@@ -54,7 +55,18 @@
 	server     *frontend.Server
 	ready      atomic.Bool // true while the gateway is listening and not shutting down
 
-	closers []func() // releases what was started, in the order of the starts
+	// closers releases what was started, in the order of the starts. Close calls them in reverse:
+	//
+	//	zone.Close                  the name server, unless a shutdown has stopped it; changes of the zone
+	//	replica.Close               does nothing without a store
+	//	accounts.StopNotifications  of changed keys; the billing service is not part of it
+	//	listener.Close              of the clients, unless a shutdown has closed it
+	//	warmStart.Close             saves the state, if there is a file for it
+	//	discovery.Close, counter.Close, pool.Close, dispatcher.Stop
+	//
+	// The rest is stopped only by beginShutdown: the clients' connections, limits and accounts.CloseService, in this
+	// order, before Run returns. The server of the management address runs until the process ends.
+	closers []func()
 }
 
 // newGateway reads the configuration, constructs all parts, and starts those that Run does not start. The
@@ -87,7 +99,7 @@
 // closeLater makes Close call the functions, the last one first.
 func (g *gateway) closeLater(closers ...func()) { g.closers = append(g.closers, closers...) }
 
-// Close releases everything that was started, in reverse order. It is called once, after Run.
+// Close calls the closers in reverse order. It is called once, after Run or where newGateway fails.
 func (g *gateway) Close() {
 	for _, release := range slices.Backward(g.closers) {
 		release()
--- a/cmd/fawnplank/gateway_run.go
+++ b/cmd/fawnplank/gateway_run.go
@@ -8,8 +8,8 @@
 	"fawnplank/internal/logging"
 )
 
-// Run serves clients and the management address until a signal, or the end of ctx, has shut the gateway down.
-// It is called once.
+// Run serves clients and the management address until a signal, or the end of ctx, has shut the gateway down. It
+// also returns once accepting has ended by itself, as handleEvents says. It is called once.
 func (g *gateway) Run(ctx context.Context) error {
 	if err := g.serveManagement(ctx); err != nil {
 		return err
@@ -26,7 +26,12 @@
 }
 
 // handleEvents handles signals, edits, and the end of the server, one at a time; further events wait. It
-// returns nil once a shutdown is complete, and the listener's error if the server ends without a shutdown.
+// returns nil once a shutdown is complete.
+//
+// It returns at once if accepting ends without a shutdown, which takes a listener that is closed by something else:
+// Serve tries again after any other error. It then returns nil as well, because Serve does, so that the process ends
+// with status 0 and no log entry. What only a shutdown stops (see gateway.closers) is not stopped: usage that the
+// billing service has not reported is lost.
 func (g *gateway) handleEvents(ctx context.Context, served <-chan error) error {
 	reload := newReloader(g.readUpdatedConfiguration)
 	canceled := ctx.Done()
--- a/cmd/fawnplank/gateway_start.go
+++ b/cmd/fawnplank/gateway_start.go
@@ -130,7 +130,7 @@
 		return err
 	}
 	g.replica = replica
-	g.closeLater(g.accounts.Close, g.replica.Close)
+	g.closeLater(g.accounts.StopNotifications, g.replica.Close)
 	g.replica.registerMetrics(g.metrics)
 	return nil
 }
--- a/cmd/fawnplank/limits_answer.go
+++ b/cmd/fawnplank/limits_answer.go
@@ -23,9 +23,9 @@
 	respArray      = '*'
 )
 
-// readAnswer reads one answer in RESP and returns it as text. Simple values are returned unchanged, the
-// values of an array are separated by spaces, and each array within an array gets its own line. An error
-// answer is returned as an error.
+// readAnswer reads one answer in RESP and returns it as text. Simple values are returned unchanged. The values of
+// an array are separated by spaces or, if any of them contains a space, as an array of several values does, by line
+// breaks. An error answer is returned as an error, and so is a null, which no limit command answers.
 func readAnswer(reader *bufio.Reader) (string, error) {
 	line, err := reader.ReadString('\n')
 	if err != nil {
--- a/cmd/fawnplank/reload.go
+++ b/cmd/fawnplank/reload.go
@@ -66,6 +66,8 @@
 		"counter":   merged.Counter,
 		"classes":   len(merged.Classes),
 	}).Info("configuration reloaded")
+	// The field is the same whatever differs. A change of the name, conn-idle-ms or connect-timeout-ms, or of the
+	// unknown keys, is logged under these keys too.
 	if !reflect.DeepEqual(merged, updated) {
 		logging.For(configComponent).WithField("keys", "listen, mgmt, limits, seed").
 			Warn("configuration changes need a restart")
@@ -81,7 +83,11 @@
 }
 
 // readUpdatedConfiguration reads the configuration again. The ids of its classes and plans are consistent
-// with those in force. Changes of the operator file take effect only at a start; it logs that there are some.
+// with those in force.
+//
+// It logs that the operator file has changed, since most of that file takes effect only at a start. The exception
+// is limits.answer_within: the class that limit commands use is made from the file as it is now, so that its
+// latency objective and deadline change, while the time limit of each check stays as it was at the start.
 func (g *gateway) readUpdatedConfiguration() (*config.Config, error) {
 	updated, operator, err := g.loadConfiguration(g.replica.overlay())
 	if err != nil {
@@ -98,12 +104,12 @@
 }
 
 // mergeReloadable returns the current configuration with every part of the updated one that takes effect
-// without a restart.
+// without a restart, and with the known endpoints.
 func mergeReloadable(current, updated *config.Config) *config.Config {
 	merged := *current
 	merged.Discovery = updated.Discovery
 	merged.Counter = updated.Counter
-	merged.KnownEndpoints = updated.KnownEndpoints
+	merged.KnownEndpoints = updated.KnownEndpoints // read at a start only; merged so that a change gives no warning
 	merged.Settings = updated.Settings
 	merged.Classes = updated.Classes
 	merged.Plans = updated.Plans
--- a/cmd/fawnplank/resources.go
+++ b/cmd/fawnplank/resources.go
@@ -11,7 +11,9 @@
 
 const (
 	// ownDescriptors is reserved for the program itself, the listener, discovery, and the counter's connections,
-	// both old and new.
+	// both old and new. Nothing is reserved for what the operator file and the flags add: the connections to the
+	// limits address (limits.connections, 64 if not set and 10,000 at most), and those of the store, the name server
+	// and the export of usage. With them a process may open more descriptors than limits.sockets.
 	ownDescriptors = 48
 	// connectionSides are the clients and the backends. Each side has half of the remaining descriptors, so that
 	// neither starves the other.
--- a/cmd/fawnplank/shutdown.go
+++ b/cmd/fawnplank/shutdown.go
@@ -30,16 +30,17 @@
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		drainClients(g.server, g.listener, settings)
+		stopClients(g.server, g.listener, settings)
 		g.limits.Close()
 		g.accounts.CloseService() // reports the usage of every answered request too
 	}()
 	return done
 }
 
-// drainClients continues to serve while new connections may still arrive. It then ends connections between
-// requests, and returns once all requests are answered or the longest deadline has passed.
-func drainClients(server *frontend.Server, listener net.Listener, settings policy.Settings) {
+// stopClients continues to serve while new connections may still arrive. It then ends connections between
+// requests, and returns once all requests are answered or the longest deadline has passed. A drain is something
+// else: managedGateway.Drain starts it, and the gateway goes on running.
+func stopClients(server *frontend.Server, listener net.Listener, settings policy.Settings) {
 	logging.For(frontendComponent).WithField("connections", server.Connections()).Info("stopping")
 	time.Sleep(arrivalGrace)
 	server.AcceptLast(listener)
--- a/cmd/fawnplank/store_client.go
+++ b/cmd/fawnplank/store_client.go
@@ -123,7 +123,8 @@
 	return c.do(context.Background(), storeCall{method: http.MethodGet, path: path})
 }
 
-// ReadLocal reads a key as this replica has it. A call that fails is reported as a missing key.
+// ReadLocal reads a key as this replica has it. A call that fails is reported as a missing key, since the
+// Replica interfaces return no error here.
 func (c storeClient) ReadLocal(key string) (entry kv.Entry, ok bool) {
 	text, err := c.read("/v1/kv/" + key + "?stale=1")
 	return entry, err == nil && json.Unmarshal(text, &entry) == nil
@@ -143,7 +144,9 @@
 }
 
 // ReadPrefix reads all keys with a prefix as this replica has them, and returns their values by the part of
-// the key that follows the prefix. Keys are reported as missing if a call for them fails.
+// the key that follows the prefix. A failed call cannot be told from missing keys: if the list of keys fails, the
+// map is empty, and if one key fails, it is left out. A caller that changes what it finds passes over the rest and
+// reports success: billingservice.Resume then drops no windows, whose usage may be billed twice.
 func (c storeClient) ReadPrefix(prefix string) map[string]json.RawMessage {
 	values := map[string]json.RawMessage{}
 	text, err := c.read("/v1/kv?prefix=" + prefix)
--- a/cmd/fawnplank/zone.go
+++ b/cmd/fawnplank/zone.go
@@ -75,7 +75,8 @@
 // stopped.
 func (z *endpointZone) CloseServer() { z.closing.Do(func() { z.server.Load().Close() }) }
 
-// Close stops everything that the zone runs. It is called once.
+// Close stops everything that the zone runs, including the name server. It is called once, before the replica is
+// stopped, which the handler of changes reads.
 func (z *endpointZone) Close() {
 	z.CloseServer()
 	z.changes.Close()
