--- a/cmd/fawnplank/metrics.go
+++ b/cmd/fawnplank/metrics.go
@@ -100,7 +100,7 @@
 	{Name: "billing_waiting", Help: "records not exported yet",
 		Value: func(s *billingservice.Service) float64 { return float64(s.PendingRecords()) }},
 	{Name: "billing_halted", Help: "1 while a fault stops the export",
-		Value: func(s *billingservice.Service) float64 { return gaugeBool(s.HaltReason() != "") }},
+		Value: func(s *billingservice.Service) float64 { return gaugeBool(s.LastExportError() != "") }},
 }
 
 // zoneGauges are the metrics of the DNS zone and its name server.
--- a/internal/billingservice/add_reports.go
+++ b/internal/billingservice/add_reports.go
@@ -11,14 +11,12 @@
 )
 
 // addReports adds reported usage to accounts, if this instance holds the maintenance lease. One write deletes
-// reports and adds their units, for as many reports as it can hold. A second write right after it would be
-// based on accounts that this replica does not have yet, and so one report per write would be far too slow at
-// an instance whose replica is not the leader.
+// many reports and adds their units, because a next write must wait until this replica has the last one.
 //
 // A report that cannot be added stays until somebody looks at it. Usage is not dropped silently, and other
 // reports are not held up.
 func (s *Service) addReports() error {
-	if !s.acquireLease() {
+	if !s.ensureLease() {
 		return nil
 	}
 	batch, reportErr := s.collectReports()
--- a/internal/billingservice/compaction.go
+++ b/internal/billingservice/compaction.go
@@ -9,18 +9,19 @@
 	"fawnplank/internal/store/kv"
 )
 
-// maxCompactionWrites bounds a round of compaction. The next round continues where it stopped.
-const maxCompactionWrites = 100
+// maxCompactionSteps bounds the steps of a round of compaction, each of which is a write or a wait for a replica
+// that lags behind. The next round continues where it stopped.
+const maxCompactionSteps = 100
 
 // compact ends reservations whose leases have expired and makes records of windows that have ended, if this
 // instance holds the maintenance lease. Each write covers as many accounts as it can hold, because the windows
 // of all tenants end together.
 func (s *Service) compact() error {
-	if !s.acquireLease() {
+	if !s.ensureLease() {
 		return nil
 	}
 	tenants := slices.Sorted(maps.Keys(s.options.Replica.ReadPrefix(accountPrefix)))
-	for writes := 0; len(tenants) > 0 && writes < maxCompactionWrites; writes++ {
+	for step := 0; len(tenants) > 0 && step < maxCompactionSteps; step++ {
 		state, index, err := s.readExportState()
 		if err != nil {
 			return err
--- a/internal/billingservice/doc.go
+++ b/internal/billingservice/doc.go
@@ -5,7 +5,7 @@
 // compaction), the export loop if there is a Sink, and the state that they share. Close ends the loops and
 // waits for them. The state of each concern stands in one file with its transitions: lease.go (maintenance
 // lease), usage.go and report.go (usage that is not in the store yet), export_state.go and export_loop.go
-// (progress and halt of the export). retry.go has all waits and the limits of all retries.
+// (progress and last error of the export). retry.go has all waits and the limits of all retries.
 //
 // Package billing defines what an operation does to an account. Each operation is written with the index of
 // the account that it read, so that of two concurrent operations one follows the other, at whichever instances
--- a/internal/billingservice/errors.go
+++ b/internal/billingservice/errors.go
@@ -5,12 +5,16 @@
 	"fmt"
 )
 
-// ErrStore reports that an operation is not known to be committed. It may still be committed. If it is
-// repeated with the same id or epoch, it is applied only once.
+// ErrStore reports that an operation is not known to be committed. If the write got no answer, it may still be
+// committed. If the operation is repeated with the same id or epoch, it is applied only once.
+//
+// The text is the same in two cases in which the store does answer, and nothing is committed: the stored account
+// cannot be read (repeating does not help; the error in brackets says why), and the account was changed by
+// others between reading and writing at each attempt, for operationTimeout.
 var ErrStore = errors.New("the store gives no answer; ask again with the same words")
 
-// ErrReceiverAhead reports that the receiver has records that this store has never numbered. It halts the
-// export until Resume.
+// ErrReceiverAhead reports that the receiver has records that this store has never numbered. Each
+// round of the export fails with it until Resume.
 var ErrReceiverAhead = errors.New("the receiver has records that the store has not numbered: " +
 	"it was put back to an old copy. Nothing is exported until `fawnplank billing resume`")
 
--- a/internal/billingservice/export.go
+++ b/internal/billingservice/export.go
@@ -12,6 +12,10 @@
 //
 // The batch is fixed in the store before anything is sent, so that whichever instance sends it again, after a
 // crash at any moment, sends the same content. The receiver is first asked which records it has.
+//
+// Every instance with a Sink exports, whether or not it holds the maintenance lease. Of two that write the export
+// state at the same time, one gets a kv.ConflictError. Unlike addReports and compact, which take a conflict for
+// normal, the export counts and logs it as a failed round. The next round reads the new state.
 func (s *Service) exportBatch(ctx context.Context) (mayHaveMore bool, err error) {
 	state, index, err := s.readExportState()
 	if err != nil {
--- a/internal/billingservice/export_loop.go
+++ b/internal/billingservice/export_loop.go
@@ -8,33 +8,34 @@
 	"fawnplank/internal/logging"
 )
 
-// exportHalt holds why nothing is exported. The export loop alone records it; it may be read at any time.
-type exportHalt struct {
-	reason atomic.Pointer[string] // nil before the first round
+// exportError holds the error of the last round of the export. The export loop alone records it; it may be read
+// at any time.
+type exportError struct {
+	message atomic.Pointer[string] // nil before the first round
 }
 
-// record makes the error of a round the reason, or clears the reason if err is nil, and reports whether this
-// is a change.
-func (h *exportHalt) record(err error) (changed bool) {
-	last := h.text()
-	reason := ""
+// record replaces the error by that of a round, which is nil if the round succeeded, and reports whether its
+// text has changed.
+func (e *exportError) record(err error) (changed bool) {
+	last := e.text()
+	message := ""
 	if err != nil {
-		reason = err.Error()
+		message = err.Error()
 	}
-	h.reason.Store(&reason)
-	return reason != last
+	e.message.Store(&message)
+	return message != last
 }
 
-// text returns the reason. It is empty if nothing is wrong.
-func (h *exportHalt) text() string {
-	if reason := h.reason.Load(); reason != nil {
-		return *reason
+// text returns the error's text. It is empty if the last round succeeded.
+func (e *exportError) text() string {
+	if message := e.message.Load(); message != nil {
+		return *message
 	}
 	return ""
 }
 
-// runExport sends records to the sink, in order, until Close. Whenever the reason for failure changes, it
-// logs the change once.
+// runExport sends records to the sink, in order, until Close. It repeats a failed round whatever the error was,
+// and logs an error only if its text differs from that of the round before.
 func (s *Service) runExport() {
 	ctx, cancel := s.contextUntilStop()
 	defer cancel()
@@ -44,7 +45,7 @@
 		if err != nil {
 			s.counts.Failures.Add(1)
 		}
-		if s.halt.record(err) && ctx.Err() == nil {
+		if s.lastExportError.record(err) && ctx.Err() == nil {
 			logExport(err)
 		}
 		delay = s.nextExportDelay(delay, mayHaveMore, err)
@@ -81,7 +82,7 @@
 	}
 }
 
-// logExport logs that nothing is exported or, if err is nil, that the export works again.
+// logExport logs that a round has failed or, if err is nil, that the export works again.
 func logExport(err error) {
 	if err != nil {
 		logging.For(logComponent).WithError(err).Error("export failed; retrying")
--- a/internal/billingservice/export_state.go
+++ b/internal/billingservice/export_state.go
@@ -30,7 +30,9 @@
 // isDrained reports whether every record is acknowledged.
 func (e exportState) isDrained() bool { return e.Next == e.Acked+1 }
 
-// isExportedBeyond reports whether a record after the given sequence is known to be exported.
+// isExportedBeyond reports whether a record after the given sequence is known to be exported. The first condition
+// follows from the second as long as Acked is below Next, as in every state that this package writes. It guards
+// against a stored state in which it is not.
 func (e exportState) isExportedBeyond(sequence uint64) bool {
 	return sequence+1 < e.Next && e.Acked > sequence
 }
--- a/internal/billingservice/export_test.go
+++ b/internal/billingservice/export_test.go
@@ -60,7 +60,7 @@
 	service = startService(replica, "d", NewReceiver(url))
 	defer service.Close()
 	testutil.Eventually(t, "a halt", func() bool {
-		reason := service.HaltReason()
+		reason := service.LastExportError()
 		return strings.Contains(reason, "old copy") || strings.Contains(reason, "409")
 	})
 	if sum, err := receiver.total(); sum != 13e6 || err != nil {
--- a/internal/billingservice/lease.go
+++ b/internal/billingservice/lease.go
@@ -32,7 +32,8 @@
 	return l
 }
 
-// leaseTerm is what this instance knows of its own lease. The loops that need the lease share it.
+// leaseTerm is what this instance knows of its own lease. The loops that need the lease share it. The caller of
+// its methods holds mu.
 type leaseTerm struct {
 	mu           sync.Mutex // held while the lease is acquired, renewed or released
 	expiresNanos int64      // end of the lease that was last acquired, unix ns; 0 if none was
@@ -49,12 +50,12 @@
 // wasAcquired reports whether this instance has ever held the lease.
 func (t *leaseTerm) wasAcquired() bool { return t.expiresNanos != 0 }
 
-// acquireLease reports whether this instance holds the maintenance lease. It acquires or renews the lease if
-// it can. Only the holder adds reports to accounts and looks for reservations whose leases have expired and
-// for windows that have ended, so that not every instance reads all accounts each second. Two holders at once
-// would do no harm, because each write names the index of what it read. The holder is not simply the store's
-// leader, because the leader may be a replica without a gateway.
-func (s *Service) acquireLease() bool {
+// ensureLease acquires or renews the maintenance lease if that is due and possible, and reports whether this
+// instance holds the lease. Only the holder adds reports to accounts and looks for reservations whose leases
+// have expired and for windows that have ended, so that not every instance reads all accounts each second.
+// Two holders at once would do no harm, because each write names the index of what it read. The holder is not
+// simply the store's leader, because the leader may be a replica without a gateway.
+func (s *Service) ensureLease() bool {
 	s.lease.mu.Lock()
 	defer s.lease.mu.Unlock()
 	nowNanos := s.options.Now().UnixNano()
--- a/internal/billingservice/plans.go
+++ b/internal/billingservice/plans.go
@@ -12,10 +12,11 @@
 // TenantPlan returns the plan under which a tenant's requests are admitted now, if a change has set one. It
 // is called for each request and costs one map lookup.
 func (s *Service) TenantPlan(tenant string) (string, bool) {
-	account, ok := (*s.plans.Load())[tenant]
+	changes, ok := (*s.planChanges.Load())[tenant]
 	if !ok {
 		return "", false
 	}
+	account := billing.Account{Changes: changes}
 	plan := account.PlanAt(s.options.Now().UnixNano())
 	return plan, plan != ""
 }
@@ -24,7 +25,7 @@
 // cost depends on the accounts named, not on all accounts, because each added report changes some
 // accounts. Calls must not overlap.
 func (s *Service) KeysChanged(keys []string) {
-	plans := *s.plans.Load()
+	planChanges := *s.planChanges.Load()
 	copied := false
 	for _, key := range keys {
 		tenant, ok := strings.CutPrefix(key, accountPrefix)
@@ -32,19 +33,19 @@
 			continue
 		}
 		changes, ok := s.readChanges(key)
-		if !ok || slices.Equal(changes, plans[tenant].Changes) {
+		if !ok || slices.Equal(changes, planChanges[tenant]) {
 			continue
 		}
 		if !copied {
-			plans = maps.Clone(plans)
+			planChanges = maps.Clone(planChanges)
 			copied = true
 		}
-		delete(plans, tenant)
+		delete(planChanges, tenant)
 		if len(changes) > 0 {
-			plans[tenant] = billing.Account{Changes: changes}
+			planChanges[tenant] = changes
 		}
 	}
-	s.plans.Store(&plans)
+	s.planChanges.Store(&planChanges)
 }
 
 // readChanges returns an account's plan changes, which are none if the account is gone. Its second result is
--- a/internal/billingservice/report.go
+++ b/internal/billingservice/report.go
@@ -67,7 +67,8 @@
 	}
 }
 
-// writePendingReport writes the pending report until it is known to be committed.
+// writePendingReport writes the pending report until it is known to be committed, or retry gives up. Once the
+// service is stopped it makes one attempt; Close then calls it again.
 func (s *Service) writePendingReport() error {
 	content, err := json.Marshal(s.reports.pending)
 	if err != nil {
--- a/internal/billingservice/resume.go
+++ b/internal/billingservice/resume.go
@@ -10,7 +10,7 @@
 // Dropped counts what Resume dropped. It is never billed.
 type Dropped struct {
 	Records int
-	Windows int
+	Windows int // too high where an account changed while its windows were dropped; see dropWindows
 }
 
 // Resume lets the export continue after the store was restored from an old copy. Sequences continue after
@@ -57,7 +57,8 @@
 }
 
 // dropWindows drops the usage of all tenants' windows that began before a moment, and returns how many windows
-// it dropped.
+// it dropped. update calls the operation once per attempt, and each call adds to the count, so an account whose
+// first attempt meets a conflict is counted again.
 func (s *Service) dropWindows(before time.Time) (int, error) {
 	count := 0
 	for tenant := range s.options.Replica.ReadPrefix(accountPrefix) {
--- a/internal/billingservice/retry.go
+++ b/internal/billingservice/retry.go
@@ -9,8 +9,9 @@
 // Every wait and every limit of a retry in this package is one of these. The intervals between rounds of the
 // loops stand in service.go.
 const (
-	// operationTimeout is when an operation, a report or Close gives up. It outlasts an election, which takes a
-	// second or so.
+	// operationTimeout is how long an operation, a report or Close begins new attempts. It outlasts an election,
+	// which takes a second or so. It does not cut short an attempt that has begun: each of the attempt's calls to
+	// the leader may take forwardTimeout of package store, six seconds, beyond it.
 	operationTimeout = 5 * time.Second
 	// reportRetryInterval is the wait between two attempts to write a report.
 	reportRetryInterval = 50 * time.Millisecond
@@ -25,8 +26,9 @@
 	maxExportBackoffFactor = 30
 )
 
-// retry calls attempt until it succeeds. It gives up once operationTimeout has passed since the call, or wait
-// reports that the service was stopped, and then returns the last attempt's error.
+// retry calls attempt until it succeeds. It begins no further attempt once operationTimeout has passed since the
+// call, or wait reports that the service was stopped, and then returns the last attempt's error. There is always
+// a first attempt.
 func retry(attempt func() error, wait func() (stopped bool)) error {
 	deadline := time.Now().Add(operationTimeout)
 	for {
@@ -65,7 +67,9 @@
 	})
 }
 
-// logOutage logs that rounds fail or, if err is nil, that they succeed again.
+// logOutage logs that rounds fail or, if err is nil, that they succeed again. Its phrase stands for any error of
+// a round: also for a report or an account that cannot be read while the store is well. While such a round
+// fails, startLoop does not log a later outage of the store.
 func logOutage(err error) {
 	if err != nil {
 		logging.For(logComponent).WithError(err).Warn("store not writable; retrying")
--- a/internal/billingservice/service.go
+++ b/internal/billingservice/service.go
@@ -51,10 +51,11 @@
 
 	usage   unreportedUsage
 	reports reportState
-	plans   atomic.Pointer[map[string]billing.Account] // plan changes by tenant; replaced, never modified
-	lease   leaseTerm
-	halt    exportHalt
-	counts  Stats
+	// planChanges holds the plan changes by tenant, of tenants that have any. The map is replaced, never modified.
+	planChanges     atomic.Pointer[map[string][]billing.PlanChange]
+	lease           leaseTerm
+	lastExportError exportError
+	counts          Stats
 
 	stop      chan struct{} // closed by Close
 	loops     sync.WaitGroup
@@ -67,7 +68,7 @@
 	Rejected   atomic.Uint64 // operations that package billing rejected
 	Reports    atomic.Uint64 // reports of this instance's usage that were committed
 	Exported   atomic.Uint64 // records that the receiver acknowledged to this instance
-	Failures   atomic.Uint64 // rounds that failed at the store or the receiver
+	Failures   atomic.Uint64 // rounds of the loops that returned an error
 }
 
 // Start starts an instance's service. Close ends it.
@@ -86,7 +87,7 @@
 		incarnationNanos: options.Now().UnixNano(),
 		stop:             make(chan struct{}),
 	}
-	s.plans.Store(&map[string]billing.Account{})
+	s.planChanges.Store(&map[string][]billing.PlanChange{})
 	var keys []string
 	for tenant := range options.Replica.ReadPrefix(accountPrefix) {
 		keys = append(keys, accountPrefix+tenant)
@@ -130,5 +131,6 @@
 	return len(s.options.Replica.ReadPrefix(recordPrefix))
 }
 
-// HaltReason returns why nothing is exported. It is empty if nothing is wrong.
-func (s *Service) HaltReason() string { return s.halt.text() }
+// LastExportError returns the text of the error of the last round of the export, which is being retried. It is
+// empty if that round succeeded.
+func (s *Service) LastExportError() string { return s.lastExportError.text() }
--- a/internal/billingservice/update.go
+++ b/internal/billingservice/update.go
@@ -28,12 +28,12 @@
 	updateCommitted  updateResult = iota
 	updateRejected                // by package billing
 	updateConflicted              // somebody else has changed the account since it was read
-	updateFailed                  // the attempt may still be committed
+	updateFailed                  // the account cannot be read, or the write may still be committed
 )
 
 // update applies an operation to an account. An operation that succeeds on this replica's copy costs one
 // write. The copy may be out of date, so after a rejection or a conflict update reads the account from the
-// leader.
+// leader. Its errors are those of SchedulePlanChange.
 func (s *Service) update(tenant string, operate operation) error {
 	deadline := time.Now().Add(operationTimeout)
 	result, err := s.attemptUpdate(tenant, operate, s.readLocalAccount)
@@ -42,7 +42,7 @@
 	}
 	for result == updateConflicted {
 		if time.Now().After(deadline) {
-			return ErrStore
+			return ErrStore // every write met a conflict, so nothing is committed
 		}
 		result, err = s.attemptUpdate(tenant, operate, s.readAccountFromLeader)
 	}
--- a/internal/billingservice/usage.go
+++ b/internal/billingservice/usage.go
@@ -52,13 +52,13 @@
 	return items
 }
 
-// RecordUsage adds the units of a request that was admitted under a plan at a moment, and has succeeded. It
-// ignores units that are out of range.
-func (s *Service) RecordUsage(tenant, plan string, admittedAt time.Time, units float64) {
+// RecordUsage adds the units of a request that was received at a moment and has succeeded under a plan. It drops
+// units that are out of range, without a log message or a count.
+func (s *Service) RecordUsage(tenant, plan string, receivedAt time.Time, units float64) {
 	count, err := billing.UnitsFromFloat(units)
 	if err != nil {
 		return
 	}
-	windowStartNanos := s.options.Settings().WindowStart(admittedAt.UnixNano())
+	windowStartNanos := s.options.Settings().WindowStart(receivedAt.UnixNano())
 	s.usage.add(usageKey{tenant: tenant, plan: plan, windowStartNanos: windowStartNanos}, count)
 }
--- a/internal/billingservice/version0_test.go
+++ b/internal/billingservice/version0_test.go
@@ -228,7 +228,7 @@
 	replica := version0Store(t)
 	folder := Folder(t.TempDir())
 	service := newVersion0Service(replica, folder)
-	service.plans.Store(&map[string]billing.Account{})
+	service.planChanges.Store(&map[string][]billing.PlanChange{})
 	service.KeysChanged([]string{accountPrefix + "g"})
 	if plan, ok := service.TenantPlan("g"); plan != "small" || !ok {
 		t.Errorf("plan %q, %v", plan, ok)
