--- a/internal/store/api.go
+++ b/internal/store/api.go
@@ -17,7 +17,9 @@
 const (
 	// maxBodyBytes bounds a request's body. The largest is a backup.
 	maxBodyBytes = 64 << 20
-	// readHeaderTimeout bounds how long a connection to the API may stay open without sending a request.
+	// readHeaderTimeout bounds how long the header of a request may take: of a connection's first request from
+	// when the connection was accepted, of a later one from its first bytes. Between requests a connection may stay
+	// open without bound, because the server sets no idle timeout.
 	readHeaderTimeout = 5 * time.Second
 )
 
--- a/internal/store/api_cluster.go
+++ b/internal/store/api_cluster.go
@@ -11,7 +11,8 @@
 	"fawnplank/internal/store/kv"
 )
 
-// handleAddPeer makes a replica a voter of the cluster, and records the address of its API.
+// handleAddPeer makes a replica a voter of the cluster, and then records the address of its API. If the record
+// fails (status 503), the replica is a voter all the same. Repeating the call writes the record.
 func (s *Store) handleAddPeer(w http.ResponseWriter, _ *http.Request, body []byte) error {
 	var peer Peer
 	if err := json.Unmarshal(body, &peer); err != nil {
@@ -31,7 +32,8 @@
 	return s.commitAndAnswer(w, []kv.Edit{{Key: peerPrefix + peer.ID, Value: value}})
 }
 
-// handleRemovePeer removes a replica from the cluster, and deletes the record of its API address.
+// handleRemovePeer removes a replica from the cluster, and then deletes the record of its API address. If the
+// deletion fails (status 503), the replica is removed all the same. Repeating the call deletes the record.
 func (s *Store) handleRemovePeer(w http.ResponseWriter, r *http.Request, _ []byte) error {
 	id := r.PathValue("id")
 	future := s.raft.RemoveServer(raft.ServerID(id), 0, quorumTimeout)
@@ -60,6 +62,9 @@
 
 // handleRestore writes the edits that make the state what a snapshot held. The recorded replicas stay as they
 // are now, not as they were at the time of the snapshot.
+//
+// The edits are one command, so that they are applied all or none. A restore that needs more than kv.MaxEdits of
+// them is refused with kv.ErrInvalid, although handleBackup writes a state of any size.
 func (s *Store) handleRestore(w http.ResponseWriter, _ *http.Request, body []byte) error {
 	backup, err := kv.Load(body)
 	if err != nil {
--- a/internal/store/cluster_test.go
+++ b/internal/store/cluster_test.go
@@ -14,8 +14,8 @@
 	"time"
 )
 
-// testHeartbeatInterval is short, so that elections are quick, and far above the delay of a loopback.
-const testHeartbeatInterval = 50 * time.Millisecond
+// testTimeoutUnit is short, so that elections are quick, and far above the delay of a loopback.
+const testTimeoutUnit = 50 * time.Millisecond
 
 // cluster runs three replicas in one process, each with its own folder and addresses.
 type cluster struct {
@@ -72,11 +72,11 @@
 
 func (c *cluster) open(id string) (*Store, error) {
 	return Open(Options{
-		Dir:               filepath.Join(c.dir, id),
-		Self:              c.peer(id),
-		Peers:             c.peers,
-		Validate:          c.validate,
-		HeartbeatInterval: testHeartbeatInterval,
+		Dir:         filepath.Join(c.dir, id),
+		Self:        c.peer(id),
+		Peers:       c.peers,
+		Validate:    c.validate,
+		TimeoutUnit: testTimeoutUnit,
 	})
 }
 
--- a/internal/store/errors.go
+++ b/internal/store/errors.go
@@ -14,9 +14,11 @@
 var (
 	// errNotLeader reports that another replica is the leader and may be asked instead.
 	errNotLeader = errors.New("another replica leads")
-	// errStarting is the answer to requests until Raft runs.
+	// errStarting is the answer to requests until Raft runs: the replica opens its folder and, if the folder was
+	// used before, asks the others for their positions. Repeat the request a second or two later.
 	errStarting = errors.New("starting")
-	// errRejected reports that Options.Validate keeps a value out of the log.
+	// errRejected reports that Options.Validate keeps a value out of the log, and nothing is written. The text
+	// that follows it names the key and the reason. Correct the value; sending it again is useless.
 	errRejected = errors.New("refused")
 	// errCatchingUp is the answer to a request for a vote that is withheld.
 	errCatchingUp = errors.New("catching up after a restart: no votes")
--- a/internal/store/kv/command.go
+++ b/internal/store/kv/command.go
@@ -41,10 +41,12 @@
 	MaxValueBytes = 1 << 20
 )
 
-// ErrInvalid reports that a command is malformed. It is never written, and sending it again is useless.
+// ErrInvalid reports that a command is malformed: too many edits or none, a key or value out of bounds, a key
+// twice, or no JSON. The text around it says which. The command is never written, and sending it again is useless.
 var ErrInvalid = errors.New("not in form")
 
-// VersionError reports that a command or a snapshot has another version than Version.
+// VersionError reports that a command or a snapshot has another version than Version. Another
+// version of the program wrote it, and reads it.
 type VersionError struct {
 	Version int
 }
@@ -55,7 +57,7 @@
 }
 
 // ConflictError reports that a key's index is not the one that an edit expected, because somebody else has
-// changed the key.
+// changed the key. It is empty, and its text names no key, if another replica found the conflict.
 type ConflictError struct {
 	Key              string
 	Actual, Expected Index
@@ -95,7 +97,8 @@
 	return nil
 }
 
-// validateKey checks a key's length, and that it can be printed and be a part of a URL's path.
+// validateKey checks a key's length, and that it is printable ASCII without spaces. A client has to escape the
+// characters ?, # and %, which are allowed, where a key is a part of a URL's path.
 func validateKey(key string) error {
 	isUnprintable := func(r rune) bool { return r <= ' ' || r > '~' }
 	if key == "" || len(key) > MaxKeyBytes || strings.ContainsFunc(key, isUnprintable) {
--- a/internal/store/membership_test.go
+++ b/internal/store/membership_test.go
@@ -15,9 +15,9 @@
 	added := newPeer(t, "d")
 	c.peers = append(c.peers, added)
 	replica, err := Open(Options{ // without peers, so it waits to be added
-		Dir:               filepath.Join(c.dir, added.ID),
-		Self:              added,
-		HeartbeatInterval: testHeartbeatInterval,
+		Dir:         filepath.Join(c.dir, added.ID),
+		Self:        added,
+		TimeoutUnit: testTimeoutUnit,
 	})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/store/raft.go
+++ b/internal/store/raft.go
@@ -29,11 +29,14 @@
 	folderLockTimeout = time.Second
 )
 
-// Raft's timeouts, as multiples of the heartbeat interval. The leader's lease must be shorter than an election
-// timeout, so that a leader that has lost its quorum steps down before the others elect another.
+// Raft's timeouts, in units of Options.TimeoutUnit. Raft draws each of the first two at random from one to two
+// times its value, and its leader sends heartbeats at a tenth to a fifth of heartbeatTimeoutUnits. The leader's
+// lease must be shorter than an election timeout, so that a leader that has lost its quorum steps down before the
+// others elect another.
 const (
-	heartbeatsPerElection    = 3
-	heartbeatsPerLeaderLease = 2
+	heartbeatTimeoutUnits = 3 // without a heartbeat, until a follower stands for election
+	electionTimeoutUnits  = 3 // without a majority of votes, until a candidate begins the next election
+	leaderLeaseUnits      = 2 // without an answer of a quorum, until a leader steps down
 )
 
 // open starts the parts of a replica one after another. If a later part fails, the caller closes what was
@@ -94,13 +97,13 @@
 
 // raftConfig returns Raft's configuration for this replica.
 func (s *Store) raftConfig(logger hclog.Logger) *raft.Config {
-	heartbeat := s.options.HeartbeatInterval
+	unit := s.options.TimeoutUnit
 	config := raft.DefaultConfig()
 	config.LocalID = raft.ServerID(s.options.Self.ID)
 	config.Logger = logger
-	config.HeartbeatTimeout = heartbeatsPerElection * heartbeat
-	config.ElectionTimeout = heartbeatsPerElection * heartbeat
-	config.LeaderLeaseTimeout = heartbeatsPerLeaderLease * heartbeat
+	config.HeartbeatTimeout = heartbeatTimeoutUnits * unit
+	config.ElectionTimeout = electionTimeoutUnits * unit
+	config.LeaderLeaseTimeout = leaderLeaseUnits * unit
 	config.CommitTimeout = commitTimeout
 	config.SnapshotThreshold = snapshotThreshold
 	config.SnapshotInterval = snapshotInterval
--- a/internal/store/raft_logger.go
+++ b/internal/store/raft_logger.go
@@ -8,7 +8,8 @@
 	"fawnplank/internal/logging"
 )
 
-// newRaftLogger returns a logger that writes Raft's warnings and errors to the program's log, at debug level.
+// newRaftLogger returns a logger that writes Raft's warnings and errors to the program's log, at debug level. A
+// failed snapshot is therefore seen only at that level.
 func newRaftLogger() hclog.Logger {
 	return hclog.New(&hclog.LoggerOptions{
 		Name:        "raft",
--- a/internal/store/rejoin.go
+++ b/internal/store/rejoin.go
@@ -53,6 +53,9 @@
 // caught up with that log, and votes for no replica that has not (voteRestriction). This is enough as long as
 // the other replicas are up: three replicas tolerate one failure, and the old folder is that one.
 //
+// It asks only the replicas in Options.Peers, not the members that the folder knows. Without them, a replica that
+// starts from an old copy is not noticed.
+//
 // It returns the index that the log must reach before this replica votes freely, or 0 if it may vote at once.
 func (s *Store) rejoin() (uint64, error) {
 	term, err := s.logStore.GetUint64([]byte(currentTermKey))
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -35,28 +35,32 @@
 	Dir string
 	// Self is this replica.
 	Self Peer
-	// Peers lists all replicas of the first start, including this one. A folder that is already in use knows
-	// them itself. Without peers, a replica with a new folder waits to be added.
+	// Peers lists all replicas, including this one. With a new folder they become the first configuration of the
+	// cluster; without peers, the replica waits to be added. A folder that is in use knows the members itself, but
+	// rejoin asks only Peers for their positions. Give them at every later start too: without them, a replica that
+	// starts from an old copy of its folder is not noticed.
 	Peers []Peer
 	// Validate, if set, checks each value that is written through the API. An error keeps the value out of the
 	// log. Edits that this process commits as the leader (Edit, and the peers' addresses) are not checked.
 	Validate func(key string, value json.RawMessage) error
-	// OnChange, if set, is called on every replica with the keys that changed, in the order of the log. It must
-	// not block.
+	// OnChange, if set, is called on every replica with the keys that changed, in the order of the log. After a
+	// snapshot has replaced the state, it is called with the snapshot's keys, and keys that are no longer there
+	// are not reported. It must not block.
 	OnChange func(keys []string)
 	// TLS, if set, protects both addresses and the connections to other replicas. Each side presents a
 	// certificate of the authority that TLS names.
 	TLS *tlsconfig.Source
-	// HeartbeatInterval is Raft's heartbeat interval; an election takes a few of them. 0 means 200 ms, many
-	// times the delay of a loopback or a rack.
-	HeartbeatInterval time.Duration
+	// TimeoutUnit is the unit of Raft's timeouts for the leader's heartbeats, for an election and for the leader's
+	// lease; see raft.go. It is longer than the interval between heartbeats. 0 means 200 ms, many times the delay
+	// of a loopback or a rack.
+	TimeoutUnit time.Duration
 }
 
 // logComponent names this package in the log.
 const logComponent = "store"
 
 const (
-	defaultHeartbeatInterval = 200 * time.Millisecond
+	defaultTimeoutUnit = 200 * time.Millisecond
 	// quorumTimeout bounds what needs an answer of a quorum: a commit, a change of membership, a linearizable
 	// read. It outlasts an election, which takes a second at most on a loopback.
 	quorumTimeout = 5 * time.Second
@@ -73,8 +77,8 @@
 	transport *raft.NetworkTransport
 	votes     *voteRestriction
 
-	mu    sync.RWMutex // guards raft until Open returns, and state
-	raft  *raft.Raft   // nil while the replica starts
+	mu    sync.RWMutex // guards state, and raft until it is set
+	raft  *raft.Raft   // nil while the replica starts; once isStarted is true, read without mu
 	state *kv.State
 
 	listener net.Listener // listener of the API
@@ -90,8 +94,8 @@
 // Open starts a replica in its folder, and its API. A folder that was used before is first compared with the
 // other replicas; see rejoin.
 func Open(options Options) (*Store, error) {
-	if options.HeartbeatInterval == 0 {
-		options.HeartbeatInterval = defaultHeartbeatInterval
+	if options.TimeoutUnit == 0 {
+		options.TimeoutUnit = defaultTimeoutUnit
 	}
 	if err := os.MkdirAll(options.Dir, folderMode); err != nil {
 		return nil, fmt.Errorf("store: %w", err)
--- a/internal/store/version0_test.go
+++ b/internal/store/version0_test.go
@@ -25,10 +25,10 @@
 	return testutil.Fixture(t, "replica.tar.gz", func(path string) {
 		self := Peer{ID: "a", Raft: "127.0.0.1:7001", API: "127.0.0.1:7101"}
 		s, err := Open(Options{
-			Dir:               path,
-			Self:              self,
-			Peers:             []Peer{self},
-			HeartbeatInterval: testHeartbeatInterval,
+			Dir:         path,
+			Self:        self,
+			Peers:       []Peer{self},
+			TimeoutUnit: testTimeoutUnit,
 		})
 		if err != nil {
 			t.Fatal(err)
@@ -65,7 +65,7 @@
 // TestOpen_ReadsVersion0Folder starts a replica on a folder of an earlier version. It has the same entries at
 // the same indices, and accepts writes.
 func TestOpen_ReadsVersion0Folder(t *testing.T) {
-	options := Options{Dir: version0Folder(t), Self: newPeer(t, "a"), HeartbeatInterval: testHeartbeatInterval}
+	options := Options{Dir: version0Folder(t), Self: newPeer(t, "a"), TimeoutUnit: testTimeoutUnit}
 	s, err := Open(options)
 	if err != nil {
 		t.Fatal(err)
