--- a/internal/simadapter/host.go
+++ b/internal/simadapter/host.go
@@ -14,7 +14,7 @@
 
 // host holds the instances of this process, which share nothing but the reply. Only one goroutine may use it.
 type host struct {
-	instances map[uint32]*instance
+	instances map[uint32]*instance // by wireID
 	reply     simwire.Reply
 }
 
@@ -23,7 +23,7 @@
 // event is a kind of event: its name in errors, and how one of its records is read and handled.
 type event struct {
 	name   string
-	handle func(h *host, now policy.Instant, number uint32, f *simwire.Frame) error
+	handle func(h *host, now policy.Instant, wireID uint32, f *simwire.Frame) error
 }
 
 // events lists the kinds of events by their code, with the names that errors have always given them.
@@ -45,14 +45,14 @@
 func hostEvent[M any](
 	name string,
 	read func(*simwire.Frame) (M, error),
-	handle func(h *host, now policy.Instant, number uint32, message M),
+	handle func(h *host, now policy.Instant, wireID uint32, message M),
 ) event {
-	return event{name: name, handle: func(h *host, now policy.Instant, number uint32, f *simwire.Frame) error {
+	return event{name: name, handle: func(h *host, now policy.Instant, wireID uint32, f *simwire.Frame) error {
 		message, err := readWhole(f, read)
 		if err != nil {
 			return err
 		}
-		handle(h, now, number, message)
+		handle(h, now, wireID, message)
 		return nil
 	}}
 }
@@ -64,13 +64,13 @@
 	read func(*simwire.Frame) (M, error),
 	handle func(in *instance, now policy.Instant, message M),
 ) event {
-	return event{name: name, handle: func(h *host, now policy.Instant, number uint32, f *simwire.Frame) error {
+	return event{name: name, handle: func(h *host, now policy.Instant, wireID uint32, f *simwire.Frame) error {
 		message, err := readWhole(f, read)
 		if err != nil {
 			return err
 		}
-		if in := h.instances[number]; in != nil {
-			h.guard(number, func() { handle(in, now, message) })
+		if in := h.instances[wireID]; in != nil {
+			h.guard(wireID, func() { handle(in, now, message) })
 		}
 		return nil
 	}}
@@ -105,10 +105,10 @@
 
 // handleRecord handles one record and returns the name of its kind of event, or "" if there is no such kind.
 func (h *host) handleRecord(now policy.Instant, code uint8, f *simwire.Frame) (name string, err error) {
-	number := f.Uint32()
+	wireID := f.Uint32()
 	if int(code) < len(events) {
 		kind := &events[code]
-		return kind.name, kind.handle(h, now, number, f)
+		return kind.name, kind.handle(h, now, wireID, f)
 	}
 	if err := f.Err(); err != nil {
 		return "", err
@@ -117,37 +117,37 @@
 }
 
 // guard calls the engine. If it panics, guard reports that in place of the instance's further actions.
-func (h *host) guard(number uint32, call func()) {
+func (h *host) guard(wireID uint32, call func()) {
 	defer func() {
 		if reason := recover(); reason != nil {
-			h.reportBroken(number, fmt.Sprint(reason))
+			h.reportBroken(wireID, fmt.Sprint(reason))
 		}
 	}()
 	call()
 }
 
 // reportBroken ends an instance and reports why.
-func (h *host) reportBroken(number uint32, reason string) {
-	delete(h.instances, number)
-	h.reply.Record(actionBroken).Uint32(number).Text(reason)
+func (h *host) reportBroken(wireID uint32, reason string) {
+	delete(h.instances, wireID)
+	h.reply.Record(actionBroken).Uint32(wireID).Text(reason)
 }
 
-// create starts an instance, and replaces the one with the same number if there is one.
-func (h *host) create(now policy.Instant, number uint32, m createMessage) {
+// create starts an instance, and replaces the one with the same ID if there is one.
+func (h *host) create(now policy.Instant, wireID uint32, m createMessage) {
 	settings, err := config.ParseSettings(m.settings)
 	if err != nil {
-		h.reportBroken(number, err.Error())
+		h.reportBroken(wireID, err.Error())
 		return
 	}
-	in := &instance{number: number, reply: &h.reply, requests: map[policy.RequestID]*policy.Request{}}
-	h.instances[number] = in
-	h.guard(number, func() {
+	in := &instance{wireID: wireID, reply: &h.reply, requests: map[policy.RequestID]*policy.Request{}}
+	h.instances[wireID] = in
+	h.guard(wireID, func() {
 		in.engine = policy.New(policy.Options{Now: now, Seed: m.seed, Settings: settings, Effects: in})
 	})
 }
 
 // kill ends an instance without a reply.
-func (h *host) kill(_ policy.Instant, number uint32, _ emptyMessage) { delete(h.instances, number) }
+func (h *host) kill(_ policy.Instant, wireID uint32, _ emptyMessage) { delete(h.instances, wireID) }
 
 // ignore handles messages from other instances: the engine sends none and expects none.
 func (h *host) ignore(policy.Instant, uint32, emptyMessage) {}
--- a/internal/simadapter/instance.go
+++ b/internal/simadapter/instance.go
@@ -10,25 +10,25 @@
 
 // Codes of the actions on the wire.
 const (
-	actionSend uint8 = 64 + iota
-	actionReject
-	actionAbort
-	actionCancel
-	actionWakeAt
-	actionCheckHealth
-	_ // drop connections: idle ones close by themselves
-	_ // message to another instance: instances share only the counter
-	actionLog
-	actionBroken
-	actionWatch
-	_ // refresh: a watch delivers what was missed
-	actionAddToCounter
+	actionSend        uint8 = 64
+	actionReject      uint8 = 65
+	actionAbort       uint8 = 66
+	actionCancel      uint8 = 67
+	actionWakeAt      uint8 = 68
+	actionCheckHealth uint8 = 69
+	// 70, drop connections, is not used: idle ones close by themselves.
+	// 71, message to another instance, is not used: instances share only the counter.
+	actionLog    uint8 = 72
+	actionBroken uint8 = 73
+	actionWatch  uint8 = 74
+	// 75, refresh, is not used: a watch delivers what was missed.
+	actionAddToCounter uint8 = 76
 )
 
 // instance is one gateway instance: its engine, and its requests in flight. It implements policy.Effects
 // for the engine: each effect becomes an action in the reply.
 type instance struct {
-	number   uint32
+	wireID   uint32         // the simulator's number of the instance, which is not policy.Settings.InstanceIndex
 	reply    *simwire.Reply // the host's, which all instances share
 	engine   *policy.Engine
 	requests map[policy.RequestID]*policy.Request
@@ -38,11 +38,12 @@
 
 // action starts an action's record.
 func (in *instance) action(code uint8) *simwire.Reply {
-	return in.reply.Record(code).Uint32(in.number)
+	return in.reply.Record(code).Uint32(in.wireID)
 }
 
 // Send sends an attempt. The simulator sends at once, so the time by which the attempt has to begin is not
-// used.
+// used. No attempt number is sent: the simulator numbers a request's attempts from 0 in the order of the actions,
+// as the engine does.
 func (in *instance) Send(attempt policy.AttemptSpec) {
 	record := in.action(actionSend).Uint64(uint64(attempt.Request)).Uint32(uint32(attempt.Backend))
 	record.Float64(instantMillis(attempt.ExpiresAt))
@@ -115,7 +116,7 @@
 
 func (in *instance) handleSubmit(now policy.Instant, m submitMessage) {
 	in.requests[m.spec.ID] = in.engine.Submit(now, m.spec)
-	in.forgetIfDone(m.spec.ID)
+	in.forgetIfDone(m.spec.ID) // an effect that answers within Submit comes before the request is in the map
 }
 
 func (in *instance) handleResponseStarted(now policy.Instant, m responseStartedMessage) {
--- a/internal/simadapter/messages.go
+++ b/internal/simadapter/messages.go
@@ -15,19 +15,35 @@
 
 // Codes of the events on the wire.
 const (
-	eventCreate uint8 = iota
-	eventEndpoints
-	eventSubmit
-	eventResponseStarted
-	eventAttemptResult
-	eventClientGone
-	eventTimer
-	eventHealthCheck
-	eventPeerMessage
-	eventKill
-	eventCounterResult
+	eventCreate          uint8 = 0
+	eventEndpoints       uint8 = 1
+	eventSubmit          uint8 = 2
+	eventResponseStarted uint8 = 3
+	eventAttemptResult   uint8 = 4
+	eventClientGone      uint8 = 5
+	eventTimer           uint8 = 6
+	eventHealthCheck     uint8 = 7
+	eventPeerMessage     uint8 = 8
+	eventKill            uint8 = 9
+	eventCounterResult   uint8 = 10
 )
 
+// Kinds of update of the endpoint list on the wire.
+const (
+	updateDelta          = 0
+	updateFullSnapshot   = 1
+	updateCachedSnapshot = 2
+	updateFailed         = 3
+)
+
+// updateKinds maps a kind on the wire to the engine's.
+var updateKinds = map[uint8]policy.UpdateKind{
+	updateDelta:          policy.Delta,
+	updateFullSnapshot:   policy.FullSnapshot,
+	updateCachedSnapshot: policy.CachedSnapshot,
+	updateFailed:         policy.UpdateFailed,
+}
+
 // States of a backend on the wire. State 2 is not defined.
 const (
 	stateDraining = 0
@@ -43,7 +59,7 @@
 // maxCount bounds counts, so that they fit into an int of any size.
 const maxCount = 1e9
 
-// countOf converts a count, which the wire sends as a real number.
+// countOf truncates a count, which the wire sends as a real number, to a whole number from 0 to maxCount.
 func countOf(number float64) int { return int(min(max(number, 0), maxCount)) }
 
 // Statuses of attempts, health checks and calls to the counter on the wire.
@@ -107,7 +123,8 @@
 	const entryBytes = 22
 	kind := f.Uint8()
 	f.Uint64() // the list's version: the wire sends no list twice
-	m := endpointsMessage{kind: policy.UpdateKind(kind)}
+	updateKind, known := updateKinds[kind]
+	m := endpointsMessage{kind: updateKind}
 	m.endpoints = make([]policy.Endpoint, f.Count(int(f.Uint32()), entryBytes))
 	for n := range m.endpoints {
 		endpoint := &m.endpoints[n]
@@ -115,7 +132,7 @@
 			m.unknownStates = append(m.unknownStates, unknownState{backend: endpoint.Backend, state: state})
 		}
 	}
-	if kind > uint8(policy.UpdateFailed) {
+	if !known {
 		return m, fmt.Errorf("unknown kind of list %d", kind)
 	}
 	return m, nil
--- a/internal/simadapter/run.go
+++ b/internal/simadapter/run.go
@@ -39,6 +39,7 @@
 	if err := h.handleFrame(f); err != nil {
 		return err
 	}
+	// WriteTo also empties the reply for the next frame, which nothing else does.
 	if _, err := h.reply.WriteTo(w); err != nil {
 		return fmt.Errorf("write reply: %w", err)
 	}
