--- a/internal/lab/scenario/fault.go
+++ b/internal/lab/scenario/fault.go
@@ -28,13 +28,13 @@
 	InstanceRestart FaultKind = "gateway-restart"  // killed, and started anew at the end
 )
 
-// party says whom a fault affects, in the words of errors.
-type party string
+// targetKind says what the targets of a fault are, in the words of errors.
+type targetKind string
 
 const (
-	noParty       party = ""
-	backendsParty party = "backends"
-	gatewaysParty party = "gateways"
+	noTargets       targetKind = ""
+	backendTargets  targetKind = "backends"
+	instanceTargets targetKind = "gateways"
 )
 
 // parameter is a key that a kind of fault needs.
@@ -47,38 +47,38 @@
 
 // faultTraits say which keys a kind of fault has.
 type faultTraits struct {
-	party     party
+	targets   targetKind
 	needs     parameter
-	isInstant bool // it has no duration
+	isInstant bool // it acts when it begins, and needs no duration
 }
 
 var traitsOf = map[FaultKind]faultTraits{
-	BackendRefuse:   {party: backendsParty},
-	BackendHang:     {party: backendsParty},
-	BackendSlow:     {party: backendsParty, needs: factorParameter},
-	BackendReset:    {party: backendsParty},
-	BackendGarble:   {party: backendsParty},
-	BackendError:    {party: backendsParty},
-	BackendDrain:    {party: backendsParty},
-	BackendVanish:   {party: backendsParty},
-	BackendRestart:  {party: backendsParty},
-	BackendWithdraw: {party: backendsParty},
+	BackendRefuse:   {targets: backendTargets},
+	BackendHang:     {targets: backendTargets},
+	BackendSlow:     {targets: backendTargets, needs: factorParameter},
+	BackendReset:    {targets: backendTargets},
+	BackendGarble:   {targets: backendTargets},
+	BackendError:    {targets: backendTargets},
+	BackendDrain:    {targets: backendTargets},
+	BackendVanish:   {targets: backendTargets},
+	BackendRestart:  {targets: backendTargets},
+	BackendWithdraw: {targets: backendTargets},
 	CounterRefuse:   {},
 	CounterHang:     {},
 	CounterSlow:     {needs: delayParameter},
 	CounterEmpty:    {isInstant: true},
-	CounterCut:      {party: gatewaysParty},
+	CounterCut:      {targets: instanceTargets},
 	DiscoveryStale:  {},
 	DiscoveryLate:   {needs: delayParameter},
 	DiscoveryRefuse: {},
-	InstanceRestart: {party: gatewaysParty},
+	InstanceRestart: {targets: instanceTargets},
 }
 
 // Fault is something that goes wrong from a time on for a duration. Times count from the run's start.
 type Fault struct {
 	Kind           FaultKind `toml:"kind"`
 	At             Span      `toml:"at"`
-	Duration       Span      `toml:"duration"` // 0 only for a kind that is instant
+	Duration       Span      `toml:"duration"` // above 0, but for an instant kind
 	Targets        []int     `toml:"targets"`  // numbers of backends or instances, from 0
 	Share          float64   `toml:"share"`    // instead of targets: this share of them all, the first ones
 	Factor         float64   `toml:"factor"`   // BackendSlow: how many times as long work takes
@@ -106,19 +106,19 @@
 	if len(fault.Targets) > 0 {
 		return fault.Targets
 	}
-	targets := make([]int, int(math.Ceil(fault.Share*float64(s.countOf(traitsOf[fault.Kind].party)))))
+	targets := make([]int, int(math.Ceil(fault.Share*float64(s.countOf(traitsOf[fault.Kind].targets)))))
 	for n := range targets {
 		targets[n] = n
 	}
 	return targets
 }
 
-// countOf returns the number of members of a party.
-func (s *Scenario) countOf(p party) int {
-	switch p {
-	case backendsParty:
+// countOf returns how many possible targets of a kind there are.
+func (s *Scenario) countOf(kind targetKind) int {
+	switch kind {
+	case backendTargets:
 		return s.Backends.Count
-	case gatewaysParty:
+	case instanceTargets:
 		return s.Instances.Count
 	}
 	return 0
--- a/internal/lab/scenario/occurrence.go
+++ b/internal/lab/scenario/occurrence.go
@@ -6,7 +6,9 @@
 type Occurrence struct {
 	Target int           // number of the backend or instance; 0 for the counter and discovery, which exist once
 	Begin  time.Duration // until End the fault is in force
-	End    time.Duration // Begin, for a fault without a duration
+	// End is Begin if the fault has no duration. An instant fault may have one: then it acts at Begin, and on sockets
+	// at End once more.
+	End time.Duration
 }
 
 // Occurrences returns the occurrences of a fault in the order of their begins, which its stagger sets apart.
--- a/internal/lab/scenario/parse.go
+++ b/internal/lab/scenario/parse.go
@@ -76,8 +76,12 @@
 	return Parse(path, text, overrides...)
 }
 
-// Parse reads a scenario. Errors give name, line and key. Old names of keys are read for the new ones, and
-// listed in the scenario's deprecations.
+// Parse reads a scenario. Errors give name, line and key. An error about a value that an override has set gives the
+// file's name too, and the file's line of that key if there is one. Old names of keys are read for the new ones,
+// and listed in the scenario's deprecations.
+//
+// Repeats of faults are expanded after the checks, which therefore bound only when the first of them begins: later
+// ones may lie after the run.
 func Parse(name string, text []byte, overrides ...string) (*Scenario, error) {
 	s := defaults()
 	file, err := s.decode(name, text)
--- a/internal/lab/scenario/scenario.go
+++ b/internal/lab/scenario/scenario.go
@@ -1,6 +1,7 @@
 // Package scenario reads the laboratory's scenario files: what is balanced, who sends which requests, and
-// which faults come when. It fills in defaults, checks every key, and turns the terms of service into the
-// settings that a gateway reads, so that the model and the sockets use the same ones. It runs nothing.
+// which faults come when. It fills in defaults, rejects unknown keys, checks most values (see validate), and
+// turns the terms of service into the settings that a gateway reads, so that the model and the sockets use the
+// same ones. It runs nothing.
 //
 // A Scenario does not change after it is read, and is then safe for concurrent use.
 package scenario
@@ -76,7 +77,7 @@
 // InstanceSettings are the gateway instances.
 type InstanceSettings struct {
 	Count    int `toml:"count"`
-	MemoryMB int `toml:"memory_mb"` // each instance's limit, in MB; sockets only
+	MemoryMB int `toml:"memory_mb"` // each instance's limit, in MiB; sockets only
 	Sockets  int `toml:"sockets"`   // each instance's limit of open sockets; sockets only
 }
 
@@ -126,12 +127,20 @@
 
 // RuleSettings are the parameters of the five rules.
 type RuleSettings struct {
-	DeadlineGrace     Span    `toml:"deadline_grace"`      // of the final answer after the client's deadline
-	DrainGrace        Span    `toml:"drain_grace"`         // of attempts to a backend that drains or is gone
-	SlowStartShare    float64 `toml:"slow_start_share"`    // of its capacity that a backend starts with
-	SlowStartDuration Span    `toml:"slow_start_duration"` // until a backend has its whole capacity
-	OverloadMultiple  float64 `toml:"overload_multiple"`   // of its capacity that a backend bears over the window
-	OverloadWindow    Span    `toml:"overload_window"`
+	// DeadlineGrace is how long after the client's deadline the final answer may come.
+	DeadlineGrace Span `toml:"deadline_grace"`
+	// DrainGrace is how long the checker allows attempts to a backend that drains or is gone. Gateways do not get
+	// it: they keep their default of 1 s.
+	DrainGrace Span `toml:"drain_grace"`
+	// SlowStartShare is the share of its capacity that a backend starts with.
+	SlowStartShare float64 `toml:"slow_start_share"`
+	// SlowStartDuration is the time from a backend's start until it has its whole capacity.
+	SlowStartDuration Span `toml:"slow_start_duration"`
+	// OverloadMultiple is the multiple of its capacity above which a warming backend collapses, measured over
+	// OverloadWindow.
+	OverloadMultiple float64 `toml:"overload_multiple"`
+	// OverloadWindow is the time over which the work sent to a warming backend is summed.
+	OverloadWindow Span `toml:"overload_window"`
 }
 
 // PermissionSettings say what gateways may do.
--- a/internal/lab/scenario/settings.go
+++ b/internal/lab/scenario/settings.go
@@ -26,9 +26,11 @@
 	}
 )
 
-func inMillis(span Span) float64 { return float64(span) / 1e6 }
+// inMillis returns a span in milliseconds, in which the settings give times.
+func inMillis(span Span) float64 { return float64(span) / float64(millisecond) }
 
-// GatewaySettings returns the settings of a gateway instance, in the form that internal/config reads.
+// GatewaySettings returns the settings of a gateway instance, in the form that internal/config reads. They leave out
+// the drain grace, so gateways keep their default, whatever Rules.DrainGrace allows in the checker.
 func (s *Scenario) GatewaySettings(instance int) map[string]any {
 	zones := make([]string, s.Backends.Zones)
 	for n := range zones {
--- a/internal/lab/scenario/validate.go
+++ b/internal/lab/scenario/validate.go
@@ -10,7 +10,7 @@
 // threads.
 const (
 	maxDuration        = 3600 * second
-	maxNumber          = 1e8
+	maxNumber          = 100_000_000
 	maxInstances       = 5000
 	maxBackends        = 50000
 	maxSocketInstances = 16
@@ -44,7 +44,10 @@
 	seen[name] = true
 }
 
-// validate checks all values, and returns the first error.
+// validate returns the first error among the values. It does not bound these, which may even be negative: the graces
+// of the rules, allow.max_retry_after, the delays of counter, discovery and net, late_value of a class,
+// hard_quota_slack, over_quota_value and over_quota_cost of a plan, and keys of a fault that its kind does not
+// need.
 func (s *Scenario) validate(file *tomlfile.File) error {
 	v := &validator{file: file}
 	v.require(s.Name != "", "name", "is missing")
@@ -52,7 +55,7 @@
 	v.require(s.Duration > 0 && s.Duration <= maxDuration, "duration", "is not above 0 and at most 1h")
 	s.validateNumbers(v)
 	s.validateSockets(v)
-	s.validateParties(v)
+	s.validateServices(v)
 	s.validateLoad(v)
 	s.validateRules(v)
 	v.require(len(s.Classes) > 0, "class", "is missing: one at least")
@@ -81,7 +84,8 @@
 		{"load.entry_points", s.Load.EntryPoints},
 		{"load.connections", s.Load.Connections},
 	} {
-		v.require(number.value >= 1 && number.value <= maxNumber, number.key, "is not at least 1")
+		v.require(number.value >= 1, number.key, "is not at least 1")
+		v.require(number.value <= maxNumber, number.key, "is above %d", maxNumber)
 	}
 	v.require(s.Instances.Count <= maxInstances, "gateways.count", "is above %d", maxInstances)
 	v.require(s.Backends.Count <= maxBackends, "backends.count", "is above %d", maxBackends)
@@ -99,8 +103,9 @@
 	v.require(s.Instances.Sockets >= minSockets, "gateways.sockets", "is below %d", minSockets)
 }
 
-// validateParties checks discovery, backends and counter.
-func (s *Scenario) validateParties(v *validator) {
+// validateServices checks discovery, backends and counter, and that there are as many gateways as load.entry_points
+// needs.
+func (s *Scenario) validateServices(v *validator) {
 	source := s.Discovery.Source
 	v.require(source == SourceHTTP || source == SourceDNS, "discovery.source", "is not http or dns")
 	v.require(source != SourceDNS || s.On == OnSockets,
@@ -131,7 +136,8 @@
 	v.require(rules.SlowStartShare > 0 && rules.SlowStartShare <= 1,
 		"rules.slow_start_share", "is not above 0 and at most 1")
 	v.require(rules.OverloadMultiple >= 1, "rules.overload_multiple", "is below 1")
-	v.require(rules.SlowStartDuration >= 0 && rules.OverloadWindow > 0, "rules.overload_window", "is not above 0")
+	v.require(rules.SlowStartDuration >= 0, "rules.slow_start_duration", "is below 0")
+	v.require(rules.OverloadWindow > 0, "rules.overload_window", "is not above 0")
 }
 
 func (s *Scenario) validateClasses(v *validator) {
@@ -158,9 +164,11 @@
 	for n, plan := range s.Plans {
 		path := fmt.Sprintf("plan[%d].", n)
 		v.requireWord(plan.Name, seen, path+"name")
-		hasQuota := plan.Rate >= 0 && plan.Burst >= 0 && plan.MaxConcurrent >= 0
-		hasHardQuota := plan.HardQuotaRate >= 0 && plan.HardQuotaBurst >= 0
-		v.require(hasQuota && hasHardQuota, path+"rate", "or another figure is below 0")
+		v.require(plan.Rate >= 0, path+"rate", "is below 0")
+		v.require(plan.Burst >= 0, path+"burst", "is below 0")
+		v.require(plan.MaxConcurrent >= 0, path+"max_concurrent", "is below 0")
+		v.require(plan.HardQuotaRate >= 0, path+"hard_quota_rate", "is below 0")
+		v.require(plan.HardQuotaBurst >= 0, path+"hard_quota_burst", "is below 0")
 		v.require(plan.Rate == 0 || plan.Burst > 0, path+"burst", "is not above 0")
 		v.require(plan.Share > 0, path+"share", "is not above 0")
 	}
@@ -184,13 +192,13 @@
 func (s *Scenario) validateTargets(v *validator, path string, fault Fault) {
 	traits, isKnown := traitsOf[fault.Kind]
 	hasTargets := len(fault.Targets) > 0 || fault.Share != 0
-	v.require(!isKnown || traits.party == noParty || len(fault.Targets) > 0 || fault.Share > 0,
+	v.require(!isKnown || traits.targets == noTargets || len(fault.Targets) > 0 || fault.Share > 0,
 		path+"targets", "is missing, and so is share")
-	v.require(!isKnown || traits.party != noParty || !hasTargets, path+"targets", "means nothing for this kind")
-	count := s.countOf(traits.party)
+	v.require(!isKnown || traits.targets != noTargets || !hasTargets, path+"targets", "means nothing for this kind")
+	count := s.countOf(traits.targets)
 	for _, target := range fault.Targets {
 		v.require(target >= 0 && target < count, path+"targets",
-			"names %d of %d %s", target, count, traits.party)
+			"names %d of %d %s", target, count, traits.targets)
 	}
 }
 
