--- a/internal/dnszone/change.go
+++ b/internal/dnszone/change.go
@@ -1,16 +1,9 @@
 package dnszone
 
-import (
-	"errors"
-	"fmt"
-	"maps"
-	"slices"
-
-	"github.com/miekg/dns"
-)
+import "fmt"
 
 // Change is the effect of an update, in a form that can be stored and applied again elsewhere. Records are in
-// master file format.
+// master file format. Its fields are stored.
 type Change struct {
 	FromSerial uint32    `json:"from"`
 	ToSerial   uint32    `json:"to"`
@@ -20,91 +13,65 @@
 	Signature  Signature `json:"by"`
 }
 
-// Signature is the TSIG of an update. Replays are recognized by it.
-type Signature struct {
-	KeyName       string `json:"key"`
-	SignedSeconds int64  `json:"signed"` // unix seconds
-	MAC           string `json:"mac"`
-}
-
-// Step is a zone that an update made from another one, with the difference between their lists.
+// Step is the transition from one zone to the next, with the difference between their lists.
 type Step struct {
 	Zone    *Zone
 	Change  *Change   // nil if the update changed nothing
 	Updated []Backend // new or changed
-	Removed []string
+	Removed []string  // by name
 }
 
-// Apply applies a change that was made earlier, or at another replica. It returns an error if the change does
-// not follow from this zone.
+// Apply applies a change that was made before the last restart, or at another replica. It returns a
+// *SequenceError if the change does not follow from this zone, and another error if the result is not valid.
 func (z *Zone) Apply(change *Change) (*Step, error) {
 	if change.FromSerial != z.Serial() || !SerialNewer(change.ToSerial, change.FromSerial) {
-		return nil, fmt.Errorf("change from serial %d to %d does not follow %d",
-			change.FromSerial, change.ToSerial, z.Serial())
+		return nil, &SequenceError{
+			FromSerial: change.FromSerial,
+			ToSerial:   change.ToSerial,
+			ZoneSerial: z.Serial(),
+		}
 	}
 	d := z.newDraft()
-	if err := d.replayRecords(change); err != nil {
-		return nil, err
+	if err := d.replay(change); err != nil {
+		return nil, fmt.Errorf("change to serial %d: %w", change.ToSerial, err)
 	}
 	step, err := d.finish(change.AtNanos, change.Signature)
-	if err == nil && step.Zone.Serial() != change.ToSerial {
-		err = fmt.Errorf("change to serial %d gives %d", change.ToSerial, step.Zone.Serial())
+	if err != nil {
+		return nil, err
 	}
-	return step, err
+	if got := step.Zone.Serial(); got != change.ToSerial {
+		return nil, fmt.Errorf("change to serial %d gives %d", change.ToSerial, got)
+	}
+	return step, nil
 }
 
-func (d *draft) replayRecords(change *Change) error {
+// replay deletes and adds the records of a change.
+func (d *draft) replay(change *Change) error {
 	for _, text := range change.Deleted {
-		rr, err := parseRecord(text)
-		if err != nil {
-			return fmt.Errorf("change to serial %d: %.80q: %w", change.ToSerial, text, err)
-		}
-		existing := d.find(rr)
-		if existing == nil {
-			return fmt.Errorf("change to serial %d: %.80q is not there", change.ToSerial, text)
+		if err := d.replayDeletion(text); err != nil {
+			return &RecordError{Record: text, Err: err}
 		}
-		d.remove(existing)
 	}
 	for _, text := range change.Added {
 		rr, err := d.base.parseAllowedRecord(text)
 		if err != nil {
-			return fmt.Errorf("change to serial %d: %.80q: %w", change.ToSerial, text, err)
+			return &RecordError{Record: text, Err: err}
 		}
 		d.add(rr)
 	}
 	return nil
 }
 
-// finish turns the draft into a step, if what its records say about the backends is valid.
-func (d *draft) finish(atNanos int64, signature Signature) (*Step, error) {
-	soa := d.next.soa()
-	if soa == nil {
-		return nil, errors.New("not one SOA record")
-	}
-	if d.next.records.Len() > maxRecords {
-		return nil, fmt.Errorf("more than %d records", maxRecords)
-	}
-	provenance := Provenance{StartNanos: atNanos, Key: signature.KeyName, Serial: soa.Serial}
-	if err := d.rebuildBackends(func(string, dns.RR) Provenance { return provenance }); err != nil {
-		return nil, err
-	}
-	step := &Step{Zone: d.next, Change: &Change{
-		FromSerial: d.base.Serial(),
-		ToSerial:   soa.Serial,
-		Deleted:    slices.Sorted(maps.Keys(d.deleted)),
-		Added:      slices.Sorted(maps.Keys(d.added)),
-		AtNanos:    atNanos,
-		Signature:  signature,
-	}}
-	if d.base.servedPriority != d.next.servedPriority { // any backend may have entered or left the list
-		step.Updated, step.Removed = Diff(d.base, d.next)
-		return step, nil
+// replayDeletion deletes a record, which must be in the zone.
+func (d *draft) replayDeletion(text string) error {
+	rr, err := parseRecord(text)
+	if err != nil {
+		return err
 	}
-	var diff listDiff
-	for _, name := range slices.Sorted(maps.Keys(d.changedBackends)) {
-		diff.compare(d.base, d.next, name)
+	existing := d.find(rr)
+	if existing == nil {
+		return errRecordMissing
 	}
-	step.Updated = diff.updated
-	step.Removed = diff.removed
-	return step, nil
+	d.remove(existing)
+	return nil
 }
--- a/internal/dnszone/change_test.go
+++ b/internal/dnszone/change_test.go
@@ -12,7 +12,7 @@
 	"github.com/miekg/dns"
 )
 
-// updated applies an update that adds records, or deletes those with a minus in front.
+// updated applies an update that adds records, or deletes those with a leading minus.
 func updated(t *testing.T, zone *Zone, atNanos int64, records ...string) *Zone {
 	t.Helper()
 	message := newUpdate()
@@ -96,51 +96,61 @@
 	return viaWire(t, message)
 }
 
-// follower builds a zone from the changes of another one, and its list from the differences.
-type follower struct {
+// replica builds a zone from the changes of another one, and its list from the differences.
+type replica struct {
 	zone *Zone
 	list map[string]Backend
 }
 
-func newFollower(zone *Zone) *follower {
-	f := &follower{zone: zone, list: map[string]Backend{}}
+func newReplica(zone *Zone) *replica {
+	r := &replica{zone: zone, list: map[string]Backend{}}
 	for _, backend := range zone.Backends() {
-		f.list[backend.Name] = backend
+		r.list[backend.Name] = backend
 	}
-	return f
+	return r
 }
 
-// follow applies a step of the followed zone, and checks that list and zone are the same afterwards.
-func (f *follower) follow(t *testing.T, step *Step, viaSnapshot bool) {
+// apply applies a step of the other zone, and checks that the list is the same afterwards.
+func (r *replica) apply(t *testing.T, step *Step) {
 	t.Helper()
 	for _, backend := range step.Updated {
-		f.list[backend.Name] = backend
+		r.list[backend.Name] = backend
 	}
 	for _, name := range step.Removed {
-		delete(f.list, name)
+		delete(r.list, name)
 	}
 	list := step.Zone.Backends()
-	differs := func(backend Backend) bool { return !f.list[backend.Name].equal(backend) }
-	isCounted := len(f.list) == step.Zone.BackendCount() && len(f.list) == len(list)
+	differs := func(backend Backend) bool { return !r.list[backend.Name].equal(backend) }
+	isCounted := len(r.list) == step.Zone.BackendCount() && len(r.list) == len(list)
 	if !isCounted || slices.ContainsFunc(list, differs) {
-		t.Fatalf("the differences add up to %v, the list is %v", f.list, list)
+		t.Fatalf("the differences add up to %v, the list is %v", r.list, list)
 	}
-	applied, err := f.zone.Apply(step.Change)
+	applied, err := r.zone.Apply(step.Change)
 	if err != nil {
 		t.Fatal(err)
 	}
-	f.zone = applied.Zone
-	if viaSnapshot {
-		if f.zone, err = Restore(f.zone.Snapshot(), testSettings); err != nil {
-			t.Fatal(err)
-		}
+	r.zone = applied.Zone
+}
+
+// restoreSnapshot replaces the replica's zone with one restored from its snapshot.
+func (r *replica) restoreSnapshot(t *testing.T) {
+	t.Helper()
+	restored, err := Restore(r.zone.Snapshot(), testSettings)
+	if err != nil {
+		t.Fatal(err)
 	}
-	if !reflect.DeepEqual(f.zone.Backends(), list) {
-		t.Fatalf("%+v, not %+v", f.zone.Backends(), list)
+	r.zone = restored
+}
+
+// checkZone checks that the replica's zone has the same backends as the other one.
+func (r *replica) checkZone(t *testing.T, zone *Zone) {
+	t.Helper()
+	if list := zone.Backends(); !reflect.DeepEqual(r.zone.Backends(), list) {
+		t.Fatalf("%+v, not %+v", r.zone.Backends(), list)
 	}
 }
 
-// checkDifferences compares a step's differences with those between the whole lists.
+// checkDifferences compares a step's differences with those between the complete lists.
 func checkDifferences(t *testing.T, old *Zone, step *Step) {
 	t.Helper()
 	updated, removed := Diff(old, step.Zone)
@@ -157,7 +167,7 @@
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			random := rand.New(rand.NewPCG(seed, 1))
 			zone := mustParse(t, testZoneFile)
-			replica := newFollower(zone)
+			other := newReplica(zone)
 			for n := range 150 {
 				step, err := zone.Update(randomUpdate(t, random), int64(n+1)*1e9, Signature{KeyName: "k."})
 				if err != nil || step.Change == nil {
@@ -165,7 +175,11 @@
 				}
 				checkDifferences(t, zone, step)
 				zone = step.Zone
-				replica.follow(t, step, random.IntN(10) == 0)
+				other.apply(t, step)
+				if random.IntN(10) == 0 {
+					other.restoreSnapshot(t)
+				}
+				other.checkZone(t, zone)
 			}
 			ahead := &Change{FromSerial: zone.Serial() + 1, ToSerial: zone.Serial() + 2}
 			if _, err := zone.Apply(ahead); err == nil {
--- a/internal/dnszone/draft.go
+++ b/internal/dnszone/draft.go
@@ -1,30 +1,21 @@
 package dnszone
 
 import (
-	"cmp"
-	"errors"
-	"fmt"
 	"maps"
-	"net/netip"
 	"slices"
-	"strconv"
-	"strings"
 
 	"github.com/miekg/dns"
 )
 
-// defaultSRVWeight is the weight of an ordinary backend. It also replaces 0, which RFC 2782 defines as no
-// weight.
-const defaultSRVWeight = 100
-
-// draft is a zone with changes applied to it that are not yet known to be valid.
+// draft is a zone with changes applied to it that are not yet known to be valid. It is used by one call and
+// dropped if that call fails.
 type draft struct {
 	base            *Zone
 	next            *Zone
 	touchedNames    map[string]bool // owner names and targets whose backends must be rebuilt
-	changedBackends map[string]bool // names of the backends that were rebuilt or removed
+	rebuiltBackends map[string]bool // names of the backends that were rebuilt or removed
 	deleted         map[string]bool // records in master file format, net of additions
-	added           map[string]bool
+	added           map[string]bool // records in master file format, net of deletions
 }
 
 func (z *Zone) newDraft() *draft {
@@ -32,14 +23,16 @@
 		base:            z,
 		next:            z.clone(),
 		touchedNames:    map[string]bool{},
-		changedBackends: map[string]bool{},
+		rebuiltBackends: map[string]bool{},
 		deleted:         map[string]bool{},
 		added:           map[string]bool{},
 	}
 }
 
+// rrset returns the records of a name and type as they are after the changes so far.
 func (d *draft) rrset(name string, rrtype uint16) []dns.RR { return d.next.RRset(name, rrtype) }
 
+// nameInUse reports whether a name has records (RFC 2136, 2.4.4).
 func (d *draft) nameInUse(name string) bool { return len(d.rrset(name, dns.TypeANY)) > 0 }
 
 // find returns the existing record that differs at most in its TTL, or nil.
@@ -48,152 +41,72 @@
 	return existing
 }
 
+// touch marks the name whose backends depend on a record.
 func (d *draft) touch(rr dns.RR) {
+	name := rr.Header().Name
 	if srv, ok := rr.(*dns.SRV); ok {
-		d.touchedNames[srv.Target] = true
-	} else {
-		d.touchedNames[rr.Header().Name] = true
+		name = srv.Target
 	}
+	d.touchedNames[name] = true
 }
 
+// add adds a record.
 func (d *draft) add(rr dns.RR) {
 	d.touch(rr)
 	d.next.records.Set(recordKey(rr), rr)
-	if text := rr.String(); d.deleted[text] {
-		delete(d.deleted, text)
-	} else {
-		d.added[text] = true
-	}
+	recordNet(rr.String(), d.added, d.deleted)
 }
 
+// remove removes a record.
 func (d *draft) remove(rr dns.RR) {
 	d.touch(rr)
 	d.next.records.Delete(recordKey(rr))
-	if text := rr.String(); d.added[text] {
-		delete(d.added, text)
-	} else {
-		d.deleted[text] = true
-	}
-}
-
-// provenanceFunc returns the provenance of a backend that the base does not have. srv is the backend's SRV
-// record.
-type provenanceFunc func(name string, srv dns.RR) Provenance
-
-// withBackends returns the zone with its backends rebuilt from all its records.
-func (z *Zone) withBackends(provenance provenanceFunc) (*Zone, error) {
-	d := z.newDraft()
-	for _, rr := range z.RRset(z.Service, dns.TypeSRV) {
-		d.touchedNames[rr.(*dns.SRV).Target] = true
-	}
-	if err := d.rebuildBackends(provenance); err != nil {
-		return nil, err
-	}
-	return d.next, nil
-}
-
-// rebuildBackends rebuilds the backends of the touched targets.
-func (d *draft) rebuildBackends(provenance provenanceFunc) error {
-	maps.Copy(d.touchedNames, d.next.aliasedTargets)
-	targets := slices.Sorted(maps.Keys(d.touchedNames))
-	for _, name := range targets {
-		delete(d.next.aliasedTargets, name)
-		d.markBackendsOf(name)
-	}
-	d.removeMarkedBackends()
-	for _, name := range targets {
-		if err := d.addBackendsOf(name, provenance); err != nil {
-			return err
-		}
-	}
-	d.next.electPriority()
-	return nil
-}
-
-func (d *draft) markBackendsOf(targetName string) {
-	prefix := strings.TrimSuffix(targetName, ".") + ":"
-	d.next.backends.Ascend(prefix, func(name string, _ Backend) bool {
-		if !strings.HasPrefix(name, prefix) {
-			return false
-		}
-		d.changedBackends[name] = true
-		return true
-	})
+	recordNet(rr.String(), d.deleted, d.added)
 }
 
-func (d *draft) removeMarkedBackends() {
-	for name := range d.changedBackends {
-		backend, _ := d.next.backends.Delete(name)
-		for _, address := range backend.Addresses {
-			d.next.backendByAddress.Delete(address.String())
-		}
-		d.next.count(backend, -1)
+// recordNet adds a record to done, unless it cancels the same record in opposite.
+func recordNet(record string, done, opposite map[string]bool) {
+	if opposite[record] {
+		delete(opposite, record)
+		return
 	}
+	done[record] = true
 }
 
-// addBackendsOf adds the backends of one target's SRV records.
-func (d *draft) addBackendsOf(targetName string, provenance provenanceFunc) error {
-	rrs := recordsWithPrefix(&d.next.records, keyPrefix(d.base.Service, dns.TypeSRV)+targetName+"\x00")
-	if len(rrs) == 0 {
-		return nil
-	}
-	if targetName == "." {
-		return d.base.positioned(rrs[0],
-			errors.New(`an SRV record with the target ".": withdraw the records in its place`))
+// finish checks the draft, rebuilds the backends of the touched names and returns the step to the new zone.
+func (d *draft) finish(atNanos int64, signature Signature) (*Step, error) {
+	soa := d.next.soa()
+	if soa == nil {
+		return nil, errNotOneSOA
 	}
-	if !dns.IsSubDomain(d.base.Origin, targetName) {
-		return d.base.positioned(rrs[0],
-			fmt.Errorf("target %s does not lie in the zone; names outside are not looked up", targetName))
+	if err := d.next.checkSize(); err != nil {
+		return nil, err
 	}
-	target, err := d.readTarget(targetName)
-	if err != nil {
-		if _, ok := errors.AsType[*PositionError](err); ok {
-			return err
-		}
-		return d.base.positioned(rrs[0], err)
+	provenance := Provenance{StartNanos: atNanos, Key: signature.KeyName, Serial: soa.Serial}
+	if err := d.rebuildBackends(func(string, dns.RR) Provenance { return provenance }); err != nil {
+		return nil, err
 	}
-	for _, rr := range rrs {
-		if err := d.addBackend(rr.(*dns.SRV), target, provenance); err != nil {
-			return d.base.positioned(rr, err)
-		}
+	change := &Change{
+		FromSerial: d.base.Serial(),
+		ToSerial:   soa.Serial,
+		Deleted:    slices.Sorted(maps.Keys(d.deleted)),
+		Added:      slices.Sorted(maps.Keys(d.added)),
+		AtNanos:    atNanos,
+		Signature:  signature,
 	}
-	return nil
+	updated, removed := d.listDiff()
+	return &Step{Zone: d.next, Change: change, Updated: updated, Removed: removed}, nil
 }
 
-func (d *draft) addBackend(srv *dns.SRV, target *srvTarget, provenance provenanceFunc) error {
-	if srv.Port == 0 {
-		return fmt.Errorf("target %s with port 0", srv.Target)
-	}
-	name := strings.TrimSuffix(srv.Target, ".") + ":" + strconv.Itoa(int(srv.Port))
-	if _, duplicate := d.next.backends.Get(name); duplicate {
-		return fmt.Errorf("%s stands twice", name)
-	}
-	backend := Backend{
-		Name:             name,
-		Zone:             target.zone,
-		Group:            target.group,
-		Draining:         target.draining,
-		Weight:           target.size,
-		Priority:         srv.Priority,
-		StatedStartNanos: target.startNanos,
-	}
-	if backend.Weight == 0 {
-		backend.Weight = float64(cmp.Or(srv.Weight, defaultSRVWeight)) / defaultSRVWeight
-	}
-	for _, address := range target.addresses {
-		addressPort := netip.AddrPortFrom(address, srv.Port)
-		if other, duplicate := d.next.backendByAddress.Set(addressPort.String(), name); duplicate {
-			return fmt.Errorf("%s and %s both have the address %s", other, name, addressPort)
-		}
-		backend.Addresses = append(backend.Addresses, addressPort)
+// listDiff returns the differences between the lists of the base and of the next zone. Only rebuilt backends
+// can differ, unless another priority is served.
+func (d *draft) listDiff() (updated []Backend, removed []string) {
+	if d.base.servedPriority != d.next.servedPriority {
+		return Diff(d.base, d.next)
 	}
-	if was, ok := d.base.backends.Get(name); ok {
-		backend.Provenance = was.Provenance
-	} else {
-		backend.Provenance = provenance(name, srv)
+	var diff listDiff
+	for _, name := range slices.Sorted(maps.Keys(d.rebuiltBackends)) {
+		diff.compare(d.base, d.next, name)
 	}
-	d.changedBackends[name] = true
-	d.next.backends.Set(name, backend)
-	d.next.count(backend, 1)
-	return nil
+	return diff.updated, diff.removed
 }
--- a/internal/dnszone/parse.go
+++ b/internal/dnszone/parse.go
@@ -15,26 +15,6 @@
 // defaultTTLSeconds is the TTL of records in a master file without $TTL.
 const defaultTTLSeconds = 60
 
-// PositionError is an error in a master file, with the position of the faulty record.
-type PositionError struct {
-	File string
-	Line int
-	Err  error
-}
-
-func (e *PositionError) Error() string { return fmt.Sprintf("%s:%d: %v", e.File, e.Line, e.Err) }
-
-// Unwrap returns the error without its position.
-func (e *PositionError) Unwrap() error { return e.Err }
-
-// positioned adds the file and line of a record to an error, if they are known.
-func (z *Zone) positioned(rr dns.RR, err error) error {
-	if line := z.lines[rr]; line > 0 {
-		return &PositionError{File: z.file, Line: line, Err: err}
-	}
-	return err
-}
-
 // lineCounter counts the lines that the parser has consumed. The parser reads single bytes.
 type lineCounter struct {
 	*bytes.Reader
@@ -50,18 +30,15 @@
 	return b, err
 }
 
-// Parse parses a master file. Errors have the form "name:line: what". The backends count as started long ago,
-// unless their records state a start.
+// Parse parses a master file. name is the file's name in errors, which have the form "name:line: what". The
+// backends count as started long ago, unless their records state a start.
 func Parse(name string, text []byte, settings Settings) (*Zone, error) {
 	settings, err := settings.Canonical()
 	if err != nil {
 		return nil, err
 	}
-	if n := len(text); n > 0 && text[n-1] != '\n' {
-		text = append(slices.Clone(text), '\n')
-	}
 	z := &Zone{Settings: settings, lines: map[dns.RR]int{}, file: name}
-	if err := z.parseRecords(text); err != nil {
+	if err := z.parseRecords(withFinalNewline(text)); err != nil {
 		return nil, err
 	}
 	soa := z.soa()
@@ -69,15 +46,21 @@
 		return nil, fmt.Errorf("%s:1: no SOA record of %s", name, settings.Origin)
 	}
 	if len(z.RRset(settings.Service, dns.TypeSRV)) == 0 {
-		err := fmt.Errorf("%s has no SRV record: a service without any backend is taken for a mistake",
-			settings.Service)
-		return nil, z.positioned(soa, err)
+		return nil, z.positioned(soa, &NoBackendError{Service: settings.Service})
 	}
 	return z.withBackends(func(_ string, rr dns.RR) Provenance {
 		return Provenance{File: name, Line: z.lines[rr], Serial: soa.Serial}
 	})
 }
 
+// withFinalNewline returns a text that ends with a newline, because lineCounter counts a line at its end.
+func withFinalNewline(text []byte) []byte {
+	if len(text) == 0 || text[len(text)-1] == '\n' {
+		return text
+	}
+	return append(slices.Clone(text), '\n')
+}
+
 // parseRecords fills an empty zone with the records of a master file.
 func (z *Zone) parseRecords(text []byte) error {
 	input := &lineCounter{Reader: bytes.NewReader(text)}
@@ -96,19 +79,18 @@
 	return nil
 }
 
+// addParsed adds a record of a master file.
 func (z *Zone) addParsed(rr dns.RR) error {
 	if err := z.checkRecord(rr); err != nil {
 		return err
 	}
 	header := rr.Header()
-	_, duplicate := z.records.Set(recordKey(rr), rr)
-	if duplicate || header.Rrtype == dns.TypeSOA && len(z.RRset(z.Origin, dns.TypeSOA)) > 1 {
-		return fmt.Errorf("%s %s stands twice", header.Name, dns.Type(header.Rrtype))
-	}
-	if z.records.Len() > maxRecords {
-		return fmt.Errorf("more than %d records", maxRecords)
+	_, isDuplicate := z.records.Set(recordKey(rr), rr)
+	isSecondSOA := header.Rrtype == dns.TypeSOA && len(z.RRset(z.Origin, dns.TypeSOA)) > 1
+	if isDuplicate || isSecondSOA {
+		return fmt.Errorf("%s %s appears twice", header.Name, dns.Type(header.Rrtype))
 	}
-	return nil
+	return z.checkSize()
 }
 
 // syntaxError converts an error of the library's parser, "NAME: dns: WHAT at line: LINE:COLUMN", to the form
--- a/internal/dnszone/parse_test.go
+++ b/internal/dnszone/parse_test.go
@@ -34,14 +34,14 @@
 	}
 }
 
-// TestParse_NamesFileAndLine parses faulty files. Each is rejected as a whole, and the error names the line.
+// TestParse_NamesFileAndLine parses faulty files. Each is rejected completely, and the error names the line.
 func TestParse_NamesFileAndLine(t *testing.T) {
 	const toNS = "_calc._tcp SRV 0 1 7000 ns\n" // line 6
 	for _, test := range []struct{ text, want string }{
 		{"", "calc.zone:1: no SOA"},
 		{"n1 A 127.0.0.1\n", "SOA"},
 		{testZoneHead, "calc.zone:3: _calc._tcp.calc.example. has no SRV record"},
-		{testZoneHead + "x MX 10 mail\n", "calc.zone:6: x.calc.example.: records of type MX have no place"},
+		{testZoneHead + "x MX 10 mail\n", "calc.zone:6: x.calc.example.: records of type MX are not supported"},
 		{testZoneHead + "x TYPE999 \\# 1 00\n", "calc.zone:6: "},
 		{testZoneHead + "x NONSENSE 1\n", "calc.zone:6: "},
 		{testZoneHead + "x A 300.1.1.1\n", "calc.zone:6: "},
@@ -54,11 +54,11 @@
 		{testZoneHead + "_calc._tcp SRV 0 1 0 ns\n", "calc.zone:6: target ns.calc.example. with port 0"},
 		{testZoneHead + "_calc._tcp SRV 0 1 7000 .\n", "calc.zone:6: "},
 		{testZoneHead + "_other._tcp SRV 0 1 7000 ns\n", "calc.zone:6: SRV record at _other"},
-		{testZoneHead + "_calc._tcp SRV 0 1 7000 l1\nl1 CNAME l2\nl2 CNAME l1\n", "make a loop"},
+		{testZoneHead + "_calc._tcp SRV 0 1 7000 l1\nl1 CNAME l2\nl2 CNAME l1\n", "form a loop"},
 		{testZoneHead + toNS + "_calc._tcp SRV 1 1 7000 ns\n",
-			"calc.zone:7: ns.calc.example:7000 stands twice"},
+			"calc.zone:7: ns.calc.example:7000 appears twice"},
 		{testZoneHead + toNS + "_calc._tcp SRV 0 1 7000 ns\n",
-			"calc.zone:7: _calc._tcp.calc.example. SRV stands twice"},
+			"calc.zone:7: _calc._tcp.calc.example. SRV appears twice"},
 		{testZoneHead + toNS + "_calc._tcp SRV 0 1 7000 n2\nn2 A 127.0.0.1\n",
 			"calc.zone:6: n2.calc.example:7000 and ns.calc.example:7000 both have the address"},
 		{testZoneHead + toNS + "ns TXT fawnplank shade=red\n",
@@ -69,7 +69,7 @@
 		{testZoneHead + toNS + "ns TXT fawnplank since=99999999999999\n", "calc.zone:7: "},
 		{testZoneHead + toNS + "ns A 0.0.0.0\n", "0.0.0.0"},
 		{testZoneHead + "@ IN SOA ns admin 8 3600 600 86400 30\n",
-			"calc.zone:6: calc.example. SOA stands twice"},
+			"calc.zone:6: calc.example. SOA appears twice"},
 		{testZoneHead + "$INCLUDE other.zone\n", "calc.zone:6: "},
 	} {
 		_, err := Parse("calc.zone", []byte(test.text), testSettings)
--- a/internal/dnszone/prerequisites.go
+++ b/internal/dnszone/prerequisites.go
@@ -19,27 +19,35 @@
 		if err := d.checkPrerequisite(rr); err != nil {
 			return err
 		}
-		if rr.Header().Class != dns.ClassINET {
-			continue
-		}
-		record := canonicalize(dns.Copy(rr))
-		id := rrsetID{name: record.Header().Name, rrtype: record.Header().Rrtype}
-		isSame := func(other dns.RR) bool { return dns.IsDuplicate(other, record) }
-		if !slices.ContainsFunc(wanted[id], isSame) {
-			wanted[id] = append(wanted[id], record)
+		if rr.Header().Class == dns.ClassINET {
+			addWanted(wanted, canonicalize(dns.Copy(rr)))
 		}
 	}
+	return d.checkRRsets(wanted)
+}
+
+// addWanted adds a record to the RRset that it belongs to, unless the RRset has it.
+func addWanted(wanted map[rrsetID][]dns.RR, record dns.RR) {
+	id := rrsetID{name: record.Header().Name, rrtype: record.Header().Rrtype}
+	isSame := func(other dns.RR) bool { return dns.IsDuplicate(other, record) }
+	if !slices.ContainsFunc(wanted[id], isSame) {
+		wanted[id] = append(wanted[id], record)
+	}
+}
+
+// checkRRsets checks the prerequisites "RRset exists (value dependent)" (RFC 2136, 2.4.2).
+func (d *draft) checkRRsets(wanted map[rrsetID][]dns.RR) error {
 	isMissing := func(rr dns.RR) bool { return d.find(rr) == nil }
 	for id, rrs := range wanted {
 		if len(d.rrset(id.name, id.rrtype)) != len(rrs) || slices.ContainsFunc(rrs, isMissing) {
-			return refuse(dns.RcodeNXRrset, "%s does not have just these %s", id.name, dns.Type(id.rrtype))
+			return refuse(dns.RcodeNXRrset, "%s does not have exactly these %s", id.name, dns.Type(id.rrtype))
 		}
 	}
 	return nil
 }
 
-// checkPrerequisite checks one record of the section. It checks the record's form and, if that does not
-// depend on data, its condition.
+// checkPrerequisite checks the form of one record of the section and, if its class is not IN, its condition. The
+// conditions of class IN are about RRsets and checked by checkRRsets.
 func (d *draft) checkPrerequisite(rr dns.RR) error {
 	header := rr.Header()
 	name := dns.CanonicalName(header.Name)
--- a/internal/dnszone/records.go
+++ b/internal/dnszone/records.go
@@ -1,10 +1,8 @@
 package dnszone
 
 import (
-	"errors"
 	"fmt"
 	"slices"
-	"strings"
 
 	"github.com/miekg/dns"
 )
@@ -12,27 +10,11 @@
 // maxRecords bounds the size of a zone. It allows three records for each of a hundred thousand backends.
 const maxRecords = 300_000
 
-// supportedTypes lists the record types that a zone may hold here. Any other type in a file is an error.
+// supportedTypes lists the record types that a zone may contain. Any other type in a master file is an error.
 var supportedTypes = []uint16{
 	dns.TypeSOA, dns.TypeNS, dns.TypeSRV, dns.TypeA, dns.TypeAAAA, dns.TypeTXT, dns.TypeCNAME,
 }
 
-// recordKey returns the key that orders and identifies a record: owner name, type and data, with the target
-// first in SRV data. Of records that differ only in their TTL, a zone holds one.
-func recordKey(rr dns.RR) string {
-	header := rr.Header()
-	data := strings.TrimPrefix(rr.String(), header.String())
-	if srv, ok := rr.(*dns.SRV); ok {
-		data = fmt.Sprintf("%s\x00%05d\x00%05d %05d", srv.Target, srv.Port, srv.Priority, srv.Weight)
-	}
-	return keyPrefix(header.Name, header.Rrtype) + data
-}
-
-// keyPrefix returns the prefix of the keys of one RRset.
-func keyPrefix(name string, rrtype uint16) string {
-	return name + "\x00" + dns.Type(rrtype).String() + "\x00"
-}
-
 // canonicalize converts the names in a record to canonical form, in place.
 func canonicalize(rr dns.RR) dns.RR {
 	rr.Header().Name = dns.CanonicalName(rr.Header().Name)
@@ -53,13 +35,13 @@
 	if err != nil {
 		return nil, err
 	}
-	if rr == nil {
-		return nil, errors.New("no record")
+	if rr == nil { // an empty line or a comment
+		return nil, errNoRecord
 	}
 	return canonicalize(rr), nil
 }
 
-// parseAllowedRecord parses one record in master file format and checks that the zone may hold it.
+// parseAllowedRecord parses one record in master file format and checks that it may be in the zone.
 func (z *Zone) parseAllowedRecord(text string) (dns.RR, error) {
 	rr, err := parseRecord(text)
 	if err != nil {
@@ -68,6 +50,14 @@
 	return rr, z.checkRecord(rr)
 }
 
+// checkSize returns an error if the zone has more than maxRecords records.
+func (z *Zone) checkSize() error {
+	if z.records.Len() > maxRecords {
+		return fmt.Errorf("more than %d records", maxRecords)
+	}
+	return nil
+}
+
 // checkRecord returns an error if the record, considered by itself, does not belong in the zone.
 func (z *Zone) checkRecord(rr dns.RR) error {
 	header := rr.Header()
@@ -77,7 +67,7 @@
 	case !dns.IsSubDomain(z.Origin, header.Name):
 		return fmt.Errorf("%s does not lie in the zone %s", header.Name, z.Origin)
 	case !slices.Contains(supportedTypes, header.Rrtype):
-		return fmt.Errorf("%s: records of type %s have no place here", header.Name, dns.Type(header.Rrtype))
+		return fmt.Errorf("%s: records of type %s are not supported", header.Name, dns.Type(header.Rrtype))
 	case header.Rrtype == dns.TypeSOA && header.Name != z.Origin:
 		return fmt.Errorf("SOA record at %s, which is not the zone's name", header.Name)
 	case header.Rrtype == dns.TypeSRV && header.Name != z.Service:
--- a/internal/dnszone/replay_guard.go
+++ b/internal/dnszone/replay_guard.go
@@ -1,25 +1,13 @@
 package dnszone
 
-import "fmt"
-
-// FudgeSeconds is how far an updater's clock may differ from this host's. RFC 8945, 10 recommends this value.
-const FudgeSeconds = 300
-
-const (
-	nanosPerSecond = 1e9
-	nanosPerMilli  = 1e6
-)
-
-// ReplayGuard prevents updates from being applied twice, and from arriving faster than is allowed. The caller
-// passes the time. The number of updates that it remembers is bounded by its rate times the time for which a
-// signature is valid.
+// ReplayGuard prevents updates from being applied twice, and limits their rate. The caller passes the time, in
+// unix ns. The number of updates that it remembers is bounded by its rate times the time for which a signature
+// is valid. It is not safe for concurrent use.
 type ReplayGuard struct {
-	ratePerSecond   float64
-	tokens          float64 // how many updates may come at once, at most a second's worth
-	refilledAtNanos int64
-	startedSeconds  int64 // an earlier incarnation may have applied what was signed before
-	outcomes        map[string]Outcome
-	expiries        []expiry // in order of recording
+	rate           updateRate
+	startedSeconds int64              // an earlier incarnation may have applied what was signed before
+	outcomes       map[string]Outcome // by MAC
+	expiries       []expiry           // in order of recording
 }
 
 // expiry states when the signature with a given MAC becomes invalid because of its time alone.
@@ -38,68 +26,38 @@
 // start.
 func NewReplayGuard(ratePerSecond float64, nowNanos int64) *ReplayGuard {
 	return &ReplayGuard{
-		ratePerSecond:   ratePerSecond,
-		tokens:          max(ratePerSecond, 1),
-		refilledAtNanos: nowNanos,
-		startedSeconds:  nowNanos / nanosPerSecond,
-		outcomes:        map[string]Outcome{},
-	}
-}
-
-// Verdict is the decision of Check about a message.
-type Verdict uint8
-
-// The verdicts.
-const (
-	VerdictAccept      Verdict = iota // a new update
-	VerdictRepeat                     // repeated by the same sender, which gets the recorded outcome
-	VerdictReplay                     // seen before, or signed too long ago or too far ahead
-	VerdictRateLimited                // more updates than the rate allows
-)
-
-// String returns the verdict's name.
-func (v Verdict) String() string {
-	switch v {
-	case VerdictAccept:
-		return "accept"
-	case VerdictRepeat:
-		return "repeat"
-	case VerdictReplay:
-		return "replay"
-	case VerdictRateLimited:
-		return "rate limited"
+		rate:           newUpdateRate(ratePerSecond, nowNanos),
+		startedSeconds: nowNanos / nanosPerSecond,
+		outcomes:       map[string]Outcome{},
 	}
-	return fmt.Sprintf("Verdict(%d)", uint8(v))
 }
 
 // Check decides about a message whose signature is valid. The returned outcome is the one recorded for the
 // same message before, if any.
 func (g *ReplayGuard) Check(signature Signature, sender string, nowNanos int64) (Verdict, Outcome) {
 	nowSeconds := nowNanos / nanosPerSecond
-	g.forgetExpired(nowSeconds)
+	g.removeExpired(nowSeconds)
 	if outcome, ok := g.outcomes[signature.MAC]; ok {
 		if outcome.Sender == sender {
 			return VerdictRepeat, outcome
 		}
 		return VerdictReplay, outcome
 	}
-	signed := signature.SignedSeconds
-	if signed <= g.startedSeconds || signed < nowSeconds-FudgeSeconds || signed > nowSeconds+FudgeSeconds {
+	if !g.isTimely(signature.SignedSeconds, nowSeconds) {
 		return VerdictReplay, Outcome{}
 	}
-	g.refill(nowNanos)
-	if g.tokens < 1 {
+	if !g.rate.allow(nowNanos) {
 		return VerdictRateLimited, Outcome{}
 	}
-	g.tokens--
 	return VerdictAccept, Outcome{}
 }
 
-// refill adds the tokens for the time since the last refill.
-func (g *ReplayGuard) refill(nowNanos int64) {
-	elapsedSeconds := float64(max(nowNanos-g.refilledAtNanos, 0)) / nanosPerSecond
-	g.tokens = min(g.tokens+elapsedSeconds*g.ratePerSecond, max(g.ratePerSecond, 1))
-	g.refilledAtNanos = nowNanos
+// isTimely reports whether a message was signed after the start, and within the fudge of now (RFC 8945, 5.2.3).
+// What was signed up to the second of the start may be a replay that this guard has not recorded.
+func (g *ReplayGuard) isTimely(signedSeconds, nowSeconds int64) bool {
+	return signedSeconds > g.startedSeconds &&
+		signedSeconds >= nowSeconds-FudgeSeconds &&
+		signedSeconds <= nowSeconds+FudgeSeconds
 }
 
 // Record remembers the outcome of an update, applied here or at another replica.
@@ -111,8 +69,8 @@
 	g.outcomes[signature.MAC] = outcome
 }
 
-// forgetExpired drops the updates that are now refused because of their time alone.
-func (g *ReplayGuard) forgetExpired(nowSeconds int64) {
+// removeExpired drops the updates that are now refused because of their time alone.
+func (g *ReplayGuard) removeExpired(nowSeconds int64) {
 	n := 0
 	for n < len(g.expiries) && g.expiries[n].untilSeconds < nowSeconds {
 		delete(g.outcomes, g.expiries[n].mac)
@@ -121,5 +79,5 @@
 	g.expiries = g.expiries[n:]
 }
 
-// Len returns how many signatures are remembered.
+// Len returns the number of recorded signatures that have not expired.
 func (g *ReplayGuard) Len() int { return len(g.outcomes) }
--- a/internal/dnszone/serial.go
+++ b/internal/dnszone/serial.go
@@ -1,9 +1,12 @@
 package dnszone
 
-// SerialNewer reports whether serial a comes after b in serial number arithmetic (RFC 1982, 3.2). If they are
-// half the circle apart, neither comes after the other.
-func SerialNewer(a, b uint32) bool { return a != b && a-b < 1<<31 }
+// halfSerialSpace is half the number of serials.
+const halfSerialSpace = 1 << 31
 
-// nextSerial returns the serial that follows. It skips 0, which secondaries take to mean that the zone is not
+// SerialNewer reports whether serial a is newer than b in serial number arithmetic (RFC 1982, 3.2). If they are
+// half the serial space apart, neither is newer.
+func SerialNewer(a, b uint32) bool { return a != b && a-b < halfSerialSpace }
+
+// nextSerial returns the serial that follows. It skips 0, which secondaries interpret as a zone that is not
 // loaded yet.
 func nextSerial(serial uint32) uint32 { return max(serial+1, 1) }
--- a/internal/dnszone/serial_test.go
+++ b/internal/dnszone/serial_test.go
@@ -7,7 +7,7 @@
 	"github.com/miekg/dns"
 )
 
-func TestSerialNewer_ComparesAroundTheCircle(t *testing.T) {
+func TestSerialNewer_ComparesAcrossWrapAround(t *testing.T) {
 	for _, test := range []struct {
 		a, b uint32
 		want bool
@@ -29,14 +29,14 @@
 	}
 }
 
-// TestZone_UpdateLeavesSerialZeroOut updates a zone with the last serial.
-func TestZone_UpdateLeavesSerialZeroOut(t *testing.T) {
+// TestZone_UpdateSkipsSerialZero updates a zone with the highest serial, 2^32-1.
+func TestZone_UpdateSkipsSerialZero(t *testing.T) {
 	zone := mustParse(t, strings.Replace(testZoneFile, " 7 3600", " 4294967295 3600", 1))
 	message := newUpdate()
 	message.RemoveName([]dns.RR{mustRecord(t, "n3.calc.example. A 127.0.0.3")})
 	message.Insert([]dns.RR{mustRecord(t, "n3.calc.example. A 127.0.0.3")})
 	step, err := zone.Update(viaWire(t, message), 1, Signature{})
 	if err != nil || step.Zone.Serial() != 1 || step.Change.ToSerial != 1 {
-		t.Errorf("after the last serial comes %v, %v; 0 stands for none", step, err)
+		t.Errorf("the highest serial is followed by %v, %v, not by 1", step, err)
 	}
 }
--- a/internal/dnszone/snapshot.go
+++ b/internal/dnszone/snapshot.go
@@ -6,7 +6,7 @@
 	"github.com/miekg/dns"
 )
 
-// Snapshot is the stored form of a zone.
+// Snapshot is a zone in the form in which it is stored.
 type Snapshot struct {
 	Records    []string              `json:"records"` // in master file format, the SOA first
 	Provenance map[string]Provenance `json:"born"`    // of the backends, by name
@@ -36,12 +36,12 @@
 	for _, text := range snapshot.Records {
 		rr, err := z.parseAllowedRecord(text)
 		if err != nil {
-			return nil, fmt.Errorf("record %.80q: %w", text, err)
+			return nil, &RecordError{Record: text, Err: err}
 		}
 		z.records.Set(recordKey(rr), rr)
 	}
 	if z.soa() == nil {
-		return nil, fmt.Errorf("not one SOA record of %s", settings.Origin)
+		return nil, fmt.Errorf("%w of %s", errNotOneSOA, settings.Origin)
 	}
 	return z.withBackends(func(name string, _ dns.RR) Provenance { return snapshot.Provenance[name] })
 }
--- a/internal/dnszone/update_test.go
+++ b/internal/dnszone/update_test.go
@@ -163,7 +163,7 @@
 	}
 }
 
-// TestZone_UpdateAppliesAllOrNothing applies updates as a whole, or refuses them with their RCODE and leaves
+// TestZone_UpdateAppliesAllOrNothing applies updates completely, or refuses them with their RCODE and leaves
 // the zone as it was.
 func TestZone_UpdateAppliesAllOrNothing(t *testing.T) {
 	for _, tests := range [][]updateTest{
--- a/internal/dnszone/zone.go
+++ b/internal/dnszone/zone.go
@@ -1,17 +1,18 @@
-// Package dnszone holds a DNS zone and what its records say about the backends. Master files (RFC 1035) or
-// records go in, and a list of backends comes out. A dynamic update (RFC 2136) makes a new zone from an old
+// Package dnszone models a DNS zone and derives from its records the list of backends. A zone is parsed from a
+// master file (RFC 1035) or restored from a snapshot. A dynamic update (RFC 2136) makes a new zone from an old
 // one, completely or not at all.
 //
 // The package is pure: it reads no clock, no file and no socket, and its results depend only on the
 // arguments, so that the same changes give the same zone on every replica. docs/dns.md is the operators'
 // page.
 //
-// A Zone is immutable once a function of this package has returned it, and safe for concurrent use. A
-// ReplayGuard is not safe for concurrent use: its owner serializes the calls.
+// The package owns the rules for records, serials, updates and replays, and no state between calls. A Zone is
+// immutable once a function of this package has returned it, and safe for concurrent use; the same holds for
+// a Step, a Change and a Snapshot as long as nobody writes to them. A ReplayGuard is not safe for concurrent
+// use: its owner serializes the calls.
 package dnszone
 
 import (
-	"fmt"
 	"maps"
 	"strings"
 
@@ -19,30 +20,9 @@
 	"github.com/tidwall/btree"
 )
 
-// Settings names a zone, and the service in it that lists the backends. Names are fully qualified.
-type Settings struct {
-	Origin  string // name of the zone
-	Service string // owner name of the SRV records
-}
-
-// Canonical returns the settings with both names in canonical form, or an error if one of them is not usable.
-func (s Settings) Canonical() (Settings, error) {
-	for _, name := range []string{s.Origin, s.Service} {
-		if _, ok := dns.IsDomainName(name); !ok || name == "" || name == "." {
-			return s, fmt.Errorf("%q is no name of a zone", name)
-		}
-	}
-	s.Origin = dns.CanonicalName(s.Origin)
-	s.Service = dns.CanonicalName(s.Service)
-	if !dns.IsSubDomain(s.Origin, s.Service) {
-		return s, fmt.Errorf("service %s does not lie in the zone %s", s.Service, s.Origin)
-	}
-	return s, nil
-}
-
-// Zone is one version of a zone. It never changes: an update makes a new zone, which shares with the old one
-// everything that stayed the same. The cost of an update therefore depends on what it touches, not on what
-// the zone holds.
+// Zone is one version of a zone. It never changes: an update makes a new zone, which shares all unchanged
+// records and backends with the old one. The cost of an update therefore depends on what it touches, not on
+// the size of the zone.
 type Zone struct {
 	Settings
 	records          btree.Map[string, dns.RR]  // by recordKey
@@ -63,21 +43,26 @@
 	return nil
 }
 
-// Serial returns the zone's serial.
+// Serial returns the serial of the zone's SOA record.
 func (z *Zone) Serial() uint32 { return z.soa().Serial }
 
 // RRset returns the records of a name and type or, with type ANY, all records of the name. The caller must
 // not modify them.
-func (z *Zone) RRset(name string, rrtype uint16) (rrs []dns.RR) {
-	prefix := keyPrefix(dns.CanonicalName(name), rrtype)
+func (z *Zone) RRset(name string, rrtype uint16) []dns.RR {
 	if rrtype == dns.TypeANY {
-		prefix = dns.CanonicalName(name) + "\x00"
+		return z.recordsWithPrefix(namePrefix(dns.CanonicalName(name)))
 	}
-	return recordsWithPrefix(&z.records, prefix)
+	return z.recordsWithPrefix(rrsetPrefix(dns.CanonicalName(name), rrtype))
+}
+
+// srvRecords returns the service's SRV records with the given target.
+func (z *Zone) srvRecords(targetName string) []dns.RR {
+	return z.recordsWithPrefix(srvTargetPrefix(z.Service, targetName))
 }
 
-func recordsWithPrefix(records *btree.Map[string, dns.RR], prefix string) (rrs []dns.RR) {
-	records.Ascend(prefix, func(key string, rr dns.RR) bool {
+// recordsWithPrefix returns the records whose recordKey has the prefix.
+func (z *Zone) recordsWithPrefix(prefix string) (rrs []dns.RR) {
+	z.records.Ascend(prefix, func(key string, rr dns.RR) bool {
 		if !strings.HasPrefix(key, prefix) {
 			return false
 		}
@@ -104,7 +89,7 @@
 func (z *Zone) HasDescendants(name string) bool {
 	found := false
 	z.records.Scan(func(key string, _ dns.RR) bool {
-		owner, _, _ := strings.Cut(key, "\x00")
+		owner, _, _ := strings.Cut(key, keySeparator)
 		found = dns.IsSubDomain(name, owner)
 		return !found
 	})
@@ -126,8 +111,8 @@
 	return next
 }
 
-// clone copies a zone as the basis for the next one. The trees are copied on write, so the cost is small
-// whatever they hold.
+// clone copies a zone as the basis for the next one. The trees are copied on write, so the cost does not depend
+// on their size.
 func (z *Zone) clone() *Zone {
 	return &Zone{
 		Settings:         z.Settings,
