--- a/internal/dnsserver/helpers_test.go
+++ b/internal/dnsserver/helpers_test.go
@@ -45,7 +45,7 @@
 	return text.String()
 }
 
-// subscriber keeps the published list.
+// subscriber records the published list.
 type subscriber struct {
 	mu   sync.Mutex
 	list map[string]dnszone.Backend
@@ -152,7 +152,7 @@
 	return []dns.RR{rr}
 }
 
-// newUpdate returns an update that adds records, or deletes those with a minus in front.
+// newUpdate returns an update that adds records, or deletes those with a leading minus.
 func newUpdate(tb testing.TB, records ...string) *dns.Msg {
 	tb.Helper()
 	message := new(dns.Msg).SetUpdate(testSettings.Origin)
--- /dev/null
+++ b/internal/dnsserver/in_force.go
@@ -0,0 +1,25 @@
+package dnsserver
+
+import "fawnplank/internal/dnszone"
+
+// ReadInForce reads the zone in force from the store, the journal or the zone file, and names the source: "the
+// store" or the path of the file. A server may be running at the same time.
+func ReadInForce(options Options) (zone *dnszone.Zone, source string, err error) {
+	options.Settings, err = options.Settings.Canonical()
+	if err != nil {
+		return nil, "", err
+	}
+	source = options.JournalFile
+	if options.Replicated != nil {
+		source = "the store"
+	}
+	stored, err := options.readStored()
+	if err != nil {
+		return nil, source, err
+	}
+	if stored != nil {
+		return stored.zone, source, nil
+	}
+	zone, _, err = ReadZoneFile(options.ZoneFile, options.Settings)
+	return zone, options.ZoneFile, err
+}
--- /dev/null
+++ b/internal/dnsserver/incoming_message.go
@@ -0,0 +1,47 @@
+package dnsserver
+
+import (
+	"time"
+
+	"github.com/miekg/dns"
+	"github.com/sirupsen/logrus"
+
+	"fawnplank/internal/dnszone"
+	"fawnplank/internal/logging"
+)
+
+// incomingMessage is a received message with the means to answer it. One goroutine uses it, that of ServeDNS.
+type incomingMessage struct {
+	writer  dns.ResponseWriter
+	request *dns.Msg
+	tsig    *dns.TSIG // nil if the message is not signed
+}
+
+// logger returns a log entry that names the sender.
+func (m *incomingMessage) logger() *logrus.Entry {
+	entry := logging.For(component).WithField("from", m.writer.RemoteAddr().String())
+	if m.tsig != nil {
+		entry = entry.WithField("key", m.tsig.Hdr.Name)
+	}
+	return entry
+}
+
+// reply sends an answer, which is signed if the request was.
+func (m *incomingMessage) reply(answer *dns.Msg) {
+	if m.tsig != nil {
+		answer.SetTsig(m.tsig.Hdr.Name, m.tsig.Algorithm, dnszone.FudgeSeconds, time.Now().Unix())
+	}
+	m.write(answer)
+}
+
+// replyCode sends an answer that consists only of an RCODE.
+func (m *incomingMessage) replyCode(rcode int) { m.reply(new(dns.Msg).SetRcode(m.request, rcode)) }
+
+// write sends an answer as it is.
+func (m *incomingMessage) write(answer *dns.Msg) {
+	if err := m.writer.WriteMsg(answer); err != nil {
+		logging.For(component).WithError(err).Debug("answer not sent")
+	}
+}
+
+func (m *incomingMessage) isTCP() bool { return m.writer.RemoteAddr().Network() == "tcp" }
--- /dev/null
+++ b/internal/dnsserver/install.go
@@ -0,0 +1,64 @@
+package dnsserver
+
+import (
+	"fmt"
+
+	"fawnplank/internal/dnszone"
+)
+
+// publication is the form in which install publishes the list of a zone.
+type publication int
+
+const (
+	asDifference publication = iota // from the list in force, or as the full list if none is in force
+	asFullList
+)
+
+// String returns the name of the form.
+func (p publication) String() string {
+	switch p {
+	case asDifference:
+		return "difference"
+	case asFullList:
+		return "full list"
+	}
+	return fmt.Sprintf("publication(%d)", int(p))
+}
+
+// install puts a zone in force and publishes its list. The caller holds the lock.
+func (s *Server) install(stored *storedZone, form publication) {
+	old := s.zone
+	s.zone = stored.zone
+	s.fileSum = stored.fileSum
+	s.changes = stored.changes
+	s.published.Store(s.zone)
+	for _, change := range stored.changes {
+		s.guard.Record(change.Signature, dnszone.Outcome{}, change.AtNanos)
+	}
+	if form == asFullList || old == nil {
+		s.publishAll()
+	} else {
+		updated, removed := dnszone.Diff(old, s.zone)
+		s.publish(updated, removed)
+	}
+	s.signalSecondaries()
+}
+
+// publish publishes a difference, unless it is empty. The caller holds the lock.
+func (s *Server) publish(updated []dnszone.Backend, removed []string) {
+	if len(updated)+len(removed) > 0 {
+		s.options.Publish(ListUpdate{Updated: updated, Removed: removed})
+	}
+}
+
+// publishAll publishes the full list. The caller holds the lock.
+func (s *Server) publishAll() { s.options.Publish(ListUpdate{Updated: s.zone.Backends(), Full: true}) }
+
+// PublishAll publishes the full list again, if there is a zone.
+func (s *Server) PublishAll() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.zone != nil {
+		s.publishAll()
+	}
+}
--- /dev/null
+++ b/internal/dnsserver/journal_line.go
@@ -0,0 +1,32 @@
+package dnsserver
+
+import (
+	"encoding/json"
+	"fmt"
+	"hash/crc32"
+	"strconv"
+)
+
+// checksumDigits is the length of a line's checksum in hexadecimal digits. A space follows the checksum.
+const checksumDigits = 8
+
+var castagnoli = crc32.MakeTable(crc32.Castagnoli)
+
+// encodeLine returns a line of the journal: the CRC-32C of the value's JSON, a space, the JSON and a newline.
+func encodeLine(value any) ([]byte, error) {
+	text, err := json.Marshal(value)
+	if err != nil {
+		return nil, err
+	}
+	return fmt.Appendf(nil, "%0*x %s\n", checksumDigits, crc32.Checksum(text, castagnoli), text), nil
+}
+
+// decodeLine returns a line's JSON, and reports whether its checksum matches.
+func decodeLine(line []byte) ([]byte, bool) {
+	if len(line) < checksumDigits+2 || line[checksumDigits] != ' ' {
+		return nil, false
+	}
+	sum, err := strconv.ParseUint(string(line[:checksumDigits]), 16, 32)
+	text := line[checksumDigits+1:]
+	return text, err == nil && crc32.Checksum(text, castagnoli) == uint32(sum)
+}
--- a/internal/dnsserver/journal_test.go
+++ b/internal/dnsserver/journal_test.go
@@ -2,17 +2,20 @@
 
 import (
 	"bytes"
+	"errors"
 	"fmt"
 	"os"
 	"strings"
 	"testing"
 
 	"github.com/miekg/dns"
+
+	"fawnplank/internal/dnszone"
 )
 
 // journalOfThreeRemovals writes a journal with the removals of n1, n2 and n3. It returns the text, and the
 // sizes that the journal had before each removal.
-func journalOfThreeRemovals(t *testing.T, files Options) (whole []byte, sizes []int64) {
+func journalOfThreeRemovals(t *testing.T, files Options) (journal []byte, sizes []int64) {
 	t.Helper()
 	s := mustStart(t, files)
 	for n := 1; n <= 3; n++ {
@@ -27,11 +30,11 @@
 		}
 	}
 	s.Close()
-	whole, err := os.ReadFile(files.JournalFile)
+	journal, err := os.ReadFile(files.JournalFile)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return whole, sizes
+	return journal, sizes
 }
 
 // countReached returns how many of the ends are at most size.
@@ -44,31 +47,31 @@
 	return reached
 }
 
-// TestReadJournal_SurvivesTornWrite cuts the journal off at every byte. A start finds the zone before an
+// TestReadJournal_SurvivesTornWrite truncates the journal at every byte. A start finds the zone before an
 // update or after it, and never another one.
 func TestReadJournal_SurvivesTornWrite(t *testing.T) {
 	files := newFiles(t, zoneFileText(7, 3))
-	whole, sizes := journalOfThreeRemovals(t, files)
-	ends := append(sizes[1:], int64(len(whole)))
-	for size := sizes[0]; size <= int64(len(whole)); size++ {
+	journal, sizes := journalOfThreeRemovals(t, files)
+	ends := append(sizes[1:], int64(len(journal)))
+	for size := sizes[0]; size <= int64(len(journal)); size++ {
 		complete := countReached(ends, size)
 		// What a file system may leave behind a torn write.
 		for _, tail := range []string{"", "\x00\x00\x00", "0000"} {
 			if complete == 3 && tail == "0000" {
 				continue
 			}
-			writeFile(t, files.JournalFile, string(whole[:size])+tail)
+			writeFile(t, files.JournalFile, string(journal[:size])+tail)
 			stored, err := readJournal(files.JournalFile, testSettings)
 			if err != nil {
-				t.Fatalf("cut at %d of %d: %v", size, len(whole), err)
+				t.Fatalf("cut at %d of %d: %v", size, len(journal), err)
 			}
 			if stored.zone.Serial() != 7+uint32(complete) || len(stored.zone.Backends()) != 3-complete {
-				t.Fatalf("cut at %d of %d: %+v", size, len(whole), stored)
+				t.Fatalf("cut at %d of %d: %+v", size, len(journal), stored)
 			}
 		}
 	}
-	// A start cuts the torn line off, so that the next line follows a whole one.
-	writeFile(t, files.JournalFile, string(whole[:sizes[2]+20]))
+	// A start truncates the torn line, so that the next line follows an intact one.
+	writeFile(t, files.JournalFile, string(journal[:sizes[2]+20]))
 	s := mustStart(t, files)
 	if rcode := s.sendUpdate(t, "udp", "-"+srvTo+"n3.calc.example."); rcode != dns.RcodeSuccess {
 		t.Fatal(rcode)
@@ -83,28 +86,32 @@
 // TestStart_RefusesDamagedJournal damages a journal where a torn write cannot. The error names file and line.
 func TestStart_RefusesDamagedJournal(t *testing.T) {
 	files := newFiles(t, zoneFileText(7, 3))
-	whole, sizes := journalOfThreeRemovals(t, files)
+	journal, sizes := journalOfThreeRemovals(t, files)
 	for position, want := range map[int64]string{
 		20:            ".journal:1: the checksum",
 		sizes[0] + 30: ".journal:2: the checksum",
 		sizes[1] + 9:  ".journal:3: ",
 	} {
-		damaged := bytes.Clone(whole)
+		damaged := bytes.Clone(journal)
 		damaged[position] ^= 4
 		writeFile(t, files.JournalFile, string(damaged))
-		if _, err := startServer(t, files); err == nil || !strings.Contains(err.Error(), want) {
+		_, err := startServer(t, files)
+		if err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("damage at %d: %v", position, err)
 		}
+		if _, ok := errors.AsType[*JournalError](err); !ok {
+			t.Errorf("damage at %d: %T, not a JournalError", position, err)
+		}
 	}
 	writeFile(t, files.JournalFile, "")
 	if _, err := startServer(t, files); err == nil {
-		t.Error("an empty journal passed for none")
+		t.Error("an empty journal was treated as a missing one")
 	}
 }
 
-// TestServer_RefusesUpdateThatJournalCannotKeep makes the journal fail. An update is answered with SERVFAIL
-// and not applied; the same message is applied once the journal can keep it.
-func TestServer_RefusesUpdateThatJournalCannotKeep(t *testing.T) {
+// TestServer_RefusesUpdateThatJournalCannotStore makes the journal fail. An update is answered with SERVFAIL
+// and not applied; the same message is applied once the journal can store it.
+func TestServer_RefusesUpdateThatJournalCannotStore(t *testing.T) {
 	files := newFiles(t, zoneFileText(7, 3))
 	s := mustStart(t, files)
 	readOnly, err := os.Open(files.JournalFile)
@@ -128,3 +135,15 @@
 		t.Error(rcode)
 	}
 }
+
+// TestReadJournal_RefusesAnotherService reads a journal with the settings of another service.
+func TestReadJournal_RefusesAnotherService(t *testing.T) {
+	files := newFiles(t, zoneFileText(7, 3))
+	mustStart(t, files).Close()
+	other := dnszone.Settings{Origin: testSettings.Origin, Service: "_other._tcp.calc.example."}
+	_, err := readJournal(files.JournalFile, other)
+	mismatch, ok := errors.AsType[*SettingsError](err)
+	if !ok || mismatch.Stored != testSettings || mismatch.Wanted != other {
+		t.Errorf("%v, not a SettingsError with both services", err)
+	}
+}
--- a/internal/dnsserver/notify.go
+++ b/internal/dnsserver/notify.go
@@ -1,6 +1,7 @@
 package dnsserver
 
 import (
+	"errors"
 	"time"
 
 	"github.com/miekg/dns"
@@ -17,39 +18,44 @@
 	notifyRetryInterval = time.Second
 )
 
+// errClosing reports that a notification was given up because the server closes.
+var errClosing = errors.New("the server is closing")
+
+// startNotifying starts a goroutine for each secondary, and notifies all of them. The server owns the
+// goroutines. Close ends them, each within notifyTimeout, but does not wait for them. The caller holds the
+// lock.
+func (s *Server) startNotifying() {
+	for _, secondary := range s.options.Secondaries {
+		serialChanged := make(chan struct{}, 1)
+		s.serialChanged = append(s.serialChanged, serialChanged)
+		go s.notifyChanges(secondary, serialChanged)
+	}
+	s.signalSecondaries()
+}
+
 // signalSecondaries triggers a notification of all secondaries that the serial has changed. The caller holds
 // the lock.
 func (s *Server) signalSecondaries() {
-	for _, moved := range s.serialMoved {
+	for _, serialChanged := range s.serialChanged {
 		select {
-		case moved <- struct{}{}:
+		case serialChanged <- struct{}{}:
 		default: // a notification is already due
 		}
 	}
 }
 
-// notify notifies one secondary (RFC 1996) until the server closes. Changes that arrive during an exchange
-// are notified together.
-func (s *Server) notify(secondary string, moved <-chan struct{}) {
-	client := dns.Client{Timeout: notifyTimeout}
+// notifyChanges notifies one secondary (RFC 1996) of each change until the server closes. Changes that arrive
+// during a notification are notified together.
+func (s *Server) notifyChanges(secondary string, serialChanged <-chan struct{}) {
 	for {
 		select {
-		case <-s.stop:
+		case <-s.closing:
 			return
-		case <-moved:
+		case <-serialChanged:
 		}
-		var err error
-		for range notifyAttempts {
-			message := new(dns.Msg).SetNotify(s.options.Settings.Origin)
-			message.Answer = s.published.Load().RRset(s.options.Settings.Origin, dns.TypeSOA)
-			if _, _, err = client.Exchange(message, secondary); err == nil {
-				break
-			}
-			select {
-			case <-s.stop:
-				return
-			case <-time.After(notifyRetryInterval):
-			}
+		err := s.notify(secondary)
+		if errors.Is(err, errClosing) {
+			return
 		}
 		if err != nil {
 			log := logging.For(component).WithField("secondary", secondary)
@@ -57,3 +63,23 @@
 		}
 	}
 }
+
+// notify notifies one secondary of the serial in force. It gives up after notifyAttempts, with the last
+// error, or when the server closes, with errClosing.
+func (s *Server) notify(secondary string) error {
+	client := dns.Client{Timeout: notifyTimeout}
+	var lastErr error
+	for range notifyAttempts {
+		message := new(dns.Msg).SetNotify(s.options.Settings.Origin)
+		message.Answer = s.published.Load().RRset(s.options.Settings.Origin, dns.TypeSOA)
+		_, _, err := client.Exchange(message, secondary)
+		if err == nil {
+			return nil
+		}
+		if !s.pause(notifyRetryInterval) {
+			return errClosing
+		}
+		lastErr = err
+	}
+	return lastErr
+}
--- a/internal/dnsserver/query.go
+++ b/internal/dnsserver/query.go
@@ -18,13 +18,13 @@
 
 // query answers a question about the zone authoritatively. It refuses other questions, because the server
 // does no recursion.
-func (s *Server) query(x *exchange) *dns.Msg {
+func (s *Server) query(incoming *incomingMessage) *dns.Msg {
 	zone := s.published.Load()
-	answer := new(dns.Msg).SetReply(x.request)
-	question := x.request.Question[0]
+	answer := new(dns.Msg).SetReply(incoming.request)
+	question := incoming.request.Question[0]
 	name := dns.CanonicalName(question.Name)
 	if question.Qclass != dns.ClassINET || !dns.IsSubDomain(zone.Origin, name) {
-		return answer.SetRcode(x.request, dns.RcodeRefused)
+		return answer.SetRcode(incoming.request, dns.RcodeRefused)
 	}
 	answer.Authoritative = true
 	answer.Compress = true
@@ -35,15 +35,15 @@
 		}
 		answer.Ns = zone.RRset(zone.Origin, dns.TypeSOA)
 	}
-	if x.request.IsEdns0() != nil {
+	if incoming.request.IsEdns0() != nil {
 		answer.SetEdns0(ednsUDPBytes, false)
 	}
-	answer.Truncate(x.maxAnswerBytes())
+	answer.Truncate(incoming.maxAnswerBytes())
 	return answer
 }
 
-// resolve returns the records of a name and type, including the aliases on the way to them, and the last
-// name.
+// resolve returns the records of a name and type, preceded by the CNAMEs that lead to them, and the last name
+// (RFC 1034, 4.3.2).
 func resolve(zone *dnszone.Zone, name string, rrtype uint16) (rrs []dns.RR, last string) {
 	for range maxAliases {
 		rrs = append(rrs, zone.RRset(name, rrtype)...)
@@ -57,15 +57,14 @@
 	return rrs, name
 }
 
-// maxAnswerBytes returns the size limit of an answer.
-func (x *exchange) maxAnswerBytes() int {
-	if x.isTCP() {
+// maxAnswerBytes returns the size limit of an answer: that of a TCP message, what the client offers with EDNS
+// (RFC 6891), or 512 bytes.
+func (m *incomingMessage) maxAnswerBytes() int {
+	if m.isTCP() {
 		return dns.MaxMsgSize
 	}
-	if opt := x.request.IsEdns0(); opt != nil {
+	if opt := m.request.IsEdns0(); opt != nil {
 		return min(max(int(opt.UDPSize()), plainUDPBytes), ednsUDPBytes)
 	}
 	return plainUDPBytes
 }
-
-func (x *exchange) isTCP() bool { return x.writer.RemoteAddr().Network() == "tcp" }
--- /dev/null
+++ b/internal/dnsserver/refusal.go
@@ -0,0 +1,53 @@
+package dnsserver
+
+import (
+	"errors"
+	"fmt"
+	"time"
+
+	"github.com/miekg/dns"
+
+	"fawnplank/internal/dnszone"
+)
+
+// badTimeDataBytes is the length of the server's clock, 48 bits, which the answer to a signature outside the
+// time limits contains (RFC 8945, 5.2.3).
+const badTimeDataBytes = 6
+
+// logRefusal logs a refusal, unless another one was logged in the same second.
+func (s *Server) logRefusal(incoming *incomingMessage, err error, phrase string) {
+	skipped, ok := s.refusals.allow(time.Now().Unix())
+	if !ok {
+		return
+	}
+	entry := incoming.logger().WithError(err)
+	if skipped > 0 {
+		entry = entry.WithField("skipped", skipped)
+	}
+	entry.Warn(phrase)
+}
+
+// refuseSignature answers a message whose signature is not valid (RFC 8945, 5.2). The answer is NOTAUTH, with
+// the error of the TSIG.
+func (s *Server) refuseSignature(incoming *incomingMessage, err error) {
+	s.counters.signaturesRefused.Add(1)
+	s.logRefusal(incoming, err, "invalid signature refused")
+	answer := new(dns.Msg).SetRcode(incoming.request, dns.RcodeNotAuth)
+	answer.SetTsig(incoming.tsig.Hdr.Name, incoming.tsig.Algorithm, dnszone.FudgeSeconds, int64(incoming.tsig.TimeSigned))
+	setTSIGError(answer.IsTsig(), err)
+	incoming.write(answer)
+}
+
+// setTSIGError sets the error field of an answer's TSIG, and the server's clock if the time was wrong.
+func setTSIGError(tsig *dns.TSIG, err error) {
+	switch {
+	case errors.Is(err, dns.ErrTime):
+		tsig.Error = dns.RcodeBadTime
+		tsig.OtherLen = badTimeDataBytes
+		tsig.OtherData = fmt.Sprintf("%0*x", 2*badTimeDataBytes, time.Now().Unix())
+	case errors.Is(err, dns.ErrSig):
+		tsig.Error = dns.RcodeBadSig
+	default:
+		tsig.Error = dns.RcodeBadKey
+	}
+}
--- /dev/null
+++ b/internal/dnsserver/reload.go
@@ -0,0 +1,65 @@
+package dnsserver
+
+import (
+	"time"
+
+	"fawnplank/internal/dnszone"
+	"fawnplank/internal/logging"
+)
+
+// Reload reads the zone file again, and adopts it if its serial is newer than that in force. If the file is
+// faulty, the fault is logged and the zone in force does not change.
+func (s *Server) Reload() {
+	file, fileSum, err := s.readZoneFile()
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if err != nil {
+		logZoneFileRejected(err)
+		return
+	}
+	if s.zone == nil { // awaitStore reads the file again
+		return
+	}
+	s.adopt(file, fileSum, time.Now().UnixNano())
+}
+
+func logZoneFileRejected(err error) {
+	logging.For(component).WithError(err).Error("zone file rejected")
+}
+
+// adopt replaces the zone in force with a newly read file, if the file's serial is newer. The caller holds
+// the lock.
+func (s *Server) adopt(file *dnszone.Zone, fileSum string, nowNanos int64) {
+	if fileSum == s.fileSum { // the text that was adopted last
+		return
+	}
+	log := logging.For(component).
+		WithField("file", s.options.ZoneFile).
+		WithField("serial", file.Serial()).
+		WithField("in_force", s.zone.Serial())
+	if !dnszone.SerialNewer(file.Serial(), s.zone.Serial()) {
+		log.Error("zone file ignored: serial not newer")
+		return
+	}
+	next := file.Replacing(s.zone, nowNanos)
+	if err := s.storeReplacement(next, fileSum); err != nil {
+		log.WithError(err).Error("zone file not stored")
+		return
+	}
+	log.WithField("updates_superseded", len(s.changes)).Info("zone file adopted")
+	s.install(&storedZone{zone: next, fileSum: fileSum}, asDifference)
+}
+
+// storeReplacement stores a zone file that replaces the zone in force. The caller holds the lock.
+func (s *Server) storeReplacement(next *dnszone.Zone, fileSum string) error {
+	switch s.storage() {
+	case storageReplicated:
+		return s.options.Replicated.replace(s.zone, next, fileSum)
+	case storageJournal:
+		return s.journal.rewrite(next, fileSum)
+	case storageLockedJournal:
+		return errJournalLocked
+	case storageNone: // a restart reads the file again
+	}
+	return nil
+}
--- /dev/null
+++ b/internal/dnsserver/replicated_read.go
@@ -0,0 +1,78 @@
+package dnsserver
+
+import (
+	"encoding/json"
+	"fmt"
+	"strings"
+
+	"fawnplank/internal/dnszone"
+)
+
+// load reads the zone as this replica has it. It returns nil if there is none, and errBehind if the replica has
+// applied only part of it.
+func (r *ReplicatedZone) load(settings dnszone.Settings) (*storedZone, error) {
+	head, index, err := r.readHead()
+	if err != nil || index == 0 {
+		return nil, err
+	}
+	stored, err := r.loadSnapshot(head, settings)
+	if err != nil {
+		return nil, err
+	}
+	for stored.zone.Serial() != head.Serial {
+		step, err := r.applyNext(stored.zone)
+		if err != nil {
+			return nil, err
+		}
+		if step == nil {
+			return nil, errBehind
+		}
+		stored.advance(step)
+	}
+	return stored, nil
+}
+
+// loadSnapshot reads the snapshot that a head names.
+func (r *ReplicatedZone) loadSnapshot(head storeHead, settings dnszone.Settings) (*storedZone, error) {
+	text, err := r.joinPieces(head)
+	if err != nil {
+		return nil, err
+	}
+	stored, err := decodeZoneRecord([]byte(text), settings)
+	if err != nil {
+		return nil, fmt.Errorf("store: the zone: %w", err)
+	}
+	return stored, nil
+}
+
+// joinPieces returns the text of the snapshot that a head names.
+func (r *ReplicatedZone) joinPieces(head storeHead) (string, error) {
+	var text strings.Builder
+	for number := range head.Pieces {
+		key := pieceKey(head.SnapshotSerial, number)
+		entry, ok := r.ReadLocal(key)
+		if !ok {
+			return "", fmt.Errorf("store: %s is missing: %w", key, errBehind)
+		}
+		var piece string
+		if err := json.Unmarshal(entry.Value, &piece); err != nil {
+			return "", fmt.Errorf("store: %s: %w", key, err)
+		}
+		text.WriteString(piece)
+	}
+	return text.String(), nil
+}
+
+// applyNext applies the change that follows a zone. The step is nil if there is no such change.
+func (r *ReplicatedZone) applyNext(zone *dnszone.Zone) (*dnszone.Step, error) {
+	key := changeKey(zone.Serial())
+	entry, ok := r.ReadLocal(key)
+	if !ok {
+		return nil, nil
+	}
+	step, err := decodeStep(zone, entry.Value)
+	if err != nil {
+		return nil, fmt.Errorf("store: %s: %w", key, err)
+	}
+	return step, nil
+}
--- a/internal/dnsserver/replication.go
+++ b/internal/dnsserver/replication.go
@@ -12,12 +12,12 @@
 	// replicateTimeout bounds the attempts of one update. The updater waits for some seconds, and no other
 	// update is processed in the meantime.
 	replicateTimeout = 3 * time.Second
-	// replicateRetryInterval gives this replica time to apply the change that was faster.
+	// replicateRetryInterval gives this replica time to apply the change that was committed first.
 	replicateRetryInterval = 5 * time.Millisecond
 )
 
-// StoreChanged adopts what the store holds. It must be called when a key of the zone has changed in the
-// store.
+// StoreChanged adopts the zone in the store. It must be called when a key with KeyPrefix has changed there.
+// It may wait for an update in progress.
 func (s *Server) StoreChanged() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -25,32 +25,24 @@
 		return
 	}
 	if err := s.catchUp(); err != nil && !errors.Is(err, errBehind) {
-		logging.For(component).WithError(err).Error("zone in the store not readable, last good list stays")
+		logging.For(component).WithError(err).Error("zone in store not readable")
 	}
 }
 
-// catchUp adopts what this replica has. The caller holds the lock.
+// catchUp adopts the zone as this replica has it. The caller holds the lock.
 func (s *Server) catchUp() error {
-	replicated := s.options.Replicated
-	for {
-		step, _, err := replicated.applyNext(s.zone)
-		if err != nil {
-			return err
-		}
-		if step == nil {
-			break
-		}
-		s.guard.Record(step.Change.Signature, dnszone.Outcome{}, step.Change.AtNanos)
-		s.advance(step)
+	if err := s.applyStoredChanges(); err != nil {
+		return err
 	}
-	head, index, err := replicated.readHead()
+	head, index, err := s.options.Replicated.readHead()
 	if err != nil || index == 0 {
 		return err
 	}
 	if !dnszone.SerialNewer(head.Serial, s.zone.Serial()) {
-		return nil // up to date, or ahead because this server's own change is on the way to the replica
+		return nil // up to date, or ahead because this server's own change has not reached the replica
 	}
-	stored, err := replicated.load(s.options.Settings)
+	// The changes that lead to the head were compacted, or a zone file replaced the zone.
+	stored, err := s.options.Replicated.load(s.options.Settings)
 	if err != nil || stored == nil {
 		return err
 	}
@@ -58,10 +50,24 @@
 	return nil
 }
 
+// applyStoredChanges applies the changes in the store that follow the zone in force. The caller holds the lock.
+func (s *Server) applyStoredChanges() error {
+	for {
+		step, err := s.options.Replicated.applyNext(s.zone)
+		if err != nil || step == nil {
+			return err
+		}
+		s.guard.Record(step.Change.Signature, dnszone.Outcome{}, step.Change.AtNanos)
+		s.advance(step)
+	}
+}
+
 // replicate applies an update at every replica or at none. The update is evaluated on the zone in force, and
-// again if a concurrent update was committed first. The caller holds the lock.
+// again if a concurrent update was committed first, until replicateTimeout. It then returns errBehind. The
+// caller holds the lock.
 func (s *Server) replicate(evaluate func() (*dnszone.Step, error)) (*dnszone.Step, error) {
-	for deadline := time.Now().Add(replicateTimeout); ; time.Sleep(replicateRetryInterval) {
+	deadline := time.Now().Add(replicateTimeout)
+	for {
 		step, err := evaluate()
 		if err != nil || step.Change == nil {
 			return step, err
@@ -73,5 +79,6 @@
 		if err := s.catchUp(); err != nil && !errors.Is(err, errBehind) {
 			return nil, err
 		}
+		time.Sleep(replicateRetryInterval)
 	}
 }
--- a/internal/dnsserver/server_test.go
+++ b/internal/dnsserver/server_test.go
@@ -98,14 +98,14 @@
 // REFUSED or not at all, and the server continues.
 func TestServer_SurvivesMalformedMessages(t *testing.T) {
 	s := mustStart(t, newFiles(t, zoneFileText(7, 2)))
-	whole, err := newUpdate(t, "-"+srvTo+"n1.calc.example.").Pack()
+	message, err := newUpdate(t, "-"+srvTo+"n1.calc.example.").Pack()
 	if err != nil {
 		t.Fatal(err)
 	}
 	packets := dialServer(t, s, "udp")
 	buffer := make([]byte, 4096)
-	for size := 12; size < len(whole); size += 3 {
-		send(t, packets, whole[:size])
+	for size := 12; size < len(message); size += 3 {
+		send(t, packets, message[:size])
 		n, err := packets.Read(buffer)
 		var answer dns.Msg
 		// A message cut off between two records may be a valid one without the signature, which comes last.
@@ -146,9 +146,9 @@
 	}
 }
 
-// TestServer_TakesJournalOver starts a second server on the same journal, as in an upgrade. It follows the
-// first one, and takes the journal over when that one closes.
-func TestServer_TakesJournalOver(t *testing.T) {
+// TestServer_AdoptsJournal starts a second server on the same journal, as in an upgrade. It applies the
+// changes of the first one, and adopts the journal when that one closes.
+func TestServer_AdoptsJournal(t *testing.T) {
 	files := newFiles(t, zoneFileText(7, 3))
 	old := mustStart(t, files)
 	next := mustStart(t, files)
@@ -180,11 +180,11 @@
 		}
 	}
 	if lines != 10 || skipped != 9*99 {
-		t.Errorf("%d log lines on a flood, which count %d more", lines, skipped)
+		t.Errorf("%d log lines on a flood, which report %d skipped", lines, skipped)
 	}
 }
 
-// answerRecorder is the writer of a client whose signature has the given status. It keeps the answer.
+// answerRecorder is the writer of a client whose signature has the given status. It records the answer.
 type answerRecorder struct {
 	dns.ResponseWriter
 	status error
--- /dev/null
+++ b/internal/dnsserver/stored_zone.go
@@ -0,0 +1,104 @@
+package dnsserver
+
+import (
+	"encoding/json"
+	"fmt"
+
+	"fawnplank/internal/dnszone"
+)
+
+// storedFormat is the version of the stored format. Any other version is rejected.
+const storedFormat = 1
+
+// storedZone is the content of a journal or of the store.
+type storedZone struct {
+	zone      *dnszone.Zone
+	fileSum   string            // of the text of the zone file that was adopted last
+	changes   []*dnszone.Change // since the snapshot, in order
+	size      int64             // total of a journal's intact lines, in bytes
+	tornBytes int64             // length of a journal's last line, if that line is torn
+}
+
+// zoneRecord is the stored form of a zone with its settings. It is the first line of a journal, and the
+// snapshot in the store.
+type zoneRecord struct {
+	Format   int              `json:"format"`
+	Origin   string           `json:"origin"`   // canonical
+	Service  string           `json:"service"`  // canonical
+	FileSum  string           `json:"file_sum"` // of the text of the zone file that was adopted last
+	Snapshot dnszone.Snapshot `json:"snapshot"`
+}
+
+func newZoneRecord(zone *dnszone.Zone, fileSum string) zoneRecord {
+	return zoneRecord{
+		Format:   storedFormat,
+		Origin:   zone.Origin,
+		Service:  zone.Service,
+		FileSum:  fileSum,
+		Snapshot: zone.Snapshot(),
+	}
+}
+
+func (r *zoneRecord) settings() dnszone.Settings {
+	return dnszone.Settings{Origin: r.Origin, Service: r.Service}
+}
+
+// decodeZoneRecord decodes a zone record, which must be of this format and of the zone and service of settings.
+func decodeZoneRecord(text []byte, settings dnszone.Settings) (*storedZone, error) {
+	var record zoneRecord
+	if err := json.Unmarshal(text, &record); err != nil {
+		return nil, err
+	}
+	if record.Format != storedFormat {
+		return nil, &FormatError{Format: record.Format}
+	}
+	if got := record.settings(); got != settings {
+		return nil, &SettingsError{Stored: got, Wanted: settings}
+	}
+	zone, err := dnszone.Restore(record.Snapshot, settings)
+	if err != nil {
+		return nil, err
+	}
+	return &storedZone{zone: zone, fileSum: record.FileSum}, nil
+}
+
+// decodeStep decodes a change and applies it to a zone. The step has the change as it is stored.
+func decodeStep(zone *dnszone.Zone, text []byte) (*dnszone.Step, error) {
+	change := &dnszone.Change{}
+	if err := json.Unmarshal(text, change); err != nil {
+		return nil, err
+	}
+	step, err := zone.Apply(change)
+	if err != nil {
+		return nil, err
+	}
+	step.Change = change
+	return step, nil
+}
+
+// advance applies a step that follows the zone.
+func (z *storedZone) advance(step *dnszone.Step) {
+	z.zone = step.Zone
+	z.changes = append(z.changes, step.Change)
+}
+
+// FormatError reports a journal or a store in a format that this version does not read.
+type FormatError struct {
+	Format int // as stored
+}
+
+// Error names both formats.
+func (e *FormatError) Error() string {
+	return fmt.Sprintf("is of format %d, not %d", e.Format, storedFormat)
+}
+
+// SettingsError reports a journal or a store that belongs to another zone or service.
+type SettingsError struct {
+	Stored, Wanted dnszone.Settings
+}
+
+// Error names both zones and services.
+func (e *SettingsError) Error() string {
+	return fmt.Sprintf("is of zone %s and service %s, not %s and %s",
+		e.Stored.Origin, e.Stored.Service, e.Wanted.Origin, e.Wanted.Service)
+}
--- a/internal/dnsserver/transfer_test.go
+++ b/internal/dnsserver/transfer_test.go
@@ -92,7 +92,7 @@
 	}
 	tcp := &dns.Client{Net: "tcp"}
 	if answer, _, err := tcp.Exchange(question, s.Address()); err != nil || len(answer.Answer) != 400 {
-		t.Error("by TCP it is not whole")
+		t.Error("by TCP it is not complete")
 	}
 }
 
--- a/internal/dnsserver/update_test.go
+++ b/internal/dnsserver/update_test.go
@@ -53,7 +53,7 @@
 	}
 	s.Close()
 	s = mustStart(t, files)
-	s.guard = dnszone.NewReplayGuard(100, time.Now().UnixNano()) // as a start makes it
+	s.guard = dnszone.NewReplayGuard(100, time.Now().UnixNano()) // as Start creates it
 	if exchangePacked(t, dialServer(t, s, "udp"), packed) != dns.RcodeNotAuth || !s.published.has("n1") {
 		t.Error("a replay was not refused after a restart")
 	}
@@ -81,31 +81,31 @@
 	}
 }
 
-// zoneWalk is a server that is restarted between updates and zone files.
-type zoneWalk struct {
+// restartableServer is a server that is restarted between updates and zone files.
+type restartableServer struct {
 	*testServer
 }
 
-func (w *zoneWalk) restart(t *testing.T) {
+func (w *restartableServer) restart(t *testing.T) {
 	t.Helper()
 	w.Close()
 	w.testServer = mustStart(t, w.files)
 }
 
-func (w *zoneWalk) apply(t *testing.T, records ...string) {
+func (w *restartableServer) apply(t *testing.T, records ...string) {
 	t.Helper()
 	if rcode := w.sendUpdate(t, "udp", records...); rcode != dns.RcodeSuccess {
 		t.Fatal(dns.RcodeToString[rcode])
 	}
 }
 
-func (w *zoneWalk) reload(t *testing.T, zoneFile string) {
+func (w *restartableServer) reload(t *testing.T, zoneFile string) {
 	t.Helper()
 	writeFile(t, w.files.ZoneFile, zoneFile)
 	w.Reload()
 }
 
-func (w *zoneWalk) expect(t *testing.T, after string, serial uint32, size int) {
+func (w *restartableServer) expect(t *testing.T, after string, serial uint32, size int) {
 	t.Helper()
 	if w.Serial() != serial || w.published.size() != size {
 		t.Fatalf("%s: serial %d with %d backends, not %d with %d",
@@ -113,10 +113,10 @@
 	}
 }
 
-// TestServer_KeepsHigherSerial checks that of the zone file and the updates the one with the higher serial
+// TestServer_PrefersNewerSerial checks that of the zone file and the updates the one with the newer serial
 // wins, also over restarts and where serials wrap around.
-func TestServer_KeepsHigherSerial(t *testing.T) {
-	w := &zoneWalk{mustStart(t, newFiles(t, zoneFileText(4294967290, 3)))}
+func TestServer_PrefersNewerSerial(t *testing.T) {
+	w := &restartableServer{mustStart(t, newFiles(t, zoneFileText(4294967290, 3)))}
 	w.apply(t, "-"+srvTo+"n1.calc.example.")
 	w.apply(t, "-"+srvTo+"n2.calc.example.")
 	w.expect(t, "two updates", 4294967292, 1)
@@ -129,7 +129,7 @@
 	for i := range 4 {
 		w.apply(t, fmt.Sprintf("x%d.calc.example. A 127.9.9.%d", i, i+1))
 	}
-	w.expect(t, "the serial's wrap, which leaves 0 out", 1, 1)
+	w.expect(t, "the serial's wrap-around, which skips 0", 1, 1)
 	w.reload(t, zoneFileText(4294967295, 3))
 	w.expect(t, "a file from before the wrap", 1, 1)
 	w.reload(t, zoneFileText(2, 3))
@@ -137,7 +137,7 @@
 	returned, _ := w.published.backend("n1")
 	stayed, _ := w.published.backend("n3")
 	if returned.StartNanos() == 0 || stayed.StartNanos() != 0 {
-		t.Errorf("one that returned with the file is not new, or one that stayed is: %+v", w.published.list)
+		t.Errorf("a backend that the file added again is not new, or one that stayed listed is: %+v", w.published.list)
 	}
 	w.restart(t)
 	w.expect(t, "a restart", 2, 3)
--- a/internal/dnsserver/version0_test.go
+++ b/internal/dnsserver/version0_test.go
@@ -134,7 +134,7 @@
 		}
 	}
 	if now, err := os.ReadFile(again.path); err != nil || !bytes.Equal(now, old) {
-		t.Errorf("written anew (%v):\n%s\nthe fixture:\n%s", err, now, old)
+		t.Errorf("written again (%v):\n%s\nthe fixture:\n%s", err, now, old)
 	}
 }
 
@@ -255,13 +255,13 @@
 		}
 	}
 	if !reflect.DeepEqual(again.state.Keys(""), stored.Keys("")) {
-		t.Errorf("keys written anew: %q", again.state.Keys(""))
+		t.Errorf("keys written again: %q", again.state.Keys(""))
 	}
 	for _, key := range stored.Keys("") {
 		is, _ := again.state.Get(key)
 		was, _ := stored.Get(key)
 		if !bytes.Equal(is.Value, was.Value) {
-			t.Errorf("%s, written anew:\n%s\nthe fixture:\n%s", key, is.Value, was.Value)
+			t.Errorf("%s, written again:\n%s\nthe fixture:\n%s", key, is.Value, was.Value)
 		}
 	}
 }
@@ -271,8 +271,8 @@
 	testutil.CheckTags(t, zoneRecord{}, storeHead{}, dnszone.Change{})
 }
 
-// version0Born is when the update of the compacted journal was accepted, unix ns.
-const version0Born = 1796187964669258823
+// version0AcceptedNanos is when the update of the compacted journal was accepted, unix ns.
+const version0AcceptedNanos = 1796187964669258823
 
 // TestReadJournal_ReadsVersion0Compacted reads a journal that an earlier version had compacted. The snapshot
 // has the provenance of a backend that an update added.
@@ -297,16 +297,16 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	born := map[string]dnszone.Provenance{}
+	provenances := map[string]dnszone.Provenance{}
 	for _, b := range s.zone.Backends() {
-		born[b.Name] = b.Provenance
+		provenances[b.Name] = b.Provenance
 	}
 	want := map[string]dnszone.Provenance{
-		"m1.calc.example:7000": {StartNanos: version0Born, Key: "deploy.", Serial: 8},
+		"m1.calc.example:7000": {StartNanos: version0AcceptedNanos, Key: "deploy.", Serial: 8},
 		"n2.calc.example:7000": {File: "calc.zone", Line: 8, Serial: 7},
 	}
-	if !reflect.DeepEqual(born, want) {
-		t.Errorf("%+v", born)
+	if !reflect.DeepEqual(provenances, want) {
+		t.Errorf("%+v", provenances)
 	}
 	if s.zone.Serial() != 9 || s.fileSum != "62ff89fddb841c2f" || len(s.changes) != 0 {
 		t.Errorf("serial %d of the file %s, %d changes", s.zone.Serial(), s.fileSum, len(s.changes))
@@ -317,6 +317,6 @@
 	}
 	again, err := encodeLine(newZoneRecord(s.zone, s.fileSum))
 	if err != nil || !bytes.Equal(again, old) {
-		t.Errorf("written anew (%v):\n%s\nthe fixture:\n%s", err, again, old)
+		t.Errorf("written again (%v):\n%s\nthe fixture:\n%s", err, again, old)
 	}
 }
