--- a/internal/dnsserver/load.go
+++ b/internal/dnsserver/load.go
@@ -4,7 +4,6 @@
 	"errors"
 	"fmt"
 
-	"fawnplank/internal/dnszone"
 	"fawnplank/internal/logging"
 )
 
@@ -16,7 +15,7 @@
 // Of the zone file and the updates, the one with the newer serial wins. A file whose serial is newer than the
 // one in force replaces the zone and supersedes the updates before it. Any other file changes nothing.
 func (s *Server) load(nowNanos int64) error {
-	file, fileSum, fileErr := s.readZoneFile()
+	file, fileErr := s.options.readZoneFile()
 	stored, err := s.readStored()
 	if err != nil {
 		return err
@@ -25,7 +24,7 @@
 		if fileErr != nil {
 			return fileErr
 		}
-		return s.initialize(file, fileSum)
+		return s.initialize(file)
 	}
 	if s.journal != nil {
 		if err := s.journal.resume(stored); err != nil {
@@ -37,7 +36,7 @@
 		logZoneFileRejected(fileErr)
 		return nil
 	}
-	s.adopt(file, fileSum, nowNanos)
+	s.adopt(file, nowNanos)
 	return nil
 }
 
@@ -56,25 +55,25 @@
 }
 
 // initialize stores and installs the first zone. The caller holds the lock.
-func (s *Server) initialize(file *dnszone.Zone, fileSum string) error {
-	if err := s.storeFirst(file, fileSum); err != nil {
+func (s *Server) initialize(file zoneFile) error {
+	if err := s.storeFirst(file); err != nil {
 		return err
 	}
-	s.install(&storedZone{zone: file, fileSum: fileSum}, asFullList)
+	s.install(&storedZone{zone: file.zone, fileSum: file.sum}, asFullList)
 	return nil
 }
 
 // storeFirst stores the first zone. The caller holds the lock.
-func (s *Server) storeFirst(file *dnszone.Zone, fileSum string) error {
+func (s *Server) storeFirst(file zoneFile) error {
 	switch s.storage() {
 	case storageReplicated:
-		err := s.options.Replicated.initialize(file, fileSum)
+		err := s.options.Replicated.initialize(file.zone, file.sum)
 		if err != nil && !errors.Is(err, errBehind) {
 			return fmt.Errorf("%w: %w", errStoreUnavailable, err)
 		}
 		return err
 	case storageJournal:
-		return s.journal.rewrite(file, fileSum)
+		return s.journal.rewrite(file.zone, file.sum)
 	case storageNone, storageLockedJournal: // nothing is stored here
 	}
 	return nil
--- a/internal/dnsserver/reload.go
+++ b/internal/dnsserver/reload.go
@@ -10,7 +10,7 @@
 // Reload reads the zone file again, and adopts it if its serial is newer than that in force. If the file is
 // faulty, the fault is logged and the zone in force does not change.
 func (s *Server) Reload() {
-	file, fileSum, err := s.readZoneFile()
+	file, err := s.options.readZoneFile()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if err != nil {
@@ -20,7 +20,7 @@
 	if s.zone == nil { // awaitStore reads the file again
 		return
 	}
-	s.adopt(file, fileSum, time.Now().UnixNano())
+	s.adopt(file, time.Now().UnixNano())
 }
 
 func logZoneFileRejected(err error) {
@@ -29,25 +29,25 @@
 
 // adopt replaces the zone in force with a newly read file, if the file's serial is newer. The caller holds
 // the lock.
-func (s *Server) adopt(file *dnszone.Zone, fileSum string, nowNanos int64) {
-	if fileSum == s.fileSum { // the text that was adopted last
+func (s *Server) adopt(file zoneFile, nowNanos int64) {
+	if file.sum == s.fileSum { // the text that was adopted last
 		return
 	}
 	log := logging.For(component).
 		WithField("file", s.options.ZoneFile).
-		WithField("serial", file.Serial()).
+		WithField("serial", file.zone.Serial()).
 		WithField("in_force", s.zone.Serial())
-	if !dnszone.SerialNewer(file.Serial(), s.zone.Serial()) {
+	if !dnszone.SerialNewer(file.zone.Serial(), s.zone.Serial()) {
 		log.Error("zone file ignored: serial not newer")
 		return
 	}
-	next := file.Replacing(s.zone, nowNanos)
-	if err := s.storeReplacement(next, fileSum); err != nil {
+	next := file.zone.Replacing(s.zone, nowNanos)
+	if err := s.storeReplacement(next, file.sum); err != nil {
 		log.WithError(err).Error("zone file not stored")
 		return
 	}
 	log.WithField("updates_superseded", len(s.changes)).Info("zone file adopted")
-	s.install(&storedZone{zone: next, fileSum: fileSum}, asDifference)
+	s.install(&storedZone{zone: next, fileSum: file.sum}, asDifference)
 }
 
 // storeReplacement stores a zone file that replaces the zone in force. The caller holds the lock.
--- a/internal/dnsserver/version0_test.go
+++ b/internal/dnsserver/version0_test.go
@@ -24,27 +24,27 @@
 
 // sendVersion0Updates sends the updates that the fixtures contain: a backend is added, and one of the file's
 // is removed.
-func sendVersion0Updates(t *testing.T, r *testServer) {
+func sendVersion0Updates(t *testing.T, server *testServer) {
 	t.Helper()
-	for _, m := range []*dns.Msg{
+	for _, message := range []*dns.Msg{
 		newUpdate(t, srvTo+"m1.calc.example.", "m1.calc.example. 30 IN A 127.1.0.1"),
 		newUpdate(t, "-"+srvTo+"n1.calc.example."),
 	} {
-		if rcode, _ := r.exchange(t, "tcp", signed(m, testKey), testKey); rcode != dns.RcodeSuccess {
+		if rcode, _ := server.exchange(t, "tcp", signed(message, testKey), testKey); rcode != dns.RcodeSuccess {
 			t.Fatal(dns.RcodeToString[rcode])
 		}
 	}
 }
 
 // checkVersion0State checks the content of a journal or a store of an earlier version.
-func checkVersion0State(t *testing.T, s *storedZone) {
+func checkVersion0State(t *testing.T, stored *storedZone) {
 	t.Helper()
-	if s.zone.Serial() != 9 || s.fileSum != "62ff89fddb841c2f" {
-		t.Errorf("serial %d of the file %s", s.zone.Serial(), s.fileSum)
+	if stored.zone.Serial() != 9 || stored.fileSum != "62ff89fddb841c2f" {
+		t.Errorf("serial %d of the file %s", stored.zone.Serial(), stored.fileSum)
 	}
 	list := map[string]dnszone.Backend{}
-	for _, b := range s.zone.Backends() {
-		list[b.Name] = b
+	for _, backend := range stored.zone.Backends() {
+		list[backend.Name] = backend
 	}
 	names := slices.Sorted(maps.Keys(list))
 	if fmt.Sprint(names) != "[m1.calc.example:7000 n2.calc.example:7000]" {
@@ -56,10 +56,10 @@
 		fromFile.Zone != "north" || fromFile.Group != 3 {
 		t.Errorf("of the file: %+v", fromFile)
 	}
-	if len(s.changes) != 2 {
-		t.Fatalf("%d changes", len(s.changes))
+	if len(stored.changes) != 2 {
+		t.Fatalf("%d changes", len(stored.changes))
 	}
-	addition, removal := s.changes[0], s.changes[1]
+	addition, removal := stored.changes[0], stored.changes[1]
 	fromUpdate := list["m1.calc.example:7000"]
 	want = dnszone.Provenance{StartNanos: addition.AtNanos, Key: "deploy.", Serial: 8}
 	if fromUpdate.Provenance != want {
@@ -74,10 +74,11 @@
 	if !slices.ContainsFunc(removal.Deleted, isOfRemoved) {
 		t.Errorf("removed: %q", removal.Deleted)
 	}
-	for _, c := range s.changes {
-		ageNanos := c.AtNanos - c.Signature.SignedSeconds*1e9
-		if c.Signature.KeyName != "deploy." || len(c.Signature.MAC) != 64 || ageNanos < 0 || ageNanos > 10e9 {
-			t.Errorf("by %+v at %d", c.Signature, c.AtNanos)
+	for _, change := range stored.changes {
+		signature := change.Signature
+		ageNanos := change.AtNanos - signature.SignedSeconds*1e9
+		if signature.KeyName != "deploy." || len(signature.MAC) != 64 || ageNanos < 0 || ageNanos > 10e9 {
+			t.Errorf("by %+v at %d", signature, change.AtNanos)
 		}
 	}
 }
@@ -85,12 +86,12 @@
 func version0Journal(t *testing.T) string {
 	t.Helper()
 	return testutil.Fixture(t, "calc.journal", func(path string) {
-		dir := t.TempDir()
-		t.Chdir(dir) // so that the journal names the file without a path
+		folder := t.TempDir()
+		t.Chdir(folder) // so that the journal names the file without a path
 		writeFile(t, "calc.zone", version0File)
-		r := mustStart(t, Options{ZoneFile: "calc.zone", JournalFile: "calc.journal"})
-		sendVersion0Updates(t, r)
-		r.Close()
+		server := mustStart(t, Options{ZoneFile: "calc.zone", JournalFile: "calc.journal"})
+		sendVersion0Updates(t, server)
+		server.Close()
 		if err := os.Rename("calc.journal", path); err != nil {
 			t.Fatal(err)
 		}
@@ -101,22 +102,22 @@
 // same bytes.
 func TestReadJournal_ReadsVersion0File(t *testing.T) {
 	path := version0Journal(t)
-	s, err := readJournal(path, testSettings)
+	stored, err := readJournal(path, testSettings)
 	if err != nil {
 		t.Fatal(err)
 	}
-	checkVersion0State(t, s)
+	checkVersion0State(t, stored)
 	old, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
 	}
 	first, _, _ := bytes.Cut(old, []byte{'\n'})
 	body, _ := decodeLine(first)
-	var b zoneRecord
-	if err := json.Unmarshal(body, &b); err != nil {
+	var record zoneRecord
+	if err := json.Unmarshal(body, &record); err != nil {
 		t.Fatal(err)
 	}
-	z, err := dnszone.Restore(b.Snapshot, testSettings)
+	zone, err := dnszone.Restore(record.Snapshot, testSettings)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -125,11 +126,11 @@
 		t.Fatal(err)
 	}
 	defer again.close()
-	if err := again.rewrite(z, s.fileSum); err != nil {
+	if err := again.rewrite(zone, stored.fileSum); err != nil {
 		t.Fatal(err)
 	}
-	for _, c := range s.changes {
-		if err := again.append(c); err != nil {
+	for _, change := range stored.changes {
+		if err := again.append(change); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -145,13 +146,14 @@
 	path := version0Journal(t)
 	t.Chdir(filepath.Dir(path))
 	writeFile(t, "calc.zone", version0File)
-	r := mustStart(t, Options{ZoneFile: "calc.zone", JournalFile: "calc.journal"})
-	if r.Serial() != 9 || r.published.size() != 2 || r.published.has("n1") || !r.published.has("m1") {
-		t.Errorf("serial %d, %v", r.Serial(), r.published.list)
+	server := mustStart(t, Options{ZoneFile: "calc.zone", JournalFile: "calc.journal"})
+	published := server.published
+	if server.Serial() != 9 || published.size() != 2 || published.has("n1") || !published.has("m1") {
+		t.Errorf("serial %d, %v", server.Serial(), published.list)
 	}
-	rcode := r.sendUpdate(t, "tcp", "-"+srvTo+"m1.calc.example.")
-	if rcode != dns.RcodeSuccess || r.Serial() != 10 {
-		t.Errorf("an update: %s, serial %d", dns.RcodeToString[rcode], r.Serial())
+	rcode := server.sendUpdate(t, "tcp", "-"+srvTo+"m1.calc.example.")
+	if rcode != dns.RcodeSuccess || server.Serial() != 10 {
+		t.Errorf("an update: %s, serial %d", dns.RcodeToString[rcode], server.Serial())
 	}
 }
 
@@ -176,14 +178,14 @@
 func version0Store(t *testing.T) string {
 	t.Helper()
 	return testutil.Fixture(t, "store", func(path string) {
-		dir := t.TempDir()
-		t.Chdir(dir)
+		folder := t.TempDir()
+		t.Chdir(folder)
 		writeFile(t, "calc.zone", version0File)
-		d := &directReplica{state: kv.New()}
-		r := mustStart(t, Options{ZoneFile: "calc.zone", Replicated: &ReplicatedZone{d}})
-		sendVersion0Updates(t, r)
-		r.Close()
-		text, err := d.state.Snapshot()
+		replica := &directReplica{state: kv.New()}
+		server := mustStart(t, Options{ZoneFile: "calc.zone", Replicated: &ReplicatedZone{replica}})
+		sendVersion0Updates(t, server)
+		server.Close()
+		text, err := replica.state.Snapshot()
 		if err == nil {
 			err = os.WriteFile(path, text, 0o600)
 		}
@@ -220,15 +222,15 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	stored, err := kv.Load(text)
+	state, err := kv.Load(text)
 	if err != nil {
 		t.Fatal(err)
 	}
 	wantKeys := "[dns/base/00000007/0 dns/change/00000007 dns/change/00000008 dns/head]"
-	if keys := stored.Keys(""); fmt.Sprint(keys) != wantKeys {
+	if keys := state.Keys(""); fmt.Sprint(keys) != wantKeys {
 		t.Errorf("keys %q", keys)
 	}
-	shared := &ReplicatedZone{&directReplica{state: stored, index: stored.AppliedIndex()}}
+	shared := &ReplicatedZone{&directReplica{state: state, index: state.AppliedIndex()}}
 	wantHead := storeHead{
 		Serial:         9,
 		SnapshotSerial: 7,
@@ -239,27 +241,33 @@
 	if head, _, err := shared.readHead(); err != nil || head != wantHead {
 		t.Errorf("head %+v, %v", head, err)
 	}
-	s, err := shared.load(testSettings)
+	stored, err := shared.load(testSettings)
 	if err != nil {
 		t.Fatal(err)
 	}
-	checkVersion0State(t, s)
-	z := restoreVersion0Snapshot(t, stored)
+	checkVersion0State(t, stored)
+	zone := restoreVersion0Snapshot(t, state)
 	again := &directReplica{state: kv.New()}
-	if err := (&ReplicatedZone{again}).initialize(z, s.fileSum); err != nil {
+	if err := (&ReplicatedZone{again}).initialize(zone, stored.fileSum); err != nil {
 		t.Fatal(err)
 	}
-	for _, c := range s.changes {
-		if err := (&ReplicatedZone{again}).append(c); err != nil {
+	for _, change := range stored.changes {
+		if err := (&ReplicatedZone{again}).append(change); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if !reflect.DeepEqual(again.state.Keys(""), stored.Keys("")) {
-		t.Errorf("keys written again: %q", again.state.Keys(""))
+	checkSameKeys(t, again.state, state)
+}
+
+// checkSameKeys checks that a state has the same keys and values as the fixture.
+func checkSameKeys(t *testing.T, got, fixture *kv.State) {
+	t.Helper()
+	if !reflect.DeepEqual(got.Keys(""), fixture.Keys("")) {
+		t.Errorf("keys written again: %q", got.Keys(""))
 	}
-	for _, key := range stored.Keys("") {
-		is, _ := again.state.Get(key)
-		was, _ := stored.Get(key)
+	for _, key := range fixture.Keys("") {
+		is, _ := got.Get(key)
+		was, _ := fixture.Get(key)
 		if !bytes.Equal(is.Value, was.Value) {
 			t.Errorf("%s, written again:\n%s\nthe fixture:\n%s", key, is.Value, was.Value)
 		}
@@ -280,12 +288,12 @@
 	path := testutil.Fixture(t, "compacted.journal", func(path string) {
 		t.Chdir(t.TempDir())
 		writeFile(t, "calc.zone", version0File)
-		r := mustStart(t, Options{ZoneFile: "calc.zone", JournalFile: "calc.journal"})
-		sendVersion0Updates(t, r)
-		r.mu.Lock()
-		err := r.journal.rewrite(r.zone, r.fileSum) // as after maxJournalChanges updates
-		r.mu.Unlock()
-		r.Close()
+		server := mustStart(t, Options{ZoneFile: "calc.zone", JournalFile: "calc.journal"})
+		sendVersion0Updates(t, server)
+		server.mu.Lock()
+		err := server.journal.rewrite(server.zone, server.fileSum) // as after maxJournalChanges updates
+		server.mu.Unlock()
+		server.Close()
 		if err == nil {
 			err = os.Rename("calc.journal", path)
 		}
@@ -293,13 +301,13 @@
 			t.Fatal(err)
 		}
 	})
-	s, err := readJournal(path, testSettings)
+	stored, err := readJournal(path, testSettings)
 	if err != nil {
 		t.Fatal(err)
 	}
 	provenances := map[string]dnszone.Provenance{}
-	for _, b := range s.zone.Backends() {
-		provenances[b.Name] = b.Provenance
+	for _, backend := range stored.zone.Backends() {
+		provenances[backend.Name] = backend.Provenance
 	}
 	want := map[string]dnszone.Provenance{
 		"m1.calc.example:7000": {StartNanos: version0AcceptedNanos, Key: "deploy.", Serial: 8},
@@ -308,14 +316,14 @@
 	if !reflect.DeepEqual(provenances, want) {
 		t.Errorf("%+v", provenances)
 	}
-	if s.zone.Serial() != 9 || s.fileSum != "62ff89fddb841c2f" || len(s.changes) != 0 {
-		t.Errorf("serial %d of the file %s, %d changes", s.zone.Serial(), s.fileSum, len(s.changes))
+	if stored.zone.Serial() != 9 || stored.fileSum != "62ff89fddb841c2f" || len(stored.changes) != 0 {
+		t.Errorf("serial %d of the file %s, %d changes", stored.zone.Serial(), stored.fileSum, len(stored.changes))
 	}
 	old, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	again, err := encodeLine(newZoneRecord(s.zone, s.fileSum))
+	again, err := encodeLine(newZoneRecord(stored.zone, stored.fileSum))
 	if err != nil || !bytes.Equal(again, old) {
 		t.Errorf("written again (%v):\n%s\nthe fixture:\n%s", err, again, old)
 	}
--- a/internal/dnsserver/zone_file.go
+++ b/internal/dnsserver/zone_file.go
@@ -12,10 +12,19 @@
 // maxZoneFileBytes bounds the size of a zone file. It allows some hundred thousand backends.
 const maxZoneFileBytes = 32 << 20
 
-// readZoneFile reads the zone file, and returns the sum by which its text is recognized.
-func (s *Server) readZoneFile() (*dnszone.Zone, string, error) {
-	zone, text, err := ReadZoneFile(s.options.ZoneFile, s.options.Settings)
-	return zone, fmt.Sprintf("%016x", xxhash.Sum64(text)), err
+// zoneFile is the content of a zone file.
+type zoneFile struct {
+	zone *dnszone.Zone
+	sum  string // by which the text is recognized when it is read again
+}
+
+// readZoneFile reads the zone file of the options.
+func (o Options) readZoneFile() (zoneFile, error) {
+	zone, text, err := ReadZoneFile(o.ZoneFile, o.Settings)
+	if err != nil {
+		return zoneFile{}, err
+	}
+	return zoneFile{zone: zone, sum: fmt.Sprintf("%016x", xxhash.Sum64(text))}, nil
 }
 
 // ReadZoneFile reads a zone file and also returns its text, of at most 32 MiB. Errors name the file, and the
