--- a/internal/dnszone/draft_backends.go
+++ b/internal/dnszone/draft_backends.go
@@ -30,7 +30,7 @@
 
 // rebuildBackends rebuilds the backends of the touched targets.
 func (d *draft) rebuildBackends(provenance provenanceFunc) error {
-	maps.Copy(d.touchedNames, d.next.aliasedTargets) // a change at any name may move their addresses
+	maps.Copy(d.touchedNames, d.next.aliasedTargets) // a change at any name may change their addresses
 	targets := slices.Sorted(maps.Keys(d.touchedNames))
 	for _, name := range targets {
 		delete(d.next.aliasedTargets, name)
--- a/internal/dnszone/prerequisites.go
+++ b/internal/dnszone/prerequisites.go
@@ -57,7 +57,7 @@
 	case !dns.IsSubDomain(d.base.Origin, name):
 		return refuse(dns.RcodeNotZone, "prerequisite of %.100q, outside the zone", name)
 	case header.Class != dns.ClassINET && header.Rdlength != 0:
-		return refuse(dns.RcodeFormatError, "prerequisite of %.100q with data it cannot have", name)
+		return refuse(dns.RcodeFormatError, "prerequisite of %.100q with data, which its class excludes", name)
 	case header.Class != dns.ClassINET && header.Rrtype == dns.TypeANY:
 		return d.checkNameInUse(name, header.Class)
 	case header.Class == dns.ClassANY:
--- a/internal/dnszone/zone.go
+++ b/internal/dnszone/zone.go
@@ -6,10 +6,11 @@
 // arguments, so that the same changes give the same zone on every replica. docs/dns.md is the operators'
 // page.
 //
-// The package owns the rules for records, serials, updates and replays, and no state between calls. A Zone is
-// immutable once a function of this package has returned it, and safe for concurrent use; the same holds for
-// a Step, a Change and a Snapshot as long as nobody writes to them. A ReplayGuard is not safe for concurrent
-// use: its owner serializes the calls.
+// The package owns the rules for records, serials, updates and replays, and no state between calls. The
+// records and backends of a Zone do not change once a function of this package has returned it. Its methods
+// that read are safe for concurrent use, also during one that derives a new zone (Update, Apply, Replacing).
+// Of those, one at a time may be called on the same Zone, because the copy of its trees marks both copies. A
+// ReplayGuard is not safe for concurrent use. The owner of a zone and its guard serializes these calls.
 package dnszone
 
 import (
@@ -96,8 +97,8 @@
 	return found
 }
 
-// Replacing returns a newly parsed zone as the one that replaces old at atNanos. Backends that old also has
-// keep their start; the others are new since atNanos, and warm up from then on.
+// Replacing returns a newly parsed zone as the one that replaces old at atNanos, in unix ns. Backends that
+// old also has keep their start; the others are new since atNanos, and warm up from then on.
 func (z *Zone) Replacing(old *Zone, atNanos int64) *Zone {
 	next := z.clone()
 	z.backends.Scan(func(name string, backend Backend) bool {
@@ -112,7 +113,7 @@
 }
 
 // clone copies a zone as the basis for the next one. The trees are copied on write, so the cost does not depend
-// on their size.
+// on their size. It must not be called on one zone at the same time, as btree.Map.Copy writes to its receiver.
 func (z *Zone) clone() *Zone {
 	return &Zone{
 		Settings:         z.Settings,
