--- a/internal/dnszone/parse.go
+++ b/internal/dnszone/parse.go
@@ -2,7 +2,6 @@
 
 import (
 	"bytes"
-	"cmp"
 	"errors"
 	"fmt"
 	"slices"
@@ -30,8 +29,8 @@
 	return b, err
 }
 
-// Parse parses a master file. name is the file's name in errors, which have the form "name:line: what". The
-// backends count as started long ago, unless their records state a start.
+// Parse parses a master file. Its errors are a *PositionError with the name and a line, apart from those of the
+// settings. The backends count as started long ago, unless their records state a start.
 func Parse(name string, text []byte, settings Settings) (*Zone, error) {
 	settings, err := settings.Canonical()
 	if err != nil {
@@ -43,7 +42,7 @@
 	}
 	soa := z.soa()
 	if soa == nil {
-		return nil, fmt.Errorf("%s:1: no SOA record of %s", name, settings.Origin)
+		return nil, &PositionError{File: name, Line: 1, Err: fmt.Errorf("no SOA record of %s", settings.Origin)}
 	}
 	if len(z.RRset(settings.Service, dns.TypeSRV)) == 0 {
 		return nil, z.positioned(soa, &NoBackendError{Service: settings.Service})
@@ -95,9 +94,13 @@
 
 // syntaxError converts an error of the library's parser, "NAME: dns: WHAT at line: LINE:COLUMN", to the form
 // of this package. lastLine is used if the library names no line.
-func syntaxError(name string, lastLine int, err error) error {
-	text := strings.TrimPrefix(strings.TrimPrefix(err.Error(), name+": "), "dns: ")
+func syntaxError(name string, lastLine int, parserErr error) error {
+	text := strings.TrimPrefix(strings.TrimPrefix(parserErr.Error(), name+": "), "dns: ")
 	what, position, _ := strings.Cut(text, " at line: ")
-	line, _, _ := strings.Cut(position, ":")
-	return errors.New(name + ":" + cmp.Or(line, strconv.Itoa(lastLine)) + ": " + what)
+	lineText, _, _ := strings.Cut(position, ":")
+	line, err := strconv.Atoi(lineText)
+	if err != nil {
+		line = lastLine
+	}
+	return &PositionError{File: name, Line: line, Err: errors.New(what)}
 }
--- a/internal/dnszone/parse_test.go
+++ b/internal/dnszone/parse_test.go
@@ -1,6 +1,7 @@
 package dnszone
 
 import (
+	"errors"
 	"fmt"
 	"reflect"
 	"strings"
@@ -76,6 +77,9 @@
 		if err == nil || !strings.Contains(err.Error(), test.want) {
 			t.Errorf("%q: %v, not %q", strings.TrimPrefix(test.text, testZoneHead), err, test.want)
 		}
+		if _, ok := errors.AsType[*PositionError](err); !ok {
+			t.Errorf("%q: %T, not a PositionError", strings.TrimPrefix(test.text, testZoneHead), err)
+		}
 	}
 }
 
