--- a/internal/store/leader.go
+++ b/internal/store/leader.go
@@ -50,7 +50,8 @@
 	return s.readRemotely(address, key)
 }
 
-// readRemotely reads a key at the API of the leader.
+// readRemotely reads a key at the API of the leader. It does not escape the key: one with ?, # or % is read as
+// another key, or gives an error.
 func (s *Store) readRemotely(address, key string) (entry kv.Entry, ok bool, err error) {
 	ctx, cancel := context.WithTimeout(context.Background(), quorumTimeout)
 	defer cancel()
