--- a/cmd/fawnplank/store_client.go
+++ b/cmd/fawnplank/store_client.go
@@ -124,7 +124,7 @@
 }
 
 // ReadLocal reads a key as this replica has it. A call that fails is reported as a missing key, since the
-// Replica interfaces return no error here.
+// Replica interfaces return no error here: "dns list" then shows the zone file, as if the store held no zone.
 func (c storeClient) ReadLocal(key string) (entry kv.Entry, ok bool) {
 	text, err := c.read("/v1/kv/" + key + "?stale=1")
 	return entry, err == nil && json.Unmarshal(text, &entry) == nil
