--- a/internal/frontend/backpressure.go
+++ b/internal/frontend/backpressure.go
@@ -44,7 +44,7 @@
 // isFull reports whether no further command may become pending. The caller holds mu. Once the connection is to
 // end nothing more is read, and what has been read is submitted at once: it has to be answered before the end.
 func (c *connection) isFull() bool {
-	if c.draining.Load() {
+	if c.ending.Load() {
 		return false
 	}
 	return len(c.pending) >= maxPendingCommands || c.pendingBytes > maxPendingBytes
@@ -70,7 +70,7 @@
 		c.mu.Lock()
 		defer c.mu.Unlock()
 		for !c.peer.isGone() && condition() {
-			c.pendingFewer.Wait()
+			c.stateChanged.Wait()
 		}
 	})
 }
--- a/internal/frontend/client_gone.go
+++ b/internal/frontend/client_gone.go
@@ -17,9 +17,9 @@
 // waits for their responses.
 func (c *connection) clientGone() {
 	c.mu.Lock()
-	c.peer = c.peer.leave()
+	c.peer = c.peer.afterGone()
 	open := slices.Clone(c.pending)
-	c.pendingFewer.Broadcast()
+	c.stateChanged.Broadcast()
 	c.mu.Unlock()
 	for _, p := range open {
 		if p.request != nil {
--- a/internal/frontend/command_timeout.go
+++ b/internal/frontend/command_timeout.go
@@ -30,7 +30,7 @@
 // returns whether it did. If it did not, the command has just arrived completely, or the connection is, or was, to
 // end, and the read goes on without a deadline.
 func (c *connection) endIfOverdue() (ended bool) {
-	if c.isCommandOverdue(time.Now()) && !c.draining.Load() {
+	if c.isCommandOverdue(time.Now()) && !c.ending.Load() {
 		c.endWithError("Protocol error: no whole command in time")
 		return true
 	}
--- a/internal/frontend/connection.go
+++ b/internal/frontend/connection.go
@@ -27,7 +27,7 @@
 //	peer   error sent clientGone                               error sent, gone
 //
 // Closed input and a client that has gone are final. Code that wants the connection to end after its
-// responses sets draining. draining is checked whenever nothing is pending any more (shutDownIfDraining, complete),
+// responses sets ending. ending is checked whenever nothing is pending any more (shutDownIfEnding, complete),
 // and cleared when a drain ends without a shutdown.
 type connection struct {
 	server     *Server
@@ -38,7 +38,7 @@
 	peer         peerState
 	pending      []*pendingCommand // not answered yet, in order of arrival
 	pendingBytes int
-	pendingFewer *sync.Cond // signals that a pending command was answered or the client has gone
+	stateChanged *sync.Cond // signals an answer, the end of a pause, a client that has gone, or the start of ending
 	idleSince    time.Time  // since when nothing has been pending
 	// writeDeadlineRenewedAt is when the write deadline was last set.
 	writeDeadlineRenewedAt time.Time
@@ -52,8 +52,8 @@
 	outlastingLogged atomic.Bool
 
 	validated atomic.Bool // the client has sent a valid command
-	draining  atomic.Bool // the connection ends after the responses that are due
-	// endingSinceAgeNanos is the age of the connection at which draining was set.
+	ending    atomic.Bool // the connection ends after the responses that are due
+	// endingSinceAgeNanos is the age of the connection at which ending was set.
 	endingSinceAgeNanos atomic.Int64
 	hasPartialCommand   atomic.Bool  // the first part of a command was read
 	requestsOpen        atomic.Int64 // requests whose response is not completely written
@@ -79,7 +79,7 @@
 	}
 	c.conn = conn
 	c.awaitingFromAgeNanos.Store(awaitingFromAcceptNanos)
-	c.pendingFewer = sync.NewCond(&c.mu)
+	c.stateChanged = sync.NewCond(&c.mu)
 	return c, nil
 }
 
--- a/internal/frontend/connection_end.go
+++ b/internal/frontend/connection_end.go
@@ -16,12 +16,12 @@
 // startEnding lets the connection end after the responses that are due. The first call takes the reader out of
 // its wait, whatever it waits for: nothing more is read while responses are due, and no pause is kept.
 func (c *connection) startEnding(now time.Time) {
-	if c.draining.Load() {
+	if c.ending.Load() {
 		return
 	}
 	c.endingSinceAgeNanos.Store(int64(now.Sub(c.acceptedAt)))
-	c.draining.Store(true)
-	c.pendingFewer.Broadcast() // ends a pause
+	c.ending.Store(true)
+	c.stateChanged.Broadcast() // ends a pause
 	if !c.isNew(now) && c.isBusy() {
 		c.setReadDeadline(now)
 	}
@@ -29,14 +29,14 @@
 
 // stopEnding lets the connection stay open again.
 func (c *connection) stopEnding() {
-	c.draining.Store(false)
+	c.ending.Store(false)
 	c.outlastingLogged.Store(false)
 }
 
 // continueEnding takes the next step towards the end of a connection that is to end: it is called again and
 // again until the connection has ended.
 func (c *connection) continueEnding(now time.Time) {
-	c.pendingFewer.Broadcast() // again: a reader may have begun to wait just before the first time
+	c.stateChanged.Broadcast() // again: a reader may have begun to wait just before the first time
 	switch {
 	case c.isForcedCloseDue(now):
 		c.server.forcedCloses.Add(1)
@@ -76,10 +76,10 @@
 	return c.hasPartialCommand.Load() && c.endingFor(time.Now()) < partialCommandGrace
 }
 
-// shutDownIfDraining ends a draining connection unless it is new or the rest of a command may still arrive. It
+// shutDownIfEnding ends a connection that is to end, unless it is new or the rest of a command may still arrive. It
 // waits until everything handled so far is answered. Nothing is read while it waits, nor afterwards.
-func (c *connection) shutDownIfDraining() {
-	if !c.draining.Load() || c.isNew(time.Now()) {
+func (c *connection) shutDownIfEnding() {
+	if !c.ending.Load() || c.isNew(time.Now()) {
 		return
 	}
 	if c.awaitsRestOfCommand() {
@@ -89,7 +89,7 @@
 	c.awaitResponses()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.draining.Load() { // the drain may have ended meanwhile
+	if c.ending.Load() { // the drain may have ended meanwhile
 		c.shutDown()
 	}
 }
--- a/internal/frontend/connection_error.go
+++ b/internal/frontend/connection_error.go
@@ -14,7 +14,7 @@
 	c.respondLine("-ERR " + text)
 	c.awaitResponses()
 	c.mu.Lock()
-	c.peer = c.peer.sendError()
+	c.peer = c.peer.afterError()
 	c.mu.Unlock()
 	c.closeWrite()
 	c.discardInput()
--- a/internal/frontend/connection_state.go
+++ b/internal/frontend/connection_state.go
@@ -46,16 +46,16 @@
 // isGone reports whether the client has gone.
 func (p peerState) isGone() bool { return p == peerGone || p == peerErrorSentGone }
 
-// sendError returns the state after an error that ends the connection.
-func (p peerState) sendError() peerState {
+// afterError returns the state after an error that ends the connection.
+func (p peerState) afterError() peerState {
 	if p.isGone() {
 		return peerErrorSentGone
 	}
 	return peerErrorSent
 }
 
-// leave returns the state after the client has gone.
-func (p peerState) leave() peerState {
+// afterGone returns the state after the client has gone.
+func (p peerState) afterGone() peerState {
 	if p.hasError() {
 		return peerErrorSentGone
 	}
--- a/internal/frontend/connection_test.go
+++ b/internal/frontend/connection_test.go
@@ -3,19 +3,19 @@
 import "testing"
 
 func TestPeerState_Transitions(t *testing.T) {
-	for _, test := range []struct{ from, afterError, afterLeave peerState }{
-		{from: peerServed, afterError: peerErrorSent, afterLeave: peerGone},
-		{from: peerErrorSent, afterError: peerErrorSent, afterLeave: peerErrorSentGone},
-		{from: peerGone, afterError: peerErrorSentGone, afterLeave: peerGone},
-		{from: peerErrorSentGone, afterError: peerErrorSentGone, afterLeave: peerErrorSentGone},
+	for _, test := range []struct{ from, afterError, afterGone peerState }{
+		{from: peerServed, afterError: peerErrorSent, afterGone: peerGone},
+		{from: peerErrorSent, afterError: peerErrorSent, afterGone: peerErrorSentGone},
+		{from: peerGone, afterError: peerErrorSentGone, afterGone: peerGone},
+		{from: peerErrorSentGone, afterError: peerErrorSentGone, afterGone: peerErrorSentGone},
 	} {
 		t.Run(test.from.String(), func(t *testing.T) {
-			got := test.from.sendError()
+			got := test.from.afterError()
 			if got != test.afterError || !got.hasError() || got.isGone() != test.from.isGone() {
 				t.Errorf("after an error: %v", got)
 			}
-			got = test.from.leave()
-			if got != test.afterLeave || !got.isGone() || got.hasError() != test.from.hasError() {
+			got = test.from.afterGone()
+			if got != test.afterGone || !got.isGone() || got.hasError() != test.from.hasError() {
 				t.Errorf("after the client has gone: %v", got)
 			}
 		})
--- a/internal/frontend/invalid_command_pause.go
+++ b/internal/frontend/invalid_command_pause.go
@@ -12,7 +12,7 @@
 // pauseAfterInvalidCommand makes a client that sends invalid commands wait, longer with each of them. It guards
 // against a client that repeats the same command at once, without end, and takes the processor from others.
 func (c *connection) pauseAfterInvalidCommand() {
-	if c.draining.Load() {
+	if c.ending.Load() {
 		return
 	}
 	pause := min(time.Duration(c.reader.invalidCommands)*invalidCommandPauseStep, maxInvalidCommandPause)
@@ -28,12 +28,12 @@
 		c.mu.Lock()
 		hasElapsed = true
 		c.mu.Unlock()
-		c.pendingFewer.Broadcast()
+		c.stateChanged.Broadcast()
 	})
 	defer timer.Stop()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for !c.peer.isGone() && !c.draining.Load() && !hasElapsed {
-		c.pendingFewer.Wait()
+	for !c.peer.isGone() && !c.ending.Load() && !hasElapsed {
+		c.stateChanged.Wait()
 	}
 }
--- a/internal/frontend/race_conditions_test.go
+++ b/internal/frontend/race_conditions_test.go
@@ -21,7 +21,7 @@
 	for name, end := range map[string]func(c *connection){
 		"eviction": func(c *connection) { c.closeIfIdle() },
 		"shutdown": func(c *connection) {
-			c.draining.Store(true)
+			c.ending.Store(true)
 			c.shutDownIfIdle()
 		},
 	} {
--- a/internal/frontend/reader.go
+++ b/internal/frontend/reader.go
@@ -49,7 +49,7 @@
 	r := &c.reader
 	for {
 		c.inputHandled()
-		c.shutDownIfDraining()
+		c.shutDownIfEnding()
 		count, err := c.conn.Read(r.buffer[r.buffered:])
 		switch {
 		case c.isInputClosed():
@@ -113,7 +113,7 @@
 // for the responses before it does not count, except at the end of the connection, which the deadline of every
 // request bounds.
 func (c *connection) waited() time.Duration {
-	if c.draining.Load() {
+	if c.ending.Load() {
 		return c.reader.paused + c.reader.awaitedCapacity
 	}
 	return c.reader.paused
--- a/internal/frontend/responses.go
+++ b/internal/frontend/responses.go
@@ -61,11 +61,11 @@
 	if len(c.pending) == 0 {
 		c.pending = nil
 		c.idleSince = time.Now()
-		if c.draining.Load() {
+		if c.ending.Load() {
 			c.shutDown()
 		}
 	}
-	c.pendingFewer.Broadcast()
+	c.stateChanged.Broadcast()
 }
 
 // writeCompleted writes the pending responses up to the first command that has no response yet. The caller
