--- a/internal/frontend/reader.go
+++ b/internal/frontend/reader.go
@@ -15,7 +15,7 @@
 	buffer           []byte
 	buffered         int           // bytes in buffer that belong to an incomplete command
 	words            [][]byte      // of the last command, pointing into buffer
-	invalidCommands  int           // number of commands answered with an error
+	invalidCommands  int           // answered by respondInvalid; not PING or a request during a drain
 	paused           time.Duration // since the last read, after invalid commands
 	awaitedCapacity  time.Duration // since the last read, among the pending commands
 	budgetedBytes    int64         // of the budget, for buffer
@@ -85,16 +85,15 @@
 		if size == 0 {
 			return rest, true
 		}
-		invalidBefore := r.invalidCommands
-		c.handleCommand(rest[:size], words)
+		valid := c.handleCommand(rest[:size], words)
 		if c.isClientGone() {
 			return nil, false
 		}
 		rest = rest[size:]
-		if r.invalidCommands > invalidBefore {
-			c.pauseAfterInvalidCommand()
-		} else {
+		if valid {
 			c.noteValidCommand()
+		} else {
+			c.pauseAfterInvalidCommand()
 		}
 	}
 	return rest, true
@@ -109,9 +108,9 @@
 	return err.Error()
 }
 
-// waited returns how much of the time of a request that was read last has passed before it is handled. Waiting
-// for the responses before it does not count, except at the end of the connection, which the deadline of every
-// request bounds.
+// waited returns the time to subtract from a request's d: that of the pauses since its bytes were read. While the
+// connection ends, the wait for capacity counts too, since the client's deadline runs on: the end is bounded by the
+// deadline of every request.
 func (c *connection) waited() time.Duration {
 	if c.ending.Load() {
 		return c.reader.paused + c.reader.awaitedCapacity
--- a/internal/frontend/request.go
+++ b/internal/frontend/request.go
@@ -25,22 +25,25 @@
 	usage         *requestUsage // nil if usage is not recorded
 }
 
-// handleRequest parses and submits a request, or answers it with an error or a rejection.
-func (c *connection) handleRequest(raw []byte, words [][]byte) {
+// handleRequest parses and submits a request, or answers it with an error or a rejection. valid is false if the request
+// was answered with an error.
+func (c *connection) handleRequest(raw []byte, words [][]byte) (valid bool) {
 	c.received.Add(1)
 	c.server.received.Add(1)
 	head := requestHead{config: c.server.config.Load()}
 	if err := head.parse(words); err != nil {
 		c.respondInvalidRequest(&head, err)
-		return
+		return false
 	}
 	if c.server.rejectsRequests() {
 		c.rejectForDrain(head.class)
-		return
+		return true
 	}
 	if err := c.submit(&head, raw); err != nil {
 		c.respondInvalidRequest(&head, err)
+		return false
 	}
+	return true
 }
 
 // respondInvalidRequest answers a request that is not submitted with an error, and counts it for its class, if that
