--- a/internal/frontend/connection.go
+++ b/internal/frontend/connection.go
@@ -57,8 +57,8 @@
 	endingSinceAgeNanos atomic.Int64
 	hasPartialCommand   atomic.Bool  // the first part of a command was read
 	requestsOpen        atomic.Int64 // requests whose response is not completely written
-	// awaitingFromAgeNanos is the age of the connection at which the wait for a complete command began; 0 if no
-	// command is awaited.
+	// awaitingFromAgeNanos is the age of the connection at which the wait for a valid command began; 0 if no command
+	// is awaited.
 	awaitingFromAgeNanos atomic.Int64
 
 	reader reader // used only by the goroutine of readLoop
--- a/internal/frontend/connection_end.go
+++ b/internal/frontend/connection_end.go
@@ -13,15 +13,17 @@
 	forcedCloseDelay = 1500 * time.Millisecond
 )
 
-// startEnding lets the connection end after the responses that are due. The first call takes the reader out of
-// its wait, whatever it waits for: nothing more is read while responses are due, and no pause is kept.
+// startEnding lets the connection end after the responses that are due. The first call ends a pause after an invalid
+// command and a wait for capacity. It ends the read of a busy connection, so that nothing more is read while responses
+// are due. It does not end the read of a new or an idle one, since input that is about to arrive or has arrived there
+// is handled first: continueEnding ends that read.
 func (c *connection) startEnding(now time.Time) {
 	if c.ending.Load() {
 		return
 	}
 	c.endingSinceAgeNanos.Store(int64(now.Sub(c.acceptedAt)))
 	c.ending.Store(true)
-	c.stateChanged.Broadcast() // ends a pause
+	c.stateChanged.Broadcast() // ends a pause or a wait for capacity
 	if !c.isNew(now) && c.isBusy() {
 		c.setReadDeadline(now)
 	}
--- a/internal/frontend/doc.go
+++ b/internal/frontend/doc.go
@@ -8,7 +8,9 @@
 // one reader goroutine, which parses and submits. Each request has its own goroutine, which runs it up to its
 // response. The reader does not wait for these goroutines; responses are written by whichever goroutine
 // completes the first of those that are due. All these goroutines end with their connection, which the server
-// counts until its reader has ended.
+// counts until its reader has ended. It stops counting an evicted connection at once, so Shutdown may return while
+// the reader of such a connection is about to end. Serve starts one more goroutine, which sweeps the connections and
+// ends once Serve has returned and no connection is counted.
 //
 // The methods of Server are safe for concurrent use, but Serve may be called only once.
 //
--- a/internal/frontend/drain.go
+++ b/internal/frontend/drain.go
@@ -10,8 +10,12 @@
 
 // drainDelay is how long a draining server continues to serve its connections before it closes them as they
 // become idle. The load balancer sends PING ten times a second and stops opening connections 0.2 s after an
-// error, which it has received by then. All connections are closed before 4 s, when the load balancer would
-// count one that is still open as lost.
+// error, which it has received by then.
+//
+// The operators' rule for a drain: when it is 4 s old, the load balancer counts a connection as lost that is idle or
+// has a request from the last 2 s. Connections end from drainDelay on as they become idle; one without an open request
+// is closed by force forcedCloseDelay after its end began. The last request is taken at drainRejectDelay. A connection
+// with an open request is never closed by force: it may still be open at 4 s, until the deadline of that request.
 const drainDelay = time.Second
 
 // Drain begins a drain: from now on PING is answered with an error, and after drainDelay connections are
--- a/internal/frontend/drain_rejection.go
+++ b/internal/frontend/drain_rejection.go
@@ -7,8 +7,8 @@
 	"fawnplank/policy"
 )
 
-// drainRejectDelay is the age of a drain from which on requests are rejected. At an age of 4 s the load balancer counts
-// a connection with a request from the last 2 s as lost, so the last request is taken 0.2 s before these 2 s begin.
+// drainRejectDelay is the age of a drain from which on requests are rejected. By the rule at drainDelay, a request
+// taken after 2 s may cost its connection; the last one is taken 0.2 s before that.
 const drainRejectDelay = 1800 * time.Millisecond
 
 // rejectsRequests reports whether requests are rejected with -BUSY because of a drain: from drainRejectDelay on, until
--- a/internal/frontend/input_guard.go
+++ b/internal/frontend/input_guard.go
@@ -1,7 +1,8 @@
 package frontend
 
-// Before implements sock.ReadGuard: sock.Conn calls it before each attempt to read. Returning false ends the
-// read.
+// Before implements sock.ReadGuard: sock.Conn calls it before each attempt to read. It returns true with inputMu held,
+// which After unlocks: whether bytes are read and what the input becomes is one step for other goroutines. It returns
+// false with inputMu free if the input is closed, which ends the read.
 func (c *connection) Before() bool {
 	c.inputMu.Lock()
 	if c.input == inputClosed {
@@ -11,7 +12,8 @@
 	return true
 }
 
-// After implements sock.ReadGuard: sock.Conn calls it after each attempt to read that Before allowed.
+// After implements sock.ReadGuard: sock.Conn calls it after each attempt to read that Before allowed. It
+// unlocks inputMu, which Before has locked.
 func (c *connection) After(bytesRead int) {
 	if bytesRead > 0 {
 		c.input = inputUnhandled
--- a/internal/frontend/parser.go
+++ b/internal/frontend/parser.go
@@ -126,8 +126,8 @@
 	return enumName(names, "fieldResult", f)
 }
 
-// parseFields parses the names and values. Each name may occur once. A name counts as repeated if an earlier
-// name ends in it, so t after first and d after spread are refused too.
+// parseFields parses the names and values. Each name may occur once. Known fault: a name counts as repeated if an
+// earlier known name ends in it, so t after first and d after spread are refused though they are not repeated.
 func (h *requestHead) parseFields() error {
 	h.units = 1
 	h.entryPoints = 1
--- a/internal/frontend/responses.go
+++ b/internal/frontend/responses.go
@@ -9,11 +9,11 @@
 	// decimalBase is the base of the integers that are written.
 	decimalBase = 10
 	// writePieceBytes is how much of a response is written under one deadline. A large response is written in
-	// pieces, and the deadline is renewed for each: a client that reads a 4 MiB response slowly but steadily is
-	// not cut off, while a client that reads nothing is cut off after writeTimeout.
+	// pieces, and the deadline may be renewed before each: a client that reads a 4 MiB response slowly but steadily
+	// is not cut off, while a client that reads nothing is cut off after writeTimeout at most.
 	writePieceBytes = 256 << 10
-	// writeDeadlineRenewals is how often the deadline is renewed within writeTimeout. Renewing it for every
-	// write would be expensive.
+	// writeDeadlineRenewals is how often at most the deadline is renewed within writeTimeout, so a piece has at least
+	// four fifths of writeTimeout. Renewing it for every write would be expensive.
 	writeDeadlineRenewals = 5
 )
 
--- a/internal/frontend/server.go
+++ b/internal/frontend/server.go
@@ -47,10 +47,10 @@
 	budget     *membudget.Budget
 	usage      UsageRecorder
 
-	config            atomic.Pointer[config.Config] // a reload changes the names of classes and plans
+	config            atomic.Pointer[config.Config] // UpdateSettings replaces it
 	maxConnections    int
 	evictionThreshold int           // at this many validated connections, idle ones are evicted for new ones
-	writeTimeout      time.Duration // for one piece of a response
+	writeTimeout      time.Duration // for one piece of a response, from the longest deadline at the start
 
 	serving          atomic.Bool  // in Serve: a connection may be accepted that connections does not hold yet
 	closing          atomic.Bool  // a shutdown has begun
@@ -100,8 +100,10 @@
 	return timeout
 }
 
-// UpdateSettings replaces the names of classes and plans with those of a reloaded configuration. New requests
-// are parsed with them; open requests keep the class and plan under which they were submitted.
+// UpdateSettings replaces what requests are parsed with by that of a reloaded configuration: the names of classes and
+// plans, which classes are only for checks, the most units of a request, and the number of instances. Open requests
+// keep the class and plan under which they were submitted. What New derived from its configuration stays:
+// writeTimeout and evictionThreshold do not follow a reload, even if the deadlines grow.
 func (s *Server) UpdateSettings(updated *config.Config) { s.config.Store(updated) }
 
 // Serve accepts connections until the listener is closed or its deadline has passed, then returns nil. The
