--- a/cmd/fawnplank/race_conditions_test.go
+++ b/cmd/fawnplank/race_conditions_test.go
@@ -42,7 +42,7 @@
 			t.Fatalf("%d descriptors", len(open))
 		}
 	}
-	if g.logged("too many open files") || g.logged("no descriptor") {
+	if g.logged("too many open files") || g.logged("no descriptor") || g.logged("connection limit of this gateway") {
 		t.Error("the gateway ran out of descriptors")
 	}
 }
--- a/internal/backend/abandonment.go
+++ b/internal/backend/abandonment.go
@@ -10,8 +10,8 @@
 	// abandonedReadTimeout is how long the reader waits for each further piece of the response to an attempt that
 	// was given up. It is the longest deadline on the operators' page.
 	abandonedReadTimeout = 3 * time.Second
-	// maxDrainTime bounds the total time for reading the response to an attempt that was given up.
-	maxDrainTime = 10 * abandonedReadTimeout
+	// maxDiscardTime bounds the total time for reading the response to an attempt that was given up.
+	maxDiscardTime = 10 * abandonedReadTimeout
 )
 
 // Abandon gives up the attempt if the connection still carries it. It returns whether the attempt's end will
@@ -31,21 +31,21 @@
 	if c.state.isClosed() { // its reader ended without a report: there is nothing left to read
 		return false
 	}
-	c.drainResponse()
+	c.discardResponse()
 	return false
 }
 
-// drainResponse lets the reader read and discard the response to an attempt that was given up, and then end the
+// discardResponse lets the reader read and discard the response to an attempt that was given up, and then end the
 // connection. It guards against cutting off a response that the backend is sending or about to send: the operators
 // count a long response that is cut off as a lost request. The cost: the connection and its memory are held
 // longer, and a backend that answers nothing holds them for abandonedReadTimeout.
 //
 // The sending side is closed at once: that gives up the attempt, and another may be sent for the request. The
 // caller holds the Pool's lock.
-func (c *conn) drainResponse() {
+func (c *conn) discardResponse() {
 	c.state = stateAbandoned
 	now := time.Now()
-	c.drainDeadline = now.Add(maxDrainTime)
+	c.discardDeadline = now.Add(maxDiscardTime)
 	c.abandoned.Store(true)
 	// Both calls fail only if the connection has ended, which the reader notices.
 	_ = c.socket.CloseWrite()
@@ -54,11 +54,11 @@
 
 // awaitNextPiece sets the deadline for the next piece of a response that nobody waits for. It guards against a
 // backend that sends nothing more, by abandonedReadTimeout, and against an endless response that arrives a few
-// bytes at a time, by drainDeadline: either would hold its connection forever.
+// bytes at a time, by discardDeadline: either would hold its connection forever.
 func (c *conn) awaitNextPiece() {
 	deadline := time.Now().Add(abandonedReadTimeout)
-	if c.drainDeadline.Before(deadline) {
-		deadline = c.drainDeadline
+	if c.discardDeadline.Before(deadline) {
+		deadline = c.discardDeadline
 	}
 	_ = c.socket.SetReadDeadline(deadline) // fails only if the connection has ended, which the next read reports
 }
--- a/internal/backend/attempt_writer.go
+++ b/internal/backend/attempt_writer.go
@@ -51,7 +51,7 @@
 		return false, net.ErrClosed
 	}
 	if !attempt.Begin(c) {
-		c.makeIdle()
+		c.makeIdle() // known fault: as if it had just been used, though its backend saw no use
 		return false, nil
 	}
 	c.attempt = attempt
@@ -66,7 +66,8 @@
 	p := c.pool
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if progress != dispatch.Written { // answered before it was written: the next command would follow half a command
+	// Half a command was written: after an early answer, an abandonment or a failed write, nothing may follow it.
+	if progress != dispatch.Written {
 		c.close()
 	}
 	if c.state == stateRespondedEarly {
@@ -82,6 +83,7 @@
 		c.state = stateAwaitingResponse
 		return nil
 	}
+	// Known fault: this counts a connection as lost also if the gateway itself abandoned the attempt.
 	c.recordIdle(idleLost)
 	c.attempt = nil
 	c.close()
--- a/internal/backend/connection.go
+++ b/internal/backend/connection.go
@@ -46,15 +46,15 @@
 	// The Pool's lock guards these fields.
 	state      connState
 	attempt    *dispatch.Attempt // carried by the connection, and not reported yet
-	lastUsed   time.Time         // when the connection last became idle
+	lastUsed   time.Time         // when it last became idle, even if its attempt was canceled and nothing was sent
 	idleBefore time.Duration     // how long the connection was idle before the attempt, or noIdleTime
 
 	// abandoned is set together with stateAbandoned, for the reader, which takes no lock between two pieces of
 	// a response.
 	abandoned atomic.Bool
-	// drainDeadline is when the whole response to an abandoned attempt must have arrived. It is set before
+	// discardDeadline is when the whole response to an abandoned attempt must have arrived. It is set before
 	// abandoned.
-	drainDeadline time.Time
+	discardDeadline time.Time
 
 	// budgetedBytes is how much of the memory budget the reader's buffer holds. Only the reader uses it.
 	budgetedBytes int64
@@ -85,8 +85,8 @@
 	c.endpoint.idle = append(c.endpoint.idle, c)
 }
 
-// close ends the connection and removes it from the idle pool. Only the first call has an effect. The caller
-// holds the Pool's lock.
+// close ends the connection, removes it from the idle pool and releases its slot. Only the first call has an effect.
+// The caller holds the Pool's lock.
 func (c *conn) close() {
 	if c.state.isClosed() {
 		return
--- a/internal/backend/connection_test.go
+++ b/internal/backend/connection_test.go
@@ -21,7 +21,7 @@
 	c := idleConn(t, p, 1)
 	remote := <-conns
 	p.mu.Lock()
-	c.drainDeadline = time.Now() // it is over
+	c.discardDeadline = time.Now() // it is over
 	c.abandoned.Store(true)
 	p.mu.Unlock()
 	if _, err := remote.Write([]byte("*1\r\n$1000\r\n")); err != nil {
--- a/internal/backend/dial.go
+++ b/internal/backend/dial.go
@@ -9,7 +9,7 @@
 	"fawnplank/internal/sock"
 )
 
-// dialAndWrite opens the connection that acquire reserved and writes the attempt to it.
+// dialAndWrite opens the connection for which acquire took a slot and writes the attempt to it.
 func (p *Pool) dialAndWrite(target *endpoint, attempt *dispatch.Attempt, command [][]byte) {
 	defer recoverPanic()
 	c, err := p.dial(target)
@@ -20,11 +20,12 @@
 	c.write(attempt, command)
 }
 
-// dial opens the connection that acquire reserved and starts its reader.
+// dial opens the connection for which acquire took a slot and starts its reader. From then on, the connection's close
+// releases the slot.
 func (p *Pool) dial(target *endpoint) (*conn, error) {
 	socket, err := p.connect(target)
 	if err != nil {
-		p.releaseReservation()
+		p.releaseSlot()
 		return nil, err
 	}
 	c := &conn{
@@ -47,7 +48,7 @@
 	defer p.running.Done()
 	order := p.addressOrder(target)
 	if len(order) == 0 {
-		return sock.Dial(p.ctx, target.address, p.connectTimeout)
+		return sock.Dial(p.ctx, target.key, p.connectTimeout)
 	}
 	socket, accepted, err := sock.DialAny(p.ctx, order, p.connectTimeout)
 	if err == nil && accepted > 0 {
--- a/internal/backend/endpoints.go
+++ b/internal/backend/endpoints.go
@@ -14,7 +14,10 @@
 
 // endpoint is where one backend listens, with its idle connections. A backend that moves gets a new endpoint.
 type endpoint struct {
-	address string // for a backend with several addresses, all of them as text
+	// key tells an endpoint from the one before it. For a backend with one address it is that address, and it is what
+	// is dialed. For a backend with several it is all of them as one text, which no dial accepts: the addresses are
+	// dialed instead, except by a health check, which dials the key and always fails. That is a known fault.
+	key string
 	// addresses lists the addresses of a backend that has several, in the order to try them. The address that
 	// last accepted a connection comes first, so that an address that hangs costs its part of the connect
 	// timeout only once and not for each connection.
@@ -27,7 +30,7 @@
 func (p *Pool) SetAddress(backend policy.BackendID, address string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.replace(backend, &endpoint{address: address})
+	p.replace(backend, &endpoint{key: address})
 }
 
 // SetAddresses sets the addresses of a backend that listens at several. It remains one backend: a connection
@@ -36,7 +39,7 @@
 	order := dialer.Order(addresses, dialer.Reachable) // looks up the host's routes: not with the lock held
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.replace(backend, &endpoint{address: fmt.Sprint(addresses), addresses: order})
+	p.replace(backend, &endpoint{key: fmt.Sprint(addresses), addresses: order})
 }
 
 // Forget removes a backend that is gone. Attempts already sent to it continue.
@@ -46,13 +49,13 @@
 	p.remove(backend)
 }
 
-// replace replaces a backend's endpoint, unless the old one has the same address or the pool is closed. The
+// replace replaces a backend's endpoint, unless the old one has the same key or the pool is closed. The
 // caller holds the lock.
 func (p *Pool) replace(backend policy.BackendID, replacement *endpoint) {
 	if p.closed {
 		return
 	}
-	if old := p.endpoints[backend]; old != nil && old.address == replacement.address {
+	if old := p.endpoints[backend]; old != nil && old.key == replacement.key {
 		return
 	}
 	p.remove(backend)
--- a/internal/backend/health_check.go
+++ b/internal/backend/health_check.go
@@ -35,16 +35,17 @@
 }
 
 // checkHealth runs one check on its own connection, which counts as one of the Pool's: no descriptors are set
-// aside for health checks.
+// aside for health checks. Known faults: if no slot is free, and always for a backend with several addresses, whose key
+// cannot be dialed, the check fails as if the backend could not be reached.
 func (p *Pool) checkHealth(backend policy.BackendID) error {
-	address, err := p.reserveForCheck(backend)
+	key, err := p.takeSlotForCheck(backend)
 	if err != nil {
 		return &dispatch.NetworkError{Progress: dispatch.Dialing, Err: err}
 	}
-	defer p.releaseReservation()
+	defer p.releaseSlot()
 	deadline := time.Now().Add(p.connectTimeout)
 	dialer := net.Dialer{Timeout: p.connectTimeout}
-	conn, err := dialer.DialContext(p.ctx, "tcp4", address)
+	conn, err := dialer.DialContext(p.ctx, "tcp4", key)
 	if err != nil {
 		return &dispatch.NetworkError{Progress: dispatch.Dialing, Err: err}
 	}
@@ -66,15 +67,15 @@
 	})
 }
 
-// reserveForCheck reserves a connection for a check and returns the address to connect to.
-func (p *Pool) reserveForCheck(backend policy.BackendID) (address string, err error) {
+// takeSlotForCheck takes a slot for the connection of a check and returns the key of the endpoint to connect to.
+func (p *Pool) takeSlotForCheck(backend policy.BackendID) (key string, err error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	e := p.endpoints[backend]
 	if e == nil {
 		return "", errNoAddress
 	}
-	return e.address, p.reserve()
+	return e.key, p.takeSlot()
 }
 
 // exchangePing sends the ping and checks the first bytes of the answer.
--- a/internal/backend/health_check_test.go
+++ b/internal/backend/health_check_test.go
@@ -50,10 +50,10 @@
 		<-conns
 	}
 	p.CheckHealth(3)
-	if err := <-outcome; !errors.Is(err, errNoDescriptor) {
+	if err := <-outcome; !errors.Is(err, errConnectionLimit) {
 		t.Errorf("a third health check of two: %v", err)
 	}
-	if _, _, err := p.acquire(1); !errors.Is(err, errNoDescriptor) {
+	if _, _, err := p.acquire(1); !errors.Is(err, errConnectionLimit) {
 		t.Errorf("a connection beside them: %v", err)
 	}
 	for range 2 {
--- a/internal/backend/idle_pool.go
+++ b/internal/backend/idle_pool.go
@@ -13,11 +13,13 @@
 // for its own response.
 const minIdle = 10 * time.Millisecond
 
-// errNoDescriptor: all connections that the pool may open are in use.
-var errNoDescriptor = errors.New("no descriptor left")
+// errConnectionLimit: MaxConnections are open or being opened, and none is idle. An attempt or health check that ends
+// with it is reported like a failed dial, so its backend is ejected for a shortage of the gateway: a known fault. The
+// dispatcher keeps only that outcome, so no log shows the text.
+var errConnectionLimit = errors.New("connection limit of this gateway reached, none idle")
 
 // acquire returns an idle connection of a backend. If the connection is nil, the caller must dial the
-// returned endpoint; the new connection is already reserved.
+// returned endpoint; the slot of the new connection is already taken.
 func (p *Pool) acquire(backend policy.BackendID) (*conn, *endpoint, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -28,7 +30,7 @@
 	if c := p.takeIdle(target); c != nil {
 		return c, target, nil
 	}
-	return nil, target, p.reserve()
+	return nil, target, p.takeSlot()
 }
 
 // takeIdle returns the most recently used of an endpoint's usable idle connections, or nil. It closes those
@@ -66,14 +68,15 @@
 // run into something that the reader has not handled yet, such as stray bytes or the connection's end.
 func (c *conn) isIntact() bool { return c.socket.IsConsumed() }
 
-// reserve counts a connection that is about to be opened, or returns errNoDescriptor. It guards against opening more
-// connections than the process has descriptors for: at the maximum, it closes the connection that has been idle
-// longest, and gives up if none is idle. The caller holds the lock.
-func (p *Pool) reserve() error {
+// takeSlot counts a connection that is about to be opened, or returns errConnectionLimit. It guards against opening
+// more connections than the process has descriptors for: at the maximum, it closes the connection that has been idle
+// longest, of whichever backend, and gives up if none is idle. Once a conn is dialed, its close gives the slot back;
+// otherwise the caller does, with releaseSlot. The caller holds the lock.
+func (p *Pool) takeSlot() error {
 	if p.connections >= p.maxConnections {
 		oldest := p.longestIdle()
 		if oldest == nil {
-			return errNoDescriptor
+			return errConnectionLimit
 		}
 		oldest.close()
 	}
@@ -93,8 +96,8 @@
 	return oldest
 }
 
-// releaseReservation undoes reserve, for a connection that was never established or that is closed again.
-func (p *Pool) releaseReservation() {
+// releaseSlot gives back the slot of a connection that no conn stands for: a dial that failed, or a health check.
+func (p *Pool) releaseSlot() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.connections--
--- a/internal/backend/pool_test.go
+++ b/internal/backend/pool_test.go
@@ -148,7 +148,7 @@
 			t.Errorf("%v, %v", c, err)
 		}
 	}
-	if _, _, err := p.acquire(1); !errors.Is(err, errNoDescriptor) {
+	if _, _, err := p.acquire(1); !errors.Is(err, errConnectionLimit) {
 		t.Errorf("beyond the limit: %v", err)
 	}
 	<-conns
@@ -259,13 +259,13 @@
 	address, _ := listen(t, "")
 	several := []netip.AddrPort{netip.MustParseAddrPort(address), netip.MustParseAddrPort(address)}
 	p.cancel() // the first step of Close
-	for _, e := range []*endpoint{{address: address}, {addresses: several}} {
+	for _, e := range []*endpoint{{key: address}, {addresses: several}} {
 		if _, err := p.connect(e); !errors.Is(err, context.Canceled) {
 			t.Errorf("%+v: %v", e, err)
 		}
 	}
 	p.Close()
-	if _, err := p.connect(&endpoint{address: address}); !errors.Is(err, net.ErrClosed) {
+	if _, err := p.connect(&endpoint{key: address}); !errors.Is(err, net.ErrClosed) {
 		t.Errorf("after Close: %v", err)
 	}
 }
--- a/internal/backend/response_parser.go
+++ b/internal/backend/response_parser.go
@@ -33,7 +33,7 @@
 type response struct {
 	size  int     // in bytes; 0 while incomplete
 	value []byte  // as received, including its length line; it aliases the parsed buffer
-	units float64 // what the request actually cost if the usage says so, otherwise 0
+	units float64 // what the request actually cost, as the usage says; 0: not stated
 }
 
 // parseResponse parses what has been received of a response. It checks each length before the bytes that the
--- a/internal/backend/response_reader.go
+++ b/internal/backend/response_reader.go
@@ -25,8 +25,8 @@
 	}
 }
 
-// handleReceived handles what has been received of a response, in a buffer of which the capacity is used. It returns
-// the buffer to read on into, behind its length. readsOn is false if the connection is to end.
+// handleReceived handles what has been received of a response. received is a prefix of its buffer; the rest, up to
+// cap, is free. next is the same for the buffer to read on into. readsOn is false if the connection is to end.
 func (c *conn) handleReceived(received []byte) (next []byte, readsOn bool) {
 	r, err := parseResponse(received)
 	if r.size > 0 {
@@ -41,6 +41,8 @@
 	}
 	grown := c.growBuffer(received)
 	if len(grown) == len(received) {
+		// Known fault: a response too large, or no memory for it in time, is reported as an error of the backend, and
+		// nothing is logged.
 		c.handleResponse(response{}, dispatch.ErrBackendFailed, connectionEnds)
 		return nil, false
 	}
