--- a/internal/backend/idle_pool.go
+++ b/internal/backend/idle_pool.go
@@ -44,7 +44,12 @@
 		if idleFor < minIdle {
 			continue
 		}
-		if !c.isIntact() || p.idleStats.isStale(now, idleFor) {
+		if !c.isIntact() {
+			c.close()
+			continue
+		}
+		p.idleStats.decay(now)
+		if p.idleStats.isStale(idleFor) {
 			c.close()
 			continue
 		}
--- a/internal/backend/idle_stats.go
+++ b/internal/backend/idle_stats.go
@@ -33,7 +33,7 @@
 // when they are halved.
 type idleBucket struct {
 	attempts float64
-	failures float64 // attempts whose connection ended without an answer
+	failures float64 // attempts whose connection ended without an answer; also those abandoned while being written
 }
 
 // bucketOf returns the index of the bucket of an idle time.
@@ -47,7 +47,7 @@
 
 const (
 	idleAlive idleOutcome = iota // at least one byte of an answer arrived
-	idleLost                     // the connection ended without one
+	idleLost                     // the connection ended without one, or was closed for an attempt that was abandoned
 )
 
 func (o idleOutcome) String() string {
@@ -66,12 +66,16 @@
 	}
 }
 
-// isStale reports whether an attempt should not be sent on a connection that has been idle for the given
-// time.
-func (s *idleStats) isStale(now time.Time, idle time.Duration) bool {
+// decay halves all counts if idleStatsHalfLife has passed since they were last halved.
+func (s *idleStats) decay(now time.Time) {
 	if now.Sub(s.halvedAt) > idleStatsHalfLife {
 		s.halve(now)
 	}
+}
+
+// isStale reports whether an attempt should not be sent on a connection that has been idle for the given
+// time.
+func (s *idleStats) isStale(idle time.Duration) bool {
 	for _, bucket := range s.buckets[:bucketOf(idle)+1] {
 		if bucket.failures >= minIdleFailures && bucket.failures*staleRatio > bucket.attempts {
 			return true
