--- a/internal/backend/abandonment.go
+++ b/internal/backend/abandonment.go
@@ -7,11 +7,15 @@
 )
 
 const (
+	// longestDeadline is the longest deadline of a request that the operators count with (their page DAYS.md, "3 s at
+	// most"). It does not follow the classes of the configuration, whose deadlines may be longer.
+	longestDeadline = 3 * time.Second
 	// abandonedReadTimeout is how long the reader waits for each further piece of the response to an attempt that
-	// was given up. It is the longest deadline on the operators' page.
-	abandonedReadTimeout = 3 * time.Second
-	// maxDiscardTime bounds the total time for reading the response to an attempt that was given up.
-	maxDiscardTime = 10 * abandonedReadTimeout
+	// was given up.
+	abandonedReadTimeout = longestDeadline
+	// maxDiscardTime bounds the total time for reading the response to an attempt that was given up: one that takes
+	// ten times the longest deadline counts as endless.
+	maxDiscardTime = 10 * longestDeadline
 )
 
 // Abandon gives up the attempt if the connection still carries it. It returns whether the attempt's end will
--- a/internal/backend/response_buffer.go
+++ b/internal/backend/response_buffer.go
@@ -14,9 +14,8 @@
 	// maxUnbudgetedBytes is how large a buffer may grow without taking memory from the budget: a response with a
 	// value of the protocol's 64 KiB.
 	maxUnbudgetedBytes = 68 << 10
-	// bufferMemoryTimeout is how long a reader waits for memory for a large response. It is the longest deadline
-	// on the operators' page.
-	bufferMemoryTimeout = 3 * time.Second
+	// bufferMemoryTimeout is how long a reader waits for memory for a large response.
+	bufferMemoryTimeout = longestDeadline
 )
 
 // growBuffer returns a buffer that contains the bytes in buffer and has the size that the response will have
@@ -42,8 +41,8 @@
 
 // acquireBudget waits until the memory budget has what a buffer of the given size needs beyond
 // maxUnbudgetedBytes. It guards against large responses that together exceed the memory of the process, and, by
-// bufferMemoryTimeout, against waiting for longer than any request does. While it waits, the connection is not
-// read. It returns false if the memory did not come free.
+// bufferMemoryTimeout, against waiting for longer than a request does whose deadline is at most longestDeadline. While
+// it waits, the connection is not read. It returns false if the memory did not come free.
 func (c *conn) acquireBudget(bufferBytes int) bool {
 	missingBytes := int64(max(bufferBytes-maxUnbudgetedBytes, 0)) - c.budgetedBytes
 	if missingBytes <= 0 {
