--- a/policy/admission.go
+++ b/policy/admission.go
@@ -51,7 +51,7 @@
 	r.handleAdmission(now, r.checkQuota(now))
 }
 
-// handleAdmission carries out what the check of the quota says, if it was made without the counter.
+// handleAdmission carries out what the check of the quota says, once it is known, with or without the counter.
 func (r *Request) handleAdmission(now Instant, checked admission) {
 	switch checked {
 	case withinQuota:
--- a/policy/attempt.go
+++ b/policy/attempt.go
@@ -81,7 +81,8 @@
 	}
 	e := r.engine
 	id := len(r.attempts)
-	// A connection may come up late: the backend may have forgotten an earlier attempt's key by then.
+	// A connection may come up late: the backend may have forgotten an earlier attempt's key by then. This is read
+	// before the new attempt is added, which counts as one that may have run.
 	startBefore := monotime.Earlier(r.deadline, r.keyKnownUntil())
 	a := r.addAttempt(now, b)
 	timeout := r.attemptTimeout()
@@ -95,7 +96,7 @@
 	return true
 }
 
-// expiry returns when the newest attempt ends as timed out; zero: when the client gives up. An attempt is
+// expiry returns when the newest attempt, which is already added, ends as timed out; zero: when the client gives up. An attempt is
 // ended early only where nothing else lets another one follow: the settings allow neither a hedged attempt
 // nor a cancellation.
 func (r *Request) expiry(now Instant, timeout time.Duration) Instant {
--- a/policy/backend.go
+++ b/policy/backend.go
@@ -21,7 +21,7 @@
 
 	inFlight        int
 	lastSentAt      Instant
-	lastAnswerAt    Instant
+	lastAnswerAt    Instant // when it last answered or broke a connection, whatever the outcome
 	lastSlowStartAt Instant // when it got its last attempt since its start, while warming up; zero: none yet
 
 	outlier           outlierState
--- a/policy/breaker.go
+++ b/policy/breaker.go
@@ -30,8 +30,8 @@
 	callShare float64 // of the requests that call while the breaker is closed
 }
 
-// claimCounterCall reports whether a call may be made now. If so, the caller must make it: an open breaker becomes
-// half-open by it, and the share of requests that call is drawn at random.
+// claimCounterCall reports whether a call may be made now. If so, the caller must make it for a request, whose
+// call is recorded: an open breaker becomes half-open by it, and the share of requests that call is drawn at random.
 func (e *Engine) claimCounterCall(now Instant) bool {
 	if !e.breaker.IsClosed() {
 		return e.breaker.TryHalfOpen(now)
--- a/policy/counter_call.go
+++ b/policy/counter_call.go
@@ -99,7 +99,8 @@
 	return call
 }
 
-// reportEndedAttempts counts the end of the tenant's attempts, if the counter may be called.
+// reportEndedAttempts counts the end of the tenant's attempts, if the counter may be called. An open breaker is not
+// tried with it, since such a call is not recorded and would leave it half-open.
 func (e *Engine) reportEndedAttempts(now Instant, t *tenant) {
 	if t.hasStaleInFlight(now) && e.breaker.IsClosed() && e.claimCounterCall(now) {
 		e.count(now, t, nil, countedUnits{})
@@ -127,7 +128,7 @@
 
 // handleCounterTotal processes the total of a count. Three things are added to the answer: refill beyond a full
 // bucket, what the last window left used, and units that an emptied counter lost. The answer to a call of an
-// earlier window decides its request with the lost units of the current one, and is not stored.
+// earlier window decides its request with the lost units and the corrections of the current one, and is not stored.
 func (e *Engine) handleCounterTotal(now Instant, call *counterCall, answer float64) {
 	t := call.tenant
 	total := t.plan.splitTotal(answer)
@@ -171,7 +172,7 @@
 }
 
 // storeTotal keeps the total of the current window and writes a correction to the counter, if there is one or
-// if attempts have ended that the count still holds.
+// if attempts have ended that the count still holds. The counter has just answered, so the call is not claimed.
 func (e *Engine) storeTotal(now Instant, t *tenant, total, correction float64) {
 	t.window.total = total
 	t.window.counterTotal = total - t.window.lostUnits
@@ -182,14 +183,17 @@
 }
 
 // handleCounterFailure processes a call that failed: its request is decided without the counter, and what the
-// call likely did not add is reported again.
+// call likely did not add is reported again. The failure is recorded first, so that the one that opens the breaker
+// already finds it open.
 func (e *Engine) handleCounterFailure(now Instant, call *counterCall, outcome Outcome) {
 	t := call.tenant
 	if call.waiting {
 		call.decideWithoutAnswer(now, outcome)
 	}
-	notAdded := outcome == Rejected || outcome == ConnectFailed
-	if notAdded && call.windowStart == t.window.start {
+	// Attempts are reported again only if the counter has certainly not added them: counted twice, they would use
+	// up the tenant's limit. Units are reported again unless they were likely added.
+	certainlyNotAdded := outcome == Rejected || outcome == ConnectFailed
+	if certainlyNotAdded && call.windowStart == t.window.start {
 		t.window.reportedInFlight -= call.attempts
 	}
 	if !e.likelyAdded(outcome) {
@@ -208,7 +212,7 @@
 
 // countedInVain reports whether the call's units were counted for a request that was not admitted, where such
 // units have to be taken back.
-func (c *counterCall) countedInVain() bool { return !c.admitted && c.tenant.tracksRefill }
+func (c *counterCall) countedInVain() bool { return !c.admitted && c.tenant.refillTracked }
 
 // decideWithoutAnswer decides the call's request by the fallback mode of its class.
 func (c *counterCall) decideWithoutAnswer(now Instant, outcome Outcome) {
--- a/policy/engine.go
+++ b/policy/engine.go
@@ -50,7 +50,7 @@
 	promptInFlight int // those that are not overdue
 	attemptsSent   int // since the instance started
 
-	lastAnswerAt    Instant // when any backend last answered
+	lastAnswerAt    Instant // when any backend last succeeded or rejected
 	lastRejectionAt Instant // when any backend last rejected an attempt
 }
 
--- a/policy/fallback.go
+++ b/policy/fallback.go
@@ -1,6 +1,7 @@
 package policy
 
-// fallbackAdmission decides a request without the counter, by the fallback mode of its class.
+// fallbackAdmission decides a request without the counter: by the estimate of the tenant's attempts in flight, if its
+// plan has a concurrency limit, and then by the fallback mode of its class.
 func (r *Request) fallbackAdmission(now Instant) admission {
 	if r.concurrencyReached() {
 		return overQuota
--- a/policy/hedging.go
+++ b/policy/hedging.go
@@ -8,7 +8,8 @@
 	stallRatio = 5
 	// minTimeoutPercent and maxTimeoutPercent bound the attempt timeout, as parts of the latency objective:
 	// overload must show by then, and beyond it too little time is left for another attempt. Where the usual
-	// latency exceeds a seventh of the objective, the upper bound comes first, and no attempt counts as stalled.
+	// latency exceeds a seventh of the objective, the upper bound comes first, and no attempt counts as stalled. Before
+	// any answer it is 0, and an unanswered attempt counts as stalled at the lower bound.
 	minTimeoutPercent = 40
 	maxTimeoutPercent = 70
 )
@@ -28,7 +29,7 @@
 func (r *Request) handleOverdue(now Instant, id int) {
 	e, a := r.engine, r.attempts[id]
 	a.overdue = true
-	usual := e.latency.mean.Value * e.relativeCost(r.units)
+	usual := e.latency.mean.Value * e.relativeCost(r.units) // before this attempt is measured
 	e.promptInFlight--
 	if r.finished || r.responseStarted {
 		return
@@ -44,8 +45,8 @@
 }
 
 // replaceStalled sends a hedged attempt beside a stalled one or, where hedging is not allowed, cancels the
-// stalled one, so that a retry follows on its end. It does neither if another attempt is in flight already, if no time is left, or if a
-// later rejection could not promise that nothing ran twice.
+// stalled one, so that a retry follows on its end. It does neither if another attempt is in flight already, if no
+// time is left, or if a later rejection could not promise that nothing ran twice.
 func (r *Request) replaceStalled(now Instant, id AttemptID) {
 	e := r.engine
 	if r.inFlight > 1 || r.tooLateToSend(now) || !r.rejectionIsSafe() {
--- a/policy/latency.go
+++ b/policy/latency.go
@@ -60,8 +60,8 @@
 	f.idleFloor = min(cmp.Or(f.idleFloor, math.Inf(1)), floor)
 }
 
-// measure takes a latency into account, in nanoseconds at the mean cost, that was measured at a backend with a
-// number of attempts in flight.
+// measure takes into account a latency that was measured at a backend with a number of attempts in flight. It is in
+// nanoseconds at the mean cost: that of an attempt is divided by its relativeCost first.
 func (e *Engine) measure(b *backend, latency, concurrency float64) {
 	own := &b.latency
 	own.mean.Add(latency, backendSamples)
@@ -73,7 +73,7 @@
 	e.latency.mean.Add(latency, samples)
 }
 
-// relativeCost returns how much longer than the mean a request of so many units takes, as far as measured: a
+// relativeCost returns how many times as long as the mean request one of so many units takes, as far as measured: a
 // unit may stand for work. Without it a large request seems a slow backend, and a small one a fast one.
 func (e *Engine) relativeCost(units float64) float64 {
 	line := &e.latency.byUnits
--- a/policy/outlier.go
+++ b/policy/outlier.go
@@ -27,8 +27,8 @@
 	consecutiveErrors int // without a success between them; a rejection does not end the series
 }
 
-// getsNoAttempt reports whether the backend gets no attempt now: it is ejected or paused, or it was ejected and
-// one attempt in flight already tries it.
+// getsNoAttempt reports whether the backend gets no attempt now: it is ejected or paused, or it was ejected and any
+// attempt of this instance is in flight there. That one tries it, or is still the one that stalled.
 func (o *outlierState) getsNoAttempt(now Instant, inFlight int) bool {
 	return now.Before(o.noAttemptsUntil) || o.ejections > 0 && inFlight > 0
 }
@@ -68,7 +68,8 @@
 	}
 }
 
-// checkEjected starts a health check at the end of an ejection. The backend stays ejected until the answer.
+// checkEjected starts a health check at the end of an ejection. The backend stays ejected until the answer. There is
+// no check if a pause after a rejection lasts beyond that end.
 func (e *Engine) checkEjected(now Instant, b *backend) {
 	o := &b.outlier
 	if !b.ready || o.ejections == 0 || now.Before(o.noAttemptsUntil) {
@@ -85,7 +86,7 @@
 	if b == nil || b.outlier.ejections == 0 {
 		return
 	}
-	b.outlier.noAttemptsUntil = now
+	b.outlier.noAttemptsUntil = now // whatever it was for; eject does nothing before its end
 	if outcome != Succeeded {
 		e.eject(now, b)
 	}
--- a/policy/over_quota.go
+++ b/policy/over_quota.go
@@ -10,12 +10,13 @@
 	r.giveUp(r.retryAfterOverQuota(now))
 }
 
-// worthSendingOverQuota reports whether the plan's requests earn more beyond the quota than they cost there.
+// worthSendingOverQuota reports whether the plan's requests earn more beyond the quota than they cost there. A class
+// that only counts sends nothing.
 func (r *Request) worthSendingOverQuota() bool {
 	return r.plan.OverQuotaValue > r.plan.OverQuotaCost && !r.class.CheckOnly
 }
 
-// hasBackendBelowPreferred reports whether a backend has fewer attempts in flight than preferred.
+// hasBackendBelowPreferred reports whether a backend takes one more attempt within its preferredInFlight.
 func (r *Request) hasBackendBelowPreferred(now Instant) bool {
 	b := r.engine.pickBackend(now, r, fullBudget)
 	return b != nil && b.load() <= 1
--- a/policy/quota.go
+++ b/policy/quota.go
@@ -4,7 +4,9 @@
 const roundingTolerance = 0.01
 
 // checkQuota decides whether the tenant has units left for the request: at once if the quota is known to be
-// used up, by the counter if a call may be made (counter_call.go), and else without it (fallback.go).
+// used up, by the counter if a call may be made (counter_call.go), and else without it (fallback.go). The first
+// check comes before the fallback mode, so a class that fails open rejects too while the last total, or what a
+// rollover carried over, leaves no units.
 func (r *Request) checkQuota(now Instant) admission {
 	if r.quotaKnownUsedUp(now) {
 		r.tenant.recordAdmittedShare(0)
--- a/policy/quota_window.go
+++ b/policy/quota_window.go
@@ -23,8 +23,8 @@
 type quotaWindow struct {
 	start            Instant
 	key              CounterKey // 0: no window has begun
-	total            float64    // units as last reported, with the lost units
-	counterTotal     float64    // units as last reported
+	total            float64    // units as last reported, with the lost units; at first what is carried over
+	counterTotal     float64    // units that the counter has once the corrections that were sent arrive; 0: none reported
 	lostUnits        float64    // that the count lacks: at first what the last window left used
 	lostSince        Instant    // since when the count has lacked much; zero: it does not
 	corrections      float64    // units added so far by calls that only correct: lost ones, less those taken back
@@ -48,7 +48,7 @@
 // refilled returns how many units the rate has refilled since a window's start; 0 where the refill cannot be
 // computed.
 func (t *tenant) refilled(now, windowStart Instant) float64 {
-	if !t.tracksRefill {
+	if !t.refillTracked {
 		return 0
 	}
 	return monotime.Accrued(t.plan.Rate, now.Sub(windowStart))
@@ -75,7 +75,7 @@
 //
 // Inputs and result: units.
 func (e *Engine) carriedOver(t *tenant, nextStart Instant, entryPoints float64) float64 {
-	if !t.tracksRefill {
+	if !t.refillTracked {
 		return 0
 	}
 	if !e.breaker.IsClosed() && t.window.counterTotal == 0 {
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -41,9 +41,9 @@
 }
 
 // tooLateToSend reports whether an attempt sent now is unlikely to be worth its cost: where a late answer has
-// no value, the fastest answer would miss the time at which the answer is due. Where it has one, the deadline
-// bounds it here, but pickBackend finds no backend once the latency budget is used up, which is before that
-// time.
+// no value, the fastest answer would miss answerDueAt. Where it has one, the deadline bounds it here, but
+// pickBackend finds no backend once the latency budget is used up: at answerDueAt, or a little later for requests
+// that cost less than the mean one.
 func (r *Request) tooLateToSend(now Instant) bool {
 	latest := r.answerDueAt.Add(-percentOf(r.class.LatencyObjective, fastestAnswerPercent))
 	if r.class.LateValue > 0 {
--- a/policy/retry_after.go
+++ b/policy/retry_after.go
@@ -24,7 +24,7 @@
 
 // retryAfterHardQuota returns when the hard quota has refilled the units that the request lacks.
 //
-// Inputs: the units lacking in this instance's part, the plan's rate in units a second.
+// Inputs: the units lacking in this instance's part, the hard quota's rate in units a second.
 func (r *Request) retryAfterHardQuota(lacking float64) time.Duration {
 	return monotime.FromSeconds(lacking * r.entryPoints / r.plan.HardQuotaRate)
 }
@@ -47,8 +47,8 @@
 	return monotime.FromSeconds(max(lacking, r.units*minRefillShare) / r.plan.Rate)
 }
 
-// retryAfterNoCapacity returns when to come back to backends that have no capacity, or after a failure that
-// left no time for a retry: early enough for more attempts within the latency objective.
+// retryAfterNoCapacity returns when to come back to backends that have no capacity, or after an attempt that was not
+// retried: early enough for more attempts within the latency objective.
 func (r *Request) retryAfterNoCapacity() time.Duration {
 	return r.class.LatencyObjective / retriesPerObjective
 }
--- a/policy/selection.go
+++ b/policy/selection.go
@@ -43,9 +43,10 @@
 	slices.SortFunc(e.ranked, (*backend).compareRank)
 }
 
-// rankBackend computes a backend's rank and how many attempts it takes before those ranked behind it. Backends are ordered by their latency
-// relative to the fleet's, in steps; then the own zone first, where crossing has a price; then by fair shares,
-// the own first; then by the time since the last attempt, times capacity.
+// rankBackend computes a backend's rank and how many attempts it takes before those ranked behind it, and adds it
+// to e.ready, so only rankBackends may call it. Backends are ordered by their latency relative to the fleet's, in
+// steps; then the own zone first, where crossing has a price; then by fair shares, the own first; then by the time
+// since the last attempt, times weight.
 func (e *Engine) rankBackend(now Instant, b *backend) {
 	warmth := e.warmth(now, b)
 	e.ready.effectiveBackends += warmth
@@ -94,9 +95,9 @@
 	)
 }
 
-// pickBackend returns the first ranked backend with fewer attempts than preferred, or else the least loaded, of those
-// that may get an attempt and likely answer within the latency budget; nil if there is none, or if this
-// instance has too much in flight.
+// pickBackend returns the first ranked backend that takes one more attempt within its preferredInFlight, or else
+// the least loaded, of those that may get an attempt and likely answer within the latency budget; nil if there is
+// none, or if this instance has too much in flight. A backend slower than the fleet may prefer less than one.
 func (e *Engine) pickBackend(now Instant, r *Request, factor budgetFactor) *backend {
 	budget := e.latencyBudget(now, r, factor)
 	if e.atInFlightLimit(budget) {
--- a/policy/slow_start.go
+++ b/policy/slow_start.go
@@ -56,26 +56,27 @@
 		return false
 	}
 	warmth := e.warmth(now, b)
-	rate := r.slowStartRate(b)
-	return e.hasSlowStartTurn(now, b, slowStartBudget{warmth: warmth, rate: rate}) &&
-		e.slowStartTurnSpaced(now, b, rate*warmth)
+	warmRate := r.slowStartRate(b)
+	return e.hasSlowStartTurn(now, b, slowStartBudget{warmth: warmth, warmRate: warmRate}) &&
+		e.slowStartTurnSpaced(now, b, warmRate*warmth)
 }
 
 // slowStartBudget is how much a warming backend may get from all instances.
 type slowStartBudget struct {
-	warmth float64 // part of its capacity that it has
-	rate   float64 // attempts a nanosecond, of a warm backend
+	warmth   float64 // part of its capacity that it has
+	warmRate float64 // attempts a nanosecond, once it is warm
 }
 
 // hasSlowStartTurn reports whether it is this instance's turn at a warming backend. Its turn begins when the
 // budget reaches an attempt whose number belongs to it, and lasts for half an overload window, since one instance
-// of many seldom has something to send just then. Several instances may so have their turn at once; the budget is
-// half of what the rule allows, which covers that.
+// of many seldom has something to send just then. Several instances may so have their turn at once: what was planned
+// for a third of the overload multiple (overloadMargin) then comes to half of it at most. Numbers belong to one
+// instance each as far as the instances have measured the same baseline and peak.
 func (e *Engine) hasSlowStartTurn(now Instant, b *backend, budget slowStartBudget) bool {
 	instances := uint64(e.instances())
 	offset := hash64.Mix(uint64(b.id)) + instances - uint64(e.settings.InstanceIndex)
 	turnsPassed := float64((offset + uint64(e.budgetedAttempts(now, b, budget))) % instances)
-	numbersPerTurn := budget.rate * budget.warmth * float64(e.settings.OverloadWindow) / 2
+	numbersPerTurn := budget.warmRate * budget.warmth * float64(e.settings.OverloadWindow) / 2
 	return turnsPassed < max(1, numbersPerTurn)
 }
 
@@ -85,16 +86,16 @@
 	s := &e.settings
 	atShare := s.SlowStartShare * float64(max(now.Sub(b.startedAt), 0))
 	risen := (budget.warmth - s.SlowStartShare) * b.ageBeyond(now, s.OverloadWindow) / 2
-	return budget.rate * (atShare + risen)
+	return budget.warmRate * (atShare + risen)
 }
 
 // slowStartTurnSpaced reports whether this instance's last attempt at a warming backend is minTurnSpacing of
-// the time between its turns ago. rate is in attempts a nanosecond, of all instances.
-func (e *Engine) slowStartTurnSpaced(now Instant, b *backend, rate float64) bool {
+// the time between its turns ago. currentRate is what all instances may send, in attempts a nanosecond.
+func (e *Engine) slowStartTurnSpaced(now Instant, b *backend, currentRate float64) bool {
 	if b.lastSlowStartAt.IsZero() {
 		return true
 	}
-	return float64(now.Sub(b.lastSlowStartAt))*rate >= minTurnSpacing*float64(e.instances())
+	return float64(now.Sub(b.lastSlowStartAt))*currentRate >= minTurnSpacing*float64(e.instances())
 }
 
 // slowStartRate returns how many attempts a nanosecond all instances may send to a backend once it is warm: a
--- a/policy/tenant.go
+++ b/policy/tenant.go
@@ -17,9 +17,9 @@
 	inFlight int // attempts
 	waiting  int // requests that wait for the counter
 
-	unreported   float64 // units for the next call: those admitted without the counter, less those counted and not sent
-	traffic      traffic
-	tracksRefill bool // see Request.tracksRefill; as of the last request
+	unreported    float64 // units for the next call: those admitted without the counter, less those counted and not sent
+	traffic       traffic
+	refillTracked bool // Request.tracksRefill of the tenant's last request
 
 	admittedShare estimate.Mean      // part of a request that the counter lately admitted
 	localUsage    tokenbucket.Usage  // units admitted here, less what the local share has refilled
@@ -36,7 +36,7 @@
 	if t.plan != r.plan {
 		t.changePlan(r.plan)
 	}
-	t.tracksRefill = r.tracksRefill()
+	t.refillTracked = r.tracksRefill()
 	e.rollOver(now, t, r.entryPoints)
 	return t
 }
--- a/policy/types.go
+++ b/policy/types.go
@@ -117,7 +117,7 @@
 // The fallback modes.
 const (
 	LocalShare FallbackMode = iota // by the instance's own share of the quota
-	FailOpen                       // admits everything
+	FailOpen                       // admits everything that the last total does not show to be over the quota
 	FailClosed                     // rejects everything
 )
 
