--- a/policy/attempt.go
+++ b/policy/attempt.go
@@ -96,9 +96,9 @@
 	return true
 }
 
-// expiry returns when the newest attempt, which is already added, ends as timed out; zero: when the client gives up. An attempt is
-// ended early only where nothing else lets another one follow: the settings allow neither a hedged attempt
-// nor a cancellation.
+// expiry returns when the newest attempt, which is already added, ends as timed out; zero: when the client gives
+// up. An attempt is ended early only where nothing else lets another one follow: the settings allow neither a
+// hedged attempt nor a cancellation.
 func (r *Request) expiry(now Instant, timeout time.Duration) Instant {
 	s := &r.engine.settings
 	mayFollow := r.class.Idempotency != NonIdempotent && len(r.attempts) < s.MaxAttempts
