--- a/internal/dispatch/attempt.go
+++ b/internal/dispatch/attempt.go
@@ -12,8 +12,8 @@
 // attempt's result, at once: while an attempt is being written, only its writer learns whether it was written
 // completely.
 //
-// Abandon is called with the dispatcher's lock held and may take the connection's lock. The connection calls
-// Begin with its own lock held, so Begin never takes the dispatcher's lock.
+// Abandon is called with the dispatcher's lock held and may take the lock of the connection's pool. The
+// connection calls Begin with that lock held, so Begin never takes the dispatcher's lock.
 type AttemptConn interface {
 	Abandon(attempt *Attempt) (reports bool)
 }
@@ -144,13 +144,14 @@
 
 // Report tells the dispatcher how the attempt ended: with a response, which the dispatcher keeps, or with an
 // error, which is ErrRejected, ErrBackendFailed, ErrTimeout or a NetworkError. actualUnits is what the request
-// actually cost, in units, if the backend says so, otherwise 0. Only the first report has an effect.
+// actually cost, in units, if the backend says so, otherwise 0. Report has no effect once the attempt has an
+// outcome, from a report or a cancellation. response must not be changed afterwards.
 func (a *Attempt) Report(response []byte, actualUnits float64, err error) {
 	a.request.dispatcher.do(func(policy.Instant) {
 		if a.state.load() == attemptSettled {
 			return
 		}
-		outcome := a.outcomeOf(err)
+		outcome := a.reportedOutcome(err)
 		if outcome == policy.Succeeded {
 			a.request.finish(Step{Action: Respond, Response: response})
 		}
--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -15,7 +15,8 @@
 	// Add adds units to a count, which may be dropped after lifetime. It is called with the dispatcher's lock
 	// held, so it must neither block nor report from within the call. It may leave the sending to Flush.
 	Add(key policy.CounterKey, units float64, lifetime time.Duration)
-	// Flush sends what Add has left. It is called without the dispatcher's lock, by several goroutines at once.
+	// Flush sends what Add has left. It may wait for the network: it is called without the dispatcher's lock, by
+	// several goroutines at once.
 	Flush()
 }
 
@@ -53,10 +54,10 @@
 // Dispatcher runs the engine of one instance, with its clock, its timers and its requests in flight. Its
 // methods are safe for concurrent use after Start and before Stop.
 type Dispatcher struct {
-	startedAt time.Time      // the monotonic clock's reading at New
-	epoch     policy.Instant // the same moment, as Unix time
-	stopped   chan struct{}
-	timerLoop sync.WaitGroup
+	startedAt     time.Time      // the monotonic clock's reading at New
+	startedAtUnix policy.Instant // the same moment, as Unix time
+	stopped       chan struct{}
+	timerLoop     sync.WaitGroup
 
 	counter         Counter
 	healthChecker   HealthChecker
@@ -100,7 +101,7 @@
 		requests:  map[policy.RequestID]*Request{},
 		alarm:     time.NewTimer(initialAlarm),
 	}
-	d.epoch = monotime.FromNanos(d.startedAt.UnixNano())
+	d.startedAtUnix = monotime.FromNanos(d.startedAt.UnixNano())
 	return d
 }
 
@@ -131,7 +132,7 @@
 // now returns the Unix time at New plus the monotonic time elapsed since. Unix time makes all instances name
 // the same quota windows; the monotonic clock ensures that a step of the system clock never moves time
 // backwards.
-func (d *Dispatcher) now() policy.Instant { return d.epoch.Add(time.Since(d.startedAt)) }
+func (d *Dispatcher) now() policy.Instant { return d.startedAtUnix.Add(time.Since(d.startedAt)) }
 
 // do makes one call into the engine with the lock held, then carries out what the engine requested of the
 // network without the lock. A panic propagates to the caller, whose connection it ends; the lock is released.
@@ -146,7 +147,8 @@
 }
 
 // callEngine takes the lock for one call into the engine, and reports the attempts that the call ended. It
-// returns the work that remains to be done without the lock.
+// returns the work that remains to be done without the lock. After a panic, endedAttempts and networkWork keep
+// what has not been carried out, and the next call carries it out, though it may concern another request.
 func (d *Dispatcher) callEngine(call func(now policy.Instant)) networkWork {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/dispatch/doc.go
+++ b/internal/dispatch/doc.go
@@ -3,9 +3,9 @@
 //
 // A Dispatcher owns the lock around the engine, the clock, the timers, and the requests in flight; nothing
 // else calls the engine or sees its effects. It makes no decisions of its own, and it never waits for the
-// network while it holds the lock: the Counter, the HealthChecker, the EndpointWatcher and AttemptConn must
-// not block, and work that may reach the network at once (flushing the counter's calls, health checks) is
-// done after the lock is released.
+// network while it holds the lock: Counter.Add, EndpointWatcher.WatchEndpoints, HealthChecker.CheckHealth and
+// AttemptConn.Abandon must not block. Counter.Flush may wait for the network. Flush and CheckHealth are called
+// after the lock is released.
 //
 // A request goes through these stages: Submit passes it to the engine. Its owner calls NextStep until a step
 // is final. A step with the action Send carries an Attempt, which the owner passes to the connections to the
@@ -13,6 +13,6 @@
 // deliver its result, which may lead to further steps.
 //
 // All exported methods of Dispatcher, Request and Attempt are safe for concurrent use, with these exceptions:
-// Start must come first and Stop last, and NextStep and Begin allow one caller at a time per request or
-// attempt.
+// Start comes first (only Stop may come before it) and Stop last, NextStep allows one caller at a time per
+// request, and Begin is called once per attempt.
 package dispatch
--- a/internal/dispatch/effects.go
+++ b/internal/dispatch/effects.go
@@ -20,7 +20,9 @@
 var _ policy.Effects = effects{}
 
 // Send creates an attempt and passes it to the request's owner. If maxPendingAttempts attempts wait already,
-// the new one is not sent, which is reported to the engine once its call has returned.
+// the new one is not sent, which is reported to the engine once its call has returned. The engine never sends
+// after the final step: with maxPendingAttempts attempts and the final step in the channel, the check below would
+// let a further attempt block with the lock held.
 func (e effects) Send(spec policy.AttemptSpec) {
 	request := e.dispatcher.requests[spec.Request]
 	attempt := request.newAttempt(spec)
@@ -79,10 +81,10 @@
 	e.dispatcher.requests[id].finish(Step{Action: Admit})
 }
 
-// WakeAt sets a timer for a call of Engine.HandleTimer with the same id. An id other than 0 makes earlier
-// wake-ups obsolete, except those with id 0.
+// WakeAt sets a timer for a call of Engine.HandleTimer with the same id. An id other than independentWake makes
+// earlier wake-ups obsolete, except those with that id.
 func (e effects) WakeAt(at policy.Instant, id policy.TimerID) {
-	if id != 0 {
+	if id != independentWake {
 		e.dispatcher.latestWake = id
 	}
 	e.dispatcher.timers.Push(at, timer{kind: wakeUp, id: id})
--- a/internal/dispatch/outcome.go
+++ b/internal/dispatch/outcome.go
@@ -8,7 +8,8 @@
 
 // outcomeOf returns what the result of an attempt, of a call to the counter or of a health check says about
 // whether it has run. A connection that failed before the last byte was written proves that nothing ran. An
-// unknown error counts as a connection that was lost afterwards, since it proves nothing.
+// unknown error counts as a connection that was lost afterwards, since it proves nothing. A NetworkError never
+// wraps ErrRejected, ErrBackendFailed or ErrTimeout, so the order of the cases does not matter.
 func outcomeOf(err error) policy.Outcome {
 	if err == nil {
 		return policy.Succeeded
@@ -27,10 +28,10 @@
 	return policy.ConnectionLost
 }
 
-// outcomeOf returns the outcome of an attempt whose result is reported. Abandoning an attempt closes its
+// reportedOutcome returns the outcome of an attempt whose result is reported. Abandoning an attempt closes its
 // connection: if it was written completely by then, it ends as what it was abandoned for and not as a lost
 // connection, which would count against its backend. The caller holds the dispatcher's lock.
-func (a *Attempt) outcomeOf(err error) policy.Outcome {
+func (a *Attempt) reportedOutcome(err error) policy.Outcome {
 	outcome := outcomeOf(err)
 	if a.state.load() == attemptAbandoned && outcome == policy.ConnectionLost {
 		return a.abandonedAs
--- a/internal/dispatch/start_times.go
+++ b/internal/dispatch/start_times.go
@@ -18,9 +18,9 @@
 	wallNow policy.Instant // the wall clock
 }
 
-// step returns how far the wall clock has been stepped since the dispatcher started, and 0 if it has only been
+// wallClockStep returns how far the wall clock has been stepped since the dispatcher started, and 0 if it has only been
 // slewed. It is below 0 after a step back.
-func (c clockReadings) step() time.Duration {
+func (c clockReadings) wallClockStep() time.Duration {
 	step := c.wallNow.Sub(c.now)
 	if max(step, -step) < minClockStep {
 		return 0
@@ -82,7 +82,7 @@
 	if stated.IsZero() {
 		return stated
 	}
-	afterStep := stated.Add(-clocks.step())
+	afterStep := stated.Add(-clocks.wallClockStep())
 	later := monotime.Later(stated, afterStep)
 	if later.After(clocks.now) {
 		return monotime.Earlier(stated, afterStep)
--- a/internal/dispatch/timers.go
+++ b/internal/dispatch/timers.go
@@ -31,6 +31,9 @@
 	return "unknown"
 }
 
+// independentWake is the id of the engine's wake-ups that no other wake-up makes obsolete.
+const independentWake policy.TimerID = 0
+
 // timer is an entry of the timer queue.
 type timer struct {
 	kind    timerKind
@@ -42,7 +45,7 @@
 func (d *Dispatcher) isObsolete(t timer) bool {
 	switch t.kind {
 	case wakeUp:
-		return t.id != 0 && t.id != d.latestWake
+		return t.id != independentWake && t.id != d.latestWake
 	case startDeadline:
 		return t.attempt.state.load() != attemptWaiting
 	case resultDeadline:
@@ -106,6 +109,8 @@
 	case wakeUp:
 		d.engine.HandleTimer(d.now(), t.id)
 	case startDeadline:
+		// The outcome named here is also that of an attempt that has begun since isObsolete looked, of which it is
+		// not true.
 		t.attempt.cancel(policy.ConnectFailed)
 	case resultDeadline:
 		t.attempt.cancel(policy.TimedOut)
