--- a/internal/counter/connection.go
+++ b/internal/counter/connection.go
@@ -22,9 +22,11 @@
 	errAddressChanged  = errors.New("counter address changed")
 	errSilent          = errors.New("calls unanswered for too long")
 	errMalformedAnswer = errors.New("malformed answer")
-	errNotReusable     = errors.New("not to be used any more")
-	errClientClosed    = errors.New("client closed")
-	errPanic           = errors.New("panic")
+	// errNotReusable covers three cases: an answer without an outstanding call, a meaningless answer, and the last
+	// answer at an earlier address, which is the normal end of an old connection.
+	errNotReusable  = errors.New("not to be used any more")
+	errClientClosed = errors.New("client closed")
+	errPanic        = errors.New("panic")
 )
 
 // connection is one connection to the service. The client's lock guards its fields.
@@ -43,8 +45,8 @@
 }
 
 // addCall appends a call to the outstanding ones. The caller holds the client's lock.
-func (conn *connection) addCall(added *call, wire increment) {
-	conn.unwritten = conn.client.format.appendCall(conn.unwritten, wire)
+func (conn *connection) addCall(added *call, addition increment) {
+	conn.unwritten = conn.client.format.appendCall(conn.unwritten, addition)
 	conn.unwrittenCalls++
 	conn.calls = append(conn.calls, added)
 }
@@ -164,8 +166,8 @@
 	return isMeaningful && !isLast
 }
 
-// popCall removes and returns the oldest outstanding call, or nil if there is none. isLast reports whether no
-// further call will follow.
+// popCall removes and returns the oldest outstanding call, or nil if there is none or the connection is closed.
+// isLast reports whether no further call will follow.
 func (conn *connection) popCall() (oldest *call, isLast bool) {
 	conn.client.mu.Lock()
 	defer conn.client.mu.Unlock()
@@ -182,6 +184,12 @@
 
 // close closes the connection and ends its calls. The units of calls that were written may have been added;
 // those of unwritten calls have not. No call is sent again: the caller decides by what the errors say.
+//
+// Calls that were written end as ErrTimeout, also if the connection was reset: the outcome ConnectionLost stands
+// for a malformed answer. Unwritten calls have the progress Writing, also if the dial failed: Dialing would mean
+// the same outcome.
+//
+// Known fault: if the handler panics in one of the loops, the remaining calls get no result.
 func (conn *connection) close(reason error) {
 	written, unwritten := conn.closeAndForget()
 	if count := len(written) + len(unwritten); count > 0 {
--- a/internal/counter/format.go
+++ b/internal/counter/format.go
@@ -73,11 +73,11 @@
 }
 
 // appendCall appends the encoding of one call to buf.
-func (f Format) appendCall(buf []byte, call increment) []byte {
+func (f Format) appendCall(buf []byte, addition increment) []byte {
 	if f == Text {
-		return appendTextCall(buf, call)
+		return appendTextCall(buf, addition)
 	}
-	return appendRESPCall(buf, call)
+	return appendRESPCall(buf, addition)
 }
 
 // parseAnswer parses the first answer in data. If an answer consists of two replies, pending carries the
--- a/internal/counter/resp_format.go
+++ b/internal/counter/resp_format.go
@@ -12,8 +12,9 @@
 const (
 	// respTypes are the first bytes of the possible replies: bulk strings, integers, errors and simple strings.
 	respTypes = "$:-+"
-	// maxBulkHeaderBytes is the length of "$128\r\n". The client does not wait for a bulk string that announces
-	// more than maxAnswerBytes, or whose length has more digits.
+	// maxBulkHeaderBytes is the length of "$128\r\n". It bounds the header of a bulk string, and so the digits of
+	// the announced length. A bulk string that announces more than maxAnswerBytes in as many digits is given up once
+	// more than maxAnswerBytes have arrived.
 	maxBulkHeaderBytes = 6
 	// incrementWords and expiryWords are the number of words of the two commands of a call.
 	incrementWords = 3 // INCRBYFLOAT key units
@@ -28,16 +29,16 @@
 }
 
 // appendRESPCall appends the two commands of a call.
-func appendRESPCall(buf []byte, call increment) []byte {
-	name := strconv.FormatUint(uint64(call.key), keyBase)
+func appendRESPCall(buf []byte, addition increment) []byte {
+	name := strconv.FormatUint(uint64(addition.key), keyBase)
 	buf = redcon.AppendArray(buf, incrementWords)
 	buf = redcon.AppendBulkString(buf, "INCRBYFLOAT")
 	buf = redcon.AppendBulkString(buf, name)
-	buf = redcon.AppendBulkString(buf, strconv.FormatFloat(call.units, 'f', -1, float64Bits))
+	buf = redcon.AppendBulkString(buf, strconv.FormatFloat(addition.units, 'f', -1, float64Bits))
 	buf = redcon.AppendArray(buf, expiryWords)
 	buf = redcon.AppendBulkString(buf, "PEXPIRE")
 	buf = redcon.AppendBulkString(buf, name)
-	buf = redcon.AppendBulkString(buf, strconv.FormatInt(call.lifetimeMillis(), lifetimeBase))
+	buf = redcon.AppendBulkString(buf, strconv.FormatInt(addition.lifetimeMillis(), lifetimeBase))
 	return redcon.AppendBulkString(buf, "NX")
 }
 
--- a/internal/counter/text_format.go
+++ b/internal/counter/text_format.go
@@ -15,13 +15,13 @@
 const float64Bits = 64
 
 // appendTextCall appends the line of a call.
-func appendTextCall(buf []byte, call increment) []byte {
+func appendTextCall(buf []byte, addition increment) []byte {
 	buf = append(buf, "bump "...)
-	buf = strconv.AppendUint(buf, uint64(call.key), keyBase)
+	buf = strconv.AppendUint(buf, uint64(addition.key), keyBase)
 	buf = append(buf, ' ')
-	buf = strconv.AppendFloat(buf, call.units, 'f', -1, float64Bits)
+	buf = strconv.AppendFloat(buf, addition.units, 'f', -1, float64Bits)
 	buf = append(buf, ' ')
-	buf = strconv.AppendInt(buf, call.lifetimeMillis(), lifetimeBase)
+	buf = strconv.AppendInt(buf, addition.lifetimeMillis(), lifetimeBase)
 	return append(buf, "\r\n"...)
 }
 
