--- a/cmd/fawnplank/gateway_start.go
+++ b/cmd/fawnplank/gateway_start.go
@@ -83,7 +83,7 @@
 	if g.zone.Enabled() {
 		return nil
 	}
-	if err := g.discovery.LoadSnapshot(g.configuration.KnownEndpoints); err != nil {
+	if err := g.discovery.PublishCached(g.configuration.KnownEndpoints); err != nil {
 		return fmt.Errorf("configuration: %w", err)
 	}
 	if !g.configuration.Settings.PollEndpoints {
--- a/cmd/fawnplank/reload.go
+++ b/cmd/fawnplank/reload.go
@@ -60,7 +60,7 @@
 	updated := result.updated
 	merged := mergeReloadable(g.configuration, updated)
 	g.counter.SetAddress(merged.Counter)
-	g.discovery.SetAddress(merged.Discovery, merged.Settings)
+	g.discovery.Reconfigure(merged.Discovery, merged.Settings)
 	logging.For(configComponent).WithFields(logrus.Fields{
 		"discovery": merged.Discovery,
 		"counter":   merged.Counter,
--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -52,7 +52,8 @@
 // maxIdleTime is how long a connection to the service may be idle, as it is between two calls after a failure.
 const maxIdleTime = time.Minute
 
-// Client tracks the list of backends. Its methods but LoadSnapshot are safe for concurrent use.
+// Client tracks the list of backends. Its methods but PublishCached are safe for concurrent use, with one condition:
+// Publish may be called only if Options.Refresh is set, since it is not synchronized with the watch.
 type Client struct {
 	publisher *publisher
 	refresh   func()
@@ -64,10 +65,10 @@
 	running   sync.WaitGroup // the watch, calls of refresh, and calls of Publish
 	requested chan struct{}  // holds one token while a watch is requested
 	// index is the index of the last list in the discovery service's format; the watch asks for changes since
-	// then. LoadSnapshot sets it before the watch starts; after that only the watch uses it.
+	// then. PublishCached sets it before the watch starts; after that only the watch uses it.
 	index int64
 
-	publishMu sync.Mutex // held while a list from another source is published, one at a time
+	publishMu sync.Mutex // held by Publish, so that it publishes one list at a time; the watch does not take it
 
 	mu             sync.Mutex // guards all fields below
 	url            string
@@ -78,7 +79,7 @@
 	closed         bool               // nothing is started any more
 }
 
-// New returns a client. It does nothing until LoadSnapshot, Publish or WatchEndpoints is called.
+// New returns a client. It does nothing until PublishCached, Publish or WatchEndpoints is called.
 func New(options Options) *Client {
 	ctx, cancel := context.WithCancel(context.Background())
 	return &Client{
@@ -125,7 +126,8 @@
 	return true
 }
 
-// Publish publishes a list from another source in the same way as a list that the watch receives.
+// Publish publishes a list from another source in the same way as a list that the watch receives. It may be called
+// only if Options.Refresh is set: without that, the watch runs and may publish at the same time.
 func (c *Client) Publish(kind policy.UpdateKind, endpoints []Endpoint) {
 	if !c.addRunning() {
 		return
@@ -136,9 +138,9 @@
 	c.publisher.publish(kind, endpoints)
 }
 
-// LoadSnapshot publishes the list that the instance last had, given in the discovery service's format. Empty
+// PublishCached publishes the list that the instance last had, given in the discovery service's format. Empty
 // text is not published.
-func (c *Client) LoadSnapshot(text []byte) error {
+func (c *Client) PublishCached(text []byte) error {
 	if len(text) == 0 {
 		return nil
 	}
@@ -151,9 +153,12 @@
 	return nil
 }
 
-// SetAddress switches to another address, where a new watch starts with a full snapshot, and to the timeouts of
-// other settings.
-func (c *Client) SetAddress(address string, settings policy.Settings) {
+// Reconfigure switches to another address, where the watch starts with a full snapshot, and to the timeouts of other
+// settings.
+//
+// Known fault: if a poll is in progress, the watch polls again without the request made here. The request stays and
+// makes the watch poll again at once after its next failure.
+func (c *Client) Reconfigure(address string, settings policy.Settings) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.timeouts = settings.DiscoveryTimeouts()
@@ -172,7 +177,8 @@
 
 // WatchEndpoints requests the list and, from then on, its changes. On a failure the client notifies the
 // subscriber, and the watch waits for the next WatchEndpoints: the engine decides when to call it, since many
-// instances that fail together must not all ask again at the same time. It does not block.
+// instances that fail together must not all ask again at the same time. Only a request that Reconfigure left makes
+// it poll earlier. WatchEndpoints does not block.
 func (c *Client) WatchEndpoints() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/discovery/client_test.go
+++ b/internal/discovery/client_test.go
@@ -13,11 +13,11 @@
 	"fawnplank/policy"
 )
 
-// TestClient_LoadSnapshot: the list in the configuration serves first, and the watch asks for what is new
+// TestClient_PublishCached: the list in the configuration serves first, and the watch asks for what is new
 // since.
-func TestClient_LoadSnapshot(t *testing.T) {
+func TestClient_PublishCached(t *testing.T) {
 	client, updates, calls := startClient(t)
-	if err := client.LoadSnapshot([]byte(list(4, true, entry("x", "up")))); err != nil {
+	if err := client.PublishCached([]byte(list(4, true, entry("x", "up")))); err != nil {
 		t.Fatal(err)
 	}
 	if got := updates.next(t); got.kind != policy.CachedSnapshot || len(got.addresses) != 1 {
@@ -46,7 +46,7 @@
 	updates.next(t)
 	<-calls
 	<-calls // waits for an event
-	client.SetAddress(strings.TrimPrefix(newService.URL, "http://"), policy.Settings{DrainGrace: 6e9})
+	client.Reconfigure(strings.TrimPrefix(newService.URL, "http://"), policy.Settings{DrainGrace: 6e9})
 	got := updates.next(t)
 	if got.kind != policy.FullSnapshot || len(got.endpoints) != 1 || len(got.addresses) != 1 {
 		t.Errorf("%+v", got)
@@ -118,7 +118,7 @@
 	}
 	i.client.WatchEndpoints()
 	i.client.Publish(policy.FullSnapshot, nil)
-	i.client.SetAddress("agent:2", startupSettings(time.Second))
+	i.client.Reconfigure("agent:2", startupSettings(time.Second))
 	time.Sleep(time.Minute)
 	if i.updates.Load() != updates || i.agent.calls.Load() != calls {
 		t.Errorf("%d updates and %d calls after Close", i.updates.Load()-updates, i.agent.calls.Load()-calls)
--- a/internal/discovery/doc.go
+++ b/internal/discovery/doc.go
@@ -5,10 +5,11 @@
 // the Subscriber, which may then send requests there. It decides neither what an update means nor when to
 // watch again after a failure. During an outage the last list remains valid.
 //
-// SetAddress, Publish, WatchEndpoints and Close are safe for concurrent use; LoadSnapshot must be called
-// before them. The watch is one goroutine, started by the first WatchEndpoints and ended by Close, which
-// waits for it. The client's lock is held neither while the AddressBook or the Subscriber is notified nor
-// during a call to the service, so WatchEndpoints may be called with the Subscriber's lock held.
+// Reconfigure, Publish, WatchEndpoints and Close are safe for concurrent use; PublishCached must be called
+// before them. Publish may be called only with Options.Refresh, without which the watch runs. The watch is one
+// goroutine, started by the first WatchEndpoints and ended by Close, which waits for it. The client's lock is
+// held neither while the AddressBook or the Subscriber is notified nor during a call to the service, so
+// WatchEndpoints may be called with the Subscriber's lock held.
 //
 //	when does the watch stop, and what does it ask for next?   watch.go
 //	how long may a call and its connection take?               poll.go
--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -80,12 +80,13 @@
 	seen := map[string]bool{}
 	for _, endpoint := range list.Endpoints {
 		// In a full snapshot, two entries for one backend are ambiguous, so the snapshot is refused and the last
-		// valid list stays in use. A delta may name a backend twice: its entries apply in order.
+		// valid list stays in use. A delta may name a backend twice: its entries apply in order, but for the fault
+		// stated at publisher.publish.
 		if list.Snapshot && seen[endpoint.Name] {
 			return nil, fmt.Errorf("entry with name %q stands twice in a full snapshot", endpoint.Name)
 		}
 		seen[endpoint.Name] = true
-		if !endpoint.isValid() {
+		if !endpoint.isValid() { // the text names the entry, but not which part is missing or invalid: see isValid
 			return nil, fmt.Errorf("entry with name %q and address %q", endpoint.Name, endpoint.Address)
 		}
 	}
--- a/internal/discovery/poll.go
+++ b/internal/discovery/poll.go
@@ -11,7 +11,8 @@
 	"fawnplank/policy"
 )
 
-// maxListBytes bounds a list: it holds some ten thousand endpoints. A longer one is cut, and fails to decode.
+// maxListBytes bounds a list: it holds some ten thousand endpoints. A longer one is cut and fails to decode, so its
+// error is about incomplete JSON and does not mention the size.
 const maxListBytes = 4 << 20
 
 // statusError is an answer of the discovery service without a list.
@@ -38,7 +39,8 @@
 	return errors.As(err, &status) && status.isRefusal()
 }
 
-// poll makes one call, for a full snapshot or for the changes since the last list, and publishes the answer.
+// poll makes one call, for a full snapshot or for the changes since the last list, and publishes the answer. A
+// panic becomes an error, without its stack, so that the watch goes on.
 func (c *Client) poll(ctx context.Context, state *watchState) (err error) {
 	defer func() {
 		if cause := recover(); cause != nil {
@@ -64,8 +66,8 @@
 	url    string
 }
 
-// nextCall prepares the next call, which SetAddress cancels if the address changes. At a new address the
-// index from the old one is meaningless.
+// nextCall prepares the next call, which Reconfigure cancels if the address changes. At a new address the index from
+// the old one is meaningless. The query's wait, for how long the service may hold the call, is in milliseconds.
 func (c *Client) nextCall(ctx context.Context, state *watchState) pollCall {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/discovery/publisher.go
+++ b/internal/discovery/publisher.go
@@ -65,11 +65,14 @@
 func (p *publisher) hasEndpoints() bool { return len(p.listed) > 0 }
 
 // publish notifies the address book of an update, then the subscriber.
+//
+// Known fault: a backend that a delta lists and then removes stays in p.listed, and so in the endpoint gauge, until
+// a full snapshot or another removal.
 func (p *publisher) publish(kind policy.UpdateKind, endpoints []Endpoint) {
 	updates := make([]policy.Endpoint, len(endpoints))
 	listed := map[policy.BackendID]bool{}
 	for i, endpoint := range endpoints {
-		updates[i] = p.convert(endpoint)
+		updates[i] = p.register(endpoint)
 		backend := updates[i].Backend
 		if updates[i].State == policy.EndpointGone {
 			p.forget(backend)
@@ -87,9 +90,10 @@
 	p.subscriber.UpdateEndpoints(kind, updates)
 }
 
-// convert converts a listed endpoint to the engine's form, with ids for its names. An endpoint with an
-// unknown status counts as draining, which is the zero state.
-func (p *publisher) convert(endpoint Endpoint) policy.Endpoint {
+// register converts a listed endpoint to the engine's form. It allots ids to a backend and a zone whose names are
+// new. An endpoint with an unknown status counts as draining, which is the zero state; a warning says so for each
+// such entry of every list.
+func (p *publisher) register(endpoint Endpoint) policy.Endpoint {
 	state, ok := endpointStates[endpoint.Status]
 	if !ok {
 		logging.For(logComponent).WithField(logging.Backend, endpoint.Name).
--- a/internal/discovery/startup_test.go
+++ b/internal/discovery/startup_test.go
@@ -144,7 +144,7 @@
 	}
 	i.dispatcher.Start(dispatch.Config{Seed: seed, Settings: configuration.Settings,
 		Counter: i, HealthChecker: i, EndpointWatcher: i.client})
-	if err := i.client.LoadSnapshot(configuration.KnownEndpoints); err != nil {
+	if err := i.client.PublishCached(configuration.KnownEndpoints); err != nil {
 		t.Fatal(err)
 	}
 	i.ids = maps.Clone(i.client.publisher.ids) // before the watch uses them
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -32,8 +32,8 @@
 }
 
 // watchUntilFailure polls repeatedly. On a failure it notifies the subscriber and returns: it does not wait and
-// ask again by itself, since the engine decides when. The end of ctx is no failure: it returns without
-// notifying anybody.
+// ask again by itself, since the engine decides when. A request that Reconfigure left, however, makes watch call it
+// again at once. The end of ctx is no failure: it returns without notifying anybody.
 func (c *Client) watchUntilFailure(ctx context.Context, state *watchState) {
 	for {
 		err := c.poll(ctx, state)
@@ -41,7 +41,7 @@
 			return
 		}
 		if c.addressChangedSince(state) { // the poll's result is from the old address
-			c.http.CloseIdleConnections()
+			c.http.CloseIdleConnections() // they are to the old address, which gets no further call
 			continue
 		}
 		state.logOutage(err)
