--- a/internal/limitserver/account_commands.go
+++ b/internal/limitserver/account_commands.go
@@ -48,7 +48,8 @@
 	answer    func(accounts Accounts, out []byte, args *arguments) ([]byte, error)
 }
 
-// accountCommands maps the names of the commands on accounts to the commands.
+// accountCommands maps the names of the commands on accounts to the commands. The right that a command requires is
+// not stated here: requiredRight derives it from the name.
 var accountCommands = map[string]accountCommand{
 	"PLAN.CHANGE":     {4, schedulePlanChange},
 	"PLAN.TAKEBACK":   {2, cancelPlanChange},
--- a/internal/limitserver/account_commands_test.go
+++ b/internal/limitserver/account_commands_test.go
@@ -128,7 +128,8 @@
 		{"AUTH ops nonsense", "-ERR"}, // a wrong key leaves no rights
 		{"PLAN.LIST " + account, "-NOPERM"},
 	} {
-		answers, _ := s.run([]redcon.Command{parseWords(step.command)}, &rights)
+		answers, newRights, _ := s.run([]redcon.Command{parseWords(step.command)}, rights)
+		rights = newRights
 		if got := strings.ReplaceAll(string(answers), "\r\n", "|"); !strings.HasPrefix(got, step.want) {
 			t.Errorf("%s: %s, not %s", step.command, got, step.want)
 		}
--- a/internal/limitserver/arguments.go
+++ b/internal/limitserver/arguments.go
@@ -14,7 +14,9 @@
 	maxInteger = 1 << 53
 	// maxLeaseMillis bounds a lease before it is converted to nanoseconds; the accounts allow far less.
 	maxLeaseMillis = 1 << 40
-	// maxMomentMillis bounds the time of a change. It is in the year 2248, so its nanoseconds fit into an int64.
+	// maxMomentMillis bounds the time of a change. It is in the year 2248, so its nanoseconds fit into an int64. Known
+	// fault: momentNanos checks it only after the conversion to nanoseconds, which overflows above 9.2e12 ms, and
+	// does not check a time from now at all.
 	maxMomentMillis = 1 << 43
 	// tenantDigits is the length of a tenant's number, in hexadecimal digits.
 	tenantDigits = 16
@@ -34,7 +36,7 @@
 }
 
 // newArguments takes the tenant, which is the first argument of every command. Its digits must be lower case,
-// because accounts are stored under them. The word "gestoria" in the error is the term used on the wire.
+// because accounts are stored under them. The word "gestoria" in the error is the wire's term on these commands.
 func newArguments(all [][]byte) (*arguments, error) {
 	tenant := string(all[0])
 	number, err := strconv.ParseUint(tenant, 16, 64)
@@ -74,7 +76,8 @@
 // epoch takes the epoch of a reservation.
 func (a *arguments) epoch() uint64 { return uint64(a.integer()) }
 
-// units takes a number of units.
+// units takes a number of units. Its error says "are no number" of a single argument; the text is part of
+// the wire format.
 func (a *arguments) units() billing.Units {
 	text := a.text()
 	x, err := strconv.ParseFloat(text, 64)
--- a/internal/limitserver/benchmark_test.go
+++ b/internal/limitserver/benchmark_test.go
@@ -51,7 +51,6 @@
 	commands := []redcon.Command{{Args: words}}
 	b.ReportAllocs()
 	for b.Loop() {
-		rights := authz.Check
-		g.server.run(commands, &rights)
+		g.server.run(commands, authz.Check)
 	}
 }
--- a/internal/limitserver/check.go
+++ b/internal/limitserver/check.go
@@ -43,8 +43,8 @@
 	b.checks = b.checks[:0]
 }
 
-// finishCheck waits for the result of a check and answers it. The wait is bounded by the dispatcher's own
-// wait for the counter.
+// finishCheck waits for the result of a check and answers it. The wait is bounded by Settings.Timeout, and earlier
+// by the dispatcher's wait for the counter.
 func (b *batch) finishCheck(pending check) {
 	step := pending.request.NextStep()
 	quota, _ := b.server.dispatcher.QuotaStatus(pending.quota) // without the plan, the answer states no quota
--- a/internal/limitserver/check_arguments.go
+++ b/internal/limitserver/check_arguments.go
@@ -84,7 +84,7 @@
 }
 
 // parseTenantPlan parses the tenant and the plan, which are the first two arguments. The word "customer" in
-// the errors is the term used on the wire.
+// the errors is the wire's term on these commands.
 func (s *Settings) parseTenantPlan(args [][]byte) (policy.TenantID, policy.PlanID, error) {
 	id, err := strconv.ParseUint(string(args[0]), 16, 64)
 	if err != nil || len(args[0]) != tenantDigits || id >= tenantLimit {
--- a/internal/limitserver/commands.go
+++ b/internal/limitserver/commands.go
@@ -42,18 +42,19 @@
 	checks   []check // in progress, in order
 }
 
-// run returns the answers to commands, in order. quit is true if the connection must end. rights points to
-// the rights of the connection, which run reads and updates.
-func (s *Server) run(commands []redcon.Command, rights *authz.Right) (answers []byte, quit bool) {
-	b := batch{server: s, settings: s.settings.Load(), rights: *rights}
-	defer func() { *rights = b.rights }()
+// run returns the answers to commands, in order, for a connection with the given rights. newRights are its rights
+// after the commands. quit is true if the connection must end.
+func (s *Server) run(
+	commands []redcon.Command, rights authz.Right,
+) (answers []byte, newRights authz.Right, quit bool) {
+	b := batch{server: s, settings: s.settings.Load(), rights: rights}
 	for _, command := range commands {
 		if b.answer(command) {
-			return b.answers, true
+			return b.answers, b.rights, true
 		}
 	}
 	b.finishChecks()
-	return b.answers, false
+	return b.answers, b.rights, false
 }
 
 // answer answers a command, or starts it if it is a check. It returns whether the connection must end.
@@ -107,7 +108,8 @@
 	return onAccounts && b.server.accounts == nil
 }
 
-// requiredRight returns the right that a command requires; 0 means none.
+// requiredRight returns the right that a command requires; 0 means none. It goes by patterns of names and does not
+// look into accountCommands: the name of a new command decides which right it requires.
 func requiredRight(name string) authz.Right {
 	switch {
 	case name == checkCommand || name == peekCommand || name == throttleCommand:
@@ -129,7 +131,7 @@
 		"NOPERM this connection has no key (AUTH name secret) that may "+strings.ToLower(name))
 }
 
-// authenticate sets the connection's rights to those of a key, or to none if the key or secret is wrong.
+// authenticate sets the connection's rights to those of a key, or to none if AUTH fails in any way.
 func (b *batch) authenticate(args [][]byte) {
 	rights, err := b.server.keyRights(args)
 	b.rights = rights
--- a/internal/limitserver/fuzz_test.go
+++ b/internal/limitserver/fuzz_test.go
@@ -30,8 +30,7 @@
 		if quits >= 0 {
 			want = quits + 1
 		}
-		rights := authz.Check
-		answers, quit := g.server.run(commands, &rights)
+		answers, _, quit := g.server.run(commands, authz.Check)
 		count := 0
 		for len(answers) > 0 {
 			n, _ := redcon.ReadNextRESP(answers)
--- a/internal/limitserver/server.go
+++ b/internal/limitserver/server.go
@@ -38,7 +38,9 @@
 type Stats struct {
 	Admitted uint64 // checks that found quota
 	Rejected uint64 // checks that found none
-	Failed   uint64 // commands answered with an error
+	// Failed is the number of commands answered with an error, whatever its kind: a client's mistake, a missing
+	// right, or a check that could not be decided.
+	Failed uint64
 }
 
 // Options configures a Server.
@@ -132,8 +134,8 @@
 	if !known && len(s.keys) == 0 {
 		rights = authz.Check
 	}
-	answers, quit := s.run(commands, &rights)
-	c.SetContext(rights)
+	answers, newRights, quit := s.run(commands, rights)
+	c.SetContext(newRights)
 	c.WriteRaw(answers)
 	if quit {
 		_ = c.Close() // redcon does not report the error of the write either
