--- a/internal/dialer/address_order.go
+++ b/internal/dialer/address_order.go
@@ -10,8 +10,8 @@
 // distinguishes IPv4 addresses from IPv6 addresses.
 const ipv4Precedence = 35
 
-// precedences is the default policy table of RFC 6724, section 2.1, with longer prefixes first. Of two
-// addresses that the host can reach, the one with the higher precedence comes first.
+// precedences is the default policy table of RFC 6724, section 2.1. A prefix stands before those that contain it.
+// Of two addresses that the host can reach, the one with the higher precedence comes first.
 var precedences = []struct {
 	prefix     netip.Prefix
 	precedence int
@@ -36,6 +36,7 @@
 			return row.precedence
 		}
 	}
+	// Only an address with a zone gets here: no prefix contains one.
 	return 0
 }
 
--- a/internal/dialer/dial.go
+++ b/internal/dialer/dial.go
@@ -9,18 +9,18 @@
 )
 
 const (
-	// recommendedAttemptDelay is the delay recommended by RFC 8305, section 5.
-	recommendedAttemptDelay = 250 * time.Millisecond
-	// minAttemptDelay is the lower bound in RFC 8305.
-	minAttemptDelay = 10 * time.Millisecond
+	// recommendedConnectionAttemptDelay is the Connection Attempt Delay recommended by RFC 8305, section 5.
+	recommendedConnectionAttemptDelay = 250 * time.Millisecond
+	// minConnectionAttemptDelay is the lower bound in RFC 8305.
+	minConnectionAttemptDelay = 10 * time.Millisecond
 )
 
-// attemptDelay returns how long to wait for one address before the next is tried in parallel, given the
+// connectionAttemptDelay returns how long to wait for one address before the next is tried in parallel, given the
 // number of addresses and the timeout for all of them together. It is the recommended delay or less, so that
 // the last address is tried while there is still time for it.
-func attemptDelay(addresses int, timeout time.Duration) time.Duration {
+func connectionAttemptDelay(addresses int, timeout time.Duration) time.Duration {
 	equalParts := timeout / time.Duration(addresses+1)
-	return min(recommendedAttemptDelay, max(equalParts, minAttemptDelay))
+	return min(recommendedConnectionAttemptDelay, max(equalParts, minConnectionAttemptDelay))
 }
 
 // Dial connects to one of the addresses. It tries them in order, and starts with the next one when one fails
@@ -43,7 +43,7 @@
 		case result := <-r.results:
 			r.ended++
 			if result.err == nil {
-				cancel()
+				cancel() // before closeLate starts, since it waits for the other dials to end
 				go r.closeLate()
 				return result.conn.(*net.TCPConn), result.index, nil
 			}
@@ -52,7 +52,7 @@
 		switch {
 		case r.started < len(addresses):
 			r.startNext(ctx)
-			delay.Reset(attemptDelay(len(addresses), timeout))
+			delay.Reset(connectionAttemptDelay(len(addresses), timeout))
 		case r.started == r.ended:
 			return nil, 0, errors.Join(errs...)
 		}
@@ -92,8 +92,8 @@
 	}()
 }
 
-// closeLate receives the outstanding results and closes the connections in them. The results arrive at once,
-// since the context of their dials is canceled.
+// closeLate receives the outstanding results and closes the connections in them. Its goroutine ends when the
+// canceled dials have, which is at once; nobody waits for it.
 func (r *race) closeLate() {
 	for range r.started - r.ended {
 		if late := <-r.results; late.conn != nil {
--- a/internal/dialer/dial_test.go
+++ b/internal/dialer/dial_test.go
@@ -38,7 +38,7 @@
 	}
 }
 
-func TestAttemptDelay(t *testing.T) {
+func TestConnectionAttemptDelay(t *testing.T) {
 	for _, test := range []struct {
 		addresses     int
 		timeout, want time.Duration
@@ -47,7 +47,7 @@
 		{2, 90 * time.Millisecond, 30 * time.Millisecond},
 		{5, 0, 10 * time.Millisecond},
 	} {
-		if got := attemptDelay(test.addresses, test.timeout); got != test.want {
+		if got := connectionAttemptDelay(test.addresses, test.timeout); got != test.want {
 			t.Errorf("%d addresses in %v: %v, wanted %v", test.addresses, test.timeout, got, test.want)
 		}
 	}
