--- a/cmd/fawnplank/management.go
+++ b/cmd/fawnplank/management.go
@@ -44,8 +44,8 @@
 // Resume ends draining.
 func (m managedGateway) Resume() { m.gateway.server.Resume() }
 
-// WriteStats writes the metrics. A failed write is logged, because the caller gets no further answer.
-func (m managedGateway) WriteStats(out io.Writer) {
+// WriteMetrics writes the metrics. A failed write is logged, because the caller gets no further answer.
+func (m managedGateway) WriteMetrics(out io.Writer) {
 	if err := m.gateway.metrics.Write(out); err != nil {
 		logging.For(adminComponent).WithError(err).Warn("metrics not written")
 	}
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -23,14 +23,14 @@
 
 // Gateway is the object on which the calls act.
 type Gateway interface {
-	// Ready reports whether the gateway serves clients.
+	// Ready reports whether the gateway serves clients; false while it drains or shuts down.
 	Ready() bool
 	// Drain starts draining. A further call does nothing.
 	Drain()
 	// Resume ends draining. Without a Drain it does nothing.
 	Resume()
-	// WriteStats writes the metrics in Prometheus' text form.
-	WriteStats(w io.Writer)
+	// WriteMetrics writes the metrics in Prometheus' text form.
+	WriteMetrics(w io.Writer)
 }
 
 const (
@@ -41,10 +41,11 @@
 	readTimeout       = 500 * time.Millisecond
 	// writeTimeout bounds writing an answer. It is what remains of the second.
 	writeTimeout = 400 * time.Millisecond
-	// maxCalls is how many calls may be open at once. A further call waits at most readHeaderTimeout for a
-	// place. Operators have fewer callers than this.
+	// maxCalls is how many calls may be open at once. A further call waits for a place, which a slow caller holds
+	// for up to readTimeout and writeTimeout together. Operators have fewer callers than this.
 	maxCalls = 32
-	// descriptorsPerCall is how many descriptors of the process there must be for each call that may be open.
+	// descriptorsPerCall is how many descriptors of the process there must be for each call that may be open, so that
+	// calls take at most an eighth of them.
 	descriptorsPerCall = 8
 	// maxHeaderBytes bounds the heads of calls, of which nothing but the first line is read.
 	maxHeaderBytes = 8 << 10
@@ -87,7 +88,7 @@
 		ErrorLog:          log.New(logging.For("admin").WriterLevel(logrus.DebugLevel), "", 0),
 	}
 	server.SetKeepAlivesEnabled(false)
-	// The wrapped connections hide net.TCPConn's ReadFrom, with which net/http could splice or send a file.
+	// The wrapped connections hide net.TCPConn's ReadFrom, so that every byte is written by Write.
 	if o.wrapListener != nil {
 		listener = o.wrapListener(listener)
 	}
@@ -106,7 +107,7 @@
 	})
 	mux.HandleFunc("GET /admin/stats", func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "text/plain; version=0.0.4")
-		gateway.WriteStats(w)
+		gateway.WriteMetrics(w)
 	})
 	mux.HandleFunc("POST /admin/quiesce", func(w http.ResponseWriter, _ *http.Request) {
 		gateway.Drain()
@@ -135,7 +136,8 @@
 	return nil
 }
 
-// Close closes the listener and all connections at once.
+// Close closes the listener and all connections at once. Before Serve it does not close the listener. It leaves the
+// goroutine of the server's own log to the garbage collector.
 func (s *Server) Close() {
 	_ = s.server.Close() // nothing can be done about a listener that does not close
 }
--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -18,7 +18,7 @@
 func (g *fakeGateway) Ready() bool { return !g.draining.Load() }
 func (g *fakeGateway) Drain()      { g.draining.Store(true) }
 func (g *fakeGateway) Resume()     { g.draining.Store(false) }
-func (g *fakeGateway) WriteStats(w io.Writer) {
+func (g *fakeGateway) WriteMetrics(w io.Writer) {
 	_, _ = io.WriteString(w, "gw_concurrent 0\n") // the caller's test reads it
 }
 
--- a/internal/frontend/request.go
+++ b/internal/frontend/request.go
@@ -50,7 +50,7 @@
 // is known.
 func (c *connection) respondInvalidRequest(head *requestHead, err error) {
 	if head.hasClass {
-		c.server.metrics.RequestAnswered(head.class, metrics.RequestFailed)
+		c.server.metrics.RequestAnswered(head.class, metrics.RequestAborted)
 	}
 	c.respondInvalid(err.Error())
 }
@@ -112,7 +112,7 @@
 	}
 	logging.Panicked(logComponent, fmt.Sprintf("request %s: %v", p.id, cause), debug.Stack())
 	p.request.HandleClientGone()
-	p.connection.server.metrics.RequestAnswered(p.class, metrics.RequestFailed)
+	p.connection.server.metrics.RequestAnswered(p.class, metrics.RequestAborted)
 	p.connection.complete(p, []byte("-ERR internal fault\r\n"))
 }
 
@@ -129,7 +129,7 @@
 		s.metrics.RequestAnswered(p.class, metrics.RequestRejected)
 		c.complete(p, busyResponse(step.RetryAfter))
 	case dispatch.Abort:
-		s.metrics.RequestAnswered(p.class, metrics.RequestFailed)
+		s.metrics.RequestAnswered(p.class, metrics.RequestAborted)
 		c.complete(p, []byte("-ERR failed\r\n"))
 	default: // the client has gone
 		c.complete(p, nil)
--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -1,7 +1,7 @@
 // Package logging sets up the program's only log. It uses logrus and writes one line per entry to standard
 // error, as text or as JSON. A message is a short constant phrase. What it is about is in fields with fixed
 // names, which docs/runbook.md lists. Every entry names its component. Nothing is logged at info or above for
-// each request.
+// each request, but for a request of a class or plan that the settings lack.
 //
 // Setup changes the process-wide log and is called before the goroutines that log are started. Everything
 // else is safe for concurrent use.
@@ -17,7 +17,7 @@
 	"github.com/sirupsen/logrus"
 )
 
-// Keys of the fields of an entry, which are the same in every package. Operators filter by them and find them in
+// Keys of fields that several packages use. Operators filter by them and find them in
 // docs/runbook.md, so a change here is a change there.
 const (
 	Component = "component" // the part of the program that writes the entry
@@ -43,7 +43,7 @@
 // Options configures how the log is written.
 type Options struct {
 	Output   io.Writer // if nil, standard error
-	Level    string    // the lowest level that is written: error, warning, info or debug; required
+	Level    string    // the lowest level that is written, as logrus names it: error, warning, info, debug or another; required
 	Format   string    // text or json; required
 	Instance string    // the name that every entry carries; if empty, none
 }
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -26,19 +26,19 @@
 const (
 	RequestSucceeded RequestOutcome = iota // answered by a backend
 	RequestRejected                        // rejected
-	RequestFailed                          // failed, or refused because of its head
+	RequestAborted                          // aborted, or refused because of its head
 
 	requestOutcomeCount // the number of outcomes
 )
 
-// String returns the name of the outcome, which is also the name of its metric.
+// String returns the name of the outcome's metric, without the namespace.
 func (o RequestOutcome) String() string {
 	switch o {
 	case RequestSucceeded:
 		return "success"
 	case RequestRejected:
 		return "overload"
-	case RequestFailed:
+	case RequestAborted:
 		return "error"
 	default:
 		return fmt.Sprintf("RequestOutcome(%d)", uint8(o))
@@ -71,7 +71,7 @@
 		requests: [requestOutcomeCount]*prometheus.CounterVec{
 			RequestSucceeded: newClassCounter(RequestSucceeded.String(), "requests answered by a backend"),
 			RequestRejected:  newClassCounter(RequestRejected.String(), "requests rejected"),
-			RequestFailed:    newClassCounter(RequestFailed.String(), "requests aborted or refused"),
+			RequestAborted:    newClassCounter(RequestAborted.String(), "requests aborted or refused"),
 		},
 		attempts:          newClassCounter("dispatches", "attempts sent completely to backends"),
 		requestsInFlight:  newGauge("concurrent", "requests received and not answered yet"),
@@ -105,7 +105,8 @@
 // classCounters returns the counters that have a row for each class.
 func (r *Registry) classCounters() []*prometheus.CounterVec { return append(r.requests[:], r.attempts) }
 
-// Gauge is a metric of a source, for instance a server, that is read each time the metric is shown.
+// Gauge is a metric of a source, for instance a server, that is read each time the metric is shown. Some of them
+// only rise, and are exported as gauges all the same.
 type Gauge[S any] struct {
 	Name  string                 // without the namespace; its ending names the unit, if there is one
 	Help  string                 // for operators
@@ -125,8 +126,8 @@
 	}
 }
 
-// SetClasses replaces the names of the classes, by id, after a reload. The counts of dropped classes stay
-// readable. An empty name keeps the previous name of its id, under which the requests in flight of a dropped
+// SetClasses replaces the names of the classes, by id, after a reload. There must be at least as many as before, since
+// ids are never given up. The counts of dropped classes stay readable. An empty name keeps the previous name of its id, under which the requests in flight of a dropped
 // class are counted.
 func (r *Registry) SetClasses(names []string) {
 	if r == nil {
@@ -153,7 +154,8 @@
 	return unknownClass
 }
 
-// RequestReceived counts a completely read request as one in flight.
+// RequestReceived counts a completely read request as one in flight. It is followed by at most one RequestAnswered
+// and then by one RequestEnded. A request that is refused because of its head has a RequestAnswered alone.
 func (r *Registry) RequestReceived() {
 	if r != nil {
 		r.requestsInFlight.Inc()
