--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -26,7 +26,7 @@
 const (
 	RequestSucceeded RequestOutcome = iota // answered by a backend
 	RequestRejected                        // rejected
-	RequestAborted                          // aborted, or refused because of its head
+	RequestAborted                         // aborted, or refused because of its head
 
 	requestOutcomeCount // the number of outcomes
 )
@@ -71,7 +71,7 @@
 		requests: [requestOutcomeCount]*prometheus.CounterVec{
 			RequestSucceeded: newClassCounter(RequestSucceeded.String(), "requests answered by a backend"),
 			RequestRejected:  newClassCounter(RequestRejected.String(), "requests rejected"),
-			RequestAborted:    newClassCounter(RequestAborted.String(), "requests aborted or refused"),
+			RequestAborted:   newClassCounter(RequestAborted.String(), "requests aborted or refused"),
 		},
 		attempts:          newClassCounter("dispatches", "attempts sent completely to backends"),
 		requestsInFlight:  newGauge("concurrent", "requests received and not answered yet"),
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -39,7 +39,7 @@
 	r.SetEndpoints(5, 2)
 	r.ConfigRejected()
 	r.SetClasses([]string{"", "pay", "report"}) // lookup is dropped, its row stays; pay is a new row
-	r.RequestAnswered(0, RequestAborted)         // in flight under lookup
+	r.RequestAnswered(0, RequestAborted)        // in flight under lookup
 	r.SetClasses([]string{"", "pay", "report"})
 	r.RequestAnswered(1, RequestRejected)
 	r.RequestAnswered(7, RequestAborted) // of no known class
