--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -43,7 +43,7 @@
 // Options configures how the log is written.
 type Options struct {
 	Output   io.Writer // if nil, standard error
-	Level    string    // the lowest level that is written, as logrus names it: error, warning, info, debug or another; required
+	Level    string    // the lowest level that is written, as logrus names it (error, warning, info, ...); required
 	Format   string    // text or json; required
 	Instance string    // the name that every entry carries; if empty, none
 }
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -126,9 +126,9 @@
 	}
 }
 
-// SetClasses replaces the names of the classes, by id, after a reload. There must be at least as many as before, since
-// ids are never given up. The counts of dropped classes stay readable. An empty name keeps the previous name of its id, under which the requests in flight of a dropped
-// class are counted.
+// SetClasses replaces the names of the classes, by id, after a reload. There must be at least as many as before,
+// since ids are never given up. The counts of dropped classes stay readable. An empty name keeps the previous name
+// of its id, under which the requests in flight of a dropped class are counted.
 func (r *Registry) SetClasses(names []string) {
 	if r == nil {
 		return
