--- a/internal/backend/pool_test.go
+++ b/internal/backend/pool_test.go
@@ -6,6 +6,7 @@
 	"io"
 	"net"
 	"net/netip"
+	"runtime"
 	"testing"
 	"time"
 
@@ -166,7 +167,7 @@
 	if got := c.socket.RemoteAddr().String(); got != good {
 		t.Fatal(got)
 	}
-	<-conns
+	defer runtime.KeepAlive(<-conns) // a collected connection would be closed, and the pool would drop c
 	if first := p.endpoints[1].addresses[0]; first != addresses[1] || len(p.endpoints[1].addresses) != 2 {
 		t.Errorf("%v is first next time, in %v", first, p.endpoints[1].addresses)
 	}
