--- a/internal/discovery/poll.go
+++ b/internal/discovery/poll.go
@@ -92,7 +92,7 @@
 	if state.needsSnapshot {
 		return timeouts.Snapshot
 	}
-	return timeouts.Watch + timeouts.Lateness
+	return timeouts.Watch + timeouts.WatchGrace
 }
 
 // dialTimeout returns how long the connection for a call may take. It is no longer than a snapshot may, so that
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -102,8 +102,8 @@
 	configuration.Settings.PollEndpoints = true
 	configuration.Settings.PollTimeout = 10e9
 	got := New(Options{Config: configuration}).timeouts
-	if got.Watch < 4*time.Second || got.Watch+got.Lateness > 5*time.Second {
-		t.Errorf("a watch lasts %v, and is given up %v later", got.Watch, got.Lateness)
+	if got.Watch < 4*time.Second || got.Watch+got.WatchGrace > 5*time.Second {
+		t.Errorf("a watch lasts %v, and is given up %v later", got.Watch, got.WatchGrace)
 	}
 }
 
--- a/internal/limitserver/check.go
+++ b/internal/limitserver/check.go
@@ -70,7 +70,7 @@
 	if rejection.RetryAfter > 0 {
 		return rejection.RetryAfter
 	}
-	return max(quota.RetryAfterRejection(), 0)
+	return max(quota.RejectionRetryAfter(), 0)
 }
 
 // peek answers with the known quota status, and counts nothing.
--- a/policy/admission.go
+++ b/policy/admission.go
@@ -1,16 +1,16 @@
 package policy
 
-// admission is what the check of a request's quota says.
-type admission uint8
+// quotaDecision is what the check of a request's quota says.
+type quotaDecision uint8
 
 const (
-	overQuota       admission = iota // beyond the quota, as far as is known
-	withinQuota                      // admitted and charged to the quota
-	awaitingCounter                  // the counter's answer decides
+	overQuota       quotaDecision = iota // beyond the quota, as far as is known
+	withinQuota                          // admitted and charged to the quota
+	awaitingCounter                      // the counter's answer decides
 )
 
-func (a admission) String() string {
-	return enumName(int(a), "over quota", "within quota", "awaiting counter")
+func (d quotaDecision) String() string {
+	return enumName(int(d), "over quota", "within quota", "awaiting counter")
 }
 
 // Submit starts a request and decides on its admission. It issues the first effects before it returns.
@@ -22,7 +22,7 @@
 	}
 	r.class = e.classes[spec.Class]
 	r.plan = e.plans[spec.Plan]
-	r.tenant = e.tenantFor(now, spec.Tenant, r)
+	r.tenant = e.findOrAddTenant(now, spec.Tenant, r)
 	r.answerDueAt = r.answerDue(now)
 	r.checkAdmission(now)
 	return r
@@ -32,11 +32,11 @@
 // (concurrency_limit.go), capacity of the backends (capacity.go), quota (quota.go). A request that fails the
 // concurrency limit or the quota may still be worth sending (over_quota.go).
 func (r *Request) checkAdmission(now Instant) {
-	if lacking := r.drawHardQuota(now); lacking > 0 {
-		r.giveUp(r.retryAfterHardQuota(lacking))
+	if shortfall := r.takeFromHardQuota(now); shortfall > 0 {
+		r.giveUp(r.retryAfterHardQuota(shortfall))
 		return
 	}
-	if r.overConcurrencyLimit() {
+	if r.atConcurrencyLimit() {
 		r.handleOverQuota(now)
 		return
 	}
@@ -48,12 +48,12 @@
 		r.giveUp(r.retryAfterNoCapacity())
 		return
 	}
-	r.handleAdmission(now, r.checkQuota(now))
+	r.applyQuotaDecision(now, r.checkQuota(now))
 }
 
-// handleAdmission carries out what the check of the quota says, once it is known, with or without the counter.
-func (r *Request) handleAdmission(now Instant, checked admission) {
-	switch checked {
+// applyQuotaDecision carries out what the check of the quota says, once it is known, with or without the counter.
+func (r *Request) applyQuotaDecision(now Instant, decision quotaDecision) {
+	switch decision {
 	case withinQuota:
 		r.admit(now)
 	case overQuota:
@@ -76,7 +76,7 @@
 // of a class that only counts is admitted instead.
 func (r *Request) forward(now Instant) {
 	if r.class.CheckOnly {
-		r.finishCheck()
+		r.finishCheckOnly()
 		return
 	}
 	b := r.engine.pickBackend(now, r, fullBudget)
@@ -85,8 +85,8 @@
 	}
 }
 
-// finishCheck admits a request of a class that only counts. Nothing is sent, and what was counted stays counted.
-func (r *Request) finishCheck() {
+// finishCheckOnly admits a request of a class that only counts. Nothing is sent, and what was counted stays counted.
+func (r *Request) finishCheckOnly() {
 	r.withinQuota = false // so that finish gives nothing back
 	r.hardQuotaUnits = 0
 	r.finish()
--- a/policy/breaker.go
+++ b/policy/breaker.go
@@ -9,18 +9,18 @@
 const (
 	// breakerFailureThreshold is how many failed calls in a row open the breaker.
 	breakerFailureThreshold = 5
-	// breakerOpenTime is how long the breaker stays open before one call is tried, plus up to breakerJitter,
+	// breakerOpenTime is how long the breaker stays open before one call is tried, plus up to breakerMaxJitter,
 	// so that the instances do not all try at once.
-	breakerOpenTime = time.Second
-	breakerJitter   = 250 * time.Millisecond
+	breakerOpenTime  = time.Second
+	breakerMaxJitter = 250 * time.Millisecond
 
-	// After the breaker has closed again, callShareAfterOpen of the requests call. Then, and while the counter
-	// is overloaded, each answer adds callShareGain to the share, and each failure multiplies it by
-	// callShareLoss, down to callShareMin.
-	callShareAfterOpen = 0.5
-	callShareGain      = 0.02
-	callShareLoss      = 0.8
-	callShareMin       = 0.05
+	// After the breaker has closed again, callShareAfterRecovery of the requests call. Then, and while the counter
+	// is overloaded, each answer adds callShareIncrease to the share, and each failure multiplies it by
+	// callShareDecreaseFactor, down to minCallShare.
+	callShareAfterRecovery  = 0.5
+	callShareIncrease       = 0.02
+	callShareDecreaseFactor = 0.8
+	minCallShare            = 0.05
 )
 
 // counterBreaker decides how many requests call the counter: none while it is open, and fewer while an
@@ -49,7 +49,7 @@
 // and a further failure keeps it open for longer.
 func (e *Engine) recordCounterCall(now Instant, outcome Outcome) {
 	// Drawn for a success too: recorded runs depend on the order of draws.
-	jitter := time.Duration(e.random.Float64() * float64(breakerJitter))
+	jitter := time.Duration(e.random.Float64() * float64(breakerMaxJitter))
 	if outcome == Succeeded {
 		e.breaker.recordAnswer()
 		return
@@ -59,16 +59,16 @@
 
 func (b *counterBreaker) recordAnswer() {
 	if b.IsClosed() {
-		b.callShare = min(b.callShare+callShareGain, 1)
+		b.callShare = min(b.callShare+callShareIncrease, 1)
 	} else {
-		b.callShare = callShareAfterOpen
+		b.callShare = callShareAfterRecovery
 	}
 	b.RecordSuccess()
 }
 
 func (b *counterBreaker) recordFailure(retryAt Instant) {
 	if b.IsClosed() {
-		b.callShare = max(b.callShare*callShareLoss, callShareMin)
+		b.callShare = max(b.callShare*callShareDecreaseFactor, minCallShare)
 	}
 	b.RecordFailure(breakerFailureThreshold, retryAt)
 }
--- a/policy/breaker_test.go
+++ b/policy/breaker_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-func TestBreaker_SilentCounterOpensItAndOneCallClosesIt(t *testing.T) {
+func TestBreaker_OpensOnTimeoutsAndClosesAfterOneSuccess(t *testing.T) {
 	h := newHarness(t, defaultSettings(), readyEndpoints(1, 2, 3, 4, 5, 6)...)
 	for n := range 20 {
 		request := h.submit(RequestID(n), 0, 0, TenantID(n), 2*time.Second, 1)
@@ -31,7 +31,7 @@
 
 // Fault: the client of a half-open call left, the call was never recorded as answered, and the breaker stayed
 // open.
-func TestBreaker_HalfOpenCallOutlivesItsClient(t *testing.T) {
+func TestBreaker_RecordsHalfOpenCallAfterClientLeft(t *testing.T) {
 	h := newHarness(t, defaultSettings(), readyEndpoints(1, 2, 3)...)
 	h.countAdmitted(0, breakerFailureThreshold, 1, Rejected)
 	h.advance(2 * time.Second)
@@ -44,7 +44,7 @@
 }
 
 // Fault: a counter that answers only some calls was called in full, or not at all by any instance.
-func TestCallShare_PartlyAnsweringCounterIsCalledLess(t *testing.T) {
+func TestCallShare_OverloadedCounterGetsFewerCalls(t *testing.T) {
 	h, calls := newHarness(t, defaultSettings(), readyEndpoints(1, 2, 3)...), 0
 	for n := range 200 {
 		request := h.submit(RequestID(n), 0, 0, TenantID(n), 2*time.Second, 1)
--- a/policy/class.go
+++ b/policy/class.go
@@ -16,6 +16,6 @@
 const hundredPercent = 100
 
 // percentOf returns a percentage of a span, rounded down to a nanosecond.
-func percentOf(span time.Duration, percent int64) time.Duration {
-	return span * time.Duration(percent) / hundredPercent
+func percentOf(duration time.Duration, percent int64) time.Duration {
+	return duration * time.Duration(percent) / hundredPercent
 }
--- a/policy/concurrency_limit_test.go
+++ b/policy/concurrency_limit_test.go
@@ -7,47 +7,47 @@
 
 // Fault: a limit of two attempts in flight was enforced by each of many instances for itself, and passed many
 // times over, or by an even part of it, so that one attempt at an instance had the next one there rejected.
-func TestConcurrencyLimit_IsEnforcedTogether(t *testing.T) {
+func TestConcurrencyLimit_AppliesAcrossInstances(t *testing.T) {
 	settings := defaultSettings()
 	settings.Plans[0].ConcurrencyLimit = 2
-	here := newHarness(t, settings, readyEndpoints(1, 2, 3, 4)...)
-	there := newHarness(t, settings, readyEndpoints(1, 2, 3, 4)...)
-	there.counter = here.counter
-	step := func(h *harness, id RequestID) *clientRequest {
+	local := newHarness(t, settings, readyEndpoints(1, 2, 3, 4)...)
+	remote := newHarness(t, settings, readyEndpoints(1, 2, 3, 4)...)
+	remote.counter = local.counter
+	submitAndAnswer := func(h *harness, id RequestID) *clientRequest {
 		request := h.submit(id, 0, 0, 7, 2*time.Second, 1)
 		h.answerCounterCalls(Succeeded)
 		return request
 	}
-	a, b := step(here, 1), step(there, 2)
-	if len(a.attempts) != 1 || len(b.attempts) != 1 {
+	localRequest, remoteRequest := submitAndAnswer(local, 1), submitAndAnswer(remote, 2)
+	if len(localRequest.attempts) != 1 || len(remoteRequest.attempts) != 1 {
 		t.Fatal("not admitted up to the limit")
 	}
-	if c := step(here, 3); c.ended != "rejected" {
+	if next := submitAndAnswer(local, 3); next.ended != "rejected" {
 		t.Error("admitted past the limit, with one in flight here and one there")
 	}
-	there.endAttempt(b, 0, Succeeded)
-	there.answerCounterCalls(Succeeded)
-	if c := step(here, 4); len(c.attempts) != 1 {
+	remote.endAttempt(remoteRequest, 0, Succeeded)
+	remote.answerCounterCalls(Succeeded)
+	if next := submitAndAnswer(local, 4); len(next.attempts) != 1 {
 		t.Error("the end of an attempt at the other instance was not reported")
 	}
-	if c := step(here, 5); c.ended != "rejected" {
+	if next := submitAndAnswer(local, 5); next.ended != "rejected" {
 		t.Error("admitted past the limit, with two in flight here")
 	}
-	plain := newHarness(t, defaultSettings(), readyEndpoints(1)...)
-	plain.now = here.now
-	if plain.submit(1, 0, 0, 7, 2*time.Second, 1); plain.pendingAdds[0].key == here.engine.tenants[7].window.key {
+	noLimit := newHarness(t, defaultSettings(), readyEndpoints(1)...)
+	noLimit.now = local.now
+	if noLimit.submit(1, 0, 0, 7, 2*time.Second, 1); noLimit.pendingAdds[0].key == local.engine.tenants[7].window.key {
 		t.Error("an instance that knows of no limit reads the same count")
 	}
-	unit, total := here.engine.plans[0].concurrencyUnit, here.counter[here.engine.tenants[7].window.key]
-	units := total - 2*unit // reported exactly beside the units, the end of b's too
+	weight, total := local.engine.plans[0].attemptWeight, local.counter[local.engine.tenants[7].window.key]
+	units := total - 2*weight // reported exactly beside the units, the end of b's too
 	if units < 0 || units > 10 {
-		t.Errorf("the count stands at %f, of two attempts of %f each and at most ten units", total, unit)
+		t.Errorf("the count stands at %f, of two attempts of %f each and at most ten units", total, weight)
 	}
 }
 
 // Fault: without the counter a limit was an even part of an attempt, at least one, whatever the tenant's
 // rate.
-func TestConcurrencyLimit_WithoutTheCounter(t *testing.T) {
+func TestConcurrencyLimit_IsEstimatedWithoutCounter(t *testing.T) {
 	for rate, want := range map[float64]int{1: 3, 50: 1} {
 		settings := defaultSettings()
 		settings.Plans[0] = PlanSettings{Rate: rate, Burst: 100, ConcurrencyLimit: 3}
--- a/policy/counter_call.go
+++ b/policy/counter_call.go
@@ -18,15 +18,15 @@
 
 // counterCall is one unanswered call to the counter.
 type counterCall struct {
-	tenant      *tenant
-	request     *Request // nil: the call only corrects the count
-	windowStart Instant  // of the window that the count belongs to
-	amount      float64  // units that were added
-	units       float64  // units of the request and of the requests that it stands for
-	corrections float64  // the window's corrections when the call was made
-	attempts    int      // attempts in flight that were added
-	waiting     bool     // the answer decides the request
-	admitted    bool     // the request was admitted
+	tenant        *tenant
+	request       *Request // nil: the call only corrects the count
+	windowStart   Instant  // of the window that the count belongs to
+	amount        float64  // units that were added
+	units         float64  // units of the request and of the requests that it stands for
+	corrections   float64  // the window's corrections when the call was made
+	addedAttempts int      // attempts in flight that were added
+	waiting       bool     // the answer decides the request
+	admitted      bool     // the request was admitted
 }
 
 // pendingCalls are the unanswered calls by their count, in the order in which they were made: the counter
@@ -61,9 +61,9 @@
 	e, t := r.engine, r.tenant
 	r.waitingForCounter = true
 	t.waiting++
-	units := r.units * (1 + e.uncountedPerCall()*r.localAdmitChance())
-	call := e.count(now, t, r, countedUnits{own: units, correction: t.unreported})
-	t.unreported = 0
+	units := r.units * (1 + e.uncountedPerCall()*r.localAdmissionProbability())
+	call := e.addToCount(now, t, r, countedUnits{charged: units, correction: t.unreportedUnits})
+	t.unreportedUnits = 0
 	wait := min(r.class.counterWait, r.deadline.Sub(now)/2)
 	e.schedule(now.Add(wait), &call.waiting, func(now Instant) { call.decideWithoutAnswer(now, TimedOut) })
 }
@@ -76,25 +76,25 @@
 
 // countedUnits are the units that a call adds to a count: those of the request and of the requests that it
 // stands for, and a correction of the count, which may be negative.
-type countedUnits struct{ own, correction float64 }
+type countedUnits struct{ charged, correction float64 }
 
-// count adds units to the tenant's count, and the attempts in flight that the count does not hold yet. r is
+// addToCount adds units to the tenant's count, and the attempts in flight that the count does not hold yet. r is
 // nil if the call only corrects the count.
-func (e *Engine) count(now Instant, t *tenant, r *Request, units countedUnits) *counterCall {
+func (e *Engine) addToCount(now Instant, t *tenant, r *Request, units countedUnits) *counterCall {
 	w := &t.window
 	call := &counterCall{
-		tenant:      t,
-		request:     r,
-		windowStart: w.start,
-		amount:      units.own + units.correction,
-		units:       units.own,
-		corrections: w.corrections,
-		attempts:    t.inFlight + t.waiting - w.reportedInFlight,
-		waiting:     r != nil,
+		tenant:        t,
+		request:       r,
+		windowStart:   w.start,
+		amount:        units.charged + units.correction,
+		units:         units.charged,
+		corrections:   w.corrections,
+		addedAttempts: t.inFlight + t.waiting - w.reportedInFlight,
+		waiting:       r != nil,
 	}
 	e.pendingCalls.push(w.key, call)
-	w.reportedInFlight += call.attempts
-	amount := call.amount + float64(call.attempts)*t.plan.concurrencyUnit
+	w.reportedInFlight += call.addedAttempts
+	amount := call.amount + float64(call.addedAttempts)*t.plan.attemptWeight
 	e.effects.AddToCounter(w.key, amount, t.countLifetime(now))
 	return call
 }
@@ -102,8 +102,8 @@
 // reportEndedAttempts counts the end of the tenant's attempts, if the counter may be called. An open breaker is not
 // tried with it, since such a call is not recorded and would leave it half-open.
 func (e *Engine) reportEndedAttempts(now Instant, t *tenant) {
-	if t.hasStaleInFlight(now) && e.breaker.IsClosed() && e.claimCounterCall(now) {
-		e.count(now, t, nil, countedUnits{})
+	if t.countHoldsEndedAttempts(now) && e.breaker.IsClosed() && e.claimCounterCall(now) {
+		e.addToCount(now, t, nil, countedUnits{})
 	}
 }
 
@@ -129,30 +129,30 @@
 // handleCounterTotal processes the total of a count. Three things are added to the answer: refill beyond a full
 // bucket, what the last window left used, and units that an emptied counter lost. The answer to a call of an
 // earlier window decides its request with the lost units and the corrections of that window, and is not stored.
-func (e *Engine) handleCounterTotal(now Instant, call *counterCall, answer float64) {
+func (e *Engine) handleCounterTotal(now Instant, call *counterCall, answeredTotal float64) {
 	t := call.tenant
-	total := t.plan.splitTotal(answer)
+	total := t.plan.splitTotal(answeredTotal)
 	adjustment := t.adjustmentOf(call)
 	total.units += adjustment.corrections - call.corrections // added since the call was made
 	total.refilled = t.refilled(now, call.windowStart)
 	countsCurrentWindow := call.windowStart == t.window.start
-	isObserved := call.request != nil && countsCurrentWindow
-	if isObserved {
+	updatesWindow := call.request != nil && countsCurrentWindow
+	if updatesWindow {
 		t.observeTotal(total, call.amount)
 		adjustment = t.window.adjustment()
 	}
 	total.units += adjustment.lostUnits
 	correction := 0.0
-	if isObserved {
+	if updatesWindow {
 		correction = call.request.claimLostUnits(now)
 	}
 	if call.waiting {
 		call.decideByTotal(now, total)
 	}
-	if call.countedInVain() {
+	if call.countedButNotAdmitted() {
 		correction -= call.units
 		total.units -= call.units
-		t.traffic.uncount(call.units)
+		t.traffic.removeOwnUnits(call.units)
 	}
 	if countsCurrentWindow && now.Before(t.windowEnd()) {
 		e.storeTotal(now, t, total.units, correction)
@@ -164,14 +164,14 @@
 func (c *counterCall) decideByTotal(now Instant, total countTotal) {
 	t, units := c.tenant, c.request.units
 	unitsLeft := t.plan.quota + total.refilled - total.units + c.units - units
-	overLimit := t.plan.concurrencyUnit > 0 && total.inFlight > float64(t.plan.ConcurrencyLimit)
-	checked := overQuota
+	overLimit := t.plan.attemptWeight > 0 && total.inFlight > float64(t.plan.ConcurrencyLimit)
+	decision := overQuota
 	if unitsLeft+roundingTolerance >= 0 && !overLimit {
-		checked = withinQuota
+		decision = withinQuota
 	}
-	c.decide(now, Succeeded, checked)
+	c.decide(now, Succeeded, decision)
 	if units > 0 { // a request of no units shows no share
-		t.recordAdmittedShare(min(max(unitsLeft+units, 0)/units, 1))
+		t.recordAdmittedFraction(min(max(unitsLeft+units, 0)/units, 1))
 	}
 }
 
@@ -180,9 +180,9 @@
 func (e *Engine) storeTotal(now Instant, t *tenant, total, correction float64) {
 	t.window.total = total
 	t.window.counterTotal = total - t.window.lostUnits
-	if math.Abs(correction) > roundingTolerance || t.hasStaleInFlight(now) {
+	if math.Abs(correction) > roundingTolerance || t.countHoldsEndedAttempts(now) {
 		t.window.corrections += correction
-		e.count(now, t, nil, countedUnits{correction: correction})
+		e.addToCount(now, t, nil, countedUnits{correction: correction})
 	}
 }
 
@@ -199,14 +199,15 @@
 	certainlyNotAdded := outcome == Rejected || outcome == ConnectFailed
 	countsCurrentWindow := call.windowStart == t.window.start
 	if certainlyNotAdded && countsCurrentWindow {
-		t.window.reportedInFlight -= call.attempts
+		t.window.reportedInFlight -= call.addedAttempts
 	}
 	likelyAdded := e.likelyAdded(outcome)
 	if !likelyAdded {
-		t.unreported += call.amount
+		t.unreportedUnits += call.amount
 	}
-	if call.countedInVain() && (countsCurrentWindow || !likelyAdded) { // the current count lacks those of an earlier one
-		t.unreported -= call.units
+	// The current window's count does not hold units that were added in an earlier window.
+	if call.countedButNotAdmitted() && (countsCurrentWindow || !likelyAdded) {
+		t.unreportedUnits -= call.units
 	}
 }
 
@@ -216,17 +217,17 @@
 	return outcome == ConnectionLost || outcome == TimedOut && e.breaker.IsClosed()
 }
 
-// countedInVain reports whether the call's units were counted for a request that was not admitted, where such
+// countedButNotAdmitted reports whether the call's units were counted for a request that was not admitted, where such
 // units have to be taken back.
-func (c *counterCall) countedInVain() bool { return !c.admitted && c.tenant.refillTracked }
+func (c *counterCall) countedButNotAdmitted() bool { return !c.admitted && c.tenant.refillTracked }
 
 // decideWithoutAnswer decides the call's request by the fallback mode of its class.
 func (c *counterCall) decideWithoutAnswer(now Instant, outcome Outcome) {
-	c.decide(now, outcome, c.request.fallbackAdmission(now))
+	c.decide(now, outcome, c.request.fallbackDecision(now))
 }
 
 // decide ends the wait of the call's request. The outcome is that of the call; the breaker learns from it.
-func (c *counterCall) decide(now Instant, outcome Outcome, checked admission) {
+func (c *counterCall) decide(now Instant, outcome Outcome, decision quotaDecision) {
 	r := c.request
 	c.waiting = false
 	r.engine.recordCounterCall(now, outcome)
@@ -235,24 +236,24 @@
 	}
 	c.tenant.waiting--
 	r.waitingForCounter = false
-	c.admitted = checked == withinQuota
-	r.handleAdmission(now, checked)
+	c.admitted = decision == withinQuota
+	r.applyQuotaDecision(now, decision)
 }
 
-// noteUncounted notes that a request was admitted without a call. While the counter answers, the calls of
+// recordUncounted notes that a request was admitted without a call. While the counter answers, the calls of
 // other requests stand for it.
-func (r *Request) noteUncounted() {
+func (r *Request) recordUncounted() {
 	if !r.engine.breaker.IsClosed() || !r.engine.settings.CounterEnabled {
-		r.tenant.unreported += r.units
+		r.tenant.unreportedUnits += r.units
 	}
 }
 
 // splitTotal separates a count's total into its units and the attempts in flight that are counted beside
 // them.
 func (p *plan) splitTotal(total float64) countTotal {
-	if p.concurrencyUnit <= 0 {
+	if p.attemptWeight <= 0 {
 		return countTotal{units: total}
 	}
-	inFlight := math.Round(total / p.concurrencyUnit)
-	return countTotal{units: total - inFlight*p.concurrencyUnit, inFlight: inFlight}
+	inFlight := math.Round(total / p.attemptWeight)
+	return countTotal{units: total - inFlight*p.attemptWeight, inFlight: inFlight}
 }
--- a/policy/counter_call_test.go
+++ b/policy/counter_call_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-func TestCounterCall_SlowCounterCostsOneShortWaitAndStillInforms(t *testing.T) {
+func TestCounterCall_LateAnswerUpdatesTotal(t *testing.T) {
 	h := newHarness(t, defaultSettings(), readyEndpoints(1, 2, 3)...)
 	request := h.submit(1, 0, 0, 1, 2*time.Second, 1)
 	h.advance(40 * time.Millisecond)
@@ -26,16 +26,16 @@
 		h := newHarness(t, defaultSettings(), readyEndpoints(1, 2, 3)...)
 		h.submit(1, 0, 0, 1, 2*time.Second, 1)
 		h.answerCounter(outcome)
-		if got := h.engine.tenants[1].unreported; got != want {
+		if got := h.engine.tenants[1].unreportedUnits; got != want {
 			t.Errorf("outcome %s: then %v is unreported, wanted %v", outcome, got, want)
 		}
 	}
 }
 
-// TestCounterCall_AnswerOfTheLastWindowIsDecidedByIt guards against requests that are rejected, or admitted, by the
+// TestCounterCall_AnswerUsesAdjustmentOfItsOwnWindow guards against requests that are rejected, or admitted, by the
 // wrong count: an answer to a call made before a rollover was decided with the lost units and the corrections of
 // the window after it.
-func TestCounterCall_AnswerOfTheLastWindowIsDecidedByIt(t *testing.T) {
+func TestCounterCall_AnswerUsesAdjustmentOfItsOwnWindow(t *testing.T) {
 	for name, test := range map[string]struct {
 		lost, corrections float64 // of the new window
 		total             float64 // that the old window's count has already
@@ -65,9 +65,9 @@
 	}
 }
 
-// TestCounterCall_FailureOfTheLastWindowGivesNoCredit guards against a quota that does not hold: units that a call
+// TestCounterCall_FailureInPreviousWindowLowersNoCount guards against a quota that does not hold: units that a call
 // of the last window had counted in vain were taken off the count of the window after it, which never had them.
-func TestCounterCall_FailureOfTheLastWindowGivesNoCredit(t *testing.T) {
+func TestCounterCall_FailureInPreviousWindowLowersNoCount(t *testing.T) {
 	settings := defaultSettings()
 	settings.Classes[0].FallbackMode = FailClosed
 	h := newHarness(t, settings, readyEndpoints(1, 2, 3)...)
@@ -81,7 +81,7 @@
 	tenant := h.engine.tenants[1]
 	h.engine.rollOver(h.now, tenant, 2)
 	h.answerCounter(TimedOut)
-	if tenant.unreported != 0 {
-		t.Errorf("%v units unreported in the new window", tenant.unreported)
+	if tenant.unreportedUnits != 0 {
+		t.Errorf("%v units unreported in the new window", tenant.unreportedUnits)
 	}
 }
--- a/policy/doc.go
+++ b/policy/doc.go
@@ -25,7 +25,7 @@
 // instance's local share of the quota, fail open or fail closed. What is admitted goes to the first backend
 // of a ranked order that is below its concurrency limit. Only Request.sendAttempt sends, and only
 // Request.abortUnknown, Request.giveUp, Request.continueAfter, Request.HandleClientGone and
-// Request.finishCheck finish a request.
+// Request.finishCheckOnly finish a request.
 //
 // Comments that say "rule 1" to "rule 5" mean the rules that package internal/lab/invariants checks: one
 // final answer (1), no request that must not runs twice (2), no attempt to a backend that has drained (3), no
--- a/policy/endpoint_watch.go
+++ b/policy/endpoint_watch.go
@@ -36,18 +36,18 @@
 func (s Settings) DiscoveryTimeouts() DiscoveryTimeouts {
 	if s.PollEndpoints {
 		return DiscoveryTimeouts{
-			Watch:      min(max(minPolledWatch, s.PollTimeout), maxPolledWatch),
-			Lateness:   polledLateness,
-			Snapshot:   polledSnapshot,
-			RetryDelay: polledRetryDelay,
+			Watch:         min(max(minPolledWatch, s.PollTimeout), maxPolledWatch),
+			WatchGrace:    polledLateness,
+			Snapshot:      polledSnapshot,
+			MaxRetryDelay: polledRetryDelay,
 		}
 	}
 	grace := max(s.DrainGrace, minDrainGrace)
 	return DiscoveryTimeouts{
-		Watch:      grace / pushedWatchDivisor,
-		Lateness:   grace / pushedLatenessDivisor,
-		Snapshot:   grace / pushedSnapshotDivisor,
-		RetryDelay: grace / pushedRetryDivisor,
+		Watch:         grace / pushedWatchDivisor,
+		WatchGrace:    grace / pushedLatenessDivisor,
+		Snapshot:      grace / pushedSnapshotDivisor,
+		MaxRetryDelay: grace / pushedRetryDivisor,
 	}
 }
 
--- a/policy/endpoint_watch_test.go
+++ b/policy/endpoint_watch_test.go
@@ -32,7 +32,7 @@
 		200 * time.Millisecond, 250 * time.Millisecond, 500 * time.Millisecond, time.Second, 10 * time.Second,
 	} {
 		timeouts := Settings{DrainGrace: grace}.DiscoveryTimeouts()
-		watch, late, whole, again := timeouts.Watch, timeouts.Lateness, timeouts.Snapshot, timeouts.RetryDelay
+		watch, late, whole, again := timeouts.Watch, timeouts.WatchGrace, timeouts.Snapshot, timeouts.MaxRetryDelay
 		if max(watch+late, whole)+again > grace*7/10 || watch < 50*time.Millisecond {
 			t.Errorf("of a grace of %d: a watch of %d and %d, a list of %d, again after %d",
 				grace, watch, late, whole, again)
@@ -55,7 +55,7 @@
 		settings := defaultSettings()
 		settings.PollEndpoints, settings.PollTimeout = true, within
 		timeouts := settings.DiscoveryTimeouts()
-		watch, late, whole, again := timeouts.Watch, timeouts.Lateness, timeouts.Snapshot, timeouts.RetryDelay
+		watch, late, whole, again := timeouts.Watch, timeouts.WatchGrace, timeouts.Snapshot, timeouts.MaxRetryDelay
 		if watch+late+again > 5200*time.Millisecond || whole+again > 5200*time.Millisecond {
 			t.Errorf("asked for within %d: %d, %d, %d, %d", within, watch, late, whole, again)
 		}
--- a/policy/endpoints.go
+++ b/policy/endpoints.go
@@ -18,7 +18,7 @@
 		e.retryWatch(now)
 		return
 	}
-	e.watchRetryDelay = e.settings.DiscoveryTimeouts().RetryDelay
+	e.watchRetryDelay = e.settings.DiscoveryTimeouts().MaxRetryDelay
 	if kind != Delta {
 		e.markAllGone()
 	}
--- a/policy/engine.go
+++ b/policy/engine.go
@@ -78,7 +78,7 @@
 // classes their wait for the counter. The backoff of the endpoint watch starts anew.
 func (e *Engine) UpdateSettings(settings Settings) {
 	e.settings = settings
-	e.watchRetryDelay = settings.DiscoveryTimeouts().RetryDelay
+	e.watchRetryDelay = settings.DiscoveryTimeouts().MaxRetryDelay
 	for _, row := range settings.Classes[len(e.classes):] {
 		e.classes = append(e.classes, newClass(row, settings.CounterTimeout))
 		e.latency.boundIdleFloor(row.LatencyObjective)
--- a/policy/fallback.go
+++ b/policy/fallback.go
@@ -1,9 +1,9 @@
 package policy
 
-// fallbackAdmission decides a request without the counter: by the estimate of the tenant's attempts in flight, if its
+// fallbackDecision decides a request without the counter: by the estimate of the tenant's attempts in flight, if its
 // plan has a concurrency limit, and then by the fallback mode of its class.
-func (r *Request) fallbackAdmission(now Instant) admission {
-	if r.concurrencyReached() {
+func (r *Request) fallbackDecision(now Instant) quotaDecision {
+	if r.estimatedAtConcurrencyLimit() {
 		return overQuota
 	}
 	switch r.class.FallbackMode {
--- a/policy/fallback_test.go
+++ b/policy/fallback_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-func TestFallback_RefusingCounterLeavesTheFallbackMode(t *testing.T) {
+func TestFallback_RejectedCallAppliesFallbackMode(t *testing.T) {
 	for mode, want := range []int{LocalShare: 5, FailOpen: 30, FailClosed: 0} { // share: half of a burst of 10
 		settings := defaultSettings()
 		settings.Classes[0].FallbackMode = FallbackMode(mode)
--- a/policy/golden_instance_test.go
+++ b/policy/golden_instance_test.go
@@ -161,8 +161,8 @@
 	}
 	w.write(codeExport, in.number, fields...)
 	timeouts := in.settings().DiscoveryTimeouts()
-	w.write(codeTimeouts, in.number, uint64(timeouts.Watch), uint64(timeouts.Lateness), uint64(timeouts.Snapshot),
-		uint64(timeouts.RetryDelay))
+	w.write(codeTimeouts, in.number, uint64(timeouts.Watch), uint64(timeouts.WatchGrace), uint64(timeouts.Snapshot),
+		uint64(timeouts.MaxRetryDelay))
 }
 
 func (in *goldenInstance) Send(spec policy.AttemptSpec) {
--- a/policy/hard_quota_test.go
+++ b/policy/hard_quota_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-func TestHardQuota_HoldsWithoutTheCounterAndThroughRestarts(t *testing.T) {
+func TestHardQuota_StartsEmptyAndNeedsNoCounter(t *testing.T) {
 	settings := defaultSettings()
 	settings.Plans[0] = PlanSettings{HardQuotaRate: 4, HardQuotaBurst: 8}
 	h := newHarness(t, settings, readyEndpoints(1, 2, 3)...)
--- a/policy/internal/circuitbreaker/circuitbreaker_test.go
+++ b/policy/internal/circuitbreaker/circuitbreaker_test.go
@@ -8,12 +8,12 @@
 
 func at(nanos int64) monotime.Instant { return monotime.FromNanos(nanos) }
 
-func TestBreaker_States(t *testing.T) {
+func TestBreaker_StateTransitions(t *testing.T) {
 	var b Breaker
 	const threshold = 3
-	for n := range threshold {
+	for failures := range threshold {
 		if !b.IsClosed() || b.TryHalfOpen(at(100)) {
-			t.Fatalf("%s after %d failures", b.State, n)
+			t.Fatalf("%s after %d failures", b.State, failures)
 		}
 		b.RecordFailure(threshold, at(50))
 	}
--- a/policy/internal/quotawindow/quotawindow.go
+++ b/policy/internal/quotawindow/quotawindow.go
@@ -16,8 +16,8 @@
 // At returns the window of the given length, above 0, that contains an instant. Windows of different offsets
 // start at different times, so that they do not all roll over at once.
 func At(now monotime.Instant, length time.Duration, offset uint64) Window {
-	nanos := int64(length)
-	shifted := now.Nanos() + int64(offset%uint64(length))
-	start := now.Nanos() - shifted%nanos
-	return Window{Start: monotime.FromNanos(start), Index: uint64(shifted / nanos)}
+	lengthNanos := int64(length)
+	shiftedNanos := now.Nanos() + int64(offset%uint64(length))
+	start := now.Nanos() - shiftedNanos%lengthNanos
+	return Window{Start: monotime.FromNanos(start), Index: uint64(shiftedNanos / lengthNanos)}
 }
--- a/policy/internal/quotawindow/quotawindow_test.go
+++ b/policy/internal/quotawindow/quotawindow_test.go
@@ -9,7 +9,7 @@
 // at returns the window of ten nanoseconds that contains an instant.
 func at(now int64, offset uint64) Window { return At(monotime.FromNanos(now), 10, offset) }
 
-func TestAt_WindowsFollowWithoutAGap(t *testing.T) {
+func TestAt_WindowsAreContiguous(t *testing.T) {
 	for _, offset := range []uint64{0, 3, 10, 1<<64 - 1} {
 		previous := at(99, offset)
 		for now := int64(100); now < 200; now++ {
@@ -25,8 +25,8 @@
 	}
 }
 
-func TestAt_OffsetShiftsTheStart(t *testing.T) {
-	if plain, shifted := at(100, 0).Start.Nanos(), at(100, 13).Start.Nanos(); plain != 100 || shifted != 97 {
-		t.Errorf("windows start at %d and %d, want 100 and 97", plain, shifted)
+func TestAt_OffsetShiftsWindowStart(t *testing.T) {
+	if unshifted, shifted := at(100, 0).Start.Nanos(), at(100, 13).Start.Nanos(); unshifted != 100 || shifted != 97 {
+		t.Errorf("windows start at %d and %d, want 100 and 97", unshifted, shifted)
 	}
 }
--- a/policy/internal/tokenbucket/tokenbucket.go
+++ b/policy/internal/tokenbucket/tokenbucket.go
@@ -33,16 +33,16 @@
 	u.UpdatedAt = now
 }
 
-// Traffic is all of the traffic of which a Usage holds a part.
-type Traffic struct {
-	// Share is the part of the traffic that the Usage holds, above 0 and at most 1.
-	Share float64
+// TotalTraffic is all of the traffic of which a Usage holds a part.
+type TotalTraffic struct {
+	// MeasuredShare is the part of the traffic that the Usage holds, above 0 and at most 1.
+	MeasuredShare float64
 	// Rate is the refill of all of the traffic, in units a second.
 	Rate float64
 }
 
-// UnrefilledOf scales the usage up to all of the traffic, and returns how many units of that are not refilled at
+// Extrapolate scales the usage up to all of the traffic, and returns how many units of that are not refilled at
 // an instant. It changes nothing.
-func (u *Usage) UnrefilledOf(traffic Traffic, now monotime.Instant) float64 {
-	return max(u.Units/traffic.Share-monotime.Accrued(traffic.Rate, now.Sub(u.UpdatedAt)), 0)
+func (u *Usage) Extrapolate(traffic TotalTraffic, now monotime.Instant) float64 {
+	return max(u.Units/traffic.MeasuredShare-monotime.Accrued(traffic.Rate, now.Sub(u.UpdatedAt)), 0)
 }
--- a/policy/internal/tokenbucket/tokenbucket_test.go
+++ b/policy/internal/tokenbucket/tokenbucket_test.go
@@ -12,7 +12,7 @@
 	return monotime.FromNanos(seconds * int64(time.Second))
 }
 
-func TestBucket_RefillsUpToItsBurst(t *testing.T) {
+func TestBucket_RefillIsCappedAtBurst(t *testing.T) {
 	b := Bucket{Units: 1, UpdatedAt: atSecond(1)}
 	if got := b.Refill(atSecond(2), 3, 10); got != 4 {
 		t.Errorf("%g units after a second at 3 a second, want 4", got)
@@ -26,9 +26,9 @@
 	}
 }
 
-func TestUsage_RefillsDownToZero(t *testing.T) {
+func TestUsage_RefillStopsAtZero(t *testing.T) {
 	u := Usage{Units: 5, UpdatedAt: atSecond(1)}
-	if got := u.UnrefilledOf(Traffic{Share: 0.5, Rate: 4}, atSecond(2)); got != 6 {
+	if got := u.Extrapolate(TotalTraffic{MeasuredShare: 0.5, Rate: 4}, atSecond(2)); got != 6 {
 		t.Errorf("%g unrefilled of the whole, want 6", got)
 	}
 	if u.Units != 5 || u.UpdatedAt != atSecond(1) {
--- a/policy/local_share_test.go
+++ b/policy/local_share_test.go
@@ -13,40 +13,40 @@
 
 // Fault: a floor of one request an instance added up past small quotas, and a share under one request shut
 // small tenants out where instances are many.
-func TestLocalShare_SmallQuotaOverManyInstances(t *testing.T) {
-	for _, reported := range []float64{0, 1} { // without a counter; while one is silent that let all in
+func TestLocalShare_ShareBelowOneRequestAdmitsAtRandom(t *testing.T) {
+	for _, planFraction := range []float64{0, 1} { // without a counter; while one is silent that let all in
 		admitted := 0
 		for index := range 20 {
 			settings := defaultSettings()
 			settings.InstanceIndex = index
 			settings.Instances = 20
-			settings.CounterEnabled = reported > 0
+			settings.CounterEnabled = planFraction > 0
 			settings.Plans[0] = PlanSettings{Rate: 0.1, Burst: 2}
 			h := newHarness(t, settings, readyEndpoints(1, 2, 3)...)
 			h.engine.random = pcg.New(uint64(index))
-			h.engine.plans[0].admittedShare = estimate.Mean{Value: reported, Count: reported * 20}
+			h.engine.plans[0].admittedFraction = estimate.Mean{Value: planFraction, Count: planFraction * 20}
 			h.engine.breaker.Breaker = circuitbreaker.Breaker{
 				State:               circuitbreaker.Open,
 				ConsecutiveFailures: breakerFailureThreshold,
 				RetryAt:             h.now.Add(time.Second),
 			}
-			for c := range 10 {
-				request := h.submitSpec(RequestSpec{ID: RequestID(c), Tenant: TenantID(c), Remaining: time.Second, Units: 1,
-					EntryPoints: 20})
+			for tenantIndex := range 10 {
+				request := h.submitSpec(RequestSpec{ID: RequestID(tenantIndex), Tenant: TenantID(tenantIndex),
+					Remaining: time.Second, Units: 1, EntryPoints: 20})
 				if len(request.attempts) > 0 {
 					admitted++
 					h.endAttempt(request, 0, Succeeded)
 				}
 			}
 		}
-		if lower, upper := 10+170*int(reported), 30+170*int(reported); admitted < lower || admitted > upper {
+		if lower, upper := 10+170*int(planFraction), 30+170*int(planFraction); admitted < lower || admitted > upper {
 			t.Errorf("%d of 200 requests admitted for 10 tenants with quotas of 2 each", admitted)
 		}
 	}
 }
 
 // Fault: an even share met tenants whose traffic gathers at one instance early in an outage.
-func TestLocalShare_FollowsTheTraffic(t *testing.T) {
+func TestLocalShare_FollowsObservedTraffic(t *testing.T) {
 	h := newHarness(t, defaultSettings(), readyEndpoints(1, 2, 3)...)
 	for n := range 60 { // all of this tenant's traffic comes here
 		h.countAdmitted(n, 1, 1, Succeeded)
@@ -59,7 +59,7 @@
 
 // Fault: what the counter had not seen took the capacity of what it had admitted, and cost its value
 // unserved.
-func TestLocalShare_CountedRequestsFindCapacityFirst(t *testing.T) {
+func TestLocalShare_UncountedRequestsLeaveCapacityToCounted(t *testing.T) {
 	for _, answer := range []Outcome{Succeeded, Rejected} {
 		h := newHarness(t, defaultSettings(), readyEndpoints(1)...)
 		for n := range 40 {
@@ -80,10 +80,10 @@
 
 // A tenant of one instance has its whole quota without the counter, and no more: the share is the whole quota
 // then.
-func TestLocalShare_AloneDecidesInAnOutage(t *testing.T) {
+func TestLocalShare_SoleInstanceHasWholeQuotaInOutage(t *testing.T) {
 	h := newHarness(t, defaultSettings(), readyEndpoints(1, 2, 3)...)
 	admitted := 0
-	alone := func(id RequestID, outcome Outcome) {
+	submitToSoleInstance := func(id RequestID, outcome Outcome) {
 		request := h.submitSpec(RequestSpec{ID: id, Tenant: 1, Remaining: 2 * time.Second, Units: 1, EntryPoints: 1})
 		h.answerCounterCalls(outcome)
 		if len(request.attempts) > 0 {
@@ -92,12 +92,12 @@
 		}
 	}
 	for n := range 200 { // twenty seconds with the counter
-		alone(RequestID(n), Succeeded)
+		submitToSoleInstance(RequestID(n), Succeeded)
 		h.advance(100 * time.Millisecond)
 	}
 	admitted = 0
 	for n := range 600 { // a minute, ten requests a second for five
-		alone(RequestID(1000+n), ConnectFailed)
+		submitToSoleInstance(RequestID(1000+n), ConnectFailed)
 		h.advance(100 * time.Millisecond)
 	}
 	if admitted < 295 || admitted > 312 {
@@ -107,16 +107,16 @@
 
 // Fault: an instance took its share from between a window's first and last answer, for a half too large where
 // two answers came a window. Two instances that see the same traffic have shares that add up to one.
-func TestLocalShare_SharesAddUp(t *testing.T) {
+func TestLocalShare_SharesOfInstancesAddUpToOne(t *testing.T) {
 	settings := defaultSettings()
 	settings.Plans[0] = PlanSettings{Rate: 10, Burst: 10, OverQuotaCost: 1} // windows of a second
 	h := newHarness(t, settings, readyEndpoints(1, 2, 3)...)
-	chance, sum, n := rand.New(rand.NewPCG(5, 5)), 0.0, 0
+	random, sum, samples := rand.New(rand.NewPCG(5, 5)), 0.0, 0
 	for id := range 800 {
 		request := h.submit(RequestID(id), 0, 0, 1, 2*time.Second, 1)
 		for len(h.pendingAdds) > 0 {
 			add := h.pendingAdds[0] // the other instance's, as many on the mean, came before it
-			for chance.Float64() < 0.5 {
+			for random.Float64() < 0.5 {
 				h.counter[add.key]++
 			}
 			h.answerCounter(Succeeded)
@@ -124,34 +124,34 @@
 		if len(request.attempts) > 0 {
 			h.endAttempt(request, 0, Succeeded)
 		}
-		h.advance(time.Duration(chance.ExpFloat64() * float64(400*time.Millisecond)))
+		h.advance(time.Duration(random.ExpFloat64() * float64(400*time.Millisecond)))
 		if id > 100 {
-			sum, n = sum+h.engine.tenants[1].traffic.share(2), n+1
+			sum, samples = sum+h.engine.tenants[1].traffic.share(2), samples+1
 		}
 	}
-	if part := sum / float64(n); part < 0.48 || part > 0.515 {
-		t.Errorf("an instance of two with half of the traffic takes its part for %.2f", part)
+	if meanShare := sum / float64(samples); meanShare < 0.48 || meanShare > 0.515 {
+		t.Errorf("an instance of two with half of the traffic takes its part for %.2f", meanShare)
 	}
 }
 
-// TestLocalShare_RequestOfNoUnitsLeavesTheShareANumber guards against a plan that is rejected for good: a request of 0
+// TestLocalShare_ZeroUnitRequestKeepsFractionsFinite guards against a plan that is rejected for good: a request of 0
 // units under a used-up quota made the admitted share 0/0.
-func TestLocalShare_RequestOfNoUnitsLeavesTheShareANumber(t *testing.T) {
+func TestLocalShare_ZeroUnitRequestKeepsFractionsFinite(t *testing.T) {
 	h := newHarness(t, defaultSettings(), readyEndpoints(1, 2, 3)...)
 	h.countAdmitted(0, 20, 1, Succeeded)
 	h.submit(100, 0, 0, 1, 2*time.Second, 0)
 	h.answerCounterCalls(Succeeded)
-	if share := h.engine.plans[0].admittedShare.Value; math.IsNaN(share) {
-		t.Errorf("admitted share of the plan: %v", share)
+	if planFraction := h.engine.plans[0].admittedFraction.Value; math.IsNaN(planFraction) {
+		t.Errorf("admitted share of the plan: %v", planFraction)
 	}
-	if chance := h.engine.tenants[1].admittedShare.Value; math.IsNaN(chance) {
-		t.Errorf("admitted share of the tenant: %v", chance)
+	if tenantFraction := h.engine.tenants[1].admittedFraction.Value; math.IsNaN(tenantFraction) {
+		t.Errorf("admitted share of the tenant: %v", tenantFraction)
 	}
 }
 
-// TestConcurrencyLimit_AdmitsRequestsOfNoUnits guards against rejections for no good reason: a request of 0 units was
+// TestConcurrencyLimit_AdmitsZeroUnitRequests guards against rejections for no good reason: a request of 0 units was
 // taken to stand for endless requests in flight at other instances, and rejected while one was in flight here.
-func TestConcurrencyLimit_AdmitsRequestsOfNoUnits(t *testing.T) {
+func TestConcurrencyLimit_AdmitsZeroUnitRequests(t *testing.T) {
 	settings := defaultSettings()
 	settings.CounterEnabled = false
 	settings.Plans = []PlanSettings{{Rate: 10, Burst: 1000, ConcurrencyLimit: 20, OverQuotaCost: 1}}
--- a/policy/over_quota.go
+++ b/policy/over_quota.go
@@ -3,7 +3,7 @@
 // handleOverQuota rejects a request beyond the quota until the quota has refilled enough, or forwards it where
 // that is worth its cost.
 func (r *Request) handleOverQuota(now Instant) {
-	if r.worthSendingOverQuota() && r.hasBackendBelowPreferred(now) {
+	if r.worthSendingOverQuota() && r.hasBackendBelowPreferredLoad(now) {
 		r.forward(now)
 		return
 	}
@@ -16,8 +16,8 @@
 	return r.plan.OverQuotaValue > r.plan.OverQuotaCost && !r.class.CheckOnly
 }
 
-// hasBackendBelowPreferred reports whether a backend takes one more attempt within its preferredInFlight.
-func (r *Request) hasBackendBelowPreferred(now Instant) bool {
+// hasBackendBelowPreferredLoad reports whether a backend takes one more attempt within its preferredInFlight.
+func (r *Request) hasBackendBelowPreferredLoad(now Instant) bool {
 	b := r.engine.pickBackend(now, r, fullBudget)
 	return b != nil && b.load() <= 1
 }
--- a/policy/quota.go
+++ b/policy/quota.go
@@ -7,27 +7,27 @@
 // used up, by the counter if a call may be made (counter_call.go), and else without it (fallback.go). The first
 // check comes before the fallback mode, so a class that fails open rejects too while the last total, or what a
 // rollover carried over, leaves no units.
-func (r *Request) checkQuota(now Instant) admission {
-	if r.quotaKnownUsedUp(now) {
-		r.tenant.recordAdmittedShare(0)
+func (r *Request) checkQuota(now Instant) quotaDecision {
+	if r.quotaKnownExhausted(now) {
+		r.tenant.recordAdmittedFraction(0)
 		return overQuota
 	}
 	if r.engine.claimCounterCall(now) {
 		r.callCounter(now)
 		return awaitingCounter
 	}
-	checked := r.fallbackAdmission(now)
-	if checked == withinQuota {
-		r.noteUncounted()
+	decision := r.fallbackDecision(now)
+	if decision == withinQuota {
+		r.recordUncounted()
 	}
-	return checked
+	return decision
 }
 
-// quotaKnownUsedUp reports whether the last total leaves no units for the request. A call would hardly say
+// quotaKnownExhausted reports whether the last total leaves no units for the request. A call would hardly say
 // otherwise: totals grow but for units that are taken back, until the window rolls over.
 //
 // Inputs: the window's last total, the quota and its refill since the window's start, the request's units.
-func (r *Request) quotaKnownUsedUp(now Instant) bool {
+func (r *Request) quotaKnownExhausted(now Instant) bool {
 	t := r.tenant
 	return t.window.total+r.units > t.plan.quota+t.refilled(now, t.window.start)+roundingTolerance
 }
@@ -41,12 +41,12 @@
 		2*r.entryPoints*float64(r.class.counterWait) <= float64(p.window)
 }
 
-// correctUnits charges what a request within the quota really counted, where that is known only afterwards.
+// chargeActualUnits charges what a request within the quota really counted, where that is known only afterwards.
 // The difference is reported with the tenant's next call.
-func (r *Request) correctUnits(result *AttemptResult) {
+func (r *Request) chargeActualUnits(result *AttemptResult) {
 	known := r.engine.settings.PostPaid && result.ActualUnits > 0
 	if known && result.Outcome == Succeeded && r.withinQuota {
-		r.tenant.unreported += result.ActualUnits - r.units
+		r.tenant.unreportedUnits += result.ActualUnits - r.units
 		r.tenant.localUsage.Units += result.ActualUnits - r.units
 	}
 }
--- a/policy/quota_reconciliation_test.go
+++ b/policy/quota_reconciliation_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-func TestReconciliation_EmptiedCounter(t *testing.T) {
+func TestReconciliation_RestoresUnitsLostByCounter(t *testing.T) {
 	settings := defaultSettings()
 	settings.Plans[0] = PlanSettings{Rate: 0.5, Burst: 10}
 	h := newHarness(t, settings, readyEndpoints(1, 2, 3)...)
@@ -18,7 +18,7 @@
 }
 
 // Fault: every instance that saw a window's count lack the carried use reconciled it at once.
-func TestReconciliation_InstancesTakeTurns(t *testing.T) {
+func TestReconciliation_InstancesAddLostUnitsInTurn(t *testing.T) {
 	reconciled := 0
 	for index := range 2 {
 		settings := defaultSettings()
@@ -30,8 +30,8 @@
 		n := len(h.log)
 		h.submit(100, 0, 0, 1, 2*time.Second, 1)
 		h.answerCounter(Succeeded)
-		for _, l := range h.log[n:] {
-			if strings.Contains(l, "count") && !strings.Contains(l, "by 1.000") {
+		for _, line := range h.log[n:] {
+			if strings.Contains(line, "count") && !strings.Contains(line, "by 1.000") {
 				reconciled++
 			}
 		}
--- a/policy/quota_test.go
+++ b/policy/quota_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-func TestQuota_IsThatOfTheCounter(t *testing.T) {
+func TestQuota_LimitsAdmissionByCounterTotal(t *testing.T) {
 	h := newHarness(t, defaultSettings(), readyEndpoints(1, 2, 3)...)
 	if admitted := h.countAdmitted(0, 30, 1, Succeeded); admitted != 10 {
 		t.Errorf("%d admitted of a burst of 10", admitted)
@@ -21,12 +21,12 @@
 
 // Fault: where instances are many, those that had not seen a tenant's last window relied on its refill and
 // admitted twice the quota.
-func TestQuota_PlainCountWhereInstancesAreMany(t *testing.T) {
-	for _, entries := range []int{2, 40} {
+func TestQuota_ManyEntryPointsIgnoreRefill(t *testing.T) {
+	for _, entryPoints := range []int{2, 40} {
 		h, admitted := newHarness(t, defaultSettings(), readyEndpoints(1, 2, 3)...), 0
-		for c := range 20 { // windows start at times of each tenant's own
-			request := h.submitSpec(RequestSpec{ID: RequestID(c), Tenant: TenantID(c), Remaining: time.Second, Units: 1,
-				EntryPoints: entries})
+		for index := range 20 { // windows start at times of each tenant's own
+			request := h.submitSpec(RequestSpec{ID: RequestID(index), Tenant: TenantID(index), Remaining: time.Second, Units: 1,
+				EntryPoints: entryPoints})
 			h.counter[h.pendingAdds[0].key] = 10 // other instances admitted the whole quota in this window
 			h.answerCounterCalls(Succeeded)
 			if len(request.attempts) > 0 {
@@ -34,8 +34,8 @@
 				h.endAttempt(request, 0, Succeeded)
 			}
 		}
-		if (admitted > 0) != (entries == 2) { // few instances know what is to be carried, and rely on the refill
-			t.Errorf("%d of 20 admitted beyond a window's count that comes through %d instances", admitted, entries)
+		if (admitted > 0) != (entryPoints == 2) { // few instances know what is to be carried, and rely on the refill
+			t.Errorf("%d of 20 admitted beyond a window's count that comes through %d instances", admitted, entryPoints)
 		}
 	}
 }
--- a/policy/quota_window.go
+++ b/policy/quota_window.go
@@ -26,9 +26,9 @@
 	total            float64    // units as last reported, with the lost units; at first what is carried over
 	counterTotal     float64    // units that the counter has once the corrections that were sent arrive; 0: none reported
 	lostUnits        float64    // that the count lacks: at first what the last window left used
-	lostSince        Instant    // since when the count has lacked much; zero: it does not
+	claimableSince   Instant    // since when the count has lacked much; zero: it does not
 	corrections      float64    // units added so far by calls that only correct: lost ones, less those taken back
-	answers          int        // of the counter
+	answerCount      int        // of the counter
 	reportedInFlight int        // attempts of this instance that the count holds
 }
 
@@ -50,8 +50,8 @@
 	switch call.windowStart {
 	case t.window.start:
 		return t.window.adjustment()
-	case t.lastWindow.windowStart:
-		return t.lastWindow
+	case t.previousWindow.windowStart:
+		return t.previousWindow
 	}
 	return countAdjustment{windowStart: call.windowStart, corrections: call.corrections}
 }
@@ -65,7 +65,7 @@
 func (t *tenant) windowAt(now Instant) quotaWindow {
 	hash := hash64.Mix(uint64(t.id) + tenantSalt)
 	window := quotawindow.At(now, t.plan.window, hash)
-	key := hash64.Mix(hash + window.Index + uint64(t.plan.concurrencyUnit))
+	key := hash64.Mix(hash + window.Index + uint64(t.plan.attemptWeight))
 	return quotaWindow{start: window.Start, key: CounterKey(key)}
 }
 
@@ -85,29 +85,29 @@
 		return
 	}
 	next := t.windowAt(now)
-	carried := e.carriedOver(t, next.start, entryPoints)
-	t.unreported = 0
+	carried := e.carriedOverUnits(t, next.start, entryPoints)
+	t.unreportedUnits = 0
 	next.total = carried
 	next.lostUnits = carried
-	t.lastWindow = t.window.adjustment()
+	t.previousWindow = t.window.adjustment()
 	t.window = next
 }
 
-// carriedOver returns what the last window used beyond its refill until the next one's start. Where few of the
+// carriedOverUnits returns what the last window used beyond its refill until the next one's start. Where few of the
 // instances see much of a count, none knows in time what to carry over, and the plain count of all requests
 // holds, from zero in each window. Behind an open breaker that kept everything from being reported, the local
 // usage takes the place of the count.
 //
 // Inputs and result: units.
-func (e *Engine) carriedOver(t *tenant, nextStart Instant, entryPoints float64) float64 {
+func (e *Engine) carriedOverUnits(t *tenant, nextStart Instant, entryPoints float64) float64 {
 	if !t.refillTracked {
 		return 0
 	}
 	if !e.breaker.IsClosed() && t.window.counterTotal == 0 {
-		return t.unrefilledLocally(nextStart, entryPoints)
+		return t.estimateUnrefilledUnits(nextStart, entryPoints)
 	}
 	refilled := monotime.Accrued(t.plan.Rate, nextStart.Sub(t.window.start))
-	return max(t.window.total+t.unreported-refilled, 0)
+	return max(t.window.total+t.unreportedUnits-refilled, 0)
 }
 
 // countLifetime returns how long the counter is to keep the window's count: until countLifetimeMargin after
@@ -117,9 +117,9 @@
 	return min(end.Sub(now), maxCountLifetime)
 }
 
-// hasStaleInFlight reports whether the window's count holds more attempts of this instance than are in
+// countHoldsEndedAttempts reports whether the window's count holds more attempts of this instance than are in
 // flight. A call that counts units also counts attempts; only the end of an attempt needs a call of its own.
-func (t *tenant) hasStaleInFlight(now Instant) bool {
+func (t *tenant) countHoldsEndedAttempts(now Instant) bool {
 	stale := t.window.reportedInFlight > t.inFlight+t.waiting
-	return t.plan.concurrencyUnit > 0 && stale && now.Before(t.windowEnd())
+	return t.plan.attemptWeight > 0 && stale && now.Before(t.windowEnd())
 }
--- a/policy/quota_window_test.go
+++ b/policy/quota_window_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-func TestQuotaWindow_RolloverGrantsNoFreshBurst(t *testing.T) {
+func TestQuotaWindow_RolloverCarriesOverUsage(t *testing.T) {
 	h, admitted := newHarness(t, defaultSettings(), readyEndpoints(1, 2, 3)...), 0
 	for n := range 50 { // through five windows of two seconds
 		admitted += h.countAdmitted(100*n, 20, 1, Succeeded)
@@ -17,7 +17,7 @@
 }
 
 // Fault: units admitted during a long outage were reported in full afterwards, and the tenant was shut out.
-func TestQuotaWindow_OutageLeavesNoDebtOfOldWindows(t *testing.T) {
+func TestQuotaWindow_DropsUnreportedUnitsOfEarlierWindows(t *testing.T) {
 	h := newHarness(t, defaultSettings(), readyEndpoints(1, 2, 3)...)
 	for n := range 40 {
 		h.countAdmitted(10*n, 1, 1, ConnectFailed)
@@ -34,7 +34,7 @@
 
 // Fault: after an outage the counts are those of new windows, and a tenant that had used its quota through
 // the local shares had a fresh burst from the counter.
-func TestQuotaWindow_UsageIsCarriedOverAnOutage(t *testing.T) {
+func TestQuotaWindow_CarriesLocalUsageOverAfterOutage(t *testing.T) {
 	settings := defaultSettings()
 	settings.Plans[0] = PlanSettings{Rate: 5, Burst: 50, OverQuotaCost: 1} // windows of ten seconds
 	h := newHarness(t, settings, readyEndpoints(1, 2, 3)...)
@@ -52,11 +52,11 @@
 	}
 }
 
-// TestQuotaWindow_GrowingPlanTableGrantsNoFreshBurst guards against a quota that is granted twice: a reload that added
+// TestQuotaWindow_AddedPlansKeepCarriedOverUnits guards against a quota that is granted twice: a reload that added
 // plans moved the table, each tenant seemed to have changed its plan, and what its last window had left used was
 // forgotten.
-func TestQuotaWindow_GrowingPlanTableGrantsNoFreshBurst(t *testing.T) {
-	for _, grows := range []bool{false, true} {
+func TestQuotaWindow_AddedPlansKeepCarriedOverUnits(t *testing.T) {
+	for _, addsPlans := range []bool{false, true} {
 		h := newHarness(t, defaultSettings(), readyEndpoints(1, 2, 3)...)
 		h.countAdmitted(0, 1, 1, Succeeded)
 		end := h.engine.tenants[1].windowEnd()
@@ -65,13 +65,13 @@
 		h.advance(40 * time.Millisecond)
 		h.submit(200, 0, 0, 1, 2*time.Second, 1) // rolls over; its call is lost on the way
 		h.pendingAdds = nil
-		if grows {
+		if addsPlans {
 			h.settings.Plans = append(h.settings.Plans, make([]PlanSettings, 20)...)
 			h.engine.UpdateSettings(h.settings)
 		}
 		h.submit(201, 0, 0, 1, 2*time.Second, 1)
 		if got := h.engine.tenants[1].window.lostUnits; got < 5 {
-			t.Errorf("table grows: %t: %.1f units of the last window are known", grows, got)
+			t.Errorf("table grows: %t: %.1f units of the last window are known", addsPlans, got)
 		}
 	}
 }
--- a/policy/request.go
+++ b/policy/request.go
@@ -76,9 +76,9 @@
 // giveBackUnits gives back what the request has drawn from the hard quota and been charged to the quota.
 func (r *Request) giveBackUnits() {
 	t := r.tenant
-	t.hardQuota.Units += r.hardQuotaUnits
+	t.hardQuotaBucket.Units += r.hardQuotaUnits
 	if r.withinQuota {
-		t.unreported -= r.units
+		t.unreportedUnits -= r.units
 		t.localUsage.Units -= r.units
 	}
 }
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -20,7 +20,7 @@
 	a := r.attempts[result.Attempt]
 	r.removeAttempt(a, result.Outcome)
 	r.recordResult(now, a, &result)
-	r.correctUnits(&result)
+	r.chargeActualUnits(&result)
 	r.continueAfter(now, &result)
 	r.engine.reportEndedAttempts(now, r.tenant)
 }
--- a/policy/retry_after.go
+++ b/policy/retry_after.go
@@ -15,18 +15,18 @@
 	retriesPerObjective = 8
 	// minRefillShare is the part of a request's units for whose refill a client waits at least.
 	minRefillShare = 0.125
-	// retryAfterSpread is the random part that is added, so that clients rejected together do not come back
+	// retryAfterJitter is the random part that is added, so that clients rejected together do not come back
 	// together.
-	retryAfterSpread = 0.25
-	// minRefillUnits is the size of the check that a client of the limit commands is expected to repeat.
-	minRefillUnits = 1
+	retryAfterJitter = 0.25
+	// limitCheckUnits is the size of the check that a client of the limit commands is expected to repeat.
+	limitCheckUnits = 1
 )
 
 // retryAfterHardQuota returns when the hard quota has refilled the units that the request lacks.
 //
 // Inputs: the units lacking in this instance's part, the hard quota's rate in units a second.
-func (r *Request) retryAfterHardQuota(lacking float64) time.Duration {
-	return monotime.FromSeconds(lacking * r.entryPoints / r.plan.HardQuotaRate)
+func (r *Request) retryAfterHardQuota(shortfall float64) time.Duration {
+	return monotime.FromSeconds(shortfall * r.entryPoints / r.plan.HardQuotaRate)
 }
 
 // retryAfterOverQuota returns when the plan's rate has refilled the units that the request lacks, at least
@@ -43,8 +43,8 @@
 		return r.class.LatencyObjective
 	}
 	t := r.tenant
-	lacking := t.window.total + r.units - r.plan.quota - t.refilled(now, t.window.start)
-	return monotime.FromSeconds(max(lacking, r.units*minRefillShare) / r.plan.Rate)
+	shortfall := t.window.total + r.units - r.plan.quota - t.refilled(now, t.window.start)
+	return monotime.FromSeconds(max(shortfall, r.units*minRefillShare) / r.plan.Rate)
 }
 
 // retryAfterNoCapacity returns when to come back to backends that have no capacity, or after an attempt that was not
@@ -59,8 +59,8 @@
 	if !e.settings.RetryAfter {
 		return 0
 	}
-	spread := time.Duration(float64(retryAfter) * e.random.Float64() * retryAfterSpread)
-	return max(min(retryAfter+spread, e.settings.MaxRetryAfter), 0)
+	jitter := time.Duration(float64(retryAfter) * e.random.Float64() * retryAfterJitter)
+	return max(min(retryAfter+jitter, e.settings.MaxRetryAfter), 0)
 }
 
 // RetryAfter returns when the plan's rate has refilled the quota to one unit, for a client that asks without
@@ -68,26 +68,26 @@
 //
 // Inputs: the quota's units and the units used; the rate in units a second.
 func (s QuotaStatus) RetryAfter() (retryAfter time.Duration, isLimited bool) {
-	if s.Rate <= 0 || s.Limit-s.Used >= minRefillUnits {
+	if s.Rate <= 0 || s.Limit-s.Used >= limitCheckUnits {
 		return 0, false
 	}
-	return s.refillTime(s.lackingUnits()), true
+	return s.refillTime(s.shortfall()), true
 }
 
-// RetryAfterRejection returns when a client of the limit commands should come back whose check was rejected
+// RejectionRetryAfter returns when a client of the limit commands should come back whose check was rejected
 // without a Retry-After: when the plan's rate has refilled what a check of one unit lacks, but at least one
 // unit, since the check was rejected whatever the status says. It is 0 if the plan has no rate.
 //
 // Inputs: the quota's units and the units used; the rate in units a second.
-func (s QuotaStatus) RetryAfterRejection() time.Duration {
+func (s QuotaStatus) RejectionRetryAfter() time.Duration {
 	if s.Rate <= 0 {
 		return 0
 	}
-	return s.refillTime(max(s.lackingUnits(), minRefillUnits))
+	return s.refillTime(max(s.shortfall(), limitCheckUnits))
 }
 
-// lackingUnits returns by how many units the quota is too low for a check of one unit.
-func (s QuotaStatus) lackingUnits() float64 { return s.Used + minRefillUnits - s.Limit }
+// shortfall returns by how many units the quota is too low for a check of one unit.
+func (s QuotaStatus) shortfall() float64 { return s.Used + limitCheckUnits - s.Limit }
 
 // refillTime returns how long the plan's rate takes to refill units.
 func (s QuotaStatus) refillTime(units float64) time.Duration {
--- a/policy/retry_after_test.go
+++ b/policy/retry_after_test.go
@@ -7,7 +7,7 @@
 
 // Fault: requests that no backend had capacity for were to be retried after the latency objective, to be late
 // for certain.
-func TestRetryAfter_WithoutCapacityIsEarly(t *testing.T) {
+func TestRetryAfter_NoCapacityIsWithinLatencyObjective(t *testing.T) {
 	h := newHarnessWithoutCounter(t)
 	for n := range 20 {
 		h.submit(RequestID(n), 0, 0, TenantID(n), 2*time.Second, 1)
@@ -57,7 +57,7 @@
 			if got != test.want || limited != test.wantLimited {
 				t.Errorf("%v, %t, want %v, %t", got, limited, test.want, test.wantLimited)
 			}
-			if got := test.status.RetryAfterRejection(); got != test.wantRejection {
+			if got := test.status.RejectionRetryAfter(); got != test.wantRejection {
 				t.Errorf("%v after a rejection, want %v", got, test.wantRejection)
 			}
 		})
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -90,10 +90,10 @@
 // DiscoveryTimeouts bound the calls to discovery.
 type DiscoveryTimeouts struct {
 	// Watch is how long a watch waits for an event, and Lateness how much later its answer may come.
-	Watch    time.Duration
-	Lateness time.Duration
+	Watch      time.Duration
+	WatchGrace time.Duration
 	// Snapshot is how long a full snapshot may take.
 	Snapshot time.Duration
-	// RetryDelay is the longest wait between a failure and the next call.
-	RetryDelay time.Duration
+	// MaxRetryDelay is the longest wait between a failure and the next call.
+	MaxRetryDelay time.Duration
 }
--- a/policy/status.go
+++ b/policy/status.go
@@ -36,13 +36,13 @@
 		return status, true
 	}
 	if p.HardQuotaRate > 0 {
-		refill := monotime.Seconds(now.Sub(t.hardQuota.UpdatedAt)) * p.HardQuotaRate / parts
-		status.HardQuotaLeft = min(t.hardQuota.Units+refill, status.HardQuotaLeft)
+		refill := monotime.Seconds(now.Sub(t.hardQuotaBucket.UpdatedAt)) * p.HardQuotaRate / parts
+		status.HardQuotaLeft = min(t.hardQuotaBucket.Units+refill, status.HardQuotaLeft)
 	}
 	if !e.breaker.IsClosed() || t.window.counterTotal == 0 && t.window.total == 0 {
-		status.Used = t.unrefilledLocally(now, parts)
+		status.Used = t.estimateUnrefilledUnits(now, parts)
 	} else {
-		status.Used = max(t.window.total+t.unreported-monotime.Accrued(p.Rate, now.Sub(t.window.start)), 0)
+		status.Used = max(t.window.total+t.unreportedUnits-monotime.Accrued(p.Rate, now.Sub(t.window.start)), 0)
 		status.FromCounter = t.window.counterTotal > 0
 	}
 	return status, true
@@ -66,7 +66,7 @@
 func (e *Engine) CounterStats() CounterStats {
 	stats := CounterStats{BreakerOpen: e.BreakerOpen(), CallShare: e.breaker.callShare, Tenants: len(e.tenants)}
 	for _, t := range e.tenants {
-		stats.UnreportedUnits += max(t.unreported, 0)
+		stats.UnreportedUnits += max(t.unreportedUnits, 0)
 		stats.LostUnits += max(t.window.lostUnits, 0)
 		stats.ReconciledUnits += max(t.window.corrections, 0)
 	}
--- a/policy/tenant.go
+++ b/policy/tenant.go
@@ -14,23 +14,23 @@
 	id     TenantID
 	plan   *plan
 	window quotaWindow
-	// lastWindow is for the answers to calls that the window before the current one counted.
-	lastWindow countAdjustment
-	inFlight   int // attempts
-	waiting    int // requests that wait for the counter
+	// previousWindow is for the answers to calls that the window before the current one counted.
+	previousWindow countAdjustment
+	inFlight       int // attempts
+	waiting        int // requests that wait for the counter
 
-	unreported    float64 // units for the next call: those admitted without the counter, less those counted and not sent
-	traffic       traffic
-	refillTracked bool // Request.tracksRefill of the tenant's last request
+	unreportedUnits float64 // units for the next call: those admitted without the counter, less those counted and not sent
+	traffic         traffic
+	refillTracked   bool // Request.tracksRefill of the tenant's last request
 
-	admittedShare estimate.Mean      // part of a request that the counter lately admitted
-	localUsage    tokenbucket.Usage  // units admitted here, less what the local share has refilled
-	hardQuota     tokenbucket.Bucket // this instance's part of the hard quota
+	admittedFraction estimate.Mean      // part of a request that the counter lately admitted
+	localUsage       tokenbucket.Usage  // units admitted here, less what the local share has refilled
+	hardQuotaBucket  tokenbucket.Bucket // this instance's part of the hard quota
 }
 
-// tenantFor returns the request's tenant, brought up to now and to the request: it is added if it is not known
+// findOrAddTenant returns the request's tenant, brought up to now and to the request: it is added if it is not known
 // yet, its window is rolled over, and a change of plan starts its count anew.
-func (e *Engine) tenantFor(now Instant, id TenantID, r *Request) *tenant {
+func (e *Engine) findOrAddTenant(now Instant, id TenantID, r *Request) *tenant {
 	t := e.tenants[id]
 	if t == nil {
 		t = e.addTenant(now, id, r.plan)
@@ -46,39 +46,39 @@
 func (e *Engine) addTenant(now Instant, id TenantID, p *plan) *tenant {
 	t := &tenant{id: id, plan: p}
 	t.localUsage.UpdatedAt = now
-	t.hardQuota.UpdatedAt = e.startedAt
+	t.hardQuotaBucket.UpdatedAt = e.startedAt
 	e.tenants[id] = t
-	e.scheduleForgetting(now, t)
+	e.scheduleEviction(now, t)
 	return t
 }
 
 // changePlan starts the tenant's count anew. What does not depend on the plan stays: its usage and its traffic.
 func (t *tenant) changePlan(p *plan) {
 	t.plan = p
-	t.unreported = 0
+	t.unreportedUnits = 0
 	t.window.key = 0
 	t.window.total = 0
 }
 
-// keepFor returns how long an unused tenant is remembered: for two windows and for the time that the counter
+// idleRetention returns how long an unused tenant is remembered: for two windows and for the time that the counter
 // keeps counts, and until its hard quota would be full anyway. The lower bound keeps the checks rare for plans
 // of tiny windows.
-func (t *tenant) keepFor() time.Duration {
-	keep := max(2*t.plan.window, maxCountLifetime)
+func (t *tenant) idleRetention() time.Duration {
+	retention := max(2*t.plan.window, maxCountLifetime)
 	if t.plan.HardQuotaRate > 0 {
-		keep = max(keep, monotime.FromSeconds(t.plan.HardQuotaBurst/t.plan.HardQuotaRate))
+		retention = max(retention, monotime.FromSeconds(t.plan.HardQuotaBurst/t.plan.HardQuotaRate))
 	}
-	return keep
+	return retention
 }
 
-// scheduleForgetting drops the tenant once nothing was admitted or drawn from its hard quota for the time of keepFor,
-// and nothing is in flight.
-func (e *Engine) scheduleForgetting(now Instant, t *tenant) {
-	keep := t.keepFor()
-	e.schedule(now.Add(keep), nil, func(now Instant) {
-		unused := now.Sub(monotime.Later(t.localUsage.UpdatedAt, t.hardQuota.UpdatedAt))
-		if t.inFlight > 0 || unused < keep {
-			e.scheduleForgetting(now, t)
+// scheduleEviction schedules the removal of the tenant: it is dropped once none of its attempts is in flight and, for
+// its idleRetention, no units were admitted or taken from its hard quota.
+func (e *Engine) scheduleEviction(now Instant, t *tenant) {
+	retention := t.idleRetention()
+	e.schedule(now.Add(retention), nil, func(now Instant) {
+		idle := now.Sub(monotime.Later(t.localUsage.UpdatedAt, t.hardQuotaBucket.UpdatedAt))
+		if t.inFlight > 0 || idle < retention {
+			e.scheduleEviction(now, t)
 			return
 		}
 		delete(e.tenants, t.id)
