--- a/internal/dispatch/effects.go
+++ b/internal/dispatch/effects.go
@@ -105,8 +105,8 @@
 // WatchEndpoints asks for the list of backends.
 func (e effects) WatchEndpoints() { e.dispatcher.endpointWatcher.WatchEndpoints() }
 
-// LogUnknown writes a warning to the log.
-func (e effects) LogUnknown(class policy.ClassID, plan policy.PlanID) {
+// LogUnknownClassOrPlan writes a warning to the log.
+func (e effects) LogUnknownClassOrPlan(class policy.ClassID, plan policy.PlanID) {
 	logging.For(engineLogComponent).
 		WithField("class", class).
 		WithField("plan", plan).
--- a/internal/lab/model/instance.go
+++ b/internal/lab/model/instance.go
@@ -197,5 +197,5 @@
 // WatchEndpoints implements policy.Effects. Discovery delivers its events unasked.
 func (i *instance) WatchEndpoints() {}
 
-// LogUnknown implements policy.Effects. The model keeps no log.
-func (i *instance) LogUnknown(policy.ClassID, policy.PlanID) {}
+// LogUnknownClassOrPlan implements policy.Effects. The model keeps no log.
+func (i *instance) LogUnknownClassOrPlan(policy.ClassID, policy.PlanID) {}
--- a/internal/simadapter/instance.go
+++ b/internal/simadapter/instance.go
@@ -87,8 +87,8 @@
 // WatchEndpoints asks for the endpoint list and its changes.
 func (in *instance) WatchEndpoints() { in.action(actionWatch).Uint8(1) }
 
-// LogUnknown writes to the simulator's log.
-func (in *instance) LogUnknown(class policy.ClassID, plan policy.PlanID) {
+// LogUnknownClassOrPlan writes to the simulator's log.
+func (in *instance) LogUnknownClassOrPlan(class policy.ClassID, plan policy.PlanID) {
 	in.log(fmt.Sprintf("request aborted: unknown class %d or plan %d", class, plan))
 }
 
--- a/policy/admission.go
+++ b/policy/admission.go
@@ -17,7 +17,7 @@
 func (e *Engine) Submit(now Instant, spec RequestSpec) *Request {
 	r := newRequest(e, now, spec)
 	if int(spec.Class) >= len(e.classes) || int(spec.Plan) >= len(e.plans) {
-		r.abortUnknown(spec)
+		r.abortUnknownClassOrPlan(spec)
 		return r
 	}
 	r.class = e.classes[spec.Class]
--- a/policy/attempt.go
+++ b/policy/attempt.go
@@ -8,15 +8,15 @@
 
 // attempt is one of a request's attempts.
 type attempt struct {
-	backend        *backend
-	zone           ZoneID // of the backend, when the attempt was sent
-	group          GroupID
-	sentAt         Instant
-	concurrency    float64 // attempts in flight at the backend from this instance, with this one
-	inFlight       bool
-	mayHaveRun     bool
-	overdue        bool // in flight for longer than the attempt timeout
-	baselineSample bool // one of the first attempts of the instance
+	backend          *backend
+	zone             ZoneID // of the backend, when the attempt was sent
+	group            GroupID
+	sentAt           Instant
+	concurrency      float64 // attempts in flight at the backend from this instance, with this one
+	inFlight         bool
+	mayHaveRun       bool
+	overdue          bool // in flight for longer than the attempt timeout
+	isBaselineSample bool // one of the first attempts of the instance
 }
 
 // mayAttempt reports whether an attempt may go to a backend: rules 1 to 4 are checked here when a backend is picked,
@@ -24,7 +24,7 @@
 // and 3 by AttemptSpec.StartBefore and by the endpoint list.
 func (r *Request) mayAttempt(now Instant, b *backend) bool {
 	return r.awaitsAnswer(now) && // rule 1
-		r.hasAttemptLeft() && r.mayRunAt(now, b) && // rule 2
+		r.hasAttemptLeft() && r.mayRunSafelyAt(now, b) && // rule 2
 		b.ready && // rule 3
 		r.slowStartAllows(now, b) // rule 4
 }
@@ -40,8 +40,8 @@
 	return len(r.attempts) < s.MaxAttempts && (r.inFlight == 0 || s.Hedging)
 }
 
-// mayRunAt reports whether the request has no effect twice if a backend gets it now.
-func (r *Request) mayRunAt(now Instant, b *backend) bool {
+// mayRunSafelyAt reports whether the request has no effect twice if a backend gets it now.
+func (r *Request) mayRunSafelyAt(now Instant, b *backend) bool {
 	for _, a := range r.attempts {
 		if a.mayHaveRun && !r.class.mayRepeat(now, a, b) {
 			return false
@@ -83,23 +83,23 @@
 	id := len(r.attempts)
 	// A connection may come up late: the backend may have forgotten an earlier attempt's key by then. This is read
 	// before the new attempt is added, which counts as one that may have run.
-	startBefore := monotime.Earlier(r.deadline, r.keyKnownUntil())
+	startBefore := monotime.Earlier(r.deadline, r.keyRetainedUntil())
 	a := r.addAttempt(now, b)
 	timeout := r.attemptTimeout()
 	e.effects.Send(AttemptSpec{
 		Request:     r.id,
 		Backend:     b.id,
-		ExpiresAt:   r.expiry(now, timeout),
+		ExpiresAt:   r.attemptExpiry(now, timeout),
 		StartBefore: startBefore,
 	})
 	e.schedule(now.Add(timeout), &a.inFlight, func(now Instant) { r.handleOverdue(now, id) })
 	return true
 }
 
-// expiry returns when the newest attempt, which is already added, ends as timed out; zero: when the client gives
+// attemptExpiry returns when the newest attempt, which is already added, ends as timed out; zero: when the client gives
 // up. An attempt is ended early only where nothing else lets another one follow: the settings allow neither a
 // hedged attempt nor a cancellation.
-func (r *Request) expiry(now Instant, timeout time.Duration) Instant {
+func (r *Request) attemptExpiry(now Instant, timeout time.Duration) Instant {
 	s := &r.engine.settings
 	mayFollow := r.class.Idempotency != NonIdempotent && len(r.attempts) < s.MaxAttempts
 	if mayFollow && !s.Hedging && !s.Cancellation {
@@ -108,8 +108,8 @@
 	return Instant{}
 }
 
-// keyKnownUntil returns until when backends know the request's idempotency key from its earlier attempts.
-func (r *Request) keyKnownUntil() Instant {
+// keyRetainedUntil returns until when backends know the request's idempotency key from its earlier attempts.
+func (r *Request) keyRetainedUntil() Instant {
 	until := monotime.Latest
 	for _, a := range r.attempts {
 		if a.mayHaveRun && r.class.Idempotency == IdempotentWithKey {
@@ -126,22 +126,22 @@
 	r.tenant.inFlight++
 	b.inFlight++
 	e.inFlight++
-	e.promptInFlight++
+	e.inFlightNotOverdue++
 	a := &attempt{
-		backend:        b,
-		zone:           b.zone,
-		group:          b.group,
-		sentAt:         now,
-		concurrency:    float64(b.inFlight),
-		inFlight:       true,
-		mayHaveRun:     true,
-		baselineSample: e.attemptsSent < baselineSamples,
+		backend:          b,
+		zone:             b.zone,
+		group:            b.group,
+		sentAt:           now,
+		concurrency:      float64(b.inFlight),
+		inFlight:         true,
+		mayHaveRun:       true,
+		isBaselineSample: e.attemptsSent < baselineSamples,
 	}
 	r.attempts = append(r.attempts, a)
 	e.attemptsSent++
 	b.lastSentAt = now
 	if e.warmingUp(now, b) {
-		b.lastSlowStartAt = now
+		b.lastSlowStartAttemptAt = now
 	}
 	return a
 }
@@ -155,6 +155,6 @@
 	a.backend.inFlight--
 	r.engine.inFlight--
 	if !a.overdue {
-		r.engine.promptInFlight--
+		r.engine.inFlightNotOverdue--
 	}
 }
--- a/policy/attempt_result.go
+++ b/policy/attempt_result.go
@@ -17,7 +17,7 @@
 		e.lastAnswerAt = now
 		e.lastRejectionAt = now
 		b.outlier.pauseAfterRejection(now)
-		e.measure(b, rejectionLatencyRatio*b.latency.estimate, a.concurrency)
+		e.recordLatency(b, rejectionLatencyRatio*b.latency.estimate, a.concurrency)
 	case Failed, ConnectionLost:
 		b.lastAnswerAt = now
 		e.recordError(now, b)
@@ -36,10 +36,10 @@
 	e.lastAnswerAt = now
 	b.outlier.recordSuccess()
 	latency := float64(result.Elapsed) / e.relativeCost(r.units)
-	if a.baselineSample { // the first attempts meet the queues before this instance has filled them
+	if a.isBaselineSample { // the first attempts meet the queues before this instance has filled them
 		e.latency.baseline.Add(latency, baselineSamples)
 	}
-	e.measure(b, latency, a.concurrency)
+	e.recordLatency(b, latency, a.concurrency)
 	e.latency.byUnits.Add(r.units, float64(result.Elapsed), costSamples)
 }
 
@@ -48,6 +48,6 @@
 func (r *Request) recordCanceled(a *attempt, result *AttemptResult) {
 	latency := float64(result.Elapsed) / r.engine.relativeCost(r.units)
 	if latency > a.backend.latency.estimate && !a.overdue {
-		r.engine.measure(a.backend, latency, a.concurrency)
+		r.engine.recordLatency(a.backend, latency, a.concurrency)
 	}
 }
--- a/policy/backend.go
+++ b/policy/backend.go
@@ -10,23 +10,23 @@
 
 // backend is what this instance knows about a backend.
 type backend struct {
-	id        BackendID
-	zone      ZoneID
-	group     GroupID
-	startedAt Instant // zero: long ago
-	ready     bool
-	gone      bool
-	weight    float64 // stated capacity, relative to the others
-	distance  float64 // fair shares of instances between this instance's own and the backend's
+	id           BackendID
+	zone         ZoneID
+	group        GroupID
+	startedAt    Instant // zero: long ago
+	ready        bool
+	gone         bool
+	weight       float64 // stated capacity, relative to the others
+	ringDistance float64 // fair shares of instances between this instance's own and the backend's
 
-	inFlight        int
-	lastSentAt      Instant
-	lastAnswerAt    Instant // when it last answered or broke a connection, whatever the outcome
-	lastSlowStartAt Instant // when it got its last attempt since its start, while warming up; zero: none yet
+	inFlight               int
+	lastSentAt             Instant
+	lastAnswerAt           Instant // when it last answered or broke a connection, whatever the outcome
+	lastSlowStartAttemptAt Instant // when it got its last attempt since its start, while warming up; zero: none yet
 
 	outlier           outlierState
 	latency           backendLatency
-	preferredInFlight float64 // attempts of this instance that it takes before backends ranked behind it
+	softInFlightLimit float64 // attempts of this instance that it takes before backends ranked behind it
 	rank              rank
 }
 
@@ -45,7 +45,7 @@
 func (b *backend) reset() {
 	b.latency.mean = estimate.Mean{}
 	b.outlier = outlierState{}
-	b.lastSlowStartAt = Instant{}
+	b.lastSlowStartAttemptAt = Instant{}
 }
 
 // findOrAddBackend returns the backend with this id, and adds it if it is not known yet.
--- a/policy/baseline.go
+++ b/policy/baseline.go
@@ -8,11 +8,11 @@
 	baselineSamples = 30
 	// The baseline falls to a faster fleet in about a second, and rises to a slower one in about a minute, or in
 	// two seconds while the fleet is not loaded. Each is the part of the difference made up in a tick.
-	baselineFall     = 0.1
-	baselineRise     = 0.002
-	baselineIdleRise = 0.05
-	// unrejectedTime is for how long no attempt may have been rejected for the fleet to count as not loaded.
-	unrejectedTime = time.Second
+	baselineDecreaseRate          = 0.1
+	baselineIncreaseRate          = 0.002
+	baselineLightLoadIncreaseRate = 0.05
+	// rejectionFreeTime is for how long no attempt may have been rejected for the fleet to count as not loaded.
+	rejectionFreeTime = time.Second
 )
 
 // baselineKnown reports whether enough of the first attempts were answered.
@@ -23,18 +23,18 @@
 	if !e.baselineKnown() {
 		return
 	}
-	rise := baselineRise
-	if e.fleetNotLoaded(now) {
-		rise = baselineIdleRise
+	increaseRate := baselineIncreaseRate
+	if e.fleetLightlyLoaded(now) {
+		increaseRate = baselineLightLoadIncreaseRate
 	}
 	baseline := &e.latency.baseline
-	change := e.latency.mean.Value - baseline.Value
-	baseline.Value += rise*change + baselineFall*min(change, 0)
+	difference := e.latency.mean.Value - baseline.Value
+	baseline.Value += increaseRate*difference + baselineDecreaseRate*min(difference, 0)
 }
 
-// fleetNotLoaded reports whether fewer than one attempt for each backend is in flight, on average, and none was
+// fleetLightlyLoaded reports whether fewer than one attempt for each backend is in flight, on average, and none was
 // rejected lately: then a higher latency is the fleet's own, for example while it warms up.
-func (e *Engine) fleetNotLoaded(now Instant) bool {
+func (e *Engine) fleetLightlyLoaded(now Instant) bool {
 	inFlight := e.throughput.perSecond * e.latency.mean.Value // attempts, times a second in nanoseconds
-	return now.Sub(e.lastRejectionAt) > unrejectedTime && inFlight < e.backendsPerInstance()*float64(time.Second)
+	return now.Sub(e.lastRejectionAt) > rejectionFreeTime && inFlight < e.backendsPerInstance()*float64(time.Second)
 }
--- a/policy/doc.go
+++ b/policy/doc.go
@@ -24,7 +24,7 @@
 // calls to a counter that fails, and the request's class then decides by its [FallbackMode]: by this
 // instance's local share of the quota, fail open or fail closed. What is admitted goes to the first backend
 // of a ranked order that is below its concurrency limit. Only Request.sendAttempt sends, and only
-// Request.abortUnknown, Request.giveUp, Request.continueAfter, Request.HandleClientGone and
+// Request.abortUnknownClassOrPlan, Request.giveUp, Request.continueAfterAttempt, Request.HandleClientGone and
 // Request.finishCheck finish a request.
 //
 // Comments that say "rule 1" to "rule 5" mean the rules that package internal/lab/invariants checks: one
--- a/policy/effects.go
+++ b/policy/effects.go
@@ -25,6 +25,6 @@
 	CheckHealth(backend BackendID)
 	// WatchEndpoints asks for the list of backends and its changes, where they do not come by themselves.
 	WatchEndpoints()
-	// LogUnknown writes to the log that a request was aborted since the settings have no such class or plan.
-	LogUnknown(class ClassID, plan PlanID)
+	// LogUnknownClassOrPlan writes to the log that a request was aborted since the settings have no such class or plan.
+	LogUnknownClassOrPlan(class ClassID, plan PlanID)
 }
--- a/policy/endpoint_watch.go
+++ b/policy/endpoint_watch.go
@@ -21,7 +21,7 @@
 	polledSnapshot   = 3 * time.Second
 	polledRetryDelay = 200 * time.Millisecond
 	retryDelayGrowth = 3
-	minLongestDelay  = 500 * time.Millisecond
+	minRetryDelayCap = 500 * time.Millisecond
 	maxRetryDelay    = 4 * time.Second // changes are due in six, whatever failed
 
 	// firstPollSpacing is the time between the first polls of instances that start together, over
@@ -67,7 +67,7 @@
 	delay := time.Duration((1 + e.random.Float64()) / 2 * float64(e.watchRetryDelay))
 	e.schedule(now.Add(delay), nil, func(Instant) { e.effects.WatchEndpoints() })
 	if e.settings.PollEndpoints {
-		longest := min(max(e.settings.PollTimeout, minLongestDelay), maxRetryDelay)
-		e.watchRetryDelay = min(e.watchRetryDelay*retryDelayGrowth, longest)
+		delayCap := min(max(e.settings.PollTimeout, minRetryDelayCap), maxRetryDelay)
+		e.watchRetryDelay = min(e.watchRetryDelay*retryDelayGrowth, delayCap)
 	}
 }
--- a/policy/endpoints.go
+++ b/policy/endpoints.go
@@ -6,8 +6,8 @@
 )
 
 const (
-	// maxInitialDue is how long a backend that is new to the list counts as without an attempt at most.
-	maxInitialDue = 10 * time.Second
+	// maxInitialIdleTime is how long a backend that is new to the list counts as without an attempt at most.
+	maxInitialIdleTime = 10 * time.Second
 	// shareTolerance forgives rounding where fair shares are counted.
 	shareTolerance = 0.01
 )
@@ -25,7 +25,7 @@
 	for _, endpoint := range list {
 		e.updateEndpoint(now, endpoint)
 	}
-	e.assignShares()
+	e.assignRingDistances()
 	e.rankBackends(now)
 }
 
@@ -35,30 +35,30 @@
 func (e *Engine) updateEndpoint(now Instant, endpoint Endpoint) {
 	b, found := e.findOrAddBackend(endpoint.Backend)
 	if !found {
-		due := time.Duration(e.random.Float64() * float64(maxInitialDue))
-		b.lastSentAt = now.Add(-due)
+		idleTime := time.Duration(e.random.Float64() * float64(maxInitialIdleTime))
+		b.lastSentAt = now.Add(-idleTime)
 	}
-	statesStart := !endpoint.StartedAt.IsZero() || endpoint.State == EndpointReady
-	isNewIncarnation := endpoint.StartedAt != b.startedAt && statesStart
+	showsStart := !endpoint.StartedAt.IsZero() || endpoint.State == EndpointReady
+	isNewIncarnation := endpoint.StartedAt != b.startedAt && showsStart
 	if isNewIncarnation {
 		b.reset()
 	}
 	b.update(endpoint)
 }
 
-// assignShares places the ready backends on a ring, in an order that all instances share, and computes how
+// assignRingDistances places the ready backends on a ring, in an order that all instances share, and computes how
 // many fair shares lie between each and this instance's own. An instance fills its own share first, so that
 // instances spread over the backends without messages between them.
-func (e *Engine) assignShares() {
+func (e *Engine) assignRingDistances() {
 	ring, weight := e.ring()
 	share := weight / float64(e.instances())
 	position := -share * float64(e.settings.InstanceIndex)
 	for _, b := range ring {
-		away := position
-		if away < 0 {
-			away += weight
+		ringOffset := position
+		if ringOffset < 0 {
+			ringOffset += weight
 		}
-		b.distance = math.Floor(away/max(share, weight/float64(len(ring))) + shareTolerance)
+		b.ringDistance = math.Floor(ringOffset/max(share, weight/float64(len(ring))) + shareTolerance)
 		position += b.weight
 	}
 }
--- a/policy/endpoints_test.go
+++ b/policy/endpoints_test.go
@@ -6,7 +6,7 @@
 )
 
 // Fault: what was remembered of backends that are gone grew for as long as new ones came.
-func TestEndpoints_GoneBackendsAreForgotten(t *testing.T) {
+func TestEndpoints_GoneBackendsAreDropped(t *testing.T) {
 	h := newHarnessWithoutCounter(t, readyEndpoints(1)...)
 	held := h.submit(1, 0, 0, 1, 2*time.Second, 1)
 	for n := BackendID(2); n < 3000; n++ {
--- a/policy/engine.go
+++ b/policy/engine.go
@@ -43,12 +43,12 @@
 	ranked          []*backend    // those that are ready, the best first
 	watchRetryDelay time.Duration // longest wait before the list is asked for after a failure
 
-	latency        fleetLatency
-	throughput     throughput
-	ready          readyBackends
-	inFlight       int // attempts
-	promptInFlight int // those that are not overdue
-	attemptsSent   int // since the instance started
+	latency            fleetLatency
+	throughput         throughput
+	ready              readyBackends
+	inFlight           int // attempts
+	inFlightNotOverdue int // those that are not overdue
+	attemptsSent       int // since the instance started
 
 	lastAnswerAt    Instant // when any backend last succeeded or rejected
 	lastRejectionAt Instant // when any backend last rejected an attempt
@@ -92,7 +92,7 @@
 func (e *Engine) tick(now Instant) {
 	e.updateThroughput()
 	e.updateBaselineLatency(now)
-	e.fadeMeasurements(now)
+	e.decayMeasurements(now)
 	e.dropGone()
 	e.rankBackends(now)
 	e.effects.WakeAt(now.Add(tickInterval), tickTimer)
--- a/policy/fleet_test.go
+++ b/policy/fleet_test.go
@@ -164,7 +164,7 @@
 func (i *incarnation) Admit(RequestID)                                 {}
 func (i *incarnation) AddToCounter(CounterKey, float64, time.Duration) {}
 func (i *incarnation) WatchEndpoints()                                 {}
-func (i *incarnation) LogUnknown(class ClassID, plan PlanID) {
+func (i *incarnation) LogUnknownClassOrPlan(class ClassID, plan PlanID) {
 	i.fleet.t.Errorf("unknown class %d or plan %d", class, plan)
 }
 
--- a/policy/golden_instance_test.go
+++ b/policy/golden_instance_test.go
@@ -324,8 +324,8 @@
 	})
 }
 
-// LogUnknown hashes the text that the log had when the days were recorded.
-func (in *goldenInstance) LogUnknown(class policy.ClassID, plan policy.PlanID) {
+// LogUnknownClassOrPlan hashes the text that the log had when the days were recorded.
+func (in *goldenInstance) LogUnknownClassOrPlan(class policy.ClassID, plan policy.PlanID) {
 	text := fmt.Sprintf("transaction of unknown profile %d or plan %d broken off", class, plan)
 	fields := []uint64{uint64(len(text))}
 	for _, b := range []byte(text) {
--- a/policy/harness_test.go
+++ b/policy/harness_test.go
@@ -234,7 +234,7 @@
 func (h *harness) WakeAt(at Instant, timer TimerID)       { h.wakes = append(h.wakes, wakeup{at, timer}) }
 func (h *harness) CheckHealth(b BackendID)                { h.healthChecks = append(h.healthChecks, b) }
 func (h *harness) WatchEndpoints()                        { h.watches++ }
-func (h *harness) LogUnknown(class ClassID, plan PlanID) {
+func (h *harness) LogUnknownClassOrPlan(class ClassID, plan PlanID) {
 	h.record("unknown class %d or plan %d", class, plan)
 }
 func (h *harness) Reject(id RequestID, retryAfter time.Duration) {
@@ -417,4 +417,4 @@
 func (e *idleEffects) AddToCounter(key CounterKey, _ float64, _ time.Duration) { e.key = key }
 func (*idleEffects) CheckHealth(BackendID)                                     {}
 func (*idleEffects) WatchEndpoints()                                           {}
-func (*idleEffects) LogUnknown(ClassID, PlanID)                                {}
+func (*idleEffects) LogUnknownClassOrPlan(ClassID, PlanID)                     {}
--- a/policy/hedging.go
+++ b/policy/hedging.go
@@ -6,12 +6,12 @@
 	// stallRatio is the multiple of the usual latency that few attempts exceed. An attempt is overdue then, within
 	// the bounds below, and stalled if it has taken that long and its backend has answered nothing since.
 	stallRatio = 5
-	// minTimeoutPercent and maxTimeoutPercent bound the attempt timeout, as parts of the latency objective:
+	// minAttemptTimeoutPercent and maxAttemptTimeoutPercent bound the attempt timeout, as parts of the latency objective:
 	// overload must show by then, and beyond it too little time is left for another attempt. Where the usual
 	// latency exceeds a seventh of the objective, the upper bound comes first, and no attempt counts as stalled. Before
 	// any answer it is 0, and an unanswered attempt counts as stalled at the lower bound.
-	minTimeoutPercent = 40
-	maxTimeoutPercent = 70
+	minAttemptTimeoutPercent = 40
+	maxAttemptTimeoutPercent = 70
 )
 
 // attemptTimeout returns how long an attempt may take until it is overdue.
@@ -19,29 +19,29 @@
 // Inputs: the usual latency for the request's units, the class's latency objective.
 func (r *Request) attemptTimeout() time.Duration {
 	e, objective := r.engine, r.class.LatencyObjective
-	usual := time.Duration(stallRatio * e.latency.mean.Value * e.relativeCost(r.units))
-	timeout := max(usual, percentOf(objective, minTimeoutPercent))
-	return min(timeout, percentOf(objective, maxTimeoutPercent))
+	stallTime := time.Duration(stallRatio * e.latency.mean.Value * e.relativeCost(r.units))
+	timeout := max(stallTime, percentOf(objective, minAttemptTimeoutPercent))
+	return min(timeout, percentOf(objective, maxAttemptTimeoutPercent))
 }
 
 // handleOverdue measures an overdue attempt, and ejects its backend if it stalls: then a hedged attempt
 // follows, or a retry after the cancellation. It runs once for an attempt, when its timeout is over.
-func (r *Request) handleOverdue(now Instant, id int) {
-	e, a := r.engine, r.attempts[id]
+func (r *Request) handleOverdue(now Instant, attemptIndex int) {
+	e, a := r.engine, r.attempts[attemptIndex]
 	a.overdue = true
-	usual := e.latency.mean.Value * e.relativeCost(r.units) // before this attempt is measured
-	e.promptInFlight--
+	expected := e.latency.mean.Value * e.relativeCost(r.units) // before this attempt is measured
+	e.inFlightNotOverdue--
 	if r.finished || r.responseStarted {
 		return
 	}
 	elapsed := float64(now.Sub(a.sentAt))
 	// The elapsed time shows overload before its answers come.
-	e.measure(a.backend, elapsed/e.relativeCost(r.units), a.concurrency)
-	if a.backend.lastAnswerAt.After(a.sentAt) || elapsed < stallRatio*usual {
+	e.recordLatency(a.backend, elapsed/e.relativeCost(r.units), a.concurrency)
+	if a.backend.lastAnswerAt.After(a.sentAt) || elapsed < stallRatio*expected {
 		return
 	}
 	e.eject(now, a.backend)
-	r.replaceStalled(now, AttemptID(id))
+	r.replaceStalled(now, AttemptID(attemptIndex))
 }
 
 // replaceStalled sends a hedged attempt beside a stalled one or, where hedging is not allowed, cancels the
--- a/policy/internal/estimate/estimate_test.go
+++ b/policy/internal/estimate/estimate_test.go
@@ -5,9 +5,9 @@
 	"testing"
 )
 
-func near(got, want float64) bool { return math.Abs(got-want) < 1e-6*max(math.Abs(want), 1) }
+func nearlyEqual(got, want float64) bool { return math.Abs(got-want) < 1e-6*max(math.Abs(want), 1) }
 
-func TestMean_ReachesBackOverMaxCount(t *testing.T) {
+func TestMean_CoversLastMaxCountMeasurements(t *testing.T) {
 	var m Mean
 	for _, x := range []float64{2, 4, 6} {
 		m.Add(x, 10)
@@ -18,7 +18,7 @@
 	for range 200 {
 		m.Add(100, 10)
 	}
-	if m.Count != 10 || !near(m.Value, 100) {
+	if m.Count != 10 || !nearlyEqual(m.Value, 100) {
 		t.Errorf("after 200 of 100 the mean is %g of %g", m.Value, m.Count)
 	}
 }
@@ -54,11 +54,11 @@
 			}
 		})
 	}
-	var alike Regression
+	var constantX Regression
 	for range 10 {
-		alike.Add(1, 5, 100)
+		constantX.Add(1, 5, 100)
 	}
-	if got := alike.Slope(); got != 0 {
+	if got := constantX.Slope(); got != 0 {
 		t.Errorf("slope over one x is %g", got)
 	}
 }
--- a/policy/internal/hash64/hash64_test.go
+++ b/policy/internal/hash64/hash64_test.go
@@ -7,7 +7,7 @@
 
 // The values lie on the wire to the counter: a changed one would split a tenant's count while instances
 // differ.
-func TestMix_IsThatOfSplitMix64(t *testing.T) {
+func TestMix_MatchesSplitMix64(t *testing.T) {
 	const golden = 0x9e3779b97f4a7c15
 	for x, want := range map[uint64]uint64{golden: 0xe220a8397b1dcdaf, 0x3c6ef372fe94f82a: 0x6e789e6aa1b965f4} {
 		if got := Mix(x); got != want {
@@ -17,11 +17,11 @@
 }
 
 func TestMix_SpreadsNeighbors(t *testing.T) {
-	flipped := 0
+	differingBits := 0
 	for x := range uint64(1000) {
-		flipped += bits.OnesCount64(Mix(x) ^ Mix(x+1))
+		differingBits += bits.OnesCount64(Mix(x) ^ Mix(x+1))
 	}
-	if flipped < 30_000 || flipped > 34_000 {
-		t.Errorf("%d bits differ between a thousand neighbors, want about 32000", flipped)
+	if differingBits < 30_000 || differingBits > 34_000 {
+		t.Errorf("%d bits differ between a thousand neighbors, want about 32000", differingBits)
 	}
 }
--- a/policy/latency.go
+++ b/policy/latency.go
@@ -29,13 +29,13 @@
 	// fifth of the tightest one.
 	idleFloorDivisor = 5
 
-	// idleTime is for how long nothing has to be answered, with nothing in flight, for measurements to be
+	// idleThreshold is for how long nothing has to be answered, with nothing in flight, for measurements to be
 	// forgotten faster.
-	idleTime = time.Second
-	// backendFadePerTick halves the weight of a backend's own latency in 3.4 s; idleFadePerTick is added to it,
+	idleThreshold = time.Second
+	// backendDecayPerTick halves the weight of a backend's own latency in 3.4 s; idleDecayPerTick is added to it,
 	// and forgets the fleet's latency in three seconds, while the instance is idle.
-	backendFadePerTick = 0.98
-	idleFadePerTick    = 0.97
+	backendDecayPerTick = 0.98
+	idleDecayPerTick    = 0.97
 )
 
 // fleetLatency is what is known about the latency of the backends together, in nanoseconds.
@@ -43,7 +43,7 @@
 	mean     estimate.Mean       // of recent attempts, at the mean cost; 0: none is measured, and all backends look fast
 	byUnits  estimate.Regression // of the latency over the units
 	baseline estimate.Mean       // of moments without a queue; the count is of the first attempts
-	// idleFloor is the least latency that fadeIdle leaves, unless the baseline is lower.
+	// idleFloor is the least latency that decayWhileIdle leaves, unless the baseline is lower.
 	idleFloor float64
 }
 
@@ -60,14 +60,14 @@
 	f.idleFloor = min(cmp.Or(f.idleFloor, math.Inf(1)), floor)
 }
 
-// measure takes into account a latency that was measured at a backend with a number of attempts in flight. It is in
-// nanoseconds at the mean cost: that of an attempt is divided by its relativeCost first.
-func (e *Engine) measure(b *backend, latency, concurrency float64) {
-	own := &b.latency
-	own.mean.Add(latency, backendSamples)
-	own.concurrency += (concurrency - own.concurrency) / own.mean.Count
-	if own.estimate > 0 {
-		latency = min(latency, maxFleetSampleRatio*own.estimate)
+// recordLatency adds a latency that was measured at a backend with a number of attempts in flight to the estimates.
+// It is in nanoseconds at the mean cost: the latency of an attempt is divided by its relativeCost first.
+func (e *Engine) recordLatency(b *backend, latency, concurrency float64) {
+	ownLatency := &b.latency
+	ownLatency.mean.Add(latency, backendSamples)
+	ownLatency.concurrency += (concurrency - ownLatency.concurrency) / ownLatency.mean.Count
+	if ownLatency.estimate > 0 {
+		latency = min(latency, maxFleetSampleRatio*ownLatency.estimate)
 	}
 	samples := min(max(fleetSampleSeconds*e.throughput.perSecond, minFleetSamples), maxFleetSamples)
 	e.latency.mean.Add(latency, samples)
@@ -76,32 +76,32 @@
 // relativeCost returns how many times as long as the mean request one of so many units takes, as far as measured: a
 // unit may stand for work. Without it a large request seems a slow backend, and a small one a fast one.
 func (e *Engine) relativeCost(units float64) float64 {
-	line := &e.latency.byUnits
-	slope := line.Slope() * line.Count / (line.Count + costPriorSamples)
-	return max(1+slope*(units-line.MeanX)/max(line.MeanY, 1), minRelativeCost)
+	regression := &e.latency.byUnits
+	slope := regression.Slope() * regression.Count / (regression.Count + costPriorSamples)
+	return max(1+slope*(units-regression.MeanX)/max(regression.MeanY, 1), minRelativeCost)
 }
 
-// fadeMeasurements forgets single backends, and clients that leave. An idle instance also forgets the fleet's
+// decayMeasurements forgets single backends, and clients that leave. An idle instance also forgets the fleet's
 // latency: one that took overload for lasting would not send, and so would not measure. With attempts in
 // flight it does measure, and silence is overload. Forgetting stops at the idle floor or at a lower baseline:
 // otherwise all would look fast in the end, and late answers stalled. A baseline of 0, before the first answer,
 // sets no such bound.
-func (e *Engine) fadeMeasurements(now Instant) {
-	fade := backendFadePerTick
-	if now.Sub(e.lastAnswerAt) > idleTime && e.inFlight == 0 {
-		fade *= idleFadePerTick
-		e.latency.fadeIdle()
+func (e *Engine) decayMeasurements(now Instant) {
+	decay := backendDecayPerTick
+	if now.Sub(e.lastAnswerAt) > idleThreshold && e.inFlight == 0 {
+		decay *= idleDecayPerTick
+		e.latency.decayWhileIdle()
 	}
 	for _, p := range e.plans {
-		p.abandonment.fade()
+		p.abandonment.decay()
 	}
 	for _, b := range e.endpoints {
-		b.latency.mean.Count *= fade
+		b.latency.mean.Count *= decay
 	}
 }
 
-// fadeIdle lowers the fleet's latency towards the baseline or the idle floor, whichever is lower.
-func (f *fleetLatency) fadeIdle() {
+// decayWhileIdle lowers the fleet's latency towards the baseline or the idle floor, whichever is lower.
+func (f *fleetLatency) decayWhileIdle() {
 	floor := min(f.mean.Value, f.baseline.Value, f.idleFloor)
-	f.mean.Value = max(f.mean.Value*idleFadePerTick, floor)
+	f.mean.Value = max(f.mean.Value*idleDecayPerTick, floor)
 }
--- a/policy/latency_test.go
+++ b/policy/latency_test.go
@@ -7,12 +7,12 @@
 
 // Fault: backends that overload had made slow got nothing, and so were never found quick again; likewise by an
 // instance that had met the overload before it knew a baseline.
-func TestLatency_OverloadIsForgotten(t *testing.T) {
-	for _, quick := range []int{40, 0} {
+func TestLatency_BackendIsTriedAgainAfterOverload(t *testing.T) {
+	for _, fastAnswers := range []int{40, 0} {
 		h := newHarnessWithoutCounter(t, readyEndpoints(1)...)
-		for n := range quick + 10 {
+		for n := range fastAnswers + 10 {
 			request := h.submit(RequestID(n), 0, 0, TenantID(n), 2*time.Second, 1)
-			if h.advance(50 * time.Millisecond); n >= quick {
+			if h.advance(50 * time.Millisecond); n >= fastAnswers {
 				h.advance(650 * time.Millisecond)
 			}
 			for i := range request.attempts {
@@ -21,14 +21,14 @@
 		}
 		h.advance(12 * time.Second)
 		if request := h.submit(100, 0, 0, 100, 2*time.Second, 1); len(request.attempts) != 1 {
-			t.Errorf("nothing sent long after overload that came after %d quick answers", quick)
+			t.Errorf("nothing sent long after overload that came after %d quick answers", fastAnswers)
 		}
 	}
 }
 
 // Fault: where backends became slow of themselves, as those that warm up are, instances that had seen quick
 // ones sent next to nothing, and nothing at all to new ones, which were never measured.
-func TestLatency_SlowFleetIsNoOverload(t *testing.T) {
+func TestLatency_SlowFleetIsNotTakenForOverloaded(t *testing.T) {
 	h, sent := newHarnessWithoutCounter(t, readyEndpoints(1, 2, 3, 4)...), 0
 	for n := range 100 {
 		request := h.submit(RequestID(n), 0, 0, TenantID(n), 2*time.Second, 1)
@@ -54,7 +54,7 @@
 
 // Fault: after a mass restart many instances of few attempts each kept the rest of the fleet overloaded: full
 // queues turned attempts away at once and showed nothing, and late answers showed it too late.
-func TestLatency_OverloadShowsBeforeItsAnswers(t *testing.T) {
+func TestLatency_OverloadIsDetectedBeforeAnswersArrive(t *testing.T) {
 	for _, outcome := range []Outcome{Rejected, Succeeded} {
 		settings := defaultSettings()
 		settings.CounterEnabled = false
@@ -84,7 +84,7 @@
 }
 
 // Fault: where units stand for work, large requests passed for slow backends, and found no capacity.
-func TestLatency_UnitsStandForWork(t *testing.T) {
+func TestLatency_EstimatesAccountForUnits(t *testing.T) {
 	settings := defaultSettings()
 	settings.CounterEnabled, settings.Plans[0].Burst = false, 100
 	h := newHarness(t, settings, readyEndpoints(1, 2, 3)...)
@@ -97,8 +97,8 @@
 		h.endAttempt(request, 0, Succeeded)
 	}
 	for _, b := range h.engine.endpoints {
-		if off := b.latency.estimate / h.engine.latency.mean.Value; off < 0.8 || off > 1.25 {
-			t.Errorf("backend %d is estimated at %.2f of the fleet's latency", b.id, off)
+		if ratio := b.latency.estimate / h.engine.latency.mean.Value; ratio < 0.8 || ratio > 1.25 {
+			t.Errorf("backend %d is estimated at %.2f of the fleet's latency", b.id, ratio)
 		}
 	}
 	if one, eight := h.engine.relativeCost(1), h.engine.relativeCost(8); one > 0.5 || eight < 1.5 {
@@ -112,20 +112,20 @@
 // Fault: an instance of a few answers a second went by the last thirty, and saw overload after seven seconds:
 // 281 such instances went on filling the warm backends while 90 of 151 were replaced (join+mass, seed 11: 29%
 // answered in time).
-func TestLatency_InstanceOfFewAnswersSeesOverloadWithinSeconds(t *testing.T) {
+func TestLatency_InstanceWithLowThroughputDetectsOverload(t *testing.T) {
 	settings := defaultSettings()
 	settings.Instances, settings.CounterEnabled = 1, false
 	h := newHarness(t, settings, readyEndpoints(1, 2, 3, 4, 5, 6, 7, 8)...)
 	for n := 0; h.now.Before(startOfTest.Add(22500 * time.Millisecond)); n++ {
 		request := h.submit(RequestID(n), 0, 0, TenantID(n), 2*time.Second, 1)
-		took := 100 * time.Millisecond
+		answerTime := 100 * time.Millisecond
 		if h.now.After(atSecond(1020)) {
-			took = 240 * time.Millisecond
+			answerTime = 240 * time.Millisecond
 		}
-		if h.advance(took); len(request.attempts) > 0 && request.attempts[0].inFlight {
+		if h.advance(answerTime); len(request.attempts) > 0 && request.attempts[0].inFlight {
 			h.endAttempt(request, 0, Succeeded)
 		}
-		h.advance(250*time.Millisecond - took)
+		h.advance(250*time.Millisecond - answerTime)
 	}
 	if h.engine.latency.mean.Value < float64(190*time.Millisecond) {
 		t.Errorf("after 2.5 s of answers in 240 ms the latency is %.0f ms", h.engine.latency.mean.Value/1e6)
@@ -134,7 +134,7 @@
 
 // Fault: an instance that got no answer for ten seconds of overload took 12 ms for the fleet's latency: all looked
 // quick, and what was only late was canceled and sent again.
-func TestLatency_ForgettingEndsAtTheBaseline(t *testing.T) {
+func TestLatency_IdleDecayStopsAtBaseline(t *testing.T) {
 	h := newHarnessWithoutCounter(t, readyEndpoints(1, 2)...)
 	h.serveTwenty(100 * time.Millisecond)
 	request := h.submit(100, 0, 0, 100, 2*time.Second, 1)
@@ -151,7 +151,7 @@
 
 // Fault: one late answer among quick ones put the last backend's own mean over the latency budget. With nothing
 // in flight nothing renewed it, and every request was rejected for seconds.
-func TestLatency_OneLateAnswerClosesNoBackend(t *testing.T) {
+func TestLatency_OneLateAnswerBlocksNoBackend(t *testing.T) {
 	for _, test := range []struct{ usual, late time.Duration }{
 		{100 * time.Microsecond, 10 * time.Millisecond},
 		{100 * time.Microsecond, 210 * time.Millisecond},
--- a/policy/outlier.go
+++ b/policy/outlier.go
@@ -21,16 +21,16 @@
 
 // outlierState records what a backend's failures led to.
 type outlierState struct {
-	// noAttemptsUntil ends an ejection, the pause after a rejection, or the wait for a health check.
-	noAttemptsUntil   Instant
+	// blockedUntil ends an ejection, the pause after a rejection, or the wait for a health check.
+	blockedUntil      Instant
 	ejections         int // by eject, since the last success
 	consecutiveErrors int // without a success between them; a rejection does not end the series
 }
 
-// getsNoAttempt reports whether the backend gets no attempt now: it is ejected or paused, or it was ejected and any
+// isBlocked reports whether the backend gets no attempt now: it is ejected or paused, or it was ejected and any
 // attempt of this instance is in flight there. That one tries it, or is still the one that stalled.
-func (o *outlierState) getsNoAttempt(now Instant, inFlight int) bool {
-	return now.Before(o.noAttemptsUntil) || o.ejections > 0 && inFlight > 0
+func (o *outlierState) isBlocked(now Instant, inFlight int) bool {
+	return now.Before(o.blockedUntil) || o.ejections > 0 && inFlight > 0
 }
 
 // recordSuccess ends the series of ejections. The current one lasts until its end.
@@ -42,7 +42,7 @@
 // pauseAfterRejection keeps attempts away from a full backend for rejectionPause. It is no ejection: a full
 // queue is no fault.
 func (o *outlierState) pauseAfterRejection(now Instant) {
-	o.noAttemptsUntil = monotime.Later(o.noAttemptsUntil, now.Add(rejectionPause))
+	o.blockedUntil = monotime.Later(o.blockedUntil, now.Add(rejectionPause))
 }
 
 // recordError counts an error, and ejects the backend at the consecutiveErrorThreshold.
@@ -58,13 +58,13 @@
 // no attempts for the moment, for whatever reason, is not ejected again.
 func (e *Engine) eject(now Instant, b *backend) {
 	o := &b.outlier
-	if now.Before(o.noAttemptsUntil) {
+	if now.Before(o.blockedUntil) {
 		return
 	}
 	o.ejections++
-	o.noAttemptsUntil = now.Add(minEjectionTime << min(o.ejections-1, maxEjectionDoublings))
+	o.blockedUntil = now.Add(minEjectionTime << min(o.ejections-1, maxEjectionDoublings))
 	if e.settings.HealthChecks {
-		e.schedule(o.noAttemptsUntil, nil, func(now Instant) { e.checkEjected(now, b) })
+		e.schedule(o.blockedUntil, nil, func(now Instant) { e.checkEjected(now, b) })
 	}
 }
 
@@ -72,10 +72,10 @@
 // no check if a pause after a rejection lasts beyond that end.
 func (e *Engine) checkEjected(now Instant, b *backend) {
 	o := &b.outlier
-	if !b.ready || o.ejections == 0 || now.Before(o.noAttemptsUntil) {
+	if !b.ready || o.ejections == 0 || now.Before(o.blockedUntil) {
 		return
 	}
-	o.noAttemptsUntil = now.Add(healthCheckTimeout)
+	o.blockedUntil = now.Add(healthCheckTimeout)
 	e.effects.CheckHealth(b.id)
 }
 
@@ -86,7 +86,7 @@
 	if b == nil || b.outlier.ejections == 0 {
 		return
 	}
-	b.outlier.noAttemptsUntil = now // whatever it was for; eject does nothing before its end
+	b.outlier.blockedUntil = now // whatever it was for; eject does nothing before its end
 	if outcome != Succeeded && outcome != LocalFailure {
 		e.eject(now, b)
 	}
--- a/policy/outlier_test.go
+++ b/policy/outlier_test.go
@@ -6,7 +6,7 @@
 )
 
 // Fault: every connection reset under an attempt had its backend ejected, until most were.
-func TestOutlier_LostConnectionIsNoDeadBackend(t *testing.T) {
+func TestOutlier_SingleLostConnectionDoesNotEject(t *testing.T) {
 	h := newHarnessWithoutCounter(t, readyEndpoints(1)...)
 	request := h.submit(1, 0, 0, 1, 2*time.Second, 1)
 	h.endAttempt(request, 0, ConnectionLost)
@@ -26,9 +26,9 @@
 	}
 }
 
-// TestOutlier_LocalFailureEjectsNobody guards against ejections of healthy backends: an attempt for which this
+// TestOutlier_LocalFailureDoesNotEject guards against ejections of healthy backends: an attempt for which this
 // instance had no connection counted as a backend that cannot be reached, and so did a health check.
-func TestOutlier_LocalFailureEjectsNobody(t *testing.T) {
+func TestOutlier_LocalFailureDoesNotEject(t *testing.T) {
 	settings := defaultSettings()
 	settings.CounterEnabled = false
 	settings.Classes[0].Idempotency = NonIdempotent
--- a/policy/over_quota.go
+++ b/policy/over_quota.go
@@ -16,7 +16,7 @@
 	return r.plan.OverQuotaValue > r.plan.OverQuotaCost && !r.class.CheckOnly
 }
 
-// hasBackendBelowPreferred reports whether a backend takes one more attempt within its preferredInFlight.
+// hasBackendBelowPreferred reports whether a backend takes one more attempt within its softInFlightLimit.
 func (r *Request) hasBackendBelowPreferred(now Instant) bool {
 	b := r.engine.pickBackend(now, r, fullBudget)
 	return b != nil && b.load() <= 1
--- a/policy/quota_reconciliation.go
+++ b/policy/quota_reconciliation.go
@@ -69,6 +69,6 @@
 // counter for each instance before it.
 func (r *Request) claimDelay() time.Duration {
 	offset := int(uint64(r.tenant.window.key) % claimOrderRange)
-	turn := (r.position + offset) % int(r.entryPoints)
+	turn := (r.entryPointIndex + offset) % int(r.entryPoints)
 	return time.Duration(turn) * r.class.counterWait
 }
--- a/policy/request.go
+++ b/policy/request.go
@@ -2,14 +2,14 @@
 
 // Request is the handle of a request that was submitted.
 type Request struct {
-	engine      *Engine
-	id          RequestID
-	class       *class
-	plan        *plan
-	tenant      *tenant
-	units       float64
-	entryPoints float64
-	position    int // this instance's place among the tenant's entry points
+	engine          *Engine
+	id              RequestID
+	class           *class
+	plan            *plan
+	tenant          *tenant
+	units           float64
+	entryPoints     float64
+	entryPointIndex int // this instance's place among the tenant's entry points
 
 	submittedAt Instant
 	answerDueAt Instant // see answerDue
@@ -28,19 +28,19 @@
 func newRequest(e *Engine, now Instant, spec RequestSpec) *Request {
 	instances := e.instances()
 	return &Request{
-		engine:      e,
-		id:          spec.ID,
-		units:       max(spec.Units, 0),
-		entryPoints: float64(max(spec.EntryPoints, 1)),
-		position:    ((e.settings.InstanceIndex-spec.FirstInstance)%instances + instances) % instances,
-		submittedAt: now,
-		deadline:    now.Add(max(spec.Remaining, 0)),
+		engine:          e,
+		id:              spec.ID,
+		units:           max(spec.Units, 0),
+		entryPoints:     float64(max(spec.EntryPoints, 1)),
+		entryPointIndex: ((e.settings.InstanceIndex-spec.FirstInstance)%instances + instances) % instances,
+		submittedAt:     now,
+		deadline:        now.Add(max(spec.Remaining, 0)),
 	}
 }
 
-// abortUnknown aborts a request whose class or plan is in no table.
-func (r *Request) abortUnknown(spec RequestSpec) {
-	r.engine.effects.LogUnknown(spec.Class, spec.Plan)
+// abortUnknownClassOrPlan aborts a request whose class or plan is in no table.
+func (r *Request) abortUnknownClassOrPlan(spec RequestSpec) {
+	r.engine.effects.LogUnknownClassOrPlan(spec.Class, spec.Plan)
 	r.finished = true
 	r.engine.effects.Abort(r.id)
 }
@@ -66,15 +66,15 @@
 		r.tenant.waiting--
 	}
 	if len(r.attempts) == 0 {
-		r.giveBackUnits()
+		r.refundUnits()
 	}
 	if r.engine.settings.Cancellation && !r.responseStarted {
 		r.cancelInFlight()
 	}
 }
 
-// giveBackUnits gives back what the request has drawn from the hard quota and been charged to the quota.
-func (r *Request) giveBackUnits() {
+// refundUnits gives back what the request has drawn from the hard quota and been charged to the quota.
+func (r *Request) refundUnits() {
 	t := r.tenant
 	t.hardQuota.Units += r.hardQuotaUnits
 	if r.withinQuota {
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -21,16 +21,16 @@
 	r.removeAttempt(a, result.Outcome)
 	r.recordResult(now, a, &result)
 	r.correctUnits(&result)
-	r.continueAfter(now, &result)
+	r.continueAfterAttempt(now, &result)
 	r.engine.reportEndedAttempts(now, r.tenant)
 }
 
-// continueAfter decides what follows on an attempt's end.
-func (r *Request) continueAfter(now Instant, result *AttemptResult) {
+// continueAfterAttempt decides what follows on an attempt's end.
+func (r *Request) continueAfterAttempt(now Instant, result *AttemptResult) {
 	switch {
 	case r.finished:
 	case result.RequestDone || result.Outcome == Succeeded:
-		r.plan.abandonment.recordStayed()
+		r.plan.abandonment.recordAnswered()
 		r.finish()
 	case r.inFlight > 0: // the other attempt may succeed
 	case result.Outcome == NotSent || r.responseStarted || r.tooLateToSend(now):
@@ -62,7 +62,7 @@
 }
 
 // giveUp gives the final answer when no attempt succeeded: a rejection, with the time to come back after, if
-// that can promise that a retry does no harm; otherwise an abort. Only abortUnknown answers so too.
+// that can promise that a retry does no harm; otherwise an abort. Only abortUnknownClassOrPlan answers so too.
 func (r *Request) giveUp(retryAfter time.Duration) {
 	if r.finished {
 		return
--- a/policy/retry_test.go
+++ b/policy/retry_test.go
@@ -27,7 +27,7 @@
 }
 
 // Fault: requests that may have run were held back for capacity that could not help them.
-func TestRetry_NonIdempotentEndsAtOnceAfterAnError(t *testing.T) {
+func TestRetry_NonIdempotentIsAbortedAfterError(t *testing.T) {
 	settings := defaultSettings()
 	settings.Classes[0].Idempotency, settings.CounterEnabled = NonIdempotent, false
 	h := newHarness(t, settings, readyEndpoints(1, 2)...)
@@ -43,7 +43,7 @@
 
 // Fault: an instance of many gets an answer of a backend once in seconds; attempts a little longer than usual
 // were canceled there, and the work done twice, while the whole fleet was slow.
-func TestRetry_SlowAnswersAreNotStalled(t *testing.T) {
+func TestRetry_SlowFleetIsNotTakenForStalled(t *testing.T) {
 	h := newHarnessWithoutCounter(t, readyEndpoints(1, 2)...)
 	h.serveTwenty(160 * time.Millisecond)
 	request := h.submit(100, 0, 0, 100, 2*time.Second, 1)
@@ -51,7 +51,7 @@
 	if len(request.attempts) != 1 || strings.Contains(strings.Join(h.log, "\n"), "cancel") {
 		t.Error("canceled before five usual latencies")
 	}
-	if h.engine.promptInFlight != 0 {
+	if h.engine.inFlightNotOverdue != 0 {
 		t.Error("overdue, and still held for one that is likely to end soon")
 	}
 }
--- a/policy/selection.go
+++ b/policy/selection.go
@@ -7,26 +7,26 @@
 )
 
 const (
-	// priorSamples is the weight of the fleet's latency, in answers, against a backend's own.
-	priorSamples = 3
-	// stepsPerDoubling is how many steps of the rank a doubled latency makes: some 40% each. Finer ones are
+	// fleetPriorSamples is the weight of the fleet's latency, in answers, against a backend's own.
+	fleetPriorSamples = 3
+	// rankStepsPerDoubling is how many steps of the rank a doubled latency makes: some 40% each. Finer ones are
 	// chance.
-	stepsPerDoubling = 2
-	// minPreferredInFlight and maxPreferredInFlight bound how many attempts of this instance a backend takes before
+	rankStepsPerDoubling = 2
+	// minSoftInFlightLimit and maxSoftInFlightLimit bound how many attempts of this instance a backend takes before
 	// those ranked behind it.
-	minPreferredInFlight = 0.25
-	maxPreferredInFlight = 2
-	// otherZoneSteps is what a crossing between zones adds to the rank, where it has a price: less than a step
+	minSoftInFlightLimit = 0.25
+	maxSoftInFlightLimit = 2
+	// crossZonePenaltySteps is what a crossing between zones adds to the rank, where it has a price: less than a step
 	// of the latency.
-	otherZoneSteps = 0.5
-	// warmingUpSteps is taken off a warming backend's rank: its turns are few, and work may be what warms it.
-	warmingUpSteps = 1
+	crossZonePenaltySteps = 0.5
+	// warmingUpBonusSteps is taken off a warming backend's rank: its turns are few, and work may be what warms it.
+	warmingUpBonusSteps = 1
 )
 
 // rank orders backends: the lowest cost first, then the nearest, then the one that is most due.
 type rank struct {
-	cost float64 // steps of latency above the fleet's
-	due  float64 // nanoseconds since the last attempt, times capacity
+	cost             float64 // steps of latency above the fleet's
+	weightedIdleTime float64 // nanoseconds since the last attempt, times capacity
 }
 
 // rankBackends orders the backends that are ready.
@@ -48,16 +48,16 @@
 // steps; then the own zone first, where crossing has a price; then by fair shares, the own first; then by the time
 // since the last attempt, times weight.
 func (e *Engine) rankBackend(now Instant, b *backend) {
-	warmth := e.warmth(now, b)
-	e.ready.effectiveBackends += warmth
-	e.ready.effectiveWeight += warmth * b.weight
+	capacityShare := e.capacityShare(now, b)
+	e.ready.effectiveBackends += capacityShare
+	e.ready.effectiveWeight += capacityShare * b.weight
 	b.latency.estimate = e.estimateLatency(now, b)
-	steps := math.Round(stepsPerDoubling * math.Log2(max(b.latency.estimate, 1)/max(e.latency.mean.Value, 1)))
+	steps := math.Round(rankStepsPerDoubling * math.Log2(max(b.latency.estimate, 1)/max(e.latency.mean.Value, 1)))
 	// It follows the latency in steps too: otherwise chance alone would move attempts between backends.
-	b.preferredInFlight = min(max(math.Exp2(-steps/stepsPerDoubling), minPreferredInFlight), maxPreferredInFlight)
+	b.softInFlightLimit = min(max(math.Exp2(-steps/rankStepsPerDoubling), minSoftInFlightLimit), maxSoftInFlightLimit)
 	b.rank = rank{
-		cost: steps + e.rankPenalty(now, b),
-		due:  float64(now.Sub(b.lastSentAt)) * b.weight,
+		cost:             steps + e.rankPenalty(now, b),
+		weightedIdleTime: float64(now.Sub(b.lastSentAt)) * b.weight,
 	}
 }
 
@@ -65,10 +65,10 @@
 func (e *Engine) rankPenalty(now Instant, b *backend) float64 {
 	penalty := 0.0
 	if e.settings.CrossZoneCost > 0 && b.zone != e.settings.Zone {
-		penalty += otherZoneSteps
+		penalty += crossZonePenaltySteps
 	}
 	if e.warmingUp(now, b) {
-		penalty -= warmingUpSteps
+		penalty -= warmingUpBonusSteps
 	}
 	return penalty
 }
@@ -78,7 +78,7 @@
 func (e *Engine) estimateLatency(now Instant, b *backend) float64 {
 	fleet := e.latency.mean.Value
 	if !e.warmingUp(now, b) {
-		return b.latency.mean.Blend(fleet, priorSamples)
+		return b.latency.mean.Blend(fleet, fleetPriorSamples)
 	}
 	if e.baselineKnown() {
 		return min(fleet, e.latency.baseline.Value)
@@ -89,13 +89,13 @@
 func (b *backend) compareRank(other *backend) int {
 	return cmp.Or(
 		cmp.Compare(b.rank.cost, other.rank.cost),
-		cmp.Compare(b.distance, other.distance),
-		cmp.Compare(other.rank.due, b.rank.due),
+		cmp.Compare(b.ringDistance, other.ringDistance),
+		cmp.Compare(other.rank.weightedIdleTime, b.rank.weightedIdleTime),
 		cmp.Compare(b.id, other.id),
 	)
 }
 
-// pickBackend returns the first ranked backend that takes one more attempt within its preferredInFlight, or else
+// pickBackend returns the first ranked backend that takes one more attempt within its softInFlightLimit, or else
 // the least loaded, of those that may get an attempt and likely answer within the latency budget; nil if there is
 // none, or if this instance has too much in flight. A backend slower than the fleet may prefer less than one.
 func (e *Engine) pickBackend(now Instant, r *Request, factor budgetFactor) *backend {
@@ -103,14 +103,14 @@
 	if e.atInFlightLimit(budget) {
 		return nil
 	}
-	var usable, leastLoaded *backend
+	var firstAllowed, leastLoaded *backend
 	minLoad := math.Inf(1)
 	for _, b := range e.ranked {
-		if b.outlier.getsNoAttempt(now, b.inFlight) || !r.mayAttempt(now, b) {
+		if b.outlier.isBlocked(now, b.inFlight) || !r.mayAttempt(now, b) {
 			continue
 		}
-		usable = cmp.Or(usable, b)
-		if b.likelyLatency() > budget {
+		firstAllowed = cmp.Or(firstAllowed, b)
+		if b.expectedLatency() > budget {
 			continue
 		}
 		load := r.loadAt(b)
@@ -124,7 +124,7 @@
 	}
 	// With nothing in flight nothing is measured, and one late answer would close a backend until it is forgotten.
 	if leastLoaded == nil && e.inFlight == 0 && e.latency.mean.Value <= budget {
-		return usable
+		return firstAllowed
 	}
 	return leastLoaded
 }
--- a/policy/selection_test.go
+++ b/policy/selection_test.go
@@ -6,7 +6,7 @@
 )
 
 // Fault: at their start many instances sent all they got before the first late answer showed overload.
-func TestSelection_YoungInstanceOfManyHasFewInFlight(t *testing.T) {
+func TestSelection_NewInstanceOfManyHasFewInFlight(t *testing.T) {
 	settings := defaultSettings()
 	settings.CounterEnabled, settings.Instances = false, 100
 	h, sent := newHarness(t, settings, readyEndpoints(1, 2, 3, 4, 5, 6, 7, 8, 9, 10)...), 0
--- a/policy/slow_start.go
+++ b/policy/slow_start.go
@@ -10,14 +10,14 @@
 // knows what the others send.
 
 const (
-	// overloadMargin divides the overload multiple: the instances plan for a third of what makes a backend
+	// overloadSafetyDivisor divides the overload multiple: the instances plan for a third of what makes a backend
 	// collapse, since requests differ in work.
-	overloadMargin = 3
+	overloadSafetyDivisor = 3
 	// baselineServiceRatio is the service time that is assumed for one core, as a multiple of the baseline latency.
 	baselineServiceRatio = 1.5
-	// minTurnSpacing is how much of the time between its turns an instance waits after an attempt: a change in
+	// minTurnSpacingRatio is how much of the time between its turns an instance waits after an attempt: a change in
 	// the measurements shifts the numbers of the attempts.
-	minTurnSpacing = 0.75
+	minTurnSpacingRatio = 0.75
 )
 
 // warmingUp reports whether a backend may still lack a part of its capacity.
@@ -25,15 +25,15 @@
 	return !b.startedAt.IsZero() && now.Sub(b.startedAt) < e.settings.SlowStartDuration
 }
 
-// warmth returns the part of its capacity that a backend has, from Settings.SlowStartShare to 1. It is taken to
+// capacityShare returns the part of its capacity that a backend has, from Settings.SlowStartShare to 1. It is taken to
 // rise evenly, and an overload window late to be safe.
-func (e *Engine) warmth(now Instant, b *backend) float64 {
+func (e *Engine) capacityShare(now Instant, b *backend) float64 {
 	if !e.warmingUp(now, b) {
 		return 1
 	}
 	s := &e.settings
-	risen := b.ageBeyond(now, s.OverloadWindow)
-	return s.SlowStartShare + (1-s.SlowStartShare)*risen/float64(s.SlowStartDuration)
+	rampTime := b.ageBeyond(now, s.OverloadWindow)
+	return s.SlowStartShare + (1-s.SlowStartShare)*rampTime/float64(s.SlowStartDuration)
 }
 
 // ageBeyond returns by how much a backend's age exceeds a span, in nanoseconds, or 0.
@@ -55,47 +55,47 @@
 	if now.Sub(e.startedAt) < e.settings.OverloadWindow {
 		return false
 	}
-	warmth := e.warmth(now, b)
-	warmRate := r.slowStartRate(b)
-	return e.hasSlowStartTurn(now, b, slowStartBudget{warmth: warmth, warmRate: warmRate}) &&
-		e.slowStartTurnSpaced(now, b, warmRate*warmth)
+	capacityShare := e.capacityShare(now, b)
+	fullRate := r.slowStartRate(b)
+	return e.hasSlowStartTurn(now, b, slowStartBudget{capacityShare: capacityShare, fullRate: fullRate}) &&
+		e.slowStartSpacingElapsed(now, b, fullRate*capacityShare)
 }
 
 // slowStartBudget is how much a warming backend may get from all instances.
 type slowStartBudget struct {
-	warmth   float64 // part of its capacity that it has
-	warmRate float64 // attempts a nanosecond, once it is warm
+	capacityShare float64 // part of its capacity that it has
+	fullRate      float64 // attempts a nanosecond, once it is warm
 }
 
 // hasSlowStartTurn reports whether it is this instance's turn at a warming backend. Its turn begins when the
 // budget reaches an attempt whose number belongs to it, and lasts for half an overload window, since one instance
 // of many seldom has something to send just then. Several instances may so have their turn at once: what was planned
-// for a third of the overload multiple (overloadMargin) then comes to half of it at most. Numbers belong to one
+// for a third of the overload multiple (overloadSafetyDivisor) then comes to half of it at most. Numbers belong to one
 // instance each as far as the instances have measured the same baseline and peak.
 func (e *Engine) hasSlowStartTurn(now Instant, b *backend, budget slowStartBudget) bool {
 	instances := uint64(e.instances())
 	offset := hash64.Mix(uint64(b.id)) + instances - uint64(e.settings.InstanceIndex)
 	turnsPassed := float64((offset + uint64(e.budgetedAttempts(now, b, budget))) % instances)
-	numbersPerTurn := budget.warmRate * budget.warmth * float64(e.settings.OverloadWindow) / 2
-	return turnsPassed < max(1, numbersPerTurn)
+	attemptsPerTurn := budget.fullRate * budget.capacityShare * float64(e.settings.OverloadWindow) / 2
+	return turnsPassed < max(1, attemptsPerTurn)
 }
 
 // budgetedAttempts returns how many attempts the budget has allowed a backend since its start: the integral of
 // its rate over its warmth, which starts at the slow start's share.
 func (e *Engine) budgetedAttempts(now Instant, b *backend, budget slowStartBudget) float64 {
 	s := &e.settings
-	atShare := s.SlowStartShare * float64(max(now.Sub(b.startedAt), 0))
-	risen := (budget.warmth - s.SlowStartShare) * b.ageBeyond(now, s.OverloadWindow) / 2
-	return budget.warmRate * (atShare + risen)
+	initialShareTime := s.SlowStartShare * float64(max(now.Sub(b.startedAt), 0))
+	rampShareTime := (budget.capacityShare - s.SlowStartShare) * b.ageBeyond(now, s.OverloadWindow) / 2
+	return budget.fullRate * (initialShareTime + rampShareTime)
 }
 
-// slowStartTurnSpaced reports whether this instance's last attempt at a warming backend is minTurnSpacing of
+// slowStartSpacingElapsed reports whether this instance's last attempt at a warming backend is minTurnSpacingRatio of
 // the time between its turns ago. currentRate is what all instances may send, in attempts a nanosecond.
-func (e *Engine) slowStartTurnSpaced(now Instant, b *backend, currentRate float64) bool {
-	if b.lastSlowStartAt.IsZero() {
+func (e *Engine) slowStartSpacingElapsed(now Instant, b *backend, currentRate float64) bool {
+	if b.lastSlowStartAttemptAt.IsZero() {
 		return true
 	}
-	return float64(now.Sub(b.lastSlowStartAt))*currentRate >= minTurnSpacing*float64(e.instances())
+	return float64(now.Sub(b.lastSlowStartAttemptAt))*currentRate >= minTurnSpacingRatio*float64(e.instances())
 }
 
 // slowStartRate returns how many attempts a nanosecond all instances may send to a backend once it is warm: a
@@ -110,7 +110,7 @@
 	if e.baselineKnown() {
 		serviceTime = e.latency.baseline.Value * baselineServiceRatio
 	}
-	warmRate := max(1/max(serviceTime, 1), e.throughput.peakPerBackend/float64(time.Second))
-	rate := e.settings.OverloadMultiple / overloadMargin * warmRate
+	fullRate := max(1/max(serviceTime, 1), e.throughput.peakPerBackend/float64(time.Second))
+	rate := e.settings.OverloadMultiple / overloadSafetyDivisor * fullRate
 	return rate * min(b.weight/e.ready.meanWeight, 1)
 }
--- a/policy/slow_start_test.go
+++ b/policy/slow_start_test.go
@@ -10,7 +10,7 @@
 
 // Fault: with many instances none could send anything to a backend that warmed up, and an enlarged fleet
 // stood idle.
-func TestSlowStart_ManyInstancesShareABackend(t *testing.T) {
+func TestSlowStart_ManyInstancesShareOneBackend(t *testing.T) {
 	sent := 0
 	for index := range 8 {
 		settings := defaultSettings()
@@ -33,10 +33,10 @@
 }
 
 // Fault: backends that warm up were kept to the pace of one core while warm ones answered many times that.
-func TestSlowStart_BudgetFollowsWhatWarmBackendsTake(t *testing.T) {
+func TestSlowStart_BudgetFollowsThroughputOfWarmBackends(t *testing.T) {
 	sent := map[time.Duration]int{}
 	// Answers take 200 ms in both: many cores, or few used.
-	for _, gap := range []time.Duration{100 * time.Millisecond, 5 * time.Millisecond} {
+	for _, interval := range []time.Duration{100 * time.Millisecond, 5 * time.Millisecond} {
 		settings := defaultSettings()
 		settings.Instances = 1
 		settings.CounterEnabled = false
@@ -47,7 +47,7 @@
 				h.update(Delta, Endpoint{Backend: 9, State: EndpointReady, Weight: 1, StartedAt: atSecond(1011)})
 			}
 			h.submit(RequestID(n), 0, 0, TenantID(n), 2*time.Second, 1)
-			h.advance(gap)
+			h.advance(interval)
 			for _, id := range h.order[max(n-60, 0):] {
 				request := h.requests[id]
 				if len(request.attempts) > 0 && h.now.Sub(request.attempts[0].sentAt) >= 200*time.Millisecond {
@@ -55,7 +55,7 @@
 				}
 			}
 		}
-		sent[gap] = len(h.sentTimes[9])
+		sent[interval] = len(h.sentTimes[9])
 	}
 	if sent[5*time.Millisecond] < 2*sent[100*time.Millisecond] || sent[100*time.Millisecond] == 0 {
 		t.Errorf("attempts at a backend that warms up by the gap between requests: %v", sent)
@@ -65,18 +65,18 @@
 // Fault: with many instances a backend that warms up got nothing for as long as all their turns together
 // take, since a new one counted as sent to; and an overload of the others took its budget away when it was needed.
 func TestSlowStart_ManyInstancesUseTheBudgetInOverload(t *testing.T) {
-	sent, sentIn := 0, map[int64]float64{}
+	sent, sentPerSecond := 0, map[int64]float64{}
 	for index := range 60 {
 		settings := defaultSettings()
 		settings.InstanceIndex = index
 		settings.Instances = 60
 		settings.CounterEnabled = false
 		settings.OverloadMultiple = 4
-		var warm []BackendID
+		var warmBackends []BackendID
 		for b := range 20 {
-			warm = append(warm, BackendID(10+b))
+			warmBackends = append(warmBackends, BackendID(10+b))
 		}
-		h := newHarness(t, settings, readyEndpoints(warm...)...)
+		h := newHarness(t, settings, readyEndpoints(warmBackends...)...)
 		for n := 0; h.now.Before(atSecond(1025)); n++ {
 			request := h.submit(RequestID(n), 0, 0, TenantID(n), 2*time.Second, 1)
 			h.advance(100 * time.Millisecond)
@@ -90,16 +90,16 @@
 		}
 		sent += len(h.sentTimes[3])
 		for _, at := range h.sentTimes[3] {
-			sentIn[at.Nanos()/int64(time.Second)]++
+			sentPerSecond[at.Nanos()/int64(time.Second)]++
 		}
 	}
 	// It bears four times a share, from 0.2 to 0.7, of the 15 a second that a warm one was seen to answer.
 	if sent < 15 || sent > 60 { // nine with a budget that overload takes away, eleven if first turns wait
 		t.Errorf("sixty instances sent a backend that warms up %d attempts", sent)
 	}
-	for at, n := range sentIn {
-		if can := 4 * (0.2 + 0.08*float64(at-1019)) * 15; n > can {
-			t.Errorf("rule 4: %.0f attempts in second %d, of %.0f", n, at, can)
+	for at, n := range sentPerSecond {
+		if limit := 4 * (0.2 + 0.08*float64(at-1019)) * 15; n > limit {
+			t.Errorf("rule 4: %.0f attempts in second %d, of %.0f", n, at, limit)
 		}
 	}
 }
@@ -108,7 +108,7 @@
 // few had something to send in the moment of their turn; and where the warm ones were full, so that all
 // seemed slow, none was used.
 func TestSlowStart_MostTurnsAreUsed(t *testing.T) {
-	sent, sentIn := 0, map[int64]float64{}
+	sent, sentPerSecond := 0, map[int64]float64{}
 	for index := range 80 {
 		settings := defaultSettings()
 		settings.InstanceIndex = index
@@ -132,17 +132,17 @@
 			}
 		}
 		for _, at := range h.sentTimes[3] {
-			sentIn[at.Nanos()/int64(time.Second)]++
+			sentPerSecond[at.Nanos()/int64(time.Second)]++
 			sent++
 		}
 	}
 	if sent < 150 { // fifteen as it was
 		t.Errorf("eighty instances sent a backend that warms up %d attempts", sent)
 	}
-	for at, n := range sentIn {
+	for at, n := range sentPerSecond {
 		// Half of four times the share, from 0.2 to 0.76, of the 25 a second that a warm one answers, in two
 		// seconds.
-		if n += sentIn[at+1]; n > 4*(0.2+0.04*float64(max(at-1021, 0)))*25 {
+		if n += sentPerSecond[at+1]; n > 4*(0.2+0.04*float64(max(at-1021, 0)))*25 {
 			t.Errorf("rule 4: %.0f attempts in the two seconds from %d on", n, at)
 		}
 	}
@@ -152,19 +152,19 @@
 // as much as a usual one. The rule is for the sum of all instances: beyond the budget N only 2 x root N + 2
 // are chance. COLD_SEEDS=n plays each scenario with n seeds. Connections come up together with the even ones,
 // so both ways are played with every scenario.
-func TestSlowStart_BudgetHoldsForTheSumOfAllInstances(t *testing.T) {
+func TestSlowStart_InstancesTogetherKeepWithinBudget(t *testing.T) {
 	seeds := uint64(1)
 	if n, err := strconv.ParseUint(os.Getenv("COLD_SEEDS"), 10, 8); err == nil {
 		seeds = n
 	}
-	for k, scenario := range fleetScenarios {
+	for scenarioIndex, scenario := range fleetScenarios {
 		t.Run(scenario.name, func(t *testing.T) {
-			for i, c := range fleets {
-				if c.instances == 300 && i%2 != k%2 { // these take the longest: each is played in every other scenario
+			for fleetIndex, config := range fleetConfigs {
+				if config.instances == 300 && fleetIndex%2 != scenarioIndex%2 { // the slowest runs: in every other scenario
 					continue
 				}
-				worst := worstOf(t, scenario.prepare, c, uint64(k*7+i), seeds)
-				line := fmt.Sprintf("%s | %d of N %.1f, bound %.1f (%.2f) at %.1f s; %d in all", c, worst.sent,
+				worst := findWorstWindow(t, scenario.prepare, config, uint64(scenarioIndex*7+fleetIndex), seeds)
+				line := fmt.Sprintf("%s | %d of N %.1f, bound %.1f (%.2f) at %.1f s; %d in all", config, worst.sent,
 					worst.budget, worst.bound, worst.part, float64(worst.age)/float64(time.Second), worst.attempts)
 				if t.Log(line); worst.part > 1 {
 					t.Errorf("rule 4: %s", line)
@@ -177,16 +177,16 @@
 	}
 }
 
-// worstOf plays a scenario with some seeds, and returns the worst window with the attempts of all plays.
-func worstOf(t *testing.T, prepare func(*fleet), c fleetSettings, firstSeed, seeds uint64) worstWindow {
+// findWorstWindow plays a scenario with some seeds, and returns the worst window with the attempts of all plays.
+func findWorstWindow(t *testing.T, prepare func(*fleet), config fleetSettings, firstSeed, seeds uint64) worstWindow {
 	t.Helper()
 	var worst worstWindow
 	attempts := 0
 	for n := range seeds {
-		f := newFleet(t, c, firstSeed+n)
+		f := newFleet(t, config, firstSeed+n)
 		prepare(f)
 		f.startAll()
-		f.play(scenarioAt + 2*time.Second + c.warmUp)
+		f.play(scenarioStart + 2*time.Second + config.warmUp)
 		attempts += f.worst.attempts
 		if f.worst.part > worst.part {
 			worst = f.worst
@@ -196,7 +196,7 @@
 	return worst
 }
 
-var fleets = []fleetSettings{
+var fleetConfigs = []fleetSettings{
 	{instances: 20, backends: 12, cores: 1, work: 100 * time.Millisecond,
 		multiple: 2, share: 0.2, window: time.Second, warmUp: 10 * time.Second},
 	{instances: 30, backends: 12, cores: 4, work: 150 * time.Millisecond,
@@ -211,7 +211,7 @@
 		multiple: 2.5, share: 0.35, window: time.Second, warmUp: 12 * time.Second},
 }
 
-const scenarioAt = 12 * time.Second // from the play's beginning, when the instances know their fleet
+const scenarioStart = 12 * time.Second // from the play's beginning, when the instances know their fleet
 
 // restartThird restarts a third of the backends at once.
 func (f *fleet) restartThird() {
@@ -224,17 +224,17 @@
 	name    string
 	prepare func(f *fleet)
 }{
-	{"a third restarts", func(f *fleet) { f.after(scenarioAt, f.restartThird) }},
+	{"a third restarts", func(f *fleet) { f.after(scenarioStart, f.restartThird) }},
 	{"six in ten replaced in 7 s", func(f *fleet) {
 		for n := range f.backends * 6 / 10 {
-			replacedAt := scenarioAt + time.Duration(n)*7*time.Second/time.Duration(f.backends*6/10)
+			replacedAt := scenarioStart + time.Duration(n)*7*time.Second/time.Duration(f.backends*6/10)
 			f.after(replacedAt, func() { f.replace(BackendID(n+1), 1) })
 		}
 	}},
 	{"instances upgraded by tenths", func(f *fleet) {
-		f.after(scenarioAt, f.restartThird)
+		f.after(scenarioStart, f.restartThird)
 		for index := range f.instances {
-			upgradedAt := scenarioAt - 2*time.Second + time.Duration(index*10/f.instances)*time.Second
+			upgradedAt := scenarioStart - 2*time.Second + time.Duration(index*10/f.instances)*time.Second
 			f.after(upgradedAt, func() { f.upgrade(index, 3*time.Second) })
 		}
 	}},
@@ -248,10 +248,10 @@
 		for index := range f.latency {
 			f.latency[index] = time.Duration(index%5) * 30 * time.Millisecond
 		}
-		f.after(scenarioAt, f.restartThird)
+		f.after(scenarioStart, f.restartThird)
 	}},
 	{"settings updated", func(f *fleet) {
-		f.after(scenarioAt, f.restartThird)
+		f.after(scenarioStart, f.restartThird)
 		update := func(multiple float64) func() {
 			return func() {
 				f.settings.OverloadMultiple = multiple
@@ -265,30 +265,30 @@
 				}
 			}
 		}
-		f.after(scenarioAt+f.warmUp/4, update(f.multiple))
-		f.after(scenarioAt+f.warmUp/2, update(f.multiple*1.5))
-		f.after(scenarioAt+f.warmUp*3/4, update(f.multiple))
+		f.after(scenarioStart+f.warmUp/4, update(f.multiple))
+		f.after(scenarioStart+f.warmUp/2, update(f.multiple*1.5))
+		f.after(scenarioStart+f.warmUp*3/4, update(f.multiple))
 	}},
 	{"warming up twice", func(f *fleet) {
-		f.after(scenarioAt, f.restartThird)
-		f.after(scenarioAt+2500*time.Millisecond, f.restartThird)
-		f.after(scenarioAt+3*time.Second+f.warmUp/2, f.restartThird)
+		f.after(scenarioStart, f.restartThird)
+		f.after(scenarioStart+2500*time.Millisecond, f.restartThird)
+		f.after(scenarioStart+3*time.Second+f.warmUp/2, f.restartThird)
 	}},
 	{"traffic at a third of the instances", func(f *fleet) {
 		f.traffic(func(index int) float64 { return float64(1 - min(index%3, 1)) })
-		f.after(scenarioAt, f.restartThird)
+		f.after(scenarioStart, f.restartThird)
 	}},
 	{"all get four times as slow", func(f *fleet) {
-		f.after(scenarioAt, f.restartThird)
-		f.after(scenarioAt+f.warmUp/2, func() { f.loadLimits = append(f.loadLimits, loadLimit{f.now, f.multiple, 4}) })
+		f.after(scenarioStart, f.restartThird)
+		f.after(scenarioStart+f.warmUp/2, func() { f.loadLimits = append(f.loadLimits, loadLimit{f.now, f.multiple, 4}) })
 	}},
 	{"the instances with traffic change", func(f *fleet) {
 		for n := range 3 {
 			weight := func(index int) float64 { return max(0.02, float64(1-min((index+n)%3, 1))) }
 			f.after(time.Duration(n)*4*time.Second, func() { f.traffic(weight) })
 		}
-		f.after(scenarioAt, func() { f.traffic(func(int) float64 { return 1 }) })
-		f.after(scenarioAt, f.restartThird)
+		f.after(scenarioStart, func() { f.traffic(func(int) float64 { return 1 }) })
+		f.after(scenarioStart, f.restartThird)
 	}},
 	{"all start at once", func(f *fleet) {
 		for _, id := range f.ids {
@@ -298,11 +298,11 @@
 	{"little traffic, then much", func(f *fleet) {
 		much := f.demand
 		f.demand = much / 30
-		f.after(scenarioAt, f.restartThird)
-		f.after(scenarioAt+f.warmUp/2, func() { f.demand = much })
+		f.after(scenarioStart, f.restartThird)
+		f.after(scenarioStart+f.warmUp/2, func() { f.demand = much })
 	}},
 	{"starts stated 30 s ahead", func(f *fleet) {
-		f.after(scenarioAt, func() {
+		f.after(scenarioStart, func() {
 			for n := range f.backends / 3 {
 				f.backendByID[BackendID(n+1)].ahead = 30 * time.Second
 			}
@@ -313,13 +313,13 @@
 		for n, id := range f.ids {
 			f.backendByID[id].size = []float64{0.25, 1, 4}[n%3]
 		}
-		f.after(scenarioAt, f.restartThird)
+		f.after(scenarioStart, f.restartThird)
 	}},
 	{"sizes of 4, then 1/2", func(f *fleet) {
 		for n, id := range f.ids {
 			f.backendByID[id].size = 4
 			if n%2 == 0 {
-				f.after(scenarioAt, func() { f.replace(id, 0.5) })
+				f.after(scenarioStart, func() { f.replace(id, 0.5) })
 			}
 		}
 		f.demand *= 4
--- a/policy/status.go
+++ b/policy/status.go
@@ -26,21 +26,21 @@
 		return QuotaStatus{}, false
 	}
 	p := e.plans[query.Plan]
-	parts := float64(max(query.EntryPoints, 1))
+	entryPoints := float64(max(query.EntryPoints, 1))
 	status := QuotaStatus{Limit: p.quota, Rate: p.Rate, HardQuotaLeft: -1}
 	if p.HardQuotaRate > 0 {
-		status.HardQuotaLeft = p.HardQuotaBurst / parts
+		status.HardQuotaLeft = p.HardQuotaBurst / entryPoints
 	}
 	t := e.tenants[query.Tenant]
 	if t == nil || t.plan != p {
 		return status, true
 	}
 	if p.HardQuotaRate > 0 {
-		refill := monotime.Seconds(now.Sub(t.hardQuota.UpdatedAt)) * p.HardQuotaRate / parts
+		refill := monotime.Seconds(now.Sub(t.hardQuota.UpdatedAt)) * p.HardQuotaRate / entryPoints
 		status.HardQuotaLeft = min(t.hardQuota.Units+refill, status.HardQuotaLeft)
 	}
 	if !e.breaker.IsClosed() || t.window.counterTotal == 0 && t.window.total == 0 {
-		status.Used = t.unrefilledLocally(now, parts)
+		status.Used = t.unrefilledLocally(now, entryPoints)
 	} else {
 		status.Used = max(t.window.total+t.unreported-monotime.Accrued(p.Rate, now.Sub(t.window.start)), 0)
 		status.FromCounter = t.window.counterTotal > 0
--- a/policy/throughput.go
+++ b/policy/throughput.go
@@ -9,8 +9,8 @@
 	throughputSmoothing = 0.1
 	// backendThroughputSmoothing makes the throughput of a backend reach back over about ten seconds.
 	backendThroughputSmoothing = 0.01
-	// peakFadePerTick halves a peak in about 70 s.
-	peakFadePerTick = 0.999
+	// peakDecayPerTick halves a peak in about 70 s.
+	peakDecayPerTick = 0.999
 	// minEffectiveBackends avoids a division by zero where nothing is ready.
 	minEffectiveBackends = 0.01
 )
@@ -37,7 +37,7 @@
 	t.answersSinceTick = 0
 	perBackend := t.perSecond * float64(e.instances()) / max(ready.effectiveBackends, 1)
 	t.perBackend += backendThroughputSmoothing * (perBackend - t.perBackend)
-	t.peakPerBackend = max(t.peakPerBackend*peakFadePerTick, t.perBackend)
+	t.peakPerBackend = max(t.peakPerBackend*peakDecayPerTick, t.perBackend)
 	meanWeight := ready.effectiveWeight / max(ready.effectiveBackends, minEffectiveBackends)
-	ready.meanWeight = max(ready.meanWeight*peakFadePerTick, meanWeight)
+	ready.meanWeight = max(ready.meanWeight*peakDecayPerTick, meanWeight)
 }
--- a/policy/timers.go
+++ b/policy/timers.go
@@ -7,16 +7,16 @@
 
 // timer is a function to run at a due time. It is obsolete if while is set and is false by then.
 type timer struct {
-	while *bool
-	run   func(now Instant)
+	condition *bool
+	run       func(now Instant)
 }
 
-func (t timer) isObsolete() bool { return t.while != nil && !*t.while }
+func (t timer) isObsolete() bool { return t.condition != nil && !*t.condition }
 
 // schedule runs a function at a time or soon after, if while is nil or still true then. Most functions
 // scheduled for a request are obsolete by their time, and no wake is requested for them.
-func (e *Engine) schedule(at Instant, while *bool, run func(now Instant)) {
-	e.timers.Push(at, timer{while: while, run: run})
+func (e *Engine) schedule(at Instant, condition *bool, run func(now Instant)) {
+	e.timers.Push(at, timer{condition: condition, run: run})
 	if e.wakeAt.IsZero() || at.Before(e.wakeAt) {
 		e.requestWake(at)
 	}
--- a/policy/timers_test.go
+++ b/policy/timers_test.go
@@ -6,7 +6,7 @@
 )
 
 // Fault: a wake came a little before its time on a coarser clock, and none was asked for again.
-func TestTimers_EarlyWakeAsksAgain(t *testing.T) {
+func TestTimers_EarlyWakeupIsRequestedAgain(t *testing.T) {
 	h := newHarness(t, defaultSettings(), readyEndpoints(1)...)
 	h.submit(1, 0, 0, 1, 2*time.Second, 1)
 	w := h.wakes[len(h.wakes)-1]
--- a/policy/warm_start.go
+++ b/policy/warm_start.go
@@ -11,12 +11,12 @@
 	// fleetHalfLife is the time in which the weight of the fleet's latency halves: a fleet changes in the course
 	// of a day.
 	fleetHalfLife = 10 * time.Minute
-	// backendHalfLife is that of a backend's own latency, as backendFadePerTick makes it.
+	// backendHalfLife is that of a backend's own latency, as backendDecayPerTick makes it.
 	backendHalfLife = 3400 * time.Millisecond
-	// maxAdoptedSamples bounds the weight of what is adopted, in answers.
-	maxAdoptedSamples = 30
-	// maxAdoptedLatency is the latency from which on a measurement is not valid, in nanoseconds.
-	maxAdoptedLatency = float64(1000 * time.Second)
+	// maxImportedSamples bounds the weight of what is adopted, in answers.
+	maxImportedSamples = 30
+	// maxImportedLatency is the latency from which on a measurement is not valid, in nanoseconds.
+	maxImportedLatency = float64(1000 * time.Second)
 )
 
 // WarmStartState is what an instance knows about the backends' answer times, for the instance that is started
@@ -35,11 +35,11 @@
 	Samples   float64   `json:"count"`
 }
 
-// adopted returns a mean as an earlier incarnation measured it, with the weight that it would have kept since.
+// decayedEstimate returns a mean as an earlier incarnation measured it, with the weight that it would have kept since.
 // ok is false if it is not valid or has less weight than current.
-func adopted(saved, current estimate.Mean, halfLives float64) (_ estimate.Mean, ok bool) {
-	samples := min(max(saved.Count, 0), maxAdoptedSamples) * math.Exp2(-halfLives)
-	isValid := saved.Value > 0 && saved.Value < maxAdoptedLatency
+func decayedEstimate(saved, current estimate.Mean, halfLives float64) (_ estimate.Mean, ok bool) {
+	samples := min(max(saved.Count, 0), maxImportedSamples) * math.Exp2(-halfLives)
+	isValid := saved.Value > 0 && saved.Value < maxImportedLatency
 	return estimate.Mean{Value: saved.Value, Count: samples}, isValid && samples > current.Count
 }
 
@@ -65,23 +65,23 @@
 func (e *Engine) ImportState(now Instant, state WarmStartState, age time.Duration) {
 	elapsed := float64(max(age, 0))
 	fleet := estimate.Mean{Value: state.Latency, Count: state.Samples}
-	if mean, ok := adopted(fleet, e.latency.mean, elapsed/float64(fleetHalfLife)); ok {
+	if mean, ok := decayedEstimate(fleet, e.latency.mean, elapsed/float64(fleetHalfLife)); ok {
 		e.latency.mean = mean
 	}
-	for _, known := range state.Backends {
-		e.importBackend(known, elapsed/float64(backendHalfLife))
+	for _, savedBackend := range state.Backends {
+		e.importBackend(savedBackend, elapsed/float64(backendHalfLife))
 	}
 	e.rankBackends(now)
 }
 
 // importBackend adopts the latency of a backend, unless that was started anew since.
-func (e *Engine) importBackend(known BackendWarmStart, halfLives float64) {
-	b := e.backends[known.Backend]
-	if b == nil || b.startedAt != known.StartedAt {
+func (e *Engine) importBackend(saved BackendWarmStart, halfLives float64) {
+	b := e.backends[saved.Backend]
+	if b == nil || b.startedAt != saved.StartedAt {
 		return
 	}
-	own := estimate.Mean{Value: known.Latency, Count: known.Samples}
-	if mean, ok := adopted(own, b.latency.mean, halfLives); ok {
+	own := estimate.Mean{Value: saved.Latency, Count: saved.Samples}
+	if mean, ok := decayedEstimate(own, b.latency.mean, halfLives); ok {
 		b.latency.mean = mean
 	}
 }
--- a/policy/warm_start_test.go
+++ b/policy/warm_start_test.go
@@ -8,17 +8,17 @@
 
 // What an earlier incarnation measured counts by its age: at once for all, after hours for next to nothing; a
 // backend that was started anew since is unknown; and what rule 4 rests on is not adopted.
-func TestImportState_IsAged(t *testing.T) {
-	old := newHarness(t, defaultSettings(), readyEndpoints(1, 2, 3)...)
+func TestImportState_WeighsMeasurementsByAge(t *testing.T) {
+	previous := newHarness(t, defaultSettings(), readyEndpoints(1, 2, 3)...)
 	for n := range 60 {
-		request := old.submit(RequestID(n), 0, 0, TenantID(n), 2*time.Second, 1)
-		old.answerCounterCalls(Succeeded)
-		old.advance(20 * time.Millisecond)
+		request := previous.submit(RequestID(n), 0, 0, TenantID(n), 2*time.Second, 1)
+		previous.answerCounterCalls(Succeeded)
+		previous.advance(20 * time.Millisecond)
 		if len(request.attempts) > 0 {
-			old.endAttempt(request, 0, Succeeded)
+			previous.endAttempt(request, 0, Succeeded)
 		}
 	}
-	state := old.engine.ExportState()
+	state := previous.engine.ExportState()
 	if len(state.Backends) < 2 || state.Latency < 15e6 || state.Latency > 30e6 {
 		t.Fatalf("%+v", state)
 	}
@@ -29,8 +29,8 @@
 		if got := h.engine.latency.mean.Count / state.Samples; math.Abs(got-want) > 0.01 {
 			t.Errorf("after %d s all together count for %.4f, want %.4f", age/time.Second, got, want)
 		}
-		if one := h.engine.backends[1].latency.mean.Count; (age == 0) != (one > 0.5) {
-			t.Errorf("after %d s a backend's own time counts for %.4f answers", age/time.Second, one)
+		if own := h.engine.backends[1].latency.mean.Count; (age == 0) != (own > 0.5) {
+			t.Errorf("after %d s a backend's own time counts for %.4f answers", age/time.Second, own)
 		}
 		if h.engine.backends[3].latency.mean.Count != 0 {
 			t.Error("a backend that was started anew is taken for known")
