--- a/internal/backend/pool_test.go
+++ b/internal/backend/pool_test.go
@@ -20,7 +20,7 @@
 func listen(t *testing.T, pong string) (address string, conns chan net.Conn) {
 	t.Helper()
 	conns = make(chan net.Conn, 10)
-	address = testutil.Serve(t, func(conn net.Conn) {
+	address = testutil.ServeConnections(t, func(conn net.Conn) {
 		conns <- conn
 		if pong == "" {
 			return
--- a/internal/billingservice/version0_test.go
+++ b/internal/billingservice/version0_test.go
@@ -299,5 +299,5 @@
 
 // TestStoredTypes_HaveTags checks that a tag, not the Go field name, names each stored field.
 func TestStoredTypes_HaveTags(t *testing.T) {
-	testutil.CheckTags(t, billing.Account{}, billing.Record{}, usageItem{}, exportState{}, maintenanceLease{})
+	testutil.CheckJSONTags(t, billing.Account{}, billing.Record{}, usageItem{}, exportState{}, maintenanceLease{})
 }
--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -37,7 +37,7 @@
 	StartedAtMillis float64 `json:"since_ms"`
 }
 
-// endpointList is a list in the discovery service's format.
+// discoveryState is a list in the discovery service's format.
 type endpointList struct {
 	Index     int64      `json:"index"`
 	Snapshot  bool       `json:"snapshot"` // if false, the list holds the changes since the requested index
--- a/internal/dispatch/attempt_test.go
+++ b/internal/dispatch/attempt_test.go
@@ -117,7 +117,7 @@
 		conns := make([]*fakeConn, attempts)
 		for i := range conns {
 			conns[i] = newFakeConn(false)
-			request.newAttempt(policy.AttemptSpec{Backend: 1, StartBefore: monotime.Latest})
+			request.newAttempt(policy.AttemptSpec{Backend: 1, StartBefore: monotime.MaxInstant})
 		}
 		d.requests[1] = request
 		var beginning sync.WaitGroup
--- a/internal/dispatch/harness_test.go
+++ b/internal/dispatch/harness_test.go
@@ -94,7 +94,7 @@
 	time.AfterFunc(10*time.Millisecond, func() { n.dispatcher.HandleHealthCheck(backend, nil) })
 }
 
-// updateEndpoints notifies the dispatcher, and remembers the states from then on.
+// listEndpoints notifies the dispatcher, and remembers the states from then on.
 func (n *fakeNetwork) updateEndpoints(kind policy.UpdateKind, endpoints ...policy.Endpoint) {
 	n.dispatcher.UpdateEndpoints(kind, endpoints)
 	n.mu.Lock()
--- a/internal/dispatch/interleaving_test.go
+++ b/internal/dispatch/interleaving_test.go
@@ -189,7 +189,7 @@
 		conns := make([]*fakeConn, attempts)
 		for i := range conns {
 			conns[i] = newFakeConn(false)
-			request.newAttempt(policy.AttemptSpec{Backend: 1, StartBefore: monotime.Latest})
+			request.newAttempt(policy.AttemptSpec{Backend: 1, StartBefore: monotime.MaxInstant})
 		}
 		var beginning sync.WaitGroup
 		begun := make([]bool, attempts)
--- a/internal/dnsserver/version0_test.go
+++ b/internal/dnsserver/version0_test.go
@@ -276,7 +276,7 @@
 
 // TestStoredTypes_HaveTags checks that a tag, not the Go field name, names each stored field.
 func TestStoredTypes_HaveTags(t *testing.T) {
-	testutil.CheckTags(t, zoneRecord{}, storeHead{}, dnszone.Change{})
+	testutil.CheckJSONTags(t, zoneRecord{}, storeHead{}, dnszone.Change{})
 }
 
 // version0AcceptedNanos is when the update of the compacted journal was accepted, unix ns.
--- a/internal/frontend/benchmark_test.go
+++ b/internal/frontend/benchmark_test.go
@@ -53,7 +53,7 @@
 // request open, so that each read gets one complete command.
 func startBenchmarkBackend(b *testing.B) string {
 	b.Helper()
-	return testutil.Serve(b, func(conn net.Conn) { go answerReads(conn) })
+	return testutil.ServeConnections(b, func(conn net.Conn) { go answerReads(conn) })
 }
 
 func answerReads(conn net.Conn) {
--- a/internal/frontend/harness_test.go
+++ b/internal/frontend/harness_test.go
@@ -151,7 +151,7 @@
 
 // startBackend returns the address of a backend that calls onAttempt, in a goroutine, for each command.
 func (h *harness) startBackend(onAttempt func(receivedAttempt)) string {
-	return testutil.Serve(h.t, func(conn net.Conn) { go h.readAttempts(conn, onAttempt) })
+	return testutil.ServeConnections(h.t, func(conn net.Conn) { go h.readAttempts(conn, onAttempt) })
 }
 
 func (h *harness) readAttempts(conn net.Conn, onAttempt func(receivedAttempt)) {
--- a/internal/lab/emulator/discovery.go
+++ b/internal/lab/emulator/discovery.go
@@ -51,7 +51,7 @@
 	version   int64 // the list's index at its latest change
 }
 
-// endpointList is the body of an answer: a full snapshot, or a delta.
+// discoveryState is the body of an answer: a full snapshot, or a delta.
 type endpointList struct {
 	Index     int64      `json:"index"`
 	Snapshot  bool       `json:"snapshot"`
--- a/internal/lab/model/model_test.go
+++ b/internal/lab/model/model_test.go
@@ -195,7 +195,7 @@
 	for id, s := range i.inFlight {
 		isNonIdempotent := w.scenario.Classes[s.Class].Idempotency == scenario.NonIdempotent
 		if isNonIdempotent && len(s.attempts) > 0 && !s.isAnswered {
-			i.Send(policy.AttemptSpec{Request: id, Backend: 1, StartBefore: monotime.Latest})
+			i.Send(policy.AttemptSpec{Request: id, Backend: 1, StartBefore: monotime.MaxInstant})
 			return
 		}
 	}
--- a/internal/lab/results/version0_test.go
+++ b/internal/lab/results/version0_test.go
@@ -142,7 +142,7 @@
 
 // TestStoredTypes_HaveTags checks that a tag, not the Go field name, names each stored field.
 func TestStoredTypes_HaveTags(t *testing.T) {
-	testutil.CheckTags(t, results.Run{})
+	testutil.CheckJSONTags(t, results.Run{})
 }
 
 // TestNew_StoresKindsOfFaultByTheirFirstNames: files of runs keep the kind that scenarios have renamed.
--- a/internal/monotime/monotime.go
+++ b/internal/monotime/monotime.go
@@ -16,8 +16,8 @@
 // of them cannot be added.
 type Instant struct{ nanos int64 }
 
-// Latest is the last Instant there is.
-var Latest = Instant{math.MaxInt64}
+// MaxInstant is the last Instant there is.
+var MaxInstant = Instant{math.MaxInt64}
 
 // FromNanos returns the Instant that many nanoseconds after the clock's zero.
 func FromNanos(nanos int64) Instant { return Instant{nanos} }
@@ -68,13 +68,13 @@
 	return json.Unmarshal(text, &i.nanos)
 }
 
-// maxSeconds bounds what FromSeconds returns: about three years, so that later sums cannot overflow.
-const maxSeconds = 1e8
+// maxDurationSeconds bounds what DurationFromSeconds returns: about three years, so that later sums cannot overflow.
+const maxDurationSeconds = 1e8
 
-// FromSeconds converts seconds to a span. It saturates at 0 and at 1e8 seconds, so that sums of the result
+// DurationFromSeconds converts seconds to a span. It saturates at 0 and at 1e8 seconds, so that sums of the result
 // cannot overflow, whatever rates the seconds were divided by.
-func FromSeconds(seconds float64) time.Duration {
-	return time.Duration(min(max(seconds, 0), maxSeconds) * float64(time.Second))
+func DurationFromSeconds(seconds float64) time.Duration {
+	return time.Duration(min(max(seconds, 0), maxDurationSeconds) * float64(time.Second))
 }
 
 // Seconds converts a span to seconds. It differs from [time.Duration.Seconds] in the last bit of some results,
--- a/internal/monotime/monotime_test.go
+++ b/internal/monotime/monotime_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-func TestFromSeconds_Saturates(t *testing.T) {
+func TestDurationFromSeconds_Saturates(t *testing.T) {
 	for _, test := range []struct {
 		seconds float64
 		want    time.Duration
@@ -18,7 +18,7 @@
 		{1e300, 1e8 * time.Second},
 		{math.Inf(1), 1e8 * time.Second},
 	} {
-		if got := FromSeconds(test.seconds); got != test.want {
+		if got := DurationFromSeconds(test.seconds); got != test.want {
 			t.Errorf("FromSeconds(%g) = %d, want %d", test.seconds, got, test.want)
 		}
 	}
@@ -42,7 +42,7 @@
 	if !early.Before(late) || early.After(late) || early.Compare(late) != -1 || late.Compare(late) != 0 {
 		t.Error("100 ns is not before 150 ns")
 	}
-	if Earlier(early, late) != early || Later(early, late) != late || !late.Before(Latest) {
+	if Earlier(early, late) != early || Later(early, late) != late || !late.Before(MaxInstant) {
 		t.Error("the earlier of 100 ns and 150 ns is not 100 ns")
 	}
 	if !(Instant{}).IsZero() || early.IsZero() {
@@ -51,7 +51,7 @@
 }
 
 // Warm-start state is stored with instants as plain numbers.
-func TestInstant_JSONIsANumber(t *testing.T) {
+func TestInstant_MarshalsToJSONNumber(t *testing.T) {
 	text, err := json.Marshal(FromNanos(1_700_000_000_000_000_001))
 	if err != nil || string(text) != "1700000000000000001" {
 		t.Errorf("%s, %v", text, err)
--- a/internal/pcg/pcg.go
+++ b/internal/pcg/pcg.go
@@ -18,7 +18,7 @@
 // The shifts of the output function XSH-RR: the state is folded, its high bits are taken, and they are rotated by
 // the number in the highest five bits.
 const (
-	foldShift     = 18
+	xorShift      = 18
 	outputShift   = 27
 	rotationShift = 59
 )
@@ -39,8 +39,8 @@
 func (s *Source) next() uint32 {
 	old := s.state
 	s.state = old*multiplier + increment
-	folded := uint32((old>>foldShift ^ old) >> outputShift)
-	return bits.RotateLeft32(folded, -int(old>>rotationShift))
+	xorShifted := uint32((old>>xorShift ^ old) >> outputShift)
+	return bits.RotateLeft32(xorShifted, -int(old>>rotationShift))
 }
 
 // Uint64 returns 64 random bits.
--- a/internal/pcg/pcg_test.go
+++ b/internal/pcg/pcg_test.go
@@ -15,7 +15,7 @@
 	}
 }
 
-func TestSource_Float64IsEvenlySpread(t *testing.T) {
+func TestSource_Float64IsUniform(t *testing.T) {
 	s, sum := New(7), 0.0
 	for range 100_000 {
 		x := s.Float64()
--- a/internal/store/kv/version0_test.go
+++ b/internal/store/kv/version0_test.go
@@ -111,5 +111,5 @@
 
 // TestStoredTypes_HaveTags checks that a tag, and not the Go field name, names each stored field.
 func TestStoredTypes_HaveTags(t *testing.T) {
-	testutil.CheckTags(t, Command{}, snapshot{})
+	testutil.CheckJSONTags(t, Command{}, snapshot{})
 }
--- a/internal/store/version0_test.go
+++ b/internal/store/version0_test.go
@@ -228,5 +228,5 @@
 
 // TestStoredTypes_HaveTags checks that a tag names each field of the API and of stored data.
 func TestStoredTypes_HaveTags(t *testing.T) {
-	testutil.CheckTags(t, kv.Entry{}, kv.Edit{}, Peer{}, logPosition{}, Status{})
+	testutil.CheckJSONTags(t, kv.Entry{}, kv.Edit{}, Peer{}, logPosition{}, Status{})
 }
--- a/internal/testutil/fixture.go
+++ b/internal/testutil/fixture.go
@@ -32,9 +32,9 @@
 	if err != nil {
 		tb.Fatal(err)
 	}
-	plainCopy := filepath.Join(tb.TempDir(), strings.TrimSuffix(name, archiveSuffix))
+	copyPath := filepath.Join(tb.TempDir(), strings.TrimSuffix(name, archiveSuffix))
 	if _, err := os.Stat(fixture); errors.Is(err, fs.ErrNotExist) && *updateFixtures {
-		written := filepath.Join(tb.TempDir(), filepath.Base(plainCopy))
+		written := filepath.Join(tb.TempDir(), filepath.Base(copyPath))
 		write(written)
 		storeFixture(tb, written, fixture)
 	}
@@ -43,13 +43,13 @@
 		tb.Fatalf("%v; -update-fixtures writes fixtures that are missing", err)
 	}
 	if strings.HasSuffix(name, archiveSuffix) {
-		unpack(tb, content, plainCopy)
-		return plainCopy
+		unpack(tb, content, copyPath)
+		return copyPath
 	}
-	if err := os.WriteFile(plainCopy, content, 0o600); err != nil {
+	if err := os.WriteFile(copyPath, content, 0o600); err != nil {
 		tb.Fatal(err)
 	}
-	return plainCopy
+	return copyPath
 }
 
 // storeFixture makes a fixture of the file, or for an archive of the folder, at path.
--- a/internal/testutil/network.go
+++ b/internal/testutil/network.go
@@ -13,11 +13,11 @@
 const eventuallyTimeout = 20 * time.Second
 
 // Eventually polls condition until it holds and fails the test, naming what was waited for, if it never does.
-func Eventually(tb testing.TB, what string, condition func() bool) {
+func Eventually(tb testing.TB, description string, condition func() bool) {
 	tb.Helper()
 	for deadline := time.Now().Add(eventuallyTimeout); !condition(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(deadline) {
-			tb.Fatalf("not within %v: %s", eventuallyTimeout, what)
+			tb.Fatalf("not within %v: %s", eventuallyTimeout, description)
 		}
 	}
 }
--- a/internal/testutil/serve.go
+++ b/internal/testutil/serve.go
@@ -5,10 +5,10 @@
 	"testing"
 )
 
-// Serve listens on a free loopback port and calls handle for each connection that it accepts, one after another,
-// until the test ends. A handler that goes on for as long as its connection starts a goroutine of its own. Serve
-// returns the address.
-func Serve(tb testing.TB, handle func(net.Conn)) (address string) {
+// ServeConnections listens on a free loopback port and calls handle for each connection that it accepts, one
+// after another, until the test ends. A handler that serves a connection for as long as it is open has to start
+// a goroutine, since the next connection waits until handle returns. ServeConnections returns the address.
+func ServeConnections(tb testing.TB, handle func(net.Conn)) (address string) {
 	tb.Helper()
 	listener := Listen(tb)
 	go func() {
--- a/internal/testutil/tags.go
+++ b/internal/testutil/tags.go
@@ -6,34 +6,34 @@
 	"testing"
 )
 
-// CheckTags fails the test for each exported field without a name in its json tag, in the types of the values
+// CheckJSONTags fails the test for each exported field without a name in its json tag, in the types of the values
 // and in all that they hold: renaming such a field would change stored data. Embedded structs need no name,
 // because their fields are stored among those of the struct around them.
-func CheckTags(tb testing.TB, values ...any) {
+func CheckJSONTags(tb testing.TB, values ...any) {
 	tb.Helper()
 	seen := map[reflect.Type]bool{}
 	for _, value := range values {
-		checkTags(tb, reflect.TypeOf(value), seen)
+		checkJSONTags(tb, reflect.TypeOf(value), seen)
 	}
 }
 
-// checkTags checks a type and all that it holds, unless it has been seen.
-func checkTags(tb testing.TB, checked reflect.Type, seen map[reflect.Type]bool) {
+// checkJSONTags checks a type and all that it holds, unless it has been seen.
+func checkJSONTags(tb testing.TB, valueType reflect.Type, seen map[reflect.Type]bool) {
 	tb.Helper()
-	if seen[checked] {
+	if seen[valueType] {
 		return
 	}
-	seen[checked] = true
-	switch checked.Kind() {
+	seen[valueType] = true
+	switch valueType.Kind() {
 	case reflect.Pointer, reflect.Slice, reflect.Array, reflect.Map:
-		checkTags(tb, checked.Elem(), seen)
+		checkJSONTags(tb, valueType.Elem(), seen)
 	case reflect.Struct:
-		for field := range checked.Fields() {
+		for field := range valueType.Fields() {
 			name, _, _ := strings.Cut(field.Tag.Get("json"), ",")
 			if name == "" && field.IsExported() && !field.Anonymous {
-				tb.Errorf("%s.%s has no json tag", checked, field.Name)
+				tb.Errorf("%s.%s has no json tag", valueType, field.Name)
 			}
-			checkTags(tb, field.Type, seen)
+			checkJSONTags(tb, field.Type, seen)
 		}
 	}
 }
--- a/internal/testutil/tags_test.go
+++ b/internal/testutil/tags_test.go
@@ -30,11 +30,11 @@
 	Empty int                `json:",omitempty"`
 }
 
-// TestCheckTags_ReportsUntaggedFields: a field without a name is reported once, however deep it lies.
-func TestCheckTags_ReportsUntaggedFields(t *testing.T) {
+// TestCheckJSONTags_ReportsUntaggedFields: a field without a name is reported once, however deep it lies.
+func TestCheckJSONTags_ReportsUntaggedFields(t *testing.T) {
 	_ = part{private: 1} // a field that is not exported is not reported
 	recorder := &failureRecorder{TB: t}
-	CheckTags(recorder, embedded{}, part{})
+	CheckJSONTags(recorder, embedded{}, part{})
 	want := []string{"testutil.part.Unnamed has no json tag", "testutil.embedded.Empty has no json tag"}
 	if !reflect.DeepEqual(recorder.messages, want) {
 		t.Errorf("%q", recorder.messages)
--- a/internal/warmstart/version0_test.go
+++ b/internal/warmstart/version0_test.go
@@ -48,5 +48,5 @@
 
 // TestStoredTypes_HaveTags checks that a tag, not the Go field name, names each stored field.
 func TestStoredTypes_HaveTags(t *testing.T) {
-	testutil.CheckTags(t, body{})
+	testutil.CheckJSONTags(t, body{})
 }
--- a/policy/abandonment_test.go
+++ b/policy/abandonment_test.go
@@ -9,7 +9,7 @@
 // would not wait for were sent on.
 func TestAbandonment_ShowsOverloadAndIsNotSentFor(t *testing.T) {
 	h := newHarnessWithoutCounter(t, readyEndpoints(1, 2, 3)...)
-	h.serveTwenty(100 * time.Millisecond)
+	h.serveTwentyRequests(100 * time.Millisecond)
 	before := h.engine.latency.mean.Value
 	leave := func(id RequestID) bool {
 		request := h.submit(id, 0, 0, TenantID(id), 2*time.Second, 1)
@@ -17,7 +17,7 @@
 		if len(request.attempts) == 0 {
 			return false
 		}
-		h.clientGone(request)
+		h.disconnectClient(request)
 		h.endAttempt(request, 0, Canceled)
 		return true
 	}
@@ -44,13 +44,13 @@
 // 680 of one instance's in 22 s).
 func TestAbandonment_BurstIsForgotten(t *testing.T) {
 	h := newHarnessWithoutCounter(t, readyEndpoints(1, 2, 3)...)
-	h.serveTwenty(100 * time.Millisecond)
+	h.serveTwentyRequests(100 * time.Millisecond)
 	for n := range 20 {
 		request := h.submit(RequestID(100+n), 0, 0, TenantID(n), 2*time.Second, 1)
 		if len(request.attempts) == 0 {
 			continue
 		}
-		request.ended = "client gone"
+		request.finalAnswer = "client gone"
 		request.handle.HandleClientGone(h.now.Add(10 * time.Millisecond))
 		h.advance(10 * time.Millisecond)
 		h.endAttempt(request, 0, Canceled)
@@ -80,7 +80,7 @@
 	h := newHarnessWithoutCounter(t, readyEndpoints(1, 2, 3)...)
 	first := h.submit(1, 0, 0, 1, 2*time.Second, 1)
 	h.advance(4 * time.Millisecond)
-	h.clientGone(first)
+	h.disconnectClient(first)
 	h.endAttempt(first, 0, Canceled)
 	rejected := 0
 	for n := range 20 {
--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -9,8 +9,8 @@
 // Fault: requests that no backend had capacity for were counted, and shut the tenant's later ones out.
 func TestAdmission_WithoutCapacityNothingIsCounted(t *testing.T) {
 	h := newHarness(t, defaultSettings())
-	if request := h.submit(1, 0, 0, 1, 2*time.Second, 1); len(h.pendingAdds) > 0 || request.ended != "rejected" {
-		t.Errorf("%d calls, %q", len(h.pendingAdds), request.ended)
+	if request := h.submit(1, 0, 0, 1, 2*time.Second, 1); len(h.pendingAdds) > 0 || request.finalAnswer != "rejected" {
+		t.Errorf("%d calls, %q", len(h.pendingAdds), request.finalAnswer)
 	}
 }
 
@@ -26,10 +26,10 @@
 		ends := map[string]int{}
 		for n := range 40 {
 			request := h.submit(RequestID(n), question, 0, 1, 2*time.Second, 1)
-			h.answerCounterCalls(outcome)
-			ends[request.ended]++
+			h.answerAllCounterCalls(outcome)
+			ends[request.finalAnswer]++
 			if len(request.attempts) > 0 || !request.handle.Done() {
-				t.Fatalf("%d attempts were sent for a question, which ended as %q", len(request.attempts), request.ended)
+				t.Fatalf("%d attempts were sent for a question, which ended as %q", len(request.attempts), request.finalAnswer)
 			}
 		}
 		want := 10 // the burst
@@ -40,7 +40,7 @@
 			t.Errorf("counter %s: %v", outcome, ends)
 		}
 		sum := 0.0
-		for _, total := range h.counter {
+		for _, total := range h.counterTotals {
 			sum += total
 		}
 		if outcome == Succeeded && math.Abs(sum-float64(ends["admitted"])) > 1 {
--- a/policy/attempt.go
+++ b/policy/attempt.go
@@ -110,7 +110,7 @@
 
 // keyKnownUntil returns until when backends know the request's idempotency key from its earlier attempts.
 func (r *Request) keyKnownUntil() Instant {
-	until := monotime.Latest
+	until := monotime.MaxInstant
 	for _, a := range r.attempts {
 		if a.mayHaveRun && r.class.Idempotency == IdempotentWithKey {
 			until = monotime.Earlier(until, a.sentAt.Add(r.class.DedupWindow))
--- a/policy/bench_test.go
+++ b/policy/bench_test.go
@@ -9,15 +9,15 @@
 func BenchmarkPolicy_Request(b *testing.B) {
 	settings := defaultSettings()
 	settings.Plans = []PlanSettings{{Rate: 1e6, Burst: 1e6}}
-	effects := &idleEffects{}
-	now := startOfTest
+	effects := &noopEffects{}
+	now := testStart
 	e := New(Options{Now: now, Seed: 1, Settings: settings, Effects: effects})
 	e.UpdateEndpoints(now, FullSnapshot, readyEndpoints(1, 2, 3, 4, 5, 6, 7, 8))
-	step := func(id int) {
+	runRequest := func(id int) {
 		request := e.Submit(now, RequestSpec{ID: RequestID(id), Tenant: TenantID(id % 100), Remaining: 2 * time.Second,
 			Units: 1, EntryPoints: 2})
 		now = now.Add(time.Millisecond)
-		e.HandleCounterResult(now, CounterResult{Key: effects.key, Outcome: Succeeded, Total: 1})
+		e.HandleCounterResult(now, CounterResult{Key: effects.counterKey, Outcome: Succeeded, Total: 1})
 		now = now.Add(9 * time.Millisecond)
 		request.HandleAttemptResult(now, AttemptResult{Outcome: Succeeded, Elapsed: 9 * time.Millisecond})
 		if !request.Done() || len(request.attempts) != 1 {
@@ -29,12 +29,12 @@
 		}
 	}
 	for id := range 1000 { // until what is measured and remembered is steady
-		step(id)
+		runRequest(id)
 	}
 	b.ReportAllocs()
 	id := 1000
 	for b.Loop() {
-		step(id)
+		runRequest(id)
 		id++
 	}
 }
--- a/policy/breaker_test.go
+++ b/policy/breaker_test.go
@@ -36,7 +36,7 @@
 	h.countAdmitted(0, breakerFailureThreshold, 1, Rejected)
 	h.advance(2 * time.Second)
 	request := h.submit(100, 0, 0, 2, 2*time.Second, 1)
-	h.clientGone(request)
+	h.disconnectClient(request)
 	h.advance(2 * time.Second)
 	if n := len(h.pendingAdds); h.submit(101, 0, 0, 3, 2*time.Second, 1) == nil || len(h.pendingAdds) != n+1 {
 		t.Error("no further half-open call")
@@ -50,7 +50,7 @@
 		request := h.submit(RequestID(n), 0, 0, TenantID(n), 2*time.Second, 1)
 		if len(h.pendingAdds) > 0 {
 			calls++
-			h.answerCounter([]Outcome{Succeeded, Rejected}[calls%2])
+			h.answerOldestCounterCall([]Outcome{Succeeded, Rejected}[calls%2])
 		}
 		if len(request.attempts) > 0 {
 			h.endAttempt(request, 0, Succeeded)
--- a/policy/concurrency_limit_test.go
+++ b/policy/concurrency_limit_test.go
@@ -12,25 +12,25 @@
 	settings.Plans[0].ConcurrencyLimit = 2
 	here := newHarness(t, settings, readyEndpoints(1, 2, 3, 4)...)
 	there := newHarness(t, settings, readyEndpoints(1, 2, 3, 4)...)
-	there.counter = here.counter
+	there.counterTotals = here.counterTotals
 	step := func(h *harness, id RequestID) *clientRequest {
 		request := h.submit(id, 0, 0, 7, 2*time.Second, 1)
-		h.answerCounterCalls(Succeeded)
+		h.answerAllCounterCalls(Succeeded)
 		return request
 	}
 	a, b := step(here, 1), step(there, 2)
 	if len(a.attempts) != 1 || len(b.attempts) != 1 {
 		t.Fatal("not admitted up to the limit")
 	}
-	if c := step(here, 3); c.ended != "rejected" {
+	if c := step(here, 3); c.finalAnswer != "rejected" {
 		t.Error("admitted past the limit, with one in flight here and one there")
 	}
 	there.endAttempt(b, 0, Succeeded)
-	there.answerCounterCalls(Succeeded)
+	there.answerAllCounterCalls(Succeeded)
 	if c := step(here, 4); len(c.attempts) != 1 {
 		t.Error("the end of an attempt at the other instance was not reported")
 	}
-	if c := step(here, 5); c.ended != "rejected" {
+	if c := step(here, 5); c.finalAnswer != "rejected" {
 		t.Error("admitted past the limit, with two in flight here")
 	}
 	plain := newHarness(t, defaultSettings(), readyEndpoints(1)...)
@@ -38,7 +38,7 @@
 	if plain.submit(1, 0, 0, 7, 2*time.Second, 1); plain.pendingAdds[0].key == here.engine.tenants[7].window.key {
 		t.Error("an instance that knows of no limit reads the same count")
 	}
-	unit, total := here.engine.plans[0].concurrencyUnit, here.counter[here.engine.tenants[7].window.key]
+	unit, total := here.engine.plans[0].concurrencyUnit, here.counterTotals[here.engine.tenants[7].window.key]
 	units := total - 2*unit // reported exactly beside the units, the end of b's too
 	if units < 0 || units > 10 {
 		t.Errorf("the count stands at %f, of two attempts of %f each and at most ten units", total, unit)
@@ -54,13 +54,13 @@
 		settings.Instances = 1
 		h := newHarness(t, settings, readyEndpoints(1, 2, 3, 4)...)
 		request := h.submit(1, 0, 0, 2, 2*time.Second, 1)
-		h.answerCounter(Rejected)
+		h.answerOldestCounterCall(Rejected)
 		h.advance(100 * time.Millisecond)
 		h.endAttempt(request, 0, Succeeded) // the latency is known from here on
 		admitted := 0
 		for n := range 5 {
 			next := h.submit(RequestID(10+n), 0, 0, 1, 2*time.Second, 1)
-			h.answerCounterCalls(Rejected)
+			h.answerAllCounterCalls(Rejected)
 			if len(next.attempts) > 0 {
 				admitted++
 			}
--- a/policy/counter_call_test.go
+++ b/policy/counter_call_test.go
@@ -9,12 +9,12 @@
 	h := newHarness(t, defaultSettings(), readyEndpoints(1, 2, 3)...)
 	request := h.submit(1, 0, 0, 1, 2*time.Second, 1)
 	h.advance(40 * time.Millisecond)
-	if len(request.attempts) != 1 || request.attempts[0].sentAt.After(startOfTest.Add(40*time.Millisecond)) {
+	if len(request.attempts) != 1 || request.attempts[0].sentAt.After(testStart.Add(40*time.Millisecond)) {
 		t.Fatalf("not sent after the wait for the counter: %v", h.log)
 	}
-	h.counter[h.pendingAdds[0].key] = 30 // others used it up
-	h.answerCounter(Succeeded)
-	if next := h.submit(2, 0, 0, 1, 2*time.Second, 1); len(next.attempts) > 0 || next.ended != "rejected" {
+	h.counterTotals[h.pendingAdds[0].key] = 30 // others used it up
+	h.answerOldestCounterCall(Succeeded)
+	if next := h.submit(2, 0, 0, 1, 2*time.Second, 1); len(next.attempts) > 0 || next.finalAnswer != "rejected" {
 		t.Error("the late total was not taken in")
 	}
 }
@@ -25,7 +25,7 @@
 	for outcome, want := range map[Outcome]float64{ConnectionLost: 0, ConnectFailed: 1} {
 		h := newHarness(t, defaultSettings(), readyEndpoints(1, 2, 3)...)
 		h.submit(1, 0, 0, 1, 2*time.Second, 1)
-		h.answerCounter(outcome)
+		h.answerOldestCounterCall(outcome)
 		if got := h.engine.tenants[1].unreported; got != want {
 			t.Errorf("outcome %s: then %v is unreported, wanted %v", outcome, got, want)
 		}
@@ -51,15 +51,15 @@
 			h.countAdmitted(0, 1, 1, Succeeded)
 			h.advance(h.engine.tenants[1].windowEnd().Sub(h.now) - 8*time.Millisecond)
 			request := h.submit(100, 0, 0, 1, 2*time.Second, 1)
-			h.counter[h.pendingAdds[0].key] = test.total
+			h.counterTotals[h.pendingAdds[0].key] = test.total
 			h.advance(12 * time.Millisecond)
 			tenant := h.engine.tenants[1]
 			h.engine.rollOver(h.now, tenant, 2)
 			tenant.window.lostUnits = test.lost
 			tenant.window.corrections = test.corrections
-			h.answerCounter(Succeeded)
+			h.answerOldestCounterCall(Succeeded)
 			if got := len(request.attempts) > 0; got != test.want {
-				t.Errorf("admitted: %t (%s)", got, request.ended)
+				t.Errorf("admitted: %t (%s)", got, request.finalAnswer)
 			}
 		})
 	}
@@ -80,7 +80,7 @@
 	}
 	tenant := h.engine.tenants[1]
 	h.engine.rollOver(h.now, tenant, 2)
-	h.answerCounter(TimedOut)
+	h.answerOldestCounterCall(TimedOut)
 	if tenant.unreported != 0 {
 		t.Errorf("%v units unreported in the new window", tenant.unreported)
 	}
--- a/policy/endpoint_watch_test.go
+++ b/policy/endpoint_watch_test.go
@@ -13,13 +13,13 @@
 	settings := defaultSettings()
 	settings.PollEndpoints, settings.PollTimeout = true, 10*time.Second
 	h := newHarness(t, settings, readyEndpoints(1)...)
-	for h.advance(8 * time.Millisecond); h.watches == 0; h.advance(8 * time.Millisecond) { // the first asking
+	for h.advance(8 * time.Millisecond); h.watchCalls == 0; h.advance(8 * time.Millisecond) { // the first asking
 	}
 	for range 5 {
-		n := h.watches
-		h.update(UpdateFailed)
-		if h.advance(10100 * time.Millisecond); h.watches != n+1 {
-			t.Fatalf("asked %d times after a failure", h.watches-n)
+		n := h.watchCalls
+		h.updateEndpoints(UpdateFailed)
+		if h.advance(10100 * time.Millisecond); h.watchCalls != n+1 {
+			t.Fatalf("asked %d times after a failure", h.watchCalls-n)
 		}
 	}
 }
@@ -41,10 +41,10 @@
 		settings.DrainGrace = grace
 		h := newHarness(t, settings, readyEndpoints(1)...)
 		for range 20 { // however long the outage
-			n := h.watches
-			h.update(UpdateFailed)
-			if h.advance(grace/10 + 8*time.Millisecond); h.watches != n+1 {
-				t.Fatalf("asked %d times within a tenth of %d", h.watches-n, grace)
+			n := h.watchCalls
+			h.updateEndpoints(UpdateFailed)
+			if h.advance(grace/10 + 8*time.Millisecond); h.watchCalls != n+1 {
+				t.Fatalf("asked %d times within a tenth of %d", h.watchCalls-n, grace)
 			}
 		}
 	}
@@ -60,13 +60,13 @@
 			t.Errorf("asked for within %d: %d, %d, %d, %d", within, watch, late, whole, again)
 		}
 		h := newHarness(t, settings, readyEndpoints(1)...)
-		for h.advance(8 * time.Millisecond); h.watches == 0; h.advance(8 * time.Millisecond) { // the first asking
+		for h.advance(8 * time.Millisecond); h.watchCalls == 0; h.advance(8 * time.Millisecond) { // the first asking
 		}
 		for range 20 {
-			n := h.watches
-			h.update(UpdateFailed)
-			if h.advance(4*time.Second + 8*time.Millisecond); h.watches != n+1 {
-				t.Fatalf("asked %d times in the four seconds after a failure", h.watches-n)
+			n := h.watchCalls
+			h.updateEndpoints(UpdateFailed)
+			if h.advance(4*time.Second + 8*time.Millisecond); h.watchCalls != n+1 {
+				t.Fatalf("asked %d times in the four seconds after a failure", h.watchCalls-n)
 			}
 		}
 	}
@@ -101,8 +101,8 @@
 
 // step moves the instance to now, and returns whether it got an answer.
 func (c *discoveryClient) step(now Instant, watch time.Duration, discovery *overloadedDiscovery) bool {
-	if c.advance(4 * time.Millisecond); c.watches > 0 {
-		c.watches, c.callAt = 0, now
+	if c.advance(4 * time.Millisecond); c.watchCalls > 0 {
+		c.watchCalls, c.callAt = 0, now
 	}
 	if !c.failsAt.IsZero() && !now.Before(c.failsAt) {
 		c.failsAt = Instant{}
@@ -126,7 +126,7 @@
 // full of calls that it answered too late, and no instance ever got an answer.
 func TestWatch_OverloadedDiscoveryAnswersAll(t *testing.T) {
 	const instances = 80
-	end := startOfTest.Add(60 * time.Second)
+	end := testStart.Add(60 * time.Second)
 	settings := defaultSettings()
 	settings.Instances = instances
 	settings.PollEndpoints, settings.PollTimeout = true, 10*time.Second
@@ -135,16 +135,16 @@
 	for n := range instances {
 		client := &discoveryClient{harness: newHarness(t, settings, readyEndpoints(1)...)}
 		client.engine.random = pcg.New(uint64(n))
-		client.watches, client.callAt = 0, client.now // all poll at once
+		client.watchCalls, client.callAt = 0, client.now // all poll at once
 		clients = append(clients, client)
 	}
 	discovery, gap := &overloadedDiscovery{}, time.Duration(0)
-	for now := startOfTest; now.Before(end); now = now.Add(4 * time.Millisecond) {
+	for now := testStart; now.Before(end); now = now.Add(4 * time.Millisecond) {
 		for _, client := range clients {
 			if !client.step(now, watch, discovery) {
 				continue
 			}
-			if now.After(startOfTest.Add(20 * time.Second)) { // from then on the six seconds hold for every instance
+			if now.After(testStart.Add(20 * time.Second)) { // from then on the six seconds hold for every instance
 				gap = max(gap, now.Sub(client.lastList))
 			}
 			client.lastList = now
@@ -172,12 +172,12 @@
 			settings.Instances = test.instances
 			settings.PollEndpoints = true
 			settings.PollTimeout = 10 * time.Second
-			h := &harness{t: t, settings: settings, now: startOfTest}
+			h := &harness{t: t, settings: settings, now: testStart}
 			h.engine = New(Options{Now: h.now, Seed: uint64(index), Settings: settings, Effects: h})
-			for h.watches == 0 && h.now.Before(startOfTest.Add(10*time.Second)) {
+			for h.watchCalls == 0 && h.now.Before(testStart.Add(10*time.Second)) {
 				h.advance(4 * time.Millisecond)
 			}
-			asked := h.now.Sub(startOfTest)
+			asked := h.now.Sub(testStart)
 			first, last = min(first, asked), max(last, asked)
 		}
 		if last-first < test.from || last > test.end {
--- a/policy/endpoints_test.go
+++ b/policy/endpoints_test.go
@@ -11,10 +11,10 @@
 	held := h.submit(1, 0, 0, 1, 2*time.Second, 1)
 	for n := BackendID(2); n < 3000; n++ {
 		if n%2 == 0 {
-			h.update(Delta, Endpoint{Backend: n, State: EndpointReady, StartedAt: h.now},
+			h.updateEndpoints(Delta, Endpoint{Backend: n, State: EndpointReady, StartedAt: h.now},
 				Endpoint{Backend: n - 1, State: EndpointGone})
 		} else {
-			h.update(FullSnapshot, Endpoint{Backend: n, State: EndpointReady, StartedAt: h.now})
+			h.updateEndpoints(FullSnapshot, Endpoint{Backend: n, State: EndpointReady, StartedAt: h.now})
 		}
 		if n%200 == 0 {
 			h.advance(100 * time.Millisecond)
@@ -40,9 +40,9 @@
 		t.Fatal("not ejected")
 	}
 	restarted := Endpoint{Backend: 1, State: EndpointDraining, Weight: 1, StartedAt: h.now}
-	h.update(Delta, restarted)
+	h.updateEndpoints(Delta, restarted)
 	restarted.State = EndpointReady
-	h.update(Delta, restarted)
+	h.updateEndpoints(Delta, restarted)
 	if got := h.engine.backends[1].outlier; got != (outlierState{}) {
 		t.Errorf("the new incarnation has the old one's state: %+v", got)
 	}
--- a/policy/engine_test.go
+++ b/policy/engine_test.go
@@ -9,42 +9,46 @@
 	"time"
 )
 
-// randomDay is a day of random events on random settings.
-type randomDay struct {
+// randomScenario is a day of random events on random settings.
+type randomScenario struct {
 	*harness
 	random *rand.Rand
 }
 
-var randomOutcomes = []Outcome{Succeeded, Succeeded, Succeeded, Failed, Rejected, TimedOut, ConnectFailed,
+var weightedOutcomes = []Outcome{Succeeded, Succeeded, Succeeded, Failed, Rejected, TimedOut, ConnectFailed,
 	ConnectionLost, Canceled, NotSent}
 
-func (d *randomDay) likely() bool { return d.random.IntN(2) == 0 }
+func (s *randomScenario) coinFlip() bool { return s.random.IntN(2) == 0 }
 
-func (d *randomDay) outcome() Outcome { return randomOutcomes[d.random.IntN(len(randomOutcomes))] }
+func (s *randomScenario) randomOutcome() Outcome {
+	return weightedOutcomes[s.random.IntN(len(weightedOutcomes))]
+}
 
-// request returns one of the requests so far, of which there must be any.
-func (d *randomDay) request() *clientRequest { return d.requests[d.order[d.random.IntN(len(d.order))]] }
+// randomRequest returns one of the requests so far, of which there must be any.
+func (s *randomScenario) randomRequest() *clientRequest {
+	return s.requests[s.submissionOrder[s.random.IntN(len(s.submissionOrder))]]
+}
 
-func (d *randomDay) drawSettings() Settings {
+func (s *randomScenario) randomSettings() Settings {
 	settings := defaultSettings()
-	settings.Hedging = d.likely()
-	settings.Cancellation = d.likely()
-	settings.HealthChecks = d.likely()
-	settings.CounterEnabled = d.random.IntN(4) > 0
-	settings.PostPaid = d.likely()
-	settings.PollEndpoints = d.likely()
+	settings.Hedging = s.coinFlip()
+	settings.Cancellation = s.coinFlip()
+	settings.HealthChecks = s.coinFlip()
+	settings.CounterEnabled = s.random.IntN(4) > 0
+	settings.PostPaid = s.coinFlip()
+	settings.PollEndpoints = s.coinFlip()
 	settings.PollTimeout = 10 * time.Second
-	settings.MaxAttempts = 1 + d.random.IntN(5)
+	settings.MaxAttempts = 1 + s.random.IntN(5)
 	settings.Classes = nil
 	for range 6 {
 		settings.Classes = append(settings.Classes, ClassSettings{
-			Idempotency:      Idempotency(d.random.IntN(3)),
-			DedupScope:       DedupScope(d.random.IntN(3)),
-			DedupWindow:      time.Duration(d.random.IntN(1000)) * time.Millisecond,
-			LatencyObjective: time.Duration(400+d.random.IntN(1000)) * time.Millisecond,
+			Idempotency:      Idempotency(s.random.IntN(3)),
+			DedupScope:       DedupScope(s.random.IntN(3)),
+			DedupWindow:      time.Duration(s.random.IntN(1000)) * time.Millisecond,
+			LatencyObjective: time.Duration(400+s.random.IntN(1000)) * time.Millisecond,
 			Deadline:         2 * time.Second,
-			LateValue:        float64(d.random.IntN(2)),
-			FallbackMode:     FallbackMode(d.random.IntN(3)),
+			LateValue:        float64(s.random.IntN(2)),
+			FallbackMode:     FallbackMode(s.random.IntN(3)),
 		})
 	}
 	settings.Plans = []PlanSettings{
@@ -59,104 +63,105 @@
 	return settings
 }
 
-// playRandomDay plays a day and returns the log of its effects.
-func playRandomDay(tb testing.TB, seed uint64) []string {
+// runRandomScenario plays a day and returns the log of its effects.
+func runRandomScenario(tb testing.TB, seed uint64) []string {
 	tb.Helper()
-	d := &randomDay{random: rand.New(rand.NewPCG(seed, 1))}
-	d.harness = newHarness(tb, d.drawSettings(), readyEndpoints(1, 2, 3, 4)...)
+	s := &randomScenario{random: rand.New(rand.NewPCG(seed, 1))}
+	s.harness = newHarness(tb, s.randomSettings(), readyEndpoints(1, 2, 3, 4)...)
 	for n := range 500 {
-		d.step(RequestID(n))
+		s.runRandomEvent(RequestID(n))
 	}
-	d.advance(4 * time.Second)
-	for _, id := range d.order {
-		if request := d.requests[id]; request.ended == "" && !request.streamed {
-			d.t.Errorf("rule 1: %d was never answered", id)
+	s.advance(4 * time.Second)
+	for _, id := range s.submissionOrder {
+		if request := s.requests[id]; request.finalAnswer == "" && !request.responseStarted {
+			s.t.Errorf("rule 1: %d was never answered", id)
 		}
 	}
-	return d.log
+	return s.log
 }
 
-// step plays one event.
-func (d *randomDay) step(id RequestID) {
-	switch d.random.IntN(12) {
+// runRandomEvent plays one event.
+func (s *randomScenario) runRandomEvent(id RequestID) {
+	switch s.random.IntN(12) {
 	case 0, 1, 2, 3:
-		plan := d.random.IntN(len(d.settings.Plans) + 1) // one more than there are, as with the classes
-		d.submit(id, ClassID(d.random.IntN(len(d.settings.Classes)+1)), PlanID(plan),
-			TenantID(d.random.IntN(3)+3*plan), time.Duration(d.random.IntN(2000))*time.Millisecond, float64(d.random.IntN(4)))
+		plan := s.random.IntN(len(s.settings.Plans) + 1) // one more than there are, as with the classes
+		s.submit(id, ClassID(s.random.IntN(len(s.settings.Classes)+1)), PlanID(plan),
+			TenantID(s.random.IntN(3)+3*plan), time.Duration(s.random.IntN(2000))*time.Millisecond, float64(s.random.IntN(4)))
 	case 4, 5, 6:
-		d.endSomeAttempt()
+		s.endRandomAttempt()
 	case 7, 8:
-		if len(d.pendingAdds) > 0 {
+		if len(s.pendingAdds) > 0 {
 			outcomes := []Outcome{Succeeded, Succeeded, Rejected, ConnectFailed, TimedOut}
-			d.answerCounter(outcomes[d.random.IntN(len(outcomes))])
+			s.answerOldestCounterCall(outcomes[s.random.IntN(len(outcomes))])
 		}
 	case 9:
-		d.updateSomeEndpoint()
+		s.updateRandomEndpoint()
 	case 10:
-		if len(d.healthChecks) > 0 {
-			d.engine.HandleHealthCheck(d.now, d.healthChecks[0], d.outcome())
-			d.healthChecks = d.healthChecks[1:]
-		} else if len(d.order) > 0 {
-			d.streamOrLeave(d.request())
+		if len(s.pendingHealthChecks) > 0 {
+			s.engine.HandleHealthCheck(s.now, s.pendingHealthChecks[0], s.randomOutcome())
+			s.pendingHealthChecks = s.pendingHealthChecks[1:]
+		} else if len(s.submissionOrder) > 0 {
+			s.startResponseOrDisconnect(s.randomRequest())
 		}
 	default:
-		d.advance(time.Duration(d.random.IntN(200)) * time.Millisecond)
+		s.advance(time.Duration(s.random.IntN(200)) * time.Millisecond)
 	}
 }
 
-func (d *randomDay) endSomeAttempt() {
-	if len(d.order) == 0 {
+func (s *randomScenario) endRandomAttempt() {
+	if len(s.submissionOrder) == 0 {
 		return
 	}
-	request := d.request()
-	last := len(request.attempts) - 1
-	if last >= 0 && d.now.Sub(request.attempts[last].sentAt) >= 200*time.Millisecond { // as the check of rule 4 has it
-		attempt := d.random.IntN(last + 1)
-		d.endAttempt(request, attempt, d.outcome())
+	randomRequest := s.randomRequest()
+	last := len(randomRequest.attempts) - 1
+	// Attempts take 200 ms at least, as checkSlowStart assumes.
+	if last >= 0 && s.now.Sub(randomRequest.attempts[last].sentAt) >= 200*time.Millisecond {
+		attempt := s.random.IntN(last + 1)
+		s.endAttempt(randomRequest, attempt, s.randomOutcome())
 	}
 }
 
-func (d *randomDay) updateSomeEndpoint() {
+func (s *randomScenario) updateRandomEndpoint() {
 	endpoint := Endpoint{
-		Backend: BackendID(1 + d.random.IntN(6)),
-		Weight:  d.random.Float64(),
-		State:   EndpointState(d.random.IntN(3)),
-		Zone:    ZoneID(d.random.IntN(2)),
-		Group:   GroupID(d.random.IntN(2)),
+		Backend: BackendID(1 + s.random.IntN(6)),
+		Weight:  s.random.Float64(),
+		State:   EndpointState(s.random.IntN(3)),
+		Zone:    ZoneID(s.random.IntN(2)),
+		Group:   GroupID(s.random.IntN(2)),
 	}
-	if d.likely() {
-		endpoint.StartedAt = d.now.Add(-time.Duration(d.random.IntN(9000)) * time.Millisecond)
+	if s.coinFlip() {
+		endpoint.StartedAt = s.now.Add(-time.Duration(s.random.IntN(9000)) * time.Millisecond)
 	}
 	kinds := []UpdateKind{Delta, Delta, Delta, FullSnapshot, UpdateFailed}
-	if kind := kinds[d.random.IntN(len(kinds))]; kind == UpdateFailed {
-		d.update(kind)
+	if kind := kinds[s.random.IntN(len(kinds))]; kind == UpdateFailed {
+		s.updateEndpoints(kind)
 	} else {
-		d.update(kind, endpoint)
+		s.updateEndpoints(kind, endpoint)
 	}
-	d.checkAnswered()
+	s.checkOverdueAnswers()
 }
 
-// streamOrLeave begins the response of a request, or has its client leave.
-func (d *randomDay) streamOrLeave(request *clientRequest) {
+// startResponseOrDisconnect begins the response of a request, or has its client leave.
+func (s *randomScenario) startResponseOrDisconnect(request *clientRequest) {
 	last := len(request.attempts) - 1
-	if d.likely() && request.ended == "" && last >= 0 && request.attempts[last].inFlight {
-		request.streamed = true
-		request.handle.HandleResponseStarted(d.now, AttemptID(last))
-	} else if d.random.IntN(9) == 0 && request.ended == "" {
-		d.clientGone(request)
+	if s.coinFlip() && request.finalAnswer == "" && last >= 0 && request.attempts[last].inFlight {
+		request.responseStarted = true
+		request.handle.HandleResponseStarted(s.now, AttemptID(last))
+	} else if s.random.IntN(9) == 0 && request.finalAnswer == "" {
+		s.disconnectClient(request)
 	}
 }
 
-func TestEngine_KeepsTheRulesOnRandomDays(t *testing.T) {
-	day := func(seed uint64) bool { // twice: same events, same actions
-		return reflect.DeepEqual(playRandomDay(t, seed), playRandomDay(t, seed)) && !t.Failed()
+func TestEngine_KeepsRulesInRandomScenarios(t *testing.T) {
+	keepsRules := func(seed uint64) bool { // twice: same events, same actions
+		return reflect.DeepEqual(runRandomScenario(t, seed), runRandomScenario(t, seed)) && !t.Failed()
 	}
 	seed := uint64(0) // counted, so that every run plays the same days
-	next := func(v []reflect.Value, _ *rand1.Rand) {
+	nextSeed := func(arguments []reflect.Value, _ *rand1.Rand) {
 		seed++
-		v[0] = reflect.ValueOf(seed)
+		arguments[0] = reflect.ValueOf(seed)
 	}
-	if err := quick.Check(day, &quick.Config{MaxCount: 150, Values: next}); err != nil {
+	if err := quick.Check(keepsRules, &quick.Config{MaxCount: 150, Values: nextSeed}); err != nil {
 		t.Error(err)
 	}
 }
--- a/policy/golden_faults_test.go
+++ b/policy/golden_faults_test.go
@@ -4,165 +4,167 @@
 
 // This file breaks things in a golden day: counter, backends, list, instances and settings.
 
-// breakSomething begins one fault of the day's kinds and plans the next.
-func (w *goldenWorld) breakSomething() {
-	if w.day.faults == (goldenFaults{}) {
+// scheduleNextFault begins one fault of the day's kinds and plans the next.
+func (sim *goldenSimulation) scheduleNextFault() {
+	if sim.scenario.faults == (goldenFaults{}) {
 		return
 	}
-	w.after(goldenSecond/10+w.exponential(w.day.faultInterval), func() {
-		var kinds []func()
-		f := w.day.faults
-		if f.counter {
-			kinds = append(kinds, w.breakCounter)
+	sim.scheduleAfter(goldenSecond/10+sim.exponential(sim.scenario.faultInterval), func() {
+		var injectors []func()
+		enabled := sim.scenario.faults
+		if enabled.counter {
+			injectors = append(injectors, sim.injectCounterFault)
 		}
-		if f.backends {
-			kinds = append(kinds, w.breakBackend)
+		if enabled.backends {
+			injectors = append(injectors, sim.injectBackendFault)
 		}
-		if f.draining {
-			kinds = append(kinds, w.drainBackend)
+		if enabled.draining {
+			injectors = append(injectors, sim.drainBackend)
 		}
-		if f.slowStarts {
-			kinds = append(kinds, w.startBackend)
+		if enabled.slowStarts {
+			injectors = append(injectors, sim.restartBackend)
 		}
-		if f.list {
-			kinds = append(kinds, w.breakList)
+		if enabled.listEndpoints {
+			injectors = append(injectors, sim.injectDiscoveryOutage)
 		}
-		if f.restarts {
-			kinds = append(kinds, w.restartInstance)
+		if enabled.instanceRestarts {
+			injectors = append(injectors, sim.restartInstance)
 		}
-		if f.jams {
-			kinds = append(kinds, w.jam)
+		if enabled.fleetOutages {
+			injectors = append(injectors, sim.injectFleetOutage)
 		}
-		if f.updates {
-			kinds = append(kinds, w.updateSettings)
+		if enabled.settingsUpdates {
+			injectors = append(injectors, sim.updateSettings)
 		}
-		kinds[w.randomInt(len(kinds))]()
-		w.breakSomething()
+		injectors[sim.randomInt(len(injectors))]()
+		sim.scheduleNextFault()
 	})
 }
 
-func (w *goldenWorld) breakCounter() {
-	c, duration := &w.counter, goldenSecond/5+w.exponential(goldenSecond)
-	switch w.randomInt(6) {
+func (sim *goldenSimulation) injectCounterFault() {
+	c, duration := &sim.counter, goldenSecond/5+sim.exponential(goldenSecond)
+	switch sim.randomInt(6) {
 	case 0:
-		w.during(&c.refuses, duration)
+		sim.activateFault(&c.refusing, duration)
 	case 1:
-		w.during(&c.hangs, duration)
+		sim.activateFault(&c.hanging, duration)
 	case 2:
-		w.during(&c.rejects, duration)
+		sim.activateFault(&c.rejecting, duration)
 	case 3:
-		w.during(&c.breaks, duration)
+		sim.activateFault(&c.disconnecting, duration)
 	case 4:
-		w.during(&c.slow, duration)
+		sim.activateFault(&c.slow, duration)
 	case 5:
 		clear(c.totals)
-		clear(c.until)
+		clear(c.expiresAt)
 	}
 }
 
-func (w *goldenWorld) breakBackend() {
-	b, duration := w.backends[w.randomInt(len(w.backends))], goldenSecond/2+w.exponential(2*goldenSecond)
-	switch w.randomInt(7) {
+func (sim *goldenSimulation) injectBackendFault() {
+	b, duration := sim.backends[sim.randomInt(len(sim.backends))], goldenSecond/2+sim.exponential(2*goldenSecond)
+	switch sim.randomInt(7) {
 	case 0:
-		w.during(&b.refuses, duration)
+		sim.activateFault(&b.refusing, duration)
 	case 1:
-		w.during(&b.hangs, duration)
+		sim.activateFault(&b.hanging, duration)
 	case 2:
-		w.during(&b.resets, duration)
+		sim.activateFault(&b.resetting, duration)
 	case 3:
-		w.during(&b.errs, duration)
+		sim.activateFault(&b.failing, duration)
 	case 4:
-		w.during(&b.slow, duration)
+		sim.activateFault(&b.slow, duration)
 	case 5:
-		w.during(&b.unstarted, duration)
+		sim.activateFault(&b.notSending, duration)
 	case 6:
-		w.during(&b.full, duration)
+		sim.activateFault(&b.full, duration)
 	}
 }
 
-// jam makes every backend hang, or slow, for a while.
-func (w *goldenWorld) jam() {
-	if w.happens(0.4) {
-		w.after(goldenSecond, func() { w.during(&w.pauses, 7*goldenSecond) })
+// injectFleetOutage makes every backend hang, or slow, for a while.
+func (sim *goldenSimulation) injectFleetOutage() {
+	if sim.chance(0.4) {
+		sim.scheduleAfter(goldenSecond, func() { sim.activateFault(&sim.arrivalPauses, 7*goldenSecond) })
 	}
-	duration := 2*goldenSecond + w.exponential(2*goldenSecond)
-	hang := w.happens(0.5)
-	for _, b := range w.backends {
+	duration := 2*goldenSecond + sim.exponential(2*goldenSecond)
+	hang := sim.chance(0.5)
+	for _, b := range sim.backends {
 		if hang {
-			w.during(&b.hangs, duration)
+			sim.activateFault(&b.hanging, duration)
 		} else {
-			w.during(&b.slow, duration)
+			sim.activateFault(&b.slow, duration)
 		}
 	}
 }
 
-func (w *goldenWorld) drainBackend() {
-	b := w.backends[w.randomInt(len(w.backends))]
+func (sim *goldenSimulation) drainBackend() {
+	b := sim.backends[sim.randomInt(len(sim.backends))]
 	b.state = policy.EndpointDraining
-	w.announce(b)
-	w.after(goldenSecond+w.exponential(goldenSecond), func() {
-		if w.happens(0.5) {
+	sim.publishEndpoint(b)
+	sim.scheduleAfter(goldenSecond+sim.exponential(goldenSecond), func() {
+		if sim.chance(0.5) {
 			b.state = policy.EndpointReady
-			w.announce(b)
+			sim.publishEndpoint(b)
 			return
 		}
-		w.replace(b)
+		sim.replaceBackend(b)
 	})
 }
 
-// replace removes a backend from the list for good; another one starts under a new id.
-func (w *goldenWorld) replace(b *goldenBackend) {
+// replaceBackend removes a backend from the list for good; another one starts under a new id.
+func (sim *goldenSimulation) replaceBackend(b *goldenBackend) {
 	b.state = policy.EndpointGone
-	w.announce(b)
-	for i := range w.backends {
-		if w.backends[i] == b {
-			w.backends = append(w.backends[:i], w.backends[i+1:]...)
+	sim.publishEndpoint(b)
+	for i := range sim.backends {
+		if sim.backends[i] == b {
+			sim.backends = append(sim.backends[:i], sim.backends[i+1:]...)
 			break
 		}
 	}
-	w.announce(w.addBackend(w.now))
+	sim.publishEndpoint(sim.addBackend(sim.now))
 }
 
-// startBackend restarts a backend, which then warms up.
-func (w *goldenWorld) startBackend() {
-	b := w.backends[w.randomInt(len(w.backends))]
-	w.during(&b.refuses, goldenSecond/2)
-	w.after(goldenSecond/2, func() {
-		b.state, b.started = policy.EndpointReady, w.now
-		w.announce(b)
+// restartBackend restarts a backend, which then warms up.
+func (sim *goldenSimulation) restartBackend() {
+	b := sim.backends[sim.randomInt(len(sim.backends))]
+	sim.activateFault(&b.refusing, goldenSecond/2)
+	sim.scheduleAfter(goldenSecond/2, func() {
+		b.state, b.started = policy.EndpointReady, sim.now
+		sim.publishEndpoint(b)
 	})
 }
 
-func (w *goldenWorld) breakList() { w.during(&w.listDown, goldenSecond+w.exponential(2*goldenSecond)) }
+func (sim *goldenSimulation) injectDiscoveryOutage() {
+	sim.activateFault(&sim.discoveryOutages, goldenSecond+sim.exponential(2*goldenSecond))
+}
 
-func (w *goldenWorld) restartInstance() {
-	in := w.instances[w.randomInt(len(w.instances))]
-	if in.engine == nil {
+func (sim *goldenSimulation) restartInstance() {
+	instance := sim.instances[sim.randomInt(len(sim.instances))]
+	if instance.engine == nil {
 		return
 	}
-	exported, since := in.engine.ExportState(), w.now
-	in.stop()
-	w.after(w.exponential(goldenSecond), func() { in.start(&exported, w.now-since) })
+	exported, stoppedAt := instance.engine.ExportState(), sim.now
+	instance.stop()
+	sim.scheduleAfter(sim.exponential(goldenSecond), func() { instance.start(&exported, sim.now-stoppedAt) })
 }
 
 // updateSettings gives all instances new settings: rows are added, and a value changes.
-func (w *goldenWorld) updateSettings() {
-	if len(w.settings.Plans) > 12 {
+func (sim *goldenSimulation) updateSettings() {
+	if len(sim.settings.Plans) > 12 {
 		return
 	}
-	w.settings.Plans = append(w.settings.Plans[:len(w.settings.Plans):len(w.settings.Plans)],
+	sim.settings.Plans = append(sim.settings.Plans[:len(sim.settings.Plans):len(sim.settings.Plans)],
 		policy.PlanSettings{
-			Rate:             5 + float64(w.randomInt(10)),
+			Rate:             5 + float64(sim.randomInt(10)),
 			Burst:            10,
-			ConcurrencyLimit: w.randomInt(3),
+			ConcurrencyLimit: sim.randomInt(3),
 			OverQuotaCost:    0.6,
 		})
-	w.settings.Classes = append(w.settings.Classes[:len(w.settings.Classes):len(w.settings.Classes)],
+	sim.settings.Classes = append(sim.settings.Classes[:len(sim.settings.Classes):len(sim.settings.Classes)],
 		policy.ClassSettings{LatencyObjective: 300 * goldenMillisecond, Deadline: goldenSecond})
-	w.settings.MaxRetryAfter += 100 * goldenMillisecond
-	for _, in := range w.instances {
-		if in.engine != nil {
-			in.engine.UpdateSettings(in.settings())
+	sim.settings.MaxRetryAfter += 100 * goldenMillisecond
+	for _, instance := range sim.instances {
+		if instance.engine != nil {
+			instance.engine.UpdateSettings(instance.settings())
 		}
 	}
 }
--- a/policy/golden_test.go
+++ b/policy/golden_test.go
@@ -41,26 +41,26 @@
 
 // goldenFaults says which kinds of fault a day has.
 type goldenFaults struct {
-	counter, backends, draining, slowStarts, list, restarts, updates, jams bool
+	counter, backends, draining, slowStarts, listEndpoints, instanceRestarts, settingsUpdates, fleetOutages bool
 }
 
-// goldenDay is one row of the table.
-type goldenDay struct {
+// goldenScenario is one row of the table.
+type goldenScenario struct {
 	name                                      string
 	seed                                      uint64
 	instances, backends, tenants, entryPoints int
 	rate                                      float64 // requests a second
 	seconds                                   int64
 	serviceTime                               int64   // usual, of a backend
-	leaveShare                                float64 // of the requests, whose clients leave early
-	streamShare                               float64 // of the requests, whose responses are streamed
+	disconnectShare                           float64 // of the requests, whose clients leave early
+	streamedShare                             float64 // of the requests, whose responses are streamed
 	settings                                  func(*policy.Settings)
 	faults                                    goldenFaults
 	zeroUnits                                 bool  // some requests have no units
-	workByUnits                               bool  // small requests are much quicker
+	serviceTimeByUnits                        bool  // small requests are much quicker
 	faultInterval                             int64 // mean time between two faults
 	minEffects                                int
-	want                                      string
+	wantHash                                  string
 }
 
 func goldenSettings() policy.Settings {
@@ -80,8 +80,8 @@
 	}
 }
 
-// everyIdempotency returns classes of each idempotency and each dedup scope.
-func everyIdempotency() []policy.ClassSettings {
+// idempotencyClasses returns classes of each idempotency and each dedup scope.
+func idempotencyClasses() []policy.ClassSettings {
 	classes := []policy.ClassSettings{
 		{Idempotency: policy.Idempotent},
 		{Idempotency: policy.IdempotentWithKey, DedupScope: policy.DedupByAll, DedupWindow: 800 * goldenMillisecond},
@@ -97,12 +97,12 @@
 		classes[i].LateValue = float64(i%2) / 2
 	}
 	// Long enough for several attempts one after another, up to the last that is worth sending.
-	long := policy.ClassSettings{LatencyObjective: 1500 * goldenMillisecond, Deadline: 2 * goldenSecond}
-	return append(classes, long)
+	longClass := policy.ClassSettings{LatencyObjective: 1500 * goldenMillisecond, Deadline: 2 * goldenSecond}
+	return append(classes, longClass)
 }
 
-// everyFallbackMode returns a class for each fallback mode.
-func everyFallbackMode() []policy.ClassSettings {
+// fallbackModeClasses returns a class for each fallback mode.
+func fallbackModeClasses() []policy.ClassSettings {
 	var classes []policy.ClassSettings
 	for _, mode := range []policy.FallbackMode{policy.LocalShare, policy.FailOpen, policy.FailClosed} {
 		classes = append(classes, policy.ClassSettings{LatencyObjective: 750 * goldenMillisecond,
@@ -111,18 +111,18 @@
 	return classes
 }
 
-var goldenDays = []goldenDay{
+var goldenScenarios = []goldenScenario{
 	{
 		name: "quota", seed: 1, rate: 300, seconds: 20, minEffects: 5000,
 		instances: 4, backends: 6, tenants: 12, entryPoints: 3,
-		serviceTime: 30 * goldenMillisecond, leaveShare: 0.02,
+		serviceTime: 30 * goldenMillisecond, disconnectShare: 0.02,
 		settings: func(*policy.Settings) {},
-		want:     "9110e0724060f40faa119561907447f28b254c0c4e03692e47013edadfa5390c",
+		wantHash: "9110e0724060f40faa119561907447f28b254c0c4e03692e47013edadfa5390c",
 	},
 	{
 		name: "hard quota and concurrency", seed: 2, rate: 300, seconds: 20, minEffects: 5000,
 		instances: 4, backends: 6, tenants: 16, entryPoints: 4,
-		serviceTime: 60 * goldenMillisecond, leaveShare: 0.02, streamShare: 0.2,
+		serviceTime: 60 * goldenMillisecond, disconnectShare: 0.02, streamedShare: 0.2,
 		settings: func(s *policy.Settings) {
 			s.PostPaid = true
 			s.Plans = []policy.PlanSettings{
@@ -133,103 +133,103 @@
 				{Rate: 20, Burst: 10, ConcurrencyLimit: 6, HardQuotaRate: 15, HardQuotaBurst: 30, OverQuotaCost: 0.8},
 			}
 		},
-		want: "e1f80aa77b4a8317ddf7c8f6e5a2e8d379a6a7901c410eae934f2b3d324c3b2a",
+		wantHash: "e1f80aa77b4a8317ddf7c8f6e5a2e8d379a6a7901c410eae934f2b3d324c3b2a",
 	},
 	{
 		name: "counter outage", seed: 3, rate: 350, seconds: 60, minEffects: 5000,
 		instances: 5, backends: 6, tenants: 12, entryPoints: 4,
-		serviceTime: 30 * goldenMillisecond, leaveShare: 0.02,
+		serviceTime: 30 * goldenMillisecond, disconnectShare: 0.02,
 		settings: func(s *policy.Settings) {
-			s.Classes = everyFallbackMode()
+			s.Classes = fallbackModeClasses()
 			s.Plans = append(s.Plans, policy.PlanSettings{Rate: 10, Burst: 15, ConcurrencyLimit: 3, OverQuotaCost: 0.9},
 				policy.PlanSettings{Rate: 8, Burst: 40, HardQuotaRate: 12, HardQuotaBurst: 30})
 		},
 		faults:        goldenFaults{counter: true},
 		faultInterval: 2500 * goldenMillisecond,
-		want:          "3512d295feb41902f09c7b06b905dcf90064f3eaaa07fd06b46d6be021c0f717",
+		wantHash:      "3512d295feb41902f09c7b06b905dcf90064f3eaaa07fd06b46d6be021c0f717",
 	},
 	{
 		name: "draining and zones", seed: 4, rate: 300, seconds: 40, minEffects: 5000,
 		instances: 6, backends: 9, tenants: 20, entryPoints: 3,
-		serviceTime: 40 * goldenMillisecond, leaveShare: 0.03,
+		serviceTime: 40 * goldenMillisecond, disconnectShare: 0.03,
 		settings: func(s *policy.Settings) {
 			s.PollEndpoints, s.PollTimeout, s.CrossZoneCost = true, 8*goldenSecond, 0.1
 		},
-		faults:        goldenFaults{draining: true, list: true, backends: true},
+		faults:        goldenFaults{draining: true, listEndpoints: true, backends: true},
 		faultInterval: 700 * goldenMillisecond,
-		want:          "016ffbd41dae9066dfb2ad114734541ac889854a67644a679b2b69a0e6d8598f",
+		wantHash:      "016ffbd41dae9066dfb2ad114734541ac889854a67644a679b2b69a0e6d8598f",
 	},
 	{
 		name: "slow starts", seed: 5, rate: 400, seconds: 40, minEffects: 5000,
 		instances: 20, backends: 12, tenants: 40, entryPoints: 8,
-		serviceTime: 50 * goldenMillisecond, leaveShare: 0.02,
+		serviceTime: 50 * goldenMillisecond, disconnectShare: 0.02,
 		settings:      func(s *policy.Settings) { s.DrainGrace = 0 },
-		faults:        goldenFaults{slowStarts: true, restarts: true},
+		faults:        goldenFaults{slowStarts: true, instanceRestarts: true},
 		faultInterval: goldenSecond,
-		want:          "46b4744ce5db6efe2974352a62ad53cca28ef2434d6df5e9bd9c3486da04ce34",
+		wantHash:      "46b4744ce5db6efe2974352a62ad53cca28ef2434d6df5e9bd9c3486da04ce34",
 	},
 	{
 		name: "hedged attempts", seed: 6, rate: 150, seconds: 40, minEffects: 5000,
 		instances: 3, backends: 6, tenants: 12, entryPoints: 3,
-		serviceTime: 30 * goldenMillisecond, leaveShare: 0.05, streamShare: 0.1,
+		serviceTime: 30 * goldenMillisecond, disconnectShare: 0.05, streamedShare: 0.1,
 		settings: func(s *policy.Settings) {
-			s.Hedging, s.MaxAttempts, s.Classes = true, 4, everyIdempotency()
+			s.Hedging, s.MaxAttempts, s.Classes = true, 4, idempotencyClasses()
 		},
 		faults:        goldenFaults{backends: true},
 		faultInterval: goldenSecond / 2,
-		want:          "0439580464e3ce825a31937204ab3006412e71610e6f25ae47556c680af1ec31",
+		wantHash:      "0439580464e3ce825a31937204ab3006412e71610e6f25ae47556c680af1ec31",
 	},
 	{
 		name: "hedged and never canceled", seed: 7, rate: 150, seconds: 40, minEffects: 5000,
 		instances: 2, backends: 5, tenants: 8, entryPoints: 2,
-		serviceTime: 30 * goldenMillisecond, leaveShare: 0.7,
+		serviceTime: 30 * goldenMillisecond, disconnectShare: 0.7,
 		settings: func(s *policy.Settings) {
 			s.Hedging = true
 			s.Cancellation = false
 			s.HealthChecks = false
 			s.RetryAfter = false
-			s.Classes = everyIdempotency()
+			s.Classes = idempotencyClasses()
 		},
 		faults:        goldenFaults{backends: true, draining: true},
 		faultInterval: goldenSecond / 2,
-		want:          "3f31d9c60a137e67d15576d30a569252f5ef7b7240edee3c22af9080ed8595e1",
+		wantHash:      "3f31d9c60a137e67d15576d30a569252f5ef7b7240edee3c22af9080ed8595e1",
 	},
 	{
 		name: "keyed and unsafe with cancels", seed: 8, rate: 150, seconds: 40, minEffects: 5000,
 		instances: 3, backends: 6, tenants: 12, entryPoints: 2,
-		serviceTime: 30 * goldenMillisecond, leaveShare: 0.05, streamShare: 0.1,
-		settings:      func(s *policy.Settings) { s.Classes = everyIdempotency() },
+		serviceTime: 30 * goldenMillisecond, disconnectShare: 0.05, streamedShare: 0.1,
+		settings:      func(s *policy.Settings) { s.Classes = idempotencyClasses() },
 		faults:        goldenFaults{backends: true, slowStarts: true},
 		faultInterval: goldenSecond / 2,
-		want:          "9258fe40113e99f306bd0abd5fc25c33719bb67f2c7309d8d90946a2d3d89008",
+		wantHash:      "9258fe40113e99f306bd0abd5fc25c33719bb67f2c7309d8d90946a2d3d89008",
 	},
 	{
 		name: "keyed and unsafe with expiry", seed: 9, rate: 150, seconds: 40, minEffects: 5000,
 		instances: 3, backends: 6, tenants: 12, entryPoints: 2,
-		serviceTime: 30 * goldenMillisecond, leaveShare: 0.05, streamShare: 0.05,
-		settings:      func(s *policy.Settings) { s.Classes, s.Cancellation, s.MaxAttempts = everyIdempotency(), false, 5 },
+		serviceTime: 30 * goldenMillisecond, disconnectShare: 0.05, streamedShare: 0.05,
+		settings:      func(s *policy.Settings) { s.Classes, s.Cancellation, s.MaxAttempts = idempotencyClasses(), false, 5 },
 		faults:        goldenFaults{backends: true, slowStarts: true, draining: true},
 		faultInterval: goldenSecond / 2,
-		want:          "246c2a7a5ca95694adddec843ec747987f6fce835983f4bdd9f20d8a3a2530c6",
+		wantHash:      "246c2a7a5ca95694adddec843ec747987f6fce835983f4bdd9f20d8a3a2530c6",
 	},
 	{
 		name: "alone without a counter", seed: 10, rate: 120, seconds: 60, minEffects: 3000,
 		instances: 1, backends: 4, tenants: 6, entryPoints: 1,
-		serviceTime: 40 * goldenMillisecond, leaveShare: 0.02,
+		serviceTime: 40 * goldenMillisecond, disconnectShare: 0.02,
 		settings: func(s *policy.Settings) {
 			s.CounterEnabled, s.PostPaid = false, true
 			s.Plans = append(s.Plans, policy.PlanSettings{HardQuotaRate: 8, HardQuotaBurst: 9})
 			s.Classes = append(s.Classes, policy.ClassSettings{LatencyObjective: 400 * goldenMillisecond,
 				Deadline: goldenSecond, CheckOnly: true})
 		},
-		faults:        goldenFaults{restarts: true},
+		faults:        goldenFaults{instanceRestarts: true},
 		faultInterval: 4 * goldenSecond,
-		want:          "1aa00903ac0bbea9b38f94fa6cf9bdd10253255cd3eb4d935e5503b7eab29e61",
+		wantHash:      "1aa00903ac0bbea9b38f94fa6cf9bdd10253255cd3eb4d935e5503b7eab29e61",
 	},
 	{
 		name: "counts only and tiny windows", seed: 11, rate: 250, seconds: 30, minEffects: 5000,
 		instances: 3, backends: 4, tenants: 14, entryPoints: 3,
-		serviceTime: 20 * goldenMillisecond, leaveShare: 0.02,
+		serviceTime: 20 * goldenMillisecond, disconnectShare: 0.02,
 		settings: func(s *policy.Settings) {
 			s.Plans = []policy.PlanSettings{
 				{Rate: 100, Burst: 1},
@@ -250,15 +250,15 @@
 		},
 		faults:        goldenFaults{counter: true},
 		faultInterval: goldenSecond,
-		want:          "de650d9e46afd82e57ca8200eadbe30089e4a163f50cbff403cd8daa26a965fc",
+		wantHash:      "de650d9e46afd82e57ca8200eadbe30089e4a163f50cbff403cd8daa26a965fc",
 	},
 	{
 		name: "concurrency near its limit", seed: 14, rate: 250, seconds: 40, minEffects: 5000,
 		instances: 4, backends: 10, tenants: 6, entryPoints: 4,
-		serviceTime: 100 * goldenMillisecond, leaveShare: 0.02, streamShare: 0.1,
+		serviceTime: 100 * goldenMillisecond, disconnectShare: 0.02, streamedShare: 0.1,
 		settings: func(s *policy.Settings) {
 			s.CounterTimeout = 20 * goldenMillisecond
-			s.Classes = append(s.Classes, everyFallbackMode()...)
+			s.Classes = append(s.Classes, fallbackModeClasses()...)
 			s.Plans = []policy.PlanSettings{
 				{ConcurrencyLimit: 7},
 				{Rate: 30, Burst: 40, ConcurrencyLimit: 8, OverQuotaCost: 0.7},
@@ -266,51 +266,51 @@
 				{Rate: 12, Burst: 30, ConcurrencyLimit: 5, OverQuotaCost: 1},
 			}
 		},
-		faults:        goldenFaults{counter: true, restarts: true},
+		faults:        goldenFaults{counter: true, instanceRestarts: true},
 		faultInterval: goldenSecond,
-		want:          "906150b5935777aba5228250bd690575d8a743133ccc1578b8a83bf5f289605f",
+		wantHash:      "906150b5935777aba5228250bd690575d8a743133ccc1578b8a83bf5f289605f",
 	},
 	{
 		name: "jams", seed: 22, rate: 120, seconds: 60, minEffects: 5000,
 		instances: 3, backends: 5, tenants: 12, entryPoints: 3,
-		serviceTime: 160 * goldenMillisecond, leaveShare: 0.1,
+		serviceTime: 160 * goldenMillisecond, disconnectShare: 0.1,
 		settings: func(s *policy.Settings) {
-			s.Classes = everyIdempotency()
+			s.Classes = idempotencyClasses()
 			s.Plans = []policy.PlanSettings{{}, {Rate: 20, Burst: 40, OverQuotaCost: 1}}
 		},
-		faults:        goldenFaults{jams: true, backends: true, counter: true},
+		faults:        goldenFaults{fleetOutages: true, backends: true, counter: true},
 		faultInterval: goldenSecond,
-		want:          "4db225274c08bb72c700e28c0a16ec783e246546162b6536a4918529316b0aa7",
+		wantHash:      "4db225274c08bb72c700e28c0a16ec783e246546162b6536a4918529316b0aa7",
 	},
 	{
 		name: "work grows with the units", seed: 16, rate: 150, seconds: 30, minEffects: 5000,
 		instances: 3, backends: 6, tenants: 12, entryPoints: 3,
-		serviceTime: 60 * goldenMillisecond, leaveShare: 0.02, workByUnits: true,
+		serviceTime: 60 * goldenMillisecond, disconnectShare: 0.02, serviceTimeByUnits: true,
 		settings: func(s *policy.Settings) {
 			s.Plans = []policy.PlanSettings{{}, {Rate: 20, Burst: 40, OverQuotaCost: 1}}
 		},
 		faults:        goldenFaults{backends: true},
 		faultInterval: goldenSecond,
-		want:          "53570b0dec1ffe3561bc5066694459b9bd5d273fa94fac49087ffc3092889230",
+		wantHash:      "53570b0dec1ffe3561bc5066694459b9bd5d273fa94fac49087ffc3092889230",
 	},
 	{
 		// A request of no units under a quota makes the measured share of the plan no number (0/0), and what is
 		// counted after it too. The day is apart so that the others are not blind from there on.
 		name: "requests without units", seed: 13, rate: 300, seconds: 20, minEffects: 2000,
 		instances: 3, backends: 4, tenants: 9, entryPoints: 3,
-		serviceTime: 20 * goldenMillisecond, leaveShare: 0.02, zeroUnits: true,
+		serviceTime: 20 * goldenMillisecond, disconnectShare: 0.02, zeroUnits: true,
 		settings:      func(*policy.Settings) {},
 		faults:        goldenFaults{counter: true},
 		faultInterval: goldenSecond,
-		want:          "5464787b3da839802937bb8f174f9eb08a6d12eca141ae93f89fa1badf5ced26",
+		wantHash:      "5464787b3da839802937bb8f174f9eb08a6d12eca141ae93f89fa1badf5ced26",
 	},
 	{
 		name: "everything at once", seed: 12, rate: 350, seconds: 90, minEffects: 20000,
 		instances: 8, backends: 10, tenants: 30, entryPoints: 5,
-		serviceTime: 40 * goldenMillisecond, leaveShare: 0.05, streamShare: 0.05,
+		serviceTime: 40 * goldenMillisecond, disconnectShare: 0.05, streamedShare: 0.05,
 		settings: func(s *policy.Settings) {
 			s.Hedging, s.PostPaid, s.CrossZoneCost = true, true, 0.05
-			s.Classes = append(everyIdempotency(), everyFallbackMode()...)
+			s.Classes = append(idempotencyClasses(), fallbackModeClasses()...)
 			s.Classes = append(s.Classes, policy.ClassSettings{LatencyObjective: 400 * goldenMillisecond,
 				Deadline: goldenSecond, CheckOnly: true})
 			s.Plans = append(s.Plans,
@@ -326,23 +326,24 @@
 				policy.PlanSettings{})
 		},
 		faults: goldenFaults{
-			counter: true, backends: true, draining: true, slowStarts: true, list: true, restarts: true, updates: true,
+			counter: true, backends: true, draining: true, slowStarts: true,
+			listEndpoints: true, instanceRestarts: true, settingsUpdates: true,
 		},
 		faultInterval: 700 * goldenMillisecond,
-		want:          "c4e8651807048200fa321aab633550f0f3955bc14ead2274442862839d7979e3",
+		wantHash:      "c4e8651807048200fa321aab633550f0f3955bc14ead2274442862839d7979e3",
 	},
 }
 
-func TestGoldenDays(t *testing.T) {
-	for _, day := range goldenDays {
-		t.Run(day.name, func(t *testing.T) {
+func TestGoldenScenarios(t *testing.T) {
+	for _, scenario := range goldenScenarios {
+		t.Run(scenario.name, func(t *testing.T) {
 			t.Parallel()
-			sum, effects := playGoldenDay(t, day)
-			if sum != day.want {
-				t.Errorf("%d effects have the hash\n%s, want\n%s: a decision changed", effects, sum, day.want)
+			sum, effects := runGoldenScenario(t, scenario)
+			if sum != scenario.wantHash {
+				t.Errorf("%d effects have the hash\n%s, want\n%s: a decision changed", effects, sum, scenario.wantHash)
 			}
-			if effects < day.minEffects {
-				t.Errorf("%d effects, want %d at least: the day has become empty", effects, day.minEffects)
+			if effects < scenario.minEffects {
+				t.Errorf("%d effects, want %d at least: the day has become empty", effects, scenario.minEffects)
 			}
 		})
 	}
--- a/policy/hard_quota_test.go
+++ b/policy/hard_quota_test.go
@@ -17,7 +17,7 @@
 		}
 		h.advance(20 * time.Millisecond)
 		// This instance's half of four units a second, and nothing to begin with.
-		if upper := 2 * float64(h.now.Sub(startOfTest)) / float64(time.Second); float64(sent) > upper+roundingTolerance {
+		if upper := 2 * float64(h.now.Sub(testStart)) / float64(time.Second); float64(sent) > upper+roundingTolerance {
 			t.Fatalf("%d units of at most %.1f", sent, upper)
 		}
 	}
--- a/policy/harness_test.go
+++ b/policy/harness_test.go
@@ -9,8 +9,8 @@
 	"fawnplank/internal/monotime"
 )
 
-// startOfTest is when harnesses start.
-var startOfTest = atSecond(1000)
+// testStart is when harnesses start.
+var testStart = atSecond(1000)
 
 // atSecond returns the Instant that many seconds after the clock's zero.
 func atSecond(seconds int64) Instant { return monotime.FromNanos(seconds * int64(time.Second)) }
@@ -18,23 +18,23 @@
 // harness stands in for everything round one engine: it carries out the effects, checks the rules at each of
 // them, and keeps a log.
 type harness struct {
-	t              testing.TB
-	engine         *Engine
-	settings       Settings
-	now            Instant
-	log            []string
-	wakes          []wakeup
-	endpoints      map[BackendID]Endpoint
-	requests       map[RequestID]*clientRequest
-	order          []RequestID
-	pendingAdds    []counterAdd // calls to the counter without an answer
-	counter        map[CounterKey]float64
-	healthChecks   []BackendID
-	watches        int
-	hardQuotaUnits map[TenantID]float64 // first attempts' units of tenants under a hard quota
-	sentTimes      map[BackendID][]Instant
-	answerTimes    []Instant // of successes, within a second
-	peakAnswers    int       // the most of them
+	t                      testing.TB
+	engine                 *Engine
+	settings               Settings
+	now                    Instant
+	log                    []string
+	wakeups                []wakeup
+	endpoints              map[BackendID]Endpoint
+	requests               map[RequestID]*clientRequest
+	submissionOrder        []RequestID
+	pendingAdds            []counterAdd // calls to the counter without an answer
+	counterTotals          map[CounterKey]float64
+	pendingHealthChecks    []BackendID
+	watchCalls             int
+	hardQuotaUnits         map[TenantID]float64 // first attempts' units of tenants under a hard quota
+	sentTimes              map[BackendID][]Instant
+	recentSuccesses        []Instant // of successes, within a second
+	peakSuccessesPerSecond int       // the most of them
 }
 
 type wakeup struct {
@@ -49,17 +49,17 @@
 
 // clientRequest is a request as its client sees it.
 type clientRequest struct {
-	handle      *Request
-	class       ClassSettings
-	plan        PlanSettings
-	tenant      TenantID
-	units       float64
-	entryPoints int
-	deadline    Instant
-	attempts    []clientAttempt
-	ended       string // how the final answer was given
-	retryAfter  time.Duration
-	streamed    bool
+	handle          *Request
+	class           ClassSettings
+	plan            PlanSettings
+	tenant          TenantID
+	units           float64
+	entryPoints     int
+	deadline        Instant
+	attempts        []clientAttempt
+	finalAnswer     string // how the final answer was given
+	retryAfter      time.Duration
+	responseStarted bool
 }
 
 type clientAttempt struct {
@@ -95,15 +95,15 @@
 	h := &harness{
 		t:              tb,
 		settings:       settings,
-		now:            startOfTest,
+		now:            testStart,
 		endpoints:      map[BackendID]Endpoint{},
 		requests:       map[RequestID]*clientRequest{},
-		counter:        map[CounterKey]float64{},
+		counterTotals:  map[CounterKey]float64{},
 		hardQuotaUnits: map[TenantID]float64{},
 		sentTimes:      map[BackendID][]Instant{},
 	}
 	h.engine = New(Options{Now: h.now, Seed: 7, Settings: settings, Effects: h})
-	h.update(CachedSnapshot, backends...)
+	h.updateEndpoints(CachedSnapshot, backends...)
 	return h
 }
 
@@ -127,7 +127,7 @@
 	return list
 }
 
-func (h *harness) update(kind UpdateKind, list ...Endpoint) {
+func (h *harness) updateEndpoints(kind UpdateKind, list ...Endpoint) {
 	if kind == FullSnapshot || kind == CachedSnapshot {
 		for id, endpoint := range h.endpoints {
 			endpoint.State = EndpointGone
@@ -143,16 +143,16 @@
 	h.engine.UpdateEndpoints(h.now, kind, list)
 }
 
-func (h *harness) record(format string, args ...any) {
+func (h *harness) logf(format string, args ...any) {
 	h.log = append(h.log, fmt.Sprintf("%d ", h.now.Nanos())+fmt.Sprintf(format, args...))
 }
 
 func (h *harness) Send(spec AttemptSpec) {
 	id, b := spec.Request, spec.Backend
-	h.record("send %d to %d until %d", id, b, spec.ExpiresAt.Nanos())
+	h.logf("send %d to %d until %d", id, b, spec.ExpiresAt.Nanos())
 	request, endpoint := h.requests[id], h.endpoints[b]
-	if request.ended != "" || request.streamed || !h.now.Before(request.deadline) {
-		h.t.Errorf("rule 1: attempt for %d, which is over (%q)", id, request.ended)
+	if request.finalAnswer != "" || request.responseStarted || !h.now.Before(request.deadline) {
+		h.t.Errorf("rule 1: attempt for %d, which is over (%q)", id, request.finalAnswer)
 	}
 	if endpoint.State != EndpointReady {
 		h.t.Errorf("rule 3: attempt at %d, which is not ready", b)
@@ -169,7 +169,7 @@
 		inFlight:    true,
 		mayHaveRun:  true,
 	})
-	h.checkAttempt(request)
+	h.checkNewestAttempt(request)
 }
 
 // checkSlowStart checks rule 4 for a backend that warms up.
@@ -180,8 +180,8 @@
 			sent++
 		}
 	}
-	age := float64(h.now.Sub(endpoint.StartedAt)) / float64(h.settings.SlowStartDuration)
-	warmth := h.settings.SlowStartShare + (1-h.settings.SlowStartShare)*age
+	elapsedShare := float64(h.now.Sub(endpoint.StartedAt)) / float64(h.settings.SlowStartDuration)
+	capacityShare := h.settings.SlowStartShare + (1-h.settings.SlowStartShare)*elapsedShare
 	// A request's work on one core is a fifth of a second in these tests; more cores show in what is answered.
 	ready := 0
 	for _, other := range h.endpoints {
@@ -189,16 +189,17 @@
 			ready++
 		}
 	}
-	rate := max(5, float64(h.peakAnswers*h.settings.Instances)/float64(ready))
-	bears := h.settings.OverloadMultiple * warmth * float64(h.settings.OverloadWindow) / float64(time.Second) * rate
-	if sent > 1 && float64(sent*h.settings.Instances) > bears { // a single attempt shows no pace
+	rate := max(5, float64(h.peakSuccessesPerSecond*h.settings.Instances)/float64(ready))
+	allowedAttempts := h.settings.OverloadMultiple * capacityShare *
+		float64(h.settings.OverloadWindow) / float64(time.Second) * rate
+	if sent > 1 && float64(sent*h.settings.Instances) > allowedAttempts { // a single attempt shows no pace
 		h.t.Errorf("rule 4: %d attempts of %d instances at backend %d that warms up and bears %.1f",
-			sent, h.settings.Instances, endpoint.Backend, bears)
+			sent, h.settings.Instances, endpoint.Backend, allowedAttempts)
 	}
 }
 
-// checkAttempt checks rule 2 for the newest attempt, and rule 5 for the first.
-func (h *harness) checkAttempt(request *clientRequest) {
+// checkNewestAttempt checks rule 2 for the newest attempt, and rule 5 for the first.
+func (h *harness) checkNewestAttempt(request *clientRequest) {
 	newest := len(request.attempts) - 1
 	endpoint := request.attempts[newest].endpoint
 	for _, earlier := range request.attempts[:newest] {
@@ -209,13 +210,13 @@
 			continue
 		}
 		class := request.class
-		known := h.now.Before(earlier.sentAt.Add(class.DedupWindow)) &&
+		deduplicated := h.now.Before(earlier.sentAt.Add(class.DedupWindow)) &&
 			(class.DedupScope != DedupByZone || earlier.endpoint.Zone == endpoint.Zone) &&
 			(class.DedupScope != DedupByGroup || earlier.endpoint.Group == endpoint.Group)
 		switch {
 		case class.Idempotency == NonIdempotent:
 			h.t.Errorf("rule 2: another attempt of a non-idempotent request")
-		case class.Idempotency == IdempotentWithKey && !known:
+		case class.Idempotency == IdempotentWithKey && !deduplicated:
 			h.t.Errorf("rule 2: request with a key sent outside its dedup scope or window")
 		}
 	}
@@ -224,46 +225,46 @@
 	}
 	h.hardQuotaUnits[request.tenant] += request.units
 	rate := request.plan.HardQuotaRate / float64(request.entryPoints)
-	elapsed := float64(h.now.Sub(startOfTest)) / float64(time.Second)
+	elapsed := float64(h.now.Sub(testStart)) / float64(time.Second)
 	if h.hardQuotaUnits[request.tenant] > rate*elapsed+roundingTolerance {
-		h.t.Errorf("rule 5: %.1f units sent by %d ns", h.hardQuotaUnits[request.tenant], h.now.Sub(startOfTest))
+		h.t.Errorf("rule 5: %.1f units sent by %d ns", h.hardQuotaUnits[request.tenant], h.now.Sub(testStart))
 	}
 }
 
-func (h *harness) Cancel(id RequestID, attempt AttemptID) { h.record("cancel %d of %d", attempt, id) }
-func (h *harness) WakeAt(at Instant, timer TimerID)       { h.wakes = append(h.wakes, wakeup{at, timer}) }
-func (h *harness) CheckHealth(b BackendID)                { h.healthChecks = append(h.healthChecks, b) }
-func (h *harness) WatchEndpoints()                        { h.watches++ }
+func (h *harness) Cancel(id RequestID, attempt AttemptID) { h.logf("cancel %d of %d", attempt, id) }
+func (h *harness) WakeAt(at Instant, timer TimerID)       { h.wakeups = append(h.wakeups, wakeup{at, timer}) }
+func (h *harness) CheckHealth(b BackendID)                { h.pendingHealthChecks = append(h.pendingHealthChecks, b) }
+func (h *harness) WatchEndpoints()                        { h.watchCalls++ }
 func (h *harness) LogUnknown(class ClassID, plan PlanID) {
-	h.record("unknown class %d or plan %d", class, plan)
+	h.logf("unknown class %d or plan %d", class, plan)
 }
 func (h *harness) Reject(id RequestID, retryAfter time.Duration) {
-	h.finish(id, "rejected", retryAfter)
+	h.recordFinalAnswer(id, "rejected", retryAfter)
 }
-func (h *harness) Admit(id RequestID) { h.finish(id, "admitted", 0) }
-func (h *harness) Abort(id RequestID) { h.finish(id, "aborted", 0) }
+func (h *harness) Admit(id RequestID) { h.recordFinalAnswer(id, "admitted", 0) }
+func (h *harness) Abort(id RequestID) { h.recordFinalAnswer(id, "aborted", 0) }
 
 func (h *harness) AddToCounter(key CounterKey, units float64, lifetime time.Duration) {
 	if lifetime <= 0 || lifetime > 60*time.Second {
 		h.t.Errorf("count for %d ns", lifetime)
 	}
-	h.record("count %d by %.3f", key, units)
+	h.logf("count %d by %.3f", key, units)
 	h.pendingAdds = append(h.pendingAdds, counterAdd{key, units})
 }
 
-// finish notes a final answer.
-func (h *harness) finish(id RequestID, how string, retryAfter time.Duration) {
-	h.record("%d %s, retry after %d", id, how, retryAfter)
+// recordFinalAnswer notes a final answer.
+func (h *harness) recordFinalAnswer(id RequestID, answer string, retryAfter time.Duration) {
+	h.logf("%d %s, retry after %d", id, answer, retryAfter)
 	request := h.requests[id]
-	if request.ended != "" {
+	if request.finalAnswer != "" {
 		h.t.Errorf("rule 1: %d got two final answers", id)
 	}
-	request.ended, request.retryAfter = how, retryAfter
+	request.finalAnswer, request.retryAfter = answer, retryAfter
 	class := request.class
-	safe := class.Idempotency == Idempotent ||
+	retryIsSafe := class.Idempotency == Idempotent ||
 		class.Idempotency == IdempotentWithKey && class.DedupScope == DedupByAll
 	for _, attempt := range request.attempts {
-		if how == "rejected" && attempt.mayHaveRun && !safe {
+		if answer == "rejected" && attempt.mayHaveRun && !retryIsSafe {
 			h.t.Errorf("rule 2: %d rejected, may have run", id)
 		}
 	}
@@ -286,13 +287,13 @@
 		request.class, request.plan = h.settings.Classes[spec.Class], h.settings.Plans[spec.Plan]
 	}
 	h.requests[spec.ID] = request
-	h.order = append(h.order, spec.ID)
+	h.submissionOrder = append(h.submissionOrder, spec.ID)
 	request.handle = h.engine.Submit(h.now, spec)
 	return request
 }
 
-// serveTwenty submits twenty requests, of a tenant each, one after another, and answers each after a time.
-func (h *harness) serveTwenty(latency time.Duration) {
+// serveTwentyRequests submits twenty requests, of a tenant each, one after another, and answers each after a time.
+func (h *harness) serveTwentyRequests(latency time.Duration) {
 	for n := range 20 {
 		request := h.submit(RequestID(n), 0, 0, TenantID(n), 2*time.Second, 1)
 		h.advance(latency)
@@ -300,13 +301,13 @@
 	}
 }
 
-// checkAnswered looks for requests whose answer is overdue.
-func (h *harness) checkAnswered() {
-	for _, id := range h.order {
+// checkOverdueAnswers looks for requests whose answer is overdue.
+func (h *harness) checkOverdueAnswers() {
+	for _, id := range h.submissionOrder {
 		request := h.requests[id]
-		if request.ended == "" && h.now.After(request.deadline.Add(16*time.Millisecond)) && !request.streamed {
+		if request.finalAnswer == "" && h.now.After(request.deadline.Add(16*time.Millisecond)) && !request.responseStarted {
 			h.t.Errorf("rule 1: %d has no answer %d ns after its deadline", id, h.now.Sub(request.deadline))
-			request.ended = "lost"
+			request.finalAnswer = "lost"
 		}
 	}
 }
@@ -319,43 +320,43 @@
 	}
 	attempt.inFlight = false
 	attempt.mayHaveRun = outcome != Rejected && outcome != ConnectFailed && outcome != NotSent && outcome != LocalFailure
-	done := request.ended != "" || outcome == Succeeded
+	requestDone := request.finalAnswer != "" || outcome == Succeeded
 	if outcome == Succeeded {
-		if request.ended == "" {
-			request.ended = "succeeded"
+		if request.finalAnswer == "" {
+			request.finalAnswer = "succeeded"
 		}
-		h.answerTimes = append(h.answerTimes, h.now)
-		for !h.answerTimes[0].After(h.now.Add(-time.Second)) {
-			h.answerTimes = h.answerTimes[1:]
+		h.recentSuccesses = append(h.recentSuccesses, h.now)
+		for !h.recentSuccesses[0].After(h.now.Add(-time.Second)) {
+			h.recentSuccesses = h.recentSuccesses[1:]
 		}
-		h.peakAnswers = max(h.peakAnswers, len(h.answerTimes))
+		h.peakSuccessesPerSecond = max(h.peakSuccessesPerSecond, len(h.recentSuccesses))
 	}
 	request.handle.HandleAttemptResult(h.now, AttemptResult{Attempt: AttemptID(n), Outcome: outcome,
-		Elapsed: h.now.Sub(attempt.sentAt), RequestDone: done})
-	h.checkAnswered()
+		Elapsed: h.now.Sub(attempt.sentAt), RequestDone: requestDone})
+	h.checkOverdueAnswers()
 }
 
-// clientGone has the client of a request leave.
-func (h *harness) clientGone(request *clientRequest) {
-	request.ended = "client gone"
+// disconnectClient has the client of a request leave.
+func (h *harness) disconnectClient(request *clientRequest) {
+	request.finalAnswer = "client gone"
 	request.handle.HandleClientGone(h.now)
 }
 
-// answerCounter brings the counter's answer to the oldest call.
-func (h *harness) answerCounter(outcome Outcome) {
+// answerOldestCounterCall brings the counter's answer to the oldest call.
+func (h *harness) answerOldestCounterCall(outcome Outcome) {
 	add := h.pendingAdds[0]
 	h.pendingAdds = h.pendingAdds[1:]
 	if outcome == Succeeded {
-		h.counter[add.key] += add.units
+		h.counterTotals[add.key] += add.units
 	}
-	h.engine.HandleCounterResult(h.now, CounterResult{Key: add.key, Outcome: outcome, Total: h.counter[add.key]})
-	h.checkAnswered()
+	h.engine.HandleCounterResult(h.now, CounterResult{Key: add.key, Outcome: outcome, Total: h.counterTotals[add.key]})
+	h.checkOverdueAnswers()
 }
 
-// answerCounterCalls answers all that are unanswered, and those that follow on the answers.
-func (h *harness) answerCounterCalls(outcome Outcome) {
+// answerAllCounterCalls answers all that are unanswered, and those that follow on the answers.
+func (h *harness) answerAllCounterCalls(outcome Outcome) {
 	for len(h.pendingAdds) > 0 {
-		h.answerCounter(outcome)
+		h.answerOldestCounterCall(outcome)
 	}
 }
 
@@ -364,7 +365,7 @@
 func (h *harness) countAdmitted(from, n int, tenant TenantID, outcome Outcome) (admitted int) {
 	for i := range n {
 		request := h.submit(RequestID(from+i), 0, 0, tenant, 2*time.Second, 1)
-		h.answerCounterCalls(outcome)
+		h.answerAllCounterCalls(outcome)
 		if len(request.attempts) > 0 {
 			admitted++
 			h.endAttempt(request, 0, Succeeded)
@@ -378,43 +379,45 @@
 func (h *harness) advance(duration time.Duration) {
 	for end := h.now.Add(duration); h.now.Before(end); {
 		h.now = monotime.Earlier(h.now.Add(4*time.Millisecond), end)
-		due := h.wakes
-		h.wakes = nil
-		slices.SortStableFunc(due, func(a, b wakeup) int { return a.at.Compare(b.at) })
-		for _, wake := range due {
+		pendingWakeups := h.wakeups
+		h.wakeups = nil
+		slices.SortStableFunc(pendingWakeups, func(a, b wakeup) int { return a.at.Compare(b.at) })
+		for _, wake := range pendingWakeups {
 			if !wake.at.After(h.now) {
 				h.engine.HandleTimer(h.now, wake.timer)
 			} else {
-				h.wakes = append(h.wakes, wake)
+				h.wakeups = append(h.wakeups, wake)
 			}
 		}
 		h.expireAttempts()
-		h.checkAnswered()
+		h.checkOverdueAnswers()
 	}
 }
 
 func (h *harness) expireAttempts() {
-	for _, id := range h.order {
+	for _, id := range h.submissionOrder {
 		request := h.requests[id]
 		for n, attempt := range request.attempts {
 			expired := !h.now.Before(request.deadline) || !attempt.expiresAt.IsZero() && !h.now.Before(attempt.expiresAt)
-			if attempt.inFlight && !request.streamed && expired {
+			if attempt.inFlight && !request.responseStarted && expired {
 				h.endAttempt(request, n, TimedOut)
 			}
 		}
 	}
 }
 
-// idleEffects counts nothing and does nothing.
-type idleEffects struct{ key CounterKey }
-
-func (*idleEffects) Send(AttemptSpec)                                          {}
-func (*idleEffects) Cancel(RequestID, AttemptID)                               {}
-func (*idleEffects) Reject(RequestID, time.Duration)                           {}
-func (*idleEffects) Abort(RequestID)                                           {}
-func (*idleEffects) Admit(RequestID)                                           {}
-func (*idleEffects) WakeAt(Instant, TimerID)                                   {}
-func (e *idleEffects) AddToCounter(key CounterKey, _ float64, _ time.Duration) { e.key = key }
-func (*idleEffects) CheckHealth(BackendID)                                     {}
-func (*idleEffects) WatchEndpoints()                                           {}
-func (*idleEffects) LogUnknown(ClassID, PlanID)                                {}
+// noopEffects counts nothing and does nothing.
+type noopEffects struct{ counterKey CounterKey }
+
+func (*noopEffects) Send(AttemptSpec)                {}
+func (*noopEffects) Cancel(RequestID, AttemptID)     {}
+func (*noopEffects) Reject(RequestID, time.Duration) {}
+func (*noopEffects) Abort(RequestID)                 {}
+func (*noopEffects) Admit(RequestID)                 {}
+func (*noopEffects) WakeAt(Instant, TimerID)         {}
+func (e *noopEffects) AddToCounter(counterKey CounterKey, _ float64, _ time.Duration) {
+	e.counterKey = counterKey
+}
+func (*noopEffects) CheckHealth(BackendID)      {}
+func (*noopEffects) WatchEndpoints()            {}
+func (*noopEffects) LogUnknown(ClassID, PlanID) {}
--- a/policy/latency_test.go
+++ b/policy/latency_test.go
@@ -46,7 +46,7 @@
 	if sent < 18 {
 		t.Errorf("%d of 20 sent, one after another, to a fleet that answers in time", sent)
 	}
-	h.update(FullSnapshot, readyEndpoints(11, 12)...)
+	h.updateEndpoints(FullSnapshot, readyEndpoints(11, 12)...)
 	if request := h.submit(200, 0, 0, 200, 2*time.Second, 1); len(request.attempts) != 1 {
 		t.Error("nothing sent to a new backend of that kind")
 	}
@@ -116,7 +116,7 @@
 	settings := defaultSettings()
 	settings.Instances, settings.CounterEnabled = 1, false
 	h := newHarness(t, settings, readyEndpoints(1, 2, 3, 4, 5, 6, 7, 8)...)
-	for n := 0; h.now.Before(startOfTest.Add(22500 * time.Millisecond)); n++ {
+	for n := 0; h.now.Before(testStart.Add(22500 * time.Millisecond)); n++ {
 		request := h.submit(RequestID(n), 0, 0, TenantID(n), 2*time.Second, 1)
 		took := 100 * time.Millisecond
 		if h.now.After(atSecond(1020)) {
@@ -136,12 +136,12 @@
 // quick, and what was only late was canceled and sent again.
 func TestLatency_ForgettingEndsAtTheBaseline(t *testing.T) {
 	h := newHarnessWithoutCounter(t, readyEndpoints(1, 2)...)
-	h.serveTwenty(100 * time.Millisecond)
+	h.serveTwentyRequests(100 * time.Millisecond)
 	request := h.submit(100, 0, 0, 100, 2*time.Second, 1)
 	h.advance(1800 * time.Millisecond)
-	if request.ended != "" || h.engine.latency.mean.Value < float64(100*time.Millisecond) {
+	if request.finalAnswer != "" || h.engine.latency.mean.Value < float64(100*time.Millisecond) {
 		t.Errorf("%q; with an attempt in flight, silence took the latency to %.0f ms",
-			request.ended, h.engine.latency.mean.Value/1e6)
+			request.finalAnswer, h.engine.latency.mean.Value/1e6)
 	}
 	h.advance(20 * time.Second)
 	if h.engine.latency.mean.Value < float64(90*time.Millisecond) {
@@ -173,7 +173,7 @@
 			h.advance(2 * time.Millisecond)
 		}
 		late := answer(400, test.late)
-		h.update(Delta, Endpoint{Backend: 3 - late, State: EndpointDraining})
+		h.updateEndpoints(Delta, Endpoint{Backend: 3 - late, State: EndpointDraining})
 		h.advance(20 * time.Millisecond)
 		for n := range 20 {
 			if answer(500+n, test.usual) == 0 {
--- a/policy/local_share_test.go
+++ b/policy/local_share_test.go
@@ -64,15 +64,15 @@
 		h := newHarness(t, defaultSettings(), readyEndpoints(1)...)
 		for n := range 40 {
 			request := h.submit(RequestID(n), 0, 0, TenantID(n), 2*time.Second, 1)
-			h.answerCounterCalls(Succeeded)
+			h.answerAllCounterCalls(Succeeded)
 			if h.advance(230 * time.Millisecond); len(request.attempts) == 0 {
-				t.Fatalf("the %dth %s", n, request.ended)
+				t.Fatalf("the %dth %s", n, request.finalAnswer)
 			}
 			h.endAttempt(request, 0, Succeeded)
 		}
 		// Likely to take 230 ms of at most 300, and of 180 where it is not counted.
 		request := h.submit(100, 0, 0, 100, 2*time.Second, 1)
-		if h.answerCounter(answer); (len(request.attempts) == 1) != (answer == Succeeded) {
+		if h.answerOldestCounterCall(answer); (len(request.attempts) == 1) != (answer == Succeeded) {
 			t.Errorf("after an answer of kind %s: %d attempts", answer, len(request.attempts))
 		}
 	}
@@ -85,7 +85,7 @@
 	admitted := 0
 	alone := func(id RequestID, outcome Outcome) {
 		request := h.submitSpec(RequestSpec{ID: id, Tenant: 1, Remaining: 2 * time.Second, Units: 1, EntryPoints: 1})
-		h.answerCounterCalls(outcome)
+		h.answerAllCounterCalls(outcome)
 		if len(request.attempts) > 0 {
 			admitted++
 			h.endAttempt(request, 0, Succeeded)
@@ -117,9 +117,9 @@
 		for len(h.pendingAdds) > 0 {
 			add := h.pendingAdds[0] // the other instance's, as many on the mean, came before it
 			for chance.Float64() < 0.5 {
-				h.counter[add.key]++
+				h.counterTotals[add.key]++
 			}
-			h.answerCounter(Succeeded)
+			h.answerOldestCounterCall(Succeeded)
 		}
 		if len(request.attempts) > 0 {
 			h.endAttempt(request, 0, Succeeded)
@@ -140,7 +140,7 @@
 	h := newHarness(t, defaultSettings(), readyEndpoints(1, 2, 3)...)
 	h.countAdmitted(0, 20, 1, Succeeded)
 	h.submit(100, 0, 0, 1, 2*time.Second, 0)
-	h.answerCounterCalls(Succeeded)
+	h.answerAllCounterCalls(Succeeded)
 	if share := h.engine.plans[0].admittedShare.Value; math.IsNaN(share) {
 		t.Errorf("admitted share of the plan: %v", share)
 	}
@@ -156,7 +156,7 @@
 	settings.CounterEnabled = false
 	settings.Plans = []PlanSettings{{Rate: 10, Burst: 1000, ConcurrencyLimit: 20, OverQuotaCost: 1}}
 	h := newHarness(t, settings, readyEndpoints(1, 2, 3)...)
-	h.serveTwenty(20 * time.Millisecond)
+	h.serveTwentyRequests(20 * time.Millisecond)
 	sent := 0
 	for n := range 3 {
 		sent += len(h.submit(RequestID(100+n), 0, 0, 1, 2*time.Second, 0).attempts)
--- a/policy/outlier_test.go
+++ b/policy/outlier_test.go
@@ -11,7 +11,7 @@
 	request := h.submit(1, 0, 0, 1, 2*time.Second, 1)
 	h.endAttempt(request, 0, ConnectionLost)
 	if len(request.attempts) != 2 {
-		t.Fatalf("%d attempts, the first cut off: %q", len(request.attempts), request.ended)
+		t.Fatalf("%d attempts, the first cut off: %q", len(request.attempts), request.finalAnswer)
 	}
 	h.endAttempt(request, 1, Succeeded)
 	next := h.submit(2, 0, 0, 1, 2*time.Second, 1)
@@ -36,21 +36,21 @@
 	request := h.submit(1, 0, 0, 1, 2*time.Second, 1)
 	h.endAttempt(request, 0, LocalFailure)
 	if len(request.attempts) != 2 {
-		t.Fatalf("%d attempts, the first one never connected: %q", len(request.attempts), request.ended)
+		t.Fatalf("%d attempts, the first one never connected: %q", len(request.attempts), request.finalAnswer)
 	}
 	h.endAttempt(request, 1, LocalFailure)
 	h.endAttempt(request, 2, LocalFailure)
-	if request.ended != "rejected" {
-		t.Errorf("ended as %q", request.ended)
+	if request.finalAnswer != "rejected" {
+		t.Errorf("ended as %q", request.finalAnswer)
 	}
 	ejected := h.submit(2, 0, 0, 1, 2*time.Second, 1)
 	h.endAttempt(ejected, 0, ConnectFailed)
 	h.advance(250 * time.Millisecond)
-	if len(h.healthChecks) != 1 {
-		t.Fatalf("%d health checks", len(h.healthChecks))
+	if len(h.pendingHealthChecks) != 1 {
+		t.Fatalf("%d health checks", len(h.pendingHealthChecks))
 	}
 	h.engine.HandleHealthCheck(h.now, 1, LocalFailure)
 	if next := h.submit(3, 0, 0, 1, 2*time.Second, 1); len(next.attempts) != 1 {
-		t.Errorf("no attempt after a check that could not be made: %q", next.ended)
+		t.Errorf("no attempt after a check that could not be made: %q", next.finalAnswer)
 	}
 }
--- a/policy/pages_test.go
+++ b/policy/pages_test.go
@@ -13,24 +13,24 @@
 
 // What the pages name: functions as `Type.name` or `name`, constants as `name` = value, files as `name.go`.
 var (
-	pageFunction = regexp.MustCompile("`((?:Engine|Request|Settings|tenant|traffic|plan|class|backend|outlierState|" +
+	pageMember = regexp.MustCompile("`((?:Engine|Request|Settings|tenant|traffic|plan|class|backend|outlierState|" +
 		"quotaWindow|counterCall|counterBreaker|fleetLatency|QuotaStatus)\\.\\w+)`")
 	pageConstant    = regexp.MustCompile("`(\\w+)`\\s+=\\s")
 	capacityRow     = regexp.MustCompile("(?m)^\\| `(\\w+)` \\| `(\\w+\\.go)` \\|")
 	pageSourceFiles = regexp.MustCompile("`(\\w+\\.go)`")
 )
 
-// sourceNames are the declarations of the package: the file of each function, field and constant.
-type sourceNames struct {
+// declarationIndex are the declarations of the package: the file of each function, field and constant.
+type declarationIndex struct {
 	declaredIn map[string]string
 	constants  []string
 	files      map[string]bool
 }
 
-// readSource parses the package's files but the tests.
-func readSource(t *testing.T) sourceNames {
+// parsePackageSource parses the package's files but the tests.
+func parsePackageSource(t *testing.T) declarationIndex {
 	t.Helper()
-	names := sourceNames{declaredIn: map[string]string{}, files: map[string]bool{}}
+	names := declarationIndex{declaredIn: map[string]string{}, files: map[string]bool{}}
 	paths, err := filepath.Glob("*.go")
 	if err != nil {
 		t.Fatal(err)
@@ -51,7 +51,7 @@
 	return names
 }
 
-func (n *sourceNames) add(path string, declaration ast.Decl) {
+func (n *declarationIndex) add(path string, declaration ast.Decl) {
 	switch d := declaration.(type) {
 	case *ast.FuncDecl:
 		n.declaredIn[functionName(d)] = path
@@ -62,7 +62,7 @@
 	}
 }
 
-func (n *sourceNames) addSpec(path string, kind token.Token, spec ast.Spec) {
+func (n *declarationIndex) addSpec(path string, kind token.Token, spec ast.Spec) {
 	switch s := spec.(type) {
 	case *ast.ValueSpec:
 		for _, name := range s.Names {
@@ -105,11 +105,12 @@
 	return string(text)
 }
 
-// TestPages_NameWhatIsThere: docs/decisions.md leads from a symptom to a function, so what it names has to exist.
-func TestPages_NameWhatIsThere(t *testing.T) {
-	source := readSource(t)
+// TestPages_NameExistingDeclarations checks that docs/decisions.md, which leads from a symptom to a function,
+// names only declarations and files that exist.
+func TestPages_NameExistingDeclarations(t *testing.T) {
+	source := parsePackageSource(t)
 	page := readPage(t, "decisions.md")
-	for _, match := range pageFunction.FindAllStringSubmatch(page, -1) {
+	for _, match := range pageMember.FindAllStringSubmatch(page, -1) {
 		isFile := strings.HasSuffix(match[1], ".go")
 		if !isFile && source.declaredIn[match[1]] == "" {
 			t.Errorf("decisions.md names %s, which is not in the package", match[1])
@@ -127,10 +128,10 @@
 	}
 }
 
-// TestPages_HaveEveryConstant: docs/capacity.md says of each constant what it bounds. Constants that are no
+// TestPages_ListEveryTunableConstant: docs/capacity.md says of each constant what it bounds. Constants that are no
 // choice are left out of it: names of enumerations, units and salts.
-func TestPages_HaveEveryConstant(t *testing.T) {
-	source := readSource(t)
+func TestPages_ListEveryTunableConstant(t *testing.T) {
+	source := parsePackageSource(t)
 	notTuned := map[string]bool{
 		"overQuota": true, "withinQuota": true, "awaitingCounter": true, // an enumeration
 		"hundredPercent": true, "ticksPerSecond": true, "tickTimer": true, "tenantSalt": true,
--- a/policy/plan.go
+++ b/policy/plan.go
@@ -34,7 +34,7 @@
 func newPlan(settings PlanSettings) *plan {
 	p := &plan{PlanSettings: settings}
 	if p.Rate > 0 {
-		p.window = monotime.FromSeconds(min(max(p.Burst/p.Rate, minWindowSeconds), maxWindowSeconds))
+		p.window = monotime.DurationFromSeconds(min(max(p.Burst/p.Rate, minWindowSeconds), maxWindowSeconds))
 		p.quota = monotime.Accrued(p.Rate, p.window)
 		p.concurrencyUnit = concurrencyUnit(p.quota, p.ConcurrencyLimit)
 	}
--- a/policy/quota_reconciliation_test.go
+++ b/policy/quota_reconciliation_test.go
@@ -11,7 +11,7 @@
 	settings.Plans[0] = PlanSettings{Rate: 0.5, Burst: 10}
 	h := newHarness(t, settings, readyEndpoints(1, 2, 3)...)
 	first := h.countAdmitted(0, 8, 1, Succeeded)
-	clear(h.counter)
+	clear(h.counterTotals)
 	if admitted := first + h.countAdmitted(100, 20, 1, Succeeded); admitted < 9 || admitted > 11 {
 		t.Errorf("%d admitted of a burst of 10 through a counter that came back empty", admitted)
 	}
@@ -26,10 +26,10 @@
 		h := newHarness(t, settings, readyEndpoints(1, 2, 3)...)
 		h.countAdmitted(0, 12, 1, Succeeded)
 		h.advance(2100 * time.Millisecond)
-		clear(h.counter)
+		clear(h.counterTotals)
 		n := len(h.log)
 		h.submit(100, 0, 0, 1, 2*time.Second, 1)
-		h.answerCounter(Succeeded)
+		h.answerOldestCounterCall(Succeeded)
 		for _, l := range h.log[n:] {
 			if strings.Contains(l, "count") && !strings.Contains(l, "by 1.000") {
 				reconciled++
--- a/policy/quota_test.go
+++ b/policy/quota_test.go
@@ -10,8 +10,8 @@
 	if admitted := h.countAdmitted(0, 30, 1, Succeeded); admitted != 10 {
 		t.Errorf("%d admitted of a burst of 10", admitted)
 	}
-	if request := h.requests[29]; request.ended != "rejected" || request.retryAfter == 0 {
-		t.Errorf("beyond the quota: %q, retry after %d", request.ended, request.retryAfter)
+	if request := h.requests[29]; request.finalAnswer != "rejected" || request.retryAfter == 0 {
+		t.Errorf("beyond the quota: %q, retry after %d", request.finalAnswer, request.retryAfter)
 	}
 	h.advance(time.Second)
 	if admitted := h.countAdmitted(100, 30, 1, Succeeded); admitted != 5 {
@@ -27,8 +27,8 @@
 		for c := range 20 { // windows start at times of each tenant's own
 			request := h.submitSpec(RequestSpec{ID: RequestID(c), Tenant: TenantID(c), Remaining: time.Second, Units: 1,
 				EntryPoints: entries})
-			h.counter[h.pendingAdds[0].key] = 10 // other instances admitted the whole quota in this window
-			h.answerCounterCalls(Succeeded)
+			h.counterTotals[h.pendingAdds[0].key] = 10 // other instances admitted the whole quota in this window
+			h.answerAllCounterCalls(Succeeded)
 			if len(request.attempts) > 0 {
 				admitted++
 				h.endAttempt(request, 0, Succeeded)
--- a/policy/quota_window_test.go
+++ b/policy/quota_window_test.go
@@ -42,7 +42,7 @@
 		h.countAdmitted(10*n, 2, 1, ConnectFailed)
 		h.advance(200 * time.Millisecond)
 	}
-	clear(h.counter)
+	clear(h.counterTotals)
 	for n := range 60 { // the half-open call closes the breaker
 		h.countAdmitted(10000+10*n, 1, TenantID(10+n), Succeeded)
 		h.advance(40 * time.Millisecond)
--- a/policy/retry_after.go
+++ b/policy/retry_after.go
@@ -26,7 +26,7 @@
 //
 // Inputs: the units lacking in this instance's part, the hard quota's rate in units a second.
 func (r *Request) retryAfterHardQuota(lacking float64) time.Duration {
-	return monotime.FromSeconds(lacking * r.entryPoints / r.plan.HardQuotaRate)
+	return monotime.DurationFromSeconds(lacking * r.entryPoints / r.plan.HardQuotaRate)
 }
 
 // retryAfterOverQuota returns when the plan's rate has refilled the units that the request lacks, at least
@@ -44,7 +44,7 @@
 	}
 	t := r.tenant
 	lacking := t.window.total + r.units - r.plan.quota - t.refilled(now, t.window.start)
-	return monotime.FromSeconds(max(lacking, r.units*minRefillShare) / r.plan.Rate)
+	return monotime.DurationFromSeconds(max(lacking, r.units*minRefillShare) / r.plan.Rate)
 }
 
 // retryAfterNoCapacity returns when to come back to backends that have no capacity, or after an attempt that was not
--- a/policy/retry_after_test.go
+++ b/policy/retry_after_test.go
@@ -13,8 +13,8 @@
 		h.submit(RequestID(n), 0, 0, TenantID(n), 2*time.Second, 1)
 	}
 	request := h.requests[19]
-	if request.ended != "rejected" || request.retryAfter <= 0 || request.retryAfter >= 750*time.Millisecond/4 {
-		t.Errorf("with a full instance: %q, retry after %d", request.ended, request.retryAfter)
+	if request.finalAnswer != "rejected" || request.retryAfter <= 0 || request.retryAfter >= 750*time.Millisecond/4 {
+		t.Errorf("with a full instance: %q, retry after %d", request.finalAnswer, request.retryAfter)
 	}
 }
 
--- a/policy/retry_test.go
+++ b/policy/retry_test.go
@@ -9,7 +9,7 @@
 // Fault: where few attempts are in flight, a merely long request was taken for a stalled one and sent again.
 func TestRetry_LongRequestIsNotStalled(t *testing.T) {
 	h := newHarnessWithoutCounter(t, readyEndpoints(1, 2)...)
-	h.serveTwenty(52 * time.Millisecond)
+	h.serveTwentyRequests(52 * time.Millisecond)
 	request := h.submit(100, 0, 0, 100, 2*time.Second, 1)
 	h.advance(200 * time.Millisecond)
 	if h.endAttempt(request, 0, Succeeded); strings.Contains(strings.Join(h.log, "\n"), "cancel") {
@@ -32,8 +32,8 @@
 	settings.Classes[0].Idempotency, settings.CounterEnabled = NonIdempotent, false
 	h := newHarness(t, settings, readyEndpoints(1, 2)...)
 	request := h.submit(1, 0, 0, 1, 2*time.Second, 1)
-	if h.endAttempt(request, 0, Failed); request.ended != "aborted" {
-		t.Errorf("after an error: %q", request.ended)
+	if h.endAttempt(request, 0, Failed); request.finalAnswer != "aborted" {
+		t.Errorf("after an error: %q", request.finalAnswer)
 	}
 	next := h.submit(2, 0, 0, 2, 2*time.Second, 1)
 	if h.endAttempt(next, 0, ConnectFailed); len(next.attempts) != 2 {
@@ -45,7 +45,7 @@
 // were canceled there, and the work done twice, while the whole fleet was slow.
 func TestRetry_SlowAnswersAreNotStalled(t *testing.T) {
 	h := newHarnessWithoutCounter(t, readyEndpoints(1, 2)...)
-	h.serveTwenty(160 * time.Millisecond)
+	h.serveTwentyRequests(160 * time.Millisecond)
 	request := h.submit(100, 0, 0, 100, 2*time.Second, 1)
 	h.advance(700 * time.Millisecond)
 	if len(request.attempts) != 1 || strings.Contains(strings.Join(h.log, "\n"), "cancel") {
--- a/policy/slow_start_test.go
+++ b/policy/slow_start_test.go
@@ -18,7 +18,7 @@
 		settings.Instances = 8
 		settings.CounterEnabled = false
 		settings.Classes[0].LatencyObjective = 400 * time.Millisecond
-		started := startOfTest.Add(-8 * time.Second)
+		started := testStart.Add(-8 * time.Second)
 		h := newHarness(t, settings, Endpoint{Backend: 1, State: EndpointReady, Weight: 1, StartedAt: started})
 		h.advance(1100 * time.Millisecond)
 		for n := range 15 {
@@ -44,11 +44,11 @@
 		h := newHarness(t, settings, readyEndpoints(1, 2, 3, 4, 5, 6, 7, 8)...)
 		for n := 0; h.now.Before(atSecond(1020)); n++ {
 			if !h.now.Before(atSecond(1012)) && len(h.endpoints) == 8 {
-				h.update(Delta, Endpoint{Backend: 9, State: EndpointReady, Weight: 1, StartedAt: atSecond(1011)})
+				h.updateEndpoints(Delta, Endpoint{Backend: 9, State: EndpointReady, Weight: 1, StartedAt: atSecond(1011)})
 			}
 			h.submit(RequestID(n), 0, 0, TenantID(n), 2*time.Second, 1)
 			h.advance(gap)
-			for _, id := range h.order[max(n-60, 0):] {
+			for _, id := range h.submissionOrder[max(n-60, 0):] {
 				request := h.requests[id]
 				if len(request.attempts) > 0 && h.now.Sub(request.attempts[0].sentAt) >= 200*time.Millisecond {
 					h.endAttempt(request, 0, Succeeded)
@@ -85,7 +85,7 @@
 			}
 			h.advance(100 * time.Millisecond)
 			if !h.now.Before(atSecond(1020)) && len(h.endpoints) == 20 {
-				h.update(Delta, Endpoint{Backend: 3, State: EndpointReady, Weight: 1, StartedAt: atSecond(1019)})
+				h.updateEndpoints(Delta, Endpoint{Backend: 3, State: EndpointReady, Weight: 1, StartedAt: atSecond(1019)})
 			}
 		}
 		sent += len(h.sentTimes[3])
@@ -125,7 +125,7 @@
 			}
 			h.advance(200 * time.Millisecond)
 			if len(h.endpoints) == 8 && !h.now.Before(atSecond(1019)) {
-				h.update(Delta, Endpoint{Backend: 3, State: EndpointReady, Weight: 1, StartedAt: atSecond(1019)})
+				h.updateEndpoints(Delta, Endpoint{Backend: 3, State: EndpointReady, Weight: 1, StartedAt: atSecond(1019)})
 			}
 			if !h.now.Before(atSecond(1025)) { // overload: as if all had answered late
 				h.engine.latency.mean.Value = 0.45 * float64(time.Second)
@@ -165,11 +165,11 @@
 				}
 				worst := worstOf(t, scenario.prepare, c, uint64(k*7+i), seeds)
 				line := fmt.Sprintf("%s | %d of N %.1f, bound %.1f (%.2f) at %.1f s; %d in all", c, worst.sent,
-					worst.budget, worst.bound, worst.part, float64(worst.age)/float64(time.Second), worst.attempts)
-				if t.Log(line); worst.part > 1 {
+					worst.budget, worst.bound, worst.boundRatio, float64(worst.age)/float64(time.Second), worst.slowStartAttempts)
+				if t.Log(line); worst.boundRatio > 1 {
 					t.Errorf("rule 4: %s", line)
 				}
-				if worst.attempts == 0 {
+				if worst.slowStartAttempts == 0 {
 					t.Errorf("nothing was sent to backends that warm up: %s", line)
 				}
 			}
@@ -181,34 +181,34 @@
 func worstOf(t *testing.T, prepare func(*fleet), c fleetSettings, firstSeed, seeds uint64) worstWindow {
 	t.Helper()
 	var worst worstWindow
-	attempts := 0
+	slowStartAttempts := 0
 	for n := range seeds {
 		f := newFleet(t, c, firstSeed+n)
 		prepare(f)
-		f.startAll()
-		f.play(scenarioAt + 2*time.Second + c.warmUp)
-		attempts += f.worst.attempts
-		if f.worst.part > worst.part {
+		f.startInstances()
+		f.runFor(scenarioAt + 2*time.Second + c.slowStartDuration)
+		slowStartAttempts += f.worst.slowStartAttempts
+		if f.worst.boundRatio > worst.boundRatio {
 			worst = f.worst
 		}
 	}
-	worst.attempts = attempts
+	worst.slowStartAttempts = slowStartAttempts
 	return worst
 }
 
 var fleets = []fleetSettings{
-	{instances: 20, backends: 12, cores: 1, work: 100 * time.Millisecond,
-		multiple: 2, share: 0.2, window: time.Second, warmUp: 10 * time.Second},
-	{instances: 30, backends: 12, cores: 4, work: 150 * time.Millisecond,
-		multiple: 2.5, share: 0.3, window: 2 * time.Second, warmUp: 12 * time.Second},
-	{instances: 30, backends: 10, cores: 8, work: 200 * time.Millisecond,
-		multiple: 4, share: 0.45, window: time.Second, warmUp: 6 * time.Second},
-	{instances: 20, backends: 12, cores: 2, work: 100 * time.Millisecond,
-		multiple: 2, share: 0.18, window: 2 * time.Second, warmUp: 18 * time.Second},
-	{instances: 300, backends: 12, cores: 1, work: 150 * time.Millisecond,
-		multiple: 4, share: 0.25, window: 2 * time.Second, warmUp: 15 * time.Second},
-	{instances: 300, backends: 6, cores: 4, work: 100 * time.Millisecond,
-		multiple: 2.5, share: 0.35, window: time.Second, warmUp: 12 * time.Second},
+	{instances: 20, backends: 12, cores: 1, serviceTime: 100 * time.Millisecond,
+		overloadMultiple: 2, slowStartShare: 0.2, overloadWindow: time.Second, slowStartDuration: 10 * time.Second},
+	{instances: 30, backends: 12, cores: 4, serviceTime: 150 * time.Millisecond,
+		overloadMultiple: 2.5, slowStartShare: 0.3, overloadWindow: 2 * time.Second, slowStartDuration: 12 * time.Second},
+	{instances: 30, backends: 10, cores: 8, serviceTime: 200 * time.Millisecond,
+		overloadMultiple: 4, slowStartShare: 0.45, overloadWindow: time.Second, slowStartDuration: 6 * time.Second},
+	{instances: 20, backends: 12, cores: 2, serviceTime: 100 * time.Millisecond,
+		overloadMultiple: 2, slowStartShare: 0.18, overloadWindow: 2 * time.Second, slowStartDuration: 18 * time.Second},
+	{instances: 300, backends: 12, cores: 1, serviceTime: 150 * time.Millisecond,
+		overloadMultiple: 4, slowStartShare: 0.25, overloadWindow: 2 * time.Second, slowStartDuration: 15 * time.Second},
+	{instances: 300, backends: 6, cores: 4, serviceTime: 100 * time.Millisecond,
+		overloadMultiple: 2.5, slowStartShare: 0.35, overloadWindow: time.Second, slowStartDuration: 12 * time.Second},
 }
 
 const scenarioAt = 12 * time.Second // from the play's beginning, when the instances know their fleet
@@ -216,7 +216,7 @@
 // restartThird restarts a third of the backends at once.
 func (f *fleet) restartThird() {
 	for n := range max(f.backends/3, 1) {
-		f.restart(BackendID(n + 1))
+		f.restartBackend(BackendID(n + 1))
 	}
 }
 
@@ -224,38 +224,38 @@
 	name    string
 	prepare func(f *fleet)
 }{
-	{"a third restarts", func(f *fleet) { f.after(scenarioAt, f.restartThird) }},
+	{"a third restarts", func(f *fleet) { f.afterStart(scenarioAt, f.restartThird) }},
 	{"six in ten replaced in 7 s", func(f *fleet) {
 		for n := range f.backends * 6 / 10 {
 			replacedAt := scenarioAt + time.Duration(n)*7*time.Second/time.Duration(f.backends*6/10)
-			f.after(replacedAt, func() { f.replace(BackendID(n+1), 1) })
+			f.afterStart(replacedAt, func() { f.replaceBackend(BackendID(n+1), 1) })
 		}
 	}},
 	{"instances upgraded by tenths", func(f *fleet) {
-		f.after(scenarioAt, f.restartThird)
+		f.afterStart(scenarioAt, f.restartThird)
 		for index := range f.instances {
 			upgradedAt := scenarioAt - 2*time.Second + time.Duration(index*10/f.instances)*time.Second
-			f.after(upgradedAt, func() { f.upgrade(index, 3*time.Second) })
+			f.afterStart(upgradedAt, func() { f.upgradeInstance(index, 3*time.Second) })
 		}
 	}},
 	{"one hot instance, others thin", func(f *fleet) {
-		f.traffic(func(index int) float64 {
+		f.distributeTraffic(func(index int) float64 {
 			if index == 3 {
 				return float64(f.instances) / 2
 			}
 			return 0.5 + float64(index%4)/4
 		})
-		for index := range f.latency {
-			f.latency[index] = time.Duration(index%5) * 30 * time.Millisecond
+		for index := range f.extraLatency {
+			f.extraLatency[index] = time.Duration(index%5) * 30 * time.Millisecond
 		}
-		f.after(scenarioAt, f.restartThird)
+		f.afterStart(scenarioAt, f.restartThird)
 	}},
 	{"settings updated", func(f *fleet) {
-		f.after(scenarioAt, f.restartThird)
-		update := func(multiple float64) func() {
+		f.afterStart(scenarioAt, f.restartThird)
+		update := func(overloadMultiple float64) func() {
 			return func() {
-				f.settings.OverloadMultiple = multiple
-				f.loadLimits = append(f.loadLimits, loadLimit{f.now, multiple, 1})
+				f.settings.OverloadMultiple = overloadMultiple
+				f.loadLimits = append(f.loadLimits, loadLimit{f.now, overloadMultiple, 1})
 				for index, incarnations := range f.incarnations {
 					for _, i := range incarnations {
 						settings := f.settings
@@ -265,63 +265,65 @@
 				}
 			}
 		}
-		f.after(scenarioAt+f.warmUp/4, update(f.multiple))
-		f.after(scenarioAt+f.warmUp/2, update(f.multiple*1.5))
-		f.after(scenarioAt+f.warmUp*3/4, update(f.multiple))
+		f.afterStart(scenarioAt+f.slowStartDuration/4, update(f.overloadMultiple))
+		f.afterStart(scenarioAt+f.slowStartDuration/2, update(f.overloadMultiple*1.5))
+		f.afterStart(scenarioAt+f.slowStartDuration*3/4, update(f.overloadMultiple))
 	}},
 	{"warming up twice", func(f *fleet) {
-		f.after(scenarioAt, f.restartThird)
-		f.after(scenarioAt+2500*time.Millisecond, f.restartThird)
-		f.after(scenarioAt+3*time.Second+f.warmUp/2, f.restartThird)
+		f.afterStart(scenarioAt, f.restartThird)
+		f.afterStart(scenarioAt+2500*time.Millisecond, f.restartThird)
+		f.afterStart(scenarioAt+3*time.Second+f.slowStartDuration/2, f.restartThird)
 	}},
 	{"traffic at a third of the instances", func(f *fleet) {
-		f.traffic(func(index int) float64 { return float64(1 - min(index%3, 1)) })
-		f.after(scenarioAt, f.restartThird)
+		f.distributeTraffic(func(index int) float64 { return float64(1 - min(index%3, 1)) })
+		f.afterStart(scenarioAt, f.restartThird)
 	}},
 	{"all get four times as slow", func(f *fleet) {
-		f.after(scenarioAt, f.restartThird)
-		f.after(scenarioAt+f.warmUp/2, func() { f.loadLimits = append(f.loadLimits, loadLimit{f.now, f.multiple, 4}) })
+		f.afterStart(scenarioAt, f.restartThird)
+		f.afterStart(scenarioAt+f.slowStartDuration/2, func() {
+			f.loadLimits = append(f.loadLimits, loadLimit{f.now, f.overloadMultiple, 4})
+		})
 	}},
 	{"the instances with traffic change", func(f *fleet) {
 		for n := range 3 {
 			weight := func(index int) float64 { return max(0.02, float64(1-min((index+n)%3, 1))) }
-			f.after(time.Duration(n)*4*time.Second, func() { f.traffic(weight) })
+			f.afterStart(time.Duration(n)*4*time.Second, func() { f.distributeTraffic(weight) })
 		}
-		f.after(scenarioAt, func() { f.traffic(func(int) float64 { return 1 }) })
-		f.after(scenarioAt, f.restartThird)
+		f.afterStart(scenarioAt, func() { f.distributeTraffic(func(int) float64 { return 1 }) })
+		f.afterStart(scenarioAt, f.restartThird)
 	}},
 	{"all start at once", func(f *fleet) {
-		for _, id := range f.ids {
-			f.backendByID[id].started = f.now.Add(1)
+		for _, id := range f.backendIDs {
+			f.backendByID[id].startedAt = f.now.Add(1)
 		}
 	}},
 	{"little traffic, then much", func(f *fleet) {
-		much := f.demand
-		f.demand = much / 30
-		f.after(scenarioAt, f.restartThird)
-		f.after(scenarioAt+f.warmUp/2, func() { f.demand = much })
+		much := f.requestRate
+		f.requestRate = much / 30
+		f.afterStart(scenarioAt, f.restartThird)
+		f.afterStart(scenarioAt+f.slowStartDuration/2, func() { f.requestRate = much })
 	}},
 	{"starts stated 30 s ahead", func(f *fleet) {
-		f.after(scenarioAt, func() {
+		f.afterStart(scenarioAt, func() {
 			for n := range f.backends / 3 {
-				f.backendByID[BackendID(n+1)].ahead = 30 * time.Second
+				f.backendByID[BackendID(n+1)].listedStartOffset = 30 * time.Second
 			}
 			f.restartThird()
 		})
 	}},
 	{"sizes of 1/4, 1 and 4", func(f *fleet) {
-		for n, id := range f.ids {
-			f.backendByID[id].size = []float64{0.25, 1, 4}[n%3]
+		for n, id := range f.backendIDs {
+			f.backendByID[id].relativeCapacity = []float64{0.25, 1, 4}[n%3]
 		}
-		f.after(scenarioAt, f.restartThird)
+		f.afterStart(scenarioAt, f.restartThird)
 	}},
 	{"sizes of 4, then 1/2", func(f *fleet) {
-		for n, id := range f.ids {
-			f.backendByID[id].size = 4
+		for n, id := range f.backendIDs {
+			f.backendByID[id].relativeCapacity = 4
 			if n%2 == 0 {
-				f.after(scenarioAt, func() { f.replace(id, 0.5) })
+				f.afterStart(scenarioAt, func() { f.replaceBackend(id, 0.5) })
 			}
 		}
-		f.demand *= 4
+		f.requestRate *= 4
 	}},
 }
--- a/policy/tenant.go
+++ b/policy/tenant.go
@@ -66,7 +66,7 @@
 func (t *tenant) keepFor() time.Duration {
 	keep := max(2*t.plan.window, maxCountLifetime)
 	if t.plan.HardQuotaRate > 0 {
-		keep = max(keep, monotime.FromSeconds(t.plan.HardQuotaBurst/t.plan.HardQuotaRate))
+		keep = max(keep, monotime.DurationFromSeconds(t.plan.HardQuotaBurst/t.plan.HardQuotaRate))
 	}
 	return keep
 }
--- a/policy/timers_test.go
+++ b/policy/timers_test.go
@@ -9,11 +9,11 @@
 func TestTimers_EarlyWakeAsksAgain(t *testing.T) {
 	h := newHarness(t, defaultSettings(), readyEndpoints(1)...)
 	h.submit(1, 0, 0, 1, 2*time.Second, 1)
-	w := h.wakes[len(h.wakes)-1]
-	h.wakes = nil
+	w := h.wakeups[len(h.wakeups)-1]
+	h.wakeups = nil
 	h.now = w.at.Add(-1)
 	h.engine.HandleTimer(h.now, w.timer)
-	if len(h.wakes) != 1 {
+	if len(h.wakeups) != 1 {
 		t.Fatal("no wake asked for again")
 	}
 	h.advance(10 * time.Millisecond)
--- a/policy/warm_start_test.go
+++ b/policy/warm_start_test.go
@@ -12,7 +12,7 @@
 	old := newHarness(t, defaultSettings(), readyEndpoints(1, 2, 3)...)
 	for n := range 60 {
 		request := old.submit(RequestID(n), 0, 0, TenantID(n), 2*time.Second, 1)
-		old.answerCounterCalls(Succeeded)
+		old.answerAllCounterCalls(Succeeded)
 		old.advance(20 * time.Millisecond)
 		if len(request.attempts) > 0 {
 			old.endAttempt(request, 0, Succeeded)
@@ -24,7 +24,8 @@
 	}
 	for age, want := range map[time.Duration]float64{0: 1, 600 * time.Second: 0.5, 6 * 3600 * time.Second: 1e-9} {
 		h := newHarness(t, defaultSettings(), readyEndpoints(1, 2)...)
-		h.update(Delta, Endpoint{Backend: 3, Weight: 1, State: EndpointReady, StartedAt: h.now.Add(-60 * time.Second)})
+		h.updateEndpoints(Delta,
+			Endpoint{Backend: 3, Weight: 1, State: EndpointReady, StartedAt: h.now.Add(-60 * time.Second)})
 		h.engine.ImportState(h.now, state, age)
 		if got := h.engine.latency.mean.Count / state.Samples; math.Abs(got-want) > 0.01 {
 			t.Errorf("after %d s all together count for %.4f, want %.4f", age/time.Second, got, want)
