--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -9,8 +9,8 @@
 // Fault: requests that no backend had capacity for were counted, and shut the tenant's later ones out.
 func TestAdmission_NoBackendCapacityMakesNoCounterCall(t *testing.T) {
 	h := newHarness(t, defaultSettings())
-	if request := h.submit(1, 0, 0, 1, 2*time.Second, 1); len(h.pendingAdds) > 0 || request.ended != "rejected" {
-		t.Errorf("%d calls, %q", len(h.pendingAdds), request.ended)
+	if request := h.submit(1, 0, 0, 1, 2*time.Second, 1); len(h.pendingAdds) > 0 || request.finalAnswer != "rejected" {
+		t.Errorf("%d calls, %q", len(h.pendingAdds), request.finalAnswer)
 	}
 }
 
@@ -26,10 +26,10 @@
 		counts := map[string]int{}
 		for n := range 40 {
 			request := h.submit(RequestID(n), checkOnlyClass, 0, 1, 2*time.Second, 1)
-			h.answerCounterCalls(outcome)
-			counts[request.ended]++
+			h.answerAllCounterCalls(outcome)
+			counts[request.finalAnswer]++
 			if len(request.attempts) > 0 || !request.handle.Done() {
-				t.Fatalf("%d attempts were sent for a question, which ended as %q", len(request.attempts), request.ended)
+				t.Fatalf("%d attempts were sent for a question, which ended as %q", len(request.attempts), request.finalAnswer)
 			}
 		}
 		want := 10 // the burst
@@ -40,7 +40,7 @@
 			t.Errorf("counter %s: %v", outcome, counts)
 		}
 		counted := 0.0
-		for _, total := range h.counter {
+		for _, total := range h.counterTotals {
 			counted += total
 		}
 		if outcome == Succeeded && math.Abs(counted-float64(counts["admitted"])) > 1 {
--- a/policy/concurrency_limit_test.go
+++ b/policy/concurrency_limit_test.go
@@ -12,25 +12,25 @@
 	settings.Plans[0].ConcurrencyLimit = 2
 	local := newHarness(t, settings, readyEndpoints(1, 2, 3, 4)...)
 	remote := newHarness(t, settings, readyEndpoints(1, 2, 3, 4)...)
-	remote.counter = local.counter
+	remote.counterTotals = local.counterTotals
 	submitAndAnswer := func(h *harness, id RequestID) *clientRequest {
 		request := h.submit(id, 0, 0, 7, 2*time.Second, 1)
-		h.answerCounterCalls(Succeeded)
+		h.answerAllCounterCalls(Succeeded)
 		return request
 	}
 	localRequest, remoteRequest := submitAndAnswer(local, 1), submitAndAnswer(remote, 2)
 	if len(localRequest.attempts) != 1 || len(remoteRequest.attempts) != 1 {
 		t.Fatal("not admitted up to the limit")
 	}
-	if next := submitAndAnswer(local, 3); next.ended != "rejected" {
+	if next := submitAndAnswer(local, 3); next.finalAnswer != "rejected" {
 		t.Error("admitted past the limit, with one in flight here and one there")
 	}
 	remote.endAttempt(remoteRequest, 0, Succeeded)
-	remote.answerCounterCalls(Succeeded)
+	remote.answerAllCounterCalls(Succeeded)
 	if next := submitAndAnswer(local, 4); len(next.attempts) != 1 {
 		t.Error("the end of an attempt at the other instance was not reported")
 	}
-	if next := submitAndAnswer(local, 5); next.ended != "rejected" {
+	if next := submitAndAnswer(local, 5); next.finalAnswer != "rejected" {
 		t.Error("admitted past the limit, with two in flight here")
 	}
 	noLimit := newHarness(t, defaultSettings(), readyEndpoints(1)...)
@@ -38,7 +38,7 @@
 	if noLimit.submit(1, 0, 0, 7, 2*time.Second, 1); noLimit.pendingAdds[0].key == local.engine.tenants[7].window.key {
 		t.Error("an instance that knows of no limit reads the same count")
 	}
-	weight, total := local.engine.plans[0].attemptWeight, local.counter[local.engine.tenants[7].window.key]
+	weight, total := local.engine.plans[0].attemptWeight, local.counterTotals[local.engine.tenants[7].window.key]
 	units := total - 2*weight // reported exactly beside the units, the end of b's too
 	if units < 0 || units > 10 {
 		t.Errorf("the count stands at %f, of two attempts of %f each and at most ten units", total, weight)
@@ -54,13 +54,13 @@
 		settings.Instances = 1
 		h := newHarness(t, settings, readyEndpoints(1, 2, 3, 4)...)
 		request := h.submit(1, 0, 0, 2, 2*time.Second, 1)
-		h.answerCounter(Rejected)
+		h.answerOldestCounterCall(Rejected)
 		h.advance(100 * time.Millisecond)
 		h.endAttempt(request, 0, Succeeded) // the latency is known from here on
 		admitted := 0
 		for n := range 5 {
 			next := h.submit(RequestID(10+n), 0, 0, 1, 2*time.Second, 1)
-			h.answerCounterCalls(Rejected)
+			h.answerAllCounterCalls(Rejected)
 			if len(next.attempts) > 0 {
 				admitted++
 			}
--- a/policy/tenant.go
+++ b/policy/tenant.go
@@ -66,7 +66,7 @@
 func (t *tenant) idleRetention() time.Duration {
 	retention := max(2*t.plan.window, maxCountLifetime)
 	if t.plan.HardQuotaRate > 0 {
-		retention = max(retention, monotime.FromSeconds(t.plan.HardQuotaBurst/t.plan.HardQuotaRate))
+		retention = max(retention, monotime.DurationFromSeconds(t.plan.HardQuotaBurst/t.plan.HardQuotaRate))
 	}
 	return retention
 }
