--- a/internal/backend/attempt_writer.go
+++ b/internal/backend/attempt_writer.go
@@ -50,7 +50,7 @@
 		c.close()
 		return false, net.ErrClosed
 	}
-	if !attempt.Begin(c) {
+	if !attempt.Start(c) {
 		c.makeIdle() // known fault: as if it had just been used, though its backend saw no use
 		return false, nil
 	}
--- a/internal/discovery/startup_test.go
+++ b/internal/discovery/startup_test.go
@@ -184,7 +184,7 @@
 			}
 			return
 		}
-		if step.Attempt.Begin(i) {
+		if step.Attempt.Start(i) {
 			i.noteSent(step.Attempt.Backend)
 			time.Sleep(time.Millisecond)
 			step.Attempt.Report([]byte("ok"), 0, nil)
--- a/internal/dispatch/attempt.go
+++ b/internal/dispatch/attempt.go
@@ -13,30 +13,30 @@
 // completely.
 //
 // Abandon is called with the dispatcher's lock held and may take the lock of the connection's pool. The
-// connection calls Begin with that lock held, so Begin never takes the dispatcher's lock.
+// connection calls Start with that lock held, so Start never takes the dispatcher's lock.
 type AttemptConn interface {
 	Abandon(attempt *Attempt) (reports bool)
 }
 
 // attemptState is the stage of an attempt's life cycle:
 //
-//	waiting   -> started    Begin: its first byte is about to be written
+//	waiting   -> started    Start: its first byte is about to be written
 //	waiting   -> canceled   not to be written: canceled, too late to start, or its request is finished
 //	started   -> abandoned  given up in the middle of writing: its writer still reports
 //	any other -> settled    the engine has been given its outcome; final
 //
-// Only Begin changes the state without the dispatcher's lock. Begin and cancellation therefore leave the
+// Only Start changes the state without the dispatcher's lock. Start and cancellation therefore leave the
 // waiting state by compare-and-swap, so that an attempt is either written or canceled, but never both. Only
-// an attempt that never got a connection goes directly from waiting to settled; the caller of Begin reports
+// an attempt that never got a connection goes directly from waiting to settled; the caller of Start reports
 // it.
 type attemptState uint32
 
 const (
-	// attemptWaiting: no byte is written yet, and Begin may still start the attempt.
+	// attemptWaiting: no byte is written yet, and Start may still start the attempt.
 	attemptWaiting attemptState = iota
 	// attemptStarted: the backend may run the request from now on.
 	attemptStarted
-	// attemptCanceled: Begin returns false. The engine gets the outcome when its current call has returned.
+	// attemptCanceled: Start returns false. The engine gets the outcome when its current call has returned.
 	attemptCanceled
 	// attemptAbandoned: the result is not needed any more, but only the writer knows whether the request was
 	// written completely, and the engine waits for that.
@@ -72,7 +72,7 @@
 	return s.value.CompareAndSwap(uint32(attemptWaiting), uint32(state))
 }
 
-// Attempt is one transmission of a request to a backend. Its methods are safe for concurrent use, but Begin is
+// Attempt is one transmission of a request to a backend. Its methods are safe for concurrent use, but Start is
 // called once.
 type Attempt struct {
 	// Backend is where the attempt goes.
@@ -86,16 +86,16 @@
 	// startBefore is when it becomes too late to start; see mayStart.
 	startBefore policy.Instant
 	state       atomicAttemptState
-	conn        AttemptConn // set by Begin, and valid once the attempt has started
+	conn        AttemptConn // set by Start, and valid once the attempt has started
 	// abandonedAs is the outcome of an abandoned attempt that was written completely. It is guarded by the
 	// dispatcher's lock.
 	abandonedAs policy.Outcome
 }
 
-// Begin records that the attempt's first byte is about to be written to conn. If it returns false, the
+// Start records that the attempt's first byte is about to be written to conn. If it returns false, the
 // attempt has been canceled or is too late to start: the caller must not write anything, and reports a
 // NetworkError whose progress is below Written. conn must be valid from the call on.
-func (a *Attempt) Begin(conn AttemptConn) bool {
+func (a *Attempt) Start(conn AttemptConn) bool {
 	if !a.mayStart() {
 		return false
 	}
--- a/internal/dispatch/attempt_test.go
+++ b/internal/dispatch/attempt_test.go
@@ -22,7 +22,7 @@
 			request := n.submit(0, time.Second)
 			attempt := request.NextStep().Attempt
 			request.HandleClientGone()
-			if attempt.Begin(&fakeConn{}) {
+			if attempt.Start(&fakeConn{}) {
 				t.Error("started for a client that is gone")
 			}
 			next := n.submit(0, time.Second)
@@ -30,7 +30,7 @@
 				t.Errorf("the only backend is not sent to: %+v", step)
 			}
 			next.HandleClientGone()
-			if open := n.dispatcher.OpenRequests(); open > 0 {
+			if open := n.dispatcher.RequestsInFlight(); open > 0 {
 				t.Errorf("%d are in flight", open)
 			}
 		})
@@ -53,7 +53,7 @@
 		withNetwork(t, 1, settings, func(n *fakeNetwork) {
 			request := n.submit(0, time.Second)
 			first := request.NextStep().Attempt
-			first.Begin(newFakeConn(false))
+			first.Start(newFakeConn(false))
 			time.Sleep(100 * time.Millisecond)
 			first.Report(nil, 0, ErrBackendFailed) // it may have run
 			second := request.NextStep()
@@ -62,7 +62,7 @@
 				return
 			}
 			time.Sleep(delay)
-			if got := second.Attempt.Begin(newFakeConn(false)); got != want {
+			if got := second.Attempt.Start(newFakeConn(false)); got != want {
 				t.Errorf("started %v after the first: %t", 100*time.Millisecond+delay, got)
 			}
 			if !want {
@@ -91,7 +91,7 @@
 				request := n.submit(1, 400*time.Millisecond)
 				attempt := request.NextStep().Attempt
 				conn := newFakeConn(true)
-				attempt.Begin(conn)
+				attempt.Start(conn)
 				<-conn.abandoned
 				attempt.Report(nil, 0, test.err)
 				if got := request.NextStep(); got.Action != test.want {
@@ -124,7 +124,7 @@
 		begun := make([]bool, attempts)
 		beginning.Go(func() {
 			for i := range begun { // in the order of the cancellations, so that both meet often
-				begun[i] = request.attempts[i].Begin(conns[i])
+				begun[i] = request.attempts[i].Start(conns[i])
 			}
 		})
 		d.mu.Lock()
--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -231,8 +231,8 @@
 	d.do(func(now policy.Instant) { d.engine.ImportState(now, state, age) })
 }
 
-// OpenRequests returns the number of requests in flight.
-func (d *Dispatcher) OpenRequests() int {
+// RequestsInFlight returns the number of requests in flight.
+func (d *Dispatcher) RequestsInFlight() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return len(d.requests)
--- a/internal/dispatch/dispatcher_test.go
+++ b/internal/dispatch/dispatcher_test.go
@@ -27,7 +27,7 @@
 				request := n.submit(0, time.Second)
 				first := request.NextStep().Attempt
 				update(n, first.Backend)
-				if first.Begin(&fakeConn{}) {
+				if first.Start(&fakeConn{}) {
 					t.Error("the attempt was started")
 				}
 				if step := request.NextStep(); step.Action != Send || step.Attempt.Backend == first.Backend {
--- a/internal/dispatch/doc.go
+++ b/internal/dispatch/doc.go
@@ -9,10 +9,10 @@
 //
 // A request goes through these stages: Submit passes it to the engine. Its owner calls NextStep until a step
 // is final. A step with the action Send carries an Attempt, which the owner passes to the connections to the
-// backends. The connection calls Begin to learn whether the attempt may still be written, and Report to
+// backends. The connection calls Attempt.Start to learn whether the attempt may still be written, and Report to
 // deliver its result, which may lead to further steps.
 //
 // All exported methods of Dispatcher, Request and Attempt are safe for concurrent use, with these exceptions:
-// Start comes first (only Stop may come before it) and Stop last, NextStep allows one caller at a time per
-// request, and Begin is called once per attempt.
+// Dispatcher.Start comes first (only Stop may come before it) and Stop last, NextStep allows one caller at a time per
+// request, and Attempt.Start is called once per attempt.
 package dispatch
--- a/internal/dispatch/harness_test.go
+++ b/internal/dispatch/harness_test.go
@@ -180,7 +180,7 @@
 	slowWrite := chance.Intn(4) == 0
 	conn := newFakeConn(slowWrite)
 	ready := r.network.isReady(attempt.Backend)
-	if !attempt.Begin(conn) {
+	if !attempt.Start(conn) {
 		return
 	}
 	if !ready {
--- a/internal/dispatch/interleaving_test.go
+++ b/internal/dispatch/interleaving_test.go
@@ -15,13 +15,13 @@
 	"fawnplank/policy"
 )
 
-// attemptEvent is one atomic step of an attempt's life. The dispatcher's own steps hold its lock; Begin does not, so
+// attemptEvent is one atomic step of an attempt's life. The dispatcher's own steps hold its lock; Start does not, so
 // its check and its compare-and-swap are two events.
 type attemptEvent int
 
 const (
-	beginChecks    attemptEvent = iota // Begin looks whether it is early enough
-	beginSwaps                         // Begin leaves the waiting state
+	beginChecks    attemptEvent = iota // Start looks whether it is early enough
+	beginSwaps                         // Start leaves the waiting state
 	writeEnds                          // the last byte is written
 	connectionEnds                     // the connection fails, which its writer or its reader reports
 	backendDrains                      // an update of the endpoints takes the backend out of use
@@ -47,7 +47,7 @@
 	reported bool
 }
 
-// mayFollow reports whether the event may come now: Begin's two events in order, and what a connection does only after
+// mayFollow reports whether the event may come now: Start's two events in order, and what a connection does only after
 // both.
 func (e attemptEvent) mayFollow(played []attemptEvent) bool {
 	switch e {
@@ -89,7 +89,7 @@
 	}
 }
 
-// endConnection reports as the pool does: the writer while it writes, the reader afterwards; where Begin returned
+// endConnection reports as the pool does: the writer while it writes, the reader afterwards; where Start returned
 // false, as not connected.
 func (l *attemptLife) endConnection() {
 	if l.reported {
@@ -117,7 +117,7 @@
 	if finals != 1 || !l.request.finished {
 		return fmt.Errorf("%d final steps", finals)
 	}
-	if open := l.network.dispatcher.OpenRequests(); open != 0 {
+	if open := l.network.dispatcher.RequestsInFlight(); open != 0 {
 		return fmt.Errorf("%d requests still in flight", open)
 	}
 	if l.written && retries > 0 {
@@ -195,7 +195,7 @@
 		begun := make([]bool, attempts)
 		beginning.Go(func() {
 			for i := range begun { // in the order of the timers, so that both meet often
-				begun[i] = request.attempts[i].Begin(conns[i])
+				begun[i] = request.attempts[i].Start(conns[i])
 			}
 		})
 		d.mu.Lock()
@@ -225,7 +225,7 @@
 				return
 			}
 			conn := newFakeConn(true)
-			step.Attempt.Begin(conn)
+			step.Attempt.Start(conn)
 			request.HandleClientGone()
 			if !conn.isAbandoned() {
 				t.Error("not abandoned")
--- a/internal/dispatch/request_test.go
+++ b/internal/dispatch/request_test.go
@@ -24,7 +24,7 @@
 				}
 			}
 			time.Sleep(5 * time.Second)
-			if open := n.dispatcher.OpenRequests(); open > 0 {
+			if open := n.dispatcher.RequestsInFlight(); open > 0 {
 				t.Errorf("%d requests are still in flight", open)
 			}
 		})
--- a/internal/frontend/race_conditions_test.go
+++ b/internal/frontend/race_conditions_test.go
@@ -59,7 +59,7 @@
 	}
 	c.handleCommand(raw, parsed)
 	client.expectEnd("on the closed connection")
-	if n := h.dispatcher.OpenRequests(); n > 0 {
+	if n := h.dispatcher.RequestsInFlight(); n > 0 {
 		t.Errorf("%d requests submitted", n)
 	}
 }
@@ -120,7 +120,7 @@
 	if took := time.Since(closedAt); took > time.Second {
 		t.Errorf("it ended after %v", took)
 	}
-	if n := h.dispatcher.OpenRequests(); n > 0 {
+	if n := h.dispatcher.RequestsInFlight(); n > 0 {
 		t.Errorf("%d are open", n)
 	}
 	client.close()
@@ -211,7 +211,7 @@
 	closedAt := time.Now()
 	client.close()
 	h.until("it has gone", func() bool {
-		return h.dispatcher.OpenRequests() == 0 || time.Since(closedAt) > 100*time.Millisecond
+		return h.dispatcher.RequestsInFlight() == 0 || time.Since(closedAt) > 100*time.Millisecond
 	})
 	attempt.respond("-BUSY\r\n") // never run: it could be retried elsewhere
 	select {
--- a/internal/frontend/shutdown_test.go
+++ b/internal/frontend/shutdown_test.go
@@ -15,12 +15,12 @@
 	c.close()
 	for until := time.Now().Add(4 * time.Second); ; time.Sleep(5 * time.Millisecond) {
 		ended := h.hasEnded(attempt.conn)
-		if ended && h.dispatcher.OpenRequests() == 0 && h.server.Connections() == 0 {
+		if ended && h.dispatcher.RequestsInFlight() == 0 && h.server.Connections() == 0 {
 			return
 		}
 		if time.Now().After(until) {
 			t.Fatalf("attempt's connection ended: %t, %d requests open, %d connections",
-				ended, h.dispatcher.OpenRequests(), h.server.Connections())
+				ended, h.dispatcher.RequestsInFlight(), h.server.Connections())
 		}
 	}
 }
--- a/internal/limitserver/equivalence_test.go
+++ b/internal/limitserver/equivalence_test.go
@@ -156,7 +156,7 @@
 	if !isSent {
 		return false
 	}
-	step.Attempt.Begin(nil)
+	step.Attempt.Start(nil)
 	time.Sleep(2 * time.Millisecond)
 	step.Attempt.Report([]byte("ok"), 0, nil)
 	if last := request.NextStep(); last.Action != dispatch.Respond {
--- a/internal/limitserver/server_test.go
+++ b/internal/limitserver/server_test.go
@@ -241,8 +241,8 @@
 	if _, err := c.reader.ReadByte(); !errors.Is(err, io.EOF) {
 		t.Errorf("after QUIT: %v", err)
 	}
-	if g.dispatcher.OpenRequests() != 0 {
-		t.Errorf("%d checks are still open", g.dispatcher.OpenRequests())
+	if g.dispatcher.RequestsInFlight() != 0 {
+		t.Errorf("%d checks are still open", g.dispatcher.RequestsInFlight())
 	}
 }
 
