--- a/internal/backend/connection_test.go
+++ b/internal/backend/connection_test.go
@@ -41,7 +41,7 @@
 func TestConn_AttemptDoesNotGoWhereItsBackendWas(t *testing.T) {
 	for name, change := range map[string]func(p *Pool){
 		"moved":   func(p *Pool) { p.SetAddress(1, "127.0.0.1:1") },
-		"removed": func(p *Pool) { p.Forget(1) },
+		"removed": func(p *Pool) { p.RemoveBackend(1) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			p := New(Options{
--- a/internal/backend/endpoints.go
+++ b/internal/backend/endpoints.go
@@ -42,8 +42,8 @@
 	p.replace(backend, &endpoint{key: fmt.Sprint(addresses), addresses: order})
 }
 
-// Forget removes a backend that is gone. Attempts already sent to it continue.
-func (p *Pool) Forget(backend policy.BackendID) {
+// RemoveBackend removes a backend that is gone. Attempts already sent to it continue.
+func (p *Pool) RemoveBackend(backend policy.BackendID) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.remove(backend)
--- a/internal/backend/health_check_test.go
+++ b/internal/backend/health_check_test.go
@@ -32,7 +32,7 @@
 			t.Errorf("%q: %v", answer, err)
 		}
 	}
-	p.Forget(1)
+	p.RemoveBackend(1)
 	p.CheckHealth(1)
 	if err := <-outcome; err == nil {
 		t.Error("a health check without an address")
--- a/internal/backend/pool_test.go
+++ b/internal/backend/pool_test.go
@@ -140,7 +140,7 @@
 		t.Error("a connection that has been idle for too long is used")
 	}
 	p.SetAddress(2, one) // at another address now
-	p.Forget(3)
+	p.RemoveBackend(3)
 	if !third.state.isClosed() || len(p.endpoints[2].idle) != 0 {
 		t.Error("connections to a backend that moved or is gone stay open")
 	}
--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -27,8 +27,8 @@
 	SetAddress(backend policy.BackendID, address string)
 	// SetAddresses sets the addresses of a backend that listens at several.
 	SetAddresses(backend policy.BackendID, addresses []netip.AddrPort)
-	// Forget removes a backend that is gone.
-	Forget(backend policy.BackendID)
+	// RemoveBackend removes a backend that is gone.
+	RemoveBackend(backend policy.BackendID)
 }
 
 // Options configures a Client. Subscriber, AddressBook and Config are required.
--- a/internal/discovery/harness_test.go
+++ b/internal/discovery/harness_test.go
@@ -41,7 +41,7 @@
 	r.addresses[backend] = fmt.Sprint(addresses)
 }
 
-func (r *recorder) Forget(backend policy.BackendID) { delete(r.addresses, backend) }
+func (r *recorder) RemoveBackend(backend policy.BackendID) { delete(r.addresses, backend) }
 
 func (r *recorder) UpdateEndpoints(kind policy.UpdateKind, endpoints []policy.Endpoint) {
 	r.updates <- update{kind, endpoints, maps.Clone(r.addresses)}
--- a/internal/discovery/publisher.go
+++ b/internal/discovery/publisher.go
@@ -135,7 +135,7 @@
 // forget deletes everything known about a backend that is gone. Otherwise memory would grow without end,
 // since new backends keep arriving under new names.
 func (p *publisher) forget(backend policy.BackendID) {
-	p.addressBook.Forget(backend)
+	p.addressBook.RemoveBackend(backend)
 	delete(p.listed, backend)
 	delete(p.draining, backend)
 	delete(p.ids, p.names[backend])
