--- a/cmd/fawnplank/metrics.go
+++ b/cmd/fawnplank/metrics.go
@@ -53,12 +53,12 @@
 // frontendGauges are the metrics of clients' connections.
 var frontendGauges = []metrics.Gauge[*frontend.Server]{
 	{Name: "client_connections", Help: "open connections of clients",
-		Value: func(s *frontend.Server) float64 { return float64(s.Connections()) }},
+		Value: func(s *frontend.Server) float64 { return float64(s.OpenConnections()) }},
 	{Name: "client_connections_accepted", Help: "connections of clients accepted so far",
-		Value: func(s *frontend.Server) float64 { return float64(s.Stats().Accepted) }},
+		Value: func(s *frontend.Server) float64 { return float64(s.Stats().AcceptedConnections) }},
 	{Name: "client_connections_forced",
 		Help:  "connections closed at a drain or shutdown because they did not end",
-		Value: func(s *frontend.Server) float64 { return float64(s.Stats().ClosedByForce) }},
+		Value: func(s *frontend.Server) float64 { return float64(s.Stats().ForcedCloses) }},
 	{Name: "draining", Help: "1 while the instance drains",
 		Value: func(s *frontend.Server) float64 { return gaugeBool(s.Draining()) }},
 }
--- a/cmd/fawnplank/shutdown.go
+++ b/cmd/fawnplank/shutdown.go
@@ -41,14 +41,14 @@
 // requests, and returns once all requests are answered or the longest deadline has passed. A drain is something
 // else: managedGateway.Drain starts it, and the gateway goes on running.
 func stopClients(server *frontend.Server, listener net.Listener, settings policy.Settings) {
-	logging.For(frontendComponent).WithField("connections", server.Connections()).Info("stopping")
+	logging.For(frontendComponent).WithField("connections", server.OpenConnections()).Info("stopping")
 	time.Sleep(arrivalGrace)
-	server.AcceptLast(listener)
+	server.AcceptBacklog(listener)
 	_ = listener.Close() // the process ends next
 	ctx, cancel := context.WithTimeout(context.Background(), longestDeadline(settings)+lastRequestGrace)
 	defer cancel()
 	_ = server.Shutdown(ctx) // fails if time is up for every request: then there is nothing left to wait for
-	logging.For(frontendComponent).WithField("connections", server.Connections()).Info("stopped")
+	logging.For(frontendComponent).WithField("connections", server.OpenConnections()).Info("stopped")
 }
 
 func longestDeadline(settings policy.Settings) time.Duration {
--- a/internal/frontend/accept.go
+++ b/internal/frontend/accept.go
@@ -30,11 +30,11 @@
 	}
 }
 
-// AcceptLast ends accepting: it returns once the connections are accepted that wait on the listener, after
+// AcceptBacklog ends accepting: it returns once the connections are accepted that wait on the listener, after
 // listenerGrace, or after up to 1 + maxAcceptExtensions times that while accepts fail. It guards against resetting
 // connections that the kernel has accepted already, whose clients may have sent a request: they are served before the
 // listener is closed.
-func (s *Server) AcceptLast(listener net.Listener) {
+func (s *Server) AcceptBacklog(listener net.Listener) {
 	bounded, hasDeadline := listener.(interface{ SetDeadline(at time.Time) error })
 	for range 1 + maxAcceptExtensions {
 		if hasDeadline {
--- a/internal/frontend/accept_test.go
+++ b/internal/frontend/accept_test.go
@@ -37,7 +37,7 @@
 	client := h.dial()
 	client.send(query("1", lookupFields))
 	time.AfterFunc(80*time.Millisecond, func() { listener.failing.Store(false) })
-	h.server.AcceptLast(listener)
+	h.server.AcceptBacklog(listener)
 	if err := listener.Close(); err != nil {
 		t.Error(err)
 	}
--- a/internal/frontend/drain.go
+++ b/internal/frontend/drain.go
@@ -23,7 +23,7 @@
 func (s *Server) Drain() {
 	if s.drain.start() {
 		s.noteDrainStart()
-		logging.For(logComponent).WithField("connections", s.Connections()).Info("draining")
+		logging.For(logComponent).WithField("connections", s.OpenConnections()).Info("draining")
 	}
 }
 
@@ -53,11 +53,11 @@
 	stats := s.Stats()
 	logging.For(logComponent).WithFields(logrus.Fields{
 		"connections":       len(s.connections),
-		"accepted":          stats.Accepted - s.atDrain.Accepted,
-		"received":          stats.Received - s.atDrain.Received,
+		"accepted":          stats.AcceptedConnections - s.atDrain.AcceptedConnections,
+		"received":          stats.ReceivedRequests - s.atDrain.ReceivedRequests,
 		"rejected_pings":    stats.RejectedPings - s.atDrain.RejectedPings,
 		"rejected_requests": stats.RejectedRequests - s.atDrain.RejectedRequests,
-		"closed_by_force":   stats.ClosedByForce - s.atDrain.ClosedByForce,
+		"closed_by_force":   stats.ForcedCloses - s.atDrain.ForcedCloses,
 	}).Info("drain ended")
 }
 
--- a/internal/frontend/idle_eviction_test.go
+++ b/internal/frontend/idle_eviction_test.go
@@ -48,9 +48,9 @@
 	for range 30 {
 		h.dial().ping()
 		// A response can arrive before its connection is idle again; a connection that is not is not evicted.
-		h.until("all but one are idle", func() bool { return h.idleConnections() >= h.server.Connections()-1 })
+		h.until("all but one are idle", func() bool { return h.idleConnections() >= h.server.OpenConnections()-1 })
 	}
-	if n := h.server.Connections(); n != 2 { // the busy one and the last
+	if n := h.server.OpenConnections(); n != 2 { // the busy one and the last
 		t.Errorf("%d connections are open of 2 that clients may hold", n)
 	}
 	for range 5 { // those that say nothing do not count
@@ -60,7 +60,7 @@
 	for n := range 2 { // those in use are not bounded by that
 		h.openRequest(strconv.Itoa(2 + n))
 	}
-	if n := h.server.Connections(); n != 8 {
+	if n := h.server.OpenConnections(); n != 8 {
 		t.Errorf("%d connections for 3 open requests and 5 silent ones", n)
 	}
 	attempt.respond(okReply)
--- a/internal/frontend/race_conditions_test.go
+++ b/internal/frontend/race_conditions_test.go
@@ -92,7 +92,7 @@
 	attempt.respond(okReply)
 	client.expect(okResponse + "+PONG\r\n")
 	client.expectEnd("behind the responses")
-	h.until("the connection ends", func() bool { return h.server.Connections() == 0 })
+	h.until("the connection ends", func() bool { return h.server.OpenConnections() == 0 })
 	if n := len(h.attempts); n > 0 {
 		t.Errorf("%d requests forwarded after the shutdown", n)
 	}
@@ -116,7 +116,7 @@
 	client.skipResponses(5)
 	h.server.beginShutdown()
 	closedAt := time.Now()
-	h.until("the connection ends", func() bool { return h.server.Connections() == 0 })
+	h.until("the connection ends", func() bool { return h.server.OpenConnections() == 0 })
 	if took := time.Since(closedAt); took > time.Second {
 		t.Errorf("it ended after %v", took)
 	}
@@ -142,7 +142,7 @@
 			}
 		}
 	}()
-	accepted := func() bool { return h.server.Connections() > 0 }
+	accepted := func() bool { return h.server.OpenConnections() > 0 }
 	for n := range 20 {
 		client := h.dial()
 		h.until("it is accepted", accepted)
@@ -157,7 +157,7 @@
 	<-stopped
 	h.until("it is accepted", accepted)
 	h.server.beginShutdown() // once will do
-	h.until("it ends", func() bool { return h.server.Connections() == 0 })
+	h.until("it ends", func() bool { return h.server.OpenConnections() == 0 })
 }
 
 // Failure: a client that had gone was not noticed while its connection's reader waited: for capacity among
@@ -219,7 +219,7 @@
 		t.Error("another attempt for a client that has gone")
 	case <-time.After(100 * time.Millisecond):
 	}
-	h.until("the connection ends", func() bool { return h.server.Connections() == 0 })
+	h.until("the connection ends", func() bool { return h.server.OpenConnections() == 0 })
 }
 
 // Failure: a request that had waited for its connection to be accepted while its client gave up and left was
--- a/internal/frontend/server.go
+++ b/internal/frontend/server.go
@@ -128,26 +128,26 @@
 
 // Stats are counts of a server since its start.
 type Stats struct {
-	Accepted         int64 // connections accepted
-	Received         int64 // requests received
-	RejectedPings    int64 // PINGs answered with an error because of a drain
-	RejectedRequests int64 // requests rejected because of a drain
-	ClosedByForce    int64 // connections that did not end by themselves at a drain or shutdown
+	AcceptedConnections int64 // connections accepted
+	ReceivedRequests    int64 // requests received
+	RejectedPings       int64 // PINGs answered with an error because of a drain
+	RejectedRequests    int64 // requests rejected because of a drain
+	ForcedCloses        int64 // connections that did not end by themselves at a drain or shutdown
 }
 
 // Stats returns the counts.
 func (s *Server) Stats() Stats {
 	return Stats{
-		Accepted:         s.accepted.Load(),
-		Received:         s.received.Load(),
-		RejectedPings:    s.rejectedPings.Load(),
-		RejectedRequests: s.rejectedRequests.Load(),
-		ClosedByForce:    s.forcedCloses.Load(),
+		AcceptedConnections: s.accepted.Load(),
+		ReceivedRequests:    s.received.Load(),
+		RejectedPings:       s.rejectedPings.Load(),
+		RejectedRequests:    s.rejectedRequests.Load(),
+		ForcedCloses:        s.forcedCloses.Load(),
 	}
 }
 
-// Connections returns the number of open connections.
-func (s *Server) Connections() int {
+// OpenConnections returns the number of open connections.
+func (s *Server) OpenConnections() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.connections)
--- a/internal/frontend/shutdown.go
+++ b/internal/frontend/shutdown.go
@@ -17,7 +17,7 @@
 	defer ticker.Stop()
 	for {
 		s.beginShutdown()
-		if !s.serving.Load() && s.Connections() == 0 {
+		if !s.serving.Load() && s.OpenConnections() == 0 {
 			return nil
 		}
 		select {
--- a/internal/frontend/shutdown_test.go
+++ b/internal/frontend/shutdown_test.go
@@ -15,12 +15,12 @@
 	c.close()
 	for until := time.Now().Add(4 * time.Second); ; time.Sleep(5 * time.Millisecond) {
 		ended := h.hasEnded(attempt.conn)
-		if ended && h.dispatcher.OpenRequests() == 0 && h.server.Connections() == 0 {
+		if ended && h.dispatcher.OpenRequests() == 0 && h.server.OpenConnections() == 0 {
 			return
 		}
 		if time.Now().After(until) {
 			t.Fatalf("attempt's connection ended: %t, %d requests open, %d connections",
-				ended, h.dispatcher.OpenRequests(), h.server.Connections())
+				ended, h.dispatcher.OpenRequests(), h.server.OpenConnections())
 		}
 	}
 }
@@ -30,7 +30,7 @@
 	h := newHarness(t, harnessOptions{})
 	c, attempt := h.openRequest("1")
 	idle := h.dial()
-	h.until("both connections are open", func() bool { return h.server.Connections() >= 2 })
+	h.until("both connections are open", func() bool { return h.server.OpenConnections() >= 2 })
 	if err := h.listener.Close(); err != nil {
 		t.Error(err)
 	}
@@ -40,7 +40,7 @@
 	attempt.respond(okReply)
 	c.expect(okResponse)
 	c.expectEnd("after the last response")
-	h.until("all connections have ended", func() bool { return h.server.Connections() == 0 })
+	h.until("all connections have ended", func() bool { return h.server.OpenConnections() == 0 })
 	if err := <-shutdown; err != nil {
 		t.Errorf("Shutdown: %v", err)
 	}
@@ -65,8 +65,8 @@
 	}
 	attempt.respond(okReply)
 	client.expect(okResponse)
-	if err := h.server.Shutdown(t.Context()); err != nil || h.server.Connections() != 0 {
-		t.Errorf("at its end: %v, %d connections", err, h.server.Connections())
+	if err := h.server.Shutdown(t.Context()); err != nil || h.server.OpenConnections() != 0 {
+		t.Errorf("at its end: %v, %d connections", err, h.server.OpenConnections())
 	}
 }
 
--- a/internal/frontend/sweep.go
+++ b/internal/frontend/sweep.go
@@ -10,7 +10,7 @@
 func (s *Server) sweepConnections(acceptEnded <-chan struct{}) {
 	ticker := time.NewTicker(sweepInterval)
 	defer ticker.Stop()
-	for accepting := true; accepting || s.Connections() > 0; {
+	for accepting := true; accepting || s.OpenConnections() > 0; {
 		select {
 		case <-acceptEnded:
 			acceptEnded = nil
