--- a/policy/abandonment.go
+++ b/policy/abandonment.go
@@ -8,25 +8,27 @@
 )
 
 const (
-	// abandonmentSamples is how many clients of a plan the shares reach back over.
+	// abandonmentSamples is the number of a plan's most recent clients that its abandonment averages cover.
 	abandonmentSamples = 20
-	// abandonmentThreshold is the left share from which on a plan's answers are due before its clients leave.
+	// abandonmentThreshold is the abandoned share above which the answers of a plan are due by the time at which its
+	// clients usually abandon their requests.
 	abandonmentThreshold = 0.3
-	// minAbandonmentSamples is how many clients of a plan have to be known for that: of fewer, a single one that left
-	// is a share above the threshold.
+	// minAbandonmentSamples is the number of clients below which the abandoned share of a plan is not used: with fewer,
+	// a single abandonment would exceed abandonmentThreshold.
 	minAbandonmentSamples = 4
-	// abandonmentDecayPerTick halves what is known in about seven seconds, so that a burst of clients who leave is
-	// forgotten.
+	// abandonmentDecayPerTick halves the abandoned share in about seven seconds, so that a burst of abandonments has no
+	// lasting effect.
 	abandonmentDecayPerTick = 0.99
-	// earlyAbandonmentMargin is what has to be left before the deadline for a client to count as having left early.
+	// earlyAbandonmentMargin is the shortest time before the deadline at which a client that is gone counts as an
+	// abandonment.
 	earlyAbandonmentMargin = 10 * time.Millisecond
 )
 
-// abandonment is how many of a plan's clients leave before their deadline, and when. Clients that are rejected
-// are not counted, as it is not known how long they would have stayed.
+// abandonment measures which share of a plan's clients abandon their requests before the deadline, and after what time.
+// Rejected clients are not counted, since it is unknown how long they would have waited.
 type abandonment struct {
-	abandonedShare    estimate.Mean // of the clients that left or got an answer from a backend
-	timeToAbandonment estimate.Mean // until they left, in nanoseconds
+	abandonedShare    estimate.Mean // of the clients that abandoned their request or were answered by a backend
+	timeToAbandonment estimate.Mean // from submission to abandonment, in nanoseconds
 }
 
 func (a *abandonment) recordAnswered() { a.abandonedShare.Add(0, abandonmentSamples) }
@@ -38,13 +40,15 @@
 
 func (a *abandonment) decay() { a.abandonedShare.Value *= abandonmentDecayPerTick }
 
-// expectsAbandonment reports whether so many of the plan's clients leave early that the next one likely does.
+// expectsAbandonment reports whether the abandoned share is high enough to expect that the next client abandons its
+// request too.
 func (a *abandonment) expectsAbandonment() bool {
 	return a.abandonedShare.Count >= minAbandonmentSamples && a.abandonedShare.Value > abandonmentThreshold
 }
 
-// answerDue returns when the request's answer is due: by the latency objective, and before the plan's clients
-// likely leave, so that nothing is sent that cannot be answered in time.
+// answerDue returns when the request's answer is due: at the end of the latency objective or at the deadline, whichever
+// is earlier. It is due earlier still if the plan's clients are expected to abandon their requests before that time, so
+// that no attempt is sent whose answer would come too late.
 func (r *Request) answerDue(now Instant) Instant {
 	due := monotime.Earlier(now.Add(r.class.LatencyObjective), r.deadline)
 	if r.plan.abandonment.expectsAbandonment() {
@@ -54,7 +58,7 @@
 	return due
 }
 
-// HandleClientGone reports that the client is gone and no longer waits for an answer.
+// HandleClientGone finishes the request after its client has gone and no longer waits for an answer.
 func (r *Request) HandleClientGone(now Instant) {
 	if r.finished {
 		return
--- a/policy/attempt.go
+++ b/policy/attempt.go
@@ -9,19 +9,19 @@
 // attempt is one of a request's attempts.
 type attempt struct {
 	backend          *backend
-	zone             ZoneID // of the backend, when the attempt was sent
+	zone             ZoneID // zone of the backend when the attempt was sent
 	group            GroupID
 	sentAt           Instant
-	concurrency      float64 // attempts in flight at the backend from this instance, with this one
+	concurrency      float64 // attempts of this instance in flight at the backend, this one included
 	inFlight         bool
 	mayHaveRun       bool
 	overdue          bool // in flight for longer than the attempt timeout
-	isBaselineSample bool // one of the first attempts of the instance
+	isBaselineSample bool // among the first baselineSamples attempts of the instance
 }
 
-// mayAttempt reports whether an attempt may go to a backend: rules 1 to 4 are checked here when a backend is picked,
-// and again when the attempt is sent. While an attempt waits for its connection, package dispatch keeps rules 2
-// and 3 by AttemptSpec.StartBefore and by the endpoint list.
+// mayAttempt reports whether rules 1 to 4 allow an attempt at a backend. It is called when a backend is picked, and
+// again when the attempt is sent. While an attempt waits for its connection, package dispatch enforces rule 2 by
+// AttemptSpec.StartBefore and rule 3 by the endpoint list.
 func (r *Request) mayAttempt(now Instant, b *backend) bool {
 	return r.awaitsAnswer(now) && // rule 1
 		r.hasAttemptLeft() && r.mayRunSafelyAt(now, b) && // rule 2
@@ -34,13 +34,13 @@
 	return !r.finished && !r.responseStarted && now.Before(r.deadline)
 }
 
-// hasAttemptLeft reports whether the settings allow another attempt, beside those in flight if there are any.
+// hasAttemptLeft reports whether the settings allow another attempt, in parallel if one is already in flight.
 func (r *Request) hasAttemptLeft() bool {
 	s := &r.engine.settings
 	return len(r.attempts) < s.MaxAttempts && (r.inFlight == 0 || s.Hedging)
 }
 
-// mayRunSafelyAt reports whether the request has no effect twice if a backend gets it now.
+// mayRunSafelyAt reports whether an attempt at a backend cannot apply the effects of the request a second time.
 func (r *Request) mayRunSafelyAt(now Instant, b *backend) bool {
 	for _, a := range r.attempts {
 		if a.mayHaveRun && !r.class.mayRepeat(now, a, b) {
@@ -50,7 +50,7 @@
 	return true
 }
 
-// mayRepeat reports whether a backend may get a request whose earlier attempt may have run.
+// mayRepeat reports whether a request may be sent to a backend although an earlier attempt may have run.
 func (c *class) mayRepeat(now Instant, earlier *attempt, b *backend) bool {
 	switch c.Idempotency {
 	case Idempotent:
@@ -62,7 +62,7 @@
 	return false
 }
 
-// inDedupScope reports whether a backend knows the idempotency key of an earlier attempt.
+// inDedupScope reports whether a backend shares the idempotency keys of the backend that got an earlier attempt.
 func (c *class) inDedupScope(earlier *attempt, b *backend) bool {
 	switch c.DedupScope {
 	case DedupByZone:
@@ -74,15 +74,15 @@
 	return true
 }
 
-// sendAttempt sends an attempt to the backend if it may get one. It is the only place that sends.
+// sendAttempt sends an attempt to a backend if mayAttempt allows it. All attempts are sent here.
 func (r *Request) sendAttempt(now Instant, b *backend) (sent bool) {
 	if !r.mayAttempt(now, b) {
 		return false
 	}
 	e := r.engine
 	id := len(r.attempts)
-	// A connection may come up late: the backend may have forgotten an earlier attempt's key by then. This is read
-	// before the new attempt is added, which counts as one that may have run.
+	// If the connection is established late, the backend may have dropped the idempotency key of an earlier attempt. The
+	// bound is computed before the new attempt is added, since that one counts as an attempt that may have run.
 	startBefore := monotime.Earlier(r.deadline, r.keyRetainedUntil())
 	a := r.addAttempt(now, b)
 	timeout := r.attemptTimeout()
@@ -96,9 +96,9 @@
 	return true
 }
 
-// attemptExpiry returns when the newest attempt, which is already added, ends as timed out; zero: when the client gives
-// up. An attempt is ended early only where nothing else lets another one follow: the settings allow neither a
-// hedged attempt nor a cancellation.
+// attemptExpiry returns when the newest attempt, which is already in r.attempts, ends as TimedOut; zero means at the
+// deadline of the request. An attempt ends before the deadline only if the request may be retried and the settings
+// allow neither hedging nor cancellation, as no retry could follow otherwise.
 func (r *Request) attemptExpiry(now Instant, timeout time.Duration) Instant {
 	s := &r.engine.settings
 	mayFollow := r.class.Idempotency != NonIdempotent && len(r.attempts) < s.MaxAttempts
@@ -108,7 +108,7 @@
 	return Instant{}
 }
 
-// keyRetainedUntil returns until when backends know the request's idempotency key from its earlier attempts.
+// keyRetainedUntil returns until when the backends retain the request's idempotency key from its earlier attempts.
 func (r *Request) keyRetainedUntil() Instant {
 	until := monotime.Latest
 	for _, a := range r.attempts {
@@ -119,7 +119,7 @@
 	return until
 }
 
-// addAttempt records that another attempt is in flight at a backend.
+// addAttempt adds an attempt at a backend to those in flight.
 func (r *Request) addAttempt(now Instant, b *backend) *attempt {
 	e := r.engine
 	r.inFlight++
@@ -146,7 +146,7 @@
 	return a
 }
 
-// removeAttempt records that an attempt is no longer in flight.
+// removeAttempt removes an attempt from those in flight.
 func (r *Request) removeAttempt(a *attempt, outcome Outcome) {
 	a.inFlight = false
 	a.mayHaveRun = outcome.mayHaveRun()
--- a/policy/backend.go
+++ b/policy/backend.go
@@ -8,7 +8,7 @@
 	"fawnplank/policy/internal/hash64"
 )
 
-// backend is what this instance knows about a backend.
+// backend holds the state that this instance keeps for a backend.
 type backend struct {
 	id           BackendID
 	zone         ZoneID
@@ -17,20 +17,20 @@
 	ready        bool
 	gone         bool
 	weight       float64 // stated capacity, relative to the others
-	ringDistance float64 // fair shares of instances between this instance's own and the backend's
+	ringDistance float64 // number of fair shares from this instance's own to the backend's, on the ring
 
 	inFlight               int
 	lastSentAt             Instant
-	lastAnswerAt           Instant // when it last answered or broke a connection, whatever the outcome
-	lastSlowStartAttemptAt Instant // when it got its last attempt since its start, while warming up; zero: none yet
+	lastAnswerAt           Instant // when an attempt last ended with a response or a lost connection, or a response began
+	lastSlowStartAttemptAt Instant // of the last attempt sent while warming up, since its start; zero: none yet
 
 	outlier           outlierState
 	latency           backendLatency
-	softInFlightLimit float64 // attempts of this instance that it takes before backends ranked behind it
+	softInFlightLimit float64 // attempts of this instance in flight above which lower-ranked backends come first
 	rank              rank
 }
 
-// update copies the backend's entry of the endpoint list. Without a stated capacity all backends are equal.
+// update copies the backend's entry of the endpoint list. A backend without a stated weight gets a weight of 1.
 func (b *backend) update(endpoint Endpoint) {
 	b.zone = endpoint.Zone
 	b.group = endpoint.Group
@@ -40,15 +40,15 @@
 	b.weight = cmp.Or(max(endpoint.Weight, 0), 1)
 }
 
-// reset forgets what is known about the backend's earlier incarnation. What was estimated at the last ranking
-// stays until the next one.
+// reset discards the measurements and the outlier state of the backend's earlier incarnation. The latency estimate
+// stays until the next ranking replaces it.
 func (b *backend) reset() {
 	b.latency.mean = estimate.Mean{}
 	b.outlier = outlierState{}
 	b.lastSlowStartAttemptAt = Instant{}
 }
 
-// findOrAddBackend returns the backend with this id, and adds it if it is not known yet.
+// findOrAddBackend returns the backend with the given id, and adds it if it is not found.
 func (e *Engine) findOrAddBackend(id BackendID) (b *backend, found bool) {
 	b, found = e.backends[id]
 	if !found {
@@ -59,7 +59,8 @@
 	return b, found
 }
 
-// ring returns the ready backends in an order that all instances share, and their total weight.
+// ring returns the ready backends, ordered by a hash of their ids so that all instances get the same order, and their
+// total weight.
 func (e *Engine) ring() (ring []*backend, weight float64) {
 	for _, b := range e.endpoints {
 		if b.ready {
@@ -73,7 +74,7 @@
 	return ring, weight
 }
 
-// markAllGone marks all backends as gone before a snapshot: those that it does not list stay so.
+// markAllGone marks all backends as gone before a snapshot is applied: those that the snapshot does not list stay gone.
 func (e *Engine) markAllGone() {
 	for _, b := range e.endpoints {
 		b.ready = false
@@ -81,8 +82,8 @@
 	}
 }
 
-// dropGone forgets backends that are gone and have nothing in flight, since new ones keep coming under new
-// ids.
+// dropGone removes the backends that are gone and have no attempt in flight. Replacements get new ids, so the backends
+// would otherwise grow without bound.
 func (e *Engine) dropGone() {
 	e.endpoints = slices.DeleteFunc(e.endpoints, func(b *backend) bool {
 		if b.gone && b.inFlight == 0 {
--- a/policy/capacity.go
+++ b/policy/capacity.go
@@ -2,39 +2,40 @@
 
 import "time"
 
-// budgetFactor scales the latency budget of a request: a smaller one keeps it away from busy backends.
+// budgetFactor scales the latency budget of a request: a factor below 1 keeps the request away from busy backends.
 type budgetFactor float64
 
-// fullBudget is the factor of a request that is charged to its quota.
+// fullBudget is the budget factor of a request that is charged to its quota.
 const fullBudget budgetFactor = 1
 
 const (
-	// tailLatencyRatio is the multiple of the likely latency that few attempts exceed: the budget for the likely
-	// latency is the time that is left over this ratio.
+	// tailLatencyRatio is the multiple of the expected latency that few attempts exceed. The time that is left for an
+	// answer is divided by it to get the budget for the expected latency.
 	tailLatencyRatio = 2.5
-	// maxBaselineRatio bounds the budget by the latency of an idle fleet, whatever the objective allows.
+	// maxBaselineRatio bounds the latency budget to a multiple of the baseline, also where the objective allows more.
 	maxBaselineRatio = 2.5
-	// maxBaseInFlight bounds the attempts in flight, beside one for each of this instance's backends, before anything
-	// is measured.
+	// maxBaseInFlight bounds the attempts that may be in flight before any throughput is measured, besides one per
+	// backend of this instance.
 	maxBaseInFlight = 2
-	// throughputMargin lets the attempts in flight exceed what the throughput accounts for, so that it can grow.
+	// throughputMargin lets the attempts in flight exceed the number that the measured throughput implies, so that the
+	// throughput can grow.
 	throughputMargin = 1.3
-	// assumedRemoteInFlight stands for the other instances' unknown part of a backend's queue.
+	// assumedRemoteInFlight is the number of attempts that the other instances are assumed to have in flight at a
+	// backend, as the actual number is unknown.
 	assumedRemoteInFlight = 2
-	// triedBackendLoad is what each earlier attempt of a request adds to a backend's load: backends tried before go
-	// last.
+	// triedBackendLoad is added to a backend's load for each earlier attempt of the same request there, so that a retry
+	// prefers other backends.
 	triedBackendLoad = 2
 )
 
-// lacksCapacity reports whether no backend can take the request now. A class that only counts needs none.
+// lacksCapacity reports whether no backend can take the request now. A class with CheckOnly needs no backend.
 func (r *Request) lacksCapacity(now Instant) bool {
 	return !r.class.CheckOnly && r.engine.pickBackend(now, r, fullBudget) == nil
 }
 
-// latencyBudget returns the likely latency that a backend may have for the request: the time to the objective,
-// less the extra for the request's units, over tailLatencyRatio, and at most maxBaselineRatio baselines.
-//
-// Inputs: the time left to the objective, the request's units. Result: nanoseconds.
+// latencyBudget returns the highest expected latency at which a backend may get the request, in nanoseconds: the time
+// until the answer is due, minus the extra latency for the request's units, divided by tailLatencyRatio, and at most
+// maxBaselineRatio times the baseline. The result is multiplied by factor.
 func (e *Engine) latencyBudget(now Instant, r *Request, factor budgetFactor) float64 {
 	extraLatency := (e.relativeCost(r.units) - 1) * e.latency.mean.Value
 	budget := (float64(r.answerDueAt.Sub(now)) - extraLatency) / tailLatencyRatio
@@ -44,11 +45,9 @@
 	return budget * float64(factor)
 }
 
-// atInFlightLimit reports whether this instance has as many attempts in flight as it may, overdue ones not
-// counted: one or two, plus one for each of its backends, plus throughputMargin times what it answers within
-// the budget.
-//
-// Inputs: the latency budget in nanoseconds, the throughput in answers a second, the backends for each instance.
+// atInFlightLimit reports whether this instance has reached its limit of attempts in flight. Overdue attempts are not
+// counted. The limit is a base of one to two attempts, plus one per backend of this instance, plus throughputMargin
+// times the number of answers that this instance gets within the latency budget, which is in nanoseconds.
 func (e *Engine) atInFlightLimit(budget float64) bool {
 	ownBackends := e.backendsPerInstance()
 	base := min(maxBaseInFlight, 1+ownBackends) + ownBackends
@@ -56,17 +55,19 @@
 	return float64(e.inFlightNotOverdue) >= limit
 }
 
-// expectedLatency returns a backend's latency with one more attempt, in nanoseconds. A backend that is not
-// measured yet is taken to have been measured with one attempt in flight.
+// expectedLatency returns a backend's latency with one more attempt in flight, in nanoseconds: its estimate, scaled by
+// the queue length relative to that during the measurements. For a backend that is not measured yet, one attempt in
+// flight during the measurements is assumed.
 func (b *backend) expectedLatency() float64 {
 	queue := float64(b.inFlight + 1 + assumedRemoteInFlight)
 	return b.latency.estimate * queue / (max(b.latency.concurrency, 1) + assumedRemoteInFlight)
 }
 
-// load returns how full one more attempt would make the backend: above 1, those ranked behind it go first.
+// load returns the backend's attempts in flight with one more, relative to its softInFlightLimit. Above 1, lower-ranked
+// backends come first.
 func (b *backend) load() float64 { return float64(b.inFlight+1) / b.softInFlightLimit }
 
-// loadAt returns the backend's load for the request; each earlier attempt of the request there adds triedBackendLoad.
+// loadAt returns the backend's load for the request: each earlier attempt of the request there adds triedBackendLoad.
 func (r *Request) loadAt(b *backend) float64 {
 	load := b.load()
 	for _, a := range r.attempts {
--- a/policy/hedging.go
+++ b/policy/hedging.go
@@ -3,20 +3,21 @@
 import "time"
 
 const (
-	// stallRatio is the multiple of the usual latency that few attempts exceed. An attempt is overdue then, within
-	// the bounds below, and stalled if it has taken that long and its backend has answered nothing since.
+	// stallRatio is the multiple of the mean latency that few attempts exceed. An attempt that takes longer is overdue,
+	// within the bounds below. It is stalled if it has taken that long and its backend has answered no attempt since it
+	// was sent.
 	stallRatio = 5
-	// minAttemptTimeoutPercent and maxAttemptTimeoutPercent bound the attempt timeout, as parts of the latency objective:
-	// overload must show by then, and beyond it too little time is left for another attempt. Where the usual
-	// latency exceeds a seventh of the objective, the upper bound comes first, and no attempt counts as stalled. Before
-	// any answer it is 0, and an unanswered attempt counts as stalled at the lower bound.
+	// minAttemptTimeoutPercent and maxAttemptTimeoutPercent bound the attempt timeout, as percentages of the latency
+	// objective. Overload has to be detected by the upper bound, and after it too little time is left for another
+	// attempt. If the mean latency exceeds a seventh of the objective, the upper bound is reached before stallRatio, and
+	// no attempt counts as stalled. Before the first answer the mean latency is 0, and an unanswered attempt counts as
+	// stalled at the lower bound.
 	minAttemptTimeoutPercent = 40
 	maxAttemptTimeoutPercent = 70
 )
 
-// attemptTimeout returns how long an attempt may take until it is overdue.
-//
-// Inputs: the usual latency for the request's units, the class's latency objective.
+// attemptTimeout returns the time after which an attempt is overdue. It depends on the mean latency for the request's
+// units and on the latency objective of the class.
 func (r *Request) attemptTimeout() time.Duration {
 	e, objective := r.engine, r.class.LatencyObjective
 	stallTime := time.Duration(stallRatio * e.latency.mean.Value * e.relativeCost(r.units))
@@ -24,18 +25,18 @@
 	return min(timeout, percentOf(objective, maxAttemptTimeoutPercent))
 }
 
-// handleOverdue measures an overdue attempt, and ejects its backend if it stalls: then a hedged attempt
-// follows, or a retry after the cancellation. It runs once for an attempt, when its timeout is over.
+// handleOverdue records the elapsed time of an overdue attempt as a latency. If the attempt is stalled, it ejects the
+// backend and replaces the attempt. It runs once for each attempt, at the attempt timeout.
 func (r *Request) handleOverdue(now Instant, attemptIndex int) {
 	e, a := r.engine, r.attempts[attemptIndex]
 	a.overdue = true
-	expected := e.latency.mean.Value * e.relativeCost(r.units) // before this attempt is measured
+	expected := e.latency.mean.Value * e.relativeCost(r.units) // computed before this attempt is recorded
 	e.inFlightNotOverdue--
 	if r.finished || r.responseStarted {
 		return
 	}
 	elapsed := float64(now.Sub(a.sentAt))
-	// The elapsed time shows overload before its answers come.
+	// Recording the elapsed time now detects overload before the late answers arrive.
 	e.recordLatency(a.backend, elapsed/e.relativeCost(r.units), a.concurrency)
 	if a.backend.lastAnswerAt.After(a.sentAt) || elapsed < stallRatio*expected {
 		return
@@ -44,9 +45,9 @@
 	r.replaceStalled(now, AttemptID(attemptIndex))
 }
 
-// replaceStalled sends a hedged attempt beside a stalled one or, where hedging is not allowed, cancels the
-// stalled one, so that a retry follows on its end. It does neither if another attempt is in flight already, if no
-// time is left, or if a later rejection could not promise that nothing ran twice.
+// replaceStalled sends a hedged attempt in parallel to a stalled one. Where hedging is not allowed, it cancels the
+// stalled attempt, whose end is followed by a retry. It does neither if another attempt is in flight already, if too
+// little time is left, or if the request could not be rejected safely afterward.
 func (r *Request) replaceStalled(now Instant, id AttemptID) {
 	e := r.engine
 	if r.inFlight > 1 || r.tooLateToSend(now) || !r.rejectionIsSafe() {
--- a/policy/latency.go
+++ b/policy/latency.go
@@ -9,59 +9,59 @@
 )
 
 const (
-	// backendSamples is how many answers a backend's own latency reaches back over.
+	// backendSamples is the number of recent answers that a backend's own mean latency covers.
 	backendSamples = 10
-	// fleetSampleSeconds is the time that the fleet's latency reaches back over, in answers at the current
-	// throughput, from minFleetSamples to maxFleetSamples.
+	// fleetSampleSeconds is the recent time that the fleet's mean latency covers. It is converted to a number of answers
+	// at the current throughput, within minFleetSamples and maxFleetSamples.
 	fleetSampleSeconds = 2
 	minFleetSamples    = 8
 	maxFleetSamples    = 30
-	// maxFleetSampleRatio bounds what a single latency adds to the fleet's, in estimates of its backend: a few stalls
-	// say little about the others.
+	// maxFleetSampleRatio bounds a latency that is added to the fleet's mean, as a multiple of its backend's estimate:
+	// stalls of one backend are little evidence about the others.
 	maxFleetSampleRatio = 3
-	// costSamples is how many answers the relation of latency and units reaches back over. As many as
-	// costPriorSamples are taken to show no relation.
+	// costSamples is the number of recent answers that the regression of latency on units covers. costPriorSamples is
+	// the weight, in answers, of the prior assumption that latency does not depend on units.
 	costSamples      = 200
 	costPriorSamples = 20
-	// minRelativeCost bounds the cost of small requests from below.
+	// minRelativeCost is the lower bound of the relative cost of small requests.
 	minRelativeCost = 0.25
-	// idleFloorDivisor divides the latency objective: an idle instance does not forget the fleet's latency below a
-	// fifth of the tightest one.
+	// idleFloorDivisor divides the tightest latency objective to get the idle floor, below which the fleet's latency of
+	// an idle instance does not decay.
 	idleFloorDivisor = 5
 
-	// idleThreshold is for how long nothing has to be answered, with nothing in flight, for measurements to be
-	// forgotten faster.
+	// idleThreshold is the time without an answer after which an instance with no attempt in flight counts as idle.
 	idleThreshold = time.Second
-	// backendDecayPerTick halves the weight of a backend's own latency in 3.4 s; idleDecayPerTick is added to it,
-	// and forgets the fleet's latency in three seconds, while the instance is idle.
+	// backendDecayPerTick halves the weight of a backend's own latency in 3.4 s. While the instance is idle,
+	// idleDecayPerTick reduces that weight further, and reduces the fleet's latency by a factor of 2.5 in three seconds.
 	backendDecayPerTick = 0.98
 	idleDecayPerTick    = 0.97
 )
 
-// fleetLatency is what is known about the latency of the backends together, in nanoseconds.
+// fleetLatency holds the measurements of the latency of all backends together, in nanoseconds.
 type fleetLatency struct {
-	mean     estimate.Mean       // of recent attempts, at the mean cost; 0: none is measured, and all backends look fast
-	byUnits  estimate.Regression // of the latency over the units
-	baseline estimate.Mean       // of moments without a queue; the count is of the first attempts
-	// idleFloor is the least latency that decayWhileIdle leaves, unless the baseline is lower.
+	mean     estimate.Mean       // of recent attempts, at the mean cost; 0: not measured, and all backends appear fast
+	byUnits  estimate.Regression // of latency on units
+	baseline estimate.Mean       // latency without queueing; its count is the number of baseline samples
+	// idleFloor is the latency below which decayWhileIdle does not lower the mean, unless the baseline is lower.
 	idleFloor float64
 }
 
-// backendLatency is what is known about one backend's latency, in nanoseconds.
+// backendLatency holds the measurements of one backend's latency, in nanoseconds.
 type backendLatency struct {
 	mean        estimate.Mean // of its own attempts
-	concurrency float64       // attempts in flight there while that was measured
-	estimate    float64       // as the ranking has it; 0: unknown
+	concurrency float64       // mean number of this instance's attempts in flight at the backend during these measurements
+	estimate    float64       // computed by the last ranking; 0: unknown
 }
 
-// boundIdleFloor takes a class's latency objective into account for the idle floor.
+// boundIdleFloor lowers the idle floor to the part of a class's latency objective that idleFloorDivisor sets.
 func (f *fleetLatency) boundIdleFloor(objective time.Duration) {
 	floor := float64(objective) / idleFloorDivisor
 	f.idleFloor = min(cmp.Or(f.idleFloor, math.Inf(1)), floor)
 }
 
-// recordLatency adds a latency that was measured at a backend with a number of attempts in flight to the estimates.
-// It is in nanoseconds at the mean cost: the latency of an attempt is divided by its relativeCost first.
+// recordLatency adds a latency to the mean of its backend and to that of the fleet. The latency is in nanoseconds at
+// the mean cost: the caller has divided it by the relativeCost of the request. concurrency is the number of this
+// instance's attempts that were in flight at the backend.
 func (e *Engine) recordLatency(b *backend, latency, concurrency float64) {
 	ownLatency := &b.latency
 	ownLatency.mean.Add(latency, backendSamples)
@@ -73,19 +73,21 @@
 	e.latency.mean.Add(latency, samples)
 }
 
-// relativeCost returns how many times as long as the mean request one of so many units takes, as far as measured: a
-// unit may stand for work. Without it a large request seems a slow backend, and a small one a fast one.
+// relativeCost returns the expected latency of a request with the given units, relative to that of the mean request. It
+// is estimated by the regression of latency on units, since a unit may represent work. Without it, large requests would
+// make a backend appear slow, and small ones would make it appear fast.
 func (e *Engine) relativeCost(units float64) float64 {
 	regression := &e.latency.byUnits
 	slope := regression.Slope() * regression.Count / (regression.Count + costPriorSamples)
 	return max(1+slope*(units-regression.MeanX)/max(regression.MeanY, 1), minRelativeCost)
 }
 
-// decayMeasurements forgets single backends, and clients that leave. An idle instance also forgets the fleet's
-// latency: one that took overload for lasting would not send, and so would not measure. With attempts in
-// flight it does measure, and silence is overload. Forgetting stops at the idle floor or at a lower baseline:
-// otherwise all would look fast in the end, and late answers stalled. A baseline of 0, before the first answer,
-// sets no such bound.
+// decayMeasurements reduces the weight of each backend's own latency, and the abandoned shares of the plans. While the
+// instance is idle, the fleet's latency decays too: an instance that continued to assume overload would send nothing,
+// and so would never measure that the overload is over. It does not decay while attempts are in flight: they will be
+// measured, and their missing answers indicate overload. The decay stops at the idle floor or at a lower baseline:
+// otherwise all backends would appear fast in the end, and attempts that are merely late would count as stalled. A
+// baseline of 0, before the first answer, removes this lower bound.
 func (e *Engine) decayMeasurements(now Instant) {
 	decay := backendDecayPerTick
 	if now.Sub(e.lastAnswerAt) > idleThreshold && e.inFlight == 0 {
@@ -100,7 +102,7 @@
 	}
 }
 
-// decayWhileIdle lowers the fleet's latency towards the baseline or the idle floor, whichever is lower.
+// decayWhileIdle lowers the fleet's mean latency toward the baseline or the idle floor, whichever is lower.
 func (f *fleetLatency) decayWhileIdle() {
 	floor := min(f.mean.Value, f.baseline.Value, f.idleFloor)
 	f.mean.Value = max(f.mean.Value*idleDecayPerTick, floor)
--- a/policy/outlier.go
+++ b/policy/outlier.go
@@ -7,45 +7,46 @@
 )
 
 const (
-	// consecutiveErrorThreshold is how many errors in a row eject a backend; single errors are normal.
+	// consecutiveErrorThreshold is the number of consecutive errors that eject a backend, since single errors are normal.
 	consecutiveErrorThreshold = 3
-	// minEjectionTime doubles with each ejection, maxEjectionDoublings times at most (to 3.2 s): a short stall
-	// costs little, and a dead backend few attempts.
+	// minEjectionTime is the duration of the first ejection. It doubles with each further one, at most
+	// maxEjectionDoublings times (to 3.2 s), so that a short stall excludes a backend only briefly while a dead backend
+	// receives few attempts.
 	minEjectionTime      = 200 * time.Millisecond
 	maxEjectionDoublings = 4
-	// rejectionPause is the time in which a full queue moves.
+	// rejectionPause is the pause after a rejection, in which a full queue is expected to shrink.
 	rejectionPause = 50 * time.Millisecond
-	// healthCheckTimeout ends the wait for a health check whose answer is lost.
+	// healthCheckTimeout bounds the wait for the outcome of a health check, which may be lost.
 	healthCheckTimeout = time.Second
 )
 
-// outlierState records what a backend's failures led to.
+// outlierState is the outlier detection state of a backend.
 type outlierState struct {
-	// blockedUntil ends an ejection, the pause after a rejection, or the wait for a health check.
+	// blockedUntil is the end of an ejection, of the pause after a rejection, or of the wait for a health check.
 	blockedUntil      Instant
-	ejections         int // by eject, since the last success
-	consecutiveErrors int // without a success between them; a rejection does not end the series
+	ejections         int // number of ejections since the last success
+	consecutiveErrors int // errors since the last success or start; a rejection does not reset the count
 }
 
-// isBlocked reports whether the backend gets no attempt now: it is ejected or paused, or it was ejected and any
-// attempt of this instance is in flight there. That one tries it, or is still the one that stalled.
+// isBlocked reports whether the backend gets no attempt now: it is ejected or paused, or its ejection is over and an
+// attempt of this instance is in flight there. That attempt is either the trial after the ejection or one from before.
 func (o *outlierState) isBlocked(now Instant, inFlight int) bool {
 	return now.Before(o.blockedUntil) || o.ejections > 0 && inFlight > 0
 }
 
-// recordSuccess ends the series of ejections. The current one lasts until its end.
+// recordSuccess resets the counts of ejections and errors. It does not shorten the current ejection.
 func (o *outlierState) recordSuccess() {
 	o.ejections = 0
 	o.consecutiveErrors = 0
 }
 
-// pauseAfterRejection keeps attempts away from a full backend for rejectionPause. It is no ejection: a full
-// queue is no fault.
+// pauseAfterRejection blocks the backend for rejectionPause. This is not an ejection, since a full queue is not a
+// fault.
 func (o *outlierState) pauseAfterRejection(now Instant) {
 	o.blockedUntil = monotime.Later(o.blockedUntil, now.Add(rejectionPause))
 }
 
-// recordError counts an error, and ejects the backend at the consecutiveErrorThreshold.
+// recordError counts an error, and ejects the backend when consecutiveErrorThreshold is reached.
 func (e *Engine) recordError(now Instant, b *backend) {
 	b.outlier.consecutiveErrors++
 	if b.outlier.consecutiveErrors >= consecutiveErrorThreshold {
@@ -53,9 +54,9 @@
 	}
 }
 
-// eject keeps attempts away from a backend for a time that doubles with each ejection, then has it checked
-// where the settings allow. Without health checks a single attempt tries the backend then. A backend that gets
-// no attempts for the moment, for whatever reason, is not ejected again.
+// eject blocks a backend for a time that doubles with each ejection. Afterward a health check follows if the settings
+// allow it; otherwise a single trial attempt may be sent. A backend that is already blocked, for whatever reason, is
+// not ejected again.
 func (e *Engine) eject(now Instant, b *backend) {
 	o := &b.outlier
 	if now.Before(o.blockedUntil) {
@@ -68,8 +69,8 @@
 	}
 }
 
-// checkEjected starts a health check at the end of an ejection. The backend stays ejected until the answer. There is
-// no check if a pause after a rejection lasts beyond that end.
+// checkEjected starts a health check at the end of an ejection. The backend stays blocked until its outcome is known.
+// There is no check if the pause after a rejection ends later than the ejection.
 func (e *Engine) checkEjected(now Instant, b *backend) {
 	o := &b.outlier
 	if !b.ready || o.ejections == 0 || now.Before(o.blockedUntil) {
@@ -79,14 +80,14 @@
 	e.effects.CheckHealth(b.id)
 }
 
-// HandleHealthCheck reports a health check's outcome. A success lets a single attempt try the backend, and so does a
-// check that this instance could not make; a failure ejects it again.
+// HandleHealthCheck handles the outcome of a health check. A success allows a single trial attempt at the backend, and
+// so does a check that this instance could not make (LocalFailure). Any other outcome ejects the backend again.
 func (e *Engine) HandleHealthCheck(now Instant, id BackendID, outcome Outcome) {
 	b := e.backends[id]
 	if b == nil || b.outlier.ejections == 0 {
 		return
 	}
-	b.outlier.blockedUntil = now // whatever it was for; eject does nothing before its end
+	b.outlier.blockedUntil = now // ends any kind of block, since eject ignores blocked backends
 	if outcome != Succeeded && outcome != LocalFailure {
 		e.eject(now, b)
 	}
--- a/policy/request.go
+++ b/policy/request.go
@@ -1,6 +1,6 @@
 package policy
 
-// Request is the handle of a request that was submitted.
+// Request is the handle of a submitted request.
 type Request struct {
 	engine          *Engine
 	id              RequestID
@@ -9,7 +9,7 @@
 	tenant          *tenant
 	units           float64
 	entryPoints     float64
-	entryPointIndex int // this instance's place among the tenant's entry points
+	entryPointIndex int // index of this instance among the tenant's entry points
 
 	submittedAt Instant
 	answerDueAt Instant // see answerDue
@@ -38,15 +38,15 @@
 	}
 }
 
-// abortUnknownClassOrPlan aborts a request whose class or plan is in no table.
+// abortUnknownClassOrPlan aborts a request whose class or plan is not in the settings.
 func (r *Request) abortUnknownClassOrPlan(spec RequestSpec) {
 	r.engine.effects.LogUnknownClassOrPlan(spec.Class, spec.Plan)
 	r.finished = true
 	r.engine.effects.Abort(r.id)
 }
 
-// HandleResponseStarted reports that the response of an attempt has begun to stream: it belongs to the client
-// from now on.
+// HandleResponseStarted handles the start of an attempt's response. The response is streamed to the client, so no other
+// attempt may follow.
 func (r *Request) HandleResponseStarted(now Instant, id AttemptID) {
 	r.responseStarted = true
 	if int(id) < len(r.attempts) {
@@ -54,11 +54,11 @@
 	}
 }
 
-// Done reports whether the request is over: nothing more comes for this handle.
+// Done reports whether the request is finished and has no attempt in flight: the caller may then drop the handle.
 func (r *Request) Done() bool { return r.finished && r.inFlight == 0 }
 
-// finish ends the request. It gives back the units that the request holds if no attempt was sent, and cancels the
-// attempts that no client waits for.
+// finish ends the request. It refunds the request's units if no attempt was sent, and cancels the attempts in flight
+// where the settings allow it and no response has begun.
 func (r *Request) finish() {
 	r.finished = true
 	if r.waitingForCounter {
@@ -73,7 +73,7 @@
 	}
 }
 
-// refundUnits gives back what the request has drawn from the hard quota and been charged to the quota.
+// refundUnits returns the units that the request drew from the hard quota and those that were charged to the quota.
 func (r *Request) refundUnits() {
 	t := r.tenant
 	t.hardQuota.Units += r.hardQuotaUnits
@@ -83,7 +83,7 @@
 	}
 }
 
-// cancelInFlight cancels the attempts that are in flight.
+// cancelInFlight cancels all attempts in flight.
 func (r *Request) cancelInFlight() {
 	for id, a := range r.attempts {
 		if a.inFlight {
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -6,13 +6,13 @@
 )
 
 const (
-	// fastestAnswerPercent is the part of the latency objective that the fastest answers take.
+	// fastestAnswerPercent is the percentage of the latency objective that the fastest answers are assumed to take.
 	fastestAnswerPercent = 10
-	// minTimeToSend is what has to be left before the deadline where a late answer still has a value.
+	// minTimeToSend is the time before the deadline in which no attempt is sent if a late answer still has value.
 	minTimeToSend = time.Millisecond
 )
 
-// HandleAttemptResult reports how an attempt ended. The request then ends with it, is retried, or is given up.
+// HandleAttemptResult handles the end of an attempt. The request then finishes, is retried, or is given up.
 func (r *Request) HandleAttemptResult(now Instant, result AttemptResult) {
 	if int(result.Attempt) >= len(r.attempts) || !r.attempts[result.Attempt].inFlight {
 		return
@@ -25,14 +25,14 @@
 	r.engine.reportEndedAttempts(now, r.tenant)
 }
 
-// continueAfterAttempt decides what follows on an attempt's end.
+// continueAfterAttempt decides how the request continues after the end of an attempt.
 func (r *Request) continueAfterAttempt(now Instant, result *AttemptResult) {
 	switch {
 	case r.finished:
 	case result.RequestDone || result.Outcome == Succeeded:
 		r.plan.abandonment.recordAnswered()
 		r.finish()
-	case r.inFlight > 0: // the other attempt may succeed
+	case r.inFlight > 0: // the attempt that is still in flight may succeed
 	case result.Outcome == NotSent || r.responseStarted || r.tooLateToSend(now):
 		r.giveUp(r.retryAfterNoCapacity())
 	default:
@@ -40,10 +40,10 @@
 	}
 }
 
-// tooLateToSend reports whether an attempt sent now is unlikely to be worth its cost: where a late answer has
-// no value, the fastest answer would miss answerDueAt. Where it has one, the deadline bounds it here, but
-// pickBackend finds no backend once the latency budget is used up: at answerDueAt, or a little later for requests
-// that cost less than the mean one.
+// tooLateToSend reports whether it is too late to send another attempt. If a late answer has no value, this is when
+// even the fastest answer would come after answerDueAt. If a late answer has value, only the deadline counts here. In
+// that case pickBackend still finds no backend once the latency budget is used up, which is at answerDueAt, or a
+// little later for requests that cost less than the mean request.
 func (r *Request) tooLateToSend(now Instant) bool {
 	latest := r.answerDueAt.Add(-percentOf(r.class.LatencyObjective, fastestAnswerPercent))
 	if r.class.LateValue > 0 {
@@ -52,7 +52,7 @@
 	return !now.Before(latest)
 }
 
-// rejectionIsSafe reports whether a rejection may promise that trying again does no harm.
+// rejectionIsSafe reports whether the request may be rejected, which tells the client that it is safe to retry.
 func (r *Request) rejectionIsSafe() bool {
 	c := r.class
 	if c.Idempotency == Idempotent || c.Idempotency == IdempotentWithKey && c.DedupScope == DedupByAll {
@@ -61,8 +61,8 @@
 	return !slices.ContainsFunc(r.attempts, func(a *attempt) bool { return a.mayHaveRun })
 }
 
-// giveUp gives the final answer when no attempt succeeded: a rejection, with the time to come back after, if
-// that can promise that a retry does no harm; otherwise an abort. Only abortUnknownClassOrPlan answers so too.
+// giveUp finishes a request of which no attempt succeeded. The final answer is a rejection with a Retry-After if a
+// retry by the client is safe, and an abort otherwise. The only other abort is that of abortUnknownClassOrPlan.
 func (r *Request) giveUp(retryAfter time.Duration) {
 	if r.finished {
 		return
