--- a/policy/endpoint_watch.go
+++ b/policy/endpoint_watch.go
@@ -3,18 +3,20 @@
 import "time"
 
 const (
-	// Where lists are pushed, what the agent has counts at once, a call silenced by an outage is never answered,
-	// and asking is free. The timeouts are the drain grace over these divisors, which together leave an instance a
-	// third of the grace to stop sending.
+	// Where lists are pushed, a change counts as announced as soon as the discovery agent has it, a call that an outage
+	// interrupted is never answered, and a new call costs discovery nothing. The timeouts are the drain grace divided by
+	// these divisors. Together they leave an instance a third of the grace to stop sending.
 	pushedWatchDivisor    = 3
 	pushedLatenessDivisor = 4
 	pushedSnapshotDivisor = 2
 	pushedRetryDivisor    = 10
-	// minDrainGrace is the shortest drain grace that is followed: with less an instance would do little but ask.
+	// minDrainGrace is the shortest drain grace that the timeouts follow: below it an instance would do little else than
+	// call discovery.
 	minDrainGrace = 200 * time.Millisecond
 
-	// Where lists are polled, asking is work for discovery, but a change is due 6 s after it could be fetched: a
-	// silent watch is opened anew by 5.2 s. A snapshot may take as long as discovery keeps it queued.
+	// Where lists are polled, each call costs discovery work, but an instance has to apply a change within 6 s of the
+	// time at which it could be fetched. A watch that gets no answer is therefore replaced within 5.2 s. The snapshot
+	// timeout is the time that discovery keeps a call queued.
 	minPolledWatch   = 2 * time.Second
 	maxPolledWatch   = 4500 * time.Millisecond
 	polledLateness   = 500 * time.Millisecond
@@ -22,17 +24,16 @@
 	polledRetryDelay = 200 * time.Millisecond
 	retryDelayGrowth = 3
 	minRetryDelayCap = 500 * time.Millisecond
-	maxRetryDelay    = 4 * time.Second // changes are due in six, whatever failed
+	maxRetryDelay    = 4 * time.Second // below the 6 s in which a change has to be applied, also after failures
 
-	// firstPollSpacing is the time between the first polls of instances that start together, over
-	// maxFirstPollSpread in all: each has its list six seconds after its start.
+	// firstPollSpacing is the average time between the first polls of instances that start together. The polls are spread
+	// over at most maxFirstPollSpread, so that each instance has its list within 6 s of its start.
 	firstPollSpacing   = 50 * time.Millisecond
 	maxFirstPollSpread = 3500 * time.Millisecond
 )
 
-// DiscoveryTimeouts returns the bounds of calls to discovery.
-//
-// Inputs: the drain grace where lists are pushed, the time that a poll may take where they are polled.
+// DiscoveryTimeouts returns the timeouts of calls to discovery. They follow from DrainGrace where lists are pushed, and
+// from PollTimeout where lists are polled.
 func (s Settings) DiscoveryTimeouts() DiscoveryTimeouts {
 	if s.PollEndpoints {
 		return DiscoveryTimeouts{
@@ -51,8 +52,8 @@
 	}
 }
 
-// scheduleFirstPoll asks for the endpoint list for the first time. Instances that start together spread their
-// polls within half a poll's time.
+// scheduleFirstPoll schedules the first poll of the endpoint list after a random delay. The delay spreads the polls of
+// instances that start together, over at most half of PollTimeout.
 func (e *Engine) scheduleFirstPoll(now Instant) {
 	spread := time.Duration(e.settings.Instances-1) * firstPollSpacing
 	spread = min(spread, e.settings.PollTimeout/2, maxFirstPollSpread)
@@ -60,9 +61,9 @@
 	e.schedule(now.Add(delay), nil, func(Instant) { e.effects.WatchEndpoints() })
 }
 
-// retryWatch asks for the list again after a failure, after half to all of the retry delay. Where asking is
-// work the delay grows with each failure: otherwise the instances fill the queue of overloaded discovery with
-// calls answered too late, and none ever gets an answer.
+// retryWatch schedules a new watch after a failure, with a random delay between half of the retry delay and all of it.
+// Where lists are polled, the retry delay grows with each failure. Otherwise the instances would keep the queue of an
+// overloaded discovery service full of calls that it answers too late, and no instance would ever get an answer.
 func (e *Engine) retryWatch(now Instant) {
 	delay := time.Duration((1 + e.random.Float64()) / 2 * float64(e.watchRetryDelay))
 	e.schedule(now.Add(delay), nil, func(Instant) { e.effects.WatchEndpoints() })
--- a/policy/endpoints.go
+++ b/policy/endpoints.go
@@ -6,13 +6,14 @@
 )
 
 const (
-	// maxInitialIdleTime is how long a backend that is new to the list counts as without an attempt at most.
+	// maxInitialIdleTime bounds the random time since the last attempt that is assumed for a backend new to the list.
 	maxInitialIdleTime = 10 * time.Second
-	// shareTolerance forgives rounding where fair shares are counted.
+	// shareTolerance absorbs rounding errors where fair shares are counted.
 	shareTolerance = 0.01
 )
 
-// UpdateEndpoints updates the backends from a list or from changes to it, and retries a failed watch.
+// UpdateEndpoints updates the backends from a full list or from changes to it. On UpdateFailed it schedules a new
+// watch.
 func (e *Engine) UpdateEndpoints(now Instant, kind UpdateKind, list []Endpoint) {
 	if kind == UpdateFailed {
 		e.retryWatch(now)
@@ -29,26 +30,27 @@
 	e.rankBackends(now)
 }
 
-// updateEndpoint adds or updates a backend. A new one gets a random due time, so that instances do not all begin
-// with the same one. A backend that is listed with another start is a new incarnation, of which nothing is known,
-// whatever its state; an entry without a start shows one only if it is ready.
+// updateEndpoint adds or updates a backend. A new backend gets a random time since its last attempt, so that the
+// instances do not all send to the same backend first. A backend that is listed with another start time is a new
+// incarnation, whatever its state, and its measurements start anew. An entry without a start time indicates a new
+// incarnation only if it is ready.
 func (e *Engine) updateEndpoint(now Instant, endpoint Endpoint) {
 	b, found := e.findOrAddBackend(endpoint.Backend)
 	if !found {
 		idleTime := time.Duration(e.random.Float64() * float64(maxInitialIdleTime))
 		b.lastSentAt = now.Add(-idleTime)
 	}
-	showsStart := !endpoint.StartedAt.IsZero() || endpoint.State == EndpointReady
-	isNewIncarnation := endpoint.StartedAt != b.startedAt && showsStart
+	indicatesStart := !endpoint.StartedAt.IsZero() || endpoint.State == EndpointReady
+	isNewIncarnation := endpoint.StartedAt != b.startedAt && indicatesStart
 	if isNewIncarnation {
 		b.reset()
 	}
 	b.update(endpoint)
 }
 
-// assignRingDistances places the ready backends on a ring, in an order that all instances share, and computes how
-// many fair shares lie between each and this instance's own. An instance fills its own share first, so that
-// instances spread over the backends without messages between them.
+// assignRingDistances places the ready backends on a ring, in an order that all instances share, and computes for each
+// how many fair shares lie between it and this instance's own share. An instance prefers the backends of its own share,
+// so that the instances spread over the backends without exchanging messages.
 func (e *Engine) assignRingDistances() {
 	ring, weight := e.ring()
 	share := weight / float64(e.instances())
--- a/policy/engine.go
+++ b/policy/engine.go
@@ -7,55 +7,55 @@
 	"fawnplank/internal/timerqueue"
 )
 
-// tickInterval is the time between two rankings of the backends. One ranking serves all attempts until the
-// next, so a longer interval sends too many of them the same way.
+// tickInterval is the time between two rankings of the backends. All attempts until the next ranking use the same one,
+// so a longer interval would send too many of them to the same backends.
 const tickInterval = 100 * time.Millisecond
 
-// Options are what New needs.
+// Options are the parameters of New.
 type Options struct {
-	// Now is the moment at which the instance starts.
+	// Now is the start time of the instance.
 	Now Instant
-	// Seed is the source of all randomness: equal seeds and equal calls give equal effects.
+	// Seed seeds the random number generator: equal seeds and equal calls give equal effects.
 	Seed     uint64
 	Settings Settings
 	Effects  Effects
 }
 
-// Engine makes the decisions of one instance and holds all that they remember.
+// Engine makes the decisions of one instance and holds the state that they depend on.
 type Engine struct {
 	effects   Effects
 	settings  Settings
 	classes   []*class
-	plans     []*plan // requests and tenants keep their row, so rows stay where they are when the table grows
+	plans     []*plan // pointers, since requests and tenants keep theirs when the table grows
 	random    *pcg.Source
 	startedAt Instant
 
 	timers timerqueue.Queue[timer]
-	wakeAt Instant // the earliest wake that was asked for; zero: none
-	wakeID TimerID // its id
+	wakeAt Instant // time of the last requested wake-up; zero: none is pending
+	wakeID TimerID // id of the last requested wake-up
 
 	tenants      map[TenantID]*tenant
 	pendingCalls pendingCalls
 	breaker      counterBreaker
 
 	backends        map[BackendID]*backend
-	endpoints       []*backend    // the same, in the order in which they were first listed
-	ranked          []*backend    // those that are ready, the best first
-	watchRetryDelay time.Duration // longest wait before the list is asked for after a failure
+	endpoints       []*backend    // the same backends, in the order in which they were first listed
+	ranked          []*backend    // the ready backends, the best first
+	watchRetryDelay time.Duration // longest delay of the next watch after a failure
 
 	latency            fleetLatency
 	throughput         throughput
 	ready              readyBackends
-	inFlight           int // attempts
-	inFlightNotOverdue int // those that are not overdue
-	attemptsSent       int // since the instance started
+	inFlight           int // attempts in flight
+	inFlightNotOverdue int // attempts in flight that are not overdue
+	attemptsSent       int // attempts sent since the instance started
 
-	lastAnswerAt    Instant // when any backend last succeeded or rejected
+	lastAnswerAt    Instant // when any backend last answered an attempt with success or a rejection
 	lastRejectionAt Instant // when any backend last rejected an attempt
 }
 
-// New returns the Engine of one instance and schedules its first work. Where lists are polled that includes the
-// first poll; where they are pushed, the caller starts the watch.
+// New returns the Engine of one instance and schedules its periodic work. It also schedules the first poll where
+// endpoint lists are polled; where they are pushed, the caller starts the watch.
 func New(options Options) *Engine {
 	e := &Engine{
 		effects:      options.Effects,
@@ -74,8 +74,9 @@
 	return e
 }
 
-// UpdateSettings replaces the settings. It only adds rows of classes and plans: open requests keep theirs, and old
-// classes their wait for the counter. The backoff of the endpoint watch starts anew.
+// UpdateSettings replaces the settings. It adds new classes and plans but changes no existing ones, which requests
+// still refer to; existing classes also keep their wait for the counter. The retry delay of the endpoint watch is
+// reset.
 func (e *Engine) UpdateSettings(settings Settings) {
 	e.settings = settings
 	e.watchRetryDelay = settings.DiscoveryTimeouts().RetryDelay
@@ -88,7 +89,7 @@
 	}
 }
 
-// tick does the periodic work.
+// tick updates the measurements, drops backends that are gone, ranks the others and schedules the next tick.
 func (e *Engine) tick(now Instant) {
 	e.updateThroughput()
 	e.updateBaselineLatency(now)
@@ -101,7 +102,7 @@
 // instances returns the number of instances, at least 1.
 func (e *Engine) instances() int { return max(e.settings.Instances, 1) }
 
-// backendsPerInstance returns how many ready backends, each weighted by its warmth, there are for each instance.
+// backendsPerInstance returns the number of ready backends, each weighted by its capacityShare, per instance.
 func (e *Engine) backendsPerInstance() float64 {
 	return e.ready.effectiveBackends / float64(e.instances())
 }
--- a/policy/internal/estimate/estimate.go
+++ b/policy/internal/estimate/estimate.go
@@ -1,29 +1,29 @@
-// Package estimate keeps running estimates of recent measurements: a mean and a regression line. The caller
-// says how many measurements each one reaches back over; the package holds no such number itself. The zero values
-// are ready to use. Nothing here is safe for concurrent use.
+// Package estimate computes running estimates from recent measurements: a mean and a regression line. The caller
+// chooses with each measurement how many of the most recent ones an estimate covers. The zero values are ready to use.
+// The types are not safe for concurrent use.
 package estimate
 
-// Mean is an exponentially weighted moving average: the plain mean of the first measurements, after which each
-// new one weighs 1/maxCount.
+// Mean is an exponentially weighted moving average. It is the arithmetic mean of the first maxCount measurements; after
+// these, each new measurement has a weight of 1/maxCount.
 type Mean struct {
-	Value float64 // in the unit of the measurements; 0 before the first
-	Count float64 // number of measurements behind the value, at most maxCount
+	Value float64 // in the unit of the measurements; 0 before the first one
+	Count float64 // number of measurements that Value is based on, at most maxCount
 }
 
-// Add adds a measurement. The mean reaches back over about the last maxCount.
+// Add adds a measurement to the mean, which covers about the last maxCount measurements.
 func (m *Mean) Add(measured, maxCount float64) {
 	m.Count = min(m.Count+1, maxCount)
 	m.Value += (measured - m.Value) / m.Count
 }
 
-// Blend returns the mean combined with a prior that weighs as much as weight measurements. weight is above 0.
+// Blend returns the mean combined with a prior that has the weight of a number of measurements. weight must be above 0.
 func (m *Mean) Blend(prior, weight float64) float64 {
 	return (m.Value*m.Count + prior*weight) / (m.Count + weight)
 }
 
-// Regression is the straight line through recent measurements of y over x.
+// Regression is the linear regression of y on x over recent measurements.
 type Regression struct {
-	Count      float64 // number of measurements behind the line, at most maxCount
+	Count      float64 // number of measurements that the line is based on, at most maxCount
 	MeanX      float64
 	MeanY      float64
 	variance   float64 // of x
@@ -33,7 +33,7 @@
 // minVariance keeps the slope finite when all x are equal.
 const minVariance = 1e-9
 
-// Add adds a measurement. The line reaches back over about the last maxCount.
+// Add adds a measurement to the regression, which covers about the last maxCount measurements.
 func (r *Regression) Add(x, y, maxCount float64) {
 	r.Count = min(r.Count+1, maxCount)
 	offsetX := x - r.MeanX
@@ -44,5 +44,5 @@
 	r.covariance += (offsetX*(y-r.MeanY) - r.covariance) / r.Count
 }
 
-// Slope returns how much y rises per unit of x, or 0 if it does not rise.
+// Slope returns the slope of the line, or 0 if the line falls.
 func (r *Regression) Slope() float64 { return max(r.covariance/(r.variance+minVariance), 0) }
--- a/policy/internal/hash64/hash64.go
+++ b/policy/internal/hash64/hash64.go
@@ -1,4 +1,4 @@
-// Package hash64 spreads numbers over 64 bits. It is pure and safe for concurrent use.
+// Package hash64 hashes 64-bit integers. It has no state and is safe for concurrent use.
 package hash64
 
 // The shifts and multipliers of SplitMix64.
@@ -10,8 +10,9 @@
 	lastShift        = 31
 )
 
-// Mix returns a hash that depends on every bit of x and that no other x has. Equal numbers give equal results
-// in every process, so instances agree without exchanging messages. It is the final mix of SplitMix64.
+// Mix returns a hash of x, computed by the finalizer of SplitMix64. Each bit of the hash depends on all bits of x, and
+// no two numbers have the same hash. Equal numbers give equal hashes in every process, so that instances agree without
+// exchanging messages.
 func Mix(x uint64) uint64 {
 	x = (x ^ x>>firstShift) * firstMultiplier
 	x = (x ^ x>>secondShift) * secondMultiplier
--- a/policy/status.go
+++ b/policy/status.go
@@ -2,25 +2,25 @@
 
 import "fawnplank/internal/monotime"
 
-// QuotaStatus is what this instance knows about a tenant's quota, for callers that ask without counting.
+// QuotaStatus is this instance's current view of a tenant's quota.
 type QuotaStatus struct {
-	Limit         float64 // units that the quota holds when it is full; 0: the plan has none
-	Rate          float64 // refill in units a second
-	Used          float64 // units that are used and not refilled yet; the refill is always computed
-	FromCounter   bool    // the counter reported this window; else the numbers are those of the local share
-	HardQuotaLeft float64 // units left of this instance's part of the hard quota, all for an unknown tenant; -1: none
+	Limit         float64 // units of a full quota; 0: the plan has no quota
+	Rate          float64 // refill in units per second
+	Used          float64 // units used and not refilled yet, with the refill computed up to now
+	FromCounter   bool    // Used is based on a total of the counter in this window; otherwise on the local share
+	HardQuotaLeft float64 // units left in this instance's part of the hard quota, all for an unknown tenant; -1: none
 }
 
-// QuotaQuery names the quota that is asked for: that of a tenant under a plan, whose requests come in through
-// EntryPoints instances.
+// QuotaQuery selects the quota of a tenant under a plan. EntryPoints is the number of instances through which the
+// tenant's requests come in.
 type QuotaQuery struct {
 	Tenant      TenantID
 	Plan        PlanID
 	EntryPoints int
 }
 
-// QuotaStatus returns what is known about a tenant's quota now. It counts nothing. ok is false if the plan is
-// out of range.
+// QuotaStatus returns the current status of a tenant's quota without counting anything. ok is false if the plan is not
+// in the settings.
 func (e *Engine) QuotaStatus(now Instant, query QuotaQuery) (_ QuotaStatus, ok bool) {
 	if int(query.Plan) >= len(e.plans) {
 		return QuotaStatus{}, false
@@ -48,21 +48,21 @@
 	return status, true
 }
 
-// BreakerOpen reports whether the breaker stops calls to the counter.
+// BreakerOpen reports whether the circuit breaker of the counter is not closed, so that calls are stopped.
 func (e *Engine) BreakerOpen() bool { return !e.breaker.IsClosed() }
 
-// CounterStats are statistics on the counter's failures as this instance saw them.
+// CounterStats are statistics on failures of the counter and on the resulting drift, as observed by this instance.
 type CounterStats struct {
-	BreakerOpen     bool    // calls are stopped
-	CallShare       float64 // share of the requests that make a call otherwise
-	UnreportedUnits float64 // units admitted and not reported yet, of all tenants
-	LostUnits       float64 // units that the counts are known to lack, of all tenants
-	ReconciledUnits float64 // units by which the counts of the current windows were corrected, of all tenants
-	DriftUnits      float64 // by which the instances may differ from one count: unreported and lost
-	Tenants         int     // remembered
+	BreakerOpen     bool    // the circuit breaker stops calls
+	CallShare       float64 // share of requests that call the counter while the breaker is closed
+	UnreportedUnits float64 // units admitted but not reported to the counter yet, of all tenants
+	LostUnits       float64 // units known to be missing from the counts, of all tenants
+	ReconciledUnits float64 // units by which this instance corrected the counts of the current windows, of all tenants
+	DriftUnits      float64 // units by which admissions may differ from one shared count: unreported and lost
+	Tenants         int     // number of tenants that the engine keeps state for
 }
 
-// CounterStats returns the current statistics.
+// CounterStats returns the current statistics of the counter.
 func (e *Engine) CounterStats() CounterStats {
 	stats := CounterStats{BreakerOpen: e.BreakerOpen(), CallShare: e.breaker.callShare, Tenants: len(e.tenants)}
 	for _, t := range e.tenants {
--- a/policy/throughput.go
+++ b/policy/throughput.go
@@ -3,34 +3,34 @@
 import "time"
 
 const (
-	// ticksPerSecond converts answers in a tick to answers a second.
+	// ticksPerSecond converts answers per tick to answers per second.
 	ticksPerSecond = float64(time.Second / tickInterval)
-	// throughputSmoothing is the weight of a tick's answers: they reach back over about a second.
+	// throughputSmoothing is the weight of the last tick's answers in the throughput, which covers about a second.
 	throughputSmoothing = 0.1
-	// backendThroughputSmoothing makes the throughput of a backend reach back over about ten seconds.
+	// backendThroughputSmoothing is the weight of the last tick in the throughput per backend, which covers about 10 s.
 	backendThroughputSmoothing = 0.01
-	// peakDecayPerTick halves a peak in about 70 s.
+	// peakDecayPerTick halves the recorded peaks in about 70 s.
 	peakDecayPerTick = 0.999
-	// minEffectiveBackends avoids a division by zero where nothing is ready.
+	// minEffectiveBackends avoids a division by zero when no backend is ready.
 	minEffectiveBackends = 0.01
 )
 
-// throughput is what this instance gets answered.
+// throughput measures the successful answers that this instance receives.
 type throughput struct {
 	answersSinceTick float64
-	perSecond        float64 // answers a second
-	perBackend       float64 // answers a second of one backend, with all instances alike
-	peakPerBackend   float64 // the recent peak of perBackend, which overload does not lower
+	perSecond        float64 // answers per second
+	perBackend       float64 // answers per second of one backend to all instances, if all have the same throughput
+	peakPerBackend   float64 // decaying peak of perBackend, which overload does not lower
 }
 
-// readyBackends is what the ready backends can do.
+// readyBackends sums up the capacity of the ready backends.
 type readyBackends struct {
-	effectiveBackends float64 // ready backends, each weighted by its warmth
-	effectiveWeight   float64 // the sum of their weights, each times its warmth
-	meanWeight        float64 // of a backend; its recent peak
+	effectiveBackends float64 // number of ready backends, each weighted by its capacityShare
+	effectiveWeight   float64 // sum of their weights, each times its capacityShare
+	meanWeight        float64 // decaying peak of the mean weight of a backend
 }
 
-// updateThroughput takes the answers since the last tick into account.
+// updateThroughput adds the answers since the last tick to the throughput.
 func (e *Engine) updateThroughput() {
 	t, ready := &e.throughput, &e.ready
 	t.perSecond += throughputSmoothing * (t.answersSinceTick*ticksPerSecond - t.perSecond)
--- a/policy/warm_start.go
+++ b/policy/warm_start.go
@@ -8,22 +8,22 @@
 )
 
 const (
-	// fleetHalfLife is the time in which the weight of the fleet's latency halves: a fleet changes in the course
-	// of a day.
+	// fleetHalfLife is the age at which the weight of an imported fleet latency is halved: a fleet changes over the
+	// course of a day.
 	fleetHalfLife = 10 * time.Minute
-	// backendHalfLife is that of a backend's own latency, as backendDecayPerTick makes it.
+	// backendHalfLife is the age at which the weight of a backend's own latency is halved, which is the half-life that
+	// backendDecayPerTick gives it.
 	backendHalfLife = 3400 * time.Millisecond
-	// maxImportedSamples bounds the weight of what is adopted, in answers.
+	// maxImportedSamples bounds the weight of an imported latency, in answers.
 	maxImportedSamples = 30
-	// maxImportedLatency is the latency from which on a measurement is not valid, in nanoseconds.
+	// maxImportedLatency is the latency at and above which an imported measurement is invalid, in nanoseconds.
 	maxImportedLatency = float64(1000 * time.Second)
 )
 
-// WarmStartState is what an instance knows about the backends' answer times, for the instance that is started
-// after it.
+// WarmStartState holds the latencies that an instance has measured, for its next incarnation to start with.
 type WarmStartState struct {
-	Latency  float64            `json:"usual_ns"` // of all backends together
-	Samples  float64            `json:"count"`    // how many answers stand behind it
+	Latency  float64            `json:"usual_ns"` // mean of all backends together
+	Samples  float64            `json:"count"`    // number of answers that the latency is based on
 	Backends []BackendWarmStart `json:"backends"`
 }
 
@@ -35,15 +35,15 @@
 	Samples   float64   `json:"count"`
 }
 
-// decayedEstimate returns a mean as an earlier incarnation measured it, with the weight that it would have kept since.
-// ok is false if it is not valid or has less weight than current.
+// decayedEstimate returns the mean that an earlier incarnation saved, with its weight decayed by a number of
+// half-lives. ok is false if the saved mean is invalid or its weight does not exceed that of current.
 func decayedEstimate(saved, current estimate.Mean, halfLives float64) (_ estimate.Mean, ok bool) {
 	samples := min(max(saved.Count, 0), maxImportedSamples) * math.Exp2(-halfLives)
 	isValid := saved.Value > 0 && saved.Value < maxImportedLatency
 	return estimate.Mean{Value: saved.Value, Count: samples}, isValid && samples > current.Count
 }
 
-// ExportState returns what is known about the listed backends.
+// ExportState returns the latencies of the fleet and of the backends.
 func (e *Engine) ExportState() WarmStartState {
 	state := WarmStartState{Latency: e.latency.mean.Value, Samples: e.latency.mean.Count}
 	for _, b := range e.endpoints {
@@ -59,9 +59,9 @@
 	return state
 }
 
-// ImportState adopts what an earlier incarnation of the instance measured, with less weight the older it is.
-// What this incarnation has measured since stays where it rests on as many samples or more. The measurements
-// behind rule 4 (overload while warming up) are not adopted but made anew.
+// ImportState imports the latencies that an earlier incarnation of the instance measured, with a weight that decays
+// with their age. Latencies that this incarnation has measured from at least as many samples are kept. The
+// measurements that rule 4 (overload while warming up) depends on are not imported but made anew.
 func (e *Engine) ImportState(now Instant, state WarmStartState, age time.Duration) {
 	elapsed := float64(max(age, 0))
 	fleet := estimate.Mean{Value: state.Latency, Count: state.Samples}
@@ -74,7 +74,7 @@
 	e.rankBackends(now)
 }
 
-// importBackend adopts the latency of a backend, unless that was started anew since.
+// importBackend imports the latency of a backend, unless the backend is unknown or has restarted since.
 func (e *Engine) importBackend(saved BackendWarmStart, halfLives float64) {
 	b := e.backends[saved.Backend]
 	if b == nil || b.startedAt != saved.StartedAt {
