--- a/policy/abandonment_test.go
+++ b/policy/abandonment_test.go
@@ -5,8 +5,9 @@
 	"time"
 )
 
-// Fault: clients who left before the answers of an overloaded fleet hid the overload, and requests that they
-// would not wait for were sent on.
+// TestAbandonment_RevealsOverloadAndLimitsSending guards against a fault: clients that abandoned their requests before
+// an overloaded fleet answered hid the overload, and attempts were still sent for requests whose clients would not
+// wait for the answer.
 func TestAbandonment_RevealsOverloadAndLimitsSending(t *testing.T) {
 	h := newHarnessWithoutCounter(t, readyEndpoints(1, 2, 3)...)
 	h.serveTwenty(100 * time.Millisecond)
@@ -28,21 +29,21 @@
 		}
 	}
 	if h.engine.latency.mean.Value < 1.1*before {
-		t.Errorf("latency %.0f ms after attempts that took 240 and more", h.engine.latency.mean.Value/1e6)
+		t.Errorf("the fleet's mean latency is %.0f ms after attempts canceled at 240 ms", h.engine.latency.mean.Value/1e6)
 	}
-	if sent > 30 { // a client who stays for 240 ms is not worth an attempt where answers take longer
-		t.Errorf("%d of 40 sent to backends that do not answer before their clients leave", sent)
+	if sent > 30 { // clients that wait 240 ms get no attempts once answers are expected to take longer
+		t.Errorf("%d of 40 requests sent although the backends answer after their clients have gone", sent)
 	}
 	share, timeToAbandonment := h.engine.plans[0].abandonment.abandonedShare.Value,
 		h.engine.plans[0].abandonment.timeToAbandonment.Value
 	if share < 0.3 || time.Duration(timeToAbandonment) > 250*time.Millisecond {
-		t.Errorf("%.2f leave, after %.0f ms", share, timeToAbandonment/1e6)
+		t.Errorf("abandoned share %.2f, mean time to abandonment %.0f ms", share, timeToAbandonment/1e6)
 	}
 }
 
-// Fault: after a burst of clients who left at once, all others of their plan were rejected for good, with
-// backends idle: who is rejected at once shows nothing of how long it would have stayed (zone+brink, seed 32:
-// 680 of one instance's in 22 s).
+// TestAbandonment_BurstDecays guards against a fault: after a burst of early abandonments, all further requests of the
+// plan were rejected for good while the backends were idle, since rejected clients give no new samples of how long
+// clients wait. In the lab scenario zone+brink with seed 32, one instance rejected 680 requests in 22 s.
 func TestAbandonment_BurstDecays(t *testing.T) {
 	h := newHarnessWithoutCounter(t, readyEndpoints(1, 2, 3)...)
 	h.serveTwenty(100 * time.Millisecond)
@@ -57,10 +58,10 @@
 		h.endAttempt(request, 0, Canceled)
 	}
 	if h.engine.plans[0].abandonment.abandonedShare.Value < 0.3 {
-		t.Fatalf("%.2f left", h.engine.plans[0].abandonment.abandonedShare.Value)
+		t.Fatalf("abandoned share %.2f after the burst, want 0.3 or more", h.engine.plans[0].abandonment.abandonedShare.Value)
 	}
 	served, servedLate := 0, 0
-	for n := range 200 { // twenty seconds, and none leaves
+	for n := range 200 { // 20 s without an abandonment
 		request := h.submit(RequestID(200+n), 0, 0, TenantID(n), 2*time.Second, 1)
 		h.advance(100 * time.Millisecond)
 		if len(request.attempts) > 0 {
@@ -71,12 +72,12 @@
 		}
 	}
 	if servedLate < 80 {
-		t.Errorf("%d of 200 served after it, %d of the last 80", served, servedLate)
+		t.Errorf("%d of 200 requests served after the burst, %d of the last 80", served, servedLate)
 	}
 }
 
-// TestAbandonment_SingleAbandonmentCausesNoRejections guards against rejections for no good reason: the first client
-// of a plan that left made all others of the plan seem to leave as early.
+// TestAbandonment_SingleAbandonmentCausesNoRejections guards against a fault: after the first client of a plan had
+// abandoned its request, all others of the plan were expected to do so as early, and their requests were rejected.
 func TestAbandonment_SingleAbandonmentCausesNoRejections(t *testing.T) {
 	h := newHarnessWithoutCounter(t, readyEndpoints(1, 2, 3)...)
 	first := h.submit(1, 0, 0, 1, 2*time.Second, 1)
@@ -94,6 +95,6 @@
 		h.endAttempt(request, 0, Succeeded)
 	}
 	if rejected > 0 {
-		t.Errorf("%d of 20 rejected after one client that left", rejected)
+		t.Errorf("%d of 20 requests rejected after a single abandonment", rejected)
 	}
 }
--- a/policy/endpoint_watch_test.go
+++ b/policy/endpoint_watch_test.go
@@ -13,70 +13,71 @@
 	settings := defaultSettings()
 	settings.PollEndpoints, settings.PollTimeout = true, 10*time.Second
 	h := newHarness(t, settings, readyEndpoints(1)...)
-	for h.advance(8 * time.Millisecond); h.watches == 0; h.advance(8 * time.Millisecond) { // the first asking
+	for h.advance(8 * time.Millisecond); h.watches == 0; h.advance(8 * time.Millisecond) { // until the first poll
 	}
 	for range 5 {
 		watchesBefore := h.watches
 		h.update(UpdateFailed)
 		if h.advance(10100 * time.Millisecond); h.watches != watchesBefore+1 {
-			t.Fatalf("asked %d times after a failure", h.watches-watchesBefore)
+			t.Fatalf("%d watches started after a failure, want 1", h.watches-watchesBefore)
 		}
 	}
 }
 
-// Fault: a call to a pushed list that an outage had silenced was given up after 3 s and retried up to 0.2 s
-// later, whatever the grace: 23 draining backends were sent to 335 times. A third of the grace is the
-// instance's own.
-func TestWatch_SilentWatchIsRetriedWithinDrainGrace(t *testing.T) {
+// TestWatch_UnansweredWatchIsRetriedWithinDrainGrace guards against a fault: where lists are pushed, a call without an
+// answer because of an outage was given up after 3 s and retried up to 0.2 s later, whatever the drain grace: 335
+// attempts were sent to 23 draining backends. A third of the grace is left for the instance itself.
+func TestWatch_UnansweredWatchIsRetriedWithinDrainGrace(t *testing.T) {
 	for _, grace := range []time.Duration{
 		200 * time.Millisecond, 250 * time.Millisecond, 500 * time.Millisecond, time.Second, 10 * time.Second,
 	} {
 		timeouts := Settings{DrainGrace: grace}.DiscoveryTimeouts()
 		watch, lateness, snapshot, retryDelay := timeouts.Watch, timeouts.Lateness, timeouts.Snapshot, timeouts.RetryDelay
 		if max(watch+lateness, snapshot)+retryDelay > grace*7/10 || watch < 50*time.Millisecond {
-			t.Errorf("of a grace of %d: a watch of %d and %d, a list of %d, again after %d",
+			t.Errorf("drain grace %d ns: watch timeout %d ns, lateness %d ns, snapshot timeout %d ns, retry delay %d ns",
 				grace, watch, lateness, snapshot, retryDelay)
 		}
 		settings := defaultSettings()
 		settings.DrainGrace = grace
 		h := newHarness(t, settings, readyEndpoints(1)...)
-		for range 20 { // however long the outage
+		for range 20 { // the delay stays the same for the whole outage
 			watchesBefore := h.watches
 			h.update(UpdateFailed)
 			if h.advance(grace/10 + 8*time.Millisecond); h.watches != watchesBefore+1 {
-				t.Fatalf("asked %d times within a tenth of %d", h.watches-watchesBefore, grace)
+				t.Fatalf("%d watches started within a tenth of a grace of %d ns, want 1", h.watches-watchesBefore, grace)
 			}
 		}
 	}
-	// Asked for: what a watch missed that fell silent counts as reported six seconds after discovery had it,
-	// whatever the wait that it was given and whatever failed before. Eight tenths are left for the answer to
-	// the call that opens it anew, or to the one after a refusal.
+	// Where lists are polled, a change that a watch without an answer missed has to be applied within 6 s of the time at
+	// which discovery had it, whatever the watch timeout and earlier failures. 0.8 s are left for the answer to the call
+	// that starts the next watch, or to the call after a rejected one.
 	for _, pollTimeout := range []time.Duration{time.Second, 4 * time.Second, 10 * time.Second, 30 * time.Second} {
 		settings := defaultSettings()
 		settings.PollEndpoints, settings.PollTimeout = true, pollTimeout
 		timeouts := settings.DiscoveryTimeouts()
 		watch, lateness, snapshot, retryDelay := timeouts.Watch, timeouts.Lateness, timeouts.Snapshot, timeouts.RetryDelay
 		if watch+lateness+retryDelay > 5200*time.Millisecond || snapshot+retryDelay > 5200*time.Millisecond {
-			t.Errorf("asked for within %d: %d, %d, %d, %d", pollTimeout, watch, lateness, snapshot, retryDelay)
+			t.Errorf("poll timeout %d ns: watch timeout %d ns, lateness %d ns, snapshot timeout %d ns, retry delay %d ns",
+				pollTimeout, watch, lateness, snapshot, retryDelay)
 		}
 		h := newHarness(t, settings, readyEndpoints(1)...)
-		for h.advance(8 * time.Millisecond); h.watches == 0; h.advance(8 * time.Millisecond) { // the first asking
+		for h.advance(8 * time.Millisecond); h.watches == 0; h.advance(8 * time.Millisecond) { // until the first poll
 		}
 		for range 20 {
 			watchesBefore := h.watches
 			h.update(UpdateFailed)
 			if h.advance(4*time.Second + 8*time.Millisecond); h.watches != watchesBefore+1 {
-				t.Fatalf("asked %d times in the four seconds after a failure", h.watches-watchesBefore)
+				t.Fatalf("%d watches started in the 4 s after a failure, want 1", h.watches-watchesBefore)
 			}
 		}
 	}
 }
 
-// overloadedDiscovery answers 20 calls a second, in turn, works at those too that have waited for more than
-// two seconds, and refuses those that find a full queue.
+// overloadedDiscovery simulates a discovery service that answers 20 calls per second in order. It also processes calls
+// that have waited for more than 2 s, whose answers come too late, and rejects calls while its queue is full.
 type overloadedDiscovery struct{ idleFrom Instant }
 
-// call returns when a call made now is answered, and whether well.
+// call returns when the result of a call made now arrives, and whether it is an answer in time.
 func (d *overloadedDiscovery) call(now Instant) (answerAt Instant, ok bool) {
 	const serviceTime, maxWait, queueLength = time.Second / 20, 2 * time.Second, 50
 	d.idleFrom = monotime.Later(d.idleFrom, now)
@@ -91,15 +92,15 @@
 	return now, true
 }
 
-// discoveryClient is an instance that polls.
+// discoveryClient is an instance that polls the endpoint list.
 type discoveryClient struct {
 	*harness
-	watchEndsAt  Instant // when its watch ends; zero: it has none
-	callFailsAt  Instant // when its call fails; zero: it does not
+	watchEndsAt  Instant // when its watch ends and it calls discovery; zero: it has no watch
+	callFailsAt  Instant // when its call fails; zero: no call is about to fail
 	lastAnswerAt Instant
 }
 
-// step moves the instance to now, and returns whether it got an answer.
+// step advances the instance to now, and reports whether it got an answer.
 func (c *discoveryClient) step(now Instant, watch time.Duration, discovery *overloadedDiscovery) bool {
 	if c.advance(4 * time.Millisecond); c.watches > 0 {
 		c.watches, c.watchEndsAt = 0, now
@@ -118,12 +119,13 @@
 		return false
 	}
 	c.engine.UpdateEndpoints(c.now, Delta, nil)
-	c.watchEndsAt = now.Add(watch) // without an event
+	c.watchEndsAt = now.Add(watch) // no event ends the watch early
 	return true
 }
 
-// Fault: instances refused by an overbooked discovery retried all at once, and as often: its queue was always
-// full of calls that it answered too late, and no instance ever got an answer.
+// TestWatch_OverloadedDiscoveryAnswersAllInstances guards against a fault: instances whose calls an overloaded
+// discovery service rejected all retried at the same time and without backoff. Its queue was always full of calls that
+// it answered too late, and no instance got an answer.
 func TestWatch_OverloadedDiscoveryAnswersAllInstances(t *testing.T) {
 	const instances = 80
 	end := startOfTest.Add(60 * time.Second)
@@ -135,7 +137,7 @@
 	for n := range instances {
 		client := &discoveryClient{harness: newHarness(t, settings, readyEndpoints(1)...)}
 		client.engine.random = pcg.New(uint64(n))
-		client.watches, client.watchEndsAt = 0, client.now // all poll at once
+		client.watches, client.watchEndsAt = 0, client.now // all instances poll at once
 		clients = append(clients, client)
 	}
 	discovery, longestGap := &overloadedDiscovery{}, time.Duration(0)
@@ -144,7 +146,7 @@
 			if !client.step(now, watch, discovery) {
 				continue
 			}
-			if now.After(startOfTest.Add(20 * time.Second)) { // from then on the six seconds hold for every instance
+			if now.After(startOfTest.Add(20 * time.Second)) { // after 20 s no instance may wait for more than 6 s
 				longestGap = max(longestGap, now.Sub(client.lastAnswerAt))
 			}
 			client.lastAnswerAt = now
@@ -154,16 +156,17 @@
 		longestGap = max(longestGap, end.Sub(client.lastAnswerAt))
 	}
 	if longestGap > 6*time.Second {
-		t.Errorf("an instance got no list for %d ms", longestGap/time.Millisecond)
+		t.Errorf("an instance got no answer from discovery for %d ms", longestGap/time.Millisecond)
 	}
 }
 
-// Fault: 56 instances killed at once polled in the instant of their start, and the 34 that discovery did not
-// answer within two seconds got no list for the next sixteen. A few instances still poll at once.
+// TestWatch_FirstPollsOfInstancesAreSpread guards against a fault: 56 instances that were killed and restarted
+// together all polled at the moment of their start, and the 34 that discovery did not answer within 2 s got no list
+// for the next 16 s. A small number of instances still polls without a long delay.
 func TestWatch_FirstPollsOfInstancesAreSpread(t *testing.T) {
 	for _, test := range []struct {
 		instances int
-		from, end time.Duration // of their askings
+		from, end time.Duration // shortest spread of the first polls, and latest first poll
 	}{{80, 2 * time.Second, 5 * time.Second}, {3, 0, 150 * time.Millisecond}} {
 		first, last := time.Duration(math.MaxInt64), time.Duration(0)
 		for index := range test.instances {
@@ -181,7 +184,7 @@
 			first, last = min(first, polledAfter), max(last, polledAfter)
 		}
 		if last-first < test.from || last > test.end {
-			t.Errorf("%d instances ask from %d to %d ns after their start", test.instances, first, last)
+			t.Errorf("%d instances first poll between %d and %d ns after their start", test.instances, first, last)
 		}
 	}
 }
--- a/policy/endpoints_test.go
+++ b/policy/endpoints_test.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// Fault: what was remembered of backends that are gone grew for as long as new ones came.
+// TestEndpoints_GoneBackendsAreDropped guards against a fault: the state of backends that were gone was never dropped,
+// and grew with every new backend.
 func TestEndpoints_GoneBackendsAreDropped(t *testing.T) {
 	h := newHarnessWithoutCounter(t, readyEndpoints(1)...)
 	held := h.submit(1, 0, 0, 1, 2*time.Second, 1)
@@ -22,28 +23,29 @@
 	}
 	known, listed := len(h.engine.backends), len(h.engine.endpoints)
 	if listed > 210 || known != listed || h.engine.backends[1] == nil {
-		t.Errorf("%d backends are kept, %d of them listed", known, listed)
+		t.Errorf("%d backends by id and %d in the list, want the same and at most 210, with backend 1 among them",
+			known, listed)
 	}
 	h.endAttempt(held, 0, Succeeded)
 	if h.advance(100 * time.Millisecond); h.engine.backends[1] != nil {
-		t.Error("one that is gone and has nothing in flight is kept")
+		t.Error("a backend that is gone and has no attempt in flight was not dropped")
 	}
 }
 
-// TestEndpoints_StartListedAsDrainingIsNewIncarnation guards against an ejection that outlives its backend: a new start
-// that was first listed as draining was not taken for a new incarnation once it was ready.
+// TestEndpoints_StartListedAsDrainingIsNewIncarnation guards against a fault: an ejection outlived its backend. A new
+// start time that was first listed as draining did not count as a new incarnation once the backend was ready.
 func TestEndpoints_StartListedAsDrainingIsNewIncarnation(t *testing.T) {
 	h := newHarnessWithoutCounter(t, readyEndpoints(1)...)
 	request := h.submit(1, 0, 0, 1, 2*time.Second, 1)
 	h.endAttempt(request, 0, ConnectFailed)
 	if h.engine.backends[1].outlier.ejections == 0 {
-		t.Fatal("not ejected")
+		t.Fatal("the backend was not ejected after a failed connection")
 	}
 	restarted := Endpoint{Backend: 1, State: EndpointDraining, Weight: 1, StartedAt: h.now}
 	h.update(Delta, restarted)
 	restarted.State = EndpointReady
 	h.update(Delta, restarted)
 	if got := h.engine.backends[1].outlier; got != (outlierState{}) {
-		t.Errorf("the new incarnation has the old one's state: %+v", got)
+		t.Errorf("the new incarnation has the outlier state of the old one: %+v", got)
 	}
 }
--- a/policy/internal/estimate/estimate_test.go
+++ b/policy/internal/estimate/estimate_test.go
@@ -13,23 +13,23 @@
 		m.Add(x, 10)
 	}
 	if m.Value != 4 || m.Count != 3 {
-		t.Errorf("mean of 2, 4 and 6 is %g of %g", m.Value, m.Count)
+		t.Errorf("mean of 2, 4 and 6: value %g, count %g; want 4 and 3", m.Value, m.Count)
 	}
 	for range 200 {
 		m.Add(100, 10)
 	}
 	if m.Count != 10 || !nearlyEqual(m.Value, 100) {
-		t.Errorf("after 200 of 100 the mean is %g of %g", m.Value, m.Count)
+		t.Errorf("mean after 200 measurements of 100: value %g, count %g; want 100 and 10", m.Value, m.Count)
 	}
 }
 
 func TestMean_Blend(t *testing.T) {
 	empty, measured := Mean{}, Mean{Value: 2, Count: 3}
 	if got := empty.Blend(7, 3); got != 7 {
-		t.Errorf("nothing measured: %g, want the prior", got)
+		t.Errorf("blend without measurements: %g, want the prior 7", got)
 	}
 	if got := measured.Blend(6, 1); got != 3 {
-		t.Errorf("three of 2 and a prior of 6: %g, want 3", got)
+		t.Errorf("blend of three measurements of 2 and a prior of 6: %g, want 3", got)
 	}
 }
 
@@ -59,6 +59,6 @@
 		constantX.Add(1, 5, 100)
 	}
 	if got := constantX.Slope(); got != 0 {
-		t.Errorf("slope over one x is %g", got)
+		t.Errorf("slope with constant x is %g, want 0", got)
 	}
 }
--- a/policy/latency_test.go
+++ b/policy/latency_test.go
@@ -5,8 +5,9 @@
 	"time"
 )
 
-// Fault: backends that overload had made slow got nothing, and so were never found quick again; likewise by an
-// instance that had met the overload before it knew a baseline.
+// TestLatency_BackendIsTriedAgainAfterOverload guards against a fault: backends that overload had made slow got no
+// more attempts, so that their latency was never measured again. This also happened to an instance that met the
+// overload before it had a baseline.
 func TestLatency_BackendIsTriedAgainAfterOverload(t *testing.T) {
 	for _, fastAnswers := range []int{40, 0} {
 		h := newHarnessWithoutCounter(t, readyEndpoints(1)...)
@@ -21,13 +22,14 @@
 		}
 		h.advance(12 * time.Second)
 		if request := h.submit(100, 0, 0, 100, 2*time.Second, 1); len(request.attempts) != 1 {
-			t.Errorf("nothing sent long after overload that came after %d quick answers", fastAnswers)
+			t.Errorf("no attempt sent 12 s after overload that followed %d fast answers", fastAnswers)
 		}
 	}
 }
 
-// Fault: where backends became slow of themselves, as those that warm up are, instances that had seen quick
-// ones sent next to nothing, and nothing at all to new ones, which were never measured.
+// TestLatency_SlowFleetIsNotTakenForOverloaded guards against a fault: when backends became slow without load, as
+// while warming up, instances that had measured fast answers before sent hardly any attempts, and none to new
+// backends, which were therefore never measured.
 func TestLatency_SlowFleetIsNotTakenForOverloaded(t *testing.T) {
 	h, sent := newHarnessWithoutCounter(t, readyEndpoints(1, 2, 3, 4)...), 0
 	for n := range 100 {
@@ -44,16 +46,17 @@
 		}
 	}
 	if sent < 18 {
-		t.Errorf("%d of 20 sent, one after another, to a fleet that answers in time", sent)
+		t.Errorf("%d of 20 requests sent, one after another, to a fleet that answers in time", sent)
 	}
 	h.update(FullSnapshot, readyEndpoints(11, 12)...)
 	if request := h.submit(200, 0, 0, 200, 2*time.Second, 1); len(request.attempts) != 1 {
-		t.Error("nothing sent to a new backend of that kind")
+		t.Error("no attempt sent to a new backend of the slow fleet")
 	}
 }
 
-// Fault: after a mass restart many instances of few attempts each kept the rest of the fleet overloaded: full
-// queues turned attempts away at once and showed nothing, and late answers showed it too late.
+// TestLatency_OverloadIsDetectedBeforeAnswersArrive guards against a fault: after a mass restart, many instances with
+// few attempts each kept the rest of the fleet overloaded. Rejections by full queues were not measured, and late
+// answers revealed the overload too late.
 func TestLatency_OverloadIsDetectedBeforeAnswersArrive(t *testing.T) {
 	for _, outcome := range []Outcome{Rejected, Succeeded} {
 		settings := defaultSettings()
@@ -73,45 +76,47 @@
 				continue
 			}
 			sent += len(request.attempts)
-			if len(request.attempts) > 0 && outcome == Rejected { // else it stays in flight
+			if len(request.attempts) > 0 && outcome == Rejected { // otherwise the attempt stays in flight
 				h.endAttempt(request, 0, outcome)
 			}
 		}
 		if sent > 80 {
-			t.Errorf("%d of 100 attempts sent into overload with outcomes %s", sent, outcome)
+			t.Errorf("%d of 100 requests sent to an overloaded fleet with outcome %s", sent, outcome)
 		}
 	}
 }
 
-// Fault: where units stand for work, large requests passed for slow backends, and found no capacity.
+// TestLatency_EstimatesAccountForUnits guards against a fault: where units represent work, the latency of large
+// requests made backends appear slow, and large requests found no capacity.
 func TestLatency_EstimatesAccountForUnits(t *testing.T) {
 	settings := defaultSettings()
 	settings.CounterEnabled, settings.Plans[0].Burst = false, 100
 	h := newHarness(t, settings, readyEndpoints(1, 2, 3)...)
 	for n := range 120 {
-		units := float64(1 + n%2*7) // one, or eight
+		units := float64(1 + n%2*7) // 1 and 8 in turn
 		request := h.submit(RequestID(n), 0, 0, TenantID(n), 2*time.Second, units)
 		if h.advance(time.Duration(units) * 24 * time.Millisecond); len(request.attempts) == 0 {
-			t.Fatalf("no capacity for the %dth, of %.0f units", n, units)
+			t.Fatalf("no capacity for request %d of %.0f units", n, units)
 		}
 		h.endAttempt(request, 0, Succeeded)
 	}
 	for _, b := range h.engine.endpoints {
 		if ratio := b.latency.estimate / h.engine.latency.mean.Value; ratio < 0.8 || ratio > 1.25 {
-			t.Errorf("backend %d is estimated at %.2f of the fleet's latency", b.id, ratio)
+			t.Errorf("the latency estimate of backend %d is %.2f times the fleet's mean", b.id, ratio)
 		}
 	}
 	if one, eight := h.engine.relativeCost(1), h.engine.relativeCost(8); one > 0.5 || eight < 1.5 {
-		t.Errorf("one unit is taken for %.2f of the mean, eight for %.2f", one, eight)
+		t.Errorf("relative cost of 1 unit: %.2f, of 8 units: %.2f; want at most 0.5 and at least 1.5", one, eight)
 	}
 	if request := h.submit(200, 0, 0, 200, 2*time.Second, 8); len(request.attempts) != 1 {
-		t.Error("no capacity for a large one in a quiet fleet")
+		t.Error("no capacity for a large request in an idle fleet")
 	}
 }
 
-// Fault: an instance of a few answers a second went by the last thirty, and saw overload after seven seconds:
-// 281 such instances went on filling the warm backends while 90 of 151 were replaced (join+mass, seed 11: 29%
-// answered in time).
+// TestLatency_InstanceWithLowThroughputDetectsOverload guards against a fault: an instance with few answers per second
+// averaged the latency over the last 30 answers, and so detected overload only after 7 s. In the lab scenario
+// join+mass with seed 11, 281 such instances kept overloading the warm backends while 90 of 151 were replaced, and 29%
+// of the requests were answered in time.
 func TestLatency_InstanceWithLowThroughputDetectsOverload(t *testing.T) {
 	settings := defaultSettings()
 	settings.Instances, settings.CounterEnabled = 1, false
@@ -128,29 +133,31 @@
 		h.advance(250*time.Millisecond - answerTime)
 	}
 	if h.engine.latency.mean.Value < float64(190*time.Millisecond) {
-		t.Errorf("after 2.5 s of answers in 240 ms the latency is %.0f ms", h.engine.latency.mean.Value/1e6)
+		t.Errorf("after 2.5 s of answers in 240 ms the fleet's mean latency is %.0f ms", h.engine.latency.mean.Value/1e6)
 	}
 }
 
-// Fault: an instance that got no answer for ten seconds of overload took 12 ms for the fleet's latency: all looked
-// quick, and what was only late was canceled and sent again.
+// TestLatency_IdleDecayStopsAtBaseline guards against a fault: after 10 s of overload without an answer, the fleet's
+// latency had decayed to 12 ms. All backends appeared fast, and attempts that were merely late were canceled and sent
+// again.
 func TestLatency_IdleDecayStopsAtBaseline(t *testing.T) {
 	h := newHarnessWithoutCounter(t, readyEndpoints(1, 2)...)
 	h.serveTwenty(100 * time.Millisecond)
 	request := h.submit(100, 0, 0, 100, 2*time.Second, 1)
 	h.advance(1800 * time.Millisecond)
 	if request.ended != "" || h.engine.latency.mean.Value < float64(100*time.Millisecond) {
-		t.Errorf("%q; with an attempt in flight, silence took the latency to %.0f ms",
+		t.Errorf("the request ended as %q; with its attempt in flight the fleet's mean latency decayed to %.0f ms",
 			request.ended, h.engine.latency.mean.Value/1e6)
 	}
 	h.advance(20 * time.Second)
 	if h.engine.latency.mean.Value < float64(90*time.Millisecond) {
-		t.Errorf("long after, the latency is taken for %.0f ms", h.engine.latency.mean.Value/1e6)
+		t.Errorf("after 20 s without requests the fleet's mean latency is %.0f ms", h.engine.latency.mean.Value/1e6)
 	}
 }
 
-// Fault: one late answer among quick ones put the last backend's own mean over the latency budget. With nothing
-// in flight nothing renewed it, and every request was rejected for seconds.
+// TestLatency_OneLateAnswerBlocksNoBackend guards against a fault: one late answer among fast ones raised the mean
+// latency of the only remaining backend above the latency budget. With nothing in flight no new measurement followed,
+// and every request was rejected for seconds.
 func TestLatency_OneLateAnswerBlocksNoBackend(t *testing.T) {
 	for _, test := range []struct{ usual, late time.Duration }{
 		{100 * time.Microsecond, 10 * time.Millisecond},
@@ -177,7 +184,7 @@
 		h.advance(20 * time.Millisecond)
 		for n := range 20 {
 			if answer(500+n, test.usual) == 0 {
-				t.Errorf("one answer of %d ns among some of %d: request %d is rejected", test.late, test.usual, n)
+				t.Errorf("after one answer in %d ns among answers in %d ns, request %d is rejected", test.late, test.usual, n)
 				break
 			}
 			h.advance(10 * time.Millisecond)
--- a/policy/retry_test.go
+++ b/policy/retry_test.go
@@ -6,14 +6,15 @@
 	"time"
 )
 
-// Fault: where few attempts are in flight, a merely long request was taken for a stalled one and sent again.
+// TestRetry_LongRequestIsNotStalled guards against a fault: with few attempts in flight, an attempt that merely took
+// long counted as stalled and was sent again.
 func TestRetry_LongRequestIsNotStalled(t *testing.T) {
 	h := newHarnessWithoutCounter(t, readyEndpoints(1, 2)...)
 	h.serveTwenty(52 * time.Millisecond)
 	request := h.submit(100, 0, 0, 100, 2*time.Second, 1)
 	h.advance(200 * time.Millisecond)
 	if h.endAttempt(request, 0, Succeeded); strings.Contains(strings.Join(h.log, "\n"), "cancel") {
-		t.Error("canceled after four usual latencies")
+		t.Error("an attempt was canceled after four mean latencies")
 	}
 	next := h.submit(101, 0, 0, 101, 2*time.Second, 1)
 	h.advance(400 * time.Millisecond)
@@ -22,36 +23,38 @@
 	}
 	h.endAttempt(next, 0, Canceled)
 	if len(next.attempts) != 2 || next.attempts[1].endpoint.Backend == next.attempts[0].endpoint.Backend {
-		t.Error("no attempt elsewhere after a stall")
+		t.Error("no second attempt at another backend after a stalled attempt")
 	}
 }
 
-// Fault: requests that may have run were held back for capacity that could not help them.
+// TestRetry_NonIdempotentIsAbortedAfterError guards against a fault: non-idempotent requests that may have run waited
+// for capacity, although they could not be sent again.
 func TestRetry_NonIdempotentIsAbortedAfterError(t *testing.T) {
 	settings := defaultSettings()
 	settings.Classes[0].Idempotency, settings.CounterEnabled = NonIdempotent, false
 	h := newHarness(t, settings, readyEndpoints(1, 2)...)
 	request := h.submit(1, 0, 0, 1, 2*time.Second, 1)
 	if h.endAttempt(request, 0, Failed); request.ended != "aborted" {
-		t.Errorf("after an error: %q", request.ended)
+		t.Errorf("after a failed attempt the request ended as %q, want aborted", request.ended)
 	}
 	next := h.submit(2, 0, 0, 2, 2*time.Second, 1)
 	if h.endAttempt(next, 0, ConnectFailed); len(next.attempts) != 2 {
-		t.Error("no second attempt though the first did not run")
+		t.Error("no second attempt although the first did not run")
 	}
 }
 
-// Fault: an instance of many gets an answer of a backend once in seconds; attempts a little longer than usual
-// were canceled there, and the work done twice, while the whole fleet was slow.
+// TestRetry_SlowFleetIsNotTakenForStalled guards against a fault: one instance of many gets an answer of a given
+// backend only once in several seconds. While the whole fleet was slow, attempts that took slightly longer than the
+// mean were therefore canceled, and the work was done twice.
 func TestRetry_SlowFleetIsNotTakenForStalled(t *testing.T) {
 	h := newHarnessWithoutCounter(t, readyEndpoints(1, 2)...)
 	h.serveTwenty(160 * time.Millisecond)
 	request := h.submit(100, 0, 0, 100, 2*time.Second, 1)
 	h.advance(700 * time.Millisecond)
 	if len(request.attempts) != 1 || strings.Contains(strings.Join(h.log, "\n"), "cancel") {
-		t.Error("canceled before five usual latencies")
+		t.Error("an attempt was canceled or repeated before five mean latencies had passed")
 	}
 	if h.engine.inFlightNotOverdue != 0 {
-		t.Error("overdue, and still held for one that is likely to end soon")
+		t.Error("an overdue attempt still counts as not overdue")
 	}
 }
--- a/policy/selection_test.go
+++ b/policy/selection_test.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// Fault: at their start many instances sent all they got before the first late answer showed overload.
+// TestSelection_NewInstanceOfManyHasFewInFlight guards against a fault: after their start, many instances sent every
+// request that they got before the first late answer revealed the overload.
 func TestSelection_NewInstanceOfManyHasFewInFlight(t *testing.T) {
 	settings := defaultSettings()
 	settings.CounterEnabled, settings.Instances = false, 100
@@ -14,11 +15,12 @@
 		sent += len(h.submit(RequestID(n), 0, 0, TenantID(n), 2*time.Second, 1).attempts)
 	}
 	if sent < 1 || sent > 4 {
-		t.Errorf("%d attempts in flight from one of 100 instances before any answer", sent)
+		t.Errorf("%d attempts in flight from one of 100 instances before any answer, want 1 to 4", sent)
 	}
 }
 
-// Fault: every instance tried every backend, so that each of many had to find each dead one for itself.
+// TestSelection_InstancesFillTheirOwnSharesFirst guards against a fault: every instance sent to every backend, so that
+// each of many instances had to detect each dead backend on its own.
 func TestSelection_InstancesFillTheirOwnSharesFirst(t *testing.T) {
 	first := map[BackendID]int{}
 	for index := range 4 {
@@ -34,7 +36,7 @@
 			h.endAttempt(request, 0, Succeeded)
 		}
 		if len(first) != 2*(index+1) {
-			t.Fatalf("%d backends in use by %d instances of two each", len(first), index+1)
+			t.Fatalf("%d backends in use by %d instances, want two per instance", len(first), index+1)
 		}
 	}
 }
--- a/policy/slow_start_test.go
+++ b/policy/slow_start_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// Fault: with many instances none could send anything to a backend that warmed up, and an enlarged fleet
-// stood idle.
+// TestSlowStart_ManyInstancesShareOneBackend guards against a fault: with many instances, none could send any attempt
+// to a backend that was warming up, so that added backends stayed idle.
 func TestSlowStart_ManyInstancesShareOneBackend(t *testing.T) {
 	sent := 0
 	for index := range 8 {
@@ -27,15 +27,16 @@
 		}
 		sent += len(h.sentTimes[1])
 	}
-	if sent < 2 || sent > 8 { // it bears 2 x 0.84 s of work a second, a request is taken for 0.2 s
-		t.Errorf("eight instances sent a backend that warms up %d attempts", sent)
+	if sent < 2 || sent > 8 { // it collapses at 2 x 0.84 s of work per second, and 0.2 s are assumed for a request
+		t.Errorf("eight instances sent %d attempts to a backend that is warming up, want 2 to 8", sent)
 	}
 }
 
-// Fault: backends that warm up were kept to the pace of one core while warm ones answered many times that.
+// TestSlowStart_BudgetFollowsThroughputOfWarmBackends guards against a fault: backends that were warming up were
+// limited to the throughput of one core, while warm ones answered many times as many requests.
 func TestSlowStart_BudgetFollowsThroughputOfWarmBackends(t *testing.T) {
 	sent := map[time.Duration]int{}
-	// Answers take 200 ms in both: many cores, or few used.
+	// Answers take 200 ms with both intervals: the higher throughput shows that backends have more cores.
 	for _, interval := range []time.Duration{100 * time.Millisecond, 5 * time.Millisecond} {
 		settings := defaultSettings()
 		settings.Instances = 1
@@ -58,12 +59,13 @@
 		sent[interval] = len(h.sentTimes[9])
 	}
 	if sent[5*time.Millisecond] < 2*sent[100*time.Millisecond] || sent[100*time.Millisecond] == 0 {
-		t.Errorf("attempts at a backend that warms up by the gap between requests: %v", sent)
+		t.Errorf("attempts at a backend that is warming up, by the interval between requests: %v", sent)
 	}
 }
 
-// Fault: with many instances a backend that warms up got nothing for as long as all their turns together
-// take, since a new one counted as sent to; and an overload of the others took its budget away when it was needed.
+// TestSlowStart_ManyInstancesUseTheBudgetInOverload guards against two faults: with many instances, a backend that was
+// warming up got no attempt for a full round of turns, since each instance counted a new backend as one that it had
+// just sent to. And an overload of the other backends reduced its budget at the time at which it was needed.
 func TestSlowStart_ManyInstancesUseTheBudgetInOverload(t *testing.T) {
 	sent, sentPerSecond := 0, map[int64]float64{}
 	for index := range 60 {
@@ -80,7 +82,7 @@
 		for n := 0; h.now.Before(atSecond(1025)); n++ {
 			request := h.submit(RequestID(n), 0, 0, TenantID(n), 2*time.Second, 1)
 			h.advance(100 * time.Millisecond)
-			if len(request.attempts) > 0 && h.now.Before(atSecond(1020)) { // from then on nobody answers
+			if len(request.attempts) > 0 && h.now.Before(atSecond(1020)) { // from then on no backend answers
 				h.endAttempt(request, 0, Succeeded)
 			}
 			h.advance(100 * time.Millisecond)
@@ -93,20 +95,20 @@
 			sentPerSecond[at.Nanos()/int64(time.Second)]++
 		}
 	}
-	// It bears four times a share, from 0.2 to 0.7, of the 15 a second that a warm one was seen to answer.
-	if sent < 15 || sent > 60 { // nine with a budget that overload takes away, eleven if first turns wait
-		t.Errorf("sixty instances sent a backend that warms up %d attempts", sent)
+	// It collapses at four times a capacity share, from 0.2 to 0.7, of the 15 answers per second measured at a warm one.
+	if sent < 15 || sent > 60 { // 9 if overload reduces the budget, 11 if the first turns are delayed
+		t.Errorf("sixty instances sent %d attempts to a backend that is warming up, want 15 to 60", sent)
 	}
 	for at, n := range sentPerSecond {
 		if limit := 4 * (0.2 + 0.08*float64(at-1019)) * 15; n > limit {
-			t.Errorf("rule 4: %.0f attempts in second %d, of %.0f", n, at, limit)
+			t.Errorf("rule 4: %.0f attempts in second %d, limit %.0f", n, at, limit)
 		}
 	}
 }
 
-// Fault: of the turns that instances of a large fleet have at a backend that warms up most were lost, since
-// few had something to send in the moment of their turn; and where the warm ones were full, so that all
-// seemed slow, none was used.
+// TestSlowStart_MostTurnsAreUsed guards against two faults: most turns that the instances of a large fleet had at a
+// backend that was warming up were lost, since few instances had a request to send at the moment of their turn. And
+// while the warm backends were full, so that all backends appeared slow, no turn was used at all.
 func TestSlowStart_MostTurnsAreUsed(t *testing.T) {
 	sent, sentPerSecond := 0, map[int64]float64{}
 	for index := range 80 {
@@ -127,7 +129,7 @@
 			if len(h.endpoints) == 8 && !h.now.Before(atSecond(1019)) {
 				h.update(Delta, Endpoint{Backend: 3, State: EndpointReady, Weight: 1, StartedAt: atSecond(1019)})
 			}
-			if !h.now.Before(atSecond(1025)) { // overload: as if all had answered late
+			if !h.now.Before(atSecond(1025)) { // overload: as if all backends had answered late
 				h.engine.latency.mean.Value = 0.45 * float64(time.Second)
 			}
 		}
@@ -136,22 +138,23 @@
 			sent++
 		}
 	}
-	if sent < 150 { // fifteen as it was
-		t.Errorf("eighty instances sent a backend that warms up %d attempts", sent)
+	if sent < 150 { // 15 with the faults
+		t.Errorf("eighty instances sent %d attempts to a backend that is warming up, want at least 150", sent)
 	}
 	for at, n := range sentPerSecond {
-		// Half of four times the share, from 0.2 to 0.76, of the 25 a second that a warm one answers, in two
-		// seconds.
+		// In two seconds: half of four times the capacity share, from 0.2 to 0.76, of the 25 answers per second of a
+		// warm backend.
 		if n += sentPerSecond[at+1]; n > 4*(0.2+0.04*float64(max(at-1021, 0)))*25 {
-			t.Errorf("rule 4: %.0f attempts in the two seconds from %d on", n, at)
+			t.Errorf("rule 4: %.0f attempts in the two seconds from second %d on", n, at)
 		}
 	}
 }
 
-// Fault: a backend that warmed up and whose clock was ahead got a burst, and one that is stated to be small
-// as much as a usual one. The rule is for the sum of all instances: beyond the budget N only 2 x root N + 2
-// are chance. COLD_SEEDS=n plays each scenario with n seeds. Connections come up together with the even ones,
-// so both ways are played with every scenario.
+// TestSlowStart_InstancesTogetherKeepWithinBudget guards against two faults: a backend that was warming up and whose
+// clock was ahead got a burst of attempts, and a backend with a small stated weight got as many as one of mean weight.
+// Rule 4 limits the sum of all instances. Random arrivals may exceed the budget N by at most 2*sqrt(N) + 2. With
+// COLD_SEEDS=n each scenario is simulated with n seeds. For even seeds connections are established in batches, so that
+// each scenario is run with and without batches.
 func TestSlowStart_InstancesTogetherKeepWithinBudget(t *testing.T) {
 	seeds := uint64(1)
 	if n, err := strconv.ParseUint(os.Getenv("COLD_SEEDS"), 10, 8); err == nil {
@@ -160,24 +163,25 @@
 	for scenarioIndex, scenario := range fleetScenarios {
 		t.Run(scenario.name, func(t *testing.T) {
 			for fleetIndex, config := range fleetConfigs {
-				if config.instances == 300 && fleetIndex%2 != scenarioIndex%2 { // the slowest runs: in every other scenario
+				if config.instances == 300 && fleetIndex%2 != scenarioIndex%2 { // slowest: in every other scenario
 					continue
 				}
 				worst := findWorstWindow(t, scenario.prepare, config, uint64(scenarioIndex*7+fleetIndex), seeds)
-				line := fmt.Sprintf("%s | %d of N %.1f, bound %.1f (%.2f) at %.1f s; %d in all", config, worst.sent,
-					worst.budget, worst.bound, worst.part, float64(worst.age)/float64(time.Second), worst.attempts)
+				line := fmt.Sprintf("%s | %d attempts, budget N %.1f, bound %.1f (%.2f) at age %.1f s; %d in total", config,
+					worst.sent, worst.budget, worst.bound, worst.part, float64(worst.age)/float64(time.Second), worst.attempts)
 				if t.Log(line); worst.part > 1 {
 					t.Errorf("rule 4: %s", line)
 				}
 				if worst.attempts == 0 {
-					t.Errorf("nothing was sent to backends that warm up: %s", line)
+					t.Errorf("no attempts at backends that are warming up: %s", line)
 				}
 			}
 		})
 	}
 }
 
-// findWorstWindow plays a scenario with some seeds, and returns the worst window with the attempts of all plays.
+// findWorstWindow simulates a scenario with several seeds. It returns the window nearest to its bound or furthest
+// beyond it, with the number of attempts of all simulations.
 func findWorstWindow(t *testing.T, prepare func(*fleet), config fleetSettings, firstSeed, seeds uint64) worstWindow {
 	t.Helper()
 	var worst worstWindow
@@ -211,7 +215,7 @@
 		multiple: 2.5, share: 0.35, window: time.Second, warmUp: 12 * time.Second},
 }
 
-const scenarioStart = 12 * time.Second // from the play's beginning, when the instances know their fleet
+const scenarioStart = 12 * time.Second // after the simulation's start; the fleet is measured by then
 
 // restartThird restarts a third of the backends at once.
 func (f *fleet) restartThird() {
@@ -224,21 +228,21 @@
 	name    string
 	prepare func(f *fleet)
 }{
-	{"a third restarts", func(f *fleet) { f.after(scenarioStart, f.restartThird) }},
-	{"six in ten replaced in 7 s", func(f *fleet) {
+	{"a third of the backends restart", func(f *fleet) { f.after(scenarioStart, f.restartThird) }},
+	{"60% of the backends replaced in 7 s", func(f *fleet) {
 		for n := range f.backends * 6 / 10 {
 			replacedAt := scenarioStart + time.Duration(n)*7*time.Second/time.Duration(f.backends*6/10)
 			f.after(replacedAt, func() { f.replace(BackendID(n+1), 1) })
 		}
 	}},
-	{"instances upgraded by tenths", func(f *fleet) {
+	{"instances upgraded in ten batches", func(f *fleet) {
 		f.after(scenarioStart, f.restartThird)
 		for index := range f.instances {
 			upgradedAt := scenarioStart - 2*time.Second + time.Duration(index*10/f.instances)*time.Second
 			f.after(upgradedAt, func() { f.upgrade(index, 3*time.Second) })
 		}
 	}},
-	{"one hot instance, others thin", func(f *fleet) {
+	{"one instance gets most of the traffic", func(f *fleet) {
 		f.traffic(func(index int) float64 {
 			if index == 3 {
 				return float64(f.instances) / 2
@@ -250,7 +254,7 @@
 		}
 		f.after(scenarioStart, f.restartThird)
 	}},
-	{"settings updated", func(f *fleet) {
+	{"overload multiple changed while warming up", func(f *fleet) {
 		f.after(scenarioStart, f.restartThird)
 		update := func(multiple float64) func() {
 			return func() {
@@ -269,20 +273,20 @@
 		f.after(scenarioStart+f.warmUp/2, update(f.multiple*1.5))
 		f.after(scenarioStart+f.warmUp*3/4, update(f.multiple))
 	}},
-	{"warming up twice", func(f *fleet) {
+	{"backends restarted while warming up", func(f *fleet) {
 		f.after(scenarioStart, f.restartThird)
 		f.after(scenarioStart+2500*time.Millisecond, f.restartThird)
 		f.after(scenarioStart+3*time.Second+f.warmUp/2, f.restartThird)
 	}},
-	{"traffic at a third of the instances", func(f *fleet) {
+	{"traffic at one third of the instances", func(f *fleet) {
 		f.traffic(func(index int) float64 { return float64(1 - min(index%3, 1)) })
 		f.after(scenarioStart, f.restartThird)
 	}},
-	{"all get four times as slow", func(f *fleet) {
+	{"all backends become four times slower", func(f *fleet) {
 		f.after(scenarioStart, f.restartThird)
 		f.after(scenarioStart+f.warmUp/2, func() { f.loadLimits = append(f.loadLimits, loadLimit{f.now, f.multiple, 4}) })
 	}},
-	{"the instances with traffic change", func(f *fleet) {
+	{"instances with traffic change", func(f *fleet) {
 		for n := range 3 {
 			weight := func(index int) float64 { return max(0.02, float64(1-min((index+n)%3, 1))) }
 			f.after(time.Duration(n)*4*time.Second, func() { f.traffic(weight) })
@@ -290,18 +294,18 @@
 		f.after(scenarioStart, func() { f.traffic(func(int) float64 { return 1 }) })
 		f.after(scenarioStart, f.restartThird)
 	}},
-	{"all start at once", func(f *fleet) {
+	{"all backends start at once", func(f *fleet) {
 		for _, id := range f.ids {
 			f.backendByID[id].started = f.now.Add(1)
 		}
 	}},
-	{"little traffic, then much", func(f *fleet) {
-		much := f.demand
-		f.demand = much / 30
+	{"traffic rises thirtyfold", func(f *fleet) {
+		fullDemand := f.demand
+		f.demand = fullDemand / 30
 		f.after(scenarioStart, f.restartThird)
-		f.after(scenarioStart+f.warmUp/2, func() { f.demand = much })
+		f.after(scenarioStart+f.warmUp/2, func() { f.demand = fullDemand })
 	}},
-	{"starts stated 30 s ahead", func(f *fleet) {
+	{"listed start times 30 s ahead", func(f *fleet) {
 		f.after(scenarioStart, func() {
 			for n := range f.backends / 3 {
 				f.backendByID[BackendID(n+1)].ahead = 30 * time.Second
@@ -309,13 +313,13 @@
 			f.restartThird()
 		})
 	}},
-	{"sizes of 1/4, 1 and 4", func(f *fleet) {
+	{"backend sizes of 1/4, 1 and 4", func(f *fleet) {
 		for n, id := range f.ids {
 			f.backendByID[id].size = []float64{0.25, 1, 4}[n%3]
 		}
 		f.after(scenarioStart, f.restartThird)
 	}},
-	{"sizes of 4, then 1/2", func(f *fleet) {
+	{"half of the backends of size 4 replaced by size 1/2", func(f *fleet) {
 		for n, id := range f.ids {
 			f.backendByID[id].size = 4
 			if n%2 == 0 {
--- a/policy/timers_test.go
+++ b/policy/timers_test.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// Fault: a wake came a little before its time on a coarser clock, and none was asked for again.
+// TestTimers_EarlyWakeupIsRequestedAgain guards against a fault: on a coarser clock a wake-up came slightly before its
+// time, and no other one was requested.
 func TestTimers_EarlyWakeupIsRequestedAgain(t *testing.T) {
 	h := newHarness(t, defaultSettings(), readyEndpoints(1)...)
 	h.submit(1, 0, 0, 1, 2*time.Second, 1)
@@ -14,10 +15,10 @@
 	h.now = w.at.Add(-1)
 	h.engine.HandleTimer(h.now, w.timer)
 	if len(h.wakes) != 1 {
-		t.Fatal("no wake asked for again")
+		t.Fatal("no new wake-up requested after an early one")
 	}
 	h.advance(10 * time.Millisecond)
 	if len(h.sentTimes[1]) != 1 {
-		t.Error("the request was forgotten")
+		t.Error("the request was not sent after the second wake-up")
 	}
 }
--- a/policy/warm_start_test.go
+++ b/policy/warm_start_test.go
@@ -6,8 +6,9 @@
 	"time"
 )
 
-// What an earlier incarnation measured counts by its age: at once for all, after hours for next to nothing; a
-// backend that was started anew since is unknown; and what rule 4 rests on is not adopted.
+// TestImportState_WeighsMeasurementsByAge checks that measurements of an earlier incarnation have their full weight at
+// age 0 and hardly any after hours. Those of a backend that has restarted since are not imported, and neither are the
+// measurements that rule 4 depends on.
 func TestImportState_WeighsMeasurementsByAge(t *testing.T) {
 	previous := newHarness(t, defaultSettings(), readyEndpoints(1, 2, 3)...)
 	for n := range 60 {
@@ -27,17 +28,17 @@
 		h.update(Delta, Endpoint{Backend: 3, Weight: 1, State: EndpointReady, StartedAt: h.now.Add(-60 * time.Second)})
 		h.engine.ImportState(h.now, state, age)
 		if got := h.engine.latency.mean.Count / state.Samples; math.Abs(got-want) > 0.01 {
-			t.Errorf("after %d s all together count for %.4f, want %.4f", age/time.Second, got, want)
+			t.Errorf("after %d s the fleet's latency has %.4f of its weight, want %.4f", age/time.Second, got, want)
 		}
 		if own := h.engine.backends[1].latency.mean.Count; (age == 0) != (own > 0.5) {
-			t.Errorf("after %d s a backend's own time counts for %.4f answers", age/time.Second, own)
+			t.Errorf("after %d s a backend's own latency has the weight of %.4f answers", age/time.Second, own)
 		}
 		if h.engine.backends[3].latency.mean.Count != 0 {
-			t.Error("a backend that was started anew is taken for known")
+			t.Error("the latency of a restarted backend was imported")
 		}
 		baseline := h.engine.latency.baseline
 		if baseline.Value != 0 || baseline.Count != 0 || h.engine.throughput.peakPerBackend != 0 {
-			t.Error("the budget of backends that warm up rests on an earlier incarnation")
+			t.Error("the slow-start budget depends on measurements of an earlier incarnation")
 		}
 	}
 	h := newHarness(t, defaultSettings(), readyEndpoints(1, 2, 3)...)
@@ -47,6 +48,6 @@
 		Backends: []BackendWarmStart{{Backend: 1, Latency: -4, Samples: 9}, {Backend: 99}},
 	}, -5)
 	if h.engine.latency.mean.Count != 0 || h.engine.backends[1].latency.mean.Count != 0 {
-		t.Error("values out of range were taken over")
+		t.Error("values out of range were imported")
 	}
 }
