--- a/internal/backend/attempt_writer.go
+++ b/internal/backend/attempt_writer.go
@@ -7,15 +7,15 @@
 	"fawnplank/internal/dispatch"
 )
 
-// write writes an attempt, unless it was canceled. It also handles a connection that ends, or a response that
-// arrives, before the writing is done: nothing ran before the last byte was written.
+// write writes an attempt, unless the attempt was canceled. It also handles a connection that ends or a response that
+// arrives before the write is complete. A request that is not completely written has not run.
 func (c *conn) write(attempt *dispatch.Attempt, command [][]byte) {
-	begun, err := c.beginWrite(attempt)
+	started, err := c.startWrite(attempt)
 	if err != nil {
 		reportNotConnected(attempt, err)
 		return
 	}
-	if !begun {
+	if !started {
 		return
 	}
 	size := commandBytes(command)
@@ -24,7 +24,7 @@
 	if written == size {
 		progress = dispatch.Written
 	}
-	if failure := c.endWrite(attempt, progress, err); failure != nil {
+	if failure := c.finishWrite(attempt, progress, err); failure != nil {
 		attempt.Report(nil, 0, failure)
 	}
 }
@@ -38,20 +38,20 @@
 	return size
 }
 
-// beginWrite assigns an attempt to the connection. If begun is false, nothing may be written: without an
+// startWrite assigns an attempt to the connection. If started is false, nothing may be written: without an
 // error, the attempt was canceled and the connection is idle again; with an error, the connection cannot be
 // used for the attempt.
-func (c *conn) beginWrite(attempt *dispatch.Attempt) (begun bool, err error) {
+func (c *conn) startWrite(attempt *dispatch.Attempt) (started bool, err error) {
 	c.pool.mu.Lock()
 	defer c.pool.mu.Unlock()
-	// Do not send an attempt to an address where its backend no longer is: the backend was forgotten or listens
-	// elsewhere, and another one may be at the address by now.
+	// Do not send an attempt to an address that its backend no longer has: the backend was removed or listens at
+	// another address, and another backend may have taken over the old address.
 	if c.state.isClosed() || c.endpoint.removed {
 		c.close()
 		return false, net.ErrClosed
 	}
 	if !attempt.Start(c) {
-		c.makeIdle() // known fault: as if it had just been used, though its backend saw no use
+		c.makeIdle() // known fault: this sets lastUsed to now, although the connection was not used
 		return false, nil
 	}
 	c.attempt = attempt
@@ -59,21 +59,22 @@
 	return true, nil
 }
 
-// endWrite updates the connection's state when its writer is done. progress is dispatch.Written if the command is
-// completely written, otherwise dispatch.Writing. It returns the error that the writer must report, or nil if the
-// attempt continues or its end is already reported.
-func (c *conn) endWrite(attempt *dispatch.Attempt, progress dispatch.Progress, err error) error {
+// finishWrite updates the connection's state when its writer is done. progress is dispatch.Written if the command is
+// completely written, otherwise dispatch.Writing. finishWrite returns the error that the writer must report, or nil
+// if the attempt is still in progress or its result has already been reported.
+func (c *conn) finishWrite(attempt *dispatch.Attempt, progress dispatch.Progress, err error) error {
 	p := c.pool
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	// Half a command was written: after an early answer, an abandonment or a failed write, nothing may follow it.
+	// The command was written only in part, because of an early response, an abandonment or a failed write: no
+	// other command may follow it on this connection.
 	if progress != dispatch.Written {
 		c.close()
 	}
 	if c.state == stateRespondedEarly {
 		c.makeIdle()
 	}
-	if c.attempt != attempt { // answered in the meantime
+	if c.attempt != attempt { // the reader has already reported the result
 		return nil
 	}
 	if progress == dispatch.Written {
@@ -83,13 +84,13 @@
 		c.state = stateAwaitingResponse
 		return nil
 	}
-	c.recordIdle(idleLost)
+	c.recordIdleOutcome(idleLost)
 	c.attempt = nil
 	c.close()
 	return &dispatch.NetworkError{Progress: progress, Err: cmp.Or(err, net.ErrClosed)}
 }
 
-// reportNotConnected ends an attempt of which no byte has been written.
+// reportNotConnected reports the result of an attempt of which no byte was written. err is the reason.
 func reportNotConnected(attempt *dispatch.Attempt, err error) {
 	attempt.Report(nil, 0, connectError(err))
 }
--- a/internal/backend/connection.go
+++ b/internal/backend/connection.go
@@ -9,69 +9,68 @@
 	"fawnplank/internal/sock"
 )
 
-// noIdleTime is the idleBefore of a connection that was not idle before its attempt, or whose attempt is already
-// counted.
-const noIdleTime = -1
+// noIdleDuration is the idleDuration of a connection that was not idle before its attempt, or whose idle outcome has
+// already been counted.
+const noIdleDuration = -1
 
 // conn is a connection to a backend. It carries one attempt at a time. Its reader runs all the time, so that
-// an idle connection that the backend closes leaves the pool before an attempt is written to it.
+// an idle connection that the backend closes leaves the idle pool before an attempt is written to it.
 //
-// Its life cycle is a state machine. Any state but the final ones may also go to a closed state, when the
-// connection ends or its reader does; close makes that transition. All others:
+// A conn is a state machine. Besides the transitions in the table, close moves any state that is not final to a
+// closed state, when the connection or its reader ends.
 //
-//	from               event                                                   to
-//	reserved           beginWrite: the attempt begins                          writing
-//	reserved           beginWrite: the attempt was canceled                    idle
-//	writing            endWrite: the attempt is completely written             awaiting response
-//	writing            endAttempt: a response, the connection is reusable      responded early
-//	writing            endAttempt: a response, the connection ends             reserved
-//	writing            Abandon, a failed write, the connection's end           closed in write
-//	responded early    endWrite: the attempt is completely written             idle
-//	awaiting response  endAttempt: a response, the connection is reusable      idle
-//	awaiting response  endAttempt: a response, the connection ends             reserved
-//	awaiting response  Abandon                                                 abandoned
-//	abandoned          the reader: a response, the connection's end, a timeout closed
-//	idle               Pool.takeIdle                                           reserved
-//	idle               too long idle, bytes without an attempt, endpoint gone  closed
+//	from               event                                                          to
+//	reserved           startWrite: the attempt starts                                 writing
+//	reserved           startWrite: the attempt was canceled                           idle
+//	writing            finishWrite: the attempt is completely written                 awaiting response
+//	writing            takeAnsweredAttempt: a response, the connection is reusable    responded early
+//	writing            takeAnsweredAttempt: a response, the connection ends           reserved
+//	writing            Abandon, a failed write, the connection's end                  closed while writing
+//	responded early    finishWrite: the attempt is completely written                 idle
+//	awaiting response  takeAnsweredAttempt: a response, the connection is reusable    idle
+//	awaiting response  takeAnsweredAttempt: a response, the connection ends           reserved
+//	awaiting response  Abandon                                                        abandoned
+//	abandoned          the reader: a response, the connection's end, a timeout        closed
+//	idle               Pool.takeIdle                                                  reserved
+//	idle               too long idle, bytes without an attempt, endpoint removed      closed
 //
-// An attempt that its connection carries is reported once: by its writer while the connection is writing or
-// closed in write, otherwise by the reader.
+// The result of an attempt that the connection carries is reported once: by its writer while the connection is
+// writing or closed while writing, otherwise by the reader.
 type conn struct {
 	pool     *Pool
 	endpoint *endpoint
 	socket   *sock.Conn
-	// readEnded is closed when the reader has ended.
-	readEnded chan struct{}
+	// readerDone is closed when the reader goroutine has ended.
+	readerDone chan struct{}
 
 	// The Pool's lock guards these fields.
-	state      connState
-	attempt    *dispatch.Attempt // carried by the connection, and not reported yet
-	lastUsed   time.Time         // when it last became idle, even if its attempt was canceled and nothing was sent
-	idleBefore time.Duration     // how long the connection was idle before the attempt, or noIdleTime
+	state        connState
+	attempt      *dispatch.Attempt // carried by the connection, and not reported yet
+	lastUsed     time.Time         // when it last became idle, even if its attempt was canceled and not sent
+	idleDuration time.Duration     // how long the connection was idle before its attempt, or noIdleDuration
 
-	// abandoned is set together with stateAbandoned, for the reader, which takes no lock between two pieces of
-	// a response.
+	// abandoned is set together with stateAbandoned. The reader checks it without the lock after each read.
 	abandoned atomic.Bool
 	// discardDeadline is when the whole response to an abandoned attempt must have arrived. It is set before
 	// abandoned.
 	discardDeadline time.Time
 
-	// budgetedBytes is how much of the memory budget the reader's buffer holds. Only the reader uses it.
+	// budgetedBytes is the share of the memory budget that the reader's buffer holds. Only the reader uses it.
 	budgetedBytes int64
 }
 
 var _ dispatch.AttemptConn = (*conn)(nil)
 
-// recordIdle counts, once for an attempt, whether a connection that had been idle before it still worked. The
-// caller holds the Pool's lock.
-func (c *conn) recordIdle(outcome idleOutcome) {
-	if c.idleBefore >= 0 {
-		c.pool.idleStats.record(c.idleBefore, outcome)
-		c.idleBefore = noIdleTime
+// recordIdleOutcome counts, once per attempt, whether the connection still worked after it had been idle. The caller
+// holds the Pool's lock.
+func (c *conn) recordIdleOutcome(outcome idleOutcome) {
+	if c.idleDuration >= 0 {
+		c.pool.idleStats.record(c.idleDuration, outcome)
+		c.idleDuration = noIdleDuration
 	}
 }
 
-// makeIdle puts a connection without an attempt into the idle pool. The caller holds the Pool's lock.
+// makeIdle adds a connection without an attempt to its endpoint's idle connections. The caller holds the Pool's lock.
 func (c *conn) makeIdle() {
 	if c.endpoint.removed {
 		c.close()
@@ -85,14 +84,14 @@
 	c.endpoint.idle = append(c.endpoint.idle, c)
 }
 
-// close ends the connection, removes it from the idle pool and releases its slot. Only the first call has an effect.
-// The caller holds the Pool's lock.
+// close closes the connection, removes it from the idle connections and releases its slot. Only the first call has an
+// effect. The caller holds the Pool's lock.
 func (c *conn) close() {
 	if c.state.isClosed() {
 		return
 	}
 	if c.state == stateWriting {
-		c.state = stateClosedInWrite
+		c.state = stateClosedWhileWriting
 	} else {
 		c.state = stateClosed
 	}
@@ -100,5 +99,5 @@
 	if i := slices.Index(c.endpoint.idle, c); i >= 0 {
 		c.endpoint.idle = slices.Delete(c.endpoint.idle, i, i+1)
 	}
-	_ = c.socket.Close() // there is nobody to report the error to
+	_ = c.socket.Close() // the connection is not used again, so the error has no consequence
 }
--- a/internal/backend/connection_state.go
+++ b/internal/backend/connection_state.go
@@ -2,16 +2,16 @@
 
 import "fmt"
 
-// connState is what a connection is currently used for. The doc comment of conn has the table of transitions.
+// connState is the state of a connection. The doc comment of conn has the table of transitions.
 type connState uint8
 
 const (
-	// stateReserved: one goroutine owns the connection: either it got the connection to write an attempt, or it
-	// is the reader, about to close it.
+	// stateReserved: one goroutine owns the connection. Either that goroutine has acquired the connection to write
+	// an attempt, or it is the reader, about to close the connection.
 	stateReserved connState = iota
-	// stateIdle: the connection is in its endpoint's idle pool.
+	// stateIdle: the connection is one of its endpoint's idle connections.
 	stateIdle
-	// stateWriting: an attempt is being written. Only its writer knows how much was written, and the writer
+	// stateWriting: an attempt is being written. Only the writer can tell how much was written, so the writer
 	// reports the result.
 	stateWriting
 	// stateAwaitingResponse: the attempt is completely written. The reader reports the result.
@@ -19,12 +19,11 @@
 	// stateRespondedEarly: the response arrived before the writer was done. The connection becomes idle when the
 	// writer is done.
 	stateRespondedEarly
-	// stateAbandoned: the attempt was given up. The reader discards whatever arrives of its response, then closes
-	// the connection.
+	// stateAbandoned: the attempt was abandoned. The reader discards the response, then closes the connection.
 	stateAbandoned
-	// stateClosedInWrite: the connection was closed while an attempt was being written. The writer still reports
+	// stateClosedWhileWriting: the connection was closed while an attempt was being written. The writer still reports
 	// the result. This state is final.
-	stateClosedInWrite
+	stateClosedWhileWriting
 	// stateClosed: the connection has ended. This state is final.
 	stateClosed
 )
@@ -43,18 +42,18 @@
 		return "responded early"
 	case stateAbandoned:
 		return "abandoned"
-	case stateClosedInWrite:
-		return "closed in write"
+	case stateClosedWhileWriting:
+		return "closed while writing"
 	case stateClosed:
 		return "closed"
 	}
 	return fmt.Sprintf("connState(%d)", uint8(s))
 }
 
-// isClosed reports whether the connection has ended.
-func (s connState) isClosed() bool { return s == stateClosedInWrite || s == stateClosed }
+// isClosed reports whether the connection is closed.
+func (s connState) isClosed() bool { return s == stateClosedWhileWriting || s == stateClosed }
 
-// afterResponse says what becomes of a connection after a response.
+// afterResponse says whether a connection can be reused after a response.
 type afterResponse uint8
 
 const (
--- a/internal/backend/connection_test.go
+++ b/internal/backend/connection_test.go
@@ -12,16 +12,16 @@
 	"fawnplank/policy"
 )
 
-// Failure: an answer that never ends, a few bytes at a time, kept its connection open for good once its
-// attempt was given up.
-func TestConn_AnswerWithoutEndIsLeft(t *testing.T) {
+// TestConn_ClosesAfterEndlessAbandonedResponse guards against a leaked connection: an endless response that arrived a
+// few bytes at a time kept its connection open forever after the attempt was abandoned.
+func TestConn_ClosesAfterEndlessAbandonedResponse(t *testing.T) {
 	p := newPool()
-	address, conns := listen(t, "")
+	address, conns := startBackend(t, "")
 	p.SetAddress(1, address)
 	c := idleConn(t, p, 1)
 	remote := <-conns
 	p.mu.Lock()
-	c.discardDeadline = time.Now() // it is over
+	c.discardDeadline = time.Now() // the deadline has passed
 	c.abandoned.Store(true)
 	p.mu.Unlock()
 	if _, err := remote.Write([]byte("*1\r\n$1000\r\n")); err != nil {
@@ -29,16 +29,17 @@
 	}
 	deadline := time.Now().Add(time.Second)
 	for ; !stateOf(p, c).isClosed(); time.Sleep(10 * time.Millisecond) {
-		_, _ = remote.Write([]byte("x")) // it fails once the connection is left, which is what is waited for
+		_, _ = remote.Write([]byte("x")) // fails once the connection is closed, which the loop waits for
 		if time.Now().After(deadline) {
-			t.Fatal("still read")
+			t.Fatal("the connection is still open after its discard deadline")
 		}
 	}
 }
 
-// Failure: an attempt whose connection was at hand when its backend moved to another address, or was
-// forgotten, was sent to the old one, where another backend may listen by now.
-func TestConn_AttemptDoesNotGoWhereItsBackendWas(t *testing.T) {
+// TestConn_AttemptIsNotSentToFormerAddress guards against an attempt to the wrong backend: an attempt that had acquired
+// its connection before its backend moved to another address or was removed was still sent to the old address, where
+// another backend may listen.
+func TestConn_AttemptIsNotSentToFormerAddress(t *testing.T) {
 	for name, change := range map[string]func(p *Pool){
 		"moved":   func(p *Pool) { p.SetAddress(1, "127.0.0.1:1") },
 		"removed": func(p *Pool) { p.RemoveBackend(1) },
@@ -50,36 +51,36 @@
 				IdleTimeout:    10 * time.Second,
 				Metrics:        metrics.New([]string{"lookup"}),
 			})
-			address, conns := listen(t, "")
+			address, conns := startBackend(t, "")
 			p.SetAddress(1, address)
 			idleConn(t, p, 1)
 			remote := <-conns
-			request := submit(t)
+			request := submitRequest(t)
 			step := request.NextStep()
 			c, _, err := p.acquire(1)
 			if step.Action != dispatch.Send || c == nil || err != nil {
-				t.Fatalf("%+v, %v, %v", step, c, err)
+				t.Fatalf("acquired before the change: step %+v, connection %v, error %v", step, c, err)
 			}
 			change(p)
 			c.write(step.Attempt, [][]byte{[]byte(ping)})
-			if last := request.NextStep(); last.Action != dispatch.Reject { // never sent
-				t.Errorf("%+v", last)
+			if finalStep := request.NextStep(); finalStep.Action != dispatch.Reject { // the attempt was not sent
+				t.Errorf("%+v", finalStep)
 			}
 			if err := remote.SetReadDeadline(time.Now().Add(time.Second)); err != nil {
 				t.Fatal(err)
 			}
 			if n, err := remote.Read(make([]byte, 10)); n > 0 || !errors.Is(err, io.EOF) {
-				t.Errorf("the backend reads %d bytes, %v", n, err)
+				t.Errorf("the backend read %d bytes, error %v; want end of file", n, err)
 			}
 		})
 	}
 }
 
-// submit gives a dispatcher of its own a request for the one backend, 1, which may be attempted once.
-func submit(t *testing.T) *dispatch.Request {
+// submitRequest submits a request with at most one attempt to a new dispatcher whose only backend is 1.
+func submitRequest(t *testing.T) *dispatch.Request {
 	t.Helper()
-	d := dispatch.New()
-	d.Start(dispatch.Config{Seed: 9, Settings: policy.Settings{
+	dispatcher := dispatch.New()
+	dispatcher.Start(dispatch.Config{Seed: 9, Settings: policy.Settings{
 		Instances:        1,
 		MaxAttempts:      1,
 		SlowStartShare:   1,
@@ -88,16 +89,17 @@
 		Plans:            []policy.PlanSettings{{}},
 		Classes:          []policy.ClassSettings{{LatencyObjective: 1e9, Deadline: 1e9}},
 	}})
-	t.Cleanup(d.Stop)
-	d.UpdateEndpoints(policy.FullSnapshot, []policy.Endpoint{{Backend: 1, State: policy.EndpointReady}})
-	return d.Submit(dispatch.RequestSpec{Tenant: 1, Remaining: time.Second, Units: 1, EntryPoints: 1})
+	t.Cleanup(dispatcher.Stop)
+	dispatcher.UpdateEndpoints(policy.FullSnapshot, []policy.Endpoint{{Backend: 1, State: policy.EndpointReady}})
+	return dispatcher.Submit(dispatch.RequestSpec{Tenant: 1, Remaining: time.Second, Units: 1, EntryPoints: 1})
 }
 
-// An attempt that is given up ends the sending on its connection at once: until then it counts as in flight,
-// and where no hedged attempts are allowed the next one would be one.
-func TestConn_AbandonEndsTheSending(t *testing.T) {
+// TestConn_AbandonClosesSendingSide checks that abandoning an attempt closes the sending side of its connection
+// immediately. Until then the attempt counts as in flight, so that the next attempt would be a hedged one, which the
+// settings may not allow.
+func TestConn_AbandonClosesSendingSide(t *testing.T) {
 	p := newPool()
-	address, conns := listen(t, "")
+	address, conns := startBackend(t, "")
 	p.SetAddress(1, address)
 	c := idleConn(t, p, 1)
 	attempt := &dispatch.Attempt{}
@@ -106,78 +108,78 @@
 	c.state = stateAwaitingResponse
 	p.mu.Unlock()
 	if c.Abandon(attempt) {
-		t.Error("its end is still to be reported")
+		t.Error("Abandon returned true although the attempt was completely written")
 	}
 	remote := <-conns
-	// A third of what the reader waits for the rest of an answer.
+	// The timeout is a third of abandonedReadTimeout, after which the reader would close the connection anyway.
 	if err := remote.SetReadDeadline(time.Now().Add(time.Second)); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := remote.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
-		t.Errorf("the backend reads %v", err)
+		t.Errorf("read by the backend ended with %v, want end of file", err)
 	}
 }
 
-// Failure: noise behind a good answer was taken for the answer to the next attempt on the connection; its
-// reader may have read it already.
-func TestConn_BytesBehindAnAnswerEndTheConnection(t *testing.T) {
+// TestConn_BytesAfterResponseCloseConnection guards against a wrong response: stray bytes after a valid response, which
+// the reader may already have read, were taken for the response to the next attempt on the connection.
+func TestConn_BytesAfterResponseCloseConnection(t *testing.T) {
 	p := newPool()
-	address, conns := listen(t, "")
+	address, conns := startBackend(t, "")
 	p.SetAddress(1, address)
 	c := idleConn(t, p, 1)
 	if _, err := (<-conns).Write([]byte("*1\r\n$3\r\nold\r\n")); err != nil {
 		t.Fatal(err)
 	}
-	p.mu.Lock() // its reader cannot get at the pool's state meanwhile
+	p.mu.Lock() // while the lock is held, the reader cannot access the connection's state
 	for c.socket.IsConsumed() {
 		time.Sleep(time.Millisecond)
 	}
-	time.Sleep(20 * time.Millisecond) // now it has them in hand
+	time.Sleep(20 * time.Millisecond) // by now the reader has read the bytes
 	p.mu.Unlock()
-	again, _, err := p.acquire(1)
-	if again != nil || err != nil || !stateOf(p, c).isClosed() {
-		t.Errorf("%v, %v, %v", again, err, stateOf(p, c))
+	reacquired, _, err := p.acquire(1)
+	if reacquired != nil || err != nil || !stateOf(p, c).isClosed() {
+		t.Errorf("acquired %v, error %v, state %v; want a closed connection", reacquired, err, stateOf(p, c))
 	}
 }
 
-// Failure: an answer that came before its attempt's writer was done had the next attempt written among the
-// first one's last steps.
-func TestConn_IdleOnceItsWriterIsDone(t *testing.T) {
+// TestConn_BecomesIdleAfterWriterFinishes guards against concurrent writes: after a response that arrived before the
+// writer of its attempt was done, the connection became idle at once, and the next attempt was written to it meanwhile.
+func TestConn_BecomesIdleAfterWriterFinishes(t *testing.T) {
 	p := newPool()
-	address, _ := listen(t, "")
+	address, _ := startBackend(t, "")
 	p.SetAddress(1, address)
 	c := idleConn(t, p, 1)
 	if got, _, _ := p.acquire(1); got != c {
-		t.Fatal("not idle")
+		t.Fatal("the new connection is not idle")
 	}
 	attempt := &dispatch.Attempt{}
 	p.mu.Lock()
 	c.attempt = attempt
 	c.state = stateWriting
 	p.mu.Unlock()
-	if c.endAttempt(connectionReusable) != attempt {
-		t.Error("another attempt was answered")
+	if c.takeAnsweredAttempt(connectionReusable) != attempt {
+		t.Error("the response did not end the attempt that was being written")
 	}
 	if got, _, _ := p.acquire(1); got != nil {
-		t.Error("acquired while it is written to")
+		t.Error("the connection was acquired while it was written to")
 	}
-	if err := c.endWrite(attempt, dispatch.Written, nil); err != nil {
-		t.Errorf("an answered attempt fails: %v", err)
+	if err := c.finishWrite(attempt, dispatch.Written, nil); err != nil {
+		t.Errorf("finishWrite of an answered attempt: %v", err)
 	}
 	setLastUsed(p, c, time.Now().Add(-minIdle))
 	if got, _, _ := p.acquire(1); got != c {
-		t.Error("not idle after the writer is done")
+		t.Error("the connection is not idle after its writer has finished")
 	}
 }
 
-// What large answers hold is bounded over all connections, and given back; a reader for which no memory is
-// left waits for it, and gets it once another gives it back.
-func TestConn_LargeAnswersAreBoundedTogether(t *testing.T) {
+// TestConn_LargeResponsesShareMemoryBudget checks that the memory budget bounds the buffers of large responses of all
+// connections together. A reader that finds no memory in the budget waits until another one releases some.
+func TestConn_LargeResponsesShareMemoryBudget(t *testing.T) {
 	const maxBytes = 8 << 20
 	p := New(Options{MaxConnections: 100, Budget: membudget.New(maxBytes)})
-	const start = "*3\r\n$1000000\r\n"
-	head := append([]byte(start), make([]byte, plainBufferBytes-len(start))...)
-	size := len(start) + 1000000 + maxLineBytes // the head of the answer, its value, and a line
+	const prefix = "*3\r\n$1000000\r\n"
+	head := append([]byte(prefix), make([]byte, defaultBufferBytes-len(prefix))...)
+	size := len(prefix) + 1000000 + maxLineBytes // the response's first lines, its value, and one more line
 	var holders []*conn
 	for len(holders) < maxBytes/(size-maxUnbudgetedBytes) {
 		c := &conn{pool: p}
@@ -185,63 +187,62 @@
 		if len(buffer) == len(head) {
 			break
 		}
-		if len(buffer) < 1000000 || string(buffer[:len(start)]) != start {
-			t.Fatalf("%d bytes, %q", len(buffer), buffer[:len(start)])
+		if len(buffer) < 1000000 || string(buffer[:len(prefix)]) != prefix {
+			t.Fatalf("buffer of %d bytes that begins with %q", len(buffer), buffer[:len(prefix)])
 		}
 		holders = append(holders, c)
 	}
-	waiting := make(chan int)
-	go func() { waiting <- len((&conn{pool: p}).growBuffer(head)) }()
+	waiterBufferSize := make(chan int)
+	go func() { waiterBufferSize <- len((&conn{pool: p}).growBuffer(head)) }()
 	select {
-	case n := <-waiting:
-		t.Fatalf("a large answer beyond the budget got %d bytes", n)
+	case n := <-waiterBufferSize:
+		t.Fatalf("a large response beyond the budget got a buffer of %d bytes", n)
 	case <-time.After(100 * time.Millisecond):
 	}
 	holders[0].releaseBudget()
-	if n := <-waiting; n < 1000000 {
-		t.Errorf("memory given back is not acquired: %d bytes", n)
+	if n := <-waiterBufferSize; n < 1000000 {
+		t.Errorf("buffer of %d bytes after memory was released, want more than 1000000", n)
 	}
-	if c := (&conn{pool: p}); len(c.growBuffer(make([]byte, plainBufferBytes))) != 2*plainBufferBytes {
-		t.Error("no memory for a plain answer")
+	if c := (&conn{pool: p}); len(c.growBuffer(make([]byte, defaultBufferBytes))) != 2*defaultBufferBytes {
+		t.Error("no memory for a response within maxUnbudgetedBytes")
 	}
 	for _, c := range holders[1:] {
 		c.releaseBudget()
 	}
 	if _, ok := p.budget.Acquire(int64(maxBytes-(size-maxUnbudgetedBytes)), time.Now()); !ok {
-		t.Error("memory is still reserved")
+		t.Error("the memory of released buffers is still reserved")
 	}
 }
 
-// TestConn_AbandonedWriteIsNoLostConnection guards against idle connections that are given up for no reason: an
-// attempt that this instance abandoned while it was written counted as one whose connection had been lost while it
-// was idle.
-func TestConn_AbandonedWriteIsNoLostConnection(t *testing.T) {
-	for abandons, want := range map[bool]float64{true: 0, false: 1} {
+// TestConn_AbandonedWriteIsNotCountedAsLost guards against needless closing of idle connections: an attempt that this
+// instance abandoned while it was being written counted as evidence of a connection lost while idle.
+func TestConn_AbandonedWriteIsNotCountedAsLost(t *testing.T) {
+	for isAbandoned, want := range map[bool]float64{true: 0, false: 1} {
 		p := newPool()
-		address, _ := listen(t, "")
+		address, _ := startBackend(t, "")
 		p.SetAddress(1, address)
 		idleConn(t, p, 1)
 		c, _, err := p.acquire(1)
 		if c == nil || err != nil {
-			t.Fatalf("no idle connection: %v", err)
+			t.Fatalf("no idle connection, error %v", err)
 		}
 		attempt := &dispatch.Attempt{}
 		p.mu.Lock()
 		c.attempt = attempt
 		c.state = stateWriting
 		p.mu.Unlock()
-		if abandons && !c.Abandon(attempt) {
-			t.Error("its writer does not report")
+		if isAbandoned && !c.Abandon(attempt) {
+			t.Error("Abandon returned false while the attempt was being written")
 		}
-		if err := c.endWrite(attempt, dispatch.Writing, io.ErrShortWrite); err == nil {
-			t.Error("nothing is reported")
+		if err := c.finishWrite(attempt, dispatch.Writing, io.ErrShortWrite); err == nil {
+			t.Error("finishWrite returned no error for an incomplete write")
 		}
 		failures := 0.0
 		for _, bucket := range p.idleStats.buckets {
 			failures += bucket.failures
 		}
 		if failures != want {
-			t.Errorf("abandoned %t: %v connections count as lost, want %v", abandons, failures, want)
+			t.Errorf("abandoned %t: %v connections counted as lost, want %v", isAbandoned, failures, want)
 		}
 	}
 }
--- a/internal/backend/dial.go
+++ b/internal/backend/dial.go
@@ -29,18 +29,18 @@
 		return nil, err
 	}
 	c := &conn{
-		pool:       p,
-		endpoint:   target,
-		socket:     socket,
-		idleBefore: noIdleTime,
-		readEnded:  make(chan struct{}),
+		pool:         p,
+		endpoint:     target,
+		socket:       socket,
+		idleDuration: noIdleDuration,
+		readerDone:   make(chan struct{}),
 	}
 	go c.read()
 	return c, nil
 }
 
-// connect opens a connection to one of an endpoint's addresses. It guards against an address that does not answer,
-// by connectTimeout, and against a dial that outlasts the pool: Close cancels it and waits for it.
+// connect opens a connection to one of an endpoint's addresses. connectTimeout bounds a dial to an address that does
+// not answer. No dial outlasts the pool: Close cancels it and waits for it.
 func (p *Pool) connect(target *endpoint) (*sock.Conn, error) {
 	if !p.addRunning() {
 		return nil, net.ErrClosed
@@ -64,10 +64,11 @@
 	return target.addresses
 }
 
-// moveToFront makes the address that accepted a connection the first one to try. order is what was tried.
+// moveToFront makes the address that accepted a connection the first one to try. order lists the addresses in the
+// order in which they were tried, and accepted is the index of that address.
 func (p *Pool) moveToFront(target *endpoint, order []netip.AddrPort, accepted int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	// Use a new slice, since another dial may be iterating over the old one.
+	// This creates a new slice, since another dial may be iterating over the old one.
 	target.addresses = slices.Concat(order[accepted:accepted+1], order[:accepted], order[accepted+1:])
 }
--- a/internal/backend/endpoints.go
+++ b/internal/backend/endpoints.go
@@ -9,68 +9,69 @@
 	"fawnplank/policy"
 )
 
-// errNoAddress: discovery has not given the backend an address, or the backend is gone.
-var errNoAddress = errors.New("no address known")
+// errNoAddress means that discovery has not announced an address of the backend, or that the backend is gone.
+var errNoAddress = errors.New("the backend has no known address")
 
-// endpoint is where one backend listens, with its idle connections. A backend that moves gets a new endpoint.
+// endpoint holds the addresses of one backend and the idle connections to it. A backend whose addresses change gets a
+// new endpoint.
 type endpoint struct {
-	// key tells an endpoint from the one before it. For a backend with one address it is that address, and it is what
-	// is dialed. For a backend with several it is all of them as one text, which no dial accepts: the addresses are
-	// dialed instead.
+	// key shows whether a backend's addresses have changed. For a backend with one address, the key is that address,
+	// and it is dialed. For a backend with several addresses, the key is a text with all of them, which cannot be
+	// dialed: addresses is used instead.
 	key string
-	// addresses lists the addresses of a backend that has several, in the order to try them. The address that
-	// last accepted a connection comes first, so that an address that hangs costs its part of the connect
-	// timeout only once and not for each connection.
+	// addresses lists the addresses of a backend that has several, in the order in which they are tried. The address
+	// that last accepted a connection comes first, so that an address that does not answer uses its part of the
+	// connect timeout only once and not for each connection.
 	addresses []netip.AddrPort
-	idle      []*conn // the most recently used is last
-	removed   bool    // its backend has moved or is gone
+	idle      []*conn // the most recently used connection is last
+	removed   bool    // the backend has other addresses now, or is gone
 }
 
-// SetAddress sets the address where a backend listens. Idle connections to another address are closed.
+// SetAddress sets the only address of a backend. Idle connections to other addresses are closed.
 func (p *Pool) SetAddress(backend policy.BackendID, address string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.replace(backend, &endpoint{key: address})
+	p.replaceEndpoint(backend, &endpoint{key: address})
 }
 
-// SetAddresses sets the addresses of a backend that listens at several. It remains one backend: a connection
-// goes to the first address that accepts it. Idle connections to other addresses are closed.
+// SetAddresses sets the addresses of a backend that listens at several. They are still one backend: each connection
+// is made to the first address that accepts it. If the addresses change, the backend's idle connections are closed.
 func (p *Pool) SetAddresses(backend policy.BackendID, addresses []netip.AddrPort) {
-	order := dialer.Order(addresses, dialer.Reachable) // looks up the host's routes: not with the lock held
+	order := dialer.Order(addresses, dialer.Reachable) // this looks up the host's routes, so the lock is not held yet
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.replace(backend, &endpoint{key: fmt.Sprint(addresses), addresses: order})
+	p.replaceEndpoint(backend, &endpoint{key: fmt.Sprint(addresses), addresses: order})
 }
 
-// RemoveBackend removes a backend that is gone. Attempts already sent to it continue.
+// RemoveBackend removes a backend that is gone and closes its idle connections. Attempts already sent to it continue.
 func (p *Pool) RemoveBackend(backend policy.BackendID) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.remove(backend)
+	p.removeEndpoint(backend)
 }
 
-// replace replaces a backend's endpoint, unless the old one has the same key or the pool is closed. The
+// replaceEndpoint replaces a backend's endpoint, unless the old one has the same key or the pool is closed. The
 // caller holds the lock.
-func (p *Pool) replace(backend policy.BackendID, replacement *endpoint) {
+func (p *Pool) replaceEndpoint(backend policy.BackendID, replacement *endpoint) {
 	if p.closed {
 		return
 	}
 	if old := p.endpoints[backend]; old != nil && old.key == replacement.key {
 		return
 	}
-	p.remove(backend)
+	p.removeEndpoint(backend)
 	p.endpoints[backend] = replacement
 }
 
-// remove deletes a backend's endpoint and closes its idle connections. The caller holds the lock.
-func (p *Pool) remove(backend policy.BackendID) {
-	e := p.endpoints[backend]
-	if e == nil {
+// removeEndpoint deletes a backend's endpoint and closes its idle connections. The caller holds the lock.
+func (p *Pool) removeEndpoint(backend policy.BackendID) {
+	old := p.endpoints[backend]
+	if old == nil {
 		return
 	}
-	e.removed = true
-	for len(e.idle) > 0 {
-		e.idle[0].close()
+	old.removed = true
+	for len(old.idle) > 0 {
+		old.idle[0].close()
 	}
 	delete(p.endpoints, backend)
 }
--- a/internal/backend/health_check.go
+++ b/internal/backend/health_check.go
@@ -14,13 +14,12 @@
 const (
 	// ping is the entire request of a health check. A healthy backend answers it with a status line.
 	ping = "*1\r\n$4\r\nPING\r\n"
-	// pongBufferBytes is how much of the answer is read: only its first byte matters.
+	// pongBufferBytes is how much of the answer is read at most. Only the first byte is checked.
 	pongBufferBytes = 64
 )
 
-// CheckHealth checks whether a backend answers, and passes the outcome to Options.HandleHealthCheck. It does
-// not block. The whole check takes no longer than a connection may take to be established. Close ends it
-// without an outcome.
+// CheckHealth starts a health check of a backend, whose outcome is passed to Options.HandleHealthCheck. It does not
+// block. Options.ConnectTimeout bounds the whole check. Close cancels it, and then it has no outcome.
 func (p *Pool) CheckHealth(backend policy.BackendID) {
 	if !p.addRunning() {
 		return
@@ -35,8 +34,8 @@
 	}()
 }
 
-// checkHealth runs one check on its own connection, which counts as one of the Pool's: no descriptors are set
-// aside for health checks.
+// checkHealth runs one check on its own connection, which counts towards MaxConnections, since no descriptors are
+// reserved for health checks.
 func (p *Pool) checkHealth(backend policy.BackendID) error {
 	target, err := p.takeSlotForCheck(backend)
 	if err != nil {
@@ -56,13 +55,13 @@
 	return exchangePing(conn)
 }
 
-// limitExchange ends the exchange on a health check's connection at the deadline, or at once when the pool is
-// closed. It guards against a backend that accepts connections and answers nothing, which would hold the check,
-// its descriptor and Close. The caller calls stop when the exchange is over.
+// limitExchange ends the exchange on a health check's connection at the deadline, or immediately when the pool is
+// closed. It guards against a backend that accepts connections and does not answer, which would keep the check and
+// its descriptor in use and block Close. The caller calls stop when the exchange is over.
 func (p *Pool) limitExchange(conn net.Conn, deadline time.Time) (stop func() bool) {
 	_ = conn.SetDeadline(deadline) // fails only on a closed connection, which the write reports
 	return context.AfterFunc(p.ctx, func() {
-		_ = conn.SetDeadline(time.Now()) // it fails if the exchange has ended
+		_ = conn.SetDeadline(time.Now()) // fails only if the exchange has ended
 	})
 }
 
@@ -91,7 +90,7 @@
 	return e, p.takeSlot()
 }
 
-// exchangePing sends the ping and checks the first bytes of the answer.
+// exchangePing sends the ping and checks the first byte of the answer.
 func exchangePing(conn net.Conn) error {
 	if _, err := conn.Write([]byte(ping)); err != nil {
 		return &dispatch.NetworkError{Progress: dispatch.Writing, Err: err}
--- a/internal/backend/health_check_test.go
+++ b/internal/backend/health_check_test.go
@@ -10,7 +10,7 @@
 	"fawnplank/policy"
 )
 
-// newHealthCheckPool returns a pool that passes on the outcome of each health check.
+// newHealthCheckPool returns a pool and a channel that receives the outcome of each health check.
 func newHealthCheckPool(maxConnections int, connectTimeout time.Duration) (p *Pool, outcome chan error) {
 	outcome = make(chan error, 10)
 	p = New(Options{
@@ -25,7 +25,7 @@
 func TestPool_CheckHealth(t *testing.T) {
 	p, outcome := newHealthCheckPool(10, 200*time.Millisecond)
 	for answer, isHealthy := range map[string]bool{"+PONG\r\n": true, "-ERR busy\r\n": false, "": false} {
-		address, _ := listen(t, answer)
+		address, _ := startBackend(t, answer)
 		p.SetAddress(1, address)
 		p.CheckHealth(1)
 		if err := <-outcome; (err == nil) != isHealthy {
@@ -35,56 +35,56 @@
 	p.RemoveBackend(1)
 	p.CheckHealth(1)
 	if err := <-outcome; err == nil {
-		t.Error("a health check without an address")
+		t.Error("a health check of a backend without an address succeeded")
 	}
 }
 
-// Health checks use descriptors of the pool, not of the few that the process has set aside: as many as there
-// are backends may be under way.
-func TestPool_HealthChecksCountAmongConnections(t *testing.T) {
+// TestPool_HealthChecksCountAsConnections checks that health checks count towards MaxConnections. There may be as many
+// at once as there are backends, which exceeds the few descriptors that the process reserves.
+func TestPool_HealthChecksCountAsConnections(t *testing.T) {
 	p, outcome := newHealthCheckPool(2, 300*time.Millisecond)
-	address, conns := listen(t, "")
-	for b := policy.BackendID(1); b <= 3; b++ {
-		p.SetAddress(b, address)
+	address, conns := startBackend(t, "")
+	for backend := policy.BackendID(1); backend <= 3; backend++ {
+		p.SetAddress(backend, address)
 	}
-	for b := policy.BackendID(1); b <= 2; b++ {
-		p.CheckHealth(b)
+	for backend := policy.BackendID(1); backend <= 2; backend++ {
+		p.CheckHealth(backend)
 		<-conns
 	}
 	p.CheckHealth(3)
 	if err := <-outcome; !errors.Is(err, errConnectionLimit) {
-		t.Errorf("a third health check of two: %v", err)
+		t.Errorf("health check beyond MaxConnections: %v, want errConnectionLimit", err)
 	}
 	if _, _, err := p.acquire(1); !errors.Is(err, errConnectionLimit) {
-		t.Errorf("a connection beside them: %v", err)
+		t.Errorf("connection beyond MaxConnections: %v, want errConnectionLimit", err)
 	}
 	for range 2 {
 		if err := <-outcome; err == nil {
-			t.Error("a backend that does not answer is healthy")
+			t.Error("a backend that does not answer passed its health check")
 		}
 	}
 	for range 2 {
 		if _, _, err := p.acquire(1); err != nil {
-			t.Errorf("after them: %v", err)
+			t.Errorf("connection after the health checks: %v", err)
 		}
 	}
 }
 
-// TestPool_CheckHealthOfSeveralAddresses guards against a backend that gets nothing for good once it is ejected:
-// the check of a backend with several addresses dialed all of them as one text, and always failed.
-func TestPool_CheckHealthOfSeveralAddresses(t *testing.T) {
+// TestPool_CheckHealthWithSeveralAddresses guards against an ejection that never ends: the health check of a backend
+// with several addresses dialed all of them as one text and therefore always failed.
+func TestPool_CheckHealthWithSeveralAddresses(t *testing.T) {
 	p, outcome := newHealthCheckPool(10, 500*time.Millisecond)
-	healthy, _ := listen(t, "+PONG\r\n")
+	healthy, _ := startBackend(t, "+PONG\r\n")
 	refusing := testutil.FreeAddress(t)
 	p.SetAddresses(1, []netip.AddrPort{netip.MustParseAddrPort(refusing), netip.MustParseAddrPort(healthy)})
 	p.CheckHealth(1)
 	if err := <-outcome; err != nil {
-		t.Errorf("one of two addresses answers: %v", err)
+		t.Errorf("health check with one of two addresses answering: %v", err)
 	}
-	refusingToo := testutil.FreeAddress(t)
-	p.SetAddresses(1, []netip.AddrPort{netip.MustParseAddrPort(refusing), netip.MustParseAddrPort(refusingToo)})
+	otherRefusing := testutil.FreeAddress(t)
+	p.SetAddresses(1, []netip.AddrPort{netip.MustParseAddrPort(refusing), netip.MustParseAddrPort(otherRefusing)})
 	p.CheckHealth(1)
 	if err := <-outcome; err == nil {
-		t.Error("no address answers")
+		t.Error("health check succeeded although no address answers")
 	}
 }
--- a/internal/backend/idle_pool.go
+++ b/internal/backend/idle_pool.go
@@ -8,16 +8,16 @@
 	"fawnplank/policy"
 )
 
-// minIdle is how long a connection must be idle before it is used again. According to the operators, a second
-// response to one attempt may arrive some milliseconds late; the next attempt on that connection would take it
-// for its own response.
+// minIdle is how long a connection must be idle before it is used again. According to the operators, a backend may
+// send a second response to an attempt some milliseconds after the first. If the connection were in use again, that
+// response would be taken for the response to the next attempt.
 const minIdle = 10 * time.Millisecond
 
-// errConnectionLimit: MaxConnections are open or being opened, and none is idle.
-var errConnectionLimit = errors.New("connection limit of this gateway reached, none idle")
+// errConnectionLimit means that MaxConnections connections are open or being opened, and none is idle.
+var errConnectionLimit = errors.New("connection limit of this gateway reached and no connection is idle")
 
-// acquire returns an idle connection of a backend. If the connection is nil, the caller must dial the
-// returned endpoint; the slot of the new connection is already taken.
+// acquire returns an idle connection to a backend. If the connection is nil and there is no error, the caller must
+// dial the returned endpoint; the slot of the new connection is already taken.
 func (p *Pool) acquire(backend policy.BackendID) (*conn, *endpoint, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -31,8 +31,8 @@
 	return nil, target, p.takeSlot()
 }
 
-// takeIdle returns the most recently used of an endpoint's usable idle connections, or nil. It closes those
-// that will never be usable again. The caller holds the lock.
+// takeIdle returns the most recently used of an endpoint's usable idle connections, or nil. It closes the connections
+// that it finds to be no longer usable. The caller holds the lock.
 func (p *Pool) takeIdle(target *endpoint) *conn {
 	now := time.Now()
 	p.closeLongIdle(target, now)
@@ -53,28 +53,28 @@
 		}
 		target.idle = slices.Delete(target.idle, i, i+1)
 		c.state = stateReserved
-		c.idleBefore = idleFor
+		c.idleDuration = idleFor
 		return c
 	}
 	return nil
 }
 
 // closeLongIdle closes the connections of an endpoint that have been idle for longer than maxIdle. It guards
-// against an attempt on a connection that its backend closes at that moment. The caller holds the lock.
+// against sending an attempt on a connection that its backend is closing. The caller holds the lock.
 func (p *Pool) closeLongIdle(target *endpoint, now time.Time) {
 	for len(target.idle) > 0 && now.Sub(target.idle[0].lastUsed) > p.maxIdle {
 		target.idle[0].close()
 	}
 }
 
-// isIntact reports whether nothing has arrived on an idle connection. It guards against an attempt that would
-// run into something that the reader has not handled yet, such as stray bytes or the connection's end.
+// isIntact reports whether nothing has arrived on an idle connection. It guards against sending an attempt on a
+// connection with something that the reader has not handled yet, such as stray bytes or the connection's end.
 func (c *conn) isIntact() bool { return c.socket.IsConsumed() }
 
-// takeSlot counts a connection that is about to be opened, or returns errConnectionLimit. It guards against opening
-// more connections than the process has descriptors for: at the maximum, it closes the connection that has been idle
-// longest, of whichever backend, and gives up if none is idle. Once a conn is dialed, its close gives the slot back;
-// otherwise the caller does, with releaseSlot. The caller holds the lock.
+// takeSlot counts a connection that is about to be opened, or returns errConnectionLimit. The limit keeps the process
+// from opening more connections than it has descriptors for. At the limit, takeSlot closes the connection that has
+// been idle longest, to whichever backend, and fails if none is idle. Once a conn is dialed, its close releases the
+// slot; otherwise the caller calls releaseSlot. The caller holds the lock.
 func (p *Pool) takeSlot() error {
 	if p.connections >= p.maxConnections {
 		oldest := p.longestIdle()
@@ -87,8 +87,8 @@
 	return nil
 }
 
-// longestIdle returns the connection that has been idle longest, any of them on a tie, or nil if none is
-// idle. The caller holds the lock.
+// longestIdle returns the connection that has been idle longest, or nil if none is idle. On a tie, it returns any of
+// the connections concerned. The caller holds the lock.
 func (p *Pool) longestIdle() *conn {
 	var oldest *conn
 	for _, e := range p.endpoints {
@@ -99,7 +99,7 @@
 	return oldest
 }
 
-// releaseSlot gives back the slot of a connection that no conn stands for: a dial that failed, or a health check.
+// releaseSlot releases a slot that belongs to no conn: that of a failed dial or of a health check.
 func (p *Pool) releaseSlot() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/backend/idle_stats.go
+++ b/internal/backend/idle_stats.go
@@ -9,21 +9,21 @@
 	// idleBuckets is the number of buckets of idle time, with boundaries at 1, 2, 4 ... ms. The last bucket
 	// begins at 70 minutes, far beyond any idle timeout.
 	idleBuckets = 24
-	// idleStatsHalfLife is the time after which all counts are halved, so that a bucket of idle times that is
-	// avoided is eventually tried again.
+	// idleStatsHalfLife is the time after which all counts are halved, so that connections with a stale idle time are
+	// eventually used again.
 	idleStatsHalfLife = 10 * time.Second
-	// minIdleFailures is how many failures a bucket must have to be stale. Fewer prove nothing, since a few
-	// broken connections of any age are normal.
+	// minIdleFailures is the minimum number of failures in a stale bucket. Fewer are no evidence, since a few broken
+	// connections are normal at any idle time.
 	minIdleFailures = 2
-	// staleRatio is the inverse of the share of failures above which a bucket is stale: one in staleRatio.
+	// staleRatio is the inverse of the share of failures above which a bucket is stale: more than one in staleRatio.
 	staleRatio = 5
 )
 
-// idleStats counts how attempts ended on connections that had been idle before, by idle time. Backends, or
-// whatever lies between, drop idle connections long before the configured timeout, some of them silently: the
-// next attempt then gets a reset, and may have run. The pool finds the shortest idle time after which more
-// than a fifth of the attempts end this way. For connections idle that long or longer, it opens new
-// connections instead, at the cost of some that would still have worked. The Pool's lock guards it.
+// idleStats counts, by idle time, how attempts ended on connections that had been idle. Backends and network devices
+// on the way may drop idle connections long before the configured timeout, and some do so silently: the next attempt
+// then gets a reset, and may have run. idleStats finds the shortest idle time for which more than a fifth of the
+// attempts end this way. Instead of connections that have been idle that long or longer, the pool uses new ones,
+// although some of the old ones would still have worked. The Pool's lock guards idleStats.
 type idleStats struct {
 	buckets  [idleBuckets]idleBucket
 	halvedAt time.Time
@@ -33,7 +33,7 @@
 // when they are halved.
 type idleBucket struct {
 	attempts float64
-	failures float64 // attempts whose connection ended without an answer
+	failures float64 // attempts whose connection ended without a response
 }
 
 // bucketOf returns the index of the bucket of an idle time.
@@ -42,12 +42,12 @@
 	return min(bits.Len64(milliseconds), idleBuckets-1)
 }
 
-// idleOutcome says whether a connection that had been idle still worked.
+// idleOutcome says whether a connection still worked after it had been idle.
 type idleOutcome uint8
 
 const (
-	idleAlive idleOutcome = iota // at least one byte of an answer arrived
-	idleLost                     // the connection ended without one
+	idleAlive idleOutcome = iota // at least one byte of a response arrived
+	idleLost                     // the connection ended without a response
 )
 
 func (o idleOutcome) String() string {
@@ -73,8 +73,8 @@
 	}
 }
 
-// isStale reports whether an attempt should not be sent on a connection that has been idle for the given
-// time.
+// isStale reports whether connections that have been idle for the given time should not be used: their bucket or one
+// of a shorter idle time has too large a share of failures.
 func (s *idleStats) isStale(idle time.Duration) bool {
 	for _, bucket := range s.buckets[:bucketOf(idle)+1] {
 		if bucket.failures >= minIdleFailures && bucket.failures*staleRatio > bucket.attempts {
--- a/internal/backend/pool.go
+++ b/internal/backend/pool.go
@@ -25,12 +25,13 @@
 	// be above 0: with 0, a connection to a backend with a single address has no bound, and every other
 	// connection and every health check fails.
 	ConnectTimeout time.Duration
-	// IdleTimeout is the time after which backends close an idle connection. The pool closes it after half that
-	// time, so that no attempt uses a connection that is being closed. If it is 0, no connection is reused.
+	// IdleTimeout is the time after which backends close an idle connection. The pool closes idle connections after
+	// half that time, so that no attempt uses a connection that is being closed. If it is 0, no connection is
+	// reused.
 	IdleTimeout time.Duration
-	// Budget bounds the memory for large responses over all connections. Nil means no bound.
+	// Budget bounds the memory for large responses of all connections together. Nil means no bound.
 	Budget *membudget.Budget
-	// Metrics counts the attempts that were written completely. Nil counts none.
+	// Metrics counts the attempts that were written completely. If it is nil, they are not counted.
 	Metrics *metrics.Registry
 	// HandleHealthCheck is called with the outcome of each health check, on the goroutine of that check. It may
 	// be nil only if CheckHealth is never called.
@@ -53,7 +54,7 @@
 	endpoints   map[policy.BackendID]*endpoint
 	connections int // open or being opened, including those of health checks
 	idleStats   idleStats
-	closed      bool // no backend has an address any more, and nothing is dialed
+	closed      bool // set by Close: no backend has an address any more, and nothing is dialed
 }
 
 // New returns a pool without connections.
@@ -72,22 +73,21 @@
 	}
 }
 
-// Close forgets all backends, cancels dials and health checks, and closes idle connections. It returns when
-// their goroutines have ended. From then on no backend gets an address, so no attempt is sent and no health
-// check is made; a health check that is canceled has no outcome. Close does not wait for any backend. It must
-// not be called with a lock held that Attempt.Report or Options.HandleHealthCheck takes.
+// Close removes all backends, cancels dials and health checks, and closes idle connections. It returns when the
+// goroutines of these have ended. From then on no backend has an address, so no attempt is sent and no health check
+// is made; a canceled health check has no outcome. Close does not wait for any backend. It must not be called with a
+// lock held that Attempt.Report or Options.HandleHealthCheck takes.
 //
-// Attempts already sent continue, and their connections end with them. Close does not wait for these, and the
-// process that ends next would lose their responses, so it is called after every client has been answered.
+// Attempts already sent continue, and their connections end with them. Close does not wait for these, and if the
+// process then ends, their responses are lost. Close is therefore called after every client has been answered.
 func (p *Pool) Close() {
 	for _, idle := range p.stop() {
-		<-idle.readEnded
+		<-idle.readerDone
 	}
 	p.running.Wait()
 }
 
-// stop forgets all backends and cancels dials and health checks. It returns the connections that were idle,
-// which it closes.
+// stop removes all backends, cancels dials and health checks, and closes the idle connections, which it returns.
 func (p *Pool) stop() []*conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -96,13 +96,13 @@
 	var idle []*conn
 	for backend, e := range p.endpoints {
 		idle = append(idle, e.idle...)
-		p.remove(backend)
+		p.removeEndpoint(backend)
 	}
 	return idle
 }
 
-// addRunning adds a dial or a health check to running, for which Close waits, and reports whether it did: a
-// closed pool begins none.
+// addRunning adds a dial or a health check to the running ones, for which Close waits, and reports whether it did so.
+// In a closed pool no dial or health check may start.
 func (p *Pool) addRunning() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -114,7 +114,7 @@
 }
 
 // Send sends an attempt. command holds the parts of its command, which must not change until the attempt has
-// ended. Send does not wait for a connection or a response; the result is reported with Attempt.Report.
+// ended. Send waits neither for a connection nor for a response; the result is reported with Attempt.Report.
 func (p *Pool) Send(attempt *dispatch.Attempt, command [][]byte) {
 	c, target, err := p.acquire(attempt.Backend)
 	if err != nil {
@@ -128,8 +128,7 @@
 	c.write(attempt, command)
 }
 
-// recoverPanic is deferred by every goroutine of the package, so that a panic in one does not end the
-// process.
+// recoverPanic logs a panic. Every goroutine of the package defers it, so that a panic does not end the process.
 func recoverPanic() {
 	if cause := recover(); cause != nil {
 		logging.Panicked(logComponent, cause, debug.Stack())
--- a/internal/backend/response_parser.go
+++ b/internal/backend/response_parser.go
@@ -10,20 +10,20 @@
 )
 
 const (
-	// maxLineBytes bounds a line: an error with its load report. It is several times what the fields named in the
-	// settings take.
+	// maxLineBytes bounds a line, such as an error with its load report. It is several times the size of the fields
+	// that the settings name.
 	maxLineBytes = 1 << 10
-	// maxParts bounds the number of parts of a response: value, usage and load report, and some spare.
+	// maxParts bounds the number of parts of a response: value, usage, load report, and room for further parts.
 	maxParts = 8
-	// maxResponseBytes bounds a response: a value of the largest size, with its usage and load report.
+	// maxResponseBytes bounds a response: a value of the maximum size, with its usage and load report.
 	maxResponseBytes = resp.MaxValue + 4<<10
-	// maxUnits is the exclusive upper bound on the units of a usage report; larger numbers are treated as noise.
+	// maxUnits is the exclusive upper bound on the units of a usage report; larger numbers are ignored as invalid.
 	maxUnits = 1e9
 	// float64Bits is the bitSize of strconv.ParseFloat for a float64.
 	float64Bits = 64
 )
 
-// The parts of a response that are used, by their index. The others are skipped.
+// The indices of the parts of a response that are used. The other parts are skipped.
 const (
 	valuePart = 0
 	usagePart = 1
@@ -33,13 +33,13 @@
 type response struct {
 	size  int     // in bytes; 0 while incomplete
 	value []byte  // as received, including its length line; it aliases the parsed buffer
-	units float64 // what the request actually cost, as the usage says; 0: not stated
+	units float64 // the actual cost of the request according to the usage; 0: not stated
 }
 
-// parseResponse parses what has been received of a response. It checks each length before the bytes that the
-// length counts. A size of 0 without an error means that more bytes are needed; a size of 0 with an error
-// means that the received bytes can never become a response. Any other size with an error is a complete
-// response that stands for that error. received must not be empty.
+// parseResponse parses the bytes received so far of a response. It checks each length before the bytes that the
+// length counts. A size of 0 without an error means that more bytes are needed; a size of 0 with an error means that
+// the received bytes cannot be the beginning of a valid response. Any other size with an error means a complete
+// response that represents that error. received must not be empty.
 func parseResponse(received []byte) (response, error) {
 	if received[0] == '-' {
 		return parseErrorLine(received)
@@ -65,7 +65,7 @@
 		case valuePart:
 			r.value = received[offset : offset+p.size]
 		case usagePart:
-			r.units = usedUnits(p.payload)
+			r.units = parseActualUnits(p.payload)
 		}
 		offset += p.size
 	}
@@ -73,8 +73,8 @@
 	return r, nil
 }
 
-// parseErrorLine parses a response that begins like an error: BUSY proves that nothing ran, ERR does not, and
-// any other word is not a valid response.
+// parseErrorLine parses a response that begins like an error. The word BUSY proves that the request did not run, the
+// word ERR does not, and any other word is invalid.
 func parseErrorLine(received []byte) (response, error) {
 	line, ok := resp.ParseLine(received, maxLineBytes)
 	if !ok {
@@ -99,8 +99,8 @@
 	payload []byte // of a bulk string; nil if it is null or not a bulk string
 }
 
-// parsePart parses the part of the given index, which is at the beginning of received. A value must be a bulk
-// string; usage and load report may also be null, or of another type, which is skipped.
+// parsePart parses the part with the given index, which is at the beginning of received. The value must be a bulk
+// string; the usage and the load report may also be null, or of another type, which is skipped.
 func parsePart(received []byte, index int) (part, error) {
 	isValue := index == valuePart
 	if !isValue && received[0] != '$' {
@@ -113,7 +113,7 @@
 	return part{size: bulk.Size, payload: bulk.Payload}, nil // the size is 0 while the bulk string is incomplete
 }
 
-// parseSkippedPart parses a part that is a line of another type than a bulk string.
+// parseSkippedPart parses a part that is a single line and not a bulk string. Its content is not used.
 func parseSkippedPart(received []byte) (part, error) {
 	line, ok := resp.ParseLine(received, maxLineBytes)
 	if !ok || strings.IndexByte("+-:", received[0]) < 0 {
@@ -122,9 +122,9 @@
 	return part{size: line.Size}, nil // the size is 0 while the line is incomplete
 }
 
-// usedUnits returns the actual units from the usage, which consists of names and values like a load report.
-// It returns 0 if the usage does not contain them.
-func usedUnits(usage []byte) float64 {
+// parseActualUnits returns the actual units from the usage, which consists of name=value pairs as in a load report.
+// It returns 0 if the usage does not state them.
+func parseActualUnits(usage []byte) float64 {
 	for len(usage) > 0 {
 		var pair []byte
 		pair, usage, _ = bytes.Cut(usage, []byte(","))
--- a/internal/backend/response_parser_test.go
+++ b/internal/backend/response_parser_test.go
@@ -13,7 +13,7 @@
 	"fawnplank/internal/resp"
 )
 
-func TestParseResponse_WholeAndCutShort(t *testing.T) {
+func TestParseResponse_CompleteAndTruncated(t *testing.T) {
 	largest := "$" + strconv.Itoa(resp.MaxValue) + "\r\n" + strings.Repeat("v", resp.MaxValue) + "\r\n"
 	for text, want := range map[string]struct {
 		value string
@@ -33,21 +33,21 @@
 		"-ERR failed inflight=7\r\n":                          {err: dispatch.ErrBackendFailed},
 	} {
 		r, err := parseResponse([]byte(text))
-		same := string(r.value) == want.value && r.units == want.units && errors.Is(err, want.err)
-		if r.size != len(text) || !same {
-			t.Errorf("%.50q: %d, %.50q, %v, %v", text, r.size, r.value, r.units, err)
+		matches := string(r.value) == want.value && r.units == want.units && errors.Is(err, want.err)
+		if r.size != len(text) || !matches {
+			t.Errorf("%.50q: size %d, value %.50q, units %v, error %v", text, r.size, r.value, r.units, err)
 		}
-		for n := 1; n < len(text); n += 1 + n/100 { // cut short it is not yet anything
+		for n := 1; n < len(text); n += 1 + n/100 { // a truncated response is incomplete, not an error
 			if r, err := parseResponse([]byte(text[:n])); r.size != 0 || err != nil {
-				t.Errorf("%.50q: %d, %v", text[:n], r.size, err)
+				t.Errorf("truncated to %.50q: size %d, error %v", text[:n], r.size, err)
 			}
 		}
 	}
 }
 
-// Failure: what could never become a response was waited for until the attempt timed out; a length below zero
-// ended the reader.
-func TestParseResponse_MalformedIsSeenAtOnce(t *testing.T) {
+// TestParseResponse_MalformedIsDetectedImmediately guards against two faults: the reader waited for the rest of bytes
+// that cannot become a response until the attempt timed out, and a negative length ended the reader.
+func TestParseResponse_MalformedIsDetectedImmediately(t *testing.T) {
 	for _, text := range []string{"*3\r\n$-1\r\n", "*0\r\n", "*-1\r\n", "*-7\r\n", "*3\r\n$-5\r\n",
 		"*9999999999999999999\r\n", "*1000000\r\n", "*3\r\n$3221225472\r\nxxxx",
 		"*3\r\n$" + strconv.Itoa(resp.MaxValue+1) + "\r\n",
@@ -57,11 +57,11 @@
 		"-" + strings.Repeat("E", 2000), "-BUSYBODY\r\n", "-\r\n", "-SYNTAX\r\n", "$2\r\nok\r\n",
 		"+OK\r\n", ":1\r\n", "HTTP/1.1 200 OK\r\n", "\x00", "\r\n"} {
 		if r, err := parseResponse([]byte(text)); r.size != 0 || !errors.Is(err, dispatch.ErrBackendFailed) {
-			t.Errorf("%.40q: %d, %v", text, r.size, err)
+			t.Errorf("%.40q: size %d, error %v; want ErrBackendFailed", text, r.size, err)
 		}
 	}
-	// A good response with one byte changed: never a panic, never a wrong value.
-	survives := func(seed int64) bool {
+	// A valid response with one byte changed causes neither a panic nor a value without its line end.
+	property := func(seed int64) bool {
 		random := rand.New(rand.NewSource(seed))
 		text := []byte("*3\r\n$5\r\nvalue\r\n$7\r\nused=12\r\n$5\r\nqps=4\r\n")
 		text[random.Intn(len(text))] = byte(random.Intn(256))
@@ -69,7 +69,7 @@
 		return r.size == 0 || err == nil && r.size <= len(text) && bytes.HasSuffix(r.value, []byte("\r\n"))
 	}
 	config := &quick.Config{MaxCount: 20000, Rand: rand.New(rand.NewSource(3))}
-	if err := quick.Check(survives, config); err != nil {
+	if err := quick.Check(property, config); err != nil {
 		t.Error(err)
 	}
 }
--- a/internal/backend/response_reader.go
+++ b/internal/backend/response_reader.go
@@ -4,35 +4,36 @@
 
 // read is the reader goroutine: it reads responses until the connection ends.
 func (c *conn) read() {
-	defer close(c.readEnded)
+	defer close(c.readerDone)
 	defer recoverPanic()
-	defer c.endRead()
-	received := make([]byte, 0, plainBufferBytes)
+	defer c.finishRead()
+	received := make([]byte, 0, defaultBufferBytes)
 	for {
 		count, err := c.socket.Read(received[len(received):cap(received)])
 		received = received[:len(received)+count]
 		if err != nil {
-			c.handleEnd(readProgress(received), err)
+			c.handleConnectionEnd(readProgress(received), err)
 			return
 		}
 		if c.abandoned.Load() {
-			c.awaitNextPiece()
+			c.extendReadDeadline()
 		}
-		var readsOn bool
-		if received, readsOn = c.handleReceived(received); !readsOn {
+		var continueReading bool
+		if received, continueReading = c.handleReceived(received); !continueReading {
 			return
 		}
 	}
 }
 
-// handleReceived handles what has been received of a response. received is a prefix of its buffer; the rest, up to
-// cap, is free. next is the same for the buffer to read on into. readsOn is false if the connection is to end.
-func (c *conn) handleReceived(received []byte) (next []byte, readsOn bool) {
+// handleReceived handles the bytes received so far of a response. received is a prefix of its buffer; the rest, up to
+// cap, is free. next is the same for the buffer to continue with. continueReading is false if the connection must
+// be closed.
+func (c *conn) handleReceived(received []byte) (next []byte, continueReading bool) {
 	r, err := parseResponse(received)
 	if r.size > 0 {
 		return c.handleComplete(received, r, err)
 	}
-	if err != nil { // the connection cannot be used any more
+	if err != nil { // the response is malformed, and no further response can be found in the stream
 		c.handleResponse(response{}, err, connectionEnds)
 		return nil, false
 	}
@@ -41,17 +42,17 @@
 	}
 	grown := c.growBuffer(received)
 	if len(grown) == len(received) {
-		c.handleResponse(response{}, unreadableError(received), connectionEnds)
+		c.handleResponse(response{}, incompleteResponseError(received), connectionEnds)
 		return nil, false
 	}
 	return grown[:len(received)], true
 }
 
-// handleComplete handles a complete response at the beginning of what was received. err is what the response stands
-// for. The results are those of handleReceived.
-func (c *conn) handleComplete(received []byte, r response, err error) (next []byte, readsOn bool) {
+// handleComplete handles a complete response at the beginning of the received bytes. err is the error that the
+// response represents, or nil. The results are those of handleReceived.
+func (c *conn) handleComplete(received []byte, r response, err error) (next []byte, continueReading bool) {
 	after := connectionReusable
-	if r.size < len(received) { // bytes behind the response belong to no attempt: only the response is valid
+	if r.size < len(received) { // the bytes after the response belong to no attempt; the response itself is valid
 		after = connectionEnds
 	}
 	next, r.value = c.detachValue(received[:cap(received)], r.value)
@@ -59,17 +60,18 @@
 	return next[:0], hadAttempt && after == connectionReusable
 }
 
-// endRead releases what the reader held, and ends the connection, which nobody reads any more.
-func (c *conn) endRead() {
+// finishRead releases the reader's memory and closes the connection, since no other goroutine reads it.
+func (c *conn) finishRead() {
 	c.releaseBudget()
 	c.pool.mu.Lock()
 	defer c.pool.mu.Unlock()
 	c.close()
 }
 
-// handleResponse ends the attempt with its response. It returns whether there was an attempt for the response.
+// handleResponse reports the response as the result of the connection's attempt. It returns false if the connection
+// carries no attempt.
 func (c *conn) handleResponse(r response, err error, after afterResponse) bool {
-	attempt := c.endAttempt(after)
+	attempt := c.takeAnsweredAttempt(after)
 	if attempt == nil {
 		return false
 	}
@@ -77,19 +79,19 @@
 	return true
 }
 
-// endAttempt removes the answered attempt from the connection, and makes the connection idle if it is
-// reusable.
-func (c *conn) endAttempt(after afterResponse) *dispatch.Attempt {
+// takeAnsweredAttempt removes the answered attempt from the connection and returns it, or nil if there is none. It
+// makes the connection idle if the connection is reusable and the attempt is completely written.
+func (c *conn) takeAnsweredAttempt(after afterResponse) *dispatch.Attempt {
 	c.pool.mu.Lock()
 	defer c.pool.mu.Unlock()
 	attempt := c.attempt
 	c.attempt = nil
-	c.recordIdle(idleAlive)
+	c.recordIdleOutcome(idleAlive)
 	if attempt == nil || c.state.isClosed() {
 		return attempt
 	}
 	wasWriting := c.state == stateWriting
-	c.state = stateReserved // by its reader, which closes it
+	c.state = stateReserved // reserved by the reader, which closes the connection
 	if after == connectionEnds {
 		return attempt
 	}
@@ -102,7 +104,7 @@
 	return attempt
 }
 
-// readProgress returns how far an attempt has come of whose response these bytes have been received.
+// readProgress returns the stage that an attempt has reached if these bytes of its response have been received.
 func readProgress(received []byte) dispatch.Progress {
 	if len(received) > 0 {
 		return dispatch.Answering
@@ -110,31 +112,31 @@
 	return dispatch.Written
 }
 
-// handleEnd reports that the connection has ended. If an attempt is still being written, its writer reports
-// it.
-func (c *conn) handleEnd(progress dispatch.Progress, err error) {
-	attempt := c.closeAndTake(progress)
+// handleConnectionEnd handles the end of the connection and reports it as the result of the attempt. If the attempt
+// is still being written, its writer reports the result instead.
+func (c *conn) handleConnectionEnd(progress dispatch.Progress, err error) {
+	attempt := c.closeAndTakeAttempt(progress)
 	if attempt == nil {
 		return
 	}
 	attempt.Report(nil, 0, &dispatch.NetworkError{Progress: progress, Err: err})
 }
 
-// closeAndTake closes the connection. It removes and returns the attempt that the reader has to report, or
-// nil if there is none.
-func (c *conn) closeAndTake(progress dispatch.Progress) *dispatch.Attempt {
+// closeAndTakeAttempt closes the connection. It removes and returns the attempt whose result the reader must report,
+// or returns nil if there is none.
+func (c *conn) closeAndTakeAttempt(progress dispatch.Progress) *dispatch.Attempt {
 	c.pool.mu.Lock()
 	defer c.pool.mu.Unlock()
 	c.close()
-	if c.state == stateClosedInWrite || c.attempt == nil {
+	if c.state == stateClosedWhileWriting || c.attempt == nil {
 		return nil
 	}
 	attempt := c.attempt
 	c.attempt = nil
 	if progress == dispatch.Answering {
-		c.recordIdle(idleAlive)
+		c.recordIdleOutcome(idleAlive)
 	} else {
-		c.recordIdle(idleLost)
+		c.recordIdleOutcome(idleLost)
 	}
 	return attempt
 }
--- a/internal/backend/shortage.go
+++ b/internal/backend/shortage.go
@@ -10,8 +10,9 @@
 	"fawnplank/internal/logging"
 )
 
-// localErrors are the errors of a connect that show a shortage of this instance, whatever the backend does.
-var localErrors = []error{
+// localShortageErrors are the errors of a dial that show that this instance lacks a resource or a route. They are no
+// evidence against the backend.
+var localShortageErrors = []error{
 	errConnectionLimit,
 	syscall.EMFILE,
 	syscall.ENFILE,
@@ -21,29 +22,29 @@
 	syscall.ENETUNREACH,
 }
 
-// connectError returns the error to report for a connection that was not opened: dispatch.ErrLocalFailure for a
-// shortage of this instance, and otherwise that the backend cannot be reached.
+// connectError returns the error to report for a connection that could not be opened: dispatch.ErrLocalFailure for a
+// local shortage, and otherwise a NetworkError, which means that the backend cannot be reached.
 func connectError(err error) error {
-	if isLocal(err) {
+	if isLocalShortage(err) {
 		return fmt.Errorf("%w: %w", dispatch.ErrLocalFailure, err)
 	}
 	return &dispatch.NetworkError{Progress: dispatch.Dialing, Err: err}
 }
 
-// isLocal reports whether an error shows a shortage of this instance. Of a backend with several addresses each has
-// to have failed so.
-func isLocal(err error) bool {
+// isLocalShortage reports whether an error shows a shortage of this instance. For a backend with several addresses,
+// whose errors are joined, the dials to all addresses must have failed this way.
+func isLocalShortage(err error) bool {
 	if joined, ok := err.(interface{ Unwrap() []error }); ok {
-		return !slices.ContainsFunc(joined.Unwrap(), func(err error) bool { return !isLocal(err) })
+		return !slices.ContainsFunc(joined.Unwrap(), func(err error) bool { return !isLocalShortage(err) })
 	}
-	return slices.ContainsFunc(localErrors, func(local error) bool { return errors.Is(err, local) })
+	return slices.ContainsFunc(localShortageErrors, func(local error) bool { return errors.Is(err, local) })
 }
 
-// unreadableError returns the error to report for a response that cannot be read on, of which that much is
-// received. One that is too large is the backend's failure. One for which no memory came free in time is a shortage
-// of this instance: the backend may have run the request, so it ends as one without an answer, which is not held
-// against the backend.
-func unreadableError(received []byte) error {
+// incompleteResponseError returns the error to report for a response whose reading must stop after the received
+// bytes. A response that is too large is a failure of the backend. If no memory became available in time, the cause
+// is a shortage of this instance. The backend may have run the request, so the attempt ends with
+// dispatch.ErrTimeout, which is not held against the backend.
+func incompleteResponseError(received []byte) error {
 	if len(received) >= maxResponseBytes {
 		return dispatch.ErrBackendFailed
 	}
--- a/internal/backend/shortage_test.go
+++ b/internal/backend/shortage_test.go
@@ -12,9 +12,9 @@
 	"fawnplank/policy"
 )
 
-// TestPool_ShortageIsNoFailureOfABackend guards against ejections of healthy backends: that this instance had no
-// connection left, or could not connect for a reason of its own, was reported as a backend that cannot be reached.
-func TestPool_ShortageIsNoFailureOfABackend(t *testing.T) {
+// TestConnectError_LocalShortageIsNotBackendFailure guards against the ejection of healthy backends: a failure for lack
+// of a connection or for another local reason was reported as a backend that cannot be reached.
+func TestConnectError_LocalShortageIsNotBackendFailure(t *testing.T) {
 	dialError := func(err error) error {
 		return &net.OpError{Op: "dial", Net: "tcp", Err: os.NewSyscallError("connect", err)}
 	}
@@ -36,38 +36,40 @@
 		net.ErrClosed:                   false,
 	} {
 		if got := errors.Is(connectError(err), dispatch.ErrLocalFailure); got != isShortage {
-			t.Errorf("%v: a shortage of this instance: %t, want %t", err, got, isShortage)
+			t.Errorf("%v: reported as a local failure: %t, want %t", err, got, isShortage)
 		}
 	}
 }
 
-// TestPool_ConnectionLimitEjectsNobody gives a pool without a free connection an attempt and a health check.
-func TestPool_ConnectionLimitEjectsNobody(t *testing.T) {
-	address, _ := listen(t, "")
+// TestPool_ConnectionLimitIsNotBackendFailure checks that an attempt and a health check in a pool without a free
+// connection end as local failures.
+func TestPool_ConnectionLimitIsNotBackendFailure(t *testing.T) {
+	address, _ := startBackend(t, "")
 	outcome := make(chan error, 1)
 	p := New(Options{MaxConnections: 0, ConnectTimeout: 200 * time.Millisecond, IdleTimeout: time.Second,
 		HandleHealthCheck: func(_ policy.BackendID, err error) { outcome <- err }})
 	p.SetAddress(1, address)
 	p.CheckHealth(1)
 	if err := <-outcome; !errors.Is(err, dispatch.ErrLocalFailure) || !errors.Is(err, errConnectionLimit) {
-		t.Errorf("health check: %v", err)
+		t.Errorf("health check: %v, want ErrLocalFailure and errConnectionLimit", err)
 	}
-	request := submit(t)
+	request := submitRequest(t)
 	p.Send(request.NextStep().Attempt, nil)
 	if step := request.NextStep(); step.Action != dispatch.Reject {
 		t.Errorf("%+v", step)
 	}
 }
 
-// TestConn_NoMemoryIsNoFailureOfABackend guards against ejections of healthy backends: a response for which this
-// instance had no memory in time counted as an error of the backend. One that is too large still does.
-func TestConn_NoMemoryIsNoFailureOfABackend(t *testing.T) {
+// TestIncompleteResponseError_LackOfMemoryIsNotBackendFailure guards against the ejection of healthy backends: a
+// response for which this instance had no memory in time counted as an error of the backend. A response that is too
+// large still does.
+func TestIncompleteResponseError_LackOfMemoryIsNotBackendFailure(t *testing.T) {
 	for size, want := range map[int]error{
-		plainBufferBytes:     dispatch.ErrTimeout,
+		defaultBufferBytes:   dispatch.ErrTimeout,
 		maxResponseBytes - 1: dispatch.ErrTimeout,
 		maxResponseBytes:     dispatch.ErrBackendFailed,
 	} {
-		if got := unreadableError(make([]byte, size)); !errors.Is(got, want) {
+		if got := incompleteResponseError(make([]byte, size)); !errors.Is(got, want) {
 			t.Errorf("%d bytes received: %v, want %v", size, got, want)
 		}
 	}
