--- a/policy/internal/circuitbreaker/circuitbreaker.go
+++ b/policy/internal/circuitbreaker/circuitbreaker.go
@@ -1,5 +1,5 @@
-// Package circuitbreaker stops calls to a service that fails. It holds no clock and no threshold: the
-// caller hands in the time, how many failures trip the breaker, and when the next call may be tried. A
+// Package circuitbreaker stops calls to a failing service. It has no clock and no settings of its own: the
+// caller passes the time, the number of failures that opens the breaker, and the time of the next call. A
 // Breaker is not safe for concurrent use.
 package circuitbreaker
 
@@ -9,14 +9,14 @@
 	"fawnplank/internal/monotime"
 )
 
-// State says which calls a breaker lets pass.
+// State is the state of a breaker.
 type State uint8
 
 // The states.
 const (
-	Closed   State = iota // calls pass
-	Open                  // no call passes until the time to retry
-	HalfOpen              // a single call passed, and its answer decides
+	Closed   State = iota // all calls are allowed
+	Open                  // no calls are allowed until the time to retry
+	HalfOpen              // a single call was allowed, and its result decides the next state
 )
 
 func (s State) String() string {
@@ -26,20 +26,20 @@
 	return strconv.Itoa(int(s))
 }
 
-// Breaker is a circuit breaker. Its zero value is closed. Its fields are for reading.
+// Breaker is a circuit breaker. Its zero value is closed. Callers may read its fields, but must not change them.
 type Breaker struct {
 	State State
 	// ConsecutiveFailures is the number of failures since the last success.
 	ConsecutiveFailures int
-	// RetryAt is when an open breaker lets a call pass.
+	// RetryAt is when an open breaker allows a single call.
 	RetryAt monotime.Instant
 }
 
-// IsClosed reports whether all calls pass.
+// IsClosed reports whether all calls are allowed.
 func (b *Breaker) IsClosed() bool { return b.State == Closed }
 
-// TryHalfOpen reports whether an open breaker lets a single call pass now. The caller must then make that
-// call.
+// TryHalfOpen reports whether an open breaker allows a single call now, and if so makes the breaker half-open.
+// The caller must then make that call.
 func (b *Breaker) TryHalfOpen(now monotime.Instant) bool {
 	if b.State != Open || now.Before(b.RetryAt) {
 		return false
@@ -48,14 +48,14 @@
 	return true
 }
 
-// RecordSuccess records a call that succeeded. It closes the breaker.
+// RecordSuccess records a call that succeeded, and closes the breaker.
 func (b *Breaker) RecordSuccess() {
 	b.ConsecutiveFailures = 0
 	b.State = Closed
 }
 
-// RecordFailure records a call that failed. From threshold failures in a row on, the breaker is open until
-// retryAt; below that it is closed.
+// RecordFailure records a call that failed. From threshold consecutive failures on the breaker is open until
+// retryAt; with fewer it is closed.
 func (b *Breaker) RecordFailure(threshold int, retryAt monotime.Instant) {
 	b.ConsecutiveFailures++
 	b.RetryAt = retryAt
--- a/policy/internal/quotawindow/quotawindow.go
+++ b/policy/internal/quotawindow/quotawindow.go
@@ -1,4 +1,5 @@
-// Package quotawindow divides time into fixed windows. All functions are pure and safe for concurrent use.
+// Package quotawindow divides time into windows of a fixed length. All functions are pure and safe for
+// concurrent use.
 package quotawindow
 
 import (
@@ -7,14 +8,14 @@
 	"fawnplank/internal/monotime"
 )
 
-// Window is one of a sequence of windows without gaps.
+// Window is one of a sequence of contiguous windows.
 type Window struct {
 	Start monotime.Instant
-	Index uint64 // the window's number, unique among those of one length and offset
+	Index uint64 // the window's number, unique among windows of the same length and offset
 }
 
-// At returns the window of the given length, above 0, that contains an instant. Windows of different offsets
-// start at different times, so that they do not all roll over at once.
+// At returns the window of the given length that contains an instant. The length has to be above 0. The offset
+// shifts the windows, so that windows with different offsets do not all roll over at the same time.
 func At(now monotime.Instant, length time.Duration, offset uint64) Window {
 	lengthNanos := int64(length)
 	shiftedNanos := now.Nanos() + int64(offset%uint64(length))
--- a/policy/internal/quotawindow/quotawindow_test.go
+++ b/policy/internal/quotawindow/quotawindow_test.go
@@ -6,7 +6,7 @@
 	"fawnplank/internal/monotime"
 )
 
-// at returns the window of ten nanoseconds that contains an instant.
+// at returns the window of ten nanoseconds that contains an instant, given in nanoseconds.
 func at(now int64, offset uint64) Window { return At(monotime.FromNanos(now), 10, offset) }
 
 func TestAt_WindowsAreContiguous(t *testing.T) {
@@ -15,10 +15,10 @@
 		for now := int64(100); now < 200; now++ {
 			window := at(now, offset)
 			if start := window.Start.Nanos(); start > now || now >= start+10 {
-				t.Fatalf("offset %d: %d lies outside of its window %+v", offset, now, window)
+				t.Fatalf("offset %d: instant %d is outside its window %+v", offset, now, window)
 			}
 			if window != previous && (window.Index != previous.Index+1 || window.Start != previous.Start.Add(10)) {
-				t.Fatalf("offset %d: %+v follows %+v", offset, window, previous)
+				t.Fatalf("offset %d: window %+v follows %+v", offset, window, previous)
 			}
 			previous = window
 		}
--- a/policy/plan.go
+++ b/policy/plan.go
@@ -9,25 +9,26 @@
 )
 
 const (
-	// minWindowSeconds keeps plans whose burst refills at once from rolling over all the time.
+	// minWindowSeconds keeps plans whose burst refills almost at once from rolling over continuously.
 	minWindowSeconds = 0.01
-	// maxWindowSeconds keeps a window's count, and the next window's, within maxCountLifetime or close to it.
+	// maxWindowSeconds keeps the lifetime of a window's count, and of the next window's, within maxCountLifetime
+	// or close to it.
 	maxWindowSeconds = 50
-	// attemptWeightQuotas is how many windows' quotas an attempt in flight outweighs in a count, so that the
-	// units counted beside it are not taken for attempts.
+	// attemptWeightQuotas is the least weight of an attempt in flight in a count, in quotas of a window. It
+	// keeps the units in the same count from being read as attempts.
 	attemptWeightQuotas = 64
-	// maxAttemptWeightTotal bounds what a tenant's attempts in flight add to a count, in units; the counter
-	// takes 1e9 at most.
+	// maxAttemptWeightTotal bounds the total weight of a tenant's attempts in flight in a count, in units. The
+	// counter accepts at most 1e9 units.
 	maxAttemptWeightTotal = 1e8
 )
 
-// plan is a row of the table of plans.
+// plan is a row of the plan table.
 type plan struct {
 	PlanSettings
-	window           time.Duration // the time in which the rate fills one burst; 0: the plan has no rate
-	quota            float64       // units a window
-	attemptWeight    float64       // units that an attempt in flight adds to the count; 0: none are counted
-	admittedFraction estimate.Mean // part of a request that the counter lately admitted
+	window           time.Duration // time in which the rate refills one burst; 0: the plan has no rate
+	quota            float64       // units per window
+	attemptWeight    float64       // units that an attempt in flight adds to the count; 0: attempts are not counted
+	admittedFraction estimate.Mean // recent mean of the fraction of a request that the counter admitted
 	abandonment      abandonment
 }
 
@@ -41,9 +42,9 @@
 	return p
 }
 
-// attemptWeight returns what an attempt in flight adds to its tenant's count: a power of two far above any
-// window's units, which stays exact when it is added to them. It returns 0 without a limit, and where the
-// limit's attempts together would exceed maxAttemptWeightTotal.
+// attemptWeight returns the units that an attempt in flight adds to its tenant's count: a power of two far above
+// the units of any window, so that the sum of both is exact. It returns 0 if there is no limit, or if the
+// attempts of the limit together would exceed maxAttemptWeightTotal.
 //
 // Inputs: the window's quota in units, the limit in attempts. Result: units.
 func attemptWeight(quota float64, limit int) float64 {
--- a/policy/tenant.go
+++ b/policy/tenant.go
@@ -8,28 +8,30 @@
 	"fawnplank/policy/internal/tokenbucket"
 )
 
-// tenant is what this instance knows about a tenant: its quota, and the limits that the instance enforces
-// alone.
+// tenant is the state that this instance keeps for a tenant: its quota, and the limits that the instance
+// enforces without the counter.
 type tenant struct {
 	id     TenantID
 	plan   *plan
 	window quotaWindow
-	// previousWindow is for the answers to calls that the window before the current one counted.
+	// previousWindow adjusts the answers to calls that were counted in the window before the current one.
 	previousWindow countAdjustment
-	inFlight       int // attempts
-	waiting        int // requests that wait for the counter
+	inFlight       int // attempts in flight from this instance
+	waiting        int // requests that wait for the counter's answer
 
-	unreportedUnits float64 // units for the next call: those admitted without the counter, less those counted and not sent
+	// unreportedUnits are added to the count by the next call: units that were admitted without a call, less
+	// units that were counted and not used.
+	unreportedUnits float64
 	traffic         traffic
-	refillTracked   bool // Request.tracksRefill of the tenant's last request
+	refillTracked   bool // result of Request.tracksRefill for the tenant's last request
 
-	admittedFraction estimate.Mean      // part of a request that the counter lately admitted
-	localUsage       tokenbucket.Usage  // units admitted here, less what the local share has refilled
+	admittedFraction estimate.Mean      // recent mean of the fraction of a request that the counter admitted
+	localUsage       tokenbucket.Usage  // units admitted by this instance, less those that its local share has refilled
 	hardQuotaBucket  tokenbucket.Bucket // this instance's part of the hard quota
 }
 
-// findOrAddTenant returns the request's tenant, brought up to now and to the request: it is added if it is not known
-// yet, its window is rolled over, and a change of plan starts its count anew.
+// findOrAddTenant returns the request's tenant, which is added if this instance has no state for it. It starts
+// the current window if the last one has ended, and resets the count if the tenant's plan has changed.
 func (e *Engine) findOrAddTenant(now Instant, id TenantID, r *Request) *tenant {
 	t := e.tenants[id]
 	if t == nil {
@@ -52,7 +54,8 @@
 	return t
 }
 
-// changePlan starts the tenant's count anew. What does not depend on the plan stays: its usage and its traffic.
+// changePlan sets the tenant's plan and resets its count. The state that does not depend on the plan, local
+// usage and traffic, is kept.
 func (t *tenant) changePlan(p *plan) {
 	t.plan = p
 	t.unreportedUnits = 0
@@ -60,9 +63,9 @@
 	t.window.total = 0
 }
 
-// idleRetention returns how long an unused tenant is remembered: for two windows and for the time that the counter
-// keeps counts, and until its hard quota would be full anyway. The lower bound keeps the checks rare for plans
-// of tiny windows.
+// idleRetention returns how long the state of an idle tenant is kept: for two windows, for the time that the
+// counter keeps a count, and until the hard quota would be full in any case. The lower bound keeps the checks
+// rare for plans with short windows.
 func (t *tenant) idleRetention() time.Duration {
 	retention := max(2*t.plan.window, maxCountLifetime)
 	if t.plan.HardQuotaRate > 0 {
@@ -71,8 +74,8 @@
 	return retention
 }
 
-// scheduleEviction schedules the removal of the tenant: it is dropped once none of its attempts is in flight and, for
-// its idleRetention, no units were admitted or taken from its hard quota.
+// scheduleEviction schedules the removal of the tenant: it is dropped once none of its attempts is in flight
+// and, for its idleRetention, no units were admitted or taken from its hard quota.
 func (e *Engine) scheduleEviction(now Instant, t *tenant) {
 	retention := t.idleRetention()
 	e.schedule(now.Add(retention), nil, func(now Instant) {
--- a/policy/types.go
+++ b/policy/types.go
@@ -10,32 +10,32 @@
 // Instant is a moment on the caller's monotonic clock.
 type Instant = monotime.Instant
 
-// Each kind of id has its own type. Ids can only be compared for equality.
+// Each kind of identifier has its own type. Identifiers are only compared for equality.
 type (
-	// RequestID names a request.
+	// RequestID identifies a request.
 	RequestID uint64
-	// BackendID names a backend.
+	// BackendID identifies a backend.
 	BackendID uint32
-	// TenantID names a tenant.
+	// TenantID identifies a tenant.
 	TenantID uint64
-	// CounterKey names a count on the counter.
+	// CounterKey is the key of a count on the counter.
 	CounterKey uint64
 	// ClassID is an index into Settings.Classes.
 	ClassID uint16
 	// PlanID is an index into Settings.Plans.
 	PlanID uint32
-	// ZoneID names a zone.
+	// ZoneID identifies a zone.
 	ZoneID uint16
-	// GroupID names a group of backends that know each other's idempotency keys.
+	// GroupID identifies a group of backends that recognize each other's idempotency keys.
 	GroupID uint16
-	// AttemptID numbers a request's attempts from 0 in the order in which they were sent.
+	// AttemptID numbers the attempts of a request from 0, in the order in which they were sent.
 	AttemptID uint8
-	// TimerID numbers the wake-ups that the Engine asks for; a new one replaces those before it. 0 is the
-	// periodic one.
+	// TimerID numbers the wake-ups that the Engine requests. 0 is the periodic wake-up; each other wake-up
+	// replaces those before it.
 	TimerID uint64
 )
 
-// Outcome is how an attempt, a health check or a call to the counter ended.
+// Outcome is the result of an attempt, a health check or a call to the counter.
 type Outcome uint8
 
 // The outcomes.
@@ -46,7 +46,7 @@
 	TimedOut               // no answer in time; may have run
 	ConnectFailed          // no connection; did not run
 	ConnectionLost         // the connection broke; may have run
-	Canceled               // canceled by an effect; may have run
+	Canceled               // canceled by Effects.Cancel; may have run
 	NotSent                // never sent
 	LocalFailure           // this instance could not open a connection; did not run
 )
@@ -56,7 +56,7 @@
 		"canceled", "not sent", "local failure")
 }
 
-// mayHaveRun reports whether a backend may have run an attempt that ended like this.
+// mayHaveRun reports whether a backend may have run an attempt that ended with this outcome.
 func (o Outcome) mayHaveRun() bool {
 	switch o {
 	case Rejected, ConnectFailed, NotSent, LocalFailure:
@@ -66,13 +66,13 @@
 	return true
 }
 
-// Idempotency says what running a request twice does.
+// Idempotency states whether a request may be run more than once.
 type Idempotency uint8
 
 // The kinds of idempotency.
 const (
-	Idempotent        Idempotency = iota // may run again
-	IdempotentWithKey                    // backends know repeats by their key, within the dedup scope and window
+	Idempotent        Idempotency = iota // may run more than once
+	IdempotentWithKey                    // backends recognize repeats by their key, within the dedup scope and window
 	NonIdempotent                        // must never run twice
 )
 
@@ -80,7 +80,7 @@
 	return enumName(int(i), "idempotent", "idempotent with key", "non-idempotent")
 }
 
-// DedupScope says which backends know the repeats of a request with an idempotency key.
+// DedupScope selects the backends that recognize the repeats of a request by its idempotency key.
 type DedupScope uint8
 
 // The dedup scopes.
@@ -92,7 +92,7 @@
 
 func (s DedupScope) String() string { return enumName(int(s), "all", "zone", "group") }
 
-// EndpointState is a backend's stage of life.
+// EndpointState is the state of a backend's lifecycle.
 type EndpointState uint8
 
 // The states of an endpoint.
@@ -104,10 +104,10 @@
 
 func (s EndpointState) String() string { return enumName(int(s), "draining", "ready", "gone") }
 
-// UpdateKind says what an update of the endpoint list holds.
+// UpdateKind is the kind of an update of the endpoint list.
 type UpdateKind uint8
 
-// The kinds of update.
+// The kinds of update of the endpoint list.
 const (
 	Delta UpdateKind = iota
 	FullSnapshot
@@ -119,21 +119,21 @@
 	return enumName(int(k), "delta", "full snapshot", "cached snapshot", "update failed")
 }
 
-// FallbackMode says how a class decides while the counter gives no answer.
+// FallbackMode selects how the requests of a class are admitted while the counter does not answer.
 type FallbackMode uint8
 
 // The fallback modes.
 const (
-	LocalShare FallbackMode = iota // by the instance's own share of the quota
-	FailOpen                       // admits everything that the last total does not show to be over the quota
-	FailClosed                     // rejects everything
+	LocalShare FallbackMode = iota // admits up to the instance's own share of the quota
+	FailOpen                       // admits every request that the last total does not show to be over the quota
+	FailClosed                     // rejects every request
 )
 
 func (m FallbackMode) String() string {
 	return enumName(int(m), "local share", "fail open", "fail closed")
 }
 
-// enumName returns the name of a value, or its number where there is no such value.
+// enumName returns the name of an enumeration value, or its number if it has no name.
 func enumName(value int, names ...string) string {
 	if value < len(names) {
 		return names[value]
@@ -141,14 +141,14 @@
 	return strconv.Itoa(value)
 }
 
-// Endpoint is one entry of the list of backends.
+// Endpoint is one entry of the endpoint list.
 type Endpoint struct {
 	Backend   BackendID
 	Zone      ZoneID
 	Group     GroupID
 	Weight    float64 // stated capacity, relative to the others
 	State     EndpointState
-	StartedAt Instant // zero: long ago
+	StartedAt Instant // zero: so long ago that its slow start is over
 }
 
 // RequestSpec describes a request as it arrives.
@@ -159,9 +159,9 @@
 	Tenant TenantID
 	// Remaining is the time until the client gives up.
 	Remaining time.Duration
-	// Units is what the request adds to its tenant's count.
+	// Units is the number of units that the request adds to its tenant's count.
 	Units float64
-	// The tenant's requests come in through EntryPoints instances in a row, from FirstInstance on.
+	// The tenant's requests arrive at EntryPoints consecutive instances, of which FirstInstance is the first.
 	EntryPoints   int
 	FirstInstance int
 }
@@ -172,11 +172,11 @@
 	Backend BackendID
 	// ExpiresAt is when the attempt ends as TimedOut; zero: when the client gives up.
 	ExpiresAt Instant
-	// StartBefore bounds the wait for a connection: from then on the first byte must not be written.
+	// StartBefore bounds the wait for a connection: at this time or later the first byte must not be written.
 	StartBefore Instant
 }
 
-// CounterResult is how the oldest unanswered call for a count ended.
+// CounterResult is the result of the oldest unanswered call for a count.
 type CounterResult struct {
 	Key     CounterKey
 	Outcome Outcome
@@ -184,14 +184,14 @@
 	Total float64
 }
 
-// AttemptResult is how an attempt ended.
+// AttemptResult is the result of an attempt.
 type AttemptResult struct {
 	Attempt AttemptID
 	Outcome Outcome
 	// Elapsed is the time since the attempt was sent.
 	Elapsed time.Duration
-	// RequestDone says that the client has its answer: no other attempt can follow.
+	// RequestDone is true if the client has its answer, so that no other attempt can follow.
 	RequestDone bool
-	// ActualUnits is what the request really counted, if that is known only afterwards; otherwise 0.
+	// ActualUnits is the number of units that the request used, if it is known only afterwards; otherwise 0.
 	ActualUnits float64
 }
