--- a/policy/admission.go
+++ b/policy/admission.go
@@ -1,19 +1,20 @@
 package policy
 
-// quotaDecision is what the check of a request's quota says.
+// quotaDecision is the result of checking a request against its tenant's quota.
 type quotaDecision uint8
 
 const (
-	overQuota       quotaDecision = iota // beyond the quota, as far as is known
+	overQuota       quotaDecision = iota // beyond the quota, as far as the instance can tell
 	withinQuota                          // admitted and charged to the quota
-	awaitingCounter                      // the counter's answer decides
+	awaitingCounter                      // decided by the counter's answer
 )
 
 func (d quotaDecision) String() string {
 	return enumName(int(d), "over quota", "within quota", "awaiting counter")
 }
 
-// Submit starts a request and decides on its admission. It issues the first effects before it returns.
+// Submit starts a request and decides whether it is admitted, or calls the counter for that decision. It issues
+// the first effects before it returns.
 func (e *Engine) Submit(now Instant, spec RequestSpec) *Request {
 	r := newRequest(e, now, spec)
 	if int(spec.Class) >= len(e.classes) || int(spec.Plan) >= len(e.plans) {
@@ -44,14 +45,15 @@
 		r.admit(now)
 		return
 	}
-	if r.lacksCapacity(now) { // counted units would keep the tenant's other requests out
+	if r.lacksCapacity(now) { // units counted for it would have other requests of the tenant rejected
 		r.giveUp(r.retryAfterNoCapacity())
 		return
 	}
 	r.applyQuotaDecision(now, r.checkQuota(now))
 }
 
-// applyQuotaDecision carries out what the check of the quota says, once it is known, with or without the counter.
+// applyQuotaDecision admits the request or handles it as over quota. It does nothing while the counter's answer
+// is awaited.
 func (r *Request) applyQuotaDecision(now Instant, decision quotaDecision) {
 	switch decision {
 	case withinQuota:
@@ -62,7 +64,7 @@
 	}
 }
 
-// admit charges the request to the local usage and forwards it.
+// admit charges the request to the tenant's local usage and forwards it.
 func (r *Request) admit(now Instant) {
 	r.withinQuota = true
 	if r.plan.Rate > 0 {
@@ -72,8 +74,8 @@
 	r.forward(now)
 }
 
-// forward sends an attempt to the best backend, or gives up: the client may find capacity elsewhere. A request
-// of a class that only counts is admitted instead.
+// forward sends an attempt to the best backend. Without one it rejects the request, so that the client may find
+// capacity elsewhere. A request of a check-only class is admitted without an attempt.
 func (r *Request) forward(now Instant) {
 	if r.class.CheckOnly {
 		r.finishCheckOnly()
@@ -85,9 +87,10 @@
 	}
 }
 
-// finishCheckOnly admits a request of a class that only counts. Nothing is sent, and what was counted stays counted.
+// finishCheckOnly admits a request of a check-only class. No attempt is sent, and the counted units stay
+// counted.
 func (r *Request) finishCheckOnly() {
-	r.withinQuota = false // so that finish gives nothing back
+	r.withinQuota = false // so that finish does not give the units back
 	r.hardQuotaUnits = 0
 	r.finish()
 	r.engine.effects.Admit(r.id)
--- a/policy/breaker.go
+++ b/policy/breaker.go
@@ -7,31 +7,32 @@
 )
 
 const (
-	// breakerFailureThreshold is how many failed calls in a row open the breaker.
+	// breakerFailureThreshold is the number of consecutive failed calls that opens the breaker.
 	breakerFailureThreshold = 5
-	// breakerOpenTime is how long the breaker stays open before one call is tried, plus up to breakerMaxJitter,
-	// so that the instances do not all try at once.
+	// breakerOpenTime is how long the breaker stays open before a single call is made, plus a random time of up
+	// to breakerMaxJitter, which keeps the instances from calling at the same time.
 	breakerOpenTime  = time.Second
 	breakerMaxJitter = 250 * time.Millisecond
 
-	// After the breaker has closed again, callShareAfterRecovery of the requests call. Then, and while the counter
-	// is overloaded, each answer adds callShareIncrease to the share, and each failure multiplies it by
-	// callShareDecreaseFactor, down to minCallShare.
+	// When the breaker has closed again, callShareAfterRecovery of the requests call the counter. While fewer
+	// than all requests call it, each answer adds callShareIncrease to the share, and each failure multiplies
+	// the share by callShareDecreaseFactor, down to minCallShare.
 	callShareAfterRecovery  = 0.5
 	callShareIncrease       = 0.02
 	callShareDecreaseFactor = 0.8
 	minCallShare            = 0.05
 )
 
-// counterBreaker decides how many requests call the counter: none while it is open, and fewer while an
-// overloaded counter answers only some calls, which seldom opens the breaker.
+// counterBreaker limits the calls to the counter: it allows none while it is open, and only a share of them
+// while an overloaded counter answers some of the calls, which rarely opens the breaker.
 type counterBreaker struct {
 	circuitbreaker.Breaker
-	callShare float64 // of the requests that call while the breaker is closed
+	callShare float64 // share of the requests that call the counter while the breaker is closed
 }
 
-// claimCounterCall reports whether a call may be made now. If so, the caller must make it for a request, whose
-// call is recorded: an open breaker becomes half-open by it, and the share of requests that call is drawn at random.
+// claimCounterCall reports whether a call may be made now. If so, the caller must make it. The claim turns an
+// open breaker half-open: the call then has to be that of a request, since only the results of such calls are
+// recorded. While the breaker is closed, a call is allowed at random with the probability callShare.
 func (e *Engine) claimCounterCall(now Instant) bool {
 	if !e.breaker.IsClosed() {
 		return e.breaker.TryHalfOpen(now)
@@ -43,12 +44,12 @@
 	return share >= 1 || e.random.Float64() < share
 }
 
-// recordCounterCall updates the breaker and the share of requests that call by how a call ended for its request:
-// a call whose answer took longer than the request waits has failed, whatever comes later. Calls that only
-// correct a count are not recorded. While the breaker is open, a success of an earlier call closes it at once,
-// and a further failure keeps it open for longer.
+// recordCounterCall updates the breaker and the call share from the result of a request's call. A call whose
+// answer arrives after the request's wait has failed, whatever the answer. Calls that only correct a count are
+// not recorded. While the breaker is open, the success of an earlier call closes it immediately, and a further
+// failure prolongs its open time.
 func (e *Engine) recordCounterCall(now Instant, outcome Outcome) {
-	// Drawn for a success too: recorded runs depend on the order of draws.
+	// The random number is drawn for a success too: recorded runs depend on the order of draws.
 	jitter := time.Duration(e.random.Float64() * float64(breakerMaxJitter))
 	if outcome == Succeeded {
 		e.breaker.recordAnswer()
--- a/policy/counter_call.go
+++ b/policy/counter_call.go
@@ -6,13 +6,13 @@
 )
 
 const (
-	// counterWaitPercent is the part of the latency objective that a request waits for the counter at most.
+	// counterWaitPercent bounds the wait for the counter, as a part of the latency objective.
 	counterWaitPercent = 5
-	// counterTimeoutPercent keeps that wait below the counter's own timeout.
+	// counterTimeoutPercent bounds that wait as a part of the counter's own timeout, so that it ends first.
 	counterTimeoutPercent = 80
-	// minCounterWait is the shortest wait, for objectives that leave less.
+	// minCounterWait is the lower bound of the wait, which applies to short latency objectives.
 	minCounterWait = time.Millisecond
-	// maxRequestsPerCall bounds for how many requests one call may count.
+	// maxRequestsPerCall bounds the number of requests for which a single call counts units.
 	maxRequestsPerCall = 5
 )
 
@@ -20,22 +20,22 @@
 type counterCall struct {
 	tenant        *tenant
 	request       *Request // nil: the call only corrects the count
-	windowStart   Instant  // of the window that the count belongs to
-	amount        float64  // units that were added
-	units         float64  // units of the request and of the requests that it stands for
-	corrections   float64  // the window's corrections when the call was made
-	addedAttempts int      // attempts in flight that were added
-	waiting       bool     // the answer decides the request
+	windowStart   Instant  // start of the window that the count belongs to
+	amount        float64  // all units that the call adds, without the weight of attempts
+	units         float64  // units of the request and of the uncounted requests that the call represents
+	corrections   float64  // the window's corrections at the time of the call
+	addedAttempts int      // attempts in flight that the call adds
+	waiting       bool     // the request waits for the answer
 	admitted      bool     // the request was admitted
 }
 
-// pendingCalls are the unanswered calls by their count, in the order in which they were made: the counter
-// answers the calls for a count in that order.
+// pendingCalls are the unanswered calls for each count, oldest first: the counter answers the calls for a count
+// in the order in which they were made.
 type pendingCalls map[CounterKey][]*counterCall
 
 func (p pendingCalls) push(key CounterKey, call *counterCall) { p[key] = append(p[key], call) }
 
-// pop returns the oldest call for a count; nil: there is none.
+// pop removes and returns the oldest call for a count, or returns nil if there is none.
 func (p pendingCalls) pop(key CounterKey) *counterCall {
 	calls := p[key]
 	if len(calls) == 0 {
@@ -47,7 +47,8 @@
 	return calls[0]
 }
 
-// counterWait returns how long a request of a class waits for the counter before it is decided without it.
+// counterWait returns how long a request of a class waits for the counter before it is decided without an
+// answer.
 //
 // Inputs: the class's latency objective, the counter's own timeout.
 func counterWait(objective, counterTimeout time.Duration) time.Duration {
@@ -55,8 +56,8 @@
 	return max(min(wait, percentOf(counterTimeout, counterTimeoutPercent)), minCounterWait)
 }
 
-// callCounter counts the request on the counter, and decides it without the answer if that takes longer than
-// the class's counterWait, or than half of the client's remaining time.
+// callCounter counts the request on the counter. If the answer takes longer than the class's counterWait, or
+// than half of the client's remaining time, the request is decided without it.
 func (r *Request) callCounter(now Instant) {
 	e, t := r.engine, r.tenant
 	r.waitingForCounter = true
@@ -68,18 +69,18 @@
 	e.schedule(now.Add(wait), &call.waiting, func(now Instant) { call.decideWithoutAnswer(now, TimedOut) })
 }
 
-// uncountedPerCall returns for how many requests without a call each call stands: an overloaded counter gets
-// calls for a share of the requests only (breaker.go).
+// uncountedPerCall returns the number of requests without a call that each call represents. Only a share of the
+// requests call an overloaded counter (breaker.go).
 func (e *Engine) uncountedPerCall() float64 {
 	return min(1/e.breaker.callShare, maxRequestsPerCall) - 1
 }
 
-// countedUnits are the units that a call adds to a count: those of the request and of the requests that it
-// stands for, and a correction of the count, which may be negative.
+// countedUnits are the units that a call adds to a count: those charged for the request and for the uncounted
+// requests that the call represents, and a correction of the count, which may be negative.
 type countedUnits struct{ charged, correction float64 }
 
-// addToCount adds units to the tenant's count, and the attempts in flight that the count does not hold yet. r is
-// nil if the call only corrects the count.
+// addToCount adds units to the tenant's count, and the attempts in flight that the count does not include yet. r
+// is nil if the call only corrects the count.
 func (e *Engine) addToCount(now Instant, t *tenant, r *Request, units countedUnits) *counterCall {
 	w := &t.window
 	call := &counterCall{
@@ -99,15 +100,16 @@
 	return call
 }
 
-// reportEndedAttempts counts the end of the tenant's attempts, if the counter may be called. An open breaker is not
-// tried with it, since such a call is not recorded and would leave it half-open.
+// reportEndedAttempts removes ended attempts from the tenant's count, if the counter may be called. It does not
+// call while the breaker is open: the result of such a call is not recorded, so the breaker would remain
+// half-open.
 func (e *Engine) reportEndedAttempts(now Instant, t *tenant) {
 	if t.countHoldsEndedAttempts(now) && e.breaker.IsClosed() && e.claimCounterCall(now) {
 		e.addToCount(now, t, nil, countedUnits{})
 	}
 }
 
-// HandleCounterResult reports the answer to the oldest unanswered call for a count.
+// HandleCounterResult handles the result of the oldest unanswered call for a count.
 func (e *Engine) HandleCounterResult(now Instant, result CounterResult) {
 	call := e.pendingCalls.pop(result.Key)
 	switch {
@@ -119,21 +121,22 @@
 	}
 }
 
-// countTotal is a count's total as an answer gave it.
+// countTotal is the total of a count, split into its parts.
 type countTotal struct {
-	units    float64 // as answered; lost units are added as far as they are known
+	units    float64 // units from the answer, plus the lost units once they are added
 	refilled float64 // units that the rate has refilled since the window's start
 	inFlight float64 // the tenant's attempts in flight at all instances
 }
 
-// handleCounterTotal processes the total of a count. Three things are added to the answer: refill beyond a full
-// bucket, what the last window left used, and units that an emptied counter lost. The answer to a call of an
-// earlier window decides its request with the lost units and the corrections of that window, and is not stored.
+// handleCounterTotal processes the total of a count. Three amounts are added to the answered total: refill
+// beyond a full bucket, units still used at the end of the previous window, and units that the counter has lost.
+// The answer to a call of an earlier window decides its request with the lost units and the corrections of that
+// window, and is not stored.
 func (e *Engine) handleCounterTotal(now Instant, call *counterCall, answeredTotal float64) {
 	t := call.tenant
 	total := t.plan.splitTotal(answeredTotal)
 	adjustment := t.adjustmentOf(call)
-	total.units += adjustment.corrections - call.corrections // added since the call was made
+	total.units += adjustment.corrections - call.corrections // corrections made after the call
 	total.refilled = t.refilled(now, call.windowStart)
 	countsCurrentWindow := call.windowStart == t.window.start
 	updatesWindow := call.request != nil && countsCurrentWindow
@@ -159,8 +162,8 @@
 	}
 }
 
-// decideByTotal decides the call's request by the count's total. Attempts that were admitted without a call
-// are not in the total.
+// decideByTotal decides the call's request by the count's total. Attempts that were admitted without a call are
+// not included in the total.
 func (c *counterCall) decideByTotal(now Instant, total countTotal) {
 	t, units := c.tenant, c.request.units
 	unitsLeft := t.plan.quota + total.refilled - total.units + c.units - units
@@ -170,13 +173,14 @@
 		decision = withinQuota
 	}
 	c.decide(now, Succeeded, decision)
-	if units > 0 { // a request of no units shows no share
+	if units > 0 { // the fraction is undefined for a request of no units
 		t.recordAdmittedFraction(min(max(unitsLeft+units, 0)/units, 1))
 	}
 }
 
-// storeTotal keeps the total of the current window and writes a correction to the counter, if there is one or
-// if attempts have ended that the count still holds. The counter has just answered, so the call is not claimed.
+// storeTotal stores the total of the current window. It sends a correction to the counter if there is one, or if
+// the count includes attempts that have ended. The correction needs no claimCounterCall, because the counter has
+// just answered.
 func (e *Engine) storeTotal(now Instant, t *tenant, total, correction float64) {
 	t.window.total = total
 	t.window.counterTotal = total - t.window.lostUnits
@@ -186,16 +190,16 @@
 	}
 }
 
-// handleCounterFailure processes a call that failed: its request is decided without the counter, and what the
-// call likely did not add is reported again. The failure is recorded first, so that the one that opens the breaker
-// already finds it open.
+// handleCounterFailure processes a call that failed: its request is decided without the counter, and the units
+// that the call probably did not add are reported again. The failure is recorded before likelyAdded is
+// evaluated, so that the breaker is already open for the call whose failure opens it.
 func (e *Engine) handleCounterFailure(now Instant, call *counterCall, outcome Outcome) {
 	t := call.tenant
 	if call.waiting {
 		call.decideWithoutAnswer(now, outcome)
 	}
 	// Attempts are reported again only if the counter has certainly not added them: counted twice, they would use
-	// up the tenant's limit. Units are reported again unless they were likely added.
+	// up the tenant's concurrency limit. Units are reported again unless they were probably added.
 	certainlyNotAdded := outcome == Rejected || outcome == ConnectFailed
 	countsCurrentWindow := call.windowStart == t.window.start
 	if certainlyNotAdded && countsCurrentWindow {
@@ -205,20 +209,21 @@
 	if !likelyAdded {
 		t.unreportedUnits += call.amount
 	}
-	// The current window's count does not hold units that were added in an earlier window.
+	// The current window's count does not include units that were added in an earlier window.
 	if call.countedButNotAdmitted() && (countsCurrentWindow || !likelyAdded) {
 		t.unreportedUnits -= call.units
 	}
 }
 
-// likelyAdded reports whether a call that failed was likely added all the same: by a counter whose answer was
-// malformed (ConnectionLost), or by one that is slow but does answer.
+// likelyAdded reports whether the counter probably added the units of a failed call: if its answer was malformed
+// (ConnectionLost), or if it timed out while the breaker is closed, which means that the counter does answer,
+// though slowly.
 func (e *Engine) likelyAdded(outcome Outcome) bool {
 	return outcome == ConnectionLost || outcome == TimedOut && e.breaker.IsClosed()
 }
 
-// countedButNotAdmitted reports whether the call's units were counted for a request that was not admitted, where such
-// units have to be taken back.
+// countedButNotAdmitted reports whether the call's units were counted for a request that was not admitted, and
+// have to be given back because the tenant's refill is tracked.
 func (c *counterCall) countedButNotAdmitted() bool { return !c.admitted && c.tenant.refillTracked }
 
 // decideWithoutAnswer decides the call's request by the fallback mode of its class.
@@ -226,13 +231,14 @@
 	c.decide(now, outcome, c.request.fallbackDecision(now))
 }
 
-// decide ends the wait of the call's request. The outcome is that of the call; the breaker learns from it.
+// decide ends the request's wait for the call and applies the decision. outcome is the call's outcome, which is
+// recorded for the breaker.
 func (c *counterCall) decide(now Instant, outcome Outcome, decision quotaDecision) {
 	r := c.request
 	c.waiting = false
 	r.engine.recordCounterCall(now, outcome)
 	if !r.waitingForCounter {
-		return // its client has left in the meantime
+		return // the client has left in the meantime
 	}
 	c.tenant.waiting--
 	r.waitingForCounter = false
@@ -240,16 +246,15 @@
 	r.applyQuotaDecision(now, decision)
 }
 
-// recordUncounted notes that a request was admitted without a call. While the counter answers, the calls of
-// other requests stand for it.
+// recordUncounted adds a request that was admitted without a call to the unreported units. It does nothing while
+// the counter answers, since the calls of other requests represent this one.
 func (r *Request) recordUncounted() {
 	if !r.engine.breaker.IsClosed() || !r.engine.settings.CounterEnabled {
 		r.tenant.unreportedUnits += r.units
 	}
 }
 
-// splitTotal separates a count's total into its units and the attempts in flight that are counted beside
-// them.
+// splitTotal splits a count's total into its units and the attempts in flight that are encoded in it.
 func (p *plan) splitTotal(total float64) countTotal {
 	if p.attemptWeight <= 0 {
 		return countTotal{units: total}
--- a/policy/fallback.go
+++ b/policy/fallback.go
@@ -1,7 +1,7 @@
 package policy
 
-// fallbackDecision decides a request without the counter: by the estimate of the tenant's attempts in flight, if its
-// plan has a concurrency limit, and then by the fallback mode of its class.
+// fallbackDecision decides a request without the counter: first by the estimate of the tenant's attempts in
+// flight, if its plan has a concurrency limit, and then by the fallback mode of its class.
 func (r *Request) fallbackDecision(now Instant) quotaDecision {
 	if r.estimatedAtConcurrencyLimit() {
 		return overQuota
--- a/policy/hard_quota.go
+++ b/policy/hard_quota.go
@@ -1,9 +1,9 @@
 package policy
 
-// takeFromHardQuota takes the request's units from this instance's part of the hard quota, and returns how many
-// units that part lacks for it; then it takes none. A tenant's entry points have equal parts. The bucket
-// starts empty, since an earlier incarnation may have sent much: so rule 5 holds through restarts and failures
-// of the counter, which is not asked.
+// takeFromHardQuota takes the request's units from this instance's part of the hard quota. If that part holds
+// too few units, it takes none and returns the number of units that are missing. The entry points of a tenant
+// have equal parts. The bucket starts empty, since an earlier incarnation may just have used up its part. This
+// keeps rule 5 through restarts, and through failures of the counter, which is not called.
 //
 // Inputs: the request's units, the plan's rate (units a second) and burst (units). Result: units.
 func (r *Request) takeFromHardQuota(now Instant) (shortfall float64) {
--- a/policy/over_quota.go
+++ b/policy/over_quota.go
@@ -1,7 +1,7 @@
 package policy
 
-// handleOverQuota rejects a request beyond the quota until the quota has refilled enough, or forwards it where
-// that is worth its cost.
+// handleOverQuota forwards a request beyond the quota if its value exceeds its cost and a backend has free
+// capacity. Otherwise it rejects the request until the quota has refilled enough.
 func (r *Request) handleOverQuota(now Instant) {
 	if r.worthSendingOverQuota() && r.hasBackendBelowPreferredLoad(now) {
 		r.forward(now)
@@ -10,13 +10,14 @@
 	r.giveUp(r.retryAfterOverQuota(now))
 }
 
-// worthSendingOverQuota reports whether the plan's requests earn more beyond the quota than they cost there. A class
-// that only counts sends nothing.
+// worthSendingOverQuota reports whether the plan's requests earn more beyond the quota than they cost there.
+// Requests of a check-only class are never sent.
 func (r *Request) worthSendingOverQuota() bool {
 	return r.plan.OverQuotaValue > r.plan.OverQuotaCost && !r.class.CheckOnly
 }
 
-// hasBackendBelowPreferredLoad reports whether a backend takes one more attempt within its preferredInFlight.
+// hasBackendBelowPreferredLoad reports whether a backend can take another attempt without exceeding its
+// preferredInFlight.
 func (r *Request) hasBackendBelowPreferredLoad(now Instant) bool {
 	b := r.engine.pickBackend(now, r, fullBudget)
 	return b != nil && b.load() <= 1
