--- a/policy/counter_call_test.go
+++ b/policy/counter_call_test.go
@@ -10,35 +10,33 @@
 	request := h.submit(1, 0, 0, 1, 2*time.Second, 1)
 	h.advance(40 * time.Millisecond)
 	if len(request.attempts) != 1 || request.attempts[0].sentAt.After(startOfTest.Add(40*time.Millisecond)) {
-		t.Fatalf("not sent after the wait for the counter: %v", h.log)
+		t.Fatalf("the request was not sent at the end of its wait for the counter: %v", h.log)
 	}
-	h.counter[h.pendingAdds[0].key] = 30 // others used it up
+	h.counter[h.pendingAdds[0].key] = 30 // other instances used up the quota
 	h.answerCounter(Succeeded)
 	if next := h.submit(2, 0, 0, 1, 2*time.Second, 1); len(next.attempts) > 0 || next.ended != "rejected" {
-		t.Error("the late total was not taken in")
+		t.Error("the total of the late answer was not stored")
 	}
 }
 
-// Fault: an answer without a total, which stands for an amount that was added, had the amount reported once
-// more.
+// Guards against reporting units twice: the counter had added the units of a call whose answer was malformed.
 func TestCounterCall_MalformedAnswerCountsAsAdded(t *testing.T) {
 	for outcome, want := range map[Outcome]float64{ConnectionLost: 0, ConnectFailed: 1} {
 		h := newHarness(t, defaultSettings(), readyEndpoints(1, 2, 3)...)
 		h.submit(1, 0, 0, 1, 2*time.Second, 1)
 		h.answerCounter(outcome)
 		if got := h.engine.tenants[1].unreportedUnits; got != want {
-			t.Errorf("outcome %s: then %v is unreported, wanted %v", outcome, got, want)
+			t.Errorf("outcome %s: %v units unreported, want %v", outcome, got, want)
 		}
 	}
 }
 
-// TestCounterCall_AnswerUsesAdjustmentOfItsOwnWindow guards against requests that are rejected, or admitted, by the
-// wrong count: an answer to a call made before a rollover was decided with the lost units and the corrections of
-// the window after it.
+// Guards against deciding a request by the wrong count: the answer to a call made before a rollover was adjusted
+// by the lost units and the corrections of the window after it.
 func TestCounterCall_AnswerUsesAdjustmentOfItsOwnWindow(t *testing.T) {
 	for name, test := range map[string]struct {
 		lost, corrections float64 // of the new window
-		total             float64 // that the old window's count has already
+		total             float64 // on the counter for the previous window
 		want              bool
 	}{
 		"quota left, new window has lost units":  {lost: 30, total: 2, want: true},
@@ -59,14 +57,14 @@
 			tenant.window.corrections = test.corrections
 			h.answerCounter(Succeeded)
 			if got := len(request.attempts) > 0; got != test.want {
-				t.Errorf("admitted: %t (%s)", got, request.ended)
+				t.Errorf("request admitted: %t, which is wrong; it ended as %q", got, request.ended)
 			}
 		})
 	}
 }
 
-// TestCounterCall_FailureInPreviousWindowLowersNoCount guards against a quota that does not hold: units that a call
-// of the last window had counted in vain were taken off the count of the window after it, which never had them.
+// Guards against exceeding the quota: units that a call had counted in the previous window for a request that
+// was not admitted were subtracted from the count of the current window, which did not include them.
 func TestCounterCall_FailureInPreviousWindowLowersNoCount(t *testing.T) {
 	settings := defaultSettings()
 	settings.Classes[0].FallbackMode = FailClosed
@@ -76,12 +74,12 @@
 	request := h.submit(100, 0, 0, 1, 2*time.Second, 5)
 	h.advance(60 * time.Millisecond)
 	if len(request.attempts) > 0 {
-		t.Fatal("admitted without the counter")
+		t.Fatal("the request was admitted although its class fails closed")
 	}
 	tenant := h.engine.tenants[1]
 	h.engine.rollOver(h.now, tenant, 2)
 	h.answerCounter(TimedOut)
 	if tenant.unreportedUnits != 0 {
-		t.Errorf("%v units unreported in the new window", tenant.unreportedUnits)
+		t.Errorf("%v units unreported in the new window, want 0", tenant.unreportedUnits)
 	}
 }
--- a/policy/hard_quota_test.go
+++ b/policy/hard_quota_test.go
@@ -5,6 +5,7 @@
 	"time"
 )
 
+// Guards against a hard quota that grants its burst after a restart or depends on the counter (rule 5).
 func TestHardQuota_StartsEmptyAndNeedsNoCounter(t *testing.T) {
 	settings := defaultSettings()
 	settings.Plans[0] = PlanSettings{HardQuotaRate: 4, HardQuotaBurst: 8}
@@ -16,12 +17,12 @@
 			h.endAttempt(request, 0, Succeeded)
 		}
 		h.advance(20 * time.Millisecond)
-		// This instance's half of four units a second, and nothing to begin with.
+		// This instance's half of four units a second; the bucket starts empty.
 		if upper := 2 * float64(h.now.Sub(startOfTest)) / float64(time.Second); float64(sent) > upper+roundingTolerance {
-			t.Fatalf("%d units of at most %.1f", sent, upper)
+			t.Fatalf("%d units sent, want at most %.1f", sent, upper)
 		}
 	}
 	if sent < 14 {
-		t.Errorf("%d units sent of 16 that the hard quota allows in 8 s", sent)
+		t.Errorf("%d units sent in 8 s, want at least 14 of the 16 that the hard quota allows", sent)
 	}
 }
--- a/policy/local_share_test.go
+++ b/policy/local_share_test.go
@@ -11,10 +11,11 @@
 	"fawnplank/policy/internal/estimate"
 )
 
-// Fault: a floor of one request an instance added up past small quotas, and a share under one request shut
-// small tenants out where instances are many.
+// Guards against two faults of shares of less than one request: a minimum of one request for each instance
+// exceeded small quotas, and without it small tenants with many entry points were rejected entirely.
 func TestLocalShare_ShareBelowOneRequestAdmitsAtRandom(t *testing.T) {
-	for _, planFraction := range []float64{0, 1} { // without a counter; while one is silent that let all in
+	// 0 stands for no counter, and 1 for an outage of a counter that had admitted all requests of the plan.
+	for _, planFraction := range []float64{0, 1} {
 		admitted := 0
 		for index := range 20 {
 			settings := defaultSettings()
@@ -45,20 +46,21 @@
 	}
 }
 
-// Fault: an even share met tenants whose traffic gathers at one instance early in an outage.
+// Guards against applying an even share early in an outage to tenants whose traffic arrives mostly at one
+// instance.
 func TestLocalShare_FollowsObservedTraffic(t *testing.T) {
 	h := newHarness(t, defaultSettings(), readyEndpoints(1, 2, 3)...)
-	for n := range 60 { // all of this tenant's traffic comes here
+	for n := range 60 { // all traffic of this tenant arrives at this instance
 		h.countAdmitted(n, 1, 1, Succeeded)
 		h.advance(400 * time.Millisecond)
 	}
 	if admitted := h.countAdmitted(100, 30, 1, ConnectFailed); admitted < 6 || admitted > 10 {
-		t.Errorf("%d admitted of a burst of 10 that all comes through this instance", admitted)
+		t.Errorf("%d requests admitted by the only instance with the tenant's traffic, want 6 to 10", admitted)
 	}
 }
 
-// Fault: what the counter had not seen took the capacity of what it had admitted, and cost its value
-// unserved.
+// Guards against uncounted requests that take the capacity of the backends from counted ones, which were then
+// charged and not served.
 func TestLocalShare_UncountedRequestsLeaveCapacityToCounted(t *testing.T) {
 	for _, answer := range []Outcome{Succeeded, Rejected} {
 		h := newHarness(t, defaultSettings(), readyEndpoints(1)...)
@@ -66,20 +68,20 @@
 			request := h.submit(RequestID(n), 0, 0, TenantID(n), 2*time.Second, 1)
 			h.answerCounterCalls(Succeeded)
 			if h.advance(230 * time.Millisecond); len(request.attempts) == 0 {
-				t.Fatalf("the %dth %s", n, request.ended)
+				t.Fatalf("request %d was not sent and ended as %q", n, request.ended)
 			}
 			h.endAttempt(request, 0, Succeeded)
 		}
-		// Likely to take 230 ms of at most 300, and of 180 where it is not counted.
+		// The likely latency is 230 ms. The budget is 300 ms for a counted request and 180 ms for an uncounted one.
 		request := h.submit(100, 0, 0, 100, 2*time.Second, 1)
 		if h.answerCounter(answer); (len(request.attempts) == 1) != (answer == Succeeded) {
-			t.Errorf("after an answer of kind %s: %d attempts", answer, len(request.attempts))
+			t.Errorf("counter call %s: %d attempts sent", answer, len(request.attempts))
 		}
 	}
 }
 
-// A tenant of one instance has its whole quota without the counter, and no more: the share is the whole quota
-// then.
+// Checks that a tenant with a single entry point has its whole quota during an outage of the counter, and no
+// more: the share of that instance is the whole quota.
 func TestLocalShare_SoleInstanceHasWholeQuotaInOutage(t *testing.T) {
 	h := newHarness(t, defaultSettings(), readyEndpoints(1, 2, 3)...)
 	admitted := 0
@@ -101,12 +103,13 @@
 		h.advance(100 * time.Millisecond)
 	}
 	if admitted < 295 || admitted > 312 {
-		t.Errorf("%d admitted through a minute of a rate of 5 a second and a burst of 10", admitted)
+		t.Errorf("%d requests admitted in a minute, want 295 to 312 at 5 units a second with a burst of 10", admitted)
 	}
 }
 
-// Fault: an instance took its share from between a window's first and last answer, for a half too large where
-// two answers came a window. Two instances that see the same traffic have shares that add up to one.
+// Guards against shares that add up to more than one: an instance observed the traffic of others only between
+// its first and last answer of a window, and overestimated its share by half with two answers in a window. Of
+// two instances with equal traffic, each must have a share of about one half.
 func TestLocalShare_SharesOfInstancesAddUpToOne(t *testing.T) {
 	settings := defaultSettings()
 	settings.Plans[0] = PlanSettings{Rate: 10, Burst: 10, OverQuotaCost: 1} // windows of a second
@@ -115,7 +118,7 @@
 	for id := range 800 {
 		request := h.submit(RequestID(id), 0, 0, 1, 2*time.Second, 1)
 		for len(h.pendingAdds) > 0 {
-			add := h.pendingAdds[0] // the other instance's, as many on the mean, came before it
+			add := h.pendingAdds[0] // units of the other instance, on average as many, are counted before it
 			for random.Float64() < 0.5 {
 				h.counter[add.key]++
 			}
@@ -130,27 +133,28 @@
 		}
 	}
 	if meanShare := sum / float64(samples); meanShare < 0.48 || meanShare > 0.515 {
-		t.Errorf("an instance of two with half of the traffic takes its part for %.2f", meanShare)
+		t.Errorf("mean share of one of two instances with equal traffic: %.3f, want 0.48 to 0.515", meanShare)
 	}
 }
 
-// TestLocalShare_ZeroUnitRequestKeepsFractionsFinite guards against a plan that is rejected for good: a request of 0
-// units under a used-up quota made the admitted share 0/0.
+// Guards against rejecting all requests of a plan: a request of 0 units under an exhausted quota made the
+// admitted fraction 0/0.
 func TestLocalShare_ZeroUnitRequestKeepsFractionsFinite(t *testing.T) {
 	h := newHarness(t, defaultSettings(), readyEndpoints(1, 2, 3)...)
 	h.countAdmitted(0, 20, 1, Succeeded)
 	h.submit(100, 0, 0, 1, 2*time.Second, 0)
 	h.answerCounterCalls(Succeeded)
 	if planFraction := h.engine.plans[0].admittedFraction.Value; math.IsNaN(planFraction) {
-		t.Errorf("admitted share of the plan: %v", planFraction)
+		t.Errorf("the admitted fraction of the plan is %v", planFraction)
 	}
 	if tenantFraction := h.engine.tenants[1].admittedFraction.Value; math.IsNaN(tenantFraction) {
-		t.Errorf("admitted share of the tenant: %v", tenantFraction)
+		t.Errorf("the admitted fraction of the tenant is %v", tenantFraction)
 	}
 }
 
-// TestConcurrencyLimit_AdmitsZeroUnitRequests guards against rejections for no good reason: a request of 0 units was
-// taken to stand for endless requests in flight at other instances, and rejected while one was in flight here.
+// Guards against rejecting requests of 0 units within the concurrency limit: such a request was estimated to
+// have infinitely many attempts in flight at other instances, and was rejected while one was in flight at this
+// instance.
 func TestConcurrencyLimit_AdmitsZeroUnitRequests(t *testing.T) {
 	settings := defaultSettings()
 	settings.CounterEnabled = false
@@ -162,6 +166,6 @@
 		sent += len(h.submit(RequestID(100+n), 0, 0, 1, 2*time.Second, 0).attempts)
 	}
 	if sent != 3 {
-		t.Errorf("%d of 3 requests sent, with a limit of 20", sent)
+		t.Errorf("%d of 3 requests of 0 units sent, with a concurrency limit of 20", sent)
 	}
 }
--- a/policy/quota_reconciliation_test.go
+++ b/policy/quota_reconciliation_test.go
@@ -13,11 +13,12 @@
 	first := h.countAdmitted(0, 8, 1, Succeeded)
 	clear(h.counter)
 	if admitted := first + h.countAdmitted(100, 20, 1, Succeeded); admitted < 9 || admitted > 11 {
-		t.Errorf("%d admitted of a burst of 10 through a counter that came back empty", admitted)
+		t.Errorf("%d requests admitted with a counter that lost its counts, want the burst of 10", admitted)
 	}
 }
 
-// Fault: every instance that saw a window's count lack the carried use reconciled it at once.
+// Guards against concurrent reconciliation: each instance that found the carried-over units missing from a count
+// added them immediately.
 func TestReconciliation_InstancesAddLostUnitsInTurn(t *testing.T) {
 	reconciled := 0
 	for index := range 2 {
@@ -37,6 +38,6 @@
 		}
 	}
 	if reconciled > 1 {
-		t.Errorf("%d of 2 instances reconciled the same count at first sight", reconciled)
+		t.Errorf("%d of 2 instances reconciled the count at their first call, want at most 1", reconciled)
 	}
 }
--- a/policy/quota_window_test.go
+++ b/policy/quota_window_test.go
@@ -12,11 +12,12 @@
 		h.advance(200 * time.Millisecond)
 	}
 	if admitted < 55 || admitted > 10+50 {
-		t.Errorf("%d admitted over ten seconds of a burst of 10 and 5 a second", admitted)
+		t.Errorf("%d requests admitted in ten seconds, want 55 to 60 with a burst of 10 and 5 units a second", admitted)
 	}
 }
 
-// Fault: units admitted during a long outage were reported in full afterwards, and the tenant was shut out.
+// Guards against rejecting a tenant's requests after a long outage of the counter: all units admitted during the
+// outage were reported at its end.
 func TestQuotaWindow_DropsUnreportedUnitsOfEarlierWindows(t *testing.T) {
 	h := newHarness(t, defaultSettings(), readyEndpoints(1, 2, 3)...)
 	for n := range 40 {
@@ -24,21 +25,21 @@
 		h.advance(400 * time.Millisecond)
 	}
 	h.advance(4 * time.Second)
-	for n := range 60 { // the half-open call closes the breaker, and the calls come back
+	for n := range 60 { // the half-open call closes the breaker, and the call share recovers
 		h.countAdmitted(1000+n, 1, TenantID(10+n), Succeeded)
 	}
 	if admitted := h.countAdmitted(2000, 8, 1, Succeeded); admitted < 7 {
-		t.Errorf("%d of 8 admitted after an outage", admitted)
+		t.Errorf("%d of 8 requests admitted after an outage, want at least 7", admitted)
 	}
 }
 
-// Fault: after an outage the counts are those of new windows, and a tenant that had used its quota through
-// the local shares had a fresh burst from the counter.
+// Guards against granting a second burst after an outage: the counts of the new windows were empty, although the
+// tenant had used its quota through the local shares.
 func TestQuotaWindow_CarriesLocalUsageOverAfterOutage(t *testing.T) {
 	settings := defaultSettings()
 	settings.Plans[0] = PlanSettings{Rate: 5, Burst: 50, OverQuotaCost: 1} // windows of ten seconds
 	h := newHarness(t, settings, readyEndpoints(1, 2, 3)...)
-	for n := range 200 { // forty seconds, always beyond the share of half
+	for n := range 200 { // forty seconds, always more than this instance's half of the quota
 		h.countAdmitted(10*n, 2, 1, ConnectFailed)
 		h.advance(200 * time.Millisecond)
 	}
@@ -48,13 +49,12 @@
 		h.advance(40 * time.Millisecond)
 	}
 	if admitted := h.countAdmitted(20000, 60, 1, Succeeded); admitted > 25 {
-		t.Errorf("%d admitted at once after an outage through which the tenant used all it could", admitted)
+		t.Errorf("%d requests admitted at once after the outage, want at most 25 of a quota used up locally", admitted)
 	}
 }
 
-// TestQuotaWindow_AddedPlansKeepCarriedOverUnits guards against a quota that is granted twice: a reload that added
-// plans moved the table, each tenant seemed to have changed its plan, and what its last window had left used was
-// forgotten.
+// Guards against granting a quota twice: a settings reload that added plans moved the plan table, each tenant's
+// plan seemed to have changed, and the units carried over from its previous window were dropped.
 func TestQuotaWindow_AddedPlansKeepCarriedOverUnits(t *testing.T) {
 	for _, addsPlans := range []bool{false, true} {
 		h := newHarness(t, defaultSettings(), readyEndpoints(1, 2, 3)...)
@@ -63,7 +63,7 @@
 		h.advance(end.Sub(h.now) - 20*time.Millisecond)
 		h.countAdmitted(100, 20, 1, Succeeded)
 		h.advance(40 * time.Millisecond)
-		h.submit(200, 0, 0, 1, 2*time.Second, 1) // rolls over; its call is lost on the way
+		h.submit(200, 0, 0, 1, 2*time.Second, 1) // rolls over; its call is lost
 		h.pendingAdds = nil
 		if addsPlans {
 			h.settings.Plans = append(h.settings.Plans, make([]PlanSettings, 20)...)
@@ -71,7 +71,7 @@
 		}
 		h.submit(201, 0, 0, 1, 2*time.Second, 1)
 		if got := h.engine.tenants[1].window.lostUnits; got < 5 {
-			t.Errorf("table grows: %t: %.1f units of the last window are known", addsPlans, got)
+			t.Errorf("plans added: %t: %.1f units are carried over from the previous window, want at least 5", addsPlans, got)
 		}
 	}
 }
--- a/policy/retry_after_test.go
+++ b/policy/retry_after_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Fault: requests that no backend had capacity for were to be retried after the latency objective, to be late
-// for certain.
+// Guards against a Retry-After as long as the latency objective for requests that no backend has capacity for:
+// their retries were always late.
 func TestRetryAfter_NoCapacityIsWithinLatencyObjective(t *testing.T) {
 	h := newHarnessWithoutCounter(t)
 	for n := range 20 {
@@ -14,7 +14,7 @@
 	}
 	request := h.requests[19]
 	if request.ended != "rejected" || request.retryAfter <= 0 || request.retryAfter >= 750*time.Millisecond/4 {
-		t.Errorf("with a full instance: %q, retry after %d", request.ended, request.retryAfter)
+		t.Errorf("request to an instance at its limit ended as %q with Retry-After %d", request.ended, request.retryAfter)
 	}
 }
 
@@ -55,10 +55,10 @@
 		t.Run(name, func(t *testing.T) {
 			got, limited := test.status.RetryAfter()
 			if got != test.want || limited != test.wantLimited {
-				t.Errorf("%v, %t, want %v, %t", got, limited, test.want, test.wantLimited)
+				t.Errorf("Retry-After %v, limited %t, want %v, %t", got, limited, test.want, test.wantLimited)
 			}
 			if got := test.status.RejectionRetryAfter(); got != test.wantRejection {
-				t.Errorf("%v after a rejection, want %v", got, test.wantRejection)
+				t.Errorf("Retry-After of a rejection %v, want %v", got, test.wantRejection)
 			}
 		})
 	}
