--- a/policy/counter_call_test.go
+++ b/policy/counter_call_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-func TestCounterCall_LateAnswerUpdatesTotal(t *testing.T) {
+func TestCounterCall_BoundsTheWaitAndStoresALateTotal(t *testing.T) {
 	h := newHarness(t, defaultSettings(), readyEndpoints(1, 2, 3)...)
 	request := h.submit(1, 0, 0, 1, 2*time.Second, 1)
 	h.advance(40 * time.Millisecond)
