--- a/internal/monotime/monotime_test.go
+++ b/internal/monotime/monotime_test.go
@@ -37,27 +37,27 @@
 	early := FromNanos(100)
 	late := early.Add(50)
 	if late.Nanos() != 150 || late.Sub(early) != 50 || early.Sub(late) != -50 {
-		t.Errorf("%d ns, %d later", late.Nanos(), late.Sub(early))
+		t.Errorf("100 ns plus 50 ns is %d ns, which is later by %d ns", late.Nanos(), late.Sub(early))
 	}
 	if !early.Before(late) || early.After(late) || early.Compare(late) != -1 || late.Compare(late) != 0 {
 		t.Error("100 ns is not before 150 ns")
 	}
 	if Earlier(early, late) != early || Later(early, late) != late || !late.Before(MaxInstant) {
-		t.Error("the earlier of 100 ns and 150 ns is not 100 ns")
+		t.Error("Earlier, Later or MaxInstant is wrong for 100 ns and 150 ns")
 	}
 	if !(Instant{}).IsZero() || early.IsZero() {
-		t.Error("only the zero Instant is zero")
+		t.Error("IsZero is false for the zero Instant, or true for 100 ns")
 	}
 }
 
-// Warm-start state is stored with instants as plain numbers.
+// TestInstant_MarshalsToJSONNumber checks the stored form of an Instant: warm-start state holds plain numbers.
 func TestInstant_MarshalsToJSONNumber(t *testing.T) {
 	text, err := json.Marshal(FromNanos(1_700_000_000_000_000_001))
 	if err != nil || string(text) != "1700000000000000001" {
-		t.Errorf("%s, %v", text, err)
+		t.Errorf("encoded as %s, error %v", text, err)
 	}
 	var got Instant
 	if err := json.Unmarshal(text, &got); err != nil || got.Nanos() != 1_700_000_000_000_000_001 {
-		t.Errorf("%d ns, %v", got.Nanos(), err)
+		t.Errorf("decoded as %d ns, error %v", got.Nanos(), err)
 	}
 }
--- a/internal/pcg/pcg.go
+++ b/internal/pcg/pcg.go
@@ -1,22 +1,22 @@
-// Package pcg implements a permuted congruential generator (PCG-XSH-RR 64/32). The project has its own
-// implementation instead of math/rand because recorded runs depend on its stream: equal seeds must always
-// give equal streams. A Source is not safe for concurrent use.
+// Package pcg implements a permuted congruential generator (PCG-XSH-RR 64/32). It is used instead of math/rand
+// because recorded runs depend on the stream: equal seeds must always give equal streams. A Source is not safe
+// for concurrent use.
 package pcg
 
 import "math/bits"
 
-// Source is one stream of random numbers.
+// Source is a stream of pseudo-random numbers.
 type Source struct{ state uint64 }
 
-// The multiplier and the increment of the underlying generator, with the values of PCG's reference
+// Multiplier and increment of the underlying linear congruential generator, with the values of PCG's reference
 // implementation.
 const (
 	multiplier = 6364136223846793005
 	increment  = 1442695040888963407
 )
 
-// The shifts of the output function XSH-RR: the state is folded, its high bits are taken, and they are rotated by
-// the number in the highest five bits.
+// Shifts of the output function XSH-RR: the state is xorshifted, its high bits are taken, and they are rotated
+// by the number in the five highest bits of the state.
 const (
 	xorShift      = 18
 	outputShift   = 27
@@ -26,10 +26,10 @@
 const (
 	uint64Bits   = 64
 	uint32Bits   = 32
-	fractionBits = 53 // of a float64, with the leading one
+	fractionBits = 53 // of a float64, including the implicit leading bit
 )
 
-// New returns the stream for a seed.
+// New returns the stream of the seed.
 func New(seed uint64) *Source {
 	s := &Source{state: seed + increment}
 	s.next()
@@ -50,7 +50,7 @@
 	return high<<uint32Bits | low
 }
 
-// Float64 returns a number in [0, 1), of the 53 bits that a float64 holds.
+// Float64 returns a uniformly distributed number in [0, 1) with 53 random bits.
 func (s *Source) Float64() float64 {
 	return float64(s.Uint64()>>(uint64Bits-fractionBits)) / (1 << fractionBits)
 }
--- a/internal/pcg/pcg_test.go
+++ b/internal/pcg/pcg_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// Recorded runs depend on the stream.
+// TestSource_StreamIsFixed checks that a seed gives the stream on which recorded runs depend.
 func TestSource_StreamIsFixed(t *testing.T) {
 	s := New(42)
 	for n, want := range []uint64{0xc2f57bd66b07c4a9, 0x72b7b29b44215383, 0xf5af5ead68beb632} {
@@ -25,6 +25,6 @@
 		sum += x
 	}
 	if mean := sum / 100_000; math.Abs(mean-0.5) > 0.01 {
-		t.Errorf("the mean is %g", mean)
+		t.Errorf("the mean of 100000 numbers is %g, want 0.5 within 0.01", mean)
 	}
 }
--- a/internal/testutil/fixture.go
+++ b/internal/testutil/fixture.go
@@ -1,4 +1,4 @@
-// Package testutil holds helpers that the tests of several packages share. No program imports it.
+// Package testutil holds helpers for the tests of several packages. Only tests import it.
 package testutil
 
 import (
@@ -15,20 +15,21 @@
 	"testing"
 )
 
-// archiveSuffix is the end of the name of a fixture that is a folder.
+// archiveSuffix is the name suffix of fixtures that hold a folder.
 const archiveSuffix = ".tar.gz"
 
 var updateFixtures = flag.Bool("update-fixtures", false,
-	"write the fixtures under testdata that are missing; one that is there is never replaced")
+	"write missing fixtures under testdata; existing fixtures are never replaced")
 
-// Fixture copies testdata/v0/NAME into a temporary folder and returns the path of the copy, to which the test
-// may write. A name that ends in .tar.gz stands for a folder.
+// Fixture copies testdata/v0/NAME into a temporary folder and returns the path of the copy, which the test may
+// modify. If the name ends in .tar.gz, the archive is unpacked and the path is that of a folder.
 //
-// With -update-fixtures, write first creates a fixture that is missing. An existing one is never replaced: it
-// holds what an earlier version wrote, which the bytes of this version cannot stand in for.
+// With -update-fixtures, Fixture calls write to create a missing fixture. An existing fixture is never replaced:
+// it holds data written by an earlier version of the program, which the current version cannot reproduce.
 func Fixture(tb testing.TB, name string, write func(path string)) string {
 	tb.Helper()
-	fixture, err := filepath.Abs(filepath.Join("testdata", "v0", name)) // write may change the directory
+	// The path is absolute because write may change the working directory.
+	fixture, err := filepath.Abs(filepath.Join("testdata", "v0", name))
 	if err != nil {
 		tb.Fatal(err)
 	}
@@ -40,7 +41,7 @@
 	}
 	content, err := os.ReadFile(fixture)
 	if err != nil {
-		tb.Fatalf("%v; -update-fixtures writes fixtures that are missing", err)
+		tb.Fatalf("reading the fixture: %v (-update-fixtures writes missing fixtures)", err)
 	}
 	if strings.HasSuffix(name, archiveSuffix) {
 		unpack(tb, content, copyPath)
@@ -52,7 +53,7 @@
 	return copyPath
 }
 
-// storeFixture makes a fixture of the file, or for an archive of the folder, at path.
+// storeFixture stores the file at path as a fixture. If the fixture is an archive, path names a folder to pack.
 func storeFixture(tb testing.TB, path, fixture string) {
 	tb.Helper()
 	if err := os.MkdirAll(filepath.Dir(fixture), 0o755); err != nil {
@@ -71,7 +72,7 @@
 	}
 }
 
-// pack returns a folder as a compressed archive.
+// pack returns the contents of a folder as a compressed tar archive.
 func pack(folder string) ([]byte, error) {
 	var out bytes.Buffer
 	compressor := gzip.NewWriter(&out)
@@ -88,7 +89,7 @@
 	return out.Bytes(), nil
 }
 
-// unpack writes the files of a compressed archive into a folder.
+// unpack writes the files of a compressed tar archive into a folder.
 func unpack(tb testing.TB, packed []byte, folder string) {
 	tb.Helper()
 	decompressor, err := gzip.NewReader(bytes.NewReader(packed))
@@ -104,7 +105,7 @@
 			tb.Fatal(err)
 		}
 		if !filepath.IsLocal(header.Name) {
-			tb.Fatalf("%s lies outside the folder", header.Name)
+			tb.Fatalf("archive entry %s is outside the target folder", header.Name)
 		}
 		path := filepath.Join(folder, header.Name)
 		if header.FileInfo().IsDir() {
--- a/internal/testutil/network.go
+++ b/internal/testutil/network.go
@@ -8,16 +8,16 @@
 	"github.com/tidwall/redcon"
 )
 
-// eventuallyTimeout is how long Eventually waits. It bounds a test that fails; one that passes never reaches
-// it.
+// eventuallyTimeout is how long Eventually polls before it fails the test. A passing test does not reach it.
 const eventuallyTimeout = 20 * time.Second
 
-// Eventually polls condition until it holds and fails the test, naming what was waited for, if it never does.
+// Eventually polls the condition until it is true. If it is still false after eventuallyTimeout, Eventually fails
+// the test with the description.
 func Eventually(tb testing.TB, description string, condition func() bool) {
 	tb.Helper()
 	for deadline := time.Now().Add(eventuallyTimeout); !condition(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(deadline) {
-			tb.Fatalf("not within %v: %s", eventuallyTimeout, description)
+			tb.Fatalf("condition not met within %v: %s", eventuallyTimeout, description)
 		}
 	}
 }
@@ -36,8 +36,8 @@
 	return listener
 }
 
-// FreeAddress returns a loopback address that nothing listens at. It is free when the call returns; a program
-// under test that listens there a moment later can, rarely, find it taken.
+// FreeAddress returns a loopback address with a free port. In rare cases another process takes the port before
+// the program under test listens on it.
 func FreeAddress(tb testing.TB) string {
 	tb.Helper()
 	listener := Listen(tb)
@@ -48,8 +48,8 @@
 	return address
 }
 
-// ServeCommands is a stand-in backend: it calls handle with the connection of each whole RESP command that
-// arrives, and returns the address it listens at. It ends with the test.
+// ServeCommands starts a stub backend that calls handle with the connection for each complete RESP command that
+// it receives. It returns the address on which the backend listens. The listener is closed when the test ends.
 func ServeCommands(tb testing.TB, handle func(conn net.Conn)) net.Addr {
 	tb.Helper()
 	listener := Listen(tb)
--- a/internal/testutil/pipe_listener.go
+++ b/internal/testutil/pipe_listener.go
@@ -5,9 +5,9 @@
 	"sync"
 )
 
-// PipeListener is a listener whose connections are pipes in memory, for servers in a synctest bubble: there a
-// goroutine that waits for a socket would keep the clock from advancing. It belongs to the bubble in which it
-// is made. Its methods are safe for concurrent use.
+// PipeListener is a listener whose connections are in-memory pipes. It is meant for servers in a synctest bubble,
+// where a goroutine that blocks on a socket would keep the fake clock from advancing. It must be used in the
+// bubble that created it. Its methods are safe for concurrent use.
 type PipeListener struct {
 	accepted  chan net.Conn
 	closed    chan struct{}
@@ -19,7 +19,7 @@
 	return &PipeListener{accepted: make(chan net.Conn), closed: make(chan struct{})}
 }
 
-// Accept returns the far end of a connection that Dial opens.
+// Accept waits for a call of Dial and returns the server's end of the connection.
 func (l *PipeListener) Accept() (net.Conn, error) {
 	select {
 	case conn := <-l.accepted:
@@ -29,20 +29,20 @@
 	}
 }
 
-// Close ends the listener, but none of its connections. Only the first call has an effect.
+// Close closes the listener, but none of its connections. Only the first call has an effect.
 func (l *PipeListener) Close() error {
 	l.closeOnce.Do(func() { close(l.closed) })
 	return nil
 }
 
-// Addr returns an address at which nothing can be dialed.
+// Addr returns a placeholder address, which cannot be dialed.
 func (l *PipeListener) Addr() net.Addr { return &net.UnixAddr{Name: "pipe", Net: "pipe"} }
 
-// Closed returns a channel that is closed when the listener is.
+// Closed returns a channel that is closed by Close.
 func (l *PipeListener) Closed() <-chan struct{} { return l.closed }
 
-// Dial opens a connection and returns its near end. It waits until the far end is accepted or the listener is
-// closed.
+// Dial opens a connection and returns the client's end. It blocks until the server accepts the connection or the
+// listener is closed.
 func (l *PipeListener) Dial() (net.Conn, error) {
 	near, far := net.Pipe()
 	select {
--- a/internal/testutil/tags.go
+++ b/internal/testutil/tags.go
@@ -6,9 +6,9 @@
 	"testing"
 )
 
-// CheckJSONTags fails the test for each exported field without a name in its json tag, in the types of the values
-// and in all that they hold: renaming such a field would change stored data. Embedded structs need no name,
-// because their fields are stored among those of the struct around them.
+// CheckJSONTags fails the test for each exported field that has no name in its json tag, in the types of the
+// values and in all types that they contain: renaming such a field would change stored data. Embedded structs
+// need no name, because encoding/json stores their fields as fields of the outer struct.
 func CheckJSONTags(tb testing.TB, values ...any) {
 	tb.Helper()
 	seen := map[reflect.Type]bool{}
@@ -17,7 +17,7 @@
 	}
 }
 
-// checkJSONTags checks a type and all that it holds, unless it has been seen.
+// checkJSONTags checks a type and all types that it contains, except those in seen.
 func checkJSONTags(tb testing.TB, valueType reflect.Type, seen map[reflect.Type]bool) {
 	tb.Helper()
 	if seen[valueType] {
--- a/internal/testutil/tags_test.go
+++ b/internal/testutil/tags_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// failureRecorder records the failures that a helper reports, in place of the test.
+// failureRecorder is a testing.TB that records the failures reported by a helper instead of failing the test.
 type failureRecorder struct {
 	testing.TB
 	messages []string
@@ -30,9 +30,9 @@
 	Empty int                `json:",omitempty"`
 }
 
-// TestCheckJSONTags_ReportsUntaggedFields: a field without a name is reported once, however deep it lies.
+// TestCheckJSONTags_ReportsUntaggedFields checks that a field without a name is reported once, at any depth.
 func TestCheckJSONTags_ReportsUntaggedFields(t *testing.T) {
-	_ = part{private: 1} // a field that is not exported is not reported
+	_ = part{private: 1} // an unexported field is not reported
 	recorder := &failureRecorder{TB: t}
 	CheckJSONTags(recorder, embedded{}, part{})
 	want := []string{"testutil.part.Unnamed has no json tag", "testutil.embedded.Empty has no json tag"}
--- a/internal/timerqueue/timerqueue.go
+++ b/internal/timerqueue/timerqueue.go
@@ -1,6 +1,6 @@
-// Package timerqueue keeps values in the order of the times at which they are due. Values with equal times
-// keep the order in which they were pushed, so that a state machine driven by the queue is deterministic. A
-// Queue is not safe for concurrent use. All times are on one clock of the caller's choice.
+// Package timerqueue implements a priority queue of values that are ordered by due time. Values with equal due
+// times keep the order in which they were pushed, so that a state machine driven by the queue is deterministic.
+// A Queue is not safe for concurrent use. All times of a Queue are on the same clock, which the caller chooses.
 package timerqueue
 
 import (
@@ -11,7 +11,7 @@
 
 type item[T any] struct {
 	at       monotime.Instant
-	sequence uint64 // number of the push; breaks ties
+	sequence uint64 // number of the push; orders items with equal times
 	value    T
 }
 
@@ -27,25 +27,25 @@
 func (s *items[T]) Pop() any {
 	last := len(*s) - 1
 	popped := (*s)[last]
-	(*s)[last] = item[T]{} // release the memory that the value refers to
+	(*s)[last] = item[T]{} // lets the garbage collector free what the value refers to
 	*s = (*s)[:last]
 	return popped
 }
 
-// Queue holds values and their times. Its zero value is empty and ready to use.
+// Queue holds values with their due times. The zero value is empty and ready to use.
 type Queue[T any] struct {
 	items    items[T]
 	sequence uint64
 }
 
-// Push puts a value into the queue, due at the given time.
+// Push adds a value that is due at the given time.
 func (q *Queue[T]) Push(at monotime.Instant, value T) {
 	q.sequence++
 	heap.Push(&q.items, item[T]{at: at, sequence: q.sequence, value: value})
 }
 
-// NextDue returns the earliest due time in the queue. It first removes obsolete values from the front. ok is
-// false if the queue is empty then.
+// NextDue removes obsolete values from the front of the queue and returns the earliest remaining due time. ok is
+// false if the queue is then empty.
 func (q *Queue[T]) NextDue(isObsolete func(T) bool) (at monotime.Instant, ok bool) {
 	for len(q.items) > 0 && isObsolete(q.items[0].value) {
 		heap.Pop(&q.items)
@@ -56,7 +56,7 @@
 	return q.items[0].at, true
 }
 
-// PopDue removes and returns the earliest value if it is due at the time now. ok is false if no value is due.
+// PopDue removes and returns the earliest value if it is due at now. ok is false if no value is due.
 func (q *Queue[T]) PopDue(now monotime.Instant) (value T, ok bool) {
 	if len(q.items) == 0 || q.items[0].at.After(now) {
 		return value, false
--- a/internal/timerqueue/timerqueue_test.go
+++ b/internal/timerqueue/timerqueue_test.go
@@ -16,14 +16,14 @@
 	q.Push(at(20), "d")
 	q.Push(at(10), "b")
 	if value, ok := q.PopDue(at(9)); ok {
-		t.Errorf("%q popped before its time", value)
+		t.Errorf("%q popped before its due time", value)
 	}
 	var order []string
 	for value, ok := q.PopDue(at(20)); ok; value, ok = q.PopDue(at(20)) {
 		order = append(order, value)
 	}
 	if !slices.Equal(order, []string{"a", "b", "c", "d"}) {
-		t.Errorf("popped in the order %q", order)
+		t.Errorf("popped in the order %q, want a, b, c, d", order)
 	}
 }
 
--- a/policy/fleet_test.go
+++ b/policy/fleet_test.go
@@ -128,7 +128,7 @@
 		sinceLastBatch := time.Duration(f.now.Nanos()) % (250 * time.Millisecond)
 		deliveredAt = deliveredAt.Add(250*time.Millisecond - sinceLastBatch)
 	} else if f.random.IntN(2) == 0 {
-		deliveredAt = deliveredAt.Add(f.randomSpan(250 * time.Millisecond))
+		deliveredAt = deliveredAt.Add(f.randomDuration(250 * time.Millisecond))
 	}
 	f.at(deliveredAt, func() { f.deliverAttempt(attempt) })
 	if !spec.ExpiresAt.IsZero() {
@@ -205,7 +205,7 @@
 // startInstances starts all instances within a second, and the traffic.
 func (f *fleet) startInstances() {
 	for index := range f.instances {
-		f.after(f.randomSpan(time.Second), func() { f.startInstance(index) })
+		f.after(f.randomDuration(time.Second), func() { f.startInstance(index) })
 	}
 	f.scheduleNextRequest()
 }
@@ -220,10 +220,10 @@
 func (f *fleet) at(when Instant, run func()) { f.events.Push(when, run) }
 
 // after runs a function after a span from now.
-func (f *fleet) after(span time.Duration, run func()) { f.at(f.now.Add(span), run) }
+func (f *fleet) after(delay time.Duration, run func()) { f.at(f.now.Add(delay), run) }
 
-// randomSpan draws a span from 0 on and below longest.
-func (f *fleet) randomSpan(longest time.Duration) time.Duration {
+// randomDuration draws a span from 0 on and below longest.
+func (f *fleet) randomDuration(longest time.Duration) time.Duration {
 	return time.Duration(f.random.Int64N(int64(longest)))
 }
 
@@ -302,7 +302,7 @@
 func (f *fleet) publishEndpoint(b *fleetBackend) {
 	for _, incarnations := range f.incarnations {
 		for _, i := range incarnations {
-			f.after(f.randomSpan(100*time.Millisecond), func() {
+			f.after(f.randomDuration(100*time.Millisecond), func() {
 				i.engine.UpdateEndpoints(f.now, Delta, []Endpoint{b.discoveryState()})
 			})
 		}
