--- a/policy/bench_test.go
+++ b/policy/bench_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// BenchmarkPolicy_Request is one request's whole way: submitted, counted, sent and answered.
+// BenchmarkPolicy_Request measures one request from its submission through counter call and attempt to its answer.
 func BenchmarkPolicy_Request(b *testing.B) {
 	settings := defaultSettings()
 	settings.Plans = []PlanSettings{{Rate: 1e6, Burst: 1e6}}
@@ -28,7 +28,7 @@
 			e.HandleTimer(now, e.wakeID)
 		}
 	}
-	for id := range 1000 { // until what is measured and remembered is steady
+	for id := range 1000 { // warm-up: brings measurements and stored state to a steady level
 		runRequest(id)
 	}
 	b.ReportAllocs()
--- a/policy/engine_test.go
+++ b/policy/engine_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// randomScenario is a day of random events on random settings.
+// randomScenario generates random events for an engine with random settings.
 type randomScenario struct {
 	*harness
 	random *rand.Rand
@@ -24,7 +24,7 @@
 	return weightedOutcomes[s.random.IntN(len(weightedOutcomes))]
 }
 
-// randomRequest returns one of the requests so far, of which there must be any.
+// randomRequest returns one of the requests submitted so far. At least one must have been submitted.
 func (s *randomScenario) randomRequest() *clientRequest {
 	return s.requests[s.submissionOrder[s.random.IntN(len(s.submissionOrder))]]
 }
@@ -63,7 +63,7 @@
 	return settings
 }
 
-// runRandomScenario plays a day and returns the log of its effects.
+// runRandomScenario runs the scenario of a seed and returns the log of its effects.
 func runRandomScenario(tb testing.TB, seed uint64) []string {
 	tb.Helper()
 	s := &randomScenario{random: rand.New(rand.NewPCG(seed, 1))}
@@ -74,17 +74,17 @@
 	s.advance(4 * time.Second)
 	for _, id := range s.submissionOrder {
 		if request := s.requests[id]; request.finalAnswer == "" && !request.responseStarted {
-			s.t.Errorf("rule 1: %d was never answered", id)
+			s.t.Errorf("rule 1: request %d has no final answer at the end of the scenario", id)
 		}
 	}
 	return s.log
 }
 
-// runRandomEvent plays one event.
+// runRandomEvent generates one event. If the event is a request, it gets the id.
 func (s *randomScenario) runRandomEvent(id RequestID) {
 	switch s.random.IntN(12) {
 	case 0, 1, 2, 3:
-		plan := s.random.IntN(len(s.settings.Plans) + 1) // one more than there are, as with the classes
+		plan := s.random.IntN(len(s.settings.Plans) + 1) // includes a plan, and below a class, that does not exist
 		s.submit(id, ClassID(s.random.IntN(len(s.settings.Classes)+1)), PlanID(plan),
 			TenantID(s.random.IntN(3)+3*plan), time.Duration(s.random.IntN(2000))*time.Millisecond, float64(s.random.IntN(4)))
 	case 4, 5, 6:
@@ -114,7 +114,7 @@
 	}
 	randomRequest := s.randomRequest()
 	last := len(randomRequest.attempts) - 1
-	// Attempts take 200 ms at least, as checkSlowStart assumes.
+	// An attempt takes at least 200 ms, as checkSlowStart assumes.
 	if last >= 0 && s.now.Sub(randomRequest.attempts[last].sentAt) >= 200*time.Millisecond {
 		attempt := s.random.IntN(last + 1)
 		s.endAttempt(randomRequest, attempt, s.randomOutcome())
@@ -141,7 +141,7 @@
 	s.checkOverdueAnswers()
 }
 
-// startResponseOrDisconnect begins the response of a request, or has its client leave.
+// startResponseOrDisconnect starts the response of a request, disconnects its client, or does nothing.
 func (s *randomScenario) startResponseOrDisconnect(request *clientRequest) {
 	last := len(request.attempts) - 1
 	if s.coinFlip() && request.finalAnswer == "" && last >= 0 && request.attempts[last].inFlight {
@@ -152,11 +152,13 @@
 	}
 }
 
+// TestEngine_KeepsRulesInRandomScenarios checks that random events break no rule, and that equal seeds give equal
+// effects.
 func TestEngine_KeepsRulesInRandomScenarios(t *testing.T) {
-	keepsRules := func(seed uint64) bool { // twice: same events, same actions
+	keepsRules := func(seed uint64) bool { // runs the scenario twice, since equal events must give equal effects
 		return reflect.DeepEqual(runRandomScenario(t, seed), runRandomScenario(t, seed)) && !t.Failed()
 	}
-	seed := uint64(0) // counted, so that every run plays the same days
+	seed := uint64(0) // counted up, so that every test run uses the same seeds
 	nextSeed := func(arguments []reflect.Value, _ *rand1.Rand) {
 		seed++
 		arguments[0] = reflect.ValueOf(seed)
--- a/policy/harness_test.go
+++ b/policy/harness_test.go
@@ -9,14 +9,14 @@
 	"fawnplank/internal/monotime"
 )
 
-// testStart is when harnesses start.
+// testStart is the time at which the simulated clocks of the tests start.
 var testStart = atSecond(1000)
 
-// atSecond returns the Instant that many seconds after the clock's zero.
+// atSecond returns the Instant that lies the given number of seconds after the clock's zero.
 func atSecond(seconds int64) Instant { return monotime.FromNanos(seconds * int64(time.Second)) }
 
-// harness stands in for everything round one engine: it carries out the effects, checks the rules at each of
-// them, and keeps a log.
+// harness simulates the environment of one Engine. It implements Effects, checks the rules of the package
+// documentation at each effect, and logs the effects.
 type harness struct {
 	t                      testing.TB
 	engine                 *Engine
@@ -27,14 +27,14 @@
 	endpoints              map[BackendID]Endpoint
 	requests               map[RequestID]*clientRequest
 	submissionOrder        []RequestID
-	pendingAdds            []counterAdd // calls to the counter without an answer
+	pendingAdds            []counterAdd // counter calls that have no result yet
 	counterTotals          map[CounterKey]float64
 	pendingHealthChecks    []BackendID
 	watchCalls             int
-	hardQuotaUnits         map[TenantID]float64 // first attempts' units of tenants under a hard quota
+	hardQuotaUnits         map[TenantID]float64 // units of first attempts, for tenants under a hard quota
 	sentTimes              map[BackendID][]Instant
-	recentSuccesses        []Instant // of successes, within a second
-	peakSuccessesPerSecond int       // the most of them
+	recentSuccesses        []Instant // times of the successes in the last second
+	peakSuccessesPerSecond int       // largest length of recentSuccesses so far
 }
 
 type wakeup struct {
@@ -47,7 +47,7 @@
 	units float64
 }
 
-// clientRequest is a request as its client sees it.
+// clientRequest is a request from the client's point of view.
 type clientRequest struct {
 	handle          *Request
 	class           ClassSettings
@@ -57,7 +57,7 @@
 	entryPoints     int
 	deadline        Instant
 	attempts        []clientAttempt
-	finalAnswer     string // how the final answer was given
+	finalAnswer     string // outcome that the client got; empty: none yet
 	retryAfter      time.Duration
 	responseStarted bool
 }
@@ -136,7 +136,7 @@
 	}
 	for _, endpoint := range list {
 		if endpoint.StartedAt != h.endpoints[endpoint.Backend].StartedAt {
-			h.sentTimes[endpoint.Backend] = nil // rule 4 counts what is sent by those that know of the start
+			h.sentTimes[endpoint.Backend] = nil // rule 4 counts attempts that were sent after the start was announced
 		}
 		h.endpoints[endpoint.Backend] = endpoint
 	}
@@ -152,10 +152,11 @@
 	h.logf("send %d to %d until %d", id, b, spec.ExpiresAt.Nanos())
 	request, endpoint := h.requests[id], h.endpoints[b]
 	if request.finalAnswer != "" || request.responseStarted || !h.now.Before(request.deadline) {
-		h.t.Errorf("rule 1: attempt for %d, which is over (%q)", id, request.finalAnswer)
+		h.t.Errorf("rule 1: attempt for request %d, whose client has an answer (%q) or gave up",
+			id, request.finalAnswer)
 	}
 	if endpoint.State != EndpointReady {
-		h.t.Errorf("rule 3: attempt at %d, which is not ready", b)
+		h.t.Errorf("rule 3: attempt at backend %d, which is not ready", b)
 	}
 	h.sentTimes[b] = append(h.sentTimes[b], h.now)
 	if !endpoint.StartedAt.IsZero() && h.now.Sub(endpoint.StartedAt) < h.settings.SlowStartDuration {
@@ -172,7 +173,7 @@
 	h.checkNewestAttempt(request)
 }
 
-// checkSlowStart checks rule 4 for a backend that warms up.
+// checkSlowStart checks rule 4 for an attempt that was just sent to a backend that is warming up.
 func (h *harness) checkSlowStart(endpoint Endpoint) {
 	sent := 0
 	for _, at := range h.sentTimes[endpoint.Backend] {
@@ -182,7 +183,8 @@
 	}
 	elapsedShare := float64(h.now.Sub(endpoint.StartedAt)) / float64(h.settings.SlowStartDuration)
 	capacityShare := h.settings.SlowStartShare + (1-h.settings.SlowStartShare)*elapsedShare
-	// A request's work on one core is a fifth of a second in these tests; more cores show in what is answered.
+	// In these tests one core completes five requests a second. If backends have more cores, the measured rate of
+	// successes shows it.
 	ready := 0
 	for _, other := range h.endpoints {
 		if other.State == EndpointReady {
@@ -192,19 +194,19 @@
 	rate := max(5, float64(h.peakSuccessesPerSecond*h.settings.Instances)/float64(ready))
 	allowedAttempts := h.settings.OverloadMultiple * capacityShare *
 		float64(h.settings.OverloadWindow) / float64(time.Second) * rate
-	if sent > 1 && float64(sent*h.settings.Instances) > allowedAttempts { // a single attempt shows no pace
-		h.t.Errorf("rule 4: %d attempts of %d instances at backend %d that warms up and bears %.1f",
+	if sent > 1 && float64(sent*h.settings.Instances) > allowedAttempts { // a single attempt is allowed at any rate
+		h.t.Errorf("rule 4: %d attempts by each of %d instances; backend %d is warming up and may get %.1f in total",
 			sent, h.settings.Instances, endpoint.Backend, allowedAttempts)
 	}
 }
 
-// checkNewestAttempt checks rule 2 for the newest attempt, and rule 5 for the first.
+// checkNewestAttempt checks rule 2 for the newest attempt of a request, and rule 5 if it is the first attempt.
 func (h *harness) checkNewestAttempt(request *clientRequest) {
 	newest := len(request.attempts) - 1
 	endpoint := request.attempts[newest].endpoint
 	for _, earlier := range request.attempts[:newest] {
 		if earlier.inFlight && !h.settings.Hedging {
-			h.t.Errorf("rule 2: two attempts in flight")
+			h.t.Errorf("rule 2: two attempts in flight without hedging")
 		}
 		if !earlier.mayHaveRun {
 			continue
@@ -217,7 +219,7 @@
 		case class.Idempotency == NonIdempotent:
 			h.t.Errorf("rule 2: another attempt of a non-idempotent request")
 		case class.Idempotency == IdempotentWithKey && !deduplicated:
-			h.t.Errorf("rule 2: request with a key sent outside its dedup scope or window")
+			h.t.Errorf("rule 2: another attempt of a request with a key, outside its dedup scope or window")
 		}
 	}
 	if newest > 0 || request.plan.HardQuotaRate <= 0 {
@@ -227,7 +229,8 @@
 	rate := request.plan.HardQuotaRate / float64(request.entryPoints)
 	elapsed := float64(h.now.Sub(testStart)) / float64(time.Second)
 	if h.hardQuotaUnits[request.tenant] > rate*elapsed+roundingTolerance {
-		h.t.Errorf("rule 5: %.1f units sent by %d ns", h.hardQuotaUnits[request.tenant], h.now.Sub(testStart))
+		h.t.Errorf("rule 5: %.1f units of a tenant under a hard quota sent in %d ns",
+			h.hardQuotaUnits[request.tenant], h.now.Sub(testStart))
 	}
 }
 
@@ -246,18 +249,18 @@
 
 func (h *harness) AddToCounter(key CounterKey, units float64, lifetime time.Duration) {
 	if lifetime <= 0 || lifetime > 60*time.Second {
-		h.t.Errorf("count for %d ns", lifetime)
+		h.t.Errorf("counter lifetime of %d ns, want above 0 and at most 60 s", lifetime)
 	}
 	h.logf("count %d by %.3f", key, units)
 	h.pendingAdds = append(h.pendingAdds, counterAdd{key, units})
 }
 
-// recordFinalAnswer notes a final answer.
+// recordFinalAnswer records the final answer to a request and checks rules 1 and 2.
 func (h *harness) recordFinalAnswer(id RequestID, answer string, retryAfter time.Duration) {
 	h.logf("%d %s, retry after %d", id, answer, retryAfter)
 	request := h.requests[id]
 	if request.finalAnswer != "" {
-		h.t.Errorf("rule 1: %d got two final answers", id)
+		h.t.Errorf("rule 1: request %d got two final answers", id)
 	}
 	request.finalAnswer, request.retryAfter = answer, retryAfter
 	class := request.class
@@ -265,15 +268,15 @@
 		class.Idempotency == IdempotentWithKey && class.DedupScope == DedupByAll
 	for _, attempt := range request.attempts {
 		if answer == "rejected" && attempt.mayHaveRun && !retryIsSafe {
-			h.t.Errorf("rule 2: %d rejected, may have run", id)
+			h.t.Errorf("rule 2: request %d was rejected although it may have run", id)
 		}
 	}
 	if retryAfter < 0 || retryAfter > h.settings.MaxRetryAfter {
-		h.t.Errorf("retry after %d ns", retryAfter)
+		h.t.Errorf("retry after %d ns, want a time between 0 and MaxRetryAfter", retryAfter)
 	}
 }
 
-// submit submits a request of a tenant that comes in through two instances.
+// submit submits a request of a tenant that has two entry points.
 func (h *harness) submit(id RequestID, class ClassID, plan PlanID, tenant TenantID, remaining time.Duration,
 	units float64) *clientRequest {
 	return h.submitSpec(RequestSpec{ID: id, Class: class, Plan: plan, Tenant: tenant, Remaining: remaining,
@@ -292,7 +295,8 @@
 	return request
 }
 
-// serveTwentyRequests submits twenty requests, of a tenant each, one after another, and answers each after a time.
+// serveTwentyRequests submits twenty requests one after another, each of its own tenant, and lets the first
+// attempt of each succeed after the latency.
 func (h *harness) serveTwentyRequests(latency time.Duration) {
 	for n := range 20 {
 		request := h.submit(RequestID(n), 0, 0, TenantID(n), 2*time.Second, 1)
@@ -301,18 +305,19 @@
 	}
 }
 
-// checkOverdueAnswers looks for requests whose answer is overdue.
+// checkOverdueAnswers reports requests that have no final answer 16 ms after their deadline.
 func (h *harness) checkOverdueAnswers() {
 	for _, id := range h.submissionOrder {
 		request := h.requests[id]
 		if request.finalAnswer == "" && h.now.After(request.deadline.Add(16*time.Millisecond)) && !request.responseStarted {
-			h.t.Errorf("rule 1: %d has no answer %d ns after its deadline", id, h.now.Sub(request.deadline))
+			h.t.Errorf("rule 1: request %d has no final answer %d ns after its deadline",
+				id, h.now.Sub(request.deadline))
 			request.finalAnswer = "lost"
 		}
 	}
 }
 
-// endAttempt ends an attempt.
+// endAttempt ends the n-th attempt of a request, counted from 0, and reports its outcome to the engine.
 func (h *harness) endAttempt(request *clientRequest, n int, outcome Outcome) {
 	attempt := &request.attempts[n]
 	if !attempt.inFlight {
@@ -336,13 +341,13 @@
 	h.checkOverdueAnswers()
 }
 
-// disconnectClient has the client of a request leave.
+// disconnectClient reports to the engine that the client of a request has disconnected.
 func (h *harness) disconnectClient(request *clientRequest) {
 	request.finalAnswer = "client gone"
 	request.handle.HandleClientGone(h.now)
 }
 
-// answerOldestCounterCall brings the counter's answer to the oldest call.
+// answerOldestCounterCall completes the oldest pending counter call.
 func (h *harness) answerOldestCounterCall(outcome Outcome) {
 	add := h.pendingAdds[0]
 	h.pendingAdds = h.pendingAdds[1:]
@@ -353,15 +358,15 @@
 	h.checkOverdueAnswers()
 }
 
-// answerAllCounterCalls answers all that are unanswered, and those that follow on the answers.
+// answerAllCounterCalls completes all pending counter calls, including those that are made in the meantime.
 func (h *harness) answerAllCounterCalls(outcome Outcome) {
 	for len(h.pendingAdds) > 0 {
 		h.answerOldestCounterCall(outcome)
 	}
 }
 
-// countAdmitted submits requests of one unit one after another, has the counter answer each, and counts those
-// admitted.
+// countAdmitted submits n requests of one unit one after another, completes their counter calls with the outcome,
+// and returns the number of admitted requests.
 func (h *harness) countAdmitted(from, n int, tenant TenantID, outcome Outcome) (admitted int) {
 	for i := range n {
 		request := h.submit(RequestID(from+i), 0, 0, tenant, 2*time.Second, 1)
@@ -374,8 +379,8 @@
 	return admitted
 }
 
-// advance lets time go on, a step of the simulator's wire at a time: wakes come due, and attempts end with
-// their timeouts or the deadlines of their clients.
+// advance advances the clock in steps of 4 ms, the step of the simulator's protocol. At each step it runs the
+// timers that are due and ends the attempts whose timeout or client deadline has passed.
 func (h *harness) advance(duration time.Duration) {
 	for end := h.now.Add(duration); h.now.Before(end); {
 		h.now = monotime.Earlier(h.now.Add(4*time.Millisecond), end)
@@ -406,7 +411,7 @@
 	}
 }
 
-// noopEffects counts nothing and does nothing.
+// noopEffects discards all effects except the key of the last counter call.
 type noopEffects struct{ counterKey CounterKey }
 
 func (*noopEffects) Send(AttemptSpec)                {}
