--- a/policy/fleet_test.go
+++ b/policy/fleet_test.go
@@ -12,11 +12,11 @@
 	"fawnplank/internal/timerqueue"
 )
 
-// This file plays whole fleets of instances on one simulated clock against simulated backends, and checks
-// rule 4 for the sum of all of them: what is sent to a backend that warms up in any of the settings' windows.
+// This file simulates a fleet of instances and its backends on one clock. It checks rule 4 for the fleet as a
+// whole: the attempts that all instances together send to a warming backend in any overload window.
 
-// fleetSettings are a fleet and the settings of rule 4. A warm backend of capacity 1 has so many cores, each
-// of which takes so long for a request on average.
+// fleetSettings describe a fleet and the settings of rule 4. A backend of relative capacity 1 has the given
+// number of cores. When it is warm, a core takes serviceTime for a request on average.
 type fleetSettings struct {
 	instances, backends               int
 	cores                             float64
@@ -26,17 +26,17 @@
 }
 
 func (c fleetSettings) String() string {
-	return fmt.Sprintf("%d instances, %d backends of %.0f/s, x%.1f, %.2f, %d s, warm in %d s",
+	return fmt.Sprintf("%d instances, %d backends of %.0f/s, overload x%.1f, start at %.2f, window %d s, warm in %d s",
 		c.instances, c.backends, c.capacity(), c.overloadMultiple, c.slowStartShare, c.overloadWindow/time.Second,
 		c.slowStartDuration/time.Second)
 }
 
-// capacity is what a warm backend of capacity 1 answers a second.
+// capacity returns how many requests a second a warm backend of relative capacity 1 answers.
 func (c fleetSettings) capacity() float64 {
 	return c.cores * float64(time.Second) / float64(c.serviceTime)
 }
 
-// fleet is the instances and everything round them: clients, backends, the endpoint list, and the clock.
+// fleet simulates the instances and their environment: clients, backends, the endpoint list and the clock.
 type fleet struct {
 	fleetSettings
 	t              testing.TB
@@ -44,31 +44,32 @@
 	now            Instant
 	events         timerqueue.Queue[func()]
 	settings       Settings
-	incarnations   [][]*incarnation // by instance, those that get requests
-	trafficWeights []float64        // of the instances in the traffic, added up
-	extraLatency   []time.Duration  // by instance: what its answers take beyond the work
-	requestRate    float64          // requests a second
+	incarnations   [][]*incarnation // by instance: the incarnations that get requests
+	trafficWeights []float64        // cumulative shares of the instances in the traffic
+	extraLatency   []time.Duration  // by instance: added to the service time of its answers
+	requestRate    float64          // in requests a second
 	backendByID    map[BackendID]*fleetBackend
 	backendIDs     []BackendID
-	batchConnects  bool // connections come up together, four times a second; else each by itself
+	batchConnects  bool // new connections open in batches, four times a second; false: each on its own
 	loadLimits     []loadLimit
 	worst          worstWindow
 }
 
-// loadLimit is what backends bear from a time on: the overload multiple, and how much longer their work takes.
+// loadLimit holds the overload multiple that applies from a time on, and the factor by which requests take longer
+// from then on.
 type loadLimit struct {
 	from                                Instant
 	overloadMultiple, serviceTimeFactor float64
 }
 
-// worstWindow is the window nearest to its bound, or furthest beyond.
+// worstWindow is the overload window with the highest ratio of attempts to its bound.
 type worstWindow struct {
-	boundRatio        float64 // of the bound
+	boundRatio        float64 // sent / bound
 	sent              int
 	budget            float64
 	bound             float64
-	age               time.Duration // of the backend
-	slowStartAttempts int           // at backends that warm up, in the whole play
+	age               time.Duration // time since the start of the backend
+	slowStartAttempts int           // attempts at warming backends in the whole run
 }
 
 // fleetBackend is a simulated backend.
@@ -76,14 +77,14 @@
 	id                BackendID
 	relativeCapacity  float64
 	startedAt         Instant       // zero: long ago
-	listedStartOffset time.Duration // by so much the list states a later start
+	listedStartOffset time.Duration // how much later than startedAt the endpoint list states the start
 	running           bool
 	busyCores         int
 	queue             []*fleetAttempt
-	deliveredAt       []Instant // attempts since the start
+	deliveredAt       []Instant // when attempts arrived since the start
 }
 
-// incarnation is one incarnation of an instance, and its effects.
+// incarnation is one incarnation of an instance. It implements Effects for its engine.
 type incarnation struct {
 	fleet    *fleet
 	index    int
@@ -104,13 +105,14 @@
 	request          *fleetRequest
 	id               AttemptID
 	backend          *fleetBackend
-	backendStartedAt Instant // of the incarnation of the backend that it was sent to
+	backendStartedAt Instant // start of the backend, as known to the instance that sent the attempt
 	sentAt           Instant
 	serviceTime      float64
 	done             bool
 }
 
-func (i *incarnation) Send(spec AttemptSpec) { // no request has a key
+// Send ignores StartBefore, since no request in these scenarios has an idempotency key.
+func (i *incarnation) Send(spec AttemptSpec) {
 	f, request := i.fleet, i.requests[spec.Request]
 	attempt := &fleetAttempt{
 		incarnation:      i,
@@ -122,7 +124,7 @@
 		serviceTime:      float64(f.serviceTime) * (0.5 + f.random.Float64()),
 	}
 	request.attempts = append(request.attempts, attempt)
-	// Every other connection is open already; the others take up to a quarter of a second to come up.
+	// Half of the connections are already open; the others take up to 250 ms to open.
 	deliveredAt := f.now
 	if f.batchConnects {
 		sinceLastBatch := time.Duration(f.now.Nanos()) % (250 * time.Millisecond)
@@ -202,7 +204,7 @@
 	return f
 }
 
-// startInstances starts all instances within a second, and the traffic.
+// startInstances starts the traffic, and starts each instance at a random time within the first second.
 func (f *fleet) startInstances() {
 	for index := range f.instances {
 		f.after(f.randomDuration(time.Second), func() { f.startInstance(index) })
@@ -210,29 +212,29 @@
 	f.scheduleNextRequest()
 }
 
-// addBackend adds a backend.
+// addBackend adds a running backend.
 func (f *fleet) addBackend(id BackendID, relativeCapacity float64, startedAt Instant) {
 	f.backendByID[id] = &fleetBackend{id: id, relativeCapacity: relativeCapacity, running: true, startedAt: startedAt}
 	f.backendIDs = append(f.backendIDs, id)
 }
 
-// at runs a function at a time.
+// at schedules a function for a time.
 func (f *fleet) at(when Instant, run func()) { f.events.Push(when, run) }
 
-// after runs a function after a span from now.
+// after schedules a function for a time after now.
 func (f *fleet) after(delay time.Duration, run func()) { f.at(f.now.Add(delay), run) }
 
-// randomDuration draws a span from 0 on and below longest.
+// randomDuration returns a random duration in [0, longest).
 func (f *fleet) randomDuration(longest time.Duration) time.Duration {
 	return time.Duration(f.random.Int64N(int64(longest)))
 }
 
-// afterStart runs a function so long after the beginning of the play.
+// afterStart schedules a function for a time after the start of the run.
 func (f *fleet) afterStart(offset time.Duration, run func()) {
 	f.at(testStart.Add(offset), run)
 }
 
-// runFor runs the clock for a time from the beginning on.
+// runFor runs all events until the given time after the start of the run, then checks the backends.
 func (f *fleet) runFor(duration time.Duration) {
 	never := func(func()) bool { return false }
 	for {
@@ -249,7 +251,7 @@
 	}
 }
 
-// distributeTraffic spreads the requests over the instances.
+// distributeTraffic sets the share of the requests that each instance gets, in proportion to its weight.
 func (f *fleet) distributeTraffic(trafficWeights func(index int) float64) {
 	sum := 0.0
 	for index := range f.trafficWeights {
@@ -265,7 +267,7 @@
 	return list
 }
 
-// listedStart is the start that the list states.
+// listedStart returns the start time that the endpoint list states.
 func (b *fleetBackend) listedStart() Instant { return b.startedAt.Add(b.listedStartOffset) }
 
 func (b *fleetBackend) discoveryState() Endpoint {
@@ -276,7 +278,7 @@
 	return endpoint
 }
 
-// startInstance starts an incarnation of the instance beside those that it has.
+// startInstance starts another incarnation of an instance.
 func (f *fleet) startInstance(index int) {
 	i := &incarnation{fleet: f, index: index, requests: map[RequestID]*fleetRequest{}}
 	settings := f.settings
@@ -286,8 +288,8 @@
 	f.incarnations[index] = append(f.incarnations[index], i)
 }
 
-// upgradeInstance starts a new incarnation of the instance; the old one keeps a part of its traffic while both
-// overlap.
+// upgradeInstance starts a new incarnation of an instance. During the overlap, the old incarnation keeps a part
+// of the traffic.
 func (f *fleet) upgradeInstance(index int, overlap time.Duration) {
 	old := f.incarnations[index][0]
 	f.startInstance(index)
@@ -298,7 +300,7 @@
 	f.after(overlap+3*time.Second, func() { old.stopped = true })
 }
 
-// publishEndpoint sends an endpoint to all instances, to each a little later than the list has it.
+// publishEndpoint sends a backend's entry of the endpoint list to all instances, to each with a random delay.
 func (f *fleet) publishEndpoint(b *fleetBackend) {
 	for _, incarnations := range f.incarnations {
 		for _, i := range incarnations {
@@ -309,7 +311,7 @@
 	}
 }
 
-// stopBackend stops a backend, which ends the attempts there.
+// stopBackend stops a backend and ends its attempts.
 func (f *fleet) stopBackend(b *fleetBackend) {
 	f.checkOverload(b)
 	b.running, b.busyCores = false, 0
@@ -320,7 +322,7 @@
 	f.publishEndpoint(b)
 }
 
-// startBackend starts it anew, with a part of its capacity.
+// startBackend starts a stopped backend, which then warms up.
 func (f *fleet) startBackend(b *fleetBackend) {
 	b.running = true
 	b.startedAt = f.now
@@ -328,14 +330,14 @@
 	f.publishEndpoint(b)
 }
 
-// restartBackend does both, one after the other.
+// restartBackend stops a backend and starts it 400 ms later.
 func (f *fleet) restartBackend(id BackendID) {
 	b := f.backendByID[id]
 	f.stopBackend(b)
 	f.after(400*time.Millisecond, func() { f.startBackend(b) })
 }
 
-// replaceBackend starts a backend under a new id, and stops the old one.
+// replaceBackend stops a backend and adds another one, under a new id, that warms up.
 func (f *fleet) replaceBackend(old BackendID, relativeCapacity float64) {
 	if f.backendByID[old] != nil {
 		f.stopBackend(f.backendByID[old])
@@ -344,7 +346,8 @@
 	f.publishEndpoint(f.backendByID[old+1000])
 }
 
-// scheduleNextRequest submits a request after a while, and so on.
+// scheduleNextRequest schedules the next request, which in turn schedules the one after it. The intervals are
+// exponentially distributed.
 func (f *fleet) scheduleNextRequest() {
 	f.after(time.Duration(f.random.ExpFloat64()/f.requestRate*float64(time.Second)), func() {
 		point := f.random.Float64() * f.trafficWeights[f.instances-1]
@@ -374,7 +377,7 @@
 	})
 }
 
-// capacityShare is the part of its capacity that the backend has.
+// capacityShare returns the share of its full capacity that a backend has now.
 func (f *fleet) capacityShare(b *fleetBackend) float64 {
 	if b.startedAt.IsZero() || f.now.Sub(b.startedAt) >= f.slowStartDuration {
 		return 1
@@ -382,7 +385,7 @@
 	return f.slowStartShare + (1-f.slowStartShare)*float64(f.now.Sub(b.startedAt))/float64(f.slowStartDuration)
 }
 
-// deliverAttempt brings an attempt to its backend.
+// deliverAttempt delivers an attempt to its backend, which queues or rejects it.
 func (f *fleet) deliverAttempt(attempt *fleetAttempt) {
 	switch b := attempt.backend; {
 	case attempt.done:
@@ -399,7 +402,7 @@
 	}
 }
 
-// startService has the free cores of a backend begin with what waits.
+// startService starts the service of queued attempts on the free cores of a backend.
 func (f *fleet) startService(b *fleetBackend) {
 	for ; b.busyCores < int(f.cores) && b.busyCores < len(b.queue); b.busyCores++ {
 		attempt, startedAt := b.queue[b.busyCores], b.startedAt
@@ -417,13 +420,13 @@
 	}
 }
 
-// endAttempt ends an attempt, for its instance.
+// endAttempt ends an attempt and reports its outcome to the instance.
 func (f *fleet) endAttempt(attempt *fleetAttempt, outcome Outcome) {
 	if attempt.done {
 		return
 	}
 	attempt.done = true
-	if outcome == Canceled { // one that is worked on is worked on to its end
+	if outcome == Canceled { // an attempt in service is served to its end
 		b := attempt.backend
 		if n := slices.Index(b.queue, attempt); n >= b.busyCores {
 			b.queue = slices.Delete(b.queue, n, n+1)
@@ -438,7 +441,8 @@
 		Elapsed: f.now.Sub(attempt.sentAt), RequestDone: done})
 }
 
-// checkOverload holds what was sent to a backend since its start against the rule, in every window.
+// checkOverload compares the attempts delivered to a backend since its start with the bound of rule 4, in every
+// window, and updates f.worst.
 func (f *fleet) checkOverload(b *fleetBackend) {
 	if b.startedAt.IsZero() {
 		return
@@ -470,7 +474,8 @@
 	}
 }
 
-// maxOverloadMultiple is the most that a backend bears in the window that ends at a time: a change may lie within it.
+// maxOverloadMultiple returns the highest overload multiple, corrected for longer service times, that applies in the
+// overload window that ends at a time.
 func (f *fleet) maxOverloadMultiple(at Instant) float64 {
 	overloadMultiple := 0.0
 	for n, limit := range f.loadLimits {
--- a/policy/golden_faults_test.go
+++ b/policy/golden_faults_test.go
@@ -2,9 +2,9 @@
 
 import "fawnplank/policy"
 
-// This file breaks things in a golden day: counter, backends, list, instances and settings.
+// This file injects faults into a golden scenario: in the counter, backends, endpoint list, instances and settings.
 
-// scheduleNextFault begins one fault of the day's kinds and plans the next.
+// scheduleNextFault schedules a fault of a random kind among those of the scenario, which in turn schedules the next.
 func (sim *goldenSimulation) scheduleNextFault() {
 	if sim.scenario.faults == (goldenFaults{}) {
 		return
@@ -80,7 +80,7 @@
 	}
 }
 
-// injectFleetOutage makes every backend hang, or slow, for a while.
+// injectFleetOutage makes all backends hang, or all slow, for a while. In some outages, the arrivals pause too.
 func (sim *goldenSimulation) injectFleetOutage() {
 	if sim.chance(0.4) {
 		sim.scheduleAfter(goldenSecond, func() { sim.activateFault(&sim.arrivalPauses, 7*goldenSecond) })
@@ -110,7 +110,7 @@
 	})
 }
 
-// replaceBackend removes a backend from the list for good; another one starts under a new id.
+// replaceBackend removes a backend from the endpoint list and adds another one under a new id.
 func (sim *goldenSimulation) replaceBackend(b *goldenBackend) {
 	b.state = policy.EndpointGone
 	sim.publishEndpoint(b)
@@ -123,7 +123,7 @@
 	sim.publishEndpoint(sim.addBackend(sim.now))
 }
 
-// restartBackend restarts a backend, which then warms up.
+// restartBackend restarts a backend: it refuses connections for half a second and then warms up.
 func (sim *goldenSimulation) restartBackend() {
 	b := sim.backends[sim.randomInt(len(sim.backends))]
 	sim.activateFault(&b.refusing, goldenSecond/2)
@@ -147,7 +147,7 @@
 	sim.scheduleAfter(sim.exponential(goldenSecond), func() { instance.start(&exported, sim.now-stoppedAt) })
 }
 
-// updateSettings gives all instances new settings: rows are added, and a value changes.
+// updateSettings gives all instances new settings with another plan, another class and a higher MaxRetryAfter.
 func (sim *goldenSimulation) updateSettings() {
 	if len(sim.settings.Plans) > 12 {
 		return
--- a/policy/golden_instance_test.go
+++ b/policy/golden_instance_test.go
@@ -8,9 +8,9 @@
 	"fawnplank/policy"
 )
 
-// This file models one instance of a golden day: it carries out the effects of its engine and hashes them.
+// This file simulates an instance of a golden scenario, which hashes and carries out the effects of its engine.
 
-// goldenInstance is one instance: its decisions, and their effects.
+// goldenInstance is a simulated instance. It implements policy.Effects for its engine.
 type goldenInstance struct {
 	simulation   *goldenSimulation
 	number       int
@@ -78,7 +78,8 @@
 	instance.engine = nil
 }
 
-// afterIfRunning runs a function after a time, unless the instance has been stopped by then.
+// afterIfRunning schedules a function for a time after now. The function does not run if the instance has been
+// stopped by then.
 func (instance *goldenInstance) afterIfRunning(delay int64, run func()) {
 	incarnation := instance.incarnation
 	instance.simulation.scheduleAfter(delay, func() {
@@ -116,7 +117,7 @@
 	})
 	if sim.chance(sim.scenario.disconnectShare) {
 		patience := sim.exponential(200 * goldenMillisecond)
-		if sim.chance(0.3) { // nearly to the end
+		if sim.chance(0.3) { // the client disconnects shortly before the deadline
 			patience = max(remaining-sim.exponential(20*goldenMillisecond), 0)
 		}
 		instance.afterIfRunning(patience, func() {
@@ -129,7 +130,7 @@
 	}
 }
 
-// hashDone hashes whether anything more is to come.
+// hashDone hashes whether the handle of the request is done.
 func (r *goldenRequest) hashDone() {
 	r.instance.simulation.hashRecord(codeFinished, r.instance.number, uint64(r.id), boolBit(r.handle.Done()))
 }
@@ -138,8 +139,8 @@
 	sim, engine := instance.simulation, instance.engine
 	stats := engine.CounterStats()
 	sim.hashRecord(codeBreaker, instance.number, boolBit(engine.BreakerOpen()), floatBits(stats.CallShare))
-	// The sums run over a map, so that their last bits differ from run to run. The offset keeps the sums of
-	// round numbers away from the bounds between two steps.
+	// The engine adds these up in the random order of a map, so the last bits differ from run to run and are
+	// rounded away. The offset keeps sums of round numbers away from the boundaries between two rounded values.
 	round := func(x float64) uint64 { return uint64(int64(math.Floor(x*1000 + 0.31731))) }
 	sim.hashRecord(codeCounterStats, instance.number, boolBit(stats.BreakerOpen), floatBits(stats.CallShare),
 		round(stats.UnreportedUnits), round(stats.LostUnits), round(stats.ReconciledUnits), round(stats.DriftUnits),
@@ -191,9 +192,9 @@
 	a.serve()
 }
 
-// serve decides how the backend deals with an attempt, and when.
+// serve draws the outcome of an attempt at its backend and schedules its end.
 //
-//nolint:gocognit // of this pinned file only names may change
+//nolint:gocognit // the golden hashes depend on the order of the random draws in this function
 func (a *goldenAttempt) serve() {
 	r, b, sim := a.request, a.backend, a.request.instance.simulation
 	outcome, duration := policy.Succeeded, int64(0)
@@ -238,7 +239,7 @@
 	r.instance.afterIfRunning(duration+sim.exponential(goldenMillisecond), func() { a.end(outcome, units) })
 }
 
-// end reports to the instance how an attempt ended, once.
+// end reports the outcome of an attempt to the engine. Only the first call for an attempt has an effect.
 func (a *goldenAttempt) end(outcome policy.Outcome, units float64) {
 	r, sim := a.request, a.request.instance.simulation
 	if a.ended {
@@ -252,7 +253,7 @@
 		Elapsed: time.Duration(sim.now - a.sentAt), RequestDone: r.answered, ActualUnits: units}
 	r.handle.HandleAttemptResult(sim.currentInstant(), result)
 	r.hashDone()
-	if sim.chance(0.01) { // twice, and one that was never sent
+	if sim.chance(0.01) { // reports a result twice, and one for an attempt that was never sent
 		r.handle.HandleAttemptResult(sim.currentInstant(), result)
 		result.Attempt = 200
 		r.handle.HandleAttemptResult(sim.currentInstant(), result)
@@ -284,7 +285,7 @@
 	sim := instance.simulation
 	sim.hashEffect(codeTimer, instance.number, uint64(at.Nanos()), uint64(timer))
 	early := int64(0)
-	if timer > 0 && sim.chance(0.02) { // a coarse clock wakes a little early
+	if timer > 0 && sim.chance(0.02) { // a coarse clock fires a little early
 		early = goldenMillisecond / 10
 	}
 	instance.afterIfRunning(at.Nanos()-sim.now-early, func() { instance.engine.HandleTimer(sim.currentInstant(), timer) })
@@ -294,7 +295,7 @@
 	sim := instance.simulation
 	sim.hashEffect(codeCheckHealth, instance.number, uint64(b))
 	if sim.chance(0.2) {
-		return // its answer is lost
+		return // the result of the check is lost
 	}
 	instance.afterIfRunning(2*goldenMillisecond+sim.exponential(goldenMillisecond), func() {
 		outcome := policy.ConnectFailed
@@ -318,7 +319,7 @@
 			instance.engine.UpdateEndpoints(sim.currentInstant(), policy.UpdateFailed, nil)
 		default:
 			instance.listEndpoints(policy.FullSnapshot)
-			if sim.scenario.faults.listEndpoints { // the watch breaks at times
+			if sim.scenario.faults.listEndpoints { // the watch fails after a while
 				instance.afterIfRunning(sim.exponential(4*goldenSecond), func() {
 					instance.engine.UpdateEndpoints(sim.currentInstant(), policy.UpdateFailed, nil)
 				})
@@ -327,7 +328,7 @@
 	})
 }
 
-// LogUnknown hashes the text that the log had when the days were recorded.
+// LogUnknown hashes the text that was logged when the golden hashes were recorded. The text must not change.
 func (instance *goldenInstance) LogUnknown(class policy.ClassID, plan policy.PlanID) {
 	text := fmt.Sprintf("transaction of unknown profile %d or plan %d broken off", class, plan)
 	fields := []uint64{uint64(len(text))}
@@ -347,7 +348,7 @@
 		if c.expiresAt[key] <= sim.now {
 			c.totals[key], c.expiresAt[key] = 0, sim.now+int64(lifetime)
 		}
-		c.totals[key] = float64(float32(c.totals[key] + units)) // the counter reports seven digits
+		c.totals[key] = float64(float32(c.totals[key] + units)) // the counter reports seven significant digits
 		return c.totals[key]
 	}
 	networkDelay := goldenMillisecond/2 + sim.exponential(goldenMillisecond/2)
@@ -357,7 +358,7 @@
 		instance.afterIfRunning(networkDelay, func() { instance.completeCall(key, call, policy.ConnectFailed, 0) })
 	case c.hanging > 0 && sim.chance(0.5):
 	case c.hanging > 0:
-		sim.scheduleAfter(2*timeout, func() { add() }) // added too late
+		sim.scheduleAfter(2*timeout, func() { add() }) // the counter adds the units after the caller's timeout
 	case c.rejecting > 0 && sim.chance(0.4):
 		instance.afterIfRunning(networkDelay, func() { instance.completeCall(key, call, policy.Rejected, 0) })
 	case c.disconnecting > 0 && sim.chance(0.5):
@@ -374,7 +375,7 @@
 	}
 }
 
-// completeCall brings the answers for a name in the order of the calls.
+// completeCall records the result of a counter call and reports the results for its key in the order of the calls.
 func (instance *goldenInstance) completeCall(key policy.CounterKey, call *goldenCounterCall,
 	callOutcome policy.Outcome, total float64) {
 	if call.done || instance.engine == nil {
@@ -388,7 +389,7 @@
 		}
 		instance.reportCounterResult(key, first.outcome, first.total)
 	}
-	if instance.simulation.chance(0.002) { // an answer to no call
+	if instance.simulation.chance(0.002) { // a result without a call
 		instance.reportCounterResult(key+1, callOutcome, total)
 	}
 }
--- a/policy/golden_test.go
+++ b/policy/golden_test.go
@@ -6,19 +6,20 @@
 	"fawnplank/policy"
 )
 
-// This file pins what the decisions do. Seeded days of several instances round one counter, one list and one
-// set of backends, all modeled here in simulated time, are played, and every effect is hashed with its time,
-// its instance and all its arguments. The encoding is of fixed numbers only: no name of the program is in it,
-// so that no renaming changes a hash. A hash that changes means that a decision changed. The floating-point
-// results behind them are those of amd64: a compiler that fuses multiply and add rounds otherwise.
+// This file holds golden tests for the decisions of the package. Each scenario simulates several instances that
+// share a counter, an endpoint list and a set of backends, with a fixed seed and in simulated time. Every effect
+// is hashed with its time, its instance and all its arguments. The encoding consists of fixed numbers and holds
+// no name from the program, so renaming does not change a hash. A changed hash means that a decision changed.
+// The hashes hold for the floating-point results of amd64: a compiler that fuses multiplication and addition
+// rounds differently.
 
 const (
-	goldenMillisecond = 1_000_000 // nanoseconds; untyped, for the world's times and for the settings
+	goldenMillisecond = 1_000_000 // in nanoseconds; untyped, for int64 times as well as time.Duration settings
 	goldenSecond      = 1000 * goldenMillisecond
 	goldenStart       = int64(1_700_000_000 * goldenSecond)
 )
 
-// Codes of what is hashed. They are part of the golden hashes and must never change.
+// Codes of the hashed records. They are part of the golden hashes and must never change.
 const (
 	codeSend uint64 = iota + 1
 	codeCancel
@@ -39,26 +40,26 @@
 	codeTimeouts
 )
 
-// goldenFaults says which kinds of fault a day has.
+// goldenFaults states which kinds of fault are injected in a scenario.
 type goldenFaults struct {
 	counter, backends, draining, slowStarts, listEndpoints, instanceRestarts, settingsUpdates, fleetOutages bool
 }
 
-// goldenScenario is one row of the table.
+// goldenScenario describes a simulation and its expected hash.
 type goldenScenario struct {
 	name                                      string
 	seed                                      uint64
 	instances, backends, tenants, entryPoints int
-	rate                                      float64 // requests a second
+	rate                                      float64 // in requests a second
 	seconds                                   int64
-	serviceTime                               int64   // usual, of a backend
-	disconnectShare                           float64 // of the requests, whose clients leave early
-	streamedShare                             float64 // of the requests, whose responses are streamed
+	serviceTime                               int64   // mean of a backend, in nanoseconds
+	disconnectShare                           float64 // share of the requests whose clients disconnect early
+	streamedShare                             float64 // share of the requests whose responses are streamed
 	settings                                  func(*policy.Settings)
 	faults                                    goldenFaults
-	zeroUnits                                 bool  // some requests have no units
-	serviceTimeByUnits                        bool  // small requests are much quicker
-	faultInterval                             int64 // mean time between two faults
+	zeroUnits                                 bool  // some requests have 0 units
+	serviceTimeByUnits                        bool  // the service time is proportional to the units
+	faultInterval                             int64 // mean time between two faults, in nanoseconds
 	minEffects                                int
 	wantHash                                  string
 }
@@ -80,7 +81,7 @@
 	}
 }
 
-// idempotencyClasses returns classes of each idempotency and each dedup scope.
+// idempotencyClasses returns classes that cover every idempotency and every dedup scope.
 func idempotencyClasses() []policy.ClassSettings {
 	classes := []policy.ClassSettings{
 		{Idempotency: policy.Idempotent},
@@ -96,7 +97,7 @@
 		classes[i].Deadline = 2 * goldenSecond
 		classes[i].LateValue = float64(i%2) / 2
 	}
-	// Long enough for several attempts one after another, up to the last that is worth sending.
+	// The latency objective of this class leaves time for several attempts one after another.
 	longClass := policy.ClassSettings{LatencyObjective: 1500 * goldenMillisecond, Deadline: 2 * goldenSecond}
 	return append(classes, longClass)
 }
@@ -294,8 +295,9 @@
 		wantHash:      "53570b0dec1ffe3561bc5066694459b9bd5d273fa94fac49087ffc3092889230",
 	},
 	{
-		// A request of no units under a quota makes the measured share of the plan no number (0/0), and what is
-		// counted after it too. The day is apart so that the others are not blind from there on.
+		// In an earlier version, a request of 0 units under a quota turned the measured admitted share of its plan
+		// into NaN (0/0), and with it all values computed from that share. Such requests have their own scenario so
+		// that NaN cannot hide changes in the others.
 		name: "requests without units", seed: 13, rate: 300, seconds: 20, minEffects: 2000,
 		instances: 3, backends: 4, tenants: 9, entryPoints: 3,
 		serviceTime: 20 * goldenMillisecond, disconnectShare: 0.02, zeroUnits: true,
@@ -334,6 +336,7 @@
 	},
 }
 
+// TestGoldenScenarios checks that the effects of each scenario have the recorded hash.
 func TestGoldenScenarios(t *testing.T) {
 	for _, scenario := range goldenScenarios {
 		t.Run(scenario.name, func(t *testing.T) {
@@ -343,7 +346,7 @@
 				t.Errorf("%d effects have the hash\n%s, want\n%s: a decision changed", effects, sum, scenario.wantHash)
 			}
 			if effects < scenario.minEffects {
-				t.Errorf("%d effects, want %d at least: the day has become empty", effects, scenario.minEffects)
+				t.Errorf("%d effects, want at least %d: the scenario covers too little", effects, scenario.minEffects)
 			}
 		})
 	}
--- a/policy/golden_world_test.go
+++ b/policy/golden_world_test.go
@@ -14,9 +14,9 @@
 	"fawnplank/policy"
 )
 
-// This file models what the instances of a golden day share: the counter, the backends, the list and the clock.
+// This file simulates what the instances of a golden scenario share: counter, backends, endpoint list and clock.
 
-// goldenSimulation is everything that a day consists of.
+// goldenSimulation is the state of a running golden scenario.
 type goldenSimulation struct {
 	scenario         goldenScenario
 	now              int64
@@ -31,7 +31,7 @@
 	lastRequestID    uint64
 	lastBackendID    uint32
 	discoveryOutages int
-	arrivalPauses    int // how many are under way in which no client comes
+	arrivalPauses    int // number of active pauses in which no requests arrive
 	counter          goldenCounter
 }
 
@@ -88,7 +88,7 @@
 	return hex.EncodeToString(sim.hash.Sum(nil)), sim.effects
 }
 
-// hashRecord hashes a record: its code, the time, the instance and the rest.
+// hashRecord hashes a record: its code, the time, the instance and the fields.
 func (sim *goldenSimulation) hashRecord(code uint64, instance int, fields ...uint64) {
 	b := sim.buffer[:0]
 	b = binary.LittleEndian.AppendUint64(b, code)
@@ -107,7 +107,8 @@
 	sim.hashRecord(code, instance, fields...)
 }
 
-// floatBits returns a number's bits. NaN has many forms, and which one comes out is up to the compiler.
+// floatBits returns the bits of a number. All NaN values give the same bits, since the NaN that an operation
+// produces depends on the compiler.
 func floatBits(x float64) uint64 {
 	if math.IsNaN(x) {
 		return 0x7ff8000000000001
@@ -122,28 +123,28 @@
 	return 0
 }
 
-// at runs a function at a time, or now if that has passed.
+// scheduleAt schedules a function for a time, or for now if that time has passed.
 func (sim *goldenSimulation) scheduleAt(when int64, run func()) {
 	sim.events.Push(monotime.FromNanos(max(when, sim.now)), run)
 }
 
-// currentInstant returns the present time as engines see it.
+// currentInstant returns the current time as an Instant.
 func (sim *goldenSimulation) currentInstant() policy.Instant { return monotime.FromNanos(sim.now) }
 
-// after runs a function after a time.
+// scheduleAfter schedules a function for a time after now.
 func (sim *goldenSimulation) scheduleAfter(delay int64, run func()) {
 	sim.scheduleAt(sim.now+delay, run)
 }
 
-// randomInt draws a number from 0 on and below n.
+// randomInt returns a random number in [0, n).
 func (sim *goldenSimulation) randomInt(n int) int { return int(sim.random.Uint64() % uint64(n)) }
 
-// chance draws whether something of the given probability happens.
+// chance returns true with the given probability.
 func (sim *goldenSimulation) chance(probability float64) bool {
 	return sim.random.Float64() < probability
 }
 
-// exponential draws a time of the given mean.
+// exponential returns an exponentially distributed time with the given mean.
 func (sim *goldenSimulation) exponential(mean int64) int64 {
 	return int64(-math.Log(1-sim.random.Float64()) * float64(mean))
 }
@@ -173,7 +174,7 @@
 	}
 }
 
-// publishEndpoint delivers an entry of the list to every instance, to each after a random delay.
+// publishEndpoint sends a backend's entry of the endpoint list to every instance, to each after a random delay.
 func (sim *goldenSimulation) publishEndpoint(b *goldenBackend) {
 	endpoint := b.endpoint()
 	for _, instance := range sim.instances {
@@ -186,14 +187,15 @@
 	}
 }
 
-// scheduleNextRequest lets one client come and plans the next.
+// scheduleNextRequest schedules the next request, which in turn schedules the one after it.
 func (sim *goldenSimulation) scheduleNextRequest() {
 	sim.scheduleAfter(sim.exponential(int64(float64(goldenSecond)/sim.scenario.rate)), func() {
 		if sim.arrivalPauses > 0 {
 			sim.scheduleNextRequest()
 			return
 		}
-		tenant := min(sim.randomInt(sim.scenario.tenants), sim.randomInt(sim.scenario.tenants)) // some are busier
+		// Tenants with low numbers get more requests.
+		tenant := min(sim.randomInt(sim.scenario.tenants), sim.randomInt(sim.scenario.tenants))
 		firstInstance := tenant % sim.scenario.instances
 		instance := sim.instances[(firstInstance+sim.randomInt(sim.scenario.entryPoints))%sim.scenario.instances]
 		class, plan := sim.randomInt(len(sim.settings.Classes)), tenant%len(sim.settings.Plans)
@@ -208,13 +210,13 @@
 		case 1:
 			plan += 1000
 		case 2:
-			plan = sim.randomInt(len(sim.settings.Plans)) // the tenant changed its plan
+			plan = sim.randomInt(len(sim.settings.Plans)) // the tenant's plan changed
 		}
 		if sim.scenario.serviceTimeByUnits {
 			units *= units / 2
 		}
 		if sim.scenario.zeroUnits && sim.chance(0.3) {
-			units = -1 + float64(sim.randomInt(2)) // the engine takes a negative number for 0
+			units = -1 + float64(sim.randomInt(2)) // the engine treats negative units as 0
 		}
 		if instance.engine != nil {
 			instance.submit(class, plan, tenant, remaining, units, firstInstance)
@@ -223,7 +225,7 @@
 	})
 }
 
-// hashStatus hashes what the instances answer to questions, twice a second.
+// hashStatus hashes the status of all instances twice a second.
 func (sim *goldenSimulation) hashStatus() {
 	for _, instance := range sim.instances {
 		if instance.engine != nil {
@@ -233,7 +235,7 @@
 	sim.scheduleAfter(goldenSecond/2, sim.hashStatus)
 }
 
-// activateFault counts one more fault for a time. It is a count, because faults of a kind may overlap.
+// activateFault makes a fault active for a time. Faults of one kind can overlap, so active counts them.
 func (sim *goldenSimulation) activateFault(active *int, duration int64) {
 	*active++
 	sim.scheduleAfter(duration, func() { *active-- })
--- a/policy/pages_test.go
+++ b/policy/pages_test.go
@@ -11,7 +11,8 @@
 	"testing"
 )
 
-// What the pages name: functions as `Type.name` or `name`, constants as `name` = value, files as `name.go`.
+// Patterns of the names on the pages: functions and fields as `Type.name`, constants as `name` = value, files as
+// `name.go`, and the rows of the table of constants in docs/capacity.md.
 var (
 	pageMember = regexp.MustCompile("`((?:Engine|Request|Settings|tenant|traffic|plan|class|backend|outlierState|" +
 		"quotaWindow|counterCall|counterBreaker|fleetLatency|QuotaStatus)\\.\\w+)`")
@@ -20,14 +21,14 @@
 	pageSourceFiles = regexp.MustCompile("`(\\w+\\.go)`")
 )
 
-// declarationIndex are the declarations of the package: the file of each function, field and constant.
+// declarationIndex lists the declarations of the package with the file of each function, field and constant.
 type declarationIndex struct {
 	declaredIn map[string]string
 	constants  []string
 	files      map[string]bool
 }
 
-// parsePackageSource parses the package's files but the tests.
+// parsePackageSource parses all files of the package except the tests.
 func parsePackageSource(t *testing.T) declarationIndex {
 	t.Helper()
 	names := declarationIndex{declaredIn: map[string]string{}, files: map[string]bool{}}
@@ -84,7 +85,7 @@
 	}
 }
 
-// functionName returns a function's name, with its receiver's type before it if it has one.
+// functionName returns the name of a function, or Type.name for a method.
 func functionName(d *ast.FuncDecl) string {
 	if d.Recv == nil {
 		return d.Name.Name
@@ -113,23 +114,24 @@
 	for _, match := range pageMember.FindAllStringSubmatch(page, -1) {
 		isFile := strings.HasSuffix(match[1], ".go")
 		if !isFile && source.declaredIn[match[1]] == "" {
-			t.Errorf("decisions.md names %s, which is not in the package", match[1])
+			t.Errorf("docs/decisions.md names %s, which the package does not declare", match[1])
 		}
 	}
 	for _, match := range pageConstant.FindAllStringSubmatch(page, -1) {
 		if source.declaredIn[match[1]] == "" {
-			t.Errorf("decisions.md names the constant %s, which is not in the package", match[1])
+			t.Errorf("docs/decisions.md names the constant %s, which the package does not declare", match[1])
 		}
 	}
 	for _, match := range pageSourceFiles.FindAllStringSubmatch(page, -1) {
 		if !source.files[match[1]] {
-			t.Errorf("decisions.md names %s, which is no file of the package", match[1])
+			t.Errorf("docs/decisions.md names %s, which is not a file of the package", match[1])
 		}
 	}
 }
 
-// TestPages_ListEveryTunableConstant: docs/capacity.md says of each constant what it bounds. Constants that are no
-// choice are left out of it: names of enumerations, units and salts.
+// TestPages_ListEveryTunableConstant checks that docs/capacity.md, which describes what each constant bounds, lists
+// every unexported constant with the file that declares it. Enumeration values, units, timer numbers and hash salts
+// are exempt, because they are not tuned.
 func TestPages_ListEveryTunableConstant(t *testing.T) {
 	source := parsePackageSource(t)
 	notTuned := map[string]bool{
@@ -140,12 +142,13 @@
 	for _, match := range capacityRow.FindAllStringSubmatch(readPage(t, "capacity.md"), -1) {
 		listedIn[match[1]] = match[2]
 		if source.declaredIn[match[1]] != match[2] {
-			t.Errorf("capacity.md has %s in %s, and it is in %q", match[1], match[2], source.declaredIn[match[1]])
+			t.Errorf("docs/capacity.md lists %s in %s, but it is declared in %q", match[1], match[2],
+				source.declaredIn[match[1]])
 		}
 	}
 	for _, name := range source.constants {
 		if listedIn[name] == "" && !notTuned[name] {
-			t.Errorf("%s of %s is not in capacity.md", name, source.declaredIn[name])
+			t.Errorf("constant %s of %s is not listed in docs/capacity.md", name, source.declaredIn[name])
 		}
 	}
 }
