--- a/policy/engine_test.go
+++ b/policy/engine_test.go
@@ -84,7 +84,7 @@
 func (s *randomScenario) runRandomEvent(id RequestID) {
 	switch s.random.IntN(12) {
 	case 0, 1, 2, 3:
-		plan := s.random.IntN(len(s.settings.Plans) + 1) // includes a plan, and below a class, that does not exist
+		plan := s.random.IntN(len(s.settings.Plans) + 1) // one plan, like one class below, does not exist
 		s.submit(id, ClassID(s.random.IntN(len(s.settings.Classes)+1)), PlanID(plan),
 			TenantID(s.random.IntN(3)+3*plan), time.Duration(s.random.IntN(2000))*time.Millisecond, float64(s.random.IntN(4)))
 	case 4, 5, 6:
--- a/policy/golden_instance_test.go
+++ b/policy/golden_instance_test.go
@@ -38,7 +38,7 @@
 	number         int
 	backend        *goldenBackend
 	sentAt         int64
-	started, ended bool
+	started, ended bool // whether the response has started, and whether the result was reported
 }
 
 type goldenCounterCall struct {
@@ -53,6 +53,8 @@
 	return settings
 }
 
+// start starts an incarnation of the instance. exported is the state that the previous one exported age
+// nanoseconds ago, or nil.
 func (instance *goldenInstance) start(exported *policy.WarmStartState, age int64) {
 	sim := instance.simulation
 	instance.incarnation++
@@ -89,6 +91,7 @@
 	})
 }
 
+// listEndpoints passes the endpoint list to the engine.
 func (instance *goldenInstance) listEndpoints(kind policy.UpdateKind) {
 	var endpoints []policy.Endpoint
 	for _, b := range instance.simulation.backends {
@@ -116,11 +119,11 @@
 		FirstInstance: firstInstance,
 	})
 	if sim.chance(sim.scenario.disconnectShare) {
-		patience := sim.exponential(200 * goldenMillisecond)
+		disconnectAfter := sim.exponential(200 * goldenMillisecond)
 		if sim.chance(0.3) { // the client disconnects shortly before the deadline
-			patience = max(remaining-sim.exponential(20*goldenMillisecond), 0)
+			disconnectAfter = max(remaining-sim.exponential(20*goldenMillisecond), 0)
 		}
-		instance.afterIfRunning(patience, func() {
+		instance.afterIfRunning(disconnectAfter, func() {
 			if !r.answered {
 				r.answered = true
 				r.handle.HandleClientGone(sim.currentInstant())
--- a/policy/golden_world_test.go
+++ b/policy/golden_world_test.go
@@ -35,22 +35,26 @@
 	counter          goldenCounter
 }
 
+// goldenCounter is the simulated counter. Its integer fields count the active faults of each kind.
 type goldenCounter struct {
 	totals                                            map[policy.CounterKey]float64
 	expiresAt                                         map[policy.CounterKey]int64
 	refusing, hanging, rejecting, disconnecting, slow int
 }
 
+// goldenBackend is a simulated backend. The integer fields from refusing to full count its active faults of each
+// kind.
 type goldenBackend struct {
 	id                                                            uint32
 	zone, group                                                   uint16
 	relativeCapacity                                              float64
 	state                                                         policy.EndpointState
-	started                                                       int64
+	started                                                       int64 // start time; 0: long ago
 	inService                                                     int
 	refusing, hanging, resetting, failing, slow, notSending, full int
 }
 
+// runGoldenScenario runs a scenario and returns the hash of its records and the number of effects.
 func runGoldenScenario(t *testing.T, scenario goldenScenario) (sum string, effects int) {
 	t.Helper()
 	sim := &goldenSimulation{
--- a/policy/harness_test.go
+++ b/policy/harness_test.go
@@ -183,8 +183,8 @@
 	}
 	elapsedShare := float64(h.now.Sub(endpoint.StartedAt)) / float64(h.settings.SlowStartDuration)
 	capacityShare := h.settings.SlowStartShare + (1-h.settings.SlowStartShare)*elapsedShare
-	// In these tests one core completes five requests a second. If backends have more cores, the measured rate of
-	// successes shows it.
+	// A warm backend is taken to complete five requests a second, the rate of one core in these tests, or as many as
+	// the measured successes show.
 	ready := 0
 	for _, other := range h.endpoints {
 		if other.State == EndpointReady {
