--- a/internal/frontend/accept.go
+++ b/internal/frontend/accept.go
@@ -8,19 +8,19 @@
 )
 
 const (
-	// acceptGrace is how long a connection that the kernel has accepted may wait to be accepted here once
-	// accepting ends.
-	acceptGrace = 20 * time.Millisecond
-	// listenerGrace is the time from the start of acceptGrace until the listener is closed. It is longer than
-	// acceptGrace, so that the server already has the last accepted connection when the listener closes.
-	listenerGrace = 30 * time.Millisecond
-	// maxAcceptExtensions is how often acceptGrace is granted again while accepts fail, so that connections
-	// that the kernel has accepted are not lost to an outage of a tenth of a second.
-	maxAcceptExtensions = 4
+	// backlogAcceptTimeout is how long AcceptBacklog lets the server accept connections from the listener's backlog
+	// in one round.
+	backlogAcceptTimeout = 20 * time.Millisecond
+	// backlogRoundDuration is the duration of one round of AcceptBacklog. It is longer than backlogAcceptTimeout, so
+	// that the server has registered the last accepted connection before the listener is closed.
+	backlogRoundDuration = 30 * time.Millisecond
+	// maxExtraBacklogRounds limits the further rounds while accepts fail, so that connections in the backlog are not
+	// lost when accepts fail for a tenth of a second.
+	maxExtraBacklogRounds = 4
 )
 
-// accept adds connections until the listener is closed or its deadline has passed.
-func (s *Server) accept(listener *retryaccept.Listener) {
+// acceptConnections accepts and starts to serve connections until the listener is closed or its deadline has passed.
+func (s *Server) acceptConnections(listener *retryaccept.Listener) {
 	for {
 		conn, err := listener.Accept()
 		if err != nil {
@@ -30,30 +30,31 @@
 	}
 }
 
-// AcceptBacklog ends accepting: it returns once the connections are accepted that wait on the listener, after
-// listenerGrace, or after up to 1 + maxAcceptExtensions times that while accepts fail. It guards against resetting
-// connections that the kernel has accepted already, whose clients may have sent a request: they are served before the
-// listener is closed.
+// AcceptBacklog prepares the listener for its close: it sets a deadline after which Serve accepts no more connections,
+// and waits until Serve has accepted those in the listener's backlog. That takes backlogRoundDuration, or up to
+// 1 + maxExtraBacklogRounds times as long while accepts fail. Without it, closing the listener would reset connections
+// that the kernel has already established and whose clients may have sent a request.
 func (s *Server) AcceptBacklog(listener net.Listener) {
-	bounded, hasDeadline := listener.(interface{ SetDeadline(at time.Time) error })
-	for range 1 + maxAcceptExtensions {
-		if hasDeadline {
-			_ = bounded.SetDeadline(time.Now().Add(acceptGrace)) // fails on a closed listener, which accepts no more
+	deadlineSetter, supportsDeadline := listener.(interface{ SetDeadline(at time.Time) error })
+	for range 1 + maxExtraBacklogRounds {
+		if supportsDeadline {
+			_ = deadlineSetter.SetDeadline(time.Now().Add(backlogAcceptTimeout)) // fails only on a closed listener
 		}
-		time.Sleep(listenerGrace)
+		time.Sleep(backlogRoundDuration)
 		if !s.acceptFailing() {
 			return
 		}
 	}
 }
 
-// acceptFailing reports whether the last accept failed, so that connections may be waiting on the listener.
+// acceptFailing reports whether the last accept failed, so that connections may remain in the listener's backlog.
 func (s *Server) acceptFailing() bool {
 	listener := s.listener.Load()
 	return listener != nil && listener.Failing()
 }
 
-// addConnection starts to serve a connection. If there are too many, it first waits until an idle one can be closed.
+// addConnection starts to serve an accepted connection. If too many connections are open, it first waits until an idle
+// one can be closed.
 func (s *Server) addConnection(accepted net.Conn) {
 	c, err := newConnection(s, accepted.(*net.TCPConn))
 	if err != nil { // the connection has ended already
@@ -64,14 +65,14 @@
 	go c.readLoop()
 }
 
-// register adds a connection, once there is capacity for it.
+// register adds a connection once there is capacity for it.
 func (s *Server) register(c *connection) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.makeCapacity()
+	s.makeConnectionCapacity()
 	s.connections[c] = struct{}{}
-	s.accepted.Add(1)
-	if s.endsConnections() {
-		c.startEnding(time.Now())
+	s.acceptedConnections.Add(1)
+	if s.closesIdleConnections() {
+		c.startClosing(time.Now())
 	}
 }
--- a/internal/frontend/accept_test.go
+++ b/internal/frontend/accept_test.go
@@ -23,19 +23,19 @@
 	return l.TCPListener.Accept()
 }
 
-// TestServer_AcceptLastOutlastsAnOutage: a connection that the kernel has accepted is served, though accepts
+// TestServer_AcceptBacklogRetriesFailedAccepts: a connection that the kernel has accepted is served, though accepts
 // fail while accepting ends.
-func TestServer_AcceptLastOutlastsAnOutage(t *testing.T) {
+func TestServer_AcceptBacklogRetriesFailedAccepts(t *testing.T) {
 	h := newHarness(t, harnessOptions{})
 	listener := &failingListener{TCPListener: testutil.Listen(t).(*net.TCPListener)}
 	listener.failing.Store(true)
-	h.until("the harness serves", h.server.serving.Load)
+	h.waitUntil("the harness serves", h.server.serving.Load)
 	served := make(chan error, 1)
 	go func() { served <- h.server.Serve(listener) }()
-	h.until("accept fails", h.server.acceptFailing)
+	h.waitUntil("accept fails", h.server.acceptFailing)
 	h.listener = listener
 	client := h.dial()
-	client.send(query("1", lookupFields))
+	client.send(queryCommand("1", lookupFields))
 	time.AfterFunc(80*time.Millisecond, func() { listener.failing.Store(false) })
 	h.server.AcceptBacklog(listener)
 	if err := listener.Close(); err != nil {
@@ -45,7 +45,7 @@
 		t.Errorf("Serve: %v", err)
 	}
 	h.server.beginShutdown()
-	h.nextAttempt().respond(okReply)
-	client.expect(okResponse)
-	client.expectEnd("behind the response")
+	h.nextAttempt().respond(okBackendResponse)
+	client.expect(okClientResponse)
+	client.expectClosed("behind the response")
 }
--- a/internal/frontend/backpressure.go
+++ b/internal/frontend/backpressure.go
@@ -3,23 +3,23 @@
 import "time"
 
 const (
-	// maxPendingCommands is how many commands of one connection may be pending at once; beyond that the reader
-	// waits. Typical clients keep one command pending on each connection, so a client that sends hundreds at
-	// once waits only for itself.
+	// maxPendingCommands limits the pending commands of one connection; the reader waits while the limit is reached.
+	// Typical clients keep one command pending on each connection, so a client that sends hundreds at once delays
+	// only its own commands.
 	maxPendingCommands = 32
-	// maxPendingBytes is how many bytes the pending commands of one connection may have together; beyond that the
-	// reader waits.
+	// maxPendingBytes limits the total size of the pending commands of one connection; the reader waits while it is
+	// exceeded.
 	maxPendingBytes = 2 * maxCommandBytes
 )
 
-// enqueue appends a command to the pending ones once there is capacity for it. It returns false if the client
-// has gone or the input is closed.
+// enqueue appends a command to the pending commands once there is capacity for it. It returns false if the client has
+// disconnected or the input is closed.
 func (c *connection) enqueue(p *pendingCommand) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.isFull() {
-		c.mu.Unlock() // awaitCapacity takes it
-		c.awaitCapacity()
+	if c.isPendingFull() {
+		c.mu.Unlock() // awaitPendingCapacity acquires it
+		c.awaitPendingCapacity()
 		c.mu.Lock()
 	}
 	if c.peer.isGone() || c.isInputClosed() {
@@ -27,46 +27,47 @@
 	}
 	c.pending = append(c.pending, p)
 	if p.isRequest {
-		c.requestsOpen.Add(1)
+		c.requestsInFlight.Add(1)
 	}
 	c.pendingBytes += len(p.raw)
 	return true
 }
 
-// awaitCapacity waits until a further command may become pending or the client has gone. It guards against a client
-// that sends faster than it is answered and would fill the memory. The caller must not hold mu.
-func (c *connection) awaitCapacity() {
-	began := time.Now()
-	c.awaitWatched(readerAwaitsCapacity, c.isFull)
-	c.reader.awaitedCapacity += time.Since(began)
+// awaitPendingCapacity waits until another command may become pending or the client has disconnected. It keeps a client
+// that sends commands faster than they are answered from exhausting the memory. The caller must not hold mu.
+func (c *connection) awaitPendingCapacity() {
+	start := time.Now()
+	c.waitWhile(readerAwaitsPendingCapacity, c.isPendingFull)
+	c.reader.pendingCapacityWait += time.Since(start)
 }
 
-// isFull reports whether no further command may become pending. The caller holds mu. Once the connection is to
-// end nothing more is read, and what has been read is submitted at once: it has to be answered before the end.
-func (c *connection) isFull() bool {
-	if c.ending.Load() {
+// isPendingFull reports whether no further command may become pending. The caller holds mu. While the connection is
+// closing, nothing more is read, and the commands that were read are submitted without waiting for capacity, because
+// they have to be answered before the close.
+func (c *connection) isPendingFull() bool {
+	if c.closing.Load() {
 		return false
 	}
 	return len(c.pending) >= maxPendingCommands || c.pendingBytes > maxPendingBytes
 }
 
-// hasPending reports whether commands are pending. The caller holds mu.
-func (c *connection) hasPending() bool { return len(c.pending) > 0 }
+// hasPendingCommands reports whether commands are pending. The caller holds mu.
+func (c *connection) hasPendingCommands() bool { return len(c.pending) > 0 }
 
-// awaitResponses waits until nothing is pending on the connection or the client has gone. It guards against an end
-// of the connection that overtakes a response. The caller must not hold mu.
+// awaitResponses waits until no command is pending or the client has disconnected, so that the connection is not closed
+// before its last response is written. The caller must not hold mu.
 func (c *connection) awaitResponses() {
 	c.mu.Lock()
-	pending := c.hasPending()
+	pending := c.hasPendingCommands()
 	c.mu.Unlock()
 	if pending {
-		c.awaitWatched(readerAwaitsResponses, c.hasPending)
+		c.waitWhile(readerAwaitsResponses, c.hasPendingCommands)
 	}
 }
 
-// awaitWatched waits while condition holds and the client has not gone. It calls condition with mu held.
-func (c *connection) awaitWatched(activity readerActivity, condition func() bool) {
-	c.waitWatched(activity, func() {
+// waitWhile waits while condition holds and the client has not disconnected. It calls condition with mu held.
+func (c *connection) waitWhile(activity readerActivity, condition func() bool) {
+	c.waitWatchingHangUp(activity, func() {
 		c.mu.Lock()
 		defer c.mu.Unlock()
 		for !c.peer.isGone() && condition() {
--- a/internal/frontend/benchmark_test.go
+++ b/internal/frontend/benchmark_test.go
@@ -19,14 +19,14 @@
 func BenchmarkFrontend_Request(b *testing.B) {
 	client := newBenchmarkClient(b, startBenchmarkServer(b))
 	b.ReportAllocs()
-	rejected := 0
+	rejectedCount := 0
 	for b.Loop() {
 		for client.send() {
-			rejected++
+			rejectedCount++
 		}
 		client.expectOK()
 	}
-	b.ReportMetric(float64(rejected), "rejected")
+	b.ReportMetric(float64(rejectedCount), "rejected")
 }
 
 // startBenchmarkServer starts a server with one backend, and returns its address.
@@ -44,8 +44,8 @@
 		_ = server.Serve(listener) // it returns nil, once the listener is closed
 	}()
 	pool.SetAddress(1, startBenchmarkBackend(b))
-	ready := policy.Endpoint{Backend: 1, State: policy.EndpointReady}
-	dispatcher.UpdateEndpoints(policy.FullSnapshot, []policy.Endpoint{ready})
+	readyEndpoint := policy.Endpoint{Backend: 1, State: policy.EndpointReady}
+	dispatcher.UpdateEndpoints(policy.FullSnapshot, []policy.Endpoint{readyEndpoint})
 	return listener.Addr().String()
 }
 
@@ -60,12 +60,12 @@
 	defer func() {
 		_ = conn.Close() // the gateway may have closed it
 	}()
-	buffer, reply := make([]byte, 4096), []byte(okReply)
+	buffer, response := make([]byte, 4096), []byte(okBackendResponse)
 	for {
 		if _, err := conn.Read(buffer); err != nil {
 			return
 		}
-		if _, err := conn.Write(reply); err != nil {
+		if _, err := conn.Write(response); err != nil {
 			return
 		}
 	}
@@ -92,10 +92,10 @@
 		_ = conn.Close() // the server may have closed it
 	})
 	client := &benchmarkClient{
-		b: b, conn: conn, reader: bufio.NewReader(conn), response: make([]byte, len(okResponse)),
+		b: b, conn: conn, reader: bufio.NewReader(conn), response: make([]byte, len(okClientResponse)),
 	}
 	for n := range client.requests {
-		client.requests[n] = []byte(query(strconv.Itoa(n), lookupFields))
+		client.requests[n] = []byte(queryCommand(strconv.Itoa(n), lookupFields))
 	}
 	return client
 }
@@ -123,7 +123,7 @@
 }
 
 func (c *benchmarkClient) expectOK() {
-	if _, err := io.ReadFull(c.reader, c.response); err != nil || string(c.response) != okResponse {
+	if _, err := io.ReadFull(c.reader, c.response); err != nil || string(c.response) != okClientResponse {
 		c.b.Fatalf("%q, %v", c.response, err)
 	}
 }
--- a/internal/frontend/client_gone.go
+++ b/internal/frontend/client_gone.go
@@ -6,38 +6,39 @@
 	"time"
 )
 
-// isClientGone reports whether the client is known to have gone.
+// isClientGone reports whether the client is known to have disconnected.
 func (c *connection) isClientGone() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.peer.isGone()
 }
 
-// clientGone records that the client has gone and cancels all requests open on the connection, since nobody
-// waits for their responses.
-func (c *connection) clientGone() {
+// handleClientGone records that the client has disconnected and cancels all open requests of the connection, since
+// their responses can no longer be delivered.
+func (c *connection) handleClientGone() {
 	c.mu.Lock()
 	c.peer = c.peer.afterGone()
-	open := slices.Clone(c.pending)
+	openCommands := slices.Clone(c.pending)
 	c.stateChanged.Broadcast()
 	c.mu.Unlock()
-	for _, p := range open {
+	for _, p := range openCommands {
 		if p.request != nil {
 			p.request.HandleClientGone()
 		}
 	}
 }
 
-// mayBeLongGone reports whether the client has hung up and the last read found its bytes already there. It guards
-// against forwarding a request whose client gave up long ago, while its connection waited to be accepted.
-func (c *connection) mayBeLongGone() bool {
+// mayHaveHungUpBeforeRead reports whether the client has hung up and the last read returned bytes without waiting. Such
+// a client may have given up long ago, while its connection waited to be accepted, so its requests are not forwarded.
+func (c *connection) mayHaveHungUpBeforeRead() bool {
 	return !c.conn.LastReadWaited() && c.conn.HungUp()
 }
 
-// waitWatched calls wait, which blocks the reader, while another goroutine watches for the client's hang-up. It
-// guards against attempts for clients that sent more than is read at once and then left: while nobody reads, a
-// hang-up behind unread bytes would go unnoticed. It returns when the other goroutine has ended.
-func (c *connection) waitWatched(activity readerActivity, wait func()) {
+// waitWatchingHangUp calls wait, which blocks the reader, while another goroutine watches for the client's hang-up. The
+// reader itself does not detect a hang-up that follows unread bytes while it waits, so attempts would be made for
+// clients that sent more than one read returns and then disconnected. waitWatchingHangUp returns when the other
+// goroutine has ended.
+func (c *connection) waitWatchingHangUp(activity readerActivity, wait func()) {
 	defer c.activity.enter(activity)()
 	var waitEnded atomic.Bool
 	watchEnded := make(chan struct{})
@@ -52,15 +53,16 @@
 	c.setReadDeadline(time.Time{})
 }
 
-// watchHangUp waits for the client's hang-up until waitEnded is set, which it checks each time a read deadline has
+// watchHangUp waits for the client's hang-up until waitEnded is set. It checks waitEnded each time a read deadline has
 // passed.
 func (c *connection) watchHangUp(waitEnded *atomic.Bool) {
 	for !waitEnded.Load() {
 		if c.conn.AwaitHangUp() {
-			c.clientGone()
+			c.handleClientGone()
 			return
 		}
-		// This resets the sweep's deadline. waitWatched's is not lost: waitEnded is set before it, and read after this.
+		// This removes a read deadline that the sweep has set. If it removes the one of waitWatchingHangUp, the next
+		// check ends the loop: waitWatchingHangUp sets waitEnded before that deadline.
 		c.setReadDeadline(time.Time{})
 	}
 }
--- a/internal/frontend/commands.go
+++ b/internal/frontend/commands.go
@@ -7,19 +7,19 @@
 )
 
 // handleCommand starts a command. valid is false if the command was answered with an error because it is invalid.
-func (c *connection) handleCommand(raw []byte, words [][]byte) (valid bool) {
-	if bytes.ContainsFunc(words[0], unicode.IsLower) { // rare, and ToUpper allocates
-		words[0] = bytes.ToUpper(words[0])
+func (c *connection) handleCommand(raw []byte, args [][]byte) (valid bool) {
+	if bytes.ContainsFunc(args[0], unicode.IsLower) { // rare, and ToUpper allocates
+		args[0] = bytes.ToUpper(args[0])
 	}
-	switch string(words[0]) {
+	switch string(args[0]) {
 	case "SVC.QUERY", "SVC.SUBMIT":
-		return c.handleRequest(raw, words)
+		return c.handleRequest(raw, args)
 	case "PING":
 		c.answerPing()
 	case "CLIENT", "SELECT":
 		c.respondLine("+OK")
 	default:
-		c.respondInvalid(fmt.Sprintf("unknown command %.40q", words[0]))
+		c.respondInvalid(fmt.Sprintf("unknown command %.40q", args[0]))
 		return false
 	}
 	return true
--- a/internal/frontend/connection_capacity.go
+++ b/internal/frontend/connection_capacity.go
@@ -1,54 +1,54 @@
 package frontend
 
-// clientDescriptorDivisor yields, from the descriptors of the process, how many validated connections may be open
-// before idle ones are evicted for new ones: less than MaxConnections, unless that is small. If clients leave
-// connections open and open a new one for each request, they would use up MaxConnections and no new connection could
-// be accepted, so the rest is kept free for new ones. The cost: if clients keep more connections open and would have
-// reused each, they have to open them again.
+// clientDescriptorDivisor divides the number of descriptors of the process to give the number of validated connections
+// from which on idle ones are evicted for new ones. A validated connection is one whose client has sent a valid
+// command. The result is less than MaxConnections, unless that is small. The rest of MaxConnections is reserved for new
+// connections: clients that leave connections open and open a new one for each request would otherwise use up
+// MaxConnections, and no new connection could be accepted. The cost is that clients that keep more connections open and
+// would have reused them have to reconnect.
 const clientDescriptorDivisor = 6
 
-// evictionThreshold returns at how many validated connections idle ones are evicted for new ones. descriptors is how
-// many the process may have open.
+// evictionThreshold returns the number of validated connections from which on idle ones are evicted for new ones.
+// descriptors is how many descriptors the process may have open.
 func evictionThreshold(descriptors, maxConnections int) int {
 	return min(max(descriptors/clientDescriptorDivisor, 1), maxConnections)
 }
 
-// makeCapacity evicts idle connections until there is capacity for one more. If all are busy, it waits until one ends
-// or becomes idle. It guards against more connections than the process has descriptors for, and against clients that
-// leave theirs open and lock others out. The caller holds mu.
-func (s *Server) makeCapacity() {
+// makeConnectionCapacity evicts idle connections until there is capacity for one more. If all connections are busy, it
+// waits until one ends or becomes idle. It keeps the number of connections within the descriptors of the process, and
+// prevents clients that leave their connections open from locking out others. The caller holds mu.
+func (s *Server) makeConnectionCapacity() {
 	for s.countValidated() >= s.evictionThreshold && s.evictIdle(validatedConnections) {
 	}
 	for len(s.connections) >= s.maxConnections {
-		s.capacityWanted.Store(true) // before looking: connections that become idle from here on signal it
+		s.connectionCapacityWanted.Store(true) // set before the search: connections that become idle from now on signal it
 		if !s.evictIdle(allConnections) {
-			s.capacityFreed.Wait()
+			s.connectionCapacityFreed.Wait()
 		}
 	}
-	s.capacityWanted.Store(false)
+	s.connectionCapacityWanted.Store(false)
 }
 
-// signalCapacity wakes an accept that waits for capacity, since a connection may have become idle. Without
-// it, if all connections are busy when a new one arrives and then become idle for good, nobody would look at
-// them again.
-func (s *Server) signalCapacity() {
-	if !s.capacityWanted.Load() {
+// signalConnectionCapacity wakes an accept that waits for capacity, since a connection may have become idle. Without
+// it, an accept that found all connections busy would wait until one ends, even after all of them have become idle.
+func (s *Server) signalConnectionCapacity() {
+	if !s.connectionCapacityWanted.Load() {
 		return
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.capacityFreed.Signal()
+	s.connectionCapacityFreed.Signal()
 }
 
-// removeConnection forgets a connection that has ended.
+// removeConnection removes a connection that has ended, and wakes an accept that waits for capacity.
 func (s *Server) removeConnection(c *connection) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.connections, c)
-	s.capacityFreed.Signal()
+	s.connectionCapacityFreed.Signal()
 }
 
-// countValidated returns on how many connections the client has sent a valid command. The caller holds mu.
+// countValidated returns the number of validated connections. The caller holds mu.
 func (s *Server) countValidated() int {
 	count := 0
 	for c := range s.connections {
--- a/internal/frontend/connection_error.go
+++ b/internal/frontend/connection_error.go
@@ -2,15 +2,15 @@
 
 import "time"
 
-// After an error that ends a connection, the server reads and discards input for up to errorLinger and up to
-// maxDiscardedBytes. Reading more is not worth the work.
+// Limits on the input that the server reads and discards after an error that closes a connection. Discarding more is
+// not worth the work.
 const (
 	errorLinger       = 300 * time.Millisecond
 	maxDiscardedBytes = 256 << 10
 )
 
-// endWithError ends the connection with an error, which follows all responses that are due on it.
-func (c *connection) endWithError(text string) {
+// closeWithError responds with an error after all responses that are due, and closes the connection.
+func (c *connection) closeWithError(text string) {
 	c.respondLine("-ERR " + text)
 	c.awaitResponses()
 	c.mu.Lock()
@@ -20,8 +20,8 @@
 	c.discardInput()
 }
 
-// discardInput reads and discards what the client still sends. It guards against the loss of the error: a close over
-// unread bytes resets the connection, and a client that is still sending would not get what it has not read yet.
+// discardInput reads and discards what the client still sends. Without it the error could be lost: a close with unread
+// bytes resets the connection, and a client that is still sending would not receive what it has not read yet.
 func (c *connection) discardInput() {
 	defer c.activity.enter(readerDiscards)()
 	c.setReadDeadline(time.Now().Add(errorLinger))
--- a/internal/frontend/connection_state.go
+++ b/internal/frontend/connection_state.go
@@ -1,13 +1,12 @@
 package frontend
 
-// inputState is how far the reader has handled the bytes of a connection. The doc comment of connection has the
-// table of transitions.
+// inputState is the state of a connection's input. The doc comment of connection has the table of transitions.
 type inputState uint8
 
 const (
 	inputIdle      inputState = iota // all complete commands read so far have been handled
-	inputUnhandled                   // bytes were read that have not been handled yet
-	inputClosed                      // closed by the server between requests: nothing more is read
+	inputUnhandled                   // bytes were read that are not handled yet
+	inputClosed                      // closed by the server between commands: nothing more is read
 )
 
 func (i inputState) String() string {
@@ -19,15 +18,14 @@
 	return enumName(names, "inputState", i)
 }
 
-// peerState is how the server treats the client at the other end. The doc comment of connection has the table of
-// transitions.
+// peerState is the state of a connection's client. The doc comment of connection has the table of transitions.
 type peerState uint8
 
 const (
 	peerServed        peerState = iota // commands are handled and responses are written
-	peerErrorSent                      // an error that ends the connection was written
-	peerGone                           // the client has gone: nothing more is handled or written
-	peerErrorSentGone                  // an error that ends the connection was written, and the client has gone
+	peerErrorSent                      // an error that closes the connection was written
+	peerGone                           // the client has disconnected: nothing more is handled or written
+	peerErrorSentGone                  // an error that closes the connection was written, and the client has disconnected
 )
 
 func (p peerState) String() string {
@@ -40,13 +38,13 @@
 	return enumName(names, "peerState", p)
 }
 
-// hasError reports whether an error that ends the connection was written.
+// hasError reports whether an error that closes the connection was written.
 func (p peerState) hasError() bool { return p == peerErrorSent || p == peerErrorSentGone }
 
-// isGone reports whether the client has gone.
+// isGone reports whether the client has disconnected.
 func (p peerState) isGone() bool { return p == peerGone || p == peerErrorSentGone }
 
-// afterError returns the state after an error that ends the connection.
+// afterError returns the state after an error that closes the connection was written.
 func (p peerState) afterError() peerState {
 	if p.isGone() {
 		return peerErrorSentGone
@@ -54,7 +52,7 @@
 	return peerErrorSent
 }
 
-// afterGone returns the state after the client has gone.
+// afterGone returns the state after the client has disconnected.
 func (p peerState) afterGone() peerState {
 	if p.hasError() {
 		return peerErrorSentGone
--- a/internal/frontend/doc.go
+++ b/internal/frontend/doc.go
@@ -1,27 +1,27 @@
-// Package frontend serves clients. It owns the listener's connections, the clients' input and the order of
-// responses on each connection: it parses commands in place, submits requests to the dispatcher, and carries
-// out the steps that the dispatcher picks. It never leaves a submitted request without its one response, and never
-// submits a request with an invalid head. It does not decide what happens to a request, with one exception: it rejects
-// requests once a drain has lasted for drainRejectDelay (drain_rejection.go).
+// Package frontend serves client connections. It accepts them from a listener, parses the clients' commands in place,
+// submits requests to the dispatcher, carries out the steps that the dispatcher returns, and writes the responses of
+// each connection in the order of its commands. Every request that was submitted gets exactly one response, unless its
+// client disconnects first. A request with an invalid head (all arguments except the body) is never submitted. The
+// package does not decide what happens to a request, with one exception: it rejects requests once a drain has lasted
+// for drainRejectDelay (drain_rejection.go).
 //
 // New creates a Server, Serve runs it, and Shutdown ends it once the listener is closed. Each connection has
-// one reader goroutine, which parses and submits. Each request has its own goroutine, which runs it up to its
-// response. The reader does not wait for these goroutines; responses are written by whichever goroutine
-// completes the first of those that are due. All these goroutines end with their connection, which the server
-// counts until its reader has ended. It stops counting an evicted connection at once, so Shutdown may return while
-// the reader of such a connection is about to end. Serve starts one more goroutine, which sweeps the connections and
-// ends once Serve has returned and no connection is counted.
+// one reader goroutine, which parses commands and submits requests. Each request has its own goroutine, which runs it
+// up to its response. The reader does not wait for these goroutines. A goroutine that completes the response that is
+// next in order also writes the completed responses that follow it. All these goroutines end with their connection. The
+// server counts a connection as open until its reader has ended. The exception is an evicted connection, which the
+// server stops counting at once, so Shutdown may return shortly before the reader of such a connection ends. Serve
+// starts one more goroutine, which sweeps the connections and ends once Serve has returned and no connection is open.
 //
 // The methods of Server are safe for concurrent use, but Serve may be called only once.
 //
-// Locks are taken in this order: connection.mu, then connection.inputMu. Server.mu comes before both, but
-// code that holds Server.mu takes connection.mu only with TryLock: connection.mu is held while a response is
-// written, and a client that reads nothing must not hold up the others. Code that holds connection.mu never
-// takes Server.mu.
+// Locks are acquired in this order: Server.mu, connection.mu, connection.inputMu. Code that holds Server.mu acquires
+// connection.mu only with TryLock: connection.mu is held while a response is written, and a client that does not read
+// must not delay other clients. Code that holds connection.mu never acquires Server.mu.
 //
-// Each concern has a file. Accepting: accept.go, connection_capacity.go, idle_eviction.go with eviction_rank.go. A
-// connection: connection.go with the table of its states, reader.go and reader_buffer.go, command_timeout.go,
-// invalid_command_pause.go, backpressure.go, client_gone.go, connection_error.go, connection_end.go. A command:
-// commands.go, parser.go, request.go with request_rewrite.go and request_usage.go, responses.go. The end: drain.go,
-// drain_rejection.go, outlasting_connections.go, shutdown.go.
+// Each concern has its own file. Accepting: accept.go, connection_capacity.go, idle_eviction.go with eviction_rank.go.
+// Connections: connection.go with the table of state transitions, reader.go and reader_buffer.go, command_timeout.go,
+// invalid_command_pause.go, backpressure.go, client_gone.go, connection_error.go, connection_end.go. Commands:
+// commands.go, parser.go, request.go with request_rewrite.go and request_usage.go, responses.go. Drain and shutdown:
+// drain.go, drain_rejection.go, outlasting_connections.go, shutdown.go.
 package frontend
--- a/internal/frontend/eviction_rank.go
+++ b/internal/frontend/eviction_rank.go
@@ -2,15 +2,15 @@
 
 import "time"
 
-// evictionRank orders idle connections for eviction, with the first to be evicted first.
+// evictionRank orders idle connections for eviction: connections of a lower rank are evicted first.
 type evictionRank uint8
 
 const (
-	rankErrorSent evictionRank = iota // ended with an error
+	rankErrorSent evictionRank = iota // the connection is being closed with an error
 	rankSilent                        // the client has sent no valid command, and the connection is no longer new
 	rankIdle                          // idle for at least commandTimeout
 	rankNew                           // the client has sent no valid command yet, and the connection is new
-	rankActive                        // used a moment ago
+	rankActive                        // idle for less than commandTimeout
 )
 
 func (r evictionRank) String() string {
@@ -24,24 +24,24 @@
 	return enumName(names, "evictionRank", r)
 }
 
-// idleConnection is a connection with nothing pending, as eviction ranks it.
+// idleConnection is a connection without pending commands, with its rank for eviction.
 type idleConnection struct {
 	connection *connection
 	rank       evictionRank
 	since      time.Time
 }
 
-// before reports whether the connection is evicted before another: the one of the lower rank, or of two of the same
-// rank the one that has been idle longer.
-func (i idleConnection) before(other idleConnection) bool {
+// isEvictedBefore reports whether the connection is evicted before another. Connections of the same rank are evicted in
+// the order in which they became idle.
+func (i idleConnection) isEvictedBefore(other idleConnection) bool {
 	if i.rank != other.rank {
 		return i.rank < other.rank
 	}
 	return i.since.Before(other.since)
 }
 
-// idleState ranks the connection for eviction. It returns false if the connection is busy. A connection that
-// is being written to counts as busy without further checks.
+// idleState returns the connection with its rank for eviction, or false if the connection is busy. A connection counts
+// as busy while its lock is held, as during the write of a response.
 func (c *connection) idleState(now time.Time) (idleConnection, bool) {
 	if !c.mu.TryLock() {
 		return idleConnection{}, false
--- a/internal/frontend/harness_test.go
+++ b/internal/frontend/harness_test.go
@@ -24,9 +24,9 @@
 const (
 	lookupFields = "c=lookup,t=team,d=900,units=2,spread=2,first=1"
 	testTenant   = "00000000b4d65521"
-	// okReply is a backend's response, and okResponse what the client gets of it.
-	okReply    = "*3\r\n$2\r\nok\r\n$-1\r\n$-1\r\n"
-	okResponse = "$2\r\nok\r\n"
+	// okBackendResponse is a backend's response, and okClientResponse what the client gets of it.
+	okBackendResponse = "*3\r\n$2\r\nok\r\n$-1\r\n$-1\r\n"
+	okClientResponse  = "$2\r\nok\r\n"
 )
 
 var testSettings = policy.Settings{
@@ -56,14 +56,14 @@
 
 // harness is a gateway on loopback, with backends that do what a test says.
 type harness struct {
-	t          *testing.T
-	server     *Server
-	dispatcher *dispatch.Dispatcher
-	pool       *backend.Pool
-	listener   net.Listener
-	attempts   chan receivedAttempt
-	mu         sync.Mutex
-	ended      map[net.Conn]bool // connections to backends that the gateway has closed
+	t               *testing.T
+	server          *Server
+	dispatcher      *dispatch.Dispatcher
+	pool            *backend.Pool
+	listener        net.Listener
+	attempts        chan receivedAttempt
+	mu              sync.Mutex
+	closedByGateway map[net.Conn]bool // connections to backends that the gateway has closed
 }
 
 // harnessOptions configures a harness.
@@ -82,9 +82,9 @@
 func newHarness(t *testing.T, options harnessOptions) *harness {
 	t.Helper()
 	h := &harness{
-		t:        t,
-		attempts: make(chan receivedAttempt, 100),
-		ended:    map[net.Conn]bool{},
+		t:               t,
+		attempts:        make(chan receivedAttempt, 100),
+		closedByGateway: map[net.Conn]bool{},
 	}
 	onAttempt := options.onAttempt
 	if onAttempt == nil {
@@ -131,15 +131,15 @@
 }
 
 func newTestServer(h *harness, options harnessOptions) *Server {
-	complete := options.server
-	complete.Dispatcher = h.dispatcher
-	complete.Pool = h.pool
-	complete.Config = testConfig()
-	if complete.MaxConnections == 0 {
-		complete.MaxConnections = 10
+	serverOptions := options.server
+	serverOptions.Dispatcher = h.dispatcher
+	serverOptions.Pool = h.pool
+	serverOptions.Config = testConfig()
+	if serverOptions.MaxConnections == 0 {
+		serverOptions.MaxConnections = 10
 	}
-	server := New(complete)
-	server.evictionThreshold = complete.MaxConnections
+	server := New(serverOptions)
+	server.evictionThreshold = serverOptions.MaxConnections
 	if options.evictionThreshold > 0 {
 		server.evictionThreshold = options.evictionThreshold
 	}
@@ -161,7 +161,7 @@
 		count, err := conn.Read(buffer)
 		if err != nil {
 			h.mu.Lock()
-			h.ended[conn] = true
+			h.closedByGateway[conn] = true
 			h.mu.Unlock()
 			return
 		}
@@ -178,11 +178,11 @@
 	}
 }
 
-// hasEnded reports whether the gateway has closed a connection to a backend, or ended its sending.
-func (h *harness) hasEnded(conn net.Conn) bool {
+// isClosedByGateway reports whether the gateway has closed a connection to a backend, or ended its sending.
+func (h *harness) isClosedByGateway(conn net.Conn) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.ended[conn]
+	return h.closedByGateway[conn]
 }
 
 // nextAttempt returns the next command that reaches a backend.
@@ -201,14 +201,14 @@
 func (h *harness) openRequest(id string) (*testClient, receivedAttempt) {
 	h.t.Helper()
 	client := h.dial()
-	client.send(query(id, lookupFields))
+	client.send(queryCommand(id, lookupFields))
 	return client, h.nextAttempt()
 }
 
 // onlyConnection waits until the server has one connection, and returns it.
 func (h *harness) onlyConnection() (only *connection) {
 	h.t.Helper()
-	h.until("one connection", func() bool {
+	h.waitUntil("one connection", func() bool {
 		h.server.mu.Lock()
 		defer h.server.mu.Unlock()
 		for only = range h.server.connections {
@@ -230,12 +230,12 @@
 	return count
 }
 
-// until waits until the condition holds. It polls finely, since what it waits for may be over soon.
-func (h *harness) until(what string, condition func() bool) {
+// waitUntil waits until the condition holds. It polls finely, since what it waits for may be over soon.
+func (h *harness) waitUntil(description string, condition func() bool) {
 	h.t.Helper()
-	for end := time.Now().Add(5 * time.Second); !condition(); time.Sleep(time.Millisecond) {
-		if time.Now().After(end) {
-			h.t.Fatalf("never: %s", what)
+	for deadline := time.Now().Add(5 * time.Second); !condition(); time.Sleep(time.Millisecond) {
+		if time.Now().After(deadline) {
+			h.t.Fatalf("never: %s", description)
 		}
 	}
 }
@@ -264,9 +264,9 @@
 	_ = c.conn.Close() // the test may have closed it already
 }
 
-func (c *testClient) setDeadline(after time.Duration) {
+func (c *testClient) setDeadline(timeout time.Duration) {
 	c.t.Helper()
-	if err := c.conn.SetDeadline(time.Now().Add(after)); err != nil {
+	if err := c.conn.SetDeadline(time.Now().Add(timeout)); err != nil {
 		c.t.Error(err)
 	}
 }
@@ -294,8 +294,8 @@
 func (c *testClient) expect(want string) {
 	c.t.Helper()
 	got := make([]byte, len(want))
-	if n, err := io.ReadFull(c.reader, got); err != nil || string(got) != want {
-		c.t.Fatalf("%q (%v), wanted %q", got[:n], err, want)
+	if count, err := io.ReadFull(c.reader, got); err != nil || string(got) != want {
+		c.t.Fatalf("%q (%v), wanted %q", got[:count], err, want)
 	}
 }
 
@@ -303,7 +303,7 @@
 func (c *testClient) expectLine(pattern string) string {
 	c.t.Helper()
 	got, err := c.reader.ReadString('\n')
-	if ok, _ := regexp.MatchString("^"+pattern+"\r\n$", got); err != nil || !ok {
+	if matches, _ := regexp.MatchString("^"+pattern+"\r\n$", got); err != nil || !matches {
 		c.t.Fatalf("%q (%v), wanted %s", got, err, pattern)
 	}
 	return strings.TrimSpace(got)
@@ -311,16 +311,16 @@
 
 func (c *testClient) ping() {
 	c.t.Helper()
-	c.send(words("PING"))
+	c.send(respCommand("PING"))
 	c.expectLine(`\+PONG`)
 }
 
-// expectEnd fails the test unless the server ends the connection and nothing more comes on it. where says which
+// expectClosed fails the test unless the server ends the connection and nothing more comes on it. where says which
 // connection it is, or after what it ends.
-func (c *testClient) expectEnd(where string) {
+func (c *testClient) expectClosed(description string) {
 	c.t.Helper()
 	if _, err := c.reader.ReadByte(); !errors.Is(err, io.EOF) {
-		c.t.Errorf("%s: %v", where, err)
+		c.t.Errorf("%s: %v", description, err)
 	}
 }
 
@@ -338,25 +338,25 @@
 	}
 }
 
-// query is a request as a client writes it.
-func query(id, fields string) string { return words("SVC.QUERY", testTenant, id, fields) }
+// queryCommand is a request as a client writes it.
+func queryCommand(id, fields string) string { return respCommand("SVC.QUERY", testTenant, id, fields) }
 
-func words(all ...string) string {
-	text := fmt.Sprintf("*%d\r\n", len(all))
-	for _, w := range all {
-		text += fmt.Sprintf("$%d\r\n%s\r\n", len(w), w)
+func respCommand(args ...string) string {
+	command := fmt.Sprintf("*%d\r\n", len(args))
+	for _, arg := range args {
+		command += fmt.Sprintf("$%d\r\n%s\r\n", len(arg), arg)
 	}
-	return text
+	return command
 }
 
-// bulkReply is a backend's response with a value.
-func bulkReply(value string) string {
+// bulkBackendResponse is a backend's response with a value.
+func bulkBackendResponse(value string) string {
 	return fmt.Sprintf("*3\r\n$%d\r\n%s\r\n$-1\r\n$-1\r\n", len(value), value)
 }
 
-// bulkResponse is what the client gets of bulkReply.
-func bulkResponse(value string) string { return fmt.Sprintf("$%d\r\n%s\r\n", len(value), value) }
+// bulkClientResponse is what the client gets of bulkBackendResponse.
+func bulkClientResponse(value string) string { return fmt.Sprintf("$%d\r\n%s\r\n", len(value), value) }
 
-// ofClass and ofPlan are the fields of another class or plan.
-func ofClass(class string) string { return strings.Replace(lookupFields, "lookup", class, 1) }
-func ofPlan(plan string) string   { return strings.Replace(lookupFields, "team", plan, 1) }
+// fieldsWithClass and fieldsWithPlan are the fields of another class or plan.
+func fieldsWithClass(class string) string { return strings.Replace(lookupFields, "lookup", class, 1) }
+func fieldsWithPlan(plan string) string   { return strings.Replace(lookupFields, "team", plan, 1) }
--- a/internal/frontend/idle_eviction.go
+++ b/internal/frontend/idle_eviction.go
@@ -2,11 +2,11 @@
 
 import "time"
 
-// maxSkippedUnread bounds how many idle connections with unread bytes are skipped in the search for one
-// without unread bytes.
+// maxSkippedUnread limits how many idle connections with unread bytes are skipped in the search for one without unread
+// bytes.
 const maxSkippedUnread = 8
 
-// evictionScope says which connections may be evicted.
+// evictionScope is the set of connections that may be evicted.
 type evictionScope uint8
 
 const (
@@ -21,14 +21,14 @@
 	return "all connections"
 }
 
-// includes reports whether the connection may be evicted.
+// includes reports whether the connection is in the scope.
 func (e evictionScope) includes(c *connection) bool {
 	return e == allConnections || c.validated.Load()
 }
 
-// evictIdle closes the connection in the scope that eviction ranks first. It returns false if none is idle.
-// True does not mean that a connection was closed: if the chosen one has become busy meanwhile, the caller
-// must look for another. The caller holds mu.
+// evictIdle evicts the first idle connection of the scope in the order of eviction. It returns false if none is idle.
+// True does not imply that a connection was closed: if the chosen connection has become busy meanwhile, the caller must
+// call evictIdle again. The caller holds mu.
 func (s *Server) evictIdle(scope evictionScope) bool {
 	candidate := s.evictionCandidate(scope)
 	if candidate == nil {
@@ -40,9 +40,9 @@
 	return true
 }
 
-// evictionCandidate returns the idle connection that eviction ranks first, or nil if none is idle. It skips
-// connections with unread bytes as long as it finds another. If all connections that it examined have unread
-// bytes, it returns the first of them.
+// evictionCandidate returns the first idle connection of the scope in the order of eviction, or nil if none is idle. It
+// skips up to maxSkippedUnread connections with unread bytes. If all connections that it examined have unread bytes, it
+// returns the first of them.
 func (s *Server) evictionCandidate(scope evictionScope) *connection {
 	var first *connection
 	skipped := map[*connection]bool{}
@@ -64,8 +64,8 @@
 	}
 }
 
-// evictionCandidateExcept returns the idle connection that eviction ranks first of those that are not skipped, or nil
-// if there is none.
+// evictionCandidateExcept returns the first idle connection of the scope in the order of eviction that is not in
+// skipped, or nil if there is none.
 func (s *Server) evictionCandidateExcept(skipped map[*connection]bool, scope evictionScope) *connection {
 	var first idleConnection
 	now := time.Now()
@@ -74,15 +74,15 @@
 		if !isIdle || skipped[c] || !scope.includes(c) {
 			continue
 		}
-		if first.connection == nil || candidate.before(first) {
+		if first.connection == nil || candidate.isEvictedBefore(first) {
 			first = candidate
 		}
 	}
 	return first.connection
 }
 
-// closeIfIdle closes the connection at once if nothing is open on it, because its descriptor is needed. It
-// reports whether it closed the connection.
+// closeIfIdle closes the connection at once if no command is pending and all input is handled, and reports whether it
+// closed the connection. It does not wait for the client, because the descriptor of the connection is needed.
 func (c *connection) closeIfIdle() bool {
 	if !c.mu.TryLock() {
 		return false
--- a/internal/frontend/input_guard.go
+++ b/internal/frontend/input_guard.go
@@ -1,8 +1,8 @@
 package frontend
 
 // Before implements sock.ReadGuard: sock.Conn calls it before each attempt to read. It returns true with inputMu held,
-// which After unlocks: whether bytes are read and what the input becomes is one step for other goroutines. It returns
-// false with inputMu free if the input is closed, which ends the read.
+// which After unlocks, so that the read and the resulting change of the input state are one atomic step for other
+// goroutines. If the input is closed, it returns false with inputMu unlocked, which ends the read.
 func (c *connection) Before() bool {
 	c.inputMu.Lock()
 	if c.input == inputClosed {
@@ -28,7 +28,7 @@
 		c.input = inputIdle
 	}
 	c.inputMu.Unlock()
-	c.server.signalCapacity()
+	c.server.signalConnectionCapacity()
 }
 
 func (c *connection) isInputClosed() bool {
@@ -37,8 +37,8 @@
 	return c.input == inputClosed
 }
 
-// closeInput closes the input, so that nothing more is read, unless a command is pending or bytes were read
-// that are not handled yet. It reports whether the input is closed. The caller holds mu.
+// closeInput closes the input, so that nothing more is read, unless a command is pending or bytes that were read are
+// not handled yet. It reports whether the input is closed. The caller holds mu.
 func (c *connection) closeInput() bool {
 	if len(c.pending) > 0 {
 		return false
--- a/internal/frontend/invalid_command_pause.go
+++ b/internal/frontend/invalid_command_pause.go
@@ -2,26 +2,27 @@
 
 import "time"
 
-// After an invalid command the server stops reading the connection for a while: invalidCommandPauseStep for each
-// invalid command that the connection has sent so far, but maxInvalidCommandPause at most.
+// After an invalid command the server does not read the connection for invalidCommandPauseStep multiplied by the number
+// of invalid commands received on the connection so far, but for maxInvalidCommandPause at most.
 const (
 	invalidCommandPauseStep = 10 * time.Millisecond
 	maxInvalidCommandPause  = 500 * time.Millisecond
 )
 
-// pauseAfterInvalidCommand makes a client that sends invalid commands wait, longer with each of them. It guards
-// against a client that repeats the same command at once, without end, and takes the processor from others.
+// pauseAfterInvalidCommand delays the next read of a client that sends invalid commands, longer with each of them. It
+// keeps a client that repeats an invalid command immediately and endlessly from using processor time that other clients
+// need.
 func (c *connection) pauseAfterInvalidCommand() {
-	if c.ending.Load() {
+	if c.closing.Load() {
 		return
 	}
-	pause := min(time.Duration(c.reader.invalidCommands)*invalidCommandPauseStep, maxInvalidCommandPause)
-	began := time.Now()
-	c.waitWatched(readerPauses, func() { c.sleep(pause) })
-	c.reader.paused += time.Since(began)
+	pause := min(time.Duration(c.reader.invalidCommandCount)*invalidCommandPauseStep, maxInvalidCommandPause)
+	start := time.Now()
+	c.waitWatchingHangUp(readerPauses, func() { c.sleep(pause) })
+	c.reader.invalidCommandPause += time.Since(start)
 }
 
-// sleep waits for the duration, or until the client has gone or the connection is to end.
+// sleep waits for the duration, or until the client has disconnected or the connection is closing.
 func (c *connection) sleep(duration time.Duration) {
 	hasElapsed := false
 	timer := time.AfterFunc(duration, func() {
@@ -33,7 +34,7 @@
 	defer timer.Stop()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for !c.peer.isGone() && !c.ending.Load() && !hasElapsed {
+	for !c.peer.isGone() && !c.closing.Load() && !hasElapsed {
 		c.stateChanged.Wait()
 	}
 }
--- a/internal/frontend/outlasting_connections.go
+++ b/internal/frontend/outlasting_connections.go
@@ -9,17 +9,18 @@
 )
 
 const (
-	// outlastingAfter is the age of a drain from which on the connections that are still open are logged: later
-	// than any idle connection ends, and before the load balancer counts them as lost.
-	outlastingAfter = 2500 * time.Millisecond
-	// maxOutlastingLogged bounds how many connections one sweep logs, so that a crowd does not flood the log.
-	maxOutlastingLogged = 8
+	// undrainedLogDelay is the age of a drain from which on connections that are still open are logged. By then every
+	// idle connection has been closed, and the load balancer does not count open connections as lost yet.
+	undrainedLogDelay = 2500 * time.Millisecond
+	// maxUndrainedLogged limits the connections that one sweep logs, so that many open connections do not flood the
+	// log.
+	maxUndrainedLogged = 8
 )
 
-// logOutlastingConnections logs, once each, connections that are open though a drain has lasted for outlastingAfter:
-// those that have not ended, and those that clients have opened since.
-func (s *Server) logOutlastingConnections(drainAge time.Duration) {
-	if drainAge < outlastingAfter {
+// logUndrainedConnections logs the connections that are open once a drain has lasted for undrainedLogDelay, each of
+// them once. They were either not closed since the start of the drain or opened during it.
+func (s *Server) logUndrainedConnections(drainAge time.Duration) {
+	if drainAge < undrainedLogDelay {
 		return
 	}
 	s.mu.Lock()
@@ -27,34 +28,35 @@
 	now := time.Now()
 	logged := 0
 	for c := range s.connections {
-		if logged == maxOutlastingLogged {
+		if logged == maxUndrainedLogged {
 			return
 		}
-		if now.Sub(c.acceptedAt) < newConnectionGrace || c.outlastingLogged.Swap(true) {
+		if now.Sub(c.acceptedAt) < newConnectionGrace || c.undrainedLogged.Swap(true) {
 			continue
 		}
 		logged++
-		c.logOutlasting(now, drainAge)
+		c.logUndrained(now, drainAge)
 	}
 }
 
-// logOutlasting logs that the connection is open at this age of a drain.
-func (c *connection) logOutlasting(now time.Time, drainAge time.Duration) {
+// logUndrained logs that the connection is still open during a drain of the given age.
+func (c *connection) logUndrained(now time.Time, drainAge time.Duration) {
 	entry := logging.For(logComponent).WithFields(c.logFields(now)).WithField("drain_age", drainAge.String())
 	if now.Sub(c.acceptedAt) > drainAge {
-		entry.Warn("connection outlasts drain")
+		entry.Warn("connection opened before the drain is still open")
 	} else {
-		entry.Warn("connection opened during drain stays open")
+		entry.Warn("connection opened during the drain is still open")
 	}
 }
 
-// logFields describes the connection for the log. It does not wait for mu, which a writer may hold for long.
+// logFields returns the fields that describe the connection in the log. It does not wait for mu, which may be held for
+// a long time while a response is written.
 func (c *connection) logFields(now time.Time) logrus.Fields {
 	fields := logrus.Fields{
 		"client":   c.conn.RemoteAddr().String(),
 		"open_for": now.Sub(c.acceptedAt).String(),
 		"reader":   c.activity.load().String(),
-		"received": c.received.Load(),
+		"received": c.receivedRequests.Load(),
 	}
 	if !c.mu.TryLock() {
 		fields["writing"] = true
@@ -63,12 +65,12 @@
 	defer c.mu.Unlock()
 	fields["peer"] = c.peer.String()
 	fields["pending"] = len(c.pending)
-	fields["requests"] = c.openRequests()
+	fields["requests"] = c.countPendingRequests()
 	return fields
 }
 
-// openRequests returns how many of the pending commands are requests. The caller holds mu.
-func (c *connection) openRequests() int {
+// countPendingRequests returns the number of requests among the pending commands. The caller holds mu.
+func (c *connection) countPendingRequests() int {
 	count := 0
 	for _, p := range c.pending {
 		if p.isRequest {
--- a/internal/frontend/parser.go
+++ b/internal/frontend/parser.go
@@ -13,22 +13,22 @@
 	"fawnplank/policy"
 )
 
-// Bounds on the head of a request.
+// Limits on the head of a request, which consists of all its arguments except the body.
 const (
-	minRequestWords = 4  // command, tenant, id, fields
-	maxRequestWords = 5  // and optionally a body
-	tenantDigits    = 16 // hexadecimal
-	tenantBits      = 33 // tenants of the protocol are below 2^33
-	maxIDBytes      = 64
-	maxNumberBytes  = 20 // the number of decimal digits of a 64-bit integer
+	minRequestArgs = 4  // command name, tenant, id, fields
+	maxRequestArgs = 5  // the minimum and an optional body
+	tenantDigits   = 16 // hexadecimal digits
+	tenantBits     = 33 // the protocol limits tenants to values below 2^33
+	maxIDBytes     = 64
+	maxNumberBytes = 20 // the number of decimal digits of a 64-bit integer
 )
 
-// The words of a request, by their index.
+// Indexes of the arguments of a request.
 const (
-	_ = iota // the command
-	tenantWord
-	idWord
-	fieldsWord
+	_ = iota // the name of the command
+	tenantArg
+	idArg
+	fieldsArg
 )
 
 // Arguments of package strconv.
@@ -37,9 +37,9 @@
 	float64Bits     = 64
 )
 
-// The errors of a head, as they are sent on the wire.
+// Errors in the head of a request. Their texts are sent to the client.
 var (
-	errWordCount       = errors.New("wrong number of arguments")
+	errArgumentCount   = errors.New("wrong number of arguments")
 	errTenant          = errors.New("customer is no number of 16 hexadecimal digits below 2^33")
 	errRequestID       = errors.New("id is missing or cannot be read")
 	errClassMissing    = errors.New("class is missing")
@@ -47,9 +47,9 @@
 	errDeadlineMissing = errors.New("d is missing")
 )
 
-// requestHead is the head of a request. Its slices point into the command that it was parsed from.
+// requestHead is the parsed head of a request. Its slices point into the command that it was parsed from.
 type requestHead struct {
-	config     *config.Config // used to parse the head
+	config     *config.Config // the configuration used to parse the head
 	tenantText []byte
 	tenant     policy.TenantID
 	id         []byte
@@ -57,29 +57,29 @@
 	class      policy.ClassID
 	hasClass   bool
 	plan       policy.PlanID
-	planName   []byte // nil if no plan was named
+	planName   []byte // nil if the request names no plan
 	remaining  time.Duration
-	// remainingText is the text of remaining within fields; nil if none was given.
+	// remainingText is the text of remaining within fields; nil if the request states none.
 	remainingText []byte
 	units         float64
-	entryPoints   int // number of consecutive instances through which the tenant's requests arrive
-	firstInstance int // index of the first of them
+	entryPoints   int // number of consecutive instances that receive the tenant's requests
+	firstInstance int // index of the first of these instances
 }
 
-// parse parses the words of a request. If parse fails, the class is still set if it was read before the
+// parse parses the arguments of a request. If it fails, the class is nevertheless set if it was parsed before the
 // failure.
-func (h *requestHead) parse(words [][]byte) error {
-	if len(words) < minRequestWords || len(words) > maxRequestWords {
-		return errWordCount
+func (h *requestHead) parse(args [][]byte) error {
+	if len(args) < minRequestArgs || len(args) > maxRequestArgs {
+		return errArgumentCount
 	}
-	if err := h.parseTenant(words[tenantWord]); err != nil {
+	if err := h.parseTenant(args[tenantArg]); err != nil {
 		return err
 	}
-	h.id = words[idWord]
+	h.id = args[idArg]
 	if len(h.id) == 0 || len(h.id) > maxIDBytes || bytes.ContainsFunc(h.id, isUnprintable) {
 		return errRequestID
 	}
-	h.fields = words[fieldsWord]
+	h.fields = args[fieldsArg]
 	if err := h.parseFields(); err != nil {
 		return err
 	}
@@ -94,10 +94,10 @@
 	return nil
 }
 
-// isUnprintable reports whether a rune may not be part of an id.
+// isUnprintable reports whether a rune is not allowed in an id, which consists of printable ASCII without spaces.
 func isUnprintable(r rune) bool { return r <= ' ' || r > '~' }
 
-// parseTenant sets the tenant.
+// parseTenant sets the tenant from its hexadecimal digits.
 func (h *requestHead) parseTenant(text []byte) error {
 	tenant, err := strconv.ParseUint(string(text), hexadecimalBase, tenantBits)
 	if err != nil || len(text) != tenantDigits {
@@ -113,8 +113,8 @@
 
 const (
 	fieldSet     fieldResult = iota
-	fieldInvalid             // its value is not valid
-	fieldUnknown             // not known here; it is passed on with the rest
+	fieldInvalid             // the value is not valid
+	fieldUnknown             // the name is unknown; the field is forwarded to the backend with the others
 )
 
 func (f fieldResult) String() string {
@@ -126,11 +126,11 @@
 	return enumName(names, "fieldResult", f)
 }
 
-// parseFields parses the names and values. Each name may occur once.
+// parseFields parses the names and values of the fields. A known name may occur only once.
 func (h *requestHead) parseFields() error {
 	h.units = 1
 	h.entryPoints = 1
-	seen := "," // the names so far, each between commas
+	seen := "," // the known names so far, each between commas
 	rest := h.fields
 	for hasMore := true; hasMore; {
 		var field []byte
@@ -151,7 +151,7 @@
 	return nil
 }
 
-// setField sets the part of the head that a field names.
+// setField sets the part of the head that the field with the given name describes.
 func (h *requestHead) setField(name, value []byte) fieldResult {
 	valid := false
 	switch string(name) {
@@ -165,9 +165,9 @@
 		h.units, valid = parseNumber(value)
 		valid = valid && h.units > 0 && h.units <= h.config.MaxUnits
 	case "spread":
-		h.entryPoints, valid = parseInteger(value, 1, h.instances())
+		h.entryPoints, valid = parseInteger(value, 1, h.instanceCount())
 	case "first":
-		h.firstInstance, valid = parseInteger(value, 0, h.instances()-1)
+		h.firstInstance, valid = parseInteger(value, 0, h.instanceCount()-1)
 	default:
 		return fieldUnknown
 	}
@@ -177,11 +177,11 @@
 	return fieldSet
 }
 
-// instances returns how many instances the fleet has.
-func (h *requestHead) instances() int { return max(h.config.Settings.Instances, 1) }
+// instanceCount returns how many instances the fleet has.
+func (h *requestHead) instanceCount() int { return max(h.config.Settings.Instances, 1) }
 
-// setClass sets the class. It leaves the class unchanged if the name is unknown or names a check-only class:
-// such a class is for the limit commands, and its requests would not be sent.
+// setClass sets the class. If the name is unknown or names a check-only class, it returns false and leaves the class
+// unchanged: check-only classes are for the limit commands, and their requests would never be sent to a backend.
 func (h *requestHead) setClass(name []byte) bool {
 	class, known := h.config.Classes[string(name)]
 	if !known || h.config.Settings.Classes[class].CheckOnly {
@@ -200,7 +200,7 @@
 	return known
 }
 
-// setRemaining sets the remaining time from a number of milliseconds.
+// setRemaining sets the time until the deadline from a number of milliseconds.
 func (h *requestHead) setRemaining(milliseconds []byte) bool {
 	number, valid := parseNumber(milliseconds)
 	h.remaining = config.Milliseconds(number)
@@ -218,8 +218,8 @@
 	return int(number), true
 }
 
-// parseNumber parses decimal digits with an optional point. It accepts no sign, no exponent, and no word such
-// as NaN.
+// parseNumber parses decimal digits with an optional decimal point. It accepts no sign, no exponent, and no special
+// value such as NaN.
 func parseNumber(text []byte) (float64, bool) {
 	if len(text) == 0 || len(text) > maxNumberBytes || len(bytes.Trim(text, "0123456789.")) > 0 {
 		return 0, false
--- a/internal/frontend/parser_test.go
+++ b/internal/frontend/parser_test.go
@@ -9,56 +9,56 @@
 	"fawnplank/policy"
 )
 
-func okHarness(t *testing.T) *harness {
+func newOKHarness(t *testing.T) *harness {
 	t.Helper()
 	return newHarness(t, harnessOptions{
 		server:    Options{MaxConnections: 20},
-		onAttempt: func(a receivedAttempt) { a.respond(okReply) },
+		onAttempt: func(a receivedAttempt) { a.respond(okBackendResponse) },
 	})
 }
 
-// invalidCommands are commands that can be read, and are not in order.
+// invalidCommandCount are commands that can be read, and are not in order.
 func invalidCommands() []string {
-	all := []string{
-		words("GET", "x"), words("SVC.QUERY", "1"), words("SVC.QUERY", "customer", "1", lookupFields),
-		words("SVC.QUERY", "00000002b4d65521", "1", lookupFields),
-		words("SVC.QUERY", "b4d65521", "1", lookupFields),
-		query("", lookupFields), query("a b", lookupFields), query("1\x00", lookupFields),
-		query("1", lookupFields+","), query("1", ","),
+	commands := []string{
+		respCommand("GET", "x"), respCommand("SVC.QUERY", "1"), respCommand("SVC.QUERY", "customer", "1", lookupFields),
+		respCommand("SVC.QUERY", "00000002b4d65521", "1", lookupFields),
+		respCommand("SVC.QUERY", "b4d65521", "1", lookupFields),
+		queryCommand("", lookupFields), queryCommand("a b", lookupFields), queryCommand("1\x00", lookupFields),
+		queryCommand("1", lookupFields+","), queryCommand("1", ","),
 	}
 	for _, fields := range []string{
 		"c=none,t=team,d=9", "c=lookup,t=none,d=9", "c=lookup,t=team", "c=lookup,d=9", "t=team,d=9",
 		"c=lookup,t=team,d=x", "c=lookup,t=team,d=NaN", "c=lookup,t=team,d=-4", "c=lookup,t=team,d=1e3",
 		"c=lookup,t=team,d=", "lookup", "", lookupFields + ",c=lookup", lookupFields + ",d=9",
 	} {
-		all = append(all, query("1", fields))
+		commands = append(commands, queryCommand("1", fields))
 	}
 	for _, field := range []string{
 		"units=0", "units=-2", "units=NaN", "units=Inf", "units=1e300", "units=0x2", "units=", "units=9",
 		"spread=0", "spread=3", "spread=-1", "spread=x", "spread=1.5",
 		"first=2", "first=-1", "first=99999999999999999999",
 	} {
-		all = append(all, query("1", "c=lookup,t=team,d=900,"+field))
+		commands = append(commands, queryCommand("1", "c=lookup,t=team,d=900,"+field))
 	}
-	return all
+	return commands
 }
 
 func TestParser_InvalidCommandAnsweredWithError(t *testing.T) {
-	h := okHarness(t)
+	h := newOKHarness(t)
 	for _, text := range invalidCommands() {
 		c := h.dial()
-		c.send(text + words("PING"))
+		c.send(text + respCommand("PING"))
 		if got, err := c.reader.ReadString('\n'); err != nil || !strings.HasPrefix(got, "-ERR ") {
 			t.Fatalf("%q: %q, %v", text, got, err)
 		}
 		c.expectLine(`\+PONG`) // the connection goes on
 		c.close()
 	}
-	expectServed(h)
+	expectServing(h)
 }
 
-func TestParser_MalformedInputEndsConnection(t *testing.T) {
-	h := okHarness(t)
+func TestParser_MalformedInputClosesConnection(t *testing.T) {
+	h := newOKHarness(t)
 	for _, text := range []string{
 		"*1\r\n$-5\r\n", "*1\r\n$9223372036854775807\r\nx", "*x\r\n", "*1\r\n:4\r\n", "*-3\r\n",
 		"$5 hello\r\n", "*2\r\n$3\r\nabcdef", "GET / HTTP/1.1\r\n", "*0\r\n",
@@ -72,19 +72,19 @@
 			t.Errorf("%.20q: the connection goes on", text)
 		}
 	}
-	expectServed(h)
+	expectServing(h)
 }
 
-// expectServed fails the test unless another client is served, also one that sends byte by byte.
-func expectServed(h *harness) {
+// expectServing fails the test unless another client is served, also one that sends byte by byte.
+func expectServing(h *harness) {
 	h.t.Helper()
 	c := h.dial()
-	c.send(words("pInG"))
+	c.send(respCommand("pInG"))
 	c.expectLine(`\+PONG`)
-	for _, b := range []byte(query("1", lookupFields)) {
+	for _, b := range []byte(queryCommand("1", lookupFields)) {
 		c.send(string([]byte{b}))
 	}
-	c.expect(okResponse)
+	c.expect(okClientResponse)
 }
 
 // An error reaches a client that is still sending what it announced, and is not lost to a reset.
@@ -113,14 +113,14 @@
 	}
 }
 
-func headWords(tenant, id, fields string) [][]byte {
+func headArgs(tenant, id, fields string) [][]byte {
 	return [][]byte{[]byte("SVC.QUERY"), []byte(tenant), []byte(id), []byte(fields)}
 }
 
 func TestRequestHead_ParsesFields(t *testing.T) {
 	head := requestHead{config: headConfig()}
 	fields := "c=pay,t=one,d=12.5,units=2.5,spread=3,first=2,k=other"
-	if err := head.parse(headWords("00000000B4d65521", "7", fields)); err != nil {
+	if err := head.parse(headArgs("00000000B4d65521", "7", fields)); err != nil {
 		t.Fatal(err)
 	}
 	if head.tenant != 0xb4d65521 || string(head.tenantText) != "00000000B4d65521" || string(head.id) != "7" {
@@ -142,7 +142,7 @@
 
 func TestRequestHead_Defaults(t *testing.T) {
 	head := requestHead{config: headConfig()}
-	if err := head.parse(headWords(testTenant, "7", "c=lookup,t=team,d=9")); err != nil {
+	if err := head.parse(headArgs(testTenant, "7", "c=lookup,t=team,d=9")); err != nil {
 		t.Fatal(err)
 	}
 	if head.units != 1 || head.entryPoints != 1 || head.firstInstance != 0 {
@@ -157,14 +157,14 @@
 		want     string
 		hasClass bool
 	}{
-		"tenant":           {headWords("b4d65521", "7", "c=lookup"), errTenant.Error(), false},
-		"id":               {headWords(testTenant, "a b", "c=lookup"), errRequestID.Error(), false},
-		"class missing":    {headWords(testTenant, "7", "t=team,d=9"), errClassMissing.Error(), false},
-		"plan missing":     {headWords(testTenant, "7", "c=lookup,d=9"), errPlanMissing.Error(), true},
-		"deadline missing": {headWords(testTenant, "7", "c=lookup,t=team"), errDeadlineMissing.Error(), true},
-		"check-only class": {headWords(testTenant, "7", "c=check"), `c has no meaning as "check"`, false},
-		"class twice":      {headWords(testTenant, "7", "c=lookup,c=pay"), `c has no meaning as "pay"`, true},
-		"no value":         {headWords(testTenant, "7", "c=lookup,t"), `"t" has no value`, true},
+		"tenant":           {headArgs("b4d65521", "7", "c=lookup"), errTenant.Error(), false},
+		"id":               {headArgs(testTenant, "a b", "c=lookup"), errRequestID.Error(), false},
+		"class missing":    {headArgs(testTenant, "7", "t=team,d=9"), errClassMissing.Error(), false},
+		"plan missing":     {headArgs(testTenant, "7", "c=lookup,d=9"), errPlanMissing.Error(), true},
+		"deadline missing": {headArgs(testTenant, "7", "c=lookup,t=team"), errDeadlineMissing.Error(), true},
+		"check-only class": {headArgs(testTenant, "7", "c=check"), `c has no meaning as "check"`, false},
+		"class twice":      {headArgs(testTenant, "7", "c=lookup,c=pay"), `c has no meaning as "pay"`, true},
+		"no value":         {headArgs(testTenant, "7", "c=lookup,t"), `"t" has no value`, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			head := requestHead{config: headConfig()}
@@ -179,13 +179,13 @@
 // TestParser_FieldsInAnyOrder guards against requests that are refused for no reason: a field counted as repeated
 // where the name of an earlier one ends in its own, as first in t and spread in d.
 func TestParser_FieldsInAnyOrder(t *testing.T) {
-	h := okHarness(t)
+	h := newOKHarness(t)
 	for _, fields := range []string{
 		"first=1,c=lookup,t=team,d=900", "spread=1,c=lookup,t=team,d=900", "units=1,c=lookup,first=0,d=900,t=team",
 		"d=900,t=team,c=lookup,spread=2,first=1,units=1", "set=1,c=lookup,t=team,d=900",
 	} {
 		c := h.dial()
-		c.send(query("1", fields))
+		c.send(queryCommand("1", fields))
 		if got, err := c.reader.ReadString('\n'); err != nil || strings.HasPrefix(got, "-ERR ") {
 			t.Errorf("%s: %q, %v", fields, got, err)
 		}
--- a/internal/frontend/reader.go
+++ b/internal/frontend/reader.go
@@ -10,21 +10,21 @@
 	"fawnplank/internal/resp"
 )
 
-// reader is the state of the goroutine that reads a connection. No other goroutine uses it.
+// reader is the state of the goroutine that reads a connection. No other goroutine accesses it.
 type reader struct {
-	buffer           []byte
-	buffered         int           // bytes in buffer that belong to an incomplete command
-	words            [][]byte      // of the last command, pointing into buffer
-	invalidCommands  int           // answered by respondInvalid; not PING or a request during a drain
-	paused           time.Duration // since the last read, after invalid commands
-	awaitedCapacity  time.Duration // since the last read, among the pending commands
-	budgetedBytes    int64         // of the budget, for buffer
-	bufferHandedOver bool          // buffer now belongs to a large pending command
+	buffer              []byte
+	bufferedBytes       int           // number of bytes of an incomplete command at the start of buffer
+	args                [][]byte      // the arguments of the last command, pointing into buffer
+	invalidCommandCount int           // commands answered by respondInvalid, which excludes rejections during a drain
+	invalidCommandPause time.Duration // pauses after invalid commands since the last read
+	pendingCapacityWait time.Duration // waits for capacity among the pending commands since the last read
+	budgetedBytes       int64         // bytes acquired from the memory budget for buffer
+	bufferTransferred   bool          // a large pending command has taken over buffer
 }
 
 // readLoop reads and handles commands until the connection ends.
 func (c *connection) readLoop() {
-	defer c.end()
+	defer c.cleanUp()
 	defer func() {
 		if cause := recover(); cause != nil {
 			logging.Panicked(logComponent, cause, debug.Stack())
@@ -33,65 +33,65 @@
 	r := &c.reader
 	r.buffer = make([]byte, minBufferBytes)
 	for c.fill() {
-		rest, ok := c.handleCommands(r.buffer[:r.buffered])
+		rest, ok := c.handleCommands(r.buffer[:r.bufferedBytes])
 		if !ok {
 			return
 		}
-		c.noteProgress(rest)
-		if !c.keepRest(rest) {
+		c.recordCommandProgress(rest)
+		if !c.keepPartialCommand(rest) {
 			return
 		}
 	}
 }
 
-// fill waits for more bytes and appends them to the buffer. It returns false if the connection ends.
+// fill waits for more bytes and appends them to the buffer. It returns false if the connection has to end.
 func (c *connection) fill() bool {
 	r := &c.reader
 	for {
 		c.inputHandled()
-		c.shutDownIfEnding()
-		count, err := c.conn.Read(r.buffer[r.buffered:])
+		c.shutDownIfClosing()
+		count, err := c.conn.Read(r.buffer[r.bufferedBytes:])
 		switch {
 		case c.isInputClosed():
-			c.linger()
+			c.lingerAfterLastResponse()
 			return false
 		case errors.Is(err, os.ErrDeadlineExceeded):
-			if c.endIfOverdue() {
+			if c.closeIfOverdue() {
 				return false
 			}
-		case err != nil || c.mayBeLongGone():
+		case err != nil || c.mayHaveHungUpBeforeRead():
 			return false
 		default:
-			r.buffered += count
-			r.paused = 0
-			r.awaitedCapacity = 0
+			r.bufferedBytes += count
+			r.invalidCommandPause = 0
+			r.pendingCapacityWait = 0
 			return true
 		}
 	}
 }
 
 // handleCommands handles the complete commands at the beginning of input and returns the bytes after them. It
-// returns false if the connection ends.
+// returns false if the connection has to end.
 func (c *connection) handleCommands(input []byte) (rest []byte, ok bool) {
 	defer c.activity.enter(readerHandles)()
 	r := &c.reader
 	for rest = input; len(rest) > 0; {
-		size, words, err := resp.Command(rest, r.words)
-		r.words = words
+		size, args, err := resp.Command(rest, r.args)
+		r.args = args
 		if err != nil {
-			c.endWithError(protocolErrorText(err))
+			c.closeWithError(protocolErrorText(err))
 			return nil, false
 		}
 		if size == 0 {
 			return rest, true
 		}
-		valid := c.handleCommand(rest[:size], words)
+		valid := c.handleCommand(rest[:size], args)
 		if c.isClientGone() {
 			return nil, false
 		}
 		rest = rest[size:]
 		if valid {
-			c.noteValidCommand()
+			c.recordValidCommand()
 		} else {
 			c.pauseAfterInvalidCommand()
 		}
@@ -99,7 +99,7 @@
 	return rest, true
 }
 
-// protocolErrorText returns the text of a protocol error as sent on the wire.
+// protocolErrorText returns the text of a protocol error that is sent to the client.
 func protocolErrorText(err error) string {
 	var malformed *resp.ProtocolError
 	if errors.As(err, &malformed) {
@@ -108,12 +108,12 @@
 	return err.Error()
 }
 
-// waited returns the time to subtract from a request's d: that of the pauses since its bytes were read. While the
-// connection ends, the wait for capacity counts too, since the client's deadline runs on: the end is bounded by the
-// deadline of every request.
-func (c *connection) waited() time.Duration {
-	if c.ending.Load() {
-		return c.reader.paused + c.reader.awaitedCapacity
+// waitSinceRead returns the time to subtract from the remaining time that a request states: the pauses since its bytes
+// were read. While the connection is closing, it includes the wait for capacity, during which the client's deadline
+// approaches too: a graceful close has to end by the deadlines of the open requests.
+func (c *connection) waitSinceRead() time.Duration {
+	if c.closing.Load() {
+		return c.reader.invalidCommandPause + c.reader.pendingCapacityWait
 	}
-	return c.reader.paused
+	return c.reader.invalidCommandPause
 }
--- a/internal/frontend/reader_buffer.go
+++ b/internal/frontend/reader_buffer.go
@@ -8,45 +8,44 @@
 )
 
 const (
-	// maxCommandBytes is the size of the largest command: a value with its head, and space for the rest of
-	// its fields.
+	// maxCommandBytes is the size of the largest command: the largest value, and 64 KiB for the head.
 	maxCommandBytes = resp.MaxValue + 64<<10
-	// minBufferBytes is the size of a reader's buffer while it holds no larger command. It is larger than any
-	// head of a request.
+	// minBufferBytes is the size of a reader's buffer unless a command needs more. It is larger than the head of any
+	// request.
 	minBufferBytes = 4096
-	// maxUnbudgetedBytes is how large a connection's buffer may be without taking memory from the budget for large
-	// values: a value of the protocol's 64 KiB with its head.
+	// maxUnbudgetedBytes is the size up to which a connection's buffer takes no memory from the budget for large
+	// values. It is sufficient for the protocol's value of 64 KiB and a head.
 	maxUnbudgetedBytes = 68 << 10
 )
 
-// keepRest moves the received part of an incomplete command to the front of the buffer, and grows or shrinks
-// the buffer to fit it. It returns false if the connection ends.
-func (c *connection) keepRest(rest []byte) bool {
+// keepPartialCommand moves the received part of an incomplete command to the front of the buffer, and grows or shrinks
+// the buffer to fit it. It returns false if the connection has to end.
+func (c *connection) keepPartialCommand(rest []byte) bool {
 	r := &c.reader
-	if r.bufferHandedOver {
-		r.bufferHandedOver = false
+	if r.bufferTransferred {
+		r.bufferTransferred = false
 		r.buffer = make([]byte, max(minBufferBytes, len(rest)))
 		if len(rest) > maxUnbudgetedBytes && !c.acquireBudget(len(r.buffer)-maxUnbudgetedBytes) {
 			return false
 		}
 	}
-	r.buffered = copy(r.buffer, rest)
-	c.hasPartialCommand.Store(r.buffered > 0)
+	r.bufferedBytes = copy(r.buffer, rest)
+	c.hasPartialCommand.Store(r.bufferedBytes > 0)
 	switch {
-	case r.buffered == len(r.buffer):
+	case r.bufferedBytes == len(r.buffer):
 		return c.growBuffer()
-	case r.buffered == 0 && len(r.buffer) > minBufferBytes:
+	case r.bufferedBytes == 0 && len(r.buffer) > minBufferBytes:
 		r.buffer = make([]byte, minBufferBytes)
 		c.releaseBudget()
 	}
 	return true
 }
 
-// growBuffer doubles a full buffer. It returns false if the connection ends.
+// growBuffer doubles a full buffer, up to maxCommandBytes. It returns false if the connection has to end.
 func (c *connection) growBuffer() bool {
 	r := &c.reader
-	if r.buffered >= maxCommandBytes {
-		c.endWithError("Protocol error: command too long")
+	if r.bufferedBytes >= maxCommandBytes {
+		c.closeWithError("Protocol error: command too long")
 		return false
 	}
 	size := len(r.buffer)
@@ -58,37 +57,37 @@
 	return true
 }
 
-// handOver gives the command its own bytes, since the reader reuses the buffer for the next command. A small
-// command gets a copy. A large command takes over the buffer itself, and the reader starts a new one.
-func (c *connection) handOver(p *pendingCommand) {
+// detachFromBuffer makes a command independent of the reader's buffer, which the reader reuses for the next command.
+// The bytes of a small command are copied. A large command takes over the buffer, and the reader allocates a new one.
+func (c *connection) detachFromBuffer(p *pendingCommand) {
 	if len(p.raw) <= maxUnbudgetedBytes {
 		p.raw = bytes.Clone(p.raw)
 		return
 	}
 	p.budgetedBytes = c.reader.budgetedBytes
 	c.reader.budgetedBytes = 0
-	c.reader.bufferHandedOver = true
+	c.reader.bufferTransferred = true
 }
 
-// acquireBudget acquires bytes from the budget for a larger buffer. It guards against large commands that together
-// exceed the memory of the process. It waits for commandTimeout at most, as long as a command may take to arrive. It
-// returns false if the bytes did not come free; the connection has then ended with an error.
+// acquireBudget acquires bytes from the memory budget for a larger buffer, so that large commands together do not
+// exceed the memory of the process. It waits for commandTimeout at most, as long as a command may take to arrive. If
+// the bytes are not available in time, it closes the connection with an error and returns false.
 func (c *connection) acquireBudget(bytes int) bool {
 	var acquired int64
 	var ok bool
-	c.waitWatched(readerAwaitsMemory, func() {
-		acquired, ok = c.server.budget.Acquire(int64(bytes), time.Now().Add(commandTimeout))
+	c.waitWatchingHangUp(readerAwaitsMemory, func() {
+		acquired, ok = c.server.memoryBudget.Acquire(int64(bytes), time.Now().Add(commandTimeout))
 	})
 	if !ok {
-		c.endWithError("busy: no room for a large value")
+		c.closeWithError("busy: no room for a large value")
 		return false
 	}
 	c.reader.budgetedBytes += acquired
 	return true
 }
 
-// releaseBudget returns the bytes acquired for the reader's buffer to the budget.
+// releaseBudget returns the bytes acquired for the reader's buffer to the memory budget.
 func (c *connection) releaseBudget() {
-	c.server.budget.Release(c.reader.budgetedBytes)
+	c.server.memoryBudget.Release(c.reader.budgetedBytes)
 	c.reader.budgetedBytes = 0
 }
--- a/internal/frontend/request.go
+++ b/internal/frontend/request.go
@@ -10,28 +10,28 @@
 	"fawnplank/policy"
 )
 
-// pendingCommand is a command that has no response yet. Commands that need no request are answered at once.
+// pendingCommand is a command whose response is not written yet. A command is either a request or is answered at once.
 type pendingCommand struct {
 	connection    *connection
 	isRequest     bool              // false if the command is answered at once
-	request       *dispatch.Request // nil if the command is answered at once
+	request       *dispatch.Request // nil until a request is submitted, and if the command is answered at once
 	class         policy.ClassID
 	id            string
 	raw           []byte        // the command as it was received
-	fields        span          // of raw: the list of names and values
-	remaining     span          // of raw: the value of d
+	fields        span          // the position in raw of the list of names and values
+	remaining     span          // the position in raw of the value of d
 	response      []byte        // nil until the command is completed
-	budgetedBytes int64         // of the budget, for raw
+	budgetedBytes int64         // bytes acquired from the memory budget for raw
 	usage         *requestUsage // nil if usage is not recorded
 }
 
-// handleRequest parses and submits a request, or answers it with an error or a rejection. valid is false if the request
-// was answered with an error.
-func (c *connection) handleRequest(raw []byte, words [][]byte) (valid bool) {
-	c.received.Add(1)
-	c.server.received.Add(1)
+// handleRequest parses and submits a request, or answers it with an error or a rejection. valid is false if the
+// response is an error.
+func (c *connection) handleRequest(raw []byte, args [][]byte) (valid bool) {
+	c.receivedRequests.Add(1)
+	c.server.receivedRequests.Add(1)
 	head := requestHead{config: c.server.config.Load()}
-	if err := head.parse(words); err != nil {
+	if err := head.parse(args); err != nil {
 		c.respondInvalidRequest(&head, err)
 		return false
 	}
@@ -46,8 +46,7 @@
 	return true
 }
 
-// respondInvalidRequest answers a request that is not submitted with an error, and counts it for its class, if that
-// is known.
+// respondInvalidRequest answers an invalid request with an error, and counts it for its class if the class is known.
 func (c *connection) respondInvalidRequest(head *requestHead, err error) {
 	if head.hasClass {
 		c.server.metrics.RequestAnswered(head.class, metrics.RequestAborted)
@@ -55,8 +54,8 @@
 	c.respondInvalid(err.Error())
 }
 
-// submit makes a request pending and submits it to the dispatcher. If the connection ends meanwhile, submit
-// does neither and returns no error, since nobody waits for a response.
+// submit adds a request to the pending commands and submits it to the dispatcher. If the connection ends before that,
+// submit does neither and returns no error, since a response could not be delivered.
 func (c *connection) submit(head *requestHead, raw []byte) error {
 	p := &pendingCommand{
 		connection: c,
@@ -74,14 +73,14 @@
 		c.server.releaseRequestID(p.id)
 		return nil
 	}
-	c.handOver(p)
+	c.detachFromBuffer(p)
 	plan := p.resolvePlan(head)
 	c.server.metrics.RequestReceived()
 	p.request = c.server.dispatcher.Submit(dispatch.RequestSpec{
 		Class:         head.class,
 		Plan:          plan,
 		Tenant:        head.tenant,
-		Remaining:     head.remaining - c.waited(),
+		Remaining:     head.remaining - c.waitSinceRead(),
 		Units:         head.units,
 		EntryPoints:   head.entryPoints,
 		FirstInstance: head.firstInstance,
@@ -90,21 +89,21 @@
 	return nil
 }
 
-// run carries out the steps of a request up to its response.
+// run carries out the steps that the dispatcher returns for a request, up to its response.
 func (p *pendingCommand) run() {
 	defer p.recoverPanic()
 	for {
 		step := p.request.NextStep()
 		if step.Action != dispatch.Send {
-			p.conclude(step)
+			p.handleFinalStep(step)
 			return
 		}
-		p.connection.server.pool.Send(step.Attempt, p.rewritten(step.Attempt.Remaining()))
+		p.connection.server.pool.Send(step.Attempt, p.withRewrittenDeadline(step.Attempt.Remaining()))
 	}
 }
 
-// recoverPanic answers a request whose goroutine panicked with an error, so that the process and the order of
-// responses go on.
+// recoverPanic recovers from a panic in the goroutine of a request and answers the request with an error, so that the
+// process survives and the responses behind this one are written.
 func (p *pendingCommand) recoverPanic() {
 	cause := recover()
 	if cause == nil {
@@ -116,8 +115,8 @@
 	p.connection.complete(p, []byte("-ERR internal fault\r\n"))
 }
 
-// conclude answers a request according to its final step, and counts it.
-func (p *pendingCommand) conclude(step dispatch.Step) {
+// handleFinalStep responds to a request according to its final step, and counts the outcome.
+func (p *pendingCommand) handleFinalStep(step dispatch.Step) {
 	c := p.connection
 	s := c.server
 	switch step.Action {
@@ -131,7 +130,7 @@
 	case dispatch.Abort:
 		s.metrics.RequestAnswered(p.class, metrics.RequestAborted)
 		c.complete(p, []byte("-ERR failed\r\n"))
-	default: // the client has gone
+	default: // the client has disconnected
 		c.complete(p, nil)
 	}
 }
--- a/internal/frontend/request_ids.go
+++ b/internal/frontend/request_ids.go
@@ -2,11 +2,11 @@
 
 import "errors"
 
-// errRequestIDInUse is sent on the wire.
+// errRequestIDInUse is the error for an id that belongs to an open request. Its text is sent to the client.
 var errRequestIDInUse = errors.New("id is that of an open transaction")
 
-// claimRequestID registers the id of a request that is about to be submitted. It returns false if a request
-// with that id is open.
+// claimRequestID registers the id of a request that is about to be submitted. It returns false if an open request has
+// the same id.
 func (s *Server) claimRequestID(id string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -15,7 +15,7 @@
 	return !inUse
 }
 
-// releaseRequestID makes the id of a request that has ended free again.
+// releaseRequestID removes the id of a request that has ended, so that the id can be used again.
 func (s *Server) releaseRequestID(id string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/frontend/request_rewrite.go
+++ b/internal/frontend/request_rewrite.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// integerLineBytes is enough for the decimal digits of any 64-bit integer, its sign, and the end of its line.
-const integerLineBytes = 24
+// maxIntegerLineBytes is sufficient for the decimal digits of any 64-bit integer, a sign and a line end.
+const maxIntegerLineBytes = 24
 
-// span is a part of a command: begin is the index of its first byte, end the index after its last.
+// span is a range of bytes in a command: begin is the index of the first byte, end the index after the last byte.
 type span struct {
 	begin int
 	end   int
@@ -17,25 +17,25 @@
 
 func (s span) size() int { return s.end - s.begin }
 
-// spanOf returns the position of part in raw. part must be a slice of raw whose capacity ends where raw's
-// does.
+// spanOf returns the position of part in raw. part must be a slice of raw whose capacity ends where the capacity of raw
+// ends.
 func spanOf(raw, part []byte) span {
 	begin := cap(raw) - cap(part)
 	return span{begin: begin, end: begin + len(part)}
 }
 
-// rewritten returns the command with the value of d replaced by remaining, which is how long the dispatcher
-// waits for the attempt, in whole milliseconds but at least one. The command is returned in pieces to be written one
-// after another.
-func (p *pendingCommand) rewritten(remaining time.Duration) [][]byte {
+// withRewrittenDeadline returns the command with the value of d replaced by remaining, the time for which the
+// dispatcher waits for the attempt. The value is in whole milliseconds and at least 1. The command is returned in parts
+// that are to be written in order.
+func (p *pendingCommand) withRewrittenDeadline(remaining time.Duration) [][]byte {
 	milliseconds := max(int64(remaining/time.Millisecond), 1)
-	value := strconv.AppendInt(make([]byte, 0, integerLineBytes), milliseconds, decimalBase)
-	fieldsSize := p.fields.size() + len(value) - p.remaining.size()
-	sizeLine := strconv.AppendInt(make([]byte, 0, integerLineBytes), int64(fieldsSize), decimalBase)
-	sizeLine = append(sizeLine, "\r\n"...)
-	// The line with the size of the fields begins at its dollar sign and ends immediately before the fields.
+	value := strconv.AppendInt(make([]byte, 0, maxIntegerLineBytes), milliseconds, decimalBase)
+	fieldsLength := p.fields.size() + len(value) - p.remaining.size()
+	lengthLine := strconv.AppendInt(make([]byte, 0, maxIntegerLineBytes), int64(fieldsLength), decimalBase)
+	lengthLine = append(lengthLine, "\r\n"...)
+	// The line with the length of the fields begins with a dollar sign and ends immediately before the fields.
 	dollar := bytes.LastIndexByte(p.raw[:p.fields.begin], '$')
 	before := p.raw[p.fields.begin:p.remaining.begin]
 	after := p.raw[p.remaining.end:]
-	return [][]byte{p.raw[:dollar+1], sizeLine, before, value, after}
+	return [][]byte{p.raw[:dollar+1], lengthLine, before, value, after}
 }
--- a/internal/frontend/request_test.go
+++ b/internal/frontend/request_test.go
@@ -17,13 +17,13 @@
 func TestRequest_ForwardedWithOnlyDeadlineRewritten(t *testing.T) {
 	h := newHarness(t, harnessOptions{})
 	c := h.dial()
-	c.send(query("9b1f03aa5c7e2d41", lookupFields+",r=1"))
+	c.send(queryCommand("9b1f03aa5c7e2d41", lookupFields+",r=1"))
 	attempt := h.nextAttempt()
 	deadline, _ := strconv.Atoi(attempt.deadline())
 	if deadline < 500 || deadline > 900 {
 		t.Errorf("the backend is given %d ms", deadline)
 	}
-	want := query("9b1f03aa5c7e2d41", strings.Replace(lookupFields, "900", strconv.Itoa(deadline), 1)+",r=1")
+	want := queryCommand("9b1f03aa5c7e2d41", strings.Replace(lookupFields, "900", strconv.Itoa(deadline), 1)+",r=1")
 	if attempt.raw != want {
 		t.Errorf("%q, wanted %q", attempt.raw, want)
 	}
@@ -37,10 +37,10 @@
 	c := h.dial()
 	body := "\x00\r\n*1\r\n$4\r\nPING\r\n" + strings.Repeat("\xff", 60000)
 	fields := "c=pay,t=team,d=900,k=d72e33dc49655fc9,units=1"
-	c.send(words("SVC.SUBMIT", testTenant, "9b1f03aa5c7e2d41", fields, body))
+	c.send(respCommand("SVC.SUBMIT", testTenant, "9b1f03aa5c7e2d41", fields, body))
 	attempt := h.nextAttempt()
 	fields = strings.Replace(fields, "900", attempt.deadline(), 1)
-	if attempt.raw != words("SVC.SUBMIT", testTenant, "9b1f03aa5c7e2d41", fields, body) {
+	if attempt.raw != respCommand("SVC.SUBMIT", testTenant, "9b1f03aa5c7e2d41", fields, body) {
 		t.Errorf("%.150q", attempt.raw)
 	}
 	attempt.respond("*3\r\n$2\r\n\r\n\r\n$6\r\ncost=1\r\n$-1\r\n")
@@ -48,17 +48,17 @@
 }
 
 // The id of an open request is refused, whoever sends it; once that one has its response, the id is free.
-func TestRequest_IDOfOpenRequestRefused(t *testing.T) {
+func TestRequest_DuplicateIDAnsweredWithError(t *testing.T) {
 	h := newHarness(t, harnessOptions{})
 	c, attempt := h.openRequest("7")
 	other := h.dial()
-	other.send(query("7", lookupFields))
+	other.send(queryCommand("7", lookupFields))
 	other.expectLine("-ERR id .+")
-	attempt.respond(okReply)
-	c.expect(okResponse)
-	other.send(query("7", lookupFields))
-	h.nextAttempt().respond(okReply)
-	other.expect(okResponse)
+	attempt.respond(okBackendResponse)
+	c.expect(okClientResponse)
+	other.send(queryCommand("7", lookupFields))
+	h.nextAttempt().respond(okBackendResponse)
+	other.expect(okClientResponse)
 	h.server.mu.Lock()
 	defer h.server.mu.Unlock()
 	if len(h.server.requestIDs) > 0 {
@@ -66,16 +66,16 @@
 	}
 }
 
-func TestRequest_RejectionCarriesRetryAfter(t *testing.T) {
+func TestRequest_RejectionHasRetryAfter(t *testing.T) {
 	h := newHarness(t, harnessOptions{})
 	c := h.dial()
-	c.send(query("1", ofPlan("one")))
+	c.send(queryCommand("1", fieldsWithPlan("one")))
 	attempt := h.nextAttempt()
 	other := h.dial()
-	other.send(query("2", ofPlan("one")))
+	other.send(queryCommand("2", fieldsWithPlan("one")))
 	other.expectLine("-BUSY [0-9]+")
-	attempt.respond(okReply)
-	c.expect(okResponse)
+	attempt.respond(okBackendResponse)
+	c.expect(okClientResponse)
 }
 
 // A silent backend costs its attempt only: the response comes by the request's deadline.
@@ -84,32 +84,32 @@
 		h := newHarness(t, harnessOptions{})
 		c := h.dial()
 		start := time.Now()
-		c.send(query("1", strings.Replace(ofClass(class), "900", "600", 1)))
+		c.send(queryCommand("1", strings.Replace(fieldsWithClass(class), "900", "600", 1)))
 		c.expectLine(want)
-		if took := time.Since(start); took > 900*time.Millisecond { // 600, and a margin for a busy machine
-			t.Errorf("answered after %v", took)
+		if elapsed := time.Since(start); elapsed > 900*time.Millisecond { // 600, and a margin for a busy machine
+			t.Errorf("answered after %v", elapsed)
 		}
 	}
 }
 
 // A 4 MiB value that comes in pieces cut anywhere, over longer than a command may take without progress, is
 // forwarded completely both ways, two at once within their budget, and all of the budget is released.
-func TestRequest_LargeValuesInPieces(t *testing.T) {
-	const budget = 10 << 20 // two large commands at a time
+func TestRequest_LargeValuesInChunks(t *testing.T) {
+	const memoryBudget = 10 << 20 // two large commands at a time
 	const clients = 2
 	value := strings.Repeat("v", 4<<20)
 	h := newHarness(t, harnessOptions{
-		server:    Options{Budget: membudget.New(budget)},
-		onAttempt: func(a receivedAttempt) { a.respond(bulkReply(value)) },
+		server:    Options{Budget: membudget.New(memoryBudget)},
+		onAttempt: func(a receivedAttempt) { a.respond(bulkBackendResponse(value)) },
 	})
 	body := strings.Repeat("b", 4<<20)
 	results := make(chan error, clients)
 	for n := range clients {
 		c := h.dial()
 		id := "9b1f03aa5c7e2d4" + strconv.Itoa(n)
-		command := words("SVC.SUBMIT", testTenant, id, "c=lookup,t=team,d=1900", body)
+		command := respCommand("SVC.SUBMIT", testTenant, id, "c=lookup,t=team,d=1900", body)
 		go func() {
-			results <- errors.Join(sendInPieces(c, command, 1+n*7), readResponse(c, bulkResponse(value)))
+			results <- errors.Join(sendInChunks(c, command, 1+n*7), expectResponse(c, bulkClientResponse(value)))
 		}()
 	}
 	for range clients {
@@ -117,29 +117,29 @@
 			t.Error(err)
 		}
 	}
-	if _, ok := h.server.budget.Acquire(budget, time.Now().Add(time.Second)); !ok {
+	if _, ok := h.server.memoryBudget.Acquire(memoryBudget, time.Now().Add(time.Second)); !ok {
 		t.Error("a part of the budget is still reserved")
 	}
 }
 
-// sendInPieces sends a command in pieces of many sizes, with a pause after each MiB: 2.4 s in all.
-func sendInPieces(c *testClient, command string, piece int) error {
-	for at, pauseAt := 0, 1<<20; at < len(command); {
-		end := min(at+piece, len(command))
-		if err := c.trySend(command[at:end]); err != nil {
+// sendInChunks sends a command in pieces of many sizes, with a pause after each MiB: 2.4 s in all.
+func sendInChunks(c *testClient, command string, chunkSize int) error {
+	for offset, pauseOffset := 0, 1<<20; offset < len(command); {
+		end := min(offset+chunkSize, len(command))
+		if err := c.trySend(command[offset:end]); err != nil {
 			return err
 		}
-		if at+piece >= pauseAt {
+		if offset+chunkSize >= pauseOffset {
 			time.Sleep(600 * time.Millisecond)
-			pauseAt += 1 << 20
+			pauseOffset += 1 << 20
 		}
-		at += piece
-		piece = piece*3%200_003 + 1
+		offset += chunkSize
+		chunkSize = chunkSize*3%200_003 + 1
 	}
 	return nil
 }
 
-func readResponse(c *testClient, want string) error {
+func expectResponse(c *testClient, want string) error {
 	got := make([]byte, len(want))
 	if _, err := io.ReadFull(c.reader, got); err != nil {
 		return err
@@ -155,9 +155,9 @@
 	registry := metrics.New([]string{"lookup", "pay"})
 	h := newHarness(t, harnessOptions{server: Options{Metrics: registry}})
 	c, attempt := h.openRequest("1")
-	attempt.respond(okReply)
-	c.expect(okResponse)
-	c.send(query("2", "c=pay,t=team,d=-1"))
+	attempt.respond(okBackendResponse)
+	c.expect(okClientResponse)
+	c.send(queryCommand("2", "c=pay,t=team,d=-1"))
 	c.expectLine(`-ERR .*`)
 	var text strings.Builder
 	if err := registry.Write(&text); err != nil {
@@ -176,8 +176,8 @@
 func TestServer_UpdateSettingsAddsClass(t *testing.T) {
 	h := newHarness(t, harnessOptions{})
 	c := h.dial()
-	report := "c=report,t=team,d=900"
-	c.send(query("1", report))
+	reportFields := "c=report,t=team,d=900"
+	c.send(queryCommand("1", reportFields))
 	c.expectLine(`-ERR .*`)
 	updated := *h.server.config.Load()
 	updated.Settings.Classes = append(append([]policy.ClassSettings(nil), testSettings.Classes...),
@@ -185,28 +185,28 @@
 	updated.Classes = map[string]policy.ClassID{"lookup": 0, "report": 2}
 	h.dispatcher.UpdateSettings(updated.Settings)
 	h.server.UpdateSettings(&updated)
-	c.send(query("2", report))
-	h.nextAttempt().respond(okReply)
-	c.expect(okResponse)
-	c.send(query("3", "c=pay,t=team,d=900")) // a class that the reload removed
+	c.send(queryCommand("2", reportFields))
+	h.nextAttempt().respond(okBackendResponse)
+	c.expect(okClientResponse)
+	c.send(queryCommand("3", "c=pay,t=team,d=900")) // a class that the reload removed
 	c.expectLine(`-ERR .*`)
 }
 
-// TestServer_PauseCountsAgainstDeadline: a request that waits in the pauses after invalid commands states to its
+// TestServer_PauseReducesForwardedDeadline: a request that waits in the pauses after invalid commands states to its
 // backend only what its client has left.
-func TestServer_PauseCountsAgainstDeadline(t *testing.T) {
+func TestServer_PauseReducesForwardedDeadline(t *testing.T) {
 	const invalidCommands = 8
 	h := newHarness(t, harnessOptions{})
 	client := h.dial()
-	client.send(strings.Repeat(words("NONE"), invalidCommands) + query("1", lookupFields))
+	client.send(strings.Repeat(respCommand("NONE"), invalidCommands) + queryCommand("1", lookupFields))
 	attempt := h.nextAttempt()
 	milliseconds, err := strconv.Atoi(attempt.deadline())
 	if err != nil {
 		t.Fatal(err)
 	}
 	pauses := invalidCommandPauseStep * invalidCommands * (invalidCommands + 1) / 2
-	if left := 900*time.Millisecond - pauses; time.Duration(milliseconds)*time.Millisecond > left {
-		t.Errorf("the backend is given %d ms, and the client has %v", milliseconds, left)
+	if maxRemaining := 900*time.Millisecond - pauses; time.Duration(milliseconds)*time.Millisecond > maxRemaining {
+		t.Errorf("the backend is given %d ms, and the client has %v", milliseconds, maxRemaining)
 	}
-	attempt.respond(okReply)
+	attempt.respond(okBackendResponse)
 }
--- a/internal/frontend/request_usage.go
+++ b/internal/frontend/request_usage.go
@@ -7,19 +7,18 @@
 	"fawnplank/policy"
 )
 
-// UsageRecorder knows the plans that tenants have moved to, and records usage. Its methods are called
-// concurrently.
+// UsageRecorder provides the plans to which tenants have moved, and records usage. Its methods are called concurrently.
 type UsageRecorder interface {
-	// TenantPlan returns the plan under which the tenant's requests are admitted now. ok is false if that is the
-	// plan that the requests name.
+	// TenantPlan returns the plan under which the tenant's requests are currently admitted. ok is false if the plan
+	// that a request names applies.
 	TenantPlan(tenant string) (plan string, ok bool)
-	// RecordUsage records a request that succeeded, with the plan it ran under and the time at which it was
-	// received.
+	// RecordUsage records the units of a request that succeeded, with the plan under which it was admitted and the
+	// time at which it was received.
 	RecordUsage(tenant, plan string, receivedAt time.Time, units float64)
 }
 
-// requestUsage is what the recorded usage of a request is based on: the values at the time when the request
-// was received, whatever changes until it is answered.
+// requestUsage holds the values from which the usage of a request is recorded. They are taken when the request is
+// received, and later changes have no effect on them.
 type requestUsage struct {
 	tenant     string
 	plan       string
@@ -27,9 +26,8 @@
 	units      float64
 }
 
-// resolvePlan returns the plan under which the request is submitted: the one that its tenant has moved to, if
-// any, otherwise the one that it names. If usage is recorded, resolvePlan also stores what that record will
-// contain.
+// resolvePlan returns the plan under which the request is submitted: the plan to which its tenant has moved, if any,
+// otherwise the plan that the request names. If usage is recorded, resolvePlan also stores the values for the record.
 func (p *pendingCommand) resolvePlan(head *requestHead) policy.PlanID {
 	recorder := p.connection.server.usage
 	if recorder == nil {
@@ -46,7 +44,7 @@
 		return head.plan
 	}
 	plan, known := head.config.Plans[current]
-	if !known { // this instance's settings lack the current plan: the one named in the request applies
+	if !known { // this instance's settings lack the current plan: the plan that the request names applies
 		return head.plan
 	}
 	p.usage.plan = current
--- a/internal/frontend/responses.go
+++ b/internal/frontend/responses.go
@@ -6,18 +6,18 @@
 )
 
 const (
-	// decimalBase is the base of the integers that are written.
+	// decimalBase is the base of the integers in responses and forwarded commands.
 	decimalBase = 10
-	// writePieceBytes is how much of a response is written under one deadline. A large response is written in
-	// pieces, and the deadline may be renewed before each: a client that reads a 4 MiB response slowly but steadily
-	// is not cut off, while a client that reads nothing is cut off after writeTimeout at most.
-	writePieceBytes = 256 << 10
-	// writeDeadlineRenewals is how often at most the deadline is renewed within writeTimeout, so a piece has at least
-	// four fifths of writeTimeout. Renewing it for every write would be expensive.
-	writeDeadlineRenewals = 5
+	// writeChunkBytes is the size of the chunks in which a response is written. The write deadline may be renewed before
+	// each chunk, so that a client that reads a 4 MiB response slowly but steadily is not disconnected, while a client
+	// that does not read is disconnected after writeTimeout at most.
+	writeChunkBytes = 256 << 10
+	// maxWriteDeadlineRenewals limits how often the write deadline is renewed within writeTimeout, since a renewal for
+	// every write would be expensive. Each chunk therefore has at least four fifths of writeTimeout.
+	maxWriteDeadlineRenewals = 5
 )
 
-// respondLine answers a command whose response is one line.
+// respondLine answers a command with a response of one line.
 func (c *connection) respondLine(text string) {
 	p := &pendingCommand{connection: c}
 	if c.enqueue(p) {
@@ -27,7 +27,7 @@
 
 // respondInvalid answers an invalid command with an error, and counts it.
 func (c *connection) respondInvalid(text string) {
-	c.reader.invalidCommands++
+	c.reader.invalidCommandCount++
 	c.respondLine("-ERR " + text)
 }
 
@@ -42,15 +42,15 @@
 	return append(response, "\r\n"...)
 }
 
-// complete sets the response of a command, nil for none, and writes all responses that may now be sent in
-// their order.
+// complete sets the response of a command, where nil means that the command gets no response, and writes all responses
+// that are now next in order.
 func (c *connection) complete(p *pendingCommand, response []byte) {
 	if p.request != nil {
 		c.server.releaseRequestID(p.id)
 		c.server.metrics.RequestEnded()
-		c.server.budget.Release(p.budgetedBytes)
+		c.server.memoryBudget.Release(p.budgetedBytes)
 	}
-	defer c.server.signalCapacity() // runs after mu is released
+	defer c.server.signalConnectionCapacity() // runs after mu is unlocked
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if response == nil {
@@ -61,14 +61,14 @@
 	if len(c.pending) == 0 {
 		c.pending = nil
 		c.idleSince = time.Now()
-		if c.ending.Load() {
+		if c.closing.Load() {
 			c.shutDown()
 		}
 	}
 	c.stateChanged.Broadcast()
 }
 
-// writeCompleted writes the pending responses up to the first command that has no response yet. The caller
+// writeCompleted writes the responses of the pending commands up to the first command without a response. The caller
 // holds mu.
 func (c *connection) writeCompleted() {
 	for len(c.pending) > 0 && c.pending[0].response != nil {
@@ -79,32 +79,32 @@
 			c.write(first.response)
 		}
 		if first.isRequest {
-			c.requestsOpen.Add(-1)
+			c.requestsInFlight.Add(-1)
 		}
 	}
 }
 
-// write writes a response, and closes the connection if that fails. By writeTimeout for each piece, it guards against a
-// client that reads nothing, which would hold the connection and the response. The caller holds mu.
+// write writes a response, and closes the connection if that fails. The deadline of writeTimeout for each chunk
+// prevents a client that does not read from holding the connection and the memory of the response. The caller holds mu.
 func (c *connection) write(response []byte) {
 	for len(response) > 0 {
 		c.renewWriteDeadline()
-		piece := response[:min(len(response), writePieceBytes)]
-		if _, err := c.conn.Write(piece); err != nil {
+		chunk := response[:min(len(response), writeChunkBytes)]
+		if _, err := c.conn.Write(chunk); err != nil {
 			c.close()
 			return
 		}
-		response = response[len(piece):]
+		response = response[len(chunk):]
 	}
 }
 
-// renewWriteDeadline sets the deadline of a write, unless it was set a short time ago.
+// renewWriteDeadline sets the write deadline, unless it was set less than a fifth of writeTimeout ago.
 func (c *connection) renewWriteDeadline() {
 	now := time.Now()
-	if now.Sub(c.writeDeadlineRenewedAt) <= c.server.writeTimeout()/writeDeadlineRenewals {
+	if now.Sub(c.writeDeadlineRenewedAt) <= c.server.writeTimeout()/maxWriteDeadlineRenewals {
 		return
 	}
 	c.writeDeadlineRenewedAt = now
-	// This fails only on a closed connection, on which the write fails too.
+	// SetWriteDeadline fails only on a closed connection, on which the write fails too.
 	_ = c.conn.SetWriteDeadline(now.Add(c.server.writeTimeout()))
 }
--- a/internal/frontend/server.go
+++ b/internal/frontend/server.go
@@ -18,8 +18,8 @@
 // logComponent names this package in the log.
 const logComponent = "frontend"
 
-// writeTimeoutMargin is added to the longest deadline of any class to give the time that a client may take to read a
-// response: longer than it may wait for one.
+// writeTimeoutMargin is added to the longest deadline of any class to get writeTimeout, so that a client has longer to
+// read a response than to wait for one.
 const writeTimeoutMargin = time.Second
 
 // Options configures a Server. Dispatcher, Pool, Config and MaxConnections are required.
@@ -27,57 +27,56 @@
 	Dispatcher *dispatch.Dispatcher
 	Pool       *backend.Pool
 	Config     *config.Config
-	// MaxConnections bounds how many client connections are open at once.
+	// MaxConnections limits how many client connections are open at once.
 	MaxConnections int
-	// Metrics counts requests received, open and answered. Nil counts nothing.
+	// Metrics counts received, open and answered requests. Nil disables counting.
 	Metrics *metrics.Registry
-	// Budget bounds the memory of large commands; the budget for large responses is separate. Nil bounds
-	// nothing.
+	// Budget limits the memory of large commands; the budget for large responses is separate. Nil means no limit.
 	Budget *membudget.Budget
-	// Usage supplies the plans of tenants and records usage. If nil, the plan is the one that the request names,
-	// and no usage is recorded.
+	// Usage provides the plans of tenants and records usage. If it is nil, the plan that a request names applies, and
+	// no usage is recorded.
 	Usage UsageRecorder
 }
 
 // Server accepts client connections and serves their commands.
 type Server struct {
-	dispatcher *dispatch.Dispatcher
-	pool       *backend.Pool
-	metrics    *metrics.Registry
-	budget     *membudget.Budget
-	usage      UsageRecorder
+	dispatcher   *dispatch.Dispatcher
+	pool         *backend.Pool
+	metrics      *metrics.Registry
+	memoryBudget *membudget.Budget
+	usage        UsageRecorder
 
 	config            atomic.Pointer[config.Config] // UpdateSettings replaces it
 	maxConnections    int
-	evictionThreshold int          // at this many validated connections, idle ones are evicted for new ones
+	evictionThreshold int          // number of validated connections from which on idle ones are evicted
 	writeTimeoutNanos atomic.Int64 // see writeTimeout
 
-	serving          atomic.Bool  // in Serve: a connection may be accepted that connections does not hold yet
-	closing          atomic.Bool  // a shutdown has begun
-	drain            drainClock   // when the drain began, if one is under way
-	capacityWanted   atomic.Bool  // addConnection waits for a connection to end or to become idle
-	accepted         atomic.Int64 // connections accepted so far
-	received         atomic.Int64 // requests received so far
-	forcedCloses     atomic.Int64 // connections closed because they did not end by themselves
-	rejectedPings    atomic.Int64 // because of a drain
-	rejectedRequests atomic.Int64 // because of a drain
-	listener         atomic.Pointer[retryaccept.Listener]
-
-	mu            sync.Mutex
-	connections   map[*connection]struct{}
-	requestIDs    map[string]struct{} // of the open requests
-	atDrain       Stats               // when the drain began
-	capacityFreed *sync.Cond          // a connection has ended, or may have become idle
+	serving                  atomic.Bool  // Serve runs: connections may not contain the last accepted connection yet
+	shuttingDown             atomic.Bool  // a shutdown has begun
+	drain                    drainClock   // the start of the drain, if one is in progress
+	connectionCapacityWanted atomic.Bool  // addConnection waits until a connection ends or becomes idle
+	acceptedConnections      atomic.Int64 // connections accepted so far
+	receivedRequests         atomic.Int64 // requests received so far
+	forcedCloses             atomic.Int64 // connections closed by force at a drain or shutdown
+	rejectedPings            atomic.Int64 // because of a drain
+	rejectedRequests         atomic.Int64 // because of a drain
+	listener                 atomic.Pointer[retryaccept.Listener]
+
+	mu                      sync.Mutex
+	connections             map[*connection]struct{}
+	requestIDs              map[string]struct{} // the ids of the open requests
+	statsAtDrainStart       Stats               // the counts at the start of the drain
+	connectionCapacityFreed *sync.Cond          // signals that a connection has ended or may have become idle
 }
 
-// New returns a server that is not serving yet. It starts no goroutine and holds nothing that must be
+// New returns a server that is not serving yet. It starts no goroutine and acquires no resource that has to be
 // released.
 func New(options Options) *Server {
 	s := &Server{
 		dispatcher:        options.Dispatcher,
 		pool:              options.Pool,
 		metrics:           options.Metrics,
-		budget:            options.Budget,
+		memoryBudget:      options.Budget,
 		usage:             options.Usage,
 		maxConnections:    options.MaxConnections,
 		evictionThreshold: evictionThreshold(options.Config.MaxSockets, options.MaxConnections),
@@ -85,16 +84,17 @@
 		requestIDs:        map[string]struct{}{},
 		drain:             newDrainClock(),
 	}
-	s.capacityFreed = sync.NewCond(&s.mu)
+	s.connectionCapacityFreed = sync.NewCond(&s.mu)
 	s.UpdateSettings(options.Config)
 	return s
 }
 
-// writeTimeout returns how long a client may take to read a piece of a response, by the configuration in force.
+// writeTimeout returns how long a client may take to read a chunk of a response, by the current configuration.
 func (s *Server) writeTimeout() time.Duration { return time.Duration(s.writeTimeoutNanos.Load()) }
 
-// longestWrite returns how long a client may take to read a piece of a response, by the longest deadline.
-func longestWrite(classes []policy.ClassSettings) time.Duration {
+// writeTimeoutFor returns how long a client may take to read a chunk of a response: the longest deadline of the classes
+// and writeTimeoutMargin.
+func writeTimeoutFor(classes []policy.ClassSettings) time.Duration {
 	timeout := writeTimeoutMargin
 	for _, class := range classes {
 		timeout = max(timeout, time.Duration(class.Deadline)+writeTimeoutMargin)
@@ -102,18 +102,18 @@
 	return timeout
 }
 
-// UpdateSettings replaces what requests are parsed with by that of a reloaded configuration: the names of classes and
-// plans, which classes are only for checks, the most units of a request, and the number of instances; and writeTimeout.
-// Open requests keep the class and plan under which they were submitted. evictionThreshold stays, as do the limits that
-// it follows from.
+// UpdateSettings applies a reloaded configuration. Requests are parsed by its names of classes and plans, its
+// check-only classes, its maximum units of a request and its number of instances; writeTimeout is computed from its
+// deadlines. Open requests keep the class and plan under which they were submitted. evictionThreshold and the limits
+// from which it was computed do not change.
 func (s *Server) UpdateSettings(updated *config.Config) {
 	s.config.Store(updated)
-	s.writeTimeoutNanos.Store(int64(longestWrite(updated.Settings.Classes)))
+	s.writeTimeoutNanos.Store(int64(writeTimeoutFor(updated.Settings.Classes)))
 }
 
-// Serve accepts connections until the listener is closed or its deadline has passed, then returns nil. The
+// Serve accepts connections until the listener is closed or its deadline has passed, and then returns nil. The
 // listener must return TCP connections. Connections that are open when Serve returns continue to be served
-// and swept until each has ended.
+// and swept until they end.
 func (s *Server) Serve(listener net.Listener) error {
 	acceptEnded := make(chan struct{})
 	defer close(acceptEnded)
@@ -122,24 +122,24 @@
 	s.listener.Store(retrying)
 	s.serving.Store(true)
 	defer s.serving.Store(false)
-	s.accept(retrying)
+	s.acceptConnections(retrying)
 	return nil
 }
 
-// Stats are counts of a server since its start.
+// Stats holds the counts of a server since its start.
 type Stats struct {
 	AcceptedConnections int64 // connections accepted
 	ReceivedRequests    int64 // requests received
 	RejectedPings       int64 // PINGs answered with an error because of a drain
 	RejectedRequests    int64 // requests rejected because of a drain
-	ForcedCloses        int64 // connections that did not end by themselves at a drain or shutdown
+	ForcedCloses        int64 // connections closed by force at a drain or shutdown
 }
 
 // Stats returns the counts.
 func (s *Server) Stats() Stats {
 	return Stats{
-		AcceptedConnections: s.accepted.Load(),
-		ReceivedRequests:    s.received.Load(),
+		AcceptedConnections: s.acceptedConnections.Load(),
+		ReceivedRequests:    s.receivedRequests.Load(),
 		RejectedPings:       s.rejectedPings.Load(),
 		RejectedRequests:    s.rejectedRequests.Load(),
 		ForcedCloses:        s.forcedCloses.Load(),
--- a/internal/frontend/shutdown.go
+++ b/internal/frontend/shutdown.go
@@ -5,15 +5,15 @@
 	"time"
 )
 
-// shutdownInterval is the time between two looks of Shutdown for connections to close.
-const shutdownInterval = 10 * time.Millisecond
+// shutdownPollInterval is the interval at which Shutdown checks for connections to close.
+const shutdownPollInterval = 10 * time.Millisecond
 
-// Shutdown ends all connections, each once it has nothing pending and its responses are written. It returns
-// nil when Serve has returned and no connection is open, or the error of ctx if that ends first; connections
-// that are open then continue to be served until they have nothing pending. Serve accepts connections, which
-// end likewise, until the caller closes the listener.
+// Shutdown gracefully closes all connections, each once it has no pending command and its responses are written. It
+// returns nil when Serve has returned and no connection is open. If ctx ends first, it returns the error of ctx, and
+// connections that are still open continue to be served until they have no pending command. Until the caller closes the
+// listener, Serve continues to accept connections, which are closed in the same way.
 func (s *Server) Shutdown(ctx context.Context) error {
-	ticker := time.NewTicker(shutdownInterval)
+	ticker := time.NewTicker(shutdownPollInterval)
 	defer ticker.Stop()
 	for {
 		s.beginShutdown()
@@ -28,24 +28,24 @@
 	}
 }
 
-// beginShutdown marks the server as closing and shuts down its connections. Shutdown repeats it for
+// beginShutdown marks the server as shutting down and shuts down its connections. Shutdown calls it repeatedly for
 // connections accepted meanwhile.
 func (s *Server) beginShutdown() {
-	s.closing.Store(true)
+	s.shuttingDown.Store(true)
 	s.shutDownConnections()
 }
 
-// shutDownConnections shuts down the connections that have nothing pending, and lets the others end after
-// their responses. It does nothing if a drain has ended meanwhile.
+// shutDownConnections shuts down the connections without pending commands, and begins a graceful close of the others.
+// It has no effect if the drain has ended meanwhile.
 func (s *Server) shutDownConnections() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if !s.endsConnections() {
+	if !s.closesIdleConnections() {
 		return
 	}
 	now := time.Now()
 	for c := range s.connections {
-		c.startEnding(now)
-		c.continueEnding(now)
+		c.startClosing(now)
+		c.continueClosing(now)
 	}
 }
--- a/internal/frontend/shutdown_test.go
+++ b/internal/frontend/shutdown_test.go
@@ -9,18 +9,18 @@
 
 // The attempt's connection is not cut under the backend, which may be giving a long response, but ends once
 // it has been silent for 3 s.
-func TestConnection_ClientHangUpSeenWhileBackendWorks(t *testing.T) {
+func TestConnection_ClientHangUpDetectedDuringAttempt(t *testing.T) {
 	h := newHarness(t, harnessOptions{})
 	c, attempt := h.openRequest("1")
 	c.close()
-	for until := time.Now().Add(4 * time.Second); ; time.Sleep(5 * time.Millisecond) {
-		ended := h.hasEnded(attempt.conn)
-		if ended && h.dispatcher.OpenRequests() == 0 && h.server.OpenConnections() == 0 {
+	for deadline := time.Now().Add(4 * time.Second); ; time.Sleep(5 * time.Millisecond) {
+		closedByGateway := h.isClosedByGateway(attempt.conn)
+		if closedByGateway && h.dispatcher.OpenRequests() == 0 && h.server.OpenConnections() == 0 {
 			return
 		}
-		if time.Now().After(until) {
+		if time.Now().After(deadline) {
 			t.Fatalf("attempt's connection ended: %t, %d requests open, %d connections",
-				ended, h.dispatcher.OpenRequests(), h.server.OpenConnections())
+				closedByGateway, h.dispatcher.OpenRequests(), h.server.OpenConnections())
 		}
 	}
 }
@@ -30,26 +30,26 @@
 	h := newHarness(t, harnessOptions{})
 	c, attempt := h.openRequest("1")
 	idle := h.dial()
-	h.until("both connections are open", func() bool { return h.server.OpenConnections() >= 2 })
+	h.waitUntil("both connections are open", func() bool { return h.server.OpenConnections() >= 2 })
 	if err := h.listener.Close(); err != nil {
 		t.Error(err)
 	}
 	shutdown := make(chan error, 1)
 	go func() { shutdown <- h.server.Shutdown(t.Context()) }()
-	idle.expectEnd("an idle connection")
-	attempt.respond(okReply)
-	c.expect(okResponse)
-	c.expectEnd("after the last response")
-	h.until("all connections have ended", func() bool { return h.server.OpenConnections() == 0 })
+	idle.expectClosed("an idle connection")
+	attempt.respond(okBackendResponse)
+	c.expect(okClientResponse)
+	c.expectClosed("after the last response")
+	h.waitUntil("all connections have ended", func() bool { return h.server.OpenConnections() == 0 })
 	if err := <-shutdown; err != nil {
 		t.Errorf("Shutdown: %v", err)
 	}
 }
 
 // Shutdown waits for the listener's end and for the last connection's, but no longer than its context lasts.
-func TestServer_ShutdownEndsWithItsContext(t *testing.T) {
+func TestServer_ShutdownReturnsWhenContextEnds(t *testing.T) {
 	h := newHarness(t, harnessOptions{})
-	h.until("it serves", h.server.serving.Load)
+	h.waitUntil("it serves", h.server.serving.Load)
 	canceled, cancel := context.WithCancel(t.Context())
 	cancel()
 	if err := h.server.Shutdown(canceled); !errors.Is(err, context.Canceled) {
@@ -59,12 +59,12 @@
 	if err := h.listener.Close(); err != nil {
 		t.Error(err)
 	}
-	h.until("no more is accepted", func() bool { return !h.server.serving.Load() })
+	h.waitUntil("no more is accepted", func() bool { return !h.server.serving.Load() })
 	if err := h.server.Shutdown(canceled); !errors.Is(err, context.Canceled) {
 		t.Errorf("while a request is open: %v", err)
 	}
-	attempt.respond(okReply)
-	client.expect(okResponse)
+	attempt.respond(okBackendResponse)
+	client.expect(okClientResponse)
 	if err := h.server.Shutdown(t.Context()); err != nil || h.server.OpenConnections() != 0 {
 		t.Errorf("at its end: %v, %d connections", err, h.server.OpenConnections())
 	}
@@ -77,17 +77,17 @@
 	busy, idle := h.dial(), h.dial()
 	h.server.Drain()
 	h.server.Drain() // again: the drain goes on from its first call
-	began := time.Now()
-	idle.send(words("PING"))
+	start := time.Now()
+	idle.send(respCommand("PING"))
 	idle.expectLine(`-ERR draining`)
-	busy.send(query("1", lookupFields))
-	h.nextAttempt().respond(okReply)
-	busy.expect(okResponse) // open connections are still served
-	idle.expectEnd("an idle connection of a draining server")
-	if took := time.Since(began); took < drainDelay || took > drainDelay+time.Second {
-		t.Errorf("the idle connection was closed after %v", took)
+	busy.send(queryCommand("1", lookupFields))
+	h.nextAttempt().respond(okBackendResponse)
+	busy.expect(okClientResponse) // open connections are still served
+	idle.expectClosed("an idle connection of a draining server")
+	if elapsed := time.Since(start); elapsed < drainDelay || elapsed > drainDelay+time.Second {
+		t.Errorf("the idle connection was closed after %v", elapsed)
 	}
-	busy.expectEnd("the other connection")
+	busy.expectClosed("the other connection")
 	h.server.Resume()
 	h.server.Resume() // without a drain: nothing
 	resumed := h.dial()
@@ -110,9 +110,9 @@
 	client.ping()
 }
 
-// TestServer_DrainsAgainAfterResume: a drain that begins after another has ended has its full time, and ends
+// TestServer_SecondDrainHasFullDelay: a drain that begins after another has ended has its full time, and ends
 // the connections.
-func TestServer_DrainsAgainAfterResume(t *testing.T) {
+func TestServer_SecondDrainHasFullDelay(t *testing.T) {
 	h := newHarness(t, harnessOptions{})
 	client := h.dial()
 	client.ping()
@@ -120,9 +120,9 @@
 	time.Sleep(drainDelay - 2*sweepInterval)
 	h.server.Resume()
 	h.server.Drain()
-	began := time.Now()
-	client.expectEnd("an idle connection")
-	if took := time.Since(began); took < drainDelay || took > drainDelay+time.Second {
-		t.Errorf("closed after %v", took)
+	start := time.Now()
+	client.expectClosed("an idle connection")
+	if elapsed := time.Since(start); elapsed < drainDelay || elapsed > drainDelay+time.Second {
+		t.Errorf("closed after %v", elapsed)
 	}
 }
--- a/internal/frontend/sweep.go
+++ b/internal/frontend/sweep.go
@@ -2,11 +2,11 @@
 
 import "time"
 
-// sweepInterval is the time between two looks for silent connections; it is short compared to commandTimeout.
+// sweepInterval is the interval between two sweeps of the connections. It is short compared to commandTimeout.
 const sweepInterval = 250 * time.Millisecond
 
-// sweepConnections ends connections that are silent or send too slowly, and closes idle ones once a drain has
-// lasted for drainDelay. It runs until no more connections are accepted and all have ended.
+// sweepConnections closes connections whose clients are silent or send too slowly, and idle connections once a drain
+// has lasted for drainDelay. It runs until no more connections are accepted and all of them have ended.
 func (s *Server) sweepConnections(acceptEnded <-chan struct{}) {
 	ticker := time.NewTicker(sweepInterval)
 	defer ticker.Stop()
@@ -21,17 +21,17 @@
 	}
 }
 
-// sweep takes one look at all connections.
+// sweep checks all connections once.
 func (s *Server) sweep(now time.Time) {
 	if age, draining := s.drain.age(); draining && age > drainDelay {
 		s.shutDownConnections()
-		s.logOutlastingConnections(age)
+		s.logUndrainedConnections(age)
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for c := range s.connections {
 		if c.isCommandOverdue(now) {
-			c.setReadDeadline(now) // its reader ends it, in endIfOverdue
+			c.setReadDeadline(now) // interrupts the read; the reader then calls closeIfOverdue
 		}
 	}
 }
