--- a/internal/frontend/backend_responses_test.go
+++ b/internal/frontend/backend_responses_test.go
@@ -15,28 +15,28 @@
 
 func TestBackendResponses_AnswerSentToClient(t *testing.T) {
 	longValue, hugeValue := strings.Repeat("v", 64<<10), strings.Repeat("v", 400000)
-	for name, test := range map[string]struct{ class, first, want string }{
-		"long value":                  {"lookup", bulkBackendResponse(longValue), `\$65536`},
-		"value of 400 KB":             {"pay", bulkBackendResponse(hugeValue), `\$400000`},
-		"rejection":                   {"pay", "-BUSY full\r\n", `\$2`},
-		"error":                       {"lookup", "-ERR failed\r\n", `\$2`},
-		"error that may have run":     {"pay", "-ERR failed\r\n", "-ERR .+"},
-		"no meaning":                  {"pay", "+OK\r\n", "-ERR .+"},
-		"no RESP":                     {"pay", "HTTP/1.1 200 OK\r\n", "-ERR .+"},
-		"null value":                  {"pay", "*3\r\n$-1\r\n$-1\r\n$-1\r\n", "-ERR .+"},
-		"second response behind":      {"pay", "*1\r\n$1\r\nx\r\n*1\r\n$1\r\nx\r\n", `\$1`},
-		"noise behind":                {"pay", "*1\r\n$1\r\nx\r\n\x00\xff", `\$1`},
-		"value of 3 GB":               {"pay", "*3\r\n$3221225472\r\nvvv", "-ERR .+"},
-		"value too long":              {"pay", "*3\r\n$9000000\r\n" + longValue + longValue, "-ERR .+"},
-		"connection's end":            {"pay", "", "-ERR .+"},
-		"end within the response":     {"pay", "*3\r\n$65536\r\nvvv", "-ERR .+"},
-		"end, and a retry is allowed": {"lookup", "", `\$2`},
+	for name, test := range map[string]struct{ class, firstResponse, want string }{
+		"long value":                     {"lookup", bulkBackendResponse(longValue), `\$65536`},
+		"value of 400 KB":                {"pay", bulkBackendResponse(hugeValue), `\$400000`},
+		"rejection":                      {"pay", "-BUSY full\r\n", `\$2`},
+		"error":                          {"lookup", "-ERR failed\r\n", `\$2`},
+		"error that may have run":        {"pay", "-ERR failed\r\n", "-ERR .+"},
+		"unexpected type":                {"pay", "+OK\r\n", "-ERR .+"},
+		"not RESP":                       {"pay", "HTTP/1.1 200 OK\r\n", "-ERR .+"},
+		"null value":                     {"pay", "*3\r\n$-1\r\n$-1\r\n$-1\r\n", "-ERR .+"},
+		"second response appended":       {"pay", "*1\r\n$1\r\nx\r\n*1\r\n$1\r\nx\r\n", `\$1`},
+		"garbage appended":               {"pay", "*1\r\n$1\r\nx\r\n\x00\xff", `\$1`},
+		"value of 3 GB":                  {"pay", "*3\r\n$3221225472\r\nvvv", "-ERR .+"},
+		"value too long":                 {"pay", "*3\r\n$9000000\r\n" + longValue + longValue, "-ERR .+"},
+		"connection closed":              {"pay", "", "-ERR .+"},
+		"closed within the response":     {"pay", "*3\r\n$65536\r\nvvv", "-ERR .+"},
+		"closed, and a retry is allowed": {"lookup", "", `\$2`},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var once sync.Once
 			onAttempt := func(a receivedAttempt) {
 				response := okBackendResponse
-				once.Do(func() { response = test.first })
+				once.Do(func() { response = test.firstResponse })
 				a.respond(response)
 				if !strings.HasSuffix(response, "\r\n") {
 					_ = a.conn.Close() // the gateway may have closed it
@@ -50,8 +50,8 @@
 	}
 }
 
-// Failure: backends that forget an idle connection, without a word before the next attempt, had attempt upon
-// attempt on such connections.
+// Guards against repeated attempts on connections to a backend that closes idle connections only when the next attempt
+// arrives on them.
 func TestBackendConnections_DroppedIdleConnectionsAvoided(t *testing.T) {
 	var mu sync.Mutex
 	answered := map[net.Conn]bool{}
@@ -79,7 +79,7 @@
 	mu.Lock()
 	defer mu.Unlock()
 	if dropped == 0 || dropped > 12 {
-		t.Errorf("%d attempts met a connection that was forgotten", dropped)
+		t.Errorf("%d attempts were sent on a connection that the backend had dropped, want 1 to 12", dropped)
 	}
 }
 
@@ -90,14 +90,15 @@
 		_ = a.conn.Close() // the gateway may have closed it
 	}})
 	c := h.dial()
-	for range 5 { // a non-idempotent request on a connection that is closed would be aborted
+	for range 5 { // a non-idempotent request sent on a closed connection would be aborted
 		c.send(queryCommand("1", fieldsWithClass("pay")))
 		c.expect(okClientResponse)
 		time.Sleep(60 * time.Millisecond)
 	}
 }
 
-// Nobody listens at the address: proved not run, so even a non-idempotent request is retried elsewhere.
+// Both backends refuse connections, which shows that the attempts did not run. Even a non-idempotent request is
+// therefore retried and finally rejected, and not answered with an error.
 func TestBackendConnections_RefusedConnectionRejectsRequest(t *testing.T) {
 	h := newHarness(t, harnessOptions{})
 	address := testutil.FreeAddress(t)
@@ -108,16 +109,18 @@
 	c.expectLine("-BUSY( [0-9]+)?")
 }
 
-// Failure: an attempt given up while its long response was still coming closed the connection under the
-// backend, which the operators count as a lost request. The rest is read, and the connection ends after it;
-// that the gateway ends its own sending there, as the protocol asks of who gives up, cuts nothing off.
+// Guards against closing a connection while the backend is still sending the long response of an attempt that was
+// abandoned at its deadline: the operators count that as a lost request. The gateway closes its sending side, as the
+// protocol requires after giving up, but reads the rest of the response before it closes the connection.
 func TestBackendConnections_LongResponseReadAfterDeadline(t *testing.T) {
 	var h *harness
 	responded, stayedOpen := make(chan error, 1), make(chan bool, 1)
 	h = newHarness(t, harnessOptions{onAttempt: func(a receivedAttempt) {
 		response := bulkBackendResponse(strings.Repeat("v", 2<<20))
 		a.respond(response[:1<<20])
-		h.waitUntil("the deadline has passed, and the sending ended", func() bool { return h.isClosedByGateway(a.conn) })
+		h.waitUntil("the gateway has closed its sending side at the deadline", func() bool {
+			return h.isClosedByGateway(a.conn)
+		})
 		err := writeSlowly(a.conn, response[1<<20:])
 		responded <- err
 		if err == nil {
@@ -128,19 +131,19 @@
 	c.send(queryCommand("1", "c=lookup,t=team,d=300"))
 	c.expectLine(`-(BUSY|ERR).*`)
 	if err := <-responded; err != nil {
-		t.Fatalf("the long response was cut off: %v", err)
+		t.Fatalf("the connection was closed within the long response: %v", err)
 	}
 	if <-stayedOpen {
-		t.Fatal("the connection stayed open after the response that nobody wants")
+		t.Fatal("the connection stayed open after the response of the abandoned attempt")
 	}
 }
 
-// writeSlowly writes in pieces: a connection that is closed shows in the piece after.
+// writeSlowly writes the text in chunks, so that a write to a closed connection fails at a later chunk.
 func writeSlowly(conn net.Conn, text string) error {
 	for len(text) > 0 {
 		chunk := text[:min(64<<10, len(text))]
 		if _, err := io.WriteString(conn, chunk); err != nil {
-			return fmt.Errorf("with %d bytes left: %w", len(text), err)
+			return fmt.Errorf("write with %d bytes left: %w", len(text), err)
 		}
 		text = text[len(chunk):]
 		time.Sleep(20 * time.Millisecond)
@@ -148,7 +151,7 @@
 	return nil
 }
 
-// staysOpen reports whether the connection can be written to for so long.
+// staysOpen reports whether the connection can be written to for the whole duration.
 func staysOpen(conn net.Conn, duration time.Duration) bool {
 	for deadline := time.Now().Add(duration); time.Now().Before(deadline); time.Sleep(10 * time.Millisecond) {
 		if _, err := io.WriteString(conn, "x"); err != nil {
--- a/internal/frontend/backpressure_test.go
+++ b/internal/frontend/backpressure_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// Each pipelined command is started at once, and answered as soon as those before it are.
+// Each pipelined command is started at once, and answered as soon as all commands before it are answered.
 func TestPipeline_ResponsesInOrder(t *testing.T) {
 	h := newHarness(t, harnessOptions{})
 	c := h.dial()
@@ -23,12 +23,13 @@
 	}
 	attempts["2"].respond(bulkBackendResponse("2"))
 	attempts["1"].respond(bulkBackendResponse("1"))
-	c.expect("$1\r\n1\r\n$1\r\n2\r\n+PONG\r\n") // not held back for the last
+	c.expect("$1\r\n1\r\n$1\r\n2\r\n+PONG\r\n") // without waiting for the last request
 	attempts["3"].respond(bulkBackendResponse("3"))
 	c.expect("$1\r\n3\r\n")
 }
 
-// What is pending behind a request is bounded: then the connection is read no further, and nothing is lost.
+// The number of commands pending behind an open request is limited. At the limit the connection is not read further,
+// and no command is lost.
 func TestPipeline_PendingCommandsLimited(t *testing.T) {
 	h := newHarness(t, harnessOptions{})
 	client, attempt := h.openRequest("1")
@@ -40,20 +41,20 @@
 		pending := len(c.pending)
 		c.mu.Unlock()
 		if pending > maxPendingCommands {
-			t.Fatalf("%d commands are pending", pending)
+			t.Fatalf("%d commands are pending, more than maxPendingCommands", pending)
 		}
 		if pending == maxPendingCommands {
 			break
 		}
 		if time.Now().After(deadline) {
-			t.Fatalf("only %d commands are pending", pending)
+			t.Fatalf("only %d commands are pending after 2 s", pending)
 		}
 	}
 	attempt.respond(okBackendResponse)
 	client.expect(okClientResponse + strings.Repeat("+PONG\r\n", sent))
 }
 
-// A client that sends invalid commands without end is read the more slowly, while others are served.
+// A client that sends invalid commands endlessly is read ever more slowly, while other clients are served.
 func TestBackpressure_InvalidCommandsThrottled(t *testing.T) {
 	h := newHarness(t, harnessOptions{})
 	invalid := h.dial()
@@ -64,13 +65,13 @@
 	if err := invalid.conn.SetReadDeadline(time.Now()); err != nil {
 		t.Error(err)
 	}
-	rest, _ := io.ReadAll(invalid.reader) // it ends with the deadline
+	rest, _ := io.ReadAll(invalid.reader) // it returns an error at the read deadline
 	if n := strings.Count(string(rest), "\n"); n > 20 {
-		t.Errorf("%d invalid commands answered in a third of a second", n)
+		t.Errorf("%d invalid commands were answered in a third of a second, want at most 20", n)
 	}
 }
 
-// A client that reads nothing delays neither new connections nor the others.
+// A client that does not read its responses delays neither new connections nor other clients.
 func TestBackpressure_NonReadingClientDoesNotDelayOthers(t *testing.T) {
 	longResponse := bulkBackendResponse(strings.Repeat("v", 64<<10))
 	h := newHarness(t, harnessOptions{
@@ -91,17 +92,18 @@
 	}
 }
 
-// A client that reads a 4 MiB response slowly gets all of it. (The failure it stands for, one deadline for all
-// of a 3.4 MB response, does not show here: loopback's send buffer takes all but a few hundred KB at once.)
+// A client that reads a 4 MiB response slowly receives all of it. The test does not reproduce the original failure, one
+// write deadline for a whole response of 3.4 MB: the send buffer of the loopback interface accepts all but a few
+// hundred KB at once.
 func TestBackpressure_SlowReaderReceivesCompleteResponse(t *testing.T) {
 	value := strings.Repeat("v", 4<<20)
 	h := newHarness(t, harnessOptions{
 		onAttempt: func(a receivedAttempt) { a.respond(bulkBackendResponse(value)) },
-		// Less than the response takes, more than the kernel waits a piece.
+		// Less than the whole response takes, but more than a single chunk waits in the kernel.
 		writeTimeout: 2500 * time.Millisecond,
 	})
 	c := h.dial()
-	// So that the kernel's buffers do not take all of it at once.
+	// A small buffer keeps the kernel from buffering the whole response at once.
 	if err := c.conn.(*net.TCPConn).SetReadBuffer(16 << 10); err != nil {
 		t.Error(err)
 	}
@@ -113,12 +115,12 @@
 	for len(got) < len(want) { // 4 MiB at about 900 KB/s
 		n, err := c.reader.Read(buffer)
 		if err != nil {
-			t.Fatalf("after %d bytes: %v", len(got), err)
+			t.Fatalf("read failed after %d bytes: %v", len(got), err)
 		}
 		got = append(got, buffer[:n]...)
 		time.Sleep(35 * time.Millisecond)
 	}
 	if string(got) != want {
-		t.Errorf("%d bytes, not the %d sent", len(got), len(want))
+		t.Errorf("the %d bytes received differ from the %d bytes sent", len(got), len(want))
 	}
 }
--- a/internal/frontend/benchmark_test.go
+++ b/internal/frontend/benchmark_test.go
@@ -13,9 +13,9 @@
 	"fawnplank/policy"
 )
 
-// BenchmarkFrontend_Request measures one request from a client's connection through the decisions to a backend
-// on loopback in the same process, and its response back. The allocations are those of the process; the
-// backend makes none.
+// BenchmarkFrontend_Request measures one request from a client's connection through the dispatcher to a backend on
+// loopback in the same process, and its response back to the client. The allocations are those of the whole process, to
+// which the backend adds none.
 func BenchmarkFrontend_Request(b *testing.B) {
 	client := newBenchmarkClient(b, startBenchmarkServer(b))
 	b.ReportAllocs()
@@ -41,7 +41,7 @@
 	})
 	listener := testutil.Listen(b)
 	go func() {
-		_ = server.Serve(listener) // it returns nil, once the listener is closed
+		_ = server.Serve(listener) // returns nil once the listener is closed
 	}()
 	pool.SetAddress(1, startBenchmarkBackend(b))
 	readyEndpoint := policy.Endpoint{Backend: 1, State: policy.EndpointReady}
@@ -49,8 +49,8 @@
 	return listener.Addr().String()
 }
 
-// startBenchmarkBackend returns the address of a backend that answers each read: the one client has one
-// request open, so that each read gets one complete command.
+// startBenchmarkBackend returns the address of a backend that responds to each read. Since the only client has one open
+// request at a time, each read returns one complete command.
 func startBenchmarkBackend(b *testing.B) string {
 	b.Helper()
 	return testutil.Serve(b, func(conn net.Conn) { go answerReads(conn) })
@@ -71,7 +71,7 @@
 	}
 }
 
-// benchmarkClient sends requests that were written before, an id not twice in a row.
+// benchmarkClient sends requests that were encoded in advance. Consecutive requests have different ids.
 type benchmarkClient struct {
 	b        *testing.B
 	conn     net.Conn
@@ -100,8 +100,8 @@
 	return client
 }
 
-// send sends a request and reports whether it was rejected: a busy machine looks like an overload. The wait
-// after it is not timed.
+// send sends a request and reports whether it was rejected, which happens on a busy machine because it looks like an
+// overload. The wait until Retry-After has passed is not timed.
 func (c *benchmarkClient) send() (rejected bool) {
 	if _, err := c.conn.Write(c.requests[c.sent%len(c.requests)]); err != nil {
 		c.b.Fatal(err)
@@ -113,7 +113,7 @@
 	}
 	c.b.StopTimer()
 	defer c.b.StartTimer()
-	line, _ := c.reader.ReadString('\n') // an incomplete line is no number
+	line, _ := c.reader.ReadString('\n') // an incomplete line fails to parse below
 	retryAfter, err := strconv.Atoi(strings.TrimSpace(strings.TrimPrefix(line, "-BUSY")))
 	if err != nil {
 		c.b.Fatalf("%q", line)
@@ -124,6 +124,6 @@
 
 func (c *benchmarkClient) expectOK() {
 	if _, err := io.ReadFull(c.reader, c.response); err != nil || string(c.response) != okClientResponse {
-		c.b.Fatalf("%q, %v", c.response, err)
+		c.b.Fatalf("unexpected response %q, %v", c.response, err)
 	}
 }
--- a/internal/frontend/command_timeout.go
+++ b/internal/frontend/command_timeout.go
@@ -6,7 +6,7 @@
 	// commandTimeout is how long a new connection may stay without a command, and how long one command may take to
 	// arrive completely: the protocol requires that the server closes such a connection with an error within 3 s. Only
 	// a valid command ends the wait. A connection is therefore closed with the same error if a command that arrived in
-	// parts is invalid and no valid one follows in time, or if a new client sends only invalid commands.
+	// parts is complete but invalid and no valid one follows in time, or if a new client sends only invalid commands.
 	commandTimeout = 2 * time.Second
 	// newConnectionGrace is how long the first command of a new connection may be in transit before the connection
 	// counts as silent. It is many times the transit time.
--- a/internal/frontend/connection_test.go
+++ b/internal/frontend/connection_test.go
@@ -16,7 +16,7 @@
 			}
 			got = test.from.afterGone()
 			if got != test.afterGone || !got.isGone() || got.hasError() != test.from.hasError() {
-				t.Errorf("after the client has gone: %v", got)
+				t.Errorf("after the client has disconnected: %v", got)
 			}
 		})
 	}
@@ -29,21 +29,21 @@
 	}
 	c.After(0)
 	if c.input != inputIdle {
-		t.Errorf("after a read of nothing: %v", c.input)
+		t.Errorf("after a read of 0 bytes: %v", c.input)
 	}
 	c.Before()
 	c.After(1)
 	if c.closeInput() || c.input != inputUnhandled {
-		t.Errorf("closed over bytes that were read: %v", c.input)
+		t.Errorf("closed with unhandled bytes: %v", c.input)
 	}
 	c.inputHandled()
 	c.pending = []*pendingCommand{{}}
 	if c.closeInput() || c.input != inputIdle {
-		t.Errorf("closed over a pending command: %v", c.input)
+		t.Errorf("closed with a pending command: %v", c.input)
 	}
 	c.pending = nil
 	if !c.closeInput() || !c.isInputClosed() || c.Before() {
-		t.Errorf("idle input not closed: %v", c.input)
+		t.Errorf("idle input was not closed: %v", c.input)
 	}
 	c.inputHandled()
 	if !c.isInputClosed() || !c.closeInput() {
--- a/internal/frontend/harness_test.go
+++ b/internal/frontend/harness_test.go
@@ -24,7 +24,7 @@
 const (
 	lookupFields = "c=lookup,t=team,d=900,units=2,spread=2,first=1"
 	testTenant   = "00000000b4d65521"
-	// okBackendResponse is a backend's response, and okClientResponse what the client gets of it.
+	// okBackendResponse is a response of a backend, and okClientResponse the response that the client receives for it.
 	okBackendResponse = "*3\r\n$2\r\nok\r\n$-1\r\n$-1\r\n"
 	okClientResponse  = "$2\r\nok\r\n"
 )
@@ -39,22 +39,22 @@
 	Plans: []policy.PlanSettings{{}, {ConcurrencyLimit: 1}},
 }
 
-// receivedAttempt is a complete command that has reached a backend on the connection conn.
+// receivedAttempt is a complete command that a backend has received on the connection conn.
 type receivedAttempt struct {
 	raw  string
 	conn net.Conn
 }
 
-// respond sends a backend's response. The gateway may have closed the connection: the tests check
-// what the client receives.
+// respond sends the response of the backend. It ignores errors, since the gateway may have closed the connection and
+// the tests check what the client receives.
 func (a receivedAttempt) respond(text string) { _, _ = io.WriteString(a.conn, text) }
 
-// deadline is the value of d in the command.
+// deadline returns the value of d in the command.
 func (a receivedAttempt) deadline() string {
 	return regexp.MustCompile(`d=(\d+)`).FindStringSubmatch(a.raw)[1]
 }
 
-// harness is a gateway on loopback, with backends that do what a test says.
+// harness is a gateway on loopback with two backends whose responses the test determines.
 type harness struct {
 	t               *testing.T
 	server          *Server
@@ -63,19 +63,20 @@
 	listener        net.Listener
 	attempts        chan receivedAttempt
 	mu              sync.Mutex
-	closedByGateway map[net.Conn]bool // connections to backends that the gateway has closed
+	closedByGateway map[net.Conn]bool // connections to backends on which the gateway has closed at least its sending side
 }
 
 // harnessOptions configures a harness.
 type harnessOptions struct {
-	// server is completed with dispatcher, pool and configuration. MaxConnections 0 stands for 10.
+	// server needs no Dispatcher, Pool and Config, which the harness sets. If MaxConnections is 0, it is set to 10.
 	server Options
-	// onAttempt is called for each command that reaches a backend. Nil sends it to the harness's attempts.
+	// onAttempt is called for each command that a backend receives. If it is nil, the command is sent to the attempts
+	// channel of the harness.
 	onAttempt func(receivedAttempt)
-	// writeTimeout replaces the server's. 0 leaves it.
+	// writeTimeout replaces the write timeout of the server unless it is 0.
 	writeTimeout time.Duration
-	// evictionThreshold replaces the server's. 0 stands for MaxConnections: idle connections are not evicted
-	// early.
+	// evictionThreshold replaces the eviction threshold of the server. If it is 0, the threshold is MaxConnections, so
+	// that idle connections are evicted only when no further connection may be open.
 	evictionThreshold int
 }
 
@@ -94,7 +95,7 @@
 	h.server = newTestServer(h, options)
 	h.listener = testutil.Listen(t)
 	go func() {
-		_ = h.server.Serve(h.listener) // it returns nil, once the listener is closed
+		_ = h.server.Serve(h.listener) // returns nil once the listener is closed
 	}()
 	for b := policy.BackendID(1); b <= 2; b++ {
 		h.pool.SetAddress(b, h.startBackend(onAttempt))
@@ -105,7 +106,8 @@
 	return h
 }
 
-// startDispatcher starts a dispatcher with the pool of connections to its backends. It stops when the test ends.
+// startDispatcher starts a dispatcher with the pool of connections to its backends. The dispatcher stops when the test
+// ends.
 func startDispatcher(tb testing.TB) (*dispatch.Dispatcher, *backend.Pool) {
 	tb.Helper()
 	dispatcher := dispatch.New()
@@ -149,7 +151,7 @@
 	return server
 }
 
-// startBackend returns the address of a backend that calls onAttempt, in a goroutine, for each command.
+// startBackend returns the address of a backend that calls onAttempt in a new goroutine for each command.
 func (h *harness) startBackend(onAttempt func(receivedAttempt)) string {
 	return testutil.Serve(h.t, func(conn net.Conn) { go h.readAttempts(conn, onAttempt) })
 }
@@ -168,7 +170,7 @@
 		unread = append(unread, buffer[:count]...)
 		isComplete, _, _, rest, err := redcon.ReadNextCommand(unread, nil)
 		if err != nil {
-			h.t.Errorf("a backend received %q: %v", unread, err)
+			h.t.Errorf("a backend received the malformed input %q: %v", unread, err)
 		}
 		if isComplete {
 			raw := string(unread[:len(unread)-len(rest)])
@@ -178,26 +180,26 @@
 	}
 }
 
-// isClosedByGateway reports whether the gateway has closed a connection to a backend, or ended its sending.
+// isClosedByGateway reports whether the gateway has closed a connection to a backend, or its sending side.
 func (h *harness) isClosedByGateway(conn net.Conn) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.closedByGateway[conn]
 }
 
-// nextAttempt returns the next command that reaches a backend.
+// nextAttempt waits for the next command that a backend receives.
 func (h *harness) nextAttempt() receivedAttempt {
 	h.t.Helper()
 	select {
 	case attempt := <-h.attempts:
 		return attempt
 	case <-time.After(3 * time.Second):
-		h.t.Fatal("no backend receives anything")
+		h.t.Fatal("no backend received an attempt within 3 s")
 		panic("not reached")
 	}
 }
 
-// openRequest returns a new client with one request open, and the attempt that has reached a backend.
+// openRequest returns a new client with one open request, and the attempt that a backend has received for it.
 func (h *harness) openRequest(id string) (*testClient, receivedAttempt) {
 	h.t.Helper()
 	client := h.dial()
@@ -205,10 +207,10 @@
 	return client, h.nextAttempt()
 }
 
-// onlyConnection waits until the server has one connection, and returns it.
+// onlyConnection waits until the server has exactly one connection, and returns it.
 func (h *harness) onlyConnection() (only *connection) {
 	h.t.Helper()
-	h.waitUntil("one connection", func() bool {
+	h.waitUntil("the server has one connection", func() bool {
 		h.server.mu.Lock()
 		defer h.server.mu.Unlock()
 		for only = range h.server.connections {
@@ -218,7 +220,7 @@
 	return only
 }
 
-// idleConnections returns how many connections could be evicted.
+// idleConnections returns the number of connections that could be evicted.
 func (h *harness) idleConnections() (count int) {
 	h.server.mu.Lock()
 	defer h.server.mu.Unlock()
@@ -230,17 +232,18 @@
 	return count
 }
 
-// waitUntil waits until the condition holds. It polls finely, since what it waits for may be over soon.
+// waitUntil waits until the condition holds, and fails the test after 5 s. It polls every millisecond, since the
+// condition may hold only for a short time.
 func (h *harness) waitUntil(description string, condition func() bool) {
 	h.t.Helper()
 	for deadline := time.Now().Add(5 * time.Second); !condition(); time.Sleep(time.Millisecond) {
 		if time.Now().After(deadline) {
-			h.t.Fatalf("never: %s", description)
+			h.t.Fatalf("condition not met within 5 s: %s", description)
 		}
 	}
 }
 
-// testClient is a client's end of a connection.
+// testClient is the client side of a connection.
 type testClient struct {
 	t      *testing.T
 	conn   net.Conn
@@ -274,20 +277,20 @@
 func (c *testClient) send(text string) {
 	c.t.Helper()
 	if _, err := io.WriteString(c.conn, text); err != nil {
-		c.t.Fatalf("%.40q not sent: %v", text, err)
+		c.t.Fatalf("sending %.40q failed: %v", text, err)
 	}
 }
 
-// trySend sends what the server may not take any more; it is for other goroutines than the test's, too.
+// trySend sends text that the server may no longer accept. Unlike send, it may be called outside the test's goroutine.
 func (c *testClient) trySend(text string) error {
 	_, err := io.WriteString(c.conn, text)
 	return err
 }
 
-// sendInBackground sends what may be more than the server takes before the test goes on.
+// sendInBackground sends text in a new goroutine, since the server may not read all of it before the test continues.
 func (c *testClient) sendInBackground(text string) {
 	go func() {
-		_ = c.trySend(text) // the test may end the connection first
+		_ = c.trySend(text) // the test may close the connection first
 	}()
 }
 
@@ -295,16 +298,16 @@
 	c.t.Helper()
 	got := make([]byte, len(want))
 	if count, err := io.ReadFull(c.reader, got); err != nil || string(got) != want {
-		c.t.Fatalf("%q (%v), wanted %q", got[:count], err, want)
+		c.t.Fatalf("got %q (%v), want %q", got[:count], err, want)
 	}
 }
 
-// expectLine reads a line that matches a pattern and returns it without its end.
+// expectLine reads a line, which must match the pattern, and returns it without the line end.
 func (c *testClient) expectLine(pattern string) string {
 	c.t.Helper()
 	got, err := c.reader.ReadString('\n')
 	if matches, _ := regexp.MatchString("^"+pattern+"\r\n$", got); err != nil || !matches {
-		c.t.Fatalf("%q (%v), wanted %s", got, err, pattern)
+		c.t.Fatalf("got %q (%v), want a line that matches %s", got, err, pattern)
 	}
 	return strings.TrimSpace(got)
 }
@@ -315,16 +318,16 @@
 	c.expectLine(`\+PONG`)
 }
 
-// expectClosed fails the test unless the server ends the connection and nothing more comes on it. where says which
-// connection it is, or after what it ends.
+// expectClosed fails the test unless the server closes the connection without sending anything more. description is the
+// connection, or the time at which it is expected to be closed.
 func (c *testClient) expectClosed(description string) {
 	c.t.Helper()
 	if _, err := c.reader.ReadByte(); !errors.Is(err, io.EOF) {
-		c.t.Errorf("%s: %v", description, err)
+		c.t.Errorf("%s: want the end of the connection, got %v", description, err)
 	}
 }
 
-// skipResponses reads count responses.
+// skipResponses reads the given number of responses, each of one line or a bulk string without a line end.
 func (c *testClient) skipResponses(count int) {
 	c.t.Helper()
 	for range count {
@@ -338,7 +341,7 @@
 	}
 }
 
-// queryCommand is a request as a client writes it.
+// queryCommand returns a request without a body as a client sends it.
 func queryCommand(id, fields string) string { return respCommand("SVC.QUERY", testTenant, id, fields) }
 
 func respCommand(args ...string) string {
@@ -349,14 +352,14 @@
 	return command
 }
 
-// bulkBackendResponse is a backend's response with a value.
+// bulkBackendResponse returns the response of a backend with the given value.
 func bulkBackendResponse(value string) string {
 	return fmt.Sprintf("*3\r\n$%d\r\n%s\r\n$-1\r\n$-1\r\n", len(value), value)
 }
 
-// bulkClientResponse is what the client gets of bulkBackendResponse.
+// bulkClientResponse returns the response that a client receives for bulkBackendResponse.
 func bulkClientResponse(value string) string { return fmt.Sprintf("$%d\r\n%s\r\n", len(value), value) }
 
-// fieldsWithClass and fieldsWithPlan are the fields of another class or plan.
+// fieldsWithClass and fieldsWithPlan return lookupFields with another class or plan.
 func fieldsWithClass(class string) string { return strings.Replace(lookupFields, "lookup", class, 1) }
 func fieldsWithPlan(plan string) string   { return strings.Replace(lookupFields, "team", plan, 1) }
--- a/internal/frontend/idle_eviction_test.go
+++ b/internal/frontend/idle_eviction_test.go
@@ -8,7 +8,7 @@
 	"fawnplank/internal/config"
 )
 
-// Failure: connections that said nothing, or half a command, stayed open for good.
+// Guards against connections that stay open forever because their clients send nothing, or only part of a command.
 func TestEviction_SilentAndIncompleteClientsTimeOut(t *testing.T) {
 	h := newHarness(t, harnessOptions{})
 	silent, incomplete := h.dial(), h.dial()
@@ -21,13 +21,14 @@
 	incomplete.expectLine("-ERR .+")
 	elapsed := time.Since(start)
 	if elapsed < commandTimeout-100*time.Millisecond || elapsed > commandTimeout+700*time.Millisecond {
-		t.Errorf("rejected after %v", elapsed)
+		t.Errorf("the error arrived after %v, want about commandTimeout", elapsed)
 	}
 	time.Sleep(2 * sweepInterval)
 	active.ping()
 }
 
-// Failure: new connections by the hundreds evicted those of active clients, which had been idle for a moment longer.
+// Guards against hundreds of new connections that evict those of active clients, which have been idle for slightly
+// longer.
 func TestEviction_SilentConnectionsEvictedFirst(t *testing.T) {
 	h := newHarness(t, harnessOptions{server: Options{MaxConnections: 4}})
 	active := h.dial()
@@ -39,29 +40,31 @@
 	active.ping()
 }
 
-// Failure: clients that left their connections open used up all that clients may have, and could not open further
-// ones.
+// Guards against clients that leave their connections open, use up all connections that clients may have, and cannot
+// open any more.
 func TestEviction_IdleConnectionsEvictedAboveThreshold(t *testing.T) {
 	threshold := New(Options{Config: &config.Config{MaxSockets: 12}, MaxConnections: 20}).evictionThreshold
 	h := newHarness(t, harnessOptions{server: Options{MaxConnections: 20}, evictionThreshold: threshold})
 	busy, attempt := h.openRequest("1")
 	for range 30 {
 		h.dial().ping()
-		// A response can arrive before its connection is idle again; a connection that is not is not evicted.
-		h.waitUntil("all but one are idle", func() bool { return h.idleConnections() >= h.server.OpenConnections()-1 })
+		// A response can arrive before its connection becomes idle, and only idle connections are evicted.
+		h.waitUntil("all connections but one are idle", func() bool {
+			return h.idleConnections() >= h.server.OpenConnections()-1
+		})
 	}
-	if n := h.server.OpenConnections(); n != 2 { // the busy one and the last
-		t.Errorf("%d connections are open of 2 that clients may hold", n)
+	if n := h.server.OpenConnections(); n != 2 { // the busy connection and the last one
+		t.Errorf("%d connections are open, want 2", n)
 	}
-	for range 5 { // those that say nothing do not count
+	for range 5 { // silent connections do not count towards the threshold
 		h.dial()
 	}
 	time.Sleep(newConnectionGrace / 2)
-	for n := range 2 { // those in use are not bounded by that
+	for n := range 2 { // connections with an open request are not evicted at the threshold
 		h.openRequest(strconv.Itoa(2 + n))
 	}
 	if n := h.server.OpenConnections(); n != 8 {
-		t.Errorf("%d connections for 3 open requests and 5 silent ones", n)
+		t.Errorf("%d connections are open, want 8: 3 with an open request and 5 silent ones", n)
 	}
 	attempt.respond(okBackendResponse)
 	busy.expect(okClientResponse)
--- a/internal/frontend/parser_test.go
+++ b/internal/frontend/parser_test.go
@@ -17,7 +17,7 @@
 	})
 }
 
-// invalidCommandCount are commands that can be read, and are not in order.
+// invalidCommands returns well-formed commands that are not valid commands of the protocol.
 func invalidCommands() []string {
 	commands := []string{
 		respCommand("GET", "x"), respCommand("SVC.QUERY", "1"), respCommand("SVC.QUERY", "customer", "1", lookupFields),
@@ -49,9 +49,9 @@
 		c := h.dial()
 		c.send(text + respCommand("PING"))
 		if got, err := c.reader.ReadString('\n'); err != nil || !strings.HasPrefix(got, "-ERR ") {
-			t.Fatalf("%q: %q, %v", text, got, err)
+			t.Fatalf("%q: got %q, %v; want an error", text, got, err)
 		}
-		c.expectLine(`\+PONG`) // the connection goes on
+		c.expectLine(`\+PONG`) // the connection stays open
 		c.close()
 	}
 	expectServing(h)
@@ -69,13 +69,13 @@
 		c.send(text)
 		c.expectLine("-ERR .+")
 		if _, err := c.reader.ReadByte(); err == nil {
-			t.Errorf("%.20q: the connection goes on", text)
+			t.Errorf("%.20q: the connection stays open", text)
 		}
 	}
 	expectServing(h)
 }
 
-// expectServing fails the test unless another client is served, also one that sends byte by byte.
+// expectServing fails the test unless another client, which sends its request byte by byte, is served.
 func expectServing(h *harness) {
 	h.t.Helper()
 	c := h.dial()
@@ -87,7 +87,8 @@
 	c.expect(okClientResponse)
 }
 
-// An error reaches a client that is still sending what it announced, and is not lost to a reset.
+// Guards against the loss of an error to a connection reset: a client that is still sending the value whose length was
+// rejected receives the error.
 func TestParser_ErrorReachesClientThatKeepsSending(t *testing.T) {
 	h := newHarness(t, harnessOptions{})
 	c := h.dial()
@@ -103,7 +104,7 @@
 	c.expectLine("-ERR .+length.*")
 }
 
-// headConfig is the configuration that heads are parsed by.
+// headConfig returns the configuration by which the tests parse heads.
 func headConfig() *config.Config {
 	return &config.Config{
 		Settings: policy.Settings{Instances: 4, Classes: []policy.ClassSettings{{}, {}, {CheckOnly: true}}},
@@ -150,10 +151,10 @@
 	}
 }
 
-// The class is set where it was read before the fault, so that the error is counted for it, and only then.
+// The class is set only if it was parsed before the error, so that the error is counted for its class.
 func TestRequestHead_Errors(t *testing.T) {
 	for name, test := range map[string]struct {
-		words    [][]byte
+		args     [][]byte
 		want     string
 		hasClass bool
 	}{
@@ -168,16 +169,16 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			head := requestHead{config: headConfig()}
-			err := head.parse(test.words)
+			err := head.parse(test.args)
 			if err == nil || err.Error() != test.want || head.hasClass != test.hasClass {
-				t.Errorf("%v, class read: %t; wanted %s, %t", err, head.hasClass, test.want, test.hasClass)
+				t.Errorf("got %v, class set: %t; want %s, %t", err, head.hasClass, test.want, test.hasClass)
 			}
 		})
 	}
 }
 
-// TestParser_FieldsInAnyOrder guards against requests that are refused for no reason: a field counted as repeated
-// where the name of an earlier one ends in its own, as first in t and spread in d.
+// Guards against errors for valid requests: a field was treated as repeated if the name of an earlier field ended in
+// its name, as first ends in t and spread ends in d.
 func TestParser_FieldsInAnyOrder(t *testing.T) {
 	h := newOKHarness(t)
 	for _, fields := range []string{
@@ -187,7 +188,7 @@
 		c := h.dial()
 		c.send(queryCommand("1", fields))
 		if got, err := c.reader.ReadString('\n'); err != nil || strings.HasPrefix(got, "-ERR ") {
-			t.Errorf("%s: %q, %v", fields, got, err)
+			t.Errorf("%s: got %q, %v; want no error", fields, got, err)
 		}
 		c.close()
 	}
--- a/internal/frontend/race_conditions_test.go
+++ b/internal/frontend/race_conditions_test.go
@@ -11,12 +11,12 @@
 	"fawnplank/policy"
 )
 
-// Tests of what may come between two steps: each holds one side still by a lock, a full pipeline or a backend
-// that does not answer, until the other has done what must come between.
+// Each of these tests forces an event to happen between two steps of the server. It blocks one side by a lock, a full
+// pipeline or a backend that does not respond, until the other side has caused the event.
 
-// Failure: a request that had been read when the server closed its connection was neither submitted nor
-// answered: the client could not know that it had never been forwarded. Whatever has been read is answered
-// first.
+// Guards against requests without a response: a request that had been read when the server closed its connection was
+// neither submitted nor answered, and the client could not tell that it had not been forwarded. All requests that were
+// read are answered before the close.
 func TestRace_RequestReadBeforeCloseAnswered(t *testing.T) {
 	for name, closeConnection := range map[string]func(c *connection){
 		"eviction": func(c *connection) { c.closeIfIdle() },
@@ -29,7 +29,7 @@
 			h := newHarness(t, harnessOptions{})
 			client := h.dial()
 			c := h.onlyConnection()
-			h.server.mu.Lock() // its reader reads the request, and comes no further
+			h.server.mu.Lock() // the reader reads the request, but cannot submit it
 			client.send(queryCommand("1", lookupFields))
 			h.waitUntil("the request is read", func() bool {
 				c.inputMu.Lock()
@@ -44,13 +44,14 @@
 	}
 }
 
-// A command read in the moment in which its connection was closed is not handled: the client sends it again.
+// A command that was read just as its connection was closed is not handled: the client sends it again on another
+// connection.
 func TestRace_CommandOnClosedConnectionNotHandled(t *testing.T) {
 	h := newHarness(t, harnessOptions{})
 	client := h.dial()
 	c := h.onlyConnection()
 	if !c.closeIfIdle() {
-		t.Error("not closed")
+		t.Error("the idle connection was not closed")
 	}
 	raw := []byte(queryCommand("1", lookupFields))
 	_, args, err := resp.Command(raw, nil)
@@ -60,17 +61,18 @@
 	c.handleCommand(raw, args)
 	client.expectClosed("on the closed connection")
 	if n := h.dispatcher.OpenRequests(); n > 0 {
-		t.Errorf("%d requests submitted", n)
+		t.Errorf("%d requests were submitted, want 0", n)
 	}
 }
 
-// A request that comes once the connection is to end is not read, and not forwarded. Failure: the close over it
-// reset the connection, and a response still on its way is lost to that; the client has time to take it.
+// A request that arrives while the connection is closing is neither read nor forwarded. Guards against the loss of a
+// response: closing the connection with the unread request reset it, which discarded a response in transit. The client
+// now has time to receive that response.
 func TestRace_RequestAfterShutdownNotRead(t *testing.T) {
 	h := newHarness(t, harnessOptions{})
 	client, attempt := h.openRequest("1")
 	c := h.onlyConnection()
-	client.send(respCommand("PING")) // before the shutdown: it is read and answered
+	client.send(respCommand("PING")) // sent before the shutdown, so it is read and answered
 	h.waitUntil("the PING is read", func() bool {
 		c.mu.Lock()
 		defer c.mu.Unlock()
@@ -79,30 +81,30 @@
 		return len(c.pending) == 2 && c.input != inputUnhandled
 	})
 	h.server.beginShutdown()
-	h.waitUntil("the reader has left its read", func() bool { return c.activity.load() == readerAwaitsResponses })
+	h.waitUntil("the reader has stopped reading", func() bool { return c.activity.load() == readerAwaitsResponses })
 	client.send(respCommand("PING") + queryCommand("2", lookupFields))
 	h.waitUntil("the request waits to be read", func() bool { return c.conn.HasPendingBytes() })
-	for range 5 { // the shutdown goes on looking
+	for range 5 { // Shutdown calls it repeatedly, too
 		h.server.beginShutdown()
 		time.Sleep(shutdownPollInterval)
 	}
 	if !c.conn.HasPendingBytes() {
-		t.Error("read after the shutdown")
+		t.Error("the request was read after the shutdown began")
 	}
 	attempt.respond(okBackendResponse)
 	client.expect(okClientResponse + "+PONG\r\n")
-	client.expectClosed("behind the responses")
+	client.expectClosed("after the responses")
 	h.waitUntil("the connection ends", func() bool { return h.server.OpenConnections() == 0 })
 	if n := len(h.attempts); n > 0 {
-		t.Errorf("%d requests forwarded after the shutdown", n)
+		t.Errorf("%d requests were forwarded after the shutdown began, want 0", n)
 	}
 }
 
-// Failure: a client that kept sending had its requests submitted up to the process's end, where some were
-// lost. Once the connection is to end no more is read, and it ends when what was submitted is answered.
+// Guards against lost requests: the requests of a client that kept sending were submitted until the process ended.
+// While the connection is closing nothing more is read, and it is closed once all submitted requests are answered.
 func TestRace_SendingClientClosedAtShutdown(t *testing.T) {
 	h := newHarness(t, harnessOptions{onAttempt: func(a receivedAttempt) {
-		time.Sleep(30 * time.Millisecond) // longer than the pause between two requests: one is always open
+		time.Sleep(30 * time.Millisecond) // longer than the pause between two requests, so that one is always open
 		a.respond(okBackendResponse)
 	}})
 	client := h.dial()
@@ -118,20 +120,20 @@
 	shutdownAt := time.Now()
 	h.waitUntil("the connection ends", func() bool { return h.server.OpenConnections() == 0 })
 	if elapsed := time.Since(shutdownAt); elapsed > time.Second {
-		t.Errorf("it ended after %v", elapsed)
+		t.Errorf("the connection was closed after %v, want at most 1 s", elapsed)
 	}
 	if n := h.dispatcher.OpenRequests(); n > 0 {
-		t.Errorf("%d are open", n)
+		t.Errorf("%d requests are open", n)
 	}
 	client.close()
 	<-sendingEnded
 }
 
-// A connection that was accepted just before the shutdown still gets its request answered, then ends.
+// A request on a connection that was accepted just before the shutdown is answered before the connection is closed.
 func TestRace_RequestInTransitAtShutdownAnswered(t *testing.T) {
 	h := newHarness(t, harnessOptions{})
 	stop, stopped := make(chan struct{}), make(chan struct{})
-	go func() { // as the program does at its end: it meets a connection before its reader has begun, too
+	go func() { // as in Shutdown; some calls precede the start of a connection's reader
 		defer close(stopped)
 		for {
 			select {
@@ -145,30 +147,30 @@
 	accepted := func() bool { return h.server.OpenConnections() > 0 }
 	for n := range 20 {
 		client := h.dial()
-		h.waitUntil("it is accepted", accepted)
+		h.waitUntil("the connection is accepted", accepted)
 		time.Sleep(5 * time.Millisecond) // several calls of beginShutdown, and far less than newConnectionGrace
 		client.send(queryCommand(strconv.Itoa(n), lookupFields))
 		h.nextAttempt().respond(okBackendResponse)
 		client.expect(okClientResponse)
-		client.expectClosed("behind the response")
+		client.expectClosed("after the response")
 	}
-	h.dial() // one that says nothing ends by itself
+	h.dial() // a connection without a command
 	close(stop)
 	<-stopped
-	h.waitUntil("it is accepted", accepted)
-	h.server.beginShutdown() // once will do
-	h.waitUntil("it ends", func() bool { return h.server.OpenConnections() == 0 })
+	h.waitUntil("the connection is accepted", accepted)
+	h.server.beginShutdown() // a single call is sufficient
+	h.waitUntil("the connection ends", func() bool { return h.server.OpenConnections() == 0 })
 }
 
-// Failure: a client that had gone was not noticed while its connection's reader waited: for capacity among
-// the pending commands, for the pause after invalid commands, for memory, or for the responses before an
-// error. What it had open was forwarded, again and again. Now it counts as gone at once, whatever bytes nobody
-// has read, and the next attempt is not begun.
+// Guards against attempts for a client that has disconnected. The disconnect was not detected while the reader of the
+// connection waited: for capacity among the pending commands, in a pause after invalid commands, for memory, or for the
+// responses before an error. The open requests were retried repeatedly. The disconnect is now detected at once, even
+// behind unread bytes, and no further attempt is started.
 func TestRace_ClientHangUpDetectedWhileReaderWaits(t *testing.T) {
 	largeHead := "*5\r\n$9\r\nSVC.QUERY\r\n$16\r\n" + testTenant + "\r\n$1\r\n2\r\n$3\r\nd=1\r\n$200000\r\n"
 	for name, test := range map[string]struct {
-		behind string // the first request
-		waits  func(c *connection) bool
+		inputAfterRequest string
+		readerWaits       func(c *connection) bool
 	}{
 		"pending": {
 			strings.Repeat(respCommand("PING"), 3*maxPendingCommands),
@@ -187,11 +189,13 @@
 			pendingCountMatches(func(n int) bool { return n == 2 }),
 		},
 	} {
-		t.Run(name, func(t *testing.T) { testClientHangUpDetectedWhileReaderWaits(t, test.behind, test.waits) })
+		t.Run(name, func(t *testing.T) {
+			testClientHangUpDetectedWhileReaderWaits(t, test.inputAfterRequest, test.readerWaits)
+		})
 	}
 }
 
-// pendingCountMatches looks at the number of pending commands.
+// pendingCountMatches returns a function that applies the condition to the number of pending commands.
 func pendingCountMatches(condition func(n int) bool) func(c *connection) bool {
 	return func(c *connection) bool {
 		c.mu.Lock()
@@ -204,7 +208,7 @@
 	t *testing.T, inputAfterRequest string, readerWaits func(c *connection) bool,
 ) {
 	t.Helper()
-	smallBudget := membudget.New(1) // none for a large command
+	smallBudget := membudget.New(1) // insufficient for a large command
 	h := newHarness(t, harnessOptions{server: Options{Budget: smallBudget}})
 	client, attempt := h.openRequest("1")
 	c := h.onlyConnection()
@@ -212,26 +216,25 @@
 	h.waitUntil("the reader waits", func() bool { return readerWaits(c) })
 	closedAt := time.Now()
 	client.close()
-	h.waitUntil("it has gone", func() bool {
+	h.waitUntil("the open request is canceled, or 100 ms have passed", func() bool {
 		return h.dispatcher.OpenRequests() == 0 || time.Since(closedAt) > 100*time.Millisecond
 	})
-	attempt.respond("-BUSY\r\n") // never run: it could be retried elsewhere
+	attempt.respond("-BUSY\r\n") // not run, so a retry would be allowed
 	select {
 	case <-h.attempts:
-		t.Error("another attempt for a client that has gone")
+		t.Error("another attempt was sent for a client that has disconnected")
 	case <-time.After(100 * time.Millisecond):
 	}
 	h.waitUntil("the connection ends", func() bool { return h.server.OpenConnections() == 0 })
 }
 
-// Failure: a request that had waited for its connection to be accepted while its client gave up and left was
-// forwarded.
+// Guards against forwarding a request whose client gave up and disconnected while its connection waited to be accepted.
 func TestRace_RequestReadAfterClientHangUpNotForwarded(t *testing.T) {
 	recorder := tenantRecorder{make(chan string, 10)}
 	h := newHarness(t, harnessOptions{server: Options{MaxConnections: 1, Usage: recorder}})
 	busy, attempt := h.openRequest("1")
 	<-recorder.tenants
-	waiting := h.dial() // accepted once the first has ended
+	waiting := h.dial() // accepted once the first connection has ended
 	waiting.send(queryCommand("2", lookupFields))
 	waiting.close()
 	attempt.respond(okBackendResponse)
@@ -239,11 +242,11 @@
 	busy.close()
 	h.dial().ping()
 	if n := len(recorder.tenants); n > 0 {
-		t.Errorf("%d requests submitted", n)
+		t.Errorf("%d requests were submitted, want 0", n)
 	}
 }
 
-// tenantRecorder notes the tenant of each request that is submitted.
+// tenantRecorder is a UsageRecorder that sends the tenant of each submitted request to its channel.
 type tenantRecorder struct{ tenants chan string }
 
 func (r tenantRecorder) TenantPlan(tenant string) (string, bool) {
@@ -253,16 +256,16 @@
 
 func (tenantRecorder) RecordUsage(string, string, time.Time, float64) {}
 
-// Failure: where all connections had something open when one more came, it waited until one of them ended,
-// also once all had become idle: clients that keep theirs open kept all others from connecting.
+// Guards against clients that lock out others by keeping idle connections open: a new connection that arrived while all
+// connections were busy waited until one of them ended, even after all of them had become idle.
 func TestRace_ConnectionsBecomingIdleFreeCapacity(t *testing.T) {
 	h := newHarness(t, harnessOptions{server: Options{MaxConnections: 2}})
 	first, firstAttempt := h.openRequest("0")
 	second, secondAttempt := h.openRequest("1")
 	third := h.dial()
 	third.send(respCommand("PING"))
-	h.waitUntil("capacity is waited for", func() bool { return h.server.connectionCapacityWanted.Load() })
-	time.Sleep(20 * time.Millisecond) // and looked for in vain
+	h.waitUntil("an accept waits for capacity", func() bool { return h.server.connectionCapacityWanted.Load() })
+	time.Sleep(20 * time.Millisecond) // the search for an idle connection fails
 	firstAttempt.respond(okBackendResponse)
 	first.expect(okClientResponse)
 	secondAttempt.respond(okBackendResponse)
@@ -270,7 +273,8 @@
 	third.expectLine(`\+PONG`)
 }
 
-// Failure: a second response that came some milliseconds after the first was taken for the next request's.
+// Guards against answering a request with the response of another: a second response that a backend sent some
+// milliseconds after the first was treated as the response to the next request on the connection.
 func TestRace_LateSecondResponseDiscarded(t *testing.T) {
 	h := newHarness(t, harnessOptions{})
 	readyEndpoint := policy.Endpoint{Backend: 1, State: policy.EndpointReady}
@@ -279,7 +283,7 @@
 	first.respond("*1\r\n$3\r\none\r\n")
 	client.expect("$3\r\none\r\n")
 	client.send(queryCommand("2", lookupFields))
-	second := h.nextAttempt() // sent before the late one comes
+	second := h.nextAttempt() // received before the late response is sent
 	first.respond("*1\r\n$3\r\none\r\n")
 	second.respond("*1\r\n$3\r\ntwo\r\n")
 	client.expect("$3\r\ntwo\r\n")
--- a/internal/frontend/request_test.go
+++ b/internal/frontend/request_test.go
@@ -21,17 +21,17 @@
 	attempt := h.nextAttempt()
 	deadline, _ := strconv.Atoi(attempt.deadline())
 	if deadline < 500 || deadline > 900 {
-		t.Errorf("the backend is given %d ms", deadline)
+		t.Errorf("the backend received a deadline of %d ms, want 500 to 900", deadline)
 	}
 	want := queryCommand("9b1f03aa5c7e2d41", strings.Replace(lookupFields, "900", strconv.Itoa(deadline), 1)+",r=1")
 	if attempt.raw != want {
-		t.Errorf("%q, wanted %q", attempt.raw, want)
+		t.Errorf("the backend received %q, want %q", attempt.raw, want)
 	}
 	attempt.respond("*3\r\n$5\r\nvalue\r\n$7\r\nused=12\r\n$-1\r\n")
 	c.expect("$5\r\nvalue\r\n")
 }
 
-// A body is any bytes, and is forwarded with its key as it came.
+// A body may contain any bytes, and is forwarded unchanged together with its idempotency key.
 func TestRequest_BodyForwardedUnchanged(t *testing.T) {
 	h := newHarness(t, harnessOptions{})
 	c := h.dial()
@@ -47,7 +47,7 @@
 	c.expect("$2\r\n\r\n\r\n")
 }
 
-// The id of an open request is refused, whoever sends it; once that one has its response, the id is free.
+// The id of an open request is not accepted on any connection. It can be used again once that request is answered.
 func TestRequest_DuplicateIDAnsweredWithError(t *testing.T) {
 	h := newHarness(t, harnessOptions{})
 	c, attempt := h.openRequest("7")
@@ -62,7 +62,7 @@
 	h.server.mu.Lock()
 	defer h.server.mu.Unlock()
 	if len(h.server.requestIDs) > 0 {
-		t.Errorf("%d ids are still claimed", len(h.server.requestIDs))
+		t.Errorf("%d ids are still claimed, want 0", len(h.server.requestIDs))
 	}
 }
 
@@ -78,7 +78,7 @@
 	c.expect(okClientResponse)
 }
 
-// A silent backend costs its attempt only: the response comes by the request's deadline.
+// A request whose backend does not respond is answered by its deadline.
 func TestRequest_SilentBackendAnsweredByDeadline(t *testing.T) {
 	for class, want := range map[string]string{"lookup": "-BUSY( [0-9]+)?", "pay": "-ERR .+"} {
 		h := newHarness(t, harnessOptions{})
@@ -86,14 +86,15 @@
 		start := time.Now()
 		c.send(queryCommand("1", strings.Replace(fieldsWithClass(class), "900", "600", 1)))
 		c.expectLine(want)
-		if elapsed := time.Since(start); elapsed > 900*time.Millisecond { // 600, and a margin for a busy machine
+		if elapsed := time.Since(start); elapsed > 900*time.Millisecond { // 600 ms and a margin for a busy machine
 			t.Errorf("answered after %v", elapsed)
 		}
 	}
 }
 
-// A 4 MiB value that comes in pieces cut anywhere, over longer than a command may take without progress, is
-// forwarded completely both ways, two at once within their budget, and all of the budget is released.
+// Two 4 MiB values at once, which arrive in chunks of many sizes and over a longer time than a command may take without
+// progress, are forwarded completely within the memory budget, as are their 4 MiB responses. Afterwards the whole
+// budget is available again.
 func TestRequest_LargeValuesInChunks(t *testing.T) {
 	const memoryBudget = 10 << 20 // two large commands at a time
 	const clients = 2
@@ -118,11 +119,11 @@
 		}
 	}
 	if _, ok := h.server.memoryBudget.Acquire(memoryBudget, time.Now().Add(time.Second)); !ok {
-		t.Error("a part of the budget is still reserved")
+		t.Error("a part of the budget was not released")
 	}
 }
 
-// sendInChunks sends a command in pieces of many sizes, with a pause after each MiB: 2.4 s in all.
+// sendInChunks sends a command in chunks of many sizes, with a pause after each MiB. The pauses total 2.4 s.
 func sendInChunks(c *testClient, command string, chunkSize int) error {
 	for offset, pauseOffset := 0, 1<<20; offset < len(command); {
 		end := min(offset+chunkSize, len(command))
@@ -150,7 +151,7 @@
 	return nil
 }
 
-// Each response is counted for its class when it is given, and the number of open requests returns to 0.
+// Each response is counted for its class when it is sent, and the number of open requests returns to 0.
 func TestServer_CountsResponses(t *testing.T) {
 	registry := metrics.New([]string{"lookup", "pay"})
 	h := newHarness(t, harnessOptions{server: Options{Metrics: registry}})
@@ -172,7 +173,8 @@
 	}
 }
 
-// A class added at a reload is accepted at once, under its own settings; before it, it is refused.
+// A class that a reload adds is accepted immediately after the reload, under its own settings, but not before it. A
+// class that the reload removes is no longer accepted.
 func TestServer_UpdateSettingsAddsClass(t *testing.T) {
 	h := newHarness(t, harnessOptions{})
 	c := h.dial()
@@ -192,8 +194,8 @@
 	c.expectLine(`-ERR .*`)
 }
 
-// TestServer_PauseReducesForwardedDeadline: a request that waits in the pauses after invalid commands states to its
-// backend only what its client has left.
+// The deadline that is forwarded with a request excludes the pauses after invalid commands for which the request
+// waited.
 func TestServer_PauseReducesForwardedDeadline(t *testing.T) {
 	const invalidCommands = 8
 	h := newHarness(t, harnessOptions{})
@@ -206,7 +208,7 @@
 	}
 	pauses := invalidCommandPauseStep * invalidCommands * (invalidCommands + 1) / 2
 	if maxRemaining := 900*time.Millisecond - pauses; time.Duration(milliseconds)*time.Millisecond > maxRemaining {
-		t.Errorf("the backend is given %d ms, and the client has %v", milliseconds, maxRemaining)
+		t.Errorf("the backend received a deadline of %d ms, but the client waits for %v at most", milliseconds, maxRemaining)
 	}
 	attempt.respond(okBackendResponse)
 }
--- a/internal/frontend/server_reload_test.go
+++ b/internal/frontend/server_reload_test.go
@@ -7,8 +7,8 @@
 	"fawnplank/policy"
 )
 
-// TestServer_WriteTimeoutFollowsReload guards against responses that are cut off: after a reload with longer
-// deadlines a client that reads slowly had no more time than by the deadlines at the start.
+// Guards against incomplete responses: after a reload with longer deadlines, the write timeout for a client that reads
+// slowly was still computed from the deadlines at the start.
 func TestServer_WriteTimeoutFollowsReload(t *testing.T) {
 	h := newOKHarness(t)
 	before := h.server.writeTimeout()
@@ -16,7 +16,7 @@
 	updated.Settings.Classes = append(updated.Settings.Classes, policy.ClassSettings{Deadline: time.Minute})
 	h.server.UpdateSettings(&updated)
 	if got := h.server.writeTimeout(); got != time.Minute+writeTimeoutMargin || got <= before {
-		t.Errorf("%v after a reload, %v before", got, before)
+		t.Errorf("the write timeout is %v after a reload, and was %v before", got, before)
 	}
 	expectServing(h)
 }
--- a/internal/frontend/shutdown_test.go
+++ b/internal/frontend/shutdown_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// The attempt's connection is not cut under the backend, which may be giving a long response, but ends once
-// it has been silent for 3 s.
+// When a client hangs up during an attempt, the connection to the backend is not closed at once, because the backend
+// may be sending a long response. It is closed once the backend has been silent for 3 s.
 func TestConnection_ClientHangUpDetectedDuringAttempt(t *testing.T) {
 	h := newHarness(t, harnessOptions{})
 	c, attempt := h.openRequest("1")
@@ -19,13 +19,13 @@
 			return
 		}
 		if time.Now().After(deadline) {
-			t.Fatalf("attempt's connection ended: %t, %d requests open, %d connections",
+			t.Fatalf("connection of the attempt closed: %t, %d open requests, %d client connections",
 				closedByGateway, h.dispatcher.OpenRequests(), h.server.OpenConnections())
 		}
 	}
 }
 
-// At the end connections close between requests, and what was submitted is answered.
+// At a shutdown, idle connections are closed, and the others once their submitted requests are answered.
 func TestServer_ShutdownAnswersPendingRequests(t *testing.T) {
 	h := newHarness(t, harnessOptions{})
 	c, attempt := h.openRequest("1")
@@ -36,7 +36,7 @@
 	}
 	shutdown := make(chan error, 1)
 	go func() { shutdown <- h.server.Shutdown(t.Context()) }()
-	idle.expectClosed("an idle connection")
+	idle.expectClosed("the idle connection at a shutdown")
 	attempt.respond(okBackendResponse)
 	c.expect(okClientResponse)
 	c.expectClosed("after the last response")
@@ -46,37 +46,37 @@
 	}
 }
 
-// Shutdown waits for the listener's end and for the last connection's, but no longer than its context lasts.
+// Shutdown waits until Serve has returned and the last connection has ended, but no longer than its context lasts.
 func TestServer_ShutdownReturnsWhenContextEnds(t *testing.T) {
 	h := newHarness(t, harnessOptions{})
-	h.waitUntil("it serves", h.server.serving.Load)
+	h.waitUntil("the server serves", h.server.serving.Load)
 	canceled, cancel := context.WithCancel(t.Context())
 	cancel()
 	if err := h.server.Shutdown(canceled); !errors.Is(err, context.Canceled) {
-		t.Errorf("while it accepts connections: %v", err)
+		t.Errorf("Shutdown while Serve accepts connections: %v", err)
 	}
 	client, attempt := h.openRequest("1")
 	if err := h.listener.Close(); err != nil {
 		t.Error(err)
 	}
-	h.waitUntil("no more is accepted", func() bool { return !h.server.serving.Load() })
+	h.waitUntil("Serve has returned", func() bool { return !h.server.serving.Load() })
 	if err := h.server.Shutdown(canceled); !errors.Is(err, context.Canceled) {
-		t.Errorf("while a request is open: %v", err)
+		t.Errorf("Shutdown while a request is open: %v", err)
 	}
 	attempt.respond(okBackendResponse)
 	client.expect(okClientResponse)
 	if err := h.server.Shutdown(t.Context()); err != nil || h.server.OpenConnections() != 0 {
-		t.Errorf("at its end: %v, %d connections", err, h.server.OpenConnections())
+		t.Errorf("Shutdown without open requests: %v, %d connections", err, h.server.OpenConnections())
 	}
 }
 
-// A draining server answers PING with an error at once, serves open connections for a while, then closes them
-// as they become idle, the one with a request after its response; Resume brings PONG back.
+// A draining server immediately answers PING with an error, serves open connections for drainDelay, and then closes
+// them as they become idle. After Resume it answers PING with PONG and keeps connections open.
 func TestServer_DrainClosesConnectionsBetweenRequests(t *testing.T) {
 	h := newHarness(t, harnessOptions{})
 	busy, idle := h.dial(), h.dial()
 	h.server.Drain()
-	h.server.Drain() // again: the drain goes on from its first call
+	h.server.Drain() // a second call does not restart the drain
 	start := time.Now()
 	idle.send(respCommand("PING"))
 	idle.expectLine(`-ERR draining`)
@@ -85,19 +85,19 @@
 	busy.expect(okClientResponse) // open connections are still served
 	idle.expectClosed("an idle connection of a draining server")
 	if elapsed := time.Since(start); elapsed < drainDelay || elapsed > drainDelay+time.Second {
-		t.Errorf("the idle connection was closed after %v", elapsed)
+		t.Errorf("the idle connection was closed after %v, want drainDelay and at most 1 s more", elapsed)
 	}
 	busy.expectClosed("the other connection")
 	h.server.Resume()
-	h.server.Resume() // without a drain: nothing
+	h.server.Resume() // without a drain, Resume has no effect
 	resumed := h.dial()
 	resumed.ping()
 	time.Sleep(drainDelay + 2*sweepInterval)
 	resumed.ping()
 }
 
-// TestServer_ResumeKeepsNewConnection: a connection that is new when a drain ends has the usual time for its
-// first command. Failure: it was ended after newConnectionGrace.
+// A connection that is new when a drain ends has the usual time for its first command. Guards against its close after
+// newConnectionGrace.
 func TestServer_ResumeKeepsNewConnection(t *testing.T) {
 	h := newHarness(t, harnessOptions{})
 	h.server.Drain()
@@ -110,8 +110,7 @@
 	client.ping()
 }
 
-// TestServer_SecondDrainHasFullDelay: a drain that begins after another has ended has its full time, and ends
-// the connections.
+// A drain that begins after another has ended closes idle connections after the full drainDelay.
 func TestServer_SecondDrainHasFullDelay(t *testing.T) {
 	h := newHarness(t, harnessOptions{})
 	client := h.dial()
@@ -123,6 +122,6 @@
 	start := time.Now()
 	client.expectClosed("an idle connection")
 	if elapsed := time.Since(start); elapsed < drainDelay || elapsed > drainDelay+time.Second {
-		t.Errorf("closed after %v", elapsed)
+		t.Errorf("the idle connection was closed after %v, want drainDelay and at most 1 s more", elapsed)
 	}
 }
