--- a/internal/frontend/backpressure_test.go
+++ b/internal/frontend/backpressure_test.go
@@ -99,7 +99,7 @@
 	value := strings.Repeat("v", 4<<20)
 	h := newHarness(t, harnessOptions{
 		onAttempt: func(a receivedAttempt) { a.respond(bulkBackendResponse(value)) },
-		// Less than the whole response takes, but more than a single chunk waits in the kernel.
+		// Shorter than the whole response takes, but longer than a single chunk waits in the kernel.
 		writeTimeout: 2500 * time.Millisecond,
 	})
 	c := h.dial()
--- a/internal/frontend/drain.go
+++ b/internal/frontend/drain.go
@@ -63,7 +63,7 @@
 	}).Info("drain ended")
 }
 
-// Draining reports whether a drain is under way.
+// Draining reports whether a drain is in progress.
 func (s *Server) Draining() bool {
 	_, draining := s.drain.age()
 	return draining
