--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -30,7 +30,8 @@
 			h.answerAllCounterCalls(outcome)
 			counts[request.finalAnswer]++
 			if len(request.attempts) > 0 || !request.handle.Done() {
-				t.Fatalf("%d attempts were sent for a check-only request, which ended as %q", len(request.attempts), request.finalAnswer)
+				t.Fatalf("%d attempts were sent for a check-only request, which ended as %q",
+					len(request.attempts), request.finalAnswer)
 			}
 		}
 		want := 10 // the burst
--- a/policy/endpoint_watch_test.go
+++ b/policy/endpoint_watch_test.go
@@ -32,7 +32,8 @@
 		200 * time.Millisecond, 250 * time.Millisecond, 500 * time.Millisecond, time.Second, 10 * time.Second,
 	} {
 		timeouts := Settings{DrainGrace: grace}.DiscoveryTimeouts()
-		watch, lateness, snapshot, retryDelay := timeouts.Watch, timeouts.WatchGrace, timeouts.Snapshot, timeouts.MaxRetryDelay
+		watch, lateness, snapshot, retryDelay :=
+			timeouts.Watch, timeouts.WatchGrace, timeouts.Snapshot, timeouts.MaxRetryDelay
 		if max(watch+lateness, snapshot)+retryDelay > grace*7/10 || watch < 50*time.Millisecond {
 			t.Errorf("drain grace %d ns: watch timeout %d ns, lateness %d ns, snapshot timeout %d ns, retry delay %d ns",
 				grace, watch, lateness, snapshot, retryDelay)
@@ -55,7 +56,8 @@
 		settings := defaultSettings()
 		settings.PollEndpoints, settings.PollTimeout = true, pollTimeout
 		timeouts := settings.DiscoveryTimeouts()
-		watch, lateness, snapshot, retryDelay := timeouts.Watch, timeouts.WatchGrace, timeouts.Snapshot, timeouts.MaxRetryDelay
+		watch, lateness, snapshot, retryDelay :=
+			timeouts.Watch, timeouts.WatchGrace, timeouts.Snapshot, timeouts.MaxRetryDelay
 		if watch+lateness+retryDelay > 5200*time.Millisecond || snapshot+retryDelay > 5200*time.Millisecond {
 			t.Errorf("poll timeout %d ns: watch timeout %d ns, lateness %d ns, snapshot timeout %d ns, retry delay %d ns",
 				pollTimeout, watch, lateness, snapshot, retryDelay)
--- a/policy/outlier_test.go
+++ b/policy/outlier_test.go
@@ -12,7 +12,8 @@
 	request := h.submit(1, 0, 0, 1, 2*time.Second, 1)
 	h.endAttempt(request, 0, ConnectionLost)
 	if len(request.attempts) != 2 {
-		t.Fatalf("%d attempts after a lost connection, want 2; the request ended as %q", len(request.attempts), request.finalAnswer)
+		t.Fatalf("%d attempts after a lost connection, want 2; the request ended as %q",
+			len(request.attempts), request.finalAnswer)
 	}
 	h.endAttempt(request, 1, Succeeded)
 	next := h.submit(2, 0, 0, 1, 2*time.Second, 1)
@@ -37,7 +38,8 @@
 	request := h.submit(1, 0, 0, 1, 2*time.Second, 1)
 	h.endAttempt(request, 0, LocalFailure)
 	if len(request.attempts) != 2 {
-		t.Fatalf("%d attempts after a local failure, want 2; the request ended as %q", len(request.attempts), request.finalAnswer)
+		t.Fatalf("%d attempts after a local failure, want 2; the request ended as %q",
+			len(request.attempts), request.finalAnswer)
 	}
 	h.endAttempt(request, 1, LocalFailure)
 	h.endAttempt(request, 2, LocalFailure)
--- a/policy/retry_after_test.go
+++ b/policy/retry_after_test.go
@@ -14,7 +14,8 @@
 	}
 	request := h.requests[19]
 	if request.finalAnswer != "rejected" || request.retryAfter <= 0 || request.retryAfter >= 750*time.Millisecond/4 {
-		t.Errorf("request to an instance at its limit ended as %q with Retry-After %d", request.finalAnswer, request.retryAfter)
+		t.Errorf("request to an instance at its limit ended as %q with Retry-After %d",
+			request.finalAnswer, request.retryAfter)
 	}
 }
 
--- a/policy/slow_start_test.go
+++ b/policy/slow_start_test.go
@@ -168,7 +168,8 @@
 				}
 				worst := findWorstWindow(t, scenario.prepare, config, uint64(scenarioIndex*7+fleetIndex), seeds)
 				line := fmt.Sprintf("%s | %d attempts, budget N %.1f, bound %.1f (%.2f) at age %.1f s; %d in total", config,
-					worst.sent, worst.budget, worst.bound, worst.boundRatio, float64(worst.age)/float64(time.Second), worst.slowStartAttempts)
+					worst.sent, worst.budget, worst.bound, worst.boundRatio, float64(worst.age)/float64(time.Second),
+					worst.slowStartAttempts)
 				if t.Log(line); worst.boundRatio > 1 {
 					t.Errorf("rule 4: %s", line)
 				}
