--- a/cmd/fawnplank/configuration.go
+++ b/cmd/fawnplank/configuration.go
@@ -20,7 +20,7 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	if err := discovery.CheckSnapshot(configuration.KnownEndpoints); err != nil {
+	if err := discovery.ValidateCachedList(configuration.KnownEndpoints); err != nil {
 		return nil, nil, err
 	}
 	operator, err := readOperator(operatorPath, "name an existing file with --operator or GW_OPERATOR")
--- a/cmd/fawnplank/metrics.go
+++ b/cmd/fawnplank/metrics.go
@@ -26,7 +26,7 @@
 // counterClientGauges are the metrics of the calls to the shared counter.
 var counterClientGauges = []metrics.Gauge[*counter.Client]{
 	{Name: "counter_calls", Help: "calls that the counter answered with a total",
-		Value: func(c *counter.Client) float64 { return float64(c.Stats().Answered) }},
+		Value: func(c *counter.Client) float64 { return float64(c.Stats().Succeeded) }},
 	{Name: "counter_failures", Help: "calls without a total",
 		Value: func(c *counter.Client) float64 { return float64(c.Stats().Failed) }},
 	{Name: "counter_outage_seconds", Help: "since the first failure after the last total; 0: none",
--- a/internal/backend/attempt_writer.go
+++ b/internal/backend/attempt_writer.go
@@ -20,7 +20,7 @@
 	}
 	size := commandBytes(command)
 	progress := dispatch.Writing
-	written, err := c.socket.WriteParts(command...)
+	written, err := c.socket.WriteBuffers(command...)
 	if written == size {
 		progress = dispatch.Written
 	}
--- a/internal/backend/endpoints.go
+++ b/internal/backend/endpoints.go
@@ -36,7 +36,7 @@
 // SetAddresses sets the addresses of a backend that listens at several. It remains one backend: a connection
 // goes to the first address that accepts it. Idle connections to other addresses are closed.
 func (p *Pool) SetAddresses(backend policy.BackendID, addresses []netip.AddrPort) {
-	order := dialer.Order(addresses, dialer.Reachable) // looks up the host's routes: not with the lock held
+	order := dialer.OrderAddresses(addresses, dialer.HasRoute) // looks up the host's routes: not with the lock held
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.replace(backend, &endpoint{key: fmt.Sprint(addresses), addresses: order})
--- a/internal/counter/client_test.go
+++ b/internal/counter/client_test.go
@@ -267,7 +267,7 @@
 		call.answer(t, test.answer)
 		received.next(t)
 		got := client.Stats()
-		if got.Answered != test.answered || got.Failed != test.failed || got.Outage > 0 != test.outage {
+		if got.Succeeded != test.answered || got.Failed != test.failed || got.Outage > 0 != test.outage {
 			t.Errorf("after %q: %+v", test.answer, got)
 		}
 	}
--- a/internal/counter/stats.go
+++ b/internal/counter/stats.go
@@ -4,8 +4,8 @@
 
 // Stats counts the results of the calls so far.
 type Stats struct {
-	// Answered is the number of calls that ended with a total; metric gw_counter_calls.
-	Answered uint64
+	// Succeeded is the number of calls that ended with a total; metric gw_counter_calls.
+	Succeeded uint64
 	// Failed is the number of calls that ended without one; metric gw_counter_failures.
 	Failed uint64
 	// Outage is the time since the first failure after the last total, and 0 if there is none; metric
@@ -41,7 +41,7 @@
 }
 
 func (s *resultStats) snapshot() Stats {
-	stats := Stats{Answered: s.answered, Failed: s.failed}
+	stats := Stats{Succeeded: s.answered, Failed: s.failed}
 	if !s.failingSince.IsZero() {
 		stats.Outage = time.Since(s.failingSince)
 	}
--- a/internal/dialer/address_order.go
+++ b/internal/dialer/address_order.go
@@ -47,12 +47,12 @@
 	precedence int
 }
 
-// Order returns the addresses in the order in which to try them. Addresses that the host cannot reach come
+// OrderAddresses returns the addresses in the order in which to try them. Addresses that the host cannot reach come
 // last (RFC 6724, section 6, rule 1). The rest of the order is by precedence (rule 6), then as given (rule
 // 10). After that the address families are interleaved (RFC 8305, section 4). The rules in between, on
 // scopes, labels and prefixes, are left out, since all backends are in one network. reachable reports whether
-// the host has a route to an address; Reachable asks the system.
-func Order(addresses []netip.AddrPort, reachable func(netip.Addr) bool) []netip.AddrPort {
+// the host has a route to an address; HasRoute asks the system.
+func OrderAddresses(addresses []netip.AddrPort, reachable func(netip.Addr) bool) []netip.AddrPort {
 	var candidates []candidate
 	for _, address := range addresses {
 		candidates = append(candidates, candidate{
@@ -100,9 +100,9 @@
 // discardPort is the port of the discard service. Nothing is sent to it.
 const discardPort = 9
 
-// Reachable reports whether the host has a route to an address. It checks whether a UDP socket can be
+// HasRoute reports whether the host has a route to an address. It checks whether a UDP socket can be
 // connected to the address, which sends nothing.
-func Reachable(address netip.Addr) bool {
+func HasRoute(address netip.Addr) bool {
 	conn, err := net.DialUDP("udp", nil, net.UDPAddrFromAddrPort(netip.AddrPortFrom(address, discardPort)))
 	if err != nil {
 		return false
--- a/internal/dialer/address_order_test.go
+++ b/internal/dialer/address_order_test.go
@@ -58,7 +58,7 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			unreachable := strings.Fields(test.unreachable)
-			got := Order(parse(test.addresses), func(address netip.Addr) bool {
+			got := OrderAddresses(parse(test.addresses), func(address netip.Addr) bool {
 				return !slices.Contains(unreachable, address.String())
 			})
 			if !slices.Equal(got, parse(test.want)) {
@@ -69,7 +69,7 @@
 }
 
 func TestReachable(t *testing.T) {
-	if !Reachable(netip.MustParseAddr("127.0.0.1")) {
+	if !HasRoute(netip.MustParseAddr("127.0.0.1")) {
 		t.Error("the host does not reach itself")
 	}
 }
--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -52,9 +52,9 @@
 	return policy.Delta
 }
 
-// CheckSnapshot returns an error that says what is wrong with a list in the discovery service's format, such as
+// ValidateCachedList returns an error that says what is wrong with a list in the discovery service's format, such as
 // the one in the configuration. Empty text is valid.
-func CheckSnapshot(text []byte) error {
+func ValidateCachedList(text []byte) error {
 	if len(text) == 0 {
 		return nil
 	}
--- a/internal/discovery/list_test.go
+++ b/internal/discovery/list_test.go
@@ -8,7 +8,7 @@
 )
 
 func TestCheck_NamesTheSetting(t *testing.T) {
-	err := CheckSnapshot([]byte(`{"endpoints":[{"name":"","address":"a:1"}]}`))
+	err := ValidateCachedList([]byte(`{"endpoints":[{"name":"","address":"a:1"}]}`))
 	if err == nil || !strings.Contains(err.Error(), "known") {
 		t.Errorf("%v", err)
 	}
@@ -18,7 +18,7 @@
 // and the last good one stands. A delta may do so.
 func TestDecodeList_RefusesSnapshotWithDuplicate(t *testing.T) {
 	twice := []string{entry("s-1", "up"), entry("s-2", "up"), entry("s-1", "draining")}
-	err := CheckSnapshot([]byte(list(3, true, twice...)))
+	err := ValidateCachedList([]byte(list(3, true, twice...)))
 	if err == nil || !strings.Contains(err.Error(), `"s-1" stands twice`) {
 		t.Errorf("%v", err)
 	}
--- a/internal/frontend/connection.go
+++ b/internal/frontend/connection.go
@@ -17,7 +17,7 @@
 // sees that the byte was read or prevents it from being read. All transitions:
 //
 //	half   from       event                                    to                what follows
-//	input  idle       After: bytes were read                   unhandled         the reader handles them
+//	input  idle       AfterRead: bytes were read               unhandled         the reader handles them
 //	input  unhandled  inputHandled: all whole commands are     idle              a waiting accept looks again
 //	input  idle       closeInput, with nothing pending         closed            the reader lingers and ends
 //	input  unhandled  closeInput                               unhandled         what was read is handled
--- a/internal/frontend/connection_test.go
+++ b/internal/frontend/connection_test.go
@@ -24,15 +24,15 @@
 
 func TestConnection_InputTransitions(t *testing.T) {
 	c := &connection{server: &Server{}}
-	if !c.Before() {
+	if !c.BeforeRead() {
 		t.Fatal("idle input cannot be read")
 	}
-	c.After(0)
+	c.AfterRead(0)
 	if c.input != inputIdle {
 		t.Errorf("after a read of nothing: %v", c.input)
 	}
-	c.Before()
-	c.After(1)
+	c.BeforeRead()
+	c.AfterRead(1)
 	if c.closeInput() || c.input != inputUnhandled {
 		t.Errorf("closed over bytes that were read: %v", c.input)
 	}
@@ -42,7 +42,7 @@
 		t.Errorf("closed over a pending command: %v", c.input)
 	}
 	c.pending = nil
-	if !c.closeInput() || !c.isInputClosed() || c.Before() {
+	if !c.closeInput() || !c.isInputClosed() || c.BeforeRead() {
 		t.Errorf("idle input not closed: %v", c.input)
 	}
 	c.inputHandled()
--- a/internal/frontend/input_guard.go
+++ b/internal/frontend/input_guard.go
@@ -1,9 +1,9 @@
 package frontend
 
-// Before implements sock.ReadGuard: sock.Conn calls it before each attempt to read. It returns true with inputMu held,
-// which After unlocks: whether bytes are read and what the input becomes is one step for other goroutines. It returns
-// false with inputMu free if the input is closed, which ends the read.
-func (c *connection) Before() bool {
+// BeforeRead implements sock.ReadGuard: sock.Conn calls it before each attempt to read. It returns true with inputMu
+// held, which AfterRead unlocks: whether bytes are read and what the input becomes is one step for other goroutines. It
+// returns false with inputMu free if the input is closed, which ends the read.
+func (c *connection) BeforeRead() bool {
 	c.inputMu.Lock()
 	if c.input == inputClosed {
 		c.inputMu.Unlock()
@@ -12,9 +12,9 @@
 	return true
 }
 
-// After implements sock.ReadGuard: sock.Conn calls it after each attempt to read that Before allowed. It
-// unlocks inputMu, which Before has locked.
-func (c *connection) After(bytesRead int) {
+// AfterRead implements sock.ReadGuard: sock.Conn calls it after each attempt to read that BeforeRead allowed. It
+// unlocks inputMu, which BeforeRead has locked.
+func (c *connection) AfterRead(bytesRead int) {
 	if bytesRead > 0 {
 		c.input = inputUnhandled
 	}
--- a/internal/limitserver/equivalence_test.go
+++ b/internal/limitserver/equivalence_test.go
@@ -174,9 +174,9 @@
 			len(forwarding.calls), len(checking.calls))
 	}
 	for _, g := range []*bubbledGateway{forwarding, checking} {
-		if stats := g.counter.Stats(); stats.Failed > 0 || int(stats.Answered) != len(g.calls) {
+		if stats := g.counter.Stats(); stats.Failed > 0 || int(stats.Succeeded) != len(g.calls) {
 			t.Errorf("of %d calls the counter answered %d and failed %d",
-				len(g.calls), stats.Answered, stats.Failed)
+				len(g.calls), stats.Succeeded, stats.Failed)
 		}
 	}
 	// The tolerance allows for sums of floats in another order.
--- a/internal/retryaccept/retryaccept.go
+++ b/internal/retryaccept/retryaccept.go
@@ -15,8 +15,8 @@
 	"fawnplank/internal/logging"
 )
 
-// Delay is the pause after a failed accept. If the process is out of descriptors, some are freed soon.
-const Delay = 10 * time.Millisecond
+// RetryDelay is the pause after a failed accept. If the process is out of descriptors, some are freed soon.
+const RetryDelay = 10 * time.Millisecond
 
 // Listener is a listener whose Accept fails only once the listener is closed or its deadline has passed.
 type Listener struct {
@@ -50,7 +50,7 @@
 		default:
 			l.failed(err)
 		}
-		time.Sleep(Delay)
+		time.Sleep(RetryDelay)
 	}
 }
 
--- a/internal/retryaccept/retryaccept_test.go
+++ b/internal/retryaccept/retryaccept_test.go
@@ -34,7 +34,7 @@
 			syscall.ENFILE, syscall.ENOBUFS, syscall.EPROTO, nil, nil,
 		}}, "test")
 		start := time.Now()
-		if _, err := listener.Accept(); err != nil || time.Since(start) != 3*Delay {
+		if _, err := listener.Accept(); err != nil || time.Since(start) != 3*RetryDelay {
 			t.Errorf("%v after %v", err, time.Since(start))
 		}
 		if _, err := listener.Accept(); err != nil || listener.Failing() {
--- a/internal/sock/read.go
+++ b/internal/sock/read.go
@@ -30,12 +30,12 @@
 // there is nothing to read yet.
 func (c *Conn) tryRead(fd uintptr) (done bool) {
 	if c.guard != nil {
-		if !c.guard.Before() {
+		if !c.guard.BeforeRead() {
 			c.readBytes = 0
 			c.readErrno = 0
 			return true
 		}
-		defer func() { c.guard.After(max(c.readBytes, 0)) }()
+		defer func() { c.guard.AfterRead(max(c.readBytes, 0)) }()
 	}
 	c.readBytes = 0
 	for {
--- a/internal/sock/sock.go
+++ b/internal/sock/sock.go
@@ -34,19 +34,19 @@
 	hangUpCallback func(fd uintptr) bool
 
 	writeCallback func(fd uintptr) bool
-	writeVectors  [maxParts]syscall.Iovec
+	writeVectors  [maxBuffers]syscall.Iovec
 	vectorCount   int // of writeVectors that are in use
 	writtenBytes  int64
 	writeErrno    syscall.Errno
 }
 
-// ReadGuard is called around each attempt to read. Before returns whether the attempt may be made; if it
-// returns false, the read ends as at the end of the connection. After receives how many bytes were read. If
-// Before takes a lock that After releases, then for any byte, a decision made with that lock held either sees
+// ReadGuard is called around each attempt to read. BeforeRead returns whether the attempt may be made; if it
+// returns false, the read ends as at the end of the connection. AfterRead receives how many bytes were read. If
+// BeforeRead takes a lock that AfterRead releases, then for any byte, a decision made with that lock held either sees
 // that the byte was read or can prevent it from being read.
 type ReadGuard interface {
-	Before() bool
-	After(n int)
+	BeforeRead() bool
+	AfterRead(n int)
 }
 
 // Options configures a Conn. The zero value gives a plain connection.
--- a/internal/sock/sock_test.go
+++ b/internal/sock/sock_test.go
@@ -60,7 +60,7 @@
 		time.Sleep(50 * time.Millisecond)
 		received <- <-readAll(peer)
 	}()
-	n, err := c.WriteParts([]byte("head"), nil, large, []byte("tail"))
+	n, err := c.WriteBuffers([]byte("head"), nil, large, []byte("tail"))
 	if n != int64(len(want)) || err != nil {
 		t.Errorf("%d of %d bytes, %v", n, len(want), err)
 	}
@@ -75,12 +75,12 @@
 	c, _ := dialPair(t)
 	large := make([]byte, 64<<20)
 	mustSucceed(t, c.SetWriteDeadline(time.Now().Add(50*time.Millisecond)))
-	n, err := c.WriteParts([]byte("head"), large)
+	n, err := c.WriteBuffers([]byte("head"), large)
 	if !errors.Is(err, os.ErrDeadlineExceeded) || n < 4 || n >= int64(len(large)) {
 		t.Errorf("%d bytes, %v", n, err)
 	}
 	mustSucceed(t, c.Close())
-	if n, err := c.WriteParts([]byte("x")); n != 0 || err == nil {
+	if n, err := c.WriteBuffers([]byte("x")); n != 0 || err == nil {
 		t.Errorf("after the end: %d bytes, %v", n, err)
 	}
 }
--- a/internal/sock/write.go
+++ b/internal/sock/write.go
@@ -6,34 +6,34 @@
 	"unsafe"
 )
 
-// maxParts is how many parts one WriteParts call accepts: as many as the command with the most parts that a
-// gateway sends.
-const maxParts = 6
+// maxBuffers is the maximum number of buffers in one WriteBuffers call. The longest command that a gateway sends
+// consists of this many.
+const maxBuffers = 6
 
-// WriteParts writes the parts, at most six, one after another and returns how many bytes were written, which are fewer
-// than all only with an error. It waits while the socket is full, until the write deadline (os.ErrDeadlineExceeded).
-// Only one goroutine at a time may write.
-func (c *Conn) WriteParts(parts ...[]byte) (int64, error) {
+// WriteBuffers writes the given buffers, at most six, one after another. It returns the number of bytes written, which
+// is less than the total only with an error. While the socket's send buffer is full, it waits until the write deadline
+// (os.ErrDeadlineExceeded). Only one goroutine at a time may write.
+func (c *Conn) WriteBuffers(buffers ...[]byte) (int64, error) {
 	c.vectorCount = 0
 	c.writtenBytes = 0
 	c.writeErrno = 0
-	for _, part := range parts {
-		if len(part) > 0 {
-			c.writeVectors[c.vectorCount] = syscall.Iovec{Base: &part[0], Len: uint64(len(part))}
+	for _, buffer := range buffers {
+		if len(buffer) > 0 {
+			c.writeVectors[c.vectorCount] = syscall.Iovec{Base: &buffer[0], Len: uint64(len(buffer))}
 			c.vectorCount++
 		}
 	}
 	err := c.raw.Write(c.writeCallback)
-	clear(c.writeVectors[:]) // release the parts
+	clear(c.writeVectors[:]) // release the buffers
 	if err == nil && c.writeErrno != 0 {
 		err = os.NewSyscallError("writev", c.writeErrno)
 	}
 	return c.writtenBytes, err
 }
 
-// Write writes b, as WriteParts does.
+// Write writes b, as WriteBuffers does.
 func (c *Conn) Write(b []byte) (int, error) {
-	n, err := c.WriteParts(b)
+	n, err := c.WriteBuffers(b)
 	return int(n), err
 }
 
