--- a/internal/counter/client.go
+++ b/internal/counter/client.go
@@ -13,11 +13,11 @@
 // logComponent names this package in the log.
 const logComponent = "counter"
 
-// ResultHandler receives the result of each call.
+// ResultHandler receives the results of calls.
 type ResultHandler interface {
-	// HandleCounterResult receives the count after the oldest call for the key that has no result yet, in units,
-	// or an error of package dispatch that says whether the call's units may have been added: ErrTimeout and a
-	// NetworkError with the progress Answering leave that open; ErrRejected and any other NetworkError mean that
+	// HandleCounterResult receives the result of the oldest call for the key that has no result yet: either the
+	// count after the call, in units, or an error of package dispatch. After ErrTimeout, or a NetworkError with
+	// the progress Answering, the call's units may have been added; after ErrRejected, or any other NetworkError,
 	// they have not. The results for one key are passed one at a time, in the order of the calls.
 	HandleCounterResult(key policy.CounterKey, total float64, err error)
 }
@@ -26,8 +26,8 @@
 type Options struct {
 	// Address is the host and port of the service. It is required.
 	Address string
-	// ConnectTimeout is how long it may take to establish a connection. A call that waits for longer ends with a
-	// NetworkError. 0 means the system's limit.
+	// ConnectTimeout is the maximum time to establish a connection. When it expires, the calls that wait for the
+	// connection end with a NetworkError. 0 means the operating system's limit.
 	ConnectTimeout time.Duration
 	// Format is the wire format of the service. The zero value is Text.
 	Format Format
@@ -40,7 +40,7 @@
 	format         Format
 	ctx            context.Context // canceled by Close; every dial uses it
 	cancel         context.CancelFunc
-	running        sync.WaitGroup // the goroutines of connections
+	running        sync.WaitGroup // counts the goroutines of connections
 
 	mu             sync.Mutex // guards all fields below, and the fields of connections, calls and queues
 	address        string
@@ -54,7 +54,7 @@
 
 var _ dispatch.Counter = (*Client)(nil)
 
-// New returns a client that reports to handler. Connections are opened when they are first needed.
+// New returns a client that passes results to handler. Connections are opened when they are first needed.
 func New(options Options, handler ResultHandler) *Client {
 	ctx, cancel := context.WithCancel(context.Background())
 	return &Client{
@@ -69,8 +69,8 @@
 }
 
 // Close closes all connections, and returns when their goroutines have ended. Outstanding calls end as they
-// do when a connection is lost, and their results are delivered. From then on Add, Flush and SetAddress have
-// no effect; a call that is added has no result. Close does not wait for the service. It must not be called
+// do when a connection is lost, and their results are delivered. After Close, Add, Flush and SetAddress have no
+// effect, and a call that is added gets no result. Close does not wait for the service. It must not be called
 // by the handler, nor with a lock held that the handler takes.
 func (c *Client) Close() {
 	for _, conn := range c.stop() {
@@ -79,7 +79,7 @@
 	c.running.Wait()
 }
 
-// stop prevents further connections and ends the dials in progress. It returns the connections to be closed.
+// stop prevents further connections and cancels the dials in progress. It returns the connections to be closed.
 func (c *Client) stop() []*connection {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -88,16 +88,16 @@
 	return slices.Concat(c.connections, c.oldConnections)
 }
 
-// SetAddress switches to another address. Outstanding calls may still be answered on a connection to the old
-// address until that closes.
+// SetAddress sends further calls to another address. Outstanding calls may still be answered on a connection to
+// the old address until that connection closes.
 func (c *Client) SetAddress(address string) {
 	for _, idle := range c.replaceConnections(address) {
 		idle.close(errAddressChanged)
 	}
 }
 
-// Add adds units to the count with the given key, which the service deletes when its lifetime is over; that is
-// rounded up to whole milliseconds. Add does not block: Flush sends the call.
+// Add queues a call that adds units to the count with the given key. The service deletes the count at the end
+// of its lifetime, which is rounded up to whole milliseconds. Add does not block: Flush sends the call.
 func (c *Client) Add(key policy.CounterKey, units float64, lifetime time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -118,19 +118,20 @@
 	c.unflushed = append(c.unflushed, q.connection)
 }
 
-// Flush sends the calls added since the last flush, and closes connections that are silent: their calls end with
-// dispatch.ErrTimeout, and those not written yet with a NetworkError. Without further calls a silent connection stays
-// open. It may wait for the network.
+// Flush sends the calls added since the last flush, and closes connections whose oldest call has been unanswered
+// for longer than answerTimeout. The written calls on such a connection end with dispatch.ErrTimeout, and the
+// unwritten ones with a NetworkError. Only Flush checks the timeout: if it is not called, these connections stay
+// open. Flush may block on network writes.
 func (c *Client) Flush() {
 	c.mu.Lock()
 	unflushed := c.unflushed
 	c.unflushed = nil
-	silent := c.silentConnections()
+	timedOut := c.timedOutConnections()
 	c.mu.Unlock()
 	for _, conn := range unflushed {
 		conn.flush()
 	}
-	for _, conn := range silent {
-		conn.close(errSilent)
+	for _, conn := range timedOut {
+		conn.close(errAnswerTimeout)
 	}
 }
--- a/internal/counter/client_test.go
+++ b/internal/counter/client_test.go
@@ -16,20 +16,21 @@
 	"fawnplank/policy"
 )
 
-// result is a call's result as the dispatcher is given it.
+// result is the result of a call, as passed to the ResultHandler.
 type result struct {
 	key   policy.CounterKey
 	total float64
 	err   error
 }
 
-// resultDeadline is how long a test waits for a result, and serviceDeadline for what the service must see.
+// resultTimeout is how long a test waits for a result. serviceTimeout is how long it waits for a call to arrive at
+// the service, or for a connection to be closed.
 const (
-	resultDeadline  = 3 * time.Second
-	serviceDeadline = 20 * time.Second
+	resultTimeout  = 3 * time.Second
+	serviceTimeout = 20 * time.Second
 )
 
-// results is a ResultHandler that passes results on.
+// results is a ResultHandler that sends results to a channel.
 type results chan result
 
 func (r results) HandleCounterResult(key policy.CounterKey, total float64, err error) {
@@ -41,19 +42,19 @@
 	select {
 	case next := <-r:
 		return next
-	case <-time.After(resultDeadline):
+	case <-time.After(resultTimeout):
 		t.Fatal("no result delivered")
 		panic("not reached")
 	}
 }
 
-// receivedCall is a line that the service received, and the connection that it came on.
+// receivedCall is a line that the service received, and the connection on which it arrived.
 type receivedCall struct {
 	line string
 	conn net.Conn
 }
 
-// answer writes text on the connection that the call came on.
+// answer writes text to the connection on which the call arrived.
 func (r receivedCall) answer(t *testing.T, text string) {
 	t.Helper()
 	if _, err := fmt.Fprint(r.conn, text); err != nil {
@@ -61,14 +62,14 @@
 	}
 }
 
-// isClosed waits until the client has closed the connection.
-func (r receivedCall) isClosed() bool {
-	_ = r.conn.SetReadDeadline(time.Now().Add(serviceDeadline)) // fails only if it is closed, as the read then does
+// awaitClose waits until the client has closed the connection. It returns false if that takes too long.
+func (r receivedCall) awaitClose() bool {
+	_ = r.conn.SetReadDeadline(time.Now().Add(serviceTimeout)) // fails only on a closed connection, as Read then does
 	_, err := r.conn.Read(make([]byte, 1))
 	return err != nil && !errors.Is(err, os.ErrDeadlineExceeded)
 }
 
-// fakeService is a stand-in for the service. It answers nothing of itself.
+// fakeService is a counter service that passes on the calls it receives. It sends only the answers that a test writes.
 type fakeService struct {
 	listener net.Listener
 	calls    chan receivedCall
@@ -100,13 +101,13 @@
 	}
 }
 
-// next returns the next call that the service receives.
+// next waits for the next call that the service receives, and returns it.
 func (s *fakeService) next(t *testing.T) receivedCall {
 	t.Helper()
 	select {
 	case next := <-s.calls:
 		return next
-	case <-time.After(serviceDeadline):
+	case <-time.After(serviceTimeout):
 		t.Fatal("no call received")
 		panic("not reached")
 	}
@@ -114,7 +115,7 @@
 
 func (s *fakeService) address() string { return s.listener.Addr().String() }
 
-// stopListening has further connections refused.
+// stopListening makes the service refuse further connections.
 func (s *fakeService) stopListening(t *testing.T) {
 	t.Helper()
 	if err := s.listener.Close(); err != nil {
@@ -122,7 +123,7 @@
 	}
 }
 
-// startClient makes a client of a service of its own.
+// startClient starts a fake service, and a client that calls it.
 func startClient(t *testing.T) (*Client, results, *fakeService) {
 	t.Helper()
 	service := startService(t)
@@ -133,28 +134,28 @@
 	return client, received, service
 }
 
-// add makes a call of one unit and sends it.
-func (c *Client) add(key policy.CounterKey) {
+// addOneUnit adds a call of one unit and sends it.
+func (c *Client) addOneUnit(key policy.CounterKey) {
 	c.Add(key, 1, time.Second)
 	c.Flush()
 }
 
 // openConnections makes the client open two connections: one with an outstanding call for key 1, and an idle
-// one, on which a call for key 2 was answered.
+// one, on which a call for key 2 has been answered.
 func openConnections(
 	t *testing.T, client *Client, received results, service *fakeService,
 ) (outstanding, idle receivedCall) {
 	t.Helper()
-	client.add(1)
+	client.addOneUnit(1)
 	outstanding = service.next(t)
-	client.add(2)
+	client.addOneUnit(2)
 	idle = service.next(t)
 	idle.answer(t, "ok 1\r\n")
 	received.next(t)
 	return outstanding, idle
 }
 
-func TestClient_AnswersReachTheirCallsInOrder(t *testing.T) {
+func TestClient_MatchesAnswersToCallsInOrder(t *testing.T) {
 	client, received, service := startClient(t)
 	client.Add(0xab, 2.5, 4_000_000_001)
 	client.Add(0xab, -1, 1)
@@ -170,13 +171,13 @@
 		t.Fatalf("received %v", calls)
 	}
 	if other.conn == first.conn {
-		t.Error("a key waits behind another though there may be a further connection")
+		t.Error("calls for two keys share a connection although the client may open another one")
 	}
 	other.answer(t, "busy\r\n")
 	if got := received.next(t); got.key != 0xcd || !errors.Is(got.err, dispatch.ErrRejected) {
 		t.Errorf("%+v", got)
 	}
-	first.answer(t, "ok 2.5\r\nok ") // in pieces
+	first.answer(t, "ok 2.5\r\nok ") // the second answer arrives in two pieces
 	if got := received.next(t); got != (result{0xab, 2.5, nil}) {
 		t.Errorf("%+v", got)
 	}
@@ -184,20 +185,20 @@
 	if got := received.next(t); got != (result{0xab, 1.5, nil}) {
 		t.Errorf("%+v", got)
 	}
-	client.add(0xef)
+	client.addOneUnit(0xef)
 	last := service.next(t)
 	last.answer(t, "error\r\n")
 	if got := received.next(t); got.key != 0xef || !errors.Is(got.err, dispatch.ErrRejected) {
 		t.Errorf("%+v", got)
 	}
 	if last.conn != first.conn && last.conn != other.conn {
-		t.Error("a new connection though two were idle")
+		t.Error("the client opened a new connection although two were idle")
 	}
 }
 
-// TestClient_SetAddressKeepsOrderOfResults: after a change of the address new calls go to the new one at
-// once. Those outstanding may still be answered at the old one, and each key's results are delivered in the
-// order of its calls.
+// TestClient_SetAddressKeepsOrderOfResults checks that new calls go to the new address immediately after a change of
+// the address. Outstanding calls may still be answered at the old address, and the results for each key are delivered
+// in the order of its calls.
 func TestClient_SetAddressKeepsOrderOfResults(t *testing.T) {
 	client, received, service := startClient(t)
 	newService := startService(t)
@@ -205,8 +206,8 @@
 	service.stopListening(t)
 	client.SetAddress(newService.address())
 	client.SetAddress(newService.address())
-	if !idle.isClosed() {
-		t.Error("a connection without calls stays at the old address")
+	if !idle.awaitClose() {
+		t.Error("an idle connection to the old address is not closed")
 	}
 	client.Add(1, 2, 1e9)
 	client.Add(3, 3, 1e9)
@@ -222,18 +223,18 @@
 	outstanding.answer(t, "ok 7\r\n")
 	for _, total := range []float64{7, 2} {
 		if got := received.next(t); got != (result{1, total, nil}) {
-			t.Errorf("%+v, wanted %v", got, total)
+			t.Errorf("result %+v, want total %v", got, total)
 		}
 	}
-	if !outstanding.isClosed() {
-		t.Error("the old connection stays after its last answer")
+	if !outstanding.awaitClose() {
+		t.Error("the old connection is not closed after its last answer")
 	}
-	checkForgotten(t, client)
+	checkStateRemoved(t, client)
 }
 
-// checkForgotten checks that no queue and no old connection is left once the last result's delivery has
-// returned.
-func checkForgotten(t *testing.T, client *Client) {
+// checkStateRemoved checks that the client holds no queue and no old connection after the last result has been
+// delivered.
+func checkStateRemoved(t *testing.T, client *Client) {
 	t.Helper()
 	for deadline := time.Now().Add(2 * time.Second); ; time.Sleep(time.Millisecond) {
 		client.mu.Lock()
@@ -243,7 +244,7 @@
 			return
 		}
 		if time.Now().After(deadline) {
-			t.Fatalf("left: %d queues, %d connections", queues, connections)
+			t.Fatalf("%d queues and %d old connections are left", queues, connections)
 		}
 	}
 }
@@ -251,7 +252,7 @@
 func TestClient_StatsCountResults(t *testing.T) {
 	client, received, service := startClient(t)
 	if got := client.Stats(); got != (Stats{}) {
-		t.Errorf("before the first call: %+v", got)
+		t.Errorf("stats before the first call: %+v", got)
 	}
 	for _, test := range []struct {
 		answer           string
@@ -262,44 +263,45 @@
 		{"error\r\n", 0, 2, true},
 		{"ok 3\r\n", 1, 2, false},
 	} {
-		client.add(1)
+		client.addOneUnit(1)
 		call := service.next(t)
 		call.answer(t, test.answer)
 		received.next(t)
 		got := client.Stats()
 		if got.Succeeded != test.answered || got.Failed != test.failed || got.Outage > 0 != test.outage {
-			t.Errorf("after %q: %+v", test.answer, got)
+			t.Errorf("stats after answer %q: %+v", test.answer, got)
 		}
 	}
 }
 
-// TestClient_CloseEndsCallsAndConnections: Close returns once the outstanding call has ended as with a lost
-// connection, and no goroutine is left: that would hold a connection. Nothing is called after it.
+// TestClient_CloseEndsCallsAndConnections checks that, when Close returns, the outstanding call has ended as on a lost
+// connection, and no connection is open, which a goroutine that is left behind would keep open. A closed client makes
+// no calls.
 func TestClient_CloseEndsCallsAndConnections(t *testing.T) {
 	client, received, service := startClient(t)
 	outstanding, idle := openConnections(t, client, received, service)
 	client.Close()
 	if len(received) != 1 {
-		t.Fatalf("%d results by the end of Close", len(received))
+		t.Fatalf("%d results when Close returned, want 1", len(received))
 	}
 	if got := received.next(t); got.key != 1 || !errors.Is(got.err, dispatch.ErrTimeout) {
 		t.Errorf("%+v", got)
 	}
-	if !outstanding.isClosed() || !idle.isClosed() {
-		t.Error("a connection is left open")
+	if !outstanding.awaitClose() || !idle.awaitClose() {
+		t.Error("a connection is still open after Close")
 	}
-	client.add(3)
+	client.addOneUnit(3)
 	client.SetAddress("127.0.0.1:1")
-	client.add(4)
+	client.addOneUnit(4)
 	client.Close()
-	checkForgotten(t, client)
+	checkStateRemoved(t, client)
 	if len(received)+len(service.calls)+len(client.connections) != 0 {
-		t.Error("a closed client calls")
+		t.Error("a closed client delivered a result, made a call or opened a connection")
 	}
 }
 
-// TestClient_CloseEndsDials: a connection that is coming up when the client is closed is not waited for.
-func TestClient_CloseEndsDials(t *testing.T) {
+// TestClient_CloseCancelsDials checks that Close cancels a dial in progress instead of waiting for it.
+func TestClient_CloseCancelsDials(t *testing.T) {
 	client, _, service := startClient(t)
 	client.Close()
 	conn := &connection{client: client, address: service.address()}
@@ -308,13 +310,12 @@
 	}
 }
 
-// handlerFunc is a ResultHandler.
+// handlerFunc is a ResultHandler that calls a function for each result, without the result.
 type handlerFunc func()
 
 func (f handlerFunc) HandleCounterResult(policy.CounterKey, float64, error) { f() }
 
-// TestClient_CloseWaitsForHandler: a result that is being delivered when the client is closed is delivered
-// before Close returns.
+// TestClient_CloseWaitsForHandler checks that Close does not return while the handler is still running.
 func TestClient_CloseWaitsForHandler(t *testing.T) {
 	service := startService(t)
 	handling, returned := make(chan struct{}), false
@@ -322,15 +323,15 @@
 	client = New(Options{Address: service.address()}, handlerFunc(func() {
 		close(handling)
 		<-client.ctx.Done()
-		time.Sleep(10 * time.Millisecond) // time in which a Close that does not wait returns
+		time.Sleep(10 * time.Millisecond) // lets a Close that does not wait return first
 		returned = true
 	}))
-	client.add(1)
+	client.addOneUnit(1)
 	call := service.next(t)
 	call.answer(t, "ok 1\r\n")
 	<-handling
 	client.Close()
 	if !returned {
-		t.Error("Close does not wait")
+		t.Error("Close returned while the handler was running")
 	}
 }
--- a/internal/counter/connections.go
+++ b/internal/counter/connections.go
@@ -6,14 +6,14 @@
 )
 
 const (
-	// maxConnections is the maximum number of open connections to one address. The service accepts 32 from an
-	// instance, and for a while after a change of the service's address the old connections are open beside the
-	// new ones.
+	// maxConnections is the maximum number of open connections to one address. The service accepts 32 connections
+	// from an instance, and after a change of the service's address, old and new connections are open at the same
+	// time for a while.
 	maxConnections = 16
-	// maxSilence is how long a connection may leave its oldest call unanswered before it is closed: a service
-	// that has moved never answers on the old connections. It is many times the response time of an overloaded
-	// service.
-	maxSilence = time.Second
+	// answerTimeout is the maximum time that the oldest call of a connection may be unanswered before the connection
+	// is closed: a service that has moved never answers on the old connections. The timeout is many times the
+	// response time of an overloaded service.
+	answerTimeout = time.Second
 )
 
 // pickConnection returns the first connection without outstanding calls, so that a slow answer does not delay
@@ -38,8 +38,8 @@
 	return conn
 }
 
-// replaceConnections sends further calls to the address, and returns the old connections that have no
-// outstanding calls.
+// replaceConnections makes further calls use connections to the given address, and returns the old connections
+// that have no outstanding calls.
 func (c *Client) replaceConnections(address string) (idle []*connection) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -61,32 +61,32 @@
 	return idle
 }
 
-// silentConnections returns the connections to be given up. The caller holds the lock.
-func (c *Client) silentConnections() []*connection {
-	var silent []*connection
+// timedOutConnections returns the connections that have timed out. The caller holds the lock.
+func (c *Client) timedOutConnections() []*connection {
+	var timedOut []*connection
 	for _, connections := range [][]*connection{c.connections, c.oldConnections} {
 		for _, conn := range connections {
-			if conn.isSilent() {
-				silent = append(silent, conn)
+			if conn.hasTimedOut() {
+				timedOut = append(timedOut, conn)
 			}
 		}
 	}
-	return silent
+	return timedOut
 }
 
-// isSilent reports whether the connection has left its oldest call unanswered for longer than maxSilence. The
+// hasTimedOut reports whether the connection's oldest call has been unanswered for longer than answerTimeout. The
 // caller holds the client's lock.
-func (conn *connection) isSilent() bool {
-	return len(conn.calls) > 0 && time.Since(conn.calls[0].addedAt) > maxSilence
+func (conn *connection) hasTimedOut() bool {
+	return len(conn.calls) > 0 && time.Since(conn.calls[0].addedAt) > answerTimeout
 }
 
-// forget removes a closed connection from the client. It returns the connection's calls, whose results must
+// removeConnection removes a closed connection from the client. It returns the connection's calls, whose results must
 // still be delivered: those that may have been written, and those that have not. The caller holds the lock.
-func (c *Client) forget(closed *connection) (written, unwritten []*call) {
+func (c *Client) removeConnection(closed *connection) (written, unwritten []*call) {
 	isClosed := func(conn *connection) bool { return conn == closed }
 	c.connections = slices.DeleteFunc(c.connections, isClosed)
 	c.oldConnections = slices.DeleteFunc(c.oldConnections, isClosed)
-	for _, q := range c.queues { // also of a key whose last result still waits to be delivered
+	for _, q := range c.queues { // including queues whose last result has not been delivered yet
 		if q.connection == closed {
 			q.connection = nil
 		}
--- a/internal/counter/format_test.go
+++ b/internal/counter/format_test.go
@@ -19,8 +19,8 @@
 	}
 }
 
-// parseAll parses answers in RESP up to what is incomplete or malformed, and returns the complete ones and
-// the last status.
+// parseAll parses RESP answers until the remaining data is incomplete or malformed. It returns the complete answers
+// and the last status.
 func parseAll(data []byte) (complete []answer, last answerStatus) {
 	var pending respReply
 	for {
@@ -35,13 +35,14 @@
 	}
 }
 
-// TestParseRESPAnswer_CutAnywhere: an answer that is cut is waited for, and two replies make one answer.
-func TestParseRESPAnswer_CutAnywhere(t *testing.T) {
+// TestParseRESPAnswer_WaitsForTruncatedAnswer checks that an answer cut off at any byte is incomplete, not malformed,
+// and that two replies make up one answer.
+func TestParseRESPAnswer_WaitsForTruncatedAnswer(t *testing.T) {
 	const data = "$4\r\n12.5\r\n:1\r\n$2\r\n-3\r\n:0\r\n-BUSY full\r\n-ERR no such key\r\n"
 	for cut := range len(data) + 1 {
 		answers, last := parseAll([]byte(data[:cut]))
 		if last == answerMalformed {
-			t.Fatalf("cut at %d: taken for malformed", cut)
+			t.Fatalf("the data cut off at %d is malformed", cut)
 		}
 		if cut < len(data) {
 			continue
@@ -53,8 +54,9 @@
 	}
 }
 
-// TestParseRESPAnswer_Malformed: what can never become an answer is seen at once, and not waited for.
-func TestParseRESPAnswer_Malformed(t *testing.T) {
+// TestParseRESPAnswer_RejectsMalformedAnswerAtOnce checks that data that cannot become an answer is not treated as
+// incomplete.
+func TestParseRESPAnswer_RejectsMalformedAnswerAtOnce(t *testing.T) {
 	for _, data := range []string{
 		"HTTP/1.1 400", "*2\r\n", "$-1\r\n:0\r\n", "$99999999999999999999\r\n", "$3\r\nabc\r\n:1\r\n",
 		"+OK\r\n:1\r\n", "$3\r\nNaN\r\n:0\r\n",
@@ -62,13 +64,13 @@
 		answers, last := parseAll([]byte(data))
 		var networkError *dispatch.NetworkError
 		if last != answerMalformed && (len(answers) == 0 || !errors.As(answers[0].err, &networkError)) {
-			t.Errorf("%q is waited for", data)
+			t.Errorf("%q is incomplete or has a total", data)
 		}
 	}
 }
 
-// FuzzParseAnswer: no answer, in either format, makes the parser panic, wait though the buffer holds more
-// than an answer may, or run past the data.
+// FuzzParseAnswer checks for both formats that no data makes the parser panic, return a size beyond the data, or wait
+// for more bytes although the data is already longer than an answer may be.
 func FuzzParseAnswer(f *testing.F) {
 	for _, data := range []string{
 		"ok 3\r\n", "busy\r\nerror\r\n",
@@ -83,21 +85,21 @@
 	})
 }
 
-// checkParse parses data up to what is incomplete or malformed.
+// checkParse parses answers until the remaining data is incomplete or malformed, and checks their sizes.
 func checkParse(t *testing.T, format Format, data []byte) {
 	t.Helper()
 	var pending respReply
 	for {
 		got := format.parseAnswer(data, &pending)
 		if got.size < 0 || got.size > len(data) {
-			t.Fatalf("%q: %d", data, got.size)
+			t.Fatalf("parsing %q: answer size %d", data, got.size)
 		}
 		if got.status == answerMalformed {
 			return
 		}
 		if got.size == 0 {
 			if len(data) > 2*maxAnswerBytes {
-				t.Fatalf("%d bytes are waited behind", len(data))
+				t.Fatalf("%d bytes are an incomplete answer", len(data))
 			}
 			return
 		}
--- a/internal/counter/handler_panic_test.go
+++ b/internal/counter/handler_panic_test.go
@@ -8,12 +8,12 @@
 	"fawnplank/internal/dispatch"
 )
 
-// TestClient_PanicOfHandlerLosesNoOtherResult guards against a fault: where the handler panicked for one of the calls
-// that a closing connection ended, the remaining calls got no result.
-func TestClient_PanicOfHandlerLosesNoOtherResult(t *testing.T) {
+// TestClient_HandlerPanicLosesNoOtherResult guards against lost results: when the handler panicked for one of the calls
+// that ended with a connection, the remaining calls got no result.
+func TestClient_HandlerPanicLosesNoOtherResult(t *testing.T) {
 	service := startService(t)
 	received := make(results, 10)
-	client := New(Options{Address: service.address()}, callFromHandler(func(got result) {
+	client := New(Options{Address: service.address()}, resultHandlerFunc(func(got result) {
 		received <- got
 		if got.key == 1 {
 			panic("test: the handler panics")
@@ -34,13 +34,13 @@
 			t.Errorf("%+v", got)
 		}
 	}
-	client.add(1)
+	client.addOneUnit(1)
 	next := service.next(t)
-	for next.conn == lost.conn { // what was still written there
+	for next.conn == lost.conn { // calls that were still written to the lost connection
 		next = service.next(t)
 	}
 	next.answer(t, "ok 5\r\n")
 	if got := received.next(t); got != (result{1, 5, nil}) {
-		t.Errorf("after the panics: %+v", got)
+		t.Errorf("result after the panics: %+v", got)
 	}
 }
--- a/internal/counter/results.go
+++ b/internal/counter/results.go
@@ -18,15 +18,15 @@
 	err   error
 }
 
-// queue holds a key's calls whose results are not delivered yet. Results are delivered in the order of the
-// calls, even if later calls went to another address.
+// queue holds the calls for one key whose results are not delivered yet. Results are delivered in the order of
+// the calls, even if later calls went to another address.
 type queue struct {
-	connection *connection // takes the next call; nil means any connection
+	connection *connection // sends the next call; nil means that any connection may send it
 	calls      []*call
 	delivering bool // a goroutine is delivering the results of this queue
 }
 
-// endCall records the result of a call, and delivers the results that are now due for the call's key.
+// endCall records the result of a call, and delivers the results for the call's key that are now next in order.
 func (c *Client) endCall(ended *call, total float64, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -45,15 +45,15 @@
 	}
 }
 
-// deliver passes the result of a queue's call to the handler. The caller holds the lock, which is released
-// meanwhile. Results of the queue that arrive then are delivered later by this same goroutine.
+// deliver passes the result of a queue's call to the handler. The caller holds the lock, which is released while
+// the handler runs. Results for the same queue that arrive meanwhile are delivered afterwards by this goroutine.
 func (c *Client) deliver(q *queue, ended *call) {
 	q.delivering = true
 	defer func() { q.delivering = false }()
-	c.unlocked(func() { c.callHandler(ended) })
+	c.runUnlocked(func() { c.callHandler(ended) })
 }
 
-// callHandler calls the handler. A panic is logged and ends here, so that it costs no other call its result.
+// callHandler calls the handler. It recovers and logs a panic, so that the results of other calls are still delivered.
 func (c *Client) callHandler(ended *call) {
 	defer func() {
 		if cause := recover(); cause != nil {
@@ -63,8 +63,8 @@
 	c.handler.HandleCounterResult(ended.key, ended.total, ended.err)
 }
 
-// unlocked calls f with the lock released, and takes the lock again afterwards, also after a panic.
-func (c *Client) unlocked(f func()) {
+// runUnlocked calls f with the lock released, and acquires the lock again afterwards, even if f panics.
+func (c *Client) runUnlocked(f func()) {
 	c.mu.Unlock()
 	defer c.mu.Lock()
 	f()
--- a/internal/counter/stats.go
+++ b/internal/counter/stats.go
@@ -6,10 +6,10 @@
 type Stats struct {
 	// Succeeded is the number of calls that ended with a total; metric gw_counter_calls.
 	Succeeded uint64
-	// Failed is the number of calls that ended without one; metric gw_counter_failures.
+	// Failed is the number of calls that ended without a total; metric gw_counter_failures.
 	Failed uint64
-	// Outage is the time since the first failure after the last total, and 0 if there is none; metric
-	// gw_counter_outage_seconds.
+	// Outage is the time since the first failure after the last call that succeeded, and 0 if no call has failed
+	// since; metric gw_counter_outage_seconds.
 	Outage time.Duration
 }
 
@@ -22,15 +22,15 @@
 
 // resultStats counts results as they arrive.
 type resultStats struct {
-	answered     uint64
+	succeeded    uint64
 	failed       uint64
-	failingSince time.Time // time of the first failure since the last total; zero if none
+	failingSince time.Time // time of the first failure since the last success; zero if none
 }
 
-// record counts a result. An outage lasts from the first failure to the next total.
+// record counts a result. An outage lasts from the first failure to the next success.
 func (s *resultStats) record(err error) {
 	if err == nil {
-		s.answered++
+		s.succeeded++
 		s.failingSince = time.Time{}
 		return
 	}
@@ -41,7 +41,7 @@
 }
 
 func (s *resultStats) snapshot() Stats {
-	stats := Stats{Succeeded: s.answered, Failed: s.failed}
+	stats := Stats{Succeeded: s.succeeded, Failed: s.failed}
 	if !s.failingSince.IsZero() {
 		stats.Outage = time.Since(s.failingSince)
 	}
--- a/internal/counter/text_format.go
+++ b/internal/counter/text_format.go
@@ -8,10 +8,10 @@
 	"fawnplank/internal/dispatch"
 )
 
-// textAnswerStarts are the first bytes of the possible answers: ok, busy and error.
+// textAnswerStarts contains the first bytes of the possible answers: ok, busy and error.
 const textAnswerStarts = "obe"
 
-// float64Bits is the size of the units' type, in bits: as many digits are written as it needs.
+// float64Bits is the bit size that strconv needs to format and parse units exactly.
 const float64Bits = 64
 
 // appendTextCall appends the line of a call.
@@ -25,7 +25,7 @@
 	return append(buf, "\r\n"...)
 }
 
-// parseTextAnswer parses a line. It does not wait for the end of one that cannot become an answer.
+// parseTextAnswer parses a line. A line that cannot become an answer is malformed even before its end has arrived.
 func parseTextAnswer(data []byte) answer {
 	end := bytes.IndexByte(data, '\n')
 	if end >= 0 {
@@ -38,8 +38,8 @@
 	return answer{status: answerIncomplete}
 }
 
-// parseTextTotal returns the total in a line, or an error if there is none. A meaningless line leaves open whether
-// the units have been added.
+// parseTextTotal returns the total in a line, or an error if there is none. After an invalid line, it is unknown
+// whether the units have been added.
 func parseTextTotal(line []byte) (float64, error) {
 	switch string(line) {
 	case "busy", "error":
