--- a/internal/discovery/client_test.go
+++ b/internal/discovery/client_test.go
@@ -13,8 +13,8 @@
 	"fawnplank/policy"
 )
 
-// TestClient_PublishCached: the list in the configuration serves first, and the watch asks for what is new
-// since.
+// TestClient_PublishCached checks that the list in the configuration is published first, and that the watch then
+// requests the changes since its index.
 func TestClient_PublishCached(t *testing.T) {
 	client, updates, calls := startClient(t)
 	if err := client.PublishCached([]byte(list(4, true, entry("x", "up")))); err != nil {
@@ -25,13 +25,13 @@
 	}
 	client.WatchEndpoints()
 	if got := <-calls; got != watchFrom4URL {
-		t.Errorf("an instance with a list asks for %s", got)
+		t.Errorf("an instance with a cached list requests %s", got)
 	}
 }
 
-// TestClient_SetAddressStartsNewWatch: at a new address a full snapshot is asked for at once, whatever the
-// old watch was waiting for.
-func TestClient_SetAddressStartsNewWatch(t *testing.T) {
+// TestClient_ReconfigureStartsNewWatch checks that, after a change of the address, the watch requests a full snapshot
+// from the new address immediately, even while a call to the old address is in progress.
+func TestClient_ReconfigureStartsNewWatch(t *testing.T) {
 	client, updates, calls := startClient(t, list(9, true, entry("x", "up"), entry("y", "up")))
 	newCalls := make(chan string, 100)
 	newService := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -45,7 +45,7 @@
 	client.WatchEndpoints()
 	updates.next(t)
 	<-calls
-	<-calls // waits for an event
+	<-calls // the watch call, which waits for changes
 	client.Reconfigure(strings.TrimPrefix(newService.URL, "http://"), policy.Settings{DrainGrace: 6e9})
 	got := updates.next(t)
 	if got.kind != policy.FullSnapshot || len(got.endpoints) != 1 || len(got.addresses) != 1 {
@@ -57,8 +57,8 @@
 	}
 }
 
-// TestClient_RefreshReplacesWatch: with another source the discovery service is not called, and
-// WatchEndpoints makes the source publish.
+// TestClient_RefreshReplacesWatch checks that, with Options.Refresh, the discovery service is not called, and
+// WatchEndpoints makes the other source publish.
 func TestClient_RefreshReplacesWatch(t *testing.T) {
 	address, calls := startService(t)
 	r := newRecorder()
@@ -85,7 +85,7 @@
 	}
 	for n, want := range []string{"[[2001:db8::1]:80 192.0.2.1:80]", "192.0.2.2:80"} {
 		if address := got.addresses[got.endpoints[n].Backend]; address != want {
-			t.Errorf("address %s, wanted %s", address, want)
+			t.Errorf("address %s, want %s", address, want)
 		}
 	}
 	if len(calls) != 0 {
@@ -93,8 +93,9 @@
 	}
 }
 
-// TestClient_CloseEndsWatch: Close returns at once, whatever the watch is waiting for; from then on nobody is
-// notified and the service is not called. That every goroutine has ended is the bubble's own check.
+// TestClient_CloseEndsWatch checks that Close returns immediately, whatever the watch is waiting for, and that
+// afterwards the subscriber is not notified and the service is not called. The synctest bubble checks that all
+// goroutines have ended.
 func TestClient_CloseEndsWatch(t *testing.T) {
 	for _, first := range []firstCall{answered, unanswered, unfinished, unreachable} {
 		for _, after := range []time.Duration{0, 600 * time.Millisecond, 5 * time.Second} {
@@ -111,26 +112,25 @@
 	i := startInstance(t, 1, time.Second, first, lists{list(1, true, entry("s-1", "up")), snapshot, snapshot})
 	time.Sleep(after)
 	synctest.Wait()
-	updates, calls, closedAt := i.updates.Load(), i.agent.calls.Load(), time.Now()
+	updates, calls, closedAt := i.updates.Load(), i.service.calls.Load(), time.Now()
 	i.client.Close()
-	if took := time.Since(closedAt); took != 0 {
-		t.Errorf("Close took %v", took)
+	if elapsed := time.Since(closedAt); elapsed != 0 {
+		t.Errorf("Close took %v", elapsed)
 	}
 	i.client.WatchEndpoints()
 	i.client.Publish(policy.FullSnapshot, nil)
 	i.client.Reconfigure("agent:2", startupSettings(time.Second))
 	time.Sleep(time.Minute)
-	if i.updates.Load() != updates || i.agent.calls.Load() != calls {
-		t.Errorf("%d updates and %d calls after Close", i.updates.Load()-updates, i.agent.calls.Load()-calls)
+	if i.updates.Load() != updates || i.service.calls.Load() != calls {
+		t.Errorf("%d updates and %d calls after Close", i.updates.Load()-updates, i.service.calls.Load()-calls)
 	}
 }
 
-// TestClient_CloseWaitsForPublish: a list from another source that is being published when Close is called is
-// published whole, and Close returns after it.
+// TestClient_CloseWaitsForPublish checks that Close waits for a call of Publish in progress.
 func TestClient_CloseWaitsForPublish(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newRecorder()
-		r.updates = make(chan update) // a notification waits until the test takes it
+		r.updates = make(chan update) // unbuffered: a notification blocks until the test receives it
 		options := Options{Subscriber: r, AddressBook: r, Config: &config.Config{}}
 		var client *Client
 		options.Refresh = func() { client.Publish(policy.FullSnapshot, nil) }
@@ -145,11 +145,11 @@
 		synctest.Wait()
 		select {
 		case <-closed:
-			t.Error("Close does not wait")
+			t.Error("Close returned while a list was being published")
 		default:
 		}
 		<-r.updates
 		<-closed
-		client.WatchEndpoints() // would publish, and block
+		client.WatchEndpoints() // would block if it published
 	})
 }
--- a/internal/discovery/dialer_test.go
+++ b/internal/discovery/dialer_test.go
@@ -14,8 +14,8 @@
 	"fawnplank/policy"
 )
 
-// hangingPort returns a loopback port at which connections never come up: that of a listener whose queue is
-// full.
+// hangingPort returns a loopback port at which dials neither succeed nor fail: that of a listener whose accept queue
+// is full.
 func hangingPort(t *testing.T) int {
 	t.Helper()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM, 0)
@@ -41,20 +41,20 @@
 			return port
 		}
 		t.Cleanup(func() {
-			_ = conn.Close() // it only filled the queue
+			_ = conn.Close() // was opened only to fill the queue
 		})
 	}
 }
 
-// TestDialIPv4_OutageLeavesNoDialsBehind guards against a fault: in an outage in which connections to the
-// service never come up, each call left one waiting, for minutes, since the transport dials on for calls to
-// come: descriptors without end, while idle clients fill theirs.
-func TestDialIPv4_OutageLeavesNoDialsBehind(t *testing.T) {
+// TestDialIPv4_LeavesNoPendingDials guards against unbounded growth of file descriptors: during an outage in which
+// connections to the service were never established, each call left a pending dial for minutes, since the transport
+// continues dials for future calls. Idle client connections need file descriptors at the same time.
+func TestDialIPv4_LeavesNoPendingDials(t *testing.T) {
 	port := hangingPort(t)
 	r := newRecorder()
 	configuration := &config.Config{
 		Discovery: fmt.Sprintf("127.0.0.1:%d", port),
-		Settings:  policy.Settings{DrainGrace: 2e8}, // 0.1 s a call
+		Settings:  policy.Settings{DrainGrace: 2e8}, // gives each call a timeout of 0.1 s
 	}
 	client := New(Options{Subscriber: r, AddressBook: r, Config: configuration})
 	for range 12 {
@@ -65,10 +65,10 @@
 	}
 	table, err := os.ReadFile("/proc/net/tcp")
 	if err != nil {
-		t.Skip("no table of connections: ", err)
+		t.Skip("table of connections not readable: ", err)
 	}
-	connecting := fmt.Sprintf(" 0100007F:%04X 02 ", port) // the peer, and the state SYN_SENT
+	connecting := fmt.Sprintf(" 0100007F:%04X 02 ", port) // the remote address and the state SYN_SENT
 	if count := strings.Count(string(table), connecting); count > 2 {
-		t.Errorf("after 12 calls %d connections wait to come up", count)
+		t.Errorf("after 12 calls, %d dials are pending", count)
 	}
 }
--- a/internal/discovery/harness_test.go
+++ b/internal/discovery/harness_test.go
@@ -16,14 +16,14 @@
 	"fawnplank/policy"
 )
 
-// update is one that the subscriber was notified of, with the addresses that were known by then.
+// update is a notification of the subscriber, with the addresses that the address book had at that time.
 type update struct {
 	kind      policy.UpdateKind
 	endpoints []policy.Endpoint
 	addresses map[policy.BackendID]string
 }
 
-// recorder is a Subscriber and an AddressBook.
+// recorder is a Subscriber and an AddressBook that records notifications.
 type recorder struct {
 	updates   chan update
 	addresses map[policy.BackendID]string
@@ -47,8 +47,8 @@
 	r.updates <- update{kind, endpoints, maps.Clone(r.addresses)}
 }
 
-// next waits for the next update, for two seconds less than it takes until what the service publishes counts
-// as delivered.
+// next waits for the next update for 4 s. That is 2 s less than the time after which a change that the service has
+// published counts as delivered.
 func (r *recorder) next(t *testing.T) update {
 	t.Helper()
 	select {
@@ -60,18 +60,18 @@
 	}
 }
 
-// Answers of the fake service that are no lists.
+// Answers of the fake service that contain no list.
 const (
 	answerFailure = "fail"
 	answerRefusal = "refuse"
 )
 
-// startService starts a fake discovery service, which answers each call with the next of the answers, and
-// after the last not at all. It passes on the calls' URLs.
+// startService starts a fake discovery service, which answers each call with the next of the answers, and does not
+// answer further calls. It sends the URL of each call to calls.
 func startService(t *testing.T, answers ...string) (address string, calls chan string) {
 	t.Helper()
 	calls = make(chan string, 100)
-	var count atomic.Int64 // a call that is given up may still be here when the next comes
+	var count atomic.Int64 // atomic, since a canceled call may still be handled when the next one arrives
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		calls <- r.URL.String()
 		number := int(count.Add(1))
@@ -92,7 +92,7 @@
 	return strings.TrimPrefix(server.URL, "http://"), calls
 }
 
-// startClient makes a client of a fake service. A watch that has nothing new lasts two seconds.
+// startClient returns a client of a fake service. Its watch calls ask the service to wait for 2 s.
 func startClient(t *testing.T, answers ...string) (*Client, *recorder, chan string) {
 	t.Helper()
 	address, calls := startService(t, answers...)
@@ -105,7 +105,7 @@
 	return New(Options{Subscriber: r, AddressBook: r, Config: configuration}), r, calls
 }
 
-// respond writes an answer. Its client may be gone.
+// respond writes an answer. It ignores errors, since the client may have closed the connection.
 func respond(w io.Writer, text string) { _, _ = io.WriteString(w, text) }
 
 // checkCalls checks the URLs of the next calls.
@@ -113,18 +113,18 @@
 	t.Helper()
 	for number, url := range want {
 		if got := <-calls; got != url {
-			t.Errorf("call %d is %s, wanted %s", number, got, url)
+			t.Errorf("call %d is %s, want %s", number, got, url)
 		}
 	}
 }
 
-// list is a list in the service's form.
+// list returns a list in the service's format.
 func list(index int, snapshot bool, entries ...string) string {
 	return fmt.Sprintf(`{"index":%d,"snapshot":%t,"endpoints":[%s]}`,
 		index, snapshot, strings.Join(entries, ","))
 }
 
-// entry is an endpoint in a list.
+// entry returns an endpoint in the service's format.
 func entry(name, status string) string {
 	return fmt.Sprintf(`{"name":%q,"address":"10.1.0.18:6379","zone":"a","type":"m2","group":3,"status":%q,
 		"weight":1.5,"since_ms":1700000000123}`, name, status)
--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -22,29 +22,29 @@
 	Name string `json:"name"`
 	// Address is the backend's host and port. It is required unless the backend is removed.
 	Address string `json:"address"`
-	// Addresses is set only by another source than the discovery service: it holds all addresses of a backend,
-	// unless that has a single IPv4 address. If set, it replaces Address.
+	// Addresses holds all addresses of a backend, unless the backend has a single IPv4 address. Only sources other
+	// than the discovery service set it. If set, it replaces Address.
 	Addresses []netip.AddrPort `json:"-"`
 	// Zone is the name of the backend's zone.
 	Zone string `json:"zone"`
-	// Group is the group of backends that know each other's idempotency keys.
+	// Group is the group of backends that share their idempotency keys.
 	Group uint16 `json:"group"`
-	// Status is StatusUp, StatusDraining or StatusRemoved. Any other counts as StatusDraining.
+	// Status is StatusUp, StatusDraining or StatusRemoved. Any other value is treated as StatusDraining.
 	Status string `json:"status"`
 	// Weight is the backend's capacity, relative to the others.
 	Weight float64 `json:"weight"`
-	// StartedAtMillis is when the backend started, in milliseconds of Unix time. 0 means long ago.
+	// StartedAtMillis is the start time of the backend in milliseconds of Unix time. 0 means long ago.
 	StartedAtMillis float64 `json:"since_ms"`
 }
 
-// discoveryState is a list in the discovery service's format.
+// endpointList is a list in the discovery service's format.
 type endpointList struct {
 	Index     int64      `json:"index"`
 	Snapshot  bool       `json:"snapshot"` // if false, the list holds the changes since the requested index
 	Endpoints []Endpoint `json:"endpoints"`
 }
 
-// updateKind returns what a list from the service means to the engine.
+// updateKind returns the kind of the update that the engine gets for a list from the service.
 func (l *endpointList) updateKind() policy.UpdateKind {
 	if l.Snapshot {
 		return policy.FullSnapshot
@@ -52,18 +52,18 @@
 	return policy.Delta
 }
 
-// ValidateCachedList returns an error that says what is wrong with a list in the discovery service's format, such as
-// the one in the configuration. Empty text is valid.
+// ValidateCachedList returns an error if text is not a valid list in the discovery service's format, such as the one in
+// the configuration. Empty text is valid.
 func ValidateCachedList(text []byte) error {
 	if len(text) == 0 {
 		return nil
 	}
-	_, err := decodeKnown(text)
+	_, err := decodeCachedList(text)
 	return err
 }
 
-// decodeKnown decodes the list in the configuration. Its error names the list's key.
-func decodeKnown(text []byte) (*endpointList, error) {
+// decodeCachedList decodes the list in the configuration. Its error begins with the configuration key of the list.
+func decodeCachedList(text []byte) (*endpointList, error) {
 	list, err := decodeList(text)
 	if err != nil {
 		return nil, fmt.Errorf("known: %w", err)
@@ -79,15 +79,15 @@
 	}
 	seen := map[string]bool{}
 	for _, endpoint := range list.Endpoints {
-		// In a full snapshot, two entries for one backend are ambiguous, so the snapshot is refused and the last
-		// valid list stays in use. A delta may name a backend twice: its entries apply in order, but for the fault
-		// stated at publisher.publish.
+		// In a full snapshot, two entries for one backend are ambiguous, so the snapshot is rejected and the last
+		// valid list stays in use. A delta may name a backend twice: its entries apply in order.
 		if list.Snapshot && seen[endpoint.Name] {
-			return nil, fmt.Errorf("entry with name %q stands twice in a full snapshot", endpoint.Name)
+			return nil, fmt.Errorf("entry with name %q appears more than once in a full snapshot", endpoint.Name)
 		}
 		seen[endpoint.Name] = true
-		if !endpoint.isValid() { // the text names the entry, but not which part is missing or invalid: see isValid
-			return nil, fmt.Errorf("entry with name %q and address %q", endpoint.Name, endpoint.Address)
+		if !endpoint.isValid() {
+			return nil, fmt.Errorf("entry with name %q and address %q: the name is empty or the address is not host:port",
+				endpoint.Name, endpoint.Address)
 		}
 	}
 	return &list, nil
--- a/internal/discovery/poll.go
+++ b/internal/discovery/poll.go
@@ -11,11 +11,11 @@
 	"fawnplank/policy"
 )
 
-// maxListBytes bounds a list: it holds some ten thousand endpoints. A longer one is cut and fails to decode, so its
-// error is about incomplete JSON and does not mention the size.
+// maxListBytes is the maximum size of a list, enough for some ten thousand endpoints. A longer list is truncated and
+// fails to decode, so its error is about incomplete JSON and does not mention the size.
 const maxListBytes = 4 << 20
 
-// statusError is an answer of the discovery service without a list.
+// statusError is the error for an answer of the discovery service whose HTTP status is not 200.
 type statusError struct {
 	code   int
 	status string // the code with its text
@@ -23,12 +23,12 @@
 
 func (e *statusError) Error() string {
 	if e.isRefusal() {
-		return "refused: " + e.status
+		return "refused by the discovery service: " + e.status
 	}
 	return e.status
 }
 
-// isRefusal reports whether the service has no capacity for the call, and has not processed it.
+// isRefusal reports whether the service refused the call for lack of capacity, without processing it.
 func (e *statusError) isRefusal() bool {
 	return e.code == http.StatusServiceUnavailable || e.code == http.StatusTooManyRequests
 }
@@ -39,8 +39,8 @@
 	return errors.As(err, &status) && status.isRefusal()
 }
 
-// poll makes one call, for a full snapshot or for the changes since the last list, and publishes the answer. A
-// panic becomes an error, without its stack, so that the watch goes on.
+// poll makes one call, for a full snapshot or for the changes since the last list, and publishes the answer. It
+// converts a panic to an error, without the stack, so that the watch continues.
 func (c *Client) poll(ctx context.Context, state *watchState) (err error) {
 	defer func() {
 		if cause := recover(); cause != nil {
@@ -66,8 +66,9 @@
 	url    string
 }
 
-// nextCall prepares the next call, which Reconfigure cancels if the address changes. At a new address the index from
-// the old one is meaningless. The query's wait, for how long the service may hold the call, is in milliseconds.
+// nextCall prepares the next call, which Reconfigure cancels if the address changes. After a change of the address,
+// the call requests a full snapshot, since the index is valid only at the old address. The query parameter wait, the
+// time for which the service may hold the call, is in milliseconds.
 func (c *Client) nextCall(ctx context.Context, state *watchState) pollCall {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -86,8 +87,8 @@
 	return pollCall{ctx: ctx, cancel: cancel, url: url}
 }
 
-// callTimeout returns after how long a call is given up. A watch call that has no changes is answered when the
-// service has held it for as long as it was asked to, and a bit later over the network.
+// callTimeout returns the timeout of a call. If there are no changes, the service answers a watch call at the end of
+// the requested wait; WatchGrace is added for the way over the network.
 func callTimeout(timeouts policy.DiscoveryTimeouts, state *watchState) time.Duration {
 	if state.needsSnapshot {
 		return timeouts.Snapshot
@@ -95,14 +96,14 @@
 	return timeouts.Watch + timeouts.WatchGrace
 }
 
-// dialTimeout returns how long the connection for a call may take. It is no longer than a snapshot may, so that
-// a watch call does not spend its long wait on a connection that never comes up.
+// dialTimeout returns the timeout of the dial for a call. It is at most the timeout of a snapshot call, so that a
+// watch call does not spend its long wait on a connection that is never established.
 func dialTimeout(timeouts policy.DiscoveryTimeouts, call time.Duration) time.Duration {
 	return min(call, timeouts.Snapshot)
 }
 
-// fetch makes a call and returns the list in its answer. Its error is a *statusError if the service answered
-// without a list.
+// fetch makes a call and returns the list in its answer. Its error is a *statusError if the HTTP status of the answer
+// is not 200.
 func (c *Client) fetch(call pollCall) (*endpointList, error) {
 	request, err := http.NewRequestWithContext(call.ctx, http.MethodGet, call.url, nil)
 	if err != nil {
@@ -113,7 +114,7 @@
 		return nil, err
 	}
 	defer func() {
-		_ = response.Body.Close() // the list has been read or is not needed
+		_ = response.Body.Close() // the body has been read or is not needed
 	}()
 	text, err := io.ReadAll(io.LimitReader(response.Body, maxListBytes))
 	if err != nil {
--- a/internal/discovery/publisher.go
+++ b/internal/discovery/publisher.go
@@ -20,8 +20,8 @@
 	StatusRemoved:  policy.EndpointGone,
 }
 
-// publisher converts lists into updates for the engine. It keeps the ids of the listed names. Only one
-// goroutine at a time may use it.
+// publisher converts lists into updates for the engine. It keeps the ids of the listed backends. Only one goroutine
+// at a time may use it.
 type publisher struct {
 	subscriber  Subscriber
 	addressBook AddressBook
@@ -33,10 +33,11 @@
 	draining    map[policy.BackendID]bool // whether a listed backend gets no new attempts
 }
 
-// zoneIDs numbers zones: first those of the configuration, then others in order of appearance.
+// zoneIDs maps zone names to ids. The zones of the configuration get the first ids, other zones the next ones in the
+// order in which they appear.
 type zoneIDs map[string]policy.ZoneID
 
-func (z zoneIDs) of(name string) policy.ZoneID {
+func (z zoneIDs) idFor(name string) policy.ZoneID {
 	id, ok := z[name]
 	if !ok {
 		id = policy.ZoneID(len(z))
@@ -57,22 +58,23 @@
 		draining:    map[policy.BackendID]bool{},
 	}
 	for _, zone := range options.Config.Zones {
-		p.zones.of(zone)
+		p.zones.idFor(zone)
 	}
 	return p
 }
 
 func (p *publisher) hasEndpoints() bool { return len(p.listed) > 0 }
 
-// publish notifies the address book of an update, then the subscriber. Of several entries for a backend the last holds.
+// publish notifies the address book of an update, then the subscriber. If a backend has several entries, the last one
+// applies.
 func (p *publisher) publish(kind policy.UpdateKind, endpoints []Endpoint) {
 	updates := make([]policy.Endpoint, len(endpoints))
 	listed := map[policy.BackendID]bool{}
 	for i, endpoint := range endpoints {
-		updates[i] = p.register(endpoint)
+		updates[i] = p.toPolicyEndpoint(endpoint)
 		backend := updates[i].Backend
 		if updates[i].State == policy.EndpointGone {
-			p.forget(backend)
+			p.removeBackend(backend)
 			delete(listed, backend)
 			continue
 		}
@@ -80,18 +82,18 @@
 		listed[backend] = true
 	}
 	if kind != policy.Delta {
-		p.forgetAllBut(listed)
+		p.removeUnlisted(listed)
 	}
 	maps.Copy(p.listed, listed)
-	p.noteDraining(updates)
+	p.recordDraining(updates)
 	p.metrics.SetEndpoints(len(p.listed), p.countDraining())
 	p.subscriber.UpdateEndpoints(kind, updates)
 }
 
-// register converts a listed endpoint to the engine's form. It allots ids to a backend and a zone whose names are
-// new. An endpoint with an unknown status counts as draining, which is the zero state; a warning says so for each
-// such entry of every list.
-func (p *publisher) register(endpoint Endpoint) policy.Endpoint {
+// toPolicyEndpoint converts a listed endpoint to the engine's form. It assigns ids to new backends and zones. An
+// endpoint with an unknown status is treated as draining, which is the zero value of the state; a warning is logged
+// for each such entry of every list.
+func (p *publisher) toPolicyEndpoint(endpoint Endpoint) policy.Endpoint {
 	state, ok := endpointStates[endpoint.Status]
 	if !ok {
 		logging.For(logComponent).WithField(logging.Backend, endpoint.Name).
@@ -99,17 +101,17 @@
 	}
 	return policy.Endpoint{
 		Backend:   p.backendID(endpoint.Name),
-		Zone:      p.zones.of(endpoint.Zone),
+		Zone:      p.zones.idFor(endpoint.Zone),
 		Group:     policy.GroupID(endpoint.Group),
 		Weight:    endpoint.Weight,
 		State:     state,
-		StartedAt: startOf(endpoint),
+		StartedAt: startInstant(endpoint),
 	}
 }
 
-// startOf returns an endpoint's start, rounded to the microsecond: below that, a float64 of milliseconds holds
-// only noise.
-func startOf(endpoint Endpoint) policy.Instant {
+// startInstant returns an endpoint's start time, rounded to the microsecond: a float64 of milliseconds is not precise
+// below that.
+func startInstant(endpoint Endpoint) policy.Instant {
 	const microsPerMilli = 1e3
 	micros := int64(math.Round(endpoint.StartedAtMillis * microsPerMilli))
 	return monotime.FromNanos(micros * int64(time.Microsecond))
@@ -123,18 +125,18 @@
 	p.addressBook.SetAddress(backend, endpoint.Address)
 }
 
-// forgetAllBut forgets the backends that a full snapshot does not list.
-func (p *publisher) forgetAllBut(listed map[policy.BackendID]bool) {
+// removeUnlisted removes the backends that a full snapshot does not list.
+func (p *publisher) removeUnlisted(listed map[policy.BackendID]bool) {
 	for backend := range p.listed {
 		if !listed[backend] {
-			p.forget(backend)
+			p.removeBackend(backend)
 		}
 	}
 }
 
-// forget deletes everything known about a backend that is gone. Otherwise memory would grow without end,
-// since new backends keep arriving under new names.
-func (p *publisher) forget(backend policy.BackendID) {
+// removeBackend deletes all state of a backend that is no longer listed. Otherwise memory would grow without bound,
+// since new backends get new names.
+func (p *publisher) removeBackend(backend policy.BackendID) {
 	p.addressBook.RemoveBackend(backend)
 	delete(p.listed, backend)
 	delete(p.draining, backend)
@@ -142,8 +144,8 @@
 	delete(p.names, backend)
 }
 
-// noteDraining records which of the updated backends get no new attempts.
-func (p *publisher) noteDraining(updates []policy.Endpoint) {
+// recordDraining records which of the updated backends are draining and get no new attempts.
+func (p *publisher) recordDraining(updates []policy.Endpoint) {
 	for _, update := range updates {
 		if update.State == policy.EndpointGone || !p.listed[update.Backend] {
 			delete(p.draining, update.Backend)
@@ -163,9 +165,9 @@
 	return count
 }
 
-// backendID returns the id of a name: a hash of the name, since the engine needs the id to be the same on
-// every instance. If two names have the same hash, the later one gets the next free id. Instances may then
-// differ, which only makes the load less even.
+// backendID returns the id of a backend. It is a hash of the name, since the engine needs the id to be the same on
+// every instance. If two names have the same hash, the one that appears later gets the next free id. Instances may
+// then assign different ids, which only makes the load less even.
 func (p *publisher) backendID(name string) policy.BackendID {
 	if id, ok := p.ids[name]; ok {
 		return id
--- a/internal/discovery/publisher_test.go
+++ b/internal/discovery/publisher_test.go
@@ -14,17 +14,17 @@
 }
 
 func TestPublisher_IDsDoNotDependOnOrder(t *testing.T) {
-	one, _ := newTestPublisher()
-	two, _ := newTestPublisher()
-	first, second := one.backendID("s-1"), one.backendID("s-2")
-	if second != two.backendID("s-2") || first != two.backendID("s-1") || first == second {
-		t.Error("ids differ between instances")
+	publisherA, _ := newTestPublisher()
+	publisherB, _ := newTestPublisher()
+	first, second := publisherA.backendID("s-1"), publisherA.backendID("s-2")
+	if second != publisherB.backendID("s-2") || first != publisherB.backendID("s-1") || first == second {
+		t.Error("ids are equal, or differ between publishers")
 	}
 }
 
-// TestPublisher_ForgetsGoneBackends: new backends come under new names without end. Nothing is left of those
-// that are gone.
-func TestPublisher_ForgetsGoneBackends(t *testing.T) {
+// TestPublisher_RemovesStateOfGoneBackends guards against unbounded growth of memory: new backends get new names, so
+// no state of removed backends may be kept.
+func TestPublisher_RemovesStateOfGoneBackends(t *testing.T) {
 	p, r := newTestPublisher()
 	r.updates = make(chan update, 10000)
 	for n := range 5000 {
@@ -45,8 +45,8 @@
 	}
 }
 
-// TestPublisher_ListedAndRemovedInOneDelta guards against a backend that is kept for good: one that a delta listed
-// and then removed stayed among the listed ones, and in the gauge.
+// TestPublisher_ListedAndRemovedInOneDelta guards against a backend that is never removed: a backend that the same
+// delta listed and then removed remained in the list, and in the metric.
 func TestPublisher_ListedAndRemovedInOneDelta(t *testing.T) {
 	p, _ := newTestPublisher()
 	p.publish(policy.Delta, []Endpoint{
@@ -55,6 +55,6 @@
 		{Name: "s-1", Address: "127.0.0.1:1", Status: StatusRemoved},
 	})
 	if len(p.listed) != 1 {
-		t.Errorf("%d backends are listed", len(p.listed))
+		t.Errorf("%d backends are listed, want 1", len(p.listed))
 	}
 }
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -7,23 +7,23 @@
 	"fawnplank/policy"
 )
 
-// failingField is the log field that says whether the watch of the discovery service fails.
+// failingField is the log field for whether the watch of the discovery service is failing.
 const failingField = "failing"
 
 // watchState is the state that the watch keeps from one poll to the next.
 type watchState struct {
-	needsSnapshot  bool // if false, the changes since the last list are enough
+	needsSnapshot  bool // if false, the next poll requests only the changes since the last list
 	failing        bool // the last poll failed
-	addressVersion int  // of the last poll
+	addressVersion int  // addressVersion of the client at the last poll
 }
 
-// watch polls the discovery service whenever it is asked to, until a failure. It ends with ctx.
+// watch polls the discovery service from each watch request until the next failure. It returns when ctx is canceled.
 func (c *Client) watch(ctx context.Context) {
-	// With a list, however old, the changes since then are enough.
+	// If there is a list, however old, requesting the changes since its index is enough.
 	state := watchState{needsSnapshot: !c.publisher.hasEndpoints()}
 	for {
 		select {
-		case <-c.requested:
+		case <-c.watchRequested:
 			c.watchUntilFailure(ctx, &state)
 		case <-ctx.Done():
 			return
@@ -31,9 +31,9 @@
 	}
 }
 
-// watchUntilFailure polls repeatedly. On a failure it notifies the subscriber and returns: it does not wait and
-// ask again by itself, since the engine decides when. A request that Reconfigure left, however, makes watch call it
-// again at once. The end of ctx is no failure: it returns without notifying anybody.
+// watchUntilFailure polls repeatedly. On a failure it notifies the subscriber and returns: the engine decides when to
+// poll again. A remaining request from Reconfigure, however, makes watch call it again immediately. The cancellation
+// of ctx is not a failure: watchUntilFailure then returns without a notification.
 func (c *Client) watchUntilFailure(ctx context.Context, state *watchState) {
 	for {
 		err := c.poll(ctx, state)
@@ -41,7 +41,7 @@
 			return
 		}
 		if c.addressChangedSince(state) { // the poll's result is from the old address
-			c.http.CloseIdleConnections() // they are to the old address, which gets no further call
+			c.http.CloseIdleConnections() // they lead to the old address, which gets no further calls
 			continue
 		}
 		state.logOutage(err)
@@ -60,14 +60,14 @@
 	return c.addressVersion != state.addressVersion
 }
 
-// needsSnapshotAfter reports whether the poll after a failed one must ask for a full snapshot. It must if the
-// content of a lost answer is unknown. After a refusal it need not: the service did not process the call, so the
-// index is still valid, and the changes since then cost the service less than a full snapshot.
+// needsSnapshotAfter reports whether the poll after a failed one must request a full snapshot. It must if an answer
+// may have been lost, since its content is unknown. After a refusal it need not: the service did not process the call,
+// so the index is still valid, and the changes since that index cost the service less than a full snapshot.
 func (s *watchState) needsSnapshotAfter(err error) bool {
 	return s.needsSnapshot || !isRefusal(err)
 }
 
-// logOutage logs the beginning and the end of an outage, so that an outage of many polls is two entries.
+// logOutage logs only the beginning and the end of an outage, however many polls fail.
 func (s *watchState) logOutage(err error) {
 	failing := err != nil
 	if failing == s.failing {
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -21,7 +21,7 @@
 		list(7, false, entry("x", "removed")),
 		list(9, true, entry("z", "odd")))
 	client.WatchEndpoints()
-	client.WatchEndpoints() // while it watches already: there is no more than one watch
+	client.WatchEndpoints() // must not start a second watch
 	snapshot := updates.next(t)
 	x := snapshot.endpoints[0]
 	if snapshot.kind != policy.FullSnapshot || len(snapshot.addresses) != 2 || x.Zone != 1 || x.Group != 3 ||
@@ -29,27 +29,27 @@
 		x.Backend == snapshot.endpoints[1].Backend {
 		t.Errorf("%+v", snapshot)
 	}
-	if nothing := updates.next(t); nothing.kind != policy.Delta || len(nothing.endpoints) != 0 {
-		t.Errorf("%+v", nothing)
+	if emptyDelta := updates.next(t); emptyDelta.kind != policy.Delta || len(emptyDelta.endpoints) != 0 {
+		t.Errorf("%+v", emptyDelta)
 	}
 	draining := updates.next(t)
 	if draining.endpoints[0].State != policy.EndpointDraining || len(draining.addresses) != 2 {
 		t.Errorf("%+v", draining)
 	}
-	if gone := updates.next(t); gone.endpoints[0].State != policy.EndpointGone || len(gone.addresses) != 1 {
-		t.Errorf("%+v", gone)
+	if removed := updates.next(t); removed.endpoints[0].State != policy.EndpointGone || len(removed.addresses) != 1 {
+		t.Errorf("%+v", removed)
 	}
-	unknown := updates.next(t)
-	if unknown.kind != policy.FullSnapshot || unknown.endpoints[0].State != policy.EndpointDraining ||
-		len(unknown.addresses) != 1 {
-		t.Errorf("%+v", unknown)
+	unknownStatus := updates.next(t)
+	if unknownStatus.kind != policy.FullSnapshot || unknownStatus.endpoints[0].State != policy.EndpointDraining ||
+		len(unknownStatus.addresses) != 1 {
+		t.Errorf("%+v", unknownStatus)
 	}
 	checkCalls(t, calls, snapshotURL, watchFrom4URL, "/v1/endpoints?index=5&wait=2000")
 }
 
-// TestWatch_AsksForSnapshotAfterFailure: a failure breaks the watch. When the engine asks again, it is for a
-// full snapshot.
-func TestWatch_AsksForSnapshotAfterFailure(t *testing.T) {
+// TestWatch_RequestsSnapshotAfterFailure checks that the watch stops after a failure, and that the next WatchEndpoints
+// requests a full snapshot.
+func TestWatch_RequestsSnapshotAfterFailure(t *testing.T) {
 	client, updates, calls := startClient(t, answerFailure, "{",
 		list(4, true, `{"name":"x","address":"nowhere"}`),
 		list(4, true, entry("x", "up")))
@@ -70,9 +70,9 @@
 	}
 }
 
-// TestWatch_WaitsForEngineAfterRefusal guards against a fault: refused by an overbooked service, every
-// instance asked for a full snapshot ten times a second, and none ever got it. The client asks only when the
-// engine does, and then for what is new since the list that it has.
+// TestWatch_WaitsForEngineAfterRefusal guards against a retry storm: when an overloaded service refused their calls,
+// all instances requested full snapshots ten times a second, and none succeeded. The client must poll only when the
+// engine requests it, and then only for the changes since its last list.
 func TestWatch_WaitsForEngineAfterRefusal(t *testing.T) {
 	client, updates, calls := startClient(t,
 		list(4, true, entry("x", "up")), answerRefusal, answerRefusal, list(5, false))
@@ -94,27 +94,27 @@
 	checkCalls(t, calls, snapshotURL, watchFrom4URL, watchFrom4URL, watchFrom4URL)
 }
 
-// TestWatch_IsLongWhereEndpointsArePolled guards against a fault: where each call is work for the service,
-// the watches of two seconds of many instances were more than it answers; those of ten seconds, fallen
-// silent, were made anew when what they missed had counted as delivered for five.
-func TestWatch_IsLongWhereEndpointsArePolled(t *testing.T) {
+// TestWatch_TimeoutsWithPolledEndpoints guards against two faults with a service that must produce a list for each
+// call. Watch calls of 2 s from many instances were more than the service could answer. Watch calls of 10 s that got no
+// answer were retried only 5 s after the changes that they missed had counted as delivered.
+func TestWatch_TimeoutsWithPolledEndpoints(t *testing.T) {
 	configuration := &config.Config{Discovery: "127.0.0.1:1"}
 	configuration.Settings.PollEndpoints = true
 	configuration.Settings.PollTimeout = 10e9
 	got := New(Options{Config: configuration}).timeouts
 	if got.Watch < 4*time.Second || got.Watch+got.WatchGrace > 5*time.Second {
-		t.Errorf("a watch lasts %v, and is given up %v later", got.Watch, got.WatchGrace)
+		t.Errorf("a watch call waits for %v, and times out %v later", got.Watch, got.WatchGrace)
 	}
 }
 
-// TestWatch_UnansweredCallIsMadeAnewSoon guards against a fault: a watch whose answer never came left the
-// list old for twenty seconds.
-func TestWatch_UnansweredCallIsMadeAnewSoon(t *testing.T) {
+// TestWatch_RetriesUnansweredCallSoon guards against an outdated list: after a watch call that was never answered, the
+// list was not updated for 20 s.
+func TestWatch_RetriesUnansweredCallSoon(t *testing.T) {
 	client, updates, calls := startClient(t, list(4, true, entry("s-1", "up")))
 	client.WatchEndpoints()
 	updates.next(t)
 	<-calls
-	<-calls // the watch, never answered
+	<-calls // the watch call, which is never answered
 	if got := updates.next(t); got.kind != policy.UpdateFailed {
 		t.Errorf("%+v", got)
 	}
@@ -122,9 +122,9 @@
 	select {
 	case url := <-calls:
 		if url != snapshotURL {
-			t.Errorf("then %s", url)
+			t.Errorf("the next call is %s", url)
 		}
-	case <-time.After(4 * time.Second): // two less than until what the service publishes counts as delivered
-		t.Error("not asked again within four seconds")
+	case <-time.After(4 * time.Second): // 2 s before a published change counts as delivered
+		t.Error("no further call within 4 s")
 	}
 }
