--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -85,9 +85,8 @@
 			return nil, fmt.Errorf("entry with name %q appears more than once in a full snapshot", endpoint.Name)
 		}
 		seen[endpoint.Name] = true
-		if !endpoint.isValid() {
-			return nil, fmt.Errorf("entry with name %q and address %q: the name is empty or the address is not host:port",
-				endpoint.Name, endpoint.Address)
+		if !endpoint.isValid() { // the error names the entry, but not which field is missing or invalid: see isValid
+			return nil, fmt.Errorf("entry with name %q and address %q", endpoint.Name, endpoint.Address)
 		}
 	}
 	return &list, nil
