--- a/internal/dialer/address_order.go
+++ b/internal/dialer/address_order.go
@@ -6,12 +6,12 @@
 	"slices"
 )
 
-// ipv4Precedence is the precedence of ::ffff:0:0/96 in the table below. It has its own constant because netip
-// distinguishes IPv4 addresses from IPv6 addresses.
+// ipv4Precedence is the precedence of ::ffff:0:0/96 in the policy table. It is a separate constant because netip
+// does not treat IPv4 addresses as addresses in that prefix.
 const ipv4Precedence = 35
 
-// precedences is the default policy table of RFC 6724, section 2.1. A prefix stands before those that contain it.
-// Of two addresses that the host can reach, the one with the higher precedence comes first.
+// precedences is the default policy table of RFC 6724, section 2.1. Each prefix precedes the prefixes that contain
+// it. Of two addresses that the host can reach, the one with the higher precedence comes first.
 var precedences = []struct {
 	prefix     netip.Prefix
 	precedence int
@@ -36,11 +36,11 @@
 			return row.precedence
 		}
 	}
-	// Only an address with a zone gets here: no prefix contains one.
+	// Only an address with an IPv6 zone matches no prefix.
 	return 0
 }
 
-// candidate is an address to be sorted.
+// candidate is an address to be ordered.
 type candidate struct {
 	address    netip.AddrPort
 	reachable  bool
@@ -48,10 +48,10 @@
 }
 
 // OrderAddresses returns the addresses in the order in which to try them. Addresses that the host cannot reach come
-// last (RFC 6724, section 6, rule 1). The rest of the order is by precedence (rule 6), then as given (rule
-// 10). After that the address families are interleaved (RFC 8305, section 4). The rules in between, on
-// scopes, labels and prefixes, are left out, since all backends are in one network. reachable reports whether
-// the host has a route to an address; HasRoute asks the system.
+// last (RFC 6724, section 6, rule 1). Otherwise addresses are sorted by precedence (rule 6), and then keep the given
+// order (rule 10). Finally the address families are interleaved (RFC 8305, section 4). The rules in between, on
+// scopes, labels and prefixes, are not applied, since all backends are in one network. reachable reports whether the
+// host can reach an address; HasRoute is an implementation that uses the host's routes.
 func OrderAddresses(addresses []netip.AddrPort, reachable func(netip.Addr) bool) []netip.AddrPort {
 	var candidates []candidate
 	for _, address := range addresses {
@@ -61,7 +61,7 @@
 			precedence: precedenceOf(address.Addr()),
 		})
 	}
-	slices.SortStableFunc(candidates, compare)
+	slices.SortStableFunc(candidates, compareCandidates)
 	var order []netip.AddrPort
 	for len(candidates) > 0 {
 		next := 0
@@ -74,8 +74,8 @@
 	return order
 }
 
-// compare sorts reachable candidates first, then those of higher precedence.
-func compare(a, b candidate) int {
+// compareCandidates orders reachable candidates before unreachable ones, and then by descending precedence.
+func compareCandidates(a, b candidate) int {
 	if a.reachable != b.reachable {
 		if a.reachable {
 			return -1
@@ -100,13 +100,13 @@
 // discardPort is the port of the discard service. Nothing is sent to it.
 const discardPort = 9
 
-// HasRoute reports whether the host has a route to an address. It checks whether a UDP socket can be
-// connected to the address, which sends nothing.
+// HasRoute reports whether the host has a route to an address. It tests whether a UDP socket can be connected to the
+// address, which sends no packet.
 func HasRoute(address netip.Addr) bool {
 	conn, err := net.DialUDP("udp", nil, net.UDPAddrFromAddrPort(netip.AddrPortFrom(address, discardPort)))
 	if err != nil {
 		return false
 	}
-	_ = conn.Close() // the connect was all that was needed
+	_ = conn.Close() // only the result of connecting the socket matters
 	return true
 }
--- a/internal/dialer/address_order_test.go
+++ b/internal/dialer/address_order_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// parse parses addresses between spaces, and gives each a port.
-func parse(text string) []netip.AddrPort {
+// parseAddresses parses addresses separated by spaces, and adds a port to each.
+func parseAddresses(text string) []netip.AddrPort {
 	var addresses []netip.AddrPort
 	for _, address := range strings.Fields(text) {
 		addresses = append(addresses, netip.AddrPortFrom(netip.MustParseAddr(address), 80))
@@ -58,18 +58,18 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			unreachable := strings.Fields(test.unreachable)
-			got := OrderAddresses(parse(test.addresses), func(address netip.Addr) bool {
+			got := OrderAddresses(parseAddresses(test.addresses), func(address netip.Addr) bool {
 				return !slices.Contains(unreachable, address.String())
 			})
-			if !slices.Equal(got, parse(test.want)) {
-				t.Errorf("%s without %q: %v", test.addresses, test.unreachable, got)
+			if !slices.Equal(got, parseAddresses(test.want)) {
+				t.Errorf("order of %s with %q unreachable: %v", test.addresses, test.unreachable, got)
 			}
 		})
 	}
 }
 
-func TestReachable(t *testing.T) {
+func TestHasRoute(t *testing.T) {
 	if !HasRoute(netip.MustParseAddr("127.0.0.1")) {
-		t.Error("the host does not reach itself")
+		t.Error("the host has no route to its loopback address")
 	}
 }
--- a/internal/dialer/backlog_test.go
+++ b/internal/dialer/backlog_test.go
@@ -11,11 +11,11 @@
 	"fawnplank/internal/testutil"
 )
 
-// maxBacklog is how many connections fit at most into a queue that is as short as can be, and some more.
-const maxBacklog = 8
+// maxQueuedConnections is more than the number of connections that fit into an accept queue of the minimum length.
+const maxQueuedConnections = 8
 
-// hangingAddress returns an address at which a connection neither comes up nor fails: that of a listener
-// whose queue is full.
+// hangingAddress returns an address at which dials neither succeed nor fail: that of a listener whose accept queue is
+// full.
 func hangingAddress(t *testing.T) netip.AddrPort {
 	t.Helper()
 	listener := testutil.Listen(t).(*net.TCPListener)
@@ -32,15 +32,15 @@
 	}
 	address := listener.Addr().(*net.TCPAddr).AddrPort()
 	dialer := net.Dialer{Timeout: 100 * time.Millisecond}
-	for range maxBacklog {
+	for range maxQueuedConnections {
 		conn, err := dialer.DialContext(t.Context(), "tcp4", address.String())
 		if err != nil {
 			return address
 		}
 		t.Cleanup(func() {
-			_ = conn.Close() // it only filled the queue
+			_ = conn.Close() // was opened only to fill the queue
 		})
 	}
-	t.Fatal("the queue does not fill")
+	t.Fatal("the accept queue is not full")
 	return address
 }
--- a/internal/dialer/dial.go
+++ b/internal/dialer/dial.go
@@ -15,22 +15,21 @@
 	minConnectionAttemptDelay = 10 * time.Millisecond
 )
 
-// ErrNoAddress is the error of a Dial that was given no address.
+// ErrNoAddress is returned by Dial if it is called without addresses.
 var ErrNoAddress = errors.New("no address to connect to")
 
-// connectionAttemptDelay returns how long to wait for one address before the next is tried in parallel, given the
-// number of addresses and the timeout for all of them together. It is the recommended delay or less, so that
-// the last address is tried while there is still time for it.
+// connectionAttemptDelay returns the delay between the dial to one address and the parallel dial to the next. timeout
+// is the total timeout for all addresses. The delay is at most the recommended one, and shorter if otherwise too
+// little time would remain for the last address.
 func connectionAttemptDelay(addresses int, timeout time.Duration) time.Duration {
-	equalParts := timeout / time.Duration(addresses+1)
-	return min(recommendedConnectionAttemptDelay, max(equalParts, minConnectionAttemptDelay))
+	equalShare := timeout / time.Duration(addresses+1)
+	return min(recommendedConnectionAttemptDelay, max(equalShare, minConnectionAttemptDelay))
 }
 
-// Dial connects to one of the addresses. It tries them in order, and starts with the next one when one fails
-// or is not connected after a delay. It returns the first connection that is established and the index of its
-// address; other connections are closed before anything is written to them. If no address accepts, its error
-// joins those of all addresses; without an address it is ErrNoAddress. The whole call takes no longer than the timeout,
-// which must be above 0.
+// Dial connects to one of the addresses. It dials them in order, and starts the next dial when one fails or has not
+// connected after a delay. It returns the first connection that is established and the index of its address; other
+// connections are closed before anything is written to them. If all dials fail, Dial returns their errors, joined;
+// without addresses it returns ErrNoAddress. The whole call takes no longer than the timeout, which must be above 0.
 func Dial(
 	ctx context.Context, addresses []netip.AddrPort, timeout time.Duration,
 ) (conn *net.TCPConn, index int, err error) {
@@ -49,8 +48,8 @@
 		case result := <-r.results:
 			r.ended++
 			if result.err == nil {
-				cancel() // before closeLate starts, since it waits for the other dials to end
-				go r.closeLate()
+				cancel() // before closeLateConnections, which waits for the other dials to end
+				go r.closeLateConnections()
 				return result.conn.(*net.TCPConn), result.index, nil
 			}
 			errs = append(errs, result.err)
@@ -65,7 +64,8 @@
 	}
 }
 
-// race is a set of dials of which the first that connects wins. One goroutine uses it, but for sending results.
+// race is a set of parallel dials, of which the first that connects is used. Only one goroutine uses a race; the dials
+// only send to results.
 type race struct {
 	addresses []netip.AddrPort
 	results   chan dialResult
@@ -73,7 +73,7 @@
 	ended     int // dials whose results have been received
 }
 
-// dialResult is the result of a dial to the address with that index.
+// dialResult is the result of the dial to the address with the given index.
 type dialResult struct {
 	conn  net.Conn
 	index int
@@ -98,9 +98,9 @@
 	}()
 }
 
-// closeLate receives the outstanding results and closes the connections in them. Its goroutine ends when the
-// canceled dials have, which is at once; nobody waits for it.
-func (r *race) closeLate() {
+// closeLateConnections receives the outstanding results and closes the connections in them. No goroutine waits for it:
+// it returns when the canceled dials have ended, which is immediately.
+func (r *race) closeLateConnections() {
 	for range r.started - r.ended {
 		if late := <-r.results; late.conn != nil {
 			_ = late.conn.Close() // nothing was written to it
--- a/internal/dialer/dial_test.go
+++ b/internal/dialer/dial_test.go
@@ -11,22 +11,22 @@
 	"fawnplank/internal/testutil"
 )
 
-// TestDial_HangingAddressTakesPartOfTimeout: an address that hangs, one that refuses, and one that answers
-// are one backend. The one that answers is reached well within the timeout.
-func TestDial_HangingAddressTakesPartOfTimeout(t *testing.T) {
-	answers := testutil.Listen(t).Addr().(*net.TCPAddr).AddrPort()
-	refuses := netip.MustParseAddrPort(testutil.FreeAddress(t))
-	addresses := []netip.AddrPort{hangingAddress(t), refuses, answers}
+// TestDial_HangingAddressLeavesTimeForOthers checks that Dial connects to the only accepting address well within the
+// timeout if the dial to another address hangs and a third address refuses connections.
+func TestDial_HangingAddressLeavesTimeForOthers(t *testing.T) {
+	accepting := testutil.Listen(t).Addr().(*net.TCPAddr).AddrPort()
+	refusing := netip.MustParseAddrPort(testutil.FreeAddress(t))
+	addresses := []netip.AddrPort{hangingAddress(t), refusing, accepting}
 	start := time.Now()
 	conn, index, err := Dial(t.Context(), addresses, 2*time.Second)
 	if err != nil || index != 2 {
 		t.Fatalf("%d, %v", index, err)
 	}
 	t.Cleanup(func() {
-		_ = conn.Close() // nothing was written on it
+		_ = conn.Close() // nothing was written to it
 	})
 	if elapsed := time.Since(start); elapsed > time.Second {
-		t.Errorf("took %v of two seconds", elapsed)
+		t.Errorf("Dial took %v of the timeout of 2 s", elapsed)
 	}
 	start = time.Now()
 	_, _, err = Dial(t.Context(), addresses[:2], 300*time.Millisecond)
@@ -34,7 +34,7 @@
 		t.Errorf("%v after %v", err, time.Since(start))
 	}
 	if !errors.Is(err, syscall.ECONNREFUSED) {
-		t.Errorf("%v does not say that an address refuses", err)
+		t.Errorf("error %v does not include the refused connection", err)
 	}
 }
 
@@ -48,12 +48,13 @@
 		{5, 0, 10 * time.Millisecond},
 	} {
 		if got := connectionAttemptDelay(test.addresses, test.timeout); got != test.want {
-			t.Errorf("%d addresses in %v: %v, wanted %v", test.addresses, test.timeout, got, test.want)
+			t.Errorf("delay for %d addresses in %v: %v, want %v", test.addresses, test.timeout, got, test.want)
 		}
 	}
 }
 
-// TestDial_NoAddressesIsAnError guards against a crash: without an address there was neither a connection nor an error.
+// TestDial_NoAddressesIsAnError guards against a crash: without addresses, Dial returned neither a connection nor an
+// error.
 func TestDial_NoAddressesIsAnError(t *testing.T) {
 	conn, _, err := Dial(t.Context(), nil, 100*time.Millisecond)
 	if conn != nil || !errors.Is(err, ErrNoAddress) {
--- a/internal/membudget/budget.go
+++ b/internal/membudget/budget.go
@@ -1,8 +1,8 @@
-// Package membudget bounds the total memory that all connections of a process hold for large values. A reader
-// that would exceed the budget waits until another reader releases some of it.
+// Package membudget limits the total memory that all connections of a process hold for large values. A reader
+// that would exceed the budget waits until other readers release enough of it.
 //
-// A Budget only counts bytes, so what is acquired must be released. All methods are safe for concurrent use.
-// They may also be called on a nil *Budget, which bounds nothing.
+// A Budget only counts bytes: all bytes that are acquired must be released. All methods are safe for concurrent
+// use. They may also be called on a nil *Budget, which has no limit.
 package membudget
 
 import (
@@ -12,7 +12,7 @@
 	"golang.org/x/sync/semaphore"
 )
 
-// Budget is a number of bytes that may be held at once.
+// Budget is a limit for the number of bytes that may be held at the same time.
 type Budget struct {
 	bytes int64
 	free  *semaphore.Weighted
@@ -24,15 +24,15 @@
 	return &Budget{bytes: bytes, free: semaphore.NewWeighted(bytes)}
 }
 
-// Acquire waits until the deadline for the given number of bytes, and returns how many the caller must
-// release. A request for more than the whole budget waits for, and gets, the whole budget. ok is false if the
-// bytes were not free in time. Those who wait are served in the order in which they came.
+// Acquire waits until the given number of bytes is free, and acquires them. It returns the number of bytes that the
+// caller must release: if more than the whole budget is requested, Acquire waits for, and acquires, the whole budget.
+// ok is false if the bytes were not free before the deadline. Waiting callers are served in the order of their calls.
 func (b *Budget) Acquire(bytes int64, deadline time.Time) (acquired int64, ok bool) {
 	if b == nil || bytes <= 0 {
 		return 0, true
 	}
 	bytes = min(bytes, b.bytes)
-	if b.free.TryAcquire(bytes) { // the ordinary case needs no timer
+	if b.free.TryAcquire(bytes) { // avoids a timer in the usual case
 		return bytes, true
 	}
 	ctx, cancel := context.WithDeadline(context.Background(), deadline)
@@ -43,7 +43,7 @@
 	return bytes, true
 }
 
-// Release returns bytes to the budget; pass the number that Acquire returned.
+// Release returns bytes to the budget. The number must be the one that Acquire returned.
 func (b *Budget) Release(bytes int64) {
 	if b != nil && bytes > 0 {
 		b.free.Release(bytes)
--- a/internal/retryaccept/retryaccept.go
+++ b/internal/retryaccept/retryaccept.go
@@ -1,6 +1,6 @@
-// Package retryaccept keeps servers accepting while the system refuses a descriptor or memory for a while
-// (ENFILE, ENOBUFS, ECONNABORTED and others). The servers of other packages end, or pause for up to a second,
-// at an error of Accept.
+// Package retryaccept retries failed accepts, so that servers continue after temporary failures, such as a shortage
+// of file descriptors or memory (ENFILE, ENOBUFS, ECONNABORTED and others). The servers of other packages stop, or
+// pause for up to a second, when Accept returns an error.
 //
 // A Listener owns the listener that it wraps. Its methods are safe for concurrent use.
 package retryaccept
@@ -15,13 +15,13 @@
 	"fawnplank/internal/logging"
 )
 
-// RetryDelay is the pause after a failed accept. If the process is out of descriptors, some are freed soon.
+// RetryDelay is the delay after a failed accept. If the process has no free file descriptors, some are closed soon.
 const RetryDelay = 10 * time.Millisecond
 
 // Listener is a listener whose Accept fails only once the listener is closed or its deadline has passed.
 type Listener struct {
 	net.Listener
-	component string      // of the owner, for the log
+	component string      // component of the owner in the log
 	failing   atomic.Bool // the last accept failed
 }
 
@@ -30,16 +30,16 @@
 	return &Listener{Listener: listener, component: component}
 }
 
-// Accept waits for a connection. After a failure it pauses for Delay and tries again, which guards against a server
-// that stops accepting for good over an outage of descriptors or memory. It returns an error once the listener is
-// closed (net.ErrClosed) or its deadline has passed (os.ErrDeadlineExceeded). While accepts fail, the deadline does not
-// end it: connections may be waiting that could not be accepted so far.
+// Accept waits for a connection. After a failure it waits for RetryDelay and retries, so that a temporary shortage of
+// file descriptors or memory does not make a server stop accepting for good. It returns an error once the listener is
+// closed (net.ErrClosed) or its deadline has passed (os.ErrDeadlineExceeded). While accepts fail, the deadline has no
+// effect, since connections that could not be accepted may still be waiting.
 func (l *Listener) Accept() (net.Conn, error) {
 	for {
 		conn, err := l.Listener.Accept()
 		switch {
 		case err == nil:
-			l.recovered()
+			l.recordSuccess()
 			return conn, nil
 		case errors.Is(err, net.ErrClosed):
 			return nil, err
@@ -48,7 +48,7 @@
 				return nil, err
 			}
 		default:
-			l.failed(err)
+			l.recordFailure(err)
 		}
 		time.Sleep(RetryDelay)
 	}
@@ -57,16 +57,16 @@
 // Failing reports whether the last accept failed, so that connections may be waiting to be accepted.
 func (l *Listener) Failing() bool { return l.failing.Load() }
 
-// failed logs the first failure of an outage.
-func (l *Listener) failed(err error) {
+// recordFailure records a failed accept, and logs the first failure of an outage.
+func (l *Listener) recordFailure(err error) {
 	if !l.failing.Swap(true) {
 		logging.For(l.component).WithError(err).Warn("accept failed")
 	}
 }
 
-// recovered logs the end of an outage.
-func (l *Listener) recovered() {
+// recordSuccess records a successful accept, and logs the end of an outage.
+func (l *Listener) recordSuccess() {
 	if l.failing.Swap(false) {
-		logging.For(l.component).Info("accept works again")
+		logging.For(l.component).Info("accept succeeded after failures")
 	}
 }
--- a/internal/retryaccept/retryaccept_test.go
+++ b/internal/retryaccept/retryaccept_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// scriptedListener returns one result for each call of Accept, and at the end that it is closed.
+// scriptedListener returns the given results, one for each call of Accept, and then net.ErrClosed.
 type scriptedListener struct {
 	net.Listener
 	results []error
@@ -28,36 +28,36 @@
 	return nil, &net.OpError{Op: "accept", Err: result}
 }
 
-func TestListener_AcceptsAcrossFailures(t *testing.T) {
+func TestListener_RetriesFailedAccepts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		listener := New(&scriptedListener{results: []error{
 			syscall.ENFILE, syscall.ENOBUFS, syscall.EPROTO, nil, nil,
 		}}, "test")
 		start := time.Now()
 		if _, err := listener.Accept(); err != nil || time.Since(start) != 3*RetryDelay {
-			t.Errorf("%v after %v", err, time.Since(start))
+			t.Errorf("accept returned error %v after %v", err, time.Since(start))
 		}
 		if _, err := listener.Accept(); err != nil || listener.Failing() {
 			t.Errorf("%v, failing %t", err, listener.Failing())
 		}
 		if _, err := listener.Accept(); !errors.Is(err, net.ErrClosed) {
-			t.Errorf("at the end: %v", err)
+			t.Errorf("accept on the closed listener: %v", err)
 		}
 	})
 }
 
-// TestListener_DeadlineDoesNotEndAnOutage: connections that wait while accepts fail are accepted, also if the
-// deadline passes meanwhile.
-func TestListener_DeadlineDoesNotEndAnOutage(t *testing.T) {
+// TestListener_IgnoresDeadlineWhileFailing checks that connections that wait while accepts fail are accepted
+// afterwards, even if the deadline has passed meanwhile.
+func TestListener_IgnoresDeadlineWhileFailing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		listener := New(&scriptedListener{results: []error{
 			syscall.ENFILE, os.ErrDeadlineExceeded, os.ErrDeadlineExceeded, nil, os.ErrDeadlineExceeded,
 		}}, "test")
 		if _, err := listener.Accept(); err != nil {
-			t.Errorf("after the outage: %v", err)
+			t.Errorf("accept after the outage: %v", err)
 		}
 		if _, err := listener.Accept(); !errors.Is(err, os.ErrDeadlineExceeded) {
-			t.Errorf("at the deadline: %v", err)
+			t.Errorf("accept at the deadline: %v", err)
 		}
 	})
 }
--- a/internal/sock/poll.go
+++ b/internal/sock/poll.go
@@ -9,7 +9,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// pendingInput is what the next read would find.
+// pendingInput is the kind of input that the next read would return.
 type pendingInput uint8
 
 const (
@@ -20,11 +20,11 @@
 
 func (p pendingInput) String() string { return [...]string{"nothing", "bytes", "end"}[p] }
 
-// HasPendingBytes reports whether there are bytes to be read. It does not wait, even while another goroutine
-// reads. It must not be called concurrently with itself.
+// HasPendingBytes reports whether there are bytes to read. It does not wait, even while another goroutine reads.
+// It must not be called concurrently with itself.
 func (c *Conn) HasPendingBytes() bool { return c.peek() == bytesPending }
 
-// peek returns what the next read would find.
+// peek returns the kind of input that the next read would return, without reading it.
 func (c *Conn) peek() pendingInput {
 	if c.raw.Control(c.peekCallback) != nil {
 		return endPending
@@ -32,7 +32,7 @@
 	return c.peeked
 }
 
-// tryPeek checks for a byte without consuming it.
+// tryPeek sets peeked: it peeks at the next byte without consuming it.
 func (c *Conn) tryPeek(fd uintptr) {
 	var b [1]byte
 	n, _, errno := syscall.RawSyscall6(syscall.SYS_RECVFROM, fd, uintptr(unsafe.Pointer(&b[0])), 1,
@@ -51,9 +51,9 @@
 
 // HungUp reports whether the peer has closed the connection or its sending side. It does not wait, and may be
 // called concurrently with any other method.
-func (c *Conn) HungUp() (gone bool) {
-	err := c.raw.Control(func(fd uintptr) { gone = hungUp(fd) })
-	return err != nil || gone
+func (c *Conn) HungUp() (closed bool) {
+	err := c.raw.Control(func(fd uintptr) { closed = hungUp(fd) })
+	return err != nil || closed
 }
 
 // AwaitHangUp waits, in place of a reader and without consuming any bytes, until the peer has closed the
@@ -65,10 +65,10 @@
 // hungUp reports whether the peer has closed the connection or its sending side, even if unread bytes precede
 // that.
 func hungUp(fd uintptr) bool {
-	polled := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLRDHUP}}
-	n, err := unix.Poll(polled, 0)
-	for errors.Is(err, unix.EINTR) { // taken for no hang-up, it would be missed: there is no further event
-		n, err = unix.Poll(polled, 0)
+	pollFDs := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLRDHUP}}
+	n, err := unix.Poll(pollFDs, 0)
+	for errors.Is(err, unix.EINTR) { // an interrupted poll must be repeated, since the hang-up causes no further event
+		n, err = unix.Poll(pollFDs, 0)
 	}
-	return err == nil && n > 0 && polled[0].Revents&(unix.POLLRDHUP|unix.POLLHUP|unix.POLLERR) != 0
+	return err == nil && n > 0 && pollFDs[0].Revents&(unix.POLLRDHUP|unix.POLLHUP|unix.POLLERR) != 0
 }
--- a/internal/sock/read.go
+++ b/internal/sock/read.go
@@ -7,9 +7,9 @@
 	"unsafe"
 )
 
-// Read reads the available bytes, and waits if there are none, until the read deadline (os.ErrDeadlineExceeded). It
-// returns io.EOF at the end of the connection, and where the guard refuses the read. b must not be empty. Only one
-// goroutine at a time may call Read or AwaitHangUp.
+// Read reads the available bytes. If there are none, it waits for them until the read deadline
+// (os.ErrDeadlineExceeded). It returns io.EOF at the end of the connection, and also if the guard refuses the read. b
+// must not be empty. Only one goroutine at a time may call Read or AwaitHangUp.
 func (c *Conn) Read(b []byte) (int, error) {
 	c.readBuffer = b
 	c.readWaited = false
@@ -26,8 +26,8 @@
 	return c.readBytes, nil
 }
 
-// tryRead makes one attempt to read, enclosed in the calls of the guard if there is one. It returns false if
-// there is nothing to read yet.
+// tryRead makes one attempt to read, between the guard's BeforeRead and AfterRead if there is a guard. It returns
+// false if there is nothing to read yet.
 func (c *Conn) tryRead(fd uintptr) (done bool) {
 	if c.guard != nil {
 		if !c.guard.BeforeRead() {
@@ -55,14 +55,14 @@
 	}
 }
 
-// LastReadWaited reports whether the last read had to wait. If not, the bytes that it read may have been
-// there for a long time. Only the reader may call it.
+// LastReadWaited reports whether the last read had to wait. If not, the bytes that it read may have arrived long
+// before. Only the goroutine that reads may call it.
 func (c *Conn) LastReadWaited() bool { return c.readWaited }
 
-// MarkConsumed marks everything read so far as consumed: it belongs to an exchange that is over.
+// MarkConsumed marks everything read so far as consumed, because it belongs to an exchange that has ended.
 func (c *Conn) MarkConsumed() { c.unconsumed.Store(false) }
 
-// IsConsumed reports whether nothing has arrived since MarkConsumed, neither read nor pending. It checks for
-// pending bytes first: bytes that are no longer pending at that time have been read before, which the mark
-// shows. It must not be called concurrently with itself or HasPendingBytes; it may be called during a read.
+// IsConsumed reports whether no input has arrived since MarkConsumed, neither read nor pending. It checks for pending
+// input first: input that has arrived and is no longer pending has already been read, and is marked as unconsumed.
+// It must not be called concurrently with itself or HasPendingBytes; it may be called during a read.
 func (c *Conn) IsConsumed() bool { return c.peek() == nothingPending && !c.unconsumed.Load() }
--- a/internal/sock/sock_test.go
+++ b/internal/sock/sock_test.go
@@ -12,8 +12,8 @@
 	"fawnplank/internal/testutil"
 )
 
-// dialPair gives the two ends of a connection.
-func dialPair(t *testing.T) (*Conn, net.Conn) {
+// connectedPair returns the two ends of a connection.
+func connectedPair(t *testing.T) (*Conn, net.Conn) {
 	t.Helper()
 	listener := testutil.Listen(t)
 	c, err := Dial(t.Context(), listener.Addr().String(), time.Second)
@@ -25,34 +25,35 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() {
-		// The test may have closed either already.
+		// The test may already have closed either end.
 		_ = c.Close()
 		_ = peer.Close()
 	})
 	return c, peer
 }
 
-// mustSucceed ends the test if a step of the test itself fails.
-func mustSucceed(t *testing.T, err error) {
+// requireNoError ends the test if a step that must succeed fails.
+func requireNoError(t *testing.T, err error) {
 	t.Helper()
 	if err != nil {
 		t.Fatal(err)
 	}
 }
 
-// readAll passes on all that comes until the peer ends its sending.
+// readAll reads until the peer closes its sending side, and sends all bytes to the returned channel.
 func readAll(r io.Reader) <-chan []byte {
 	received := make(chan []byte, 1)
 	go func() {
-		all, _ := io.ReadAll(r) // what is missing shows in the bytes
+		all, _ := io.ReadAll(r) // the comparison of the bytes detects a failed read
 		received <- all
 	}()
 	return received
 }
 
-// Parts far larger than a socket's buffers arrive complete and in order, at a slow reader too.
-func TestConn_WritePartsComeOutWhole(t *testing.T) {
-	c, peer := dialPair(t)
+// TestConn_WriteBuffersWritesAllBytes checks that buffers far larger than those of a socket arrive complete and in
+// order, even if the reader starts late.
+func TestConn_WriteBuffersWritesAllBytes(t *testing.T) {
+	c, peer := connectedPair(t)
 	large := bytes.Repeat([]byte("0123456789"), 1<<20)
 	want := append(append([]byte("head"), large...), "tail"...)
 	received := make(chan []byte)
@@ -64,37 +65,38 @@
 	if n != int64(len(want)) || err != nil {
 		t.Errorf("%d of %d bytes, %v", n, len(want), err)
 	}
-	mustSucceed(t, c.Close())
+	requireNoError(t, c.Close())
 	if !bytes.Equal(<-received, want) {
-		t.Error("other bytes arrived")
+		t.Error("the received bytes differ from the written ones")
 	}
 }
 
-// A write that fails returns how many bytes were written: fewer than all means that nothing ran.
-func TestConn_FailedWriteReturnsHowFarItCame(t *testing.T) {
-	c, _ := dialPair(t)
+// TestConn_FailedWriteReturnsBytesWritten checks the number of bytes that a failed write returns. Callers rely on it:
+// if not all bytes of a command were written, the peer has not executed the command.
+func TestConn_FailedWriteReturnsBytesWritten(t *testing.T) {
+	c, _ := connectedPair(t)
 	large := make([]byte, 64<<20)
-	mustSucceed(t, c.SetWriteDeadline(time.Now().Add(50*time.Millisecond)))
+	requireNoError(t, c.SetWriteDeadline(time.Now().Add(50*time.Millisecond)))
 	n, err := c.WriteBuffers([]byte("head"), large)
 	if !errors.Is(err, os.ErrDeadlineExceeded) || n < 4 || n >= int64(len(large)) {
 		t.Errorf("%d bytes, %v", n, err)
 	}
-	mustSucceed(t, c.Close())
+	requireNoError(t, c.Close())
 	if n, err := c.WriteBuffers([]byte("x")); n != 0 || err == nil {
-		t.Errorf("after the end: %d bytes, %v", n, err)
+		t.Errorf("write after Close: %d bytes, error %v", n, err)
 	}
 }
 
-func TestConn_ReadWaitsAndReturnsTheEnd(t *testing.T) {
-	c, peer := dialPair(t)
+func TestConn_ReadWaitsAndReturnsEOF(t *testing.T) {
+	c, peer := connectedPair(t)
 	buffer := make([]byte, 10)
-	mustSucceed(t, c.SetReadDeadline(time.Now().Add(20*time.Millisecond)))
+	requireNoError(t, c.SetReadDeadline(time.Now().Add(20*time.Millisecond)))
 	if _, err := c.Read(buffer); !errors.Is(err, os.ErrDeadlineExceeded) {
 		t.Errorf("%v", err)
 	}
-	mustSucceed(t, c.SetReadDeadline(time.Time{}))
+	requireNoError(t, c.SetReadDeadline(time.Time{}))
 	time.AfterFunc(20*time.Millisecond, func() {
-		// Where these fail the reads do not give what they should.
+		// If these fail, the reads below return other results than expected.
 		_, _ = peer.Write([]byte("hello"))
 		_ = peer.Close()
 	})
@@ -106,30 +108,30 @@
 	}
 }
 
-// io.Copy between two of these goes through their own Read and Write, never through net.TCPConn's ReadFrom or
-// WriteTo, which would splice; all bytes arrive, in order.
+// TestConn_CopyWithoutSplice checks that io.Copy between two Conns uses their Read and Write methods, and not ReadFrom
+// or WriteTo of net.TCPConn, which would call splice, and that all bytes arrive in order.
 func TestConn_CopyWithoutSplice(t *testing.T) {
-	from, sender := dialPair(t)
-	to, receiver := dialPair(t)
+	from, sender := connectedPair(t)
+	to, receiver := connectedPair(t)
 	if _, ok := any(from).(io.WriterTo); !ok {
-		t.Fatal("Conn has no WriteTo of its own")
+		t.Fatal("Conn does not implement io.WriterTo")
 	}
 	want := make([]byte, 1<<20)
 	for i := range want {
 		want[i] = byte(i * 7)
 	}
-	mustSucceed(t, from.SetDeadline(time.Now().Add(5*time.Second)))
+	requireNoError(t, from.SetDeadline(time.Now().Add(5*time.Second)))
 	go func() {
-		// Where these fail other bytes arrive.
+		// If these fail, the received bytes differ from those in want.
 		_, _ = sender.Write(want)
 		_ = sender.Close()
 	}()
 	received := readAll(receiver)
 	if n, err := io.Copy(to, from); err != nil || n != int64(len(want)) {
-		t.Fatalf("copied %d of %d: %v", n, len(want), err)
+		t.Fatalf("copied %d of %d bytes, error %v", n, len(want), err)
 	}
-	mustSucceed(t, to.CloseWrite())
+	requireNoError(t, to.CloseWrite())
 	if got := <-received; !bytes.Equal(got, want) {
-		t.Fatalf("%d bytes arrived, not the %d sent", len(got), len(want))
+		t.Fatalf("the %d received bytes differ from the %d sent", len(got), len(want))
 	}
 }
--- a/internal/sock/write.go
+++ b/internal/sock/write.go
@@ -37,8 +37,8 @@
 	return int(n), err
 }
 
-// tryWrite writes until everything is written or the write fails. It returns false if the socket is full
-// first.
+// tryWrite writes until everything is written or the write fails. It returns false if the socket's send buffer is full
+// before that.
 func (c *Conn) tryWrite(fd uintptr) (done bool) {
 	first := 0
 	for first < c.vectorCount {
@@ -62,8 +62,8 @@
 	return true
 }
 
-// skipWritten advances the vectors by n written bytes. first is the index of the first vector that is not
-// completely written; skipWritten returns the new index.
+// skipWritten advances the vectors by n written bytes. first is the index of the first vector that was not completely
+// written before; skipWritten returns the index of the first that is not completely written now.
 func (c *Conn) skipWritten(first int, n uint64) int {
 	for first < c.vectorCount && n >= c.writeVectors[first].Len {
 		n -= c.writeVectors[first].Len
