--- a/internal/counter/client_test.go
+++ b/internal/counter/client_test.go
@@ -255,9 +255,9 @@
 		t.Errorf("stats before the first call: %+v", got)
 	}
 	for _, test := range []struct {
-		answer           string
-		answered, failed uint64
-		outage           bool
+		answer            string
+		succeeded, failed uint64
+		outage            bool
 	}{
 		{"busy\r\n", 0, 1, true},
 		{"error\r\n", 0, 2, true},
@@ -268,7 +268,7 @@
 		call.answer(t, test.answer)
 		received.next(t)
 		got := client.Stats()
-		if got.Succeeded != test.answered || got.Failed != test.failed || got.Outage > 0 != test.outage {
+		if got.Succeeded != test.succeeded || got.Failed != test.failed || got.Outage > 0 != test.outage {
 			t.Errorf("stats after answer %q: %+v", test.answer, got)
 		}
 	}
--- a/internal/retryaccept/retryaccept.go
+++ b/internal/retryaccept/retryaccept.go
@@ -31,9 +31,9 @@
 }
 
 // Accept waits for a connection. After a failure it waits for RetryDelay and retries, so that a temporary shortage of
-// file descriptors or memory does not make a server stop accepting for good. It returns an error once the listener is
-// closed (net.ErrClosed) or its deadline has passed (os.ErrDeadlineExceeded). While accepts fail, the deadline has no
-// effect, since connections that could not be accepted may still be waiting.
+// file descriptors or memory does not stop a server permanently. It returns an error once the listener is closed
+// (net.ErrClosed) or its deadline has passed (os.ErrDeadlineExceeded). While accepts fail, the deadline has no effect,
+// since connections that could not be accepted may still be waiting.
 func (l *Listener) Accept() (net.Conn, error) {
 	for {
 		conn, err := l.Listener.Accept()
