--- a/internal/frontend/connection.go
+++ b/internal/frontend/connection.go
@@ -17,7 +17,7 @@
 // therefore either observes that the byte was read or prevents it from being read. All transitions:
 //
 //	machine  from        event                                  to                effect
-//	input    idle        After: bytes were read                 unhandled         the reader handles the bytes
+//	input    idle       AfterRead: bytes were read                 unhandled         the reader handles the bytes
 //	input    unhandled   inputHandled: complete commands done   idle              a waiting accept is woken
 //	input    idle        closeInput, with no pending command    closed            the reader lingers and ends
 //	input    unhandled   closeInput                             unhandled         the bytes read are still handled
