--- a/cmd/fawnplank/accounts.go
+++ b/cmd/fawnplank/accounts.go
@@ -67,9 +67,9 @@
 func newExportSink(settings config.Billing) billingservice.Sink {
 	switch {
 	case settings.ExportFolder != "":
-		return billingservice.Folder(settings.ExportFolder)
+		return billingservice.FolderSink(settings.ExportFolder)
 	case settings.ExportURL != "":
-		return billingservice.NewReceiver(settings.ExportURL)
+		return billingservice.NewHTTPSink(settings.ExportURL)
 	default:
 		return nil
 	}
--- a/internal/billing/account.go
+++ b/internal/billing/account.go
@@ -10,9 +10,9 @@
 // Account is a tenant's account. No operation modifies it: each returns a new one, so an account is safe for
 // concurrent use. After an error, the returned account is not to be stored.
 type Account struct {
-	Tenant  string       `json:"gestoria"`
-	Changes []PlanChange `json:"changes,omitempty"` // ordered by their moments
-	Windows []Window     `json:"windows,omitempty"` // open or not yet exported, in order
+	Tenant      string       `json:"gestoria"`
+	PlanChanges []PlanChange `json:"changes,omitempty"` // ordered by their moments
+	Windows     []Window     `json:"windows,omitempty"` // open or not yet exported, in order
 	// Reservations holds the reservations in force, by id.
 	Reservations map[string]Reservation `json:"holds,omitempty"`
 	// EndedReservations maps the id of each ended reservation to the moment (unix ns) until which it is
@@ -25,11 +25,11 @@
 // The reasons for rejecting an operation. Each error that an operation returns wraps one of them and names its
 // subject. Clients read the texts.
 var (
-	// ErrUnknown reports that there is no plan, plan change or reservation of the given name or id.
-	ErrUnknown = errors.New("is not known")
+	// ErrNotFound reports that there is no plan, plan change or reservation of the given name or id.
+	ErrNotFound = errors.New("is not known")
 	// ErrConflict reports that an id, or the moment of a plan change, is in use already.
 	ErrConflict = errors.New("is taken")
-	// ErrTooSoon reports that a plan change lies less than Settings.ChangeNoticeNanos ahead.
+	// ErrTooSoon reports that a plan change lies less than Settings.PlanChangeNoticeNanos ahead.
 	ErrTooSoon = errors.New("is too soon")
 	// ErrExpired reports that a reservation or its lease has ended, or that a plan change can no longer be
 	// canceled.
@@ -64,10 +64,10 @@
 
 // clone copies everything that an operation may change, with maps that can be written to.
 func (a Account) clone() Account {
-	a.Changes = slices.Clone(a.Changes)
+	a.PlanChanges = slices.Clone(a.PlanChanges)
 	a.Windows = slices.Clone(a.Windows)
 	for n := range a.Windows {
-		a.Windows[n].Used = maps.Clone(a.Windows[n].Used)
+		a.Windows[n].UnexportedByPlan = maps.Clone(a.Windows[n].UnexportedByPlan)
 	}
 	a.Reservations = maps.Clone(a.Reservations)
 	if a.Reservations == nil {
@@ -82,5 +82,5 @@
 
 // IsEmpty reports whether there is nothing to store.
 func (a Account) IsEmpty() bool {
-	return len(a.Changes)+len(a.Windows)+len(a.Reservations)+len(a.EndedReservations) == 0
+	return len(a.PlanChanges)+len(a.Windows)+len(a.Reservations)+len(a.EndedReservations) == 0
 }
--- a/internal/billing/conservation_test.go
+++ b/internal/billing/conservation_test.go
@@ -14,10 +14,10 @@
 	settings     Settings
 	account      Account
 	nextSequence uint64
-	used         Units            // recorded and committed
-	exported     map[string]Units // by plan
-	reserved     map[string]Units // by reservation
-	committed    map[string]Units // by reservation
+	used         MicroUnits            // recorded and committed
+	exported     map[string]MicroUnits // by plan
+	reserved     map[string]MicroUnits // by reservation
+	committed    map[string]MicroUnits // by reservation
 	epochs       map[string]uint64
 }
 
@@ -26,7 +26,7 @@
 	number     int
 	clockNanos int64  // of the instance that does it
 	id         string // of a reservation
-	units      Units
+	units      MicroUnits
 }
 
 // do does one operation of a random kind.
@@ -82,7 +82,7 @@
 		ID:         op.id,
 		Holder:     "me",
 		Plan:       "small",
-		Units:      op.units,
+		MicroUnits: op.units,
 		LeaseNanos: int64(1+c.random.IntN(20)) * second,
 	}
 	account, reservation, err := c.account.Reserve(c.settings, op.clockNanos, request)
@@ -117,23 +117,23 @@
 
 func (c *conservation) closeWindows(op operation) {
 	c.t.Helper()
-	var records []Record
+	var records []UsageRecord
 	c.account, records = c.account.CloseWindows(c.settings, op.clockNanos, c.nextSequence)
 	for _, record := range records {
-		if record.Sequence != c.nextSequence || record.Units <= 0 {
+		if record.Sequence != c.nextSequence || record.MicroUnits <= 0 {
 			c.t.Fatalf("seed %d: %+v after %d", c.seed, record, c.nextSequence)
 		}
 		c.nextSequence++
-		c.exported[record.Plan] += record.Units
+		c.exported[record.Plan] += record.MicroUnits
 	}
 }
 
 // check compares the account with what the operations so far must amount to.
 func (c *conservation) check(number int) {
 	c.t.Helper()
-	sum := Units(0)
+	sum := MicroUnits(0)
 	for _, window := range c.account.Windows {
-		for _, units := range window.Used {
+		for _, units := range window.UnexportedByPlan {
 			sum += units
 		}
 	}
@@ -162,14 +162,14 @@
 			number:     number,
 			clockNanos: now + int64(c.random.IntN(1000))*second/1000,
 			id:         fmt.Sprint("r", number/10-c.random.IntN(3)),
-			units:      Units(1+c.random.IntN(40)) * 1e5,
+			units:      MicroUnits(1+c.random.IntN(40)) * 1e5,
 		}
 		before := c.account
 		text := fmt.Sprint(before)
 		err := c.do(op)
 		isMutated := fmt.Sprint(before) != text
-		after := fmt.Sprint(c.account.Windows, c.account.Changes)
-		isChanged := after != fmt.Sprint(before.Windows, before.Changes)
+		after := fmt.Sprint(c.account.Windows, c.account.PlanChanges)
+		isChanged := after != fmt.Sprint(before.Windows, before.PlanChanges)
 		if isMutated || err != nil && isChanged {
 			c.t.Fatalf("seed %d, operation %d: an account was changed by what did not happen: %v", c.seed, number, err)
 		}
@@ -189,9 +189,9 @@
 			settings:     testSettings(),
 			account:      Account{Tenant: "g"},
 			nextSequence: 1,
-			exported:     map[string]Units{},
-			reserved:     map[string]Units{},
-			committed:    map[string]Units{},
+			exported:     map[string]MicroUnits{},
+			reserved:     map[string]MicroUnits{},
+			committed:    map[string]MicroUnits{},
 			epochs:       map[string]uint64{},
 		}
 		c.run()
--- a/internal/billing/plan.go
+++ b/internal/billing/plan.go
@@ -20,7 +20,7 @@
 // request asks for applies.
 func (a Account) PlanAt(atNanos int64) string {
 	plan := ""
-	for _, change := range a.Changes {
+	for _, change := range a.PlanChanges {
 		if change.EffectiveNanos <= atNanos {
 			plan = change.Plan
 		}
@@ -29,24 +29,24 @@
 }
 
 // SchedulePlanChange sets the tenant's plan from a moment on. Repeating the same change is not an error,
-// since the change has already been made. The error wraps ErrOutOfRange, ErrUnknown, ErrConflict, ErrTooSoon or
+// since the change has already been made. The error wraps ErrOutOfRange, ErrNotFound, ErrConflict, ErrTooSoon or
 // ErrNoCapacity.
 func (a Account) SchedulePlanChange(settings Settings, nowNanos int64, change PlanChange) (Account, error) {
 	if err := checkID(change.ID); err != nil {
 		return a, err
 	}
 	if _, ok := settings.Plans[change.Plan]; !ok {
-		return a, annotate(ErrUnknown, "plan %.80q", change.Plan)
+		return a, annotate(ErrNotFound, "plan %.80q", change.Plan)
 	}
-	if slices.Contains(a.Changes, change) {
+	if slices.Contains(a.PlanChanges, change) {
 		return a, nil
 	}
 	if err := a.checkChange(settings, nowNanos, change); err != nil {
 		return a, err
 	}
 	a = a.clone()
-	a.Changes = append(a.Changes, change)
-	slices.SortFunc(a.Changes, func(x, y PlanChange) int {
+	a.PlanChanges = append(a.PlanChanges, change)
+	slices.SortFunc(a.PlanChanges, func(x, y PlanChange) int {
 		return cmp.Compare(x.EffectiveNanos, y.EffectiveNanos)
 	})
 	return a, nil
@@ -54,7 +54,7 @@
 
 // checkChange checks a new change against the existing ones, and checks its moment.
 func (a Account) checkChange(settings Settings, nowNanos int64, change PlanChange) error {
-	for _, other := range a.Changes {
+	for _, other := range a.PlanChanges {
 		if other.ID == change.ID {
 			return annotate(ErrConflict, "id %q", change.ID)
 		}
@@ -63,42 +63,42 @@
 		}
 	}
 	aheadNanos := change.EffectiveNanos - nowNanos
-	if change.EffectiveNanos < nowNanos+settings.ChangeNoticeNanos {
+	if change.EffectiveNanos < nowNanos+settings.PlanChangeNoticeNanos {
 		return annotate(ErrTooSoon, "the moment, %d ms from now where %d are needed,",
-			aheadNanos/nanosPerMilli, settings.ChangeNoticeNanos/nanosPerMilli)
+			aheadNanos/nanosPerMilli, settings.PlanChangeNoticeNanos/nanosPerMilli)
 	}
 	if change.EffectiveNanos > nowNanos+maxChangeAheadNanos {
 		return annotate(ErrOutOfRange, "the moment, more than a year ahead,")
 	}
-	if len(a.Changes) >= maxChanges {
+	if len(a.PlanChanges) >= maxChanges {
 		return annotate(ErrNoCapacity, "the list of changes, of %d,", maxChanges)
 	}
 	return nil
 }
 
-// CancelPlanChange cancels a change that no instance applies yet. The error wraps ErrUnknown or ErrExpired.
+// CancelPlanChange cancels a change that no instance applies yet. The error wraps ErrNotFound or ErrExpired.
 func (a Account) CancelPlanChange(settings Settings, nowNanos int64, id string) (Account, error) {
-	position := slices.IndexFunc(a.Changes, func(change PlanChange) bool { return change.ID == id })
+	position := slices.IndexFunc(a.PlanChanges, func(change PlanChange) bool { return change.ID == id })
 	if position < 0 {
-		return a, annotate(ErrUnknown, "change %.80q", id)
+		return a, annotate(ErrNotFound, "change %.80q", id)
 	}
-	if a.Changes[position].EffectiveNanos < nowNanos+settings.ChangeNoticeNanos {
+	if a.PlanChanges[position].EffectiveNanos < nowNanos+settings.PlanChangeNoticeNanos {
 		return a, annotate(ErrExpired, "the time to take change %q back", id)
 	}
 	a = a.clone()
-	a.Changes = slices.Delete(a.Changes, position, position+1)
+	a.PlanChanges = slices.Delete(a.PlanChanges, position, position+1)
 	return a, nil
 }
 
 // Allowance returns the units that a window allows: the rate of each plan for the time that it is in force in
 // the window, plus the burst of the plan now in force. defaultPlan applies where no change has set a plan.
-func (a Account) Allowance(settings Settings, windowStartNanos, nowNanos int64, defaultPlan string) Units {
+func (a Account) Allowance(settings Settings, windowStartNanos, nowNanos int64, defaultPlan string) MicroUnits {
 	quota := func(plan string) Quota { return settings.Plans[cmp.Or(plan, defaultPlan)] }
 	endNanos := windowStartNanos + settings.WindowNanos
 	sum := 0.0
 	fromNanos := windowStartNanos
 	plan := a.PlanAt(windowStartNanos)
-	for _, change := range a.Changes {
+	for _, change := range a.PlanChanges {
 		if change.EffectiveNanos > windowStartNanos && change.EffectiveNanos < endNanos {
 			sum += quota(plan).Rate * float64(change.EffectiveNanos-fromNanos) / nanosPerSecond
 			fromNanos = change.EffectiveNanos
@@ -107,19 +107,19 @@
 	}
 	sum += quota(plan).Rate * float64(endNanos-fromNanos) / nanosPerSecond
 	sum += quota(a.PlanAt(nowNanos)).Burst
-	return Units(math.Round(sum * microsPerUnit))
+	return MicroUnits(math.Round(sum * microsPerUnit))
 }
 
 // Available returns how many units of a window may still be reserved. It is below 0 if a plan change left
 // less than is already used or reserved.
-func (a Account) Available(settings Settings, windowStartNanos, nowNanos int64, defaultPlan string) Units {
+func (a Account) Available(settings Settings, windowStartNanos, nowNanos int64, defaultPlan string) MicroUnits {
 	available := a.Allowance(settings, windowStartNanos, nowNanos, defaultPlan)
 	for _, window := range a.Windows {
 		if window.StartNanos != windowStartNanos {
 			continue
 		}
 		available -= window.Exported
-		for _, used := range window.Used {
+		for _, used := range window.UnexportedByPlan {
 			available -= used
 		}
 	}
--- a/internal/billing/reservation.go
+++ b/internal/billing/reservation.go
@@ -8,13 +8,13 @@
 
 // Reservation is a part of a window's allowance that only its holder may use, for as long as its lease lasts.
 type Reservation struct {
-	ID               string `json:"id"`
-	Plan             string `json:"plan"`
-	WindowStartNanos int64  `json:"window"` // of the window whose allowance it uses, unix ns
-	Remaining        Units  `json:"left"`
-	ExpiresNanos     int64  `json:"until"` // unix ns
-	Epoch            uint64 `json:"epoch"` // raised by each commit and adoption
-	Holder           string `json:"holder"`
+	ID               string     `json:"id"`
+	Plan             string     `json:"plan"`
+	WindowStartNanos int64      `json:"window"` // of the window whose allowance it uses, unix ns
+	Remaining        MicroUnits `json:"left"`
+	ExpiresNanos     int64      `json:"until"` // unix ns
+	Epoch            uint64     `json:"epoch"` // raised by each commit and adoption
+	Holder           string     `json:"holder"`
 }
 
 // ReservationRequest holds the arguments of Reserve.
@@ -22,13 +22,13 @@
 	ID         string
 	Holder     string
 	Plan       string // applies if no change has set the tenant's plan
-	Units      Units
+	MicroUnits MicroUnits
 	LeaseNanos int64 // from now to the end of the lease, if it is not renewed
 }
 
 // Reserve reserves units of the window that contains nowNanos. Repeating an id is not an error while the same
 // holder has the reservation: it has already been made, and Reserve returns it as it is. The error wraps
-// ErrOutOfRange, ErrUnknown, ErrConflict, ErrExpired or ErrNoCapacity.
+// ErrOutOfRange, ErrNotFound, ErrConflict, ErrExpired or ErrNoCapacity.
 func (a Account) Reserve(
 	settings Settings, nowNanos int64, request ReservationRequest,
 ) (Account, Reservation, error) {
@@ -37,14 +37,14 @@
 		return a, Reservation{}, err
 	}
 	if _, ok := settings.Plans[plan]; !ok {
-		return a, Reservation{}, annotate(ErrUnknown, "plan %.80q", plan)
+		return a, Reservation{}, annotate(ErrNotFound, "plan %.80q", plan)
 	}
 	expires, err := settings.leaseEnd(nowNanos, request.LeaseNanos)
 	if err != nil {
 		return a, Reservation{}, err
 	}
-	if request.Units <= 0 || request.Units > maxUnitsValue {
-		return a, Reservation{}, annotate(ErrOutOfRange, "a reservation of %g units", request.Units.Float())
+	if request.MicroUnits <= 0 || request.MicroUnits > maxUnitsValue {
+		return a, Reservation{}, annotate(ErrOutOfRange, "a reservation of %g units", request.MicroUnits.Float())
 	}
 	a = a.ExpireReservations(settings, nowNanos)
 	if existing, ok := a.Reservations[request.ID]; ok && existing.Holder == request.Holder {
@@ -54,7 +54,7 @@
 		ID:               request.ID,
 		Plan:             plan,
 		WindowStartNanos: settings.WindowStart(nowNanos),
-		Remaining:        request.Units,
+		Remaining:        request.MicroUnits,
 		ExpiresNanos:     expires,
 		Epoch:            a.Epoch + 1,
 		Holder:           request.Holder,
@@ -95,7 +95,7 @@
 	case !ok && a.EndedReservations[id] != 0:
 		return reservation, annotate(ErrExpired, "reservation %q", id)
 	case !ok:
-		return reservation, annotate(ErrUnknown, "reservation %.80q", id)
+		return reservation, annotate(ErrNotFound, "reservation %.80q", id)
 	case reservation.Epoch != epoch:
 		return reservation, annotate(ErrStaleEpoch,
 			"epoch %d of reservation %q, which is at %d,", epoch, id, reservation.Epoch)
@@ -107,9 +107,9 @@
 
 // Commit turns reserved units into usage. Each commit raises the epoch. Commit returns the new epoch, which
 // the next commit must name. Therefore a commit that is sent twice is applied once, and the second one fails
-// with ErrStaleEpoch. The error may also wrap ErrUnknown, ErrExpired or ErrOutOfRange.
+// with ErrStaleEpoch. The error may also wrap ErrNotFound, ErrExpired or ErrOutOfRange.
 func (a Account) Commit(
-	settings Settings, nowNanos int64, id string, epoch uint64, units Units,
+	settings Settings, nowNanos int64, id string, epoch uint64, units MicroUnits,
 ) (Account, Reservation, error) {
 	reservation, err := a.activeReservation(nowNanos, id, epoch)
 	if err != nil {
@@ -121,7 +121,7 @@
 			units.Float(), reservation.Remaining.Float(), id)
 	}
 	a = a.clone()
-	a.ensureWindow(reservation.WindowStartNanos).Used[reservation.Plan] += units
+	a.ensureWindow(reservation.WindowStartNanos).UnexportedByPlan[reservation.Plan] += units
 	a.Epoch++
 	reservation.Remaining -= units
 	reservation.Epoch = a.Epoch
@@ -132,7 +132,7 @@
 	return a, reservation, nil
 }
 
-// Renew sets the end of a reservation's lease to leaseNanos from now. The error wraps ErrUnknown, ErrStaleEpoch,
+// Renew sets the end of a reservation's lease to leaseNanos from now. The error wraps ErrNotFound, ErrStaleEpoch,
 // ErrExpired or ErrOutOfRange.
 func (a Account) Renew(
 	settings Settings, nowNanos int64, id string, epoch uint64, leaseNanos int64,
@@ -149,9 +149,9 @@
 	return a, reservation, nil
 }
 
-// AdoptReservation gives a reservation to another holder. Whatever the old holder sends from then on has a
-// stale epoch. The error wraps ErrUnknown, ErrExpired or ErrOutOfRange.
-func (a Account) AdoptReservation(
+// TransferReservation gives a reservation to another holder. Whatever the old holder sends from then on has a
+// stale epoch. The error wraps ErrNotFound, ErrExpired or ErrOutOfRange.
+func (a Account) TransferReservation(
 	settings Settings, nowNanos int64, id, holder string, leaseNanos int64,
 ) (Account, Reservation, error) {
 	reservation, err := a.activeReservation(nowNanos, id, a.Reservations[id].Epoch)
@@ -169,7 +169,7 @@
 	return a, reservation, nil
 }
 
-// Release gives back the remaining units of a reservation. The error wraps ErrUnknown, ErrStaleEpoch or
+// Release gives back the remaining units of a reservation. The error wraps ErrNotFound, ErrStaleEpoch or
 // ErrExpired.
 func (a Account) Release(settings Settings, nowNanos int64, id string, epoch uint64) (Account, error) {
 	if _, err := a.activeReservation(nowNanos, id, epoch); err != nil {
--- a/internal/billing/reservation_test.go
+++ b/internal/billing/reservation_test.go
@@ -12,7 +12,7 @@
 // reserved returns an account with a reservation "r" of 50 units that "me" holds.
 func reserved(t *testing.T) (Account, Reservation) {
 	t.Helper()
-	request := ReservationRequest{ID: "r", Holder: "me", Plan: "small", Units: 50e6, LeaseNanos: 10 * second}
+	request := ReservationRequest{ID: "r", Holder: "me", Plan: "small", MicroUnits: 50e6, LeaseNanos: 10 * second}
 	account, reservation, err := Account{Tenant: "g"}.Reserve(testSettings(), reservationStart, request)
 	if err != nil || reservation.Remaining != 50e6 {
 		t.Fatal(err)
@@ -24,7 +24,7 @@
 	settings := testSettings()
 	now := reservationStart
 	account, reservation := reserved(t)
-	valid := ReservationRequest{ID: "s", Holder: "me", Plan: "small", Units: 1e6, LeaseNanos: second}
+	valid := ReservationRequest{ID: "s", Holder: "me", Plan: "small", MicroUnits: 1e6, LeaseNanos: second}
 	for name, test := range map[string]struct {
 		change func(request *ReservationRequest)
 		want   error
@@ -33,10 +33,10 @@
 			r.ID = "r"
 			r.Holder = "other"
 		}, ErrConflict},
-		"more than there is": {func(r *ReservationRequest) { r.Units = 21e6 }, ErrNoCapacity},
-		"unknown plan":       {func(r *ReservationRequest) { r.Plan = "gold" }, ErrUnknown},
-		"below 0":            {func(r *ReservationRequest) { r.Units = -1 }, ErrOutOfRange},
-		"far too much":       {func(r *ReservationRequest) { r.Units = 1 << 60 }, ErrOutOfRange},
+		"more than there is": {func(r *ReservationRequest) { r.MicroUnits = 21e6 }, ErrNoCapacity},
+		"unknown plan":       {func(r *ReservationRequest) { r.Plan = "gold" }, ErrNotFound},
+		"below 0":            {func(r *ReservationRequest) { r.MicroUnits = -1 }, ErrOutOfRange},
+		"far too much":       {func(r *ReservationRequest) { r.MicroUnits = 1 << 60 }, ErrOutOfRange},
 		"no lease":           {func(r *ReservationRequest) { r.LeaseNanos = 0 }, ErrOutOfRange},
 		"lease too long":     {func(r *ReservationRequest) { r.LeaseNanos = 31 * second }, ErrOutOfRange},
 		"no id":              {func(r *ReservationRequest) { r.ID = "" }, ErrOutOfRange},
@@ -50,7 +50,7 @@
 			}
 		})
 	}
-	again := ReservationRequest{ID: "r", Holder: "me", Plan: "small", Units: 50e6, LeaseNanos: second}
+	again := ReservationRequest{ID: "r", Holder: "me", Plan: "small", MicroUnits: 50e6, LeaseNanos: second}
 	if _, same, err := account.Reserve(settings, now, again); err != nil || same != reservation {
 		t.Error("sent twice: ", err, same)
 	}
@@ -72,7 +72,7 @@
 		t.Error(err)
 	}
 	beforeAdoption := reservation.Epoch
-	if account, reservation, err = account.AdoptReservation(settings, now, "r", "other", 10*second); err != nil {
+	if account, reservation, err = account.TransferReservation(settings, now, "r", "other", 10*second); err != nil {
 		t.Fatal(err)
 	}
 	if _, _, err := account.Commit(settings, now, "r", beforeAdoption, 1e6); !errors.Is(err, ErrStaleEpoch) {
@@ -93,7 +93,7 @@
 	if _, _, err := expired.Commit(settings, now, "r", reservation.Epoch, 1e6); !errors.Is(err, ErrExpired) {
 		t.Error("committed and returned: ", err)
 	}
-	again := ReservationRequest{ID: "r", Holder: "me", Plan: "small", Units: 1e6, LeaseNanos: second}
+	again := ReservationRequest{ID: "r", Holder: "me", Plan: "small", MicroUnits: 1e6, LeaseNanos: second}
 	if _, _, err := expired.Reserve(settings, now, again); !errors.Is(err, ErrExpired) {
 		t.Error("an id that has ended is reserved again: ", err)
 	}
@@ -113,7 +113,7 @@
 	if err != nil || overused.Available(settings, now, now, "small") >= 0 {
 		t.Error(err)
 	}
-	request := ReservationRequest{ID: "s", Holder: "me", Plan: "small", Units: 1, LeaseNanos: second}
+	request := ReservationRequest{ID: "s", Holder: "me", Plan: "small", MicroUnits: 1, LeaseNanos: second}
 	if _, _, err := overused.Reserve(settings, now, request); !errors.Is(err, ErrNoCapacity) {
 		t.Error(err)
 	}
--- a/internal/billing/settings.go
+++ b/internal/billing/settings.go
@@ -5,8 +5,8 @@
 	"math"
 )
 
-// Units counts millionths of a unit. Whole numbers make sums the same in any order.
-type Units int64
+// MicroUnits counts millionths of a unit. Whole numbers make sums the same in any order.
+type MicroUnits int64
 
 const (
 	nanosPerSecond = 1e9
@@ -16,23 +16,24 @@
 	// maxUnits is the largest number of units at once. Sums of a million of them fit into Units.
 	maxUnits = 1e6
 	// maxUnitsValue is maxUnits as a value of type Units.
-	maxUnitsValue Units = maxUnits * microsPerUnit
+	maxUnitsValue MicroUnits = maxUnits * microsPerUnit
 	// maxReportFactor is how many times maxUnits a usage report may hold, because it sums the requests of an
 	// interval.
 	maxReportFactor = 1000
 )
 
-// UnitsFromFloat converts a number of units, as it appears in requests and commands, to Units. The number must
+// MicroUnitsFromFloat converts a number of units, as it appears in requests and commands, to
+// MicroUnits. The number must
 // be above 0 and at most a million; any other one, and NaN, is an error.
-func UnitsFromFloat(number float64) (Units, error) {
+func MicroUnitsFromFloat(number float64) (MicroUnits, error) {
 	if !(number > 0 && number <= maxUnits) { // written so that NaN is out of range too
 		return 0, fmt.Errorf("units %g are not above 0 and at most %g", number, float64(maxUnits))
 	}
-	return Units(math.Round(number * microsPerUnit)), nil
+	return MicroUnits(math.Round(number * microsPerUnit)), nil
 }
 
 // Float converts u from millionths of a unit to units.
-func (u Units) Float() float64 { return float64(u) / microsPerUnit }
+func (u MicroUnits) Float() float64 { return float64(u) / microsPerUnit }
 
 // Quota is what a plan allows in a window: Rate for the length of the window, and Burst once.
 type Quota struct {
@@ -45,9 +46,9 @@
 type Settings struct {
 	// WindowNanos is the length of a window. Usage is billed by windows, which are counted since 1970.
 	WindowNanos int64
-	// ChangeNoticeNanos is how far ahead a plan change is announced, so that all instances know it when it takes
+	// PlanChangeNoticeNanos is how far ahead a plan change is announced, so that all instances know it when it takes
 	// effect.
-	ChangeNoticeNanos int64
+	PlanChangeNoticeNanos int64
 	// ClockSkewNanos is how far the clocks of two instances may differ.
 	ClockSkewNanos int64
 	// MaxLeaseNanos is how long a reservation may last without being renewed.
--- a/internal/billingservice/add_reports.go
+++ b/internal/billingservice/add_reports.go
@@ -46,14 +46,14 @@
 		}
 		var items []usageItem
 		if err := json.Unmarshal(entry.Value, &items); err != nil {
-			reportErr = &InvalidReportError{Name: name, Err: err}
+			reportErr = &InvalidReportError{ReportName: name, Err: err}
 			continue
 		}
 		if !batch.fits(items) {
 			break
 		}
 		if err := s.addReport(batch, items); err != nil {
-			reportErr = &InvalidReportError{Name: name, Err: err}
+			reportErr = &InvalidReportError{ReportName: name, Err: err}
 			continue
 		}
 		batch.deleteReport(reportPrefix+name, entry.Index)
@@ -103,7 +103,7 @@
 				return err
 			}
 		}
-		account, err := account.RecordUsage(s.options.Settings(), item.WindowStartNanos, item.Plan, item.Units)
+		account, err := account.RecordUsage(s.options.Settings(), item.WindowStartNanos, item.Plan, item.MicroUnits)
 		if err != nil {
 			return err
 		}
--- a/internal/billingservice/compaction.go
+++ b/internal/billingservice/compaction.go
@@ -73,7 +73,7 @@
 }
 
 // add adds an account, which was read at an index, and its records.
-func (w *compactionWrite) add(account billing.Account, index kv.Index, records []billing.Record) error {
+func (w *compactionWrite) add(account billing.Account, index kv.Index, records []billing.UsageRecord) error {
 	edit, err := editAccount(account, index)
 	if err != nil {
 		return err
--- a/internal/billingservice/errors.go
+++ b/internal/billingservice/errors.go
@@ -21,12 +21,12 @@
 // InvalidReportError reports that the units of a stored report cannot be added to accounts. The report stays
 // in the store.
 type InvalidReportError struct {
-	Name string // the part of its key after the prefix
-	Err  error
+	ReportName string // the part of its key after the prefix
+	Err        error
 }
 
 // Error returns the report's name and the reason.
-func (e *InvalidReportError) Error() string { return fmt.Sprintf("report %s: %v", e.Name, e.Err) }
+func (e *InvalidReportError) Error() string { return fmt.Sprintf("report %s: %v", e.ReportName, e.Err) }
 
 // Unwrap returns the reason.
 func (e *InvalidReportError) Unwrap() error { return e.Err }
@@ -43,13 +43,13 @@
 
 // AlreadyExportedError reports that Resume was given a sequence before the last one that was exported.
 type AlreadyExportedError struct {
-	Acknowledged uint64 // the last sequence that the receiver has acknowledged
+	AcknowledgedSequence uint64 // the last sequence that the receiver has acknowledged
 }
 
 // Error names the sequence that the receiver has.
 func (e *AlreadyExportedError) Error() string {
 	return fmt.Sprintf("record %d is exported already: the receiver has %d at least",
-		e.Acknowledged, e.Acknowledged)
+		e.AcknowledgedSequence, e.AcknowledgedSequence)
 }
 
 // ReceiverStatusError reports that a Receiver's answer has a status that is not a success.
--- a/internal/billingservice/export.go
+++ b/internal/billingservice/export.go
@@ -30,11 +30,11 @@
 			return false, err
 		}
 	}
-	received, err := s.options.Sink.Last(ctx)
+	received, err := s.options.Sink.LastSequence(ctx)
 	if err != nil {
 		return false, err
 	}
-	if received > state.Last {
+	if received > state.LastSequence {
 		return s.checkReceiverAhead(index)
 	}
 	if s.isBehind(index) { // the records may not have arrived here yet
@@ -76,11 +76,11 @@
 }
 
 // readBatch reads the records of the batch in flight.
-func (s *Service) readBatch(state exportState) ([]billing.Record, error) {
-	var batch []billing.Record
-	for sequence := state.First; sequence <= state.Last; sequence++ {
+func (s *Service) readBatch(state exportState) ([]billing.UsageRecord, error) {
+	var batch []billing.UsageRecord
+	for sequence := state.FirstSequence; sequence <= state.LastSequence; sequence++ {
 		entry, ok := s.options.Replica.ReadLocal(recordKeyAt(sequence))
-		var record billing.Record
+		var record billing.UsageRecord
 		if !ok || json.Unmarshal(entry.Value, &record) != nil || record.Sequence != sequence {
 			return nil, &MissingRecordError{Sequence: sequence}
 		}
@@ -92,7 +92,7 @@
 // acknowledge deletes the records of the batch in flight, and advances the state past them.
 func (s *Service) acknowledge(state exportState, index kv.Index) error {
 	var deletions []kv.Edit
-	for sequence := state.First; sequence <= state.Last; sequence++ {
+	for sequence := state.FirstSequence; sequence <= state.LastSequence; sequence++ {
 		deletions = append(deletions, kv.Edit{Key: recordKeyAt(sequence)})
 	}
 	_, err := s.writeExportState(state.acknowledgeBatch(), index, deletions)
--- a/internal/billingservice/export_loop.go
+++ b/internal/billingservice/export_loop.go
@@ -74,7 +74,7 @@
 func (s *Service) nextExportDelay(last time.Duration, mayHaveMore bool, err error) time.Duration {
 	switch {
 	case err != nil:
-		return exportBackoff(last, s.options.RetryDelay)
+		return exportBackoff(last, s.options.ExportRetryDelay)
 	case mayHaveMore:
 		return 0
 	default:
--- a/internal/billingservice/export_state.go
+++ b/internal/billingservice/export_state.go
@@ -7,8 +7,8 @@
 )
 
 const (
-	// firstSequence is the sequence of the first record. A receiver that has none answers 0.
-	firstSequence = 1
+	// initialSequence is the sequence of the first record. A receiver that has none answers 0.
+	initialSequence = 1
 	// maxBatchRecords bounds how many records are sent at once.
 	maxBatchRecords = 200
 )
@@ -19,13 +19,13 @@
 type exportState struct {
 	Next  uint64 `json:"next"`  // sequence of the next record
 	Acked uint64 `json:"acked"` // the last record that the receiver has acknowledged; 0 if none
-	// First and Last are the sequences of the batch in flight, which is sent unchanged until it is acknowledged.
-	First uint64 `json:"first,omitempty"`
-	Last  uint64 `json:"last,omitempty"` // 0 if no batch is in flight
+	// FirstSequence and LastSequence delimit the batch in flight, which is sent unchanged until it is acknowledged.
+	FirstSequence uint64 `json:"first,omitempty"`
+	LastSequence  uint64 `json:"last,omitempty"` // 0 if no batch is in flight
 }
 
 // isBatchInFlight reports whether a batch was fixed that is not acknowledged yet.
-func (e exportState) isBatchInFlight() bool { return e.Last != 0 }
+func (e exportState) isBatchInFlight() bool { return e.LastSequence != 0 }
 
 // isDrained reports whether every record is acknowledged.
 func (e exportState) isDrained() bool { return e.Next == e.Acked+1 }
@@ -45,14 +45,14 @@
 
 // fixNextBatch returns the state with the next records as the batch in flight.
 func (e exportState) fixNextBatch() exportState {
-	e.First = e.Acked + 1
-	e.Last = min(e.Next-1, e.Acked+maxBatchRecords)
+	e.FirstSequence = e.Acked + 1
+	e.LastSequence = min(e.Next-1, e.Acked+maxBatchRecords)
 	return e
 }
 
 // acknowledgeBatch returns the state after the receiver has acknowledged the batch in flight.
 func (e exportState) acknowledgeBatch() exportState {
-	return exportState{Next: e.Next, Acked: e.Last}
+	return exportState{Next: e.Next, Acked: e.LastSequence}
 }
 
 // resumeAfter returns the state in which nothing is left to export, and the next sequence follows both the
@@ -72,7 +72,7 @@
 func (s *Service) readExportState() (exportState, kv.Index, error) {
 	entry, ok, err := s.options.Replica.ReadFromLeader(exportKey)
 	if err != nil || !ok {
-		return exportState{Next: firstSequence}, 0, err
+		return exportState{Next: initialSequence}, 0, err
 	}
 	var state exportState
 	err = json.Unmarshal(entry.Value, &state)
--- a/internal/billingservice/export_state_test.go
+++ b/internal/billingservice/export_state_test.go
@@ -10,18 +10,18 @@
 		},
 		"fixes all that is left": {
 			got:  exportState{Next: 6, Acked: 3}.fixNextBatch(),
-			want: exportState{Next: 6, Acked: 3, First: 4, Last: 5},
+			want: exportState{Next: 6, Acked: 3, FirstSequence: 4, LastSequence: 5},
 		},
 		"fixes no more than one batch": {
 			got:  exportState{Next: 1000, Acked: 3}.fixNextBatch(),
-			want: exportState{Next: 1000, Acked: 3, First: 4, Last: 3 + maxBatchRecords},
+			want: exportState{Next: 1000, Acked: 3, FirstSequence: 4, LastSequence: 3 + maxBatchRecords},
 		},
 		"acknowledges the batch": {
-			got:  exportState{Next: 9, Acked: 3, First: 4, Last: 5}.acknowledgeBatch(),
+			got:  exportState{Next: 9, Acked: 3, FirstSequence: 4, LastSequence: 5}.acknowledgeBatch(),
 			want: exportState{Next: 9, Acked: 5},
 		},
 		"resumes after the receiver": {
-			got:  exportState{Next: 6, Acked: 3, First: 4, Last: 5}.resumeAfter(12),
+			got:  exportState{Next: 6, Acked: 3, FirstSequence: 4, LastSequence: 5}.resumeAfter(12),
 			want: exportState{Next: 13, Acked: 12},
 		},
 		"resumes after its own records": {
--- a/internal/billingservice/export_test.go
+++ b/internal/billingservice/export_test.go
@@ -43,7 +43,7 @@
 func TestExport_OldCopyExportsNothingAnew(t *testing.T) {
 	replica := newMemoryReplica()
 	receiver, url := newStubReceiver(t)
-	service := startService(replica, "d", NewReceiver(url))
+	service := startService(replica, "d", NewHTTPSink(url))
 	use := func(service *Service, units float64) { service.RecordUsage("g", "small", time.Now(), units) }
 	use(service, 5)
 	testutil.Eventually(t, "a first export", func() bool { return receiver.hasTotal(5e6) })
@@ -57,7 +57,7 @@
 	testutil.Eventually(t, "a second export", func() bool { return receiver.hasTotal(13e6) })
 	service.Close()
 	restore(t, replica, oldCopy)
-	service = startService(replica, "d", NewReceiver(url))
+	service = startService(replica, "d", NewHTTPSink(url))
 	defer service.Close()
 	testutil.Eventually(t, "a halt", func() bool {
 		reason := service.LastExportError()
@@ -84,7 +84,7 @@
 func TestExport_ManyWindowsEndTogether(t *testing.T) {
 	replica := newMemoryReplica()
 	receiver, url := newStubReceiver(t)
-	service := startService(replica, "d", NewReceiver(url))
+	service := startService(replica, "d", NewHTTPSink(url))
 	defer service.Close()
 	began := replica.index
 	for n := range 2000 {
@@ -100,17 +100,17 @@
 }
 
 func TestFolder_AcceptsBatchOnce(t *testing.T) {
-	folder := Folder(t.TempDir())
-	batch := []billing.Record{
-		{Sequence: 3, Tenant: "g", Plan: "p", WindowStartSeconds: 60, Units: 5},
-		{Sequence: 4, Tenant: "h", Plan: "p", WindowStartSeconds: 60, Units: 6},
+	folder := FolderSink(t.TempDir())
+	batch := []billing.UsageRecord{
+		{Sequence: 3, Tenant: "g", Plan: "p", WindowStartSeconds: 60, MicroUnits: 5},
+		{Sequence: 4, Tenant: "h", Plan: "p", WindowStartSeconds: 60, MicroUnits: 6},
 	}
 	for range 2 {
 		if err := folder.Send(t.Context(), batch); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if last, err := folder.Last(t.Context()); err != nil || last != 4 {
+	if last, err := folder.LastSequence(t.Context()); err != nil || last != 4 {
 		t.Error(last, err)
 	}
 	content, err := os.ReadFile(filepath.Join(string(folder), "use-000000000003-000000000004.jsonl"))
@@ -119,11 +119,11 @@
 	if err != nil || string(content) != want {
 		t.Errorf("%v: %s", err, content)
 	}
-	batch[0].Units++
+	batch[0].MicroUnits++
 	if err := folder.Send(t.Context(), batch); err == nil {
 		t.Error("another content under the same name was accepted")
 	}
-	if _, err := Folder(string(folder) + "/none").Last(t.Context()); err == nil {
+	if _, err := FolderSink(string(folder) + "/none").LastSequence(t.Context()); err == nil {
 		t.Error("a missing folder was accepted")
 	}
 }
@@ -147,7 +147,7 @@
 func TestResume_CountsAWindowOnce(t *testing.T) {
 	replica := &conflictOnce{memoryReplica: newMemoryReplica()}
 	account := billing.Account{Tenant: "0000000000000005"}
-	account.Windows = []billing.Window{{StartNanos: 1, Used: map[string]billing.Units{"team": 5}}}
+	account.Windows = []billing.Window{{StartNanos: 1, UnexportedByPlan: map[string]billing.MicroUnits{"team": 5}}}
 	if err := (&Service{options: Options{Replica: replica.memoryReplica}}).writeAccount(account, 0); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/billingservice/folder.go
+++ b/internal/billingservice/folder.go
@@ -13,9 +13,9 @@
 	"fawnplank/internal/durable"
 )
 
-// Folder is a sink that writes each batch to a file named use-FIRST-LAST.jsonl in the folder of this path. A
+// FolderSink is a sink that writes each batch to a file named use-FIRST-LAST.jsonl in the folder of this path. A
 // file appears only when it is complete. Several instances may use the same folder.
-type Folder string
+type FolderSink string
 
 const (
 	// exportFileFormat takes the first and the last sequence of the batch in the file.
@@ -26,8 +26,8 @@
 	exportFileMode = 0o600
 )
 
-// Last returns the last sequence found in the files' names.
-func (f Folder) Last(context.Context) (uint64, error) {
+// LastSequence returns the last sequence found in the files' names.
+func (f FolderSink) LastSequence(context.Context) (uint64, error) {
 	paths, err := filepath.Glob(filepath.Join(string(f), exportFileGlob))
 	if err != nil {
 		return 0, err
@@ -46,7 +46,7 @@
 }
 
 // Send writes a batch to a file. A file of the same name with other content is an error.
-func (f Folder) Send(_ context.Context, batch []billing.Record) error {
+func (f FolderSink) Send(_ context.Context, batch []billing.UsageRecord) error {
 	name := fmt.Sprintf(exportFileFormat, batch[0].Sequence, batch[len(batch)-1].Sequence)
 	path := filepath.Join(string(f), name)
 	content := encodeBatch(batch)
--- a/internal/billingservice/lease.go
+++ b/internal/billingservice/lease.go
@@ -59,7 +59,7 @@
 	s.lease.mu.Lock()
 	defer s.lease.mu.Unlock()
 	nowNanos := s.options.Now().UnixNano()
-	durationNanos := int64(s.options.LeaseDuration)
+	durationNanos := int64(s.options.MaintenanceLeaseDuration)
 	if !s.lease.isRenewalDue(nowNanos, durationNanos) {
 		return true
 	}
--- a/internal/billingservice/operations.go
+++ b/internal/billingservice/operations.go
@@ -38,7 +38,7 @@
 
 // Commit turns reserved units into usage. The epoch must be the reservation's current one; the returned
 // reservation has the next.
-func (s *Service) Commit(tenant, id string, epoch uint64, units billing.Units) (billing.Reservation, error) {
+func (s *Service) Commit(tenant, id string, epoch uint64, units billing.MicroUnits) (billing.Reservation, error) {
 	return s.updateReservation(tenant, func(
 		settings billing.Settings, nowNanos int64, a billing.Account,
 	) (billing.Account, billing.Reservation, error) {
@@ -55,14 +55,14 @@
 	})
 }
 
-// AdoptReservation gives a reservation to another holder.
-func (s *Service) AdoptReservation(
+// TransferReservation gives a reservation to another holder.
+func (s *Service) TransferReservation(
 	tenant, id, holder string, lease time.Duration,
 ) (billing.Reservation, error) {
 	return s.updateReservation(tenant, func(
 		settings billing.Settings, nowNanos int64, a billing.Account,
 	) (billing.Account, billing.Reservation, error) {
-		return a.AdoptReservation(settings, nowNanos, id, holder, int64(lease))
+		return a.TransferReservation(settings, nowNanos, id, holder, int64(lease))
 	})
 }
 
@@ -77,7 +77,7 @@
 
 // Account returns an account as the leader has it, and how much of the open window may still be reserved
 // under defaultPlan, unless a change has set the tenant's plan. Its error wraps ErrStore.
-func (s *Service) Account(tenant, defaultPlan string) (billing.Account, billing.Units, error) {
+func (s *Service) Account(tenant, defaultPlan string) (billing.Account, billing.MicroUnits, error) {
 	account, _, err := s.readAccountFromLeader(tenant)
 	if err != nil {
 		return account, 0, fmt.Errorf("%w (%w)", ErrStore, err)
--- a/internal/billingservice/plans.go
+++ b/internal/billingservice/plans.go
@@ -16,7 +16,7 @@
 	if !ok {
 		return "", false
 	}
-	account := billing.Account{Changes: changes}
+	account := billing.Account{PlanChanges: changes}
 	plan := account.PlanAt(s.options.Now().UnixNano())
 	return plan, plan != ""
 }
@@ -59,5 +59,5 @@
 	if err := json.Unmarshal(entry.Value, &account); err != nil {
 		return nil, false // operations on the account report the fault
 	}
-	return account.Changes, true
+	return account.PlanChanges, true
 }
--- a/internal/billingservice/receiver.go
+++ b/internal/billingservice/receiver.go
@@ -21,16 +21,16 @@
 	maxResponseBytes = 4 << 10
 )
 
-// Receiver is a sink that uses HTTP. It sends a batch as lines with POST and the header Idempotency-Key:
+// HTTPSink is a sink that uses HTTP. It sends a batch as lines with POST and the header Idempotency-Key:
 // fawnplank-FIRST-LAST, and gets {"last": N} with GET. It is safe for concurrent use.
-type Receiver struct {
+type HTTPSink struct {
 	url    string
 	client *http.Client
 }
 
-// NewReceiver returns a sink that sends to the receiver at a URL.
-func NewReceiver(url string) *Receiver {
-	return &Receiver{
+// NewHTTPSink returns a sink that sends to the receiver at a URL.
+func NewHTTPSink(url string) *HTTPSink {
+	return &HTTPSink{
 		url: url,
 		client: &http.Client{
 			Timeout:   receiverTimeout,
@@ -39,24 +39,24 @@
 	}
 }
 
-// Last asks the receiver for the last sequence that it has. An answer that is not a success is a
+// LastSequence asks the receiver for the last sequence that it has. An answer that is not a success is a
 // *ReceiverStatusError.
-func (r *Receiver) Last(ctx context.Context) (uint64, error) {
+func (r *HTTPSink) LastSequence(ctx context.Context) (uint64, error) {
 	text, err := r.call(ctx, http.MethodGet, "", nil)
 	if err != nil {
 		return 0, err
 	}
 	var answer struct {
-		Last *uint64 `json:"last"`
+		LastSequence *uint64 `json:"last"`
 	}
-	if err := json.Unmarshal(text, &answer); err != nil || answer.Last == nil {
+	if err := json.Unmarshal(text, &answer); err != nil || answer.LastSequence == nil {
 		return 0, fmt.Errorf("the receiver answers %.100q in place of {\"last\": N}", text)
 	}
-	return *answer.Last, nil
+	return *answer.LastSequence, nil
 }
 
 // Send sends a batch to the receiver. An answer that is not a success is a *ReceiverStatusError.
-func (r *Receiver) Send(ctx context.Context, batch []billing.Record) error {
+func (r *HTTPSink) Send(ctx context.Context, batch []billing.UsageRecord) error {
 	key := fmt.Sprintf("fawnplank-%d-%d", batch[0].Sequence, batch[len(batch)-1].Sequence)
 	_, err := r.call(ctx, http.MethodPost, key, encodeBatch(batch))
 	return err
@@ -64,7 +64,7 @@
 
 // call makes a request, with an idempotency key unless key is empty, and returns the body of a successful
 // answer.
-func (r *Receiver) call(ctx context.Context, method, key string, body []byte) ([]byte, error) {
+func (r *HTTPSink) call(ctx context.Context, method, key string, body []byte) ([]byte, error) {
 	request, err := http.NewRequestWithContext(ctx, method, r.url, bytes.NewReader(body))
 	if err != nil {
 		return nil, err
--- a/internal/billingservice/report.go
+++ b/internal/billingservice/report.go
@@ -15,10 +15,10 @@
 
 // usageItem is one line of a report.
 type usageItem struct {
-	Tenant           string        `json:"g"`
-	Plan             string        `json:"p"`
-	WindowStartNanos int64         `json:"w"` // unix ns
-	Units            billing.Units `json:"u"`
+	Tenant           string             `json:"g"`
+	Plan             string             `json:"p"`
+	WindowStartNanos int64              `json:"w"` // unix ns
+	MicroUnits       billing.MicroUnits `json:"u"`
 }
 
 // reportState is the progress of this incarnation's reports. It belongs to the report loop and, after that
--- a/internal/billingservice/reservations_test.go
+++ b/internal/billingservice/reservations_test.go
@@ -77,7 +77,7 @@
 		ID:         "r",
 		Holder:     "gone",
 		Plan:       "small",
-		Units:      10e6,
+		MicroUnits: 10e6,
 		LeaseNanos: int64(lease),
 	}
 	if _, err := service.Reserve("g", request); err != nil {
--- a/internal/billingservice/resume.go
+++ b/internal/billingservice/resume.go
@@ -7,8 +7,8 @@
 	"fawnplank/internal/store/kv"
 )
 
-// Dropped counts what Resume dropped. It is never billed.
-type Dropped struct {
+// DroppedUsage counts what Resume dropped. It is never billed.
+type DroppedUsage struct {
 	Records int
 	Windows int
 }
@@ -18,20 +18,20 @@
 // never billed, because the lost state may have exported it. If the store has exported later records than the
 // given one, the error is an *AlreadyExportedError and nothing is done. After any other error, Resume may have
 // done a part, and the counts are those of that part.
-func Resume(replica Replica, after uint64, before time.Time) (Dropped, error) {
+func Resume(replica Replica, after uint64, before time.Time) (DroppedUsage, error) {
 	// The service is not started. It is used for its operations on the store alone.
 	s := &Service{options: Options{
 		Replica:  replica,
 		Now:      time.Now,
 		Settings: func() billing.Settings { return billing.Settings{} },
 	}}
-	var dropped Dropped
+	var dropped DroppedUsage
 	state, index, err := s.readExportState()
 	if err != nil {
 		return dropped, err
 	}
 	if state.isExportedBeyond(after) {
-		return dropped, &AlreadyExportedError{Acknowledged: state.Acked}
+		return dropped, &AlreadyExportedError{AcknowledgedSequence: state.Acked}
 	}
 	if dropped.Records, err = s.dropRecords(state); err != nil {
 		return dropped, err
--- a/internal/billingservice/retry.go
+++ b/internal/billingservice/retry.go
@@ -20,9 +20,9 @@
 	// replicaLagInterval is the wait between two checks whether this replica has the last write. Commits take
 	// milliseconds.
 	replicaLagInterval = 5 * time.Millisecond
-	// defaultRetryDelay is the wait after a first failed export, unless Options.RetryDelay sets another.
+	// defaultRetryDelay is the wait after a first failed export, unless Options.ExportRetryDelay sets another.
 	defaultRetryDelay = time.Second
-	// maxExportBackoffFactor bounds the doubling of Options.RetryDelay: thirty seconds at the default.
+	// maxExportBackoffFactor bounds the doubling of Options.ExportRetryDelay: thirty seconds at the default.
 	maxExportBackoffFactor = 30
 )
 
--- a/internal/billingservice/service.go
+++ b/internal/billingservice/service.go
@@ -19,11 +19,11 @@
 	Settings func() billing.Settings
 	// ReportInterval is the time between two reports of this instance's usage.
 	ReportInterval time.Duration
-	// RetryDelay is the delay after a first failed export. It doubles with each further failure, up to thirty
+	// ExportRetryDelay is the delay after a first failed export. It doubles with each further failure, up to thirty
 	// times its value; 0 means one second.
-	RetryDelay time.Duration
-	// LeaseDuration is how long the maintenance lease lasts without being renewed; 0 means three seconds.
-	LeaseDuration time.Duration
+	ExportRetryDelay time.Duration
+	// MaintenanceLeaseDuration is how long the maintenance lease lasts if it is not renewed; 0 means three seconds.
+	MaintenanceLeaseDuration time.Duration
 	// Sink receives the records. If it is nil, this instance exports nothing.
 	Sink Sink
 	// Now is the clock. If it is nil, time.Now is used.
@@ -38,8 +38,8 @@
 	CompactionInterval = time.Second
 	// addReportsInterval is how often reports are added to accounts.
 	addReportsInterval = 250 * time.Millisecond
-	// defaultLeaseDuration is how long the maintenance lease lasts, unless Options.LeaseDuration says otherwise.
-	// It is renewed by the loops above, and so must last for several of their intervals.
+	// defaultLeaseDuration is used if Options.MaintenanceLeaseDuration is 0. The loops that run at the two intervals
+	// above renew the lease, so it must last for several of these intervals.
 	defaultLeaseDuration = 3 * time.Second
 )
 
@@ -77,11 +77,11 @@
 	if options.Now == nil {
 		options.Now = time.Now
 	}
-	if options.LeaseDuration == 0 {
-		options.LeaseDuration = defaultLeaseDuration
+	if options.MaintenanceLeaseDuration == 0 {
+		options.MaintenanceLeaseDuration = defaultLeaseDuration
 	}
-	if options.RetryDelay == 0 {
-		options.RetryDelay = defaultRetryDelay
+	if options.ExportRetryDelay == 0 {
+		options.ExportRetryDelay = defaultRetryDelay
 	}
 	s := &Service{
 		options:          options,
--- a/internal/billingservice/stubs_test.go
+++ b/internal/billingservice/stubs_test.go
@@ -79,8 +79,8 @@
 type stubReceiver struct {
 	mu          sync.Mutex
 	last        uint64
-	keys        map[string]string        // the content by idempotency key
-	sums        map[string]billing.Units // by tenant
+	keys        map[string]string             // the content by idempotency key
+	sums        map[string]billing.MicroUnits // by tenant
 	failureRate float64
 	random      *rand.Rand
 	repeated    int // batches that were received again
@@ -91,7 +91,7 @@
 	tb.Helper()
 	receiver := &stubReceiver{
 		keys:   map[string]string{},
-		sums:   map[string]billing.Units{},
+		sums:   map[string]billing.MicroUnits{},
 		random: rand.New(rand.NewPCG(2, 2)),
 	}
 	server := httptest.NewServer(receiver)
@@ -126,9 +126,9 @@
 func (r *stubReceiver) accept(request *http.Request) bool {
 	key := request.Header.Get("Idempotency-Key")
 	content := ""
-	var batch []billing.Record
+	var batch []billing.UsageRecord
 	for lines := bufio.NewScanner(request.Body); lines.Scan(); {
-		var record billing.Record
+		var record billing.UsageRecord
 		if err := json.Unmarshal(lines.Bytes(), &record); err != nil {
 			r.err = err
 		}
@@ -145,13 +145,13 @@
 			r.err = fmt.Errorf("record %d after %d", record.Sequence, r.last)
 		}
 		r.last = record.Sequence
-		r.sums[record.Tenant] += record.Units
+		r.sums[record.Tenant] += record.MicroUnits
 	}
 	return true
 }
 
 // total returns the units received for all tenants, and the last fault found in a batch.
-func (r *stubReceiver) total() (sum billing.Units, err error) {
+func (r *stubReceiver) total() (sum billing.MicroUnits, err error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, units := range r.sums {
@@ -161,18 +161,18 @@
 }
 
 // hasTotal reports whether the units received for all tenants amount to want.
-func (r *stubReceiver) hasTotal(want billing.Units) bool {
+func (r *stubReceiver) hasTotal(want billing.MicroUnits) bool {
 	sum, _ := r.total()
 	return sum == want
 }
 
 func testSettings() billing.Settings {
 	return billing.Settings{
-		WindowNanos:       400e6,
-		ChangeNoticeNanos: 50e6,
-		ClockSkewNanos:    20e6,
-		MaxLeaseNanos:     500e6,
-		ExportDelayNanos:  50e6,
+		WindowNanos:           400e6,
+		PlanChangeNoticeNanos: 50e6,
+		ClockSkewNanos:        20e6,
+		MaxLeaseNanos:         500e6,
+		ExportDelayNanos:      50e6,
 		Plans: map[string]billing.Quota{
 			"small": {Rate: 100, Burst: 50},
 			"large": {Rate: 1000, Burst: 500},
@@ -182,12 +182,12 @@
 
 func startService(replica *memoryReplica, instance string, sink Sink) *Service {
 	return Start(Options{
-		Replica:        replica,
-		Instance:       instance,
-		Settings:       testSettings,
-		ReportInterval: 20 * time.Millisecond,
-		RetryDelay:     10 * time.Millisecond,
-		LeaseDuration:  300 * time.Millisecond,
-		Sink:           sink,
+		Replica:                  replica,
+		Instance:                 instance,
+		Settings:                 testSettings,
+		ReportInterval:           20 * time.Millisecond,
+		ExportRetryDelay:         10 * time.Millisecond,
+		MaintenanceLeaseDuration: 300 * time.Millisecond,
+		Sink:                     sink,
 	})
 }
--- a/internal/billingservice/totals_test.go
+++ b/internal/billingservice/totals_test.go
@@ -20,17 +20,17 @@
 	receiverURL string
 
 	mu       sync.Mutex
-	certain  billing.Units // known to be reported or committed
-	possible billing.Units // may be reported or committed
+	certain  billing.MicroUnits // known to be reported or committed
+	possible billing.MicroUnits // may be reported or committed
 }
 
-func (c *totals) addCertain(units billing.Units) {
+func (c *totals) addCertain(units billing.MicroUnits) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.certain += units
 }
 
-func (c *totals) addPossible(units billing.Units) {
+func (c *totals) addPossible(units billing.MicroUnits) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.possible += units
@@ -47,8 +47,8 @@
 // runIncarnation lets one incarnation of an instance record usage and commit reservations. If it is killed,
 // the usage that it has not reported is lost, and nothing else.
 func (c *totals) runIncarnation(instance, incarnation int, random *rand.Rand, end ending) {
-	service := startService(c.replica, fmt.Sprint("d", instance), NewReceiver(c.receiverURL))
-	recorded := billing.Units(0)
+	service := startService(c.replica, fmt.Sprint("d", instance), NewHTTPSink(c.receiverURL))
+	recorded := billing.MicroUnits(0)
 	for n := range 30 {
 		tenant := fmt.Sprintf("g%d", random.IntN(4))
 		age := time.Duration(random.IntN(500)) * time.Millisecond
@@ -71,17 +71,17 @@
 }
 
 // kill ends a service without a last report, and returns the usage that it does not know to be reported.
-func kill(service *Service) billing.Units {
+func kill(service *Service) billing.MicroUnits {
 	close(service.stop)
 	service.loops.Wait()
 	service.usage.mu.Lock()
 	defer service.usage.mu.Unlock()
-	unreported := billing.Units(0)
+	unreported := billing.MicroUnits(0)
 	for _, units := range service.usage.units {
 		unreported += units
 	}
 	for _, item := range service.reports.pending {
-		unreported += item.Units
+		unreported += item.MicroUnits
 	}
 	return unreported
 }
@@ -92,7 +92,7 @@
 		ID:         id,
 		Holder:     "me",
 		Plan:       "large",
-		Units:      3e6,
+		MicroUnits: 3e6,
 		LeaseNanos: int64(400 * time.Millisecond),
 	})
 	if err != nil {
@@ -137,7 +137,7 @@
 			t.Fatal(err)
 		}
 		for _, window := range account.Windows {
-			open += len(window.Used)
+			open += len(window.UnexportedByPlan)
 		}
 		open += len(account.Reservations)
 	}
@@ -164,7 +164,7 @@
 		})
 	}
 	instances.Wait()
-	service := startService(replica, "last", NewReceiver(url))
+	service := startService(replica, "last", NewHTTPSink(url))
 	defer service.Close()
 	testutil.Eventually(t, "all to be exported", func() bool {
 		return service.PendingRecords() == 0 && openItems(t, replica) == 0
--- a/internal/billingservice/usage.go
+++ b/internal/billingservice/usage.go
@@ -22,15 +22,15 @@
 // is empty.
 type unreportedUsage struct {
 	mu    sync.Mutex
-	units map[usageKey]billing.Units
+	units map[usageKey]billing.MicroUnits
 }
 
 // add adds units to a sum.
-func (u *unreportedUsage) add(key usageKey, units billing.Units) {
+func (u *unreportedUsage) add(key usageKey, units billing.MicroUnits) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	if u.units == nil {
-		u.units = map[usageKey]billing.Units{}
+		u.units = map[usageKey]billing.MicroUnits{}
 	}
 	u.units[key] += units
 }
@@ -46,7 +46,7 @@
 			Tenant:           key.tenant,
 			Plan:             key.plan,
 			WindowStartNanos: key.windowStartNanos,
-			Units:            units,
+			MicroUnits:       units,
 		})
 		delete(u.units, key)
 		if len(items) == maxItems {
@@ -59,7 +59,7 @@
 // RecordUsage adds the units of a request that was received at a moment and has succeeded under a plan. It drops
 // units that are out of range, which is logged.
 func (s *Service) RecordUsage(tenant, plan string, receivedAt time.Time, units float64) {
-	count, err := billing.UnitsFromFloat(units)
+	count, err := billing.MicroUnitsFromFloat(units)
 	if err != nil {
 		s.logDropped(tenant, plan, err)
 		return
--- a/internal/billingservice/version0_test.go
+++ b/internal/billingservice/version0_test.go
@@ -27,16 +27,16 @@
 
 // firstBatchFolder is a sink that accepts its first batch, and then no more.
 type firstBatchFolder struct {
-	Folder
+	FolderSink
 	sent bool
 }
 
-func (f *firstBatchFolder) Send(ctx context.Context, batch []billing.Record) error {
+func (f *firstBatchFolder) Send(ctx context.Context, batch []billing.UsageRecord) error {
 	if f.sent {
 		return errors.New("no more")
 	}
 	f.sent = true
-	return f.Folder.Send(ctx, batch)
+	return f.FolderSink.Send(ctx, batch)
 }
 
 const version0Export = "use-000000000001-000000000001.jsonl"
@@ -48,7 +48,7 @@
 	folder := t.TempDir()
 	synctest.Test(t, func(t *testing.T) {
 		replica := newMemoryReplica()
-		service := startService(replica, "d", &firstBatchFolder{Folder: Folder(folder)})
+		service := startService(replica, "d", &firstBatchFolder{FolderSink: FolderSink(folder)})
 		useVersion0(t, service)
 		content, err := replica.state.Snapshot()
 		if err == nil {
@@ -82,7 +82,7 @@
 			t.Fatal(err)
 		}
 	}
-	for _, change := range version0Account.Changes {
+	for _, change := range version0Account.PlanChanges {
 		must(service.SchedulePlanChange("g", change))
 	}
 	service.RecordUsage("h", "large", time.Now(), 1.5)
@@ -91,7 +91,7 @@
 	_, err := service.Reserve("g", billing.ReservationRequest{
 		ID:         "r0",
 		Holder:     "gone",
-		Units:      3e6,
+		MicroUnits: 3e6,
 		LeaseNanos: int64(300 * time.Millisecond),
 	})
 	must(err)
@@ -104,7 +104,7 @@
 	reservation, err := service.Reserve("g", billing.ReservationRequest{
 		ID:         "r1",
 		Holder:     "holder-1",
-		Units:      20e6,
+		MicroUnits: 20e6,
 		LeaseNanos: int64(500 * time.Millisecond),
 	})
 	must(err)
@@ -135,12 +135,12 @@
 	now := version0Start.Add(2300 * time.Millisecond)
 	return &Service{
 		options: Options{
-			Replica:       replica,
-			Instance:      "d",
-			Settings:      testSettings,
-			LeaseDuration: 300 * time.Millisecond,
-			Sink:          sink,
-			Now:           func() time.Time { return now },
+			Replica:                  replica,
+			Instance:                 "d",
+			Settings:                 testSettings,
+			MaintenanceLeaseDuration: 300 * time.Millisecond,
+			Sink:                     sink,
+			Now:                      func() time.Time { return now },
 		},
 		incarnationNanos: version0At(0),
 		stop:             make(chan struct{}),
@@ -153,17 +153,17 @@
 // version0Account is the account in the store's fixture.
 var version0Account = billing.Account{
 	Tenant: "g",
-	Changes: []billing.PlanChange{
+	PlanChanges: []billing.PlanChange{
 		{ID: "c1", EffectiveNanos: version0At(100 * time.Millisecond), Plan: "small"},
 		{ID: "c2", EffectiveNanos: version0At(time.Hour), Plan: "large"},
 	},
 	Windows: []billing.Window{
 		{
-			StartNanos: version0At(1200 * time.Millisecond),
-			Used:       map[string]billing.Units{"small": 3e6},
-			Exported:   2e6,
+			StartNanos:       version0At(1200 * time.Millisecond),
+			UnexportedByPlan: map[string]billing.MicroUnits{"small": 3e6},
+			Exported:         2e6,
 		},
-		{StartNanos: version0At(2000 * time.Millisecond), Used: map[string]billing.Units{"small": 5e6}},
+		{StartNanos: version0At(2000 * time.Millisecond), UnexportedByPlan: map[string]billing.MicroUnits{"small": 5e6}},
 	},
 	Reservations: map[string]billing.Reservation{"r1": {
 		ID:               "r1",
@@ -181,21 +181,21 @@
 // version0Values are what the store's fixture holds, as values of the current types.
 var version0Values = map[string]any{
 	accountPrefix + "g": version0Account,
-	recordPrefix + "0000000000000002": billing.Record{
+	recordPrefix + "0000000000000002": billing.UsageRecord{
 		Sequence:           2,
 		Tenant:             "g",
 		Plan:               "small",
 		WindowStartSeconds: 946684801,
-		Units:              2e6,
+		MicroUnits:         2e6,
 	},
-	exportKey: exportState{Next: 3, Acked: 1, First: 2, Last: 2},
+	exportKey: exportState{Next: 3, Acked: 1, FirstSequence: 2, LastSequence: 2},
 	leaseKey: maintenanceLease{
 		Holder:       version0Incarnation,
 		ExpiresNanos: version0At(2550 * time.Millisecond),
 	},
 	lastReportPrefix + version0Incarnation: reportPrefix + version0Incarnation + "-00000003",
 	reportPrefix + version0Incarnation + "-00000003": []usageItem{
-		{Tenant: "g", Plan: "small", WindowStartNanos: version0At(2 * time.Second), Units: 4e6},
+		{Tenant: "g", Plan: "small", WindowStartNanos: version0At(2 * time.Second), MicroUnits: 4e6},
 	},
 }
 
@@ -226,7 +226,7 @@
 // and the reservation, commits the report, and sends the batch that was fixed.
 func TestService_ContinuesWithVersion0Store(t *testing.T) {
 	replica := version0Store(t)
-	folder := Folder(t.TempDir())
+	folder := FolderSink(t.TempDir())
 	service := newVersion0Service(replica, folder)
 	service.planChanges.Store(&map[string][]billing.PlanChange{})
 	service.KeysChanged([]string{accountPrefix + "g"})
@@ -245,7 +245,8 @@
 	}
 	account, _, err := service.Account("g", "")
 	reports := replica.ReadPrefix(reportPrefix)
-	if err != nil || len(account.Windows) != 2 || account.Windows[1].Used["small"] != 10e6 || len(reports) != 0 {
+	if err != nil || len(account.Windows) != 2 || account.Windows[1].UnexportedByPlan["small"] != 10e6 ||
+		len(reports) != 0 {
 		t.Errorf("after the report: %+v, %v, %q", account, err, reports)
 	}
 	if mayHaveMore, err := service.exportBatch(context.Background()); !mayHaveMore || err != nil {
@@ -266,30 +267,30 @@
 // and the same batch is written as the same bytes under the same name.
 func TestFolder_ReadsVersion0Export(t *testing.T) {
 	path := testutil.Fixture(t, version0Export, func(path string) { writeVersion0(t, path+".store", path) })
-	folder := Folder(filepath.Dir(path))
-	if last, err := folder.Last(context.Background()); last != 1 || err != nil {
+	folder := FolderSink(filepath.Dir(path))
+	if last, err := folder.LastSequence(context.Background()); last != 1 || err != nil {
 		t.Error(last, err)
 	}
 	text, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	var got billing.Record
-	want := billing.Record{
+	var got billing.UsageRecord
+	want := billing.UsageRecord{
 		Sequence:           1,
 		Tenant:             "h",
 		Plan:               "large",
 		WindowStartSeconds: 946684800,
-		Units:              1500000,
+		MicroUnits:         1500000,
 	}
 	if err := json.Unmarshal([]byte(strings.TrimSpace(string(text))), &got); err != nil || got != want {
 		t.Errorf("%+v, %v", got, err)
 	}
-	if again := encodeBatch([]billing.Record{want}); !bytes.Equal(again, text) {
+	if again := encodeBatch([]billing.UsageRecord{want}); !bytes.Equal(again, text) {
 		t.Errorf("written anew:\n%s\nthe fixture:\n%s", again, text)
 	}
 	// Send fails if the file of this name has another content.
-	if err := folder.Send(context.Background(), []billing.Record{want}); err != nil {
+	if err := folder.Send(context.Background(), []billing.UsageRecord{want}); err != nil {
 		t.Error(err)
 	}
 	if names, err := os.ReadDir(string(folder)); err != nil || len(names) != 1 {
@@ -299,5 +300,5 @@
 
 // TestStoredTypes_HaveTags checks that a tag, not the Go field name, names each stored field.
 func TestStoredTypes_HaveTags(t *testing.T) {
-	testutil.CheckJSONTags(t, billing.Account{}, billing.Record{}, usageItem{}, exportState{}, maintenanceLease{})
+	testutil.CheckJSONTags(t, billing.Account{}, billing.UsageRecord{}, usageItem{}, exportState{}, maintenanceLease{})
 }
--- a/internal/config/billing.go
+++ b/internal/config/billing.go
@@ -48,11 +48,11 @@
 // Settings returns the accounts' settings, except for the plans.
 func (b Billing) Settings() billing.Settings {
 	return billing.Settings{
-		WindowNanos:       int64(b.Window),
-		ChangeNoticeNanos: int64(b.ChangeNotice),
-		ClockSkewNanos:    int64(b.ClockSkew),
-		MaxLeaseNanos:     int64(b.MaxLease),
-		ExportDelayNanos:  int64(b.ExportDelay),
+		WindowNanos:           int64(b.Window),
+		PlanChangeNoticeNanos: int64(b.ChangeNotice),
+		ClockSkewNanos:        int64(b.ClockSkew),
+		MaxLeaseNanos:         int64(b.MaxLease),
+		ExportDelayNanos:      int64(b.ExportDelay),
 	}
 }
 
--- a/internal/lab/billingbench/cluster.go
+++ b/internal/lab/billingbench/cluster.go
@@ -34,12 +34,12 @@
 // quota that is not used up.
 func settings() billing.Settings {
 	return billing.Settings{
-		WindowNanos:       3600e9,
-		ChangeNoticeNanos: 2e9,
-		ClockSkewNanos:    int64(clockSkew),
-		MaxLeaseNanos:     60e9,
-		ExportDelayNanos:  1e9,
-		Plans:             map[string]billing.Quota{planName: {Rate: 1e5, Burst: 1e5}},
+		WindowNanos:           3600e9,
+		PlanChangeNoticeNanos: 2e9,
+		ClockSkewNanos:        int64(clockSkew),
+		MaxLeaseNanos:         60e9,
+		ExportDelayNanos:      1e9,
+		Plans:                 map[string]billing.Quota{planName: {Rate: 1e5, Burst: 1e5}},
 	}
 }
 
--- a/internal/lab/billingbench/measure.go
+++ b/internal/lab/billingbench/measure.go
@@ -44,7 +44,7 @@
 	// abandonedReservations is how many are measured, one after the other, as each waits for a compaction.
 	abandonedReservations = 5
 	// abandonedUnits is how many units each reserves: far below the quota.
-	abandonedUnits = billing.Units(1e6)
+	abandonedUnits = billing.MicroUnits(1e6)
 	// abandonedLease is the lease of such a reservation.
 	abandonedLease = 200 * time.Millisecond
 	// firstAbandonedTenant is above the tenants that clients use.
@@ -134,7 +134,7 @@
 			ID:         "left",
 			Holder:     keyName,
 			Plan:       planName,
-			Units:      abandonedUnits,
+			MicroUnits: abandonedUnits,
 			LeaseNanos: int64(abandonedLease),
 		})
 		if err != nil {
--- a/internal/limitserver/account_commands.go
+++ b/internal/limitserver/account_commands.go
@@ -28,11 +28,11 @@
 	SchedulePlanChange(tenant string, change billing.PlanChange) error
 	CancelPlanChange(tenant, id string) error
 	Reserve(tenant string, request billing.ReservationRequest) (billing.Reservation, error)
-	Commit(tenant, id string, epoch uint64, units billing.Units) (billing.Reservation, error)
+	Commit(tenant, id string, epoch uint64, units billing.MicroUnits) (billing.Reservation, error)
 	Renew(tenant, id string, epoch uint64, lease time.Duration) (billing.Reservation, error)
-	AdoptReservation(tenant, id, holder string, lease time.Duration) (billing.Reservation, error)
+	TransferReservation(tenant, id, holder string, lease time.Duration) (billing.Reservation, error)
 	Release(tenant, id string, epoch uint64) error
-	Account(tenant, plan string) (billing.Account, billing.Units, error)
+	Account(tenant, plan string) (billing.Account, billing.MicroUnits, error)
 }
 
 // The number of fields in the arrays of the answers.
@@ -57,7 +57,7 @@
 	"RESERVE.NEW":     {6, reserve},
 	"RESERVE.COMMIT":  {4, commitReservation},
 	"RESERVE.RENEW":   {4, renewReservation},
-	"RESERVE.TAKE":    {4, adoptReservation},
+	"RESERVE.TAKE":    {4, transferReservation},
 	"RESERVE.RELEASE": {3, releaseReservation},
 	"RESERVE.LIST":    {1, listReservations},
 	"RESERVE.ROOM":    {2, unreservedUnits},
@@ -95,7 +95,7 @@
 		ID:         args.text(),
 		Holder:     args.text(),
 		Plan:       args.text(),
-		Units:      args.units(),
+		MicroUnits: args.units(),
 		LeaseNanos: int64(args.lease()),
 	}
 	if args.err != nil {
@@ -127,14 +127,14 @@
 	return appendReservation(out, r, err)
 }
 
-func adoptReservation(accounts Accounts, out []byte, args *arguments) ([]byte, error) {
+func transferReservation(accounts Accounts, out []byte, args *arguments) ([]byte, error) {
 	id := args.text()
 	holder := args.text()
 	lease := args.lease()
 	if args.err != nil {
 		return nil, args.err
 	}
-	r, err := accounts.AdoptReservation(args.tenant, id, holder, lease)
+	r, err := accounts.TransferReservation(args.tenant, id, holder, lease)
 	return appendReservation(out, r, err)
 }
 
@@ -177,8 +177,8 @@
 	if err != nil {
 		return nil, err
 	}
-	out = redcon.AppendArray(out, len(account.Changes))
-	for _, change := range account.Changes {
+	out = redcon.AppendArray(out, len(account.PlanChanges))
+	for _, change := range account.PlanChanges {
 		out = redcon.AppendArray(out, planChangeFields)
 		out = redcon.AppendBulkString(out, change.ID)
 		out = redcon.AppendBulkString(out, change.Plan)
@@ -205,4 +205,4 @@
 }
 
 // formatUnits formats units as decimal digits, without an exponent.
-func formatUnits(u billing.Units) string { return strconv.FormatFloat(u.Float(), 'f', -1, 64) }
+func formatUnits(u billing.MicroUnits) string { return strconv.FormatFloat(u.Float(), 'f', -1, 64) }
--- a/internal/limitserver/account_commands_test.go
+++ b/internal/limitserver/account_commands_test.go
@@ -17,12 +17,12 @@
 const now = 6000e9
 
 var ledgerSettings = billing.Settings{
-	WindowNanos:       60e9,
-	ChangeNoticeNanos: 5e9,
-	ClockSkewNanos:    1e9,
-	MaxLeaseNanos:     30e9,
-	ExportDelayNanos:  1e9,
-	Plans:             map[string]billing.Quota{"team": {Rate: 1, Burst: 10}},
+	WindowNanos:           60e9,
+	PlanChangeNoticeNanos: 5e9,
+	ClockSkewNanos:        1e9,
+	MaxLeaseNanos:         30e9,
+	ExportDelayNanos:      1e9,
+	Plans:                 map[string]billing.Quota{"team": {Rate: 1, Burst: 10}},
 }
 
 // store keeps the account that an operation returned, if it succeeded.
@@ -56,7 +56,7 @@
 	return l.storeReservation(l.account.Reserve(ledgerSettings, now, request))
 }
 
-func (l *ledger) Commit(_, id string, epoch uint64, units billing.Units) (billing.Reservation, error) {
+func (l *ledger) Commit(_, id string, epoch uint64, units billing.MicroUnits) (billing.Reservation, error) {
 	return l.storeReservation(l.account.Commit(ledgerSettings, now, id, epoch, units))
 }
 
@@ -64,11 +64,11 @@
 	return l.storeReservation(l.account.Renew(ledgerSettings, now, id, epoch, int64(lease)))
 }
 
-func (l *ledger) AdoptReservation(_, id, holder string, lease time.Duration) (billing.Reservation, error) {
-	return l.storeReservation(l.account.AdoptReservation(ledgerSettings, now, id, holder, int64(lease)))
+func (l *ledger) TransferReservation(_, id, holder string, lease time.Duration) (billing.Reservation, error) {
+	return l.storeReservation(l.account.TransferReservation(ledgerSettings, now, id, holder, int64(lease)))
 }
 
-func (l *ledger) Account(_, plan string) (billing.Account, billing.Units, error) {
+func (l *ledger) Account(_, plan string) (billing.Account, billing.MicroUnits, error) {
 	return l.account, l.account.Available(ledgerSettings, now, now, plan), nil
 }
 
--- a/internal/limitserver/arguments.go
+++ b/internal/limitserver/arguments.go
@@ -76,7 +76,7 @@
 
 // units takes a number of units. Its error says "are no number" of a single argument; the text is part of
 // the wire format.
-func (a *arguments) units() billing.Units {
+func (a *arguments) units() billing.MicroUnits {
 	text := a.text()
 	x, err := strconv.ParseFloat(text, 64)
 	if err != nil {
@@ -85,7 +85,7 @@
 	if a.err != nil {
 		return 0
 	}
-	units, err := billing.UnitsFromFloat(x)
+	units, err := billing.MicroUnitsFromFloat(x)
 	a.err = err
 	return units
 }
