--- a/internal/billing/conservation_test.go
+++ b/internal/billing/conservation_test.go
@@ -6,197 +6,199 @@
 	"testing"
 )
 
-// conservation does random operations on an account, and sums independently what they must amount to.
-type conservation struct {
-	t            *testing.T
-	seed         uint64
-	random       *rand.Rand
-	settings     Settings
-	account      Account
-	nextSequence uint64
-	used         MicroUnits            // recorded and committed
-	exported     map[string]MicroUnits // by plan
-	reserved     map[string]MicroUnits // by reservation
-	committed    map[string]MicroUnits // by reservation
-	epochs       map[string]uint64
+// accountModel applies random operations to an account and computes the expected sums independently.
+type accountModel struct {
+	t              *testing.T
+	seed           uint64
+	random         *rand.Rand
+	settings       Settings
+	account        Account
+	nextSequence   uint64
+	usedUnits      MicroUnits            // recorded and committed
+	exportedUnits  map[string]MicroUnits // by plan
+	reservedUnits  map[string]MicroUnits // by reservation id
+	committedUnits map[string]MicroUnits // by reservation id
+	epochs         map[string]uint64     // the last known epoch, by reservation id
 }
 
-// operation is what one operation of an account is given.
-type operation struct {
+// operationInput holds the random arguments of one operation.
+type operationInput struct {
 	number     int
-	clockNanos int64  // of the instance that does it
-	id         string // of a reservation
+	clockNanos int64  // the clock of the instance that performs the operation, unix ns
+	id         string // a reservation id
 	units      MicroUnits
 }
 
-// do does one operation of a random kind.
-func (c *conservation) do(op operation) error {
-	c.t.Helper()
-	switch c.random.IntN(9) {
+// doRandomOperation performs one operation of a random kind.
+func (m *accountModel) doRandomOperation(op operationInput) error {
+	m.t.Helper()
+	switch m.random.IntN(9) {
 	case 0:
-		return c.changePlan(op)
+		return m.changePlan(op)
 	case 1, 2:
-		return c.recordUsage(op)
+		return m.recordUsage(op)
 	case 3, 4:
-		return c.reserve(op)
+		return m.reserve(op)
 	case 5:
-		return c.commit(op)
+		return m.commit(op)
 	case 6:
 		var err error
-		c.account, err = c.account.Release(c.settings, op.clockNanos, op.id, c.epochs[op.id])
+		m.account, err = m.account.Release(m.settings, op.clockNanos, op.id, m.epochs[op.id])
 		return err
 	case 7:
-		c.account = c.account.ExpireReservations(c.settings, op.clockNanos)
+		m.account = m.account.ExpireReservations(m.settings, op.clockNanos)
 	case 8:
-		c.closeWindows(op)
+		m.closeWindows(op)
 	}
 	return nil
 }
 
-func (c *conservation) changePlan(op operation) (err error) {
+func (m *accountModel) changePlan(op operationInput) (err error) {
 	change := PlanChange{
 		ID:             fmt.Sprint(op.number),
-		EffectiveNanos: op.clockNanos + int64(c.random.IntN(20))*second,
-		Plan:           []string{"small", "large", "gold"}[c.random.IntN(3)],
+		EffectiveNanos: op.clockNanos + int64(m.random.IntN(20))*second,
+		Plan:           []string{"small", "large", "gold"}[m.random.IntN(3)],
 	}
-	c.account, err = c.account.SchedulePlanChange(c.settings, op.clockNanos, change)
+	m.account, err = m.account.SchedulePlanChange(m.settings, op.clockNanos, change)
 	return err
 }
 
-func (c *conservation) recordUsage(op operation) (err error) {
-	start := c.settings.WindowStart(op.clockNanos - int64(c.random.IntN(90))*second)
-	plan := []string{"small", "large"}[c.random.IntN(2)]
-	c.account, err = c.account.RecordUsage(c.settings, start, plan, op.units)
+func (m *accountModel) recordUsage(op operationInput) (err error) {
+	windowStartNanos := m.settings.WindowStart(op.clockNanos - int64(m.random.IntN(90))*second)
+	plan := []string{"small", "large"}[m.random.IntN(2)]
+	m.account, err = m.account.RecordUsage(m.settings, windowStartNanos, plan, op.units)
 	if err == nil {
-		c.used += op.units
+		m.usedUnits += op.units
 	}
 	return err
 }
 
-func (c *conservation) reserve(op operation) error {
-	c.t.Helper()
-	start := c.settings.WindowStart(op.clockNanos)
-	expired := c.account.ExpireReservations(c.settings, op.clockNanos)
-	available := expired.Available(c.settings, start, op.clockNanos, "small")
+func (m *accountModel) reserve(op operationInput) error {
+	m.t.Helper()
+	windowStartNanos := m.settings.WindowStart(op.clockNanos)
+	afterExpiry := m.account.ExpireReservations(m.settings, op.clockNanos)
+	available := afterExpiry.Available(m.settings, windowStartNanos, op.clockNanos, "small")
 	request := ReservationRequest{
 		ID:         op.id,
 		Holder:     "me",
 		Plan:       "small",
 		MicroUnits: op.units,
-		LeaseNanos: int64(1+c.random.IntN(20)) * second,
+		LeaseNanos: int64(1+m.random.IntN(20)) * second,
 	}
-	account, reservation, err := c.account.Reserve(c.settings, op.clockNanos, request)
-	c.account = account
+	account, reservation, err := m.account.Reserve(m.settings, op.clockNanos, request)
+	m.account = account
 	if err != nil {
 		return err
 	}
-	c.epochs[op.id] = reservation.Epoch
-	if _, ok := c.reserved[op.id]; ok {
+	m.epochs[op.id] = reservation.Epoch
+	if _, ok := m.reservedUnits[op.id]; ok {
 		return nil
 	}
-	c.reserved[op.id] = reservation.Remaining
+	m.reservedUnits[op.id] = reservation.Remaining
 	if reservation.Remaining > available {
-		c.t.Fatalf("seed %d: %v reserved of %v", c.seed, reservation.Remaining, available)
+		m.t.Fatalf("seed %d: %v reserved with %v available", m.seed, reservation.Remaining, available)
 	}
 	return nil
 }
 
-// commit names a stale epoch one time in five.
-func (c *conservation) commit(op operation) error {
-	epoch := c.epochs[op.id] - uint64(c.random.IntN(5)/4)
-	account, reservation, err := c.account.Commit(c.settings, op.clockNanos, op.id, epoch, op.units)
-	c.account = account
+// commit passes a stale epoch in one call of five.
+func (m *accountModel) commit(op operationInput) error {
+	epoch := m.epochs[op.id] - uint64(m.random.IntN(5)/4)
+	account, reservation, err := m.account.Commit(m.settings, op.clockNanos, op.id, epoch, op.units)
+	m.account = account
 	if err != nil {
 		return err
 	}
-	c.committed[op.id] += op.units
-	c.used += op.units
-	c.epochs[op.id] = reservation.Epoch
+	m.committedUnits[op.id] += op.units
+	m.usedUnits += op.units
+	m.epochs[op.id] = reservation.Epoch
 	return nil
 }
 
-func (c *conservation) closeWindows(op operation) {
-	c.t.Helper()
+func (m *accountModel) closeWindows(op operationInput) {
+	m.t.Helper()
 	var records []UsageRecord
-	c.account, records = c.account.CloseWindows(c.settings, op.clockNanos, c.nextSequence)
+	m.account, records = m.account.CloseWindows(m.settings, op.clockNanos, m.nextSequence)
 	for _, record := range records {
-		if record.Sequence != c.nextSequence || record.MicroUnits <= 0 {
-			c.t.Fatalf("seed %d: %+v after %d", c.seed, record, c.nextSequence)
+		if record.Sequence != m.nextSequence || record.MicroUnits <= 0 {
+			m.t.Fatalf("seed %d: record %+v, want sequence %d and units above 0", m.seed, record, m.nextSequence)
 		}
-		c.nextSequence++
-		c.exported[record.Plan] += record.MicroUnits
+		m.nextSequence++
+		m.exportedUnits[record.Plan] += record.MicroUnits
 	}
 }
 
-// check compares the account with what the operations so far must amount to.
-func (c *conservation) check(number int) {
-	c.t.Helper()
+// checkConservation compares the account with the sums expected after the operations so far.
+func (m *accountModel) checkConservation(number int) {
+	m.t.Helper()
 	sum := MicroUnits(0)
-	for _, window := range c.account.Windows {
+	for _, window := range m.account.Windows {
 		for _, units := range window.UnexportedByPlan {
 			sum += units
 		}
 	}
-	for _, units := range c.exported {
+	for _, units := range m.exportedUnits {
 		sum += units
 	}
-	if sum != c.used {
-		c.t.Fatalf("seed %d, operation %d: %v used, %v in records and windows", c.seed, number, c.used, sum)
+	if sum != m.usedUnits {
+		m.t.Fatalf("seed %d, operation %d: %v used, but %v in records and windows", m.seed, number, m.usedUnits, sum)
 	}
-	for id, reserved := range c.reserved {
-		remaining := c.account.Reservations[id].Remaining
-		if remaining+c.committed[id] > reserved {
-			c.t.Fatalf("seed %d, operation %d: %v reserved as %s, %v committed and %v remaining",
-				c.seed, number, reserved, id, c.committed[id], remaining)
+	for id, reservedUnits := range m.reservedUnits {
+		remaining := m.account.Reservations[id].Remaining
+		if remaining+m.committedUnits[id] > reservedUnits {
+			m.t.Fatalf("seed %d, operation %d: %v reserved as %s, %v committed and %v remaining",
+				m.seed, number, reservedUnits, id, m.committedUnits[id], remaining)
 		}
 	}
 }
 
-// run does 600 operations, whose moments advance while the instances' clocks differ by up to the skew.
-func (c *conservation) run() {
-	c.t.Helper()
-	now := 6000 * second
+// run performs 600 operations at increasing times, on instance clocks that differ by up to the clock skew.
+func (m *accountModel) run() {
+	m.t.Helper()
+	nowNanos := 6000 * second
 	for number := range 600 {
-		now += int64(c.random.IntN(4)) * second / 2
-		op := operation{
+		nowNanos += int64(m.random.IntN(4)) * second / 2
+		op := operationInput{
 			number:     number,
-			clockNanos: now + int64(c.random.IntN(1000))*second/1000,
-			id:         fmt.Sprint("r", number/10-c.random.IntN(3)),
-			units:      MicroUnits(1+c.random.IntN(40)) * 1e5,
+			clockNanos: nowNanos + int64(m.random.IntN(1000))*second/1000,
+			id:         fmt.Sprint("r", number/10-m.random.IntN(3)),
+			units:      MicroUnits(1+m.random.IntN(40)) * 1e5,
 		}
-		before := c.account
-		text := fmt.Sprint(before)
-		err := c.do(op)
-		isMutated := fmt.Sprint(before) != text
-		after := fmt.Sprint(c.account.Windows, c.account.PlanChanges)
-		isChanged := after != fmt.Sprint(before.Windows, before.PlanChanges)
-		if isMutated || err != nil && isChanged {
-			c.t.Fatalf("seed %d, operation %d: an account was changed by what did not happen: %v", c.seed, number, err)
+		before := m.account
+		textBefore := fmt.Sprint(before)
+		err := m.doRandomOperation(op)
+		isInputMutated := fmt.Sprint(before) != textBefore
+		after := fmt.Sprint(m.account.Windows, m.account.PlanChanges)
+		isResultChanged := after != fmt.Sprint(before.Windows, before.PlanChanges)
+		if isInputMutated || err != nil && isResultChanged {
+			m.t.Fatalf("seed %d, operation %d: modified its input, or changed the account although it failed: %v",
+				m.seed, number, err)
 		}
-		c.check(number)
+		m.checkConservation(number)
 	}
 }
 
-// TestAccount_ConservesUnits does operations in random order, on clocks that differ. Units are neither lost
-// nor made: what was used and committed is in records and open windows, each once; what was reserved is committed,
-// returned or still reserved; no reservation exceeds the allowance; sequences have no gap.
+// TestAccount_ConservesUnits performs operations in random order on clocks that differ. It checks that used and
+// committed units are in exactly one record or open window, that no more units are committed and remaining than were
+// reserved, that no reservation exceeds the available units, and that sequence numbers have no gaps.
 func TestAccount_ConservesUnits(t *testing.T) {
 	for seed := range uint64(60) {
-		c := &conservation{
-			t:            t,
-			seed:         seed,
-			random:       rand.New(rand.NewPCG(seed, 7)),
-			settings:     testSettings(),
-			account:      Account{Tenant: "g"},
-			nextSequence: 1,
-			exported:     map[string]MicroUnits{},
-			reserved:     map[string]MicroUnits{},
-			committed:    map[string]MicroUnits{},
-			epochs:       map[string]uint64{},
+		model := &accountModel{
+			t:              t,
+			seed:           seed,
+			random:         rand.New(rand.NewPCG(seed, 7)),
+			settings:       testSettings(),
+			account:        Account{Tenant: "g"},
+			nextSequence:   1,
+			exportedUnits:  map[string]MicroUnits{},
+			reservedUnits:  map[string]MicroUnits{},
+			committedUnits: map[string]MicroUnits{},
+			epochs:         map[string]uint64{},
 		}
-		c.run()
-		if c.used == 0 || c.nextSequence < 5 || len(c.reserved) < 5 {
-			t.Fatalf("seed %d shows little: %v, %d, %d", seed, c.used, c.nextSequence, len(c.reserved))
+		model.run()
+		if model.usedUnits == 0 || model.nextSequence < 5 || len(model.reservedUnits) < 5 {
+			t.Fatalf("seed %d covers too little: %v used, next sequence %d, %d reservations",
+				seed, model.usedUnits, model.nextSequence, len(model.reservedUnits))
 		}
 	}
 }
--- a/internal/billing/doc.go
+++ b/internal/billing/doc.go
@@ -1,8 +1,9 @@
-// Package billing defines what plan changes, reservations and exported usage amount to, as a pure state
-// machine: an account and a moment go in, and a new account or an error comes out. It reads no clock and does
-// no I/O. Moments and durations are nanoseconds, as their names say; a moment counts from 1970.
+// Package billing implements tenants' accounts (plan changes, reservations and usage to be exported) as a pure
+// state machine: an operation takes an account and the current time, and returns a new account or an error. The
+// package reads no clock and does no I/O. Names that end in Nanos hold times, as nanoseconds since 1970 (unix ns),
+// or durations in nanoseconds.
 //
-// An Account is a value that no operation changes: each operation returns a new one, so accounts may be read
-// concurrently. The caller stores accounts so that each operation builds on the result of the last (package
-// billingservice does so in the replicated store). docs/billing.md is the operators' page.
+// No operation modifies its Account: each returns a new one, so accounts may be read concurrently. The caller
+// stores each result and applies the next operation to it; package billingservice does so in the replicated
+// store. The operators' documentation is docs/billing.md.
 package billing
--- a/internal/billing/plan.go
+++ b/internal/billing/plan.go
@@ -6,18 +6,18 @@
 	"slices"
 )
 
-// maxChangeAheadNanos is how far ahead a plan change may lie: one year, which may be a leap year.
-const maxChangeAheadNanos = 366 * 24 * 3600 * nanosPerSecond
+// maxPlanChangeLeadNanos is the longest time from the scheduling of a plan change to its effect: a leap year.
+const maxPlanChangeLeadNanos = 366 * 24 * 3600 * nanosPerSecond
 
-// PlanChange puts a plan in force from a moment on.
+// PlanChange is a change of a tenant's plan that takes effect at a given time.
 type PlanChange struct {
 	ID             string `json:"id"`
 	EffectiveNanos int64  `json:"at"` // unix ns
 	Plan           string `json:"plan"`
 }
 
-// PlanAt returns the plan in force at a moment (unix ns). It is empty if no change has set one; then the plan that a
-// request asks for applies.
+// PlanAt returns the plan in force at a time (unix ns). It returns "" if no change has set a plan by then; in that case
+// the plan that a request names applies.
 func (a Account) PlanAt(atNanos int64) string {
 	plan := ""
 	for _, change := range a.PlanChanges {
@@ -28,20 +28,20 @@
 	return plan
 }
 
-// SchedulePlanChange sets the tenant's plan from a moment on. Repeating the same change is not an error,
-// since the change has already been made. The error wraps ErrOutOfRange, ErrNotFound, ErrConflict, ErrTooSoon or
-// ErrNoCapacity.
+// SchedulePlanChange adds a change of the tenant's plan. It succeeds without effect if the account already contains
+// exactly this change, so a client may repeat the call. The error wraps ErrOutOfRange, ErrNotFound, ErrConflict,
+// ErrTooSoon or ErrNoCapacity.
 func (a Account) SchedulePlanChange(settings Settings, nowNanos int64, change PlanChange) (Account, error) {
 	if err := checkID(change.ID); err != nil {
 		return a, err
 	}
 	if _, ok := settings.Plans[change.Plan]; !ok {
-		return a, annotate(ErrNotFound, "plan %.80q", change.Plan)
+		return a, wrapWithSubject(ErrNotFound, "plan %.80q", change.Plan)
 	}
 	if slices.Contains(a.PlanChanges, change) {
 		return a, nil
 	}
-	if err := a.checkChange(settings, nowNanos, change); err != nil {
+	if err := a.checkPlanChange(settings, nowNanos, change); err != nil {
 		return a, err
 	}
 	a = a.clone()
@@ -52,66 +52,69 @@
 	return a, nil
 }
 
-// checkChange checks a new change against the existing ones, and checks its moment.
-func (a Account) checkChange(settings Settings, nowNanos int64, change PlanChange) error {
+// checkPlanChange checks a new change's id and effective time, and that the account can hold one more change.
+func (a Account) checkPlanChange(settings Settings, nowNanos int64, change PlanChange) error {
 	for _, other := range a.PlanChanges {
 		if other.ID == change.ID {
-			return annotate(ErrConflict, "id %q", change.ID)
+			return wrapWithSubject(ErrConflict, "id %q", change.ID)
 		}
 		if other.EffectiveNanos == change.EffectiveNanos {
-			return annotate(ErrConflict, "the moment, by change %q to %s,", other.ID, other.Plan)
+			return wrapWithSubject(ErrConflict, "the moment, by change %q to %s,", other.ID, other.Plan)
 		}
 	}
-	aheadNanos := change.EffectiveNanos - nowNanos
+	leadNanos := change.EffectiveNanos - nowNanos
 	if change.EffectiveNanos < nowNanos+settings.PlanChangeNoticeNanos {
-		return annotate(ErrTooSoon, "the moment, %d ms from now where %d are needed,",
-			aheadNanos/nanosPerMilli, settings.PlanChangeNoticeNanos/nanosPerMilli)
+		return wrapWithSubject(ErrTooSoon, "the moment, %d ms from now where %d are needed,",
+			leadNanos/nanosPerMilli, settings.PlanChangeNoticeNanos/nanosPerMilli)
 	}
-	if change.EffectiveNanos > nowNanos+maxChangeAheadNanos {
-		return annotate(ErrOutOfRange, "the moment, more than a year ahead,")
+	if change.EffectiveNanos > nowNanos+maxPlanChangeLeadNanos {
+		return wrapWithSubject(ErrOutOfRange, "the moment, more than a year ahead,")
 	}
-	if len(a.PlanChanges) >= maxChanges {
-		return annotate(ErrNoCapacity, "the list of changes, of %d,", maxChanges)
+	if len(a.PlanChanges) >= maxPlanChanges {
+		return wrapWithSubject(ErrNoCapacity, "the list of changes, of %d,", maxPlanChanges)
 	}
 	return nil
 }
 
-// CancelPlanChange cancels a change that no instance applies yet. The error wraps ErrNotFound or ErrExpired.
+// CancelPlanChange removes a plan change. It fails with ErrExpired if the change takes effect in less than
+// Settings.PlanChangeNoticeNanos, because an instance could then apply the change before the removal reaches it. The
+// error may also wrap ErrNotFound.
 func (a Account) CancelPlanChange(settings Settings, nowNanos int64, id string) (Account, error) {
-	position := slices.IndexFunc(a.PlanChanges, func(change PlanChange) bool { return change.ID == id })
-	if position < 0 {
-		return a, annotate(ErrNotFound, "change %.80q", id)
+	index := slices.IndexFunc(a.PlanChanges, func(change PlanChange) bool { return change.ID == id })
+	if index < 0 {
+		return a, wrapWithSubject(ErrNotFound, "change %.80q", id)
 	}
-	if a.PlanChanges[position].EffectiveNanos < nowNanos+settings.PlanChangeNoticeNanos {
-		return a, annotate(ErrExpired, "the time to take change %q back", id)
+	if a.PlanChanges[index].EffectiveNanos < nowNanos+settings.PlanChangeNoticeNanos {
+		return a, wrapWithSubject(ErrExpired, "the time to take change %q back", id)
 	}
 	a = a.clone()
-	a.PlanChanges = slices.Delete(a.PlanChanges, position, position+1)
+	a.PlanChanges = slices.Delete(a.PlanChanges, index, index+1)
 	return a, nil
 }
 
-// Allowance returns the units that a window allows: the rate of each plan for the time that it is in force in
-// the window, plus the burst of the plan now in force. defaultPlan applies where no change has set a plan.
+// Allowance returns the units that may be used in a window: the rate of each plan multiplied by the time that the plan
+// is in force within the window, plus the burst of the plan in force at nowNanos. defaultPlan applies while no change
+// has set a plan.
 func (a Account) Allowance(settings Settings, windowStartNanos, nowNanos int64, defaultPlan string) MicroUnits {
-	quota := func(plan string) Quota { return settings.Plans[cmp.Or(plan, defaultPlan)] }
-	endNanos := windowStartNanos + settings.WindowNanos
-	sum := 0.0
-	fromNanos := windowStartNanos
+	planQuota := func(plan string) Quota { return settings.Plans[cmp.Or(plan, defaultPlan)] }
+	windowEndNanos := windowStartNanos + settings.WindowNanos
+	units := 0.0
+	segmentStartNanos := windowStartNanos
 	plan := a.PlanAt(windowStartNanos)
 	for _, change := range a.PlanChanges {
-		if change.EffectiveNanos > windowStartNanos && change.EffectiveNanos < endNanos {
-			sum += quota(plan).Rate * float64(change.EffectiveNanos-fromNanos) / nanosPerSecond
-			fromNanos = change.EffectiveNanos
+		if change.EffectiveNanos > windowStartNanos && change.EffectiveNanos < windowEndNanos {
+			units += planQuota(plan).Rate * float64(change.EffectiveNanos-segmentStartNanos) / nanosPerSecond
+			segmentStartNanos = change.EffectiveNanos
 			plan = change.Plan
 		}
 	}
-	sum += quota(plan).Rate * float64(endNanos-fromNanos) / nanosPerSecond
-	sum += quota(a.PlanAt(nowNanos)).Burst
-	return MicroUnits(math.Round(sum * microsPerUnit))
+	units += planQuota(plan).Rate * float64(windowEndNanos-segmentStartNanos) / nanosPerSecond
+	units += planQuota(a.PlanAt(nowNanos)).Burst
+	return MicroUnits(math.Round(units * microsPerUnit))
 }
 
-// Available returns how many units of a window may still be reserved. It is below 0 if a plan change left
-// less than is already used or reserved.
+// Available returns how many units of a window may still be reserved. The result is negative if more units are used
+// and reserved than the window allows, for example after a change to a smaller plan.
 func (a Account) Available(settings Settings, windowStartNanos, nowNanos int64, defaultPlan string) MicroUnits {
 	available := a.Allowance(settings, windowStartNanos, nowNanos, defaultPlan)
 	for _, window := range a.Windows {
--- a/internal/billing/plan_test.go
+++ b/internal/billing/plan_test.go
@@ -28,13 +28,13 @@
 		want   error
 	}{
 		{"first", PlanChange{"1", now + 10*second, "large"}, nil},
-		{"sent twice", PlanChange{"1", now + 10*second, "large"}, nil},
-		{"same id, another moment", PlanChange{"1", now + 20*second, "large"}, ErrConflict},
-		{"two at once", PlanChange{"2", now + 10*second, "small"}, ErrConflict},
+		{"repeated request", PlanChange{"1", now + 10*second, "large"}, nil},
+		{"same id, another time", PlanChange{"1", now + 20*second, "large"}, ErrConflict},
+		{"same time, another id", PlanChange{"2", now + 10*second, "small"}, ErrConflict},
 		{"too soon", PlanChange{"3", now + 4*second, "small"}, ErrTooSoon},
 		{"unknown plan", PlanChange{"3", now + 20*second, "gold"}, ErrNotFound},
 		{"no id", PlanChange{"", now + 20*second, "small"}, ErrOutOfRange},
-		{"before the first", PlanChange{"4", now + 8*second, "small"}, nil},
+		{"earlier than the first", PlanChange{"4", now + 8*second, "small"}, nil},
 	} {
 		changed, err := account.SchedulePlanChange(settings, now, test.change)
 		if !errors.Is(err, test.want) || test.want == nil && err != nil {
@@ -58,12 +58,13 @@
 	if _, err := account.CancelPlanChange(settings, now, "9"); !errors.Is(err, ErrNotFound) {
 		t.Error(err)
 	}
-	// A window in which the plan changes allows each plan's rate for its time: until 1008 no plan is set (small
-	// is the default), until 1010 small, then large. The burst is that of the plan now in force.
+	// The allowance of a window in which the plan changes is the sum of each plan's rate for its time in force: the
+	// default small until 1008 s, the scheduled small until 1010 s, then large. The burst is that of the plan in force
+	// at now.
 	start := settings.WindowStart(now)
-	small := float64((1010 - start/second) * 1)
-	large := float64(start/second+60-1010) * 5
-	if got := account.Allowance(settings, start, now, "small").Float(); got != small+large+10 {
+	smallUnits := float64((1010 - start/second) * 1)
+	largeUnits := float64(start/second+60-1010) * 5
+	if got := account.Allowance(settings, start, now, "small").Float(); got != smallUnits+largeUnits+10 {
 		t.Error(got)
 	}
 }
--- a/internal/billing/reservation.go
+++ b/internal/billing/reservation.go
@@ -2,33 +2,33 @@
 
 import "cmp"
 
-// endedLeases is for how many of the longest leases the id of an ended reservation is remembered: longer than
-// any holder can take its lease to be running.
-const endedLeases = 2
+// endedRetentionLeases is how long the id of an ended reservation is retained, as a multiple of Settings.MaxLeaseNanos.
+// It exceeds the time for which any holder can still consider its lease valid.
+const endedRetentionLeases = 2
 
-// Reservation is a part of a window's allowance that only its holder may use, for as long as its lease lasts.
+// Reservation is a part of a window's allowance that only its holder may use, until its lease expires.
 type Reservation struct {
 	ID               string     `json:"id"`
 	Plan             string     `json:"plan"`
-	WindowStartNanos int64      `json:"window"` // of the window whose allowance it uses, unix ns
+	WindowStartNanos int64      `json:"window"` // start of the window whose allowance it uses, unix ns
 	Remaining        MicroUnits `json:"left"`
 	ExpiresNanos     int64      `json:"until"` // unix ns
-	Epoch            uint64     `json:"epoch"` // raised by each commit and adoption
+	Epoch            uint64     `json:"epoch"` // raised by each commit and transfer
 	Holder           string     `json:"holder"`
 }
 
-// ReservationRequest holds the arguments of Reserve.
+// ReservationRequest holds the arguments of Account.Reserve.
 type ReservationRequest struct {
 	ID         string
 	Holder     string
-	Plan       string // applies if no change has set the tenant's plan
+	Plan       string // used if no change has set the tenant's plan
 	MicroUnits MicroUnits
-	LeaseNanos int64 // from now to the end of the lease, if it is not renewed
+	LeaseNanos int64 // duration of the lease
 }
 
-// Reserve reserves units of the window that contains nowNanos. Repeating an id is not an error while the same
-// holder has the reservation: it has already been made, and Reserve returns it as it is. The error wraps
-// ErrOutOfRange, ErrNotFound, ErrConflict, ErrExpired or ErrNoCapacity.
+// Reserve reserves units of the window that contains nowNanos. If the same holder already has a reservation with the
+// id, Reserve returns that reservation unchanged, so a client may repeat the call. The error wraps ErrOutOfRange,
+// ErrNotFound, ErrConflict, ErrExpired or ErrNoCapacity.
 func (a Account) Reserve(
 	settings Settings, nowNanos int64, request ReservationRequest,
 ) (Account, Reservation, error) {
@@ -37,14 +37,14 @@
 		return a, Reservation{}, err
 	}
 	if _, ok := settings.Plans[plan]; !ok {
-		return a, Reservation{}, annotate(ErrNotFound, "plan %.80q", plan)
+		return a, Reservation{}, wrapWithSubject(ErrNotFound, "plan %.80q", plan)
 	}
-	expires, err := settings.leaseEnd(nowNanos, request.LeaseNanos)
+	expiresNanos, err := settings.leaseExpiryNanos(nowNanos, request.LeaseNanos)
 	if err != nil {
 		return a, Reservation{}, err
 	}
-	if request.MicroUnits <= 0 || request.MicroUnits > maxUnitsValue {
-		return a, Reservation{}, annotate(ErrOutOfRange, "a reservation of %g units", request.MicroUnits.Float())
+	if request.MicroUnits <= 0 || request.MicroUnits > maxMicroUnits {
+		return a, Reservation{}, wrapWithSubject(ErrOutOfRange, "a reservation of %g units", request.MicroUnits.Float())
 	}
 	a = a.ExpireReservations(settings, nowNanos)
 	if existing, ok := a.Reservations[request.ID]; ok && existing.Holder == request.Holder {
@@ -55,7 +55,7 @@
 		Plan:             plan,
 		WindowStartNanos: settings.WindowStart(nowNanos),
 		Remaining:        request.MicroUnits,
-		ExpiresNanos:     expires,
+		ExpiresNanos:     expiresNanos,
 		Epoch:            a.Epoch + 1,
 		Holder:           request.Holder,
 	}
@@ -68,46 +68,47 @@
 	return a, reservation, nil
 }
 
-// checkReservation checks that a new reservation's id is free and that its window and the account have capacity
-// for it.
+// checkReservation checks that the id of a new reservation is unused, that its window has enough available units, and
+// that the account can hold one more reservation.
 func (a Account) checkReservation(settings Settings, nowNanos int64, reservation Reservation) error {
 	if _, ok := a.Reservations[reservation.ID]; ok {
-		return annotate(ErrConflict, "reservation %q", reservation.ID)
+		return wrapWithSubject(ErrConflict, "reservation %q", reservation.ID)
 	}
 	if _, ok := a.EndedReservations[reservation.ID]; ok {
-		return annotate(ErrExpired, "reservation %q", reservation.ID)
+		return wrapWithSubject(ErrExpired, "reservation %q", reservation.ID)
 	}
 	available := a.Available(settings, reservation.WindowStartNanos, nowNanos, reservation.Plan)
 	if reservation.Remaining > available {
-		return annotate(ErrNoCapacity, "the window, for %g units of %g,",
+		return wrapWithSubject(ErrNoCapacity, "the window, for %g units of %g,",
 			reservation.Remaining.Float(), max(available, 0).Float())
 	}
 	if len(a.Reservations) >= maxReservations {
-		return annotate(ErrNoCapacity, "the list of reservations, of %d,", maxReservations)
+		return wrapWithSubject(ErrNoCapacity, "the list of reservations, of %d,", maxReservations)
 	}
 	return nil
 }
 
-// activeReservation returns a reservation that its holder may still use.
+// activeReservation returns the reservation with the given id. It returns an error if the reservation or its lease has
+// ended, or if its epoch is not the given one.
 func (a Account) activeReservation(nowNanos int64, id string, epoch uint64) (Reservation, error) {
 	reservation, ok := a.Reservations[id]
 	switch {
 	case !ok && a.EndedReservations[id] != 0:
-		return reservation, annotate(ErrExpired, "reservation %q", id)
+		return reservation, wrapWithSubject(ErrExpired, "reservation %q", id)
 	case !ok:
-		return reservation, annotate(ErrNotFound, "reservation %.80q", id)
+		return reservation, wrapWithSubject(ErrNotFound, "reservation %.80q", id)
 	case reservation.Epoch != epoch:
-		return reservation, annotate(ErrStaleEpoch,
+		return reservation, wrapWithSubject(ErrStaleEpoch,
 			"epoch %d of reservation %q, which is at %d,", epoch, id, reservation.Epoch)
 	case nowNanos >= reservation.ExpiresNanos:
-		return reservation, annotate(ErrExpired, "the lease of reservation %q", id)
+		return reservation, wrapWithSubject(ErrExpired, "the lease of reservation %q", id)
 	}
 	return reservation, nil
 }
 
-// Commit turns reserved units into usage. Each commit raises the epoch. Commit returns the new epoch, which
-// the next commit must name. Therefore a commit that is sent twice is applied once, and the second one fails
-// with ErrStaleEpoch. The error may also wrap ErrNotFound, ErrExpired or ErrOutOfRange.
+// Commit turns reserved units into usage. It raises the reservation's epoch and returns the reservation with the new
+// epoch, which the next commit must name. Therefore a commit that is sent twice is applied once, and the second one
+// fails with ErrStaleEpoch. The error may also wrap ErrNotFound, ErrExpired or ErrOutOfRange.
 func (a Account) Commit(
 	settings Settings, nowNanos int64, id string, epoch uint64, units MicroUnits,
 ) (Account, Reservation, error) {
@@ -116,7 +117,7 @@
 		return a, reservation, err
 	}
 	if units <= 0 || units > reservation.Remaining {
-		return a, reservation, annotate(ErrOutOfRange,
+		return a, reservation, wrapWithSubject(ErrOutOfRange,
 			"a commit of %g units of the %g that reservation %q holds",
 			units.Float(), reservation.Remaining.Float(), id)
 	}
@@ -132,7 +133,7 @@
 	return a, reservation, nil
 }
 
-// Renew sets the end of a reservation's lease to leaseNanos from now. The error wraps ErrNotFound, ErrStaleEpoch,
+// Renew sets the expiry of a reservation's lease to leaseNanos from now. The error wraps ErrNotFound, ErrStaleEpoch,
 // ErrExpired or ErrOutOfRange.
 func (a Account) Renew(
 	settings Settings, nowNanos int64, id string, epoch uint64, leaseNanos int64,
@@ -141,7 +142,7 @@
 	if err != nil {
 		return a, reservation, err
 	}
-	if reservation.ExpiresNanos, err = settings.leaseEnd(nowNanos, leaseNanos); err != nil {
+	if reservation.ExpiresNanos, err = settings.leaseExpiryNanos(nowNanos, leaseNanos); err != nil {
 		return a, reservation, err
 	}
 	a = a.clone()
@@ -149,8 +150,8 @@
 	return a, reservation, nil
 }
 
-// TransferReservation gives a reservation to another holder. Whatever the old holder sends from then on has a
-// stale epoch. The error wraps ErrNotFound, ErrExpired or ErrOutOfRange.
+// TransferReservation makes another holder the holder of a reservation, with a new lease and a new epoch. Later
+// operations of the previous holder fail with ErrStaleEpoch. The error wraps ErrNotFound, ErrExpired or ErrOutOfRange.
 func (a Account) TransferReservation(
 	settings Settings, nowNanos int64, id, holder string, leaseNanos int64,
 ) (Account, Reservation, error) {
@@ -158,7 +159,7 @@
 	if err != nil {
 		return a, reservation, err
 	}
-	if reservation.ExpiresNanos, err = settings.leaseEnd(nowNanos, leaseNanos); err != nil {
+	if reservation.ExpiresNanos, err = settings.leaseExpiryNanos(nowNanos, leaseNanos); err != nil {
 		return a, reservation, err
 	}
 	a = a.clone()
@@ -169,8 +170,8 @@
 	return a, reservation, nil
 }
 
-// Release gives back the remaining units of a reservation. The error wraps ErrNotFound, ErrStaleEpoch or
-// ErrExpired.
+// Release ends a reservation, which makes its remaining units available again. The error wraps ErrNotFound,
+// ErrStaleEpoch or ErrExpired.
 func (a Account) Release(settings Settings, nowNanos int64, id string, epoch uint64) (Account, error) {
 	if _, err := a.activeReservation(nowNanos, id, epoch); err != nil {
 		return a, err
@@ -180,15 +181,15 @@
 	return a, nil
 }
 
-// endReservation ends a reservation. Its id is remembered for as long as somebody may still send requests for
-// it. The account must be a clone.
+// endReservation removes a reservation and retains its id for as long as a client may still send requests for it. The
+// account must be a clone.
 func (a *Account) endReservation(settings Settings, nowNanos int64, id string) {
 	delete(a.Reservations, id)
-	a.EndedReservations[id] = nowNanos + endedLeases*settings.MaxLeaseNanos
+	a.EndedReservations[id] = nowNanos + endedRetentionLeases*settings.MaxLeaseNanos
 }
 
-// ExpireReservations gives back the remaining units of reservations whose holders have not renewed them, once
-// the lease has ended on every instance's clock.
+// ExpireReservations ends the reservations whose leases have expired on every instance's clock, which makes their
+// remaining units available again. It also drops the ids of ended reservations whose retention is over.
 func (a Account) ExpireReservations(settings Settings, nowNanos int64) Account {
 	var expired, forgotten []string
 	for id, reservation := range a.Reservations {
@@ -196,8 +197,8 @@
 			expired = append(expired, id)
 		}
 	}
-	for id, until := range a.EndedReservations {
-		if nowNanos >= until {
+	for id, rememberedUntilNanos := range a.EndedReservations {
+		if nowNanos >= rememberedUntilNanos {
 			forgotten = append(forgotten, id)
 		}
 	}
--- a/internal/billing/settings.go
+++ b/internal/billing/settings.go
@@ -5,7 +5,8 @@
 	"math"
 )
 
-// MicroUnits counts millionths of a unit. Whole numbers make sums the same in any order.
+// MicroUnits is a number of millionths of a unit. It is an integer so that a sum does not depend on the order of its
+// terms.
 type MicroUnits int64
 
 const (
@@ -13,68 +14,68 @@
 	nanosPerMilli  = 1e6
 
 	microsPerUnit = 1e6
-	// maxUnits is the largest number of units at once. Sums of a million of them fit into Units.
+	// maxUnits is the largest number of units in one operation. A sum of a million such numbers fits into MicroUnits.
 	maxUnits = 1e6
-	// maxUnitsValue is maxUnits as a value of type Units.
-	maxUnitsValue MicroUnits = maxUnits * microsPerUnit
-	// maxReportFactor is how many times maxUnits a usage report may hold, because it sums the requests of an
-	// interval.
+	// maxMicroUnits is maxUnits in millionths of a unit.
+	maxMicroUnits MicroUnits = maxUnits * microsPerUnit
+	// maxReportFactor is the bound on one item of a usage report, as a multiple of maxUnits. It is above 1 because an
+	// item sums the requests of an interval.
 	maxReportFactor = 1000
 )
 
-// MicroUnitsFromFloat converts a number of units, as it appears in requests and commands, to
-// MicroUnits. The number must
-// be above 0 and at most a million; any other one, and NaN, is an error.
-func MicroUnitsFromFloat(number float64) (MicroUnits, error) {
-	if !(number > 0 && number <= maxUnits) { // written so that NaN is out of range too
-		return 0, fmt.Errorf("units %g are not above 0 and at most %g", number, float64(maxUnits))
+// MicroUnitsFromFloat converts a number of units, as it appears in requests and commands, to MicroUnits. It returns an
+// error unless the number is above 0 and at most a million.
+func MicroUnitsFromFloat(units float64) (MicroUnits, error) {
+	if !(units > 0 && units <= maxUnits) { // the negation makes NaN out of range too
+		return 0, fmt.Errorf("units %g are not above 0 and at most %g", units, float64(maxUnits))
 	}
-	return MicroUnits(math.Round(number * microsPerUnit)), nil
+	return MicroUnits(math.Round(units * microsPerUnit)), nil
 }
 
-// Float converts u from millionths of a unit to units.
+// Float returns u as a number of units.
 func (u MicroUnits) Float() float64 { return float64(u) / microsPerUnit }
 
-// Quota is what a plan allows in a window: Rate for the length of the window, and Burst once.
+// Quota is what a plan allows in a window: Rate multiplied by the length of the window, plus Burst.
 type Quota struct {
-	Rate  float64 // units a second
-	Burst float64 // units at once
+	Rate  float64 // units per second
+	Burst float64 // units per window
 }
 
-// Settings holds settings that are the same at all gateway instances. Its plans are not modified while it is in
-// use.
+// Settings holds settings that are the same at all gateway instances. Plans must not be modified while the settings
+// are in use.
 type Settings struct {
-	// WindowNanos is the length of a window. Usage is billed by windows, which are counted since 1970.
+	// WindowNanos is the length of a window. Usage is billed per window. Window starts are multiples of this length
+	// since 1970.
 	WindowNanos int64
-	// PlanChangeNoticeNanos is how far ahead a plan change is announced, so that all instances know it when it takes
-	// effect.
+	// PlanChangeNoticeNanos is the minimum time from the scheduling of a plan change to its effect. It must suffice for
+	// the change to reach all instances.
 	PlanChangeNoticeNanos int64
 	// ClockSkewNanos is how far the clocks of two instances may differ.
 	ClockSkewNanos int64
-	// MaxLeaseNanos is how long a reservation may last without being renewed.
+	// MaxLeaseNanos is the longest lease of a reservation.
 	MaxLeaseNanos int64
-	// ExportDelayNanos is the time between a window's end and the export of its usage. Usage that arrives later
-	// makes a further record.
+	// ExportDelayNanos is the time between a window's end and the export of its usage. Usage that arrives later is
+	// exported in a further record.
 	ExportDelayNanos int64
 	// Plans holds the plans by name.
 	Plans map[string]Quota
 }
 
-// WindowStart returns the start of the window that contains a moment, which may lie before 1970.
+// WindowStart returns the start of the window that contains a time (unix ns), which may lie before 1970.
 func (s Settings) WindowStart(atNanos int64) int64 {
-	sinceStart := (atNanos%s.WindowNanos + s.WindowNanos) % s.WindowNanos
-	return atNanos - sinceStart
+	elapsedNanos := (atNanos%s.WindowNanos + s.WindowNanos) % s.WindowNanos
+	return atNanos - elapsedNanos
 }
 
-// exportAt returns the moment at which a window's usage is exported.
-func (s Settings) exportAt(windowStartNanos int64) int64 {
+// exportDueNanos returns the time (unix ns) from which a window's usage is to be exported.
+func (s Settings) exportDueNanos(windowStartNanos int64) int64 {
 	return windowStartNanos + s.WindowNanos + s.ExportDelayNanos
 }
 
-// leaseEnd checks the length of a lease and returns the moment at which it ends.
-func (s Settings) leaseEnd(nowNanos, leaseNanos int64) (int64, error) {
+// leaseExpiryNanos checks the length of a lease that begins now and returns its expiry (unix ns).
+func (s Settings) leaseExpiryNanos(nowNanos, leaseNanos int64) (int64, error) {
 	if leaseNanos <= 0 || leaseNanos > s.MaxLeaseNanos {
-		return 0, annotate(ErrOutOfRange, "lease of %d ms, of 1 to %d,",
+		return 0, wrapWithSubject(ErrOutOfRange, "lease of %d ms, of 1 to %d,",
 			leaseNanos/nanosPerMilli, s.MaxLeaseNanos/nanosPerMilli)
 	}
 	return nowNanos + leaseNanos, nil
