--- a/internal/billingservice/accounts.go
+++ b/internal/billingservice/accounts.go
@@ -8,14 +8,15 @@
 	"fawnplank/internal/store/kv"
 )
 
-// readLocalAccount reads an account as this replica has it; see decodeAccount.
+// readLocalAccount reads an account from this replica, which may not have applied the latest writes. Its results are
+// those of decodeAccount.
 func (s *Service) readLocalAccount(tenant string) (billing.Account, kv.Index, error) {
 	entry, found := s.options.Replica.ReadLocal(accountPrefix + tenant)
 	return decodeAccount(tenant, entry, found)
 }
 
-// readAccountFromLeader reads an account from the leader, which has everything that is committed; see
-// decodeAccount.
+// readAccountFromLeader reads an account from the leader, which has applied every committed write. Its results are
+// those of decodeAccount.
 func (s *Service) readAccountFromLeader(tenant string) (billing.Account, kv.Index, error) {
 	entry, found, err := s.options.Replica.ReadFromLeader(accountPrefix + tenant)
 	if err != nil {
@@ -24,8 +25,8 @@
 	return decodeAccount(tenant, entry, found)
 }
 
-// decodeAccount returns the account in a tenant's entry, which is an empty one if there is no entry, and its
-// index. A write that names this index is committed only if nothing else was written in between.
+// decodeAccount returns the account that a tenant's entry contains, and the entry's index. If there is no entry, it
+// returns an empty account and index 0. A write with this index as ExpectedIndex fails if the entry was written since.
 func decodeAccount(tenant string, entry kv.Entry, found bool) (billing.Account, kv.Index, error) {
 	if !found {
 		return billing.Account{Tenant: tenant}, 0, nil
@@ -37,17 +38,17 @@
 	return account, entry.Index, nil
 }
 
-// writeAccount writes an account, if it still has the given index.
+// writeAccount writes an account if its entry still has the given index.
 func (s *Service) writeAccount(account billing.Account, index kv.Index) error {
-	edit, err := editAccount(account, index)
+	edit, err := newAccountEdit(account, index)
 	if err != nil {
 		return err
 	}
 	return s.options.Replica.Edit([]kv.Edit{edit})
 }
 
-// editAccount returns the edit that writes an account, or that deletes an empty one.
-func editAccount(account billing.Account, index kv.Index) (kv.Edit, error) {
+// newAccountEdit returns the edit that writes an account or, if the account is empty, deletes its entry.
+func newAccountEdit(account billing.Account, index kv.Index) (kv.Edit, error) {
 	edit := kv.Edit{Key: accountPrefix + account.Tenant, Conditional: true, ExpectedIndex: index}
 	if account.IsEmpty() {
 		return edit, nil
@@ -57,8 +58,8 @@
 	return edit, err
 }
 
-// hasSameBytes reports whether two accounts are stored as the same bytes.
-func hasSameBytes(a, b billing.Account) bool {
+// haveEqualEncoding reports whether two accounts are encoded as the same bytes.
+func haveEqualEncoding(a, b billing.Account) bool {
 	valueA, errA := json.Marshal(a)
 	valueB, errB := json.Marshal(b)
 	return errA == nil && errB == nil && string(valueA) == string(valueB)
--- a/internal/billingservice/add_reports.go
+++ b/internal/billingservice/add_reports.go
@@ -10,11 +10,11 @@
 	"fawnplank/internal/store/kv"
 )
 
-// addReports adds reported usage to accounts, if this instance holds the maintenance lease. One write deletes
-// many reports and adds their units, because a next write must wait until this replica has the last one.
+// addReports adds reported usage to accounts, if this instance holds the maintenance lease. A single write deletes
+// many reports and adds their units, because a further write has to wait until this replica has applied the last one.
 //
-// A report that cannot be added stays until somebody looks at it. Usage is not dropped silently, and other
-// reports are not held up.
+// A report that cannot be added stays in the store for an operator to inspect, so that its usage is not dropped
+// silently. It does not delay other reports.
 func (s *Service) addReports() error {
 	if !s.ensureLease() {
 		return nil
@@ -29,13 +29,13 @@
 	}
 	err = s.options.Replica.Edit(edits)
 	if isConflict(err) {
-		return reportErr // an account has changed in the meantime; the next round tries again
+		return reportErr // an account has changed since it was read; the next round retries
 	}
 	return errors.Join(err, reportErr)
 }
 
-// collectReports returns the first of the stored reports, as many as one write can hold, and an
-// *InvalidReportError about the last report among them that cannot be added.
+// collectReports returns a batch of as many stored reports as one write can hold, in the order of their keys. Its error
+// is an *InvalidReportError for the last of the examined reports that cannot be added, or nil.
 func (s *Service) collectReports() (*reportBatch, error) {
 	batch := &reportBatch{accounts: map[string]billing.Account{}, indices: map[string]kv.Index{}}
 	var reportErr error
@@ -61,16 +61,16 @@
 	return batch, reportErr
 }
 
-// reportBatch holds what one write adds and deletes.
+// reportBatch holds the reports that one write deletes and the accounts to which it adds their units.
 type reportBatch struct {
-	accounts  map[string]billing.Account // by tenant, including the reports' units
-	indices   map[string]kv.Index        // of the accounts, as they were read
-	deletions []kv.Edit                  // of the reports
+	accounts  map[string]billing.Account // by tenant, with the reports' units added
+	indices   map[string]kv.Index        // of the accounts when they were read, by tenant
+	deletions []kv.Edit                  // deletions of the reports
 }
 
-// fits reports whether the write can hold a further report, even if none of its accounts is in the write yet.
+// fits reports whether the write can hold a further report, even if none of the report's accounts is in it yet.
 func (b *reportBatch) fits(items []usageItem) bool {
-	return len(b.deletions)+len(b.accounts)+len(items) < maxEdits
+	return len(b.deletions)+len(b.accounts)+len(items) < maxEditsPerWrite
 }
 
 // deleteReport adds the deletion of a report that was read at an index.
@@ -78,11 +78,11 @@
 	b.deletions = append(b.deletions, kv.Edit{Key: key, Conditional: true, ExpectedIndex: index})
 }
 
-// edits returns the deletions, followed by the accounts in order.
+// edits returns the deletions of the reports, followed by the writes of the accounts in the order of tenants.
 func (b *reportBatch) edits() ([]kv.Edit, error) {
 	edits := b.deletions
 	for _, tenant := range slices.Sorted(maps.Keys(b.accounts)) {
-		edit, err := editAccount(b.accounts[tenant], b.indices[tenant])
+		edit, err := newAccountEdit(b.accounts[tenant], b.indices[tenant])
 		if err != nil {
 			return nil, err
 		}
@@ -91,7 +91,7 @@
 	return edits, nil
 }
 
-// addReport adds all units of a report to the accounts of a batch, or none.
+// addReport adds all items of a report to the accounts of a batch. If it fails, the batch is unchanged.
 func (s *Service) addReport(batch *reportBatch, items []usageItem) error {
 	accounts := maps.Clone(batch.accounts)
 	indices := maps.Clone(batch.indices)
--- a/internal/billingservice/compaction.go
+++ b/internal/billingservice/compaction.go
@@ -9,13 +9,13 @@
 	"fawnplank/internal/store/kv"
 )
 
-// maxCompactionSteps bounds the steps of a round of compaction, each of which is a write or a wait for a replica
-// that lags behind. The next round continues where it stopped.
+// maxCompactionSteps bounds the steps of one round of compaction. A step is a write, or a wait until this replica has
+// caught up. The next round continues with the remaining accounts.
 const maxCompactionSteps = 100
 
-// compact ends reservations whose leases have expired and makes records of windows that have ended, if this
-// instance holds the maintenance lease. Each write covers as many accounts as it can hold, because the windows
-// of all tenants end together.
+// compact ends reservations whose leases have expired and creates the records of windows whose export is due, if this
+// instance holds the maintenance lease. Each write covers as many accounts as it can hold, because the windows of all
+// tenants end at the same time.
 func (s *Service) compact() error {
 	if !s.ensureLease() {
 		return nil
@@ -26,7 +26,7 @@
 		if err != nil {
 			return err
 		}
-		if s.isBehind(index) { // what follows reads accounts, which this replica does not have yet
+		if s.isReplicaBehind(index) { // compactAccounts reads accounts from this replica
 			if s.waitOrStop(replicaLagInterval) {
 				return nil
 			}
@@ -39,7 +39,7 @@
 		tenants = write.remaining
 		if err := s.commitCompaction(write, index); err != nil {
 			if isConflict(err) {
-				return nil // the next round tries again
+				return nil // the next round retries
 			}
 			return err
 		}
@@ -47,7 +47,7 @@
 	return nil
 }
 
-// commitCompaction commits a write, if the export state still has the given index.
+// commitCompaction commits a write if the stored export state still has the given index.
 func (s *Service) commitCompaction(write compactionWrite, index kv.Index) error {
 	stateEdit, err := write.state.edit(index)
 	if err != nil {
@@ -56,25 +56,25 @@
 	return s.options.Replica.Edit(append(write.edits, stateEdit))
 }
 
-// compactionWrite collects one write of compact.
+// compactionWrite holds the edits of one write of compact.
 type compactionWrite struct {
 	edits     []kv.Edit
 	state     exportState // the export state after the edits
-	remaining []string    // tenants that did not fit
+	remaining []string    // tenants whose accounts are not in this write
 }
 
-// isEmpty reports whether nothing is to be written.
+// isEmpty reports whether the write has no edits.
 func (w *compactionWrite) isEmpty() bool { return len(w.edits) == 0 }
 
-// fits reports whether an account with so many records may be added. An account always fits into an empty
-// write.
+// fits reports whether the write can hold a further account with the given number of records. An empty write can hold
+// any account.
 func (w *compactionWrite) fits(records int) bool {
-	return w.isEmpty() || len(w.edits)+records+1 <= maxEdits
+	return w.isEmpty() || len(w.edits)+records+1 <= maxEditsPerWrite
 }
 
-// add adds an account, which was read at an index, and its records.
+// add adds the write of an account that was read at the given index, and the writes of its new records.
 func (w *compactionWrite) add(account billing.Account, index kv.Index, records []billing.UsageRecord) error {
-	edit, err := editAccount(account, index)
+	edit, err := newAccountEdit(account, index)
 	if err != nil {
 		return err
 	}
@@ -84,31 +84,31 @@
 		if err != nil {
 			return err
 		}
-		recordEdit := kv.Edit{Key: recordKeyAt(record.Sequence), Value: value, Conditional: true}
+		recordEdit := kv.Edit{Key: recordKey(record.Sequence), Value: value, Conditional: true}
 		w.edits = append(w.edits, recordEdit)
 	}
 	w.state = w.state.numberRecords(len(records))
 	return nil
 }
 
-// compactAccounts returns a write with the first of the tenants' accounts that are due, and their records,
-// numbered from the export state's next sequence on.
+// compactAccounts returns a write with the accounts that compaction changes, as many as fit in the order of tenants,
+// and with their records, which are numbered from state.NextSequence.
 func (s *Service) compactAccounts(tenants []string, state exportState) (compactionWrite, error) {
 	settings := s.options.Settings()
 	write := compactionWrite{state: state}
-	for n, tenant := range tenants {
+	for i, tenant := range tenants {
 		account, index, err := s.readLocalAccount(tenant)
 		if err != nil || index == 0 {
-			continue // it is gone, or it cannot be read, which operations on it report
+			continue // the account was deleted, or is unreadable, which operations on the account report
 		}
 		nowNanos := s.options.Now().UnixNano()
-		expired := account.ExpireReservations(settings, nowNanos)
-		compacted, records := expired.CloseWindows(settings, nowNanos, write.state.Next)
-		if hasSameBytes(account, compacted) {
+		afterExpiry := account.ExpireReservations(settings, nowNanos)
+		compacted, records := afterExpiry.CloseWindows(settings, nowNanos, write.state.NextSequence)
+		if haveEqualEncoding(account, compacted) {
 			continue
 		}
 		if !write.fits(len(records)) {
-			write.remaining = tenants[n:]
+			write.remaining = tenants[i:]
 			return write, nil
 		}
 		if err := write.add(compacted, index, records); err != nil {
--- a/internal/billingservice/errors.go
+++ b/internal/billingservice/errors.go
@@ -5,61 +5,61 @@
 	"fmt"
 )
 
-// ErrStore reports that an operation is not known to be committed. If the write got no answer, it may still be
-// committed. If the operation is repeated with the same id or epoch, it is applied only once.
+// ErrStore reports that an operation is not known to be committed. If the store did not answer the write, it may still
+// be committed. An operation that is repeated with the same id or epoch is applied at most once.
 //
-// The text is the same in two cases in which the store does answer, and nothing is committed: the stored account
-// cannot be read (repeating does not help; the error in brackets says why), and the account was changed by
-// others between reading and writing at each attempt, for operationTimeout.
+// ErrStore is also returned in two cases in which the store does answer and nothing is committed: the stored account
+// cannot be decoded (a repetition fails too; the wrapped error states the reason), or every attempt during
+// operationTimeout met a conflict with another write of the account.
 var ErrStore = errors.New("the store gives no answer; ask again with the same words")
 
-// ErrReceiverAhead reports that the receiver has records that this store has never numbered. Each
-// round of the export fails with it until Resume.
+// ErrReceiverAhead reports that the receiver has records whose sequence numbers this store has never assigned. Each
+// round of the export fails with it until Resume is called.
 var ErrReceiverAhead = errors.New("the receiver has records that the store has not numbered: " +
-	"it was put back to an old copy. Nothing is exported until `fawnplank billing resume`")
+	"the store was restored from an old backup. The export is halted until `fawnplank billing resume`")
 
 // InvalidReportError reports that the units of a stored report cannot be added to accounts. The report stays
 // in the store.
 type InvalidReportError struct {
-	ReportName string // the part of its key after the prefix
+	ReportName string // the report's key without reportPrefix
 	Err        error
 }
 
-// Error returns the report's name and the reason.
+// Error returns the report's name and the underlying error.
 func (e *InvalidReportError) Error() string { return fmt.Sprintf("report %s: %v", e.ReportName, e.Err) }
 
-// Unwrap returns the reason.
+// Unwrap returns the underlying error.
 func (e *InvalidReportError) Unwrap() error { return e.Err }
 
-// MissingRecordError reports that a record of the batch in flight is not in the store, or is not readable.
+// MissingRecordError reports that a record of the batch in flight is missing in the store or cannot be decoded.
 type MissingRecordError struct {
 	Sequence uint64
 }
 
-// Error names the record.
+// Error states the record's sequence number.
 func (e *MissingRecordError) Error() string {
-	return fmt.Sprintf("record %d is missing in the store", e.Sequence)
+	return fmt.Sprintf("record %d is missing in the store or cannot be decoded", e.Sequence)
 }
 
-// AlreadyExportedError reports that Resume was given a sequence before the last one that was exported.
+// AlreadyExportedError reports that Resume was called with a sequence number before that of the last exported record.
 type AlreadyExportedError struct {
-	AcknowledgedSequence uint64 // the last sequence that the receiver has acknowledged
+	AcknowledgedSequence uint64 // of the last record that the receiver has acknowledged
 }
 
-// Error names the sequence that the receiver has.
+// Error states the sequence number of the last acknowledged record.
 func (e *AlreadyExportedError) Error() string {
-	return fmt.Sprintf("record %d is exported already: the receiver has %d at least",
+	return fmt.Sprintf("record %d is already exported: resume after record %d or a later one",
 		e.AcknowledgedSequence, e.AcknowledgedSequence)
 }
 
-// ReceiverStatusError reports that a Receiver's answer has a status that is not a success.
+// ReceiverStatusError reports that the receiver answered an HTTPSink with a status other than success.
 type ReceiverStatusError struct {
 	StatusCode int    // an HTTP status code
-	Status     string // the code with its text
-	Body       []byte // the beginning of the answer
+	Status     string // the status code and its text, as in "404 Not Found"
+	Body       []byte // the beginning of the response body
 }
 
-// Error returns the status and the beginning of the answer.
+// Error returns the status and the beginning of the response body.
 func (e *ReceiverStatusError) Error() string {
-	return fmt.Sprintf("the receiver answers %s: %.200s", e.Status, e.Body)
+	return fmt.Sprintf("the receiver answered with status %s: %.200s", e.Status, e.Body)
 }
--- a/internal/billingservice/export.go
+++ b/internal/billingservice/export.go
@@ -8,43 +8,44 @@
 	"fawnplank/internal/store/kv"
 )
 
-// exportBatch sends one batch, if there is one, and reports whether more records may be waiting.
+// exportBatch sends one batch, if there are records to export, and reports whether more records may be waiting.
 //
-// The batch is fixed in the store before anything is sent, so that whichever instance sends it again, after a
-// crash at any moment, sends the same content. The receiver is first asked which records it has.
+// The first and last sequence number of the batch are stored before the batch is sent. If an instance crashes, any
+// instance that sends the batch again therefore sends the same content. Before it sends the batch, exportBatch reads
+// the last sequence number that the receiver has.
 //
-// Every instance with a Sink exports, whether or not it holds the maintenance lease. Of two that write the export
-// state at the same time, one gets a kv.ConflictError. Unlike addReports and compact, which take a conflict for
-// normal, the export counts and logs it as a failed round. The next round reads the new state.
+// Every instance with a Sink exports, whether or not it holds the maintenance lease. If two instances write the export
+// state at the same time, one of them gets a kv.ConflictError. Unlike addReports and compact, which ignore a conflict,
+// the export counts and logs it as a failed round. The next round reads the new state.
 func (s *Service) exportBatch(ctx context.Context) (mayHaveMore bool, err error) {
 	state, index, err := s.readExportState()
 	if err != nil {
 		return false, err
 	}
 	if !state.isBatchInFlight() {
-		if state.isDrained() {
+		if state.isFullyAcknowledged() {
 			return false, nil
 		}
-		state = state.fixNextBatch()
+		state = state.startNextBatch()
 		if index, err = s.writeExportState(state, index, nil); err != nil {
 			return false, err
 		}
 	}
-	received, err := s.options.Sink.LastSequence(ctx)
+	receivedSequence, err := s.options.Sink.LastSequence(ctx)
 	if err != nil {
 		return false, err
 	}
-	if received > state.LastSequence {
+	if receivedSequence > state.LastSequence {
 		return s.checkReceiverAhead(index)
 	}
-	if s.isBehind(index) { // the records may not have arrived here yet
+	if s.isReplicaBehind(index) { // this replica may not have the batch's records yet
 		return false, nil
 	}
 	return s.sendBatch(ctx, state, index)
 }
 
-// sendBatch sends the batch in flight and acknowledges it in the store. The batch is sent even if the receiver
-// already has all of it, because only the receiver can say that the content is the same.
+// sendBatch sends the batch in flight and marks it as acknowledged in the store. It sends the batch even if the
+// receiver already has all its records, because only the receiver can verify that the content is the same.
 func (s *Service) sendBatch(
 	ctx context.Context, state exportState, index kv.Index,
 ) (mayHaveMore bool, err error) {
@@ -58,18 +59,19 @@
 	if err := s.acknowledge(state, index); err != nil {
 		return false, err
 	}
-	s.counts.Exported.Add(uint64(len(batch)))
+	s.stats.Exported.Add(uint64(len(batch)))
 	return true, nil
 }
 
-// checkReceiverAhead determines why the receiver has more records than the state says. Either another
-// exporter was faster and the state has changed, or the store is an old copy.
+// checkReceiverAhead determines why the receiver has a record after the last one of the export state that was read at
+// the given index. Either another instance has advanced the state since, or the store was restored from an old backup;
+// in the latter case the error is ErrReceiverAhead.
 func (s *Service) checkReceiverAhead(index kv.Index) (mayHaveMore bool, err error) {
-	_, current, err := s.readExportState()
+	_, currentIndex, err := s.readExportState()
 	if err != nil {
 		return false, err
 	}
-	if current != index {
+	if currentIndex != index {
 		return true, nil
 	}
 	return false, ErrReceiverAhead
@@ -79,7 +81,7 @@
 func (s *Service) readBatch(state exportState) ([]billing.UsageRecord, error) {
 	var batch []billing.UsageRecord
 	for sequence := state.FirstSequence; sequence <= state.LastSequence; sequence++ {
-		entry, ok := s.options.Replica.ReadLocal(recordKeyAt(sequence))
+		entry, ok := s.options.Replica.ReadLocal(recordKey(sequence))
 		var record billing.UsageRecord
 		if !ok || json.Unmarshal(entry.Value, &record) != nil || record.Sequence != sequence {
 			return nil, &MissingRecordError{Sequence: sequence}
@@ -89,11 +91,11 @@
 	return batch, nil
 }
 
-// acknowledge deletes the records of the batch in flight, and advances the state past them.
+// acknowledge deletes the records of the batch in flight from the store and advances the export state past them.
 func (s *Service) acknowledge(state exportState, index kv.Index) error {
 	var deletions []kv.Edit
 	for sequence := state.FirstSequence; sequence <= state.LastSequence; sequence++ {
-		deletions = append(deletions, kv.Edit{Key: recordKeyAt(sequence)})
+		deletions = append(deletions, kv.Edit{Key: recordKey(sequence)})
 	}
 	_, err := s.writeExportState(state.acknowledgeBatch(), index, deletions)
 	return err
--- a/internal/billingservice/export_loop.go
+++ b/internal/billingservice/export_loop.go
@@ -8,14 +8,14 @@
 	"fawnplank/internal/logging"
 )
 
-// exportError holds the error of the last round of the export. The export loop alone records it; it may be read
-// at any time.
+// exportError holds the error text of the last round of the export. Only the export loop writes it. It may be read
+// concurrently.
 type exportError struct {
 	message atomic.Pointer[string] // nil before the first round
 }
 
-// record replaces the error by that of a round, which is nil if the round succeeded, and reports whether its
-// text has changed.
+// record stores the error of a round, which is nil if the round succeeded, and reports whether its text differs from
+// that of the previous round.
 func (e *exportError) record(err error) (changed bool) {
 	last := e.text()
 	message := ""
@@ -34,8 +34,8 @@
 	return ""
 }
 
-// runExport sends records to the sink, in order, until Close. It repeats a failed round whatever the error was,
-// and logs an error only if its text differs from that of the round before.
+// runExport sends records to the sink, in order, until Close. It retries a failed round after any error, and logs an
+// error only if its text differs from that of the previous round.
 func (s *Service) runExport() {
 	ctx, cancel := s.contextUntilStop()
 	defer cancel()
@@ -43,10 +43,10 @@
 	for {
 		mayHaveMore, err := s.exportBatch(ctx)
 		if err != nil {
-			s.counts.Failures.Add(1)
+			s.stats.Failures.Add(1)
 		}
 		if s.lastExportError.record(err) && ctx.Err() == nil {
-			logExport(err)
+			logExportTransition(err)
 		}
 		delay = s.nextExportDelay(delay, mayHaveMore, err)
 		if s.waitOrStop(delay) {
@@ -55,8 +55,8 @@
 	}
 }
 
-// contextUntilStop returns a context that is canceled when the service stops. The caller cancels it, which
-// also ends the goroutine that waits for the stop.
+// contextUntilStop returns a context that is canceled when the service stops. The caller must call the returned
+// function, which also ends the goroutine that waits for the stop.
 func (s *Service) contextUntilStop() (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancel(context.Background())
 	s.loops.Go(func() {
@@ -69,12 +69,12 @@
 	return ctx, cancel
 }
 
-// nextExportDelay returns how long the export waits after a round. It does not wait if more records may be
-// waiting, and backs off after failures.
-func (s *Service) nextExportDelay(last time.Duration, mayHaveMore bool, err error) time.Duration {
+// nextExportDelay returns the delay after a round of the export: a backoff if the round failed, 0 if more records may
+// be waiting, and otherwise the report interval. lastDelay is the previous delay.
+func (s *Service) nextExportDelay(lastDelay time.Duration, mayHaveMore bool, err error) time.Duration {
 	switch {
 	case err != nil:
-		return exportBackoff(last, s.options.ExportRetryDelay)
+		return exportBackoff(lastDelay, s.options.ExportRetryDelay)
 	case mayHaveMore:
 		return 0
 	default:
@@ -82,8 +82,8 @@
 	}
 }
 
-// logExport logs that a round has failed or, if err is nil, that the export works again.
-func logExport(err error) {
+// logExportTransition logs that a round of the export has failed or, if err is nil, that the export succeeds again.
+func logExportTransition(err error) {
 	if err != nil {
 		logging.For(logComponent).WithError(err).Error("export failed; retrying")
 		return
--- a/internal/billingservice/export_test.go
+++ b/internal/billingservice/export_test.go
@@ -13,8 +13,8 @@
 	"fawnplank/internal/testutil"
 )
 
-// snapshot returns a copy of a replica's state.
-func snapshot(t *testing.T, replica *memoryReplica) []byte {
+// takeSnapshot returns a snapshot of a replica's state.
+func takeSnapshot(t *testing.T, replica *memoryReplica) []byte {
 	t.Helper()
 	replica.mu.Lock()
 	defer replica.mu.Unlock()
@@ -25,8 +25,8 @@
 	return content
 }
 
-// restore replaces a replica's state with a snapshot. The log continues after its last index.
-func restore(t *testing.T, replica *memoryReplica, content []byte) {
+// restoreSnapshot replaces a replica's state with a snapshot. Later writes get higher indices than all earlier ones.
+func restoreSnapshot(t *testing.T, replica *memoryReplica, content []byte) {
 	t.Helper()
 	state, err := kv.Load(content)
 	if err != nil {
@@ -38,39 +38,40 @@
 	replica.index += 10
 }
 
-// TestExport_OldCopyExportsNothingAnew restores the store from an old copy. Nothing is exported until Resume
-// is given the last sequence to continue after, and what may have been exported before is not exported again.
-func TestExport_OldCopyExportsNothingAnew(t *testing.T) {
+// TestExport_RestoredBackupExportsNothingTwice restores the store from an old backup. It checks that nothing is
+// exported until Resume is called with the receiver's last sequence number, and that usage which may have been exported
+// before is not exported again.
+func TestExport_RestoredBackupExportsNothingTwice(t *testing.T) {
 	replica := newMemoryReplica()
 	receiver, url := newStubReceiver(t)
 	service := startService(replica, "d", NewHTTPSink(url))
-	use := func(service *Service, units float64) { service.RecordUsage("g", "small", time.Now(), units) }
-	use(service, 5)
+	recordUsage := func(service *Service, units float64) { service.RecordUsage("g", "small", time.Now(), units) }
+	recordUsage(service, 5)
 	testutil.Eventually(t, "a first export", func() bool { return receiver.hasTotal(5e6) })
-	use(service, 6)
-	time.Sleep(100 * time.Millisecond) // reported and committed, and its window is open
+	recordUsage(service, 6)
+	time.Sleep(100 * time.Millisecond) // longer than ReportInterval and shorter than a window
 	testutil.Eventually(t, "the report to be committed", func() bool {
 		return len(replica.ReadPrefix(reportPrefix)) == 0 && len(replica.ReadPrefix(accountPrefix)) == 1
 	})
-	oldCopy := snapshot(t, replica)
-	use(service, 2)
+	oldBackup := takeSnapshot(t, replica)
+	recordUsage(service, 2)
 	testutil.Eventually(t, "a second export", func() bool { return receiver.hasTotal(13e6) })
 	service.Close()
-	restore(t, replica, oldCopy)
+	restoreSnapshot(t, replica, oldBackup)
 	service = startService(replica, "d", NewHTTPSink(url))
 	defer service.Close()
-	testutil.Eventually(t, "a halt", func() bool {
+	testutil.Eventually(t, "the export to halt", func() bool {
 		reason := service.LastExportError()
-		return strings.Contains(reason, "old copy") || strings.Contains(reason, "409")
+		return strings.Contains(reason, "old backup") || strings.Contains(reason, "409")
 	})
 	if sum, err := receiver.total(); sum != 13e6 || err != nil {
-		t.Errorf("%v exported anew, %v", sum, err)
+		t.Errorf("%v received after the restoration, want 13e6: %v", sum, err)
 	}
-	if _, err := Resume(replica, receiver.last, time.Now()); err != nil {
+	if _, err := Resume(replica, receiver.lastSequence, time.Now()); err != nil {
 		t.Fatal(err)
 	}
-	use(service, 7)
-	testutil.Eventually(t, "an export after it", func() bool { return receiver.hasTotal(20e6) })
+	recordUsage(service, 7)
+	testutil.Eventually(t, "an export after Resume", func() bool { return receiver.hasTotal(20e6) })
 	if _, err := receiver.total(); err != nil {
 		t.Error(err)
 	}
@@ -79,27 +80,27 @@
 	}
 }
 
-// TestExport_ManyWindowsEndTogether ends the windows of 2,000 tenants at once. Their records are numbered in
-// a few writes and exported in order.
-func TestExport_ManyWindowsEndTogether(t *testing.T) {
+// TestExport_BatchesRecordsOfManyWindowsEndingTogether ends the windows of 2,000 tenants at the same time. It checks
+// that their records are numbered in few writes and exported in order.
+func TestExport_BatchesRecordsOfManyWindowsEndingTogether(t *testing.T) {
 	replica := newMemoryReplica()
 	receiver, url := newStubReceiver(t)
 	service := startService(replica, "d", NewHTTPSink(url))
 	defer service.Close()
-	began := replica.index
+	startIndex := replica.index
 	for n := range 2000 {
 		service.RecordUsage(fmt.Sprintf("g%04d", n), "small", time.Now(), 1)
 	}
 	testutil.Eventually(t, "all to be exported", func() bool { return receiver.hasTotal(2000e6) })
 	replica.mu.Lock()
-	writes := replica.index - began
+	writes := replica.index - startIndex
 	replica.mu.Unlock()
-	if _, err := receiver.total(); err != nil || receiver.last != 2000 || writes > 200 {
-		t.Errorf("%v; %d records, %d writes", err, receiver.last, writes)
+	if _, err := receiver.total(); err != nil || receiver.lastSequence != 2000 || writes > 200 {
+		t.Errorf("%v; %d records, %d writes", err, receiver.lastSequence, writes)
 	}
 }
 
-func TestFolder_AcceptsBatchOnce(t *testing.T) {
+func TestFolderSink_AcceptsRepeatedBatch(t *testing.T) {
 	folder := FolderSink(t.TempDir())
 	batch := []billing.UsageRecord{
 		{Sequence: 3, Tenant: "g", Plan: "p", WindowStartSeconds: 60, MicroUnits: 5},
@@ -121,38 +122,38 @@
 	}
 	batch[0].MicroUnits++
 	if err := folder.Send(t.Context(), batch); err == nil {
-		t.Error("another content under the same name was accepted")
+		t.Error("a batch with the same sequence numbers and different content was accepted")
 	}
 	if _, err := FolderSink(string(folder) + "/none").LastSequence(t.Context()); err == nil {
 		t.Error("a missing folder was accepted")
 	}
 }
 
-// conflictOnce is a replica at which the first edit of an account meets a conflict.
-type conflictOnce struct {
+// conflictOnceReplica is a replica on which the first write of an account fails with a conflict.
+type conflictOnceReplica struct {
 	*memoryReplica
-	conflicted bool
+	hasConflicted bool
 }
 
-func (c *conflictOnce) Edit(edits []kv.Edit) error {
-	if !c.conflicted && strings.HasPrefix(edits[0].Key, accountPrefix) {
-		c.conflicted = true
+func (c *conflictOnceReplica) Edit(edits []kv.Edit) error {
+	if !c.hasConflicted && strings.HasPrefix(edits[0].Key, accountPrefix) {
+		c.hasConflicted = true
 		return kv.ConflictError{Key: edits[0].Key}
 	}
 	return c.memoryReplica.Edit(edits)
 }
 
-// TestResume_CountsAWindowOnce guards against a report that is too high: where an account changed while its windows
-// were dropped, they were counted again.
-func TestResume_CountsAWindowOnce(t *testing.T) {
-	replica := &conflictOnce{memoryReplica: newMemoryReplica()}
+// TestResume_CountsDroppedWindowOnceAfterConflict guards against a count of dropped windows that is too high. When the
+// write of an account met a conflict and was retried, its windows were counted once per attempt.
+func TestResume_CountsDroppedWindowOnceAfterConflict(t *testing.T) {
+	replica := &conflictOnceReplica{memoryReplica: newMemoryReplica()}
 	account := billing.Account{Tenant: "0000000000000005"}
 	account.Windows = []billing.Window{{StartNanos: 1, UnexportedByPlan: map[string]billing.MicroUnits{"team": 5}}}
 	if err := (&Service{options: Options{Replica: replica.memoryReplica}}).writeAccount(account, 0); err != nil {
 		t.Fatal(err)
 	}
 	dropped, err := Resume(replica, 0, time.Now())
-	if err != nil || !replica.conflicted || dropped.Windows != 1 {
-		t.Errorf("%+v, %v, conflict met: %t", dropped, err, replica.conflicted)
+	if err != nil || !replica.hasConflicted || dropped.Windows != 1 {
+		t.Errorf("%+v, %v, conflict occurred: %t", dropped, err, replica.hasConflicted)
 	}
 }
--- a/internal/billingservice/last_report.go
+++ b/internal/billingservice/last_report.go
@@ -9,15 +9,15 @@
 )
 
 const (
-	// lastReportLifetime is how much older than this one an incarnation must be for its last-report key to be
-	// deleted. After a day an incarnation no longer reports anything.
-	lastReportLifetime = 24 * time.Hour
-	// maxLastReportDeletions bounds the keys that one write deletes.
+	// lastReportRetention is how much earlier than this incarnation another one must have started for its last-report
+	// key to be deleted. An incarnation no longer reports usage a day after a later one has started.
+	lastReportRetention = 24 * time.Hour
+	// maxLastReportDeletions is the maximum number of keys that one write deletes.
 	maxLastReportDeletions = 400
 )
 
-// deleteOldLastReports deletes the keys that name the last reports of old incarnations of this instance.
-func (s *Service) deleteOldLastReports() error {
+// deleteOldLastReportKeys deletes the last-report keys of old incarnations of this instance.
+func (s *Service) deleteOldLastReportKeys() error {
 	var edits []kv.Edit
 	for name := range s.options.Replica.ReadPrefix(lastReportPrefix) {
 		if s.isOldIncarnation(name) && len(edits) < maxLastReportDeletions {
@@ -30,13 +30,13 @@
 	return s.options.Replica.Edit(edits)
 }
 
-// isOldIncarnation reports whether a name is that of an incarnation of this instance that began more than
-// lastReportLifetime before this one.
+// isOldIncarnation reports whether a name is that of an incarnation of this instance that started more than
+// lastReportRetention before this one.
 func (s *Service) isOldIncarnation(name string) bool {
-	incarnation, ok := strings.CutPrefix(name, s.options.Instance+"-")
+	startHex, ok := strings.CutPrefix(name, s.options.Instance+"-")
 	if !ok {
 		return false
 	}
-	beganNanos, err := strconv.ParseInt(incarnation, 16, 64)
-	return err == nil && beganNanos < s.incarnationNanos-int64(lastReportLifetime)
+	startNanos, err := strconv.ParseInt(startHex, 16, 64)
+	return err == nil && startNanos < s.incarnationStartNanos-int64(lastReportRetention)
 }
--- a/internal/billingservice/lease.go
+++ b/internal/billingservice/lease.go
@@ -7,53 +7,54 @@
 	"fawnplank/internal/store/kv"
 )
 
-// maintenanceLease is the stored lease. It states which instance adds reports to accounts and compacts
-// accounts, and until when. Records are exported by every instance that has a Sink, with or without it.
+// maintenanceLease is the stored lease. Its holder is the instance that adds reports to accounts and compacts
+// accounts. Exporting records does not require the lease: every instance with a Sink does it.
 type maintenanceLease struct {
-	Holder       string `json:"who"`   // an incarnation's name
-	ExpiresNanos int64  `json:"until"` // unix ns; 0 once its holder has released it
+	Holder       string `json:"who"`   // the name of an incarnation
+	ExpiresNanos int64  `json:"until"` // unix ns; 0 after the holder has released the lease
 }
 
-// isHeldByOther reports whether another incarnation may still act as the holder, by its own clock.
+// isHeldByOther reports whether another incarnation holds the lease and, given the clock skew, may still consider it
+// unexpired.
 func (l maintenanceLease) isHeldByOther(self string, nowNanos, clockSkewNanos int64) bool {
 	return l.Holder != self && nowNanos < l.ExpiresNanos+clockSkewNanos
 }
 
-// acquire returns the lease with a new holder, or with the same one and a later end.
+// acquire returns the lease with the given holder and expiry. A holder renews its own lease with it.
 func (l maintenanceLease) acquire(holder string, expiresNanos int64) maintenanceLease {
 	l.Holder = holder
 	l.ExpiresNanos = expiresNanos
 	return l
 }
 
-// release returns the lease in a state in which every incarnation may acquire it at once.
+// release returns the lease in a state in which any incarnation may acquire it immediately.
 func (l maintenanceLease) release() maintenanceLease {
 	l.ExpiresNanos = 0
 	return l
 }
 
-// leaseTerm is what this instance knows of its own lease. The loops that need the lease share it. The caller of
-// its methods holds mu.
-type leaseTerm struct {
+// localLease is this instance's record of the maintenance lease that it last acquired. The loops that need the lease
+// share it. The caller of its methods must hold mu.
+type localLease struct {
 	mu           sync.Mutex // held while the lease is acquired, renewed or released
-	expiresNanos int64      // end of the lease that was last acquired, unix ns; 0 if none was
+	expiresNanos int64      // expiry of the lease last acquired, unix ns; 0 if none was
 }
 
-// isRenewalDue reports whether less than half of the lease's duration is left.
-func (t *leaseTerm) isRenewalDue(nowNanos, durationNanos int64) bool {
-	return nowNanos >= t.expiresNanos-durationNanos/2
+// isRenewalDue reports whether at most half of the lease's duration remains.
+func (l *localLease) isRenewalDue(nowNanos, durationNanos int64) bool {
+	return nowNanos >= l.expiresNanos-durationNanos/2
 }
 
 // isRunning reports whether the lease has not expired.
-func (t *leaseTerm) isRunning(nowNanos int64) bool { return nowNanos < t.expiresNanos }
+func (l *localLease) isRunning(nowNanos int64) bool { return nowNanos < l.expiresNanos }
 
 // wasAcquired reports whether this instance has ever held the lease.
-func (t *leaseTerm) wasAcquired() bool { return t.expiresNanos != 0 }
+func (l *localLease) wasAcquired() bool { return l.expiresNanos != 0 }
 
 // ensureLease acquires or renews the maintenance lease if that is due and possible, and reports whether this
-// instance holds the lease. Only the holder adds reports to accounts and looks for reservations whose leases
-// have expired and for windows that have ended, so that not every instance reads all accounts each second.
-// Two holders at once would do no harm, because each write names the index of what it read. The holder is not
+// instance holds the lease. Only the holder adds reports to accounts and searches all accounts for expired
+// reservations and ended windows, so that not every instance reads all accounts each second. Two simultaneous
+// holders are harmless, because each write names the index of the entry that it was computed from. The holder is not
 // simply the store's leader, because the leader may be a replica without a gateway.
 func (s *Service) ensureLease() bool {
 	s.lease.mu.Lock()
@@ -76,7 +77,7 @@
 	return true
 }
 
-// releaseLease allows another instance to acquire the lease at once.
+// releaseLease releases the maintenance lease, so that another instance can acquire it immediately.
 func (s *Service) releaseLease() {
 	s.lease.mu.Lock()
 	defer s.lease.mu.Unlock()
@@ -87,18 +88,18 @@
 	if !ok || stored.Holder != s.incarnationName() {
 		return
 	}
-	_ = s.writeLease(stored.release(), index) // if the write fails, the lease expires by itself
+	_ = s.writeLease(stored.release(), index) // if the write fails, the lease expires
 }
 
-// readLease reads the lease as this replica has it. ok is false if there is no lease or it cannot be read.
-// The index is that of the key in any case.
+// readLease reads the lease from this replica. ok is false if there is no lease or it cannot be decoded. The index
+// is that of the lease's entry in either case.
 func (s *Service) readLease() (lease maintenanceLease, index kv.Index, ok bool) {
 	entry, found := s.options.Replica.ReadLocal(leaseKey)
 	ok = found && json.Unmarshal(entry.Value, &lease) == nil
 	return lease, entry.Index, ok
 }
 
-// writeLease writes the lease, if the key still has the given index.
+// writeLease writes the lease if its entry still has the given index.
 func (s *Service) writeLease(lease maintenanceLease, index kv.Index) error {
 	value, err := json.Marshal(lease)
 	if err != nil {
--- a/internal/billingservice/operations.go
+++ b/internal/billingservice/operations.go
@@ -7,9 +7,8 @@
 	"fawnplank/internal/billing"
 )
 
-// SchedulePlanChange schedules a change of a tenant's plan, which takes effect at the change's moment. Its
-// errors, like those of all operations below, wrap an error of package billing if the operation was rejected,
-// and ErrStore if it is not known to be committed.
+// SchedulePlanChange schedules a change of a tenant's plan. Like those of all operations below, its error wraps an
+// error of package billing if the operation was rejected, and ErrStore if the operation is not known to be committed.
 func (s *Service) SchedulePlanChange(tenant string, change billing.PlanChange) error {
 	return s.update(tenant, func(
 		settings billing.Settings, nowNanos int64, a billing.Account,
@@ -18,7 +17,7 @@
 	})
 }
 
-// CancelPlanChange cancels a plan change that has been scheduled.
+// CancelPlanChange cancels a scheduled plan change.
 func (s *Service) CancelPlanChange(tenant, id string) error {
 	return s.update(tenant, func(
 		settings billing.Settings, nowNanos int64, a billing.Account,
@@ -27,7 +26,7 @@
 	})
 }
 
-// Reserve reserves units of the open window.
+// Reserve reserves units of the current window.
 func (s *Service) Reserve(tenant string, request billing.ReservationRequest) (billing.Reservation, error) {
 	return s.updateReservation(tenant, func(
 		settings billing.Settings, nowNanos int64, a billing.Account,
@@ -36,8 +35,8 @@
 	})
 }
 
-// Commit turns reserved units into usage. The epoch must be the reservation's current one; the returned
-// reservation has the next.
+// Commit turns reserved units into usage. The epoch must be the reservation's current one. The returned reservation
+// has the epoch that the next operation on it must name.
 func (s *Service) Commit(tenant, id string, epoch uint64, units billing.MicroUnits) (billing.Reservation, error) {
 	return s.updateReservation(tenant, func(
 		settings billing.Settings, nowNanos int64, a billing.Account,
@@ -46,7 +45,7 @@
 	})
 }
 
-// Renew extends a reservation's lease.
+// Renew sets the expiry of a reservation's lease to the given duration from now.
 func (s *Service) Renew(tenant, id string, epoch uint64, lease time.Duration) (billing.Reservation, error) {
 	return s.updateReservation(tenant, func(
 		settings billing.Settings, nowNanos int64, a billing.Account,
@@ -55,7 +54,7 @@
 	})
 }
 
-// TransferReservation gives a reservation to another holder.
+// TransferReservation makes another holder the holder of a reservation, with a new lease.
 func (s *Service) TransferReservation(
 	tenant, id, holder string, lease time.Duration,
 ) (billing.Reservation, error) {
@@ -66,7 +65,7 @@
 	})
 }
 
-// Release gives back the remaining units of a reservation.
+// Release ends a reservation, which makes its remaining units available again.
 func (s *Service) Release(tenant, id string, epoch uint64) error {
 	return s.update(tenant, func(
 		settings billing.Settings, nowNanos int64, a billing.Account,
@@ -75,8 +74,8 @@
 	})
 }
 
-// Account returns an account as the leader has it, and how much of the open window may still be reserved
-// under defaultPlan, unless a change has set the tenant's plan. Its error wraps ErrStore.
+// Account reads an account from the leader. It also returns how many units of the current window may still be reserved;
+// defaultPlan applies if no change has set the tenant's plan. The error wraps ErrStore.
 func (s *Service) Account(tenant, defaultPlan string) (billing.Account, billing.MicroUnits, error) {
 	account, _, err := s.readAccountFromLeader(tenant)
 	if err != nil {
--- a/internal/billingservice/plans.go
+++ b/internal/billingservice/plans.go
@@ -9,8 +9,8 @@
 	"fawnplank/internal/billing"
 )
 
-// TenantPlan returns the plan under which a tenant's requests are admitted now, if a change has set one. It
-// is called for each request and costs one map lookup.
+// TenantPlan returns the plan in force for a tenant, if a plan change has set one. It is called for each request and
+// costs one map lookup.
 func (s *Service) TenantPlan(tenant string) (string, bool) {
 	changes, ok := (*s.planChanges.Load())[tenant]
 	if !ok {
@@ -21,9 +21,9 @@
 	return plan, plan != ""
 }
 
-// KeysChanged must be called with the keys that have changed in the store. It adopts changes of plans. Its
-// cost depends on the accounts named, not on all accounts, because each added report changes some
-// accounts. Calls must not overlap.
+// KeysChanged must be called with the keys that have changed in the store. It updates the plan changes that TenantPlan
+// uses. It reads only the accounts among the keys, not all accounts, because each added report changes some accounts.
+// Calls must not overlap.
 func (s *Service) KeysChanged(keys []string) {
 	planChanges := *s.planChanges.Load()
 	copied := false
@@ -48,8 +48,8 @@
 	s.planChanges.Store(&planChanges)
 }
 
-// readChanges returns an account's plan changes, which are none if the account is gone. Its second result is
-// false if the account cannot be read.
+// readChanges returns an account's plan changes. There are none if the account does not exist. The second result is
+// false if the account cannot be decoded.
 func (s *Service) readChanges(key string) ([]billing.PlanChange, bool) {
 	entry, found := s.options.Replica.ReadLocal(key)
 	if !found {
@@ -57,7 +57,7 @@
 	}
 	var account billing.Account
 	if err := json.Unmarshal(entry.Value, &account); err != nil {
-		return nil, false // operations on the account report the fault
+		return nil, false // operations on the account report the error
 	}
 	return account.PlanChanges, true
 }
--- a/internal/billingservice/receiver.go
+++ b/internal/billingservice/receiver.go
@@ -13,22 +13,23 @@
 )
 
 const (
-	// receiverTimeout bounds a call to the receiver, which stores a few kilobytes.
+	// receiverTimeout is the timeout of a call to the receiver. A batch is a few kilobytes.
 	receiverTimeout = 10 * time.Second
-	// receiverIdleTimeout is how long a connection to the receiver is reused.
+	// receiverIdleTimeout is how long an idle connection to the receiver is kept open.
 	receiverIdleTimeout = time.Minute
-	// maxResponseBytes bounds how much of an answer is read. The answer is a number, or the text of an error.
+	// maxResponseBytes bounds how much of a response is read. A response is a number or an error text.
 	maxResponseBytes = 4 << 10
 )
 
-// HTTPSink is a sink that uses HTTP. It sends a batch as lines with POST and the header Idempotency-Key:
-// fawnplank-FIRST-LAST, and gets {"last": N} with GET. It is safe for concurrent use.
+// HTTPSink is a sink that sends records over HTTP to the receiver, the operator's billing system. It sends a batch
+// with POST, as one JSON object per line and with the header Idempotency-Key: fawnplank-FIRST-LAST. With GET it reads
+// the receiver's last sequence number as {"last": N}. It is safe for concurrent use.
 type HTTPSink struct {
 	url    string
 	client *http.Client
 }
 
-// NewHTTPSink returns a sink that sends to the receiver at a URL.
+// NewHTTPSink returns a sink that sends records to the receiver at the given URL.
 func NewHTTPSink(url string) *HTTPSink {
 	return &HTTPSink{
 		url: url,
@@ -39,38 +40,39 @@
 	}
 }
 
-// LastSequence asks the receiver for the last sequence that it has. An answer that is not a success is a
-// *ReceiverStatusError.
+// LastSequence requests the last sequence number that the receiver has. The error is a *ReceiverStatusError if the
+// status of the response is not a success.
 func (r *HTTPSink) LastSequence(ctx context.Context) (uint64, error) {
-	text, err := r.call(ctx, http.MethodGet, "", nil)
+	body, err := r.call(ctx, http.MethodGet, "", nil)
 	if err != nil {
 		return 0, err
 	}
-	var answer struct {
+	var response struct {
 		LastSequence *uint64 `json:"last"`
 	}
-	if err := json.Unmarshal(text, &answer); err != nil || answer.LastSequence == nil {
-		return 0, fmt.Errorf("the receiver answers %.100q in place of {\"last\": N}", text)
+	if err := json.Unmarshal(body, &response); err != nil || response.LastSequence == nil {
+		return 0, fmt.Errorf("the receiver answered %.100q, want {\"last\": N}", body)
 	}
-	return *answer.LastSequence, nil
+	return *response.LastSequence, nil
 }
 
-// Send sends a batch to the receiver. An answer that is not a success is a *ReceiverStatusError.
+// Send sends a batch to the receiver. The error is a *ReceiverStatusError if the status of the response is not a
+// success.
 func (r *HTTPSink) Send(ctx context.Context, batch []billing.UsageRecord) error {
-	key := fmt.Sprintf("fawnplank-%d-%d", batch[0].Sequence, batch[len(batch)-1].Sequence)
-	_, err := r.call(ctx, http.MethodPost, key, encodeBatch(batch))
+	idempotencyKey := fmt.Sprintf("fawnplank-%d-%d", batch[0].Sequence, batch[len(batch)-1].Sequence)
+	_, err := r.call(ctx, http.MethodPost, idempotencyKey, encodeBatch(batch))
 	return err
 }
 
-// call makes a request, with an idempotency key unless key is empty, and returns the body of a successful
-// answer.
-func (r *HTTPSink) call(ctx context.Context, method, key string, body []byte) ([]byte, error) {
-	request, err := http.NewRequestWithContext(ctx, method, r.url, bytes.NewReader(body))
+// call makes a request and returns the body of a successful response. If idempotencyKey is empty, the request has no
+// such header.
+func (r *HTTPSink) call(ctx context.Context, method, idempotencyKey string, requestBody []byte) ([]byte, error) {
+	request, err := http.NewRequestWithContext(ctx, method, r.url, bytes.NewReader(requestBody))
 	if err != nil {
 		return nil, err
 	}
-	if key != "" {
-		request.Header.Set("Idempotency-Key", key)
+	if idempotencyKey != "" {
+		request.Header.Set("Idempotency-Key", idempotencyKey)
 		request.Header.Set("Content-Type", "application/x-ndjson")
 	}
 	response, err := r.client.Do(request)
@@ -78,16 +80,16 @@
 		return nil, err
 	}
 	defer func() {
-		_ = response.Body.Close() // the body was only read
+		_ = response.Body.Close() // an error after reading the body is of no consequence
 	}()
-	text, err := io.ReadAll(io.LimitReader(response.Body, maxResponseBytes))
+	responseBody, err := io.ReadAll(io.LimitReader(response.Body, maxResponseBytes))
 	if err != nil {
 		return nil, err
 	}
 	if !isSuccess(response.StatusCode) {
-		return nil, &ReceiverStatusError{StatusCode: response.StatusCode, Status: response.Status, Body: text}
+		return nil, &ReceiverStatusError{StatusCode: response.StatusCode, Status: response.Status, Body: responseBody}
 	}
-	return text, nil
+	return responseBody, nil
 }
 
 // isSuccess reports whether an HTTP status code is one of 200 to 299.
--- a/internal/billingservice/replica.go
+++ b/internal/billingservice/replica.go
@@ -7,25 +7,25 @@
 	"fawnplank/internal/store/kv"
 )
 
-// maxEdits bounds the edits of one write that covers many accounts. It leaves a tenth of a command of the
-// store for the edits that end such a write.
-const maxEdits = kv.MaxEdits * 9 / 10
+// maxEditsPerWrite bounds the edits of one write that covers many accounts. It leaves a tenth of the edits of a store
+// command for those that are appended at the end of such a write.
+const maxEditsPerWrite = kv.MaxEdits * 9 / 10
 
-// Replica is the part of a store replica that is used to store accounts. It must be safe for concurrent use.
+// Replica is the interface of a store replica that this package requires. It must be safe for concurrent use.
 type Replica interface {
-	// ReadLocal reads a key as this replica has it.
+	// ReadLocal reads a key from this replica, which may not have applied the latest writes.
 	ReadLocal(key string) (kv.Entry, bool)
-	// ReadFromLeader reads a key as the leader has it, including everything that is committed.
+	// ReadFromLeader reads a key from the leader, which has applied every committed write.
 	ReadFromLeader(key string) (kv.Entry, bool, error)
-	// ReadPrefix reads the keys with a prefix as this replica has them. The result is indexed by the part of the
-	// key that follows the prefix.
+	// ReadPrefix reads the values of all keys with a prefix from this replica. The result is indexed by the part of the
+	// key after the prefix.
 	ReadPrefix(prefix string) map[string]json.RawMessage
-	// Edit commits all edits or none. It returns a kv.ConflictError if a key is not as expected. After any other
-	// error the edits may still be committed.
+	// Edit commits all edits or none. It returns a kv.ConflictError if an entry does not have the index that an edit
+	// expects. After any other error the edits may still be committed.
 	Edit(edits []kv.Edit) error
 }
 
-// isConflict reports whether a write failed because somebody else has changed what it was based on.
+// isConflict reports whether a write failed because an entry has changed since the writer read it.
 func isConflict(err error) bool {
 	var conflict kv.ConflictError
 	return errors.As(err, &conflict)
--- a/internal/billingservice/report.go
+++ b/internal/billingservice/report.go
@@ -9,11 +9,11 @@
 	"fawnplank/internal/store/kv"
 )
 
-// maxReportItems bounds the lines of a report, because the accounts of a report are written at once; see
-// maxEdits.
+// maxReportItems is the maximum number of items in a report. It is below maxEditsPerWrite, because all accounts of a
+// report are written in one write.
 const maxReportItems = 400
 
-// usageItem is one line of a report.
+// usageItem is one item of a report: the usage of a tenant under a plan in a window.
 type usageItem struct {
 	Tenant           string             `json:"g"`
 	Plan             string             `json:"p"`
@@ -21,37 +21,37 @@
 	MicroUnits       billing.MicroUnits `json:"u"`
 }
 
-// reportState is the progress of this incarnation's reports. It belongs to the report loop and, after that
-// loop has ended, to Close.
+// reportState is the progress of this incarnation's reports. Only the report loop uses it and, after that loop has
+// ended, Close.
 //
-// The content of a report is fixed before it is first written, and stays fixed until the report is known to
-// be committed. Otherwise, if a write returned an error but was committed, a newer report with the same
-// number would be taken for committed, and its units would be lost.
+// The content of a report does not change from the first attempt to write it until it is known to be committed.
+// Otherwise, if a write returned an error but was committed, a report with the same number and new content would be
+// considered committed, and its units would be lost.
 type reportState struct {
-	pending []usageItem // the report that is being written; nil if there is none
-	number  uint64      // of the pending report, or of the next one
+	pending []usageItem // the items of the report that is being written; nil if there is none
+	number  uint64      // the number of the pending report or, if there is none, of the next one
 }
 
-// isPending reports whether a report is fixed and not known to be committed.
+// isPending reports whether there is a report that is not known to be committed.
 func (r *reportState) isPending() bool { return r.pending != nil }
 
-// fix makes items the pending report. With no items, no report is pending.
-func (r *reportState) fix(items []usageItem) { r.pending = items }
+// setPending makes items the pending report. If items is nil, no report is pending.
+func (r *reportState) setPending(items []usageItem) { r.pending = items }
 
-// commit records that the pending report is committed.
-func (r *reportState) commit() {
+// markCommitted records that the pending report is committed.
+func (r *reportState) markCommitted() {
 	r.pending = nil
 	r.number++
 }
 
-// isFirstCommitted reports whether exactly one report is committed.
-func (r *reportState) isFirstCommitted() bool { return r.number == 1 }
+// hasCommittedExactlyOne reports whether this incarnation has committed exactly one report.
+func (r *reportState) hasCommittedExactlyOne() bool { return r.number == 1 }
 
-// report writes the usage since the last report, each report under its own key.
-func (s *Service) report() error {
+// reportUsage writes the usage since the last report, as one or more reports under keys of their own.
+func (s *Service) reportUsage() error {
 	for {
 		if !s.reports.isPending() {
-			s.reports.fix(s.usage.take(maxReportItems))
+			s.reports.setPending(s.usage.takeItems(maxReportItems))
 		}
 		if !s.reports.isPending() {
 			return nil
@@ -59,16 +59,16 @@
 		if err := s.writePendingReport(); err != nil {
 			return err
 		}
-		s.reports.commit()
-		if s.reports.isFirstCommitted() {
-			s.cleanUpLastReports()
+		s.reports.markCommitted()
+		if s.reports.hasCommittedExactlyOne() {
+			s.cleanUpLastReportKeys()
 		}
-		s.counts.Reports.Add(1)
+		s.stats.Reports.Add(1)
 	}
 }
 
-// writePendingReport writes the pending report until it is known to be committed, or retry gives up. Once the
-// service is stopped it makes one attempt; Close then calls it again.
+// writePendingReport writes the pending report, and retries until the report is known to be committed or retry returns
+// an error. After the service has been stopped it makes a single attempt; Close then calls it again.
 func (s *Service) writePendingReport() error {
 	content, err := json.Marshal(s.reports.pending)
 	if err != nil {
@@ -85,28 +85,28 @@
 	)
 }
 
-// attemptReport writes a report, unless an earlier attempt was committed although it returned an error. In
-// that case the report may even have been added to accounts since, so its own key does not show it. A key of
-// this incarnation's own therefore names the report that was written last.
+// attemptReport writes a report, unless an earlier attempt was committed although it returned an error. The report's
+// key does not show whether that happened, because the report may have been added to accounts since, which deletes the
+// key. Therefore each write also stores the report's key under the last-report key of this incarnation.
 func (s *Service) attemptReport(key string, encodedKey, content []byte) error {
 	lastReportKey := lastReportPrefix + s.incarnationName()
-	last, found, err := s.options.Replica.ReadFromLeader(lastReportKey)
+	lastReport, found, err := s.options.Replica.ReadFromLeader(lastReportKey)
 	if err != nil {
 		return err
 	}
-	if found && string(last.Value) == string(encodedKey) {
+	if found && string(lastReport.Value) == string(encodedKey) {
 		return nil
 	}
 	return s.options.Replica.Edit([]kv.Edit{
 		{Key: key, Value: content},
-		{Key: lastReportKey, Value: encodedKey, Conditional: true, ExpectedIndex: last.Index},
+		{Key: lastReportKey, Value: encodedKey, Conditional: true, ExpectedIndex: lastReport.Index},
 	})
 }
 
-// cleanUpLastReports deletes what earlier incarnations left. A failure is only logged, because the next
-// incarnation deletes it.
-func (s *Service) cleanUpLastReports() {
-	if err := s.deleteOldLastReports(); err != nil {
-		logging.For(logComponent).WithError(err).Debug("old report marks not deleted")
+// cleanUpLastReportKeys deletes the last-report keys of earlier incarnations. It only logs an error, because the next
+// incarnation deletes the keys that remain.
+func (s *Service) cleanUpLastReportKeys() {
+	if err := s.deleteOldLastReportKeys(); err != nil {
+		logging.For(logComponent).WithError(err).Debug("cannot delete the last-report keys of old incarnations")
 	}
 }
--- a/internal/billingservice/reservations_test.go
+++ b/internal/billingservice/reservations_test.go
@@ -9,35 +9,35 @@
 	"fawnplank/internal/store/kv"
 )
 
-// sleepUntil moves a bubble's clock to a moment, and waits for all that happens then. A moment that has
-// passed fails the test, because what follows would be checked at another one.
-func sleepUntil(t *testing.T, moment time.Time) {
+// sleepUntil advances the clock of a synctest bubble to the given time and waits until all goroutines are blocked. It
+// fails the test if the clock is already past that time, because later checks would run at a wrong time.
+func sleepUntil(t *testing.T, wakeTime time.Time) {
 	t.Helper()
-	time.Sleep(time.Until(moment))
+	time.Sleep(time.Until(wakeTime))
 	synctest.Wait()
-	if now := time.Now(); !now.Equal(moment) {
-		t.Fatalf("it is %v, and not %v", now, moment)
+	if now := time.Now(); !now.Equal(wakeTime) {
+		t.Fatalf("the time is %v, want %v", now, wakeTime)
 	}
 }
 
-// TestService_ReservationsReturnInTime abandons reservations. Each returns at the first compaction of the
-// other instance after its lease and the clock skew, and not a nanosecond earlier. The clock is that of a
-// synctest bubble, so the moments are exact, however busy the machine is.
-func TestService_ReservationsReturnInTime(t *testing.T) {
+// TestService_ExpiresAbandonedReservationsOnTime abandons reservations. It checks that each expires at the first
+// compaction of the other instance after the reservation's lease and the clock skew, and not a nanosecond earlier. The
+// clock is that of a synctest bubble, so the times are exact regardless of the load on the machine.
+func TestService_ExpiresAbandonedReservationsOnTime(t *testing.T) {
 	const lease = 300 * time.Millisecond
-	due := lease + time.Duration(testSettings().ClockSkewNanos)
-	// A reservation made this long after the other instance's start is due exactly at its first compaction.
-	last := CompactionInterval - due
+	expiryDelay := lease + time.Duration(testSettings().ClockSkewNanos)
+	// A reservation that is made this long after the other instance's start can expire exactly at the first compaction.
+	longestOffset := CompactionInterval - expiryDelay
 	for name, test := range map[string]struct {
-		after time.Duration // from the other instance's start to the reservation
-		want  time.Duration // from the reservation to its return
+		after time.Duration // from the start of the other instance to the reservation
+		want  time.Duration // from the reservation to its expiry
 	}{
-		"as the other starts":      {0, CompactionInterval},
-		"just before a compaction": {last - 1, due + 1},
-		"at a compaction":          {last, due},
-		"just after a compaction":  {last + 1, due + CompactionInterval - 1},
-		"in the middle":            {last + CompactionInterval/2, due + CompactionInterval/2},
-		"after many compactions":   {20*CompactionInterval + last + 1, due + CompactionInterval - 1},
+		"when the other starts":    {0, CompactionInterval},
+		"just before a compaction": {longestOffset - 1, expiryDelay + 1},
+		"at a compaction":          {longestOffset, expiryDelay},
+		"just after a compaction":  {longestOffset + 1, expiryDelay + CompactionInterval - 1},
+		"in the middle":            {longestOffset + CompactionInterval/2, expiryDelay + CompactionInterval/2},
+		"after many compactions":   {20*CompactionInterval + longestOffset + 1, expiryDelay + CompactionInterval - 1},
 		"before the other starts":  {-20 * time.Millisecond, CompactionInterval + 20*time.Millisecond},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -49,28 +49,28 @@
 					time.Sleep(test.after)
 				}
 				reservedAt := time.Now()
-				reserveAndLeave(t, replica, lease)
+				reserveAndClose(t, replica, lease)
 				if other == nil {
 					other = startService(replica, "e", nil)
 				}
 				defer other.Close()
-				returnsAt := reservedAt.Add(test.want)
-				sleepUntil(t, returnsAt.Add(-time.Nanosecond))
+				expiresAt := reservedAt.Add(test.want)
+				sleepUntil(t, expiresAt.Add(-time.Nanosecond))
 				if !isReserved(t, other) {
-					t.Errorf("returned before %v", test.want)
+					t.Errorf("expired before %v", test.want)
 				}
-				sleepUntil(t, returnsAt)
+				sleepUntil(t, expiresAt)
 				if isReserved(t, other) {
-					t.Errorf("not returned after %v", test.want)
+					t.Errorf("not expired after %v", test.want)
 				}
 			})
 		})
 	}
 }
 
-// reserveAndLeave reserves at an instance that ends 20 ms later, after its first report. That report deletes
-// the key of an old incarnation's last report.
-func reserveAndLeave(t *testing.T, replica *memoryReplica, lease time.Duration) {
+// reserveAndClose makes a reservation at an instance and closes the instance 20 ms later, after its first report. It
+// checks that this report deletes the last-report key of an old incarnation.
+func reserveAndClose(t *testing.T, replica *memoryReplica, lease time.Duration) {
 	t.Helper()
 	service := startService(replica, "d", nil)
 	request := billing.ReservationRequest{
@@ -91,7 +91,7 @@
 	time.Sleep(20 * time.Millisecond)
 	synctest.Wait()
 	if _, found := replica.ReadLocal(oldKey); found || len(replica.ReadPrefix(lastReportPrefix)) != 1 {
-		t.Errorf("last reports after the first report: %v", replica.ReadPrefix(lastReportPrefix))
+		t.Errorf("last-report keys after the first report: %v", replica.ReadPrefix(lastReportPrefix))
 	}
 	service.Close()
 }
--- a/internal/billingservice/resume.go
+++ b/internal/billingservice/resume.go
@@ -7,19 +7,19 @@
 	"fawnplank/internal/store/kv"
 )
 
-// DroppedUsage counts what Resume dropped. It is never billed.
+// DroppedUsage counts the records and windows that Resume dropped. Their usage is never billed.
 type DroppedUsage struct {
 	Records int
 	Windows int
 }
 
-// Resume lets the export continue after the store was restored from an old copy. Sequences continue after
-// the given one, the last that the receiver has. The usage of windows that began before a moment is dropped and
-// never billed, because the lost state may have exported it. If the store has exported later records than the
-// given one, the error is an *AlreadyExportedError and nothing is done. After any other error, Resume may have
-// done a part, and the counts are those of that part.
-func Resume(replica Replica, after uint64, before time.Time) (DroppedUsage, error) {
-	// The service is not started. It is used for its operations on the store alone.
+// Resume repairs the export after the store was restored from an old backup. The sequence numbers of new records follow
+// afterSequence, which is the last one that the receiver has. Resume drops all unexported records, and all windows that
+// began before the given time. Their usage is never billed, because it may have been exported before the restoration.
+// If the store has exported a record after afterSequence, the error is an *AlreadyExportedError and nothing is changed.
+// After any other error a part of the changes may be committed, and the result counts that part.
+func Resume(replica Replica, afterSequence uint64, before time.Time) (DroppedUsage, error) {
+	// The service is not started. Only its operations on the store are used.
 	s := &Service{options: Options{
 		Replica:  replica,
 		Now:      time.Now,
@@ -30,8 +30,8 @@
 	if err != nil {
 		return dropped, err
 	}
-	if state.isExportedBeyond(after) {
-		return dropped, &AlreadyExportedError{AcknowledgedSequence: state.Acked}
+	if state.hasExportedAfter(afterSequence) {
+		return dropped, &AlreadyExportedError{AcknowledgedSequence: state.LastAcknowledged}
 	}
 	if dropped.Records, err = s.dropRecords(state); err != nil {
 		return dropped, err
@@ -39,16 +39,16 @@
 	if dropped.Windows, err = s.dropWindows(before); err != nil {
 		return dropped, err
 	}
-	_, err = s.writeExportState(state.resumeAfter(after), index, nil)
+	_, err = s.writeExportState(state.resumeAfter(afterSequence), index, nil)
 	return dropped, err
 }
 
-// dropRecords deletes the records that the old copy has numbered, because the accounts no longer contain what
-// they count. It returns how many it deleted.
+// dropRecords deletes the unexported records and returns their number. dropWindows does not drop their usage, because
+// the accounts no longer contain it.
 func (s *Service) dropRecords(state exportState) (int, error) {
 	count := 0
-	for sequence := state.Acked + 1; sequence < state.Next; sequence++ {
-		if err := s.options.Replica.Edit([]kv.Edit{{Key: recordKeyAt(sequence)}}); err != nil {
+	for sequence := state.LastAcknowledged + 1; sequence < state.NextSequence; sequence++ {
+		if err := s.options.Replica.Edit([]kv.Edit{{Key: recordKey(sequence)}}); err != nil {
 			return count, err
 		}
 		count++
@@ -56,8 +56,9 @@
 	return count, nil
 }
 
-// dropWindows drops the usage of all tenants' windows that began before a moment, and returns how many windows
-// it dropped. An account whose first attempt meets a conflict counts by its last attempt, the one that was written.
+// dropWindows removes the windows of all tenants that began before the given time, and returns their number. If
+// updating an account takes several attempts because of conflicts, only the windows of the last attempt, which is the
+// one that was committed, are counted.
 func (s *Service) dropWindows(before time.Time) (int, error) {
 	count := 0
 	for tenant := range s.options.Replica.ReadPrefix(accountPrefix) {
@@ -65,8 +66,8 @@
 		err := s.update(tenant, func(
 			_ billing.Settings, _ int64, account billing.Account,
 		) (billing.Account, error) {
-			remaining, windows := account.DropWindows(before.UnixNano())
-			dropped = windows
+			remaining, droppedWindows := account.DropWindows(before.UnixNano())
+			dropped = droppedWindows
 			return remaining, nil
 		})
 		if err != nil {
--- a/internal/billingservice/retry.go
+++ b/internal/billingservice/retry.go
@@ -6,29 +6,29 @@
 	"fawnplank/internal/logging"
 )
 
-// Every wait and every limit of a retry in this package is one of these. The intervals between rounds of the
-// loops stand in service.go.
+// The delays and limits of all retries in this package. The intervals between rounds of the loops are in service.go.
 const (
-	// operationTimeout is how long an operation, a report or Close begins new attempts. It outlasts an election,
-	// which takes a second or so. It does not cut short an attempt that has begun: each of the attempt's calls to
-	// the leader may take forwardTimeout of package store, six seconds, beyond it.
+	// operationTimeout is how long an operation, a report or Close starts new attempts. It is longer than a leader
+	// election, which takes about a second. It does not limit an attempt that has started: each call of such an
+	// attempt to the leader may take another six seconds, the forwardTimeout of package store.
 	operationTimeout = 5 * time.Second
-	// reportRetryInterval is the wait between two attempts to write a report.
+	// reportRetryInterval is the delay between two attempts to write a report.
 	reportRetryInterval = 50 * time.Millisecond
-	// closeRetryInterval is the wait between two attempts of Close to report the remaining usage.
+	// closeRetryInterval is the delay between two attempts of Close to report the remaining usage.
 	closeRetryInterval = 100 * time.Millisecond
-	// replicaLagInterval is the wait between two checks whether this replica has the last write. Commits take
-	// milliseconds.
+	// replicaLagInterval is the delay between two checks whether this replica has applied the last write. A commit
+	// takes milliseconds.
 	replicaLagInterval = 5 * time.Millisecond
-	// defaultRetryDelay is the wait after a first failed export, unless Options.ExportRetryDelay sets another.
+	// defaultRetryDelay is used if Options.ExportRetryDelay is 0.
 	defaultRetryDelay = time.Second
-	// maxExportBackoffFactor bounds the doubling of Options.ExportRetryDelay: thirty seconds at the default.
+	// maxExportBackoffFactor is the longest backoff of the export, as a multiple of Options.ExportRetryDelay. It is
+	// thirty seconds with the default delay.
 	maxExportBackoffFactor = 30
 )
 
-// retry calls attempt until it succeeds. It begins no further attempt once operationTimeout has passed since the
-// call, or wait reports that the service was stopped, and then returns the last attempt's error. There is always
-// a first attempt.
+// retry calls attempt until it succeeds, operationTimeout has passed since the call of retry, or wait reports that the
+// service was stopped. In the latter two cases it returns the error of the last attempt. It always makes at least one
+// attempt, and calls wait between attempts.
 func retry(attempt func() error, wait func() (stopped bool)) error {
 	deadline := time.Now().Add(operationTimeout)
 	for {
@@ -39,7 +39,7 @@
 	}
 }
 
-// waitOrStop waits for delay and reports whether the service was stopped in the meantime.
+// waitOrStop waits until the delay has passed or the service is stopped, and reports whether the service was stopped.
 func (s *Service) waitOrStop(delay time.Duration) (stopped bool) {
 	select {
 	case <-s.stop:
@@ -49,8 +49,8 @@
 	}
 }
 
-// startLoop calls round after each interval until Close. A failed round is repeated at the next interval, and
-// an outage of several rounds is logged once.
+// startLoop starts a goroutine that calls round after each interval until Close. A failed round is retried after the
+// next interval. Consecutive failed rounds are logged once.
 func (s *Service) startLoop(interval time.Duration, round func() error) {
 	s.loops.Go(func() {
 		failing := false
@@ -58,28 +58,29 @@
 			err := round()
 			if (err != nil) != failing {
 				failing = err != nil
-				logOutage(err)
+				logRoundTransition(err)
 			}
 			if err != nil {
-				s.counts.Failures.Add(1)
+				s.stats.Failures.Add(1)
 			}
 		}
 	})
 }
 
-// logOutage logs that rounds fail or, if err is nil, that they succeed again. Its phrase stands for any error of
-// a round: also for a report or an account that cannot be read while the store is well. While such a round
-// fails, startLoop does not log a later outage of the store.
-func logOutage(err error) {
+// logRoundTransition logs that rounds of a loop fail or, if err is nil, that they succeed again. A round may fail
+// because the store is unavailable, or because a report or an account cannot be decoded. While rounds fail for the
+// latter reason, startLoop does not log a later outage of the store.
+func logRoundTransition(err error) {
 	if err != nil {
-		logging.For(logComponent).WithError(err).Warn("store not writable; retrying")
+		logging.For(logComponent).WithError(err).Warn("billing round failed; retrying")
 		return
 	}
-	logging.For(logComponent).Info("store writable again")
+	logging.For(logComponent).Info("billing rounds succeed again")
 }
 
-// exportBackoff returns the wait after a failed export: first retryDelay, then twice the last wait, up to a
-// bound. last is 0 after a success.
-func exportBackoff(last, retryDelay time.Duration) time.Duration {
-	return min(max(2*last, retryDelay), maxExportBackoffFactor*retryDelay)
+// exportBackoff returns the delay after a failed round of the export: twice the delay after the previous round, but at
+// least retryDelay and at most maxExportBackoffFactor times retryDelay. lastDelay is the delay after the previous
+// round.
+func exportBackoff(lastDelay, retryDelay time.Duration) time.Duration {
+	return min(max(2*lastDelay, retryDelay), maxExportBackoffFactor*retryDelay)
 }
--- a/internal/billingservice/retry_test.go
+++ b/internal/billingservice/retry_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-func TestExportBackoff_DoublesUpToItsBound(t *testing.T) {
+func TestExportBackoff_DoublesUpToMaximum(t *testing.T) {
 	delay := time.Duration(0)
 	for _, want := range []time.Duration{1, 2, 4, 8, 16, 30, 30} {
 		delay = exportBackoff(delay, time.Second)
@@ -17,10 +17,10 @@
 	}
 }
 
-func TestRetry_GivesUpWithTheLastError(t *testing.T) {
+func TestRetry_ReturnsLastErrorAfterTimeout(t *testing.T) {
 	errAttempt := errors.New("no leader")
 	synctest.Test(t, func(t *testing.T) {
-		began := time.Now()
+		startTime := time.Now()
 		attempts := 0
 		err := retry(func() error {
 			attempts++
@@ -29,15 +29,15 @@
 			time.Sleep(time.Second)
 			return false
 		})
-		// The attempt at operationTimeout itself is not yet too late.
+		// An attempt that fails exactly at operationTimeout is followed by another one.
 		wantAttempts := int(operationTimeout/time.Second) + 2
 		if !errors.Is(err, errAttempt) || attempts != wantAttempts {
-			t.Errorf("%v after %d attempts in %v, want %d", err, attempts, time.Since(began), wantAttempts)
+			t.Errorf("%v after %d attempts in %v, want %d", err, attempts, time.Since(startTime), wantAttempts)
 		}
 	})
 }
 
-func TestRetry_EndsWithASuccessOrAStop(t *testing.T) {
+func TestRetry_EndsAfterSuccessOrServiceStop(t *testing.T) {
 	errAttempt := errors.New("no leader")
 	attempts := 0
 	attempt := func() error {
--- a/internal/billingservice/service.go
+++ b/internal/billingservice/service.go
@@ -13,50 +13,50 @@
 type Options struct {
 	// Replica is this instance's replica of the store.
 	Replica Replica
-	// Instance is this instance's name, which is unique in the installation.
+	// Instance is this instance's name, which must be unique among all instances.
 	Instance string
-	// Settings returns the settings now in force. It is called for each request.
+	// Settings returns the current settings. It is called for each request.
 	Settings func() billing.Settings
 	// ReportInterval is the time between two reports of this instance's usage.
 	ReportInterval time.Duration
-	// ExportRetryDelay is the delay after a first failed export. It doubles with each further failure, up to thirty
-	// times its value; 0 means one second.
+	// ExportRetryDelay is the shortest delay after a failed round of the export. The delay doubles with each further
+	// failure, up to thirty times this value. 0 means one second.
 	ExportRetryDelay time.Duration
-	// MaintenanceLeaseDuration is how long the maintenance lease lasts if it is not renewed; 0 means three seconds.
+	// MaintenanceLeaseDuration is how long the maintenance lease lasts if it is not renewed. 0 means three seconds.
 	MaintenanceLeaseDuration time.Duration
-	// Sink receives the records. If it is nil, this instance exports nothing.
+	// Sink receives the exported records. If it is nil, this instance exports nothing.
 	Sink Sink
-	// Now is the clock. If it is nil, time.Now is used.
+	// Now returns the current time. If it is nil, time.Now is used.
 	Now func() time.Time
 }
 
-// logComponent names this package in the log.
+// logComponent is the name of this package in log entries.
 const logComponent = "billing"
 
 const (
-	// CompactionInterval is how often the service looks for expired reservations and windows that have ended.
+	// CompactionInterval is the interval at which the service ends expired reservations and closes ended windows.
 	CompactionInterval = time.Second
-	// addReportsInterval is how often reports are added to accounts.
+	// addReportsInterval is the interval at which reports are added to accounts.
 	addReportsInterval = 250 * time.Millisecond
 	// defaultLeaseDuration is used if Options.MaintenanceLeaseDuration is 0. The loops that run at the two intervals
 	// above renew the lease, so it must last for several of these intervals.
 	defaultLeaseDuration = 3 * time.Second
 )
 
-// Service serves the accounts at one instance. All its methods may be called concurrently, but for
-// KeysChanged, whose calls must not overlap.
+// Service provides the operations on accounts at one instance. Its methods may be called concurrently, except that
+// calls of KeysChanged must not overlap.
 type Service struct {
-	options          Options
-	incarnationNanos int64 // when this process of the instance began, unix ns
+	options               Options
+	incarnationStartNanos int64 // start of this process of the instance, unix ns
 
-	usage        unreportedUsage
-	usageDropped atomic.Uint64 // requests whose units were out of range
-	reports      reportState
-	// planChanges holds the plan changes by tenant, of tenants that have any. The map is replaced, never modified.
+	usage           unreportedUsage
+	droppedRequests atomic.Uint64 // number of requests whose units were out of range
+	reports         reportState
+	// planChanges maps the tenants that have plan changes to these changes. The map is replaced and never modified.
 	planChanges     atomic.Pointer[map[string][]billing.PlanChange]
-	lease           leaseTerm
+	lease           localLease
 	lastExportError exportError
-	counts          Stats
+	stats           Stats
 
 	stop      chan struct{} // closed by Close
 	loops     sync.WaitGroup
@@ -72,7 +72,7 @@
 	Failures   atomic.Uint64 // rounds of the loops that returned an error
 }
 
-// Start starts an instance's service. Close ends it.
+// Start starts the service of an instance. The caller must call Close to stop it.
 func Start(options Options) *Service {
 	if options.Now == nil {
 		options.Now = time.Now
@@ -84,9 +84,9 @@
 		options.ExportRetryDelay = defaultRetryDelay
 	}
 	s := &Service{
-		options:          options,
-		incarnationNanos: options.Now().UnixNano(),
-		stop:             make(chan struct{}),
+		options:               options,
+		incarnationStartNanos: options.Now().UnixNano(),
+		stop:                  make(chan struct{}),
 	}
 	s.planChanges.Store(&map[string][]billing.PlanChange{})
 	var keys []string
@@ -94,7 +94,7 @@
 		keys = append(keys, accountPrefix+tenant)
 	}
 	s.KeysChanged(keys)
-	s.startLoop(options.ReportInterval, s.report)
+	s.startLoop(options.ReportInterval, s.reportUsage)
 	s.startLoop(addReportsInterval, s.addReports)
 	s.startLoop(CompactionInterval, s.compact)
 	if options.Sink != nil {
@@ -103,9 +103,8 @@
 	return s
 }
 
-// Close ends the loops, releases the maintenance lease, and reports the remaining usage. Usage that cannot be
-// reported within operationTimeout is lost, and logged as such. Close may be called on a nil Service, and more
-// than once.
+// Close ends the loops, releases the maintenance lease and reports the remaining usage. If the usage cannot be reported
+// within operationTimeout, it is lost and an error is logged. Close may be called on a nil Service, and more than once.
 func (s *Service) Close() {
 	if s == nil {
 		return
@@ -118,20 +117,19 @@
 			time.Sleep(closeRetryInterval)
 			return false
 		}
-		if err := retry(s.report, pause); err != nil {
+		if err := retry(s.reportUsage, pause); err != nil {
 			logging.For(logComponent).WithError(err).Error("usage report lost")
 		}
 	})
 }
 
-// Stats returns the counts since Start, which continue to change.
-func (s *Service) Stats() *Stats { return &s.counts }
+// Stats returns the counts since Start. They continue to change after the call.
+func (s *Service) Stats() *Stats { return &s.stats }
 
-// PendingRecords returns how many records are not exported yet.
+// PendingRecords returns the number of records that are not exported yet.
 func (s *Service) PendingRecords() int {
 	return len(s.options.Replica.ReadPrefix(recordPrefix))
 }
 
-// LastExportError returns the text of the error of the last round of the export, which is being retried. It is
-// empty if that round succeeded.
+// LastExportError returns the error text of the last round of the export, or "" if that round succeeded.
 func (s *Service) LastExportError() string { return s.lastExportError.text() }
--- a/internal/billingservice/stubs_test.go
+++ b/internal/billingservice/stubs_test.go
@@ -16,8 +16,8 @@
 	"fawnplank/internal/store/kv"
 )
 
-// memoryReplica is a store of one replica, some of whose calls fail. Of the writes that fail, some are
-// committed all the same.
+// memoryReplica is an in-memory store with a single replica. Its calls fail at failureRate. Some of the writes that
+// return an error are committed nevertheless.
 type memoryReplica struct {
 	mu          sync.Mutex
 	state       *kv.State
@@ -69,30 +69,30 @@
 	_, err = m.state.Apply(m.index, command)
 	m.mu.Unlock()
 	if err == nil && m.shouldFail() {
-		return errors.New("the answer is lost")
+		return errors.New("answer lost")
 	}
 	return err
 }
 
-// stubReceiver is a stand-in for billing's receiver. It accepts a batch by its key once. Some of its calls
-// fail, before or after it has accepted a batch.
+// stubReceiver is an HTTP receiver of usage records that accepts a batch once per idempotency key. Its calls fail at
+// failureRate, before or after it has accepted a batch.
 type stubReceiver struct {
-	mu          sync.Mutex
-	last        uint64
-	keys        map[string]string             // the content by idempotency key
-	sums        map[string]billing.MicroUnits // by tenant
-	failureRate float64
-	random      *rand.Rand
-	repeated    int // batches that were received again
-	err         error
+	mu              sync.Mutex
+	lastSequence    uint64
+	contentByKey    map[string]string             // by idempotency key
+	unitsByTenant   map[string]billing.MicroUnits // by tenant
+	failureRate     float64
+	random          *rand.Rand
+	repeatedBatches int // number of batches that were received more than once
+	err             error
 }
 
 func newStubReceiver(tb testing.TB) (*stubReceiver, string) {
 	tb.Helper()
 	receiver := &stubReceiver{
-		keys:   map[string]string{},
-		sums:   map[string]billing.MicroUnits{},
-		random: rand.New(rand.NewPCG(2, 2)),
+		contentByKey:  map[string]string{},
+		unitsByTenant: map[string]billing.MicroUnits{},
+		random:        rand.New(rand.NewPCG(2, 2)),
 	}
 	server := httptest.NewServer(receiver)
 	tb.Cleanup(server.Close)
@@ -107,8 +107,8 @@
 		return
 	}
 	if request.Method == http.MethodGet {
-		// A service that has ended does not read the answer.
-		_, _ = fmt.Fprintf(w, `{"last": %d}`, r.last)
+		// The write fails if the service has ended and no longer reads the response.
+		_, _ = fmt.Fprintf(w, `{"last": %d}`, r.lastSequence)
 		return
 	}
 	if !r.accept(request) {
@@ -116,13 +116,13 @@
 		return
 	}
 	if r.shouldFail() {
-		w.WriteHeader(http.StatusInternalServerError) // although the batch was accepted
+		w.WriteHeader(http.StatusInternalServerError) // the batch was accepted nevertheless
 	}
 }
 
 func (r *stubReceiver) shouldFail() bool { return r.random.Float64() < r.failureRate }
 
-// accept accepts a batch, and refuses one that it knows with different content.
+// accept accepts a batch, and reports whether it is new or has the same content as before.
 func (r *stubReceiver) accept(request *http.Request) bool {
 	key := request.Header.Get("Idempotency-Key")
 	content := ""
@@ -135,32 +135,32 @@
 		batch = append(batch, record)
 		content += lines.Text()
 	}
-	if known, ok := r.keys[key]; ok {
-		r.repeated++
+	if known, ok := r.contentByKey[key]; ok {
+		r.repeatedBatches++
 		return known == content
 	}
-	r.keys[key] = content
+	r.contentByKey[key] = content
 	for _, record := range batch {
-		if record.Sequence != r.last+1 {
-			r.err = fmt.Errorf("record %d after %d", record.Sequence, r.last)
+		if record.Sequence != r.lastSequence+1 {
+			r.err = fmt.Errorf("record %d after %d", record.Sequence, r.lastSequence)
 		}
-		r.last = record.Sequence
-		r.sums[record.Tenant] += record.MicroUnits
+		r.lastSequence = record.Sequence
+		r.unitsByTenant[record.Tenant] += record.MicroUnits
 	}
 	return true
 }
 
-// total returns the units received for all tenants, and the last fault found in a batch.
+// total returns the units received for all tenants, and the last error found in a batch.
 func (r *stubReceiver) total() (sum billing.MicroUnits, err error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for _, units := range r.sums {
+	for _, units := range r.unitsByTenant {
 		sum += units
 	}
 	return sum, r.err
 }
 
-// hasTotal reports whether the units received for all tenants amount to want.
+// hasTotal reports whether the sum of the units received for all tenants is want.
 func (r *stubReceiver) hasTotal(want billing.MicroUnits) bool {
 	sum, _ := r.total()
 	return sum == want
--- a/internal/billingservice/totals_test.go
+++ b/internal/billingservice/totals_test.go
@@ -13,41 +13,41 @@
 	"fawnplank/internal/testutil"
 )
 
-// totals sums what instances use, independently of what they write.
-type totals struct {
+// usageTotals sums the usage of instances independently of what the instances write to the store.
+type usageTotals struct {
 	t           *testing.T
 	replica     *memoryReplica
 	receiverURL string
 
-	mu       sync.Mutex
-	certain  billing.MicroUnits // known to be reported or committed
-	possible billing.MicroUnits // may be reported or committed
+	mu               sync.Mutex
+	confirmedUnits   billing.MicroUnits // known to be committed to the store
+	unconfirmedUnits billing.MicroUnits // may be committed to the store
 }
 
-func (c *totals) addCertain(units billing.MicroUnits) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.certain += units
+func (u *usageTotals) addConfirmed(units billing.MicroUnits) {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	u.confirmedUnits += units
 }
 
-func (c *totals) addPossible(units billing.MicroUnits) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.possible += units
+func (u *usageTotals) addUnconfirmed(units billing.MicroUnits) {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	u.unconfirmedUnits += units
 }
 
-// ending is how an incarnation of an instance ends.
-type ending int
+// incarnationEnd is the way in which an incarnation of an instance ends.
+type incarnationEnd int
 
 const (
-	closed ending = iota
-	killed        // without a last report
+	endedByClose incarnationEnd = iota
+	endedByKill                 // without a last report
 )
 
-// runIncarnation lets one incarnation of an instance record usage and commit reservations. If it is killed,
-// the usage that it has not reported is lost, and nothing else.
-func (c *totals) runIncarnation(instance, incarnation int, random *rand.Rand, end ending) {
-	service := startService(c.replica, fmt.Sprint("d", instance), NewHTTPSink(c.receiverURL))
+// runIncarnation starts one incarnation of an instance, records usage and commits reservations at it, and ends it. If
+// the incarnation is killed, only the usage that it has not reported may be lost.
+func (u *usageTotals) runIncarnation(instance, incarnation int, random *rand.Rand, end incarnationEnd) {
+	service := startService(u.replica, fmt.Sprint("d", instance), NewHTTPSink(u.receiverURL))
 	recorded := billing.MicroUnits(0)
 	for n := range 30 {
 		tenant := fmt.Sprintf("g%d", random.IntN(4))
@@ -58,19 +58,19 @@
 			time.Sleep(5 * time.Millisecond)
 			continue
 		}
-		c.reserveAndCommit(service, tenant, fmt.Sprintf("%d-%d-%d", instance, incarnation, n))
+		u.reserveAndCommit(service, tenant, fmt.Sprintf("%d-%d-%d", instance, incarnation, n))
 	}
-	if end == closed {
+	if end == endedByClose {
 		service.Close()
-		c.addCertain(recorded)
+		u.addConfirmed(recorded)
 		return
 	}
 	unreported := kill(service)
-	c.addCertain(recorded - unreported)
-	c.addPossible(unreported) // its last report may have been committed
+	u.addConfirmed(recorded - unreported)
+	u.addUnconfirmed(unreported) // its last report may have been committed
 }
 
-// kill ends a service without a last report, and returns the usage that it does not know to be reported.
+// kill ends a service without a last report, and returns the usage whose report is not known to be committed.
 func kill(service *Service) billing.MicroUnits {
 	close(service.stop)
 	service.loops.Wait()
@@ -87,7 +87,7 @@
 }
 
 // reserveAndCommit reserves three units and commits two of them.
-func (c *totals) reserveAndCommit(service *Service, tenant, id string) {
+func (u *usageTotals) reserveAndCommit(service *Service, tenant, id string) {
 	reservation, err := service.Reserve(tenant, billing.ReservationRequest{
 		ID:         id,
 		Holder:     "me",
@@ -101,65 +101,65 @@
 	_, err = service.Commit(tenant, id, reservation.Epoch, 2e6)
 	switch {
 	case err == nil:
-		c.addCertain(2e6)
+		u.addConfirmed(2e6)
 	case errors.Is(err, ErrStore):
-		c.resolveCommit(service, tenant, id)
-	case errors.Is(err, billing.ErrStaleEpoch): // an earlier attempt was applied, and its answer was lost
-		c.addCertain(2e6)
+		u.resolveCommit(service, tenant, id)
+	case errors.Is(err, billing.ErrStaleEpoch): // an earlier attempt was committed, but its answer was lost
+		u.addConfirmed(2e6)
 	case !errors.Is(err, billing.ErrExpired):
-		c.t.Error(err)
+		u.t.Error(err)
 	}
 }
 
-// resolveCommit finds out whether a commit without an answer was applied.
-func (c *totals) resolveCommit(service *Service, tenant, id string) {
+// resolveCommit reads the account to determine whether a commit that got no answer was committed.
+func (u *usageTotals) resolveCommit(service *Service, tenant, id string) {
 	account, _, err := service.Account(tenant, "large")
 	for err != nil {
 		account, _, err = service.Account(tenant, "large")
 	}
 	reservation, ok := account.Reservations[id]
-	if !ok { // the reservation has ended by now
-		c.addPossible(2e6)
+	if !ok { // the reservation has ended since
+		u.addUnconfirmed(2e6)
 		return
 	}
 	if reservation.Remaining == 1e6 {
-		c.addCertain(2e6)
+		u.addConfirmed(2e6)
 	}
 }
 
-// openItems counts the reports, usages and reservations that are not exported or returned yet.
-func openItems(t *testing.T, replica *memoryReplica) int {
+// countOpenItems returns the number of reports, sums of unexported usage, and reservations in the store.
+func countOpenItems(t *testing.T, replica *memoryReplica) int {
 	t.Helper()
-	open := len(replica.ReadPrefix(reportPrefix))
+	count := len(replica.ReadPrefix(reportPrefix))
 	for _, value := range replica.ReadPrefix(accountPrefix) {
 		var account billing.Account
 		if err := json.Unmarshal(value, &account); err != nil {
 			t.Fatal(err)
 		}
 		for _, window := range account.Windows {
-			open += len(window.UnexportedByPlan)
+			count += len(window.UnexportedByPlan)
 		}
-		open += len(account.Reservations)
+		count += len(account.Reservations)
 	}
-	return open
+	return count
 }
 
-// TestService_ExportsExactTotalsThroughFailures lets three instances report usage and reserve, while the
-// store's writes fail before or after they are committed, the receiver fails before or after it has accepted
-// a batch, and services are killed and started again. In the end the receiver has what was reported and
-// committed, to the millionth, each record once and in order.
+// TestService_ExportsExactTotalsThroughFailures runs three instances that report usage and commit reservations, while
+// writes to the store fail before or after they are committed, the receiver fails before or after it has accepted a
+// batch, and services are killed and restarted. It checks that the receiver has exactly the usage that was committed to
+// the store, each record once and in order.
 func TestService_ExportsExactTotalsThroughFailures(t *testing.T) {
 	replica := newMemoryReplica()
 	replica.failureRate = 0.1
 	receiver, url := newStubReceiver(t)
 	receiver.failureRate = 0.3
-	count := &totals{t: t, replica: replica, receiverURL: url}
+	totals := &usageTotals{t: t, replica: replica, receiverURL: url}
 	var instances sync.WaitGroup
 	for n := range 3 {
 		instances.Go(func() {
 			random := rand.New(rand.NewPCG(uint64(n), 9))
-			for incarnation, end := range []ending{closed, killed, closed} {
-				count.runIncarnation(n, incarnation, random, end)
+			for incarnation, end := range []incarnationEnd{endedByClose, endedByKill, endedByClose} {
+				totals.runIncarnation(n, incarnation, random, end)
 			}
 		})
 	}
@@ -167,12 +167,14 @@
 	service := startService(replica, "last", NewHTTPSink(url))
 	defer service.Close()
 	testutil.Eventually(t, "all to be exported", func() bool {
-		return service.PendingRecords() == 0 && openItems(t, replica) == 0
+		return service.PendingRecords() == 0 && countOpenItems(t, replica) == 0
 	})
 	got, err := receiver.total()
-	if err != nil || got < count.certain || got > count.certain+count.possible || receiver.repeated == 0 {
-		t.Errorf("%v: the receiver has %v; certain %v, and possible %v; %d batches came again",
-			err, got, count.certain, count.possible, receiver.repeated)
+	if err != nil || got < totals.confirmedUnits || got > totals.confirmedUnits+totals.unconfirmedUnits ||
+		receiver.repeatedBatches == 0 {
+		t.Errorf("%v: the receiver has %v, of %v confirmed and %v unconfirmed; %d batches were received again",
+			err, got, totals.confirmedUnits, totals.unconfirmedUnits, receiver.repeatedBatches)
 	}
-	t.Logf("%.1f units in %d records, %d batches came again", got.Float(), receiver.last, receiver.repeated)
+	t.Logf("%.1f units in %d records, %d batches were received again",
+		got.Float(), receiver.lastSequence, receiver.repeatedBatches)
 }
--- a/internal/billingservice/update.go
+++ b/internal/billingservice/update.go
@@ -8,12 +8,12 @@
 	"fawnplank/internal/store/kv"
 )
 
-// operation is an operation of package billing, bound to its arguments. It may be called more than once.
+// operation is an operation of package billing with its arguments bound. update may call it more than once.
 type operation func(
 	settings billing.Settings, nowNanos int64, account billing.Account,
 ) (billing.Account, error)
 
-// reservationOperation is an operation that also returns the resulting reservation.
+// reservationOperation is an operation that also returns a reservation.
 type reservationOperation func(
 	settings billing.Settings, nowNanos int64, account billing.Account,
 ) (billing.Account, billing.Reservation, error)
@@ -21,52 +21,52 @@
 // accountReader reads an account and its index.
 type accountReader func(tenant string) (billing.Account, kv.Index, error)
 
-// updateResult is how an attempt to update an account ended.
+// updateResult is the result of an attempt to update an account.
 type updateResult int
 
 const (
 	updateCommitted  updateResult = iota
-	updateRejected                // by package billing
-	updateConflicted              // somebody else has changed the account since it was read
-	updateFailed                  // the account cannot be read, or the write may still be committed
+	updateRejected                // package billing rejected the operation
+	updateConflicted              // another write has changed the account since it was read
+	updateFailed                  // the account cannot be read, or the write failed and may still be committed
 )
 
-// update applies an operation to an account. An operation that succeeds on this replica's copy costs one
-// write. The copy may be out of date, so after a rejection or a conflict update reads the account from the
-// leader. Its errors are those of SchedulePlanChange.
-func (s *Service) update(tenant string, operate operation) error {
+// update applies an operation to an account and writes the result. It first reads the account from this replica, so
+// that most operations need no read from the leader. This replica may be out of date, so after a rejection or a
+// conflict update reads the account from the leader. Its errors are those of SchedulePlanChange.
+func (s *Service) update(tenant string, apply operation) error {
 	deadline := time.Now().Add(operationTimeout)
-	result, err := s.attemptUpdate(tenant, operate, s.readLocalAccount)
+	result, err := s.attemptUpdate(tenant, apply, s.readLocalAccount)
 	if result == updateRejected {
-		result, err = s.attemptUpdate(tenant, operate, s.readAccountFromLeader)
+		result, err = s.attemptUpdate(tenant, apply, s.readAccountFromLeader)
 	}
 	for result == updateConflicted {
 		if time.Now().After(deadline) {
-			return ErrStore // every write met a conflict, so nothing is committed
+			return ErrStore // every write met a conflict, so no write was committed
 		}
-		result, err = s.attemptUpdate(tenant, operate, s.readAccountFromLeader)
+		result, err = s.attemptUpdate(tenant, apply, s.readAccountFromLeader)
 	}
 	switch result {
 	case updateCommitted:
-		s.counts.Operations.Add(1)
+		s.stats.Operations.Add(1)
 		return nil
 	case updateRejected:
-		s.counts.Rejected.Add(1)
+		s.stats.Rejected.Add(1)
 		return err
 	default:
 		return fmt.Errorf("%w (%w)", ErrStore, err)
 	}
 }
 
-// attemptUpdate reads an account, applies an operation to it and writes the result, once.
+// attemptUpdate makes one attempt to read an account, apply an operation to it and write the result.
 func (s *Service) attemptUpdate(
-	tenant string, operate operation, read accountReader,
+	tenant string, apply operation, read accountReader,
 ) (updateResult, error) {
 	account, index, err := read(tenant)
 	if err != nil {
 		return updateFailed, err
 	}
-	updated, err := operate(s.options.Settings(), s.options.Now().UnixNano(), account)
+	updated, err := apply(s.options.Settings(), s.options.Now().UnixNano(), account)
 	if err != nil {
 		return updateRejected, err
 	}
@@ -81,16 +81,16 @@
 	}
 }
 
-// updateReservation applies an operation to an account and returns the reservation of its last attempt.
+// updateReservation applies an operation to an account and returns the reservation that its last attempt returned.
 func (s *Service) updateReservation(
-	tenant string, operate reservationOperation,
+	tenant string, apply reservationOperation,
 ) (billing.Reservation, error) {
 	var reservation billing.Reservation
 	err := s.update(tenant, func(
 		settings billing.Settings, nowNanos int64, a billing.Account,
 	) (billing.Account, error) {
 		var err error
-		a, reservation, err = operate(settings, nowNanos, a)
+		a, reservation, err = apply(settings, nowNanos, a)
 		return a, err
 	})
 	return reservation, err
--- a/internal/billingservice/usage.go
+++ b/internal/billingservice/usage.go
@@ -11,21 +11,20 @@
 	"fawnplank/internal/logging"
 )
 
-// usageKey is the key by which usage is summed.
+// usageKey identifies the usage of a tenant under a plan in a window.
 type usageKey struct {
 	tenant           string
 	plan             string
 	windowStartNanos int64 // unix ns
 }
 
-// unreportedUsage sums the usage that is in no report yet. It is safe for concurrent use, and its zero value
-// is empty.
+// unreportedUsage sums the usage that is not in a report yet. It is safe for concurrent use. Its zero value is empty.
 type unreportedUsage struct {
 	mu    sync.Mutex
 	units map[usageKey]billing.MicroUnits
 }
 
-// add adds units to a sum.
+// add adds units to the sum of a key.
 func (u *unreportedUsage) add(key usageKey, units billing.MicroUnits) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -35,9 +34,8 @@
 	u.units[key] += units
 }
 
-// take removes up to maxItems sums and returns them as the lines of a report. It returns nil if there are
-// none.
-func (u *unreportedUsage) take(maxItems int) []usageItem {
+// takeItems removes up to maxItems sums and returns them as the items of a report. It returns nil if there are none.
+func (u *unreportedUsage) takeItems(maxItems int) []usageItem {
 	var items []usageItem
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -56,22 +54,22 @@
 	return items
 }
 
-// RecordUsage adds the units of a request that was received at a moment and has succeeded under a plan. It drops
-// units that are out of range, which is logged.
+// RecordUsage adds the units of a request that was received at the given time and has succeeded under the given plan.
+// It drops and logs units that are out of range.
 func (s *Service) RecordUsage(tenant, plan string, receivedAt time.Time, units float64) {
-	count, err := billing.MicroUnitsFromFloat(units)
+	microUnits, err := billing.MicroUnitsFromFloat(units)
 	if err != nil {
-		s.logDropped(tenant, plan, err)
+		s.logDroppedUsage(tenant, plan, err)
 		return
 	}
 	windowStartNanos := s.options.Settings().WindowStart(receivedAt.UnixNano())
-	s.usage.add(usageKey{tenant: tenant, plan: plan, windowStartNanos: windowStartNanos}, count)
+	s.usage.add(usageKey{tenant: tenant, plan: plan, windowStartNanos: windowStartNanos}, microUnits)
 }
 
-// logDropped logs that a request's units are not billed: the first time, and whenever their number has doubled, since
-// the fault may come with every request.
-func (s *Service) logDropped(tenant, plan string, err error) {
-	dropped := s.usageDropped.Add(1)
+// logDroppedUsage counts a request whose units are not billed. It logs only the first one and each time that the count
+// has doubled, because the same fault may occur on every request.
+func (s *Service) logDroppedUsage(tenant, plan string, err error) {
+	dropped := s.droppedRequests.Add(1)
 	if bits.OnesCount64(dropped) != 1 {
 		return
 	}
--- a/internal/billingservice/version0_test.go
+++ b/internal/billingservice/version0_test.go
@@ -19,74 +19,74 @@
 	"fawnplank/internal/testutil"
 )
 
-// version0Start is when a synctest bubble begins, where the fixtures were written.
+// version0Start is the time at which a synctest bubble starts. The fixtures were written in such a bubble.
 var version0Start = time.Date(2000, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// version0At returns the moment so long after version0Start, in unix ns.
+// version0At returns the time a duration after version0Start, in unix ns.
 func version0At(after time.Duration) int64 { return version0Start.Add(after).UnixNano() }
 
-// firstBatchFolder is a sink that accepts its first batch, and then no more.
-type firstBatchFolder struct {
+// firstBatchSink is a sink that accepts only its first batch.
+type firstBatchSink struct {
 	FolderSink
-	sent bool
+	hasSent bool
 }
 
-func (f *firstBatchFolder) Send(ctx context.Context, batch []billing.UsageRecord) error {
-	if f.sent {
-		return errors.New("no more")
+func (f *firstBatchSink) Send(ctx context.Context, batch []billing.UsageRecord) error {
+	if f.hasSent {
+		return errors.New("only the first batch is accepted")
 	}
-	f.sent = true
+	f.hasSent = true
 	return f.FolderSink.Send(ctx, batch)
 }
 
-const version0Export = "use-000000000001-000000000001.jsonl"
+const version0ExportName = "use-000000000001-000000000001.jsonl"
 
-// writeVersion0 lets a service work in a bubble's time, and writes the state of the store and the exported file
-// to the two paths.
-func writeVersion0(t *testing.T, store, export string) {
+// writeVersion0Fixtures runs a service in a synctest bubble, and writes the resulting state of the store and the
+// exported file to the two paths.
+func writeVersion0Fixtures(t *testing.T, storePath, exportPath string) {
 	t.Helper()
 	folder := t.TempDir()
 	synctest.Test(t, func(t *testing.T) {
 		replica := newMemoryReplica()
-		service := startService(replica, "d", &firstBatchFolder{FolderSink: FolderSink(folder)})
-		useVersion0(t, service)
+		service := startService(replica, "d", &firstBatchSink{FolderSink: FolderSink(folder)})
+		runVersion0Workload(t, service)
 		content, err := replica.state.Snapshot()
 		if err == nil {
-			err = os.WriteFile(store, content, 0o600)
+			err = os.WriteFile(storePath, content, 0o600)
 		}
 		if err != nil {
 			t.Fatal(err)
 		}
 		service.Close()
 	})
-	content, err := os.ReadFile(filepath.Join(folder, version0Export))
+	content, err := os.ReadFile(filepath.Join(folder, version0ExportName))
 	if err == nil {
-		err = os.WriteFile(export, content, 0o600)
+		err = os.WriteFile(exportPath, content, 0o600)
 	}
 	if err != nil {
 		t.Fatal(err)
 	}
 }
 
-// useVersion0 uses a service for the first 2.3 s of a bubble's time. After it, the store has a window that is
-// exported, one that is being sent, one that is open with a reservation in it, and a report that is not
-// committed yet.
-func useVersion0(t *testing.T, service *Service) {
+// runVersion0Workload runs operations on a service during the first 2.3 s of a synctest bubble. After it, the store
+// contains an exported window, a window whose batch is in flight, an open window with a reservation, and a report that
+// is not added to its account yet.
+func runVersion0Workload(t *testing.T, service *Service) {
 	t.Helper()
-	until := func(after time.Duration) {
+	advanceTo := func(after time.Duration) {
 		time.Sleep(time.Until(version0Start.Add(after)))
 		synctest.Wait()
 	}
-	must := func(err error) {
+	requireNoError := func(err error) {
 		if err != nil {
 			t.Fatal(err)
 		}
 	}
 	for _, change := range version0Account.PlanChanges {
-		must(service.SchedulePlanChange("g", change))
+		requireNoError(service.SchedulePlanChange("g", change))
 	}
 	service.RecordUsage("h", "large", time.Now(), 1.5)
-	until(1250 * time.Millisecond)
+	advanceTo(1250 * time.Millisecond)
 	service.RecordUsage("g", "small", time.Now(), 2)
 	_, err := service.Reserve("g", billing.ReservationRequest{
 		ID:         "r0",
@@ -94,12 +94,12 @@
 		MicroUnits: 3e6,
 		LeaseNanos: int64(300 * time.Millisecond),
 	})
-	must(err)
-	until(1260 * time.Millisecond)
+	requireNoError(err)
+	advanceTo(1260 * time.Millisecond)
 	account, _, err := service.Account("g", "small")
-	must(err)
-	must(service.Release("g", "r0", account.Reservations["r0"].Epoch))
-	until(2050 * time.Millisecond)
+	requireNoError(err)
+	requireNoError(service.Release("g", "r0", account.Reservations["r0"].Epoch))
+	advanceTo(2050 * time.Millisecond)
 	service.RecordUsage("g", "small", version0Start.Add(1300*time.Millisecond), 3)
 	reservation, err := service.Reserve("g", billing.ReservationRequest{
 		ID:         "r1",
@@ -107,17 +107,17 @@
 		MicroUnits: 20e6,
 		LeaseNanos: int64(500 * time.Millisecond),
 	})
-	must(err)
+	requireNoError(err)
 	_, err = service.Commit("g", "r1", reservation.Epoch, 5e6)
-	must(err)
-	until(2255 * time.Millisecond)
+	requireNoError(err)
+	advanceTo(2255 * time.Millisecond)
 	service.RecordUsage("g", "small", time.Now(), 4)
-	until(2300 * time.Millisecond)
+	advanceTo(2300 * time.Millisecond)
 }
 
-func version0Store(t *testing.T) *memoryReplica {
+func loadVersion0Store(t *testing.T) *memoryReplica {
 	t.Helper()
-	path := testutil.Fixture(t, "store", func(path string) { writeVersion0(t, path, path+".export") })
+	path := testutil.Fixture(t, "store", func(path string) { writeVersion0Fixtures(t, path, path+".export") })
 	content, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
@@ -130,7 +130,7 @@
 	return replica
 }
 
-// newVersion0Service is a service without its loops at the moment at which the fixture was written.
+// newVersion0Service returns a service without loops, whose clock shows the time at which the fixture was written.
 func newVersion0Service(replica *memoryReplica, sink Sink) *Service {
 	now := version0Start.Add(2300 * time.Millisecond)
 	return &Service{
@@ -142,15 +142,15 @@
 			Sink:                     sink,
 			Now:                      func() time.Time { return now },
 		},
-		incarnationNanos: version0At(0),
-		stop:             make(chan struct{}),
+		incarnationStartNanos: version0At(0),
+		stop:                  make(chan struct{}),
 	}
 }
 
-// version0Incarnation is the name of the fixture's one incarnation.
+// version0Incarnation is the name of the only incarnation in the fixture.
 const version0Incarnation = "d-0d234ccf52430000"
 
-// version0Account is the account in the store's fixture.
+// version0Account is the only account in the store's fixture.
 var version0Account = billing.Account{
 	Tenant: "g",
 	PlanChanges: []billing.PlanChange{
@@ -178,7 +178,7 @@
 	Epoch:             3,
 }
 
-// version0Values are what the store's fixture holds, as values of the current types.
+// version0Values maps the keys of the store's fixture to their values, as values of the current types.
 var version0Values = map[string]any{
 	accountPrefix + "g": version0Account,
 	recordPrefix + "0000000000000002": billing.UsageRecord{
@@ -188,7 +188,7 @@
 		WindowStartSeconds: 946684801,
 		MicroUnits:         2e6,
 	},
-	exportKey: exportState{Next: 3, Acked: 1, FirstSequence: 2, LastSequence: 2},
+	exportKey: exportState{NextSequence: 3, LastAcknowledged: 1, FirstSequence: 2, LastSequence: 2},
 	leaseKey: maintenanceLease{
 		Holder:       version0Incarnation,
 		ExpiresNanos: version0At(2550 * time.Millisecond),
@@ -199,10 +199,10 @@
 	},
 }
 
-// TestVersion0Store_IsWrittenAsTheSameBytes decodes each value of the store's fixture into its type, and
-// encodes it again as the same bytes.
-func TestVersion0Store_IsWrittenAsTheSameBytes(t *testing.T) {
-	replica := version0Store(t)
+// TestVersion0Store_ReencodesToSameBytes checks that each value of the store's fixture can be decoded into its type,
+// and is encoded again as the same bytes.
+func TestVersion0Store_ReencodesToSameBytes(t *testing.T) {
+	replica := loadVersion0Store(t)
 	for _, key := range replica.state.Keys("") {
 		if _, ok := version0Values[key]; !ok {
 			entry, _ := replica.ReadLocal(key)
@@ -214,18 +214,18 @@
 		got := reflect.New(reflect.TypeOf(want))
 		isDecoded := ok && json.Unmarshal(entry.Value, got.Interface()) == nil
 		if !isDecoded || !reflect.DeepEqual(got.Elem().Interface(), want) {
-			t.Errorf("%s: %s, and not %+v", key, entry.Value, want)
+			t.Errorf("%s: %s, want %+v", key, entry.Value, want)
 		}
-		if again, err := json.Marshal(want); err != nil || !bytes.Equal(again, entry.Value) {
-			t.Errorf("%s, written anew (%v):\n%s\nthe fixture:\n%s", key, err, again, entry.Value)
+		if encodedAgain, err := json.Marshal(want); err != nil || !bytes.Equal(encodedAgain, entry.Value) {
+			t.Errorf("%s, encoded again (%v):\n%s\nthe fixture:\n%s", key, err, encodedAgain, entry.Value)
 		}
 	}
 }
 
-// TestService_ContinuesWithVersion0Store lets a service continue with the store's fixture: it knows the plan
-// and the reservation, commits the report, and sends the batch that was fixed.
+// TestService_ContinuesWithVersion0Store runs a service on the store's fixture. It checks that the service applies the
+// plan, accepts operations on the reservations, adds the report to the account, and sends the batch in flight.
 func TestService_ContinuesWithVersion0Store(t *testing.T) {
-	replica := version0Store(t)
+	replica := loadVersion0Store(t)
 	folder := FolderSink(t.TempDir())
 	service := newVersion0Service(replica, folder)
 	service.planChanges.Store(&map[string][]billing.PlanChange{})
@@ -238,7 +238,7 @@
 		t.Errorf("a commit: %+v, %v", reservation, err)
 	}
 	if err := service.Release("g", "r0", 1); !errors.Is(err, billing.ErrExpired) {
-		t.Errorf("a release of what had ended: %v", err)
+		t.Errorf("a release of an ended reservation: %v", err)
 	}
 	if err := service.addReports(); err != nil {
 		t.Fatal(err)
@@ -252,26 +252,27 @@
 	if mayHaveMore, err := service.exportBatch(context.Background()); !mayHaveMore || err != nil {
 		t.Fatal(mayHaveMore, err)
 	}
-	text, err := os.ReadFile(filepath.Join(string(folder), "use-000000000002-000000000002.jsonl"))
+	content, err := os.ReadFile(filepath.Join(string(folder), "use-000000000002-000000000002.jsonl"))
 	want := `{"sequence":2,"gestoria":"g","plan":"small","window_unix_s":946684801,"micro_units":2000000}` + "\n"
-	if err != nil || string(text) != want {
-		t.Errorf("%s, %v", text, err)
+	if err != nil || string(content) != want {
+		t.Errorf("%s, %v", content, err)
 	}
 	state, _, err := service.readExportState()
-	if err != nil || state != (exportState{Next: 3, Acked: 2}) || len(replica.ReadPrefix(recordPrefix)) != 0 {
+	if err != nil || state != (exportState{NextSequence: 3, LastAcknowledged: 2}) ||
+		len(replica.ReadPrefix(recordPrefix)) != 0 {
 		t.Errorf("the export: %+v, %v", state, err)
 	}
 }
 
-// TestFolder_ReadsVersion0Export uses a folder with a file of an earlier version. Its last sequence is known,
-// and the same batch is written as the same bytes under the same name.
-func TestFolder_ReadsVersion0Export(t *testing.T) {
-	path := testutil.Fixture(t, version0Export, func(path string) { writeVersion0(t, path+".store", path) })
+// TestFolderSink_ReadsVersion0Export uses a folder with a file of an earlier version. It checks that the folder's last
+// sequence number is read from it, and that the same batch is written as the same bytes under the same name.
+func TestFolderSink_ReadsVersion0Export(t *testing.T) {
+	path := testutil.Fixture(t, version0ExportName, func(path string) { writeVersion0Fixtures(t, path+".store", path) })
 	folder := FolderSink(filepath.Dir(path))
 	if last, err := folder.LastSequence(context.Background()); last != 1 || err != nil {
 		t.Error(last, err)
 	}
-	text, err := os.ReadFile(path)
+	content, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -283,13 +284,13 @@
 		WindowStartSeconds: 946684800,
 		MicroUnits:         1500000,
 	}
-	if err := json.Unmarshal([]byte(strings.TrimSpace(string(text))), &got); err != nil || got != want {
+	if err := json.Unmarshal([]byte(strings.TrimSpace(string(content))), &got); err != nil || got != want {
 		t.Errorf("%+v, %v", got, err)
 	}
-	if again := encodeBatch([]billing.UsageRecord{want}); !bytes.Equal(again, text) {
-		t.Errorf("written anew:\n%s\nthe fixture:\n%s", again, text)
+	if encodedAgain := encodeBatch([]billing.UsageRecord{want}); !bytes.Equal(encodedAgain, content) {
+		t.Errorf("encoded again:\n%s\nthe fixture:\n%s", encodedAgain, content)
 	}
-	// Send fails if the file of this name has another content.
+	// Send returns an error if the file of this name has different content.
 	if err := folder.Send(context.Background(), []billing.UsageRecord{want}); err != nil {
 		t.Error(err)
 	}
@@ -298,7 +299,8 @@
 	}
 }
 
-// TestStoredTypes_HaveTags checks that a tag, not the Go field name, names each stored field.
+// TestStoredTypes_HaveTags checks that each stored field has a JSON tag, so that renaming a Go field does not change
+// the stored format.
 func TestStoredTypes_HaveTags(t *testing.T) {
 	testutil.CheckJSONTags(t, billing.Account{}, billing.UsageRecord{}, usageItem{}, exportState{}, maintenanceLease{})
 }
