--- a/internal/billing/plan_test.go
+++ b/internal/billing/plan_test.go
@@ -9,12 +9,12 @@
 
 func testSettings() Settings {
 	return Settings{
-		WindowNanos:       60 * second,
-		ChangeNoticeNanos: 5 * second,
-		ClockSkewNanos:    second,
-		MaxLeaseNanos:     30 * second,
-		ExportDelayNanos:  10 * second,
-		Plans:             map[string]Quota{"small": {Rate: 1, Burst: 10}, "large": {Rate: 5, Burst: 100}},
+		WindowNanos:           60 * second,
+		PlanChangeNoticeNanos: 5 * second,
+		ClockSkewNanos:        second,
+		MaxLeaseNanos:         30 * second,
+		ExportDelayNanos:      10 * second,
+		Plans:                 map[string]Quota{"small": {Rate: 1, Burst: 10}, "large": {Rate: 5, Burst: 100}},
 	}
 }
 
@@ -28,13 +28,13 @@
 		want   error
 	}{
 		{"first", PlanChange{"1", now + 10*second, "large"}, nil},
-		{"sent twice", PlanChange{"1", now + 10*second, "large"}, nil},
-		{"same id, another moment", PlanChange{"1", now + 20*second, "large"}, ErrConflict},
-		{"two at once", PlanChange{"2", now + 10*second, "small"}, ErrConflict},
+		{"repeated request", PlanChange{"1", now + 10*second, "large"}, nil},
+		{"same id, another time", PlanChange{"1", now + 20*second, "large"}, ErrConflict},
+		{"same time, another id", PlanChange{"2", now + 10*second, "small"}, ErrConflict},
 		{"too soon", PlanChange{"3", now + 4*second, "small"}, ErrTooSoon},
-		{"unknown plan", PlanChange{"3", now + 20*second, "gold"}, ErrUnknown},
+		{"unknown plan", PlanChange{"3", now + 20*second, "gold"}, ErrNotFound},
 		{"no id", PlanChange{"", now + 20*second, "small"}, ErrOutOfRange},
-		{"before the first", PlanChange{"4", now + 8*second, "small"}, nil},
+		{"earlier than the first", PlanChange{"4", now + 8*second, "small"}, nil},
 	} {
 		changed, err := account.SchedulePlanChange(settings, now, test.change)
 		if !errors.Is(err, test.want) || test.want == nil && err != nil {
@@ -45,25 +45,26 @@
 		}
 	}
 	if account.PlanAt(now) != "" || account.PlanAt(now+9*second) != "small" ||
-		account.PlanAt(now+10*second) != "large" || len(account.Changes) != 2 {
-		t.Errorf("%+v", account.Changes)
+		account.PlanAt(now+10*second) != "large" || len(account.PlanChanges) != 2 {
+		t.Errorf("%+v", account.PlanChanges)
 	}
 	if _, err := account.CancelPlanChange(settings, now+4*second, "4"); !errors.Is(err, ErrExpired) {
 		t.Error(err)
 	}
 	canceled, err := account.CancelPlanChange(settings, now+2*second, "4")
-	if err != nil || canceled.PlanAt(now+9*second) != "" || len(account.Changes) != 2 {
+	if err != nil || canceled.PlanAt(now+9*second) != "" || len(account.PlanChanges) != 2 {
 		t.Error(err, canceled)
 	}
-	if _, err := account.CancelPlanChange(settings, now, "9"); !errors.Is(err, ErrUnknown) {
+	if _, err := account.CancelPlanChange(settings, now, "9"); !errors.Is(err, ErrNotFound) {
 		t.Error(err)
 	}
-	// A window in which the plan changes allows each plan's rate for its time: until 1008 no plan is set (small
-	// is the default), until 1010 small, then large. The burst is that of the plan now in force.
+	// The allowance of a window in which the plan changes is the sum of each plan's rate for its time in force: the
+	// default small until 1008 s, the scheduled small until 1010 s, then large. The burst is that of the plan in force
+	// at now.
 	start := settings.WindowStart(now)
-	small := float64((1010 - start/second) * 1)
-	large := float64(start/second+60-1010) * 5
-	if got := account.Allowance(settings, start, now, "small").Float(); got != small+large+10 {
+	smallUnits := float64((1010 - start/second) * 1)
+	largeUnits := float64(start/second+60-1010) * 5
+	if got := account.Allowance(settings, start, now, "small").Float(); got != smallUnits+largeUnits+10 {
 		t.Error(got)
 	}
 }
