--- a/internal/backend/endpoints.go
+++ b/internal/backend/endpoints.go
@@ -37,7 +37,8 @@
 // SetAddresses sets the addresses of a backend that listens at several. They are still one backend: each connection
 // is made to the first address that accepts it. If the addresses change, the backend's idle connections are closed.
 func (p *Pool) SetAddresses(backend policy.BackendID, addresses []netip.AddrPort) {
-	order := dialer.OrderAddresses(addresses, dialer.HasRoute) // this looks up the host's routes, so the lock is not held yet
+	// This looks up the host's routes, so the lock is not held yet.
+	order := dialer.OrderAddresses(addresses, dialer.HasRoute)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.replaceEndpoint(backend, &endpoint{key: fmt.Sprint(addresses), addresses: order})
--- a/internal/billingservice/report.go
+++ b/internal/billingservice/report.go
@@ -107,6 +107,6 @@
 // incarnation deletes the keys that remain.
 func (s *Service) cleanUpLastReportKeys() {
 	if err := s.deleteOldLastReportKeys(); err != nil {
-		logging.For(logComponent).WithError(err).Debug("cannot delete the last-report keys of old incarnations")
+		logging.For(logComponent).WithError(err).Debug("old report marks not deleted")
 	}
 }
--- a/internal/billingservice/retry.go
+++ b/internal/billingservice/retry.go
@@ -72,10 +72,10 @@
 // latter reason, startLoop does not log a later outage of the store.
 func logRoundTransition(err error) {
 	if err != nil {
-		logging.For(logComponent).WithError(err).Warn("billing round failed; retrying")
+		logging.For(logComponent).WithError(err).Warn("store not writable; retrying")
 		return
 	}
-	logging.For(logComponent).Info("billing rounds succeed again")
+	logging.For(logComponent).Info("store writable again")
 }
 
 // exportBackoff returns the delay after a failed round of the export: twice the delay after the previous round, but at
--- a/internal/frontend/input_guard.go
+++ b/internal/frontend/input_guard.go
@@ -1,8 +1,8 @@
 package frontend
 
-// BeforeRead implements sock.ReadGuard: sock.Conn calls it before each attempt to read. It returns true with inputMu held,
-// which AfterRead unlocks, so that the read and the resulting change of the input state are one atomic step for other
-// goroutines. If the input is closed, it returns false with inputMu unlocked, which ends the read.
+// BeforeRead implements sock.ReadGuard: sock.Conn calls it before each attempt to read. It returns true with inputMu
+// held, which AfterRead unlocks, so that the read and the resulting change of the input state are one atomic step for
+// other goroutines. If the input is closed, it returns false with inputMu unlocked, which ends the read.
 func (c *connection) BeforeRead() bool {
 	c.inputMu.Lock()
 	if c.input == inputClosed {
--- a/internal/frontend/outlasting_connections.go
+++ b/internal/frontend/outlasting_connections.go
@@ -43,9 +43,9 @@
 func (c *connection) logUndrained(now time.Time, drainAge time.Duration) {
 	entry := logging.For(logComponent).WithFields(c.logFields(now)).WithField("drain_age", drainAge.String())
 	if now.Sub(c.acceptedAt) > drainAge {
-		entry.Warn("connection opened before the drain is still open")
+		entry.Warn("connection outlasts drain")
 	} else {
-		entry.Warn("connection opened during the drain is still open")
+		entry.Warn("connection opened during drain stays open")
 	}
 }
 
--- a/internal/retryaccept/retryaccept.go
+++ b/internal/retryaccept/retryaccept.go
@@ -67,6 +67,6 @@
 // recordSuccess records a successful accept, and logs the end of an outage.
 func (l *Listener) recordSuccess() {
 	if l.failing.Swap(false) {
-		logging.For(l.component).Info("accept succeeded after failures")
+		logging.For(l.component).Info("accept works again")
 	}
 }
