--- a/internal/frontend/accept_test.go
+++ b/internal/frontend/accept_test.go
@@ -10,32 +10,32 @@
 	"fawnplank/internal/testutil"
 )
 
-// failingListener fails to accept while failing is set, as in an outage of descriptors.
+// failingListener fails to accept while failing is set, as when the system has no free descriptors.
 type failingListener struct {
 	*net.TCPListener
 	failing atomic.Bool
 }
 
 func (l *failingListener) Accept() (net.Conn, error) {
-	if l.failing.Load() { // the connection stays with the kernel
+	if l.failing.Load() { // the connection remains in the backlog
 		return nil, &net.OpError{Op: "accept", Err: syscall.ENFILE}
 	}
 	return l.TCPListener.Accept()
 }
 
-// TestServer_AcceptLastOutlastsAnOutage: a connection that the kernel has accepted is served, though accepts
-// fail while accepting ends.
-func TestServer_AcceptLastOutlastsAnOutage(t *testing.T) {
+// A connection in the listener's backlog is served even if accepts fail for a while during AcceptBacklog. Closing the
+// listener earlier would reset the connection.
+func TestServer_AcceptBacklogRetriesFailedAccepts(t *testing.T) {
 	h := newHarness(t, harnessOptions{})
 	listener := &failingListener{TCPListener: testutil.Listen(t).(*net.TCPListener)}
 	listener.failing.Store(true)
-	h.until("the harness serves", h.server.serving.Load)
+	h.waitUntil("the server of the harness serves", h.server.serving.Load)
 	served := make(chan error, 1)
 	go func() { served <- h.server.Serve(listener) }()
-	h.until("accept fails", h.server.acceptFailing)
+	h.waitUntil("an accept fails", h.server.acceptFailing)
 	h.listener = listener
 	client := h.dial()
-	client.send(query("1", lookupFields))
+	client.send(queryCommand("1", lookupFields))
 	time.AfterFunc(80*time.Millisecond, func() { listener.failing.Store(false) })
 	h.server.AcceptBacklog(listener)
 	if err := listener.Close(); err != nil {
@@ -45,7 +45,7 @@
 		t.Errorf("Serve: %v", err)
 	}
 	h.server.beginShutdown()
-	h.nextAttempt().respond(okReply)
-	client.expect(okResponse)
-	client.expectEnd("behind the response")
+	h.nextAttempt().respond(okBackendResponse)
+	client.expect(okClientResponse)
+	client.expectClosed("after the response")
 }
--- a/internal/frontend/benchmark_test.go
+++ b/internal/frontend/benchmark_test.go
@@ -13,20 +13,20 @@
 	"fawnplank/policy"
 )
 
-// BenchmarkFrontend_Request measures one request from a client's connection through the decisions to a backend
-// on loopback in the same process, and its response back. The allocations are those of the process; the
-// backend makes none.
+// BenchmarkFrontend_Request measures one request from a client's connection through the dispatcher to a backend on
+// loopback in the same process, and its response back to the client. The allocations are those of the whole process, to
+// which the backend adds none.
 func BenchmarkFrontend_Request(b *testing.B) {
 	client := newBenchmarkClient(b, startBenchmarkServer(b))
 	b.ReportAllocs()
-	rejected := 0
+	rejectedCount := 0
 	for b.Loop() {
 		for client.send() {
-			rejected++
+			rejectedCount++
 		}
 		client.expectOK()
 	}
-	b.ReportMetric(float64(rejected), "rejected")
+	b.ReportMetric(float64(rejectedCount), "rejected")
 }
 
 // startBenchmarkServer starts a server with one backend, and returns its address.
@@ -41,16 +41,16 @@
 	})
 	listener := testutil.Listen(b)
 	go func() {
-		_ = server.Serve(listener) // it returns nil, once the listener is closed
+		_ = server.Serve(listener) // returns nil once the listener is closed
 	}()
 	pool.SetAddress(1, startBenchmarkBackend(b))
-	ready := policy.Endpoint{Backend: 1, State: policy.EndpointReady}
-	dispatcher.UpdateEndpoints(policy.FullSnapshot, []policy.Endpoint{ready})
+	readyEndpoint := policy.Endpoint{Backend: 1, State: policy.EndpointReady}
+	dispatcher.UpdateEndpoints(policy.FullSnapshot, []policy.Endpoint{readyEndpoint})
 	return listener.Addr().String()
 }
 
-// startBenchmarkBackend returns the address of a backend that answers each read: the one client has one
-// request open, so that each read gets one complete command.
+// startBenchmarkBackend returns the address of a backend that responds to each read. Since the only client has one open
+// request at a time, each read returns one complete command.
 func startBenchmarkBackend(b *testing.B) string {
 	b.Helper()
 	return testutil.ServeConnections(b, func(conn net.Conn) { go answerReads(conn) })
@@ -60,18 +60,18 @@
 	defer func() {
 		_ = conn.Close() // the gateway may have closed it
 	}()
-	buffer, reply := make([]byte, 4096), []byte(okReply)
+	buffer, response := make([]byte, 4096), []byte(okBackendResponse)
 	for {
 		if _, err := conn.Read(buffer); err != nil {
 			return
 		}
-		if _, err := conn.Write(reply); err != nil {
+		if _, err := conn.Write(response); err != nil {
 			return
 		}
 	}
 }
 
-// benchmarkClient sends requests that were written before, an id not twice in a row.
+// benchmarkClient sends requests that were encoded in advance. Consecutive requests have different ids.
 type benchmarkClient struct {
 	b        *testing.B
 	conn     net.Conn
@@ -92,16 +92,16 @@
 		_ = conn.Close() // the server may have closed it
 	})
 	client := &benchmarkClient{
-		b: b, conn: conn, reader: bufio.NewReader(conn), response: make([]byte, len(okResponse)),
+		b: b, conn: conn, reader: bufio.NewReader(conn), response: make([]byte, len(okClientResponse)),
 	}
 	for n := range client.requests {
-		client.requests[n] = []byte(query(strconv.Itoa(n), lookupFields))
+		client.requests[n] = []byte(queryCommand(strconv.Itoa(n), lookupFields))
 	}
 	return client
 }
 
-// send sends a request and reports whether it was rejected: a busy machine looks like an overload. The wait
-// after it is not timed.
+// send sends a request and reports whether it was rejected, which happens on a busy machine because it looks like an
+// overload. The wait until Retry-After has passed is not timed.
 func (c *benchmarkClient) send() (rejected bool) {
 	if _, err := c.conn.Write(c.requests[c.sent%len(c.requests)]); err != nil {
 		c.b.Fatal(err)
@@ -113,7 +113,7 @@
 	}
 	c.b.StopTimer()
 	defer c.b.StartTimer()
-	line, _ := c.reader.ReadString('\n') // an incomplete line is no number
+	line, _ := c.reader.ReadString('\n') // an incomplete line fails to parse below
 	retryAfter, err := strconv.Atoi(strings.TrimSpace(strings.TrimPrefix(line, "-BUSY")))
 	if err != nil {
 		c.b.Fatalf("%q", line)
@@ -123,7 +123,7 @@
 }
 
 func (c *benchmarkClient) expectOK() {
-	if _, err := io.ReadFull(c.reader, c.response); err != nil || string(c.response) != okResponse {
-		c.b.Fatalf("%q, %v", c.response, err)
+	if _, err := io.ReadFull(c.reader, c.response); err != nil || string(c.response) != okClientResponse {
+		c.b.Fatalf("unexpected response %q, %v", c.response, err)
 	}
 }
