--- a/cmd/fawnplank/management.go
+++ b/cmd/fawnplank/management.go
@@ -16,9 +16,9 @@
 		return nil
 	}
 	server, err := admin.New(ctx, admin.Options{
-		Address:  g.configuration.ManagementAddress,
-		Gateway:  managedGateway{g},
-		MaxCalls: g.resources.managementCalls(),
+		Address:        g.configuration.ManagementAddress,
+		Gateway:        managedGateway{g},
+		MaxConnections: g.resources.managementCalls(),
 	})
 	if err != nil {
 		return fmt.Errorf("configuration: mgmt: %w", err)
--- a/cmd/fawnplank/metrics.go
+++ b/cmd/fawnplank/metrics.go
@@ -74,13 +74,13 @@
 }
 
 // limitCertificateGauges are the metrics of the certificate of the limits address.
-var limitCertificateGauges = []metrics.Gauge[*tlsconfig.Source]{
+var limitCertificateGauges = []metrics.Gauge[*tlsconfig.CertificateSource]{
 	{Name: "limits_certificate_seconds", Help: "seconds until the certificate of the limits address expires",
 		Value: secondsUntilExpiry},
 }
 
 // replicaCertificateGauges are the metrics of the certificate of the replica.
-var replicaCertificateGauges = []metrics.Gauge[*tlsconfig.Source]{
+var replicaCertificateGauges = []metrics.Gauge[*tlsconfig.CertificateSource]{
 	{Name: "store_certificate_seconds", Help: "seconds until the certificate of the replica expires",
 		Value: secondsUntilExpiry},
 }
@@ -119,7 +119,7 @@
 		Value: func(s *dnsserver.Server) float64 { return float64(s.Serial()) }},
 }
 
-func secondsUntilExpiry(certificate *tlsconfig.Source) float64 {
+func secondsUntilExpiry(certificate *tlsconfig.CertificateSource) float64 {
 	return certificate.ExpiresIn().Seconds()
 }
 
--- a/cmd/fawnplank/replica.go
+++ b/cmd/fawnplank/replica.go
@@ -22,7 +22,7 @@
 // called.
 type replica struct {
 	*store.Store
-	tls *tlsconfig.Source // nil if TLS is not used
+	tls *tlsconfig.CertificateSource // nil if TLS is not used
 	// edits receives a value when a plan or a class has changed in the store. One value stands for any number of
 	// edits.
 	edits chan struct{}
--- a/cmd/fawnplank/replica_flags.go
+++ b/cmd/fawnplank/replica_flags.go
@@ -60,7 +60,7 @@
 }
 
 // replicaTLS returns the source of a replica's certificate, or nil if TLS is not used.
-func replicaTLS(files tlsconfig.Files) (*tlsconfig.Source, error) {
+func replicaTLS(files tlsconfig.Files) (*tlsconfig.CertificateSource, error) {
 	if !files.Enabled() {
 		return nil, nil
 	}
--- a/cmd/fawnplank/resources.go
+++ b/cmd/fawnplank/resources.go
@@ -61,7 +61,7 @@
 	if !r.management {
 		return 0
 	}
-	return admin.CallLimit(r.maxSockets)
+	return admin.ConnectionLimit(r.maxSockets)
 }
 
 // connectionsPerSide returns how many connections there may be to clients, and to backends again.
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -51,15 +51,15 @@
 	maxHeaderBytes = 8 << 10
 )
 
-// CallLimit returns how many calls may be open at once if the process may open maxSockets descriptors.
+// ConnectionLimit returns how many connections may be open at once if the process may open maxSockets descriptors.
 // The owner of the descriptors reserves this number.
-func CallLimit(maxSockets int) int { return min(maxCalls, maxSockets/descriptorsPerCall) }
+func ConnectionLimit(maxSockets int) int { return min(maxCalls, maxSockets/descriptorsPerCall) }
 
 // Options configures a Server. All exported fields are required.
 type Options struct {
-	Address  string // host and port to listen on
-	Gateway  Gateway
-	MaxCalls int // open at once; see CallLimit
+	Address        string // host and port to listen on
+	Gateway        Gateway
+	MaxConnections int // open at once; see ConnectionLimit
 
 	wrapListener func(net.Listener) net.Listener // by tests; nil wraps nothing
 }
@@ -93,7 +93,7 @@
 		listener = o.wrapListener(listener)
 	}
 	retrying := retryaccept.New(listener, "admin") // without it, a failed accept ends the server or delays calls
-	return &Server{server: server, listener: netutil.LimitListener(retrying, o.MaxCalls)}, nil
+	return &Server{server: server, listener: netutil.LimitListener(retrying, o.MaxConnections)}, nil
 }
 
 func newHandler(gateway Gateway) http.Handler {
--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -26,7 +26,7 @@
 // listener.
 func serve(t *testing.T, wrap ...func(net.Listener) net.Listener) *Server {
 	t.Helper()
-	options := Options{Address: "127.0.0.1:0", Gateway: &fakeGateway{}, MaxCalls: maxCalls}
+	options := Options{Address: "127.0.0.1:0", Gateway: &fakeGateway{}, MaxConnections: maxCalls}
 	for _, w := range wrap {
 		options.wrapListener = w
 	}
@@ -160,7 +160,7 @@
 // TestServer_CloseBeforeServeClosesTheListener guards against an address that stays taken: a server that was closed
 // before it served kept its listener.
 func TestServer_CloseBeforeServeClosesTheListener(t *testing.T) {
-	s, err := New(t.Context(), Options{Address: "127.0.0.1:0", Gateway: &fakeGateway{}, MaxCalls: maxCalls})
+	s, err := New(t.Context(), Options{Address: "127.0.0.1:0", Gateway: &fakeGateway{}, MaxConnections: maxCalls})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/authz/authz.go
+++ b/internal/authz/authz.go
@@ -13,8 +13,8 @@
 	Change                    // PLAN commands
 )
 
-// Names maps the words in the operator file to rights. It must not be modified.
-var Names = map[string]Right{
+// RightsByName maps the words in the operator file to rights. It must not be modified.
+var RightsByName = map[string]Right{
 	"check":   Check,
 	"read":    Read,
 	"reserve": Reserve,
--- a/internal/backend/pool.go
+++ b/internal/backend/pool.go
@@ -131,6 +131,6 @@
 // recoverPanic logs a panic. Every goroutine of the package defers it, so that a panic does not end the process.
 func recoverPanic() {
 	if cause := recover(); cause != nil {
-		logging.Panicked(logComponent, cause, debug.Stack())
+		logging.LogPanic(logComponent, cause, debug.Stack())
 	}
 }
--- a/internal/backend/response_buffer.go
+++ b/internal/backend/response_buffer.go
@@ -34,7 +34,7 @@
 func grownSize(buffer []byte) int {
 	// Both lengths are valid: parseResponse rejects an invalid length before the buffer is full.
 	count, _ := resp.ParseLength(buffer, '*', maxParts)
-	value, _ := resp.ParseLength(buffer[count.Size:], '$', resp.MaxValue)
+	value, _ := resp.ParseLength(buffer[count.Size:], '$', resp.MaxValueBytes)
 	expectedBytes := count.Size + value.Size + value.Value + maxLineBytes
 	return min(max(2*len(buffer), expectedBytes), maxResponseBytes)
 }
--- a/internal/backend/response_parser.go
+++ b/internal/backend/response_parser.go
@@ -16,7 +16,7 @@
 	// maxParts bounds the number of parts of a response: value, usage, load report, and room for further parts.
 	maxParts = 8
 	// maxResponseBytes bounds a response: a value of the maximum size, with its usage and load report.
-	maxResponseBytes = resp.MaxValue + 4<<10
+	maxResponseBytes = resp.MaxValueBytes + 4<<10
 	// maxUnits is the exclusive upper bound on the units of a usage report; larger numbers are ignored as invalid.
 	maxUnits = 1e9
 	// float64Bits is the bitSize of strconv.ParseFloat for a float64.
--- a/internal/backend/response_parser_test.go
+++ b/internal/backend/response_parser_test.go
@@ -14,7 +14,7 @@
 )
 
 func TestParseResponse_CompleteAndTruncated(t *testing.T) {
-	largest := "$" + strconv.Itoa(resp.MaxValue) + "\r\n" + strings.Repeat("v", resp.MaxValue) + "\r\n"
+	largest := "$" + strconv.Itoa(resp.MaxValueBytes) + "\r\n" + strings.Repeat("v", resp.MaxValueBytes) + "\r\n"
 	for text, want := range map[string]struct {
 		value string
 		units float64
@@ -50,7 +50,7 @@
 func TestParseResponse_MalformedIsDetectedImmediately(t *testing.T) {
 	for _, text := range []string{"*3\r\n$-1\r\n", "*0\r\n", "*-1\r\n", "*-7\r\n", "*3\r\n$-5\r\n",
 		"*9999999999999999999\r\n", "*1000000\r\n", "*3\r\n$3221225472\r\nxxxx",
-		"*3\r\n$" + strconv.Itoa(resp.MaxValue+1) + "\r\n",
+		"*3\r\n$" + strconv.Itoa(resp.MaxValueBytes+1) + "\r\n",
 		"*3\r\n$two\r\n", "*3\r\n$+2\r\n", "*3\n", "*\r\n", "*3\r\n:5\r\n", "*3\r\n$2\r\nokay\r\n",
 		"*3\r\n$4\r\nok\r\n$-1",
 		"*3\r\n$2\r\nok\r\n$x\r\n", "*3\r\n$2\r\nok\r\nnoise\r\n", "*" + strings.Repeat("3", 50),
--- a/internal/config/limits.go
+++ b/internal/config/limits.go
@@ -123,7 +123,7 @@
 		return errors.New("is missing")
 	}
 	for _, name := range k.Rights {
-		right := authz.Names[name]
+		right := authz.RightsByName[name]
 		if right == 0 {
 			return fmt.Errorf("has %q, not check, read, reserve or change", name)
 		}
--- a/internal/counter/connection.go
+++ b/internal/counter/connection.go
@@ -87,7 +87,7 @@
 func (conn *connection) run() {
 	defer func() {
 		if cause := recover(); cause != nil {
-			logging.Panicked(logComponent, cause, debug.Stack())
+			logging.LogPanic(logComponent, cause, debug.Stack())
 			conn.close(errPanic)
 		}
 	}()
--- a/internal/counter/results.go
+++ b/internal/counter/results.go
@@ -57,7 +57,7 @@
 func (c *Client) callHandler(ended *call) {
 	defer func() {
 		if cause := recover(); cause != nil {
-			logging.Panicked(logComponent, cause, debug.Stack())
+			logging.LogPanic(logComponent, cause, debug.Stack())
 		}
 	}()
 	c.handler.HandleCounterResult(ended.key, ended.total, ended.err)
--- a/internal/dispatch/timers.go
+++ b/internal/dispatch/timers.go
@@ -89,7 +89,7 @@
 func (d *Dispatcher) handleDueTimers() {
 	defer func() {
 		if cause := recover(); cause != nil {
-			logging.Panicked(logComponent, cause, debug.Stack())
+			logging.LogPanic(logComponent, cause, debug.Stack())
 		}
 	}()
 	d.callEngine(func(now policy.Instant) {
--- a/internal/dnsserver/handler.go
+++ b/internal/dnsserver/handler.go
@@ -34,7 +34,7 @@
 func (s *Server) ServeDNS(writer dns.ResponseWriter, request *dns.Msg) {
 	defer func() {
 		if reason := recover(); reason != nil {
-			logging.Panicked(component, reason, debug.Stack())
+			logging.LogPanic(component, reason, debug.Stack())
 		}
 	}()
 	select {
--- a/internal/frontend/race_conditions_test.go
+++ b/internal/frontend/race_conditions_test.go
@@ -54,7 +54,7 @@
 		t.Error("the idle connection was not closed")
 	}
 	raw := []byte(queryCommand("1", lookupFields))
-	_, args, err := resp.Command(raw, nil)
+	_, args, err := resp.ParseCommand(raw, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/frontend/reader.go
+++ b/internal/frontend/reader.go
@@ -27,7 +27,7 @@
 	defer c.cleanUp()
 	defer func() {
 		if cause := recover(); cause != nil {
-			logging.Panicked(logComponent, cause, debug.Stack())
+			logging.LogPanic(logComponent, cause, debug.Stack())
 		}
 	}()
 	r := &c.reader
@@ -76,7 +76,7 @@
 	defer c.activity.enter(readerHandles)()
 	r := &c.reader
 	for rest = input; len(rest) > 0; {
-		size, args, err := resp.Command(rest, r.args)
+		size, args, err := resp.ParseCommand(rest, r.args)
 		r.args = args
 		if err != nil {
 			c.closeWithError(protocolErrorText(err))
--- a/internal/frontend/reader_buffer.go
+++ b/internal/frontend/reader_buffer.go
@@ -9,7 +9,7 @@
 
 const (
 	// maxCommandBytes is the size of the largest command: the largest value, and 64 KiB for the head.
-	maxCommandBytes = resp.MaxValue + 64<<10
+	maxCommandBytes = resp.MaxValueBytes + 64<<10
 	// minBufferBytes is the size of a reader's buffer unless a command needs more. It is larger than the head of any
 	// request.
 	minBufferBytes = 4096
--- a/internal/frontend/request.go
+++ b/internal/frontend/request.go
@@ -109,7 +109,7 @@
 	if cause == nil {
 		return
 	}
-	logging.Panicked(logComponent, fmt.Sprintf("request %s: %v", p.id, cause), debug.Stack())
+	logging.LogPanic(logComponent, fmt.Sprintf("request %s: %v", p.id, cause), debug.Stack())
 	p.request.HandleClientGone()
 	p.connection.server.metrics.RequestAnswered(p.class, metrics.RequestAborted)
 	p.connection.complete(p, []byte("-ERR internal fault\r\n"))
--- a/internal/lab/billingbench/client.go
+++ b/internal/lab/billingbench/client.go
@@ -28,7 +28,7 @@
 type clientOptions struct {
 	index            int // each client has its own tenants
 	address          string
-	certificates     *tlsconfig.Source // nil: without TLS
+	certificates     *tlsconfig.CertificateSource // nil: without TLS
 	electionDeadline time.Time
 	duration         time.Duration
 }
@@ -42,7 +42,7 @@
 	reader *bufio.Reader
 }
 
-func dial(ctx context.Context, address string, certificates *tlsconfig.Source) (*client, error) {
+func dial(ctx context.Context, address string, certificates *tlsconfig.CertificateSource) (*client, error) {
 	var dialer net.Dialer
 	conn, err := dialer.DialContext(ctx, "tcp", address)
 	if err != nil {
--- a/internal/lab/billingbench/cluster.go
+++ b/internal/lab/billingbench/cluster.go
@@ -47,7 +47,7 @@
 // first.
 type cluster struct {
 	folder       string
-	certificates *tlsconfig.Source // nil: without TLS
+	certificates *tlsconfig.CertificateSource // nil: without TLS
 	replicas     []*store.Store
 	services     []*billingservice.Service
 	listener     net.Listener
@@ -78,7 +78,7 @@
 }
 
 // newCertificates makes an authority and a certificate that clients and replicas share.
-func newCertificates(folder string) (*tlsconfig.Source, error) {
+func newCertificates(folder string) (*tlsconfig.CertificateSource, error) {
 	authority, err := testca.New("laboratory")
 	if err != nil {
 		return nil, err
--- a/internal/lab/billingbench/measure.go
+++ b/internal/lab/billingbench/measure.go
@@ -91,7 +91,7 @@
 
 // measureCommands makes clients reserve and commit, each for its own tenants.
 func (c *Cost) measureCommands(
-	ctx context.Context, duration time.Duration, address string, certificates *tlsconfig.Source,
+	ctx context.Context, duration time.Duration, address string, certificates *tlsconfig.CertificateSource,
 ) error {
 	var mu sync.Mutex
 	var latencies []time.Duration
--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -107,7 +107,7 @@
 // For returns the log of a component.
 func For(component string) *logrus.Entry { return logrus.WithField(Component, component) }
 
-// Panicked logs a recovered panic with the stack of its goroutine.
-func Panicked(component string, reason any, stack []byte) {
+// LogPanic logs a recovered panic with the stack of its goroutine.
+func LogPanic(component string, reason any, stack []byte) {
 	For(component).WithFields(logrus.Fields{Error: fmt.Sprint(reason), Stack: string(stack)}).Error("panic")
 }
--- a/internal/logging/logging_test.go
+++ b/internal/logging/logging_test.go
@@ -37,7 +37,7 @@
 	out := setUpForTest(t, Options{Level: "info", Format: "json", Instance: "n3"})
 	For("counter").Debug("unseen")
 	For("counter").WithError(errors.New("line 1\nline 2")).WithField(Backend, "s-1").Warn("silent")
-	Panicked("frontend", "index out of range", []byte("goroutine 1\n"))
+	LogPanic("frontend", "index out of range", []byte("goroutine 1\n"))
 
 	lines := strings.Split(strings.TrimSpace(out.String()), "\n")
 	if len(lines) != 2 {
--- a/internal/resp/resp.go
+++ b/internal/resp/resp.go
@@ -11,9 +11,9 @@
 )
 
 const (
-	// MaxValue is the size of the largest value: the protocol says 64 KiB, but the operators' page says that
+	// MaxValueBytes is the size of the largest value: the protocol says 64 KiB, but the operators' page says that
 	// values of up to 4 MiB occur.
-	MaxValue = 4 << 20 // bytes
+	MaxValueBytes = 4 << 20 // bytes
 	// maxWords is how many words a command may have; the longest has five.
 	maxWords = 16
 	// maxLengthLine is the maximum size in bytes of a line that holds a length: it allows more digits than any
@@ -85,10 +85,10 @@
 	return Length{Value: value, Size: line.Size}, err == nil && inRange && line.Text[0] != '+'
 }
 
-// Command returns the words of the command at the beginning of input, and the command's size, which is 0
+// ParseCommand returns the words of the command at the beginning of input, and the command's size, which is 0
 // while the command is incomplete. The words are slices of input, and the returned slice reuses the memory of
 // words. Any error is a *ProtocolError.
-func Command(input []byte, words [][]byte) (size int, _ [][]byte, err error) {
+func ParseCommand(input []byte, words [][]byte) (size int, _ [][]byte, err error) {
 	count, ok := ParseLength(input, '*', maxWords)
 	if !ok || count.IsComplete() && count.Value < 1 {
 		return 0, nil, errArrayExpected
@@ -127,13 +127,13 @@
 // IsNull reports whether a complete bulk string is null, which is not the same as empty.
 func (b BulkString) IsNull() bool { return b.Payload == nil }
 
-// ParseBulkString returns the bulk string at the beginning of input, whose payload may have up to MaxValue bytes.
+// ParseBulkString returns the bulk string at the beginning of input. Its payload may have up to MaxValueBytes bytes.
 // Any error is a *ProtocolError and means that input can never begin with a bulk string.
 func ParseBulkString(input []byte) (BulkString, error) {
 	if len(input) == 0 {
 		return BulkString{}, nil
 	}
-	length, ok := ParseLength(input, '$', MaxValue)
+	length, ok := ParseLength(input, '$', MaxValueBytes)
 	if !ok {
 		return BulkString{}, errWordLength
 	}
--- a/internal/resp/resp_test.go
+++ b/internal/resp/resp_test.go
@@ -20,10 +20,10 @@
 		for _, word := range words {
 			text = redcon.AppendBulk(text, word)
 		}
-		size, got, err := Command(append(text, "*1"...), nil)
+		size, got, err := ParseCommand(append(text, "*1"...), nil)
 		_, want, _, _, _ := redcon.ReadNextCommand(text, nil)
 		for n := 1; n < len(text); n++ {
-			if size, _, err := Command(text[:n], nil); size != 0 || err != nil {
+			if size, _, err := ParseCommand(text[:n], nil); size != 0 || err != nil {
 				return false
 			}
 		}
@@ -39,13 +39,13 @@
 // Failure: a value of 60 MB was waited for up to the size of the largest command, an endless line likewise.
 func TestCommand_JudgesLengthsBeforeWhatTheyCount(t *testing.T) {
 	for _, text := range []string{
-		"*1\r\n$60000000\r\n", fmt.Sprintf("*1\r\n$%d\r\n", MaxValue+1), "*1\r\n$-1\r\n", "*1\r\n$-5\r\n",
+		"*1\r\n$60000000\r\n", fmt.Sprintf("*1\r\n$%d\r\n", MaxValueBytes+1), "*1\r\n$-1\r\n", "*1\r\n$-5\r\n",
 		"*0\r\n", "*-1\r\n", "*17\r\n", "*9223372036854775807\r\n", "*x\r\n", "*\r\n", "*1\n",
 		"*1\r\n$\r\n", "*1\r\n:4\r\n", "*1\r\n$9223372036854775807\r\nx", "*1\r\n$2\r\nabc\r\n",
 		"*" + strings.Repeat("1", 20), "PING\r\n", "\x00", "\r\n", "*1\r\n$+4\r\nPING\r\n",
 		"*1\r\n$" + strings.Repeat("0", 20), "$5 hello\r\n",
 	} {
-		size, _, err := Command([]byte(text), nil)
+		size, _, err := ParseCommand([]byte(text), nil)
 		if size != 0 || err == nil {
 			t.Errorf("%.30q: %d, %v", text, size, err)
 		}
@@ -57,8 +57,8 @@
 }
 
 func TestCommand_ReadsLargestValue(t *testing.T) {
-	largest := fmt.Appendf(nil, "*1\r\n$%d\r\n%s\r\n", MaxValue, make([]byte, MaxValue))
-	if size, _, err := Command(largest, nil); size == 0 {
+	largest := fmt.Appendf(nil, "*1\r\n$%d\r\n%s\r\n", MaxValueBytes, make([]byte, MaxValueBytes))
+	if size, _, err := ParseCommand(largest, nil); size == 0 {
 		t.Errorf("the largest value: %v", err)
 	}
 }
@@ -66,7 +66,7 @@
 // No bytes make it panic.
 func TestCommand_AnyBytes(t *testing.T) {
 	safe := func(b []byte) bool {
-		_, _, err := Command(append([]byte("*2\r\n$"), b...), nil)
+		_, _, err := ParseCommand(append([]byte("*2\r\n$"), b...), nil)
 		return err == nil || err != nil
 	}
 	config := &quick.Config{MaxCount: 5000, Rand: rand.New(rand.NewSource(3))}
@@ -81,7 +81,7 @@
 	words := make([][]byte, 0, maxWords)
 	b.ReportAllocs()
 	for b.Loop() {
-		if size, _, err := Command(command, words); size != len(command) || err != nil {
+		if size, _, err := ParseCommand(command, words); size != len(command) || err != nil {
 			b.Fatal(size, err)
 		}
 	}
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -49,7 +49,7 @@
 	OnChange func(keys []string)
 	// TLS, if set, protects both addresses and the connections to other replicas. Each side presents a
 	// certificate of the authority that TLS names.
-	TLS *tlsconfig.Source
+	TLS *tlsconfig.CertificateSource
 	// TimeoutUnit is the unit of Raft's timeouts for the leader's heartbeats, for an election and for the leader's
 	// lease; see raft.go. It is longer than the interval between heartbeats. 0 means 200 ms, many times the delay
 	// of a loopback or a rack.
--- a/internal/store/transport.go
+++ b/internal/store/transport.go
@@ -46,7 +46,7 @@
 type tlsStreamLayer struct {
 	net.Listener
 	advertised net.Addr
-	source     *tlsconfig.Source
+	source     *tlsconfig.CertificateSource
 }
 
 // Addr returns the address at which the others reach this replica.
--- a/internal/tlsconfig/config.go
+++ b/internal/tlsconfig/config.go
@@ -14,13 +14,13 @@
 
 // ServerConfig returns the configuration for listeners. Each handshake uses the certificate that is current
 // at that time.
-func (s *Source) ServerConfig() *tls.Config {
+func (s *CertificateSource) ServerConfig() *tls.Config {
 	return &tls.Config{MinVersion: minVersion, GetConfigForClient: s.configForClient}
 }
 
 // configForClient returns the configuration for one handshake. It requires a client's certificate if an
 // authority is configured.
-func (s *Source) configForClient(*tls.ClientHelloInfo) (*tls.Config, error) {
+func (s *CertificateSource) configForClient(*tls.ClientHelloInfo) (*tls.Config, error) {
 	latest := s.latest()
 	config := &tls.Config{MinVersion: minVersion, Certificates: []tls.Certificate{*latest.certificate}}
 	if latest.authorities != nil {
@@ -33,7 +33,7 @@
 // ClientConfig returns the configuration for connections to a server whose certificate is signed by the
 // authority. The name in the certificate need not match the address: replicas are named by addresses, which
 // certificates seldom contain, and the authority belongs to the installation itself.
-func (s *Source) ClientConfig() *tls.Config {
+func (s *CertificateSource) ClientConfig() *tls.Config {
 	return &tls.Config{
 		MinVersion:           minVersion,
 		InsecureSkipVerify:   true, // verifyServer checks the certificate, except its name
@@ -43,13 +43,13 @@
 }
 
 // clientCertificate returns the certificate that a client presents.
-func (s *Source) clientCertificate(*tls.CertificateRequestInfo) (*tls.Certificate, error) {
+func (s *CertificateSource) clientCertificate(*tls.CertificateRequestInfo) (*tls.Certificate, error) {
 	return s.latest().certificate, nil
 }
 
 // verifyServer checks that the authority has signed the server's certificate, directly or through
 // intermediate certificates that the server presents.
-func (s *Source) verifyServer(state tls.ConnectionState) error {
+func (s *CertificateSource) verifyServer(state tls.ConnectionState) error {
 	authorities := s.latest().authorities
 	if authorities == nil {
 		return errNoAuthority
--- a/internal/tlsconfig/source.go
+++ b/internal/tlsconfig/source.go
@@ -56,8 +56,8 @@
 	modified    modTimes
 }
 
-// Source provides the content that the files had when they were last valid. It is safe for concurrent use.
-type Source struct {
+// CertificateSource provides the content that the files had when they were last valid. It is safe for concurrent use.
+type CertificateSource struct {
 	files Files
 
 	mu        sync.Mutex // guards all fields below; held while the files are read
@@ -67,7 +67,7 @@
 }
 
 // New reads the files and returns a Source for them. An error names the file that is missing or not valid.
-func New(files Files) (*Source, error) {
+func New(files Files) (*CertificateSource, error) {
 	if files.Certificate == "" || files.Key == "" {
 		return nil, errors.New("tls: certificate and key must both be named")
 	}
@@ -76,7 +76,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return &Source{files: files, current: current, checkedAt: checkedAt}, nil
+	return &CertificateSource{files: files, current: current, checkedAt: checkedAt}, nil
 }
 
 // load reads the files. It takes their modification times before reading, so that files that change meanwhile
@@ -146,13 +146,13 @@
 }
 
 // ExpiresIn returns how long the certificate remains valid. A negative value means that it has expired.
-func (s *Source) ExpiresIn() time.Duration {
+func (s *CertificateSource) ExpiresIn() time.Duration {
 	return time.Until(s.latest().certificate.Leaf.NotAfter)
 }
 
 // latest returns the current material. It first checks the files if the last check was at least checkInterval
 // ago.
-func (s *Source) latest() material {
+func (s *CertificateSource) latest() material {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if time.Since(s.checkedAt) < checkInterval {
@@ -167,7 +167,7 @@
 
 // reload replaces the current material if the files are valid. An error is logged once and not at each check.
 // The caller holds the lock.
-func (s *Source) reload() {
+func (s *CertificateSource) reload() {
 	fresh, err := s.files.load()
 	if err == nil {
 		s.current = fresh
--- a/internal/tlsconfig/tlsconfig_test.go
+++ b/internal/tlsconfig/tlsconfig_test.go
@@ -36,7 +36,7 @@
 }
 
 // newSource returns a source of valid files.
-func newSource(t *testing.T, files tlsconfig.Files) *tlsconfig.Source {
+func newSource(t *testing.T, files tlsconfig.Files) *tlsconfig.CertificateSource {
 	t.Helper()
 	source, err := tlsconfig.New(files)
 	if err != nil {
