--- a/internal/limitserver/account_commands.go
+++ b/internal/limitserver/account_commands.go
@@ -9,21 +9,22 @@
 	"fawnplank/internal/billing"
 )
 
-// Accounts changes plans and reserves allowance. It answers these commands:
+// Accounts schedules plan changes and reserves units of tenants' quotas. The server answers these commands with it:
 //
-//	PLAN.CHANGE tenant id plan at         from at on, in ms since 1970, or +ms from now; answers it in ms
-//	PLAN.TAKEBACK tenant id
-//	PLAN.LIST tenant                      arrays of id, plan, ms since 1970
+//	PLAN.CHANGE tenant id plan at         schedules a plan change; at is in milliseconds since 1970, or +milliseconds
+//	                                      from now; the answer is the time in milliseconds since 1970
+//	PLAN.TAKEBACK tenant id               cancels a scheduled plan change
+//	PLAN.LIST tenant                      arrays of id, plan, milliseconds since 1970
 //	RESERVE.NEW tenant id holder plan units lease-ms
 //	RESERVE.COMMIT tenant id epoch units
 //	RESERVE.RENEW tenant id epoch lease-ms
 //	RESERVE.TAKE tenant id holder lease-ms
 //	RESERVE.RELEASE tenant id epoch
-//	RESERVE.LIST tenant                   arrays of id, epoch, units left, end in ms since 1970, holder
+//	RESERVE.LIST tenant                   arrays of id, epoch, units left, expiry in milliseconds since 1970, holder
 //	RESERVE.ROOM tenant plan              units that may still be reserved now
 //
-// NEW, COMMIT, RENEW and TAKE answer with the epoch to name in the next command, the units left, and the time
-// at which the reservation expires.
+// RESERVE.NEW, COMMIT, RENEW and TAKE answer with the epoch that the next command on the reservation must state, the
+// units left, and the time at which the reservation expires, or with OK if nothing is left of the reservation.
 type Accounts interface {
 	SchedulePlanChange(tenant string, change billing.PlanChange) error
 	CancelPlanChange(tenant, id string) error
@@ -35,20 +36,20 @@
 	Account(tenant, plan string) (billing.Account, billing.MicroUnits, error)
 }
 
-// The number of fields in the arrays of the answers.
+// The numbers of fields in the arrays of the answers.
 const (
 	planChangeFields       = 3 // id, plan, time
 	reservationFields      = 5 // id, epoch, units left, expiry, holder
 	reservationStateFields = 3 // epoch, units left, expiry
 )
 
-// accountCommand is a command on accounts.
+// accountCommand describes a command on accounts.
 type accountCommand struct {
-	arguments int // the required number of arguments; the first is the tenant
-	answer    func(accounts Accounts, out []byte, args *arguments) ([]byte, error)
+	arguments int // the required number of arguments, including the tenant, which is the first
+	handler   func(accounts Accounts, out []byte, args *arguments) ([]byte, error)
 }
 
-// accountCommands maps the names of the commands on accounts to the commands. The right that a command requires is
+// accountCommands maps the name of each command on accounts to its description. The right that a command requires is
 // not stated here: requiredRight derives it from the name.
 var accountCommands = map[string]accountCommand{
 	"PLAN.CHANGE":     {4, schedulePlanChange},
@@ -60,20 +61,20 @@
 	"RESERVE.TAKE":    {4, transferReservation},
 	"RESERVE.RELEASE": {3, releaseReservation},
 	"RESERVE.LIST":    {1, listReservations},
-	"RESERVE.ROOM":    {2, unreservedUnits},
+	"RESERVE.ROOM":    {2, reservableUnits},
 }
 
-// run returns out with the command's answer appended.
-func (c accountCommand) run(accounts Accounts, out []byte, words [][]byte) ([]byte, error) {
-	args, err := newArguments(words)
+// run executes the command and returns out with the answer appended.
+func (c accountCommand) run(accounts Accounts, out []byte, rawArgs [][]byte) ([]byte, error) {
+	args, err := newArguments(rawArgs)
 	if err != nil {
 		return nil, err
 	}
-	return c.answer(accounts, out, args)
+	return c.handler(accounts, out, args)
 }
 
 func schedulePlanChange(accounts Accounts, out []byte, args *arguments) ([]byte, error) {
-	change := billing.PlanChange{ID: args.text(), Plan: args.text(), EffectiveNanos: args.momentNanos()}
+	change := billing.PlanChange{ID: args.text(), Plan: args.text(), EffectiveNanos: args.timestampNanos()}
 	if args.err != nil {
 		return nil, args.err
 	}
@@ -101,8 +102,8 @@
 	if args.err != nil {
 		return nil, args.err
 	}
-	r, err := accounts.Reserve(args.tenant, request)
-	return appendReservation(out, r, err)
+	reservation, err := accounts.Reserve(args.tenant, request)
+	return appendReservation(out, reservation, err)
 }
 
 func commitReservation(accounts Accounts, out []byte, args *arguments) ([]byte, error) {
@@ -112,8 +113,8 @@
 	if args.err != nil {
 		return nil, args.err
 	}
-	r, err := accounts.Commit(args.tenant, id, epoch, units)
-	return appendReservation(out, r, err)
+	reservation, err := accounts.Commit(args.tenant, id, epoch, units)
+	return appendReservation(out, reservation, err)
 }
 
 func renewReservation(accounts Accounts, out []byte, args *arguments) ([]byte, error) {
@@ -123,8 +124,8 @@
 	if args.err != nil {
 		return nil, args.err
 	}
-	r, err := accounts.Renew(args.tenant, id, epoch, lease)
-	return appendReservation(out, r, err)
+	reservation, err := accounts.Renew(args.tenant, id, epoch, lease)
+	return appendReservation(out, reservation, err)
 }
 
 func transferReservation(accounts Accounts, out []byte, args *arguments) ([]byte, error) {
@@ -134,8 +135,8 @@
 	if args.err != nil {
 		return nil, args.err
 	}
-	r, err := accounts.TransferReservation(args.tenant, id, holder, lease)
-	return appendReservation(out, r, err)
+	reservation, err := accounts.TransferReservation(args.tenant, id, holder, lease)
+	return appendReservation(out, reservation, err)
 }
 
 func releaseReservation(accounts Accounts, out []byte, args *arguments) ([]byte, error) {
@@ -150,21 +151,22 @@
 	return redcon.AppendOK(out), nil
 }
 
-// appendReservation appends the state of a reservation, or OK if nothing is left of it.
-func appendReservation(out []byte, r billing.Reservation, err error) ([]byte, error) {
+// appendReservation appends the state of a reservation, or OK if reservation is the zero value, which means that
+// nothing is left of it.
+func appendReservation(out []byte, reservation billing.Reservation, err error) ([]byte, error) {
 	if err != nil {
 		return nil, err
 	}
-	if r.ID == "" {
+	if reservation.ID == "" {
 		return redcon.AppendOK(out), nil
 	}
 	out = redcon.AppendArray(out, reservationStateFields)
-	out = redcon.AppendInt(out, int64(r.Epoch))
-	out = redcon.AppendBulkString(out, formatUnits(r.Remaining))
-	return redcon.AppendInt(out, r.ExpiresNanos/nanosPerMilli), nil
+	out = redcon.AppendInt(out, int64(reservation.Epoch))
+	out = redcon.AppendBulkString(out, formatUnits(reservation.Remaining))
+	return redcon.AppendInt(out, reservation.ExpiresNanos/nanosPerMilli), nil
 }
 
-func unreservedUnits(accounts Accounts, out []byte, args *arguments) ([]byte, error) {
+func reservableUnits(accounts Accounts, out []byte, args *arguments) ([]byte, error) {
 	_, units, err := accounts.Account(args.tenant, args.text())
 	if err != nil {
 		return nil, err
@@ -193,16 +195,18 @@
 		return nil, err
 	}
 	out = redcon.AppendArray(out, len(account.Reservations))
-	for _, r := range account.Reservations {
+	for _, reservation := range account.Reservations {
 		out = redcon.AppendArray(out, reservationFields)
-		out = redcon.AppendBulkString(out, r.ID)
-		out = redcon.AppendInt(out, int64(r.Epoch))
-		out = redcon.AppendBulkString(out, formatUnits(r.Remaining))
-		out = redcon.AppendInt(out, r.ExpiresNanos/nanosPerMilli)
-		out = redcon.AppendBulkString(out, r.Holder)
+		out = redcon.AppendBulkString(out, reservation.ID)
+		out = redcon.AppendInt(out, int64(reservation.Epoch))
+		out = redcon.AppendBulkString(out, formatUnits(reservation.Remaining))
+		out = redcon.AppendInt(out, reservation.ExpiresNanos/nanosPerMilli)
+		out = redcon.AppendBulkString(out, reservation.Holder)
 	}
 	return out, nil
 }
 
-// formatUnits formats units as decimal digits, without an exponent.
-func formatUnits(u billing.MicroUnits) string { return strconv.FormatFloat(u.Float(), 'f', -1, 64) }
+// formatUnits formats units as a decimal number without an exponent.
+func formatUnits(units billing.MicroUnits) string {
+	return strconv.FormatFloat(units.Float(), 'f', -1, 64)
+}
--- a/internal/limitserver/account_commands_test.go
+++ b/internal/limitserver/account_commands_test.go
@@ -11,12 +11,12 @@
 	"fawnplank/internal/billing"
 )
 
-// ledger holds one tenant's account, at a fixed moment.
-type ledger struct{ account billing.Account }
+// fakeAccounts holds one account, whatever the tenant, at the fixed time nowNanos.
+type fakeAccounts struct{ account billing.Account }
 
-const now = 6000e9
+const nowNanos = 6000e9
 
-var ledgerSettings = billing.Settings{
+var billingSettings = billing.Settings{
 	WindowNanos:           60e9,
 	PlanChangeNoticeNanos: 5e9,
 	ClockSkewNanos:        1e9,
@@ -25,59 +25,59 @@
 	Plans:                 map[string]billing.Quota{"team": {Rate: 1, Burst: 10}},
 }
 
-// store keeps the account that an operation returned, if it succeeded.
-func (l *ledger) store(account billing.Account, err error) error {
+// update stores the account that an operation returned, unless the operation failed.
+func (l *fakeAccounts) update(account billing.Account, err error) error {
 	if err == nil {
 		l.account = account
 	}
 	return err
 }
 
-// storeReservation is store for an operation on a reservation.
-func (l *ledger) storeReservation(
-	account billing.Account, r billing.Reservation, err error,
+// updateReservation does the same as update for an operation that also returns a reservation.
+func (l *fakeAccounts) updateReservation(
+	account billing.Account, reservation billing.Reservation, err error,
 ) (billing.Reservation, error) {
-	return r, l.store(account, err)
+	return reservation, l.update(account, err)
 }
 
-func (l *ledger) SchedulePlanChange(_ string, change billing.PlanChange) error {
-	return l.store(l.account.SchedulePlanChange(ledgerSettings, now, change))
+func (l *fakeAccounts) SchedulePlanChange(_ string, change billing.PlanChange) error {
+	return l.update(l.account.SchedulePlanChange(billingSettings, nowNanos, change))
 }
 
-func (l *ledger) CancelPlanChange(_, id string) error {
-	return l.store(l.account.CancelPlanChange(ledgerSettings, now, id))
+func (l *fakeAccounts) CancelPlanChange(_, id string) error {
+	return l.update(l.account.CancelPlanChange(billingSettings, nowNanos, id))
 }
 
-func (l *ledger) Release(_, id string, epoch uint64) error {
-	return l.store(l.account.Release(ledgerSettings, now, id, epoch))
+func (l *fakeAccounts) Release(_, id string, epoch uint64) error {
+	return l.update(l.account.Release(billingSettings, nowNanos, id, epoch))
 }
 
-func (l *ledger) Reserve(_ string, request billing.ReservationRequest) (billing.Reservation, error) {
-	return l.storeReservation(l.account.Reserve(ledgerSettings, now, request))
+func (l *fakeAccounts) Reserve(_ string, request billing.ReservationRequest) (billing.Reservation, error) {
+	return l.updateReservation(l.account.Reserve(billingSettings, nowNanos, request))
 }
 
-func (l *ledger) Commit(_, id string, epoch uint64, units billing.MicroUnits) (billing.Reservation, error) {
-	return l.storeReservation(l.account.Commit(ledgerSettings, now, id, epoch, units))
+func (l *fakeAccounts) Commit(_, id string, epoch uint64, units billing.MicroUnits) (billing.Reservation, error) {
+	return l.updateReservation(l.account.Commit(billingSettings, nowNanos, id, epoch, units))
 }
 
-func (l *ledger) Renew(_, id string, epoch uint64, lease time.Duration) (billing.Reservation, error) {
-	return l.storeReservation(l.account.Renew(ledgerSettings, now, id, epoch, int64(lease)))
+func (l *fakeAccounts) Renew(_, id string, epoch uint64, lease time.Duration) (billing.Reservation, error) {
+	return l.updateReservation(l.account.Renew(billingSettings, nowNanos, id, epoch, int64(lease)))
 }
 
-func (l *ledger) TransferReservation(_, id, holder string, lease time.Duration) (billing.Reservation, error) {
-	return l.storeReservation(l.account.TransferReservation(ledgerSettings, now, id, holder, int64(lease)))
+func (l *fakeAccounts) TransferReservation(_, id, holder string, lease time.Duration) (billing.Reservation, error) {
+	return l.updateReservation(l.account.TransferReservation(billingSettings, nowNanos, id, holder, int64(lease)))
 }
 
-func (l *ledger) Account(_, plan string) (billing.Account, billing.MicroUnits, error) {
-	return l.account, l.account.Available(ledgerSettings, now, now, plan), nil
+func (l *fakeAccounts) Account(_, plan string) (billing.Account, billing.MicroUnits, error) {
+	return l.account, l.account.Available(billingSettings, nowNanos, nowNanos, plan), nil
 }
 
-// TestServer_AnswersAccountCommands runs a session with each command on accounts. A valid command is answered
-// in its form, an invalid one by an error that names its fault.
+// TestServer_AnswersAccountCommands checks the answers to valid and invalid forms of each command on accounts, which
+// one connection sends with different rights. The error for an invalid command names its fault.
 func TestServer_AnswersAccountCommands(t *testing.T) {
-	s := New(Options{MaxConnections: 1, Accounts: &ledger{}, Keys: map[string]authz.Key{
-		"ops": {Secret: []byte("open sesame, please"), Rights: authz.Read | authz.Reserve},
-		"all": {Secret: []byte("another secret"), Rights: 255},
+	s := New(Options{MaxConnections: 1, Accounts: &fakeAccounts{}, Keys: map[string]authz.Key{
+		"ops": {Secret: []byte("secret of ops"), Rights: authz.Read | authz.Reserve},
+		"all": {Secret: []byte("secret of all"), Rights: 255},
 	}})
 	var rights authz.Right
 	const account = "0000000000000005 "
@@ -87,7 +87,7 @@
 		{"AUTH ops nonsense", "-ERR key or secret is wrong"},
 		{"AUTH nobody x", "-ERR key or secret is wrong"},
 		{"AUTH ops", "-ERR wrong number of arguments for 'auth'"},
-		{"AUTH ops open_sesame,_please", "+OK"},
+		{"AUTH ops secret_of_ops", "+OK"},
 		{"PLAN.CHANGE " + account + "c team 6010000", "-NOPERM"},
 		{"RESERVE.ROOM " + account + "team", "$2|70"},
 		{"RESERVE.ROOM 5 team", "-ERR gestoria '5'"},
@@ -116,7 +116,7 @@
 		{"RESERVE.RELEASE " + account + "r 3", "+OK"},
 		{"RESERVE.RELEASE " + account + "r 3", "-ERR reservation \"r\" is over"},
 		{"RESERVE.RELEASE " + account + "q 3", "-ERR reservation \"q\" is not known"},
-		{"AUTH all another_secret", "+OK"},
+		{"AUTH all secret_of_all", "+OK"},
 		{"PLAN.CHANGE " + account + "c team 6001000",
 			"-ERR the moment, 1000 ms from now where 5000 are needed, is too soon"},
 		{"PLAN.CHANGE " + account + "c team soon", "-ERR 'soon' is no whole number"},
@@ -125,45 +125,46 @@
 		{"PLAN.TAKEBACK " + account + "d", "-ERR change \"d\" is not known"},
 		{"PLAN.TAKEBACK " + account + "c", "+OK"},
 		{"PLAN.ERASE " + account, "-ERR unknown command"},
-		{"AUTH ops nonsense", "-ERR"}, // a wrong key leaves no rights
+		{"AUTH ops nonsense", "-ERR"}, // a failed AUTH revokes all rights
 		{"PLAN.LIST " + account, "-NOPERM"},
 	} {
-		answers, newRights, _ := s.run([]redcon.Command{parseWords(step.command)}, rights)
+		answers, newRights, _ := s.run([]redcon.Command{parseCommand(step.command)}, rights)
 		rights = newRights
 		if got := strings.ReplaceAll(string(answers), "\r\n", "|"); !strings.HasPrefix(got, step.want) {
-			t.Errorf("%s: %s, not %s", step.command, got, step.want)
+			t.Errorf("%s: answer %s, want prefix %s", step.command, got, step.want)
 		}
 	}
 }
 
-// parseWords makes a command of words. In AUTH, an underscore stands for a space.
-func parseWords(text string) (c redcon.Command) {
+// parseCommand returns a command whose arguments are the words of text. In AUTH, an underscore stands for a space.
+func parseCommand(text string) (command redcon.Command) {
 	for _, word := range strings.Fields(text) {
 		if strings.HasPrefix(text, "AUTH") {
 			word = strings.ReplaceAll(word, "_", " ")
 		}
-		c.Args = append(c.Args, []byte(word))
+		command.Args = append(command.Args, []byte(word))
 	}
-	return c
+	return command
 }
 
-// TestAccountCommands_MomentsAreBounded guards against a change of plan at another moment than the one named: a moment
-// was checked after a conversion that overflows, and one from now was not checked.
-func TestAccountCommands_MomentsAreBounded(t *testing.T) {
+// TestArguments_RejectTimestampOutOfRange guards against a plan change that takes effect at another time than the one
+// in the command: the range of the time was checked only after a conversion that overflows, and not checked at all for
+// a time relative to now.
+func TestArguments_RejectTimestampOutOfRange(t *testing.T) {
 	for _, text := range []string{
 		"8796093022209", "9223372036855", "18446744073709", "9007199254740992",
 		"+8796093022209", "+9223372036855", "+9007199254740992",
 	} {
-		args := &arguments{rest: [][]byte{[]byte(text)}}
-		if nanos := args.momentNanos(); args.err == nil {
-			t.Errorf("%s: taken as %d", text, nanos)
+		args := &arguments{remaining: [][]byte{[]byte(text)}}
+		if nanos := args.timestampNanos(); args.err == nil {
+			t.Errorf("%s: accepted as %d ns", text, nanos)
 		} else if !strings.Contains(args.err.Error(), "out of range") {
 			t.Errorf("%s: %v", text, args.err)
 		}
 	}
 	for _, text := range []string{"8796093022208", "0", "+0", "+60000"} {
-		args := &arguments{rest: [][]byte{[]byte(text)}}
-		if args.momentNanos(); args.err != nil {
+		args := &arguments{remaining: [][]byte{[]byte(text)}}
+		if args.timestampNanos(); args.err != nil {
 			t.Errorf("%s: %v", text, args.err)
 		}
 	}
--- a/internal/limitserver/benchmark_test.go
+++ b/internal/limitserver/benchmark_test.go
@@ -12,8 +12,8 @@
 	"fawnplank/internal/counter"
 )
 
-// BenchmarkCheck measures checks over loopback, one at a time and a hundred in a pipeline, with a counter
-// stand-in that answers in half a millisecond. It reports the latencies of pipelines as p50 and p99.
+// BenchmarkCheck measures checks over loopback, one at a time and in pipelines of a hundred, with an emulated counter
+// that answers in half a millisecond. It reports the latencies of pipelines as p50 and p99.
 func BenchmarkCheck(b *testing.B) {
 	for _, size := range []int{1, 100} {
 		b.Run(fmt.Sprint("pipeline-", size), func(b *testing.B) {
@@ -22,8 +22,8 @@
 			setDeadline(b, c, time.Time{})
 			var pipeline []byte
 			for n := range size {
-				words := []string{"LIMIT.CHECK", fmt.Sprintf("%016x", 1000+n), "despacho", "0.001"}
-				pipeline = append(pipeline, command(words...)...)
+				args := []string{"LIMIT.CHECK", fmt.Sprintf("%016x", 1000+n), "despacho", "0.001"}
+				pipeline = append(pipeline, encodeCommand(args...)...)
 			}
 			var latencies []time.Duration
 			b.ReportAllocs()
@@ -44,11 +44,12 @@
 	}
 }
 
-// BenchmarkPeek measures the protocol and the lock: a peek counts nothing and waits for nobody.
+// BenchmarkPeek measures the cost of the protocol and of the dispatcher's lock. A peek counts nothing and does not wait
+// for the counter.
 func BenchmarkPeek(b *testing.B) {
 	g := startGateway(b, counter.Text)
-	words := [][]byte{[]byte("LIMIT.PEEK"), []byte(tenant), []byte("despacho")}
-	commands := []redcon.Command{{Args: words}}
+	args := [][]byte{[]byte("LIMIT.PEEK"), []byte(tenant), []byte("despacho")}
+	commands := []redcon.Command{{Args: args}}
 	b.ReportAllocs()
 	for b.Loop() {
 		g.server.run(commands, authz.Check)
--- a/internal/limitserver/check.go
+++ b/internal/limitserver/check.go
@@ -9,45 +9,45 @@
 	"fawnplank/policy"
 )
 
-// check is a LIMIT.CHECK or CL.THROTTLE command in progress.
-type check struct {
+// pendingCheck is a LIMIT.CHECK or CL.THROTTLE command that is submitted but not answered yet.
+type pendingCheck struct {
 	request  *dispatch.Request
-	quota    policy.QuotaQuery // the quota that the answer states
+	quota    policy.QuotaQuery // identifies the quota whose status the answer states
 	timeUnit time.Duration     // unit of the times in the answer
 }
 
-// startCheck submits a check to be counted; finishChecks answers it.
+// startCheck submits a check to the dispatcher, which counts its units. finishChecks answers it.
 func (b *batch) startCheck(name string, args [][]byte) {
 	spec, err := b.settings.parseCheck(args)
 	if err != nil {
 		b.finishChecks()
-		b.fail(name, err)
+		b.answerError(name, err)
 		return
 	}
 	timeUnit := time.Millisecond
 	if name == throttleCommand {
 		timeUnit = time.Second
 	}
-	b.checks = append(b.checks, check{
+	b.pendingChecks = append(b.pendingChecks, pendingCheck{
 		request:  b.server.dispatcher.Submit(spec),
 		quota:    policy.QuotaQuery{Tenant: spec.Tenant, Plan: spec.Plan, EntryPoints: spec.EntryPoints},
 		timeUnit: timeUnit,
 	})
 }
 
-// finishChecks answers the checks in progress.
+// finishChecks answers the pending checks in order.
 func (b *batch) finishChecks() {
-	for _, pending := range b.checks {
+	for _, pending := range b.pendingChecks {
 		b.finishCheck(pending)
 	}
-	b.checks = b.checks[:0]
+	b.pendingChecks = b.pendingChecks[:0]
 }
 
-// finishCheck waits for the result of a check and answers it. The wait is bounded by Settings.Timeout, and earlier
-// by the dispatcher's wait for the counter.
-func (b *batch) finishCheck(pending check) {
+// finishCheck waits for the result of a check and answers it. The wait lasts at most Settings.Timeout, and less if the
+// dispatcher stops waiting for the counter earlier.
+func (b *batch) finishCheck(pending pendingCheck) {
 	step := pending.request.NextStep()
-	quota, _ := b.server.dispatcher.QuotaStatus(pending.quota) // without the plan, the answer states no quota
+	quota, _ := b.server.dispatcher.QuotaStatus(pending.quota) // the zero value if the plan is unknown
 	answer := checkAnswer{quota: quota, timeUnit: pending.timeUnit}
 	switch step.Action {
 	case dispatch.Admit:
@@ -56,7 +56,7 @@
 	case dispatch.Reject:
 		b.server.rejected.Add(1)
 		answer.isLimited = true
-		answer.retryAfter = retryAfterOf(step, quota)
+		answer.retryAfter = rejectionRetryAfter(step, quota)
 		b.answers = answer.appendTo(b.answers)
 	default:
 		b.server.failed.Add(1)
@@ -64,23 +64,23 @@
 	}
 }
 
-// retryAfterOf returns the Retry-After of a rejected check. Even if the settings allow none for requests, a
-// client of the limit commands gets the time in which its quota refills.
-func retryAfterOf(rejection dispatch.Step, quota policy.QuotaStatus) time.Duration {
+// rejectionRetryAfter returns the Retry-After of a rejected check. If the settings allow no Retry-After for requests,
+// a client of the limit commands still gets the time until its quota has refilled.
+func rejectionRetryAfter(rejection dispatch.Step, quota policy.QuotaStatus) time.Duration {
 	if rejection.RetryAfter > 0 {
 		return rejection.RetryAfter
 	}
 	return max(quota.RejectionRetryAfter(), 0)
 }
 
-// peek answers with the known quota status, and counts nothing.
-func (b *batch) peek(args [][]byte) {
+// answerPeek answers with the current quota status, without counting any units.
+func (b *batch) answerPeek(args [][]byte) {
 	query, err := b.settings.parsePeek(args)
 	if err != nil {
-		b.fail(peekCommand, err)
+		b.answerError(peekCommand, err)
 		return
 	}
-	quota, _ := b.server.dispatcher.QuotaStatus(query) // without the plan, the answer states no quota
+	quota, _ := b.server.dispatcher.QuotaStatus(query) // the zero value if the plan is unknown
 	answer := checkAnswer{quota: quota, timeUnit: time.Millisecond}
 	answer.retryAfter, answer.isLimited = quota.RetryAfter()
 	b.answers = answer.appendTo(b.answers)
--- a/internal/limitserver/check_arguments.go
+++ b/internal/limitserver/check_arguments.go
@@ -10,18 +10,19 @@
 )
 
 // The arguments of LIMIT.CHECK and CL.THROTTLE are tenant, plan, units, spread and first; those of LIMIT.PEEK
-// are tenant, plan and spread. Each constant is the number of arguments if the named one is the last.
+// are tenant, plan and spread. Each constant is the number of arguments of a command that ends with the named
+// argument.
 const (
-	argumentsToPlan       = 2
-	argumentsToUnits      = 3
-	argumentsToFirst      = 5
-	argumentsToPeekSpread = 3
+	argumentsThroughPlan       = 2
+	argumentsThroughUnits      = 3
+	argumentsThroughFirst      = 5
+	peekArgumentsThroughSpread = 3
 )
 
 // parseCheck parses the arguments of a check.
 func (s *Settings) parseCheck(args [][]byte) (dispatch.RequestSpec, error) {
-	if len(args) != argumentsToPlan && len(args) != argumentsToUnits && len(args) != argumentsToFirst {
-		return dispatch.RequestSpec{}, errArity
+	if len(args) != argumentsThroughPlan && len(args) != argumentsThroughUnits && len(args) != argumentsThroughFirst {
+		return dispatch.RequestSpec{}, errArgumentCount
 	}
 	tenant, plan, err := s.parseTenantPlan(args)
 	if err != nil {
@@ -35,10 +36,10 @@
 		Units:       1,
 		EntryPoints: s.instances(),
 	}
-	if len(args) >= argumentsToUnits {
+	if len(args) >= argumentsThroughUnits {
 		spec.Units, err = s.parseUnits(args[2])
 	}
-	if err == nil && len(args) >= argumentsToFirst {
+	if err == nil && len(args) >= argumentsThroughFirst {
 		spec.EntryPoints, spec.FirstInstance, err = s.parseEntryPoints(args[3], args[4])
 	}
 	if err != nil {
@@ -49,45 +50,44 @@
 
 // parsePeek parses the arguments of a peek.
 func (s *Settings) parsePeek(args [][]byte) (policy.QuotaQuery, error) {
-	if len(args) != argumentsToPlan && len(args) != argumentsToPeekSpread {
-		return policy.QuotaQuery{}, errArity
+	if len(args) != argumentsThroughPlan && len(args) != peekArgumentsThroughSpread {
+		return policy.QuotaQuery{}, errArgumentCount
 	}
 	tenant, plan, err := s.parseTenantPlan(args)
 	if err != nil {
 		return policy.QuotaQuery{}, err
 	}
 	query := policy.QuotaQuery{Tenant: tenant, Plan: plan, EntryPoints: s.instances()}
-	if len(args) == argumentsToPlan {
+	if len(args) == argumentsThroughPlan {
 		return query, nil
 	}
 	query.EntryPoints, err = s.parseSpread(args[2])
 	return query, err
 }
 
-// instances returns the number of instances of the fleet.
+// instances returns the number of instances of the fleet, which is 1 if none is configured.
 func (s *Settings) instances() int { return max(s.Instances, 1) }
 
-// parseEntryPoints parses the number of instances through which a tenant's requests come in, and the first of
-// them.
+// parseEntryPoints parses the number of instances that receive a tenant's requests, and the first of them.
 func (s *Settings) parseEntryPoints(spread, first []byte) (entryPoints, firstInstance int, err error) {
 	entryPoints, err = s.parseSpread(spread)
 	if err != nil {
 		return 0, 0, err
 	}
-	firstInstance, err = integerArgument{name: "first", highest: s.instances() - 1}.parse(first)
+	firstInstance, err = integerArgument{name: "first", maximum: s.instances() - 1}.parse(first)
 	return entryPoints, firstInstance, err
 }
 
-// parseSpread parses the number of instances through which a tenant's requests come in.
+// parseSpread parses the number of instances that receive a tenant's requests.
 func (s *Settings) parseSpread(text []byte) (int, error) {
-	return integerArgument{name: "spread", lowest: 1, highest: s.instances()}.parse(text)
+	return integerArgument{name: "spread", minimum: 1, maximum: s.instances()}.parse(text)
 }
 
-// parseTenantPlan parses the tenant and the plan, which are the first two arguments. The word "customer" in
-// the errors is the wire's term on these commands.
+// parseTenantPlan parses the tenant and the plan, which are the first two arguments. The errors of these commands
+// call the tenant "customer"; clients depend on that text.
 func (s *Settings) parseTenantPlan(args [][]byte) (policy.TenantID, policy.PlanID, error) {
 	id, err := strconv.ParseUint(string(args[0]), 16, 64)
-	if err != nil || len(args[0]) != tenantDigits || id >= tenantLimit {
+	if err != nil || len(args[0]) != tenantIDDigits || id >= tenantIDLimit {
 		return 0, 0, fmt.Errorf("customer '%.20s' is no number of 16 hexadecimal digits below 2^33",
 			printable(string(args[0])))
 	}
@@ -98,8 +98,8 @@
 	return policy.TenantID(id), plan, nil
 }
 
-// parseUnits parses the units of a check. It accepts a decimal number, but none of the other forms that
-// ParseFloat accepts.
+// parseUnits parses the units of a check, a decimal number. It rejects the other forms that strconv.ParseFloat
+// accepts, such as hexadecimal numbers.
 func (s *Settings) parseUnits(text []byte) (float64, error) {
 	units, err := strconv.ParseFloat(string(text), 64)
 	if err != nil || !(units > 0 && units <= s.MaxUnits) || bytes.ContainsAny(text, "xXpP_") {
@@ -109,18 +109,18 @@
 	return units, nil
 }
 
-// integerArgument describes an argument that is an integer from lowest to highest.
+// integerArgument describes an argument that is an integer from minimum to maximum.
 type integerArgument struct {
 	name    string
-	lowest  int
-	highest int
+	minimum int
+	maximum int
 }
 
 func (a integerArgument) parse(text []byte) (int, error) {
-	n, err := strconv.Atoi(string(text))
-	if err != nil || n < a.lowest || n > a.highest {
+	integer, err := strconv.Atoi(string(text))
+	if err != nil || integer < a.minimum || integer > a.maximum {
 		return 0, fmt.Errorf("%s '%.20s' is no whole number from %d to %d",
-			a.name, printable(string(text)), a.lowest, a.highest)
+			a.name, printable(string(text)), a.minimum, a.maximum)
 	}
-	return n, nil
+	return integer, nil
 }
--- a/internal/limitserver/check_test.go
+++ b/internal/limitserver/check_test.go
@@ -8,9 +8,9 @@
 	"fawnplank/internal/counter"
 )
 
-// TestCheck_DrawsFromTheHardQuota holds that a check draws from the tenant's hard quota, as a request that is
-// sent to a backend does (rule 5).
-func TestCheck_DrawsFromTheHardQuota(t *testing.T) {
+// TestCheck_ConsumesHardQuota checks that a check consumes the tenant's hard quota, as a request that is sent to a
+// backend does (rule 5).
+func TestCheck_ConsumesHardQuota(t *testing.T) {
 	g := startGateway(t, counter.Text)
 	c, admitted := g.dial(t), 0
 	for range 200 {
@@ -19,20 +19,21 @@
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
-	if admitted > 2 { // half of one a second: this instance's part, from its start on
-		t.Errorf("%d admitted in a second, of a hard quota of 1 a second over two instances", admitted)
+	if admitted > 2 { // this instance's part of the rate is 0.5 per second, also just after its start
+		t.Errorf("%d checks admitted in a second, with a hard quota of 1 per second for two instances", admitted)
 	}
 }
 
-// TestPeek_SeesTheChecksBeforeIt holds that a peek sees the ten checks before it in its pipeline.
-func TestPeek_SeesTheChecksBeforeIt(t *testing.T) {
+// TestPeek_ReflectsEarlierChecksOfPipeline checks that the answer to a peek includes the units of the ten checks before
+// it in the same pipeline.
+func TestPeek_ReflectsEarlierChecksOfPipeline(t *testing.T) {
 	g := startGateway(t, counter.Text)
 	c := g.dial(t)
 	var pipeline []byte
 	for range 10 {
-		pipeline = append(pipeline, command("LIMIT.CHECK", tenant, "despacho")...)
+		pipeline = append(pipeline, encodeCommand("LIMIT.CHECK", tenant, "despacho")...)
 	}
-	c.send(t, append(pipeline, command("LIMIT.PEEK", tenant, "despacho")...))
+	c.send(t, append(pipeline, encodeCommand("LIMIT.PEEK", tenant, "despacho")...))
 	last := ""
 	for range 11 {
 		last = c.receive(t)
@@ -42,8 +43,8 @@
 	}
 }
 
-// TestCheck_UsesLocalShareWithoutCounter holds that a check without a counter is answered in time, by the
-// instance's local share.
+// TestCheck_UsesLocalShareWithoutCounter checks that, while the counter is unavailable, a check is answered in time and
+// is admitted or rejected by the instance's local share of the quota.
 func TestCheck_UsesLocalShareWithoutCounter(t *testing.T) {
 	g := startGateway(t, counter.RESP)
 	c := g.dial(t)
@@ -61,7 +62,7 @@
 			t.Errorf("check %d took %v", n, took)
 		}
 	}
-	if admitted < 20 || admitted > 30 { // half of 50, and a little that refills
-		t.Errorf("%d admitted of a share of 25", admitted)
+	if admitted < 20 || admitted > 30 { // half of 50, and the units that refill meanwhile
+		t.Errorf("%d checks of 1 unit admitted, with a local share of 25 units", admitted)
 	}
 }
--- a/internal/limitserver/close_test.go
+++ b/internal/limitserver/close_test.go
@@ -8,12 +8,12 @@
 	"fawnplank/internal/testutil"
 )
 
-// closeDeadline is how long a closed server may take to end.
+// closeDeadline bounds the time that Serve may take to return after Close.
 const closeDeadline = 5 * time.Second
 
-// TestServer_CloseBeforeServeEndsIt guards against a server that never ends: where Close came before Serve had begun,
-// Serve accepted connections for good, and whoever waited for it hung.
-func TestServer_CloseBeforeServeEndsIt(t *testing.T) {
+// TestServer_CloseBeforeServeStopsServer guards against a server that never stops: if Close was called before Serve had
+// begun, Serve accepted connections forever, and callers that waited for it hung.
+func TestServer_CloseBeforeServeStopsServer(t *testing.T) {
 	server := New(Options{MaxConnections: 1})
 	if err := server.Close(); err != nil {
 		t.Errorf("closing: %v", err)
@@ -22,18 +22,18 @@
 	checkServeEnds(t, server, listener)
 	if conn, err := new(net.Dialer).DialContext(t.Context(), "tcp", listener.Addr().String()); err == nil {
 		_ = conn.Close()
-		t.Error("the listener of a closed server accepts")
+		t.Error("the listener of a closed server accepts connections")
 	}
 }
 
-// TestServer_CloseWhileServeBeginsEndsIt closes servers at the moment in which they begin.
-func TestServer_CloseWhileServeBeginsEndsIt(t *testing.T) {
+// TestServer_CloseDuringServeStartStopsServer calls Close concurrently with the start of Serve.
+func TestServer_CloseDuringServeStartStopsServer(t *testing.T) {
 	for range 200 {
 		server, listener := New(Options{MaxConnections: 1}), testutil.Listen(t)
 		closing := make(chan struct{})
 		go func() {
 			defer close(closing)
-			_ = server.Close() // its error is looked at in the test above
+			_ = server.Close() // TestServer_CloseBeforeServeStopsServer checks the error
 		}()
 		checkServeEnds(t, server, listener)
 		<-closing
@@ -50,6 +50,6 @@
 			t.Errorf("serving: %v", err)
 		}
 	case <-time.After(closeDeadline):
-		t.Fatal("Serve did not end")
+		t.Fatal("Serve did not return after Close")
 	}
 }
--- a/internal/limitserver/equivalence_test.go
+++ b/internal/limitserver/equivalence_test.go
@@ -17,18 +17,18 @@
 	"fawnplank/policy"
 )
 
-// bubbledGateway is a gateway in a synctest bubble whose counter client and stand-in stay outside. A
-// goroutine that waits for the network never counts as durably blocked, so with them inside the bubble's
-// clock would not advance at all. This way it stands only while a call's answer is awaited: to the decisions,
-// each call is answered at the moment it was made, however busy the machine is.
-type bubbledGateway struct {
+// synctestGateway is a gateway in a synctest bubble whose counter client and emulated counter run outside the bubble.
+// A goroutine that waits for the network is never durably blocked, so if they ran inside, the bubble's clock would not
+// advance at all. Outside, they stop the clock only while the result of a counter call is pending. On the clock that
+// the dispatcher uses, each call therefore has its result at the time of the call, however loaded the machine is.
+type synctestGateway struct {
 	gateway
-	settings policy.Settings
-	outgoing chan counterCall
-	incoming chan counterResult
-	delivery sync.Mutex      // results are delivered in their order
-	calls    []counterCall   // the dispatcher's lock guards it
-	results  []counterResult // delivery guards it
+	settings        policy.Settings
+	outgoingCalls   chan counterCall
+	incomingResults chan counterResult
+	deliveryMu      sync.Mutex      // held while a result is delivered, to keep the results in order
+	calls           []counterCall   // guarded by the dispatcher's lock
+	results         []counterResult // guarded by deliveryMu
 }
 
 type counterCall struct {
@@ -43,10 +43,10 @@
 	err   error
 }
 
-// newBubbledGateway starts the parts that stay outside the bubble.
-func newBubbledGateway(t *testing.T, format counter.Format) *bubbledGateway {
+// newSynctestGateway starts the counter client and the emulated counter, outside the bubble.
+func newSynctestGateway(t *testing.T, format counter.Format) *synctestGateway {
 	t.Helper()
-	g := &bubbledGateway{outgoing: make(chan counterCall, 100), incoming: make(chan counterResult, 100)}
+	g := &synctestGateway{outgoingCalls: make(chan counterCall, 100), incomingResults: make(chan counterResult, 100)}
 	g.settings = g.startEmulator(t)
 	g.counter = counter.New(counter.Options{
 		Address:        g.emulator.CounterAddress(0),
@@ -54,39 +54,40 @@
 		Format:         format,
 	}, g)
 	go func() {
-		for call := range g.outgoing {
+		for call := range g.outgoingCalls {
 			g.counter.Add(call.key, call.units, call.lifetime)
 			g.counter.Flush()
 		}
 	}()
-	t.Cleanup(func() { close(g.outgoing) })
+	t.Cleanup(func() { close(g.outgoingCalls) })
 	return g
 }
 
-// HandleCounterResult receives the counter client's results, outside the bubble.
-func (g *bubbledGateway) HandleCounterResult(key policy.CounterKey, total float64, err error) {
-	g.incoming <- counterResult{key, total, err}
+// HandleCounterResult passes a result of the counter client into the bubble. It is called outside the bubble.
+func (g *synctestGateway) HandleCounterResult(key policy.CounterKey, total float64, err error) {
+	g.incomingResults <- counterResult{key, total, err}
 }
 
-// Add is a call of the dispatcher to its counter, in the bubble.
-func (g *bubbledGateway) Add(key policy.CounterKey, units float64, lifetime time.Duration) {
+// Add passes a counter call of the dispatcher out of the bubble, and starts a goroutine in the bubble that delivers the
+// result.
+func (g *synctestGateway) Add(key policy.CounterKey, units float64, lifetime time.Duration) {
 	call := counterCall{key, units, lifetime}
 	g.calls = append(g.calls, call)
-	g.outgoing <- call
+	g.outgoingCalls <- call
 	go func() {
-		g.delivery.Lock()
-		defer g.delivery.Unlock()
-		r := <-g.incoming
+		g.deliveryMu.Lock()
+		defer g.deliveryMu.Unlock()
+		r := <-g.incomingResults
 		g.results = append(g.results, r)
 		g.dispatcher.HandleCounterResult(r.key, r.total, r.err)
 	}()
 }
 
-// Flush does nothing, because Add does not hold calls back.
-func (g *bubbledGateway) Flush() {}
+// Flush does nothing, because Add does not buffer calls.
+func (g *synctestGateway) Flush() {}
 
-// enter starts the other parts in a bubble, and returns a connection to the limit commands.
-func (g *bubbledGateway) enter(t *testing.T) *client {
+// startInBubble starts the dispatcher and the server in the bubble, and returns a connection to the server.
+func (g *synctestGateway) startInBubble(t *testing.T) *client {
 	t.Helper()
 	g.dispatcher = dispatch.New()
 	listener := testutil.NewPipeListener()
@@ -96,16 +97,16 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() {
-		_ = conn.Close() // the end of the test; nobody writes any more
+		_ = conn.Close() // the test has ended, and no more commands are sent
 	})
 	return &client{conn, bufio.NewReader(conn)}
 }
 
-// TestCheck_CountsAsRequestsDo sends a thousand requests through one gateway and checks them at another. Both
-// make the same calls to their counters and get the same results. They get each request at the same moment of
-// one clock: on the machine's clock they got it a little apart, and what was refilled in between made some
-// results differ.
-func TestCheck_CountsAsRequestsDo(t *testing.T) {
+// TestCheck_CountsLikeForwardedRequest submits a thousand requests to one gateway and sends the equivalent checks to
+// another. Both gateways must make the same calls to their counters and get the same results. Both receive each request
+// at the same time of a synctest clock. On the machine's clock the times differed slightly, and the units refilled in
+// between changed some results.
+func TestCheck_CountsLikeForwardedRequest(t *testing.T) {
 	for _, test := range []struct {
 		format   counter.Format
 		tenants  int
@@ -113,14 +114,14 @@
 	}{
 		{counter.Text, 17, 2 * time.Millisecond},
 		{counter.RESP, 17, 2 * time.Millisecond},
-		{counter.Text, 5, 20 * time.Millisecond}, // through two windows, as the next one
+		{counter.Text, 5, 20 * time.Millisecond}, // this case and the next extend over two windows
 		{counter.RESP, 5, 20 * time.Millisecond},
 	} {
 		t.Run(fmt.Sprintf("format %d, %d tenants", test.format, test.tenants), func(t *testing.T) {
-			forwarding, checking := newBubbledGateway(t, test.format), newBubbledGateway(t, test.format)
+			forwarding, checking := newSynctestGateway(t, test.format), newSynctestGateway(t, test.format)
 			synctest.Test(t, func(t *testing.T) {
-				forwarding.enter(t)
-				c := checking.enter(t)
+				forwarding.startInBubble(t)
+				c := checking.startInBubble(t)
 				admitted := 0
 				for n := range 1000 {
 					if forwardAndCheck(t, forwarding, c, n, test.tenants) {
@@ -128,7 +129,7 @@
 					}
 					time.Sleep(test.interval)
 				}
-				time.Sleep(100 * time.Millisecond) // what was counted and rejected is reconciled
+				time.Sleep(100 * time.Millisecond) // the units that were counted for rejected requests are reconciled
 				synctest.Wait()
 				compareCounters(t, forwarding, checking, admitted)
 			})
@@ -136,9 +137,9 @@
 	}
 }
 
-// forwardAndCheck lets one gateway send request n to a backend and the other check it, and returns whether it
-// was admitted.
-func forwardAndCheck(t *testing.T, forwarding *bubbledGateway, checking *client, n, tenants int) bool {
+// forwardAndCheck submits request n to one gateway, which sends it to a backend if it is admitted, and the equivalent
+// check to the other gateway. It returns whether the request was admitted.
+func forwardAndCheck(t *testing.T, forwarding *synctestGateway, checking *client, n, tenants int) bool {
 	t.Helper()
 	id, units := n%tenants, 1+n%3
 	request := forwarding.dispatcher.Submit(dispatch.RequestSpec{
@@ -151,7 +152,7 @@
 	step := request.NextStep()
 	isSent, isAdmitted := step.Action == dispatch.Send, strings.HasPrefix(answer, "0")
 	if isSent != isAdmitted {
-		t.Errorf("request %d: sent on: %t, admitted: %t (%s)", n, isSent, isAdmitted, answer)
+		t.Errorf("request %d: sent to a backend: %t; check admitted: %t (%s)", n, isSent, isAdmitted, answer)
 	}
 	if !isSent {
 		return false
@@ -160,29 +161,29 @@
 	time.Sleep(2 * time.Millisecond)
 	step.Attempt.Report([]byte("ok"), 0, nil)
 	if last := request.NextStep(); last.Action != dispatch.Respond {
-		t.Errorf("request %d ended as %+v", n, last)
+		t.Errorf("request %d: last step %+v, want a response", n, last)
 	}
 	return true
 }
 
-// compareCounters compares the two gateways' calls to their counters.
-func compareCounters(t *testing.T, forwarding, checking *bubbledGateway, admitted int) {
+// compareCounters checks that both gateways made the same calls to their counters, with the same results.
+func compareCounters(t *testing.T, forwarding, checking *synctestGateway, admitted int) {
 	t.Helper()
 	sameCalls := slices.Equal(forwarding.calls, checking.calls)
 	if !sameCalls || !slices.Equal(forwarding.results, checking.results) {
-		t.Errorf("the counter was called otherwise: %d calls for requests, %d for checks",
+		t.Errorf("the counter calls or their results differ: %d calls for requests, %d for checks",
 			len(forwarding.calls), len(checking.calls))
 	}
-	for _, g := range []*bubbledGateway{forwarding, checking} {
+	for _, g := range []*synctestGateway{forwarding, checking} {
 		if stats := g.counter.Stats(); stats.Failed > 0 || int(stats.Answered) != len(g.calls) {
-			t.Errorf("of %d calls the counter answered %d and failed %d",
+			t.Errorf("%d counter calls: %d answered, %d failed",
 				len(g.calls), stats.Answered, stats.Failed)
 		}
 	}
-	// The tolerance allows for sums of floats in another order.
+	// The tolerance allows for floating-point sums in another order.
 	sums := [2]float64{forwarding.emulator.CounterTotal(), checking.emulator.CounterTotal()}
 	if admitted < 300 || admitted > 700 || math.Abs(sums[0]-sums[1]) > 1e-6 {
-		t.Errorf("%d admitted; counted %v", admitted, sums)
+		t.Errorf("%d requests admitted; counter totals %v", admitted, sums)
 	}
-	t.Logf("%d admitted, %d calls, %.1f counted", admitted, len(forwarding.calls), sums[0])
+	t.Logf("%d requests admitted, %d counter calls, counter total %.1f", admitted, len(forwarding.calls), sums[0])
 }
--- a/internal/limitserver/server.go
+++ b/internal/limitserver/server.go
@@ -15,45 +15,47 @@
 	"fawnplank/policy"
 )
 
-// idleTimeout is the time after which a silent connection is closed. It is much longer than the pauses of
-// tools that keep their connections open.
+// idleTimeout is the time after which an idle connection is closed. It is much longer than the pauses between
+// commands of tools that keep their connections open.
 const idleTimeout = 5 * time.Minute
 
-// Dispatcher decides checks.
+// Dispatcher admits or rejects checks, and provides the status of quotas.
 type Dispatcher interface {
 	Submit(spec dispatch.RequestSpec) *dispatch.Request
 	QuotaStatus(query policy.QuotaQuery) (status policy.QuotaStatus, ok bool)
 }
 
-// Settings holds what commands may name. A reload replaces them.
+// Settings holds the plans and bounds against which commands are parsed, and the class and timeout of checks. A reload
+// of the configuration replaces them.
 type Settings struct {
-	Class     policy.ClassID           // the class that only counts
-	Timeout   time.Duration            // of a check
+	Class     policy.ClassID           // the class of checks, whose requests are counted but not sent to a backend
+	Timeout   time.Duration            // bounds a check
 	Plans     map[string]policy.PlanID // by name
-	Instances int                      // of the fleet; 0 means one
-	MaxUnits  float64                  // of a check
+	Instances int                      // the number of instances of the fleet; 0 means 1
+	MaxUnits  float64                  // the maximum units of a check
 }
 
-// Stats are counts since the start.
+// Stats holds counts since the start.
 type Stats struct {
-	Admitted uint64 // checks that found quota
-	Rejected uint64 // checks that found none
-	// Failed is the number of commands answered with an error, whatever its kind: a client's mistake, a missing
-	// right, or a check that could not be decided.
+	Admitted uint64 // checks that were admitted
+	Rejected uint64 // checks that were rejected because there was no quota
+	// Failed is the number of commands that were answered with an error of any kind: an invalid command, a missing
+	// right, or a check that was neither admitted nor rejected.
 	Failed uint64
 }
 
 // Options configures a Server.
 type Options struct {
-	// Dispatcher decides the checks. It may be nil only if no client sends one.
+	// Dispatcher admits or rejects checks. It may be nil only if no client sends LIMIT.CHECK, LIMIT.PEEK or
+	// CL.THROTTLE.
 	Dispatcher Dispatcher
-	// Settings holds what commands may name. UpdateSettings replaces them.
+	// Settings holds the initial settings. UpdateSettings replaces them.
 	Settings Settings
 	// MaxConnections bounds the number of client connections. If it is 0, every connection is refused.
 	MaxConnections int
-	// Accounts answers the commands on accounts. If nil, there are no such commands.
+	// Accounts executes the commands on accounts. If it is nil, these commands are unknown.
 	Accounts Accounts
-	// Keys maps names to the keys for AUTH. Without keys, every client may run checks but nothing else.
+	// Keys maps names to the keys for AUTH. Without keys, every client has the right authz.Check and no other.
 	Keys map[string]authz.Key
 }
 
@@ -70,7 +72,7 @@
 	rejected    atomic.Uint64
 	failed      atomic.Uint64
 
-	server *redcon.Server
+	redconServer *redcon.Server
 
 	mu       sync.Mutex // guards what follows
 	listener net.Listener
@@ -87,29 +89,29 @@
 	}
 	s.settings.Store(&options.Settings)
 	closed := func(redcon.Conn, error) { s.connections.Add(-1) }
-	s.server = redcon.NewServer("", s.handle, s.accept, closed)
-	s.server.SetIdleClose(idleTimeout)
+	s.redconServer = redcon.NewServer("", s.handle, s.accept, closed)
+	s.redconServer.SetIdleClose(idleTimeout)
 	return s
 }
 
-// UpdateSettings replaces the settings. Each connection uses them from its next batch of commands on.
+// UpdateSettings replaces the settings. Each connection uses the new settings from its next batch of commands on.
 func (s *Server) UpdateSettings(settings Settings) { s.settings.Store(&settings) }
 
-// Serve accepts connections until Close is called, then closes the listener. After Close it does so at once. It is
-// called once.
+// Serve accepts connections until Close is called, and then closes the listener. If Close was called before, Serve
+// closes the listener and returns at once. Serve must be called only once.
 func (s *Server) Serve(l net.Listener) error {
-	if !s.own(l) {
+	if !s.registerListener(l) {
 		return l.Close()
 	}
-	err := s.server.Serve(&boundingListener{retryaccept.New(l, "limits")})
+	err := s.redconServer.Serve(&boundingListener{retryaccept.New(l, "limits")})
 	if errors.Is(err, net.ErrClosed) {
 		err = nil
 	}
 	return err
 }
 
-// own records the listener, so that Close closes it. It reports false if the server is closed.
-func (s *Server) own(l net.Listener) bool {
+// registerListener stores the listener, so that Close can close it. It returns false if the server is already closed.
+func (s *Server) registerListener(l net.Listener) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.closed {
@@ -119,10 +121,10 @@
 	return true
 }
 
-// Close closes the listener, whereupon Serve closes all connections and returns. It may come before Serve. Only the
+// Close closes the listener; Serve then closes all connections and returns. Close may be called before Serve. Only the
 // first call has an effect.
 //
-// It does not use the Close of redcon's server, which does nothing until that has begun to serve.
+// Close does not call redcon.Server.Close, which has no effect before the redcon server has begun to serve.
 func (s *Server) Close() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -141,31 +143,31 @@
 	return Stats{Admitted: s.admitted.Load(), Rejected: s.rejected.Load(), Failed: s.failed.Load()}
 }
 
-// accept refuses connections beyond the maximum. It sends an error first, since a close without one looks
-// like a crash.
-func (s *Server) accept(c redcon.Conn) bool {
+// accept refuses connections beyond the maximum. It sends an error first, because a client cannot distinguish a close
+// without an error from a crash of the server.
+func (s *Server) accept(conn redcon.Conn) bool {
 	if s.connections.Add(1) <= int64(s.maxConnections) {
 		return true
 	}
 	s.connections.Add(-1)
-	writeLastError(c.NetConn(), "too many connections")
+	writeErrorBeforeClose(conn.NetConn(), "too many connections")
 	return false
 }
 
-// handle answers a command and all commands that arrived with it, in order.
-func (s *Server) handle(c redcon.Conn, first redcon.Command) {
-	if b, ok := c.NetConn().(*boundedConn); ok {
-		b.pendingBytes = 0
+// handle answers a command and all commands that arrived with it in a pipeline, in order.
+func (s *Server) handle(conn redcon.Conn, first redcon.Command) {
+	if bounded, ok := conn.NetConn().(*boundedConn); ok {
+		bounded.pendingBytes = 0
 	}
-	commands := append([]redcon.Command{first}, c.ReadPipeline()...)
-	rights, known := c.Context().(authz.Right)
-	if !known && len(s.keys) == 0 {
+	commands := append([]redcon.Command{first}, conn.ReadPipeline()...)
+	rights, isSet := conn.Context().(authz.Right)
+	if !isSet && len(s.keys) == 0 {
 		rights = authz.Check
 	}
 	answers, newRights, quit := s.run(commands, rights)
-	c.SetContext(newRights)
-	c.WriteRaw(answers)
+	conn.SetContext(newRights)
+	conn.WriteRaw(answers)
 	if quit {
-		_ = c.Close() // redcon does not report the error of the write either
+		_ = conn.Close() // redcon does not report the error of writing the answers either
 	}
 }
--- a/internal/limitserver/server_test.go
+++ b/internal/limitserver/server_test.go
@@ -22,8 +22,8 @@
 	"fawnplank/policy"
 )
 
-// scene is the scenario of the tests: a fleet of two instances, and the plans that commands name.
-const scene = `name = "limits"
+// scenarioTOML is the scenario of the tests: a fleet of two instances, and the plans that commands name.
+const scenarioTOML = `name = "limits"
 [backends]
 count = 1
 [gateways]
@@ -45,13 +45,13 @@
 hard_quota_burst = 10
 `
 
-// checkClass is the class that only counts. It follows the class of the scene.
+// checkClass is the class of checks. Its ID is that after the class of scenarioTOML.
 const checkClass policy.ClassID = 1
 
-// tenant is the tenant that most tests check.
+// tenant is the tenant in the commands of most tests.
 const tenant = "0000000000000005"
 
-// gateway is a server of limit commands with its dispatcher, and a stand-in for the counter.
+// gateway is a Server with its dispatcher and an emulated counter.
 type gateway struct {
 	emulator   *emulator.Emulator
 	dispatcher *dispatch.Dispatcher
@@ -60,7 +60,7 @@
 	address    string
 }
 
-// startGateway starts a gateway whose counter speaks a format.
+// startGateway starts a gateway whose counter uses the given format.
 func startGateway(tb testing.TB, format counter.Format) *gateway {
 	tb.Helper()
 	g := &gateway{dispatcher: dispatch.New()}
@@ -76,10 +76,10 @@
 	return g
 }
 
-// startEmulator starts the counter's stand-in, and returns the dispatcher's settings.
+// startEmulator starts the emulated counter, and returns the dispatcher's settings.
 func (g *gateway) startEmulator(tb testing.TB) policy.Settings {
 	tb.Helper()
-	parsed, err := scenario.Parse("scene", []byte(scene))
+	parsed, err := scenario.Parse("scene", []byte(scenarioTOML))
 	if err != nil {
 		tb.Fatal(err)
 	}
@@ -98,7 +98,7 @@
 	return settings
 }
 
-// serve starts the dispatcher and the server of limit commands.
+// serve starts the dispatcher and the Server, which accepts connections from l.
 func (g *gateway) serve(tb testing.TB, settings policy.Settings, c dispatch.Counter, l net.Listener) {
 	tb.Helper()
 	g.dispatcher.Start(dispatch.Config{Seed: 7, Settings: settings, Counter: c})
@@ -126,13 +126,13 @@
 	})
 }
 
-// client is a connection to the limit commands.
+// client is a client's connection to a Server.
 type client struct {
 	net.Conn
 	reader *bufio.Reader
 }
 
-// dial opens a connection, on which a test may spend 20 seconds.
+// dial opens a connection with a deadline of 20 seconds for the whole test.
 func (g *gateway) dial(tb testing.TB) *client {
 	tb.Helper()
 	var dialer net.Dialer
@@ -154,16 +154,16 @@
 	}
 }
 
-// command encodes a command.
-func command(words ...string) []byte {
-	b := redcon.AppendArray(nil, len(words))
-	for _, w := range words {
-		b = redcon.AppendBulkString(b, w)
+// encodeCommand encodes a command, whose name is the first word, in RESP.
+func encodeCommand(args ...string) []byte {
+	b := redcon.AppendArray(nil, len(args))
+	for _, arg := range args {
+		b = redcon.AppendBulkString(b, arg)
 	}
 	return b
 }
 
-// send writes commands.
+// send writes encoded commands.
 func (c *client) send(tb testing.TB, commands []byte) {
 	tb.Helper()
 	if _, err := c.Write(commands); err != nil {
@@ -171,7 +171,8 @@
 	}
 }
 
-// receive reads one answer: an error or status line, or the five integers of an array, as text.
+// receive reads an answer and returns it as text: the line of an error or a status, or the five integers of an array
+// separated by spaces.
 func (c *client) receive(tb testing.TB) string {
 	tb.Helper()
 	line := c.readLine(tb)
@@ -195,9 +196,9 @@
 }
 
 // call sends a command and reads its answer.
-func (c *client) call(tb testing.TB, words ...string) string {
+func (c *client) call(tb testing.TB, args ...string) string {
 	tb.Helper()
-	c.send(tb, command(words...))
+	c.send(tb, encodeCommand(args...))
 	return c.receive(tb)
 }
 
@@ -239,16 +240,16 @@
 		}
 	}
 	if _, err := c.reader.ReadByte(); !errors.Is(err, io.EOF) {
-		t.Errorf("after QUIT: %v", err)
+		t.Errorf("read after QUIT: error %v, want EOF", err)
 	}
 	if g.dispatcher.RequestsInFlight() != 0 {
-		t.Errorf("%d checks are still open", g.dispatcher.RequestsInFlight())
+		t.Errorf("%d checks are still in flight", g.dispatcher.RequestsInFlight())
 	}
 }
 
-// TestServer_PipelineKeepsItsOrder mixes checks, which wait for the counter, with commands that do not. The
-// answers come in the order of the commands.
-func TestServer_PipelineKeepsItsOrder(t *testing.T) {
+// TestServer_AnswersPipelineInOrder mixes checks, which wait for the counter, with commands that do not wait. The
+// answers must arrive in the order of the commands.
+func TestServer_AnswersPipelineInOrder(t *testing.T) {
 	g := startGateway(t, counter.Text)
 	c := g.dial(t)
 	var pipeline []byte
@@ -256,20 +257,20 @@
 	for n := range 300 {
 		switch n % 4 {
 		case 0, 1:
-			pipeline = append(pipeline, command("LIMIT.CHECK", fmt.Sprintf("%016x", 100+n%7), "despacho")...)
+			pipeline = append(pipeline, encodeCommand("LIMIT.CHECK", fmt.Sprintf("%016x", 100+n%7), "despacho")...)
 			answers = append(answers, "")
 		case 2:
-			pipeline = append(pipeline, command("LIMIT.CHECK", tenant, fmt.Sprintf("none%d", n))...)
+			pipeline = append(pipeline, encodeCommand("LIMIT.CHECK", tenant, fmt.Sprintf("none%d", n))...)
 			answers = append(answers, fmt.Sprintf("-ERR no plan 'none%d'", n))
 		default:
-			pipeline = append(pipeline, command("PING")...)
+			pipeline = append(pipeline, encodeCommand("PING")...)
 			answers = append(answers, "+PONG")
 		}
 	}
-	go func() { // in pieces that end in the middle of commands
+	go func() { // writes the pipeline in pieces that end in the middle of commands
 		for len(pipeline) > 0 {
 			n := min(len(pipeline), 777)
-			_, _ = c.Write(pipeline[:n]) // if it fails, answers are missing below
+			_, _ = c.Write(pipeline[:n]) // a failed write leads to a missing answer below
 			pipeline = pipeline[n:]
 		}
 	}()
@@ -281,7 +282,7 @@
 	}
 }
 
-func TestServer_BadClientsGetAnErrorBeforeTheClose(t *testing.T) {
+func TestServer_SendsErrorBeforeClosingConnection(t *testing.T) {
 	g := startGateway(t, counter.Text)
 	for _, text := range []string{"*1\r\n$x\r\n", "*-5\r\n$1\r\n", "*2000000000\r\n", "*1\r\n:5\r\n"} {
 		c := g.dial(t)
@@ -296,10 +297,10 @@
 	time.Sleep(50 * time.Millisecond)
 	huge := g.dial(t)
 	go func() {
-		_, _ = huge.Write(bytes.Repeat([]byte("x"), 4<<20)) // it fails once the server closes
+		_, _ = huge.Write(bytes.Repeat([]byte("x"), 4<<20)) // fails when the server closes the connection
 	}()
 	if got, err := huge.reader.ReadString('\n'); got != "-ERR command too large\r\n" {
-		t.Errorf("%q, %v", got, err)
+		t.Errorf("answer to a command that is too large: %q, error %v", got, err)
 	}
 	_ = huge.Close()
 	time.Sleep(50 * time.Millisecond)
@@ -307,6 +308,6 @@
 		g.dial(t).call(t, "PING")
 	}
 	if got := g.dial(t).receive(t); got != "-ERR too many connections" {
-		t.Errorf("the fifth of four: %q", got)
+		t.Errorf("fifth connection, with a maximum of four: %q", got)
 	}
 }
