--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -1,8 +1,8 @@
-// Package admin serves the management address: HTTP/1.1, one call per connection, each answered well within a
-// second. It owns the listener, and the timeouts that prevent slow callers from holding anything. The Gateway
-// defines what a call does. The package decides nothing about requests.
+// Package admin serves the management address over HTTP/1.1. Each connection carries one HTTP request, which is
+// answered well within a second. The package owns the listener, and the timeouts that prevent slow clients from
+// occupying connections. The Gateway defines the effect of each HTTP request.
 //
-// The Gateway is called from many goroutines at once. The methods of Server are safe for concurrent use.
+// The methods of Gateway are called concurrently. The methods of Server are safe for concurrent use.
 package admin
 
 import (
@@ -21,64 +21,67 @@
 	"fawnplank/internal/retryaccept"
 )
 
-// Gateway is the object on which the calls act.
+// Gateway is the gateway that the management address controls. Its methods must be safe for concurrent use.
 type Gateway interface {
-	// Ready reports whether the gateway serves clients; false while it drains or shuts down.
+	// Ready reports whether the gateway serves clients. It returns false while the gateway drains or shuts down.
 	Ready() bool
-	// Drain starts draining. A further call does nothing.
+	// Drain starts draining. It does nothing if the gateway is draining already.
 	Drain()
-	// Resume ends draining. Without a Drain it does nothing.
+	// Resume ends draining. It does nothing if the gateway is not draining.
 	Resume()
-	// WriteMetrics writes the metrics in Prometheus' text form.
+	// WriteMetrics writes the metrics in Prometheus' text format.
 	WriteMetrics(w io.Writer)
 }
 
 const (
-	// readHeaderTimeout bounds how long a caller may take to send its head, and readTimeout bounds its whole
-	// call. The answer is due within 1 s, and callers that send nothing or half a call are cut off long before
-	// they accumulate.
+	// readHeaderTimeout bounds how long a client may take to send the request header, and readTimeout bounds the whole
+	// HTTP request. The response is due within 1 s. Clients that send nothing or an incomplete request are disconnected
+	// long before their connections accumulate.
 	readHeaderTimeout = 300 * time.Millisecond
 	readTimeout       = 500 * time.Millisecond
-	// writeTimeout bounds writing an answer. It is what remains of the second.
+	// writeTimeout bounds writing a response. It is what remains of the second after readTimeout, less a margin.
 	writeTimeout = 400 * time.Millisecond
-	// maxCalls is how many calls may be open at once. A further call waits for a place, which a slow caller holds
-	// for up to readTimeout and writeTimeout together. Operators have fewer callers than this.
-	maxCalls = 32
-	// descriptorsPerCall is how many descriptors of the process there must be for each call that may be open, so that
-	// calls take at most an eighth of them.
-	descriptorsPerCall = 8
-	// maxHeaderBytes bounds the heads of calls, of which nothing but the first line is read.
+	// maxConnections is how many connections may be open at once. A further connection waits until another is closed,
+	// which takes up to readTimeout and writeTimeout together if the other client is slow. Operators' tools open fewer
+	// connections than this.
+	maxConnections = 32
+	// descriptorsPerConnection is how many file descriptors of the process there must be for each connection that may
+	// be open, so that connections take at most an eighth of them.
+	descriptorsPerConnection = 8
+	// maxHeaderBytes bounds the request header, of which only the request line is used.
 	maxHeaderBytes = 8 << 10
 )
 
-// ConnectionLimit returns how many connections may be open at once if the process may open maxSockets descriptors.
-// The owner of the descriptors reserves this number.
-func ConnectionLimit(maxSockets int) int { return min(maxCalls, maxSockets/descriptorsPerCall) }
+// ConnectionLimit returns how many connections may be open at once if the process may open maxDescriptors file
+// descriptors. The caller reserves this number of descriptors for them.
+func ConnectionLimit(maxDescriptors int) int {
+	return min(maxConnections, maxDescriptors/descriptorsPerConnection)
+}
 
 // Options configures a Server. All exported fields are required.
 type Options struct {
 	Address        string // host and port to listen on
 	Gateway        Gateway
-	MaxConnections int // open at once; see ConnectionLimit
+	MaxConnections int // that may be open at once; see ConnectionLimit
 
-	wrapListener func(net.Listener) net.Listener // by tests; nil wraps nothing
+	wrapListener func(net.Listener) net.Listener // used by tests; may be nil
 }
 
 // Server serves the management address.
 type Server struct {
-	server   *http.Server
-	listener net.Listener
+	httpServer *http.Server
+	listener   net.Listener
 }
 
-// New listens on the address; Serve answers the calls. The context bounds only the start. The error is that of
-// listening.
+// New listens on the address. Serve then answers HTTP requests. The context applies only to listening, and the error is
+// that of listening.
 func New(ctx context.Context, o Options) (*Server, error) {
 	var config net.ListenConfig
 	listener, err := config.Listen(ctx, "tcp4", o.Address)
 	if err != nil {
 		return nil, err
 	}
-	server := &http.Server{
+	httpServer := &http.Server{
 		Handler:           newHandler(o.Gateway),
 		ReadHeaderTimeout: readHeaderTimeout,
 		ReadTimeout:       readTimeout,
@@ -87,13 +90,13 @@
 		MaxHeaderBytes:    maxHeaderBytes,
 		ErrorLog:          log.New(logging.For("admin").WriterLevel(logrus.DebugLevel), "", 0),
 	}
-	server.SetKeepAlivesEnabled(false)
-	// The wrapped connections hide net.TCPConn's ReadFrom, so that every byte is written by Write.
+	httpServer.SetKeepAlivesEnabled(false)
+	// The wrapped connections hide the method ReadFrom of net.TCPConn, so that all bytes are written by Write.
 	if o.wrapListener != nil {
 		listener = o.wrapListener(listener)
 	}
-	retrying := retryaccept.New(listener, "admin") // without it, a failed accept ends the server or delays calls
-	return &Server{server: server, listener: netutil.LimitListener(retrying, o.MaxConnections)}, nil
+	retryingListener := retryaccept.New(listener, "admin") // otherwise a failed accept would stop or delay http.Server
+	return &Server{httpServer: httpServer, listener: netutil.LimitListener(retryingListener, o.MaxConnections)}, nil
 }
 
 func newHandler(gateway Gateway) http.Handler {
@@ -121,24 +124,24 @@
 }
 
 func writeOK(w io.Writer) {
-	_, _ = io.WriteString(w, "ok\n") // a caller that has gone needs no answer
+	_, _ = io.WriteString(w, "ok\n") // fails only if the client has disconnected
 }
 
 // Address returns the host and port that the server listens on.
 func (s *Server) Address() string { return s.listener.Addr().String() }
 
-// Serve answers calls until Close, after which it returns nil. Any other end returns the error of the listener.
-// It is called once.
+// Serve answers HTTP requests until Close is called, and then returns nil. If the listener fails, Serve returns the
+// listener's error. Serve must be called only once.
 func (s *Server) Serve() error {
-	if err := s.server.Serve(s.listener); !errors.Is(err, http.ErrServerClosed) {
+	if err := s.httpServer.Serve(s.listener); !errors.Is(err, http.ErrServerClosed) {
 		return err
 	}
 	return nil
 }
 
-// Close closes the listener and all connections at once, also before Serve. It leaves the goroutine of the server's
-// own log to the garbage collector.
+// Close closes the listener and all connections at once. It may be called before Serve. The goroutine that copies the
+// log of http.Server ends only when the garbage collector finalizes the log's writer.
 func (s *Server) Close() {
-	_ = s.server.Close()   // nothing can be done about a listener that does not close
-	_ = s.listener.Close() // which the server has from Serve on only
+	_ = s.httpServer.Close() // an error has no remedy
+	_ = s.listener.Close()   // http.Server closes the listener only after Serve was called
 }
--- a/internal/authz/authz.go
+++ b/internal/authz/authz.go
@@ -1,19 +1,19 @@
-// Package authz defines what a key in the operator file may do at the address for limit commands. It makes no
-// decisions: package limitserver does. Everything in it is constant, and safe for concurrent use.
+// Package authz defines the rights that a key in the operator file may have at the listen address for limit commands.
+// Package limitserver enforces the rights. Everything in this package is constant and safe for concurrent use.
 package authz
 
-// Right is what a key may do. Rights are bits: a key with several rights has their sum, and 0 means no right.
+// Right is a bit mask of permissions. Several rights are combined with a bitwise OR, and 0 means no right.
 type Right uint8
 
-// The rights. If there are no keys, every client has Check and none has any other right.
+// The rights. If no key is configured, every client has the right Check and no other.
 const (
 	Check   Right = 1 << iota // LIMIT.CHECK, LIMIT.PEEK, CL.THROTTLE
-	Read                      // lists of plans and reservations, and the units that may still be reserved
-	Reserve                   // RESERVE commands
-	Change                    // PLAN commands
+	Read                      // PLAN.LIST, RESERVE.LIST, RESERVE.ROOM
+	Reserve                   // other RESERVE commands
+	Change                    // other PLAN commands
 )
 
-// RightsByName maps the words in the operator file to rights. It must not be modified.
+// RightsByName maps the names of rights in the operator file to the rights. It must not be modified.
 var RightsByName = map[string]Right{
 	"check":   Check,
 	"read":    Read,
@@ -21,7 +21,7 @@
 	"change":  Change,
 }
 
-// Key is the secret that a client presents with AUTH name secret, and the rights that it then has.
+// Key is the secret that a client presents with the command AUTH, and the rights that the client has afterwards.
 type Key struct {
 	Secret []byte
 	Rights Right
