--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -1,10 +1,9 @@
-// Package logging sets up the program's only log. It uses logrus and writes one line per entry to standard
-// error, as text or as JSON. A message is a short constant phrase. What it is about is in fields with fixed
-// names, which docs/runbook.md lists. Every entry names its component. Nothing is logged at info or above for
-// each request, but for a request of a class or plan that the settings lack.
+// Package logging sets up the process-wide log. It uses logrus and writes one line per entry, by default to standard
+// error, as text or as JSON. The message of an entry is a short constant phrase, and the variable parts are in fields
+// whose keys docs/runbook.md lists. Every entry has the field component. Nothing is logged per request at level info or
+// above, except for a request of a class or plan that is not in the settings.
 //
-// Setup changes the process-wide log and is called before the goroutines that log are started. Everything
-// else is safe for concurrent use.
+// Setup must be called before the goroutines that log are started. Everything else is safe for concurrent use.
 package logging
 
 import (
@@ -17,18 +16,18 @@
 	"github.com/sirupsen/logrus"
 )
 
-// Keys of fields that several packages use. Operators filter by them and find them in
-// docs/runbook.md, so a change here is a change there.
+// Keys of fields that several packages use. Operators filter log entries by them. docs/runbook.md lists the keys and
+// must be updated with them.
 const (
 	Component = "component" // the part of the program that writes the entry
 	Instance  = "instance"  // the name of the instance
 	Backend   = "backend"   // the name of a backend
 	Address   = "address"   // host and port
-	Error     = "error"     // logrus' own key for WithError
-	Stack     = "stack"     // of the goroutine that panicked
+	Error     = "error"     // the key that logrus' WithError uses
+	Stack     = "stack"     // the stack of the goroutine that panicked
 )
 
-// Keys of an entry's time and message in the JSON form.
+// Keys of an entry's time and message in the JSON format.
 const (
 	timeKey    = "time"
 	messageKey = "event"
@@ -42,10 +41,10 @@
 
 // Options configures how the log is written.
 type Options struct {
-	Output   io.Writer // if nil, standard error
-	Level    string    // the lowest level that is written, as logrus names it (error, warning, info, ...); required
+	Output   io.Writer // nil means standard error
+	Level    string    // the least severe level that is written, by its logrus name (error, warning, info, ...); required
 	Format   string    // text or json; required
-	Instance string    // the name that every entry carries; if empty, none
+	Instance string    // the value of the field instance in every entry; no such field if empty
 }
 
 // Setup configures the process-wide log. It returns an error, and leaves the log unchanged, if the level or the
@@ -86,7 +85,7 @@
 	}
 }
 
-// instanceFormatter adds the name of the instance to every entry.
+// instanceFormatter adds the field instance to every entry, unless the name of the instance is empty.
 type instanceFormatter struct {
 	logrus.Formatter
 	instance string
@@ -97,14 +96,14 @@
 	if f.instance == "" {
 		return f.Formatter.Format(entry)
 	}
-	named := *entry
-	named.Data = make(logrus.Fields, len(entry.Data)+1)
-	maps.Copy(named.Data, entry.Data)
-	named.Data[Instance] = f.instance
-	return f.Formatter.Format(&named)
+	entryCopy := *entry
+	entryCopy.Data = make(logrus.Fields, len(entry.Data)+1)
+	maps.Copy(entryCopy.Data, entry.Data)
+	entryCopy.Data[Instance] = f.instance
+	return f.Formatter.Format(&entryCopy)
 }
 
-// For returns the log of a component.
+// For returns a log entry with the field component, through which the component logs.
 func For(component string) *logrus.Entry { return logrus.WithField(Component, component) }
 
 // LogPanic logs a recovered panic with the stack of its goroutine.
--- a/internal/logging/logging_test.go
+++ b/internal/logging/logging_test.go
@@ -10,8 +10,8 @@
 	"github.com/sirupsen/logrus"
 )
 
-// restore undoes, at the end of the test, what Setup changes in the process-wide log.
-func restore(t *testing.T) {
+// restoreLogAfterTest restores the process-wide log at the end of the test.
+func restoreLogAfterTest(t *testing.T) {
 	t.Helper()
 	output := logrus.StandardLogger().Out
 	t.Cleanup(func() {
@@ -21,10 +21,10 @@
 	})
 }
 
-// setUpForTest sets up the log until the end of the test, and returns what is written to it.
+// setUpForTest sets up the log until the end of the test, and returns the buffer to which entries are written.
 func setUpForTest(t *testing.T, options Options) *bytes.Buffer {
 	t.Helper()
-	restore(t)
+	restoreLogAfterTest(t)
 	out := &bytes.Buffer{}
 	options.Output = out
 	if err := Setup(options); err != nil {
@@ -67,7 +67,7 @@
 	}
 }
 
-func TestSetup_TextEntryNamesTheInstance(t *testing.T) {
+func TestSetup_TextEntryHasInstance(t *testing.T) {
 	out := setUpForTest(t, Options{Level: "warning", Format: "text", Instance: "n3"})
 	For("frontend").Info("unseen")
 	For("frontend").Warn("seen")
@@ -78,8 +78,8 @@
 	}
 }
 
-func TestSetup_RefusesUnknownOptions(t *testing.T) {
-	restore(t)
+func TestSetup_RejectsUnknownOptions(t *testing.T) {
+	restoreLogAfterTest(t)
 	for _, o := range []Options{
 		{Level: "loud", Format: "text"},
 		{Level: "info", Format: "xml"},
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -1,10 +1,9 @@
-// Package metrics keeps the metrics that the management address shows, in Prometheus' text format. Each is
-// counted where its event happens, and starts at 0 in each process. The package owns only the counts and
-// makes no decisions.
+// Package metrics holds the metrics of the process, and writes them in Prometheus' text format for the management
+// address. The code that handles an event updates its metric. All counters start at 0 in each process.
 //
-// AddGauges and all methods are safe for concurrent use. Except for Write, they do nothing with a nil Registry,
-// so parts that run without metrics, especially in tests, need no registry. Operators' dashboards depend on the
-// names of metrics and labels, which therefore stay as they are; help texts use the terms of docs/glossary.md.
+// AddGauges and all methods are safe for concurrent use. Except for Write, they do nothing with a nil Registry, so that
+// packages can run without metrics, especially in tests. Operators' dashboards depend on the names of metrics and
+// labels, which therefore must not change. Help texts use the terms of docs/glossary.md.
 package metrics
 
 import (
@@ -19,19 +18,19 @@
 	"fawnplank/policy"
 )
 
-// RequestOutcome is the way in which a request was answered.
+// RequestOutcome is the kind of answer that a request got.
 type RequestOutcome uint8
 
 // The outcomes of a request.
 const (
 	RequestSucceeded RequestOutcome = iota // answered by a backend
 	RequestRejected                        // rejected
-	RequestAborted                         // aborted, or refused because of its head
+	RequestAborted                         // aborted, or refused because of an invalid head
 
 	requestOutcomeCount // the number of outcomes
 )
 
-// String returns the name of the outcome's metric, without the namespace.
+// String returns the name of the metric that counts the outcome, without the namespace.
 func (o RequestOutcome) String() string {
 	switch o {
 	case RequestSucceeded:
@@ -48,23 +47,23 @@
 const (
 	namespace    = "gw"
 	classLabel   = "type"
-	unknownClass = "unknown" // the label of a class whose id has no name
+	unknownClass = "unknown" // the label value of a class whose ID has no name
 )
 
 // Registry holds the metrics of one process.
 type Registry struct {
 	registry          *prometheus.Registry
-	requests          [requestOutcomeCount]*prometheus.CounterVec // answered, by outcome and class
-	attempts          *prometheus.CounterVec                      // sent, by class
+	requests          [requestOutcomeCount]*prometheus.CounterVec // answered requests, by outcome and class
+	attempts          *prometheus.CounterVec                      // sent attempts, by class
 	requestsInFlight  prometheus.Gauge
 	endpoints         prometheus.Gauge
 	drainingEndpoints prometheus.Gauge
 	configsReloaded   prometheus.Counter
 	configsRejected   prometheus.Counter
-	classes           atomic.Pointer[[]string] // names of the classes, by id
+	classes           atomic.Pointer[[]string] // names of the classes, by ID
 }
 
-// New returns a registry for classes with the given names, by id.
+// New returns a registry for classes with the given names, by ID.
 func New(classes []string) *Registry {
 	r := &Registry{
 		registry: prometheus.NewRegistry(),
@@ -102,19 +101,19 @@
 	return prometheus.NewGauge(prometheus.GaugeOpts{Namespace: namespace, Name: name, Help: help})
 }
 
-// classCounters returns the counters that have a row for each class.
+// classCounters returns the counters that have a time series for each class.
 func (r *Registry) classCounters() []*prometheus.CounterVec { return append(r.requests[:], r.attempts) }
 
-// Gauge is a metric of a source, for instance a server, that is read each time the metric is shown. Some of them
-// only rise, and are exported as gauges all the same.
+// Gauge is a metric whose value is read from a source, for instance a server, each time the metrics are written. Values
+// that only increase are exported as gauges, too.
 type Gauge[S any] struct {
-	Name  string                 // without the namespace; its ending names the unit, if there is one
+	Name  string                 // without the namespace; its suffix is the unit, if there is one
 	Help  string                 // for operators
-	Value func(source S) float64 // safe for concurrent use
+	Value func(source S) float64 // must be safe for concurrent use
 }
 
-// AddGauges adds the gauges of a source to a registry. A name that already exists is a bug in the program and
-// causes a panic.
+// AddGauges adds the gauges of a source to a registry. It panics if a name is already registered, which is a bug in the
+// program.
 func AddGauges[S any](r *Registry, source S, gauges []Gauge[S]) {
 	if r == nil {
 		return
@@ -126,20 +125,20 @@
 	}
 }
 
-// SetClasses replaces the names of the classes, by id, after a reload. There must be at least as many as before,
-// since ids are never given up. The counts of dropped classes stay readable. An empty name keeps the previous name
-// of its id, under which the requests in flight of a dropped class are counted.
+// SetClasses replaces the names of the classes, by ID, after a reload. There must be at least as many names as before,
+// since a removed class keeps its ID. An empty name stands for a removed class, whose previous name stays in use: its
+// counts stay in the metrics, and its requests that are still in flight are counted under that name.
 func (r *Registry) SetClasses(names []string) {
 	if r == nil {
 		return
 	}
 	names = append([]string(nil), names...)
-	if old := r.classes.Load(); old != nil {
-		for id := range min(len(*old), len(names)) {
-			names[id] = cmp.Or(names[id], (*old)[id])
+	if previous := r.classes.Load(); previous != nil {
+		for id := range min(len(*previous), len(names)) {
+			names[id] = cmp.Or(names[id], (*previous)[id])
 		}
 	}
-	for _, name := range names { // each class is shown from 0 on
+	for _, name := range names { // creates the time series, so that each starts at 0
 		for _, counter := range r.classCounters() {
 			counter.WithLabelValues(name)
 		}
@@ -154,17 +153,18 @@
 	return unknownClass
 }
 
-// RequestReceived counts a completely read request as one in flight. It is followed by at most one RequestAnswered
-// and then by one RequestEnded. A request that is refused because of its head has a RequestAnswered alone.
+// RequestReceived counts a completely read request as in flight. At most one call of RequestAnswered and then one call
+// of RequestEnded must follow for each request. For a request that is refused because of an invalid head, only
+// RequestAnswered is called.
 func (r *Registry) RequestReceived() {
 	if r != nil {
 		r.requestsInFlight.Inc()
 	}
 }
 
-// RequestAnswered counts a request's answer under the class that the request came with. That includes a
-// refusal because of the request's head, if its class could be read. A request whose client has gone has no
-// answer to count.
+// RequestAnswered counts the answer to a request under the class that the request states. A refusal because of an
+// invalid head is also counted, if the class could be parsed. The request of a client that has disconnected gets no
+// answer and is not counted.
 func (r *Registry) RequestAnswered(class policy.ClassID, outcome RequestOutcome) {
 	if r != nil {
 		r.requests[outcome].WithLabelValues(r.className(class)).Inc()
@@ -178,14 +178,14 @@
 	}
 }
 
-// AttemptSent counts an attempt whose last byte was written.
+// AttemptSent counts an attempt after its last byte was written.
 func (r *Registry) AttemptSent(class policy.ClassID) {
 	if r != nil {
 		r.attempts.WithLabelValues(r.className(class)).Inc()
 	}
 }
 
-// SetEndpoints sets how many backends the endpoint list holds, and how many of them are draining.
+// SetEndpoints sets the number of backends in the endpoint list, and how many of them are draining.
 func (r *Registry) SetEndpoints(listed, draining int) {
 	if r != nil {
 		r.endpoints.Set(float64(listed))
@@ -193,22 +193,22 @@
 	}
 }
 
-// ConfigReloaded counts a configuration that took effect at a SIGHUP.
+// ConfigReloaded counts a configuration that was applied at a SIGHUP.
 func (r *Registry) ConfigReloaded() {
 	if r != nil {
 		r.configsReloaded.Inc()
 	}
 }
 
-// ConfigRejected counts a configuration that was found faulty at a SIGHUP and therefore changed nothing.
+// ConfigRejected counts a configuration that was rejected at a SIGHUP because it was invalid.
 func (r *Registry) ConfigRejected() {
 	if r != nil {
 		r.configsRejected.Inc()
 	}
 }
 
-// Write writes all metrics in Prometheus' text format. The error is that of w, or of metrics that contradict
-// each other.
+// Write writes all metrics in Prometheus' text format. It returns an error if writing to w fails or if the collected
+// metrics are inconsistent.
 func (r *Registry) Write(w io.Writer) error {
 	families, err := r.registry.Gather()
 	if err != nil {
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// textOf returns all metrics in Prometheus' text form.
-func textOf(t *testing.T, r *Registry) string {
+// renderText returns all metrics in Prometheus' text format.
+func renderText(t *testing.T, r *Registry) string {
 	t.Helper()
 	var b strings.Builder
 	if err := r.Write(&b); err != nil {
@@ -15,7 +15,7 @@
 	return b.String()
 }
 
-func TestRegistry_ShowsEachClassFromZeroOn(t *testing.T) {
+func TestRegistry_ExportsEachClassFromZero(t *testing.T) {
 	r := New([]string{"lookup", "pay"})
 	for _, want := range []string{
 		`gw_success{type="lookup"} 0`,
@@ -23,13 +23,13 @@
 		"gw_concurrent 0",
 		"gw_reload_failure 0",
 	} {
-		if text := textOf(t, r); !strings.Contains(text, want+"\n") {
-			t.Errorf("before anything: no %q in\n%s", want, text)
+		if text := renderText(t, r); !strings.Contains(text, want+"\n") {
+			t.Errorf("new registry: no %q in\n%s", want, text)
 		}
 	}
 }
 
-func TestRegistry_CountsOutliveTheirClass(t *testing.T) {
+func TestRegistry_KeepsCountsOfRemovedClass(t *testing.T) {
 	r := New([]string{"lookup", "pay"})
 	r.RequestReceived()
 	r.RequestReceived()
@@ -38,11 +38,11 @@
 	r.RequestEnded()
 	r.SetEndpoints(5, 2)
 	r.ConfigRejected()
-	r.SetClasses([]string{"", "pay", "report"}) // lookup is dropped, its row stays; pay is a new row
-	r.RequestAnswered(0, RequestAborted)        // in flight under lookup
+	r.SetClasses([]string{"", "pay", "report"}) // removes lookup, whose series stays, and adds report
+	r.RequestAnswered(0, RequestAborted)        // was in flight when lookup was removed
 	r.SetClasses([]string{"", "pay", "report"})
 	r.RequestAnswered(1, RequestRejected)
-	r.RequestAnswered(7, RequestAborted) // of no known class
+	r.RequestAnswered(7, RequestAborted) // of an unknown class
 	for _, want := range []string{
 		`gw_success{type="pay"} 1`,
 		`gw_dispatches{type="pay"} 1`,
@@ -57,13 +57,13 @@
 		"gw_reload_failure 1",
 		"gw_reload_success 0",
 	} {
-		if text := textOf(t, r); !strings.Contains(text, want+"\n") {
+		if text := renderText(t, r); !strings.Contains(text, want+"\n") {
 			t.Errorf("no %q in\n%s", want, text)
 		}
 	}
 }
 
-func TestAddGauges_ReadsTheSourceEachTime(t *testing.T) {
+func TestAddGauges_ReadsSourceOnEachWrite(t *testing.T) {
 	r := New(nil)
 	connections := 3
 	AddGauges(r, &connections, []Gauge[*int]{
@@ -71,18 +71,18 @@
 		{Name: "spare", Help: "places left of ten", Value: func(n *int) float64 { return float64(10 - *n) }},
 	})
 	for _, want := range []string{"# HELP gw_open open connections", "gw_open 3", "gw_spare 7"} {
-		if text := textOf(t, r); !strings.Contains(text, want+"\n") {
+		if text := renderText(t, r); !strings.Contains(text, want+"\n") {
 			t.Errorf("no %q in\n%s", want, text)
 		}
 	}
 	connections = 4
-	if text := textOf(t, r); !strings.Contains(text, "gw_open 4\n") {
+	if text := renderText(t, r); !strings.Contains(text, "gw_open 4\n") {
 		t.Errorf("after a change:\n%s", text)
 	}
 }
 
-// TestRegistry_NilDoesNothing calls each method that counts on no registry: a panic fails the test.
-func TestRegistry_NilDoesNothing(_ *testing.T) {
+// TestRegistry_NilIsNoOp calls AddGauges and each method except Write with a nil registry. A panic fails the test.
+func TestRegistry_NilIsNoOp(_ *testing.T) {
 	var r *Registry
 	AddGauges(r, 0, []Gauge[int]{{Name: "x"}})
 	r.SetClasses([]string{"lookup"})
--- a/internal/tlsconfig/doc.go
+++ b/internal/tlsconfig/doc.go
@@ -1,8 +1,8 @@
-// Package tlsconfig provides listeners and clients with TLS certificates from files. It reads the files again
-// when they change, without a restart: a new pair is used if it is valid; otherwise the old one stays in use.
-// It also reports when the certificate expires. If an authority for the other side is configured, both sides
-// must present a certificate of that authority.
+// Package tlsconfig provides TLS configurations for listeners and clients, with certificates from files. It reloads the
+// files when they change, without a restart. If the new files are invalid, the previous certificate stays in use. The
+// package also reports when the certificate expires. If a certificate authority is configured, a listener requires
+// clients to present a certificate of that authority. A client always requires the server's certificate to be signed by
+// its authority.
 //
-// A Source owns what it last read. Its methods, and the configurations that it returns, are safe for
-// concurrent use.
+// The methods of CertificateSource, and the configurations that it returns, are safe for concurrent use.
 package tlsconfig
--- a/internal/tlsconfig/source.go
+++ b/internal/tlsconfig/source.go
@@ -12,46 +12,46 @@
 	"fawnplank/internal/logging"
 )
 
-// logComponent names this package in the log.
+// logComponent is this package's component in log entries.
 const logComponent = "tls"
 
-// checkInterval is the minimum time between two checks of the files: a renewed certificate is in use soon
-// enough, and a burst of handshakes does not access the disk for each one.
+// checkInterval is the minimum time between two checks of the files. It bounds the delay until a renewed certificate is
+// in use, and prevents a disk access for each handshake in a burst.
 const checkInterval = time.Second
 
-// Files holds the paths of the PEM files with a certificate, its key, and the authority for the other side's
-// certificates.
+// Files holds the paths of the PEM files with a certificate, its private key, and the certificate authority that signs
+// the certificates of the other side.
 type Files struct {
 	Certificate string `toml:"tls_certificate"`
 	Key         string `toml:"tls_key"`
-	Authority   string `toml:"tls_authority"` // for the other side; if empty, a server asks clients for none
+	Authority   string `toml:"tls_authority"` // if empty, a server requires no certificate of clients
 }
 
 // Enabled reports whether any file is configured.
 func (f Files) Enabled() bool { return f != Files{} }
 
-// fileCount is the number of files that Files names.
+// fileCount is the number of paths in Files.
 const fileCount = 3
 
-// paths returns the paths in the order of modTimes. The path of a file that is not configured is empty.
+// paths returns the paths in the order of the elements of modTimes. The path of a file that is not configured is empty.
 func (f Files) paths() [fileCount]string { return [...]string{f.Certificate, f.Key, f.Authority} }
 
-// modTimes are the modification times of the files; zero for a file that is not configured.
+// modTimes holds the modification times of the files. The time of a file that is not configured is zero.
 type modTimes [fileCount]time.Time
 
-// equal reports whether no file has changed.
+// equal reports whether all modification times are the same as in other.
 func (m modTimes) equal(other modTimes) bool {
-	for n := range m {
-		if !m[n].Equal(other[n]) {
+	for index := range m {
+		if !m[index].Equal(other[index]) {
 			return false
 		}
 	}
 	return true
 }
 
-// material is the content of the files.
-type material struct {
-	certificate *tls.Certificate // with its Leaf
+// credentials holds the contents and the modification times of the files.
+type credentials struct {
+	certificate *tls.Certificate // Leaf is set
 	authorities *x509.CertPool   // nil if no authority is configured
 	modified    modTimes
 }
@@ -60,18 +60,19 @@
 type CertificateSource struct {
 	files Files
 
-	mu        sync.Mutex // guards all fields below; held while the files are read
-	current   material
+	mu        sync.Mutex // guards the fields below; also held while the files are read
+	current   credentials
 	checkedAt time.Time
-	lastError string // of the last reload, so that each error is logged once
+	lastError string // the error of the last reload, or empty; prevents logging the same error at each check
 }
 
-// New reads the files and returns a Source for them. An error names the file that is missing or not valid.
+// New reads the files and returns a CertificateSource for them. An error contains the path of the missing or invalid
+// file.
 func New(files Files) (*CertificateSource, error) {
 	if files.Certificate == "" || files.Key == "" {
-		return nil, errors.New("tls: certificate and key must both be named")
+		return nil, errors.New("tls: certificate and key must both be configured")
 	}
-	checkedAt := time.Now() // before reading: the next check sees changes made meanwhile
+	checkedAt := time.Now() // taken before the read, so that a change during the read is detected within checkInterval
 	current, err := files.load()
 	if err != nil {
 		return nil, err
@@ -79,28 +80,28 @@
 	return &CertificateSource{files: files, current: current, checkedAt: checkedAt}, nil
 }
 
-// load reads the files. It takes their modification times before reading, so that files that change meanwhile
-// are read again.
-func (f Files) load() (material, error) {
+// load reads the files. It takes their modification times before it reads them, so that the next check detects files
+// that change meanwhile.
+func (f Files) load() (credentials, error) {
 	modified, err := f.stat()
 	if err != nil {
-		return material{}, err
+		return credentials{}, err
 	}
 	certificate, err := f.loadCertificate()
 	if err != nil {
-		return material{}, err
+		return credentials{}, err
 	}
 	authorities, err := f.loadAuthorities()
 	if err != nil {
-		return material{}, err
+		return credentials{}, err
 	}
-	return material{certificate: certificate, authorities: authorities, modified: modified}, nil
+	return credentials{certificate: certificate, authorities: authorities, modified: modified}, nil
 }
 
 // stat returns the modification times of the files.
 func (f Files) stat() (modTimes, error) {
 	var modified modTimes
-	for n, path := range f.paths() {
+	for index, path := range f.paths() {
 		if path == "" {
 			continue
 		}
@@ -108,51 +109,51 @@
 		if err != nil {
 			return modTimes{}, fmt.Errorf("tls: %w", err)
 		}
-		modified[n] = info.ModTime()
+		modified[index] = info.ModTime()
 	}
 	return modified, nil
 }
 
-// loadCertificate reads the certificate with its key, and parses its leaf.
+// loadCertificate reads the certificate and its private key, and sets Leaf.
 func (f Files) loadCertificate() (*tls.Certificate, error) {
-	pair, err := tls.LoadX509KeyPair(f.Certificate, f.Key)
+	certificate, err := tls.LoadX509KeyPair(f.Certificate, f.Key)
 	if err != nil {
 		return nil, fmt.Errorf("tls: %s with %s: %w", f.Certificate, f.Key, err)
 	}
-	if pair.Leaf != nil {
-		return &pair, nil
+	if certificate.Leaf != nil {
+		return &certificate, nil
 	}
-	// With GODEBUG=x509keypairleaf=0, LoadX509KeyPair does not set Leaf.
-	if pair.Leaf, err = x509.ParseCertificate(pair.Certificate[0]); err != nil {
+	// With GODEBUG=x509keypairleaf=0, tls.LoadX509KeyPair does not set Leaf.
+	if certificate.Leaf, err = x509.ParseCertificate(certificate.Certificate[0]); err != nil {
 		return nil, fmt.Errorf("tls: %s: %w", f.Certificate, err)
 	}
-	return &pair, nil
+	return &certificate, nil
 }
 
-// loadAuthorities returns nil if no authority is configured.
+// loadAuthorities reads the certificates of the certificate authority. It returns nil if none is configured.
 func (f Files) loadAuthorities() (*x509.CertPool, error) {
 	if f.Authority == "" {
 		return nil, nil
 	}
-	text, err := os.ReadFile(f.Authority)
+	pemData, err := os.ReadFile(f.Authority)
 	if err != nil {
 		return nil, fmt.Errorf("tls: %w", err)
 	}
 	pool := x509.NewCertPool()
-	if !pool.AppendCertsFromPEM(text) {
-		return nil, fmt.Errorf("tls: %s holds no certificate", f.Authority)
+	if !pool.AppendCertsFromPEM(pemData) {
+		return nil, fmt.Errorf("tls: %s contains no certificate", f.Authority)
 	}
 	return pool, nil
 }
 
-// ExpiresIn returns how long the certificate remains valid. A negative value means that it has expired.
+// ExpiresIn returns the time until the certificate expires. The time is negative if the certificate has expired.
 func (s *CertificateSource) ExpiresIn() time.Duration {
-	return time.Until(s.latest().certificate.Leaf.NotAfter)
+	return time.Until(s.currentCredentials().certificate.Leaf.NotAfter)
 }
 
-// latest returns the current material. It first checks the files if the last check was at least checkInterval
-// ago.
-func (s *CertificateSource) latest() material {
+// currentCredentials returns the current credentials. It first checks the files for changes if the last check was at
+// least checkInterval ago.
+func (s *CertificateSource) currentCredentials() credentials {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if time.Since(s.checkedAt) < checkInterval {
@@ -165,15 +166,15 @@
 	return s.current
 }
 
-// reload replaces the current material if the files are valid. An error is logged once and not at each check.
-// The caller holds the lock.
+// reload replaces the current credentials if the files are valid. It logs an error only if it differs from that of the
+// previous reload. The caller must hold mu.
 func (s *CertificateSource) reload() {
-	fresh, err := s.files.load()
+	reloaded, err := s.files.load()
 	if err == nil {
-		s.current = fresh
+		s.current = reloaded
 		s.lastError = ""
-		until := fresh.certificate.Leaf.NotAfter.UTC().Format(time.RFC3339)
-		logging.For(logComponent).WithField("until", until).Info("certificate reloaded")
+		expiry := reloaded.certificate.Leaf.NotAfter.UTC().Format(time.RFC3339)
+		logging.For(logComponent).WithField("until", expiry).Info("certificate reloaded")
 		return
 	}
 	if text := err.Error(); text != s.lastError {
--- a/internal/tlsconfig/tlsconfig_test.go
+++ b/internal/tlsconfig/tlsconfig_test.go
@@ -15,7 +15,7 @@
 	"fawnplank/internal/tlsconfig"
 )
 
-// newAuthority makes a certificate authority.
+// newAuthority returns a new certificate authority.
 func newAuthority(t *testing.T) *testca.Authority {
 	t.Helper()
 	authority, err := testca.New(t.Name())
@@ -25,8 +25,11 @@
 	return authority
 }
 
-// sign writes a certificate of an authority to a folder, in place of an earlier one.
-func sign(t *testing.T, authority *testca.Authority, folder string, validity time.Duration) tlsconfig.Files {
+// issueCertificate writes a new certificate of an authority to a folder, and replaces the certificate from an earlier
+// call with the same folder.
+func issueCertificate(
+	t *testing.T, authority *testca.Authority, folder string, validity time.Duration,
+) tlsconfig.Files {
 	t.Helper()
 	files, err := authority.Write(folder, "pair", validity)
 	if err != nil {
@@ -35,8 +38,8 @@
 	return files
 }
 
-// newSource returns a source of valid files.
-func newSource(t *testing.T, files tlsconfig.Files) *tlsconfig.CertificateSource {
+// newCertificateSource returns a CertificateSource for files, which must be valid.
+func newCertificateSource(t *testing.T, files tlsconfig.Files) *tlsconfig.CertificateSource {
 	t.Helper()
 	source, err := tlsconfig.New(files)
 	if err != nil {
@@ -45,7 +48,7 @@
 	return source
 }
 
-// handshake connects a client to a server over loopback, and returns the error of each side.
+// handshake runs a TLS handshake over loopback, and returns the error of each side.
 func handshake(t *testing.T, server, client *tls.Config) (serverErr, clientErr error) {
 	t.Helper()
 	listener := testutil.Listen(t)
@@ -67,21 +70,21 @@
 	return <-served, clientErr
 }
 
-// finishHandshake runs one side of a handshake, for five seconds at most.
+// finishHandshake runs one side of a handshake, with a timeout of five seconds.
 func finishHandshake(t *testing.T, conn *tls.Conn) error {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
 	defer cancel()
 	t.Cleanup(func() {
-		_ = conn.Close() // nothing is sent after the handshake
+		_ = conn.Close() // no data is sent after the handshake
 	})
 	return conn.HandshakeContext(ctx)
 }
 
-func TestNew_FaultsNameTheFile(t *testing.T) {
-	files := sign(t, newAuthority(t), t.TempDir(), time.Hour)
-	noise := filepath.Join(t.TempDir(), "noise")
-	if err := os.WriteFile(noise, []byte("noise"), 0o600); err != nil {
+func TestNew_ErrorNamesFaultyFile(t *testing.T) {
+	files := issueCertificate(t, newAuthority(t), t.TempDir(), time.Hour)
+	invalidFile := filepath.Join(t.TempDir(), "noise")
+	if err := os.WriteFile(invalidFile, []byte("noise"), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	for name, test := range map[string]struct {
@@ -89,70 +92,71 @@
 		want  string
 	}{
 		"no key": {tlsconfig.Files{Certificate: files.Certificate},
-			"certificate and key must both be named"},
+			"certificate and key must both be configured"},
 		"no certificate": {tlsconfig.Files{Key: files.Key},
-			"certificate and key must both be named"},
-		"missing": {tlsconfig.Files{Certificate: noise + "-missing", Key: files.Key},
+			"certificate and key must both be configured"},
+		"missing": {tlsconfig.Files{Certificate: invalidFile + "-missing", Key: files.Key},
 			"noise-missing: no such file"},
-		"broken certificate": {tlsconfig.Files{Certificate: noise, Key: files.Key}, noise},
-		"broken authority": {
-			tlsconfig.Files{Certificate: files.Certificate, Key: files.Key, Authority: noise},
-			noise + " holds no certificate",
+		"invalid certificate": {tlsconfig.Files{Certificate: invalidFile, Key: files.Key}, invalidFile},
+		"invalid authority": {
+			tlsconfig.Files{Certificate: files.Certificate, Key: files.Key, Authority: invalidFile},
+			invalidFile + " contains no certificate",
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			_, err := tlsconfig.New(test.files)
 			if err == nil || !strings.Contains(err.Error(), test.want) {
-				t.Errorf("%v, want %q", err, test.want)
+				t.Errorf("error %v, want %q", err, test.want)
 			}
 		})
 	}
 }
 
-// TestSource_ConfigsVerifyBothSides checks that each side requires a certificate of its authority.
-func TestSource_ConfigsVerifyBothSides(t *testing.T) {
-	own := newAuthority(t)
-	other := newAuthority(t)
-	files := sign(t, own, t.TempDir(), time.Hour)
-	server := newSource(t, files)
-	peer := newSource(t, sign(t, own, t.TempDir(), time.Hour))
-	stranger := newSource(t, sign(t, other, t.TempDir(), time.Hour))
+// TestCertificateSource_BothSidesVerifyPeer checks that each side requires the other to present a certificate of the
+// configured authority, and that a server without an authority requires none.
+func TestCertificateSource_BothSidesVerifyPeer(t *testing.T) {
+	trusted := newAuthority(t)
+	untrusted := newAuthority(t)
+	files := issueCertificate(t, trusted, t.TempDir(), time.Hour)
+	server := newCertificateSource(t, files)
+	peer := newCertificateSource(t, issueCertificate(t, trusted, t.TempDir(), time.Hour))
+	untrustedPeer := newCertificateSource(t, issueCertificate(t, untrusted, t.TempDir(), time.Hour))
 	serverErr, clientErr := handshake(t, server.ServerConfig(), peer.ClientConfig())
 	if serverErr != nil || clientErr != nil {
-		t.Errorf("of one authority: %v, %v", serverErr, clientErr)
+		t.Errorf("certificates of the same authority: server error %v, client error %v", serverErr, clientErr)
 	}
-	serverErr, clientErr = handshake(t, server.ServerConfig(), stranger.ClientConfig())
+	serverErr, clientErr = handshake(t, server.ServerConfig(), untrustedPeer.ClientConfig())
 	if serverErr == nil || clientErr == nil {
-		t.Errorf("of another authority: %v, %v", serverErr, clientErr)
+		t.Errorf("certificates of different authorities: server error %v, client error %v", serverErr, clientErr)
 	}
 	anonymous := &tls.Config{InsecureSkipVerify: true}
 	if serverErr, _ := handshake(t, server.ServerConfig(), anonymous); serverErr == nil {
-		t.Error("a client without a certificate is accepted")
+		t.Error("server accepted a client without a certificate")
 	}
 	files.Authority = ""
-	open := newSource(t, files)
-	serverErr, clientErr = handshake(t, open.ServerConfig(), anonymous)
+	withoutAuthority := newCertificateSource(t, files)
+	serverErr, clientErr = handshake(t, withoutAuthority.ServerConfig(), anonymous)
 	if serverErr != nil || clientErr != nil {
-		t.Errorf("without an authority, the client's certificate is asked for: %v, %v", serverErr, clientErr)
+		t.Errorf("server without an authority: server error %v, client error %v", serverErr, clientErr)
 	}
-	_, clientErr = handshake(t, server.ServerConfig(), open.ClientConfig())
-	if clientErr == nil || !strings.Contains(clientErr.Error(), "no authority is named") {
-		t.Errorf("a client without an authority: %v", clientErr)
+	_, clientErr = handshake(t, server.ServerConfig(), withoutAuthority.ClientConfig())
+	if clientErr == nil || !strings.Contains(clientErr.Error(), "no certificate authority is configured") {
+		t.Errorf("client without an authority: error %v", clientErr)
 	}
 }
 
-// TestSource_FollowsItsFiles checks that a renewed certificate comes into use without a restart, and that a
-// broken one leaves the old one in use.
-func TestSource_FollowsItsFiles(t *testing.T) {
+// TestCertificateSource_ReloadsChangedFiles checks that a renewed certificate is used without a restart, and that the
+// previous certificate stays in use if the new file is invalid.
+func TestCertificateSource_ReloadsChangedFiles(t *testing.T) {
 	authority := newAuthority(t)
 	folder := t.TempDir()
-	files := sign(t, authority, folder, time.Hour)
-	source := newSource(t, files)
+	files := issueCertificate(t, authority, folder, time.Hour)
+	source := newCertificateSource(t, files)
 	if remaining := source.ExpiresIn(); remaining <= 0 || remaining > time.Hour {
 		t.Fatalf("expires in %v", remaining)
 	}
 	time.Sleep(20 * time.Millisecond) // so that the modification times differ
-	sign(t, authority, folder, 48*time.Hour)
+	issueCertificate(t, authority, folder, 48*time.Hour)
 	testutil.Eventually(t, "the renewed certificate is in use", func() bool {
 		return source.ExpiresIn() > 2*time.Hour
 	})
@@ -161,12 +165,12 @@
 	}
 	for deadline := time.Now().Add(1200 * time.Millisecond); time.Now().Before(deadline); {
 		if remaining := source.ExpiresIn(); remaining < 2*time.Hour {
-			t.Fatalf("expires in %v, with a broken file", remaining)
+			t.Fatalf("expires in %v after the file became invalid; the previous certificate is not in use", remaining)
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
-	sign(t, authority, folder, time.Hour)
-	testutil.Eventually(t, "the mended certificate is in use", func() bool {
+	issueCertificate(t, authority, folder, time.Hour)
+	testutil.Eventually(t, "the repaired certificate is in use", func() bool {
 		return source.ExpiresIn() < 2*time.Hour
 	})
 }
