--- a/cmd/fawnplank/accept_end_test.go
+++ b/cmd/fawnplank/accept_end_test.go
@@ -21,9 +21,9 @@
 	if g.configuration, g.operator, err = g.loadConfiguration(config.Overlay{}); err != nil {
 		t.Fatal(err)
 	}
-	g.operator.Limits.Listen = freeAddress(t)
-	g.operator.Limits.MaxConnections = 1
-	g.configuration.AddLimitClass(g.operator)
+	g.operator.LimitCommands.Listen = freeAddress(t)
+	g.operator.LimitCommands.MaxConnections = 1
+	g.configuration.AddCheckOnlyClass(g.operator)
 	g.resources = newResources(g.configuration)
 	t.Cleanup(g.Close)
 	ctx := t.Context()
@@ -54,7 +54,7 @@
 	case <-time.After(connectionTimeout):
 		t.Fatal("Run goes on without accepting")
 	}
-	if conn, err := tryDial(t, g.operator.Limits.Listen); err == nil {
+	if conn, err := tryDial(t, g.operator.LimitCommands.Listen); err == nil {
 		hangUp(conn)
 		t.Error("the limits address still accepts")
 	}
--- a/cmd/fawnplank/accounts.go
+++ b/cmd/fawnplank/accounts.go
@@ -29,10 +29,10 @@
 
 // accountsOptions configures accounts.Start.
 type accountsOptions struct {
-	Replica       *replica // if nil, billing must be off
-	Configuration *config.Config
-	Operator      *config.Operator
-	Metrics       *metrics.Registry
+	Replica          *replica // if nil, billing must be off
+	Configuration    *config.Config
+	OperatorSettings *config.OperatorSettings
+	Metrics          *metrics.Registry
 }
 
 // errBillingNeedsStore completes a sentence that begins with the section of the operator file.
@@ -41,22 +41,22 @@
 // Start starts the billing service on the replica. It does nothing if the operator file leaves billing off. It
 // returns errBillingNeedsStore if billing is on without a replica.
 func (a *accounts) Start(options accountsOptions) error {
-	if !options.Operator.Billing.Enabled {
+	if !options.OperatorSettings.Billing.Enabled {
 		return nil
 	}
 	if options.Replica == nil {
 		return errBillingNeedsStore
 	}
-	a.UpdateSettings(options.Configuration, options.Operator)
+	a.UpdateSettings(options.Configuration, options.OperatorSettings)
 	a.mu.Lock()
 	a.enabled = true // set before the service reads the accounts, so that the service misses no later change
 	a.mu.Unlock()
 	a.service = billingservice.Start(billingservice.Options{
 		Replica:        options.Replica.Store,
-		Instance:       options.Configuration.Name,
+		Instance:       options.Configuration.InstanceName,
 		Settings:       func() billing.Settings { return *a.settings.Load() },
-		ReportInterval: time.Duration(options.Operator.Billing.ReportInterval),
-		Sink:           newExportSink(options.Operator.Billing),
+		ReportInterval: time.Duration(options.OperatorSettings.Billing.ReportInterval),
+		Sink:           newExportSink(options.OperatorSettings.Billing),
 	})
 	a.changes.Start(func() { a.service.KeysChanged(a.takeChangedKeys()) })
 	metrics.AddGauges(options.Metrics, a.service, billingGauges)
@@ -76,7 +76,7 @@
 }
 
 // UpdateSettings applies the plans of a configuration.
-func (a *accounts) UpdateSettings(configuration *config.Config, operator *config.Operator) {
+func (a *accounts) UpdateSettings(configuration *config.Config, operator *config.OperatorSettings) {
 	settings := operator.Billing.Settings()
 	settings.Plans = map[string]billing.Quota{}
 	for name, id := range configuration.Plans {
--- a/cmd/fawnplank/command_check.go
+++ b/cmd/fawnplank/command_check.go
@@ -48,9 +48,9 @@
 		return err
 	}
 	for _, key := range configuration.UnknownKeys {
-		fmt.Printf("%s: key %s has no meaning and no effect; correct or remove it\n", configuration.Name, key)
+		fmt.Printf("%s: key %s has no meaning and no effect; correct or remove it\n", configuration.InstanceName, key)
 	}
-	fmt.Printf("%s: in order; %d classes, %d plans, instance %d of %d\n", configuration.Name,
+	fmt.Printf("%s: in order; %d classes, %d plans, instance %d of %d\n", configuration.InstanceName,
 		len(configuration.Classes), len(configuration.Plans),
 		configuration.Settings.InstanceIndex, configuration.Settings.Instances)
 	return nil
--- a/cmd/fawnplank/command_migrate.go
+++ b/cmd/fawnplank/command_migrate.go
@@ -42,10 +42,10 @@
 		return errors.New("migrate: needs --config for the old file, and --output for the new one or --dry-run")
 	}
 	losses, err := config.Migrate(config.MigrateOptions{
-		From:   path,
-		Shape:  m.shape,
-		To:     m.output,
-		DryRun: m.dryRun,
+		SourceFile:   path,
+		OverrideFile: m.shape,
+		OutputFile:   m.output,
+		DryRun:       m.dryRun,
 	})
 	if err != nil {
 		return err
--- a/cmd/fawnplank/configuration.go
+++ b/cmd/fawnplank/configuration.go
@@ -12,7 +12,7 @@
 // loadConfiguration reads the configuration and the operator file, and checks both completely. The overlay's
 // rows, which come from the replicated store, take precedence over those of the file.
 func loadConfiguration(path, operatorPath string,
-	overlay config.Overlay) (*config.Config, *config.Operator, error) {
+	overlay config.Overlay) (*config.Config, *config.OperatorSettings, error) {
 	configuration, err := config.Read(path, overlay)
 	if errors.Is(err, fs.ErrNotExist) {
 		return nil, nil, fmt.Errorf("%w; name an existing file with --config or GW_CONFIG", err)
@@ -27,14 +27,14 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	configuration.AddLimitClass(operator)
+	configuration.AddCheckOnlyClass(operator)
 	return configuration, operator, nil
 }
 
 // readOperator reads the operator file. If the file does not exist, the error ends with the remedy. If the
 // file names another file that does not exist, the error is about the key that names it.
-func readOperator(path, remedy string) (*config.Operator, error) {
-	operator, err := config.ReadOperator(path)
+func readOperator(path, remedy string) (*config.OperatorSettings, error) {
+	operator, err := config.ReadOperatorSettings(path)
 	var failed *fs.PathError
 	if errors.As(err, &failed) && failed.Path == path && errors.Is(err, fs.ErrNotExist) {
 		return nil, fmt.Errorf("%w; %s", err, remedy)
--- a/cmd/fawnplank/gateway.go
+++ b/cmd/fawnplank/gateway.go
@@ -39,7 +39,7 @@
 type gateway struct {
 	options       gatewayOptions
 	configuration *config.Config
-	operator      *config.Operator
+	operator      *config.OperatorSettings
 	resources     resources // of the configuration at the start
 
 	dispatcher *dispatch.Dispatcher
--- a/cmd/fawnplank/gateway_load.go
+++ b/cmd/fawnplank/gateway_load.go
@@ -29,7 +29,7 @@
 }
 
 // loadConfiguration reads the configuration with the rows of an overlay, and the operator file.
-func (g *gateway) loadConfiguration(overlay config.Overlay) (*config.Config, *config.Operator, error) {
+func (g *gateway) loadConfiguration(overlay config.Overlay) (*config.Config, *config.OperatorSettings, error) {
 	return loadConfiguration(g.options.ConfigFile, g.options.OperatorFile, overlay)
 }
 
@@ -39,7 +39,7 @@
 		Output:   os.Stderr,
 		Level:    cmp.Or(g.options.LogLevel, g.operator.Log.Level),
 		Format:   cmp.Or(g.options.LogFormat, g.operator.Log.Format),
-		Instance: g.configuration.Name,
+		Instance: g.configuration.InstanceName,
 	})
 }
 
--- a/cmd/fawnplank/gateway_start.go
+++ b/cmd/fawnplank/gateway_start.go
@@ -145,10 +145,10 @@
 
 func (g *gateway) startAccounts(context.Context) error {
 	err := g.accounts.Start(accountsOptions{
-		Replica:       g.replica,
-		Configuration: g.configuration,
-		Operator:      g.operator,
-		Metrics:       g.metrics,
+		Replica:          g.replica,
+		Configuration:    g.configuration,
+		OperatorSettings: g.operator,
+		Metrics:          g.metrics,
 	})
 	if err != nil {
 		return fmt.Errorf("operator file: billing: %w", err)
@@ -159,11 +159,11 @@
 // startLimits serves the limit commands, if the operator file names an address for them.
 func (g *gateway) startLimits(ctx context.Context) error {
 	limits, err := serveLimits(ctx, limitsOptions{
-		Dispatcher:    g.dispatcher,
-		Metrics:       g.metrics,
-		Configuration: g.configuration,
-		Operator:      g.operator,
-		Accounts:      g.accounts.service,
+		Dispatcher:       g.dispatcher,
+		Metrics:          g.metrics,
+		Configuration:    g.configuration,
+		OperatorSettings: g.operator,
+		Accounts:         g.accounts.service,
 	})
 	if err != nil {
 		return fmt.Errorf("operator file: limits.listen: %w", err)
--- a/cmd/fawnplank/limits.go
+++ b/cmd/fawnplank/limits.go
@@ -22,17 +22,17 @@
 
 // limitsOptions configures serveLimits.
 type limitsOptions struct {
-	Dispatcher    *dispatch.Dispatcher
-	Metrics       *metrics.Registry
-	Configuration *config.Config
-	Operator      *config.Operator
-	Accounts      *billingservice.Service // if nil, there are no commands on accounts
+	Dispatcher       *dispatch.Dispatcher
+	Metrics          *metrics.Registry
+	Configuration    *config.Config
+	OperatorSettings *config.OperatorSettings
+	Accounts         *billingservice.Service // if nil, there are no commands on accounts
 }
 
 // serveLimits starts the server of limit commands. It returns nil if the operator file names no address for
 // it.
 func serveLimits(ctx context.Context, options limitsOptions) (*limits, error) {
-	if options.Operator.Limits.Listen == "" {
+	if options.OperatorSettings.LimitCommands.Listen == "" {
 		return nil, nil
 	}
 	listener, err := listenLimits(ctx, options)
@@ -52,16 +52,16 @@
 
 // listenLimits listens on the address that the operator file names, with TLS if it names a certificate.
 func listenLimits(ctx context.Context, options limitsOptions) (net.Listener, error) {
-	settings := options.Operator.Limits
+	settings := options.OperatorSettings.LimitCommands
 	var listenConfig net.ListenConfig
 	listener, err := listenConfig.Listen(ctx, "tcp", settings.Listen)
 	if err != nil {
 		return nil, err
 	}
-	if !settings.TLS().Enabled() {
+	if !settings.TLSFiles().Enabled() {
 		return listener, nil
 	}
-	source, err := tlsconfig.New(settings.TLS())
+	source, err := tlsconfig.New(settings.TLSFiles())
 	if err != nil {
 		_ = listener.Close() // no connection has been accepted
 		return nil, err
@@ -73,11 +73,11 @@
 func newLimitServer(options limitsOptions) *limitserver.Server {
 	serverOptions := limitserver.Options{
 		Dispatcher:     options.Dispatcher,
-		Settings:       limitSettings(options.Configuration, options.Operator),
-		MaxConnections: options.Operator.Limits.MaxConnections,
+		Settings:       limitSettings(options.Configuration, options.OperatorSettings),
+		MaxConnections: options.OperatorSettings.LimitCommands.MaxConnections,
 		Keys:           map[string]authz.Key{},
 	}
-	for _, key := range options.Operator.Limits.Keys {
+	for _, key := range options.OperatorSettings.LimitCommands.Keys {
 		serverOptions.Keys[key.Name] = key.Key
 	}
 	if options.Accounts != nil { // a nil service stored in the interface would not compare as nil
@@ -87,11 +87,11 @@
 }
 
 // limitSettings returns what limit commands may name, and how they are checked.
-func limitSettings(configuration *config.Config, operator *config.Operator) limitserver.Settings {
-	class, _ := configuration.LimitClass()
+func limitSettings(configuration *config.Config, operator *config.OperatorSettings) limitserver.Settings {
+	class, _ := configuration.CheckOnlyClass()
 	return limitserver.Settings{
 		Class:     class,
-		Timeout:   time.Duration(operator.Limits.AnswerTimeout),
+		Timeout:   time.Duration(operator.LimitCommands.AnswerTimeout),
 		Plans:     configuration.Plans,
 		Instances: configuration.Settings.Instances,
 		MaxUnits:  configuration.MaxUnits,
--- a/cmd/fawnplank/reload.go
+++ b/cmd/fawnplank/reload.go
@@ -88,11 +88,11 @@
 		key     string
 		differs bool
 	}{
-		{"name", current.Name != updated.Name},
+		{"name", current.InstanceName != updated.InstanceName},
 		{"listen", current.Listen != updated.Listen},
 		{"mgmt", current.ManagementAddress != updated.ManagementAddress},
 		{"seed", current.Seed != updated.Seed},
-		{"limits.memory_mb", current.MemoryBytes != updated.MemoryBytes},
+		{"limits.memory_mb", current.MemoryLimitBytes != updated.MemoryLimitBytes},
 		{"limits.sockets", current.MaxSockets != updated.MaxSockets},
 		{"conn-idle-ms", current.IdleTimeout != updated.IdleTimeout},
 		{"connect-timeout-ms", current.ConnectTimeout != updated.ConnectTimeout},
@@ -117,8 +117,8 @@
 	}
 	if !reflect.DeepEqual(operator, g.operator) {
 		logging.For(configComponent).Warn("operator file changes need a restart")
-		if _, limitsOn := g.configuration.LimitClass(); limitsOn && operator.Limits.Listen == "" {
-			updated.AddLimitClass(g.operator) // the limits address continues to be served
+		if _, limitsOn := g.configuration.CheckOnlyClass(); limitsOn && operator.LimitCommands.Listen == "" {
+			updated.AddCheckOnlyClass(g.operator) // the limits address continues to be served
 		}
 	}
 	updated.KeepIDs(g.configuration)
--- a/cmd/fawnplank/reload_keys_test.go
+++ b/cmd/fawnplank/reload_keys_test.go
@@ -12,11 +12,11 @@
 // logged under the same four keys whatever had changed.
 func TestRestartKeys_NameWhatChanged(t *testing.T) {
 	for want, change := range map[string]func(c *config.Config){
-		"name":               func(c *config.Config) { c.Name = "other" },
+		"name":               func(c *config.Config) { c.InstanceName = "other" },
 		"listen":             func(c *config.Config) { c.Listen = "127.0.0.1:1" },
 		"mgmt":               func(c *config.Config) { c.ManagementAddress = "127.0.0.1:2" },
 		"seed":               func(c *config.Config) { c.Seed++ },
-		"limits.memory_mb":   func(c *config.Config) { c.MemoryBytes++ },
+		"limits.memory_mb":   func(c *config.Config) { c.MemoryLimitBytes++ },
 		"limits.sockets":     func(c *config.Config) { c.MaxSockets++ },
 		"conn-idle-ms":       func(c *config.Config) { c.IdleTimeout += time.Second },
 		"connect-timeout-ms": func(c *config.Config) { c.ConnectTimeout += time.Second },
--- a/cmd/fawnplank/resources.go
+++ b/cmd/fawnplank/resources.go
@@ -43,7 +43,7 @@
 
 func newResources(configuration *config.Config) resources {
 	return resources{
-		memoryBytes: configuration.MemoryBytes,
+		memoryBytes: configuration.MemoryLimitBytes,
 		maxSockets:  configuration.MaxSockets,
 		management:  configuration.ManagementAddress != "",
 	}
--- a/cmd/fawnplank/zone.go
+++ b/cmd/fawnplank/zone.go
@@ -134,7 +134,7 @@
 }
 
 // checkZoneFile returns an error if the zone file that an operator file names is faulty.
-func checkZoneFile(operator *config.Operator) error {
+func checkZoneFile(operator *config.OperatorSettings) error {
 	if operator.DNS.ZoneFile == "" {
 		return nil
 	}
--- a/cmd/fawnplank/zone_test.go
+++ b/cmd/fawnplank/zone_test.go
@@ -84,7 +84,7 @@
 
 // inForce is the zone as the journal has it, or, with an API address, as a replica has it.
 func (z zoneFiles) inForce(api string) (*dnszone.Zone, error) {
-	operator, err := config.ReadOperator(z.operator)
+	operator, err := config.ReadOperatorSettings(z.operator)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/config/billing.go
+++ b/internal/config/billing.go
@@ -11,15 +11,15 @@
 
 // Billing is the section for plan changes, reservations and exported usage, which need the replicated store.
 type Billing struct {
-	Enabled        bool     `toml:"on"`
-	Window         Duration `toml:"window"`        // length of the windows by which usage is billed
-	ChangeNotice   Duration `toml:"lead"`          // from a change becoming known until it takes effect
-	ClockSkew      Duration `toml:"clock_skew"`    // the most that two instances' clocks may differ
-	MaxLease       Duration `toml:"lease"`         // the longest lease that a reservation may have
-	ExportDelay    Duration `toml:"late"`          // from the end of a window until its export
-	ReportInterval Duration `toml:"report_every"`  // between two reports of an instance's usage
-	ExportFolder   string   `toml:"export_folder"` // receives the records; empty for none
-	ExportURL      string   `toml:"export_url"`    // receives the records by http or https; empty for none
+	Enabled          bool     `toml:"on"`
+	WindowLength     Duration `toml:"window"`        // length of the windows by which usage is billed
+	PlanChangeNotice Duration `toml:"lead"`          // from a change becoming known until it takes effect
+	ClockSkew        Duration `toml:"clock_skew"`    // the most that two instances' clocks may differ
+	MaxLease         Duration `toml:"lease"`         // the longest lease that a reservation may have
+	ExportDelay      Duration `toml:"late"`          // from the end of a window until its export
+	ReportInterval   Duration `toml:"report_every"`  // between two reports of an instance's usage
+	ExportFolder     string   `toml:"export_folder"` // receives the records; empty for none
+	ExportURL        string   `toml:"export_url"`    // receives the records by http or https; empty for none
 }
 
 const (
@@ -36,20 +36,20 @@
 
 func defaultBilling() Billing {
 	return Billing{
-		Window:         defaultWindow,
-		ChangeNotice:   defaultChangeNotice,
-		ClockSkew:      defaultClockSkew,
-		MaxLease:       defaultMaxLease,
-		ExportDelay:    defaultExportDelay,
-		ReportInterval: defaultReportInterval,
+		WindowLength:     defaultWindow,
+		PlanChangeNotice: defaultChangeNotice,
+		ClockSkew:        defaultClockSkew,
+		MaxLease:         defaultMaxLease,
+		ExportDelay:      defaultExportDelay,
+		ReportInterval:   defaultReportInterval,
 	}
 }
 
 // Settings returns the accounts' settings, except for the plans.
 func (b Billing) Settings() billing.Settings {
 	return billing.Settings{
-		WindowNanos:           int64(b.Window),
-		PlanChangeNoticeNanos: int64(b.ChangeNotice),
+		WindowNanos:           int64(b.WindowLength),
+		PlanChangeNoticeNanos: int64(b.PlanChangeNotice),
 		ClockSkewNanos:        int64(b.ClockSkew),
 		MaxLeaseNanos:         int64(b.MaxLease),
 		ExportDelayNanos:      int64(b.ExportDelay),
@@ -63,8 +63,8 @@
 		value    Duration
 		min, max time.Duration
 	}{
-		{key: "window", value: b.Window, min: time.Second, max: 31 * day},
-		{key: "lead", value: b.ChangeNotice, min: 100 * time.Millisecond, max: day},
+		{key: "window", value: b.WindowLength, min: time.Second, max: 31 * day},
+		{key: "lead", value: b.PlanChangeNotice, min: 100 * time.Millisecond, max: day},
 		{key: "clock_skew", value: b.ClockSkew, min: time.Millisecond, max: time.Minute},
 		{key: "lease", value: b.MaxLease, min: 100 * time.Millisecond, max: day},
 		{key: "late", value: b.ExportDelay, min: 100 * time.Millisecond, max: day},
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -5,13 +5,13 @@
 //     store laid over it (Overlay);
 //   - the platform's settings in that configuration, in the form that the decisions need (ParseSettings,
 //     policy.Settings);
-//   - the operators' own file, in TOML (ReadOperator, Operator).
+//   - the operators' own file, in TOML (ReadOperatorSettings, OperatorSettings).
 //
 // Migrate turns a configuration of the old deployment into one for the new deployment. Every error names the
 // file and the key. The package makes no decisions, and no other package reads configuration, whether from a
 // file or from the environment.
 //
-// All functions are safe for concurrent use. A Config and an Operator are values without locks: the caller
+// All functions are safe for concurrent use. A Config and an OperatorSettings are values without locks: the caller
 // that read one may change it until it shares it.
 package config
 
@@ -27,16 +27,16 @@
 
 // Config is what an instance of the gateway receives from the platform when it starts.
 type Config struct {
-	Name              string // name of the instance
+	InstanceName      string // name of the instance
 	Listen            string // host and port where clients connect
 	Discovery         string // host and port of the discovery service
 	Counter           string // host and port of the shared counter; empty if there is none
 	ManagementAddress string // host and port of the management calls; empty if there are none
 	ListenerFD        int    // a listener handed down by the parent process; -1 if there is none
 
-	Seed        uint64 // seeds the random choices
-	MemoryBytes int64  // memory that the process may use
-	MaxSockets  int    // sockets that the process may have open
+	Seed             uint64 // seeds the random choices
+	MemoryLimitBytes int64  // memory that the process may use
+	MaxSockets       int    // sockets that the process may have open
 
 	// KnownEndpoints is the last known endpoint list, in discovery's form. It is empty if there is none.
 	KnownEndpoints json.RawMessage
@@ -130,13 +130,13 @@
 	limits := top.optionalObject(keyLimits)
 	settings := top.requiredObject(keySettings)
 	c := &Config{
-		Name:              required[string](top, keyName),
+		InstanceName:      required[string](top, keyName),
 		Listen:            top.requiredAddress(keyListen),
 		Discovery:         top.requiredAddress(keyDiscovery),
 		ManagementAddress: top.optionalAddress(keyManagement),
 		ListenerFD:        -1,
 		Settings:          readSettings(settings),
-		MemoryBytes:       readMemoryBytes(limits),
+		MemoryLimitBytes:  readMemoryBytes(limits),
 		MaxSockets:        clampToCount(limits.positiveOr(keySockets, defaultMaxSockets)),
 		Zones:             settings.optionalStrings(keyZones),
 	}
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -46,7 +46,7 @@
 		got, want any
 	}{
 		{"seed", c.Seed, uint64(0x8c1f30d27a5be964)},
-		{"memory", c.MemoryBytes, int64(192 << 20)},
+		{"memory", c.MemoryLimitBytes, int64(192 << 20)},
 		{"sockets", c.MaxSockets, 1024},
 		{"zone", c.Zones[0], "a"},
 		{"idle timeout", c.IdleTimeout, 9 * time.Second},
@@ -114,8 +114,8 @@
 	t.Setenv("GW_LISTEN", "127.0.0.9:1")
 	t.Setenv("GW_NAME", "other") // the file's own word goes first
 	c, err := Read("", Overlay{})
-	if err != nil || c.Listen != "127.0.0.9:1" || c.Name != "n3" || c.MaxSockets != defaultMaxSockets ||
-		c.MemoryBytes != defaultMemoryMebibytes<<20 {
+	if err != nil || c.Listen != "127.0.0.9:1" || c.InstanceName != "n3" || c.MaxSockets != defaultMaxSockets ||
+		c.MemoryLimitBytes != defaultMemoryMebibytes<<20 {
 		t.Errorf("%+v, %v", c, err)
 	}
 	t.Setenv("GW_CONFIG", "")
--- a/internal/config/decode.go
+++ b/internal/config/decode.go
@@ -135,12 +135,12 @@
 
 // requiredMilliseconds returns the time of a key that must be present, which it reads as milliseconds.
 func (o object) requiredMilliseconds(key string) time.Duration {
-	return Milliseconds(o.requiredNumber(key))
+	return DurationFromMilliseconds(o.requiredNumber(key))
 }
 
 // optionalMilliseconds returns the time of a key, which is in milliseconds, or 0 if the key is absent.
 func (o object) optionalMilliseconds(key string) time.Duration {
-	return Milliseconds(o.optionalNumber(key))
+	return DurationFromMilliseconds(o.optionalNumber(key))
 }
 
 // positiveMillisecondsOr returns a time in milliseconds, or fallback if the key is absent. A time that is present
@@ -149,7 +149,7 @@
 	if !o.has(key) {
 		return fallback
 	}
-	return Milliseconds(o.positiveOr(key, 0))
+	return DurationFromMilliseconds(o.positiveOr(key, 0))
 }
 
 // hexadecimal returns a 64-bit number, which must be present as hexadecimal digits.
@@ -198,9 +198,9 @@
 // maxMilliseconds is a thousand hours. Only absurd figures exceed it, and they must not overflow.
 const maxMilliseconds = float64(1000 * time.Hour / time.Millisecond)
 
-// Milliseconds converts milliseconds, in which the platform writes times, into a duration. It saturates at a
+// DurationFromMilliseconds converts milliseconds, in which the platform writes times, into a duration. It saturates at a
 // thousand hours in either direction.
-func Milliseconds(ms float64) time.Duration {
+func DurationFromMilliseconds(ms float64) time.Duration {
 	bounded := min(max(ms, -maxMilliseconds), maxMilliseconds)
 	return time.Duration(math.Round(bounded * float64(time.Millisecond)))
 }
--- a/internal/config/dns.go
+++ b/internal/config/dns.go
@@ -10,18 +10,18 @@
 
 // DNS is the section for a zone that replaces discovery as the source of the endpoint list.
 type DNS struct {
-	ZoneFile            string   `toml:"zone_file"`          // master file; if empty, the zone is off
-	Origin              string   `toml:"origin"`             // origin of the zone
-	Service             string   `toml:"service"`            // the name of the SRV records
-	Journal             string   `toml:"journal"`            // holds the updates to the zone file across a restart
-	Listen              string   `toml:"listen"`             // UDP and TCP: updates, queries, transfers; empty for none
-	MaxUpdatesPerSecond float64  `toml:"updates_per_second"` // of all keys together
-	Notify              []string `toml:"notify"`             // secondaries that are sent a NOTIFY about changes
-	Keys                []DNSKey `toml:"key"`                // that updates are signed with
+	ZoneFile            string    `toml:"zone_file"`          // master file; if empty, the zone is off
+	Origin              string    `toml:"origin"`             // origin of the zone
+	Service             string    `toml:"service"`            // the name of the SRV records
+	Journal             string    `toml:"journal"`            // holds the updates to the zone file across a restart
+	Listen              string    `toml:"listen"`             // UDP and TCP: updates, queries, transfers; empty for none
+	MaxUpdatesPerSecond float64   `toml:"updates_per_second"` // of all keys together
+	Notify              []string  `toml:"notify"`             // secondaries that are sent a NOTIFY about changes
+	Keys                []TSIGKey `toml:"key"`                // that updates are signed with
 }
 
-// DNSKey is a TSIG key.
-type DNSKey struct {
+// TSIGKey is a TSIG key.
+type TSIGKey struct {
 	Name       string        `toml:"name"`
 	Algorithm  string        `toml:"algorithm"`
 	SecretFile string        `toml:"secret_file"` // file with the secret in base64, accessible only to its owner
@@ -77,7 +77,7 @@
 func (d *DNS) checkOff(file *tomlfile.File) error {
 	needsZoneFile := len(d.Keys) > 0
 	for _, key := range []string{"dns.listen", "dns.journal", "dns.origin", "dns.service"} {
-		needsZoneFile = needsZoneFile || file.Has(key)
+		needsZoneFile = needsZoneFile || file.HasKey(key)
 	}
 	if needsZoneFile {
 		return file.KeyErrorf("dns.zone_file", "is missing")
--- a/internal/config/ids.go
+++ b/internal/config/ids.go
@@ -25,7 +25,7 @@
 // KeepIDs renumbers the classes and plans of a newly read configuration, so that ids mean what they meant in
 // old. A name whose row is unchanged keeps its id. A new name, or one whose row changed, gets an id after all
 // ids of old. Old rows stay for the requests in flight under them; names that are gone admit no request. A class that
-// AddLimitClass adds must be there already.
+// AddCheckOnlyClass adds must be there already.
 func (c *Config) KeepIDs(old *Config) {
 	classes := c.classTable().withIDsOf(old.classTable())
 	c.Settings.Classes = classes.rows
--- a/internal/config/limits.go
+++ b/internal/config/limits.go
@@ -13,21 +13,21 @@
 	"fawnplank/policy"
 )
 
-// Limits is the section for the limit commands in RESP.
-type Limits struct {
+// LimitCommands is the section for the limit commands in RESP.
+type LimitCommands struct {
 	Listen         string   `toml:"listen"`        // where tools connect; if empty, the commands are off
 	AnswerTimeout  Duration `toml:"answer_within"` // time limit for an answer
 	MaxConnections int      `toml:"connections"`   // of tools, at once
 
-	TLSCertificate string     `toml:"tls_certificate"`
-	TLSKey         string     `toml:"tls_key"`
-	TLSAuthority   string     `toml:"tls_authority"` // of clients' certificates; if empty, none is requested
-	Keys           []LimitKey `toml:"key"`
+	TLSCertificate string            `toml:"tls_certificate"`
+	TLSKey         string            `toml:"tls_key"`
+	TLSAuthority   string            `toml:"tls_authority"` // of clients' certificates; if empty, none is requested
+	Keys           []LimitCommandKey `toml:"key"`
 }
 
-// LimitKey is a key that a tool presents, and its rights. If no key is configured, all tools may check and do nothing
+// LimitCommandKey is a key that a tool presents, and its rights. If no key is configured, all tools may check and do nothing
 // else. Once one is, a tool may do nothing without a key, not even check.
-type LimitKey struct {
+type LimitCommandKey struct {
 	Name       string    `toml:"name"`
 	SecretFile string    `toml:"secret_file"` // file with the secret, accessible only to its owner
 	Rights     []string  `toml:"rights"`      // check, read, reserve, change
@@ -52,17 +52,17 @@
 // name, because theirs contain no point.
 const limitClassName = "limit.check"
 
-func defaultLimits() Limits {
-	return Limits{AnswerTimeout: defaultAnswerTimeout, MaxConnections: defaultMaxConnections}
+func defaultLimits() LimitCommands {
+	return LimitCommands{AnswerTimeout: defaultAnswerTimeout, MaxConnections: defaultMaxConnections}
 }
 
 // TLS returns the certificate files for the section's address.
-func (l Limits) TLS() tlsconfig.Files {
+func (l LimitCommands) TLSFiles() tlsconfig.Files {
 	return tlsconfig.Files{Certificate: l.TLSCertificate, Key: l.TLSKey, Authority: l.TLSAuthority}
 }
 
 // checkAddress checks the address and the bounds on its connections.
-func (l *Limits) checkAddress(file *tomlfile.File) error {
+func (l *LimitCommands) checkAddress(file *tomlfile.File) error {
 	if l.Listen != "" && !isHostPort(l.Listen) {
 		return file.KeyErrorf("limits.listen", "is %q, which is no host and port", l.Listen)
 	}
@@ -76,9 +76,9 @@
 }
 
 // checkAccess checks the certificates, and reads the keys' secrets and rights.
-func (l *Limits) checkAccess(file *tomlfile.File) error {
-	if l.TLS().Enabled() {
-		if _, err := tlsconfig.New(l.TLS()); err != nil {
+func (l *LimitCommands) checkAccess(file *tomlfile.File) error {
+	if l.TLSFiles().Enabled() {
+		if _, err := tlsconfig.New(l.TLSFiles()); err != nil {
 			return file.KeyErrorf("limits.tls_certificate", "cannot be used: %v", err)
 		}
 	}
@@ -102,7 +102,7 @@
 
 // readSecret reads the key's secret. The error completes a sentence that begins with the file's key. Once the file is
 // there, one text stands for three faults and leaves out the system's error.
-func (k *LimitKey) readSecret() error {
+func (k *LimitCommandKey) readSecret() error {
 	info, err := os.Stat(k.SecretFile)
 	if err != nil {
 		return fmt.Errorf("cannot be read: %w", err)
@@ -118,7 +118,7 @@
 }
 
 // parseRights parses the key's rights. The error completes a sentence that begins with the rights' key.
-func (k *LimitKey) parseRights() error {
+func (k *LimitCommandKey) parseRights() error {
 	if len(k.Rights) == 0 {
 		return errors.New("is missing")
 	}
@@ -132,23 +132,23 @@
 	return nil
 }
 
-// AddLimitClass adds the class that only checks, which the limit commands use, to a newly read configuration.
+// AddCheckOnlyClass adds the class that only checks, which the limit commands use, to a newly read configuration.
 // It does nothing if the commands are off. It changes the configuration, and is called before KeepIDs, so that the
 // class keeps its id over a reload: a class that is added afterwards gets a new id each time, and the rows grow.
-func (c *Config) AddLimitClass(o *Operator) {
-	if o.Limits.Listen == "" {
+func (c *Config) AddCheckOnlyClass(o *OperatorSettings) {
+	if o.LimitCommands.Listen == "" {
 		return
 	}
 	c.Classes[limitClassName] = policy.ClassID(len(c.Settings.Classes))
 	c.Settings.Classes = append(c.Settings.Classes, policy.ClassSettings{
-		LatencyObjective: time.Duration(o.Limits.AnswerTimeout),
-		Deadline:         time.Duration(o.Limits.AnswerTimeout),
+		LatencyObjective: time.Duration(o.LimitCommands.AnswerTimeout),
+		Deadline:         time.Duration(o.LimitCommands.AnswerTimeout),
 		CheckOnly:        true,
 	})
 }
 
-// LimitClass returns the class that only checks; ok is false if limit commands are off.
-func (c *Config) LimitClass() (id policy.ClassID, ok bool) {
+// CheckOnlyClass returns the class that only checks; ok is false if limit commands are off.
+func (c *Config) CheckOnlyClass() (id policy.ClassID, ok bool) {
 	id, ok = c.Classes[limitClassName]
 	return id, ok
 }
--- a/internal/config/migrate.go
+++ b/internal/config/migrate.go
@@ -7,18 +7,18 @@
 
 // MigrateOptions says what Migrate reads and writes.
 type MigrateOptions struct {
-	From   string // configuration file of the old deployment; it is never changed
-	Shape  string // file of settings that replace the old ones key by key; empty for none
-	To     string // file to write; it must not exist yet
-	DryRun bool   // if set, nothing is written
+	SourceFile   string // configuration file of the old deployment; it is never changed
+	OverrideFile string // file of settings that replace the old ones key by key; empty for none
+	OutputFile   string // file to write; it must not exist yet
+	DryRun       bool   // if set, nothing is written
 }
 
 // sources names the files that the counterpart comes from.
 func (o MigrateOptions) sources() string {
-	if o.Shape == "" {
-		return o.From
+	if o.OverrideFile == "" {
+		return o.SourceFile
 	}
-	return o.From + " with " + o.Shape
+	return o.SourceFile + " with " + o.OverrideFile
 }
 
 // Loss is a part of the old configuration that its counterpart does not hold.
@@ -36,15 +36,15 @@
 // over. It writes the whole file or nothing, and only if the result is valid. Errors name the file and the key;
 // one about a key of the configuration wraps a *SettingError.
 func Migrate(o MigrateOptions) ([]Loss, error) {
-	m, err := newMigration(o.From)
+	m, err := newMigration(o.SourceFile)
 	if err != nil {
 		return nil, err
 	}
 	m.dropUnknownKeys()
 	m.dropHealthChecks()
 	m.dropKnownEndpoints()
-	if o.Shape != "" {
-		if err := m.applyShape(o.Shape); err != nil {
+	if o.OverrideFile != "" {
+		if err := m.applyShape(o.OverrideFile); err != nil {
 			return nil, err
 		}
 	}
@@ -58,7 +58,7 @@
 	if o.DryRun {
 		return m.losses, nil
 	}
-	return m.losses, writeNew(o.To, append(text, '\n'))
+	return m.losses, writeNew(o.OutputFile, append(text, '\n'))
 }
 
 // migration turns one configuration into its counterpart, and collects what is lost on the way.
--- a/internal/config/migrate_test.go
+++ b/internal/config/migrate_test.go
@@ -44,7 +44,7 @@
 
 func TestMigrate_ToTheNewShape(t *testing.T) {
 	from, to := files(t, oldConfig, newShape)
-	losses, err := Migrate(MigrateOptions{From: from[0], Shape: from[1], To: to})
+	losses, err := Migrate(MigrateOptions{SourceFile: from[0], OverrideFile: from[1], OutputFile: to})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -71,14 +71,14 @@
 		settings.Classes[0].LatencyObjective != 15e8 {
 		t.Errorf("%+v", settings)
 	}
-	if c.MemoryBytes != 96<<20 || c.Name != "n3" || c.Seed != 0x8c1f30d27a5be964 || len(c.KnownEndpoints) > 0 {
+	if c.MemoryLimitBytes != 96<<20 || c.InstanceName != "n3" || c.Seed != 0x8c1f30d27a5be964 || len(c.KnownEndpoints) > 0 {
 		t.Errorf("%+v", c)
 	}
 	if again, err := os.ReadFile(from[0]); err != nil || string(again) != oldConfig {
 		t.Error("the source has changed")
 	}
 	// Its own output has nothing left to say, but for what the shape took out.
-	if losses, err := Migrate(MigrateOptions{From: to, DryRun: true}); err != nil || len(losses) != 0 {
+	if losses, err := Migrate(MigrateOptions{SourceFile: to, DryRun: true}); err != nil || len(losses) != 0 {
 		t.Errorf("once more: %q, %v", losses, err)
 	}
 }
@@ -87,7 +87,7 @@
 // they are written.
 func TestMigrate_WithoutAShape(t *testing.T) {
 	from, to := files(t, strings.Replace(oldConfig, `"name":"n3","listen":"127.0.0.1:6379",`, "", 1))
-	losses, err := Migrate(MigrateOptions{From: from[0], To: to})
+	losses, err := Migrate(MigrateOptions{SourceFile: from[0], OutputFile: to})
 	namesListen := func(l Loss) bool { return strings.HasPrefix(l.String(), "listen: left out: GW_LISTEN") }
 	if err != nil || !slices.ContainsFunc(losses, namesListen) {
 		t.Fatalf("%q, %v", losses, err)
@@ -104,11 +104,11 @@
 
 func TestMigrate_DryRunWritesNothing(t *testing.T) {
 	from, to := files(t, oldConfig, newShape)
-	dry, err := Migrate(MigrateOptions{From: from[0], Shape: from[1], To: to, DryRun: true})
+	dry, err := Migrate(MigrateOptions{SourceFile: from[0], OverrideFile: from[1], OutputFile: to, DryRun: true})
 	if _, e := os.Stat(to); err != nil || e == nil {
 		t.Errorf("written: %v, %v", err, e)
 	}
-	if real, _ := Migrate(MigrateOptions{From: from[0], Shape: from[1], To: to}); !slices.Equal(dry, real) {
+	if real, _ := Migrate(MigrateOptions{SourceFile: from[0], OverrideFile: from[1], OutputFile: to}); !slices.Equal(dry, real) {
 		t.Errorf("said %q, did %q", dry, real)
 	}
 }
@@ -145,11 +145,11 @@
 			t.Fatalf("%q changes nothing", want)
 		}
 		from, to := files(t, config, shape)
-		options := MigrateOptions{From: from[0], Shape: from[1], To: to}
+		options := MigrateOptions{SourceFile: from[0], OverrideFile: from[1], OutputFile: to}
 		if x.of == "old" && strings.HasPrefix(want, "settings.") {
 			// The fault is seen in the counterpart, which then is to be named.
 			want = "its counterpart is not in order: " + want
-			options.Shape = ""
+			options.OverrideFile = ""
 		}
 		_, err := Migrate(options)
 		if err == nil || !strings.Contains(err.Error(), want) || !strings.Contains(err.Error(), ".json") {
@@ -171,7 +171,7 @@
 		t.Fatal(err)
 	}
 	for _, place := range []string{from[0], from[1], link, filepath.Join(to, "x")} {
-		_, err := Migrate(MigrateOptions{From: from[0], To: place})
+		_, err := Migrate(MigrateOptions{SourceFile: from[0], OutputFile: place})
 		if err == nil || !strings.Contains(err.Error(), place) {
 			t.Errorf("%s: %v", place, err)
 		}
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -9,16 +9,16 @@
 	"fawnplank/internal/tomlfile"
 )
 
-// Operator is what the operators of one installation set in addition to the platform's configuration, in a
+// OperatorSettings is what the operators of one installation set in addition to the platform's configuration, in a
 // TOML file of their own (deploy/fawnplank.toml). Every feature in it is off unless it is set. The zero value
 // sets nothing.
-type Operator struct {
-	Limits    Limits    `toml:"limits"`
-	Counter   Counter   `toml:"counter"`
-	Log       Log       `toml:"log"`
-	WarmStart WarmStart `toml:"learned"`
-	DNS       DNS       `toml:"dns"`
-	Billing   Billing   `toml:"billing"`
+type OperatorSettings struct {
+	LimitCommands LimitCommands `toml:"limits"`
+	Counter       Counter       `toml:"counter"`
+	Log           Log           `toml:"log"`
+	WarmStart     WarmStart     `toml:"learned"`
+	DNS           DNS           `toml:"dns"`
+	Billing       Billing       `toml:"billing"`
 }
 
 // WarmStart configures the file that preserves an instance's measurements of the backends across a restart,
@@ -81,9 +81,9 @@
 	maxSaveInterval     = Duration(time.Hour)
 )
 
-// ReadOperator reads a whole operator file and checks it. An empty path sets nothing. Errors name the file,
+// ReadOperatorSettings reads a whole operator file and checks it. An empty path sets nothing. Errors name the file,
 // line and key, as a *tomlfile.PositionError.
-func ReadOperator(path string) (*Operator, error) {
+func ReadOperatorSettings(path string) (*OperatorSettings, error) {
 	o := defaultOperator()
 	if path == "" {
 		return o, nil
@@ -97,10 +97,10 @@
 		return nil, err
 	}
 	for _, check := range []func(*tomlfile.File) error{ // the error names the first fault
-		o.Limits.checkAddress,
+		o.LimitCommands.checkAddress,
 		o.checkProcess,
 		o.DNS.check,
-		o.Limits.checkAccess,
+		o.LimitCommands.checkAccess,
 		o.Billing.check,
 	} {
 		if err := check(file); err != nil {
@@ -110,19 +110,19 @@
 	return o, nil
 }
 
-func defaultOperator() *Operator {
-	return &Operator{
-		Limits:    defaultLimits(),
-		Counter:   Counter{Protocol: CounterProtocolText},
-		Log:       Log{Format: DefaultLogFormat, Level: DefaultLogLevel},
-		WarmStart: WarmStart{SaveInterval: defaultSaveInterval},
-		DNS:       DNS{MaxUpdatesPerSecond: defaultMaxUpdatesPerSecond},
-		Billing:   defaultBilling(),
+func defaultOperator() *OperatorSettings {
+	return &OperatorSettings{
+		LimitCommands: defaultLimits(),
+		Counter:       Counter{Protocol: CounterProtocolText},
+		Log:           Log{Format: DefaultLogFormat, Level: DefaultLogLevel},
+		WarmStart:     WarmStart{SaveInterval: defaultSaveInterval},
+		DNS:           DNS{MaxUpdatesPerSecond: defaultMaxUpdatesPerSecond},
+		Billing:       defaultBilling(),
 	}
 }
 
 // checkProcess checks the settings of the log, the warm start and the counter's protocol.
-func (o *Operator) checkProcess(file *tomlfile.File) error {
+func (o *OperatorSettings) checkProcess(file *tomlfile.File) error {
 	if !slices.Contains(logFormats, o.Log.Format) {
 		return file.KeyErrorf("log.format", "is %q, not text or json", o.Log.Format)
 	}
--- a/internal/config/operator_test.go
+++ b/internal/config/operator_test.go
@@ -38,12 +38,12 @@
 
 func TestReadOperator(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "op.toml")
-	read := func(t *testing.T, text string) (*Operator, error) {
+	read := func(t *testing.T, text string) (*OperatorSettings, error) {
 		t.Helper()
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		return ReadOperator(path)
+		return ReadOperatorSettings(path)
 	}
 	for text, want := range operatorFiles {
 		o, err := read(t, text)
@@ -53,17 +53,17 @@
 		if want != "" && (err == nil || !strings.Contains(err.Error(), want) || !strings.Contains(err.Error(), path)) {
 			t.Errorf("%q: %v, want %q", text, err, want)
 		}
-		if err == nil && (o.Limits.MaxConnections != 64 || o.Counter.Protocol != "text") {
+		if err == nil && (o.LimitCommands.MaxConnections != 64 || o.Counter.Protocol != "text") {
 			t.Errorf("%q: %+v", text, o)
 		}
 	}
-	if o, err := ReadOperator(""); err != nil || o.Limits.Listen != "" {
+	if o, err := ReadOperatorSettings(""); err != nil || o.LimitCommands.Listen != "" {
 		t.Error(o, err)
 	}
-	if _, err := ReadOperator(path + ".none"); err == nil || !strings.Contains(err.Error(), "operator file") {
+	if _, err := ReadOperatorSettings(path + ".none"); err == nil || !strings.Contains(err.Error(), "operator file") {
 		t.Error(err)
 	}
-	if _, err := ReadOperator("../../deploy/fawnplank.toml"); err != nil {
+	if _, err := ReadOperatorSettings("../../deploy/fawnplank.toml"); err != nil {
 		t.Error(err)
 	}
 }
@@ -72,28 +72,28 @@
 // reload.
 func TestConfig_LimitClass(t *testing.T) {
 	c := mustParse(t, validConfig)
-	o, err := ReadOperator("")
+	o, err := ReadOperatorSettings("")
 	if err != nil {
 		t.Fatal(err)
 	}
-	if c.AddLimitClass(o); len(c.Classes) != 1 {
+	if c.AddCheckOnlyClass(o); len(c.Classes) != 1 {
 		t.Error("limit commands are on without an address")
 	}
-	if _, ok := c.LimitClass(); ok {
+	if _, ok := c.CheckOnlyClass(); ok {
 		t.Error("a class for limit commands that are off")
 	}
 
-	o.Limits.Listen = "127.0.0.1:1"
-	c.AddLimitClass(o)
-	id, ok := c.LimitClass()
+	o.LimitCommands.Listen = "127.0.0.1:1"
+	c.AddCheckOnlyClass(o)
+	id, ok := c.CheckOnlyClass()
 	if !ok || id != 1 || !c.Settings.Classes[1].CheckOnly || c.Settings.Classes[1].Deadline != 750e6 {
 		t.Errorf("%v %+v", id, c.Settings.Classes)
 	}
 
 	reloaded := mustParse(t, strings.Replace(validConfig, `"deadline-ms": 2000`, `"deadline-ms": 3000`, 1))
-	reloaded.AddLimitClass(o)
+	reloaded.AddCheckOnlyClass(o)
 	reloaded.KeepIDs(c)
-	if again, ok := reloaded.LimitClass(); !ok || again != id || !reloaded.Settings.Classes[again].CheckOnly {
+	if again, ok := reloaded.CheckOnlyClass(); !ok || again != id || !reloaded.Settings.Classes[again].CheckOnly {
 		t.Errorf("after a reload %v", again)
 	}
 }
--- a/internal/frontend/parser.go
+++ b/internal/frontend/parser.go
@@ -203,7 +203,7 @@
 // setRemaining sets the time until the deadline from a number of milliseconds.
 func (h *requestHead) setRemaining(milliseconds []byte) bool {
 	number, valid := parseNumber(milliseconds)
-	h.remaining = config.Milliseconds(number)
+	h.remaining = config.DurationFromMilliseconds(number)
 	h.remainingText = milliseconds
 	return valid
 }
--- a/internal/lab/scenario/parse.go
+++ b/internal/lab/scenario/parse.go
@@ -118,7 +118,7 @@
 
 // decode reads a text into the scenario, over the values that it has.
 func (s *Scenario) decode(name string, text []byte) (*tomlfile.File, error) {
-	file, deprecations, err := tomlfile.ReadRenamed(name, text, s, renamed)
+	file, deprecations, err := tomlfile.ReadWithRenames(name, text, s, renamed)
 	s.Deprecations = append(s.Deprecations, deprecations...)
 	return file, err
 }
--- a/internal/simadapter/messages.go
+++ b/internal/simadapter/messages.go
@@ -52,7 +52,9 @@
 )
 
 // instantOf and milliseconds convert the wire's times, milliseconds, to those of the engine, and back.
-func instantOf(ms float64) policy.Instant     { return monotime.FromNanos(int64(config.Milliseconds(ms))) }
+func instantOf(ms float64) policy.Instant {
+	return monotime.FromNanos(int64(config.DurationFromMilliseconds(ms)))
+}
 func instantMillis(at policy.Instant) float64 { return milliseconds(time.Duration(at.Nanos())) }
 func milliseconds(span time.Duration) float64 { return float64(span) / float64(time.Millisecond) }
 
@@ -171,7 +173,7 @@
 	m.spec.Class = policy.ClassID(f.Uint16())
 	m.spec.Plan = policy.PlanID(f.Uint32())
 	m.spec.Tenant = policy.TenantID(f.Uint64())
-	m.spec.Remaining = config.Milliseconds(f.Float64())
+	m.spec.Remaining = config.DurationFromMilliseconds(f.Float64())
 	m.spec.Units = f.Float32()
 	m.spec.EntryPoints = countOf(f.Float32())
 	m.spec.FirstInstance = countOf(f.Float32())
@@ -204,7 +206,7 @@
 	m.result.Attempt = policy.AttemptID(f.Uint8())
 	f.Uint32() // the backend: known from the attempt
 	status := f.Uint16()
-	m.result.Elapsed = config.Milliseconds(f.Float64())
+	m.result.Elapsed = config.DurationFromMilliseconds(f.Float64())
 	m.result.RequestDone = f.Uint8() != 0
 	f.Uint16() // the meter: the engine uses the counter
 	m.result.ActualUnits = float64(f.Uint16())
--- a/internal/tomlfile/rename.go
+++ b/internal/tomlfile/rename.go
@@ -41,10 +41,10 @@
 	return fmt.Sprintf("%s:%d: %s is deprecated: use %s", d.File, d.Line, d.Old, d.New)
 }
 
-// ReadRenamed decodes a text as Read does, and accepts old names for new ones. The file and all errors use the
+// ReadWithRenames decodes a text as Read does, and accepts old names for new ones. The file and all errors use the
 // new names. Each old name in use gives one deprecation, in the order of the text. A key that a text gives by
 // both names is an error.
-func ReadRenamed(name string, text []byte, into any, renames Renames) (*File, []Deprecation, error) {
+func ReadWithRenames(name string, text []byte, into any, renames Renames) (*File, []Deprecation, error) {
 	r := newRenamer(name, text, renames)
 	if err := r.walk(); err != nil {
 		return nil, nil, err
--- a/internal/tomlfile/rename_test.go
+++ b/internal/tomlfile/rename_test.go
@@ -64,7 +64,7 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			var s renamedShape
-			_, deprecations, err := ReadRenamed("f", []byte(test.text), &s, testRenames)
+			_, deprecations, err := ReadWithRenames("f", []byte(test.text), &s, testRenames)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -114,7 +114,7 @@
 		{"[traffic]\nusers = ", "f:2: "},
 	} {
 		var s renamedShape
-		_, _, err := ReadRenamed("f", []byte(test.text), &s, testRenames)
+		_, _, err := ReadWithRenames("f", []byte(test.text), &s, testRenames)
 		if err == nil || !strings.HasPrefix(err.Error(), test.want) {
 			t.Errorf("%q: %v, want %q", test.text, err, test.want)
 		}
@@ -127,8 +127,8 @@
 // TestReadRenamed_FileKnowsNewNames: a check of a value names the new key and the line of the old one.
 func TestReadRenamed_FileKnowsNewNames(t *testing.T) {
 	var s renamedShape
-	f, _, err := ReadRenamed("f", []byte("\n[traffic]\nusers = 3\n"), &s, testRenames)
-	if err != nil || !f.Has("load.tenants") || f.Has("traffic.users") {
+	f, _, err := ReadWithRenames("f", []byte("\n[traffic]\nusers = 3\n"), &s, testRenames)
+	if err != nil || !f.HasKey("load.tenants") || f.HasKey("traffic.users") {
 		t.Fatal(err)
 	}
 	if got := f.KeyErrorf("load.tenants", "is odd").Error(); got != "f:3: load.tenants is odd" {
@@ -147,7 +147,7 @@
 	}
 	f.Fuzz(func(t *testing.T, text []byte) {
 		var s renamedShape
-		if _, _, err := ReadRenamed("f", text, &s, testRenames); err != nil && !strings.HasPrefix(err.Error(), "f:") {
+		if _, _, err := ReadWithRenames("f", text, &s, testRenames); err != nil && !strings.HasPrefix(err.Error(), "f:") {
 			t.Errorf("%q: %v", text, err)
 		}
 	})
--- a/internal/tomlfile/tomlfile.go
+++ b/internal/tomlfile/tomlfile.go
@@ -2,7 +2,7 @@
 // each key, so that every error names the file, the line and the key. It also reads names that a format has
 // renamed, and reports them. It owns no settings and sets no defaults.
 //
-// Read and ReadRenamed are safe for concurrent use, and a File never changes after it has been read.
+// Read and ReadWithRenames are safe for concurrent use, and a File never changes after it has been read.
 package tomlfile
 
 import (
@@ -141,8 +141,8 @@
 	return f.errorAt(line, errors.New(strings.TrimPrefix(err.Error(), "toml: ")))
 }
 
-// Has reports whether the text contains the key.
-func (f *File) Has(key string) bool { return f.lines[key] > 0 }
+// HasKey reports whether the text contains the key.
+func (f *File) HasKey(key string) bool { return f.lines[key] > 0 }
 
 // KeyErrorf returns an error about a key: a *KeyError within a *PositionError, with the line of the key or of
 // the nearest table around it. The format and its arguments state the problem.
--- a/internal/tomlfile/tomlfile_test.go
+++ b/internal/tomlfile/tomlfile_test.go
@@ -43,7 +43,7 @@
 func TestFile_KeyErrorfNamesItsLine(t *testing.T) {
 	var s shape
 	f, err := Read("f", []byte("# a file\nname = \"a\"\n\n[[row]]\nn = 1\n[[row]]\nn = 2\n"), &s)
-	if err != nil || s.Rows[1].N != 2 || !f.Has("name") || f.Has("rate") {
+	if err != nil || s.Rows[1].N != 2 || !f.HasKey("name") || f.HasKey("rate") {
 		t.Fatal(err, s)
 	}
 	for key, want := range map[string]string{
