--- a/internal/tomlfile/rename.go
+++ b/internal/tomlfile/rename.go
@@ -8,42 +8,42 @@
 	"github.com/pelletier/go-toml/v2/unstable"
 )
 
-// Renames are the names that a format has given up and still reads. The zero value renames nothing.
+// Renames lists the deprecated names that a file format still accepts. The zero value renames nothing.
 type Renames struct {
 	Keys   []KeyRename
 	Values []ValueRename
 }
 
-// KeyRename is a key or table that has a new name.
+// KeyRename is a renamed key or table.
 type KeyRename struct {
-	Table string // the path of the table that contains the key, by its new names; "" at the top
+	Table string // path of the table that contains the key, in new names; "" for the top level
 	Old   string
 	New   string
 }
 
-// ValueRename is a word that a key takes by a new name.
+// ValueRename is a renamed string value of a key.
 type ValueRename struct {
-	Key string // the path of the key, by its new names
+	Key string // path of the key, in new names
 	Old string
 	New string
 }
 
-// Deprecation is an old name that a text uses.
+// Deprecation reports that a text uses an old name.
 type Deprecation struct {
 	File string
-	Line int // of its first use, from 1 on
+	Line int // line of the first use, counted from 1
 	Old  string
 	New  string
 }
 
-// String returns a warning that names the place, the old name and the new one.
+// String returns a warning with the file, the line, the old name and the new name.
 func (d Deprecation) String() string {
 	return fmt.Sprintf("%s:%d: %s is deprecated: use %s", d.File, d.Line, d.Old, d.New)
 }
 
-// ReadWithRenames decodes a text as Read does, and accepts old names for new ones. The file and all errors use the
-// new names. Each old name in use gives one deprecation, in the order of the text. A key that a text gives by
-// both names is an error.
+// ReadWithRenames decodes a text like Read, but also accepts old names. The returned File and all errors use the new
+// names. It returns one Deprecation for each old name in use, in the order of the text. It is an error if a text
+// gives the same key by its old and by its new name.
 func ReadWithRenames(name string, text []byte, into any, renames Renames) (*File, []Deprecation, error) {
 	r := newRenamer(name, text, renames)
 	if err := r.walk(); err != nil {
@@ -53,59 +53,59 @@
 	return file, r.deprecations, err
 }
 
-// location is a key's path by its new names.
+// location is the path of a key, in new names.
 type location struct {
-	path string // "class.deadline", for look-ups in the renames
-	row  string // "class[1].deadline", which tells the rows of an array apart
+	path        string // without row numbers, such as "class.deadline", for lookups in the renames
+	indexedPath string // with row numbers, such as "class[1].deadline"
 }
 
 func (l location) child(name string) location {
 	if l.path == "" {
-		return location{path: name, row: name}
+		return location{path: name, indexedPath: name}
 	}
-	return location{path: l.path + "." + name, row: l.row + "." + name}
+	return location{path: l.path + "." + name, indexedPath: l.indexedPath + "." + name}
 }
 
 func (l location) element(n int) location {
-	return location{path: l.path, row: fmt.Sprintf("%s[%d]", l.row, n)}
+	return location{path: l.path, indexedPath: fmt.Sprintf("%s[%d]", l.indexedPath, n)}
 }
 
-// usage is the name by which a text first gives a key.
-type usage struct {
+// firstUse records the name, old or new, that the first use of a key has in the text.
+type firstUse struct {
 	name string
 	line int
 }
 
 // edit replaces a range of the text.
 type edit struct {
-	at          unstable.Range
+	textRange   unstable.Range
 	replacement string
 }
 
-// renamer finds the old names in a text.
+// renamer replaces the old names in a text by the new names.
 type renamer struct {
 	name   string
 	text   []byte
 	parser unstable.Parser
-	keys   map[string]string            // new names, by the path that ends in the old one
-	values map[string]map[string]string // new words, by key and old word
+	keys   map[string]string            // new names, by the path that ends in the old name
+	values map[string]map[string]string // new values, by the path of the key and the old value
 
-	usages       map[string]usage // by row
-	rows         map[string]int   // elements so far of each array of tables
-	reported     map[string]bool  // old names that have a deprecation
-	edits        []edit           // in the order of the text
-	deprecations []Deprecation
+	firstUses     map[string]firstUse // by indexed path
+	elementCounts map[string]int      // number of elements so far, by the indexed path of an array of tables
+	reported      map[string]bool     // old names with a deprecation
+	edits         []edit              // in the order of the text
+	deprecations  []Deprecation
 }
 
 func newRenamer(name string, text []byte, renames Renames) *renamer {
 	r := &renamer{
-		name:     name,
-		text:     text,
-		keys:     map[string]string{},
-		values:   map[string]map[string]string{},
-		usages:   map[string]usage{},
-		rows:     map[string]int{},
-		reported: map[string]bool{},
+		name:          name,
+		text:          text,
+		keys:          map[string]string{},
+		values:        map[string]map[string]string{},
+		firstUses:     map[string]firstUse{},
+		elementCounts: map[string]int{},
+		reported:      map[string]bool{},
 	}
 	for _, key := range renames.Keys {
 		r.keys[location{path: key.Table}.child(key.Old).path] = key.New
@@ -119,8 +119,8 @@
 	return r
 }
 
-// walk collects the edits and deprecations. It stops without an error where the text is malformed: reading
-// reports that.
+// walk collects the edits and deprecations. At malformed TOML it stops without an error, because Read reports the error
+// afterwards.
 func (r *renamer) walk() error {
 	r.parser.Reset(r.text)
 	var table location
@@ -132,8 +132,8 @@
 			table, err = r.walkKey(location{}, expression)
 		case unstable.ArrayTable:
 			table, err = r.walkKey(location{}, expression)
-			r.rows[table.row]++
-			table = r.latestRow(table)
+			r.elementCounts[table.indexedPath]++
+			table = r.latestElement(table)
 		case unstable.KeyValue:
 			err = r.walkKeyValue(table, expression)
 		}
@@ -144,49 +144,49 @@
 	return nil
 }
 
-// latestRow returns the latest element if the location is an array of tables.
-func (r *renamer) latestRow(at location) location {
-	if n := r.rows[at.row]; n > 0 {
-		return at.element(n - 1)
+// latestElement returns the location of the latest element if loc is an array of tables, and loc otherwise.
+func (r *renamer) latestElement(loc location) location {
+	if n := r.elementCounts[loc.indexedPath]; n > 0 {
+		return loc.element(n - 1)
 	}
-	return at
+	return loc
 }
 
-// walkKeyValue renames a key and what its value contains.
+// walkKeyValue renames a key, and the names within its value.
 func (r *renamer) walkKeyValue(table location, keyValue *unstable.Node) error {
-	at, err := r.walkKey(table, keyValue)
+	loc, err := r.walkKey(table, keyValue)
 	if err != nil {
 		return err
 	}
-	return r.walkValue(at, keyValue.Value())
+	return r.walkValue(loc, keyValue.Value())
 }
 
 // walkKey renames the parts of a dotted key and returns its location.
 func (r *renamer) walkKey(table location, expression *unstable.Node) (location, error) {
-	at := table
+	loc := table
 	for it := expression.Key(); it.Next(); {
 		var err error
-		if at, err = r.renameKey(r.latestRow(at), it.Node()); err != nil {
-			return at, err
+		if loc, err = r.renameKey(r.latestElement(loc), it.Node()); err != nil {
+			return loc, err
 		}
 	}
-	return at, nil
+	return loc, nil
 }
 
-func (r *renamer) walkValue(at location, value *unstable.Node) error {
+func (r *renamer) walkValue(loc location, value *unstable.Node) error {
 	switch value.Kind {
 	case unstable.String:
-		r.renameValue(at, value)
+		r.renameValue(loc, value)
 	case unstable.InlineTable:
 		for it := value.Children(); it.Next(); {
-			if err := r.walkKeyValue(at, it.Node()); err != nil {
+			if err := r.walkKeyValue(loc, it.Node()); err != nil {
 				return err
 			}
 		}
 	case unstable.Array:
 		n := 0
 		for it := value.Children(); it.Next(); n++ {
-			if err := r.walkValue(at.element(n), it.Node()); err != nil {
+			if err := r.walkValue(loc.element(n), it.Node()); err != nil {
 				return err
 			}
 		}
@@ -194,43 +194,43 @@
 	return nil
 }
 
-// renameKey renames a part of a key and returns its location. It returns an error if the text also gives the
-// key by its other name.
+// renameKey renames one part of a dotted key and returns its location. It returns an error if an earlier line uses the
+// other name of the same key.
 func (r *renamer) renameKey(table location, node *unstable.Node) (location, error) {
 	name := string(node.Data)
-	at := table.child(name)
-	if renamed, ok := r.keys[at.path]; ok {
-		old := at.path
-		at = table.child(renamed)
-		r.deprecate(node, old, at.path, renamed)
+	loc := table.child(name)
+	if newName, ok := r.keys[loc.path]; ok {
+		oldPath := loc.path
+		loc = table.child(newName)
+		r.replaceOldName(node, oldPath, loc.path, newName)
 	}
 	line := r.lineOf(node)
-	first, used := r.usages[at.row]
+	first, used := r.firstUses[loc.indexedPath]
 	if !used {
-		r.usages[at.row] = usage{name: name, line: line}
-		return at, nil
+		r.firstUses[loc.indexedPath] = firstUse{name: name, line: line}
+		return loc, nil
 	}
 	if first.name != name {
-		return at, &PositionError{File: r.name, Line: line, Err: &KeyError{
-			Key:     at.row,
+		return loc, &PositionError{File: r.name, Line: line, Err: &KeyError{
+			Key:     loc.indexedPath,
 			Problem: fmt.Sprintf("is given as %q in line %d and as %q here: keep one", first.name, first.line, name),
 		}}
 	}
-	return at, nil
+	return loc, nil
 }
 
 func (r *renamer) renameValue(key location, node *unstable.Node) {
-	old := string(node.Data)
-	renamed, ok := r.values[key.path][old]
+	oldValue := string(node.Data)
+	newValue, ok := r.values[key.path][oldValue]
 	if !ok {
 		return
 	}
-	r.deprecate(node, fmt.Sprintf("%s = %q", key.path, old), strconv.Quote(renamed), strconv.Quote(renamed))
+	r.replaceOldName(node, fmt.Sprintf("%s = %q", key.path, oldValue), strconv.Quote(newValue), strconv.Quote(newValue))
 }
 
-// deprecate replaces a node and reports the first use of its old name.
-func (r *renamer) deprecate(node *unstable.Node, oldName, newName, replacement string) {
-	r.edits = append(r.edits, edit{at: node.Raw, replacement: replacement})
+// replaceOldName records an edit that replaces a node, and a deprecation for the first use of the old name.
+func (r *renamer) replaceOldName(node *unstable.Node, oldName, newName, replacement string) {
+	r.edits = append(r.edits, edit{textRange: node.Raw, replacement: replacement})
 	if r.reported[oldName] {
 		return
 	}
@@ -242,15 +242,15 @@
 
 func (r *renamer) lineOf(node *unstable.Node) int { return r.parser.Shape(node.Raw).Start.Line }
 
-// renamedText returns the text with all edits made. Names and words have no line breaks, so that lines stay
-// where they are.
+// renamedText returns the text with all edits applied. New names and values contain no line breaks, so the line numbers
+// do not change.
 func (r *renamer) renamedText() []byte {
 	var text bytes.Buffer
 	end := 0
 	for _, e := range r.edits {
-		text.Write(r.text[end:e.at.Offset])
+		text.Write(r.text[end:e.textRange.Offset])
 		text.WriteString(e.replacement)
-		end = int(e.at.Offset + e.at.Length)
+		end = int(e.textRange.Offset + e.textRange.Length)
 	}
 	text.Write(r.text[end:])
 	return text.Bytes()
--- a/internal/tomlfile/rename_test.go
+++ b/internal/tomlfile/rename_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// renamedShape is the type that texts with old and new names are read into.
-type renamedShape struct {
+// renamedDocument is the decoded form of the test texts. Its tags are the new names.
+type renamedDocument struct {
 	Load struct {
 		Tenants int `toml:"tenants"`
 	} `toml:"load"`
@@ -27,7 +27,7 @@
 	Values: []ValueRename{{Key: "row.kind", Old: "small", New: "little"}},
 }
 
-func TestReadRenamed_AcceptsOldNames(t *testing.T) {
+func TestReadWithRenames_AcceptsOldNames(t *testing.T) {
 	for _, test := range []struct {
 		name, text string
 		want       []string // the deprecations
@@ -63,7 +63,7 @@
 		},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			var s renamedShape
+			var s renamedDocument
 			_, deprecations, err := ReadWithRenames("f", []byte(test.text), &s, testRenames)
 			if err != nil {
 				t.Fatal(err)
@@ -82,7 +82,7 @@
 	}
 }
 
-func TestReadRenamed_ErrorNamesItsLine(t *testing.T) {
+func TestReadWithRenames_ErrorNamesLine(t *testing.T) {
 	for _, test := range []struct{ text, want string }{
 		{
 			"[traffic]\nusers = 1\n[load]\ntenants = 2",
@@ -113,20 +113,21 @@
 		{"[traffic]\nspeed = 1", "f:2: unknown key load.speed"},
 		{"[traffic]\nusers = ", "f:2: "},
 	} {
-		var s renamedShape
+		var s renamedDocument
 		_, _, err := ReadWithRenames("f", []byte(test.text), &s, testRenames)
 		if err == nil || !strings.HasPrefix(err.Error(), test.want) {
 			t.Errorf("%q: %v, want %q", test.text, err, test.want)
 		}
-		if at, ok := errors.AsType[*PositionError](err); !ok || at.File != "f" || at.Line == 0 {
-			t.Errorf("%q: %v has no place", test.text, err)
+		if positionErr, ok := errors.AsType[*PositionError](err); !ok || positionErr.File != "f" || positionErr.Line == 0 {
+			t.Errorf("%q: %v is not a PositionError with a file and a line", test.text, err)
 		}
 	}
 }
 
-// TestReadRenamed_FileKnowsNewNames: a check of a value names the new key and the line of the old one.
-func TestReadRenamed_FileKnowsNewNames(t *testing.T) {
-	var s renamedShape
+// TestReadWithRenames_FileUsesNewNames checks that the File holds the new names, and that an error about a new name has
+// the line of the old name.
+func TestReadWithRenames_FileUsesNewNames(t *testing.T) {
+	var s renamedDocument
 	f, _, err := ReadWithRenames("f", []byte("\n[traffic]\nusers = 3\n"), &s, testRenames)
 	if err != nil || !f.HasKey("load.tenants") || f.HasKey("traffic.users") {
 		t.Fatal(err)
@@ -136,8 +137,9 @@
 	}
 }
 
-// FuzzReadRenamed holds that any text gives a value or an error with the text's name, and never a panic.
-func FuzzReadRenamed(f *testing.F) {
+// FuzzReadWithRenames checks that every text yields a value or an error that starts with the name of the text, and that
+// none causes a panic.
+func FuzzReadWithRenames(f *testing.F) {
 	for _, text := range []string{
 		"", "traffic = 1", "[[line]]\nsort = \"small\"\n", "line = [{sort = \"small\"}, [{}]]",
 		"[traffic.users]\n", "[[line.sort]]",
@@ -146,7 +148,7 @@
 		f.Add([]byte(text))
 	}
 	f.Fuzz(func(t *testing.T, text []byte) {
-		var s renamedShape
+		var s renamedDocument
 		if _, _, err := ReadWithRenames("f", text, &s, testRenames); err != nil && !strings.HasPrefix(err.Error(), "f:") {
 			t.Errorf("%q: %v", text, err)
 		}
--- a/internal/tomlfile/tomlfile.go
+++ b/internal/tomlfile/tomlfile.go
@@ -1,8 +1,8 @@
-// Package tomlfile decodes TOML texts (toml.io, version 1.0) strictly into Go values. It records the line of
-// each key, so that every error names the file, the line and the key. It also reads names that a format has
-// renamed, and reports them. It owns no settings and sets no defaults.
+// Package tomlfile decodes TOML texts (toml.io, version 1.0) strictly into Go values. It records the line of each key,
+// so that errors name the file, the line and the key. It also accepts the old names of renamed keys and values, and
+// reports their use. It defines no settings and sets no defaults.
 //
-// Read and ReadWithRenames are safe for concurrent use, and a File never changes after it has been read.
+// Read and ReadWithRenames are safe for concurrent use. A File is immutable.
 package tomlfile
 
 import (
@@ -15,14 +15,15 @@
 	"github.com/pelletier/go-toml/v2/unstable"
 )
 
-// PositionError is an error at a position in a text. It concerns the form of the text, or wraps a KeyError.
+// PositionError is an error at a position in a text. It wraps a KeyError, or an error that does not concern the value
+// of a key, such as malformed TOML or an unknown key.
 type PositionError struct {
 	File string
-	Line int // counted from 1; 0 if no line is known
+	Line int // counted from 1; 0 if the line is unknown
 	Err  error
 }
 
-// Error returns "file:line: what", or "file: what" if no line is known.
+// Error returns "file:line: error", or "file: error" if the line is unknown.
 func (e *PositionError) Error() string {
 	if e.Line == 0 {
 		return fmt.Sprintf("%s: %v", e.File, e.Err)
@@ -33,27 +34,27 @@
 // Unwrap returns the error without its position.
 func (e *PositionError) Unwrap() error { return e.Err }
 
-// KeyError is a fault in the value of a key.
+// KeyError is an error in the value of a key.
 type KeyError struct {
-	Key     string // with its path, as in limits.key[0].name
-	Problem string // completes a sentence that begins with the key: "is not from 1 to 10"
+	Key     string // the full path of the key, such as limits.key[0].name
+	Problem string // predicate of a sentence whose subject is the key, such as "is not from 1 to 10"
 }
 
-// Error returns the key and its problem.
+// Error returns the key, followed by the problem.
 func (e *KeyError) Error() string { return e.Key + " " + e.Problem }
 
-// File is a completely read text, with the lines of its keys.
+// File holds the name of a decoded text and the lines of its keys.
 type File struct {
 	name  string
-	lines map[string]int // from 1 on, by full path: "load.rate", "class[1].deadline"
+	lines map[string]int // counted from 1, by full path, such as "load.rate" or "class[1].deadline"
 }
 
-// Read decodes the text strictly into the value that into points to. An unknown key, a key that appears
-// twice, a value of the wrong type and a truncated text are errors. Messages refer to the text by name.
-// Errors are of type *PositionError.
+// Read decodes a text strictly into the value that into points to. Unknown keys, duplicate keys, values of the wrong
+// type and truncated texts are errors. Error messages contain name as the name of the file. Errors are of type
+// *PositionError.
 func Read(name string, text []byte, into any) (*File, error) {
 	f := &File{name: name, lines: map[string]int{}}
-	if err := f.index(text); err != nil {
+	if err := f.indexLines(text); err != nil {
 		return nil, err
 	}
 	decoder := toml.NewDecoder(bytes.NewReader(text))
@@ -63,7 +64,7 @@
 	return f, nil
 }
 
-// decodeError converts an error of the decoder to the form of this package.
+// decodeError converts an error of the decoder to a *PositionError.
 func (f *File) decodeError(err error) error {
 	var missing *toml.StrictMissingError
 	if errors.As(err, &missing) && len(missing.Errors) > 0 {
@@ -71,14 +72,14 @@
 		line, _ := unknown.Position()
 		return f.errorAt(line, fmt.Errorf("unknown key %s", strings.Join(unknown.Key(), ".")))
 	}
-	var fault *toml.DecodeError
-	if errors.As(err, &fault) {
-		line, _ := fault.Position()
-		what := strings.TrimPrefix(fault.Error(), "toml: ")
-		if key := strings.Join(fault.Key(), "."); key != "" && !strings.Contains(what, key) {
-			what = key + ": " + what
+	var decodeErr *toml.DecodeError
+	if errors.As(err, &decodeErr) {
+		line, _ := decodeErr.Position()
+		message := strings.TrimPrefix(decodeErr.Error(), "toml: ")
+		if key := strings.Join(decodeErr.Key(), "."); key != "" && !strings.Contains(message, key) {
+			message = key + ": " + message
 		}
-		return f.errorAt(line, errors.New(what))
+		return f.errorAt(line, errors.New(message))
 	}
 	return f.errorAt(0, err)
 }
@@ -87,12 +88,12 @@
 	return &PositionError{File: f.name, Line: line, Err: err}
 }
 
-// index records the line of each key. It rejects what the decoder lets pass: a key that appears twice within
-// a table of an array.
-func (f *File) index(text []byte) error {
+// indexLines records the line of each key. It rejects duplicate keys, since the decoder does not detect a duplicate key
+// within a table of an array.
+func (f *File) indexLines(text []byte) error {
 	var parser unstable.Parser
 	parser.Reset(text)
-	prefix := "" // of the table that contains the next keys
+	prefix := "" // path prefix of the keys in the current table
 	rows := map[string]int{}
 	for parser.NextExpression() {
 		expression := parser.Expression()
@@ -130,30 +131,30 @@
 	return strings.Join(names, "."), line
 }
 
-// parseError converts an error of the parser to the form of this package. An error without a position comes
-// from a truncated text.
+// parseError converts an error of the parser to a *PositionError. An error without a position comes from a truncated
+// text, so it gets the last line.
 func (f *File) parseError(parser *unstable.Parser, text []byte, err error) error {
 	line := bytes.Count(text, []byte("\n")) + 1
-	var at *unstable.ParserError
-	if errors.As(err, &at) && len(at.Highlight) > 0 {
-		line = parser.Shape(parser.Range(at.Highlight)).Start.Line
+	var parserError *unstable.ParserError
+	if errors.As(err, &parserError) && len(parserError.Highlight) > 0 {
+		line = parser.Shape(parser.Range(parserError.Highlight)).Start.Line
 	}
 	return f.errorAt(line, errors.New(strings.TrimPrefix(err.Error(), "toml: ")))
 }
 
-// HasKey reports whether the text contains the key.
+// HasKey reports whether the text sets a key, given by its full path.
 func (f *File) HasKey(key string) bool { return f.lines[key] > 0 }
 
-// KeyErrorf returns an error about a key: a *KeyError within a *PositionError, with the line of the key or of
-// the nearest table around it. The format and its arguments state the problem.
+// KeyErrorf returns an error about a key: a *PositionError that wraps a *KeyError. Its line is that of the key, or of
+// the innermost enclosing table if the text does not set the key. The format and its arguments yield the problem.
 func (f *File) KeyErrorf(key, format string, args ...any) error {
-	at := key
-	for f.lines[at] == 0 {
-		dot := strings.LastIndexByte(at, '.')
+	nearest := key
+	for f.lines[nearest] == 0 {
+		dot := strings.LastIndexByte(nearest, '.')
 		if dot < 0 {
 			break
 		}
-		at = at[:dot]
+		nearest = nearest[:dot]
 	}
-	return f.errorAt(f.lines[at], &KeyError{Key: key, Problem: fmt.Sprintf(format, args...)})
+	return f.errorAt(f.lines[nearest], &KeyError{Key: key, Problem: fmt.Sprintf(format, args...)})
 }
--- a/internal/tomlfile/tomlfile_test.go
+++ b/internal/tomlfile/tomlfile_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// shape is the type that the tests read texts into.
-type shape struct {
+// document is the decoded form of the test texts.
+type document struct {
 	Name string  `toml:"name"`
 	Rate float64 `toml:"rate"`
 	Rows []struct {
@@ -15,7 +15,7 @@
 	} `toml:"row"`
 }
 
-func TestRead_ErrorNamesItsLine(t *testing.T) {
+func TestRead_ErrorNamesLine(t *testing.T) {
 	for text, want := range map[string]string{
 		"name = \"a\"\nrate = \"fast\"":        "f:2: ",
 		"name = \"a\"\n\nspeed = 3":            "f:3: unknown key speed",
@@ -29,19 +29,19 @@
 		"row = 3":                              "f:1: ",
 		"name = \"\xff\"":                      "f:1: ",
 	} {
-		var s shape
+		var s document
 		_, err := Read("f", []byte(text), &s)
 		if err == nil || !strings.HasPrefix(err.Error(), want) {
 			t.Errorf("%q: %v, want %q", text, err, want)
 		}
-		if at, ok := errors.AsType[*PositionError](err); !ok || at.File != "f" || at.Line == 0 {
-			t.Errorf("%q: %v has no place", text, err)
+		if positionErr, ok := errors.AsType[*PositionError](err); !ok || positionErr.File != "f" || positionErr.Line == 0 {
+			t.Errorf("%q: %v is not a PositionError with a file and a line", text, err)
 		}
 	}
 }
 
-func TestFile_KeyErrorfNamesItsLine(t *testing.T) {
-	var s shape
+func TestFile_KeyErrorfNamesLine(t *testing.T) {
+	var s document
 	f, err := Read("f", []byte("# a file\nname = \"a\"\n\n[[row]]\nn = 1\n[[row]]\nn = 2\n"), &s)
 	if err != nil || s.Rows[1].N != 2 || !f.HasKey("name") || f.HasKey("rate") {
 		t.Fatal(err, s)
@@ -56,8 +56,8 @@
 		if err.Error() != want {
 			t.Errorf("%q, want %q", err, want)
 		}
-		if fault, ok := errors.AsType[*KeyError](err); !ok || fault.Key != key {
-			t.Errorf("%q is no error of the key %s", err, key)
+		if keyErr, ok := errors.AsType[*KeyError](err); !ok || keyErr.Key != key {
+			t.Errorf("%q is not a KeyError for the key %s", err, key)
 		}
 	}
 	if _, err := Read("f", nil, &s); err != nil {
@@ -65,7 +65,8 @@
 	}
 }
 
-// FuzzRead holds that any text gives a value or an error with the text's name, and never a panic.
+// FuzzRead checks that every text yields a value or an error that starts with the name of the text, and that none
+// causes a panic.
 func FuzzRead(f *testing.F) {
 	for _, text := range []string{
 		"", "name = 1", "[[row]]\nn = 1\n", "a.b.c = {x = 1}", "[a]\n[a]\n", "x = [1,\n2",
@@ -73,7 +74,7 @@
 		f.Add([]byte(text))
 	}
 	f.Fuzz(func(t *testing.T, text []byte) {
-		var s shape
+		var s document
 		if _, err := Read("f", text, &s); err != nil && !strings.HasPrefix(err.Error(), "f:") {
 			t.Errorf("%q: %v", text, err)
 		}
