--- a/internal/config/billing.go
+++ b/internal/config/billing.go
@@ -9,35 +9,36 @@
 	"fawnplank/internal/tomlfile"
 )
 
-// Billing is the section for plan changes, reservations and exported usage, which need the replicated store.
+// Billing is the section of the operator file for plan changes, reservations and the export of usage. All three need
+// the replicated store.
 type Billing struct {
 	Enabled          bool     `toml:"on"`
-	WindowLength     Duration `toml:"window"`        // length of the windows by which usage is billed
-	PlanChangeNotice Duration `toml:"lead"`          // from a change becoming known until it takes effect
-	ClockSkew        Duration `toml:"clock_skew"`    // the most that two instances' clocks may differ
-	MaxLease         Duration `toml:"lease"`         // the longest lease that a reservation may have
-	ExportDelay      Duration `toml:"late"`          // from the end of a window until its export
-	ReportInterval   Duration `toml:"report_every"`  // between two reports of an instance's usage
-	ExportFolder     string   `toml:"export_folder"` // receives the records; empty for none
-	ExportURL        string   `toml:"export_url"`    // receives the records by http or https; empty for none
+	WindowLength     Duration `toml:"window"`        // length of a billing window
+	PlanChangeNotice Duration `toml:"lead"`          // time between the announcement of a plan change and its effect
+	ClockSkew        Duration `toml:"clock_skew"`    // largest difference between the clocks of two instances
+	MaxLease         Duration `toml:"lease"`         // longest lease of a reservation
+	ExportDelay      Duration `toml:"late"`          // time between the end of a window and its export
+	ReportInterval   Duration `toml:"report_every"`  // interval between two usage reports of an instance
+	ExportFolder     string   `toml:"export_folder"` // directory for the exported records; empty for none
+	ExportURL        string   `toml:"export_url"`    // http or https URL for the exported records; empty for none
 }
 
 const (
-	defaultWindow = Duration(time.Hour)
-	// defaultChangeNotice is twice the 5 s that a write may wait for the election of a leader.
-	defaultChangeNotice = Duration(10 * time.Second)
-	// defaultClockSkew is well above the difference between clocks that NTP keeps.
+	defaultWindowLength = Duration(time.Hour)
+	// defaultPlanChangeNotice is twice the 5 s that a write may wait for the election of a leader.
+	defaultPlanChangeNotice = Duration(10 * time.Second)
+	// defaultClockSkew is well above the clock difference between hosts that NTP synchronizes.
 	defaultClockSkew   = Duration(time.Second)
 	defaultMaxLease    = Duration(10 * time.Minute)
 	defaultExportDelay = Duration(time.Minute)
-	// defaultReportInterval bounds what is lost: usage of up to this time, if an instance is killed.
+	// defaultReportInterval bounds the loss when an instance is killed: the usage of at most this time.
 	defaultReportInterval = Duration(time.Second)
 )
 
 func defaultBilling() Billing {
 	return Billing{
-		WindowLength:     defaultWindow,
-		PlanChangeNotice: defaultChangeNotice,
+		WindowLength:     defaultWindowLength,
+		PlanChangeNotice: defaultPlanChangeNotice,
 		ClockSkew:        defaultClockSkew,
 		MaxLease:         defaultMaxLease,
 		ExportDelay:      defaultExportDelay,
@@ -45,7 +46,7 @@
 	}
 }
 
-// Settings returns the accounts' settings, except for the plans.
+// Settings returns the settings of the billing accounts. It leaves out the plans, which the caller adds.
 func (b Billing) Settings() billing.Settings {
 	return billing.Settings{
 		WindowNanos:           int64(b.WindowLength),
@@ -77,7 +78,8 @@
 	return b.checkExport(file)
 }
 
-// checkExport checks that at most one place receives the records, and that this place is usable.
+// checkExport checks that at most one destination for the records is set, and that it is a directory or an http
+// address.
 func (b *Billing) checkExport(file *tomlfile.File) error {
 	if b.ExportFolder != "" && b.ExportURL != "" {
 		return file.KeyErrorf("billing.export_url", "stands beside export_folder; one of them receives")
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,18 +1,17 @@
-// Package config is the one place where configuration is read, checked and given its defaults. It reads three
-// things:
+// Package config reads and checks all configuration and sets its defaults. It reads three sources:
 //
-//   - the platform's configuration of an instance, a JSON file (Read, Config), with rows of the replicated
-//     store laid over it (Overlay);
-//   - the platform's settings in that configuration, in the form that the decisions need (ParseSettings,
+//   - the platform's configuration of an instance, a JSON file (Read, Config), with the rows of the
+//     replicated store merged into it (Overlay);
+//   - the platform's settings in that configuration, converted to the input of package policy (ParseSettings,
 //     policy.Settings);
-//   - the operators' own file, in TOML (ReadOperatorSettings, OperatorSettings).
+//   - the operator file, in TOML (ReadOperatorSettings, OperatorSettings).
 //
 // Migrate turns a configuration of the old deployment into one for the new deployment. Every error names the
-// file and the key. The package makes no decisions, and no other package reads configuration, whether from a
-// file or from the environment.
+// file and the key. The package makes no admission or routing decisions. No other package reads configuration
+// from a file or from the environment.
 //
 // All functions are safe for concurrent use. A Config and an OperatorSettings are values without locks: the caller
-// that read one may change it until it shares it.
+// that read such a value may modify it until it shares it with other goroutines.
 package config
 
 import (
@@ -25,37 +24,38 @@
 	"fawnplank/policy"
 )
 
-// Config is what an instance of the gateway receives from the platform when it starts.
+// Config is the configuration that the platform passes to an instance of the gateway at startup.
 type Config struct {
-	InstanceName      string // name of the instance
-	Listen            string // host and port where clients connect
+	InstanceName      string
+	Listen            string // host and port for client connections
 	Discovery         string // host and port of the discovery service
 	Counter           string // host and port of the shared counter; empty if there is none
-	ManagementAddress string // host and port of the management calls; empty if there are none
-	ListenerFD        int    // a listener handed down by the parent process; -1 if there is none
+	ManagementAddress string // host and port for management calls; empty if they are disabled
+	ListenerFD        int    // descriptor of a listener inherited from the parent process; -1 if there is none
 
-	Seed             uint64 // seeds the random choices
-	MemoryLimitBytes int64  // memory that the process may use
-	MaxSockets       int    // sockets that the process may have open
+	Seed             uint64 // seed of the random number generator
+	MemoryLimitBytes int64  // most memory that the process may use
+	MaxSockets       int    // most sockets that the process may have open
 
-	// KnownEndpoints is the last known endpoint list, in discovery's form. It is empty if there is none.
+	// KnownEndpoints is the last known endpoint list, in the JSON format of the discovery service. It is empty if
+	// no list is known.
 	KnownEndpoints json.RawMessage
-	// Settings is the input of the decisions. Classes and Plans map the names of its rows to their ids.
+	// Settings is the input of package policy. Classes and Plans map the names of its classes and plans to their ids.
 	Settings policy.Settings
 	Classes  map[string]policy.ClassID
 	Plans    map[string]policy.PlanID
-	Zones    []string // the names of zones, by id
+	Zones    []string // zone names, indexed by policy.ZoneID
 
-	IdleTimeout    time.Duration // after which a backend closes an idle connection
-	ConnectTimeout time.Duration // for a connection to a backend or the counter
-	// UnknownKeys are the keys of the file that have no meaning, with their paths, in order: a misspelled key has no
-	// effect.
+	IdleTimeout    time.Duration // time after which a backend closes an idle connection
+	ConnectTimeout time.Duration // limit for opening a connection to a backend or the counter
+	// UnknownKeys lists, in order, the paths of keys in the file that are not defined. Such a key has no effect. The
+	// list lets a caller report keys that may be misspelled.
 	UnknownKeys []string
-	MaxUnits    float64 // units that one request may count at most
+	MaxUnits    float64 // most units that one request may use
 }
 
-// Defaults for what the configuration may leave out. The limits are the example figures of the deployment
-// page; the other values are the platform's.
+// Defaults of optional keys. The defaults of memory and sockets are the example figures of the deployment page;
+// the other defaults are those of the platform.
 const (
 	defaultMemoryMebibytes = 192
 	defaultMaxSockets      = 1024
@@ -64,19 +64,19 @@
 	defaultMaxUnits        = 1e6
 )
 
-// bytesPerMebibyte converts the unit of the key for memory into bytes.
+// bytesPerMebibyte converts the value of the key memory_mb to bytes.
 const bytesPerMebibyte = 1 << 20
 
-// minSockets covers the program's own descriptors, plus a few for clients and a few for backends.
+// minSockets covers the descriptors of the process itself, plus a few for clients and a few for backends.
 const minSockets = 64
 
-// ErrNoFile is the error that Read returns if nothing names a configuration file.
+// ErrNoFile is the error that Read returns if neither the path nor GW_CONFIG names a configuration file.
 var ErrNoFile = errors.New("configuration: no file: neither a flag nor GW_CONFIG names one")
 
 // Read reads the configuration from the file at path, or from the file that GW_CONFIG names if path is empty,
-// and applies the overlay's rows to it. GW_NAME, GW_LISTEN, GW_DISCOVERY and GW_MGMT replace keys that the
-// file leaves out; GW_SOCKET_FD or SOCKET_FD names a listener that was handed to the process. An error about
-// a key is a *SettingError.
+// and applies the overlay's rows to it. GW_NAME, GW_LISTEN, GW_DISCOVERY and GW_MGMT supply keys that are
+// missing in the file; GW_SOCKET_FD or SOCKET_FD gives the descriptor of an inherited listener. An error about a
+// key is a *SettingError.
 func Read(path string, overlay Overlay) (*Config, error) {
 	if path == "" {
 		path = os.Getenv("GW_CONFIG")
@@ -103,10 +103,10 @@
 	return c, nil
 }
 
-// parse parses a configuration's text. If several keys are faulty, the error names the first one read, so the
-// order of the reads below determines which message appears.
+// parse parses the text of a configuration. If several keys are invalid, the error names the key that is read
+// first, so the order of the reads in readConfig determines which message appears.
 func parse(text []byte, getenv func(string) string) (*Config, error) {
-	var raw map[string]json.RawMessage // keeps the bytes of keyKnownEndpoints, which discovery decodes
+	var raw map[string]json.RawMessage // keeps the bytes of keyKnownEndpoints, which package discovery decodes
 	if err := json.Unmarshal(text, &raw); err != nil {
 		return nil, fmt.Errorf("no JSON object: %w", err)
 	}
@@ -114,7 +114,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("no JSON object: %w", err)
 	}
-	for key, name := range environmentNames {
+	for key, name := range environmentVariables {
 		if !top.has(key) && getenv(name) != "" {
 			top.fields[key] = getenv(name)
 		}
@@ -125,8 +125,8 @@
 	return c, top.err()
 }
 
-// readConfig reads the fields of a configuration, except for the endpoint list.
-func readConfig(top object) *Config {
+// readConfig reads all fields of a configuration except KnownEndpoints and UnknownKeys, which parse sets.
+func readConfig(top jsonObject) *Config {
 	limits := top.optionalObject(keyLimits)
 	settings := top.requiredObject(keySettings)
 	c := &Config{
@@ -137,30 +137,30 @@
 		ListenerFD:        -1,
 		Settings:          readSettings(settings),
 		MemoryLimitBytes:  readMemoryBytes(limits),
-		MaxSockets:        clampToCount(limits.positiveOr(keySockets, defaultMaxSockets)),
+		MaxSockets:        clampToCount(limits.positiveNumberOr(keySockets, defaultMaxSockets)),
 		Zones:             settings.optionalStrings(keyZones),
 	}
-	c.Seed = top.hexadecimal("seed")
+	c.Seed = top.requiredHexadecimal("seed")
 	c.Counter = readCounterAddress(top, c.Settings.CounterEnabled)
 	permissions := settings.requiredObject(keyPermissions)
 	c.IdleTimeout = permissions.positiveMillisecondsOr("conn-idle-ms", defaultIdleTimeout)
 	c.ConnectTimeout = permissions.positiveMillisecondsOr("connect-timeout-ms", defaultConnectTimeout)
-	c.MaxUnits = settings.optionalObject(keyRequests).positiveOr("max-units", defaultMaxUnits)
+	c.MaxUnits = settings.optionalObject(keyRequests).positiveNumberOr("max-units", defaultMaxUnits)
 	c.Classes = idsByName[policy.ClassID](settings.requiredRows(keyClasses))
 	c.Plans = idsByName[policy.PlanID](settings.requiredRows(keyPlans))
 	if c.MaxSockets < minSockets {
-		limits.failf(keySockets, "is below %d", minSockets)
+		limits.recordErrorf(keySockets, "is below %d", minSockets)
 	}
 	return c
 }
 
-func readMemoryBytes(limits object) int64 {
-	mebibytes := clampToCount(limits.positiveOr("memory_mb", defaultMemoryMebibytes))
+func readMemoryBytes(limits jsonObject) int64 {
+	mebibytes := clampToCount(limits.positiveNumberOr("memory_mb", defaultMemoryMebibytes))
 	return int64(mebibytes) * bytesPerMebibyte
 }
 
-// readCounterAddress reads the address of the shared counter, which must be present if the counter is enabled.
-func readCounterAddress(top object, enabled bool) string {
+// readCounterAddress reads the address of the shared counter. The key is required if the counter is enabled.
+func readCounterAddress(top jsonObject, enabled bool) string {
 	if enabled {
 		return top.requiredAddress(keyCounter)
 	}
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -11,7 +11,7 @@
 	"fawnplank/policy"
 )
 
-// validConfig sets every kind of field; tests replace parts of it.
+// validConfig sets at least one field of each kind; tests replace parts of it.
 const validConfig = `{"name":"n3","listen":"127.0.0.1:6379","discovery":"127.0.0.1:8500","seed":"8c1f30d27a5be964",
 	"limits":{"cores":1.0,"memory_mb":192,"sockets":1024},"counter":"127.0.0.1:6400",
 	"known":{"index":41,"snapshot":true,"endpoints":[]},
@@ -24,11 +24,11 @@
 		"group": "cell", "window-ms": 5000}],
 	"tariffs": [{"name": "team", "quota-rate": 2, "peak-units": 5, "parallel": 4, "cap-rate": 9}]}}`
 
-// emptyEnvironment has no variables.
+// emptyEnvironment is an environment without variables.
 func emptyEnvironment(string) string { return "" }
 
-// mustParse parses a configuration that has to be in order.
-func mustParse(t *testing.T, text string) *Config {
+// parseValid parses a configuration and fails the test if it is invalid.
+func parseValid(t *testing.T, text string) *Config {
 	t.Helper()
 	c, err := parse([]byte(text), emptyEnvironment)
 	if err != nil {
@@ -37,8 +37,8 @@
 	return c
 }
 
-func TestParse_ReadsEveryField(t *testing.T) {
-	c := mustParse(t, validConfig)
+func TestParse_ReadsFields(t *testing.T) {
+	c := parseValid(t, validConfig)
 	class := c.Settings.Classes[c.Classes["lookup"]]
 	plan := c.Settings.Plans[c.Plans["team"]]
 	for _, field := range []struct {
@@ -68,7 +68,7 @@
 	}
 }
 
-func TestParse_FaultNamesTheKey(t *testing.T) {
+func TestParse_ErrorNamesKey(t *testing.T) {
 	for want, change := range map[string][2]string{
 		"no JSON object":                 {`{"name"`, `["name"`},
 		"name is missing":                {`"name":"n3",`, ``},
@@ -97,13 +97,13 @@
 		if want == "no JSON object" {
 			continue
 		}
-		if fault, ok := errors.AsType[*SettingError](err); !ok || fault.Key == "" || fault.Problem == "" {
-			t.Errorf("%q: %v is no error of a key", want, err)
+		if settingErr, ok := errors.AsType[*SettingError](err); !ok || settingErr.Key == "" || settingErr.Problem == "" {
+			t.Errorf("%q: %v is not a SettingError with a key and a problem", want, err)
 		}
 	}
 }
 
-func TestRead_DefaultsAndEnvironment(t *testing.T) {
+func TestRead_AppliesDefaultsAndEnvironment(t *testing.T) {
 	text := strings.Replace(validConfig, `"limits":{"cores":1.0,"memory_mb":192,"sockets":1024},`, "", 1)
 	text = strings.Replace(text, `"listen":"127.0.0.1:6379",`, "", 1)
 	path := filepath.Join(t.TempDir(), "config.json")
@@ -112,7 +112,7 @@
 	}
 	t.Setenv("GW_CONFIG", path)
 	t.Setenv("GW_LISTEN", "127.0.0.9:1")
-	t.Setenv("GW_NAME", "other") // the file's own word goes first
+	t.Setenv("GW_NAME", "other") // the name in the file takes precedence
 	c, err := Read("", Overlay{})
 	if err != nil || c.Listen != "127.0.0.9:1" || c.InstanceName != "n3" || c.MaxSockets != defaultMaxSockets ||
 		c.MemoryLimitBytes != defaultMemoryMebibytes<<20 {
@@ -120,44 +120,44 @@
 	}
 	t.Setenv("GW_CONFIG", "")
 	if _, err := Read("", Overlay{}); !errors.Is(err, ErrNoFile) {
-		t.Errorf("no file: %v", err)
+		t.Errorf("without a file: %v, want ErrNoFile", err)
 	}
 	if _, err := Read(path+"x", Overlay{}); !errors.Is(err, os.ErrNotExist) {
-		t.Errorf("a missing file: %v", err)
+		t.Errorf("a missing file: %v, want ErrNotExist", err)
 	}
 }
 
-// TestParse_RefusesBrokenFiles: of a broken file nothing is used.
-func TestParse_RefusesBrokenFiles(t *testing.T) {
+// TestParse_RejectsInvalidConfiguration checks that a configuration with any invalid part is rejected as a whole.
+func TestParse_RejectsInvalidConfiguration(t *testing.T) {
 	for name, text := range map[string]string{
-		"empty":            "",
-		"cut short":        validConfig[:len(validConfig)/2],
-		"a key missing":    strings.Replace(validConfig, `"deadline-ms": 2000, `, "", 1),
-		"deadline of 0":    strings.Replace(validConfig, `"deadline-ms": 2000`, `"deadline-ms": 0`, 1),
-		"deadline below 0": strings.Replace(validConfig, `"deadline-ms": 2000`, `"deadline-ms": -5`, 1),
-		"no attempts":      strings.Replace(validConfig, `"send-cap": 3`, `"send-cap": 0`, 1),
-		"attempts a word":  strings.Replace(validConfig, `"send-cap": 3`, `"send-cap": "3"`, 1),
+		"empty":                "",
+		"truncated text":       validConfig[:len(validConfig)/2],
+		"missing key":          strings.Replace(validConfig, `"deadline-ms": 2000, `, "", 1),
+		"deadline of 0":        strings.Replace(validConfig, `"deadline-ms": 2000`, `"deadline-ms": 0`, 1),
+		"deadline below 0":     strings.Replace(validConfig, `"deadline-ms": 2000`, `"deadline-ms": -5`, 1),
+		"max attempts of 0":    strings.Replace(validConfig, `"send-cap": 3`, `"send-cap": 0`, 1),
+		"max attempts as text": strings.Replace(validConfig, `"send-cap": 3`, `"send-cap": "3"`, 1),
 	} {
 		t.Run(name, func(t *testing.T) {
 			if c, err := parse([]byte(text), emptyEnvironment); err == nil {
-				t.Errorf("no error: %+v", c.Settings)
+				t.Errorf("the configuration was accepted: %+v", c.Settings)
 			}
 		})
 	}
 }
 
-// TestConfig_KeepIDs: a configuration read anew keeps the ids of what is unchanged; a changed or new class
-// gets an id after all the old ones, whose rows stay for the requests in flight under them.
-func TestConfig_KeepIDs(t *testing.T) {
-	old := mustParse(t, validConfig)
+// TestConfig_KeepIDsOfUnchangedRows reloads a configuration. Unchanged rows keep their ids. A changed or new row gets
+// an id after all old ids; the old rows stay, because requests in flight use them.
+func TestConfig_KeepIDsOfUnchangedRows(t *testing.T) {
+	old := parseValid(t, validConfig)
 	classes := `"lanes": [{"name": "pay", "goal-time-ms": 500, "deadline-ms": 1000, "effect": "non_idempotent"},
 		{"name": "lookup", "goal-time-ms": 750, "deadline-ms": 2000, "effect": "idempotency_key",
 		"group": "cell", "window-ms": 5000}]`
 	beforeClasses := validConfig[:strings.Index(validConfig, `"lanes"`)]
-	behindClasses := validConfig[strings.Index(validConfig, `,
+	afterClasses := validConfig[strings.Index(validConfig, `,
 	"tariffs"`):]
-	text := beforeClasses + classes + behindClasses
-	reloaded := mustParse(t, strings.Replace(text, `"quota-rate": 2`, `"quota-rate": 3`, 1))
+	text := beforeClasses + classes + afterClasses
+	reloaded := parseValid(t, strings.Replace(text, `"quota-rate": 2`, `"quota-rate": 3`, 1))
 	reloaded.KeepIDs(old)
 	if reloaded.Classes["lookup"] != 0 || reloaded.Classes["pay"] != 1 || len(reloaded.Settings.Classes) != 2 ||
 		reloaded.Settings.Classes[1].Idempotency != policy.NonIdempotent {
@@ -168,17 +168,17 @@
 		t.Errorf("plans %v: %+v", reloaded.Plans, reloaded.Settings.Plans)
 	}
 
-	back := mustParse(t, validConfig) // lookup keeps 0, pay has no name any more, its row stays
-	back.KeepIDs(reloaded)
-	if len(back.Classes) != 1 || back.Classes["lookup"] != 0 || len(back.Settings.Classes) != 2 ||
-		back.Plans["team"] != 2 || len(back.Settings.Plans) != 3 {
-		t.Errorf("back: %v %v, %d and %d rows", back.Classes, back.Plans, len(back.Settings.Classes),
-			len(back.Settings.Plans))
+	restored := parseValid(t, validConfig) // lookup keeps id 0; the name pay is removed, but its row stays
+	restored.KeepIDs(reloaded)
+	if len(restored.Classes) != 1 || restored.Classes["lookup"] != 0 || len(restored.Settings.Classes) != 2 ||
+		restored.Plans["team"] != 2 || len(restored.Settings.Plans) != 3 {
+		t.Errorf("restored configuration: %v %v, %d and %d rows", restored.Classes, restored.Plans,
+			len(restored.Settings.Classes), len(restored.Settings.Plans))
 	}
 }
 
-// TestParse_NullIsNoObject guards against a crash: the file "null" with GW_NAME set panicked.
-func TestParse_NullIsNoObject(t *testing.T) {
+// TestParse_RejectsNull guards against a panic for a file that contains only null, with GW_NAME set.
+func TestParse_RejectsNull(t *testing.T) {
 	environment := func(name string) string {
 		if name == "GW_NAME" {
 			return "n1"
@@ -193,18 +193,19 @@
 	}
 }
 
-// TestParse_RejectsRowsOfOneName guards against a plan that answers to no name, or to another: two rows of one
-// name, and a row with an empty name, were accepted, and after a reload the first one answered to the name "".
-func TestParse_RejectsRowsOfOneName(t *testing.T) {
+// TestParse_RejectsDuplicateAndEmptyNames guards against a plan or class that requests cannot refer to, or that gets
+// the wrong name. Two rows of one name, and a row with an empty name, used to be accepted; after a reload, the first of
+// two rows of one name had the name "".
+func TestParse_RejectsDuplicateAndEmptyNames(t *testing.T) {
 	const (
 		class = `{"name": "lookup", "goal-time-ms": 750, "deadline-ms": 2000, "effect": "read_like"}`
 		plan  = `{"name": "team", "quota-rate": 2, "peak-units": 5}`
 	)
 	for want, change := range map[string][2]string{
-		`settings.tariffs[1].name is "team", as that of row 0`: {`"tariffs": [`, `"tariffs": [` + plan + ","},
-		`settings.lanes[1].name is "lookup", as that of row 0`: {`"lanes": [`, `"lanes": [` + class + ","},
-		`settings.tariffs[0].name is empty`:                    {`"name": "team"`, `"name": ""`},
-		`settings.lanes[0].name is empty`:                      {`"name": "lookup"`, `"name": ""`},
+		`settings.tariffs[1].name is "team", which row 0 already uses`: {`"tariffs": [`, `"tariffs": [` + plan + ","},
+		`settings.lanes[1].name is "lookup", which row 0 already uses`: {`"lanes": [`, `"lanes": [` + class + ","},
+		`settings.tariffs[0].name is empty`:                            {`"name": "team"`, `"name": ""`},
+		`settings.lanes[0].name is empty`:                              {`"name": "lookup"`, `"name": ""`},
 	} {
 		text := strings.Replace(validConfig, change[0], change[1], 1)
 		if _, err := parse([]byte(text), emptyEnvironment); err == nil || !strings.Contains(err.Error(), want) {
@@ -216,23 +217,23 @@
 	}
 }
 
-// TestParse_ReportsUnknownKeysBelowTheTop guards against a limit that is not in force: an optional key that was
-// misspelled in a plan was accepted without a word.
-func TestParse_ReportsUnknownKeysBelowTheTop(t *testing.T) {
+// TestParse_ReportsNestedUnknownKeys guards against a limit that is silently not enforced because its key is
+// misspelled. Unknown keys below the top level, such as those of a plan, used to be accepted without a report.
+func TestParse_ReportsNestedUnknownKeys(t *testing.T) {
 	text := strings.NewReplacer(`"parallel"`, `"paralle"`, `"send-cap": 3`, `"send-cap": 3, "retry-afer": true`,
 		`"sockets":1024`, `"sockets":1024, "soket": 1`, `"listen"`, `"lisen": 1, "listen"`).Replace(validConfig)
 	want := "limits.soket, lisen, settings.permissions.retry-afer, settings.tariffs[0].paralle"
-	if got := strings.Join(mustParse(t, text).UnknownKeys, ", "); got != want {
+	if got := strings.Join(parseValid(t, text).UnknownKeys, ", "); got != want {
 		t.Errorf("%s, want %s", got, want)
 	}
-	if got := mustParse(t, validConfig).UnknownKeys; len(got) > 0 {
-		t.Errorf("of a file that is in order: %v", got)
+	if got := parseValid(t, validConfig).UnknownKeys; len(got) > 0 {
+		t.Errorf("unknown keys of a valid file: %v, want none", got)
 	}
 }
 
-// TestParse_SlowStartShareIsAShare guards against a slow start that sends nothing or all: a share below 0 or above
-// 1 was accepted.
-func TestParse_SlowStartShareIsAShare(t *testing.T) {
+// TestParse_RejectsSlowStartShareOutOfRange guards against a slow start that sends a backend no traffic or all traffic.
+// A share below 0 or above 1 used to be accepted.
+func TestParse_RejectsSlowStartShareOutOfRange(t *testing.T) {
 	for _, share := range []string{"-1", "1.5"} {
 		text := strings.Replace(validConfig, `"cold-share": 0.2`, `"cold-share": `+share, 1)
 		want := "settings.invariants.cold-share is not from 0 to 1"
--- a/internal/config/dns.go
+++ b/internal/config/dns.go
@@ -8,28 +8,29 @@
 	"fawnplank/internal/tomlfile"
 )
 
-// DNS is the section for a zone that replaces discovery as the source of the endpoint list.
+// DNS is the section of the operator file for a DNS zone that replaces the discovery service as the source of the
+// endpoint list.
 type DNS struct {
-	ZoneFile            string    `toml:"zone_file"`          // master file; if empty, the zone is off
+	ZoneFile            string    `toml:"zone_file"`          // master file of the zone; if empty, the zone is disabled
 	Origin              string    `toml:"origin"`             // origin of the zone
-	Service             string    `toml:"service"`            // the name of the SRV records
-	Journal             string    `toml:"journal"`            // holds the updates to the zone file across a restart
-	Listen              string    `toml:"listen"`             // UDP and TCP: updates, queries, transfers; empty for none
-	MaxUpdatesPerSecond float64   `toml:"updates_per_second"` // of all keys together
-	Notify              []string  `toml:"notify"`             // secondaries that are sent a NOTIFY about changes
-	Keys                []TSIGKey `toml:"key"`                // that updates are signed with
+	Service             string    `toml:"service"`            // name of the SRV records
+	Journal             string    `toml:"journal"`            // file that preserves updates to the zone across a restart
+	Listen              string    `toml:"listen"`             // UDP and TCP, for updates, queries and transfers; or empty
+	MaxUpdatesPerSecond float64   `toml:"updates_per_second"` // limit for all TSIG keys together
+	Notify              []string  `toml:"notify"`             // secondaries that receive a NOTIFY after a change
+	Keys                []TSIGKey `toml:"key"`                // keys that sign updates
 }
 
-// TSIGKey is a TSIG key.
+// TSIGKey is a key that signs DNS messages (RFC 8945).
 type TSIGKey struct {
 	Name       string        `toml:"name"`
 	Algorithm  string        `toml:"algorithm"`
-	SecretFile string        `toml:"secret_file"` // file with the secret in base64, accessible only to its owner
-	Key        dnsserver.Key `toml:"-"`           // set once the secret is read
+	SecretFile string        `toml:"secret_file"` // file with the base64-encoded secret, accessible only to its owner
+	Key        dnsserver.Key `toml:"-"`           // set by readKeys, from the other fields
 }
 
 const (
-	// defaultMaxUpdatesPerSecond suffices to replace a fleet of thousands within a minute.
+	// defaultMaxUpdatesPerSecond is high enough to replace several thousand backends within a minute.
 	defaultMaxUpdatesPerSecond = 100
 	lowestMaxUpdatesPerSecond  = 0.1
 	highestMaxUpdatesPerSecond = 10000
@@ -37,15 +38,15 @@
 	defaultAlgorithm = "hmac-sha256"
 )
 
-// Settings returns the settings of the zone.
+// Settings returns the origin and the service name of the zone.
 func (d DNS) Settings() dnszone.Settings {
 	return dnszone.Settings{Origin: d.Origin, Service: d.Service}
 }
 
-// check checks the section, brings its names into canonical form, and reads the keys' secrets.
+// check checks the section, converts its names to canonical form, and reads the secrets of its keys.
 func (d *DNS) check(file *tomlfile.File) error {
 	if d.ZoneFile == "" {
-		return d.checkOff(file)
+		return d.checkDisabled(file)
 	}
 	if err := d.canonicalize(file); err != nil {
 		return err
@@ -68,13 +69,13 @@
 		return err
 	}
 	if len(d.Keys) > 0 && d.Listen == "" {
-		return file.KeyErrorf("dns.listen", "is missing, and keys are of no use without it")
+		return file.KeyErrorf("dns.listen", "is missing, but is required because dns.key is set")
 	}
 	return nil
 }
 
-// checkOff checks that nothing is set that needs the zone file, because the zone file is not set.
-func (d *DNS) checkOff(file *tomlfile.File) error {
+// checkDisabled checks a section without a zone file: it must not set any key that requires one.
+func (d *DNS) checkDisabled(file *tomlfile.File) error {
 	needsZoneFile := len(d.Keys) > 0
 	for _, key := range []string{"dns.listen", "dns.journal", "dns.origin", "dns.service"} {
 		needsZoneFile = needsZoneFile || file.HasKey(key)
@@ -115,7 +116,7 @@
 			return file.KeyErrorf(path, "%v", err)
 		}
 		if names[key.Key.Name] {
-			return file.KeyErrorf(path+".name", "is %q, which another key has", key.Name)
+			return file.KeyErrorf(path+".name", "is %q, which another key already uses", key.Name)
 		}
 		names[key.Key.Name] = true
 	}
--- a/internal/config/environment.go
+++ b/internal/config/environment.go
@@ -5,21 +5,21 @@
 	"strconv"
 )
 
-// environmentNames lists the environment variables that replace keys that a configuration leaves out.
-var environmentNames = map[string]string{
+// environmentVariables maps keys of the configuration to the environment variables that are read if a key is absent.
+var environmentVariables = map[string]string{
 	keyName:       "GW_NAME",
 	keyListen:     "GW_LISTEN",
 	keyDiscovery:  "GW_DISCOVERY",
 	keyManagement: "GW_MGMT",
 }
 
-// listenerNames lists the environment variables that may name the listener handed down. The first one that is
-// set wins.
-var listenerNames = []string{"GW_SOCKET_FD", "SOCKET_FD"}
+// listenerVariables lists the environment variables that may hold the descriptor of an inherited listener. The first
+// variable that is set takes precedence.
+var listenerVariables = []string{"GW_SOCKET_FD", "SOCKET_FD"}
 
-// listenerFD returns the descriptor of the listener that was handed to the process, or -1 if there is none.
+// listenerFD returns the descriptor of the inherited listener, or -1 if there is none.
 func listenerFD(getenv func(string) string) (int, error) {
-	for _, name := range listenerNames {
+	for _, name := range listenerVariables {
 		text := getenv(name)
 		if text == "" {
 			continue
--- a/internal/config/keys.go
+++ b/internal/config/keys.go
@@ -1,13 +1,13 @@
 package config
 
-// Keys of the platform's configuration that several files of this package read. Their words are those of the
-// platform; docs/glossary.md maps them to the terms of the code.
+// Keys of the platform's configuration that several files of this package use. The platform defines the key names;
+// docs/glossary.md maps them to the terms of the code.
 const (
-	keyName           = "name" // of the instance, a class or a plan
+	keyName           = "name" // of an instance, a class or a plan
 	keyListen         = "listen"
-	keyDiscovery      = "discovery" // of the configuration, an address; of the settings, how the list comes
+	keyDiscovery      = "discovery" // top level: an address; settings: how the list arrives
 	keyCounter        = "counter"
-	keyManagement     = "mgmt" // not in knownKeys, so that Migrate drops it
+	keyManagement     = "mgmt" // absent from knownKeys, so that Migrate drops it
 	keyKnownEndpoints = "known"
 	keyLimits         = "limits"
 	keySockets        = "sockets"
@@ -23,7 +23,7 @@
 	keyConcurrency    = "parallel"
 	keyPermissions    = "permissions"
 	keyHealthChecks   = "probes"
-	keyRequests       = "family-info" // what holds for all requests of the API
+	keyRequests       = "family-info" // settings that apply to all requests
 	keyCancellation   = "cancelling"  //nolint:misspell // a key of the platform's settings, in British spelling
 	keySlowStartShare = "cold-share"
 	keyDrainGrace     = "stop-sending-within-ms"
--- a/internal/config/limits.go
+++ b/internal/config/limits.go
@@ -13,55 +13,56 @@
 	"fawnplank/policy"
 )
 
-// LimitCommands is the section for the limit commands in RESP.
+// LimitCommands is the section of the operator file for the limit commands, which tools send in RESP.
 type LimitCommands struct {
-	Listen         string   `toml:"listen"`        // where tools connect; if empty, the commands are off
+	Listen         string   `toml:"listen"`        // address for connections of tools; if empty, the commands are disabled
 	AnswerTimeout  Duration `toml:"answer_within"` // time limit for an answer
-	MaxConnections int      `toml:"connections"`   // of tools, at once
+	MaxConnections int      `toml:"connections"`   // most connections of tools at a time
 
 	TLSCertificate string            `toml:"tls_certificate"`
 	TLSKey         string            `toml:"tls_key"`
-	TLSAuthority   string            `toml:"tls_authority"` // of clients' certificates; if empty, none is requested
+	TLSAuthority   string            `toml:"tls_authority"` // authority of client certificates; if empty, none requested
 	Keys           []LimitCommandKey `toml:"key"`
 }
 
-// LimitCommandKey is a key that a tool presents, and its rights. If no key is configured, all tools may check and do nothing
-// else. Once one is, a tool may do nothing without a key, not even check.
+// LimitCommandKey is a key by which a tool authenticates itself, with the rights of the key. If no key is configured,
+// every tool has the right to check and no other right. If any key is configured, a tool without a key has no rights,
+// not even the right to check.
 type LimitCommandKey struct {
 	Name       string    `toml:"name"`
 	SecretFile string    `toml:"secret_file"` // file with the secret, accessible only to its owner
 	Rights     []string  `toml:"rights"`      // check, read, reserve, change
-	Key        authz.Key `toml:"-"`           // the secret and the rights, set once they are checked
+	Key        authz.Key `toml:"-"`           // set by readSecret and parseRights
 }
 
 const (
-	// defaultAnswerTimeout is the latency objective that users know.
+	// defaultAnswerTimeout is the latency objective announced to users.
 	defaultAnswerTimeout = Duration(750 * time.Millisecond)
 	minAnswerTimeout     = Duration(time.Millisecond)
 	maxAnswerTimeout     = Duration(time.Minute)
-	// defaultMaxConnections is sized for tools, not for tenants.
+	// defaultMaxConnections is sized for a few tools, not for the tenants.
 	defaultMaxConnections = 64
 	highestMaxConnections = 10000
-	// minSecretBytes is the length below which a secret could be guessed.
+	// minSecretBytes is the shortest accepted secret; a shorter secret could be guessed.
 	minSecretBytes = 16
-	// othersPermissions holds the file mode bits that give access to anyone but the owner.
-	othersPermissions = 0o077
+	// groupAndOtherPermissions are the file mode bits that give access to users other than the owner.
+	groupAndOtherPermissions = 0o077
 )
 
-// limitClassName is the name of the class that only checks. No class of the platform's settings can have this
-// name, because theirs contain no point.
-const limitClassName = "limit.check"
+// checkOnlyClassName is the name of the class for requests that only check a limit. No class of the platform's
+// settings can have this name, because their names contain no dot.
+const checkOnlyClassName = "limit.check"
 
 func defaultLimits() LimitCommands {
 	return LimitCommands{AnswerTimeout: defaultAnswerTimeout, MaxConnections: defaultMaxConnections}
 }
 
-// TLS returns the certificate files for the section's address.
+// TLSFiles returns the paths of the certificate files for the listen address.
 func (l LimitCommands) TLSFiles() tlsconfig.Files {
 	return tlsconfig.Files{Certificate: l.TLSCertificate, Key: l.TLSKey, Authority: l.TLSAuthority}
 }
 
-// checkAddress checks the address and the bounds on its connections.
+// checkAddress checks the listen address, the answer timeout and the limit on connections.
 func (l *LimitCommands) checkAddress(file *tomlfile.File) error {
 	if l.Listen != "" && !isHostPort(l.Listen) {
 		return file.KeyErrorf("limits.listen", "is %q, which is no host and port", l.Listen)
@@ -75,7 +76,7 @@
 	return nil
 }
 
-// checkAccess checks the certificates, and reads the keys' secrets and rights.
+// checkAccess checks the certificates, and reads the secrets and rights of the keys.
 func (l *LimitCommands) checkAccess(file *tomlfile.File) error {
 	if l.TLSFiles().Enabled() {
 		if _, err := tlsconfig.New(l.TLSFiles()); err != nil {
@@ -100,8 +101,9 @@
 	return nil
 }
 
-// readSecret reads the key's secret. The error completes a sentence that begins with the file's key. Once the file is
-// there, one text stands for three faults and leaves out the system's error.
+// readSecret reads the secret of the key. The text of its error is the predicate of a sentence whose subject is the
+// setting secret_file. If the file exists, one error text covers three causes and omits the error of the operating
+// system.
 func (k *LimitCommandKey) readSecret() error {
 	info, err := os.Stat(k.SecretFile)
 	if err != nil {
@@ -109,7 +111,7 @@
 	}
 	text, err := os.ReadFile(k.SecretFile)
 	secret := strings.TrimSpace(string(text))
-	if err != nil || info.Mode().Perm()&othersPermissions != 0 || len(secret) < minSecretBytes {
+	if err != nil || info.Mode().Perm()&groupAndOtherPermissions != 0 || len(secret) < minSecretBytes {
 		const problem = "%q cannot be read, may be read by others than its owner, or holds less than %d bytes"
 		return fmt.Errorf(problem, k.SecretFile, minSecretBytes)
 	}
@@ -117,7 +119,8 @@
 	return nil
 }
 
-// parseRights parses the key's rights. The error completes a sentence that begins with the rights' key.
+// parseRights parses the rights of the key. The text of its error is the predicate of a sentence whose subject is the
+// setting rights.
 func (k *LimitCommandKey) parseRights() error {
 	if len(k.Rights) == 0 {
 		return errors.New("is missing")
@@ -132,14 +135,15 @@
 	return nil
 }
 
-// AddCheckOnlyClass adds the class that only checks, which the limit commands use, to a newly read configuration.
-// It does nothing if the commands are off. It changes the configuration, and is called before KeepIDs, so that the
-// class keeps its id over a reload: a class that is added afterwards gets a new id each time, and the rows grow.
+// AddCheckOnlyClass adds the class that the limit commands use, for requests that only check a limit, to a newly read
+// configuration. It does nothing if the limit commands are disabled. It must be called before KeepIDs, so that the
+// class keeps its id across a reload. If it were called after KeepIDs, the class would get a new id at each reload,
+// and the number of rows would grow.
 func (c *Config) AddCheckOnlyClass(o *OperatorSettings) {
 	if o.LimitCommands.Listen == "" {
 		return
 	}
-	c.Classes[limitClassName] = policy.ClassID(len(c.Settings.Classes))
+	c.Classes[checkOnlyClassName] = policy.ClassID(len(c.Settings.Classes))
 	c.Settings.Classes = append(c.Settings.Classes, policy.ClassSettings{
 		LatencyObjective: time.Duration(o.LimitCommands.AnswerTimeout),
 		Deadline:         time.Duration(o.LimitCommands.AnswerTimeout),
@@ -147,8 +151,8 @@
 	})
 }
 
-// CheckOnlyClass returns the class that only checks; ok is false if limit commands are off.
+// CheckOnlyClass returns the id of the class that AddCheckOnlyClass added; ok is false if limit commands are disabled.
 func (c *Config) CheckOnlyClass() (id policy.ClassID, ok bool) {
-	id, ok = c.Classes[limitClassName]
+	id, ok = c.Classes[checkOnlyClassName]
 	return id, ok
 }
--- a/internal/config/migrate.go
+++ b/internal/config/migrate.go
@@ -5,36 +5,36 @@
 	"fmt"
 )
 
-// MigrateOptions says what Migrate reads and writes.
+// MigrateOptions names the files that Migrate reads and writes.
 type MigrateOptions struct {
-	SourceFile   string // configuration file of the old deployment; it is never changed
-	OverrideFile string // file of settings that replace the old ones key by key; empty for none
+	SourceFile   string // configuration file of the old deployment; Migrate never modifies it
+	OverrideFile string // file of settings that replace the old settings key by key; empty for none
 	OutputFile   string // file to write; it must not exist yet
 	DryRun       bool   // if set, nothing is written
 }
 
-// sources names the files that the counterpart comes from.
-func (o MigrateOptions) sources() string {
+// sourceNames names the input files of the migration in error messages.
+func (o MigrateOptions) sourceNames() string {
 	if o.OverrideFile == "" {
 		return o.SourceFile
 	}
 	return o.SourceFile + " with " + o.OverrideFile
 }
 
-// Loss is a part of the old configuration that its counterpart does not hold.
+// Loss is a part of the old configuration that the migrated configuration does not contain.
 type Loss struct {
-	Key    string // with its path and the numbers of its rows, as in settings.lanes[1].mood
-	Reason string // and what stands in for it, if anything does
+	Key    string // the full path with row numbers, such as settings.lanes[1].mood
+	Reason string // also states what replaces the key, if anything does
 }
 
-// String returns the key and the reason, as operators read them.
+// String returns the key and the reason in the form in which the command "migrate" prints them.
 func (l Loss) String() string { return l.Key + ": " + l.Reason }
 
-// Migrate turns a configuration of the old deployment into its counterpart for the new one, without health
-// checks and with the shape's settings laid over the old ones. It knows the keys and words that
-// configurations may hold, so that nothing is dropped silently: it returns everything that it could not carry
-// over. It writes the whole file or nothing, and only if the result is valid. Errors name the file and the key;
-// one about a key of the configuration wraps a *SettingError.
+// Migrate converts a configuration of the old deployment to one for the new deployment. It disables health checks and
+// merges the settings of the override file into the old settings. It returns a Loss for everything that it does not
+// carry over; a list of all valid keys and values ensures that nothing is dropped silently. It writes the output file
+// completely or not at all, and only if the result is valid. Errors name the file and the key; an error about a key
+// of the configuration wraps a *SettingError.
 func Migrate(o MigrateOptions) ([]Loss, error) {
 	m, err := newMigration(o.SourceFile)
 	if err != nil {
@@ -44,7 +44,7 @@
 	m.dropHealthChecks()
 	m.dropKnownEndpoints()
 	if o.OverrideFile != "" {
-		if err := m.applyShape(o.OverrideFile); err != nil {
+		if err := m.applyOverrides(o.OverrideFile); err != nil {
 			return nil, err
 		}
 	}
@@ -53,7 +53,7 @@
 		return nil, err
 	}
 	if err := m.check(); err != nil {
-		return nil, fmt.Errorf("configuration %s: its counterpart is not in order: %w", o.sources(), err)
+		return nil, fmt.Errorf("configuration %s: the migrated configuration is invalid: %w", o.sourceNames(), err)
 	}
 	if o.DryRun {
 		return m.losses, nil
@@ -61,15 +61,15 @@
 	return m.losses, writeNew(o.OutputFile, append(text, '\n'))
 }
 
-// migration turns one configuration into its counterpart, and collects what is lost on the way.
+// migration is the conversion of one configuration. It collects the losses.
 type migration struct {
-	old      map[string]any // stays as it was read, for the comparison of its rows with the shape's
-	migrated map[string]any // becomes the counterpart
+	old      map[string]any // never modified; its rows are compared with those of the override file
+	migrated map[string]any // modified step by step into the result
 	getenv   func(name string) string
 	losses   []Loss
 }
 
-// newMigration reads a configuration that an instance of the gateway could start with.
+// newMigration reads a configuration and checks that an instance of the gateway could start with it.
 func newMigration(path string) (*migration, error) {
 	old, err := readStrict(path)
 	if err != nil {
@@ -79,27 +79,27 @@
 	if err := checkParses(old, getenv); err != nil {
 		return nil, fmt.Errorf("configuration %s: %w", path, err)
 	}
-	migrated, err := readStrict(path) // a copy that shares nothing with old
+	migrated, err := readStrict(path) // a deep copy of old
 	if err != nil {
 		return nil, err
 	}
 	m := &migration{old: old, migrated: migrated, getenv: getenv}
 	for _, key := range absent {
-		m.lose(key, "left out: "+environmentNames[key]+" has to stand in for it, as before")
+		m.recordLoss(key, "left out: "+environmentVariables[key]+" has to supply it, as before")
 	}
 	return m, nil
 }
 
-// lose records that a key is not carried over.
-func (m *migration) lose(key, reason string) {
+// recordLoss records that a key is not carried over.
+func (m *migration) recordLoss(key, reason string) {
 	m.losses = append(m.losses, Loss{Key: key, Reason: reason})
 }
 
-// settingsOf returns the settings of a configuration, which are present once it has been parsed.
+// settingsOf returns the settings of a configuration. The caller has parsed it, so the settings are present.
 func settingsOf(fields map[string]any) map[string]any { return fields[keySettings].(map[string]any) }
 
-// environmentPlaceholders lists the keys that a file leaves to the environment. It also returns an environment
-// with valid placeholders for them, with which the rest is checked.
+// environmentPlaceholders lists the keys that a file leaves to environment variables. It also returns an environment
+// with valid placeholder values for these keys, so that the other keys can be checked.
 func environmentPlaceholders(old map[string]any) (absent []string, getenv func(string) string) {
 	for _, key := range []string{keyName, keyListen, keyDiscovery} {
 		if _, ok := old[key]; !ok {
--- a/internal/config/migrate_decode.go
+++ b/internal/config/migrate_decode.go
@@ -9,8 +9,8 @@
 	"os"
 )
 
-// readStrict reads a file that holds a JSON object and keeps numbers as they are written. Unlike
-// json.Unmarshal it rejects a key that appears twice, because one of its values would be lost.
+// readStrict reads a file that holds a JSON object and preserves the notation of numbers. Unlike json.Unmarshal, it
+// rejects duplicate keys, because one of the two values would be lost.
 func readStrict(path string) (map[string]any, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -31,16 +31,16 @@
 		return nil, err
 	}
 	if _, err := decoder.Token(); !errors.Is(err, io.EOF) {
-		return nil, errors.New("something follows the object")
+		return nil, errors.New("unexpected data after the JSON object")
 	}
 	fields, ok := value.(map[string]any)
 	if !ok {
-		return nil, errors.New("is no JSON object")
+		return nil, errors.New("the top-level value is not a JSON object")
 	}
 	return fields, nil
 }
 
-// decodeValue decodes the next value. The path names the value in errors.
+// decodeValue decodes the next value. Errors refer to the value by its path.
 func decodeValue(decoder *json.Decoder, path string) (any, error) {
 	token, err := decoder.Token()
 	if err != nil {
@@ -55,7 +55,7 @@
 	return token, nil
 }
 
-// decodeFields decodes an object after its opening brace.
+// decodeFields decodes the fields of an object whose opening brace has been read.
 func decodeFields(decoder *json.Decoder, path string) (map[string]any, error) {
 	fields := map[string]any{}
 	for decoder.More() {
@@ -63,9 +63,9 @@
 		if err != nil {
 			return nil, syntaxError(path, err)
 		}
-		key := token.(string) // the decoder returns only strings in the place of a key
+		key := token.(string) // the decoder returns only strings as keys
 		if _, ok := fields[key]; ok {
-			return nil, fmt.Errorf("%s comes twice", joinPath(path, key))
+			return nil, fmt.Errorf("%s is a duplicate key", joinPath(path, key))
 		}
 		if fields[key], err = decodeValue(decoder, joinPath(path, key)); err != nil {
 			return nil, err
@@ -75,7 +75,7 @@
 	return fields, err
 }
 
-// decodeList decodes a list after its opening bracket.
+// decodeList decodes the elements of a list whose opening bracket has been read.
 func decodeList(decoder *json.Decoder, path string) ([]any, error) {
 	list := []any{}
 	for decoder.More() {
@@ -93,5 +93,5 @@
 	if path == "" {
 		path = "the file"
 	}
-	return fmt.Errorf("%s: no JSON: %w", path, err)
+	return fmt.Errorf("%s: invalid JSON: %w", path, err)
 }
--- a/internal/config/migrate_keys.go
+++ b/internal/config/migrate_keys.go
@@ -6,9 +6,9 @@
 	"strings"
 )
 
-// knownKeys lists the keys that a configuration may hold, by the path of their object; the rows of a list
-// share the list's path. config.go and settings.go read the keys that the gateway uses. A key that they do
-// not read may be listed here, because other programs of the platform read it.
+// knownKeys lists the valid keys of a configuration, by the path of the object that contains them. The rows of a list
+// have the path of the list. The list includes keys that this package does not read, because other programs of the
+// platform read them.
 var knownKeys = map[string][]string{
 	"":       strings.Fields("name listen discovery counter seed limits known settings"),
 	"limits": strings.Fields("cores memory_mb sockets"),
@@ -37,24 +37,24 @@
 			"value-factor quota-rate"),
 }
 
-// isKnownKey reports whether an object at a path may hold a key.
+// isKnownKey reports whether a key is valid in the object at a path.
 func isKnownKey(path, key string) bool { return slices.Contains(knownKeys[path], key) }
 
-// wordSetting is a setting that holds one word of a set.
-type wordSetting struct {
-	path  string
-	words []string
+// enumSetting is a setting that holds one of a fixed set of strings.
+type enumSetting struct {
+	path    string
+	allowed []string
 }
 
-// wordSettings lists the settings that Migrate checks, in the order of its messages.
-var wordSettings = []wordSetting{
-	{path: "settings.discovery", words: []string{"pushed", discoveryOnRequest}},
-	{path: "settings.telemetry.how", words: []string{"inline", "on_probe", "off"}},
-	{path: "settings.weights", words: []string{"off", "nominal", "rough", "live"}},
+// enumSettings lists the settings that checkEnumSettings checks. The order determines which error is reported first.
+var enumSettings = []enumSetting{
+	{path: "settings.discovery", allowed: []string{"pushed", discoveryOnRequest}},
+	{path: "settings.telemetry.how", allowed: []string{"inline", "on_probe", "off"}},
+	{path: "settings.weights", allowed: []string{"off", "nominal", "rough", "live"}},
 }
 
-// joinPath returns the path of a key of the object at path.
+// joinPath returns the path of a key in the object at path.
 func joinPath(path, key string) string { return strings.TrimPrefix(path+"."+key, ".") }
 
-// sortedKeys returns the keys in a fixed order, so that messages have a fixed order.
+// sortedKeys returns the keys in sorted order, so that the order of messages is deterministic.
 func sortedKeys(fields map[string]any) []string { return slices.Sorted(maps.Keys(fields)) }
--- a/internal/config/migrate_write.go
+++ b/internal/config/migrate_write.go
@@ -7,14 +7,14 @@
 	"path/filepath"
 )
 
-// writeNew writes a file under a temporary name in the same folder and links it to its path only when it is
-// complete. It never replaces an existing file and never leaves half of one.
+// writeNew writes a new file. It first writes a temporary file in the same folder, then links it to path, so that it
+// never replaces an existing file and never leaves a partial file at path.
 func writeNew(path string, text []byte) error {
 	file, err := os.CreateTemp(filepath.Dir(path), ".fawnplank-*")
 	if err != nil {
 		return fmt.Errorf("configuration %s: %w", path, err)
 	}
-	defer func() { _ = os.Remove(file.Name()) }() // at worst the file stays under its hidden name
+	defer func() { _ = os.Remove(file.Name()) }() // on failure, a hidden temporary file remains
 	_, err = file.Write(text)
 	if err == nil {
 		err = file.Sync()
@@ -23,7 +23,7 @@
 		err = closeErr
 	}
 	if err == nil {
-		err = os.Link(file.Name(), path) // fails if a file exists at the path, which includes the source file
+		err = os.Link(file.Name(), path) // fails if a file exists at path, such as the source file
 	}
 	if errors.Is(err, os.ErrExist) {
 		err = errors.New("is there already")
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -9,9 +9,9 @@
 	"fawnplank/internal/tomlfile"
 )
 
-// OperatorSettings is what the operators of one installation set in addition to the platform's configuration, in a
-// TOML file of their own (deploy/fawnplank.toml). Every feature in it is off unless it is set. The zero value
-// sets nothing.
+// OperatorSettings holds the settings of the operator file (deploy/fawnplank.toml), a TOML file that the operators of
+// an installation write in addition to the platform's configuration. Every feature in it is disabled unless the file
+// sets it. The zero value enables no feature.
 type OperatorSettings struct {
 	LimitCommands LimitCommands `toml:"limits"`
 	Counter       Counter       `toml:"counter"`
@@ -21,28 +21,28 @@
 	Billing       Billing       `toml:"billing"`
 }
 
-// WarmStart configures the file that preserves an instance's measurements of the backends across a restart,
-// if the folder survives it.
+// WarmStart is the section for the file that preserves an instance's measurements of the backends across a restart,
+// provided that the file's folder still exists after the restart.
 type WarmStart struct {
-	File         string   `toml:"file"`  // if empty, warm start is off
-	SaveInterval Duration `toml:"every"` // between two writes
+	File         string   `toml:"file"`  // if empty, warm start is disabled
+	SaveInterval Duration `toml:"every"` // interval between two writes of the file
 }
 
-// Log configures how the log is written.
+// Log is the section for the log.
 type Log struct {
-	Format string `toml:"format"` // "text" or "json", one line an entry either way
-	Level  string `toml:"level"`  // lowest level: error, warning, info or debug; a flag takes precedence
+	Format string `toml:"format"` // "text" or "json"; each entry is one line in both formats
+	Level  string `toml:"level"`  // error, warning, info or debug; a flag overrides it
 }
 
-// Counter configures the protocol that the shared counter speaks.
+// Counter is the section for the shared counter.
 type Counter struct {
 	Protocol string `toml:"protocol"` // CounterProtocolText or CounterProtocolRESP
 }
 
-// Duration is a time.Duration that a TOML file holds in Go's notation, such as "750ms".
+// Duration is a time.Duration that is written in a TOML file in Go's notation, such as "750ms".
 type Duration time.Duration
 
-// UnmarshalText parses a time. The error quotes the text.
+// UnmarshalText parses a duration. The error quotes the text.
 func (d *Duration) UnmarshalText(text []byte) error {
 	duration, err := time.ParseDuration(string(text))
 	if err != nil {
@@ -52,37 +52,36 @@
 	return nil
 }
 
-// Values that the settings of the log and the counter may have.
+// Valid values of the settings of the log and the counter.
 var (
 	logFormats       = []string{DefaultLogFormat, "json"}
 	logLevels        = []string{"error", "warning", DefaultLogLevel, "debug"}
 	counterProtocols = []string{CounterProtocolText, CounterProtocolRESP}
 )
 
-// Defaults of the log, which also hold for commands that read no operator file.
+// Defaults of the log. They also apply to commands that do not read an operator file.
 const (
 	DefaultLogFormat = "text"
 	DefaultLogLevel  = "info"
 )
 
-// The protocols that the shared counter may speak.
+// Protocols of the shared counter.
 const (
-	CounterProtocolText = "text" // the platform's own
+	CounterProtocolText = "text" // the text protocol of the platform
 	CounterProtocolRESP = "resp"
 )
 
-// Defaults and bounds of the sections declared in this file. The other sections have theirs in their own
-// files.
+// Defaults and bounds of the sections that this file declares.
 const (
-	// defaultSaveInterval is the time in which the weight of a backend's measurements decays by about two thirds:
-	// they halve in 3.4 s (see package policy).
+	// defaultSaveInterval is the time in which the weight of a backend's measurements decays by about two thirds.
+	// Their half-life is 3.4 s (see package policy).
 	defaultSaveInterval = Duration(5 * time.Second)
 	minSaveInterval     = Duration(100 * time.Millisecond)
 	maxSaveInterval     = Duration(time.Hour)
 )
 
-// ReadOperatorSettings reads a whole operator file and checks it. An empty path sets nothing. Errors name the file,
-// line and key, as a *tomlfile.PositionError.
+// ReadOperatorSettings reads an operator file and checks it. For an empty path it returns the defaults. An error in
+// the contents of the file is a *tomlfile.PositionError, which names the file, the line and the key.
 func ReadOperatorSettings(path string) (*OperatorSettings, error) {
 	o := defaultOperator()
 	if path == "" {
@@ -96,9 +95,9 @@
 	if err != nil {
 		return nil, err
 	}
-	for _, check := range []func(*tomlfile.File) error{ // the error names the first fault
+	for _, check := range []func(*tomlfile.File) error{ // the first failed check determines the error
 		o.LimitCommands.checkAddress,
-		o.checkProcess,
+		o.checkLogWarmStartAndCounter,
 		o.DNS.check,
 		o.LimitCommands.checkAccess,
 		o.Billing.check,
@@ -121,8 +120,8 @@
 	}
 }
 
-// checkProcess checks the settings of the log, the warm start and the counter's protocol.
-func (o *OperatorSettings) checkProcess(file *tomlfile.File) error {
+// checkLogWarmStartAndCounter checks the settings of the log, the warm start and the counter's protocol.
+func (o *OperatorSettings) checkLogWarmStartAndCounter(file *tomlfile.File) error {
 	if !slices.Contains(logFormats, o.Log.Format) {
 		return file.KeyErrorf("log.format", "is %q, not text or json", o.Log.Format)
 	}
--- a/internal/config/operator_test.go
+++ b/internal/config/operator_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// operatorFiles are texts of operator files, with a part of the error that each causes; empty for none.
+// operatorFiles maps texts of operator files to a part of the expected error, or to "" for a valid file.
 var operatorFiles = map[string]string{
 	"": "", "[limits]\nlisten = \"127.0.0.1:1\"\n": "",
 	"[limits]\nlisten = \"nowhere\"\n":             ":2: limits.listen is \"nowhere\"",
@@ -36,7 +36,7 @@
 	"[limits]\nanswer_within = \"100ms\"\nlisten = \"[::1]:99\"\n":   "",
 }
 
-func TestReadOperator(t *testing.T) {
+func TestReadOperatorSettings(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "op.toml")
 	read := func(t *testing.T, text string) (*OperatorSettings, error) {
 		t.Helper()
@@ -68,19 +68,19 @@
 	}
 }
 
-// TestConfig_LimitClass: the class that only checks gets an id after the platform's, and keeps it through a
-// reload.
-func TestConfig_LimitClass(t *testing.T) {
-	c := mustParse(t, validConfig)
+// TestConfig_CheckOnlyClassKeepsID checks that the class of the limit commands gets an id after the classes of the
+// platform, and keeps it across a reload.
+func TestConfig_CheckOnlyClassKeepsID(t *testing.T) {
+	c := parseValid(t, validConfig)
 	o, err := ReadOperatorSettings("")
 	if err != nil {
 		t.Fatal(err)
 	}
 	if c.AddCheckOnlyClass(o); len(c.Classes) != 1 {
-		t.Error("limit commands are on without an address")
+		t.Error("a class was added although the limit commands have no address")
 	}
 	if _, ok := c.CheckOnlyClass(); ok {
-		t.Error("a class for limit commands that are off")
+		t.Error("CheckOnlyClass returns a class although the limit commands are disabled")
 	}
 
 	o.LimitCommands.Listen = "127.0.0.1:1"
@@ -90,10 +90,11 @@
 		t.Errorf("%v %+v", id, c.Settings.Classes)
 	}
 
-	reloaded := mustParse(t, strings.Replace(validConfig, `"deadline-ms": 2000`, `"deadline-ms": 3000`, 1))
+	reloaded := parseValid(t, strings.Replace(validConfig, `"deadline-ms": 2000`, `"deadline-ms": 3000`, 1))
 	reloaded.AddCheckOnlyClass(o)
 	reloaded.KeepIDs(c)
-	if again, ok := reloaded.CheckOnlyClass(); !ok || again != id || !reloaded.Settings.Classes[again].CheckOnly {
-		t.Errorf("after a reload %v", again)
+	if reloadedID, ok := reloaded.CheckOnlyClass(); !ok || reloadedID != id ||
+		!reloaded.Settings.Classes[reloadedID].CheckOnly {
+		t.Errorf("the class id changed in a reload, to %v", reloadedID)
 	}
 }
--- a/internal/config/overlay.go
+++ b/internal/config/overlay.go
@@ -8,30 +8,31 @@
 	"slices"
 )
 
-// Prefixes of the replicated store's keys that hold an overlay's rows. The name of the plan or class follows.
+// Prefixes of the keys of the replicated store that hold the rows of an overlay. The name of the plan or class follows
+// the prefix.
 const (
 	PlanKeyPrefix  = "plans/"
 	ClassKeyPrefix = "classes/"
 )
 
-// Overlay holds the settings rows of the replicated store, by name. A plan or class in the overlay replaces
-// the one of the same name in the file; one with a new name is added after the file's rows. The zero value
-// changes nothing.
+// Overlay holds the plans and classes of the replicated store, by name. A plan or class in the overlay replaces the
+// row of the same name in the file. A row with a new name is appended to the rows of the file. The zero value changes
+// nothing.
 type Overlay struct {
-	Plans   map[string]json.RawMessage // in the form of a row of "tariffs"
-	Classes map[string]json.RawMessage // in the form of a row of "lanes"
+	Plans   map[string]json.RawMessage // each in the format of a row of "tariffs"
+	Classes map[string]json.RawMessage // each in the format of a row of "lanes"
 }
 
-// namedRow holds what rows of plans and classes have in common.
+// namedRow holds the field that rows of plans and classes have in common.
 type namedRow struct {
 	Name string `json:"name"`
 }
 
-// errNoRowName is the fault of a row whose key ends at the prefix.
+// errNoRowName is the error for a row whose key in the store ends at the prefix.
 var errNoRowName = errors.New("the key names no row; write the row's name behind the prefix")
 
-// CheckRow checks that a value in the store is a row with the name given by its key. The error says what the
-// value is instead; the caller adds the key.
+// CheckRow checks that a value in the store is a row whose name matches its key. The error describes the mismatch but
+// does not contain the key, which the caller adds.
 func CheckRow(name string, value json.RawMessage) error {
 	var row namedRow
 	if err := json.Unmarshal(value, &row); err != nil {
@@ -46,7 +47,7 @@
 	return nil
 }
 
-// apply lays the overlay over a configuration's text.
+// apply returns the text of a configuration with the rows of the overlay merged into it.
 func (o Overlay) apply(text []byte) ([]byte, error) {
 	if len(o.Plans) == 0 && len(o.Classes) == 0 {
 		return text, nil
@@ -64,18 +65,18 @@
 	if err := replaceRows(settings, keyClasses, o.Classes); err != nil {
 		return nil, err
 	}
-	top[keySettings], _ = json.Marshal(settings) // each value was decoded or marshaled before
+	top[keySettings], _ = json.Marshal(settings) // cannot fail: each value was decoded or marshaled before
 	return json.Marshal(top)
 }
 
-// replaceRows puts rows into the list that the settings hold under key. A row replaces the row of the same
-// name, or is appended if there is none.
+// replaceRows puts rows into the list that the settings hold under key. A row replaces the row of the same name, or is
+// appended if no row has its name.
 func replaceRows(settings map[string]json.RawMessage, key string, rows map[string]json.RawMessage) error {
 	var list []json.RawMessage
 	if err := json.Unmarshal(settings[key], &list); err != nil {
 		return fmt.Errorf("settings: %s is no list: %w", key, err)
 	}
-	replaced := map[string]bool{}
+	inFile := map[string]bool{}
 	for n, text := range list {
 		var row namedRow
 		if err := json.Unmarshal(text, &row); err != nil {
@@ -84,13 +85,13 @@
 		if replacement, ok := rows[row.Name]; ok {
 			list[n] = replacement
 		}
-		replaced[row.Name] = true
+		inFile[row.Name] = true
 	}
-	for _, name := range slices.Sorted(maps.Keys(rows)) { // sorted, so that the same store gives the same ids
-		if !replaced[name] {
+	for _, name := range slices.Sorted(maps.Keys(rows)) { // sorted, so that the same rows get the same ids
+		if !inFile[name] {
 			list = append(list, rows[name])
 		}
 	}
-	settings[key], _ = json.Marshal(list) // a row that is not JSON leaves null, which is rejected under its key
+	settings[key], _ = json.Marshal(list) // for invalid JSON in a row it leaves null, which parse rejects
 	return nil
 }
--- a/internal/config/overlay_test.go
+++ b/internal/config/overlay_test.go
@@ -10,8 +10,8 @@
 	"fawnplank/policy"
 )
 
-// TestRead_OverlayReplacesAndAddsRows: a row of the file's is replaced in its place, and new ones come behind it in
-// the order of their names.
+// TestRead_OverlayReplacesAndAddsRows checks that a row of the overlay replaces the row of the same name at its
+// position, and that new rows are appended in the order of their names.
 func TestRead_OverlayReplacesAndAddsRows(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
 	if err := os.WriteFile(path, []byte(validConfig), 0o600); err != nil {
@@ -46,7 +46,7 @@
 	}
 }
 
-func TestRead_OverlayErrorNamesTheList(t *testing.T) {
+func TestRead_OverlayErrorNamesKey(t *testing.T) {
 	overlay := Overlay{Plans: map[string]json.RawMessage{"team": json.RawMessage(`{"name": "team"}`)}}
 	for want, change := range map[string][2]string{
 		"with the store's rows: settings: tariffs is no list: ": {`"tariffs": [`, `"tariffs": 4, "other": [`},
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -8,38 +8,38 @@
 	"fawnplank/policy"
 )
 
-// defaultDrainGrace is how long attempts may still go to a backend that was taken off the list, if the
-// settings do not specify a time.
+// defaultDrainGrace is the default of the time in which attempts may still be sent to a backend after its removal from
+// the endpoint list.
 const defaultDrainGrace = time.Second
 
-// The words that settings may hold, with their meanings.
+// Valid strings of the settings with a fixed set of values.
 var (
-	idempotencyWords = map[string]policy.Idempotency{
+	idempotencyByName = map[string]policy.Idempotency{
 		"read_like":       policy.Idempotent,
 		"idempotency_key": policy.IdempotentWithKey,
 		"non_idempotent":  policy.NonIdempotent,
 	}
-	dedupScopeWords = map[string]policy.DedupScope{
+	dedupScopeByName = map[string]policy.DedupScope{
 		"all":  policy.DedupByAll,
 		"zone": policy.DedupByZone,
 		"cell": policy.DedupByGroup,
 	}
-	fallbackModeWords = map[string]policy.FallbackMode{
+	fallbackModeByName = map[string]policy.FallbackMode{
 		"share":  policy.LocalShare,
 		"open":   policy.FailOpen,
 		"closed": policy.FailClosed,
 	}
 )
 
-// discoveryOnRequest is the word for discovery that has to be polled.
+// discoveryOnRequest is the value of keyDiscovery in the settings if the endpoint list has to be polled.
 const discoveryOnRequest = "on_request"
 
-// nonNegativePlanKeys lists a plan's numbers that must not be below 0.
+// nonNegativePlanKeys lists the numbers of a plan that must not be below 0.
 var nonNegativePlanKeys = []string{"quota-rate", "peak-units", keyConcurrency, "cap-rate", "ceiling-burst",
 	"beyond-earns", "beyond-costs"}
 
-// ParseSettings converts the platform's settings, a JSON object, into the settings of the decisions. An error
-// about a key is a *SettingError.
+// ParseSettings converts the platform's settings, a JSON object, to the input of package policy. An error about a key
+// is a *SettingError.
 func ParseSettings(text []byte) (policy.Settings, error) {
 	top, err := decodeObject(text)
 	if err != nil {
@@ -49,10 +49,10 @@
 	return settings, top.err()
 }
 
-// readSettings reads the platform's settings. It does not compare InstanceIndex with Instances: a gateway starts as
-// number 3 of 3, and only Migrate rejects such a file (checkIndexes).
-func readSettings(top object) policy.Settings {
-	family := top.optionalObject(keyRequests)
+// readSettings reads the platform's settings. It does not check that InstanceIndex is below Instances: a gateway also
+// starts with index 3 of 3 instances, and only Migrate rejects such a file (checkIndexes).
+func readSettings(top jsonObject) policy.Settings {
+	requests := top.optionalObject(keyRequests)
 	permissions := top.requiredObject(keyPermissions)
 	invariants := top.requiredObject("invariants")
 	settings := policy.Settings{
@@ -65,9 +65,9 @@
 		HealthChecks:      permissions.optionalBool(keyHealthChecks),
 		RetryAfter:        permissions.optionalBool("retry-after"),
 		MaxRetryAfter:     permissions.optionalMilliseconds("max-retry-after-ms"),
-		CounterEnabled:    family.optionalBool("may-count"),
-		CounterTimeout:    family.optionalMilliseconds("counter-timeout-ms"),
-		PostPaid:          family.optionalBool("post-paid"),
+		CounterEnabled:    requests.optionalBool("may-count"),
+		CounterTimeout:    requests.optionalMilliseconds("counter-timeout-ms"),
+		PostPaid:          requests.optionalBool("post-paid"),
 		PollEndpoints:     top.optionalString(keyDiscovery) == discoveryOnRequest,
 		PollTimeout:       invariants.optionalMilliseconds("ask-within-ms"),
 		SlowStartShare:    readSlowStartShare(invariants),
@@ -78,7 +78,7 @@
 	}
 	settings.DrainGrace = readDrainGrace(invariants)
 	if settings.MaxAttempts < 1 {
-		permissions.failf(keyMaxAttempts, "is not above 0")
+		permissions.recordErrorf(keyMaxAttempts, "is not above 0")
 	}
 	for _, row := range top.requiredRows(keyClasses) {
 		settings.Classes = append(settings.Classes, readClass(row))
@@ -89,55 +89,55 @@
 	return settings
 }
 
-func readSlowStartShare(invariants object) float64 {
+func readSlowStartShare(invariants jsonObject) float64 {
 	share := invariants.requiredNumber(keySlowStartShare)
 	if !(share >= 0 && share <= 1) {
-		invariants.failf(keySlowStartShare, "is not from 0 to 1")
+		invariants.recordErrorf(keySlowStartShare, "is not from 0 to 1")
 	}
 	return share
 }
 
-func readDrainGrace(invariants object) time.Duration {
+func readDrainGrace(invariants jsonObject) time.Duration {
 	if !invariants.has(keyDrainGrace) {
 		return defaultDrainGrace
 	}
 	grace := invariants.optionalMilliseconds(keyDrainGrace)
 	if grace <= 0 {
-		invariants.failf(keyDrainGrace, "is not above 0")
+		invariants.recordErrorf(keyDrainGrace, "is not above 0")
 	}
 	return grace
 }
 
 // readClass reads a row of the list of classes.
-func readClass(row object) policy.ClassSettings {
+func readClass(row jsonObject) policy.ClassSettings {
 	class := policy.ClassSettings{
 		LatencyObjective: row.requiredMilliseconds("goal-time-ms"),
 		Deadline:         row.requiredMilliseconds("deadline-ms"),
 		LateValue:        row.optionalNumber("late-worth"),
 		DedupWindow:      row.optionalMilliseconds("window-ms"),
 	}
-	class.Idempotency = oneOf(row, "effect", idempotencyWords)
+	class.Idempotency = enumValue(row, "effect", idempotencyByName)
 	if class.Idempotency == policy.IdempotentWithKey {
-		class.DedupScope = oneOf(row, "group", dedupScopeWords)
+		class.DedupScope = enumValue(row, "group", dedupScopeByName)
 	}
-	if row.has(keyFallbackMode) { // if it is left out, the instance falls back to its local share
-		class.FallbackMode = oneOf(row, keyFallbackMode, fallbackModeWords)
+	if row.has(keyFallbackMode) { // if the key is absent, the class falls back to the local share of the quota
+		class.FallbackMode = enumValue(row, keyFallbackMode, fallbackModeByName)
 	}
 	if class.Deadline <= 0 {
-		row.failf("deadline-ms", "is not above 0")
+		row.recordErrorf("deadline-ms", "is not above 0")
 	}
 	return class
 }
 
 // readPlan reads a row of the list of plans.
-func readPlan(row object) policy.PlanSettings {
+func readPlan(row jsonObject) policy.PlanSettings {
 	for _, key := range nonNegativePlanKeys {
 		if row.optionalNumber(key) < 0 {
-			row.failf(key, "is below 0")
+			row.recordErrorf(key, "is below 0")
 		}
 	}
 	if limit := row.optionalNumber(keyConcurrency); limit != math.Trunc(limit) {
-		row.failf(keyConcurrency, "is no whole number")
+		row.recordErrorf(keyConcurrency, "is no whole number")
 	}
 	return policy.PlanSettings{
 		Rate:             row.requiredNumber("quota-rate"),
