--- a/internal/config/operator_test.go
+++ b/internal/config/operator_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// operatorFiles are texts of operator files, with a part of the error that each causes; empty for none.
+// operatorFiles maps texts of operator files to a part of the expected error, or to "" for a valid file.
 var operatorFiles = map[string]string{
 	"": "", "[limits]\nlisten = \"127.0.0.1:1\"\n": "",
 	"[limits]\nlisten = \"nowhere\"\n":             ":2: limits.listen is \"nowhere\"",
@@ -36,14 +36,14 @@
 	"[limits]\nanswer_within = \"100ms\"\nlisten = \"[::1]:99\"\n":   "",
 }
 
-func TestReadOperator(t *testing.T) {
+func TestReadOperatorSettings(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "op.toml")
-	read := func(t *testing.T, text string) (*Operator, error) {
+	read := func(t *testing.T, text string) (*OperatorSettings, error) {
 		t.Helper()
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		return ReadOperator(path)
+		return ReadOperatorSettings(path)
 	}
 	for text, want := range operatorFiles {
 		o, err := read(t, text)
@@ -53,47 +53,48 @@
 		if want != "" && (err == nil || !strings.Contains(err.Error(), want) || !strings.Contains(err.Error(), path)) {
 			t.Errorf("%q: %v, want %q", text, err, want)
 		}
-		if err == nil && (o.Limits.MaxConnections != 64 || o.Counter.Protocol != "text") {
+		if err == nil && (o.LimitCommands.MaxConnections != 64 || o.Counter.Protocol != "text") {
 			t.Errorf("%q: %+v", text, o)
 		}
 	}
-	if o, err := ReadOperator(""); err != nil || o.Limits.Listen != "" {
+	if o, err := ReadOperatorSettings(""); err != nil || o.LimitCommands.Listen != "" {
 		t.Error(o, err)
 	}
-	if _, err := ReadOperator(path + ".none"); err == nil || !strings.Contains(err.Error(), "operator file") {
+	if _, err := ReadOperatorSettings(path + ".none"); err == nil || !strings.Contains(err.Error(), "operator file") {
 		t.Error(err)
 	}
-	if _, err := ReadOperator("../../deploy/fawnplank.toml"); err != nil {
+	if _, err := ReadOperatorSettings("../../deploy/fawnplank.toml"); err != nil {
 		t.Error(err)
 	}
 }
 
-// TestConfig_LimitClass: the class that only checks gets an id after the platform's, and keeps it through a
-// reload.
-func TestConfig_LimitClass(t *testing.T) {
-	c := mustParse(t, validConfig)
-	o, err := ReadOperator("")
+// TestConfig_CheckOnlyClassKeepsID checks that the class of the limit commands gets an id after the classes of the
+// platform, and keeps it across a reload.
+func TestConfig_CheckOnlyClassKeepsID(t *testing.T) {
+	c := parseValid(t, validConfig)
+	o, err := ReadOperatorSettings("")
 	if err != nil {
 		t.Fatal(err)
 	}
-	if c.AddLimitClass(o); len(c.Classes) != 1 {
-		t.Error("limit commands are on without an address")
+	if c.AddCheckOnlyClass(o); len(c.Classes) != 1 {
+		t.Error("a class was added although the limit commands have no address")
 	}
-	if _, ok := c.LimitClass(); ok {
-		t.Error("a class for limit commands that are off")
+	if _, ok := c.CheckOnlyClass(); ok {
+		t.Error("CheckOnlyClass returns a class although the limit commands are disabled")
 	}
 
-	o.Limits.Listen = "127.0.0.1:1"
-	c.AddLimitClass(o)
-	id, ok := c.LimitClass()
+	o.LimitCommands.Listen = "127.0.0.1:1"
+	c.AddCheckOnlyClass(o)
+	id, ok := c.CheckOnlyClass()
 	if !ok || id != 1 || !c.Settings.Classes[1].CheckOnly || c.Settings.Classes[1].Deadline != 750e6 {
 		t.Errorf("%v %+v", id, c.Settings.Classes)
 	}
 
-	reloaded := mustParse(t, strings.Replace(validConfig, `"deadline-ms": 2000`, `"deadline-ms": 3000`, 1))
-	reloaded.AddLimitClass(o)
+	reloaded := parseValid(t, strings.Replace(validConfig, `"deadline-ms": 2000`, `"deadline-ms": 3000`, 1))
+	reloaded.AddCheckOnlyClass(o)
 	reloaded.KeepIDs(c)
-	if again, ok := reloaded.LimitClass(); !ok || again != id || !reloaded.Settings.Classes[again].CheckOnly {
-		t.Errorf("after a reload %v", again)
+	if reloadedID, ok := reloaded.CheckOnlyClass(); !ok || reloadedID != id ||
+		!reloaded.Settings.Classes[reloadedID].CheckOnly {
+		t.Errorf("the class id changed in a reload, to %v", reloadedID)
 	}
 }
