--- a/cmd/fawnplank/command_store.go
+++ b/cmd/fawnplank/command_store.go
@@ -119,7 +119,7 @@
 }
 
 func (v storeVerbs) keys(ctx context.Context, out io.Writer, args []string) error {
-	return v.print(ctx, out, storeCall{method: http.MethodGet, path: store.KeysPath(args[0])})
+	return v.print(ctx, out, storeCall{method: http.MethodGet, path: store.KeyListPath(args[0])})
 }
 
 func (v storeVerbs) get(ctx context.Context, out io.Writer, args []string) error {
--- a/cmd/fawnplank/replica.go
+++ b/cmd/fawnplank/replica.go
@@ -127,7 +127,7 @@
 		return config.Overlay{}
 	}
 	return config.Overlay{
-		Plans:   r.ReadPrefix(config.PlanKeyPrefix),
-		Classes: r.ReadPrefix(config.ClassKeyPrefix),
+		Plans:   r.ReadLocalPrefix(config.PlanKeyPrefix),
+		Classes: r.ReadLocalPrefix(config.ClassKeyPrefix),
 	}
 }
--- a/cmd/fawnplank/store_client.go
+++ b/cmd/fawnplank/store_client.go
@@ -183,12 +183,12 @@
 	return entry, err == nil, err
 }
 
-// ReadPrefix reads all keys with a prefix as this replica has them, and returns their values by the part of
+// ReadLocalPrefix reads all keys with a prefix as this replica has them, and returns their values by the part of
 // the key that follows the prefix. Keys whose call fails are left out, which is remembered as a failed read.
-func (c storeClient) ReadPrefix(prefix string) map[string]json.RawMessage {
+func (c storeClient) ReadLocalPrefix(prefix string) map[string]json.RawMessage {
 	values := map[string]json.RawMessage{}
 	var keys []string
-	text, err := c.read(store.KeysPath(prefix))
+	text, err := c.read(store.KeyListPath(prefix))
 	if err == nil {
 		err = json.Unmarshal(text, &keys)
 	}
--- a/cmd/fawnplank/store_client_test.go
+++ b/cmd/fawnplank/store_client_test.go
@@ -65,7 +65,7 @@
 	client := storeClient{address: address}
 	client.ReadLocal("q/a?b")
 	_, _, _ = client.ReadFromLeader("q/a?b") // the answer is no entry
-	client.ReadPrefix("q/a#b")
+	client.ReadLocalPrefix("q/a#b")
 	want := []string{
 		"PUT /v1/kv/q%2Fa%3Fb", "GET /v1/kv/q%2Fa%23b", "DELETE /v1/kv/q%2Fa%2541b", "GET /v1/kv?prefix=q%2Fa%26prefix%3Db",
 		"DELETE /v1/peers/x%3Fy", "GET /v1/kv/q%2Fa%3Fb?stale=1", "GET /v1/kv/q%2Fa%3Fb", "GET /v1/kv?prefix=q%2Fa%23b",
--- a/internal/billingservice/add_reports.go
+++ b/internal/billingservice/add_reports.go
@@ -39,7 +39,7 @@
 func (s *Service) collectReports() (*reportBatch, error) {
 	batch := &reportBatch{accounts: map[string]billing.Account{}, indices: map[string]kv.Index{}}
 	var reportErr error
-	for _, name := range slices.Sorted(maps.Keys(s.options.Replica.ReadPrefix(reportPrefix))) {
+	for _, name := range slices.Sorted(maps.Keys(s.options.Replica.ReadLocalPrefix(reportPrefix))) {
 		entry, ok := s.options.Replica.ReadLocal(reportPrefix + name)
 		if !ok {
 			continue
--- a/internal/billingservice/compaction.go
+++ b/internal/billingservice/compaction.go
@@ -20,7 +20,7 @@
 	if !s.ensureLease() {
 		return nil
 	}
-	tenants := slices.Sorted(maps.Keys(s.options.Replica.ReadPrefix(accountPrefix)))
+	tenants := slices.Sorted(maps.Keys(s.options.Replica.ReadLocalPrefix(accountPrefix)))
 	for step := 0; len(tenants) > 0 && step < maxCompactionSteps; step++ {
 		state, index, err := s.readExportState()
 		if err != nil {
--- a/internal/billingservice/export_test.go
+++ b/internal/billingservice/export_test.go
@@ -28,7 +28,7 @@
 // restore replaces a replica's state with a snapshot. The log continues after its last index.
 func restore(t *testing.T, replica *memoryReplica, content []byte) {
 	t.Helper()
-	state, err := kv.Load(content)
+	state, err := kv.DecodeSnapshot(content)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -50,7 +50,7 @@
 	use(service, 6)
 	time.Sleep(100 * time.Millisecond) // reported and committed, and its window is open
 	testutil.Eventually(t, "the report to be committed", func() bool {
-		return len(replica.ReadPrefix(reportPrefix)) == 0 && len(replica.ReadPrefix(accountPrefix)) == 1
+		return len(replica.ReadLocalPrefix(reportPrefix)) == 0 && len(replica.ReadLocalPrefix(accountPrefix)) == 1
 	})
 	oldCopy := snapshot(t, replica)
 	use(service, 2)
--- a/internal/billingservice/last_report.go
+++ b/internal/billingservice/last_report.go
@@ -19,7 +19,7 @@
 // deleteOldLastReports deletes the keys that name the last reports of old incarnations of this instance.
 func (s *Service) deleteOldLastReports() error {
 	var edits []kv.Edit
-	for name := range s.options.Replica.ReadPrefix(lastReportPrefix) {
+	for name := range s.options.Replica.ReadLocalPrefix(lastReportPrefix) {
 		if s.isOldIncarnation(name) && len(edits) < maxLastReportDeletions {
 			edits = append(edits, kv.Edit{Key: lastReportPrefix + name})
 		}
--- a/internal/billingservice/replica.go
+++ b/internal/billingservice/replica.go
@@ -17,9 +17,9 @@
 	ReadLocal(key string) (kv.Entry, bool)
 	// ReadFromLeader reads a key as the leader has it, including everything that is committed.
 	ReadFromLeader(key string) (kv.Entry, bool, error)
-	// ReadPrefix reads the keys with a prefix as this replica has them. The result is indexed by the part of the
+	// ReadLocalPrefix reads the keys with a prefix as this replica has them. The result is indexed by the part of the
 	// key that follows the prefix.
-	ReadPrefix(prefix string) map[string]json.RawMessage
+	ReadLocalPrefix(prefix string) map[string]json.RawMessage
 	// Edit commits all edits or none. It returns a kv.ConflictError if a key is not as expected. After any other
 	// error the edits may still be committed.
 	Edit(edits []kv.Edit) error
--- a/internal/billingservice/reservations_test.go
+++ b/internal/billingservice/reservations_test.go
@@ -90,8 +90,8 @@
 	service.RecordUsage("g", "small", time.Now(), 1)
 	time.Sleep(20 * time.Millisecond)
 	synctest.Wait()
-	if _, found := replica.ReadLocal(oldKey); found || len(replica.ReadPrefix(lastReportPrefix)) != 1 {
-		t.Errorf("last reports after the first report: %v", replica.ReadPrefix(lastReportPrefix))
+	if _, found := replica.ReadLocal(oldKey); found || len(replica.ReadLocalPrefix(lastReportPrefix)) != 1 {
+		t.Errorf("last reports after the first report: %v", replica.ReadLocalPrefix(lastReportPrefix))
 	}
 	service.Close()
 }
--- a/internal/billingservice/resume.go
+++ b/internal/billingservice/resume.go
@@ -60,7 +60,7 @@
 // it dropped. An account whose first attempt meets a conflict counts by its last attempt, the one that was written.
 func (s *Service) dropWindows(before time.Time) (int, error) {
 	count := 0
-	for tenant := range s.options.Replica.ReadPrefix(accountPrefix) {
+	for tenant := range s.options.Replica.ReadLocalPrefix(accountPrefix) {
 		dropped := 0
 		err := s.update(tenant, func(
 			_ billing.Settings, _ int64, account billing.Account,
--- a/internal/billingservice/service.go
+++ b/internal/billingservice/service.go
@@ -90,7 +90,7 @@
 	}
 	s.planChanges.Store(&map[string][]billing.PlanChange{})
 	var keys []string
-	for tenant := range options.Replica.ReadPrefix(accountPrefix) {
+	for tenant := range options.Replica.ReadLocalPrefix(accountPrefix) {
 		keys = append(keys, accountPrefix+tenant)
 	}
 	s.KeysChanged(keys)
@@ -129,7 +129,7 @@
 
 // PendingRecords returns how many records are not exported yet.
 func (s *Service) PendingRecords() int {
-	return len(s.options.Replica.ReadPrefix(recordPrefix))
+	return len(s.options.Replica.ReadLocalPrefix(recordPrefix))
 }
 
 // LastExportError returns the text of the error of the last round of the export, which is being retried. It is
--- a/internal/billingservice/stubs_test.go
+++ b/internal/billingservice/stubs_test.go
@@ -50,7 +50,7 @@
 	return m.random.Float64() < m.failureRate
 }
 
-func (m *memoryReplica) ReadPrefix(prefix string) map[string]json.RawMessage {
+func (m *memoryReplica) ReadLocalPrefix(prefix string) map[string]json.RawMessage {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.state.Values(prefix)
@@ -60,7 +60,7 @@
 	if m.shouldFail() {
 		return errors.New("no leader")
 	}
-	command, err := kv.Encode(edits)
+	command, err := kv.EncodeCommand(edits)
 	if err != nil {
 		return err
 	}
--- a/internal/billingservice/totals_test.go
+++ b/internal/billingservice/totals_test.go
@@ -130,8 +130,8 @@
 // openItems counts the reports, usages and reservations that are not exported or returned yet.
 func openItems(t *testing.T, replica *memoryReplica) int {
 	t.Helper()
-	open := len(replica.ReadPrefix(reportPrefix))
-	for _, value := range replica.ReadPrefix(accountPrefix) {
+	open := len(replica.ReadLocalPrefix(reportPrefix))
+	for _, value := range replica.ReadLocalPrefix(accountPrefix) {
 		var account billing.Account
 		if err := json.Unmarshal(value, &account); err != nil {
 			t.Fatal(err)
--- a/internal/billingservice/version0_test.go
+++ b/internal/billingservice/version0_test.go
@@ -123,7 +123,7 @@
 		t.Fatal(err)
 	}
 	replica := newMemoryReplica()
-	if replica.state, err = kv.Load(content); err != nil {
+	if replica.state, err = kv.DecodeSnapshot(content); err != nil {
 		t.Fatal(err)
 	}
 	replica.index = replica.state.AppliedIndex()
@@ -244,7 +244,7 @@
 		t.Fatal(err)
 	}
 	account, _, err := service.Account("g", "")
-	reports := replica.ReadPrefix(reportPrefix)
+	reports := replica.ReadLocalPrefix(reportPrefix)
 	if err != nil || len(account.Windows) != 2 || account.Windows[1].Used["small"] != 10e6 || len(reports) != 0 {
 		t.Errorf("after the report: %+v, %v, %q", account, err, reports)
 	}
@@ -257,7 +257,7 @@
 		t.Errorf("%s, %v", text, err)
 	}
 	state, _, err := service.readExportState()
-	if err != nil || state != (exportState{Next: 3, Acked: 2}) || len(replica.ReadPrefix(recordPrefix)) != 0 {
+	if err != nil || state != (exportState{Next: 3, Acked: 2}) || len(replica.ReadLocalPrefix(recordPrefix)) != 0 {
 		t.Errorf("the export: %+v, %v", state, err)
 	}
 }
--- a/internal/dnsserver/journal.go
+++ b/internal/dnsserver/journal.go
@@ -98,7 +98,7 @@
 // replaceJournal replaces the journal durably. It ignores a folder that cannot be opened to sync it.
 func replaceJournal(path string, content []byte) error {
 	err := durable.WriteFile(path, content, journalMode)
-	if _, ok := errors.AsType[*durable.FolderOpenError](err); ok {
+	if _, ok := errors.AsType[*durable.DirOpenError](err); ok {
 		return nil
 	}
 	return err
--- a/internal/dnsserver/replicated_zone_test.go
+++ b/internal/dnsserver/replicated_zone_test.go
@@ -46,7 +46,7 @@
 }
 
 func (r *fakeReplica) Edit(edits []kv.Edit) error {
-	command, err := kv.Encode(edits)
+	command, err := kv.EncodeCommand(edits)
 	if err != nil {
 		return err
 	}
--- a/internal/dnsserver/version0_test.go
+++ b/internal/dnsserver/version0_test.go
@@ -166,7 +166,7 @@
 func (d *directReplica) ReadLocal(key string) (kv.Entry, bool) { return d.state.Get(key) }
 
 func (d *directReplica) Edit(edits []kv.Edit) error {
-	command, err := kv.Encode(edits)
+	command, err := kv.EncodeCommand(edits)
 	if err == nil {
 		d.index++
 		_, err = d.state.Apply(d.index, command)
@@ -222,7 +222,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	state, err := kv.Load(text)
+	state, err := kv.DecodeSnapshot(text)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/durable/durable.go
+++ b/internal/durable/durable.go
@@ -11,21 +11,21 @@
 	"github.com/google/renameio/v2"
 )
 
-// FolderOpenError reports that the file was replaced, but its folder could not be opened to sync the rename. A
+// DirOpenError reports that the file was replaced, but its folder could not be opened to sync the rename. A
 // process may write to a folder that it may not read.
-type FolderOpenError struct {
+type DirOpenError struct {
 	Err error
 }
 
 // Error returns the text of the error that the file system gave.
-func (e *FolderOpenError) Error() string { return e.Err.Error() }
+func (e *DirOpenError) Error() string { return e.Err.Error() }
 
 // Unwrap returns the error that the file system gave.
-func (e *FolderOpenError) Unwrap() error { return e.Err }
+func (e *DirOpenError) Unwrap() error { return e.Err }
 
 // WriteFile writes the content under another name in the file's folder, syncs it, renames it over the old
 // file, and then syncs the folder. Until the rename, an error leaves the old file unchanged. After the rename,
-// the error is a *FolderOpenError if the folder could not be opened; whether the new file survives a crash is
+// the error is a *DirOpenError if the folder could not be opened; whether the new file survives a crash is
 // then, as after any error of the sync, not known.
 func WriteFile(path string, content []byte, mode os.FileMode) error {
 	if err := renameio.WriteFile(path, content, mode); err != nil {
@@ -38,7 +38,7 @@
 func syncFolder(path string) error {
 	folder, err := os.Open(path)
 	if err != nil {
-		return &FolderOpenError{Err: err}
+		return &DirOpenError{Err: err}
 	}
 	defer func() { _ = folder.Close() }() // the folder was only read
 	return folder.Sync()
--- a/internal/durable/durable_test.go
+++ b/internal/durable/durable_test.go
@@ -42,7 +42,7 @@
 
 func TestSyncFolder_SaysThatTheFolderCannotBeOpened(t *testing.T) {
 	err := syncFolder(filepath.Join(t.TempDir(), "absent"))
-	if _, ok := errors.AsType[*FolderOpenError](err); !ok || !errors.Is(err, os.ErrNotExist) {
-		t.Errorf("got %v, want a FolderOpenError that wraps os.ErrNotExist", err)
+	if _, ok := errors.AsType[*DirOpenError](err); !ok || !errors.Is(err, os.ErrNotExist) {
+		t.Errorf("got %v, want a DirOpenError that wraps os.ErrNotExist", err)
 	}
 }
--- a/internal/store/api_cluster.go
+++ b/internal/store/api_cluster.go
@@ -66,7 +66,7 @@
 // Up to kv.MaxEdits edits are one command, applied all or none. More are several commands, the writes before the
 // deletions; if one of them fails, what came before stays, and repeating the call restores the rest.
 func (s *Store) handleRestore(w http.ResponseWriter, _ *http.Request, body []byte) error {
-	backup, err := kv.Load(body)
+	backup, err := kv.DecodeSnapshot(body)
 	if err != nil {
 		return fmt.Errorf("%w: %w", err, kv.ErrInvalid)
 	}
--- a/internal/store/api_test.go
+++ b/internal/store/api_test.go
@@ -72,7 +72,7 @@
 		t.Fatal(status, text)
 	}
 	c.converge()
-	values := c.running["a"].ReadPrefix("plans/")
+	values := c.running["a"].ReadLocalPrefix("plans/")
 	if len(values) != 2 || string(values["x"]) != "1" || string(values["y"]) != "2" {
 		t.Errorf("%s", values)
 	}
@@ -108,7 +108,7 @@
 	if got := len(c.running["a"].localKeys("many/")); got != keys {
 		t.Errorf("%d keys, want %d", got, keys)
 	}
-	if plans := c.running["a"].ReadPrefix("plans/"); len(plans) != 1 || string(plans["x"]) != "1" {
+	if plans := c.running["a"].ReadLocalPrefix("plans/"); len(plans) != 1 || string(plans["x"]) != "1" {
 		t.Errorf("%s", plans)
 	}
 }
--- a/internal/store/changed_entry_test.go
+++ b/internal/store/changed_entry_test.go
@@ -45,7 +45,7 @@
 		entry, _ := replica.ReadLocal("z/secret")
 		t.Fatalf("it starts, and serves %s", entry.Value)
 	}
-	var damaged *DamagedEntryError
+	var damaged *CorruptEntryError
 	if !errors.As(err, &damaged) || !strings.Contains(err.Error(), path) {
 		t.Errorf("%v", err)
 	}
--- a/internal/store/checked_log.go
+++ b/internal/store/checked_log.go
@@ -19,18 +19,18 @@
 // It is as safe for concurrent use as the log that it wraps.
 type checkedLog struct{ raft.LogStore }
 
-// DamagedEntryError reports that an entry of the log is not as it was written.
-type DamagedEntryError struct {
+// CorruptEntryError reports that an entry of the log is not as it was written.
+type CorruptEntryError struct {
 	Index uint64
 }
 
 // Error says what to do.
-func (e *DamagedEntryError) Error() string {
+func (e *CorruptEntryError) Error() string {
 	return fmt.Sprintf("entry %d is not as it was written; remove this replica, empty its folder, and add it again",
 		e.Index)
 }
 
-// GetLog reads an entry, and returns a *DamagedEntryError if its checksum does not fit.
+// GetLog reads an entry, and returns a *CorruptEntryError if its checksum does not fit.
 func (l checkedLog) GetLog(index uint64, entry *raft.Log) error {
 	if err := l.LogStore.GetLog(index, entry); err != nil {
 		return err
@@ -39,7 +39,7 @@
 		return nil
 	}
 	if !bytes.Equal(entry.Extensions, checksum(entry)) {
-		return &DamagedEntryError{Index: index}
+		return &CorruptEntryError{Index: index}
 	}
 	entry.Extensions = nil
 	return nil
--- a/internal/store/fsm.go
+++ b/internal/store/fsm.go
@@ -47,7 +47,7 @@
 	if err != nil {
 		return err
 	}
-	state, err := kv.Load(content)
+	state, err := kv.DecodeSnapshot(content)
 	if err != nil {
 		return err
 	}
--- a/internal/store/fsm_test.go
+++ b/internal/store/fsm_test.go
@@ -16,7 +16,7 @@
 	var reported []string
 	s := &Store{options: Options{OnChange: func(keys []string) { reported = append(reported, keys...) }}, state: kv.New()}
 	for n, key := range []string{"plans/kept", "plans/deleted"} {
-		command, err := kv.Encode([]kv.Edit{{Key: key, Value: json.RawMessage("1")}})
+		command, err := kv.EncodeCommand([]kv.Edit{{Key: key, Value: json.RawMessage("1")}})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -24,7 +24,7 @@
 			t.Fatal(err)
 		}
 	}
-	command, err := kv.Encode([]kv.Edit{{Key: "plans/kept", Value: json.RawMessage("2")}})
+	command, err := kv.EncodeCommand([]kv.Edit{{Key: "plans/kept", Value: json.RawMessage("2")}})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/store/key_path.go
+++ b/internal/store/key_path.go
@@ -14,5 +14,5 @@
 	return keysPath + "/" + url.PathEscape(key)
 }
 
-// KeysPath returns the path of the API that lists the keys with a prefix.
-func KeysPath(prefix string) string { return keysPath + "?prefix=" + url.QueryEscape(prefix) }
+// KeyListPath returns the path of the API that lists the keys with a prefix.
+func KeyListPath(prefix string) string { return keysPath + "?prefix=" + url.QueryEscape(prefix) }
--- a/internal/store/key_path_test.go
+++ b/internal/store/key_path_test.go
@@ -35,7 +35,7 @@
 			t.Errorf("%q is still there", key)
 		}
 	}
-	if got := c.running[leader].ReadPrefix("q"); len(got) != 0 {
+	if got := c.running[leader].ReadLocalPrefix("q"); len(got) != 0 {
 		t.Errorf("left: %v", got)
 	}
 }
--- a/internal/store/kv/command.go
+++ b/internal/store/kv/command.go
@@ -31,8 +31,8 @@
 	Edits   []Edit `json:"edits"`
 }
 
-// Version is the version of the format of commands and snapshots. Any other version is rejected.
-const Version = 1
+// FormatVersion is the version of the format of commands and snapshots. Any other version is rejected.
+const FormatVersion = 1
 
 // Bounds of a command. Larger commands in the log would delay elections.
 const (
@@ -53,7 +53,7 @@
 
 // Error names both versions.
 func (e *VersionError) Error() string {
-	return fmt.Sprintf("of version %d, and %d is read", e.Version, Version)
+	return fmt.Sprintf("of version %d, and %d is read", e.Version, FormatVersion)
 }
 
 // ConflictError reports that a key's index is not the one that an edit expected, because somebody else has
@@ -80,12 +80,12 @@
 	return conflict
 }
 
-// Encode checks edits and returns the encoded command for the log. An error wraps ErrInvalid.
-func Encode(edits []Edit) ([]byte, error) {
+// EncodeCommand checks edits and returns the encoded command for the log. An error wraps ErrInvalid.
+func EncodeCommand(edits []Edit) ([]byte, error) {
 	if err := validate(edits); err != nil {
 		return nil, err
 	}
-	return json.Marshal(Command{Version: Version, Edits: edits})
+	return json.Marshal(Command{Version: FormatVersion, Edits: edits})
 }
 
 // validate checks the form of a command's edits.
--- a/internal/store/kv/kv_test.go
+++ b/internal/store/kv/kv_test.go
@@ -12,7 +12,7 @@
 
 func apply(t *testing.T, s *State, at Index, edits ...Edit) error {
 	t.Helper()
-	text, err := Encode(edits)
+	text, err := EncodeCommand(edits)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -78,7 +78,7 @@
 		"too many":       make([]Edit, MaxEdits+1),
 	} {
 		t.Run(name, func(t *testing.T) {
-			if _, err := Encode(edits); !errors.Is(err, ErrInvalid) {
+			if _, err := EncodeCommand(edits); !errors.Is(err, ErrInvalid) {
 				t.Errorf("%.60v: %v", edits, err)
 			}
 		})
@@ -109,7 +109,7 @@
 	random := rand.New(rand.NewSource(seed))
 	a, b := New(), New()
 	for n := range Index(200) {
-		command, err := Encode(randomEdits(random, a))
+		command, err := EncodeCommand(randomEdits(random, a))
 		if err != nil {
 			return false
 		}
@@ -125,7 +125,7 @@
 		if err != nil {
 			return false
 		}
-		if b, err = Load(content); err != nil || b.AppliedIndex() != a.AppliedIndex() {
+		if b, err = DecodeSnapshot(content); err != nil || b.AppliedIndex() != a.AppliedIndex() {
 			return false
 		}
 	}
@@ -152,16 +152,16 @@
 		t.Fatal(err)
 	}
 	for n := range content {
-		if _, err := Load(content[:n]); !errors.Is(err, ErrTruncated) && !errors.Is(err, ErrCorrupt) {
+		if _, err := DecodeSnapshot(content[:n]); !errors.Is(err, ErrTruncated) && !errors.Is(err, ErrCorrupt) {
 			t.Fatalf("cut at %d of %d: %v", n, len(content), err)
 		}
 		damaged := append([]byte(nil), content...)
 		damaged[n] ^= 1 << (n % 8)
-		if _, err := Load(damaged); !errors.Is(err, ErrTruncated) && !errors.Is(err, ErrCorrupt) {
+		if _, err := DecodeSnapshot(damaged); !errors.Is(err, ErrTruncated) && !errors.Is(err, ErrCorrupt) {
 			t.Fatalf("byte %d changed: %v", n, err)
 		}
 	}
-	if loaded, err := Load(content); err != nil || loaded.Fingerprint() != s.Fingerprint() {
+	if loaded, err := DecodeSnapshot(content); err != nil || loaded.Fingerprint() != s.Fingerprint() {
 		t.Error(err)
 	}
 }
--- a/internal/store/kv/snapshot.go
+++ b/internal/store/kv/snapshot.go
@@ -34,7 +34,7 @@
 // Snapshot returns the state as bytes: an identifying line, the checksum (xxhash, big-endian) of what
 // follows, and JSON. The state may change while the bytes are written elsewhere.
 func (s *State) Snapshot() ([]byte, error) {
-	body, err := json.Marshal(snapshot{Version: Version, AppliedIndex: s.appliedIndex, Entries: s.entries})
+	body, err := json.Marshal(snapshot{Version: FormatVersion, AppliedIndex: s.appliedIndex, Entries: s.entries})
 	if err != nil {
 		return nil, err
 	}
@@ -42,9 +42,9 @@
 	return append(content, body...), nil
 }
 
-// Load decodes a snapshot completely or not at all. It rejects a snapshot that is truncated (ErrTruncated),
+// DecodeSnapshot decodes a snapshot completely or not at all. It rejects a snapshot that is truncated (ErrTruncated),
 // damaged (ErrCorrupt) or of another version (*VersionError).
-func Load(content []byte) (*State, error) {
+func DecodeSnapshot(content []byte) (*State, error) {
 	const headBytes = len(magic) + checksumBytes
 	if len(content) < headBytes || string(content[:len(magic)]) != magic {
 		return nil, ErrTruncated
@@ -58,7 +58,7 @@
 	if err := json.Unmarshal(body, &stored); err != nil {
 		return nil, fmt.Errorf("snapshot: %w", err)
 	}
-	if stored.Version != Version {
+	if stored.Version != FormatVersion {
 		return nil, fmt.Errorf("a snapshot %w", &VersionError{Version: stored.Version})
 	}
 	if stored.Entries == nil {
--- a/internal/store/kv/version0_test.go
+++ b/internal/store/kv/version0_test.go
@@ -65,12 +65,12 @@
 func TestCommand_IsEncodedAsVersion0Bytes(t *testing.T) {
 	for _, c := range version0Commands {
 		t.Run(c.fixture, func(t *testing.T) {
-			text := readFixture(t, c.fixture, func() ([]byte, error) { return Encode(c.edits) })
+			text := readFixture(t, c.fixture, func() ([]byte, error) { return EncodeCommand(c.edits) })
 			var got Command
 			if err := json.Unmarshal(text, &got); err != nil || !reflect.DeepEqual(got, Command{1, c.edits}) {
 				t.Errorf("%+v, %v", got, err)
 			}
-			if again, err := Encode(c.edits); err != nil || !bytes.Equal(again, text) {
+			if again, err := EncodeCommand(c.edits); err != nil || !bytes.Equal(again, text) {
 				t.Errorf("written anew (%v):\n%s\nthe fixture:\n%s", err, again, text)
 			}
 		})
@@ -82,7 +82,7 @@
 func TestLoad_ReadsVersion0Snapshot(t *testing.T) {
 	now := New()
 	for _, c := range version0Commands {
-		text, err := Encode(c.edits)
+		text, err := EncodeCommand(c.edits)
 		if err == nil {
 			_, err = now.Apply(c.at, text)
 		}
@@ -91,7 +91,7 @@
 		}
 	}
 	text := readFixture(t, "snapshot", now.Snapshot)
-	s, err := Load(text)
+	s, err := DecodeSnapshot(text)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/store/leader.go
+++ b/internal/store/leader.go
@@ -125,7 +125,7 @@
 // quorum has them. On any other replica the error is errNotLeader. After an error other than that, a
 // kv.ConflictError or kv.ErrInvalid, they may still be committed.
 func (s *Store) apply(edits []kv.Edit) (kv.Index, error) {
-	command, err := kv.Encode(edits)
+	command, err := kv.EncodeCommand(edits)
 	if err != nil {
 		return 0, err
 	}
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -162,9 +162,9 @@
 	return entry.Value, ok
 }
 
-// ReadPrefix returns the values of the keys with a prefix as this replica has them, by the part of the key
+// ReadLocalPrefix returns the values of the keys with a prefix as this replica has them, by the part of the key
 // that follows the prefix.
-func (s *Store) ReadPrefix(prefix string) map[string]json.RawMessage {
+func (s *Store) ReadLocalPrefix(prefix string) map[string]json.RawMessage {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	return s.state.Values(prefix)
--- a/internal/store/version0_test.go
+++ b/internal/store/version0_test.go
@@ -81,7 +81,7 @@
 		"x/before":    {Value: json.RawMessage(`{"n":1}`), Index: 5},
 		"x/after":     {Value: json.RawMessage(`["behind the snapshot"]`), Index: 7},
 	}
-	if values := s.ReadPrefix(""); len(values) != len(want)+1 || values[peerPrefix+"a"] == nil {
+	if values := s.ReadLocalPrefix(""); len(values) != len(want)+1 || values[peerPrefix+"a"] == nil {
 		t.Errorf("keys %q", slices.Sorted(maps.Keys(values)))
 	}
 	for key, wanted := range want {
@@ -106,7 +106,7 @@
 	}
 	defer closeChecked(t, logStore)
 	content := readVersion0Snapshot(t, dir)
-	snapshot, err := kv.Load(content)
+	snapshot, err := kv.DecodeSnapshot(content)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -172,7 +172,7 @@
 	if err := json.Unmarshal(entry.Data, &command); err != nil {
 		t.Fatal(err)
 	}
-	if again, err := kv.Encode(command.Edits); err != nil || !bytes.Equal(again, entry.Data) {
+	if again, err := kv.EncodeCommand(command.Edits); err != nil || !bytes.Equal(again, entry.Data) {
 		t.Errorf("command %d, written anew (%v):\n%s\nthe fixture:\n%s", entry.Index, err, again, entry.Data)
 	}
 	if _, err := state.Apply(kv.Index(entry.Index), entry.Data); err != nil {
