--- a/internal/store/kv/command.go
+++ b/internal/store/kv/command.go
@@ -31,8 +31,8 @@
 	Edits   []Edit `json:"edits"`
 }
 
-// FormatVersion is the version of the format of commands and snapshots. Any other version is rejected.
-const FormatVersion = 1
+// Version is the version of the format of commands and snapshots. Any other version is rejected.
+const Version = 1
 
 // Bounds of a command. Larger commands in the log would delay elections.
 const (
@@ -53,7 +53,7 @@
 
 // Error names both versions.
 func (e *VersionError) Error() string {
-	return fmt.Sprintf("of version %d, and %d is read", e.Version, FormatVersion)
+	return fmt.Sprintf("of version %d, and %d is read", e.Version, Version)
 }
 
 // ConflictError reports that a key's index is not the one that an edit expected, because somebody else has
@@ -85,7 +85,7 @@
 	if err := validate(edits); err != nil {
 		return nil, err
 	}
-	return json.Marshal(Command{Version: FormatVersion, Edits: edits})
+	return json.Marshal(Command{Version: Version, Edits: edits})
 }
 
 // validate checks the form of a command's edits.
--- a/internal/store/kv/snapshot.go
+++ b/internal/store/kv/snapshot.go
@@ -34,7 +34,7 @@
 // Snapshot returns the state as bytes: an identifying line, the checksum (xxhash, big-endian) of what
 // follows, and JSON. The state may change while the bytes are written elsewhere.
 func (s *State) Snapshot() ([]byte, error) {
-	body, err := json.Marshal(snapshot{Version: FormatVersion, AppliedIndex: s.appliedIndex, Entries: s.entries})
+	body, err := json.Marshal(snapshot{Version: Version, AppliedIndex: s.appliedIndex, Entries: s.entries})
 	if err != nil {
 		return nil, err
 	}
@@ -58,7 +58,7 @@
 	if err := json.Unmarshal(body, &stored); err != nil {
 		return nil, fmt.Errorf("snapshot: %w", err)
 	}
-	if stored.Version != FormatVersion {
+	if stored.Version != Version {
 		return nil, fmt.Errorf("a snapshot %w", &VersionError{Version: stored.Version})
 	}
 	if stored.Entries == nil {
--- a/internal/store/kv/state.go
+++ b/internal/store/kv/state.go
@@ -55,7 +55,7 @@
 	if err := json.Unmarshal(encoded, &command); err != nil {
 		return command, fmt.Errorf("command at %d: %w", index, err)
 	}
-	if command.Version != FormatVersion {
+	if command.Version != Version {
 		return command, fmt.Errorf("command at %d is %w", index, &VersionError{Version: command.Version})
 	}
 	return command, validate(command.Edits)
--- a/internal/warmstart/warmstart.go
+++ b/internal/warmstart/warmstart.go
@@ -21,8 +21,8 @@
 	"fawnplank/policy"
 )
 
-// FormatVersion is the version of the file's format. A file of another version is rejected.
-const FormatVersion = 1
+// Version is the version of the file's format. A file of another version is rejected.
+const Version = 1
 
 const (
 	// magic is the first line of the file. It is stored, so its text must not change.
@@ -53,7 +53,7 @@
 
 // Error names both versions.
 func (e *VersionError) Error() string {
-	return fmt.Sprintf("of version %d, and %d is read", e.Version, FormatVersion)
+	return fmt.Sprintf("of version %d, and %d is read", e.Version, Version)
 }
 
 // body is the content of the file after the magic line and the checksum (xxhash, big-endian) of the body.
@@ -72,7 +72,7 @@
 }
 
 func save(path string, state policy.WarmStartState, now time.Time) error {
-	text, err := json.Marshal(body{Version: FormatVersion, SavedUnixNano: now.UnixNano(), State: state})
+	text, err := json.Marshal(body{Version: Version, SavedUnixNano: now.UnixNano(), State: state})
 	if err != nil {
 		return err
 	}
@@ -130,7 +130,7 @@
 	if err := json.Unmarshal(text, &saved); err != nil {
 		return body{}, err
 	}
-	if saved.Version != FormatVersion {
+	if saved.Version != Version {
 		return body{}, &VersionError{Version: saved.Version}
 	}
 	return saved, nil
