--- a/internal/warmstart/version0_test.go
+++ b/internal/warmstart/version0_test.go
@@ -13,7 +13,8 @@
 	"fawnplank/policy"
 )
 
-// TestLoad_ReadsVersion0File reads a file of an earlier version, and saves its state as the same bytes.
+// TestLoad_ReadsVersion0File checks that a file of an earlier version is read, and that its state is saved as the same
+// bytes.
 func TestLoad_ReadsVersion0File(t *testing.T) {
 	saved := time.Unix(1_800_000_000, 123_456_789)
 	want := policy.WarmStartState{
@@ -31,22 +32,23 @@
 	})
 	got, age, err := Load(path, saved.Add(90*time.Second))
 	if err != nil || age != 90*time.Second || !reflect.DeepEqual(got, want) {
-		t.Fatalf("%+v, %v old, %v", got, age, err)
+		t.Fatalf("got state %+v, age %v, error %v", got, age, err)
 	}
-	again := filepath.Join(t.TempDir(), "again")
-	if err := Save(again, got, saved); err != nil {
+	copyPath := filepath.Join(t.TempDir(), "again")
+	if err := Save(copyPath, got, saved); err != nil {
 		t.Fatal(err)
 	}
-	old, err := os.ReadFile(path)
+	original, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if now, err := os.ReadFile(again); err != nil || !bytes.Equal(now, old) {
-		t.Errorf("written anew (%v):\n%s\nthe fixture:\n%s", err, now, old)
+	if resaved, err := os.ReadFile(copyPath); err != nil || !bytes.Equal(resaved, original) {
+		t.Errorf("saved again (%v):\n%s\nwant the fixture:\n%s", err, resaved, original)
 	}
 }
 
-// TestStoredTypes_HaveTags checks that a tag, not the Go field name, names each stored field.
+// TestStoredTypes_HaveTags checks that the name of each stored field is set by a tag, so that renaming the Go field
+// does not change the file.
 func TestStoredTypes_HaveTags(t *testing.T) {
 	testutil.CheckJSONTags(t, body{})
 }
--- a/internal/warmstart/warmstart.go
+++ b/internal/warmstart/warmstart.go
@@ -1,10 +1,10 @@
-// Package warmstart preserves an instance's measurements of the backends in a file across a restart, if the
-// folder survives it. The file has a version and a checksum. It is written in full under another name in the
-// same folder and then renamed into place, and it is read completely or not at all. Package policy decides
-// what a state of a given age is still good for.
+// Package warmstart saves an instance's measurements of the backends in a file, so that they are available after a
+// restart if the directory survives it. The file has a version and a checksum. It is written completely under
+// another name in the same directory and then renamed, and it is read completely or not at all. Package policy decides
+// how a state of a given age is used.
 //
 // Save and Load are safe for concurrent use, also by several processes: a reader gets one complete state,
-// that of the last writer. Their errors begin with "learned", the name of the operator's key for the file.
+// that of the last writer. Their errors begin with "learned", the key for the file in the operator file.
 package warmstart
 
 import (
@@ -29,41 +29,42 @@
 	magic = "fawnplank learned\n"
 	// checksumBytes is the length of the checksum that follows magic.
 	checksumBytes = 8
-	// fileMode gives only the gateway access to the file.
+	// fileMode gives only the gateway's user access to the file.
 	fileMode = 0o600
-	// maxFileBytes bounds the size of the file. It allows some hundred thousand backends.
+	// maxFileBytes bounds the size of the file. The bound allows several hundred thousand backends.
 	maxFileBytes = 16 << 20
-	// maxClockSkew bounds how far in the future a file may have been written; one beyond that is not trusted.
-	// The clocks of one machine differ by less.
+	// maxClockSkew bounds how far in the future the time of writing may be. A file beyond the bound is rejected.
+	// Clock readings on one machine differ by less.
 	maxClockSkew = time.Minute
 )
 
 // Reasons for which Load rejects a file. Load wraps them with the file's path.
 var (
-	// ErrTruncated is also reported for a file of another kind.
-	ErrTruncated = errors.New("no file of this kind, or one cut short")
-	// ErrCorrupt reports that the content has been changed.
-	ErrCorrupt = errors.New("damaged: its checksum does not fit")
+	// ErrTruncated reports that the file is truncated or is not a warm-start file.
+	ErrTruncated = errors.New("not a warm-start file, or truncated")
+	// ErrCorrupt reports that the checksum of the file does not match its content.
+	ErrCorrupt = errors.New("corrupt warm-start file: the checksum does not match")
 )
 
-// VersionError reports that a file has another version than Version.
+// VersionError reports that a file has another format version than Version.
 type VersionError struct {
 	Version int
 }
 
-// Error names both versions.
+// Error returns a message with both versions.
 func (e *VersionError) Error() string {
-	return fmt.Sprintf("of version %d, and %d is read", e.Version, Version)
+	return fmt.Sprintf("format version %d is not supported, want version %d", e.Version, Version)
 }
 
-// body is the content of the file after the magic line and the checksum (xxhash, big-endian) of the body.
+// body is the JSON body of the file. It follows the magic line and the checksum (xxhash, big-endian) of the body.
 type body struct {
 	Version       int                   `json:"v"`
 	SavedUnixNano int64                 `json:"saved_unix_ns"` // by the wall clock of the writer
 	State         policy.WarmStartState `json:"learned"`
 }
 
-// Save replaces the file durably. On an error, such as a full disk, the old file stays unchanged.
+// Save replaces the file durably. If it cannot write the new content, for example to a full disk, the old file stays
+// unchanged; see durable.WriteFile for errors after that.
 func Save(path string, state policy.WarmStartState, now time.Time) error {
 	if err := save(path, state, now); err != nil {
 		return fmt.Errorf("learned: %w", err)
@@ -72,18 +73,18 @@
 }
 
 func save(path string, state policy.WarmStartState, now time.Time) error {
-	text, err := json.Marshal(body{Version: Version, SavedUnixNano: now.UnixNano(), State: state})
+	encoded, err := json.Marshal(body{Version: Version, SavedUnixNano: now.UnixNano(), State: state})
 	if err != nil {
 		return err
 	}
-	content := binary.BigEndian.AppendUint64([]byte(magic), xxhash.Sum64(text))
-	content = append(content, text...)
+	content := binary.BigEndian.AppendUint64([]byte(magic), xxhash.Sum64(encoded))
+	content = append(content, encoded...)
 	return durable.WriteFile(path, content, fileMode)
 }
 
 // Load reads the file and returns the state and its age. If the file does not exist, the error wraps
-// os.ErrNotExist. A file that is truncated (ErrTruncated), damaged (ErrCorrupt), of another version
-// (*VersionError), too large or from the future is rejected with an error that says so.
+// os.ErrNotExist. A file that is truncated (ErrTruncated), corrupt (ErrCorrupt), of another version
+// (*VersionError), too large or written in the future is rejected with an error that states the reason.
 func Load(path string, now time.Time) (state policy.WarmStartState, age time.Duration, err error) {
 	saved, err := load(path)
 	if err != nil {
@@ -91,43 +92,43 @@
 	}
 	age = now.Sub(time.Unix(0, saved.SavedUnixNano))
 	if age < -maxClockSkew {
-		return state, 0, fmt.Errorf("learned: %s was written %v from now", path, -age)
+		return state, 0, fmt.Errorf("learned: %s has a time of writing %v in the future", path, -age)
 	}
 	return saved.State, max(age, 0), nil
 }
 
-// load reads a file of a bounded size.
+// load reads and decodes a file of at most maxFileBytes.
 func load(path string) (body, error) {
 	info, err := os.Stat(path)
 	if err != nil {
 		return body{}, err
 	}
 	if info.Size() > maxFileBytes {
-		return body{}, fmt.Errorf("%s has %d bytes, above %d", path, info.Size(), maxFileBytes)
+		return body{}, fmt.Errorf("%s has %d bytes, more than the limit of %d", path, info.Size(), maxFileBytes)
 	}
 	content, err := os.ReadFile(path)
 	if err != nil {
 		return body{}, err
 	}
-	saved, err := parse(content)
+	saved, err := decode(content)
 	if err != nil {
 		return body{}, fmt.Errorf("%s: %w", path, err)
 	}
 	return saved, nil
 }
 
-// parse checks a file's content from the outside in: magic line, checksum, JSON form, version.
-func parse(content []byte) (body, error) {
-	const headBytes = len(magic) + checksumBytes
-	if len(content) < headBytes || string(content[:len(magic)]) != magic {
+// decode checks the magic line and the checksum of a file, decodes its JSON body, and checks the version.
+func decode(content []byte) (body, error) {
+	const headerBytes = len(magic) + checksumBytes
+	if len(content) < headerBytes || string(content[:len(magic)]) != magic {
 		return body{}, ErrTruncated
 	}
-	text := content[headBytes:]
-	if xxhash.Sum64(text) != binary.BigEndian.Uint64(content[len(magic):]) {
+	encoded := content[headerBytes:]
+	if xxhash.Sum64(encoded) != binary.BigEndian.Uint64(content[len(magic):]) {
 		return body{}, ErrCorrupt
 	}
 	var saved body
-	if err := json.Unmarshal(text, &saved); err != nil {
+	if err := json.Unmarshal(encoded, &saved); err != nil {
 		return body{}, err
 	}
 	if saved.Version != Version {
