--- a/internal/store/kv/command.go
+++ b/internal/store/kv/command.go
@@ -10,13 +10,12 @@
 // Index is a position in the replicated log. The index of a key is that of the command that last changed it.
 type Index uint64
 
-// Edit changes one key. Its JSON is both stored in the log and sent to the API.
+// Edit changes one key. Its JSON form is stored in the log and is also used by the HTTP API.
 type Edit struct {
 	Key string `json:"key"`
-	// Value is the key's new value, in JSON. No value, or null, deletes the key.
+	// Value is the key's new value, in JSON. An empty value or null deletes the key.
 	Value json.RawMessage `json:"value,omitempty"`
-	// Conditional means that the edit requires the key to be at ExpectedIndex. Otherwise ExpectedIndex is not
-	// looked at.
+	// Conditional means that the edit requires the key to be at ExpectedIndex. Otherwise ExpectedIndex is ignored.
 	Conditional bool `json:"check,omitempty"`
 	// ExpectedIndex is the index that the key must have; 0 means that the key must not exist.
 	ExpectedIndex Index `json:"if,omitempty"`
@@ -25,7 +24,7 @@
 // IsDeletion reports whether the edit deletes its key.
 func (e Edit) IsDeletion() bool { return len(e.Value) == 0 || string(e.Value) == "null" }
 
-// Command is a log entry. Either all its edits are applied, or none is.
+// Command is the content of a log entry. Either all its edits are applied, or none.
 type Command struct {
 	Version int    `json:"v"`
 	Edits   []Edit `json:"edits"`
@@ -34,30 +33,31 @@
 // Version is the version of the format of commands and snapshots. Any other version is rejected.
 const Version = 1
 
-// Bounds of a command. Larger commands in the log would delay elections.
+// Bounds of a command. Larger log entries would delay elections.
 const (
 	MaxEdits      = 1000
 	MaxKeyBytes   = 256
 	MaxValueBytes = 1 << 20
 )
 
-// ErrInvalid reports that a command is malformed: too many edits or none, a key or value out of bounds, a key
-// twice, or no JSON. The text around it says which. The command is never written, and sending it again is useless.
+// ErrInvalid reports that a command is malformed: it has too many edits or none, a key or value out of bounds, a
+// duplicate key, or a value that is not JSON. The text of the wrapping error states the fault. The command is not
+// written to the log, and sending it again gives the same error.
 var ErrInvalid = errors.New("not in form")
 
-// VersionError reports that a command or a snapshot has another version than Version. Another
-// version of the program wrote it, and reads it.
+// VersionError reports that a command or a snapshot has another format version than Version. Another version of the
+// program wrote it and can read it.
 type VersionError struct {
 	Version int
 }
 
-// Error names both versions.
+// Error returns a message with both versions.
 func (e *VersionError) Error() string {
 	return fmt.Sprintf("of version %d, and %d is read", e.Version, Version)
 }
 
-// ConflictError reports that a key's index is not the one that an edit expected, because somebody else has
-// changed the key. It is empty if another replica found the conflict and its answer could not be read.
+// ConflictError reports that a key's index differs from the index that an edit expects, because another writer has
+// changed the key. It is empty if another replica reported the conflict and its answer could not be parsed.
 type ConflictError struct {
 	Key              string
 	Actual, Expected Index
@@ -66,12 +66,12 @@
 // conflictFormat is the text of a conflict. Replicas send it to each other, so it must not change.
 const conflictFormat = "key %s is of index %d, not %d: it was changed meanwhile"
 
-// Error returns a message that names the key and both indices.
+// Error returns a message with the key and both indices.
 func (e ConflictError) Error() string {
 	return fmt.Sprintf(conflictFormat, e.Key, e.Actual, e.Expected)
 }
 
-// ParseConflict returns the conflict that a text of ConflictError.Error names, and an empty one of any other text.
+// ParseConflict parses a text that ConflictError.Error returned. For any other text it returns an empty ConflictError.
 func ParseConflict(text string) ConflictError {
 	var conflict ConflictError
 	if _, err := fmt.Sscanf(text, conflictFormat, &conflict.Key, &conflict.Actual, &conflict.Expected); err != nil {
@@ -80,7 +80,8 @@
 	return conflict
 }
 
-// EncodeCommand checks edits and returns the encoded command for the log. An error wraps ErrInvalid.
+// EncodeCommand validates edits and returns the encoded command for the log. If the edits are not valid, the error
+// wraps ErrInvalid.
 func EncodeCommand(edits []Edit) ([]byte, error) {
 	if err := validate(edits); err != nil {
 		return nil, err
@@ -109,11 +110,11 @@
 	return nil
 }
 
-// validateKey checks a key's length, and that it is printable ASCII without spaces. A client has to escape the
-// characters ?, # and %, which are allowed, where a key is a part of a URL's path.
+// validateKey checks a key's length, and that it is printable ASCII without spaces. The characters ?, # and % are
+// allowed; a client has to escape them in the path of a URL.
 func validateKey(key string) error {
-	isUnprintable := func(r rune) bool { return r <= ' ' || r > '~' }
-	if key == "" || len(key) > MaxKeyBytes || strings.ContainsFunc(key, isUnprintable) {
+	isForbidden := func(r rune) bool { return r <= ' ' || r > '~' }
+	if key == "" || len(key) > MaxKeyBytes || strings.ContainsFunc(key, isForbidden) {
 		return fmt.Errorf("key %.40q is not 1 to %d printable characters: %w", key, MaxKeyBytes, ErrInvalid)
 	}
 	return nil
--- a/internal/store/kv/kv_test.go
+++ b/internal/store/kv/kv_test.go
@@ -10,13 +10,13 @@
 	"testing/quick"
 )
 
-func apply(t *testing.T, s *State, at Index, edits ...Edit) error {
+func encodeAndApply(t *testing.T, s *State, index Index, edits ...Edit) error {
 	t.Helper()
-	text, err := EncodeCommand(edits)
+	command, err := EncodeCommand(edits)
 	if err != nil {
 		t.Fatal(err)
 	}
-	_, err = s.Apply(at, text)
+	_, err = s.Apply(index, command)
 	return err
 }
 
@@ -24,21 +24,21 @@
 
 func TestState_AppliesAllEditsOrNone(t *testing.T) {
 	s := New()
-	if err := apply(t, s, 1, put("a", "1"), put("b", "2")); err != nil {
+	if err := encodeAndApply(t, s, 1, put("a", "1"), put("b", "2")); err != nil {
 		t.Fatal(err)
 	}
 	before := s.Fingerprint()
 	var conflict ConflictError
-	outdated := put("b", "9")
-	outdated.Conditional = true
-	outdated.ExpectedIndex = 7
-	err := apply(t, s, 2, put("a", "9"), outdated)
+	staleEdit := put("b", "9")
+	staleEdit.Conditional = true
+	staleEdit.ExpectedIndex = 7
+	err := encodeAndApply(t, s, 2, put("a", "9"), staleEdit)
 	if !errors.As(err, &conflict) || conflict.Key != "b" || conflict.Actual != 1 ||
 		s.Fingerprint() != before || s.AppliedIndex() != 2 {
-		t.Errorf("%v, %s at %d", err, s.Fingerprint(), s.AppliedIndex())
+		t.Errorf("error %v, fingerprint %s, applied index %d", err, s.Fingerprint(), s.AppliedIndex())
 	}
-	absent := Edit{Key: "c", Value: json.RawMessage("3"), Conditional: true}
-	if err := apply(t, s, 3, Edit{Key: "b", Conditional: true, ExpectedIndex: 1}, absent); err != nil {
+	createEdit := Edit{Key: "c", Value: json.RawMessage("3"), Conditional: true}
+	if err := encodeAndApply(t, s, 3, Edit{Key: "b", Conditional: true, ExpectedIndex: 1}, createEdit); err != nil {
 		t.Error(err)
 	}
 	if _, found := s.Get("b"); found || strings.Join(s.Keys(""), ",") != "a,c" {
@@ -47,14 +47,14 @@
 	for _, text := range []string{"", "{", `{"v":2,"edits":[{"key":"a","value":1}]}`, `{"v":1,"edits":[]}`} {
 		before := s.Fingerprint()
 		if _, err := s.Apply(4, []byte(text)); err == nil || s.Fingerprint() != before {
-			t.Errorf("%q: %v", text, err)
+			t.Errorf("command %q: error %v", text, err)
 		}
 	}
 }
 
-func TestState_ValuesAreIndexedByTheRestOfTheKey(t *testing.T) {
+func TestState_ValuesAreKeyedBySuffix(t *testing.T) {
 	s := New()
-	if err := apply(t, s, 1, put("plans/a", "1"), put("plans/b", "2"), put("plan", "3")); err != nil {
+	if err := encodeAndApply(t, s, 1, put("plans/a", "1"), put("plans/b", "2"), put("plan", "3")); err != nil {
 		t.Fatal(err)
 	}
 	values := s.Values("plans/")
@@ -62,30 +62,30 @@
 		t.Errorf("%s", values)
 	}
 	if values := s.Values("classes/"); values == nil || len(values) != 0 {
-		t.Errorf("without such a key: %v, want an empty map", values)
+		t.Errorf("values for a prefix without keys: %v, want an empty map", values)
 	}
 }
 
-func TestEncode_RefusesInvalidEdits(t *testing.T) {
+func TestEncodeCommand_RejectsInvalidEdits(t *testing.T) {
 	for name, edits := range map[string][]Edit{
 		"none":           nil,
-		"no key":         {put("", "1")},
+		"empty key":      {put("", "1")},
 		"space in a key": {put("a b", "1")},
-		"no JSON":        {put("a", "{")},
-		"a key twice":    {put("a", "1"), put("a", "2")},
+		"value not JSON": {put("a", "{")},
+		"duplicate key":  {put("a", "1"), put("a", "2")},
 		"key too long":   {put(strings.Repeat("k", MaxKeyBytes+1), "1")},
 		"value too long": {put("a", `"`+strings.Repeat("x", MaxValueBytes)+`"`)},
-		"too many":       make([]Edit, MaxEdits+1),
+		"too many edits": make([]Edit, MaxEdits+1),
 	} {
 		t.Run(name, func(t *testing.T) {
 			if _, err := EncodeCommand(edits); !errors.Is(err, ErrInvalid) {
-				t.Errorf("%.60v: %v", edits, err)
+				t.Errorf("edits %.60v: got %v, want ErrInvalid", edits, err)
 			}
 		})
 	}
 }
 
-// randomEdits returns one to three edits. Many are conditional, on the key's index or on the one after it.
+// randomEdits returns one to three edits. A third are conditional; their expected index is the key's index or one more.
 func randomEdits(random *rand.Rand, s *State) []Edit {
 	var edits []Edit
 	for k := range 1 + random.Intn(3) {
@@ -103,9 +103,9 @@
 	return edits
 }
 
-// replicasAgree applies the same commands to two states, one of which is now and then replaced by its own
-// snapshot, and reports whether they agree after each command.
-func replicasAgree(seed int64) bool {
+// replicasConverge applies the same commands to two states, and reports whether they are equal after each command. One
+// of the states is sometimes encoded as a snapshot and decoded again.
+func replicasConverge(seed int64) bool {
 	random := rand.New(rand.NewSource(seed))
 	a, b := New(), New()
 	for n := range Index(200) {
@@ -132,19 +132,19 @@
 	return true
 }
 
-// TestState_ReplicasAgree checks that the same commands give the same state, wherever a snapshot comes
-// between.
-func TestState_ReplicasAgree(t *testing.T) {
+// TestState_ReplicasConvergeAcrossSnapshots checks that the same commands give the same state, even if a replica
+// restores a snapshot between them.
+func TestState_ReplicasConvergeAcrossSnapshots(t *testing.T) {
 	config := &quick.Config{MaxCount: 100, Rand: rand.New(rand.NewSource(4))}
-	if err := quick.Check(replicasAgree, config); err != nil {
+	if err := quick.Check(replicasConverge, config); err != nil {
 		t.Error(err)
 	}
 }
 
-// TestLoad_RefusesDamagedSnapshots changes a snapshot at each byte, and cuts it at each byte.
-func TestLoad_RefusesDamagedSnapshots(t *testing.T) {
+// TestDecodeSnapshot_RejectsCorruptSnapshots truncates a snapshot at each byte, and flips a bit in each byte.
+func TestDecodeSnapshot_RejectsCorruptSnapshots(t *testing.T) {
 	s := New()
-	if err := apply(t, s, 1, put("plans/team", `{"name":"team"}`), put("b", "2")); err != nil {
+	if err := encodeAndApply(t, s, 1, put("plans/team", `{"name":"team"}`), put("b", "2")); err != nil {
 		t.Fatal(err)
 	}
 	content, err := s.Snapshot()
@@ -153,12 +153,12 @@
 	}
 	for n := range content {
 		if _, err := DecodeSnapshot(content[:n]); !errors.Is(err, ErrTruncated) && !errors.Is(err, ErrCorrupt) {
-			t.Fatalf("cut at %d of %d: %v", n, len(content), err)
+			t.Fatalf("snapshot truncated to %d of %d bytes: %v", n, len(content), err)
 		}
-		damaged := append([]byte(nil), content...)
-		damaged[n] ^= 1 << (n % 8)
-		if _, err := DecodeSnapshot(damaged); !errors.Is(err, ErrTruncated) && !errors.Is(err, ErrCorrupt) {
-			t.Fatalf("byte %d changed: %v", n, err)
+		corrupt := append([]byte(nil), content...)
+		corrupt[n] ^= 1 << (n % 8)
+		if _, err := DecodeSnapshot(corrupt); !errors.Is(err, ErrTruncated) && !errors.Is(err, ErrCorrupt) {
+			t.Fatalf("snapshot with byte %d changed: %v", n, err)
 		}
 	}
 	if loaded, err := DecodeSnapshot(content); err != nil || loaded.Fingerprint() != s.Fingerprint() {
--- a/internal/store/kv/snapshot.go
+++ b/internal/store/kv/snapshot.go
@@ -9,18 +9,18 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// snapshot is the encoded form of a state, which follows the checksum.
+// snapshot is the JSON body of an encoded state, which follows the checksum.
 type snapshot struct {
 	Version      int              `json:"v"`
 	AppliedIndex Index            `json:"at"`
 	Entries      map[string]Entry `json:"keys"`
 }
 
-// The reasons for which Load rejects bytes that are no snapshot.
+// Reasons for which DecodeSnapshot rejects its input.
 var (
-	// ErrTruncated is also reported for content of another kind.
+	// ErrTruncated reports that the input is truncated or is not a snapshot.
 	ErrTruncated = errors.New("no snapshot of this store, or one cut short")
-	// ErrCorrupt reports that the content has been changed.
+	// ErrCorrupt reports that the checksum of a snapshot does not match its content.
 	ErrCorrupt = errors.New("a damaged snapshot: its checksum does not fit")
 )
 
@@ -31,8 +31,8 @@
 	checksumBytes = 8
 )
 
-// Snapshot returns the state as bytes: an identifying line, the checksum (xxhash, big-endian) of what
-// follows, and JSON. The state may change while the bytes are written elsewhere.
+// Snapshot encodes the state: the line in magic, the checksum (xxhash, big-endian) of the body, and the body in JSON.
+// The result does not change when further commands are applied to the state.
 func (s *State) Snapshot() ([]byte, error) {
 	body, err := json.Marshal(snapshot{Version: Version, AppliedIndex: s.appliedIndex, Entries: s.entries})
 	if err != nil {
@@ -43,14 +43,14 @@
 }
 
 // DecodeSnapshot decodes a snapshot completely or not at all. It rejects a snapshot that is truncated (ErrTruncated),
-// damaged (ErrCorrupt) or of another version (*VersionError).
+// corrupt (ErrCorrupt) or of another version (*VersionError).
 func DecodeSnapshot(content []byte) (*State, error) {
-	const headBytes = len(magic) + checksumBytes
-	if len(content) < headBytes || string(content[:len(magic)]) != magic {
+	const headerBytes = len(magic) + checksumBytes
+	if len(content) < headerBytes || string(content[:len(magic)]) != magic {
 		return nil, ErrTruncated
 	}
 	checksum := binary.BigEndian.Uint64(content[len(magic):])
-	body := content[headBytes:]
+	body := content[headerBytes:]
 	if xxhash.Sum64(body) != checksum {
 		return nil, ErrCorrupt
 	}
--- a/internal/store/kv/state.go
+++ b/internal/store/kv/state.go
@@ -9,7 +9,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Entry is a key's value and index. The value is JSON, so that operators can read what they edit.
+// Entry is a key's value and index. The value is JSON, so that operators can read and edit it.
 type Entry struct {
 	Value json.RawMessage `json:"value"`
 	Index Index           `json:"index"`
@@ -24,9 +24,9 @@
 // New returns an empty state.
 func New() *State { return &State{entries: map[string]Entry{}} }
 
-// Apply applies a command at its position in the log and returns the keys that it changed. If it returns an
-// error, no key was changed: a ConflictError if a key is not at the expected index, a *VersionError, or one that
-// wraps ErrInvalid or says what cannot be decoded. It returns the same error on every replica.
+// Apply applies a command at its position in the log and returns the keys that it changed. If it returns an error, no
+// key was changed. The error is a ConflictError if a key is not at the expected index, a *VersionError, an error that
+// wraps ErrInvalid, or a decoding error. It is the same on every replica.
 func (s *State) Apply(index Index, encoded []byte) ([]string, error) {
 	s.appliedIndex = max(s.appliedIndex, index)
 	command, err := decode(index, encoded)
@@ -48,8 +48,8 @@
 	return changed, nil
 }
 
-// decode decodes a command of this version. It validates the edits again, because another replica may have
-// written them.
+// decode decodes a command of this version. It validates the edits again, because another replica may have encoded
+// the command.
 func decode(index Index, encoded []byte) (Command, error) {
 	var command Command
 	if err := json.Unmarshal(encoded, &command); err != nil {
@@ -61,8 +61,7 @@
 	return command, validate(command.Edits)
 }
 
-// checkIndices returns a ConflictError for the first key whose index differs from the one that its edit
-// expects.
+// checkIndices returns a ConflictError for the first key whose index differs from the index that its edit expects.
 func (s *State) checkIndices(edits []Edit) error {
 	for _, edit := range edits {
 		actual := s.entries[edit.Key].Index
@@ -91,7 +90,8 @@
 	return keys
 }
 
-// Values returns the values of the keys with a prefix, by the part of the key that follows the prefix.
+// Values returns the values of the keys with a prefix. The map is keyed by the part of the key that follows the
+// prefix.
 func (s *State) Values(prefix string) map[string]json.RawMessage {
 	values := map[string]json.RawMessage{}
 	for key, entry := range s.entries {
@@ -105,8 +105,8 @@
 // AppliedIndex returns the position of the last command, including commands that were rejected.
 func (s *State) AppliedIndex() Index { return s.appliedIndex }
 
-// Fingerprint returns a hash of the content. It is the same for the same content on any replica, regardless
-// of how the replica reached that content.
+// Fingerprint returns a hash of all keys, values and indices. Replicas with equal content have equal fingerprints,
+// even if one of them restored the content from a snapshot.
 func (s *State) Fingerprint() string {
 	hash := xxhash.New()
 	for _, key := range s.Keys("") {
--- a/internal/store/kv/version0_test.go
+++ b/internal/store/kv/version0_test.go
@@ -10,7 +10,7 @@
 	"fawnplank/internal/testutil"
 )
 
-// version0Commands are the commands that the fixtures contain. Together they use each field of an edit.
+// version0Commands are the commands in the fixtures. Together they use each field of an edit.
 var version0Commands = []struct {
 	fixture string
 	at      Index
@@ -40,8 +40,8 @@
 	},
 }
 
-// readFixture returns the bytes of a fixture. encode returns those to write if it is missing, which only
-// -update-fixtures does.
+// readFixture returns the content of a fixture. If the fixture is missing and the flag -update-fixtures is set, it is
+// first written with the bytes that encode returns.
 func readFixture(t *testing.T, name string, encode func() ([]byte, error)) []byte {
 	t.Helper()
 	path := testutil.Fixture(t, name, func(path string) {
@@ -60,38 +60,38 @@
 	return content
 }
 
-// TestCommand_IsEncodedAsVersion0Bytes decodes commands from the logs of replicas of an earlier version, and
-// encodes the same edits as the same bytes, which such replicas read.
-func TestCommand_IsEncodedAsVersion0Bytes(t *testing.T) {
+// TestEncodeCommand_GivesVersion0Bytes decodes commands from the logs of replicas of an earlier version. It checks that
+// the same edits are encoded as the same bytes, which such replicas can read.
+func TestEncodeCommand_GivesVersion0Bytes(t *testing.T) {
 	for _, c := range version0Commands {
 		t.Run(c.fixture, func(t *testing.T) {
 			text := readFixture(t, c.fixture, func() ([]byte, error) { return EncodeCommand(c.edits) })
 			var got Command
 			if err := json.Unmarshal(text, &got); err != nil || !reflect.DeepEqual(got, Command{1, c.edits}) {
-				t.Errorf("%+v, %v", got, err)
+				t.Errorf("decoded %+v, %v", got, err)
 			}
-			if again, err := EncodeCommand(c.edits); err != nil || !bytes.Equal(again, text) {
-				t.Errorf("written anew (%v):\n%s\nthe fixture:\n%s", err, again, text)
+			if reencoded, err := EncodeCommand(c.edits); err != nil || !bytes.Equal(reencoded, text) {
+				t.Errorf("encoded again (%v):\n%s\nwant the fixture:\n%s", err, reencoded, text)
 			}
 		})
 	}
 }
 
-// TestLoad_ReadsVersion0Snapshot loads a snapshot of an earlier version, compares it with the state that the
-// commands give today, and encodes both as the same bytes.
-func TestLoad_ReadsVersion0Snapshot(t *testing.T) {
-	now := New()
+// TestDecodeSnapshot_ReadsVersion0Snapshot decodes a snapshot of an earlier version. It checks that the state equals
+// the state that the same commands give now, and that both are encoded as the same bytes.
+func TestDecodeSnapshot_ReadsVersion0Snapshot(t *testing.T) {
+	current := New()
 	for _, c := range version0Commands {
 		text, err := EncodeCommand(c.edits)
 		if err == nil {
-			_, err = now.Apply(c.at, text)
+			_, err = current.Apply(c.at, text)
 		}
 		if err != nil {
 			t.Fatal(err)
 		}
 	}
-	text := readFixture(t, "snapshot", now.Snapshot)
-	s, err := DecodeSnapshot(text)
+	text := readFixture(t, "snapshot", current.Snapshot)
+	decoded, err := DecodeSnapshot(text)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -99,17 +99,19 @@
 		"plans/basic": {Value: json.RawMessage(`{"name":"basic","quota-rate":9}`), Index: 7},
 		"x/new":       {Value: json.RawMessage(`[1,2.5,"ñ"]`), Index: 7},
 	}
-	if s.AppliedIndex() != 7 || !reflect.DeepEqual(s.entries, want) || s.Fingerprint() != now.Fingerprint() {
-		t.Errorf("at %d: %+v", s.AppliedIndex(), s.entries)
+	if decoded.AppliedIndex() != 7 || !reflect.DeepEqual(decoded.entries, want) ||
+		decoded.Fingerprint() != current.Fingerprint() {
+		t.Errorf("state at index %d: %+v", decoded.AppliedIndex(), decoded.entries)
 	}
-	for name, state := range map[string]*State{"as read": s, "as applied": now} {
-		if again, err := state.Snapshot(); err != nil || !bytes.Equal(again, text) {
-			t.Errorf("%s, written anew (%v):\n%s\nthe fixture:\n%s", name, err, again, text)
+	for name, state := range map[string]*State{"as read": decoded, "as applied": current} {
+		if reencoded, err := state.Snapshot(); err != nil || !bytes.Equal(reencoded, text) {
+			t.Errorf("%s, encoded again (%v):\n%s\nwant the fixture:\n%s", name, err, reencoded, text)
 		}
 	}
 }
 
-// TestStoredTypes_HaveTags checks that a tag, and not the Go field name, names each stored field.
+// TestStoredTypes_HaveTags checks that the name of each stored field is set by a tag, so that renaming the Go field
+// does not change the stored data.
 func TestStoredTypes_HaveTags(t *testing.T) {
 	testutil.CheckJSONTags(t, Command{}, snapshot{})
 }
