--- a/internal/store/raft.go
+++ b/internal/store/raft.go
@@ -43,7 +43,7 @@
 // were opened.
 func (s *Store) open() error {
 	if err := s.listenAPI(); err != nil {
-		return fmt.Errorf("address of the API: %w", err)
+		return fmt.Errorf("listen on the API address: %w", err)
 	}
 	if err := s.openLog(); err != nil {
 		return err
@@ -51,11 +51,11 @@
 	logger := newRaftLogger()
 	snapshots, err := raft.NewFileSnapshotStoreWithLogger(s.options.Dir, retainedSnapshots, logger)
 	if err != nil {
-		return fmt.Errorf("snapshots in %s: %w", s.options.Dir, err)
+		return fmt.Errorf("open the snapshots in %s: %w", s.options.Dir, err)
 	}
 	hasState, err := raft.HasExistingState(s.logStore, s.logStore, snapshots)
 	if err != nil {
-		return fmt.Errorf("state in %s: %w", s.options.Dir, err)
+		return fmt.Errorf("read the Raft state in %s: %w", s.options.Dir, err)
 	}
 	s.serveAPI() // other replicas can request this replica's log position from here on
 	findTargetIndex := s.rejoin
@@ -64,16 +64,16 @@
 	}
 	targetIndex, err := findTargetIndex()
 	if err != nil {
-		return fmt.Errorf("term and log in %s: %w", s.options.Dir, err)
+		return fmt.Errorf("compare term and log in %s with the other replicas: %w", s.options.Dir, err)
 	}
 	if s.transport, err = s.newTransport(logger); err != nil {
-		return fmt.Errorf("address of Raft: %w", err)
+		return fmt.Errorf("listen on the Raft address: %w", err)
 	}
 	s.restriction = newVoteRestriction(s.transport, targetIndex)
 	config := s.raftConfig(logger)
 	if !hasState && targetIndex == 0 {
 		if err := s.bootstrap(config, snapshots); err != nil {
-			return fmt.Errorf("first configuration of the cluster: %w", err)
+			return fmt.Errorf("write the first configuration of the cluster: %w", err)
 		}
 	}
 	return s.startRaft(config, snapshots)
@@ -140,7 +140,7 @@
 	stableStore := retryingStableStore{StableStore: s.logStore, closed: s.closed}
 	raftNode, err := raft.NewRaft(config, (*fsm)(s), s.raftLog(), stableStore, snapshots, s.restriction)
 	if err != nil {
-		return fmt.Errorf("start of Raft: %w", err)
+		return fmt.Errorf("start Raft: %w", err)
 	}
 	s.mu.Lock()
 	s.raft = raftNode
--- a/internal/store/vote_restriction.go
+++ b/internal/store/vote_restriction.go
@@ -91,7 +91,7 @@
 	}
 }
 
-// checkMayRequestVotes returns errCatchingUp while this replica may not stand for election.
+// checkMayRequestVotes returns errCatchingUp while this replica must not request votes, and nil afterwards.
 func (v *voteRestriction) checkMayRequestVotes() error {
 	if v.lifted.Load() {
 		return nil
