--- a/internal/billingservice/replica.go
+++ b/internal/billingservice/replica.go
@@ -17,8 +17,8 @@
 	ReadLocal(key string) (kv.Entry, bool)
 	// ReadFromLeader reads a key from the leader, which has applied every committed write.
 	ReadFromLeader(key string) (kv.Entry, bool, error)
-	// ReadLocalPrefix reads the values of all keys with a prefix from this replica. The result is indexed by the part of the
-	// key after the prefix.
+	// ReadLocalPrefix reads the values of all keys with a prefix from this replica. The result is indexed by the part
+	// of the key after the prefix.
 	ReadLocalPrefix(prefix string) map[string]json.RawMessage
 	// Edit commits all edits or none. It returns a kv.ConflictError if an entry does not have the index that an edit
 	// expects. After any other error the edits may still be committed.
--- a/internal/store/peer.go
+++ b/internal/store/peer.go
@@ -98,7 +98,7 @@
 		return
 	}
 	if _, err := s.apply(edits); err != nil {
-		logging.For(logComponent).WithError(err).Warn("addresses of the replicas were not recorded")
+		logging.For(logComponent).WithError(err).Warn("peer addresses not written")
 	}
 }
 
--- a/internal/store/rejoin.go
+++ b/internal/store/rejoin.go
@@ -77,7 +77,7 @@
 	if highest.LastIndex > lastIndex {
 		missingEntries := highest.LastIndex - lastIndex
 		logging.For(logComponent).WithField("behind", missingEntries).
-			Warn("log is behind other replicas; votes are restricted until it has caught up")
+			Warn("catching up before voting")
 		return highest.LastIndex, nil
 	}
 	return 0, nil
@@ -103,7 +103,7 @@
 		return 0, err
 	}
 	logging.For(logComponent).WithField("behind", highest.LastIndex).
-		Warn("directory is empty but the cluster runs; votes are restricted until the log has caught up")
+		Warn("folder empty, catching up with the cluster")
 	return highest.LastIndex, nil
 }
 
--- a/internal/store/retrying_stable_store.go
+++ b/internal/store/retrying_stable_store.go
@@ -41,12 +41,12 @@
 		err := write()
 		if err == nil {
 			if failing {
-				logging.For(logComponent).Warn("writes of term and vote succeed again")
+				logging.For(logComponent).Warn("term and vote written again")
 			}
 			return nil
 		}
 		if !failing {
-			logging.For(logComponent).WithError(err).Error("term and vote cannot be written; the replica is paused and retries")
+			logging.For(logComponent).WithError(err).Error("term and vote not written; replica paused")
 		}
 		select {
 		case <-s.closed:
