--- a/internal/dnsserver/commit.go
+++ b/internal/dnsserver/commit.go
@@ -8,7 +8,7 @@
 )
 
 // commit evaluates an update on the zone in force and makes its change durable. The caller holds the lock.
-func (s *Server) commit(evaluate func() (*dnszone.Step, error)) (*dnszone.Step, error) {
+func (s *Server) commit(evaluate func() (*dnszone.Transition, error)) (*dnszone.Transition, error) {
 	if s.storage() == storageReplicated {
 		return s.replicate(evaluate)
 	}
@@ -20,7 +20,7 @@
 }
 
 // advance puts in force the zone that results from one stored change. The caller holds the lock.
-func (s *Server) advance(step *dnszone.Step) {
+func (s *Server) advance(step *dnszone.Transition) {
 	s.zone = step.Zone
 	s.changes = appendChange(s.changes, step.Change)
 	s.published.Store(s.zone)
--- a/internal/dnsserver/install.go
+++ b/internal/dnsserver/install.go
@@ -33,12 +33,12 @@
 	s.changes = stored.changes
 	s.published.Store(s.zone)
 	for _, change := range stored.changes {
-		s.guard.Record(change.Signature, dnszone.Outcome{}, change.AtNanos)
+		s.guard.RecordOutcome(change.Signature, dnszone.Outcome{}, change.AcceptedNanos)
 	}
 	if form == asFullList || old == nil {
 		s.publishAll()
 	} else {
-		updated, removed := dnszone.Diff(old, s.zone)
+		updated, removed := dnszone.DiffBackends(old, s.zone)
 		s.publish(updated, removed)
 	}
 	s.signalSecondaries()
--- a/internal/dnsserver/query.go
+++ b/internal/dnsserver/query.go
@@ -30,7 +30,7 @@
 	answer.Compress = true
 	answer.Answer, name = resolve(zone, name, question.Qtype)
 	if len(answer.Answer) == 0 {
-		if len(zone.RRset(name, dns.TypeANY)) == 0 && !zone.HasDescendants(name) {
+		if len(zone.RRset(name, dns.TypeANY)) == 0 && !zone.NameExists(name) {
 			answer.Rcode = dns.RcodeNameError
 		}
 		answer.Ns = zone.RRset(zone.Origin, dns.TypeSOA)
--- a/internal/dnsserver/reload.go
+++ b/internal/dnsserver/reload.go
@@ -41,7 +41,7 @@
 		log.Error("zone file ignored: serial not newer")
 		return
 	}
-	next := file.zone.Replacing(s.zone, nowNanos)
+	next := file.zone.WithStartTimesOf(s.zone, nowNanos)
 	if err := s.storeReplacement(next, file.sum); err != nil {
 		log.WithError(err).Error("zone file not stored")
 		return
--- a/internal/dnsserver/replicated_read.go
+++ b/internal/dnsserver/replicated_read.go
@@ -64,7 +64,7 @@
 }
 
 // applyNext applies the change that follows a zone. The step is nil if there is no such change.
-func (r *ReplicatedZone) applyNext(zone *dnszone.Zone) (*dnszone.Step, error) {
+func (r *ReplicatedZone) applyNext(zone *dnszone.Zone) (*dnszone.Transition, error) {
 	key := changeKey(zone.Serial())
 	entry, ok := r.ReadLocal(key)
 	if !ok {
--- a/internal/dnsserver/replication.go
+++ b/internal/dnsserver/replication.go
@@ -57,7 +57,7 @@
 		if err != nil || step == nil {
 			return err
 		}
-		s.guard.Record(step.Change.Signature, dnszone.Outcome{}, step.Change.AtNanos)
+		s.guard.RecordOutcome(step.Change.Signature, dnszone.Outcome{}, step.Change.AcceptedNanos)
 		s.advance(step)
 	}
 }
@@ -65,7 +65,7 @@
 // replicate applies an update at every replica or at none. The update is evaluated on the zone in force, and
 // again if a concurrent update was committed first, until replicateTimeout. It then returns errBehind. The
 // caller holds the lock.
-func (s *Server) replicate(evaluate func() (*dnszone.Step, error)) (*dnszone.Step, error) {
+func (s *Server) replicate(evaluate func() (*dnszone.Transition, error)) (*dnszone.Transition, error) {
 	deadline := time.Now().Add(replicateTimeout)
 	for {
 		step, err := evaluate()
--- a/internal/dnsserver/stored_zone.go
+++ b/internal/dnsserver/stored_zone.go
@@ -63,7 +63,7 @@
 }
 
 // decodeStep decodes a change and applies it to a zone. The step has the change as it is stored.
-func decodeStep(zone *dnszone.Zone, text []byte) (*dnszone.Step, error) {
+func decodeStep(zone *dnszone.Zone, text []byte) (*dnszone.Transition, error) {
 	change := &dnszone.Change{}
 	if err := json.Unmarshal(text, change); err != nil {
 		return nil, err
@@ -77,7 +77,7 @@
 }
 
 // advance applies a step that follows the zone.
-func (z *storedZone) advance(step *dnszone.Step) {
+func (z *storedZone) advance(step *dnszone.Transition) {
 	z.zone = step.Zone
 	z.changes = append(z.changes, step.Change)
 }
--- a/internal/dnsserver/update.go
+++ b/internal/dnsserver/update.go
@@ -14,9 +14,9 @@
 // answered. Updates are handled one at a time.
 func (s *Server) update(incoming *incomingMessage) {
 	signature := dnszone.Signature{
-		KeyName:       dns.CanonicalName(incoming.tsig.Hdr.Name),
-		SignedSeconds: int64(incoming.tsig.TimeSigned),
-		MAC:           incoming.tsig.MAC,
+		KeyName:           dns.CanonicalName(incoming.tsig.Hdr.Name),
+		TimeSignedSeconds: int64(incoming.tsig.TimeSigned),
+		MAC:               incoming.tsig.MAC,
 	}
 	sender := incoming.writer.RemoteAddr().String()
 	s.mu.Lock()
@@ -36,9 +36,9 @@
 	case dnszone.VerdictAccept:
 		outcome = dnszone.Outcome{Sender: sender, Rcode: s.apply(incoming, signature, nowNanos)}
 		if outcome.Rcode != dns.RcodeServerFailure { // after a server failure the same message may be sent again
-			s.guard.Record(signature, outcome, nowNanos)
+			s.guard.RecordOutcome(signature, outcome, nowNanos)
 		}
-	case dnszone.VerdictRepeat: // the sender gets the outcome that was recorded
+	case dnszone.VerdictRetransmission: // the sender gets the outcome that was recorded
 	}
 	incoming.replyCode(outcome.Rcode)
 }
@@ -51,7 +51,7 @@
 	if !s.storage().acceptsUpdates() {
 		return dns.RcodeRefused
 	}
-	step, err := s.commit(func() (*dnszone.Step, error) {
+	step, err := s.commit(func() (*dnszone.Transition, error) {
 		return s.zone.Update(incoming.request, nowNanos, signature)
 	})
 	if refused, ok := errors.AsType[*dnszone.UpdateError](err); ok {
--- a/internal/dnsserver/version0_test.go
+++ b/internal/dnsserver/version0_test.go
@@ -52,7 +52,7 @@
 	}
 	fromFile := list["n2.calc.example:7000"]
 	want := dnszone.Provenance{File: "calc.zone", Line: 8, Serial: 7}
-	if fromFile.Provenance != want || fromFile.StatedStartNanos != 1790000000000e6 ||
+	if fromFile.Provenance != want || fromFile.AnnouncedStartNanos != 1790000000000e6 ||
 		fromFile.Zone != "north" || fromFile.Group != 3 {
 		t.Errorf("of the file: %+v", fromFile)
 	}
@@ -61,7 +61,7 @@
 	}
 	addition, removal := stored.changes[0], stored.changes[1]
 	fromUpdate := list["m1.calc.example:7000"]
-	want = dnszone.Provenance{StartNanos: addition.AtNanos, Key: "deploy.", Serial: 8}
+	want = dnszone.Provenance{StartNanos: addition.AcceptedNanos, Key: "deploy.", Serial: 8}
 	if fromUpdate.Provenance != want {
 		t.Errorf("of the update: %+v", fromUpdate)
 	}
@@ -76,9 +76,9 @@
 	}
 	for _, change := range stored.changes {
 		signature := change.Signature
-		ageNanos := change.AtNanos - signature.SignedSeconds*1e9
+		ageNanos := change.AcceptedNanos - signature.TimeSignedSeconds*1e9
 		if signature.KeyName != "deploy." || len(signature.MAC) != 64 || ageNanos < 0 || ageNanos > 10e9 {
-			t.Errorf("by %+v at %d", signature, change.AtNanos)
+			t.Errorf("by %+v at %d", signature, change.AcceptedNanos)
 		}
 	}
 }
--- a/internal/dnszone/backend.go
+++ b/internal/dnszone/backend.go
@@ -18,19 +18,19 @@
 
 // Backend is a server of the API, as the records of the zone describe it.
 type Backend struct {
-	Name             string           // target:port, in lower case, without the final dot
-	Addresses        []netip.AddrPort // at least one, sorted
-	Zone             string           // availability zone, as the attribute "zone" states it; not the DNS zone
-	Group            uint16           // as the attribute "group" states it; 0 if it states none
-	Draining         bool             // takes no new work
-	Weight           float64          // relative to an ordinary backend, whose weight is 1
-	Priority         uint16           // of the SRV record; the lowest is served first
-	StatedStartNanos int64            // the start stated by the records, unix ns; 0 if they state none
-	Provenance       Provenance
+	Name                string           // target:port, in lower case, without the final dot
+	Addresses           []netip.AddrPort // at least one, sorted
+	Zone                string           // availability zone, as the attribute "zone" states it; not the DNS zone
+	Group               uint16           // as the attribute "group" states it; 0 if it states none
+	Draining            bool             // takes no new work
+	Weight              float64          // relative to an ordinary backend, whose weight is 1
+	Priority            uint16           // of the SRV record; the lowest is served first
+	AnnouncedStartNanos int64            // the start stated by the records, unix ns; 0 if they state none
+	Provenance          Provenance
 }
 
 // StartNanos returns when the backend started, in unix ns; 0 means long ago.
-func (b Backend) StartNanos() int64 { return cmp.Or(b.StatedStartNanos, b.Provenance.StartNanos) }
+func (b Backend) StartNanos() int64 { return cmp.Or(b.AnnouncedStartNanos, b.Provenance.StartNanos) }
 
 // equal reports whether two backends are the same to the consumers of the list, which get neither the priority
 // nor the provenance.
--- a/internal/dnszone/change.go
+++ b/internal/dnszone/change.go
@@ -5,16 +5,16 @@
 // Change is the effect of an update, in a form that can be stored and applied again elsewhere. Records are in
 // master file format. Its fields are stored.
 type Change struct {
-	FromSerial uint32    `json:"from"`
-	ToSerial   uint32    `json:"to"`
-	Deleted    []string  `json:"del,omitempty"`
-	Added      []string  `json:"add,omitempty"`
-	AtNanos    int64     `json:"at"` // unix ns, at the gateway that accepted the update
-	Signature  Signature `json:"by"`
+	FromSerial    uint32    `json:"from"`
+	ToSerial      uint32    `json:"to"`
+	Deleted       []string  `json:"del,omitempty"`
+	Added         []string  `json:"add,omitempty"`
+	AcceptedNanos int64     `json:"at"` // unix ns, at the gateway that accepted the update
+	Signature     Signature `json:"by"`
 }
 
-// Step is the transition from one zone to the next, with the difference between their lists.
-type Step struct {
+// Transition is the transition from one zone to the next, with the difference between their lists.
+type Transition struct {
 	Zone    *Zone
 	Change  *Change   // nil if the update changed nothing
 	Updated []Backend // new or changed
@@ -23,7 +23,7 @@
 
 // Apply applies a change that was made before the last restart, or at another replica. It returns a
 // *SequenceError if the change does not follow from this zone, and another error if the result is not valid.
-func (z *Zone) Apply(change *Change) (*Step, error) {
+func (z *Zone) Apply(change *Change) (*Transition, error) {
 	if change.FromSerial != z.Serial() || !SerialNewer(change.ToSerial, change.FromSerial) {
 		return nil, &SequenceError{
 			FromSerial: change.FromSerial,
@@ -35,7 +35,7 @@
 	if err := d.replay(change); err != nil {
 		return nil, fmt.Errorf("change to serial %d: %w", change.ToSerial, err)
 	}
-	step, err := d.finish(change.AtNanos, change.Signature)
+	step, err := d.finish(change.AcceptedNanos, change.Signature)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/dnszone/change_test.go
+++ b/internal/dnszone/change_test.go
@@ -51,7 +51,7 @@
 	}
 	text := strings.Replace(testZoneFile, " 7 3600", " 90 3600", 1)
 	text += "_calc._tcp SRV 0 100 7000 n4\nn4 A 127.0.0.14\n"
-	replaced := mustParse(t, text).Replacing(zone, 20e9)
+	replaced := mustParse(t, text).WithStartTimesOf(zone, 20e9)
 	list = replaced.Backends()
 	if listedNames(replaced) != "n1 n2 n4" || list[0].StartNanos() != 9e9 {
 		t.Errorf("%+v", list)
@@ -111,7 +111,7 @@
 }
 
 // apply applies a step of the other zone, and checks that the list is the same afterwards.
-func (r *replica) apply(t *testing.T, step *Step) {
+func (r *replica) apply(t *testing.T, step *Transition) {
 	t.Helper()
 	for _, backend := range step.Updated {
 		r.list[backend.Name] = backend
@@ -151,9 +151,9 @@
 }
 
 // checkDifferences compares a step's differences with those between the complete lists.
-func checkDifferences(t *testing.T, old *Zone, step *Step) {
+func checkDifferences(t *testing.T, old *Zone, step *Transition) {
 	t.Helper()
-	updated, removed := Diff(old, step.Zone)
+	updated, removed := DiffBackends(old, step.Zone)
 	slices.SortFunc(updated, func(a, b Backend) int { return strings.Compare(a.Name, b.Name) })
 	if fmt.Sprint(updated) != fmt.Sprint(step.Updated) || !slices.Equal(removed, step.Removed) {
 		t.Fatalf("differences %v, %v; they are %v, %v", step.Updated, step.Removed, updated, removed)
@@ -234,7 +234,7 @@
 }
 
 // checkReproducible checks that a step's change and a snapshot of its zone give the same list.
-func checkReproducible(t *testing.T, old *Zone, step *Step) {
+func checkReproducible(t *testing.T, old *Zone, step *Transition) {
 	t.Helper()
 	applied, err := old.Apply(step.Change)
 	if err != nil {
--- a/internal/dnszone/diff.go
+++ b/internal/dnszone/diff.go
@@ -1,7 +1,7 @@
 package dnszone
 
-// Diff compares two lists. It returns the new and changed backends, and the names of the removed ones.
-func Diff(old, next *Zone) (updated []Backend, removed []string) {
+// DiffBackends compares two lists. It returns the new and changed backends, and the names of the removed ones.
+func DiffBackends(old, next *Zone) (updated []Backend, removed []string) {
 	var diff listDiff
 	next.backends.Scan(func(name string, _ Backend) bool {
 		diff.compare(old, next, name)
--- a/internal/dnszone/draft.go
+++ b/internal/dnszone/draft.go
@@ -74,7 +74,7 @@
 }
 
 // finish checks the draft, rebuilds the backends of the touched names and returns the step to the new zone.
-func (d *draft) finish(atNanos int64, signature Signature) (*Step, error) {
+func (d *draft) finish(atNanos int64, signature Signature) (*Transition, error) {
 	soa := d.next.soa()
 	if soa == nil {
 		return nil, errNotOneSOA
@@ -87,22 +87,22 @@
 		return nil, err
 	}
 	change := &Change{
-		FromSerial: d.base.Serial(),
-		ToSerial:   soa.Serial,
-		Deleted:    slices.Sorted(maps.Keys(d.deleted)),
-		Added:      slices.Sorted(maps.Keys(d.added)),
-		AtNanos:    atNanos,
-		Signature:  signature,
+		FromSerial:    d.base.Serial(),
+		ToSerial:      soa.Serial,
+		Deleted:       slices.Sorted(maps.Keys(d.deleted)),
+		Added:         slices.Sorted(maps.Keys(d.added)),
+		AcceptedNanos: atNanos,
+		Signature:     signature,
 	}
 	updated, removed := d.listDiff()
-	return &Step{Zone: d.next, Change: change, Updated: updated, Removed: removed}, nil
+	return &Transition{Zone: d.next, Change: change, Updated: updated, Removed: removed}, nil
 }
 
 // listDiff returns the differences between the lists of the base and of the next zone. Only rebuilt backends
 // can differ, unless another priority is served.
 func (d *draft) listDiff() (updated []Backend, removed []string) {
 	if d.base.servedPriority != d.next.servedPriority {
-		return Diff(d.base, d.next)
+		return DiffBackends(d.base, d.next)
 	}
 	var diff listDiff
 	for _, name := range slices.Sorted(maps.Keys(d.rebuiltBackends)) {
--- a/internal/dnszone/draft_backends.go
+++ b/internal/dnszone/draft_backends.go
@@ -119,15 +119,15 @@
 		return err
 	}
 	backend := Backend{
-		Name:             name,
-		Addresses:        addresses,
-		Zone:             target.zone,
-		Group:            target.group,
-		Draining:         target.draining,
-		Weight:           target.weight(srv),
-		Priority:         srv.Priority,
-		StatedStartNanos: target.startNanos,
-		Provenance:       d.provenance(name, srv, provenance),
+		Name:                name,
+		Addresses:           addresses,
+		Zone:                target.zone,
+		Group:               target.group,
+		Draining:            target.draining,
+		Weight:              target.weight(srv),
+		Priority:            srv.Priority,
+		AnnouncedStartNanos: target.startNanos,
+		Provenance:          d.provenance(name, srv, provenance),
 	}
 	d.rebuiltBackends[name] = true
 	d.next.backends.Set(name, backend)
--- a/internal/dnszone/replay_guard.go
+++ b/internal/dnszone/replay_guard.go
@@ -39,11 +39,11 @@
 	g.removeExpired(nowSeconds)
 	if outcome, ok := g.outcomes[signature.MAC]; ok {
 		if outcome.Sender == sender {
-			return VerdictRepeat, outcome
+			return VerdictRetransmission, outcome
 		}
 		return VerdictReplay, outcome
 	}
-	if !g.isTimely(signature.SignedSeconds, nowSeconds) {
+	if !g.isTimely(signature.TimeSignedSeconds, nowSeconds) {
 		return VerdictReplay, Outcome{}
 	}
 	if !g.rate.allow(nowNanos) {
@@ -60,10 +60,10 @@
 		signedSeconds <= nowSeconds+FudgeSeconds
 }
 
-// Record remembers the outcome of an update, applied here or at another replica.
-func (g *ReplayGuard) Record(signature Signature, outcome Outcome, nowNanos int64) {
+// RecordOutcome remembers the outcome of an update, applied here or at another replica.
+func (g *ReplayGuard) RecordOutcome(signature Signature, outcome Outcome, nowNanos int64) {
 	if _, ok := g.outcomes[signature.MAC]; !ok && signature.MAC != "" {
-		validFrom := max(signature.SignedSeconds, nowNanos/nanosPerSecond)
+		validFrom := max(signature.TimeSignedSeconds, nowNanos/nanosPerSecond)
 		g.expiries = append(g.expiries, expiry{mac: signature.MAC, untilSeconds: validFrom + FudgeSeconds})
 	}
 	g.outcomes[signature.MAC] = outcome
--- a/internal/dnszone/replay_guard_test.go
+++ b/internal/dnszone/replay_guard_test.go
@@ -11,11 +11,11 @@
 	nowNanos := int64(1e12)
 	for n := range 50000 {
 		nowNanos += 1e8
-		signature := Signature{MAC: fmt.Sprint(n), SignedSeconds: nowNanos / 1e9}
+		signature := Signature{MAC: fmt.Sprint(n), TimeSignedSeconds: nowNanos / 1e9}
 		if verdict, _ := guard.Check(signature, "x", nowNanos); verdict != VerdictAccept {
 			t.Fatal(n, verdict)
 		}
-		guard.Record(signature, Outcome{Sender: "x"}, nowNanos)
+		guard.RecordOutcome(signature, Outcome{Sender: "x"}, nowNanos)
 	}
 	if n := guard.Len(); n > 10*FudgeSeconds+11 {
 		t.Errorf("%d remembered", n)
--- a/internal/dnszone/signature.go
+++ b/internal/dnszone/signature.go
@@ -6,7 +6,7 @@
 
 // Signature is the TSIG of an update (RFC 8945). Replays are recognized by it. Its fields are stored.
 type Signature struct {
-	KeyName       string `json:"key"`    // in canonical form
-	SignedSeconds int64  `json:"signed"` // unix seconds
-	MAC           string `json:"mac"`    // in hexadecimal
+	KeyName           string `json:"key"`    // in canonical form
+	TimeSignedSeconds int64  `json:"signed"` // unix seconds
+	MAC               string `json:"mac"`    // in hexadecimal
 }
--- a/internal/dnszone/update.go
+++ b/internal/dnszone/update.go
@@ -9,7 +9,7 @@
 // Update applies an update message as received from the wire (RFC 2136, 3.1 to 3.4). atNanos is the time of its
 // receipt, in unix ns. The caller must have checked its signature. Update returns the step to a new zone, or an
 // *UpdateError. If the update does not set the serial, the serial increases by one (RFC 2136, 3.6).
-func (z *Zone) Update(message *dns.Msg, atNanos int64, signature Signature) (*Step, error) {
+func (z *Zone) Update(message *dns.Msg, atNanos int64, signature Signature) (*Transition, error) {
 	if err := z.checkZoneSection(message.Question); err != nil {
 		return nil, err
 	}
@@ -24,7 +24,7 @@
 		return nil, err
 	}
 	if len(d.added) == 0 && len(d.deleted) == 0 {
-		return &Step{Zone: z}, nil
+		return &Transition{Zone: z}, nil
 	}
 	d.raiseSerial()
 	step, err := d.finish(atNanos, signature)
--- a/internal/dnszone/update_test.go
+++ b/internal/dnszone/update_test.go
@@ -190,7 +190,7 @@
 			t.Fatal(err)
 		}
 		rcode = refused.Rcode
-		step = &Step{Zone: zone}
+		step = &Transition{Zone: zone}
 	}
 	if rcode != test.rcode || listedNames(step.Zone) != test.want {
 		t.Errorf("%v; list %q, wanted %s and %q",
--- a/internal/dnszone/verdict.go
+++ b/internal/dnszone/verdict.go
@@ -7,10 +7,10 @@
 
 // The verdicts.
 const (
-	VerdictAccept      Verdict = iota // a new update
-	VerdictRepeat                     // repeated by the same sender, which gets the recorded outcome
-	VerdictReplay                     // seen before, or signed too long ago or too far ahead
-	VerdictRateLimited                // more updates than the rate allows
+	VerdictAccept         Verdict = iota // a new update
+	VerdictRetransmission                // repeated by the same sender, which gets the recorded outcome
+	VerdictReplay                        // seen before, or signed too long ago or too far ahead
+	VerdictRateLimited                   // more updates than the rate allows
 )
 
 // String returns the verdict's name.
@@ -18,7 +18,7 @@
 	switch v {
 	case VerdictAccept:
 		return "accept"
-	case VerdictRepeat:
+	case VerdictRetransmission:
 		return "repeat"
 	case VerdictReplay:
 		return "replay"
--- a/internal/dnszone/zone.go
+++ b/internal/dnszone/zone.go
@@ -8,7 +8,7 @@
 //
 // The package owns the rules for records, serials, updates and replays, and no state between calls. The
 // records and backends of a Zone do not change once a function of this package has returned it. Its methods
-// that read are safe for concurrent use, also during one that derives a new zone (Update, Apply, Replacing).
+// that read are safe for concurrent use, also during one that derives a new zone (Update, Apply, WithStartTimesOf).
 // Of those, one at a time may be called on the same Zone, because the copy of its trees marks both copies. A
 // ReplayGuard is not safe for concurrent use. The owner of a zone and its guard serializes these calls.
 package dnszone
@@ -85,9 +85,9 @@
 	return all
 }
 
-// HasDescendants reports whether any record is at or below a name. If so, the name exists even without
+// NameExists reports whether any record is at or below a name. If so, the name exists even without
 // records of its own.
-func (z *Zone) HasDescendants(name string) bool {
+func (z *Zone) NameExists(name string) bool {
 	found := false
 	z.records.Scan(func(key string, _ dns.RR) bool {
 		owner, _, _ := strings.Cut(key, keySeparator)
@@ -97,9 +97,9 @@
 	return found
 }
 
-// Replacing returns a newly parsed zone as the one that replaces old at atNanos, in unix ns. Backends that
+// WithStartTimesOf returns a newly parsed zone as the one that replaces old at atNanos, in unix ns. Backends that
 // old also has keep their start; the others are new since atNanos, and warm up from then on.
-func (z *Zone) Replacing(old *Zone, atNanos int64) *Zone {
+func (z *Zone) WithStartTimesOf(old *Zone, atNanos int64) *Zone {
 	next := z.clone()
 	z.backends.Scan(func(name string, backend Backend) bool {
 		backend.Provenance.StartNanos = atNanos
