--- a/internal/dnszone/attributes.go
+++ b/internal/dnszone/attributes.go
@@ -10,14 +10,15 @@
 )
 
 const (
-	// attributeMark begins the TXT records that describe a backend. Other TXT records at the backend's name are
-	// ignored.
-	attributeMark = "fawnplank"
-	// maxAvailabilityZoneBytes bounds the zone attribute, an availability zone: the length of a DNS label.
+	// attributeMarker is the first character-string of a TXT record that describes backends. Other TXT records at
+	// an SRV target are ignored.
+	attributeMarker = "fawnplank"
+	// maxAvailabilityZoneBytes is the maximum length of the zone attribute, which names an availability zone. It
+	// equals the maximum length of a DNS label.
 	maxAvailabilityZoneBytes = 63
-	// maxStartMillis bounds a stated start, to some time in the year 2109.
+	// maxStartMillis is the latest start time that the since attribute may have, in the year 2109.
 	maxStartMillis = 1 << 42
-	// minSize and maxSize bound a size attribute, which is relative to an ordinary backend.
+	// minSize and maxSize are the limits of the size attribute, which is relative to a backend of weight 1.
 	minSize, maxSize = 0.01, 100
 )
 
@@ -27,48 +28,48 @@
 	errNotUnixMillis    = errors.New("not a time in milliseconds since 1970")
 )
 
-// attributes holds what the TXT record at a target says about its backends.
+// attributes holds the attributes in the TXT record of an SRV target. They apply to all backends at the target.
 type attributes struct {
-	zone       string // availability zone
-	group      uint16
-	draining   bool
-	size       float64 // relative to an ordinary backend; 0 if not stated
-	startNanos int64   // unix ns; 0 if not stated
+	availabilityZone string
+	group            uint16
+	draining         bool
+	size             float64 // relative to a backend of weight 1; 0 without the size attribute
+	startNanos       int64   // unix ns; 0 without the since attribute
 }
 
-// readAttributes reads the TXT record at a target that begins with the mark. Without one, all attributes have
-// their zero values.
-func (d *draft) readAttributes(name string) (attributes, error) {
+// readAttributes reads the TXT record at a target that begins with attributeMarker. Without such a record, all
+// attributes have their zero values.
+func (tx *transaction) readAttributes(targetName string) (attributes, error) {
 	var result attributes
 	found := false
-	for _, rr := range d.rrset(name, dns.TypeTXT) {
-		words := rr.(*dns.TXT).Txt
-		if len(words) == 0 || words[0] != attributeMark {
+	for _, rr := range tx.rrset(targetName, dns.TypeTXT) {
+		characterStrings := rr.(*dns.TXT).Txt
+		if len(characterStrings) == 0 || characterStrings[0] != attributeMarker {
 			continue
 		}
 		if found {
-			return result, d.base.positioned(rr,
-				fmt.Errorf("%s has two TXT records that begin with %s", name, attributeMark))
+			return result, tx.base.withPosition(rr,
+				fmt.Errorf("%s has two TXT records that begin with %s", targetName, attributeMarker))
 		}
 		found = true
-		if err := result.parse(words[1:]); err != nil {
-			return result, d.base.positioned(rr, fmt.Errorf("%s: %w", name, err))
+		if err := result.parse(characterStrings[1:]); err != nil {
+			return result, tx.base.withPosition(rr, fmt.Errorf("%s: %w", targetName, err))
 		}
 	}
 	return result, nil
 }
 
-// parse parses words of the form key=value. Each key may appear only once.
-func (a *attributes) parse(words []string) error {
+// parse parses character-strings of the form key=value. Each key may appear only once.
+func (a *attributes) parse(characterStrings []string) error {
 	seen := map[string]bool{}
-	for _, word := range words {
-		key, value, ok := strings.Cut(word, "=")
+	for _, characterString := range characterStrings {
+		key, value, ok := strings.Cut(characterString, "=")
 		if !ok || seen[key] {
-			return fmt.Errorf("%.40q is not of the form key=value, or appears twice", word)
+			return fmt.Errorf("%.40q is not of the form key=value, or appears twice", characterString)
 		}
 		seen[key] = true
 		if err := a.set(key, value); err != nil {
-			return fmt.Errorf("%.40q: %w", word, err)
+			return fmt.Errorf("%.40q: %w", characterString, err)
 		}
 	}
 	return nil
@@ -79,7 +80,7 @@
 func (a *attributes) set(key, value string) (err error) {
 	switch key {
 	case "zone":
-		a.zone, err = parseAvailabilityZone(value)
+		a.availabilityZone, err = parseAvailabilityZone(value)
 	case "group":
 		a.group, err = parseGroup(value)
 	case "status":
@@ -114,7 +115,7 @@
 	return value == "draining", nil
 }
 
-// parseSize parses a size relative to an ordinary backend.
+// parseSize parses a size relative to a backend of weight 1.
 func parseSize(value string) (float64, error) {
 	size, err := strconv.ParseFloat(value, 64)
 	if err != nil {
@@ -126,7 +127,7 @@
 	return size, nil
 }
 
-// parseStart parses a start in unix ms.
+// parseStart parses a start time in unix ms and returns it in unix ns.
 func parseStart(value string) (nanos int64, err error) {
 	millis, err := strconv.ParseInt(value, 10, 64)
 	if err != nil {
--- a/internal/dnszone/diff.go
+++ b/internal/dnszone/diff.go
@@ -1,8 +1,9 @@
 package dnszone
 
-// DiffBackends compares two lists. It returns the new and changed backends, and the names of the removed ones.
+// DiffBackends compares the served backends of two zones. It returns the new and changed backends, and the names
+// of the removed ones.
 func DiffBackends(old, next *Zone) (updated []Backend, removed []string) {
-	var diff listDiff
+	var diff backendDiff
 	next.backends.Scan(func(name string, _ Backend) bool {
 		diff.compare(old, next, name)
 		return true
@@ -16,20 +17,20 @@
 	return diff.updated, diff.removed
 }
 
-// listDiff collects the differences between two lists.
-type listDiff struct {
+// backendDiff collects the differences between the served backends of two zones.
+type backendDiff struct {
 	updated []Backend
 	removed []string
 }
 
-// compare adds the difference in one backend, if there is one.
-func (d *listDiff) compare(old, next *Zone, name string) {
-	was, listedBefore := old.listed(name)
-	is, listedNow := next.listed(name)
+// compare adds the named backend to the differences if the two zones differ in it.
+func (d *backendDiff) compare(old, next *Zone, name string) {
+	oldBackend, servedBefore := old.servedBackend(name)
+	nextBackend, servedNext := next.servedBackend(name)
 	switch {
-	case listedNow && (!listedBefore || !was.equal(is)):
-		d.updated = append(d.updated, is)
-	case listedBefore && !listedNow:
+	case servedNext && (!servedBefore || !oldBackend.equal(nextBackend)):
+		d.updated = append(d.updated, nextBackend)
+	case servedBefore && !servedNext:
 		d.removed = append(d.removed, name)
 	}
 }
--- a/internal/dnszone/draft.go
+++ b/internal/dnszone/draft.go
@@ -7,106 +7,107 @@
 	"github.com/miekg/dns"
 )
 
-// draft is a zone with changes applied to it that are not yet known to be valid. It is used by one call and
-// dropped if that call fails.
-type draft struct {
+// transaction applies changes to a copy of a zone. The copy becomes the next version of the zone only if commit
+// succeeds; otherwise it is discarded. A transaction is used by a single call of an exported function.
+type transaction struct {
 	base            *Zone
 	next            *Zone
-	touchedNames    map[string]bool // owner names and targets whose backends must be rebuilt
+	affectedNames   map[string]bool // SRV targets, and owner names of other records, whose backends must be rebuilt
 	rebuiltBackends map[string]bool // names of the backends that were rebuilt or removed
-	deleted         map[string]bool // records in master file format, net of additions
-	added           map[string]bool // records in master file format, net of deletions
+	deleted         map[string]bool // in master file format, without records that were added again
+	added           map[string]bool // in master file format, without records that were deleted again
 }
 
-func (z *Zone) newDraft() *draft {
-	return &draft{
+func (z *Zone) newTransaction() *transaction {
+	return &transaction{
 		base:            z,
 		next:            z.clone(),
-		touchedNames:    map[string]bool{},
+		affectedNames:   map[string]bool{},
 		rebuiltBackends: map[string]bool{},
 		deleted:         map[string]bool{},
 		added:           map[string]bool{},
 	}
 }
 
-// rrset returns the records of a name and type as they are after the changes so far.
-func (d *draft) rrset(name string, rrtype uint16) []dns.RR { return d.next.RRset(name, rrtype) }
+// rrset returns the records of a name and type, including the changes made by the transaction so far.
+func (tx *transaction) rrset(name string, rrtype uint16) []dns.RR { return tx.next.RRset(name, rrtype) }
 
-// nameInUse reports whether a name has records (RFC 2136, 2.4.4).
-func (d *draft) nameInUse(name string) bool { return len(d.rrset(name, dns.TypeANY)) > 0 }
+// nameInUse reports whether a name owns at least one record (RFC 2136, 2.4.4).
+func (tx *transaction) nameInUse(name string) bool { return len(tx.rrset(name, dns.TypeANY)) > 0 }
 
-// find returns the existing record that differs at most in its TTL, or nil.
-func (d *draft) find(rr dns.RR) dns.RR {
-	existing, _ := d.next.records.Get(recordKey(rr))
+// find returns the existing record that is equal to rr in everything but possibly the TTL, or nil.
+func (tx *transaction) find(rr dns.RR) dns.RR {
+	existing, _ := tx.next.records.Get(recordKey(rr))
 	return existing
 }
 
-// touch marks the name whose backends depend on a record.
-func (d *draft) touch(rr dns.RR) {
+// markAffected marks the name whose backends depend on a record: the target of an SRV record, or else the owner
+// name.
+func (tx *transaction) markAffected(rr dns.RR) {
 	name := rr.Header().Name
 	if srv, ok := rr.(*dns.SRV); ok {
 		name = srv.Target
 	}
-	d.touchedNames[name] = true
+	tx.affectedNames[name] = true
 }
 
-// add adds a record.
-func (d *draft) add(rr dns.RR) {
-	d.touch(rr)
-	d.next.records.Set(recordKey(rr), rr)
-	recordNet(rr.String(), d.added, d.deleted)
+func (tx *transaction) add(rr dns.RR) {
+	tx.markAffected(rr)
+	tx.next.records.Set(recordKey(rr), rr)
+	recordNetChange(rr.String(), tx.added, tx.deleted)
 }
 
-// remove removes a record.
-func (d *draft) remove(rr dns.RR) {
-	d.touch(rr)
-	d.next.records.Delete(recordKey(rr))
-	recordNet(rr.String(), d.deleted, d.added)
+func (tx *transaction) remove(rr dns.RR) {
+	tx.markAffected(rr)
+	tx.next.records.Delete(recordKey(rr))
+	recordNetChange(rr.String(), tx.deleted, tx.added)
 }
 
-// recordNet adds a record to done, unless it cancels the same record in opposite.
-func recordNet(record string, done, opposite map[string]bool) {
-	if opposite[record] {
-		delete(opposite, record)
+// recordNetChange adds a record to changes. If inverse contains the record, the two changes cancel each other, and
+// the record is deleted from inverse instead.
+func recordNetChange(record string, changes, inverse map[string]bool) {
+	if inverse[record] {
+		delete(inverse, record)
 		return
 	}
-	done[record] = true
+	changes[record] = true
 }
 
-// finish checks the draft, rebuilds the backends of the touched names and returns the step to the new zone.
-func (d *draft) finish(atNanos int64, signature Signature) (*Transition, error) {
-	soa := d.next.soa()
+// commit checks the next zone, rebuilds the backends of the affected names and returns the transition to the next
+// zone.
+func (tx *transaction) commit(acceptedNanos int64, signature Signature) (*Transition, error) {
+	soa := tx.next.soa()
 	if soa == nil {
-		return nil, errNotOneSOA
+		return nil, errNotExactlyOneSOA
 	}
-	if err := d.next.checkSize(); err != nil {
+	if err := tx.next.checkSize(); err != nil {
 		return nil, err
 	}
-	provenance := Provenance{StartNanos: atNanos, Key: signature.KeyName, Serial: soa.Serial}
-	if err := d.rebuildBackends(func(string, dns.RR) Provenance { return provenance }); err != nil {
+	provenance := Provenance{StartNanos: acceptedNanos, Key: signature.KeyName, Serial: soa.Serial}
+	if err := tx.rebuildBackends(func(string, dns.RR) Provenance { return provenance }); err != nil {
 		return nil, err
 	}
 	change := &Change{
-		FromSerial:    d.base.Serial(),
+		FromSerial:    tx.base.Serial(),
 		ToSerial:      soa.Serial,
-		Deleted:       slices.Sorted(maps.Keys(d.deleted)),
-		Added:         slices.Sorted(maps.Keys(d.added)),
-		AcceptedNanos: atNanos,
+		Deleted:       slices.Sorted(maps.Keys(tx.deleted)),
+		Added:         slices.Sorted(maps.Keys(tx.added)),
+		AcceptedNanos: acceptedNanos,
 		Signature:     signature,
 	}
-	updated, removed := d.listDiff()
-	return &Transition{Zone: d.next, Change: change, Updated: updated, Removed: removed}, nil
+	updated, removed := tx.backendDiff()
+	return &Transition{Zone: tx.next, Change: change, Updated: updated, Removed: removed}, nil
 }
 
-// listDiff returns the differences between the lists of the base and of the next zone. Only rebuilt backends
-// can differ, unless another priority is served.
-func (d *draft) listDiff() (updated []Backend, removed []string) {
-	if d.base.servedPriority != d.next.servedPriority {
-		return DiffBackends(d.base, d.next)
+// backendDiff returns the differences between the served backends of the base and of the next zone. Only rebuilt
+// backends can differ, unless the served priority has changed.
+func (tx *transaction) backendDiff() (updated []Backend, removed []string) {
+	if tx.base.servedPriority != tx.next.servedPriority {
+		return DiffBackends(tx.base, tx.next)
 	}
-	var diff listDiff
-	for _, name := range slices.Sorted(maps.Keys(d.rebuiltBackends)) {
-		diff.compare(d.base, d.next, name)
+	var diff backendDiff
+	for _, name := range slices.Sorted(maps.Keys(tx.rebuiltBackends)) {
+		diff.compare(tx.base, tx.next, name)
 	}
 	return diff.updated, diff.removed
 }
--- a/internal/dnszone/parse.go
+++ b/internal/dnszone/parse.go
@@ -14,7 +14,8 @@
 // defaultTTLSeconds is the TTL of records in a master file without $TTL.
 const defaultTTLSeconds = 60
 
-// lineCounter counts the lines that the parser has consumed. The parser reads single bytes.
+// lineCounter counts the lines that the zone parser has read. The parser reads one byte at a time, so the count is
+// the number of the line that ends the latest record.
 type lineCounter struct {
 	*bytes.Reader
 	line int
@@ -29,14 +30,15 @@
 	return b, err
 }
 
-// Parse parses a master file. Its errors are a *PositionError with the name and a line, apart from those of the
-// settings. The backends count as started long ago, unless their records state a start.
+// Parse parses a master file. It returns a *PositionError with the file name and the line, or another error if the
+// settings are not valid. A backend whose records announce no start time is treated as started in the distant
+// past.
 func Parse(name string, text []byte, settings Settings) (*Zone, error) {
 	settings, err := settings.Canonical()
 	if err != nil {
 		return nil, err
 	}
-	z := &Zone{Settings: settings, lines: map[dns.RR]int{}, file: name}
+	z := &Zone{Settings: settings, recordLines: map[dns.RR]int{}, fileName: name}
 	if err := z.parseRecords(withFinalNewline(text)); err != nil {
 		return nil, err
 	}
@@ -45,14 +47,15 @@
 		return nil, &PositionError{File: name, Line: 1, Err: fmt.Errorf("no SOA record of %s", settings.Origin)}
 	}
 	if len(z.RRset(settings.Service, dns.TypeSRV)) == 0 {
-		return nil, z.positioned(soa, &NoBackendError{Service: settings.Service})
+		return nil, z.withPosition(soa, &NoBackendError{Service: settings.Service})
 	}
 	return z.withBackends(func(_ string, rr dns.RR) Provenance {
-		return Provenance{File: name, Line: z.lines[rr], Serial: soa.Serial}
+		return Provenance{File: name, Line: z.recordLines[rr], Serial: soa.Serial}
 	})
 }
 
-// withFinalNewline returns a text that ends with a newline, because lineCounter counts a line at its end.
+// withFinalNewline returns the text with a newline at the end, because lineCounter counts a line when it reads the
+// newline.
 func withFinalNewline(text []byte) []byte {
 	if len(text) == 0 || text[len(text)-1] == '\n' {
 		return text
@@ -63,23 +66,23 @@
 // parseRecords fills an empty zone with the records of a master file.
 func (z *Zone) parseRecords(text []byte) error {
 	input := &lineCounter{Reader: bytes.NewReader(text)}
-	parser := dns.NewZoneParser(input, z.Origin, z.file)
+	parser := dns.NewZoneParser(input, z.Origin, z.fileName)
 	parser.SetDefaultTTL(defaultTTLSeconds)
 	for rr, ok := parser.Next(); ok; rr, ok = parser.Next() {
 		canonicalize(rr)
-		z.lines[rr] = input.line
-		if err := z.addParsed(rr); err != nil {
-			return z.positioned(rr, err)
+		z.recordLines[rr] = input.line
+		if err := z.addParsedRecord(rr); err != nil {
+			return z.withPosition(rr, err)
 		}
 	}
 	if err := parser.Err(); err != nil {
-		return syntaxError(z.file, input.line, err)
+		return syntaxError(z.fileName, input.line, err)
 	}
 	return nil
 }
 
-// addParsed adds a record of a master file.
-func (z *Zone) addParsed(rr dns.RR) error {
+// addParsedRecord checks a record of a master file and adds it to the zone. Duplicates are errors.
+func (z *Zone) addParsedRecord(rr dns.RR) error {
 	if err := z.checkRecord(rr); err != nil {
 		return err
 	}
@@ -92,15 +95,15 @@
 	return z.checkSize()
 }
 
-// syntaxError converts an error of the library's parser, "NAME: dns: WHAT at line: LINE:COLUMN", to the form
-// of this package. lastLine is used if the library names no line.
+// syntaxError converts an error of the DNS library's zone parser, "NAME: dns: MESSAGE at line: LINE:COLUMN", to a
+// *PositionError. lastLine is used if the error text contains no line.
 func syntaxError(name string, lastLine int, parserErr error) error {
 	text := strings.TrimPrefix(strings.TrimPrefix(parserErr.Error(), name+": "), "dns: ")
-	what, position, _ := strings.Cut(text, " at line: ")
+	message, position, _ := strings.Cut(text, " at line: ")
 	lineText, _, _ := strings.Cut(position, ":")
 	line, err := strconv.Atoi(lineText)
 	if err != nil {
 		line = lastLine
 	}
-	return &PositionError{File: name, Line: line, Err: errors.New(what)}
+	return &PositionError{File: name, Line: line, Err: errors.New(message)}
 }
--- a/internal/dnszone/priority.go
+++ b/internal/dnszone/priority.go
@@ -1,37 +1,37 @@
 package dnszone
 
-// serves reports whether a backend is in the list. Only the backends of the served priority are (RFC 2782); the
-// others are on standby.
-func (z *Zone) serves(backend Backend) bool { return backend.Priority == z.servedPriority }
+// isServed reports whether a backend has the served priority (RFC 2782). The other backends are on standby.
+func (z *Zone) isServed(backend Backend) bool { return backend.Priority == z.servedPriority }
 
-// priorityCount counts the backends of one SRV priority.
+// priorityCount holds the numbers of backends with one SRV priority.
 type priorityCount struct {
 	available int // backends that are not draining
 	total     int
 }
 
-// addToPriority adds delta to the number of backends with the priority of the given one.
-func (z *Zone) addToPriority(backend Backend, delta int) {
-	if z.priorities == nil {
-		z.priorities = map[uint16]priorityCount{}
+// adjustPriorityCount adds delta to the counts of the backend's priority. delta is 1 when the backend is added and
+// -1 when it is removed.
+func (z *Zone) adjustPriorityCount(backend Backend, delta int) {
+	if z.priorityCounts == nil {
+		z.priorityCounts = map[uint16]priorityCount{}
 	}
-	count := z.priorities[backend.Priority]
+	count := z.priorityCounts[backend.Priority]
 	count.total += delta
 	if !backend.Draining {
 		count.available += delta
 	}
 	if count.total == 0 {
-		delete(z.priorities, backend.Priority)
+		delete(z.priorityCounts, backend.Priority)
 		return
 	}
-	z.priorities[backend.Priority] = count
+	z.priorityCounts[backend.Priority] = count
 }
 
-// selectPriority selects the priority to serve. This is the lowest priority with a backend that is not
-// draining, or the lowest of all if every backend is draining. Without any backend, it does not change.
+// selectPriority selects the served priority: the lowest one with a backend that is not draining, or the lowest of
+// all if every backend is draining. In a zone without backends, the served priority stays unchanged.
 func (z *Zone) selectPriority() {
 	selected := false
-	for priority := range z.priorities {
+	for priority := range z.priorityCounts {
 		if !selected || z.isPreferred(priority, z.servedPriority) {
 			z.servedPriority = priority
 			selected = true
@@ -39,10 +39,10 @@
 	}
 }
 
-// isPreferred reports whether priority a is served rather than b.
+// isPreferred reports whether priority a is preferred to priority b as the served priority.
 func (z *Zone) isPreferred(a, b uint16) bool {
-	aAvailable := z.priorities[a].available > 0
-	bAvailable := z.priorities[b].available > 0
+	aAvailable := z.priorityCounts[a].available > 0
+	bAvailable := z.priorityCounts[b].available > 0
 	if aAvailable != bAvailable {
 		return aAvailable
 	}
--- a/internal/dnszone/record_key.go
+++ b/internal/dnszone/record_key.go
@@ -7,13 +7,13 @@
 	"github.com/miekg/dns"
 )
 
-// keySeparator ends the owner name, the type and an SRV target in a record's key. It sorts before every byte of
-// a name, so that the records of one name and one RRset are adjacent.
+// keySeparator terminates the owner name, the type, and the target of an SRV record in a record's key. It sorts
+// before every byte of a name, so the records of a name, and those of an RRset, are adjacent.
 const keySeparator = "\x00"
 
-// recordKey returns the key that orders and identifies a record: owner name, type and data, with the target
-// first in SRV data. The TTL is not part of it, so a zone has only one of two records that differ in nothing
-// else.
+// recordKey returns the key that identifies a record and determines its position in the zone. It consists of the
+// owner name, the type and the data; the data of an SRV record begin with the target. The TTL is not part of the
+// key, so a zone cannot contain two records that differ only in their TTL.
 func recordKey(rr dns.RR) string {
 	header := rr.Header()
 	if srv, ok := rr.(*dns.SRV); ok {
@@ -23,15 +23,15 @@
 	return rrsetPrefix(header.Name, header.Rrtype) + strings.TrimPrefix(rr.String(), header.String())
 }
 
-// namePrefix returns the prefix of the keys of all records of a name.
+// namePrefix returns the key prefix of all records of a name.
 func namePrefix(name string) string { return name + keySeparator }
 
-// rrsetPrefix returns the prefix of the keys of one RRset.
+// rrsetPrefix returns the key prefix of the records of an RRset.
 func rrsetPrefix(name string, rrtype uint16) string {
 	return namePrefix(name) + dns.Type(rrtype).String() + keySeparator
 }
 
-// srvTargetPrefix returns the prefix of the keys of the SRV records of a service with one target.
+// srvTargetPrefix returns the key prefix of a service's SRV records with the given target.
 func srvTargetPrefix(service, targetName string) string {
 	return rrsetPrefix(service, dns.TypeSRV) + targetName + keySeparator
 }
--- a/internal/dnszone/records.go
+++ b/internal/dnszone/records.go
@@ -7,15 +7,17 @@
 	"github.com/miekg/dns"
 )
 
-// maxRecords bounds the size of a zone. It allows three records for each of a hundred thousand backends.
+// maxRecords is the maximum number of records in a zone. It allows three records for each of 100,000 backends.
 const maxRecords = 300_000
 
-// supportedTypes lists the record types that a zone may contain. Any other type in a master file is an error.
+// supportedTypes lists the record types that a zone may contain. Master files and updates with any other type are
+// rejected.
 var supportedTypes = []uint16{
 	dns.TypeSOA, dns.TypeNS, dns.TypeSRV, dns.TypeA, dns.TypeAAAA, dns.TypeTXT, dns.TypeCNAME,
 }
 
-// canonicalize converts the names in a record to canonical form, in place.
+// canonicalize converts the owner name and the names in the data of a record to canonical form, in place, and
+// returns the record.
 func canonicalize(rr dns.RR) dns.RR {
 	rr.Header().Name = dns.CanonicalName(rr.Header().Name)
 	switch data := rr.(type) {
@@ -41,8 +43,8 @@
 	return canonicalize(rr), nil
 }
 
-// parseAllowedRecord parses one record in master file format and checks that it may be in the zone.
-func (z *Zone) parseAllowedRecord(text string) (dns.RR, error) {
+// parseAndCheckRecord parses one record in master file format and checks it with checkRecord.
+func (z *Zone) parseAndCheckRecord(text string) (dns.RR, error) {
 	rr, err := parseRecord(text)
 	if err != nil {
 		return nil, err
@@ -58,7 +60,7 @@
 	return nil
 }
 
-// checkRecord returns an error if the record, considered by itself, does not belong in the zone.
+// checkRecord returns an error if a record may not be in the zone, whatever the other records are.
 func (z *Zone) checkRecord(rr dns.RR) error {
 	header := rr.Header()
 	switch {
--- a/internal/dnszone/settings.go
+++ b/internal/dnszone/settings.go
@@ -6,13 +6,15 @@
 	"github.com/miekg/dns"
 )
 
-// Settings names a zone, and the service in it that lists the backends. Names are fully qualified.
+// Settings contains the name of a zone and the name of the service whose SRV records define the backends. Both are
+// fully qualified domain names.
 type Settings struct {
 	Origin  string // name of the zone
 	Service string // owner name of the SRV records
 }
 
-// Canonical returns the settings with both names in canonical form, or an error if one of them is not usable.
+// Canonical returns the settings with both names in canonical form. It returns an error if a name is not a valid
+// domain name, is the root, or if the service is outside the zone.
 func (s Settings) Canonical() (Settings, error) {
 	for _, name := range []string{s.Origin, s.Service} {
 		if _, ok := dns.IsDomainName(name); !ok || name == "" || name == "." {
--- a/internal/dnszone/signature.go
+++ b/internal/dnszone/signature.go
@@ -1,10 +1,12 @@
 package dnszone
 
-// FudgeSeconds is how far an updater's clock may differ from this host's (RFC 8945, 10 recommends 300 s). A
-// signature is valid from that long before until that long after its time.
+// FudgeSeconds is the permitted difference between the clock of the sender and the clock of this host. RFC 8945,
+// section 10, recommends 300 s. A signature is valid from FudgeSeconds before until FudgeSeconds after the time at
+// which it was made.
 const FudgeSeconds = 300
 
-// Signature is the TSIG of an update (RFC 8945). Replays are recognized by it. Its fields are stored.
+// Signature holds the fields of an update's TSIG record (RFC 8945) by which replays are recognized. It is stored as
+// part of a Change.
 type Signature struct {
 	KeyName           string `json:"key"`    // in canonical form
 	TimeSignedSeconds int64  `json:"signed"` // unix seconds
--- a/internal/dnszone/snapshot.go
+++ b/internal/dnszone/snapshot.go
@@ -6,10 +6,10 @@
 	"github.com/miekg/dns"
 )
 
-// Snapshot is a zone in the form in which it is stored.
+// Snapshot is the stored form of a zone.
 type Snapshot struct {
 	Records    []string              `json:"records"` // in master file format, the SOA first
-	Provenance map[string]Provenance `json:"born"`    // of the backends, by name
+	Provenance map[string]Provenance `json:"born"`    // by name of the backend
 }
 
 // Snapshot returns the zone in its stored form.
@@ -25,8 +25,8 @@
 	return snapshot
 }
 
-// Restore builds a zone from a snapshot, which it checks as Parse checks a file. A service without backends
-// is not an error here, because updates may have removed the last one.
+// Restore builds a zone from a snapshot and checks it like Parse. Unlike in Parse, a service without backends is
+// not an error, because updates may have removed the last backend.
 func Restore(snapshot Snapshot, settings Settings) (*Zone, error) {
 	settings, err := settings.Canonical()
 	if err != nil {
@@ -34,14 +34,14 @@
 	}
 	z := &Zone{Settings: settings}
 	for _, text := range snapshot.Records {
-		rr, err := z.parseAllowedRecord(text)
+		rr, err := z.parseAndCheckRecord(text)
 		if err != nil {
 			return nil, &RecordError{Record: text, Err: err}
 		}
 		z.records.Set(recordKey(rr), rr)
 	}
 	if z.soa() == nil {
-		return nil, fmt.Errorf("%w of %s", errNotOneSOA, settings.Origin)
+		return nil, fmt.Errorf("%w of %s", errNotExactlyOneSOA, settings.Origin)
 	}
 	return z.withBackends(func(name string, _ dns.RR) Provenance { return snapshot.Provenance[name] })
 }
--- a/internal/dnszone/target.go
+++ b/internal/dnszone/target.go
@@ -10,21 +10,21 @@
 )
 
 const (
-	// maxAliases is how many CNAMEs are followed from a target to its addresses. A loop exceeds any limit.
+	// maxAliases is the maximum number of CNAME records between a target and its addresses. It also ends a loop of
+	// CNAME records.
 	maxAliases = 8
-	// defaultSRVWeight is the weight of an ordinary backend. It also replaces 0, which RFC 2782 defines as no
-	// weight.
+	// defaultSRVWeight is the SRV weight that corresponds to the backend weight 1. It also replaces the SRV weight
+	// 0, which RFC 2782 recommends where no server selection is needed.
 	defaultSRVWeight = 100
 )
 
-// srvTarget describes the target of an SRV record.
+// srvTarget holds the addresses and attributes of the target of an SRV record.
 type srvTarget struct {
 	addresses []netip.Addr
 	attributes
 }
 
-// weight returns the weight of a backend relative to an ordinary one. A size attribute overrides the SRV
-// weight.
+// weight returns the backend weight for an SRV record. A size attribute takes precedence over the SRV weight.
 func (t *srvTarget) weight(srv *dns.SRV) float64 {
 	if t.size != 0 {
 		return t.size
@@ -32,29 +32,29 @@
 	return float64(cmp.Or(srv.Weight, defaultSRVWeight)) / defaultSRVWeight
 }
 
-// readTarget reads the records of a target. Attributes are at the target's own name; addresses may be behind
-// aliases.
-func (d *draft) readTarget(name string) (*srvTarget, error) {
-	owner, err := d.resolveAliases(name)
+// readTarget reads the addresses and attributes of a target. The attributes are read at the target's own name, the
+// addresses at the end of its CNAME chain.
+func (tx *transaction) readTarget(targetName string) (*srvTarget, error) {
+	owner, err := tx.resolveAliases(targetName)
 	if err != nil {
 		return nil, err
 	}
-	addresses, err := d.readAddresses(name, owner)
+	addresses, err := tx.readAddresses(targetName, owner)
 	if err != nil {
 		return nil, err
 	}
-	attributes, err := d.readAttributes(name)
+	attributes, err := tx.readAttributes(targetName)
 	if err != nil {
 		return nil, err
 	}
-	if owner != name {
-		d.next.markAliased(name)
+	if owner != targetName {
+		tx.next.markAliased(targetName)
 	}
 	return &srvTarget{addresses: addresses, attributes: attributes}, nil
 }
 
-// markAliased records that a target's addresses are at another name. Changes there do not touch the target, so
-// every update reads it again.
+// markAliased records that a target is an alias, so that its addresses are at another name. A change of those
+// addresses does not mark the target as affected; therefore every update reads the target again.
 func (z *Zone) markAliased(targetName string) {
 	if z.aliasedTargets == nil {
 		z.aliasedTargets = map[string]bool{}
@@ -62,31 +62,31 @@
 	z.aliasedTargets[targetName] = true
 }
 
-// resolveAliases follows CNAME records from a name and returns the last name.
-func (d *draft) resolveAliases(name string) (string, error) {
+// resolveAliases follows the CNAME records that start at a name and returns the name at the end of the chain.
+func (tx *transaction) resolveAliases(name string) (string, error) {
 	owner := name
-	for followed := 0; ; followed++ {
-		alias := d.rrset(owner, dns.TypeCNAME)
+	for aliasCount := 0; ; aliasCount++ {
+		alias := tx.rrset(owner, dns.TypeCNAME)
 		if len(alias) == 0 {
 			return owner, nil
 		}
-		if followed == maxAliases {
-			return "", d.base.positioned(alias[0],
+		if aliasCount == maxAliases {
+			return "", tx.base.withPosition(alias[0],
 				fmt.Errorf("the CNAMEs from %s form a loop, or exceed %d steps", name, maxAliases))
 		}
 		owner = dns.CanonicalName(alias[0].(*dns.CNAME).Target)
 	}
 }
 
-// readAddresses returns the addresses of a target, which are at owner, in an order that is the same at every
-// gateway.
-func (d *draft) readAddresses(name, owner string) (addresses []netip.Addr, err error) {
-	for _, rr := range d.rrset(owner, dns.TypeAAAA) {
+// readAddresses returns the addresses of a target from the records at owner, the end of the target's CNAME chain.
+// The addresses are sorted, so that their order is the same on every gateway.
+func (tx *transaction) readAddresses(targetName, owner string) (addresses []netip.Addr, err error) {
+	for _, rr := range tx.rrset(owner, dns.TypeAAAA) {
 		if address, ok := netip.AddrFromSlice(rr.(*dns.AAAA).AAAA); ok {
 			addresses = append(addresses, address.Unmap())
 		}
 	}
-	for _, rr := range d.rrset(owner, dns.TypeA) {
+	for _, rr := range tx.rrset(owner, dns.TypeA) {
 		if address, ok := netip.AddrFromSlice(rr.(*dns.A).A.To4()); ok {
 			addresses = append(addresses, address)
 		}
@@ -97,7 +97,7 @@
 		}
 	}
 	if len(addresses) == 0 {
-		return nil, fmt.Errorf("%s has no address in the zone (looked for at %s)", name, owner)
+		return nil, fmt.Errorf("%s has no address in the zone (looked for at %s)", targetName, owner)
 	}
 	slices.SortFunc(addresses, netip.Addr.Compare)
 	return addresses, nil
--- a/internal/dnszone/update_rate.go
+++ b/internal/dnszone/update_rate.go
@@ -5,34 +5,34 @@
 	nanosPerMilli  = 1e6
 )
 
-// updateRate is a token bucket for updates. It holds at most a second's worth of tokens, and at least one.
-type updateRate struct {
+// tokenBucket limits the rate of updates. Its capacity is the number of updates per second, but at least one.
+type tokenBucket struct {
 	ratePerSecond   float64
-	tokens          float64 // how many updates may come at once
-	refilledAtNanos int64   // unix ns
+	tokens          float64 // number of updates that are allowed immediately
+	lastRefillNanos int64   // unix ns
 }
 
-func newUpdateRate(ratePerSecond float64, nowNanos int64) updateRate {
-	return updateRate{
+func newTokenBucket(ratePerSecond float64, nowNanos int64) tokenBucket {
+	return tokenBucket{
 		ratePerSecond:   ratePerSecond,
 		tokens:          max(ratePerSecond, 1),
-		refilledAtNanos: nowNanos,
+		lastRefillNanos: nowNanos,
 	}
 }
 
-// allow takes a token, or reports that there is none.
-func (r *updateRate) allow(nowNanos int64) bool {
-	r.refill(nowNanos)
-	if r.tokens < 1 {
+// allow takes a token and returns true, or returns false if less than one token is left.
+func (b *tokenBucket) allow(nowNanos int64) bool {
+	b.refill(nowNanos)
+	if b.tokens < 1 {
 		return false
 	}
-	r.tokens--
+	b.tokens--
 	return true
 }
 
-// refill adds the tokens for the time since the last refill.
-func (r *updateRate) refill(nowNanos int64) {
-	elapsedSeconds := float64(max(nowNanos-r.refilledAtNanos, 0)) / nanosPerSecond
-	r.tokens = min(r.tokens+elapsedSeconds*r.ratePerSecond, max(r.ratePerSecond, 1))
-	r.refilledAtNanos = nowNanos
+// refill adds the tokens for the time since the last refill, up to the capacity.
+func (b *tokenBucket) refill(nowNanos int64) {
+	elapsedSeconds := float64(max(nowNanos-b.lastRefillNanos, 0)) / nanosPerSecond
+	b.tokens = min(b.tokens+elapsedSeconds*b.ratePerSecond, max(b.ratePerSecond, 1))
+	b.lastRefillNanos = nowNanos
 }
--- a/internal/dnszone/verdict.go
+++ b/internal/dnszone/verdict.go
@@ -2,15 +2,15 @@
 
 import "fmt"
 
-// Verdict is the decision of Check about a message.
+// Verdict is the decision of ReplayGuard.Check about an update message.
 type Verdict uint8
 
-// The verdicts.
+// Possible verdicts.
 const (
-	VerdictAccept         Verdict = iota // a new update
-	VerdictRetransmission                // repeated by the same sender, which gets the recorded outcome
-	VerdictReplay                        // seen before, or signed too long ago or too far ahead
-	VerdictRateLimited                   // more updates than the rate allows
+	VerdictAccept         Verdict = iota // the update is new and has to be processed
+	VerdictRetransmission                // sent again by the same sender, which receives the recorded outcome
+	VerdictReplay                        // seen from another sender, or the signature fails the time check
+	VerdictRateLimited                   // the update exceeds the rate limit
 )
 
 // String returns the verdict's name.
