--- a/internal/dnszone/change_test.go
+++ b/internal/dnszone/change_test.go
@@ -12,8 +12,8 @@
 	"github.com/miekg/dns"
 )
 
-// updated applies an update that adds records, or deletes those with a leading minus.
-func updated(t *testing.T, zone *Zone, atNanos int64, records ...string) *Zone {
+// mustUpdate applies an update that deletes the records with a leading minus sign and adds the others.
+func mustUpdate(t *testing.T, zone *Zone, receivedNanos int64, records ...string) *Zone {
 	t.Helper()
 	message := newUpdate()
 	for _, text := range records {
@@ -23,46 +23,46 @@
 			message.Insert([]dns.RR{mustRecord(t, text)})
 		}
 	}
-	step, err := zone.Update(viaWire(t, message), atNanos, Signature{KeyName: "k."})
+	transition, err := zone.Update(packAndUnpack(t, message), receivedNanos, Signature{KeyName: "k."})
 	if err != nil {
 		t.Fatal(err)
 	}
-	return step.Zone
+	return transition.Zone
 }
 
-// TestZone_BackendThatReturnsIsNew removes a backend and adds it again at the same address. It has a new
-// start, and the others keep theirs.
-func TestZone_BackendThatReturnsIsNew(t *testing.T) {
+// TestZone_ReaddedBackendHasNewStart removes a backend and adds it again at the same address. The backend must have
+// a new start time, and the other backends must keep theirs.
+func TestZone_ReaddedBackendHasNewStart(t *testing.T) {
 	zone := mustParse(t, testZoneFile)
-	zone = updated(t, zone, 5e9, "-"+srvTo+"n1.calc.example.")
-	zone = updated(t, zone, 9e9, srvTo+"n1.calc.example.")
+	zone = mustUpdate(t, zone, 5e9, "-"+srvPrefix+"n1.calc.example.")
+	zone = mustUpdate(t, zone, 9e9, srvPrefix+"n1.calc.example.")
 	list := zone.Backends()
 	if list[0].StartNanos() != 9e9 || list[1].StartNanos() != 0 || list[0].Provenance.Key != "k." {
 		t.Errorf("%+v", list)
 	}
-	zone = updated(t, zone, 11e9, "-"+srvTo+"n1.calc.example.", srvTo+"n1.calc.example.")
+	zone = mustUpdate(t, zone, 11e9, "-"+srvPrefix+"n1.calc.example.", srvPrefix+"n1.calc.example.")
 	if zone.Backends()[0].StartNanos() != 9e9 {
-		t.Error("one that was removed and added in one update, and so never left, is new")
+		t.Error("a backend that was removed and added again in a single update has a new start time")
 	}
-	zone = updated(t, zone, 12e9, `-n1.calc.example. TXT "fawnplank" "zone=a" "group=3"`,
+	zone = mustUpdate(t, zone, 12e9, `-n1.calc.example. TXT "fawnplank" "zone=a" "group=3"`,
 		`n1.calc.example. TXT "fawnplank" "since=4000"`)
 	if zone.Backends()[0].StartNanos() != 4e9 {
-		t.Error("a stated start is not in force")
+		t.Error("the start time of the attribute since is not used")
 	}
 	text := strings.Replace(testZoneFile, " 7 3600", " 90 3600", 1)
 	text += "_calc._tcp SRV 0 100 7000 n4\nn4 A 127.0.0.14\n"
 	replaced := mustParse(t, text).WithStartTimesOf(zone, 20e9)
 	list = replaced.Backends()
-	if listedNames(replaced) != "n1 n2 n4" || list[0].StartNanos() != 9e9 {
+	if servedNames(replaced) != "n1 n2 n4" || list[0].StartNanos() != 9e9 {
 		t.Errorf("%+v", list)
 	}
-	stayed, fresh := list[1].Provenance, list[2].Provenance
-	if stayed.StartNanos != 0 || fresh.StartNanos != 20e9 || fresh.Line != 16 {
+	kept, added := list[1].Provenance, list[2].Provenance
+	if kept.StartNanos != 0 || added.StartNanos != 20e9 || added.Line != 16 {
 		t.Errorf("%+v", list)
 	}
 }
 
-// randomRecord returns a record that updates add to the test's zone or remove from it.
+// randomRecord returns a record that an update may add to the test zone or remove from it.
 func randomRecord(t *testing.T, random *rand.Rand) dns.RR {
 	t.Helper()
 	name := fmt.Sprintf("n%d.calc.example.", random.IntN(8))
@@ -93,39 +93,40 @@
 			message.Insert(rrs)
 		}
 	}
-	return viaWire(t, message)
+	return packAndUnpack(t, message)
 }
 
-// replica builds a zone from the changes of another one, and its list from the differences.
+// replica follows the updates of another zone. It builds its own zone from the changes, and its own list of served
+// backends from the differences.
 type replica struct {
-	zone *Zone
-	list map[string]Backend
+	zone     *Zone
+	backends map[string]Backend
 }
 
 func newReplica(zone *Zone) *replica {
-	r := &replica{zone: zone, list: map[string]Backend{}}
+	r := &replica{zone: zone, backends: map[string]Backend{}}
 	for _, backend := range zone.Backends() {
-		r.list[backend.Name] = backend
+		r.backends[backend.Name] = backend
 	}
 	return r
 }
 
-// apply applies a step of the other zone, and checks that the list is the same afterwards.
-func (r *replica) apply(t *testing.T, step *Transition) {
+// apply applies a transition of the other zone, and checks that the resulting backends are those of that zone.
+func (r *replica) apply(t *testing.T, transition *Transition) {
 	t.Helper()
-	for _, backend := range step.Updated {
-		r.list[backend.Name] = backend
+	for _, backend := range transition.Updated {
+		r.backends[backend.Name] = backend
 	}
-	for _, name := range step.Removed {
-		delete(r.list, name)
+	for _, name := range transition.Removed {
+		delete(r.backends, name)
 	}
-	list := step.Zone.Backends()
-	differs := func(backend Backend) bool { return !r.list[backend.Name].equal(backend) }
-	isCounted := len(r.list) == step.Zone.BackendCount() && len(r.list) == len(list)
-	if !isCounted || slices.ContainsFunc(list, differs) {
-		t.Fatalf("the differences add up to %v, the list is %v", r.list, list)
+	backends := transition.Zone.Backends()
+	differs := func(backend Backend) bool { return !r.backends[backend.Name].equal(backend) }
+	countsMatch := len(r.backends) == transition.Zone.BackendCount() && len(r.backends) == len(backends)
+	if !countsMatch || slices.ContainsFunc(backends, differs) {
+		t.Fatalf("applying the differences gives the backends %v, the zone has %v", r.backends, backends)
 	}
-	applied, err := r.zone.Apply(step.Change)
+	applied, err := r.zone.Apply(transition.Change)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -142,60 +143,62 @@
 	r.zone = restored
 }
 
-// checkZone checks that the replica's zone has the same backends as the other one.
+// checkZone checks that the replica's zone has the same backends as the given zone.
 func (r *replica) checkZone(t *testing.T, zone *Zone) {
 	t.Helper()
 	if list := zone.Backends(); !reflect.DeepEqual(r.zone.Backends(), list) {
-		t.Fatalf("%+v, not %+v", r.zone.Backends(), list)
+		t.Fatalf("the replica has the backends %+v, want %+v", r.zone.Backends(), list)
 	}
 }
 
-// checkDifferences compares a step's differences with those between the complete lists.
-func checkDifferences(t *testing.T, old *Zone, step *Transition) {
+// checkDifferences compares the differences in a transition with those found by comparing both zones completely.
+func checkDifferences(t *testing.T, old *Zone, transition *Transition) {
 	t.Helper()
-	updated, removed := DiffBackends(old, step.Zone)
+	updated, removed := DiffBackends(old, transition.Zone)
 	slices.SortFunc(updated, func(a, b Backend) int { return strings.Compare(a.Name, b.Name) })
-	if fmt.Sprint(updated) != fmt.Sprint(step.Updated) || !slices.Equal(removed, step.Removed) {
-		t.Fatalf("differences %v, %v; they are %v, %v", step.Updated, step.Removed, updated, removed)
+	if fmt.Sprint(updated) != fmt.Sprint(transition.Updated) || !slices.Equal(removed, transition.Removed) {
+		t.Fatalf("the transition has updated %v and removed %v, want %v and %v",
+			transition.Updated, transition.Removed, updated, removed)
 	}
 }
 
-// TestZone_ApplyGivesSameZone makes random updates. A zone depends on its changes alone: applied one after
-// the other, or from a snapshot in between, they give the same zone, and the differences add up to its list.
-func TestZone_ApplyGivesSameZone(t *testing.T) {
+// TestZone_ApplyReproducesUpdates makes random updates and applies their changes at a replica, which is sometimes
+// restored from a snapshot. The replica must have the same zone after each change, and the differences in the
+// transitions must result in the served backends of that zone.
+func TestZone_ApplyReproducesUpdates(t *testing.T) {
 	for seed := range uint64(20) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			random := rand.New(rand.NewPCG(seed, 1))
 			zone := mustParse(t, testZoneFile)
-			other := newReplica(zone)
+			peer := newReplica(zone)
 			for n := range 150 {
-				step, err := zone.Update(randomUpdate(t, random), int64(n+1)*1e9, Signature{KeyName: "k."})
-				if err != nil || step.Change == nil {
+				transition, err := zone.Update(randomUpdate(t, random), int64(n+1)*1e9, Signature{KeyName: "k."})
+				if err != nil || transition.Change == nil {
 					continue
 				}
-				checkDifferences(t, zone, step)
-				zone = step.Zone
-				other.apply(t, step)
+				checkDifferences(t, zone, transition)
+				zone = transition.Zone
+				peer.apply(t, transition)
 				if random.IntN(10) == 0 {
-					other.restoreSnapshot(t)
+					peer.restoreSnapshot(t)
 				}
-				other.checkZone(t, zone)
+				peer.checkZone(t, zone)
 			}
-			ahead := &Change{FromSerial: zone.Serial() + 1, ToSerial: zone.Serial() + 2}
-			_, err := zone.Apply(ahead)
+			outOfSequence := &Change{FromSerial: zone.Serial() + 1, ToSerial: zone.Serial() + 2}
+			_, err := zone.Apply(outOfSequence)
 			if _, ok := errors.AsType[*SequenceError](err); !ok {
-				t.Errorf("a change that does not follow: %v, not a SequenceError", err)
+				t.Errorf("a change that is out of sequence: %v, want a SequenceError", err)
 			}
 		})
 	}
 }
 
-// FuzzZone_Update passes any message that the parser accepts. It gives a valid zone or an error, and the old
-// zone does not change.
+// FuzzZone_Update applies any message that dns.Msg.Unpack accepts. Update must return a valid zone or an error, and
+// must not modify the old zone.
 func FuzzZone_Update(f *testing.F) {
 	zone := mustParse(f, testZoneFile)
 	for _, records := range [][]string{
-		{srvTo + "n3.calc.example.", "n3.calc.example. A 127.0.0.3"},
+		{srvPrefix + "n3.calc.example.", "n3.calc.example. A 127.0.0.3"},
 		{"n1.calc.example. CNAME n1.calc.example."},
 	} {
 		message := newUpdate()
@@ -217,36 +220,37 @@
 		if message.Unpack(packed) != nil {
 			return
 		}
-		step, err := zone.Update(message, 1e9, Signature{})
+		transition, err := zone.Update(message, 1e9, Signature{})
 		if fmt.Sprint(zone.Records()) != before {
-			t.Fatal("the zone before was changed")
+			t.Fatal("the update modified the old zone")
 		}
 		if err != nil {
-			if refused, ok := errors.AsType[*UpdateError](err); !ok || refused.Rcode == dns.RcodeSuccess {
-				t.Fatalf("%v: a refusal without RCODE", err)
+			if updateErr, ok := errors.AsType[*UpdateError](err); !ok || updateErr.Rcode == dns.RcodeSuccess {
+				t.Fatalf("%v: want an UpdateError with an error RCODE", err)
 			}
 			return
 		}
-		if step.Change != nil {
-			checkReproducible(t, zone, step)
+		if transition.Change != nil {
+			checkReproducible(t, zone, transition)
 		}
 	})
 }
 
-// checkReproducible checks that a step's change and a snapshot of its zone give the same list.
-func checkReproducible(t *testing.T, old *Zone, step *Transition) {
+// checkReproducible checks that the change of a transition and a snapshot of its zone result in the same served
+// backends as the transition.
+func checkReproducible(t *testing.T, old *Zone, transition *Transition) {
 	t.Helper()
-	applied, err := old.Apply(step.Change)
+	applied, err := old.Apply(transition.Change)
 	if err != nil {
 		t.Fatal(err)
 	}
-	list := step.Zone.Backends()
-	restored, err := Restore(step.Zone.Snapshot(), testSettings)
+	list := transition.Zone.Backends()
+	restored, err := Restore(transition.Zone.Snapshot(), testSettings)
 	if err != nil {
 		t.Fatal(err)
 	}
 	isSame := reflect.DeepEqual(applied.Zone.Backends(), list) && reflect.DeepEqual(restored.Backends(), list)
 	if !isSame {
-		t.Fatalf("%v, %v, %v", list, applied.Zone.Backends(), restored.Backends())
+		t.Fatalf("backends %v; %v after Apply, %v after Restore", list, applied.Zone.Backends(), restored.Backends())
 	}
 }
--- a/internal/dnszone/helpers_test.go
+++ b/internal/dnszone/helpers_test.go
@@ -29,8 +29,8 @@
 spare A 127.0.0.13
 `
 
-// srvTo is an SRV record of the service without its target.
-const srvTo = "_calc._tcp.calc.example. 30 IN SRV 0 100 7000 "
+// srvPrefix is the text of an SRV record of the service up to its target.
+const srvPrefix = "_calc._tcp.calc.example. 30 IN SRV 0 100 7000 "
 
 func mustParse(tb testing.TB, text string) *Zone {
 	tb.Helper()
@@ -41,8 +41,8 @@
 	return zone
 }
 
-// listedNames returns the names of the backends in the list, with those that are draining in brackets.
-func listedNames(zone *Zone) string {
+// servedNames returns the short names of the served backends. Draining backends are in parentheses.
+func servedNames(zone *Zone) string {
 	var names []string
 	for _, backend := range zone.Backends() {
 		name := strings.TrimSuffix(strings.TrimSuffix(backend.Name, ":7000"), ".calc.example")
@@ -65,21 +65,21 @@
 	return rr
 }
 
-// viaWire returns the message as its receiver unpacks it.
-func viaWire(tb testing.TB, message *dns.Msg) *dns.Msg {
+// packAndUnpack converts a message to wire format and back, so that it is as its receiver unpacks it.
+func packAndUnpack(tb testing.TB, message *dns.Msg) *dns.Msg {
 	tb.Helper()
-	text, err := message.Pack()
+	packed, err := message.Pack()
 	if err != nil {
 		tb.Fatal(err)
 	}
 	received := new(dns.Msg)
-	if err := received.Unpack(text); err != nil {
+	if err := received.Unpack(packed); err != nil {
 		tb.Fatal(err)
 	}
 	return received
 }
 
-// largeZoneFile returns a zone file with count backends.
+// largeZoneFile returns the text of a zone file with count backends.
 func largeZoneFile(count int) string {
 	var text strings.Builder
 	text.WriteString(testZoneHead)
--- a/internal/dnszone/parse_test.go
+++ b/internal/dnszone/parse_test.go
@@ -8,19 +8,19 @@
 	"testing"
 )
 
-// TestParse_ReturnsBackends parses a file with everything that records may say about a backend, and restores
-// its snapshot.
+// TestParse_ReturnsBackends parses a file with SRV priorities and weights, attributes and a CNAME, and restores a
+// snapshot of the zone.
 func TestParse_ReturnsBackends(t *testing.T) {
 	zone := mustParse(t, testZoneFile)
 	list := zone.Backends()
-	if listedNames(zone) != "n1 n2" || zone.Serial() != 7 {
-		t.Fatalf("%s, serial %d", listedNames(zone), zone.Serial())
+	if servedNames(zone) != "n1 n2" || zone.Serial() != 7 {
+		t.Fatalf("%s, serial %d", servedNames(zone), zone.Serial())
 	}
 	n1, n2 := list[0], list[1]
 	if n1.Name != "n1.calc.example:7000" || n1.Zone != "a" || n1.Group != 3 || n1.Weight != 1 {
 		t.Errorf("%+v", n1)
 	}
-	if origin := n1.Provenance; origin.StartNanos != 0 || origin.File != "calc.zone" || origin.Line != 6 {
+	if provenance := n1.Provenance; provenance.StartNanos != 0 || provenance.File != "calc.zone" || provenance.Line != 6 {
 		t.Errorf("%+v", n1)
 	}
 	if got := fmt.Sprint(n1.Addresses); got != "[127.0.0.11:7000 [::1]:7000]" {
@@ -31,13 +31,14 @@
 	}
 	restored, err := Restore(zone.Snapshot(), testSettings)
 	if err != nil || !reflect.DeepEqual(restored.Backends(), list) {
-		t.Errorf("after a restore: %v, %+v", err, restored.Backends())
+		t.Errorf("after Restore: %v, %+v", err, restored.Backends())
 	}
 }
 
-// TestParse_NamesFileAndLine parses faulty files. Each is rejected completely, and the error names the line.
-func TestParse_NamesFileAndLine(t *testing.T) {
-	const toNS = "_calc._tcp SRV 0 1 7000 ns\n" // line 6
+// TestParse_ErrorsStateFileAndLine parses invalid files. Each must be rejected with an error that contains the file
+// name and the line.
+func TestParse_ErrorsStateFileAndLine(t *testing.T) {
+	const srvToNS = "_calc._tcp SRV 0 1 7000 ns\n" // line 6
 	for _, test := range []struct{ text, want string }{
 		{"", "calc.zone:1: no SOA"},
 		{"n1 A 127.0.0.1\n", "SOA"},
@@ -56,41 +57,41 @@
 		{testZoneHead + "_calc._tcp SRV 0 1 7000 .\n", "calc.zone:6: "},
 		{testZoneHead + "_other._tcp SRV 0 1 7000 ns\n", "calc.zone:6: SRV record at _other"},
 		{testZoneHead + "_calc._tcp SRV 0 1 7000 l1\nl1 CNAME l2\nl2 CNAME l1\n", "form a loop"},
-		{testZoneHead + toNS + "_calc._tcp SRV 1 1 7000 ns\n",
+		{testZoneHead + srvToNS + "_calc._tcp SRV 1 1 7000 ns\n",
 			"calc.zone:7: ns.calc.example:7000 appears twice"},
-		{testZoneHead + toNS + "_calc._tcp SRV 0 1 7000 ns\n",
+		{testZoneHead + srvToNS + "_calc._tcp SRV 0 1 7000 ns\n",
 			"calc.zone:7: _calc._tcp.calc.example. SRV appears twice"},
-		{testZoneHead + toNS + "_calc._tcp SRV 0 1 7000 n2\nn2 A 127.0.0.1\n",
+		{testZoneHead + srvToNS + "_calc._tcp SRV 0 1 7000 n2\nn2 A 127.0.0.1\n",
 			"calc.zone:6: n2.calc.example:7000 and ns.calc.example:7000 both have the address"},
-		{testZoneHead + toNS + "ns TXT fawnplank shade=red\n",
+		{testZoneHead + srvToNS + "ns TXT fawnplank shade=red\n",
 			`calc.zone:7: ns.calc.example.: "shade=red": unknown`},
-		{testZoneHead + toNS + "ns TXT fawnplank status=ill\n", "calc.zone:7: "},
-		{testZoneHead + toNS + "ns TXT fawnplank group=-1\n", "calc.zone:7: "},
-		{testZoneHead + toNS + "ns TXT fawnplank size=1 size=2\n", "calc.zone:7: "},
-		{testZoneHead + toNS + "ns TXT fawnplank since=99999999999999\n", "calc.zone:7: "},
-		{testZoneHead + toNS + "ns A 0.0.0.0\n", "0.0.0.0"},
+		{testZoneHead + srvToNS + "ns TXT fawnplank status=ill\n", "calc.zone:7: "},
+		{testZoneHead + srvToNS + "ns TXT fawnplank group=-1\n", "calc.zone:7: "},
+		{testZoneHead + srvToNS + "ns TXT fawnplank size=1 size=2\n", "calc.zone:7: "},
+		{testZoneHead + srvToNS + "ns TXT fawnplank since=99999999999999\n", "calc.zone:7: "},
+		{testZoneHead + srvToNS + "ns A 0.0.0.0\n", "0.0.0.0"},
 		{testZoneHead + "@ IN SOA ns admin 8 3600 600 86400 30\n",
 			"calc.zone:6: calc.example. SOA appears twice"},
 		{testZoneHead + "$INCLUDE other.zone\n", "calc.zone:6: "},
 	} {
 		_, err := Parse("calc.zone", []byte(test.text), testSettings)
 		if err == nil || !strings.Contains(err.Error(), test.want) {
-			t.Errorf("%q: %v, not %q", strings.TrimPrefix(test.text, testZoneHead), err, test.want)
+			t.Errorf("%q: %v, want %q", strings.TrimPrefix(test.text, testZoneHead), err, test.want)
 		}
 		if _, ok := errors.AsType[*PositionError](err); !ok {
-			t.Errorf("%q: %T, not a PositionError", strings.TrimPrefix(test.text, testZoneHead), err)
+			t.Errorf("%q: %T, want a PositionError", strings.TrimPrefix(test.text, testZoneHead), err)
 		}
 	}
 }
 
-func TestSettings_CanonicalRefusesUnusableNames(t *testing.T) {
+func TestSettings_CanonicalRejectsInvalidNames(t *testing.T) {
 	for _, settings := range []Settings{
 		{},
 		{Origin: "calc.example.", Service: "_calc._tcp.other."},
 		{Origin: "a..b.", Service: "a..b."},
 	} {
 		if _, err := settings.Canonical(); err == nil {
-			t.Errorf("%v accepted", settings)
+			t.Errorf("%v accepted, want an error", settings)
 		}
 	}
 }
--- a/internal/dnszone/replay_guard_test.go
+++ b/internal/dnszone/replay_guard_test.go
@@ -5,7 +5,8 @@
 	"testing"
 )
 
-// TestReplayGuard_BoundsMemory checks and records an update every tenth of a second for more than an hour.
+// TestReplayGuard_BoundsMemory checks and records ten updates a second for more than an hour. The guard must discard
+// outcomes whose signatures have expired.
 func TestReplayGuard_BoundsMemory(t *testing.T) {
 	guard := NewReplayGuard(10, 0)
 	nowNanos := int64(1e12)
@@ -18,6 +19,6 @@
 		guard.RecordOutcome(signature, Outcome{Sender: "x"}, nowNanos)
 	}
 	if n := guard.Len(); n > 10*FudgeSeconds+11 {
-		t.Errorf("%d remembered", n)
+		t.Errorf("%d outcomes recorded, want at most the number within the validity of a signature", n)
 	}
 }
--- a/internal/dnszone/serial_test.go
+++ b/internal/dnszone/serial_test.go
@@ -24,7 +24,7 @@
 		{a: 1<<32 - 5, b: 5},
 	} {
 		if SerialNewer(test.a, test.b) != test.want {
-			t.Errorf("%d after %d: %v", test.a, test.b, !test.want)
+			t.Errorf("SerialNewer(%d, %d) = %v", test.a, test.b, !test.want)
 		}
 	}
 }
@@ -35,8 +35,8 @@
 	message := newUpdate()
 	message.RemoveName([]dns.RR{mustRecord(t, "n3.calc.example. A 127.0.0.3")})
 	message.Insert([]dns.RR{mustRecord(t, "n3.calc.example. A 127.0.0.3")})
-	step, err := zone.Update(viaWire(t, message), 1, Signature{})
-	if err != nil || step.Zone.Serial() != 1 || step.Change.ToSerial != 1 {
-		t.Errorf("the highest serial is followed by %v, %v, not by 1", step, err)
+	transition, err := zone.Update(packAndUnpack(t, message), 1, Signature{})
+	if err != nil || transition.Zone.Serial() != 1 || transition.Change.ToSerial != 1 {
+		t.Errorf("after the highest serial: %v, %v, want serial 1", transition, err)
 	}
 }
