--- a/cmd/fawnplank-lab/command_standins.go
+++ b/cmd/fawnplank-lab/command_standins.go
@@ -73,7 +73,7 @@
 	}
 	printf(command, "fawnplank lab load %s --to %s\n", path, strings.Join(addresses, ","))
 	log.Begin()
-	emulated.PlayFaults()
+	emulated.ScheduleFaults()
 	f.wait(command.Context())
 	return nil
 }
--- a/cmd/fawnplank/tls_test.go
+++ b/cmd/fawnplank/tls_test.go
@@ -26,7 +26,7 @@
 func sign(t *testing.T, authority *testca.Authority, folder, name string,
 	validity time.Duration) tlsconfig.Files {
 	t.Helper()
-	files, err := authority.Write(folder, name, validity)
+	files, err := authority.IssueCertificate(folder, name, validity)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/lab/billingbench/cluster.go
+++ b/internal/lab/billingbench/cluster.go
@@ -83,7 +83,7 @@
 	if err != nil {
 		return nil, err
 	}
-	files, err := authority.Write(folder, "replica", certificateLifetime)
+	files, err := authority.IssueCertificate(folder, "replica", certificateLifetime)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/lab/emulator/dns_updates.go
+++ b/internal/lab/emulator/dns_updates.go
@@ -64,9 +64,9 @@
 	return file.String()
 }
 
-// SendUpdates sends the changes from now on to the name server of an instance at the given address, until
-// Close. It must be called once for each instance.
-func (e *Emulator) SendUpdates(instance int, address string, key dnsserver.Key) {
+// StartDNSUpdates starts a goroutine that sends each later change of the endpoint list as a dynamic update to the
+// instance's name server at the given address, until Close. It must be called once for each instance.
+func (e *Emulator) StartDNSUpdates(instance int, address string, key dnsserver.Key) {
 	go func() {
 		for {
 			select {
--- a/internal/lab/emulator/emulator.go
+++ b/internal/lab/emulator/emulator.go
@@ -33,7 +33,8 @@
 	closeOnce sync.Once
 }
 
-// Start starts the emulated services of a scenario, which record into log. Faults begin only with PlayFaults.
+// Start starts the emulated services of a scenario, which record into log. No fault begins before ScheduleFaults is
+// called.
 func Start(s *scenario.Scenario, log *results.Log) (*Emulator, error) {
 	e := &Emulator{
 		scenario: s,
@@ -125,9 +126,9 @@
 	return json.MarshalIndent(config, "", " ")
 }
 
-// PlayFaults makes the scenario's faults begin and end at their times, counted from now. The caller plays the
-// faults of gateway instances.
-func (e *Emulator) PlayFaults() {
+// ScheduleFaults schedules the begin and the end of each fault of the scenario, with times counted from now. Faults
+// of gateway instances are not included: the caller injects them.
+func (e *Emulator) ScheduleFaults() {
 	e.counter.watchBreakers()
 	for _, fault := range e.scenario.Faults {
 		for _, occurrence := range e.scenario.Occurrences(fault) {
--- a/internal/lab/testbed/operator_file.go
+++ b/internal/lab/testbed/operator_file.go
@@ -59,7 +59,7 @@
 	if err != nil {
 		return "", err
 	}
-	t.emulator.SendUpdates(index, address, key)
+	t.emulator.StartDNSUpdates(index, address, key)
 	var section strings.Builder
 	section.WriteString("[dns]\n")
 	for _, setting := range [][2]string{
--- a/internal/lab/testbed/testbed.go
+++ b/internal/lab/testbed/testbed.go
@@ -142,7 +142,7 @@
 	running, end := context.WithCancel(ctx)
 	defer end()
 	t.log.Begin()
-	t.emulator.PlayFaults()
+	t.emulator.ScheduleFaults()
 	var watches, restarts sync.WaitGroup
 	crashed := make(chan error, len(t.gateways)) // room for each, so that no watch waits for the end
 	for _, g := range t.gateways {
--- a/internal/lab/testca/testca.go
+++ b/internal/lab/testca/testca.go
@@ -56,9 +56,10 @@
 	return &Authority{key: key, certificate: certificate, lastSerial: 1}, nil
 }
 
-// Write writes a certificate for loopback addresses, its key, and the authority's own certificate into a
-// folder, and overwrites earlier ones. The certificate is valid from an hour ago until validity from now.
-func (a *Authority) Write(folder, name string, validity time.Duration) (tlsconfig.Files, error) {
+// IssueCertificate signs a certificate for 127.0.0.1 and writes it, its key and the authority's own certificate to
+// folder, where it overwrites files of the same names. The certificate is valid from an hour ago until validity from
+// now.
+func (a *Authority) IssueCertificate(folder, name string, validity time.Duration) (tlsconfig.Files, error) {
 	files := tlsconfig.Files{
 		Certificate: filepath.Join(folder, name+".pem"),
 		Key:         filepath.Join(folder, name+".key"),
--- a/internal/lab/testca/testca_test.go
+++ b/internal/lab/testca/testca_test.go
@@ -22,7 +22,7 @@
 
 func TestAuthority_WritesCertificatesItVouchesFor(t *testing.T) {
 	authority := newTestAuthority(t)
-	files, err := authority.Write(t.TempDir(), "instance", time.Minute)
+	files, err := authority.IssueCertificate(t.TempDir(), "instance", time.Minute)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -66,7 +66,7 @@
 	folder := t.TempDir()
 	var leaves []*x509.Certificate
 	for range 2 {
-		files, err := authority.Write(folder, "instance", time.Minute)
+		files, err := authority.IssueCertificate(folder, "instance", time.Minute)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -90,7 +90,7 @@
 
 func TestAuthority_WriteReportsMissingFolder(t *testing.T) {
 	missing := filepath.Join(t.TempDir(), "missing")
-	_, err := newTestAuthority(t).Write(missing, "instance", time.Minute)
+	_, err := newTestAuthority(t).IssueCertificate(missing, "instance", time.Minute)
 	if !errors.Is(err, fs.ErrNotExist) {
 		t.Errorf("%v, want one of a folder that does not exist", err)
 	}
--- a/internal/lab/workload/workload.go
+++ b/internal/lab/workload/workload.go
@@ -124,7 +124,8 @@
 	return request, true
 }
 
-// Instance draws one of the entry points of a request's tenant.
+// Instance draws the instance that gets a request from the entry points of its tenant, with equal
+// probability.
 func (g *Generator) Instance(request Request) int {
 	offset := g.choices.IntN(g.scenario.Load.EntryPoints)
 	return (g.Tenants[request.Tenant].FirstInstance + offset) % g.scenario.Instances.Count
--- a/internal/tlsconfig/tlsconfig_test.go
+++ b/internal/tlsconfig/tlsconfig_test.go
@@ -28,7 +28,7 @@
 // sign writes a certificate of an authority to a folder, in place of an earlier one.
 func sign(t *testing.T, authority *testca.Authority, folder string, validity time.Duration) tlsconfig.Files {
 	t.Helper()
-	files, err := authority.Write(folder, "pair", validity)
+	files, err := authority.IssueCertificate(folder, "pair", validity)
 	if err != nil {
 		t.Fatal(err)
 	}
