--- a/internal/lab/load/connection.go
+++ b/internal/lab/load/connection.go
@@ -8,20 +8,20 @@
 	"time"
 )
 
-// connectTimeout bounds the wait for a connection: an instance that hangs may leave the connect unanswered.
+// connectTimeout bounds the wait for a new connection, because an instance that hangs may not complete the handshake.
 const connectTimeout = 500 * time.Millisecond
 
-var errTooManyConnections = errors.New("load: no connection is left")
+var errTooManyConnections = errors.New("load: all connections that the scenario allows are in use")
 
 // connection is a connection to an instance.
 type connection struct {
 	net.Conn
 	reader *bufio.Reader
-	reused bool // it was idle before this request
+	reused bool // the connection has served an earlier request
 }
 
-// acquire returns a connection to an instance: the idle one used most recently, or a new one if none is idle
-// or if mustBeNew is set.
+// acquire returns a connection to an instance: the most recently used idle connection, or a new one if no connection
+// is idle or mustBeNew is set.
 func (g *Generator) acquire(instance int, mustBeNew bool) (*connection, error) {
 	g.mu.Lock()
 	if count := len(g.idle[instance]); count > 0 && !mustBeNew {
@@ -30,11 +30,11 @@
 		g.mu.Unlock()
 		return conn, nil
 	}
-	if g.connections >= g.scenario.Load.Connections {
+	if g.openConnections >= g.scenario.Load.Connections {
 		g.mu.Unlock()
 		return nil, errTooManyConnections
 	}
-	g.connections++
+	g.openConnections++
 	g.mu.Unlock()
 	return g.dial(instance)
 }
@@ -44,25 +44,25 @@
 	dialer := net.Dialer{Timeout: connectTimeout}
 	conn, err := dialer.DialContext(context.Background(), "tcp", g.addresses[instance])
 	if err != nil {
-		g.uncount()
+		g.decrementConnections()
 		return nil, err
 	}
 	return &connection{Conn: conn, reader: bufio.NewReader(conn)}, nil
 }
 
-func (g *Generator) uncount() {
+func (g *Generator) decrementConnections() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.connections--
+	g.openConnections--
 }
 
-// discard closes a connection that is no longer of use.
+// discard closes a connection that cannot be reused.
 func (g *Generator) discard(conn *connection) {
-	_ = conn.Close() // the instance may have ended it
-	g.uncount()
+	_ = conn.Close() // fails if the instance has closed the connection first
+	g.decrementConnections()
 }
 
-// release makes a connection idle.
+// release puts a connection into the idle list of its instance.
 func (g *Generator) release(instance int, conn *connection) {
 	conn.reused = true
 	g.mu.Lock()
@@ -73,9 +73,9 @@
 func (g *Generator) closeIdle() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	for _, connections := range g.idle {
-		for _, conn := range connections {
-			_ = conn.Close() // the instance may have ended it
+	for _, idleConnections := range g.idle {
+		for _, conn := range idleConnections {
+			_ = conn.Close() // fails if the instance has closed the connection first
 		}
 	}
 }
--- a/internal/lab/load/load.go
+++ b/internal/lab/load/load.go
@@ -1,10 +1,10 @@
-// Package load sends the requests of a workload to gateway instances over sockets, in an open loop: each
-// request is due at its planned time, whether or not earlier ones were answered, and its latency counts from
-// then. So an instance that stands still is not spared the requests that it would have had (coordinated
-// omission). The number of requests, the time, the connections and each wait are bounded.
+// Package load sends the requests of a workload to gateway instances over sockets, in an open loop: each request is
+// due at its planned time, whether or not earlier requests were answered, and its latency counts from that time. A
+// stalled instance therefore gets as many requests as any other, which avoids coordinated omission. The number of
+// requests, the duration of a run, the number of connections and each wait are bounded.
 //
-// A Generator owns its connections and the goroutines of its requests; Run returns when all of them have
-// ended. Lag is safe to call at any time.
+// A Generator owns its connections and the goroutines of its requests; Run returns when all of them have ended. Lag
+// may be called at any time.
 package load
 
 import (
@@ -21,29 +21,30 @@
 	"fawnplank/internal/monotime"
 )
 
-// The histogram of lags counts microseconds, up to a minute, with three digits.
+// The range, in microseconds, and the number of significant digits of the histogram of send lags.
 const (
 	minLagMicros = 1
 	maxLagMicros = 60e6
 	lagDigits    = 3
 )
 
-// Generator plays the clients of a scenario.
+// Generator emulates the clients of a scenario.
 type Generator struct {
 	scenario  *scenario.Scenario
 	log       *results.Log
 	addresses []string // of the instances
 	requests  sync.WaitGroup
 
-	mu             sync.Mutex // guards what follows, and the workload's random numbers except those of Next
-	workload       *workload.Generator
-	idle           [][]*connection // of each instance, the most recently used last
-	connections    int             // open ones, idle or not
-	lastSubmission invariants.SubmissionID
-	lag            *hdrhistogram.Histogram
+	mu              sync.Mutex // guards the fields below; only Run calls workload.Next, without the lock
+	workload        *workload.Generator
+	idle            [][]*connection // by instance; the most recently used connection is the last
+	openConnections int             // in use or idle
+	lastSubmission  invariants.SubmissionID
+	lag             *hdrhistogram.Histogram
 }
 
-// New makes the clients of a scenario, which record into log. addresses are those of the gateway instances.
+// New returns a generator for a scenario, which records its requests in log. addresses are the addresses of the
+// gateway instances.
 func New(s *scenario.Scenario, log *results.Log, addresses []string) *Generator {
 	return &Generator{
 		scenario:  s,
@@ -55,8 +56,8 @@
 	}
 }
 
-// Run sends all requests, and returns once all are answered or their time is up. It sends no more once ctx
-// ends.
+// Run sends all requests, and returns when each of them is answered or has timed out. When ctx ends, Run starts no
+// further requests.
 func (g *Generator) Run(ctx context.Context) {
 	start := time.Now()
 	for {
@@ -74,7 +75,7 @@
 	g.closeIdle()
 }
 
-// sleepUntil waits until due. It returns false if ctx ends the wait.
+// sleepUntil waits until due. It returns false if ctx ends first.
 func sleepUntil(ctx context.Context, due time.Time) bool {
 	wait := time.Until(due)
 	if wait <= 0 {
@@ -88,17 +89,17 @@
 	}
 }
 
-// Lag returns by how much requests were written later than due, in milliseconds: this is the generator's own
-// share of the latencies.
+// Lag returns the median and the 99th percentile of the delay, in milliseconds, between the due time of a request and
+// its write. The measured latencies include this delay, which the load tool itself causes.
 func (g *Generator) Lag() (p50, p99 float64) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return float64(g.lag.ValueAtQuantile(50)) / 1e3, float64(g.lag.ValueAtQuantile(99)) / 1e3
 }
 
-// recordLag records how late a request is written.
+// recordLag records the delay between the due time of a request and its write.
 func (g *Generator) recordLag(lag time.Duration) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	_ = g.lag.RecordValue(max(lag.Microseconds(), minLagMicros)) // a lag beyond the histogram's end is left out
+	_ = g.lag.RecordValue(max(lag.Microseconds(), minLagMicros)) // a lag beyond maxLagMicros is not recorded
 }
--- a/internal/lab/load/load_test.go
+++ b/internal/lab/load/load_test.go
@@ -27,8 +27,7 @@
 name = "despacho"
 `
 
-// newGenerator returns the clients of the small scenario for one instance, and the log of their run, which
-// has begun.
+// newGenerator returns a generator of the small scenario for one instance, and the log of its run, which has begun.
 func newGenerator(t *testing.T, address string, overrides ...string) (*Generator, *results.Log) {
 	t.Helper()
 	small := []string{"gateways.count=1", "load.entry_points=1", "load.rate=200", "duration=300ms"}
@@ -53,11 +52,11 @@
 	return s
 }
 
-// serveAnswers answers each command with a text.
+// serveAnswers starts a server that answers each command with the given text, and returns its address.
 func serveAnswers(t *testing.T, answer string) string {
 	t.Helper()
 	return testutil.ServeCommands(t, func(conn net.Conn) {
-		_, _ = conn.Write([]byte(answer)) // a client that has left shows in what the test counts
+		_, _ = conn.Write([]byte(answer)) // if the client has closed the connection, the test counts fewer answers
 	}).String()
 }
 
@@ -66,47 +65,47 @@
 	g.Run(t.Context())
 	total := log.Finish().Total
 	if total.Requests == 0 || total.Succeeded != total.Requests || total.NotSent > 0 {
-		t.Errorf("%+v", total)
+		t.Errorf("not every request was sent and succeeded: %+v", total)
 	}
 	if p50, p99 := g.Lag(); p50 <= 0 || p99 < p50 {
 		t.Errorf("lag of %v ms at the median, %v ms at the 99th percentile", p50, p99)
 	}
 }
 
-func TestGenerator_RunEndsAtStop(t *testing.T) {
+func TestGenerator_RunStopsWhenContextEnds(t *testing.T) {
 	g, log := newGenerator(t, serveAnswers(t, "$2\r\nok\r\n"), "load.rate=1")
-	ctx, stop := context.WithCancel(t.Context())
-	stop()
+	ctx, cancel := context.WithCancel(t.Context())
+	cancel()
 	g.Run(ctx)
 	if total := log.Finish().Total; total.Requests > 0 {
-		t.Errorf("%d requests after the stop", total.Requests)
+		t.Errorf("%d requests were sent after the context ended", total.Requests)
 	}
 }
 
-func TestGenerator_CountsWhatNoInstanceAccepts(t *testing.T) {
+func TestGenerator_CountsRequestsThatNoInstanceAccepts(t *testing.T) {
 	g, log := newGenerator(t, testutil.FreeAddress(t), "load.retries=0")
 	g.Run(t.Context())
 	if total := log.Finish().Total; total.Requests > 0 || total.NotSent == 0 {
-		t.Errorf("%+v", total)
+		t.Errorf("requests to an unused address must count as not sent: %+v", total)
 	}
 }
 
-// An instance may close an idle connection between requests: the request goes out on a new one, and counts
-// once.
+// An instance may close an idle connection between two requests. The second request must then be written again on a
+// new connection, and be recorded once.
 func TestGenerator_SubmitsAgainOnStaleConnection(t *testing.T) {
 	var commands atomic.Int32
 	address := testutil.ServeCommands(t, func(conn net.Conn) {
 		if commands.Add(1) == 2 {
-			_ = conn.Close() // as an instance does that closed it before it read the request
+			_ = conn.Close() // like an instance that closes the connection before it reads the request
 			return
 		}
-		_, _ = conn.Write([]byte("$2\r\nok\r\n")) // a client that has left shows in the outcome
+		_, _ = conn.Write([]byte("$2\r\nok\r\n")) // if the client has closed the connection, the outcome shows it
 	}).String()
 	g, log := newGenerator(t, address)
 	for n := range 2 {
 		result := g.submit(newTestSubmission(g))
 		if !result.sent || result.kind != invariants.Succeeded {
-			t.Errorf("request %d: %+v", n, result)
+			t.Errorf("request %d: outcome %+v, want one that succeeded", n, result)
 		}
 	}
 	if got := commands.Load(); got != 3 {
@@ -117,55 +116,55 @@
 	}
 }
 
-func TestGenerator_DistinguishesDeathFromBrokenConnection(t *testing.T) {
+func TestGenerator_DistinguishesKilledInstanceFromBrokenConnection(t *testing.T) {
 	kill := func(log *results.Log) { log.Observe(invariants.Event{Kind: invariants.InstanceDied}) }
 	exit := func(log *results.Log) { log.InstanceExited(0) }
-	nothing := func(*results.Log) {}
+	noEvent := func(*results.Log) {}
 	for name, test := range map[string]struct {
-		before, meanwhile func(log *results.Log) // before the request is written, and while it is open
-		want              invariants.Kind
+		beforeWrite, afterWrite func(log *results.Log) // called before and after the request is written
+		want                    invariants.Kind
 	}{
-		"instance dies":                    {before: nothing, meanwhile: kill, want: invariants.Abandoned},
-		"instance was being killed":        {before: kill, meanwhile: nothing, want: invariants.Abandoned},
-		"instance was killed and now ends": {before: kill, meanwhile: exit, want: invariants.Abandoned},
-		"connection breaks":                {before: nothing, meanwhile: nothing, want: invariants.Aborted},
-		"connection of the next process breaks": {
-			before:    func(log *results.Log) { kill(log); exit(log) },
-			meanwhile: nothing,
-			want:      invariants.Aborted,
+		"instance is killed during the request":    {beforeWrite: noEvent, afterWrite: kill, want: invariants.Abandoned},
+		"instance was killed and has not exited":   {beforeWrite: kill, afterWrite: noEvent, want: invariants.Abandoned},
+		"killed instance exits during the request": {beforeWrite: kill, afterWrite: exit, want: invariants.Abandoned},
+		"running instance closes the connection":   {beforeWrite: noEvent, afterWrite: noEvent, want: invariants.Aborted},
+		"restarted instance closes the connection": {
+			beforeWrite: func(log *results.Log) { kill(log); exit(log) },
+			afterWrite:  noEvent,
+			want:        invariants.Aborted,
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var log *results.Log
 			address := testutil.ServeCommands(t, func(conn net.Conn) {
-				test.meanwhile(log)
+				test.afterWrite(log)
 				_ = conn.Close() // without an answer
 			}).String()
 			g, runLog := newGenerator(t, address)
 			log = runLog
-			test.before(log)
+			test.beforeWrite(log)
 			if result := g.submit(newTestSubmission(g)); !result.sent || result.kind != test.want {
-				t.Errorf("%+v, want kind %v", result, test.want)
+				t.Errorf("outcome %+v, want kind %v", result, test.want)
 			}
 		})
 	}
 }
 
-func TestGenerator_BoundsConnections(t *testing.T) {
+func TestGenerator_LimitsConnections(t *testing.T) {
 	g, _ := newGenerator(t, serveAnswers(t, "$2\r\nok\r\n"), "load.connections=1")
 	conn, err := g.acquire(0, false)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if _, err := g.acquire(0, false); err == nil {
-		t.Error("a second connection came up beyond the bound")
+		t.Error("a second connection was opened although the scenario allows one")
 	}
 	g.release(0, conn)
-	if again, err := g.acquire(0, false); err != nil || again != conn || !again.reused {
+	if reacquired, err := g.acquire(0, false); err != nil || reacquired != conn || !reacquired.reused {
 		t.Errorf("the idle connection was not reused: %v", err)
 	}
 	g.discard(conn)
 	if _, err := g.acquire(0, true); err != nil {
-		t.Errorf("a closed connection still counts: %v", err)
+		t.Errorf("a discarded connection still counts as open: %v", err)
 	}
 }
--- a/internal/lab/load/protocol.go
+++ b/internal/lab/load/protocol.go
@@ -12,16 +12,16 @@
 	"fawnplank/internal/lab/workload"
 )
 
-// maxAnswerBytes bounds how much of one answer is read: a faulty instance may announce any length.
+// maxAnswerBytes bounds the length of an answer that is read, because a faulty instance can announce any length.
 const maxAnswerBytes = 8 << 20
 
-// isIdempotent reports whether the class of a request lets it run twice.
+// isIdempotent reports whether the class of a request is idempotent.
 func (g *Generator) isIdempotent(request workload.Request) bool {
 	return g.scenario.Classes[request.Class].IsIdempotent()
 }
 
-// command returns a submission in the platform's protocol: verb, tenant, ID and header.
-func (g *Generator) command(s submission) string {
+// formatCommand encodes a submission in the gateway's protocol: verb, tenant, ID and header.
+func (g *Generator) formatCommand(s submission) string {
 	verb := "SVC.SUBMIT"
 	if g.isIdempotent(s.request) {
 		verb = "SVC.QUERY"
@@ -37,8 +37,9 @@
 		len(verb), verb, s.request.Tenant+1, uint64(s.id), len(header), header)
 }
 
-// readAnswer reads one whole answer of RESP2: the line of a simple answer, or a bulk string with a "$" in
-// front. It returns a null, or a length that is not valid, as the line that it is.
+// readAnswer reads one complete RESP2 answer. It returns a bulk string as "$" followed by its value, and any other
+// answer as its line without the line end. A null, or a bulk string with an invalid length, is also returned as its
+// line.
 func readAnswer(reader *bufio.Reader) (string, error) {
 	line, err := reader.ReadString('\n')
 	if err != nil {
@@ -50,7 +51,7 @@
 	}
 	length, err := strconv.Atoi(strings.TrimSpace(line[1:]))
 	if err != nil || length < 0 || length > maxAnswerBytes {
-		return simple, nil // a line that parseOutcome counts as an abort
+		return simple, nil // parseOutcome treats this line as an abort
 	}
 	value := make([]byte, length+len("\r\n"))
 	if _, err := io.ReadFull(reader, value); err != nil {
@@ -59,7 +60,7 @@
 	return "$" + string(value[:length]), nil
 }
 
-// parseOutcome returns what an answer means to the client.
+// parseOutcome returns the outcome that an answer reports to the client.
 func parseOutcome(answer string) outcome {
 	if strings.HasPrefix(answer, "$") && answer != "$-1" {
 		return outcome{kind: invariants.Succeeded, sent: true}
@@ -70,7 +71,7 @@
 	}
 	result := outcome{kind: invariants.Rejected, sent: true}
 	if len(words) > 1 {
-		millis, _ := strconv.ParseInt(words[1], 10, 64) // a text that is not a number asks for no wait
+		millis, _ := strconv.ParseInt(words[1], 10, 64) // 0, no Retry-After, if the text is not a number
 		result.retryAfter = time.Duration(millis) * time.Millisecond
 	}
 	return result
--- a/internal/lab/load/protocol_test.go
+++ b/internal/lab/load/protocol_test.go
@@ -10,7 +10,7 @@
 	"fawnplank/internal/lab/workload"
 )
 
-func TestGenerator_Command(t *testing.T) {
+func TestGenerator_FormatCommand(t *testing.T) {
 	g, _ := newGenerator(t, "")
 	g.workload.Tenants[0].FirstInstance = 0
 	for class, want := range []string{
@@ -21,7 +21,7 @@
 	} {
 		request := workload.Request{Class: class, Units: 2.5}
 		s := submission{request: request, id: 0xabcd, remaining: 250 * time.Millisecond}
-		if got := g.command(s); got != want {
+		if got := g.formatCommand(s); got != want {
 			t.Errorf("class %d: %q, want %q", class, got, want)
 		}
 	}
@@ -45,7 +45,7 @@
 	}
 	for _, written := range []string{"", "+O", "$5\r\nhel", "$5\r\nhello"} {
 		if got, err := readAnswer(bufio.NewReader(strings.NewReader(written))); err == nil {
-			t.Errorf("%q, which is cut off, is read as %q", written, got)
+			t.Errorf("truncated answer %q was accepted as %q", written, got)
 		}
 	}
 }
--- a/internal/lab/load/request.go
+++ b/internal/lab/load/request.go
@@ -12,20 +12,20 @@
 )
 
 const (
-	// minRemainingToConnect is the remaining time below which another connect is of no use.
+	// minRemainingToConnect is the time before the deadline from which no further connection attempt is made.
 	minRemainingToConnect = 20 * time.Millisecond
 
 	connectRetryPeriod = 5 * time.Millisecond
 
-	// answerMargin is how long a client waits beyond the deadline and the rules' grace, so that it still sees an
-	// answer that is slightly too late, as a late one.
+	// answerMargin is how long a client waits beyond the deadline and the grace of the rules, so that an answer that
+	// is slightly too late is recorded as late and not as missing.
 	answerMargin = 100 * time.Millisecond
 )
 
-// errStaleConnection reports that the instance has closed an idle connection.
-var errStaleConnection = errors.New("load: idle connection was closed")
+// errStaleConnection reports that the instance closed a reused connection before it answered.
+var errStaleConnection = errors.New("load: instance closed the idle connection")
 
-// submission is one request to one instance.
+// submission is one sending of a request by a client to one instance.
 type submission struct {
 	request  workload.Request
 	id       invariants.SubmissionID
@@ -34,19 +34,20 @@
 	deadline time.Time
 	isRetry  bool
 
-	remaining   time.Duration // time left until the deadline when it is written
-	incarnation int           // of the instance, at that time
+	// Set by updateBeforeWrite.
+	remaining   time.Duration // time until the deadline
+	incarnation int           // of the instance
 }
 
-// outcome says what became of a submission.
+// outcome is the result of a submission.
 type outcome struct {
 	kind       invariants.Kind
-	retryAfter time.Duration // if rejected; 0: none
-	sent       bool          // false: no connection came up, and no instance has seen the request
+	retryAfter time.Duration // of a rejection; 0: none
+	sent       bool          // false: no connection could be opened, and no instance has received the request
 }
 
-// send submits a request until it has a final answer, as clients do: again after a rejection, and if its
-// instance died.
+// send submits a request until the client gets a final answer or gives up. It retries a rejected request, and an
+// idempotent request whose instance was killed, within the scenario's retries and the deadline.
 func (g *Generator) send(request workload.Request, due time.Time) {
 	deadline := due.Add(request.Deadline.Sub(request.Due))
 	for retries := 0; ; retries++ {
@@ -61,25 +62,25 @@
 				g.log.CountNotSent()
 				return
 			}
-			time.Sleep(connectRetryPeriod) // another instance may accept it
+			time.Sleep(connectRetryPeriod) // the next submission may choose another instance
 			continue
 		}
-		wantsRetry := result.kind == invariants.Rejected || result.kind == invariants.Abandoned
-		if !wantsRetry || retries >= g.scenario.Load.Retries {
+		isRetryable := result.kind == invariants.Rejected || result.kind == invariants.Abandoned
+		if !isRetryable || retries >= g.scenario.Load.Retries {
 			return
 		}
-		// The wait is drawn even if no retry follows, so that a run's random numbers do not depend on the class.
+		// The delay is drawn even if no retry follows, so that a run's random numbers do not depend on the class.
 		wait := g.retryDelay(retries, result.retryAfter)
 		mayRunTwice := result.kind == invariants.Rejected || g.isIdempotent(request)
 		if !mayRunTwice || time.Until(deadline) <= wait {
 			return
 		}
 		time.Sleep(wait)
-		due = time.Now() // a retry is due when the client sends it
+		due = time.Now() // a retry is due at the end of the delay
 	}
 }
 
-// newSubmission gives a request an ID and an instance.
+// newSubmission returns a submission of a request, with a new ID and a randomly chosen instance.
 func (g *Generator) newSubmission(request workload.Request) submission {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -87,42 +88,42 @@
 	return submission{request: request, id: g.lastSubmission, instance: g.workload.Instance(request)}
 }
 
-// retryDelay draws how long a client waits before a retry.
+// retryDelay draws the delay before a retry.
 func (g *Generator) retryDelay(retries int, retryAfter time.Duration) time.Duration {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.workload.RetryDelay(retries, retryAfter)
 }
 
-// submit sends a request to an instance once. It sends it a second time if the instance had closed the idle
-// connection that was used, as it may between requests.
+// submit sends a submission to its instance. If the instance has closed the reused connection, as it may do between
+// requests, submit sends the submission again on a new connection.
 func (g *Generator) submit(s submission) outcome {
 	conn, err := g.acquire(s.instance, false)
 	if err != nil {
 		return outcome{}
 	}
-	g.stamp(&s)
-	g.observeSubmitted(s)
+	g.updateBeforeWrite(&s)
+	g.recordSubmitted(s)
 	result, err := g.exchange(s, conn)
 	if !errors.Is(err, errStaleConnection) {
 		return result
 	}
 	if conn, err = g.acquire(s.instance, true); err != nil {
-		return g.abandon(s) // written to a connection that ended, and the instance is gone
+		return g.recordAbandoned(s) // the instance closed the connection and accepts no new one
 	}
-	g.stamp(&s)
-	result, _ = g.exchange(s, conn) // a new connection is not stale
+	g.updateBeforeWrite(&s)
+	result, _ = g.exchange(s, conn) // errStaleConnection occurs only on a reused connection
 	return result
 }
 
-// stamp records what holds when a submission is about to be written.
-func (g *Generator) stamp(s *submission) {
+// updateBeforeWrite sets the fields of a submission that depend on the time of its write.
+func (g *Generator) updateBeforeWrite(s *submission) {
 	s.remaining = time.Until(s.deadline)
 	s.incarnation = g.log.Incarnation(s.instance)
 }
 
-// observeSubmitted records that a request is about to be written, and how late that is.
-func (g *Generator) observeSubmitted(s submission) {
+// recordSubmitted records that a submission is about to be written, and its delay since the due time.
+func (g *Generator) recordSubmitted(s submission) {
 	g.recordLag(time.Since(s.due))
 	g.log.ObserveSubmitted(invariants.Event{
 		Submission: s.id,
@@ -136,8 +137,8 @@
 	}, s.remaining)
 }
 
-// exchange writes a request and reads its answer. It returns errStaleConnection if the connection was idle
-// before and has ended while the instance lives.
+// exchange writes a submission and reads its answer. It returns errStaleConnection if a reused connection ended
+// although the instance was not killed.
 func (g *Generator) exchange(s submission, conn *connection) (outcome, error) {
 	answer, err := g.roundTrip(s, conn)
 	if err == nil {
@@ -150,26 +151,26 @@
 	var netError net.Error
 	switch {
 	case errors.As(err, &netError) && netError.Timeout():
-		return outcome{kind: invariants.Aborted, sent: true}, nil // no answer: the invariants report it
+		return outcome{kind: invariants.Aborted, sent: true}, nil // the invariants report the missing answer
 	case g.log.WasKilled(s.instance, s.incarnation):
-		return g.abandon(s), nil
+		return g.recordAbandoned(s), nil
 	case conn.reused:
 		return outcome{}, errStaleConnection
 	}
-	return outcome{kind: invariants.Aborted, sent: true}, nil // a live instance ended the connection: likewise
+	return outcome{kind: invariants.Aborted, sent: true}, nil // a running instance closed the connection: likewise
 }
 
 func (g *Generator) roundTrip(s submission, conn *connection) (string, error) {
 	readDeadline := s.deadline.Add(time.Duration(g.scenario.Rules.DeadlineGrace) + answerMargin)
-	_ = conn.SetDeadline(readDeadline) // fails only if the connection has ended; the write fails then too
-	if _, err := io.WriteString(conn, g.command(s)); err != nil {
+	_ = conn.SetDeadline(readDeadline) // fails only if the connection has ended; then the write fails too
+	if _, err := io.WriteString(conn, g.formatCommand(s)); err != nil {
 		return "", err
 	}
 	return readAnswer(conn.reader)
 }
 
-// abandon records that a submission's instance died with it.
-func (g *Generator) abandon(s submission) outcome {
+// recordAbandoned records that a submission got no answer because its instance was killed.
+func (g *Generator) recordAbandoned(s submission) outcome {
 	g.log.Observe(invariants.Event{Kind: invariants.Abandoned, Submission: s.id, Instance: s.instance})
 	return outcome{kind: invariants.Abandoned, sent: true}
 }
--- a/internal/lab/testca/testca.go
+++ b/internal/lab/testca/testca.go
@@ -1,5 +1,5 @@
-// Package testca stands in for an installation's certificate authority: it signs certificates for the
-// laboratory and for tests. It keeps its key only in memory. An Authority is not safe for concurrent use.
+// Package testca implements a certificate authority for the laboratory and for tests, in place of the authority of a
+// real installation. The authority's private key is held only in memory. An Authority is not safe for concurrent use.
 package testca
 
 import (
@@ -20,22 +20,22 @@
 )
 
 const (
-	// backdating is how long before its signing a certificate becomes valid, so that a party whose clock is
-	// behind accepts it.
+	// backdating is how far before the time of signing a certificate's validity begins, so that a peer whose clock
+	// is slow accepts the certificate.
 	backdating = time.Hour
 
-	// authorityValidity is how long the authority's own certificate is valid.
+	// authorityValidity is the validity of the authority's own certificate.
 	authorityValidity = 24 * time.Hour
 )
 
-// Authority signs certificates.
+// Authority is a certificate authority with a self-signed certificate.
 type Authority struct {
 	key         *ecdsa.PrivateKey
 	certificate *x509.Certificate
 	lastSerial  int64
 }
 
-// New makes an authority with a name.
+// New generates an authority whose certificate has the given common name.
 func New(name string) (*Authority, error) {
 	key, err := newKey()
 	if err != nil {
@@ -45,11 +45,11 @@
 	template.IsCA = true
 	template.BasicConstraintsValid = true
 	template.KeyUsage = x509.KeyUsageCertSign
-	signed, err := x509.CreateCertificate(rand.Reader, template, template, &key.PublicKey, key)
+	der, err := x509.CreateCertificate(rand.Reader, template, template, &key.PublicKey, key)
 	if err != nil {
 		return nil, fmt.Errorf("testca: sign certificate of authority %s: %w", name, err)
 	}
-	certificate, err := x509.ParseCertificate(signed)
+	certificate, err := x509.ParseCertificate(der)
 	if err != nil {
 		return nil, fmt.Errorf("testca: parse certificate of authority %s: %w", name, err)
 	}
@@ -69,35 +69,35 @@
 	if err != nil {
 		return files, err
 	}
-	signed, err := a.sign(&key.PublicKey, name, validity)
+	der, err := a.sign(&key.PublicKey, name, validity)
 	if err != nil {
 		return files, err
 	}
-	encodedKey, err := x509.MarshalPKCS8PrivateKey(key)
+	keyDER, err := x509.MarshalPKCS8PrivateKey(key)
 	if err != nil {
 		return files, fmt.Errorf("testca: encode key of %s: %w", name, err)
 	}
-	if err := writePEM(files.Key, "PRIVATE KEY", encodedKey); err != nil {
+	if err := writePEM(files.Key, "PRIVATE KEY", keyDER); err != nil {
 		return files, err
 	}
-	if err := writePEM(files.Certificate, "CERTIFICATE", signed); err != nil {
+	if err := writePEM(files.Certificate, "CERTIFICATE", der); err != nil {
 		return files, err
 	}
 	return files, writePEM(files.Authority, "CERTIFICATE", a.certificate.Raw)
 }
 
-// sign returns a certificate for a server and client at 127.0.0.1.
+// sign returns a DER-encoded certificate for a server and client at 127.0.0.1.
 func (a *Authority) sign(key *ecdsa.PublicKey, name string, validity time.Duration) ([]byte, error) {
 	a.lastSerial++
 	template := newTemplate(a.lastSerial, name, validity)
 	template.KeyUsage = x509.KeyUsageDigitalSignature
 	template.ExtKeyUsage = []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth, x509.ExtKeyUsageClientAuth}
 	template.IPAddresses = []net.IP{net.IPv4(127, 0, 0, 1)}
-	signed, err := x509.CreateCertificate(rand.Reader, template, a.certificate, key, a.key)
+	der, err := x509.CreateCertificate(rand.Reader, template, a.certificate, key, a.key)
 	if err != nil {
 		return nil, fmt.Errorf("testca: sign certificate of %s: %w", name, err)
 	}
-	return signed, nil
+	return der, nil
 }
 
 func newKey() (*ecdsa.PrivateKey, error) {
@@ -108,7 +108,7 @@
 	return key, nil
 }
 
-// newTemplate returns the fields that all certificates have in common.
+// newTemplate returns a template with the fields that all certificates need.
 func newTemplate(serial int64, name string, validity time.Duration) *x509.Certificate {
 	now := time.Now()
 	return &x509.Certificate{
@@ -119,7 +119,7 @@
 	}
 }
 
-// writePEM writes a block to a file that only its owner may read.
+// writePEM writes a PEM block to a file that only its owner can read.
 func writePEM(path, blockType string, content []byte) error {
 	encoded := pem.EncodeToMemory(&pem.Block{Type: blockType, Bytes: content})
 	if err := os.WriteFile(path, encoded, 0o600); err != nil {
--- a/internal/lab/testca/testca_test.go
+++ b/internal/lab/testca/testca_test.go
@@ -20,7 +20,7 @@
 	return authority
 }
 
-func TestAuthority_WritesCertificatesItVouchesFor(t *testing.T) {
+func TestAuthority_IssuesCertificatesItVerifies(t *testing.T) {
 	authority := newTestAuthority(t)
 	files, err := authority.IssueCertificate(t.TempDir(), "instance", time.Minute)
 	if err != nil {
@@ -30,15 +30,15 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	encoded, err := os.ReadFile(files.Authority)
+	authorityPEM, err := os.ReadFile(files.Authority)
 	if err != nil {
 		t.Fatal(err)
 	}
-	own, other := x509.NewCertPool(), x509.NewCertPool()
-	if !own.AppendCertsFromPEM(encoded) {
+	ownRoots, otherRoots := x509.NewCertPool(), x509.NewCertPool()
+	if !ownRoots.AppendCertsFromPEM(authorityPEM) {
 		t.Fatal("the authority's certificate is not PEM")
 	}
-	other.AddCert(newTestAuthority(t).certificate)
+	otherRoots.AddCert(newTestAuthority(t).certificate)
 	verify := func(roots *x509.CertPool, after time.Duration, usage x509.ExtKeyUsage) error {
 		_, err := pair.Leaf.Verify(x509.VerifyOptions{
 			DNSName:     "127.0.0.1",
@@ -49,19 +49,19 @@
 		return err
 	}
 	for _, usage := range []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth, x509.ExtKeyUsageClientAuth} {
-		if err := verify(own, 0, usage); err != nil {
+		if err := verify(ownRoots, 0, usage); err != nil {
 			t.Errorf("usage %d: %v", usage, err)
 		}
 	}
-	if verify(own, 2*time.Minute, x509.ExtKeyUsageServerAuth) == nil {
-		t.Error("the certificate is valid beyond its time")
+	if verify(ownRoots, 2*time.Minute, x509.ExtKeyUsageServerAuth) == nil {
+		t.Error("the certificate verifies after the end of its validity")
 	}
-	if verify(other, 0, x509.ExtKeyUsageServerAuth) == nil {
-		t.Error("another authority vouches for the certificate")
+	if verify(otherRoots, 0, x509.ExtKeyUsageServerAuth) == nil {
+		t.Error("the certificate verifies against another authority")
 	}
 }
 
-func TestAuthority_WriteReplacesFiles(t *testing.T) {
+func TestAuthority_IssueCertificateReplacesFiles(t *testing.T) {
 	authority := newTestAuthority(t)
 	folder := t.TempDir()
 	var leaves []*x509.Certificate
@@ -80,18 +80,18 @@
 			t.Fatal(err)
 		}
 		if mode := info.Mode().Perm(); mode != 0o600 {
-			t.Errorf("the key's mode is %o", mode)
+			t.Errorf("the key file has mode %o, want 600", mode)
 		}
 	}
 	if leaves[0].SerialNumber.Cmp(leaves[1].SerialNumber) == 0 || leaves[0].Equal(leaves[1]) {
-		t.Error("the second certificate is the first one")
+		t.Error("the second certificate has the serial number or the content of the first one")
 	}
 }
 
-func TestAuthority_WriteReportsMissingFolder(t *testing.T) {
+func TestAuthority_IssueCertificateReportsMissingFolder(t *testing.T) {
 	missing := filepath.Join(t.TempDir(), "missing")
 	_, err := newTestAuthority(t).IssueCertificate(missing, "instance", time.Minute)
 	if !errors.Is(err, fs.ErrNotExist) {
-		t.Errorf("%v, want one of a folder that does not exist", err)
+		t.Errorf("error %v, want fs.ErrNotExist", err)
 	}
 }
--- a/internal/lab/workload/workload.go
+++ b/internal/lab/workload/workload.go
@@ -1,6 +1,6 @@
-// Package workload draws who sends which request when in a scenario: the tenants with their plans and entry
-// points, the arrivals, and how clients retry. The model and the load tool draw the same workload from the
-// same seed. The package sends nothing.
+// Package workload generates the random workload of a scenario: the tenants with their plans and entry points, the
+// arrivals of requests, and the clients' retry delays. The model and the load tool get the same workload from the
+// same seed. The package itself sends nothing.
 //
 // A Generator is not safe for concurrent use.
 package workload
@@ -15,52 +15,52 @@
 	"fawnplank/internal/monotime"
 )
 
-// The random streams of the seed. The order of the draws from one does not depend on the other.
+// The independent random streams of a scenario's seed.
 const (
-	arrivalStream = iota // fixed order: the same requests whatever the answers
-	choiceStream         // entry points and delays, drawn in an order that depends on answers
+	arrivalStream = iota // drawn in a fixed order, so that the requests do not depend on the answers
+	choiceStream         // entry points and retry delays, drawn in an order that depends on the answers
 )
 
-// ExtraConnectRetries is how many connects beyond the scenario's retries a client tries, one instance after
-// another, before it gives up a request that no instance accepts.
+// ExtraConnectRetries is the number of connection attempts that a client makes in addition to the scenario's
+// retries, each to an instance that it chooses anew, before it gives up a request that no instance accepts.
 const ExtraConnectRetries = 3
 
 const (
-	// firstRetryDelay is how long a client waits that got no Retry-After. The delay doubles with each
-	// retry, as is common among clients, up to maxRetryDoublings times.
+	// firstRetryDelay is the delay before a client's first retry of a rejection without a Retry-After. The delay
+	// doubles with each retry, as is common among clients, up to maxRetryDoublings times.
 	firstRetryDelay   = 50 * time.Millisecond
 	maxRetryDoublings = 5
-	// jitterDivisor bounds the jitter of a delay: it adds up to a quarter.
+	// jitterDivisor bounds the jitter: a delay grows by a random share of up to 1/jitterDivisor.
 	jitterDivisor = 4
 )
 
-// Tenant is a tenant: its plan, and the first instance of those that are its entry points.
+// Tenant holds the index of a tenant's plan and the index of the first instance among its entry points.
 type Tenant struct{ Plan, FirstInstance int }
 
-// Request is a request that a client wants answered. Instants count from the run's start.
+// Request is a request of a client. Its instants are relative to the start of the run.
 type Request struct {
-	Due      monotime.Instant // when its client sends it
-	Deadline monotime.Instant // until when its client waits
+	Due      monotime.Instant // when the client sends the request
+	Deadline monotime.Instant // how long the client waits for the answer
 	Tenant   int
 	Class    int
 	Plan     int
 	Units    float64
 }
 
-// Generator draws requests.
+// Generator generates the requests of a scenario.
 type Generator struct {
 	Tenants []Tenant
 
 	scenario      *scenario.Scenario
-	tenantWeights []float64 // cumulative, like the others
+	tenantWeights []float64 // cumulative, as are classWeights
 	classWeights  []float64
 	arrivals      *rand.Rand
 	choices       *rand.Rand
-	atNanos       float64
-	drawn         int
+	lastDueNanos  float64
+	drawnRequests int
 }
 
-// New returns the generator of a scenario.
+// New returns a generator for a scenario.
 func New(s *scenario.Scenario) *Generator {
 	g := &Generator{
 		scenario: s,
@@ -75,15 +75,16 @@
 		g.classWeights = appendWeight(g.classWeights, class.Share)
 	}
 	for n := range s.Load.Tenants {
-		// Plans are assigned in rotation by their shares, so that the busiest tenants do not all have one plan by chance.
-		plan := pick(planWeights, math.Mod(float64(n)*math.Phi, 1))
+		// Plans are assigned by a low-discrepancy sequence in proportion to their shares, not at random, so that the
+		// busiest tenants do not all have the same plan by chance.
+		plan := pickWeighted(planWeights, math.Mod(float64(n)*math.Phi, 1))
 		g.Tenants = append(g.Tenants, Tenant{Plan: plan, FirstInstance: g.choices.IntN(s.Instances.Count)})
 		g.tenantWeights = appendWeight(g.tenantWeights, math.Pow(float64(n+1), -s.Load.Skew))
 	}
 	return g
 }
 
-// appendWeight appends a weight to cumulative ones.
+// appendWeight appends a weight to a list of cumulative weights.
 func appendWeight(cumulative []float64, weight float64) []float64 {
 	if len(cumulative) > 0 {
 		weight += cumulative[len(cumulative)-1]
@@ -91,29 +92,30 @@
 	return append(cumulative, weight)
 }
 
-// pick returns the index of the weight into which a part, from 0 to 1, of the weights' sum falls.
-func pick(cumulative []float64, part float64) int {
+// pickWeighted returns the index of the weight that contains the given fraction, from 0 to 1, of the weights' sum.
+func pickWeighted(cumulative []float64, fraction float64) int {
 	last := len(cumulative) - 1
-	return min(sort.SearchFloat64s(cumulative, part*cumulative[last]), last)
+	return min(sort.SearchFloat64s(cumulative, fraction*cumulative[last]), last)
 }
 
-// Next draws the next request. It returns false once the duration is over or the scenario's number is drawn.
+// Next draws the next request. It returns false after the end of the scenario's duration or after its maximum number
+// of requests.
 func (g *Generator) Next() (Request, bool) {
 	load := &g.scenario.Load
-	gapNanos := 1e9 / load.Rate
+	interarrivalNanos := 1e9 / load.Rate
 	if load.Arrivals == scenario.ArrivalsPoisson {
-		gapNanos *= g.arrivals.ExpFloat64()
+		interarrivalNanos *= g.arrivals.ExpFloat64()
 	}
-	g.atNanos += gapNanos
-	if g.atNanos >= float64(g.scenario.Duration) || g.drawn >= load.MaxRequests {
+	g.lastDueNanos += interarrivalNanos
+	if g.lastDueNanos >= float64(g.scenario.Duration) || g.drawnRequests >= load.MaxRequests {
 		return Request{}, false
 	}
-	g.drawn++
-	tenant := pick(g.tenantWeights, g.arrivals.Float64())
+	g.drawnRequests++
+	tenant := pickWeighted(g.tenantWeights, g.arrivals.Float64())
 	request := Request{
-		Due:    monotime.FromNanos(int64(g.atNanos)),
+		Due:    monotime.FromNanos(int64(g.lastDueNanos)),
 		Tenant: tenant,
-		Class:  pick(g.classWeights, g.arrivals.Float64()),
+		Class:  pickWeighted(g.classWeights, g.arrivals.Float64()),
 		Plan:   g.Tenants[tenant].Plan,
 		Units:  1,
 	}
@@ -124,15 +126,14 @@
 	return request, true
 }
 
-// Instance draws the instance that gets a request from the entry points of its tenant, with equal
-// probability.
+// Instance draws the index of the instance to which a request is sent, from the entry points of its tenant.
 func (g *Generator) Instance(request Request) int {
 	offset := g.choices.IntN(g.scenario.Load.EntryPoints)
 	return (g.Tenants[request.Tenant].FirstInstance + offset) % g.scenario.Instances.Count
 }
 
-// RetryDelay draws how long a client waits after a rejection. retries is its number of retries so far;
-// retryAfter is 0 if the rejection has none.
+// RetryDelay draws how long a client waits before it retries a rejected request. retries is the number of retries
+// already made; retryAfter is 0 if the rejection has no Retry-After.
 func (g *Generator) RetryDelay(retries int, retryAfter time.Duration) time.Duration {
 	delay := retryAfter
 	if delay <= 0 {
@@ -141,7 +142,7 @@
 	return delay + time.Duration(float64(delay)*g.choices.Float64()/jitterDivisor)
 }
 
-// WorkNanos draws how many nanoseconds of a core a request of so many units takes at a backend that has
+// WorkNanos draws how many nanoseconds of core time a request with the given units takes on a backend that has
 // warmed up.
 func (g *Generator) WorkNanos(random *rand.Rand, units float64) float64 {
 	median := float64(g.scenario.Backends.Work) * units
--- a/internal/lab/workload/workload_test.go
+++ b/internal/lab/workload/workload_test.go
@@ -39,35 +39,34 @@
 	}
 }
 
-// TestGenerator_DrawsSameRequests draws from one seed twice, with choices between in one of them: the
-// requests are the same, and of the scenario's rate and mean units.
-func TestGenerator_DrawsSameRequests(t *testing.T) {
-	plain := drawAll(newGenerator(t))
+// Draws requests from the same seed twice, the second time with draws of retry delays in between. The requests must
+// be equal, and their number and mean units must match the scenario.
+func TestGenerator_RequestsDoNotDependOnChoices(t *testing.T) {
+	wantRequests := drawAll(newGenerator(t))
 	generator := newGenerator(t)
 	var units float64
-	for n, want := range plain {
+	for n, want := range wantRequests {
 		generator.RetryDelay(n, 0)
 		request, ok := generator.Next()
 		if !ok || request != want {
-			t.Fatalf("request %d: %+v, not %+v", n, request, want)
+			t.Fatalf("request %d: got %+v, want %+v", n, request, want)
 		}
 		units += request.Units
 	}
-	mean := units / float64(len(plain))
-	if len(plain) < 900 || len(plain) > 1100 || mean < 2.8 || mean > 3.2 {
-		t.Errorf("%d requests of %.2f units", len(plain), mean)
+	mean := units / float64(len(wantRequests))
+	if len(wantRequests) < 900 || len(wantRequests) > 1100 || mean < 2.8 || mean > 3.2 {
+		t.Errorf("%d requests with %.2f units on average, want about 1000 with 3", len(wantRequests), mean)
 	}
 }
 
-// TestGenerator_StopsAtMaxRequests draws as many requests as the scenario has at most.
 func TestGenerator_StopsAtMaxRequests(t *testing.T) {
 	if requests := drawAll(newGenerator(t, "load.max_requests=7")); len(requests) != 7 {
-		t.Errorf("%d requests", len(requests))
+		t.Errorf("%d requests, want 7", len(requests))
 	}
 }
 
-// TestGenerator_RetryDelay waits for the Retry-After, or else for a time that doubles; and up to a quarter
-// more.
+// A retry delay is the Retry-After, or without one a delay that doubles with each retry, plus a jitter of up to a
+// quarter.
 func TestGenerator_RetryDelay(t *testing.T) {
 	generator := newGenerator(t)
 	for _, test := range []struct {
@@ -82,7 +81,7 @@
 	} {
 		got := generator.RetryDelay(test.retries, test.retryAfter)
 		if got < test.want || got > test.want*5/4 {
-			t.Errorf("retry %d, Retry-After %v: %v, not %v",
+			t.Errorf("retry %d, Retry-After %v: got %v, want %v to 25%% more",
 				test.retries, test.retryAfter, got, test.want)
 		}
 	}
