--- a/internal/lab/testbed/address.go
+++ b/internal/lab/testbed/address.go
@@ -7,8 +7,8 @@
 	"net"
 )
 
-// FreeAddress returns an address that nothing listens on. It is a random loopback address, because other
-// connections may take a port of 127.0.0.1 between the moment it is found free and the moment it is used.
+// FreeAddress returns an address on which nothing listens. Its host is a random loopback address, because on 127.0.0.1
+// another connection could take the port before the caller uses it.
 func FreeAddress(ctx context.Context) (string, error) {
 	host := fmt.Sprintf("127.%d.%d.%d:0", 1+rand.IntN(250), rand.IntN(250), 1+rand.IntN(250))
 	var config net.ListenConfig
--- a/internal/lab/testbed/gateway.go
+++ b/internal/lab/testbed/gateway.go
@@ -17,21 +17,21 @@
 )
 
 const (
-	// pingInterval is the time between two attempts to get a first answer from a gateway.
+	// pingInterval is the pause between two PINGs to a gateway that is starting.
 	pingInterval = 20 * time.Millisecond
-	// pingDialTimeout and pingAnswerTimeout bound one such attempt: generous for loopback.
+	// pingDialTimeout and pingAnswerTimeout bound one PING. Both are generous for loopback.
 	pingDialTimeout   = 200 * time.Millisecond
 	pingAnswerTimeout = 500 * time.Millisecond
-	// watchInterval is the time between two looks at a gateway that is down on purpose.
-	watchInterval = 10 * time.Millisecond
-	// stopTimeout is how long a gateway may take for its graceful shutdown before it is killed.
+	// crashCheckInterval is the pause between two checks of whether a killed gateway has been restarted.
+	crashCheckInterval = 10 * time.Millisecond
+	// stopTimeout is how long a gateway's graceful shutdown may take before the gateway is killed.
 	stopTimeout = 5 * time.Second
-	// logTailBytes is how much of a gateway's log an error quotes.
+	// logTailBytes is the length of the end of a gateway's log that errors quote.
 	logTailBytes = 400
 )
 
-// gateway is the process of one gateway. Its methods may be called concurrently, except that start, restart
-// and stop may only run one at a time.
+// gateway manages the process of one gateway. Its methods may be called concurrently, except that only one of start,
+// restart and stop may run at a time.
 type gateway struct {
 	index             int
 	address           string
@@ -41,37 +41,37 @@
 	operatorFile      string // empty: none
 	logFile           string
 
-	mu      sync.Mutex
-	process *process // nil before the first start
-	// expected says whether the process is meant to run. A process that ends while it is expected has crashed.
-	expected bool
+	mu      sync.Mutex // guards the fields below
+	process *process   // nil before the first start
+	// shouldRun is false while the gateway is down on purpose. A process that exits while it is true has crashed.
+	shouldRun bool
 }
 
 // process is one incarnation of a gateway.
 type process struct {
 	handle *os.Process
-	exited chan struct{} // closed when the process has ended and its exit status is collected
+	exited chan struct{} // closed when the process has exited and its status has been collected
 }
 
-// start starts the process. Its output is appended to the log file, so that a restart keeps what came before.
+// start starts the process. It appends the output to the log file, so that a restart keeps the earlier log.
 func (g *gateway) start(ctx context.Context) error {
 	output, err := os.OpenFile(g.logFile, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 	if err != nil {
 		return err
 	}
 	defer func() {
-		_ = output.Close() // the process has its own descriptor; nothing is written through this one
+		_ = output.Close() // the process has its own descriptor, and nothing was written through this one
 	}()
 	arguments := append(slices.Clone(g.command[1:]), "serve", "-c", g.configurationFile)
 	if g.operatorFile != "" {
 		arguments = append(arguments, "--operator", g.operatorFile)
 	}
-	// stop ends the process, first by SIGTERM. The end of ctx must not kill the process outright.
+	// The end of ctx must not kill the process: stop first asks for a graceful shutdown by SIGTERM.
 	command := exec.CommandContext(context.WithoutCancel(ctx), g.command[0], arguments...)
 	command.Env = append(os.Environ(), g.env...)
 	command.Stdout = output
 	command.Stderr = output
-	// No gateway outlives the laboratory, however that ends.
+	// The kernel kills the gateway if the laboratory's process dies.
 	command.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	if err := command.Start(); err != nil {
 		return fmt.Errorf("gateway %d: %w", g.index, err)
@@ -79,31 +79,32 @@
 	started := &process{handle: command.Process, exited: make(chan struct{})}
 	g.mu.Lock()
 	g.process = started
-	g.expected = true
+	g.shouldRun = true
 	g.mu.Unlock()
 	go func() {
-		_ = command.Wait() // watch and waitReady see a crash, and quote the log instead of the status
+		_ = command.Wait() // reportCrash and waitReady quote the log instead of the exit status
 		close(started.exited)
 	}()
 	return nil
 }
 
-// current returns the process and whether it is meant to run.
+// current returns the process and whether it should be running.
 func (g *gateway) current() (*process, bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.process, g.expected
+	return g.process, g.shouldRun
 }
 
-// expectExit returns the process and marks that its end is no crash from now on.
+// expectExit returns the process and marks its exit as intended.
 func (g *gateway) expectExit() *process {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.expected = false
+	g.shouldRun = false
 	return g.process
 }
 
-// waitReady waits until the gateway answers a PING.
+// waitReady waits until the gateway answers a PING. It returns an error if the process exits or the timeout expires
+// first.
 func (g *gateway) waitReady(ctx context.Context, timeout time.Duration) error {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
@@ -111,9 +112,9 @@
 	for {
 		select {
 		case <-started.exited:
-			return fmt.Errorf("gateway %d ended: %s", g.index, g.logTail())
+			return fmt.Errorf("gateway %d exited before it answered a PING: %s", g.index, g.logTail())
 		case <-ctx.Done():
-			return fmt.Errorf("gateway %d does not answer within %v: %s", g.index, timeout, g.logTail())
+			return fmt.Errorf("gateway %d did not answer a PING within %v: %s", g.index, timeout, g.logTail())
 		default:
 		}
 		if g.answersPing(ctx) {
@@ -131,7 +132,7 @@
 		return false
 	}
 	defer func() {
-		_ = conn.Close() // the answer is read, or the next attempt opens its own connection
+		_ = conn.Close() // the next PING opens its own connection
 	}()
 	if err := conn.SetDeadline(time.Now().Add(pingAnswerTimeout)); err != nil {
 		return false
@@ -140,11 +141,11 @@
 		return false
 	}
 	answer := make([]byte, len("+PONG\r\n"))
-	n, _ := conn.Read(answer) // the bytes read before an error decide
+	n, _ := conn.Read(answer) // the answer counts even if an error follows it
 	return bytes.HasPrefix(answer[:n], []byte("+PONG"))
 }
 
-// logTail returns the end of the gateway's log.
+// logTail returns the end of the gateway's log, or the reason why it cannot be read.
 func (g *gateway) logTail() string {
 	text, err := os.ReadFile(g.logFile)
 	if err != nil {
@@ -153,9 +154,9 @@
 	return string(bytes.TrimSpace(text[max(len(text)-logTailBytes, 0):]))
 }
 
-// watch reports the gateway's first crash, that is, an end that neither restart nor stop asked for. It
-// returns after that, or when ctx ends.
-func (g *gateway) watch(ctx context.Context, crashed chan<- error) {
+// reportCrash waits for the gateway's first crash, that is an exit that neither restart nor stop caused, and sends an
+// error to crashed. It returns after that, or when ctx ends.
+func (g *gateway) reportCrash(ctx context.Context, crashed chan<- error) {
 	for {
 		watched, _ := g.current()
 		select {
@@ -163,34 +164,34 @@
 			return
 		case <-watched.exited:
 		}
-		if latest, expected := g.current(); expected && latest == watched {
+		if latest, shouldRun := g.current(); shouldRun && latest == watched {
 			crashed <- fmt.Errorf("gateway %d crashed: %s", g.index, g.logTail())
 			return
 		}
-		if !wait(ctx, watchInterval) {
+		if !wait(ctx, crashCheckInterval) {
 			return
 		}
 	}
 }
 
-// restart kills the gateway after a delay, without a graceful shutdown, and starts it again after a downtime.
-// It gives up when ctx ends.
+// restart kills the gateway after a delay, without a graceful shutdown, and starts it again after a downtime. It
+// returns early when ctx ends.
 func (g *gateway) restart(ctx context.Context, log *results.Log, delay, downtime time.Duration) {
 	if !wait(ctx, delay) {
 		return
 	}
 	killed := g.expectExit()
 	log.Observe(invariants.Event{Kind: invariants.InstanceDied, Instance: g.index})
-	_ = killed.handle.Kill() // fails only if the process has ended already
+	_ = killed.handle.Kill() // fails only if the process has exited already
 	<-killed.exited
 	log.InstanceExited(g.index)
 	if !wait(ctx, downtime) {
 		return
 	}
-	_ = g.start(ctx) // a gateway that cannot be started stays down, which the clients' results show
+	_ = g.start(ctx) // the clients' results show a gateway that stays down
 }
 
-// wait waits for a duration and reports whether it passed before ctx ended.
+// wait waits for a duration. It returns false if ctx ends first.
 func wait(ctx context.Context, duration time.Duration) bool {
 	select {
 	case <-ctx.Done():
@@ -200,14 +201,14 @@
 	}
 }
 
-// stop ends the gateway by SIGTERM, and kills it if its graceful shutdown takes too long. It does nothing if
-// the gateway was never started or has already ended.
+// stop sends SIGTERM to the gateway and waits for its exit; it kills the gateway if the graceful shutdown takes longer
+// than stopTimeout. It does nothing if the gateway was never started or has already exited.
 func (g *gateway) stop() {
 	stopped := g.expectExit()
 	if stopped == nil {
 		return
 	}
-	_ = stopped.handle.Signal(syscall.SIGTERM) // fails only if the process has ended already
+	_ = stopped.handle.Signal(syscall.SIGTERM) // fails only if the process has exited already
 	select {
 	case <-stopped.exited:
 	case <-time.After(stopTimeout):
--- a/internal/lab/testbed/load_test.go
+++ b/internal/lab/testbed/load_test.go
@@ -10,16 +10,16 @@
 	"fawnplank/internal/testutil"
 )
 
-// instantGateway serves a gateway that answers every command with success at once, so that what is measured
-// at it is the load tool's own. It returns its address.
-func instantGateway(tb testing.TB) string {
+// serveImmediateSuccess starts a server that answers every command with success at once, and returns its address. Lags
+// and latencies measured with it are those of the load tool itself.
+func serveImmediateSuccess(tb testing.TB) string {
 	tb.Helper()
 	return testutil.ServeCommands(tb, func(conn net.Conn) {
 		_, _ = conn.Write([]byte("$2\r\nok\r\n")) // the load tool may close its connections first
 	}).String()
 }
 
-// runLoadTool sends a scenario's requests to one address.
+// runLoadTool sends a scenario's requests to one address and returns the results.
 func runLoadTool(tb testing.TB, s *scenario.Scenario, address string) *results.Run {
 	tb.Helper()
 	settings, err := s.EngineSettings(0)
@@ -35,9 +35,9 @@
 	return run
 }
 
-// TestLoadTool_Alone: each submission is sent at its time and answered, and an address where nobody listens
-// is told apart from a gateway that rejects.
-func TestLoadTool_Alone(t *testing.T) {
+// The load tool sends every request to a server that answers at once, and all succeed. Requests to an address without
+// a listener must not be recorded as successes or as rejections by a gateway.
+func TestLoadTool_SendsOnTimeAndReportsUnreachableGateway(t *testing.T) {
 	s, err := scenario.Parse("small", []byte(smallScenario),
 		"gateways.count=1", "load.entry_points=1", "load.rate=400", "duration=1s", "load.retries=0")
 	if err != nil {
@@ -48,13 +48,13 @@
 		address   string
 		succeeded bool
 	}{
-		{"answers at once", instantGateway(t), true},
-		{"not there", "127.0.0.1:1", false},
+		{"answers at once", serveImmediateSuccess(t), true},
+		{"no listener", "127.0.0.1:1", false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			run := runLoadTool(t, s, test.address)
 			if n := run.Total.Requests + run.Total.NotSent; n < 300 || n > 500 {
-				t.Errorf("%d requests", n)
+				t.Errorf("%d requests, want 300 to 500", n)
 			}
 			succeeded := run.Total.Succeeded == run.Total.Requests && run.Total.NotSent == 0
 			if succeeded != test.succeeded || run.Violations() > 0 {
@@ -64,8 +64,8 @@
 	}
 }
 
-// BenchmarkLoadTool measures the load tool's own overhead: how late it sends, and what latency it shows for a
-// gateway that answers at once.
+// BenchmarkLoadTool measures the overhead of the load tool: its send lag, and the latency that it reports for a server
+// that answers at once.
 func BenchmarkLoadTool(b *testing.B) {
 	for _, rate := range []string{"500", "2000", "5000"} {
 		b.Run(rate, func(b *testing.B) {
@@ -74,7 +74,7 @@
 			if err != nil {
 				b.Fatal(err)
 			}
-			address := instantGateway(b)
+			address := serveImmediateSuccess(b)
 			var lagP50, lagP99, shownP50, shownP99, runs float64
 			for b.Loop() {
 				run := runLoadTool(b, s, address)
--- a/internal/lab/testbed/operator_file.go
+++ b/internal/lab/testbed/operator_file.go
@@ -12,15 +12,16 @@
 	"fawnplank/internal/lab/scenario"
 )
 
-// The key that signs a gateway's dynamic updates. The gateway reads its secret from a separate file.
+// Name and algorithm of the key that signs the dynamic DNS updates to a gateway. The gateway reads the key's secret
+// from a separate file.
 const (
 	updateKeyName      = "lab."
 	updateKeyAlgorithm = "hmac-sha256"
 )
 
-// writeOperatorFile writes the operator file of a gateway and returns its path, or "" if the scenario asks
-// for nothing that only such a file can set. A gateway that takes its backends from DNS also gets a zone
-// file, and updates from then on.
+// writeOperatorFile writes the operator file of a gateway and returns its path, or "" if the scenario uses no setting
+// that exists only in an operator file. For a gateway that takes its backends from DNS it also writes a zone file and
+// starts the dynamic updates.
 func (t *testbed) writeOperatorFile(ctx context.Context, index int) (string, error) {
 	var text strings.Builder
 	if t.scenario.Counter.Protocol == scenario.ProtocolRESP {
@@ -40,8 +41,8 @@
 	return path, os.WriteFile(path, []byte(text.String()), 0o600)
 }
 
-// prepareZone writes a gateway's zone file and key and makes the emulator send it updates. It returns the
-// section of the operator file that names the files.
+// prepareZone writes a gateway's zone file and key file and starts the emulator's dynamic updates to the gateway. It
+// returns the sections of the operator file that configure them.
 func (t *testbed) prepareZone(ctx context.Context, index int) (string, error) {
 	address, err := FreeAddress(ctx)
 	if err != nil {
--- a/internal/lab/testbed/testbed.go
+++ b/internal/lab/testbed/testbed.go
@@ -14,27 +14,27 @@
 	"fawnplank/internal/lab/scenario"
 )
 
-// Options are what a run on sockets needs besides its scenario.
+// Options holds the parameters of a run on sockets that are not part of its scenario.
 type Options struct {
-	// GatewayCommand is the gateway's program and its first arguments; the testbed adds "serve -c FILE".
-	// Required.
+	// GatewayCommand is the gateway's program and its first arguments, to which the testbed adds "serve -c FILE". It is
+	// required.
 	GatewayCommand []string
-	// Env is added to the environment of the gateways.
+	// Env is added to the inherited environment of the gateways, as "NAME=VALUE" strings.
 	Env []string
-	// LogFolder is where the gateways' logs are written; it is created if it is missing. If empty, the logs are
+	// LogFolder is the folder for the gateways' logs, created if it is missing. If LogFolder is empty, the logs are
 	// removed with the run's other files.
 	LogFolder string
 }
 
-// slack is how late an event may be seen at the far end of a socket on a machine that also does other
-// work. It is the platform's own allowance for sockets.
-const slack = 50 * time.Millisecond
+// eventTimeTolerance is the delay that the invariants allow between an event and its observation at the other end of a
+// socket, on a machine that also does other work. It equals the platform's own tolerance for sockets.
+const eventTimeTolerance = 50 * time.Millisecond
 
-// startTimeout is how long the gateways, one after the other, may take to answer their first command. It is
-// far above what a start takes, even on a loaded machine.
+// startTimeout is how long the run waits for each gateway, one after the other, to answer its first PING. It is far
+// longer than a start takes, even on a loaded machine.
 const startTimeout = 10 * time.Second
 
-// testbed is one run and what it has to free.
+// testbed holds the resources of one run, which close frees.
 type testbed struct {
 	scenario  *scenario.Scenario
 	options   Options
@@ -45,19 +45,19 @@
 	gateways  []*gateway
 }
 
-// NewLog returns the log of a scenario's run on sockets, which has not begun. It returns an error if a gateway
-// would refuse the scenario's settings.
+// NewLog returns a log for a run of a scenario on sockets; the run has not begun. It returns an error if a gateway
+// would reject the scenario's settings.
 func NewLog(s *scenario.Scenario) (*results.Log, error) {
 	settings, err := s.EngineSettings(0)
 	if err != nil {
 		return nil, fmt.Errorf("testbed: scenario %s: %w", s.Name, err)
 	}
-	return results.NewLog(results.New(s, settings, slack)), nil
+	return results.NewLog(results.New(s, settings, eventTimeTolerance)), nil
 }
 
-// Run plays a scenario on sockets. If ctx ends, it ends early and returns what was recorded until then and
-// the error of ctx. A gateway that ends by itself does not end the run: its crash is returned with the
-// results. If no results are returned, the run could not be started.
+// Run plays a scenario on sockets. If ctx ends, Run stops early and returns the results so far with the error of ctx.
+// A gateway that crashes does not end the run: Run returns its crash as an error together with the results. The
+// results are nil only if the run could not be started.
 func Run(ctx context.Context, s *scenario.Scenario, options Options) (*results.Run, error) {
 	log, err := NewLog(s)
 	if err != nil {
@@ -65,7 +65,7 @@
 	}
 	t := &testbed{scenario: s, options: options, log: log}
 	defer t.close()
-	if err := t.makeFolders(); err != nil {
+	if err := t.createFolders(); err != nil {
 		return nil, err
 	}
 	if t.emulator, err = emulator.Start(s, t.log); err != nil {
@@ -84,8 +84,8 @@
 	return t.play(ctx)
 }
 
-// makeFolders creates the run's own folder and the folder of the logs.
-func (t *testbed) makeFolders() error {
+// createFolders creates the temporary folder of the run and, if the options name one, the folder for the logs.
+func (t *testbed) createFolders() error {
 	folder, err := os.MkdirTemp("", "fawnplank-lab-")
 	if err != nil {
 		return err
@@ -97,12 +97,12 @@
 	}
 	t.logFolder = t.options.LogFolder
 	if err := os.MkdirAll(t.logFolder, 0o755); err != nil {
-		return fmt.Errorf("testbed: folder for the gateways' logs: %w", err)
+		return fmt.Errorf("testbed: create folder for the gateways' logs: %w", err)
 	}
 	return nil
 }
 
-// startGateway writes the files of a gateway and starts its process.
+// startGateway writes the configuration files of a gateway and starts its process.
 func (t *testbed) startGateway(ctx context.Context, index int) error {
 	address, err := FreeAddress(ctx)
 	if err != nil {
@@ -137,27 +137,28 @@
 	return filepath.Join(t.folder, fmt.Sprintf("d%d.%s", index, extension))
 }
 
-// play waits until every gateway answers, then sends the scenario's requests and injects its faults.
+// play sends the scenario's requests to the running gateways and injects its faults. It returns the results with the
+// first crash of a gateway or, if there is none, the error of ctx.
 func (t *testbed) play(ctx context.Context) (*results.Run, error) {
-	running, end := context.WithCancel(ctx)
-	defer end()
+	runContext, cancel := context.WithCancel(ctx)
+	defer cancel()
 	t.log.Begin()
 	t.emulator.ScheduleFaults()
-	var watches, restarts sync.WaitGroup
-	crashed := make(chan error, len(t.gateways)) // room for each, so that no watch waits for the end
+	var crashWatchers, restarts sync.WaitGroup
+	crashed := make(chan error, len(t.gateways)) // buffered for one error per gateway, so that no watcher blocks
 	for _, g := range t.gateways {
-		watches.Go(func() { g.watch(running, crashed) })
+		crashWatchers.Go(func() { g.reportCrash(runContext, crashed) })
 	}
-	t.scheduleRestarts(running, &restarts)
+	t.scheduleRestarts(runContext, &restarts)
 	addresses := make([]string, len(t.gateways))
 	for n, g := range t.gateways {
 		addresses[n] = g.address
 	}
 	tool := load.New(t.scenario, t.log, addresses)
-	tool.Run(running)
-	end()
+	tool.Run(runContext)
+	cancel()
 	restarts.Wait()
-	watches.Wait()
+	crashWatchers.Wait()
 	run := t.log.Finish()
 	run.LagP50, run.LagP99 = tool.Lag()
 	select {
@@ -168,7 +169,8 @@
 	}
 }
 
-// scheduleRestarts kills gateways and starts them again at the times of the scenario.
+// scheduleRestarts starts a goroutine per restart of a gateway in the scenario, which kills the gateway and starts it
+// again at the scheduled times.
 func (t *testbed) scheduleRestarts(ctx context.Context, restarts *sync.WaitGroup) {
 	for _, fault := range t.scenario.Faults {
 		if fault.Kind != scenario.InstanceRestart {
@@ -183,7 +185,7 @@
 	}
 }
 
-// close stops the gateways, then what they talk to, and removes the run's files.
+// close stops the gateways, then the emulated services, and removes the run's temporary folder.
 func (t *testbed) close() {
 	for _, g := range t.gateways {
 		g.stop()
@@ -192,6 +194,6 @@
 		t.emulator.Close()
 	}
 	if t.folder != "" {
-		_ = os.RemoveAll(t.folder) // if this fails, the system clears its folder for temporary files
+		_ = os.RemoveAll(t.folder) // if this fails, the system eventually removes its temporary files
 	}
 }
--- a/internal/lab/testbed/testbed_test.go
+++ b/internal/lab/testbed/testbed_test.go
@@ -14,15 +14,15 @@
 	"fawnplank/internal/lab/scenario"
 )
 
-// program is the gateway's program, whose processes these tests run.
+// program is the path of the gateway's executable, which TestMain builds.
 var program string
 
-// TestMain builds the program once.
+// TestMain builds the gateway once for all tests of the package.
 func TestMain(m *testing.M) {
 	os.Exit(buildAndRun(m))
 }
 
-// buildAndRun builds the program, runs the tests and returns their exit code. It is apart from TestMain since
+// buildAndRun builds the gateway, runs the tests and returns their exit code. It is separate from TestMain because
 // os.Exit skips deferred calls.
 func buildAndRun(m *testing.M) int {
 	folder, err := os.MkdirTemp("", "fawnplank-testbed-")
@@ -31,7 +31,7 @@
 		return 1
 	}
 	defer func() {
-		_ = os.RemoveAll(folder) // under the folder for temporary files, which the system clears
+		_ = os.RemoveAll(folder) // if this fails, the system eventually removes its temporary files
 	}()
 	program = filepath.Join(folder, "fawnplank")
 	build := exec.CommandContext(context.Background(),
@@ -44,7 +44,7 @@
 	return m.Run()
 }
 
-// smallScenario is a run of three seconds with two gateways and three backends.
+// smallScenario is a scenario of three seconds with two gateways and three backends.
 const smallScenario = `name = "small"
 on = "sockets"
 duration = "3s"
@@ -78,9 +78,9 @@
 delay = "20ms"
 `
 
-// play runs the small scenario with what is appended to its text and laid over its keys, and reports broken
-// rules.
-func play(t *testing.T, appended string, overrides ...string) *results.Run {
+// playSmallScenario plays the small scenario, with the given text appended and the given keys overridden, and reports
+// each violated rule as a test error.
+func playSmallScenario(t *testing.T, appended string, overrides ...string) *results.Run {
 	t.Helper()
 	s, err := scenario.Parse("small", []byte(smallScenario+appended), overrides...)
 	if err != nil {
@@ -98,35 +98,34 @@
 	return run
 }
 
-// succeededAtLeast reports on results in which at least a share of the requests succeeded.
+// succeededAtLeast returns a function that reports whether at least the given share of the requests succeeded.
 func succeededAtLeast(minShare float64) func(total results.Total) bool {
 	return func(total results.Total) bool {
 		return float64(total.Succeeded) >= minShare*float64(total.Requests)
 	}
 }
 
-// succeededPartly reports on results of a fault that hits every backend for a third of the run: some requests
-// fail, and some succeed.
+// succeededPartly reports whether some requests failed and some succeeded, as expected of a fault that affects every
+// backend for a third of the run.
 func succeededPartly(total results.Total) bool {
 	share := float64(total.Succeeded) / float64(total.Requests)
 	return share >= 0.3 && share <= 0.85
 }
 
-// succeededThroughRestart reports on results in which most requests succeeded, and some were hit by a
-// restart.
-func succeededThroughRestart(total results.Total) bool {
-	hit := total.Abandoned + total.NotSent + total.Submitted - total.Requests
-	return succeededAtLeast(0.7)(total) && hit > 0
+// succeededDuringRestart reports whether most requests succeeded although a restart affected some of them.
+func succeededDuringRestart(total results.Total) bool {
+	affected := total.Abandoned + total.NotSent + total.Submitted - total.Requests
+	return succeededAtLeast(0.7)(total) && affected > 0
 }
 
-// TestRun_ServesThroughEveryFault: each fault of the emulator meets real gateways. Their clients get what the
-// fault leaves, and the five rules hold, as seen from clients and backends.
-func TestRun_ServesThroughEveryFault(t *testing.T) {
-	const resp = "[counter]\nprotocol = \"resp\""
+// Injects each fault of the emulator while real gateways serve the small scenario. The share of successful requests
+// must be what the fault allows, and the five rules must hold as observed at the clients and the backends.
+func TestRun_ServesDuringEveryFault(t *testing.T) {
+	const respProtocol = "[counter]\nprotocol = \"resp\""
 	for _, test := range []struct {
-		kind scenario.FaultKind
-		more string
-		want func(total results.Total) bool
+		kind          scenario.FaultKind
+		faultSettings string
+		want          func(total results.Total) bool
 	}{
 		{"", "", succeededAtLeast(0.99)},
 		{scenario.BackendRefuse, "targets = [0]", succeededAtLeast(0.97)},
@@ -140,33 +139,32 @@
 		{scenario.BackendVanish, "targets = [1]", succeededAtLeast(0.9)},
 		{scenario.BackendRestart, "targets = [1]", succeededAtLeast(0.9)},
 		{scenario.CounterRefuse, "", succeededAtLeast(0.95)},
-		{scenario.CounterRefuse, resp, succeededAtLeast(0.95)},
-		{scenario.CounterHang, resp, succeededAtLeast(0.95)},
+		{scenario.CounterRefuse, respProtocol, succeededAtLeast(0.95)},
+		{scenario.CounterHang, respProtocol, succeededAtLeast(0.95)},
 		{scenario.CounterHang, "", succeededAtLeast(0.95)},
 		{scenario.CounterSlow, "delay = \"300ms\"", succeededAtLeast(0.95)},
 		{scenario.CounterCut, "targets = [0]", succeededAtLeast(0.95)},
 		{scenario.DiscoveryStale, "", succeededAtLeast(0.99)},
 		{scenario.DiscoveryRefuse, "", succeededAtLeast(0.99)},
-		{scenario.InstanceRestart, "targets = [1]", succeededThroughRestart},
+		{scenario.InstanceRestart, "targets = [1]", succeededDuringRestart},
 	} {
-		t.Run(string(test.kind)+test.more, func(t *testing.T) {
+		t.Run(string(test.kind)+test.faultSettings, func(t *testing.T) {
 			t.Parallel()
 			fault := ""
 			if test.kind != "" {
 				fault = fmt.Sprintf("[[fault]]\nkind = %q\nat = \"1s\"\nduration = \"1s\"\n%s\n",
-					test.kind, test.more)
+					test.kind, test.faultSettings)
 			}
-			if run := play(t, fault); !test.want(run.Total) {
+			if run := playSmallScenario(t, fault); !test.want(run.Total) {
 				t.Errorf("%+v", run.Total)
 			}
 		})
 	}
 }
 
-// TestRun_DriftThroughLostCounter: the counter refuses for 15 s and comes back empty, while tenants ask for a
-// quarter more than their quotas. What they are admitted with stays within the stated bound of what one
-// exact counter admits.
-func TestRun_DriftThroughLostCounter(t *testing.T) {
+// The counter refuses connections for 15 s and restarts empty, while tenants request 25% more than their quotas. The
+// admitted units must stay within the stated 5% of those that a single exact counter would admit.
+func TestRun_QuotaDriftDuringCounterOutage(t *testing.T) {
 	for _, protocol := range []string{"text", "resp"} {
 		t.Run(protocol, func(t *testing.T) {
 			t.Parallel()
@@ -185,36 +183,36 @@
 				t.Errorf("%.1f%% over and %.1f%% under: more than the stated 5%%", 100*over, 100*under)
 			}
 			if calls := run.Rows[15].CounterCalls + run.Rows[20].CounterCalls; calls > 0 {
-				t.Errorf("%d calls came through while the counter refused", calls)
+				t.Errorf("%d calls reached the counter while it refused connections", calls)
 			}
 		})
 	}
 }
 
-// TestRun_DynamicUpdatesUnderLoad: three hundred withdrawals of backends a minute by dynamic DNS updates,
-// each sent to two gateways under load. No new attempt reaches a backend a second after a gateway was
-// notified, and the five rules hold; a killed gateway resumes from its journal.
+// Withdraws backends by dynamic DNS updates at a rate of three hundred a minute, with each update sent to two gateways
+// under load. More than a second after a gateway has been notified, it must not send a new attempt to the withdrawn
+// backend, and the five rules must hold. A killed gateway must resume from its journal.
 func TestRun_DynamicUpdatesUnderLoad(t *testing.T) {
 	for _, test := range []struct {
 		name              string
 		faults            string
 		minShare          float64
-		boundsWithdrawals bool
+		checksWithdrawals bool
 	}{
 		{
 			name: "many",
 			faults: "[[fault]]\nkind = \"backend-withdraw\"\nat = \"200ms\"\nduration = \"600ms\"\n" +
 				"targets = [0, 1, 2, 3]\neach = \"200ms\"\ntimes = 3\nevery = \"800ms\"\n",
 			minShare:          0.9,
-			boundsWithdrawals: true,
+			checksWithdrawals: true,
 		},
 		{
-			name: "a gateway killed meanwhile",
+			name: "gateway killed during the updates",
 			faults: "[[fault]]\nkind = \"backend-withdraw\"\nat = \"900ms\"\nduration = \"1500ms\"\n" +
 				"targets = [1]\n[[fault]]\nkind = \"gateway-restart\"\nat = \"1200ms\"\nduration = \"200ms\"\n" +
 				"targets = [0]\n",
 			minShare:          0.9,
-			boundsWithdrawals: true,
+			checksWithdrawals: true,
 		},
 		{
 			name:     "drained",
@@ -224,9 +222,9 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			t.Parallel()
-			run := play(t, "source = \"dns\"\n"+test.faults, "backends.count=6")
-			if w := run.Withdrawals; test.boundsWithdrawals && (w == nil || w.Max > 1000) {
-				t.Errorf("%+v: an attempt more than a second after", w)
+			run := playSmallScenario(t, "source = \"dns\"\n"+test.faults, "backends.count=6")
+			if w := run.Withdrawals; test.checksWithdrawals && (w == nil || w.Max > 1000) {
+				t.Errorf("%+v: an attempt more than a second after a withdrawal", w)
 			}
 			if !succeededAtLeast(test.minShare)(run.Total) || run.DNSUpdates == 0 {
 				t.Errorf("%+v, %d updates", run.Total, run.DNSUpdates)
@@ -237,28 +235,28 @@
 	}
 }
 
-// TestRun_ReportsFailingGateways: a gateway that does not come up, or crashes, makes the run fail with the
-// end of its log.
+// A gateway that exits before it answers, cannot be started, or crashes makes the run return an error that quotes the
+// end of its log, if it has written any.
 func TestRun_ReportsFailingGateways(t *testing.T) {
 	s, err := scenario.Parse("small", []byte(smallScenario))
 	if err != nil {
 		t.Fatal(err)
 	}
-	exits := []string{"/bin/sh", "-c", "echo out of sorts; exit 3"}
-	_, err = Run(t.Context(), s, Options{GatewayCommand: exits})
-	if err == nil || !strings.Contains(err.Error(), "gateway 0 ended: out of sorts") {
+	exitingCommand := []string{"/bin/sh", "-c", "echo startup failed; exit 3"}
+	_, err = Run(t.Context(), s, Options{GatewayCommand: exitingCommand})
+	if err == nil || !strings.Contains(err.Error(), "gateway 0 exited before it answered a PING: startup failed") {
 		t.Error(err)
 	}
 	_, err = Run(t.Context(), s, Options{GatewayCommand: []string{filepath.Join(t.TempDir(), "none")}})
 	if err == nil || !strings.Contains(err.Error(), "gateway 0") {
 		t.Error(err)
 	}
-	crashes := []string{"/bin/sh", "-c", `exec timeout -s KILL 1.5 "$0" "$@"`, program}
-	run, err := Run(t.Context(), s, Options{GatewayCommand: crashes})
+	crashingCommand := []string{"/bin/sh", "-c", `exec timeout -s KILL 1.5 "$0" "$@"`, program}
+	run, err := Run(t.Context(), s, Options{GatewayCommand: crashingCommand})
 	if err == nil || !strings.Contains(err.Error(), "crashed") {
 		t.Error(err)
 	}
 	if run == nil {
-		t.Error("no results of a run with a crash")
+		t.Error("a run with a crash returned no results")
 	}
 }
