--- a/internal/tlsconfig/tlsconfig_test.go
+++ b/internal/tlsconfig/tlsconfig_test.go
@@ -31,7 +31,7 @@
 	t *testing.T, authority *testca.Authority, folder string, validity time.Duration,
 ) tlsconfig.Files {
 	t.Helper()
-	files, err := authority.Write(folder, "pair", validity)
+	files, err := authority.IssueCertificate(folder, "pair", validity)
 	if err != nil {
 		t.Fatal(err)
 	}
