--- a/cmd/fawnplank/accept_end_test.go
+++ b/cmd/fawnplank/accept_end_test.go
@@ -24,7 +24,7 @@
 	g.operator.Limits.Listen = freeAddress(t)
 	g.operator.Limits.MaxConnections = 1
 	g.configuration.AddLimitClass(g.operator)
-	g.resources = newResources(g.configuration)
+	g.resourceLimits = newResourceLimits(g.configuration)
 	t.Cleanup(g.Close)
 	ctx := t.Context()
 	steps := errors.Join(g.startDispatcher(ctx), g.loadEndpoints(ctx), g.listen(ctx))
--- a/cmd/fawnplank/command_billing.go
+++ b/cmd/fawnplank/command_billing.go
@@ -15,83 +15,83 @@
 // exampleTenant is the tenant in the examples of the help.
 const exampleTenant = "0000000000000005"
 
-// billingVerbs are the verbs that each send one limit command, with their arguments, to a limits address.
-type billingVerbs struct{ client func() limitsClient }
+// billingSubcommands are the verbs that each send one limit command, with their arguments, to a limits address.
+type billingSubcommands struct{ client func() limitsClient }
 
 // plans returns the verbs for changes of a tenant's plan.
-func (v billingVerbs) plans() []verb {
-	return []verb{
+func (v billingSubcommands) plans() []subcommand {
+	return []subcommand{
 		{
 			use:     "change TENANT ID PLAN AT",
 			short:   "Change a plan from a moment on (ms since 1970, or +ms)",
 			example: "change " + exampleTenant + " spring-1 large +60000",
-			run:     v.send("PLAN.CHANGE"),
+			run:     v.sendFunc("PLAN.CHANGE"),
 		},
 		{
 			use:     "take-back TENANT ID",
 			short:   "Withdraw a change that no gateway applies yet",
 			example: "take-back " + exampleTenant + " spring-1",
-			run:     v.send("PLAN.TAKEBACK"),
+			run:     v.sendFunc("PLAN.TAKEBACK"),
 		},
 		{
 			use:     "changes TENANT",
 			short:   "List plan changes",
 			example: "changes " + exampleTenant,
-			run:     v.send("PLAN.LIST"),
+			run:     v.sendFunc("PLAN.LIST"),
 		},
 	}
 }
 
 // reservations returns the verbs for the units that are set aside for a holder.
-func (v billingVerbs) reservations() []verb {
-	return []verb{
+func (v billingSubcommands) reservations() []subcommand {
+	return []subcommand{
 		{
 			use:     "reserve TENANT ID HOLDER PLAN UNITS LEASE-MS",
 			short:   "Reserve units; prints the epoch, the units reserved, and until when",
 			example: "reserve " + exampleTenant + " b1 batch-host team 500 60000",
-			run:     v.send("RESERVE.NEW"),
+			run:     v.sendFunc("RESERVE.NEW"),
 		},
 		{
 			use:     "commit TENANT ID EPOCH UNITS",
 			short:   "Turn reserved units into usage",
 			example: "commit " + exampleTenant + " b1 7 20",
-			run:     v.send("RESERVE.COMMIT"),
+			run:     v.sendFunc("RESERVE.COMMIT"),
 		},
 		{
 			use:     "renew TENANT ID EPOCH LEASE-MS",
 			short:   "Extend the lease of a reservation",
 			example: "renew " + exampleTenant + " b1 8 60000",
-			run:     v.send("RESERVE.RENEW"),
+			run:     v.sendFunc("RESERVE.RENEW"),
 		},
 		{
 			use:     "take TENANT ID HOLDER LEASE-MS",
 			short:   "Move a reservation from its holder to another",
 			example: "take " + exampleTenant + " b1 other-host 60000",
-			run:     v.send("RESERVE.TAKE"),
+			run:     v.sendFunc("RESERVE.TAKE"),
 		},
 		{
 			use:     "release TENANT ID EPOCH",
 			short:   "Release what is left of a reservation",
 			example: "release " + exampleTenant + " b1 9",
-			run:     v.send("RESERVE.RELEASE"),
+			run:     v.sendFunc("RESERVE.RELEASE"),
 		},
 		{
 			use:     "reservations TENANT",
 			short:   "List reservations",
 			example: "reservations " + exampleTenant,
-			run:     v.send("RESERVE.LIST"),
+			run:     v.sendFunc("RESERVE.LIST"),
 		},
 		{
 			use:     "room TENANT PLAN",
 			short:   "Show how much may still be reserved",
 			example: "room " + exampleTenant + " team",
-			run:     v.send("RESERVE.ROOM"),
+			run:     v.sendFunc("RESERVE.ROOM"),
 		},
 	}
 }
 
-// send returns what sends a limit command, with the arguments of a verb, and writes its answer.
-func (v billingVerbs) send(name string) func(context.Context, io.Writer, []string) error {
+// sendFunc returns what sends a limit command, with the arguments of a verb, and writes its answer.
+func (v billingSubcommands) sendFunc(name string) func(context.Context, io.Writer, []string) error {
 	return func(ctx context.Context, out io.Writer, args []string) error {
 		answer, err := v.client().call(ctx, append([]string{name}, args...))
 		if err != nil {
@@ -113,26 +113,26 @@
 	flags.StringVar(&client.address, "at", "127.0.0.1:6390", "limits address of any gateway")
 	flags.StringVar(&client.keyName, "key", "", "name of the key to authenticate with")
 	flags.StringVar(&client.secretFile, "secret-file", "", "file with the key's secret")
-	verbs := billingVerbs{client: func() limitsClient {
+	subcommands := billingSubcommands{client: func() limitsClient {
 		client.tls = globals.tls
 		return client
 	}}
-	for _, verb := range append(verbs.plans(), verbs.reservations()...) {
-		command.AddCommand(verb.newCommand(command.Name()))
+	for _, subcommand := range append(subcommands.plans(), subcommands.reservations()...) {
+		command.AddCommand(subcommand.newCommand(command.Name()))
 	}
 	command.AddCommand(billingResumeCommand(globals))
 	return command
 }
 
-// billingResume holds the flags of "billing resume".
-type billingResume struct {
+// billingResumeFlags holds the flags of "billing resume".
+type billingResumeFlags struct {
 	store      string
 	after      uint64
 	dropBefore string
 }
 
 func billingResumeCommand(globals *globalFlags) *cobra.Command {
-	var r billingResume
+	var r billingResumeFlags
 	command := &cobra.Command{
 		Use: "resume", Short: "Export again, after the store was restored from an old backup", Args: cobra.NoArgs,
 		Long: `Continues with sequences behind those that the receiver has, and drops usage of windows that began
@@ -152,13 +152,13 @@
 
 // run resumes the export and prints what was dropped. The sequence printed is --after's. The next one is that of
 // the store instead if the store has numbered later ones.
-func (r billingResume) run(out io.Writer, client storeClient) error {
-	moment, err := time.Parse(time.RFC3339, r.dropBefore)
+func (r billingResumeFlags) run(out io.Writer, client storeClient) error {
+	exportedBefore, err := time.Parse(time.RFC3339, r.dropBefore)
 	if err != nil {
 		return fmt.Errorf("--drop-before: %w", err)
 	}
-	dropped, err := billingservice.Resume(client, r.after, moment)
-	if err = cmp.Or(client.failed.Err(), err); err != nil {
+	dropped, err := billingservice.Resume(client, r.after, exportedBefore)
+	if err = cmp.Or(client.readFailure.Err(), err); err != nil {
 		return err
 	}
 	_, err = fmt.Fprintf(out, "%d records and %d windows dropped; the next sequence follows %d\n",
--- a/cmd/fawnplank/command_dns.go
+++ b/cmd/fawnplank/command_dns.go
@@ -70,7 +70,7 @@
 	}
 	zone, source, err := dnsserver.ReadInForce(options)
 	if client != nil {
-		err = cmp.Or(client.failed.Err(), err) // a zone that could not be read is no missing one
+		err = cmp.Or(client.readFailure.Err(), err) // a zone that could not be read is no missing one
 	}
 	if err != nil {
 		return err
@@ -107,20 +107,20 @@
 	if started := backend.StartNanos(); started > 0 {
 		since = time.Unix(0, started).UTC().Format(time.RFC3339)
 	}
-	origin := fmt.Sprintf("%s:%d", backend.Provenance.File, backend.Provenance.Line)
+	source := fmt.Sprintf("%s:%d", backend.Provenance.File, backend.Provenance.Line)
 	if backend.Provenance.Key != "" {
-		origin = "update by " + backend.Provenance.Key
+		source = "update by " + backend.Provenance.Key
 	}
 	var addresses []string
 	for _, address := range backend.Addresses {
 		addresses = append(addresses, address.String())
 	}
 	return fmt.Sprintf("%s\t%s\t%s\t%g\t%s\t%d\t%s\t%s, serial %d", backend.Name, strings.Join(addresses, ","),
-		status, backend.Weight, backend.Zone, backend.Group, since, origin, backend.Provenance.Serial)
+		status, backend.Weight, backend.Zone, backend.Group, since, source, backend.Provenance.Serial)
 }
 
-// dnsUpdate holds the flags of "dns update".
-type dnsUpdate struct {
+// dnsUpdateFlags holds the flags of "dns update".
+type dnsUpdateFlags struct {
 	server      string   // host and port of the name server
 	zone        string   // with or without the final point
 	keyName     string   // of the TSIG key
@@ -132,7 +132,7 @@
 }
 
 func dnsUpdateCommand() *cobra.Command {
-	var u dnsUpdate
+	var u dnsUpdateFlags
 	command := &cobra.Command{
 		Use: "update", Short: "Send one signed update: all of it is applied, or nothing", Args: cobra.NoArgs,
 		Example: `  fawnplank dns update --at 127.0.0.1:5353 --key deploy. --secret-file deploy.key \
@@ -153,7 +153,7 @@
 	return command
 }
 
-func (u dnsUpdate) run() error {
+func (u dnsUpdateFlags) run() error {
 	key, err := dnsserver.ReadKey(u.keyName, u.algorithm, u.secretFile)
 	if err != nil {
 		return err
--- a/cmd/fawnplank/command_group.go
+++ b/cmd/fawnplank/command_group.go
@@ -8,8 +8,8 @@
 	"github.com/spf13/cobra"
 )
 
-// verb is a subcommand of a command group that takes a fixed number of arguments and has no flags of its own.
-type verb struct {
+// subcommand is a subcommand of a command group that takes a fixed number of arguments and has no flags of its own.
+type subcommand struct {
 	use     string // the verb and its arguments, separated by spaces, as the help shows them
 	short   string // what it does, in one line of the help
 	example string // without the names of the program and the group
@@ -18,7 +18,7 @@
 }
 
 // newCommand returns the verb as a subcommand of a group.
-func (v verb) newCommand(group string) *cobra.Command {
+func (v subcommand) newCommand(group string) *cobra.Command {
 	arguments := strings.Fields(v.use)[1:]
 	return &cobra.Command{
 		Use:     v.use,
--- a/cmd/fawnplank/command_root.go
+++ b/cmd/fawnplank/command_root.go
@@ -43,7 +43,7 @@
 
 // storeClient returns a client of the replica whose API address a flag names.
 func (f *globalFlags) storeClient(address, flag string) storeClient {
-	return storeClient{address: address, flag: flag, tls: f.tls, failed: &failedRead{}}
+	return storeClient{address: address, flag: flag, tls: f.tls, readFailure: &readErrorRecorder{}}
 }
 
 // rootCommand returns the whole command line. Each command only parses its flags and arguments; the work is
--- a/cmd/fawnplank/command_serve.go
+++ b/cmd/fawnplank/command_serve.go
@@ -9,9 +9,9 @@
 	"github.com/spf13/cobra"
 )
 
-// pendingSignals is how many signals of a kind may wait to be handled. A reload reads every setting again, so
+// signalBufferSize is how many signals of a kind may wait to be handled. A reload reads every setting again, so
 // further ones would only repeat it.
-const pendingSignals = 1
+const signalBufferSize = 1
 
 func serveCommand(globals *globalFlags) *cobra.Command {
 	var replica replicaFlags
@@ -36,9 +36,9 @@
 	// Subscribe before anything is read, because a SIGHUP would otherwise end the process. The subscription is
 	// never undone, because a signal during the last steps of a shutdown would end the process with another exit
 	// status.
-	reloads := make(chan os.Signal, pendingSignals)
+	reloads := make(chan os.Signal, signalBufferSize)
 	signal.Notify(reloads, syscall.SIGHUP)
-	terminations := make(chan os.Signal, pendingSignals)
+	terminations := make(chan os.Signal, signalBufferSize)
 	signal.Notify(terminations, syscall.SIGTERM, os.Interrupt)
 	g, err := newGateway(ctx, gatewayOptions{
 		ConfigFile:   globals.config,
--- a/cmd/fawnplank/command_store.go
+++ b/cmd/fawnplank/command_store.go
@@ -23,11 +23,11 @@
 // backupMode lets only the owner read a backup, which holds all that the store holds.
 const backupMode fs.FileMode = 0o600
 
-// storeVerbs are the verbs that each make one call to a replica.
-type storeVerbs struct{ client func() storeClient }
+// storeSubcommands are the verbs that each make one call to a replica.
+type storeSubcommands struct{ client func() storeClient }
 
-func (v storeVerbs) all() []verb {
-	return []verb{
+func (v storeSubcommands) all() []subcommand {
+	return []subcommand{
 		{
 			use: "status", short: "Show the state of a replica", example: "status --at 127.0.0.1:7102",
 			run: v.status,
@@ -73,9 +73,9 @@
 	var address string
 	command.PersistentFlags().StringVar(&address, "at", "127.0.0.1:7101", "API address of any replica")
 	command.AddCommand(storeRunCommand(globals))
-	verbs := storeVerbs{client: func() storeClient { return globals.storeClient(address, "--at") }}
-	for _, verb := range verbs.all() {
-		command.AddCommand(verb.newCommand(command.Name()))
+	subcommands := storeSubcommands{client: func() storeClient { return globals.storeClient(address, "--at") }}
+	for _, subcommand := range subcommands.all() {
+		command.AddCommand(subcommand.newCommand(command.Name()))
 	}
 	return command
 }
@@ -94,7 +94,7 @@
 
 // runReplica runs a replica on its own until a signal arrives.
 func runReplica(globals *globalFlags, flags replicaFlags) error {
-	if flags.folder == "" {
+	if flags.dir == "" {
 		return errors.New("--store is missing")
 	}
 	options, err := flags.options(globals.tls)
@@ -102,7 +102,7 @@
 		return err
 	}
 	ignoreFileSizeSignal()
-	signals := make(chan os.Signal, pendingSignals)
+	signals := make(chan os.Signal, signalBufferSize)
 	signal.Notify(signals, syscall.SIGTERM, os.Interrupt)
 	replica, err := store.Open(options)
 	if err != nil {
@@ -114,27 +114,27 @@
 	return nil
 }
 
-func (v storeVerbs) status(ctx context.Context, out io.Writer, _ []string) error {
+func (v storeSubcommands) status(ctx context.Context, out io.Writer, _ []string) error {
 	return v.print(ctx, out, storeCall{method: http.MethodGet, path: "/v1/status"})
 }
 
-func (v storeVerbs) keys(ctx context.Context, out io.Writer, args []string) error {
+func (v storeSubcommands) keys(ctx context.Context, out io.Writer, args []string) error {
 	return v.print(ctx, out, storeCall{method: http.MethodGet, path: store.KeysPath(args[0])})
 }
 
-func (v storeVerbs) get(ctx context.Context, out io.Writer, args []string) error {
+func (v storeSubcommands) get(ctx context.Context, out io.Writer, args []string) error {
 	return v.print(ctx, out, storeCall{method: http.MethodGet, path: store.KeyPath(args[0])})
 }
 
-func (v storeVerbs) set(ctx context.Context, out io.Writer, args []string) error {
+func (v storeSubcommands) set(ctx context.Context, out io.Writer, args []string) error {
 	return v.print(ctx, out, storeCall{method: http.MethodPut, path: store.KeyPath(args[0]), body: []byte(args[1])})
 }
 
-func (v storeVerbs) delete(ctx context.Context, out io.Writer, args []string) error {
+func (v storeSubcommands) delete(ctx context.Context, out io.Writer, args []string) error {
 	return v.print(ctx, out, storeCall{method: http.MethodDelete, path: store.KeyPath(args[0])})
 }
 
-func (v storeVerbs) addReplica(ctx context.Context, out io.Writer, args []string) error {
+func (v storeSubcommands) addReplica(ctx context.Context, out io.Writer, args []string) error {
 	peer, err := store.ParsePeer(args[0])
 	if err != nil {
 		return err
@@ -146,12 +146,12 @@
 	return v.print(ctx, out, storeCall{method: http.MethodPost, path: "/v1/peers", body: body})
 }
 
-func (v storeVerbs) removeReplica(ctx context.Context, out io.Writer, args []string) error {
+func (v storeSubcommands) removeReplica(ctx context.Context, out io.Writer, args []string) error {
 	return v.print(ctx, out, storeCall{method: http.MethodDelete, path: "/v1/peers/" + url.PathEscape(args[0])})
 }
 
-func (v storeVerbs) backup(ctx context.Context, _ io.Writer, args []string) error {
-	text, err := v.client().do(ctx, storeCall{method: http.MethodGet, path: "/v1/backup"})
+func (v storeSubcommands) backup(ctx context.Context, _ io.Writer, args []string) error {
+	content, err := v.client().do(ctx, storeCall{method: http.MethodGet, path: "/v1/backup"})
 	if err != nil {
 		return err
 	}
@@ -159,26 +159,26 @@
 	if err != nil {
 		return err
 	}
-	if _, err = file.Write(text); err == nil {
+	if _, err = file.Write(content); err == nil {
 		err = file.Sync()
 	}
 	return errors.Join(err, file.Close())
 }
 
-func (v storeVerbs) restore(ctx context.Context, out io.Writer, args []string) error {
-	text, err := os.ReadFile(args[0])
+func (v storeSubcommands) restore(ctx context.Context, out io.Writer, args []string) error {
+	content, err := os.ReadFile(args[0])
 	if err != nil {
 		return err
 	}
-	return v.print(ctx, out, storeCall{method: http.MethodPost, path: "/v1/restore", body: text})
+	return v.print(ctx, out, storeCall{method: http.MethodPost, path: "/v1/restore", body: content})
 }
 
 // print makes one call and writes its answer.
-func (v storeVerbs) print(ctx context.Context, out io.Writer, call storeCall) error {
-	text, err := v.client().do(ctx, call)
+func (v storeSubcommands) print(ctx context.Context, out io.Writer, call storeCall) error {
+	answer, err := v.client().do(ctx, call)
 	if err != nil {
 		return err
 	}
-	_, _ = fmt.Fprintln(out, strings.TrimSpace(string(text))) // the call has succeeded, shown or not
+	_, _ = fmt.Fprintln(out, strings.TrimSpace(string(answer))) // the call has succeeded, shown or not
 	return nil
 }
--- a/cmd/fawnplank/configuration.go
+++ b/cmd/fawnplank/configuration.go
@@ -33,11 +33,11 @@
 
 // readOperator reads the operator file. If the file does not exist, the error ends with the remedy. If the
 // file names another file that does not exist, the error is about the key that names it.
-func readOperator(path, remedy string) (*config.Operator, error) {
+func readOperator(path, hint string) (*config.Operator, error) {
 	operator, err := config.ReadOperator(path)
-	var failed *fs.PathError
-	if errors.As(err, &failed) && failed.Path == path && errors.Is(err, fs.ErrNotExist) {
-		return nil, fmt.Errorf("%w; %s", err, remedy)
+	var pathError *fs.PathError
+	if errors.As(err, &pathError) && pathError.Path == path && errors.Is(err, fs.ErrNotExist) {
+		return nil, fmt.Errorf("%w; %s", err, hint)
 	}
 	return operator, err
 }
--- a/cmd/fawnplank/gateway.go
+++ b/cmd/fawnplank/gateway.go
@@ -37,23 +37,23 @@
 // A reload replaces configuration on Run's goroutine. Once Run is called, no other goroutine reads that field,
 // except the reload's reader, which applyReload waits for.
 type gateway struct {
-	options       gatewayOptions
-	configuration *config.Config
-	operator      *config.Operator
-	resources     resources // of the configuration at the start
+	options        gatewayOptions
+	configuration  *config.Config
+	operator       *config.Operator
+	resourceLimits resourceLimits // of the configuration at the start
 
-	dispatcher *dispatch.Dispatcher
-	metrics    *metrics.Registry
-	pool       *backend.Pool
-	counter    *counter.Client
-	discovery  *discovery.Client
-	zone       *endpointZone
-	listener   net.Listener
-	replica    *replica
-	accounts   *accounts
-	limits     *limits
-	server     *frontend.Server
-	ready      atomic.Bool // true while the gateway is listening and not shutting down
+	dispatcher   *dispatch.Dispatcher
+	metrics      *metrics.Registry
+	pool         *backend.Pool
+	counter      *counter.Client
+	discovery    *discovery.Client
+	zone         *endpointZone
+	listener     net.Listener
+	replica      *replica
+	accounts     *accounts
+	limitService *limitService
+	server       *frontend.Server
+	ready        atomic.Bool // true while the gateway is listening and not shutting down
 
 	// closers releases what was started, in the order of the starts. Close calls them in reverse:
 	//
@@ -79,7 +79,7 @@
 		g.load,
 		g.startDispatcher,
 		g.loadEndpoints,
-		g.importWarmStart,
+		g.startWarmStart,
 		g.listen,
 		g.openReplica,
 		g.startZone,
@@ -96,13 +96,13 @@
 	return g, nil
 }
 
-// closeLater makes Close call the functions, the last one first.
-func (g *gateway) closeLater(closers ...func()) { g.closers = append(g.closers, closers...) }
+// addClosers makes Close call the functions, the last one first.
+func (g *gateway) addClosers(closers ...func()) { g.closers = append(g.closers, closers...) }
 
 // Close calls the closers in reverse order. It is called once, after Run or where newGateway fails.
 func (g *gateway) Close() {
-	for _, release := range slices.Backward(g.closers) {
-		release()
+	for _, closer := range slices.Backward(g.closers) {
+		closer()
 	}
 	g.closers = nil
 }
--- a/cmd/fawnplank/gateway_load.go
+++ b/cmd/fawnplank/gateway_load.go
@@ -23,8 +23,8 @@
 		return err
 	}
 	g.logConfiguration()
-	g.resources = newResources(configuration)
-	g.resources.limitRuntime()
+	g.resourceLimits = newResourceLimits(configuration)
+	g.resourceLimits.limitRuntime()
 	return nil
 }
 
--- a/cmd/fawnplank/gateway_run.go
+++ b/cmd/fawnplank/gateway_run.go
@@ -15,15 +15,15 @@
 	if err := g.serveManagement(ctx); err != nil {
 		return err
 	}
-	served := make(chan error, 1)
-	go func() { served <- g.server.Serve(g.listener) }()
+	serveEnded := make(chan error, 1)
+	go func() { serveEnded <- g.server.Serve(g.listener) }()
 	g.ready.Store(true)
 	logging.For(frontendComponent).WithFields(logrus.Fields{
 		"number":        g.configuration.Settings.InstanceIndex,
 		"instances":     g.configuration.Settings.Instances,
 		logging.Address: g.configuration.Listen,
 	}).Info("listening")
-	return g.handleEvents(ctx, served)
+	return g.handleEvents(ctx, serveEnded)
 }
 
 // handleEvents handles signals, edits, and the end of the server, one at a time; further events wait. It
@@ -31,11 +31,11 @@
 //
 // If accepting ends without a shutdown, which takes a listener that is closed by something else, it shuts down as after
 // SIGTERM, so that open requests are answered and usage is reported, and returns errAcceptingEnded.
-func (g *gateway) handleEvents(ctx context.Context, served <-chan error) error {
-	reload := newReloader(g.readUpdatedConfiguration)
-	canceled := ctx.Done()
+func (g *gateway) handleEvents(ctx context.Context, serveEnded <-chan error) error {
+	reloads := newReloader(g.readUpdatedConfiguration)
+	contextDone := ctx.Done()
 	var shutdownDone <-chan struct{} // nil until a shutdown begins
-	var unexpected error             // why there is one that nothing asked for
+	var acceptError error            // why there is one that nothing asked for
 	beginShutdown := func() {
 		if shutdownDone == nil {
 			shutdownDone = g.beginShutdown()
@@ -43,23 +43,23 @@
 	}
 	for {
 		select {
-		case err := <-served:
-			served = nil // a nil channel is never ready again
+		case err := <-serveEnded:
+			serveEnded = nil // a nil channel is never ready again
 			if shutdownDone == nil {
-				unexpected = errors.Join(errAcceptingEnded, err)
+				acceptError = errors.Join(errAcceptingEnded, err)
 				beginShutdown()
 			}
 		case <-shutdownDone:
-			return unexpected
+			return acceptError
 		case <-g.replica.Edits(): // a plan or class was edited in the store, which is handled like SIGHUP
-			reload.request()
+			reloads.request()
 		case <-g.options.Reloads:
-			reload.request()
-		case result := <-reload.results:
+			reloads.request()
+		case result := <-reloads.results:
 			g.applyReload(result)
-			reload.applied()
-		case <-canceled:
-			canceled = nil
+			reloads.finishApply()
+		case <-contextDone:
+			contextDone = nil
 			beginShutdown()
 		case <-g.options.Terminations:
 			beginShutdown()
--- a/cmd/fawnplank/gateway_start.go
+++ b/cmd/fawnplank/gateway_start.go
@@ -33,16 +33,16 @@
 	})
 	// Close runs these after everything started later, in reverse: the clients of the network first, while the
 	// dispatcher still takes what their ends report.
-	g.closeLater(g.dispatcher.Stop, g.pool.Close, g.counter.Close, g.discovery.Close)
+	g.addClosers(g.dispatcher.Stop, g.pool.Close, g.counter.Close, g.discovery.Close)
 	return nil
 }
 
 func (g *gateway) newPool() *backend.Pool {
 	return backend.New(backend.Options{
-		MaxConnections:    g.resources.connectionsPerSide(),
+		MaxConnections:    g.resourceLimits.connectionsPerSide(),
 		ConnectTimeout:    g.configuration.ConnectTimeout,
 		IdleTimeout:       g.configuration.IdleTimeout,
-		Budget:            g.resources.newLargeValueBudget(),
+		Budget:            g.resourceLimits.newLargeValueBudget(),
 		Metrics:           g.metrics,
 		HandleHealthCheck: g.dispatcher.HandleHealthCheck,
 	})
@@ -92,10 +92,10 @@
 	return nil
 }
 
-// importWarmStart imports and saves the measurements of the backends, if the operator file names a file.
-func (g *gateway) importWarmStart(context.Context) error {
+// startWarmStart imports and saves the measurements of the backends, if the operator file names a file.
+func (g *gateway) startWarmStart(context.Context) error {
 	if g.operator.WarmStart.File != "" {
-		g.closeLater(newWarmStart(g.operator.WarmStart, g.dispatcher).Close)
+		g.addClosers(newWarmStart(g.operator.WarmStart, g.dispatcher).Close)
 	}
 	return nil
 }
@@ -107,7 +107,7 @@
 		return fmt.Errorf("configuration: listen: %w", err)
 	}
 	g.listener = listener
-	g.closeLater(func() {
+	g.addClosers(func() {
 		_ = listener.Close() // a shutdown has closed it already
 	})
 	return nil
@@ -130,7 +130,7 @@
 		return err
 	}
 	g.replica = replica
-	g.closeLater(g.accounts.StopNotifications, g.replica.Close)
+	g.addClosers(g.accounts.StopNotifications, g.replica.Close)
 	g.replica.registerMetrics(g.metrics)
 	return nil
 }
@@ -139,7 +139,7 @@
 	if err := g.zone.Start(g.discovery, g.replica, g.metrics); err != nil {
 		return fmt.Errorf("operator file: dns: %w", err)
 	}
-	g.closeLater(g.zone.Close)
+	g.addClosers(g.zone.Close)
 	return nil
 }
 
@@ -158,7 +158,7 @@
 
 // startLimits serves the limit commands, if the operator file names an address for them.
 func (g *gateway) startLimits(ctx context.Context) error {
-	limits, err := serveLimits(ctx, limitsOptions{
+	limitService, err := serveLimits(ctx, limitServiceOptions{
 		Dispatcher:    g.dispatcher,
 		Metrics:       g.metrics,
 		Configuration: g.configuration,
@@ -168,7 +168,7 @@
 	if err != nil {
 		return fmt.Errorf("operator file: limits.listen: %w", err)
 	}
-	g.limits = limits
+	g.limitService = limitService
 	return nil
 }
 
@@ -178,9 +178,9 @@
 		Dispatcher:     g.dispatcher,
 		Pool:           g.pool,
 		Config:         g.configuration,
-		MaxConnections: g.resources.connectionsPerSide(),
+		MaxConnections: g.resourceLimits.connectionsPerSide(),
 		Metrics:        g.metrics,
-		Budget:         g.resources.newLargeValueBudget(),
+		Budget:         g.resourceLimits.newLargeValueBudget(),
 	}
 	if g.accounts.service != nil { // a nil service stored in the interface would not compare as nil
 		options.Usage = g.accounts.service
--- a/cmd/fawnplank/limits.go
+++ b/cmd/fawnplank/limits.go
@@ -16,12 +16,12 @@
 	"fawnplank/internal/tlsconfig"
 )
 
-// limits is the server of limit commands. A nil *limits means that the server is off; its methods may still
+// limitService is the server of limit commands. A nil *limits means that the server is off; its methods may still
 // be called.
-type limits struct{ server *limitserver.Server }
+type limitService struct{ server *limitserver.Server }
 
-// limitsOptions configures serveLimits.
-type limitsOptions struct {
+// limitServiceOptions configures serveLimits.
+type limitServiceOptions struct {
 	Dispatcher    *dispatch.Dispatcher
 	Metrics       *metrics.Registry
 	Configuration *config.Config
@@ -31,7 +31,7 @@
 
 // serveLimits starts the server of limit commands. It returns nil if the operator file names no address for
 // it.
-func serveLimits(ctx context.Context, options limitsOptions) (*limits, error) {
+func serveLimits(ctx context.Context, options limitServiceOptions) (*limitService, error) {
 	if options.Operator.Limits.Listen == "" {
 		return nil, nil
 	}
@@ -47,11 +47,11 @@
 		}
 	}()
 	logging.For(limitsComponent).WithField(logging.Address, listener.Addr().String()).Info("listening")
-	return &limits{server}, nil
+	return &limitService{server}, nil
 }
 
 // listenLimits listens on the address that the operator file names, with TLS if it names a certificate.
-func listenLimits(ctx context.Context, options limitsOptions) (net.Listener, error) {
+func listenLimits(ctx context.Context, options limitServiceOptions) (net.Listener, error) {
 	settings := options.Operator.Limits
 	var listenConfig net.ListenConfig
 	listener, err := listenConfig.Listen(ctx, "tcp", settings.Listen)
@@ -70,7 +70,7 @@
 	return tls.NewListener(listener, source.ServerConfig()), nil
 }
 
-func newLimitServer(options limitsOptions) *limitserver.Server {
+func newLimitServer(options limitServiceOptions) *limitserver.Server {
 	serverOptions := limitserver.Options{
 		Dispatcher:     options.Dispatcher,
 		Settings:       limitSettings(options.Configuration, options.Operator),
@@ -99,14 +99,14 @@
 }
 
 // UpdateSettings applies the plans of a reloaded configuration.
-func (l *limits) UpdateSettings(settings limitserver.Settings) {
+func (l *limitService) UpdateSettings(settings limitserver.Settings) {
 	if l != nil {
 		l.server.UpdateSettings(settings)
 	}
 }
 
 // Close stops the server.
-func (l *limits) Close() {
+func (l *limitService) Close() {
 	if l != nil {
 		_ = l.server.Close() // nothing can be done about a listener that does not close
 	}
--- a/cmd/fawnplank/limits_client.go
+++ b/cmd/fawnplank/limits_client.go
@@ -33,7 +33,7 @@
 }
 
 // call authenticates if a key is named, sends one command, and returns its answer as text.
-func (c limitsClient) call(ctx context.Context, words []string) (string, error) {
+func (c limitsClient) call(ctx context.Context, arguments []string) (string, error) {
 	secret, err := c.readSecret()
 	if err != nil {
 		return "", err
@@ -50,11 +50,11 @@
 	}
 	reader := bufio.NewReader(conn)
 	if c.keyName != "" {
-		if _, err := exchange(conn, reader, []string{"AUTH", c.keyName, secret}); err != nil {
+		if _, err := sendCommand(conn, reader, []string{"AUTH", c.keyName, secret}); err != nil {
 			return "", err
 		}
 	}
-	return exchange(conn, reader, words)
+	return sendCommand(conn, reader, arguments)
 }
 
 func (c limitsClient) readSecret() (string, error) {
@@ -89,11 +89,11 @@
 	return tls.Client(conn, source.ClientConfig()), nil
 }
 
-// exchange sends one command and reads its answer.
-func exchange(conn net.Conn, reader *bufio.Reader, words []string) (string, error) {
-	command := redcon.AppendArray(nil, len(words))
-	for _, word := range words {
-		command = redcon.AppendBulkString(command, word)
+// sendCommand sends one command and reads its answer.
+func sendCommand(conn net.Conn, reader *bufio.Reader, arguments []string) (string, error) {
+	command := redcon.AppendArray(nil, len(arguments))
+	for _, argument := range arguments {
+		command = redcon.AppendBulkString(command, argument)
 	}
 	if _, err := conn.Write(command); err != nil {
 		return "", err
--- a/cmd/fawnplank/listen.go
+++ b/cmd/fawnplank/listen.go
@@ -19,8 +19,8 @@
 	if configuration.ListenerFD >= 0 {
 		return inheritListener(configuration.ListenerFD)
 	}
-	shared := net.ListenConfig{Control: setReusePort}
-	return shared.Listen(ctx, "tcp4", configuration.Listen)
+	listenConfig := net.ListenConfig{Control: setReusePort}
+	return listenConfig.Listen(ctx, "tcp4", configuration.Listen)
 }
 
 // inheritListener returns the listener that the process was handed under a descriptor, which it closes.
--- a/cmd/fawnplank/management.go
+++ b/cmd/fawnplank/management.go
@@ -18,7 +18,7 @@
 	server, err := admin.New(ctx, admin.Options{
 		Address:  g.configuration.ManagementAddress,
 		Gateway:  managedGateway{g},
-		MaxCalls: g.resources.managementCalls(),
+		MaxCalls: g.resourceLimits.managementCalls(),
 	})
 	if err != nil {
 		return fmt.Errorf("configuration: mgmt: %w", err)
--- a/cmd/fawnplank/reload.go
+++ b/cmd/fawnplank/reload.go
@@ -19,10 +19,10 @@
 // reloader reads the configuration in a goroutine of its own, one at a time: a read that waits for the disk
 // must not hold up a shutdown. Its methods are called by one goroutine.
 type reloader struct {
-	read    func() (*config.Config, error)
-	results chan reloadResult // one for each read
-	reading bool
-	again   bool // requested while reading
+	read      func() (*config.Config, error)
+	results   chan reloadResult // one for each read
+	reading   bool
+	readAgain bool // requested while reading
 }
 
 func newReloader(read func() (*config.Config, error)) *reloader {
@@ -32,7 +32,7 @@
 // request starts a read, at once or after the one under way, which may have missed the latest change.
 func (r *reloader) request() {
 	if r.reading {
-		r.again = true
+		r.readAgain = true
 		return
 	}
 	r.reading = true
@@ -42,11 +42,11 @@
 	}()
 }
 
-// applied is called once the result of a read is applied. It starts the read that was requested meanwhile.
-func (r *reloader) applied() {
+// finishApply is called once the result of a read is applied. It starts the read that was requested meanwhile.
+func (r *reloader) finishApply() {
 	r.reading = false
-	if r.again {
-		r.again = false
+	if r.readAgain {
+		r.readAgain = false
 		r.request()
 	}
 }
@@ -74,7 +74,7 @@
 	g.metrics.ConfigReloaded()
 	g.dispatcher.UpdateSettings(merged.Settings)
 	g.server.UpdateSettings(merged)
-	g.limits.UpdateSettings(limitSettings(merged, g.operator))
+	g.limitService.UpdateSettings(limitSettings(merged, g.operator))
 	g.zone.Reload()
 	g.accounts.UpdateSettings(merged, g.operator)
 	g.metrics.SetClasses(classNames(merged))
@@ -84,7 +84,7 @@
 // restartKeys returns the keys of what differs and takes effect at a start only, in the order of the file.
 func restartKeys(current, updated *config.Config) []string {
 	var keys []string
-	for _, field := range []struct {
+	for _, setting := range []struct {
 		key     string
 		differs bool
 	}{
@@ -97,8 +97,8 @@
 		{"conn-idle-ms", current.IdleTimeout != updated.IdleTimeout},
 		{"connect-timeout-ms", current.ConnectTimeout != updated.ConnectTimeout},
 	} {
-		if field.differs {
-			keys = append(keys, field.key)
+		if setting.differs {
+			keys = append(keys, setting.key)
 		}
 	}
 	return keys
--- a/cmd/fawnplank/replica.go
+++ b/cmd/fawnplank/replica.go
@@ -42,7 +42,7 @@
 
 // openReplica starts the replica that the flags describe. It returns nil if they describe none.
 func openReplica(options replicaOptions) (*replica, error) {
-	if options.Flags.folder == "" {
+	if options.Flags.dir == "" {
 		return nil, nil
 	}
 	storeOptions, err := options.Flags.options(options.TLS)
--- a/cmd/fawnplank/replica_flags.go
+++ b/cmd/fawnplank/replica_flags.go
@@ -13,14 +13,14 @@
 
 // replicaFlags says where a replica of the store is, and which other replicas exist.
 type replicaFlags struct {
-	folder string   // if empty, there is no store
-	self   string   // id@raft-address@api-address, as store.ParsePeer reads it
-	peers  []string // all replicas of the first start, in the same form
+	dir   string   // if empty, there is no store
+	self  string   // id@raft-address@api-address, as store.ParsePeer reads it
+	peers []string // all replicas of the first start, in the same form
 }
 
 func (f *replicaFlags) register(command *cobra.Command) {
 	flags := command.Flags()
-	flags.StringVar(&f.folder, "store", "", "folder of this replica of the store; left out: no store")
+	flags.StringVar(&f.dir, "store", "", "folder of this replica of the store; left out: no store")
 	flags.StringVar(&f.self, "me", "", "this replica: id@raft-address@api-address")
 	flags.StringSliceVar(&f.peers, "peers", nil,
 		"all replicas of the first start, including this one; none: it waits to be added")
@@ -40,7 +40,7 @@
 	if err != nil {
 		return store.Options{}, fmt.Errorf("--peers: %w", err)
 	}
-	return store.Options{Dir: f.folder, TLS: source, Self: self, Peers: peers}, nil
+	return store.Options{Dir: f.dir, TLS: source, Self: self, Peers: peers}, nil
 }
 
 // parsePeers parses the replicas of the first start, which include self unless there are none.
--- a/cmd/fawnplank/shutdown.go
+++ b/cmd/fawnplank/shutdown.go
@@ -11,9 +11,9 @@
 )
 
 const (
-	// arrivalGrace is how long connections are accepted after the signal. New ones may still arrive up to 0.4 s
+	// lateConnectionGrace is how long connections are accepted after the signal. New ones may still arrive up to 0.4 s
 	// later.
-	arrivalGrace = 450 * time.Millisecond
+	lateConnectionGrace = 450 * time.Millisecond
 	// lastRequestGrace is how long after the listener is closed a request may still be read: the first one of a
 	// connection that was accepted last.
 	lastRequestGrace = 200 * time.Millisecond
@@ -31,7 +31,7 @@
 	go func() {
 		defer close(done)
 		stopClients(g.server, g.listener, settings)
-		g.limits.Close()
+		g.limitService.Close()
 		g.accounts.CloseService() // reports the usage of every answered request too
 	}()
 	return done
@@ -42,7 +42,7 @@
 // else: managedGateway.Drain starts it, and the gateway goes on running.
 func stopClients(server *frontend.Server, listener net.Listener, settings policy.Settings) {
 	logging.For(frontendComponent).WithField("connections", server.OpenConnections()).Info("stopping")
-	time.Sleep(arrivalGrace)
+	time.Sleep(lateConnectionGrace)
 	server.AcceptBacklog(listener)
 	_ = listener.Close() // the process ends next
 	ctx, cancel := context.WithTimeout(context.Background(), longestDeadline(settings)+lastRequestGrace)
--- a/cmd/fawnplank/shutdown_faults_test.go
+++ b/cmd/fawnplank/shutdown_faults_test.go
@@ -159,7 +159,7 @@
 func testShutdownBetweenReloads(t *testing.T, g *drainGateway) {
 	t.Helper()
 	replaceByPipe(t, g.file)
-	for range 3 * pendingSignals { // the first reload waits for the pipe, the others for the first
+	for range 3 * signalBufferSize { // the first reload waits for the pipe, the others for the first
 		sendSignal(t, g.Cmd, syscall.SIGHUP)
 		time.Sleep(5 * time.Millisecond)
 	}
--- a/cmd/fawnplank/shutdown_test.go
+++ b/cmd/fawnplank/shutdown_test.go
@@ -69,7 +69,7 @@
 	if g.configuration, g.operator, err = g.loadConfiguration(config.Overlay{}); err != nil {
 		t.Fatal(err)
 	}
-	g.resources = newResources(g.configuration)
+	g.resourceLimits = newResourceLimits(g.configuration)
 	g.configuration.Counter = address
 	g.configuration.ConnectTimeout = time.Minute           // no health check ends by itself
 	g.configuration.Settings.DrainGrace = 10 * time.Minute // nor does a call of discovery
--- a/cmd/fawnplank/store_client.go
+++ b/cmd/fawnplank/store_client.go
@@ -29,19 +29,20 @@
 	address string
 	flag    string // the flag that named the address, used in errors
 	tls     tlsconfig.Files
-	// failed remembers a read that failed. Nil: it is not remembered.
-	failed *failedRead
+	// readFailure records the first error of ReadLocal and ReadPrefix. If it is nil, such errors are not recorded.
+	readFailure *readErrorRecorder
 }
 
-// failedRead is the first error of the reads that cannot return one, since the Replica interfaces do not. A command
-// looks at it before it reports success, and nothing is edited after one.
-type failedRead struct {
+// readErrorRecorder records the first error of ReadLocal and ReadPrefix, which cannot return one because the Replica
+// interfaces that they implement do not. Edit fails with the recorded error, and a command checks it before it reports
+// success. A nil *readErrorRecorder records nothing.
+type readErrorRecorder struct {
 	mu  sync.Mutex
 	err error
 }
 
-// note remembers an error, unless there is an earlier one.
-func (f *failedRead) note(err error) {
+// record stores the error unless it is nil or an earlier one is stored.
+func (f *readErrorRecorder) record(err error) {
 	if f == nil || err == nil {
 		return
 	}
@@ -53,7 +54,7 @@
 }
 
 // Err returns the first error, or nil.
-func (f *failedRead) Err() error {
+func (f *readErrorRecorder) Err() error {
 	if f == nil {
 		return nil
 	}
@@ -78,14 +79,14 @@
 }
 
 func newStoreStatusError(response *http.Response, body []byte) *storeStatusError {
-	failure := &storeStatusError{Code: response.StatusCode, Status: response.Status}
+	statusError := &storeStatusError{Code: response.StatusCode, Status: response.Status}
 	var answer struct {
 		Error string `json:"error"`
 	}
 	if json.Unmarshal(body, &answer) == nil {
-		failure.Message = answer.Error
+		statusError.Message = answer.Error
 	}
-	return failure
+	return statusError
 }
 
 // storeCall is one call to a replica.
@@ -107,19 +108,19 @@
 	}
 	response, err := client.Do(request)
 	if err != nil {
-		return nil, c.explain(err)
+		return nil, c.describeConnectionError(err)
 	}
 	defer func() {
 		_ = response.Body.Close() // the body was only read
 	}()
-	text, err := io.ReadAll(response.Body)
+	responseBody, err := io.ReadAll(response.Body)
 	if err != nil {
-		return nil, c.explain(err)
+		return nil, c.describeConnectionError(err)
 	}
 	if response.StatusCode != http.StatusOK {
-		return nil, newStoreStatusError(response, text)
+		return nil, newStoreStatusError(response, responseBody)
 	}
-	return text, nil
+	return responseBody, nil
 }
 
 // httpClient returns a client for one call.
@@ -142,8 +143,8 @@
 	return "http://" + c.address + path
 }
 
-// explain adds the remedy to a connection error.
-func (c storeClient) explain(err error) error {
+// describeConnectionError adds the replica's address to a connection error and, for a refused connection, a remedy.
+func (c storeClient) describeConnectionError(err error) error {
 	if errors.Is(err, syscall.ECONNREFUSED) {
 		return fmt.Errorf("store: no replica listens at %s; start it, or name the API address of another one "+
 			"with %s: %w", c.address, c.flag, err)
@@ -159,27 +160,27 @@
 // ReadLocal reads a key as this replica has it. A call that fails is reported as a missing key, and remembered as a
 // failed read.
 func (c storeClient) ReadLocal(key string) (entry kv.Entry, ok bool) {
-	text, err := c.read(store.KeyPath(key) + "?stale=1")
+	body, err := c.read(store.KeyPath(key) + "?stale=1")
 	if hasStatus(err, http.StatusNotFound) {
 		return entry, false
 	}
 	if err == nil {
-		err = json.Unmarshal(text, &entry)
+		err = json.Unmarshal(body, &entry)
 	}
-	c.failed.note(err)
+	c.readFailure.record(err)
 	return entry, err == nil
 }
 
 // ReadFromLeader reads a key through the leader.
 func (c storeClient) ReadFromLeader(key string) (entry kv.Entry, ok bool, err error) {
-	text, err := c.read(store.KeyPath(key))
+	body, err := c.read(store.KeyPath(key))
 	if hasStatus(err, http.StatusNotFound) {
 		return entry, false, nil
 	}
 	if err != nil {
 		return entry, false, err
 	}
-	err = json.Unmarshal(text, &entry)
+	err = json.Unmarshal(body, &entry)
 	return entry, err == nil, err
 }
 
@@ -188,11 +189,11 @@
 func (c storeClient) ReadPrefix(prefix string) map[string]json.RawMessage {
 	values := map[string]json.RawMessage{}
 	var keys []string
-	text, err := c.read(store.KeysPath(prefix))
+	body, err := c.read(store.KeysPath(prefix))
 	if err == nil {
-		err = json.Unmarshal(text, &keys)
+		err = json.Unmarshal(body, &keys)
 	}
-	c.failed.note(err)
+	c.readFailure.record(err)
 	for _, key := range keys {
 		if entry, ok := c.ReadLocal(key); ok {
 			values[strings.TrimPrefix(key, prefix)] = entry.Value
@@ -204,7 +205,7 @@
 // Edit applies all edits or none. It returns a kv.ConflictError if a key's index differs from the one an edit
 // expects. After a read that failed nothing is edited, since the edits would rest on what seemed to be missing.
 func (c storeClient) Edit(edits []kv.Edit) error {
-	if err := c.failed.Err(); err != nil {
+	if err := c.readFailure.Err(); err != nil {
 		return err
 	}
 	body, err := json.Marshal(edits)
--- a/cmd/fawnplank/warm_start.go
+++ b/cmd/fawnplank/warm_start.go
@@ -17,11 +17,11 @@
 // warmStart saves the warm-start state, the dispatcher's measurements of the backends, to a file for the next
 // process of this instance.
 type warmStart struct {
-	path       string
-	dispatcher *dispatch.Dispatcher
-	failing    bool // whether the last write failed; only run reads and writes it
-	stop       chan struct{}
-	running    sync.WaitGroup
+	path           string
+	dispatcher     *dispatch.Dispatcher
+	lastSaveFailed bool // whether the last write failed; only run reads and writes it
+	stop           chan struct{}
+	running        sync.WaitGroup
 }
 
 // newWarmStart imports the state that an earlier process left, and starts saving the state periodically.
@@ -69,8 +69,8 @@
 // save writes the state. It logs one error per outage.
 func (w *warmStart) save() {
 	err := warmstart.Save(w.path, w.dispatcher.ExportState(), time.Now())
-	if err != nil && !w.failing {
+	if err != nil && !w.lastSaveFailed {
 		logging.For(warmStartComponent).WithError(err).Error("state not saved")
 	}
-	w.failing = err != nil
+	w.lastSaveFailed = err != nil
 }
--- a/cmd/fawnplank/zone.go
+++ b/cmd/fawnplank/zone.go
@@ -17,10 +17,10 @@
 // name server. It is constructed before the discovery client, which asks it for full snapshots, and started
 // after it, since it publishes to that client. Its methods are safe for concurrent use.
 type endpointZone struct {
-	settings config.DNS
-	server   atomic.Pointer[dnsserver.Server] // nil before Start, and if the zone is off
-	changes  *notifier                        // notified when the zone's keys change in the store
-	closing  sync.Once
+	settings  config.DNS
+	server    atomic.Pointer[dnsserver.Server] // nil before Start, and if the zone is off
+	changes   *notifier                        // notified when the zone's keys change in the store
+	closeOnce sync.Once
 }
 
 func newEndpointZone(settings config.DNS) *endpointZone {
@@ -73,7 +73,7 @@
 // CloseServer stops the name server, so that another process may use the journal. The endpoint list continues
 // to follow changes in the store. It may be called more than once; each call returns after the server has
 // stopped.
-func (z *endpointZone) CloseServer() { z.closing.Do(func() { z.server.Load().Close() }) }
+func (z *endpointZone) CloseServer() { z.closeOnce.Do(func() { z.server.Load().Close() }) }
 
 // Close stops everything that the zone runs, including the name server. It is called once, before the replica is
 // stopped, which the handler of changes reads.
--- a/internal/simadapter/host.go
+++ b/internal/simadapter/host.go
@@ -20,14 +20,14 @@
 
 func newHost() *host { return &host{instances: map[uint32]*instance{}} }
 
-// event is a kind of event: its name in errors, and how one of its records is read and handled.
-type event struct {
+// eventKind is a kind of event: its name in errors, and how one of its records is read and handled.
+type eventKind struct {
 	name   string
 	handle func(h *host, now policy.Instant, wireID uint32, f *simwire.Frame) error
 }
 
-// events lists the kinds of events by their code, with the names that errors have always given them.
-var events = [...]event{
+// eventKinds lists the kinds of events by their code, with the names that errors have always given them.
+var eventKinds = [...]eventKind{
 	eventCreate:          hostEvent("Create", readCreate, (*host).create),
 	eventEndpoints:       instanceEvent("View", readEndpoints, (*instance).handleEndpoints),
 	eventSubmit:          instanceEvent("Call", readSubmit, (*instance).handleSubmit),
@@ -37,7 +37,7 @@
 	eventTimer:           instanceEvent("Timer", readTimer, (*instance).handleTimer),
 	eventHealthCheck:     instanceEvent("ProbeDone", readHealthCheck, (*instance).handleHealthCheck),
 	eventPeerMessage:     hostEvent("Inbox", readPeerMessage, (*host).ignore),
-	eventKill:            hostEvent("Killed", readNothing, (*host).kill),
+	eventKill:            hostEvent("Killed", readEmpty, (*host).kill),
 	eventCounterResult:   instanceEvent("TallyBack", readCounterResult, (*instance).handleCounterResult),
 }
 
@@ -46,9 +46,9 @@
 	name string,
 	read func(*simwire.Frame) (M, error),
 	handle func(h *host, now policy.Instant, wireID uint32, message M),
-) event {
-	return event{name: name, handle: func(h *host, now policy.Instant, wireID uint32, f *simwire.Frame) error {
-		message, err := readWhole(f, read)
+) eventKind {
+	return eventKind{name: name, handle: func(h *host, now policy.Instant, wireID uint32, f *simwire.Frame) error {
+		message, err := readMessage(f, read)
 		if err != nil {
 			return err
 		}
@@ -63,21 +63,21 @@
 	name string,
 	read func(*simwire.Frame) (M, error),
 	handle func(in *instance, now policy.Instant, message M),
-) event {
-	return event{name: name, handle: func(h *host, now policy.Instant, wireID uint32, f *simwire.Frame) error {
-		message, err := readWhole(f, read)
+) eventKind {
+	return eventKind{name: name, handle: func(h *host, now policy.Instant, wireID uint32, f *simwire.Frame) error {
+		message, err := readMessage(f, read)
 		if err != nil {
 			return err
 		}
 		if in := h.instances[wireID]; in != nil {
-			h.guard(wireID, func() { handle(in, now, message) })
+			h.callWithRecover(wireID, func() { handle(in, now, message) })
 		}
 		return nil
 	}}
 }
 
-// readWhole reads a message. It returns an error unless the whole record could be read.
-func readWhole[M any](f *simwire.Frame, read func(*simwire.Frame) (M, error)) (M, error) {
+// readMessage reads a message. It returns an error unless the whole record could be read.
+func readMessage[M any](f *simwire.Frame, read func(*simwire.Frame) (M, error)) (M, error) {
 	message, err := read(f)
 	if err == nil {
 		err = f.Err()
@@ -88,8 +88,8 @@
 // handleFrame answers one frame. A panic in the engine is reported on the wire; an error means that the
 // frame is malformed.
 func (h *host) handleFrame(f *simwire.Frame) error {
-	now := instantOf(f.Clock)
-	for n := range f.Records {
+	now := instantFromMillis(f.ClockMillis)
+	for n := range f.RecordCount {
 		offset := f.Offset()
 		code := f.Uint8()
 		name, err := h.handleRecord(now, code, f)
@@ -98,7 +98,7 @@
 		}
 	}
 	if f.Remaining() > 0 {
-		return fmt.Errorf("%d bytes after the last of %d records", f.Remaining(), f.Records)
+		return fmt.Errorf("%d bytes after the last of %d records", f.Remaining(), f.RecordCount)
 	}
 	return nil
 }
@@ -106,8 +106,8 @@
 // handleRecord handles one record and returns the name of its kind of event, or "" if there is no such kind.
 func (h *host) handleRecord(now policy.Instant, code uint8, f *simwire.Frame) (name string, err error) {
 	wireID := f.Uint32()
-	if int(code) < len(events) {
-		kind := &events[code]
+	if int(code) < len(eventKinds) {
+		kind := &eventKinds[code]
 		return kind.name, kind.handle(h, now, wireID, f)
 	}
 	if err := f.Err(); err != nil {
@@ -116,32 +116,33 @@
 	return "", errUnknownEvent
 }
 
-// guard calls the engine. If it panics, guard reports that in place of the instance's further actions.
-func (h *host) guard(wireID uint32, call func()) {
+// callWithRecover calls the engine. If the engine panics, it ends the instance and reports the panic to the
+// simulator, which receives no further action of the instance.
+func (h *host) callWithRecover(wireID uint32, engineCall func()) {
 	defer func() {
 		if reason := recover(); reason != nil {
-			h.reportBroken(wireID, fmt.Sprint(reason))
+			h.endInstanceWithFailure(wireID, fmt.Sprint(reason))
 		}
 	}()
-	call()
+	engineCall()
 }
 
-// reportBroken ends an instance and reports why.
-func (h *host) reportBroken(wireID uint32, reason string) {
+// endInstanceWithFailure ends an instance and reports why.
+func (h *host) endInstanceWithFailure(wireID uint32, reason string) {
 	delete(h.instances, wireID)
-	h.reply.Record(actionBroken).Uint32(wireID).Text(reason)
+	h.reply.Record(actionInstanceFailed).Uint32(wireID).Text(reason)
 }
 
 // create starts an instance, and replaces the one with the same ID if there is one.
 func (h *host) create(now policy.Instant, wireID uint32, m createMessage) {
 	settings, err := config.ParseSettings(m.settings)
 	if err != nil {
-		h.reportBroken(wireID, err.Error())
+		h.endInstanceWithFailure(wireID, err.Error())
 		return
 	}
 	in := &instance{wireID: wireID, reply: &h.reply, requests: map[policy.RequestID]*policy.Request{}}
 	h.instances[wireID] = in
-	h.guard(wireID, func() {
+	h.callWithRecover(wireID, func() {
 		in.engine = policy.New(policy.Options{Now: now, Seed: m.seed, Settings: settings, Effects: in})
 	})
 }
--- a/internal/simadapter/instance.go
+++ b/internal/simadapter/instance.go
@@ -18,9 +18,9 @@
 	actionCheckHealth uint8 = 69
 	// 70, drop connections, is not used: idle ones close by themselves.
 	// 71, message to another instance, is not used: instances share only the counter.
-	actionLog    uint8 = 72
-	actionBroken uint8 = 73
-	actionWatch  uint8 = 74
+	actionLog            uint8 = 72
+	actionInstanceFailed uint8 = 73
+	actionWatch          uint8 = 74
 	// 75, refresh, is not used: a watch delivers what was missed.
 	actionAddToCounter uint8 = 76
 )
@@ -56,7 +56,7 @@
 
 // Reject answers a request with a rejection.
 func (in *instance) Reject(id policy.RequestID, retryAfter time.Duration) {
-	in.action(actionReject).Uint64(uint64(id)).Float64(milliseconds(retryAfter))
+	in.action(actionReject).Uint64(uint64(id)).Float64(durationMillis(retryAfter))
 	in.forgetIfDone(id)
 }
 
@@ -76,7 +76,7 @@
 
 // AddToCounter adds units to the shared counter.
 func (in *instance) AddToCounter(key policy.CounterKey, units float64, lifetime time.Duration) {
-	in.action(actionAddToCounter).Uint64(uint64(key)).Float32(units).Float64(milliseconds(lifetime))
+	in.action(actionAddToCounter).Uint64(uint64(key)).Float32(units).Float64(durationMillis(lifetime))
 }
 
 // CheckHealth asks for a health check.
--- a/internal/simadapter/messages.go
+++ b/internal/simadapter/messages.go
@@ -10,7 +10,7 @@
 	"fawnplank/policy"
 )
 
-// This file reads the bodies of events. The readers do not check the frame's error: readWhole does, before a
+// This file reads the bodies of events. The readers do not check the frame's error: readMessage does, before a
 // message is used. The errors that they return themselves are about values that the wire does not define.
 
 // Codes of the events on the wire.
@@ -51,16 +51,21 @@
 	stateGone     = 3
 )
 
-// instantOf and milliseconds convert the wire's times, milliseconds, to those of the engine, and back.
-func instantOf(ms float64) policy.Instant     { return monotime.FromNanos(int64(config.Milliseconds(ms))) }
-func instantMillis(at policy.Instant) float64 { return milliseconds(time.Duration(at.Nanos())) }
-func milliseconds(span time.Duration) float64 { return float64(span) / float64(time.Millisecond) }
+// instantFromMillis converts a time on the wire, in milliseconds, to the engine's form. instantMillis and
+// durationMillis convert times and durations of the engine to milliseconds.
+func instantFromMillis(ms float64) policy.Instant {
+	return monotime.FromNanos(int64(config.Milliseconds(ms)))
+}
+func instantMillis(at policy.Instant) float64 { return durationMillis(time.Duration(at.Nanos())) }
+func durationMillis(duration time.Duration) float64 {
+	return float64(duration) / float64(time.Millisecond)
+}
 
 // maxCount bounds counts, so that they fit into an int of any size.
 const maxCount = 1e9
 
-// countOf truncates a count, which the wire sends as a real number, to a whole number from 0 to maxCount.
-func countOf(number float64) int { return int(min(max(number, 0), maxCount)) }
+// truncateCount truncates a count, which the wire sends as a real number, to a whole number from 0 to maxCount.
+func truncateCount(number float64) int { return int(min(max(number, 0), maxCount)) }
 
 // Statuses of attempts, health checks and calls to the counter on the wire.
 const (
@@ -86,8 +91,8 @@
 	statusNotSent:        policy.NotSent,
 }
 
-// outcomeOf translates a status. After a fault in the frame there is no status, and the frame's error counts.
-func outcomeOf(f *simwire.Frame, status uint16) (policy.Outcome, error) {
+// outcomeFromStatus translates a status. After a fault in the frame there is no status, and the frame's error counts.
+func outcomeFromStatus(f *simwire.Frame, status uint16) (policy.Outcome, error) {
 	outcome, ok := outcomes[status]
 	if f.Err() == nil && !ok {
 		return 0, fmt.Errorf("unknown status %d", status)
@@ -125,7 +130,7 @@
 	f.Uint64() // the list's version: the wire sends no list twice
 	updateKind, known := updateKinds[kind]
 	m := endpointsMessage{kind: updateKind}
-	m.endpoints = make([]policy.Endpoint, f.Count(int(f.Uint32()), entryBytes))
+	m.endpoints = make([]policy.Endpoint, f.CheckCount(int(f.Uint32()), entryBytes))
 	for n := range m.endpoints {
 		endpoint := &m.endpoints[n]
 		if state, known := readEndpoint(f, endpoint); !known {
@@ -147,7 +152,7 @@
 	endpoint.Group = policy.GroupID(f.Uint16())
 	state = f.Uint8()
 	endpoint.Weight = f.Float32()
-	endpoint.StartedAt = instantOf(f.Float64())
+	endpoint.StartedAt = instantFromMillis(f.Float64())
 	switch state {
 	case stateDraining:
 		endpoint.State = policy.EndpointDraining
@@ -173,8 +178,8 @@
 	m.spec.Tenant = policy.TenantID(f.Uint64())
 	m.spec.Remaining = config.Milliseconds(f.Float64())
 	m.spec.Units = f.Float32()
-	m.spec.EntryPoints = countOf(f.Float32())
-	m.spec.FirstInstance = countOf(f.Float32())
+	m.spec.EntryPoints = truncateCount(f.Float32())
+	m.spec.FirstInstance = truncateCount(f.Float32())
 	f.Uint8() // flags: the engine uses none
 	return m, nil
 }
@@ -210,7 +215,7 @@
 	m.result.ActualUnits = float64(f.Uint16())
 	skipLoadReport(f)
 	var err error
-	m.result.Outcome, err = outcomeOf(f, status)
+	m.result.Outcome, err = outcomeFromStatus(f, status)
 	return m, err
 }
 
@@ -240,7 +245,7 @@
 	f.Float64() // how long it took: the engine uses the time that requests take
 	skipLoadReport(f)
 	var err error
-	m.outcome, err = outcomeOf(f, status)
+	m.outcome, err = outcomeFromStatus(f, status)
 	return m, err
 }
 
@@ -256,14 +261,14 @@
 	f.Float64() // how long the call took
 	m.result.Total = f.Float32()
 	var err error
-	m.result.Outcome, err = outcomeOf(f, status)
+	m.result.Outcome, err = outcomeFromStatus(f, status)
 	return m, err
 }
 
 // emptyMessage stands for an event whose fields, if any, the engine does not use.
 type emptyMessage struct{}
 
-func readNothing(*simwire.Frame) (emptyMessage, error) { return emptyMessage{}, nil }
+func readEmpty(*simwire.Frame) (emptyMessage, error) { return emptyMessage{}, nil }
 
 // readPeerMessage skips a message from another instance.
 func readPeerMessage(f *simwire.Frame) (emptyMessage, error) {
--- a/internal/simadapter/recorder_test.go
+++ b/internal/simadapter/recorder_test.go
@@ -249,7 +249,7 @@
 	case actionCheckHealth:
 		r.checkHealth(i, u32(5))
 		return 9
-	case actionLog, actionBroken:
+	case actionLog, actionInstanceFailed:
 		return 7 + int(u16(5))
 	case actionWatch:
 		r.watch(i)
--- a/internal/simadapter/run.go
+++ b/internal/simadapter/run.go
@@ -22,7 +22,7 @@
 	var frame simwire.Frame
 	for n := 0; ; n++ {
 		err := simwire.ReadFrame(reader, &frame)
-		if errors.Is(err, simwire.ErrEnd) {
+		if errors.Is(err, simwire.ErrEndOfInput) {
 			return nil
 		}
 		if err == nil {
--- a/internal/simwire/frame.go
+++ b/internal/simwire/frame.go
@@ -18,62 +18,62 @@
 
 const (
 	frameHeaderBytes = 16
-	// maxClock, in ms, is about thirty years: a clock beyond it is damaged.
-	maxClock = 1e12
+	// maxClockMillis, in ms, is about thirty years: a clock beyond it is damaged.
+	maxClockMillis = 1e12
 	// maxBodyBytes bounds a frame's body, so that a damaged length is an error and not a huge allocation.
 	maxBodyBytes = 1 << 30
 )
 
-// ErrEnd is the error of ReadFrame when the input ends between two frames. It differs from io.EOF, which an
+// ErrEndOfInput is the error of ReadFrame when the input ends between two frames. It differs from io.EOF, which an
 // input that ends right after a header gives as well.
-var ErrEnd = errors.New("simwire: end of input")
+var ErrEndOfInput = errors.New("simwire: end of input")
 
 // Frame is one batch of events, which is read field by field. The first fault sticks: all later reads return
 // zero, and Err returns the fault. Callers read a whole record and then check once.
 type Frame struct {
-	Clock   float64 // the simulator's time, in ms
-	Records int     // how many the body holds
-	body    []byte
-	offset  int // of the next field in the body
-	err     error
+	ClockMillis float64 // the simulator's time, in ms
+	RecordCount int     // how many the body holds
+	body        []byte
+	offset      int // of the next field in the body
+	err         error
 }
 
 // ReadFrame reads the next frame into f. It reuses f's memory and so overwrites what Bytes returned before.
-// At the end of input between two frames it returns ErrEnd.
+// At the end of input between two frames it returns ErrEndOfInput.
 func ReadFrame(r io.Reader, f *Frame) error {
 	var header [frameHeaderBytes]byte
 	n, err := io.ReadFull(r, header[:])
 	if errors.Is(err, io.EOF) {
-		return ErrEnd
+		return ErrEndOfInput
 	}
 	if err != nil {
 		return fmt.Errorf("frame header: %d of %d bytes: %w", n, frameHeaderBytes, err)
 	}
 	size := binary.LittleEndian.Uint32(header[0:])
-	records := binary.LittleEndian.Uint32(header[4:])
-	clock := math.Float64frombits(binary.LittleEndian.Uint64(header[8:]))
-	if err := checkHeader(size, records, clock); err != nil {
+	recordCount := binary.LittleEndian.Uint32(header[4:])
+	clockMillis := math.Float64frombits(binary.LittleEndian.Uint64(header[8:]))
+	if err := checkHeader(size, recordCount, clockMillis); err != nil {
 		return err
 	}
 	if cap(f.body) < int(size) {
 		f.body = make([]byte, size)
 	}
-	*f = Frame{Clock: clock, Records: int(records), body: f.body[:size]}
+	*f = Frame{ClockMillis: clockMillis, RecordCount: int(recordCount), body: f.body[:size]}
 	if n, err := io.ReadFull(r, f.body); err != nil {
 		return fmt.Errorf("frame body: %d of %d bytes: %w", n, size, err)
 	}
 	return nil
 }
 
-func checkHeader(size, records uint32, clock float64) error {
+func checkHeader(size, recordCount uint32, clockMillis float64) error {
 	if size > maxBodyBytes {
 		return fmt.Errorf("frame header: impossible length %d", size)
 	}
-	if records > size { // a record has at least one byte
-		return fmt.Errorf("frame header: impossible count of %d records in %d bytes", records, size)
+	if recordCount > size { // a record has at least one byte
+		return fmt.Errorf("frame header: impossible count of %d records in %d bytes", recordCount, size)
 	}
-	if math.IsNaN(clock) || math.Abs(clock) > maxClock {
-		return fmt.Errorf("frame header: impossible clock %v", clock)
+	if math.IsNaN(clockMillis) || math.Abs(clockMillis) > maxClockMillis {
+		return fmt.Errorf("frame header: impossible clock %v", clockMillis)
 	}
 	return nil
 }
@@ -139,12 +139,12 @@
 }
 
 // Float32 reads a real number of four bytes. One that is not finite is a fault.
-func (f *Frame) Float32() float64 { return f.finite(float64(math.Float32frombits(f.Uint32()))) }
+func (f *Frame) Float32() float64 { return f.checkFinite(float64(math.Float32frombits(f.Uint32()))) }
 
 // Float64 reads a real number of eight bytes. One that is not finite is a fault.
-func (f *Frame) Float64() float64 { return f.finite(math.Float64frombits(f.Uint64())) }
+func (f *Frame) Float64() float64 { return f.checkFinite(math.Float64frombits(f.Uint64())) }
 
-func (f *Frame) finite(number float64) float64 {
+func (f *Frame) checkFinite(number float64) float64 {
 	if math.IsNaN(number) || math.IsInf(number, 0) {
 		f.failf("no finite number")
 		return 0
@@ -160,13 +160,13 @@
 	return f.next(n)
 }
 
-// Count checks that n entries of size bytes each can still follow, and returns n, or 0 after a fault.
-func (f *Frame) Count(n, size int) int {
-	if n > f.Remaining()/size {
-		f.failf("impossible count of %d entries, %d bytes left", n, f.Remaining())
+// CheckCount checks that n entries of size bytes each can still follow, and returns n, or 0 after a fault.
+func (f *Frame) CheckCount(count, entryBytes int) int {
+	if count > f.Remaining()/entryBytes {
+		f.failf("impossible count of %d entries, %d bytes left", count, f.Remaining())
 	}
 	if f.err != nil {
 		return 0
 	}
-	return n
+	return count
 }
--- a/internal/simwire/reply.go
+++ b/internal/simwire/reply.go
@@ -15,12 +15,12 @@
 //
 // The zero value is an empty reply.
 type Reply struct {
-	buffer  []byte // starts with room for the header, once the reply is begun
-	records uint32
+	buffer      []byte // starts with room for the header, once the reply is begun
+	recordCount uint32
 }
 
-// begin reserves room for the header in front of the body.
-func (r *Reply) begin() {
+// reserveHeader reserves room for the header in front of the body.
+func (r *Reply) reserveHeader() {
 	if len(r.buffer) == 0 {
 		r.buffer = append(r.buffer, make([]byte, replyHeaderBytes)...)
 	}
@@ -28,8 +28,8 @@
 
 // Record starts a record; its fields follow.
 func (r *Reply) Record(code uint8) *Reply {
-	r.begin()
-	r.records++
+	r.reserveHeader()
+	r.recordCount++
 	return r.Uint8(code)
 }
 
@@ -75,10 +75,10 @@
 
 // WriteTo writes the reply with its header and empties it, whether or not the write succeeds.
 func (r *Reply) WriteTo(w io.Writer) (int64, error) {
-	r.begin()
-	binary.LittleEndian.PutUint32(r.buffer[0:], r.records)
+	r.reserveHeader()
+	binary.LittleEndian.PutUint32(r.buffer[0:], r.recordCount)
 	binary.LittleEndian.PutUint32(r.buffer[4:], uint32(len(r.buffer)-replyHeaderBytes))
 	n, err := w.Write(r.buffer)
-	r.buffer, r.records = r.buffer[:0], 0
+	r.buffer, r.recordCount = r.buffer[:0], 0
 	return int64(n), err
 }
--- a/internal/simwire/simwire_test.go
+++ b/internal/simwire/simwire_test.go
@@ -11,82 +11,82 @@
 )
 
 // frameOf puts a reply's body behind the header of a frame, as the simulator would send it.
-func frameOf(t *testing.T, clock float64, records uint32, reply *Reply) []byte {
+func frameOf(t *testing.T, clockMillis float64, recordCount uint32, reply *Reply) []byte {
 	t.Helper()
-	var packed bytes.Buffer
-	if _, err := reply.WriteTo(&packed); err != nil {
+	var encoded bytes.Buffer
+	if _, err := reply.WriteTo(&encoded); err != nil {
 		t.Fatal(err)
 	}
-	body := packed.Bytes()[replyHeaderBytes:]
+	body := encoded.Bytes()[replyHeaderBytes:]
 	frame := binary.LittleEndian.AppendUint32(nil, uint32(len(body)))
-	frame = binary.LittleEndian.AppendUint32(frame, records)
-	frame = binary.LittleEndian.AppendUint64(frame, math.Float64bits(clock))
+	frame = binary.LittleEndian.AppendUint32(frame, recordCount)
+	frame = binary.LittleEndian.AppendUint64(frame, math.Float64bits(clockMillis))
 	return append(frame, body...)
 }
 
 func TestFrame_ReadsWhatReplyWrites(t *testing.T) {
 	reply := (&Reply{}).Record(7).Uint16(300).Uint32(70000).Uint64(1 << 40).Float32(0.5).Float64(-2.25).Text("abc")
-	var f Frame
-	if err := ReadFrame(bytes.NewReader(frameOf(t, 12.5, 1, reply)), &f); err != nil {
+	var frame Frame
+	if err := ReadFrame(bytes.NewReader(frameOf(t, 12.5, 1, reply)), &frame); err != nil {
 		t.Fatal(err)
 	}
-	if f.Clock != 12.5 || f.Records != 1 || f.Offset() != 0 {
-		t.Errorf("clock %v, %d records, at byte %d", f.Clock, f.Records, f.Offset())
+	if frame.ClockMillis != 12.5 || frame.RecordCount != 1 || frame.Offset() != 0 {
+		t.Errorf("clock %v, %d records, at byte %d", frame.ClockMillis, frame.RecordCount, frame.Offset())
 	}
-	code, a, b, c := f.Uint8(), f.Uint16(), f.Uint32(), f.Uint64()
+	code, a, b, c := frame.Uint8(), frame.Uint16(), frame.Uint32(), frame.Uint64()
 	if code != 7 || a != 300 || b != 70000 || c != 1<<40 {
 		t.Errorf("whole numbers %d %d %d %d", code, a, b, c)
 	}
-	if a, b := f.Float32(), f.Float64(); a != 0.5 || b != -2.25 {
+	if a, b := frame.Float32(), frame.Float64(); a != 0.5 || b != -2.25 {
 		t.Errorf("real numbers %v %v", a, b)
 	}
-	if text := string(f.Bytes(int(f.Uint16()))); text != "abc" || f.Remaining() != 0 || f.Err() != nil {
-		t.Errorf("text %q, %d bytes left, %v", text, f.Remaining(), f.Err())
+	if text := string(frame.Bytes(int(frame.Uint16()))); text != "abc" || frame.Remaining() != 0 || frame.Err() != nil {
+		t.Errorf("text %q, %d bytes left, %v", text, frame.Remaining(), frame.Err())
 	}
 }
 
-func TestFrame_FirstFaultSticks(t *testing.T) {
-	var f Frame
+func TestFrame_KeepsFirstError(t *testing.T) {
+	var frame Frame
 	reply := (&Reply{}).Record(7).Float32(math.Inf(1)).Uint8(1)
-	if err := ReadFrame(bytes.NewReader(frameOf(t, 0, 1, reply)), &f); err != nil {
+	if err := ReadFrame(bytes.NewReader(frameOf(t, 0, 1, reply)), &frame); err != nil {
 		t.Fatal(err)
 	}
-	f.Uint8()
-	f.Float32()
-	if f.Uint8() != 0 || f.Count(1, 1) != 0 || f.Bytes(9) != nil {
+	frame.Uint8()
+	frame.Float32()
+	if frame.Uint8() != 0 || frame.CheckCount(1, 1) != 0 || frame.Bytes(9) != nil {
 		t.Error("a read after a fault gave something")
 	}
-	if err := f.Err(); err == nil || err.Error() != "byte 5: no finite number" {
+	if err := frame.Err(); err == nil || err.Error() != "byte 5: no finite number" {
 		t.Error(err)
 	}
 }
 
 func TestReadFrame_EndOfInput(t *testing.T) {
 	var f Frame
-	if err := ReadFrame(strings.NewReader(""), &f); !errors.Is(err, ErrEnd) {
+	if err := ReadFrame(strings.NewReader(""), &f); !errors.Is(err, ErrEndOfInput) {
 		t.Errorf("between two frames: %v", err)
 	}
 	err := ReadFrame(strings.NewReader("abc"), &f)
-	if !errors.Is(err, io.ErrUnexpectedEOF) || errors.Is(err, ErrEnd) {
+	if !errors.Is(err, io.ErrUnexpectedEOF) || errors.Is(err, ErrEndOfInput) {
 		t.Errorf("within a header: %v", err)
 	}
 	frame := frameOf(t, 0, 1, (&Reply{}).Record(1))
-	if err := ReadFrame(bytes.NewReader(frame[:frameHeaderBytes]), &f); err == nil || errors.Is(err, ErrEnd) {
+	if err := ReadFrame(bytes.NewReader(frame[:frameHeaderBytes]), &f); err == nil || errors.Is(err, ErrEndOfInput) {
 		t.Errorf("behind a header: %v", err)
 	}
 }
 
-func TestReply_IsEmptyOnceWritten(t *testing.T) {
-	var r Reply
+func TestReply_IsEmptyAfterWriteTo(t *testing.T) {
+	var reply Reply
 	var out bytes.Buffer
-	if _, err := r.Record(1).Text(strings.Repeat("x", math.MaxUint16+1)).WriteTo(&out); err != nil {
+	if _, err := reply.Record(1).Text(strings.Repeat("x", math.MaxUint16+1)).WriteTo(&out); err != nil {
 		t.Fatal(err)
 	}
 	if want := replyHeaderBytes + 1 + 2 + math.MaxUint16; out.Len() != want {
 		t.Errorf("%d bytes, want %d: a text is cut to what its length can say", out.Len(), want)
 	}
 	out.Reset()
-	if _, err := r.WriteTo(&out); err != nil || !bytes.Equal(out.Bytes(), make([]byte, replyHeaderBytes)) {
+	if _, err := reply.WriteTo(&out); err != nil || !bytes.Equal(out.Bytes(), make([]byte, replyHeaderBytes)) {
 		t.Errorf("%v, %v", out.Bytes(), err)
 	}
 }
