--- a/cmd/drill/main.go
+++ b/cmd/drill/main.go
@@ -1,7 +1,7 @@
-// Command drill runs the engine on the operators' simulator: it reads batches of events from standard input
-// and writes one reply per batch to standard output, as internal/simadapter does it.
+// Command drill connects the policy engine to the operators' simulator: it reads batches of events from standard
+// input and writes one reply per batch to standard output. Package internal/simadapter does the work.
 //
-// The program keeps this name because the operators' deploy page runs it as bin/drill.
+// The name of the program is fixed: the operators' deploy page runs it as bin/drill.
 package main
 
 import (
--- a/internal/simadapter/doc.go
+++ b/internal/simadapter/doc.go
@@ -1,7 +1,7 @@
-// Package simadapter connects the engine to the operators' simulator. It reads batches of events in the form
-// of internal/simwire, passes each to the engine of the instance that it concerns, and writes the engine's
-// effects as one reply per batch. It translates and decides nothing.
+// Package simadapter connects the policy engine to the operators' simulator. It reads batches of events in the
+// encoding of internal/simwire, passes each event to the engine of the instance that the event names, and writes the
+// engine's effects as the actions of one reply per batch. It only translates; every decision is the engine's.
 //
-// A host owns the instances of a process; each instance owns its engine and its requests in flight. One
-// goroutine runs a host. Separate calls of Run share nothing and are safe at once.
+// A host owns the instances of one call of Run; each instance owns its engine and its requests in flight. A host
+// belongs to one goroutine. Separate calls of Run share no state and may run concurrently.
 package simadapter
--- a/internal/simadapter/host.go
+++ b/internal/simadapter/host.go
@@ -9,10 +9,10 @@
 	"fawnplank/policy"
 )
 
-// errUnknownEvent reports a code that the wire does not define.
+// errUnknownEvent is returned for an event code that the wire format does not define.
 var errUnknownEvent = errors.New("unknown event code")
 
-// host holds the instances of this process, which share nothing but the reply. Only one goroutine may use it.
+// host holds the simulated instances, which share only the reply. It is not safe for concurrent use.
 type host struct {
 	instances map[uint32]*instance // by wireID
 	reply     simwire.Reply
@@ -20,13 +20,14 @@
 
 func newHost() *host { return &host{instances: map[uint32]*instance{}} }
 
-// eventKind is a kind of event: its name in errors, and how one of its records is read and handled.
+// eventKind describes a kind of event: its name in errors, and the function that reads and handles one record.
 type eventKind struct {
 	name   string
 	handle func(h *host, now policy.Instant, wireID uint32, f *simwire.Frame) error
 }
 
-// eventKinds lists the kinds of events by their code, with the names that errors have always given them.
+// eventKinds holds the kinds of events, indexed by their code on the wire. The names appear in
+// errors and do not change.
 var eventKinds = [...]eventKind{
 	eventCreate:          hostEvent("Create", readCreate, (*host).create),
 	eventEndpoints:       instanceEvent("View", readEndpoints, (*instance).handleEndpoints),
@@ -41,7 +42,7 @@
 	eventCounterResult:   instanceEvent("TallyBack", readCounterResult, (*instance).handleCounterResult),
 }
 
-// hostEvent returns a kind of event that the host handles, whether or not the instance exists.
+// hostEvent returns a kind of event that the host handles itself, whether or not the instance exists.
 func hostEvent[M any](
 	name string,
 	read func(*simwire.Frame) (M, error),
@@ -57,8 +58,8 @@
 	}}
 }
 
-// instanceEvent returns a kind of event that an instance handles. An event of an instance that does not exist
-// is ignored.
+// instanceEvent returns a kind of event that the instance handles. An event for an instance that does not exist
+// is read and ignored.
 func instanceEvent[M any](
 	name string,
 	read func(*simwire.Frame) (M, error),
@@ -76,7 +77,7 @@
 	}}
 }
 
-// readMessage reads a message. It returns an error unless the whole record could be read.
+// readMessage reads the message of a record. It returns an error unless the whole record could be read.
 func readMessage[M any](f *simwire.Frame, read func(*simwire.Frame) (M, error)) (M, error) {
 	message, err := read(f)
 	if err == nil {
@@ -85,25 +86,25 @@
 	return message, err
 }
 
-// handleFrame answers one frame. A panic in the engine is reported on the wire; an error means that the
-// frame is malformed.
-func (h *host) handleFrame(f *simwire.Frame) error {
-	now := instantFromMillis(f.ClockMillis)
-	for n := range f.RecordCount {
-		offset := f.Offset()
-		code := f.Uint8()
-		name, err := h.handleRecord(now, code, f)
+// handleFrame handles all records of a frame and adds the actions to the reply. A panic in the engine becomes an
+// action in the reply; an error means that the frame is malformed.
+func (h *host) handleFrame(frame *simwire.Frame) error {
+	now := instantFromMillis(frame.ClockMillis)
+	for recordNumber := range frame.RecordCount {
+		offset := frame.Offset()
+		code := frame.Uint8()
+		name, err := h.handleRecord(now, code, frame)
 		if err != nil {
-			return fmt.Errorf("record %d (code %d %s) at byte %d: %w", n, code, name, offset, err)
+			return fmt.Errorf("record %d (code %d %s) at byte %d: %w", recordNumber, code, name, offset, err)
 		}
 	}
-	if f.Remaining() > 0 {
-		return fmt.Errorf("%d bytes after the last of %d records", f.Remaining(), f.RecordCount)
+	if frame.Remaining() > 0 {
+		return fmt.Errorf("%d bytes after the last of %d records", frame.Remaining(), frame.RecordCount)
 	}
 	return nil
 }
 
-// handleRecord handles one record and returns the name of its kind of event, or "" if there is no such kind.
+// handleRecord handles one record. It returns the name of the event's kind, or "" if the code is unknown.
 func (h *host) handleRecord(now policy.Instant, code uint8, f *simwire.Frame) (name string, err error) {
 	wireID := f.Uint32()
 	if int(code) < len(eventKinds) {
@@ -127,28 +128,28 @@
 	engineCall()
 }
 
-// endInstanceWithFailure ends an instance and reports why.
+// endInstanceWithFailure removes an instance and reports the reason to the simulator.
 func (h *host) endInstanceWithFailure(wireID uint32, reason string) {
 	delete(h.instances, wireID)
 	h.reply.Record(actionInstanceFailed).Uint32(wireID).Text(reason)
 }
 
-// create starts an instance, and replaces the one with the same ID if there is one.
+// create starts an instance. An existing instance with the same ID is replaced.
 func (h *host) create(now policy.Instant, wireID uint32, m createMessage) {
 	settings, err := config.ParseSettings(m.settings)
 	if err != nil {
 		h.endInstanceWithFailure(wireID, err.Error())
 		return
 	}
-	in := &instance{wireID: wireID, reply: &h.reply, requests: map[policy.RequestID]*policy.Request{}}
-	h.instances[wireID] = in
+	created := &instance{wireID: wireID, reply: &h.reply, requests: map[policy.RequestID]*policy.Request{}}
+	h.instances[wireID] = created
 	h.callWithRecover(wireID, func() {
-		in.engine = policy.New(policy.Options{Now: now, Seed: m.seed, Settings: settings, Effects: in})
+		created.engine = policy.New(policy.Options{Now: now, Seed: m.seed, Settings: settings, Effects: created})
 	})
 }
 
-// kill ends an instance without a reply.
+// kill removes an instance; no action is sent in reply.
 func (h *host) kill(_ policy.Instant, wireID uint32, _ emptyMessage) { delete(h.instances, wireID) }
 
-// ignore handles messages from other instances: the engine sends none and expects none.
+// ignore drops a message from another instance. The engine neither sends nor uses such messages.
 func (h *host) ignore(policy.Instant, uint32, emptyMessage) {}
--- a/internal/simadapter/instance.go
+++ b/internal/simadapter/instance.go
@@ -16,34 +16,34 @@
 	actionCancel      uint8 = 67
 	actionWakeAt      uint8 = 68
 	actionCheckHealth uint8 = 69
-	// 70, drop connections, is not used: idle ones close by themselves.
+	// 70, drop connections, is not used: idle connections close by themselves.
 	// 71, message to another instance, is not used: instances share only the counter.
 	actionLog            uint8 = 72
 	actionInstanceFailed uint8 = 73
 	actionWatch          uint8 = 74
-	// 75, refresh, is not used: a watch delivers what was missed.
+	// 75, refresh, is not used: a watch delivers missed changes.
 	actionAddToCounter uint8 = 76
 )
 
-// instance is one gateway instance: its engine, and its requests in flight. It implements policy.Effects
-// for the engine: each effect becomes an action in the reply.
+// instance is one gateway instance with its engine and its requests in flight. It implements policy.Effects for the
+// engine: each effect becomes an action in the reply.
 type instance struct {
-	wireID   uint32         // the simulator's number of the instance, which is not policy.Settings.InstanceIndex
-	reply    *simwire.Reply // the host's, which all instances share
+	wireID   uint32         // the simulator's number of the instance, unrelated to policy.Settings.InstanceIndex
+	reply    *simwire.Reply // the host's reply, shared by all instances
 	engine   *policy.Engine
 	requests map[policy.RequestID]*policy.Request
 }
 
 var _ policy.Effects = (*instance)(nil)
 
-// action starts an action's record.
+// action starts the record of an action of this instance.
 func (in *instance) action(code uint8) *simwire.Reply {
 	return in.reply.Record(code).Uint32(in.wireID)
 }
 
-// Send sends an attempt. The simulator sends at once, so the time by which the attempt has to begin is not
-// used. No attempt number is sent: the simulator numbers a request's attempts from 0 in the order of the actions,
-// as the engine does.
+// Send sends an attempt. The simulator sends attempts immediately, so the time by which the attempt has to begin is
+// not used. The record has no attempt number: the simulator numbers the attempts of a request from 0 in the order of
+// the actions, as the engine does.
 func (in *instance) Send(attempt policy.AttemptSpec) {
 	record := in.action(actionSend).Uint64(uint64(attempt.Request)).Uint32(uint32(attempt.Backend))
 	record.Float64(instantMillis(attempt.ExpiresAt))
@@ -66,10 +66,10 @@
 	in.forgetIfDone(id)
 }
 
-// Admit does nothing: the wire has no class that only counts.
+// Admit does nothing: the wire cannot express a class with CheckOnly.
 func (in *instance) Admit(policy.RequestID) {}
 
-// WakeAt asks for a timer event.
+// WakeAt requests a timer event.
 func (in *instance) WakeAt(at policy.Instant, timer policy.TimerID) {
 	in.action(actionWakeAt).Float64(instantMillis(at)).Uint64(uint64(timer))
 }
@@ -79,15 +79,15 @@
 	in.action(actionAddToCounter).Uint64(uint64(key)).Float32(units).Float64(durationMillis(lifetime))
 }
 
-// CheckHealth asks for a health check.
+// CheckHealth requests a health check.
 func (in *instance) CheckHealth(backend policy.BackendID) {
 	in.action(actionCheckHealth).Uint32(uint32(backend))
 }
 
-// WatchEndpoints asks for the endpoint list and its changes.
+// WatchEndpoints requests the endpoint list and its later changes.
 func (in *instance) WatchEndpoints() { in.action(actionWatch).Uint8(1) }
 
-// LogUnknownClassOrPlan writes to the simulator's log.
+// LogUnknownClassOrPlan reports an aborted request in the simulator's log.
 func (in *instance) LogUnknownClassOrPlan(class policy.ClassID, plan policy.PlanID) {
 	in.log(fmt.Sprintf("request aborted: unknown class %d or plan %d", class, plan))
 }
@@ -95,28 +95,28 @@
 // log writes a text to the simulator's log.
 func (in *instance) log(text string) { in.action(actionLog).Text(text) }
 
-// forgetIfDone forgets a request once no further event can come for it. The effects that give a final answer
-// call it too, since the counter's answer or a timer may end a request with no attempt in flight, and then no
-// event of the request follows.
+// forgetIfDone removes a request once no further event can refer to it. The effects that answer a request call it
+// too: a counter result or a timer may end a request that has no attempt in flight, and then no further event of the
+// request follows.
 func (in *instance) forgetIfDone(id policy.RequestID) {
 	if request := in.requests[id]; request != nil && request.Done() {
 		delete(in.requests, id)
 	}
 }
 
-// The handlers of events. Events of requests that are not in flight, or no longer are, are ignored: the
-// simulator's events and the instance's answers may cross on the way.
+// The methods below handle events. Events of requests that are not, or no longer, in flight are ignored, because an
+// event may be sent before the simulator has received the instance's answer to the request.
 
 func (in *instance) handleEndpoints(now policy.Instant, m endpointsMessage) {
-	for _, u := range m.unknownStates {
-		in.log(fmt.Sprintf("backend %d has unknown state %d: taken for draining", u.backend, u.state))
+	for _, unknown := range m.unknownStates {
+		in.log(fmt.Sprintf("backend %d has unknown state %d: taken for draining", unknown.backend, unknown.state))
 	}
 	in.engine.UpdateEndpoints(now, m.kind, m.endpoints)
 }
 
 func (in *instance) handleSubmit(now policy.Instant, m submitMessage) {
 	in.requests[m.spec.ID] = in.engine.Submit(now, m.spec)
-	in.forgetIfDone(m.spec.ID) // an effect that answers within Submit comes before the request is in the map
+	in.forgetIfDone(m.spec.ID) // needed because an effect that answers during Submit precedes the map entry
 }
 
 func (in *instance) handleResponseStarted(now policy.Instant, m responseStartedMessage) {
--- a/internal/simadapter/messages.go
+++ b/internal/simadapter/messages.go
@@ -10,8 +10,8 @@
 	"fawnplank/policy"
 )
 
-// This file reads the bodies of events. The readers do not check the frame's error: readMessage does, before a
-// message is used. The errors that they return themselves are about values that the wire does not define.
+// The functions in this file read the bodies of events. They do not check the frame's error: readMessage does so
+// before a message is used. The errors that they return concern values that the wire format does not define.
 
 // Codes of the events on the wire.
 const (
@@ -36,7 +36,7 @@
 	updateFailed         = 3
 )
 
-// updateKinds maps a kind on the wire to the engine's.
+// updateKinds maps a kind of update on the wire to the engine's.
 var updateKinds = map[uint8]policy.UpdateKind{
 	updateDelta:          policy.Delta,
 	updateFullSnapshot:   policy.FullSnapshot,
@@ -61,7 +61,7 @@
 	return float64(duration) / float64(time.Millisecond)
 }
 
-// maxCount bounds counts, so that they fit into an int of any size.
+// maxCount bounds counts, so that they fit into an int on every platform.
 const maxCount = 1e9
 
 // truncateCount truncates a count, which the wire sends as a real number, to a whole number from 0 to maxCount.
@@ -91,7 +91,8 @@
 	statusNotSent:        policy.NotSent,
 }
 
-// outcomeFromStatus translates a status. After a fault in the frame there is no status, and the frame's error counts.
+// outcomeFromStatus returns the outcome that a status stands for. After a read error in the frame the status is not
+// valid and is not checked; readMessage returns the frame's error.
 func outcomeFromStatus(f *simwire.Frame, status uint16) (policy.Outcome, error) {
 	outcome, ok := outcomes[status]
 	if f.Err() == nil && !ok {
@@ -103,7 +104,7 @@
 // createMessage starts an instance.
 type createMessage struct {
 	seed     uint64
-	settings []byte // JSON; memory of the frame
+	settings []byte // JSON; valid until the next frame is read
 }
 
 func readCreate(f *simwire.Frame) (createMessage, error) {
@@ -118,7 +119,7 @@
 	unknownStates []unknownState
 }
 
-// unknownState is a state that the wire does not define. Its backend counts as draining.
+// unknownState is a backend's state that the wire format does not define. The backend is treated as draining.
 type unknownState struct {
 	backend policy.BackendID
 	state   uint8
@@ -127,28 +128,28 @@
 func readEndpoints(f *simwire.Frame) (endpointsMessage, error) {
 	const entryBytes = 22
 	kind := f.Uint8()
-	f.Uint64() // the list's version: the wire sends no list twice
+	f.Uint64() // version of the list; unused, because the simulator sends no list twice
 	updateKind, known := updateKinds[kind]
 	m := endpointsMessage{kind: updateKind}
 	m.endpoints = make([]policy.Endpoint, f.CheckCount(int(f.Uint32()), entryBytes))
-	for n := range m.endpoints {
-		endpoint := &m.endpoints[n]
+	for index := range m.endpoints {
+		endpoint := &m.endpoints[index]
 		if state, known := readEndpoint(f, endpoint); !known {
 			m.unknownStates = append(m.unknownStates, unknownState{backend: endpoint.Backend, state: state})
 		}
 	}
 	if !known {
-		return m, fmt.Errorf("unknown kind of list %d", kind)
+		return m, fmt.Errorf("unknown kind of endpoint update %d", kind)
 	}
 	return m, nil
 }
 
-// readEndpoint reads an entry of a list. It returns the entry's state on the wire and whether the wire
-// defines it.
+// readEndpoint reads one entry of the endpoint list. It returns the entry's state on the wire and whether the wire
+// format defines that state.
 func readEndpoint(f *simwire.Frame, endpoint *policy.Endpoint) (state uint8, known bool) {
 	endpoint.Backend = policy.BackendID(f.Uint32())
 	endpoint.Zone = policy.ZoneID(f.Uint16())
-	f.Uint8() // the kind of machine: the answer times show it
+	f.Uint8() // kind of machine; unused, because the measured answer times reflect it
 	endpoint.Group = policy.GroupID(f.Uint16())
 	state = f.Uint8()
 	endpoint.Weight = f.Float32()
@@ -180,11 +181,11 @@
 	m.spec.Units = f.Float32()
 	m.spec.EntryPoints = truncateCount(f.Float32())
 	m.spec.FirstInstance = truncateCount(f.Float32())
-	f.Uint8() // flags: the engine uses none
+	f.Uint8() // flags; the engine uses none of them
 	return m, nil
 }
 
-// responseStartedMessage reports the first byte of an attempt's answer.
+// responseStartedMessage reports that the first byte of an attempt's answer has arrived.
 type responseStartedMessage struct {
 	id      policy.RequestID
 	attempt policy.AttemptID
@@ -193,8 +194,8 @@
 func readResponseStarted(f *simwire.Frame) (responseStartedMessage, error) {
 	m := responseStartedMessage{id: policy.RequestID(f.Uint64())}
 	m.attempt = policy.AttemptID(f.Uint8())
-	f.Uint32()  // the backend: known from the attempt
-	f.Float64() // the time since it was sent: known as well
+	f.Uint32()  // the backend, which the engine knows from the attempt
+	f.Float64() // the time since the attempt was sent, which the engine knows too
 	return m, nil
 }
 
@@ -207,11 +208,11 @@
 func readAttemptResult(f *simwire.Frame) (attemptResultMessage, error) {
 	m := attemptResultMessage{id: policy.RequestID(f.Uint64())}
 	m.result.Attempt = policy.AttemptID(f.Uint8())
-	f.Uint32() // the backend: known from the attempt
+	f.Uint32() // the backend, which the engine knows from the attempt
 	status := f.Uint16()
 	m.result.Elapsed = config.Milliseconds(f.Float64())
 	m.result.RequestDone = f.Uint8() != 0
-	f.Uint16() // the meter: the engine uses the counter
+	f.Uint16() // the meter; unused, because the engine uses the counter
 	m.result.ActualUnits = float64(f.Uint16())
 	skipLoadReport(f)
 	var err error
@@ -226,7 +227,7 @@
 	return clientGoneMessage{id: policy.RequestID(f.Uint64())}, nil
 }
 
-// timerMessage reports a timer that the engine asked for.
+// timerMessage reports that a timer requested by the engine is due.
 type timerMessage struct{ timer policy.TimerID }
 
 func readTimer(f *simwire.Frame) (timerMessage, error) {
@@ -242,14 +243,14 @@
 func readHealthCheck(f *simwire.Frame) (healthCheckMessage, error) {
 	m := healthCheckMessage{backend: policy.BackendID(f.Uint32())}
 	status := f.Uint16()
-	f.Float64() // how long it took: the engine uses the time that requests take
+	f.Float64() // duration of the check; unused, because the engine measures requests
 	skipLoadReport(f)
 	var err error
 	m.outcome, err = outcomeFromStatus(f, status)
 	return m, err
 }
 
-// counterResultMessage is the answer of the shared counter.
+// counterResultMessage reports the result of a call to the shared counter.
 type counterResultMessage struct {
 	result policy.CounterResult
 }
@@ -258,14 +259,14 @@
 	status := f.Uint16()
 	var m counterResultMessage
 	m.result.Key = policy.CounterKey(f.Uint64())
-	f.Float64() // how long the call took
+	f.Float64() // duration of the call
 	m.result.Total = f.Float32()
 	var err error
 	m.result.Outcome, err = outcomeFromStatus(f, status)
 	return m, err
 }
 
-// emptyMessage stands for an event whose fields, if any, the engine does not use.
+// emptyMessage is the message of an event whose fields, if any, the engine does not use.
 type emptyMessage struct{}
 
 func readEmpty(*simwire.Frame) (emptyMessage, error) { return emptyMessage{}, nil }
@@ -277,7 +278,7 @@
 	return emptyMessage{}, nil
 }
 
-// skipLoadReport skips a load report: the engine uses what the backends answer.
+// skipLoadReport skips a backend's load report. The engine uses the outcomes and durations of attempts instead.
 func skipLoadReport(f *simwire.Frame) {
 	const numberBytes = 4
 	f.Bytes(numberBytes * int(f.Uint8()))
--- a/internal/simwire/frame.go
+++ b/internal/simwire/frame.go
@@ -1,11 +1,12 @@
-// Package simwire frames and packs the simulator's binary records: little-endian, no padding. The simulator
-// sends frames of events, which Frame reads; each is answered by one Reply of actions.
+// Package simwire encodes and decodes the simulator's binary records, which are little-endian and have no padding.
+// The simulator sends frames of events, which Frame decodes. Each frame is answered by one Reply, which encodes
+// actions.
 //
-//	frame: uint32 length of the body, uint32 records, float64 clock in ms; then the body
-//	reply: uint32 records, uint32 length of the body; then the body
+//	frame: uint32 length of the body, uint32 number of records, float64 clock in ms; then the body
+//	reply: uint32 number of records, uint32 length of the body; then the body
 //
-// A record begins with a byte for its kind; the caller knows which fields follow. A Frame and a Reply each
-// belong to one goroutine, which reuses them: they keep their memory.
+// A record begins with one byte for its kind, which determines the fields that follow; the caller reads and writes
+// them. Frame and Reply keep their buffers for reuse. They are not safe for concurrent use.
 package simwire
 
 import (
@@ -18,28 +19,28 @@
 
 const (
 	frameHeaderBytes = 16
-	// maxClockMillis, in ms, is about thirty years: a clock beyond it is damaged.
+	// maxClockMillis is about thirty years; a frame with a larger clock is treated as corrupt.
 	maxClockMillis = 1e12
-	// maxBodyBytes bounds a frame's body, so that a damaged length is an error and not a huge allocation.
+	// maxBodyBytes bounds a frame's body, so that a corrupt length causes an error instead of a huge allocation.
 	maxBodyBytes = 1 << 30
 )
 
-// ErrEndOfInput is the error of ReadFrame when the input ends between two frames. It differs from io.EOF, which an
-// input that ends right after a header gives as well.
+// ErrEndOfInput is returned by ReadFrame if the input ends between two frames. It is distinct from io.EOF, which
+// ReadFrame also wraps if the input ends directly after a header.
 var ErrEndOfInput = errors.New("simwire: end of input")
 
-// Frame is one batch of events, which is read field by field. The first fault sticks: all later reads return
-// zero, and Err returns the fault. Callers read a whole record and then check once.
+// Frame is one batch of events, which is read field by field. After the first error, all later reads return zero
+// values and Err returns that error, so callers can read a whole record and then check Err once.
 type Frame struct {
 	ClockMillis float64 // the simulator's time, in ms
-	RecordCount int     // how many the body holds
+	RecordCount int     // number of records in the body
 	body        []byte
-	offset      int // of the next field in the body
+	offset      int // position of the next field in body
 	err         error
 }
 
-// ReadFrame reads the next frame into f. It reuses f's memory and so overwrites what Bytes returned before.
-// At the end of input between two frames it returns ErrEndOfInput.
+// ReadFrame reads the next frame into f. It reuses f's buffer and so overwrites slices returned by Bytes. It returns
+// ErrEndOfInput if the input ends before the first byte of a frame.
 func ReadFrame(r io.Reader, f *Frame) error {
 	var header [frameHeaderBytes]byte
 	n, err := io.ReadFull(r, header[:])
@@ -67,13 +68,13 @@
 
 func checkHeader(size, recordCount uint32, clockMillis float64) error {
 	if size > maxBodyBytes {
-		return fmt.Errorf("frame header: impossible length %d", size)
+		return fmt.Errorf("frame header: body length %d exceeds the maximum", size)
 	}
 	if recordCount > size { // a record has at least one byte
-		return fmt.Errorf("frame header: impossible count of %d records in %d bytes", recordCount, size)
+		return fmt.Errorf("frame header: %d records do not fit into a body of %d bytes", recordCount, size)
 	}
 	if math.IsNaN(clockMillis) || math.Abs(clockMillis) > maxClockMillis {
-		return fmt.Errorf("frame header: impossible clock %v", clockMillis)
+		return fmt.Errorf("frame header: clock %v is not a number or out of range", clockMillis)
 	}
 	return nil
 }
@@ -84,20 +85,20 @@
 // Remaining returns the number of bytes not yet read.
 func (f *Frame) Remaining() int { return len(f.body) - f.offset }
 
-// Err returns the first fault, or nil if there is none.
+// Err returns the first error, or nil if there is none.
 func (f *Frame) Err() error { return f.err }
 
-// failf records a fault at the next field, unless one is recorded already.
+// failf records an error at the next field, unless an error is already recorded.
 func (f *Frame) failf(format string, args ...any) {
 	if f.err == nil {
 		f.err = fmt.Errorf("byte %d: %s", f.offset, fmt.Sprintf(format, args...))
 	}
 }
 
-// next returns the next n bytes, or nil after a fault.
+// next returns the next n bytes, or nil after an error.
 func (f *Frame) next(n int) []byte {
 	if n > f.Remaining() {
-		f.failf("field of %d bytes, %d left", n, f.Remaining())
+		f.failf("field needs %d bytes, %d left", n, f.Remaining())
 	}
 	if f.err != nil {
 		return nil
@@ -106,7 +107,7 @@
 	return f.body[f.offset-n : f.offset]
 }
 
-// Uint8 reads a number of one byte.
+// Uint8 reads an unsigned integer of one byte.
 func (f *Frame) Uint8() uint8 {
 	if field := f.next(1); field != nil {
 		return field[0]
@@ -114,7 +115,7 @@
 	return 0
 }
 
-// Uint16 reads a number of two bytes.
+// Uint16 reads an unsigned integer of two bytes.
 func (f *Frame) Uint16() uint16 {
 	if field := f.next(2); field != nil {
 		return binary.LittleEndian.Uint16(field)
@@ -122,7 +123,7 @@
 	return 0
 }
 
-// Uint32 reads a number of four bytes.
+// Uint32 reads an unsigned integer of four bytes.
 func (f *Frame) Uint32() uint32 {
 	if field := f.next(4); field != nil {
 		return binary.LittleEndian.Uint32(field)
@@ -130,7 +131,7 @@
 	return 0
 }
 
-// Uint64 reads a number of eight bytes.
+// Uint64 reads an unsigned integer of eight bytes.
 func (f *Frame) Uint64() uint64 {
 	if field := f.next(8); field != nil {
 		return binary.LittleEndian.Uint64(field)
@@ -138,32 +139,33 @@
 	return 0
 }
 
-// Float32 reads a real number of four bytes. One that is not finite is a fault.
+// Float32 reads a floating-point number of four bytes. A value that is not finite is an error.
 func (f *Frame) Float32() float64 { return f.checkFinite(float64(math.Float32frombits(f.Uint32()))) }
 
-// Float64 reads a real number of eight bytes. One that is not finite is a fault.
+// Float64 reads a floating-point number of eight bytes. A value that is not finite is an error.
 func (f *Frame) Float64() float64 { return f.checkFinite(math.Float64frombits(f.Uint64())) }
 
 func (f *Frame) checkFinite(number float64) float64 {
 	if math.IsNaN(number) || math.IsInf(number, 0) {
-		f.failf("no finite number")
+		f.failf("number is not finite")
 		return 0
 	}
 	return number
 }
 
-// Bytes reads n bytes. They belong to the frame and last until the next ReadFrame.
+// Bytes reads n bytes. The slice is part of the frame's buffer and is valid until the next ReadFrame.
 func (f *Frame) Bytes(n int) []byte {
 	if n > f.Remaining() {
-		f.failf("impossible count %d, %d bytes left", n, f.Remaining())
+		f.failf("count of %d bytes exceeds the %d bytes left", n, f.Remaining())
 	}
 	return f.next(n)
 }
 
-// CheckCount checks that n entries of size bytes each can still follow, and returns n, or 0 after a fault.
+// CheckCount returns count if that many entries of entryBytes each fit into the rest of the body. Otherwise it records
+// an error. It returns 0 after an error.
 func (f *Frame) CheckCount(count, entryBytes int) int {
 	if count > f.Remaining()/entryBytes {
-		f.failf("impossible count of %d entries, %d bytes left", count, f.Remaining())
+		f.failf("count of %d entries exceeds the %d bytes left", count, f.Remaining())
 	}
 	if f.err != nil {
 		return 0
--- a/internal/simwire/simwire_test.go
+++ b/internal/simwire/simwire_test.go
@@ -10,7 +10,7 @@
 	"testing"
 )
 
-// frameOf puts a reply's body behind the header of a frame, as the simulator would send it.
+// frameOf returns a frame as the simulator sends it, with the body of reply.
 func frameOf(t *testing.T, clockMillis float64, recordCount uint32, reply *Reply) []byte {
 	t.Helper()
 	var encoded bytes.Buffer
@@ -35,10 +35,10 @@
 	}
 	code, a, b, c := frame.Uint8(), frame.Uint16(), frame.Uint32(), frame.Uint64()
 	if code != 7 || a != 300 || b != 70000 || c != 1<<40 {
-		t.Errorf("whole numbers %d %d %d %d", code, a, b, c)
+		t.Errorf("integers %d %d %d %d", code, a, b, c)
 	}
 	if a, b := frame.Float32(), frame.Float64(); a != 0.5 || b != -2.25 {
-		t.Errorf("real numbers %v %v", a, b)
+		t.Errorf("floating-point numbers %v %v", a, b)
 	}
 	if text := string(frame.Bytes(int(frame.Uint16()))); text != "abc" || frame.Remaining() != 0 || frame.Err() != nil {
 		t.Errorf("text %q, %d bytes left, %v", text, frame.Remaining(), frame.Err())
@@ -54,9 +54,9 @@
 	frame.Uint8()
 	frame.Float32()
 	if frame.Uint8() != 0 || frame.CheckCount(1, 1) != 0 || frame.Bytes(9) != nil {
-		t.Error("a read after a fault gave something")
+		t.Error("a read after an error returned a value other than zero")
 	}
-	if err := frame.Err(); err == nil || err.Error() != "byte 5: no finite number" {
+	if err := frame.Err(); err == nil || err.Error() != "byte 5: number is not finite" {
 		t.Error(err)
 	}
 }
@@ -64,15 +64,15 @@
 func TestReadFrame_EndOfInput(t *testing.T) {
 	var f Frame
 	if err := ReadFrame(strings.NewReader(""), &f); !errors.Is(err, ErrEndOfInput) {
-		t.Errorf("between two frames: %v", err)
+		t.Errorf("end of input between two frames: %v", err)
 	}
 	err := ReadFrame(strings.NewReader("abc"), &f)
 	if !errors.Is(err, io.ErrUnexpectedEOF) || errors.Is(err, ErrEndOfInput) {
-		t.Errorf("within a header: %v", err)
+		t.Errorf("end of input within a header: %v", err)
 	}
 	frame := frameOf(t, 0, 1, (&Reply{}).Record(1))
 	if err := ReadFrame(bytes.NewReader(frame[:frameHeaderBytes]), &f); err == nil || errors.Is(err, ErrEndOfInput) {
-		t.Errorf("behind a header: %v", err)
+		t.Errorf("end of input after a header: %v", err)
 	}
 }
 
@@ -83,10 +83,10 @@
 		t.Fatal(err)
 	}
 	if want := replyHeaderBytes + 1 + 2 + math.MaxUint16; out.Len() != want {
-		t.Errorf("%d bytes, want %d: a text is cut to what its length can say", out.Len(), want)
+		t.Errorf("%d bytes, want %d: a text longer than its length field can express is truncated", out.Len(), want)
 	}
 	out.Reset()
 	if _, err := reply.WriteTo(&out); err != nil || !bytes.Equal(out.Bytes(), make([]byte, replyHeaderBytes)) {
-		t.Errorf("%v, %v", out.Bytes(), err)
+		t.Errorf("reply after WriteTo: %v, %v", out.Bytes(), err)
 	}
 }
