--- a/cmd/fawnplank/accounts.go
+++ b/cmd/fawnplank/accounts.go
@@ -13,33 +13,34 @@
 	"fawnplank/internal/metrics"
 )
 
-// accounts manages the tenants' accounts in the store, if the operator file enables them. It owns the billing
-// service. KeysChanged and UpdateSettings are safe for concurrent use.
+// accounts runs the billing service, which keeps the tenants' accounts in the store, if the operator file enables
+// billing. KeysChanged and UpdateSettings are safe for concurrent use.
 type accounts struct {
-	service  *billingservice.Service // nil if billing is off; Start sets it before anything that reads it runs
+	service  *billingservice.Service // nil if billing is off; set by Start, before its readers run
 	settings atomic.Pointer[billing.Settings]
 	changes  *notifier
 
 	mu          sync.Mutex
 	enabled     bool
-	changedKeys []string // account keys whose change has not been passed to the service yet
+	changedKeys []string // changed account keys that have not been passed to the service yet
 }
 
 func newAccounts() *accounts { return &accounts{changes: newNotifier()} }
 
 // accountsOptions configures accounts.Start.
 type accountsOptions struct {
-	Replica       *replica // if nil, billing must be off
+	Replica       *replica // nil without a store; billing must then be off
 	Configuration *config.Config
 	Operator      *config.Operator
 	Metrics       *metrics.Registry
 }
 
-// errBillingNeedsStore completes a sentence that begins with the section of the operator file.
-var errBillingNeedsStore = errors.New("is on, and needs the replicated store (--store)")
+// errBillingNeedsStore is returned if billing is enabled without a store. The caller adds the name of the section of
+// the operator file, "billing", in front of the text.
+var errBillingNeedsStore = errors.New("is enabled, but requires the replicated store (--store)")
 
-// Start starts the billing service on the replica. It does nothing if the operator file leaves billing off. It
-// returns errBillingNeedsStore if billing is on without a replica.
+// Start starts the billing service on the replica. It does nothing if the operator file does not enable billing. It
+// returns errBillingNeedsStore if billing is enabled and there is no replica.
 func (a *accounts) Start(options accountsOptions) error {
 	if !options.Operator.Billing.Enabled {
 		return nil
@@ -49,7 +50,7 @@
 	}
 	a.UpdateSettings(options.Configuration, options.Operator)
 	a.mu.Lock()
-	a.enabled = true // set before the service reads the accounts, so that the service misses no later change
+	a.enabled = true // set before the service reads the accounts, so that no later change is missed
 	a.mu.Unlock()
 	a.service = billingservice.Start(billingservice.Options{
 		Replica:        options.Replica.Store,
@@ -63,7 +64,7 @@
 	return nil
 }
 
-// newExportSink returns what receives the records of usage, or nil if nothing does.
+// newExportSink returns the receiver of exported usage records, or nil if the operator file names none.
 func newExportSink(settings config.Billing) billingservice.Sink {
 	switch {
 	case settings.ExportFolder != "":
@@ -75,7 +76,7 @@
 	}
 }
 
-// UpdateSettings applies the plans of a configuration.
+// UpdateSettings applies the plans of the configuration and the billing settings of the operator file.
 func (a *accounts) UpdateSettings(configuration *config.Config, operator *config.Operator) {
 	settings := operator.Billing.Settings()
 	settings.Plans = map[string]billing.Quota{}
@@ -86,8 +87,8 @@
 	a.settings.Store(&settings)
 }
 
-// KeysChanged records the account keys among keys, which have changed in the store, and notifies the service.
-// It does not block.
+// KeysChanged is called with the keys that have changed in the store. It records the account keys among them and
+// notifies the service. It does not block.
 func (a *accounts) KeysChanged(keys []string) {
 	a.mu.Lock()
 	for _, key := range keys {
@@ -107,10 +108,10 @@
 	return keys
 }
 
-// CloseService reports all recorded usage and stops the billing service. It needs the replica, so it is called
-// before the replica has stopped. It may be called more than once.
+// CloseService reports all recorded usage and stops the billing service. It must be called before the replica is
+// closed, because it writes to the replica. It may be called more than once.
 func (a *accounts) CloseService() { a.service.Close() }
 
-// StopNotifications stops the notification of changes. It does not stop the service. It is called once, after the
-// replica has stopped, which sends the changes.
+// StopNotifications stops the notification of changed keys but not the service. It must be called once, after the
+// replica is closed, because the replica calls KeysChanged until then.
 func (a *accounts) StopNotifications() { a.changes.Close() }
--- a/cmd/fawnplank/command_billing.go
+++ b/cmd/fawnplank/command_billing.go
@@ -12,24 +12,25 @@
 	"fawnplank/internal/billingservice"
 )
 
-// exampleTenant is the tenant in the examples of the help.
+// exampleTenant is the tenant in the examples of the help texts.
 const exampleTenant = "0000000000000005"
 
-// billingSubcommands are the verbs that each send one limit command, with their arguments, to a limits address.
+// billingSubcommands constructs the subcommands of "billing" that send one limit command, with the subcommand's
+// arguments, to a limits address.
 type billingSubcommands struct{ client func() limitsClient }
 
-// plans returns the verbs for changes of a tenant's plan.
+// plans returns the subcommands that change a tenant's plan.
 func (v billingSubcommands) plans() []subcommand {
 	return []subcommand{
 		{
 			use:     "change TENANT ID PLAN AT",
-			short:   "Change a plan from a moment on (ms since 1970, or +ms)",
+			short:   "Change a plan at a time (ms since 1970, or +ms from now)",
 			example: "change " + exampleTenant + " spring-1 large +60000",
 			run:     v.sendFunc("PLAN.CHANGE"),
 		},
 		{
 			use:     "take-back TENANT ID",
-			short:   "Withdraw a change that no gateway applies yet",
+			short:   "Withdraw a change that no gateway has applied yet",
 			example: "take-back " + exampleTenant + " spring-1",
 			run:     v.sendFunc("PLAN.TAKEBACK"),
 		},
@@ -42,18 +43,18 @@
 	}
 }
 
-// reservations returns the verbs for the units that are set aside for a holder.
+// reservations returns the subcommands that reserve units for a holder.
 func (v billingSubcommands) reservations() []subcommand {
 	return []subcommand{
 		{
 			use:     "reserve TENANT ID HOLDER PLAN UNITS LEASE-MS",
-			short:   "Reserve units; prints the epoch, the units reserved, and until when",
+			short:   "Reserve units; prints the epoch, the reserved units and the end of the lease",
 			example: "reserve " + exampleTenant + " b1 batch-host team 500 60000",
 			run:     v.sendFunc("RESERVE.NEW"),
 		},
 		{
 			use:     "commit TENANT ID EPOCH UNITS",
-			short:   "Turn reserved units into usage",
+			short:   "Record reserved units as used",
 			example: "commit " + exampleTenant + " b1 7 20",
 			run:     v.sendFunc("RESERVE.COMMIT"),
 		},
@@ -65,13 +66,13 @@
 		},
 		{
 			use:     "take TENANT ID HOLDER LEASE-MS",
-			short:   "Move a reservation from its holder to another",
+			short:   "Move a reservation to another holder",
 			example: "take " + exampleTenant + " b1 other-host 60000",
 			run:     v.sendFunc("RESERVE.TAKE"),
 		},
 		{
 			use:     "release TENANT ID EPOCH",
-			short:   "Release what is left of a reservation",
+			short:   "Release the remaining units of a reservation",
 			example: "release " + exampleTenant + " b1 9",
 			run:     v.sendFunc("RESERVE.RELEASE"),
 		},
@@ -83,14 +84,15 @@
 		},
 		{
 			use:     "room TENANT PLAN",
-			short:   "Show how much may still be reserved",
+			short:   "Show how many units may still be reserved",
 			example: "room " + exampleTenant + " team",
 			run:     v.sendFunc("RESERVE.ROOM"),
 		},
 	}
 }
 
-// sendFunc returns what sends a limit command, with the arguments of a verb, and writes its answer.
+// sendFunc returns the run function of a subcommand that sends the named limit command with the subcommand's
+// arguments and writes the answer.
 func (v billingSubcommands) sendFunc(name string) func(context.Context, io.Writer, []string) error {
 	return func(ctx context.Context, out io.Writer, args []string) error {
 		answer, err := v.client().call(ctx, append([]string{name}, args...))
@@ -102,11 +104,11 @@
 	}
 }
 
-// billingCommand returns the command group for the accounts.
+// billingCommand returns the command group for plan changes, reservations and the export of usage.
 func billingCommand(globals *globalFlags) *cobra.Command {
 	command := &cobra.Command{
 		Use:   "billing VERB",
-		Short: "Change plans, reserve units, repair the export (docs/billing.md)",
+		Short: "Change plans, reserve units and resume the export (docs/billing.md)",
 	}
 	var client limitsClient
 	flags := command.PersistentFlags()
@@ -134,10 +136,10 @@
 func billingResumeCommand(globals *globalFlags) *cobra.Command {
 	var r billingResumeFlags
 	command := &cobra.Command{
-		Use: "resume", Short: "Export again, after the store was restored from an old backup", Args: cobra.NoArgs,
-		Long: `Continues with sequences behind those that the receiver has, and drops usage of windows that began
-before a moment: the lost state may have exported it, and it must not be billed twice. Gateways should be stopped
-meanwhile; "fawnplank store run" then runs the replica that --store names.`,
+		Use: "resume", Short: "Resume the export after the store was restored from an old backup", Args: cobra.NoArgs,
+		Long: `Continues the export with sequence numbers after the last one that the receiver has. Drops the usage of
+windows that began before --drop-before, because the lost state may have exported it already and it must not be billed
+twice. Stop the gateways first; "fawnplank store run" runs the replica that --store names.`,
 		Example: "  fawnplank billing resume --store 127.0.0.1:7101 --after 812 --drop-before 2026-04-01T12:00:00Z",
 		RunE: func(command *cobra.Command, _ []string) error {
 			return r.run(command.OutOrStdout(), globals.storeClient(r.store, "--store"))
@@ -145,13 +147,13 @@
 	}
 	flags := command.Flags()
 	flags.StringVar(&r.store, "store", "127.0.0.1:7101", "API address of a replica")
-	flags.Uint64Var(&r.after, "after", 0, "last sequence that the receiver has")
-	flags.StringVar(&r.dropBefore, "drop-before", "", "moment, as in RFC 3339, since which nothing was exported")
+	flags.Uint64Var(&r.after, "after", 0, "last sequence number that the receiver has")
+	flags.StringVar(&r.dropBefore, "drop-before", "", "time (RFC 3339) after which nothing was exported")
 	return command
 }
 
-// run resumes the export and prints what was dropped. The sequence printed is --after's. The next one is that of
-// the store instead if the store has numbered later ones.
+// run resumes the export and prints what was dropped. It prints the sequence number given by --after, although the
+// export continues after the store's own last number if that is higher.
 func (r billingResumeFlags) run(out io.Writer, client storeClient) error {
 	exportedBefore, err := time.Parse(time.RFC3339, r.dropBefore)
 	if err != nil {
--- a/cmd/fawnplank/command_check.go
+++ b/cmd/fawnplank/command_check.go
@@ -10,10 +10,10 @@
 
 func checkCommand(globals *globalFlags) *cobra.Command {
 	return &cobra.Command{
-		Use: "check [FILE]", Short: "Read the configuration, or an operator file, and report what is wrong with it",
-		Long: `Reads what serve would read, with the same code, and reports what is wrong: in the configuration by key,
-in the operator file by file, line and key, in the zone file that it names by file and line. With FILE, an operator
-file alone is read. Exits with status 1 if anything is wrong.`,
+		Use: "check [FILE]", Short: "Check the configuration, or an operator file, and report its errors",
+		Long: `Reads the files that serve would read, with the same code, and reports errors: in the configuration by
+key, in the operator file by file, line and key, and in the zone file that the operator file names by file and line.
+With FILE, only that operator file is read. Exits with status 1 if there is an error.`,
 		Args: cobra.MaximumNArgs(1),
 		Example: "  fawnplank check -c config.json\n" +
 			"  fawnplank check -c config.json --operator deploy/fawnplank.toml\n" +
--- a/cmd/fawnplank/command_dns.go
+++ b/cmd/fawnplank/command_dns.go
@@ -16,17 +16,17 @@
 	"fawnplank/internal/dnszone"
 )
 
-// dnsUpdateTimeout bounds an update, because the server waits for its journal or for the store.
+// dnsUpdateTimeout bounds an update. The server answers only after it has written its journal or the store.
 const dnsUpdateTimeout = 5 * time.Second
 
 // tablePadding is the number of spaces between the columns of a table.
 const tablePadding = 2
 
-// dnsCommand returns the command group for the zone.
+// dnsCommand returns the command group for the DNS zone of the backends.
 func dnsCommand(globals *globalFlags) *cobra.Command {
 	command := &cobra.Command{
 		Use:   "dns VERB",
-		Short: "Show the zone that backends come from, and update it (docs/dns.md)",
+		Short: "Show and update the DNS zone that lists the backends (docs/dns.md)",
 	}
 	command.AddCommand(dnsListCommand(globals), dnsUpdateCommand())
 	return command
@@ -35,9 +35,9 @@
 func dnsListCommand(globals *globalFlags) *cobra.Command {
 	var address string
 	command := &cobra.Command{
-		Use: "list", Short: "Show the endpoint list in force, and where each entry comes from", Args: cobra.NoArgs,
-		Long: `Shows the endpoint list in force and where each entry comes from, as the zone file and the journal have it,
-or, with --store, a replica of the store. A gateway that runs is neither asked nor disturbed.`,
+		Use: "list", Short: "Show the current endpoint list and the source of each entry", Args: cobra.NoArgs,
+		Long: `Shows the current endpoint list and the source of each entry, read from the zone file and the journal or,
+with --store, from a replica of the store. A running gateway is not contacted and not affected.`,
 		Example: "  fawnplank dns list --operator deploy/fawnplank.toml\n" +
 			"  fawnplank dns list --operator deploy/fawnplank.toml --store 127.0.0.1:7101",
 		RunE: func(command *cobra.Command, _ []string) error {
@@ -49,12 +49,12 @@
 			return listZone(command.OutOrStdout(), globals.operator, client)
 		},
 	}
-	command.Flags().StringVar(&address, "store", "", "API address of a replica, where the zone is in the store")
+	command.Flags().StringVar(&address, "store", "", "API address of a replica, if the zone is in the store")
 	return command
 }
 
-// listZone writes the zone of an operator file, as recorded in the journal and the zone file, or as held by a
-// replica.
+// listZone writes the zone that an operator file names. It reads the zone from the zone file and the journal or, if
+// client is not nil, from a replica.
 func listZone(out io.Writer, operatorPath string, client *storeClient) error {
 	operator, err := readOperator(operatorPath, "name an existing file with --operator or GW_OPERATOR")
 	if err != nil {
@@ -70,7 +70,7 @@
 	}
 	zone, source, err := dnsserver.ReadInForce(options)
 	if client != nil {
-		err = cmp.Or(client.readFailure.Err(), err) // a zone that could not be read is no missing one
+		err = cmp.Or(client.readFailure.Err(), err) // a failed read must not be reported as a missing zone
 	}
 	if err != nil {
 		return err
@@ -122,19 +122,19 @@
 // dnsUpdateFlags holds the flags of "dns update".
 type dnsUpdateFlags struct {
 	server      string   // host and port of the name server
-	zone        string   // with or without the final point
-	keyName     string   // of the TSIG key
-	algorithm   string   // of the TSIG key
-	secretFile  string   // with the key's secret in base64
+	zone        string   // with or without the trailing dot
+	keyName     string   // name of the TSIG key
+	algorithm   string   // algorithm of the TSIG key
+	secretFile  string   // file with the key's secret in base64
 	deleteNames []string // names whose records are all deleted
-	deletes     []string // records to delete, in master form
-	adds        []string // records to add, in master form
+	deletes     []string // records to delete, in master file format
+	adds        []string // records to add, in master file format
 }
 
 func dnsUpdateCommand() *cobra.Command {
 	var u dnsUpdateFlags
 	command := &cobra.Command{
-		Use: "update", Short: "Send one signed update: all of it is applied, or nothing", Args: cobra.NoArgs,
+		Use: "update", Short: "Send one signed dynamic update, which is applied completely or not at all", Args: cobra.NoArgs,
 		Example: `  fawnplank dns update --at 127.0.0.1:5353 --key deploy. --secret-file deploy.key \
     --zone calc.example. --delete '_calc._tcp.calc.example. SRV 0 100 7000 n1.calc.example.'
   fawnplank dns update ... --delete-name n1.calc.example. --add 'n1.calc.example. A 127.0.0.11'`,
@@ -143,13 +143,13 @@
 	flags := command.Flags()
 	flags.StringVar(&u.server, "at", "127.0.0.1:5353", "address of the gateway's name server")
 	flags.StringVar(&u.zone, "zone", "", "name of the zone")
-	flags.StringVar(&u.keyName, "key", "", "name of the key")
-	flags.StringVar(&u.algorithm, "algorithm", "hmac-sha256", "algorithm of the key")
+	flags.StringVar(&u.keyName, "key", "", "name of the TSIG key")
+	flags.StringVar(&u.algorithm, "algorithm", "hmac-sha256", "algorithm of the TSIG key")
 	flags.StringVar(&u.secretFile, "secret-file", "", "file with the key's secret in base64")
 	flags.StringArrayVar(&u.deleteNames, "delete-name", nil,
 		"name whose records are all deleted; may be repeated")
-	flags.StringArrayVar(&u.deletes, "delete", nil, "record to delete, in master form; may be repeated")
-	flags.StringArrayVar(&u.adds, "add", nil, "record to add, in master form; may be repeated")
+	flags.StringArrayVar(&u.deletes, "delete", nil, "record to delete, in master file format; may be repeated")
+	flags.StringArrayVar(&u.adds, "add", nil, "record to add, in master file format; may be repeated")
 	return command
 }
 
@@ -186,7 +186,7 @@
 		if err != nil {
 			return nil, fmt.Errorf("%q is no record: %w", text, err)
 		}
-		if record == nil { // the text holds only a comment, or nothing
+		if record == nil { // text is empty or contains only a comment
 			return nil, fmt.Errorf("%q is no record: it is empty", text)
 		}
 		records = append(records, record)
--- a/cmd/fawnplank/command_group.go
+++ b/cmd/fawnplank/command_group.go
@@ -8,16 +8,16 @@
 	"github.com/spf13/cobra"
 )
 
-// subcommand is a subcommand of a command group that takes a fixed number of arguments and has no flags of its own.
+// subcommand describes a subcommand of a command group. It takes a fixed number of arguments and has no own flags.
 type subcommand struct {
-	use     string // the verb and its arguments, separated by spaces, as the help shows them
-	short   string // what it does, in one line of the help
-	example string // without the names of the program and the group
-	// run does the work and writes the answer to out.
+	use     string // name and arguments, separated by spaces, as the help shows them
+	short   string // description of one line for the help
+	example string // example call, without the names of the program and the group
+	// run executes the subcommand and writes its result to out.
 	run func(ctx context.Context, out io.Writer, args []string) error
 }
 
-// newCommand returns the verb as a subcommand of a group.
+// newCommand returns the subcommand as a command of the named group.
 func (v subcommand) newCommand(group string) *cobra.Command {
 	arguments := strings.Fields(v.use)[1:]
 	return &cobra.Command{
--- a/cmd/fawnplank/command_migrate.go
+++ b/cmd/fawnplank/command_migrate.go
@@ -11,17 +11,17 @@
 
 // migrateFlags holds the flags of "migrate".
 type migrateFlags struct {
-	shape  string // file with the settings of the new deployment
-	output string // file to write
+	shape  string // path of the file with the settings of the new deployment
+	output string // path of the file to write
 	dryRun bool
 }
 
 func migrateCommand(globals *globalFlags) *cobra.Command {
 	var m migrateFlags
 	command := &cobra.Command{
-		Use: "migrate", Short: "Write the configuration's counterpart for the new shape of deployment",
-		Long: "Writes the counterpart of a configuration for the new shape of deployment, and lists what could not " +
-			"be carried over (docs/migration.md).",
+		Use: "migrate", Short: "Convert a configuration to a new shape of deployment",
+		Long: "Converts a configuration to a new shape of deployment, and lists the settings that could not be " +
+			"carried over (docs/migration.md).",
 		Args: cobra.NoArgs,
 		Example: `  fawnplank migrate -c old.json --shape shape.json --dry-run
   fawnplank migrate -c old.json --shape shape.json -o new.json`,
@@ -29,17 +29,17 @@
 	}
 	flags := command.Flags()
 	flags.StringVar(&m.shape, "shape", "",
-		"file with the settings of the new deployment, laid over the old ones")
+		"file with the settings of the new deployment, which override the old ones")
 	flags.StringVarP(&m.output, "output", "o", "", "file to write, which must not exist yet")
-	flags.BoolVar(&m.dryRun, "dry-run", false, "list what could not be carried over, and write nothing")
+	flags.BoolVar(&m.dryRun, "dry-run", false, "list the settings that could not be carried over, and write nothing")
 	return command
 }
 
-// run writes the counterpart of the configuration at path for the new shape, and lists what it could not
-// carry over.
+// run converts the configuration at path to the new shape of deployment, and lists the settings that could not be
+// carried over.
 func (m migrateFlags) run(path string) error {
 	if path == "" || m.output == "" && !m.dryRun {
-		return errors.New("migrate: needs --config for the old file, and --output for the new one or --dry-run")
+		return errors.New("migrate: requires --config for the old file, and --output for the new file or --dry-run")
 	}
 	losses, err := config.Migrate(config.MigrateOptions{
 		From:   path,
--- a/cmd/fawnplank/command_root.go
+++ b/cmd/fawnplank/command_root.go
@@ -16,12 +16,12 @@
 
 // globalFlags holds the flags that every command accepts.
 type globalFlags struct {
-	config    string // configuration file; if empty, the one that GW_CONFIG names
-	operator  string // operator file; if empty, none
+	config    string // path of the configuration file; if empty, GW_CONFIG names it
+	operator  string // path of the operator file; empty for none
 	logLevel  string // if empty, the operator file's level applies
 	logFormat string // if empty, the operator file's format applies
-	// tls names the certificate files. A replica presents the certificate on both its addresses and to the other
-	// replicas; commands present it to replicas and limits addresses.
+	// tls names the certificate files. A replica uses the certificate on both its addresses and as a client of the
+	// other replicas; commands use it as clients of replicas and limits addresses.
 	tls tlsconfig.Files
 }
 
@@ -31,34 +31,34 @@
 	flags.StringVar(&f.operator, "operator", os.Getenv("GW_OPERATOR"),
 		"operator file, TOML (default: the one that GW_OPERATOR names, or none)")
 	flags.StringVar(&f.logLevel, "log-level", "",
-		"lowest level that is logged: error, warning, info or debug (default: the operator file's, or info)")
+		"lowest level that is logged: error, warning, info or debug (default: set by the operator file, or info)")
 	flags.StringVar(&f.logFormat, "log-format", "",
-		"format of the log: text or json (default: the operator file's, or text)")
+		"format of the log: text or json (default: set by the operator file, or text)")
 	flags.StringVar(&f.tls.Certificate, "tls-certificate", "",
-		"certificate of a replica, or of a command towards a replica or a limits address; TLS is used with it")
+		"certificate of a replica, or of a command that calls a replica or a limits address; enables TLS")
 	flags.StringVar(&f.tls.Key, "tls-key", "", "private key of the certificate")
 	flags.StringVar(&f.tls.Authority, "tls-authority", "",
-		"authority that the peer's certificate is checked against")
+		"certificate of the authority that the peer's certificate is checked against")
 }
 
-// storeClient returns a client of the replica whose API address a flag names.
+// storeClient returns a client of the replica at an API address, which was given by the named flag.
 func (f *globalFlags) storeClient(address, flag string) storeClient {
 	return storeClient{address: address, flag: flag, tls: f.tls, readFailure: &readErrorRecorder{}}
 }
 
-// rootCommand returns the whole command line. Each command only parses its flags and arguments; the work is
-// done elsewhere.
+// rootCommand returns the root of all commands. A command only parses its flags and arguments; other functions do the
+// work.
 func rootCommand() *cobra.Command {
 	globals := &globalFlags{}
 	root := &cobra.Command{
-		Use: "fawnplank COMMAND", Short: "A quota-keeping gateway for a shared API",
+		Use: "fawnplank COMMAND", Short: "A quota gateway for a shared API",
 		SilenceUsage: true, SilenceErrors: true, Args: cobra.ArbitraryArgs,
 		PersistentPreRunE: func(*cobra.Command, []string) error {
 			return setUpCommandLog(globals)
 		},
 		RunE: func(command *cobra.Command, args []string) error {
 			command.SetOut(os.Stderr)
-			_ = command.Usage() // if standard error cannot be written, there is nowhere to report that
+			_ = command.Usage() // an error of standard error cannot be reported anywhere
 			if len(args) > 0 {
 				return fmt.Errorf("unknown command %q", args[0])
 			}
@@ -80,7 +80,7 @@
 	return root
 }
 
-// setUpCommandLog configures the log by the flags alone. A gateway configures it again once it has read the
+// setUpCommandLog configures the log from the flags alone. A gateway configures the log again after it has read the
 // operator file.
 func setUpCommandLog(globals *globalFlags) error {
 	err := logging.Setup(logging.Options{
--- a/cmd/fawnplank/command_serve.go
+++ b/cmd/fawnplank/command_serve.go
@@ -9,16 +9,16 @@
 	"github.com/spf13/cobra"
 )
 
-// signalBufferSize is how many signals of a kind may wait to be handled. A reload reads every setting again, so
-// further ones would only repeat it.
+// signalBufferSize is the number of signals of one kind that may be pending. One is enough: a reload reads all
+// settings, so a second pending reload would repeat the first, and a second termination has no effect.
 const signalBufferSize = 1
 
 func serveCommand(globals *globalFlags) *cobra.Command {
 	var replica replicaFlags
 	command := &cobra.Command{
 		Use: "serve", Short: "Run a gateway until SIGTERM", Args: cobra.NoArgs,
-		Long: `Runs a gateway. SIGHUP reads the configuration again and applies it whole or not at all; on SIGTERM the
-gateway serves for another half second, answers the requests in flight, and exits.`,
+		Long: `Runs a gateway. On SIGHUP the gateway reads the configuration again and applies it completely or not at
+all. On SIGTERM it serves for another half second, answers the requests in flight, and exits.`,
 		Example: `  fawnplank serve -c config.json
   GW_CONFIG=config.json fawnplank serve --log-level warning
   fawnplank serve -c config.json --store /var/lib/fawnplank --me a@127.0.0.1:7001@127.0.0.1:7101 \
@@ -33,9 +33,8 @@
 
 // serve runs a gateway until it has shut down.
 func serve(ctx context.Context, globals *globalFlags, replica replicaFlags) error {
-	// Subscribe before anything is read, because a SIGHUP would otherwise end the process. The subscription is
-	// never undone, because a signal during the last steps of a shutdown would end the process with another exit
-	// status.
+	// Subscribe before any file is read, because a SIGHUP would otherwise end the process. Never unsubscribe, because
+	// a signal during the last steps of a shutdown would otherwise end the process with another exit status.
 	reloads := make(chan os.Signal, signalBufferSize)
 	signal.Notify(reloads, syscall.SIGHUP)
 	terminations := make(chan os.Signal, signalBufferSize)
--- a/cmd/fawnplank/command_store.go
+++ b/cmd/fawnplank/command_store.go
@@ -20,10 +20,10 @@
 	"fawnplank/internal/store"
 )
 
-// backupMode lets only the owner read a backup, which holds all that the store holds.
+// backupMode makes a backup readable only by its owner, because it contains all data of the store.
 const backupMode fs.FileMode = 0o600
 
-// storeSubcommands are the verbs that each make one call to a replica.
+// storeSubcommands constructs the subcommands of "store" that make one call to a replica.
 type storeSubcommands struct{ client func() storeClient }
 
 func (v storeSubcommands) all() []subcommand {
@@ -33,11 +33,11 @@
 			run: v.status,
 		},
 		{
-			use: "keys PREFIX", short: "List the keys with a prefix, as the replica has them",
+			use: "keys PREFIX", short: "List the keys with a prefix, read from this replica alone",
 			example: "keys plans/", run: v.keys,
 		},
 		{
-			use: "get KEY", short: "Read a key; the leader answers", example: "get plans/team",
+			use: "get KEY", short: "Read a key through the leader", example: "get plans/team",
 			run: v.get,
 		},
 		{
@@ -49,7 +49,7 @@
 			run: v.delete,
 		},
 		{
-			use: "add ID@RAFT@API", short: "Add a replica, which runs without --peers",
+			use: "add ID@RAFT@API", short: "Add a replica that was started without --peers",
 			example: "add d@127.0.0.1:7004@127.0.0.1:7104", run: v.addReplica,
 		},
 		{
@@ -57,17 +57,17 @@
 			run: v.removeReplica,
 		},
 		{
-			use: "backup FILE", short: "Write the leader's state to a file, which must not exist yet",
+			use: "backup FILE", short: "Write the leader's state to a new file",
 			example: "backup store.backup", run: v.backup,
 		},
 		{
-			use: "restore FILE", short: "Replace the state by that of a backup; the set of replicas stays as it is",
+			use: "restore FILE", short: "Replace the state with a backup; the set of replicas does not change",
 			example: "restore store.backup", run: v.restore,
 		},
 	}
 }
 
-// storeCommand returns the command group for the store.
+// storeCommand returns the command group for the replicated store.
 func storeCommand(globals *globalFlags) *cobra.Command {
 	command := &cobra.Command{Use: "store VERB", Short: "Run and repair the replicated store (docs/store.md)"}
 	var address string
@@ -92,7 +92,7 @@
 	return command
 }
 
-// runReplica runs a replica on its own until a signal arrives.
+// runReplica runs a replica without a gateway until SIGTERM or SIGINT arrives.
 func runReplica(globals *globalFlags, flags replicaFlags) error {
 	if flags.dir == "" {
 		return errors.New("--store is missing")
@@ -173,12 +173,12 @@
 	return v.print(ctx, out, storeCall{method: http.MethodPost, path: "/v1/restore", body: content})
 }
 
-// print makes one call and writes its answer.
+// print makes one call and writes the body of the answer.
 func (v storeSubcommands) print(ctx context.Context, out io.Writer, call storeCall) error {
 	answer, err := v.client().do(ctx, call)
 	if err != nil {
 		return err
 	}
-	_, _ = fmt.Fprintln(out, strings.TrimSpace(string(answer))) // the call has succeeded, shown or not
+	_, _ = fmt.Fprintln(out, strings.TrimSpace(string(answer))) // the call succeeded even if the output fails
 	return nil
 }
--- a/cmd/fawnplank/configuration.go
+++ b/cmd/fawnplank/configuration.go
@@ -9,8 +9,8 @@
 	"fawnplank/internal/discovery"
 )
 
-// loadConfiguration reads the configuration and the operator file, and checks both completely. The overlay's
-// rows, which come from the replicated store, take precedence over those of the file.
+// loadConfiguration reads the configuration and the operator file, and validates both completely. The plans and classes
+// of the overlay, which come from the replicated store, take precedence over those of the configuration file.
 func loadConfiguration(path, operatorPath string,
 	overlay config.Overlay) (*config.Config, *config.Operator, error) {
 	configuration, err := config.Read(path, overlay)
@@ -31,8 +31,8 @@
 	return configuration, operator, nil
 }
 
-// readOperator reads the operator file. If the file does not exist, the error ends with the remedy. If the
-// file names another file that does not exist, the error is about the key that names it.
+// readOperator reads the operator file. If the operator file does not exist, the error ends with the hint. If the
+// operator file refers to another file that does not exist, the error concerns the key with that reference.
 func readOperator(path, hint string) (*config.Operator, error) {
 	operator, err := config.ReadOperator(path)
 	var pathError *fs.PathError
--- a/cmd/fawnplank/gateway.go
+++ b/cmd/fawnplank/gateway.go
@@ -19,28 +19,28 @@
 
 // gatewayOptions configures newGateway.
 type gatewayOptions struct {
-	ConfigFile   string // if empty, the one that GW_CONFIG names
-	OperatorFile string // if empty, none
+	ConfigFile   string // path; if empty, GW_CONFIG names the file
+	OperatorFile string // path; empty for none
 	LogLevel     string // if empty, the operator file's level applies
 	LogFormat    string // if empty, the operator file's format applies
 	Replica      replicaFlags
-	TLS          tlsconfig.Files // of the replica
-	// Reloads delivers SIGHUP, which triggers a reload, and Terminations the signals that shut the gateway down.
-	// They are apart so that reloads cannot fill the queue of the other. Both are subscribed before newGateway,
-	// because a SIGHUP would otherwise end the process.
+	TLS          tlsconfig.Files // certificate files of the replica
+	// Reloads delivers SIGHUP, which triggers a reload. Terminations delivers the signals that shut the gateway down.
+	// The channels are separate so that reloads cannot fill the buffer for terminations. The caller subscribes to the
+	// signals before newGateway, because a SIGHUP would otherwise end the process.
 	Reloads, Terminations <-chan os.Signal
 }
 
-// gateway holds all parts of a serving process. newGateway constructs them, Run serves, and Close releases what
-// closers lists.
+// gateway holds all parts of a serving process. newGateway constructs the parts, Run serves, and Close calls the
+// closers.
 //
-// A reload replaces configuration on Run's goroutine. Once Run is called, no other goroutine reads that field,
-// except the reload's reader, which applyReload waits for.
+// A reload replaces configuration on the goroutine of Run. After the call of Run, no other goroutine reads that field,
+// except the goroutine of a reload that reads the files, which has finished before applyReload runs.
 type gateway struct {
 	options        gatewayOptions
 	configuration  *config.Config
 	operator       *config.Operator
-	resourceLimits resourceLimits // of the configuration at the start
+	resourceLimits resourceLimits // from the configuration at the start
 
 	dispatcher   *dispatch.Dispatcher
 	metrics      *metrics.Registry
@@ -55,24 +55,24 @@
 	server       *frontend.Server
 	ready        atomic.Bool // true while the gateway is listening and not shutting down
 
-	// closers releases what was started, in the order of the starts. Close calls them in reverse:
+	// closers stop the started parts. They are listed in the order of the starts; Close calls them in reverse:
 	//
-	//	zone.Close                  the name server, unless a shutdown has stopped it; changes of the zone
+	//	zone.Close                  stops the name server, unless a shutdown has stopped it, and notifications of changes
 	//	replica.Close               does nothing without a store
-	//	accounts.StopNotifications  of changed keys; the billing service is not part of it
-	//	listener.Close              of the clients, unless a shutdown has closed it
-	//	warmStart.Close             saves the state, if there is a file for it
+	//	accounts.StopNotifications  stops notifications of changed keys, but not the billing service
+	//	listener.Close              closes the clients' listener, unless a shutdown has closed it
+	//	warmStart.Close             saves the warm-start state, if the operator file names a file for it
 	//	discovery.Close, counter.Close, pool.Close, dispatcher.Stop
 	//
-	// The rest is stopped only by beginShutdown: the clients' connections, limits and accounts.CloseService, in this
-	// order, before Run returns. The server of the management address runs until the process ends.
+	// Only beginShutdown stops the remaining parts, before Run returns: first the clients' connections, then
+	// limitService, then the billing service. The server of the management address runs until the process ends.
 	closers []func()
 }
 
-// newGateway reads the configuration, constructs all parts, and starts those that Run does not start. The
-// order of the steps is part of the behavior. The endpoint list is known before the listener opens, so that
-// the first request finds backends. The accounts are ready before the first request is received, so that
-// either every request is billed or none is.
+// newGateway reads the configuration, constructs all parts, and starts those that Run does not start. The order of the
+// steps matters. The endpoint list is loaded before the listener opens, so that backends are available to the first
+// request. The accounts are started before the first request is received, so that either every request is billed or
+// none is.
 func newGateway(ctx context.Context, options gatewayOptions) (*gateway, error) {
 	g := &gateway{options: options}
 	steps := []func(context.Context) error{
@@ -96,10 +96,10 @@
 	return g, nil
 }
 
-// addClosers makes Close call the functions, the last one first.
+// addClosers makes Close call the functions, in reverse order.
 func (g *gateway) addClosers(closers ...func()) { g.closers = append(g.closers, closers...) }
 
-// Close calls the closers in reverse order. It is called once, after Run or where newGateway fails.
+// Close calls the closers in reverse order. It is called once, after Run has returned or if newGateway fails.
 func (g *gateway) Close() {
 	for _, closer := range slices.Backward(g.closers) {
 		closer()
--- a/cmd/fawnplank/gateway_load.go
+++ b/cmd/fawnplank/gateway_load.go
@@ -10,8 +10,9 @@
 	"fawnplank/internal/logging"
 )
 
-// load reads the configuration, and sets up the log and the runtime accordingly. The store is not open yet, so
-// the configuration lacks the store's rows. They are applied once Run handles the first of replica.Edits.
+// load reads the configuration, and sets up the log and the runtime accordingly. The store is not open yet, so the
+// configuration lacks the plans and classes of the store. Run applies them when it receives the first value from
+// replica.Edits.
 func (g *gateway) load(context.Context) error {
 	configuration, operator, err := g.loadConfiguration(config.Overlay{})
 	if err != nil {
@@ -28,12 +29,12 @@
 	return nil
 }
 
-// loadConfiguration reads the configuration with the rows of an overlay, and the operator file.
+// loadConfiguration reads the configuration, with the plans and classes of an overlay, and the operator file.
 func (g *gateway) loadConfiguration(overlay config.Overlay) (*config.Config, *config.Operator, error) {
 	return loadConfiguration(g.options.ConfigFile, g.options.OperatorFile, overlay)
 }
 
-// setUpLog configures the log by the flags and, where they are not given, by the operator file.
+// setUpLog configures the log. Flags take precedence over the operator file.
 func (g *gateway) setUpLog() error {
 	return logging.Setup(logging.Options{
 		Output:   os.Stderr,
@@ -43,7 +44,7 @@
 	})
 }
 
-// logConfiguration logs what an operator may not expect of the configuration.
+// logConfiguration logs unknown keys, and the absence of a management address.
 func (g *gateway) logConfiguration() {
 	if unknown := g.configuration.UnknownKeys; len(unknown) > 0 {
 		logging.For(configComponent).WithField("keys", strings.Join(unknown, ", ")).Warn("unknown keys ignored")
--- a/cmd/fawnplank/gateway_run.go
+++ b/cmd/fawnplank/gateway_run.go
@@ -9,8 +9,9 @@
 	"fawnplank/internal/logging"
 )
 
-// Run serves clients and the management address until a signal, or the end of ctx, has shut the gateway down. If
-// accepting ends by itself, it shuts down too and returns errAcceptingEnded. It is called once.
+// Run serves clients and the management address until a termination signal or the cancellation of ctx has shut the
+// gateway down. If the server stops accepting connections for another reason, Run shuts the gateway down too and
+// returns errAcceptingEnded. It is called once.
 func (g *gateway) Run(ctx context.Context) error {
 	if err := g.serveManagement(ctx); err != nil {
 		return err
@@ -26,16 +27,17 @@
 	return g.handleEvents(ctx, serveEnded)
 }
 
-// handleEvents handles signals, edits, and the end of the server, one at a time; further events wait. It
-// returns nil once a shutdown is complete.
+// handleEvents handles signals, edits in the store and the end of the server, one event at a time; further events wait.
+// It returns nil after a shutdown is complete.
 //
-// If accepting ends without a shutdown, which takes a listener that is closed by something else, it shuts down as after
-// SIGTERM, so that open requests are answered and usage is reported, and returns errAcceptingEnded.
+// If the server stops accepting connections without a shutdown, which happens only if something else closes the
+// listener, handleEvents shuts the gateway down as after SIGTERM, so that open requests are answered and usage is
+// reported. It then returns errAcceptingEnded.
 func (g *gateway) handleEvents(ctx context.Context, serveEnded <-chan error) error {
 	reloads := newReloader(g.readUpdatedConfiguration)
 	contextDone := ctx.Done()
 	var shutdownDone <-chan struct{} // nil until a shutdown begins
-	var acceptError error            // why there is one that nothing asked for
+	var acceptError error            // the reason for a shutdown without a signal
 	beginShutdown := func() {
 		if shutdownDone == nil {
 			shutdownDone = g.beginShutdown()
@@ -44,14 +46,14 @@
 	for {
 		select {
 		case err := <-serveEnded:
-			serveEnded = nil // a nil channel is never ready again
+			serveEnded = nil // a nil channel is never ready
 			if shutdownDone == nil {
 				acceptError = errors.Join(errAcceptingEnded, err)
 				beginShutdown()
 			}
 		case <-shutdownDone:
 			return acceptError
-		case <-g.replica.Edits(): // a plan or class was edited in the store, which is handled like SIGHUP
+		case <-g.replica.Edits(): // a plan or class was edited in the store; handled like SIGHUP
 			reloads.request()
 		case <-g.options.Reloads:
 			reloads.request()
@@ -67,5 +69,5 @@
 	}
 }
 
-// errAcceptingEnded is the end of a gateway that stopped accepting clients though nothing told it to.
-var errAcceptingEnded = errors.New("accepting clients ended without a shutdown")
+// errAcceptingEnded is returned by Run if the server stopped accepting connections without a shutdown.
+var errAcceptingEnded = errors.New("server stopped accepting client connections without a shutdown")
--- a/cmd/fawnplank/gateway_start.go
+++ b/cmd/fawnplank/gateway_start.go
@@ -13,8 +13,8 @@
 	"fawnplank/internal/metrics"
 )
 
-// startDispatcher constructs the clients of the backends, the counter and discovery, and starts the
-// dispatcher on them.
+// startDispatcher constructs the clients of the backends, the counter and discovery, and starts the dispatcher, which
+// uses these clients.
 func (g *gateway) startDispatcher(context.Context) error {
 	g.dispatcher = dispatch.New()
 	g.metrics = metrics.New(classNames(g.configuration))
@@ -31,8 +31,8 @@
 		HealthChecker:   g.pool,
 		EndpointWatcher: g.discovery,
 	})
-	// Close runs these after everything started later, in reverse: the clients of the network first, while the
-	// dispatcher still takes what their ends report.
+	// Close stops everything that is started later first, and then these in reverse order: the network clients stop
+	// before the dispatcher, because they report results to it while they stop.
 	g.addClosers(g.dispatcher.Stop, g.pool.Close, g.counter.Close, g.discovery.Close)
 	return nil
 }
@@ -56,7 +56,7 @@
 	}, g.dispatcher)
 }
 
-// counterFormat returns the wire format of the protocol that the operator file names.
+// counterFormat returns the wire format for the counter protocol that the operator file names.
 func counterFormat(settings config.Counter) counter.Format {
 	if settings.Protocol == config.CounterProtocolRESP {
 		return counter.RESP
@@ -77,8 +77,8 @@
 	return discovery.New(options)
 }
 
-// loadEndpoints loads the endpoint list of the configuration and watches discovery, unless the list comes
-// from a zone. An outdated list must not be used alongside the zone's.
+// loadEndpoints loads the endpoint list of the configuration and watches discovery, unless the list comes from a DNS
+// zone. The list of the configuration may be outdated and must not be combined with that of the zone.
 func (g *gateway) loadEndpoints(context.Context) error {
 	if g.zone.Enabled() {
 		return nil
@@ -92,7 +92,7 @@
 	return nil
 }
 
-// startWarmStart imports and saves the measurements of the backends, if the operator file names a file.
+// startWarmStart imports the warm-start state and starts saving it, if the operator file names a file for it.
 func (g *gateway) startWarmStart(context.Context) error {
 	if g.operator.WarmStart.File != "" {
 		g.addClosers(newWarmStart(g.operator.WarmStart, g.dispatcher).Close)
@@ -100,7 +100,7 @@
 	return nil
 }
 
-// listen opens the clients' address; Run accepts connections.
+// listen opens the listener for clients. Run accepts the connections.
 func (g *gateway) listen(ctx context.Context) error {
 	listener, err := listen(ctx, g.configuration)
 	if err != nil {
@@ -108,12 +108,13 @@
 	}
 	g.listener = listener
 	g.addClosers(func() {
-		_ = listener.Close() // a shutdown has closed it already
+		_ = listener.Close() // a shutdown may have closed it already
 	})
 	return nil
 }
 
-// openReplica starts the replica of the store, if the flags describe one, and what is notified of its changes.
+// openReplica starts the replica of the store, if the flags describe one, and connects the zone and the accounts to its
+// notifications of changes.
 func (g *gateway) openReplica(context.Context) error {
 	g.accounts = newAccounts()
 	replica, err := openReplica(replicaOptions{
@@ -156,7 +157,7 @@
 	return nil
 }
 
-// startLimits serves the limit commands, if the operator file names an address for them.
+// startLimits starts the server of limit commands, if the operator file names an address for it.
 func (g *gateway) startLimits(ctx context.Context) error {
 	limitService, err := serveLimits(ctx, limitServiceOptions{
 		Dispatcher:    g.dispatcher,
@@ -172,7 +173,7 @@
 	return nil
 }
 
-// newServer constructs the server of the clients; Run starts it.
+// newServer constructs the server for clients. Run starts it.
 func (g *gateway) newServer() {
 	options := frontend.Options{
 		Dispatcher:     g.dispatcher,
@@ -182,7 +183,7 @@
 		Metrics:        g.metrics,
 		Budget:         g.resourceLimits.newLargeValueBudget(),
 	}
-	if g.accounts.service != nil { // a nil service stored in the interface would not compare as nil
+	if g.accounts.service != nil { // an interface that holds a nil pointer is not equal to nil
 		options.Usage = g.accounts.service
 	}
 	g.server = frontend.New(options)
--- a/cmd/fawnplank/limits.go
+++ b/cmd/fawnplank/limits.go
@@ -16,8 +16,8 @@
 	"fawnplank/internal/tlsconfig"
 )
 
-// limitService is the server of limit commands. A nil *limits means that the server is off; its methods may still
-// be called.
+// limitService runs the server of limit commands. A nil *limitService stands for a server that is off; its methods may
+// be called and do nothing.
 type limitService struct{ server *limitserver.Server }
 
 // limitServiceOptions configures serveLimits.
@@ -26,11 +26,11 @@
 	Metrics       *metrics.Registry
 	Configuration *config.Config
 	Operator      *config.Operator
-	Accounts      *billingservice.Service // if nil, there are no commands on accounts
+	Accounts      *billingservice.Service // nil if billing is off; the server then has no account commands
 }
 
-// serveLimits starts the server of limit commands. It returns nil if the operator file names no address for
-// it.
+// serveLimits starts the server of limit commands. It returns nil if the operator file names no address for the
+// server.
 func serveLimits(ctx context.Context, options limitServiceOptions) (*limitService, error) {
 	if options.Operator.Limits.Listen == "" {
 		return nil, nil
@@ -50,7 +50,7 @@
 	return &limitService{server}, nil
 }
 
-// listenLimits listens on the address that the operator file names, with TLS if it names a certificate.
+// listenLimits listens on the limits address of the operator file, with TLS if the operator file names a certificate.
 func listenLimits(ctx context.Context, options limitServiceOptions) (net.Listener, error) {
 	settings := options.Operator.Limits
 	var listenConfig net.ListenConfig
@@ -80,13 +80,13 @@
 	for _, key := range options.Operator.Limits.Keys {
 		serverOptions.Keys[key.Name] = key.Key
 	}
-	if options.Accounts != nil { // a nil service stored in the interface would not compare as nil
+	if options.Accounts != nil { // an interface that holds a nil pointer is not equal to nil
 		serverOptions.Accounts = options.Accounts
 	}
 	return limitserver.New(serverOptions)
 }
 
-// limitSettings returns what limit commands may name, and how they are checked.
+// limitSettings returns the plans, the class and the bounds that apply to limit commands.
 func limitSettings(configuration *config.Config, operator *config.Operator) limitserver.Settings {
 	class, _ := configuration.LimitClass()
 	return limitserver.Settings{
@@ -108,6 +108,6 @@
 // Close stops the server.
 func (l *limitService) Close() {
 	if l != nil {
-		_ = l.server.Close() // nothing can be done about a listener that does not close
+		_ = l.server.Close() // an error cannot be handled: the process is about to end
 	}
 }
--- a/cmd/fawnplank/limits_answer.go
+++ b/cmd/fawnplank/limits_answer.go
@@ -9,31 +9,32 @@
 	"strings"
 )
 
-// maxBulkBytes and maxArrayLength bound the lengths that an answer may claim, before memory is allocated for
-// them.
+// maxBulkBytes and maxArrayLength bound the lengths that an answer may announce. They are checked before memory is
+// allocated.
 const (
 	maxBulkBytes   = 1 << 20
 	maxArrayLength = 1 << 16
 )
 
-// The first byte of an answer in RESP, which says of what type it is.
+// The first byte of an answer in RESP determines its type.
 const (
 	respError      = '-'
 	respBulkString = '$'
 	respArray      = '*'
 )
 
-// readAnswer reads one answer in RESP and returns it as text. Simple values are returned unchanged. The values of
-// an array are separated by spaces or, if any of them contains a space, as an array of several values does, by line
-// breaks. An error answer is returned as an error, and so is a null, which no limit command answers.
+// readAnswer reads one answer in RESP and returns it as text. Simple values are returned unchanged. The values of an
+// array are separated by spaces or, if one of the values contains a space, by line breaks; a nested array of several
+// values contains spaces. An error answer is returned as an error. A null is an error too, because no limit command
+// answers with null.
 func readAnswer(reader *bufio.Reader) (string, error) {
 	line, err := reader.ReadString('\n')
 	if err != nil {
-		return "", fmt.Errorf("no whole answer: %w", err)
+		return "", fmt.Errorf("answer is incomplete: %w", err)
 	}
 	line = strings.TrimRight(line, "\r\n")
 	if line == "" {
-		return "", errors.New("no answer in RESP")
+		return "", errors.New("no answer in RESP: empty line")
 	}
 	switch line[0] {
 	case respError:
@@ -53,7 +54,7 @@
 	}
 	text := make([]byte, length+len("\r\n"))
 	if _, err := io.ReadFull(reader, text); err != nil {
-		return "", fmt.Errorf("no whole answer: %w", err)
+		return "", fmt.Errorf("answer is incomplete: %w", err)
 	}
 	return string(text[:length]), nil
 }
@@ -78,7 +79,7 @@
 	return strings.Join(values, separator), nil
 }
 
-// parseLength parses the length of a bulk string or an array, which follows the type byte.
+// parseLength parses the length of a bulk string or an array in a line that begins with the type byte.
 func parseLength(line string, maxLength int) (int, error) {
 	length, err := strconv.Atoi(line[1:])
 	if err != nil || length < 0 || length > maxLength {
--- a/cmd/fawnplank/limits_client.go
+++ b/cmd/fawnplank/limits_client.go
@@ -19,12 +19,12 @@
 
 const (
 	limitsConnectTimeout = 5 * time.Second
-	// limitsCallTimeout bounds authentication and command together. A command that writes to the store also
-	// waits for the store.
+	// limitsCallTimeout bounds the authentication and the command together. It allows for commands that wait for a
+	// write to the store.
 	limitsCallTimeout = 15 * time.Second
 )
 
-// limitsClient sends commands to a limits address, each on its own connection.
+// limitsClient sends commands to a limits address. Each command uses a new connection.
 type limitsClient struct {
 	address    string
 	keyName    string // if empty, the client does not authenticate
@@ -32,7 +32,7 @@
 	tls        tlsconfig.Files
 }
 
-// call authenticates if a key is named, sends one command, and returns its answer as text.
+// call sends one command and returns its answer as text. It authenticates first if the client has a key.
 func (c limitsClient) call(ctx context.Context, arguments []string) (string, error) {
 	secret, err := c.readSecret()
 	if err != nil {
@@ -43,7 +43,7 @@
 		return "", err
 	}
 	defer func() {
-		_ = conn.Close() // the answer has been read, or the error is already reported
+		_ = conn.Close() // the answer has been read, or another error is returned
 	}()
 	if err := conn.SetDeadline(time.Now().Add(limitsCallTimeout)); err != nil {
 		return "", err
@@ -63,7 +63,7 @@
 	}
 	secret, err := os.ReadFile(c.secretFile)
 	if err != nil {
-		return "", fmt.Errorf("--secret-file, which --key needs: %w", err)
+		return "", fmt.Errorf("--secret-file, which --key requires: %w", err)
 	}
 	return strings.TrimSpace(string(secret)), nil
 }
--- a/cmd/fawnplank/listen.go
+++ b/cmd/fawnplank/listen.go
@@ -12,9 +12,9 @@
 	"fawnplank/internal/config"
 )
 
-// listen uses the listener that the process was handed, or opens one that a later process may share. During
-// an upgrade both processes serve the clients' address, and the kernel distributes new connections between
-// them.
+// listen returns the listener that the process inherited or, if there is none, opens one with SO_REUSEPORT. During an
+// upgrade the old and the new process can then both listen on the clients' address, and the kernel distributes new
+// connections between them.
 func listen(ctx context.Context, configuration *config.Config) (net.Listener, error) {
 	if configuration.ListenerFD >= 0 {
 		return inheritListener(configuration.ListenerFD)
@@ -23,15 +23,15 @@
 	return listenConfig.Listen(ctx, "tcp4", configuration.Listen)
 }
 
-// inheritListener returns the listener that the process was handed under a descriptor, which it closes.
+// inheritListener returns the listener that the process inherited as a file descriptor. It closes the descriptor.
 func inheritListener(fd int) (net.Listener, error) {
 	file := os.NewFile(uintptr(fd), "listener")
 	defer func() {
-		_ = file.Close() // the listener holds its own duplicate
+		_ = file.Close() // the listener uses a duplicate of the descriptor
 	}()
 	listener, err := net.FileListener(file)
 	if err != nil {
-		return nil, fmt.Errorf("descriptor %d, which GW_SOCKET_FD or SOCKET_FD names: %w", fd, err)
+		return nil, fmt.Errorf("listener from file descriptor %d (GW_SOCKET_FD or SOCKET_FD): %w", fd, err)
 	}
 	return listener, nil
 }
--- a/cmd/fawnplank/log_components.go
+++ b/cmd/fawnplank/log_components.go
@@ -1,6 +1,6 @@
 package main
 
-// The components that this package names in log entries (logging.Component). docs/runbook.md lists their messages.
+// Components in the log entries of this package (logging.Component). docs/runbook.md lists their messages.
 const (
 	adminComponent     = "admin"
 	configComponent    = "config"
--- a/cmd/fawnplank/management.go
+++ b/cmd/fawnplank/management.go
@@ -9,8 +9,8 @@
 	"fawnplank/internal/logging"
 )
 
-// serveManagement serves the management address, if the configuration names one, until the process ends, so
-// that health and metrics are answered to the last moment.
+// serveManagement starts the server of the management address, if the configuration names one. The server runs until
+// the process ends, so that health and metrics are available during a shutdown.
 func (g *gateway) serveManagement(ctx context.Context) error {
 	if g.configuration.ManagementAddress == "" {
 		return nil
@@ -32,7 +32,7 @@
 	return nil
 }
 
-// managedGateway is the view of the gateway that the management address uses. It is safe for concurrent use.
+// managedGateway implements the operations of the management address on a gateway. It is safe for concurrent use.
 type managedGateway struct{ gateway *gateway }
 
 // Ready reports whether the gateway accepts connections and is not draining.
@@ -44,7 +44,7 @@
 // Resume ends draining.
 func (m managedGateway) Resume() { m.gateway.server.Resume() }
 
-// WriteMetrics writes the metrics. A failed write is logged, because the caller gets no further answer.
+// WriteMetrics writes the metrics. It logs a write error, because the response cannot report it any more.
 func (m managedGateway) WriteMetrics(out io.Writer) {
 	if err := m.gateway.metrics.Write(out); err != nil {
 		logging.For(adminComponent).WithError(err).Warn("metrics not written")
--- a/cmd/fawnplank/metrics.go
+++ b/cmd/fawnplank/metrics.go
@@ -12,9 +12,8 @@
 	"fawnplank/internal/tlsconfig"
 )
 
-// classNames returns the names of the classes, indexed by id. A row that no name refers to any longer has an
-// empty name. The result has one entry per row, not per name, because after a reload ids exceed the number of
-// names.
+// classNames returns the names of the classes, indexed by id. A class that was removed by a reload keeps its id and has
+// an empty name, so that there may be more ids than names.
 func classNames(configuration *config.Config) []string {
 	names := make([]string, len(configuration.Settings.Classes))
 	for name, id := range configuration.Classes {
@@ -33,8 +32,8 @@
 		Value: func(c *counter.Client) float64 { return c.Stats().Outage.Seconds() }},
 }
 
-// quotaGauges are the metrics of the decisions about quotas: whether the counter is called, and how far the
-// gateway may be from a single count.
+// quotaGauges are the metrics of quota decisions: whether requests call the counter, and by how much this instance's
+// count may differ from a single count for all instances.
 var quotaGauges = []metrics.Gauge[*dispatch.Dispatcher]{
 	{Name: "counter_breaker_open", Help: "1 while calls to the counter are stopped",
 		Value: func(d *dispatch.Dispatcher) float64 { return gaugeBool(d.CounterStats().BreakerOpen) }},
@@ -50,7 +49,7 @@
 		Value: func(d *dispatch.Dispatcher) float64 { return float64(d.CounterStats().Tenants) }},
 }
 
-// frontendGauges are the metrics of clients' connections.
+// frontendGauges are the metrics of client connections.
 var frontendGauges = []metrics.Gauge[*frontend.Server]{
 	{Name: "client_connections", Help: "open connections of clients",
 		Value: func(s *frontend.Server) float64 { return float64(s.OpenConnections()) }},
@@ -73,13 +72,13 @@
 		Value: func(s *limitserver.Server) float64 { return float64(s.Stats().Failed) }},
 }
 
-// limitCertificateGauges are the metrics of the certificate of the limits address.
+// limitCertificateGauges are the metrics of the TLS certificate of the limits address.
 var limitCertificateGauges = []metrics.Gauge[*tlsconfig.Source]{
 	{Name: "limits_certificate_seconds", Help: "seconds until the certificate of the limits address expires",
 		Value: secondsUntilExpiry},
 }
 
-// replicaCertificateGauges are the metrics of the certificate of the replica.
+// replicaCertificateGauges are the metrics of the replica's TLS certificate.
 var replicaCertificateGauges = []metrics.Gauge[*tlsconfig.Source]{
 	{Name: "store_certificate_seconds", Help: "seconds until the certificate of the replica expires",
 		Value: secondsUntilExpiry},
--- a/cmd/fawnplank/notifier.go
+++ b/cmd/fawnplank/notifier.go
@@ -2,8 +2,8 @@
 
 import "sync"
 
-// notifier passes changes from a sender that must not block to a handler that may. All changes that arrive
-// while the handler runs are covered by one further call.
+// notifier calls a handler, which may block, after notifications from senders that must not block. All notifications
+// that arrive while the handler runs cause a single further call.
 type notifier struct {
 	pending chan struct{}
 	stop    chan struct{}
@@ -14,7 +14,7 @@
 	return &notifier{pending: make(chan struct{}, 1), stop: make(chan struct{})}
 }
 
-// Notify schedules a call of the handler. It does not block. A call scheduled before Start waits for Start.
+// Notify schedules a call of the handler. It does not block. A call that is scheduled before Start is made after Start.
 func (n *notifier) Notify() {
 	select {
 	case n.pending <- struct{}{}:
@@ -22,7 +22,7 @@
 	}
 }
 
-// Start calls handle after each Notify until Close is called.
+// Start starts a goroutine that calls handle after notifications until Close is called.
 func (n *notifier) Start(handle func()) {
 	n.running.Go(func() {
 		for {
@@ -36,7 +36,7 @@
 	})
 }
 
-// Close waits for a running handler and then stops the notifier. It must be called at most once.
+// Close stops the notifier and waits for a running handler. It must be called at most once.
 func (n *notifier) Close() {
 	close(n.stop)
 	n.running.Wait()
--- a/cmd/fawnplank/reload.go
+++ b/cmd/fawnplank/reload.go
@@ -10,26 +10,27 @@
 	"fawnplank/internal/logging"
 )
 
-// reloadResult is a configuration that was read again, or why it could not be.
+// reloadResult is the result of reading the configuration again: the configuration or an error.
 type reloadResult struct {
 	updated *config.Config
 	err     error
 }
 
-// reloader reads the configuration in a goroutine of its own, one at a time: a read that waits for the disk
-// must not hold up a shutdown. Its methods are called by one goroutine.
+// reloader reads the configuration in a separate goroutine, so that a read that waits for the disk does not delay a
+// shutdown. At most one read runs at a time. Its methods must be called from one goroutine.
 type reloader struct {
 	read      func() (*config.Config, error)
-	results   chan reloadResult // one for each read
+	results   chan reloadResult // receives one result per read
 	reading   bool
-	readAgain bool // requested while reading
+	readAgain bool // another read was requested while one is running
 }
 
 func newReloader(read func() (*config.Config, error)) *reloader {
 	return &reloader{read: read, results: make(chan reloadResult, 1)}
 }
 
-// request starts a read, at once or after the one under way, which may have missed the latest change.
+// request starts a read. If a read is already running, the new read starts after it, because the running read may have
+// missed the latest change.
 func (r *reloader) request() {
 	if r.reading {
 		r.readAgain = true
@@ -42,7 +43,7 @@
 	}()
 }
 
-// finishApply is called once the result of a read is applied. It starts the read that was requested meanwhile.
+// finishApply is called after the result of a read has been applied. It starts a read if one was requested meanwhile.
 func (r *reloader) finishApply() {
 	r.reading = false
 	if r.readAgain {
@@ -51,7 +52,8 @@
 	}
 }
 
-// applyReload applies a configuration that was read again as a whole. If it is faulty, nothing changes.
+// applyReload applies all reloadable parts of the new configuration. If the configuration is faulty, it changes
+// nothing.
 func (g *gateway) applyReload(result reloadResult) {
 	if result.err != nil {
 		logging.For(configComponent).WithError(result.err).Error("configuration not reloaded")
@@ -81,7 +83,7 @@
 	g.configuration = merged
 }
 
-// restartKeys returns the keys of what differs and takes effect at a start only, in the order of the file.
+// restartKeys returns the keys of settings that differ and take effect only after a restart, in the order of the file.
 func restartKeys(current, updated *config.Config) []string {
 	var keys []string
 	for _, setting := range []struct {
@@ -104,12 +106,12 @@
 	return keys
 }
 
-// readUpdatedConfiguration reads the configuration again. The ids of its classes and plans are consistent
-// with those in force.
+// readUpdatedConfiguration reads the configuration again. Classes and plans keep the ids that they have in the current
+// configuration.
 //
-// It logs that the operator file has changed, since most of that file takes effect only at a start. The exception
-// is limits.answer_within: the class that limit commands use is made from the file as it is now, so that its
-// latency objective and deadline change, while the time limit of each check stays as it was at the start.
+// It logs a warning if the operator file has changed, because most of that file takes effect only after a restart. The
+// exception is limits.answer_within: the class of limit commands is constructed from the new file, so that its latency
+// objective and deadline change, while the timeout of each check keeps its value from the start.
 func (g *gateway) readUpdatedConfiguration() (*config.Config, error) {
 	updated, operator, err := g.loadConfiguration(g.replica.overlay())
 	if err != nil {
@@ -118,20 +120,20 @@
 	if !reflect.DeepEqual(operator, g.operator) {
 		logging.For(configComponent).Warn("operator file changes need a restart")
 		if _, limitsOn := g.configuration.LimitClass(); limitsOn && operator.Limits.Listen == "" {
-			updated.AddLimitClass(g.operator) // the limits address continues to be served
+			updated.AddLimitClass(g.operator) // the limits address is still served
 		}
 	}
 	updated.KeepIDs(g.configuration)
 	return updated, nil
 }
 
-// mergeReloadable returns the current configuration with every part of the updated one that takes effect
+// mergeReloadable returns the current configuration with all parts of the updated configuration that take effect
 // without a restart, and with the known endpoints.
 func mergeReloadable(current, updated *config.Config) *config.Config {
 	merged := *current
 	merged.Discovery = updated.Discovery
 	merged.Counter = updated.Counter
-	merged.KnownEndpoints = updated.KnownEndpoints // read at a start only; merged so that a change gives no warning
+	merged.KnownEndpoints = updated.KnownEndpoints // used only at a start; merged without a warning
 	merged.Settings = updated.Settings
 	merged.Classes = updated.Classes
 	merged.Plans = updated.Plans
--- a/cmd/fawnplank/replica.go
+++ b/cmd/fawnplank/replica.go
@@ -14,17 +14,16 @@
 	"fawnplank/internal/tlsconfig"
 )
 
-// ignoreFileSizeSignal makes a write beyond a file size limit fail with an error that is reported, as on a
+// ignoreFileSizeSignal ignores SIGXFSZ. A write beyond the file size limit then returns an error, like a write to a
 // full disk, instead of ending the process.
 func ignoreFileSizeSignal() { signal.Ignore(syscall.SIGXFSZ) }
 
-// replica is the gateway's replica of the store. A nil *replica stands for no store; its methods may still be
-// called.
+// replica is the gateway's replica of the store. A nil *replica stands for a gateway without a store; the methods that
+// replica defines itself may be called on it.
 type replica struct {
 	*store.Store
 	tls *tlsconfig.Source // nil if TLS is not used
-	// edits receives a value when a plan or a class has changed in the store. One value stands for any number of
-	// edits.
+	// edits receives a value after plans or classes have changed in the store. One value may stand for several edits.
 	edits chan struct{}
 }
 
@@ -32,15 +31,15 @@
 type replicaOptions struct {
 	Flags replicaFlags
 	TLS   tlsconfig.Files
-	// CheckOverlay checks a row of the store together with the gateway's own files.
+	// CheckOverlay validates a plan or class of the store together with the gateway's own files.
 	CheckOverlay func(config.Overlay) error
-	// ZoneChanged is called when a part of the zone has changed in the store.
+	// ZoneChanged is called after a part of the zone has changed in the store.
 	ZoneChanged func()
-	// KeysChanged is called with all keys that have changed in the store.
+	// KeysChanged is called with all keys that have changed in the store, whatever they hold.
 	KeysChanged func(keys []string)
 }
 
-// openReplica starts the replica that the flags describe. It returns nil if they describe none.
+// openReplica starts the replica that the flags describe. It returns nil if the flags describe no replica.
 func openReplica(options replicaOptions) (*replica, error) {
 	if options.Flags.dir == "" {
 		return nil, nil
@@ -62,7 +61,7 @@
 	return &replica{Store: opened, tls: storeOptions.TLS, edits: edits}, nil
 }
 
-// notifyChanged passes changed keys on to the parts that read them. It does not block.
+// notifyChanged notifies the parts of the gateway that use the changed keys. It does not block.
 func notifyChanged(keys []string, options replicaOptions, edits chan<- struct{}) {
 	isZoneKey := func(key string) bool { return strings.HasPrefix(key, dnsserver.KeyPrefix) }
 	if slices.ContainsFunc(keys, isZoneKey) {
@@ -75,13 +74,13 @@
 	if slices.ContainsFunc(keys, isRow) {
 		select {
 		case edits <- struct{}{}:
-		default: // an edit is already pending, and its reader reads everything that is there by then
+		default: // a value is already pending; its receiver will read this change too
 		}
 	}
 }
 
-// checkRow checks a plan or class before it is written, first alone and then together with this replica's own
-// files. Other replicas check it again with their own files. Any other key may hold any value.
+// checkRow validates a plan or class before it is written, first on its own and then together with the files of this
+// gateway. Other replicas validate it again with their own files. All other keys accept any value.
 func checkRow(key string, value json.RawMessage, checkOverlay func(config.Overlay) error) error {
 	check := func(name string, overlay config.Overlay) error {
 		if err := config.CheckRow(name, value); err != nil {
@@ -98,7 +97,7 @@
 	return nil
 }
 
-// registerMetrics adds the metric that shows until when the replica's certificate is valid.
+// registerMetrics adds the metric for the remaining validity of the replica's certificate.
 func (r *replica) registerMetrics(registry *metrics.Registry) {
 	if r != nil && r.tls != nil {
 		metrics.AddGauges(registry, r.tls, replicaCertificateGauges)
@@ -112,8 +111,8 @@
 	}
 }
 
-// Edits returns a channel that receives a value after plans or classes were edited in the store. Without a
-// store the channel is nil, which never receives.
+// Edits returns a channel that receives a value after plans or classes have changed in the store. Without a store it
+// returns nil; a receive from a nil channel blocks forever.
 func (r *replica) Edits() <-chan struct{} {
 	if r == nil {
 		return nil
--- a/cmd/fawnplank/replica_flags.go
+++ b/cmd/fawnplank/replica_flags.go
@@ -11,22 +11,22 @@
 	"fawnplank/internal/tlsconfig"
 )
 
-// replicaFlags says where a replica of the store is, and which other replicas exist.
+// replicaFlags holds the flags that configure a replica of the store.
 type replicaFlags struct {
-	dir   string   // if empty, there is no store
-	self  string   // id@raft-address@api-address, as store.ParsePeer reads it
-	peers []string // all replicas of the first start, in the same form
+	dir   string   // data directory; empty for no store
+	self  string   // this replica as id@raft-address@api-address, the format of store.ParsePeer
+	peers []string // all replicas of the first start, in the same format
 }
 
 func (f *replicaFlags) register(command *cobra.Command) {
 	flags := command.Flags()
-	flags.StringVar(&f.dir, "store", "", "folder of this replica of the store; left out: no store")
+	flags.StringVar(&f.dir, "store", "", "data directory of this replica of the store; no store if not set")
 	flags.StringVar(&f.self, "me", "", "this replica: id@raft-address@api-address")
 	flags.StringSliceVar(&f.peers, "peers", nil,
-		"all replicas of the first start, including this one; none: it waits to be added")
+		"all replicas of the first start, including this one; if not set, the replica waits to be added")
 }
 
-// options returns the options of the replica. Errors name the flag.
+// options returns the options for store.Open. An error in a flag names that flag.
 func (f *replicaFlags) options(files tlsconfig.Files) (store.Options, error) {
 	source, err := replicaTLS(files)
 	if err != nil {
@@ -43,7 +43,7 @@
 	return store.Options{Dir: f.dir, TLS: source, Self: self, Peers: peers}, nil
 }
 
-// parsePeers parses the replicas of the first start, which include self unless there are none.
+// parsePeers parses the replicas of the first start. The list must include self, unless it is empty.
 func (f *replicaFlags) parsePeers(self store.Peer) ([]store.Peer, error) {
 	var peers []store.Peer
 	for _, text := range f.peers {
@@ -69,7 +69,7 @@
 		return nil, err
 	}
 	if files.Authority == "" {
-		return nil, errors.New("--tls-authority is missing: replicas check each other by it")
+		return nil, errors.New("--tls-authority is missing: replicas need it to verify each other's certificates")
 	}
 	return source, nil
 }
--- a/cmd/fawnplank/resources.go
+++ b/cmd/fawnplank/resources.go
@@ -10,31 +10,32 @@
 )
 
 const (
-	// reservedDescriptors is reserved for the program itself, the listener, discovery, and the counter's connections,
-	// both old and new. Nothing is reserved for what the operator file and the flags add: the connections to the
-	// limits address (limits.connections, 64 if not set and 10,000 at most), and those of the store, the name server
-	// and the export of usage. With them a process may open more descriptors than limits.sockets.
+	// reservedDescriptors are reserved for the program itself, the listener, discovery, and the connections to the
+	// counter, of which an old and a new one may exist at once. No descriptors are reserved for the features that the
+	// operator file and the flags enable: connections to the limits address (limits.connections, 64 if not set and
+	// 10,000 at most), the store, the name server and the export of usage. With these a process may open more
+	// descriptors than limits.sockets.
 	reservedDescriptors = 48
-	// connectionSides are the clients and the backends. Each side has half of the remaining descriptors, so that
-	// neither starves the other.
+	// connectionSides is the number of sides, clients and backends, that share the remaining descriptors equally, so
+	// that neither side starves the other.
 	connectionSides = 2
-	// uncollectedMemoryDivisor is the part of the memory limit, a quarter, that is left for memory that the garbage
-	// collector does not see.
+	// uncollectedMemoryDivisor leaves a quarter of the memory limit for memory that the garbage collector does not
+	// manage.
 	uncollectedMemoryDivisor = 4
-	// largeValueDivisor is the part of the memory limit, a sixth, that the large values of clients may hold; those
-	// of backends may hold the same again. Data that waits for memory is not read in the meantime. Within the
-	// three quarters that the collector keeps to, this leaves five twelfths for everything else.
+	// largeValueDivisor bounds the large values of clients to a sixth of the memory limit, and those of backends to
+	// another sixth. Data is not read while it waits for memory. Of the three quarters that the collector may use,
+	// five twelfths of the limit remain for everything else.
 	largeValueDivisor = 6
-	// collectorHeapGrowthPercent makes the collector start at 2 MB and take a millisecond for the little memory in use. A
-	// larger percentage lets the heap grow for minutes before the first collection, which looks like a leak
-	// and holds memory that nothing needs.
+	// collectorHeapGrowthPercent makes collections start at a heap of 2 MB; a collection takes about a millisecond
+	// because little memory is in use. With a larger percentage the heap grows for minutes before the first
+	// collection, which resembles a leak and occupies memory that nothing uses.
 	collectorHeapGrowthPercent = 50
-	// maxProcessors is 1 because a gateway has one core; more threads would only alternate on it.
+	// maxProcessors is 1 because a gateway has one core; more threads would only compete for it.
 	maxProcessors = 1
 )
 
-// resourceLimits divides the memory and the descriptors that the process may use between its parts. It is a value
-// and safe for concurrent use.
+// resourceLimits divides the memory and the file descriptors of the process between its parts. It is immutable and safe
+// for concurrent use.
 type resourceLimits struct {
 	memoryBytes int64
 	maxSockets  int
@@ -49,14 +50,14 @@
 	}
 }
 
-// limitRuntime applies the limits to Go's scheduler and garbage collector, for the whole process.
+// limitRuntime applies the limits to the scheduler and the garbage collector of the Go runtime.
 func (r resourceLimits) limitRuntime() {
 	runtime.GOMAXPROCS(maxProcessors)
 	debug.SetMemoryLimit(r.memoryBytes - r.memoryBytes/uncollectedMemoryDivisor)
 	debug.SetGCPercent(collectorHeapGrowthPercent)
 }
 
-// managementCalls returns how many calls at the management address may be open at once.
+// managementCalls returns the maximum number of concurrent calls to the management address.
 func (r resourceLimits) managementCalls() int {
 	if !r.management {
 		return 0
@@ -64,14 +65,14 @@
 	return admin.CallLimit(r.maxSockets)
 }
 
-// connectionsPerSide returns how many connections there may be to clients, and to backends again.
+// connectionsPerSide returns the maximum number of connections to clients, which is also the maximum to backends.
 func (r resourceLimits) connectionsPerSide() int {
 	return (r.maxSockets - reservedDescriptors - r.managementCalls()) / connectionSides
 }
 
-// newLargeValueBudget returns a budget that bounds the memory of large values. Clients and backends have one
-// each, because a large command holds its memory until its response is written, and that response must not
-// wait for the same budget.
+// newLargeValueBudget returns a budget for the memory of large values. Clients and backends have separate budgets,
+// because a large command holds its memory until its response is written, and that response must not wait for the same
+// budget.
 func (r resourceLimits) newLargeValueBudget() *membudget.Budget {
 	return membudget.New(r.memoryBytes / largeValueDivisor)
 }
--- a/cmd/fawnplank/store_client.go
+++ b/cmd/fawnplank/store_client.go
@@ -18,16 +18,16 @@
 	"fawnplank/internal/tlsconfig"
 )
 
-// storeCallTimeout bounds a call to a replica. It is well above the five seconds that a write may wait at the
-// replica for an election.
+// storeCallTimeout bounds a call to a replica. It is well above the five seconds for which a replica lets a write wait
+// for an election.
 const storeCallTimeout = 15 * time.Second
 
-// storeClient calls the API of one replica. Each call opens its own connection, with the certificate as it is
-// on disk at that moment. It is safe for concurrent use. It serves as the Replica of dnsserver and
-// billingservice, for commands that read or repair what those packages keep in the store.
+// storeClient calls the API of one replica. Each call opens a new connection and reads the certificate files again. It
+// is safe for concurrent use. It implements the Replica interfaces of dnsserver and billingservice for commands that
+// read or repair the data of those packages in the store.
 type storeClient struct {
 	address string
-	flag    string // the flag that named the address, used in errors
+	flag    string // name of the flag that set the address, for errors
 	tls     tlsconfig.Files
 	// readFailure records the first error of ReadLocal and ReadPrefix. If it is nil, such errors are not recorded.
 	readFailure *readErrorRecorder
@@ -66,11 +66,11 @@
 // storeStatusError is a replica's answer with a status other than 200 OK.
 type storeStatusError struct {
 	Code    int
-	Status  string // code and text, as in HTTP
-	Message string // empty if the answer held none
+	Status  string // status line of HTTP without the protocol version
+	Message string // error message from the body; may be empty
 }
 
-// Error returns the status and the message.
+// Error returns the status and, if there is one, the message.
 func (e *storeStatusError) Error() string {
 	if e.Message == "" {
 		return e.Status
@@ -91,12 +91,12 @@
 
 // storeCall is one call to a replica.
 type storeCall struct {
-	method string // of HTTP
-	path   string // with the query, if there is one
-	body   []byte // nil for none
+	method string // HTTP method
+	path   string // path and query
+	body   []byte // nil for no body
 }
 
-// do makes one call and returns the body of the answer. An answer that is not 200 OK is a *storeStatusError.
+// do makes one call and returns the body of the answer. If the status is not 200 OK, it returns a *storeStatusError.
 func (c storeClient) do(ctx context.Context, call storeCall) ([]byte, error) {
 	client, err := c.httpClient()
 	if err != nil {
@@ -111,7 +111,7 @@
 		return nil, c.describeConnectionError(err)
 	}
 	defer func() {
-		_ = response.Body.Close() // the body was only read
+		_ = response.Body.Close() // an error after reading the body has no effect
 	}()
 	responseBody, err := io.ReadAll(response.Body)
 	if err != nil {
@@ -152,13 +152,13 @@
 	return fmt.Errorf("store: replica at %s: %w", c.address, err)
 }
 
-// read makes one call that changes nothing.
+// read makes a GET call with the given path.
 func (c storeClient) read(path string) ([]byte, error) {
 	return c.do(context.Background(), storeCall{method: http.MethodGet, path: path})
 }
 
-// ReadLocal reads a key as this replica has it. A call that fails is reported as a missing key, and remembered as a
-// failed read.
+// ReadLocal reads a key from the state of this replica, which may be stale. If the call fails, it records the error and
+// reports the key as missing.
 func (c storeClient) ReadLocal(key string) (entry kv.Entry, ok bool) {
 	body, err := c.read(store.KeyPath(key) + "?stale=1")
 	if hasStatus(err, http.StatusNotFound) {
@@ -184,8 +184,8 @@
 	return entry, err == nil, err
 }
 
-// ReadPrefix reads all keys with a prefix as this replica has them, and returns their values by the part of
-// the key that follows the prefix. Keys whose call fails are left out, which is remembered as a failed read.
+// ReadPrefix reads all keys with a prefix from the state of this replica. It returns the values by key without the
+// prefix. If the call for a key fails, it records the error and omits the key.
 func (c storeClient) ReadPrefix(prefix string) map[string]json.RawMessage {
 	values := map[string]json.RawMessage{}
 	var keys []string
@@ -202,8 +202,9 @@
 	return values
 }
 
-// Edit applies all edits or none. It returns a kv.ConflictError if a key's index differs from the one an edit
-// expects. After a read that failed nothing is edited, since the edits would rest on what seemed to be missing.
+// Edit applies all edits or none. It returns a kv.ConflictError if the index of a key differs from the index that an
+// edit expects. After a failed read it returns the recorded error and edits nothing, because the edits might be based
+// on keys that were wrongly reported as missing.
 func (c storeClient) Edit(edits []kv.Edit) error {
 	if err := c.readFailure.Err(); err != nil {
 		return err
--- a/cmd/fawnplank/warm_start.go
+++ b/cmd/fawnplank/warm_start.go
@@ -14,17 +14,17 @@
 	"fawnplank/internal/warmstart"
 )
 
-// warmStart saves the warm-start state, the dispatcher's measurements of the backends, to a file for the next
-// process of this instance.
+// warmStart saves the warm-start state to a file for the next process of this instance. The state consists of the
+// dispatcher's measurements of the backends.
 type warmStart struct {
 	path           string
 	dispatcher     *dispatch.Dispatcher
-	lastSaveFailed bool // whether the last write failed; only run reads and writes it
+	lastSaveFailed bool // whether the last save failed; used only by the goroutine of run
 	stop           chan struct{}
 	running        sync.WaitGroup
 }
 
-// newWarmStart imports the state that an earlier process left, and starts saving the state periodically.
+// newWarmStart imports the state that an earlier process saved, and starts saving the state periodically.
 func newWarmStart(settings config.WarmStart, dispatcher *dispatch.Dispatcher) *warmStart {
 	w := &warmStart{path: settings.File, dispatcher: dispatcher, stop: make(chan struct{})}
 	w.load()
@@ -66,7 +66,7 @@
 	}
 }
 
-// save writes the state. It logs one error per outage.
+// save writes the state to the file. It logs only the first of several consecutive errors.
 func (w *warmStart) save() {
 	err := warmstart.Save(w.path, w.dispatcher.ExportState(), time.Now())
 	if err != nil && !w.lastSaveFailed {
--- a/cmd/fawnplank/zone.go
+++ b/cmd/fawnplank/zone.go
@@ -13,13 +13,13 @@
 	"fawnplank/policy"
 )
 
-// endpointZone is the DNS zone that the endpoint list comes from, if the operator file names one. It owns the
-// name server. It is constructed before the discovery client, which asks it for full snapshots, and started
-// after it, since it publishes to that client. Its methods are safe for concurrent use.
+// endpointZone is the DNS zone that provides the endpoint list, if the operator file names a zone file. It owns the
+// name server. It is constructed before the discovery client, which calls PublishSnapshot, and started after that
+// client, because it publishes to the client. Its methods are safe for concurrent use.
 type endpointZone struct {
 	settings  config.DNS
-	server    atomic.Pointer[dnsserver.Server] // nil before Start, and if the zone is off
-	changes   *notifier                        // notified when the zone's keys change in the store
+	server    atomic.Pointer[dnsserver.Server] // nil before Start, and if there is no zone
+	changes   *notifier                        // notified after the zone's keys have changed in the store
 	closeOnce sync.Once
 }
 
@@ -27,10 +27,11 @@
 	return &endpointZone{settings: settings, changes: newNotifier()}
 }
 
-// Enabled reports whether the endpoint list comes from a zone.
+// Enabled reports whether the endpoint list comes from a DNS zone.
 func (z *endpointZone) Enabled() bool { return z.settings.ZoneFile != "" }
 
-// Start starts the name server, on the replica if there is one. It publishes endpoint lists to client.
+// Start starts the name server, which publishes endpoint lists to client. The zone is kept in the replica if there is
+// one, and in files otherwise. It does nothing if there is no zone.
 func (z *endpointZone) Start(client *discovery.Client, replica *replica, registry *metrics.Registry) error {
 	if !z.Enabled() {
 		return nil
@@ -48,7 +49,7 @@
 	metrics.AddGauges(registry, server, zoneGauges)
 	if replica != nil {
 		z.changes.Start(server.StoreChanged)
-		z.changes.Notify() // covers changes made while the server started
+		z.changes.Notify() // handles changes made while the server started
 	}
 	return nil
 }
@@ -56,7 +57,7 @@
 // NotifyChanged reports that the zone has changed in the store. It does not block.
 func (z *endpointZone) NotifyChanged() { z.changes.Notify() }
 
-// PublishSnapshot publishes the whole list again.
+// PublishSnapshot publishes the complete endpoint list again.
 func (z *endpointZone) PublishSnapshot() {
 	if server := z.server.Load(); server != nil {
 		server.PublishAll()
@@ -70,19 +71,18 @@
 	}
 }
 
-// CloseServer stops the name server, so that another process may use the journal. The endpoint list continues
-// to follow changes in the store. It may be called more than once; each call returns after the server has
-// stopped.
+// CloseServer stops the name server, so that another process may use the journal. Changes in the store still update the
+// endpoint list afterwards. It may be called more than once; each call returns after the server has stopped.
 func (z *endpointZone) CloseServer() { z.closeOnce.Do(func() { z.server.Load().Close() }) }
 
-// Close stops everything that the zone runs, including the name server. It is called once, before the replica is
-// stopped, which the handler of changes reads.
+// Close stops the name server and the handler of changes in the store. It is called once, before the replica is closed,
+// because the handler reads the replica.
 func (z *endpointZone) Close() {
 	z.CloseServer()
 	z.changes.Close()
 }
 
-// endpointUpdate converts changes of a zone into the form of the discovery service.
+// endpointUpdate converts changes of a zone to the types of package discovery.
 func endpointUpdate(update dnsserver.ListUpdate) (policy.UpdateKind, []discovery.Endpoint) {
 	var endpoints []discovery.Endpoint
 	for _, backend := range update.Updated {
@@ -116,8 +116,8 @@
 	return endpoint
 }
 
-// dnsOptions returns the options for running a name server, or for reading what it holds, from the operator
-// file's settings.
+// dnsOptions converts the DNS settings of the operator file to the options of package dnsserver, which are used both to
+// run a name server and to read its zone.
 func dnsOptions(settings config.DNS) dnsserver.Options {
 	options := dnsserver.Options{
 		Settings:            settings.Settings(),
@@ -133,7 +133,7 @@
 	return options
 }
 
-// checkZoneFile returns an error if the zone file that an operator file names is faulty.
+// checkZoneFile returns an error if the operator file names a zone file that is not valid.
 func checkZoneFile(operator *config.Operator) error {
 	if operator.DNS.ZoneFile == "" {
 		return nil
