--- a/cmd/fawnplank/management.go
+++ b/cmd/fawnplank/management.go
@@ -16,9 +16,9 @@
 		return nil
 	}
 	server, err := admin.New(ctx, admin.Options{
-		Address:  g.configuration.ManagementAddress,
-		Gateway:  managedGateway{g},
-		MaxCalls: g.resourceLimits.managementCalls(),
+		Address:        g.configuration.ManagementAddress,
+		Gateway:        managedGateway{g},
+		MaxConnections: g.resourceLimits.managementCalls(),
 	})
 	if err != nil {
 		return fmt.Errorf("configuration: mgmt: %w", err)
--- a/cmd/fawnplank/replica.go
+++ b/cmd/fawnplank/replica.go
@@ -22,7 +22,7 @@
 // replica defines itself may be called on it.
 type replica struct {
 	*store.Store
-	tls *tlsconfig.Source // nil if TLS is not used
+	tls *tlsconfig.CertificateSource // nil if TLS is not used
 	// edits receives a value after plans or classes have changed in the store. One value may stand for several edits.
 	edits chan struct{}
 }
--- a/cmd/fawnplank/resources.go
+++ b/cmd/fawnplank/resources.go
@@ -62,7 +62,7 @@
 	if !r.management {
 		return 0
 	}
-	return admin.CallLimit(r.maxSockets)
+	return admin.ConnectionLimit(r.maxSockets)
 }
 
 // connectionsPerSide returns the maximum number of connections to clients, which is also the maximum to backends.
