--- a/cmd/fawnplank/accept_end_test.go
+++ b/cmd/fawnplank/accept_end_test.go
@@ -24,7 +24,7 @@
 	g.operator.LimitCommands.Listen = freeAddress(t)
 	g.operator.LimitCommands.MaxConnections = 1
 	g.configuration.AddCheckOnlyClass(g.operator)
-	g.resources = newResources(g.configuration)
+	g.resourceLimits = newResourceLimits(g.configuration)
 	t.Cleanup(g.Close)
 	ctx := t.Context()
 	steps := errors.Join(g.startDispatcher(ctx), g.loadEndpoints(ctx), g.listen(ctx))
--- a/cmd/fawnplank/limits_client.go
+++ b/cmd/fawnplank/limits_client.go
@@ -19,12 +19,12 @@
 
 const (
 	limitsConnectTimeout = 5 * time.Second
-	// limitsCallTimeout bounds authentication and command together. A command that writes to the store also
-	// waits for the store.
+	// limitsCallTimeout bounds the authentication and the command together. It allows for commands that wait for a
+	// write to the store.
 	limitsCallTimeout = 15 * time.Second
 )
 
-// limitsClient sends commands to a limits address, each on its own connection.
+// limitsClient sends commands to a limits address. Each command uses a new connection.
 type limitsClient struct {
 	address    string
 	keyName    string // if empty, the client does not authenticate
@@ -32,8 +32,8 @@
 	tls        tlsconfig.Files
 }
 
-// call authenticates if a key is named, sends one command, and returns its answer as text.
-func (c limitsClient) call(ctx context.Context, words []string) (string, error) {
+// call sends one command and returns its answer as text. It authenticates first if the client has a key.
+func (c limitsClient) call(ctx context.Context, arguments []string) (string, error) {
 	secret, err := c.readSecret()
 	if err != nil {
 		return "", err
@@ -43,18 +43,18 @@
 		return "", err
 	}
 	defer func() {
-		_ = conn.Close() // the answer has been read, or the error is already reported
+		_ = conn.Close() // the answer has been read, or another error is returned
 	}()
 	if err := conn.SetDeadline(time.Now().Add(limitsCallTimeout)); err != nil {
 		return "", err
 	}
 	reader := bufio.NewReader(conn)
 	if c.keyName != "" {
-		if _, err := exchange(conn, reader, []string{"AUTH", c.keyName, secret}); err != nil {
+		if _, err := sendCommand(conn, reader, []string{"AUTH", c.keyName, secret}); err != nil {
 			return "", err
 		}
 	}
-	return exchange(conn, reader, words)
+	return sendCommand(conn, reader, arguments)
 }
 
 func (c limitsClient) readSecret() (string, error) {
@@ -63,7 +63,7 @@
 	}
 	secret, err := os.ReadFile(c.secretFile)
 	if err != nil {
-		return "", fmt.Errorf("--secret-file, which --key needs: %w", err)
+		return "", fmt.Errorf("--secret-file, which --key requires: %w", err)
 	}
 	return strings.TrimSpace(string(secret)), nil
 }
@@ -89,11 +89,11 @@
 	return tls.Client(conn, source.ClientConfig()), nil
 }
 
-// exchange sends one command and reads its answer.
-func exchange(conn net.Conn, reader *bufio.Reader, words []string) (string, error) {
-	command := redcon.AppendArray(nil, len(words))
-	for _, word := range words {
-		command = redcon.AppendBulkString(command, word)
+// sendCommand sends one command and reads its answer.
+func sendCommand(conn net.Conn, reader *bufio.Reader, arguments []string) (string, error) {
+	command := redcon.AppendArray(nil, len(arguments))
+	for _, argument := range arguments {
+		command = redcon.AppendBulkString(command, argument)
 	}
 	if _, err := conn.Write(command); err != nil {
 		return "", err
