--- a/cmd/fawnplank/accept_end_test.go
+++ b/cmd/fawnplank/accept_end_test.go
@@ -10,12 +10,12 @@
 	"fawnplank/internal/config"
 )
 
-// TestGateway_EndOfAcceptingShutsDown guards against usage that is lost: where accepting ended without a shutdown, the
-// program ended with status 0 at once and closed neither the limits address nor the billing service.
-func TestGateway_EndOfAcceptingShutsDown(t *testing.T) {
+// TestGateway_ClosedListenerShutsDown guards against lost usage reports: when the client listener failed outside of a
+// shutdown, the program exited at once with status 0 and closed neither the limits listener nor the billing service.
+func TestGateway_ClosedListenerShutsDown(t *testing.T) {
 	address := freeAddress(t)
 	file := filepath.Join(t.TempDir(), "config.json")
-	writeFile(t, file, fmt.Sprintf(configuration, address, silentDiscovery(t), freeAddress(t)))
+	writeFile(t, file, fmt.Sprintf(configuration, address, unresponsiveDiscovery(t), freeAddress(t)))
 	g := &gateway{options: gatewayOptions{ConfigFile: file}}
 	var err error
 	if g.configuration, g.operator, err = g.loadConfiguration(config.Overlay{}); err != nil {
@@ -27,9 +27,9 @@
 	g.resourceLimits = newResourceLimits(g.configuration)
 	t.Cleanup(g.Close)
 	ctx := t.Context()
-	steps := errors.Join(g.startDispatcher(ctx), g.loadEndpoints(ctx), g.listen(ctx))
-	if steps != nil {
-		t.Fatal(steps)
+	startErr := errors.Join(g.startDispatcher(ctx), g.loadEndpoints(ctx), g.listen(ctx))
+	if startErr != nil {
+		t.Fatal(startErr)
 	}
 	g.accounts = &accounts{}
 	if err := g.startLimits(ctx); err != nil {
@@ -41,7 +41,7 @@
 	if conn, err := tryDial(t, address); err != nil {
 		t.Fatal(err)
 	} else {
-		hangUp(conn)
+		closeIgnoringError(conn)
 	}
 	if err := g.listener.Close(); err != nil {
 		t.Fatal(err)
@@ -49,13 +49,13 @@
 	select {
 	case err := <-ended:
 		if !errors.Is(err, errAcceptingEnded) {
-			t.Errorf("Run: %v", err)
+			t.Errorf("Run returned %v, want errAcceptingEnded", err)
 		}
 	case <-time.After(connectionTimeout):
-		t.Fatal("Run goes on without accepting")
+		t.Fatal("Run did not return after its listener was closed")
 	}
 	if conn, err := tryDial(t, g.operator.Limits.Listen); err == nil {
-		hangUp(conn)
-		t.Error("the limits address still accepts")
+		closeIgnoringError(conn)
+		t.Error("the limits address still accepts connections")
 	}
 }
--- a/cmd/fawnplank/accounts_test.go
+++ b/cmd/fawnplank/accounts_test.go
@@ -18,15 +18,15 @@
 	"fawnplank/internal/testutil"
 )
 
-// billingReceiver stands in for the receiver of exported usage: each batch counts once, and some answers are
-// errors though it counted.
+// billingReceiver is a stand-in for the service that receives exported usage. It counts each batch once, by its
+// idempotency key, and answers every third call with an error although it has counted the batch.
 type billingReceiver struct {
-	mu    sync.Mutex
-	last  uint64
-	keys  map[string]bool
-	plans map[string]int64 // millionths, by plan
-	calls int
-	fault string
+	mu               sync.Mutex
+	lastSequence     uint64
+	idempotencyKeys  map[string]bool
+	microUnitsByPlan map[string]int64 // millionths of a unit, by plan
+	calls            int
+	sequenceError    string
 }
 
 func (b *billingReceiver) ServeHTTP(w http.ResponseWriter, r *http.Request) {
@@ -34,13 +34,13 @@
 	defer b.mu.Unlock()
 	b.calls++
 	if r.Method == http.MethodGet {
-		sendf(w, `{"last":%d}`, b.last)
+		sendf(w, `{"last":%d}`, b.lastSequence)
 		return
 	}
-	if key := r.Header.Get("Idempotency-Key"); !b.keys[key] {
-		b.keys[key] = true
+	if key := r.Header.Get("Idempotency-Key"); !b.idempotencyKeys[key] {
+		b.idempotencyKeys[key] = true
 		for lines := bufio.NewScanner(r.Body); lines.Scan(); {
-			b.count(lines.Text())
+			b.addRecord(lines.Text())
 		}
 	}
 	if b.calls%3 == 0 {
@@ -48,47 +48,48 @@
 	}
 }
 
-func (b *billingReceiver) count(line string) {
+func (b *billingReceiver) addRecord(line string) {
 	var record struct {
 		Sequence   uint64 `json:"sequence"`
 		Plan       string `json:"plan"`
 		MicroUnits int64  `json:"micro_units"`
 	}
-	if json.Unmarshal([]byte(line), &record) != nil || record.Sequence != b.last+1 {
-		b.fault = fmt.Sprintf("after %d: %s", b.last, line)
+	if json.Unmarshal([]byte(line), &record) != nil || record.Sequence != b.lastSequence+1 {
+		b.sequenceError = fmt.Sprintf("after %d: %s", b.lastSequence, line)
 	}
-	b.last = record.Sequence
-	b.plans[record.Plan] += record.MicroUnits
+	b.lastSequence = record.Sequence
+	b.microUnitsByPlan[record.Plan] += record.MicroUnits
 }
 
-// units is the sum over all plans.
-func (b *billingReceiver) units() (sum float64) {
+// totalUnits returns the units received for all plans together.
+func (b *billingReceiver) totalUnits() (sum float64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	for _, micro := range b.plans {
+	for _, micro := range b.microUnitsByPlan {
 		sum += float64(micro) / 1e6
 	}
 	return sum
 }
 
-// billedFleet is two gateways with a replica each, a replica alone, clients and a receiver.
+// billedFleet consists of two gateways with a replica each, a third replica without a gateway, clients, and the
+// receiver of exported usage.
 type billedFleet struct {
-	replicas         []*replicaProcess
-	receiver         *billingReceiver
-	clients, limits  []string // addresses, by gateway
-	secretFile       string
-	stopLoad         chan struct{}
-	load             sync.WaitGroup
-	mu               sync.Mutex
-	succeeded        []success
-	unsure           int     // requests whose gateway died before the answer came
-	lost             float64 // units that a killed gateway may not have reported
-	kills            int
-	committed        float64 // units of the reservation
-	unreportedWindow time.Duration
+	replicas                         []*replicaProcess
+	receiver                         *billingReceiver
+	clientAddresses, limitsAddresses []string // indexed by gateway
+	secretFile                       string
+	stopLoad                         chan struct{}
+	load                             sync.WaitGroup
+	mu                               sync.Mutex
+	succeeded                        []success
+	unanswered                       int     // requests whose connection failed before the answer arrived
+	maxLostUnits                     float64 // units that killed gateways may not have reported
+	kills                            int
+	committedUnits                   float64 // units committed from the reservation
+	unreportedWindow                 time.Duration
 }
 
-// success is a request that its client saw succeed.
+// success records when a client received a successful answer.
 type success struct {
 	gateway int
 	at      time.Time
@@ -96,30 +97,31 @@
 
 const (
 	billedTenant = "0000000000000005"
-	// requestUnits is what each of the clients' requests counts.
+	// requestUnits is the number of units that each client request costs.
 	requestUnits = 2
 )
 
 func newBilledFleet(t *testing.T) *billedFleet {
 	t.Helper()
 	backend := testutil.ServeCommands(t, func(conn net.Conn) { send(conn, successResponse) })
-	f := &billedFleet{
+	fleet := &billedFleet{
 		replicas: newReplicas(t, "a", "b", "c"),
-		receiver: &billingReceiver{keys: map[string]bool{}, plans: map[string]int64{}},
+		receiver: &billingReceiver{idempotencyKeys: map[string]bool{}, microUnitsByPlan: map[string]int64{}},
 		stopLoad: make(chan struct{}),
-		// An election, and the reports that wait for it, take up to two seconds.
+		// An election, and the usage reports that wait for its end, take up to two seconds.
 		unreportedWindow: 2 * time.Second,
 	}
-	server := httptest.NewServer(f.receiver)
+	server := httptest.NewServer(fleet.receiver)
 	t.Cleanup(server.Close)
-	folder := filepath.Dir(f.replicas[0].folder)
-	f.secretFile = filepath.Join(folder, "secret")
-	writeFile(t, f.secretFile, "a secret of some length\n")
-	for n, r := range f.replicas[:2] {
-		f.clients, f.limits = append(f.clients, freeAddress(t)), append(f.limits, freeAddress(t))
+	folder := filepath.Dir(fleet.replicas[0].folder)
+	fleet.secretFile = filepath.Join(folder, "secret")
+	writeFile(t, fleet.secretFile, "a secret of some length\n")
+	for n, r := range fleet.replicas[:2] {
+		fleet.clientAddresses, fleet.limitsAddresses = append(fleet.clientAddresses, freeAddress(t)),
+			append(fleet.limitsAddresses, freeAddress(t))
 		settings := filepath.Join(folder, r.id+".json")
 		operator := filepath.Join(folder, r.id+".toml")
-		text := fmt.Sprintf(configuration, f.clients[n], freeAddress(t), backend)
+		text := fmt.Sprintf(configuration, fleet.clientAddresses[n], freeAddress(t), backend)
 		text = strings.Replace(text, `"name":"n0"`, fmt.Sprintf(`"name":"n%d"`, n), 1)
 		text = strings.Replace(text, `"tariffs":[`,
 			`"tariffs":[{"name":"large","quota-rate":1000,"peak-units":500},`, 1)
@@ -128,22 +130,22 @@
 			"[[limits.key]]\nname = \"ops\"\nsecret_file = %q\n"+
 			"rights = [\"read\", \"reserve\", \"change\"]\n[billing]\non = true\nwindow = \"1s\"\nlate = \"200ms\"\n"+
 			"lead = \"2s\"\nclock_skew = \"50ms\"\nreport_every = \"50ms\"\nexport_url = %q\n",
-			f.limits[n], f.secretFile, server.URL))
+			fleet.limitsAddresses[n], fleet.secretFile, server.URL))
 		r.args = []string{"serve", "-c", settings, "--operator", operator}
 	}
-	startReplicas(t, f.replicas)
-	return f
+	startReplicas(t, fleet.replicas)
+	return fleet
 }
 
-// command runs a billing command at a gateway.
+// command runs a billing command against a gateway.
 func (f *billedFleet) command(t *testing.T, gateway int, args ...string) (string, error) {
 	t.Helper()
-	flags := []string{"billing", "--at", f.limits[gateway], "--key", "ops", "--secret-file", f.secretFile}
+	flags := []string{"billing", "--at", f.limitsAddresses[gateway], "--key", "ops", "--secret-file", f.secretFile}
 	out, err := runProgram(t, append(flags, args...)...)
 	return strings.TrimSpace(out), err
 }
 
-// startLoad starts four clients, two at each gateway, until stopLoad is closed.
+// startLoad starts four clients, two for each gateway, which run until stopLoad is closed.
 func (f *billedFleet) startLoad(t *testing.T) {
 	t.Helper()
 	for n := range 4 {
@@ -163,7 +165,7 @@
 		}
 		if conn == nil {
 			dialer := net.Dialer{Timeout: time.Second}
-			dialed, err := dialer.DialContext(t.Context(), "tcp", f.clients[n%2])
+			dialed, err := dialer.DialContext(t.Context(), "tcp", f.clientAddresses[n%2])
 			if err != nil {
 				continue
 			}
@@ -172,15 +174,16 @@
 		}
 		if err := f.requestOnce(conn, reader, n, i); err != nil {
 			f.mu.Lock()
-			f.unsure++
+			f.unanswered++
 			f.mu.Unlock()
-			hangUp(conn)
+			closeIgnoringError(conn)
 			conn = nil
 		}
 	}
 }
 
-// requestOnce sends one request, and counts it if it succeeds. An error answer is no error.
+// requestOnce sends one request and records it if it succeeds. It returns an error only if the connection fails, not
+// for an error answer.
 func (f *billedFleet) requestOnce(conn net.Conn, reader *bufio.Reader, n, i int) error {
 	setDeadline(conn, 3*time.Second)
 	const fields = "c=lookup,t=team,d=1400,units=2"
@@ -201,7 +204,7 @@
 	return err
 }
 
-// killReplica kills a replica, and its gateway with it, and starts it again.
+// killReplica kills the process of a replica, and of its gateway if it has one, and starts it again.
 func (f *billedFleet) killReplica(t *testing.T, n int) {
 	t.Helper()
 	f.replicas[n].kill()
@@ -210,7 +213,7 @@
 	f.mu.Lock()
 	for _, s := range f.succeeded {
 		if s.gateway == n && s.at.After(now.Add(-f.unreportedWindow)) {
-			f.lost += requestUnits
+			f.maxLostUnits += requestUnits
 		}
 	}
 	f.mu.Unlock()
@@ -218,23 +221,23 @@
 	f.replicas[n].start(t, f.replicas)
 }
 
-// changePlan changes a tenant's plan, and checks that a second change at the same moment is refused.
+// changePlan schedules a change of a tenant's plan, and checks that a second change for the same time is refused.
 func (f *billedFleet) changePlan(t *testing.T) {
 	t.Helper()
-	moment := fmt.Sprint(time.Now().Add(2500 * time.Millisecond).UnixMilli())
+	effectiveAt := fmt.Sprint(time.Now().Add(2500 * time.Millisecond).UnixMilli())
 	testutil.Eventually(t, "a plan change", func() bool {
-		_, err := f.command(t, 0, "change", billedTenant, "spring", "large", moment)
+		_, err := f.command(t, 0, "change", billedTenant, "spring", "large", effectiveAt)
 		return err == nil
 	})
-	out, err := f.command(t, 1, "change", billedTenant, "other", "team", moment)
+	out, err := f.command(t, 1, "change", billedTenant, "other", "team", effectiveAt)
 	if err == nil || !strings.Contains(out, "is taken") {
-		t.Errorf("two changes at one moment: %v, %s", err, out)
+		t.Errorf("second plan change for the same time: %v, %s", err, out)
 	}
 }
 
-// spendReservation reserves units and commits some of them; a commit sent twice is refused, and so is a
-// reservation without a key.
-func (f *billedFleet) spendReservation(t *testing.T) {
+// commitReservation reserves units and commits some of them. It checks that a repeated commit is refused, and that a
+// reservation without a key is refused.
+func (f *billedFleet) commitReservation(t *testing.T) {
 	t.Helper()
 	testutil.Eventually(t, "a reservation", func() bool {
 		out, err := f.command(t, 0, "reserve", billedTenant, "batch", "host", "large", "40", "60000")
@@ -247,75 +250,77 @@
 		if out, err = f.command(t, 1, "commit", billedTenant, "batch", fmt.Sprint(epoch), "30"); err != nil {
 			t.Fatalf("%v, %s", err, out)
 		}
-		f.committed = 30
+		f.committedUnits = 30
 		out, err = f.command(t, 0, "commit", billedTenant, "batch", fmt.Sprint(epoch), "30")
 		if err == nil || !strings.Contains(out, "epoch") {
-			t.Errorf("a commit sent twice: %v, %s", err, out)
+			t.Errorf("repeated commit: %v, %s", err, out)
 		}
 		return true
 	})
-	out, err := runProgram(t, "billing", "--at", f.limits[0],
+	out, err := runProgram(t, "billing", "--at", f.limitsAddresses[0],
 		"reserve", billedTenant, "x", "h", "large", "1", "1000")
 	if err == nil || !strings.Contains(out, "NOPERM") {
-		t.Errorf("without a key: %v, %s", err, out)
+		t.Errorf("reservation without a key: %v, %s", err, out)
 	}
 }
 
-// waitExported waits until all usage is exported, and returns the units that the receiver has.
+// waitExported waits until all usage has been exported, and returns the units that the receiver has counted.
 func (f *billedFleet) waitExported(t *testing.T) float64 {
 	t.Helper()
 	var exported float64
 	text := ""
 	t.Cleanup(func() {
 		if t.Failed() {
-			t.Log("the store's keys: ", text, exported)
+			t.Log("billing keys in the store, and exported units: ", text, exported)
 		}
 	})
-	testutil.Eventually(t, "all to be exported", func() bool {
+	testutil.Eventually(t, "all usage to be exported", func() bool {
 		var err error
 		text, err = f.replicas[2].call(t, http.MethodGet, "/v1/kv?prefix=billing/", "")
 		if err != nil || strings.Contains(text, "billing/use/") || strings.Contains(text, "billing/record/") {
 			return false
 		}
-		time.Sleep(1500 * time.Millisecond) // longer than a window and its lateness
-		before := exported
-		exported = f.receiver.units()
-		return before == exported
+		time.Sleep(1500 * time.Millisecond) // longer than a window and the time allowed for late reports
+		previous := exported
+		exported = f.receiver.totalUnits()
+		return previous == exported
 	})
 	return exported
 }
 
-// Two gateways under load, replicas and gateways killed outright at random, a plan changed while requests are
-// in flight, a reservation spent, a receiver that answers errors after having counted. What it has in the end
-// is what clients saw succeed, but for what a killed gateway had not reported.
+// TestAccounts_UsageIsBilledOnceDespiteKills kills replicas and gateways at random under load, changes a plan while
+// requests are in flight, and commits a reservation; the receiver answers some exports with an error although it has
+// counted them. The receiver must end up with the units of all successful requests, except for those that a killed
+// gateway had not reported.
 func TestAccounts_UsageIsBilledOnceDespiteKills(t *testing.T) {
-	f := newBilledFleet(t)
-	f.startLoad(t)
-	testutil.Eventually(t, "a first export", func() bool { return f.receiver.units() > 0 })
-	f.changePlan(t)
-	chance := rand.New(rand.NewPCG(5, 5))
+	fleet := newBilledFleet(t)
+	fleet.startLoad(t)
+	testutil.Eventually(t, "a first export", func() bool { return fleet.receiver.totalUnits() > 0 })
+	fleet.changePlan(t)
+	random := rand.New(rand.NewPCG(5, 5))
 	for range 4 {
-		f.killReplica(t, chance.IntN(3))
-		time.Sleep(time.Duration(800+chance.IntN(700)) * time.Millisecond)
+		fleet.killReplica(t, random.IntN(3))
+		time.Sleep(time.Duration(800+random.IntN(700)) * time.Millisecond)
 	}
-	f.spendReservation(t)
-	close(f.stopLoad)
-	f.load.Wait()
-	expected := requestUnits*float64(len(f.succeeded)) + f.committed
-	exported := f.waitExported(t)
+	fleet.commitReservation(t)
+	close(fleet.stopLoad)
+	fleet.load.Wait()
+	expected := requestUnits*float64(len(fleet.succeeded)) + fleet.committedUnits
+	exported := fleet.waitExported(t)
 
-	receiver := f.receiver
+	receiver := fleet.receiver
 	receiver.mu.Lock()
 	defer receiver.mu.Unlock()
-	most := expected + requestUnits*float64(f.unsure)
-	if receiver.fault != "" || exported > most || exported < expected-f.lost {
-		t.Errorf("%s; the receiver has %g units; clients saw %g succeed, at most %g; "+
-			"killed gateways may have lost %g", receiver.fault, exported, expected, most, f.lost)
+	maxExpected := expected + requestUnits*float64(fleet.unanswered)
+	if receiver.sequenceError != "" || exported > maxExpected || exported < expected-fleet.maxLostUnits {
+		t.Errorf("invalid record: %q; the receiver counted %g units; successful requests cost %g, at most %g; "+
+			"killed gateways may have lost %g", receiver.sequenceError, exported, expected, maxExpected, fleet.maxLostUnits)
 	}
-	if receiver.plans["large"] == 0 || receiver.plans["team"] == 0 {
-		t.Errorf("by plan: %v", receiver.plans)
+	if receiver.microUnitsByPlan["large"] == 0 || receiver.microUnitsByPlan["team"] == 0 {
+		t.Errorf("want units for both plans, got %v", receiver.microUnitsByPlan)
 	}
 	t.Logf("%g units succeeded, %g billed in %d records, %d kills (at most %g lost), "+
 		"%d requests without an answer, by plan %v",
-		expected, exported, receiver.last, f.kills, f.lost, f.unsure, receiver.plans)
+		expected, exported, receiver.lastSequence, fleet.kills, fleet.maxLostUnits, fleet.unanswered,
+		receiver.microUnitsByPlan)
 }
--- a/cmd/fawnplank/command_migrate_test.go
+++ b/cmd/fawnplank/command_migrate_test.go
@@ -14,9 +14,9 @@
 	"fawnplank/internal/testutil"
 )
 
-// A file of the old shape is carried over to the new one, and a gateway runs on it: without health checks,
-// with a limit on the tenant's concurrency, and with rejections that give no Retry-After.
-func TestMigrate_FileServes(t *testing.T) {
+// TestMigrate_MigratedFileServes migrates a configuration file of the old format, and runs a gateway with the result:
+// without health checks, with a concurrency limit for the tenant, and without Retry-After in rejections.
+func TestMigrate_MigratedFileServes(t *testing.T) {
 	attempts := make(chan net.Conn, 10)
 	arrived := make(chan bool, 10)
 	backend := testutil.ServeCommands(t, func(conn net.Conn) {
@@ -24,26 +24,27 @@
 		arrived <- true
 	})
 	address := freeAddress(t)
-	serveMigrated(t, address, discoveryOf(t, backend))
+	serveMigrated(t, address, discoveryWithBackend(t, backend))
 
-	client, attempt := requestUntilSent(t, address, attempts)
-	beyond := dial(t, address)
-	send(beyond, request("99", requestFields))
-	if line, err := bufio.NewReader(beyond).ReadString('\n'); line != "-BUSY\r\n" {
-		t.Errorf("beyond the limit: %q, %v", line, err)
+	client, attempt := sendUntilForwarded(t, address, attempts)
+	overLimit := dial(t, address)
+	send(overLimit, request("99", requestFields))
+	if line, err := bufio.NewReader(overLimit).ReadString('\n'); line != "-BUSY\r\n" {
+		t.Errorf("request above the concurrency limit: %q, %v", line, err)
 	}
 	send(attempt, successResponse)
 	if line, err := client.ReadString('\n'); line != "$2\r\n" {
-		t.Errorf("%q, %v", line, err)
+		t.Errorf("request within the limit: %q, %v", line, err)
 	}
 	time.Sleep(100 * time.Millisecond)
 	if len(arrived) != 1 {
-		t.Errorf("%d commands reached the backend", len(arrived))
+		t.Errorf("%d commands reached the backend, want 1", len(arrived))
 	}
 }
 
-// discoveryOf is the address of a discovery service that lists a backend and reports no change.
-func discoveryOf(t *testing.T, backend net.Addr) string {
+// discoveryWithBackend starts a discovery service that lists one backend and never reports a change, and returns its
+// address.
+func discoveryWithBackend(t *testing.T, backend net.Addr) string {
 	t.Helper()
 	var calls atomic.Int64
 	return serveDiscovery(t, func(w http.ResponseWriter, r *http.Request) {
@@ -55,30 +56,30 @@
 	})
 }
 
-// serveMigrated starts a gateway on a file of the old shape that was carried over.
+// serveMigrated migrates a configuration file of the old format and starts a gateway with the result.
 func serveMigrated(t *testing.T, address, discovery string) {
 	t.Helper()
 	folder := t.TempDir()
-	old := filepath.Join(folder, "old.json")
-	shape := filepath.Join(folder, "shape.json")
-	migrated := filepath.Join(folder, "new.json")
+	oldFile := filepath.Join(folder, "old.json")
+	shapeFile := filepath.Join(folder, "shape.json")
+	migratedFile := filepath.Join(folder, "new.json")
 	text := fmt.Sprintf(configuration, address, discovery, "127.0.0.1:3")
 	text = strings.Replace(text, `"send-cap":3`,
 		`"send-cap":3,"probes":true,"retry-after":true,"max-retry-after-ms":900`, 1)
-	writeFile(t, old, text)
-	writeFile(t, shape, `{"permissions":{"retry-after":false},"weights":"rough",
+	writeFile(t, oldFile, text)
+	writeFile(t, shapeFile, `{"permissions":{"retry-after":false},"weights":"rough",
 		"tariffs":[{"name":"team","quota-rate":0,"peak-units":0,"parallel":1}]}`)
-	out, err := runProgram(t, "migrate", "-c", old, "--shape", shape, "-o", migrated)
+	out, err := runProgram(t, "migrate", "-c", oldFile, "--shape", shapeFile, "-o", migratedFile)
 	if err != nil || !strings.Contains(out, "settings.permissions.retry-after") ||
 		!strings.Contains(out, "known: 1 backends") {
 		t.Fatalf("%v, %s", err, out)
 	}
-	startServing(t, migrated)
+	startServing(t, migratedFile)
 }
 
-// requestUntilSent sends requests, each on a connection of its own, until the list has come and a backend
-// receives one.
-func requestUntilSent(t *testing.T, address string, attempts <-chan net.Conn) (*bufio.Reader, net.Conn) {
+// sendUntilForwarded sends requests, each on its own connection, until the gateway has received the endpoint list and
+// the backend receives a request.
+func sendUntilForwarded(t *testing.T, address string, attempts <-chan net.Conn) (*bufio.Reader, net.Conn) {
 	t.Helper()
 	for id := 1; id <= 50; id++ {
 		conn := dial(t, address)
@@ -89,6 +90,6 @@
 		case <-time.After(50 * time.Millisecond):
 		}
 	}
-	t.Fatal("nothing sent to the backend that discovery lists")
+	t.Fatal("no request was sent to the backend that discovery lists")
 	return nil, nil
 }
--- a/cmd/fawnplank/command_test.go
+++ b/cmd/fawnplank/command_test.go
@@ -13,10 +13,10 @@
 	file := filepath.Join(t.TempDir(), "config.json")
 	text := fmt.Sprintf(configuration, "127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3")
 	writeFile(t, file, text)
-	bad := file + ".bad"
-	writeFile(t, bad, strings.Replace(text, `"me":0`, `"me":"x"`, 1))
-	known := file + ".known"
-	writeFile(t, known, strings.Replace(text, `"name":"s-1"`, `"name":""`, 1))
+	invalidFile := file + ".bad"
+	writeFile(t, invalidFile, strings.Replace(text, `"me":0`, `"me":"x"`, 1))
+	invalidKnownFile := file + ".known"
+	writeFile(t, invalidKnownFile, strings.Replace(text, `"name":"s-1"`, `"name":""`, 1))
 	for _, test := range []struct {
 		args  string
 		want  string
@@ -25,14 +25,14 @@
 		{args: "version", want: "fawnplank"},
 		{args: "check -c " + file, want: "n0: in order"},
 		{args: "--help", want: "serve"},
-		{args: "check -c " + bad, want: "settings.me", fails: true},
-		{args: "serve -c " + bad, want: "settings.me", fails: true},
+		{args: "check -c " + invalidFile, want: "settings.me", fails: true},
+		{args: "serve -c " + invalidFile, want: "settings.me", fails: true},
 		{args: "migrate -c " + file + " --dry-run", want: "1 not carried over; nothing written"},
 		{args: "migrate -c " + file + " -o " + file, want: "is there already", fails: true},
 		{args: "migrate -c " + file, want: "--dry-run", fails: true},
-		{args: "migrate -c " + bad + " --dry-run", want: bad + ": settings: settings.me", fails: true},
-		{args: "check -c " + known, want: "known", fails: true},
-		{args: "serve -c " + known, want: "known", fails: true},
+		{args: "migrate -c " + invalidFile + " --dry-run", want: invalidFile + ": settings: settings.me", fails: true},
+		{args: "check -c " + invalidKnownFile, want: "known", fails: true},
+		{args: "serve -c " + invalidKnownFile, want: "known", fails: true},
 		{args: "check", want: "GW_CONFIG", fails: true},
 		{args: "", want: "one command", fails: true},
 		{args: "dance", want: "unknown command", fails: true},
@@ -45,20 +45,22 @@
 	}
 }
 
-// An operator's error says what is wrong, where, and what to do.
-func TestCommandLine_ErrorsSayWhatToDo(t *testing.T) {
-	nobody := testutil.FreeAddress(t)
+// TestCommandLine_ErrorsNameCauseAndRemedy checks that the error texts name the cause, the file or address, and the
+// flag or key to change.
+func TestCommandLine_ErrorsNameCauseAndRemedy(t *testing.T) {
+	unusedAddress := testutil.FreeAddress(t)
 	operator := filepath.Join(t.TempDir(), "op.toml")
 	writeFile(t, operator, "")
 	for _, test := range []struct {
 		args string
 		want []string
 	}{
-		{args: "store status --at " + nobody, want: []string{"no replica listens at " + nobody, "--at", "refused"}},
-		{args: "billing resume --drop-before 2026-01-01T00:00:00Z --store " + nobody,
-			want: []string{"no replica listens at " + nobody, "--store", "refused"}},
-		{args: "billing room 0000000000000005 team --at " + nobody,
-			want: []string{"no gateway serves limit commands at " + nobody, "--at", "limits.listen"}},
+		{args: "store status --at " + unusedAddress,
+			want: []string{"no replica listens at " + unusedAddress, "--at", "refused"}},
+		{args: "billing resume --drop-before 2026-01-01T00:00:00Z --store " + unusedAddress,
+			want: []string{"no replica listens at " + unusedAddress, "--store", "refused"}},
+		{args: "billing room 0000000000000005 team --at " + unusedAddress,
+			want: []string{"no gateway serves limit commands at " + unusedAddress, "--at", "limits.listen"}},
 		{args: "billing room 0000000000000005 team --key ops", want: []string{"--secret-file"}},
 		{args: "check -c absent.json", want: []string{"absent.json", "--config", "GW_CONFIG"}},
 		{args: "check absent.toml", want: []string{"absent.toml", "name an existing file"}},
@@ -68,7 +70,7 @@
 		out, err := runProgram(t, strings.Fields(test.args)...)
 		for _, want := range test.want {
 			if err == nil || !strings.Contains(out, want) {
-				t.Errorf("%s: no %q in %v, %q", test.args, want, err, out)
+				t.Errorf("%s: the output lacks %q: %v, %q", test.args, want, err, out)
 			}
 		}
 	}
--- a/cmd/fawnplank/drain_test.go
+++ b/cmd/fawnplank/drain_test.go
@@ -20,23 +20,23 @@
 )
 
 const (
-	// drainLimit is the time after a drain call at which a connection that is still held counts as lost. The
-	// margin is for the test's own calls on a busy machine.
+	// drainLimit is the time after a drain call by which every client connection must have ended. The margin
+	// allows for the test's own calls on a busy machine.
 	drainLimit       = 4 * time.Second
 	drainLimitMargin = 300 * time.Millisecond
-	// drainDeadlineMs is the deadline of the class in these tests: the longest of the terms.
+	// drainDeadlineMs is the deadline of the class in these tests. No other time limit of a drain is longer.
 	drainDeadlineMs = 3000
 	drainFields     = "c=lookup,t=team,d=3000"
 )
 
-// drainGateway is a gateway's process with a management address, before a backend that never answers.
+// drainGateway is a gateway process with a management address.
 type drainGateway struct {
 	*gatewayProcess
 	management string
-	attempts   atomic.Int64 // that have reached the backend whole
+	attempts   atomic.Int64 // attempts that the backend has received completely
 }
 
-// startDrainGateway starts a gateway with additions to its environment.
+// startDrainGateway starts a gateway, with additional environment variables, for a backend that never answers.
 func startDrainGateway(t *testing.T, environment ...string) *drainGateway {
 	t.Helper()
 	var g *drainGateway
@@ -46,7 +46,7 @@
 	return g
 }
 
-// dialForDrain opens a client's connection that fails if it is open long after a drain's limit.
+// dialForDrain opens a client connection whose deadline is well after the end of a drain.
 func (g *drainGateway) dialForDrain(t *testing.T) net.Conn {
 	t.Helper()
 	client := dial(t, g.address)
@@ -54,7 +54,7 @@
 	return client
 }
 
-// newDrainGateway returns a gateway that is not started yet.
+// newDrainGateway writes the configuration of a gateway, and returns the gateway without starting it.
 func newDrainGateway(t *testing.T, backend net.Addr, deadlineMs int) *drainGateway {
 	t.Helper()
 	g := &drainGateway{management: freeAddress(t)}
@@ -63,14 +63,14 @@
 		file:    filepath.Join(t.TempDir(), "config.json"),
 		ended:   make(chan error, 1),
 	}
-	text := fmt.Sprintf(configuration, g.address, silentDiscovery(t), backend)
+	text := fmt.Sprintf(configuration, g.address, unresponsiveDiscovery(t), backend)
 	text = strings.Replace(text, `"name":"n0"`, fmt.Sprintf(`"name":"n0","mgmt":%q`, g.management), 1)
 	text = strings.Replace(text, `"deadline-ms":1500`, fmt.Sprintf(`"deadline-ms":%d`, deadlineMs), 1)
 	writeFile(t, g.file, text)
 	return g
 }
 
-// start starts the process and waits until it is ready.
+// start starts the process and waits until the gateway is ready.
 func (g *drainGateway) start(t *testing.T, environment ...string) {
 	t.Helper()
 	g.Cmd = exec.CommandContext(t.Context(), os.Args[0], "serve", "-c", g.file)
@@ -81,10 +81,10 @@
 	}
 	go func() { g.ended <- g.Wait() }()
 	t.Cleanup(func() { kill(g.Cmd) })
-	testutil.Eventually(t, "ready", func() bool { return g.ready(t) })
+	testutil.Eventually(t, "ready", func() bool { return g.isReady(t) })
 }
 
-// call makes a call at the management address and returns its answer.
+// call calls the management address and returns the answer's body.
 func (g *drainGateway) call(t *testing.T, method, path string) string {
 	t.Helper()
 	request, err := http.NewRequestWithContext(t.Context(), method, "http://"+g.management+path, nil)
@@ -95,7 +95,7 @@
 	if err != nil {
 		t.Fatalf("%s: %v", path, err)
 	}
-	defer hangUp(response.Body)
+	defer closeIgnoringError(response.Body)
 	body, err := io.ReadAll(response.Body)
 	if err != nil || response.StatusCode != http.StatusOK {
 		t.Errorf("%s: %s, %v", path, response.Status, err)
@@ -105,12 +105,12 @@
 
 var clientConnections = regexp.MustCompile(`(?m)^gw_client_connections (\d+)$`)
 
-// connections returns how many client connections the gateway holds, as its metrics say.
+// connections returns the number of open client connections according to the gateway's metrics.
 func (g *drainGateway) connections(t *testing.T) int {
 	t.Helper()
 	found := clientConnections.FindStringSubmatch(g.call(t, http.MethodGet, "/admin/stats"))
 	if found == nil {
-		t.Fatal("the metrics lack the connections of clients")
+		t.Fatal("the metrics lack gw_client_connections")
 	}
 	count, err := strconv.Atoi(found[1])
 	if err != nil {
@@ -119,13 +119,13 @@
 	return count
 }
 
-// checkDrained waits until the gateway holds no client connection, and fails the test if it still does when
-// the limit is near.
+// checkDrained waits until the gateway holds no client connection, and fails the test if one is still open shortly
+// before drainLimit.
 func (g *drainGateway) checkDrained(t *testing.T, began time.Time) {
 	t.Helper()
 	for g.connections(t) > 0 {
 		if age := time.Since(began); age > drainLimit-drainLimitMargin {
-			t.Fatalf("%d connections are held %v after the drain", g.connections(t), age)
+			t.Fatalf("%d connections are still open %v after the drain began", g.connections(t), age)
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
@@ -139,14 +139,14 @@
 	return time.Now()
 }
 
-// TestDrain_EndsEveryConnection: 4 s after a drain began an instance holds no connection, whatever its
-// clients do meanwhile, and whatever becomes of the wall clock.
+// TestDrain_EndsEveryConnection checks that an instance holds no connection 4 s after a drain began, whatever its
+// clients send meanwhile, and also if the wall clock is stepped.
 func TestDrain_EndsEveryConnection(t *testing.T) {
 	for name, test := range map[string]func(t *testing.T){
 		"wall clock an hour back":    func(t *testing.T) { t.Helper(); testDrainWithClockStep(t, -time.Hour) },
 		"wall clock an hour forward": func(t *testing.T) { t.Helper(); testDrainWithClockStep(t, time.Hour) },
 		"invalid commands":           testDrainWithInvalidCommands,
-		"half a command":             testDrainWithHalfCommands,
+		"half a command":             testDrainWithIncompleteCommands,
 		"nothing is read":            testDrainWithClientThatNeverReads,
 		"busy connection goes on":    testDrainWithBusyConnection,
 		"clients keep coming":        testDrainWithNewClients,
@@ -168,20 +168,21 @@
 	clock.set(t, step)
 	served := time.Now()
 	if _, err := io.ReadAll(idle); err != nil {
-		t.Errorf("the connection has not ended: %v", err)
+		t.Errorf("the idle connection did not end: %v", err)
 	}
 	if open := time.Since(served); open < time.Second/2 {
-		t.Errorf("the connection was served for only %v", open)
+		t.Errorf("the idle connection was ended after only %v", open)
 	}
 	g.checkDrained(t, began)
 	g.call(t, http.MethodPost, "/admin/resume")
-	stepped := time.Now().Add(step).UTC().Format(`time="2006-01-02T15`)
-	testutil.Eventually(t, "the step shows in the log", func() bool {
-		return g.logged(stepped)
+	steppedTime := time.Now().Add(step).UTC().Format(`time="2006-01-02T15`)
+	testutil.Eventually(t, "a log entry with the stepped time", func() bool {
+		return g.hasLogged(steppedTime)
 	})
 }
 
-// testDrainWithInvalidCommands: each invalid command makes the reader pause, and many are read at once.
+// testDrainWithInvalidCommands drains while a client sends invalid commands. The reader pauses after each invalid
+// command, and it reads many of them at once.
 func testDrainWithInvalidCommands(t *testing.T) {
 	t.Helper()
 	g := startDrainGateway(t)
@@ -199,21 +200,21 @@
 	}()
 	time.Sleep(500 * time.Millisecond)
 	g.checkDrained(t, g.drain(t))
-	hangUp(client)
+	closeIgnoringError(client)
 	<-ended
 }
 
-// testDrainWithHalfCommands: a client stops in the middle of a request, another goes on byte by byte, and a
-// third sends a large value slowly.
-func testDrainWithHalfCommands(t *testing.T) {
+// testDrainWithIncompleteCommands drains while one client has stopped in the middle of a request, a second one sends a
+// request byte by byte, and a third one sends a large value slowly.
+func testDrainWithIncompleteCommands(t *testing.T) {
 	t.Helper()
 	g := startDrainGateway(t)
-	whole := request("1", drainFields)
-	stopped := dial(t, g.address)
-	send(stopped, whole[:len(whole)-5])
-	large := "*5\r\n$9\r\nSVC.QUERY\r\n$16\r\n0000000000000005\r\n$1\r\n2\r\n$22\r\n" + drainFields +
+	completeRequest := request("1", drainFields)
+	stoppedClient := dial(t, g.address)
+	send(stoppedClient, completeRequest[:len(completeRequest)-5])
+	largeRequest := "*5\r\n$9\r\nSVC.QUERY\r\n$16\r\n0000000000000005\r\n$1\r\n2\r\n$22\r\n" + drainFields +
 		"\r\n$200000\r\n" + strings.Repeat("x", 8000)
-	for _, text := range []string{whole[:len(whole)-1], large} {
+	for _, text := range []string{completeRequest[:len(completeRequest)-1], largeRequest} {
 		client := dial(t, g.address)
 		go func() {
 			for n := range len(text) {
@@ -228,47 +229,47 @@
 	g.checkDrained(t, g.drain(t))
 }
 
-// testDrainWithClientThatNeverReads: the gateway's writes wait for a client that reads nothing.
+// testDrainWithClientThatNeverReads drains while the gateway's writes block on a client that does not read.
 func testDrainWithClientThatNeverReads(t *testing.T) {
 	t.Helper()
 	g := startDrainGateway(t)
 	client := g.dialForDrain(t)
 	go func() {
-		// It is cut off in the end.
+		// The write fails when the gateway closes the connection.
 		_, _ = io.WriteString(client, strings.Repeat(respWords("PING"), 2_000_000))
 	}()
 	time.Sleep(time.Second)
 	g.checkDrained(t, g.drain(t))
 }
 
-// testDrainWithBusyConnection: a client sends further requests on a connection on which one is open. They
-// must not be read once the drain ends connections: each would hold the connection for a deadline more.
+// testDrainWithBusyConnection drains while a client sends further requests on a connection with an open request. The
+// gateway must not read them once the drain ends connections: each would keep the connection open for another deadline.
 func testDrainWithBusyConnection(t *testing.T) {
 	t.Helper()
 	g := startDrainGateway(t)
 	client := g.dialForDrain(t)
 	send(client, request("1", drainFields))
-	testutil.Eventually(t, "the attempt is out", func() bool { return g.attempts.Load() == 1 })
+	testutil.Eventually(t, "an attempt at the backend", func() bool { return g.attempts.Load() == 1 })
 	began := g.drain(t)
-	time.Sleep(1600 * time.Millisecond) // idle connections have ended
+	time.Sleep(1600 * time.Millisecond) // by now the drain has ended idle connections
 	send(client, request("2", drainFields))
 	reader := bufio.NewReader(client)
 	if line, err := reader.ReadString('\n'); !strings.HasPrefix(line, "-") {
 		t.Errorf("the open request: %q, %v", line, err)
 	}
 	if line, _ := reader.ReadString('\n'); line != "" {
-		t.Errorf("the request behind it was read: %q", line)
+		t.Errorf("the following request was read: %q", line)
 	}
 	g.checkDrained(t, began)
 }
 
-// testDrainWithNewClients: the load balancer goes on sending clients, each with a request that the backend does
-// not answer. A request of the last 2 s must not hold its connection at the limit.
+// testDrainWithNewClients drains while new clients keep connecting, each with a request that the backend does not
+// answer. A request sent in the last 2 s before drainLimit must not keep its connection open.
 func testDrainWithNewClients(t *testing.T) {
 	t.Helper()
 	g := startDrainGateway(t)
 	began := g.drain(t)
-	held := make(chan time.Duration)
+	holdTimes := make(chan time.Duration)
 	clients := 0
 	for time.Since(began) < drainLimit-drainLimitMargin {
 		client := dial(t, g.address)
@@ -276,18 +277,18 @@
 		sent := time.Now()
 		send(client, request(strconv.Itoa(clients), drainFields))
 		go func() {
-			_, _ = io.Copy(io.Discard, client) // up to its end
+			_, _ = io.Copy(io.Discard, client) // returns when the connection ends
 			if sent.Sub(began) < drainLimit-2*time.Second {
-				held <- 0
+				holdTimes <- 0
 				return
 			}
-			held <- time.Since(sent)
+			holdTimes <- time.Since(sent)
 		}()
 		time.Sleep(30 * time.Millisecond)
 	}
 	for range clients {
-		if duration := <-held; duration > drainLimitMargin {
-			t.Errorf("a request of the last 2 s held its connection for %v", duration)
+		if duration := <-holdTimes; duration > drainLimitMargin {
+			t.Errorf("a request sent in the last 2 s kept its connection open for %v", duration)
 		}
 	}
 }
--- a/cmd/fawnplank/endpoint_grace_test.go
+++ b/cmd/fawnplank/endpoint_grace_test.go
@@ -16,51 +16,51 @@
 	"fawnplank/internal/testutil"
 )
 
-// agent stands in for discovery's agent on the gateway's own machine: it answers at once with the list that
-// it has, and a call that it was silent to is never answered, even once it speaks again.
-type agent struct {
+// discoveryAgent is a stand-in for the discovery agent on the gateway's machine. It answers at once with its current
+// list. A call that arrives, or waits, while the agent is unresponsive is never answered, not even after it recovers.
+type discoveryAgent struct {
 	*httptest.Server
-	mu      sync.Mutex
-	index   int
-	list    string // the entries
-	silent  bool
-	calls   []string      // their queries
-	changes chan struct{} // closed at each change
+	mu           sync.Mutex
+	index        int
+	entries      string // of the list, as JSON
+	unresponsive bool
+	queries      []string      // the queries of the calls
+	changed      chan struct{} // closed at each change
 }
 
-func newAgent(t *testing.T, index int, list string) *agent {
+func newDiscoveryAgent(t *testing.T, index int, entries string) *discoveryAgent {
 	t.Helper()
-	a := &agent{index: index, list: list, changes: make(chan struct{})}
+	a := &discoveryAgent{index: index, entries: entries, changed: make(chan struct{})}
 	a.Server = httptest.NewServer(a)
 	t.Cleanup(a.CloseClientConnections)
 	return a
 }
 
-func (a *agent) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (a *discoveryAgent) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	wait, err := strconv.Atoi(r.URL.Query().Get("wait"))
 	if err != nil {
 		wait = 0
 	}
 	index, indexErr := strconv.Atoi(r.URL.Query().Get("index"))
 	a.mu.Lock()
-	a.calls = append(a.calls, r.URL.RawQuery)
+	a.queries = append(a.queries, r.URL.RawQuery)
 	a.mu.Unlock()
 	for timeout := time.After(time.Duration(wait) * time.Millisecond); ; {
 		a.mu.Lock()
-		now, list, silent, changes := a.index, a.list, a.silent, a.changes
+		currentIndex, entries, unresponsive, changed := a.index, a.entries, a.unresponsive, a.changed
 		a.mu.Unlock()
 		switch {
-		case silent:
+		case unresponsive:
 			<-r.Context().Done()
 			return
-		case indexErr != nil || now > index:
-			sendf(w, `{"index":%d,"snapshot":true,"endpoints":[%s]}`, now, list)
+		case indexErr != nil || currentIndex > index:
+			sendf(w, `{"index":%d,"snapshot":true,"endpoints":[%s]}`, currentIndex, entries)
 			return
 		}
 		select {
-		case <-changes:
+		case <-changed:
 		case <-timeout:
-			sendf(w, `{"index":%d,"snapshot":false,"endpoints":[]}`, now)
+			sendf(w, `{"index":%d,"snapshot":false,"endpoints":[]}`, currentIndex)
 			return
 		case <-r.Context().Done():
 			return
@@ -68,29 +68,29 @@
 	}
 }
 
-// set changes the list, or makes the agent silent: calls that wait are not answered then.
-func (a *agent) set(list string, silent bool) {
+// set changes the list, and sets whether the agent is unresponsive: waiting calls are then never answered.
+func (a *discoveryAgent) set(entries string, unresponsive bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if a.silent = silent; list != a.list {
-		a.list = list
+	if a.unresponsive = unresponsive; entries != a.entries {
+		a.entries = entries
 		a.index++
 	}
-	close(a.changes)
-	a.changes = make(chan struct{})
+	close(a.changed)
+	a.changed = make(chan struct{})
 }
 
-func (a *agent) address() string { return strings.TrimPrefix(a.URL, "http://") }
+func (a *discoveryAgent) address() string { return strings.TrimPrefix(a.URL, "http://") }
 
-// backendPair is two backends, of which the first is to drain, and a client that sends a gateway requests
-// without end.
+// backendPair consists of two backends, of which the first one starts to drain during the test, and a client that
+// sends requests to a gateway all the time.
 type backendPair struct {
-	mu            sync.Mutex
-	lastDraining  time.Time // of an attempt at the draining backend
-	draining      int       // attempts at the backend that is to drain
-	staying       int       // attempts at the other
-	both, without string    // lists: both up; the first draining
-	file, address string    // of the gateway
+	mu                    sync.Mutex
+	lastDrainingAttempt   time.Time // when the first backend received its last attempt
+	draining              int       // number of attempts at the first backend
+	active                int       // number of attempts at the second backend
+	bothUp, firstDraining string    // list entries, with both backends up and with the first one draining
+	file, address         string    // of the gateway
 }
 
 func endpoint(name, status string, address net.Addr) string {
@@ -100,36 +100,36 @@
 
 func newBackendPair(t *testing.T) *backendPair {
 	t.Helper()
-	p := &backendPair{file: filepath.Join(t.TempDir(), "config.json"), address: freeAddress(t)}
+	pair := &backendPair{file: filepath.Join(t.TempDir(), "config.json"), address: freeAddress(t)}
 	draining := testutil.ServeCommands(t, func(conn net.Conn) {
-		p.mu.Lock()
-		p.lastDraining = time.Now()
-		p.draining++
-		p.mu.Unlock()
+		pair.mu.Lock()
+		pair.lastDrainingAttempt = time.Now()
+		pair.draining++
+		pair.mu.Unlock()
 		send(conn, successResponse)
 	})
-	staying := testutil.ServeCommands(t, func(conn net.Conn) {
-		p.mu.Lock()
-		p.staying++
-		p.mu.Unlock()
+	active := testutil.ServeCommands(t, func(conn net.Conn) {
+		pair.mu.Lock()
+		pair.active++
+		pair.mu.Unlock()
 		send(conn, successResponse)
 	})
-	p.both = endpoint("s-1", "up", draining) + "," + endpoint("s-2", "up", staying)
-	p.without = endpoint("s-1", "draining", draining) + "," + endpoint("s-2", "up", staying)
-	return p
+	pair.bothUp = endpoint("s-1", "up", draining) + "," + endpoint("s-2", "up", active)
+	pair.firstDraining = endpoint("s-1", "draining", draining) + "," + endpoint("s-2", "up", active)
+	return pair
 }
 
-// configure writes the gateway's configuration, with both backends up in its list.
+// configure writes the gateway's configuration, whose known list has both backends up.
 func (p *backendPair) configure(t *testing.T, discovery string, replacements ...string) {
 	t.Helper()
 	text := fmt.Sprintf(configuration, p.address, discovery, "")
 	from, _, _ := strings.Cut(text, `"known"`)
 	_, to, _ := strings.Cut(text, `"settings"`)
-	text = from + `"known":{"index":1,"snapshot":true,"endpoints":[` + p.both + `]},"settings"` + to
+	text = from + `"known":{"index":1,"snapshot":true,"endpoints":[` + p.bothUp + `]},"settings"` + to
 	writeFile(t, p.file, strings.NewReplacer(replacements...).Replace(text))
 }
 
-// sendRequests is the client, to the test's end.
+// sendRequests sends requests on one connection until the test ends.
 func (p *backendPair) sendRequests(t *testing.T) {
 	t.Helper()
 	conn, err := tryDial(t, p.address)
@@ -139,7 +139,7 @@
 	stop := make(chan struct{})
 	t.Cleanup(func() {
 		close(stop)
-		hangUp(conn)
+		closeIgnoringError(conn)
 	})
 	go discard(conn)
 	go func() {
@@ -154,7 +154,7 @@
 	}()
 }
 
-// eventually waits for a condition on the counts.
+// eventually waits for a condition on the pair's counts, which is evaluated under the lock.
 func (p *backendPair) eventually(t *testing.T, what string, condition func() bool) {
 	t.Helper()
 	testutil.Eventually(t, what, func() bool {
@@ -164,121 +164,122 @@
 	})
 }
 
-// endpointGrace is how long after the agent has a list an attempt at a backend that drains may still begin.
+// endpointGrace is how long after a list is available at the agent an attempt at a draining backend may still begin.
 const endpointGrace = time.Second + 50*time.Millisecond
 
-// drainEvents are the ways by which a gateway is notified that a backend is draining. Each returns when the
-// agent had the list.
-var drainEvents = map[string]func(first, second *agent, without string, reload func()) time.Time{
-	"outage": func(first, _ *agent, without string, _ func()) time.Time {
-		first.set(first.list, true)
+// drainEvents are the ways in which a gateway receives the list with the draining backend. Each function returns the
+// time at which the list was available at the agent.
+var drainEvents = map[string]func(first, second *discoveryAgent, without string, reload func()) time.Time{
+	"outage": func(first, _ *discoveryAgent, without string, _ func()) time.Time {
+		first.set(first.entries, true)
 		time.Sleep(8 * time.Second)
 		first.set(without, false)
 		return time.Now()
 	},
-	"short outage": func(first, _ *agent, without string, _ func()) time.Time {
-		first.set(first.list, true)
-		time.Sleep(300 * time.Millisecond) // shorter than a watch: it meets one that has just begun
+	"short outage": func(first, _ *discoveryAgent, without string, _ func()) time.Time {
+		first.set(first.entries, true)
+		time.Sleep(300 * time.Millisecond) // shorter than a watch, so that it interrupts one that has just begun
 		first.set(without, false)
 		return time.Now()
 	},
-	"silent watch": func(first, _ *agent, without string, _ func()) time.Time {
-		first.set(first.list, true) // those that wait are not answered any more
+	"unanswered watch": func(first, _ *discoveryAgent, without string, _ func()) time.Time {
+		first.set(first.entries, true) // waiting calls are no longer answered
 		time.Sleep(10 * time.Millisecond)
 		first.set(without, false)
 		return time.Now()
 	},
-	"other discovery": func(_, second *agent, _ string, reload func()) time.Time {
-		second.set(second.list, true)
+	"changed discovery address": func(_, second *discoveryAgent, _ string, reload func()) time.Time {
+		second.set(second.entries, true)
 		reload()
 		time.Sleep(500 * time.Millisecond)
-		second.set(second.list, false)
+		second.set(second.entries, false)
 		return time.Now()
 	},
 }
 
-// Failure: with discovery down for 8 s into a release, gateways went on sending to 23 draining backends (335
-// attempts in herd+mass, seed 872230496381, the first 1.07 s after the agent had the list): a call that the
-// outage had silenced was abandoned after three seconds only. The same clock holds on every way by which a
-// list arrives: the moment at which the agent has it counts, and no attempt at a draining backend begins
-// later than the grace after.
-func TestEndpointLists_ApplyWithinTheGrace(t *testing.T) {
+// TestEndpointLists_ApplyWithinGrace checks that no attempt at a draining backend begins later than endpointGrace after
+// the list is available at the agent, whichever way the list arrives. It guards against a failure in which discovery
+// was down for 8 s during a release and gateways went on sending to 23 draining backends (335 attempts in scenario
+// herd+mass, seed 872230496381, the first one 1.07 s after the agent had the list): a call that was pending during the
+// outage was abandoned only after three seconds.
+func TestEndpointLists_ApplyWithinGrace(t *testing.T) {
 	for name, event := range drainEvents {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			p := newBackendPair(t)
-			first, second := newAgent(t, 1, p.both), newAgent(t, 7, p.without)
-			p.configure(t, first.address())
-			process := startServing(t, p.file)
-			p.sendRequests(t)
-			p.eventually(t, "attempts at both", func() bool { return p.draining > 0 && p.staying > 0 })
-			announced := event(first, second, p.without, func() {
-				p.configure(t, second.address())
+			pair := newBackendPair(t)
+			first, second := newDiscoveryAgent(t, 1, pair.bothUp), newDiscoveryAgent(t, 7, pair.firstDraining)
+			pair.configure(t, first.address())
+			process := startServing(t, pair.file)
+			pair.sendRequests(t)
+			pair.eventually(t, "attempts at both", func() bool { return pair.draining > 0 && pair.active > 0 })
+			listAvailable := event(first, second, pair.firstDraining, func() {
+				pair.configure(t, second.address())
 				sendSignal(t, process, syscall.SIGHUP)
 			})
-			time.Sleep(time.Until(announced.Add(endpointGrace)))
-			p.mu.Lock()
-			before := p.staying
-			p.mu.Unlock()
+			time.Sleep(time.Until(listAvailable.Add(endpointGrace)))
+			pair.mu.Lock()
+			activeBefore := pair.active
+			pair.mu.Unlock()
 			time.Sleep(3 * time.Second) // longer than any call that hangs
-			p.mu.Lock()
-			defer p.mu.Unlock()
-			last := p.lastDraining.Sub(announced)
-			if last > endpointGrace || p.staying <= before {
-				t.Errorf("the last attempt at a draining backend came %v after the list; "+
-					"%d at the other since the grace", last, p.staying-before)
+			pair.mu.Lock()
+			defer pair.mu.Unlock()
+			lastAttempt := pair.lastDrainingAttempt.Sub(listAvailable)
+			if lastAttempt > endpointGrace || pair.active <= activeBefore {
+				t.Errorf("the last attempt at the draining backend began %v after the list; "+
+					"%d attempts at the other backend since the grace period", lastAttempt, pair.active-activeBefore)
 			}
-			t.Logf("the last attempt came %v after the list", last)
+			t.Logf("the last attempt began %v after the list", lastAttempt)
 		})
 	}
 }
 
-// A process that starts with a list of long ago follows discovery from its start on: its first call asks for
-// what is new since that list, for a third of the drain's grace; never answered, it is made again: a backend
-// that is new is sent to, and the one that drains is left. How soon is tested to the moment in
-// internal/discovery, on a clock that the test moves; no time counts here.
-func TestAnOldKnownListIsLeft(t *testing.T) {
+// TestEndpointLists_StaleKnownListIsReplaced starts a gateway with an outdated list in its configuration. Its first
+// call requests the changes since that list and waits for a third of the drain grace. This call is never answered, so
+// the gateway has to repeat it, send to the new backend, and stop sending to the draining one. The exact times are
+// tested in internal/discovery with a simulated clock; this test checks no times.
+func TestEndpointLists_StaleKnownListIsReplaced(t *testing.T) {
 	t.Parallel()
-	p := newBackendPair(t)
-	added := 0 // attempts at the backend that only the new list has
-	third := testutil.ServeCommands(t, func(conn net.Conn) {
-		p.mu.Lock()
-		added++
-		p.mu.Unlock()
+	pair := newBackendPair(t)
+	addedAttempts := 0 // attempts at the backend that only the new list has
+	added := testutil.ServeCommands(t, func(conn net.Conn) {
+		pair.mu.Lock()
+		addedAttempts++
+		pair.mu.Unlock()
 		send(conn, successResponse)
 	})
-	a := newAgent(t, 2, p.without+","+endpoint("s-3", "up", third))
-	a.set(a.list, true)
-	p.configure(t, a.address(), `"fall-ms":1000`, `"fall-ms":1000,"stop-sending-within-ms":600`)
-	startServing(t, p.file)
-	p.sendRequests(t)
-	p.eventually(t, "attempts at both of the old list", func() bool { return p.draining > 0 && p.staying > 0 })
-	// The call may come later than the first attempts, which wait for nothing.
-	testutil.Eventually(t, "a call", func() bool {
-		a.mu.Lock()
-		defer a.mu.Unlock()
-		return len(a.calls) > 0
+	agent := newDiscoveryAgent(t, 2, pair.firstDraining+","+endpoint("s-3", "up", added))
+	agent.set(agent.entries, true)
+	pair.configure(t, agent.address(), `"fall-ms":1000`, `"fall-ms":1000,"stop-sending-within-ms":600`)
+	startServing(t, pair.file)
+	pair.sendRequests(t)
+	pair.eventually(t, "attempts at both known backends", func() bool { return pair.draining > 0 && pair.active > 0 })
+	// The call may arrive later than the first attempts, which do not wait for it.
+	testutil.Eventually(t, "a call to discovery", func() bool {
+		agent.mu.Lock()
+		defer agent.mu.Unlock()
+		return len(agent.queries) > 0
 	})
-	a.mu.Lock()
-	if first := a.calls[0]; first != "index=1&wait=200" {
-		t.Errorf("the first call asks for %q", first)
+	agent.mu.Lock()
+	if firstQuery := agent.queries[0]; firstQuery != "index=1&wait=200" {
+		t.Errorf("the first call has the query %q", firstQuery)
 	}
-	a.mu.Unlock()
-	a.set(a.list, false) // a call that the agent left unanswered stays so
-	p.eventually(t, "an attempt at the new backend", func() bool { return added > 0 })
-	// Waits for so many attempts at the others, and returns those at the draining one.
+	agent.mu.Unlock()
+	agent.set(agent.entries, false) // the call that is already pending stays unanswered
+	pair.eventually(t, "an attempt at the new backend", func() bool { return addedAttempts > 0 })
+	// drainingAfter waits for a number of further attempts at the other two backends, and returns the number of
+	// attempts at the draining backend.
 	drainingAfter := func(attempts int) (draining int) {
 		target := 0
-		p.eventually(t, "further attempts", func() bool {
+		pair.eventually(t, "further attempts", func() bool {
 			if target == 0 {
-				target = p.staying + added + attempts
+				target = pair.active + addedAttempts + attempts
 			}
-			draining = p.draining
-			return p.staying+added >= target
+			draining = pair.draining
+			return pair.active+addedAttempts >= target
 		})
 		return draining
 	}
-	before := drainingAfter(50) // by then those in flight have come
+	before := drainingAfter(50) // by then all attempts in flight have arrived
 	if after := drainingAfter(200); after != before {
 		t.Errorf("%d attempts at the draining backend after the list was applied", after-before)
 	}
--- a/cmd/fawnplank/failed_read_test.go
+++ b/cmd/fawnplank/failed_read_test.go
@@ -7,9 +7,9 @@
 	"testing"
 )
 
-// TestBillingResume_FailsWhereAReplicaDoesNotAnswer guards against usage that is billed twice: a replica that
-// answered 503 seemed to have no accounts, no window was dropped, and the command reported success.
-func TestBillingResume_FailsWhereAReplicaDoesNotAnswer(t *testing.T) {
+// TestBillingResume_FailsOnReplicaError guards against usage that is billed twice: when a replica answered 503, the
+// command treated it as a store without accounts, dropped no window, and reported success.
+func TestBillingResume_FailsOnReplicaError(t *testing.T) {
 	for name, fails := range map[string]func(r *http.Request) bool{
 		"list of keys": func(r *http.Request) bool { return r.URL.Query().Has("prefix") },
 		"one account":  func(r *http.Request) bool { return r.URL.Query().Has("stale") },
@@ -38,21 +38,21 @@
 				t.Errorf("%v: %s", err, out)
 			}
 			if edits > 0 {
-				t.Errorf("%d edits after a read that failed", edits)
+				t.Errorf("%d edits after a failed read", edits)
 			}
 		})
 	}
 }
 
-// TestDNSList_FailsWhereNoReplicaAnswers guards against a list that is not in force: with --store at a dead address the
-// zone file's list was shown, with status 0.
-func TestDNSList_FailsWhereNoReplicaAnswers(t *testing.T) {
+// TestDNSList_FailsWithoutReplica guards against the output of an outdated list: when no replica listened at the
+// address given with --store, the command printed the zone file's list and exited with status 0.
+func TestDNSList_FailsWithoutReplica(t *testing.T) {
 	z := newZoneFiles(t, true)
 	out, err := runProgram(t, "dns", "list", "--operator", z.operator, "--store", "127.0.0.1:1")
 	if err == nil || !strings.Contains(out, "no replica listens at 127.0.0.1:1") {
 		t.Errorf("%v: %s", err, out)
 	}
 	if strings.Contains(out, "backends in the list") {
-		t.Errorf("a list that the store does not have: %s", out)
+		t.Errorf("a list was printed without the store: %s", out)
 	}
 }
--- a/cmd/fawnplank/limits_test.go
+++ b/cmd/fawnplank/limits_test.go
@@ -14,7 +14,8 @@
 	"time"
 )
 
-// check and serve use the same reader: what one refuses the other does, in the same words.
+// TestCheckAndServe_AgreeOnOperatorFiles checks that both commands, which share one reader, refuse the same operator
+// files with the same error text.
 func TestCheckAndServe_AgreeOnOperatorFiles(t *testing.T) {
 	folder := t.TempDir()
 	settings := filepath.Join(folder, "config.json")
@@ -42,7 +43,7 @@
 			outputs = append(outputs, out)
 		}
 		if outputs[0] != outputs[1] || outputs[1] != outputs[2] {
-			t.Errorf("%q is refused in different words: %q", text, outputs)
+			t.Errorf("%q: the commands print different errors: %q", text, outputs)
 		}
 	}
 	writeFile(t, operator, "")
@@ -57,13 +58,13 @@
 	}
 }
 
-// logReader reads the entries of a process that logs as JSON.
+// logReader reads the log entries of a process that logs in JSON.
 type logReader struct {
-	instance string // the name that each entry must carry
+	instance string // the instance name that each entry must have
 	entries  chan map[string]any
 }
 
-// startLogged starts a process whose log is read.
+// startLogged starts a process and reads its log.
 func startLogged(t *testing.T, process *exec.Cmd, instance string) *logReader {
 	t.Helper()
 	log := startWithLog(t, process)
@@ -73,7 +74,7 @@
 		for lines := bufio.NewScanner(log); lines.Scan(); {
 			var entry map[string]any
 			if err := json.Unmarshal(lines.Bytes(), &entry); err != nil {
-				entry = map[string]any{"event": "no JSON: " + lines.Text()}
+				entry = map[string]any{"event": "invalid JSON: " + lines.Text()}
 			}
 			r.entries <- entry
 		}
@@ -81,7 +82,7 @@
 	return r
 }
 
-// wait reads up to an entry of a component.
+// wait reads log entries up to the given event of a component, and returns that entry.
 func (r *logReader) wait(t *testing.T, component, event string) map[string]any {
 	t.Helper()
 	for timeout := time.After(5 * time.Second); ; {
@@ -91,51 +92,51 @@
 				t.Fatalf("the log ended before %s: %s", component, event)
 			}
 			if entry["instance"] != r.instance || entry["component"] == nil {
-				t.Errorf("an entry without its fields: %v", entry)
+				t.Errorf("log entry without component or with the wrong instance: %v", entry)
 			}
 			if entry["component"] == component && entry["event"] == event {
 				return entry
 			}
 		case <-timeout:
-			t.Fatalf("no entry %s: %s", component, event)
+			t.Fatalf("no log entry %s: %s", component, event)
 		}
 	}
 }
 
-// checkAnswer sends a command on a connection of its own, and checks how its answer begins.
+// checkAnswer sends a command on a new connection, and checks the beginning of the answer.
 func checkAnswer(t *testing.T, address, text, want string) {
 	t.Helper()
 	conn := dial(t, address)
-	defer hangUp(conn)
+	defer closeIgnoringError(conn)
 	setDeadline(conn, 3*time.Second)
 	send(conn, text)
-	got, _ := bufio.NewReader(conn).ReadString('\n') // an error shows in the line
+	got, _ := bufio.NewReader(conn).ReadString('\n') // on an error the line is incomplete
 	if !strings.HasPrefix(got, want) {
 		t.Errorf("%q: %q, want %q", text, got, want)
 	}
 }
 
-// A gateway with limit commands: a tool's check is admitted, no client can send a request of the class that
-// only counts, and a reload with a faulty operator file changes nothing and is counted.
+// TestServe_LimitCommands checks that a gateway with limit commands admits a check, that clients cannot send requests
+// of the internal class limit.check, and that a reload with an invalid operator file changes nothing and is counted.
 func TestServe_LimitCommands(t *testing.T) {
 	folder := t.TempDir()
 	settings := filepath.Join(folder, "config.json")
 	operator := filepath.Join(folder, "op.toml")
-	clients, limits, management := freeAddress(t), freeAddress(t), freeAddress(t)
-	text := fmt.Sprintf(configuration, clients, "127.0.0.1:2", "127.0.0.1:3")
-	writeFile(t, settings, strings.Replace(text, `"name":"n0"`, `"name":"n0","mgmt":"`+management+`"`, 1))
-	good := fmt.Sprintf("[limits]\nlisten = %q\n[log]\nformat = \"json\"\n", limits)
-	writeFile(t, operator, good)
-	process := program(t, "serve", "-c", settings, "--operator", operator)
+	clientAddress, limitsAddress, managementAddress := freeAddress(t), freeAddress(t), freeAddress(t)
+	text := fmt.Sprintf(configuration, clientAddress, "127.0.0.1:2", "127.0.0.1:3")
+	writeFile(t, settings, strings.Replace(text, `"name":"n0"`, `"name":"n0","mgmt":"`+managementAddress+`"`, 1))
+	validOperator := fmt.Sprintf("[limits]\nlisten = %q\n[log]\nformat = \"json\"\n", limitsAddress)
+	writeFile(t, operator, validOperator)
+	process := programCommand(t, "serve", "-c", settings, "--operator", operator)
 	log := startLogged(t, process, "n0")
-	if entry := log.wait(t, "limits", "listening"); entry["address"] != limits {
+	if entry := log.wait(t, "limits", "listening"); entry["address"] != limitsAddress {
 		t.Error(entry)
 	}
 	log.wait(t, "frontend", "listening")
 	const check = "*3\r\n$11\r\nLIMIT.CHECK\r\n$16\r\n0000000000000005\r\n$4\r\nteam\r\n"
-	checkAnswer(t, limits, check, "*5")
-	checkAnswer(t, limits, strings.Replace(check, "team", "gold", 1), "-ERR no plan 'gold'")
-	checkAnswer(t, clients, request("1", "c=limit.check,t=team,d=1400"), "-ERR c has no meaning")
+	checkAnswer(t, limitsAddress, check, "*5")
+	checkAnswer(t, limitsAddress, strings.Replace(check, "team", "gold", 1), "-ERR no plan 'gold'")
+	checkAnswer(t, clientAddress, request("1", "c=limit.check,t=team,d=1400"), "-ERR c has no meaning")
 
 	writeFile(t, operator, "[limits]\nlisten = \"nowhere\"\n")
 	sendSignal(t, process, syscall.SIGHUP)
@@ -143,13 +144,13 @@
 	if !strings.Contains(fmt.Sprint(entry["error"]), "op.toml:2: limits.listen") {
 		t.Error(entry)
 	}
-	checkAnswer(t, limits, check, "*5")
-	writeFile(t, operator, good+"level = \"debug\"\n")
+	checkAnswer(t, limitsAddress, check, "*5")
+	writeFile(t, operator, validOperator+"level = \"debug\"\n")
 	sendSignal(t, process, syscall.SIGHUP)
 	log.wait(t, "config", "operator file changes need a restart")
 	log.wait(t, "config", "configuration reloaded")
-	checkAnswer(t, limits, check, "*5")
-	checkStats(t, management, "gw_reload_failure 1", "gw_reload_success 1", "gw_limit_checks_granted 3",
+	checkAnswer(t, limitsAddress, check, "*5")
+	checkStats(t, managementAddress, "gw_reload_failure 1", "gw_reload_success 1", "gw_limit_checks_granted 3",
 		"gw_limit_faults 1", "gw_counter_outage_seconds 0", "gw_quota_drift_units 0", "gw_counter_breaker_open 0")
 	sendSignal(t, process, syscall.SIGTERM)
 	log.wait(t, "frontend", "stopped")
@@ -158,10 +159,10 @@
 	}
 }
 
-// checkStats checks that the metrics at a management address hold lines.
-func checkStats(t *testing.T, management string, lines ...string) {
+// checkStats checks that the metrics at a management address contain all of the lines.
+func checkStats(t *testing.T, managementAddress string, lines ...string) {
 	t.Helper()
-	url := "http://" + management + "/admin/stats"
+	url := "http://" + managementAddress + "/admin/stats"
 	statsRequest, err := http.NewRequestWithContext(t.Context(), http.MethodGet, url, nil)
 	if err != nil {
 		t.Fatal(err)
@@ -170,14 +171,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer hangUp(response.Body)
+	defer closeIgnoringError(response.Body)
 	stats, err := io.ReadAll(response.Body)
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, line := range lines {
 		if !strings.Contains(string(stats), line+"\n") {
-			t.Errorf("%q is lacking in the metrics", line)
+			t.Errorf("the metrics lack %q", line)
 		}
 	}
 }
--- a/cmd/fawnplank/listen_test.go
+++ b/cmd/fawnplank/listen_test.go
@@ -8,8 +8,8 @@
 	"fawnplank/internal/config"
 )
 
-// A new process listens on the clients' address while the old one still does; once the old one has closed its
-// listener, the new one accepts every connection.
+// TestListen_TwoProcessesShareTheAddress checks that a new process can listen on the client address while the old one
+// still does, and that it accepts every connection once the old one has closed its listener.
 func TestListen_TwoProcessesShareTheAddress(t *testing.T) {
 	settings := &config.Config{Listen: "127.0.0.1:0", ListenerFD: -1}
 	first, err := listen(t.Context(), settings)
@@ -21,12 +21,12 @@
 	if err != nil {
 		t.Fatalf("the second listener: %v", err)
 	}
-	defer hangUp(second)
-	hangUp(first)
+	defer closeIgnoringError(second)
+	closeIgnoringError(first)
 	go func() {
 		for range 20 {
 			if conn, err := tryDial(t, settings.Listen); err == nil {
-				hangUp(conn)
+				closeIgnoringError(conn)
 			}
 		}
 	}()
@@ -38,6 +38,6 @@
 		if err != nil {
 			t.Fatalf("connection %d: %v", n, err)
 		}
-		hangUp(conn)
+		closeIgnoringError(conn)
 	}
 }
--- a/cmd/fawnplank/metrics_test.go
+++ b/cmd/fawnplank/metrics_test.go
@@ -7,7 +7,8 @@
 	"fawnplank/policy"
 )
 
-// After a reload, ids of classes reach past the number of names; each is named, a retired row by nothing.
+// TestClassNames_AfterReload covers class ids that exceed the number of names, as after a reload that removed a class:
+// each class has its name at its id, and the id of the removed class has an empty name.
 func TestClassNames_AfterReload(t *testing.T) {
 	reloaded := &config.Config{Classes: map[string]policy.ClassID{"lookup": 0, "pay": 2}}
 	reloaded.Settings.Classes = make([]policy.ClassSettings, 3)
--- a/cmd/fawnplank/notifier_test.go
+++ b/cmd/fawnplank/notifier_test.go
@@ -5,8 +5,8 @@
 	"testing/synctest"
 )
 
-// Changes before Start are handled by it, changes while the handler runs by one further call, and none after
-// Close.
+// TestNotifier checks that Start handles earlier notifications with one call, that all notifications during a call of
+// the handler cause one further call, and that notifications after Close cause none.
 func TestNotifier(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := newNotifier()
@@ -20,7 +20,7 @@
 		})
 		synctest.Wait()
 		if calls != 1 {
-			t.Errorf("%d calls for the changes before Start", calls)
+			t.Errorf("%d calls for the notifications before Start, want 1", calls)
 		}
 		for range 3 {
 			n.Notify()
@@ -28,14 +28,14 @@
 		release <- struct{}{}
 		synctest.Wait()
 		if calls != 2 {
-			t.Errorf("%d calls with the changes while the handler ran", calls)
+			t.Errorf("%d calls after notifications during a call, want 2", calls)
 		}
 		close(release)
 		n.Close()
 		n.Notify()
 		synctest.Wait()
 		if calls != 2 {
-			t.Errorf("%d calls after Close", calls)
+			t.Errorf("%d calls after Close, want 2", calls)
 		}
 	})
 }
--- a/cmd/fawnplank/process_test.go
+++ b/cmd/fawnplank/process_test.go
@@ -18,7 +18,7 @@
 	"time"
 )
 
-// TestMain lets the test's own binary be the program.
+// TestMain runs the program itself instead of the tests when a test starts its own binary as the program.
 func TestMain(m *testing.M) {
 	if os.Getenv("FAWNPLANK_AS_MAIN") != "" {
 		main()
@@ -27,8 +27,8 @@
 	os.Exit(m.Run())
 }
 
-// program is the program with arguments, not started yet. It is killed at the end of the test.
-func program(t *testing.T, args ...string) *exec.Cmd {
+// programCommand returns the program with arguments, not yet started. It is killed at the end of the test.
+func programCommand(t *testing.T, args ...string) *exec.Cmd {
 	t.Helper()
 	command := exec.CommandContext(t.Context(), os.Args[0], args...)
 	command.Env = append(os.Environ(), "FAWNPLANK_AS_MAIN=1")
@@ -49,10 +49,10 @@
 	return log
 }
 
-// startServing starts a gateway on a configuration and waits until it listens.
+// startServing starts a gateway with a configuration file and waits until it listens.
 func startServing(t *testing.T, file string) *exec.Cmd {
 	t.Helper()
-	command := program(t, "serve", "-c", file)
+	command := programCommand(t, "serve", "-c", file)
 	log := startWithLog(t, command)
 	lines := bufio.NewScanner(log)
 	for lines.Scan() && !strings.Contains(lines.Text(), "listening") {
@@ -62,8 +62,8 @@
 	return command
 }
 
-// configuration is the settings of a gateway with one backend: the addresses of clients, discovery and the
-// backend stand to be filled in.
+// configuration is the template of a gateway configuration with one backend. Its parameters are the addresses of the
+// client listener, of discovery and of the backend.
 const configuration = `{"name":"n0","listen":%q,"discovery":%q,"seed":"8c1f30d27a5be964",
 	"limits":{"memory_mb":64,"sockets":128},
 	"known":{"index":1,"snapshot":true,"endpoints":[{"name":"s-1","address":%q,"zone":"a","type":"m2","group":1,
@@ -75,18 +75,18 @@
 	"tariffs":[{"name":"team","quota-rate":0,"peak-units":0}]}}`
 
 const (
-	successResponse   = "*3\r\n$2\r\nok\r\n$-1\r\n$-1\r\n" // of a backend
+	successResponse   = "*3\r\n$2\r\nok\r\n$-1\r\n$-1\r\n" // the backend's answer
 	requestFields     = "c=lookup,t=team,d=1400"
-	connectionTimeout = 5 * time.Second // bounds a test that fails
+	connectionTimeout = 5 * time.Second // ends a test whose peer does not answer
 )
 
-// request is a command in the clients' protocol.
+// request returns a request in the client protocol.
 func request(id, fields string) string {
 	return fmt.Sprintf("*4\r\n$9\r\nSVC.QUERY\r\n$16\r\n0000000000000005\r\n$%d\r\n%s\r\n$%d\r\n%s\r\n",
 		len(id), id, len(fields), fields)
 }
 
-// gatewayProcess is a gateway's process with its log.
+// gatewayProcess is a gateway process with its log.
 type gatewayProcess struct {
 	*exec.Cmd
 	address, file string
@@ -101,14 +101,14 @@
 	return g.log.Write(text)
 }
 
-func (g *gatewayProcess) logged(text string) bool {
+func (g *gatewayProcess) hasLogged(text string) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return strings.Contains(g.log.String(), text)
 }
 
-// startGateway starts a gateway before a backend and a discovery service, with as many descriptors as its
-// configuration says.
+// startGateway starts a gateway for a backend and a discovery service, with the file descriptor limit of its
+// configuration.
 func startGateway(t *testing.T, discovery string, backend net.Addr) *gatewayProcess {
 	t.Helper()
 	g := &gatewayProcess{
@@ -119,7 +119,7 @@
 	writeFile(t, g.file, fmt.Sprintf(configuration, g.address, discovery, backend))
 	const script = `ulimit -n 128; exec "$0" serve -c "$1"`
 	g.Cmd = exec.CommandContext(t.Context(), "/bin/sh", "-c", script, os.Args[0], g.file)
-	// The race detector stays a second at the end otherwise.
+	// By default the race detector delays the exit by a second.
 	g.Env = append(os.Environ(), "FAWNPLANK_AS_MAIN=1", "GORACE=atexit_sleep_ms=0")
 	g.Stderr = g
 	if err := g.Start(); err != nil {
@@ -128,35 +128,35 @@
 	go func() { g.ended <- g.Wait() }()
 	t.Cleanup(func() {
 		kill(g.Cmd)
-		if g.logged("DATA RACE") {
+		if g.hasLogged("DATA RACE") {
 			t.Error(g.log.String())
 		}
 	})
 	return g
 }
 
-// ready reports whether the gateway answers a PING.
-func (g *gatewayProcess) ready(t *testing.T) bool {
+// isReady reports whether the gateway answers a PING.
+func (g *gatewayProcess) isReady(t *testing.T) bool {
 	t.Helper()
 	conn, err := tryDial(t, g.address)
 	if err != nil {
 		return false
 	}
-	defer hangUp(conn)
+	defer closeIgnoringError(conn)
 	setDeadline(conn, time.Second)
 	send(conn, wirePing)
-	line, _ := bufio.NewReader(conn).ReadString('\n') // an error shows in the line
+	line, _ := bufio.NewReader(conn).ReadString('\n') // on an error the line is incomplete
 	return line == "+PONG\r\n"
 }
 
-// requestCount makes the ids of requests unique.
-var requestCount atomic.Int64
+// lastRequestID is the last id that nextRequest used.
+var lastRequestID atomic.Int64
 
 func nextRequest() string {
-	return request(fmt.Sprintf("%08d", requestCount.Add(1)), requestFields)
+	return request(fmt.Sprintf("%08d", lastRequestID.Add(1)), requestFields)
 }
 
-// request sends a request on a connection of its own.
+// request sends a request on a new connection.
 func (g *gatewayProcess) request(t *testing.T) (net.Conn, *bufio.Reader) {
 	t.Helper()
 	conn := dial(t, g.address)
@@ -165,9 +165,8 @@
 	return conn, bufio.NewReader(conn)
 }
 
-// freeAddress returns an address that nothing listens at, on a loopback address of its own: the ports of
-// 127.0.0.1 are used by connections at any moment, so that a program that listens a moment later finds some
-// of them taken.
+// freeAddress returns an unused address with a random loopback IP. Ports of 127.0.0.1 are taken by outgoing
+// connections all the time, so that a program that listens there a moment later can find its port in use.
 func freeAddress(t *testing.T) string {
 	t.Helper()
 	var config net.ListenConfig
@@ -176,7 +175,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer hangUp(listener)
+	defer closeIgnoringError(listener)
 	return listener.Addr().String()
 }
 
@@ -186,32 +185,32 @@
 	return dialer.DialContext(t.Context(), "tcp", address)
 }
 
-// dial connects, with a deadline that bounds a test that fails.
+// dial connects to an address, with a deadline that ends a test whose peer does not answer.
 func dial(t *testing.T, address string) net.Conn {
 	t.Helper()
 	conn, err := tryDial(t, address)
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { hangUp(conn) })
+	t.Cleanup(func() { closeIgnoringError(conn) })
 	setDeadline(conn, connectionTimeout)
 	return conn
 }
 
 func setDeadline(conn net.Conn, after time.Duration) {
-	_ = conn.SetDeadline(time.Now().Add(after)) // fails on a closed connection, as what follows does
+	_ = conn.SetDeadline(time.Now().Add(after)) // fails on a closed connection, where the next read or write fails too
 }
 
-// send writes text. A peer that has closed the connection shows in what the test reads, or counts, next.
+// send writes text. It ignores errors: if the peer has closed the connection, the test's next read or check fails.
 func send(conn io.Writer, text string) { _, _ = io.WriteString(conn, text) }
 
-// sendf is send of a formatted text.
+// sendf formats a text and sends it.
 func sendf(conn io.Writer, format string, args ...any) { send(conn, fmt.Sprintf(format, args...)) }
 
-// hangUp closes what the test is done with. It may be closed already.
-func hangUp(closer io.Closer) { _ = closer.Close() }
+// closeIgnoringError closes a resource that the test no longer needs, and that may be closed already.
+func closeIgnoringError(closer io.Closer) { _ = closer.Close() }
 
-// discard reads to the end.
+// discard reads and drops all input.
 func discard(reader io.Reader) {
 	_, _ = io.Copy(io.Discard, reader) // ends with the process or the connection
 }
@@ -239,18 +238,18 @@
 	}
 }
 
-// kill ends a process outright. It may have ended already.
+// kill sends SIGKILL to a process, which may have ended already.
 func kill(command *exec.Cmd) { _ = command.Process.Kill() }
 
-// runProgram runs the program to its end and returns what it printed on both outputs.
+// runProgram runs the program to its end and returns its standard output and standard error together.
 func runProgram(t *testing.T, args ...string) (string, error) {
 	t.Helper()
-	output, err := program(t, args...).CombinedOutput()
+	output, err := programCommand(t, args...).CombinedOutput()
 	return string(output), err
 }
 
-// serveDiscovery starts a discovery service and returns its address. Calls that are still open when the test
-// ends are cut off.
+// serveDiscovery starts a discovery service and returns its address. Calls that are still open when the test ends are
+// aborted.
 func serveDiscovery(t *testing.T, handle http.HandlerFunc) string {
 	t.Helper()
 	server := httptest.NewServer(handle)
@@ -258,8 +257,8 @@
 	return strings.TrimPrefix(server.URL, "http://")
 }
 
-// silentDiscovery is the address of a discovery service that accepts every call and answers none.
-func silentDiscovery(t *testing.T) string {
+// unresponsiveDiscovery starts a discovery service that accepts every call and answers none, and returns its address.
+func unresponsiveDiscovery(t *testing.T) string {
 	t.Helper()
 	return serveDiscovery(t, func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() })
 }
--- a/cmd/fawnplank/reload_keys_test.go
+++ b/cmd/fawnplank/reload_keys_test.go
@@ -8,9 +8,9 @@
 	"fawnplank/internal/config"
 )
 
-// TestRestartKeys_NameWhatChanged guards against a search in the wrong place: a change that needs a restart was
-// logged under the same four keys whatever had changed.
-func TestRestartKeys_NameWhatChanged(t *testing.T) {
+// TestRestartKeys_ListChangedKeys guards against a misleading log entry: for every change that needs a restart, the
+// same four keys were logged, whichever key had changed.
+func TestRestartKeys_ListChangedKeys(t *testing.T) {
 	for want, change := range map[string]func(c *config.Config){
 		"name":               func(c *config.Config) { c.Name = "other" },
 		"listen":             func(c *config.Config) { c.Listen = "127.0.0.1:1" },
@@ -29,6 +29,6 @@
 	}
 	updated := &config.Config{Counter: "127.0.0.1:3", UnknownKeys: []string{"x"}}
 	if got := restartKeys(&config.Config{}, updated); len(got) > 0 {
-		t.Errorf("of a change that takes effect at once: %v", got)
+		t.Errorf("keys for a change that takes effect at once: %v", got)
 	}
 }
--- a/cmd/fawnplank/reload_test.go
+++ b/cmd/fawnplank/reload_test.go
@@ -11,20 +11,20 @@
 	"time"
 )
 
-// SIGHUP under way: a faulty file is logged with its key and changes nothing; a good one is applied; and
-// neither it nor SIGTERM during it ends the program before its time.
+// TestReload checks that SIGHUP with an invalid file logs the invalid key and changes nothing, that SIGHUP with a valid
+// file applies it, and that a SIGTERM between two SIGHUPs leads to a regular shutdown.
 func TestReload(t *testing.T) {
 	calls := make(chan int, 100)
 	var addresses [2]string
 	for n := range addresses {
-		addresses[n] = countingDiscovery(t, calls, n)
+		addresses[n] = reportingDiscovery(t, calls, n)
 	}
 	file := filepath.Join(t.TempDir(), "config.json")
 	text := func(n int) string {
 		return fmt.Sprintf(configuration, "127.0.0.1:0", addresses[n], "127.0.0.1:3")
 	}
 	writeFile(t, file, text(0))
-	process := program(t, "serve", "-c", file)
+	process := programCommand(t, "serve", "-c", file)
 	lines := bufio.NewScanner(startWithLog(t, process))
 	waitLogged(t, lines, "listening")
 	waitCalled(t, calls, 0)
@@ -44,9 +44,9 @@
 	}
 }
 
-// countingDiscovery is the address of a discovery service that sends its number for each call and answers
-// none.
-func countingDiscovery(t *testing.T, calls chan<- int, number int) string {
+// reportingDiscovery starts a discovery service that sends its number to calls for each call and never answers, and
+// returns its address.
+func reportingDiscovery(t *testing.T, calls chan<- int, number int) string {
 	t.Helper()
 	return serveDiscovery(t, func(_ http.ResponseWriter, r *http.Request) {
 		calls <- number
@@ -59,10 +59,10 @@
 	select {
 	case number := <-calls:
 		if number != want {
-			t.Errorf("discovery %d is called, not %d", number, want)
+			t.Errorf("discovery %d was called, want %d", number, want)
 		}
-	case <-time.After(900 * time.Millisecond): // a watch that was not moved is called again after a second
-		t.Fatalf("discovery %d is not called", want)
+	case <-time.After(900 * time.Millisecond): // the watch of the old address repeats its call after a second
+		t.Fatalf("discovery %d was not called", want)
 	}
 }
 
--- a/cmd/fawnplank/replica_process_test.go
+++ b/cmd/fawnplank/replica_process_test.go
@@ -12,28 +12,28 @@
 	"testing"
 )
 
-// replicaProcess is a process with a replica of the store.
+// replicaProcess is a process that runs a replica of the store.
 type replicaProcess struct {
-	id, raft, api, folder string
-	args                  []string // what it is run with, before the store's flags
-	command               *exec.Cmd
-	log                   string
+	id, raftAddress, apiAddress, folder string
+	args                                []string // command and flags, without the flags of the store
+	command                             *exec.Cmd
+	logFile                             string
 }
 
-// newReplicas are the processes of replicas, not started yet. They are killed at the end of the test, and the
-// ends of their logs are printed if it failed.
+// newReplicas returns the processes of replicas, not yet started. They are killed at the end of the test, and the ends
+// of their logs are printed if the test failed.
 func newReplicas(t *testing.T, ids ...string) []*replicaProcess {
 	t.Helper()
 	folder := t.TempDir()
 	var replicas []*replicaProcess
 	for _, id := range ids {
 		replicas = append(replicas, &replicaProcess{
-			id:     id,
-			raft:   freeAddress(t),
-			api:    freeAddress(t),
-			folder: filepath.Join(folder, id),
-			log:    filepath.Join(folder, id+".log"),
-			args:   []string{"store", "run"},
+			id:          id,
+			raftAddress: freeAddress(t),
+			apiAddress:  freeAddress(t),
+			folder:      filepath.Join(folder, id),
+			logFile:     filepath.Join(folder, id+".log"),
+			args:        []string{"store", "run"},
 		})
 	}
 	t.Cleanup(func() {
@@ -44,7 +44,7 @@
 			return
 		}
 		for _, r := range replicas {
-			text, _ := os.ReadFile(r.log) // a replica that never started has none
+			text, _ := os.ReadFile(r.logFile) // empty for a replica that was never started
 			t.Logf("%s:\n%s", r.id, text[max(len(text)-1500, 0):])
 		}
 	})
@@ -58,22 +58,22 @@
 	}
 }
 
-func (r *replicaProcess) name() string { return r.id + "@" + r.raft + "@" + r.api }
+func (r *replicaProcess) peerAddress() string { return r.id + "@" + r.raftAddress + "@" + r.apiAddress }
 
 func (r *replicaProcess) start(t *testing.T, all []*replicaProcess) {
 	t.Helper()
 	var names []string
 	for _, peer := range all {
-		names = append(names, peer.name())
+		names = append(names, peer.peerAddress())
 	}
-	out, err := os.OpenFile(r.log, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
+	logOutput, err := os.OpenFile(r.logFile, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer hangUp(out) // the process has its own
-	flags := []string{"--store", r.folder, "--me", r.name(), "--peers", strings.Join(names, ",")}
-	r.command = program(t, slices.Concat(r.args, flags)...)
-	r.command.Stdout, r.command.Stderr = out, out
+	defer closeIgnoringError(logOutput) // the process has its own descriptor
+	flags := []string{"--store", r.folder, "--me", r.peerAddress(), "--peers", strings.Join(names, ",")}
+	r.command = programCommand(t, slices.Concat(r.args, flags)...)
+	r.command.Stdout, r.command.Stderr = logOutput, logOutput
 	if err := r.command.Start(); err != nil {
 		t.Fatal(err)
 	}
@@ -82,26 +82,27 @@
 func (r *replicaProcess) kill() {
 	if r.command != nil {
 		kill(r.command)
-		_ = r.command.Wait() // it was killed
+		_ = r.command.Wait() // reports the kill
 		r.command = nil
 	}
 }
 
-// call makes one call to the replica's API.
+// call sends one request to the replica's API.
 func (r *replicaProcess) call(t *testing.T, method, path, body string) (string, error) {
 	t.Helper()
-	text, err := storeClient{address: r.api}.do(t.Context(), storeCall{method: method, path: path, body: []byte(body)})
+	text, err := storeClient{address: r.apiAddress}.do(t.Context(),
+		storeCall{method: method, path: path, body: []byte(body)})
 	return string(text), err
 }
 
-// put writes a key.
+// put writes a value to a key.
 func (r *replicaProcess) put(t *testing.T, key, value string) error {
 	t.Helper()
 	_, err := r.call(t, http.MethodPut, "/v1/kv/"+key, value)
 	return err
 }
 
-// replicaStatus is what a replica reports of itself.
+// replicaStatus is the part of the API's status answer that the tests use.
 type replicaStatus struct {
 	State, Leader, Print string
 	At                   int
@@ -116,8 +117,8 @@
 	return status, json.Unmarshal([]byte(text), &status)
 }
 
-// read reads a number as the replica has it.
-func (r *replicaProcess) read(t *testing.T, key string) int64 {
+// readStale reads a number from the replica's own state, which may be behind the leader's.
+func (r *replicaProcess) readStale(t *testing.T, key string) int64 {
 	t.Helper()
 	text, err := r.call(t, http.MethodGet, "/v1/kv/"+key+"?stale=1", "")
 	var entry struct{ Value int64 }
--- a/cmd/fawnplank/replica_test.go
+++ b/cmd/fawnplank/replica_test.go
@@ -18,29 +18,30 @@
 	"fawnplank/internal/testutil"
 )
 
-// killSpan is how long TestStore_ReplicasAgreeAfterRandomKills kills. FAWNPLANK_SOAK=10m makes it a soak.
-func killSpan(t *testing.T) time.Duration {
+// killDuration returns for how long TestStore_ReplicasAgreeAfterRandomKills kills replicas. The environment variable
+// FAWNPLANK_SOAK sets a longer duration, such as 10m.
+func killDuration(t *testing.T) time.Duration {
 	t.Helper()
 	text := os.Getenv("FAWNPLANK_SOAK")
 	if text == "" {
 		return 8 * time.Second
 	}
-	span, err := time.ParseDuration(text)
+	duration, err := time.ParseDuration(text)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return span
+	return duration
 }
 
-// editor edits a plan, a class and a key together, again and again, at one replica after another.
+// editor repeatedly edits a plan, a class and a key in one transaction, each time at the next replica.
 type editor struct {
-	committed, failed atomic.Int64 // the number of the last committed edit; how many failed, or may have failed
+	committed, failed atomic.Int64 // number of the last committed edit; count of edits that failed or may have failed
 	stop, done        chan struct{}
 }
 
-// edit writes n to two rows and to one of fifty keys, all or none, at one of the replicas. It reports whether
-// the edit is known to be committed.
-func edit(t *testing.T, replicas []*replicaProcess, n int64) bool {
+// applyEdit writes n to a plan, a class and one of fifty keys in one transaction, at one of the replicas. It reports
+// whether the edit is known to be committed.
+func applyEdit(t *testing.T, replicas []*replicaProcess, n int64) bool {
 	t.Helper()
 	body := fmt.Sprintf(`[{"key":"plans/x","value":%d},{"key":"classes/x","value":%d},{"key":"k%d","value":%d}]`,
 		n, n, n%50, n)
@@ -59,7 +60,7 @@
 				return
 			default:
 			}
-			if edit(t, replicas, n) {
+			if applyEdit(t, replicas, n) {
 				e.committed.Store(n)
 			} else {
 				e.failed.Add(1)
@@ -75,63 +76,66 @@
 	<-e.done
 }
 
-// Three processes, killed outright at random while plans are edited. In the end all hold the same, each edit
-// of two keys was committed completely, and none that was reported to be committed is lost.
+// TestStore_ReplicasAgreeAfterRandomKills kills three replicas at random while plans are edited. In the end all three
+// must hold the same state, each edit must be committed completely or not at all, and no edit that was reported as
+// committed may be lost.
 func TestStore_ReplicasAgreeAfterRandomKills(t *testing.T) {
-	span := killSpan(t)
+	duration := killDuration(t)
 	replicas := newReplicas(t, "a", "b", "c")
 	startReplicas(t, replicas)
-	testutil.Eventually(t, "a first edit", func() bool { return edit(t, replicas, 0) })
-	e := startEditor(t, replicas)
-	chance := rand.New(rand.NewPCG(11, 11))
+	testutil.Eventually(t, "a first edit", func() bool { return applyEdit(t, replicas, 0) })
+	editor := startEditor(t, replicas)
+	random := rand.New(rand.NewPCG(11, 11))
 	kills := 0
-	for end := time.Now().Add(span); time.Now().Before(end); kills++ {
-		time.Sleep(time.Duration(300+chance.IntN(700)) * time.Millisecond)
-		r := replicas[chance.IntN(3)]
-		r.kill()
-		time.Sleep(time.Duration(chance.IntN(500)) * time.Millisecond)
-		r.start(t, replicas)
-		testutil.Eventually(t, r.id+" to answer", func() bool {
-			_, err := r.call(t, http.MethodGet, "/v1/status", "")
+	for end := time.Now().Add(duration); time.Now().Before(end); kills++ {
+		time.Sleep(time.Duration(300+random.IntN(700)) * time.Millisecond)
+		replica := replicas[random.IntN(3)]
+		replica.kill()
+		time.Sleep(time.Duration(random.IntN(500)) * time.Millisecond)
+		replica.start(t, replicas)
+		testutil.Eventually(t, replica.id+" to answer", func() bool {
+			_, err := replica.call(t, http.MethodGet, "/v1/status", "")
 			return err == nil
 		})
 	}
-	e.end()
+	editor.end()
 	testutil.Eventually(t, "the same state in all three", func() bool { return sameState(t, replicas) })
-	for _, r := range replicas {
-		plan := r.read(t, "plans/x")
-		class := r.read(t, "classes/x")
-		if plan != class || plan < e.committed.Load() {
-			t.Errorf("%s holds %d and %d, and %d was reported to be committed", r.id, plan, class, e.committed.Load())
+	for _, replica := range replicas {
+		plan := replica.readStale(t, "plans/x")
+		class := replica.readStale(t, "classes/x")
+		if plan != class || plan < editor.committed.Load() {
+			t.Errorf("%s holds plan %d and class %d; edit %d was reported as committed",
+				replica.id, plan, class, editor.committed.Load())
 		}
 	}
-	committed := e.committed.Load()
-	failed := e.failed.Load()
-	t.Logf("%d kills, %d edits committed, %d failed or may have failed", kills, committed-failed, failed)
-	if kills < 4 || e.committed.Load() < 50 {
-		t.Errorf("%d kills and %d edits show little", kills, e.committed.Load())
+	committed := editor.committed.Load()
+	failed := editor.failed.Load()
+	t.Logf("%d kills, %d edits committed, %d failed or with unknown result", kills, committed-failed, failed)
+	if kills < 4 || editor.committed.Load() < 50 {
+		t.Errorf("%d kills and %d edits are too few for this test, want at least 4 and 50", kills, editor.committed.Load())
 	}
 }
 
-// knowsPlan reports whether a gateway knows a plan.
-func knowsPlan(t *testing.T, gateway, plan string) bool {
+// acceptsPlan reports whether a gateway accepts requests with a plan.
+func acceptsPlan(t *testing.T, gateway, plan string) bool {
 	t.Helper()
 	conn, err := tryDial(t, gateway)
 	if err != nil {
 		return false
 	}
-	defer hangUp(conn)
+	defer closeIgnoringError(conn)
 	setDeadline(conn, 3*time.Second)
 	send(conn, request("1", "c=lookup,t="+plan+",d=300"))
 	line, err := bufio.NewReader(conn).ReadString('\n')
 	return err == nil && !strings.Contains(line, "t has no meaning")
 }
 
-// A plan edited at one replica takes effect at every gateway, and one that is not in order at none.
+// TestStore_EditedPlansReachAllGateways checks that a plan edited at one replica takes effect at every gateway, and
+// that an invalid plan is refused.
 func TestStore_EditedPlansReachAllGateways(t *testing.T) {
 	replicas := newReplicas(t, "a", "b", "c")
 	var gateways []string
-	for _, r := range replicas[:2] { // two gateways, and a replica without one
+	for _, r := range replicas[:2] { // two replicas with a gateway, one without
 		address := freeAddress(t)
 		gateways = append(gateways, address)
 		settings := filepath.Join(filepath.Dir(r.folder), r.id+".json")
@@ -140,14 +144,14 @@
 	}
 	startReplicas(t, replicas)
 	for _, address := range gateways {
-		testutil.Eventually(t, "the gateway at "+address, func() bool { return knowsPlan(t, address, "team") })
-		if knowsPlan(t, address, "gold") {
-			t.Fatal("a plan that nobody wrote is known")
+		testutil.Eventually(t, "the gateway at "+address, func() bool { return acceptsPlan(t, address, "team") })
+		if acceptsPlan(t, address, "gold") {
+			t.Fatal("a plan that was never written is accepted")
 		}
 	}
 	editPlans(t, replicas, gateways)
-	second := replicas[1]
-	second.kill()
+	restarted := replicas[1]
+	restarted.kill()
 	deleteSilver := func() bool {
 		_, err := replicas[0].call(t, http.MethodDelete, "/v1/kv/plans/silver", "")
 		return err == nil
@@ -155,28 +159,28 @@
 	if !deleteSilver() {
 		testutil.Eventually(t, "the deletion after an election", deleteSilver)
 	}
-	testutil.Eventually(t, "the plan to be gone", func() bool {
-		return !knowsPlan(t, gateways[0], "silver") && knowsPlan(t, gateways[0], "gold")
+	testutil.Eventually(t, "the plan to be deleted", func() bool {
+		return !acceptsPlan(t, gateways[0], "silver") && acceptsPlan(t, gateways[0], "gold")
 	})
-	second.start(t, replicas) // finds the plans in its folder
-	testutil.Eventually(t, "the plan at the gateway that was away", func() bool {
-		return knowsPlan(t, gateways[1], "gold") && !knowsPlan(t, gateways[1], "silver")
+	restarted.start(t, replicas) // loads the plans from its data folder
+	testutil.Eventually(t, "the plan at the restarted gateway", func() bool {
+		return acceptsPlan(t, gateways[1], "gold") && !acceptsPlan(t, gateways[1], "silver")
 	})
-	sendSignal(t, second.command, syscall.SIGTERM)
-	if err := second.command.Wait(); err != nil {
+	sendSignal(t, restarted.command, syscall.SIGTERM)
+	if err := restarted.command.Wait(); err != nil {
 		t.Error(err)
 	}
-	second.command = nil
+	restarted.command = nil
 }
 
-// editPlans writes two plans, with a faulty one between that is refused, and waits until all gateways know
-// them.
+// editPlans writes two plans, checks in between that an invalid one is refused, and waits until all gateways accept
+// both plans.
 func editPlans(t *testing.T, replicas []*replicaProcess, gateways []string) {
 	t.Helper()
 	testutil.Eventually(t, "a plan to be written", func() bool {
 		return replicas[2].put(t, "plans/silver", `{"name":"silver","quota-rate":5,"peak-units":10}`) == nil
 	})
-	for n := range 2 { // at a replica with a gateway, which judges it by its own files
+	for n := range 2 { // at replicas with a gateway, which check the plan against their own files
 		testutil.Eventually(t, "a refusal", func() bool {
 			err := replicas[n].put(t, "plans/gold", `{"name":"gold","quota-rate":"many","peak-units":10}`)
 			return err != nil && !strings.Contains(err.Error(), "503")
@@ -187,12 +191,12 @@
 	}
 	for _, address := range gateways {
 		testutil.Eventually(t, "the plan at "+address, func() bool {
-			return knowsPlan(t, address, "gold") && knowsPlan(t, address, "silver") && knowsPlan(t, address, "team")
+			return acceptsPlan(t, address, "gold") && acceptsPlan(t, address, "silver") && acceptsPlan(t, address, "team")
 		})
 	}
 }
 
-// The verbs of the store's command line, on one replica.
+// TestStore_Commands runs the store commands against a single replica.
 func TestStore_Commands(t *testing.T) {
 	replicas := newReplicas(t, "a")
 	startReplicas(t, replicas)
@@ -222,7 +226,7 @@
 	} {
 		args := append([]string{"store"}, test.args...)
 		if test.args[0] != "run" {
-			args = append(args, "--at", replicas[0].api)
+			args = append(args, "--at", replicas[0].apiAddress)
 		}
 		out, err := runProgram(t, args...)
 		if (err != nil) != test.fails || !strings.Contains(out, test.want) {
@@ -231,7 +235,7 @@
 	}
 }
 
-// limitFileSize bounds the files that a process may write.
+// limitFileSize sets the maximum size of files that a replica's process may write.
 func limitFileSize(t *testing.T, r *replicaProcess, bytes uint64) {
 	t.Helper()
 	limit := &unix.Rlimit{Cur: bytes, Max: unix.RLIM_INFINITY}
@@ -246,41 +250,41 @@
 	return err == nil && status.State == "Leader"
 }
 
-// A fault to bear: the disk of one replica is full. Its error is reported, the others go on, nothing that was
-// reported to be committed is lost, and it catches up once there is space.
+// TestStore_FullDiskIsReported checks the case that the leader's disk is full: the failed write is reported, the other
+// replicas continue, nothing that was reported as committed is lost, and the replica catches up once there is space.
 func TestStore_FullDiskIsReported(t *testing.T) {
 	replicas := newReplicas(t, "a", "b", "c")
 	startReplicas(t, replicas)
 	testutil.Eventually(t, "a first write", func() bool { return replicas[0].put(t, "k", "0") == nil })
-	var leader *replicaProcess
+	var fullReplica *replicaProcess
 	testutil.Eventually(t, "a leader", func() bool {
 		for _, r := range replicas {
 			if isLeader(t, r) {
-				leader = r
+				fullReplica = r
 			}
 		}
-		return leader != nil
+		return fullReplica != nil
 	})
-	limitFileSize(t, leader, 4096) // below what its log has already: no write there succeeds
-	err := leader.put(t, "k", "1")
-	if err == nil && isLeader(t, leader) { // another may lead by now, and have written it
-		t.Error("a full disk was not reported")
+	limitFileSize(t, fullReplica, 4096) // its log is larger already, so that no write to it succeeds
+	err := fullReplica.put(t, "k", "1")
+	if err == nil && isLeader(t, fullReplica) { // a new leader may have committed the write by now
+		t.Error("a write to a full disk succeeded")
 	}
-	// The two may need more than one round to elect: one refuses the other's first candidacy while it
-	// still knows the old leader. A fixed number of attempts ended before the second round, in one run of ten.
+	// The other two replicas may need more than one election round: a replica rejects the first vote request while it
+	// still considers the old leader alive. A fixed number of attempts ended before the second round in one run of ten.
 	committed := 0
 	n := 1
-	testutil.Eventually(t, "the other two going on", func() bool {
+	testutil.Eventually(t, "a write at one of the other replicas", func() bool {
 		n++
 		if replicas[n%3].put(t, "k", fmt.Sprint(n)) == nil {
 			committed = n
 		}
 		return committed > 0
 	})
-	limitFileSize(t, leader, unix.RLIM_INFINITY)
+	limitFileSize(t, fullReplica, unix.RLIM_INFINITY)
 	testutil.Eventually(t, "the same state in all three", func() bool { return sameState(t, replicas) })
-	if value := leader.read(t, "k"); value < int64(committed) {
-		t.Errorf("%d is held where %d was reported to be committed", value, committed)
+	if value := fullReplica.readStale(t, "k"); value < int64(committed) {
+		t.Errorf("the replica holds %d, but %d was reported as committed", value, committed)
 	}
-	t.Logf("the full replica reported: %v; the others went on to %d", err, committed)
+	t.Logf("the replica with the full disk reported: %v; the others committed up to %d", err, committed)
 }
--- a/cmd/fawnplank/shutdown_faults_test.go
+++ b/cmd/fawnplank/shutdown_faults_test.go
@@ -15,22 +15,22 @@
 )
 
 const (
-	// killDelay is the earliest SIGKILL after SIGTERM: the longest deadline and 0.7 s.
-	killDelay = drainDeadlineMs*time.Millisecond + 700*time.Millisecond
-	// acceptWindow is how long after SIGTERM new connections may still come.
+	// minKillDelay is the shortest time from SIGTERM to SIGKILL: the longest deadline plus 0.7 s.
+	minKillDelay = drainDeadlineMs*time.Millisecond + 700*time.Millisecond
+	// acceptWindow is how long after SIGTERM new connections may still arrive.
 	acceptWindow = 400 * time.Millisecond
 )
 
-// TestShutdown_LeavesNothingUnanswered: what an instance has read by its end is answered, and it ends before
-// the earliest SIGKILL, whatever its clients do meanwhile. Its backend never answers.
-func TestShutdown_LeavesNothingUnanswered(t *testing.T) {
+// TestShutdown_AnswersEveryRequestRead checks that an instance answers every request that it has read, and that it
+// exits within minKillDelay, whatever its clients send meanwhile. Its backend never answers.
+func TestShutdown_AnswersEveryRequestRead(t *testing.T) {
 	for name, test := range map[string]func(t *testing.T, g *drainGateway){
 		"connection accepted last":        testShutdownWithLateConnection,
 		"busy connection goes on":         testShutdownWithBusyConnection,
 		"request behind invalid commands": testShutdownWithInvalidCommands,
 		"nothing is read":                 testShutdownWithClientThatNeverReads,
 		"more requests than are pending":  testShutdownWithFullPipeline,
-		"reloads without pause":           testShutdownBetweenReloads,
+		"reloads without pause":           testShutdownDuringReloads,
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -39,28 +39,28 @@
 	}
 }
 
-// terminate sends SIGTERM and returns when.
+// terminate sends SIGTERM and returns the time of the signal.
 func (g *drainGateway) terminate(t *testing.T) time.Time {
 	t.Helper()
 	sendSignal(t, g.Cmd, syscall.SIGTERM)
 	return time.Now()
 }
 
-// checkEnded waits for the end of the process, which comes before the earliest SIGKILL.
-func (g *drainGateway) checkEnded(t *testing.T, terminated time.Time) {
+// checkExited waits for the end of the process, and fails the test if it lasts longer than minKillDelay.
+func (g *drainGateway) checkExited(t *testing.T, terminated time.Time) {
 	t.Helper()
 	select {
 	case err := <-g.ended:
 		if err != nil {
-			t.Errorf("it ended with %v", err)
+			t.Errorf("the process exited with %v", err)
 		}
-		t.Logf("it ended after %v", time.Since(terminated))
-	case <-time.After(time.Until(terminated.Add(killDelay))):
-		t.Errorf("it has not ended %v after SIGTERM", killDelay)
+		t.Logf("the process exited after %v", time.Since(terminated))
+	case <-time.After(time.Until(terminated.Add(minKillDelay))):
+		t.Errorf("the process is still running %v after SIGTERM", minKillDelay)
 	}
 }
 
-// checkRejected checks that the next response is an error or a rejection.
+// checkRejected checks that the next answer is an error or a rejection.
 func checkRejected(t *testing.T, reader *bufio.Reader) {
 	t.Helper()
 	if line, err := reader.ReadString('\n'); !strings.HasPrefix(line, "-") {
@@ -68,8 +68,8 @@
 	}
 }
 
-// testShutdownWithLateConnection: a connection that comes in the last moment in which one may, and sends its
-// request a little later, gets its answer, though its deadline ends after that of all others.
+// testShutdownWithLateConnection opens a connection at the end of acceptWindow and sends a request a little later. The
+// request must be answered, although its deadline ends after those of all other requests.
 func testShutdownWithLateConnection(t *testing.T, g *drainGateway) {
 	t.Helper()
 	terminated := g.terminate(t)
@@ -78,88 +78,88 @@
 	time.Sleep(170 * time.Millisecond)
 	send(client, request("1", drainFields))
 	checkRejected(t, bufio.NewReader(client))
-	g.checkEnded(t, terminated)
+	g.checkExited(t, terminated)
 }
 
-// testShutdownWithBusyConnection: a client goes on sending, up to the end, on a connection with an open
-// request. Nothing of that is read later than the listener closes.
+// testShutdownWithBusyConnection sends a further request on a connection with an open request. The gateway must not
+// read it, because its listener has closed by then.
 func testShutdownWithBusyConnection(t *testing.T, g *drainGateway) {
 	t.Helper()
 	client := dial(t, g.address)
-	setDeadline(client, 2*killDelay)
+	setDeadline(client, 2*minKillDelay)
 	send(client, request("1", drainFields))
-	testutil.Eventually(t, "the attempt is out", func() bool { return g.attempts.Load() == 1 })
+	testutil.Eventually(t, "an attempt at the backend", func() bool { return g.attempts.Load() == 1 })
 	terminated := g.terminate(t)
 	time.Sleep(900 * time.Millisecond)
 	send(client, request("2", drainFields))
 	reader := bufio.NewReader(client)
 	checkRejected(t, reader)
 	if line, _ := reader.ReadString('\n'); line != "" {
-		t.Errorf("the request behind it was read: %q", line)
+		t.Errorf("the following request was read: %q", line)
 	}
 	if sent := g.attempts.Load(); sent > 1 {
-		t.Errorf("%d attempts", sent)
+		t.Errorf("%d attempts, want 1", sent)
 	}
-	g.checkEnded(t, terminated)
+	g.checkExited(t, terminated)
 }
 
-// testShutdownWithInvalidCommands: a request that was read together with many invalid commands is answered.
+// testShutdownWithInvalidCommands checks that a request that was read together with many invalid commands is answered.
 func testShutdownWithInvalidCommands(t *testing.T, g *drainGateway) {
 	t.Helper()
 	const invalidCommands = 200
 	client := dial(t, g.address)
-	setDeadline(client, 2*killDelay)
+	setDeadline(client, 2*minKillDelay)
 	send(client, strings.Repeat(respWords("NONE"), invalidCommands)+request("1", drainFields))
 	reader := bufio.NewReader(client)
-	checkRejected(t, reader) // the first command: all were read
+	checkRejected(t, reader) // the answer to the first command: by now all commands have been read
 	terminated := g.terminate(t)
 	for range invalidCommands {
 		checkRejected(t, reader)
 	}
 	if line, err := reader.ReadString('\n'); !errors.Is(err, io.EOF) {
-		t.Errorf("behind the response: %q, %v", line, err)
+		t.Errorf("after the last answer: %q, %v, want EOF", line, err)
 	}
-	g.checkEnded(t, terminated)
+	g.checkExited(t, terminated)
 }
 
-// testShutdownWithFullPipeline: requests that were read, and wait until others before them are answered, get
-// their answers before the end, too.
+// testShutdownWithFullPipeline checks that requests that were read, but wait until earlier requests on the connection
+// are answered, are also answered before the process exits.
 func testShutdownWithFullPipeline(t *testing.T, g *drainGateway) {
 	t.Helper()
-	const requests = 40 // more than are pending at once, and read at once
+	const requests = 40 // more than may be pending on a connection, but read together
 	client := dial(t, g.address)
-	setDeadline(client, 2*killDelay)
+	setDeadline(client, 2*minKillDelay)
 	text := ""
 	for n := range requests {
 		text += request(strconv.Itoa(n), drainFields)
 	}
 	send(client, text)
-	testutil.Eventually(t, "attempts are out", func() bool { return g.attempts.Load() > 0 })
+	testutil.Eventually(t, "attempts at the backend", func() bool { return g.attempts.Load() > 0 })
 	terminated := g.terminate(t)
 	reader := bufio.NewReader(client)
 	for range requests {
 		checkRejected(t, reader)
 	}
-	g.checkEnded(t, terminated)
+	g.checkExited(t, terminated)
 }
 
-// testShutdownWithClientThatNeverReads: the end does not wait for a client that reads nothing.
+// testShutdownWithClientThatNeverReads checks that the exit does not wait for a client that does not read.
 func testShutdownWithClientThatNeverReads(t *testing.T, g *drainGateway) {
 	t.Helper()
 	client := dial(t, g.address)
-	setDeadline(client, 2*killDelay)
+	setDeadline(client, 2*minKillDelay)
 	go func() {
-		_, _ = io.WriteString(client, strings.Repeat(respWords("PING"), 2_000_000)) // it is cut off in the end
+		_, _ = io.WriteString(client, strings.Repeat(respWords("PING"), 2_000_000)) // fails once the gateway exits
 	}()
 	time.Sleep(time.Second)
-	g.checkEnded(t, g.terminate(t))
+	g.checkExited(t, g.terminate(t))
 }
 
-// testShutdownBetweenReloads: a SIGTERM among reloads that come faster than they are done is not lost.
-func testShutdownBetweenReloads(t *testing.T, g *drainGateway) {
+// testShutdownDuringReloads checks that a SIGTERM is not lost when reloads are requested faster than they complete.
+func testShutdownDuringReloads(t *testing.T, g *drainGateway) {
 	t.Helper()
-	replaceByPipe(t, g.file)
-	for range 3 * signalBufferSize { // the first reload waits for the pipe, the others for the first
+	replaceWithPipe(t, g.file)
+	for range 3 * signalBufferSize { // the first reload blocks on the pipe, the others wait for the first
 		sendSignal(t, g.Cmd, syscall.SIGHUP)
 		time.Sleep(5 * time.Millisecond)
 	}
@@ -169,15 +169,15 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	hangUp(pipe) // the reload reads an empty file, and refuses it
+	closeIgnoringError(pipe) // the reload reads an empty file and refuses it
 	if err := os.Remove(g.file); err != nil && !errors.Is(err, os.ErrNotExist) {
 		t.Error(err)
 	}
-	g.checkEnded(t, terminated)
+	g.checkExited(t, terminated)
 }
 
-// replaceByPipe replaces a file by a named pipe, whose reader waits for a writer: a stalled disk.
-func replaceByPipe(t *testing.T, file string) {
+// replaceWithPipe replaces a file with a named pipe, on which a reader blocks as on a stalled disk.
+func replaceWithPipe(t *testing.T, file string) {
 	t.Helper()
 	if err := os.Remove(file); err != nil {
 		t.Fatal(err)
--- a/cmd/fawnplank/shutdown_test.go
+++ b/cmd/fawnplank/shutdown_test.go
@@ -15,50 +15,49 @@
 	"fawnplank/internal/testutil"
 )
 
-// After SIGTERM the program goes on serving while clients may still come, answers the requests in flight, and
-// exits.
+// TestShutdown_AnswersAndExits checks that the program keeps accepting connections for a while after SIGTERM, answers
+// the requests in flight, and exits.
 func TestShutdown_AnswersAndExits(t *testing.T) {
 	attempts := make(chan net.Conn, 10)
 	backend := testutil.ServeCommands(t, func(conn net.Conn) { attempts <- conn })
 	address := freeAddress(t)
 	file := filepath.Join(t.TempDir(), "config.json")
-	writeFile(t, file, fmt.Sprintf(configuration, address, silentDiscovery(t), backend))
+	writeFile(t, file, fmt.Sprintf(configuration, address, unresponsiveDiscovery(t), backend))
 	process := startServing(t, file)
 
 	before := dial(t, address)
 	send(before, request("1", requestFields))
-	attempt := <-attempts
+	beforeAttempt := <-attempts
 	sendSignal(t, process, syscall.SIGTERM)
 	time.Sleep(250 * time.Millisecond)
 	during := dial(t, address)
 	send(during, request("2", requestFields))
-	other := <-attempts
-	time.Sleep(400 * time.Millisecond) // by now it accepts no new connection
+	duringAttempt := <-attempts
+	time.Sleep(400 * time.Millisecond) // by now the program accepts no new connections
 	if conn, err := tryDial(t, address); err == nil {
-		hangUp(conn)
-		t.Error("accepts connections after its time")
+		closeIgnoringError(conn)
+		t.Error("a connection was accepted after the accept window")
 	}
-	checkAnswered(t, before, attempt)
-	checkAnswered(t, during, other)
+	checkAnswered(t, before, beforeAttempt)
+	checkAnswered(t, during, duringAttempt)
 	start := time.Now()
 	if err := process.Wait(); err != nil || time.Since(start) > 3*time.Second {
 		t.Errorf("exit: %v after %v", err, time.Since(start))
 	}
 }
 
-// checkAnswered answers an attempt and checks that its client gets the answer, and then the end of the
-// connection.
+// checkAnswered answers an attempt, and checks that its client receives the answer and then the end of the connection.
 func checkAnswered(t *testing.T, client, attempt net.Conn) {
 	t.Helper()
 	send(attempt, successResponse)
-	got, err := io.ReadAll(client) // up to its end, once the program stops
+	got, err := io.ReadAll(client) // returns when the program closes the connection
 	if string(got) != "$2\r\nok\r\n" || err != nil {
 		t.Errorf("%q, %v", got, err)
 	}
 }
 
-// Close ends the watch of discovery, a call of the counter and a health check under way, none of which is
-// ever answered: it waits for no peer.
+// TestGateway_CloseEndsNetworkClients checks that Close aborts a discovery watch, a counter call and a health check
+// that are never answered, instead of waiting for them.
 func TestGateway_CloseEndsNetworkClients(t *testing.T) {
 	listener := testutil.Listen(t)
 	address := listener.Addr().String()
@@ -71,8 +70,8 @@
 	}
 	g.resourceLimits = newResourceLimits(g.configuration)
 	g.configuration.Counter = address
-	g.configuration.ConnectTimeout = time.Minute           // no health check ends by itself
-	g.configuration.Settings.DrainGrace = 10 * time.Minute // nor does a call of discovery
+	g.configuration.ConnectTimeout = time.Minute           // so that no health check times out during the test
+	g.configuration.Settings.DrainGrace = 10 * time.Minute // so that no discovery call times out either
 	if err := errors.Join(g.startDispatcher(t.Context()), g.loadEndpoints(t.Context())); err != nil {
 		t.Fatal(err)
 	}
@@ -85,13 +84,13 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		t.Cleanup(func() { hangUp(peer) })
+		t.Cleanup(func() { closeIgnoringError(peer) })
 		peers = append(peers, peer)
 	}
 	start := time.Now()
 	g.Close()
-	if took := time.Since(start); took > time.Second {
-		t.Errorf("Close took %v", took)
+	if elapsed := time.Since(start); elapsed > time.Second {
+		t.Errorf("Close took %v", elapsed)
 	}
 	t.Logf("Close took %v", time.Since(start))
 	for _, peer := range peers {
@@ -99,7 +98,7 @@
 			t.Error(err)
 		}
 		if _, err := io.Copy(io.Discard, peer); errors.Is(err, os.ErrDeadlineExceeded) {
-			t.Error("a connection is left open")
+			t.Error("a connection was not closed")
 		}
 	}
 }
--- a/cmd/fawnplank/soak_counter_test.go
+++ b/cmd/fawnplank/soak_counter_test.go
@@ -15,13 +15,14 @@
 	"fawnplank/internal/testutil"
 )
 
-// soakCounter is a counter service that closes connections as it answers, answers nothing, or answers nonsense.
+// soakCounter is a counter service with faults: it closes connections with or before an answer, does not answer, or
+// sends an invalid answer.
 type soakCounter struct {
 	mu     sync.Mutex
 	totals map[string]float64
 }
 
-// startSoakCounter starts a counter with chance of its own.
+// startSoakCounter starts a counter whose faults are drawn from a seed.
 func startSoakCounter(t *testing.T, seed uint64) net.Addr {
 	t.Helper()
 	counter := &soakCounter{totals: map[string]float64{}}
@@ -40,7 +41,7 @@
 
 // serve answers "bump KEY UNITS LIFETIME" lines.
 func (s *soakCounter) serve(conn net.Conn, random *rand.Rand) {
-	defer hangUp(conn)
+	defer closeIgnoringError(conn)
 	for reader := bufio.NewReader(conn); ; {
 		line, err := reader.ReadString('\n')
 		words := strings.Fields(line)
@@ -50,7 +51,7 @@
 		draw := random.IntN(40)
 		switch draw {
 		case 0:
-			return // before it answers
+			return // closes the connection before the answer
 		case 1:
 			send(conn, "ok much\r\n")
 			return
@@ -61,15 +62,15 @@
 			send(conn, "busy\r\n")
 			continue
 		}
-		send(conn, fmt.Sprintf("ok %g\r\n", s.add(words[1], words[2])))
+		send(conn, fmt.Sprintf("ok %g\r\n", s.addUnits(words[1], words[2])))
 		if draw < 10 {
-			return // as it answers
+			return // closes the connection with the answer
 		}
 	}
 }
 
-// add adds units to a count and returns its total.
-func (s *soakCounter) add(key, units string) float64 {
+// addUnits adds units to the total of a key, and returns the new total.
+func (s *soakCounter) addUnits(key, units string) float64 {
 	added, err := strconv.ParseFloat(units, 64)
 	if err != nil {
 		return 0
@@ -80,8 +81,8 @@
 	return s.totals[key]
 }
 
-// countQuotas gives the gateway's plan a quota that no client uses up, and the counter.
-func (g *drainGateway) countQuotas(t *testing.T, counter net.Addr) {
+// enableQuotas configures a counter, and a quota of the plan that the clients do not use up.
+func (g *drainGateway) enableQuotas(t *testing.T, counter net.Addr) {
 	t.Helper()
 	g.editConfiguration(t, strings.NewReplacer(
 		`"seed"`, fmt.Sprintf(`"counter":%q,"seed"`, counter),
@@ -90,7 +91,7 @@
 	))
 }
 
-// addPlan adds a plan that no client uses, for the next reload.
+// addPlan adds a plan that no client uses to the configuration file. It takes effect with the next reload.
 func (g *drainGateway) addPlan(t *testing.T, name string) {
 	t.Helper()
 	g.editConfiguration(t, strings.NewReplacer(
--- a/cmd/fawnplank/soak_test.go
+++ b/cmd/fawnplank/soak_test.go
@@ -11,208 +11,210 @@
 	"time"
 )
 
-// The soak plays ends of a gateway's process under faults drawn from a seed. `go test ./...` plays a few;
-// .ci/run and a run by hand play more:
+// The soak test runs drains and shutdowns of a gateway process under faults that are drawn from a seed. `go test ./...`
+// runs a few seeds; .ci/run and manual runs use more:
 //
 //	go test ./cmd/fawnplank -run TestSoak_Ends -soak.seeds 50 -soak.first 1000 -v
 var (
-	soakSeeds    = flag.Int("soak.seeds", 4, "how many seeds the soak plays")
-	soakFirst    = flag.Uint64("soak.first", 1, "the first seed of the soak")
-	soakParallel = flag.Int("soak.parallel", 4, "how many plays of the soak run at once")
+	soakSeeds    = flag.Int("soak.seeds", 4, "number of seeds that the soak test runs")
+	soakFirst    = flag.Uint64("soak.first", 1, "first seed of the soak test")
+	soakParallel = flag.Int("soak.parallel", 4, "number of seeds that run at the same time")
 )
 
 const (
-	soakDeadline = 1500 * time.Millisecond // of the class, as in configuration
-	soakKillTime = soakDeadline + 700*time.Millisecond
-	// soakLateness is how much later than allowed an event may be seen on a busy machine.
-	soakLateness = 250 * time.Millisecond
-	// soakNewConnectionGrace is how long a new connection may be silent at a drain (docs/race-conditions.md).
+	soakDeadline  = 1500 * time.Millisecond // of the class; the same as in configuration
+	soakKillDelay = soakDeadline + 700*time.Millisecond
+	// soakTimingTolerance is added to time limits because a busy machine delays what the test observes.
+	soakTimingTolerance = 250 * time.Millisecond
+	// soakNewConnectionGrace is how long a new connection may stay open without a command during a drain
+	// (docs/race-conditions.md).
 	soakNewConnectionGrace = 200 * time.Millisecond
-	// soakResumeTime is how long after the end of a drain PING has to be answered with yes.
-	soakResumeTime = 2 * time.Second
-	// soakMinRequests is the least number of requests that a play must have seen answered to count.
+	// soakResumeTimeout is the time after the end of a drain within which PING must be answered with PONG.
+	soakResumeTimeout = 2 * time.Second
+	// soakMinRequests is the number of answered requests below which a run fails, since it would have tested too little.
 	soakMinRequests = 20
 )
 
-// soakPlan is what a seed draws for one play.
-type soakPlan struct {
-	random       *rand.Rand
-	drains       bool // otherwise SIGTERM
-	redrains     bool // the drain is taken back and begun again, or comes before the SIGTERM
-	crowd        bool // idle clients fill the descriptors
-	balancerLate bool // the load balancer goes on opening connections
-	steps        []time.Duration
-	signals      []syscall.Signal // round the SIGTERM, at random distances
-	hangs        float64          // how many attempts hang once the end begins
-	counts       bool             // quotas are counted, by a counter with faults
-	growsPlans   bool             // each reload under load adds a plan
+// soakScenario is the course of one run, drawn from its seed.
+type soakScenario struct {
+	random            *rand.Rand
+	drains            bool // the run ends with a drain, otherwise with SIGTERM
+	repeatsDrain      bool // the drain is resumed and started again, or precedes the SIGTERM
+	fillsDescriptors  bool // idle clients use up the file descriptors
+	balancerContinues bool // the load balancer keeps opening connections during the drain
+	clockSteps        []time.Duration
+	signals           []syscall.Signal // sent before and after the SIGTERM, at random intervals
+	hangProbability   float64          // that an attempt hangs, once the drain or shutdown has begun
+	countsQuotas      bool             // quotas are counted on a counter with faults
+	addsPlans         bool             // each reload under load adds a plan
 }
 
-func drawPlan(seed uint64) *soakPlan {
+func drawScenario(seed uint64) *soakScenario {
 	random := rand.New(rand.NewPCG(seed, 0))
-	p := &soakPlan{
-		random:       random,
-		drains:       seed%2 == 0,
-		crowd:        seed%4 >= 2,
-		balancerLate: random.IntN(3) == 0,
-		redrains:     random.IntN(3) == 0,
-		hangs:        random.Float64(),
+	scenario := &soakScenario{
+		random:            random,
+		drains:            seed%2 == 0,
+		fillsDescriptors:  seed%4 >= 2,
+		balancerContinues: random.IntN(3) == 0,
+		repeatsDrain:      random.IntN(3) == 0,
+		hangProbability:   random.Float64(),
 	}
 	for range random.IntN(4) {
-		p.steps = append(p.steps, time.Duration(random.IntN(3)-1)*time.Hour)
+		scenario.clockSteps = append(scenario.clockSteps, time.Duration(random.IntN(3)-1)*time.Hour)
 	}
 	all := []syscall.Signal{syscall.SIGHUP, syscall.SIGHUP, syscall.SIGTERM, syscall.SIGINT}
 	for range random.IntN(12) {
-		p.signals = append(p.signals, all[random.IntN(len(all))])
+		scenario.signals = append(scenario.signals, all[random.IntN(len(all))])
 	}
-	p.counts = random.IntN(2) == 0
-	p.growsPlans = random.IntN(2) == 0
-	return p
+	scenario.countsQuotas = random.IntN(2) == 0
+	scenario.addsPlans = random.IntN(2) == 0
+	return scenario
 }
 
-func (p *soakPlan) String() string {
-	return fmt.Sprintf("drain %t (again %t), crowd %t, late balancer %t, steps %v, signals %v, hangs %.2f, "+
-		"counts %t, grows plans %t",
-		p.drains, p.redrains, p.crowd, p.balancerLate, p.steps, p.signals, p.hangs, p.counts, p.growsPlans)
+func (p *soakScenario) String() string {
+	return fmt.Sprintf("drain %t (repeated %t), descriptors filled %t, balancer continues %t, clock steps %v, "+
+		"signals %v, hang probability %.2f, quotas counted %t, plans added %t",
+		p.drains, p.repeatsDrain, p.fillsDescriptors, p.balancerContinues, p.clockSteps,
+		p.signals, p.hangProbability, p.countsQuotas, p.addsPlans)
 }
 
-// TestSoak_EndsUnderFaults: whatever happens at a drain or a SIGTERM, every request that was read has one
-// answer in time, no attempt begins for a client that has gone, a drain leaves no connection, and the process
-// ends by itself before the earliest SIGKILL.
+// TestSoak_EndsUnderFaults checks the rules of a drain and of a shutdown under random faults: every request that was
+// read is answered once and in time, no attempt begins for a client that has disconnected, a drain leaves no connection
+// open, and the process exits by itself within soakKillDelay.
 func TestSoak_EndsUnderFaults(t *testing.T) {
-	places := make(chan struct{}, *soakParallel)
+	slots := make(chan struct{}, *soakParallel)
 	for n := range *soakSeeds {
 		seed := *soakFirst + uint64(n)
 		t.Run(fmt.Sprintf("seed %d", seed), func(t *testing.T) {
 			t.Parallel()
-			places <- struct{}{}
-			defer func() { <-places }()
-			playSoak(t, seed)
+			slots <- struct{}{}
+			defer func() { <-slots }()
+			runSoak(t, seed)
 		})
 	}
 }
 
-func playSoak(t *testing.T, seed uint64) {
+func runSoak(t *testing.T, seed uint64) {
 	t.Helper()
-	plan := drawPlan(seed)
+	scenario := drawScenario(seed)
 	clock := newWallClock(t)
-	w := newSoakWorld(t, plan, clock)
-	w.startClients()
-	w.reloadUnderLoad(t)
+	env := newSoakEnvironment(t, scenario, clock)
+	env.startClients()
+	env.reloadUnderLoad(t)
 	var running sync.WaitGroup
-	running.Go(func() { w.stepClock(t) })
-	w.ending.Store(true)
-	if plan.drains {
-		w.playDrain(t)
+	running.Go(func() { env.stepClock(t) })
+	env.endStarted.Store(true)
+	if scenario.drains {
+		env.runDrain(t)
 	} else {
-		w.playTermination(t)
+		env.runTermination(t)
 	}
 	running.Wait()
-	w.stop()
-	if answered := w.answered.Load(); answered < soakMinRequests {
-		t.Errorf("only %d requests were answered", answered)
+	env.stop()
+	if answered := env.answered.Load(); answered < soakMinRequests {
+		t.Errorf("too few requests were answered: %d", answered)
 	}
-	for _, violation := range w.violations() {
+	for _, violation := range env.violations() {
 		t.Error(violation)
 	}
 	if t.Failed() {
-		t.Logf("plan: %v", plan)
-		w.gateway.mu.Lock()
-		defer w.gateway.mu.Unlock()
-		t.Logf("log:\n%s", w.gateway.log.String())
+		t.Logf("scenario: %v", scenario)
+		env.gateway.mu.Lock()
+		defer env.gateway.mu.Unlock()
+		t.Logf("log:\n%s", env.gateway.log.String())
 	}
 }
 
-// soakLoadTime is how long the clients are served before the end begins.
-const soakLoadTime = 700 * time.Millisecond
+// soakLoadDuration is how long the clients are served before the drain or shutdown begins.
+const soakLoadDuration = 700 * time.Millisecond
 
-// reloadUnderLoad serves the clients for a while, with reloads that each add a plan where the seed has them.
-func (w *soakWorld) reloadUnderLoad(t *testing.T) {
+// reloadUnderLoad serves the clients for soakLoadDuration, with reloads that each add a plan if the scenario has them.
+func (env *soakEnvironment) reloadUnderLoad(t *testing.T) {
 	t.Helper()
 	const reloads = 4
-	if !w.plan.growsPlans {
-		time.Sleep(soakLoadTime)
+	if !env.scenario.addsPlans {
+		time.Sleep(soakLoadDuration)
 		return
 	}
 	for n := range reloads {
-		time.Sleep(soakLoadTime / reloads)
-		w.gateway.addPlan(t, fmt.Sprintf("added %d", n))
-		sendSignal(t, w.gateway.Cmd, syscall.SIGHUP)
+		time.Sleep(soakLoadDuration / reloads)
+		env.gateway.addPlan(t, fmt.Sprintf("added %d", n))
+		sendSignal(t, env.gateway.Cmd, syscall.SIGHUP)
 	}
 }
 
-// stepClock steps the wall clock of the gateway, as the plan says.
-func (w *soakWorld) stepClock(t *testing.T) {
+// stepClock applies the scenario's steps to the gateway's wall clock.
+func (env *soakEnvironment) stepClock(t *testing.T) {
 	t.Helper()
-	for _, step := range w.plan.steps {
+	for _, step := range env.scenario.clockSteps {
 		time.Sleep(300 * time.Millisecond)
-		w.clock.set(t, step)
+		env.clock.set(t, step)
 	}
 }
 
-// playDrain drains the gateway, looks at its connections 4 s later, and ends the drain.
-func (w *soakWorld) playDrain(t *testing.T) {
+// runDrain drains the gateway, checks its connections 4 s later, and ends the drain.
+func (env *soakEnvironment) runDrain(t *testing.T) {
 	t.Helper()
-	began := w.gateway.drain(t)
-	if w.plan.redrains {
-		time.Sleep(time.Duration(w.plan.random.IntN(1500)) * time.Millisecond)
-		w.gateway.call(t, "POST", "/admin/resume")
-		began = w.gateway.drain(t)
-	}
-	w.refusedAt.Store(time.Since(w.origin).Nanoseconds())
-	for _, signal := range w.plan.signals {
+	began := env.gateway.drain(t)
+	if env.scenario.repeatsDrain {
+		time.Sleep(time.Duration(env.scenario.random.IntN(1500)) * time.Millisecond)
+		env.gateway.call(t, "POST", "/admin/resume")
+		began = env.gateway.drain(t)
+	}
+	env.endOffset.Store(time.Since(env.startedAt).Nanoseconds())
+	for _, signal := range env.scenario.signals {
 		if signal == syscall.SIGHUP {
-			sendSignal(t, w.gateway.Cmd, signal)
+			sendSignal(t, env.gateway.Cmd, signal)
 		}
 	}
 	time.Sleep(time.Until(began.Add(drainLimit)))
-	w.checkHeldConnections(began)
-	w.gateway.call(t, "POST", "/admin/resume")
+	env.checkHeldConnections(began)
+	env.gateway.call(t, "POST", "/admin/resume")
 	resumed := time.Now()
-	for !w.gateway.ready(t) {
-		if time.Since(resumed) > soakResumeTime {
-			w.violate("PING is not answered with yes after the drain")
+	for !env.gateway.isReady(t) {
+		if time.Since(resumed) > soakResumeTimeout {
+			env.recordViolation("PING is not answered with PONG after the drain")
 			return
 		}
 	}
 }
 
-// playTermination sends SIGTERM among other signals, and waits for the end of the process.
-func (w *soakWorld) playTermination(t *testing.T) {
+// runTermination sends SIGTERM among other signals, and waits until the process has exited.
+func (env *soakEnvironment) runTermination(t *testing.T) {
 	t.Helper()
-	if w.plan.redrains { // a restart during a drain, which may have been taken back
-		w.gateway.drain(t)
-		time.Sleep(time.Duration(w.plan.random.IntN(2500)) * time.Millisecond)
-		if w.plan.random.IntN(2) == 0 {
-			w.gateway.call(t, "POST", "/admin/resume")
+	if env.scenario.repeatsDrain { // a restart during a drain, or after a resumed drain
+		env.gateway.drain(t)
+		time.Sleep(time.Duration(env.scenario.random.IntN(2500)) * time.Millisecond)
+		if env.scenario.random.IntN(2) == 0 {
+			env.gateway.call(t, "POST", "/admin/resume")
 		}
 	}
-	before := w.plan.random.IntN(len(w.plan.signals) + 1)
-	for _, signal := range w.plan.signals[:before] {
+	signalsBefore := env.scenario.random.IntN(len(env.scenario.signals) + 1)
+	for _, signal := range env.scenario.signals[:signalsBefore] {
 		if signal == syscall.SIGHUP {
-			sendSignal(t, w.gateway.Cmd, signal)
-			time.Sleep(time.Duration(w.plan.random.IntN(10)) * time.Millisecond)
+			sendSignal(t, env.gateway.Cmd, signal)
+			time.Sleep(time.Duration(env.scenario.random.IntN(10)) * time.Millisecond)
 		}
 	}
-	sendSignal(t, w.gateway.Cmd, syscall.SIGTERM)
+	sendSignal(t, env.gateway.Cmd, syscall.SIGTERM)
 	terminated := time.Now()
-	w.refusedAt.Store(time.Since(w.origin).Nanoseconds())
-	for _, signal := range w.plan.signals[before:] {
-		time.Sleep(time.Duration(w.plan.random.IntN(60)) * time.Millisecond)
-		if err := w.gateway.Process.Signal(signal); err != nil {
-			break // it has ended
+	env.endOffset.Store(time.Since(env.startedAt).Nanoseconds())
+	for _, signal := range env.scenario.signals[signalsBefore:] {
+		time.Sleep(time.Duration(env.scenario.random.IntN(60)) * time.Millisecond)
+		if err := env.gateway.Process.Signal(signal); err != nil {
+			break // the process has exited
 		}
 	}
 	select {
-	case err := <-w.gateway.ended:
+	case err := <-env.gateway.ended:
 		if err != nil {
-			w.violate("the process ended with %v", err)
+			env.recordViolation("the process exited with %v", err)
 		}
-	case <-time.After(time.Until(terminated.Add(soakKillTime))):
-		if err := w.gateway.Process.Kill(); !errors.Is(err, nil) {
-			w.violate("not killed: %v", err)
+	case <-time.After(time.Until(terminated.Add(soakKillDelay))):
+		if err := env.gateway.Process.Kill(); !errors.Is(err, nil) {
+			env.recordViolation("SIGKILL failed: %v", err)
 		}
-		w.violate("the process has not ended at the earliest SIGKILL")
+		env.recordViolation("the process did not exit within soakKillDelay")
 	}
-	time.Sleep(resetWait + soakLateness) // the clients look at the ends of their connections
+	time.Sleep(resetTimeout + soakTimingTolerance) // lets the clients check the ends of their connections
 }
--- a/cmd/fawnplank/soak_world_test.go
+++ b/cmd/fawnplank/soak_world_test.go
@@ -17,63 +17,63 @@
 	"fawnplank/internal/testutil"
 )
 
-// soakWorld is what surrounds the gateway of one play: backends with faults, clients of several kinds, and a
-// load balancer. It records what breaks a rule.
-type soakWorld struct {
-	t       *testing.T
-	plan    *soakPlan
-	clock   *wallClock
-	gateway *drainGateway
-	origin  time.Time
-
-	ending    atomic.Bool  // a drain or shutdown has begun
-	refusedAt atomic.Int64 // nanoseconds from origin to the end; 0 before
-	stopping  atomic.Bool
-	answered  atomic.Int64
-	nextID    atomic.Int64
-	clients   sync.WaitGroup
-
-	mu          sync.Mutex
-	broken      []string
-	connections map[*soakConnection]struct{} // open ones
-	forwarded   map[string]bool              // ids that have reached a backend
-	goneAt      map[string]time.Time         // when the client of an id closed its connection
-}
-
-func newSoakWorld(t *testing.T, plan *soakPlan, clock *wallClock) *soakWorld {
+// soakEnvironment is the environment of the gateway in one run: a backend with faults, clients of several kinds, and a
+// load balancer. It records violations of the rules that the soak test checks.
+type soakEnvironment struct {
+	t         *testing.T
+	scenario  *soakScenario
+	clock     *wallClock
+	gateway   *drainGateway
+	startedAt time.Time
+
+	endStarted atomic.Bool  // a drain or shutdown has begun
+	endOffset  atomic.Int64 // nanoseconds from startedAt to the drain or shutdown; 0 before it
+	stopping   atomic.Bool
+	answered   atomic.Int64
+	nextID     atomic.Int64
+	clients    sync.WaitGroup
+
+	mu             sync.Mutex
+	violationTexts []string
+	connections    map[*soakConnection]struct{} // open ones
+	forwarded      map[string]bool              // ids of the requests that a backend has received
+	closedAt       map[string]time.Time         // when the client closed its connection, by request id
+}
+
+func newSoakEnvironment(t *testing.T, scenario *soakScenario, clock *wallClock) *soakEnvironment {
 	t.Helper()
-	w := &soakWorld{
-		t: t, plan: plan, clock: clock, origin: time.Now(),
+	env := &soakEnvironment{
+		t: t, scenario: scenario, clock: clock, startedAt: time.Now(),
 		connections: map[*soakConnection]struct{}{},
-		forwarded:   map[string]bool{}, goneAt: map[string]time.Time{},
+		forwarded:   map[string]bool{}, closedAt: map[string]time.Time{},
 	}
-	w.gateway = newDrainGateway(t, w.startBackend(t), int(soakDeadline.Milliseconds()))
-	if plan.counts {
-		w.gateway.countQuotas(t, startSoakCounter(t, plan.random.Uint64()))
+	env.gateway = newDrainGateway(t, env.startBackend(t), int(soakDeadline.Milliseconds()))
+	if scenario.countsQuotas {
+		env.gateway.enableQuotas(t, startSoakCounter(t, scenario.random.Uint64()))
 	}
-	w.gateway.start(t, clock.environment()...)
-	return w
+	env.gateway.start(t, clock.environment()...)
+	return env
 }
 
-// violate records that a rule was broken.
-func (w *soakWorld) violate(format string, values ...any) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	at := time.Since(w.origin).Round(time.Millisecond)
-	w.broken = append(w.broken, fmt.Sprintf("%v: ", at)+fmt.Sprintf(format, values...))
+// recordViolation records a violation of a rule, with the time since the start of the run.
+func (env *soakEnvironment) recordViolation(format string, values ...any) {
+	env.mu.Lock()
+	defer env.mu.Unlock()
+	at := time.Since(env.startedAt).Round(time.Millisecond)
+	env.violationTexts = append(env.violationTexts, fmt.Sprintf("%v: ", at)+fmt.Sprintf(format, values...))
 }
 
-func (w *soakWorld) violations() []string {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.broken
+func (env *soakEnvironment) violations() []string {
+	env.mu.Lock()
+	defer env.mu.Unlock()
+	return env.violationTexts
 }
 
-// startBackend starts a backend whose answers are drawn by chance.
-func (w *soakWorld) startBackend(t *testing.T) net.Addr {
+// startBackend starts a backend whose answers and faults are random.
+func (env *soakEnvironment) startBackend(t *testing.T) net.Addr {
 	t.Helper()
 	listener := testutil.Listen(t)
-	seed := w.plan.random.Uint64()
+	seed := env.scenario.random.Uint64()
 	go func() {
 		for n := uint64(0); ; n++ {
 			conn, err := listener.Accept()
@@ -81,14 +81,14 @@
 				return
 			}
 			random := rand.New(rand.NewPCG(seed, n))
-			go w.serveBackend(conn, random)
+			go env.serveBackend(conn, random)
 		}
 	}()
 	return listener.Addr()
 }
 
-func (w *soakWorld) serveBackend(conn net.Conn, random *rand.Rand) {
-	defer hangUp(conn)
+func (env *soakEnvironment) serveBackend(conn net.Conn, random *rand.Rand) {
+	defer closeIgnoringError(conn)
 	for reader := redcon.NewReader(conn); ; {
 		command, err := reader.ReadCommand()
 		if err != nil {
@@ -98,34 +98,34 @@
 			send(conn, "+PONG\r\n")
 			continue
 		}
-		w.noteAttempt(string(command.Args[2]))
-		if !w.answer(conn, random) {
+		env.recordAttempt(string(command.Args[2]))
+		if !env.answer(conn, random) {
 			return
 		}
 	}
 }
 
-// noteAttempt records that a request has reached the backend, which it must not long after its client has
-// gone.
-func (w *soakWorld) noteAttempt(id string) {
-	w.mu.Lock()
-	w.forwarded[id] = true
-	gone, found := w.goneAt[id]
-	w.mu.Unlock()
-	if found && time.Since(gone) > 100*time.Millisecond+soakLateness {
-		w.violate("an attempt for request %s %v after its client closed", id, time.Since(gone))
+// recordAttempt records that the backend has received a request, and a violation if its client disconnected too long
+// before.
+func (env *soakEnvironment) recordAttempt(id string) {
+	env.mu.Lock()
+	env.forwarded[id] = true
+	closed, found := env.closedAt[id]
+	env.mu.Unlock()
+	if found && time.Since(closed) > 100*time.Millisecond+soakTimingTolerance {
+		env.recordViolation("an attempt for request %s began %v after its client disconnected", id, time.Since(closed))
 	}
 }
 
-// answer answers an attempt, or does not. It returns false if the connection ends.
-func (w *soakWorld) answer(conn net.Conn, random *rand.Rand) bool {
-	if w.ending.Load() && random.Float64() < w.plan.hangs {
-		time.Sleep(2 * soakKillTime)
+// answer answers an attempt or simulates a fault. It returns false if the connection is to be closed.
+func (env *soakEnvironment) answer(conn net.Conn, random *rand.Rand) bool {
+	if env.endStarted.Load() && random.Float64() < env.scenario.hangProbability {
+		time.Sleep(2 * soakKillDelay)
 		return false
 	}
 	switch draw := random.IntN(20); {
 	case draw == 0:
-		return false // reset or end under the request
+		return false // closes the connection during the request
 	case draw == 1:
 		send(conn, "-BUSY\r\n")
 	case draw == 2:
@@ -143,85 +143,86 @@
 	return true
 }
 
-// mayOpen reports whether the load balancer still opens connections.
-func (w *soakWorld) mayOpen() bool {
-	if w.stopping.Load() {
+// balancerOpens reports whether the load balancer still opens connections.
+func (env *soakEnvironment) balancerOpens() bool {
+	if env.stopping.Load() {
 		return false
 	}
-	refused := w.refusedAt.Load()
-	if refused == 0 || w.plan.drains && w.plan.balancerLate {
+	offset := env.endOffset.Load()
+	if offset == 0 || env.scenario.drains && env.scenario.balancerContinues {
 		return true
 	}
-	return time.Since(w.origin)-time.Duration(refused) < 200*time.Millisecond
+	return time.Since(env.startedAt)-time.Duration(offset) < 200*time.Millisecond
 }
 
-// startClient starts a client with chance of its own.
-func (w *soakWorld) startClient(run func(random *rand.Rand)) {
-	random := rand.New(rand.NewPCG(w.plan.random.Uint64(), 0))
-	w.clients.Go(func() { run(random) })
+// startClient starts a client with its own random source.
+func (env *soakEnvironment) startClient(run func(random *rand.Rand)) {
+	random := rand.New(rand.NewPCG(env.scenario.random.Uint64(), 0))
+	env.clients.Go(func() { run(random) })
 }
 
 // startClients starts clients of every kind.
-func (w *soakWorld) startClients() {
+func (env *soakEnvironment) startClients() {
 	for range 6 {
-		w.startClient(w.runSteadyClient)
-		w.startClient(w.runShortClient)
+		env.startClient(env.runSteadyClient)
+		env.startClient(env.runShortClient)
 	}
 	for range 2 {
-		w.startClient(w.runPipeliningClient)
-		w.startClient(w.runLeavingClient)
-		w.startClient(w.runInvalidClient)
-		w.startClient(w.runBurstClient)
-		w.startClient(w.runSlowClient)
-	}
-	w.clients.Go(w.runUnreadingClient)
-	if w.plan.crowd {
+		env.startClient(env.runPipeliningClient)
+		env.startClient(env.runDisconnectingClient)
+		env.startClient(env.runInvalidClient)
+		env.startClient(env.runBurstClient)
+		env.startClient(env.runSlowClient)
+	}
+	env.clients.Go(env.runNonReadingClient)
+	if env.scenario.fillsDescriptors {
 		for range 60 {
-			w.clients.Go(w.runIdleClient)
+			env.clients.Go(env.runIdleClient)
 		}
 	}
 }
 
-// stop ends the clients.
-func (w *soakWorld) stop() {
-	w.stopping.Store(true)
-	kill(w.gateway.Cmd)
-	w.mu.Lock()
-	open := make([]*soakConnection, 0, len(w.connections))
-	for c := range w.connections {
+// stop kills the gateway, closes all connections, and waits for the clients.
+func (env *soakEnvironment) stop() {
+	env.stopping.Store(true)
+	kill(env.gateway.Cmd)
+	env.mu.Lock()
+	open := make([]*soakConnection, 0, len(env.connections))
+	for c := range env.connections {
 		open = append(open, c)
 	}
-	w.mu.Unlock()
+	env.mu.Unlock()
 	for _, c := range open {
 		c.close()
 	}
-	w.clients.Wait()
+	env.clients.Wait()
 }
 
-// checkHeldConnections checks what may be open 4 s after a drain began: nothing idle, and no request of the
-// last 2 s.
-func (w *soakWorld) checkHeldConnections(began time.Time) {
-	age := time.Since(began)
-	w.mu.Lock()
-	open := make([]*soakConnection, 0, len(w.connections))
-	for c := range w.connections {
+// checkHeldConnections checks, 4 s after a drain began, that no connection is idle or has a request that was sent in
+// the last 2 s.
+func (env *soakEnvironment) checkHeldConnections(began time.Time) {
+	elapsed := time.Since(began)
+	env.mu.Lock()
+	open := make([]*soakConnection, 0, len(env.connections))
+	for c := range env.connections {
 		open = append(open, c)
 	}
-	w.mu.Unlock()
-	time.Sleep(soakLateness) // one that ends in this moment is not held
+	env.mu.Unlock()
+	time.Sleep(soakTimingTolerance) // a connection that is just ending is not a violation
 	for _, c := range open {
-		c.awaitNewConnectionGrace()
-		if what, held := c.heldSince(began.Add(age)); held {
-			w.violate("%v after the drain a connection is held: %s; from %v, %s", age, what, c.conn.LocalAddr(), c.ending())
+		c.waitNewConnectionGrace()
+		if description, held := c.heldAt(began.Add(elapsed)); held {
+			env.recordViolation("%v after the drain began a connection is open: %s; from %v, %s",
+				elapsed, description, c.conn.LocalAddr(), c.describeEnd())
 		}
 	}
 }
 
-// nextRequest returns an id and the text of a request with a drawn deadline.
-func (w *soakWorld) nextRequest(random *rand.Rand) soakRequest {
-	id := fmt.Sprintf("s%07d", w.nextID.Add(1))
-	longest := int(soakDeadline.Milliseconds())
-	deadline := min(300+random.IntN(2*longest), longest) // often the longest
+// newRequest returns a request with a new id and a random deadline.
+func (env *soakEnvironment) newRequest(random *rand.Rand) soakRequest {
+	id := fmt.Sprintf("s%07d", env.nextID.Add(1))
+	maxDeadline := int(soakDeadline.Milliseconds())
+	deadline := min(300+random.IntN(2*maxDeadline), maxDeadline) // more than half of the requests have the maximum
 	return soakRequest{
 		id:       id,
 		deadline: time.Duration(deadline) * time.Millisecond,
@@ -236,7 +237,7 @@
 	sentAt   time.Time
 }
 
-// readSoakAnswer reads one response: a line, or a line and a value.
+// readSoakAnswer reads one answer: a line, or a line and a value.
 func readSoakAnswer(reader *bufio.Reader) (string, error) {
 	line, err := reader.ReadString('\n')
 	if err != nil || !strings.HasPrefix(line, "$") {
@@ -246,8 +247,8 @@
 	return line + value, err
 }
 
-// drainConn reads to the end of a connection.
-func drainConn(conn net.Conn) error {
+// discardInput reads and drops all input up to the end of the connection.
+func discardInput(conn net.Conn) error {
 	_, err := io.Copy(io.Discard, conn)
 	return err
 }
--- a/cmd/fawnplank/store_client_test.go
+++ b/cmd/fawnplank/store_client_test.go
@@ -11,8 +11,8 @@
 	"fawnplank/internal/store/kv"
 )
 
-// A status other than 200 is an error with status and message; 404 at the leader is a key that is not there,
-// and 409 is a conflict.
+// TestStoreClient_Statuses checks that a status other than 200 becomes an error with the status and the message, that
+// 404 from the leader means a missing key, and that 409 becomes a ConflictError.
 func TestStoreClient_Statuses(t *testing.T) {
 	status, body := http.StatusOK, ""
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
@@ -28,7 +28,7 @@
 		t.Errorf("%v", err)
 	}
 	if _, _, err := client.ReadFromLeader("k"); err == nil {
-		t.Error("a leader that is not there reads a key")
+		t.Error("reading a key succeeded without a leader")
 	}
 	status, body = http.StatusNotFound, "x"
 	_, err = client.do(t.Context(), storeCall{method: http.MethodGet, path: "/v1/kv/k"})
@@ -36,7 +36,7 @@
 		t.Errorf("%v", err)
 	}
 	if _, ok, err := client.ReadFromLeader("k"); ok || err != nil {
-		t.Errorf("a key that is not there: %t, %v", ok, err)
+		t.Errorf("missing key: %t, %v", ok, err)
 	}
 	status, body = http.StatusConflict, `{"error":"changed meanwhile"}`
 	var conflict kv.ConflictError
@@ -45,12 +45,12 @@
 	}
 }
 
-// TestStoreCommands_NameTheKeyItself guards against another key that is overwritten: "store set" and the reads of other
-// commands put keys into the path unescaped, and what follows a ? or # was left out.
-func TestStoreCommands_NameTheKeyItself(t *testing.T) {
-	var paths []string
+// TestStoreCommands_EscapeKeys guards against writes to the wrong key: "store set" and the reads of other commands put
+// keys into the path unescaped, so that the part of a key after ? or # was lost.
+func TestStoreCommands_EscapeKeys(t *testing.T) {
+	var calls []string
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		paths = append(paths, r.Method+" "+r.RequestURI)
+		calls = append(calls, r.Method+" "+r.RequestURI)
 		send(w, "[]")
 	}))
 	t.Cleanup(server.Close)
@@ -64,13 +64,13 @@
 	}
 	client := storeClient{address: address}
 	client.ReadLocal("q/a?b")
-	_, _, _ = client.ReadFromLeader("q/a?b") // the answer is no entry
+	_, _, _ = client.ReadFromLeader("q/a?b") // fails, since the answer is not a valid entry
 	client.ReadPrefix("q/a#b")
 	want := []string{
 		"PUT /v1/kv/q%2Fa%3Fb", "GET /v1/kv/q%2Fa%23b", "DELETE /v1/kv/q%2Fa%2541b", "GET /v1/kv?prefix=q%2Fa%26prefix%3Db",
 		"DELETE /v1/peers/x%3Fy", "GET /v1/kv/q%2Fa%3Fb?stale=1", "GET /v1/kv/q%2Fa%3Fb", "GET /v1/kv?prefix=q%2Fa%23b",
 	}
-	if !slices.Equal(paths, want) {
-		t.Errorf("called\n%s, want\n%s", strings.Join(paths, "\n"), strings.Join(want, "\n"))
+	if !slices.Equal(calls, want) {
+		t.Errorf("called\n%s, want\n%s", strings.Join(calls, "\n"), strings.Join(want, "\n"))
 	}
 }
--- a/cmd/fawnplank/tls_test.go
+++ b/cmd/fawnplank/tls_test.go
@@ -13,7 +13,7 @@
 	"fawnplank/internal/tlsconfig"
 )
 
-func newAuthority(t *testing.T, name string) *testca.Authority {
+func newTestAuthority(t *testing.T, name string) *testca.Authority {
 	t.Helper()
 	authority, err := testca.New(name)
 	if err != nil {
@@ -22,8 +22,8 @@
 	return authority
 }
 
-// sign writes a certificate of the authority, and its key, to a folder.
-func sign(t *testing.T, authority *testca.Authority, folder, name string,
+// writeCertificate issues a certificate of the authority and writes it, with its key, to a folder.
+func writeCertificate(t *testing.T, authority *testca.Authority, folder, name string,
 	validity time.Duration) tlsconfig.Files {
 	t.Helper()
 	files, err := authority.Write(folder, name, validity)
@@ -33,7 +33,7 @@
 	return files
 }
 
-// tlsFlags are the flags that present a certificate; none for no certificate.
+// tlsFlags returns the flags for a client certificate, or none if there are no files.
 func tlsFlags(files tlsconfig.Files) []string {
 	if !files.Enabled() {
 		return nil
@@ -45,26 +45,26 @@
 	}
 }
 
-// runWithTLS runs a store command at a replica with a certificate.
+// runWithTLS runs a store command against a replica with a client certificate.
 func (r *replicaProcess) runWithTLS(t *testing.T, files tlsconfig.Files, args ...string) (string, error) {
 	t.Helper()
-	return runProgram(t, slices.Concat(tlsFlags(files), []string{"store"}, args, []string{"--at", r.api})...)
+	return runProgram(t, slices.Concat(tlsFlags(files), []string{"store"}, args, []string{"--at", r.apiAddress})...)
 }
 
-// logged reports whether the replica has logged a phrase.
-func (r *replicaProcess) logged(phrase string) bool {
-	text, _ := os.ReadFile(r.log) // one that cannot be read has no phrase
+// hasLogged reports whether the replica's log contains a phrase.
+func (r *replicaProcess) hasLogged(phrase string) bool {
+	text, _ := os.ReadFile(r.logFile) // an unreadable log contains no phrase
 	return strings.Contains(string(text), phrase)
 }
 
-// Replicas with TLS: commands with a certificate of the authority succeed, by way of any replica; plain ones
-// and those of another authority do not; a certificate renewed under way is loaded without a restart, a
-// broken one is not.
+// TestReplicas_TLS checks that commands with a certificate of the configured authority succeed at every replica, that
+// commands without TLS or with a certificate of another authority fail, and that replicas load a renewed certificate
+// without a restart but keep the old one if the new one is invalid.
 func TestReplicas_TLS(t *testing.T) {
-	folder, elsewhere := t.TempDir(), t.TempDir()
-	own, other := newAuthority(t, "own"), newAuthority(t, "other")
-	files := sign(t, own, folder, "replica", time.Hour)
-	foreign := sign(t, other, elsewhere, "stranger", time.Hour)
+	folder, otherFolder := t.TempDir(), t.TempDir()
+	own, other := newTestAuthority(t, "own"), newTestAuthority(t, "other")
+	files := writeCertificate(t, own, folder, "replica", time.Hour)
+	otherFiles := writeCertificate(t, other, otherFolder, "stranger", time.Hour)
 	replicas := newReplicas(t, "a", "b", "c")
 	for _, r := range replicas {
 		r.args = append(tlsFlags(files), "store", "run")
@@ -76,49 +76,50 @@
 	})
 	for n, r := range replicas {
 		if out, err := r.runWithTLS(t, files, "get", "k"); err != nil || !strings.Contains(out, `"value":1`) {
-			t.Errorf("%d: %v, %s", n, err, out)
+			t.Errorf("replica %d: %v, %s", n, err, out)
 		}
 		if out, err := r.runWithTLS(t, tlsconfig.Files{}, "get", "k"); err == nil {
-			t.Errorf("%d, plain: %s", n, out)
+			t.Errorf("replica %d, without TLS: %s", n, out)
 		}
-		if out, err := r.runWithTLS(t, foreign, "get", "k"); err == nil {
-			t.Errorf("%d, another authority: %s", n, out)
+		if out, err := r.runWithTLS(t, otherFiles, "get", "k"); err == nil {
+			t.Errorf("replica %d, certificate of another authority: %s", n, out)
 		}
 	}
-	out, err := runProgram(t, "store", "run", "--store", t.TempDir(), "--me", replicas[0].name(),
+	out, err := runProgram(t, "store", "run", "--store", t.TempDir(), "--me", replicas[0].peerAddress(),
 		"--tls-certificate", files.Certificate, "--tls-key", files.Key)
 	if err == nil || !strings.Contains(out, "--tls-authority is missing") {
 		t.Errorf("%v, %s", err, out)
 	}
-	checkCertificateRenewal(t, own, replicas, folder, elsewhere)
+	checkCertificateRenewal(t, own, replicas, folder, otherFolder)
 }
 
-// checkCertificateRenewal renews the replicas' certificate, which lies in folder, then breaks it, and renews
-// it again.
+// checkCertificateRenewal renews the replicas' certificate, which is in folder, then replaces it with an invalid file,
+// and renews it again.
 func checkCertificateRenewal(t *testing.T, own *testca.Authority, replicas []*replicaProcess,
-	folder, elsewhere string) {
+	folder, otherFolder string) {
 	t.Helper()
-	time.Sleep(20 * time.Millisecond) // another time of the files
-	files := sign(t, own, folder, "replica", 48*time.Hour)
-	// A call first, since the files are looked at when a connection comes; its own result does not count.
+	time.Sleep(20 * time.Millisecond) // ensures a different modification time of the files
+	files := writeCertificate(t, own, folder, "replica", 48*time.Hour)
+	// loggedAfterCall makes a call first, since a replica checks the files only when it accepts a connection. The result
+	// of the call is irrelevant.
 	loggedAfterCall := func(caller tlsconfig.Files, phrase string) bool {
 		_, _ = replicas[1].runWithTLS(t, caller, "status")
-		return replicas[1].logged(phrase)
+		return replicas[1].hasLogged(phrase)
 	}
 	testutil.Eventually(t, "the new certificate", func() bool {
 		return loggedAfterCall(files, "certificate reloaded")
 	})
 	writeFile(t, files.Certificate, "noise")
-	mine := sign(t, own, elsewhere, "mine", time.Hour)
-	replicas[2].kill() // its own files are broken now, and the others go on with what they had
-	testutil.Eventually(t, "a complaint", func() bool {
-		return loggedAfterCall(mine, "certificate reload failed")
+	callerFiles := writeCertificate(t, own, otherFolder, "mine", time.Hour)
+	replicas[2].kill() // cannot start with the invalid file; the others keep the certificate in memory
+	testutil.Eventually(t, "a log entry for the invalid certificate", func() bool {
+		return loggedAfterCall(callerFiles, "certificate reload failed")
 	})
 	testutil.Eventually(t, "a write", func() bool {
-		_, err := replicas[0].runWithTLS(t, mine, "set", "k", "2")
+		_, err := replicas[0].runWithTLS(t, callerFiles, "set", "k", "2")
 		return err == nil
 	})
-	sign(t, own, folder, "replica", time.Hour)
+	writeCertificate(t, own, folder, "replica", time.Hour)
 	replicas[2].start(t, replicas)
 	testutil.Eventually(t, "the third replica", func() bool {
 		out, err := replicas[2].runWithTLS(t, files, "get", "k")
@@ -126,10 +127,10 @@
 	})
 }
 
-// The limits address with TLS, with a certificate demanded of clients.
+// TestLimits_TLS checks that the limits address with TLS requires a client certificate.
 func TestLimits_TLS(t *testing.T) {
 	folder := t.TempDir()
-	files := sign(t, newAuthority(t, "own"), folder, "gateway", time.Hour)
+	files := writeCertificate(t, newTestAuthority(t, "own"), folder, "gateway", time.Hour)
 	settings := folder + "/config.json"
 	operator := folder + "/op.toml"
 	limits, management := freeAddress(t), freeAddress(t)
@@ -139,7 +140,7 @@
 		"[limits]\nlisten = %q\ntls_certificate = %q\ntls_key = %q\ntls_authority = %q\n",
 		limits, files.Certificate, files.Key, files.Authority)
 	writeFile(t, operator, operatorText)
-	process := program(t, "serve", "-c", settings, "--operator", operator)
+	process := programCommand(t, "serve", "-c", settings, "--operator", operator)
 	if err := process.Start(); err != nil {
 		t.Fatal(err)
 	}
@@ -149,11 +150,11 @@
 		return runProgram(t, slices.Concat(flags, args)...)
 	}
 	testutil.Eventually(t, "an answer", func() bool {
-		out, _ := call(tlsFlags(files)) // an error answer: billing is off
+		out, _ := call(tlsFlags(files)) // fails, since billing is off, but with an answer
 		return strings.Contains(out, "unknown command")
 	})
 	if out, err := call(nil); err == nil || strings.Contains(out, "unknown command") {
-		t.Errorf("plain: %v, %s", err, out)
+		t.Errorf("without TLS: %v, %s", err, out)
 	}
 	writeFile(t, operator, strings.Replace(operatorText, files.Key, "/nowhere", 1))
 	out, err := runProgram(t, "check", operator)
--- a/cmd/fawnplank/wallclock_test.go
+++ b/cmd/fawnplank/wallclock_test.go
@@ -9,19 +9,19 @@
 	"time"
 )
 
-// wallClock steps the wall clock of one process, which keeps its monotonic clock. It preloads
-// testdata/wallclock.c into the process.
-type wallClock struct{ library, offsetFile string }
+// wallClock steps the wall clock of one process without changing its monotonic clock. For this, the library compiled
+// from testdata/wallclock.c is preloaded into the process.
+type wallClock struct{ libraryFile, offsetFile string }
 
 func newWallClock(t *testing.T) *wallClock {
 	t.Helper()
 	folder := t.TempDir()
 	w := &wallClock{
-		library:    filepath.Join(folder, "wallclock.so"),
-		offsetFile: filepath.Join(folder, "offset"),
+		libraryFile: filepath.Join(folder, "wallclock.so"),
+		offsetFile:  filepath.Join(folder, "offset"),
 	}
 	compiler := exec.CommandContext(t.Context(),
-		"gcc", "-O2", "-Wall", "-Werror", "-shared", "-fPIC", "-o", w.library, "testdata/wallclock.c")
+		"gcc", "-O2", "-Wall", "-Werror", "-shared", "-fPIC", "-o", w.libraryFile, "testdata/wallclock.c")
 	if output, err := compiler.CombinedOutput(); err != nil {
 		t.Fatalf("gcc: %v\n%s", err, output)
 	}
@@ -29,20 +29,20 @@
 	return w
 }
 
-// environment is what the process needs in its environment.
+// environment returns the environment variables that the process needs.
 func (w *wallClock) environment() []string {
-	return []string{"LD_PRELOAD=" + w.library, "WALLCLOCK_OFFSET=" + w.offsetFile}
+	return []string{"LD_PRELOAD=" + w.libraryFile, "WALLCLOCK_OFFSET=" + w.offsetFile}
 }
 
-// set steps the clock to a distance from the machine's. The process maps the file, which is therefore written
-// in place.
+// set sets the offset of the process's wall clock from the machine's. The process maps the file into memory, so that it
+// has to be written in place.
 func (w *wallClock) set(t *testing.T, offset time.Duration) {
 	t.Helper()
 	file, err := os.OpenFile(w.offsetFile, os.O_RDWR|os.O_CREATE, 0o600)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer hangUp(file)
+	defer closeIgnoringError(file)
 	seconds := binary.LittleEndian.AppendUint64(nil, uint64(int64(offset/time.Second)))
 	if _, err := file.WriteAt(seconds, 0); err != nil {
 		t.Fatal(err)
--- a/cmd/fawnplank/warm_start_test.go
+++ b/cmd/fawnplank/warm_start_test.go
@@ -10,9 +10,9 @@
 	"testing"
 )
 
-// The warm-start state of a gateway is there for the next process, and a file that is not complete is
-// refused with a log entry, without harm.
-func TestWarmStart_OverRestarts(t *testing.T) {
+// TestWarmStart_SurvivesRestarts checks that a gateway imports the warm-start state of the previous process, and that
+// it refuses an incomplete file with a log entry and starts without it.
+func TestWarmStart_SurvivesRestarts(t *testing.T) {
 	folder := t.TempDir()
 	settings := filepath.Join(folder, "config.json")
 	operator := filepath.Join(folder, "op.toml")
@@ -27,26 +27,26 @@
 	text := readFile(t, file)
 	writeFile(t, file, text[:len(text)/2])
 	checkRunLogs(t, settings, operator, "state refused")
-	checkRunLogs(t, settings, operator, "state imported") // written anew
+	checkRunLogs(t, settings, operator, "state imported") // the previous run has written a complete file
 }
 
-// checkRunLogs runs a gateway until it listens, and checks that it logs a phrase, if any, and exits without
-// an error.
-func checkRunLogs(t *testing.T, settings, operator, phrase string) {
+// checkRunLogs runs a gateway until it listens, and checks that it logs a message, unless that is empty, and exits
+// without an error.
+func checkRunLogs(t *testing.T, settings, operator, message string) {
 	t.Helper()
-	process := program(t, "serve", "-c", settings, "--operator", operator)
+	process := programCommand(t, "serve", "-c", settings, "--operator", operator)
 	log := startWithLog(t, process)
 	logged := false
 	signaled := false
 	for lines := bufio.NewScanner(log); lines.Scan(); {
 		line := lines.Text()
-		logged = logged || phrase != "" && strings.Contains(line, phrase)
+		logged = logged || message != "" && strings.Contains(line, message)
 		if !signaled && strings.Contains(line, "component=frontend") && strings.Contains(line, "listening") {
 			signaled = true
 			sendSignal(t, process, syscall.SIGTERM)
 		}
 	}
-	if err := process.Wait(); err != nil || phrase != "" && !logged {
-		t.Errorf("%v; %q was logged: %t", err, phrase, logged)
+	if err := process.Wait(); err != nil || message != "" && !logged {
+		t.Errorf("exit: %v; %q was logged: %t", err, message, logged)
 	}
 }
--- a/cmd/fawnplank/wire_admin_test.go
+++ b/cmd/fawnplank/wire_admin_test.go
@@ -10,44 +10,45 @@
 
 var httpDate = regexp.MustCompile(`\r\nDate: [^\r]+\r\n`)
 
-// wireAdmin calls the management address and compares the answers.
+// wireAdmin calls the management address and compares the answers with a golden file.
 type wireAdmin struct {
-	file   *golden
-	g      *wireGateway
-	client net.Conn
+	golden  *goldenFile
+	gateway *wireGateway
+	client  net.Conn
 }
 
-// call makes a call on a connection of its own, and returns its answer with any date hidden.
+// call sends an HTTP request on a new connection, and returns the answer with any date replaced.
 func (a *wireAdmin) call(t *testing.T, text string) (got, state string) {
 	t.Helper()
-	c := dialWire(t, a.g.mgmt)
-	send(c, text)
-	got, state = readUntil(t, c, "")
+	conn := dialWire(t, a.gateway.managementAddress)
+	send(conn, text)
+	got, state = readUntil(t, conn, "")
 	return httpDate.ReplaceAllString(got, "\r\nDate: <date>\r\n"), state
 }
 
 func (a *wireAdmin) compare(t *testing.T, name, text string) {
 	t.Helper()
 	got, state := a.call(t, text)
-	a.file.compare(name, transcriptLine(">", text), transcriptLine("<", got), state)
+	a.golden.compare(name, transcriptLine(">", text), transcriptLine("<", got), state)
 }
 
-// ping compares the answer to a PING of a client that stays connected.
+// ping compares the answer to a PING of the connected client.
 func (a *wireAdmin) ping(t *testing.T, name string) {
 	t.Helper()
 	send(a.client, wirePing)
 	got, state := readUntil(t, a.client, "\r\n")
-	a.file.compare(name, transcriptLine(">", wirePing), transcriptLine("<", got), state)
+	a.golden.compare(name, transcriptLine(">", wirePing), transcriptLine("<", got), state)
 }
 
 func httpHead(line string) string { return line + " HTTP/1.1\r\nHost: x\r\n\r\n" }
 
-// The management address: whole answers, of each call in each state, and faults.
+// TestAdmin_AnswersOnWire compares complete answers of the management address: of each call before, during and after a
+// drain, and of invalid calls.
 func TestAdmin_AnswersOnWire(t *testing.T) {
-	backend := newWireBackend(t, func(string) string { return wireGood })
-	g := serveWire(t, wireGatewayOptions{endpoints: wireEndpoint(backend.address)})
-	a := &wireAdmin{file: openGolden(t, "admin_answers"), g: g, client: dialWire(t, g.clients)}
-	for _, x := range []struct{ name, text string }{
+	backend := newWireBackend(t, func(string) string { return wireSuccess })
+	gateway := serveWire(t, wireGatewayOptions{endpoints: wireEndpoint(backend.address)})
+	a := &wireAdmin{golden: openGolden(t, "admin_answers"), gateway: gateway, client: dialWire(t, gateway.clientAddress)}
+	for _, test := range []struct{ name, text string }{
 		{"health", httpHead("GET /admin/health")},
 		{"health, HEAD", httpHead("HEAD /admin/health")},
 		{"PING before quiesce", ""},
@@ -70,20 +71,19 @@
 		{"half a head", "GET /admin/health HTTP/1.1\r\nHost: x\r\n"},
 		{"nothing", ""},
 	} {
-		if strings.HasPrefix(x.name, "PING ") {
-			a.ping(t, x.name)
+		if strings.HasPrefix(test.name, "PING ") {
+			a.ping(t, test.name)
 		} else {
-			a.compare(t, x.name, x.text)
+			a.compare(t, test.name, test.text)
 		}
 	}
 	a.compareStats(t)
 }
 
-// compareStats compares the stats, in the order of their lines: the help texts and names, and the values that
-// no time changes.
+// compareStats compares the metrics line by line, after requests that set some of them.
 func (a *wireAdmin) compareStats(t *testing.T) {
 	t.Helper()
-	send(a.client, wireQuery("1", wireField))
+	send(a.client, wireQuery("1", wireFields))
 	readUntil(t, a.client, "ok\r\n")
 	send(a.client, wireQuery("1", "c=lookup,t=team"))
 	readUntil(t, a.client, "\r\n")
@@ -93,21 +93,21 @@
 	head, body, _ := strings.Cut(got, "\r\n\r\n")
 	head = bodyLength.ReplaceAllString(head, "<length>")
 	out := []string{transcriptLine("<", head)}
-	for _, line := range strings.Split(unchunk(t, body), "\n") {
+	for _, line := range strings.Split(decodeChunked(t, body), "\n") {
 		out = append(out, transcriptLine("<", line))
 	}
-	a.file.compare("stats", out...)
+	a.golden.compare("stats", out...)
 }
 
 var bodyLength = regexp.MustCompile(`Content-Length: \d+|Transfer-Encoding: chunked`)
 
-// unchunk removes the lengths of an answer in chunks, where there are any.
-func unchunk(t *testing.T, body string) string {
+// decodeChunked decodes a chunked body. It returns any other body unchanged.
+func decodeChunked(t *testing.T, body string) string {
 	t.Helper()
 	if !chunkLength.MatchString(body) {
 		return body
 	}
-	whole := ""
+	decoded := ""
 	for {
 		length, rest, _ := strings.Cut(body, "\r\n")
 		var n int
@@ -115,9 +115,9 @@
 			t.Fatalf("%q: %v", length, err)
 		}
 		if n == 0 || len(rest) < n+2 {
-			return whole
+			return decoded
 		}
-		whole, body = whole+rest[:n], rest[n+2:]
+		decoded, body = decoded+rest[:n], rest[n+2:]
 	}
 }
 
--- a/cmd/fawnplank/wire_commands_test.go
+++ b/cmd/fawnplank/wire_commands_test.go
@@ -9,31 +9,30 @@
 	"testing"
 )
 
-// runWire runs the program in a folder of its own, of which its output shows no path, with nothing of the
-// environment but what is given.
+// runWire runs the program in a folder, with only the given environment, and returns its output and exit status for a
+// golden file. The folder's path and the names of Go types and fields are replaced in the output.
 func runWire(t *testing.T, folder string, environment []string, words ...string) []string {
 	t.Helper()
-	c := program(t, words...)
-	c.Dir = folder
-	c.Env = append([]string{"FAWNPLANK_AS_MAIN=1"}, environment...)
-	out, err := c.CombinedOutput()
+	command := programCommand(t, words...)
+	command.Dir = folder
+	command.Env = append([]string{"FAWNPLANK_AS_MAIN=1"}, environment...)
+	out, err := command.CombinedOutput()
 	state := "succeeds"
 	if err != nil {
 		state = err.Error()
 	}
-	text := goType.ReplaceAllString(strings.ReplaceAll(string(out), folder, "<folder>"), "${1}<type>")
-	return []string{transcriptLine("<", goField.ReplaceAllString(text, "struct field <field> of type <type>")), state}
+	text := goTypeName.ReplaceAllString(strings.ReplaceAll(string(out), folder, "<folder>"), "${1}<type>")
+	return []string{transcriptLine("<", goFieldName.ReplaceAllString(text, "struct field <field> of type <type>")), state}
 }
 
-// The decoders of JSON and TOML name types and fields of the program in their texts; those are free to be
-// renamed.
+// The error texts of the JSON and TOML decoders contain names of the program's types and fields, which may be renamed.
 var (
-	goType  = regexp.MustCompile(`(Go value of type )[a-zA-Z.]+`)
-	goField = regexp.MustCompile(`struct field [a-zA-Z.]+ of type [a-zA-Z.]+`)
+	goTypeName  = regexp.MustCompile(`(Go value of type )[a-zA-Z.]+`)
+	goFieldName = regexp.MustCompile(`struct field [a-zA-Z.]+ of type [a-zA-Z.]+`)
 )
 
-// faultySettings are replacements in wireSettings that check refuses.
-var faultySettings = []struct{ old, faulty string }{
+// invalidSettings are replacements in wireSettings; the command check refuses each result.
+var invalidSettings = []struct{ old, invalid string }{
 	{`"name":"n0",`, ``},
 	{`"name":"n0"`, `"name":0`},
 	{`"listen":"127.0.0.1:1",`, ``},
@@ -99,8 +98,8 @@
 	{`{"name":"n0"`, `[{"name":"n0"`},
 }
 
-// faultyOperatorFiles are operator files that check refuses, and an empty one.
-var faultyOperatorFiles = []string{
+// invalidOperatorFiles are operator files that the command check refuses, and an empty one, which it accepts.
+var invalidOperatorFiles = []string{
 	"limits = 3",
 	"[limits",
 	"[limits]\nlisten = 3",
@@ -141,14 +140,14 @@
 	"",
 }
 
-// fullEnvironment stands in for all keys that may be left out of the settings.
+// fullEnvironment sets all keys that may be missing from the settings.
 var fullEnvironment = []string{
 	"GW_NAME=env", "GW_LISTEN=127.0.0.1:1", "GW_DISCOVERY=127.0.0.1:3", "GW_MGMT=127.0.0.1:2",
 }
 
 func withEnvironment(more ...string) []string { return slices.Concat(fullEnvironment, more) }
 
-// checkEnvironments are calls of check with variables of the environment.
+// checkEnvironments are runs of the command check with environment variables.
 var checkEnvironments = []struct {
 	name        string
 	environment []string
@@ -168,26 +167,27 @@
 	{"GW_SOCKET_FD goes first", []string{"GW_SOCKET_FD=3", "SOCKET_FD=x"}, []string{"check", "-c", "good.json"}},
 }
 
-// What check says of faulty settings, operator files and environments: text and exit status.
-func TestCheck_FaultsOnWire(t *testing.T) {
+// TestCheck_ErrorsOnWire compares the output and exit status of check for invalid settings, operator files and
+// environments.
+func TestCheck_ErrorsOnWire(t *testing.T) {
 	file := openGolden(t, "check_faults")
 	folder := t.TempDir()
-	good := fmt.Sprintf(wireSettings, "127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3", "127.0.0.1:4",
+	validSettings := fmt.Sprintf(wireSettings, "127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3", "127.0.0.1:4",
 		wireEndpoint("127.0.0.1:5"))
 	write := func(name, text string) {
 		t.Helper()
 		writeFile(t, filepath.Join(folder, name), text)
 	}
-	write("good.json", good)
+	write("good.json", validSettings)
 	file.compare("in order", runWire(t, folder, nil, "check", "-c", "good.json")...)
-	for _, x := range faultySettings {
-		if !strings.Contains(good, x.old) {
-			t.Errorf("the settings hold no %s", x.old)
+	for _, test := range invalidSettings {
+		if !strings.Contains(validSettings, test.old) {
+			t.Errorf("the settings do not contain %s", test.old)
 		}
-		write("bad.json", strings.Replace(good, x.old, x.faulty, 1))
-		file.compare(x.old+" -> "+x.faulty, runWire(t, folder, nil, "check", "-c", "bad.json")...)
+		write("bad.json", strings.Replace(validSettings, test.old, test.invalid, 1))
+		file.compare(test.old+" -> "+test.invalid, runWire(t, folder, nil, "check", "-c", "bad.json")...)
 	}
-	for _, text := range faultyOperatorFiles {
+	for _, text := range invalidOperatorFiles {
 		write("secret", "0123456789abcdef-secret\n")
 		write("short", "x")
 		write("z", "")
@@ -200,9 +200,9 @@
 	write("op.toml", "[log]\nlevel = \"x\"\n")
 	bare := strings.NewReplacer(`"name":"n0",`, ``, `"listen":"127.0.0.1:1",`, ``, `"discovery":"127.0.0.1:3",`, ``,
 		`"mgmt":"127.0.0.1:2",`, ``)
-	write("bare.json", bare.Replace(good))
-	for _, x := range checkEnvironments {
-		file.compare(x.name, runWire(t, folder, x.environment, x.args...)...)
+	write("bare.json", bare.Replace(validSettings))
+	for _, test := range checkEnvironments {
+		file.compare(test.name, runWire(t, folder, test.environment, test.args...)...)
 	}
 }
 
@@ -211,37 +211,38 @@
 	helpFlag    = regexp.MustCompile(`(?m)^ +(?:(-[a-zA-Z]), )?(--[a-z-]+)(?: ([a-zA-Z]+)|(\[=[a-z|]+\]))?(?:  |$)`)
 )
 
-// The names of commands and flags, with the kinds of the flags' values; the prose between them is free.
+// TestHelp_NamesOnWire compares the names of commands and flags, and the types of the flags' values. The help texts
+// are not compared.
 func TestHelp_NamesOnWire(t *testing.T) {
 	file := openGolden(t, "help_names")
 	folder := t.TempDir()
-	var walk func(words []string)
-	walk = func(words []string) {
+	var compareHelp func(words []string)
+	compareHelp = func(words []string) {
 		t.Helper()
-		c := program(t, append(slices.Clone(words), "--help")...)
-		c.Dir, c.Env = folder, []string{"FAWNPLANK_AS_MAIN=1"}
-		text, err := c.CombinedOutput()
+		command := programCommand(t, append(slices.Clone(words), "--help")...)
+		command.Dir, command.Env = folder, []string{"FAWNPLANK_AS_MAIN=1"}
+		text, err := command.CombinedOutput()
 		if err != nil {
 			t.Fatalf("%s: %v, %s", words, err, text)
 		}
 		var lines, commands []string
 		if _, rest, ok := strings.Cut(string(text), "\nAvailable Commands:\n"); ok {
 			rest, _, _ = strings.Cut(rest, "\n\n")
-			for _, m := range helpCommand.FindAllStringSubmatch(rest, -1) {
-				commands = append(commands, m[1])
-				lines = append(lines, "command "+m[1])
+			for _, match := range helpCommand.FindAllStringSubmatch(rest, -1) {
+				commands = append(commands, match[1])
+				lines = append(lines, "command "+match[1])
 			}
 		}
-		for _, m := range helpFlag.FindAllStringSubmatch(string(text), -1) {
-			lines = append(lines, strings.Join(strings.Fields("flag "+m[2]+" "+m[1]+" "+m[3]+m[4]), " "))
+		for _, match := range helpFlag.FindAllStringSubmatch(string(text), -1) {
+			lines = append(lines, strings.Join(strings.Fields("flag "+match[2]+" "+match[1]+" "+match[3]+match[4]), " "))
 		}
 		slices.Sort(lines)
 		file.compare(strings.Join(append([]string{"fawnplank"}, words...), " "), lines...)
 		for _, name := range commands {
-			if name != "lab" && name != "help" { // the laboratory is a program of its own
-				walk(append(slices.Clone(words), name))
+			if name != "lab" && name != "help" { // the laboratory counts as a separate program
+				compareHelp(append(slices.Clone(words), name))
 			}
 		}
 	}
-	walk(nil)
+	compareHelp(nil)
 }
--- a/cmd/fawnplank/wire_limits_test.go
+++ b/cmd/fawnplank/wire_limits_test.go
@@ -8,9 +8,9 @@
 	"testing"
 )
 
-var countsDown = regexp.MustCompile(`:\d+\r\n$`)
+var timeUntilFull = regexp.MustCompile(`:\d+\r\n$`)
 
-// limitCommands are commands of which each is answered on a connection that stays open.
+// limitCommands are commands after which the connection stays open.
 var limitCommands = [][]string{
 	{"PING"},
 	{"ping"},
@@ -66,30 +66,30 @@
 	{"AUTH", "nobody", "0123456789abcdef-secret"},
 }
 
-// compareLimitCommand compares a command and its answer, behind which a PING is sent.
-func compareLimitCommand(t *testing.T, file *golden, c net.Conn, name string, words ...string) {
+// compareLimitCommand compares a command and its answer. It sends a PING after the command to find the answer's end.
+func compareLimitCommand(t *testing.T, file *goldenFile, conn net.Conn, name string, words ...string) {
 	t.Helper()
 	text := respWords(words...)
-	send(c, text+respWords("PING"))
-	got, state := readUntil(t, c, "+PONG\r\n")
+	send(conn, text+respWords("PING"))
+	got, state := readUntil(t, conn, "+PONG\r\n")
 	if strings.EqualFold(words[0], "PING") && strings.Count(got, "+PONG") < 2 {
-		more, _ := readUntil(t, c, "+PONG\r\n")
+		more, _ := readUntil(t, conn, "+PONG\r\n")
 		got += more
 	}
 	got = strings.TrimSuffix(got, "+PONG\r\n")
 	if strings.HasPrefix(got, "*5\r\n") {
-		got = countsDown.ReplaceAllStringFunc(got, func(s string) string {
+		got = timeUntilFull.ReplaceAllStringFunc(got, func(s string) string {
 			if s == ":0\r\n" {
 				return s
 			}
 			return ":<until full>\r\n"
 		})
-		got = waitsFor.ReplaceAllString(got, "${1}:<wait>\r\n${2}")
+		got = waitTime.ReplaceAllString(got, "${1}:<wait>\r\n${2}")
 	}
 	file.compare(name, transcriptLine(">", text), transcriptLine("<", got), state)
 }
 
-// serveTotals answers calls in the counter's text form with their totals.
+// serveTotals answers calls in the counter's text protocol with the total of all units.
 func serveTotals(t *testing.T, lines <-chan counterLine) {
 	t.Helper()
 	total := 0.0
@@ -104,22 +104,22 @@
 	}
 }
 
-// The limit commands: every answer and every error line. How long until the bucket is full varies with time,
-// and is the last number of an answer.
+// TestLimits_CommandsOnWire compares every answer and every error line of the limit commands. The last number of an
+// answer, the time until the bucket is full, varies from run to run and is replaced.
 func TestLimits_CommandsOnWire(t *testing.T) {
-	backend := newWireBackend(t, func(string) string { return wireGood })
+	backend := newWireBackend(t, func(string) string { return wireSuccess })
 	counter, lines := newWireCounter(t)
 	go serveTotals(t, lines)
 	file := openGolden(t, "limit_commands")
 	g := serveWire(t, wireGatewayOptions{counter: counter, endpoints: wireEndpoint(backend.address)})
-	c := dialWire(t, g.limit)
+	conn := dialWire(t, g.limitsAddress)
 	for _, words := range limitCommands {
-		compareLimitCommand(t, file, c, fmt.Sprintf("%.80q", words), words...)
+		compareLimitCommand(t, file, conn, fmt.Sprintf("%.80q", words), words...)
 	}
-	send(c, respWords("QUIT")+respWords("PING"))
-	got, state := readUntil(t, c, "")
+	send(conn, respWords("QUIT")+respWords("PING"))
+	got, state := readUntil(t, conn, "")
 	file.compare("QUIT", transcriptLine("<", got), state)
-	compareLimitFaults(t, file, g)
+	compareInvalidCommands(t, file, g)
 	kill(g.process)
 
 	g = serveWire(t, wireGatewayOptions{
@@ -130,35 +130,36 @@
 	compareLimitKeys(t, file, g)
 }
 
-// compareLimitFaults compares what is no command in order: the connection ends, but behind an inline command.
-func compareLimitFaults(t *testing.T, file *golden, g *wireGateway) {
+// compareInvalidCommands compares the answers to invalid commands. The connection ends, except after an inline command.
+func compareInvalidCommands(t *testing.T, file *goldenFile, g *wireGateway) {
 	t.Helper()
-	for _, x := range []struct{ name, text, end string }{
+	for _, test := range []struct{ name, text, end string }{
 		{"inline command", "PING\r\n", "\r\n"},
 		{"array of no number", "*x\r\n", ""},
 		{"word of negative length", "*1\r\n$-5\r\n", ""},
 		{"word of another type", "*1\r\n:5\r\n", ""},
 	} {
-		c := dialWire(t, g.limit)
-		send(c, x.text)
-		got, state := readUntil(t, c, x.end)
-		file.compare(x.name, transcriptLine(">", x.text), transcriptLine("<", got), state)
+		conn := dialWire(t, g.limitsAddress)
+		send(conn, test.text)
+		got, state := readUntil(t, conn, test.end)
+		file.compare(test.name, transcriptLine(">", test.text), transcriptLine("<", got), state)
 	}
-	c := dialWire(t, g.limit)
-	go send(c, "*2\r\n$4\r\nPING\r\n$3000000\r\n"+strings.Repeat("x", 2<<20))
-	got, state := readUntil(t, c, "too large\r\n")
+	conn := dialWire(t, g.limitsAddress)
+	go send(conn, "*2\r\n$4\r\nPING\r\n$3000000\r\n"+strings.Repeat("x", 2<<20))
+	got, state := readUntil(t, conn, "too large\r\n")
 	file.compare("command too large", transcriptLine("<", got), state)
 }
 
 const limitKeys = "[[limits.key]]\nname = \"tool\"\nsecret_file = \"FOLDER/secret\"\nrights = [\"check\"]\n" +
 	"[[limits.key]]\nname = \"reader\"\nsecret_file = \"FOLDER/secret\"\nrights = [\"read\"]\n"
 
-// compareLimitKeys compares authentication by key, on the one connection that may be open.
-func compareLimitKeys(t *testing.T, file *golden, g *wireGateway) {
+// compareLimitKeys compares authentication by key on the only connection that the gateway allows, and the refusal of a
+// second connection.
+func compareLimitKeys(t *testing.T, file *goldenFile, g *wireGateway) {
 	t.Helper()
 	const secret = "0123456789abcdef-secret"
-	c := dialWire(t, g.limit)
-	for _, x := range []struct {
+	conn := dialWire(t, g.limitsAddress)
+	for _, test := range []struct {
 		name  string
 		words []string
 	}{
@@ -170,12 +171,12 @@
 		{"keys, AUTH for another", []string{"AUTH", "reader", secret}},
 		{"keys, CHECK without the right", []string{"CL.THROTTLE", wireTenant, "team"}},
 	} {
-		compareLimitCommand(t, file, c, x.name, x.words...)
+		compareLimitCommand(t, file, conn, test.name, test.words...)
 	}
-	other := dialWire(t, g.limit)
+	other := dialWire(t, g.limitsAddress)
 	got, state := readUntil(t, other, "")
 	file.compare("too many connections", transcriptLine("<", got), state)
 }
 
-// waitsFor is the fourth number of an answer, above 1, which is how long until there is room.
-var waitsFor = regexp.MustCompile(`(?s)^(\*5\r\n:1\r\n:\d+\r\n:\d+\r\n):[1-9]\d*\r\n(.*)$`)
+// waitTime matches the fourth number of a refusal, the time until the request would be admitted, if it is not zero.
+var waitTime = regexp.MustCompile(`(?s)^(\*5\r\n:1\r\n:\d+\r\n:\d+\r\n):[1-9]\d*\r\n(.*)$`)
--- a/cmd/fawnplank/wire_test.go
+++ b/cmd/fawnplank/wire_test.go
@@ -22,28 +22,28 @@
 	"fawnplank/internal/testutil"
 )
 
-// Tests of the bytes on every wire, against the whole program as a process of its own: what it is sent and
-// what it sends is compared, byte for byte, with the transcripts under testdata/golden. They know the program
-// by its settings, its command line and its wires alone. The transcripts are never written by a test; a
-// change of one is a change of a wire.
+// The tests with names that end in OnWire run the program as a separate process and compare everything that it receives
+// and sends, byte for byte, with the transcripts under testdata/golden. They depend only on the program's settings,
+// command line and network protocols. No test writes the transcripts: a different transcript means that a protocol has
+// changed.
 
-// golden compares named transcripts with those of a file, in which "== name" stands above each.
-type golden struct {
+// goldenFile compares transcripts with those of a file. In the file, a line "== name" precedes each transcript.
+type goldenFile struct {
 	t    *testing.T
-	file string
+	path string
 	want map[string]string
 	seen map[string]bool
 }
 
-func openGolden(t *testing.T, name string) *golden {
+func openGolden(t *testing.T, name string) *goldenFile {
 	t.Helper()
-	g := &golden{
+	g := &goldenFile{
 		t:    t,
-		file: filepath.Join("testdata", "golden", name+".txt"),
+		path: filepath.Join("testdata", "golden", name+".txt"),
 		want: map[string]string{},
 		seen: map[string]bool{},
 	}
-	text, err := os.ReadFile(g.file)
+	text, err := os.ReadFile(g.path)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -55,26 +55,26 @@
 		t.Helper()
 		for title := range g.want {
 			if !g.seen[title] && !t.Failed() {
-				t.Errorf("%s: %q is compared with nothing", g.file, title)
+				t.Errorf("%s: no transcript was compared with %q", g.path, title)
 			}
 		}
 	})
 	return g
 }
 
-func (g *golden) compare(name string, lines ...string) {
+func (g *goldenFile) compare(name string, lines ...string) {
 	g.t.Helper()
 	got := strings.Join(lines, "\n")
 	g.seen[name] = true
 	g.t.Run(name, func(t *testing.T) {
 		if want, ok := g.want[name]; !ok || got != want {
-			t.Errorf("%s\ngot:\n%s\nwant:\n%s", g.file, got, want)
+			t.Errorf("%s\ngot:\n%s\nwant:\n%s", g.path, got, want)
 		}
 	})
 }
 
-// transcriptLine returns bytes as one line of a transcript, behind the direction in which they went. Long runs
-// of one byte are counted.
+// transcriptLine returns a line of a transcript: the direction, and the quoted text, in which long runs of the bytes x
+// and - are abbreviated.
 func transcriptLine(direction, text string) string {
 	return direction + " " + longRun.ReplaceAllStringFunc(strconv.Quote(text), func(run string) string {
 		return fmt.Sprintf("%s{%d}", run[:1], len(run))
@@ -88,8 +88,8 @@
 	wireTenant  = "0000000000000005"
 )
 
-// wireStandIn listens, and serves each connection with serve.
-func wireStandIn(t *testing.T, serve func(net.Conn)) string {
+// serveConnections listens on a free address, calls serve for each connection, and returns the address.
+func serveConnections(t *testing.T, serve func(net.Conn)) string {
 	t.Helper()
 	listener := testutil.Listen(t)
 	go func() {
@@ -104,8 +104,8 @@
 	return listener.Addr().String()
 }
 
-// wireBackend answers each request with what answer returns for it, and keeps the requests. "close" ends the
-// connection, "" sends nothing.
+// wireBackend is a backend that records its requests and answers each with the result of a function. The result "close"
+// closes the connection, and an empty result sends nothing.
 type wireBackend struct {
 	address      string
 	mu           sync.Mutex
@@ -117,8 +117,8 @@
 func newWireBackend(t *testing.T, answer func(id string) string) *wireBackend {
 	t.Helper()
 	b := &wireBackend{healthChecks: make(chan string, 1000), arrived: make(chan string, 1000)}
-	b.address = wireStandIn(t, func(conn net.Conn) {
-		defer hangUp(conn)
+	b.address = serveConnections(t, func(conn net.Conn) {
+		defer closeIgnoringError(conn)
 		for r := redcon.NewReader(conn); ; {
 			cmd, err := r.ReadCommand()
 			if err != nil {
@@ -146,18 +146,18 @@
 
 var remainingTime = regexp.MustCompile(`\$\d+\r\n((?:[^\r]*?,)?d=)\d+`)
 
-// wait waits until a request has come.
+// wait waits until a request has arrived.
 func (b *wireBackend) wait(t *testing.T) {
 	t.Helper()
 	select {
 	case <-b.arrived:
 	case <-time.After(wireTimeout):
-		t.Fatal("no request comes to the backend")
+		t.Fatal("the backend received no request")
 	}
 }
 
-// received returns the requests since the last call, as lines; the remaining time, and with it the length of
-// its word, is replaced.
+// received returns the requests since the last call as lines of a transcript. The remaining time in a request, and the
+// length of the word that contains it, are replaced.
 func (b *wireBackend) received() (lines []string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -168,10 +168,10 @@
 	return lines
 }
 
-// wireGateway is the program, serving.
+// wireGateway is a running gateway process with its addresses.
 type wireGateway struct {
-	clients, mgmt, limit string
-	process              *exec.Cmd
+	clientAddress, managementAddress, limitsAddress string
+	process                                         *exec.Cmd
 }
 
 const wireSettings = `{"name":"n0","listen":%q,"mgmt":%q,"discovery":%q,"counter":%q,"seed":"8c1f30d27a5be964",
@@ -189,45 +189,45 @@
 {"name":"metered","quota-rate":5,"peak-units":200,"beyond-earns":1},
 {"name":"roof","quota-rate":0,"peak-units":0,"cap-rate":1,"ceiling-burst":2}]}}`
 
-// wireEndpoint is the entry of the one backend in an endpoint list.
+// wireEndpoint returns the endpoint list entry of the only backend.
 func wireEndpoint(address string) string {
 	const entry = `{"name":"s-1","address":%q,"zone":"a","type":"m2","group":1,"status":"up","weight":1.0,"since_ms":0}`
 	return fmt.Sprintf(entry, address)
 }
 
-// wireGatewayOptions configure serveWire. What is left out is an address that nothing listens at, and no
-// endpoint.
+// wireGatewayOptions configure serveWire. Empty addresses are replaced by addresses at which nothing listens. Without
+// endpoints, the gateway starts with an empty endpoint list.
 type wireGatewayOptions struct {
 	discovery, counter string
 	endpoints          string
-	operator           string   // more of the operator file, behind the table limits
-	replace            []string // pairs of texts in the settings, and what replaces them
+	operator           string   // further text of the operator file, after the key listen of the table limits
+	replacements       []string // pairs of old and new texts in the settings
 }
 
-// serveWire starts the program on wireSettings, and waits until it listens.
+// serveWire starts a gateway with wireSettings and waits until it listens.
 func serveWire(t *testing.T, options wireGatewayOptions) *wireGateway {
 	t.Helper()
-	g := &wireGateway{clients: freeAddress(t), mgmt: freeAddress(t), limit: freeAddress(t)}
+	g := &wireGateway{clientAddress: freeAddress(t), managementAddress: freeAddress(t), limitsAddress: freeAddress(t)}
 	folder := t.TempDir()
 	settings, operator := filepath.Join(folder, "config.json"), filepath.Join(folder, "op.toml")
-	text := fmt.Sprintf(wireSettings, g.clients, g.mgmt, cmp.Or(options.discovery, "127.0.0.1:2"),
+	text := fmt.Sprintf(wireSettings, g.clientAddress, g.managementAddress, cmp.Or(options.discovery, "127.0.0.1:2"),
 		cmp.Or(options.counter, "127.0.0.1:3"), options.endpoints)
-	for n := 0; n < len(options.replace); n += 2 {
-		if !strings.Contains(text, options.replace[n]) {
-			t.Fatalf("the settings hold no %s", options.replace[n])
+	for n := 0; n < len(options.replacements); n += 2 {
+		if !strings.Contains(text, options.replacements[n]) {
+			t.Fatalf("the settings do not contain %s", options.replacements[n])
 		}
-		text = strings.Replace(text, options.replace[n], options.replace[n+1], 1)
+		text = strings.Replace(text, options.replacements[n], options.replacements[n+1], 1)
 	}
 	writeFile(t, settings, text)
-	operatorText := fmt.Sprintf("[limits]\nlisten = %q\n", g.limit) + options.operator
+	operatorText := fmt.Sprintf("[limits]\nlisten = %q\n", g.limitsAddress) + options.operator
 	writeFile(t, operator, strings.ReplaceAll(operatorText, "FOLDER", folder))
 	writeFile(t, filepath.Join(folder, "secret"), "0123456789abcdef-secret\n")
-	g.process = program(t, "serve", "-c", settings, "--operator", operator)
+	g.process = programCommand(t, "serve", "-c", settings, "--operator", operator)
 	g.start(t)
 	return g
 }
 
-// start starts the process and waits until it listens.
+// start starts the process and waits until it listens on the client and management addresses.
 func (g *wireGateway) start(t *testing.T) {
 	t.Helper()
 	log := &bytes.Buffer{}
@@ -237,7 +237,7 @@
 	}
 	ended := make(chan struct{})
 	go func() {
-		_ = g.process.Wait() // it is killed in the end
+		_ = g.process.Wait() // reports the kill at the end of the test
 		close(ended)
 	}()
 	t.Cleanup(func() {
@@ -247,7 +247,7 @@
 	for deadline := time.Now().Add(wireTimeout); !g.listens(t); time.Sleep(5 * time.Millisecond) {
 		select {
 		case <-ended:
-			t.Fatalf("the program ended: %s", log)
+			t.Fatalf("the program exited: %s", log)
 		default:
 		}
 		if time.Now().After(deadline) {
@@ -256,15 +256,15 @@
 	}
 }
 
-// listens reports whether the addresses of clients and management can be connected to.
+// listens reports whether the gateway accepts connections at the client and management addresses.
 func (g *wireGateway) listens(t *testing.T) bool {
 	t.Helper()
-	for _, address := range []string{g.clients, g.mgmt} {
+	for _, address := range []string{g.clientAddress, g.managementAddress} {
 		conn, err := tryDial(t, address)
 		if err != nil {
 			return false
 		}
-		hangUp(conn)
+		closeIgnoringError(conn)
 	}
 	return true
 }
@@ -276,13 +276,13 @@
 	return conn
 }
 
-// readUntil reads until what came ends with the text, or the other side closes the connection; the line says
-// which.
-func readUntil(t *testing.T, c net.Conn, end string) (got, state string) {
+// readUntil reads until the input ends with the text end or the peer closes the connection. The returned state
+// describes which of the two happened. With an empty end it reads until the connection is closed.
+func readUntil(t *testing.T, conn net.Conn, end string) (got, state string) {
 	t.Helper()
 	buf := make([]byte, 64<<10)
 	for {
-		n, err := c.Read(buf)
+		n, err := conn.Read(buf)
 		got += string(buf[:n])
 		if end != "" && strings.HasSuffix(got, end) {
 			return got, "stays open"
@@ -296,7 +296,7 @@
 	}
 }
 
-// respWords is a command in RESP.
+// respWords encodes a command in RESP.
 func respWords(words ...string) string {
 	text := fmt.Sprintf("*%d\r\n", len(words))
 	for _, word := range words {
