--- a/cmd/fawnplank/zone_test.go
+++ b/cmd/fawnplank/zone_test.go
@@ -32,7 +32,7 @@
 n0 A 127.0.0.10
 `
 
-// zoneFiles are a gateway's files with a zone, in one folder.
+// zoneFiles are the configuration files of a gateway with a zone, in one folder.
 type zoneFiles struct {
 	folder             string
 	address            string // of the name server
@@ -65,7 +65,7 @@
 
 func (z zoneFiles) path(name string) string { return filepath.Join(z.folder, name) }
 
-// update sends one update of records to add, and of those to delete, which begin with a minus.
+// update sends one DNS update that adds the given records, and deletes those with a leading minus sign.
 func (z zoneFiles) update(texts ...string) error {
 	message := new(dns.Msg).SetUpdate("calc.example.")
 	for _, text := range texts {
@@ -82,8 +82,8 @@
 	return dnsserver.SendUpdate(message, z.address, z.key, 2*time.Second)
 }
 
-// inForce is the zone as the journal has it, or, with an API address, as a replica has it.
-func (z zoneFiles) inForce(api string) (*dnszone.Zone, error) {
+// currentZone reads the current zone from the journal, or from a replica if an API address is given.
+func (z zoneFiles) currentZone(api string) (*dnszone.Zone, error) {
 	operator, err := config.ReadOperator(z.operator)
 	if err != nil {
 		return nil, err
@@ -96,17 +96,17 @@
 	return zone, err
 }
 
-// startServe starts a gateway, without waiting for it.
+// startServe starts a gateway without waiting until it listens.
 func (z zoneFiles) startServe(t *testing.T) *exec.Cmd {
 	t.Helper()
-	process := program(t, "serve", "-c", z.settings, "--operator", z.operator)
+	process := programCommand(t, "serve", "-c", z.settings, "--operator", z.operator)
 	if err := process.Start(); err != nil {
 		t.Fatal(err)
 	}
 	return process
 }
 
-// replaceBackend withdraws one backend and brings the next in one update: there is one at any time.
+// replaceBackend deletes one backend and adds the next one in a single update, so that there is always exactly one.
 func (z zoneFiles) replaceBackend(i int64) error {
 	srv := func(n int64) string {
 		return fmt.Sprintf("_calc._tcp.calc.example. SRV 0 100 7000 n%d.calc.example.", n)
@@ -115,16 +115,16 @@
 	return z.update("-"+srv(i-1), "-"+address(i-1), srv(i), address(i))
 }
 
-// A gateway killed outright while updates come, many times: each start finds every update that was answered
-// as done, no half of one, and no other state.
-func TestZone_KilledWhileUpdatesAreWritten(t *testing.T) {
+// TestZone_JournaledUpdatesSurviveKills kills a gateway many times while it receives updates. The journal must contain
+// every update that was acknowledged, and no update in part.
+func TestZone_JournaledUpdatesSurviveKills(t *testing.T) {
 	z := newZoneFiles(t, true)
 	process := z.startServe(t)
 	t.Cleanup(func() {
 		kill(process)
-		_ = process.Wait() // it was killed
+		_ = process.Wait() // reports the kill
 	})
-	var done atomic.Int64
+	var lastAnswered atomic.Int64
 	stop, ended := make(chan struct{}), make(chan struct{})
 	go func() {
 		defer close(ended)
@@ -135,59 +135,59 @@
 			default:
 			}
 			if z.replaceBackend(i) == nil {
-				done.Store(i)
+				lastAnswered.Store(i)
 			} else {
 				time.Sleep(20 * time.Millisecond)
-				i-- // it may have been done: then it changes nothing
+				i-- // sent again; if the first one was applied, it changes nothing
 			}
 		}
 	}()
-	chance := rand.New(rand.NewPCG(3, 3))
+	random := rand.New(rand.NewPCG(3, 3))
 	kills := 0
 	for ; kills < 12; kills++ {
-		before := done.Load()
-		testutil.Eventually(t, "an update", func() bool { return done.Load() > before })
-		time.Sleep(time.Duration(chance.IntN(60)) * time.Millisecond)
-		answered := done.Load()
+		before := lastAnswered.Load()
+		testutil.Eventually(t, "an update", func() bool { return lastAnswered.Load() > before })
+		time.Sleep(time.Duration(random.IntN(60)) * time.Millisecond)
+		answered := lastAnswered.Load()
 		kill(process)
-		_ = process.Wait() // it was killed
-		zone, err := z.inForce("")
+		_ = process.Wait() // reports the kill
+		zone, err := z.currentZone("")
 		if err != nil {
 			t.Fatal(err)
 		}
 		list := zone.Backends()
-		last := int64(zone.Serial()) - 1 // each update is one serial
-		if len(list) != 1 || last < answered || last > done.Load()+1 ||
+		last := int64(zone.Serial()) - 1 // each update increments the serial by one
+		if len(list) != 1 || last < answered || last > lastAnswered.Load()+1 ||
 			list[0].Name != fmt.Sprintf("n%d.calc.example:7000", last) || len(zone.Records()) != 5 {
-			t.Fatalf("kill %d: %d answered; serial %d with %+v", kills, answered, zone.Serial(), list)
+			t.Fatalf("kill %d: %d updates acknowledged; serial %d, backends %+v", kills, answered, zone.Serial(), list)
 		}
 		process = z.startServe(t)
 	}
 	close(stop)
 	<-ended
-	t.Logf("%d kills among %d updates", kills, done.Load())
-	if done.Load() < 20 {
+	t.Logf("%d kills, %d updates", kills, lastAnswered.Load())
+	if lastAnswered.Load() < 20 {
 		t.Error("too few updates to show anything")
 	}
 }
 
-// backendName is the name of a backend that is added by way of a gateway.
+// backendName returns the name of the i-th backend that is added through a gateway.
 func backendName(gateway, i int) string { return fmt.Sprintf("d%d-%d.calc.example", gateway, i) }
 
-// addBackend adds a backend by way of a gateway.
+// addBackend adds a backend through a gateway.
 func (z zoneFiles) addBackend(gateway, i int) error {
 	name := backendName(gateway, i) + "."
 	return z.update("_calc._tcp.calc.example. SRV 0 100 7000 "+name,
 		fmt.Sprintf("%s A 127.%d.%d.%d", name, 1+gateway, 1+i/200, 1+i%200))
 }
 
-// committedNames are the backends whose updates were answered as done.
+// committedNames are the backends whose updates were acknowledged.
 type committedNames struct {
 	mu    sync.Mutex
 	names map[string]bool
 }
 
-// addBackends adds backends by way of a gateway until stop.
+// addBackends adds backends through a gateway until stop is closed.
 func (l *committedNames) addBackends(z zoneFiles, gateway int, stop <-chan struct{}) {
 	for i := 1; ; i++ {
 		select {
@@ -205,16 +205,16 @@
 	}
 }
 
-// answersSerial reports whether the name server answers with a zone's serial.
+// answersSerial reports whether the name server answers an SOA query with the zone's serial.
 func (z zoneFiles) answersSerial(zone *dnszone.Zone) bool {
 	question := new(dns.Msg).SetQuestion("calc.example.", dns.TypeSOA)
 	answer, _, err := new(dns.Client).Exchange(question, z.address)
 	return err == nil && len(answer.Answer) == 1 && answer.Answer[0].(*dns.SOA).Serial == zone.Serial()
 }
 
-// With the store: updates at two gateways at once while replicas are killed. Each lands at both or at
-// neither, those answered as done are in both, and both lists are the same in the end.
-func TestZone_SharedUpdatesThroughKills(t *testing.T) {
+// TestZone_ReplicatedUpdatesSurviveKills sends updates to two gateways with a replicated zone while replicas are
+// killed. In the end both gateways must have the same zone, which contains every acknowledged update.
+func TestZone_ReplicatedUpdatesSurviveKills(t *testing.T) {
 	replicas := newReplicas(t, "a", "b", "c")
 	var files []zoneFiles
 	for _, r := range replicas[:2] {
@@ -232,12 +232,12 @@
 	for n, z := range files {
 		updaters.Go(func() { committed.addBackends(z, n, stop) })
 	}
-	chance := rand.New(rand.NewPCG(4, 4))
+	random := rand.New(rand.NewPCG(4, 4))
 	for range 5 {
-		time.Sleep(time.Duration(500+chance.IntN(500)) * time.Millisecond)
-		r := replicas[chance.IntN(3)]
+		time.Sleep(time.Duration(500+random.IntN(500)) * time.Millisecond)
+		r := replicas[random.IntN(3)]
 		r.kill()
-		time.Sleep(time.Duration(chance.IntN(500)) * time.Millisecond)
+		time.Sleep(time.Duration(random.IntN(500)) * time.Millisecond)
 		r.start(t, replicas)
 	}
 	close(stop)
@@ -245,7 +245,7 @@
 	var zones [2]*dnszone.Zone
 	testutil.Eventually(t, "the same list at both gateways", func() bool {
 		for n, z := range files {
-			zone, err := z.inForce(replicas[n].api)
+			zone, err := z.currentZone(replicas[n].apiAddress)
 			if err != nil || zone == nil || !z.answersSerial(zone) {
 				return false
 			}
@@ -255,7 +255,7 @@
 	})
 	checkCommitted(t, zones[0], committed.names)
 	checkZoneList(t, "--operator", files[0].operator)
-	checkZoneList(t, "--store", replicas[0].api, "--operator", files[0].operator)
+	checkZoneList(t, "--store", replicas[0].apiAddress, "--operator", files[0].operator)
 	t.Logf("%d updates committed, serial %d", len(committed.names), zones[0].Serial())
 	if len(committed.names) < 20 {
 		t.Error("too few updates to show anything")
@@ -270,12 +270,12 @@
 	}
 	for name := range committed {
 		if !held[name] {
-			t.Errorf("%s was answered as done, and is not there", name)
+			t.Errorf("the update with %s was acknowledged, but the zone lacks it", name)
 		}
 	}
 }
 
-// checkZoneList checks that the list on the command line holds the zone file's backend.
+// checkZoneList checks that the output of dns list contains the zone file's backend.
 func checkZoneList(t *testing.T, flags ...string) {
 	t.Helper()
 	out, err := runProgram(t, append([]string{"dns", "list"}, flags...)...)
@@ -284,12 +284,13 @@
 	}
 }
 
-// The command line: faults of the operator file's zone by file, line and key.
-func TestZone_FaultsOnTheCommandLine(t *testing.T) {
+// TestZone_CommandLineReportsInvalidFiles checks that the commands report errors in the operator file, the key file and
+// the zone file, with file, line and key.
+func TestZone_CommandLineReportsInvalidFiles(t *testing.T) {
 	z := newZoneFiles(t, true)
 	text := readFile(t, z.operator)
-	broken := filepath.Join(t.TempDir(), "op.toml")
-	for _, test := range []struct{ old, faulty, want string }{
+	invalidFile := filepath.Join(t.TempDir(), "op.toml")
+	for _, test := range []struct{ old, invalid, want string }{
 		{"origin = \"calc.example\"", "origin = \"\"", "op.toml:3: dns.origin"},
 		{"_calc._tcp.calc.example", "_calc._tcp.other", "op.toml:4: dns.service"},
 		{z.address, "nowhere", "op.toml:5: dns.listen"},
@@ -299,9 +300,9 @@
 		{z.path("key"), "/nowhere", "op.toml:7: dns.key[0]"},
 		{"zone_file", "# zone_file", "dns.zone_file is missing"},
 	} {
-		writeFile(t, broken, strings.Replace(text, test.old, test.faulty, 1))
-		if out, err := runProgram(t, "check", broken); err == nil || !strings.Contains(out, test.want) {
-			t.Errorf("%s: %v, %s", test.faulty, err, out)
+		writeFile(t, invalidFile, strings.Replace(text, test.old, test.invalid, 1))
+		if out, err := runProgram(t, "check", invalidFile); err == nil || !strings.Contains(out, test.want) {
+			t.Errorf("%s: %v, %s", test.invalid, err, out)
 		}
 	}
 	if err := os.Chmod(z.path("key"), 0o644); err != nil {
@@ -321,7 +322,7 @@
 	}
 }
 
-// updateOnCommandLine sends an update by the command line.
+// updateOnCommandLine sends an update with the command dns update.
 func (z zoneFiles) updateOnCommandLine(t *testing.T, args ...string) (string, error) {
 	t.Helper()
 	update := []string{"dns", "update", "--at", z.address, "--zone", "calc.example", "--key", "deploy",
@@ -329,14 +330,14 @@
 	return runProgram(t, append(update, args...)...)
 }
 
-// The command line: an update; the list and where its entries come from.
-func TestZone_UpdatesOnTheCommandLine(t *testing.T) {
+// TestZone_CommandLineUpdates checks the command dns update, and that dns list prints the entries with their origins.
+func TestZone_CommandLineUpdates(t *testing.T) {
 	z := newZoneFiles(t, true)
 	process := z.startServe(t)
 	ended := make(chan error, 1)
 	go func() { ended <- process.Wait() }()
 	t.Cleanup(func() { kill(process) })
-	testutil.Eventually(t, "the update", func() bool {
+	testutil.Eventually(t, "a successful update", func() bool {
 		_, err := z.updateOnCommandLine(t, "--add", "_calc._tcp.calc.example. SRV 0 200 7000 n1.calc.example.",
 			"--add", "n1.calc.example. A 127.0.0.11")
 		return err == nil
@@ -356,7 +357,7 @@
 		"serial 2", "2 backends", "zone:6, serial 1", "update by deploy., serial 2", "127.0.0.11:7000",
 	} {
 		if err != nil || !strings.Contains(out, want) {
-			t.Errorf("%v: no %q in %s", err, want, out)
+			t.Errorf("%v: the output lacks %q: %s", err, want, out)
 		}
 	}
 	if out, err := runProgram(t, "dns", "list"); err == nil || !strings.Contains(out, "names no zone") {
@@ -370,6 +371,6 @@
 			t.Error(err)
 		}
 	case <-time.After(10 * time.Second):
-		t.Error("does not end")
+		t.Error("the gateway did not exit after SIGTERM")
 	}
 }
