--- a/cmd/fawnplank/endpoint_grace_test.go
+++ b/cmd/fawnplank/endpoint_grace_test.go
@@ -22,7 +22,7 @@
 	*httptest.Server
 	mu           sync.Mutex
 	index        int
-	entries      string // of the list, as JSON
+	entries      string // JSON entries of the list
 	unresponsive bool
 	queries      []string      // the queries of the calls
 	changed      chan struct{} // closed at each change
--- a/cmd/fawnplank/wire_services_test.go
+++ b/cmd/fawnplank/wire_services_test.go
@@ -60,9 +60,9 @@
 // wireCounterFormat describes one of the protocols in which the gateway calls the counter.
 type wireCounterFormat struct {
 	name, operator                      string
-	total, refusedAnswer, invalidAnswer string // answers
+	total, refusedAnswer, invalidAnswer string // answers of the counter
 	lines                               int    // per call
-	keyWordIndex                        int    // the index of the word that is the key of a window
+	keyWordIndex                        int    // index of the word with the key of a window
 	units                               *regexp.Regexp
 	unitsPlaceholder                    string
 	normalize                           func(text string) string
