--- a/cmd/fawnplank/command_store.go
+++ b/cmd/fawnplank/command_store.go
@@ -119,7 +119,7 @@
 }
 
 func (v storeSubcommands) keys(ctx context.Context, out io.Writer, args []string) error {
-	return v.print(ctx, out, storeCall{method: http.MethodGet, path: store.KeysPath(args[0])})
+	return v.print(ctx, out, storeCall{method: http.MethodGet, path: store.KeyListPath(args[0])})
 }
 
 func (v storeSubcommands) get(ctx context.Context, out io.Writer, args []string) error {
--- a/cmd/fawnplank/resources.go
+++ b/cmd/fawnplank/resources.go
@@ -43,7 +43,7 @@
 
 func newResourceLimits(configuration *config.Config) resourceLimits {
 	return resourceLimits{
-		memoryBytes: configuration.MemoryBytes,
+		memoryBytes: configuration.MemoryLimitBytes,
 		maxSockets:  configuration.MaxSockets,
 		management:  configuration.ManagementAddress != "",
 	}
--- a/cmd/fawnplank/tls_test.go
+++ b/cmd/fawnplank/tls_test.go
@@ -26,7 +26,7 @@
 func writeCertificate(t *testing.T, authority *testca.Authority, folder, name string,
 	validity time.Duration) tlsconfig.Files {
 	t.Helper()
-	files, err := authority.Write(folder, name, validity)
+	files, err := authority.IssueCertificate(folder, name, validity)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/fawnplank/zone_test.go
+++ b/cmd/fawnplank/zone_test.go
@@ -84,7 +84,7 @@
 
 // currentZone reads the current zone from the journal, or from a replica if an API address is given.
 func (z zoneFiles) currentZone(api string) (*dnszone.Zone, error) {
-	operator, err := config.ReadOperator(z.operator)
+	operator, err := config.ReadOperatorSettings(z.operator)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/billingservice/export_test.go
+++ b/internal/billingservice/export_test.go
@@ -28,7 +28,7 @@
 // restoreSnapshot replaces a replica's state with a snapshot. Later writes get higher indices than all earlier ones.
 func restoreSnapshot(t *testing.T, replica *memoryReplica, content []byte) {
 	t.Helper()
-	state, err := kv.Load(content)
+	state, err := kv.DecodeSnapshot(content)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -51,7 +51,7 @@
 	recordUsage(service, 6)
 	time.Sleep(100 * time.Millisecond) // longer than ReportInterval and shorter than a window
 	testutil.Eventually(t, "the report to be committed", func() bool {
-		return len(replica.ReadPrefix(reportPrefix)) == 0 && len(replica.ReadPrefix(accountPrefix)) == 1
+		return len(replica.ReadLocalPrefix(reportPrefix)) == 0 && len(replica.ReadLocalPrefix(accountPrefix)) == 1
 	})
 	oldBackup := takeSnapshot(t, replica)
 	recordUsage(service, 2)
--- a/internal/billingservice/last_report.go
+++ b/internal/billingservice/last_report.go
@@ -19,7 +19,7 @@
 // deleteOldLastReportKeys deletes the last-report keys of old incarnations of this instance.
 func (s *Service) deleteOldLastReportKeys() error {
 	var edits []kv.Edit
-	for name := range s.options.Replica.ReadPrefix(lastReportPrefix) {
+	for name := range s.options.Replica.ReadLocalPrefix(lastReportPrefix) {
 		if s.isOldIncarnation(name) && len(edits) < maxLastReportDeletions {
 			edits = append(edits, kv.Edit{Key: lastReportPrefix + name})
 		}
--- a/internal/billingservice/totals_test.go
+++ b/internal/billingservice/totals_test.go
@@ -130,8 +130,8 @@
 // countOpenItems returns the number of reports, sums of unexported usage, and reservations in the store.
 func countOpenItems(t *testing.T, replica *memoryReplica) int {
 	t.Helper()
-	count := len(replica.ReadPrefix(reportPrefix))
-	for _, value := range replica.ReadPrefix(accountPrefix) {
+	count := len(replica.ReadLocalPrefix(reportPrefix))
+	for _, value := range replica.ReadLocalPrefix(accountPrefix) {
 		var account billing.Account
 		if err := json.Unmarshal(value, &account); err != nil {
 			t.Fatal(err)
--- a/internal/simadapter/messages.go
+++ b/internal/simadapter/messages.go
@@ -54,7 +54,7 @@
 // instantFromMillis converts a time on the wire, in milliseconds, to the engine's form. instantMillis and
 // durationMillis convert times and durations of the engine to milliseconds.
 func instantFromMillis(ms float64) policy.Instant {
-	return monotime.FromNanos(int64(config.Milliseconds(ms)))
+	return monotime.FromNanos(int64(config.DurationFromMilliseconds(ms)))
 }
 func instantMillis(at policy.Instant) float64 { return durationMillis(time.Duration(at.Nanos())) }
 func durationMillis(duration time.Duration) float64 {
@@ -177,7 +177,7 @@
 	m.spec.Class = policy.ClassID(f.Uint16())
 	m.spec.Plan = policy.PlanID(f.Uint32())
 	m.spec.Tenant = policy.TenantID(f.Uint64())
-	m.spec.Remaining = config.Milliseconds(f.Float64())
+	m.spec.Remaining = config.DurationFromMilliseconds(f.Float64())
 	m.spec.Units = f.Float32()
 	m.spec.EntryPoints = truncateCount(f.Float32())
 	m.spec.FirstInstance = truncateCount(f.Float32())
@@ -210,7 +210,7 @@
 	m.result.Attempt = policy.AttemptID(f.Uint8())
 	f.Uint32() // the backend, which the engine knows from the attempt
 	status := f.Uint16()
-	m.result.Elapsed = config.Milliseconds(f.Float64())
+	m.result.Elapsed = config.DurationFromMilliseconds(f.Float64())
 	m.result.RequestDone = f.Uint8() != 0
 	f.Uint16() // the meter; unused, because the engine uses the counter
 	m.result.ActualUnits = float64(f.Uint16())
