--- a/cmd/fawnplank-lab/command_check.go
+++ b/cmd/fawnplank-lab/command_check.go
@@ -27,7 +27,7 @@
 		warnOfDeprecations(command, s)
 		printf(command, "%s: in order; %s, %d instances, %d backends, "+
 			"%.0f requests a second for %v, %d faults\n",
-			s.Name, s.On, s.Instances.Count, s.Backends.Count,
+			s.Name, s.Environment, s.Instances.Count, s.Backends.Count,
 			s.Load.Rate, time.Duration(s.Duration), len(s.Faults))
 	}
 	return nil
--- a/cmd/fawnplank-lab/command_load.go
+++ b/cmd/fawnplank-lab/command_load.go
@@ -61,12 +61,12 @@
 	if err := writeResults(f.outputFile, run); err != nil {
 		return err
 	}
-	return plots.Table(command.OutOrStdout(), run)
+	return plots.WriteTable(command.OutOrStdout(), run)
 }
 
 // send sends the scenario's requests until they are answered or ctx ends, and returns what the clients saw.
 func (f *loadFlags) send(ctx context.Context, s *scenario.Scenario) (*results.Run, error) {
-	log, err := testbed.NewLog(s)
+	log, err := testbed.NewEventLog(s)
 	if err != nil {
 		return nil, err
 	}
@@ -74,7 +74,7 @@
 	tool := load.New(s, log, f.addresses)
 	tool.Run(ctx)
 	run := log.Finish()
-	run.On = results.OnClients
+	run.Environment = results.EnvironmentClients
 	run.LagP50, run.LagP99 = tool.Lag()
 	return run, nil
 }
--- a/cmd/fawnplank-lab/command_report.go
+++ b/cmd/fawnplank-lab/command_report.go
@@ -31,9 +31,9 @@
 		}
 		runs = append(runs, run)
 	}
-	err := drawPicture(pictureFile, func(file string) error { return plots.Draw(file, runs...) })
+	err := drawPicture(pictureFile, func(file string) error { return plots.DrawRuns(file, runs...) })
 	if err != nil {
 		return err
 	}
-	return plots.Table(command.OutOrStdout(), runs...)
+	return plots.WriteTable(command.OutOrStdout(), runs...)
 }
--- a/cmd/fawnplank-lab/command_run.go
+++ b/cmd/fawnplank-lab/command_run.go
@@ -76,7 +76,7 @@
 	}
 	run.Label = f.label
 	seconds := time.Since(start).Seconds()
-	_ = plots.Table(command.OutOrStdout(), run) // as in printf
+	_ = plots.WriteTable(command.OutOrStdout(), run) // as in printf
 	printf(command, "%d events in %.2f s, %.0f a second\n", run.Events, seconds, float64(run.Events)/seconds)
 	if err != nil {
 		return err
@@ -86,7 +86,7 @@
 
 // play plays a scenario on the model or on sockets, as the scenario says.
 func (f *runFlags) play(ctx context.Context, s *scenario.Scenario) (*results.Run, error) {
-	if s.On == scenario.OnModel {
+	if s.Environment == scenario.EnvironmentModel {
 		return model.Run(s)
 	}
 	return testbed.Run(ctx, s, testbed.Options{
@@ -100,7 +100,7 @@
 	if err := writeResults(f.outputFile, run); err != nil {
 		return err
 	}
-	err := drawPicture(f.pictureFile, func(file string) error { return plots.Draw(file, run) })
+	err := drawPicture(f.pictureFile, func(file string) error { return plots.DrawRuns(file, run) })
 	if err != nil {
 		return err
 	}
--- a/cmd/fawnplank-lab/command_standins.go
+++ b/cmd/fawnplank-lab/command_standins.go
@@ -58,7 +58,7 @@
 	if err := os.MkdirAll(f.folder, 0o755); err != nil {
 		return err
 	}
-	log, err := testbed.NewLog(s)
+	log, err := testbed.NewEventLog(s)
 	if err != nil {
 		return err
 	}
--- a/cmd/fawnplank-lab/command_sweep.go
+++ b/cmd/fawnplank-lab/command_sweep.go
@@ -51,11 +51,11 @@
 	if err != nil {
 		return err
 	}
-	err = drawPicture(f.pictureFile, func(file string) error { return plots.Sweep(file, key, values, runs) })
+	err = drawPicture(f.pictureFile, func(file string) error { return plots.DrawSweep(file, key, values, runs) })
 	if err != nil {
 		return err
 	}
-	if err := plots.Table(command.OutOrStdout(), runs...); err != nil {
+	if err := plots.WriteTable(command.OutOrStdout(), runs...); err != nil {
 		return err
 	}
 	for _, run := range runs {
--- a/cmd/fawnplank-lab/command_test.go
+++ b/cmd/fawnplank-lab/command_test.go
@@ -141,8 +141,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if s.On != scenario.OnModel || s.Seed != 9 || s.Instances.Count != 4 {
-		t.Errorf("%v, seed %d, %d instances", s.On, s.Seed, s.Instances.Count)
+	if s.Environment != scenario.EnvironmentModel || s.Seed != 9 || s.Instances.Count != 4 {
+		t.Errorf("%v, seed %d, %d instances", s.Environment, s.Seed, s.Instances.Count)
 	}
 }
 
--- a/cmd/fawnplank-lab/command_zone.go
+++ b/cmd/fawnplank-lab/command_zone.go
@@ -56,8 +56,8 @@
 	if err != nil {
 		return err
 	}
-	if err := plots.CostTable(command.OutOrStdout(), costs); err != nil {
+	if err := plots.WriteCostTable(command.OutOrStdout(), costs); err != nil {
 		return err
 	}
-	return drawPicture(f.pictureFile, func(file string) error { return plots.Costs(file, costs) })
+	return drawPicture(f.pictureFile, func(file string) error { return plots.DrawCosts(file, costs) })
 }
--- a/internal/lab/emulator/backend.go
+++ b/internal/lab/emulator/backend.go
@@ -126,7 +126,7 @@
 	switch {
 	case b.hangs():
 		return attemptSwallowed
-	case b.active[scenario.BackendDrain] > 0, !coreIsFree && len(b.queue) >= e.scenario.Backends.Queue:
+	case b.active[scenario.BackendDrain] > 0, !coreIsFree && len(b.queue) >= e.scenario.Backends.MaxQueued:
 		return attemptRefused
 	case coreIsFree:
 		b.busyCores++
--- a/internal/lab/emulator/counter.go
+++ b/internal/lab/emulator/counter.go
@@ -56,7 +56,7 @@
 		emulator:  e,
 		started:   time.Now(),
 		entries:   map[string]*counterEntry{},
-		queue:     counterqueue.New(settings.Rate, time.Duration(settings.Timeout)),
+		queue:     counterqueue.New(settings.MaxRate, time.Duration(settings.Timeout)),
 		cutOff:    map[int]int{},
 		calls:     make([]int, e.scenario.Instances.Count),
 		unblocked: make(chan struct{}),
--- a/internal/lab/emulator/emulator.go
+++ b/internal/lab/emulator/emulator.go
@@ -21,7 +21,7 @@
 // Emulator is everything around the gateway instances of one scenario.
 type Emulator struct {
 	scenario  *scenario.Scenario
-	log       *results.Log
+	log       *results.EventLog
 	workload  *workload.Generator
 	backends  []*backend
 	counter   *counter
@@ -34,7 +34,7 @@
 }
 
 // Start starts the emulated services of a scenario, which record into log. Faults begin only with PlayFaults.
-func Start(s *scenario.Scenario, log *results.Log) (*Emulator, error) {
+func Start(s *scenario.Scenario, log *results.EventLog) (*Emulator, error) {
 	e := &Emulator{
 		scenario: s,
 		log:      log,
@@ -114,7 +114,7 @@
 		"seed":      fmt.Sprintf("%016x", e.scenario.Seed<<8+uint64(instance)),
 		"limits": map[string]any{
 			"memory_mb": e.scenario.Instances.MemoryMB,
-			"sockets":   e.scenario.Instances.Sockets,
+			"sockets":   e.scenario.Instances.MaxSockets,
 		},
 		"known":    e.discovery.snapshot(),
 		"settings": e.scenario.GatewaySettings(instance),
--- a/internal/lab/emulator/emulator_test.go
+++ b/internal/lab/emulator/emulator_test.go
@@ -40,7 +40,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	log := results.NewLog(results.New(s, settings, 0))
+	log := results.NewEventLog(results.New(s, settings, 0))
 	e, err := Start(s, log)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/lab/invariants/attempts.go
+++ b/internal/lab/invariants/attempts.go
@@ -10,7 +10,7 @@
 
 // checkArrival checks an attempt that arrived whole at a backend against every rule.
 func (c *Checker) checkArrival(s *submission, event Event) {
-	if !s.answeredAt.IsZero() && event.At.After(s.answeredAt.Add(c.settings.Slack)) {
+	if !s.answeredAt.IsZero() && event.At.After(s.answeredAt.Add(c.settings.TransitSlack)) {
 		c.report(RuleOneAnswer, event.At, "submission %d: came to backend %d %s after its final answer",
 			event.Submission, event.Backend, formatMillis(event.At.Sub(s.answeredAt)))
 	}
@@ -36,17 +36,17 @@
 	class := c.settings.Classes[s.Class]
 	switch {
 	case class.Idempotency == policy.NonIdempotent:
-		c.report(RuleNoRerun, event.At,
+		c.report(RuleNoDuplicateExecution, event.At,
 			"submission %d: came to backend %d though its attempt at %d may have run",
 			event.Submission, event.Backend, earlier.backend)
 	case class.Idempotency != policy.IdempotentWithKey:
 		return
 	case !c.isInDedupScope(class.DedupScope, earlier.backend, event.Backend):
-		c.report(RuleNoRerun, event.At,
+		c.report(RuleNoDuplicateExecution, event.At,
 			"submission %d: came to backend %d, outside the dedup scope of %d where it may have run",
 			event.Submission, event.Backend, earlier.backend)
-	case event.At.Sub(earlier.at) > class.DedupWindow+c.settings.Slack:
-		c.report(RuleNoRerun, event.At,
+	case event.At.Sub(earlier.at) > class.DedupWindow+c.settings.TransitSlack:
+		c.report(RuleNoDuplicateExecution, event.At,
 			"submission %d: came to backend %d %s after one that may have run, beyond the dedup window",
 			event.Submission, event.Backend, formatMillis(event.At.Sub(earlier.at)))
 	}
@@ -65,7 +65,7 @@
 
 // checkDrain checks an attempt at a backend that was delivered as draining or gone.
 func (c *Checker) checkDrain(s *submission, delivered, event Event) {
-	late := event.At.Sub(delivered.At) - c.settings.DrainGrace - c.settings.Slack
+	late := event.At.Sub(delivered.At) - c.settings.DrainGrace - c.settings.TransitSlack
 	if late > 0 {
 		c.report(RuleDrain, event.At,
 			"submission %d: instance %d sent to backend %d %s after the grace of its draining or being gone",
--- a/internal/lab/invariants/checker.go
+++ b/internal/lab/invariants/checker.go
@@ -19,11 +19,11 @@
 
 // The rules.
 const (
-	RuleOneAnswer Rule = iota + 1 // one final answer in time, and no attempt sent after it
-	RuleNoRerun                   // nothing runs twice that must not, nor is rejected after it may have run
-	RuleDrain                     // no attempt to a leaving backend after its grace
-	RuleSlowStart                 // no overload of a backend that warms up
-	RuleHardQuota                 // no admission beyond a hard quota
+	RuleOneAnswer            Rule = iota + 1 // one final answer in time, and no attempt sent after it
+	RuleNoDuplicateExecution                 // nothing runs twice that must not, nor is rejected after it may have run
+	RuleDrain                                // no attempt to a leaving backend after its grace
+	RuleSlowStart                            // no overload of a backend that warms up
+	RuleHardQuota                            // no admission beyond a hard quota
 	ruleEnd
 )
 
@@ -34,7 +34,7 @@
 	HardQuotaSlack    []float64     // by plan, in units
 	AnswerGrace       time.Duration // of an answer after the client's deadline
 	DrainGrace        time.Duration // of an attempt after the instance had the backend's new state
-	Slack             time.Duration // for unobserved transit from an instance to a backend or client
+	TransitSlack      time.Duration // for unobserved transit from an instance to a backend or client
 	Cores             float64       // of a backend that has warmed up
 	SlowStartShare    float64       // of a backend that starts, as a share
 	SlowStartDuration time.Duration
@@ -46,9 +46,9 @@
 
 // Finding is one violation of a rule; What says in words how it was broken.
 type Finding struct {
-	Rule Rule             `json:"rule"`
-	At   monotime.Instant `json:"at_ns"` // since the run's start
-	What string           `json:"what"`
+	Rule        Rule             `json:"rule"`
+	At          monotime.Instant `json:"at_ns"` // since the run's start
+	Description string           `json:"what"`
 }
 
 const (
@@ -109,7 +109,7 @@
 	c.counts[rule]++
 	if c.counts[rule] <= maxFindings {
 		what := fmt.Sprintf(format, args...)
-		c.findings = append(c.findings, Finding{Rule: rule, At: at, What: what})
+		c.findings = append(c.findings, Finding{Rule: rule, At: at, Description: what})
 	}
 }
 
@@ -229,7 +229,7 @@
 func (c *Checker) checkRejection(s *submission, event Event) {
 	for _, attempt := range s.attempts {
 		if !attempt.refused {
-			c.report(RuleNoRerun, event.At,
+			c.report(RuleNoDuplicateExecution, event.At,
 				"submission %d: rejected though its attempt at backend %d may have run",
 				event.Submission, attempt.backend)
 		}
--- a/internal/lab/load/connection.go
+++ b/internal/lab/load/connection.go
@@ -30,7 +30,7 @@
 		g.mu.Unlock()
 		return conn, nil
 	}
-	if g.connections >= g.scenario.Load.Connections {
+	if g.connections >= g.scenario.Load.MaxConnections {
 		g.mu.Unlock()
 		return nil, errTooManyConnections
 	}
--- a/internal/lab/load/load.go
+++ b/internal/lab/load/load.go
@@ -31,7 +31,7 @@
 // Generator plays the clients of a scenario.
 type Generator struct {
 	scenario  *scenario.Scenario
-	log       *results.Log
+	log       *results.EventLog
 	addresses []string // of the instances
 	requests  sync.WaitGroup
 
@@ -44,7 +44,7 @@
 }
 
 // New makes the clients of a scenario, which record into log. addresses are those of the gateway instances.
-func New(s *scenario.Scenario, log *results.Log, addresses []string) *Generator {
+func New(s *scenario.Scenario, log *results.EventLog, addresses []string) *Generator {
 	return &Generator{
 		scenario:  s,
 		log:       log,
--- a/internal/lab/load/load_test.go
+++ b/internal/lab/load/load_test.go
@@ -29,7 +29,7 @@
 
 // newGenerator returns the clients of the small scenario for one instance, and the log of their run, which
 // has begun.
-func newGenerator(t *testing.T, address string, overrides ...string) (*Generator, *results.Log) {
+func newGenerator(t *testing.T, address string, overrides ...string) (*Generator, *results.EventLog) {
 	t.Helper()
 	small := []string{"gateways.count=1", "load.entry_points=1", "load.rate=200", "duration=300ms"}
 	s, err := scenario.Parse("small", []byte(smallScenario), append(small, overrides...)...)
@@ -40,7 +40,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	log := results.NewLog(results.New(s, settings, 0))
+	log := results.NewEventLog(results.New(s, settings, 0))
 	log.Begin()
 	return New(s, log, []string{address}), log
 }
@@ -118,11 +118,11 @@
 }
 
 func TestGenerator_DistinguishesDeathFromBrokenConnection(t *testing.T) {
-	kill := func(log *results.Log) { log.Observe(invariants.Event{Kind: invariants.InstanceDied}) }
-	exit := func(log *results.Log) { log.InstanceExited(0) }
-	nothing := func(*results.Log) {}
+	kill := func(log *results.EventLog) { log.Observe(invariants.Event{Kind: invariants.InstanceDied}) }
+	exit := func(log *results.EventLog) { log.ObserveInstanceExit(0) }
+	nothing := func(*results.EventLog) {}
 	for name, test := range map[string]struct {
-		before, meanwhile func(log *results.Log) // before the request is written, and while it is open
+		before, meanwhile func(log *results.EventLog) // before the request is written, and while it is open
 		want              invariants.Kind
 	}{
 		"instance dies":                    {before: nothing, meanwhile: kill, want: invariants.Abandoned},
@@ -130,13 +130,13 @@
 		"instance was killed and now ends": {before: kill, meanwhile: exit, want: invariants.Abandoned},
 		"connection breaks":                {before: nothing, meanwhile: nothing, want: invariants.Aborted},
 		"connection of the next process breaks": {
-			before:    func(log *results.Log) { kill(log); exit(log) },
+			before:    func(log *results.EventLog) { kill(log); exit(log) },
 			meanwhile: nothing,
 			want:      invariants.Aborted,
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			var log *results.Log
+			var log *results.EventLog
 			address := testutil.ServeCommands(t, func(conn net.Conn) {
 				test.meanwhile(log)
 				_ = conn.Close() // without an answer
--- a/internal/lab/load/request.go
+++ b/internal/lab/load/request.go
@@ -56,7 +56,7 @@
 		s.isRetry = retries > 0
 		result := g.submit(s)
 		if !result.sent {
-			isLast := retries >= g.scenario.Load.Retries+workload.ExtraConnectRetries
+			isLast := retries >= g.scenario.Load.MaxRetries+workload.ExtraConnectRetries
 			if isLast || time.Until(deadline) <= minRemainingToConnect {
 				g.log.CountNotSent()
 				return
@@ -65,7 +65,7 @@
 			continue
 		}
 		wantsRetry := result.kind == invariants.Rejected || result.kind == invariants.Abandoned
-		if !wantsRetry || retries >= g.scenario.Load.Retries {
+		if !wantsRetry || retries >= g.scenario.Load.MaxRetries {
 			return
 		}
 		// The wait is drawn even if no retry follows, so that a run's random numbers do not depend on the class.
--- a/internal/lab/model/backend.go
+++ b/internal/lab/model/backend.go
@@ -100,7 +100,7 @@
 	hasFreeCore := len(b.running) < w.scenario.Backends.Cores
 	switch {
 	case b.hanging > 0: // no answer ever
-	case b.draining > 0, !hasFreeCore && len(b.queue) >= w.scenario.Backends.Queue:
+	case b.draining > 0, !hasFreeCore && len(b.queue) >= w.scenario.Backends.MaxQueued:
 		b.refuse(a)
 	case hasFreeCore:
 		b.begin(a)
--- a/internal/lab/model/client.go
+++ b/internal/lab/model/client.go
@@ -57,7 +57,7 @@
 // left.
 func (w *world) handleConnectionRefused(request workload.Request, due monotime.Instant, retries int) {
 	w.after(w.roundTrip(), func() {
-		if retries < w.scenario.Load.Retries+workload.ExtraConnectRetries && w.now.Before(request.Deadline) {
+		if retries < w.scenario.Load.MaxRetries+workload.ExtraConnectRetries && w.now.Before(request.Deadline) {
 			w.submit(request, due, retries+1)
 		} else {
 			w.recorder.CountNotSent(w.now)
@@ -87,7 +87,7 @@
 		Submission: s.Submission,
 		Instance:   s.instance.index,
 	})
-	if kind != invariants.Rejected || s.retries >= w.scenario.Load.Retries {
+	if kind != invariants.Rejected || s.retries >= w.scenario.Load.MaxRetries {
 		return
 	}
 	delay := w.workload.RetryDelay(s.retries, retryAfter)
@@ -109,7 +109,7 @@
 		Submission: s.Submission,
 	})
 	mayRunTwice := w.scenario.Classes[s.Class].IsIdempotent()
-	if s.retries < w.scenario.Load.Retries && mayRunTwice && w.now.Before(s.Deadline) {
+	if s.retries < w.scenario.Load.MaxRetries && mayRunTwice && w.now.Before(s.Deadline) {
 		w.after(w.roundTrip(), func() { w.submit(s.request, w.now, s.retries+1) })
 	}
 }
--- a/internal/lab/model/counter.go
+++ b/internal/lab/model/counter.go
@@ -35,7 +35,7 @@
 	return counter{
 		world:   w,
 		entries: map[policy.CounterKey]*counterEntry{},
-		queue:   counterqueue.New(settings.Rate, time.Duration(settings.Timeout)),
+		queue:   counterqueue.New(settings.MaxRate, time.Duration(settings.Timeout)),
 		cutOff:  map[int]int{},
 	}
 }
--- a/internal/lab/model/golden_test.go
+++ b/internal/lab/model/golden_test.go
@@ -39,7 +39,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			result.Scenario, result.About = "", "" // words for people
+			result.Scenario, result.Description = "", "" // words for people
 			text, err := result.Bytes()
 			if err != nil {
 				t.Fatal(err)
--- a/internal/lab/model/model_test.go
+++ b/internal/lab/model/model_test.go
@@ -147,7 +147,7 @@
 			t.Errorf("%s: does not show: %+v", test.kind, run.Total)
 		}
 		for _, finding := range run.Findings {
-			t.Errorf("%s: rule %d: %s", test.kind, finding.Rule, finding.What)
+			t.Errorf("%s: rule %d: %s", test.kind, finding.Rule, finding.Description)
 		}
 	}
 }
@@ -158,9 +158,9 @@
 	const empty = "[[fault]]\nkind = \"counter-empty\"\nat = \"6s\"\n"
 	with := runSmall(t, empty, "load.rate=2000")
 	without := runSmall(t, "", "load.rate=2000")
-	if with.Total.UnitsOver <= without.Total.UnitsOver {
+	if with.Total.UnitsOverQuota <= without.Total.UnitsOverQuota {
 		t.Errorf("an emptied counter does not show: %.0f units beyond, %.0f without",
-			with.Total.UnitsOver, without.Total.UnitsOver)
+			with.Total.UnitsOverQuota, without.Total.UnitsOverQuota)
 	}
 }
 
--- a/internal/lab/model/world.go
+++ b/internal/lab/model/world.go
@@ -75,7 +75,7 @@
 	}
 	w := &world{
 		scenario:      s,
-		recorder:      results.New(s, settings, 2*time.Duration(s.Net.Delay)),
+		recorder:      results.New(s, settings, 2*time.Duration(s.Network.Delay)),
 		workload:      workload.New(s),
 		networkRandom: rand.New(rand.NewPCG(s.Seed, networkStream)),
 		workRandom:    rand.New(rand.NewPCG(s.Seed, workStream)),
@@ -141,7 +141,7 @@
 // oneWayDelay draws the delay of a message in one direction: half of Net.Delay, plus an exponential part
 // with the same mean.
 func (w *world) oneWayDelay() time.Duration {
-	delay := float64(w.scenario.Net.Delay)
+	delay := float64(w.scenario.Network.Delay)
 	return time.Duration(delay/2 + delay/2*w.networkRandom.ExpFloat64())
 }
 
--- a/internal/lab/plots/costs.go
+++ b/internal/lab/plots/costs.go
@@ -41,8 +41,8 @@
 	}},
 }
 
-// Costs draws what zones of several sizes cost into a PNG or SVG file.
-func Costs(path string, costs []dnsbench.Cost) error {
+// DrawCosts draws what zones of several sizes cost into a PNG or SVG file.
+func DrawCosts(path string, costs []dnsbench.Cost) error {
 	var grid [][]*plot.Plot
 	for _, panel := range costPanels {
 		plt, err := panel.plot(costs)
@@ -90,8 +90,8 @@
 	return plt, nil
 }
 
-// CostTable writes the costs as a table.
-func CostTable(w io.Writer, costs []dnsbench.Cost) error {
+// WriteCostTable writes the costs as a table.
+func WriteCostTable(w io.Writer, costs []dnsbench.Cost) error {
 	table := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	_, err := fmt.Fprintln(table, "backends\tfile, ms\tjournal, ms\tpublished p50, ms\tpublished p99, ms\t"+
 		"answered p50, ms\tanswered p99, ms\tupdates a second")
--- a/internal/lab/plots/draw.go
+++ b/internal/lab/plots/draw.go
@@ -60,8 +60,8 @@
 	return nil, fmt.Errorf("%s: a picture's name ends in .png or .svg", path)
 }
 
-// Draw draws one run, or up to MaxRuns side by side, into a PNG or SVG file.
-func Draw(path string, runs ...*results.Run) error {
+// DrawRuns draws one run, or up to MaxRuns side by side, into a PNG or SVG file.
+func DrawRuns(path string, runs ...*results.Run) error {
 	if len(runs) == 0 || len(runs) > MaxRuns {
 		return fmt.Errorf("%d runs: one to four stand side by side", len(runs))
 	}
--- a/internal/lab/plots/panels.go
+++ b/internal/lab/plots/panels.go
@@ -196,8 +196,8 @@
 	plt.Y.Label.Text = "ms"
 	var points plotter.XYs
 	for _, p := range run.Latency {
-		if slower := (100 - p.Percent) * 10; slower >= 0.05 && p.Ms > 0 {
-			points = append(points, plotter.XY{X: slower, Y: p.Ms})
+		if slower := (100 - p.Percent) * 10; slower >= 0.05 && p.Millis > 0 {
+			points = append(points, plotter.XY{X: slower, Y: p.Millis})
 		}
 	}
 	if len(points) < 2 { // nothing was answered, and an empty log axis cannot be drawn
--- a/internal/lab/plots/plots_test.go
+++ b/internal/lab/plots/plots_test.go
@@ -49,14 +49,14 @@
 	return config.Width, config.Height
 }
 
-// TestDraw draws runs alone and side by side.
-func TestDraw(t *testing.T) {
+// TestDrawRuns draws runs alone and side by side.
+func TestDrawRuns(t *testing.T) {
 	runs, folder := twoRuns(t), t.TempDir()
 	one := filepath.Join(folder, "one.png")
 	two := filepath.Join(folder, "two.png")
 	svg := filepath.Join(folder, "two.svg")
 	for path, drawn := range map[string][]*results.Run{one: runs[:1], two: runs, svg: runs} {
-		if err := Draw(path, drawn...); err != nil {
+		if err := DrawRuns(path, drawn...); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -68,38 +68,38 @@
 	if !bytes.Contains(text, []byte("<svg")) || !bytes.Contains(text, []byte("latency")) {
 		t.Errorf("%s is no picture of the run", svg)
 	}
-	if err := Draw(filepath.Join(folder, "x.jpg"), runs...); err == nil {
+	if err := DrawRuns(filepath.Join(folder, "x.jpg"), runs...); err == nil {
 		t.Error("a name of no known form was accepted")
 	}
-	if err := Draw(one); err == nil {
+	if err := DrawRuns(one); err == nil {
 		t.Error("no run was drawn")
 	}
 }
 
-// TestDraw_RunWithoutAnswers draws a run in which nothing was answered.
-func TestDraw_RunWithoutAnswers(t *testing.T) {
+// TestDrawRuns_WithoutAnswers draws a run in which nothing was answered.
+func TestDrawRuns_WithoutAnswers(t *testing.T) {
 	empty := *twoRuns(t)[0]
 	empty.Latency = nil
 	empty.Rows = []results.Row{{}, {Second: 1}}
-	if err := Draw(filepath.Join(t.TempDir(), "empty.png"), &empty); err != nil {
+	if err := DrawRuns(filepath.Join(t.TempDir(), "empty.png"), &empty); err != nil {
 		t.Error(err)
 	}
 }
 
-func TestSweep(t *testing.T) {
+func TestDrawSweep(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "sweep.png")
-	if err := Sweep(path, "load.rate", []string{"50", "100"}, twoRuns(t)); err != nil {
+	if err := DrawSweep(path, "load.rate", []string{"50", "100"}, twoRuns(t)); err != nil {
 		t.Error(err)
 	}
 }
 
-// TestTable_ListsViolations writes the table of runs one of which broke a rule.
-func TestTable_ListsViolations(t *testing.T) {
+// TestWriteTable_ListsViolations writes the table of runs one of which broke a rule.
+func TestWriteTable_ListsViolations(t *testing.T) {
 	runs := twoRuns(t)
 	runs[1].RulesBroken["2"] = 1
 	runs[1].Findings = append(runs[1].Findings, runs[1].Findings...)
 	var text strings.Builder
-	if err := Table(&text, runs...); err != nil {
+	if err := WriteTable(&text, runs...); err != nil {
 		t.Fatal(err)
 	}
 	for _, want := range []string{
--- a/internal/lab/plots/sweep.go
+++ b/internal/lab/plots/sweep.go
@@ -45,9 +45,9 @@
 	}},
 }
 
-// Sweep draws the results of a scenario that was run with several values of one of its keys; labels are the
+// DrawSweep draws the results of a scenario that was run with several values of one of its keys; labels are the
 // values.
-func Sweep(path, key string, labels []string, runs []*results.Run) error {
+func DrawSweep(path, key string, labels []string, runs []*results.Run) error {
 	picture, err := newCanvas(path, sweepInches*vg.Inch, sweepInches*vg.Inch)
 	if err != nil {
 		return err
--- a/internal/lab/plots/table.go
+++ b/internal/lab/plots/table.go
@@ -22,7 +22,7 @@
 	{name: "run", value: runTitle},
 	{name: "played on", value: func(run *results.Run) string {
 		return fmt.Sprintf("%s, %d instances, %d backends, seed %d",
-			run.On, run.Instances, run.Backends, run.Seed)
+			run.Environment, run.Instances, run.Backends, run.Seed)
 	}},
 	{name: "requests, submissions", value: func(run *results.Run) string {
 		return joined(run.Total.Requests, run.Total.Submitted)
@@ -69,7 +69,7 @@
 	if w == nil {
 		return "none"
 	}
-	return fmt.Sprintf("%d, %d, %.1f, %.1f, %.1f", w.Count, w.WithAttempt, w.P50, w.P99, w.Max)
+	return fmt.Sprintf("%d, %d, %.1f, %.1f, %.1f", w.Count, w.WithLateAttempt, w.P50, w.P99, w.Max)
 }
 
 func joined(numbers ...int) string {
@@ -84,14 +84,14 @@
 
 // cell returns a row's text for a run.
 func (r tableRow) cell(run *results.Run) string {
-	if r.isPartial && run.On == results.OnClients {
+	if r.isPartial && run.Environment == results.EnvironmentClients {
 		return "not seen by clients"
 	}
 	return r.value(run)
 }
 
-// Table writes the runs' totals side by side, and the findings of broken rules.
-func Table(w io.Writer, runs ...*results.Run) error {
+// WriteTable writes the runs' totals side by side, and the findings of broken rules.
+func WriteTable(w io.Writer, runs ...*results.Run) error {
 	table := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	for _, row := range tableRows {
 		cells := []string{row.name}
@@ -108,7 +108,7 @@
 	for _, run := range runs {
 		for _, finding := range run.Findings {
 			_, err := fmt.Fprintf(w, "%s: rule %d at %.3f s: %s\n",
-				runTitle(run), finding.Rule, monotime.Seconds(finding.At.Sub(monotime.Instant{})), finding.What)
+				runTitle(run), finding.Rule, monotime.Seconds(finding.At.Sub(monotime.Instant{})), finding.Description)
 			if err != nil {
 				return err
 			}
--- a/internal/lab/results/exact_quota.go
+++ b/internal/lab/results/exact_quota.go
@@ -65,8 +65,8 @@
 	quota.sentUnits += submission.Units
 	if quota.sentTokens >= submission.Units {
 		quota.sentTokens -= submission.Units
-		r.row.UnitsInside += submission.Units
+		r.row.UnitsWithinQuota += submission.Units
 	} else {
-		r.row.UnitsOver += submission.Units
+		r.row.UnitsOverQuota += submission.Units
 	}
 }
--- a/internal/lab/results/log.go
+++ b/internal/lab/results/log.go
@@ -9,10 +9,10 @@
 	"fawnplank/internal/monotime"
 )
 
-// Log connects a recorder to the wall clock for many goroutines: it stamps each event when it comes in, so
+// EventLog connects a recorder to the wall clock for many goroutines: it stamps each event when it comes in, so
 // that all events are in one order. It remembers which instance a submission went to, since a backend does
 // not see that.
-type Log struct {
+type EventLog struct {
 	start atomic.Pointer[time.Time] // nil: the run has not begun, and events get the time of its start
 
 	mu        sync.Mutex // of the fields below
@@ -30,19 +30,19 @@
 	ended int // the process has ended
 }
 
-// NewLog returns a log that writes to a recorder.
-func NewLog(recorder *Recorder) *Log {
-	return &Log{recorder: recorder, instances: map[invariants.SubmissionID]int{}, kills: map[int]kills{}}
+// NewEventLog returns a log that writes to a recorder.
+func NewEventLog(recorder *Recorder) *EventLog {
+	return &EventLog{recorder: recorder, instances: map[invariants.SubmissionID]int{}, kills: map[int]kills{}}
 }
 
 // Begin starts the run's time.
-func (l *Log) Begin() {
+func (l *EventLog) Begin() {
 	now := time.Now()
 	l.start.Store(&now)
 }
 
 // Now returns the present time on the run's clock, which starts from 0. It is 0 until the run begins.
-func (l *Log) Now() monotime.Instant {
+func (l *EventLog) Now() monotime.Instant {
 	if start := l.start.Load(); start != nil {
 		return monotime.FromNanos(int64(time.Since(*start)))
 	}
@@ -50,10 +50,10 @@
 }
 
 // Start returns when the run began.
-func (l *Log) Start() time.Time { return *l.start.Load() }
+func (l *EventLog) Start() time.Time { return *l.start.Load() }
 
 // ObserveSubmitted observes a submission whose client waits for the remaining time from now on.
-func (l *Log) ObserveSubmitted(event invariants.Event, remaining time.Duration) {
+func (l *EventLog) ObserveSubmitted(event invariants.Event, remaining time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	event.Kind = invariants.Submitted
@@ -63,8 +63,8 @@
 }
 
 // Observe stamps an event, which is no submission, and records it. InstanceDied is observed before the
-// instance is killed; InstanceExited must follow once its process has ended.
-func (l *Log) Observe(event invariants.Event) {
+// instance is killed; ObserveInstanceExit must follow once its process has ended.
+func (l *EventLog) Observe(event invariants.Event) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	event.At = l.Now()
@@ -72,7 +72,7 @@
 }
 
 // record passes an event to the recorder unless the run is over. The caller holds the lock.
-func (l *Log) record(event invariants.Event) {
+func (l *EventLog) record(event invariants.Event) {
 	if l.finished {
 		return
 	}
@@ -88,63 +88,63 @@
 	l.recorder.Observe(event)
 }
 
-// InstanceExited records that the process of an instance that was killed has ended.
-func (l *Log) InstanceExited(instance int) {
+// ObserveInstanceExit records that the process of an instance that was killed has ended.
+func (l *EventLog) ObserveInstanceExit(instance int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.countKill(instance, kills{ended: 1})
 }
 
 // countKill adds to the counts of an instance. The caller holds the lock.
-func (l *Log) countKill(instance int, added kills) {
+func (l *EventLog) countKill(instance int, added kills) {
 	k := l.kills[instance]
 	l.kills[instance] = kills{begun: k.begun + added.begun, ended: k.ended + added.ended}
 }
 
 // Incarnation numbers the processes of an instance: it returns how many of them were killed and have ended.
-func (l *Log) Incarnation(instance int) int {
+func (l *EventLog) Incarnation(instance int) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.kills[instance].ended
 }
 
 // WasKilled reports whether an incarnation of an instance has been killed, or is being killed now.
-func (l *Log) WasKilled(instance, incarnation int) bool {
+func (l *EventLog) WasKilled(instance, incarnation int) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.kills[instance].begun > incarnation
 }
 
 // CountNotSent counts a request that no instance accepted.
-func (l *Log) CountNotSent() {
+func (l *EventLog) CountNotSent() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.recorder.CountNotSent(l.Now())
 }
 
 // CountCounterCall counts a call of the counter.
-func (l *Log) CountCounterCall(failed bool) {
+func (l *EventLog) CountCounterCall(failed bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.recorder.CountCounterCall(l.Now(), failed)
 }
 
 // CountDNSUpdate counts an update that a gateway answered.
-func (l *Log) CountDNSUpdate() {
+func (l *EventLog) CountDNSUpdate() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.recorder.CountDNSUpdate()
 }
 
 // SetOpenBreakers records how many instances make no calls.
-func (l *Log) SetOpenBreakers(instances int) {
+func (l *EventLog) SetOpenBreakers(instances int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.recorder.SetOpenBreakers(l.Now(), instances)
 }
 
 // Finish ends the run and returns its results; later events are dropped.
-func (l *Log) Finish() *Run {
+func (l *EventLog) Finish() *Run {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.finished = true
--- a/internal/lab/results/recorder.go
+++ b/internal/lab/results/recorder.go
@@ -52,7 +52,7 @@
 		Plans:             settings.Plans,
 		AnswerGrace:       time.Duration(s.Rules.DeadlineGrace),
 		DrainGrace:        time.Duration(s.Rules.DrainGrace),
-		Slack:             slack,
+		TransitSlack:      slack,
 		Cores:             float64(s.Backends.Cores),
 		SlowStartShare:    s.Rules.SlowStartShare,
 		SlowStartDuration: time.Duration(s.Rules.SlowStartDuration),
@@ -71,8 +71,8 @@
 	run := &Run{
 		Version:          Version,
 		Scenario:         s.Name,
-		About:            s.About,
-		On:               s.On,
+		Description:      s.Description,
+		Environment:      s.Environment,
 		Seed:             s.Seed,
 		Instances:        s.Instances.Count,
 		Backends:         s.Backends.Count,
@@ -250,7 +250,7 @@
 	for _, bracket := range r.latency.CumulativeDistribution() {
 		isNext := len(*points) == 0 || bracket.Quantile > (*points)[len(*points)-1].Percent
 		if bracket.Count > 0 && isNext {
-			*points = append(*points, Point{Percent: bracket.Quantile, Ms: float64(bracket.ValueAt) / 1e3})
+			*points = append(*points, LatencyPercentile{Percent: bracket.Quantile, Millis: float64(bracket.ValueAt) / 1e3})
 		}
 	}
 }
--- a/internal/lab/results/run.go
+++ b/internal/lab/results/run.go
@@ -14,9 +14,9 @@
 	"fawnplank/internal/lab/invariants"
 )
 
-// OnClients says where a run was played that was seen only from the clients' side: it has no attempts,
+// EnvironmentClients says where a run was played that was seen only from the clients' side: it has no attempts,
 // counter calls or quotas.
-const OnClients = "clients"
+const EnvironmentClients = "clients"
 
 // Version is the version of the file format of runs. Files of another version are refused.
 const Version = 1
@@ -25,26 +25,26 @@
 // its answer; percentiles are those of the successes. Units are compared with those of an exact counter, which
 // decides on the same submissions by the quota alone.
 type Row struct {
-	Second          int     `json:"second"` // from 0 on; in a total, their number
-	Submitted       int     `json:"asked"`  // retries included
-	Succeeded       int     `json:"fulfilled"`
-	Late            int     `json:"late"` // succeeded after the latency objective
-	Rejected        int     `json:"dismissed"`
-	Aborted         int     `json:"broken_off"`
-	Abandoned       int     `json:"left"`   // the client gave up, or its instance died
-	NotSent         int     `json:"unsent"` // no instance accepted the connection
-	P50             float64 `json:"p50_ms"`
-	P99             float64 `json:"p99_ms"`
-	Attempts        int     `json:"shots"`       // that arrived at backends
-	AttemptsRefused int     `json:"turned_away"` // by backends that had not run them
-	CounterCalls    int     `json:"counter_calls"`
-	CounterFailures int     `json:"counter_failed"` // of the calls
-	OpenBreakers    int     `json:"breakers_open"`  // instances with an open breaker, or that called nothing
-	UnitsOver       float64 `json:"units_over"`     // sent on; an exact counter would have rejected them
-	UnitsInside     float64 `json:"units_inside"`   // sent on within the quota
-	UnitsExact      float64 `json:"units_honest"`   // units that an exact counter would have admitted
-	DriftOver       float64 `json:"drift_over"`     // units that tenants had too many since the start
-	DriftUnder      float64 `json:"drift_under"`    // units that other tenants had too few since the start
+	Second           int     `json:"second"` // from 0 on; in a total, their number
+	Submitted        int     `json:"asked"`  // retries included
+	Succeeded        int     `json:"fulfilled"`
+	Late             int     `json:"late"` // succeeded after the latency objective
+	Rejected         int     `json:"dismissed"`
+	Aborted          int     `json:"broken_off"`
+	Abandoned        int     `json:"left"`   // the client gave up, or its instance died
+	NotSent          int     `json:"unsent"` // no instance accepted the connection
+	P50              float64 `json:"p50_ms"`
+	P99              float64 `json:"p99_ms"`
+	Attempts         int     `json:"shots"`       // that arrived at backends
+	AttemptsRefused  int     `json:"turned_away"` // by backends that had not run them
+	CounterCalls     int     `json:"counter_calls"`
+	CounterFailures  int     `json:"counter_failed"` // of the calls
+	OpenBreakers     int     `json:"breakers_open"`  // instances with an open breaker, or that called nothing
+	UnitsOverQuota   float64 `json:"units_over"`     // sent on; an exact counter would have rejected them
+	UnitsWithinQuota float64 `json:"units_inside"`   // sent on within the quota
+	UnitsExact       float64 `json:"units_honest"`   // units that an exact counter would have admitted
+	DriftOver        float64 `json:"drift_over"`     // units that tenants had too many since the start
+	DriftUnder       float64 `json:"drift_under"`    // units that other tenants had too few since the start
 }
 
 // Total is the sums of a run, and percentiles in milliseconds over all of it. The field Row has no tag, so that
@@ -57,18 +57,18 @@
 	Max      float64 `json:"max_ms"`
 }
 
-// Point is a percentile of the latencies of successes.
-type Point struct {
+// LatencyPercentile is a percentile of the latencies of successes.
+type LatencyPercentile struct {
 	Percent float64 `json:"percent"` // from 0 to 100
-	Ms      float64 `json:"ms"`
+	Millis  float64 `json:"ms"`
 }
 
 // Run is the results of one run. The same scenario on the model always gives the same bytes.
 type Run struct {
 	Version          int                  `json:"version"` // of the format
 	Scenario         string               `json:"scenario"`
-	About            string               `json:"about"`
-	On               string               `json:"on"`              // scenario.OnModel, scenario.OnSockets or OnClients
+	Description      string               `json:"about"`
+	Environment      string               `json:"on"`              // EnvironmentClients, or one of package scenario
 	Label            string               `json:"label,omitempty"` // what the user calls the run
 	Seed             uint64               `json:"seed"`
 	Instances        int                  `json:"doors"`
@@ -79,7 +79,7 @@
 	LagP50           float64              `json:"tool_lag_p50_ms"` // of the load tool itself; 0 on the model
 	LagP99           float64              `json:"tool_lag_p99_ms"`
 	Total            Total                `json:"total"`
-	Latency          []Point              `json:"latency"`
+	Latency          []LatencyPercentile  `json:"latency"`
 	RulesBroken      map[string]int       `json:"rules_broken"` // how often, by the number of the rule
 	Findings         []invariants.Finding `json:"findings"`
 	Withdrawals      *Withdrawals         `json:"withdrawals,omitempty"` // nil: no backend was removed
@@ -91,11 +91,11 @@
 // Withdrawals says how long after a backend was delivered to an instance as gone the last attempt from there
 // arrived, in milliseconds; 0 if none did.
 type Withdrawals struct {
-	Count       int     `json:"count"`     // one for each instance
-	WithAttempt int     `json:"with_shot"` // those after which an attempt arrived
-	P50         float64 `json:"p50_ms"`
-	P99         float64 `json:"p99_ms"`
-	Max         float64 `json:"max_ms"`
+	Count           int     `json:"count"`     // one for each instance
+	WithLateAttempt int     `json:"with_shot"` // those after which an attempt arrived
+	P50             float64 `json:"p50_ms"`
+	P99             float64 `json:"p99_ms"`
+	Max             float64 `json:"max_ms"`
 }
 
 // FaultSpan says when a fault was in force, in seconds, for plots.
@@ -118,8 +118,8 @@
 	t.AttemptsRefused += row.AttemptsRefused
 	t.CounterCalls += row.CounterCalls
 	t.CounterFailures += row.CounterFailures
-	t.UnitsOver += row.UnitsOver
-	t.UnitsInside += row.UnitsInside
+	t.UnitsOverQuota += row.UnitsOverQuota
+	t.UnitsWithinQuota += row.UnitsWithinQuota
 	t.UnitsExact += row.UnitsExact
 	t.DriftOver = row.DriftOver
 	t.DriftUnder = row.DriftUnder
--- a/internal/lab/results/version0_test.go
+++ b/internal/lab/results/version0_test.go
@@ -62,7 +62,7 @@
 `
 
 // exampleFinding is the finding in the run of the version before.
-var exampleFinding = invariants.Finding{Rule: 3, At: monotime.FromNanos(2_500_000_000), What: "an example"}
+var exampleFinding = invariants.Finding{Rule: 3, At: monotime.FromNanos(2_500_000_000), Description: "an example"}
 
 // version0Run is the file of a run of the version before.
 func version0Run(t *testing.T) string {
@@ -79,8 +79,8 @@
 		r.Label, r.DNSUpdates, r.LagP50, r.LagP99 = "before", 4, 0.25, 1.5
 		r.Findings = append(r.Findings, exampleFinding)
 		r.RulesBroken["3"]++
-		r.Total.Aborted, r.Total.OpenBreakers, r.Total.UnitsOver, r.Total.DriftOver = 2, 3, 6.5, 8.25
-		r.Withdrawals = &results.Withdrawals{Count: 2, WithAttempt: 1, P50: 3.5, P99: 4.5, Max: 5}
+		r.Total.Aborted, r.Total.OpenBreakers, r.Total.UnitsOverQuota, r.Total.DriftOver = 2, 3, 6.5, 8.25
+		r.Withdrawals = &results.Withdrawals{Count: 2, WithLateAttempt: 1, P50: 3.5, P99: 4.5, Max: 5}
 		if err := r.Write(path); err != nil {
 			t.Fatal(err)
 		}
@@ -97,7 +97,7 @@
 		t.Fatal(err)
 	}
 	const about = "a backend is withdrawn while the counter is away"
-	if r.Scenario != "version-0" || r.About != about || r.On != "model" || r.Label != "before" ||
+	if r.Scenario != "version-0" || r.Description != about || r.Environment != "model" || r.Label != "before" ||
 		r.Seed != 7 || r.Instances != 2 || r.Backends != 3 || r.Rate != 200 || r.LatencyObjective != 200 ||
 		r.Events != 11159 || r.DNSUpdates != 4 || r.LagP50 != 0.25 || r.LagP99 != 1.5 {
 		t.Errorf("head: %+v", r)
@@ -112,7 +112,7 @@
 	total := results.Total{Row: results.Row{
 		Second: 8, Submitted: 2181, Succeeded: 170, Late: 5, Rejected: 2007, Aborted: 2, Abandoned: 4,
 		NotSent: 15, P50: 64.479, P99: 230.271, Attempts: 181, AttemptsRefused: 1, CounterCalls: 236,
-		CounterFailures: 10, OpenBreakers: 3, UnitsOver: 6.5, UnitsInside: 179, UnitsExact: 904,
+		CounterFailures: 10, OpenBreakers: 3, UnitsOverQuota: 6.5, UnitsWithinQuota: 179, UnitsExact: 904,
 		DriftOver: 8.25, DriftUnder: 725}, Requests: 1085, P90: 138.879, P999: 376.063, Max: 376.063}
 	if r.Total != total {
 		t.Errorf("total %+v, not %+v", r.Total, total)
@@ -120,18 +120,18 @@
 	row := results.Row{
 		Second: 3, Submitted: 312, Succeeded: 1, Rejected: 312, Abandoned: 4, NotSent: 15,
 		P50: 62.879, P99: 62.879, Attempts: 1, OpenBreakers: 1,
-		UnitsInside: 1, UnitsExact: 123, DriftUnder: 541}
+		UnitsWithinQuota: 1, UnitsExact: 123, DriftUnder: 541}
 	if len(r.Rows) != 8 || r.Rows[3] != row {
 		t.Errorf("row 3 of %d: %+v", len(r.Rows), r.Rows[3])
 	}
-	withdrawals := results.Withdrawals{Count: 2, WithAttempt: 1, P50: 3.5, P99: 4.5, Max: 5}
+	withdrawals := results.Withdrawals{Count: 2, WithLateAttempt: 1, P50: 3.5, P99: 4.5, Max: 5}
 	if r.Withdrawals == nil || *r.Withdrawals != withdrawals {
 		t.Errorf("withdrawals %+v", r.Withdrawals)
 	}
 	if len(r.Findings) != 1 || r.Findings[0] != exampleFinding || r.Violations() != 1 {
 		t.Errorf("findings %+v, broken %v", r.Findings, r.RulesBroken)
 	}
-	if want := (results.Point{Percent: 50, Ms: 64.479}); len(r.Latency) < 2 || r.Latency[1] != want {
+	if want := (results.LatencyPercentile{Percent: 50, Millis: 64.479}); len(r.Latency) < 2 || r.Latency[1] != want {
 		t.Errorf("latency %+v", r.Latency)
 	}
 	fault := results.FaultSpan{Kind: "backend-withdraw", From: 1, Until: 4}
--- a/internal/lab/results/withdrawal.go
+++ b/internal/lab/results/withdrawal.go
@@ -38,7 +38,7 @@
 	}
 	r.run.Withdrawals.Count++
 	if w.lastAttempt > 0 {
-		r.run.Withdrawals.WithAttempt++
+		r.run.Withdrawals.WithLateAttempt++
 	}
 	r.withdrawalTimes.record(w.lastAttempt.Microseconds())
 }
--- a/internal/lab/scenario/parse.go
+++ b/internal/lab/scenario/parse.go
@@ -20,16 +20,16 @@
 // defaults returns a scenario before its file is read. It sets every default that depends on no other value.
 func defaults() *Scenario {
 	return &Scenario{
-		On:        OnModel,
-		Seed:      1,
-		Duration:  10 * second,
-		Instances: InstanceSettings{Count: 2, MemoryMB: 64, Sockets: 512},
+		Environment: EnvironmentModel,
+		Seed:        1,
+		Duration:    10 * second,
+		Instances:   InstanceSettings{Count: 2, MemoryMB: 64, MaxSockets: 512},
 		Backends: BackendSettings{
 			Count:     4,
 			Cores:     2,
 			Work:      20 * millisecond,
 			WorkSigma: 0.5,
-			Queue:     64,
+			MaxQueued: 64,
 			Zones:     1,
 			Groups:    1,
 		},
@@ -39,14 +39,14 @@
 			Timeout:  50 * millisecond,
 		},
 		Discovery: DiscoverySettings{Delay: 100 * millisecond, Source: SourceHTTP},
-		Net:       NetworkSettings{Delay: 200 * microsecond},
+		Network:   NetworkSettings{Delay: 200 * microsecond},
 		Load: LoadSettings{
-			Rate:        100,
-			Arrivals:    ArrivalsPoisson,
-			MaxRequests: 10_000_000,
-			Tenants:     20,
-			Units:       1,
-			Connections: 256,
+			Rate:           100,
+			Arrivals:       ArrivalsPoisson,
+			MaxRequests:    10_000_000,
+			Tenants:        20,
+			Units:          1,
+			MaxConnections: 256,
 		},
 		Rules: RuleSettings{
 			DeadlineGrace:     100 * millisecond,
@@ -56,7 +56,7 @@
 			OverloadMultiple:  2,
 			OverloadWindow:    second,
 		},
-		Allow: PermissionSettings{
+		Permissions: PermissionSettings{
 			MaxAttempts:    3,
 			HedgedAttempts: true,
 			Cancellation:   true,
--- a/internal/lab/scenario/renamed_test.go
+++ b/internal/lab/scenario/renamed_test.go
@@ -174,7 +174,8 @@
 	if !reflect.DeepEqual(oldScenario, newScenario) {
 		t.Errorf("old names\n%+v\nnew names\n%+v", oldScenario, newScenario)
 	}
-	if reflect.DeepEqual(newScenario.Rules, defaults().Rules) || reflect.DeepEqual(newScenario.Allow, defaults().Allow) {
+	if reflect.DeepEqual(newScenario.Rules, defaults().Rules) ||
+		reflect.DeepEqual(newScenario.Permissions, defaults().Permissions) {
 		t.Error("the scenario has the defaults and shows nothing")
 	}
 }
--- a/internal/lab/scenario/scenario.go
+++ b/internal/lab/scenario/scenario.go
@@ -18,8 +18,8 @@
 
 // Where a scenario is played.
 const (
-	OnModel   = "model"   // simulated time, in one process
-	OnSockets = "sockets" // gateways between emulated services on loopback
+	EnvironmentModel   = "model"   // simulated time, in one process
+	EnvironmentSockets = "sockets" // gateways between emulated services on loopback
 )
 
 // Arrivals is how requests arrive.
@@ -51,20 +51,20 @@
 
 // Scenario is one experiment, as its file describes it. Rates are per second.
 type Scenario struct {
-	Name     string `toml:"name"`
-	About    string `toml:"about"`    // one line for readers of results
-	On       string `toml:"on"`       // OnModel or OnSockets
-	Seed     uint64 `toml:"seed"`     // of all random numbers
-	Duration Span   `toml:"duration"` // of the arrivals; the run then waits for requests in flight
-
-	Instances InstanceSettings   `toml:"gateways"`
-	Backends  BackendSettings    `toml:"backends"`
-	Counter   CounterSettings    `toml:"counter"`
-	Discovery DiscoverySettings  `toml:"discovery"`
-	Net       NetworkSettings    `toml:"net"`
-	Load      LoadSettings       `toml:"load"`
-	Rules     RuleSettings       `toml:"rules"`
-	Allow     PermissionSettings `toml:"allow"`
+	Name        string `toml:"name"`
+	Description string `toml:"about"`    // one line for readers of results
+	Environment string `toml:"on"`       // EnvironmentModel or EnvironmentSockets
+	Seed        uint64 `toml:"seed"`     // of all random numbers
+	Duration    Span   `toml:"duration"` // of the arrivals; the run then waits for requests in flight
+
+	Instances   InstanceSettings   `toml:"gateways"`
+	Backends    BackendSettings    `toml:"backends"`
+	Counter     CounterSettings    `toml:"counter"`
+	Discovery   DiscoverySettings  `toml:"discovery"`
+	Network     NetworkSettings    `toml:"net"`
+	Load        LoadSettings       `toml:"load"`
+	Rules       RuleSettings       `toml:"rules"`
+	Permissions PermissionSettings `toml:"allow"`
 
 	Classes []Class `toml:"class"` // one at least
 	Plans   []Plan  `toml:"plan"`  // one at least
@@ -76,9 +76,9 @@
 
 // InstanceSettings are the gateway instances.
 type InstanceSettings struct {
-	Count    int `toml:"count"`
-	MemoryMB int `toml:"memory_mb"` // each instance's limit, in MiB; sockets only
-	Sockets  int `toml:"sockets"`   // each instance's limit of open sockets; sockets only
+	Count      int `toml:"count"`
+	MemoryMB   int `toml:"memory_mb"` // each instance's limit, in MiB; sockets only
+	MaxSockets int `toml:"sockets"`   // each instance's limit of open sockets; sockets only
 }
 
 // BackendSettings are the backends, which are all alike. Zones and groups are assigned to them in rotation.
@@ -87,7 +87,7 @@
 	Cores     int     `toml:"cores"`      // attempts worked on at once
 	Work      Span    `toml:"work"`       // median time of a core for a unit
 	WorkSigma float64 `toml:"work_sigma"` // sigma of the work's logarithm; 0: all equal
-	Queue     int     `toml:"queue"`      // attempts that can wait; further ones are refused
+	MaxQueued int     `toml:"queue"`      // attempts that can wait; further ones are refused
 	Zones     int     `toml:"zones"`
 	Groups    int     `toml:"groups"`
 }
@@ -97,7 +97,7 @@
 	Off      bool     `toml:"off"`      // the instances count by themselves
 	Protocol Protocol `toml:"protocol"` // sockets only
 	Delay    Span     `toml:"delay"`    // of an answer, beside the network's
-	Rate     float64  `toml:"rate"`     // most calls per second; 0: no bound
+	MaxRate  float64  `toml:"rate"`     // most calls per second; 0: no bound
 	Timeout  Span     `toml:"timeout"`  // of the instances' calls
 }
 
@@ -114,15 +114,15 @@
 
 // LoadSettings are the clients.
 type LoadSettings struct {
-	Rate        float64  `toml:"rate"` // requests per second, at all instances together
-	Arrivals    Arrivals `toml:"arrivals"`
-	MaxRequests int      `toml:"max_requests"` // the arrivals end after so many
-	Tenants     int      `toml:"tenants"`
-	Skew        float64  `toml:"skew"`         // exponent of Zipf's law over the tenants; 0: all equal
-	Units       float64  `toml:"units"`        // mean; each request has 1 or more
-	EntryPoints int      `toml:"entry_points"` // instances that a tenant's requests go to; 0: all
-	Retries     int      `toml:"retries"`      // most retries after a rejection
-	Connections int      `toml:"connections"`  // most connections of all clients; sockets only
+	Rate           float64  `toml:"rate"` // requests per second, at all instances together
+	Arrivals       Arrivals `toml:"arrivals"`
+	MaxRequests    int      `toml:"max_requests"` // the arrivals end after so many
+	Tenants        int      `toml:"tenants"`
+	Skew           float64  `toml:"skew"`         // exponent of Zipf's law over the tenants; 0: all equal
+	Units          float64  `toml:"units"`        // mean; each request has 1 or more
+	EntryPoints    int      `toml:"entry_points"` // instances that a tenant's requests go to; 0: all
+	MaxRetries     int      `toml:"retries"`      // most retries after a rejection
+	MaxConnections int      `toml:"connections"`  // most connections of all clients; sockets only
 }
 
 // RuleSettings are the parameters of the five rules.
--- a/internal/lab/scenario/settings.go
+++ b/internal/lab/scenario/settings.go
@@ -56,12 +56,12 @@
 			"counter-timeout-ms": inMillis(s.Counter.Timeout),
 		},
 		"permissions": map[string]any{
-			"send-cap":           s.Allow.MaxAttempts,
-			"second-copies":      s.Allow.HedgedAttempts,
-			"cancelling":         s.Allow.Cancellation, //nolint:misspell // the settings' own key
-			"probes":             s.Allow.HealthChecks,
-			"retry-after":        s.Allow.RetryAfter,
-			"max-retry-after-ms": inMillis(s.Allow.MaxRetryAfter),
+			"send-cap":           s.Permissions.MaxAttempts,
+			"second-copies":      s.Permissions.HedgedAttempts,
+			"cancelling":         s.Permissions.Cancellation, //nolint:misspell // the settings' own key
+			"probes":             s.Permissions.HealthChecks,
+			"retry-after":        s.Permissions.RetryAfter,
+			"max-retry-after-ms": inMillis(s.Permissions.MaxRetryAfter),
 		},
 		"invariants": map[string]any{
 			"cold-share":   s.Rules.SlowStartShare,
--- a/internal/lab/scenario/validate.go
+++ b/internal/lab/scenario/validate.go
@@ -51,7 +51,8 @@
 func (s *Scenario) validate(file *tomlfile.File) error {
 	v := &validator{file: file}
 	v.require(s.Name != "", "name", "is missing")
-	v.require(s.On == OnModel || s.On == OnSockets, "on", "is %q, not model or sockets", s.On)
+	v.require(s.Environment == EnvironmentModel || s.Environment == EnvironmentSockets,
+		"on", "is %q, not model or sockets", s.Environment)
 	v.require(s.Duration > 0 && s.Duration <= maxDuration, "duration", "is not above 0 and at most 1h")
 	s.validateNumbers(v)
 	s.validateSockets(v)
@@ -80,9 +81,9 @@
 		{"backends.groups", s.Backends.Groups},
 		{"load.tenants", s.Load.Tenants},
 		{"load.max_requests", s.Load.MaxRequests},
-		{"allow.max_attempts", s.Allow.MaxAttempts},
+		{"allow.max_attempts", s.Permissions.MaxAttempts},
 		{"load.entry_points", s.Load.EntryPoints},
-		{"load.connections", s.Load.Connections},
+		{"load.connections", s.Load.MaxConnections},
 	} {
 		v.require(number.value >= 1, number.key, "is not at least 1")
 		v.require(number.value <= maxNumber, number.key, "is above %d", maxNumber)
@@ -92,7 +93,7 @@
 }
 
 func (s *Scenario) validateSockets(v *validator) {
-	if s.On != OnSockets {
+	if s.Environment != EnvironmentSockets {
 		return
 	}
 	v.require(s.Instances.Count <= maxSocketInstances,
@@ -100,7 +101,7 @@
 	v.require(s.Backends.Count <= maxSocketBackends,
 		"backends.count", "is above %d, which is most on sockets", maxSocketBackends)
 	v.require(s.Instances.MemoryMB >= minMemoryMB, "gateways.memory_mb", "is below %d", minMemoryMB)
-	v.require(s.Instances.Sockets >= minSockets, "gateways.sockets", "is below %d", minSockets)
+	v.require(s.Instances.MaxSockets >= minSockets, "gateways.sockets", "is below %d", minSockets)
 }
 
 // validateServices checks discovery, backends and counter, and that there are as many gateways as load.entry_points
@@ -108,17 +109,17 @@
 func (s *Scenario) validateServices(v *validator) {
 	source := s.Discovery.Source
 	v.require(source == SourceHTTP || source == SourceDNS, "discovery.source", "is not http or dns")
-	v.require(source != SourceDNS || s.On == OnSockets,
+	v.require(source != SourceDNS || s.Environment == EnvironmentSockets,
 		"discovery.source", "is dns, which the model does not have")
 	v.require(s.Load.EntryPoints <= s.Instances.Count, "load.entry_points", "is above gateways.count")
 	v.require(s.Backends.Work > 0, "backends.work", "is not above 0")
 	v.require(s.Backends.WorkSigma >= 0 && s.Backends.WorkSigma <= maxWorkSigma,
 		"backends.work_sigma", "is not from 0 to %d", maxWorkSigma)
-	v.require(s.Backends.Queue >= 0, "backends.queue", "is below 0")
+	v.require(s.Backends.MaxQueued >= 0, "backends.queue", "is below 0")
 	v.require(s.Counter.Timeout > 0, "counter.timeout", "is not above 0")
 	protocol := s.Counter.Protocol
 	v.require(protocol == ProtocolText || protocol == ProtocolRESP, "counter.protocol", "is not text or resp")
-	v.require(s.Counter.Rate >= 0, "counter.rate", "is below 0")
+	v.require(s.Counter.MaxRate >= 0, "counter.rate", "is below 0")
 }
 
 func (s *Scenario) validateLoad(v *validator) {
@@ -128,7 +129,7 @@
 		"load.arrivals", "is not poisson or fixed")
 	v.require(load.Units >= 1 && load.Units <= maxUnits, "load.units", "is not from 1 to %d", maxUnits)
 	v.require(load.Skew >= 0 && load.Skew <= maxSkew, "load.skew", "is not from 0 to %d", maxSkew)
-	v.require(load.Retries >= 0 && load.Retries <= maxRetries, "load.retries", "is not from 0 to %d", maxRetries)
+	v.require(load.MaxRetries >= 0 && load.MaxRetries <= maxRetries, "load.retries", "is not from 0 to %d", maxRetries)
 }
 
 func (s *Scenario) validateRules(v *validator) {
--- a/internal/lab/testbed/gateway.go
+++ b/internal/lab/testbed/gateway.go
@@ -175,7 +175,7 @@
 
 // restart kills the gateway after a delay, without a graceful shutdown, and starts it again after a downtime.
 // It gives up when ctx ends.
-func (g *gateway) restart(ctx context.Context, log *results.Log, delay, downtime time.Duration) {
+func (g *gateway) restart(ctx context.Context, log *results.EventLog, delay, downtime time.Duration) {
 	if !wait(ctx, delay) {
 		return
 	}
@@ -183,7 +183,7 @@
 	log.Observe(invariants.Event{Kind: invariants.InstanceDied, Instance: g.index})
 	_ = killed.handle.Kill() // fails only if the process has ended already
 	<-killed.exited
-	log.InstanceExited(g.index)
+	log.ObserveInstanceExit(g.index)
 	if !wait(ctx, downtime) {
 		return
 	}
--- a/internal/lab/testbed/load_test.go
+++ b/internal/lab/testbed/load_test.go
@@ -26,7 +26,7 @@
 	if err != nil {
 		tb.Fatal(err)
 	}
-	log := results.NewLog(results.New(s, settings, 0))
+	log := results.NewEventLog(results.New(s, settings, 0))
 	log.Begin()
 	tool := load.New(s, log, []string{address})
 	tool.Run(tb.Context())
--- a/internal/lab/testbed/testbed.go
+++ b/internal/lab/testbed/testbed.go
@@ -40,26 +40,26 @@
 	options   Options
 	folder    string // configurations, operator files, zones, keys and journals; removed by close
 	logFolder string
-	log       *results.Log
+	log       *results.EventLog
 	emulator  *emulator.Emulator
 	gateways  []*gateway
 }
 
-// NewLog returns the log of a scenario's run on sockets, which has not begun. It returns an error if a gateway
+// NewEventLog returns the log of a scenario's run on sockets, which has not begun. It returns an error if a gateway
 // would refuse the scenario's settings.
-func NewLog(s *scenario.Scenario) (*results.Log, error) {
+func NewEventLog(s *scenario.Scenario) (*results.EventLog, error) {
 	settings, err := s.EngineSettings(0)
 	if err != nil {
 		return nil, fmt.Errorf("testbed: scenario %s: %w", s.Name, err)
 	}
-	return results.NewLog(results.New(s, settings, slack)), nil
+	return results.NewEventLog(results.New(s, settings, slack)), nil
 }
 
 // Run plays a scenario on sockets. If ctx ends, it ends early and returns what was recorded until then and
 // the error of ctx. A gateway that ends by itself does not end the run: its crash is returned with the
 // results. If no results are returned, the run could not be started.
 func Run(ctx context.Context, s *scenario.Scenario, options Options) (*results.Run, error) {
-	log, err := NewLog(s)
+	log, err := NewEventLog(s)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/lab/testbed/testbed_test.go
+++ b/internal/lab/testbed/testbed_test.go
@@ -93,7 +93,7 @@
 		t.Fatal(err)
 	}
 	for _, finding := range run.Findings {
-		t.Errorf("rule %d: %s", finding.Rule, finding.What)
+		t.Errorf("rule %d: %s", finding.Rule, finding.Description)
 	}
 	return run
 }
--- a/internal/limitserver/server_test.go
+++ b/internal/limitserver/server_test.go
@@ -89,7 +89,7 @@
 	}
 	settings.Classes = append(settings.Classes,
 		policy.ClassSettings{LatencyObjective: 750e6, Deadline: 750e6, CheckOnly: true})
-	log := results.NewLog(results.New(parsed, settings, 0))
+	log := results.NewEventLog(results.New(parsed, settings, 0))
 	if g.emulator, err = emulator.Start(parsed, log); err != nil {
 		tb.Fatal(err)
 	}
