--- a/internal/lab/invariants/attempts.go
+++ b/internal/lab/invariants/attempts.go
@@ -8,15 +8,15 @@
 	"fawnplank/policy"
 )
 
-// checkArrival checks an attempt that arrived whole at a backend against every rule.
+// checkArrival checks an attempt that arrived completely at a backend against all rules.
 func (c *Checker) checkArrival(s *submission, event Event) {
 	if !s.answeredAt.IsZero() && event.At.After(s.answeredAt.Add(c.settings.TransitSlack)) {
-		c.report(RuleOneAnswer, event.At, "submission %d: came to backend %d %s after its final answer",
+		c.report(RuleOneAnswer, event.At, "submission %d: arrived at backend %d %s after its final answer",
 			event.Submission, event.Backend, formatMillis(event.At.Sub(s.answeredAt)))
 	}
 	for _, earlier := range s.attempts {
-		if !earlier.refused {
-			c.checkRerun(s, earlier, event)
+		if !earlier.isRefused {
+			c.checkDuplicateExecution(s, earlier, event)
 		}
 	}
 	s.attempts = append(s.attempts, attempt{backend: event.Backend, at: event.At})
@@ -25,34 +25,34 @@
 		c.checkDrain(s, delivered, event)
 	}
 	c.checkSlowStart(event, delivered)
-	if plan := c.settings.Plans[s.Plan]; plan.HardQuotaRate > 0 && !s.drawn {
-		s.drawn = true
+	if plan := c.settings.Plans[s.Plan]; plan.HardQuotaRate > 0 && !s.isQuotaDrawn {
+		s.isQuotaDrawn = true
 		c.drawHardQuota(s, event, plan)
 	}
 }
 
-// checkRerun checks an attempt against an earlier one that may have run.
-func (c *Checker) checkRerun(s *submission, earlier attempt, event Event) {
+// checkDuplicateExecution checks an attempt against an earlier one that may have run.
+func (c *Checker) checkDuplicateExecution(s *submission, earlier attempt, event Event) {
 	class := c.settings.Classes[s.Class]
 	switch {
 	case class.Idempotency == policy.NonIdempotent:
 		c.report(RuleNoDuplicateExecution, event.At,
-			"submission %d: came to backend %d though its attempt at %d may have run",
+			"submission %d: arrived at backend %d though its attempt at backend %d may have run",
 			event.Submission, event.Backend, earlier.backend)
 	case class.Idempotency != policy.IdempotentWithKey:
 		return
 	case !c.isInDedupScope(class.DedupScope, earlier.backend, event.Backend):
 		c.report(RuleNoDuplicateExecution, event.At,
-			"submission %d: came to backend %d, outside the dedup scope of %d where it may have run",
+			"submission %d: arrived at backend %d, outside the dedup scope of backend %d where it may have run",
 			event.Submission, event.Backend, earlier.backend)
 	case event.At.Sub(earlier.at) > class.DedupWindow+c.settings.TransitSlack:
 		c.report(RuleNoDuplicateExecution, event.At,
-			"submission %d: came to backend %d %s after one that may have run, beyond the dedup window",
+			"submission %d: arrived at backend %d %s after an attempt that may have run, beyond the dedup window",
 			event.Submission, event.Backend, formatMillis(event.At.Sub(earlier.at)))
 	}
 }
 
-// isInDedupScope reports whether two backends share their memory of keys.
+// isInDedupScope reports whether two backends share the idempotency keys that they have seen.
 func (c *Checker) isInDedupScope(scope policy.DedupScope, a, b int) bool {
 	switch scope {
 	case policy.DedupByZone:
@@ -63,29 +63,29 @@
 	return true // DedupByAll
 }
 
-// checkDrain checks an attempt at a backend that was delivered as draining or gone.
+// checkDrain checks an attempt at a backend whose state was delivered to the instance as draining or gone.
 func (c *Checker) checkDrain(s *submission, delivered, event Event) {
-	late := event.At.Sub(delivered.At) - c.settings.DrainGrace - c.settings.TransitSlack
-	if late > 0 {
+	overrun := event.At.Sub(delivered.At) - c.settings.DrainGrace - c.settings.TransitSlack
+	if overrun > 0 {
 		c.report(RuleDrain, event.At,
-			"submission %d: instance %d sent to backend %d %s after the grace of its draining or being gone",
-			event.Submission, s.Instance, event.Backend, formatMillis(late))
+			"submission %d: instance %d sent to draining or removed backend %d, %s after the grace",
+			event.Submission, s.Instance, event.Backend, formatMillis(overrun))
 	}
 }
 
-// attemptsBeyondBudget is how many attempts of the largest size a warming backend may be sent beyond its
-// budget. An attempt cannot be sent in part, so chance in their size breaks no rule.
-const attemptsBeyondBudget = 3
+// maxAttemptsBeyondBudget is how many attempts of the largest observed size a warming backend may get beyond its
+// budget. Attempts are indivisible, so their random sizes alone must not count as a violation.
+const maxAttemptsBeyondBudget = 3
 
-// arrival is work that arrived at a backend while it warmed up.
+// arrival is the work of an attempt that arrived at a backend while it was warming up.
 type arrival struct {
 	at          monotime.Instant
 	workSeconds float64
 }
 
-// checkSlowStart adds up what a warming backend was sent within the overload window. A backend's
-// capacity at an age is not observed: given are only the share that it starts with and when it has all of it at
-// the latest. The check assumes a straight line between the two.
+// checkSlowStart compares the work that a warming backend was sent within the overload window with the budget.
+// The backend's actual capacity is not observable. The settings give only its initial share and the time by which
+// it is complete, so the check assumes a linear increase between them.
 func (c *Checker) checkSlowStart(event, delivered Event) {
 	settings := &c.settings
 	hasWarmedUp := event.StartedAt.IsZero() || event.At.Sub(event.StartedAt) > settings.SlowStartDuration
@@ -95,19 +95,19 @@
 	}
 	workSeconds, largestSeconds := c.addArrival(event)
 	budgetSeconds := settings.slowStartBudget(event.StartedAt, event.At)
-	isOverloaded := workSeconds > budgetSeconds+attemptsBeyondBudget*largestSeconds
+	isOverloaded := workSeconds > budgetSeconds+maxAttemptsBeyondBudget*largestSeconds
 	if isOverloaded && c.overloaded[event.Backend] != event.StartedAt {
 		c.overloaded[event.Backend] = event.StartedAt
 		c.report(RuleSlowStart, event.At,
-			"backend %d, started %s ago, was sent %.3f s of work in %s and bears %.3f s",
+			"backend %d, started %s ago, was sent %.3f s of work in %s; its budget is %.3f s",
 			event.Backend, formatMillis(event.At.Sub(event.StartedAt)), workSeconds,
 			formatMillis(settings.OverloadWindow), budgetSeconds)
 	}
 }
 
-// slowStartBudget returns the work, in seconds of a core, that a warming backend bears within the collapse
-// window that ends at a time. The whole window counts from the start on: a burst at the start is borne as far
-// as a window bears it.
+// slowStartBudget returns the work, in core-seconds, that a warming backend can accept within the overload window
+// that ends at a time. Even right after the start the budget is that of a whole window, so a burst at the start
+// may be as large as one window's work.
 func (s *Settings) slowStartBudget(startedAt, at monotime.Instant) float64 {
 	capacityAt := func(then monotime.Instant) float64 {
 		age := float64(then.Sub(startedAt))
@@ -119,8 +119,8 @@
 	return s.OverloadMultiple * s.Cores * capacity * float64(s.OverloadWindow) / float64(time.Second)
 }
 
-// addArrival adds an arrival to those of its backend within the window, and returns the work of all of them
-// and of the largest.
+// addArrival adds an arrival to those of its backend in the overload window, and returns their total work and the
+// work of the largest.
 func (c *Checker) addArrival(event Event) (workSeconds, largestSeconds float64) {
 	all := append(c.arrivals[event.Backend], arrival{at: event.At, workSeconds: event.WorkSeconds})
 	all = slices.DeleteFunc(all, func(a arrival) bool {
@@ -134,10 +134,10 @@
 	return workSeconds, largestSeconds
 }
 
-// roundingTolerance is how far sums of units may be off.
+// roundingTolerance is the largest rounding error of sums of units.
 const roundingTolerance = 1e-6
 
-// hardQuota is a tenant's token bucket as the rule defines it; it may be overdrawn.
+// hardQuota is a tenant's token bucket as defined by the rule. Its balance may become negative.
 type hardQuota struct {
 	tokens     float64
 	refilledAt monotime.Instant
@@ -156,7 +156,7 @@
 	quota.tokens -= s.Units
 	if slack := c.settings.HardQuotaSlack[s.Plan]; quota.tokens < -slack-roundingTolerance {
 		c.report(RuleHardQuota, event.At,
-			"tenant %d: %.2f units beyond its hard quota, with a slack of %.2f",
+			"tenant %d: used %.2f units beyond its hard quota; the slack is %.2f",
 			s.Tenant, -quota.tokens, slack)
 	}
 }
--- a/internal/lab/invariants/checker.go
+++ b/internal/lab/invariants/checker.go
@@ -1,6 +1,6 @@
-// Package invariants checks the five rules of the gateway from outside, by what clients, backends and
-// discovery saw, whether on the model or with instances on sockets. It takes events in order of time and
-// returns findings. The package is pure and shares no code with the decisions that it judges.
+// Package invariants checks the gateway's five rules against events observed at clients, backends and discovery,
+// both in the model and in runs on sockets. A Checker takes events in order of time and returns findings. The
+// package does no I/O and shares no code with the decisions that it checks.
 //
 // A Checker is not safe for concurrent use: its caller serializes the calls.
 package invariants
@@ -20,31 +20,31 @@
 // The rules.
 const (
 	RuleOneAnswer            Rule = iota + 1 // one final answer in time, and no attempt sent after it
-	RuleNoDuplicateExecution                 // nothing runs twice that must not, nor is rejected after it may have run
-	RuleDrain                                // no attempt to a leaving backend after its grace
-	RuleSlowStart                            // no overload of a backend that warms up
-	RuleHardQuota                            // no admission beyond a hard quota
+	RuleNoDuplicateExecution                 // no unsafe second execution, and no rejection that could lead to one
+	RuleDrain                                // no attempt to a draining or removed backend after the grace
+	RuleSlowStart                            // no overload of a warming backend
+	RuleHardQuota                            // no admission beyond a hard quota and its slack
 	ruleEnd
 )
 
-// Settings are the parameters of the rules. The functions map a backend's number to that of its zone or group.
+// Settings are the parameters of the rules. Zone and Group map a backend's number to that of its zone or group.
 type Settings struct {
 	Classes           []policy.ClassSettings
 	Plans             []policy.PlanSettings
 	HardQuotaSlack    []float64     // by plan, in units
-	AnswerGrace       time.Duration // of an answer after the client's deadline
-	DrainGrace        time.Duration // of an attempt after the instance had the backend's new state
-	TransitSlack      time.Duration // for unobserved transit from an instance to a backend or client
-	Cores             float64       // of a backend that has warmed up
-	SlowStartShare    float64       // of a backend that starts, as a share
+	AnswerGrace       time.Duration // how long after the client's deadline an answer may come
+	DrainGrace        time.Duration // how long after the delivery of a draining or gone state attempts may arrive
+	TransitSlack      time.Duration // allowance for the unobserved transit time from an instance to a backend or client
+	Cores             float64       // of a warm backend
+	SlowStartShare    float64       // share of its capacity that a backend has when it starts
 	SlowStartDuration time.Duration
-	OverloadMultiple  float64 // of its capacity that a backend bears over the window
+	OverloadMultiple  float64 // multiple of its capacity that a backend can accept over OverloadWindow
 	OverloadWindow    time.Duration
 	Zone              func(backend int) int
 	Group             func(backend int) int
 }
 
-// Finding is one violation of a rule; What says in words how it was broken.
+// Finding is one violation of a rule.
 type Finding struct {
 	Rule        Rule             `json:"rule"`
 	At          monotime.Instant `json:"at_ns"` // since the run's start
@@ -52,47 +52,47 @@
 }
 
 const (
-	// maxFindings bounds how many findings of each rule are reported; later ones are only counted.
+	// maxFindings is the largest number of findings reported per rule. Further violations are only counted.
 	maxFindings = 20
-	// retention is how long a submission is remembered after its end. By then no attempt of it is left
-	// anywhere.
+	// retention is how long a submission is kept after its end. After that time none of its attempts can be in
+	// flight.
 	retention = 30 * time.Second
 )
 
 // attempt is an attempt that arrived at a backend.
 type attempt struct {
-	backend int
-	at      monotime.Instant
-	refused bool // the backend proved that it did not run the attempt
+	backend   int
+	at        monotime.Instant
+	isRefused bool // the backend proved that it did not run the attempt
 }
 
-// submission is what has been seen of a submission.
+// submission is the observed state of a submission.
 type submission struct {
 	Event
-	answeredAt monotime.Instant // when the client had its answer; zero: not yet
-	answerDue  bool
-	attempts   []attempt
-	drawn      bool             // from the hard quota
-	endedAt    monotime.Instant // when it was answered or abandoned; zero: not yet
+	answeredAt   monotime.Instant // when the client received its answer; zero: not yet
+	isAnswerDue  bool
+	attempts     []attempt
+	isQuotaDrawn bool             // its units have been drawn from the hard quota
+	endedAt      monotime.Instant // when it was answered or abandoned; zero: not yet
 }
 
-// Route is an instance and a backend that it sends to.
+// Route is a pair of an instance and a backend to which it sends attempts.
 type Route struct{ Instance, Backend int }
 
-// Checker finds violations in events that come in order of time.
+// Checker finds violations of the rules in events that it observes in order of time.
 type Checker struct {
 	settings    Settings
 	submissions map[SubmissionID]*submission
-	ended       []SubmissionID  // in order of their end
-	delivered   map[Route]Event // the last EndpointDelivered
+	ended       []SubmissionID  // ordered by the time of their end
+	delivered   map[Route]Event // the latest EndpointDelivered event by route
 	arrivals    map[int][]arrival
-	overloaded  map[int]monotime.Instant // by backend, the start after which it was found overloaded
+	overloaded  map[int]monotime.Instant // by backend: the start time of its incarnation that was reported as overloaded
 	quotas      map[int]*hardQuota
 	findings    []Finding
 	counts      [ruleEnd]int
 }
 
-// New returns a checker that has seen nothing.
+// New returns a checker without observed events.
 func New(settings Settings) *Checker {
 	return &Checker{
 		settings:    settings,
@@ -104,7 +104,7 @@
 	}
 }
 
-// report adds a finding, or only counts it if there are enough of its rule.
+// report counts a violation, and adds a finding unless its rule has maxFindings findings already.
 func (c *Checker) report(rule Rule, at monotime.Instant, format string, args ...any) {
 	c.counts[rule]++
 	if c.counts[rule] <= maxFindings {
@@ -131,7 +131,7 @@
 	key := Route{Instance: event.Instance, Backend: event.Backend}
 	old, ok := c.delivered[key]
 	if ok && old.State != policy.EndpointReady && event.State != policy.EndpointReady {
-		event.At = old.At // the grace counts from the first state that forbids new attempts
+		event.At = old.At // the grace begins with the first state that forbids new attempts
 	}
 	c.delivered[key] = event
 }
@@ -146,10 +146,10 @@
 
 func (c *Checker) observeSubmission(event Event) {
 	if c.submissions[event.Submission] != nil {
-		c.report(RuleOneAnswer, event.At, "submission %d: its id was used before", event.Submission)
+		c.report(RuleOneAnswer, event.At, "submission %d: duplicate submission ID", event.Submission)
 		return
 	}
-	c.submissions[event.Submission] = &submission{Event: event, answerDue: true}
+	c.submissions[event.Submission] = &submission{Event: event, isAnswerDue: true}
 }
 
 // observeSubmissionEvent checks an event that belongs to a submission.
@@ -158,7 +158,7 @@
 	if s == nil {
 		if event.Kind != Abandoned && event.Kind != AttemptRefused {
 			c.report(RuleOneAnswer, event.At,
-				"submission %d: no client sent it, or it ended long ago", event.Submission)
+				"submission %d: unknown, or ended long ago", event.Submission)
 		}
 		return
 	}
@@ -166,7 +166,7 @@
 	case Succeeded, Rejected, Aborted:
 		c.checkAnswer(s, event)
 	case Abandoned:
-		s.answerDue = false
+		s.isAnswerDue = false
 		c.end(s, event.At)
 	case AttemptSent:
 		if !s.answeredAt.IsZero() && event.At.After(s.answeredAt) {
@@ -177,15 +177,15 @@
 	case AttemptArrived:
 		c.checkArrival(s, event)
 	case AttemptRefused:
-		s.refuseLast(event.Backend)
+		s.markLastRefused(event.Backend)
 	}
 }
 
-// refuseLast marks the last attempt at a backend as one that the backend proved not to have run.
-func (s *submission) refuseLast(backend int) {
+// markLastRefused marks the latest attempt at a backend, among those not marked yet, as refused by the backend.
+func (s *submission) markLastRefused(backend int) {
 	for n := len(s.attempts) - 1; n >= 0; n-- {
-		if s.attempts[n].backend == backend && !s.attempts[n].refused {
-			s.attempts[n].refused = true
+		if s.attempts[n].backend == backend && !s.attempts[n].isRefused {
+			s.attempts[n].isRefused = true
 			return
 		}
 	}
@@ -195,26 +195,26 @@
 	return fmt.Sprintf("%.1f ms", float64(span)/float64(time.Millisecond))
 }
 
-// checkAnswer checks a final answer against the rules of answers and, if it is a rejection, of reruns.
+// checkAnswer checks a final answer against RuleOneAnswer and, if it is a rejection, RuleNoDuplicateExecution.
 func (c *Checker) checkAnswer(s *submission, event Event) {
 	if !s.answeredAt.IsZero() {
 		c.report(RuleOneAnswer, event.At, "submission %d: a second final answer", event.Submission)
 		return
 	}
-	late := event.At.Sub(s.Deadline) - c.settings.AnswerGrace
-	if s.answerDue && late > 0 {
+	overrun := event.At.Sub(s.Deadline) - c.settings.AnswerGrace
+	if s.isAnswerDue && overrun > 0 {
 		c.report(RuleOneAnswer, event.At, "submission %d: answered %s after its deadline and grace",
-			event.Submission, formatMillis(late))
+			event.Submission, formatMillis(overrun))
 	}
 	s.answeredAt = event.At
-	s.answerDue = false
+	s.isAnswerDue = false
 	c.end(s, event.At)
 	if event.Kind == Rejected && !isSafeToRetry(c.settings.Classes[s.Class]) {
 		c.checkRejection(s, event)
 	}
 }
 
-// isSafeToRetry reports whether a request of a class may run again wherever and whenever the client retries.
+// isSafeToRetry reports whether a request of a class may be executed again at any backend when the client retries.
 func isSafeToRetry(class policy.ClassSettings) bool {
 	switch class.Idempotency {
 	case policy.Idempotent:
@@ -225,10 +225,11 @@
 	return false
 }
 
-// checkRejection reports attempts that may have run if the client may now retry their request.
+// checkRejection reports attempts of a rejected submission that may have run. The rejection allows the client to
+// retry the request, which could execute it a second time.
 func (c *Checker) checkRejection(s *submission, event Event) {
 	for _, attempt := range s.attempts {
-		if !attempt.refused {
+		if !attempt.isRefused {
 			c.report(RuleNoDuplicateExecution, event.At,
 				"submission %d: rejected though its attempt at backend %d may have run",
 				event.Submission, attempt.backend)
@@ -236,9 +237,10 @@
 	}
 }
 
-// end records, once, that a submission has ended, and forgets submissions that ended long ago.
+// end records that a submission has ended, and removes those whose end is more than retention ago. Only the first
+// call for a submission has an effect.
 func (c *Checker) end(s *submission, at monotime.Instant) {
-	if !s.endedAt.IsZero() { // its client had left before the answer: it is in the order already
+	if !s.endedAt.IsZero() { // the client abandoned it before the answer came
 		return
 	}
 	s.endedAt = at
@@ -249,17 +251,17 @@
 	}
 }
 
-// End ends the run. It returns the findings in order of time, and the number of violations by rule.
-// Submissions past their deadline without an answer are lost.
+// End ends the run. It reports submissions that have no answer although their deadline and grace have passed, and
+// returns the findings in order of time and the number of violations by rule.
 func (c *Checker) End(at monotime.Instant) (findings []Finding, counts map[string]int) {
-	var lost []SubmissionID
+	var unanswered []SubmissionID
 	for id, s := range c.submissions {
-		if s.answerDue && at.After(s.Deadline.Add(c.settings.AnswerGrace)) {
-			lost = append(lost, id)
+		if s.isAnswerDue && at.After(s.Deadline.Add(c.settings.AnswerGrace)) {
+			unanswered = append(unanswered, id)
 		}
 	}
-	slices.Sort(lost)
-	for _, id := range lost {
+	slices.Sort(unanswered)
+	for _, id := range unanswered {
 		c.report(RuleOneAnswer, at,
 			"submission %d at instance %d: no final answer", id, c.submissions[id].Instance)
 	}
--- a/internal/lab/invariants/checker_test.go
+++ b/internal/lab/invariants/checker_test.go
@@ -8,7 +8,7 @@
 	"fawnplank/policy"
 )
 
-// afterMillis returns the instant that many milliseconds after the start.
+// afterMillis returns the instant that is the given number of milliseconds after the start.
 func afterMillis(millis int64) monotime.Instant {
 	return monotime.FromNanos(millis * int64(time.Millisecond))
 }
@@ -17,12 +17,12 @@
 	Classes: []policy.ClassSettings{
 		idempotent:    {LatencyObjective: 750 * time.Millisecond},
 		nonIdempotent: {Idempotency: policy.NonIdempotent},
-		keyOfGroup: {
+		keyedByGroup: {
 			Idempotency: policy.IdempotentWithKey,
 			DedupScope:  policy.DedupByGroup,
 			DedupWindow: time.Second,
 		},
-		keyOfAll: {
+		keyedByAll: {
 			Idempotency: policy.IdempotentWithKey,
 			DedupScope:  policy.DedupByAll,
 			DedupWindow: time.Second,
@@ -45,11 +45,11 @@
 const (
 	idempotent = iota
 	nonIdempotent
-	keyOfGroup
-	keyOfAll
+	keyedByGroup
+	keyedByAll
 )
 
-// violations returns how often events break each rule.
+// violations returns the number of violations by rule in a run with the given events.
 func violations(events ...Event) map[string]int {
 	checker := New(testSettings)
 	var last monotime.Instant
@@ -76,14 +76,16 @@
 	return Event{At: afterMillis(atMillis), Kind: AttemptRefused, Backend: backend}
 }
 
-func ended(atMillis int64, kind Kind) Event { return Event{At: afterMillis(atMillis), Kind: kind} }
+func eventAt(atMillis int64, kind Kind) Event {
+	return Event{At: afterMillis(atMillis), Kind: kind}
+}
 
 func delivered(atMillis int64, state policy.EndpointState) Event {
 	return Event{At: afterMillis(atMillis), Kind: EndpointDelivered, State: state}
 }
 
-// quotaUse are requests of one tenant with a hard quota, at these times.
-func quotaUse(timesMillis ...int64) (events []Event) {
+// hardQuotaRequests returns the events of one-unit requests by a tenant with a hard quota, sent at the given times.
+func hardQuotaRequests(timesMillis ...int64) (events []Event) {
 	for n, atMillis := range timesMillis {
 		id := SubmissionID(n + 1)
 		at := afterMillis(atMillis)
@@ -103,8 +105,8 @@
 	return events
 }
 
-// warmingUp are requests to a backend that has just started, of 0.1 s of work each.
-func warmingUp(count int, isDelivered bool) (events []Event) {
+// slowStartRequests returns the events of requests, each with 0.1 s of work, to a backend that has just started.
+func slowStartRequests(count int, isDelivered bool) (events []Event) {
 	startedAt := afterMillis(100)
 	if isDelivered {
 		start := delivered(100, policy.EndpointReady)
@@ -129,84 +131,84 @@
 
 type checkerTest struct {
 	name   string
-	rule   string // the one broken; empty: none
+	rule   string // the rule that the events break; empty: none
 	events []Event
 }
 
 var answerTests = []checkerTest{
-	{"in order", "", []Event{submitted(idempotent), arrived(10, 1), ended(20, Succeeded)}},
+	{"answered once in time", "", []Event{submitted(idempotent), arrived(10, 1), eventAt(20, Succeeded)}},
 	{"no answer", "1", []Event{submitted(idempotent), arrived(10, 1)}},
-	{"abandoned", "", []Event{submitted(idempotent), arrived(10, 1), ended(500, Abandoned)}},
-	{"two answers", "1", []Event{submitted(idempotent), ended(10, Rejected), ended(20, Succeeded)}},
-	{"answered after the grace", "1", []Event{submitted(idempotent), ended(1101, Aborted)}},
-	{"answered within the grace", "", []Event{submitted(idempotent), ended(1099, Aborted)}},
+	{"abandoned", "", []Event{submitted(idempotent), arrived(10, 1), eventAt(500, Abandoned)}},
+	{"two answers", "1", []Event{submitted(idempotent), eventAt(10, Rejected), eventAt(20, Succeeded)}},
+	{"answered after the grace", "1", []Event{submitted(idempotent), eventAt(1101, Aborted)}},
+	{"answered within the grace", "", []Event{submitted(idempotent), eventAt(1099, Aborted)}},
 	{"sent after the answer", "1",
-		[]Event{submitted(idempotent), ended(10, Rejected), ended(20, AttemptSent)}},
-	{"arrived after the answer", "1", []Event{submitted(idempotent), ended(10, Rejected), arrived(20, 1)}},
-	{"an id twice", "1", []Event{submitted(idempotent), submitted(idempotent), ended(10, Rejected)}},
+		[]Event{submitted(idempotent), eventAt(10, Rejected), eventAt(20, AttemptSent)}},
+	{"arrived after the answer", "1", []Event{submitted(idempotent), eventAt(10, Rejected), arrived(20, 1)}},
+	{"a duplicate submission ID", "1", []Event{submitted(idempotent), submitted(idempotent), eventAt(10, Rejected)}},
 	{"never submitted", "1", []Event{arrived(10, 1)}},
 }
 
-var rerunTests = []checkerTest{
+var duplicateExecutionTests = []checkerTest{
 	{"idempotent, twice", "",
-		[]Event{submitted(idempotent), arrived(10, 1), arrived(20, 2), ended(30, Rejected)}},
+		[]Event{submitted(idempotent), arrived(10, 1), arrived(20, 2), eventAt(30, Rejected)}},
 	{"non-idempotent, twice", "2",
-		[]Event{submitted(nonIdempotent), arrived(10, 1), arrived(20, 2), ended(30, Succeeded)}},
+		[]Event{submitted(nonIdempotent), arrived(10, 1), arrived(20, 2), eventAt(30, Succeeded)}},
 	{"non-idempotent, first refused", "",
 		[]Event{submitted(nonIdempotent), arrived(10, 1), refused(15, 1), arrived(20, 2),
-			ended(30, Succeeded)}},
+			eventAt(30, Succeeded)}},
 	{"non-idempotent, rejected after it may have run", "2",
-		[]Event{submitted(nonIdempotent), arrived(10, 1), ended(30, Rejected)}},
-	{"non-idempotent, aborted", "", []Event{submitted(nonIdempotent), arrived(10, 1), ended(30, Aborted)}},
+		[]Event{submitted(nonIdempotent), arrived(10, 1), eventAt(30, Rejected)}},
+	{"non-idempotent, aborted", "", []Event{submitted(nonIdempotent), arrived(10, 1), eventAt(30, Aborted)}},
 	{"non-idempotent, rejected after it was refused", "",
-		[]Event{submitted(nonIdempotent), arrived(10, 1), refused(11, 1), ended(30, Rejected)}},
+		[]Event{submitted(nonIdempotent), arrived(10, 1), refused(11, 1), eventAt(30, Rejected)}},
 	{"with a key, within the scope", "",
-		[]Event{submitted(keyOfGroup), arrived(10, 1), arrived(20, 3), ended(30, Succeeded)}},
+		[]Event{submitted(keyedByGroup), arrived(10, 1), arrived(20, 3), eventAt(30, Succeeded)}},
 	{"with a key, outside the scope", "2",
-		[]Event{submitted(keyOfGroup), arrived(10, 1), arrived(20, 2), ended(30, Succeeded)}},
+		[]Event{submitted(keyedByGroup), arrived(10, 1), arrived(20, 2), eventAt(30, Succeeded)}},
 	{"with a key, beyond the window", "2",
-		[]Event{{Kind: Submitted, Class: keyOfGroup, Deadline: afterMillis(3000)},
-			arrived(10, 1), arrived(1020, 3), ended(1030, Succeeded)}},
+		[]Event{{Kind: Submitted, Class: keyedByGroup, Deadline: afterMillis(3000)},
+			arrived(10, 1), arrived(1020, 3), eventAt(1030, Succeeded)}},
 	{"with a key of a group, rejected", "2",
-		[]Event{submitted(keyOfGroup), arrived(10, 1), ended(30, Rejected)}},
-	{"with a key of all, rejected", "", []Event{submitted(keyOfAll), arrived(10, 1), ended(30, Rejected)}},
+		[]Event{submitted(keyedByGroup), arrived(10, 1), eventAt(30, Rejected)}},
+	{"with a key of all, rejected", "", []Event{submitted(keyedByAll), arrived(10, 1), eventAt(30, Rejected)}},
 }
 
 var drainTests = []checkerTest{
 	{"within the grace of draining", "",
 		[]Event{delivered(0, policy.EndpointDraining), submitted(idempotent), arrived(499, 0),
-			ended(600, Succeeded)}},
+			eventAt(600, Succeeded)}},
 	{"after the grace of draining", "3",
 		[]Event{delivered(0, policy.EndpointDraining), submitted(idempotent), arrived(501, 0),
-			ended(600, Succeeded)}},
-	{"delivered twice, the first counts", "3",
+			eventAt(600, Succeeded)}},
+	{"gone after draining, the grace counts from draining", "3",
 		[]Event{delivered(0, policy.EndpointDraining), submitted(idempotent),
-			delivered(400, policy.EndpointGone), arrived(600, 0), ended(700, Succeeded)}},
+			delivered(400, policy.EndpointGone), arrived(600, 0), eventAt(700, Succeeded)}},
 	{"ready again", "",
 		[]Event{delivered(0, policy.EndpointDraining), submitted(idempotent),
-			delivered(400, policy.EndpointReady), arrived(600, 0), ended(700, Succeeded)}},
+			delivered(400, policy.EndpointReady), arrived(600, 0), eventAt(700, Succeeded)}},
 	{"delivered to another instance", "",
 		[]Event{{Kind: EndpointDelivered, Instance: 4, State: policy.EndpointDraining},
-			submitted(idempotent), arrived(900, 0), ended(950, Succeeded)}},
+			submitted(idempotent), arrived(900, 0), eventAt(950, Succeeded)}},
 }
 
 var quotaTests = []checkerTest{
-	{"warming up, within the budget", "", warmingUp(10, true)},
-	{"warming up, over the budget", "4", warmingUp(40, true)},
-	{"warming up, before the start was delivered", "", warmingUp(40, false)},
-	{"within the hard quota and its slack", "", quotaUse(0, 0, 0)},
-	{"beyond the hard quota and its slack", "5", quotaUse(0, 0, 0, 0)},
-	{"the hard quota refills", "", quotaUse(0, 0, 0, 1000, 2000)},
+	{"warming up, within the budget", "", slowStartRequests(10, true)},
+	{"warming up, over the budget", "4", slowStartRequests(40, true)},
+	{"warming up, before the start was delivered", "", slowStartRequests(40, false)},
+	{"within the hard quota and its slack", "", hardQuotaRequests(0, 0, 0)},
+	{"beyond the hard quota and its slack", "5", hardQuotaRequests(0, 0, 0, 0)},
+	{"the hard quota refills", "", hardQuotaRequests(0, 0, 0, 1000, 2000)},
 }
 
-// TestChecker_FindsPlantedViolations observes runs that break one rule or none: just that one is found.
-func TestChecker_FindsPlantedViolations(t *testing.T) {
-	for _, tests := range [][]checkerTest{answerTests, rerunTests, drainTests, quotaTests} {
+// TestChecker_DetectsEachViolation checks for runs that break one rule or none that exactly this rule is reported.
+func TestChecker_DetectsEachViolation(t *testing.T) {
+	for _, tests := range [][]checkerTest{answerTests, duplicateExecutionTests, drainTests, quotaTests} {
 		for _, test := range tests {
 			t.Run(test.name, func(t *testing.T) {
 				for rule, count := range violations(test.events...) {
 					if (count > 0) != (rule == test.rule) {
-						t.Errorf("rule %s broken %d times", rule, count)
+						t.Errorf("rule %s: %d violations", rule, count)
 					}
 				}
 			})
@@ -214,8 +216,9 @@
 	}
 }
 
-// TestChecker_ForgetsWhatEnded observes requests for 1000 s: those that ended long ago are forgotten.
-func TestChecker_ForgetsWhatEnded(t *testing.T) {
+// TestChecker_RemovesEndedSubmissions checks that the memory use of a long run is bounded: submissions that ended
+// more than the retention time ago are removed.
+func TestChecker_RemovesEndedSubmissions(t *testing.T) {
 	checker := New(testSettings)
 	for n := range 10000 {
 		at := afterMillis(int64(n) * 100)
@@ -229,14 +232,14 @@
 		checker.Observe(Event{At: at.Add(2 * time.Millisecond), Kind: Succeeded, Submission: id})
 	}
 	if len(checker.submissions) > 400 {
-		t.Errorf("%d submissions are remembered of the last half minute", len(checker.submissions))
+		t.Errorf("%d submissions are kept, more than those of the last 30 s", len(checker.submissions))
 	}
 	if findings, _ := checker.End(monotime.FromNanos(1e15)); len(findings) > 0 {
 		t.Error(findings[0])
 	}
 }
 
-// TestChecker_BoundsFindings breaks a rule often: all violations are counted, and some reported.
+// TestChecker_BoundsFindings checks that all violations of a rule are counted, and at most maxFindings reported.
 func TestChecker_BoundsFindings(t *testing.T) {
 	checker := New(testSettings)
 	for n := range 1000 {
--- a/internal/lab/plots/costs.go
+++ b/internal/lab/plots/costs.go
@@ -12,13 +12,13 @@
 	"fawnplank/internal/lab/dnsbench"
 )
 
-// Size of a picture of costs.
+// The size of a picture of costs.
 const (
 	costsWidthInches  = 6
 	costsHeightInches = 7.2
 )
 
-// costPanel is one plot of costs over the size of the zone.
+// costPanel is one plot of costs by the number of backends in the zone.
 type costPanel struct {
 	title  string
 	unit   string
@@ -26,22 +26,22 @@
 }
 
 var costPanels = []costPanel{
-	{title: "a start", unit: "ms", curves: []curve[dnsbench.Cost]{
+	{title: "time to start", unit: "ms", curves: []curve[dnsbench.Cost]{
 		{"zone file", green, func(cost dnsbench.Cost) float64 { return cost.Load }},
 		{"journal", red, func(cost dnsbench.Cost) float64 { return cost.Start }},
 	}},
-	{title: "an update, from its sending", unit: "ms", curves: []curve[dnsbench.Cost]{
+	{title: "time from the sending of an update", unit: "ms", curves: []curve[dnsbench.Cost]{
 		{"list published, p50", green, func(cost dnsbench.Cost) float64 { return cost.PublishedP50 }},
 		{"list published, p99", red, func(cost dnsbench.Cost) float64 { return cost.PublishedP99 }},
 		{"answered, p50", blue, func(cost dnsbench.Cost) float64 { return cost.AnsweredP50 }},
 		{"answered, p99", purple, func(cost dnsbench.Cost) float64 { return cost.AnsweredP99 }},
 	}},
-	{title: "updates a second, eight updaters", unit: "a second", curves: []curve[dnsbench.Cost]{
+	{title: "updates per second, eight updaters", unit: "per second", curves: []curve[dnsbench.Cost]{
 		{"done", green, func(cost dnsbench.Cost) float64 { return cost.UpdatesPerSecond }},
 	}},
 }
 
-// DrawCosts draws what zones of several sizes cost into a PNG or SVG file.
+// DrawCosts draws the costs of zones of several sizes into a PNG or SVG file.
 func DrawCosts(path string, costs []dnsbench.Cost) error {
 	var grid [][]*plot.Plot
 	for _, panel := range costPanels {
@@ -94,7 +94,7 @@
 func WriteCostTable(w io.Writer, costs []dnsbench.Cost) error {
 	table := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	_, err := fmt.Fprintln(table, "backends\tfile, ms\tjournal, ms\tpublished p50, ms\tpublished p99, ms\t"+
-		"answered p50, ms\tanswered p99, ms\tupdates a second")
+		"answered p50, ms\tanswered p99, ms\tupdates per second")
 	if err != nil {
 		return err
 	}
--- a/internal/lab/plots/draw.go
+++ b/internal/lab/plots/draw.go
@@ -1,7 +1,7 @@
-// Package plots draws the results of runs: for each run a column of panels over time (answers, latencies, the
-// counter, quotas) and its latency percentiles. All columns have the same scales, so that the runs before and
-// after a change can be compared side by side. It also makes the tables and the sweep that go with them. It
-// reads results and writes pictures. Its functions are safe for concurrent use.
+// Package plots draws the results of runs. Each run is a column of panels over time (answers, latencies, counter
+// calls, drift) and a plot of latency percentiles. All columns have the same scales, so that runs before and after
+// a change can be compared side by side. The package also draws sweeps and the costs of zones, and writes tables.
+// Its functions are safe for concurrent use.
 package plots
 
 import (
@@ -22,27 +22,27 @@
 	"fawnplank/internal/lab/results"
 )
 
-// The colors of Okabe and Ito, which remain distinct with most kinds of color blindness.
+// Colors of the Okabe-Ito palette, which are distinguishable with most kinds of color blindness.
 var (
-	green  = color.RGBA{R: 0, G: 158, B: 115, A: 255}
-	orange = color.RGBA{R: 230, G: 159, B: 0, A: 255}
-	red    = color.RGBA{R: 213, G: 94, B: 0, A: 255}
-	blue   = color.RGBA{R: 0, G: 114, B: 178, A: 255}
-	purple = color.RGBA{R: 204, G: 121, B: 167, A: 255}
-	shade  = color.NRGBA{R: 120, G: 120, B: 120, A: 45}
+	green      = color.RGBA{R: 0, G: 158, B: 115, A: 255}
+	orange     = color.RGBA{R: 230, G: 159, B: 0, A: 255}
+	red        = color.RGBA{R: 213, G: 94, B: 0, A: 255}
+	blue       = color.RGBA{R: 0, G: 114, B: 178, A: 255}
+	purple     = color.RGBA{R: 204, G: 121, B: 167, A: 255}
+	faultShade = color.NRGBA{R: 120, G: 120, B: 120, A: 45}
 )
 
-// MaxRuns is how many runs Draw draws side by side.
+// MaxRuns is the largest number of runs that DrawRuns draws side by side.
 const MaxRuns = 4
 
-// Sizes of pictures.
+// The sizes of pictures of runs.
 const (
 	columnInches = 6
 	panelInches  = 2.4
 	pngDPI       = 80
 )
 
-// canvas is a canvas that can be written to a file.
+// canvas is a drawing area that can be written to a file.
 type canvas interface {
 	vg.CanvasSizer
 	io.WriterTo
@@ -57,13 +57,13 @@
 	case ".svg":
 		return vgsvg.New(width, height), nil
 	}
-	return nil, fmt.Errorf("%s: a picture's name ends in .png or .svg", path)
+	return nil, fmt.Errorf("%s: the name of a picture must end in .png or .svg", path)
 }
 
 // DrawRuns draws one run, or up to MaxRuns side by side, into a PNG or SVG file.
 func DrawRuns(path string, runs ...*results.Run) error {
 	if len(runs) == 0 || len(runs) > MaxRuns {
-		return fmt.Errorf("%d runs: one to four stand side by side", len(runs))
+		return fmt.Errorf("cannot draw %d runs: one to four runs are allowed", len(runs))
 	}
 	grid, err := buildGrid(runs)
 	if err != nil {
@@ -79,7 +79,7 @@
 	return writePicture(path, picture)
 }
 
-// runPadding is the space between and around the plots of runs and costs.
+// runPadding is the space between and around the plots in pictures of runs and of costs.
 var runPadding = draw.Tiles{
 	PadX:      vg.Points(8),
 	PadY:      vg.Points(8),
@@ -89,7 +89,7 @@
 	PadRight:  vg.Points(10),
 }
 
-// drawGrid draws rows of plots of one size. The padding needs no numbers of rows and columns.
+// drawGrid draws a grid of plots of equal size. The numbers of rows and columns in padding are ignored.
 func drawGrid(picture canvas, grid [][]*plot.Plot, padding draw.Tiles) {
 	tiles := padding
 	tiles.Rows = len(grid)
@@ -102,7 +102,7 @@
 	}
 }
 
-// writePicture writes a picture to its file. It writes nothing if the picture cannot be encoded.
+// writePicture writes a picture to a file. It creates no file if the picture cannot be encoded.
 func writePicture(path string, picture canvas) error {
 	var encoded bytes.Buffer
 	if _, err := picture.WriteTo(&encoded); err != nil {
--- a/internal/lab/plots/panels.go
+++ b/internal/lab/plots/panels.go
@@ -12,20 +12,20 @@
 )
 
 const (
-	// legendHeadroom is the factor by which an axis exceeds the highest value, to make room for the legend.
+	// legendHeadroom is the ratio of an axis's maximum to the highest value. The excess makes room for the legend.
 	legendHeadroom = 1.3
-	// lineWidth is in typographic points.
+	// lineWidth is the width of curves in typographic points.
 	lineWidth = 1.2
-	// minFaultSeconds is the least width that a fault is drawn with.
-	minFaultSeconds = 0.1
-	// maxObjectiveRatio is how far beyond the highest value an objective is still drawn. One that is higher
-	// would flatten the curves.
+	// minFaultWidthSeconds is the smallest width with which a fault is drawn.
+	minFaultWidthSeconds = 0.1
+	// maxObjectiveRatio is the largest ratio of an objective to the axis's maximum at which the objective is drawn. A
+	// higher objective would compress the curves.
 	maxObjectiveRatio = 1.5
-	// objectiveHeadroom is the factor by which an axis exceeds the objective.
+	// objectiveHeadroom is the ratio of an axis's maximum to the objective.
 	objectiveHeadroom = 1.05
 )
 
-// curve is one line of a panel: a figure of each second, of each run or of each cost.
+// curve is one line of a panel. value returns its height for a row, a run or a cost.
 type curve[T any] struct {
 	name  string
 	color color.Color
@@ -41,7 +41,7 @@
 }
 
 var panels = []panel{
-	{title: "answers a second", unit: "submissions", curves: []curve[results.Row]{
+	{title: "answers per second", unit: "submissions", curves: []curve[results.Row]{
 		{"succeeded", green, func(row results.Row) float64 { return float64(row.Succeeded) }},
 		{"rejected", orange, func(row results.Row) float64 { return float64(row.Rejected) }},
 		{"aborted", red, func(row results.Row) float64 { return float64(row.Aborted) }},
@@ -53,8 +53,8 @@
 		{"p50", green, func(row results.Row) float64 { return row.P50 }},
 		{"p99", red, func(row results.Row) float64 { return row.P99 }},
 	}},
-	{title: "the counter", unit: "calls, instances", curves: []curve[results.Row]{
-		{"calls a second", blue, func(row results.Row) float64 { return float64(row.CounterCalls) }},
+	{title: "counter calls", unit: "calls, instances", curves: []curve[results.Row]{
+		{"calls per second", blue, func(row results.Row) float64 { return float64(row.CounterCalls) }},
 		{"failed", red, func(row results.Row) float64 { return float64(row.CounterFailures) }},
 		{"instances not calling", purple, func(row results.Row) float64 { return float64(row.OpenBreakers) }},
 	}},
@@ -64,7 +64,7 @@
 	}},
 }
 
-// pointsOverTime returns a curve's values in the seconds of a run.
+// pointsOverTime returns a curve's values by the second of a run.
 func pointsOverTime(c curve[results.Row], run *results.Run) plotter.XYs {
 	var points plotter.XYs
 	for _, row := range run.Rows {
@@ -73,7 +73,7 @@
 	return points
 }
 
-// runTitle returns the title of a run.
+// runTitle returns the name of a run's scenario and the run's label, if any.
 func runTitle(run *results.Run) string {
 	if run.Label != "" {
 		return run.Scenario + ", " + run.Label
@@ -81,8 +81,8 @@
 	return run.Scenario
 }
 
-// buildGrid builds a column of plots for each run: the panels, with the same scales in all columns, and the
-// percentiles.
+// buildGrid returns rows of plots with a column for each run: the panels, which have the same scales in all columns,
+// and the latency percentiles.
 func buildGrid(runs []*results.Run) ([][]*plot.Plot, error) {
 	var grid [][]*plot.Plot
 	for _, p := range panels {
@@ -103,47 +103,47 @@
 	return append(grid, percentiles), nil
 }
 
-// extent is the range of a panel's axes.
-type extent struct{ end, top float64 }
+// axisRange is the range of a panel's axes.
+type axisRange struct{ xMax, yMax float64 }
 
-func (p panel) extentOf(runs []*results.Run) extent {
-	var e extent
+func (p panel) axisRangeOf(runs []*results.Run) axisRange {
+	var e axisRange
 	for _, run := range runs {
 		for _, c := range p.curves {
 			for _, point := range pointsOverTime(c, run) {
-				e.end = math.Max(e.end, point.X)
-				e.top = math.Max(e.top, point.Y)
+				e.xMax = math.Max(e.xMax, point.X)
+				e.yMax = math.Max(e.yMax, point.Y)
 			}
 		}
 	}
-	e.top = math.Max(e.top*legendHeadroom, 1)
+	e.yMax = math.Max(e.yMax*legendHeadroom, 1)
 	return e
 }
 
 // plots returns a plot of the panel for each run.
 func (p panel) plots(runs []*results.Run) ([]*plot.Plot, error) {
-	axes := p.extentOf(runs)
+	axes := p.axisRangeOf(runs)
 	var row []*plot.Plot
 	for _, run := range runs {
 		plt := plot.New()
 		plt.Title.Text = runTitle(run) + ": " + p.title
 		plt.X.Label.Text = "s"
 		plt.Y.Label.Text = p.unit
-		if err := addFaults(plt, run, axes.top); err != nil {
+		if err := addFaults(plt, run, axes.yMax); err != nil {
 			return nil, err
 		}
 		if err := p.addCurves(plt, run); err != nil {
 			return nil, err
 		}
-		if p.hasObjective && run.LatencyObjective <= maxObjectiveRatio*axes.top {
+		if p.hasObjective && run.LatencyObjective <= maxObjectiveRatio*axes.yMax {
 			addObjective(plt, run.LatencyObjective)
-			axes.top = math.Max(axes.top, run.LatencyObjective*objectiveHeadroom)
+			axes.yMax = math.Max(axes.yMax, run.LatencyObjective*objectiveHeadroom)
 		}
 		plt.Legend.Top = true
 		plt.X.Min = 0
-		plt.X.Max = axes.end
+		plt.X.Max = axes.xMax
 		plt.Y.Min = 0
-		plt.Y.Max = axes.top
+		plt.Y.Max = axes.yMax
 		row = append(row, plt)
 	}
 	return row, nil
@@ -163,17 +163,17 @@
 	return nil
 }
 
-// addFaults shades the time of each fault.
+// addFaults shades the time during which each fault is active.
 func addFaults(plt *plot.Plot, run *results.Run, top float64) error {
 	for _, fault := range run.Faults {
 		from := fault.From
-		until := math.Max(fault.Until, from+minFaultSeconds)
+		until := math.Max(fault.Until, from+minFaultWidthSeconds)
 		corners := plotter.XYs{{X: from, Y: 0}, {X: until, Y: 0}, {X: until, Y: top}, {X: from, Y: top}}
 		box, err := plotter.NewPolygon(corners)
 		if err != nil {
 			return err
 		}
-		box.Color = shade
+		box.Color = faultShade
 		box.Width = 0
 		plt.Add(box)
 	}
@@ -188,11 +188,11 @@
 	plt.Legend.Add("objective", line)
 }
 
-// percentilePlot draws the latencies of a run by percentile.
+// percentilePlot returns a plot of a run's latencies by percentile.
 func percentilePlot(run *results.Run) (*plot.Plot, error) {
 	plt := plot.New()
 	plt.Title.Text = runTitle(run) + ": latency by percentile"
-	plt.X.Label.Text = "of 1,000 answers, those slower"
+	plt.X.Label.Text = "slower answers per 1,000"
 	plt.Y.Label.Text = "ms"
 	var points plotter.XYs
 	for _, p := range run.Latency {
@@ -200,7 +200,7 @@
 			points = append(points, plotter.XY{X: slower, Y: p.Millis})
 		}
 	}
-	if len(points) < 2 { // nothing was answered, and an empty log axis cannot be drawn
+	if len(points) < 2 { // a logarithmic axis without points cannot be drawn
 		return plt, nil
 	}
 	for _, axis := range []*plot.Axis{&plt.X, &plt.Y} {
--- a/internal/lab/plots/plots_test.go
+++ b/internal/lab/plots/plots_test.go
@@ -13,8 +13,8 @@
 	"fawnplank/internal/lab/scenario"
 )
 
-// twoRuns are runs of one scenario at two rates.
-func twoRuns(t *testing.T) (runs []*results.Run) {
+// runsAtTwoRates returns runs of one scenario at two request rates.
+func runsAtTwoRates(t *testing.T) (runs []*results.Run) {
 	t.Helper()
 	for _, override := range []string{"load.rate=50", "load.rate=100"} {
 		s, err := scenario.Load("../../../lab/scenarios/counter-lost.toml", "on=model", override)
@@ -49,9 +49,9 @@
 	return config.Width, config.Height
 }
 
-// TestDrawRuns draws runs alone and side by side.
+// TestDrawRuns checks the size and the format of pictures of one run and of two runs side by side.
 func TestDrawRuns(t *testing.T) {
-	runs, folder := twoRuns(t), t.TempDir()
+	runs, folder := runsAtTwoRates(t), t.TempDir()
 	one := filepath.Join(folder, "one.png")
 	two := filepath.Join(folder, "two.png")
 	svg := filepath.Join(folder, "two.svg")
@@ -62,11 +62,11 @@
 	}
 	width, height := pngSize(t, one)
 	if w, h := pngSize(t, two); w != 2*width || h != height {
-		t.Errorf("one run is %dx%d, two are %dx%d", width, height, w, h)
+		t.Errorf("the picture of one run is %dx%d, that of two runs is %dx%d", width, height, w, h)
 	}
 	text := readFile(t, svg)
 	if !bytes.Contains(text, []byte("<svg")) || !bytes.Contains(text, []byte("latency")) {
-		t.Errorf("%s is no picture of the run", svg)
+		t.Errorf("%s is not an SVG picture of the run", svg)
 	}
 	if err := DrawRuns(filepath.Join(folder, "x.jpg"), runs...); err == nil {
 		t.Error("a name of no known form was accepted")
@@ -76,9 +76,9 @@
 	}
 }
 
-// TestDrawRuns_WithoutAnswers draws a run in which nothing was answered.
+// TestDrawRuns_WithoutAnswers draws a run without answers, for which no logarithmic axis can be drawn.
 func TestDrawRuns_WithoutAnswers(t *testing.T) {
-	empty := *twoRuns(t)[0]
+	empty := *runsAtTwoRates(t)[0]
 	empty.Latency = nil
 	empty.Rows = []results.Row{{}, {Second: 1}}
 	if err := DrawRuns(filepath.Join(t.TempDir(), "empty.png"), &empty); err != nil {
@@ -88,14 +88,14 @@
 
 func TestDrawSweep(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "sweep.png")
-	if err := DrawSweep(path, "load.rate", []string{"50", "100"}, twoRuns(t)); err != nil {
+	if err := DrawSweep(path, "load.rate", []string{"50", "100"}, runsAtTwoRates(t)); err != nil {
 		t.Error(err)
 	}
 }
 
-// TestWriteTable_ListsViolations writes the table of runs one of which broke a rule.
+// TestWriteTable_ListsViolations checks the table of two runs, one of which has a violation.
 func TestWriteTable_ListsViolations(t *testing.T) {
-	runs := twoRuns(t)
+	runs := runsAtTwoRates(t)
 	runs[1].RulesBroken["2"] = 1
 	runs[1].Findings = append(runs[1].Findings, runs[1].Findings...)
 	var text strings.Builder
@@ -106,14 +106,14 @@
 		"counter-lost, load.rate=50", "rules 1 to 5 broken", "0, 1, 0, 0, 0", "p99.9",
 	} {
 		if !strings.Contains(text.String(), want) {
-			t.Errorf("%q is lacking in:\n%s", want, text.String())
+			t.Errorf("%q is missing in:\n%s", want, text.String())
 		}
 	}
 }
 
-// TestRead_AfterWrite reads a run's file back, and refuses texts that are none.
+// TestRead_AfterWrite checks that a run's file is read back, and that files without a valid run are rejected.
 func TestRead_AfterWrite(t *testing.T) {
-	run := twoRuns(t)[0]
+	run := runsAtTwoRates(t)[0]
 	path := filepath.Join(t.TempDir(), "run.json")
 	if err := run.Write(path); err != nil {
 		t.Fatal(err)
@@ -124,10 +124,10 @@
 	}
 	text := string(readFile(t, path))
 	for faulty, want := range map[string]string{
-		"":                 "no run",
-		text[:len(text)/2]: "no run",
-		strings.Replace(text, `"version": 1`, `"version": 9`, 1): "form 9",
-		`{"version":1}`: "without rows",
+		"":                 "not a results file",
+		text[:len(text)/2]: "not a results file",
+		strings.Replace(text, `"version": 1`, `"version": 9`, 1): "file format version 9 is not supported",
+		`{"version":1}`: "the run has no rows",
 	} {
 		if err := os.WriteFile(path, []byte(faulty), 0o600); err != nil {
 			t.Fatal(err)
--- a/internal/lab/plots/sweep.go
+++ b/internal/lab/plots/sweep.go
@@ -12,13 +12,13 @@
 )
 
 const (
-	// sweepInches is the width and height of a sweep's picture.
+	// sweepInches is the width and height of the picture of a sweep.
 	sweepInches = 7
-	// sweepMargin is the space beside the outermost values, as a part of the distance between two.
+	// sweepMargin is the space beside the outermost values, as a share of the distance between two values.
 	sweepMargin = 0.3
 )
 
-// sweepPanel is one plot of the totals of runs.
+// sweepPanel is one plot of figures of whole runs by the swept value.
 type sweepPanel struct {
 	title  string
 	curves []curve[*results.Run]
@@ -26,7 +26,7 @@
 
 var sweepPanels = []sweepPanel{
 	{title: "shares, %", curves: []curve[*results.Run]{
-		{"succeeded of requests", green, func(run *results.Run) float64 {
+		{"requests that succeeded", green, func(run *results.Run) float64 {
 			requests := float64(run.Total.Requests + run.Total.NotSent)
 			return 100 * float64(run.Total.Succeeded) / math.Max(requests, 1)
 		}},
@@ -45,8 +45,8 @@
 	}},
 }
 
-// DrawSweep draws the results of a scenario that was run with several values of one of its keys; labels are the
-// values.
+// DrawSweep draws the results of runs of a scenario with different values of one of its keys into a PNG or SVG file.
+// labels are the values.
 func DrawSweep(path, key string, labels []string, runs []*results.Run) error {
 	picture, err := newCanvas(path, sweepInches*vg.Inch, sweepInches*vg.Inch)
 	if err != nil {
--- a/internal/lab/plots/table.go
+++ b/internal/lab/plots/table.go
@@ -13,45 +13,45 @@
 
 // tableRow is one line of the table of totals.
 type tableRow struct {
-	name      string
-	value     func(run *results.Run) string
-	isPartial bool // unknown for a run that was seen only from the clients' side
+	name               string
+	value              func(run *results.Run) string
+	isUnknownToClients bool // the value is unknown for runs observed only at the clients
 }
 
 var tableRows = []tableRow{
 	{name: "run", value: runTitle},
-	{name: "played on", value: func(run *results.Run) string {
+	{name: "run environment", value: func(run *results.Run) string {
 		return fmt.Sprintf("%s, %d instances, %d backends, seed %d",
 			run.Environment, run.Instances, run.Backends, run.Seed)
 	}},
 	{name: "requests, submissions", value: func(run *results.Run) string {
-		return joined(run.Total.Requests, run.Total.Submitted)
+		return joinNumbers(run.Total.Requests, run.Total.Submitted)
 	}},
 	{name: "succeeded, of requests", value: func(run *results.Run) string {
-		return percent(float64(run.Total.Succeeded), float64(run.Total.Requests+run.Total.NotSent))
+		return formatPercent(float64(run.Total.Succeeded), float64(run.Total.Requests+run.Total.NotSent))
 	}},
 	{name: "late, of succeeded", value: func(run *results.Run) string {
-		return percent(float64(run.Total.Late), float64(run.Total.Succeeded))
+		return formatPercent(float64(run.Total.Late), float64(run.Total.Succeeded))
 	}},
 	{name: "rejected, aborted, abandoned, not sent", value: func(run *results.Run) string {
-		return joined(run.Total.Rejected, run.Total.Aborted, run.Total.Abandoned, run.Total.NotSent)
+		return joinNumbers(run.Total.Rejected, run.Total.Aborted, run.Total.Abandoned, run.Total.NotSent)
 	}},
 	{name: "p50, p90, p99, p99.9, max, ms", value: func(run *results.Run) string {
 		total := &run.Total
 		return fmt.Sprintf("%.1f, %.1f, %.1f, %.1f, %.1f",
 			total.P50, total.P90, total.P99, total.P999, total.Max)
 	}},
-	{name: "attempts a success", isPartial: true, value: func(run *results.Run) string {
+	{name: "attempts per success", isUnknownToClients: true, value: func(run *results.Run) string {
 		return fmt.Sprintf("%.3f", float64(run.Total.Attempts)/math.Max(float64(run.Total.Succeeded), 1))
 	}},
-	{name: "counter calls, failed", isPartial: true, value: func(run *results.Run) string {
-		return joined(run.Total.CounterCalls, run.Total.CounterFailures)
+	{name: "counter calls, failed", isUnknownToClients: true, value: func(run *results.Run) string {
+		return joinNumbers(run.Total.CounterCalls, run.Total.CounterFailures)
 	}},
-	{name: "withdrawn, with an attempt after, p50, p99, max, ms", isPartial: true, value: withdrawals},
-	{name: "dns updates answered", isPartial: true, value: func(run *results.Run) string {
+	{name: "withdrawn, with an attempt after, p50, p99, max, ms", isUnknownToClients: true, value: formatWithdrawals},
+	{name: "dns updates answered", isUnknownToClients: true, value: func(run *results.Run) string {
 		return fmt.Sprint(run.DNSUpdates)
 	}},
-	{name: "drift: over, under", isPartial: true, value: func(run *results.Run) string {
+	{name: "drift: over, under", isUnknownToClients: true, value: func(run *results.Run) string {
 		over, under := run.Drift()
 		return fmt.Sprintf("%.1f%%, %.1f%%", 100*over, 100*under)
 	}},
@@ -60,11 +60,11 @@
 	}},
 	{name: "rules 1 to 5 broken", value: func(run *results.Run) string {
 		broken := run.RulesBroken
-		return joined(broken["1"], broken["2"], broken["3"], broken["4"], broken["5"])
+		return joinNumbers(broken["1"], broken["2"], broken["3"], broken["4"], broken["5"])
 	}},
 }
 
-func withdrawals(run *results.Run) string {
+func formatWithdrawals(run *results.Run) string {
 	w := run.Withdrawals
 	if w == nil {
 		return "none"
@@ -72,7 +72,7 @@
 	return fmt.Sprintf("%d, %d, %.1f, %.1f, %.1f", w.Count, w.WithLateAttempt, w.P50, w.P99, w.Max)
 }
 
-func joined(numbers ...int) string {
+func joinNumbers(numbers ...int) string {
 	texts := make([]string, len(numbers))
 	for n, number := range numbers {
 		texts[n] = fmt.Sprint(number)
@@ -80,17 +80,19 @@
 	return strings.Join(texts, ", ")
 }
 
-func percent(part, whole float64) string { return fmt.Sprintf("%.1f%%", 100*part/math.Max(whole, 1)) }
+func formatPercent(part, whole float64) string {
+	return fmt.Sprintf("%.1f%%", 100*part/math.Max(whole, 1))
+}
 
 // cell returns a row's text for a run.
 func (r tableRow) cell(run *results.Run) string {
-	if r.isPartial && run.Environment == results.EnvironmentClients {
-		return "not seen by clients"
+	if r.isUnknownToClients && run.Environment == results.EnvironmentClients {
+		return "unknown to clients"
 	}
 	return r.value(run)
 }
 
-// WriteTable writes the runs' totals side by side, and the findings of broken rules.
+// WriteTable writes the totals of runs side by side, and then the findings of violated rules.
 func WriteTable(w io.Writer, runs ...*results.Run) error {
 	table := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	for _, row := range tableRows {
--- a/internal/lab/results/exact_quota.go
+++ b/internal/lab/results/exact_quota.go
@@ -7,9 +7,9 @@
 	"fawnplank/internal/monotime"
 )
 
-// exactQuota compares a tenant's use with that of one exact counter. It has two token buckets, which start full
-// and refill at the plan's rate: sentTokens pays for the units that gateways sent on, exactTokens for those that
-// the exact counter would have admitted of the same submissions.
+// exactQuota compares the units that gateways forwarded for a tenant with those that one exact counter would have
+// admitted of the same submissions. It has two token buckets that start full and refill at the plan's rate:
+// forwarded units are drawn from sentTokens, and units admitted by the exact counter from exactTokens.
 type exactQuota struct {
 	sentTokens  float64
 	exactTokens float64
@@ -18,16 +18,16 @@
 	exactUnits  float64
 }
 
-// drift returns by how many whole units the tenant had more, or less, than the exact counter would have
-// admitted.
+// drift returns how many units, rounded to whole ones, the tenant got beyond or below what the exact counter would
+// have admitted.
 func (q *exactQuota) drift() (over, under float64) {
 	over = math.Max(math.Round(q.sentUnits-q.exactUnits), 0)
 	under = math.Max(math.Round(q.exactUnits-q.sentUnits), 0)
 	return over, under
 }
 
-// refilledQuota returns the quota of a submission's tenant refilled up to a time, or nil if its plan has
-// none.
+// refilledQuota returns the quota of a submission's tenant, refilled up to the given time. It returns nil if the
+// tenant's plan has no quota.
 func (r *Recorder) refilledQuota(at monotime.Instant, submission invariants.Event) *exactQuota {
 	plan := r.scenario.Plans[submission.Plan]
 	if plan.Rate <= 0 {
@@ -45,8 +45,8 @@
 	return quota
 }
 
-// admitExact makes the exact counter decide on a submission.
-func (r *Recorder) admitExact(submission invariants.Event) {
+// applyExactQuota draws a submission's units from the exact counter's tokens if these suffice.
+func (r *Recorder) applyExactQuota(submission invariants.Event) {
 	quota := r.refilledQuota(submission.At, submission)
 	if quota == nil || quota.exactTokens < submission.Units {
 		return
@@ -56,8 +56,8 @@
 	r.row.UnitsExact += submission.Units
 }
 
-// drawExact draws the units of a submission that an instance sent on.
-func (r *Recorder) drawExact(at monotime.Instant, submission invariants.Event) {
+// recordSentUnits records the units of a submission that an instance forwarded to a backend.
+func (r *Recorder) recordSentUnits(at monotime.Instant, submission invariants.Event) {
 	quota := r.refilledQuota(at, submission)
 	if quota == nil {
 		return
--- a/internal/lab/results/histogram.go
+++ b/internal/lab/results/histogram.go
@@ -2,7 +2,7 @@
 
 import "github.com/HdrHistogram/hdrhistogram-go"
 
-// The range of the histograms: up to two minutes, with three digits.
+// The range of the histograms is up to two minutes, with three significant digits.
 const (
 	maxLatencyMicros = 120e6
 	latencyDigits    = 3
@@ -16,11 +16,11 @@
 }
 
 func (h histogram) record(micros int64) {
-	// It returns an error only for values above the range.
+	// RecordValue fails only for values above the range.
 	_ = h.RecordValue(min(micros, maxLatencyMicros))
 }
 
-// millisAt returns a percentile in milliseconds.
+// millisAt returns the latency at a percentile, in milliseconds.
 func (h histogram) millisAt(percent float64) float64 {
 	return float64(h.ValueAtQuantile(percent)) / 1e3
 }
--- a/internal/lab/results/log.go
+++ b/internal/lab/results/log.go
@@ -9,39 +9,39 @@
 	"fawnplank/internal/monotime"
 )
 
-// EventLog connects a recorder to the wall clock for many goroutines: it stamps each event when it comes in, so
-// that all events are in one order. It remembers which instance a submission went to, since a backend does
-// not see that.
+// EventLog passes events from many goroutines to a recorder. It sets each event's time when it receives the event,
+// so that the events are in one order. It also keeps the instance of each submission, because a backend cannot
+// tell which instance sent an attempt.
 type EventLog struct {
-	start atomic.Pointer[time.Time] // nil: the run has not begun, and events get the time of its start
+	start atomic.Pointer[time.Time] // nil before the run begins; events then get the time 0
 
-	mu        sync.Mutex // of the fields below
-	recorder  *Recorder
-	instances map[invariants.SubmissionID]int
-	kills     map[int]kills // by instance
-	events    uint64
-	finished  bool
+	mu         sync.Mutex // guards the fields below
+	recorder   *Recorder
+	instances  map[invariants.SubmissionID]int
+	kills      map[int]kills // by instance index
+	events     uint64
+	isFinished bool
 }
 
-// kills counts how often an instance was killed. Between the signal and the end of its process it may still
-// accept a connection and read a request, so the two are counted apart.
+// kills counts how often an instance was killed. Between the signal and the end of its process, an instance may
+// still accept a connection and read a request, so signals and exits are counted separately.
 type kills struct {
-	begun int // the signal is about to be sent
-	ended int // the process has ended
+	begun int // signals that were sent or are about to be
+	ended int // processes that have exited
 }
 
-// NewEventLog returns a log that writes to a recorder.
+// NewEventLog returns an event log that passes its events to a recorder.
 func NewEventLog(recorder *Recorder) *EventLog {
 	return &EventLog{recorder: recorder, instances: map[invariants.SubmissionID]int{}, kills: map[int]kills{}}
 }
 
-// Begin starts the run's time.
+// Begin starts the run's clock.
 func (l *EventLog) Begin() {
 	now := time.Now()
 	l.start.Store(&now)
 }
 
-// Now returns the present time on the run's clock, which starts from 0. It is 0 until the run begins.
+// Now returns the time since the run began, or 0 before that.
 func (l *EventLog) Now() monotime.Instant {
 	if start := l.start.Load(); start != nil {
 		return monotime.FromNanos(int64(time.Since(*start)))
@@ -49,10 +49,10 @@
 	return monotime.Instant{}
 }
 
-// Start returns when the run began.
+// Start returns the wall-clock time at which the run began. It must not be called before Begin.
 func (l *EventLog) Start() time.Time { return *l.start.Load() }
 
-// ObserveSubmitted observes a submission whose client waits for the remaining time from now on.
+// ObserveSubmitted records a submission with the current time. Its deadline is the remaining time from now.
 func (l *EventLog) ObserveSubmitted(event invariants.Event, remaining time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -62,8 +62,8 @@
 	l.record(event)
 }
 
-// Observe stamps an event, which is no submission, and records it. InstanceDied is observed before the
-// instance is killed; ObserveInstanceExit must follow once its process has ended.
+// Observe records an event other than a submission with the current time. InstanceDied must be observed before the
+// instance is killed, and ObserveInstanceExit called after its process has exited.
 func (l *EventLog) Observe(event invariants.Event) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -71,9 +71,9 @@
 	l.record(event)
 }
 
-// record passes an event to the recorder unless the run is over. The caller holds the lock.
+// record passes an event to the recorder unless the run is over. The caller must hold the lock.
 func (l *EventLog) record(event invariants.Event) {
-	if l.finished {
+	if l.isFinished {
 		return
 	}
 	l.events++
@@ -83,25 +83,26 @@
 	case invariants.AttemptArrived, invariants.AttemptRefused:
 		event.Instance = l.instances[event.Submission]
 	case invariants.InstanceDied:
-		l.countKill(event.Instance, kills{begun: 1})
+		l.addKills(event.Instance, kills{begun: 1})
 	}
 	l.recorder.Observe(event)
 }
 
-// ObserveInstanceExit records that the process of an instance that was killed has ended.
+// ObserveInstanceExit records that the process of a killed instance has exited.
 func (l *EventLog) ObserveInstanceExit(instance int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.countKill(instance, kills{ended: 1})
+	l.addKills(instance, kills{ended: 1})
 }
 
-// countKill adds to the counts of an instance. The caller holds the lock.
-func (l *EventLog) countKill(instance int, added kills) {
+// addKills adds to the kill counts of an instance. The caller must hold the lock.
+func (l *EventLog) addKills(instance int, added kills) {
 	k := l.kills[instance]
 	l.kills[instance] = kills{begun: k.begun + added.begun, ended: k.ended + added.ended}
 }
 
-// Incarnation numbers the processes of an instance: it returns how many of them were killed and have ended.
+// Incarnation returns the number of an instance's current process, which is how many of its processes were killed
+// and have exited.
 func (l *EventLog) Incarnation(instance int) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -122,31 +123,31 @@
 	l.recorder.CountNotSent(l.Now())
 }
 
-// CountCounterCall counts a call of the counter.
+// CountCounterCall counts a call to the counter, and its failure if it failed.
 func (l *EventLog) CountCounterCall(failed bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.recorder.CountCounterCall(l.Now(), failed)
 }
 
-// CountDNSUpdate counts an update that a gateway answered.
+// CountDNSUpdate counts a DNS update that a gateway answered.
 func (l *EventLog) CountDNSUpdate() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.recorder.CountDNSUpdate()
 }
 
-// SetOpenBreakers records how many instances make no calls.
+// SetOpenBreakers records how many instances make no calls to the counter.
 func (l *EventLog) SetOpenBreakers(instances int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.recorder.SetOpenBreakers(l.Now(), instances)
 }
 
-// Finish ends the run and returns its results; later events are dropped.
+// Finish ends the run and returns its results. Later events are dropped.
 func (l *EventLog) Finish() *Run {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.finished = true
+	l.isFinished = true
 	return l.recorder.Finish(l.Now(), l.events)
 }
--- a/internal/lab/results/recorder.go
+++ b/internal/lab/results/recorder.go
@@ -9,29 +9,29 @@
 	"fawnplank/policy"
 )
 
-// pending is a submission that has no answer yet.
+// pending is a submission that has neither been answered nor abandoned.
 type pending struct {
 	invariants.Event
-	hasArrived bool
+	hasArrived bool // an attempt of it has arrived at a backend
 }
 
-// Recorder turns the events that it observes, in order of time, into results. Instants count from the run's
+// Recorder computes a run's results from events that it observes in order of time. Instants count from the run's
 // start.
 type Recorder struct {
 	scenario        *scenario.Scenario
 	checker         *invariants.Checker
 	run             *Run
 	row             Row
-	rowLatency      histogram // of the row's successes
-	latency         histogram // of the run's successes
+	rowLatency      histogram // latencies of successful submissions in the current row
+	latency         histogram // latencies of successful submissions in the run
 	pending         map[invariants.SubmissionID]*pending
 	quotas          map[int]*exactQuota // by tenant
 	withdrawals     map[invariants.Route]*withdrawal
 	withdrawalTimes histogram
 }
 
-// New returns a recorder for a scenario. slack is how long a message may be in transit, where only
-// its sending or its arrival is observed. Classes and plans come from the settings, which the gateways have too.
+// New returns a recorder for a scenario. settings are the gateways' settings, which define classes and plans. slack
+// is the allowance for the transit time of a message of which only the sending or the arrival is observed.
 func New(s *scenario.Scenario, settings policy.Settings, slack time.Duration) *Recorder {
 	return &Recorder{
 		scenario:        s,
@@ -47,7 +47,7 @@
 }
 
 func checkerSettings(s *scenario.Scenario, settings policy.Settings, slack time.Duration) invariants.Settings {
-	checked := invariants.Settings{
+	rules := invariants.Settings{
 		Classes:           settings.Classes,
 		Plans:             settings.Plans,
 		AnswerGrace:       time.Duration(s.Rules.DeadlineGrace),
@@ -62,9 +62,9 @@
 		Group:             func(backend int) int { return backend % s.Backends.Groups },
 	}
 	for _, plan := range s.Plans {
-		checked.HardQuotaSlack = append(checked.HardQuotaSlack, plan.HardQuotaSlack)
+		rules.HardQuotaSlack = append(rules.HardQuotaSlack, plan.HardQuotaSlack)
 	}
-	return checked
+	return rules
 }
 
 func newRun(s *scenario.Scenario) *Run {
@@ -85,27 +85,27 @@
 	return run
 }
 
-// newFaultSpan returns the span of a fault, which lasts until it ends for the last of its staggered targets.
+// newFaultSpan returns the time from the start of a fault at its first target to the end at its last target.
 func newFaultSpan(s *scenario.Scenario, fault scenario.Fault) FaultSpan {
 	occurrences := s.Occurrences(fault)
 	return FaultSpan{
-		Kind:  storedFaultKind(fault.Kind),
+		Kind:  faultKindInFile(fault.Kind),
 		From:  monotime.Seconds(occurrences[0].Begin),
 		Until: monotime.Seconds(occurrences[len(occurrences)-1].End),
 	}
 }
 
-// storedFaultKind returns the name of a kind of fault in the file of a run, which keeps the names that it has
-// always had.
-func storedFaultKind(kind scenario.FaultKind) string {
+// faultKindInFile returns the name of a kind of fault in results files. These keep the original names of kinds that
+// have been renamed in scenario files.
+func faultKindInFile(kind scenario.FaultKind) string {
 	if kind == scenario.InstanceRestart {
 		return "door-restart"
 	}
 	return string(kind)
 }
 
-// advance closes rows up to the second that contains a time.
-func (r *Recorder) advance(at monotime.Instant) {
+// closeRowsBefore closes the rows of all seconds that end at or before the given time.
+func (r *Recorder) closeRowsBefore(at monotime.Instant) {
 	for at.Sub(monotime.Instant{}) >= time.Duration(r.row.Second+1)*time.Second {
 		r.closeRow()
 	}
@@ -126,9 +126,9 @@
 	r.row = Row{Second: r.row.Second + 1}
 }
 
-// Observe records the next event.
+// Observe records the next event, which must not be earlier than the previous one.
 func (r *Recorder) Observe(event invariants.Event) {
-	r.advance(event.At)
+	r.closeRowsBefore(event.At)
 	r.checker.Observe(event)
 	switch event.Kind {
 	case invariants.EndpointDelivered:
@@ -146,7 +146,7 @@
 
 func (r *Recorder) recordSubmission(event invariants.Event) {
 	r.pending[event.Submission] = &pending{Event: event}
-	r.admitExact(event)
+	r.applyExactQuota(event)
 	r.row.Submitted++
 	if !event.IsRetry {
 		r.run.Total.Requests++
@@ -156,11 +156,11 @@
 func (r *Recorder) recordArrival(event invariants.Event) {
 	r.row.Attempts++
 	if w := r.withdrawals[invariants.Route{Instance: event.Instance, Backend: event.Backend}]; w != nil {
-		w.lastAttempt = max(event.At.Sub(w.deliveredAt), minWithdrawal)
+		w.lastAttemptDelay = max(event.At.Sub(w.deliveredAt), minLastAttemptDelay)
 	}
 	if submission := r.pending[event.Submission]; submission != nil && !submission.hasArrived {
 		submission.hasArrived = true
-		r.drawExact(event.At, submission.Event)
+		r.recordSentUnits(event.At, submission.Event)
 	}
 }
 
@@ -194,52 +194,52 @@
 	}
 }
 
-// CountDNSUpdate counts an update that a gateway answered.
+// CountDNSUpdate counts a DNS update that a gateway answered.
 func (r *Recorder) CountDNSUpdate() { r.run.DNSUpdates++ }
 
 // CountNotSent counts a request that no instance accepted.
 func (r *Recorder) CountNotSent(at monotime.Instant) {
-	r.advance(at)
+	r.closeRowsBefore(at)
 	r.row.NotSent++
 }
 
 // CountCounterCall counts a call to the counter, and its failure if it failed.
 func (r *Recorder) CountCounterCall(at monotime.Instant, failed bool) {
-	r.advance(at)
+	r.closeRowsBefore(at)
 	r.row.CounterCalls++
 	if failed {
 		r.row.CounterFailures++
 	}
 }
 
-// SetOpenBreakers records how many instances have an open breaker.
+// SetOpenBreakers records how many instances have an open circuit breaker.
 func (r *Recorder) SetOpenBreakers(at monotime.Instant, instances int) {
-	r.advance(at)
+	r.closeRowsBefore(at)
 	r.row.OpenBreakers = instances
 }
 
 // Finish ends the run and returns its results.
 func (r *Recorder) Finish(at monotime.Instant, events uint64) *Run {
-	r.advance(at)
+	r.closeRowsBefore(at)
 	r.closeRow()
 	r.run.Events = events
 	r.run.Findings, r.run.RulesBroken = r.checker.End(at)
 	for key := range r.withdrawals {
-		r.settleWithdrawal(key)
+		r.endWithdrawal(key)
 	}
-	r.finishWithdrawals()
+	r.summarizeWithdrawals()
 	for _, row := range r.run.Rows {
 		r.run.Total.add(row)
 	}
 	r.run.Total.Second = len(r.run.Rows)
 	if r.latency.TotalCount() > 0 {
-		r.finishLatency()
+		r.summarizeLatency()
 	}
 	return r.run
 }
 
-// finishLatency reads the percentiles of the whole run.
-func (r *Recorder) finishLatency() {
+// summarizeLatency sets the latency percentiles of the whole run.
+func (r *Recorder) summarizeLatency() {
 	total := &r.run.Total
 	total.P50 = r.latency.millisAt(50)
 	total.P90 = r.latency.millisAt(90)
--- a/internal/lab/results/version0_test.go
+++ b/internal/lab/results/version0_test.go
@@ -61,10 +61,10 @@
 factor = 10
 `
 
-// exampleFinding is the finding in the run of the version before.
+// exampleFinding is the finding in the fixture.
 var exampleFinding = invariants.Finding{Rule: 3, At: monotime.FromNanos(2_500_000_000), Description: "an example"}
 
-// version0Run is the file of a run of the version before.
+// version0Run returns the path of the fixture, a results file written by an earlier version of the package.
 func version0Run(t *testing.T) string {
 	t.Helper()
 	return testutil.Fixture(t, "run.json", func(path string) {
@@ -87,9 +87,9 @@
 	})
 }
 
-// TestRead_ReadsVersion0Run reads a run of the version before, and writes it anew as the same bytes. The
-// model made its rows; label, updates, lag and a finding, which the model has none of, were put in so that
-// each field is there.
+// TestRead_ReadsVersion0Run checks that a stored run of the earlier version is read with all its values, and that
+// writing it again gives the same bytes. The model produced the fixture's rows. Label, updates, lag and a finding,
+// which the model does not produce, were added so that every field is present.
 func TestRead_ReadsVersion0Run(t *testing.T) {
 	path := version0Run(t)
 	r, err := results.Read(path)
@@ -100,14 +100,14 @@
 	if r.Scenario != "version-0" || r.Description != about || r.Environment != "model" || r.Label != "before" ||
 		r.Seed != 7 || r.Instances != 2 || r.Backends != 3 || r.Rate != 200 || r.LatencyObjective != 200 ||
 		r.Events != 11159 || r.DNSUpdates != 4 || r.LagP50 != 0.25 || r.LagP99 != 1.5 {
-		t.Errorf("head: %+v", r)
+		t.Errorf("fields other than rows and totals: %+v", r)
 	}
 	text, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if again, err := r.Bytes(); err != nil || !bytes.Equal(again, text) {
-		t.Errorf("written anew (%v): %d bytes, not the fixture's %d", err, len(again), len(text))
+		t.Errorf("written again (error %v): %d bytes, which differ from the fixture's %d", err, len(again), len(text))
 	}
 	total := results.Total{Row: results.Row{
 		Second: 8, Submitted: 2181, Succeeded: 170, Late: 5, Rejected: 2007, Aborted: 2, Abandoned: 4,
@@ -140,13 +140,15 @@
 	}
 }
 
-// TestStoredTypes_HaveTags checks that a tag, not the Go field name, names each stored field.
+// TestStoredTypes_HaveTags checks that every stored field has a JSON tag, so that renaming a Go field does not
+// change the file format.
 func TestStoredTypes_HaveTags(t *testing.T) {
 	testutil.CheckJSONTags(t, results.Run{})
 }
 
-// TestNew_StoresKindsOfFaultByTheirFirstNames: files of runs keep the kind that scenarios have renamed.
-func TestNew_StoresKindsOfFaultByTheirFirstNames(t *testing.T) {
+// TestNew_StoresFaultKindsUnderOriginalNames checks that results files keep the original name of a kind of fault
+// that scenario files have renamed.
+func TestNew_StoresFaultKindsUnderOriginalNames(t *testing.T) {
 	s, err := scenario.Parse("version-0", []byte(version0Scenario))
 	if err != nil {
 		t.Fatal(err)
--- a/internal/lab/results/withdrawal.go
+++ b/internal/lab/results/withdrawal.go
@@ -8,26 +8,26 @@
 	"fawnplank/policy"
 )
 
-// minWithdrawal distinguishes a last attempt that arrived at the time of the delivery from no attempt, which
-// is 0.
-const minWithdrawal = time.Microsecond
+// minLastAttemptDelay is recorded for a last attempt that arrived at the very time of the delivery, because a delay
+// of 0 means that no attempt arrived.
+const minLastAttemptDelay = time.Microsecond
 
-// withdrawal is when a backend was delivered as gone, and how long after that the last attempt came.
+// withdrawal is the removal of a backend as seen by one instance.
 type withdrawal struct {
-	deliveredAt monotime.Instant
-	lastAttempt time.Duration // after that; 0: none came
+	deliveredAt      monotime.Instant // when the instance received the removal
+	lastAttemptDelay time.Duration    // from deliveredAt to the arrival of the last attempt; 0: none arrived
 }
 
 func (r *Recorder) recordDelivery(event invariants.Event) {
 	key := invariants.Route{Instance: event.Instance, Backend: event.Backend}
-	r.settleWithdrawal(key)
+	r.endWithdrawal(key)
 	if event.State == policy.EndpointGone {
 		r.withdrawals[key] = &withdrawal{deliveredAt: event.At}
 	}
 }
 
-// settleWithdrawal records how a withdrawal ended, once the backend is back or the run is over.
-func (r *Recorder) settleWithdrawal(key invariants.Route) {
+// endWithdrawal adds a withdrawal to the results once the backend is listed again or the run is over.
+func (r *Recorder) endWithdrawal(key invariants.Route) {
 	w := r.withdrawals[key]
 	if w == nil {
 		return
@@ -37,14 +37,14 @@
 		r.run.Withdrawals = &Withdrawals{}
 	}
 	r.run.Withdrawals.Count++
-	if w.lastAttempt > 0 {
+	if w.lastAttemptDelay > 0 {
 		r.run.Withdrawals.WithLateAttempt++
 	}
-	r.withdrawalTimes.record(w.lastAttempt.Microseconds())
+	r.withdrawalTimes.record(w.lastAttemptDelay.Microseconds())
 }
 
-// finishWithdrawals reads the percentiles of the withdrawals, if there were any.
-func (r *Recorder) finishWithdrawals() {
+// summarizeWithdrawals sets the percentiles of the withdrawals if there were any.
+func (r *Recorder) summarizeWithdrawals() {
 	w := r.run.Withdrawals
 	if w == nil {
 		return
