--- a/internal/lab/scenario/fault.go
+++ b/internal/lab/scenario/fault.go
@@ -2,33 +2,33 @@
 
 import "math"
 
-// FaultKind says what goes wrong.
+// FaultKind is a kind of fault.
 type FaultKind string
 
 // The kinds of fault.
 const (
-	BackendRefuse   FaultKind = "backend-refuse"   // connections are refused
-	BackendHang     FaultKind = "backend-hang"     // accepts attempts and answers none
-	BackendSlow     FaultKind = "backend-slow"     // work takes factor times as long
-	BackendReset    FaultKind = "backend-reset"    // the connection breaks in the middle of an answer
-	BackendGarble   FaultKind = "backend-garble"   // answers are noise
+	BackendRefuse   FaultKind = "backend-refuse"   // the backend refuses connections
+	BackendHang     FaultKind = "backend-hang"     // the backend accepts attempts and never answers
+	BackendSlow     FaultKind = "backend-slow"     // work takes Factor times as long
+	BackendReset    FaultKind = "backend-reset"    // the backend resets the connection within an answer
+	BackendGarble   FaultKind = "backend-garble"   // answers are not valid responses
 	BackendError    FaultKind = "backend-error"    // answers are errors
-	BackendDrain    FaultKind = "backend-drain"    // listed as draining; refuses new work
-	BackendVanish   FaultKind = "backend-vanish"   // dies, leaves the list, and comes back to warm up
-	BackendWithdraw FaultKind = "backend-withdraw" // leaves the list, runs on, and returns as a new one
-	BackendRestart  FaultKind = "backend-restart"  // dies and comes back to warm up, with a new start
-	CounterRefuse   FaultKind = "counter-refuse"   // refuses connections
-	CounterHang     FaultKind = "counter-hang"     // accepts calls and answers none until the end
-	CounterSlow     FaultKind = "counter-slow"     // answers late by delay
-	CounterEmpty    FaultKind = "counter-empty"    // loses all numbers, at once
-	CounterCut      FaultKind = "counter-cut"      // gives the instances named no answer
-	DiscoveryStale  FaultKind = "discovery-stale"  // delivers nothing until the end
-	DiscoveryLate   FaultKind = "discovery-late"   // delivers changes late by delay
-	DiscoveryRefuse FaultKind = "discovery-refuse" // refuses connections; model: as stale
-	InstanceRestart FaultKind = "gateway-restart"  // killed, and started anew at the end
+	BackendDrain    FaultKind = "backend-drain"    // listed as draining, and refuses new attempts
+	BackendVanish   FaultKind = "backend-vanish"   // drops off the network and the list, and restarts at the end
+	BackendWithdraw FaultKind = "backend-withdraw" // leaves the list, keeps running, and returns with a new start time
+	BackendRestart  FaultKind = "backend-restart"  // the process crashes, and restarts at the end
+	CounterRefuse   FaultKind = "counter-refuse"   // the counter refuses connections
+	CounterHang     FaultKind = "counter-hang"     // the counter accepts calls and answers none until the end
+	CounterSlow     FaultKind = "counter-slow"     // answers are late by Delay
+	CounterEmpty    FaultKind = "counter-empty"    // the counter loses all totals at once
+	CounterCut      FaultKind = "counter-cut"      // calls of the target instances get no answer
+	DiscoveryStale  FaultKind = "discovery-stale"  // no changes are delivered until the end
+	DiscoveryLate   FaultKind = "discovery-late"   // changes are delivered late by Delay
+	DiscoveryRefuse FaultKind = "discovery-refuse" // discovery refuses connections; model: like DiscoveryStale
+	InstanceRestart FaultKind = "gateway-restart"  // the instance is killed, and restarted at the end
 )
 
-// targetKind says what the targets of a fault are, in the words of errors.
+// targetKind is the kind of a fault's targets, as error messages name it.
 type targetKind string
 
 const (
@@ -37,7 +37,7 @@
 	instanceTargets targetKind = "gateways"
 )
 
-// parameter is a key that a kind of fault needs.
+// parameter is a key that some kinds of fault require.
 type parameter string
 
 const (
@@ -45,17 +45,17 @@
 	delayParameter  parameter = "delay"
 )
 
-// faultTraits say which keys a kind of fault has.
+// faultTraits describe which keys a kind of fault has.
 type faultTraits struct {
-	targets   targetKind
-	needs     parameter
-	isInstant bool // it acts when it begins, and needs no duration
+	targets           targetKind
+	requiredParameter parameter
+	isInstant         bool // the fault takes effect at its start and needs no duration
 }
 
-var traitsOf = map[FaultKind]faultTraits{
+var traitsByKind = map[FaultKind]faultTraits{
 	BackendRefuse:   {targets: backendTargets},
 	BackendHang:     {targets: backendTargets},
-	BackendSlow:     {targets: backendTargets, needs: factorParameter},
+	BackendSlow:     {targets: backendTargets, requiredParameter: factorParameter},
 	BackendReset:    {targets: backendTargets},
 	BackendGarble:   {targets: backendTargets},
 	BackendError:    {targets: backendTargets},
@@ -65,30 +65,30 @@
 	BackendWithdraw: {targets: backendTargets},
 	CounterRefuse:   {},
 	CounterHang:     {},
-	CounterSlow:     {needs: delayParameter},
+	CounterSlow:     {requiredParameter: delayParameter},
 	CounterEmpty:    {isInstant: true},
 	CounterCut:      {targets: instanceTargets},
 	DiscoveryStale:  {},
-	DiscoveryLate:   {needs: delayParameter},
+	DiscoveryLate:   {requiredParameter: delayParameter},
 	DiscoveryRefuse: {},
 	InstanceRestart: {targets: instanceTargets},
 }
 
-// Fault is something that goes wrong from a time on for a duration. Times count from the run's start.
+// Fault is a fault that a scenario injects. Times count from the run's start.
 type Fault struct {
 	Kind           FaultKind `toml:"kind"`
 	At             Span      `toml:"at"`
-	Duration       Span      `toml:"duration"` // above 0, but for an instant kind
+	Duration       Span      `toml:"duration"` // above 0, except for an instant kind
 	Targets        []int     `toml:"targets"`  // numbers of backends or instances, from 0
-	Share          float64   `toml:"share"`    // instead of targets: this share of them all, the first ones
-	Factor         float64   `toml:"factor"`   // BackendSlow: how many times as long work takes
-	Delay          Span      `toml:"delay"`    // CounterSlow, DiscoveryLate: how late
-	Stagger        Span      `toml:"stagger"`  // time between one target and the next
-	Repeats        int       `toml:"repeats"`  // how often the fault comes; 0: once
+	Share          float64   `toml:"share"`    // instead of Targets: this share of all of them, from number 0
+	Factor         float64   `toml:"factor"`   // BackendSlow: the factor by which work takes longer
+	Delay          Span      `toml:"delay"`    // CounterSlow, DiscoveryLate: additional delay
+	Stagger        Span      `toml:"stagger"`  // time between the starts at two successive targets
+	Repeats        int       `toml:"repeats"`  // number of occurrences; 0: one
 	RepeatInterval Span      `toml:"repeat_interval"`
 }
 
-// expandRepeats replaces each fault that repeats by as many single faults.
+// expandRepeats replaces each repeated fault by a single fault per occurrence.
 func expandRepeats(faults []Fault) (expanded []Fault) {
 	for _, fault := range faults {
 		for n := range max(fault.Repeats, 1) {
@@ -106,14 +106,14 @@
 	if len(fault.Targets) > 0 {
 		return fault.Targets
 	}
-	targets := make([]int, int(math.Ceil(fault.Share*float64(s.countOf(traitsOf[fault.Kind].targets)))))
+	targets := make([]int, int(math.Ceil(fault.Share*float64(s.countOf(traitsByKind[fault.Kind].targets)))))
 	for n := range targets {
 		targets[n] = n
 	}
 	return targets
 }
 
-// countOf returns how many possible targets of a kind there are.
+// countOf returns the number of possible targets of a kind.
 func (s *Scenario) countOf(kind targetKind) int {
 	switch kind {
 	case backendTargets:
--- a/internal/lab/scenario/occurrence.go
+++ b/internal/lab/scenario/occurrence.go
@@ -2,16 +2,16 @@
 
 import "time"
 
-// Occurrence is a fault at one of its targets. Times count from the run's start.
+// Occurrence is the effect of a fault at one of its targets. Times count from the run's start.
 type Occurrence struct {
-	Target int           // number of the backend or instance; 0 for the counter and discovery, which exist once
-	Begin  time.Duration // until End the fault is in force
-	// End is Begin if the fault has no duration. An instant fault may have one: then it acts at Begin, and on sockets
-	// at End once more.
+	Target int           // number of the backend or instance; 0 for the counter and discovery
+	Begin  time.Duration // start of the fault, which is active until End
+	// End equals Begin if the fault has no duration. An instant fault that has a duration takes effect at Begin and, on
+	// sockets, once more at End.
 	End time.Duration
 }
 
-// Occurrences returns the occurrences of a fault in the order of their begins, which its stagger sets apart.
+// Occurrences returns the occurrences of a fault in order of their start. Successive starts are Stagger apart.
 func (s *Scenario) Occurrences(fault Fault) []Occurrence {
 	targets := s.Targets(fault)
 	if len(targets) == 0 {
@@ -25,14 +25,14 @@
 	return occurrences
 }
 
-// CapacityShare returns the share of its capacity that a backend has at an age. It rises evenly, from the
-// share of a backend that starts to the whole at the end of the slow start.
+// CapacityShare returns the share of its full capacity that a backend has at the given age. The share increases
+// linearly from Rules.SlowStartShare to 1 during Rules.SlowStartDuration.
 func (s *Scenario) CapacityShare(age time.Duration) float64 {
-	initial, duration := s.Rules.SlowStartShare, time.Duration(s.Rules.SlowStartDuration)
+	initialShare, duration := s.Rules.SlowStartShare, time.Duration(s.Rules.SlowStartDuration)
 	if age >= duration {
 		return 1
 	}
-	return initial + (1-initial)*float64(max(age, 0))/float64(duration)
+	return initialShare + (1-initialShare)*float64(max(age, 0))/float64(duration)
 }
 
 // IsIdempotent reports whether a request of the class may run more than once without a key.
--- a/internal/lab/scenario/occurrence_test.go
+++ b/internal/lab/scenario/occurrence_test.go
@@ -32,7 +32,7 @@
 func TestScenario_CapacityShare(t *testing.T) {
 	s := parseText(t, smallScenario, "rules.slow_start_share=0.2", "rules.slow_start_duration=8s")
 	for age, want := range map[time.Duration]float64{
-		-time.Second:     0.2, // a clock that is a little behind
+		-time.Second:     0.2, // a clock may be slightly behind
 		0:                0.2,
 		2 * time.Second:  0.4,
 		4 * time.Second:  0.6,
@@ -40,10 +40,10 @@
 		20 * time.Second: 1,
 	} {
 		if got := s.CapacityShare(age); math.Abs(got-want) > 1e-12 {
-			t.Errorf("%v: %v, want %v", age, got, want)
+			t.Errorf("age %v: share %v, want %v", age, got, want)
 		}
 	}
 	if got := parseText(t, smallScenario, "rules.slow_start_duration=0s").CapacityShare(0); got != 1 {
-		t.Errorf("without a slow start: %v", got)
+		t.Errorf("without a slow start: share %v, want 1", got)
 	}
 }
--- a/internal/lab/scenario/parse.go
+++ b/internal/lab/scenario/parse.go
@@ -10,14 +10,14 @@
 	"fawnplank/internal/tomlfile"
 )
 
-// Units of spans.
+// Units of time.
 const (
 	microsecond = Span(time.Microsecond)
 	millisecond = Span(time.Millisecond)
 	second      = Span(time.Second)
 )
 
-// defaults returns a scenario before its file is read. It sets every default that depends on no other value.
+// defaults returns a scenario with all default values that do not depend on other values.
 func defaults() *Scenario {
 	return &Scenario{
 		Environment: EnvironmentModel,
@@ -66,8 +66,8 @@
 	}
 }
 
-// Load reads a scenario file and applies overrides of the form key=value: "gateways.count=100". It returns the
-// errors of Parse, or of the file system.
+// Load reads a scenario file and applies overrides of the form key=value, such as "gateways.count=100". It returns
+// an error if the file cannot be read or Parse fails.
 func Load(path string, overrides ...string) (*Scenario, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -76,12 +76,12 @@
 	return Parse(path, text, overrides...)
 }
 
-// Parse reads a scenario. Errors give name, line and key. An error about a value that an override has set gives the
-// file's name too, and the file's line of that key if there is one. Old names of keys are read for the new ones,
-// and listed in the scenario's deprecations.
+// Parse parses a scenario. Errors contain the file's name, the line and the key. If an override has set a faulty
+// value, the error contains the file's name as well, and the line of the key if the file has it. Deprecated names of
+// keys are accepted and listed in Scenario.Deprecations.
 //
-// Repeats of faults are expanded after the checks, which therefore bound only when the first of them begins: later
-// ones may lie after the run.
+// Repeated faults are expanded after validation, so only the first occurrence must begin within the run; later
+// occurrences may begin after its end.
 func Parse(name string, text []byte, overrides ...string) (*Scenario, error) {
 	s := defaults()
 	file, err := s.decode(name, text)
@@ -93,7 +93,7 @@
 			return nil, err
 		}
 	}
-	s.complete()
+	s.setDependentDefaults()
 	if err := s.validate(file); err != nil {
 		return nil, err
 	}
@@ -101,7 +101,8 @@
 	return s, nil
 }
 
-// override applies one key=value. A value that is not a number, bool or list is taken as a string.
+// override applies one override of the form key=value. A value that is not a number, bool or list is read as a
+// string.
 func (s *Scenario) override(text string) error {
 	key, value, ok := strings.Cut(text, "=")
 	if !ok {
@@ -116,15 +117,15 @@
 	return err
 }
 
-// decode reads a text into the scenario, over the values that it has.
+// decode decodes a text into the scenario. Keys in the text replace the existing values.
 func (s *Scenario) decode(name string, text []byte) (*tomlfile.File, error) {
-	file, deprecations, err := tomlfile.ReadWithRenames(name, text, s, renamed)
+	file, deprecations, err := tomlfile.ReadWithRenames(name, text, s, deprecatedNames)
 	s.Deprecations = append(s.Deprecations, deprecations...)
 	return file, err
 }
 
-// complete sets the defaults that depend on other values.
-func (s *Scenario) complete() {
+// setDependentDefaults sets the default values that depend on other values.
+func (s *Scenario) setDependentDefaults() {
 	for n := range s.Classes {
 		class := &s.Classes[n]
 		class.Share = orDefault(class.Share, 1)
--- a/internal/lab/scenario/renamed.go
+++ b/internal/lab/scenario/renamed.go
@@ -2,9 +2,9 @@
 
 import "fawnplank/internal/tomlfile"
 
-// renamed lists the keys and words that scenario files and overrides may still use by their old names. Parse
-// translates them as it decodes; no other code uses them.
-var renamed = tomlfile.Renames{
+// deprecatedNames lists the old names of keys and values that scenario files and overrides may still use. Parse
+// replaces them by the new names while it decodes a text; no other code handles them.
+var deprecatedNames = tomlfile.Renames{
 	Keys: []tomlfile.KeyRename{
 		{Table: "", Old: "doors", New: "gateways"},
 		{Table: "", Old: "profile", New: "class"},
--- a/internal/lab/scenario/renamed_test.go
+++ b/internal/lab/scenario/renamed_test.go
@@ -7,10 +7,10 @@
 	"testing"
 )
 
-// oldNames is a scenario that uses every old name, and newNames the same one in new names. Both have the same
-// lines.
+// deprecatedText is a scenario that uses every deprecated name, and currentText the same scenario with the current
+// names. Both have the same lines.
 const (
-	oldNames = `name = "renamed"
+	deprecatedText = `name = "renamed"
 [doors]
 count = 3
 [backends]
@@ -71,7 +71,7 @@
 times = 2
 every = "2s"
 `
-	newNames = `name = "renamed"
+	currentText = `name = "renamed"
 [gateways]
 count = 3
 [backends]
@@ -134,7 +134,7 @@
 `
 )
 
-// parseText parses a scenario that must be in order.
+// parseText parses a scenario that must be valid.
 func parseText(t *testing.T, text string, overrides ...string) *Scenario {
 	t.Helper()
 	s, err := Parse("f", []byte(text), overrides...)
@@ -144,18 +144,19 @@
 	return s
 }
 
-// TestParse_OldNamesGiveTheSameScenario reads the same scenario in old and in new names.
-func TestParse_OldNamesGiveTheSameScenario(t *testing.T) {
-	oldScenario, newScenario := parseText(t, oldNames), parseText(t, newNames)
-	if len(newScenario.Deprecations) > 0 {
-		t.Errorf("new names: %v", newScenario.Deprecations)
+// TestParse_DeprecatedNamesGiveSameScenario checks that a scenario with deprecated names is read like the same one
+// with the current names, with a warning for each deprecated name.
+func TestParse_DeprecatedNamesGiveSameScenario(t *testing.T) {
+	fromDeprecated, fromCurrent := parseText(t, deprecatedText), parseText(t, currentText)
+	if len(fromCurrent.Deprecations) > 0 {
+		t.Errorf("warnings for current names: %v", fromCurrent.Deprecations)
 	}
 	warnings := ""
-	for _, deprecation := range oldScenario.Deprecations {
+	for _, deprecation := range fromDeprecated.Deprecations {
 		warnings += deprecation.String() + "\n"
 	}
-	if want := len(renamed.Keys) + len(renamed.Values); len(oldScenario.Deprecations) != want {
-		t.Errorf("%d warnings of %d old names:\n%s", len(oldScenario.Deprecations), want, warnings)
+	if want := len(deprecatedNames.Keys) + len(deprecatedNames.Values); len(fromDeprecated.Deprecations) != want {
+		t.Errorf("%d warnings for %d deprecated names:\n%s", len(fromDeprecated.Deprecations), want, warnings)
 	}
 	for _, want := range []string{
 		"f:2: doors is deprecated: use gateways\n",
@@ -167,22 +168,22 @@
 		"f:54: fault.kind = \"door-restart\" is deprecated: use \"gateway-restart\"\n",
 	} {
 		if !strings.Contains(warnings, want) {
-			t.Errorf("no %q in\n%s", want, warnings)
+			t.Errorf("%q is missing in\n%s", want, warnings)
 		}
 	}
-	oldScenario.Deprecations = nil
-	if !reflect.DeepEqual(oldScenario, newScenario) {
-		t.Errorf("old names\n%+v\nnew names\n%+v", oldScenario, newScenario)
+	fromDeprecated.Deprecations = nil
+	if !reflect.DeepEqual(fromDeprecated, fromCurrent) {
+		t.Errorf("with deprecated names\n%+v\nwith current names\n%+v", fromDeprecated, fromCurrent)
 	}
-	if reflect.DeepEqual(newScenario.Rules, defaults().Rules) ||
-		reflect.DeepEqual(newScenario.Permissions, defaults().Permissions) {
-		t.Error("the scenario has the defaults and shows nothing")
+	if reflect.DeepEqual(fromCurrent.Rules, defaults().Rules) ||
+		reflect.DeepEqual(fromCurrent.Permissions, defaults().Permissions) {
+		t.Error("the scenario has default values, so the comparison proves nothing")
 	}
 }
 
-// TestParse_OldNamesInOverrides: an override may use an old name, whichever one the file uses.
-func TestParse_OldNamesInOverrides(t *testing.T) {
-	for _, text := range []string{oldNames, newNames} {
+// TestParse_DeprecatedNamesInOverrides checks that overrides may use deprecated names whichever names the file uses.
+func TestParse_DeprecatedNamesInOverrides(t *testing.T) {
+	for _, text := range []string{deprecatedText, currentText} {
 		inFile := len(parseText(t, text).Deprecations)
 		s := parseText(t, text, "doors.count=4", "load.spread=1", "gateways.count=5")
 		if s.Instances.Count != 5 || s.Load.EntryPoints != 1 {
@@ -212,8 +213,8 @@
 	}
 }
 
-// TestLoad_ShippedScenariosUseNewNames reads each shipped scenario without a warning.
-func TestLoad_ShippedScenariosUseNewNames(t *testing.T) {
+// TestLoad_ShippedScenariosUseNoDeprecatedNames checks that reading the shipped scenarios gives no warnings.
+func TestLoad_ShippedScenariosUseNoDeprecatedNames(t *testing.T) {
 	files, err := filepath.Glob("../../../lab/scenarios/*.toml")
 	if err != nil || len(files) == 0 {
 		t.Fatal(err, files)
--- a/internal/lab/scenario/scenario.go
+++ b/internal/lab/scenario/scenario.go
@@ -1,9 +1,9 @@
-// Package scenario reads the laboratory's scenario files: what is balanced, who sends which requests, and
-// which faults come when. It fills in defaults, rejects unknown keys, checks most values (see validate), and
-// turns the terms of service into the settings that a gateway reads, so that the model and the sockets use the
-// same ones. It runs nothing.
+// Package scenario reads the laboratory's scenario files, which describe gateways, backends and other services, the
+// load, and the faults. It fills in defaults, rejects unknown keys, checks most values (see validate), and derives
+// the gateways' settings from the scenario, so that runs in the model and on sockets use the same settings. It does
+// not execute scenarios.
 //
-// A Scenario does not change after it is read, and is then safe for concurrent use.
+// A Scenario is not changed after Parse returns it, and is then safe for concurrent use.
 package scenario
 
 import (
@@ -13,25 +13,25 @@
 	"fawnplank/internal/tomlfile"
 )
 
-// Span is a span of time, which files write as Go does: "20ms", "1.5s".
+// Span is a length of time. Files give it in the syntax of time.ParseDuration, such as "20ms" or "1.5s".
 type Span = config.Duration
 
-// Where a scenario is played.
+// The environments in which a scenario can be run.
 const (
-	EnvironmentModel   = "model"   // simulated time, in one process
-	EnvironmentSockets = "sockets" // gateways between emulated services on loopback
+	EnvironmentModel   = "model"   // a simulation in one process
+	EnvironmentSockets = "sockets" // gateway processes and emulated services on loopback
 )
 
-// Arrivals is how requests arrive.
+// Arrivals is the arrival process of requests.
 type Arrivals string
 
-// The kinds of arrivals.
+// The arrival processes.
 const (
 	ArrivalsPoisson Arrivals = "poisson"
 	ArrivalsFixed   Arrivals = "fixed"
 )
 
-// Source is where the endpoint list comes from.
+// Source is the source of the endpoint list.
 type Source string
 
 // The sources of the endpoint list.
@@ -49,13 +49,13 @@
 	ProtocolRESP Protocol = "resp"
 )
 
-// Scenario is one experiment, as its file describes it. Rates are per second.
+// Scenario is one experiment as described by its file. Rates are per second.
 type Scenario struct {
 	Name        string `toml:"name"`
-	Description string `toml:"about"`    // one line for readers of results
+	Description string `toml:"about"`    // one line, shown with the results
 	Environment string `toml:"on"`       // EnvironmentModel or EnvironmentSockets
-	Seed        uint64 `toml:"seed"`     // of all random numbers
-	Duration    Span   `toml:"duration"` // of the arrivals; the run then waits for requests in flight
+	Seed        uint64 `toml:"seed"`     // seed of all random number generators
+	Duration    Span   `toml:"duration"` // duration of the arrivals; the run then waits for requests in flight
 
 	Instances   InstanceSettings   `toml:"gateways"`
 	Backends    BackendSettings    `toml:"backends"`
@@ -74,78 +74,79 @@
 	Deprecations []tomlfile.Deprecation `toml:"-"`
 }
 
-// InstanceSettings are the gateway instances.
+// InstanceSettings describe the gateway instances.
 type InstanceSettings struct {
 	Count      int `toml:"count"`
-	MemoryMB   int `toml:"memory_mb"` // each instance's limit, in MiB; sockets only
-	MaxSockets int `toml:"sockets"`   // each instance's limit of open sockets; sockets only
+	MemoryMB   int `toml:"memory_mb"` // memory limit of each instance in MiB; sockets only
+	MaxSockets int `toml:"sockets"`   // limit of open sockets of each instance; sockets only
 }
 
-// BackendSettings are the backends, which are all alike. Zones and groups are assigned to them in rotation.
+// BackendSettings describe the backends, which have the same settings. Zones and groups are assigned to them in
+// rotation.
 type BackendSettings struct {
 	Count     int     `toml:"count"`
-	Cores     int     `toml:"cores"`      // attempts worked on at once
-	Work      Span    `toml:"work"`       // median time of a core for a unit
-	WorkSigma float64 `toml:"work_sigma"` // sigma of the work's logarithm; 0: all equal
-	MaxQueued int     `toml:"queue"`      // attempts that can wait; further ones are refused
+	Cores     int     `toml:"cores"`      // number of attempts that a backend runs concurrently
+	Work      Span    `toml:"work"`       // median core time per unit
+	WorkSigma float64 `toml:"work_sigma"` // standard deviation of the logarithm of the work; 0: no variation
+	MaxQueued int     `toml:"queue"`      // attempts that can wait; a backend refuses further ones
 	Zones     int     `toml:"zones"`
 	Groups    int     `toml:"groups"`
 }
 
-// CounterSettings are the shared counter.
+// CounterSettings describe the shared counter.
 type CounterSettings struct {
-	Off      bool     `toml:"off"`      // the instances count by themselves
+	Off      bool     `toml:"off"`      // the instances use no counter and count locally
 	Protocol Protocol `toml:"protocol"` // sockets only
-	Delay    Span     `toml:"delay"`    // of an answer, beside the network's
-	MaxRate  float64  `toml:"rate"`     // most calls per second; 0: no bound
-	Timeout  Span     `toml:"timeout"`  // of the instances' calls
+	Delay    Span     `toml:"delay"`    // processing time of a call, in addition to network delay
+	MaxRate  float64  `toml:"rate"`     // calls per second; 0: no limit
+	Timeout  Span     `toml:"timeout"`  // timeout of the instances' calls
 }
 
-// DiscoverySettings are the source of the endpoint list.
+// DiscoverySettings describe the source of the endpoint list.
 type DiscoverySettings struct {
-	Delay  Span   `toml:"delay"` // from a change to its delivery
+	Delay  Span   `toml:"delay"` // time from a change to its delivery
 	Source Source `toml:"source"`
 }
 
-// NetworkSettings are the network between all parts; model only.
+// NetworkSettings describe the network between all components; model only.
 type NetworkSettings struct {
-	Delay Span `toml:"delay"` // mean, one way
+	Delay Span `toml:"delay"` // mean delay in one direction
 }
 
-// LoadSettings are the clients.
+// LoadSettings describe the load that clients generate.
 type LoadSettings struct {
-	Rate           float64  `toml:"rate"` // requests per second, at all instances together
+	Rate           float64  `toml:"rate"` // requests per second at all instances together
 	Arrivals       Arrivals `toml:"arrivals"`
-	MaxRequests    int      `toml:"max_requests"` // the arrivals end after so many
+	MaxRequests    int      `toml:"max_requests"` // arrivals end after this number of requests
 	Tenants        int      `toml:"tenants"`
-	Skew           float64  `toml:"skew"`         // exponent of Zipf's law over the tenants; 0: all equal
-	Units          float64  `toml:"units"`        // mean; each request has 1 or more
-	EntryPoints    int      `toml:"entry_points"` // instances that a tenant's requests go to; 0: all
-	MaxRetries     int      `toml:"retries"`      // most retries after a rejection
-	MaxConnections int      `toml:"connections"`  // most connections of all clients; sockets only
+	Skew           float64  `toml:"skew"`         // exponent of the Zipf distribution over tenants; 0: uniform
+	Units          float64  `toml:"units"`        // mean number of units per request; each has at least 1
+	EntryPoints    int      `toml:"entry_points"` // number of instances that a tenant's requests are sent to; 0: all
+	MaxRetries     int      `toml:"retries"`      // retries of a request after rejections
+	MaxConnections int      `toml:"connections"`  // connections of all clients together; sockets only
 }
 
 // RuleSettings are the parameters of the five rules.
 type RuleSettings struct {
 	// DeadlineGrace is how long after the client's deadline the final answer may come.
 	DeadlineGrace Span `toml:"deadline_grace"`
-	// DrainGrace is how long the checker allows attempts to a backend that drains or is gone. Gateways do not get
-	// it: they keep their default of 1 s.
+	// DrainGrace is how long the checker allows attempts to a backend that is draining or gone. It is not passed to
+	// gateways, which use their default of 1 s.
 	DrainGrace Span `toml:"drain_grace"`
 	// SlowStartShare is the share of its capacity that a backend starts with.
 	SlowStartShare float64 `toml:"slow_start_share"`
-	// SlowStartDuration is the time from a backend's start until it has its whole capacity.
+	// SlowStartDuration is the time from a backend's start until it has its full capacity.
 	SlowStartDuration Span `toml:"slow_start_duration"`
-	// OverloadMultiple is the multiple of its capacity above which a warming backend collapses, measured over
+	// OverloadMultiple is the multiple of its capacity above which a warming backend is overloaded, measured over
 	// OverloadWindow.
 	OverloadMultiple float64 `toml:"overload_multiple"`
-	// OverloadWindow is the time over which the work sent to a warming backend is summed.
+	// OverloadWindow is the length of the sliding window in which the work sent to a warming backend is summed.
 	OverloadWindow Span `toml:"overload_window"`
 }
 
-// PermissionSettings say what gateways may do.
+// PermissionSettings limit and enable what gateways may do.
 type PermissionSettings struct {
-	MaxAttempts    int  `toml:"max_attempts"` // of a request, at all backends together
+	MaxAttempts    int  `toml:"max_attempts"` // per request, at all backends together
 	HedgedAttempts bool `toml:"hedged_attempts"`
 	Cancellation   bool `toml:"cancellation"` // of attempts in flight
 	HealthChecks   bool `toml:"health_checks"`
@@ -153,30 +154,30 @@
 	MaxRetryAfter  Span `toml:"max_retry_after"`
 }
 
-// Idempotency is the idempotency of a class, as scenario files write it.
+// Idempotency is the idempotency of a class.
 type Idempotency string
 
-// The idempotency of a class.
+// The values of Idempotency.
 const (
 	Idempotent        Idempotency = "idempotent"
 	IdempotentWithKey Idempotency = "idempotent-with-key"
 	NonIdempotent     Idempotency = "non-idempotent"
 )
 
-// DedupScope says which backends recognize the repeat of a request with a key.
+// DedupScope is the set of backends that recognize a repeated request by its idempotency key.
 type DedupScope string
 
 // The dedup scopes.
 const (
-	DedupByAll   DedupScope = "all" // any backend
+	DedupByAll   DedupScope = "all" // all backends
 	DedupByZone  DedupScope = "zone"
 	DedupByGroup DedupScope = "group"
 )
 
-// Fallback is what a class does while the counter gives no answer.
+// Fallback is how gateways decide on requests of a class while the counter is unavailable.
 type Fallback string
 
-// The fallback modes. A class without one takes the gateway's default.
+// The fallback modes. For a class without one, gateways use their default.
 const (
 	LocalShare Fallback = "local-share"
 	FailOpen   Fallback = "fail-open"
@@ -187,27 +188,27 @@
 type Class struct {
 	Name             string      `toml:"name"` // letters, digits and -
 	Idempotency      Idempotency `toml:"idempotency"`
-	DedupScope       DedupScope  `toml:"dedup_scope"`  // with a key
-	DedupWindow      Span        `toml:"dedup_window"` // with a key
+	DedupScope       DedupScope  `toml:"dedup_scope"`  // only with IdempotentWithKey
+	DedupWindow      Span        `toml:"dedup_window"` // only with IdempotentWithKey
 	LatencyObjective Span        `toml:"latency_objective"`
-	Deadline         Span        `toml:"deadline"`   // until when a client waits; 0: twice the latency objective
+	Deadline         Span        `toml:"deadline"`   // how long a client waits; 0: twice the latency objective
 	LateValue        float64     `toml:"late_value"` // share of its value that an answer after the objective keeps
 	Fallback         Fallback    `toml:"fallback"`
-	Share            float64     `toml:"share"` // of the requests, relative to other classes; 0: 1
+	Share            float64     `toml:"share"` // weight of the class among all requests; 0: 1
 }
 
-// Plan is a tenant's quotas.
+// Plan defines the quotas of its tenants.
 type Plan struct {
 	Name           string  `toml:"name"`             // letters, digits and -
 	Rate           float64 `toml:"rate"`             // units per second; 0: no quota
 	Burst          float64 `toml:"burst"`            // units
 	MaxConcurrent  int     `toml:"max_concurrent"`   // attempts in flight; 0: no limit
-	HardQuotaRate  float64 `toml:"hard_quota_rate"`  // units per second; 0: none
+	HardQuotaRate  float64 `toml:"hard_quota_rate"`  // units per second; 0: no hard quota
 	HardQuotaBurst float64 `toml:"hard_quota_burst"` // units
 	HardQuotaSlack float64 `toml:"hard_quota_slack"` // units that the checker allows beyond the hard quota
 	OverQuotaValue float64 `toml:"over_quota_value"` // share of its value that a request beyond the quota earns
-	OverQuotaCost  float64 `toml:"over_quota_cost"`  // share of its value that one costs
-	Share          float64 `toml:"share"`            // of the tenants, relative to other plans; 0: 1
+	OverQuotaCost  float64 `toml:"over_quota_cost"`  // share of its value that a request beyond the quota costs
+	Share          float64 `toml:"share"`            // weight of the plan among all tenants; 0: 1
 }
 
 // ZoneName returns the name of a zone in discovery and in the gateways' settings.
--- a/internal/lab/scenario/scenario_test.go
+++ b/internal/lab/scenario/scenario_test.go
@@ -46,8 +46,9 @@
 	}
 }
 
-// TestParse_NamesLineAndKey parses texts with a fault behind the small scenario, which has 11 lines.
-func TestParse_NamesLineAndKey(t *testing.T) {
+// TestParse_ErrorsNameLineAndKey checks the errors for faulty texts and overrides. The texts are appended to the
+// small scenario, which has 11 lines.
+func TestParse_ErrorsNameLineAndKey(t *testing.T) {
 	const hang = "[[fault]]\nkind = \"backend-hang\"\nat = \"1s\"\n"
 	for _, test := range []struct{ text, override, want string }{
 		{"", "load.rate=0", "load.rate is not above 0"},
@@ -97,11 +98,11 @@
 		}
 	}
 	if _, err := Parse("f", []byte(smallScenario[:40])); err == nil {
-		t.Error("a text cut short was accepted")
+		t.Error("a truncated scenario was accepted")
 	}
 }
 
-// TestParse_BoundsInstancesOnSockets parses a number of instances that the model has, and sockets do not.
+// TestParse_BoundsInstancesOnSockets checks that the limit of instances on sockets does not apply to the model.
 func TestParse_BoundsInstancesOnSockets(t *testing.T) {
 	if _, err := Parse("f", []byte(smallScenario), "gateways.count=17"); err != nil {
 		t.Error(err)
@@ -112,7 +113,7 @@
 	}
 }
 
-// TestScenario_EngineSettings passes a scenario's settings through the gateway's own reader.
+// TestScenario_EngineSettings checks that the gateway's parser reads the values of a scenario.
 func TestScenario_EngineSettings(t *testing.T) {
 	s, err := Parse("f", []byte(smallScenario), "gateways.count=3", "backends.zones=2")
 	if err != nil {
--- a/internal/lab/scenario/settings.go
+++ b/internal/lab/scenario/settings.go
@@ -7,7 +7,7 @@
 	"fawnplank/policy"
 )
 
-// The gateway's words for the words of a scenario.
+// The values of gateway settings that correspond to values in scenario files.
 var (
 	idempotencySettings = map[Idempotency]string{
 		Idempotent:        "read_like",
@@ -26,11 +26,11 @@
 	}
 )
 
-// inMillis returns a span in milliseconds, in which the settings give times.
+// inMillis returns a time in milliseconds, the unit of times in the gateway's settings.
 func inMillis(span Span) float64 { return float64(span) / float64(millisecond) }
 
-// GatewaySettings returns the settings of a gateway instance, in the form that internal/config reads. They leave out
-// the drain grace, so gateways keep their default, whatever Rules.DrainGrace allows in the checker.
+// GatewaySettings returns the settings of a gateway instance in the form that package config reads. They do not
+// contain the drain grace: Rules.DrainGrace applies only to the checker, and gateways use their default.
 func (s *Scenario) GatewaySettings(instance int) map[string]any {
 	zones := make([]string, s.Backends.Zones)
 	for n := range zones {
@@ -103,7 +103,7 @@
 	}
 }
 
-// EngineSettings returns the settings that a gateway instance reads from GatewaySettings.
+// EngineSettings returns the engine settings that package config parses from GatewaySettings.
 func (s *Scenario) EngineSettings(instance int) (policy.Settings, error) {
 	text, err := json.Marshal(s.GatewaySettings(instance))
 	if err != nil {
--- a/internal/lab/scenario/validate.go
+++ b/internal/lab/scenario/validate.go
@@ -6,8 +6,8 @@
 	"fawnplank/internal/tomlfile"
 )
 
-// Bounds of a scenario. On sockets each instance is a process, and each backend is a listener with its own
-// threads.
+// Limits of the values of a scenario. The limits for runs on sockets are lower, because there each instance is a
+// process and each backend is a listener with threads of its own.
 const (
 	maxDuration        = 3600 * second
 	maxNumber          = 100_000_000
@@ -25,29 +25,29 @@
 	maxRepeats         = 10000
 )
 
-// validator keeps the first error.
+// validator checks values and keeps the first error.
 type validator struct {
 	file *tomlfile.File
 	err  error
 }
 
-// require records an error about a key unless its value is ok.
+// require records an error about a key unless ok is true or an error has been recorded before.
 func (v *validator) require(ok bool, key, format string, args ...any) {
 	if !ok && v.err == nil {
 		v.err = v.file.KeyErrorf(key, format, args...)
 	}
 }
 
-// requireWord requires that a name is a word and that no other item of its list has it.
-func (v *validator) requireWord(name string, seen map[string]bool, key string) {
-	v.require(isWord(name) && !seen[name], key, "is %q: not a word of letters, digits and -, or taken", name)
+// requireUniqueWord requires that a name is a word and differs from all names in seen. It adds the name to seen.
+func (v *validator) requireUniqueWord(name string, seen map[string]bool, key string) {
+	v.require(isWord(name) && !seen[name], key, "is %q: not unique, or not a word of letters, digits and -", name)
 	seen[name] = true
 }
 
-// validate returns the first error among the values. It does not bound these, which may even be negative: the graces
-// of the rules, allow.max_retry_after, the delays of counter, discovery and net, late_value of a class,
-// hard_quota_slack, over_quota_value and over_quota_cost of a plan, and keys of a fault that its kind does not
-// need.
+// validate returns the first error among the values. It does not check the following values, which may even be
+// negative: the graces of the rules, allow.max_retry_after, the delays of counter, discovery and net, late_value of
+// a class, hard_quota_slack, over_quota_value and over_quota_cost of a plan, and keys of a fault that its kind does
+// not need.
 func (s *Scenario) validate(file *tomlfile.File) error {
 	v := &validator{file: file}
 	v.require(s.Name != "", "name", "is missing")
@@ -59,8 +59,8 @@
 	s.validateServices(v)
 	s.validateLoad(v)
 	s.validateRules(v)
-	v.require(len(s.Classes) > 0, "class", "is missing: one at least")
-	v.require(len(s.Plans) > 0, "plan", "is missing: one at least")
+	v.require(len(s.Classes) > 0, "class", "is missing: a scenario needs at least one")
+	v.require(len(s.Plans) > 0, "plan", "is missing: a scenario needs at least one")
 	s.validateClasses(v)
 	s.validatePlans(v)
 	for n, fault := range s.Faults {
@@ -97,20 +97,20 @@
 		return
 	}
 	v.require(s.Instances.Count <= maxSocketInstances,
-		"gateways.count", "is above %d, which is most on sockets", maxSocketInstances)
+		"gateways.count", "is above %d, the limit on sockets", maxSocketInstances)
 	v.require(s.Backends.Count <= maxSocketBackends,
-		"backends.count", "is above %d, which is most on sockets", maxSocketBackends)
+		"backends.count", "is above %d, the limit on sockets", maxSocketBackends)
 	v.require(s.Instances.MemoryMB >= minMemoryMB, "gateways.memory_mb", "is below %d", minMemoryMB)
 	v.require(s.Instances.MaxSockets >= minSockets, "gateways.sockets", "is below %d", minSockets)
 }
 
-// validateServices checks discovery, backends and counter, and that there are as many gateways as load.entry_points
-// needs.
+// validateServices checks the values of discovery, backends and counter, and that load.entry_points does not exceed
+// the number of gateways.
 func (s *Scenario) validateServices(v *validator) {
 	source := s.Discovery.Source
 	v.require(source == SourceHTTP || source == SourceDNS, "discovery.source", "is not http or dns")
 	v.require(source != SourceDNS || s.Environment == EnvironmentSockets,
-		"discovery.source", "is dns, which the model does not have")
+		"discovery.source", "is dns, which the model does not support")
 	v.require(s.Load.EntryPoints <= s.Instances.Count, "load.entry_points", "is above gateways.count")
 	v.require(s.Backends.Work > 0, "backends.work", "is not above 0")
 	v.require(s.Backends.WorkSigma >= 0 && s.Backends.WorkSigma <= maxWorkSigma,
@@ -146,7 +146,7 @@
 	for n, class := range s.Classes {
 		path := fmt.Sprintf("class[%d].", n)
 		hasKey := class.Idempotency == IdempotentWithKey
-		v.requireWord(class.Name, seen, path+"name")
+		v.requireUniqueWord(class.Name, seen, path+"name")
 		v.require(idempotencySettings[class.Idempotency] != "", path+"idempotency",
 			"is %q, not idempotent, idempotent-with-key or non-idempotent", class.Idempotency)
 		v.require(!hasKey || scopeSettings[class.DedupScope] != "", path+"dedup_scope",
@@ -164,7 +164,7 @@
 	seen := map[string]bool{}
 	for n, plan := range s.Plans {
 		path := fmt.Sprintf("plan[%d].", n)
-		v.requireWord(plan.Name, seen, path+"name")
+		v.requireUniqueWord(plan.Name, seen, path+"name")
 		v.require(plan.Rate >= 0, path+"rate", "is below 0")
 		v.require(plan.Burst >= 0, path+"burst", "is below 0")
 		v.require(plan.MaxConcurrent >= 0, path+"max_concurrent", "is below 0")
@@ -176,12 +176,12 @@
 }
 
 func (s *Scenario) validateFault(v *validator, path string, fault Fault) {
-	traits, isKnown := traitsOf[fault.Kind]
-	v.require(isKnown, path+"kind", "is %q, which is no kind of fault", fault.Kind)
+	traits, isKnown := traitsByKind[fault.Kind]
+	v.require(isKnown, path+"kind", "is %q, which is not a kind of fault", fault.Kind)
 	v.require(fault.At >= 0 && fault.At < s.Duration, path+"at", "is not within the duration")
 	v.require(!isKnown || traits.isInstant || fault.Duration > 0, path+"duration", "is not above 0")
-	v.require(traits.needs != factorParameter || fault.Factor > 0, path+"factor", "is not above 0")
-	v.require(traits.needs != delayParameter || fault.Delay > 0, path+"delay", "is not above 0")
+	v.require(traits.requiredParameter != factorParameter || fault.Factor > 0, path+"factor", "is not above 0")
+	v.require(traits.requiredParameter != delayParameter || fault.Delay > 0, path+"delay", "is not above 0")
 	v.require(fault.Share >= 0 && fault.Share <= 1, path+"share", "is not from 0 to 1")
 	v.require(fault.Stagger >= 0, path+"stagger", "is below 0")
 	v.require(fault.Repeats >= 0 && fault.Repeats <= maxRepeats, path+"repeats",
@@ -191,11 +191,12 @@
 }
 
 func (s *Scenario) validateTargets(v *validator, path string, fault Fault) {
-	traits, isKnown := traitsOf[fault.Kind]
+	traits, isKnown := traitsByKind[fault.Kind]
 	hasTargets := len(fault.Targets) > 0 || fault.Share != 0
 	v.require(!isKnown || traits.targets == noTargets || len(fault.Targets) > 0 || fault.Share > 0,
-		path+"targets", "is missing, and so is share")
-	v.require(!isKnown || traits.targets != noTargets || !hasTargets, path+"targets", "means nothing for this kind")
+		path+"targets", "is missing: targets or share is required")
+	v.require(!isKnown || traits.targets != noTargets || !hasTargets,
+		path+"targets", "and share do not apply to this kind")
 	count := s.countOf(traits.targets)
 	for _, target := range fault.Targets {
 		v.require(target >= 0 && target < count, path+"targets",
