--- a/internal/lab/billingbench/billingbench_test.go
+++ b/internal/lab/billingbench/billingbench_test.go
@@ -8,9 +8,9 @@
 	"time"
 )
 
-// TestMeasure_EveryCostIsAboveZero measures one client for a moment, without TLS and with it: every cost is
-// above 0, and abandoned reservations are released. One at a time, since two clusters that look for free ports
-// at once take each other's.
+// TestMeasure_EveryCostIsAboveZero checks that a short measurement with one client gives costs above 0, with and
+// without TLS, and that abandoned reservations are released. The cases run one after the other, because two clusters
+// that search for free ports at the same time may choose the same ones.
 func TestMeasure_EveryCostIsAboveZero(t *testing.T) {
 	for name, secure := range map[string]bool{"plain": false, "TLS": true} {
 		t.Run(name, func(t *testing.T) {
@@ -26,13 +26,13 @@
 				t.Errorf("commands: %+v", cost)
 			}
 			if cost.ReleaseDelay <= 0 || cost.ReleaseDelayBound != 1050 || cost.RequestOverheadNanos <= 0 {
-				t.Errorf("release and ordinary path: %+v", cost)
+				t.Errorf("release and request overhead: %+v", cost)
 			}
 		})
 	}
 }
 
-// TestMeasure_EndsWithContext: a context that has ended ends the measurement, and what was started is freed.
+// TestMeasure_EndsWithContext checks that Measure returns the context's error when the context is canceled.
 func TestMeasure_EndsWithContext(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
@@ -42,7 +42,7 @@
 	}
 }
 
-// TestWriteTable_AlignsColumns compares a table with its text.
+// TestWriteTable_AlignsColumns compares a table with the expected text.
 func TestWriteTable_AlignsColumns(t *testing.T) {
 	var text strings.Builder
 	err := WriteTable(&text, []Cost{{
--- a/internal/lab/billingbench/client.go
+++ b/internal/lab/billingbench/client.go
@@ -15,26 +15,27 @@
 )
 
 const (
-	// commandTimeout bounds a command. It is longer than the billing service itself waits for an election.
+	// commandTimeout is the timeout of a command. It is longer than the billing service's own wait for an election.
 	commandTimeout = 20 * time.Second
 	// electionRetryInterval is the time between two commands while the replicas have no leader.
 	electionRetryInterval = 100 * time.Millisecond
-	// reservationLines is how many lines follow the first line of a reservation's answer; the first of them is
-	// the epoch.
+	// reservationLines is the number of lines after the first line of the answer to a reservation. The first of them
+	// contains the epoch.
 	reservationLines = 4
 )
 
-// clientOptions say what one client does.
+// clientOptions configure one client.
 type clientOptions struct {
-	index            int // each client has its own tenants
+	index            int // number of the client, which determines its tenants
 	address          string
 	certificates     *tlsconfig.CertificateSource // nil: without TLS
 	electionDeadline time.Time
 	duration         time.Duration
 }
 
-// errNotReserved reports a reservation that was refused, as all are while the replicas have no leader.
-var errNotReserved = errors.New("accounts: reserve")
+// errNotReserved means that a reservation was refused. All reservations are refused while the replicas have no
+// leader.
+var errNotReserved = errors.New("reservation refused")
 
 // client is a connection to the limit server.
 type client struct {
@@ -54,14 +55,14 @@
 	return &client{conn: conn, reader: bufio.NewReader(conn)}, nil
 }
 
-// runClient reserves and commits until the duration since its first success is over. It returns the latencies
-// of the commands after that success.
+// runClient reserves and commits units until the duration has passed since its first success. It returns the
+// latencies of the commands after that success.
 func runClient(ctx context.Context, options clientOptions) ([]time.Duration, error) {
 	c, err := dial(ctx, options.address, options.certificates)
 	if err != nil {
 		return nil, err
 	}
-	defer func() { _ = c.conn.Close() }() // every answer that counts is read
+	defer func() { _ = c.conn.Close() }() // all answers have been read, so an error does not matter
 	if _, err := c.send("AUTH " + keyName + " " + keySecret); err != nil {
 		return nil, err
 	}
@@ -71,7 +72,7 @@
 		return !firstSuccess.IsZero() && (time.Since(firstSuccess) >= options.duration || ctx.Err() != nil)
 	}
 	for n := 0; !isOver(); n++ {
-		tenant := tenantID(options.index*tenantsPerClient + n%tenantsInTurn)
+		tenant := tenantID(options.index*tenantsPerClient + n%tenantsPerCycle)
 		measured, err := c.reserveAndCommit(tenant, n)
 		if errors.Is(err, errNotReserved) && !time.Now().After(options.electionDeadline) {
 			time.Sleep(electionRetryInterval)
@@ -92,8 +93,8 @@
 // commandLatencies are the latencies of a reservation's two commands.
 type commandLatencies struct{ reserve, commit time.Duration }
 
-// reserveAndCommit reserves a unit and commits it. It returns errNotReserved, with the answer, if the unit
-// was not reserved.
+// reserveAndCommit reserves a unit and commits it. If the reservation is refused, it returns an error that wraps
+// errNotReserved and contains the answer.
 func (c *client) reserveAndCommit(tenant string, reservation int) (commandLatencies, error) {
 	var measured commandLatencies
 	start := time.Now()
@@ -118,7 +119,7 @@
 		return "", err
 	}
 	if answer.epoch == "" {
-		return "", fmt.Errorf("%w: %s", errNotReserved, answer.refusal)
+		return "", fmt.Errorf("%w: %s", errNotReserved, answer.errorLine)
 	}
 	return answer.epoch, nil
 }
@@ -127,18 +128,18 @@
 func (c *client) commit(tenant string, reservation int, epoch string) error {
 	answer, err := c.send(fmt.Sprintf("RESERVE.COMMIT %s r%d %s 1", tenant, reservation, epoch))
 	if err != nil {
-		return fmt.Errorf("accounts: commit: %w", err)
+		return fmt.Errorf("commit failed: %w", err)
 	}
-	if answer.refusal != "" {
-		return errors.New("accounts: commit: " + answer.refusal)
+	if answer.errorLine != "" {
+		return errors.New("commit refused: " + answer.errorLine)
 	}
 	return nil
 }
 
-// answer is the answer to a command. Both fields are empty if the answer is neither a reservation nor an error.
+// answer is the answer to a command. Both fields are empty if it is neither a reservation nor an error.
 type answer struct {
-	epoch   string // of a reservation
-	refusal string // the line of an error
+	epoch     string // epoch of the reservation
+	errorLine string // the line of an error answer
 }
 
 // send sends a command and reads the answer.
@@ -155,7 +156,7 @@
 	}
 	switch line[0] {
 	case '-':
-		return answer{refusal: strings.TrimSpace(line)}, nil
+		return answer{errorLine: strings.TrimSpace(line)}, nil
 	case '*':
 		epoch, err := c.readReservation()
 		return answer{epoch: epoch}, err
--- a/internal/lab/billingbench/cluster.go
+++ b/internal/lab/billingbench/cluster.go
@@ -19,19 +19,19 @@
 )
 
 const (
-	// clockSkew is the setting that bounds how far the replicas' clocks differ.
+	// clockSkew is the configured limit of the difference between the replicas' clocks.
 	clockSkew = 50 * time.Millisecond
-	// The key with which clients authenticate.
+	// The name and secret of the key with which clients authenticate.
 	keyName   = "lab"
 	keySecret = "laboratory"
 	// certificateLifetime is longer than any measurement.
 	certificateLifetime = time.Hour
-	// spareConnections is how many connections the limit server allows beyond those of the clients.
+	// spareConnections is the number of connections that the limit server allows beyond those of the clients.
 	spareConnections = 8
 )
 
-// settings returns the settings of the billing service: windows that do not end during a measurement, and a
-// quota that is not used up.
+// settings returns the settings of the billing service. Windows are so long that none ends during a measurement, and
+// the quota is so large that it is not exhausted.
 func settings() billing.Settings {
 	return billing.Settings{
 		WindowNanos:           3600e9,
@@ -56,12 +56,12 @@
 	address      string // of the limit server
 }
 
-// start starts the cluster. If it fails, close frees what it had started.
+// start starts the cluster. If it fails, close must be called to stop the parts that were started.
 func (c *cluster) start(ctx context.Context, options Options) error {
 	if options.TLS {
 		certificates, err := newCertificates(c.folder)
 		if err != nil {
-			return fmt.Errorf("accounts: certificates: %w", err)
+			return fmt.Errorf("creating certificates: %w", err)
 		}
 		c.certificates = certificates
 	}
@@ -71,13 +71,13 @@
 	}
 	for _, peer := range peers {
 		if err := c.startReplica(peer, peers); err != nil {
-			return fmt.Errorf("accounts: replica %s: %w", peer.ID, err)
+			return fmt.Errorf("starting replica %s: %w", peer.ID, err)
 		}
 	}
 	return c.startLimitServer(ctx, options.Clients+spareConnections)
 }
 
-// newCertificates makes an authority and a certificate that clients and replicas share.
+// newCertificates creates a certificate authority and a certificate that all clients and replicas use.
 func newCertificates(folder string) (*tlsconfig.CertificateSource, error) {
 	authority, err := testca.New("laboratory")
 	if err != nil {
@@ -90,7 +90,7 @@
 	return tlsconfig.New(files)
 }
 
-// newPeers returns peers with free addresses.
+// newPeers returns peers with unused addresses.
 func newPeers(ctx context.Context, ids ...string) ([]store.Peer, error) {
 	var peers []store.Peer
 	for _, id := range ids {
@@ -112,8 +112,8 @@
 	return config.Listen(ctx, "tcp", "127.0.0.1:0")
 }
 
-// freeAddress returns an address of loopback that nothing listens on. Another process may take it before it
-// is used; then the replica fails to start. It is on 127.0.0.1, the only address in the certificates of testca.
+// freeAddress returns an unused loopback address. If another process takes the address before the replica listens on
+// it, the replica fails to start. The address is on 127.0.0.1, the only one that certificates of testca contain.
 func freeAddress(ctx context.Context) (string, error) {
 	listener, err := listen(ctx)
 	if err != nil {
@@ -162,16 +162,16 @@
 		}},
 	})
 	c.serving.Go(func() {
-		_ = c.server.Serve(listener) // if it fails early, the clients' commands fail
+		_ = c.server.Serve(listener) // if Serve fails, so do the clients' commands
 	})
 	return nil
 }
 
-// close frees what was started, the latest first.
+// close stops the parts that were started, in reverse order.
 func (c *cluster) close() {
 	if c.server != nil {
-		_ = c.server.Close()   // fails only if Serve has not begun; closing the listener ends it then
-		_ = c.listener.Close() // closed already otherwise
+		_ = c.server.Close()   // fails only before Serve has begun, which the closed listener then ends
+		_ = c.listener.Close() // in all other cases the listener is closed already
 		c.serving.Wait()
 	}
 	for n := len(c.replicas) - 1; n >= 0; n-- {
--- a/internal/lab/billingbench/doc.go
+++ b/internal/lab/billingbench/doc.go
@@ -1,8 +1,8 @@
-// Package billingbench measures what billing costs: the commands that reserve and commit, the release of
-// abandoned reservations, and the time that billing adds to a request. Three replicas of the store, each with
-// an instance of the billing service, run in this process on loopback. Clients send the limit server's
-// commands to one of them, with or without TLS between all of them.
+// Package billingbench measures the costs of billing: the latency and rate of commands that reserve and commit
+// units, the delay until units of abandoned reservations are released, and the time that billing adds to a request.
+// Three replicas of the store, each with an instance of the billing service, run in this process on loopback.
+// Clients send commands to a limit server at one of the replicas. All connections use TLS, or none does.
 //
-// Measure owns everything that it starts and frees it before it returns. It should run alone: concurrent
-// calls would measure each other.
+// Measure stops everything that it has started before it returns. Calls should not run concurrently, because they
+// would slow down each other.
 package billingbench
--- a/internal/lab/dnsbench/dnsbench.go
+++ b/internal/lab/dnsbench/dnsbench.go
@@ -1,9 +1,9 @@
-// Package dnsbench measures a gateway's name server alone, in this process and on loopback: how long a zone
-// takes to load, how long it takes from the sending of an update until the list is published and until the
-// update is answered, and how many updates are applied per second. The zone's journal is on the disk of the
-// folder for temporary files.
+// Package dnsbench measures a gateway's DNS server in this process and on loopback: the time to load a zone, the
+// times from the sending of an update until the endpoint list is published and until the update is answered, and the
+// number of updates per second. The zone's journal is in the folder for temporary files, so its disk affects the
+// results.
 //
-// Measure should run alone: concurrent calls would measure each other.
+// Calls of Measure should not run concurrently, because they would slow down each other.
 package dnsbench
 
 import (
@@ -24,14 +24,14 @@
 	"fawnplank/internal/dnszone"
 )
 
-// Cost is what a zone of one size costs. Times are in milliseconds.
+// Cost holds the measured costs of a zone of one size. Times are in milliseconds.
 type Cost struct {
 	Backends         int
-	Load             float64 // of the zone file
-	Start            float64 // from the journal
-	PublishedP50     float64 // from an update's sending until the list is published
+	Load             float64 // time to load the zone file
+	Start            float64 // time to start the server from the journal
+	PublishedP50     float64 // from the sending of an update until the endpoint list is published
 	PublishedP99     float64
-	AnsweredP50      float64 // from an update's sending until its answer
+	AnsweredP50      float64 // from the sending of an update until its answer
 	AnsweredP99      float64
 	UpdatesPerSecond float64 // with concurrent updaters
 }
@@ -40,18 +40,18 @@
 	origin  = "lab."
 	service = "_calc._tcp.lab."
 	keyName = "lab."
-	// updaters is how many updaters send at once to measure updates per second.
+	// updaters is the number of concurrent updaters in the measurement of updates per second.
 	updaters = 8
-	// maxUpdatesPerSecond is more than a server reaches.
+	// maxUpdatesPerSecond is the server's rate limit, which is too high to have an effect.
 	maxUpdatesPerSecond = 1e6
-	// updateTimeout bounds one update.
+	// updateTimeout is the timeout of one update.
 	updateTimeout = 5 * time.Second
-	// guardDelay is the wait after a start: the server refuses updates signed in the second of its start, as an
-	// earlier incarnation may have applied them.
-	guardDelay = 1100 * time.Millisecond
+	// startupGuardDelay is the wait after the server's start. The server refuses updates that were signed in the second
+	// of its start, because an earlier incarnation may have applied them.
+	startupGuardDelay = 1100 * time.Millisecond
 )
 
-// zoneFile returns a zone file with a number of backends.
+// zoneFile returns the text of a zone file with the given number of backends.
 func zoneFile(backends int) string {
 	var text strings.Builder
 	text.WriteString("$ORIGIN lab.\n$TTL 30\n@ IN SOA ns admin 1 3600 600 86400 30\n")
@@ -63,20 +63,20 @@
 	return text.String()
 }
 
-// backendAddress returns an address of loopback that no other backend has.
+// backendAddress returns a loopback address that is unique to the backend.
 func backendAddress(backend int) string {
-	const octet = 250 // values of an octet that are used: neither 0 nor 255 ends an address
+	const octet = 250 // number of values used per octet; no address ends in 0 or 255
 	return fmt.Sprintf("127.%d.%d.%d", 1+backend/(octet*octet), backend/octet%octet, 1+backend%octet)
 }
 
-// Measure measures zones of the given sizes: first with updates one after the other, then for a time with
-// concurrent updaters.
+// Measure measures zones of the given sizes, given as numbers of backends. For each zone it first sends the given
+// number of updates one after the other, and then sends updates from concurrent updaters for the given duration.
 func Measure(ctx context.Context, sizes []int, updates int, duration time.Duration) ([]Cost, error) {
 	folder, err := os.MkdirTemp("", "fawnplank-dnsbench-")
 	if err != nil {
 		return nil, err
 	}
-	defer func() { _ = os.RemoveAll(folder) }() // the system cleans up a folder that is left behind
+	defer func() { _ = os.RemoveAll(folder) }() // the system cleans up folders for temporary files
 	key, err := newKey(filepath.Join(folder, "key"))
 	if err != nil {
 		return nil, err
@@ -107,7 +107,7 @@
 	key            dnsserver.Key
 	backends       int
 	server         *dnsserver.Server
-	publishedNanos atomic.Int64 // when the list was last published
+	publishedNanos atomic.Int64 // Unix time at which the list was last published
 }
 
 func (b *bench) options() dnsserver.Options {
@@ -128,11 +128,11 @@
 	if err := os.WriteFile(options.ZoneFile, []byte(zoneFile(b.backends)), 0o600); err != nil {
 		return cost, err
 	}
-	began := time.Now()
+	startedAt := time.Now()
 	if _, _, err := dnsserver.ReadZoneFile(options.ZoneFile, options.Settings); err != nil {
 		return cost, err
 	}
-	cost.Load = inMillis(time.Since(began))
+	cost.Load = inMillis(time.Since(startedAt))
 	server, err := dnsserver.Start(options)
 	if err != nil {
 		return cost, err
@@ -146,19 +146,19 @@
 		return cost, err
 	}
 	b.server.Close()
-	began = time.Now()
+	startedAt = time.Now()
 	if server, err = dnsserver.Start(options); err != nil {
 		return cost, err
 	}
 	b.server = server
-	cost.Start = inMillis(time.Since(began))
+	cost.Start = inMillis(time.Since(startedAt))
 	return cost, nil
 }
 
-// measureUpdates sends updates one after the other.
+// measureUpdates measures updates that are sent one after the other.
 func (b *bench) measureUpdates(ctx context.Context, updates int, cost *Cost) error {
 	select {
-	case <-time.After(guardDelay):
+	case <-time.After(startupGuardDelay):
 	case <-ctx.Done():
 		return ctx.Err()
 	}
@@ -167,12 +167,12 @@
 		if ctx.Err() != nil {
 			return ctx.Err()
 		}
-		began := time.Now()
+		sentAt := time.Now()
 		if err := b.send(uint16(i), i/2%b.backends, i%2 == 0); err != nil {
 			return err
 		}
-		answered = append(answered, time.Since(began))
-		published = append(published, time.Duration(b.publishedNanos.Load()-began.UnixNano()))
+		answered = append(answered, time.Since(sentAt))
+		published = append(published, time.Duration(b.publishedNanos.Load()-sentAt.UnixNano()))
 	}
 	cost.PublishedP50 = percentile(published, 50)
 	cost.PublishedP99 = percentile(published, 99)
@@ -181,15 +181,15 @@
 	return nil
 }
 
-// measureRate sends updates from concurrent updaters, each about its own backend.
+// measureRate measures the rate of updates from concurrent updaters, each of which updates a backend of its own.
 func (b *bench) measureRate(ctx context.Context, duration time.Duration, cost *Cost) error {
 	var running sync.WaitGroup
 	var applied atomic.Int64
 	var failed atomic.Pointer[error]
-	began := time.Now()
+	startedAt := time.Now()
 	for updater := range updaters {
 		running.Go(func() {
-			for i := 0; time.Since(began) < duration && ctx.Err() == nil; i++ {
+			for i := 0; time.Since(startedAt) < duration && ctx.Err() == nil; i++ {
 				if err := b.send(uint16(i), b.backends+updater, i%2 == 1); err != nil {
 					failed.Store(&err)
 					return
@@ -202,13 +202,13 @@
 	if err := failed.Load(); err != nil {
 		return *err
 	}
-	cost.UpdatesPerSecond = float64(applied.Load()) / time.Since(began).Seconds()
+	cost.UpdatesPerSecond = float64(applied.Load()) / time.Since(startedAt).Seconds()
 	return nil
 }
 
-// send removes a backend or adds it. id is the message's id: two messages with the same bytes in the same
-// second have the same signature, so that the second would be taken for a replay. Among thousands with random
-// ids that would happen by chance.
+// send sends an update that adds or removes a backend. Callers choose the message's ID, because two messages with
+// the same bytes in the same second have the same signature, so that the server would reject the second one as a
+// replay. With random IDs that would happen occasionally among thousands of updates.
 func (b *bench) send(id uint16, backend int, remove bool) error {
 	message := new(dns.Msg).SetUpdate(origin)
 	message.Id = id
@@ -231,7 +231,7 @@
 
 func inMillis(duration time.Duration) float64 { return float64(duration) / 1e6 }
 
-// percentile sorts the durations and returns a percentile in milliseconds.
+// percentile sorts the durations and returns the given percentile in milliseconds.
 func percentile(durations []time.Duration, percent int) float64 {
 	if len(durations) == 0 {
 		return 0
--- a/internal/lab/dnsbench/dnsbench_test.go
+++ b/internal/lab/dnsbench/dnsbench_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// TestMeasure_EveryCostIsAboveZero measures a small zone for a moment: every cost is above 0.
+// TestMeasure_EveryCostIsAboveZero checks that a short measurement of a small zone gives costs above 0.
 func TestMeasure_EveryCostIsAboveZero(t *testing.T) {
 	costs, err := Measure(t.Context(), []int{20}, 10, 50*time.Millisecond)
 	if err != nil {
@@ -22,6 +22,6 @@
 		t.Errorf("%+v", cost)
 	}
 	if cost.PublishedP99 > cost.AnsweredP99 {
-		t.Errorf("answered before it was published: %+v", cost)
+		t.Errorf("p99 of publication is above p99 of answers: %+v", cost)
 	}
 }
