--- a/internal/lab/results/exact_quota.go
+++ b/internal/lab/results/exact_quota.go
@@ -14,8 +14,8 @@
 	sentTokens  float64
 	exactTokens float64
 	refilledAt  monotime.Instant
-	sentUnits   float64 // since the start
-	exactUnits  float64
+	sentUnits   float64 // units forwarded since the start of the run
+	exactUnits  float64 // units that the exact counter has admitted since then
 }
 
 // drift returns how many units, rounded to whole ones, the tenant got beyond or below what the exact counter would
--- a/internal/lab/results/run.go
+++ b/internal/lab/results/run.go
@@ -85,7 +85,7 @@
 	Withdrawals      *Withdrawals         `json:"withdrawals,omitempty"` // nil: no backend was removed
 	DNSUpdates       int                  `json:"dns_updates,omitempty"` // answered by gateways
 	Faults           []FaultSpan          `json:"faults"`
-	Rows             []Row                `json:"rows"` // by second
+	Rows             []Row                `json:"rows"` // one per second, in order
 }
 
 // Withdrawals holds the distribution of the times, in milliseconds, from the delivery of a backend's removal to an
--- a/internal/lab/scenario/fault.go
+++ b/internal/lab/scenario/fault.go
@@ -12,7 +12,7 @@
 	BackendSlow     FaultKind = "backend-slow"     // work takes Factor times as long
 	BackendReset    FaultKind = "backend-reset"    // the backend resets the connection within an answer
 	BackendGarble   FaultKind = "backend-garble"   // answers are not valid responses
-	BackendError    FaultKind = "backend-error"    // answers are errors
+	BackendError    FaultKind = "backend-error"    // the backend answers with errors
 	BackendDrain    FaultKind = "backend-drain"    // listed as draining, and refuses new attempts
 	BackendVanish   FaultKind = "backend-vanish"   // drops off the network and the list, and restarts at the end
 	BackendWithdraw FaultKind = "backend-withdraw" // leaves the list, keeps running, and returns with a new start time
--- a/internal/lab/scenario/scenario.go
+++ b/internal/lab/scenario/scenario.go
@@ -66,11 +66,11 @@
 	Rules       RuleSettings       `toml:"rules"`
 	Permissions PermissionSettings `toml:"allow"`
 
-	Classes []Class `toml:"class"` // one at least
-	Plans   []Plan  `toml:"plan"`  // one at least
+	Classes []Class `toml:"class"` // at least one
+	Plans   []Plan  `toml:"plan"`  // at least one
 	Faults  []Fault `toml:"fault"`
 
-	// Deprecations are the old names that the file and the overrides used, for warnings.
+	// Deprecations lists the deprecated names in the file and the overrides, for warnings.
 	Deprecations []tomlfile.Deprecation `toml:"-"`
 }
 
@@ -148,9 +148,9 @@
 type PermissionSettings struct {
 	MaxAttempts    int  `toml:"max_attempts"` // per request, at all backends together
 	HedgedAttempts bool `toml:"hedged_attempts"`
-	Cancellation   bool `toml:"cancellation"` // of attempts in flight
+	Cancellation   bool `toml:"cancellation"` // whether attempts in flight may be canceled
 	HealthChecks   bool `toml:"health_checks"`
-	RetryAfter     bool `toml:"retry_after"` // in rejections
+	RetryAfter     bool `toml:"retry_after"` // whether rejections contain Retry-After
 	MaxRetryAfter  Span `toml:"max_retry_after"`
 }
 
