--- a/internal/lab/emulator/backend.go
+++ b/internal/lab/emulator/backend.go
@@ -127,7 +127,7 @@
 	switch {
 	case b.hangs():
 		return attemptIgnored
-	case b.activeFaults[scenario.BackendDrain] > 0, !coreIsFree && len(b.queue) >= e.scenario.Backends.Queue:
+	case b.activeFaults[scenario.BackendDrain] > 0, !coreIsFree && len(b.queue) >= e.scenario.Backends.MaxQueued:
 		return attemptRefused
 	case coreIsFree:
 		b.busyCores++
--- a/internal/lab/results/log.go
+++ b/internal/lab/results/log.go
@@ -9,51 +9,51 @@
 	"fawnplank/internal/monotime"
 )
 
-// Log connects a recorder to the wall clock for many goroutines: it stamps each event when it comes in, so
-// that all events are in one order. It remembers which instance a submission went to, since a backend does
-// not see that.
-type Log struct {
-	start atomic.Pointer[time.Time] // nil: the run has not begun, and events get the time of its start
-
-	mu        sync.Mutex // of the fields below
-	recorder  *Recorder
-	instances map[invariants.SubmissionID]int
-	kills     map[int]kills // by instance
-	events    uint64
-	finished  bool
-}
-
-// kills counts how often an instance was killed. Between the signal and the end of its process it may still
-// accept a connection and read a request, so the two are counted apart.
+// EventLog passes events from many goroutines to a recorder. It sets each event's time when it receives the event,
+// so that the events are in one order. It also keeps the instance of each submission, because a backend cannot
+// tell which instance sent an attempt.
+type EventLog struct {
+	start atomic.Pointer[time.Time] // nil before the run begins; events then get the time 0
+
+	mu         sync.Mutex // guards the fields below
+	recorder   *Recorder
+	instances  map[invariants.SubmissionID]int
+	kills      map[int]kills // by instance index
+	events     uint64
+	isFinished bool
+}
+
+// kills counts how often an instance was killed. Between the signal and the end of its process, an instance may
+// still accept a connection and read a request, so signals and exits are counted separately.
 type kills struct {
-	begun int // the signal is about to be sent
-	ended int // the process has ended
+	begun int // signals that were sent or are about to be
+	ended int // processes that have exited
 }
 
-// NewLog returns a log that writes to a recorder.
-func NewLog(recorder *Recorder) *Log {
-	return &Log{recorder: recorder, instances: map[invariants.SubmissionID]int{}, kills: map[int]kills{}}
+// NewEventLog returns an event log that passes its events to a recorder.
+func NewEventLog(recorder *Recorder) *EventLog {
+	return &EventLog{recorder: recorder, instances: map[invariants.SubmissionID]int{}, kills: map[int]kills{}}
 }
 
-// Begin starts the run's time.
-func (l *Log) Begin() {
+// Begin starts the run's clock.
+func (l *EventLog) Begin() {
 	now := time.Now()
 	l.start.Store(&now)
 }
 
-// Now returns the present time on the run's clock, which starts from 0. It is 0 until the run begins.
-func (l *Log) Now() monotime.Instant {
+// Now returns the time since the run began, or 0 before that.
+func (l *EventLog) Now() monotime.Instant {
 	if start := l.start.Load(); start != nil {
 		return monotime.FromNanos(int64(time.Since(*start)))
 	}
 	return monotime.Instant{}
 }
 
-// Start returns when the run began.
-func (l *Log) Start() time.Time { return *l.start.Load() }
+// Start returns the wall-clock time at which the run began. It must not be called before Begin.
+func (l *EventLog) Start() time.Time { return *l.start.Load() }
 
-// ObserveSubmitted observes a submission whose client waits for the remaining time from now on.
-func (l *Log) ObserveSubmitted(event invariants.Event, remaining time.Duration) {
+// ObserveSubmitted records a submission with the current time. Its deadline is the remaining time from now.
+func (l *EventLog) ObserveSubmitted(event invariants.Event, remaining time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	event.Kind = invariants.Submitted
@@ -62,18 +62,18 @@
 	l.record(event)
 }
 
-// Observe stamps an event, which is no submission, and records it. InstanceDied is observed before the
-// instance is killed; InstanceExited must follow once its process has ended.
-func (l *Log) Observe(event invariants.Event) {
+// Observe records an event other than a submission with the current time. InstanceDied must be observed before the
+// instance is killed, and ObserveInstanceExit called after its process has exited.
+func (l *EventLog) Observe(event invariants.Event) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	event.At = l.Now()
 	l.record(event)
 }
 
-// record passes an event to the recorder unless the run is over. The caller holds the lock.
-func (l *Log) record(event invariants.Event) {
-	if l.finished {
+// record passes an event to the recorder unless the run is over. The caller must hold the lock.
+func (l *EventLog) record(event invariants.Event) {
+	if l.isFinished {
 		return
 	}
 	l.events++
@@ -83,70 +83,71 @@
 	case invariants.AttemptArrived, invariants.AttemptRefused:
 		event.Instance = l.instances[event.Submission]
 	case invariants.InstanceDied:
-		l.countKill(event.Instance, kills{begun: 1})
+		l.addKills(event.Instance, kills{begun: 1})
 	}
 	l.recorder.Observe(event)
 }
 
-// InstanceExited records that the process of an instance that was killed has ended.
-func (l *Log) InstanceExited(instance int) {
+// ObserveInstanceExit records that the process of a killed instance has exited.
+func (l *EventLog) ObserveInstanceExit(instance int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.countKill(instance, kills{ended: 1})
+	l.addKills(instance, kills{ended: 1})
 }
 
-// countKill adds to the counts of an instance. The caller holds the lock.
-func (l *Log) countKill(instance int, added kills) {
+// addKills adds to the kill counts of an instance. The caller must hold the lock.
+func (l *EventLog) addKills(instance int, added kills) {
 	k := l.kills[instance]
 	l.kills[instance] = kills{begun: k.begun + added.begun, ended: k.ended + added.ended}
 }
 
-// Incarnation numbers the processes of an instance: it returns how many of them were killed and have ended.
-func (l *Log) Incarnation(instance int) int {
+// Incarnation returns the number of an instance's current process, which is how many of its processes were killed
+// and have exited.
+func (l *EventLog) Incarnation(instance int) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.kills[instance].ended
 }
 
 // WasKilled reports whether an incarnation of an instance has been killed, or is being killed now.
-func (l *Log) WasKilled(instance, incarnation int) bool {
+func (l *EventLog) WasKilled(instance, incarnation int) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.kills[instance].begun > incarnation
 }
 
 // CountNotSent counts a request that no instance accepted.
-func (l *Log) CountNotSent() {
+func (l *EventLog) CountNotSent() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.recorder.CountNotSent(l.Now())
 }
 
-// CountCounterCall counts a call of the counter.
-func (l *Log) CountCounterCall(failed bool) {
+// CountCounterCall counts a call to the counter, and its failure if it failed.
+func (l *EventLog) CountCounterCall(failed bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.recorder.CountCounterCall(l.Now(), failed)
 }
 
-// CountDNSUpdate counts an update that a gateway answered.
-func (l *Log) CountDNSUpdate() {
+// CountDNSUpdate counts a DNS update that a gateway answered.
+func (l *EventLog) CountDNSUpdate() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.recorder.CountDNSUpdate()
 }
 
-// SetOpenBreakers records how many instances make no calls.
-func (l *Log) SetOpenBreakers(instances int) {
+// SetOpenBreakers records how many instances make no calls to the counter.
+func (l *EventLog) SetOpenBreakers(instances int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.recorder.SetOpenBreakers(l.Now(), instances)
 }
 
-// Finish ends the run and returns its results; later events are dropped.
-func (l *Log) Finish() *Run {
+// Finish ends the run and returns its results. Later events are dropped.
+func (l *EventLog) Finish() *Run {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.finished = true
+	l.isFinished = true
 	return l.recorder.Finish(l.Now(), l.events)
 }
--- a/internal/lab/testbed/testbed.go
+++ b/internal/lab/testbed/testbed.go
@@ -40,26 +40,26 @@
 	options   Options
 	folder    string // configurations, operator files, zones, keys and journals; removed by close
 	logFolder string
-	log       *results.Log
+	log       *results.EventLog
 	emulator  *emulator.Emulator
 	gateways  []*gateway
 }
 
-// NewLog returns a log for a run of a scenario on sockets; the run has not begun. It returns an error if a gateway
+// NewEventLog returns a log for a run of a scenario on sockets; the run has not begun. It returns an error if a gateway
 // would reject the scenario's settings.
-func NewLog(s *scenario.Scenario) (*results.Log, error) {
+func NewEventLog(s *scenario.Scenario) (*results.EventLog, error) {
 	settings, err := s.EngineSettings(0)
 	if err != nil {
 		return nil, fmt.Errorf("testbed: scenario %s: %w", s.Name, err)
 	}
-	return results.NewLog(results.New(s, settings, eventTimeTolerance)), nil
+	return results.NewEventLog(results.New(s, settings, eventTimeTolerance)), nil
 }
 
 // Run plays a scenario on sockets. If ctx ends, Run stops early and returns the results so far with the error of ctx.
 // A gateway that crashes does not end the run: Run returns its crash as an error together with the results. The
 // results are nil only if the run could not be started.
 func Run(ctx context.Context, s *scenario.Scenario, options Options) (*results.Run, error) {
-	log, err := NewLog(s)
+	log, err := NewEventLog(s)
 	if err != nil {
 		return nil, err
 	}
