--- a/cmd/fawnplank/command_billing.go
+++ b/cmd/fawnplank/command_billing.go
@@ -20,82 +20,82 @@
 type billingSubcommands struct{ client func() limitsClient }
 
 // plans returns the subcommands that change a tenant's plan.
-func (v billingSubcommands) plans() []subcommand {
+func (s billingSubcommands) plans() []subcommand {
 	return []subcommand{
 		{
 			use:     "change TENANT ID PLAN AT",
 			short:   "Change a plan at a time (ms since 1970, or +ms from now)",
 			example: "change " + exampleTenant + " spring-1 large +60000",
-			run:     v.sendFunc("PLAN.CHANGE"),
+			run:     s.sendFunc("PLAN.CHANGE"),
 		},
 		{
 			use:     "take-back TENANT ID",
 			short:   "Withdraw a change that no gateway has applied yet",
 			example: "take-back " + exampleTenant + " spring-1",
-			run:     v.sendFunc("PLAN.TAKEBACK"),
+			run:     s.sendFunc("PLAN.TAKEBACK"),
 		},
 		{
 			use:     "changes TENANT",
 			short:   "List plan changes",
 			example: "changes " + exampleTenant,
-			run:     v.sendFunc("PLAN.LIST"),
+			run:     s.sendFunc("PLAN.LIST"),
 		},
 	}
 }
 
 // reservations returns the subcommands that reserve units for a holder.
-func (v billingSubcommands) reservations() []subcommand {
+func (s billingSubcommands) reservations() []subcommand {
 	return []subcommand{
 		{
 			use:     "reserve TENANT ID HOLDER PLAN UNITS LEASE-MS",
 			short:   "Reserve units; prints the epoch, the reserved units and the end of the lease",
 			example: "reserve " + exampleTenant + " b1 batch-host team 500 60000",
-			run:     v.sendFunc("RESERVE.NEW"),
+			run:     s.sendFunc("RESERVE.NEW"),
 		},
 		{
 			use:     "commit TENANT ID EPOCH UNITS",
 			short:   "Record reserved units as used",
 			example: "commit " + exampleTenant + " b1 7 20",
-			run:     v.sendFunc("RESERVE.COMMIT"),
+			run:     s.sendFunc("RESERVE.COMMIT"),
 		},
 		{
 			use:     "renew TENANT ID EPOCH LEASE-MS",
 			short:   "Extend the lease of a reservation",
 			example: "renew " + exampleTenant + " b1 8 60000",
-			run:     v.sendFunc("RESERVE.RENEW"),
+			run:     s.sendFunc("RESERVE.RENEW"),
 		},
 		{
 			use:     "take TENANT ID HOLDER LEASE-MS",
 			short:   "Move a reservation to another holder",
 			example: "take " + exampleTenant + " b1 other-host 60000",
-			run:     v.sendFunc("RESERVE.TAKE"),
+			run:     s.sendFunc("RESERVE.TAKE"),
 		},
 		{
 			use:     "release TENANT ID EPOCH",
 			short:   "Release the remaining units of a reservation",
 			example: "release " + exampleTenant + " b1 9",
-			run:     v.sendFunc("RESERVE.RELEASE"),
+			run:     s.sendFunc("RESERVE.RELEASE"),
 		},
 		{
 			use:     "reservations TENANT",
 			short:   "List reservations",
 			example: "reservations " + exampleTenant,
-			run:     v.sendFunc("RESERVE.LIST"),
+			run:     s.sendFunc("RESERVE.LIST"),
 		},
 		{
 			use:     "room TENANT PLAN",
 			short:   "Show how many units may still be reserved",
 			example: "room " + exampleTenant + " team",
-			run:     v.sendFunc("RESERVE.ROOM"),
+			run:     s.sendFunc("RESERVE.ROOM"),
 		},
 	}
 }
 
 // sendFunc returns the run function of a subcommand that sends the named limit command with the subcommand's
 // arguments and writes the answer.
-func (v billingSubcommands) sendFunc(name string) func(context.Context, io.Writer, []string) error {
+func (s billingSubcommands) sendFunc(name string) func(context.Context, io.Writer, []string) error {
 	return func(ctx context.Context, out io.Writer, args []string) error {
-		answer, err := v.client().call(ctx, append([]string{name}, args...))
+		answer, err := s.client().call(ctx, append([]string{name}, args...))
 		if err != nil {
 			return err
 		}
--- a/cmd/fawnplank/command_group.go
+++ b/cmd/fawnplank/command_group.go
@@ -18,15 +18,15 @@
 }
 
 // newCommand returns the subcommand as a command of the named group.
-func (v subcommand) newCommand(group string) *cobra.Command {
-	arguments := strings.Fields(v.use)[1:]
+func (s subcommand) newCommand(group string) *cobra.Command {
+	arguments := strings.Fields(s.use)[1:]
 	return &cobra.Command{
-		Use:     v.use,
-		Short:   v.short,
-		Example: "  fawnplank " + group + " " + v.example,
+		Use:     s.use,
+		Short:   s.short,
+		Example: "  fawnplank " + group + " " + s.example,
 		Args:    cobra.ExactArgs(len(arguments)),
 		RunE: func(command *cobra.Command, args []string) error {
-			return v.run(command.Context(), command.OutOrStdout(), args)
+			return s.run(command.Context(), command.OutOrStdout(), args)
 		},
 	}
 }
--- a/cmd/fawnplank/command_store.go
+++ b/cmd/fawnplank/command_store.go
@@ -26,43 +26,43 @@
 // storeSubcommands constructs the subcommands of "store" that make one call to a replica.
 type storeSubcommands struct{ client func() storeClient }
 
-func (v storeSubcommands) all() []subcommand {
+func (s storeSubcommands) all() []subcommand {
 	return []subcommand{
 		{
 			use: "status", short: "Show the state of a replica", example: "status --at 127.0.0.1:7102",
-			run: v.status,
+			run: s.status,
 		},
 		{
 			use: "keys PREFIX", short: "List the keys with a prefix, read from this replica alone",
-			example: "keys plans/", run: v.keys,
+			example: "keys plans/", run: s.keys,
 		},
 		{
 			use: "get KEY", short: "Read a key through the leader", example: "get plans/team",
-			run: v.get,
+			run: s.get,
 		},
 		{
 			use: "set KEY JSON", short: "Write a key",
-			example: `set plans/team '{"name":"team","quota-rate":5,"peak-units":10}'`, run: v.set,
+			example: `set plans/team '{"name":"team","quota-rate":5,"peak-units":10}'`, run: s.set,
 		},
 		{
 			use: "delete KEY", short: "Delete a key", example: "delete plans/team",
-			run: v.delete,
+			run: s.delete,
 		},
 		{
 			use: "add ID@RAFT@API", short: "Add a replica that was started without --peers",
-			example: "add d@127.0.0.1:7004@127.0.0.1:7104", run: v.addReplica,
+			example: "add d@127.0.0.1:7004@127.0.0.1:7104", run: s.addReplica,
 		},
 		{
 			use: "remove ID", short: "Remove a replica", example: "remove d",
-			run: v.removeReplica,
+			run: s.removeReplica,
 		},
 		{
 			use: "backup FILE", short: "Write the leader's state to a new file",
-			example: "backup store.backup", run: v.backup,
+			example: "backup store.backup", run: s.backup,
 		},
 		{
 			use: "restore FILE", short: "Replace the state with a backup; the set of replicas does not change",
-			example: "restore store.backup", run: v.restore,
+			example: "restore store.backup", run: s.restore,
 		},
 	}
 }
@@ -114,27 +114,27 @@
 	return nil
 }
 
-func (v storeSubcommands) status(ctx context.Context, out io.Writer, _ []string) error {
-	return v.print(ctx, out, storeCall{method: http.MethodGet, path: "/v1/status"})
+func (s storeSubcommands) status(ctx context.Context, out io.Writer, _ []string) error {
+	return s.print(ctx, out, storeCall{method: http.MethodGet, path: "/v1/status"})
 }
 
-func (v storeSubcommands) keys(ctx context.Context, out io.Writer, args []string) error {
-	return v.print(ctx, out, storeCall{method: http.MethodGet, path: store.KeysPath(args[0])})
+func (s storeSubcommands) keys(ctx context.Context, out io.Writer, args []string) error {
+	return s.print(ctx, out, storeCall{method: http.MethodGet, path: store.KeysPath(args[0])})
 }
 
-func (v storeSubcommands) get(ctx context.Context, out io.Writer, args []string) error {
-	return v.print(ctx, out, storeCall{method: http.MethodGet, path: store.KeyPath(args[0])})
+func (s storeSubcommands) get(ctx context.Context, out io.Writer, args []string) error {
+	return s.print(ctx, out, storeCall{method: http.MethodGet, path: store.KeyPath(args[0])})
 }
 
-func (v storeSubcommands) set(ctx context.Context, out io.Writer, args []string) error {
-	return v.print(ctx, out, storeCall{method: http.MethodPut, path: store.KeyPath(args[0]), body: []byte(args[1])})
+func (s storeSubcommands) set(ctx context.Context, out io.Writer, args []string) error {
+	return s.print(ctx, out, storeCall{method: http.MethodPut, path: store.KeyPath(args[0]), body: []byte(args[1])})
 }
 
-func (v storeSubcommands) delete(ctx context.Context, out io.Writer, args []string) error {
-	return v.print(ctx, out, storeCall{method: http.MethodDelete, path: store.KeyPath(args[0])})
+func (s storeSubcommands) delete(ctx context.Context, out io.Writer, args []string) error {
+	return s.print(ctx, out, storeCall{method: http.MethodDelete, path: store.KeyPath(args[0])})
 }
 
-func (v storeSubcommands) addReplica(ctx context.Context, out io.Writer, args []string) error {
+func (s storeSubcommands) addReplica(ctx context.Context, out io.Writer, args []string) error {
 	peer, err := store.ParsePeer(args[0])
 	if err != nil {
 		return err
@@ -143,15 +143,15 @@
 	if err != nil {
 		return err
 	}
-	return v.print(ctx, out, storeCall{method: http.MethodPost, path: "/v1/peers", body: body})
+	return s.print(ctx, out, storeCall{method: http.MethodPost, path: "/v1/peers", body: body})
 }
 
-func (v storeSubcommands) removeReplica(ctx context.Context, out io.Writer, args []string) error {
-	return v.print(ctx, out, storeCall{method: http.MethodDelete, path: "/v1/peers/" + url.PathEscape(args[0])})
+func (s storeSubcommands) removeReplica(ctx context.Context, out io.Writer, args []string) error {
+	return s.print(ctx, out, storeCall{method: http.MethodDelete, path: "/v1/peers/" + url.PathEscape(args[0])})
 }
 
-func (v storeSubcommands) backup(ctx context.Context, _ io.Writer, args []string) error {
-	content, err := v.client().do(ctx, storeCall{method: http.MethodGet, path: "/v1/backup"})
+func (s storeSubcommands) backup(ctx context.Context, _ io.Writer, args []string) error {
+	content, err := s.client().do(ctx, storeCall{method: http.MethodGet, path: "/v1/backup"})
 	if err != nil {
 		return err
 	}
@@ -165,17 +165,17 @@
 	return errors.Join(err, file.Close())
 }
 
-func (v storeSubcommands) restore(ctx context.Context, out io.Writer, args []string) error {
+func (s storeSubcommands) restore(ctx context.Context, out io.Writer, args []string) error {
 	content, err := os.ReadFile(args[0])
 	if err != nil {
 		return err
 	}
-	return v.print(ctx, out, storeCall{method: http.MethodPost, path: "/v1/restore", body: content})
+	return s.print(ctx, out, storeCall{method: http.MethodPost, path: "/v1/restore", body: content})
 }
 
 // print makes one call and writes the body of the answer.
-func (v storeSubcommands) print(ctx context.Context, out io.Writer, call storeCall) error {
-	answer, err := v.client().do(ctx, call)
+func (s storeSubcommands) print(ctx context.Context, out io.Writer, call storeCall) error {
+	answer, err := s.client().do(ctx, call)
 	if err != nil {
 		return err
 	}
--- a/cmd/fawnplank/gateway.go
+++ b/cmd/fawnplank/gateway.go
@@ -55,7 +55,7 @@
 	server       *frontend.Server
 	ready        atomic.Bool // true while the gateway is listening and not shutting down
 
-	// closers stop the started parts. They are listed in the order of the starts; Close calls them in reverse:
+	// closers stop the started parts and are stored in the order of the starts. Close calls them in reverse order:
 	//
 	//	zone.Close                  stops the name server, unless a shutdown has stopped it, and notifications of changes
 	//	replica.Close               does nothing without a store
--- a/cmd/fawnplank/limits.go
+++ b/cmd/fawnplank/limits.go
@@ -41,7 +41,7 @@
 	}
 	server := newLimitServer(options)
 	metrics.AddGauges(options.Metrics, server, limitGauges)
-	go func() { // ends when limits.Close is called
+	go func() { // ends when limitService.Close is called
 		if err := server.Serve(listener); err != nil {
 			logging.For(limitsComponent).WithError(err).Error("stopped")
 		}
--- a/cmd/fawnplank/management.go
+++ b/cmd/fawnplank/management.go
@@ -18,7 +18,7 @@
 	server, err := admin.New(ctx, admin.Options{
 		Address:        g.configuration.ManagementAddress,
 		Gateway:        managedGateway{g},
-		MaxConnections: g.resourceLimits.managementCalls(),
+		MaxConnections: g.resourceLimits.managementConnections(),
 	})
 	if err != nil {
 		return fmt.Errorf("configuration: mgmt: %w", err)
--- a/cmd/fawnplank/resources.go
+++ b/cmd/fawnplank/resources.go
@@ -57,8 +57,8 @@
 	debug.SetGCPercent(collectorHeapGrowthPercent)
 }
 
-// managementCalls returns the maximum number of concurrent calls to the management address.
-func (r resourceLimits) managementCalls() int {
+// managementConnections returns the maximum number of open connections to the management address.
+func (r resourceLimits) managementConnections() int {
 	if !r.management {
 		return 0
 	}
@@ -67,7 +67,7 @@
 
 // connectionsPerSide returns the maximum number of connections to clients, which is also the maximum to backends.
 func (r resourceLimits) connectionsPerSide() int {
-	return (r.maxSockets - reservedDescriptors - r.managementCalls()) / connectionSides
+	return (r.maxSockets - reservedDescriptors - r.managementConnections()) / connectionSides
 }
 
 // newLargeValueBudget returns a budget for the memory of large values. Clients and backends have separate budgets,
--- a/cmd/fawnplank/store_client.go
+++ b/cmd/fawnplank/store_client.go
@@ -42,25 +42,25 @@
 }
 
 // record stores the error unless it is nil or an earlier one is stored.
-func (f *readErrorRecorder) record(err error) {
-	if f == nil || err == nil {
+func (r *readErrorRecorder) record(err error) {
+	if r == nil || err == nil {
 		return
 	}
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if f.err == nil {
-		f.err = err
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if r.err == nil {
+		r.err = err
 	}
 }
 
 // Err returns the first error, or nil.
-func (f *readErrorRecorder) Err() error {
-	if f == nil {
+func (r *readErrorRecorder) Err() error {
+	if r == nil {
 		return nil
 	}
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	return f.err
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.err
 }
 
 // storeStatusError is a replica's answer with a status other than 200 OK.
