--- a/cmd/fawnplank-lab/command_accounts.go
+++ b/cmd/fawnplank-lab/command_accounts.go
@@ -48,5 +48,5 @@
 			costs = append(costs, cost)
 		}
 	}
-	return billingbench.Table(command.OutOrStdout(), costs)
+	return billingbench.WriteTable(command.OutOrStdout(), costs)
 }
--- a/internal/lab/billingbench/billingbench_test.go
+++ b/internal/lab/billingbench/billingbench_test.go
@@ -25,7 +25,7 @@
 			if cost.CommandsPerSecond <= 0 || cost.CommandP50 <= 0 || cost.CommandP99 < cost.CommandP50 {
 				t.Errorf("commands: %+v", cost)
 			}
-			if cost.Release <= 0 || cost.ReleaseBound != 1050 || cost.OrdinaryPathNanos <= 0 {
+			if cost.ReleaseDelay <= 0 || cost.ReleaseDelayBound != 1050 || cost.RequestOverheadNanos <= 0 {
 				t.Errorf("release and ordinary path: %+v", cost)
 			}
 		})
@@ -42,12 +42,12 @@
 	}
 }
 
-// TestTable_AlignsCosts compares a table with its text.
-func TestTable_AlignsCosts(t *testing.T) {
+// TestWriteTable_AlignsColumns compares a table with its text.
+func TestWriteTable_AlignsColumns(t *testing.T) {
 	var text strings.Builder
-	err := Table(&text, []Cost{{
+	err := WriteTable(&text, []Cost{{
 		TLS: true, Clients: 8, CommandsPerSecond: 2660, CommandP50: 2.9, CommandP99: 7.2,
-		Release: 920, ReleaseBound: 1050, OrdinaryPathNanos: 450,
+		ReleaseDelay: 920, ReleaseDelayBound: 1050, RequestOverheadNanos: 450,
 	}})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/lab/billingbench/measure.go
+++ b/internal/lab/billingbench/measure.go
@@ -25,16 +25,16 @@
 	Duration time.Duration
 }
 
-// Cost is what was measured. Times are in milliseconds, except for OrdinaryPathNanos.
+// Cost is what was measured. Times are in milliseconds, except for RequestOverheadNanos.
 type Cost struct {
-	TLS               bool
-	Clients           int
-	CommandsPerSecond float64 // a reservation, then a commit
-	CommandP50        float64
-	CommandP99        float64
-	Release           float64 // of an abandoned reservation after the end of its lease; the worst measured
-	ReleaseBound      float64 // the bound that is stated for Release
-	OrdinaryPathNanos float64 // by how much billing lengthens a request
+	TLS                  bool
+	Clients              int
+	CommandsPerSecond    float64 // a reservation, then a commit
+	CommandP50           float64
+	CommandP99           float64
+	ReleaseDelay         float64 // of an abandoned reservation after the end of its lease; the worst measured
+	ReleaseDelayBound    float64 // the documented upper bound of ReleaseDelay
+	RequestOverheadNanos float64 // by how much billing lengthens a request
 }
 
 const (
@@ -127,7 +127,7 @@
 // measureRelease abandons reservations, and measures how long after the end of their leases the units are
 // released.
 func (c *Cost) measureRelease(ctx context.Context, service *billingservice.Service) error {
-	c.ReleaseBound = inMillis(clockSkew + billingservice.CompactionInterval)
+	c.ReleaseDelayBound = inMillis(clockSkew + billingservice.CompactionInterval)
 	for n := range abandonedReservations {
 		tenant := tenantID(firstAbandonedTenant + n)
 		reservation, err := service.Reserve(tenant, billing.ReservationRequest{
@@ -142,7 +142,7 @@
 		}
 		awaitRelease(ctx, service, tenant)
 		late := time.Duration(time.Now().UnixNano() - reservation.ExpiresNanos)
-		c.Release = max(c.Release, inMillis(late))
+		c.ReleaseDelay = max(c.ReleaseDelay, inMillis(late))
 	}
 	return ctx.Err()
 }
@@ -167,7 +167,7 @@
 		service.TenantPlan(tenant)
 		service.RecordUsage(tenant, planName, start, 1)
 	}
-	c.OrdinaryPathNanos = float64(time.Since(start)) / ordinaryRequests
+	c.RequestOverheadNanos = float64(time.Since(start)) / ordinaryRequests
 }
 
 func inMillis(duration time.Duration) float64 { return float64(duration) / 1e6 }
--- a/internal/lab/billingbench/table.go
+++ b/internal/lab/billingbench/table.go
@@ -6,8 +6,8 @@
 	"text/tabwriter"
 )
 
-// Table writes costs as a table, one cost per line.
-func Table(w io.Writer, costs []Cost) error {
+// WriteTable writes costs as a table, one cost per line.
+func WriteTable(w io.Writer, costs []Cost) error {
 	table := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	_, err := fmt.Fprintln(table, "TLS\tclients\tcommands a second\tp50, ms\tp99, ms\t"+
 		"released after the lease, ms\tstated, ms\tordinary path, ns")
@@ -17,7 +17,7 @@
 	for _, cost := range costs {
 		_, err := fmt.Fprintf(table, "%v\t%d\t%.0f\t%.2f\t%.2f\t%.0f\t%.0f\t%.0f\n",
 			cost.TLS, cost.Clients, cost.CommandsPerSecond, cost.CommandP50, cost.CommandP99,
-			cost.Release, cost.ReleaseBound, cost.OrdinaryPathNanos)
+			cost.ReleaseDelay, cost.ReleaseDelayBound, cost.RequestOverheadNanos)
 		if err != nil {
 			return err
 		}
--- a/internal/lab/dnsbench/dnsbench.go
+++ b/internal/lab/dnsbench/dnsbench.go
@@ -27,8 +27,8 @@
 // Cost is what a zone of one size costs. Times are in milliseconds.
 type Cost struct {
 	Backends         int
-	Load             float64 // of the zone file
-	Start            float64 // from the journal
+	ZoneFileReadTime float64 // to read and check the zone file
+	Start            float64 // to start the server from its journal
 	PublishedP50     float64 // from an update's sending until the list is published
 	PublishedP99     float64
 	AnsweredP50      float64 // from an update's sending until its answer
@@ -132,7 +132,7 @@
 	if _, _, err := dnsserver.ReadZoneFile(options.ZoneFile, options.Settings); err != nil {
 		return cost, err
 	}
-	cost.Load = inMillis(time.Since(began))
+	cost.ZoneFileReadTime = inMillis(time.Since(began))
 	server, err := dnsserver.Start(options)
 	if err != nil {
 		return cost, err
--- a/internal/lab/dnsbench/dnsbench_test.go
+++ b/internal/lab/dnsbench/dnsbench_test.go
@@ -15,7 +15,7 @@
 		t.Fatalf("%+v", costs)
 	}
 	cost := costs[0]
-	if cost.Load <= 0 || cost.Start <= 0 || cost.UpdatesPerSecond <= 0 {
+	if cost.ZoneFileReadTime <= 0 || cost.Start <= 0 || cost.UpdatesPerSecond <= 0 {
 		t.Errorf("%+v", cost)
 	}
 	if cost.PublishedP50 <= 0 || cost.AnsweredP50 <= 0 {
--- a/internal/lab/plots/costs.go
+++ b/internal/lab/plots/costs.go
@@ -27,7 +27,7 @@
 
 var costPanels = []costPanel{
 	{title: "a start", unit: "ms", curves: []curve[dnsbench.Cost]{
-		{"zone file", green, func(cost dnsbench.Cost) float64 { return cost.Load }},
+		{"zone file", green, func(cost dnsbench.Cost) float64 { return cost.ZoneFileReadTime }},
 		{"journal", red, func(cost dnsbench.Cost) float64 { return cost.Start }},
 	}},
 	{title: "an update, from its sending", unit: "ms", curves: []curve[dnsbench.Cost]{
@@ -100,7 +100,7 @@
 	}
 	for _, cost := range costs {
 		_, err := fmt.Fprintf(table, "%d\t%.0f\t%.0f\t%.2f\t%.2f\t%.2f\t%.2f\t%.0f\n",
-			cost.Backends, cost.Load, cost.Start, cost.PublishedP50, cost.PublishedP99,
+			cost.Backends, cost.ZoneFileReadTime, cost.Start, cost.PublishedP50, cost.PublishedP99,
 			cost.AnsweredP50, cost.AnsweredP99, cost.UpdatesPerSecond)
 		if err != nil {
 			return err
