--- a/cmd/fawnplank-lab/command_accounts.go
+++ b/cmd/fawnplank-lab/command_accounts.go
@@ -8,7 +8,7 @@
 	"fawnplank/internal/lab/billingbench"
 )
 
-// defaultAccountsDuration is how long clients send commands.
+// defaultAccountsDuration is the default time for which each client sends commands.
 const defaultAccountsDuration = 5 * time.Second
 
 // accountsFlags are the flags of "accounts".
@@ -21,14 +21,15 @@
 	var flags accountsFlags
 	command := &cobra.Command{
 		Use:     "accounts",
-		Short:   "Measure reservations on three replicas, with and without TLS",
+		Short:   "Measure reservations on a cluster of three replicas, with and without TLS",
 		Args:    cobra.NoArgs,
 		Example: "  fawnplank lab accounts --clients 1,8 --span 10s",
 		RunE:    func(command *cobra.Command, _ []string) error { return flags.run(command) },
 	}
 	command.Flags().IntSliceVar(&flags.clients, "clients", []int{1, 8},
-		"connections that send one command after the other")
-	command.Flags().DurationVar(&flags.duration, "span", defaultAccountsDuration, "time for which they send")
+		"numbers of concurrent clients to measure, each of which sends one command at a time")
+	command.Flags().DurationVar(&flags.duration, "span", defaultAccountsDuration,
+		"time for which the clients send commands")
 	return command
 }
 
@@ -36,9 +37,9 @@
 	logErrorsOnly()
 	var costs []billingbench.Cost
 	for _, clients := range f.clients {
-		for _, secure := range []bool{false, true} {
+		for _, withTLS := range []bool{false, true} {
 			cost, err := billingbench.Measure(command.Context(), billingbench.Options{
-				TLS:      secure,
+				TLS:      withTLS,
 				Clients:  clients,
 				Duration: f.duration,
 			})
--- a/cmd/fawnplank-lab/command_check.go
+++ b/cmd/fawnplank-lab/command_check.go
@@ -11,7 +11,7 @@
 func checkCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:     "check SCENARIO...",
-		Short:   "Read scenarios and report what is wrong with them",
+		Short:   "Validate scenario files",
 		Args:    cobra.MinimumNArgs(1),
 		Example: "  fawnplank lab check lab/scenarios/*.toml",
 		RunE:    checkScenarios,
@@ -24,7 +24,7 @@
 		if err != nil {
 			return err
 		}
-		warnOfDeprecations(command, s)
+		printDeprecationWarnings(command, s)
 		printf(command, "%s: in order; %s, %d instances, %d backends, "+
 			"%.0f requests a second for %v, %d faults\n",
 			s.Name, s.On, s.Instances.Count, s.Backends.Count,
--- a/cmd/fawnplank-lab/command_report.go
+++ b/cmd/fawnplank-lab/command_report.go
@@ -11,7 +11,7 @@
 	var pictureFile string
 	command := &cobra.Command{
 		Use:     "report RUN...",
-		Short:   "Tabulate and draw recorded runs, up to four side by side",
+		Short:   "Print and plot the results of up to four runs side by side",
 		Args:    cobra.RangeArgs(1, plots.MaxRuns),
 		Example: "  fawnplank lab report before.json after.json -o change.png",
 		RunE: func(command *cobra.Command, args []string) error {
--- a/cmd/fawnplank-lab/command_run.go
+++ b/cmd/fawnplank-lab/command_run.go
@@ -16,8 +16,8 @@
 	"fawnplank/internal/lab/testbed"
 )
 
-// oldGatewayFlag is the name that --gateway had before. It is still read, with a warning.
-const oldGatewayFlag = "door"
+// deprecatedGatewayFlag is the former name of --gateway. The command still accepts it and prints a warning.
+const deprecatedGatewayFlag = "door"
 
 // runFlags are the flags of "run".
 type runFlags struct {
@@ -33,7 +33,7 @@
 	var flags runFlags
 	command := &cobra.Command{
 		Use:   "run SCENARIO",
-		Short: "Play a scenario and print its results",
+		Short: "Run a scenario and print its results",
 		Args:  cobra.ExactArgs(1),
 		Example: `  fawnplank lab run lab/scenarios/calm.toml
   fawnplank lab run lab/scenarios/counter-lost.toml --on model -o lost.json --plot lost.png
@@ -42,18 +42,20 @@
 	}
 	flags.scenario.register(command)
 	addResultsFlag(command, &flags.outputFile)
-	command.Flags().StringVar(&flags.label, "label", "", "what to call this run in tables and plots")
-	command.Flags().StringVar(&flags.pictureFile, "plot", "", "picture to draw, .png or .svg")
-	command.Flags().StringVar(&flags.logFolder, "logs", "", "sockets: folder for the gateways' logs")
+	command.Flags().StringVar(&flags.label, "label", "", "name of this run in tables and plots")
+	command.Flags().StringVar(&flags.pictureFile, "plot", "",
+		"file that a plot of the results is written to, .png or .svg")
+	command.Flags().StringVar(&flags.logFolder, "logs", "", "folder for the logs of the gateways (only on sockets)")
 	program := defaultGatewayProgram()
-	command.Flags().StringVar(&flags.gatewayProgram, "gateway", program, "sockets: the gateway's program")
-	command.Flags().StringVar(&flags.gatewayProgram, oldGatewayFlag, program, "use --gateway")
-	deprecateFlag(command, oldGatewayFlag, "use --gateway")
-	command.MarkFlagsMutuallyExclusive("gateway", oldGatewayFlag)
+	command.Flags().StringVar(&flags.gatewayProgram, "gateway", program,
+		"path of the gateway's executable (only on sockets)")
+	command.Flags().StringVar(&flags.gatewayProgram, deprecatedGatewayFlag, program, "use --gateway")
+	deprecateFlag(command, deprecatedGatewayFlag, "use --gateway")
+	command.MarkFlagsMutuallyExclusive("gateway", deprecatedGatewayFlag)
 	return command
 }
 
-// defaultGatewayProgram returns the path of the gateway's program, which is next to this one.
+// defaultGatewayProgram returns the path of the gateway's executable in the folder of this program.
 func defaultGatewayProgram() string {
 	self, err := os.Executable()
 	if err != nil {
@@ -62,30 +64,30 @@
 	return filepath.Join(filepath.Dir(self), "fawnplank")
 }
 
-// run plays a scenario and reports on it. A run that ended with an error, such as a crashed gateway, is
-// printed but not written, so that no file of results holds a run cut short.
+// run executes a scenario and prints its results. If the run ends with an error, such as a crashed gateway, the results
+// are printed but not written, so that no results file holds an incomplete run.
 func (f *runFlags) run(command *cobra.Command, path string) error {
-	s, err := f.scenario.load(command, path)
+	s, err := f.scenario.loadAndWarn(command, path)
 	if err != nil {
 		return err
 	}
 	start := time.Now()
-	run, err := f.play(command.Context(), s)
+	run, err := f.runScenario(command.Context(), s)
 	if run == nil {
 		return err
 	}
 	run.Label = f.label
 	seconds := time.Since(start).Seconds()
-	_ = plots.Table(command.OutOrStdout(), run) // as in printf
+	_ = plots.Table(command.OutOrStdout(), run) // a failed write is ignored for the reason that printf gives
 	printf(command, "%d events in %.2f s, %.0f a second\n", run.Events, seconds, float64(run.Events)/seconds)
 	if err != nil {
 		return err
 	}
-	return f.write(s.Name, run)
+	return f.writeOutputs(s.Name, run)
 }
 
-// play plays a scenario on the model or on sockets, as the scenario says.
-func (f *runFlags) play(ctx context.Context, s *scenario.Scenario) (*results.Run, error) {
+// runScenario runs a scenario in the environment that it specifies: the model or sockets.
+func (f *runFlags) runScenario(ctx context.Context, s *scenario.Scenario) (*results.Run, error) {
 	if s.On == scenario.OnModel {
 		return model.Run(s)
 	}
@@ -95,8 +97,8 @@
 	})
 }
 
-// write writes the files that the flags ask for, and fails if a rule was broken.
-func (f *runFlags) write(name string, run *results.Run) error {
+// writeOutputs writes the files that the flags name. It returns an error if the run violated a rule.
+func (f *runFlags) writeOutputs(name string, run *results.Run) error {
 	if err := writeResults(f.outputFile, run); err != nil {
 		return err
 	}
@@ -104,15 +106,15 @@
 	if err != nil {
 		return err
 	}
-	return checkRules(name, run)
+	return checkViolations(name, run)
 }
 
-// checkRules returns an error if a run broke a rule.
-func checkRules(name string, run *results.Run) error {
+// checkViolations returns an error if a run violated a rule.
+func checkViolations(name string, run *results.Run) error {
 	violations := run.Violations()
 	if violations == 0 {
 		return nil
 	}
-	return fmt.Errorf("%s: rules broken %d times; the findings below the table say when and how",
+	return fmt.Errorf("%s: rules broken %d times; the findings below the table list each violation",
 		name, violations)
 }
--- a/cmd/fawnplank-lab/command_standins.go
+++ b/cmd/fawnplank-lab/command_standins.go
@@ -15,54 +15,54 @@
 )
 
 const (
-	// defaultStay is long enough to try something by hand.
-	defaultStay = 10 * time.Minute
-	// maxStay ends emulated services that were forgotten.
-	maxStay = time.Hour
+	// defaultLifetime leaves enough time for manual tests.
+	defaultLifetime = 10 * time.Minute
+	// maxLifetime stops emulated services that were left running unintentionally.
+	maxLifetime = time.Hour
 )
 
 // standInsFlags are the flags of "stand-ins".
 type standInsFlags struct {
 	scenario scenarioFlags
 	folder   string
-	stay     time.Duration
+	lifetime time.Duration
 }
 
 func standInsCommand() *cobra.Command {
 	var flags standInsFlags
 	command := &cobra.Command{
 		Use:   "stand-ins SCENARIO --dir FOLDER",
-		Short: "Run a scenario's backends, counter and discovery alone, for gateways started by hand",
+		Short: "Run a scenario's emulated backends, counter and discovery for gateways that are started manually",
 		Long: `Starts the scenario's emulated services on loopback, writes a configuration for each of its gateways into
-the folder, and prints how to start them. Its faults come at their times from then on. Ends by itself after
---stay, or at SIGTERM.`,
+the folder, and prints the commands that start the gateways. Injects the scenario's faults at their times,
+counted from then on. Exits after the time of --stay, or on SIGTERM.`,
 		Args:    cobra.ExactArgs(1),
 		Example: "  fawnplank lab stand-ins lab/scenarios/one-hangs.toml --dir try --stay 10m",
 		RunE:    func(command *cobra.Command, args []string) error { return flags.run(command, args[0]) },
 	}
 	flags.scenario.register(command)
 	command.Flags().StringVar(&flags.folder, "dir", "", "folder for the gateways' configurations")
-	command.Flags().DurationVar(&flags.stay, "stay", defaultStay, "for how long, at most 1h")
+	command.Flags().DurationVar(&flags.lifetime, "stay", defaultLifetime, "time after which the services stop, at most 1h")
 	requireFlag(command, "dir")
 	return command
 }
 
 func (f *standInsFlags) run(command *cobra.Command, path string) error {
-	s, err := f.scenario.load(command, path)
+	s, err := f.scenario.loadAndWarn(command, path)
 	if err != nil {
 		return err
 	}
-	if f.stay <= 0 || f.stay > maxStay {
-		return fmt.Errorf("--stay %v is not above 0 and at most 1h", f.stay)
+	if f.lifetime <= 0 || f.lifetime > maxLifetime {
+		return fmt.Errorf("--stay %v is out of range: must be above 0 and at most 1h", f.lifetime)
 	}
 	if err := os.MkdirAll(f.folder, 0o755); err != nil {
 		return err
 	}
-	log, err := testbed.NewLog(s)
+	eventLog, err := testbed.NewLog(s)
 	if err != nil {
 		return err
 	}
-	emulated, err := emulator.Start(s, log)
+	emulated, err := emulator.Start(s, eventLog)
 	if err != nil {
 		return err
 	}
@@ -72,13 +72,13 @@
 		return err
 	}
 	printf(command, "fawnplank lab load %s --to %s\n", path, strings.Join(addresses, ","))
-	log.Begin()
+	eventLog.Begin()
 	emulated.ScheduleFaults()
 	f.wait(command.Context())
 	return nil
 }
 
-// configureGateways configures all gateways and returns the addresses that they will listen on.
+// configureGateways configures the given number of gateways and returns their listen addresses.
 func (f *standInsFlags) configureGateways(
 	command *cobra.Command, emulated *emulator.Emulator, count int,
 ) ([]string, error) {
@@ -93,8 +93,8 @@
 	return addresses, nil
 }
 
-// configureGateway writes the configuration of a gateway, prints how to start it, and returns the address
-// that it will listen on.
+// configureGateway writes the configuration file of the gateway with the given index, prints the command that starts
+// the gateway, and returns its listen address.
 func (f *standInsFlags) configureGateway(
 	command *cobra.Command, emulated *emulator.Emulator, index int,
 ) (string, error) {
@@ -114,10 +114,10 @@
 	return address, nil
 }
 
-// wait waits until the stay is over or ctx ends.
+// wait returns when the services' lifetime is over or ctx is done.
 func (f *standInsFlags) wait(ctx context.Context) {
 	select {
 	case <-ctx.Done():
-	case <-time.After(f.stay):
+	case <-time.After(f.lifetime):
 	}
 }
--- a/cmd/fawnplank-lab/command_sweep.go
+++ b/cmd/fawnplank-lab/command_sweep.go
@@ -13,7 +13,7 @@
 	"fawnplank/internal/lab/scenario"
 )
 
-// defaultParallelRuns leaves half of an eight-core machine to other work.
+// defaultParallelRuns leaves half of the cores of an eight-core machine free for other work.
 const defaultParallelRuns = 4
 
 // sweepFlags are the flags of "sweep".
@@ -27,7 +27,7 @@
 	var flags sweepFlags
 	command := &cobra.Command{
 		Use:   "sweep SCENARIO KEY=VALUE,VALUE,...",
-		Short: "Play a scenario on the model with several values of a key",
+		Short: "Run a scenario on the model once for each of several values of a key",
 		Args:  cobra.ExactArgs(2),
 		Example: "  fawnplank lab sweep lab/scenarios/counter-lost.toml " +
 			"gateways.count=2,5,10,20,50 -o instances.png",
@@ -37,17 +37,18 @@
 	}
 	flags.scenario.register(command)
 	addPictureFlag(command, &flags.pictureFile)
-	command.Flags().IntVar(&flags.parallelRuns, "parallel", defaultParallelRuns, "runs at once")
+	command.Flags().IntVar(&flags.parallelRuns, "parallel", defaultParallelRuns,
+		"maximum number of concurrent runs")
 	return command
 }
 
 func (f *sweepFlags) run(command *cobra.Command, path, assignment string) error {
-	key, list, ok := strings.Cut(assignment, "=")
-	if !ok || list == "" {
+	key, valueList, ok := strings.Cut(assignment, "=")
+	if !ok || valueList == "" {
 		return fmt.Errorf("%q is not of the form key=value,value", assignment)
 	}
-	values := strings.Split(list, ",")
-	runs, err := f.play(command, path, key, values)
+	values := strings.Split(valueList, ",")
+	runs, err := f.runScenarios(command, path, key, values)
 	if err != nil {
 		return err
 	}
@@ -59,16 +60,16 @@
 		return err
 	}
 	for _, run := range runs {
-		if err := checkRules(run.Label, run); err != nil {
+		if err := checkViolations(run.Label, run); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// play plays the scenario once for each value and returns the runs in the order of the values. It reads all
-// scenarios before it plays the first, so that a wrong value costs no run.
-func (f *sweepFlags) play(
+// runScenarios runs the scenario once for each value and returns the results in the order of the values. It validates
+// all values before the first run, so that an invalid value is reported before any time is spent on runs.
+func (f *sweepFlags) runScenarios(
 	command *cobra.Command, path, key string, values []string,
 ) ([]*results.Run, error) {
 	scenarios := make([]*scenario.Scenario, len(values))
@@ -79,7 +80,7 @@
 		}
 		scenarios[n] = s
 	}
-	warnOfDeprecations(command, scenarios[0]) // the others differ in a value only
+	printDeprecationWarnings(command, scenarios[0]) // the other scenarios differ only in the value of the key
 	runs := make([]*results.Run, len(values))
 	var group errgroup.Group
 	group.SetLimit(f.parallelRuns)
--- a/cmd/fawnplank-lab/command_test.go
+++ b/cmd/fawnplank-lab/command_test.go
@@ -13,7 +13,7 @@
 
 const calmScenario = "../../lab/scenarios/calm.toml"
 
-// execute runs a command line and returns what it prints.
+// execute runs a command line and returns its output, including that to stderr.
 func execute(t *testing.T, args ...string) (string, error) {
 	t.Helper()
 	var output bytes.Buffer
@@ -25,7 +25,8 @@
 	return output.String(), err
 }
 
-// TestRootCommand_KeepsNamesAndFlags compares the commands and their flags, which scripts use, with a list.
+// TestRootCommand_KeepsNamesAndFlags compares the names of all commands and flags with a list. Scripts depend on these
+// names.
 func TestRootCommand_KeepsNamesAndFlags(t *testing.T) {
 	want := map[string]string{
 		"accounts":  "clients span",
@@ -54,8 +55,8 @@
 	}
 }
 
-// TestCheck_PrintsOneLineForScenario prints a line for each scenario that is in order.
-func TestCheck_PrintsOneLineForScenario(t *testing.T) {
+// TestCheck_PrintsOneLinePerScenario checks that the command prints one line for a valid scenario.
+func TestCheck_PrintsOneLinePerScenario(t *testing.T) {
 	output, err := execute(t, "check", calmScenario)
 	if err != nil {
 		t.Fatal(err)
@@ -65,7 +66,8 @@
 	}
 }
 
-// TestRun_WritesResultsAndPicture plays a scenario, and writes its results and a picture.
+// TestRun_WritesResultsAndPicture runs a scenario and checks the printed table, the results file, the plot, and that
+// the report command reads the results file.
 func TestRun_WritesResultsAndPicture(t *testing.T) {
 	folder := t.TempDir()
 	file := filepath.Join(folder, "run.json")
@@ -95,35 +97,35 @@
 	}
 }
 
-// TestSweep_PlaysValuesInOrder plays a scenario once for each value, in their order.
-func TestSweep_PlaysValuesInOrder(t *testing.T) {
+// TestSweep_ListsRunsInOrderOfValues checks that the table has one run for each value, in the order of the values.
+func TestSweep_ListsRunsInOrderOfValues(t *testing.T) {
 	output, err := execute(t, "sweep", calmScenario, "gateways.count=2,3,4", "--set", "duration=1s")
 	if err != nil {
 		t.Fatal(err)
 	}
 	const want = "run calm, gateways.count=2 calm, gateways.count=3 calm, gateways.count=4"
-	titles, _, _ := strings.Cut(output, "\n")
-	if got := strings.Join(strings.Fields(titles), " "); got != want {
+	header, _, _ := strings.Cut(output, "\n")
+	if got := strings.Join(strings.Fields(header), " "); got != want {
 		t.Errorf("%q, want %q", got, want)
 	}
 }
 
-// TestCommands_RejectWrongArguments: an error names the argument that is wrong.
+// TestCommands_RejectWrongArguments checks that the error for an invalid argument names that argument.
 func TestCommands_RejectWrongArguments(t *testing.T) {
 	for _, test := range []struct {
 		name string
 		args []string
 		want string
 	}{
-		{"a scenario that is not there", []string{"check", "none.toml"}, "none.toml"},
+		{"missing scenario file", []string{"check", "none.toml"}, "none.toml"},
 		{"load without addresses", []string{"load", calmScenario}, `"to" not set`},
-		{"load beyond loopback", []string{"load", calmScenario, "--to", "192.0.2.1:1"}, "--to 192.0.2.1:1"},
-		{"stand-ins without a folder", []string{"stand-ins", calmScenario}, `"dir" not set`},
-		{"stand-ins too long", []string{"stand-ins", calmScenario, "--dir", "d", "--stay", "2h"}, "2h"},
-		{"a sweep without values", []string{"sweep", calmScenario, "gateways.count"}, `"gateways.count"`},
-		{"a sweep with a wrong value", []string{"sweep", calmScenario, "gateways.count=2,x"}, "gateways.count"},
-		{"a zone without backends", []string{"zone", "--sizes", "0"}, "--sizes: 0"},
-		{"too many runs", []string{"report", "1", "2", "3", "4", "5"}, "between 1 and 4"},
+		{"load to an address outside loopback", []string{"load", calmScenario, "--to", "192.0.2.1:1"}, "--to 192.0.2.1:1"},
+		{"stand-ins without --dir", []string{"stand-ins", calmScenario}, `"dir" not set`},
+		{"stand-ins with --stay above the maximum", []string{"stand-ins", calmScenario, "--dir", "d", "--stay", "2h"}, "2h"},
+		{"sweep without values", []string{"sweep", calmScenario, "gateways.count"}, `"gateways.count"`},
+		{"sweep with an invalid value", []string{"sweep", calmScenario, "gateways.count=2,x"}, "gateways.count"},
+		{"zone without backends", []string{"zone", "--sizes", "0"}, "--sizes: 0"},
+		{"report of too many runs", []string{"report", "1", "2", "3", "4", "5"}, "between 1 and 4"},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			_, err := execute(t, test.args...)
@@ -134,9 +136,10 @@
 	}
 }
 
-// TestScenarioFlags_LaterOverridesWin: --on and --seed are laid over --set and the command's own overrides.
-func TestScenarioFlags_LaterOverridesWin(t *testing.T) {
-	flags := scenarioFlags{on: "model", seed: 9, set: []string{"seed=3", "on=sockets", "gateways.count=5"}}
+// TestScenarioFlags_OnAndSeedTakePrecedence checks that --on and --seed override --set, as do the overrides of the
+// command.
+func TestScenarioFlags_OnAndSeedTakePrecedence(t *testing.T) {
+	flags := scenarioFlags{environment: "model", seed: 9, set: []string{"seed=3", "on=sockets", "gateways.count=5"}}
 	s, err := flags.read(calmScenario, "gateways.count=4")
 	if err != nil {
 		t.Fatal(err)
@@ -146,7 +149,7 @@
 	}
 }
 
-func TestIsLoopback_AcceptsNoOtherAddress(t *testing.T) {
+func TestIsLoopback_AcceptsOnlyLoopbackAddresses(t *testing.T) {
 	for address, want := range map[string]bool{
 		"127.0.0.1:1": true, "127.9.0.1:1": true, "[::1]:1": true, "localhost:1": true,
 		"10.0.0.1:1": false, "[::2]:1": false, "example.org:1": false, "": false,
--- a/cmd/fawnplank-lab/deprecated_test.go
+++ b/cmd/fawnplank-lab/deprecated_test.go
@@ -7,8 +7,9 @@
 	"testing"
 )
 
-// TestCheck_WarnsOfOldNames: a scenario in old names is in order, and each old name gives a warning.
-func TestCheck_WarnsOfOldNames(t *testing.T) {
+// TestCheck_WarnsAboutDeprecatedNames checks that a scenario with deprecated names is valid, and that each deprecated
+// name causes a warning.
+func TestCheck_WarnsAboutDeprecatedNames(t *testing.T) {
 	const text = "name = \"old\"\n[doors]\ncount = 2\n" +
 		"[[profile]]\nname = \"calc\"\neffect = \"reissuable\"\npromised = \"750ms\"\n" +
 		"[[plan]]\nname = \"despacho\"\nrate = 20\nburst = 40\n"
@@ -34,8 +35,9 @@
 	}
 }
 
-// TestSweep_WarnsOnce: a sweep over a key by its old name gives one warning for all values.
-func TestSweep_WarnsOnce(t *testing.T) {
+// TestSweep_PrintsDeprecationWarningOnce checks that a sweep over a key under its deprecated name prints one warning,
+// not one per value.
+func TestSweep_PrintsDeprecationWarningOnce(t *testing.T) {
 	output, err := execute(t, "sweep", calmScenario, "doors.count=2,3", "--set", "duration=1s")
 	if err != nil {
 		t.Fatal(err)
@@ -45,17 +47,18 @@
 	}
 }
 
-// TestRun_OldGatewayFlag: --door is read, with a warning that names --gateway, and not beside it.
-func TestRun_OldGatewayFlag(t *testing.T) {
-	short := []string{"run", calmScenario, "--on", "model", "--set", "duration=1s"}
-	output, err := execute(t, append(short, "--door", "fawnplank")...)
+// TestRun_AcceptsDeprecatedGatewayFlag checks that --door sets the gateway's executable, that its warning names
+// --gateway, and that the two flags cannot be combined.
+func TestRun_AcceptsDeprecatedGatewayFlag(t *testing.T) {
+	shortRun := []string{"run", calmScenario, "--on", "model", "--set", "duration=1s"}
+	output, err := execute(t, append(shortRun, "--door", "fawnplank")...)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if !strings.Contains(output, "--door has been deprecated, use --gateway") {
 		t.Error(output)
 	}
-	_, err = execute(t, append(short, "--door", "a", "--gateway", "b")...)
+	_, err = execute(t, append(shortRun, "--door", "a", "--gateway", "b")...)
 	if err == nil || !strings.Contains(err.Error(), "[door gateway]") && !strings.Contains(err.Error(), "[gateway door]") {
 		t.Error(err)
 	}
@@ -64,6 +67,6 @@
 		t.Fatal(err)
 	}
 	if got := command.Flag("gateway").Value.String(); got != "old-build" {
-		t.Errorf("the gateway's program is %q", got)
+		t.Errorf("--door did not set --gateway: got %q", got)
 	}
 }
--- a/cmd/fawnplank-lab/main.go
+++ b/cmd/fawnplank-lab/main.go
@@ -1,8 +1,9 @@
-// Command fawnplank-lab is the laboratory's program: it plays scenarios on the model or between emulated
-// services, sends their requests to running gateways, measures single parts, and draws reports. "fawnplank lab"
-// runs it. It is a separate program because a gateway's memory is bounded, and a gateway needs no fonts and plots.
+// Command fawnplank-lab is the laboratory: it runs scenarios on the model or with real gateways and emulated services,
+// sends the requests of scenarios to running gateways, benchmarks single components, and plots results. The command
+// "fawnplank lab" executes it. It is a separate program because a gateway's memory is bounded, and a gateway does not
+// need the fonts and the plotting code.
 //
-// Each command has its own file, command_*.go, and is a value that holds its flags.
+// Each command is defined in its own file, command_*.go. A command with several flags keeps them in a struct.
 package main
 
 import (
@@ -19,7 +20,7 @@
 	os.Exit(run())
 }
 
-// run executes the command line and returns the exit status. It is separate from main because os.Exit skips
+// run executes the command line and returns the exit status. It is a function of its own because os.Exit in main skips
 // deferred calls.
 func run() int {
 	ctx, cancel := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
@@ -34,10 +35,11 @@
 func rootCommand() *cobra.Command {
 	root := &cobra.Command{
 		Use:   "lab",
-		Short: "Try designs and faults on the model or between emulated services",
-		Long: `The laboratory plays scenarios: TOML files that say what is balanced, which requests come, and
-which faults when. On sockets, real gateways run between emulated services on loopback; on the model, the real
-decisions run in simulated time, at sizes that sockets do not reach. The five rules are checked in every run.`,
+		Short: "Test designs and faults on the model or with emulated services",
+		Long: `The laboratory runs scenarios: TOML files that define the gateways and services, the requests that
+clients send, and the faults with their times. On sockets, real gateways run with emulated services on loopback. On
+the model, the gateway's decision code runs in simulated time, at sizes that sockets do not reach. Every run is
+checked against the five rules.`,
 		SilenceUsage:  true,
 		SilenceErrors: true,
 	}
@@ -55,22 +57,21 @@
 	return root
 }
 
-// printf prints to the output of a command. It ignores errors: the output is for a reader, and a failed write
-// must not end a run whose results go to files.
+// printf prints to the output of a command. It ignores write errors, because the output is only informative: a failed
+// write must not end a run whose results are written to files.
 func printf(command *cobra.Command, format string, values ...any) {
 	_, _ = fmt.Fprintf(command.OutOrStdout(), format, values...)
 }
 
-// deprecateFlag hides a flag and warns whoever uses it.
-func deprecateFlag(command *cobra.Command, name, advice string) {
-	if err := command.Flags().MarkDeprecated(name, advice); err != nil {
-		panic(err) // the command has no such flag: a mistake in this package
+// deprecateFlag hides a flag from the help text. Use of the flag prints a warning with the given message.
+func deprecateFlag(command *cobra.Command, name, message string) {
+	if err := command.Flags().MarkDeprecated(name, message); err != nil {
+		panic(err) // programming error: the command has no such flag
 	}
 }
 
-// requireFlag makes a flag required.
 func requireFlag(command *cobra.Command, name string) {
 	if err := command.MarkFlagRequired(name); err != nil {
-		panic(err) // the command has no such flag: a mistake in this package
+		panic(err) // programming error: the command has no such flag
 	}
 }
--- a/cmd/fawnplank-lab/output_flags.go
+++ b/cmd/fawnplank-lab/output_flags.go
@@ -7,17 +7,18 @@
 	"fawnplank/internal/lab/results"
 )
 
-// addResultsFlag adds --output, -o, for a file of results.
+// addResultsFlag adds the flag --output (-o), which names a file for the results.
 func addResultsFlag(command *cobra.Command, file *string) {
 	command.Flags().StringVarP(file, "output", "o", "", "file that the results are written to, as JSON")
 }
 
-// addPictureFlag adds --output, -o, for a picture.
+// addPictureFlag adds the flag --output (-o), which names an image file for a plot.
 func addPictureFlag(command *cobra.Command, file *string) {
-	command.Flags().StringVarP(file, "output", "o", "", "picture to draw, .png or .svg")
+	command.Flags().StringVarP(file, "output", "o", "", "file that a plot of the results is written to, .png or .svg")
 }
 
-// writeResults writes a run to the file that a flag names, if any.
+// writeResults writes the results of a run to the given file. An empty name means that the flag was not set; then
+// writeResults does nothing.
 func writeResults(file string, run *results.Run) error {
 	if file == "" {
 		return nil
@@ -25,7 +26,8 @@
 	return run.Write(file)
 }
 
-// drawPicture draws into the file that a flag names, if any.
+// drawPicture calls draw with the given file. An empty name means that the flag was not set; then drawPicture does
+// nothing.
 func drawPicture(file string, draw func(file string) error) error {
 	if file == "" {
 		return nil
@@ -33,5 +35,6 @@
 	return draw(file)
 }
 
-// logErrorsOnly keeps the log entries of what is measured out of the table and out of the measured time.
+// logErrorsOnly suppresses log entries below the error level, so that log entries of the measured component neither mix
+// with the printed table nor add to the measured time.
 func logErrorsOnly() { logrus.SetLevel(logrus.ErrorLevel) }
--- a/scripts/known_red_test.go
+++ b/scripts/known_red_test.go
@@ -10,34 +10,41 @@
 )
 
 const (
-	listedTest = "internal/a TestX: go test -run TestX, no seed, seen once, ROADMAP\n"
-	failedX    = "--- FAIL: TestX (0.00s)\n    x_test.go:1: wrong\n"
-	failedY    = "--- FAIL: TestY (0.00s)\n"
-	passedX    = "=== RUN   TestX\n--- PASS: TestX (0.00s)\n"
-	endFailed  = "FAIL\nFAIL\tfawnplank/internal/a\t0.1s\nFAIL\n"
+	listEntry            = "internal/a TestX: go test -run TestX, no seed, seen once, issue 1\n"
+	failedTestX          = "--- FAIL: TestX (0.00s)\n    x_test.go:1: wrong\n"
+	failedTestY          = "--- FAIL: TestY (0.00s)\n"
+	passedTestX          = "=== RUN   TestX\n--- PASS: TestX (0.00s)\n"
+	failedPackageSummary = "FAIL\nFAIL\tfawnplank/internal/a\t0.1s\nFAIL\n"
 )
 
-// TestKnownRed_PassesOverListedFailuresOnly guards against a failure that CI does not see: a listed test was passed
-// over in any package, and one that passed was not named.
-func TestKnownRed_PassesOverListedFailuresOnly(t *testing.T) {
+// TestKnownRed_ToleratesOnlyListedFailures guards against failures that CI overlooks: known-red.sh used to ignore a
+// failure of a listed test name in every package, and did not report listed tests that passed.
+func TestKnownRed_ToleratesOnlyListedFailures(t *testing.T) {
 	for _, test := range []struct {
 		name, list, output, status, want string
-		fails                            bool
+		wantError                        bool
 	}{
-		{name: "all pass", output: passedX + "ok  \tfawnplank/internal/a\t0.1s\n", status: "0"},
-		{name: "listed, fails", list: listedTest, output: failedX + endFailed, status: "1", want: "passed over"},
-		{name: "listed, passes", list: listedTest, output: passedX + "ok  \tfawnplank/internal/a\t0.1s\n", status: "0",
+		{name: "all tests pass", output: passedTestX + "ok  \tfawnplank/internal/a\t0.1s\n", status: "0"},
+		{name: "listed test fails", list: listEntry,
+			output: failedTestX + failedPackageSummary, status: "1", want: "passed over"},
+		{name: "listed test passes", list: listEntry,
+			output: passedTestX + "ok  \tfawnplank/internal/a\t0.1s\n", status: "0",
 			want: "known as failing, and passed: internal/a TestX"},
-		{name: "not listed", output: failedX + endFailed, status: "1", fails: true, want: "not known: internal/a TestX"},
-		{name: "in another package", list: listedTest, status: "1", fails: true, want: "not known: internal/b TestX",
-			output: failedX + strings.ReplaceAll(endFailed, "internal/a", "internal/b")},
-		{name: "beside another", list: listedTest, output: failedX + failedY + endFailed, status: "1", fails: true,
+		{name: "unlisted test fails", output: failedTestX + failedPackageSummary, status: "1", wantError: true,
+			want: "not known: internal/a TestX"},
+		{name: "listed test name fails in another package", list: listEntry, status: "1", wantError: true,
+			want:   "not known: internal/b TestX",
+			output: failedTestX + strings.ReplaceAll(failedPackageSummary, "internal/a", "internal/b")},
+		{name: "unlisted test fails beside a listed one", list: listEntry,
+			output: failedTestX + failedTestY + failedPackageSummary, status: "1", wantError: true,
 			want: "not known: internal/a TestY"},
-		{name: "panic", list: listedTest, output: "panic: x\n" + failedX + endFailed, status: "1", fails: true},
-		{name: "no test ran", list: listedTest, output: "FAIL\n", status: "1", fails: true},
-		{name: "without a package", list: "TestX: bare\n", output: failedX + endFailed, status: "1", fails: true,
+		{name: "panic", list: listEntry,
+			output: "panic: x\n" + failedTestX + failedPackageSummary, status: "1", wantError: true},
+		{name: "failure without any test result", list: listEntry, output: "FAIL\n", status: "1", wantError: true},
+		{name: "entry without a package", list: "TestX: bare\n",
+			output: failedTestX + failedPackageSummary, status: "1", wantError: true,
 			want: "not of the form"},
-		{name: "too many", list: strings.Repeat(listedTest, 9), status: "0", fails: true, want: "at most"},
+		{name: "too many entries", list: strings.Repeat(listEntry, 9), status: "0", wantError: true, want: "at most"},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			folder := t.TempDir()
@@ -48,8 +55,8 @@
 				}
 			}
 			printed, err := exec.CommandContext(t.Context(), "bash", "known-red.sh", list, output, test.status).CombinedOutput()
-			if (err != nil) != test.fails || !strings.Contains(string(printed), test.want) {
-				t.Errorf("%v: %s", err, printed)
+			if (err != nil) != test.wantError || !strings.Contains(string(printed), test.want) {
+				t.Errorf("known-red.sh: error %v, output %s", err, printed)
 			}
 		})
 	}
