--- a/internal/lab/billingbench/billingbench_test.go
+++ b/internal/lab/billingbench/billingbench_test.go
@@ -8,32 +8,33 @@
 	"time"
 )
 
-// TestMeasure_EveryCostIsAboveZero measures one client for a moment, without TLS and with it: every cost is
-// above 0, and abandoned reservations are released. One at a time, since two clusters that look for free ports
-// at once take each other's.
-func TestMeasure_EveryCostIsAboveZero(t *testing.T) {
-	for name, secure := range map[string]bool{"plain": false, "TLS": true} {
+// TestMeasure_AllCostsArePositive runs a short measurement with one client, without TLS and with it, and checks that
+// every cost is above 0 and that abandoned reservations are released. The subtests run one at a time, because two
+// clusters that start at once may take each other's free ports.
+func TestMeasure_AllCostsArePositive(t *testing.T) {
+	for name, withTLS := range map[string]bool{"plain": false, "TLS": true} {
 		t.Run(name, func(t *testing.T) {
-			options := Options{TLS: secure, Clients: 1, Duration: 100 * time.Millisecond}
+			options := Options{TLS: withTLS, Clients: 1, Duration: 100 * time.Millisecond}
 			cost, err := Measure(t.Context(), options)
 			if err != nil {
 				t.Fatal(err)
 			}
-			if cost.TLS != secure || cost.Clients != 1 {
+			if cost.TLS != withTLS || cost.Clients != 1 {
 				t.Errorf("%+v", cost)
 			}
 			if cost.CommandsPerSecond <= 0 || cost.CommandP50 <= 0 || cost.CommandP99 < cost.CommandP50 {
 				t.Errorf("commands: %+v", cost)
 			}
 			if cost.ReleaseDelay <= 0 || cost.ReleaseDelayBound != 1050 || cost.RequestOverheadNanos <= 0 {
-				t.Errorf("release and ordinary path: %+v", cost)
+				t.Errorf("release and request overhead: %+v", cost)
 			}
 		})
 	}
 }
 
-// TestMeasure_EndsWithContext: a context that has ended ends the measurement, and what was started is freed.
-func TestMeasure_EndsWithContext(t *testing.T) {
+// TestMeasure_EndsWhenContextIsCanceled checks that Measure returns the context's error when the context is canceled
+// before the call.
+func TestMeasure_EndsWhenContextIsCanceled(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
 	_, err := Measure(ctx, Options{Clients: 2, Duration: time.Minute})
@@ -42,7 +43,7 @@
 	}
 }
 
-// TestWriteTable_AlignsColumns compares a table with its text.
+// TestWriteTable_AlignsColumns compares a table of one measurement with the expected text.
 func TestWriteTable_AlignsColumns(t *testing.T) {
 	var text strings.Builder
 	err := WriteTable(&text, []Cost{{
--- a/internal/lab/billingbench/cluster.go
+++ b/internal/lab/billingbench/cluster.go
@@ -19,19 +19,19 @@
 )
 
 const (
-	// clockSkew is the setting that bounds how far the replicas' clocks differ.
+	// clockSkew is the configured bound of the difference between the replicas' clocks.
 	clockSkew = 50 * time.Millisecond
-	// The key with which clients authenticate.
+	// keyName and keySecret are the credentials of clients.
 	keyName   = "lab"
 	keySecret = "laboratory"
 	// certificateLifetime is longer than any measurement.
 	certificateLifetime = time.Hour
-	// spareConnections is how many connections the limit server allows beyond those of the clients.
+	// spareConnections is the number of connections that the limit server accepts in addition to one per client.
 	spareConnections = 8
 )
 
-// settings returns the settings of the billing service: windows that do not end during a measurement, and a
-// quota that is not used up.
+// settings returns the settings of the billing service. A window is longer than any measurement, and clients do not
+// exhaust the quota.
 func settings() billing.Settings {
 	return billing.Settings{
 		WindowNanos:           3600e9,
@@ -43,8 +43,8 @@
 	}
 }
 
-// cluster is three replicas, each with an instance of the billing service, and a limit server in front of the
-// first.
+// cluster consists of three replicas, each with an instance of the billing service, and a limit server in front of the
+// first instance.
 type cluster struct {
 	folder       string
 	certificates *tlsconfig.CertificateSource // nil: without TLS
@@ -52,11 +52,11 @@
 	services     []*billingservice.Service
 	listener     net.Listener
 	server       *limitserver.Server
-	serving      sync.WaitGroup
+	serveLoop    sync.WaitGroup
 	address      string // of the limit server
 }
 
-// start starts the cluster. If it fails, close frees what it had started.
+// start starts the cluster. If start fails, the caller has to call close, which stops what was already started.
 func (c *cluster) start(ctx context.Context, options Options) error {
 	if options.TLS {
 		certificates, err := newCertificates(c.folder)
@@ -77,7 +77,7 @@
 	return c.startLimitServer(ctx, options.Clients+spareConnections)
 }
 
-// newCertificates makes an authority and a certificate that clients and replicas share.
+// newCertificates creates a certificate authority and one certificate that all clients and replicas share.
 func newCertificates(folder string) (*tlsconfig.CertificateSource, error) {
 	authority, err := testca.New("laboratory")
 	if err != nil {
@@ -90,7 +90,7 @@
 	return tlsconfig.New(files)
 }
 
-// newPeers returns peers with free addresses.
+// newPeers returns one peer per identifier, with free addresses on loopback.
 func newPeers(ctx context.Context, ids ...string) ([]store.Peer, error) {
 	var peers []store.Peer
 	for _, id := range ids {
@@ -112,8 +112,9 @@
 	return config.Listen(ctx, "tcp", "127.0.0.1:0")
 }
 
-// freeAddress returns an address of loopback that nothing listens on. Another process may take it before it
-// is used; then the replica fails to start. It is on 127.0.0.1, the only address in the certificates of testca.
+// freeAddress returns a loopback address on which nothing listens. Another process may take the address before the
+// replica listens on it; the replica then fails to start. The host is 127.0.0.1, because certificates of testca are
+// valid for no other address.
 func freeAddress(ctx context.Context) (string, error) {
 	listener, err := listen(ctx)
 	if err != nil {
@@ -161,18 +162,18 @@
 			Rights: authz.Read | authz.Reserve | authz.Change,
 		}},
 	})
-	c.serving.Go(func() {
-		_ = c.server.Serve(listener) // if it fails early, the clients' commands fail
+	c.serveLoop.Go(func() {
+		_ = c.server.Serve(listener) // if Serve fails early, the clients' commands fail too
 	})
 	return nil
 }
 
-// close frees what was started, the latest first.
+// close stops everything that start has started, in reverse order.
 func (c *cluster) close() {
 	if c.server != nil {
-		_ = c.server.Close()   // fails only if Serve has not begun; closing the listener ends it then
-		_ = c.listener.Close() // closed already otherwise
-		c.serving.Wait()
+		_ = c.server.Close()   // fails only if Serve has not begun; closing the listener then ends Serve
+		_ = c.listener.Close() // an error means that the server has closed the listener
+		c.serveLoop.Wait()
 	}
 	for n := len(c.replicas) - 1; n >= 0; n-- {
 		c.services[n].Close()
--- a/internal/lab/billingbench/doc.go
+++ b/internal/lab/billingbench/doc.go
@@ -1,8 +1,9 @@
-// Package billingbench measures what billing costs: the commands that reserve and commit, the release of
-// abandoned reservations, and the time that billing adds to a request. Three replicas of the store, each with
-// an instance of the billing service, run in this process on loopback. Clients send the limit server's
-// commands to one of them, with or without TLS between all of them.
+// Package billingbench is a benchmark of billing. It measures the latency of the commands that reserve and commit
+// units, the delay until abandoned reservations are released, and the time that billing adds to a request. Three replicas of
+// the store, each with an instance of the billing service, run in this process on loopback. Clients send commands to a
+// limit server in front of one instance. TLS, if enabled, protects the connections of clients and those between
+// replicas.
 //
-// Measure owns everything that it starts and frees it before it returns. It should run alone: concurrent
-// calls would measure each other.
+// Measure owns everything that it starts and releases it before it returns. Calls should not run concurrently, because
+// the load of one call would distort the results of another.
 package billingbench
--- a/internal/lab/billingbench/table.go
+++ b/internal/lab/billingbench/table.go
@@ -6,7 +6,7 @@
 	"text/tabwriter"
 )
 
-// WriteTable writes costs as a table, one cost per line.
+// WriteTable writes costs as a table with one line per measurement.
 func WriteTable(w io.Writer, costs []Cost) error {
 	table := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	_, err := fmt.Fprintln(table, "TLS\tclients\tcommands a second\tp50, ms\tp99, ms\t"+
--- a/internal/lab/dnsbench/dnsbench.go
+++ b/internal/lab/dnsbench/dnsbench.go
@@ -1,9 +1,9 @@
-// Package dnsbench measures a gateway's name server alone, in this process and on loopback: how long a zone
-// takes to load, how long it takes from the sending of an update until the list is published and until the
-// update is answered, and how many updates are applied per second. The zone's journal is on the disk of the
-// folder for temporary files.
+// Package dnsbench is a benchmark of a gateway's name server, which runs alone in this process on loopback. It measures
+// the time to load a zone, the time from the sending of an update until the endpoint list is published and until the
+// update is answered, and the number of updates per second. The zone's journal is in the system's folder for temporary
+// files.
 //
-// Measure should run alone: concurrent calls would measure each other.
+// Calls of Measure should not run concurrently, because the load of one call would distort the results of another.
 package dnsbench
 
 import (
@@ -24,14 +24,14 @@
 	"fawnplank/internal/dnszone"
 )
 
-// Cost is what a zone of one size costs. Times are in milliseconds.
+// Cost holds the results for a zone of one size. Times are in milliseconds.
 type Cost struct {
 	Backends         int
 	ZoneFileReadTime float64 // to read and check the zone file
 	Start            float64 // to start the server from its journal
-	PublishedP50     float64 // from an update's sending until the list is published
+	PublishedP50     float64 // from the sending of an update until the list is published
 	PublishedP99     float64
-	AnsweredP50      float64 // from an update's sending until its answer
+	AnsweredP50      float64 // from the sending of an update until its answer
 	AnsweredP99      float64
 	UpdatesPerSecond float64 // with concurrent updaters
 }
@@ -40,19 +40,20 @@
 	origin  = "lab."
 	service = "_calc._tcp.lab."
 	keyName = "lab."
-	// updaters is how many updaters send at once to measure updates per second.
-	updaters = 8
-	// maxUpdatesPerSecond is more than a server reaches.
+	// concurrentUpdaters is the number of updaters that send at the same time to measure updates per second.
+	concurrentUpdaters = 8
+	// maxUpdatesPerSecond is the server's rate limit. It is above the rate that a server reaches, so that it has no
+	// effect.
 	maxUpdatesPerSecond = 1e6
-	// updateTimeout bounds one update.
+	// updateTimeout is the timeout of one update.
 	updateTimeout = 5 * time.Second
-	// guardDelay is the wait after a start: the server refuses updates signed in the second of its start, as an
-	// earlier incarnation may have applied them.
-	guardDelay = 1100 * time.Millisecond
+	// startupGuardDelay is the delay after the server's start before the first update is sent. The server rejects
+	// updates that were signed in the second of its start, because an earlier incarnation may have applied them.
+	startupGuardDelay = 1100 * time.Millisecond
 )
 
-// zoneFile returns a zone file with a number of backends.
-func zoneFile(backends int) string {
+// zoneFileText returns the text of a zone file with the given number of backends.
+func zoneFileText(backends int) string {
 	var text strings.Builder
 	text.WriteString("$ORIGIN lab.\n$TTL 30\n@ IN SOA ns admin 1 3600 600 86400 30\n")
 	text.WriteString("@ IN NS ns\nns IN A 127.0.0.1\n")
@@ -63,20 +64,21 @@
 	return text.String()
 }
 
-// backendAddress returns an address of loopback that no other backend has.
+// backendAddress returns the loopback address of a backend. No other backend has the same address.
 func backendAddress(backend int) string {
-	const octet = 250 // values of an octet that are used: neither 0 nor 255 ends an address
-	return fmt.Sprintf("127.%d.%d.%d", 1+backend/(octet*octet), backend/octet%octet, 1+backend%octet)
+	const octetValues = 250 // values of an octet that are used, so that the last octet is neither 0 nor 255
+	return fmt.Sprintf("127.%d.%d.%d",
+		1+backend/(octetValues*octetValues), backend/octetValues%octetValues, 1+backend%octetValues)
 }
 
-// Measure measures zones of the given sizes: first with updates one after the other, then for a time with
-// concurrent updaters.
+// Measure measures a zone for each of the given numbers of backends. It sends the given number of updates one after the
+// other, and then updates from concurrent updaters for the given duration.
 func Measure(ctx context.Context, sizes []int, updates int, duration time.Duration) ([]Cost, error) {
 	folder, err := os.MkdirTemp("", "fawnplank-dnsbench-")
 	if err != nil {
 		return nil, err
 	}
-	defer func() { _ = os.RemoveAll(folder) }() // the system cleans up a folder that is left behind
+	defer func() { _ = os.RemoveAll(folder) }() // if it fails, the system's cleanup of temporary files removes the folder
 	key, err := newKey(filepath.Join(folder, "key"))
 	if err != nil {
 		return nil, err
@@ -86,7 +88,7 @@
 		b := &bench{folder: folder, key: key, backends: backends}
 		cost, err := b.measure(ctx, updates, duration)
 		if err != nil {
-			return nil, fmt.Errorf("%d backends: %w", backends, err)
+			return nil, fmt.Errorf("measure zone of %d backends: %w", backends, err)
 		}
 		costs = append(costs, cost)
 	}
@@ -125,14 +127,14 @@
 func (b *bench) measure(ctx context.Context, updates int, duration time.Duration) (Cost, error) {
 	cost := Cost{Backends: b.backends}
 	options := b.options()
-	if err := os.WriteFile(options.ZoneFile, []byte(zoneFile(b.backends)), 0o600); err != nil {
+	if err := os.WriteFile(options.ZoneFile, []byte(zoneFileText(b.backends)), 0o600); err != nil {
 		return cost, err
 	}
-	began := time.Now()
+	start := time.Now()
 	if _, _, err := dnsserver.ReadZoneFile(options.ZoneFile, options.Settings); err != nil {
 		return cost, err
 	}
-	cost.ZoneFileReadTime = inMillis(time.Since(began))
+	cost.ZoneFileReadTime = inMillis(time.Since(start))
 	server, err := dnsserver.Start(options)
 	if err != nil {
 		return cost, err
@@ -146,19 +148,19 @@
 		return cost, err
 	}
 	b.server.Close()
-	began = time.Now()
+	start = time.Now()
 	if server, err = dnsserver.Start(options); err != nil {
 		return cost, err
 	}
 	b.server = server
-	cost.Start = inMillis(time.Since(began))
+	cost.Start = inMillis(time.Since(start))
 	return cost, nil
 }
 
-// measureUpdates sends updates one after the other.
+// measureUpdates sends updates one after the other and measures their latency.
 func (b *bench) measureUpdates(ctx context.Context, updates int, cost *Cost) error {
 	select {
-	case <-time.After(guardDelay):
+	case <-time.After(startupGuardDelay):
 	case <-ctx.Done():
 		return ctx.Err()
 	}
@@ -167,12 +169,12 @@
 		if ctx.Err() != nil {
 			return ctx.Err()
 		}
-		began := time.Now()
+		start := time.Now()
 		if err := b.send(uint16(i), i/2%b.backends, i%2 == 0); err != nil {
 			return err
 		}
-		answered = append(answered, time.Since(began))
-		published = append(published, time.Duration(b.publishedNanos.Load()-began.UnixNano()))
+		answered = append(answered, time.Since(start))
+		published = append(published, time.Duration(b.publishedNanos.Load()-start.UnixNano()))
 	}
 	cost.PublishedP50 = percentile(published, 50)
 	cost.PublishedP99 = percentile(published, 99)
@@ -181,34 +183,35 @@
 	return nil
 }
 
-// measureRate sends updates from concurrent updaters, each about its own backend.
+// measureRate measures updates per second with concurrent updaters, each of which adds and removes a backend of its
+// own.
 func (b *bench) measureRate(ctx context.Context, duration time.Duration, cost *Cost) error {
-	var running sync.WaitGroup
+	var updaters sync.WaitGroup
 	var applied atomic.Int64
-	var failed atomic.Pointer[error]
-	began := time.Now()
-	for updater := range updaters {
-		running.Go(func() {
-			for i := 0; time.Since(began) < duration && ctx.Err() == nil; i++ {
+	var updateError atomic.Pointer[error]
+	start := time.Now()
+	for updater := range concurrentUpdaters {
+		updaters.Go(func() {
+			for i := 0; time.Since(start) < duration && ctx.Err() == nil; i++ {
 				if err := b.send(uint16(i), b.backends+updater, i%2 == 1); err != nil {
-					failed.Store(&err)
+					updateError.Store(&err)
 					return
 				}
 				applied.Add(1)
 			}
 		})
 	}
-	running.Wait()
-	if err := failed.Load(); err != nil {
+	updaters.Wait()
+	if err := updateError.Load(); err != nil {
 		return *err
 	}
-	cost.UpdatesPerSecond = float64(applied.Load()) / time.Since(began).Seconds()
+	cost.UpdatesPerSecond = float64(applied.Load()) / time.Since(start).Seconds()
 	return nil
 }
 
-// send removes a backend or adds it. id is the message's id: two messages with the same bytes in the same
-// second have the same signature, so that the second would be taken for a replay. Among thousands with random
-// ids that would happen by chance.
+// send sends an update that adds a backend or removes it, and waits for the answer. id becomes the ID of the message.
+// Callers count IDs up, because two messages with the same bytes in the same second have the same signature, and the
+// server would treat the second as a replay. With random IDs, that would happen by chance among thousands of messages.
 func (b *bench) send(id uint16, backend int, remove bool) error {
 	message := new(dns.Msg).SetUpdate(origin)
 	message.Id = id
@@ -216,14 +219,14 @@
 		fmt.Sprintf("%s 30 SRV 0 100 7000 n%d.lab.", service, backend),
 		fmt.Sprintf("n%d.lab. 30 A %s", backend, backendAddress(backend)),
 	} {
-		rr, err := dns.NewRR(text)
+		record, err := dns.NewRR(text)
 		if err != nil {
 			return err
 		}
 		if remove {
-			message.Remove([]dns.RR{rr})
+			message.Remove([]dns.RR{record})
 		} else {
-			message.Insert([]dns.RR{rr})
+			message.Insert([]dns.RR{record})
 		}
 	}
 	return dnsserver.SendUpdate(message, b.server.Address(), b.key, updateTimeout)
@@ -231,7 +234,7 @@
 
 func inMillis(duration time.Duration) float64 { return float64(duration) / 1e6 }
 
-// percentile sorts the durations and returns a percentile in milliseconds.
+// percentile returns a percentile of durations in milliseconds, or 0 if there are none. It sorts durations in place.
 func percentile(durations []time.Duration, percent int) float64 {
 	if len(durations) == 0 {
 		return 0
--- a/internal/lab/dnsbench/dnsbench_test.go
+++ b/internal/lab/dnsbench/dnsbench_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// TestMeasure_EveryCostIsAboveZero measures a small zone for a moment: every cost is above 0.
-func TestMeasure_EveryCostIsAboveZero(t *testing.T) {
+// TestMeasure_AllCostsArePositive runs a short measurement of a small zone and checks that every cost is above 0.
+func TestMeasure_AllCostsArePositive(t *testing.T) {
 	costs, err := Measure(t.Context(), []int{20}, 10, 50*time.Millisecond)
 	if err != nil {
 		t.Fatal(err)
@@ -22,6 +22,6 @@
 		t.Errorf("%+v", cost)
 	}
 	if cost.PublishedP99 > cost.AnsweredP99 {
-		t.Errorf("answered before it was published: %+v", cost)
+		t.Errorf("updates were answered before the list was published: %+v", cost)
 	}
 }
