--- a/cmd/fawnplank-lab/command_test.go
+++ b/cmd/fawnplank-lab/command_test.go
@@ -79,7 +79,7 @@
 	}
 	for _, text := range []string{"trial", " events in ", "seed 7"} {
 		if !strings.Contains(output, text) {
-			t.Errorf("no %q in %s", text, output)
+			t.Errorf("output lacks %q: %s", text, output)
 		}
 	}
 	run, err := results.Read(file)
@@ -87,13 +87,13 @@
 		t.Fatal(err)
 	}
 	if run.Label != "trial" || run.Seed != 7 || run.Total.Succeeded == 0 {
-		t.Errorf("%q, seed %d, %+v", run.Label, run.Seed, run.Total)
+		t.Errorf("results file: label %q, seed %d, total %+v", run.Label, run.Seed, run.Total)
 	}
 	if info, err := os.Stat(picture); err != nil || info.Size() == 0 {
-		t.Errorf("no picture: %v", err)
+		t.Errorf("plot is missing or empty: %v", err)
 	}
 	if output, err := execute(t, "report", file, file); err != nil || !strings.Contains(output, "trial") {
-		t.Errorf("report: %v: %s", err, output)
+		t.Errorf("report: error %v, output %s", err, output)
 	}
 }
 
@@ -106,7 +106,7 @@
 	const want = "run calm, gateways.count=2 calm, gateways.count=3 calm, gateways.count=4"
 	header, _, _ := strings.Cut(output, "\n")
 	if got := strings.Join(strings.Fields(header), " "); got != want {
-		t.Errorf("%q, want %q", got, want)
+		t.Errorf("table header %q, want %q", got, want)
 	}
 }
 
@@ -145,7 +145,7 @@
 		t.Fatal(err)
 	}
 	if s.On != scenario.OnModel || s.Seed != 9 || s.Instances.Count != 4 {
-		t.Errorf("%v, seed %d, %d instances", s.On, s.Seed, s.Instances.Count)
+		t.Errorf("environment %v, seed %d, %d instances", s.On, s.Seed, s.Instances.Count)
 	}
 }
 
@@ -155,7 +155,7 @@
 		"10.0.0.1:1": false, "[::2]:1": false, "example.org:1": false, "": false,
 	} {
 		if got := isLoopback(address); got != want {
-			t.Errorf("%q: %v", address, got)
+			t.Errorf("isLoopback(%q) returned %v", address, got)
 		}
 	}
 }
--- a/cmd/fawnplank-lab/deprecated_test.go
+++ b/cmd/fawnplank-lab/deprecated_test.go
@@ -27,11 +27,11 @@
 		"old: in order; model, 2 instances, ",
 	} {
 		if !strings.Contains(output, want) {
-			t.Errorf("no %q in %s", want, output)
+			t.Errorf("output lacks %q: %s", want, output)
 		}
 	}
 	if output, err := execute(t, "check", calmScenario); err != nil || strings.Contains(output, "warning") {
-		t.Errorf("%v: %s", err, output)
+		t.Errorf("scenario without deprecated names: error %v, output %s", err, output)
 	}
 }
 
--- a/internal/lab/billingbench/billingbench_test.go
+++ b/internal/lab/billingbench/billingbench_test.go
@@ -23,10 +23,10 @@
 				t.Errorf("%+v", cost)
 			}
 			if cost.CommandsPerSecond <= 0 || cost.CommandP50 <= 0 || cost.CommandP99 < cost.CommandP50 {
-				t.Errorf("commands: %+v", cost)
+				t.Errorf("invalid results of commands: %+v", cost)
 			}
 			if cost.ReleaseDelay <= 0 || cost.ReleaseDelayBound != 1050 || cost.RequestOverheadNanos <= 0 {
-				t.Errorf("release and request overhead: %+v", cost)
+				t.Errorf("invalid results of release or request overhead: %+v", cost)
 			}
 		})
 	}
