--- a/cmd/fawnplank-lab/command_load.go
+++ b/cmd/fawnplank-lab/command_load.go
@@ -61,13 +61,13 @@
 	if err := writeResults(f.outputFile, run); err != nil {
 		return err
 	}
-	return plots.Table(command.OutOrStdout(), run)
+	return plots.WriteTable(command.OutOrStdout(), run)
 }
 
 // send sends the scenario's requests until all are answered or ctx is done, and returns the results that the clients
 // recorded.
 func (f *loadFlags) send(ctx context.Context, s *scenario.Scenario) (*results.Run, error) {
-	eventLog, err := testbed.NewLog(s)
+	eventLog, err := testbed.NewEventLog(s)
 	if err != nil {
 		return nil, err
 	}
@@ -75,7 +75,7 @@
 	tool := load.New(s, eventLog, f.addresses)
 	tool.Run(ctx)
 	run := eventLog.Finish()
-	run.On = results.OnClients
+	run.Environment = results.EnvironmentClients
 	run.LagP50, run.LagP99 = tool.Lag()
 	return run, nil
 }
--- a/cmd/fawnplank-lab/command_run.go
+++ b/cmd/fawnplank-lab/command_run.go
@@ -78,7 +78,7 @@
 	}
 	run.Label = f.label
 	seconds := time.Since(start).Seconds()
-	_ = plots.Table(command.OutOrStdout(), run) // a failed write is ignored for the reason that printf gives
+	_ = plots.WriteTable(command.OutOrStdout(), run) // a failed write is ignored for the reason that printf gives
 	printf(command, "%d events in %.2f s, %.0f a second\n", run.Events, seconds, float64(run.Events)/seconds)
 	if err != nil {
 		return err
@@ -88,7 +88,7 @@
 
 // runScenario runs a scenario in the environment that it specifies: the model or sockets.
 func (f *runFlags) runScenario(ctx context.Context, s *scenario.Scenario) (*results.Run, error) {
-	if s.On == scenario.OnModel {
+	if s.Environment == scenario.EnvironmentModel {
 		return model.Run(s)
 	}
 	return testbed.Run(ctx, s, testbed.Options{
@@ -102,7 +102,7 @@
 	if err := writeResults(f.outputFile, run); err != nil {
 		return err
 	}
-	err := drawPicture(f.pictureFile, func(file string) error { return plots.Draw(file, run) })
+	err := drawPicture(f.pictureFile, func(file string) error { return plots.DrawRuns(file, run) })
 	if err != nil {
 		return err
 	}
--- a/cmd/fawnplank-lab/command_test.go
+++ b/cmd/fawnplank-lab/command_test.go
@@ -144,8 +144,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if s.On != scenario.OnModel || s.Seed != 9 || s.Instances.Count != 4 {
-		t.Errorf("environment %v, seed %d, %d instances", s.On, s.Seed, s.Instances.Count)
+	if s.Environment != scenario.EnvironmentModel || s.Seed != 9 || s.Instances.Count != 4 {
+		t.Errorf("environment %v, seed %d, %d instances", s.Environment, s.Seed, s.Instances.Count)
 	}
 }
 
--- a/cmd/fawnplank/command_store.go
+++ b/cmd/fawnplank/command_store.go
@@ -20,24 +20,24 @@
 	"fawnplank/internal/store"
 )
 
-// backupMode lets only the owner read a backup, which holds all that the store holds.
+// backupMode makes a backup readable only by its owner, because it contains all data of the store.
 const backupMode fs.FileMode = 0o600
 
-// storeVerbs are the verbs that each make one call to a replica.
-type storeVerbs struct{ client func() storeClient }
+// storeSubcommands constructs the subcommands of "store" that make one call to a replica.
+type storeSubcommands struct{ client func() storeClient }
 
-func (v storeVerbs) all() []verb {
-	return []verb{
+func (v storeSubcommands) all() []subcommand {
+	return []subcommand{
 		{
 			use: "status", short: "Show the state of a replica", example: "status --at 127.0.0.1:7102",
 			run: v.status,
 		},
 		{
-			use: "keys PREFIX", short: "List the keys with a prefix, as the replica has them",
+			use: "keys PREFIX", short: "List the keys with a prefix, read from this replica alone",
 			example: "keys plans/", run: v.keys,
 		},
 		{
-			use: "get KEY", short: "Read a key; the leader answers", example: "get plans/team",
+			use: "get KEY", short: "Read a key through the leader", example: "get plans/team",
 			run: v.get,
 		},
 		{
@@ -49,7 +49,7 @@
 			run: v.delete,
 		},
 		{
-			use: "add ID@RAFT@API", short: "Add a replica, which runs without --peers",
+			use: "add ID@RAFT@API", short: "Add a replica that was started without --peers",
 			example: "add d@127.0.0.1:7004@127.0.0.1:7104", run: v.addReplica,
 		},
 		{
@@ -57,25 +57,25 @@
 			run: v.removeReplica,
 		},
 		{
-			use: "backup FILE", short: "Write the leader's state to a file, which must not exist yet",
+			use: "backup FILE", short: "Write the leader's state to a new file",
 			example: "backup store.backup", run: v.backup,
 		},
 		{
-			use: "restore FILE", short: "Replace the state by that of a backup; the set of replicas stays as it is",
+			use: "restore FILE", short: "Replace the state with a backup; the set of replicas does not change",
 			example: "restore store.backup", run: v.restore,
 		},
 	}
 }
 
-// storeCommand returns the command group for the store.
+// storeCommand returns the command group for the replicated store.
 func storeCommand(globals *globalFlags) *cobra.Command {
 	command := &cobra.Command{Use: "store VERB", Short: "Run and repair the replicated store (docs/store.md)"}
 	var address string
 	command.PersistentFlags().StringVar(&address, "at", "127.0.0.1:7101", "API address of any replica")
 	command.AddCommand(storeRunCommand(globals))
-	verbs := storeVerbs{client: func() storeClient { return globals.storeClient(address, "--at") }}
-	for _, verb := range verbs.all() {
-		command.AddCommand(verb.newCommand(command.Name()))
+	subcommands := storeSubcommands{client: func() storeClient { return globals.storeClient(address, "--at") }}
+	for _, subcommand := range subcommands.all() {
+		command.AddCommand(subcommand.newCommand(command.Name()))
 	}
 	return command
 }
@@ -92,9 +92,9 @@
 	return command
 }
 
-// runReplica runs a replica on its own until a signal arrives.
+// runReplica runs a replica without a gateway until SIGTERM or SIGINT arrives.
 func runReplica(globals *globalFlags, flags replicaFlags) error {
-	if flags.folder == "" {
+	if flags.dir == "" {
 		return errors.New("--store is missing")
 	}
 	options, err := flags.options(globals.tls)
@@ -102,7 +102,7 @@
 		return err
 	}
 	ignoreFileSizeSignal()
-	signals := make(chan os.Signal, pendingSignals)
+	signals := make(chan os.Signal, signalBufferSize)
 	signal.Notify(signals, syscall.SIGTERM, os.Interrupt)
 	replica, err := store.Open(options)
 	if err != nil {
@@ -114,27 +114,27 @@
 	return nil
 }
 
-func (v storeVerbs) status(ctx context.Context, out io.Writer, _ []string) error {
+func (v storeSubcommands) status(ctx context.Context, out io.Writer, _ []string) error {
 	return v.print(ctx, out, storeCall{method: http.MethodGet, path: "/v1/status"})
 }
 
-func (v storeVerbs) keys(ctx context.Context, out io.Writer, args []string) error {
+func (v storeSubcommands) keys(ctx context.Context, out io.Writer, args []string) error {
 	return v.print(ctx, out, storeCall{method: http.MethodGet, path: store.KeyListPath(args[0])})
 }
 
-func (v storeVerbs) get(ctx context.Context, out io.Writer, args []string) error {
+func (v storeSubcommands) get(ctx context.Context, out io.Writer, args []string) error {
 	return v.print(ctx, out, storeCall{method: http.MethodGet, path: store.KeyPath(args[0])})
 }
 
-func (v storeVerbs) set(ctx context.Context, out io.Writer, args []string) error {
+func (v storeSubcommands) set(ctx context.Context, out io.Writer, args []string) error {
 	return v.print(ctx, out, storeCall{method: http.MethodPut, path: store.KeyPath(args[0]), body: []byte(args[1])})
 }
 
-func (v storeVerbs) delete(ctx context.Context, out io.Writer, args []string) error {
+func (v storeSubcommands) delete(ctx context.Context, out io.Writer, args []string) error {
 	return v.print(ctx, out, storeCall{method: http.MethodDelete, path: store.KeyPath(args[0])})
 }
 
-func (v storeVerbs) addReplica(ctx context.Context, out io.Writer, args []string) error {
+func (v storeSubcommands) addReplica(ctx context.Context, out io.Writer, args []string) error {
 	peer, err := store.ParsePeer(args[0])
 	if err != nil {
 		return err
@@ -146,12 +146,12 @@
 	return v.print(ctx, out, storeCall{method: http.MethodPost, path: "/v1/peers", body: body})
 }
 
-func (v storeVerbs) removeReplica(ctx context.Context, out io.Writer, args []string) error {
+func (v storeSubcommands) removeReplica(ctx context.Context, out io.Writer, args []string) error {
 	return v.print(ctx, out, storeCall{method: http.MethodDelete, path: "/v1/peers/" + url.PathEscape(args[0])})
 }
 
-func (v storeVerbs) backup(ctx context.Context, _ io.Writer, args []string) error {
-	text, err := v.client().do(ctx, storeCall{method: http.MethodGet, path: "/v1/backup"})
+func (v storeSubcommands) backup(ctx context.Context, _ io.Writer, args []string) error {
+	content, err := v.client().do(ctx, storeCall{method: http.MethodGet, path: "/v1/backup"})
 	if err != nil {
 		return err
 	}
@@ -159,26 +159,26 @@
 	if err != nil {
 		return err
 	}
-	if _, err = file.Write(text); err == nil {
+	if _, err = file.Write(content); err == nil {
 		err = file.Sync()
 	}
 	return errors.Join(err, file.Close())
 }
 
-func (v storeVerbs) restore(ctx context.Context, out io.Writer, args []string) error {
-	text, err := os.ReadFile(args[0])
+func (v storeSubcommands) restore(ctx context.Context, out io.Writer, args []string) error {
+	content, err := os.ReadFile(args[0])
 	if err != nil {
 		return err
 	}
-	return v.print(ctx, out, storeCall{method: http.MethodPost, path: "/v1/restore", body: text})
+	return v.print(ctx, out, storeCall{method: http.MethodPost, path: "/v1/restore", body: content})
 }
 
-// print makes one call and writes its answer.
-func (v storeVerbs) print(ctx context.Context, out io.Writer, call storeCall) error {
-	text, err := v.client().do(ctx, call)
+// print makes one call and writes the body of the answer.
+func (v storeSubcommands) print(ctx context.Context, out io.Writer, call storeCall) error {
+	answer, err := v.client().do(ctx, call)
 	if err != nil {
 		return err
 	}
-	_, _ = fmt.Fprintln(out, strings.TrimSpace(string(text))) // the call has succeeded, shown or not
+	_, _ = fmt.Fprintln(out, strings.TrimSpace(string(answer))) // the call succeeded even if the output fails
 	return nil
 }
--- a/cmd/fawnplank/configuration.go
+++ b/cmd/fawnplank/configuration.go
@@ -9,8 +9,8 @@
 	"fawnplank/internal/discovery"
 )
 
-// loadConfiguration reads the configuration and the operator file, and checks both completely. The overlay's
-// rows, which come from the replicated store, take precedence over those of the file.
+// loadConfiguration reads the configuration and the operator file, and validates both completely. The plans and classes
+// of the overlay, which come from the replicated store, take precedence over those of the configuration file.
 func loadConfiguration(path, operatorPath string,
 	overlay config.Overlay) (*config.Config, *config.OperatorSettings, error) {
 	configuration, err := config.Read(path, overlay)
@@ -31,13 +31,13 @@
 	return configuration, operator, nil
 }
 
-// readOperator reads the operator file. If the file does not exist, the error ends with the remedy. If the
-// file names another file that does not exist, the error is about the key that names it.
-func readOperator(path, remedy string) (*config.OperatorSettings, error) {
+// readOperator reads the operator file. If the operator file does not exist, the error ends with the hint. If the
+// operator file refers to another file that does not exist, the error concerns the key with that reference.
+func readOperator(path, hint string) (*config.OperatorSettings, error) {
 	operator, err := config.ReadOperatorSettings(path)
-	var failed *fs.PathError
-	if errors.As(err, &failed) && failed.Path == path && errors.Is(err, fs.ErrNotExist) {
-		return nil, fmt.Errorf("%w; %s", err, remedy)
+	var pathError *fs.PathError
+	if errors.As(err, &pathError) && pathError.Path == path && errors.Is(err, fs.ErrNotExist) {
+		return nil, fmt.Errorf("%w; %s", err, hint)
 	}
 	return operator, err
 }
--- a/cmd/fawnplank/store_client.go
+++ b/cmd/fawnplank/store_client.go
@@ -18,30 +18,31 @@
 	"fawnplank/internal/tlsconfig"
 )
 
-// storeCallTimeout bounds a call to a replica. It is well above the five seconds that a write may wait at the
-// replica for an election.
+// storeCallTimeout bounds a call to a replica. It is well above the five seconds for which a replica lets a write wait
+// for an election.
 const storeCallTimeout = 15 * time.Second
 
-// storeClient calls the API of one replica. Each call opens its own connection, with the certificate as it is
-// on disk at that moment. It is safe for concurrent use. It serves as the Replica of dnsserver and
-// billingservice, for commands that read or repair what those packages keep in the store.
+// storeClient calls the API of one replica. Each call opens a new connection and reads the certificate files again. It
+// is safe for concurrent use. It implements the Replica interfaces of dnsserver and billingservice for commands that
+// read or repair the data of those packages in the store.
 type storeClient struct {
 	address string
-	flag    string // the flag that named the address, used in errors
+	flag    string // name of the flag that set the address, for errors
 	tls     tlsconfig.Files
-	// failed remembers a read that failed. Nil: it is not remembered.
-	failed *failedRead
+	// readFailure records the first error of ReadLocal and ReadPrefix. If it is nil, such errors are not recorded.
+	readFailure *readErrorRecorder
 }
 
-// failedRead is the first error of the reads that cannot return one, since the Replica interfaces do not. A command
-// looks at it before it reports success, and nothing is edited after one.
-type failedRead struct {
+// readErrorRecorder records the first error of ReadLocal and ReadPrefix, which cannot return one because the Replica
+// interfaces that they implement do not. Edit fails with the recorded error, and a command checks it before it reports
+// success. A nil *readErrorRecorder records nothing.
+type readErrorRecorder struct {
 	mu  sync.Mutex
 	err error
 }
 
-// note remembers an error, unless there is an earlier one.
-func (f *failedRead) note(err error) {
+// record stores the error unless it is nil or an earlier one is stored.
+func (f *readErrorRecorder) record(err error) {
 	if f == nil || err == nil {
 		return
 	}
@@ -53,7 +54,7 @@
 }
 
 // Err returns the first error, or nil.
-func (f *failedRead) Err() error {
+func (f *readErrorRecorder) Err() error {
 	if f == nil {
 		return nil
 	}
@@ -65,11 +66,11 @@
 // storeStatusError is a replica's answer with a status other than 200 OK.
 type storeStatusError struct {
 	Code    int
-	Status  string // code and text, as in HTTP
-	Message string // empty if the answer held none
+	Status  string // status line of HTTP without the protocol version
+	Message string // error message from the body; may be empty
 }
 
-// Error returns the status and the message.
+// Error returns the status and, if there is one, the message.
 func (e *storeStatusError) Error() string {
 	if e.Message == "" {
 		return e.Status
@@ -78,24 +79,24 @@
 }
 
 func newStoreStatusError(response *http.Response, body []byte) *storeStatusError {
-	failure := &storeStatusError{Code: response.StatusCode, Status: response.Status}
+	statusError := &storeStatusError{Code: response.StatusCode, Status: response.Status}
 	var answer struct {
 		Error string `json:"error"`
 	}
 	if json.Unmarshal(body, &answer) == nil {
-		failure.Message = answer.Error
+		statusError.Message = answer.Error
 	}
-	return failure
+	return statusError
 }
 
 // storeCall is one call to a replica.
 type storeCall struct {
-	method string // of HTTP
-	path   string // with the query, if there is one
-	body   []byte // nil for none
+	method string // HTTP method
+	path   string // path and query
+	body   []byte // nil for no body
 }
 
-// do makes one call and returns the body of the answer. An answer that is not 200 OK is a *storeStatusError.
+// do makes one call and returns the body of the answer. If the status is not 200 OK, it returns a *storeStatusError.
 func (c storeClient) do(ctx context.Context, call storeCall) ([]byte, error) {
 	client, err := c.httpClient()
 	if err != nil {
@@ -107,19 +108,19 @@
 	}
 	response, err := client.Do(request)
 	if err != nil {
-		return nil, c.explain(err)
+		return nil, c.describeConnectionError(err)
 	}
 	defer func() {
-		_ = response.Body.Close() // the body was only read
+		_ = response.Body.Close() // an error after reading the body has no effect
 	}()
-	text, err := io.ReadAll(response.Body)
+	responseBody, err := io.ReadAll(response.Body)
 	if err != nil {
-		return nil, c.explain(err)
+		return nil, c.describeConnectionError(err)
 	}
 	if response.StatusCode != http.StatusOK {
-		return nil, newStoreStatusError(response, text)
+		return nil, newStoreStatusError(response, responseBody)
 	}
-	return text, nil
+	return responseBody, nil
 }
 
 // httpClient returns a client for one call.
@@ -142,8 +143,8 @@
 	return "http://" + c.address + path
 }
 
-// explain adds the remedy to a connection error.
-func (c storeClient) explain(err error) error {
+// describeConnectionError adds the replica's address to a connection error and, for a refused connection, a remedy.
+func (c storeClient) describeConnectionError(err error) error {
 	if errors.Is(err, syscall.ECONNREFUSED) {
 		return fmt.Errorf("store: no replica listens at %s; start it, or name the API address of another one "+
 			"with %s: %w", c.address, c.flag, err)
@@ -151,48 +152,48 @@
 	return fmt.Errorf("store: replica at %s: %w", c.address, err)
 }
 
-// read makes one call that changes nothing.
+// read makes a GET call with the given path.
 func (c storeClient) read(path string) ([]byte, error) {
 	return c.do(context.Background(), storeCall{method: http.MethodGet, path: path})
 }
 
-// ReadLocal reads a key as this replica has it. A call that fails is reported as a missing key, and remembered as a
-// failed read.
+// ReadLocal reads a key from the state of this replica, which may be stale. If the call fails, it records the error and
+// reports the key as missing.
 func (c storeClient) ReadLocal(key string) (entry kv.Entry, ok bool) {
-	text, err := c.read(store.KeyPath(key) + "?stale=1")
+	body, err := c.read(store.KeyPath(key) + "?stale=1")
 	if hasStatus(err, http.StatusNotFound) {
 		return entry, false
 	}
 	if err == nil {
-		err = json.Unmarshal(text, &entry)
+		err = json.Unmarshal(body, &entry)
 	}
-	c.failed.note(err)
+	c.readFailure.record(err)
 	return entry, err == nil
 }
 
 // ReadFromLeader reads a key through the leader.
 func (c storeClient) ReadFromLeader(key string) (entry kv.Entry, ok bool, err error) {
-	text, err := c.read(store.KeyPath(key))
+	body, err := c.read(store.KeyPath(key))
 	if hasStatus(err, http.StatusNotFound) {
 		return entry, false, nil
 	}
 	if err != nil {
 		return entry, false, err
 	}
-	err = json.Unmarshal(text, &entry)
+	err = json.Unmarshal(body, &entry)
 	return entry, err == nil, err
 }
 
-// ReadLocalPrefix reads all keys with a prefix as this replica has them, and returns their values by the part of
-// the key that follows the prefix. Keys whose call fails are left out, which is remembered as a failed read.
+// ReadLocalPrefix reads all keys with a prefix from the state of this replica. It returns the values by key without the
+// prefix. If the call for a key fails, it records the error and omits the key.
 func (c storeClient) ReadLocalPrefix(prefix string) map[string]json.RawMessage {
 	values := map[string]json.RawMessage{}
 	var keys []string
-	text, err := c.read(store.KeyListPath(prefix))
+	body, err := c.read(store.KeyListPath(prefix))
 	if err == nil {
-		err = json.Unmarshal(text, &keys)
+		err = json.Unmarshal(body, &keys)
 	}
-	c.failed.note(err)
+	c.readFailure.record(err)
 	for _, key := range keys {
 		if entry, ok := c.ReadLocal(key); ok {
 			values[strings.TrimPrefix(key, prefix)] = entry.Value
@@ -201,10 +202,11 @@
 	return values
 }
 
-// Edit applies all edits or none. It returns a kv.ConflictError if a key's index differs from the one an edit
-// expects. After a read that failed nothing is edited, since the edits would rest on what seemed to be missing.
+// Edit applies all edits or none. It returns a kv.ConflictError if the index of a key differs from the index that an
+// edit expects. After a failed read it returns the recorded error and edits nothing, because the edits might be based
+// on keys that were wrongly reported as missing.
 func (c storeClient) Edit(edits []kv.Edit) error {
-	if err := c.failed.Err(); err != nil {
+	if err := c.readFailure.Err(); err != nil {
 		return err
 	}
 	body, err := json.Marshal(edits)
--- a/internal/lab/billingbench/billingbench_test.go
+++ b/internal/lab/billingbench/billingbench_test.go
@@ -8,33 +8,32 @@
 	"time"
 )
 
-// TestMeasure_AllCostsArePositive runs a short measurement with one client, without TLS and with it, and checks that
-// every cost is above 0 and that abandoned reservations are released. The subtests run one at a time, because two
-// clusters that start at once may take each other's free ports.
-func TestMeasure_AllCostsArePositive(t *testing.T) {
-	for name, withTLS := range map[string]bool{"plain": false, "TLS": true} {
+// TestMeasure_EveryCostIsAboveZero checks that a short measurement with one client gives costs above 0, with and
+// without TLS, and that abandoned reservations are released. The cases run one after the other, because two clusters
+// that search for free ports at the same time may choose the same ones.
+func TestMeasure_EveryCostIsAboveZero(t *testing.T) {
+	for name, secure := range map[string]bool{"plain": false, "TLS": true} {
 		t.Run(name, func(t *testing.T) {
-			options := Options{TLS: withTLS, Clients: 1, Duration: 100 * time.Millisecond}
+			options := Options{TLS: secure, Clients: 1, Duration: 100 * time.Millisecond}
 			cost, err := Measure(t.Context(), options)
 			if err != nil {
 				t.Fatal(err)
 			}
-			if cost.TLS != withTLS || cost.Clients != 1 {
+			if cost.TLS != secure || cost.Clients != 1 {
 				t.Errorf("%+v", cost)
 			}
 			if cost.CommandsPerSecond <= 0 || cost.CommandP50 <= 0 || cost.CommandP99 < cost.CommandP50 {
-				t.Errorf("invalid results of commands: %+v", cost)
+				t.Errorf("commands: %+v", cost)
 			}
 			if cost.ReleaseDelay <= 0 || cost.ReleaseDelayBound != 1050 || cost.RequestOverheadNanos <= 0 {
-				t.Errorf("invalid results of release or request overhead: %+v", cost)
+				t.Errorf("release and request overhead: %+v", cost)
 			}
 		})
 	}
 }
 
-// TestMeasure_EndsWhenContextIsCanceled checks that Measure returns the context's error when the context is canceled
-// before the call.
-func TestMeasure_EndsWhenContextIsCanceled(t *testing.T) {
+// TestMeasure_EndsWithContext checks that Measure returns the context's error when the context is canceled.
+func TestMeasure_EndsWithContext(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
 	_, err := Measure(ctx, Options{Clients: 2, Duration: time.Minute})
@@ -43,7 +42,7 @@
 	}
 }
 
-// TestWriteTable_AlignsColumns compares a table of one measurement with the expected text.
+// TestWriteTable_AlignsColumns compares a table with the expected text.
 func TestWriteTable_AlignsColumns(t *testing.T) {
 	var text strings.Builder
 	err := WriteTable(&text, []Cost{{
--- a/internal/lab/billingbench/client.go
+++ b/internal/lab/billingbench/client.go
@@ -15,27 +15,27 @@
 )
 
 const (
-	// commandTimeout is the timeout of one command. It exceeds the time for which the billing service waits for an
-	// election.
+	// commandTimeout is the timeout of a command. It is longer than the billing service's own wait for an election.
 	commandTimeout = 20 * time.Second
-	// electionRetryInterval is the interval between two attempts to reserve while the replicas have no leader.
+	// electionRetryInterval is the time between two commands while the replicas have no leader.
 	electionRetryInterval = 100 * time.Millisecond
-	// reservationLines is the number of lines that follow the first line of the answer to RESERVE.NEW. The first of
-	// them holds the epoch.
+	// reservationLines is the number of lines after the first line of the answer to a reservation. The first of them
+	// contains the epoch.
 	reservationLines = 4
 )
 
 // clientOptions configure one client.
 type clientOptions struct {
-	index            int // determines the client's tenants, which no other client uses
+	index            int // number of the client, which determines its tenants
 	address          string
 	certificates     *tlsconfig.CertificateSource // nil: without TLS
 	electionDeadline time.Time
 	duration         time.Duration
 }
 
-// errNotReserved reports a rejected reservation. Every reservation is rejected while the replicas have no leader.
-var errNotReserved = errors.New("accounts: reservation rejected")
+// errNotReserved means that a reservation was refused. All reservations are refused while the replicas have no
+// leader.
+var errNotReserved = errors.New("reservation refused")
 
 // client is a connection to the limit server.
 type client struct {
@@ -55,25 +55,25 @@
 	return &client{conn: conn, reader: bufio.NewReader(conn)}, nil
 }
 
-// runClient reserves and commits units for the configured duration, counted from its first success. It returns the
-// latencies of the commands after that success. It retries rejected reservations until the election deadline.
+// runClient reserves and commits units until the duration has passed since its first success. It returns the
+// latencies of the commands after that success.
 func runClient(ctx context.Context, options clientOptions) ([]time.Duration, error) {
 	c, err := dial(ctx, options.address, options.certificates)
 	if err != nil {
 		return nil, err
 	}
-	defer func() { _ = c.conn.Close() }() // nothing is lost: all measured answers have been read
+	defer func() { _ = c.conn.Close() }() // all answers have been read, so an error does not matter
 	if _, err := c.send("AUTH " + keyName + " " + keySecret); err != nil {
 		return nil, err
 	}
 	var latencies []time.Duration
 	var firstSuccess time.Time
-	isFinished := func() bool {
+	isOver := func() bool {
 		return !firstSuccess.IsZero() && (time.Since(firstSuccess) >= options.duration || ctx.Err() != nil)
 	}
-	for iteration := 0; !isFinished(); iteration++ {
-		tenant := tenantID(options.index*tenantsPerClient + iteration%tenantsPerCycle)
-		commandLatency, err := c.reserveAndCommit(tenant, iteration)
+	for n := 0; !isOver(); n++ {
+		tenant := tenantID(options.index*tenantsPerClient + n%tenantsPerCycle)
+		measured, err := c.reserveAndCommit(tenant, n)
 		if errors.Is(err, errNotReserved) && !time.Now().After(options.electionDeadline) {
 			time.Sleep(electionRetryInterval)
 			continue
@@ -85,35 +85,35 @@
 			firstSuccess = time.Now()
 			continue
 		}
-		latencies = append(latencies, commandLatency.reserve, commandLatency.commit)
+		latencies = append(latencies, measured.reserve, measured.commit)
 	}
 	return latencies, nil
 }
 
-// commandLatencies holds the latencies of the commands RESERVE.NEW and RESERVE.COMMIT of one reservation.
+// commandLatencies are the latencies of a reservation's two commands.
 type commandLatencies struct{ reserve, commit time.Duration }
 
-// reserveAndCommit reserves one unit and commits it. If the reservation is rejected, it returns errNotReserved wrapped
-// with the server's error line.
-func (c *client) reserveAndCommit(tenant string, number int) (commandLatencies, error) {
-	var latencies commandLatencies
+// reserveAndCommit reserves a unit and commits it. If the reservation is refused, it returns an error that wraps
+// errNotReserved and contains the answer.
+func (c *client) reserveAndCommit(tenant string, reservation int) (commandLatencies, error) {
+	var measured commandLatencies
 	start := time.Now()
-	epoch, err := c.reserve(tenant, number)
+	epoch, err := c.reserve(tenant, reservation)
 	if err != nil {
-		return latencies, err
+		return measured, err
 	}
-	reservedAt := time.Now()
-	if err := c.commit(tenant, number, epoch); err != nil {
-		return latencies, err
+	reserved := time.Now()
+	if err := c.commit(tenant, reservation, epoch); err != nil {
+		return measured, err
 	}
-	latencies.reserve = reservedAt.Sub(start)
-	latencies.commit = time.Since(reservedAt)
-	return latencies, nil
+	measured.reserve = reserved.Sub(start)
+	measured.commit = time.Since(reserved)
+	return measured, nil
 }
 
-// reserve reserves one unit under an identifier made from the number, and returns the reservation's epoch.
-func (c *client) reserve(tenant string, number int) (epoch string, err error) {
-	command := fmt.Sprintf("RESERVE.NEW %s r%d %s %s 1 30000", tenant, number, keyName, planName)
+// reserve reserves one unit and returns the reservation's epoch.
+func (c *client) reserve(tenant string, reservation int) (epoch string, err error) {
+	command := fmt.Sprintf("RESERVE.NEW %s r%d %s %s 1 30000", tenant, reservation, keyName, planName)
 	answer, err := c.send(command)
 	if err != nil {
 		return "", err
@@ -124,26 +124,25 @@
 	return answer.epoch, nil
 }
 
-// commit commits one unit of the reservation with the given number and epoch.
-func (c *client) commit(tenant string, number int, epoch string) error {
-	answer, err := c.send(fmt.Sprintf("RESERVE.COMMIT %s r%d %s 1", tenant, number, epoch))
+// commit commits one unit of a reservation.
+func (c *client) commit(tenant string, reservation int, epoch string) error {
+	answer, err := c.send(fmt.Sprintf("RESERVE.COMMIT %s r%d %s 1", tenant, reservation, epoch))
 	if err != nil {
-		return fmt.Errorf("accounts: send commit: %w", err)
+		return fmt.Errorf("commit failed: %w", err)
 	}
 	if answer.errorLine != "" {
-		return errors.New("accounts: commit rejected: " + answer.errorLine)
+		return errors.New("commit refused: " + answer.errorLine)
 	}
 	return nil
 }
 
-// answer is the server's answer to a command. Both fields are empty if the answer is neither a reservation nor an
-// error.
+// answer is the answer to a command. Both fields are empty if it is neither a reservation nor an error.
 type answer struct {
-	epoch     string // of the reservation, if the answer is one
-	errorLine string // the first line, if the answer is an error
+	epoch     string // epoch of the reservation
+	errorLine string // the line of an error answer
 }
 
-// send sends a command and reads its answer.
+// send sends a command and reads the answer.
 func (c *client) send(command string) (answer, error) {
 	if err := c.conn.SetDeadline(time.Now().Add(commandTimeout)); err != nil {
 		return answer{}, err
@@ -166,15 +165,15 @@
 	}
 }
 
-// readReservation reads the lines after the first line of the answer to RESERVE.NEW and returns the epoch.
+// readReservation reads the rest of a reservation's answer and returns its epoch.
 func (c *client) readReservation() (string, error) {
 	epoch := ""
-	for lineIndex := range reservationLines {
+	for n := range reservationLines {
 		line, err := c.reader.ReadString('\n')
 		if err != nil {
 			return "", err
 		}
-		if lineIndex == 0 {
+		if n == 0 {
 			epoch = strings.TrimSpace(line[1:])
 		}
 	}
--- a/internal/lab/billingbench/cluster.go
+++ b/internal/lab/billingbench/cluster.go
@@ -19,19 +19,19 @@
 )
 
 const (
-	// clockSkew is the configured bound of the difference between the replicas' clocks.
+	// clockSkew is the configured limit of the difference between the replicas' clocks.
 	clockSkew = 50 * time.Millisecond
-	// keyName and keySecret are the credentials of clients.
+	// The name and secret of the key with which clients authenticate.
 	keyName   = "lab"
 	keySecret = "laboratory"
 	// certificateLifetime is longer than any measurement.
 	certificateLifetime = time.Hour
-	// spareConnections is the number of connections that the limit server accepts in addition to one per client.
+	// spareConnections is the number of connections that the limit server allows beyond those of the clients.
 	spareConnections = 8
 )
 
-// settings returns the settings of the billing service. A window is longer than any measurement, and clients do not
-// exhaust the quota.
+// settings returns the settings of the billing service. Windows are so long that none ends during a measurement, and
+// the quota is so large that it is not exhausted.
 func settings() billing.Settings {
 	return billing.Settings{
 		WindowNanos:           3600e9,
@@ -43,8 +43,8 @@
 	}
 }
 
-// cluster consists of three replicas, each with an instance of the billing service, and a limit server in front of the
-// first instance.
+// cluster is three replicas, each with an instance of the billing service, and a limit server in front of the
+// first.
 type cluster struct {
 	folder       string
 	certificates *tlsconfig.CertificateSource // nil: without TLS
@@ -52,16 +52,16 @@
 	services     []*billingservice.Service
 	listener     net.Listener
 	server       *limitserver.Server
-	serveLoop    sync.WaitGroup
+	serving      sync.WaitGroup
 	address      string // of the limit server
 }
 
-// start starts the cluster. If start fails, the caller has to call close, which stops what was already started.
+// start starts the cluster. If it fails, close must be called to stop the parts that were started.
 func (c *cluster) start(ctx context.Context, options Options) error {
 	if options.TLS {
 		certificates, err := newCertificates(c.folder)
 		if err != nil {
-			return fmt.Errorf("accounts: certificates: %w", err)
+			return fmt.Errorf("creating certificates: %w", err)
 		}
 		c.certificates = certificates
 	}
@@ -71,13 +71,13 @@
 	}
 	for _, peer := range peers {
 		if err := c.startReplica(peer, peers); err != nil {
-			return fmt.Errorf("accounts: replica %s: %w", peer.ID, err)
+			return fmt.Errorf("starting replica %s: %w", peer.ID, err)
 		}
 	}
 	return c.startLimitServer(ctx, options.Clients+spareConnections)
 }
 
-// newCertificates creates a certificate authority and one certificate that all clients and replicas share.
+// newCertificates creates a certificate authority and a certificate that all clients and replicas use.
 func newCertificates(folder string) (*tlsconfig.CertificateSource, error) {
 	authority, err := testca.New("laboratory")
 	if err != nil {
@@ -90,7 +90,7 @@
 	return tlsconfig.New(files)
 }
 
-// newPeers returns one peer per identifier, with free addresses on loopback.
+// newPeers returns peers with unused addresses.
 func newPeers(ctx context.Context, ids ...string) ([]store.Peer, error) {
 	var peers []store.Peer
 	for _, id := range ids {
@@ -112,9 +112,8 @@
 	return config.Listen(ctx, "tcp", "127.0.0.1:0")
 }
 
-// freeAddress returns a loopback address on which nothing listens. Another process may take the address before the
-// replica listens on it; the replica then fails to start. The host is 127.0.0.1, because certificates of testca are
-// valid for no other address.
+// freeAddress returns an unused loopback address. If another process takes the address before the replica listens on
+// it, the replica fails to start. The address is on 127.0.0.1, the only one that certificates of testca contain.
 func freeAddress(ctx context.Context) (string, error) {
 	listener, err := listen(ctx)
 	if err != nil {
@@ -162,18 +161,18 @@
 			Rights: authz.Read | authz.Reserve | authz.Change,
 		}},
 	})
-	c.serveLoop.Go(func() {
-		_ = c.server.Serve(listener) // if Serve fails early, the clients' commands fail too
+	c.serving.Go(func() {
+		_ = c.server.Serve(listener) // if Serve fails, so do the clients' commands
 	})
 	return nil
 }
 
-// close stops everything that start has started, in reverse order.
+// close stops the parts that were started, in reverse order.
 func (c *cluster) close() {
 	if c.server != nil {
-		_ = c.server.Close()   // fails only if Serve has not begun; closing the listener then ends Serve
-		_ = c.listener.Close() // an error means that the server has closed the listener
-		c.serveLoop.Wait()
+		_ = c.server.Close()   // fails only before Serve has begun, which the closed listener then ends
+		_ = c.listener.Close() // in all other cases the listener is closed already
+		c.serving.Wait()
 	}
 	for n := len(c.replicas) - 1; n >= 0; n-- {
 		c.services[n].Close()
--- a/internal/lab/billingbench/measure.go
+++ b/internal/lab/billingbench/measure.go
@@ -16,57 +16,55 @@
 
 // Options configure a measurement.
 type Options struct {
-	// TLS enables encryption of the connections of clients and of those between replicas.
+	// TLS encrypts the connections of clients and those between replicas.
 	TLS bool
-	// Clients is the number of concurrent clients, each of which sends one command at a time. With 0 clients Measure
-	// fails, because only clients wait until the replicas have elected a leader.
+	// Clients is the number of connections, each of which sends one command after the other. It must be above 0,
+	// because only clients wait until the replicas have elected a leader.
 	Clients int
-	// Duration is the time for which each client sends commands after its first success.
+	// Duration is how long each client sends commands after its first success.
 	Duration time.Duration
 }
 
-// Cost holds the results of a measurement. Times are in milliseconds, except for RequestOverheadNanos.
+// Cost holds the measured costs. Times are in milliseconds, except for RequestOverheadNanos.
 type Cost struct {
 	TLS                  bool
 	Clients              int
-	CommandsPerSecond    float64 // reservations and commits together
+	CommandsPerSecond    float64 // reservations and commits, which alternate
 	CommandP50           float64
 	CommandP99           float64
-	ReleaseDelay         float64 // from the end of an abandoned reservation's lease to its release; the maximum
+	ReleaseDelay         float64 // longest delay from the end of an abandoned reservation's lease to its release
 	ReleaseDelayBound    float64 // the documented upper bound of ReleaseDelay
 	RequestOverheadNanos float64 // time that billing adds to a request
 }
 
 const (
-	// electionTimeout is the time for which clients wait until the replicas have elected a leader. An election takes
-	// about a second.
+	// electionTimeout is how long clients wait for the replicas to elect a leader. An election takes about a second.
 	electionTimeout = 10 * time.Second
-	// abandonedReservations is the number of abandoned reservations. They are measured one after the other, and each is
-	// released only by a compaction.
+	// abandonedReservations is the number of abandoned reservations whose release is measured. They are measured one
+	// after the other, because the release of each waits for a compaction.
 	abandonedReservations = 5
-	// abandonedUnits is the size of each abandoned reservation, which is far below the quota.
+	// abandonedUnits is the size of an abandoned reservation, which is far below the quota.
 	abandonedUnits = billing.MicroUnits(1e6)
-	// abandonedLease is the lease duration of an abandoned reservation.
+	// abandonedLease is the lease of an abandoned reservation.
 	abandonedLease = 200 * time.Millisecond
-	// firstAbandonedTenant is the first tenant with an abandoned reservation. Its number is above those of the clients'
-	// tenants.
+	// firstAbandonedTenant is the first tenant with an abandoned reservation. Clients use tenants with lower numbers.
 	firstAbandonedTenant = 0xf000
-	// releasePollInterval is the interval at which an account is polled for a release. It limits the precision of
-	// ReleaseDelay.
+	// releasePollInterval is the time between two reads of an account, which limits the precision of the measured
+	// delay.
 	releasePollInterval = 10 * time.Millisecond
-	// overheadRequests is the number of requests that RequestOverheadNanos is averaged over.
+	// overheadRequests is the number of requests over which the overhead per request is averaged.
 	overheadRequests = 1_000_000
-	// tenantsPerCycle is the number of tenants that a client, or the measurement of the request overhead, uses in turn.
+	// tenantsPerCycle is the number of tenants that a client, or the measurement of the overhead, uses in rotation.
 	tenantsPerCycle = 100
-	// tenantsPerClient is the distance between the first tenants of two clients. It exceeds tenantsPerCycle, so that
-	// clients share no tenant.
+	// tenantsPerClient is the distance between the first tenants of two successive clients. It is larger than
+	// tenantsPerCycle, so that clients have no common tenants.
 	tenantsPerClient = 1000
-	// planName is the name of the only plan, which all tenants have.
+	// planName is the only plan of the tenants.
 	planName = "team"
 )
 
-// Measure measures, one after the other, the commands of clients, the release of abandoned reservations, and the
-// overhead of billing per request. If ctx is canceled, it stops early and returns an error.
+// Measure measures the commands of clients, the release of abandoned reservations and the overhead per request, one
+// after the other. If ctx ends, it returns early with an error.
 func Measure(ctx context.Context, options Options) (cost Cost, err error) {
 	cost.TLS = options.TLS
 	cost.Clients = options.Clients
@@ -74,7 +72,7 @@
 	if err != nil {
 		return cost, err
 	}
-	defer func() { _ = os.RemoveAll(folder) }() // if it fails, the system's cleanup of temporary files removes the folder
+	defer func() { _ = os.RemoveAll(folder) }() // the system cleans up folders for temporary files
 	c := &cluster{folder: folder}
 	defer c.close()
 	if err := c.start(ctx, options); err != nil {
@@ -90,21 +88,22 @@
 	return cost, nil
 }
 
-// tenantID returns the identifier of the tenant with the given number.
+// tenantID returns the identifier of a tenant.
 func tenantID(tenant int) string { return fmt.Sprintf("%016x", tenant) }
 
-// measureCommands runs concurrent clients that reserve and commit units, each for tenants of its own.
+// measureCommands measures the commands of concurrent clients that reserve and commit units, each for tenants of its
+// own.
 func (c *Cost) measureCommands(
 	ctx context.Context, duration time.Duration, address string, certificates *tlsconfig.CertificateSource,
 ) error {
 	var mu sync.Mutex
 	var latencies []time.Duration
-	var clientErrors error
+	var failures error
 	var clients sync.WaitGroup
 	electionDeadline := time.Now().Add(electionTimeout)
 	for index := range c.Clients {
 		clients.Go(func() {
-			clientLatencies, err := runClient(ctx, clientOptions{
+			measured, err := runClient(ctx, clientOptions{
 				index:            index,
 				address:          address,
 				certificates:     certificates,
@@ -113,13 +112,13 @@
 			})
 			mu.Lock()
 			defer mu.Unlock()
-			latencies = append(latencies, clientLatencies...)
-			clientErrors = errors.Join(clientErrors, err)
+			latencies = append(latencies, measured...)
+			failures = errors.Join(failures, err)
 		})
 	}
 	clients.Wait()
-	if clientErrors != nil || len(latencies) == 0 {
-		return errors.Join(clientErrors, ctx.Err())
+	if failures != nil || len(latencies) == 0 {
+		return errors.Join(failures, ctx.Err())
 	}
 	slices.Sort(latencies)
 	c.CommandsPerSecond = float64(len(latencies)) / duration.Seconds()
@@ -128,8 +127,7 @@
 	return nil
 }
 
-// measureRelease makes reservations that it neither commits nor renews, and measures the delay from the end of the
-// lease until the units are released.
+// measureRelease abandons reservations and measures the delay from the end of their leases to their release.
 func (c *Cost) measureRelease(ctx context.Context, service *billingservice.Service) error {
 	c.ReleaseDelayBound = inMillis(clockSkew + billingservice.CompactionInterval)
 	for n := range abandonedReservations {
@@ -142,17 +140,17 @@
 			LeaseNanos: int64(abandonedLease),
 		})
 		if err != nil {
-			return fmt.Errorf("accounts: reserve units to abandon: %w", err)
+			return fmt.Errorf("reservation failed: %w", err)
 		}
 		awaitRelease(ctx, service, tenant)
-		delay := time.Duration(time.Now().UnixNano() - reservation.ExpiresNanos)
-		c.ReleaseDelay = max(c.ReleaseDelay, inMillis(delay))
+		late := time.Duration(time.Now().UnixNano() - reservation.ExpiresNanos)
+		c.ReleaseDelay = max(c.ReleaseDelay, inMillis(late))
 	}
 	return ctx.Err()
 }
 
-// awaitRelease waits until a tenant has no reservation or ctx is done. It retries failed reads, since reads fail
-// during an election.
+// awaitRelease waits until a tenant has no reservation or ctx ends. It retries failed reads, which occur during an
+// election.
 func awaitRelease(ctx context.Context, service *billingservice.Service, tenant string) {
 	for ctx.Err() == nil {
 		account, _, err := service.Account(tenant, planName)
@@ -163,7 +161,7 @@
 	}
 }
 
-// measureRequestOverhead measures the calls that a gateway makes to the billing service for each request.
+// measureRequestOverhead measures the time of the calls that a gateway makes for each request if billing is on.
 func (c *Cost) measureRequestOverhead(service *billingservice.Service) {
 	start := time.Now()
 	for n := range overheadRequests {
--- a/internal/lab/dnsbench/dnsbench.go
+++ b/internal/lab/dnsbench/dnsbench.go
@@ -1,9 +1,9 @@
-// Package dnsbench is a benchmark of a gateway's name server, which runs alone in this process on loopback. It measures
-// the time to load a zone, the time from the sending of an update until the endpoint list is published and until the
-// update is answered, and the number of updates per second. The zone's journal is in the system's folder for temporary
-// files.
+// Package dnsbench measures a gateway's DNS server in this process and on loopback: the time to load a zone, the
+// times from the sending of an update until the endpoint list is published and until the update is answered, and the
+// number of updates per second. The zone's journal is in the folder for temporary files, so its disk affects the
+// results.
 //
-// Calls of Measure should not run concurrently, because the load of one call would distort the results of another.
+// Calls of Measure should not run concurrently, because they would slow down each other.
 package dnsbench
 
 import (
@@ -24,12 +24,12 @@
 	"fawnplank/internal/dnszone"
 )
 
-// Cost holds the results for a zone of one size. Times are in milliseconds.
+// Cost holds the measured costs of a zone of one size. Times are in milliseconds.
 type Cost struct {
 	Backends         int
-	ZoneFileReadTime float64 // to read and check the zone file
-	Start            float64 // to start the server from its journal
-	PublishedP50     float64 // from the sending of an update until the list is published
+	Load             float64 // time to load the zone file
+	Start            float64 // time to start the server from the journal
+	PublishedP50     float64 // from the sending of an update until the endpoint list is published
 	PublishedP99     float64
 	AnsweredP50      float64 // from the sending of an update until its answer
 	AnsweredP99      float64
@@ -40,20 +40,19 @@
 	origin  = "lab."
 	service = "_calc._tcp.lab."
 	keyName = "lab."
-	// concurrentUpdaters is the number of updaters that send at the same time to measure updates per second.
-	concurrentUpdaters = 8
-	// maxUpdatesPerSecond is the server's rate limit. It is above the rate that a server reaches, so that it has no
-	// effect.
+	// updaters is the number of concurrent updaters in the measurement of updates per second.
+	updaters = 8
+	// maxUpdatesPerSecond is the server's rate limit, which is too high to have an effect.
 	maxUpdatesPerSecond = 1e6
 	// updateTimeout is the timeout of one update.
 	updateTimeout = 5 * time.Second
-	// startupGuardDelay is the delay after the server's start before the first update is sent. The server rejects
-	// updates that were signed in the second of its start, because an earlier incarnation may have applied them.
+	// startupGuardDelay is the wait after the server's start. The server refuses updates that were signed in the second
+	// of its start, because an earlier incarnation may have applied them.
 	startupGuardDelay = 1100 * time.Millisecond
 )
 
-// zoneFileText returns the text of a zone file with the given number of backends.
-func zoneFileText(backends int) string {
+// zoneFile returns the text of a zone file with the given number of backends.
+func zoneFile(backends int) string {
 	var text strings.Builder
 	text.WriteString("$ORIGIN lab.\n$TTL 30\n@ IN SOA ns admin 1 3600 600 86400 30\n")
 	text.WriteString("@ IN NS ns\nns IN A 127.0.0.1\n")
@@ -64,21 +63,20 @@
 	return text.String()
 }
 
-// backendAddress returns the loopback address of a backend. No other backend has the same address.
+// backendAddress returns a loopback address that is unique to the backend.
 func backendAddress(backend int) string {
-	const octetValues = 250 // values of an octet that are used, so that the last octet is neither 0 nor 255
-	return fmt.Sprintf("127.%d.%d.%d",
-		1+backend/(octetValues*octetValues), backend/octetValues%octetValues, 1+backend%octetValues)
+	const octet = 250 // number of values used per octet; no address ends in 0 or 255
+	return fmt.Sprintf("127.%d.%d.%d", 1+backend/(octet*octet), backend/octet%octet, 1+backend%octet)
 }
 
-// Measure measures a zone for each of the given numbers of backends. It sends the given number of updates one after the
-// other, and then updates from concurrent updaters for the given duration.
+// Measure measures zones of the given sizes, given as numbers of backends. For each zone it first sends the given
+// number of updates one after the other, and then sends updates from concurrent updaters for the given duration.
 func Measure(ctx context.Context, sizes []int, updates int, duration time.Duration) ([]Cost, error) {
 	folder, err := os.MkdirTemp("", "fawnplank-dnsbench-")
 	if err != nil {
 		return nil, err
 	}
-	defer func() { _ = os.RemoveAll(folder) }() // if it fails, the system's cleanup of temporary files removes the folder
+	defer func() { _ = os.RemoveAll(folder) }() // the system cleans up folders for temporary files
 	key, err := newKey(filepath.Join(folder, "key"))
 	if err != nil {
 		return nil, err
@@ -88,7 +86,7 @@
 		b := &bench{folder: folder, key: key, backends: backends}
 		cost, err := b.measure(ctx, updates, duration)
 		if err != nil {
-			return nil, fmt.Errorf("measure zone of %d backends: %w", backends, err)
+			return nil, fmt.Errorf("%d backends: %w", backends, err)
 		}
 		costs = append(costs, cost)
 	}
@@ -109,7 +107,7 @@
 	key            dnsserver.Key
 	backends       int
 	server         *dnsserver.Server
-	publishedNanos atomic.Int64 // when the list was last published
+	publishedNanos atomic.Int64 // Unix time at which the list was last published
 }
 
 func (b *bench) options() dnsserver.Options {
@@ -127,14 +125,14 @@
 func (b *bench) measure(ctx context.Context, updates int, duration time.Duration) (Cost, error) {
 	cost := Cost{Backends: b.backends}
 	options := b.options()
-	if err := os.WriteFile(options.ZoneFile, []byte(zoneFileText(b.backends)), 0o600); err != nil {
+	if err := os.WriteFile(options.ZoneFile, []byte(zoneFile(b.backends)), 0o600); err != nil {
 		return cost, err
 	}
-	start := time.Now()
+	startedAt := time.Now()
 	if _, _, err := dnsserver.ReadZoneFile(options.ZoneFile, options.Settings); err != nil {
 		return cost, err
 	}
-	cost.ZoneFileReadTime = inMillis(time.Since(start))
+	cost.Load = inMillis(time.Since(startedAt))
 	server, err := dnsserver.Start(options)
 	if err != nil {
 		return cost, err
@@ -148,16 +146,16 @@
 		return cost, err
 	}
 	b.server.Close()
-	start = time.Now()
+	startedAt = time.Now()
 	if server, err = dnsserver.Start(options); err != nil {
 		return cost, err
 	}
 	b.server = server
-	cost.Start = inMillis(time.Since(start))
+	cost.Start = inMillis(time.Since(startedAt))
 	return cost, nil
 }
 
-// measureUpdates sends updates one after the other and measures their latency.
+// measureUpdates measures updates that are sent one after the other.
 func (b *bench) measureUpdates(ctx context.Context, updates int, cost *Cost) error {
 	select {
 	case <-time.After(startupGuardDelay):
@@ -169,12 +167,12 @@
 		if ctx.Err() != nil {
 			return ctx.Err()
 		}
-		start := time.Now()
+		sentAt := time.Now()
 		if err := b.send(uint16(i), i/2%b.backends, i%2 == 0); err != nil {
 			return err
 		}
-		answered = append(answered, time.Since(start))
-		published = append(published, time.Duration(b.publishedNanos.Load()-start.UnixNano()))
+		answered = append(answered, time.Since(sentAt))
+		published = append(published, time.Duration(b.publishedNanos.Load()-sentAt.UnixNano()))
 	}
 	cost.PublishedP50 = percentile(published, 50)
 	cost.PublishedP99 = percentile(published, 99)
@@ -183,35 +181,34 @@
 	return nil
 }
 
-// measureRate measures updates per second with concurrent updaters, each of which adds and removes a backend of its
-// own.
+// measureRate measures the rate of updates from concurrent updaters, each of which updates a backend of its own.
 func (b *bench) measureRate(ctx context.Context, duration time.Duration, cost *Cost) error {
-	var updaters sync.WaitGroup
+	var running sync.WaitGroup
 	var applied atomic.Int64
-	var updateError atomic.Pointer[error]
-	start := time.Now()
-	for updater := range concurrentUpdaters {
-		updaters.Go(func() {
-			for i := 0; time.Since(start) < duration && ctx.Err() == nil; i++ {
+	var failed atomic.Pointer[error]
+	startedAt := time.Now()
+	for updater := range updaters {
+		running.Go(func() {
+			for i := 0; time.Since(startedAt) < duration && ctx.Err() == nil; i++ {
 				if err := b.send(uint16(i), b.backends+updater, i%2 == 1); err != nil {
-					updateError.Store(&err)
+					failed.Store(&err)
 					return
 				}
 				applied.Add(1)
 			}
 		})
 	}
-	updaters.Wait()
-	if err := updateError.Load(); err != nil {
+	running.Wait()
+	if err := failed.Load(); err != nil {
 		return *err
 	}
-	cost.UpdatesPerSecond = float64(applied.Load()) / time.Since(start).Seconds()
+	cost.UpdatesPerSecond = float64(applied.Load()) / time.Since(startedAt).Seconds()
 	return nil
 }
 
-// send sends an update that adds a backend or removes it, and waits for the answer. id becomes the ID of the message.
-// Callers count IDs up, because two messages with the same bytes in the same second have the same signature, and the
-// server would treat the second as a replay. With random IDs, that would happen by chance among thousands of messages.
+// send sends an update that adds or removes a backend. Callers choose the message's ID, because two messages with
+// the same bytes in the same second have the same signature, so that the server would reject the second one as a
+// replay. With random IDs that would happen occasionally among thousands of updates.
 func (b *bench) send(id uint16, backend int, remove bool) error {
 	message := new(dns.Msg).SetUpdate(origin)
 	message.Id = id
@@ -219,14 +216,14 @@
 		fmt.Sprintf("%s 30 SRV 0 100 7000 n%d.lab.", service, backend),
 		fmt.Sprintf("n%d.lab. 30 A %s", backend, backendAddress(backend)),
 	} {
-		record, err := dns.NewRR(text)
+		rr, err := dns.NewRR(text)
 		if err != nil {
 			return err
 		}
 		if remove {
-			message.Remove([]dns.RR{record})
+			message.Remove([]dns.RR{rr})
 		} else {
-			message.Insert([]dns.RR{record})
+			message.Insert([]dns.RR{rr})
 		}
 	}
 	return dnsserver.SendUpdate(message, b.server.Address(), b.key, updateTimeout)
@@ -234,7 +231,7 @@
 
 func inMillis(duration time.Duration) float64 { return float64(duration) / 1e6 }
 
-// percentile returns a percentile of durations in milliseconds, or 0 if there are none. It sorts durations in place.
+// percentile sorts the durations and returns the given percentile in milliseconds.
 func percentile(durations []time.Duration, percent int) float64 {
 	if len(durations) == 0 {
 		return 0
--- a/internal/lab/load/load_test.go
+++ b/internal/lab/load/load_test.go
@@ -28,7 +28,7 @@
 `
 
 // newGenerator returns a generator of the small scenario for one instance, and the log of its run, which has begun.
-func newGenerator(t *testing.T, address string, overrides ...string) (*Generator, *results.Log) {
+func newGenerator(t *testing.T, address string, overrides ...string) (*Generator, *results.EventLog) {
 	t.Helper()
 	small := []string{"gateways.count=1", "load.entry_points=1", "load.rate=200", "duration=300ms"}
 	s, err := scenario.Parse("small", []byte(smallScenario), append(small, overrides...)...)
@@ -39,7 +39,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	log := results.NewLog(results.New(s, settings, 0))
+	log := results.NewEventLog(results.New(s, settings, 0))
 	log.Begin()
 	return New(s, log, []string{address}), log
 }
@@ -117,11 +117,11 @@
 }
 
 func TestGenerator_DistinguishesKilledInstanceFromBrokenConnection(t *testing.T) {
-	kill := func(log *results.Log) { log.Observe(invariants.Event{Kind: invariants.InstanceDied}) }
-	exit := func(log *results.Log) { log.InstanceExited(0) }
-	noEvent := func(*results.Log) {}
+	kill := func(log *results.EventLog) { log.Observe(invariants.Event{Kind: invariants.InstanceDied}) }
+	exit := func(log *results.EventLog) { log.ObserveInstanceExit(0) }
+	noEvent := func(*results.EventLog) {}
 	for name, test := range map[string]struct {
-		beforeWrite, afterWrite func(log *results.Log) // called before and after the request is written
+		beforeWrite, afterWrite func(log *results.EventLog) // called before and after the request is written
 		want                    invariants.Kind
 	}{
 		"instance is killed during the request":    {beforeWrite: noEvent, afterWrite: kill, want: invariants.Abandoned},
@@ -129,13 +129,13 @@
 		"killed instance exits during the request": {beforeWrite: kill, afterWrite: exit, want: invariants.Abandoned},
 		"running instance closes the connection":   {beforeWrite: noEvent, afterWrite: noEvent, want: invariants.Aborted},
 		"restarted instance closes the connection": {
-			beforeWrite: func(log *results.Log) { kill(log); exit(log) },
+			beforeWrite: func(log *results.EventLog) { kill(log); exit(log) },
 			afterWrite:  noEvent,
 			want:        invariants.Aborted,
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			var log *results.Log
+			var log *results.EventLog
 			address := testutil.ServeCommands(t, func(conn net.Conn) {
 				test.afterWrite(log)
 				_ = conn.Close() // without an answer
--- a/internal/lab/testbed/testbed_test.go
+++ b/internal/lab/testbed/testbed_test.go
@@ -93,7 +93,7 @@
 		t.Fatal(err)
 	}
 	for _, finding := range run.Findings {
-		t.Errorf("rule %d: %s", finding.Rule, finding.What)
+		t.Errorf("rule %d: %s", finding.Rule, finding.Description)
 	}
 	return run
 }
--- a/internal/simadapter/host.go
+++ b/internal/simadapter/host.go
@@ -9,10 +9,10 @@
 	"fawnplank/policy"
 )
 
-// errUnknownEvent reports a code that the wire does not define.
+// errUnknownEvent is returned for an event code that the wire format does not define.
 var errUnknownEvent = errors.New("unknown event code")
 
-// host holds the instances of this process, which share nothing but the reply. Only one goroutine may use it.
+// host holds the simulated instances, which share only the reply. It is not safe for concurrent use.
 type host struct {
 	instances map[uint32]*instance // by wireID
 	reply     simwire.Reply
@@ -20,14 +20,15 @@
 
 func newHost() *host { return &host{instances: map[uint32]*instance{}} }
 
-// event is a kind of event: its name in errors, and how one of its records is read and handled.
-type event struct {
+// eventKind describes a kind of event: its name in errors, and the function that reads and handles one record.
+type eventKind struct {
 	name   string
 	handle func(h *host, now policy.Instant, wireID uint32, f *simwire.Frame) error
 }
 
-// events lists the kinds of events by their code, with the names that errors have always given them.
-var events = [...]event{
+// eventKinds holds the kinds of events, indexed by their code on the wire. The names appear in
+// errors and do not change.
+var eventKinds = [...]eventKind{
 	eventCreate:          hostEvent("Create", readCreate, (*host).create),
 	eventEndpoints:       instanceEvent("View", readEndpoints, (*instance).handleEndpoints),
 	eventSubmit:          instanceEvent("Call", readSubmit, (*instance).handleSubmit),
@@ -37,18 +38,18 @@
 	eventTimer:           instanceEvent("Timer", readTimer, (*instance).handleTimer),
 	eventHealthCheck:     instanceEvent("ProbeDone", readHealthCheck, (*instance).handleHealthCheck),
 	eventPeerMessage:     hostEvent("Inbox", readPeerMessage, (*host).ignore),
-	eventKill:            hostEvent("Killed", readNothing, (*host).kill),
+	eventKill:            hostEvent("Killed", readEmpty, (*host).kill),
 	eventCounterResult:   instanceEvent("TallyBack", readCounterResult, (*instance).handleCounterResult),
 }
 
-// hostEvent returns a kind of event that the host handles, whether or not the instance exists.
+// hostEvent returns a kind of event that the host handles itself, whether or not the instance exists.
 func hostEvent[M any](
 	name string,
 	read func(*simwire.Frame) (M, error),
 	handle func(h *host, now policy.Instant, wireID uint32, message M),
-) event {
-	return event{name: name, handle: func(h *host, now policy.Instant, wireID uint32, f *simwire.Frame) error {
-		message, err := readWhole(f, read)
+) eventKind {
+	return eventKind{name: name, handle: func(h *host, now policy.Instant, wireID uint32, f *simwire.Frame) error {
+		message, err := readMessage(f, read)
 		if err != nil {
 			return err
 		}
@@ -57,27 +58,27 @@
 	}}
 }
 
-// instanceEvent returns a kind of event that an instance handles. An event of an instance that does not exist
-// is ignored.
+// instanceEvent returns a kind of event that the instance handles. An event for an instance that does not exist
+// is read and ignored.
 func instanceEvent[M any](
 	name string,
 	read func(*simwire.Frame) (M, error),
 	handle func(in *instance, now policy.Instant, message M),
-) event {
-	return event{name: name, handle: func(h *host, now policy.Instant, wireID uint32, f *simwire.Frame) error {
-		message, err := readWhole(f, read)
+) eventKind {
+	return eventKind{name: name, handle: func(h *host, now policy.Instant, wireID uint32, f *simwire.Frame) error {
+		message, err := readMessage(f, read)
 		if err != nil {
 			return err
 		}
 		if in := h.instances[wireID]; in != nil {
-			h.guard(wireID, func() { handle(in, now, message) })
+			h.callWithRecover(wireID, func() { handle(in, now, message) })
 		}
 		return nil
 	}}
 }
 
-// readWhole reads a message. It returns an error unless the whole record could be read.
-func readWhole[M any](f *simwire.Frame, read func(*simwire.Frame) (M, error)) (M, error) {
+// readMessage reads the message of a record. It returns an error unless the whole record could be read.
+func readMessage[M any](f *simwire.Frame, read func(*simwire.Frame) (M, error)) (M, error) {
 	message, err := read(f)
 	if err == nil {
 		err = f.Err()
@@ -85,29 +86,29 @@
 	return message, err
 }
 
-// handleFrame answers one frame. A panic in the engine is reported on the wire; an error means that the
-// frame is malformed.
-func (h *host) handleFrame(f *simwire.Frame) error {
-	now := instantOf(f.Clock)
-	for n := range f.Records {
-		offset := f.Offset()
-		code := f.Uint8()
-		name, err := h.handleRecord(now, code, f)
+// handleFrame handles all records of a frame and adds the actions to the reply. A panic in the engine becomes an
+// action in the reply; an error means that the frame is malformed.
+func (h *host) handleFrame(frame *simwire.Frame) error {
+	now := instantFromMillis(frame.ClockMillis)
+	for recordNumber := range frame.RecordCount {
+		offset := frame.Offset()
+		code := frame.Uint8()
+		name, err := h.handleRecord(now, code, frame)
 		if err != nil {
-			return fmt.Errorf("record %d (code %d %s) at byte %d: %w", n, code, name, offset, err)
+			return fmt.Errorf("record %d (code %d %s) at byte %d: %w", recordNumber, code, name, offset, err)
 		}
 	}
-	if f.Remaining() > 0 {
-		return fmt.Errorf("%d bytes after the last of %d records", f.Remaining(), f.Records)
+	if frame.Remaining() > 0 {
+		return fmt.Errorf("%d bytes after the last of %d records", frame.Remaining(), frame.RecordCount)
 	}
 	return nil
 }
 
-// handleRecord handles one record and returns the name of its kind of event, or "" if there is no such kind.
+// handleRecord handles one record. It returns the name of the event's kind, or "" if the code is unknown.
 func (h *host) handleRecord(now policy.Instant, code uint8, f *simwire.Frame) (name string, err error) {
 	wireID := f.Uint32()
-	if int(code) < len(events) {
-		kind := &events[code]
+	if int(code) < len(eventKinds) {
+		kind := &eventKinds[code]
 		return kind.name, kind.handle(h, now, wireID, f)
 	}
 	if err := f.Err(); err != nil {
@@ -116,38 +117,39 @@
 	return "", errUnknownEvent
 }
 
-// guard calls the engine. If it panics, guard reports that in place of the instance's further actions.
-func (h *host) guard(wireID uint32, call func()) {
+// callWithRecover calls the engine. If the engine panics, it ends the instance and reports the panic to the
+// simulator, which receives no further action of the instance.
+func (h *host) callWithRecover(wireID uint32, engineCall func()) {
 	defer func() {
 		if reason := recover(); reason != nil {
-			h.reportBroken(wireID, fmt.Sprint(reason))
+			h.endInstanceWithFailure(wireID, fmt.Sprint(reason))
 		}
 	}()
-	call()
+	engineCall()
 }
 
-// reportBroken ends an instance and reports why.
-func (h *host) reportBroken(wireID uint32, reason string) {
+// endInstanceWithFailure removes an instance and reports the reason to the simulator.
+func (h *host) endInstanceWithFailure(wireID uint32, reason string) {
 	delete(h.instances, wireID)
-	h.reply.Record(actionBroken).Uint32(wireID).Text(reason)
+	h.reply.Record(actionInstanceFailed).Uint32(wireID).Text(reason)
 }
 
-// create starts an instance, and replaces the one with the same ID if there is one.
+// create starts an instance. An existing instance with the same ID is replaced.
 func (h *host) create(now policy.Instant, wireID uint32, m createMessage) {
 	settings, err := config.ParseSettings(m.settings)
 	if err != nil {
-		h.reportBroken(wireID, err.Error())
+		h.endInstanceWithFailure(wireID, err.Error())
 		return
 	}
-	in := &instance{wireID: wireID, reply: &h.reply, requests: map[policy.RequestID]*policy.Request{}}
-	h.instances[wireID] = in
-	h.guard(wireID, func() {
-		in.engine = policy.New(policy.Options{Now: now, Seed: m.seed, Settings: settings, Effects: in})
+	created := &instance{wireID: wireID, reply: &h.reply, requests: map[policy.RequestID]*policy.Request{}}
+	h.instances[wireID] = created
+	h.callWithRecover(wireID, func() {
+		created.engine = policy.New(policy.Options{Now: now, Seed: m.seed, Settings: settings, Effects: created})
 	})
 }
 
-// kill ends an instance without a reply.
+// kill removes an instance; no action is sent in reply.
 func (h *host) kill(_ policy.Instant, wireID uint32, _ emptyMessage) { delete(h.instances, wireID) }
 
-// ignore handles messages from other instances: the engine sends none and expects none.
+// ignore drops a message from another instance. The engine neither sends nor uses such messages.
 func (h *host) ignore(policy.Instant, uint32, emptyMessage) {}
