--- a/internal/lab/billingbench/billingbench_test.go
+++ b/internal/lab/billingbench/billingbench_test.go
@@ -12,14 +12,14 @@
 // without TLS, and that abandoned reservations are released. The cases run one after the other, because two clusters
 // that search for free ports at the same time may choose the same ones.
 func TestMeasure_EveryCostIsAboveZero(t *testing.T) {
-	for name, secure := range map[string]bool{"plain": false, "TLS": true} {
+	for name, withTLS := range map[string]bool{"plain": false, "TLS": true} {
 		t.Run(name, func(t *testing.T) {
-			options := Options{TLS: secure, Clients: 1, Duration: 100 * time.Millisecond}
+			options := Options{TLS: withTLS, Clients: 1, Duration: 100 * time.Millisecond}
 			cost, err := Measure(t.Context(), options)
 			if err != nil {
 				t.Fatal(err)
 			}
-			if cost.TLS != secure || cost.Clients != 1 {
+			if cost.TLS != withTLS || cost.Clients != 1 {
 				t.Errorf("%+v", cost)
 			}
 			if cost.CommandsPerSecond <= 0 || cost.CommandP50 <= 0 || cost.CommandP99 < cost.CommandP50 {
--- a/internal/lab/billingbench/client.go
+++ b/internal/lab/billingbench/client.go
@@ -68,12 +68,12 @@
 	}
 	var latencies []time.Duration
 	var firstSuccess time.Time
-	isOver := func() bool {
+	isFinished := func() bool {
 		return !firstSuccess.IsZero() && (time.Since(firstSuccess) >= options.duration || ctx.Err() != nil)
 	}
-	for n := 0; !isOver(); n++ {
-		tenant := tenantID(options.index*tenantsPerClient + n%tenantsPerCycle)
-		measured, err := c.reserveAndCommit(tenant, n)
+	for iteration := 0; !isFinished(); iteration++ {
+		tenant := tenantID(options.index*tenantsPerClient + iteration%tenantsPerCycle)
+		commandLatency, err := c.reserveAndCommit(tenant, iteration)
 		if errors.Is(err, errNotReserved) && !time.Now().After(options.electionDeadline) {
 			time.Sleep(electionRetryInterval)
 			continue
@@ -85,7 +85,7 @@
 			firstSuccess = time.Now()
 			continue
 		}
-		latencies = append(latencies, measured.reserve, measured.commit)
+		latencies = append(latencies, commandLatency.reserve, commandLatency.commit)
 	}
 	return latencies, nil
 }
@@ -95,25 +95,25 @@
 
 // reserveAndCommit reserves a unit and commits it. If the reservation is refused, it returns an error that wraps
 // errNotReserved and contains the answer.
-func (c *client) reserveAndCommit(tenant string, reservation int) (commandLatencies, error) {
-	var measured commandLatencies
+func (c *client) reserveAndCommit(tenant string, reservationNumber int) (commandLatencies, error) {
+	var latencies commandLatencies
 	start := time.Now()
-	epoch, err := c.reserve(tenant, reservation)
+	epoch, err := c.reserve(tenant, reservationNumber)
 	if err != nil {
-		return measured, err
+		return latencies, err
 	}
-	reserved := time.Now()
-	if err := c.commit(tenant, reservation, epoch); err != nil {
-		return measured, err
+	reservedAt := time.Now()
+	if err := c.commit(tenant, reservationNumber, epoch); err != nil {
+		return latencies, err
 	}
-	measured.reserve = reserved.Sub(start)
-	measured.commit = time.Since(reserved)
-	return measured, nil
+	latencies.reserve = reservedAt.Sub(start)
+	latencies.commit = time.Since(reservedAt)
+	return latencies, nil
 }
 
 // reserve reserves one unit and returns the reservation's epoch.
-func (c *client) reserve(tenant string, reservation int) (epoch string, err error) {
-	command := fmt.Sprintf("RESERVE.NEW %s r%d %s %s 1 30000", tenant, reservation, keyName, planName)
+func (c *client) reserve(tenant string, reservationNumber int) (epoch string, err error) {
+	command := fmt.Sprintf("RESERVE.NEW %s r%d %s %s 1 30000", tenant, reservationNumber, keyName, planName)
 	answer, err := c.send(command)
 	if err != nil {
 		return "", err
@@ -125,8 +125,8 @@
 }
 
 // commit commits one unit of a reservation.
-func (c *client) commit(tenant string, reservation int, epoch string) error {
-	answer, err := c.send(fmt.Sprintf("RESERVE.COMMIT %s r%d %s 1", tenant, reservation, epoch))
+func (c *client) commit(tenant string, reservationNumber int, epoch string) error {
+	answer, err := c.send(fmt.Sprintf("RESERVE.COMMIT %s r%d %s 1", tenant, reservationNumber, epoch))
 	if err != nil {
 		return fmt.Errorf("commit failed: %w", err)
 	}
@@ -168,12 +168,12 @@
 // readReservation reads the rest of a reservation's answer and returns its epoch.
 func (c *client) readReservation() (string, error) {
 	epoch := ""
-	for n := range reservationLines {
+	for lineIndex := range reservationLines {
 		line, err := c.reader.ReadString('\n')
 		if err != nil {
 			return "", err
 		}
-		if n == 0 {
+		if lineIndex == 0 {
 			epoch = strings.TrimSpace(line[1:])
 		}
 	}
--- a/internal/lab/billingbench/cluster.go
+++ b/internal/lab/billingbench/cluster.go
@@ -52,7 +52,7 @@
 	services     []*billingservice.Service
 	listener     net.Listener
 	server       *limitserver.Server
-	serving      sync.WaitGroup
+	serveLoop    sync.WaitGroup
 	address      string // of the limit server
 }
 
@@ -161,7 +161,7 @@
 			Rights: authz.Read | authz.Reserve | authz.Change,
 		}},
 	})
-	c.serving.Go(func() {
+	c.serveLoop.Go(func() {
 		_ = c.server.Serve(listener) // if Serve fails, so do the clients' commands
 	})
 	return nil
@@ -172,7 +172,7 @@
 	if c.server != nil {
 		_ = c.server.Close()   // fails only before Serve has begun, which the closed listener then ends
 		_ = c.listener.Close() // in all other cases the listener is closed already
-		c.serving.Wait()
+		c.serveLoop.Wait()
 	}
 	for n := len(c.replicas) - 1; n >= 0; n-- {
 		c.services[n].Close()
--- a/internal/lab/billingbench/measure.go
+++ b/internal/lab/billingbench/measure.go
@@ -98,12 +98,12 @@
 ) error {
 	var mu sync.Mutex
 	var latencies []time.Duration
-	var failures error
+	var clientErrors error
 	var clients sync.WaitGroup
 	electionDeadline := time.Now().Add(electionTimeout)
 	for index := range c.Clients {
 		clients.Go(func() {
-			measured, err := runClient(ctx, clientOptions{
+			clientLatencies, err := runClient(ctx, clientOptions{
 				index:            index,
 				address:          address,
 				certificates:     certificates,
@@ -112,13 +112,13 @@
 			})
 			mu.Lock()
 			defer mu.Unlock()
-			latencies = append(latencies, measured...)
-			failures = errors.Join(failures, err)
+			latencies = append(latencies, clientLatencies...)
+			clientErrors = errors.Join(clientErrors, err)
 		})
 	}
 	clients.Wait()
-	if failures != nil || len(latencies) == 0 {
-		return errors.Join(failures, ctx.Err())
+	if clientErrors != nil || len(latencies) == 0 {
+		return errors.Join(clientErrors, ctx.Err())
 	}
 	slices.Sort(latencies)
 	c.CommandsPerSecond = float64(len(latencies)) / duration.Seconds()
@@ -143,8 +143,8 @@
 			return fmt.Errorf("reservation failed: %w", err)
 		}
 		awaitRelease(ctx, service, tenant)
-		late := time.Duration(time.Now().UnixNano() - reservation.ExpiresNanos)
-		c.ReleaseDelay = max(c.ReleaseDelay, inMillis(late))
+		delay := time.Duration(time.Now().UnixNano() - reservation.ExpiresNanos)
+		c.ReleaseDelay = max(c.ReleaseDelay, inMillis(delay))
 	}
 	return ctx.Err()
 }
--- a/internal/lab/dnsbench/dnsbench.go
+++ b/internal/lab/dnsbench/dnsbench.go
@@ -40,8 +40,8 @@
 	origin  = "lab."
 	service = "_calc._tcp.lab."
 	keyName = "lab."
-	// updaters is the number of concurrent updaters in the measurement of updates per second.
-	updaters = 8
+	// concurrentUpdaters is the number of concurrent updaters in the measurement of updates per second.
+	concurrentUpdaters = 8
 	// maxUpdatesPerSecond is the server's rate limit, which is too high to have an effect.
 	maxUpdatesPerSecond = 1e6
 	// updateTimeout is the timeout of one update.
@@ -51,8 +51,8 @@
 	startupGuardDelay = 1100 * time.Millisecond
 )
 
-// zoneFile returns the text of a zone file with the given number of backends.
-func zoneFile(backends int) string {
+// zoneFileText returns the text of a zone file with the given number of backends.
+func zoneFileText(backends int) string {
 	var text strings.Builder
 	text.WriteString("$ORIGIN lab.\n$TTL 30\n@ IN SOA ns admin 1 3600 600 86400 30\n")
 	text.WriteString("@ IN NS ns\nns IN A 127.0.0.1\n")
@@ -65,8 +65,9 @@
 
 // backendAddress returns a loopback address that is unique to the backend.
 func backendAddress(backend int) string {
-	const octet = 250 // number of values used per octet; no address ends in 0 or 255
-	return fmt.Sprintf("127.%d.%d.%d", 1+backend/(octet*octet), backend/octet%octet, 1+backend%octet)
+	const octetValues = 250 // number of values used per octet; no address ends in 0 or 255
+	return fmt.Sprintf("127.%d.%d.%d",
+		1+backend/(octetValues*octetValues), backend/octetValues%octetValues, 1+backend%octetValues)
 }
 
 // Measure measures zones of the given sizes, given as numbers of backends. For each zone it first sends the given
@@ -125,7 +126,7 @@
 func (b *bench) measure(ctx context.Context, updates int, duration time.Duration) (Cost, error) {
 	cost := Cost{Backends: b.backends}
 	options := b.options()
-	if err := os.WriteFile(options.ZoneFile, []byte(zoneFile(b.backends)), 0o600); err != nil {
+	if err := os.WriteFile(options.ZoneFile, []byte(zoneFileText(b.backends)), 0o600); err != nil {
 		return cost, err
 	}
 	startedAt := time.Now()
@@ -183,23 +184,23 @@
 
 // measureRate measures the rate of updates from concurrent updaters, each of which updates a backend of its own.
 func (b *bench) measureRate(ctx context.Context, duration time.Duration, cost *Cost) error {
-	var running sync.WaitGroup
+	var updaters sync.WaitGroup
 	var applied atomic.Int64
-	var failed atomic.Pointer[error]
+	var updateError atomic.Pointer[error]
 	startedAt := time.Now()
-	for updater := range updaters {
-		running.Go(func() {
+	for updater := range concurrentUpdaters {
+		updaters.Go(func() {
 			for i := 0; time.Since(startedAt) < duration && ctx.Err() == nil; i++ {
 				if err := b.send(uint16(i), b.backends+updater, i%2 == 1); err != nil {
-					failed.Store(&err)
+					updateError.Store(&err)
 					return
 				}
 				applied.Add(1)
 			}
 		})
 	}
-	running.Wait()
-	if err := failed.Load(); err != nil {
+	updaters.Wait()
+	if err := updateError.Load(); err != nil {
 		return *err
 	}
 	cost.UpdatesPerSecond = float64(applied.Load()) / time.Since(startedAt).Seconds()
@@ -216,14 +217,14 @@
 		fmt.Sprintf("%s 30 SRV 0 100 7000 n%d.lab.", service, backend),
 		fmt.Sprintf("n%d.lab. 30 A %s", backend, backendAddress(backend)),
 	} {
-		rr, err := dns.NewRR(text)
+		record, err := dns.NewRR(text)
 		if err != nil {
 			return err
 		}
 		if remove {
-			message.Remove([]dns.RR{rr})
+			message.Remove([]dns.RR{record})
 		} else {
-			message.Insert([]dns.RR{rr})
+			message.Insert([]dns.RR{record})
 		}
 	}
 	return dnsserver.SendUpdate(message, b.server.Address(), b.key, updateTimeout)
