--- a/internal/backend/abandonment.go
+++ b/internal/backend/abandonment.go
@@ -7,7 +7,7 @@
 )
 
 const (
-	// longestDeadline is the longest request deadline that the operators expect (DAYS.md: "3 s at most"). It is
+	// longestDeadline is the longest request deadline that the operators' documentation expects ("3 s at most"). It is
 	// independent of the configured classes, whose deadlines may be longer.
 	longestDeadline = 3 * time.Second
 	// abandonedReadTimeout is how long the reader waits for each further piece of the response to an abandoned
--- a/internal/backend/idle_stats.go
+++ b/internal/backend/idle_stats.go
@@ -22,8 +22,8 @@
 // idleStats counts, by idle time, how attempts ended on connections that had been idle. Backends and network devices
 // on the way may drop idle connections long before the configured timeout, and some do so silently: the next attempt
 // then gets a reset, and may have run. idleStats finds the shortest idle time for which more than a fifth of the
-// attempts end this way. Instead of connections that have been idle that long or longer, the pool uses new ones,
-// although some of the old ones would still have worked. The Pool's lock guards idleStats.
+// attempts end without a response. Instead of connections that have been idle that long or longer, the pool uses new
+// ones, although some of the old ones would still have worked. The Pool's lock guards idleStats.
 type idleStats struct {
 	buckets  [idleBuckets]idleBucket
 	halvedAt time.Time
--- a/internal/backend/response_buffer.go
+++ b/internal/backend/response_buffer.go
@@ -40,7 +40,7 @@
 }
 
 // acquireBudget waits until the memory budget provides what a buffer of the given size needs beyond
-// maxUnbudgetedBytes. The budget keeps large responses from exceeding the memory of the process together.
+// maxUnbudgetedBytes. The budget keeps the total of all large responses from exceeding the memory of the process.
 // bufferMemoryTimeout keeps the wait from outlasting the request, if its deadline is at most longestDeadline. The
 // connection is not read during the wait. acquireBudget returns false if the memory did not become available in time.
 func (c *conn) acquireBudget(bufferBytes int) bool {
--- a/internal/backend/response_parser.go
+++ b/internal/backend/response_parser.go
@@ -10,8 +10,8 @@
 )
 
 const (
-	// maxLineBytes bounds a line, such as an error with its load report. It is several times the size of the fields
-	// that the settings name.
+	// maxLineBytes bounds a line, such as an error with its load report. It is several times the size of a load report
+	// with all fields that the settings name.
 	maxLineBytes = 1 << 10
 	// maxParts bounds the number of parts of a response: value, usage, load report, and room for further parts.
 	maxParts = 8
--- a/internal/dialer/dial.go
+++ b/internal/dialer/dial.go
@@ -98,8 +98,8 @@
 	}()
 }
 
-// closeLateConnections receives the outstanding results and closes the connections in them. No goroutine waits for it:
-// it returns when the canceled dials have ended, which is immediately.
+// closeLateConnections receives the outstanding results and closes the connections in them. No goroutine waits for it.
+// It returns when the canceled dials have ended, which they do at once.
 func (r *race) closeLateConnections() {
 	for range r.started - r.ended {
 		if late := <-r.results; late.conn != nil {
--- a/internal/frontend/accept.go
+++ b/internal/frontend/accept.go
@@ -32,8 +32,8 @@
 
 // AcceptBacklog prepares the listener for its close: it sets a deadline after which Serve accepts no more connections,
 // and waits until Serve has accepted those in the listener's backlog. That takes backlogRoundDuration, or up to
-// 1 + maxExtraBacklogRounds times as long while accepts fail. Without it, closing the listener would reset connections
-// that the kernel has already established and whose clients may have sent a request.
+// 1 + maxExtraBacklogRounds times as long while accepts fail. Without the wait, closing the listener would reset
+// connections that the kernel has already established and whose clients may have sent a request.
 func (s *Server) AcceptBacklog(listener net.Listener) {
 	deadlineSetter, supportsDeadline := listener.(interface{ SetDeadline(at time.Time) error })
 	for range 1 + maxExtraBacklogRounds {
--- a/internal/frontend/connection.go
+++ b/internal/frontend/connection.go
@@ -16,15 +16,15 @@
 // input and is held around each attempt to read, but never across a wait. For any byte, code that closes the input
 // therefore either observes that the byte was read or prevents it from being read. All transitions:
 //
-//	machine  from        event                                  to                effect
-//	input    idle       AfterRead: bytes were read                 unhandled         the reader handles the bytes
-//	input    unhandled   inputHandled: complete commands done   idle              a waiting accept is woken
-//	input    idle        closeInput, with no pending command    closed            the reader lingers and ends
-//	input    unhandled   closeInput                             unhandled         the bytes read are still handled
-//	peer     served      closeWithError: the error is written   error sent        first in the order of eviction
-//	peer     gone        closeWithError                         error sent, gone
-//	peer     served      handleClientGone: hung up, reader ends gone              open requests are canceled
-//	peer     error sent  handleClientGone                       error sent, gone
+//	machine  from        event                                           to                effect
+//	input    idle        AfterRead: bytes were read                      unhandled         the reader handles the bytes
+//	input    unhandled   inputHandled: all complete commands handled     idle              wakes a waiting accept
+//	input    idle        closeInput, with no pending command             closed            the reader lingers and ends
+//	input    unhandled   closeInput                                      unhandled         the bytes are still handled
+//	peer     served      closeWithError: the error is written            error sent        first to be evicted
+//	peer     gone        closeWithError                                  error sent, gone
+//	peer     served      handleClientGone: hang-up or end of the reader  gone              open requests are canceled
+//	peer     error sent  handleClientGone                                error sent, gone
 //
 // Closed input and a disconnected client are final states. A graceful close sets closing, which closes the connection
 // once the responses that are due are written. closing is checked whenever no command is pending any more
@@ -39,7 +39,7 @@
 	pending      []*pendingCommand // not answered yet, in order of arrival
 	pendingBytes int
 	stateChanged *sync.Cond // signals a response, the end of a pause, a disconnect, or that closing is set
-	idleSince    time.Time  // when the last pending command was answered
+	idleSince    time.Time  // since when no command has been pending
 	// writeDeadlineRenewedAt is when the write deadline was last set.
 	writeDeadlineRenewedAt time.Time
 
--- a/internal/frontend/connection_end.go
+++ b/internal/frontend/connection_end.go
@@ -80,7 +80,8 @@
 }
 
 // shutDownIfClosing shuts down a connection that is closing, unless it is new or the rest of a command may still
-// arrive. It first waits until all commands handled so far are answered. Nothing is read during the wait or afterwards.
+// arrive. It first waits until all commands handled so far are answered. Nothing is read during the wait, nor
+// afterwards unless a Resume has canceled the close meanwhile.
 func (c *connection) shutDownIfClosing() {
 	if !c.closing.Load() || c.isNew(time.Now()) {
 		return
@@ -92,7 +93,7 @@
 	c.awaitResponses()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.closing.Load() { // a Resume may have canceled the close meanwhile
+	if c.closing.Load() { // a Resume may have canceled the close
 		c.shutDown()
 	}
 }
--- a/internal/frontend/drain.go
+++ b/internal/frontend/drain.go
@@ -9,14 +9,14 @@
 )
 
 // drainDelay is how long a draining server continues to serve its connections before it closes them as they become
-// idle. The load balancer sends PING ten times a second and stops opening connections 0.2 s after an error response to
-// PING, which it has received by then.
+// idle. It leaves the load balancer time to stop opening connections: the load balancer sends PING ten times a second,
+// and opens no more connections from 0.2 s after an error response to PING.
 //
-// The operators' rule for a drain is that 4 s after its start the load balancer counts a connection as lost that is
-// idle or has a request from the last 2 s. From drainDelay on, connections are closed as they become idle; a connection
-// without an open request is closed by force forcedCloseDelay after its graceful close began. The last request is
-// accepted at drainRejectDelay. A connection with an open request is never closed by force: it may still be open after
-// 4 s, until the deadline of that request.
+// The operators' rule for a drain is: 4 s after the start of the drain, the load balancer counts each open connection
+// as lost that is idle or on which it sent a request within the last 2 s. From drainDelay on, connections are therefore
+// closed as they become idle, and a connection without an open request is closed by force forcedCloseDelay after its
+// graceful close began. The last request is accepted at drainRejectDelay. A connection with an open request is never
+// closed by force: it may still be open after 4 s, until the deadline of that request.
 const drainDelay = time.Second
 
 // Drain begins a drain: from now on PING is answered with an error, and after drainDelay connections are
--- a/internal/frontend/drain_rejection.go
+++ b/internal/frontend/drain_rejection.go
@@ -7,9 +7,9 @@
 	"fawnplank/policy"
 )
 
-// drainRejectDelay is the age of a drain from which on requests are rejected. By the operators' rule at drainDelay, a
-// connection may count as lost if a request arrives on it later than 2 s after the start of the drain. The server
-// accepts the last request 0.2 s before that.
+// drainRejectDelay is the age of a drain from which on requests are rejected. By the operators' rule, which the comment
+// of drainDelay describes, a connection may count as lost if a request arrives on it later than 2 s after the start of
+// the drain. The server accepts the last request 0.2 s before that.
 const drainRejectDelay = 1800 * time.Millisecond
 
 // rejectsRequests reports whether requests are rejected with -BUSY because of a drain: from drainRejectDelay on, until
--- a/internal/frontend/server.go
+++ b/internal/frontend/server.go
@@ -51,7 +51,7 @@
 	evictionThreshold int          // number of validated connections from which on idle ones are evicted
 	writeTimeoutNanos atomic.Int64 // see writeTimeout
 
-	serving                  atomic.Bool  // Serve runs: connections may not contain the last accepted connection yet
+	serving                  atomic.Bool  // Serve runs, so an accepted connection may be missing in connections
 	shuttingDown             atomic.Bool  // a shutdown has begun
 	drain                    drainClock   // the start of the drain, if one is in progress
 	connectionCapacityWanted atomic.Bool  // addConnection waits until a connection ends or becomes idle
--- a/internal/limitserver/account_commands.go
+++ b/internal/limitserver/account_commands.go
@@ -23,8 +23,9 @@
 //	RESERVE.LIST tenant                   arrays of id, epoch, units left, expiry in milliseconds since 1970, holder
 //	RESERVE.ROOM tenant plan              units that may still be reserved now
 //
-// RESERVE.NEW, COMMIT, RENEW and TAKE answer with the epoch that the next command on the reservation must state, the
-// units left, and the time at which the reservation expires, or with OK if nothing is left of the reservation.
+// RESERVE.TAKE transfers a reservation to another holder. RESERVE.NEW, COMMIT, RENEW and TAKE answer with the epoch
+// that the next command on the reservation must state, the units left, and the time at which the reservation expires,
+// or with OK if nothing is left of the reservation.
 type Accounts interface {
 	SchedulePlanChange(tenant string, change billing.PlanChange) error
 	CancelPlanChange(tenant, id string) error
--- a/internal/retryaccept/retryaccept.go
+++ b/internal/retryaccept/retryaccept.go
@@ -15,7 +15,8 @@
 	"fawnplank/internal/logging"
 )
 
-// RetryDelay is the delay after a failed accept. If the process has no free file descriptors, some are closed soon.
+// RetryDelay is the delay after a failed accept. It may be short, since file descriptors are soon released even if the
+// process has used up all of them.
 const RetryDelay = 10 * time.Millisecond
 
 // Listener is a listener whose Accept fails only once the listener is closed or its deadline has passed.
--- a/internal/sock/doc.go
+++ b/internal/sock/doc.go
@@ -3,8 +3,9 @@
 //
 // The Go scheduler treats an ordinary system call as one that may block. With one processor (P), the runtime's
 // monitor thread takes the P away from any system call that lasts over 20 microseconds, as writes over loopback
-// often do, starts another thread for the P, and wakes up 50 times in the following millisecond. The system calls
-// for this were most of a gateway's system calls. A raw system call keeps the P while the kernel copies the bytes.
+// often do, starts another thread for the P, and wakes up 50 times in the following millisecond. These wake-ups and
+// thread starts made up most of a gateway's system calls. A raw system call keeps the P while the kernel copies the
+// bytes.
 //
 // One goroutine may read from a Conn while another writes to it. The documentation of each method states which
 // other calls may run concurrently.
