--- a/internal/dialer/address_order_test.go
+++ b/internal/dialer/address_order_test.go
@@ -16,7 +16,7 @@
 	return addresses
 }
 
-func TestOrder(t *testing.T) {
+func TestOrderAddresses(t *testing.T) {
 	for _, test := range []struct{ name, addresses, unreachable, want string }{
 		{
 			name:      "IPv6 first",
--- a/internal/dialer/dial_test.go
+++ b/internal/dialer/dial_test.go
@@ -20,7 +20,7 @@
 	start := time.Now()
 	conn, index, err := Dial(t.Context(), addresses, 2*time.Second)
 	if err != nil || index != 2 {
-		t.Fatalf("%d, %v", index, err)
+		t.Fatalf("connected to the address with index %d, error %v; want index 2", index, err)
 	}
 	t.Cleanup(func() {
 		_ = conn.Close() // nothing was written to it
@@ -31,7 +31,7 @@
 	start = time.Now()
 	_, _, err = Dial(t.Context(), addresses[:2], 300*time.Millisecond)
 	if err == nil || time.Since(start) > time.Second {
-		t.Errorf("%v after %v", err, time.Since(start))
+		t.Errorf("Dial without an accepting address: error %v after %v", err, time.Since(start))
 	}
 	if !errors.Is(err, syscall.ECONNREFUSED) {
 		t.Errorf("error %v does not include the refused connection", err)
@@ -58,6 +58,6 @@
 func TestDial_NoAddressesIsAnError(t *testing.T) {
 	conn, _, err := Dial(t.Context(), nil, 100*time.Millisecond)
 	if conn != nil || !errors.Is(err, ErrNoAddress) {
-		t.Errorf("%v, %v", conn, err)
+		t.Errorf("connection %v, error %v; want ErrNoAddress", conn, err)
 	}
 }
--- a/internal/limitserver/account_commands_test.go
+++ b/internal/limitserver/account_commands_test.go
@@ -26,50 +26,50 @@
 }
 
 // update stores the account that an operation returned, unless the operation failed.
-func (l *fakeAccounts) update(account billing.Account, err error) error {
+func (f *fakeAccounts) update(account billing.Account, err error) error {
 	if err == nil {
-		l.account = account
+		f.account = account
 	}
 	return err
 }
 
 // updateReservation does the same as update for an operation that also returns a reservation.
-func (l *fakeAccounts) updateReservation(
+func (f *fakeAccounts) updateReservation(
 	account billing.Account, reservation billing.Reservation, err error,
 ) (billing.Reservation, error) {
-	return reservation, l.update(account, err)
+	return reservation, f.update(account, err)
 }
 
-func (l *fakeAccounts) SchedulePlanChange(_ string, change billing.PlanChange) error {
-	return l.update(l.account.SchedulePlanChange(billingSettings, nowNanos, change))
+func (f *fakeAccounts) SchedulePlanChange(_ string, change billing.PlanChange) error {
+	return f.update(f.account.SchedulePlanChange(billingSettings, nowNanos, change))
 }
 
-func (l *fakeAccounts) CancelPlanChange(_, id string) error {
-	return l.update(l.account.CancelPlanChange(billingSettings, nowNanos, id))
+func (f *fakeAccounts) CancelPlanChange(_, id string) error {
+	return f.update(f.account.CancelPlanChange(billingSettings, nowNanos, id))
 }
 
-func (l *fakeAccounts) Release(_, id string, epoch uint64) error {
-	return l.update(l.account.Release(billingSettings, nowNanos, id, epoch))
+func (f *fakeAccounts) Release(_, id string, epoch uint64) error {
+	return f.update(f.account.Release(billingSettings, nowNanos, id, epoch))
 }
 
-func (l *fakeAccounts) Reserve(_ string, request billing.ReservationRequest) (billing.Reservation, error) {
-	return l.updateReservation(l.account.Reserve(billingSettings, nowNanos, request))
+func (f *fakeAccounts) Reserve(_ string, request billing.ReservationRequest) (billing.Reservation, error) {
+	return f.updateReservation(f.account.Reserve(billingSettings, nowNanos, request))
 }
 
-func (l *fakeAccounts) Commit(_, id string, epoch uint64, units billing.MicroUnits) (billing.Reservation, error) {
-	return l.updateReservation(l.account.Commit(billingSettings, nowNanos, id, epoch, units))
+func (f *fakeAccounts) Commit(_, id string, epoch uint64, units billing.MicroUnits) (billing.Reservation, error) {
+	return f.updateReservation(f.account.Commit(billingSettings, nowNanos, id, epoch, units))
 }
 
-func (l *fakeAccounts) Renew(_, id string, epoch uint64, lease time.Duration) (billing.Reservation, error) {
-	return l.updateReservation(l.account.Renew(billingSettings, nowNanos, id, epoch, int64(lease)))
+func (f *fakeAccounts) Renew(_, id string, epoch uint64, lease time.Duration) (billing.Reservation, error) {
+	return f.updateReservation(f.account.Renew(billingSettings, nowNanos, id, epoch, int64(lease)))
 }
 
-func (l *fakeAccounts) TransferReservation(_, id, holder string, lease time.Duration) (billing.Reservation, error) {
-	return l.updateReservation(l.account.TransferReservation(billingSettings, nowNanos, id, holder, int64(lease)))
+func (f *fakeAccounts) TransferReservation(_, id, holder string, lease time.Duration) (billing.Reservation, error) {
+	return f.updateReservation(f.account.TransferReservation(billingSettings, nowNanos, id, holder, int64(lease)))
 }
 
-func (l *fakeAccounts) Account(_, plan string) (billing.Account, billing.MicroUnits, error) {
-	return l.account, l.account.Available(billingSettings, nowNanos, nowNanos, plan), nil
+func (f *fakeAccounts) Account(_, plan string) (billing.Account, billing.MicroUnits, error) {
+	return f.account, f.account.Available(billingSettings, nowNanos, nowNanos, plan), nil
 }
 
 // TestServer_AnswersAccountCommands checks the answers to valid and invalid forms of each command on accounts, which
--- a/internal/limitserver/check_test.go
+++ b/internal/limitserver/check_test.go
@@ -9,7 +9,7 @@
 )
 
 // TestCheck_ConsumesHardQuota checks that a check consumes the tenant's hard quota, as a request that is sent to a
-// backend does (rule 5).
+// backend does (rule 5 of package internal/lab/invariants).
 func TestCheck_ConsumesHardQuota(t *testing.T) {
 	g := startGateway(t, counter.Text)
 	c, admitted := g.dial(t), 0
--- a/internal/membudget/budget_test.go
+++ b/internal/membudget/budget_test.go
@@ -54,7 +54,7 @@
 		time.AfterFunc(300*time.Millisecond, func() { budget.Release(acquired) })
 		start := time.Now()
 		if acquired, ok := budget.Acquire(4, start.Add(time.Second)); !ok || acquired != 4 {
-			t.Errorf("%d, %t", acquired, ok)
+			t.Errorf("acquired %d, ok %t, want 4 bytes", acquired, ok)
 		}
 		if elapsed := time.Since(start); elapsed != 300*time.Millisecond {
 			t.Errorf("waited for %v", elapsed)
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -68,7 +68,7 @@
 	connections := 3
 	AddGauges(r, &connections, []Gauge[*int]{
 		{Name: "open", Help: "open connections", Value: func(n *int) float64 { return float64(*n) }},
-		{Name: "spare", Help: "places left of ten", Value: func(n *int) float64 { return float64(10 - *n) }},
+		{Name: "spare", Help: "unused connections of ten", Value: func(n *int) float64 { return float64(10 - *n) }},
 	})
 	for _, want := range []string{"# HELP gw_open open connections", "gw_open 3", "gw_spare 7"} {
 		if text := renderText(t, r); !strings.Contains(text, want+"\n") {
--- a/internal/sock/sock_test.go
+++ b/internal/sock/sock_test.go
@@ -101,7 +101,7 @@
 		_ = peer.Close()
 	})
 	if n, err := c.Read(buffer); string(buffer[:n]) != "hello" || err != nil {
-		t.Errorf("%q, %v", buffer[:n], err)
+		t.Errorf("read %q, error %v; want the bytes that the peer sent", buffer[:n], err)
 	}
 	if _, err := c.Read(buffer); !errors.Is(err, io.EOF) {
 		t.Errorf("%v", err)
