--- a/cmd/fawnplank/command_dns.go
+++ b/cmd/fawnplank/command_dns.go
@@ -66,9 +66,9 @@
 	}
 	options := dnsOptions(operator.DNS)
 	if client != nil {
-		options.Replicated = &dnsserver.ReplicatedZone{Replica: *client}
+		options.ReplicatedZone = &dnsserver.ReplicatedZone{Replica: *client}
 	}
-	zone, source, err := dnsserver.ReadInForce(options)
+	zone, source, err := dnsserver.ReadCurrentZone(options)
 	if client != nil {
 		err = cmp.Or(client.failed.Err(), err) // a zone that could not be read is no missing one
 	}
--- a/cmd/fawnplank/metrics.go
+++ b/cmd/fawnplank/metrics.go
@@ -106,7 +106,7 @@
 // zoneGauges are the metrics of the DNS zone and its name server.
 var zoneGauges = []metrics.Gauge[*dnsserver.Server]{
 	{Name: "dns_updates_done", Help: "dynamic updates that changed the zone",
-		Value: func(s *dnsserver.Server) float64 { return float64(s.Stats().UpdatesDone) }},
+		Value: func(s *dnsserver.Server) float64 { return float64(s.Stats().UpdatesApplied) }},
 	{Name: "dns_updates_refused", Help: "dynamic updates rejected for their content",
 		Value: func(s *dnsserver.Server) float64 { return float64(s.Stats().UpdatesRefused) }},
 	{Name: "dns_messages_refused", Help: "messages rejected for their signature, its time, or a replay",
@@ -114,7 +114,7 @@
 	{Name: "dns_flooded", Help: "messages over a rate limit, refused or dropped",
 		Value: func(s *dnsserver.Server) float64 { return float64(s.Stats().RateLimited) }},
 	{Name: "dns_updates_lost", Help: "updates that could not be stored in the journal or the store",
-		Value: func(s *dnsserver.Server) float64 { return float64(s.Stats().UpdatesLost) }},
+		Value: func(s *dnsserver.Server) float64 { return float64(s.Stats().UpdatesNotStored) }},
 	{Name: "dns_serial", Help: "serial of the zone in force",
 		Value: func(s *dnsserver.Server) float64 { return float64(s.Serial()) }},
 }
--- a/cmd/fawnplank/zone.go
+++ b/cmd/fawnplank/zone.go
@@ -36,9 +36,9 @@
 		return nil
 	}
 	options := dnsOptions(z.settings)
-	options.Publish = func(update dnsserver.ListUpdate) { client.Publish(endpointUpdate(update)) }
+	options.Publish = func(update dnsserver.BackendListUpdate) { client.Publish(endpointUpdate(update)) }
 	if replica != nil {
-		options.Replicated = &dnsserver.ReplicatedZone{Replica: replica.Store}
+		options.ReplicatedZone = &dnsserver.ReplicatedZone{Replica: replica.Store}
 	}
 	server, err := dnsserver.Start(options)
 	if err != nil {
@@ -47,7 +47,7 @@
 	z.server.Store(server)
 	metrics.AddGauges(registry, server, zoneGauges)
 	if replica != nil {
-		z.changes.Start(server.StoreChanged)
+		z.changes.Start(server.HandleStoreChange)
 		z.changes.Notify() // covers changes made while the server started
 	}
 	return nil
@@ -59,7 +59,7 @@
 // PublishSnapshot publishes the whole list again.
 func (z *endpointZone) PublishSnapshot() {
 	if server := z.server.Load(); server != nil {
-		server.PublishAll()
+		server.PublishFullList()
 	}
 }
 
@@ -83,7 +83,7 @@
 }
 
 // endpointUpdate converts changes of a zone into the form of the discovery service.
-func endpointUpdate(update dnsserver.ListUpdate) (policy.UpdateKind, []discovery.Endpoint) {
+func endpointUpdate(update dnsserver.BackendListUpdate) (policy.UpdateKind, []discovery.Endpoint) {
 	var endpoints []discovery.Endpoint
 	for _, backend := range update.Updated {
 		endpoints = append(endpoints, zoneEndpoint(backend))
--- a/cmd/fawnplank/zone_test.go
+++ b/cmd/fawnplank/zone_test.go
@@ -90,9 +90,9 @@
 	}
 	options := dnsOptions(operator.DNS)
 	if api != "" {
-		options.Replicated = &dnsserver.ReplicatedZone{Replica: storeClient{address: api}}
+		options.ReplicatedZone = &dnsserver.ReplicatedZone{Replica: storeClient{address: api}}
 	}
-	zone, _, err := dnsserver.ReadInForce(options)
+	zone, _, err := dnsserver.ReadCurrentZone(options)
 	return zone, err
 }
 
--- a/internal/dnsserver/commit.go
+++ b/internal/dnsserver/commit.go
@@ -51,10 +51,10 @@
 
 // compactReplicated compacts the changes in the store. The caller holds the lock.
 func (s *Server) compactReplicated() error {
-	if !s.options.Replicated.isFull() {
+	if !s.options.ReplicatedZone.isFull() {
 		return nil
 	}
-	err := s.options.Replicated.replace(s.zone, s.zone, s.fileSum)
+	err := s.options.ReplicatedZone.replace(s.zone, s.zone, s.fileSum)
 	if errors.Is(err, errBehind) {
 		return nil // another replica compacted them, or the next change does
 	}
--- a/internal/dnsserver/helpers_test.go
+++ b/internal/dnsserver/helpers_test.go
@@ -51,7 +51,7 @@
 	list map[string]dnszone.Backend
 }
 
-func (s *subscriber) publish(update ListUpdate) {
+func (s *subscriber) publish(update BackendListUpdate) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if update.Full {
--- a/internal/dnsserver/in_force.go
+++ b/internal/dnsserver/in_force.go
@@ -2,15 +2,15 @@
 
 import "fawnplank/internal/dnszone"
 
-// ReadInForce reads the zone in force from the store, the journal or the zone file, and names the source: "the
+// ReadCurrentZone reads the zone in force from the store, the journal or the zone file, and names the source: "the
 // store" or the path of the file. A server may be running at the same time.
-func ReadInForce(options Options) (zone *dnszone.Zone, source string, err error) {
+func ReadCurrentZone(options Options) (zone *dnszone.Zone, source string, err error) {
 	options.Settings, err = options.Settings.Canonical()
 	if err != nil {
 		return nil, "", err
 	}
 	source = options.JournalFile
-	if options.Replicated != nil {
+	if options.ReplicatedZone != nil {
 		source = "the store"
 	}
 	stored, err := options.readStored()
--- a/internal/dnsserver/install.go
+++ b/internal/dnsserver/install.go
@@ -47,15 +47,17 @@
 // publish publishes a difference, unless it is empty. The caller holds the lock.
 func (s *Server) publish(updated []dnszone.Backend, removed []string) {
 	if len(updated)+len(removed) > 0 {
-		s.options.Publish(ListUpdate{Updated: updated, Removed: removed})
+		s.options.Publish(BackendListUpdate{Updated: updated, Removed: removed})
 	}
 }
 
 // publishAll publishes the full list. The caller holds the lock.
-func (s *Server) publishAll() { s.options.Publish(ListUpdate{Updated: s.zone.Backends(), Full: true}) }
+func (s *Server) publishAll() {
+	s.options.Publish(BackendListUpdate{Updated: s.zone.Backends(), Full: true})
+}
 
-// PublishAll publishes the full list again, if there is a zone.
-func (s *Server) PublishAll() {
+// PublishFullList publishes the full list again, if there is a zone.
+func (s *Server) PublishFullList() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.zone != nil {
--- a/internal/dnsserver/journal_test.go
+++ b/internal/dnsserver/journal_test.go
@@ -142,8 +142,8 @@
 	mustStart(t, files).Close()
 	other := dnszone.Settings{Origin: testSettings.Origin, Service: "_other._tcp.calc.example."}
 	_, err := readJournal(files.JournalFile, other)
-	mismatch, ok := errors.AsType[*SettingsError](err)
-	if !ok || mismatch.Stored != testSettings || mismatch.Wanted != other {
+	mismatch, ok := errors.AsType[*SettingsMismatchError](err)
+	if !ok || mismatch.Stored != testSettings || mismatch.Configured != other {
 		t.Errorf("%v, not a SettingsError with both services", err)
 	}
 }
--- a/internal/dnsserver/load.go
+++ b/internal/dnsserver/load.go
@@ -67,7 +67,7 @@
 func (s *Server) storeFirst(file zoneFile) error {
 	switch s.storage() {
 	case storageReplicated:
-		err := s.options.Replicated.initialize(file.zone, file.sum)
+		err := s.options.ReplicatedZone.initialize(file.zone, file.sum)
 		if err != nil && !errors.Is(err, errBehind) {
 			return fmt.Errorf("%w: %w", errStoreUnavailable, err)
 		}
--- a/internal/dnsserver/options.go
+++ b/internal/dnsserver/options.go
@@ -16,15 +16,15 @@
 	Keys                []Key    // keys that may update and transfer the zone
 	MaxUpdatesPerSecond float64  // over all senders; at least one update may come at once
 	Secondaries         []string // addresses, host and port, that are notified of changes
-	// Replicated, if set, replaces the journal. Updates are then applied in all replicas or in none.
-	Replicated *ReplicatedZone
+	// ReplicatedZone, if set, replaces the journal. Updates are then applied in all replicas or in none.
+	ReplicatedZone *ReplicatedZone
 	// Publish receives every change to the list of backends. It is called once at a time, and before the update
 	// that made the change is answered. The server's lock is held, so it must not call the server.
-	Publish func(update ListUpdate)
+	Publish func(update BackendListUpdate)
 }
 
-// ListUpdate is a change to the list of backends.
-type ListUpdate struct {
+// BackendListUpdate is a change to the list of backends.
+type BackendListUpdate struct {
 	Updated []dnszone.Backend // new or changed
 	Removed []string          // by name
 	Full    bool              // Updated is the complete list
@@ -33,8 +33,8 @@
 // readStored reads the content of the store or the journal. It returns nil if there is none. Settings must be
 // canonical.
 func (o Options) readStored() (*storedZone, error) {
-	if o.Replicated != nil {
-		return o.Replicated.load(o.Settings)
+	if o.ReplicatedZone != nil {
+		return o.ReplicatedZone.load(o.Settings)
 	}
 	if o.JournalFile == "" {
 		return nil, nil
--- a/internal/dnsserver/reload.go
+++ b/internal/dnsserver/reload.go
@@ -54,7 +54,7 @@
 func (s *Server) storeReplacement(next *dnszone.Zone, fileSum string) error {
 	switch s.storage() {
 	case storageReplicated:
-		return s.options.Replicated.replace(s.zone, next, fileSum)
+		return s.options.ReplicatedZone.replace(s.zone, next, fileSum)
 	case storageJournal:
 		return s.journal.rewrite(next, fileSum)
 	case storageLockedJournal:
--- a/internal/dnsserver/replicated_zone_test.go
+++ b/internal/dnsserver/replicated_zone_test.go
@@ -113,10 +113,10 @@
 		replica := newFakeReplica(store)
 		replica.run(t)
 		files := newFiles(t, zoneFileText(7, 2))
-		files.Replicated = &ReplicatedZone{replica}
+		files.ReplicatedZone = &ReplicatedZone{replica}
 		s := mustStart(t, files)
-		// StoreChanged waits for the server's lock, which an update holds while it waits for this replica.
-		replica.setOnApplied(func() { go s.StoreChanged() })
+		// HandleStoreChange waits for the server's lock, which an update holds while it waits for this replica.
+		replica.setOnApplied(func() { go s.HandleStoreChange() })
 		servers = append(servers, s)
 	}
 	for _, s := range servers {
@@ -145,7 +145,7 @@
 // Serial returns 0.
 func TestServer_WaitsForStoreWithoutLeader(t *testing.T) {
 	files := newFiles(t, zoneFileText(7, 2))
-	files.Replicated = &ReplicatedZone{newFakeReplica(&fakeStore{leaderless: true})}
+	files.ReplicatedZone = &ReplicatedZone{newFakeReplica(&fakeStore{leaderless: true})}
 	if s := mustStart(t, files); s.Serial() != 0 || s.published.size() != 0 {
 		t.Error("a list without the store: ", s.published.list)
 	}
@@ -195,14 +195,14 @@
 		}
 	}
 	eventuallyAllHave(t, "many changes at all three", servers, 90+maxStoredChanges+20, 4)
-	head, _, err := servers[0].options.Replicated.readHead()
+	head, _, err := servers[0].options.ReplicatedZone.readHead()
 	if err != nil {
 		t.Error(err)
 	}
 	if head.Changes > maxStoredChanges || head.SnapshotSerial == 90 {
 		t.Errorf("%+v: the changes were never compacted", head)
 	}
-	stored, err := servers[2].options.Replicated.load(testSettings)
+	stored, err := servers[2].options.ReplicatedZone.load(testSettings)
 	if err != nil || stored.zone.Serial() != 90+maxStoredChanges+20 {
 		t.Error(err)
 	}
--- a/internal/dnsserver/replication.go
+++ b/internal/dnsserver/replication.go
@@ -16,9 +16,9 @@
 	replicateRetryInterval = 5 * time.Millisecond
 )
 
-// StoreChanged adopts the zone in the store. It must be called when a key with KeyPrefix has changed there.
+// HandleStoreChange adopts the zone in the store. It must be called when a key with KeyPrefix has changed there.
 // It may wait for an update in progress.
-func (s *Server) StoreChanged() {
+func (s *Server) HandleStoreChange() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.zone == nil { // awaitStore tries again
@@ -34,7 +34,7 @@
 	if err := s.applyStoredChanges(); err != nil {
 		return err
 	}
-	head, index, err := s.options.Replicated.readHead()
+	head, index, err := s.options.ReplicatedZone.readHead()
 	if err != nil || index == 0 {
 		return err
 	}
@@ -42,7 +42,7 @@
 		return nil // up to date, or ahead because this server's own change has not reached the replica
 	}
 	// The changes that lead to the head were compacted, or a zone file replaced the zone.
-	stored, err := s.options.Replicated.load(s.options.Settings)
+	stored, err := s.options.ReplicatedZone.load(s.options.Settings)
 	if err != nil || stored == nil {
 		return err
 	}
@@ -53,7 +53,7 @@
 // applyStoredChanges applies the changes in the store that follow the zone in force. The caller holds the lock.
 func (s *Server) applyStoredChanges() error {
 	for {
-		step, err := s.options.Replicated.applyNext(s.zone)
+		step, err := s.options.ReplicatedZone.applyNext(s.zone)
 		if err != nil || step == nil {
 			return err
 		}
@@ -72,7 +72,7 @@
 		if err != nil || step.Change == nil {
 			return step, err
 		}
-		err = s.options.Replicated.append(step.Change)
+		err = s.options.ReplicatedZone.append(step.Change)
 		if !errors.Is(err, errBehind) || time.Now().After(deadline) {
 			return step, err
 		}
--- a/internal/dnsserver/startup.go
+++ b/internal/dnsserver/startup.go
@@ -41,7 +41,7 @@
 		return 0, err
 	}
 	err = s.loadLocked(nowNanos)
-	if s.options.Replicated != nil && (errors.Is(err, errBehind) || errors.Is(err, errStoreUnavailable)) {
+	if s.options.ReplicatedZone != nil && (errors.Is(err, errBehind) || errors.Is(err, errStoreUnavailable)) {
 		return startWaitsForStore, nil
 	}
 	if err != nil {
@@ -56,7 +56,7 @@
 // tryLockJournal locks the journal, if the options name one that is used. It reports whether another process
 // has it.
 func (s *Server) tryLockJournal() (isLocked bool, err error) {
-	if s.options.JournalFile == "" || s.options.Replicated != nil {
+	if s.options.JournalFile == "" || s.options.ReplicatedZone != nil {
 		return false, nil
 	}
 	journal, err := lockJournal(s.options.JournalFile)
--- a/internal/dnsserver/stats.go
+++ b/internal/dnsserver/stats.go
@@ -14,20 +14,20 @@
 // Stats counts messages by their outcome since the start. The fields are read one after the other, so they may
 // differ by messages in progress.
 type Stats struct {
-	UpdatesDone       uint64 // updates that changed the zone
+	UpdatesApplied    uint64 // updates that changed the zone
 	UpdatesRefused    uint64 // updates refused because of what they ask
 	SignaturesRefused uint64 // messages without a valid signature, including replays
 	RateLimited       uint64 // messages over a limit
-	UpdatesLost       uint64 // updates that could not be stored in the journal or the store
+	UpdatesNotStored  uint64 // updates that could not be stored in the journal or the store
 }
 
 // Stats returns the counts so far.
 func (s *Server) Stats() Stats {
 	return Stats{
-		UpdatesDone:       s.counters.updatesDone.Load(),
+		UpdatesApplied:    s.counters.updatesDone.Load(),
 		UpdatesRefused:    s.counters.updatesRefused.Load(),
 		SignaturesRefused: s.counters.signaturesRefused.Load(),
 		RateLimited:       s.counters.rateLimited.Load(),
-		UpdatesLost:       s.counters.updatesLost.Load(),
+		UpdatesNotStored:  s.counters.updatesLost.Load(),
 	}
 }
--- a/internal/dnsserver/storage.go
+++ b/internal/dnsserver/storage.go
@@ -33,7 +33,7 @@
 // storage returns where the zone in force is stored now. The caller holds the lock.
 func (s *Server) storage() storage {
 	switch {
-	case s.options.Replicated != nil:
+	case s.options.ReplicatedZone != nil:
 		return storageReplicated
 	case s.journal != nil:
 		return storageJournal
--- a/internal/dnsserver/stored_zone.go
+++ b/internal/dnsserver/stored_zone.go
@@ -50,10 +50,10 @@
 		return nil, err
 	}
 	if record.Format != storedFormat {
-		return nil, &FormatError{Format: record.Format}
+		return nil, &StoredFormatError{Format: record.Format}
 	}
 	if got := record.settings(); got != settings {
-		return nil, &SettingsError{Stored: got, Wanted: settings}
+		return nil, &SettingsMismatchError{Stored: got, Configured: settings}
 	}
 	zone, err := dnszone.Restore(record.Snapshot, settings)
 	if err != nil {
@@ -82,23 +82,23 @@
 	z.changes = append(z.changes, step.Change)
 }
 
-// FormatError reports a journal or a store in a format that this version does not read.
-type FormatError struct {
+// StoredFormatError reports a journal or a store in a format that this version does not read.
+type StoredFormatError struct {
 	Format int // as stored
 }
 
 // Error names both formats.
-func (e *FormatError) Error() string {
+func (e *StoredFormatError) Error() string {
 	return fmt.Sprintf("is of format %d, not %d", e.Format, storedFormat)
 }
 
-// SettingsError reports a journal or a store that belongs to another zone or service.
-type SettingsError struct {
-	Stored, Wanted dnszone.Settings
+// SettingsMismatchError reports a journal or a store that belongs to another zone or service.
+type SettingsMismatchError struct {
+	Stored, Configured dnszone.Settings
 }
 
 // Error names both zones and services.
-func (e *SettingsError) Error() string {
+func (e *SettingsMismatchError) Error() string {
 	return fmt.Sprintf("is of zone %s and service %s, not %s and %s",
-		e.Stored.Origin, e.Stored.Service, e.Wanted.Origin, e.Wanted.Service)
+		e.Stored.Origin, e.Stored.Service, e.Configured.Origin, e.Configured.Service)
 }
--- a/internal/dnsserver/version0_test.go
+++ b/internal/dnsserver/version0_test.go
@@ -182,7 +182,7 @@
 		t.Chdir(folder)
 		writeFile(t, "calc.zone", version0File)
 		replica := &directReplica{state: kv.New()}
-		server := mustStart(t, Options{ZoneFile: "calc.zone", Replicated: &ReplicatedZone{replica}})
+		server := mustStart(t, Options{ZoneFile: "calc.zone", ReplicatedZone: &ReplicatedZone{replica}})
 		sendVersion0Updates(t, server)
 		server.Close()
 		text, err := replica.state.Snapshot()
--- a/internal/lab/dnsbench/dnsbench.go
+++ b/internal/lab/dnsbench/dnsbench.go
@@ -118,7 +118,7 @@
 		ListenAddress:       "127.0.0.1:0",
 		Keys:                []dnsserver.Key{b.key},
 		MaxUpdatesPerSecond: maxUpdatesPerSecond,
-		Publish:             func(dnsserver.ListUpdate) { b.publishedNanos.Store(time.Now().UnixNano()) },
+		Publish:             func(dnsserver.BackendListUpdate) { b.publishedNanos.Store(time.Now().UnixNano()) },
 	}
 }
 
