--- a/internal/dnsserver/commit.go
+++ b/internal/dnsserver/commit.go
@@ -7,25 +7,25 @@
 	"fawnplank/internal/logging"
 )
 
-// commit evaluates an update on the zone in force and makes its change durable. The caller holds the lock.
-func (s *Server) commit(evaluate func() (*dnszone.Transition, error)) (*dnszone.Transition, error) {
+// commitUpdate evaluates an update on the zone in force and makes its change durable. The caller holds the lock.
+func (s *Server) commitUpdate(evaluate func() (*dnszone.Transition, error)) (*dnszone.Transition, error) {
 	if s.storage() == storageReplicated {
-		return s.replicate(evaluate)
+		return s.replicateUpdate(evaluate)
 	}
-	step, err := evaluate()
-	if err == nil && step.Change != nil {
-		err = s.journal.append(step.Change)
+	transition, err := evaluate()
+	if err == nil && transition.Change != nil {
+		err = s.journal.append(transition.Change)
 	}
-	return step, err
+	return transition, err
 }
 
-// advance puts in force the zone that results from one stored change. The caller holds the lock.
-func (s *Server) advance(step *dnszone.Transition) {
-	s.zone = step.Zone
-	s.changes = appendChange(s.changes, step.Change)
-	s.published.Store(s.zone)
-	s.publish(step.Updated, step.Removed)
-	if len(step.Removed) > 0 && s.zone.BackendCount() == 0 {
+// applyTransition puts in force the zone that results from one stored change. The caller holds the lock.
+func (s *Server) applyTransition(transition *dnszone.Transition) {
+	s.zone = transition.Zone
+	s.changes = appendChange(s.changes, transition.Change)
+	s.publishedZone.Store(s.zone)
+	s.publish(transition.Updated, transition.Removed)
+	if len(transition.Removed) > 0 && s.zone.BackendCount() == 0 {
 		// Requests are rejected until an update or a zone file adds a backend.
 		logging.For(component).Error("last backend removed")
 	}
@@ -41,7 +41,7 @@
 	case storageReplicated:
 		return s.compactReplicated()
 	case storageJournal:
-		if s.journal.changes >= maxJournalChanges {
+		if s.journal.changeCount >= maxJournalChanges {
 			return s.journal.rewrite(s.zone, s.fileSum)
 		}
 	case storageNone, storageLockedJournal: // nothing is stored here
@@ -51,11 +51,11 @@
 
 // compactReplicated compacts the changes in the store. The caller holds the lock.
 func (s *Server) compactReplicated() error {
-	if !s.options.ReplicatedZone.isFull() {
+	if !s.options.ReplicatedZone.needsCompaction() {
 		return nil
 	}
 	err := s.options.ReplicatedZone.replace(s.zone, s.zone, s.fileSum)
-	if errors.Is(err, errBehind) {
+	if errors.Is(err, errReplicaBehind) {
 		return nil // another replica compacted them, or the next change does
 	}
 	return err
--- a/internal/dnsserver/handler.go
+++ b/internal/dnsserver/handler.go
@@ -20,7 +20,7 @@
 func (s *Server) acceptHeader(header dns.Header) dns.MsgAcceptAction {
 	opcode := int(header.Bits>>opcodeShift) & opcodeMask
 	switch {
-	case header.Bits&responseBit != 0 || !s.messages.allow():
+	case header.Bits&responseBit != 0 || !s.messageLimiter.allow():
 		return dns.MsgIgnore
 	case opcode != dns.OpcodeQuery && opcode != dns.OpcodeUpdate:
 		return dns.MsgRejectNotImplemented
@@ -46,7 +46,7 @@
 	}
 	incoming := &incomingMessage{writer: writer, request: request}
 	if len(request.Question) != 1 { // acceptHeader has seen only the count in the header
-		incoming.replyCode(dns.RcodeFormatError)
+		incoming.replyRcode(dns.RcodeFormatError)
 		return
 	}
 	incoming.tsig = request.IsTsig()
@@ -64,12 +64,12 @@
 	case incoming.request.Opcode == dns.OpcodeUpdate && incoming.tsig == nil:
 		s.counters.signaturesRefused.Add(1)
 		s.logRefusal(incoming, dns.ErrNoSig, "unsigned update refused")
-		incoming.replyCode(dns.RcodeRefused)
+		incoming.replyRcode(dns.RcodeRefused)
 	case incoming.request.Opcode == dns.OpcodeUpdate:
-		s.update(incoming)
+		s.handleUpdate(incoming)
 	case question.Qtype == dns.TypeAXFR || question.Qtype == dns.TypeIXFR:
-		s.transfer(incoming)
+		s.handleTransfer(incoming)
 	default:
-		incoming.reply(s.query(incoming))
+		incoming.reply(s.answerQuery(incoming))
 	}
 }
--- a/internal/dnsserver/helpers_test.go
+++ b/internal/dnsserver/helpers_test.go
@@ -16,15 +16,15 @@
 
 var testSettings = dnszone.Settings{Origin: "calc.example.", Service: "_calc._tcp.calc.example."}
 
-const zoneFileHead = `$ORIGIN calc.example.
+const zoneFileHeader = `$ORIGIN calc.example.
 $TTL 30
 @ IN SOA ns admin %d 3600 600 86400 30
 @ IN NS ns
 ns IN A 127.0.0.1
 `
 
-// srvTo is an SRV record of the service without its target.
-const srvTo = "_calc._tcp.calc.example. 30 IN SRV 0 100 7000 "
+// srvPrefix is an SRV record of the service without its target.
+const srvPrefix = "_calc._tcp.calc.example. 30 IN SRV 0 100 7000 "
 
 var testKey = Key{
 	Name:      "deploy.",
@@ -38,62 +38,62 @@
 // zoneFileText returns a zone file with the backends n1 to nCOUNT.
 func zoneFileText(serial uint32, count int) string {
 	var text strings.Builder
-	fmt.Fprintf(&text, zoneFileHead, serial)
+	fmt.Fprintf(&text, zoneFileHeader, serial)
 	for i := 1; i <= count; i++ {
 		fmt.Fprintf(&text, "_calc._tcp SRV 0 100 7000 n%d\nn%d A 127.0.%d.%d\n", i, i, 1+i/250, i%250)
 	}
 	return text.String()
 }
 
-// subscriber records the published list.
-type subscriber struct {
-	mu   sync.Mutex
-	list map[string]dnszone.Backend
+// listRecorder records the published list.
+type listRecorder struct {
+	mu       sync.Mutex
+	backends map[string]dnszone.Backend
 }
 
-func (s *subscriber) publish(update BackendListUpdate) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
+func (r *listRecorder) publish(update BackendListUpdate) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
 	if update.Full {
-		s.list = map[string]dnszone.Backend{}
+		r.backends = map[string]dnszone.Backend{}
 	}
 	for _, backend := range update.Updated {
-		s.list[backend.Name] = backend
+		r.backends[backend.Name] = backend
 	}
 	for _, name := range update.Removed {
-		delete(s.list, name)
+		delete(r.backends, name)
 	}
 }
 
-func (s *subscriber) backend(name string) (dnszone.Backend, bool) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	backend, ok := s.list[name+".calc.example:7000"]
+func (r *listRecorder) backend(name string) (dnszone.Backend, bool) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	backend, ok := r.backends[name+".calc.example:7000"]
 	return backend, ok
 }
 
-func (s *subscriber) has(name string) bool {
-	_, ok := s.backend(name)
+func (r *listRecorder) has(name string) bool {
+	_, ok := r.backend(name)
 	return ok
 }
 
-func (s *subscriber) size() int {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return len(s.list)
+func (r *listRecorder) size() int {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return len(r.backends)
 }
 
 // testServer is a server with files of its own, and the list that it publishes.
 type testServer struct {
 	*Server
-	published *subscriber
-	files     Options // as they were passed
+	published    *listRecorder
+	startOptions Options // as they were passed
 }
 
 // startServer starts a server with the test's settings and keys, at a free port.
 func startServer(tb testing.TB, options Options) (*testServer, error) {
 	tb.Helper()
-	s := &testServer{published: &subscriber{}, files: options}
+	s := &testServer{published: &listRecorder{}, startOptions: options}
 	options.Settings = testSettings
 	options.ListenAddress = "127.0.0.1:0"
 	options.Publish = s.published.publish
@@ -108,8 +108,8 @@
 		return nil, err
 	}
 	// Tests sign in the second of the start, which a guard refuses.
-	minuteAgo := time.Now().Add(-time.Minute).UnixNano()
-	server.guard = dnszone.NewReplayGuard(options.MaxUpdatesPerSecond, minuteAgo)
+	minuteAgoNanos := time.Now().Add(-time.Minute).UnixNano()
+	server.replayGuard = dnszone.NewReplayGuard(options.MaxUpdatesPerSecond, minuteAgoNanos)
 	tb.Cleanup(server.Close)
 	s.Server = server
 	return s, nil
@@ -124,8 +124,8 @@
 	return s
 }
 
-// newFiles writes a zone file to a folder of its own, and returns options with it and a journal beside it.
-func newFiles(tb testing.TB, zoneFile string) Options {
+// newOptions writes a zone file to a folder of its own, and returns options with it and a journal beside it.
+func newOptions(tb testing.TB, zoneFile string) Options {
 	tb.Helper()
 	folder := tb.TempDir()
 	options := Options{
@@ -166,7 +166,7 @@
 	return message
 }
 
-func signed(message *dns.Msg, key Key) *dns.Msg {
+func sign(message *dns.Msg, key Key) *dns.Msg {
 	return message.SetTsig(key.Name, key.Algorithm, dnszone.FudgeSeconds, time.Now().Unix())
 }
 
@@ -193,6 +193,6 @@
 // sendUpdate signs and sends an update, and returns the RCODE of its answer.
 func (s *testServer) sendUpdate(tb testing.TB, network string, records ...string) int {
 	tb.Helper()
-	rcode, _ := s.exchange(tb, network, signed(newUpdate(tb, records...), testKey), testKey)
+	rcode, _ := s.exchange(tb, network, sign(newUpdate(tb, records...), testKey), testKey)
 	return rcode
 }
--- a/internal/dnsserver/in_force.go
+++ b/internal/dnsserver/in_force.go
@@ -13,7 +13,7 @@
 	if options.ReplicatedZone != nil {
 		source = "the store"
 	}
-	stored, err := options.readStored()
+	stored, err := options.readStoredZone()
 	if err != nil {
 		return nil, source, err
 	}
--- a/internal/dnsserver/incoming_message.go
+++ b/internal/dnsserver/incoming_message.go
@@ -31,14 +31,14 @@
 	if m.tsig != nil {
 		answer.SetTsig(m.tsig.Hdr.Name, m.tsig.Algorithm, dnszone.FudgeSeconds, time.Now().Unix())
 	}
-	m.write(answer)
+	m.writeMessage(answer)
 }
 
-// replyCode sends an answer that consists only of an RCODE.
-func (m *incomingMessage) replyCode(rcode int) { m.reply(new(dns.Msg).SetRcode(m.request, rcode)) }
+// replyRcode sends an answer that consists only of an RCODE.
+func (m *incomingMessage) replyRcode(rcode int) { m.reply(new(dns.Msg).SetRcode(m.request, rcode)) }
 
-// write sends an answer as it is.
-func (m *incomingMessage) write(answer *dns.Msg) {
+// writeMessage sends an answer as it is.
+func (m *incomingMessage) writeMessage(answer *dns.Msg) {
 	if err := m.writer.WriteMsg(answer); err != nil {
 		logging.For(component).WithError(err).Debug("answer not sent")
 	}
--- a/internal/dnsserver/install.go
+++ b/internal/dnsserver/install.go
@@ -27,18 +27,18 @@
 
 // install puts a zone in force and publishes its list. The caller holds the lock.
 func (s *Server) install(stored *storedZone, form publication) {
-	old := s.zone
+	oldZone := s.zone
 	s.zone = stored.zone
 	s.fileSum = stored.fileSum
 	s.changes = stored.changes
-	s.published.Store(s.zone)
+	s.publishedZone.Store(s.zone)
 	for _, change := range stored.changes {
-		s.guard.RecordOutcome(change.Signature, dnszone.Outcome{}, change.AcceptedNanos)
+		s.replayGuard.RecordOutcome(change.Signature, dnszone.Outcome{}, change.AcceptedNanos)
 	}
-	if form == asFullList || old == nil {
-		s.publishAll()
+	if form == asFullList || oldZone == nil {
+		s.publishFullList()
 	} else {
-		updated, removed := dnszone.DiffBackends(old, s.zone)
+		updated, removed := dnszone.DiffBackends(oldZone, s.zone)
 		s.publish(updated, removed)
 	}
 	s.signalSecondaries()
@@ -51,8 +51,8 @@
 	}
 }
 
-// publishAll publishes the full list. The caller holds the lock.
-func (s *Server) publishAll() {
+// publishFullList publishes the full list. The caller holds the lock.
+func (s *Server) publishFullList() {
 	s.options.Publish(BackendListUpdate{Updated: s.zone.Backends(), Full: true})
 }
 
@@ -61,6 +61,6 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.zone != nil {
-		s.publishAll()
+		s.publishFullList()
 	}
 }
--- a/internal/dnsserver/ixfr.go
+++ b/internal/dnsserver/ixfr.go
@@ -38,12 +38,12 @@
 // changedRecordsSince returns the records deleted and added after a serial, in the order of IXFR (RFC 1995,
 // 4), or nil if the changes are no longer known.
 func changedRecordsSince(changes []*dnszone.Change, serial uint32) (rrs []dns.RR) {
-	isFrom := func(change *dnszone.Change) bool { return change.FromSerial == serial }
-	first := slices.IndexFunc(changes, isFrom)
-	if first < 0 {
+	startsAtSerial := func(change *dnszone.Change) bool { return change.FromSerial == serial }
+	firstIndex := slices.IndexFunc(changes, startsAtSerial)
+	if firstIndex < 0 {
 		return nil
 	}
-	for _, change := range changes[first:] {
+	for _, change := range changes[firstIndex:] {
 		for _, texts := range [][]string{change.Deleted, change.Added} {
 			sequence, err := ixfrSequence(texts)
 			if err != nil {
--- a/internal/dnsserver/journal.go
+++ b/internal/dnsserver/journal.go
@@ -25,12 +25,12 @@
 //
 // The server's lock guards the journal within the process; the lock file guards it between processes.
 type journal struct {
-	path     string
-	file     *os.File // nil until resume or rewrite
-	lockFile *os.File
-	size     int64 // bytes
-	changes  int   // lines after the first
-	failed   error // why nothing more may be written; nil if writing is allowed
+	path        string
+	file        *os.File // nil until resume or rewrite
+	lockFile    *os.File
+	size        int64 // bytes
+	changeCount int   // lines after the first
+	writeErr    error // why nothing more may be written; nil if writing is allowed
 }
 
 // errJournalLocked reports that another process has locked the journal.
@@ -61,7 +61,7 @@
 	}
 	j.file = file
 	j.size = stored.size
-	j.changes = len(stored.changes)
+	j.changeCount = len(stored.changes)
 	if stored.tornBytes == 0 {
 		return nil
 	}
@@ -73,7 +73,7 @@
 
 // rewrite replaces the journal with one that holds only a snapshot. On an error the old journal remains.
 func (j *journal) rewrite(zone *dnszone.Zone, fileSum string) error {
-	text, err := encodeLine(newZoneRecord(zone, fileSum))
+	text, err := encodeJournalLine(newZoneRecord(zone, fileSum))
 	if err != nil {
 		return err
 	}
@@ -82,7 +82,7 @@
 	}
 	file, err := os.OpenFile(j.path, os.O_RDWR, journalMode)
 	if err != nil {
-		j.failed = err // the open file is no longer the one at the path
+		j.writeErr = err // the open file is no longer the one at the path
 		return err
 	}
 	if j.file != nil {
@@ -90,8 +90,8 @@
 	}
 	j.file = file
 	j.size = int64(len(text))
-	j.changes = 0
-	j.failed = nil
+	j.changeCount = 0
+	j.writeErr = nil
 	return nil
 }
 
@@ -107,21 +107,21 @@
 // append writes a change and returns once the change is durable. After an error the journal is unchanged, or
 // accepts nothing more until it is rewritten.
 func (j *journal) append(change *dnszone.Change) error {
-	if j.failed != nil {
-		return j.failed
+	if j.writeErr != nil {
+		return j.writeErr
 	}
-	text, err := encodeLine(change)
+	text, err := encodeJournalLine(change)
 	if err != nil {
 		return err
 	}
 	if err := j.writeLine(text); err != nil {
 		if truncateErr := j.file.Truncate(j.size); truncateErr != nil {
-			j.failed = fmt.Errorf("%s: %w", j.path, truncateErr)
+			j.writeErr = fmt.Errorf("%s: %w", j.path, truncateErr)
 		}
 		return err
 	}
 	j.size += int64(len(text))
-	j.changes++
+	j.changeCount++
 	return nil
 }
 
@@ -131,7 +131,7 @@
 		return err
 	}
 	if err := j.file.Sync(); err != nil {
-		j.failed = fmt.Errorf("%s: %w", j.path, err) // after a failed sync it is unknown what is durable
+		j.writeErr = fmt.Errorf("%s: %w", j.path, err) // after a failed sync it is unknown what is durable
 		return err
 	}
 	return nil
--- a/internal/dnsserver/journal_line.go
+++ b/internal/dnsserver/journal_line.go
@@ -12,8 +12,8 @@
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// encodeLine returns a line of the journal: the CRC-32C of the value's JSON, a space, the JSON and a newline.
-func encodeLine(value any) ([]byte, error) {
+// encodeJournalLine returns a line of the journal: the CRC-32C of the value's JSON, a space, the JSON and a newline.
+func encodeJournalLine(value any) ([]byte, error) {
 	text, err := json.Marshal(value)
 	if err != nil {
 		return nil, err
@@ -21,8 +21,8 @@
 	return fmt.Appendf(nil, "%0*x %s\n", checksumDigits, crc32.Checksum(text, castagnoli), text), nil
 }
 
-// decodeLine returns a line's JSON, and reports whether its checksum matches.
-func decodeLine(line []byte) ([]byte, bool) {
+// decodeJournalLine returns a line's JSON, and reports whether its checksum matches.
+func decodeJournalLine(line []byte) ([]byte, bool) {
 	if len(line) < checksumDigits+2 || line[checksumDigits] != ' ' {
 		return nil, false
 	}
--- a/internal/dnsserver/journal_read.go
+++ b/internal/dnsserver/journal_read.go
@@ -43,24 +43,24 @@
 		return nil, &JournalError{File: path, Line: 1, Err: errEmptyJournal}
 	}
 	var stored *storedZone
-	for number := 1; len(text) > 0; number++ {
+	for lineNumber := 1; len(text) > 0; lineNumber++ {
 		line, rest, isTerminated := bytes.Cut(text, []byte{'\n'})
-		body, isValid := decodeLine(line)
+		body, isValid := decodeJournalLine(line)
 		isIntact := isTerminated && isValid
-		if !isIntact && number > 1 && len(rest) == 0 {
+		if !isIntact && lineNumber > 1 && len(rest) == 0 {
 			stored.tornBytes = int64(len(text))
 			break
 		}
 		switch {
 		case !isIntact:
 			err = errChecksum
-		case number == 1:
+		case lineNumber == 1:
 			stored, err = decodeZoneRecord(body, settings)
 		default:
 			err = stored.decodeChange(body)
 		}
 		if err != nil {
-			return nil, &JournalError{File: path, Line: number, Err: err}
+			return nil, &JournalError{File: path, Line: lineNumber, Err: err}
 		}
 		stored.size += int64(len(line)) + 1 // with its newline
 		text = rest
@@ -70,11 +70,11 @@
 
 // decodeChange decodes a line after the first one and applies its change.
 func (z *storedZone) decodeChange(body []byte) error {
-	step, err := decodeStep(z.zone, body)
+	transition, err := decodeTransition(z.zone, body)
 	if err != nil {
 		return err
 	}
-	z.advance(step)
+	z.applyTransition(transition)
 	return nil
 }
 
--- a/internal/dnsserver/journal_test.go
+++ b/internal/dnsserver/journal_test.go
@@ -13,55 +13,55 @@
 	"fawnplank/internal/dnszone"
 )
 
-// journalOfThreeRemovals writes a journal with the removals of n1, n2 and n3. It returns the text, and the
+// writeThreeRemovals writes a journal with the removals of n1, n2 and n3. It returns the text, and the
 // sizes that the journal had before each removal.
-func journalOfThreeRemovals(t *testing.T, files Options) (journal []byte, sizes []int64) {
+func writeThreeRemovals(t *testing.T, options Options) (journal []byte, sizes []int64) {
 	t.Helper()
-	s := mustStart(t, files)
+	s := mustStart(t, options)
 	for n := 1; n <= 3; n++ {
-		info, err := os.Stat(files.JournalFile)
+		info, err := os.Stat(options.JournalFile)
 		if err != nil {
 			t.Fatal(err)
 		}
 		sizes = append(sizes, info.Size())
-		rcode := s.sendUpdate(t, "udp", fmt.Sprintf("-%sn%d.calc.example.", srvTo, n))
+		rcode := s.sendUpdate(t, "udp", fmt.Sprintf("-%sn%d.calc.example.", srvPrefix, n))
 		if rcode != dns.RcodeSuccess {
 			t.Fatal(rcode)
 		}
 	}
 	s.Close()
-	journal, err := os.ReadFile(files.JournalFile)
+	journal, err := os.ReadFile(options.JournalFile)
 	if err != nil {
 		t.Fatal(err)
 	}
 	return journal, sizes
 }
 
-// countReached returns how many of the ends are at most size.
-func countReached(ends []int64, size int64) (reached int) {
-	for _, end := range ends {
+// countCompleteLines returns how many of the ends are at most size.
+func countCompleteLines(lineEnds []int64, size int64) (complete int) {
+	for _, end := range lineEnds {
 		if size >= end {
-			reached++
+			complete++
 		}
 	}
-	return reached
+	return complete
 }
 
-// TestReadJournal_SurvivesTornWrite truncates the journal at every byte. A start finds the zone before an
+// TestReadJournal_DropsTornLastLine truncates the journal at every byte. A start finds the zone before an
 // update or after it, and never another one.
-func TestReadJournal_SurvivesTornWrite(t *testing.T) {
-	files := newFiles(t, zoneFileText(7, 3))
-	journal, sizes := journalOfThreeRemovals(t, files)
-	ends := append(sizes[1:], int64(len(journal)))
+func TestReadJournal_DropsTornLastLine(t *testing.T) {
+	options := newOptions(t, zoneFileText(7, 3))
+	journal, sizes := writeThreeRemovals(t, options)
+	lineEnds := append(sizes[1:], int64(len(journal)))
 	for size := sizes[0]; size <= int64(len(journal)); size++ {
-		complete := countReached(ends, size)
+		complete := countCompleteLines(lineEnds, size)
 		// What a file system may leave behind a torn write.
 		for _, tail := range []string{"", "\x00\x00\x00", "0000"} {
 			if complete == 3 && tail == "0000" {
 				continue
 			}
-			writeFile(t, files.JournalFile, string(journal[:size])+tail)
-			stored, err := readJournal(files.JournalFile, testSettings)
+			writeFile(t, options.JournalFile, string(journal[:size])+tail)
+			stored, err := readJournal(options.JournalFile, testSettings)
 			if err != nil {
 				t.Fatalf("cut at %d of %d: %v", size, len(journal), err)
 			}
@@ -71,31 +71,31 @@
 		}
 	}
 	// A start truncates the torn line, so that the next line follows an intact one.
-	writeFile(t, files.JournalFile, string(journal[:sizes[2]+20]))
-	s := mustStart(t, files)
-	if rcode := s.sendUpdate(t, "udp", "-"+srvTo+"n3.calc.example."); rcode != dns.RcodeSuccess {
+	writeFile(t, options.JournalFile, string(journal[:sizes[2]+20]))
+	s := mustStart(t, options)
+	if rcode := s.sendUpdate(t, "udp", "-"+srvPrefix+"n3.calc.example."); rcode != dns.RcodeSuccess {
 		t.Fatal(rcode)
 	}
 	s.Close()
-	stored, err := readJournal(files.JournalFile, testSettings)
+	stored, err := readJournal(options.JournalFile, testSettings)
 	if err != nil || stored.tornBytes != 0 || len(stored.changes) != 3 {
 		t.Fatal(err, stored)
 	}
 }
 
-// TestStart_RefusesDamagedJournal damages a journal where a torn write cannot. The error names file and line.
-func TestStart_RefusesDamagedJournal(t *testing.T) {
-	files := newFiles(t, zoneFileText(7, 3))
-	journal, sizes := journalOfThreeRemovals(t, files)
+// TestStart_RejectsCorruptedJournal damages a journal where a torn write cannot. The error names file and line.
+func TestStart_RejectsCorruptedJournal(t *testing.T) {
+	options := newOptions(t, zoneFileText(7, 3))
+	journal, sizes := writeThreeRemovals(t, options)
 	for position, want := range map[int64]string{
 		20:            ".journal:1: the checksum",
 		sizes[0] + 30: ".journal:2: the checksum",
 		sizes[1] + 9:  ".journal:3: ",
 	} {
-		damaged := bytes.Clone(journal)
-		damaged[position] ^= 4
-		writeFile(t, files.JournalFile, string(damaged))
-		_, err := startServer(t, files)
+		corrupted := bytes.Clone(journal)
+		corrupted[position] ^= 4
+		writeFile(t, options.JournalFile, string(corrupted))
+		_, err := startServer(t, options)
 		if err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("damage at %d: %v", position, err)
 		}
@@ -103,18 +103,18 @@
 			t.Errorf("damage at %d: %T, not a JournalError", position, err)
 		}
 	}
-	writeFile(t, files.JournalFile, "")
-	if _, err := startServer(t, files); err == nil {
+	writeFile(t, options.JournalFile, "")
+	if _, err := startServer(t, options); err == nil {
 		t.Error("an empty journal was treated as a missing one")
 	}
 }
 
-// TestServer_RefusesUpdateThatJournalCannotStore makes the journal fail. An update is answered with SERVFAIL
+// TestServer_AnswersServerFailureWhenJournalWriteFails makes the journal fail. An update is answered with SERVFAIL
 // and not applied; the same message is applied once the journal can store it.
-func TestServer_RefusesUpdateThatJournalCannotStore(t *testing.T) {
-	files := newFiles(t, zoneFileText(7, 3))
-	s := mustStart(t, files)
-	readOnly, err := os.Open(files.JournalFile)
+func TestServer_AnswersServerFailureWhenJournalWriteFails(t *testing.T) {
+	options := newOptions(t, zoneFileText(7, 3))
+	s := mustStart(t, options)
+	readOnly, err := os.Open(options.JournalFile)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -122,26 +122,26 @@
 	writable := s.journal.file
 	s.journal.file = readOnly
 	s.mu.Unlock()
-	update := signed(newUpdate(t, "-"+srvTo+"n1.calc.example."), testKey)
+	update := sign(newUpdate(t, "-"+srvPrefix+"n1.calc.example."), testKey)
 	rcode, _ := s.exchange(t, "udp", update.Copy(), testKey)
 	if rcode != dns.RcodeServerFailure || !s.published.has("n1") || s.Serial() != 7 {
 		t.Errorf("%d, serial %d", rcode, s.Serial())
 	}
 	s.mu.Lock()
 	s.journal.file = writable
-	s.journal.failed = nil
+	s.journal.writeErr = nil
 	s.mu.Unlock()
 	if rcode, _ := s.exchange(t, "udp", update, testKey); rcode != dns.RcodeSuccess || s.published.has("n1") {
 		t.Error(rcode)
 	}
 }
 
-// TestReadJournal_RefusesAnotherService reads a journal with the settings of another service.
-func TestReadJournal_RefusesAnotherService(t *testing.T) {
-	files := newFiles(t, zoneFileText(7, 3))
-	mustStart(t, files).Close()
+// TestReadJournal_RejectsJournalOfAnotherService reads a journal with the settings of another service.
+func TestReadJournal_RejectsJournalOfAnotherService(t *testing.T) {
+	options := newOptions(t, zoneFileText(7, 3))
+	mustStart(t, options).Close()
 	other := dnszone.Settings{Origin: testSettings.Origin, Service: "_other._tcp.calc.example."}
-	_, err := readJournal(files.JournalFile, other)
+	_, err := readJournal(options.JournalFile, other)
 	mismatch, ok := errors.AsType[*SettingsMismatchError](err)
 	if !ok || mismatch.Stored != testSettings || mismatch.Configured != other {
 		t.Errorf("%v, not a SettingsError with both services", err)
--- a/internal/dnsserver/key.go
+++ b/internal/dnsserver/key.go
@@ -26,8 +26,8 @@
 	Secret    []byte // at least 16 bytes
 }
 
-// hashes has the hash functions of the accepted algorithms.
-var hashes = map[string]func() hash.Hash{
+// hashByAlgorithm has the hash functions of the accepted algorithms.
+var hashByAlgorithm = map[string]func() hash.Hash{
 	dns.HmacSHA256: sha256.New,
 	dns.HmacSHA384: sha512.New384,
 	dns.HmacSHA512: sha512.New,
@@ -40,7 +40,7 @@
 	if _, ok := dns.IsDomainName(name); !ok || key.Name == "." {
 		return key, fmt.Errorf("%q is no name of a key", name)
 	}
-	if hashes[key.Algorithm] == nil {
+	if hashByAlgorithm[key.Algorithm] == nil {
 		return key, fmt.Errorf("%q is not hmac-sha256, hmac-sha384 or hmac-sha512", algorithm)
 	}
 	secret, err := readSecret(file)
--- a/internal/dnsserver/keyring.go
+++ b/internal/dnsserver/keyring.go
@@ -28,7 +28,7 @@
 	if dns.CanonicalName(tsig.Algorithm) != key.Algorithm {
 		return nil, dns.ErrKeyAlg
 	}
-	mac := hmac.New(hashes[key.Algorithm], key.Secret)
+	mac := hmac.New(hashByAlgorithm[key.Algorithm], key.Secret)
 	_, _ = mac.Write(message) // writing to a hash never returns an error
 	return mac.Sum(nil), nil
 }
--- a/internal/dnsserver/limits.go
+++ b/internal/dnsserver/limits.go
@@ -16,7 +16,7 @@
 	mu            sync.Mutex
 	ratePerSecond float64
 	tokens        float64
-	refilledAt    time.Time
+	lastRefill    time.Time
 }
 
 func newMessageLimiter(updatesPerSecond float64) *messageLimiter {
@@ -37,21 +37,21 @@
 
 // refill adds the tokens for the time since the last refill. The first one fills the bucket.
 func (l *messageLimiter) refill(now time.Time) {
-	elapsed := now.Sub(l.refilledAt)
+	elapsed := now.Sub(l.lastRefill)
 	l.tokens = min(l.tokens+elapsed.Seconds()*l.ratePerSecond, l.ratePerSecond)
-	l.refilledAt = now
+	l.lastRefill = now
 }
 
 // logLimiter prevents a flood of refused messages from becoming a flood of log lines. It allows one line per
 // second, and reports how many lines were skipped before it. It is safe for concurrent use.
 type logLimiter struct {
-	second  atomic.Int64 // unix seconds of the last line
-	skipped atomic.Uint64
+	lastLineSecond atomic.Int64 // unix seconds of the last line
+	skipped        atomic.Uint64
 }
 
 // allow reports whether a line may be logged in the given second, and how many were skipped before it.
 func (l *logLimiter) allow(second int64) (skipped uint64, ok bool) {
-	if l.second.Swap(second) == second {
+	if l.lastLineSecond.Swap(second) == second {
 		l.skipped.Add(1)
 		return 0, false
 	}
--- a/internal/dnsserver/listen.go
+++ b/internal/dnsserver/listen.go
@@ -19,8 +19,8 @@
 	maxUDPMessageBytes = 4096
 	// maxQueriesPerConnection is the number of queries after which a TCP connection is closed.
 	maxQueriesPerConnection = 1024
-	// portChosenBySystem is the port in a listen address that stands for any free port.
-	portChosenBySystem = "0"
+	// ephemeralPort is the port in a listen address that stands for any free port.
+	ephemeralPort = "0"
 )
 
 // openSockets listens on TCP and UDP at the same port. If the system chooses the port, it tries until it
@@ -30,16 +30,16 @@
 	ctx := context.Background()
 	var config net.ListenConfig
 	for {
-		stream, err := config.Listen(ctx, "tcp", address)
+		tcpListener, err := config.Listen(ctx, "tcp", address)
 		if err != nil {
 			return nil, nil, err
 		}
-		packets, err := config.ListenPacket(ctx, "udp", stream.Addr().String())
+		udpConn, err := config.ListenPacket(ctx, "udp", tcpListener.Addr().String())
 		if err == nil {
-			return stream, packets, nil
+			return tcpListener, udpConn, nil
 		}
-		_ = stream.Close() // nobody has connected
-		if _, port, _ := net.SplitHostPort(address); port != portChosenBySystem {
+		_ = tcpListener.Close() // nobody has connected
+		if _, port, _ := net.SplitHostPort(address); port != ephemeralPort {
 			return nil, nil, err
 		}
 		// The system chose the port, but its UDP side belongs to another socket. Another choice will succeed.
@@ -51,15 +51,15 @@
 	if s.options.ListenAddress == "" {
 		return nil
 	}
-	stream, packets, err := openSockets(s.options.ListenAddress)
+	tcpListener, udpConn, err := openSockets(s.options.ListenAddress)
 	if err != nil {
 		return err
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.serve(&dns.Server{PacketConn: packets, UDPSize: maxUDPMessageBytes})
-	s.serve(&dns.Server{Listener: netutil.LimitListener(retryaccept.New(stream, component), maxConcurrent)})
-	s.address = packets.LocalAddr().String()
+	s.serve(&dns.Server{PacketConn: udpConn, UDPSize: maxUDPMessageBytes})
+	s.serve(&dns.Server{Listener: netutil.LimitListener(retryaccept.New(tcpListener, component), maxConcurrent)})
+	s.address = udpConn.LocalAddr().String()
 	logging.For(component).
 		WithField(logging.Address, s.address).
 		WithField("zone", s.options.Settings.Origin).
@@ -75,7 +75,7 @@
 	listener.MsgAcceptFunc = s.acceptHeader
 	listener.MaxTCPQueries = maxQueriesPerConnection
 	s.listeners = append(s.listeners, listener)
-	s.background.Go(func() {
+	s.listenerGoroutines.Go(func() {
 		err := listener.ActivateAndServe()
 		if err == nil {
 			return
--- a/internal/dnsserver/load.go
+++ b/internal/dnsserver/load.go
@@ -16,7 +16,7 @@
 // one in force replaces the zone and supersedes the updates before it. Any other file changes nothing.
 func (s *Server) load(nowNanos int64) error {
 	file, fileErr := s.options.readZoneFile()
-	stored, err := s.readStored()
+	stored, err := s.readStoredZone()
 	if err != nil {
 		return err
 	}
@@ -24,7 +24,7 @@
 		if fileErr != nil {
 			return fileErr
 		}
-		return s.initialize(file)
+		return s.installInitialZone(file)
 	}
 	if s.journal != nil {
 		if err := s.journal.resume(stored); err != nil {
@@ -36,14 +36,14 @@
 		logZoneFileRejected(fileErr)
 		return nil
 	}
-	s.adopt(file, nowNanos)
+	s.adoptZoneFile(file, nowNanos)
 	return nil
 }
 
-// readStored reads the content of the store or the journal. It returns nil if there is none. The caller holds
+// readStoredZone reads the content of the store or the journal. It returns nil if there is none. The caller holds
 // the lock.
-func (s *Server) readStored() (*storedZone, error) {
-	stored, err := s.options.readStored()
+func (s *Server) readStoredZone() (*storedZone, error) {
+	stored, err := s.options.readStoredZone()
 	if err != nil {
 		return nil, err
 	}
@@ -54,26 +54,26 @@
 	return stored, nil
 }
 
-// initialize stores and installs the first zone. The caller holds the lock.
-func (s *Server) initialize(file zoneFile) error {
-	if err := s.storeFirst(file); err != nil {
+// installInitialZone stores and installs the first zone. The caller holds the lock.
+func (s *Server) installInitialZone(file zoneFile) error {
+	if err := s.storeInitialZone(file); err != nil {
 		return err
 	}
-	s.install(&storedZone{zone: file.zone, fileSum: file.sum}, asFullList)
+	s.install(&storedZone{zone: file.zone, fileSum: file.checksum}, asFullList)
 	return nil
 }
 
-// storeFirst stores the first zone. The caller holds the lock.
-func (s *Server) storeFirst(file zoneFile) error {
+// storeInitialZone stores the first zone. The caller holds the lock.
+func (s *Server) storeInitialZone(file zoneFile) error {
 	switch s.storage() {
 	case storageReplicated:
-		err := s.options.ReplicatedZone.initialize(file.zone, file.sum)
-		if err != nil && !errors.Is(err, errBehind) {
+		err := s.options.ReplicatedZone.initialize(file.zone, file.checksum)
+		if err != nil && !errors.Is(err, errReplicaBehind) {
 			return fmt.Errorf("%w: %w", errStoreUnavailable, err)
 		}
 		return err
 	case storageJournal:
-		return s.journal.rewrite(file.zone, file.sum)
+		return s.journal.rewrite(file.zone, file.checksum)
 	case storageNone, storageLockedJournal: // nothing is stored here
 	}
 	return nil
--- a/internal/dnsserver/notify.go
+++ b/internal/dnsserver/notify.go
@@ -71,7 +71,7 @@
 	var lastErr error
 	for range notifyAttempts {
 		message := new(dns.Msg).SetNotify(s.options.Settings.Origin)
-		message.Answer = s.published.Load().RRset(s.options.Settings.Origin, dns.TypeSOA)
+		message.Answer = s.publishedZone.Load().RRset(s.options.Settings.Origin, dns.TypeSOA)
 		_, _, err := client.Exchange(message, secondary)
 		if err == nil {
 			return nil
--- a/internal/dnsserver/options.go
+++ b/internal/dnsserver/options.go
@@ -30,9 +30,9 @@
 	Full    bool              // Updated is the complete list
 }
 
-// readStored reads the content of the store or the journal. It returns nil if there is none. Settings must be
+// readStoredZone reads the content of the store or the journal. It returns nil if there is none. Settings must be
 // canonical.
-func (o Options) readStored() (*storedZone, error) {
+func (o Options) readStoredZone() (*storedZone, error) {
 	if o.ReplicatedZone != nil {
 		return o.ReplicatedZone.load(o.Settings)
 	}
--- a/internal/dnsserver/query.go
+++ b/internal/dnsserver/query.go
@@ -7,19 +7,19 @@
 )
 
 const (
-	// plainUDPBytes is the size limit of a UDP answer if the client states none (RFC 1035, 4.2.1).
-	plainUDPBytes = 512
-	// ednsUDPBytes is the size that the server offers. An answer of this size passes any link without
+	// defaultUDPPayloadBytes is the size limit of a UDP answer if the client states none (RFC 1035, 4.2.1).
+	defaultUDPPayloadBytes = 512
+	// maxUDPPayloadBytes is the size that the server offers. An answer of this size passes any link without
 	// fragmentation.
-	ednsUDPBytes = 1232
+	maxUDPPayloadBytes = 1232
 	// maxAliases is how many CNAMEs an answer follows. It also ends a loop of CNAMEs.
 	maxAliases = 8
 )
 
-// query answers a question about the zone authoritatively. It refuses other questions, because the server
+// answerQuery answers a question about the zone authoritatively. It refuses other questions, because the server
 // does no recursion.
-func (s *Server) query(incoming *incomingMessage) *dns.Msg {
-	zone := s.published.Load()
+func (s *Server) answerQuery(incoming *incomingMessage) *dns.Msg {
+	zone := s.publishedZone.Load()
 	answer := new(dns.Msg).SetReply(incoming.request)
 	question := incoming.request.Question[0]
 	name := dns.CanonicalName(question.Name)
@@ -36,7 +36,7 @@
 		answer.Ns = zone.RRset(zone.Origin, dns.TypeSOA)
 	}
 	if incoming.request.IsEdns0() != nil {
-		answer.SetEdns0(ednsUDPBytes, false)
+		answer.SetEdns0(maxUDPPayloadBytes, false)
 	}
 	answer.Truncate(incoming.maxAnswerBytes())
 	return answer
@@ -64,7 +64,7 @@
 		return dns.MaxMsgSize
 	}
 	if opt := m.request.IsEdns0(); opt != nil {
-		return min(max(int(opt.UDPSize()), plainUDPBytes), ednsUDPBytes)
+		return min(max(int(opt.UDPSize()), defaultUDPPayloadBytes), maxUDPPayloadBytes)
 	}
-	return plainUDPBytes
+	return defaultUDPPayloadBytes
 }
--- a/internal/dnsserver/refusal.go
+++ b/internal/dnsserver/refusal.go
@@ -15,8 +15,8 @@
 const badTimeDataBytes = 6
 
 // logRefusal logs a refusal, unless another one was logged in the same second.
-func (s *Server) logRefusal(incoming *incomingMessage, err error, phrase string) {
-	skipped, ok := s.refusals.allow(time.Now().Unix())
+func (s *Server) logRefusal(incoming *incomingMessage, err error, message string) {
+	skipped, ok := s.refusalLogLimiter.allow(time.Now().Unix())
 	if !ok {
 		return
 	}
@@ -24,7 +24,7 @@
 	if skipped > 0 {
 		entry = entry.WithField("skipped", skipped)
 	}
-	entry.Warn(phrase)
+	entry.Warn(message)
 }
 
 // refuseSignature answers a message whose signature is not valid (RFC 8945, 5.2). The answer is NOTAUTH, with
@@ -35,7 +35,7 @@
 	answer := new(dns.Msg).SetRcode(incoming.request, dns.RcodeNotAuth)
 	answer.SetTsig(incoming.tsig.Hdr.Name, incoming.tsig.Algorithm, dnszone.FudgeSeconds, int64(incoming.tsig.TimeSigned))
 	setTSIGError(answer.IsTsig(), err)
-	incoming.write(answer)
+	incoming.writeMessage(answer)
 }
 
 // setTSIGError sets the error field of an answer's TSIG, and the server's clock if the time was wrong.
--- a/internal/dnsserver/reload.go
+++ b/internal/dnsserver/reload.go
@@ -20,17 +20,17 @@
 	if s.zone == nil { // awaitStore reads the file again
 		return
 	}
-	s.adopt(file, time.Now().UnixNano())
+	s.adoptZoneFile(file, time.Now().UnixNano())
 }
 
 func logZoneFileRejected(err error) {
 	logging.For(component).WithError(err).Error("zone file rejected")
 }
 
-// adopt replaces the zone in force with a newly read file, if the file's serial is newer. The caller holds
+// adoptZoneFile replaces the zone in force with a newly read file, if the file's serial is newer. The caller holds
 // the lock.
-func (s *Server) adopt(file zoneFile, nowNanos int64) {
-	if file.sum == s.fileSum { // the text that was adopted last
+func (s *Server) adoptZoneFile(file zoneFile, nowNanos int64) {
+	if file.checksum == s.fileSum { // the text that was adopted last
 		return
 	}
 	log := logging.For(component).
@@ -41,22 +41,22 @@
 		log.Error("zone file ignored: serial not newer")
 		return
 	}
-	next := file.zone.WithStartTimesOf(s.zone, nowNanos)
-	if err := s.storeReplacement(next, file.sum); err != nil {
+	newZone := file.zone.WithStartTimesOf(s.zone, nowNanos)
+	if err := s.storeReplacement(newZone, file.checksum); err != nil {
 		log.WithError(err).Error("zone file not stored")
 		return
 	}
 	log.WithField("updates_superseded", len(s.changes)).Info("zone file adopted")
-	s.install(&storedZone{zone: next, fileSum: file.sum}, asDifference)
+	s.install(&storedZone{zone: newZone, fileSum: file.checksum}, asDifference)
 }
 
 // storeReplacement stores a zone file that replaces the zone in force. The caller holds the lock.
-func (s *Server) storeReplacement(next *dnszone.Zone, fileSum string) error {
+func (s *Server) storeReplacement(newZone *dnszone.Zone, fileSum string) error {
 	switch s.storage() {
 	case storageReplicated:
-		return s.options.ReplicatedZone.replace(s.zone, next, fileSum)
+		return s.options.ReplicatedZone.replace(s.zone, newZone, fileSum)
 	case storageJournal:
-		return s.journal.rewrite(next, fileSum)
+		return s.journal.rewrite(newZone, fileSum)
 	case storageLockedJournal:
 		return errJournalLocked
 	case storageNone: // a restart reads the file again
--- a/internal/dnsserver/replicated_read.go
+++ b/internal/dnsserver/replicated_read.go
@@ -8,7 +8,7 @@
 	"fawnplank/internal/dnszone"
 )
 
-// load reads the zone as this replica has it. It returns nil if there is none, and errBehind if the replica has
+// load reads the zone as this replica has it. It returns nil if there is none, and errReplicaBehind if the replica has
 // applied only part of it.
 func (r *ReplicatedZone) load(settings dnszone.Settings) (*storedZone, error) {
 	head, index, err := r.readHead()
@@ -20,21 +20,21 @@
 		return nil, err
 	}
 	for stored.zone.Serial() != head.Serial {
-		step, err := r.applyNext(stored.zone)
+		transition, err := r.applyNextChange(stored.zone)
 		if err != nil {
 			return nil, err
 		}
-		if step == nil {
-			return nil, errBehind
+		if transition == nil {
+			return nil, errReplicaBehind
 		}
-		stored.advance(step)
+		stored.applyTransition(transition)
 	}
 	return stored, nil
 }
 
 // loadSnapshot reads the snapshot that a head names.
 func (r *ReplicatedZone) loadSnapshot(head storeHead, settings dnszone.Settings) (*storedZone, error) {
-	text, err := r.joinPieces(head)
+	text, err := r.readSnapshotText(head)
 	if err != nil {
 		return nil, err
 	}
@@ -45,34 +45,34 @@
 	return stored, nil
 }
 
-// joinPieces returns the text of the snapshot that a head names.
-func (r *ReplicatedZone) joinPieces(head storeHead) (string, error) {
+// readSnapshotText returns the text of the snapshot that a head names.
+func (r *ReplicatedZone) readSnapshotText(head storeHead) (string, error) {
 	var text strings.Builder
-	for number := range head.Pieces {
-		key := pieceKey(head.SnapshotSerial, number)
+	for number := range head.Chunks {
+		key := chunkKey(head.SnapshotSerial, number)
 		entry, ok := r.ReadLocal(key)
 		if !ok {
-			return "", fmt.Errorf("store: %s is missing: %w", key, errBehind)
+			return "", fmt.Errorf("store: %s is missing: %w", key, errReplicaBehind)
 		}
-		var piece string
-		if err := json.Unmarshal(entry.Value, &piece); err != nil {
+		var chunk string
+		if err := json.Unmarshal(entry.Value, &chunk); err != nil {
 			return "", fmt.Errorf("store: %s: %w", key, err)
 		}
-		text.WriteString(piece)
+		text.WriteString(chunk)
 	}
 	return text.String(), nil
 }
 
-// applyNext applies the change that follows a zone. The step is nil if there is no such change.
-func (r *ReplicatedZone) applyNext(zone *dnszone.Zone) (*dnszone.Transition, error) {
+// applyNextChange applies the change that follows a zone. The step is nil if there is no such change.
+func (r *ReplicatedZone) applyNextChange(zone *dnszone.Zone) (*dnszone.Transition, error) {
 	key := changeKey(zone.Serial())
 	entry, ok := r.ReadLocal(key)
 	if !ok {
 		return nil, nil
 	}
-	step, err := decodeStep(zone, entry.Value)
+	transition, err := decodeTransition(zone, entry.Value)
 	if err != nil {
 		return nil, fmt.Errorf("store: %s: %w", key, err)
 	}
-	return step, nil
+	return transition, nil
 }
--- a/internal/dnsserver/replicated_snapshot.go
+++ b/internal/dnsserver/replicated_snapshot.go
@@ -8,49 +8,49 @@
 	"fawnplank/internal/store/kv"
 )
 
-// maxPieceBytes is how much of a snapshot goes into one value: half of the maximum size of a value, because the
+// maxChunkBytes is how much of a snapshot goes into one value: half of the maximum size of a value, because the
 // value is JSON within JSON.
-const maxPieceBytes = kv.MaxValueBytes / 2
+const maxChunkBytes = kv.MaxValueBytes / 2
 
 // writeSnapshot writes a snapshot and deletes everything that belongs to the old head, whose index is given.
 func (r *ReplicatedZone) writeSnapshot(
-	zone *dnszone.Zone, fileSum string, old storeHead, index kv.Index,
+	zone *dnszone.Zone, fileSum string, oldHead storeHead, index kv.Index,
 ) error {
 	text, err := json.Marshal(newZoneRecord(zone, fileSum))
 	if err != nil {
 		return err
 	}
-	pieces, err := splitPieces(text)
+	chunks, err := splitChunks(text)
 	if err != nil {
 		return err
 	}
-	edits, err := r.deletions(old)
+	edits, err := r.deletionEdits(oldHead)
 	if err != nil {
 		return err
 	}
-	next := storeHead{
+	newHead := storeHead{
 		Serial:         zone.Serial(),
 		SnapshotSerial: zone.Serial(),
-		Pieces:         len(pieces),
+		Chunks:         len(chunks),
 		FileSum:        fileSum,
 	}
-	isSameSnapshot := next.SnapshotSerial == old.SnapshotSerial
-	for number, piece := range pieces {
-		if isSameSnapshot && number < old.Pieces {
-			edits[number].Value = piece // written instead of deleted, because the key is the same
+	isSameSnapshot := newHead.SnapshotSerial == oldHead.SnapshotSerial
+	for number, chunk := range chunks {
+		if isSameSnapshot && number < oldHead.Chunks {
+			edits[number].Value = chunk // written instead of deleted, because the key is the same
 			continue
 		}
-		edits = append(edits, kv.Edit{Key: pieceKey(next.SnapshotSerial, number), Value: piece})
+		edits = append(edits, kv.Edit{Key: chunkKey(newHead.SnapshotSerial, number), Value: chunk})
 	}
-	return r.write(next, index, edits)
+	return r.write(newHead, index, edits)
 }
 
-// deletions returns the edits that delete a head's pieces, which come first and in order, followed by those
+// deletionEdits returns the edits that delete a head's pieces, which come first and in order, followed by those
 // that delete its changes.
-func (r *ReplicatedZone) deletions(head storeHead) ([]kv.Edit, error) {
+func (r *ReplicatedZone) deletionEdits(head storeHead) ([]kv.Edit, error) {
 	var edits []kv.Edit
-	for number := range head.Pieces {
-		edits = append(edits, kv.Edit{Key: pieceKey(head.SnapshotSerial, number)})
+	for number := range head.Chunks {
+		edits = append(edits, kv.Edit{Key: chunkKey(head.SnapshotSerial, number)})
 	}
 	serial := head.SnapshotSerial
 	for range head.Changes {
@@ -58,7 +58,7 @@
 		entry, ok := r.ReadLocal(key)
 		var change dnszone.Change
 		if !ok || json.Unmarshal(entry.Value, &change) != nil {
-			return nil, errBehind
+			return nil, errReplicaBehind
 		}
 		edits = append(edits, kv.Edit{Key: key})
 		serial = change.ToSerial
@@ -66,20 +66,20 @@
 	return edits, nil
 }
 
-// splitPieces splits a text into JSON strings. Each holds at most maxPieceBytes of the text, and no character
+// splitChunks splits a text into JSON strings. Each holds at most maxChunkBytes of the text, and no character
 // is split.
-func splitPieces(text []byte) (pieces [][]byte, err error) {
+func splitChunks(text []byte) (chunks [][]byte, err error) {
 	for len(text) > 0 {
-		size := min(len(text), maxPieceBytes)
+		size := min(len(text), maxChunkBytes)
 		for size < len(text) && !utf8.RuneStart(text[size]) {
 			size--
 		}
-		piece, err := json.Marshal(string(text[:size]))
+		chunk, err := json.Marshal(string(text[:size]))
 		if err != nil {
 			return nil, err
 		}
-		pieces = append(pieces, piece)
+		chunks = append(chunks, chunk)
 		text = text[size:]
 	}
-	return pieces, nil
+	return chunks, nil
 }
--- a/internal/dnsserver/replicated_zone.go
+++ b/internal/dnsserver/replicated_zone.go
@@ -28,22 +28,22 @@
 
 // Keys in the store.
 const (
-	KeyPrefix       = "dns/" // prefix of all keys of the zone
-	headKey         = KeyPrefix + "head"
-	snapshotPrefix  = KeyPrefix + "base/"
-	changeKeyPrefix = KeyPrefix + "change/"
+	KeyPrefix         = "dns/" // prefix of all keys of the zone
+	headKey           = KeyPrefix + "head"
+	snapshotKeyPrefix = KeyPrefix + "base/"
+	changeKeyPrefix   = KeyPrefix + "change/"
 )
 
-// pieceKey returns the key of a piece of the snapshot with a serial. Pieces are numbered from 0.
-func pieceKey(serial uint32, number int) string {
-	return fmt.Sprintf("%s%08x/%d", snapshotPrefix, serial, number)
+// chunkKey returns the key of a piece of the snapshot with a serial. Pieces are numbered from 0.
+func chunkKey(serial uint32, number int) string {
+	return fmt.Sprintf("%s%08x/%d", snapshotKeyPrefix, serial, number)
 }
 
 // changeKey returns the key of the change that follows a serial.
 func changeKey(serial uint32) string { return fmt.Sprintf("%s%08x", changeKeyPrefix, serial) }
 
-// errBehind reports that this replica, or this server, has yet to apply a committed change.
-var errBehind = errors.New("this replica has yet to apply a committed change")
+// errReplicaBehind reports that this replica, or this server, has yet to apply a committed change.
+var errReplicaBehind = errors.New("this replica has yet to apply a committed change")
 
 // maxStoredChanges is how many changes the store has in addition to a snapshot. Their deletion must fit into
 // one command.
@@ -53,7 +53,7 @@
 type storeHead struct {
 	Serial         uint32 `json:"serial"` // in force
 	SnapshotSerial uint32 `json:"base"`
-	Pieces         int    `json:"pieces"`   // number of the snapshot's pieces
+	Chunks         int    `json:"pieces"`   // number of the snapshot's pieces
 	Changes        int    `json:"changes"`  // number of changes since the snapshot
 	FileSum        string `json:"file_sum"` // of the text of the zone file that was adopted last
 }
@@ -67,30 +67,30 @@
 	return head, entry.Index, json.Unmarshal(entry.Value, &head)
 }
 
-// readHeadAt returns the head if it has the given serial, and errBehind otherwise.
+// readHeadAt returns the head if it has the given serial, and errReplicaBehind otherwise.
 func (r *ReplicatedZone) readHeadAt(serial uint32) (storeHead, kv.Index, error) {
 	head, index, err := r.readHead()
 	if err == nil && head.Serial != serial {
-		err = errBehind
+		err = errReplicaBehind
 	}
 	return head, index, err
 }
 
-// initialize writes a zone if the store has none yet. It returns errBehind if it has one.
+// initialize writes a zone if the store has none yet. It returns errReplicaBehind if it has one.
 func (r *ReplicatedZone) initialize(zone *dnszone.Zone, fileSum string) error {
 	return r.writeSnapshot(zone, fileSum, storeHead{}, 0)
 }
 
 // replace writes a zone as a snapshot that replaces the old zone.
-func (r *ReplicatedZone) replace(old, zone *dnszone.Zone, fileSum string) error {
-	head, index, err := r.readHeadAt(old.Serial())
+func (r *ReplicatedZone) replace(oldZone, newZone *dnszone.Zone, fileSum string) error {
+	head, index, err := r.readHeadAt(oldZone.Serial())
 	if err != nil {
 		return err
 	}
-	return r.writeSnapshot(zone, fileSum, head, index)
+	return r.writeSnapshot(newZone, fileSum, head, index)
 }
 
-// append stores a change that follows the head. It returns errBehind if another change was committed first.
+// append stores a change that follows the head. It returns errReplicaBehind if another change was committed first.
 func (r *ReplicatedZone) append(change *dnszone.Change) error {
 	head, index, err := r.readHeadAt(change.FromSerial)
 	if err != nil {
@@ -113,13 +113,13 @@
 	}
 	err = r.Edit(append(edits, kv.Edit{Key: headKey, Value: value, Conditional: true, ExpectedIndex: index}))
 	if _, ok := errors.AsType[kv.ConflictError](err); ok {
-		return errBehind
+		return errReplicaBehind
 	}
 	return err
 }
 
-// isFull reports whether the changes are due to be compacted into a snapshot.
-func (r *ReplicatedZone) isFull() bool {
+// needsCompaction reports whether the changes are due to be compacted into a snapshot.
+func (r *ReplicatedZone) needsCompaction() bool {
 	head, _, err := r.readHead()
 	return err == nil && head.Changes >= maxStoredChanges
 }
--- a/internal/dnsserver/replicated_zone_test.go
+++ b/internal/dnsserver/replicated_zone_test.go
@@ -28,11 +28,11 @@
 
 // fakeReplica implements Replica.
 type fakeReplica struct {
-	store     *fakeStore
-	mu        sync.Mutex
-	state     *kv.State
-	applied   int
-	onApplied func()
+	store        *fakeStore
+	mu           sync.Mutex
+	state        *kv.State
+	appliedCount int
+	onApplied    func()
 }
 
 func newFakeReplica(store *fakeStore) *fakeReplica {
@@ -55,9 +55,9 @@
 	if r.store.leaderless {
 		return errors.New("no leader")
 	}
-	leader := kv.New()
+	leaderState := kv.New()
 	for n, logged := range append(r.store.log, command) {
-		_, err = leader.Apply(kv.Index(n+1), logged)
+		_, err = leaderState.Apply(kv.Index(n+1), logged)
 	}
 	r.store.log = append(r.store.log, command)
 	return err
@@ -76,10 +76,10 @@
 	log := r.store.log
 	r.store.mu.Unlock()
 	r.mu.Lock()
-	isBehind := r.applied < len(log)
-	for ; r.applied < len(log); r.applied++ {
+	isBehind := r.appliedCount < len(log)
+	for ; r.appliedCount < len(log); r.appliedCount++ {
 		// Edit has returned the error of a conflict to its sender.
-		_, _ = r.state.Apply(kv.Index(r.applied+1), log[r.applied])
+		_, _ = r.state.Apply(kv.Index(r.appliedCount+1), log[r.appliedCount])
 	}
 	onApplied := r.onApplied
 	r.mu.Unlock()
@@ -91,8 +91,8 @@
 // run applies the log every two milliseconds until the test ends.
 func (r *fakeReplica) run(t *testing.T) {
 	t.Helper()
-	var running sync.WaitGroup
-	running.Go(func() {
+	var applyLoop sync.WaitGroup
+	applyLoop.Go(func() {
 		for {
 			select {
 			case <-t.Context().Done():
@@ -102,7 +102,7 @@
 			}
 		}
 	})
-	t.Cleanup(running.Wait)
+	t.Cleanup(applyLoop.Wait)
 }
 
 // startReplicas starts three servers on three replicas of a store.
@@ -112,9 +112,9 @@
 	for range 3 {
 		replica := newFakeReplica(store)
 		replica.run(t)
-		files := newFiles(t, zoneFileText(7, 2))
-		files.ReplicatedZone = &ReplicatedZone{replica}
-		s := mustStart(t, files)
+		options := newOptions(t, zoneFileText(7, 2))
+		options.ReplicatedZone = &ReplicatedZone{replica}
+		s := mustStart(t, options)
 		// HandleStoreChange waits for the server's lock, which an update holds while it waits for this replica.
 		replica.setOnApplied(func() { go s.HandleStoreChange() })
 		servers = append(servers, s)
@@ -127,27 +127,27 @@
 }
 
 // allHave reports whether all servers have a serial and a number of backends.
-func allHave(servers []*testServer, serial uint32, size int) bool {
+func allHave(servers []*testServer, serial uint32, backendCount int) bool {
 	for _, s := range servers {
-		if s.Serial() != serial || s.published.size() != size {
+		if s.Serial() != serial || s.published.size() != backendCount {
 			return false
 		}
 	}
 	return true
 }
 
-func eventuallyAllHave(t *testing.T, what string, servers []*testServer, serial uint32, size int) {
+func eventuallyAllHave(t *testing.T, condition string, servers []*testServer, serial uint32, backendCount int) {
 	t.Helper()
-	testutil.Eventually(t, what, func() bool { return allHave(servers, serial, size) })
+	testutil.Eventually(t, condition, func() bool { return allHave(servers, serial, backendCount) })
 }
 
-// TestServer_WaitsForStoreWithoutLeader starts a server whose store accepts nothing. It has no zone, and
+// TestStart_WaitsForStoreWithoutLeader starts a server whose store accepts nothing. It has no zone, and
 // Serial returns 0.
-func TestServer_WaitsForStoreWithoutLeader(t *testing.T) {
-	files := newFiles(t, zoneFileText(7, 2))
-	files.ReplicatedZone = &ReplicatedZone{newFakeReplica(&fakeStore{leaderless: true})}
-	if s := mustStart(t, files); s.Serial() != 0 || s.published.size() != 0 {
-		t.Error("a list without the store: ", s.published.list)
+func TestStart_WaitsForStoreWithoutLeader(t *testing.T) {
+	options := newOptions(t, zoneFileText(7, 2))
+	options.ReplicatedZone = &ReplicatedZone{newFakeReplica(&fakeStore{leaderless: true})}
+	if s := mustStart(t, options); s.Serial() != 0 || s.published.size() != 0 {
+		t.Error("a list without the store: ", s.published.backends)
 	}
 }
 
@@ -161,7 +161,7 @@
 		senders.Go(func() {
 			for i := range 15 {
 				name := fmt.Sprintf("m%d-%d.calc.example.", n, i)
-				rcode := s.sendUpdate(t, "tcp", srvTo+name, fmt.Sprintf("%s A 127.1.%d.%d", name, n, i+1))
+				rcode := s.sendUpdate(t, "tcp", srvPrefix+name, fmt.Sprintf("%s A 127.1.%d.%d", name, n, i+1))
 				if rcode != dns.RcodeSuccess {
 					t.Errorf("%s: %s", name, dns.RcodeToString[rcode])
 				}
@@ -171,7 +171,7 @@
 	senders.Wait()
 	eventuallyAllHave(t, "45 updates at all three", servers, 52, 47)
 	store.setLeaderless(true)
-	rcode := servers[0].sendUpdate(t, "tcp", "-"+srvTo+"n1.calc.example.")
+	rcode := servers[0].sendUpdate(t, "tcp", "-"+srvPrefix+"n1.calc.example.")
 	if rcode != dns.RcodeServerFailure {
 		t.Error("answered as applied without a leader: ", rcode)
 	}
@@ -181,11 +181,11 @@
 	}
 }
 
-// TestServer_ReplicatesZoneFileAndCompaction adopts a newer file at one replica, and sends so many changes
+// TestServer_ReplicatesZoneFileAndCompactedChanges adopts a newer file at one replica, and sends so many changes
 // that they are compacted into a snapshot. Every replica has the file and all changes.
-func TestServer_ReplicatesZoneFileAndCompaction(t *testing.T) {
+func TestServer_ReplicatesZoneFileAndCompactedChanges(t *testing.T) {
 	servers := startReplicas(t, &fakeStore{})
-	writeFile(t, servers[1].files.ZoneFile, zoneFileText(90, 4))
+	writeFile(t, servers[1].startOptions.ZoneFile, zoneFileText(90, 4))
 	servers[1].Reload()
 	eventuallyAllHave(t, "the file at all three", servers, 90, 4)
 	for n := range maxStoredChanges + 20 {
--- a/internal/dnsserver/replication.go
+++ b/internal/dnsserver/replication.go
@@ -24,7 +24,7 @@
 	if s.zone == nil { // awaitStore tries again
 		return
 	}
-	if err := s.catchUp(); err != nil && !errors.Is(err, errBehind) {
+	if err := s.catchUp(); err != nil && !errors.Is(err, errReplicaBehind) {
 		logging.For(component).WithError(err).Error("zone in store not readable")
 	}
 }
@@ -53,30 +53,30 @@
 // applyStoredChanges applies the changes in the store that follow the zone in force. The caller holds the lock.
 func (s *Server) applyStoredChanges() error {
 	for {
-		step, err := s.options.ReplicatedZone.applyNext(s.zone)
-		if err != nil || step == nil {
+		transition, err := s.options.ReplicatedZone.applyNextChange(s.zone)
+		if err != nil || transition == nil {
 			return err
 		}
-		s.guard.RecordOutcome(step.Change.Signature, dnszone.Outcome{}, step.Change.AcceptedNanos)
-		s.advance(step)
+		s.replayGuard.RecordOutcome(transition.Change.Signature, dnszone.Outcome{}, transition.Change.AcceptedNanos)
+		s.applyTransition(transition)
 	}
 }
 
-// replicate applies an update at every replica or at none. The update is evaluated on the zone in force, and
-// again if a concurrent update was committed first, until replicateTimeout. It then returns errBehind. The
+// replicateUpdate applies an update at every replica or at none. The update is evaluated on the zone in force, and
+// again if a concurrent update was committed first, until replicateTimeout. It then returns errReplicaBehind. The
 // caller holds the lock.
-func (s *Server) replicate(evaluate func() (*dnszone.Transition, error)) (*dnszone.Transition, error) {
+func (s *Server) replicateUpdate(evaluate func() (*dnszone.Transition, error)) (*dnszone.Transition, error) {
 	deadline := time.Now().Add(replicateTimeout)
 	for {
-		step, err := evaluate()
-		if err != nil || step.Change == nil {
-			return step, err
+		transition, err := evaluate()
+		if err != nil || transition.Change == nil {
+			return transition, err
 		}
-		err = s.options.ReplicatedZone.append(step.Change)
-		if !errors.Is(err, errBehind) || time.Now().After(deadline) {
-			return step, err
+		err = s.options.ReplicatedZone.append(transition.Change)
+		if !errors.Is(err, errReplicaBehind) || time.Now().After(deadline) {
+			return transition, err
 		}
-		if err := s.catchUp(); err != nil && !errors.Is(err, errBehind) {
+		if err := s.catchUp(); err != nil && !errors.Is(err, errReplicaBehind) {
 			return nil, err
 		}
 		time.Sleep(replicateRetryInterval)
--- a/internal/dnsserver/server.go
+++ b/internal/dnsserver/server.go
@@ -32,22 +32,22 @@
 	fileSum       string            // of the text of the zone file that was adopted last
 	changes       []*dnszone.Change // the latest ones in order, for IXFR; may begin before the stored snapshot
 	journal       *journal          // nil if there is none, or another process has it
-	guard         *dnszone.ReplayGuard
+	replayGuard   *dnszone.ReplayGuard
 	serialChanged []chan struct{} // one for each secondary
 	listeners     []*dns.Server
 	address       string
 
-	// published is the zone in force for queries, which do not wait for an update in progress.
-	published atomic.Pointer[dnszone.Zone]
-	inFlight  chan struct{} // a token for each message being handled
-	messages  *messageLimiter
-	refusals  logLimiter
-	counters  counters
+	// publishedZone is the zone in force for queries, which do not wait for an update in progress.
+	publishedZone     atomic.Pointer[dnszone.Zone]
+	inFlight          chan struct{} // a token for each message being handled
+	messageLimiter    *messageLimiter
+	refusalLogLimiter logLimiter
+	counters          counters
 
-	closing    chan struct{} // closed by Close
-	closeOnce  sync.Once
-	startup    sync.WaitGroup // the goroutine that waits for the journal or the store
-	background sync.WaitGroup // the goroutines that serve
+	closing            chan struct{} // closed by Close
+	closeOnce          sync.Once
+	startupGoroutine   sync.WaitGroup // the goroutine that waits for the journal or the store
+	listenerGoroutines sync.WaitGroup // the goroutines that serve
 }
 
 // Start reads the zone, publishes the list, and listens. A faulty zone file is an error only if neither the
@@ -68,10 +68,10 @@
 	}
 	switch state {
 	case startWaitsForStore:
-		s.startup.Go(s.awaitStore)
+		s.startupGoroutine.Go(s.awaitStore)
 	case startWaitsForJournal:
 		logging.For(component).WithError(errJournalLocked).Info("journal locked by another process")
-		s.startup.Go(s.awaitJournal)
+		s.startupGoroutine.Go(s.awaitJournal)
 	case startComplete:
 	}
 	return s, nil
@@ -79,12 +79,12 @@
 
 func newServer(options Options, nowNanos int64) *Server {
 	return &Server{
-		options:  options,
-		keys:     newKeyring(options.Keys),
-		guard:    dnszone.NewReplayGuard(options.MaxUpdatesPerSecond, nowNanos),
-		inFlight: make(chan struct{}, maxConcurrent),
-		messages: newMessageLimiter(options.MaxUpdatesPerSecond),
-		closing:  make(chan struct{}),
+		options:        options,
+		keys:           newKeyring(options.Keys),
+		replayGuard:    dnszone.NewReplayGuard(options.MaxUpdatesPerSecond, nowNanos),
+		inFlight:       make(chan struct{}, maxConcurrent),
+		messageLimiter: newMessageLimiter(options.MaxUpdatesPerSecond),
+		closing:        make(chan struct{}),
 	}
 }
 
@@ -96,14 +96,14 @@
 	}
 	s.closeOnce.Do(func() {
 		close(s.closing)
-		s.startup.Wait() // the startup goroutine may be about to listen
+		s.startupGoroutine.Wait() // the startup goroutine may be about to listen
 		s.mu.Lock()
 		listeners := s.listeners
 		s.mu.Unlock()
 		for _, listener := range listeners {
 			shutDown(listener)
 		}
-		s.background.Wait()
+		s.listenerGoroutines.Wait()
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		s.journal.close()
@@ -124,7 +124,7 @@
 // Serial returns the serial in force, or 0 if there is no zone yet. It does not wait for an update in
 // progress.
 func (s *Server) Serial() uint32 {
-	if zone := s.published.Load(); zone != nil {
+	if zone := s.publishedZone.Load(); zone != nil {
 		return zone.Serial()
 	}
 	return 0
--- a/internal/dnsserver/server_test.go
+++ b/internal/dnsserver/server_test.go
@@ -23,28 +23,28 @@
 // refusedMessages returns messages that a server with the backends n1 and n2 must refuse.
 func refusedMessages(t *testing.T) []refusedMessage {
 	t.Helper()
-	remove := func() *dns.Msg { return newUpdate(t, "-"+srvTo+"n1.calc.example.") }
+	newRemoval := func() *dns.Msg { return newUpdate(t, "-"+srvPrefix+"n1.calc.example.") }
 	signedAt := func(fudgeSeconds uint16, offsetSeconds int64) *dns.Msg {
 		signedSeconds := time.Now().Unix() + offsetSeconds
-		return remove().SetTsig(testKey.Name, testKey.Algorithm, fudgeSeconds, signedSeconds)
+		return newRemoval().SetTsig(testKey.Name, testKey.Algorithm, fudgeSeconds, signedSeconds)
 	}
-	unknown := Key{Name: "stranger.", Algorithm: dns.HmacSHA256, Secret: testKey.Secret}
+	unknownKey := Key{Name: "stranger.", Algorithm: dns.HmacSHA256, Secret: testKey.Secret}
 	wrongSecret := testKey
 	wrongSecret.Secret = []byte("another secret of the same name")
 	wrongAlgorithm := testKey
 	wrongAlgorithm.Algorithm = dns.HmacSHA512
-	otherZone := new(dns.Msg).SetUpdate("other.example.")
-	otherName := new(dns.Msg).SetQuestion("example.com.", dns.TypeA)
-	halfValid := newUpdate(t, "-"+srvTo+"n1.calc.example.", srvTo+"n9.calc.example.")
-	truncated := remove()
+	updateOfOtherZone := new(dns.Msg).SetUpdate("other.example.")
+	queryOutsideZone := new(dns.Msg).SetQuestion("example.com.", dns.TypeA)
+	partlyValid := newUpdate(t, "-"+srvPrefix+"n1.calc.example.", srvPrefix+"n9.calc.example.")
+	truncated := newRemoval()
 	truncated.Truncated = true
 	return []refusedMessage{
-		{name: "not signed", message: remove(), key: testKey, rcode: dns.RcodeRefused},
-		{name: "unknown key", message: signed(remove(), unknown), key: unknown,
+		{name: "not signed", message: newRemoval(), key: testKey, rcode: dns.RcodeRefused},
+		{name: "unknown key", message: sign(newRemoval(), unknownKey), key: unknownKey,
 			rcode: dns.RcodeNotAuth, tsigError: dns.RcodeBadKey},
-		{name: "wrong secret", message: signed(remove(), wrongSecret), key: wrongSecret,
+		{name: "wrong secret", message: sign(newRemoval(), wrongSecret), key: wrongSecret,
 			rcode: dns.RcodeNotAuth, tsigError: dns.RcodeBadSig},
-		{name: "another algorithm", message: signed(remove(), wrongAlgorithm), key: wrongAlgorithm,
+		{name: "another algorithm", message: sign(newRemoval(), wrongAlgorithm), key: wrongAlgorithm,
 			rcode: dns.RcodeNotAuth, tsigError: dns.RcodeBadKey},
 		{name: "signed long ago", message: signedAt(dnszone.FudgeSeconds, -1000), key: testKey,
 			rcode: dns.RcodeNotAuth, tsigError: dns.RcodeBadTime},
@@ -52,22 +52,22 @@
 			rcode: dns.RcodeNotAuth, tsigError: dns.RcodeBadTime},
 		{name: "signed in the future", message: signedAt(60000, 1000), key: testKey,
 			rcode: dns.RcodeNotAuth, tsigError: dns.RcodeBadTime},
-		{name: "half valid", message: signed(halfValid, testKey), key: testKey, rcode: dns.RcodeRefused},
-		{name: "truncated", message: signed(truncated, testKey), key: testKey, rcode: dns.RcodeFormatError},
-		{name: "another zone", message: signed(otherZone, testKey), key: testKey,
+		{name: "half valid", message: sign(partlyValid, testKey), key: testKey, rcode: dns.RcodeRefused},
+		{name: "truncated", message: sign(truncated, testKey), key: testKey, rcode: dns.RcodeFormatError},
+		{name: "another zone", message: sign(updateOfOtherZone, testKey), key: testKey,
 			rcode: dns.RcodeNotAuth},
 		{name: "unsigned transfer", message: new(dns.Msg).SetAxfr(testSettings.Origin), key: testKey,
 			rcode: dns.RcodeRefused},
 		{name: "notify", message: new(dns.Msg).SetNotify(testSettings.Origin), key: testKey,
 			rcode: dns.RcodeNotImplemented},
-		{name: "question of another zone", message: otherName, key: testKey, rcode: dns.RcodeRefused},
+		{name: "question of another zone", message: queryOutsideZone, key: testKey, rcode: dns.RcodeRefused},
 	}
 }
 
-// TestServer_RefusesMessages sends messages that must be refused. Each is answered with its RCODE, and the
+// TestServer_RefusesInvalidMessages sends messages that must be refused. Each is answered with its RCODE, and the
 // list stays.
-func TestServer_RefusesMessages(t *testing.T) {
-	s := mustStart(t, newFiles(t, zoneFileText(7, 2)))
+func TestServer_RefusesInvalidMessages(t *testing.T) {
+	s := mustStart(t, newOptions(t, zoneFileText(7, 2)))
 	for _, test := range refusedMessages(t) {
 		for _, network := range []string{"udp", "tcp"} {
 			t.Run(test.name+" by "+network, func(t *testing.T) {
@@ -86,27 +86,27 @@
 		}
 	}
 	if s.published.size() != 2 || s.Serial() != 7 {
-		t.Errorf("%v, serial %d", s.published.list, s.Serial())
+		t.Errorf("%v, serial %d", s.published.backends, s.Serial())
 	}
-	rcode := s.sendUpdate(t, "udp", "-"+srvTo+"n1.calc.example.")
+	rcode := s.sendUpdate(t, "udp", "-"+srvPrefix+"n1.calc.example.")
 	if rcode != dns.RcodeSuccess || s.published.has("n1") || s.Serial() != 8 {
 		t.Errorf("%d: a valid update after them is not applied", rcode)
 	}
 }
 
-// TestServer_SurvivesMalformedMessages sends truncated messages and noise. They are answered with FORMERR or
+// TestServer_HandlesMalformedMessages sends truncated messages and noise. They are answered with FORMERR or
 // REFUSED or not at all, and the server continues.
-func TestServer_SurvivesMalformedMessages(t *testing.T) {
-	s := mustStart(t, newFiles(t, zoneFileText(7, 2)))
-	message, err := newUpdate(t, "-"+srvTo+"n1.calc.example.").Pack()
+func TestServer_HandlesMalformedMessages(t *testing.T) {
+	s := mustStart(t, newOptions(t, zoneFileText(7, 2)))
+	message, err := newUpdate(t, "-"+srvPrefix+"n1.calc.example.").Pack()
 	if err != nil {
 		t.Fatal(err)
 	}
-	packets := dialServer(t, s, "udp")
+	udpConn := dialServer(t, s, "udp")
 	buffer := make([]byte, 4096)
 	for size := 12; size < len(message); size += 3 {
-		send(t, packets, message[:size])
-		n, err := packets.Read(buffer)
+		send(t, udpConn, message[:size])
+		n, err := udpConn.Read(buffer)
 		var answer dns.Msg
 		// A message cut off between two records may be a valid one without the signature, which comes last.
 		isAnswer := err == nil && answer.Unpack(buffer[:n]) == nil
@@ -114,12 +114,12 @@
 			t.Fatalf("cut off at %d: %v, %s", size, err, &answer)
 		}
 	}
-	send(t, packets, []byte{1, 2, 3})
+	send(t, udpConn, []byte{1, 2, 3})
 	send(t, dialServer(t, s, "tcp"), binary.BigEndian.AppendUint16(nil, 500)) // a length, and no message
 	if s.published.size() != 2 {
-		t.Error(s.published.list)
+		t.Error(s.published.backends)
 	}
-	if rcode := s.sendUpdate(t, "tcp", "-"+srvTo+"n1.calc.example."); rcode != 0 || s.published.size() != 1 {
+	if rcode := s.sendUpdate(t, "tcp", "-"+srvPrefix+"n1.calc.example."); rcode != 0 || s.published.size() != 1 {
 		t.Error("the server does not continue")
 	}
 }
@@ -146,24 +146,24 @@
 	}
 }
 
-// TestServer_AdoptsJournal starts a second server on the same journal, as in an upgrade. It applies the
+// TestServer_TakesOverJournal starts a second server on the same journal, as in an upgrade. It applies the
 // changes of the first one, and adopts the journal when that one closes.
-func TestServer_AdoptsJournal(t *testing.T) {
-	files := newFiles(t, zoneFileText(7, 3))
-	old := mustStart(t, files)
-	next := mustStart(t, files)
-	if next.Address() != "" || next.published.size() != 3 {
+func TestServer_TakesOverJournal(t *testing.T) {
+	options := newOptions(t, zoneFileText(7, 3))
+	oldServer := mustStart(t, options)
+	newServer := mustStart(t, options)
+	if newServer.Address() != "" || newServer.published.size() != 3 {
 		t.Fatal("the second server listens beside the first, or has no list")
 	}
-	if rcode := old.sendUpdate(t, "udp", "-"+srvTo+"n1.calc.example."); rcode != dns.RcodeSuccess {
+	if rcode := oldServer.sendUpdate(t, "udp", "-"+srvPrefix+"n1.calc.example."); rcode != dns.RcodeSuccess {
 		t.Error(dns.RcodeToString[rcode])
 	}
-	testutil.Eventually(t, "the other's update", func() bool { return !next.published.has("n1") })
-	old.Close()
-	testutil.Eventually(t, "the journal", func() bool { return next.Address() != "" })
-	rcode := next.sendUpdate(t, "udp", "-"+srvTo+"n2.calc.example.")
-	if rcode != dns.RcodeSuccess || next.published.size() != 1 {
-		t.Error(rcode, next.published.list)
+	testutil.Eventually(t, "the other's update", func() bool { return !newServer.published.has("n1") })
+	oldServer.Close()
+	testutil.Eventually(t, "the journal", func() bool { return newServer.Address() != "" })
+	rcode := newServer.sendUpdate(t, "udp", "-"+srvPrefix+"n2.calc.example.")
+	if rcode != dns.RcodeSuccess || newServer.published.size() != 1 {
+		t.Error(rcode, newServer.published.backends)
 	}
 }
 
@@ -174,9 +174,9 @@
 	lines := 0
 	var skipped uint64
 	for n := range int64(1000) { // a hundred a second
-		if more, ok := limiter.allow(1 + n/100); ok {
+		if skippedBefore, ok := limiter.allow(1 + n/100); ok {
 			lines++
-			skipped += more
+			skipped += skippedBefore
 		}
 	}
 	if lines != 10 || skipped != 9*99 {
@@ -187,12 +187,12 @@
 // answerRecorder is the writer of a client whose signature has the given status. It records the answer.
 type answerRecorder struct {
 	dns.ResponseWriter
-	status error
-	answer *dns.Msg
+	tsigStatus error
+	answer     *dns.Msg
 }
 
 func (w *answerRecorder) RemoteAddr() net.Addr { return &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)} }
-func (w *answerRecorder) TsigStatus() error    { return w.status }
+func (w *answerRecorder) TsigStatus() error    { return w.tsigStatus }
 func (w *answerRecorder) TsigTimersOnly(bool)  {}
 func (w *answerRecorder) Close() error         { return nil }
 func (w *answerRecorder) WriteMsg(m *dns.Msg) error {
@@ -204,27 +204,27 @@
 // FuzzServer_ServeDNS passes messages of any form, none of them with a valid signature. Each is answered, and
 // none changes the list.
 func FuzzServer_ServeDNS(f *testing.F) {
-	s := mustStart(f, newFiles(f, zoneFileText(7, 2)))
+	s := mustStart(f, newOptions(f, zoneFileText(7, 2)))
 	for _, message := range []*dns.Msg{
-		signed(newUpdate(f, "-"+srvTo+"n1.calc.example."), testKey),
+		sign(newUpdate(f, "-"+srvPrefix+"n1.calc.example."), testKey),
 		new(dns.Msg).SetQuestion(testSettings.Service, dns.TypeSRV),
 		new(dns.Msg).SetAxfr(testSettings.Origin),
 	} {
-		text, err := message.Pack()
+		packed, err := message.Pack()
 		if err != nil {
 			f.Fatal(err)
 		}
-		f.Add(text)
+		f.Add(packed)
 	}
-	f.Fuzz(func(t *testing.T, text []byte) {
+	f.Fuzz(func(t *testing.T, packed []byte) {
 		message := new(dns.Msg)
 		// The library passes no other messages on.
-		if message.Unpack(text) != nil || len(message.Question) != 1 {
+		if message.Unpack(packed) != nil || len(message.Question) != 1 {
 			return
 		}
 		writer := &answerRecorder{}
 		if message.IsTsig() != nil {
-			writer.status = dns.ErrSig
+			writer.tsigStatus = dns.ErrSig
 		}
 		s.ServeDNS(writer, message)
 		if s.published.size() != 2 || writer.answer == nil {
@@ -234,19 +234,19 @@
 }
 
 func BenchmarkServer_Update(b *testing.B) {
-	s := mustStart(b, newFiles(b, zoneFileText(7, 1000)))
-	s.guard = dnszone.NewReplayGuard(1e9, 0)
-	s.messages.ratePerSecond = 1e9
+	s := mustStart(b, newOptions(b, zoneFileText(7, 1000)))
+	s.replayGuard = dnszone.NewReplayGuard(1e9, 0)
+	s.messageLimiter.ratePerSecond = 1e9
 	n := 0
 	for b.Loop() {
 		n++
-		message := newUpdate(b, srvTo+"n1.calc.example.")
+		message := newUpdate(b, srvPrefix+"n1.calc.example.")
 		if n%2 == 1 {
-			message = newUpdate(b, "-"+srvTo+"n1.calc.example.")
+			message = newUpdate(b, "-"+srvPrefix+"n1.calc.example.")
 		}
 		message.Insert(parseRecord(b, fmt.Sprintf("t.calc.example. TXT %d", n)))
 		message.Remove(parseRecord(b, fmt.Sprintf("t.calc.example. TXT %d", n-1)))
-		if rcode, _ := s.exchange(b, "udp", signed(message, testKey), testKey); rcode != dns.RcodeSuccess {
+		if rcode, _ := s.exchange(b, "udp", sign(message, testKey), testKey); rcode != dns.RcodeSuccess {
 			b.Fatal(rcode)
 		}
 	}
--- a/internal/dnsserver/startup.go
+++ b/internal/dnsserver/startup.go
@@ -36,18 +36,18 @@
 
 // start locks the journal, loads the zone and listens, as far as that is possible now.
 func (s *Server) start(nowNanos int64) (startState, error) {
-	isLocked, err := s.tryLockJournal()
+	lockedByAnother, err := s.tryLockJournal()
 	if err != nil {
 		return 0, err
 	}
-	err = s.loadLocked(nowNanos)
-	if s.options.ReplicatedZone != nil && (errors.Is(err, errBehind) || errors.Is(err, errStoreUnavailable)) {
+	err = s.lockAndLoad(nowNanos)
+	if s.options.ReplicatedZone != nil && (errors.Is(err, errReplicaBehind) || errors.Is(err, errStoreUnavailable)) {
 		return startWaitsForStore, nil
 	}
 	if err != nil {
 		return 0, err
 	}
-	if isLocked {
+	if lockedByAnother {
 		return startWaitsForJournal, nil
 	}
 	return startComplete, s.listen()
@@ -55,7 +55,7 @@
 
 // tryLockJournal locks the journal, if the options name one that is used. It reports whether another process
 // has it.
-func (s *Server) tryLockJournal() (isLocked bool, err error) {
+func (s *Server) tryLockJournal() (lockedByAnother bool, err error) {
 	if s.options.JournalFile == "" || s.options.ReplicatedZone != nil {
 		return false, nil
 	}
@@ -69,8 +69,8 @@
 	return false, err
 }
 
-// loadLocked loads the zone while it holds the lock.
-func (s *Server) loadLocked(nowNanos int64) error {
+// lockAndLoad loads the zone while it holds the lock.
+func (s *Server) lockAndLoad(nowNanos int64) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.load(nowNanos)
@@ -80,7 +80,7 @@
 // During an upgrade both processes run. It gives up only when the server closes.
 func (s *Server) awaitJournal() {
 	for s.pause(startRetryInterval) {
-		if !s.tryJournal() {
+		if !s.retryJournal() {
 			continue
 		}
 		if err := s.listen(); err != nil {
@@ -90,8 +90,8 @@
 	}
 }
 
-// tryJournal reads the journal again, and reports whether this process has it now.
-func (s *Server) tryJournal() bool {
+// retryJournal reads the journal again, and reports whether this process has it now.
+func (s *Server) retryJournal() bool {
 	journal, lockErr := lockJournal(s.options.JournalFile)
 	// The mutex is held across both steps, because a reload between them would store a zone that is out of
 	// date.
@@ -111,7 +111,7 @@
 func (s *Server) awaitStore() {
 	lastError := "" // each error is logged once
 	for {
-		err := s.loadLocked(time.Now().UnixNano())
+		err := s.lockAndLoad(time.Now().UnixNano())
 		if err == nil {
 			err = s.listen()
 		}
--- a/internal/dnsserver/stats.go
+++ b/internal/dnsserver/stats.go
@@ -4,11 +4,11 @@
 
 // counters holds the counts that Stats returns.
 type counters struct {
-	updatesDone       atomic.Uint64
+	updatesApplied    atomic.Uint64
 	updatesRefused    atomic.Uint64
 	signaturesRefused atomic.Uint64
 	rateLimited       atomic.Uint64
-	updatesLost       atomic.Uint64
+	updatesNotStored  atomic.Uint64
 }
 
 // Stats counts messages by their outcome since the start. The fields are read one after the other, so they may
@@ -24,10 +24,10 @@
 // Stats returns the counts so far.
 func (s *Server) Stats() Stats {
 	return Stats{
-		UpdatesApplied:    s.counters.updatesDone.Load(),
+		UpdatesApplied:    s.counters.updatesApplied.Load(),
 		UpdatesRefused:    s.counters.updatesRefused.Load(),
 		SignaturesRefused: s.counters.signaturesRefused.Load(),
 		RateLimited:       s.counters.rateLimited.Load(),
-		UpdatesNotStored:  s.counters.updatesLost.Load(),
+		UpdatesNotStored:  s.counters.updatesNotStored.Load(),
 	}
 }
--- a/internal/dnsserver/stored_zone.go
+++ b/internal/dnsserver/stored_zone.go
@@ -52,8 +52,8 @@
 	if record.Format != storedFormat {
 		return nil, &StoredFormatError{Format: record.Format}
 	}
-	if got := record.settings(); got != settings {
-		return nil, &SettingsMismatchError{Stored: got, Configured: settings}
+	if storedSettings := record.settings(); storedSettings != settings {
+		return nil, &SettingsMismatchError{Stored: storedSettings, Configured: settings}
 	}
 	zone, err := dnszone.Restore(record.Snapshot, settings)
 	if err != nil {
@@ -62,24 +62,24 @@
 	return &storedZone{zone: zone, fileSum: record.FileSum}, nil
 }
 
-// decodeStep decodes a change and applies it to a zone. The step has the change as it is stored.
-func decodeStep(zone *dnszone.Zone, text []byte) (*dnszone.Transition, error) {
+// decodeTransition decodes a change and applies it to a zone. The step has the change as it is stored.
+func decodeTransition(zone *dnszone.Zone, text []byte) (*dnszone.Transition, error) {
 	change := &dnszone.Change{}
 	if err := json.Unmarshal(text, change); err != nil {
 		return nil, err
 	}
-	step, err := zone.Apply(change)
+	transition, err := zone.Apply(change)
 	if err != nil {
 		return nil, err
 	}
-	step.Change = change
-	return step, nil
+	transition.Change = change
+	return transition, nil
 }
 
-// advance applies a step that follows the zone.
-func (z *storedZone) advance(step *dnszone.Transition) {
-	z.zone = step.Zone
-	z.changes = append(z.changes, step.Change)
+// applyTransition applies a step that follows the zone.
+func (z *storedZone) applyTransition(transition *dnszone.Transition) {
+	z.zone = transition.Zone
+	z.changes = append(z.changes, transition.Change)
 }
 
 // StoredFormatError reports a journal or a store in a format that this version does not read.
--- a/internal/dnsserver/transfer.go
+++ b/internal/dnsserver/transfer.go
@@ -20,9 +20,9 @@
 
 var errTransferNotAllowed = errors.New("not signed, not of this zone, or not over TCP")
 
-// transfer sends the complete zone (AXFR, RFC 5936), or the changes since a serial (IXFR, RFC 1995), to a
+// handleTransfer sends the complete zone (AXFR, RFC 5936), or the changes since a serial (IXFR, RFC 1995), to a
 // secondary that signs its request.
-func (s *Server) transfer(incoming *incomingMessage) {
+func (s *Server) handleTransfer(incoming *incomingMessage) {
 	s.mu.Lock()
 	zone := s.zone
 	changes := s.changes
@@ -30,7 +30,7 @@
 	question := incoming.request.Question[0]
 	if incoming.tsig == nil || dns.CanonicalName(question.Name) != zone.Origin || !incoming.isTCP() {
 		s.logRefusal(incoming, errTransferNotAllowed, "transfer refused")
-		incoming.replyCode(dns.RcodeRefused)
+		incoming.replyRcode(dns.RcodeRefused)
 		return
 	}
 	rrs := transferRecords(incoming.request, zone, changes)
@@ -59,18 +59,18 @@
 // owned by the transfer. It ends when all parts have been received, or when none is received for
 // transferStallTimeout, since the library stops receiving when the secondary is gone.
 func sendEnvelopes(rrs []dns.RR) chan *dns.Envelope {
-	parts := make(chan *dns.Envelope)
+	envelopes := make(chan *dns.Envelope)
 	go func() {
-		defer close(parts)
+		defer close(envelopes)
 		for len(rrs) > 0 {
 			size := min(len(rrs), maxRecordsPerMessage)
 			select {
-			case parts <- &dns.Envelope{RR: rrs[:size]}:
+			case envelopes <- &dns.Envelope{RR: rrs[:size]}:
 			case <-time.After(transferStallTimeout):
 				return
 			}
 			rrs = rrs[size:]
 		}
 	}()
-	return parts
+	return envelopes
 }
--- a/internal/dnsserver/transfer_test.go
+++ b/internal/dnsserver/transfer_test.go
@@ -14,20 +14,20 @@
 func startSecondary(t *testing.T) (address string, serials <-chan uint32) {
 	t.Helper()
 	var config net.ListenConfig
-	packets, err := config.ListenPacket(t.Context(), "udp", "127.0.0.1:0")
+	udpConn, err := config.ListenPacket(t.Context(), "udp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	notified := make(chan uint32, 10)
+	notifiedSerials := make(chan uint32, 10)
 	handler := func(w dns.ResponseWriter, m *dns.Msg) {
 		if m.Opcode == dns.OpcodeNotify && len(m.Answer) == 1 {
-			notified <- m.Answer[0].(*dns.SOA).Serial
+			notifiedSerials <- m.Answer[0].(*dns.SOA).Serial
 		}
 		if err := w.WriteMsg(new(dns.Msg).SetReply(m)); err != nil {
 			t.Error(err)
 		}
 	}
-	server := &dns.Server{PacketConn: packets, Handler: dns.HandlerFunc(handler)}
+	server := &dns.Server{PacketConn: udpConn, Handler: dns.HandlerFunc(handler)}
 	stopped := make(chan error, 1)
 	go func() { stopped <- server.ActivateAndServe() }()
 	t.Cleanup(func() {
@@ -38,14 +38,14 @@
 			t.Error(err)
 		}
 	})
-	return packets.LocalAddr().String(), notified
+	return udpConn.LocalAddr().String(), notifiedSerials
 }
 
-// countTransferred runs a signed transfer and returns the number of its records.
-func countTransferred(t *testing.T, s *testServer, request *dns.Msg) (records int) {
+// countTransferredRecords runs a signed transfer and returns the number of its records.
+func countTransferredRecords(t *testing.T, s *testServer, request *dns.Msg) (records int) {
 	t.Helper()
 	transfer := &dns.Transfer{TsigProvider: newKeyring([]Key{testKey})}
-	envelopes, err := transfer.In(signed(request, testKey), s.Address())
+	envelopes, err := transfer.In(sign(request, testKey), s.Address())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -60,7 +60,7 @@
 
 // TestServer_AnswersQueries queries names of the zone, which are answered authoritatively.
 func TestServer_AnswersQueries(t *testing.T) {
-	s := mustStart(t, newFiles(t, zoneFileText(7, 400)+"alias CNAME n1\n"))
+	s := mustStart(t, newOptions(t, zoneFileText(7, 400)+"alias CNAME n1\n"))
 	for _, test := range []struct {
 		name    string
 		rrtype  uint16
@@ -100,15 +100,15 @@
 // alone.
 func TestServer_TransfersToSecondaries(t *testing.T) {
 	address, serials := startSecondary(t)
-	files := newFiles(t, zoneFileText(7, 400)+"alias CNAME n1\n")
-	files.Secondaries = []string{address}
-	s := mustStart(t, files)
+	options := newOptions(t, zoneFileText(7, 400)+"alias CNAME n1\n")
+	options.Secondaries = []string{address}
+	s := mustStart(t, options)
 	axfr := new(dns.Msg).SetAxfr(testSettings.Origin)
-	if n := countTransferred(t, s, axfr); n != 400*2+3+2 {
+	if n := countTransferredRecords(t, s, axfr); n != 400*2+3+2 {
 		t.Errorf("%d records in a transfer", n)
 	}
 	for n := 1; n <= 2; n++ {
-		rcode := s.sendUpdate(t, "udp", fmt.Sprintf("-%sn%d.calc.example.", srvTo, n))
+		rcode := s.sendUpdate(t, "udp", fmt.Sprintf("-%sn%d.calc.example.", srvPrefix, n))
 		if rcode != dns.RcodeSuccess {
 			t.Error(dns.RcodeToString[rcode])
 		}
@@ -116,18 +116,18 @@
 	ixfr := func(serial uint32) *dns.Msg {
 		return new(dns.Msg).SetIxfr(testSettings.Origin, serial, "ns.", "admin.")
 	}
-	if n := countTransferred(t, s, ixfr(7)); n != 2+2*3 {
+	if n := countTransferredRecords(t, s, ixfr(7)); n != 2+2*3 {
 		t.Errorf("%d records for two changes", n)
 	}
-	if n := countTransferred(t, s, ixfr(9)); n != 1 {
+	if n := countTransferredRecords(t, s, ixfr(9)); n != 1 {
 		t.Errorf("%d records for none", n)
 	}
-	if n := countTransferred(t, s, ixfr(3)); n != 398+400+3+2 {
+	if n := countTransferredRecords(t, s, ixfr(3)); n != 398+400+3+2 {
 		t.Errorf("%d records where the changes are not known", n)
 	}
-	for last := uint32(0); last != 9; {
+	for lastSerial := uint32(0); lastSerial != 9; {
 		select {
-		case last = <-serials:
+		case lastSerial = <-serials:
 		case <-time.After(5 * time.Second):
 			t.Fatal("the secondary was not notified of the last change")
 		}
--- a/internal/dnsserver/update.go
+++ b/internal/dnsserver/update.go
@@ -10,9 +10,9 @@
 	"fawnplank/internal/dnszone"
 )
 
-// update handles a signed update. The update is evaluated, stored durably and published, and only then
+// handleUpdate handles a signed update. The update is evaluated, stored durably and published, and only then
 // answered. Updates are handled one at a time.
-func (s *Server) update(incoming *incomingMessage) {
+func (s *Server) handleUpdate(incoming *incomingMessage) {
 	signature := dnszone.Signature{
 		KeyName:           dns.CanonicalName(incoming.tsig.Hdr.Name),
 		TimeSignedSeconds: int64(incoming.tsig.TimeSigned),
@@ -22,7 +22,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	nowNanos := time.Now().UnixNano()
-	verdict, outcome := s.guard.Check(signature, sender, nowNanos)
+	verdict, outcome := s.replayGuard.Check(signature, sender, nowNanos)
 	switch verdict {
 	case dnszone.VerdictReplay:
 		s.refuseSignature(incoming, dns.ErrTime)
@@ -31,48 +31,48 @@
 		s.counters.rateLimited.Add(1)
 		err := fmt.Errorf("more than %g updates a second", s.options.MaxUpdatesPerSecond)
 		s.logRefusal(incoming, err, "update rate limited")
-		incoming.replyCode(dns.RcodeRefused)
+		incoming.replyRcode(dns.RcodeRefused)
 		return
 	case dnszone.VerdictAccept:
-		outcome = dnszone.Outcome{Sender: sender, Rcode: s.apply(incoming, signature, nowNanos)}
+		outcome = dnszone.Outcome{Sender: sender, Rcode: s.applyUpdate(incoming, signature, nowNanos)}
 		if outcome.Rcode != dns.RcodeServerFailure { // after a server failure the same message may be sent again
-			s.guard.RecordOutcome(signature, outcome, nowNanos)
+			s.replayGuard.RecordOutcome(signature, outcome, nowNanos)
 		}
 	case dnszone.VerdictRetransmission: // the sender gets the outcome that was recorded
 	}
-	incoming.replyCode(outcome.Rcode)
+	incoming.replyRcode(outcome.Rcode)
 }
 
-// apply applies an update and returns the RCODE of its answer. The caller holds the lock.
-func (s *Server) apply(incoming *incomingMessage, signature dnszone.Signature, nowNanos int64) int {
+// applyUpdate applies an update and returns the RCODE of its answer. The caller holds the lock.
+func (s *Server) applyUpdate(incoming *incomingMessage, signature dnszone.Signature, nowNanos int64) int {
 	if incoming.request.Truncated {
 		return dns.RcodeFormatError
 	}
 	if !s.storage().acceptsUpdates() {
 		return dns.RcodeRefused
 	}
-	step, err := s.commit(func() (*dnszone.Transition, error) {
+	transition, err := s.commitUpdate(func() (*dnszone.Transition, error) {
 		return s.zone.Update(incoming.request, nowNanos, signature)
 	})
-	if refused, ok := errors.AsType[*dnszone.UpdateError](err); ok {
+	if updateErr, ok := errors.AsType[*dnszone.UpdateError](err); ok {
 		s.counters.updatesRefused.Add(1)
 		s.logRefusal(incoming, err, "update refused")
-		return refused.Rcode
+		return updateErr.Rcode
 	}
 	if err != nil { // with the replicated store it may still be committed, at all replicas
-		s.counters.updatesLost.Add(1)
+		s.counters.updatesNotStored.Add(1)
 		incoming.logger().WithError(err).Error("update not stored")
 		return dns.RcodeServerFailure
 	}
-	if step.Change == nil {
+	if transition.Change == nil {
 		return dns.RcodeSuccess
 	}
-	s.counters.updatesDone.Add(1)
-	s.advance(step)
+	s.counters.updatesApplied.Add(1)
+	s.applyTransition(transition)
 	incoming.logger().
-		WithField("serial", step.Zone.Serial()).
-		WithField("updated", len(step.Updated)).
-		WithField("removed", len(step.Removed)).
+		WithField("serial", transition.Zone.Serial()).
+		WithField("updated", len(transition.Updated)).
+		WithField("removed", len(transition.Removed)).
 		Info("update applied")
 	return dns.RcodeSuccess
 }
--- a/internal/dnsserver/update_test.go
+++ b/internal/dnsserver/update_test.go
@@ -30,9 +30,9 @@
 // TestServer_AppliesReplayedUpdateOnce sends the same signed bytes again. Their sender, which may not have
 // received the answer, gets the first answer again. Anybody else is refused, also after a restart.
 func TestServer_AppliesReplayedUpdateOnce(t *testing.T) {
-	files := newFiles(t, zoneFileText(7, 2))
-	s := mustStart(t, files)
-	update := signed(newUpdate(t, "-"+srvTo+"n1.calc.example."), testKey)
+	options := newOptions(t, zoneFileText(7, 2))
+	s := mustStart(t, options)
+	update := sign(newUpdate(t, "-"+srvPrefix+"n1.calc.example."), testKey)
 	packed, _, err := dns.TsigGenerateWithProvider(update, newKeyring([]Key{testKey}), "", false)
 	if err != nil {
 		t.Fatal(err)
@@ -41,7 +41,7 @@
 	if exchangePacked(t, sender, packed) != dns.RcodeSuccess || s.published.has("n1") {
 		t.Fatal("not applied")
 	}
-	rcode := s.sendUpdate(t, "tcp", srvTo+"n1.calc.example.")
+	rcode := s.sendUpdate(t, "tcp", srvPrefix+"n1.calc.example.")
 	if rcode != dns.RcodeSuccess || !s.published.has("n1") {
 		t.Fatal("not added again")
 	}
@@ -52,8 +52,8 @@
 		t.Error("a replay was not refused")
 	}
 	s.Close()
-	s = mustStart(t, files)
-	s.guard = dnszone.NewReplayGuard(100, time.Now().UnixNano()) // as Start creates it
+	s = mustStart(t, options)
+	s.replayGuard = dnszone.NewReplayGuard(100, time.Now().UnixNano()) // as Start creates it
 	if exchangePacked(t, dialServer(t, s, "udp"), packed) != dns.RcodeNotAuth || !s.published.has("n1") {
 		t.Error("a replay was not refused after a restart")
 	}
@@ -62,9 +62,9 @@
 // TestServer_LimitsUpdateRate sends more updates than are allowed. No more than allowed are applied, and all
 // are answered.
 func TestServer_LimitsUpdateRate(t *testing.T) {
-	files := newFiles(t, zoneFileText(7, 3))
-	files.MaxUpdatesPerSecond = 5
-	s := mustStart(t, files)
+	options := newOptions(t, zoneFileText(7, 3))
+	options.MaxUpdatesPerSecond = 5
+	s := mustStart(t, options)
 	applied, refused := 0, 0
 	began := time.Now()
 	for n := range 40 {
@@ -86,63 +86,63 @@
 	*testServer
 }
 
-func (w *restartableServer) restart(t *testing.T) {
+func (s *restartableServer) restart(t *testing.T) {
 	t.Helper()
-	w.Close()
-	w.testServer = mustStart(t, w.files)
+	s.Close()
+	s.testServer = mustStart(t, s.startOptions)
 }
 
-func (w *restartableServer) apply(t *testing.T, records ...string) {
+func (s *restartableServer) mustUpdate(t *testing.T, records ...string) {
 	t.Helper()
-	if rcode := w.sendUpdate(t, "udp", records...); rcode != dns.RcodeSuccess {
+	if rcode := s.sendUpdate(t, "udp", records...); rcode != dns.RcodeSuccess {
 		t.Fatal(dns.RcodeToString[rcode])
 	}
 }
 
-func (w *restartableServer) reload(t *testing.T, zoneFile string) {
+func (s *restartableServer) reload(t *testing.T, zoneFile string) {
 	t.Helper()
-	writeFile(t, w.files.ZoneFile, zoneFile)
-	w.Reload()
+	writeFile(t, s.startOptions.ZoneFile, zoneFile)
+	s.Reload()
 }
 
-func (w *restartableServer) expect(t *testing.T, after string, serial uint32, size int) {
+func (s *restartableServer) expect(t *testing.T, situation string, serial uint32, backendCount int) {
 	t.Helper()
-	if w.Serial() != serial || w.published.size() != size {
+	if s.Serial() != serial || s.published.size() != backendCount {
 		t.Fatalf("%s: serial %d with %d backends, not %d with %d",
-			after, w.Serial(), w.published.size(), serial, size)
+			situation, s.Serial(), s.published.size(), serial, backendCount)
 	}
 }
 
 // TestServer_PrefersNewerSerial checks that of the zone file and the updates the one with the newer serial
 // wins, also over restarts and where serials wrap around.
 func TestServer_PrefersNewerSerial(t *testing.T) {
-	w := &restartableServer{mustStart(t, newFiles(t, zoneFileText(4294967290, 3)))}
-	w.apply(t, "-"+srvTo+"n1.calc.example.")
-	w.apply(t, "-"+srvTo+"n2.calc.example.")
-	w.expect(t, "two updates", 4294967292, 1)
-	w.reload(t, zoneFileText(4294967291, 3))
-	w.expect(t, "a file that contradicts, with a lower serial", 4294967292, 1)
-	w.reload(t, zoneFileText(4294967295, 3)+"x MX 1 ns\n")
-	w.expect(t, "a faulty file", 4294967292, 1)
-	w.restart(t)
-	w.expect(t, "a restart with a faulty file", 4294967292, 1)
+	s := &restartableServer{mustStart(t, newOptions(t, zoneFileText(4294967290, 3)))}
+	s.mustUpdate(t, "-"+srvPrefix+"n1.calc.example.")
+	s.mustUpdate(t, "-"+srvPrefix+"n2.calc.example.")
+	s.expect(t, "two updates", 4294967292, 1)
+	s.reload(t, zoneFileText(4294967291, 3))
+	s.expect(t, "a file that contradicts, with a lower serial", 4294967292, 1)
+	s.reload(t, zoneFileText(4294967295, 3)+"x MX 1 ns\n")
+	s.expect(t, "a faulty file", 4294967292, 1)
+	s.restart(t)
+	s.expect(t, "a restart with a faulty file", 4294967292, 1)
 	for i := range 4 {
-		w.apply(t, fmt.Sprintf("x%d.calc.example. A 127.9.9.%d", i, i+1))
+		s.mustUpdate(t, fmt.Sprintf("x%d.calc.example. A 127.9.9.%d", i, i+1))
 	}
-	w.expect(t, "the serial's wrap-around, which skips 0", 1, 1)
-	w.reload(t, zoneFileText(4294967295, 3))
-	w.expect(t, "a file from before the wrap", 1, 1)
-	w.reload(t, zoneFileText(2, 3))
-	w.expect(t, "a newer file", 2, 3)
-	returned, _ := w.published.backend("n1")
-	stayed, _ := w.published.backend("n3")
-	if returned.StartNanos() == 0 || stayed.StartNanos() != 0 {
-		t.Errorf("a backend that the file added again is not new, or one that stayed listed is: %+v", w.published.list)
+	s.expect(t, "the serial's wrap-around, which skips 0", 1, 1)
+	s.reload(t, zoneFileText(4294967295, 3))
+	s.expect(t, "a file from before the wrap", 1, 1)
+	s.reload(t, zoneFileText(2, 3))
+	s.expect(t, "a newer file", 2, 3)
+	readded, _ := s.published.backend("n1")
+	kept, _ := s.published.backend("n3")
+	if readded.StartNanos() == 0 || kept.StartNanos() != 0 {
+		t.Errorf("a backend that the file added again is not new, or one that stayed listed is: %+v", s.published.backends)
 	}
-	w.restart(t)
-	w.expect(t, "a restart", 2, 3)
-	w.apply(t, "-"+srvTo+"n1.calc.example.", "-"+srvTo+"n2.calc.example.", "-"+srvTo+"n3.calc.example.")
-	w.expect(t, "the last is removed", 3, 0)
-	w.restart(t)
-	w.expect(t, "a restart without any", 3, 0)
+	s.restart(t)
+	s.expect(t, "a restart", 2, 3)
+	s.mustUpdate(t, "-"+srvPrefix+"n1.calc.example.", "-"+srvPrefix+"n2.calc.example.", "-"+srvPrefix+"n3.calc.example.")
+	s.expect(t, "the last is removed", 3, 0)
+	s.restart(t)
+	s.expect(t, "a restart without any", 3, 0)
 }
--- a/internal/dnsserver/version0_test.go
+++ b/internal/dnsserver/version0_test.go
@@ -27,10 +27,10 @@
 func sendVersion0Updates(t *testing.T, server *testServer) {
 	t.Helper()
 	for _, message := range []*dns.Msg{
-		newUpdate(t, srvTo+"m1.calc.example.", "m1.calc.example. 30 IN A 127.1.0.1"),
-		newUpdate(t, "-"+srvTo+"n1.calc.example."),
+		newUpdate(t, srvPrefix+"m1.calc.example.", "m1.calc.example. 30 IN A 127.1.0.1"),
+		newUpdate(t, "-"+srvPrefix+"n1.calc.example."),
 	} {
-		if rcode, _ := server.exchange(t, "tcp", signed(message, testKey), testKey); rcode != dns.RcodeSuccess {
+		if rcode, _ := server.exchange(t, "tcp", sign(message, testKey), testKey); rcode != dns.RcodeSuccess {
 			t.Fatal(dns.RcodeToString[rcode])
 		}
 	}
@@ -42,15 +42,15 @@
 	if stored.zone.Serial() != 9 || stored.fileSum != "62ff89fddb841c2f" {
 		t.Errorf("serial %d of the file %s", stored.zone.Serial(), stored.fileSum)
 	}
-	list := map[string]dnszone.Backend{}
+	backends := map[string]dnszone.Backend{}
 	for _, backend := range stored.zone.Backends() {
-		list[backend.Name] = backend
+		backends[backend.Name] = backend
 	}
-	names := slices.Sorted(maps.Keys(list))
+	names := slices.Sorted(maps.Keys(backends))
 	if fmt.Sprint(names) != "[m1.calc.example:7000 n2.calc.example:7000]" {
 		t.Fatalf("backends %q", names)
 	}
-	fromFile := list["n2.calc.example:7000"]
+	fromFile := backends["n2.calc.example:7000"]
 	want := dnszone.Provenance{File: "calc.zone", Line: 8, Serial: 7}
 	if fromFile.Provenance != want || fromFile.AnnouncedStartNanos != 1790000000000e6 ||
 		fromFile.Zone != "north" || fromFile.Group != 3 {
@@ -60,7 +60,7 @@
 		t.Fatalf("%d changes", len(stored.changes))
 	}
 	addition, removal := stored.changes[0], stored.changes[1]
-	fromUpdate := list["m1.calc.example:7000"]
+	fromUpdate := backends["m1.calc.example:7000"]
 	want = dnszone.Provenance{StartNanos: addition.AcceptedNanos, Key: "deploy.", Serial: 8}
 	if fromUpdate.Provenance != want {
 		t.Errorf("of the update: %+v", fromUpdate)
@@ -70,8 +70,8 @@
 		removal.FromSerial != 8 || removal.ToSerial != 9 || len(removal.Deleted) != 2 {
 		t.Errorf("changes %+v and %+v", addition, removal)
 	}
-	isOfRemoved := func(record string) bool { return strings.Contains(record, "n1.calc.example.") }
-	if !slices.ContainsFunc(removal.Deleted, isOfRemoved) {
+	mentionsRemovedBackend := func(record string) bool { return strings.Contains(record, "n1.calc.example.") }
+	if !slices.ContainsFunc(removal.Deleted, mentionsRemovedBackend) {
 		t.Errorf("removed: %q", removal.Deleted)
 	}
 	for _, change := range stored.changes {
@@ -107,12 +107,12 @@
 		t.Fatal(err)
 	}
 	checkVersion0State(t, stored)
-	old, err := os.ReadFile(path)
+	fixture, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	first, _, _ := bytes.Cut(old, []byte{'\n'})
-	body, _ := decodeLine(first)
+	firstLine, _, _ := bytes.Cut(fixture, []byte{'\n'})
+	body, _ := decodeJournalLine(firstLine)
 	var record zoneRecord
 	if err := json.Unmarshal(body, &record); err != nil {
 		t.Fatal(err)
@@ -121,21 +121,21 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	again := &journal{path: filepath.Join(t.TempDir(), "again")}
-	if again.lockFile, err = os.Create(again.path + ".lock"); err != nil {
+	rewritten := &journal{path: filepath.Join(t.TempDir(), "again")}
+	if rewritten.lockFile, err = os.Create(rewritten.path + ".lock"); err != nil {
 		t.Fatal(err)
 	}
-	defer again.close()
-	if err := again.rewrite(zone, stored.fileSum); err != nil {
+	defer rewritten.close()
+	if err := rewritten.rewrite(zone, stored.fileSum); err != nil {
 		t.Fatal(err)
 	}
 	for _, change := range stored.changes {
-		if err := again.append(change); err != nil {
+		if err := rewritten.append(change); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if now, err := os.ReadFile(again.path); err != nil || !bytes.Equal(now, old) {
-		t.Errorf("written again (%v):\n%s\nthe fixture:\n%s", err, now, old)
+	if rewrittenText, err := os.ReadFile(rewritten.path); err != nil || !bytes.Equal(rewrittenText, fixture) {
+		t.Errorf("written again (%v):\n%s\nthe fixture:\n%s", err, rewrittenText, fixture)
 	}
 }
 
@@ -149,9 +149,9 @@
 	server := mustStart(t, Options{ZoneFile: "calc.zone", JournalFile: "calc.journal"})
 	published := server.published
 	if server.Serial() != 9 || published.size() != 2 || published.has("n1") || !published.has("m1") {
-		t.Errorf("serial %d, %v", server.Serial(), published.list)
+		t.Errorf("serial %d, %v", server.Serial(), published.backends)
 	}
-	rcode := server.sendUpdate(t, "tcp", "-"+srvTo+"m1.calc.example.")
+	rcode := server.sendUpdate(t, "tcp", "-"+srvPrefix+"m1.calc.example.")
 	if rcode != dns.RcodeSuccess || server.Serial() != 10 {
 		t.Errorf("an update: %s, serial %d", dns.RcodeToString[rcode], server.Serial())
 	}
@@ -163,13 +163,13 @@
 	index kv.Index
 }
 
-func (d *directReplica) ReadLocal(key string) (kv.Entry, bool) { return d.state.Get(key) }
+func (r *directReplica) ReadLocal(key string) (kv.Entry, bool) { return r.state.Get(key) }
 
-func (d *directReplica) Edit(edits []kv.Edit) error {
+func (r *directReplica) Edit(edits []kv.Edit) error {
 	command, err := kv.EncodeCommand(edits)
 	if err == nil {
-		d.index++
-		_, err = d.state.Apply(d.index, command)
+		r.index++
+		_, err = r.state.Apply(r.index, command)
 	}
 	return err
 }
@@ -196,11 +196,11 @@
 }
 
 // restoreVersion0Snapshot returns the zone of the snapshot in a store, without the changes after it.
-func restoreVersion0Snapshot(t *testing.T, stored *kv.State) *dnszone.Zone {
+func restoreVersion0Snapshot(t *testing.T, state *kv.State) *dnszone.Zone {
 	t.Helper()
-	piece, _ := stored.Get(pieceKey(7, 0))
+	chunk, _ := state.Get(chunkKey(7, 0))
 	var text string
-	if err := json.Unmarshal(piece.Value, &text); err != nil {
+	if err := json.Unmarshal(chunk.Value, &text); err != nil {
 		t.Fatal(err)
 	}
 	var record zoneRecord
@@ -230,46 +230,46 @@
 	if keys := state.Keys(""); fmt.Sprint(keys) != wantKeys {
 		t.Errorf("keys %q", keys)
 	}
-	shared := &ReplicatedZone{&directReplica{state: state, index: state.AppliedIndex()}}
+	replicatedZone := &ReplicatedZone{&directReplica{state: state, index: state.AppliedIndex()}}
 	wantHead := storeHead{
 		Serial:         9,
 		SnapshotSerial: 7,
-		Pieces:         1,
+		Chunks:         1,
 		Changes:        2,
 		FileSum:        "62ff89fddb841c2f",
 	}
-	if head, _, err := shared.readHead(); err != nil || head != wantHead {
+	if head, _, err := replicatedZone.readHead(); err != nil || head != wantHead {
 		t.Errorf("head %+v, %v", head, err)
 	}
-	stored, err := shared.load(testSettings)
+	stored, err := replicatedZone.load(testSettings)
 	if err != nil {
 		t.Fatal(err)
 	}
 	checkVersion0State(t, stored)
 	zone := restoreVersion0Snapshot(t, state)
-	again := &directReplica{state: kv.New()}
-	if err := (&ReplicatedZone{again}).initialize(zone, stored.fileSum); err != nil {
+	rewritten := &directReplica{state: kv.New()}
+	if err := (&ReplicatedZone{rewritten}).initialize(zone, stored.fileSum); err != nil {
 		t.Fatal(err)
 	}
 	for _, change := range stored.changes {
-		if err := (&ReplicatedZone{again}).append(change); err != nil {
+		if err := (&ReplicatedZone{rewritten}).append(change); err != nil {
 			t.Fatal(err)
 		}
 	}
-	checkSameKeys(t, again.state, state)
+	checkSameEntries(t, rewritten.state, state)
 }
 
-// checkSameKeys checks that a state has the same keys and values as the fixture.
-func checkSameKeys(t *testing.T, got, fixture *kv.State) {
+// checkSameEntries checks that a state has the same keys and values as the fixture.
+func checkSameEntries(t *testing.T, got, fixture *kv.State) {
 	t.Helper()
 	if !reflect.DeepEqual(got.Keys(""), fixture.Keys("")) {
 		t.Errorf("keys written again: %q", got.Keys(""))
 	}
 	for _, key := range fixture.Keys("") {
-		is, _ := got.Get(key)
-		was, _ := fixture.Get(key)
-		if !bytes.Equal(is.Value, was.Value) {
-			t.Errorf("%s, written again:\n%s\nthe fixture:\n%s", key, is.Value, was.Value)
+		gotEntry, _ := got.Get(key)
+		wantEntry, _ := fixture.Get(key)
+		if !bytes.Equal(gotEntry.Value, wantEntry.Value) {
+			t.Errorf("%s, written again:\n%s\nthe fixture:\n%s", key, gotEntry.Value, wantEntry.Value)
 		}
 	}
 }
@@ -319,12 +319,12 @@
 	if stored.zone.Serial() != 9 || stored.fileSum != "62ff89fddb841c2f" || len(stored.changes) != 0 {
 		t.Errorf("serial %d of the file %s, %d changes", stored.zone.Serial(), stored.fileSum, len(stored.changes))
 	}
-	old, err := os.ReadFile(path)
+	fixture, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	again, err := encodeLine(newZoneRecord(stored.zone, stored.fileSum))
-	if err != nil || !bytes.Equal(again, old) {
-		t.Errorf("written again (%v):\n%s\nthe fixture:\n%s", err, again, old)
+	rewritten, err := encodeJournalLine(newZoneRecord(stored.zone, stored.fileSum))
+	if err != nil || !bytes.Equal(rewritten, fixture) {
+		t.Errorf("written again (%v):\n%s\nthe fixture:\n%s", err, rewritten, fixture)
 	}
 }
--- a/internal/dnsserver/zone_file.go
+++ b/internal/dnsserver/zone_file.go
@@ -14,8 +14,8 @@
 
 // zoneFile is the content of a zone file.
 type zoneFile struct {
-	zone *dnszone.Zone
-	sum  string // by which the text is recognized when it is read again
+	zone     *dnszone.Zone
+	checksum string // by which the text is recognized when it is read again
 }
 
 // readZoneFile reads the zone file of the options.
@@ -24,7 +24,7 @@
 	if err != nil {
 		return zoneFile{}, err
 	}
-	return zoneFile{zone: zone, sum: fmt.Sprintf("%016x", xxhash.Sum64(text))}, nil
+	return zoneFile{zone: zone, checksum: fmt.Sprintf("%016x", xxhash.Sum64(text))}, nil
 }
 
 // ReadZoneFile reads a zone file and also returns its text, of at most 32 MiB. Errors name the file, and the
