--- a/cmd/fawnplank/command_dns.go
+++ b/cmd/fawnplank/command_dns.go
@@ -66,7 +66,7 @@
 	}
 	options := dnsOptions(operator.DNS)
 	if client != nil {
-		options.ReplicatedZone = &dnsserver.ReplicatedZone{Replica: *client}
+		options.ReplicatedStore = &dnsserver.ReplicatedZone{Replica: *client}
 	}
 	zone, source, err := dnsserver.ReadCurrentZone(options)
 	if client != nil {
--- a/cmd/fawnplank/zone.go
+++ b/cmd/fawnplank/zone.go
@@ -38,7 +38,7 @@
 	options := dnsOptions(z.settings)
 	options.Publish = func(update dnsserver.BackendListUpdate) { client.Publish(endpointUpdate(update)) }
 	if replica != nil {
-		options.ReplicatedZone = &dnsserver.ReplicatedZone{Replica: replica.Store}
+		options.ReplicatedStore = &dnsserver.ReplicatedZone{Replica: replica.Store}
 	}
 	server, err := dnsserver.Start(options)
 	if err != nil {
--- a/cmd/fawnplank/zone_test.go
+++ b/cmd/fawnplank/zone_test.go
@@ -90,7 +90,7 @@
 	}
 	options := dnsOptions(operator.DNS)
 	if api != "" {
-		options.ReplicatedZone = &dnsserver.ReplicatedZone{Replica: storeClient{address: api}}
+		options.ReplicatedStore = &dnsserver.ReplicatedZone{Replica: storeClient{address: api}}
 	}
 	zone, _, err := dnsserver.ReadCurrentZone(options)
 	return zone, err
--- a/internal/dnsserver/commit.go
+++ b/internal/dnsserver/commit.go
@@ -7,7 +7,7 @@
 	"fawnplank/internal/logging"
 )
 
-// commitUpdate evaluates an update on the zone in force and makes its change durable. The caller holds the lock.
+// commitUpdate evaluates an update on the current zone and stores its change durably. The caller holds the lock.
 func (s *Server) commitUpdate(evaluate func() (*dnszone.Transition, error)) (*dnszone.Transition, error) {
 	if s.storage() == storageReplicated {
 		return s.replicateUpdate(evaluate)
@@ -19,7 +19,8 @@
 	return transition, err
 }
 
-// applyTransition puts in force the zone that results from one stored change. The caller holds the lock.
+// applyTransition makes the zone that results from a stored change the current zone, and publishes the difference.
+// The caller holds the lock.
 func (s *Server) applyTransition(transition *dnszone.Transition) {
 	s.zone = transition.Zone
 	s.changes = appendChange(s.changes, transition.Change)
@@ -35,28 +36,28 @@
 	s.signalSecondaries()
 }
 
-// compact stores the zone as one snapshot if enough changes follow the last one. The caller holds the lock.
+// compact stores the zone as one snapshot if enough changes follow the last snapshot. The caller holds the lock.
 func (s *Server) compact() error {
 	switch s.storage() {
 	case storageReplicated:
 		return s.compactReplicated()
 	case storageJournal:
-		if s.journal.changeCount >= maxJournalChanges {
+		if s.journal.changes >= maxJournalChanges {
 			return s.journal.rewrite(s.zone, s.fileSum)
 		}
-	case storageNone, storageLockedJournal: // nothing is stored here
+	case storageNone, storageLockedJournal: // this process stores nothing
 	}
 	return nil
 }
 
 // compactReplicated compacts the changes in the store. The caller holds the lock.
 func (s *Server) compactReplicated() error {
-	if !s.options.ReplicatedZone.needsCompaction() {
+	if !s.options.ReplicatedStore.needsCompaction() {
 		return nil
 	}
-	err := s.options.ReplicatedZone.replace(s.zone, s.zone, s.fileSum)
+	err := s.options.ReplicatedStore.replace(s.zone, s.zone, s.fileSum)
 	if errors.Is(err, errReplicaBehind) {
-		return nil // another replica compacted them, or the next change does
+		return nil // another replica has compacted the changes, or the next change triggers compaction again
 	}
 	return err
 }
--- a/internal/dnsserver/handler.go
+++ b/internal/dnsserver/handler.go
@@ -15,12 +15,12 @@
 	opcodeMask  = 0xF
 )
 
-// acceptHeader decides from the header of each message whether the rest is parsed. Responses and messages
-// beyond the rate get no answer.
+// acceptHeader implements dns.MsgAcceptFunc. It decides from the header of a message whether the rest is parsed.
+// Responses, and messages that exceed the rate limit, are dropped without an answer.
 func (s *Server) acceptHeader(header dns.Header) dns.MsgAcceptAction {
 	opcode := int(header.Bits>>opcodeShift) & opcodeMask
 	switch {
-	case header.Bits&responseBit != 0 || !s.messageLimiter.allow():
+	case header.Bits&responseBit != 0 || !s.messageRateLimiter.allow():
 		return dns.MsgIgnore
 	case opcode != dns.OpcodeQuery && opcode != dns.OpcodeUpdate:
 		return dns.MsgRejectNotImplemented
@@ -30,7 +30,7 @@
 	return dns.MsgAccept
 }
 
-// ServeDNS implements dns.Handler. It answers one message.
+// ServeDNS implements dns.Handler.
 func (s *Server) ServeDNS(writer dns.ResponseWriter, request *dns.Msg) {
 	defer func() {
 		if reason := recover(); reason != nil {
@@ -45,7 +45,7 @@
 		return
 	}
 	incoming := &incomingMessage{writer: writer, request: request}
-	if len(request.Question) != 1 { // acceptHeader has seen only the count in the header
+	if len(request.Question) != 1 { // acceptHeader checked only the count in the header
 		incoming.replyRcode(dns.RcodeFormatError)
 		return
 	}
--- a/internal/dnsserver/in_force.go
+++ b/internal/dnsserver/in_force.go
@@ -2,15 +2,15 @@
 
 import "fawnplank/internal/dnszone"
 
-// ReadCurrentZone reads the zone in force from the store, the journal or the zone file, and names the source: "the
-// store" or the path of the file. A server may be running at the same time.
+// ReadCurrentZone reads the current zone from the store, the journal or the zone file. It also returns the source:
+// "the store" or the path of the file. A server may be running at the same time.
 func ReadCurrentZone(options Options) (zone *dnszone.Zone, source string, err error) {
 	options.Settings, err = options.Settings.Canonical()
 	if err != nil {
 		return nil, "", err
 	}
 	source = options.JournalFile
-	if options.ReplicatedZone != nil {
+	if options.ReplicatedStore != nil {
 		source = "the store"
 	}
 	stored, err := options.readStoredZone()
--- a/internal/dnsserver/incoming_message.go
+++ b/internal/dnsserver/incoming_message.go
@@ -10,14 +10,14 @@
 	"fawnplank/internal/logging"
 )
 
-// incomingMessage is a received message with the means to answer it. One goroutine uses it, that of ServeDNS.
+// incomingMessage is a received message with the writer for its answer. Only the goroutine that runs ServeDNS uses it.
 type incomingMessage struct {
 	writer  dns.ResponseWriter
 	request *dns.Msg
 	tsig    *dns.TSIG // nil if the message is not signed
 }
 
-// logger returns a log entry that names the sender.
+// logger returns a log entry with the sender's address, and its key if the message is signed.
 func (m *incomingMessage) logger() *logrus.Entry {
 	entry := logging.For(component).WithField("from", m.writer.RemoteAddr().String())
 	if m.tsig != nil {
@@ -26,7 +26,7 @@
 	return entry
 }
 
-// reply sends an answer, which is signed if the request was.
+// reply sends an answer. It signs the answer if the request is signed.
 func (m *incomingMessage) reply(answer *dns.Msg) {
 	if m.tsig != nil {
 		answer.SetTsig(m.tsig.Hdr.Name, m.tsig.Algorithm, dnszone.FudgeSeconds, time.Now().Unix())
@@ -37,7 +37,7 @@
 // replyRcode sends an answer that consists only of an RCODE.
 func (m *incomingMessage) replyRcode(rcode int) { m.reply(new(dns.Msg).SetRcode(m.request, rcode)) }
 
-// writeMessage sends an answer as it is.
+// writeMessage sends an answer without signing it.
 func (m *incomingMessage) writeMessage(answer *dns.Msg) {
 	if err := m.writer.WriteMsg(answer); err != nil {
 		logging.For(component).WithError(err).Debug("answer not sent")
--- a/internal/dnsserver/install.go
+++ b/internal/dnsserver/install.go
@@ -6,11 +6,11 @@
 	"fawnplank/internal/dnszone"
 )
 
-// publication is the form in which install publishes the list of a zone.
+// publication is the form in which install publishes a zone's list of backends.
 type publication int
 
 const (
-	asDifference publication = iota // from the list in force, or as the full list if none is in force
+	asDifference publication = iota // from the list published before, or the full list if there is none
 	asFullList
 )
 
@@ -25,7 +25,7 @@
 	return fmt.Sprintf("publication(%d)", int(p))
 }
 
-// install puts a zone in force and publishes its list. The caller holds the lock.
+// install makes a stored zone the current zone and publishes its list of backends. The caller holds the lock.
 func (s *Server) install(stored *storedZone, form publication) {
 	oldZone := s.zone
 	s.zone = stored.zone
@@ -44,7 +44,7 @@
 	s.signalSecondaries()
 }
 
-// publish publishes a difference, unless it is empty. The caller holds the lock.
+// publish publishes a difference to the list unless the difference is empty. The caller holds the lock.
 func (s *Server) publish(updated []dnszone.Backend, removed []string) {
 	if len(updated)+len(removed) > 0 {
 		s.options.Publish(BackendListUpdate{Updated: updated, Removed: removed})
@@ -56,7 +56,7 @@
 	s.options.Publish(BackendListUpdate{Updated: s.zone.Backends(), Full: true})
 }
 
-// PublishFullList publishes the full list again, if there is a zone.
+// PublishFullList publishes the full list again. It does nothing while no zone is loaded.
 func (s *Server) PublishFullList() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/dnsserver/ixfr.go
+++ b/internal/dnsserver/ixfr.go
@@ -8,12 +8,12 @@
 	"fawnplank/internal/dnszone"
 )
 
-// maxTransferChanges bounds the changes that IXFR can send. When it is reached, the older half is dropped, and
-// secondaries that lag by more get the complete zone.
+// maxTransferChanges is the number of changes at which the older half of those kept for IXFR is dropped. A secondary
+// whose serial is older than the remaining changes receives the complete zone.
 const maxTransferChanges = 4096
 
-// appendChange adds a change to those that IXFR can send. It does not modify the changes that a transfer may be
-// reading.
+// appendChange adds a change to the changes kept for IXFR. It does not modify the elements of changes, because a
+// transfer may be reading them.
 func appendChange(changes []*dnszone.Change, change *dnszone.Change) []*dnszone.Change {
 	changes = append(changes, change)
 	if len(changes) < maxTransferChanges {
@@ -22,8 +22,8 @@
 	return slices.Clone(changes[maxTransferChanges/2:])
 }
 
-// ixfrSerial returns the serial that the sender of an IXFR request has. It reports false if the request is
-// for AXFR, or names no serial.
+// ixfrSerial returns the secondary's serial from the authority section of an IXFR request. It reports false if the
+// request is for AXFR or has no serial.
 func ixfrSerial(request *dns.Msg) (uint32, bool) {
 	if request.Question[0].Qtype != dns.TypeIXFR || len(request.Ns) != 1 {
 		return 0, false
@@ -35,8 +35,8 @@
 	return soa.Serial, true
 }
 
-// changedRecordsSince returns the records deleted and added after a serial, in the order of IXFR (RFC 1995,
-// 4), or nil if the changes are no longer known.
+// changedRecordsSince returns the records deleted and added after a serial, in the order of IXFR (RFC 1995, 4). It
+// returns nil if changes does not reach back to the serial.
 func changedRecordsSince(changes []*dnszone.Change, serial uint32) (rrs []dns.RR) {
 	startsAtSerial := func(change *dnszone.Change) bool { return change.FromSerial == serial }
 	firstIndex := slices.IndexFunc(changes, startsAtSerial)
@@ -55,7 +55,8 @@
 	return rrs
 }
 
-// ixfrSequence parses records and puts the SOA first, because it begins each sequence of IXFR.
+// ixfrSequence parses records and moves the SOA to the front, because each difference sequence of IXFR begins with an
+// SOA.
 func ixfrSequence(texts []string) ([]dns.RR, error) {
 	var soa, rest []dns.RR
 	for _, text := range texts {
--- a/internal/dnsserver/journal.go
+++ b/internal/dnsserver/journal.go
@@ -12,29 +12,29 @@
 )
 
 const (
-	// maxJournalChanges is how many changes a journal has before it is compacted into one snapshot. A start
-	// reads that many in some tens of milliseconds.
+	// maxJournalChanges is the number of changes at which a journal is compacted into one snapshot. A start reads
+	// this many changes in some tens of milliseconds.
 	maxJournalChanges = 4096
 	// journalMode is the file mode of the journal and its lock file.
 	journalMode = 0o600
 )
 
-// journal preserves the zone in force across a restart. It consists of one line with a snapshot, and one line
-// for each later change (journal_line.go). An update is answered once its line is synced, so a torn last line
-// belongs to an update that was never answered with NOERROR.
+// journal preserves the current zone across a restart. It consists of one line with a snapshot, and one line for each
+// later change (journal_line.go). An update is answered with NOERROR only after its line is synced, so a torn last
+// line belongs to an update that was never answered with NOERROR.
 //
-// The server's lock guards the journal within the process; the lock file guards it between processes.
+// The server's mutex serializes access within the process; the lock file excludes other processes.
 type journal struct {
-	path        string
-	file        *os.File // nil until resume or rewrite
-	lockFile    *os.File
-	size        int64 // bytes
-	changeCount int   // lines after the first
-	writeErr    error // why nothing more may be written; nil if writing is allowed
+	path     string
+	file     *os.File // nil until resume or rewrite
+	lockFile *os.File
+	size     int64 // bytes
+	changes  int   // number of changes after the snapshot
+	writeErr error // why the journal accepts no more changes; nil if it accepts them
 }
 
 // errJournalLocked reports that another process has locked the journal.
-var errJournalLocked = errors.New("another process has the journal")
+var errJournalLocked = errors.New("another process has locked the journal")
 
 // lockJournal locks the journal for this process, or returns errJournalLocked.
 func lockJournal(path string) (*journal, error) {
@@ -53,7 +53,7 @@
 	return nil, fmt.Errorf("%s.lock: %w", path, err)
 }
 
-// resume prepares the journal for writing after the lines that were read. It truncates a torn line.
+// resume opens the journal for writing after the lines that were read. It truncates a torn last line.
 func (j *journal) resume(stored *storedZone) error {
 	file, err := os.OpenFile(j.path, os.O_RDWR, journalMode)
 	if err != nil {
@@ -61,7 +61,7 @@
 	}
 	j.file = file
 	j.size = stored.size
-	j.changeCount = len(stored.changes)
+	j.changes = len(stored.changes)
 	if stored.tornBytes == 0 {
 		return nil
 	}
@@ -82,20 +82,20 @@
 	}
 	file, err := os.OpenFile(j.path, os.O_RDWR, journalMode)
 	if err != nil {
-		j.writeErr = err // the open file is no longer the one at the path
+		j.writeErr = err // the open file is no longer the file at the path
 		return err
 	}
 	if j.file != nil {
-		_ = j.file.Close() // replaced, and its content is no longer read
+		_ = j.file.Close() // the old file is replaced and no longer needed
 	}
 	j.file = file
 	j.size = int64(len(text))
-	j.changeCount = 0
+	j.changes = 0
 	j.writeErr = nil
 	return nil
 }
 
-// replaceJournal replaces the journal durably. It ignores a folder that cannot be opened to sync it.
+// replaceJournal replaces the journal durably. It tolerates a folder that cannot be opened to be synced.
 func replaceJournal(path string, content []byte) error {
 	err := durable.WriteFile(path, content, journalMode)
 	if _, ok := errors.AsType[*durable.DirOpenError](err); ok {
@@ -104,8 +104,8 @@
 	return err
 }
 
-// append writes a change and returns once the change is durable. After an error the journal is unchanged, or
-// accepts nothing more until it is rewritten.
+// append writes a change and returns once the change is durable. After an error the journal is either unchanged, or
+// rejects further changes until it is rewritten.
 func (j *journal) append(change *dnszone.Change) error {
 	if j.writeErr != nil {
 		return j.writeErr
@@ -121,11 +121,11 @@
 		return err
 	}
 	j.size += int64(len(text))
-	j.changeCount++
+	j.changes++
 	return nil
 }
 
-// writeLine writes a line after the others and syncs it.
+// writeLine writes a line at the end of the journal and syncs it.
 func (j *journal) writeLine(line []byte) error {
 	if _, err := j.file.WriteAt(line, j.size); err != nil {
 		return err
--- a/internal/dnsserver/journal_line.go
+++ b/internal/dnsserver/journal_line.go
@@ -7,12 +7,12 @@
 	"strconv"
 )
 
-// checksumDigits is the length of a line's checksum in hexadecimal digits. A space follows the checksum.
+// checksumDigits is the length in hexadecimal digits of the checksum at the start of each line.
 const checksumDigits = 8
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// encodeJournalLine returns a line of the journal: the CRC-32C of the value's JSON, a space, the JSON and a newline.
+// encodeJournalLine returns a journal line: the CRC-32C of the value's JSON, a space, the JSON and a newline.
 func encodeJournalLine(value any) ([]byte, error) {
 	text, err := json.Marshal(value)
 	if err != nil {
@@ -21,7 +21,7 @@
 	return fmt.Appendf(nil, "%0*x %s\n", checksumDigits, crc32.Checksum(text, castagnoli), text), nil
 }
 
-// decodeJournalLine returns a line's JSON, and reports whether its checksum matches.
+// decodeJournalLine returns the JSON of a line without its newline, and reports whether the checksum matches.
 func decodeJournalLine(line []byte) ([]byte, bool) {
 	if len(line) < checksumDigits+2 || line[checksumDigits] != ' ' {
 		return nil, false
--- a/internal/dnsserver/journal_read.go
+++ b/internal/dnsserver/journal_read.go
@@ -12,17 +12,17 @@
 
 var (
 	errChecksum     = errors.New("the checksum does not match")
-	errEmptyJournal = errors.New("is empty")
+	errEmptyJournal = errors.New("the journal is empty")
 )
 
-// JournalError reports damage in a journal, or a journal that does not belong here.
+// JournalError reports a corrupted journal, or a journal that does not match the settings.
 type JournalError struct {
 	File string
 	Line int // from 1
 	Err  error
 }
 
-// Error names file and line, and says what to do.
+// Error returns the error with its file and line, and the remedy.
 func (e *JournalError) Error() string {
 	return fmt.Sprintf("%s:%d: %v; restore the journal from a copy, or move it away so that the zone file alone applies",
 		e.File, e.Line, e.Err)
@@ -31,9 +31,9 @@
 // Unwrap returns the error without its position.
 func (e *JournalError) Unwrap() error { return e.Err }
 
-// readJournal reads a journal, which another process may be writing. If the journal is missing, the error is
-// os.ErrNotExist. Damage anywhere except in the last line is a *JournalError, because continuing without the
-// damaged part would restore removed backends.
+// readJournal reads a journal while another process may be writing it. If the journal is missing, the error wraps
+// os.ErrNotExist. Corruption anywhere except in the last line is a *JournalError, because skipping the corrupted part
+// would restore removed backends.
 func readJournal(path string, settings dnszone.Settings) (*storedZone, error) {
 	text, err := readAll(path)
 	if err != nil {
@@ -62,7 +62,7 @@
 		if err != nil {
 			return nil, &JournalError{File: path, Line: lineNumber, Err: err}
 		}
-		stored.size += int64(len(line)) + 1 // with its newline
+		stored.size += int64(len(line)) + 1 // plus the newline
 		text = rest
 	}
 	return stored, nil
--- a/internal/dnsserver/key.go
+++ b/internal/dnsserver/key.go
@@ -13,9 +13,9 @@
 )
 
 const (
-	// minSecretBytes is the length of the shortest accepted secret, 128 bits.
+	// minSecretBytes is the length of the shortest accepted secret: 128 bits.
 	minSecretBytes = 16
-	// nonOwnerPermissions has the permission bits that the file of a secret must not have.
+	// nonOwnerPermissions is the mask of the permission bits that must be clear on the file of a secret.
 	nonOwnerPermissions = 0o077
 )
 
@@ -26,19 +26,19 @@
 	Secret    []byte // at least 16 bytes
 }
 
-// hashByAlgorithm has the hash functions of the accepted algorithms.
+// hashByAlgorithm maps the accepted algorithms to their hash functions.
 var hashByAlgorithm = map[string]func() hash.Hash{
 	dns.HmacSHA256: sha256.New,
 	dns.HmacSHA384: sha512.New384,
 	dns.HmacSHA512: sha512.New,
 }
 
-// ReadKey returns a key whose secret it reads from a file in base64. Only the file's owner may have access to
-// the file. Errors name the file, or the invalid name or algorithm.
+// ReadKey returns a key with the secret that a file contains in base64. Only the file's owner may have access to the
+// file. Errors contain the path of the file, or the invalid name or algorithm.
 func ReadKey(name, algorithm, file string) (Key, error) {
 	key := Key{Name: dns.CanonicalName(name), Algorithm: dns.CanonicalName(algorithm)}
 	if _, ok := dns.IsDomainName(name); !ok || key.Name == "." {
-		return key, fmt.Errorf("%q is no name of a key", name)
+		return key, fmt.Errorf("%q is not a valid key name", name)
 	}
 	if hashByAlgorithm[key.Algorithm] == nil {
 		return key, fmt.Errorf("%q is not hmac-sha256, hmac-sha384 or hmac-sha512", algorithm)
@@ -51,7 +51,7 @@
 	return key, nil
 }
 
-// readSecret reads a secret from a file in base64.
+// readSecret reads the base64 secret in a file.
 func readSecret(file string) ([]byte, error) {
 	info, err := os.Stat(file)
 	if err != nil {
@@ -66,10 +66,10 @@
 	}
 	secret, err := base64.StdEncoding.DecodeString(strings.TrimSpace(string(text)))
 	if err != nil {
-		return nil, fmt.Errorf("%s: no base64", file)
+		return nil, fmt.Errorf("%s: the secret is not valid base64", file)
 	}
 	if len(secret) < minSecretBytes {
-		return nil, fmt.Errorf("%s: a secret of %d bytes; %d at least", file, len(secret), minSecretBytes)
+		return nil, fmt.Errorf("%s: the secret has %d bytes; the minimum is %d", file, len(secret), minSecretBytes)
 	}
 	return secret, nil
 }
--- a/internal/dnsserver/keyring.go
+++ b/internal/dnsserver/keyring.go
@@ -7,8 +7,8 @@
 	"github.com/miekg/dns"
 )
 
-// keyring has the keys by name, and implements dns.TsigProvider. It signs and verifies only with the
-// configured keys, and uses each key only with its own algorithm.
+// keyring maps key names to keys, and implements dns.TsigProvider. It signs and verifies only with the configured keys,
+// and uses each key only with its own algorithm.
 type keyring map[string]Key
 
 func newKeyring(keys []Key) keyring {
@@ -19,7 +19,7 @@
 	return ring
 }
 
-// mac returns the MAC of a message under the key that a TSIG names.
+// mac computes the MAC of a message with the key and algorithm that the TSIG record names.
 func (r keyring) mac(message []byte, tsig *dns.TSIG) ([]byte, error) {
 	key, ok := r[dns.CanonicalName(tsig.Hdr.Name)]
 	if !ok {
--- a/internal/dnsserver/limits.go
+++ b/internal/dnsserver/limits.go
@@ -6,12 +6,13 @@
 	"time"
 )
 
-// messagesPerUpdate is how many messages are parsed for each update that is allowed. Checking a signature
-// costs some ten microseconds, and a flood of messages must not take this time away from the API requests
-// that the gateway forwards.
+// messagesPerUpdate is the ratio of the message rate limit to the update rate limit. Verifying a signature takes some
+// ten microseconds, and a flood of messages must not take this time away from the API requests that the gateway
+// forwards.
 const messagesPerUpdate = 20
 
-// messageLimiter is a token bucket that holds one second's worth of messages. It is safe for concurrent use.
+// messageLimiter is a token bucket whose capacity is the number of messages allowed in one second. It is safe for
+// concurrent use.
 type messageLimiter struct {
 	mu            sync.Mutex
 	ratePerSecond float64
@@ -23,7 +24,7 @@
 	return &messageLimiter{ratePerSecond: messagesPerUpdate * max(updatesPerSecond, 1)}
 }
 
-// allow takes a token, or reports that there is none.
+// allow takes a token. It reports false if the bucket is empty.
 func (l *messageLimiter) allow() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -35,23 +36,23 @@
 	return true
 }
 
-// refill adds the tokens for the time since the last refill. The first one fills the bucket.
+// refill adds the tokens for the time since the last refill. The first refill fills the bucket.
 func (l *messageLimiter) refill(now time.Time) {
 	elapsed := now.Sub(l.lastRefill)
 	l.tokens = min(l.tokens+elapsed.Seconds()*l.ratePerSecond, l.ratePerSecond)
 	l.lastRefill = now
 }
 
-// logLimiter prevents a flood of refused messages from becoming a flood of log lines. It allows one line per
-// second, and reports how many lines were skipped before it. It is safe for concurrent use.
+// logLimiter limits log lines about refused messages to one per second, so that a flood of messages does not flood the
+// log. It counts the skipped lines. It is safe for concurrent use.
 type logLimiter struct {
-	lastLineSecond atomic.Int64 // unix seconds of the last line
-	skipped        atomic.Uint64
+	second  atomic.Int64 // unix seconds of the last line
+	skipped atomic.Uint64
 }
 
-// allow reports whether a line may be logged in the given second, and how many were skipped before it.
+// allow reports whether a line may be logged in the given second, and how many lines were skipped since the last one.
 func (l *logLimiter) allow(second int64) (skipped uint64, ok bool) {
-	if l.lastLineSecond.Swap(second) == second {
+	if l.second.Swap(second) == second {
 		l.skipped.Add(1)
 		return 0, false
 	}
--- a/internal/dnsserver/listen.go
+++ b/internal/dnsserver/listen.go
@@ -12,21 +12,21 @@
 )
 
 const (
-	// maxConcurrent bounds the TCP connections, and the messages handled at once. There are few updaters and
-	// secondaries.
+	// maxConcurrent limits the open TCP connections, and separately the messages being handled. There are few
+	// updaters and secondaries.
 	maxConcurrent = 64
-	// maxUDPMessageBytes is the size of the largest message read over UDP.
+	// maxUDPMessageBytes is the size of the largest UDP message that is received.
 	maxUDPMessageBytes = 4096
 	// maxQueriesPerConnection is the number of queries after which a TCP connection is closed.
 	maxQueriesPerConnection = 1024
-	// ephemeralPort is the port in a listen address that stands for any free port.
+	// ephemeralPort is the port in a listen address with which the system chooses a free port.
 	ephemeralPort = "0"
 )
 
-// openSockets listens on TCP and UDP at the same port. If the system chooses the port, it tries until it
-// finds one that is free for both.
+// openSockets listens on the same port over TCP and UDP. If the system chooses the port, openSockets retries until a
+// port is free for both.
 func openSockets(address string) (net.Listener, net.PacketConn, error) {
-	// The sockets outlive any caller's context, because Close ends them.
+	// The sockets are not bound to a caller's context, because Close closes them.
 	ctx := context.Background()
 	var config net.ListenConfig
 	for {
@@ -38,15 +38,15 @@
 		if err == nil {
 			return tcpListener, udpConn, nil
 		}
-		_ = tcpListener.Close() // nobody has connected
+		_ = tcpListener.Close() // no client has connected yet
 		if _, port, _ := net.SplitHostPort(address); port != ephemeralPort {
 			return nil, nil, err
 		}
-		// The system chose the port, but its UDP side belongs to another socket. Another choice will succeed.
+		// The system chose a port whose UDP side is in use by another socket. A retry gets another port.
 	}
 }
 
-// listen serves the zone at the listen address, if there is one, and notifies the secondaries.
+// listen serves the zone on the configured address, if any, and notifies the secondaries.
 func (s *Server) listen() error {
 	if s.options.ListenAddress == "" {
 		return nil
@@ -68,7 +68,7 @@
 	return nil
 }
 
-// serve starts a listener, whose goroutine Close ends and waits for. The caller holds the lock.
+// serve starts a listener in a goroutine. Close stops the goroutine and waits for it. The caller holds the lock.
 func (s *Server) serve(listener *dns.Server) {
 	listener.Handler = s
 	listener.TsigProvider = s.keys
@@ -88,12 +88,12 @@
 	})
 }
 
-// shutDown stops a listener, also one that has not begun to serve.
+// shutDown stops a listener, even if it has not begun to serve.
 func shutDown(listener *dns.Server) {
 	if listener.Shutdown() == nil {
 		return
 	}
-	// The listener has not begun to serve. Closing its socket ends it as soon as it does.
+	// The listener has not begun to serve. With its socket closed, it returns as soon as it begins.
 	if listener.Listener != nil {
 		_ = listener.Listener.Close()
 		return
--- a/internal/dnsserver/load.go
+++ b/internal/dnsserver/load.go
@@ -7,20 +7,20 @@
 	"fawnplank/internal/logging"
 )
 
-// errStoreUnavailable reports that the store does not accept anything yet.
+// errStoreUnavailable reports that the store does not accept writes yet.
 var errStoreUnavailable = errors.New("the store has not accepted the zone")
 
-// load determines the zone in force and publishes it. The caller holds the lock.
+// load determines the current zone and publishes it. The caller holds the lock.
 //
-// Of the zone file and the updates, the one with the newer serial wins. A file whose serial is newer than the
-// one in force replaces the zone and supersedes the updates before it. Any other file changes nothing.
+// The zone file replaces the stored zone, and supersedes the updates to it, if the file's serial is newer. Otherwise
+// the stored zone remains current.
 func (s *Server) load(nowNanos int64) error {
 	file, fileErr := s.options.readZoneFile()
 	stored, err := s.readStoredZone()
 	if err != nil {
 		return err
 	}
-	if stored == nil { // the first start, or nothing is stored
+	if stored == nil { // this is the first start, or the zone is not stored
 		if fileErr != nil {
 			return fileErr
 		}
@@ -40,8 +40,8 @@
 	return nil
 }
 
-// readStoredZone reads the content of the store or the journal. It returns nil if there is none. The caller holds
-// the lock.
+// readStoredZone reads the zone in the store or the journal. It returns nil if no zone is stored. The caller holds the
+// lock.
 func (s *Server) readStoredZone() (*storedZone, error) {
 	stored, err := s.options.readStoredZone()
 	if err != nil {
@@ -54,7 +54,7 @@
 	return stored, nil
 }
 
-// installInitialZone stores and installs the first zone. The caller holds the lock.
+// installInitialZone stores a zone file as the first zone and installs it. The caller holds the lock.
 func (s *Server) installInitialZone(file zoneFile) error {
 	if err := s.storeInitialZone(file); err != nil {
 		return err
@@ -67,14 +67,14 @@
 func (s *Server) storeInitialZone(file zoneFile) error {
 	switch s.storage() {
 	case storageReplicated:
-		err := s.options.ReplicatedZone.initialize(file.zone, file.checksum)
+		err := s.options.ReplicatedStore.initialize(file.zone, file.checksum)
 		if err != nil && !errors.Is(err, errReplicaBehind) {
 			return fmt.Errorf("%w: %w", errStoreUnavailable, err)
 		}
 		return err
 	case storageJournal:
 		return s.journal.rewrite(file.zone, file.checksum)
-	case storageNone, storageLockedJournal: // nothing is stored here
+	case storageNone, storageLockedJournal: // this process stores nothing
 	}
 	return nil
 }
--- a/internal/dnsserver/notify.go
+++ b/internal/dnsserver/notify.go
@@ -10,20 +10,19 @@
 )
 
 const (
-	// notifyAttempts is how many times a secondary is notified of a change that it does not acknowledge.
+	// notifyAttempts is the maximum number of NOTIFY messages that a secondary is sent before it acknowledges one.
 	notifyAttempts = 3
-	// notifyTimeout is how long to wait for an acknowledgment.
+	// notifyTimeout bounds the wait for an acknowledgment.
 	notifyTimeout = 2 * time.Second
-	// notifyRetryInterval is the time between two attempts.
+	// notifyRetryInterval is the delay between two attempts.
 	notifyRetryInterval = time.Second
 )
 
-// errClosing reports that a notification was given up because the server closes.
+// errClosing reports that a notification was abandoned because the server is closing.
 var errClosing = errors.New("the server is closing")
 
-// startNotifying starts a goroutine for each secondary, and notifies all of them. The server owns the
-// goroutines. Close ends them, each within notifyTimeout, but does not wait for them. The caller holds the
-// lock.
+// startNotifying starts a goroutine for each secondary, and notifies all secondaries. The server owns the goroutines.
+// After Close each of them ends within notifyTimeout, but Close does not wait for them. The caller holds the lock.
 func (s *Server) startNotifying() {
 	for _, secondary := range s.options.Secondaries {
 		serialChanged := make(chan struct{}, 1)
@@ -33,19 +32,18 @@
 	s.signalSecondaries()
 }
 
-// signalSecondaries triggers a notification of all secondaries that the serial has changed. The caller holds
-// the lock.
+// signalSecondaries signals the goroutine of each secondary that the serial has changed. The caller holds the lock.
 func (s *Server) signalSecondaries() {
 	for _, serialChanged := range s.serialChanged {
 		select {
 		case serialChanged <- struct{}{}:
-		default: // a notification is already due
+		default: // a notification is already pending
 		}
 	}
 }
 
-// notifyChanges notifies one secondary (RFC 1996) of each change until the server closes. Changes that arrive
-// during a notification are notified together.
+// notifyChanges notifies one secondary (RFC 1996) of each change until the server closes. Changes that occur during a
+// notification are combined into the next one.
 func (s *Server) notifyChanges(secondary string, serialChanged <-chan struct{}) {
 	for {
 		select {
@@ -64,8 +62,8 @@
 	}
 }
 
-// notify notifies one secondary of the serial in force. It gives up after notifyAttempts, with the last
-// error, or when the server closes, with errClosing.
+// notify notifies one secondary of the current serial. It returns the last error after notifyAttempts failed attempts,
+// or errClosing if the server closes.
 func (s *Server) notify(secondary string) error {
 	client := dns.Client{Timeout: notifyTimeout}
 	var lastErr error
--- a/internal/dnsserver/options.go
+++ b/internal/dnsserver/options.go
@@ -11,15 +11,15 @@
 type Options struct {
 	Settings            dnszone.Settings
 	ZoneFile            string   // path of the master file
-	JournalFile         string   // path; stores the zone in force. If empty, updates are refused
+	JournalFile         string   // path; stores the current zone. If empty, updates are refused
 	ListenAddress       string   // host and port, for UDP and TCP; if empty, the server does not listen
 	Keys                []Key    // keys that may update and transfer the zone
-	MaxUpdatesPerSecond float64  // over all senders; at least one update may come at once
-	Secondaries         []string // addresses, host and port, that are notified of changes
-	// ReplicatedZone, if set, replaces the journal. Updates are then applied in all replicas or in none.
-	ReplicatedZone *ReplicatedZone
-	// Publish receives every change to the list of backends. It is called once at a time, and before the update
-	// that made the change is answered. The server's lock is held, so it must not call the server.
+	MaxUpdatesPerSecond float64  // over all senders; a burst of at least one update is allowed
+	Secondaries         []string // host and port of each server to notify of changes
+	// ReplicatedStore, if set, is used instead of the journal. An update is then applied at all replicas or at none.
+	ReplicatedStore *ReplicatedZone
+	// Publish receives every change to the list of backends. Calls do not overlap. Publish is called before the
+	// update that made the change is answered, and must not call the server, because the server's lock is held.
 	Publish func(update BackendListUpdate)
 }
 
@@ -30,11 +30,11 @@
 	Full    bool              // Updated is the complete list
 }
 
-// readStoredZone reads the content of the store or the journal. It returns nil if there is none. Settings must be
+// readStoredZone reads the zone in the store or the journal. It returns nil if no zone is stored. Settings must be
 // canonical.
 func (o Options) readStoredZone() (*storedZone, error) {
-	if o.ReplicatedZone != nil {
-		return o.ReplicatedZone.load(o.Settings)
+	if o.ReplicatedStore != nil {
+		return o.ReplicatedStore.load(o.Settings)
 	}
 	if o.JournalFile == "" {
 		return nil, nil
--- a/internal/dnsserver/query.go
+++ b/internal/dnsserver/query.go
@@ -7,17 +7,17 @@
 )
 
 const (
-	// defaultUDPPayloadBytes is the size limit of a UDP answer if the client states none (RFC 1035, 4.2.1).
+	// defaultUDPPayloadBytes is the size limit of a UDP answer to a client without EDNS (RFC 1035, 4.2.1).
 	defaultUDPPayloadBytes = 512
-	// maxUDPPayloadBytes is the size that the server offers. An answer of this size passes any link without
-	// fragmentation.
+	// maxUDPPayloadBytes is the UDP payload size that the server advertises. No link has to fragment an answer of
+	// this size.
 	maxUDPPayloadBytes = 1232
-	// maxAliases is how many CNAMEs an answer follows. It also ends a loop of CNAMEs.
+	// maxAliases is the number of CNAMEs that are followed for an answer. It also terminates CNAME loops.
 	maxAliases = 8
 )
 
-// answerQuery answers a question about the zone authoritatively. It refuses other questions, because the server
-// does no recursion.
+// answerQuery returns the authoritative answer to a query for a name in the zone. It refuses other queries, because
+// the server does not offer recursion.
 func (s *Server) answerQuery(incoming *incomingMessage) *dns.Msg {
 	zone := s.publishedZone.Load()
 	answer := new(dns.Msg).SetReply(incoming.request)
@@ -42,8 +42,8 @@
 	return answer
 }
 
-// resolve returns the records of a name and type, preceded by the CNAMEs that lead to them, and the last name
-// (RFC 1034, 4.3.2).
+// resolve returns the records of a name and type, preceded by the CNAMEs that lead to them, and the last name of this
+// chain (RFC 1034, 4.3.2).
 func resolve(zone *dnszone.Zone, name string, rrtype uint16) (rrs []dns.RR, last string) {
 	for range maxAliases {
 		rrs = append(rrs, zone.RRset(name, rrtype)...)
@@ -57,8 +57,8 @@
 	return rrs, name
 }
 
-// maxAnswerBytes returns the size limit of an answer: that of a TCP message, what the client offers with EDNS
-// (RFC 6891), or 512 bytes.
+// maxAnswerBytes returns the size limit of an answer: the maximum size of a message over TCP, the payload size that
+// the client advertises with EDNS (RFC 6891) within the server's limits, or the default for UDP.
 func (m *incomingMessage) maxAnswerBytes() int {
 	if m.isTCP() {
 		return dns.MaxMsgSize
--- a/internal/dnsserver/refusal.go
+++ b/internal/dnsserver/refusal.go
@@ -10,11 +10,11 @@
 	"fawnplank/internal/dnszone"
 )
 
-// badTimeDataBytes is the length of the server's clock, 48 bits, which the answer to a signature outside the
-// time limits contains (RFC 8945, 5.2.3).
+// badTimeDataBytes is the length of the TSIG's Other Data in an answer with BADTIME: the server's clock as a 48-bit
+// number (RFC 8945, 5.2.3).
 const badTimeDataBytes = 6
 
-// logRefusal logs a refusal, unless another one was logged in the same second.
+// logRefusal logs a refusal unless another refusal was logged in the same second.
 func (s *Server) logRefusal(incoming *incomingMessage, err error, message string) {
 	skipped, ok := s.refusalLogLimiter.allow(time.Now().Unix())
 	if !ok {
@@ -27,8 +27,8 @@
 	entry.Warn(message)
 }
 
-// refuseSignature answers a message whose signature is not valid (RFC 8945, 5.2). The answer is NOTAUTH, with
-// the error of the TSIG.
+// refuseSignature answers a message whose signature is invalid (RFC 8945, 5.2). The answer has the RCODE NOTAUTH, and
+// a TSIG with the error.
 func (s *Server) refuseSignature(incoming *incomingMessage, err error) {
 	s.counters.signaturesRefused.Add(1)
 	s.logRefusal(incoming, err, "invalid signature refused")
@@ -38,7 +38,7 @@
 	incoming.writeMessage(answer)
 }
 
-// setTSIGError sets the error field of an answer's TSIG, and the server's clock if the time was wrong.
+// setTSIGError sets the error field of an answer's TSIG and, for BADTIME, its Other Data.
 func setTSIGError(tsig *dns.TSIG, err error) {
 	switch {
 	case errors.Is(err, dns.ErrTime):
--- a/internal/dnsserver/reload.go
+++ b/internal/dnsserver/reload.go
@@ -7,8 +7,8 @@
 	"fawnplank/internal/logging"
 )
 
-// Reload reads the zone file again, and adopts it if its serial is newer than that in force. If the file is
-// faulty, the fault is logged and the zone in force does not change.
+// Reload reads the zone file again, and adopts it if its serial is newer than the current serial. If the file is
+// invalid, the error is logged and the current zone remains.
 func (s *Server) Reload() {
 	file, err := s.options.readZoneFile()
 	s.mu.Lock()
@@ -17,7 +17,7 @@
 		logZoneFileRejected(err)
 		return
 	}
-	if s.zone == nil { // awaitStore reads the file again
+	if s.zone == nil { // awaitStore will read the file again
 		return
 	}
 	s.adoptZoneFile(file, time.Now().UnixNano())
@@ -27,10 +27,10 @@
 	logging.For(component).WithError(err).Error("zone file rejected")
 }
 
-// adoptZoneFile replaces the zone in force with a newly read file, if the file's serial is newer. The caller holds
-// the lock.
+// adoptZoneFile replaces the current zone with a newly read file if the file's serial is newer. The caller holds the
+// lock.
 func (s *Server) adoptZoneFile(file zoneFile, nowNanos int64) {
-	if file.checksum == s.fileSum { // the text that was adopted last
+	if file.checksum == s.fileSum { // the file has not changed since it was adopted
 		return
 	}
 	log := logging.For(component).
@@ -50,11 +50,11 @@
 	s.install(&storedZone{zone: newZone, fileSum: file.checksum}, asDifference)
 }
 
-// storeReplacement stores a zone file that replaces the zone in force. The caller holds the lock.
+// storeReplacement stores the zone of a file that replaces the current zone. The caller holds the lock.
 func (s *Server) storeReplacement(newZone *dnszone.Zone, fileSum string) error {
 	switch s.storage() {
 	case storageReplicated:
-		return s.options.ReplicatedZone.replace(s.zone, newZone, fileSum)
+		return s.options.ReplicatedStore.replace(s.zone, newZone, fileSum)
 	case storageJournal:
 		return s.journal.rewrite(newZone, fileSum)
 	case storageLockedJournal:
--- a/internal/dnsserver/replicated_read.go
+++ b/internal/dnsserver/replicated_read.go
@@ -8,8 +8,8 @@
 	"fawnplank/internal/dnszone"
 )
 
-// load reads the zone as this replica has it. It returns nil if there is none, and errReplicaBehind if the replica has
-// applied only part of it.
+// load reads the zone from this replica's local state. It returns nil if no zone is stored, and errReplicaBehind if the
+// replica has applied only some of the zone's keys.
 func (r *ReplicatedZone) load(settings dnszone.Settings) (*storedZone, error) {
 	head, index, err := r.readHead()
 	if err != nil || index == 0 {
@@ -32,7 +32,7 @@
 	return stored, nil
 }
 
-// loadSnapshot reads the snapshot that a head names.
+// loadSnapshot reads and decodes the snapshot that a head refers to.
 func (r *ReplicatedZone) loadSnapshot(head storeHead, settings dnszone.Settings) (*storedZone, error) {
 	text, err := r.readSnapshotText(head)
 	if err != nil {
@@ -40,12 +40,12 @@
 	}
 	stored, err := decodeZoneRecord([]byte(text), settings)
 	if err != nil {
-		return nil, fmt.Errorf("store: the zone: %w", err)
+		return nil, fmt.Errorf("store: zone snapshot: %w", err)
 	}
 	return stored, nil
 }
 
-// readSnapshotText returns the text of the snapshot that a head names.
+// readSnapshotText concatenates the chunks of the snapshot that a head refers to.
 func (r *ReplicatedZone) readSnapshotText(head storeHead) (string, error) {
 	var text strings.Builder
 	for number := range head.Chunks {
@@ -63,7 +63,7 @@
 	return text.String(), nil
 }
 
-// applyNextChange applies the change that follows a zone. The step is nil if there is no such change.
+// applyNextChange applies the stored change that follows a zone. It returns nil if there is no such change.
 func (r *ReplicatedZone) applyNextChange(zone *dnszone.Zone) (*dnszone.Transition, error) {
 	key := changeKey(zone.Serial())
 	entry, ok := r.ReadLocal(key)
--- a/internal/dnsserver/replicated_snapshot.go
+++ b/internal/dnsserver/replicated_snapshot.go
@@ -8,11 +8,12 @@
 	"fawnplank/internal/store/kv"
 )
 
-// maxChunkBytes is how much of a snapshot goes into one value: half of the maximum size of a value, because the
-// value is JSON within JSON.
+// maxChunkBytes is the maximum length of the snapshot text in one value. It is half of the maximum size of a value,
+// because the text is JSON that is encoded as a JSON string.
 const maxChunkBytes = kv.MaxValueBytes / 2
 
-// writeSnapshot writes a snapshot and deletes everything that belongs to the old head, whose index is given.
+// writeSnapshot writes a snapshot, and deletes the chunks and changes of the old head. The write fails with
+// errReplicaBehind unless the head in the store still has the given index.
 func (r *ReplicatedZone) writeSnapshot(
 	zone *dnszone.Zone, fileSum string, oldHead storeHead, index kv.Index,
 ) error {
@@ -37,7 +38,7 @@
 	isSameSnapshot := newHead.SnapshotSerial == oldHead.SnapshotSerial
 	for number, chunk := range chunks {
 		if isSameSnapshot && number < oldHead.Chunks {
-			edits[number].Value = chunk // written instead of deleted, because the key is the same
+			edits[number].Value = chunk // overwritten instead of deleted, because the key is the same
 			continue
 		}
 		edits = append(edits, kv.Edit{Key: chunkKey(newHead.SnapshotSerial, number), Value: chunk})
@@ -45,8 +46,8 @@
 	return r.write(newHead, index, edits)
 }
 
-// deletionEdits returns the edits that delete a head's pieces, which come first and in order, followed by those
-// that delete its changes.
+// deletionEdits returns the edits that delete a head's chunks, which come first and in order, followed by the
+// edits that delete its changes.
 func (r *ReplicatedZone) deletionEdits(head storeHead) ([]kv.Edit, error) {
 	var edits []kv.Edit
 	for number := range head.Chunks {
@@ -66,8 +67,8 @@
 	return edits, nil
 }
 
-// splitChunks splits a text into JSON strings. Each holds at most maxChunkBytes of the text, and no character
-// is split.
+// splitChunks splits a text into JSON strings, each with at most maxChunkBytes of the text. It does not split within a
+// character.
 func splitChunks(text []byte) (chunks [][]byte, err error) {
 	for len(text) > 0 {
 		size := min(len(text), maxChunkBytes)
--- a/internal/dnsserver/replicated_zone_test.go
+++ b/internal/dnsserver/replicated_zone_test.go
@@ -13,7 +13,7 @@
 	"fawnplank/internal/testutil"
 )
 
-// fakeStore is a replicated store: one log of commands, which each fakeReplica applies later.
+// fakeStore is a replicated store: a log of commands, which each fakeReplica applies asynchronously.
 type fakeStore struct {
 	mu         sync.Mutex
 	log        [][]byte
@@ -26,7 +26,7 @@
 	f.leaderless = leaderless
 }
 
-// fakeReplica implements Replica.
+// fakeReplica is a Replica on a fakeStore.
 type fakeReplica struct {
 	store        *fakeStore
 	mu           sync.Mutex
@@ -63,14 +63,14 @@
 	return err
 }
 
-// setOnApplied sets a function that is called after commands have been applied.
+// setOnApplied sets a function that catchUp calls after it has applied commands.
 func (r *fakeReplica) setOnApplied(onApplied func()) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.onApplied = onApplied
 }
 
-// catchUp applies the commands of the log that were not applied yet.
+// catchUp applies the commands of the log that this replica has not applied yet.
 func (r *fakeReplica) catchUp() {
 	r.store.mu.Lock()
 	log := r.store.log
@@ -78,7 +78,7 @@
 	r.mu.Lock()
 	isBehind := r.appliedCount < len(log)
 	for ; r.appliedCount < len(log); r.appliedCount++ {
-		// Edit has returned the error of a conflict to its sender.
+		// Edit has already returned a conflict error to the caller that sent the command.
 		_, _ = r.state.Apply(kv.Index(r.appliedCount+1), log[r.appliedCount])
 	}
 	onApplied := r.onApplied
@@ -88,7 +88,7 @@
 	}
 }
 
-// run applies the log every two milliseconds until the test ends.
+// run starts a goroutine that calls catchUp every two milliseconds until the test ends.
 func (r *fakeReplica) run(t *testing.T) {
 	t.Helper()
 	var applyLoop sync.WaitGroup
@@ -105,7 +105,7 @@
 	t.Cleanup(applyLoop.Wait)
 }
 
-// startReplicas starts three servers on three replicas of a store.
+// startReplicas starts three servers, each with its own replica of a store.
 func startReplicas(t *testing.T, store *fakeStore) []*testServer {
 	t.Helper()
 	var servers []*testServer
@@ -113,7 +113,7 @@
 		replica := newFakeReplica(store)
 		replica.run(t)
 		options := newOptions(t, zoneFileText(7, 2))
-		options.ReplicatedZone = &ReplicatedZone{replica}
+		options.ReplicatedStore = &ReplicatedZone{replica}
 		s := mustStart(t, options)
 		// HandleStoreChange waits for the server's lock, which an update holds while it waits for this replica.
 		replica.setOnApplied(func() { go s.HandleStoreChange() })
@@ -121,38 +121,38 @@
 	}
 	for _, s := range servers {
 		isReady := func() bool { return s.Address() != "" && s.published.size() == 2 }
-		testutil.Eventually(t, "the first list", isReady)
+		testutil.Eventually(t, "the first published list", isReady)
 	}
 	return servers
 }
 
-// allHave reports whether all servers have a serial and a number of backends.
-func allHave(servers []*testServer, serial uint32, backendCount int) bool {
+// allHave reports whether all servers have the given serial and number of backends.
+func allHave(servers []*testServer, serial uint32, size int) bool {
 	for _, s := range servers {
-		if s.Serial() != serial || s.published.size() != backendCount {
+		if s.Serial() != serial || s.published.size() != size {
 			return false
 		}
 	}
 	return true
 }
 
-func eventuallyAllHave(t *testing.T, condition string, servers []*testServer, serial uint32, backendCount int) {
+func eventuallyAllHave(t *testing.T, condition string, servers []*testServer, serial uint32, size int) {
 	t.Helper()
-	testutil.Eventually(t, condition, func() bool { return allHave(servers, serial, backendCount) })
+	testutil.Eventually(t, condition, func() bool { return allHave(servers, serial, size) })
 }
 
-// TestStart_WaitsForStoreWithoutLeader starts a server whose store accepts nothing. It has no zone, and
-// Serial returns 0.
+// TestStart_WaitsForStoreWithoutLeader starts a server whose store accepts no writes. The server publishes no list, and
+// its serial is 0.
 func TestStart_WaitsForStoreWithoutLeader(t *testing.T) {
 	options := newOptions(t, zoneFileText(7, 2))
-	options.ReplicatedZone = &ReplicatedZone{newFakeReplica(&fakeStore{leaderless: true})}
+	options.ReplicatedStore = &ReplicatedZone{newFakeReplica(&fakeStore{leaderless: true})}
 	if s := mustStart(t, options); s.Serial() != 0 || s.published.size() != 0 {
-		t.Error("a list without the store: ", s.published.backends)
+		t.Error("zone loaded although the store has no leader: ", s.published.backends)
 	}
 }
 
-// TestServer_ReplicatesUpdates sends updates to three replicas at once. All apply each update once, in one
-// order. Without a leader, no replica applies an update, and it is not answered as applied.
+// TestServer_ReplicatesUpdates sends concurrent updates to three replicas. All replicas apply each update once. Without
+// a leader, an update is answered with SERVFAIL and no replica applies it.
 func TestServer_ReplicatesUpdates(t *testing.T) {
 	store := &fakeStore{}
 	servers := startReplicas(t, store)
@@ -169,40 +169,40 @@
 		})
 	}
 	senders.Wait()
-	eventuallyAllHave(t, "45 updates at all three", servers, 52, 47)
+	eventuallyAllHave(t, "45 updates at all three servers", servers, 52, 47)
 	store.setLeaderless(true)
 	rcode := servers[0].sendUpdate(t, "tcp", "-"+srvPrefix+"n1.calc.example.")
 	if rcode != dns.RcodeServerFailure {
-		t.Error("answered as applied without a leader: ", rcode)
+		t.Error("RCODE of an update without a leader is not SERVFAIL: ", rcode)
 	}
 	store.setLeaderless(false)
 	if !allHave(servers, 52, 47) {
-		t.Error("applied without a leader")
+		t.Error("an update without a leader was applied")
 	}
 }
 
-// TestServer_ReplicatesZoneFileAndCompactedChanges adopts a newer file at one replica, and sends so many changes
-// that they are compacted into a snapshot. Every replica has the file and all changes.
+// TestServer_ReplicatesZoneFileAndCompactedChanges reloads a newer zone file at one server, and sends so many updates
+// that the changes are compacted into a snapshot. Every server has the zone of the file with all changes.
 func TestServer_ReplicatesZoneFileAndCompactedChanges(t *testing.T) {
 	servers := startReplicas(t, &fakeStore{})
 	writeFile(t, servers[1].startOptions.ZoneFile, zoneFileText(90, 4))
 	servers[1].Reload()
-	eventuallyAllHave(t, "the file at all three", servers, 90, 4)
+	eventuallyAllHave(t, "the zone file at all three servers", servers, 90, 4)
 	for n := range maxStoredChanges + 20 {
 		rcode := servers[n%3].sendUpdate(t, "tcp", fmt.Sprintf("x%d.calc.example. A 127.7.7.7", n))
 		if rcode != dns.RcodeSuccess {
 			t.Fatal(n, dns.RcodeToString[rcode])
 		}
 	}
-	eventuallyAllHave(t, "many changes at all three", servers, 90+maxStoredChanges+20, 4)
-	head, _, err := servers[0].options.ReplicatedZone.readHead()
+	eventuallyAllHave(t, "all updates at all three servers", servers, 90+maxStoredChanges+20, 4)
+	head, _, err := servers[0].options.ReplicatedStore.readHead()
 	if err != nil {
 		t.Error(err)
 	}
 	if head.Changes > maxStoredChanges || head.SnapshotSerial == 90 {
 		t.Errorf("%+v: the changes were never compacted", head)
 	}
-	stored, err := servers[2].options.ReplicatedZone.load(testSettings)
+	stored, err := servers[2].options.ReplicatedStore.load(testSettings)
 	if err != nil || stored.zone.Serial() != 90+maxStoredChanges+20 {
 		t.Error(err)
 	}
--- a/internal/dnsserver/replication.go
+++ b/internal/dnsserver/replication.go
@@ -9,19 +9,20 @@
 )
 
 const (
-	// replicateTimeout bounds the attempts of one update. The updater waits for some seconds, and no other
-	// update is processed in the meantime.
+	// replicateTimeout bounds the time to replicate one update. Updaters wait only a few seconds for an answer, and
+	// no other update is processed in the meantime.
 	replicateTimeout = 3 * time.Second
-	// replicateRetryInterval gives this replica time to apply the change that was committed first.
+	// replicateRetryInterval is the delay after a conflict in which this replica can apply the change that was
+	// committed first.
 	replicateRetryInterval = 5 * time.Millisecond
 )
 
-// HandleStoreChange adopts the zone in the store. It must be called when a key with KeyPrefix has changed there.
-// It may wait for an update in progress.
+// HandleStoreChange brings the current zone up to date with the store. It must be called after a key with KeyPrefix has
+// changed in the store, and may block until an update in progress is done.
 func (s *Server) HandleStoreChange() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.zone == nil { // awaitStore tries again
+	if s.zone == nil { // awaitStore loads the zone
 		return
 	}
 	if err := s.catchUp(); err != nil && !errors.Is(err, errReplicaBehind) {
@@ -29,20 +30,20 @@
 	}
 }
 
-// catchUp adopts the zone as this replica has it. The caller holds the lock.
+// catchUp brings the current zone up to date with this replica's local state. The caller holds the lock.
 func (s *Server) catchUp() error {
 	if err := s.applyStoredChanges(); err != nil {
 		return err
 	}
-	head, index, err := s.options.ReplicatedZone.readHead()
+	head, index, err := s.options.ReplicatedStore.readHead()
 	if err != nil || index == 0 {
 		return err
 	}
 	if !dnszone.SerialNewer(head.Serial, s.zone.Serial()) {
-		return nil // up to date, or ahead because this server's own change has not reached the replica
+		return nil // up to date, or ahead because this replica has not applied this server's own change yet
 	}
 	// The changes that lead to the head were compacted, or a zone file replaced the zone.
-	stored, err := s.options.ReplicatedZone.load(s.options.Settings)
+	stored, err := s.options.ReplicatedStore.load(s.options.Settings)
 	if err != nil || stored == nil {
 		return err
 	}
@@ -50,10 +51,10 @@
 	return nil
 }
 
-// applyStoredChanges applies the changes in the store that follow the zone in force. The caller holds the lock.
+// applyStoredChanges applies the stored changes that follow the current zone. The caller holds the lock.
 func (s *Server) applyStoredChanges() error {
 	for {
-		transition, err := s.options.ReplicatedZone.applyNextChange(s.zone)
+		transition, err := s.options.ReplicatedStore.applyNextChange(s.zone)
 		if err != nil || transition == nil {
 			return err
 		}
@@ -62,9 +63,9 @@
 	}
 }
 
-// replicateUpdate applies an update at every replica or at none. The update is evaluated on the zone in force, and
-// again if a concurrent update was committed first, until replicateTimeout. It then returns errReplicaBehind. The
-// caller holds the lock.
+// replicateUpdate commits an update to the store, so that every replica applies it or none does. The update is
+// evaluated on the current zone, and again each time a concurrent update was committed first. After
+// replicateTimeout, replicateUpdate returns errReplicaBehind. The caller holds the lock.
 func (s *Server) replicateUpdate(evaluate func() (*dnszone.Transition, error)) (*dnszone.Transition, error) {
 	deadline := time.Now().Add(replicateTimeout)
 	for {
@@ -72,7 +73,7 @@
 		if err != nil || transition.Change == nil {
 			return transition, err
 		}
-		err = s.options.ReplicatedZone.append(transition.Change)
+		err = s.options.ReplicatedStore.append(transition.Change)
 		if !errors.Is(err, errReplicaBehind) || time.Now().After(deadline) {
 			return transition, err
 		}
--- a/internal/dnsserver/server.go
+++ b/internal/dnsserver/server.go
@@ -1,11 +1,11 @@
 // Package dnsserver is the gateway's own name server for the zone that holds its backends. It reads the zone
-// file, accepts dynamic updates (RFC 2136) signed with TSIG (RFC 8945), stores the zone in force in a journal
-// or in the replicated store, answers queries, notifies secondaries (RFC 1996) and transfers the zone to them
+// file, accepts dynamic updates (RFC 2136) signed with TSIG (RFC 8945), stores the current zone in a journal or
+// in the replicated store, answers queries, notifies secondaries (RFC 1996) and transfers the zone to them
 // (RFC 5936, 1995).
 //
-// It owns the journal, the sockets and the zone in force; it only reads the zone file. Package dnszone
-// determines what a message means for the zone. The methods of Server and the functions of the package are
-// safe for concurrent use. Of several processes with one journal, one at a time writes it.
+// The package owns the journal, the sockets and the current zone; it only reads the zone file. Package dnszone
+// evaluates updates and applies changes to a zone. The methods of Server and the functions of the package are safe for
+// concurrent use. If several processes use one journal, only one of them writes it at a time.
 package dnsserver
 
 import (
@@ -22,37 +22,37 @@
 // component is the value of the component field in log entries.
 const component = "dns"
 
-// Server is the name server. It owns the goroutines of its listeners, of its startup and of its notifications.
+// Server is the name server. It owns the goroutines for its startup, its listeners and its notifications.
 type Server struct {
 	options Options
 	keys    keyring
 
-	mu            sync.Mutex // guards the fields up to published
+	mu            sync.Mutex // guards the fields up to address
 	zone          *dnszone.Zone
-	fileSum       string            // of the text of the zone file that was adopted last
-	changes       []*dnszone.Change // the latest ones in order, for IXFR; may begin before the stored snapshot
-	journal       *journal          // nil if there is none, or another process has it
+	fileSum       string            // checksum of the last adopted zone file
+	changes       []*dnszone.Change // latest changes in order, for IXFR; may begin before the stored snapshot
+	journal       *journal          // nil if no journal is used, or another process has locked it
 	replayGuard   *dnszone.ReplayGuard
 	serialChanged []chan struct{} // one for each secondary
 	listeners     []*dns.Server
 	address       string
 
-	// publishedZone is the zone in force for queries, which do not wait for an update in progress.
-	publishedZone     atomic.Pointer[dnszone.Zone]
-	inFlight          chan struct{} // a token for each message being handled
-	messageLimiter    *messageLimiter
-	refusalLogLimiter logLimiter
-	counters          counters
+	// publishedZone is the current zone for readers that must not wait for an update in progress, such as queries.
+	publishedZone      atomic.Pointer[dnszone.Zone]
+	inFlight           chan struct{} // a token for each message being handled
+	messageRateLimiter *messageLimiter
+	refusalLogLimiter  logLimiter
+	counters           counters
 
 	closing            chan struct{} // closed by Close
 	closeOnce          sync.Once
 	startupGoroutine   sync.WaitGroup // the goroutine that waits for the journal or the store
-	listenerGoroutines sync.WaitGroup // the goroutines that serve
+	listenerGoroutines sync.WaitGroup // the goroutines started by serve
 }
 
-// Start reads the zone, publishes the list, and listens. A faulty zone file is an error only if neither the
-// journal nor the store has a zone to continue with. If another process has the journal, or the store has no
-// leader yet, Start returns a server that keeps trying. Close stops it.
+// Start reads the zone, publishes the list of backends, and listens. An invalid zone file is an error only if neither
+// the journal nor the store contains a zone. If another process has locked the journal, or the store has no leader yet,
+// Start returns a server that retries in the background. Close stops the server.
 func Start(options Options) (*Server, error) {
 	settings, err := options.Settings.Canonical()
 	if err != nil {
@@ -79,17 +79,17 @@
 
 func newServer(options Options, nowNanos int64) *Server {
 	return &Server{
-		options:        options,
-		keys:           newKeyring(options.Keys),
-		replayGuard:    dnszone.NewReplayGuard(options.MaxUpdatesPerSecond, nowNanos),
-		inFlight:       make(chan struct{}, maxConcurrent),
-		messageLimiter: newMessageLimiter(options.MaxUpdatesPerSecond),
-		closing:        make(chan struct{}),
+		options:            options,
+		keys:               newKeyring(options.Keys),
+		replayGuard:        dnszone.NewReplayGuard(options.MaxUpdatesPerSecond, nowNanos),
+		inFlight:           make(chan struct{}, maxConcurrent),
+		messageRateLimiter: newMessageLimiter(options.MaxUpdatesPerSecond),
+		closing:            make(chan struct{}),
 	}
 }
 
-// Close stops listening and releases the journal. It waits for the goroutines that start and serve, but not for
-// notifications. It may be called on a nil Server, and more than once.
+// Close stops listening and unlocks the journal. It waits for the startup and listener goroutines, but not for the
+// notification goroutines. It may be called on a nil Server, and more than once.
 func (s *Server) Close() {
 	if s == nil {
 		return
@@ -111,7 +111,7 @@
 	})
 }
 
-// pause waits for a duration, between two attempts. It reports false at once if the server closes.
+// pause waits for a duration. It returns false immediately if the server is closed in the meantime.
 func (s *Server) pause(duration time.Duration) bool {
 	select {
 	case <-s.closing:
@@ -121,7 +121,7 @@
 	}
 }
 
-// Serial returns the serial in force, or 0 if there is no zone yet. It does not wait for an update in
+// Serial returns the serial of the current zone, or 0 while no zone is loaded. It does not wait for an update in
 // progress.
 func (s *Server) Serial() uint32 {
 	if zone := s.publishedZone.Load(); zone != nil {
--- a/internal/dnsserver/server_test.go
+++ b/internal/dnsserver/server_test.go
@@ -52,7 +52,7 @@
 			rcode: dns.RcodeNotAuth, tsigError: dns.RcodeBadTime},
 		{name: "signed in the future", message: signedAt(60000, 1000), key: testKey,
 			rcode: dns.RcodeNotAuth, tsigError: dns.RcodeBadTime},
-		{name: "half valid", message: sign(partlyValid, testKey), key: testKey, rcode: dns.RcodeRefused},
+		{name: "only one record valid", message: sign(partlyValid, testKey), key: testKey, rcode: dns.RcodeRefused},
 		{name: "truncated", message: sign(truncated, testKey), key: testKey, rcode: dns.RcodeFormatError},
 		{name: "another zone", message: sign(updateOfOtherZone, testKey), key: testKey,
 			rcode: dns.RcodeNotAuth},
@@ -64,21 +64,22 @@
 	}
 }
 
-// TestServer_RefusesInvalidMessages sends messages that must be refused. Each is answered with its RCODE, and the
-// list stays.
+// TestServer_RefusesInvalidMessages sends messages that must be refused. Each is answered with the expected RCODE and
+// TSIG error, and the list of backends does not change.
 func TestServer_RefusesInvalidMessages(t *testing.T) {
 	s := mustStart(t, newOptions(t, zoneFileText(7, 2)))
 	for _, test := range refusedMessages(t) {
 		for _, network := range []string{"udp", "tcp"} {
-			t.Run(test.name+" by "+network, func(t *testing.T) {
+			t.Run(test.name+" over "+network, func(t *testing.T) {
 				message := test.message.Copy()
-				message.Id = dns.Id() // so that the second is not a replay
+				// With a new ID the signature differs, so that the message over the second network is not a replay.
+				message.Id = dns.Id()
 				if tsig := message.IsTsig(); tsig != nil {
 					tsig.OrigId = message.Id
 				}
 				rcode, tsigError := s.exchange(t, network, message, test.key)
 				if rcode != test.rcode || tsigError != test.tsigError {
-					t.Errorf("%s and %s, not %s and %s",
+					t.Errorf("RCODE %s and TSIG error %s, not %s and %s",
 						dns.RcodeToString[rcode], dns.RcodeToString[tsigError],
 						dns.RcodeToString[test.rcode], dns.RcodeToString[test.tsigError])
 				}
@@ -90,12 +91,12 @@
 	}
 	rcode := s.sendUpdate(t, "udp", "-"+srvPrefix+"n1.calc.example.")
 	if rcode != dns.RcodeSuccess || s.published.has("n1") || s.Serial() != 8 {
-		t.Errorf("%d: a valid update after them is not applied", rcode)
+		t.Errorf("RCODE %d: a valid update after the refused messages was not applied", rcode)
 	}
 }
 
-// TestServer_HandlesMalformedMessages sends truncated messages and noise. They are answered with FORMERR or
-// REFUSED or not at all, and the server continues.
+// TestServer_HandlesMalformedMessages sends messages that are cut off. Those with a complete header are answered with
+// FORMERR or REFUSED, the others may get no answer, and the server continues to serve.
 func TestServer_HandlesMalformedMessages(t *testing.T) {
 	s := mustStart(t, newOptions(t, zoneFileText(7, 2)))
 	message, err := newUpdate(t, "-"+srvPrefix+"n1.calc.example.").Pack()
@@ -108,19 +109,19 @@
 		send(t, udpConn, message[:size])
 		n, err := udpConn.Read(buffer)
 		var answer dns.Msg
-		// A message cut off between two records may be a valid one without the signature, which comes last.
+		// A message that is cut off between two records may be a valid message without its signature, which comes last.
 		isAnswer := err == nil && answer.Unpack(buffer[:n]) == nil
 		if !isAnswer || answer.Rcode != dns.RcodeFormatError && answer.Rcode != dns.RcodeRefused {
-			t.Fatalf("cut off at %d: %v, %s", size, err, &answer)
+			t.Fatalf("message cut off at byte %d: %v, %s", size, err, &answer)
 		}
 	}
 	send(t, udpConn, []byte{1, 2, 3})
-	send(t, dialServer(t, s, "tcp"), binary.BigEndian.AppendUint16(nil, 500)) // a length, and no message
+	send(t, dialServer(t, s, "tcp"), binary.BigEndian.AppendUint16(nil, 500)) // only the length of a message
 	if s.published.size() != 2 {
 		t.Error(s.published.backends)
 	}
 	if rcode := s.sendUpdate(t, "tcp", "-"+srvPrefix+"n1.calc.example."); rcode != 0 || s.published.size() != 1 {
-		t.Error("the server does not continue")
+		t.Error("an update after malformed messages was not applied")
 	}
 }
 
@@ -135,7 +136,7 @@
 	return conn
 }
 
-// send writes to a connection and bounds the wait for an answer.
+// send writes a message to a connection, and sets a deadline for reading the answer.
 func send(t *testing.T, conn net.Conn, message []byte) {
 	t.Helper()
 	if _, err := conn.Write(message); err != nil {
@@ -146,45 +147,45 @@
 	}
 }
 
-// TestServer_TakesOverJournal starts a second server on the same journal, as in an upgrade. It applies the
-// changes of the first one, and adopts the journal when that one closes.
+// TestServer_TakesOverJournal starts a second server on the same journal, as an upgrade does. The second server applies
+// the changes of the first server, and locks the journal when the first server closes.
 func TestServer_TakesOverJournal(t *testing.T) {
 	options := newOptions(t, zoneFileText(7, 3))
 	oldServer := mustStart(t, options)
 	newServer := mustStart(t, options)
 	if newServer.Address() != "" || newServer.published.size() != 3 {
-		t.Fatal("the second server listens beside the first, or has no list")
+		t.Fatal("the second server listens while the first one does, or has no list")
 	}
 	if rcode := oldServer.sendUpdate(t, "udp", "-"+srvPrefix+"n1.calc.example."); rcode != dns.RcodeSuccess {
 		t.Error(dns.RcodeToString[rcode])
 	}
-	testutil.Eventually(t, "the other's update", func() bool { return !newServer.published.has("n1") })
+	testutil.Eventually(t, "the update of the first server", func() bool { return !newServer.published.has("n1") })
 	oldServer.Close()
-	testutil.Eventually(t, "the journal", func() bool { return newServer.Address() != "" })
+	testutil.Eventually(t, "the second server to listen", func() bool { return newServer.Address() != "" })
 	rcode := newServer.sendUpdate(t, "udp", "-"+srvPrefix+"n2.calc.example.")
 	if rcode != dns.RcodeSuccess || newServer.published.size() != 1 {
 		t.Error(rcode, newServer.published.backends)
 	}
 }
 
-// TestLogLimiter_AllowsOneLinePerSecond floods the limiter. It allows one line a second, with the number of
-// lines skipped.
+// TestLogLimiter_AllowsOneLinePerSecond logs 100 lines a second for 10 seconds. The limiter allows one line a second,
+// and reports the number of skipped lines.
 func TestLogLimiter_AllowsOneLinePerSecond(t *testing.T) {
 	var limiter logLimiter
 	lines := 0
 	var skipped uint64
-	for n := range int64(1000) { // a hundred a second
+	for n := range int64(1000) { // 100 lines a second
 		if skippedBefore, ok := limiter.allow(1 + n/100); ok {
 			lines++
 			skipped += skippedBefore
 		}
 	}
 	if lines != 10 || skipped != 9*99 {
-		t.Errorf("%d log lines on a flood, which report %d skipped", lines, skipped)
+		t.Errorf("%d lines allowed, and %d reported as skipped", lines, skipped)
 	}
 }
 
-// answerRecorder is the writer of a client whose signature has the given status. It records the answer.
+// answerRecorder is a dns.ResponseWriter for a message with the given TSIG status. It keeps the answer.
 type answerRecorder struct {
 	dns.ResponseWriter
 	tsigStatus error
@@ -201,8 +202,8 @@
 	return err
 }
 
-// FuzzServer_ServeDNS passes messages of any form, none of them with a valid signature. Each is answered, and
-// none changes the list.
+// FuzzServer_ServeDNS passes arbitrary messages without a valid signature. Each is answered, and none changes the list
+// of backends.
 func FuzzServer_ServeDNS(f *testing.F) {
 	s := mustStart(f, newOptions(f, zoneFileText(7, 2)))
 	for _, message := range []*dns.Msg{
@@ -218,7 +219,7 @@
 	}
 	f.Fuzz(func(t *testing.T, packed []byte) {
 		message := new(dns.Msg)
-		// The library passes no other messages on.
+		// The library does not pass other messages to the handler.
 		if message.Unpack(packed) != nil || len(message.Question) != 1 {
 			return
 		}
@@ -228,7 +229,7 @@
 		}
 		s.ServeDNS(writer, message)
 		if s.published.size() != 2 || writer.answer == nil {
-			t.Fatal("an update without a valid signature was applied, or a panic")
+			t.Fatal("an update without a valid signature was applied, or ServeDNS panicked")
 		}
 	})
 }
@@ -236,7 +237,7 @@
 func BenchmarkServer_Update(b *testing.B) {
 	s := mustStart(b, newOptions(b, zoneFileText(7, 1000)))
 	s.replayGuard = dnszone.NewReplayGuard(1e9, 0)
-	s.messageLimiter.ratePerSecond = 1e9
+	s.messageRateLimiter.ratePerSecond = 1e9
 	n := 0
 	for b.Loop() {
 		n++
--- a/internal/dnsserver/startup.go
+++ b/internal/dnsserver/startup.go
@@ -8,17 +8,17 @@
 	"fawnplank/internal/logging"
 )
 
-// startRetryInterval is the time between two attempts to lock the journal of a process that is ending, or to
-// load the zone from the store.
+// startRetryInterval is the delay between two attempts to lock a journal that another process has locked, or to load
+// the zone from the store.
 const startRetryInterval = 200 * time.Millisecond
 
-// startState is how far a start has come.
+// startState is the state in which a start leaves the server.
 type startState int
 
 const (
 	startComplete        startState = iota // the zone is loaded and the server listens
-	startWaitsForJournal                   // another process has the journal; the zone is loaded from it
-	startWaitsForStore                     // this replica has no complete zone, and the store accepts none
+	startWaitsForJournal                   // the zone is loaded, but another process has locked the journal
+	startWaitsForStore                     // no zone is loaded: this replica is behind, or the store accepts no writes
 )
 
 // String returns the state's name.
@@ -34,14 +34,14 @@
 	return fmt.Sprintf("startState(%d)", int(s))
 }
 
-// start locks the journal, loads the zone and listens, as far as that is possible now.
+// start locks the journal, loads the zone and listens, unless it has to wait for the journal or the store.
 func (s *Server) start(nowNanos int64) (startState, error) {
 	lockedByAnother, err := s.tryLockJournal()
 	if err != nil {
 		return 0, err
 	}
 	err = s.lockAndLoad(nowNanos)
-	if s.options.ReplicatedZone != nil && (errors.Is(err, errReplicaBehind) || errors.Is(err, errStoreUnavailable)) {
+	if s.options.ReplicatedStore != nil && (errors.Is(err, errReplicaBehind) || errors.Is(err, errStoreUnavailable)) {
 		return startWaitsForStore, nil
 	}
 	if err != nil {
@@ -53,10 +53,9 @@
 	return startComplete, s.listen()
 }
 
-// tryLockJournal locks the journal, if the options name one that is used. It reports whether another process
-// has it.
+// tryLockJournal locks the journal if the server uses one. It reports whether another process has locked the journal.
 func (s *Server) tryLockJournal() (lockedByAnother bool, err error) {
-	if s.options.JournalFile == "" || s.options.ReplicatedZone != nil {
+	if s.options.JournalFile == "" || s.options.ReplicatedStore != nil {
 		return false, nil
 	}
 	journal, err := lockJournal(s.options.JournalFile)
@@ -69,15 +68,16 @@
 	return false, err
 }
 
-// lockAndLoad loads the zone while it holds the lock.
+// lockAndLoad acquires the lock and loads the zone.
 func (s *Server) lockAndLoad(nowNanos int64) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.load(nowNanos)
 }
 
-// awaitJournal adopts the changes in another process's journal, and locks the journal when that process ends.
-// During an upgrade both processes run. It gives up only when the server closes.
+// awaitJournal follows the changes in a journal that another process has locked, as the old process has during an
+// upgrade. Once that process unlocks the journal, awaitJournal locks it and listens. It stops early only when the
+// server closes.
 func (s *Server) awaitJournal() {
 	for s.pause(startRetryInterval) {
 		if !s.retryJournal() {
@@ -90,11 +90,12 @@
 	}
 }
 
-// retryJournal reads the journal again, and reports whether this process has it now.
+// retryJournal tries to lock the journal, and reads the zone again in any case. It reports whether this process has
+// locked the journal.
 func (s *Server) retryJournal() bool {
 	journal, lockErr := lockJournal(s.options.JournalFile)
-	// The mutex is held across both steps, because a reload between them would store a zone that is out of
-	// date.
+	// The mutex is held until the zone is loaded. A reload between the two assignments would store a zone that lacks
+	// the other process's last changes.
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if lockErr == nil {
@@ -106,8 +107,8 @@
 	return lockErr == nil
 }
 
-// awaitStore waits until the store accepts a zone, which requires a leader, and then listens. It gives up only
-// when the server closes.
+// awaitStore retries until the zone is loaded, for which the store may need a leader, and then listens. It stops early
+// only when the server closes.
 func (s *Server) awaitStore() {
 	lastError := "" // each error is logged once
 	for {
--- a/internal/dnsserver/stats.go
+++ b/internal/dnsserver/stats.go
@@ -2,7 +2,7 @@
 
 import "sync/atomic"
 
-// counters holds the counts that Stats returns.
+// counters has the counts that Stats returns.
 type counters struct {
 	updatesApplied    atomic.Uint64
 	updatesRefused    atomic.Uint64
@@ -11,11 +11,11 @@
 	updatesNotStored  atomic.Uint64
 }
 
-// Stats counts messages by their outcome since the start. The fields are read one after the other, so they may
-// differ by messages in progress.
+// Stats has the numbers of messages by outcome since the start. The counters are not read atomically as a group, so a
+// message in progress may be counted in one field and not yet in another.
 type Stats struct {
 	UpdatesApplied    uint64 // updates that changed the zone
-	UpdatesRefused    uint64 // updates refused because of what they ask
+	UpdatesRefused    uint64 // updates refused because of their content
 	SignaturesRefused uint64 // messages without a valid signature, including replays
 	RateLimited       uint64 // messages over a limit
 	UpdatesNotStored  uint64 // updates that could not be stored in the journal or the store
--- a/internal/dnsserver/storage.go
+++ b/internal/dnsserver/storage.go
@@ -2,13 +2,13 @@
 
 import "fmt"
 
-// storage is where the server stores the zone in force.
+// storage is where the server stores the current zone.
 type storage int
 
 const (
 	storageNone          storage = iota // nowhere: the zone file is the only source
-	storageJournal                      // in a journal, which this process has locked
-	storageLockedJournal                // in a journal, which another process has locked
+	storageJournal                      // in a journal that this process has locked
+	storageLockedJournal                // in a journal that another process has locked
 	storageReplicated                   // in the replicated store
 )
 
@@ -27,13 +27,13 @@
 	return fmt.Sprintf("storage(%d)", int(s))
 }
 
-// acceptsUpdates reports whether this process may store a change. An update that cannot be stored is refused.
+// acceptsUpdates reports whether this process can store changes. Updates that cannot be stored are refused.
 func (s storage) acceptsUpdates() bool { return s == storageJournal || s == storageReplicated }
 
-// storage returns where the zone in force is stored now. The caller holds the lock.
+// storage returns where this process stores the current zone. The caller holds the lock.
 func (s *Server) storage() storage {
 	switch {
-	case s.options.ReplicatedZone != nil:
+	case s.options.ReplicatedStore != nil:
 		return storageReplicated
 	case s.journal != nil:
 		return storageJournal
--- a/internal/dnsserver/stored_zone.go
+++ b/internal/dnsserver/stored_zone.go
@@ -13,9 +13,9 @@
 // storedZone is the content of a journal or of the store.
 type storedZone struct {
 	zone      *dnszone.Zone
-	fileSum   string            // of the text of the zone file that was adopted last
+	fileSum   string            // checksum of the last adopted zone file
 	changes   []*dnszone.Change // since the snapshot, in order
-	size      int64             // total of a journal's intact lines, in bytes
+	size      int64             // length of a journal's intact lines, in bytes
 	tornBytes int64             // length of a journal's last line, if that line is torn
 }
 
@@ -25,7 +25,7 @@
 	Format   int              `json:"format"`
 	Origin   string           `json:"origin"`   // canonical
 	Service  string           `json:"service"`  // canonical
-	FileSum  string           `json:"file_sum"` // of the text of the zone file that was adopted last
+	FileSum  string           `json:"file_sum"` // checksum of the last adopted zone file
 	Snapshot dnszone.Snapshot `json:"snapshot"`
 }
 
@@ -43,7 +43,8 @@
 	return dnszone.Settings{Origin: r.Origin, Service: r.Service}
 }
 
-// decodeZoneRecord decodes a zone record, which must be of this format and of the zone and service of settings.
+// decodeZoneRecord decodes a zone record. It returns an error if the record has another format, zone or service than
+// this version and the settings.
 func decodeZoneRecord(text []byte, settings dnszone.Settings) (*storedZone, error) {
 	var record zoneRecord
 	if err := json.Unmarshal(text, &record); err != nil {
@@ -62,7 +63,8 @@
 	return &storedZone{zone: zone, fileSum: record.FileSum}, nil
 }
 
-// decodeTransition decodes a change and applies it to a zone. The step has the change as it is stored.
+// decodeTransition decodes a stored change and applies it to a zone. The transition contains the change as it is
+// stored.
 func decodeTransition(zone *dnszone.Zone, text []byte) (*dnszone.Transition, error) {
 	change := &dnszone.Change{}
 	if err := json.Unmarshal(text, change); err != nil {
@@ -76,7 +78,7 @@
 	return transition, nil
 }
 
-// applyTransition applies a step that follows the zone.
+// applyTransition replaces the zone with the transition's zone, and records the change.
 func (z *storedZone) applyTransition(transition *dnszone.Transition) {
 	z.zone = transition.Zone
 	z.changes = append(z.changes, transition.Change)
@@ -87,9 +89,9 @@
 	Format int // as stored
 }
 
-// Error names both formats.
+// Error returns a message with both formats.
 func (e *StoredFormatError) Error() string {
-	return fmt.Sprintf("is of format %d, not %d", e.Format, storedFormat)
+	return fmt.Sprintf("stored format %d is not supported; this version reads format %d", e.Format, storedFormat)
 }
 
 // SettingsMismatchError reports a journal or a store that belongs to another zone or service.
@@ -97,8 +99,8 @@
 	Stored, Configured dnszone.Settings
 }
 
-// Error names both zones and services.
+// Error returns a message with both zones and services.
 func (e *SettingsMismatchError) Error() string {
-	return fmt.Sprintf("is of zone %s and service %s, not %s and %s",
+	return fmt.Sprintf("stored for zone %s and service %s, but %s and %s are configured",
 		e.Stored.Origin, e.Stored.Service, e.Configured.Origin, e.Configured.Service)
 }
--- a/internal/dnsserver/transfer.go
+++ b/internal/dnsserver/transfer.go
@@ -11,10 +11,10 @@
 )
 
 const (
-	// maxRecordsPerMessage limits each message of a transfer to less than 64 KB. A record has some hundred
+	// maxRecordsPerMessage keeps each message of a transfer below the limit of 64 KB. A record has some hundred
 	// bytes.
 	maxRecordsPerMessage = 200
-	// transferStallTimeout is how long a transfer waits for a secondary that no longer receives.
+	// transferStallTimeout bounds the wait for a secondary that has stopped receiving.
 	transferStallTimeout = 10 * time.Second
 )
 
@@ -37,11 +37,11 @@
 	if err := new(dns.Transfer).Out(incoming.writer, incoming.request, sendEnvelopes(rrs)); err != nil {
 		incoming.logger().WithError(err).Warn("transfer failed")
 	}
-	_ = incoming.writer.Close() // the transfer is complete, or the secondary is gone
+	_ = incoming.writer.Close() // the transfer is complete or has failed
 }
 
-// transferRecords returns the records that answer AXFR or IXFR. They are only the SOA if the secondary is up
-// to date, the changes if they are known, and the complete zone otherwise.
+// transferRecords returns the records that answer AXFR or IXFR. For IXFR these are the SOA alone if the secondary is up
+// to date, or the changes if all of them are still kept. In any other case they are the complete zone.
 func transferRecords(request *dns.Msg, zone *dnszone.Zone, changes []*dnszone.Change) []dns.RR {
 	soa := zone.RRset(zone.Origin, dns.TypeSOA)[0]
 	if serial, ok := ixfrSerial(request); ok {
@@ -55,9 +55,9 @@
 	return append(zone.Records(), soa)
 }
 
-// sendEnvelopes sends records in parts on the returned channel, which it closes at the end. Its goroutine is
-// owned by the transfer. It ends when all parts have been received, or when none is received for
-// transferStallTimeout, since the library stops receiving when the secondary is gone.
+// sendEnvelopes starts a goroutine that sends the records in envelopes on the returned channel. The goroutine ends, and
+// closes the channel, when all envelopes have been received, or when none has been received for transferStallTimeout,
+// because the library stops receiving once the connection to the secondary fails.
 func sendEnvelopes(rrs []dns.RR) chan *dns.Envelope {
 	envelopes := make(chan *dns.Envelope)
 	go func() {
--- a/internal/dnsserver/update.go
+++ b/internal/dnsserver/update.go
@@ -10,8 +10,8 @@
 	"fawnplank/internal/dnszone"
 )
 
-// handleUpdate handles a signed update. The update is evaluated, stored durably and published, and only then
-// answered. Updates are handled one at a time.
+// handleUpdate handles a signed update. The update is evaluated, stored durably, published, and then answered.
+// Updates are handled one at a time.
 func (s *Server) handleUpdate(incoming *incomingMessage) {
 	signature := dnszone.Signature{
 		KeyName:           dns.CanonicalName(incoming.tsig.Hdr.Name),
@@ -35,10 +35,10 @@
 		return
 	case dnszone.VerdictAccept:
 		outcome = dnszone.Outcome{Sender: sender, Rcode: s.applyUpdate(incoming, signature, nowNanos)}
-		if outcome.Rcode != dns.RcodeServerFailure { // after a server failure the same message may be sent again
+		if outcome.Rcode != dns.RcodeServerFailure { // the sender may retransmit the message after a server failure
 			s.replayGuard.RecordOutcome(signature, outcome, nowNanos)
 		}
-	case dnszone.VerdictRetransmission: // the sender gets the outcome that was recorded
+	case dnszone.VerdictRetransmission: // the recorded outcome is sent again
 	}
 	incoming.replyRcode(outcome.Rcode)
 }
@@ -59,7 +59,7 @@
 		s.logRefusal(incoming, err, "update refused")
 		return updateErr.Rcode
 	}
-	if err != nil { // with the replicated store it may still be committed, at all replicas
+	if err != nil { // in the replicated store the update may still be committed, at all replicas
 		s.counters.updatesNotStored.Add(1)
 		incoming.logger().WithError(err).Error("update not stored")
 		return dns.RcodeServerFailure
--- a/internal/dnsserver/version0_test.go
+++ b/internal/dnsserver/version0_test.go
@@ -19,11 +19,11 @@
 	"fawnplank/internal/testutil"
 )
 
-// version0File is the zone file that the fixtures come from. One of its backends states its start.
+// version0File is the zone file that the fixtures were created from. One of its backends announces its start time.
 var version0File = zoneFileText(7, 2) + "n2 TXT fawnplank zone=north group=3 since=1790000000000\n"
 
-// sendVersion0Updates sends the updates that the fixtures contain: a backend is added, and one of the file's
-// is removed.
+// sendVersion0Updates sends the updates that the fixtures contain: one adds a backend, the other removes a backend of
+// the zone file.
 func sendVersion0Updates(t *testing.T, server *testServer) {
 	t.Helper()
 	for _, message := range []*dns.Msg{
@@ -36,11 +36,11 @@
 	}
 }
 
-// checkVersion0State checks the content of a journal or a store of an earlier version.
+// checkVersion0State checks the zone and the changes read from a journal or store of an earlier version.
 func checkVersion0State(t *testing.T, stored *storedZone) {
 	t.Helper()
 	if stored.zone.Serial() != 9 || stored.fileSum != "62ff89fddb841c2f" {
-		t.Errorf("serial %d of the file %s", stored.zone.Serial(), stored.fileSum)
+		t.Errorf("serial %d, file checksum %s", stored.zone.Serial(), stored.fileSum)
 	}
 	backends := map[string]dnszone.Backend{}
 	for _, backend := range stored.zone.Backends() {
@@ -54,7 +54,7 @@
 	want := dnszone.Provenance{File: "calc.zone", Line: 8, Serial: 7}
 	if fromFile.Provenance != want || fromFile.AnnouncedStartNanos != 1790000000000e6 ||
 		fromFile.Zone != "north" || fromFile.Group != 3 {
-		t.Errorf("of the file: %+v", fromFile)
+		t.Errorf("backend of the zone file: %+v", fromFile)
 	}
 	if len(stored.changes) != 2 {
 		t.Fatalf("%d changes", len(stored.changes))
@@ -63,7 +63,7 @@
 	fromUpdate := backends["m1.calc.example:7000"]
 	want = dnszone.Provenance{StartNanos: addition.AcceptedNanos, Key: "deploy.", Serial: 8}
 	if fromUpdate.Provenance != want {
-		t.Errorf("of the update: %+v", fromUpdate)
+		t.Errorf("backend added by the update: %+v", fromUpdate)
 	}
 	if addition.FromSerial != 7 || addition.ToSerial != 8 ||
 		len(addition.Added) != 3 || len(addition.Deleted) != 1 ||
@@ -72,13 +72,13 @@
 	}
 	mentionsRemovedBackend := func(record string) bool { return strings.Contains(record, "n1.calc.example.") }
 	if !slices.ContainsFunc(removal.Deleted, mentionsRemovedBackend) {
-		t.Errorf("removed: %q", removal.Deleted)
+		t.Errorf("records deleted by the removal: %q", removal.Deleted)
 	}
 	for _, change := range stored.changes {
 		signature := change.Signature
 		ageNanos := change.AcceptedNanos - signature.TimeSignedSeconds*1e9
 		if signature.KeyName != "deploy." || len(signature.MAC) != 64 || ageNanos < 0 || ageNanos > 10e9 {
-			t.Errorf("by %+v at %d", signature, change.AcceptedNanos)
+			t.Errorf("change signed with %+v, accepted at %d", signature, change.AcceptedNanos)
 		}
 	}
 }
@@ -87,7 +87,7 @@
 	t.Helper()
 	return testutil.Fixture(t, "calc.journal", func(path string) {
 		folder := t.TempDir()
-		t.Chdir(folder) // so that the journal names the file without a path
+		t.Chdir(folder) // so that the journal contains the file name without a path
 		writeFile(t, "calc.zone", version0File)
 		server := mustStart(t, Options{ZoneFile: "calc.zone", JournalFile: "calc.journal"})
 		sendVersion0Updates(t, server)
@@ -98,8 +98,8 @@
 	})
 }
 
-// TestReadJournal_ReadsVersion0File reads a journal of an earlier version, and writes its lines again as the
-// same bytes.
+// TestReadJournal_ReadsVersion0File reads a journal of an earlier version, and checks that its lines are rewritten as
+// the same bytes.
 func TestReadJournal_ReadsVersion0File(t *testing.T) {
 	path := version0Journal(t)
 	stored, err := readJournal(path, testSettings)
@@ -135,13 +135,12 @@
 		}
 	}
 	if rewrittenText, err := os.ReadFile(rewritten.path); err != nil || !bytes.Equal(rewrittenText, fixture) {
-		t.Errorf("written again (%v):\n%s\nthe fixture:\n%s", err, rewrittenText, fixture)
+		t.Errorf("rewritten (%v):\n%s\nthe fixture:\n%s", err, rewrittenText, fixture)
 	}
 }
 
-// TestStart_ContinuesWithVersion0Journal starts a server on a journal of an earlier version and the zone file
-// that it came from. The file, which was adopted before, brings no removed backend back, and a further update
-// is applied.
+// TestStart_ContinuesWithVersion0Journal starts a server with a journal of an earlier version and its zone file. The
+// file was adopted before, and therefore does not restore a removed backend. A further update is applied.
 func TestStart_ContinuesWithVersion0Journal(t *testing.T) {
 	path := version0Journal(t)
 	t.Chdir(filepath.Dir(path))
@@ -149,15 +148,15 @@
 	server := mustStart(t, Options{ZoneFile: "calc.zone", JournalFile: "calc.journal"})
 	published := server.published
 	if server.Serial() != 9 || published.size() != 2 || published.has("n1") || !published.has("m1") {
-		t.Errorf("serial %d, %v", server.Serial(), published.backends)
+		t.Errorf("serial %d, backends %v", server.Serial(), published.backends)
 	}
 	rcode := server.sendUpdate(t, "tcp", "-"+srvPrefix+"m1.calc.example.")
 	if rcode != dns.RcodeSuccess || server.Serial() != 10 {
-		t.Errorf("an update: %s, serial %d", dns.RcodeToString[rcode], server.Serial())
+		t.Errorf("RCODE of an update %s, serial %d", dns.RcodeToString[rcode], server.Serial())
 	}
 }
 
-// directReplica is a replica that applies each edit at once.
+// directReplica is a Replica that applies edits immediately.
 type directReplica struct {
 	state *kv.State
 	index kv.Index
@@ -174,7 +173,7 @@
 	return err
 }
 
-// version0Store returns the path of a store's snapshot of an earlier version.
+// version0Store returns the path of a store snapshot of an earlier version.
 func version0Store(t *testing.T) string {
 	t.Helper()
 	return testutil.Fixture(t, "store", func(path string) {
@@ -182,7 +181,7 @@
 		t.Chdir(folder)
 		writeFile(t, "calc.zone", version0File)
 		replica := &directReplica{state: kv.New()}
-		server := mustStart(t, Options{ZoneFile: "calc.zone", ReplicatedZone: &ReplicatedZone{replica}})
+		server := mustStart(t, Options{ZoneFile: "calc.zone", ReplicatedStore: &ReplicatedZone{replica}})
 		sendVersion0Updates(t, server)
 		server.Close()
 		text, err := replica.state.Snapshot()
@@ -195,7 +194,7 @@
 	})
 }
 
-// restoreVersion0Snapshot returns the zone of the snapshot in a store, without the changes after it.
+// restoreVersion0Snapshot returns the zone of the zone snapshot in a store, without the later changes.
 func restoreVersion0Snapshot(t *testing.T, state *kv.State) *dnszone.Zone {
 	t.Helper()
 	chunk, _ := state.Get(chunkKey(7, 0))
@@ -214,8 +213,8 @@
 	return zone
 }
 
-// TestReplicatedZone_ReadsVersion0Store reads the zone from a store's snapshot of an earlier version, and
-// writes the same zone and changes into an empty store as the same bytes.
+// TestReplicatedZone_ReadsVersion0Store reads the zone from a store snapshot of an earlier version, and checks that the
+// zone and its changes are written to an empty store as the same bytes.
 func TestReplicatedZone_ReadsVersion0Store(t *testing.T) {
 	path := version0Store(t)
 	text, err := os.ReadFile(path)
@@ -263,27 +262,28 @@
 func checkSameEntries(t *testing.T, got, fixture *kv.State) {
 	t.Helper()
 	if !reflect.DeepEqual(got.Keys(""), fixture.Keys("")) {
-		t.Errorf("keys written again: %q", got.Keys(""))
+		t.Errorf("keys after rewriting: %q", got.Keys(""))
 	}
 	for _, key := range fixture.Keys("") {
 		gotEntry, _ := got.Get(key)
 		wantEntry, _ := fixture.Get(key)
 		if !bytes.Equal(gotEntry.Value, wantEntry.Value) {
-			t.Errorf("%s, written again:\n%s\nthe fixture:\n%s", key, gotEntry.Value, wantEntry.Value)
+			t.Errorf("%s, rewritten:\n%s\nthe fixture:\n%s", key, gotEntry.Value, wantEntry.Value)
 		}
 	}
 }
 
-// TestStoredTypes_HaveTags checks that a tag, not the Go field name, names each stored field.
+// TestStoredTypes_HaveTags checks that each stored field has a tag, so that its stored name does not depend on the name
+// of the Go field.
 func TestStoredTypes_HaveTags(t *testing.T) {
 	testutil.CheckJSONTags(t, zoneRecord{}, storeHead{}, dnszone.Change{})
 }
 
-// version0AcceptedNanos is when the update of the compacted journal was accepted, unix ns.
+// version0AcceptedNanos is the time at which the update in the compacted journal was accepted, in unix ns.
 const version0AcceptedNanos = 1796187964669258823
 
-// TestReadJournal_ReadsVersion0Compacted reads a journal that an earlier version had compacted. The snapshot
-// has the provenance of a backend that an update added.
+// TestReadJournal_ReadsVersion0Compacted reads a journal that an earlier version compacted. The snapshot contains the
+// provenance of a backend that an update added, and is rewritten as the same bytes.
 func TestReadJournal_ReadsVersion0Compacted(t *testing.T) {
 	path := testutil.Fixture(t, "compacted.journal", func(path string) {
 		t.Chdir(t.TempDir())
@@ -317,7 +317,7 @@
 		t.Errorf("%+v", provenances)
 	}
 	if stored.zone.Serial() != 9 || stored.fileSum != "62ff89fddb841c2f" || len(stored.changes) != 0 {
-		t.Errorf("serial %d of the file %s, %d changes", stored.zone.Serial(), stored.fileSum, len(stored.changes))
+		t.Errorf("serial %d, file checksum %s, %d changes", stored.zone.Serial(), stored.fileSum, len(stored.changes))
 	}
 	fixture, err := os.ReadFile(path)
 	if err != nil {
@@ -325,6 +325,6 @@
 	}
 	rewritten, err := encodeJournalLine(newZoneRecord(stored.zone, stored.fileSum))
 	if err != nil || !bytes.Equal(rewritten, fixture) {
-		t.Errorf("written again (%v):\n%s\nthe fixture:\n%s", err, rewritten, fixture)
+		t.Errorf("rewritten (%v):\n%s\nthe fixture:\n%s", err, rewritten, fixture)
 	}
 }
--- a/internal/dnsserver/zone_file.go
+++ b/internal/dnsserver/zone_file.go
@@ -9,16 +9,16 @@
 	"fawnplank/internal/dnszone"
 )
 
-// maxZoneFileBytes bounds the size of a zone file. It allows some hundred thousand backends.
+// maxZoneFileBytes is the maximum size of a zone file, which suffices for some hundred thousand backends.
 const maxZoneFileBytes = 32 << 20
 
 // zoneFile is the content of a zone file.
 type zoneFile struct {
 	zone     *dnszone.Zone
-	checksum string // by which the text is recognized when it is read again
+	checksum string // of the text, to detect whether the file has changed
 }
 
-// readZoneFile reads the zone file of the options.
+// readZoneFile reads the configured zone file and computes its checksum.
 func (o Options) readZoneFile() (zoneFile, error) {
 	zone, text, err := ReadZoneFile(o.ZoneFile, o.Settings)
 	if err != nil {
@@ -27,8 +27,8 @@
 	return zoneFile{zone: zone, checksum: fmt.Sprintf("%016x", xxhash.Sum64(text))}, nil
 }
 
-// ReadZoneFile reads a zone file and also returns its text, of at most 32 MiB. Errors name the file, and the
-// line if the fault has one.
+// ReadZoneFile parses a zone file of at most 32 MiB, and also returns its text. Errors contain the path of the file,
+// and the line of a syntax error.
 func ReadZoneFile(path string, settings dnszone.Settings) (*dnszone.Zone, []byte, error) {
 	info, err := os.Stat(path)
 	if err != nil {
