--- a/internal/dnsserver/helpers_test.go
+++ b/internal/dnsserver/helpers_test.go
@@ -23,7 +23,7 @@
 ns IN A 127.0.0.1
 `
 
-// srvPrefix is an SRV record of the service without its target.
+// srvPrefix is an SRV record of the service up to its target.
 const srvPrefix = "_calc._tcp.calc.example. 30 IN SRV 0 100 7000 "
 
 var testKey = Key{
@@ -32,10 +32,10 @@
 	Secret:    []byte("0123456789abcdef0123456789abcdef"),
 }
 
-// otherKey has another algorithm.
+// otherKey has a different algorithm than testKey.
 var otherKey = Key{Name: "other.", Algorithm: dns.HmacSHA512, Secret: []byte("fedcba9876543210")}
 
-// zoneFileText returns a zone file with the backends n1 to nCOUNT.
+// zoneFileText returns a zone file with a serial and the given number of backends, named n1, n2 and so on.
 func zoneFileText(serial uint32, count int) string {
 	var text strings.Builder
 	fmt.Fprintf(&text, zoneFileHeader, serial)
@@ -45,7 +45,7 @@
 	return text.String()
 }
 
-// listRecorder records the published list.
+// listRecorder keeps the published list of backends, by name.
 type listRecorder struct {
 	mu       sync.Mutex
 	backends map[string]dnszone.Backend
@@ -83,14 +83,14 @@
 	return len(r.backends)
 }
 
-// testServer is a server with files of its own, and the list that it publishes.
+// testServer is a server with the list that it publishes.
 type testServer struct {
 	*Server
 	published    *listRecorder
-	startOptions Options // as they were passed
+	startOptions Options // as passed to startServer
 }
 
-// startServer starts a server with the test's settings and keys, at a free port.
+// startServer starts a server with the test settings on a free port. Keys and rate limit have defaults.
 func startServer(tb testing.TB, options Options) (*testServer, error) {
 	tb.Helper()
 	s := &testServer{published: &listRecorder{}, startOptions: options}
@@ -107,7 +107,7 @@
 	if err != nil {
 		return nil, err
 	}
-	// Tests sign in the second of the start, which a guard refuses.
+	// Tests sign messages in the second of the start, which the replay guard of Start would refuse.
 	minuteAgoNanos := time.Now().Add(-time.Minute).UnixNano()
 	server.replayGuard = dnszone.NewReplayGuard(options.MaxUpdatesPerSecond, minuteAgoNanos)
 	tb.Cleanup(server.Close)
@@ -124,7 +124,7 @@
 	return s
 }
 
-// newOptions writes a zone file to a folder of its own, and returns options with it and a journal beside it.
+// newOptions writes a zone file to a new folder, and returns options with this file and a journal in the same folder.
 func newOptions(tb testing.TB, zoneFile string) Options {
 	tb.Helper()
 	folder := tb.TempDir()
@@ -152,7 +152,7 @@
 	return []dns.RR{rr}
 }
 
-// newUpdate returns an update that adds records, or deletes those with a leading minus.
+// newUpdate returns an update that adds the given records, and deletes the records that have a leading minus sign.
 func newUpdate(tb testing.TB, records ...string) *dns.Msg {
 	tb.Helper()
 	message := new(dns.Msg).SetUpdate(testSettings.Origin)
@@ -170,7 +170,7 @@
 	return message.SetTsig(key.Name, key.Algorithm, dnszone.FudgeSeconds, time.Now().Unix())
 }
 
-// exchange sends a message and returns the answer's RCODE, and the TSIG's own.
+// exchange sends a message and returns the RCODE of the answer and the error in its TSIG.
 func (s *testServer) exchange(
 	tb testing.TB, network string, message *dns.Msg, key Key,
 ) (rcode, tsigError int) {
@@ -182,9 +182,9 @@
 	}
 	if tsig := answer.IsTsig(); tsig != nil {
 		tsigError = int(tsig.Error)
-		isNotAuth := answer.Rcode == dns.RcodeNotAuth // the library checks no signature of such an answer
+		isNotAuth := answer.Rcode == dns.RcodeNotAuth // the library does not verify the signature of such an answer
 		if tsigError == 0 && err != nil && !isNotAuth {
-			tb.Fatalf("the answer's signature: %v, %s", err, answer)
+			tb.Fatalf("verify the signature of the answer: %v, %s", err, answer)
 		}
 	}
 	return answer.Rcode, tsigError
--- a/internal/dnsserver/journal_test.go
+++ b/internal/dnsserver/journal_test.go
@@ -13,8 +13,8 @@
 	"fawnplank/internal/dnszone"
 )
 
-// writeThreeRemovals writes a journal with the removals of n1, n2 and n3. It returns the text, and the
-// sizes that the journal had before each removal.
+// writeThreeRemovals writes a journal with the removals of n1, n2 and n3. It returns the journal's text, and its sizes
+// before each removal.
 func writeThreeRemovals(t *testing.T, options Options) (journal []byte, sizes []int64) {
 	t.Helper()
 	s := mustStart(t, options)
@@ -37,7 +37,7 @@
 	return journal, sizes
 }
 
-// countCompleteLines returns how many of the ends are at most size.
+// countCompleteLines returns how many of the lines with the given ends lie within size.
 func countCompleteLines(lineEnds []int64, size int64) (complete int) {
 	for _, end := range lineEnds {
 		if size >= end {
@@ -47,15 +47,15 @@
 	return complete
 }
 
-// TestReadJournal_DropsTornLastLine truncates the journal at every byte. A start finds the zone before an
-// update or after it, and never another one.
+// TestReadJournal_DropsTornLastLine guards against a crash during a write. It truncates the journal at every byte after
+// the snapshot. A start reads the zone with exactly the changes whose lines are complete.
 func TestReadJournal_DropsTornLastLine(t *testing.T) {
 	options := newOptions(t, zoneFileText(7, 3))
 	journal, sizes := writeThreeRemovals(t, options)
 	lineEnds := append(sizes[1:], int64(len(journal)))
 	for size := sizes[0]; size <= int64(len(journal)); size++ {
 		complete := countCompleteLines(lineEnds, size)
-		// What a file system may leave behind a torn write.
+		// A file system may leave such bytes after a torn write.
 		for _, tail := range []string{"", "\x00\x00\x00", "0000"} {
 			if complete == 3 && tail == "0000" {
 				continue
@@ -83,7 +83,8 @@
 	}
 }
 
-// TestStart_RejectsCorruptedJournal damages a journal where a torn write cannot. The error names file and line.
+// TestStart_RejectsCorruptedJournal corrupts a journal at positions that a torn write does not affect. Start returns a
+// JournalError with the file and line.
 func TestStart_RejectsCorruptedJournal(t *testing.T) {
 	options := newOptions(t, zoneFileText(7, 3))
 	journal, sizes := writeThreeRemovals(t, options)
@@ -97,20 +98,20 @@
 		writeFile(t, options.JournalFile, string(corrupted))
 		_, err := startServer(t, options)
 		if err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("damage at %d: %v", position, err)
+			t.Errorf("corrupted at %d: %v", position, err)
 		}
 		if _, ok := errors.AsType[*JournalError](err); !ok {
-			t.Errorf("damage at %d: %T, not a JournalError", position, err)
+			t.Errorf("corrupted at %d: %T, not a JournalError", position, err)
 		}
 	}
 	writeFile(t, options.JournalFile, "")
 	if _, err := startServer(t, options); err == nil {
-		t.Error("an empty journal was treated as a missing one")
+		t.Error("Start accepted an empty journal")
 	}
 }
 
-// TestServer_AnswersServerFailureWhenJournalWriteFails makes the journal fail. An update is answered with SERVFAIL
-// and not applied; the same message is applied once the journal can store it.
+// TestServer_AnswersServerFailureWhenJournalWriteFails makes journal writes fail. An update is answered with SERVFAIL
+// and not applied. The same message is applied once the journal is writable again.
 func TestServer_AnswersServerFailureWhenJournalWriteFails(t *testing.T) {
 	options := newOptions(t, zoneFileText(7, 3))
 	s := mustStart(t, options)
@@ -125,7 +126,7 @@
 	update := sign(newUpdate(t, "-"+srvPrefix+"n1.calc.example."), testKey)
 	rcode, _ := s.exchange(t, "udp", update.Copy(), testKey)
 	if rcode != dns.RcodeServerFailure || !s.published.has("n1") || s.Serial() != 7 {
-		t.Errorf("%d, serial %d", rcode, s.Serial())
+		t.Errorf("update without a writable journal: RCODE %d, serial %d", rcode, s.Serial())
 	}
 	s.mu.Lock()
 	s.journal.file = writable
@@ -136,7 +137,8 @@
 	}
 }
 
-// TestReadJournal_RejectsJournalOfAnotherService reads a journal with the settings of another service.
+// TestReadJournal_RejectsJournalOfAnotherService reads a journal with settings for another service. The error contains
+// both settings.
 func TestReadJournal_RejectsJournalOfAnotherService(t *testing.T) {
 	options := newOptions(t, zoneFileText(7, 3))
 	mustStart(t, options).Close()
--- a/internal/dnsserver/transfer_test.go
+++ b/internal/dnsserver/transfer_test.go
@@ -9,8 +9,8 @@
 	"github.com/miekg/dns"
 )
 
-// startSecondary starts a name server that acknowledges NOTIFY messages, and returns its address and the
-// serials that they bring.
+// startSecondary starts a name server that acknowledges NOTIFY messages. It returns the server's address, and a channel
+// with the serials in these messages.
 func startSecondary(t *testing.T) (address string, serials <-chan uint32) {
 	t.Helper()
 	var config net.ListenConfig
@@ -41,7 +41,7 @@
 	return udpConn.LocalAddr().String(), notifiedSerials
 }
 
-// countTransferredRecords runs a signed transfer and returns the number of its records.
+// countTransferredRecords requests a signed transfer and returns the number of records received.
 func countTransferredRecords(t *testing.T, s *testServer, request *dns.Msg) (records int) {
 	t.Helper()
 	transfer := &dns.Transfer{TsigProvider: newKeyring([]Key{testKey})}
@@ -58,7 +58,8 @@
 	return records
 }
 
-// TestServer_AnswersQueries queries names of the zone, which are answered authoritatively.
+// TestServer_AnswersQueries queries names in the zone: with and without records, an alias, and one that does not exist.
+// All answers are authoritative. An answer that exceeds a UDP message is truncated over UDP and complete over TCP.
 func TestServer_AnswersQueries(t *testing.T) {
 	s := mustStart(t, newOptions(t, zoneFileText(7, 400)+"alias CNAME n1\n"))
 	for _, test := range []struct {
@@ -88,16 +89,16 @@
 	}
 	question := new(dns.Msg).SetQuestion(testSettings.Service, dns.TypeSRV)
 	if answer, _, err := new(dns.Client).Exchange(question, s.Address()); err != nil || !answer.Truncated {
-		t.Error("an answer that does not fit a packet does not say so")
+		t.Error("an answer that exceeds a UDP message is not marked as truncated")
 	}
 	tcp := &dns.Client{Net: "tcp"}
 	if answer, _, err := tcp.Exchange(question, s.Address()); err != nil || len(answer.Answer) != 400 {
-		t.Error("by TCP it is not complete")
+		t.Error("the answer over TCP is not complete")
 	}
 }
 
-// TestServer_TransfersToSecondaries notifies a secondary of changes, and transfers the zone or the changes
-// alone.
+// TestServer_TransfersToSecondaries checks that a secondary is notified of changes, and that a transfer contains the
+// complete zone, or only the changes since the secondary's serial if they are kept.
 func TestServer_TransfersToSecondaries(t *testing.T) {
 	address, serials := startSecondary(t)
 	options := newOptions(t, zoneFileText(7, 400)+"alias CNAME n1\n")
@@ -105,7 +106,7 @@
 	s := mustStart(t, options)
 	axfr := new(dns.Msg).SetAxfr(testSettings.Origin)
 	if n := countTransferredRecords(t, s, axfr); n != 400*2+3+2 {
-		t.Errorf("%d records in a transfer", n)
+		t.Errorf("%d records in a transfer of the complete zone", n)
 	}
 	for n := 1; n <= 2; n++ {
 		rcode := s.sendUpdate(t, "udp", fmt.Sprintf("-%sn%d.calc.example.", srvPrefix, n))
@@ -117,13 +118,13 @@
 		return new(dns.Msg).SetIxfr(testSettings.Origin, serial, "ns.", "admin.")
 	}
 	if n := countTransferredRecords(t, s, ixfr(7)); n != 2+2*3 {
-		t.Errorf("%d records for two changes", n)
+		t.Errorf("%d records in a transfer of two changes", n)
 	}
 	if n := countTransferredRecords(t, s, ixfr(9)); n != 1 {
-		t.Errorf("%d records for none", n)
+		t.Errorf("%d records in a transfer to an up-to-date secondary", n)
 	}
 	if n := countTransferredRecords(t, s, ixfr(3)); n != 398+400+3+2 {
-		t.Errorf("%d records where the changes are not known", n)
+		t.Errorf("%d records in a transfer from a serial whose changes are not kept", n)
 	}
 	for lastSerial := uint32(0); lastSerial != 9; {
 		select {
--- a/internal/dnsserver/update_test.go
+++ b/internal/dnsserver/update_test.go
@@ -27,8 +27,8 @@
 	return answer.Rcode
 }
 
-// TestServer_AppliesReplayedUpdateOnce sends the same signed bytes again. Their sender, which may not have
-// received the answer, gets the first answer again. Anybody else is refused, also after a restart.
+// TestServer_AppliesReplayedUpdateOnce sends the same signed message again. Its sender, which may not have received the
+// answer, gets the first answer again. Any other sender is refused, also after a restart.
 func TestServer_AppliesReplayedUpdateOnce(t *testing.T) {
 	options := newOptions(t, zoneFileText(7, 2))
 	s := mustStart(t, options)
@@ -39,28 +39,28 @@
 	}
 	sender := dialServer(t, s, "udp")
 	if exchangePacked(t, sender, packed) != dns.RcodeSuccess || s.published.has("n1") {
-		t.Fatal("not applied")
+		t.Fatal("the update was not applied")
 	}
 	rcode := s.sendUpdate(t, "tcp", srvPrefix+"n1.calc.example.")
 	if rcode != dns.RcodeSuccess || !s.published.has("n1") {
-		t.Fatal("not added again")
+		t.Fatal("the backend was not added again")
 	}
 	if exchangePacked(t, sender, packed) != dns.RcodeSuccess || !s.published.has("n1") {
-		t.Error("the sender's own repeat was applied twice, or refused")
+		t.Error("a retransmission by the sender was applied again, or refused")
 	}
 	if exchangePacked(t, dialServer(t, s, "udp"), packed) != dns.RcodeNotAuth || !s.published.has("n1") {
-		t.Error("a replay was not refused")
+		t.Error("a replay by another sender was not refused")
 	}
 	s.Close()
 	s = mustStart(t, options)
-	s.replayGuard = dnszone.NewReplayGuard(100, time.Now().UnixNano()) // as Start creates it
+	s.replayGuard = dnszone.NewReplayGuard(100, time.Now().UnixNano()) // as created by Start
 	if exchangePacked(t, dialServer(t, s, "udp"), packed) != dns.RcodeNotAuth || !s.published.has("n1") {
 		t.Error("a replay was not refused after a restart")
 	}
 }
 
-// TestServer_LimitsUpdateRate sends more updates than are allowed. No more than allowed are applied, and all
-// are answered.
+// TestServer_LimitsUpdateRate sends more updates than the rate limit allows. Every update is answered, and no more than
+// the allowed number is applied.
 func TestServer_LimitsUpdateRate(t *testing.T) {
 	options := newOptions(t, zoneFileText(7, 3))
 	options.MaxUpdatesPerSecond = 5
@@ -81,7 +81,7 @@
 	}
 }
 
-// restartableServer is a server that is restarted between updates and zone files.
+// restartableServer is a server that a test can restart on the same files.
 type restartableServer struct {
 	*testServer
 }
@@ -105,44 +105,44 @@
 	s.Reload()
 }
 
-func (s *restartableServer) expect(t *testing.T, situation string, serial uint32, backendCount int) {
+func (s *restartableServer) expect(t *testing.T, situation string, serial uint32, size int) {
 	t.Helper()
-	if s.Serial() != serial || s.published.size() != backendCount {
+	if s.Serial() != serial || s.published.size() != size {
 		t.Fatalf("%s: serial %d with %d backends, not %d with %d",
-			situation, s.Serial(), s.published.size(), serial, backendCount)
+			situation, s.Serial(), s.published.size(), serial, size)
 	}
 }
 
-// TestServer_PrefersNewerSerial checks that of the zone file and the updates the one with the newer serial
-// wins, also over restarts and where serials wrap around.
+// TestServer_PrefersNewerSerial checks that the zone file or the updated zone takes precedence, whichever has the newer
+// serial, also after restarts and where serials wrap around.
 func TestServer_PrefersNewerSerial(t *testing.T) {
 	s := &restartableServer{mustStart(t, newOptions(t, zoneFileText(4294967290, 3)))}
 	s.mustUpdate(t, "-"+srvPrefix+"n1.calc.example.")
 	s.mustUpdate(t, "-"+srvPrefix+"n2.calc.example.")
 	s.expect(t, "two updates", 4294967292, 1)
 	s.reload(t, zoneFileText(4294967291, 3))
-	s.expect(t, "a file that contradicts, with a lower serial", 4294967292, 1)
+	s.expect(t, "a different file with an older serial", 4294967292, 1)
 	s.reload(t, zoneFileText(4294967295, 3)+"x MX 1 ns\n")
-	s.expect(t, "a faulty file", 4294967292, 1)
+	s.expect(t, "an invalid file", 4294967292, 1)
 	s.restart(t)
-	s.expect(t, "a restart with a faulty file", 4294967292, 1)
+	s.expect(t, "a restart with an invalid file", 4294967292, 1)
 	for i := range 4 {
 		s.mustUpdate(t, fmt.Sprintf("x%d.calc.example. A 127.9.9.%d", i, i+1))
 	}
-	s.expect(t, "the serial's wrap-around, which skips 0", 1, 1)
+	s.expect(t, "the wrap-around of the serial, which skips 0", 1, 1)
 	s.reload(t, zoneFileText(4294967295, 3))
-	s.expect(t, "a file from before the wrap", 1, 1)
+	s.expect(t, "a file with a serial before the wrap-around", 1, 1)
 	s.reload(t, zoneFileText(2, 3))
 	s.expect(t, "a newer file", 2, 3)
 	readded, _ := s.published.backend("n1")
 	kept, _ := s.published.backend("n3")
 	if readded.StartNanos() == 0 || kept.StartNanos() != 0 {
-		t.Errorf("a backend that the file added again is not new, or one that stayed listed is: %+v", s.published.backends)
+		t.Errorf("a readded backend has no start time, or a kept backend has one: %+v", s.published.backends)
 	}
 	s.restart(t)
 	s.expect(t, "a restart", 2, 3)
 	s.mustUpdate(t, "-"+srvPrefix+"n1.calc.example.", "-"+srvPrefix+"n2.calc.example.", "-"+srvPrefix+"n3.calc.example.")
-	s.expect(t, "the last is removed", 3, 0)
+	s.expect(t, "the removal of the last backend", 3, 0)
 	s.restart(t)
-	s.expect(t, "a restart without any", 3, 0)
+	s.expect(t, "a restart without backends", 3, 0)
 }
