--- a/cmd/fawnplank/limits.go
+++ b/cmd/fawnplank/limits.go
@@ -16,22 +16,22 @@
 	"fawnplank/internal/tlsconfig"
 )
 
-// limits is the server of limit commands. A nil *limits means that the server is off; its methods may still
-// be called.
-type limits struct{ server *limitserver.Server }
+// limitService runs the server of limit commands. A nil *limitService stands for a server that is off; its methods may
+// be called and do nothing.
+type limitService struct{ server *limitserver.Server }
 
-// limitsOptions configures serveLimits.
-type limitsOptions struct {
+// limitServiceOptions configures serveLimits.
+type limitServiceOptions struct {
 	Dispatcher       *dispatch.Dispatcher
 	Metrics          *metrics.Registry
 	Configuration    *config.Config
 	OperatorSettings *config.OperatorSettings
-	Accounts         *billingservice.Service // if nil, there are no commands on accounts
+	Accounts         *billingservice.Service // nil if billing is off; the server then has no account commands
 }
 
-// serveLimits starts the server of limit commands. It returns nil if the operator file names no address for
-// it.
-func serveLimits(ctx context.Context, options limitsOptions) (*limits, error) {
+// serveLimits starts the server of limit commands. It returns nil if the operator file names no address for the
+// server.
+func serveLimits(ctx context.Context, options limitServiceOptions) (*limitService, error) {
 	if options.OperatorSettings.LimitCommands.Listen == "" {
 		return nil, nil
 	}
@@ -41,17 +41,17 @@
 	}
 	server := newLimitServer(options)
 	metrics.AddGauges(options.Metrics, server, limitGauges)
-	go func() { // ends when limits.Close is called
+	go func() { // ends when limitService.Close is called
 		if err := server.Serve(listener); err != nil {
 			logging.For(limitsComponent).WithError(err).Error("stopped")
 		}
 	}()
 	logging.For(limitsComponent).WithField(logging.Address, listener.Addr().String()).Info("listening")
-	return &limits{server}, nil
+	return &limitService{server}, nil
 }
 
-// listenLimits listens on the address that the operator file names, with TLS if it names a certificate.
-func listenLimits(ctx context.Context, options limitsOptions) (net.Listener, error) {
+// listenLimits listens on the limits address of the operator file, with TLS if the operator file names a certificate.
+func listenLimits(ctx context.Context, options limitServiceOptions) (net.Listener, error) {
 	settings := options.OperatorSettings.LimitCommands
 	var listenConfig net.ListenConfig
 	listener, err := listenConfig.Listen(ctx, "tcp", settings.Listen)
@@ -70,7 +70,7 @@
 	return tls.NewListener(listener, source.ServerConfig()), nil
 }
 
-func newLimitServer(options limitsOptions) *limitserver.Server {
+func newLimitServer(options limitServiceOptions) *limitserver.Server {
 	serverOptions := limitserver.Options{
 		Dispatcher:     options.Dispatcher,
 		Settings:       limitSettings(options.Configuration, options.OperatorSettings),
@@ -80,13 +80,13 @@
 	for _, key := range options.OperatorSettings.LimitCommands.Keys {
 		serverOptions.Keys[key.Name] = key.Key
 	}
-	if options.Accounts != nil { // a nil service stored in the interface would not compare as nil
+	if options.Accounts != nil { // an interface that holds a nil pointer is not equal to nil
 		serverOptions.Accounts = options.Accounts
 	}
 	return limitserver.New(serverOptions)
 }
 
-// limitSettings returns what limit commands may name, and how they are checked.
+// limitSettings returns the plans, the class and the bounds that apply to limit commands.
 func limitSettings(configuration *config.Config, operator *config.OperatorSettings) limitserver.Settings {
 	class, _ := configuration.CheckOnlyClass()
 	return limitserver.Settings{
@@ -99,15 +99,15 @@
 }
 
 // UpdateSettings applies the plans of a reloaded configuration.
-func (l *limits) UpdateSettings(settings limitserver.Settings) {
+func (l *limitService) UpdateSettings(settings limitserver.Settings) {
 	if l != nil {
 		l.server.UpdateSettings(settings)
 	}
 }
 
 // Close stops the server.
-func (l *limits) Close() {
+func (l *limitService) Close() {
 	if l != nil {
-		_ = l.server.Close() // nothing can be done about a listener that does not close
+		_ = l.server.Close() // an error cannot be handled: the process is about to end
 	}
 }
--- a/internal/lab/billingbench/billingbench_test.go
+++ b/internal/lab/billingbench/billingbench_test.go
@@ -8,31 +8,31 @@
 	"time"
 )
 
-// TestMeasure_EveryCostIsAboveZero measures one client for a moment, without TLS and with it: every cost is
-// above 0, and abandoned reservations are released. One at a time, since two clusters that look for free ports
-// at once take each other's.
+// TestMeasure_EveryCostIsAboveZero checks that a short measurement with one client gives costs above 0, with and
+// without TLS, and that abandoned reservations are released. The cases run one after the other, because two clusters
+// that search for free ports at the same time may choose the same ones.
 func TestMeasure_EveryCostIsAboveZero(t *testing.T) {
-	for name, secure := range map[string]bool{"plain": false, "TLS": true} {
+	for name, withTLS := range map[string]bool{"plain": false, "TLS": true} {
 		t.Run(name, func(t *testing.T) {
-			options := Options{TLS: secure, Clients: 1, Duration: 100 * time.Millisecond}
+			options := Options{TLS: withTLS, Clients: 1, Duration: 100 * time.Millisecond}
 			cost, err := Measure(t.Context(), options)
 			if err != nil {
 				t.Fatal(err)
 			}
-			if cost.TLS != secure || cost.Clients != 1 {
+			if cost.TLS != withTLS || cost.Clients != 1 {
 				t.Errorf("%+v", cost)
 			}
 			if cost.CommandsPerSecond <= 0 || cost.CommandP50 <= 0 || cost.CommandP99 < cost.CommandP50 {
 				t.Errorf("commands: %+v", cost)
 			}
-			if cost.Release <= 0 || cost.ReleaseBound != 1050 || cost.OrdinaryPathNanos <= 0 {
-				t.Errorf("release and ordinary path: %+v", cost)
+			if cost.ReleaseDelay <= 0 || cost.ReleaseDelayBound != 1050 || cost.RequestOverheadNanos <= 0 {
+				t.Errorf("release and request overhead: %+v", cost)
 			}
 		})
 	}
 }
 
-// TestMeasure_EndsWithContext: a context that has ended ends the measurement, and what was started is freed.
+// TestMeasure_EndsWithContext checks that Measure returns the context's error when the context is canceled.
 func TestMeasure_EndsWithContext(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
@@ -42,12 +42,12 @@
 	}
 }
 
-// TestTable_AlignsCosts compares a table with its text.
-func TestTable_AlignsCosts(t *testing.T) {
+// TestWriteTable_AlignsColumns compares a table with the expected text.
+func TestWriteTable_AlignsColumns(t *testing.T) {
 	var text strings.Builder
-	err := Table(&text, []Cost{{
+	err := WriteTable(&text, []Cost{{
 		TLS: true, Clients: 8, CommandsPerSecond: 2660, CommandP50: 2.9, CommandP99: 7.2,
-		Release: 920, ReleaseBound: 1050, OrdinaryPathNanos: 450,
+		ReleaseDelay: 920, ReleaseDelayBound: 1050, RequestOverheadNanos: 450,
 	}})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/lab/load/load.go
+++ b/internal/lab/load/load.go
@@ -31,7 +31,7 @@
 // Generator emulates the clients of a scenario.
 type Generator struct {
 	scenario  *scenario.Scenario
-	log       *results.Log
+	log       *results.EventLog
 	addresses []string // of the instances
 	requests  sync.WaitGroup
 
@@ -45,7 +45,7 @@
 
 // New returns a generator for a scenario, which records its requests in log. addresses are the addresses of the
 // gateway instances.
-func New(s *scenario.Scenario, log *results.Log, addresses []string) *Generator {
+func New(s *scenario.Scenario, log *results.EventLog, addresses []string) *Generator {
 	return &Generator{
 		scenario:  s,
 		log:       log,
--- a/internal/lab/load/request.go
+++ b/internal/lab/load/request.go
@@ -57,7 +57,7 @@
 		s.isRetry = retries > 0
 		result := g.submit(s)
 		if !result.sent {
-			isLast := retries >= g.scenario.Load.Retries+workload.ExtraConnectRetries
+			isLast := retries >= g.scenario.Load.MaxRetries+workload.ExtraConnectRetries
 			if isLast || time.Until(deadline) <= minRemainingToConnect {
 				g.log.CountNotSent()
 				return
@@ -66,7 +66,7 @@
 			continue
 		}
 		isRetryable := result.kind == invariants.Rejected || result.kind == invariants.Abandoned
-		if !isRetryable || retries >= g.scenario.Load.Retries {
+		if !isRetryable || retries >= g.scenario.Load.MaxRetries {
 			return
 		}
 		// The delay is drawn even if no retry follows, so that a run's random numbers do not depend on the class.
