--- a/cmd/fawnplank/zone.go
+++ b/cmd/fawnplank/zone.go
@@ -37,9 +37,9 @@
 		return nil
 	}
 	options := dnsOptions(z.settings)
-	options.Publish = func(update dnsserver.ListUpdate) { client.Publish(endpointUpdate(update)) }
+	options.Publish = func(update dnsserver.BackendListUpdate) { client.Publish(endpointUpdate(update)) }
 	if replica != nil {
-		options.Replicated = &dnsserver.ReplicatedZone{Replica: replica.Store}
+		options.ReplicatedStore = &dnsserver.ReplicatedZone{Replica: replica.Store}
 	}
 	server, err := dnsserver.Start(options)
 	if err != nil {
@@ -48,7 +48,7 @@
 	z.server.Store(server)
 	metrics.AddGauges(registry, server, zoneGauges)
 	if replica != nil {
-		z.changes.Start(server.StoreChanged)
+		z.changes.Start(server.HandleStoreChange)
 		z.changes.Notify() // handles changes made while the server started
 	}
 	return nil
@@ -60,7 +60,7 @@
 // PublishSnapshot publishes the complete endpoint list again.
 func (z *endpointZone) PublishSnapshot() {
 	if server := z.server.Load(); server != nil {
-		server.PublishAll()
+		server.PublishFullList()
 	}
 }
 
@@ -83,7 +83,7 @@
 }
 
 // endpointUpdate converts changes of a zone to the types of package discovery.
-func endpointUpdate(update dnsserver.ListUpdate) (policy.UpdateKind, []discovery.Endpoint) {
+func endpointUpdate(update dnsserver.BackendListUpdate) (policy.UpdateKind, []discovery.Endpoint) {
 	var endpoints []discovery.Endpoint
 	for _, backend := range update.Updated {
 		endpoints = append(endpoints, zoneEndpoint(backend))
--- a/cmd/fawnplank/zone_test.go
+++ b/cmd/fawnplank/zone_test.go
@@ -90,9 +90,9 @@
 	}
 	options := dnsOptions(operator.DNS)
 	if api != "" {
-		options.Replicated = &dnsserver.ReplicatedZone{Replica: storeClient{address: api}}
+		options.ReplicatedStore = &dnsserver.ReplicatedZone{Replica: storeClient{address: api}}
 	}
-	zone, _, err := dnsserver.ReadInForce(options)
+	zone, _, err := dnsserver.ReadCurrentZone(options)
 	return zone, err
 }
 
--- a/internal/dnsserver/commit.go
+++ b/internal/dnsserver/commit.go
@@ -7,25 +7,26 @@
 	"fawnplank/internal/logging"
 )
 
-// commit evaluates an update on the zone in force and makes its change durable. The caller holds the lock.
-func (s *Server) commit(evaluate func() (*dnszone.Transition, error)) (*dnszone.Transition, error) {
+// commitUpdate evaluates an update on the current zone and stores its change durably. The caller holds the lock.
+func (s *Server) commitUpdate(evaluate func() (*dnszone.Transition, error)) (*dnszone.Transition, error) {
 	if s.storage() == storageReplicated {
-		return s.replicate(evaluate)
+		return s.replicateUpdate(evaluate)
 	}
-	step, err := evaluate()
-	if err == nil && step.Change != nil {
-		err = s.journal.append(step.Change)
+	transition, err := evaluate()
+	if err == nil && transition.Change != nil {
+		err = s.journal.append(transition.Change)
 	}
-	return step, err
+	return transition, err
 }
 
-// advance puts in force the zone that results from one stored change. The caller holds the lock.
-func (s *Server) advance(step *dnszone.Transition) {
-	s.zone = step.Zone
-	s.changes = appendChange(s.changes, step.Change)
-	s.published.Store(s.zone)
-	s.publish(step.Updated, step.Removed)
-	if len(step.Removed) > 0 && s.zone.BackendCount() == 0 {
+// applyTransition makes the zone that results from a stored change the current zone, and publishes the difference.
+// The caller holds the lock.
+func (s *Server) applyTransition(transition *dnszone.Transition) {
+	s.zone = transition.Zone
+	s.changes = appendChange(s.changes, transition.Change)
+	s.publishedZone.Store(s.zone)
+	s.publish(transition.Updated, transition.Removed)
+	if len(transition.Removed) > 0 && s.zone.BackendCount() == 0 {
 		// Requests are rejected until an update or a zone file adds a backend.
 		logging.For(component).Error("last backend removed")
 	}
@@ -35,7 +36,7 @@
 	s.signalSecondaries()
 }
 
-// compact stores the zone as one snapshot if enough changes follow the last one. The caller holds the lock.
+// compact stores the zone as one snapshot if enough changes follow the last snapshot. The caller holds the lock.
 func (s *Server) compact() error {
 	switch s.storage() {
 	case storageReplicated:
@@ -44,19 +45,19 @@
 		if s.journal.changes >= maxJournalChanges {
 			return s.journal.rewrite(s.zone, s.fileSum)
 		}
-	case storageNone, storageLockedJournal: // nothing is stored here
+	case storageNone, storageLockedJournal: // this process stores nothing
 	}
 	return nil
 }
 
 // compactReplicated compacts the changes in the store. The caller holds the lock.
 func (s *Server) compactReplicated() error {
-	if !s.options.Replicated.isFull() {
+	if !s.options.ReplicatedStore.needsCompaction() {
 		return nil
 	}
-	err := s.options.Replicated.replace(s.zone, s.zone, s.fileSum)
-	if errors.Is(err, errBehind) {
-		return nil // another replica compacted them, or the next change does
+	err := s.options.ReplicatedStore.replace(s.zone, s.zone, s.fileSum)
+	if errors.Is(err, errReplicaBehind) {
+		return nil // another replica has compacted the changes, or the next change triggers compaction again
 	}
 	return err
 }
--- a/internal/dnsserver/helpers_test.go
+++ b/internal/dnsserver/helpers_test.go
@@ -16,15 +16,15 @@
 
 var testSettings = dnszone.Settings{Origin: "calc.example.", Service: "_calc._tcp.calc.example."}
 
-const zoneFileHead = `$ORIGIN calc.example.
+const zoneFileHeader = `$ORIGIN calc.example.
 $TTL 30
 @ IN SOA ns admin %d 3600 600 86400 30
 @ IN NS ns
 ns IN A 127.0.0.1
 `
 
-// srvTo is an SRV record of the service without its target.
-const srvTo = "_calc._tcp.calc.example. 30 IN SRV 0 100 7000 "
+// srvPrefix is an SRV record of the service up to its target.
+const srvPrefix = "_calc._tcp.calc.example. 30 IN SRV 0 100 7000 "
 
 var testKey = Key{
 	Name:      "deploy.",
@@ -32,68 +32,68 @@
 	Secret:    []byte("0123456789abcdef0123456789abcdef"),
 }
 
-// otherKey has another algorithm.
+// otherKey has a different algorithm than testKey.
 var otherKey = Key{Name: "other.", Algorithm: dns.HmacSHA512, Secret: []byte("fedcba9876543210")}
 
-// zoneFileText returns a zone file with the backends n1 to nCOUNT.
+// zoneFileText returns a zone file with a serial and the given number of backends, named n1, n2 and so on.
 func zoneFileText(serial uint32, count int) string {
 	var text strings.Builder
-	fmt.Fprintf(&text, zoneFileHead, serial)
+	fmt.Fprintf(&text, zoneFileHeader, serial)
 	for i := 1; i <= count; i++ {
 		fmt.Fprintf(&text, "_calc._tcp SRV 0 100 7000 n%d\nn%d A 127.0.%d.%d\n", i, i, 1+i/250, i%250)
 	}
 	return text.String()
 }
 
-// subscriber records the published list.
-type subscriber struct {
-	mu   sync.Mutex
-	list map[string]dnszone.Backend
+// listRecorder keeps the published list of backends, by name.
+type listRecorder struct {
+	mu       sync.Mutex
+	backends map[string]dnszone.Backend
 }
 
-func (s *subscriber) publish(update ListUpdate) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
+func (r *listRecorder) publish(update BackendListUpdate) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
 	if update.Full {
-		s.list = map[string]dnszone.Backend{}
+		r.backends = map[string]dnszone.Backend{}
 	}
 	for _, backend := range update.Updated {
-		s.list[backend.Name] = backend
+		r.backends[backend.Name] = backend
 	}
 	for _, name := range update.Removed {
-		delete(s.list, name)
+		delete(r.backends, name)
 	}
 }
 
-func (s *subscriber) backend(name string) (dnszone.Backend, bool) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	backend, ok := s.list[name+".calc.example:7000"]
+func (r *listRecorder) backend(name string) (dnszone.Backend, bool) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	backend, ok := r.backends[name+".calc.example:7000"]
 	return backend, ok
 }
 
-func (s *subscriber) has(name string) bool {
-	_, ok := s.backend(name)
+func (r *listRecorder) has(name string) bool {
+	_, ok := r.backend(name)
 	return ok
 }
 
-func (s *subscriber) size() int {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return len(s.list)
+func (r *listRecorder) size() int {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return len(r.backends)
 }
 
-// testServer is a server with files of its own, and the list that it publishes.
+// testServer is a server with the list that it publishes.
 type testServer struct {
 	*Server
-	published *subscriber
-	files     Options // as they were passed
+	published    *listRecorder
+	startOptions Options // as passed to startServer
 }
 
-// startServer starts a server with the test's settings and keys, at a free port.
+// startServer starts a server with the test settings on a free port. Keys and rate limit have defaults.
 func startServer(tb testing.TB, options Options) (*testServer, error) {
 	tb.Helper()
-	s := &testServer{published: &subscriber{}, files: options}
+	s := &testServer{published: &listRecorder{}, startOptions: options}
 	options.Settings = testSettings
 	options.ListenAddress = "127.0.0.1:0"
 	options.Publish = s.published.publish
@@ -107,9 +107,9 @@
 	if err != nil {
 		return nil, err
 	}
-	// Tests sign in the second of the start, which a guard refuses.
-	minuteAgo := time.Now().Add(-time.Minute).UnixNano()
-	server.guard = dnszone.NewReplayGuard(options.MaxUpdatesPerSecond, minuteAgo)
+	// Tests sign messages in the second of the start, which the replay guard of Start would refuse.
+	minuteAgoNanos := time.Now().Add(-time.Minute).UnixNano()
+	server.replayGuard = dnszone.NewReplayGuard(options.MaxUpdatesPerSecond, minuteAgoNanos)
 	tb.Cleanup(server.Close)
 	s.Server = server
 	return s, nil
@@ -124,8 +124,8 @@
 	return s
 }
 
-// newFiles writes a zone file to a folder of its own, and returns options with it and a journal beside it.
-func newFiles(tb testing.TB, zoneFile string) Options {
+// newOptions writes a zone file to a new folder, and returns options with this file and a journal in the same folder.
+func newOptions(tb testing.TB, zoneFile string) Options {
 	tb.Helper()
 	folder := tb.TempDir()
 	options := Options{
@@ -152,7 +152,7 @@
 	return []dns.RR{rr}
 }
 
-// newUpdate returns an update that adds records, or deletes those with a leading minus.
+// newUpdate returns an update that adds the given records, and deletes the records that have a leading minus sign.
 func newUpdate(tb testing.TB, records ...string) *dns.Msg {
 	tb.Helper()
 	message := new(dns.Msg).SetUpdate(testSettings.Origin)
@@ -166,11 +166,11 @@
 	return message
 }
 
-func signed(message *dns.Msg, key Key) *dns.Msg {
+func sign(message *dns.Msg, key Key) *dns.Msg {
 	return message.SetTsig(key.Name, key.Algorithm, dnszone.FudgeSeconds, time.Now().Unix())
 }
 
-// exchange sends a message and returns the answer's RCODE, and the TSIG's own.
+// exchange sends a message and returns the RCODE of the answer and the error in its TSIG.
 func (s *testServer) exchange(
 	tb testing.TB, network string, message *dns.Msg, key Key,
 ) (rcode, tsigError int) {
@@ -182,9 +182,9 @@
 	}
 	if tsig := answer.IsTsig(); tsig != nil {
 		tsigError = int(tsig.Error)
-		isNotAuth := answer.Rcode == dns.RcodeNotAuth // the library checks no signature of such an answer
+		isNotAuth := answer.Rcode == dns.RcodeNotAuth // the library does not verify the signature of such an answer
 		if tsigError == 0 && err != nil && !isNotAuth {
-			tb.Fatalf("the answer's signature: %v, %s", err, answer)
+			tb.Fatalf("verify the signature of the answer: %v, %s", err, answer)
 		}
 	}
 	return answer.Rcode, tsigError
@@ -193,6 +193,6 @@
 // sendUpdate signs and sends an update, and returns the RCODE of its answer.
 func (s *testServer) sendUpdate(tb testing.TB, network string, records ...string) int {
 	tb.Helper()
-	rcode, _ := s.exchange(tb, network, signed(newUpdate(tb, records...), testKey), testKey)
+	rcode, _ := s.exchange(tb, network, sign(newUpdate(tb, records...), testKey), testKey)
 	return rcode
 }
--- a/internal/dnsserver/install.go
+++ b/internal/dnsserver/install.go
@@ -6,11 +6,11 @@
 	"fawnplank/internal/dnszone"
 )
 
-// publication is the form in which install publishes the list of a zone.
+// publication is the form in which install publishes a zone's list of backends.
 type publication int
 
 const (
-	asDifference publication = iota // from the list in force, or as the full list if none is in force
+	asDifference publication = iota // from the list published before, or the full list if there is none
 	asFullList
 )
 
@@ -25,40 +25,42 @@
 	return fmt.Sprintf("publication(%d)", int(p))
 }
 
-// install puts a zone in force and publishes its list. The caller holds the lock.
+// install makes a stored zone the current zone and publishes its list of backends. The caller holds the lock.
 func (s *Server) install(stored *storedZone, form publication) {
-	old := s.zone
+	oldZone := s.zone
 	s.zone = stored.zone
 	s.fileSum = stored.fileSum
 	s.changes = stored.changes
-	s.published.Store(s.zone)
+	s.publishedZone.Store(s.zone)
 	for _, change := range stored.changes {
-		s.guard.RecordOutcome(change.Signature, dnszone.Outcome{}, change.AcceptedNanos)
+		s.replayGuard.RecordOutcome(change.Signature, dnszone.Outcome{}, change.AcceptedNanos)
 	}
-	if form == asFullList || old == nil {
-		s.publishAll()
+	if form == asFullList || oldZone == nil {
+		s.publishFullList()
 	} else {
-		updated, removed := dnszone.DiffBackends(old, s.zone)
+		updated, removed := dnszone.DiffBackends(oldZone, s.zone)
 		s.publish(updated, removed)
 	}
 	s.signalSecondaries()
 }
 
-// publish publishes a difference, unless it is empty. The caller holds the lock.
+// publish publishes a difference to the list unless the difference is empty. The caller holds the lock.
 func (s *Server) publish(updated []dnszone.Backend, removed []string) {
 	if len(updated)+len(removed) > 0 {
-		s.options.Publish(ListUpdate{Updated: updated, Removed: removed})
+		s.options.Publish(BackendListUpdate{Updated: updated, Removed: removed})
 	}
 }
 
-// publishAll publishes the full list. The caller holds the lock.
-func (s *Server) publishAll() { s.options.Publish(ListUpdate{Updated: s.zone.Backends(), Full: true}) }
+// publishFullList publishes the full list. The caller holds the lock.
+func (s *Server) publishFullList() {
+	s.options.Publish(BackendListUpdate{Updated: s.zone.Backends(), Full: true})
+}
 
-// PublishAll publishes the full list again, if there is a zone.
-func (s *Server) PublishAll() {
+// PublishFullList publishes the full list again. It does nothing while no zone is loaded.
+func (s *Server) PublishFullList() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.zone != nil {
-		s.publishAll()
+		s.publishFullList()
 	}
 }
--- a/internal/dnsserver/journal.go
+++ b/internal/dnsserver/journal.go
@@ -12,29 +12,29 @@
 )
 
 const (
-	// maxJournalChanges is how many changes a journal has before it is compacted into one snapshot. A start
-	// reads that many in some tens of milliseconds.
+	// maxJournalChanges is the number of changes at which a journal is compacted into one snapshot. A start reads
+	// this many changes in some tens of milliseconds.
 	maxJournalChanges = 4096
 	// journalMode is the file mode of the journal and its lock file.
 	journalMode = 0o600
 )
 
-// journal preserves the zone in force across a restart. It consists of one line with a snapshot, and one line
-// for each later change (journal_line.go). An update is answered once its line is synced, so a torn last line
-// belongs to an update that was never answered with NOERROR.
+// journal preserves the current zone across a restart. It consists of one line with a snapshot, and one line for each
+// later change (journal_line.go). An update is answered with NOERROR only after its line is synced, so a torn last
+// line belongs to an update that was never answered with NOERROR.
 //
-// The server's lock guards the journal within the process; the lock file guards it between processes.
+// The server's mutex serializes access within the process; the lock file excludes other processes.
 type journal struct {
 	path     string
 	file     *os.File // nil until resume or rewrite
 	lockFile *os.File
 	size     int64 // bytes
-	changes  int   // lines after the first
-	failed   error // why nothing more may be written; nil if writing is allowed
+	changes  int   // number of changes after the snapshot
+	writeErr error // why the journal accepts no more changes; nil if it accepts them
 }
 
 // errJournalLocked reports that another process has locked the journal.
-var errJournalLocked = errors.New("another process has the journal")
+var errJournalLocked = errors.New("another process has locked the journal")
 
 // lockJournal locks the journal for this process, or returns errJournalLocked.
 func lockJournal(path string) (*journal, error) {
@@ -53,7 +53,7 @@
 	return nil, fmt.Errorf("%s.lock: %w", path, err)
 }
 
-// resume prepares the journal for writing after the lines that were read. It truncates a torn line.
+// resume opens the journal for writing after the lines that were read. It truncates a torn last line.
 func (j *journal) resume(stored *storedZone) error {
 	file, err := os.OpenFile(j.path, os.O_RDWR, journalMode)
 	if err != nil {
@@ -73,7 +73,7 @@
 
 // rewrite replaces the journal with one that holds only a snapshot. On an error the old journal remains.
 func (j *journal) rewrite(zone *dnszone.Zone, fileSum string) error {
-	text, err := encodeLine(newZoneRecord(zone, fileSum))
+	text, err := encodeJournalLine(newZoneRecord(zone, fileSum))
 	if err != nil {
 		return err
 	}
@@ -82,20 +82,20 @@
 	}
 	file, err := os.OpenFile(j.path, os.O_RDWR, journalMode)
 	if err != nil {
-		j.failed = err // the open file is no longer the one at the path
+		j.writeErr = err // the open file is no longer the file at the path
 		return err
 	}
 	if j.file != nil {
-		_ = j.file.Close() // replaced, and its content is no longer read
+		_ = j.file.Close() // the old file is replaced and no longer needed
 	}
 	j.file = file
 	j.size = int64(len(text))
 	j.changes = 0
-	j.failed = nil
+	j.writeErr = nil
 	return nil
 }
 
-// replaceJournal replaces the journal durably. It ignores a folder that cannot be opened to sync it.
+// replaceJournal replaces the journal durably. It tolerates a folder that cannot be opened to be synced.
 func replaceJournal(path string, content []byte) error {
 	err := durable.WriteFile(path, content, journalMode)
 	if _, ok := errors.AsType[*durable.DirOpenError](err); ok {
@@ -104,19 +104,19 @@
 	return err
 }
 
-// append writes a change and returns once the change is durable. After an error the journal is unchanged, or
-// accepts nothing more until it is rewritten.
+// append writes a change and returns once the change is durable. After an error the journal is either unchanged, or
+// rejects further changes until it is rewritten.
 func (j *journal) append(change *dnszone.Change) error {
-	if j.failed != nil {
-		return j.failed
+	if j.writeErr != nil {
+		return j.writeErr
 	}
-	text, err := encodeLine(change)
+	text, err := encodeJournalLine(change)
 	if err != nil {
 		return err
 	}
 	if err := j.writeLine(text); err != nil {
 		if truncateErr := j.file.Truncate(j.size); truncateErr != nil {
-			j.failed = fmt.Errorf("%s: %w", j.path, truncateErr)
+			j.writeErr = fmt.Errorf("%s: %w", j.path, truncateErr)
 		}
 		return err
 	}
@@ -125,13 +125,13 @@
 	return nil
 }
 
-// writeLine writes a line after the others and syncs it.
+// writeLine writes a line at the end of the journal and syncs it.
 func (j *journal) writeLine(line []byte) error {
 	if _, err := j.file.WriteAt(line, j.size); err != nil {
 		return err
 	}
 	if err := j.file.Sync(); err != nil {
-		j.failed = fmt.Errorf("%s: %w", j.path, err) // after a failed sync it is unknown what is durable
+		j.writeErr = fmt.Errorf("%s: %w", j.path, err) // after a failed sync it is unknown what is durable
 		return err
 	}
 	return nil
--- a/internal/dnsserver/journal_read.go
+++ b/internal/dnsserver/journal_read.go
@@ -12,17 +12,17 @@
 
 var (
 	errChecksum     = errors.New("the checksum does not match")
-	errEmptyJournal = errors.New("is empty")
+	errEmptyJournal = errors.New("the journal is empty")
 )
 
-// JournalError reports damage in a journal, or a journal that does not belong here.
+// JournalError reports a corrupted journal, or a journal that does not match the settings.
 type JournalError struct {
 	File string
 	Line int // from 1
 	Err  error
 }
 
-// Error names file and line, and says what to do.
+// Error returns the error with its file and line, and the remedy.
 func (e *JournalError) Error() string {
 	return fmt.Sprintf("%s:%d: %v; restore the journal from a copy, or move it away so that the zone file alone applies",
 		e.File, e.Line, e.Err)
@@ -31,9 +31,9 @@
 // Unwrap returns the error without its position.
 func (e *JournalError) Unwrap() error { return e.Err }
 
-// readJournal reads a journal, which another process may be writing. If the journal is missing, the error is
-// os.ErrNotExist. Damage anywhere except in the last line is a *JournalError, because continuing without the
-// damaged part would restore removed backends.
+// readJournal reads a journal while another process may be writing it. If the journal is missing, the error wraps
+// os.ErrNotExist. Corruption anywhere except in the last line is a *JournalError, because skipping the corrupted part
+// would restore removed backends.
 func readJournal(path string, settings dnszone.Settings) (*storedZone, error) {
 	text, err := readAll(path)
 	if err != nil {
@@ -43,26 +43,26 @@
 		return nil, &JournalError{File: path, Line: 1, Err: errEmptyJournal}
 	}
 	var stored *storedZone
-	for number := 1; len(text) > 0; number++ {
+	for lineNumber := 1; len(text) > 0; lineNumber++ {
 		line, rest, isTerminated := bytes.Cut(text, []byte{'\n'})
-		body, isValid := decodeLine(line)
+		body, isValid := decodeJournalLine(line)
 		isIntact := isTerminated && isValid
-		if !isIntact && number > 1 && len(rest) == 0 {
+		if !isIntact && lineNumber > 1 && len(rest) == 0 {
 			stored.tornBytes = int64(len(text))
 			break
 		}
 		switch {
 		case !isIntact:
 			err = errChecksum
-		case number == 1:
+		case lineNumber == 1:
 			stored, err = decodeZoneRecord(body, settings)
 		default:
 			err = stored.decodeChange(body)
 		}
 		if err != nil {
-			return nil, &JournalError{File: path, Line: number, Err: err}
+			return nil, &JournalError{File: path, Line: lineNumber, Err: err}
 		}
-		stored.size += int64(len(line)) + 1 // with its newline
+		stored.size += int64(len(line)) + 1 // plus the newline
 		text = rest
 	}
 	return stored, nil
@@ -70,11 +70,11 @@
 
 // decodeChange decodes a line after the first one and applies its change.
 func (z *storedZone) decodeChange(body []byte) error {
-	step, err := decodeStep(z.zone, body)
+	transition, err := decodeTransition(z.zone, body)
 	if err != nil {
 		return err
 	}
-	z.advance(step)
+	z.applyTransition(transition)
 	return nil
 }
 
--- a/internal/dnsserver/load.go
+++ b/internal/dnsserver/load.go
@@ -7,24 +7,24 @@
 	"fawnplank/internal/logging"
 )
 
-// errStoreUnavailable reports that the store does not accept anything yet.
+// errStoreUnavailable reports that the store does not accept writes yet.
 var errStoreUnavailable = errors.New("the store has not accepted the zone")
 
-// load determines the zone in force and publishes it. The caller holds the lock.
+// load determines the current zone and publishes it. The caller holds the lock.
 //
-// Of the zone file and the updates, the one with the newer serial wins. A file whose serial is newer than the
-// one in force replaces the zone and supersedes the updates before it. Any other file changes nothing.
+// The zone file replaces the stored zone, and supersedes the updates to it, if the file's serial is newer. Otherwise
+// the stored zone remains current.
 func (s *Server) load(nowNanos int64) error {
 	file, fileErr := s.options.readZoneFile()
-	stored, err := s.readStored()
+	stored, err := s.readStoredZone()
 	if err != nil {
 		return err
 	}
-	if stored == nil { // the first start, or nothing is stored
+	if stored == nil { // this is the first start, or the zone is not stored
 		if fileErr != nil {
 			return fileErr
 		}
-		return s.initialize(file)
+		return s.installInitialZone(file)
 	}
 	if s.journal != nil {
 		if err := s.journal.resume(stored); err != nil {
@@ -36,14 +36,14 @@
 		logZoneFileRejected(fileErr)
 		return nil
 	}
-	s.adopt(file, nowNanos)
+	s.adoptZoneFile(file, nowNanos)
 	return nil
 }
 
-// readStored reads the content of the store or the journal. It returns nil if there is none. The caller holds
-// the lock.
-func (s *Server) readStored() (*storedZone, error) {
-	stored, err := s.options.readStored()
+// readStoredZone reads the zone in the store or the journal. It returns nil if no zone is stored. The caller holds the
+// lock.
+func (s *Server) readStoredZone() (*storedZone, error) {
+	stored, err := s.options.readStoredZone()
 	if err != nil {
 		return nil, err
 	}
@@ -54,27 +54,27 @@
 	return stored, nil
 }
 
-// initialize stores and installs the first zone. The caller holds the lock.
-func (s *Server) initialize(file zoneFile) error {
-	if err := s.storeFirst(file); err != nil {
+// installInitialZone stores a zone file as the first zone and installs it. The caller holds the lock.
+func (s *Server) installInitialZone(file zoneFile) error {
+	if err := s.storeInitialZone(file); err != nil {
 		return err
 	}
-	s.install(&storedZone{zone: file.zone, fileSum: file.sum}, asFullList)
+	s.install(&storedZone{zone: file.zone, fileSum: file.checksum}, asFullList)
 	return nil
 }
 
-// storeFirst stores the first zone. The caller holds the lock.
-func (s *Server) storeFirst(file zoneFile) error {
+// storeInitialZone stores the first zone. The caller holds the lock.
+func (s *Server) storeInitialZone(file zoneFile) error {
 	switch s.storage() {
 	case storageReplicated:
-		err := s.options.Replicated.initialize(file.zone, file.sum)
-		if err != nil && !errors.Is(err, errBehind) {
+		err := s.options.ReplicatedStore.initialize(file.zone, file.checksum)
+		if err != nil && !errors.Is(err, errReplicaBehind) {
 			return fmt.Errorf("%w: %w", errStoreUnavailable, err)
 		}
 		return err
 	case storageJournal:
-		return s.journal.rewrite(file.zone, file.sum)
-	case storageNone, storageLockedJournal: // nothing is stored here
+		return s.journal.rewrite(file.zone, file.checksum)
+	case storageNone, storageLockedJournal: // this process stores nothing
 	}
 	return nil
 }
--- a/internal/dnsserver/query.go
+++ b/internal/dnsserver/query.go
@@ -7,19 +7,19 @@
 )
 
 const (
-	// plainUDPBytes is the size limit of a UDP answer if the client states none (RFC 1035, 4.2.1).
-	plainUDPBytes = 512
-	// ednsUDPBytes is the size that the server offers. An answer of this size passes any link without
-	// fragmentation.
-	ednsUDPBytes = 1232
-	// maxAliases is how many CNAMEs an answer follows. It also ends a loop of CNAMEs.
+	// defaultUDPPayloadBytes is the size limit of a UDP answer to a client without EDNS (RFC 1035, 4.2.1).
+	defaultUDPPayloadBytes = 512
+	// maxUDPPayloadBytes is the UDP payload size that the server advertises. No link has to fragment an answer of
+	// this size.
+	maxUDPPayloadBytes = 1232
+	// maxAliases is the number of CNAMEs that are followed for an answer. It also terminates CNAME loops.
 	maxAliases = 8
 )
 
-// query answers a question about the zone authoritatively. It refuses other questions, because the server
-// does no recursion.
-func (s *Server) query(incoming *incomingMessage) *dns.Msg {
-	zone := s.published.Load()
+// answerQuery returns the authoritative answer to a query for a name in the zone. It refuses other queries, because
+// the server does not offer recursion.
+func (s *Server) answerQuery(incoming *incomingMessage) *dns.Msg {
+	zone := s.publishedZone.Load()
 	answer := new(dns.Msg).SetReply(incoming.request)
 	question := incoming.request.Question[0]
 	name := dns.CanonicalName(question.Name)
@@ -36,14 +36,14 @@
 		answer.Ns = zone.RRset(zone.Origin, dns.TypeSOA)
 	}
 	if incoming.request.IsEdns0() != nil {
-		answer.SetEdns0(ednsUDPBytes, false)
+		answer.SetEdns0(maxUDPPayloadBytes, false)
 	}
 	answer.Truncate(incoming.maxAnswerBytes())
 	return answer
 }
 
-// resolve returns the records of a name and type, preceded by the CNAMEs that lead to them, and the last name
-// (RFC 1034, 4.3.2).
+// resolve returns the records of a name and type, preceded by the CNAMEs that lead to them, and the last name of this
+// chain (RFC 1034, 4.3.2).
 func resolve(zone *dnszone.Zone, name string, rrtype uint16) (rrs []dns.RR, last string) {
 	for range maxAliases {
 		rrs = append(rrs, zone.RRset(name, rrtype)...)
@@ -57,14 +57,14 @@
 	return rrs, name
 }
 
-// maxAnswerBytes returns the size limit of an answer: that of a TCP message, what the client offers with EDNS
-// (RFC 6891), or 512 bytes.
+// maxAnswerBytes returns the size limit of an answer: the maximum size of a message over TCP, the payload size that
+// the client advertises with EDNS (RFC 6891) within the server's limits, or the default for UDP.
 func (m *incomingMessage) maxAnswerBytes() int {
 	if m.isTCP() {
 		return dns.MaxMsgSize
 	}
 	if opt := m.request.IsEdns0(); opt != nil {
-		return min(max(int(opt.UDPSize()), plainUDPBytes), ednsUDPBytes)
+		return min(max(int(opt.UDPSize()), defaultUDPPayloadBytes), maxUDPPayloadBytes)
 	}
-	return plainUDPBytes
+	return defaultUDPPayloadBytes
 }
--- a/internal/dnsserver/reload.go
+++ b/internal/dnsserver/reload.go
@@ -7,8 +7,8 @@
 	"fawnplank/internal/logging"
 )
 
-// Reload reads the zone file again, and adopts it if its serial is newer than that in force. If the file is
-// faulty, the fault is logged and the zone in force does not change.
+// Reload reads the zone file again, and adopts it if its serial is newer than the current serial. If the file is
+// invalid, the error is logged and the current zone remains.
 func (s *Server) Reload() {
 	file, err := s.options.readZoneFile()
 	s.mu.Lock()
@@ -17,20 +17,20 @@
 		logZoneFileRejected(err)
 		return
 	}
-	if s.zone == nil { // awaitStore reads the file again
+	if s.zone == nil { // awaitStore will read the file again
 		return
 	}
-	s.adopt(file, time.Now().UnixNano())
+	s.adoptZoneFile(file, time.Now().UnixNano())
 }
 
 func logZoneFileRejected(err error) {
 	logging.For(component).WithError(err).Error("zone file rejected")
 }
 
-// adopt replaces the zone in force with a newly read file, if the file's serial is newer. The caller holds
-// the lock.
-func (s *Server) adopt(file zoneFile, nowNanos int64) {
-	if file.sum == s.fileSum { // the text that was adopted last
+// adoptZoneFile replaces the current zone with a newly read file if the file's serial is newer. The caller holds the
+// lock.
+func (s *Server) adoptZoneFile(file zoneFile, nowNanos int64) {
+	if file.checksum == s.fileSum { // the file has not changed since it was adopted
 		return
 	}
 	log := logging.For(component).
@@ -41,22 +41,22 @@
 		log.Error("zone file ignored: serial not newer")
 		return
 	}
-	next := file.zone.WithStartTimesOf(s.zone, nowNanos)
-	if err := s.storeReplacement(next, file.sum); err != nil {
+	newZone := file.zone.WithStartTimesOf(s.zone, nowNanos)
+	if err := s.storeReplacement(newZone, file.checksum); err != nil {
 		log.WithError(err).Error("zone file not stored")
 		return
 	}
 	log.WithField("updates_superseded", len(s.changes)).Info("zone file adopted")
-	s.install(&storedZone{zone: next, fileSum: file.sum}, asDifference)
+	s.install(&storedZone{zone: newZone, fileSum: file.checksum}, asDifference)
 }
 
-// storeReplacement stores a zone file that replaces the zone in force. The caller holds the lock.
-func (s *Server) storeReplacement(next *dnszone.Zone, fileSum string) error {
+// storeReplacement stores the zone of a file that replaces the current zone. The caller holds the lock.
+func (s *Server) storeReplacement(newZone *dnszone.Zone, fileSum string) error {
 	switch s.storage() {
 	case storageReplicated:
-		return s.options.Replicated.replace(s.zone, next, fileSum)
+		return s.options.ReplicatedStore.replace(s.zone, newZone, fileSum)
 	case storageJournal:
-		return s.journal.rewrite(next, fileSum)
+		return s.journal.rewrite(newZone, fileSum)
 	case storageLockedJournal:
 		return errJournalLocked
 	case storageNone: // a restart reads the file again
