--- a/internal/frontend/doc.go
+++ b/internal/frontend/doc.go
@@ -23,5 +23,5 @@
 // Connections: connection.go with the table of state transitions, reader.go and reader_buffer.go, command_timeout.go,
 // invalid_command_pause.go, backpressure.go, client_gone.go, connection_error.go, connection_end.go. Commands:
 // commands.go, parser.go, request.go with request_rewrite.go and request_usage.go, responses.go. Drain and shutdown:
-// drain.go, drain_rejection.go, outlasting_connections.go, shutdown.go.
+// drain.go, drain_rejection.go, undrained_connections.go, shutdown.go.
 package frontend
--- a/internal/simadapter/recorder_world_test.go
+++ b/internal/simadapter/recorder_environment_test.go
@@ -7,8 +7,8 @@
 	"fawnplank/policy"
 )
 
-// This file holds the simulated world of the recorder: starts of instances, state changes of backends, requests of
-// clients, and the results of attempts and of calls to the counter. The order of the random draws determines the
+// This file holds the simulated environment of the recorder: starts of instances, state changes of backends, requests
+// of clients, and the results of attempts and of calls to the counter. The order of the random draws determines the
 // recorded stream and must not change.
 
 func (r *recorder) createInstance(instanceID uint32) {
