--- a/internal/lab/emulator/counter_test.go
+++ b/internal/lab/emulator/counter_test.go
@@ -54,7 +54,7 @@
 	}
 	got, _ := conn.roundTrip("bump a 1\r\n") // an error shows as a truncated answer
 	c.check("malformed call", got, "error\r\n")
-	got, _ = conn.roundTrip("ping\r\n") // as above
+	got, _ = conn.roundTrip("ping\r\n") // an error shows as a truncated answer
 	c.check("valid ping", got, "pong\r\n")
 	c.withFault(scenario.CounterRefuse, func() { c.check("refuse", c.add(0, 1), "refused") })
 	c.check("back", c.add(0, 0), "ok 5")
--- a/internal/lab/invariants/checker.go
+++ b/internal/lab/invariants/checker.go
@@ -108,8 +108,8 @@
 func (c *Checker) report(rule Rule, at monotime.Instant, format string, args ...any) {
 	c.counts[rule]++
 	if c.counts[rule] <= maxFindings {
-		what := fmt.Sprintf(format, args...)
-		c.findings = append(c.findings, Finding{Rule: rule, At: at, Description: what})
+		description := fmt.Sprintf(format, args...)
+		c.findings = append(c.findings, Finding{Rule: rule, At: at, Description: description})
 	}
 }
 
--- a/internal/lab/load/request.go
+++ b/internal/lab/load/request.go
@@ -157,7 +157,8 @@
 	case conn.reused:
 		return outcome{}, errStaleConnection
 	}
-	return outcome{kind: invariants.Aborted, sent: true}, nil // a running instance closed the connection: likewise
+	// A running instance closed the connection without an answer; the invariants report the missing answer.
+	return outcome{kind: invariants.Aborted, sent: true}, nil
 }
 
 func (g *Generator) roundTrip(s submission, conn *connection) (string, error) {
--- a/internal/lab/model/counter.go
+++ b/internal/lab/model/counter.go
@@ -23,9 +23,9 @@
 	entries    map[policy.CounterKey]*counterEntry
 	queue      counterqueue.Queue
 
-	refusing       int // number of active faults of this kind; likewise hanging and partitioned
-	hanging        int
-	partitioned    map[int]int   // by instance index
+	refusing       int           // number of active CounterRefuse faults
+	hanging        int           // number of active CounterHang faults
+	partitioned    map[int]int   // number of active CounterCut faults by instance index
 	extraDelay     time.Duration // sum over the active faults
 	delayedAnswers []func()      // answers held back until the counter no longer hangs
 }
@@ -53,24 +53,24 @@
 
 // deliverResult records a call's result and delivers it to the instance once all earlier calls with the same key
 // have results. Only the first result of a call has an effect.
-func (k *counterCall) deliverResult(outcome policy.Outcome, total float64) {
-	i := k.instance
-	if k.isDone || i.incarnation != k.incarnation {
+func (call *counterCall) deliverResult(outcome policy.Outcome, total float64) {
+	i := call.instance
+	if call.isDone || i.incarnation != call.incarnation {
 		return
 	}
-	k.isDone = true
-	k.outcome = outcome
-	k.total = total
-	for len(i.calls[k.key]) > 0 && i.calls[k.key][0].isDone {
-		first := i.calls[k.key][0]
-		i.calls[k.key] = i.calls[k.key][1:]
-		if len(i.calls[k.key]) == 0 {
-			delete(i.calls, k.key)
+	call.isDone = true
+	call.outcome = outcome
+	call.total = total
+	for len(i.calls[call.key]) > 0 && i.calls[call.key][0].isDone {
+		first := i.calls[call.key][0]
+		i.calls[call.key] = i.calls[call.key][1:]
+		if len(i.calls[call.key]) == 0 {
+			delete(i.calls, call.key)
 		}
 		i.simulation.recorder.CountCounterCall(i.simulation.now, first.outcome != policy.Succeeded)
-		result := policy.CounterResult{Key: k.key, Outcome: first.outcome, Total: first.total}
+		result := policy.CounterResult{Key: call.key, Outcome: first.outcome, Total: first.total}
 		i.engine.HandleCounterResult(i.simulation.engineNow(), result)
-		if i.incarnation != k.incarnation {
+		if i.incarnation != call.incarnation {
 			return
 		}
 	}
@@ -79,30 +79,30 @@
 // call sends a call from an instance to the counter.
 func (c *counter) call(from *instance, key policy.CounterKey, units float64, lifetime time.Duration) {
 	sim := c.simulation
-	k := &counterCall{instance: from, incarnation: from.incarnation, key: key}
-	from.calls[key] = append(from.calls[key], k)
-	sim.after(time.Duration(sim.scenario.Counter.Timeout), func() { k.deliverResult(policy.TimedOut, 0) })
+	newCall := &counterCall{instance: from, incarnation: from.incarnation, key: key}
+	from.calls[key] = append(from.calls[key], newCall)
+	sim.after(time.Duration(sim.scenario.Counter.Timeout), func() { newCall.deliverResult(policy.TimedOut, 0) })
 	sim.after(sim.drawOneWayDelay(), func() {
-		c.arrive(k, func() {
+		c.arrive(newCall, func() {
 			total := c.add(key, units, lifetime)
-			sim.after(sim.drawOneWayDelay(), func() { k.deliverResult(policy.Succeeded, total) })
+			sim.after(sim.drawOneWayDelay(), func() { newCall.deliverResult(policy.Succeeded, total) })
 		})
 	})
 }
 
 // arrive handles a call that reaches the counter. It drops, refuses, holds back or schedules the answer.
-func (c *counter) arrive(k *counterCall, answer func()) {
+func (c *counter) arrive(call *counterCall, answer func()) {
 	sim := c.simulation
 	switch {
-	case c.partitioned[k.instance.index] > 0: // the call is lost in transit
+	case c.partitioned[call.instance.index] > 0: // the call is lost in transit
 	case c.refusing > 0:
-		sim.after(sim.drawOneWayDelay(), func() { k.deliverResult(policy.ConnectFailed, 0) })
+		sim.after(sim.drawOneWayDelay(), func() { call.deliverResult(policy.ConnectFailed, 0) })
 	case c.hanging > 0:
 		c.delayedAnswers = append(c.delayedAnswers, answer)
 	default:
 		answerAt, ok := c.schedule()
 		if !ok {
-			sim.after(sim.drawOneWayDelay(), func() { k.deliverResult(policy.Rejected, 0) })
+			sim.after(sim.drawOneWayDelay(), func() { call.deliverResult(policy.Rejected, 0) })
 			return
 		}
 		sim.at(answerAt, answer)
--- a/internal/lab/model/discovery.go
+++ b/internal/lab/model/discovery.go
@@ -10,7 +10,7 @@
 type discovery struct {
 	simulation *simulation
 
-	stale          int           // number of active faults that suspend deliveries
+	stale          int           // number of active faults that suspend deliveries: DiscoveryStale and DiscoveryRefuse
 	extraDelay     time.Duration // sum over the active faults
 	delayedChanges []*backend    // backends whose changes are held back while the list is stale
 }
--- a/internal/lab/model/golden_test.go
+++ b/internal/lab/model/golden_test.go
@@ -19,7 +19,7 @@
 	}{
 		{"calm", "calm", nil, "e4fa44d9d5c96cff7269974405de4b62b6a9bec3f17cbbbc03fdd18e0ecea615"},
 		{"one backend hangs", "one-hangs", nil, "8688bfdd413410d026b616e0d8468267c72bfdf0abb0194a7b772bcc305c2391"},
-		{"the counter loses a minute", "counter-minute", nil,
+		{"the counter is unavailable for a minute", "counter-minute", nil,
 			"d93c8274beb3fd8ee40aaba3e162299ba795ba522524bc4699f4d1e6baad3155"},
 		{"many gateways restart at once", "fleet-herd", nil,
 			"c794efd240f306894952f063371ce067f47b34fec181d33cf4d8c68ddf1122e3"},
--- a/internal/lab/plots/panels.go
+++ b/internal/lab/plots/panels.go
@@ -107,17 +107,17 @@
 type axisRange struct{ xMax, yMax float64 }
 
 func (p panel) axisRangeOf(runs []*results.Run) axisRange {
-	var e axisRange
+	var axes axisRange
 	for _, run := range runs {
 		for _, c := range p.curves {
 			for _, point := range pointsOverTime(c, run) {
-				e.xMax = math.Max(e.xMax, point.X)
-				e.yMax = math.Max(e.yMax, point.Y)
+				axes.xMax = math.Max(axes.xMax, point.X)
+				axes.yMax = math.Max(axes.yMax, point.Y)
 			}
 		}
 	}
-	e.yMax = math.Max(e.yMax*legendHeadroom, 1)
-	return e
+	axes.yMax = math.Max(axes.yMax*legendHeadroom, 1)
+	return axes
 }
 
 // plots returns a plot of the panel for each run.
--- a/internal/lab/results/log.go
+++ b/internal/lab/results/log.go
@@ -97,8 +97,8 @@
 
 // addKills adds to the kill counts of an instance. The caller must hold the lock.
 func (l *EventLog) addKills(instance int, added kills) {
-	k := l.kills[instance]
-	l.kills[instance] = kills{begun: k.begun + added.begun, ended: k.ended + added.ended}
+	previous := l.kills[instance]
+	l.kills[instance] = kills{begun: previous.begun + added.begun, ended: previous.ended + added.ended}
 }
 
 // Incarnation returns the number of an instance's current process, which is how many of its processes were killed
--- a/internal/lab/testbed/gateway.go
+++ b/internal/lab/testbed/gateway.go
@@ -212,7 +212,7 @@
 	select {
 	case <-stopped.exited:
 	case <-time.After(stopTimeout):
-		_ = stopped.handle.Kill() // likewise
+		_ = stopped.handle.Kill() // fails only if the process has exited already
 		<-stopped.exited
 	}
 }
--- a/internal/lab/testbed/testbed_test.go
+++ b/internal/lab/testbed/testbed_test.go
@@ -118,8 +118,9 @@
 	return succeededAtLeast(0.7)(total) && affected > 0
 }
 
-// Injects each fault of the emulator while real gateways serve the small scenario. The share of successful requests
-// must be what the fault allows, and the five rules must hold as observed at the clients and the backends.
+// TestRun_ServesDuringEveryFault injects each fault of the emulator while real gateways serve the small scenario. The
+// share of successful requests must be what the fault allows, and the five rules must hold as observed at the clients
+// and the backends.
 func TestRun_ServesDuringEveryFault(t *testing.T) {
 	const respProtocol = "[counter]\nprotocol = \"resp\""
 	for _, test := range []struct {
@@ -189,9 +190,9 @@
 	}
 }
 
-// Withdraws backends by dynamic DNS updates at a rate of three hundred a minute, with each update sent to two gateways
-// under load. More than a second after a gateway has been notified, it must not send a new attempt to the withdrawn
-// backend, and the five rules must hold. A killed gateway must resume from its journal.
+// TestRun_DynamicUpdatesUnderLoad withdraws backends by dynamic DNS updates at a rate of three hundred a minute, with
+// each update sent to two gateways under load. More than a second after a gateway has been notified, it must not send
+// a new attempt to the withdrawn backend, and the five rules must hold. A killed gateway must resume from its journal.
 func TestRun_DynamicUpdatesUnderLoad(t *testing.T) {
 	for _, test := range []struct {
 		name              string
--- a/internal/lab/workload/workload_test.go
+++ b/internal/lab/workload/workload_test.go
@@ -39,8 +39,8 @@
 	}
 }
 
-// Draws requests from the same seed twice, the second time with draws of retry delays in between. The requests must
-// be equal, and their number and mean units must match the scenario.
+// TestGenerator_RequestsDoNotDependOnChoices draws requests from the same seed twice, the second time with draws of
+// retry delays in between. The requests must be equal, and their number and mean units must match the scenario.
 func TestGenerator_RequestsDoNotDependOnChoices(t *testing.T) {
 	wantRequests := drawAll(newGenerator(t))
 	generator := newGenerator(t)
