--- a/policy/abandonment_test.go
+++ b/policy/abandonment_test.go
@@ -29,7 +29,8 @@
 		}
 	}
 	if h.engine.latency.mean.Value < 1.1*before {
-		t.Errorf("the fleet's mean latency is %.0f ms after attempts canceled at 240 ms", h.engine.latency.mean.Value/1e6)
+		t.Errorf("mean latency %.0f ms after attempts canceled at 240 ms, want it to rise by a tenth or more",
+			h.engine.latency.mean.Value/1e6)
 	}
 	if sent > 30 { // clients that wait 240 ms get no attempts once answers are expected to take longer
 		t.Errorf("%d of 40 requests sent although the backends answer after their clients have gone", sent)
@@ -37,7 +38,8 @@
 	share, timeToAbandonment := h.engine.plans[0].abandonment.abandonedShare.Value,
 		h.engine.plans[0].abandonment.timeToAbandonment.Value
 	if share < 0.3 || time.Duration(timeToAbandonment) > 250*time.Millisecond {
-		t.Errorf("abandoned share %.2f, mean time to abandonment %.0f ms", share, timeToAbandonment/1e6)
+		t.Errorf("abandoned share %.2f, want at least 0.3; mean time to abandonment %.0f ms, want at most 250",
+			share, timeToAbandonment/1e6)
 	}
 }
 
@@ -60,19 +62,19 @@
 	if h.engine.plans[0].abandonment.abandonedShare.Value < 0.3 {
 		t.Fatalf("abandoned share %.2f after the burst, want 0.3 or more", h.engine.plans[0].abandonment.abandonedShare.Value)
 	}
-	served, servedLate := 0, 0
+	served, servedAtEnd := 0, 0
 	for n := range 200 { // 20 s without an abandonment
 		request := h.submit(RequestID(200+n), 0, 0, TenantID(n), 2*time.Second, 1)
 		h.advance(100 * time.Millisecond)
 		if len(request.attempts) > 0 {
 			h.endAttempt(request, 0, Succeeded)
 			if served++; n >= 120 {
-				servedLate++
+				servedAtEnd++
 			}
 		}
 	}
-	if servedLate < 80 {
-		t.Errorf("%d of 200 requests served after the burst, %d of the last 80", served, servedLate)
+	if servedAtEnd < 80 {
+		t.Errorf("%d of 200 requests served after the burst, %d of the last 80", served, servedAtEnd)
 	}
 }
 
--- a/policy/breaker_test.go
+++ b/policy/breaker_test.go
@@ -14,7 +14,7 @@
 		}
 	}
 	if len(h.pendingAdds) != breakerFailureThreshold {
-		t.Errorf("%d calls to a counter that does not answer", len(h.pendingAdds))
+		t.Errorf("%d calls to a counter that does not answer, want as many as open the breaker", len(h.pendingAdds))
 	}
 	h.pendingAdds = nil
 	h.advance(2 * time.Second)
--- a/policy/endpoint_watch.go
+++ b/policy/endpoint_watch.go
@@ -6,10 +6,10 @@
 	// Where lists are pushed, a change counts as announced as soon as the discovery agent has it, a call that an outage
 	// interrupted is never answered, and a new call costs discovery nothing. The timeouts are the drain grace divided by
 	// these divisors. Together they leave an instance a third of the grace to stop sending.
-	pushedWatchDivisor    = 3
-	pushedLatenessDivisor = 4
-	pushedSnapshotDivisor = 2
-	pushedRetryDivisor    = 10
+	pushedWatchDivisor      = 3
+	pushedWatchGraceDivisor = 4
+	pushedSnapshotDivisor   = 2
+	pushedRetryDelayDivisor = 10
 	// minDrainGrace is the shortest drain grace that the timeouts follow: below it an instance would do little else than
 	// call discovery.
 	minDrainGrace = 200 * time.Millisecond
@@ -17,14 +17,14 @@
 	// Where lists are polled, each call costs discovery work, but an instance has to apply a change within 6 s of the
 	// time at which it could be fetched. A watch that gets no answer is therefore replaced within 5.2 s. The snapshot
 	// timeout is the time that discovery keeps a call queued.
-	minPolledWatch   = 2 * time.Second
-	maxPolledWatch   = 4500 * time.Millisecond
-	polledLateness   = 500 * time.Millisecond
-	polledSnapshot   = 3 * time.Second
-	polledRetryDelay = 200 * time.Millisecond
-	retryDelayGrowth = 3
-	minRetryDelayCap = 500 * time.Millisecond
-	maxRetryDelay    = 4 * time.Second // below the 6 s in which a change has to be applied, also after failures
+	minPolledWatch        = 2 * time.Second
+	maxPolledWatch        = 4500 * time.Millisecond
+	polledWatchGrace      = 500 * time.Millisecond
+	polledSnapshotTimeout = 3 * time.Second
+	polledRetryDelay      = 200 * time.Millisecond
+	retryDelayGrowth      = 3
+	minRetryDelayCap      = 500 * time.Millisecond
+	maxRetryDelay         = 4 * time.Second // below the 6 s in which a change has to be applied, also after failures
 
 	// firstPollSpacing is the average time between the first polls of instances that start together. The polls are spread
 	// over at most maxFirstPollSpread, so that each instance has its list within 6 s of its start.
@@ -38,17 +38,17 @@
 	if s.PollEndpoints {
 		return DiscoveryTimeouts{
 			Watch:         min(max(minPolledWatch, s.PollTimeout), maxPolledWatch),
-			WatchGrace:    polledLateness,
-			Snapshot:      polledSnapshot,
+			WatchGrace:    polledWatchGrace,
+			Snapshot:      polledSnapshotTimeout,
 			MaxRetryDelay: polledRetryDelay,
 		}
 	}
 	grace := max(s.DrainGrace, minDrainGrace)
 	return DiscoveryTimeouts{
 		Watch:         grace / pushedWatchDivisor,
-		WatchGrace:    grace / pushedLatenessDivisor,
+		WatchGrace:    grace / pushedWatchGraceDivisor,
 		Snapshot:      grace / pushedSnapshotDivisor,
-		MaxRetryDelay: grace / pushedRetryDivisor,
+		MaxRetryDelay: grace / pushedRetryDelayDivisor,
 	}
 }
 
--- a/policy/endpoint_watch_test.go
+++ b/policy/endpoint_watch_test.go
@@ -32,11 +32,11 @@
 		200 * time.Millisecond, 250 * time.Millisecond, 500 * time.Millisecond, time.Second, 10 * time.Second,
 	} {
 		timeouts := Settings{DrainGrace: grace}.DiscoveryTimeouts()
-		watch, lateness, snapshot, retryDelay :=
+		watch, watchGrace, snapshot, retryDelay :=
 			timeouts.Watch, timeouts.WatchGrace, timeouts.Snapshot, timeouts.MaxRetryDelay
-		if max(watch+lateness, snapshot)+retryDelay > grace*7/10 || watch < 50*time.Millisecond {
-			t.Errorf("drain grace %d ns: watch timeout %d ns, lateness %d ns, snapshot timeout %d ns, retry delay %d ns",
-				grace, watch, lateness, snapshot, retryDelay)
+		if max(watch+watchGrace, snapshot)+retryDelay > grace*7/10 || watch < 50*time.Millisecond {
+			t.Errorf("drain grace %d ns: watch timeout %d ns, watch grace %d ns, snapshot timeout %d ns, retry delay %d ns",
+				grace, watch, watchGrace, snapshot, retryDelay)
 		}
 		settings := defaultSettings()
 		settings.DrainGrace = grace
@@ -56,11 +56,11 @@
 		settings := defaultSettings()
 		settings.PollEndpoints, settings.PollTimeout = true, pollTimeout
 		timeouts := settings.DiscoveryTimeouts()
-		watch, lateness, snapshot, retryDelay :=
+		watch, watchGrace, snapshot, retryDelay :=
 			timeouts.Watch, timeouts.WatchGrace, timeouts.Snapshot, timeouts.MaxRetryDelay
-		if watch+lateness+retryDelay > 5200*time.Millisecond || snapshot+retryDelay > 5200*time.Millisecond {
-			t.Errorf("poll timeout %d ns: watch timeout %d ns, lateness %d ns, snapshot timeout %d ns, retry delay %d ns",
-				pollTimeout, watch, lateness, snapshot, retryDelay)
+		if watch+watchGrace+retryDelay > 5200*time.Millisecond || snapshot+retryDelay > 5200*time.Millisecond {
+			t.Errorf("poll timeout %d ns: watch timeout %d ns, watch grace %d ns, snapshot timeout %d ns, retry delay %d ns",
+				pollTimeout, watch, watchGrace, snapshot, retryDelay)
 		}
 		h := newHarness(t, settings, readyEndpoints(1)...)
 		for h.advance(8 * time.Millisecond); h.watchCalls == 0; h.advance(8 * time.Millisecond) { // until the first poll
--- a/policy/fleet_test.go
+++ b/policy/fleet_test.go
@@ -13,7 +13,7 @@
 )
 
 // This file simulates a fleet of instances and its backends on one clock. It checks rule 4 for the fleet as a
-// whole: the attempts that all instances together send to a warming backend in any overload window.
+// whole: the attempts that all instances together send to a backend that is warming up, in any overload window.
 
 // fleetSettings describe a fleet and the settings of rule 4. A backend of relative capacity 1 has the given
 // number of cores. When it is warm, a core takes serviceTime for a request on average.
@@ -45,7 +45,7 @@
 	events         timerqueue.Queue[func()]
 	settings       Settings
 	incarnations   [][]*incarnation // by instance: the incarnations that get requests
-	trafficWeights []float64        // cumulative shares of the instances in the traffic
+	trafficWeights []float64        // by instance: sum of the weights up to and including its own
 	extraLatency   []time.Duration  // by instance: added to the service time of its answers
 	requestRate    float64          // in requests a second
 	backendByID    map[BackendID]*fleetBackend
@@ -69,7 +69,7 @@
 	budget            float64
 	bound             float64
 	age               time.Duration // time since the start of the backend
-	slowStartAttempts int           // attempts at warming backends in the whole run
+	slowStartAttempts int           // attempts at backends that are warming up, in the whole run
 }
 
 // fleetBackend is a simulated backend.
@@ -251,7 +251,8 @@
 	}
 }
 
-// distributeTraffic sets the share of the requests that each instance gets, in proportion to its weight.
+// distributeTraffic sets the share of the requests that each instance gets, in proportion to its weight. The argument
+// returns the weight of an instance; f.trafficWeights holds the cumulative sums.
 func (f *fleet) distributeTraffic(trafficWeights func(index int) float64) {
 	sum := 0.0
 	for index := range f.trafficWeights {
@@ -260,6 +261,7 @@
 	}
 }
 
+// discoveryState returns the endpoint list of all backends.
 func (f *fleet) discoveryState() (list []Endpoint) {
 	for _, id := range f.backendIDs {
 		list = append(list, f.backendByID[id].discoveryState())
@@ -270,6 +272,7 @@
 // listedStart returns the start time that the endpoint list states.
 func (b *fleetBackend) listedStart() Instant { return b.startedAt.Add(b.listedStartOffset) }
 
+// discoveryState returns the backend's entry of the endpoint list.
 func (b *fleetBackend) discoveryState() Endpoint {
 	endpoint := Endpoint{Backend: b.id, Weight: b.relativeCapacity, StartedAt: b.listedStart(), State: EndpointGone}
 	if b.running {
--- a/policy/golden_test.go
+++ b/policy/golden_test.go
@@ -272,6 +272,7 @@
 		wantHash:      "906150b5935777aba5228250bd690575d8a743133ccc1578b8a83bf5f289605f",
 	},
 	{
+		// Outages of the whole fleet: all backends hang, or all become slow.
 		name: "jams", seed: 22, rate: 120, seconds: 60, minEffects: 5000,
 		instances: 3, backends: 5, tenants: 12, entryPoints: 3,
 		serviceTime: 160 * goldenMillisecond, disconnectShare: 0.1,
--- a/policy/latency.go
+++ b/policy/latency.go
@@ -25,7 +25,7 @@
 	costPriorSamples = 20
 	// minRelativeCost is the lower bound of the relative cost of small requests.
 	minRelativeCost = 0.25
-	// idleFloorDivisor divides the tightest latency objective to get the idle floor, below which the fleet's latency of
+	// idleFloorDivisor divides the shortest latency objective to get the idle floor, below which the fleet's latency of
 	// an idle instance does not decay.
 	idleFloorDivisor = 5
 
--- a/policy/latency_test.go
+++ b/policy/latency_test.go
@@ -133,7 +133,8 @@
 		h.advance(250*time.Millisecond - answerTime)
 	}
 	if h.engine.latency.mean.Value < float64(190*time.Millisecond) {
-		t.Errorf("after 2.5 s of answers in 240 ms the fleet's mean latency is %.0f ms", h.engine.latency.mean.Value/1e6)
+		t.Errorf("after 2.5 s of answers in 240 ms the fleet's mean latency is %.0f ms, want at least 190",
+			h.engine.latency.mean.Value/1e6)
 	}
 }
 
@@ -151,7 +152,8 @@
 	}
 	h.advance(20 * time.Second)
 	if h.engine.latency.mean.Value < float64(90*time.Millisecond) {
-		t.Errorf("after 20 s without requests the fleet's mean latency is %.0f ms", h.engine.latency.mean.Value/1e6)
+		t.Errorf("after 20 s without requests the fleet's mean latency is %.0f ms, want at least 90",
+			h.engine.latency.mean.Value/1e6)
 	}
 }
 
--- a/policy/over_quota.go
+++ b/policy/over_quota.go
@@ -3,7 +3,7 @@
 // handleOverQuota forwards a request beyond the quota if its value exceeds its cost and a backend has free
 // capacity. Otherwise it rejects the request until the quota has refilled enough.
 func (r *Request) handleOverQuota(now Instant) {
-	if r.worthSendingOverQuota() && r.hasBackendBelowPreferredLoad(now) {
+	if r.worthSendingOverQuota() && r.hasBackendWithinSoftInFlightLimit(now) {
 		r.forward(now)
 		return
 	}
@@ -16,9 +16,9 @@
 	return r.plan.OverQuotaValue > r.plan.OverQuotaCost && !r.class.CheckOnly
 }
 
-// hasBackendBelowPreferredLoad reports whether a backend can take another attempt without exceeding its
-// softInFlightLimit.
-func (r *Request) hasBackendBelowPreferredLoad(now Instant) bool {
+// hasBackendWithinSoftInFlightLimit reports whether a backend can take another attempt without exceeding
+// its softInFlightLimit.
+func (r *Request) hasBackendWithinSoftInFlightLimit(now Instant) bool {
 	b := r.engine.pickBackend(now, r, fullBudget)
 	return b != nil && b.load() <= 1
 }
--- a/policy/pages_test.go
+++ b/policy/pages_test.go
@@ -16,9 +16,9 @@
 var (
 	pageMember = regexp.MustCompile("`((?:Engine|Request|Settings|tenant|traffic|plan|class|backend|outlierState|" +
 		"quotaWindow|counterCall|counterBreaker|fleetLatency|QuotaStatus)\\.\\w+)`")
-	pageConstant    = regexp.MustCompile("`(\\w+)`\\s+=\\s")
-	capacityRow     = regexp.MustCompile("(?m)^\\| `(\\w+)` \\| `(\\w+\\.go)` \\|")
-	pageSourceFiles = regexp.MustCompile("`(\\w+\\.go)`")
+	pageConstant   = regexp.MustCompile("`(\\w+)`\\s+=\\s")
+	capacityRow    = regexp.MustCompile("(?m)^\\| `(\\w+)` \\| `(\\w+\\.go)` \\|")
+	pageSourceFile = regexp.MustCompile("`(\\w+\\.go)`")
 )
 
 // declarationIndex lists the declarations of the package with the file of each function, field and constant.
@@ -31,7 +31,7 @@
 // parsePackageSource parses all files of the package except the tests.
 func parsePackageSource(t *testing.T) declarationIndex {
 	t.Helper()
-	names := declarationIndex{declaredIn: map[string]string{}, files: map[string]bool{}}
+	index := declarationIndex{declaredIn: map[string]string{}, files: map[string]bool{}}
 	paths, err := filepath.Glob("*.go")
 	if err != nil {
 		t.Fatal(err)
@@ -44,12 +44,12 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		names.files[path] = true
+		index.files[path] = true
 		for _, declaration := range file.Decls {
-			names.add(path, declaration)
+			index.add(path, declaration)
 		}
 	}
-	return names
+	return index
 }
 
 func (n *declarationIndex) add(path string, declaration ast.Decl) {
@@ -122,7 +122,7 @@
 			t.Errorf("docs/decisions.md names the constant %s, which the package does not declare", match[1])
 		}
 	}
-	for _, match := range pageSourceFiles.FindAllStringSubmatch(page, -1) {
+	for _, match := range pageSourceFile.FindAllStringSubmatch(page, -1) {
 		if !source.files[match[1]] {
 			t.Errorf("docs/decisions.md names %s, which is not a file of the package", match[1])
 		}
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -52,7 +52,7 @@
 	return !now.Before(latest)
 }
 
-// rejectionIsSafe reports whether the request may be rejected, which tells the client that it is safe to retry.
+// rejectionIsSafe reports whether the request may be rejected, which states to the client that a retry is safe.
 func (r *Request) rejectionIsSafe() bool {
 	c := r.class
 	if c.Idempotency == Idempotent || c.Idempotency == IdempotentWithKey && c.DedupScope == DedupByAll {
--- a/policy/slow_start.go
+++ b/policy/slow_start.go
@@ -7,11 +7,11 @@
 )
 
 // Rule 4: all instances together send to a backend that is warming up at most Settings.OverloadMultiple times what its
-// current capacity can process in any Settings.OverloadWindow. No instance has information on what the others send.
+// current capacity can process in any Settings.OverloadWindow. Instances exchange no information on what they send.
 
 const (
 	// overloadSafetyDivisor divides the overload multiple: the budget is a third of the load at which a backend
-	// collapses, since requests differ in the work that they take.
+	// becomes overloaded, since requests differ in the work that they take.
 	overloadSafetyDivisor = 3
 	// baselineServiceRatio is the assumed service time of a request on one core, as a multiple of the baseline latency.
 	baselineServiceRatio = 1.5
@@ -107,7 +107,7 @@
 //
 // The throughput is that of one core with a service time of baselineServiceRatio baseline latencies, or the measured
 // peak per backend if that is higher. Before the baseline is known, half the latency objective is assumed as the
-// service time, since few objectives are tighter.
+// service time, since few objectives are shorter.
 func (r *Request) slowStartRate(b *backend) float64 {
 	e := r.engine
 	serviceTime := float64(r.class.LatencyObjective) / 2
--- a/policy/slow_start_test.go
+++ b/policy/slow_start_test.go
@@ -27,7 +27,7 @@
 		}
 		sent += len(h.sentTimes[1])
 	}
-	if sent < 2 || sent > 8 { // it collapses at 2 x 0.84 s of work per second, and 0.2 s are assumed for a request
+	if sent < 2 || sent > 8 { // overloaded at 2 x 0.84 s of work per second; a request is assumed to take 0.2 s
 		t.Errorf("eight instances sent %d attempts to a backend that is warming up, want 2 to 8", sent)
 	}
 }
@@ -95,7 +95,7 @@
 			sentPerSecond[at.Nanos()/int64(time.Second)]++
 		}
 	}
-	// It collapses at four times a capacity share, from 0.2 to 0.7, of the 15 answers per second measured at a warm one.
+	// It becomes overloaded at four times a capacity share, from 0.2 to 0.7, of a warm one's 15 answers per second.
 	if sent < 15 || sent > 60 { // 9 if overload reduces the budget, 11 if the first turns are delayed
 		t.Errorf("sixty instances sent %d attempts to a backend that is warming up, want 15 to 60", sent)
 	}
@@ -216,7 +216,9 @@
 		overloadMultiple: 2.5, slowStartShare: 0.35, overloadWindow: time.Second, slowStartDuration: 12 * time.Second},
 }
 
-const scenarioStart = 12 * time.Second // after the simulation's start; the fleet is measured by then
+// scenarioStart is when the events of a scenario begin, after the simulation's start. By then the instances have
+// measured the latency and the throughput of the backends.
+const scenarioStart = 12 * time.Second
 
 // restartThird restarts a third of the backends at once.
 func (f *fleet) restartThird() {
--- a/policy/status.go
+++ b/policy/status.go
@@ -4,11 +4,13 @@
 
 // QuotaStatus is this instance's current view of a tenant's quota.
 type QuotaStatus struct {
-	Limit         float64 // units of a full quota; 0: the plan has no quota
-	Rate          float64 // refill in units per second
-	Used          float64 // units used and not refilled yet, with the refill computed up to now
-	FromCounter   bool    // Used is based on a total of the counter in this window; otherwise on the local share
-	HardQuotaLeft float64 // units left in this instance's part of the hard quota, all for an unknown tenant; -1: none
+	Limit       float64 // units of a full quota; 0: the plan has no quota
+	Rate        float64 // refill in units per second
+	Used        float64 // units used and not refilled yet, with the refill computed up to now
+	FromCounter bool    // Used is based on a total of the counter in this window; otherwise on the local share
+	// HardQuotaLeft is the number of units left in this instance's part of the hard quota. For a tenant without state at
+	// this instance it is the whole part. It is -1 if the plan has no hard quota.
+	HardQuotaLeft float64
 }
 
 // QuotaQuery selects the quota of a tenant under a plan. EntryPoints is the number of instances through which the
