--- a/internal/counter/client_test.go
+++ b/internal/counter/client_test.go
@@ -168,7 +168,7 @@
 	}
 	first, second, other := calls["bump ab 2.5 4001"], calls["bump ab -1 1"], calls["bump cd 1 1000"]
 	if first.conn == nil || first.conn != second.conn {
-		t.Fatalf("received %v", calls)
+		t.Fatalf("received calls %v, want two for key ab on one connection", calls)
 	}
 	if other.conn == first.conn {
 		t.Error("calls for two keys share a connection although the client may open another one")
@@ -252,7 +252,7 @@
 func TestClient_StatsCountResults(t *testing.T) {
 	client, received, service := startClient(t)
 	if got := client.Stats(); got != (Stats{}) {
-		t.Errorf("stats before the first call: %+v", got)
+		t.Errorf("stats before the first call: %+v, want zeros", got)
 	}
 	for _, test := range []struct {
 		answer            string
--- a/internal/discovery/client_test.go
+++ b/internal/discovery/client_test.go
@@ -25,7 +25,7 @@
 	}
 	client.WatchEndpoints()
 	if got := <-calls; got != watchFrom4URL {
-		t.Errorf("an instance with a cached list requests %s", got)
+		t.Errorf("an instance with a cached list requests %s, want the changes since its index 4", got)
 	}
 }
 
@@ -122,7 +122,7 @@
 	i.client.Reconfigure("agent:2", startupSettings(time.Second))
 	time.Sleep(time.Minute)
 	if i.updates.Load() != updates || i.service.calls.Load() != calls {
-		t.Errorf("%d updates and %d calls after Close", i.updates.Load()-updates, i.service.calls.Load()-calls)
+		t.Errorf("%d updates and %d calls after Close, want none", i.updates.Load()-updates, i.service.calls.Load()-calls)
 	}
 }
 
--- a/internal/discovery/harness_test.go
+++ b/internal/discovery/harness_test.go
@@ -55,7 +55,7 @@
 	case next := <-r.updates:
 		return next
 	case <-time.After(4 * time.Second):
-		t.Fatal("no update")
+		t.Fatal("no update within 4 s")
 		panic("not reached")
 	}
 }
@@ -92,7 +92,7 @@
 	return strings.TrimPrefix(server.URL, "http://"), calls
 }
 
-// startClient returns a client of a fake service. Its watch calls ask the service to wait for 2 s.
+// startClient returns a client of a fake service. Its watch calls request a wait of 2 s.
 func startClient(t *testing.T, answers ...string) (*Client, *recorder, chan string) {
 	t.Helper()
 	address, calls := startService(t, answers...)
--- a/internal/discovery/poll.go
+++ b/internal/discovery/poll.go
@@ -88,7 +88,7 @@
 }
 
 // callTimeout returns the timeout of a call. If there are no changes, the service answers a watch call at the end of
-// the requested wait; WatchGrace is added for the way over the network.
+// the requested wait; WatchGrace allows for the delay on the network.
 func callTimeout(timeouts policy.DiscoveryTimeouts, state *watchState) time.Duration {
 	if state.needsSnapshot {
 		return timeouts.Snapshot
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -65,7 +65,7 @@
 	}
 	for range 4 {
 		if got := <-calls; got != snapshotURL {
-			t.Errorf("call %s", got)
+			t.Errorf("call %s, want a request for a full snapshot", got)
 		}
 	}
 }
@@ -83,7 +83,7 @@
 	}
 	time.Sleep(300 * time.Millisecond)
 	if len(calls) != 2 {
-		t.Errorf("%d calls", len(calls))
+		t.Errorf("%d calls before the engine requested another watch, want 2", len(calls))
 	}
 	client.WatchEndpoints()
 	updates.next(t)
@@ -122,7 +122,7 @@
 	select {
 	case url := <-calls:
 		if url != snapshotURL {
-			t.Errorf("the next call is %s", url)
+			t.Errorf("the next call is %s, want a request for a full snapshot", url)
 		}
 	case <-time.After(4 * time.Second): // 2 s before a published change counts as delivered
 		t.Error("no further call within 4 s")
--- a/internal/dispatch/attempt.go
+++ b/internal/dispatch/attempt.go
@@ -8,8 +8,9 @@
 )
 
 // AttemptConn is the connection that an attempt is written to. Abandon gives up the attempt; it does nothing
-// if the connection already carries another attempt. Abandon returns true if the attempt is being written. Its
-// writer, which alone can tell whether the request was written completely, then reports the result without delay.
+// if the connection already carries another attempt. Abandon returns true if the attempt is being written. Only the
+// goroutine that writes it can determine whether the request was written completely, and it then reports the result
+// without delay.
 //
 // Abandon is called with the dispatcher's lock held and may take the lock of the connection's pool. The
 // connection calls Attempt.Start with the pool's lock held, so Attempt.Start never takes the dispatcher's lock.
@@ -145,7 +146,7 @@
 	return true
 }
 
-// Report tells the dispatcher how the attempt ended: with a response, or with an error, which is ErrRejected,
+// Report passes the result of the attempt to the dispatcher: a response, or an error, which is ErrRejected,
 // ErrBackendFailed, ErrLocalFailure, ErrTimeout or a NetworkError. actualUnits is the actual cost of the request
 // in units if the backend states it, and 0 otherwise. Report has no effect once the attempt has an outcome, from a
 // report or a cancellation. The dispatcher keeps response, so the caller must not modify it afterwards.
--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -207,8 +207,8 @@
 	d.callEngine(func(now policy.Instant) { d.engine.HandleHealthCheck(now, backend, outcome) })
 }
 
-// QuotaStatus returns what this instance knows about a tenant's quota, without counting any units. ok is false if
-// the plan does not exist.
+// QuotaStatus returns this instance's view of a tenant's quota, without counting any units. ok is false if the plan
+// does not exist.
 func (d *Dispatcher) QuotaStatus(query policy.QuotaQuery) (status policy.QuotaStatus, ok bool) {
 	d.callEngine(func(now policy.Instant) { status, ok = d.engine.QuotaStatus(now, query) })
 	return status, ok
--- a/internal/dispatch/effects.go
+++ b/internal/dispatch/effects.go
@@ -79,7 +79,7 @@
 	e.dispatcher.requests[id].finish(Step{Action: Abort})
 }
 
-// Admit ends a request of a class that only counts.
+// Admit ends a request of a check-only class, which was counted and is not sent to a backend.
 func (e effects) Admit(id policy.RequestID) {
 	e.dispatcher.requests[id].finish(Step{Action: Admit})
 }
--- a/internal/dispatch/errors_test.go
+++ b/internal/dispatch/errors_test.go
@@ -21,7 +21,7 @@
 	} {
 		for _, err := range errs {
 			if got := outcomeOf(err); got != want {
-				t.Errorf("outcome of %v: %d, want %d", err, got, want)
+				t.Errorf("outcome of %v: %v, want %v", err, got, want)
 			}
 		}
 	}
--- a/internal/dispatch/harness_test.go
+++ b/internal/dispatch/harness_test.go
@@ -94,7 +94,7 @@
 	time.AfterFunc(10*time.Millisecond, func() { n.dispatcher.HandleHealthCheck(backend, nil) })
 }
 
-// listEndpoints passes an update to the dispatcher, then records its states.
+// updateEndpoints passes an update to the dispatcher, then records the states of its endpoints.
 func (n *fakeNetwork) updateEndpoints(kind policy.UpdateKind, endpoints ...policy.Endpoint) {
 	n.dispatcher.UpdateEndpoints(kind, endpoints)
 	n.mu.Lock()
--- a/internal/dispatch/outcome.go
+++ b/internal/dispatch/outcome.go
@@ -14,7 +14,8 @@
 	if err == nil {
 		return policy.Succeeded
 	}
-	var networkError *NetworkError // allocated, as it escapes to errors.As: so declared after the case of success
+	// This variable is declared only here, since it escapes to the heap: a success then allocates nothing.
+	var networkError *NetworkError
 	switch {
 	case errors.Is(err, ErrRejected):
 		return policy.Rejected
--- a/internal/dispatch/request.go
+++ b/internal/dispatch/request.go
@@ -47,7 +47,7 @@
 
 // maxPendingAttempts is how many attempts of a request may wait for NextStep. The request's owner calls
 // NextStep without delay, so even two waiting attempts are rare, however many the settings allow. A further attempt
-// ends with the outcome NotSent, since waiting for a free place would block the engine.
+// ends with the outcome NotSent, since waiting for room in the channel would block the engine.
 const maxPendingAttempts = 8
 
 // RequestSpec describes a request.
--- a/internal/dispatch/start_times_test.go
+++ b/internal/dispatch/start_times_test.go
@@ -16,18 +16,18 @@
 	now := monotime.FromNanos(int64(100 * time.Hour))
 	started := now.Add(-age)
 	for _, test := range []struct {
-		name                  string
-		wallNow, stated, want policy.Instant
+		name                     string
+		wallNow, announced, want policy.Instant
 	}{
 		{"long ago", now.Add(-hour), policy.Instant{}, policy.Instant{}},
 		{"no step", now, started, started},
 		{"slewed", now.Add(900 * time.Millisecond), started, started},
-		{"stated after a step back", now.Add(-hour), now.Add(-hour - age), started},
-		{"stated before a step back", now.Add(-hour), started, started},
-		{"stated after a step forward", now.Add(hour), now.Add(hour - age), started},
-		{"stated before a step forward", now.Add(hour), started, started},
+		{"announced after a step back", now.Add(-hour), now.Add(-hour - age), started},
+		{"announced before a step back", now.Add(-hour), started, started},
+		{"announced after a step forward", now.Add(hour), now.Add(hour - age), started},
+		{"announced before a step forward", now.Add(hour), started, started},
 	} {
-		if got := translateStart(clockReadings{now: now, wallNow: test.wallNow}, test.stated); got != test.want {
+		if got := translateStart(clockReadings{now: now, wallNow: test.wallNow}, test.announced); got != test.want {
 			t.Errorf("%s: start time is %v from now, want %v", test.name, got.Sub(now), test.want.Sub(now))
 		}
 	}
--- a/internal/dispatch/timers.go
+++ b/internal/dispatch/timers.go
@@ -10,7 +10,7 @@
 // logComponent names this package in the log.
 const logComponent = "dispatch"
 
-// timerKind says what is done when a timer expires.
+// timerKind determines what the dispatcher does when a timer expires.
 type timerKind uint8
 
 const (
