--- a/policy/local_share.go
+++ b/policy/local_share.go
@@ -41,8 +41,8 @@
 }
 
 // mustLeaveCapacity reports whether the request has to leave the capacity of the backends to requests that are
-// counted: an uncounted request may be beyond the quota, and then incurs the cost of that even if no backend
-// answers it. While the breaker is not closed no requests are counted, and none takes precedence.
+// counted: an uncounted request may be beyond the quota, and then incurs the plan's OverQuotaCost even if no
+// backend answers it. While the breaker is not closed no requests are counted, and none takes precedence.
 func (r *Request) mustLeaveCapacity(now Instant) bool {
 	e := r.engine
 	countsOthers := e.settings.CounterEnabled && e.breaker.IsClosed()
