--- a/internal/billing/reservation.go
+++ b/internal/billing/reservation.go
@@ -191,22 +191,22 @@
 // ExpireReservations ends the reservations whose leases have expired on every instance's clock, which makes their
 // remaining units available again. It also drops the ids of ended reservations whose retention is over.
 func (a Account) ExpireReservations(settings Settings, nowNanos int64) Account {
-	var expired, forgotten []string
+	var expired, retentionEnded []string
 	for id, reservation := range a.Reservations {
 		if nowNanos >= reservation.ExpiresNanos+settings.ClockSkewNanos {
 			expired = append(expired, id)
 		}
 	}
-	for id, rememberedUntilNanos := range a.EndedReservations {
-		if nowNanos >= rememberedUntilNanos {
-			forgotten = append(forgotten, id)
+	for id, retainedUntilNanos := range a.EndedReservations {
+		if nowNanos >= retainedUntilNanos {
+			retentionEnded = append(retentionEnded, id)
 		}
 	}
-	if len(expired)+len(forgotten) == 0 {
+	if len(expired)+len(retentionEnded) == 0 {
 		return a
 	}
 	a = a.clone()
-	for _, id := range forgotten {
+	for _, id := range retentionEnded {
 		delete(a.EndedReservations, id)
 	}
 	for _, id := range expired {
--- a/internal/billingservice/keys.go
+++ b/internal/billingservice/keys.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// KeyPrefix is the prefix of all account keys in the store.
+// KeyPrefix is the prefix of all keys of this package in the store.
 const KeyPrefix = "billing/"
 
 // The keys under KeyPrefix. Their texts are part of the stored format and must not change.
--- a/internal/billingservice/lease.go
+++ b/internal/billingservice/lease.go
@@ -45,8 +45,8 @@
 	return nowNanos >= l.expiresNanos-durationNanos/2
 }
 
-// isRunning reports whether the lease has not expired.
-func (l *localLease) isRunning(nowNanos int64) bool { return nowNanos < l.expiresNanos }
+// isValid reports whether the lease has not expired.
+func (l *localLease) isValid(nowNanos int64) bool { return nowNanos < l.expiresNanos }
 
 // wasAcquired reports whether this instance has ever held the lease.
 func (l *localLease) wasAcquired() bool { return l.expiresNanos != 0 }
@@ -71,7 +71,7 @@
 	}
 	acquired := stored.acquire(self, nowNanos+durationNanos)
 	if err := s.writeLease(acquired, index); err != nil {
-		return s.lease.isRunning(nowNanos)
+		return s.lease.isValid(nowNanos)
 	}
 	s.lease.expiresNanos = acquired.ExpiresNanos
 	return true
--- a/internal/billingservice/receiver.go
+++ b/internal/billingservice/receiver.go
@@ -42,8 +42,8 @@
 
 // LastSequence requests the last sequence number that the receiver has. The error is a *ReceiverStatusError if the
 // status of the response is not a success.
-func (r *HTTPSink) LastSequence(ctx context.Context) (uint64, error) {
-	body, err := r.call(ctx, http.MethodGet, "", nil)
+func (s *HTTPSink) LastSequence(ctx context.Context) (uint64, error) {
+	body, err := s.call(ctx, http.MethodGet, "", nil)
 	if err != nil {
 		return 0, err
 	}
@@ -58,16 +58,16 @@
 
 // Send sends a batch to the receiver. The error is a *ReceiverStatusError if the status of the response is not a
 // success.
-func (r *HTTPSink) Send(ctx context.Context, batch []billing.UsageRecord) error {
+func (s *HTTPSink) Send(ctx context.Context, batch []billing.UsageRecord) error {
 	idempotencyKey := fmt.Sprintf("fawnplank-%d-%d", batch[0].Sequence, batch[len(batch)-1].Sequence)
-	_, err := r.call(ctx, http.MethodPost, idempotencyKey, encodeBatch(batch))
+	_, err := s.call(ctx, http.MethodPost, idempotencyKey, encodeBatch(batch))
 	return err
 }
 
 // call makes a request and returns the body of a successful response. If idempotencyKey is empty, the request has no
 // such header.
-func (r *HTTPSink) call(ctx context.Context, method, idempotencyKey string, requestBody []byte) ([]byte, error) {
-	request, err := http.NewRequestWithContext(ctx, method, r.url, bytes.NewReader(requestBody))
+func (s *HTTPSink) call(ctx context.Context, method, idempotencyKey string, requestBody []byte) ([]byte, error) {
+	request, err := http.NewRequestWithContext(ctx, method, s.url, bytes.NewReader(requestBody))
 	if err != nil {
 		return nil, err
 	}
@@ -75,7 +75,7 @@
 		request.Header.Set("Idempotency-Key", idempotencyKey)
 		request.Header.Set("Content-Type", "application/x-ndjson")
 	}
-	response, err := r.client.Do(request)
+	response, err := s.client.Do(request)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/billingservice/reservations_test.go
+++ b/internal/billingservice/reservations_test.go
@@ -32,13 +32,13 @@
 		after time.Duration // from the start of the other instance to the reservation
 		want  time.Duration // from the reservation to its expiry
 	}{
-		"when the other starts":    {0, CompactionInterval},
-		"just before a compaction": {longestOffset - 1, expiryDelay + 1},
-		"at a compaction":          {longestOffset, expiryDelay},
-		"just after a compaction":  {longestOffset + 1, expiryDelay + CompactionInterval - 1},
-		"in the middle":            {longestOffset + CompactionInterval/2, expiryDelay + CompactionInterval/2},
-		"after many compactions":   {20*CompactionInterval + longestOffset + 1, expiryDelay + CompactionInterval - 1},
-		"before the other starts":  {-20 * time.Millisecond, CompactionInterval + 20*time.Millisecond},
+		"when the other instance starts":   {0, CompactionInterval},
+		"just before a compaction":         {longestOffset - 1, expiryDelay + 1},
+		"at a compaction":                  {longestOffset, expiryDelay},
+		"just after a compaction":          {longestOffset + 1, expiryDelay + CompactionInterval - 1},
+		"between two compactions":          {longestOffset + CompactionInterval/2, expiryDelay + CompactionInterval/2},
+		"after many compactions":           {20*CompactionInterval + longestOffset + 1, expiryDelay + CompactionInterval - 1},
+		"before the other instance starts": {-20 * time.Millisecond, CompactionInterval + 20*time.Millisecond},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
--- a/internal/config/billing.go
+++ b/internal/config/billing.go
@@ -14,7 +14,7 @@
 type Billing struct {
 	Enabled          bool     `toml:"on"`
 	WindowLength     Duration `toml:"window"`        // length of a billing window
-	PlanChangeNotice Duration `toml:"lead"`          // time between the announcement of a plan change and its effect
+	PlanChangeNotice Duration `toml:"lead"`          // shortest time from the scheduling of a plan change to its effect
 	ClockSkew        Duration `toml:"clock_skew"`    // largest difference between the clocks of two instances
 	MaxLease         Duration `toml:"lease"`         // longest lease of a reservation
 	ExportDelay      Duration `toml:"late"`          // time between the end of a window and its export
@@ -79,7 +79,7 @@
 }
 
 // checkExport checks that at most one destination for the records is set, and that it is a directory or an http
-// address.
+// or https address.
 func (b *Billing) checkExport(file *tomlfile.File) error {
 	if b.ExportFolder != "" && b.ExportURL != "" {
 		return file.KeyErrorf("billing.export_url", "stands beside export_folder; one of them receives")
--- a/internal/simadapter/instance.go
+++ b/internal/simadapter/instance.go
@@ -16,7 +16,7 @@
 	actionCancel      uint8 = 67
 	actionWakeAt      uint8 = 68
 	actionCheckHealth uint8 = 69
-	// 70, drop connections, is not used: idle connections close by themselves.
+	// 70, drop connections, is not used: idle connections are closed without an action of the engine.
 	// 71, message to another instance, is not used: instances share only the counter.
 	actionLog            uint8 = 72
 	actionInstanceFailed uint8 = 73
@@ -57,16 +57,17 @@
 // Reject answers a request with a rejection.
 func (in *instance) Reject(id policy.RequestID, retryAfter time.Duration) {
 	in.action(actionReject).Uint64(uint64(id)).Float64(durationMillis(retryAfter))
-	in.forgetIfDone(id)
+	in.removeIfDone(id)
 }
 
 // Abort answers a request with an error.
 func (in *instance) Abort(id policy.RequestID) {
 	in.action(actionAbort).Uint64(uint64(id))
-	in.forgetIfDone(id)
+	in.removeIfDone(id)
 }
 
-// Admit does nothing: the wire cannot express a class with CheckOnly.
+// Admit does nothing, because the engine calls it only for classes with CheckOnly, which the settings of the simulator
+// cannot contain.
 func (in *instance) Admit(policy.RequestID) {}
 
 // WakeAt requests a timer event.
@@ -95,10 +96,10 @@
 // log writes a text to the simulator's log.
 func (in *instance) log(text string) { in.action(actionLog).Text(text) }
 
-// forgetIfDone removes a request once no further event can refer to it. The effects that answer a request call it
+// removeIfDone removes a request once no further event can refer to it. The effects that answer a request call it
 // too: a counter result or a timer may end a request that has no attempt in flight, and then no further event of the
 // request follows.
-func (in *instance) forgetIfDone(id policy.RequestID) {
+func (in *instance) removeIfDone(id policy.RequestID) {
 	if request := in.requests[id]; request != nil && request.Done() {
 		delete(in.requests, id)
 	}
@@ -116,7 +117,7 @@
 
 func (in *instance) handleSubmit(now policy.Instant, m submitMessage) {
 	in.requests[m.spec.ID] = in.engine.Submit(now, m.spec)
-	in.forgetIfDone(m.spec.ID) // needed because an effect that answers during Submit precedes the map entry
+	in.removeIfDone(m.spec.ID) // needed because an effect that answers during Submit precedes the map entry
 }
 
 func (in *instance) handleResponseStarted(now policy.Instant, m responseStartedMessage) {
@@ -131,7 +132,7 @@
 		return
 	}
 	request.HandleAttemptResult(now, m.result)
-	in.forgetIfDone(m.id)
+	in.removeIfDone(m.id)
 }
 
 func (in *instance) handleClientGone(now policy.Instant, m clientGoneMessage) {
@@ -140,7 +141,7 @@
 		return
 	}
 	request.HandleClientGone(now)
-	in.forgetIfDone(m.id)
+	in.removeIfDone(m.id)
 }
 
 func (in *instance) handleTimer(now policy.Instant, m timerMessage) {
--- a/internal/simadapter/messages.go
+++ b/internal/simadapter/messages.go
@@ -194,8 +194,8 @@
 func readResponseStarted(f *simwire.Frame) (responseStartedMessage, error) {
 	m := responseStartedMessage{id: policy.RequestID(f.Uint64())}
 	m.attempt = policy.AttemptID(f.Uint8())
-	f.Uint32()  // the backend, which the engine knows from the attempt
-	f.Float64() // the time since the attempt was sent, which the engine knows too
+	f.Uint32()  // the backend; unused, because the engine has stored it with the attempt
+	f.Float64() // the time since the attempt was sent; unused, because the engine has stored when it was sent
 	return m, nil
 }
 
@@ -208,7 +208,7 @@
 func readAttemptResult(f *simwire.Frame) (attemptResultMessage, error) {
 	m := attemptResultMessage{id: policy.RequestID(f.Uint64())}
 	m.result.Attempt = policy.AttemptID(f.Uint8())
-	f.Uint32() // the backend, which the engine knows from the attempt
+	f.Uint32() // the backend; unused, because the engine has stored it with the attempt
 	status := f.Uint16()
 	m.result.Elapsed = config.DurationFromMilliseconds(f.Float64())
 	m.result.RequestDone = f.Uint8() != 0
@@ -259,7 +259,7 @@
 	status := f.Uint16()
 	var m counterResultMessage
 	m.result.Key = policy.CounterKey(f.Uint64())
-	f.Float64() // duration of the call
+	f.Float64() // duration of the call; unused
 	m.result.Total = f.Float32()
 	var err error
 	m.result.Outcome, err = outcomeFromStatus(f, status)
