--- a/cmd/fawnplank/accounts.go
+++ b/cmd/fawnplank/accounts.go
@@ -22,7 +22,7 @@
 
 	mu          sync.Mutex
 	enabled     bool
-	changedKeys []string // changed account keys that have not been passed to the service yet
+	changedKeys []string // changed keys of the billing service that have not been passed to it yet
 }
 
 func newAccounts() *accounts { return &accounts{changes: newNotifier()} }
@@ -87,8 +87,8 @@
 	a.settings.Store(&settings)
 }
 
-// KeysChanged is called with the keys that have changed in the store. It records the account keys among them and
-// notifies the service. It does not block.
+// KeysChanged is called with the keys that have changed in the store. It records those with the prefix of the billing
+// service and notifies the service. It does not block.
 func (a *accounts) KeysChanged(keys []string) {
 	a.mu.Lock()
 	for _, key := range keys {
--- a/cmd/fawnplank/drain_test.go
+++ b/cmd/fawnplank/drain_test.go
@@ -146,10 +146,10 @@
 		"wall clock an hour back":    func(t *testing.T) { t.Helper(); testDrainWithClockStep(t, -time.Hour) },
 		"wall clock an hour forward": func(t *testing.T) { t.Helper(); testDrainWithClockStep(t, time.Hour) },
 		"invalid commands":           testDrainWithInvalidCommands,
-		"half a command":             testDrainWithIncompleteCommands,
-		"nothing is read":            testDrainWithClientThatNeverReads,
-		"busy connection goes on":    testDrainWithBusyConnection,
-		"clients keep coming":        testDrainWithNewClients,
+		"incomplete commands":        testDrainWithIncompleteCommands,
+		"client that never reads":    testDrainWithClientThatNeverReads,
+		"busy connection":            testDrainWithBusyConnection,
+		"new clients":                testDrainWithNewClients,
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
--- a/cmd/fawnplank/endpoint_grace_test.go
+++ b/cmd/fawnplank/endpoint_grace_test.go
@@ -169,23 +169,23 @@
 
 // drainEvents are the ways in which a gateway receives the list with the draining backend. Each function returns the
 // time at which the list was available at the agent.
-var drainEvents = map[string]func(first, second *discoveryAgent, without string, reload func()) time.Time{
-	"outage": func(first, _ *discoveryAgent, without string, _ func()) time.Time {
+var drainEvents = map[string]func(first, second *discoveryAgent, drainingEntries string, reload func()) time.Time{
+	"outage": func(first, _ *discoveryAgent, drainingEntries string, _ func()) time.Time {
 		first.set(first.entries, true)
 		time.Sleep(8 * time.Second)
-		first.set(without, false)
+		first.set(drainingEntries, false)
 		return time.Now()
 	},
-	"short outage": func(first, _ *discoveryAgent, without string, _ func()) time.Time {
+	"short outage": func(first, _ *discoveryAgent, drainingEntries string, _ func()) time.Time {
 		first.set(first.entries, true)
 		time.Sleep(300 * time.Millisecond) // shorter than a watch, so that it interrupts one that has just begun
-		first.set(without, false)
+		first.set(drainingEntries, false)
 		return time.Now()
 	},
-	"unanswered watch": func(first, _ *discoveryAgent, without string, _ func()) time.Time {
+	"unanswered watch": func(first, _ *discoveryAgent, drainingEntries string, _ func()) time.Time {
 		first.set(first.entries, true) // waiting calls are no longer answered
 		time.Sleep(10 * time.Millisecond)
-		first.set(without, false)
+		first.set(drainingEntries, false)
 		return time.Now()
 	},
 	"changed discovery address": func(_, second *discoveryAgent, _ string, reload func()) time.Time {
--- a/cmd/fawnplank/reload.go
+++ b/cmd/fawnplank/reload.go
@@ -83,7 +83,7 @@
 	g.configuration = merged
 }
 
-// restartKeys returns the keys of settings that differ and take effect only after a restart, in the order of the file.
+// restartKeys returns the keys of settings that differ and take effect only after a restart, in a fixed order.
 func restartKeys(current, updated *config.Config) []string {
 	var keys []string
 	for _, setting := range []struct {
--- a/cmd/fawnplank/replica_process_test.go
+++ b/cmd/fawnplank/replica_process_test.go
@@ -62,16 +62,16 @@
 
 func (r *replicaProcess) start(t *testing.T, all []*replicaProcess) {
 	t.Helper()
-	var names []string
+	var peerAddresses []string
 	for _, peer := range all {
-		names = append(names, peer.peerAddress())
+		peerAddresses = append(peerAddresses, peer.peerAddress())
 	}
 	logOutput, err := os.OpenFile(r.logFile, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer closeIgnoringError(logOutput) // the process has its own descriptor
-	flags := []string{"--store", r.folder, "--me", r.peerAddress(), "--peers", strings.Join(names, ",")}
+	flags := []string{"--store", r.folder, "--me", r.peerAddress(), "--peers", strings.Join(peerAddresses, ",")}
 	r.command = programCommand(t, slices.Concat(r.args, flags)...)
 	r.command.Stdout, r.command.Stderr = logOutput, logOutput
 	if err := r.command.Start(); err != nil {
--- a/cmd/fawnplank/shutdown_faults_test.go
+++ b/cmd/fawnplank/shutdown_faults_test.go
@@ -25,12 +25,12 @@
 // exits within minKillDelay, whatever its clients send meanwhile. Its backend never answers.
 func TestShutdown_AnswersEveryRequestRead(t *testing.T) {
 	for name, test := range map[string]func(t *testing.T, g *drainGateway){
-		"connection accepted last":        testShutdownWithLateConnection,
-		"busy connection goes on":         testShutdownWithBusyConnection,
-		"request behind invalid commands": testShutdownWithInvalidCommands,
-		"nothing is read":                 testShutdownWithClientThatNeverReads,
-		"more requests than are pending":  testShutdownWithFullPipeline,
-		"reloads without pause":           testShutdownDuringReloads,
+		"late connection":         testShutdownWithLateConnection,
+		"busy connection":         testShutdownWithBusyConnection,
+		"invalid commands":        testShutdownWithInvalidCommands,
+		"client that never reads": testShutdownWithClientThatNeverReads,
+		"full pipeline":           testShutdownWithFullPipeline,
+		"reloads":                 testShutdownDuringReloads,
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
--- a/cmd/fawnplank/soak_test.go
+++ b/cmd/fawnplank/soak_test.go
@@ -71,11 +71,11 @@
 	return scenario
 }
 
-func (p *soakScenario) String() string {
+func (s *soakScenario) String() string {
 	return fmt.Sprintf("drain %t (repeated %t), descriptors filled %t, balancer continues %t, clock steps %v, "+
 		"signals %v, hang probability %.2f, quotas counted %t, plans added %t",
-		p.drains, p.repeatsDrain, p.fillsDescriptors, p.balancerContinues, p.clockSteps,
-		p.signals, p.hangProbability, p.countsQuotas, p.addsPlans)
+		s.drains, s.repeatsDrain, s.fillsDescriptors, s.balancerContinues, s.clockSteps,
+		s.signals, s.hangProbability, s.countsQuotas, s.addsPlans)
 }
 
 // TestSoak_EndsUnderFaults checks the rules of a drain and of a shutdown under random faults: every request that was
--- a/cmd/fawnplank/store_client.go
+++ b/cmd/fawnplank/store_client.go
@@ -29,13 +29,13 @@
 	address string
 	flag    string // name of the flag that set the address, for errors
 	tls     tlsconfig.Files
-	// readFailure records the first error of ReadLocal and ReadPrefix. If it is nil, such errors are not recorded.
+	// readFailure records the first error of ReadLocal and ReadLocalPrefix. If it is nil, such errors are not recorded.
 	readFailure *readErrorRecorder
 }
 
-// readErrorRecorder records the first error of ReadLocal and ReadPrefix, which cannot return one because the Replica
-// interfaces that they implement do not. Edit fails with the recorded error, and a command checks it before it reports
-// success. A nil *readErrorRecorder records nothing.
+// readErrorRecorder records the first error of ReadLocal and ReadLocalPrefix. These methods cannot return an error,
+// because their signatures in the Replica interfaces have no error result. Edit fails with the recorded error, and a
+// command checks it before it reports success. A nil *readErrorRecorder records nothing.
 type readErrorRecorder struct {
 	mu  sync.Mutex
 	err error
--- a/cmd/fawnplank/wire_services_test.go
+++ b/cmd/fawnplank/wire_services_test.go
@@ -252,8 +252,8 @@
 	return fmt.Sprintf("HTTP/1.1 %s\r\nContent-Length: %d\r\n\r\n%s", status, len(body), body)
 }
 
-// wireDiscovery is a discovery service that passes its calls on and sends prepared answers in order. The answer "hold"
-// leaves a call unanswered until the service is stopped.
+// wireDiscovery is a discovery service that passes its calls to the test and sends prepared answers in order. The
+// answer "hold" leaves a call unanswered until the service is stopped.
 type wireDiscovery struct {
 	address string
 	calls   chan string
--- a/cmd/fawnplank/zone_test.go
+++ b/cmd/fawnplank/zone_test.go
@@ -167,7 +167,7 @@
 	<-ended
 	t.Logf("%d kills, %d updates", kills, lastAnswered.Load())
 	if lastAnswered.Load() < 20 {
-		t.Error("too few updates to show anything")
+		t.Error("too few updates for this test, want at least 20")
 	}
 }
 
@@ -188,7 +188,7 @@
 }
 
 // addBackends adds backends through a gateway until stop is closed.
-func (l *committedNames) addBackends(z zoneFiles, gateway int, stop <-chan struct{}) {
+func (c *committedNames) addBackends(z zoneFiles, gateway int, stop <-chan struct{}) {
 	for i := 1; ; i++ {
 		select {
 		case <-stop:
@@ -199,9 +199,9 @@
 			time.Sleep(50 * time.Millisecond)
 			continue
 		}
-		l.mu.Lock()
-		l.names[backendName(gateway, i)+":7000"] = true
-		l.mu.Unlock()
+		c.mu.Lock()
+		c.names[backendName(gateway, i)+":7000"] = true
+		c.mu.Unlock()
 	}
 }
 
@@ -258,7 +258,7 @@
 	checkZoneList(t, "--store", replicas[0].apiAddress, "--operator", files[0].operator)
 	t.Logf("%d updates committed, serial %d", len(committed.names), zones[0].Serial())
 	if len(committed.names) < 20 {
-		t.Error("too few updates to show anything")
+		t.Error("too few updates for this test, want at least 20")
 	}
 }
 
