--- a/cmd/fawnplank/soak_clients_test.go
+++ b/cmd/fawnplank/soak_clients_test.go
@@ -60,7 +60,7 @@
 }
 
 // heldAt reports whether the connection is still open although it was idle at a time, or had sent its last open request
-// less than 2 s before that time. The description says which.
+// less than 2 s before that time. The description states which of the two holds.
 func (c *soakConnection) heldAt(at time.Time) (description string, held bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/config/migrate_test.go
+++ b/internal/config/migrate_test.go
@@ -162,7 +162,7 @@
 		inputs, output := writeFiles(t, config, overrides)
 		options := MigrateOptions{SourceFile: inputs[0], OverrideFile: inputs[1], OutputFile: output}
 		if test.file == "old" && strings.HasPrefix(want, "settings.") {
-			// These errors are found in the migrated configuration, so the message has to say so.
+			// These errors are found in the migrated configuration, and the message has to state that.
 			want = "the migrated configuration is invalid: " + want
 			options.OverrideFile = ""
 		}
--- a/internal/store/vote_restriction.go
+++ b/internal/store/vote_restriction.go
@@ -13,8 +13,8 @@
 
 // voteRestriction wraps Raft's transport and withholds votes while a replica catches up after a restart. Until its own
 // log has reached targetIndex, the replica requests no votes, and grants no vote to a candidate whose log ends before
-// targetIndex. All other messages pass through. If the leader tells the replica to stand for election at once while it
-// catches up (Raft's leadership transfer), the replica cannot win, because it requests no votes.
+// targetIndex. All other messages pass through. If the leader transfers its leadership to the replica while the replica
+// catches up, the replica starts an election at once but cannot win it, because it requests no votes.
 //
 // Only run forwards requests from the transport to Raft. lifted may be read at any time, and changes only once.
 type voteRestriction struct {
