--- a/internal/lab/emulator/counter.go
+++ b/internal/lab/emulator/counter.go
@@ -186,7 +186,7 @@
 		c.close()
 	case becameInactive:
 		for _, l := range c.listeners {
-			_ = l.reopen() // the results of the run show a listener that stays closed
+			_ = l.reopen() // if this fails, the results of the run show the refused calls
 		}
 	}
 }
--- a/internal/lab/load/load.go
+++ b/internal/lab/load/load.go
@@ -1,7 +1,7 @@
 // Package load sends the requests of a workload to gateway instances over sockets, in an open loop: each request is
 // due at its planned time, whether or not earlier requests were answered, and its latency counts from that time. A
-// stalled instance therefore gets as many requests as any other, which avoids coordinated omission. The number of
-// requests, the duration of a run, the number of connections and each wait are bounded.
+// stalled instance therefore gets the same requests as a responsive one, which avoids coordinated omission. The number
+// of requests, the duration of a run, the number of connections and each wait are bounded.
 //
 // A Generator owns its connections and the goroutines of its requests; Run returns when all of them have ended. Lag
 // may be called at any time.
--- a/internal/lab/load/request.go
+++ b/internal/lab/load/request.go
@@ -157,7 +157,7 @@
 	case conn.reused:
 		return outcome{}, errStaleConnection
 	}
-	return outcome{kind: invariants.Aborted, sent: true}, nil // a running instance closed the connection: likewise
+	return outcome{kind: invariants.Aborted, sent: true}, nil // the invariants report the closed connection
 }
 
 func (g *Generator) roundTrip(s submission, conn *connection) (string, error) {
--- a/internal/lab/testbed/gateway.go
+++ b/internal/lab/testbed/gateway.go
@@ -188,7 +188,7 @@
 	if !wait(ctx, downtime) {
 		return
 	}
-	_ = g.start(ctx) // the clients' results show a gateway that stays down
+	_ = g.start(ctx) // if this fails, the gateway stays down, which the clients' results show
 }
 
 // wait waits for a duration. It returns false if ctx ends first.
@@ -212,7 +212,7 @@
 	select {
 	case <-stopped.exited:
 	case <-time.After(stopTimeout):
-		_ = stopped.handle.Kill() // likewise
+		_ = stopped.handle.Kill() // fails only if the process has exited already
 		<-stopped.exited
 	}
 }
--- a/internal/lab/testbed/load_test.go
+++ b/internal/lab/testbed/load_test.go
@@ -37,7 +37,7 @@
 
 // The load tool sends every request to a server that answers at once, and all succeed. Requests to an address without
 // a listener must not be recorded as successes or as rejections by a gateway.
-func TestLoadTool_SendsOnTimeAndReportsUnreachableGateway(t *testing.T) {
+func TestLoadTool_SendsEveryRequestAndReportsUnreachableAddress(t *testing.T) {
 	s, err := scenario.Parse("small", []byte(smallScenario),
 		"gateways.count=1", "load.entry_points=1", "load.rate=400", "duration=1s", "load.retries=0")
 	if err != nil {
--- a/internal/lab/workload/workload.go
+++ b/internal/lab/workload/workload.go
@@ -40,7 +40,7 @@
 // Request is a request of a client. Its instants are relative to the start of the run.
 type Request struct {
 	Due      monotime.Instant // when the client sends the request
-	Deadline monotime.Instant // how long the client waits for the answer
+	Deadline monotime.Instant // when the client stops waiting for the answer
 	Tenant   int
 	Class    int
 	Plan     int
