--- a/policy/abandonment_test.go
+++ b/policy/abandonment_test.go
@@ -45,7 +45,7 @@
 
 // TestAbandonment_BurstDecays guards against a fault: after a burst of early abandonments, all further requests of the
 // plan were rejected for good while the backends were idle, since rejected clients give no new samples of how long
-// clients wait. In the lab scenario zone+brink with seed 32, one instance rejected 680 requests in 22 s.
+// clients wait. On the bench's day zone+brink, seed 32, one instance rejected 680 requests in 22 s.
 func TestAbandonment_BurstDecays(t *testing.T) {
 	h := newHarnessWithoutCounter(t, readyEndpoints(1, 2, 3)...)
 	h.serveTwentyRequests(100 * time.Millisecond)
--- a/policy/latency_test.go
+++ b/policy/latency_test.go
@@ -114,8 +114,8 @@
 }
 
 // TestLatency_InstanceWithLowThroughputDetectsOverload guards against a fault: an instance with few answers per second
-// averaged the latency over the last 30 answers, and so detected overload only after 7 s. In the lab scenario
-// join+mass with seed 11, 281 such instances kept overloading the warm backends while 90 of 151 were replaced, and 29%
+// averaged the latency over the last 30 answers, and so detected overload only after 7 s. On the bench's day
+// join+mass, seed 11, 281 such instances kept overloading the warm backends while 90 of 151 were replaced, and 29%
 // of the requests were answered in time.
 func TestLatency_InstanceWithLowThroughputDetectsOverload(t *testing.T) {
 	settings := defaultSettings()
