--- a/cmd/fawnplank/endpoint_grace_test.go
+++ b/cmd/fawnplank/endpoint_grace_test.go
@@ -200,8 +200,8 @@
 // TestEndpointLists_ApplyWithinGrace checks that no attempt at a draining backend begins later than endpointGrace after
 // the list is available at the agent, whichever way the list arrives. It guards against a failure in which discovery
 // was down for 8 s during a release and gateways went on sending to 23 draining backends (335 attempts on the bench's
-// day herd+mass, seed 872230496381, the first one 1.07 s after the agent had the list): a call that was pending during the
-// outage was abandoned only after three seconds.
+// day herd+mass, seed 872230496381, the first one 1.07 s after the agent had the list): a call that was pending during
+// the outage was abandoned only after three seconds.
 func TestEndpointLists_ApplyWithinGrace(t *testing.T) {
 	for name, event := range drainEvents {
 		t.Run(name, func(t *testing.T) {
