--- a/cmd/fawnplank/shutdown_faults_test.go
+++ b/cmd/fawnplank/shutdown_faults_test.go
@@ -30,7 +30,7 @@
 		"invalid commands":        testShutdownWithInvalidCommands,
 		"client that never reads": testShutdownWithClientThatNeverReads,
 		"full pipeline":           testShutdownWithFullPipeline,
-		"reloads":                 testShutdownDuringReloads,
+		"reloads in succession":   testShutdownDuringReloads,
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
